--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -12,16 +12,16 @@
 	"gannetline/internal/siblingwire"
 )
 
-// storage is where a steward keeps its replicas; it has no store on a machine without a disk, unless that is a seed.
-type storage struct {
+// durableState is where a steward keeps its replicas; it has no store on a machine without a disk, unless that is a seed.
+type durableState struct {
 	folder      string
 	isMakeshift bool
 	store       *keystore.Store
 	replicas    *keyowner.Replicas
 }
 
-func openStorage(b *base) (*storage, error) {
-	kept := &storage{folder: b.settings.DataDirectory}
+func openStorage(b *base) (*durableState, error) {
+	kept := &durableState{folder: b.settings.DataDirectory}
 	if kept.folder == "" {
 		kept.openMakeshift(b)
 	} else {
@@ -40,7 +40,7 @@
 
 // openMakeshift gives a seed without a disk a folder that does not outlive it; where none can be had, the steward
 // goes on without, as any other that has no disk.
-func (s *storage) openMakeshift(b *base) {
+func (s *durableState) openMakeshift(b *base) {
 	if !slices.Contains(b.settings.Seeds, b.settings.Listen.Control) {
 		return
 	}
@@ -55,7 +55,7 @@
 	s.folder, s.isMakeshift = folder, true
 }
 
-func (s *storage) member(control string) siblingwire.Member {
+func (s *durableState) member(control string) siblingwire.Member {
 	self := siblingwire.Member{Role: "steward", Control: control}
 	switch {
 	case s.isMakeshift:
@@ -66,7 +66,7 @@
 	return self
 }
 
-func (s *storage) close() {
+func (s *durableState) close() {
 	if s.store != nil {
 		s.store.Close()
 	}
--- a/internal/roles/storage_test.go
+++ b/internal/roles/storage_test.go
@@ -20,7 +20,7 @@
 
 var _ = Describe("where a steward keeps its keys", func() {
 	var settings *bootsettings.Settings
-	open := func() (*storage, error) {
+	open := func() (*durableState, error) {
 		return openStorage(&base{settings: settings, log: logs.Silent(), clock: pulse.NewFake(0)})
 	}
 	BeforeEach(func() {
