--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -17,11 +17,11 @@
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
-	"gannetline/internal/keyowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/placetasks"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 )
 
@@ -122,7 +122,7 @@
 // Opener lets an engine hand the key to the pool.
 type Opener struct{ *Pool }
 
-func (o Opener) Open(tenure *keyowner.Tenure, pairs []siblingwire.Op) error {
+func (o Opener) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
 	return o.Pool.Open(tenure, pairs)
 }
 
--- a/internal/keyowner/handon.go
+++ b/internal/replication/handon.go
@@ -1,4 +1,4 @@
-package keyowner
+package replication
 
 import (
 	"time"
--- a/internal/keyowner/handon_test.go
+++ b/internal/replication/handon_test.go
@@ -1,4 +1,4 @@
-package keyowner_test
+package replication_test
 
 import (
 	"slices"
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/pulse"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
@@ -133,7 +133,7 @@
 	})
 
 	It("hears from each voter how long its call has taken there", func() {
-		table, err := keyowner.NewReplicas(mailbox.New(4), newDisk("disk-a"), pulse.NewFake(1), time.Second)
+		table, err := replication.NewReplicas(mailbox.New(4), newDisk("disk-a"), pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		life, end := span.Cancellable(span.Root())
 		defer end()
--- a/internal/keyowner/history_test.go
+++ b/internal/replication/history_test.go
@@ -1,4 +1,4 @@
-package keyowner_test
+package replication_test
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/pulse"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 )
 
@@ -104,7 +104,7 @@
 
 	It("finds the last changes there, one after the other and not without bound", func() {
 		disk := newDisk("disk-a")
-		table, err := keyowner.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
+		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		prev := siblingwire.Stamp{}
 		for step := range uint64(9000) {
@@ -125,20 +125,20 @@
 		table.Append(siblingwire.AppendCall{Key: key, Epoch: 3, Snapshot: &siblingwire.Snapshot{Last: prev}}, func(siblingwire.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
-		Expect(table.History(key)).To(Equal(keyowner.History{Base: prev}))
+		Expect(table.History(key)).To(Equal(replication.History{Base: prev}))
 	})
 
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
 		disk.Shelf.Apply(keystore.Write{Key: key, Epoch: 1, Changes: []siblingwire.Change{{Stamp: siblingwire.Stamp{Epoch: 1, Step: 1}}}})
-		table, err := keyowner.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
+		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		change := siblingwire.Change{Stamp: siblingwire.Stamp{Epoch: 1, Step: 2}}
 		table.Append(siblingwire.AppendCall{Key: key, Epoch: 1, Prev: siblingwire.Stamp{Epoch: 1, Step: 1}, Changes: []siblingwire.Change{change}},
 			func(siblingwire.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
-		held := keyowner.History{Base: siblingwire.Stamp{Epoch: 1, Step: 1}, Changes: []siblingwire.Change{change}}
+		held := replication.History{Base: siblingwire.Stamp{Epoch: 1, Step: 1}, Changes: []siblingwire.Change{change}}
 		Expect(table.History(key)).To(Equal(held))
 		disk.line = nil
 		refused := siblingwire.Change{Stamp: siblingwire.Stamp{Epoch: 1, Step: 9}}
--- a/internal/keyowner/replicas.go
+++ b/internal/replication/replicas.go
@@ -1,5 +1,5 @@
-// Package keyowner gives each control key one owner at a time, and keeps its changes on a majority of disks.
-package keyowner
+// Package replication gives each control key one owner at a time, and keeps its changes on a majority of disks.
+package replication
 
 import (
 	"slices"
--- a/internal/keyowner/keyowner_suite_test.go
+++ b/internal/replication/replication_suite_test.go
@@ -1,4 +1,4 @@
-package keyowner_test
+package replication_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestKeyowner(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "keyowner")
+	RunSpecs(t, "replication")
 }
--- a/internal/keyowner/keyowner_test.go
+++ b/internal/replication/replication_test.go
@@ -1,4 +1,4 @@
-package keyowner_test
+package replication_test
 
 import (
 	"fmt"
--- a/internal/keyowner/world_test.go
+++ b/internal/replication/world_test.go
@@ -1,4 +1,4 @@
-package keyowner_test
+package replication_test
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/pulse"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/stage"
 )
@@ -43,11 +43,11 @@
 type machine struct {
 	world  *world
 	node   *node
-	tenure *keyowner.Tenure
+	tenure *replication.Tenure
 	held   map[string]string
 }
 
-func (m *machine) Open(tenure *keyowner.Tenure, pairs []siblingwire.Op) error {
+func (m *machine) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
 	m.tenure, m.held = tenure, map[string]string{}
 	for _, pair := range pairs {
 		m.held[pair.Name] = string(pair.Value)
@@ -79,8 +79,8 @@
 	late     time.Duration
 	life     int
 	clock    *nodeClock
-	replicas *keyowner.Replicas
-	engine   *keyowner.Engine
+	replicas *replication.Replicas
+	engine   *replication.Engine
 	machine  *machine
 }
 
@@ -140,15 +140,15 @@
 	n.isUp, n.isFrozen = true, false
 	n.life++
 	n.disk.line = nil
-	replicas, err := keyowner.NewReplicas(mailbox.New(64), n.disk, n.clock, keyowner.DefaultTiming.Lease)
+	replicas, err := replication.NewReplicas(mailbox.New(64), n.disk, n.clock, replication.DefaultTiming.Lease)
 	if err != nil {
 		panic(err)
 	}
 	n.disk.isBare = false
 	n.replicas = replicas
 	n.machine = &machine{world: n.world, node: n}
-	n.engine = keyowner.NewEngine(key, n.disk.name, n.name, n.clock, &road{n, n.life}, n.machine, n.world.members,
-		keyowner.WithBirth(n.world.birth()), keyowner.WithMachineLosses(n.world.losses))
+	n.engine = replication.NewEngine(key, n.disk.name, n.name, n.clock, &road{n, n.life}, n.machine, n.world.members,
+		replication.WithBirth(n.world.birth()), replication.WithMachineLosses(n.world.losses))
 }
 
 func (n *node) kill() { n.isUp = false; n.life++; n.disk.line = nil }
@@ -277,18 +277,20 @@
 	carry(r.node.world, r.node, to, time.Second, func(answer func(siblingwire.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			if to.isOld {
-				whole, _ = to.replicas.Fetch(keyowner.History{}, siblingwire.FetchCall{Key: ask.Key})
+				whole, _ = to.replicas.Fetch(replication.History{}, siblingwire.FetchCall{Key: ask.Key})
 			}
 			answer(whole)
 		}
 	}, done)
 }
 
-func (r *road) Standing(key string, done func(keyowner.Standing)) {
+func (r *road) Standing(key string, done func(replication.Standing)) {
 	done(r.node.replicas.Standing(key))
 }
 
-func (r *road) History(key string, done func(keyowner.History)) { done(r.node.replicas.History(key)) }
+func (r *road) History(key string, done func(replication.History)) {
+	done(r.node.replicas.History(key))
+}
 
 func (r *road) ReadLocal(key string) (siblingwire.Snapshot, error) { return r.node.disk.Read(key) }
 
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -6,9 +6,9 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 )
 
@@ -17,7 +17,7 @@
 	folder      string
 	isMakeshift bool
 	store       *keystore.Store
-	replicas    *keyowner.Replicas
+	replicas    *replication.Replicas
 }
 
 func openStorage(b *base) (*durableState, error) {
@@ -34,7 +34,7 @@
 		return kept, nil
 	}
 	var err error
-	kept.replicas, err = keyowner.NewReplicas(mailbox.New(4096), kept.store, b.clock, keyowner.DefaultTiming.Lease)
+	kept.replicas, err = replication.NewReplicas(mailbox.New(4096), kept.store, b.clock, replication.DefaultTiming.Lease)
 	return kept, err
 }
 
--- a/internal/stage/node.go
+++ b/internal/stage/node.go
@@ -5,9 +5,9 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/poolowner"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 )
 
@@ -29,8 +29,8 @@
 	isUp     bool
 	isFrozen bool
 	life     int
-	replicas *keyowner.Replicas
-	engines  map[string]*keyowner.Engine
+	replicas *replication.Replicas
+	engines  map[string]*replication.Engine
 	pools    map[string]*poolowner.Pool
 }
 
@@ -38,17 +38,17 @@
 	n.isUp, n.isFrozen = true, false
 	n.life++
 	n.disk.settled = n.settle
-	replicas, err := keyowner.NewReplicas(mailbox.New(4096), n.disk, n.stage.Line.Clock, keyowner.DefaultTiming.Lease)
+	replicas, err := replication.NewReplicas(mailbox.New(4096), n.disk, n.stage.Line.Clock, replication.DefaultTiming.Lease)
 	if err != nil {
 		panic(err)
 	}
 	n.replicas = replicas
-	n.engines, n.pools = map[string]*keyowner.Engine{}, map[string]*poolowner.Pool{}
+	n.engines, n.pools = map[string]*replication.Engine{}, map[string]*poolowner.Pool{}
 	for _, key := range n.stage.keys {
 		pool := poolowner.New(key, n.stage.Line.Clock, n.stage.timing, n.stage.log, n.stage.pool...)
 		n.pools[key] = pool
-		n.engines[key] = keyowner.NewEngine(key, n.disk.name, n.Name, n.stage.Line.Clock, &road{n, n.life}, poolowner.Opener{Pool: pool},
-			n.stage.members, keyowner.WithBirth(n.stage.birth()), keyowner.WithLog(n.stage.log))
+		n.engines[key] = replication.NewEngine(key, n.disk.name, n.Name, n.stage.Line.Clock, &road{n, n.life}, poolowner.Opener{Pool: pool},
+			n.stage.members, replication.WithBirth(n.stage.birth()), replication.WithLog(n.stage.log))
 	}
 	n.tick(n.life)
 }
@@ -178,10 +178,12 @@
 	}, done)
 }
 
-func (r *road) Standing(key string, done func(keyowner.Standing)) {
+func (r *road) Standing(key string, done func(replication.Standing)) {
 	done(r.node.replicas.Standing(key))
 }
 
-func (r *road) History(key string, done func(keyowner.History)) { done(r.node.replicas.History(key)) }
+func (r *road) History(key string, done func(replication.History)) {
+	done(r.node.replicas.History(key))
+}
 
 func (r *road) ReadLocal(key string) (siblingwire.Snapshot, error) { return r.node.disk.Read(key) }
--- a/internal/stewardkeys/links.go
+++ b/internal/stewardkeys/links.go
@@ -6,8 +6,8 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
@@ -57,14 +57,14 @@
 	remote(l, disk, siblingwire.ProcedureFetch, snapshotLimit, call, done)
 }
 
-func (l *links) Standing(key string, done func(keyowner.Standing)) {
+func (l *links) Standing(key string, done func(replication.Standing)) {
 	l.ring.replicas.Box().Post(func() {
 		standing := l.ring.replicas.Standing(key)
 		l.box.Post(func() { done(standing) })
 	})
 }
 
-func (l *links) History(key string, done func(keyowner.History)) {
+func (l *links) History(key string, done func(replication.History)) {
 	l.ring.replicas.Box().Post(func() {
 		held := l.ring.replicas.History(key)
 		l.box.Post(func() { done(held) })
--- a/internal/stewardkeys/ring.go
+++ b/internal/stewardkeys/ring.go
@@ -6,7 +6,6 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/keystore"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
@@ -14,6 +13,7 @@
 	"gannetline/internal/planowner"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
@@ -27,7 +27,7 @@
 // holder is one key: its engine, its machine and the goroutine that owns both.
 type holder struct {
 	box    *mailbox.Mailbox
-	engine *keyowner.Engine
+	engine *replication.Engine
 	pool   *poolowner.Pool
 	plan   *planowner.Plan
 }
@@ -41,7 +41,7 @@
 	store     *keystore.Store
 	disk      string
 	name      string
-	replicas  *keyowner.Replicas
+	replicas  *replication.Replicas
 	caller    *siblingwire.Caller
 	node      *siblingprobe.Node
 	book      *planbook.Book
@@ -68,7 +68,7 @@
 	Node          *siblingprobe.Node
 	Book          *planbook.Book
 	Timing        poolowner.Timing
-	Replicas      *keyowner.Replicas
+	Replicas      *replication.Replicas
 	Pool          []poolowner.Option
 }
 
@@ -139,16 +139,16 @@
 	}
 	one := &holder{box: mailbox.New(1024)}
 	road := &links{ring: r, box: one.box, life: r.life}
-	options := []keyowner.Option{keyowner.WithBirth(birth), keyowner.WithLog(r.log), keyowner.WithAnnounce(r.node.Announce),
-		keyowner.WithMachineLosses(r.losses)}
+	options := []replication.Option{replication.WithBirth(birth), replication.WithLog(r.log), replication.WithAnnounce(r.node.Announce),
+		replication.WithMachineLosses(r.losses)}
 	owner := mailbox.Owner{Every: tickEvery}
 	if key == planowner.Key {
 		one.plan = planowner.New(r.log, func(fact *siblingwire.PlanFact) { r.book.Hold(fact) })
-		one.engine = keyowner.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
+		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
 		one.pool = poolowner.New(key, r.clock, r.timing, r.log, r.pool...)
-		one.engine = keyowner.NewEngine(key, r.disk, r.name, r.clock, road, poolowner.Opener{Pool: one.pool}, r.stewards, options...)
+		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, poolowner.Opener{Pool: one.pool}, r.stewards, options...)
 		owner.Tick = func() { one.engine.Tick(); one.pool.Tick() }
 		owner.Settle = one.pool.Settle
 	}
@@ -158,7 +158,7 @@
 
 type planMachine struct{ *planowner.Plan }
 
-func (m planMachine) Open(tenure *keyowner.Tenure, pairs []siblingwire.Op) error {
+func (m planMachine) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
 	return m.Plan.Open(tenure, pairs)
 }
 
--- a/internal/stewardkeys/stewardkeys_test.go
+++ b/internal/stewardkeys/stewardkeys_test.go
@@ -9,13 +9,13 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/keyowner"
 	"gannetline/internal/keystore"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/planbook"
 	"gannetline/internal/planowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/replication"
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
@@ -42,7 +42,7 @@
 		Book: planbook.New(caller, clock, logs.Silent(), func(*planbook.Page) {})}
 	if store != nil {
 		var err error
-		config.Replicas, err = keyowner.NewReplicas(mailbox.New(64), store, clock, time.Second)
+		config.Replicas, err = replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
 		Expect(err).NotTo(HaveOccurred())
 	}
 	ring := New(config)
