--- a/internal/stewardkeys/stewardkeys_suite_test.go
+++ b/internal/controlkeys/controlkeys_suite_test.go
@@ -1,4 +1,4 @@
-package stewardkeys
+package controlkeys
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestStewardkeys(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "stewardkeys")
+	RunSpecs(t, "controlkeys")
 }
--- a/internal/stewardkeys/stewardkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -1,4 +1,4 @@
-package stewardkeys
+package controlkeys
 
 import (
 	"net"
--- a/internal/stewardkeys/links.go
+++ b/internal/controlkeys/links.go
@@ -1,5 +1,5 @@
-// Package stewardkeys runs the control keys that a steward may own.
-package stewardkeys
+// Package controlkeys runs the control keys that a steward may own.
+package controlkeys
 
 import (
 	"time"
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -9,6 +9,7 @@
 
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/controlcalls"
+	"gannetline/internal/controlkeys"
 	"gannetline/internal/daybook"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/ownercalls"
@@ -18,7 +19,6 @@
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
-	"gannetline/internal/stewardkeys"
 )
 
 const handOver = 400 * time.Millisecond
@@ -51,7 +51,7 @@
 		b.tree.Add("recording", writer.Run)
 		pool = append(pool, poolowner.WithRecorder(writer))
 	}
-	ring := stewardkeys.New(stewardkeys.Config{Clock: b.clock, Log: b.log, Store: kept.store, IsMakeshift: kept.isMakeshift,
+	ring := controlkeys.New(controlkeys.Config{Clock: b.clock, Log: b.log, Store: kept.store, IsMakeshift: kept.isMakeshift,
 		MachineLosses: b.settings.FaultTolerance.MachineLosses, Name: b.settings.NodeName, Caller: b.caller, Node: b.node, Book: book,
 		Timing: poolowner.TimingFrom(b.settings), Replicas: kept.replicas, Pool: pool})
 	ring.Handle(b.inner)
