--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -9,7 +9,6 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/planbook"
@@ -19,6 +18,7 @@
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
+	"gannetline/internal/storage"
 )
 
 type nameOnly struct{ net.Listener }
@@ -34,7 +34,7 @@
 	return answer.Result(), nil
 }
 
-func newRing(store *keystore.Store, isMakeshift bool) (*Ring, *siblingwire.Caller) {
+func newRing(store *storage.Store, isMakeshift bool) (*Ring, *siblingwire.Caller) {
 	clock, mux := pulse.NewFake(1000), http.NewServeMux()
 	caller := siblingwire.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
@@ -55,8 +55,8 @@
 	return siblingwire.Call[Ask, Tell](caller, span.Root(), "10.0.0.1:7000", procedure, time.Second, &call)
 }
 
-func openStore() *keystore.Store {
-	store, err := keystore.Open(GinkgoT().TempDir())
+func openStore() *storage.Store {
+	store, err := storage.Open(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(store.Close)
 	return store
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -6,7 +6,6 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/planbook"
@@ -17,6 +16,7 @@
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
+	"gannetline/internal/storage"
 )
 
 const (
@@ -38,7 +38,7 @@
 	box       *mailbox.Mailbox
 	clock     pulse.Pulse
 	log       logs.Logger
-	store     *keystore.Store
+	store     *storage.Store
 	disk      string
 	name      string
 	replicas  *replication.Replicas
@@ -60,7 +60,7 @@
 type Config struct {
 	Clock         pulse.Pulse
 	Log           logs.Logger
-	Store         *keystore.Store
+	Store         *storage.Store
 	IsMakeshift   bool
 	MachineLosses int
 	Name          string
--- a/internal/replication/engine.go
+++ b/internal/replication/engine.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/logs"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingwire"
+	"gannetline/internal/storage"
 )
 
 // Links carries an engine's calls; each answer comes back on the engine's own goroutine.
@@ -99,7 +99,7 @@
 
 	phase      phase
 	isAsking   bool
-	head       keystore.Head
+	head       storage.Head
 	attempt    uint64
 	epoch      uint64
 	highest    uint64
--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -8,11 +8,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
+	"gannetline/internal/storage"
 )
 
 // others are all nodes but the owner.
@@ -130,7 +130,7 @@
 
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
-		disk.Shelf.Apply(keystore.Write{Key: key, Epoch: 1, Changes: []siblingwire.Change{{Stamp: siblingwire.Stamp{Epoch: 1, Step: 1}}}})
+		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []siblingwire.Change{{Stamp: siblingwire.Stamp{Epoch: 1, Step: 1}}}})
 		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		change := siblingwire.Change{Stamp: siblingwire.Stamp{Epoch: 1, Step: 2}}
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -5,24 +5,24 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
+	"gannetline/internal/storage"
 )
 
-// Disk is where replicas are kept; keystore.Store is the real one.
+// Disk is where replicas are kept; storage.Store is the real one.
 type Disk interface {
 	Disk() string
 	Bare() bool
-	Submit(write keystore.Write, done func(keystore.Outcome))
-	Heads() (map[string]keystore.Head, error)
+	Submit(write storage.Write, done func(storage.Outcome))
+	Heads() (map[string]storage.Head, error)
 	Read(key string) (siblingwire.Snapshot, error)
 }
 
 type replica struct {
-	head       keystore.Head
+	head       storage.Head
 	promising  uint64
 	leaseUntil time.Duration
 	leaseDisk  string
@@ -86,7 +86,7 @@
 	}
 	one.promising = call.Epoch
 	one.leaseUntil = 0
-	r.disk.Submit(keystore.Write{Key: call.Key, Epoch: call.Epoch, Promise: true}, func(outcome keystore.Outcome) {
+	r.disk.Submit(storage.Write{Key: call.Key, Epoch: call.Epoch, Promise: true}, func(outcome storage.Outcome) {
 		r.box.Post(func() {
 			r.learn(one, outcome)
 			answer(r.promiseAnswer(outcome.Head, call.Epoch, outcome.Taken))
@@ -94,11 +94,11 @@
 	})
 }
 
-func (r *Replicas) promiseAnswer(head keystore.Head, promised uint64, isGranted bool) siblingwire.PromiseAnswer {
+func (r *Replicas) promiseAnswer(head storage.Head, promised uint64, isGranted bool) siblingwire.PromiseAnswer {
 	return siblingwire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
 }
 
-func (r *Replicas) learn(one *replica, outcome keystore.Outcome) {
+func (r *Replicas) learn(one *replica, outcome storage.Outcome) {
 	if outcome.Err == nil {
 		one.head = outcome.Head
 		one.promising = max(one.promising, outcome.Head.Promised)
@@ -136,8 +136,8 @@
 		return
 	}
 	one.promising = call.Epoch
-	write := keystore.Write{Key: call.Key, Epoch: call.Epoch, Prev: call.Prev, Changes: call.Changes, Snapshot: call.Snapshot}
-	r.disk.Submit(write, func(outcome keystore.Outcome) {
+	write := storage.Write{Key: call.Key, Epoch: call.Epoch, Prev: call.Prev, Changes: call.Changes, Snapshot: call.Snapshot}
+	r.disk.Submit(write, func(outcome storage.Outcome) {
 		r.box.Post(func() {
 			r.learn(one, outcome)
 			if outcome.Taken {
@@ -176,7 +176,7 @@
 
 // Standing is what an engine asks before it seeks an epoch.
 type Standing struct {
-	Head     keystore.Head
+	Head     storage.Head
 	Promised uint64
 	LeaseEnd time.Duration
 	Disk     string
--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -10,12 +10,12 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/stage"
+	"gannetline/internal/storage"
 )
 
 // fakeDisk keeps what was synced; a write waits in the line until the world syncs it.
@@ -34,9 +34,9 @@
 func (d *fakeDisk) Disk() string { return d.name }
 func (d *fakeDisk) Bare() bool   { return d.isBare }
 
-func (d *fakeDisk) Heads() (map[string]keystore.Head, error) { return maps.Clone(d.Shelf.Heads), nil }
+func (d *fakeDisk) Heads() (map[string]storage.Head, error) { return maps.Clone(d.Shelf.Heads), nil }
 
-func (d *fakeDisk) Submit(write keystore.Write, done func(keystore.Outcome)) {
+func (d *fakeDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	d.line = append(d.line, func() { done(d.Apply(write)) })
 }
 
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -6,17 +6,17 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingwire"
+	"gannetline/internal/storage"
 )
 
 // durableState is where a steward keeps its replicas; it has no store on a machine without a disk, unless that is a seed.
 type durableState struct {
 	folder      string
 	isMakeshift bool
-	store       *keystore.Store
+	store       *storage.Store
 	replicas    *replication.Replicas
 }
 
@@ -26,7 +26,7 @@
 		kept.openMakeshift(b)
 	} else {
 		var err error
-		if kept.store, err = keystore.Open(kept.folder); err != nil {
+		if kept.store, err = storage.Open(kept.folder); err != nil {
 			return nil, errors.Annotate(err, "field data-directory")
 		}
 	}
@@ -46,7 +46,7 @@
 	}
 	folder, err := os.MkdirTemp("", "gannetline")
 	if err == nil {
-		s.store, err = keystore.Open(folder)
+		s.store, err = storage.Open(folder)
 	}
 	if err != nil {
 		b.log.Error(err, "a seed without a disk keeps no keys: field data-directory is empty, and no other folder can be used")
--- a/internal/stage/disk.go
+++ b/internal/stage/disk.go
@@ -5,18 +5,18 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/siblingwire"
+	"gannetline/internal/storage"
 )
 
 // Shelf is what lies on a disk; it takes writes as the real store does.
 type Shelf struct {
-	Heads map[string]keystore.Head
+	Heads map[string]storage.Head
 	pairs map[string]map[string][]byte
 }
 
 func NewShelf() *Shelf {
-	return &Shelf{Heads: map[string]keystore.Head{}, pairs: map[string]map[string][]byte{}}
+	return &Shelf{Heads: map[string]storage.Head{}, pairs: map[string]map[string][]byte{}}
 }
 
 func (s *Shelf) Read(key string) (siblingwire.Snapshot, error) {
@@ -27,16 +27,16 @@
 	return whole, nil
 }
 
-func (s *Shelf) Apply(write keystore.Write) keystore.Outcome {
+func (s *Shelf) Apply(write storage.Write) storage.Outcome {
 	head := s.Heads[write.Key]
 	isStale := write.Epoch < head.Promised || write.Promise && write.Epoch == head.Promised
 	isGap := !write.Promise && write.Snapshot == nil && write.Prev != head.Last
 	if isStale || isGap {
-		return keystore.Outcome{Head: head}
+		return storage.Outcome{Head: head}
 	}
 	if write.Snapshot != nil {
 		if write.Snapshot.Last.Below(head.Last) && head.Last.Epoch == write.Epoch {
-			return keystore.Outcome{Head: head}
+			return storage.Outcome{Head: head}
 		}
 		s.pairs[write.Key] = nil
 		s.put(write.Key, write.Snapshot.Pairs)
@@ -51,7 +51,7 @@
 	}
 	head.Promised = write.Epoch
 	s.Heads[write.Key] = head
-	return keystore.Outcome{Taken: true, Head: head}
+	return storage.Outcome{Taken: true, Head: head}
 }
 
 func (s *Shelf) put(key string, ops []siblingwire.Op) {
@@ -88,9 +88,9 @@
 func (d *Disk) Disk() string { return d.name }
 func (d *Disk) Bare() bool   { return d.isBare }
 
-func (d *Disk) Heads() (map[string]keystore.Head, error) { return maps.Clone(d.Shelf.Heads), nil }
+func (d *Disk) Heads() (map[string]storage.Head, error) { return maps.Clone(d.Shelf.Heads), nil }
 
-func (d *Disk) Submit(write keystore.Write, done func(keystore.Outcome)) {
+func (d *Disk) Submit(write storage.Write, done func(storage.Outcome)) {
 	d.waiting = append(d.waiting, func() { done(d.Apply(write)) })
 	d.sync()
 }
--- a/internal/keystore/head.go
+++ b/internal/storage/head.go
@@ -1,4 +1,4 @@
-package keystore
+package storage
 
 import "gannetline/internal/siblingwire"
 
--- a/internal/keystore/keystore.go
+++ b/internal/storage/storage.go
@@ -1,5 +1,5 @@
-// Package keystore keeps the replicas of control keys on disk; one goroutine writes.
-package keystore
+// Package storage keeps the replicas of control keys on disk; one goroutine writes.
+package storage
 
 import (
 	"bytes"
--- a/internal/keystore/keystore_suite_test.go
+++ b/internal/storage/storage_suite_test.go
@@ -1,4 +1,4 @@
-package keystore_test
+package storage_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestKeystore(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "keystore")
+	RunSpecs(t, "storage")
 }
--- a/internal/keystore/keystore_test.go
+++ b/internal/storage/storage_test.go
@@ -1,4 +1,4 @@
-package keystore_test
+package storage_test
 
 import (
 	"os"
@@ -7,14 +7,14 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/keystore"
 	"gannetline/internal/metrics"
 	"gannetline/internal/siblingwire"
+	"gannetline/internal/storage"
 )
 
-func write(store *keystore.Store, one keystore.Write) keystore.Outcome {
-	heard := make(chan keystore.Outcome, 1)
-	store.Submit(one, func(outcome keystore.Outcome) { heard <- outcome })
+func write(store *storage.Store, one storage.Write) storage.Outcome {
+	heard := make(chan storage.Outcome, 1)
+	store.Submit(one, func(outcome storage.Outcome) { heard <- outcome })
 	return <-heard
 }
 
@@ -26,10 +26,10 @@
 
 var _ = Describe("the store", func() {
 	var folder string
-	var store *keystore.Store
+	var store *storage.Store
 	BeforeEach(func() {
 		folder = GinkgoT().TempDir()
-		opened, err := keystore.Open(folder)
+		opened, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
 		store = opened
 	})
@@ -38,10 +38,10 @@
 	It("keeps its disk's name, its promises and its pairs", func() {
 		Expect(store.Bare()).To(BeTrue())
 		disk := store.Disk()
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeTrue())
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 3, Changes: []siblingwire.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []siblingwire.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
 		Expect(store.Close()).To(Succeed())
-		again, err := keystore.Open(folder)
+		again, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
 		store = again
 		Expect(store.Disk()).To(Equal(disk))
@@ -53,17 +53,17 @@
 	})
 
 	It("refuses an old epoch, a second promise of one, and a change that does not follow on", func() {
-		write(store, keystore.Write{Key: "k", Epoch: 3, Promise: true})
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeFalse())
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 2, Changes: []siblingwire.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []siblingwire.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
+		write(store, storage.Write{Key: "k", Epoch: 3, Promise: true})
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeFalse())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Changes: []siblingwire.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []siblingwire.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
 	})
 
 	It("takes a snapshot for all it had, and forgets what is deleted", func() {
-		write(store, keystore.Write{Key: "k", Epoch: 1, Changes: []siblingwire.Change{change(1, 1, "old", "1")}})
+		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []siblingwire.Change{change(1, 1, "old", "1")}})
 		snapshot := &siblingwire.Snapshot{Last: at(2, 9), Pairs: []siblingwire.Op{{Name: "new", Value: []byte("2")}}}
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 2, Snapshot: snapshot}).Taken).To(BeTrue())
-		Expect(write(store, keystore.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []siblingwire.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []siblingwire.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
 		whole, _ := store.Read("k")
 		Expect(whole.Pairs).To(BeEmpty())
 		Expect(whole.Last).To(Equal(at(2, 10)))
@@ -71,10 +71,10 @@
 
 	It("counts its transactions, writes and bytes", func() {
 		before := metrics.Own()
-		write(store, keystore.Write{Key: "k", Epoch: 1, Changes: []siblingwire.Change{change(1, 1, "name", "value")}})
-		write(store, keystore.Write{Key: "k", Epoch: 0, Changes: []siblingwire.Change{change(0, 2, "old", "value")}})
+		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []siblingwire.Change{change(1, 1, "name", "value")}})
+		write(store, storage.Write{Key: "k", Epoch: 0, Changes: []siblingwire.Change{change(0, 2, "old", "value")}})
 		snapshot := &siblingwire.Snapshot{Last: at(2, 9), Pairs: []siblingwire.Op{{Name: "a", Value: []byte("2")}}}
-		write(store, keystore.Write{Key: "k", Epoch: 2, Snapshot: snapshot})
+		write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot})
 		own := metrics.Own()
 		since := func(name string) float64 { return own["gannetline_store_"+name] - before["gannetline_store_"+name] }
 		Expect(since("transactions_total")).To(Equal(3.0))
@@ -87,7 +87,7 @@
 	It("says which folder it can't use", func() {
 		path := filepath.Join(folder, "file")
 		Expect(os.WriteFile(path, nil, 0o600)).To(Succeed())
-		_, err := keystore.Open(filepath.Join(path, "below"))
+		_, err := storage.Open(filepath.Join(path, "below"))
 		Expect(err).To(MatchError(ContainSubstring("data directory")))
 	})
 })
