--- a/internal/planowner/planowner.go
+++ b/internal/configowner/configowner.go
@@ -1,5 +1,5 @@
-// Package planowner is the operator's plan while this steward owns its key.
-package planowner
+// Package configowner is the operator's plan while this steward owns its key.
+package configowner
 
 import (
 	"bytes"
--- a/internal/planowner/planowner_suite_test.go
+++ b/internal/configowner/configowner_suite_test.go
@@ -1,4 +1,4 @@
-package planowner_test
+package configowner_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestPlanowner(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "planowner")
+	RunSpecs(t, "configowner")
 }
--- a/internal/planowner/planowner_test.go
+++ b/internal/configowner/configowner_test.go
@@ -1,4 +1,4 @@
-package planowner_test
+package configowner_test
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
-	"gannetline/internal/planowner"
 	"gannetline/internal/siblingwire"
 )
 
@@ -37,12 +37,12 @@
 
 var _ = Describe("the plan's owner", func() {
 	var tenure *scripted
-	var owner *planowner.Plan
+	var owner *configowner.Plan
 	var published []int64
 	var passedOn *siblingwire.PlanFact
 	BeforeEach(func() {
 		tenure, published = &scripted{hasLease: true}, nil
-		owner = planowner.New(logs.Silent(), func(fact *siblingwire.PlanFact) {
+		owner = configowner.New(logs.Silent(), func(fact *siblingwire.PlanFact) {
 			published, passedOn = append(published, fact.Version), fact
 		})
 		Expect(owner.Open(tenure, nil)).To(Succeed())
@@ -75,7 +75,7 @@
 		tenure.settle()
 		replace(3, plan(5, "t"))
 		tenure.settle()
-		next := planowner.New(logs.Silent(), func(*siblingwire.PlanFact) {})
+		next := configowner.New(logs.Silent(), func(*siblingwire.PlanFact) {})
 		Expect(next.Open(tenure, tenure.ops)).To(Succeed())
 		var body string
 		next.Retrieve(func(answer siblingwire.ClientAnswer) { body = string(answer.Body) })
--- a/internal/controlcalls/controlcalls.go
+++ b/internal/controlcalls/controlcalls.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
+	"gannetline/internal/configowner"
 	"gannetline/internal/ownercalls"
-	"gannetline/internal/planowner"
 	"gannetline/internal/reply"
 	"gannetline/internal/siblingwire"
 )
@@ -28,7 +28,7 @@
 		if request.Method != http.MethodGet {
 			return nil, reply.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &siblingwire.ClientCall{Key: planowner.Key, Verb: "retrieve"}, reply.Reply{}
+		return &siblingwire.ClientCall{Key: configowner.Key, Verb: "retrieve"}, reply.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
@@ -52,7 +52,7 @@
 	case !json.Valid(body):
 		return nil, reply.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &siblingwire.ClientCall{Key: planowner.Key, Verb: "replace", Base: base, Body: body}, reply.Reply{}
+	return &siblingwire.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, reply.Reply{}
 }
 
 // Handler asks the plan's owner, wherever it is.
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/planbook"
-	"gannetline/internal/planowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingprobe"
@@ -106,7 +106,7 @@
 		Expect(ring.holders).To(BeEmpty())
 		ring.birth = []string{"a", "b", store.Disk()}
 		ring.want()
-		Expect(ring.holders).To(HaveKey(planowner.Key))
+		Expect(ring.holders).To(HaveKey(configowner.Key))
 	})
 })
 
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
+	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/planbook"
-	"gannetline/internal/planowner"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
@@ -29,7 +29,7 @@
 	box    *mailbox.Mailbox
 	engine *replication.Engine
 	pool   *poolowner.Pool
-	plan   *planowner.Plan
+	plan   *configowner.Plan
 }
 
 // Ring keeps a holder for each key that is wanted.
@@ -111,7 +111,7 @@
 		return
 	}
 	if r.hasPlan || len(r.birth) > 0 {
-		r.ensure(planowner.Key, r.birth)
+		r.ensure(configowner.Key, r.birth)
 	}
 	page := r.book.Page()
 	if page == nil {
@@ -128,7 +128,7 @@
 		return
 	}
 	r.replicas.Box().Post(func() {
-		isThere := len(r.replicas.Standing(planowner.Key).Head.Set.Now) > 0
+		isThere := len(r.replicas.Standing(configowner.Key).Head.Set.Now) > 0
 		r.box.Post(func() { r.hasPlan = r.hasPlan || isThere })
 	})
 }
@@ -142,8 +142,8 @@
 	options := []replication.Option{replication.WithBirth(birth), replication.WithLog(r.log), replication.WithAnnounce(r.node.Announce),
 		replication.WithMachineLosses(r.losses)}
 	owner := mailbox.Owner{Every: tickEvery}
-	if key == planowner.Key {
-		one.plan = planowner.New(r.log, func(fact *siblingwire.PlanFact) { r.book.Hold(fact) })
+	if key == configowner.Key {
+		one.plan = configowner.New(r.log, func(fact *siblingwire.PlanFact) { r.book.Hold(fact) })
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
@@ -156,7 +156,7 @@
 	go one.box.Run(r.life, r.clock, owner)
 }
 
-type planMachine struct{ *planowner.Plan }
+type planMachine struct{ *configowner.Plan }
 
 func (m planMachine) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
 	return m.Plan.Open(tenure, pairs)
