--- a/internal/comparenodes/serve.go
+++ b/internal/comparenodes/serve.go
@@ -4,7 +4,7 @@
 import (
 	"net/http"
 
-	"gannetline/internal/planbook"
+	"gannetline/internal/configcache"
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
@@ -12,7 +12,7 @@
 
 type Sources struct {
 	View func() *siblingprobe.View
-	Page func() *planbook.Page
+	Page func() *configcache.Page
 	Ring func(life span.Span) ([]siblingwire.KeyBelief, []siblingwire.JobBelief, []siblingwire.ExecutorBelief)
 }
 
--- a/internal/planbook/book_test.go
+++ b/internal/configcache/book_test.go
@@ -1,4 +1,4 @@
-package planbook_test
+package configcache_test
 
 import (
 	"net/http"
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/configcache"
 	"gannetline/internal/logs"
-	"gannetline/internal/planbook"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
@@ -39,15 +39,15 @@
 
 var _ = Describe("a book", func() {
 	var sibling *scriptedSibling
-	var book *planbook.Book
+	var book *configcache.Book
 	var clock *pulse.Fake
 	var inForce chan int64
 	old := fact(3, body(3, routes(40)...))
 	next := fact(5, body(5, append(routes(39), route("x", 1))...))
 	BeforeEach(func() {
 		sibling, clock, inForce = newScriptedSibling(), pulse.NewFake(1), make(chan int64, 9)
-		book = planbook.New(siblingwire.NewCaller(&http.Client{Transport: sibling}), clock, logs.Silent(),
-			func(page *planbook.Page) { inForce <- page.Fact.Version })
+		book = configcache.New(siblingwire.NewCaller(&http.Client{Transport: sibling}), clock, logs.Silent(),
+			func(page *configcache.Page) { inForce <- page.Fact.Version })
 		life, end := span.Cancellable(span.Root())
 		DeferCleanup(end)
 		go book.Run(life)
--- a/internal/planbook/planbook.go
+++ b/internal/configcache/configcache.go
@@ -1,5 +1,5 @@
-// Package planbook holds the newest committed plan a process has heard of; it never goes back.
-package planbook
+// Package configcache holds the newest committed plan a process has heard of; it never goes back.
+package configcache
 
 import (
 	"net/http"
--- a/internal/planbook/planbook_suite_test.go
+++ b/internal/configcache/configcache_suite_test.go
@@ -1,4 +1,4 @@
-package planbook_test
+package configcache_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestPlanbook(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "planbook")
+	RunSpecs(t, "configcache")
 }
--- a/internal/planbook/planbook_test.go
+++ b/internal/configcache/configcache_test.go
@@ -1,4 +1,4 @@
-package planbook_test
+package configcache_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/planbook"
+	"gannetline/internal/configcache"
 	"gannetline/internal/siblingwire"
 )
 
@@ -52,8 +52,8 @@
 	return arrived
 }
 
-func edition(facts ...*siblingwire.PlanFact) *planbook.Edition {
-	var held *planbook.Edition
+func edition(facts ...*siblingwire.PlanFact) *configcache.Edition {
+	var held *configcache.Edition
 	for _, one := range facts {
 		held = held.Follow(one)
 	}
@@ -165,7 +165,7 @@
 		kept, err := held.Take(answer)
 		Expect(err).To(MatchError(ContainSubstring("is not version 5")))
 		Expect(kept).To(BeIdenticalTo(held))
-		var none *planbook.Edition
+		var none *configcache.Edition
 		_, err = none.Take(answer)
 		Expect(err).To(HaveOccurred())
 		for _, part := range []siblingwire.PlanPart{{From: 9999, Count: 1}, {From: 1, Count: 1 << 40}, {From: -1, Count: 1}, {From: 1, Count: -1}} {
@@ -202,7 +202,7 @@
 var _ = Describe("cutting a plan", func() {
 	It("loses no byte, and cuts around each route", func() {
 		text := body(3, route("a", 1), route("b", 2))
-		pieces := planbook.Pieces(text)
+		pieces := configcache.Pieces(text)
 		Expect(bytes.Join(pieces, nil)).To(Equal(text))
 		Expect(pieces).To(ContainElement([]byte(route("a", 1))))
 	})
--- a/internal/planbook/delta.go
+++ b/internal/configcache/delta.go
@@ -1,4 +1,4 @@
-package planbook
+package configcache
 
 import (
 	"bytes"
--- a/internal/planbook/edition.go
+++ b/internal/configcache/edition.go
@@ -1,4 +1,4 @@
-package planbook
+package configcache
 
 import (
 	"github.com/juju/errors"
--- a/internal/planbook/fetch_test.go
+++ b/internal/configcache/fetch_test.go
@@ -1,4 +1,4 @@
-package planbook_test
+package configcache_test
 
 import (
 	"net/http"
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/configcache"
 	"gannetline/internal/logs"
 	"gannetline/internal/metrics"
-	"gannetline/internal/planbook"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
@@ -17,9 +17,9 @@
 
 const smallBody = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"}],"service-list":[{"name":"s"}]}`
 
-func runningBook(heed func(*planbook.Page)) *planbook.Book {
+func runningBook(heed func(*configcache.Page)) *configcache.Book {
 	life, end := span.Cancellable(span.Root())
-	book := planbook.New(siblingwire.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
+	book := configcache.New(siblingwire.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
 	over := make(chan error, 1)
 	go func() { over <- book.Run(life) }()
 	DeferCleanup(func() {
@@ -32,8 +32,8 @@
 var _ = Describe("the plan that a process holds", func() {
 	It("is fetched from a sibling that is ahead, and counted", func() {
 		before := metrics.Own()
-		pages := make(chan *planbook.Page, 2)
-		heed := func(page *planbook.Page) { pages <- page }
+		pages := make(chan *configcache.Page, 2)
+		heed := func(page *configcache.Page) { pages <- page }
 		ahead, behind := runningBook(heed), runningBook(heed)
 		mux := http.NewServeMux()
 		ahead.Handle(mux)
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/configcache"
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
-	"gannetline/internal/planbook"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingprobe"
@@ -39,7 +39,7 @@
 	caller := siblingwire.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
 		Node: siblingprobe.NewNode(siblingwire.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
-		Book: planbook.New(caller, clock, logs.Silent(), func(*planbook.Page) {})}
+		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Page) {})}
 	if store != nil {
 		var err error
 		config.Replicas, err = replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
+	"gannetline/internal/configcache"
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
-	"gannetline/internal/planbook"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
@@ -44,7 +44,7 @@
 	replicas  *replication.Replicas
 	caller    *siblingwire.Caller
 	node      *siblingprobe.Node
-	book      *planbook.Book
+	book      *configcache.Book
 	timing    poolowner.Timing
 	holders   map[string]*holder
 	pool      []poolowner.Option
@@ -66,7 +66,7 @@
 	Name          string
 	Caller        *siblingwire.Caller
 	Node          *siblingprobe.Node
-	Book          *planbook.Book
+	Book          *configcache.Book
 	Timing        poolowner.Timing
 	Replicas      *replication.Replicas
 	Pool          []poolowner.Option
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
+	"gannetline/internal/configcache"
 	"gannetline/internal/headerrules"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/ownercalls"
-	"gannetline/internal/planbook"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/reply"
@@ -36,7 +36,7 @@
 func refuse(status int, why string) Decision { return Decision{Refusal: reply.Text(status, why)} }
 
 // Decide is asked about every call; it does no work of its own.
-func Decide(page *planbook.Page, request *http.Request, body []byte) Decision {
+func Decide(page *configcache.Page, request *http.Request, body []byte) Decision {
 	if page == nil {
 		return Decision{Refusal: reply.Later(http.StatusServiceUnavailable, 1, "there is no plan yet")}
 	}
@@ -87,12 +87,12 @@
 
 // Gate obeys decisions.
 type Gate struct {
-	page  func() *planbook.Page
+	page  func() *configcache.Page
 	asker *ownercalls.Asker
 	clock pulse.Pulse
 }
 
-func New(page func() *planbook.Page, asker *ownercalls.Asker, clock pulse.Pulse) *Gate {
+func New(page func() *configcache.Page, asker *ownercalls.Asker, clock pulse.Pulse) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/metrics"
 	"gannetline/internal/ownercalls"
-	"gannetline/internal/planbook"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingprobe"
@@ -21,10 +21,10 @@
 
 const body = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s","priority":2,"max-attempts":4}],"service-list":[{"name":"s"}]}`
 
-func page() *planbook.Page {
+func page() *configcache.Page {
 	plan, err := plancheck.Read([]byte(body))
 	Expect(err).NotTo(HaveOccurred())
-	return &planbook.Page{Fact: &siblingwire.PlanFact{Version: 7}, Matcher: plancheck.NewMatcher(plan)}
+	return &configcache.Page{Fact: &siblingwire.PlanFact{Version: 7}, Matcher: plancheck.NewMatcher(plan)}
 }
 
 func request(method, path string) *http.Request {
@@ -67,7 +67,7 @@
 	It("counts calls by verb and status, and how long they took", func() {
 		clock := pulse.NewFake(0)
 		view := func() *siblingprobe.View { return &siblingprobe.View{} }
-		pages := func() *planbook.Page { return page() }
+		pages := func() *configcache.Page { return page() }
 		gate := gatecalls.New(pages, ownercalls.New(siblingwire.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"gannetline/internal/comparenodes"
+	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/logs"
 	"gannetline/internal/ownercalls"
-	"gannetline/internal/planbook"
 	"gannetline/internal/reply"
 	"gannetline/internal/siblingprobe"
 	"gannetline/internal/siblingwire"
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	book := planbook.New(b.caller, b.clock, b.log, func(page *planbook.Page) { b.node.HoldsPlan(page.Fact.Version) })
+	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Page) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
 	b.join(siblingwire.Member{Role: "gate"}, siblingprobe.OnPlanAhead(book.Ahead))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -8,12 +8,12 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/comparenodes"
+	"gannetline/internal/configcache"
 	"gannetline/internal/controlcalls"
 	"gannetline/internal/controlkeys"
 	"gannetline/internal/daybook"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/ownercalls"
-	"gannetline/internal/planbook"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
 	"gannetline/internal/siblingprobe"
@@ -38,7 +38,7 @@
 		return err
 	}
 	defer kept.close()
-	book := planbook.New(b.caller, b.clock, b.log, func(page *planbook.Page) { b.node.HoldsPlan(page.Fact.Version) })
+	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Page) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
 	b.join(kept.member(b.settings.Listen.Control), siblingprobe.OnPlanAhead(book.Ahead))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
