--- a/cmd/gannetline/metrics.go
+++ b/cmd/gannetline/metrics.go
@@ -11,7 +11,7 @@
 
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/metrics"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
 
@@ -83,7 +83,7 @@
 	}
 	var asked []process
 	for _, member := range beliefs.Members {
-		if member.State != siblingwire.StateGone {
+		if member.State != peerapi.StateGone {
 			asked = append(asked, process{member.Address, member.Role})
 		}
 	}
@@ -97,7 +97,7 @@
 		samples metrics.Samples
 		err     error
 	}
-	client := siblingwire.Client(limit, 1)
+	client := peerapi.Client(limit, 1)
 	heard := make([]chan told, len(asked))
 	for place, one := range asked {
 		heard[place] = make(chan told, 1)
--- a/cmd/gannetline/metrics_test.go
+++ b/cmd/gannetline/metrics_test.go
@@ -15,8 +15,8 @@
 
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/metrics"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -80,8 +80,8 @@
 		gate, mux := scriptedProcess("a 1\n")
 		second, _ := scriptedProcess("a 2\n")
 		steward, _ := scriptedProcess("a 40\n")
-		members := []siblingwire.Member{{Name: "e1", Role: "gate", Address: gate}, {Name: "e2", Role: "gate", Address: second},
-			{Name: "c1", Role: "steward", Address: steward}, {Name: "c2", Role: "steward", Address: deadAddress(), State: siblingwire.StateGone}}
+		members := []peerapi.Member{{Name: "e1", Role: "gate", Address: gate}, {Name: "e2", Role: "gate", Address: second},
+			{Name: "c1", Role: "steward", Address: steward}, {Name: "c2", Role: "steward", Address: deadAddress(), State: peerapi.StateGone}}
 		comparenodes.Handle(mux, comparenodes.Sources{View: func() *siblingprobe.View { return &siblingprobe.View{Members: members} }})
 		shown, code, _ := runMetrics("--of", gate)
 		Expect(code).To(Equal(0))
--- a/cmd/gannetline/tools.go
+++ b/cmd/gannetline/tools.go
@@ -10,8 +10,8 @@
 
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/comparenodes"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -35,7 +35,7 @@
 
 func compare(first, second string, limit time.Duration, isJSON bool) error {
 	type told struct {
-		answer *siblingwire.BeliefsAnswer
+		answer *peerapi.BeliefsAnswer
 		err    error
 	}
 	ask := func(address string) chan told {
--- a/internal/comparenodes/compare.go
+++ b/internal/comparenodes/compare.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 )
 
 // Difference is one thing that two nodes believe differently.
@@ -24,7 +24,7 @@
 const unknown = "(unknown)"
 
 // Compare gives the differences only, in a fixed order.
-func Compare(first, second *siblingwire.BeliefsAnswer) []Difference {
+func Compare(first, second *peerapi.BeliefsAnswer) []Difference {
 	var all []Difference
 	add := func(kind string, one, two map[string]string) {
 		for _, name := range namesOf(one, two) {
@@ -35,7 +35,7 @@
 		}
 	}
 	add("plan", map[string]string{"version": strconv.FormatInt(first.Plan, 10)}, map[string]string{"version": strconv.FormatInt(second.Plan, 10)})
-	isListed := func(member siblingwire.Member) bool {
+	isListed := func(member peerapi.Member) bool {
 		hasLeaf := first.Role == siblingprobe.RoleLocalProxy || second.Role == siblingprobe.RoleLocalProxy
 		return !hasLeaf || member.Role == siblingprobe.RoleSteward
 	}
@@ -72,8 +72,8 @@
 	return unknown
 }
 
-func members(answer *siblingwire.BeliefsAnswer, isListed func(siblingwire.Member) bool) map[string]string {
-	states := map[int]string{siblingwire.StateAlive: "alive", siblingwire.StateSuspect: "suspect", siblingwire.StateGone: "gone"}
+func members(answer *peerapi.BeliefsAnswer, isListed func(peerapi.Member) bool) map[string]string {
+	states := map[int]string{peerapi.StateAlive: "alive", peerapi.StateSuspect: "suspect", peerapi.StateGone: "gone"}
 	held := map[string]string{}
 	for _, member := range answer.Members {
 		if !isListed(member) {
@@ -84,7 +84,7 @@
 	return held
 }
 
-func owners(answer *siblingwire.BeliefsAnswer) map[string]string {
+func owners(answer *peerapi.BeliefsAnswer) map[string]string {
 	held := map[string]string{}
 	for _, fact := range answer.Owners {
 		held[fact.Key] = fmt.Sprintf("%s, epoch %d", fact.Name, fact.Epoch)
@@ -92,7 +92,7 @@
 	return held
 }
 
-func replicas(answer *siblingwire.BeliefsAnswer) map[string]string {
+func replicas(answer *peerapi.BeliefsAnswer) map[string]string {
 	held := map[string]string{}
 	for _, key := range answer.Keys {
 		held[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Step, strings.Join(key.Set.Now, " "))
@@ -100,7 +100,7 @@
 	return held
 }
 
-func jobs(answer *siblingwire.BeliefsAnswer) map[string]string {
+func jobs(answer *peerapi.BeliefsAnswer) map[string]string {
 	held := map[string]string{}
 	for _, job := range answer.Jobs {
 		held[job.Key+"/"+job.ID] = job.State
@@ -108,7 +108,7 @@
 	return held
 }
 
-func executors(answer *siblingwire.BeliefsAnswer) map[string]string {
+func executors(answer *peerapi.BeliefsAnswer) map[string]string {
 	held := map[string]string{}
 	for _, executor := range answer.Executors {
 		held[executor.Key+"/"+executor.Life] = fmt.Sprintf("%s, %d runs", executor.State, executor.Running)
--- a/internal/comparenodes/serve.go
+++ b/internal/comparenodes/serve.go
@@ -5,22 +5,22 @@
 	"net/http"
 
 	"gannetline/internal/configcache"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
 type Sources struct {
 	View func() *siblingprobe.View
 	Page func() *configcache.Page
-	Ring func(life span.Span) ([]siblingwire.KeyBelief, []siblingwire.JobBelief, []siblingwire.ExecutorBelief)
+	Ring func(life span.Span) ([]peerapi.KeyBelief, []peerapi.JobBelief, []peerapi.ExecutorBelief)
 }
 
 // Handle lets an operator's tool ask this node for its beliefs.
 func Handle(mux *http.ServeMux, sources Sources) {
-	siblingwire.Serve(mux, siblingwire.ProcedureBeliefs, func(life span.Span, _ *siblingwire.BeliefsCall) (*siblingwire.BeliefsAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedureBeliefs, func(life span.Span, _ *peerapi.BeliefsCall) (*peerapi.BeliefsAnswer, error) {
 		view := sources.View()
-		answer := &siblingwire.BeliefsAnswer{Name: view.Self.Name, Role: view.Self.Role, Members: view.Members}
+		answer := &peerapi.BeliefsAnswer{Name: view.Self.Name, Role: view.Self.Role, Members: view.Members}
 		for _, fact := range view.Owners {
 			answer.Owners = append(answer.Owners, fact)
 		}
--- a/internal/configcache/book_test.go
+++ b/internal/configcache/book_test.go
@@ -10,21 +10,21 @@
 
 	"gannetline/internal/configcache"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
 // scriptedSibling answers calls for a plan without a network.
 type scriptedSibling struct {
 	mux   *http.ServeMux
-	calls chan siblingwire.PlanCall
-	tell  chan *siblingwire.PlanAnswer
+	calls chan peerapi.PlanCall
+	tell  chan *peerapi.PlanAnswer
 }
 
 func newScriptedSibling() *scriptedSibling {
-	s := &scriptedSibling{mux: http.NewServeMux(), calls: make(chan siblingwire.PlanCall, 9), tell: make(chan *siblingwire.PlanAnswer, 9)}
-	siblingwire.Serve(s.mux, siblingwire.ProcedurePlan, func(_ span.Span, call *siblingwire.PlanCall) (*siblingwire.PlanAnswer, error) {
+	s := &scriptedSibling{mux: http.NewServeMux(), calls: make(chan peerapi.PlanCall, 9), tell: make(chan *peerapi.PlanAnswer, 9)}
+	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.PlanCall) (*peerapi.PlanAnswer, error) {
 		s.calls <- *call
 		return <-s.tell, nil
 	})
@@ -46,7 +46,7 @@
 	next := fact(5, body(5, append(routes(39), route("x", 1))...))
 	BeforeEach(func() {
 		sibling, clock, inForce = newScriptedSibling(), pulse.NewFake(1), make(chan int64, 9)
-		book = configcache.New(siblingwire.NewCaller(&http.Client{Transport: sibling}), clock, logs.Silent(),
+		book = configcache.New(peerapi.NewCaller(&http.Client{Transport: sibling}), clock, logs.Silent(),
 			func(page *configcache.Page) { inForce <- page.Fact.Version })
 		life, end := span.Cancellable(span.Root())
 		DeferCleanup(end)
@@ -56,31 +56,31 @@
 	It("asks for changes on what it holds, and for the whole where they don't fit", func() {
 		book.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:1"}, 5)
-		Expect(<-sibling.calls).To(Equal(siblingwire.PlanCall{Held: 3, TakesChanges: true}))
-		wrong := *edition(old, next).Answer(&siblingwire.PlanCall{Held: 3, TakesChanges: true}).Changes[0]
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
+		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 3, TakesChanges: true}))
+		wrong := *edition(old, next).Answer(&peerapi.PlanCall{Held: 3, TakesChanges: true}).Changes[0]
 		wrong.Digest = "of another plan"
-		sibling.tell <- &siblingwire.PlanAnswer{Changes: []*siblingwire.PlanChange{&wrong}}
-		Expect(<-sibling.calls).To(Equal(siblingwire.PlanCall{Held: 3}))
+		sibling.tell <- &peerapi.PlanAnswer{Changes: []*peerapi.PlanChange{&wrong}}
+		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 3}))
 		Expect(book.Page().Fact.Version).To(Equal(int64(3)))
-		sibling.tell <- &siblingwire.PlanAnswer{Fact: next}
+		sibling.tell <- &peerapi.PlanAnswer{Fact: next}
 		Expect(<-inForce).To(Equal(int64(5)))
 		Expect(book.Page().Fact.Body).To(Equal(next.Body))
 	})
 
 	It("asks for the whole without a base, and serves what it holds in turn", func() {
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:1"}, 3)
-		Expect(<-sibling.calls).To(Equal(siblingwire.PlanCall{}))
-		sibling.tell <- &siblingwire.PlanAnswer{Fact: old}
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
+		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{}))
+		sibling.tell <- &peerapi.PlanAnswer{Fact: old}
 		Expect(<-inForce).To(Equal(int64(3)))
 		book.Hold(next)
 		Expect(<-inForce).To(Equal(int64(5)))
 		book.Hold(old)
 		mux := http.NewServeMux()
 		book.Handle(mux)
-		caller := siblingwire.NewCaller(&http.Client{Transport: &scriptedSibling{mux: mux}})
-		answer, err := siblingwire.Call[siblingwire.PlanCall, siblingwire.PlanAnswer](caller, span.Root(), "10.0.0.9:1",
-			siblingwire.ProcedurePlan, time.Second, &siblingwire.PlanCall{Held: 3, TakesChanges: true})
+		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedSibling{mux: mux}})
+		answer, err := peerapi.Call[peerapi.PlanCall, peerapi.PlanAnswer](caller, span.Root(), "10.0.0.9:1",
+			peerapi.ProcedurePlan, time.Second, &peerapi.PlanCall{Held: 3, TakesChanges: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Changes).To(HaveLen(1))
 	})
@@ -88,31 +88,31 @@
 	It("turns to who was heard of during a fetch that left it behind, once", func() {
 		book.Hold(old)
 		<-inForce
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:1"}, 5)
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
 		<-sibling.calls
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:1"}, 7)
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 7)
 		book.Hold(old)
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:2"}, 7)
-		sibling.tell <- edition(old, next).Answer(&siblingwire.PlanCall{Held: 3, TakesChanges: true})
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 7)
+		sibling.tell <- edition(old, next).Answer(&peerapi.PlanCall{Held: 3, TakesChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
-		Expect(<-sibling.calls).To(Equal(siblingwire.PlanCall{Held: 5, TakesChanges: true}))
-		sibling.tell <- &siblingwire.PlanAnswer{}
+		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 5, TakesChanges: true}))
+		sibling.tell <- &peerapi.PlanAnswer{}
 		book.Hold(fact(9, body(9)))
 		Expect(<-inForce).To(Equal(int64(9)))
 		Expect(sibling.calls).To(BeEmpty())
 	})
 
 	It("asks a second sibling only once the first one is slow", func() {
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:1"}, 3)
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
 		<-sibling.calls
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:2"}, 3)
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 3)
 		book.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		Expect(sibling.calls).To(BeEmpty())
 		clock.Advance(250 * time.Millisecond)
-		book.Ahead(siblingwire.Member{Address: "10.0.0.9:2"}, 5)
-		Expect(<-sibling.calls).To(Equal(siblingwire.PlanCall{Held: 3, TakesChanges: true}))
-		sibling.tell <- &siblingwire.PlanAnswer{}
-		sibling.tell <- &siblingwire.PlanAnswer{}
+		book.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 5)
+		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 3, TakesChanges: true}))
+		sibling.tell <- &peerapi.PlanAnswer{}
+		sibling.tell <- &peerapi.PlanAnswer{}
 	})
 })
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -10,9 +10,9 @@
 
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -20,7 +20,7 @@
 const fetchPatience = 200 * time.Millisecond
 
 type Page struct {
-	Fact    *siblingwire.PlanFact
+	Fact    *peerapi.PlanFact
 	Matcher *plancheck.Matcher
 	edition *Edition
 }
@@ -38,18 +38,18 @@
 type Book struct {
 	box      *mailbox.Mailbox
 	page     atomic.Pointer[Page]
-	caller   *siblingwire.Caller
+	caller   *peerapi.Caller
 	clock    pulse.Pulse
 	log      logs.Logger
 	fetching map[string]bool
 	askedAt  time.Duration
 	// next was heard to hold nextHolds during a fetch.
-	next      siblingwire.Member
+	next      peerapi.Member
 	nextHolds int64
 	heed      func(*Page)
 }
 
-func New(caller *siblingwire.Caller, clock pulse.Pulse, log logs.Logger, heed func(*Page)) *Book {
+func New(caller *peerapi.Caller, clock pulse.Pulse, log logs.Logger, heed func(*Page)) *Book {
 	return &Book{box: mailbox.New(64), caller: caller, clock: clock, log: log, heed: heed, fetching: map[string]bool{}}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Hold takes a committed plan.
-func (b *Book) Hold(fact *siblingwire.PlanFact) { b.box.Post(func() { b.hold(fact) }) }
+func (b *Book) Hold(fact *peerapi.PlanFact) { b.box.Post(func() { b.hold(fact) }) }
 
 func (b *Book) edition() *Edition {
 	if page := b.page.Load(); page != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (b *Book) hold(fact *siblingwire.PlanFact) { b.turnTo(b.edition().Follow(fact)) }
+func (b *Book) hold(fact *peerapi.PlanFact) { b.turnTo(b.edition().Follow(fact)) }
 
 func (b *Book) turnTo(edition *Edition) {
 	if edition == b.edition() {
@@ -91,7 +91,7 @@
 }
 
 // Ahead fetches a plan that a sibling holds and this process does not.
-func (b *Book) Ahead(sibling siblingwire.Member, version int64) {
+func (b *Book) Ahead(sibling peerapi.Member, version int64) {
 	b.box.TryPost(func() {
 		isWaiting := len(b.fetching) > 0 && b.clock.Steady()-b.askedAt < fetchPatience
 		switch {
@@ -115,15 +115,15 @@
 func (b *Book) ask(address string, takesChanges bool) {
 	b.fetching[address] = true
 	b.askedAt = b.clock.Steady()
-	call := &siblingwire.PlanCall{Held: b.edition().version(), TakesChanges: takesChanges && b.edition() != nil}
+	call := &peerapi.PlanCall{Held: b.edition().version(), TakesChanges: takesChanges && b.edition() != nil}
 	go func() {
-		answer, err := siblingwire.Call[siblingwire.PlanCall, siblingwire.PlanAnswer](b.caller, span.Root(), address,
-			siblingwire.ProcedurePlan, time.Second, call)
+		answer, err := peerapi.Call[peerapi.PlanCall, peerapi.PlanAnswer](b.caller, span.Root(), address,
+			peerapi.ProcedurePlan, time.Second, call)
 		b.box.Post(func() { b.take(address, answer, err) })
 	}()
 }
 
-func (b *Book) take(address string, answer *siblingwire.PlanAnswer, err error) {
+func (b *Book) take(address string, answer *peerapi.PlanAnswer, err error) {
 	delete(b.fetching, address)
 	if err != nil {
 		b.log.Info("a plan could not be fetched", "why", err.Error())
@@ -142,7 +142,7 @@
 }
 
 // bytesOf counts the text of plans in an answer, whole or in parts.
-func bytesOf(answer *siblingwire.PlanAnswer) int {
+func bytesOf(answer *peerapi.PlanAnswer) int {
 	count := 0
 	if answer.Fact != nil {
 		count = len(answer.Fact.Body)
@@ -155,7 +155,7 @@
 
 // Handle lets siblings fetch the plan.
 func (b *Book) Handle(mux *http.ServeMux) {
-	siblingwire.Serve(mux, siblingwire.ProcedurePlan, func(_ span.Span, call *siblingwire.PlanCall) (*siblingwire.PlanAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.PlanCall) (*peerapi.PlanAnswer, error) {
 		return b.edition().Answer(call), nil
 	})
 }
--- a/internal/configcache/edition.go
+++ b/internal/configcache/edition.go
@@ -3,15 +3,15 @@
 import (
 	"github.com/juju/errors"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const mostChanges = 8
 
 // Edition is a plan that is held, and the changes that led to it, each on the one before; it is never changed.
 type Edition struct {
-	Fact    *siblingwire.PlanFact
-	changes []*siblingwire.PlanChange
+	Fact    *peerapi.PlanFact
+	changes []*peerapi.PlanChange
 }
 
 func (e *Edition) version() int64 {
@@ -22,7 +22,7 @@
 }
 
 // Follow gives the edition of a newer fact; an older one changes nothing.
-func (e *Edition) Follow(fact *siblingwire.PlanFact) *Edition {
+func (e *Edition) Follow(fact *peerapi.PlanFact) *Edition {
 	if fact.Version <= e.version() {
 		return e
 	}
@@ -32,16 +32,16 @@
 	return &Edition{fact, e.with(changeOf(e.Fact, fact))}
 }
 
-func (e *Edition) with(change *siblingwire.PlanChange) []*siblingwire.PlanChange {
+func (e *Edition) with(change *peerapi.PlanChange) []*peerapi.PlanChange {
 	if change == nil {
 		return nil
 	}
-	changes := append(append([]*siblingwire.PlanChange{}, e.changes...), change)
+	changes := append(append([]*peerapi.PlanChange{}, e.changes...), change)
 	return changes[max(0, len(changes)-mostChanges):]
 }
 
 // Take applies a sibling's answer; an error says that only the whole plan helps.
-func (e *Edition) Take(answer *siblingwire.PlanAnswer) (*Edition, error) {
+func (e *Edition) Take(answer *peerapi.PlanAnswer) (*Edition, error) {
 	if answer.Fact != nil {
 		return e.Follow(answer.Fact), nil
 	}
@@ -63,17 +63,17 @@
 }
 
 // Answer gives a sibling the changes since the version that it holds, or the whole plan.
-func (e *Edition) Answer(call *siblingwire.PlanCall) *siblingwire.PlanAnswer {
+func (e *Edition) Answer(call *peerapi.PlanCall) *peerapi.PlanAnswer {
 	if e.version() <= call.Held {
-		return &siblingwire.PlanAnswer{}
+		return &peerapi.PlanAnswer{}
 	}
 	if changes := e.since(call.Held); call.TakesChanges && len(changes) > 0 {
-		return &siblingwire.PlanAnswer{Changes: changes}
+		return &peerapi.PlanAnswer{Changes: changes}
 	}
-	return &siblingwire.PlanAnswer{Fact: e.Fact}
+	return &peerapi.PlanAnswer{Fact: e.Fact}
 }
 
-func (e *Edition) since(held int64) []*siblingwire.PlanChange {
+func (e *Edition) since(held int64) []*peerapi.PlanChange {
 	text := 0
 	for place := len(e.changes) - 1; place >= 0; place-- {
 		if text += textIn(e.changes[place]); text > len(e.Fact.Body) {
--- a/internal/configcache/fetch_test.go
+++ b/internal/configcache/fetch_test.go
@@ -10,8 +10,8 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/logs"
 	"gannetline/internal/metrics"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -19,7 +19,7 @@
 
 func runningBook(heed func(*configcache.Page)) *configcache.Book {
 	life, end := span.Cancellable(span.Root())
-	book := configcache.New(siblingwire.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
+	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
 	over := make(chan error, 1)
 	go func() { over <- book.Run(life) }()
 	DeferCleanup(func() {
@@ -39,9 +39,9 @@
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
-		ahead.Hold(&siblingwire.PlanFact{Version: 7, Body: []byte(smallBody)})
+		ahead.Hold(&peerapi.PlanFact{Version: 7, Body: []byte(smallBody)})
 		<-pages
-		behind.Ahead(siblingwire.Member{Address: server.Listener.Addr().String()}, 7)
+		behind.Ahead(peerapi.Member{Address: server.Listener.Addr().String()}, 7)
 		Expect((<-pages).Fact.Version).To(Equal(int64(7)))
 		Expect(behind.Page().Matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		own := metrics.Own()
--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -13,8 +13,8 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -25,28 +25,28 @@
 
 // Tenure is what the plan needs of the ownership of its key.
 type Tenure interface {
-	Commit(ops []siblingwire.Op, done func(error))
+	Commit(ops []peerapi.Op, done func(error))
 	HasLease() bool
 	Voters() []string
 }
 
 type Plan struct {
 	tenure  Tenure
-	fact    *siblingwire.PlanFact
+	fact    *peerapi.PlanFact
 	isBusy  bool
-	publish func(*siblingwire.PlanFact)
+	publish func(*peerapi.PlanFact)
 	log     logs.Logger
 }
 
-func New(log logs.Logger, publish func(*siblingwire.PlanFact)) *Plan {
+func New(log logs.Logger, publish func(*peerapi.PlanFact)) *Plan {
 	return &Plan{publish: publish, log: log}
 }
 
-func (p *Plan) Open(tenure Tenure, pairs []siblingwire.Op) error {
+func (p *Plan) Open(tenure Tenure, pairs []peerapi.Op) error {
 	p.fact, p.isBusy = nil, false
 	for _, pair := range pairs {
 		if pair.Name == factName {
-			p.fact = &siblingwire.PlanFact{}
+			p.fact = &peerapi.PlanFact{}
 			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), p.fact); err != nil {
 				return errors.Annotate(err, "reading the plan from disk")
 			}
@@ -60,15 +60,15 @@
 }
 
 // passedOn leaves out what only the key's owner needs, and the space around the body, which no message carries.
-func passedOn(fact *siblingwire.PlanFact) *siblingwire.PlanFact {
-	return &siblingwire.PlanFact{Version: fact.Version, Body: bytes.TrimSpace(fact.Body), Births: fact.Births, Moved: fact.Moved}
+func passedOn(fact *peerapi.PlanFact) *peerapi.PlanFact {
+	return &peerapi.PlanFact{Version: fact.Version, Body: bytes.TrimSpace(fact.Body), Births: fact.Births, Moved: fact.Moved}
 }
 
 func (p *Plan) Close() { p.tenure, p.fact = nil, nil }
 
 func (p *Plan) IsOpen() bool { return p.tenure != nil }
 
-type answerClient = func(siblingwire.ClientAnswer)
+type answerClient = func(peerapi.ClientAnswer)
 
 func digestOf(body []byte) string {
 	sum := sha256.Sum256(body)
@@ -76,9 +76,9 @@
 }
 
 // Replace decides on an operator's change: taken before, on the wrong base, invalid, or committed.
-func (p *Plan) Replace(call *siblingwire.ClientCall, answer answerClient) {
+func (p *Plan) Replace(call *peerapi.ClientCall, answer answerClient) {
 	if p.isBusy {
-		answer(siblingwire.ClientAnswer{Elsewhere: true})
+		answer(peerapi.ClientAnswer{Elsewhere: true})
 		return
 	}
 	var current int64
@@ -87,19 +87,19 @@
 	}
 	plan, err := plancheck.Read(call.Body)
 	if plan != nil && p.wasTaken(plan.Version, digestOf(call.Body)) {
-		p.underLease(answer, siblingwire.ClientAnswer{Status: http.StatusOK, Body: versionBody(plan.Version)})
+		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusOK, Body: versionBody(plan.Version)})
 		return
 	}
 	switch {
 	case err != nil:
-		answer(siblingwire.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
+		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
 		return
 	case call.Base != current:
-		p.underLease(answer, siblingwire.ClientAnswer{Status: http.StatusPreconditionFailed,
+		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusPreconditionFailed,
 			Why: "the current version is " + strconv.FormatInt(current, 10)})
 		return
 	case plan.Version <= current:
-		answer(siblingwire.ClientAnswer{Status: http.StatusBadRequest,
+		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest,
 			Why: "field config-version is not above the current one, " + strconv.FormatInt(current, 10)})
 		return
 	}
@@ -111,12 +111,12 @@
 }
 
 func (p *Plan) wasTaken(version int64, digest string) bool {
-	return p.fact != nil && slices.Contains(p.fact.Taken, siblingwire.TakenPlan{Version: version, Digest: digest})
+	return p.fact != nil && slices.Contains(p.fact.Taken, peerapi.TakenPlan{Version: version, Digest: digest})
 }
 
-func (p *Plan) underLease(answer answerClient, what siblingwire.ClientAnswer) {
+func (p *Plan) underLease(answer answerClient, what peerapi.ClientAnswer) {
 	if !p.tenure.HasLease() {
-		answer(siblingwire.ClientAnswer{Elsewhere: true})
+		answer(peerapi.ClientAnswer{Elsewhere: true})
 		return
 	}
 	answer(what)
@@ -126,41 +126,41 @@
 	next := p.next(plan, body)
 	value, err := easyjson.Marshal(next)
 	if err != nil {
-		answer(siblingwire.ClientAnswer{Status: http.StatusInternalServerError, Why: "the plan could not be written"})
+		answer(peerapi.ClientAnswer{Status: http.StatusInternalServerError, Why: "the plan could not be written"})
 		return
 	}
 	p.isBusy = true
-	p.tenure.Commit([]siblingwire.Op{{Name: factName, Value: value}}, func(err error) {
+	p.tenure.Commit([]peerapi.Op{{Name: factName, Value: value}}, func(err error) {
 		if err != nil {
-			answer(siblingwire.ClientAnswer{Elsewhere: true})
+			answer(peerapi.ClientAnswer{Elsewhere: true})
 			return
 		}
 		p.isBusy = false
 		p.fact = next
 		p.log.Info("plan committed", "version", next.Version)
 		p.publish(passedOn(next))
-		answer(siblingwire.ClientAnswer{Status: http.StatusOK, Body: versionBody(next.Version)})
+		answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: versionBody(next.Version)})
 	})
 }
 
-func (p *Plan) next(plan *plancheck.Plan, body []byte) *siblingwire.PlanFact {
-	next := &siblingwire.PlanFact{Version: plan.Version, Body: body}
+func (p *Plan) next(plan *plancheck.Plan, body []byte) *peerapi.PlanFact {
+	next := &peerapi.PlanFact{Version: plan.Version, Body: body}
 	if p.fact != nil {
 		next.Births, next.Taken, next.Moved = slices.Clone(p.fact.Births), slices.Clone(p.fact.Taken), slices.Clone(p.fact.Moved)
 		next.Moved = p.moved(plan, next.Moved)
 	}
-	next.Taken = append(next.Taken, siblingwire.TakenPlan{Version: plan.Version, Digest: digestOf(body)})
+	next.Taken = append(next.Taken, peerapi.TakenPlan{Version: plan.Version, Digest: digestOf(body)})
 	next.Taken = next.Taken[max(0, len(next.Taken)-mostTaken):]
 	for _, service := range plan.Services {
-		isBorn := slices.ContainsFunc(next.Births, func(birth siblingwire.Birth) bool { return birth.Service == service.Name })
+		isBorn := slices.ContainsFunc(next.Births, func(birth peerapi.Birth) bool { return birth.Service == service.Name })
 		if !isBorn {
-			next.Births = append(next.Births, siblingwire.Birth{Service: service.Name, Voters: p.tenure.Voters()})
+			next.Births = append(next.Births, peerapi.Birth{Service: service.Name, Voters: p.tenure.Voters()})
 		}
 	}
 	return next
 }
 
-func (p *Plan) moved(plan *plancheck.Plan, moved []siblingwire.MovedEntry) []siblingwire.MovedEntry {
+func (p *Plan) moved(plan *plancheck.Plan, moved []peerapi.MovedEntry) []peerapi.MovedEntry {
 	old, err := plancheck.Read(p.fact.Body)
 	if err != nil {
 		return moved
@@ -171,9 +171,9 @@
 		if was == nil || was.Service == entry.Service {
 			continue
 		}
-		place := slices.IndexFunc(moved, func(one siblingwire.MovedEntry) bool { return one.Entry == entry.Name })
+		place := slices.IndexFunc(moved, func(one peerapi.MovedEntry) bool { return one.Entry == entry.Name })
 		if place < 0 {
-			moved = append(moved, siblingwire.MovedEntry{Entry: entry.Name, Services: []string{was.Service}})
+			moved = append(moved, peerapi.MovedEntry{Entry: entry.Name, Services: []string{was.Service}})
 			continue
 		}
 		if !slices.Contains(moved[place].Services, was.Service) {
@@ -186,8 +186,8 @@
 // Retrieve gives back the newest plan, whole.
 func (p *Plan) Retrieve(answer answerClient) {
 	if p.fact == nil {
-		p.underLease(answer, siblingwire.ClientAnswer{Status: http.StatusServiceUnavailable, RetryAfter: 1, Why: "there is no plan yet"})
+		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusServiceUnavailable, RetryAfter: 1, Why: "there is no plan yet"})
 		return
 	}
-	p.underLease(answer, siblingwire.ClientAnswer{Status: http.StatusOK, Body: p.fact.Body})
+	p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusOK, Body: p.fact.Body})
 }
--- a/internal/configowner/configowner_test.go
+++ b/internal/configowner/configowner_test.go
@@ -8,16 +8,16 @@
 
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 type scripted struct {
 	hasLease bool
 	waiting  []func(error)
-	ops      []siblingwire.Op
+	ops      []peerapi.Op
 }
 
-func (s *scripted) Commit(ops []siblingwire.Op, done func(error)) {
+func (s *scripted) Commit(ops []peerapi.Op, done func(error)) {
 	s.ops, s.waiting = ops, append(s.waiting, done)
 }
 func (s *scripted) HasLease() bool   { return s.hasLease }
@@ -39,17 +39,17 @@
 	var tenure *scripted
 	var owner *configowner.Plan
 	var published []int64
-	var passedOn *siblingwire.PlanFact
+	var passedOn *peerapi.PlanFact
 	BeforeEach(func() {
 		tenure, published = &scripted{hasLease: true}, nil
-		owner = configowner.New(logs.Silent(), func(fact *siblingwire.PlanFact) {
+		owner = configowner.New(logs.Silent(), func(fact *peerapi.PlanFact) {
 			published, passedOn = append(published, fact.Version), fact
 		})
 		Expect(owner.Open(tenure, nil)).To(Succeed())
 	})
-	replace := func(base int64, body []byte) *siblingwire.ClientAnswer {
-		var told *siblingwire.ClientAnswer
-		owner.Replace(&siblingwire.ClientCall{Base: base, Body: body}, func(answer siblingwire.ClientAnswer) { told = &answer })
+	replace := func(base int64, body []byte) *peerapi.ClientAnswer {
+		var told *peerapi.ClientAnswer
+		owner.Replace(&peerapi.ClientCall{Base: base, Body: body}, func(answer peerapi.ClientAnswer) { told = &answer })
 		return told
 	}
 
@@ -75,10 +75,10 @@
 		tenure.settle()
 		replace(3, plan(5, "t"))
 		tenure.settle()
-		next := configowner.New(logs.Silent(), func(*siblingwire.PlanFact) {})
+		next := configowner.New(logs.Silent(), func(*peerapi.PlanFact) {})
 		Expect(next.Open(tenure, tenure.ops)).To(Succeed())
 		var body string
-		next.Retrieve(func(answer siblingwire.ClientAnswer) { body = string(answer.Body) })
+		next.Retrieve(func(answer peerapi.ClientAnswer) { body = string(answer.Body) })
 		Expect(body).To(Equal(string(plan(5, "t"))))
 		Expect(string(tenure.ops[0].Value)).To(ContainSubstring(`"moved":[{"entry":"r","services":["s"]}]`))
 		Expect(string(tenure.ops[0].Value)).To(ContainSubstring(`"births":[{"service":"s","voters":["a","b","c"]}`))
@@ -88,7 +88,7 @@
 		sent := append([]byte(" \n"), append(plan(3, "s"), '\n')...)
 		replace(0, sent)
 		tenure.settle()
-		owner.Retrieve(func(answer siblingwire.ClientAnswer) { Expect([]byte(answer.Body)).To(Equal(sent)) })
+		owner.Retrieve(func(answer peerapi.ClientAnswer) { Expect([]byte(answer.Body)).To(Equal(sent)) })
 		Expect([]byte(passedOn.Body)).To(Equal(plan(3, "s")))
 		Expect(passedOn.Births).To(HaveLen(1))
 		Expect(passedOn.Taken).To(BeEmpty())
@@ -98,8 +98,8 @@
 		replace(0, plan(3, "s"))
 		tenure.settle()
 		tenure.hasLease = false
-		var told siblingwire.ClientAnswer
-		owner.Retrieve(func(answer siblingwire.ClientAnswer) { told = answer })
+		var told peerapi.ClientAnswer
+		owner.Retrieve(func(answer peerapi.ClientAnswer) { told = answer })
 		Expect(told.Elsewhere).To(BeTrue())
 		Expect(replace(0, plan(9, "s")).Elsewhere).To(BeTrue())
 	})
--- a/internal/controlcalls/controlcalls.go
+++ b/internal/controlcalls/controlcalls.go
@@ -10,8 +10,8 @@
 
 	"gannetline/internal/configowner"
 	"gannetline/internal/ownercalls"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/reply"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -22,20 +22,20 @@
 )
 
 // Decode makes a command of an operator's call, or a refusal.
-func Decode(request *http.Request) (*siblingwire.ClientCall, reply.Reply) {
+func Decode(request *http.Request) (*peerapi.ClientCall, reply.Reply) {
 	switch request.URL.Path {
 	case pathRetrieve:
 		if request.Method != http.MethodGet {
 			return nil, reply.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &siblingwire.ClientCall{Key: configowner.Key, Verb: "retrieve"}, reply.Reply{}
+		return &peerapi.ClientCall{Key: configowner.Key, Verb: "retrieve"}, reply.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
 	return nil, reply.Text(http.StatusNotFound, "there is no such call")
 }
 
-func decodeReplace(request *http.Request) (*siblingwire.ClientCall, reply.Reply) {
+func decodeReplace(request *http.Request) (*peerapi.ClientCall, reply.Reply) {
 	if request.Method != http.MethodPost {
 		return nil, reply.Text(http.StatusMethodNotAllowed, "only POST is taken here")
 	}
@@ -52,7 +52,7 @@
 	case !json.Valid(body):
 		return nil, reply.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &siblingwire.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, reply.Reply{}
+	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, reply.Reply{}
 }
 
 // Handler asks the plan's owner, wherever it is.
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -13,10 +13,10 @@
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 	"gannetline/internal/storage"
 )
@@ -34,11 +34,11 @@
 	return answer.Result(), nil
 }
 
-func newRing(store *storage.Store, isMakeshift bool) (*Ring, *siblingwire.Caller) {
+func newRing(store *storage.Store, isMakeshift bool) (*Ring, *peerapi.Caller) {
 	clock, mux := pulse.NewFake(1000), http.NewServeMux()
-	caller := siblingwire.NewCaller(&http.Client{Transport: straight{mux}})
+	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
-		Node: siblingprobe.NewNode(siblingwire.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
+		Node: siblingprobe.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
 		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Page) {})}
 	if store != nil {
 		var err error
@@ -51,8 +51,8 @@
 	return ring, caller
 }
 
-func ask[Ask, Tell any](caller *siblingwire.Caller, procedure string, call Ask) (*Tell, error) {
-	return siblingwire.Call[Ask, Tell](caller, span.Root(), "10.0.0.1:7000", procedure, time.Second, &call)
+func ask[Ask, Tell any](caller *peerapi.Caller, procedure string, call Ask) (*Tell, error) {
+	return peerapi.Call[Ask, Tell](caller, span.Root(), "10.0.0.1:7000", procedure, time.Second, &call)
 }
 
 func openStore() *storage.Store {
@@ -68,17 +68,17 @@
 		ring.birth = []string{"a", "b", "c"}
 		ring.want()
 		Expect(ring.holders).To(BeEmpty())
-		identity, err := ask[siblingwire.IdentifyCall, siblingwire.IdentifyAnswer](caller, siblingwire.ProcedureIdentify, siblingwire.IdentifyCall{})
+		identity, err := ask[peerapi.IdentifyCall, peerapi.IdentifyAnswer](caller, peerapi.ProcedureIdentify, peerapi.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(*identity).To(Equal(siblingwire.IdentifyAnswer{}))
-		_, err = ask[siblingwire.PromiseCall, siblingwire.PromiseAnswer](caller, siblingwire.ProcedurePromise, siblingwire.PromiseCall{Key: "plan", Epoch: 1})
+		Expect(*identity).To(Equal(peerapi.IdentifyAnswer{}))
+		_, err = ask[peerapi.PromiseCall, peerapi.PromiseAnswer](caller, peerapi.ProcedurePromise, peerapi.PromiseCall{Key: "plan", Epoch: 1})
 		Expect(err).To(HaveOccurred())
-		_, err = ask[siblingwire.AppendCall, siblingwire.AppendAnswer](caller, siblingwire.ProcedureAppend, siblingwire.AppendCall{Key: "plan", Epoch: 1})
+		_, err = ask[peerapi.AppendCall, peerapi.AppendAnswer](caller, peerapi.ProcedureAppend, peerapi.AppendCall{Key: "plan", Epoch: 1})
 		Expect(err).To(HaveOccurred())
-		told, err := ask[siblingwire.ClientCall, siblingwire.ClientAnswer](caller, siblingwire.ProcedureClient, siblingwire.ClientCall{Key: "plan"})
+		told, err := ask[peerapi.ClientCall, peerapi.ClientAnswer](caller, peerapi.ProcedureClient, peerapi.ClientCall{Key: "plan"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(told.Elsewhere).To(BeTrue())
-		exchanged, err := ask[siblingwire.ExchangeCall, siblingwire.ExchangeAnswer](caller, siblingwire.ProcedureExchange, siblingwire.ExchangeCall{Key: "pool/s"})
+		exchanged, err := ask[peerapi.ExchangeCall, peerapi.ExchangeAnswer](caller, peerapi.ProcedureExchange, peerapi.ExchangeCall{Key: "pool/s"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(exchanged.Elsewhere).To(BeTrue())
 		keys, jobs, executors := ring.Beliefs(span.Root())
@@ -97,7 +97,7 @@
 	It("takes part with a makeshift disk only if it is one of the first voters", func() {
 		store := openStore()
 		ring, caller := newRing(store, true)
-		identity, err := ask[siblingwire.IdentifyCall, siblingwire.IdentifyAnswer](caller, siblingwire.ProcedureIdentify, siblingwire.IdentifyCall{})
+		identity, err := ask[peerapi.IdentifyCall, peerapi.IdentifyAnswer](caller, peerapi.ProcedureIdentify, peerapi.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(identity.Disk).To(BeEmpty())
 		Expect(identity.Makeshift).To(Equal(store.Disk()))
@@ -112,20 +112,20 @@
 
 var _ = Describe("the first voters", func() {
 	It("are the seeds' lasting disks, each once", func() {
-		Expect(firstVoters(map[string]siblingwire.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
-		Expect(firstVoters(map[string]siblingwire.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"b"}))
+		Expect(firstVoters(map[string]peerapi.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
+		Expect(firstVoters(map[string]peerapi.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"b"}))
 	})
 
 	It("are makeshift ones where no seed has another", func() {
-		Expect(firstVoters(map[string]siblingwire.IdentifyAnswer{"x": {Makeshift: "n"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"m", "n"}))
+		Expect(firstVoters(map[string]peerapi.IdentifyAnswer{"x": {Makeshift: "n"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"m", "n"}))
 	})
 })
 
 var _ = Describe("the disks that an owner may choose from", func() {
 	It("leave out members without one, and makeshift ones beside lasting ones", func() {
-		lasting, makeshift, none := siblingwire.Member{Name: "a", Disk: "a"}, siblingwire.Member{Name: "m", Makeshift: "m"}, siblingwire.Member{Name: "n"}
-		Expect(withDisks([]siblingwire.Member{makeshift, lasting, none})).To(Equal([]siblingwire.Member{lasting}))
-		found := withDisks([]siblingwire.Member{makeshift, none})
+		lasting, makeshift, none := peerapi.Member{Name: "a", Disk: "a"}, peerapi.Member{Name: "m", Makeshift: "m"}, peerapi.Member{Name: "n"}
+		Expect(withDisks([]peerapi.Member{makeshift, lasting, none})).To(Equal([]peerapi.Member{lasting}))
+		found := withDisks([]peerapi.Member{makeshift, none})
 		Expect(found).To(HaveLen(1))
 		Expect(found[0].Disk).To(Equal("m"))
 	})
--- a/internal/controlkeys/found.go
+++ b/internal/controlkeys/found.go
@@ -4,20 +4,20 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
 
 // FoundFirst asks the seeds for their disks until all have spoken; they are the first voters.
 func (r *Ring) FoundFirst(life span.Span, seeds []string) {
-	answers := map[string]siblingwire.IdentifyAnswer{}
+	answers := map[string]peerapi.IdentifyAnswer{}
 	for {
 		for _, seed := range seeds {
 			if _, hasSpoken := answers[seed]; hasSpoken {
 				continue
 			}
-			answer, err := siblingwire.Call[siblingwire.IdentifyCall, siblingwire.IdentifyAnswer](r.caller, life, seed,
-				siblingwire.ProcedureIdentify, 500*time.Millisecond, &siblingwire.IdentifyCall{})
+			answer, err := peerapi.Call[peerapi.IdentifyCall, peerapi.IdentifyAnswer](r.caller, life, seed,
+				peerapi.ProcedureIdentify, 500*time.Millisecond, &peerapi.IdentifyCall{})
 			if err == nil {
 				answers[seed] = *answer
 			}
@@ -37,7 +37,7 @@
 }
 
 // firstVoters are the seeds' disks; makeshift ones count only if no seed has a lasting one.
-func firstVoters(answers map[string]siblingwire.IdentifyAnswer) []string {
+func firstVoters(answers map[string]peerapi.IdentifyAnswer) []string {
 	var lasting, makeshift []string
 	for _, answer := range answers {
 		if answer.Disk != "" {
--- a/internal/controlkeys/links.go
+++ b/internal/controlkeys/links.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -25,17 +25,17 @@
 	life span.Span
 }
 
-func (l *links) Promise(disk string, call siblingwire.PromiseCall, done func(siblingwire.PromiseAnswer, error)) {
+func (l *links) Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
 	if disk == l.ring.disk {
 		l.ring.replicas.Box().Post(func() {
-			l.ring.replicas.Promise(call, func(answer siblingwire.PromiseAnswer) { l.box.Post(func() { done(answer, nil) }) })
+			l.ring.replicas.Promise(call, func(answer peerapi.PromiseAnswer) { l.box.Post(func() { done(answer, nil) }) })
 		})
 		return
 	}
-	remote(l, disk, siblingwire.ProcedurePromise, promiseLimit, call, done)
+	remote(l, disk, peerapi.ProcedurePromise, promiseLimit, call, done)
 }
 
-func (l *links) Append(disk string, call siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error)) {
+func (l *links) Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
 	if disk == l.ring.disk {
 		l.InstallLocal(call, done)
 		return
@@ -44,17 +44,17 @@
 	if call.Snapshot != nil {
 		limit = snapshotLimit
 	}
-	remote(l, disk, siblingwire.ProcedureAppend, limit, call, done)
+	remote(l, disk, peerapi.ProcedureAppend, limit, call, done)
 }
 
-func (l *links) InstallLocal(call siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error)) {
+func (l *links) InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
 	l.ring.replicas.Box().Post(func() {
-		l.ring.replicas.Append(call, func(answer siblingwire.AppendAnswer) { l.box.Post(func() { done(answer, nil) }) })
+		l.ring.replicas.Append(call, func(answer peerapi.AppendAnswer) { l.box.Post(func() { done(answer, nil) }) })
 	})
 }
 
-func (l *links) Fetch(disk string, call siblingwire.FetchCall, done func(siblingwire.FetchAnswer, error)) {
-	remote(l, disk, siblingwire.ProcedureFetch, snapshotLimit, call, done)
+func (l *links) Fetch(disk string, call peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
+	remote(l, disk, peerapi.ProcedureFetch, snapshotLimit, call, done)
 }
 
 func (l *links) Standing(key string, done func(replication.Standing)) {
@@ -71,7 +71,7 @@
 	})
 }
 
-func (l *links) ReadLocal(key string) (siblingwire.Snapshot, error) { return l.ring.store.Read(key) }
+func (l *links) ReadLocal(key string) (peerapi.Snapshot, error) { return l.ring.store.Read(key) }
 
 func remote[Ask, Tell any](l *links, disk, procedure string, limit time.Duration, call Ask, done func(Tell, error)) {
 	address := l.ring.addressOf(disk)
@@ -80,7 +80,7 @@
 		var err error = errors.Errorf("no sibling is known with disk %s", disk)
 		if address != "" {
 			var told *Tell
-			if told, err = siblingwire.Call[Ask, Tell](l.ring.caller, l.life, address, procedure, limit, &call); err == nil {
+			if told, err = peerapi.Call[Ask, Tell](l.ring.caller, l.life, address, procedure, limit, &call); err == nil {
 				answer = *told
 			}
 		}
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -10,11 +10,11 @@
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 	"gannetline/internal/storage"
 )
@@ -42,7 +42,7 @@
 	disk      string
 	name      string
 	replicas  *replication.Replicas
-	caller    *siblingwire.Caller
+	caller    *peerapi.Caller
 	node      *siblingprobe.Node
 	book      *configcache.Book
 	timing    poolowner.Timing
@@ -64,7 +64,7 @@
 	IsMakeshift   bool
 	MachineLosses int
 	Name          string
-	Caller        *siblingwire.Caller
+	Caller        *peerapi.Caller
 	Node          *siblingprobe.Node
 	Book          *configcache.Book
 	Timing        poolowner.Timing
@@ -143,7 +143,7 @@
 		replication.WithMachineLosses(r.losses)}
 	owner := mailbox.Owner{Every: tickEvery}
 	if key == configowner.Key {
-		one.plan = configowner.New(r.log, func(fact *siblingwire.PlanFact) { r.book.Hold(fact) })
+		one.plan = configowner.New(r.log, func(fact *peerapi.PlanFact) { r.book.Hold(fact) })
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
@@ -158,15 +158,15 @@
 
 type planMachine struct{ *configowner.Plan }
 
-func (m planMachine) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
+func (m planMachine) Open(tenure *replication.Tenure, pairs []peerapi.Op) error {
 	return m.Plan.Open(tenure, pairs)
 }
 
-func (r *Ring) stewards() []siblingwire.Member { return withDisks(r.node.View().Stewards) }
+func (r *Ring) stewards() []peerapi.Member { return withDisks(r.node.View().Stewards) }
 
 // withDisks lists the members that have a disk; makeshift ones count only if there is no other.
-func withDisks(members []siblingwire.Member) []siblingwire.Member {
-	var lasting, makeshift []siblingwire.Member
+func withDisks(members []peerapi.Member) []peerapi.Member {
+	var lasting, makeshift []peerapi.Member
 	for _, member := range members {
 		if member.Disk != "" {
 			lasting = append(lasting, member)
@@ -198,8 +198,8 @@
 	return one
 }
 
-func (r *Ring) elsewhere(key string) *siblingwire.ClientAnswer {
-	return &siblingwire.ClientAnswer{Elsewhere: true, Owner: r.ownerName(key)}
+func (r *Ring) elsewhere(key string) *peerapi.ClientAnswer {
+	return &peerapi.ClientAnswer{Elsewhere: true, Owner: r.ownerName(key)}
 }
 
 func (r *Ring) ownerName(key string) string {
@@ -210,12 +210,12 @@
 }
 
 // Client runs a client's or operator's command on the table that owns the key.
-func (r *Ring) Client(life span.Span, call *siblingwire.ClientCall) (*siblingwire.ClientAnswer, error) {
+func (r *Ring) Client(life span.Span, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
 	one := r.holder(life, call.Key)
 	if one == nil {
 		return r.elsewhere(call.Key), nil
 	}
-	answer, err := mailbox.Ask(one.box, life, func(answer func(siblingwire.ClientAnswer)) { one.obey(call, answer) })
+	answer, err := mailbox.Ask(one.box, life, func(answer func(peerapi.ClientAnswer)) { one.obey(call, answer) })
 	if err != nil {
 		return nil, err
 	}
@@ -225,36 +225,36 @@
 	return &answer, nil
 }
 
-func (h *holder) obey(call *siblingwire.ClientCall, answer func(siblingwire.ClientAnswer)) {
-	commands := map[string]func(*siblingwire.ClientCall, func(siblingwire.ClientAnswer)){}
+func (h *holder) obey(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
+	commands := map[string]func(*peerapi.ClientCall, func(peerapi.ClientAnswer)){}
 	switch {
 	case h.pool != nil && h.pool.IsOpen():
 		commands["hand-in"], commands["state"], commands["count"], commands["cancel"] = h.pool.HandIn, h.pool.State, h.pool.Count, h.pool.Cancel
 	case h.plan != nil && h.plan.IsOpen():
 		commands["replace"] = h.plan.Replace
-		commands["retrieve"] = func(_ *siblingwire.ClientCall, answer func(siblingwire.ClientAnswer)) { h.plan.Retrieve(answer) }
+		commands["retrieve"] = func(_ *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) { h.plan.Retrieve(answer) }
 	default:
-		answer(siblingwire.ClientAnswer{Elsewhere: true})
+		answer(peerapi.ClientAnswer{Elsewhere: true})
 		return
 	}
 	command := commands[call.Verb]
 	if command == nil {
-		answer(siblingwire.ClientAnswer{Status: http.StatusBadRequest, Why: "unknown verb " + call.Verb})
+		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: "unknown verb " + call.Verb})
 		return
 	}
 	command(call, answer)
 }
 
 // Exchange serves a local-proxy.
-func (r *Ring) Exchange(life span.Span, call *siblingwire.ExchangeCall) (*siblingwire.ExchangeAnswer, error) {
-	elsewhere := &siblingwire.ExchangeAnswer{Elsewhere: true, Owner: r.ownerName(call.Key)}
+func (r *Ring) Exchange(life span.Span, call *peerapi.ExchangeCall) (*peerapi.ExchangeAnswer, error) {
+	elsewhere := &peerapi.ExchangeAnswer{Elsewhere: true, Owner: r.ownerName(call.Key)}
 	one := r.holder(life, call.Key)
 	if one == nil || one.pool == nil {
 		return elsewhere, nil
 	}
-	answer, err := mailbox.Ask(one.box, life, func(answer func(siblingwire.ExchangeAnswer)) {
+	answer, err := mailbox.Ask(one.box, life, func(answer func(peerapi.ExchangeAnswer)) {
 		if !one.pool.IsOpen() {
-			answer(siblingwire.ExchangeAnswer{Elsewhere: true})
+			answer(peerapi.ExchangeAnswer{Elsewhere: true})
 			return
 		}
 		one.pool.Exchange(call, answer)
@@ -282,47 +282,47 @@
 	if r.disk != "" {
 		r.handleReplicas(mux)
 	}
-	siblingwire.Serve(mux, siblingwire.ProcedureIdentify, func(span.Span, *siblingwire.IdentifyCall) (*siblingwire.IdentifyAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedureIdentify, func(span.Span, *peerapi.IdentifyCall) (*peerapi.IdentifyAnswer, error) {
 		return r.identity(), nil
 	})
-	siblingwire.Serve(mux, siblingwire.ProcedureClient, r.Client)
-	siblingwire.Serve(mux, siblingwire.ProcedureExchange, r.Exchange)
+	peerapi.Serve(mux, peerapi.ProcedureClient, r.Client)
+	peerapi.Serve(mux, peerapi.ProcedureExchange, r.Exchange)
 }
 
-func (r *Ring) identity() *siblingwire.IdentifyAnswer {
+func (r *Ring) identity() *peerapi.IdentifyAnswer {
 	if r.disk == "" {
-		return &siblingwire.IdentifyAnswer{}
+		return &peerapi.IdentifyAnswer{}
 	}
 	if r.isMakeshift {
-		return &siblingwire.IdentifyAnswer{Makeshift: r.disk, Fresh: true}
+		return &peerapi.IdentifyAnswer{Makeshift: r.disk, Fresh: true}
 	}
-	return &siblingwire.IdentifyAnswer{Disk: r.disk, Fresh: r.store.Bare()}
+	return &peerapi.IdentifyAnswer{Disk: r.disk, Fresh: r.store.Bare()}
 }
 
 func (r *Ring) handleReplicas(mux *http.ServeMux) {
-	siblingwire.Serve(mux, siblingwire.ProcedurePromise, func(life span.Span, call *siblingwire.PromiseCall) (*siblingwire.PromiseAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedurePromise, func(life span.Span, call *peerapi.PromiseCall) (*peerapi.PromiseAnswer, error) {
 		answer, err := r.replicas.AskPromise(life, *call)
 		return &answer, err
 	})
-	siblingwire.Serve(mux, siblingwire.ProcedureAppend, func(life span.Span, call *siblingwire.AppendCall) (*siblingwire.AppendAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedureAppend, func(life span.Span, call *peerapi.AppendCall) (*peerapi.AppendAnswer, error) {
 		answer, err := r.replicas.AskAppend(life, *call)
 		return &answer, err
 	})
-	siblingwire.Serve(mux, siblingwire.ProcedureFetch, func(life span.Span, call *siblingwire.FetchCall) (*siblingwire.FetchAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedureFetch, func(life span.Span, call *peerapi.FetchCall) (*peerapi.FetchAnswer, error) {
 		answer, err := r.replicas.AskFetch(life, *call)
 		return &answer, err
 	})
 }
 
 // Beliefs gathers what this steward holds true.
-func (r *Ring) Beliefs(life span.Span) ([]siblingwire.KeyBelief, []siblingwire.JobBelief, []siblingwire.ExecutorBelief) {
-	var keys []siblingwire.KeyBelief
-	var jobs []siblingwire.JobBelief
-	var executors []siblingwire.ExecutorBelief
+func (r *Ring) Beliefs(life span.Span) ([]peerapi.KeyBelief, []peerapi.JobBelief, []peerapi.ExecutorBelief) {
+	var keys []peerapi.KeyBelief
+	var jobs []peerapi.JobBelief
+	var executors []peerapi.ExecutorBelief
 	if r.disk == "" {
 		return nil, nil, nil
 	}
-	names, err := mailbox.Ask(r.replicas.Box(), life, func(answer func([]siblingwire.KeyBelief)) { answer(r.replicaBeliefs()) })
+	names, err := mailbox.Ask(r.replicas.Box(), life, func(answer func([]peerapi.KeyBelief)) { answer(r.replicaBeliefs()) })
 	if err != nil {
 		return nil, nil, nil
 	}
@@ -344,7 +344,7 @@
 		if whole, err := r.store.Read(key); err == nil {
 			jobs = append(jobs, poolowner.JobsOf(key, whole.Pairs)...)
 		}
-		held, err := mailbox.Ask(one.box, life, func(answer func([]siblingwire.ExecutorBelief)) {
+		held, err := mailbox.Ask(one.box, life, func(answer func([]peerapi.ExecutorBelief)) {
 			if !one.pool.IsOpen() {
 				answer(nil)
 				return
@@ -359,11 +359,11 @@
 	return keys, jobs, executors
 }
 
-func (r *Ring) replicaBeliefs() []siblingwire.KeyBelief {
-	var keys []siblingwire.KeyBelief
+func (r *Ring) replicaBeliefs() []peerapi.KeyBelief {
+	var keys []peerapi.KeyBelief
 	for _, key := range r.replicas.Keys() {
 		standing := r.replicas.Standing(key)
-		keys = append(keys, siblingwire.KeyBelief{Key: key, Owner: standing.Owner, Epoch: standing.Promised,
+		keys = append(keys, peerapi.KeyBelief{Key: key, Owner: standing.Owner, Epoch: standing.Promised,
 			Last: standing.Head.Last, Set: standing.Head.Set})
 	}
 	return keys
--- a/internal/daybook/event.go
+++ b/internal/daybook/event.go
@@ -4,7 +4,7 @@
 import (
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all event.go
@@ -24,22 +24,22 @@
 
 // Event is one line.
 type Event struct {
-	Kind       string                 `json:"kind"`
-	AtMs       int64                  `json:"at-ms"`
-	Version    int                    `json:"version,omitempty"`
-	Node       string                 `json:"node,omitempty"`
-	ID         string                 `json:"id,omitempty"`
-	Queue      string                 `json:"queue,omitempty"`
-	Terms      siblingwire.EntryTerms `json:"terms"`
-	Body       easyjson.RawMessage    `json:"body,omitempty"`
-	Task       string                 `json:"task,omitempty"`
-	Run        int64                  `json:"run,omitempty"`
-	How        string                 `json:"how,omitempty"`
-	LengthMs   int64                  `json:"length-ms,omitempty"`
-	Machine    string                 `json:"machine,omitempty"`
-	Room       siblingwire.Capacity   `json:"room"`
-	Labels     []string               `json:"labels,omitempty"`
-	IsDraining bool                   `json:"draining,omitempty"`
-	Plan       int64                  `json:"plan,omitempty"`
-	Count      int64                  `json:"count,omitempty"`
+	Kind       string              `json:"kind"`
+	AtMs       int64               `json:"at-ms"`
+	Version    int                 `json:"version,omitempty"`
+	Node       string              `json:"node,omitempty"`
+	ID         string              `json:"id,omitempty"`
+	Queue      string              `json:"queue,omitempty"`
+	Terms      peerapi.EntryTerms  `json:"terms"`
+	Body       easyjson.RawMessage `json:"body,omitempty"`
+	Task       string              `json:"task,omitempty"`
+	Run        int64               `json:"run,omitempty"`
+	How        string              `json:"how,omitempty"`
+	LengthMs   int64               `json:"length-ms,omitempty"`
+	Machine    string              `json:"machine,omitempty"`
+	Room       peerapi.Capacity    `json:"room"`
+	Labels     []string            `json:"labels,omitempty"`
+	IsDraining bool                `json:"draining,omitempty"`
+	Plan       int64               `json:"plan,omitempty"`
+	Count      int64               `json:"count,omitempty"`
 }
--- a/internal/executorcalls/wire.go
+++ b/internal/executorcalls/wire.go
@@ -5,25 +5,25 @@
 	"github.com/mailru/easyjson/jlexer"
 	"github.com/mailru/easyjson/jwriter"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
 
 //easyjson:json
 type Beat struct {
-	Service   string               `json:"service"`
-	Address   string               `json:"address"`
-	Domain    string               `json:"zone"`
-	Version   string               `json:"config-version"`
-	Slots     int                  `json:"slot-count"`
-	State     string               `json:"executor-state"`
-	ColdMs    int64                `json:"cold-remaining-ms"`
-	Room      siblingwire.Capacity `json:"capacity"`
-	Labels    []string             `json:"labels"`
-	ClockMs   int64                `json:"clock-ms"`
-	DepartsMs int64                `json:"departure-ms"`
-	Sequence  int64                `json:"call-sequence"`
+	Service   string           `json:"service"`
+	Address   string           `json:"address"`
+	Domain    string           `json:"zone"`
+	Version   string           `json:"config-version"`
+	Slots     int              `json:"slot-count"`
+	State     string           `json:"executor-state"`
+	ColdMs    int64            `json:"cold-remaining-ms"`
+	Room      peerapi.Capacity `json:"capacity"`
+	Labels    []string         `json:"labels"`
+	ClockMs   int64            `json:"clock-ms"`
+	DepartsMs int64            `json:"departure-ms"`
+	Sequence  int64            `json:"call-sequence"`
 }
 
 //easyjson:json
@@ -60,7 +60,7 @@
 }
 
 // RunningRow is [task, run, saved, percent].
-type RunningRow siblingwire.RunReport
+type RunningRow peerapi.RunReport
 
 func (r *RunningRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	readRow(in, func(place int) {
@@ -92,7 +92,7 @@
 }
 
 // EndRow is [N, task, run, how, saved].
-type EndRow siblingwire.EndReport
+type EndRow peerapi.EndReport
 
 func (e *EndRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	readRow(in, func(place int) {
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -13,10 +13,10 @@
 	"gannetline/internal/headerrules"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/ownercalls"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/reply"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -28,7 +28,7 @@
 // Decision is what should become of a call: refused at once, or asked of a key's owner.
 type Decision struct {
 	Refusal reply.Reply
-	Call    *siblingwire.ClientCall
+	Call    *peerapi.ClientCall
 	Former  []string
 	Limit   time.Duration
 }
@@ -51,7 +51,7 @@
 	if limit > 4*answerGap {
 		limit -= answerGap
 	}
-	call := &siblingwire.ClientCall{Key: "pool/" + entry.Service, Entry: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
+	call := &peerapi.ClientCall{Key: "pool/" + entry.Service, Entry: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
 	decision := Decision{Call: call, Former: page.Moved(entry.Name), Limit: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
@@ -78,7 +78,7 @@
 			return refuse(http.StatusBadRequest, "the job can't be read: no whole JSON")
 		}
 		call.Verb, call.Body = "hand-in", body
-		call.Terms = &siblingwire.EntryTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
+		call.Terms = &peerapi.EntryTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
 	default:
 		return refuse(http.StatusMethodNotAllowed, "a job is handed in by POST, asked for by GET, cancelled by DELETE")
 	}
@@ -151,7 +151,7 @@
 	return replyOf(&call, outcome), outcome.Answer.Status == http.StatusOK
 }
 
-func replyOf(call *siblingwire.ClientCall, outcome ownercalls.Outcome) reply.Reply {
+func replyOf(call *peerapi.ClientCall, outcome ownercalls.Outcome) reply.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil && outcome.MaySee && call.Verb == "hand-in":
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -12,10 +12,10 @@
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/metrics"
 	"gannetline/internal/ownercalls"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -24,7 +24,7 @@
 func page() *configcache.Page {
 	plan, err := plancheck.Read([]byte(body))
 	Expect(err).NotTo(HaveOccurred())
-	return &configcache.Page{Fact: &siblingwire.PlanFact{Version: 7}, Matcher: plancheck.NewMatcher(plan)}
+	return &configcache.Page{Fact: &peerapi.PlanFact{Version: 7}, Matcher: plancheck.NewMatcher(plan)}
 }
 
 func request(method, path string) *http.Request {
@@ -68,7 +68,7 @@
 		clock := pulse.NewFake(0)
 		view := func() *siblingprobe.View { return &siblingprobe.View{} }
 		pages := func() *configcache.Page { return page() }
-		gate := gatecalls.New(pages, ownercalls.New(siblingwire.NewCaller(http.DefaultClient), clock, view), clock)
+		gate := gatecalls.New(pages, ownercalls.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
 			one := request("GET", path)
--- a/internal/hollow/executor.go
+++ b/internal/hollow/executor.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -63,7 +63,7 @@
 type Shape struct {
 	Node        string
 	ID          string
-	Room        siblingwire.Capacity
+	Room        peerapi.Capacity
 	Labels      []string
 	MaxHold     time.Duration
 	StopTimeout time.Duration
--- a/internal/hollow/executor_test.go
+++ b/internal/hollow/executor_test.go
@@ -8,8 +8,8 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/hollow"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // world is one executor on a fake clock, with the letters that wait.
@@ -26,7 +26,7 @@
 
 func newWorld() *world {
 	w := &world{clock: pulse.NewFake(0)}
-	w.executor = hollow.NewExecutor(hollow.Shape{Node: "w", ID: "i-w", Room: siblingwire.Capacity{CPU: 1000, Memory: 1000},
+	w.executor = hollow.NewExecutor(hollow.Shape{Node: "w", ID: "i-w", Room: peerapi.Capacity{CPU: 1000, Memory: 1000},
 		MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, Pace: 1}, w.clock,
 		func(wait time.Duration, run func()) {
 			w.letters = append(w.letters, letter{w.clock.Steady() + wait, run})
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -15,10 +15,10 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/reply"
 	"gannetline/internal/roles"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 	"gannetline/internal/wiremeter"
 )
@@ -171,7 +171,7 @@
 	if err != nil {
 		return errors.Annotate(err, "field report")
 	}
-	clock, meter, beats := pulse.Real(), &wiremeter.Meter{}, siblingwire.Client(beatLimit, 1)
+	clock, meter, beats := pulse.Real(), &wiremeter.Meter{}, peerapi.Client(beatLimit, 1)
 	failed := make(chan error, len(all)+1)
 	var nodes []*node
 	for place, settings := range all {
--- a/internal/hollow/spec.go
+++ b/internal/hollow/spec.go
@@ -10,7 +10,7 @@
 	"go.uber.org/multierr"
 
 	"gannetline/internal/bootsettings"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const (
@@ -22,10 +22,10 @@
 
 // Worker is one hollow node: the settings file of its local-proxy and the executor behind it.
 type Worker struct {
-	Settings string               `json:"settings"`
-	Room     siblingwire.Capacity `json:"capacity"`
-	Labels   []string             `json:"labels"`
-	Pace     float64              `json:"pace"`
+	Settings string           `json:"settings"`
+	Room     peerapi.Capacity `json:"capacity"`
+	Labels   []string         `json:"labels"`
+	Pace     float64          `json:"pace"`
 	// IsExecutorOnly leaves the local-proxy to another process.
 	IsExecutorOnly bool `json:"executor-only,omitempty"`
 }
--- a/internal/localproxy/deaf_test.go
+++ b/internal/localproxy/deaf_test.go
@@ -9,8 +9,8 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 var _ = Describe("an executor that no call gets through to", func() {
@@ -18,8 +18,8 @@
 	var table *localproxy.Table
 	var works int
 	nothing := func() {}
-	order := func(kind string, run int64) siblingwire.Order {
-		return siblingwire.Order{Kind: kind, Task: "t.0.0.0", Run: run}
+	order := func(kind string, run int64) peerapi.Order {
+		return peerapi.Order{Kind: kind, Task: "t.0.0.0", Run: run}
 	}
 	ready := func(kind string, run int64) (localproxy.OrderWork, bool) { return table.Ready("i-1", order(kind, run)) }
 	results := func() (all []string) {
@@ -38,7 +38,7 @@
 		table = localproxy.NewTable(clock, logs.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
 		table.Beat("i-1", &executorcalls.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
-		table.Told(call, 0, &siblingwire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
+		table.Told(call, 0, &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
 		work, _ := table.NextHold(false)
 		work.Look = 0
 		table.Held(work, executorcalls.Answer{ClockMs: 1000})
--- a/internal/localproxy/feed.go
+++ b/internal/localproxy/feed.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const (
@@ -19,7 +19,7 @@
 	proxy      string
 	domain     string
 	labels     []string
-	room       siblingwire.Capacity
+	room       peerapi.Capacity
 	isDraining bool
 	gone       []string
 }
@@ -31,7 +31,7 @@
 
 // runNews is what the owner is told of a run: its checkpoint, and whether it stands still.
 type runNews struct {
-	told      siblingwire.RunReport
+	told      peerapi.RunReport
 	changedAt uint64
 	percent   int
 	still     time.Duration
@@ -57,7 +57,7 @@
 }
 
 // noteRunning takes the list of running runs that an executor gave after a while; a run that is not in it needs telling no more.
-func (f *feed) noteRunning(running []siblingwire.RunReport, after time.Duration) {
+func (f *feed) noteRunning(running []peerapi.RunReport, after time.Duration) {
 	kept := make(map[runKey]runNews, len(running))
 	next := f.number + 1
 	for _, report := range running {
@@ -78,8 +78,8 @@
 }
 
 // newRunNews gives a run that begins from a checkpoint time to restore it.
-func newRunNews(report siblingwire.RunReport) runNews {
-	one := runNews{told: siblingwire.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
+func newRunNews(report peerapi.RunReport) runNews {
+	one := runNews{told: peerapi.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
 	if report.Saved != "" {
 		one.still = -restoreMost
 	}
@@ -95,7 +95,7 @@
 	n.still += min(after, mostUnseen)
 }
 
-func (f *feed) write(call *siblingwire.ExchangeCall) {
+func (f *feed) write(call *peerapi.ExchangeCall) {
 	if f.session > 0 {
 		call.Session, call.Number, call.Base = f.session, f.number, f.held
 	}
@@ -111,13 +111,13 @@
 			call.Changed = append(call.Changed, one.told)
 		}
 	}
-	slices.SortFunc(call.Changed, func(one, two siblingwire.RunReport) int {
+	slices.SortFunc(call.Changed, func(one, two peerapi.RunReport) int {
 		return cmp.Or(cmp.Compare(one.Task, two.Task), cmp.Compare(one.Run, two.Run))
 	})
 }
 
 // told takes note of what the owner holds. Where the owner knows a later session, a new one begins.
-func (f *feed) told(answer *siblingwire.ExchangeAnswer) {
+func (f *feed) told(answer *peerapi.ExchangeAnswer) {
 	f.held = answer.Held
 	if answer.Again && answer.Session > f.session {
 		f.session = answer.Session + 1
--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -9,8 +9,8 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 var _ = Describe("a local-proxy's table", func() {
@@ -21,12 +21,12 @@
 		status, _ := table.Beat(id, &executorcalls.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
-	told := func(answer siblingwire.ExchangeAnswer) []siblingwire.Order {
+	told := func(answer peerapi.ExchangeAnswer) []peerapi.Order {
 		call, isDue := table.Compose(0)
 		Expect(isDue).To(BeTrue())
 		return table.Told(call, clock.Steady(), &answer)
 	}
-	launch := siblingwire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
+	launch := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 	BeforeEach(func() {
 		clock = pulse.NewFake(0)
 		table = localproxy.NewTable(clock, logs.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
@@ -46,7 +46,7 @@
 	It("extends no hold without a grant, and no further than one", func() {
 		work, _ := table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeZero())
-		told(siblingwire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeNumerically("<=", 5000))
 		Expect(work.Hold.ExpiryMs).To(BeNumerically(">", 4900))
@@ -58,7 +58,7 @@
 	It("starts nothing on a draining executor, nor for another life, nor without time left", func() {
 		_, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
-		told(siblingwire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		_, isDue = table.Ready("i-1", launch)
 		Expect(isDue).To(BeTrue())
 		_, isDue = table.Ready("i-0", launch)
@@ -67,30 +67,30 @@
 		_, isDue = table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
 		call, _ := table.Compose(0)
-		Expect(call.Answers).To(ConsistOf(siblingwire.OrderAnswer{Task: "t.0.0.0", Run: 1, Kind: "launch", Result: "not-run"}))
+		Expect(call.Answers).To(ConsistOf(peerapi.OrderAnswer{Task: "t.0.0.0", Run: 1, Kind: "launch", Result: "not-run"}))
 	})
 
 	It("heeds no owner of an older epoch", func() {
-		told(siblingwire.ExchangeAnswer{Fence: 5})
-		Expect(told(siblingwire.ExchangeAnswer{Fence: 4, Orders: []siblingwire.Order{launch}})).To(BeEmpty())
-		Expect(told(siblingwire.ExchangeAnswer{Fence: 5, Orders: []siblingwire.Order{launch, launch}})).To(HaveLen(1))
+		told(peerapi.ExchangeAnswer{Fence: 5})
+		Expect(told(peerapi.ExchangeAnswer{Fence: 4, Orders: []peerapi.Order{launch}})).To(BeEmpty())
+		Expect(told(peerapi.ExchangeAnswer{Fence: 5, Orders: []peerapi.Order{launch, launch}})).To(HaveLen(1))
 	})
 
 	It("carries out no order of an owner before the present one, unless that gave it as well", func() {
-		told(siblingwire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []siblingwire.Order{launch}})
-		told(siblingwire.ExchangeAnswer{Fence: 6, GrantMs: 4000})
+		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		told(peerapi.ExchangeAnswer{Fence: 6, GrantMs: 4000})
 		_, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
-		told(siblingwire.ExchangeAnswer{Fence: 6, GrantMs: 4000, Orders: []siblingwire.Order{launch}})
-		told(siblingwire.ExchangeAnswer{Fence: 7, GrantMs: 4000})
-		Expect(told(siblingwire.ExchangeAnswer{Fence: 7, GrantMs: 4000, Orders: []siblingwire.Order{launch}})).To(BeEmpty())
+		told(peerapi.ExchangeAnswer{Fence: 6, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		told(peerapi.ExchangeAnswer{Fence: 7, GrantMs: 4000})
+		Expect(told(peerapi.ExchangeAnswer{Fence: 7, GrantMs: 4000, Orders: []peerapi.Order{launch}})).To(BeEmpty())
 		work, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeTrue())
 		Expect(work.Fence).To(Equal(uint64(7)))
 	})
 
 	It("is unsure of a refusal once the order went unanswered", func() {
-		told(siblingwire.ExchangeAnswer{Fence: 5, GrantMs: 4000})
+		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000})
 		work, _ := table.Ready("i-1", launch)
 		table.Unanswered(work)
 		table.Carried(work, "room")
@@ -101,10 +101,10 @@
 	It("tells an end until it is taken note of, and then lets the executor forget it", func() {
 		work, _ := table.NextHold(false)
 		table.Held(work, executorcalls.Answer{ClockMs: 1000, Ends: []executorcalls.EndRow{{Number: 1, Task: "t", Run: 1, How: "done"}}})
-		told(siblingwire.ExchangeAnswer{Fence: 1})
+		told(peerapi.ExchangeAnswer{Fence: 1})
 		call, _ := table.Compose(0)
 		Expect(call.Ends).To(HaveLen(1))
-		told(siblingwire.ExchangeAnswer{Fence: 1, LastSeen: 1})
+		told(peerapi.ExchangeAnswer{Fence: 1, LastSeen: 1})
 		call, _ = table.Compose(0)
 		Expect(call.Ends).To(BeEmpty())
 		work, _ = table.NextHold(false)
@@ -112,12 +112,12 @@
 	})
 
 	It("tells a look of a new fence, even while an exchange of the old one is under way", func() {
-		told(siblingwire.ExchangeAnswer{Fence: 1, Look: 9})
+		told(peerapi.ExchangeAnswer{Fence: 1, Look: 9})
 		work, _ := table.NextHold(true)
 		table.Held(work, executorcalls.Answer{ClockMs: 1000})
 		old, _ := table.Compose(0)
-		told(siblingwire.ExchangeAnswer{Fence: 2, Look: 3})
-		table.Told(old, clock.Steady(), &siblingwire.ExchangeAnswer{Fence: 2, Look: 3})
+		told(peerapi.ExchangeAnswer{Fence: 2, Look: 3})
+		table.Told(old, clock.Steady(), &peerapi.ExchangeAnswer{Fence: 2, Look: 3})
 		work, _ = table.NextHold(true)
 		table.Held(work, executorcalls.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -9,10 +9,10 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/reply"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -35,7 +35,7 @@
 	clock    pulse.Pulse
 	log      logs.Logger
 	executor *executorcalls.Client
-	caller   *siblingwire.Caller
+	caller   *peerapi.Caller
 	view     func() *siblingprobe.View
 	service  string
 	work     chan struct{}
@@ -45,7 +45,7 @@
 	slots    chan struct{}
 }
 
-func New(service, domain, name string, clock pulse.Pulse, log logs.Logger, executor *executorcalls.Client, caller *siblingwire.Caller,
+func New(service, domain, name string, clock pulse.Pulse, log logs.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
 	view func() *siblingprobe.View) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
@@ -239,7 +239,7 @@
 
 // exchange talks to the owner once; it tells whether the owner answered.
 func (p *Proxy) exchange(life span.Span, waitMs int64) bool {
-	call, isOpen := ask(p, life, func() *siblingwire.ExchangeCall {
+	call, isOpen := ask(p, life, func() *peerapi.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
 		return call
 	})
@@ -260,8 +260,8 @@
 	askedAt := p.clock.Steady()
 	patience, release := siblingprobe.UntilMoved(life, view)
 	defer release()
-	answer, err := siblingwire.Call[siblingwire.ExchangeCall, siblingwire.ExchangeAnswer](p.caller, patience, owner,
-		siblingwire.ProcedureExchange, pulse.Ms(call.WaitMs)+exchangeSlow, call)
+	answer, err := peerapi.Call[peerapi.ExchangeCall, peerapi.ExchangeAnswer](p.caller, patience, owner,
+		peerapi.ProcedureExchange, pulse.Ms(call.WaitMs)+exchangeSlow, call)
 	if err != nil {
 		p.log.V(1).Info("an exchange failed", "why", err.Error())
 		return false
@@ -272,7 +272,7 @@
 	if answer.Fence == 0 {
 		return true
 	}
-	orders, _ := ask(p, life, func() []siblingwire.Order { return p.table.Told(call, askedAt, answer) })
+	orders, _ := ask(p, life, func() []peerapi.Order { return p.table.Told(call, askedAt, answer) })
 	for _, order := range orders {
 		go p.carry(life, call.Life, order)
 	}
@@ -297,7 +297,7 @@
 }
 
 // carry brings one order to the executor, again if it is not answered.
-func (p *Proxy) carry(life span.Span, executor string, order siblingwire.Order) {
+func (p *Proxy) carry(life span.Span, executor string, order peerapi.Order) {
 	p.slots <- struct{}{}
 	defer func() { <-p.slots }()
 	for try := range startTries {
@@ -335,7 +335,7 @@
 
 func isRefused(err error) bool {
 	var timeout interface{ Timeout() bool }
-	return siblingwire.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
+	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
 func (p *Proxy) deliver(life span.Span, work OrderWork) (int, executorcalls.Answer, error) {
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -8,8 +8,8 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -60,12 +60,12 @@
 	fence       uint64
 	fenceHeld   uint64
 	lastSeen    int64
-	ends        []siblingwire.EndReport
-	running     []siblingwire.RunReport
+	ends        []peerapi.EndReport
+	running     []peerapi.RunReport
 	lookWanted  uint64
 	lookDone    uint64
 	lookTold    uint64
-	lookRunning []siblingwire.RunReport
+	lookRunning []peerapi.RunReport
 	answers     []givenAnswer
 	busy        map[orderKey]uint64
 	unsure      map[runKey]bool
@@ -79,7 +79,7 @@
 }
 
 type givenAnswer struct {
-	siblingwire.OrderAnswer
+	peerapi.OrderAnswer
 	at     time.Duration
 	isSent bool
 }
@@ -257,13 +257,13 @@
 	fresh := false
 	for _, row := range answer.Ends {
 		if row.Number > one.lastEnd() && row.Number > one.lastSeen {
-			one.ends = append(one.ends, siblingwire.EndReport(row))
+			one.ends = append(one.ends, peerapi.EndReport(row))
 			fresh = true
 		}
 	}
 	one.running = one.running[:0]
 	for _, row := range answer.Running {
-		one.running = append(one.running, siblingwire.RunReport(row))
+		one.running = append(one.running, peerapi.RunReport(row))
 	}
 	one.feed.noteRunning(one.running, sinceHold)
 	if len(one.running) > 0 {
@@ -301,13 +301,13 @@
 }
 
 // Compose makes the next exchange; told gives back what it held once it was answered.
-func (t *Table) Compose(waitMs int64) (*siblingwire.ExchangeCall, bool) {
+func (t *Table) Compose(waitMs int64) (*peerapi.ExchangeCall, bool) {
 	one := t.life
 	if one == nil {
 		return nil, false
 	}
 	now := t.now()
-	call := &siblingwire.ExchangeCall{Key: "pool/" + t.service, Life: one.id, Fence: one.fenceHeld, WaitMs: t.pollWait(one, waitMs)}
+	call := &peerapi.ExchangeCall{Key: "pool/" + t.service, Life: one.id, Fence: one.fenceHeld, WaitMs: t.pollWait(one, waitMs)}
 	one.feed.noteFacts(facts{proxy: t.name, domain: t.domain, labels: one.beat.Labels, room: one.beat.Room, isDraining: one.isDraining,
 		gone: slices.Clone(t.gone)})
 	one.feed.write(call)
@@ -345,7 +345,7 @@
 }
 
 // Told takes the owner's answer and gives the orders that are to be carried out.
-func (t *Table) Told(call *siblingwire.ExchangeCall, askedAt time.Duration, answer *siblingwire.ExchangeAnswer) []siblingwire.Order {
+func (t *Table) Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order {
 	one := t.life
 	if one == nil || one.id != call.Life || answer.Fence < one.fence {
 		return nil
@@ -368,7 +368,7 @@
 	}
 	one.lastSeen = max(one.lastSeen, answer.LastSeen)
 	if len(one.ends) > 0 {
-		one.ends = slices.DeleteFunc(one.ends, func(end siblingwire.EndReport) bool { return end.Number <= one.lastSeen })
+		one.ends = slices.DeleteFunc(one.ends, func(end peerapi.EndReport) bool { return end.Number <= one.lastSeen })
 		if len(one.ends) == 0 {
 			t.onAck()
 		}
@@ -388,13 +388,13 @@
 	return t.life != nil && slices.ContainsFunc(t.life.answers, func(given givenAnswer) bool { return !given.isSent })
 }
 
-func (g givenAnswer) isIn(told []siblingwire.OrderAnswer) bool {
-	return slices.ContainsFunc(told, func(one siblingwire.OrderAnswer) bool {
+func (g givenAnswer) isIn(told []peerapi.OrderAnswer) bool {
+	return slices.ContainsFunc(told, func(one peerapi.OrderAnswer) bool {
 		return one.Task == g.Task && one.Run == g.Run && one.Kind == g.Kind && one.Result == g.Result
 	})
 }
 
-func (t *Table) accept(one *lifeTable, orders []siblingwire.Order) []siblingwire.Order {
+func (t *Table) accept(one *lifeTable, orders []peerapi.Order) []peerapi.Order {
 	kept := orders[:0]
 	for _, order := range orders {
 		key := orderKey{order.Task, order.Run, order.Kind}
@@ -411,14 +411,14 @@
 // OrderWork is one order made ready for the executor.
 type OrderWork struct {
 	Life     string
-	Order    siblingwire.Order
+	Order    peerapi.Order
 	Fence    uint64
 	ExpiryMs int64
 }
 
 // Ready is the last check before an executor: life, owner, drain and grant. An order that waited here while the pool
 // changed hands is carried out only if the new owner gave it, too.
-func (t *Table) Ready(lifeID string, order siblingwire.Order) (OrderWork, bool) {
+func (t *Table) Ready(lifeID string, order peerapi.Order) (OrderWork, bool) {
 	one := t.life
 	if one == nil || one.id != lifeID {
 		return OrderWork{}, false
@@ -459,7 +459,7 @@
 }
 
 // whileDeaf leaves a start that may have reached the executor to be sent again, as that is sooner over than a stop.
-func (l *lifeTable) whileDeaf(order siblingwire.Order) string {
+func (l *lifeTable) whileDeaf(order peerapi.Order) string {
 	if l.unsure[runKey{order.Task, order.Run}] {
 		return "timeout"
 	}
@@ -497,7 +497,7 @@
 		delete(one.unsure, place)
 	}
 	one.answers = append(one.answers, givenAnswer{at: t.now(),
-		OrderAnswer: siblingwire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
+		OrderAnswer: peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
 	if order.Kind == "launch" && result == "ok" {
 		t.onStart()
 		return
--- a/internal/ownercalls/ownercalls.go
+++ b/internal/ownercalls/ownercalls.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -17,24 +17,24 @@
 )
 
 type Asker struct {
-	caller *siblingwire.Caller
+	caller *peerapi.Caller
 	clock  pulse.Pulse
 	view   func() *siblingprobe.View
 	perTry time.Duration
 }
 
-func New(caller *siblingwire.Caller, clock pulse.Pulse, view func() *siblingprobe.View) *Asker {
+func New(caller *peerapi.Caller, clock pulse.Pulse, view func() *siblingprobe.View) *Asker {
 	return &Asker{caller: caller, clock: clock, view: view, perTry: 450 * time.Millisecond}
 }
 
 // Outcome says what is known after asking: MaySee is set while some steward may have taken the call.
 type Outcome struct {
-	Answer *siblingwire.ClientAnswer
+	Answer *peerapi.ClientAnswer
 	MaySee bool
 }
 
 // Ask returns an answer of the owner, or none once the time is over.
-func (a *Asker) Ask(life span.Span, call *siblingwire.ClientCall, limit time.Duration) Outcome {
+func (a *Asker) Ask(life span.Span, call *peerapi.ClientCall, limit time.Duration) Outcome {
 	var outcome Outcome
 	end := a.clock.Steady() + limit
 	hint := ""
@@ -54,7 +54,7 @@
 				return outcome
 			case err == nil:
 				hint = answer.Owner
-			case !siblingwire.NeverSent(err):
+			case !peerapi.NeverSent(err):
 				outcome.MaySee = true
 			}
 		}
@@ -71,10 +71,10 @@
 }
 
 // askOnce gives up early if the key is heard to have another owner.
-func (a *Asker) askOnce(life span.Span, view *siblingprobe.View, address string, limit time.Duration, call *siblingwire.ClientCall) (*siblingwire.ClientAnswer, error) {
+func (a *Asker) askOnce(life span.Span, view *siblingprobe.View, address string, limit time.Duration, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
 	patience, release := siblingprobe.UntilMoved(life, view)
 	defer release()
-	return siblingwire.Call[siblingwire.ClientCall, siblingwire.ClientAnswer](a.caller, patience, address, siblingwire.ProcedureClient, limit, call)
+	return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](a.caller, patience, address, peerapi.ProcedureClient, limit, call)
 }
 
 // address prefers the hint, then the known owner, then any steward that may own keys.
@@ -88,7 +88,7 @@
 	}
 	var others []string
 	for _, member := range view.Stewards {
-		if member.MayOwn() && member.State == siblingwire.StateAlive {
+		if member.MayOwn() && member.State == peerapi.StateAlive {
 			others = append(others, member.Address)
 		}
 	}
--- a/internal/siblingwire/messages.go
+++ b/internal/peerapi/messages.go
@@ -1,5 +1,5 @@
-// Package siblingwire holds what the system's own processes say to each other.
-package siblingwire
+// Package peerapi holds what the system's own processes say to each other.
+package peerapi
 
 import "github.com/mailru/easyjson"
 
--- a/internal/siblingwire/metrics.go
+++ b/internal/peerapi/metrics.go
@@ -1,4 +1,4 @@
-package siblingwire
+package peerapi
 
 import "gannetline/internal/metrics"
 
--- a/internal/siblingwire/metrics_test.go
+++ b/internal/peerapi/metrics_test.go
@@ -1,4 +1,4 @@
-package siblingwire_test
+package peerapi_test
 
 import (
 	"net/http"
@@ -10,25 +10,25 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/metrics"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
 
 var _ = Describe("calls between siblings", func() {
 	It("are counted on both sides, with their bytes and their errors", func() {
 		mux := http.NewServeMux()
-		siblingwire.Serve(mux, siblingwire.ProcedurePlan, func(_ span.Span, call *siblingwire.PlanCall) (*siblingwire.PlanAnswer, error) {
+		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.PlanCall) (*peerapi.PlanAnswer, error) {
 			if call.Held == 9 {
 				return nil, errors.New("no")
 			}
-			return &siblingwire.PlanAnswer{}, nil
+			return &peerapi.PlanAnswer{}, nil
 		})
 		server := httptest.NewServer(mux)
 		defer server.Close()
-		caller := siblingwire.NewCaller(http.DefaultClient)
+		caller := peerapi.NewCaller(http.DefaultClient)
 		ask := func(held int64) error {
-			_, err := siblingwire.Call[siblingwire.PlanCall, siblingwire.PlanAnswer](caller, span.Root(),
-				server.Listener.Addr().String(), siblingwire.ProcedurePlan, time.Minute, &siblingwire.PlanCall{Held: held})
+			_, err := peerapi.Call[peerapi.PlanCall, peerapi.PlanAnswer](caller, span.Root(),
+				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &peerapi.PlanCall{Held: held})
 			return err
 		}
 		Expect(ask(1)).To(Succeed())
--- a/internal/siblingwire/siblingwire_suite_test.go
+++ b/internal/peerapi/peerapi_suite_test.go
@@ -1,4 +1,4 @@
-package siblingwire_test
+package peerapi_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestSiblingwire(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "siblingwire")
+	RunSpecs(t, "peerapi")
 }
--- a/internal/poolowner/clients.go
+++ b/internal/poolowner/clients.go
@@ -8,25 +8,25 @@
 
 	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
-type answerClient = func(siblingwire.ClientAnswer)
+type answerClient = func(peerapi.ClientAnswer)
 
-func lost() siblingwire.ClientAnswer { return siblingwire.ClientAnswer{Elsewhere: true} }
+func lost() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true} }
 
 // HandIn accepts a job once it is committed; the same ID again is the same job.
-func (p *Pool) HandIn(call *siblingwire.ClientCall, answer answerClient) {
+func (p *Pool) HandIn(call *peerapi.ClientCall, answer answerClient) {
 	accepted := func(err error) {
 		if err != nil {
 			answer(lost())
 			return
 		}
-		answer(siblingwire.ClientAnswer{Status: http.StatusOK})
+		answer(peerapi.ClientAnswer{Status: http.StatusOK})
 	}
 	if known := p.jobs[call.ID]; known != nil {
 		if known.record.Entry != call.Entry {
-			answer(siblingwire.ClientAnswer{Status: http.StatusConflict, Why: "the ID belongs to a job of another queue"})
+			answer(peerapi.ClientAnswer{Status: http.StatusConflict, Why: "the ID belongs to a job of another queue"})
 			return
 		}
 		p.after(accepted)
@@ -34,7 +34,7 @@
 	}
 	spec, err := jobtable.Read(call.Body)
 	if err != nil {
-		answer(siblingwire.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
+		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
 		return
 	}
 	p.meters.handIns.Inc()
@@ -54,16 +54,16 @@
 }
 
 // State, Count and Cancel speak only under a lease, checked again when they answer.
-func (p *Pool) State(call *siblingwire.ClientCall, answer answerClient) {
+func (p *Pool) State(call *peerapi.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	p.after(func(err error) {
 		switch {
 		case err != nil || p.tenure == nil || !p.tenure.HasLease():
 			answer(lost())
 		case one == nil:
-			answer(siblingwire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
+			answer(peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
 		default:
-			answer(siblingwire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + one.shown() + `"}`)})
+			answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + one.shown() + `"}`)})
 		}
 	})
 }
@@ -75,18 +75,18 @@
 	return j.state
 }
 
-func (p *Pool) Count(call *siblingwire.ClientCall, answer answerClient) {
+func (p *Pool) Count(call *peerapi.ClientCall, answer answerClient) {
 	p.after(func(err error) {
 		if err != nil || p.tenure == nil || !p.tenure.HasLease() {
 			answer(lost())
 			return
 		}
 		count := strconv.Itoa(max(0, p.queued[call.Entry]))
-		answer(siblingwire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)})
+		answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)})
 	})
 }
 
-func (p *Pool) Cancel(call *siblingwire.ClientCall, answer answerClient) {
+func (p *Pool) Cancel(call *peerapi.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	if one != nil && one.isOpen() {
 		p.record.Record(daybook.Event{Kind: daybook.KindCancel, AtMs: p.tenure.WallMs(), ID: call.ID})
@@ -97,9 +97,9 @@
 		case err != nil || p.tenure == nil || !p.tenure.HasLease():
 			answer(lost())
 		case one == nil:
-			answer(siblingwire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
+			answer(peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
 		default:
-			answer(siblingwire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
+			answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
 		}
 	})
 }
--- a/internal/poolowner/cost_test.go
+++ b/internal/poolowner/cost_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // prompt is a tenure whose commits succeed at once; it counts what they would write.
@@ -26,7 +26,7 @@
 func (t *prompt) HasLease() bool { return true }
 func (t *prompt) WallMs() int64  { return t.clock.WallMs() }
 
-func (t *prompt) Commit(ops []siblingwire.Op, done func(error)) {
+func (t *prompt) Commit(ops []peerapi.Op, done func(error)) {
 	t.ops += len(ops)
 	for _, op := range ops {
 		t.bytes += len(op.Name) + len(op.Value)
@@ -37,7 +37,7 @@
 	done(nil)
 }
 
-func (t *prompt) keep(ops []siblingwire.Op) {
+func (t *prompt) keep(ops []peerapi.Op) {
 	for _, op := range ops {
 		t.kept[op.Name] = op.Value
 		if len(op.Value) == 0 {
@@ -53,8 +53,8 @@
 	labels  []string
 	ends    int64
 	look    uint64
-	running []siblingwire.Order
-	answers []siblingwire.OrderAnswer
+	running []peerapi.Order
+	answers []peerapi.OrderAnswer
 }
 
 // crowd is a pool with full executors and a backlog of open steps.
@@ -104,27 +104,27 @@
 
 // handIn gives one job in the mix of a board: most are short and urgent, some long, some spread out.
 func (c *crowd) handIn(number int) {
-	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, siblingwire.EntryTerms{Stretch: 1.5, TargetMs: 250}
+	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, peerapi.EntryTerms{Stretch: 1.5, TargetMs: 250}
 	switch number % 10 {
 	case 8:
-		step, terms = `{"task-count":46,"cpu-units":5000,"memory-req-mb":9200,"estimated-ms":6000}`, siblingwire.EntryTerms{Priority: 2, Stretch: 3.2, TargetMs: 3000}
+		step, terms = `{"task-count":46,"cpu-units":5000,"memory-req-mb":9200,"estimated-ms":6000}`, peerapi.EntryTerms{Priority: 2, Stretch: 3.2, TargetMs: 3000}
 	case 9:
-		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, siblingwire.EntryTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
+		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, peerapi.EntryTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
 	}
 	c.jobs++
-	c.pool.HandIn(&siblingwire.ClientCall{Verb: "hand-in", Entry: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
-		Body: []byte(`{"task-descriptor":"` + fmt.Sprintf("%0200d", c.jobs) + `","step-list":[` + step + `]}`)}, func(siblingwire.ClientAnswer) {})
+	c.pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
+		Body: []byte(`{"task-descriptor":"` + fmt.Sprintf("%0200d", c.jobs) + `","step-list":[` + step + `]}`)}, func(peerapi.ClientAnswer) {})
 	c.pool.Settle()
 }
 
-func (c *crowd) exchange(one *hand, ends []siblingwire.EndReport) {
-	call := &siblingwire.ExchangeCall{Key: "pool/s", Life: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
-		Room: siblingwire.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, Look: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
+func (c *crowd) exchange(one *hand, ends []peerapi.EndReport) {
+	call := &peerapi.ExchangeCall{Key: "pool/s", Life: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
+		Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, Look: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
 	one.answers, one.look = nil, 0
-	c.pool.Exchange(call, func(answer siblingwire.ExchangeAnswer) {
+	c.pool.Exchange(call, func(answer peerapi.ExchangeAnswer) {
 		for _, order := range answer.Orders {
 			one.running = append(one.running, order)
-			one.answers = append(one.answers, siblingwire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: poolowner.ResultOK})
+			one.answers = append(one.answers, peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: poolowner.ResultOK})
 			c.starts++
 		}
 	})
@@ -138,7 +138,7 @@
 	gone := one.running[0]
 	one.running = one.running[1:]
 	one.ends++
-	c.exchange(one, []siblingwire.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, How: "done"}})
+	c.exchange(one, []peerapi.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, How: "done"}})
 	c.pool.Settle()
 	c.exchange(one, nil)
 	c.pool.Settle()
@@ -220,7 +220,7 @@
 	eachSize(b, func(b *testing.B, c *crowd) {
 		for range b.N {
 			c.handIn(0)
-			c.pool.Cancel(&siblingwire.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(siblingwire.ClientAnswer) {})
+			c.pool.Cancel(&peerapi.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(peerapi.ClientAnswer) {})
 			c.pool.Settle()
 		}
 	})
@@ -233,9 +233,9 @@
 			kept := map[string][]byte{}
 			c := newCrowdKept(executors, 300, kept)
 			c.tenure.kept = nil
-			var pairs []siblingwire.Op
+			var pairs []peerapi.Op
 			for name, value := range kept {
-				pairs = append(pairs, siblingwire.Op{Name: name, Value: value})
+				pairs = append(pairs, peerapi.Op{Name: name, Value: value})
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/poolowner/exchange.go
+++ b/internal/poolowner/exchange.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"gannetline/internal/daybook"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // Results a local-proxy gives for an order.
@@ -20,7 +20,7 @@
 )
 
 // Exchange takes what a local-proxy says of its executor, and answers with orders, grant and acks.
-func (p *Pool) Exchange(call *siblingwire.ExchangeCall, answer func(siblingwire.ExchangeAnswer)) {
+func (p *Pool) Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
 	now := p.clock.Steady()
 	home := p.lifeOf(call.Life)
 	call, isTaken := home.heard.take(call)
@@ -63,16 +63,16 @@
 }
 
 // answerAck tells the proxy at once, with the commit, how far its ends are taken note of.
-func (p *Pool) answerAck(home *life, err error, answer func(siblingwire.ExchangeAnswer)) {
+func (p *Pool) answerAck(home *life, err error, answer func(peerapi.ExchangeAnswer)) {
 	if err != nil || p.tenure == nil {
-		answer(siblingwire.ExchangeAnswer{Elsewhere: true})
+		answer(peerapi.ExchangeAnswer{Elsewhere: true})
 		return
 	}
 	answer(p.answerFor(home))
 }
 
 // learnContact takes what every exchange tells, also one whose base is not known here.
-func (p *Pool) learnContact(home *life, call *siblingwire.ExchangeCall, now time.Duration) {
+func (p *Pool) learnContact(home *life, call *peerapi.ExchangeCall, now time.Duration) {
 	p.roster.note(home)
 	isBlocked := pulse.Ms(call.HoldAgeMs) > p.timing.HoldStale
 	if home.isBlocked && !isBlocked {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (p *Pool) learnFacts(home *life, call *siblingwire.ExchangeCall, now time.Duration) {
+func (p *Pool) learnFacts(home *life, call *peerapi.ExchangeCall, now time.Duration) {
 	if !home.isKnown || home.isDraining != call.Draining {
 		p.needsPlacing = true
 	}
@@ -118,9 +118,9 @@
 	}
 }
 
-func (p *Pool) answerFor(home *life) siblingwire.ExchangeAnswer {
+func (p *Pool) answerFor(home *life) peerapi.ExchangeAnswer {
 	now := p.clock.Steady()
-	answer := siblingwire.ExchangeAnswer{Fence: p.tenure.Epoch(), LastSeen: home.lastSeen, Look: home.lookWanted, Held: home.heard.held}
+	answer := peerapi.ExchangeAnswer{Fence: p.tenure.Epoch(), LastSeen: home.lastSeen, Look: home.lookWanted, Held: home.heard.held}
 	if !home.isBlocked && p.tenure.HasLease() {
 		answer.GrantMs = pulse.InMs(p.timing.Grant)
 		home.lapsesAt = max(home.lapsesAt, now+p.lapse(p.timing.Grant))
@@ -145,8 +145,8 @@
 	return answer
 }
 
-func (p *Pool) order(one *run) siblingwire.Order {
-	order := siblingwire.Order{Kind: kindStop, Task: one.task.name, Run: one.number}
+func (p *Pool) order(one *run) peerapi.Order {
+	order := peerapi.Order{Kind: kindStop, Task: one.task.name, Run: one.number}
 	if one.state == runLaunching {
 		order.Kind, order.Spec, order.Saved = kindLaunch, one.task.job().spec.Descriptor, one.task.checkpoint()
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-func (p *Pool) unpark(home *life, answer siblingwire.ExchangeAnswer) {
+func (p *Pool) unpark(home *life, answer peerapi.ExchangeAnswer) {
 	if home.parked != nil {
 		reply := home.parked.answer
 		home.parked = nil
@@ -180,7 +180,7 @@
 	p.answerParked(home)
 }
 
-func (p *Pool) takeAnswer(home *life, answer siblingwire.OrderAnswer) {
+func (p *Pool) takeAnswer(home *life, answer peerapi.OrderAnswer) {
 	one := home.runs[runKey{answer.Task, answer.Run}]
 	if one == nil {
 		return
@@ -223,7 +223,7 @@
 	}
 }
 
-func (p *Pool) takeEnds(home *life, ends []siblingwire.EndReport) (hasNews bool) {
+func (p *Pool) takeEnds(home *life, ends []peerapi.EndReport) (hasNews bool) {
 	if !home.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= home.notedEnd {
 		return false
 	}
@@ -242,7 +242,7 @@
 	return true
 }
 
-func (p *Pool) takeChanged(home *life, changed []siblingwire.RunReport) {
+func (p *Pool) takeChanged(home *life, changed []peerapi.RunReport) {
 	for _, report := range changed {
 		one := home.runs[runKey{report.Task, report.Run}]
 		if one == nil {
@@ -256,7 +256,7 @@
 	}
 }
 
-func (p *Pool) takeLook(home *life, call *siblingwire.ExchangeCall) {
+func (p *Pool) takeLook(home *life, call *peerapi.ExchangeCall) {
 	if call.Look == 0 || !home.isFenced {
 		return
 	}
@@ -264,7 +264,7 @@
 	for _, report := range call.Running {
 		key := runKey{report.Task, report.Run}
 		running[key] = true
-		hasEnded := slices.ContainsFunc(call.Ends, func(end siblingwire.EndReport) bool { return end.Task == report.Task && end.Run == report.Run })
+		hasEnded := slices.ContainsFunc(call.Ends, func(end peerapi.EndReport) bool { return end.Task == report.Task && end.Run == report.Run })
 		if home.runs[key] == nil && !hasEnded {
 			p.stray(home, report)
 		}
@@ -296,8 +296,8 @@
 }
 
 // stray stops a run that no record knows, such as one carried out long after its order was given up.
-func (p *Pool) stray(home *life, report siblingwire.RunReport) {
-	order := siblingwire.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
+func (p *Pool) stray(home *life, report peerapi.RunReport) {
+	order := peerapi.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
 	if !slices.Contains(home.strays, order) {
 		p.log.Info("stopping a run that no record knows", "task", report.Task, "run", report.Run, "executor", home.id)
 		home.strays = append(home.strays, order)
@@ -307,7 +307,7 @@
 // lifeGone closes all that ran on a life that certainly runs nothing any more.
 func (p *Pool) lifeGone(home *life) {
 	home.isKnown = false
-	p.unpark(home, siblingwire.ExchangeAnswer{})
+	p.unpark(home, peerapi.ExchangeAnswer{})
 	for _, one := range home.inOrder() {
 		step := one.task.step
 		p.closeRun(one)
--- a/internal/poolowner/feed_test.go
+++ b/internal/poolowner/feed_test.go
@@ -15,21 +15,21 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 const tasksHere = 6
 
 type letter struct {
-	call  siblingwire.ExchangeCall
+	call  peerapi.ExchangeCall
 	table *localproxy.Table
 }
 
 type returned struct {
 	letter
-	answer siblingwire.ExchangeAnswer
+	answer peerapi.ExchangeAnswer
 }
 
 // postOffice carries exchanges between a real proxy's table and a real pool, and may lose, double and reorder them.
@@ -53,11 +53,11 @@
 	clock := pulse.NewFake(1_000_000)
 	o := &postOffice{draw: rand.New(rand.NewPCG(seed, 7)), clock: clock, saved: map[string]string{}, truth: map[[2]uint64]picture{},
 		tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}},
-		beat:   executorcalls.Beat{Service: "s", State: "ready", Room: siblingwire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
+		beat:   executorcalls.Beat{Service: "s", State: "ready", Room: peerapi.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
-	o.pool.HandIn(&siblingwire.ClientCall{Entry: "e", ID: id, Terms: &siblingwire.EntryTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
-		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(siblingwire.ClientAnswer) {})
+	o.pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &peerapi.EntryTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
+		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(peerapi.ClientAnswer) {})
 	o.settle()
 	for range 4 {
 		o.exchangeAll()
@@ -114,7 +114,7 @@
 	saved map[string]string
 }
 
-func pictureOf(call siblingwire.ExchangeCall, saved map[string]string) picture {
+func pictureOf(call peerapi.ExchangeCall, saved map[string]string) picture {
 	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Room, call.Draining), maps.Clone(saved)}
 }
 
@@ -127,9 +127,9 @@
 func (o *postOffice) deliver(one letter) {
 	text, err := easyjson.Marshal(one.call)
 	Expect(err).NotTo(HaveOccurred())
-	var call siblingwire.ExchangeCall
+	var call peerapi.ExchangeCall
 	Expect(easyjson.Unmarshal(text, &call)).To(Succeed())
-	o.pool.Exchange(&call, func(answer siblingwire.ExchangeAnswer) { o.answers = append(o.answers, returned{one, answer}) })
+	o.pool.Exchange(&call, func(answer peerapi.ExchangeAnswer) { o.answers = append(o.answers, returned{one, answer}) })
 	o.settle()
 }
 
@@ -175,7 +175,7 @@
 func (o *postOffice) noteTruth() {
 	call := o.calls[len(o.calls)-1].call
 	place := [2]uint64{call.Session, call.Number}
-	now := pictureOf(siblingwire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Room: o.beat.Room}, o.saved)
+	now := pictureOf(peerapi.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Room: o.beat.Room}, o.saved)
 	if was, isThere := o.truth[place]; isThere {
 		Expect(now).To(Equal(was), "number %v stands for two things", place)
 	}
@@ -256,7 +256,7 @@
 
 var _ = Describe("an owner that lacks the base of what a proxy tells", func() {
 	var o *postOffice
-	answered := func() siblingwire.ExchangeAnswer {
+	answered := func() peerapi.ExchangeAnswer {
 		o.compose()
 		o.deliver(o.calls[len(o.calls)-1])
 		last := o.answers[len(o.answers)-1]
--- a/internal/poolowner/heard.go
+++ b/internal/poolowner/heard.go
@@ -1,16 +1,16 @@
 package poolowner
 
-import "gannetline/internal/siblingwire"
+import "gannetline/internal/peerapi"
 
 // heard is what a local-proxy has told of an executor, up to a number of its session.
 type heard struct {
 	session uint64
 	held    uint64
-	facts   siblingwire.ExchangeCall
+	facts   peerapi.ExchangeCall
 }
 
 // take gives the call with all that it left out put back; it is false where the base is not known here.
-func (h *heard) take(call *siblingwire.ExchangeCall) (*siblingwire.ExchangeCall, bool) {
+func (h *heard) take(call *peerapi.ExchangeCall) (*peerapi.ExchangeCall, bool) {
 	whole := *call
 	if call.Session == 0 {
 		whole.Changed = call.Running
@@ -29,12 +29,12 @@
 	return &whole, true
 }
 
-func putFacts(to, from *siblingwire.ExchangeCall) {
+func putFacts(to, from *peerapi.ExchangeCall) {
 	to.Proxy, to.Domain, to.Labels, to.Room, to.Draining, to.Gone = from.Proxy, from.Domain, from.Labels, from.Room, from.Draining, from.Gone
 }
 
 // follows begins a later session with its whole.
-func (h *heard) follows(call *siblingwire.ExchangeCall) bool {
+func (h *heard) follows(call *peerapi.ExchangeCall) bool {
 	if call.Session == h.session {
 		return call.Base <= h.held
 	}
--- a/internal/poolowner/model.go
+++ b/internal/poolowner/model.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"gannetline/internal/jobtable"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/placetasks"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -231,7 +231,7 @@
 	slow       float64
 	runs       map[runKey]*run
 	outbox     []*run
-	strays     []siblingwire.Order
+	strays     []peerapi.Order
 	parked     *parkedCall
 	isBlocked  bool
 	isRecorded bool
@@ -263,5 +263,5 @@
 
 type parkedCall struct {
 	until  time.Duration
-	answer func(siblingwire.ExchangeAnswer)
+	answer func(peerapi.ExchangeAnswer)
 }
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -18,17 +18,17 @@
 	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/placetasks"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 )
 
 // Tenure is what a pool needs of the ownership of its key.
 type Tenure interface {
 	Epoch() uint64
-	Commit(ops []siblingwire.Op, done func(error))
+	Commit(ops []peerapi.Op, done func(error))
 	HasLease() bool
 	WallMs() int64
 }
@@ -80,7 +80,7 @@
 	needsPlacing bool
 	trusts       map[string]*trust
 
-	ops      []siblingwire.Op
+	ops      []peerapi.Op
 	opPlaces map[string]int
 	opTasks  []*task
 	effects  []func(error)
@@ -122,11 +122,11 @@
 // Opener lets an engine hand the key to the pool.
 type Opener struct{ *Pool }
 
-func (o Opener) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
+func (o Opener) Open(tenure *replication.Tenure, pairs []peerapi.Op) error {
 	return o.Pool.Open(tenure, pairs)
 }
 
-func (p *Pool) Open(tenure Tenure, pairs []siblingwire.Op) error {
+func (p *Pool) Open(tenure Tenure, pairs []peerapi.Op) error {
 	p.jobs, p.lives, p.queued = map[string]*job{}, map[string]*life{}, map[string]int{}
 	p.roster, p.open, p.usage = roster{}, newOpenSteps(), map[int]usage{}
 	p.pending, p.broken, p.ended, p.timesAtMs = map[*run]bool{}, map[*stepState]bool{}, nil, 0
@@ -146,7 +146,7 @@
 func (p *Pool) Close() {
 	p.tenure = nil
 	for _, one := range p.roster.lives {
-		p.unpark(one, siblingwire.ExchangeAnswer{Elsewhere: true})
+		p.unpark(one, peerapi.ExchangeAnswer{Elsewhere: true})
 	}
 	p.meters.clear()
 	flights, effects := p.flights, p.effects
@@ -172,13 +172,13 @@
 		p.log.Error(err, "a record could not be written", "name", name)
 		return
 	}
-	p.setOp(siblingwire.Op{Name: name, Value: text}, nil)
+	p.setOp(peerapi.Op{Name: name, Value: text}, nil)
 }
 
-func (p *Pool) drop(name string) { p.setOp(siblingwire.Op{Name: name}, nil) }
+func (p *Pool) drop(name string) { p.setOp(peerapi.Op{Name: name}, nil) }
 
 // setOp takes the value of a task's record from the task itself, when the turn is committed.
-func (p *Pool) setOp(op siblingwire.Op, which *task) {
+func (p *Pool) setOp(op peerapi.Op, which *task) {
 	if place, isThere := p.opPlaces[op.Name]; isThere {
 		p.ops[place], p.opTasks[place] = op, which
 		return
@@ -247,8 +247,8 @@
 	}
 }
 
-func (p *Pool) load(pairs []siblingwire.Op) error {
-	kept := map[byte][]siblingwire.Op{}
+func (p *Pool) load(pairs []peerapi.Op) error {
+	kept := map[byte][]peerapi.Op{}
 	for _, pair := range pairs {
 		if len(pair.Name) > 2 {
 			kept[pair.Name[0]] = append(kept[pair.Name[0]], pair)
@@ -473,7 +473,7 @@
 	}
 }
 
-func (p *Pool) putTask(which *task) { p.setOp(siblingwire.Op{Name: "t/" + which.name}, which) }
+func (p *Pool) putTask(which *task) { p.setOp(peerapi.Op{Name: "t/" + which.name}, which) }
 
 // writeTasks gives each task that changed its record as it is at the end of the turn.
 func (p *Pool) writeTasks() {
@@ -502,6 +502,6 @@
 	return "o/" + which.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
 }
 
-func room(capacity siblingwire.Capacity) placetasks.Room {
+func room(capacity peerapi.Capacity) placetasks.Room {
 	return placetasks.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
 }
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/poolowner/poolowner_test.go
@@ -11,9 +11,9 @@
 	"gannetline/internal/daybook"
 	"gannetline/internal/logs"
 	"gannetline/internal/metrics"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // scripted is a tenure whose commits the test finishes.
@@ -29,7 +29,7 @@
 func (s *scripted) HasLease() bool { return s.hasLease }
 func (s *scripted) WallMs() int64  { return s.clock.WallMs() }
 
-func (s *scripted) Commit(ops []siblingwire.Op, done func(error)) {
+func (s *scripted) Commit(ops []peerapi.Op, done func(error)) {
 	s.waiting = append(s.waiting, func(err error) {
 		if err == nil {
 			for _, op := range ops {
@@ -51,10 +51,10 @@
 	}
 }
 
-func (s *scripted) pairs() []siblingwire.Op {
-	var all []siblingwire.Op
+func (s *scripted) pairs() []peerapi.Op {
+	var all []peerapi.Op
 	for name, value := range s.kept {
-		all = append(all, siblingwire.Op{Name: name, Value: value})
+		all = append(all, peerapi.Op{Name: name, Value: value})
 	}
 	return all
 }
@@ -91,34 +91,34 @@
 	var tenure *scripted
 	var pool *poolowner.Pool
 	var accepted []int
-	open := func(epoch uint64, pairs []siblingwire.Op) {
+	open := func(epoch uint64, pairs []peerapi.Op) {
 		tenure.epoch = epoch
 		pool = poolowner.New("pool/s", clock, timing, logs.Silent())
 		Expect(pool.Open(tenure, pairs)).To(Succeed())
 	}
-	exchange := func(change func(*siblingwire.ExchangeCall)) *siblingwire.ExchangeAnswer {
-		call := &siblingwire.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: siblingwire.Capacity{CPU: 4000, Memory: 4000},
+	exchange := func(change func(*peerapi.ExchangeCall)) *peerapi.ExchangeAnswer {
+		call := &peerapi.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: peerapi.Capacity{CPU: 4000, Memory: 4000},
 			Labels: []string{"a", "r1"}, Fence: tenure.epoch, Look: 1 << 40}
 		if change != nil {
 			change(call)
 		}
-		var told *siblingwire.ExchangeAnswer
-		pool.Exchange(call, func(answer siblingwire.ExchangeAnswer) { told = &answer })
+		var told *peerapi.ExchangeAnswer
+		pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { told = &answer })
 		pool.Settle()
 		return told
 	}
 	handIn := func() {
-		pool.HandIn(&siblingwire.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &siblingwire.EntryTerms{MaxAttempts: 2},
+		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &peerapi.EntryTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
-			func(answer siblingwire.ClientAnswer) { accepted = append(accepted, answer.Status) })
+			func(answer peerapi.ClientAnswer) { accepted = append(accepted, answer.Status) })
 		pool.Settle()
 	}
-	started := func(call *siblingwire.ExchangeCall) {
-		call.Answers = []siblingwire.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
+	started := func(call *peerapi.ExchangeCall) {
+		call.Answers = []peerapi.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
 	}
-	ended := func(how string) func(*siblingwire.ExchangeCall) {
-		return func(call *siblingwire.ExchangeCall) {
-			call.Ends = []siblingwire.EndReport{{Number: 1, Task: task, Run: 1, How: how}}
+	ended := func(how string) func(*peerapi.ExchangeCall) {
+		return func(call *peerapi.ExchangeCall) {
+			call.Ends = []peerapi.EndReport{{Number: 1, Task: task, Run: 1, How: how}}
 		}
 	}
 	BeforeEach(func() {
@@ -157,10 +157,10 @@
 		exchange(ended("failed"))
 		tenure.settle(nil)
 		exchange(nil)
-		exchange(func(call *siblingwire.ExchangeCall) {
-			call.Answers = []siblingwire.OrderAnswer{{Task: task, Run: 2, Kind: "launch", Result: "ok"}}
+		exchange(func(call *peerapi.ExchangeCall) {
+			call.Answers = []peerapi.OrderAnswer{{Task: task, Run: 2, Kind: "launch", Result: "ok"}}
 		})
-		pool.Cancel(&siblingwire.ClientCall{ID: id}, func(siblingwire.ClientAnswer) {})
+		pool.Cancel(&peerapi.ClientCall{ID: id}, func(peerapi.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
 		exchange(nil)
@@ -184,15 +184,15 @@
 	It("counts a spare run apart", func() {
 		spares := `gannetline_pool_spares_total{key="pool/s"}`
 		before := metrics.Own()[spares]
-		pool.HandIn(&siblingwire.ClientCall{Verb: "hand-in", Entry: "e", ID: id,
-			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(siblingwire.ClientAnswer) {})
+		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id,
+			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(peerapi.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
 		exchange(nil)
 		exchange(started)
 		Expect(metrics.Own()[spares]).To(Equal(before))
 		clock.Advance(800 * time.Millisecond)
-		exchange(func(call *siblingwire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
+		exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
 		pool.Tick()
 		pool.Settle()
 		Expect(metrics.Own()[spares] - before).To(Equal(1.0))
@@ -236,10 +236,10 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		var told *siblingwire.ExchangeAnswer
-		call := &siblingwire.ExchangeCall{Key: "pool/s", Life: "i-1", Fence: 3}
+		var told *peerapi.ExchangeAnswer
+		call := &peerapi.ExchangeCall{Key: "pool/s", Life: "i-1", Fence: 3}
 		ended("done")(call)
-		pool.Exchange(call, func(answer siblingwire.ExchangeAnswer) { told = &answer })
+		pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { told = &answer })
 		pool.Settle()
 		Expect(told).To(BeNil())
 		tenure.settle(nil)
@@ -251,7 +251,7 @@
 		tenure.settle(nil)
 		exchange(nil)
 		open(4, tenure.pairs())
-		Expect(exchange(func(call *siblingwire.ExchangeCall) { call.Fence, call.Look = 3, 0 }).Orders).To(BeEmpty())
+		Expect(exchange(func(call *peerapi.ExchangeCall) { call.Fence, call.Look = 3, 0 }).Orders).To(BeEmpty())
 		answer := exchange(nil)
 		tenure.settle(nil)
 		if len(answer.Orders) == 0 {
@@ -266,14 +266,14 @@
 		tenure.settle(nil)
 		exchange(nil)
 		open(4, tenure.pairs())
-		exchange(func(call *siblingwire.ExchangeCall) { call.Running = []siblingwire.RunReport{{Task: task, Run: 1}} })
+		exchange(func(call *peerapi.ExchangeCall) { call.Running = []peerapi.RunReport{{Task: task, Run: 1}} })
 		tenure.settle(nil)
 		Expect(exchange(nil).Orders).To(BeEmpty())
 		Expect(tenure.has("o/")).To(BeFalse())
 		exchange(ended("done"))
 		tenure.settle(nil)
 		var state string
-		pool.State(&siblingwire.ClientCall{ID: id}, func(answer siblingwire.ClientAnswer) { state = string(answer.Body) })
+		pool.State(&peerapi.ClientCall{ID: id}, func(answer peerapi.ClientAnswer) { state = string(answer.Body) })
 		pool.Settle()
 		Expect(state).To(ContainSubstring("completed"))
 	})
@@ -284,7 +284,7 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		other := func(call *siblingwire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }
+		other := func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }
 		for waited := time.Duration(0); waited < 6300*time.Millisecond; waited += 50 * time.Millisecond {
 			clock.Advance(50 * time.Millisecond)
 			pool.Tick()
@@ -307,8 +307,8 @@
 		exchange(started)
 		tenure.settle(nil)
 		open(4, tenure.pairs())
-		next := func(call *siblingwire.ExchangeCall) { call.Life = "i-2" }
-		unfenced := func(call *siblingwire.ExchangeCall) { call.Life, call.Fence, call.Look = "i-2", 3, 0 }
+		next := func(call *peerapi.ExchangeCall) { call.Life = "i-2" }
+		unfenced := func(call *peerapi.ExchangeCall) { call.Life, call.Fence, call.Look = "i-2", 3, 0 }
 		exchange(unfenced)
 		pool.Tick()
 		pool.Settle()
@@ -328,7 +328,7 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		next := func(call *siblingwire.ExchangeCall) { call.Life = "i-2" }
+		next := func(call *peerapi.ExchangeCall) { call.Life = "i-2" }
 		for waited := time.Duration(0); waited < 2500*time.Millisecond; waited += 50 * time.Millisecond {
 			clock.Advance(50 * time.Millisecond)
 			exchange(next)
@@ -350,7 +350,7 @@
 		handIn()
 		tenure.settle(nil)
 		exchange(nil)
-		exchange(func(call *siblingwire.ExchangeCall) { call.Life = "i-0" })
+		exchange(func(call *peerapi.ExchangeCall) { call.Life = "i-0" })
 		exchange(started)
 		tenure.settle(nil)
 		clock.Advance(100 * time.Millisecond)
@@ -371,7 +371,7 @@
 		tenure.settle(nil)
 		exchange(nil)
 		clock.Advance(90 * time.Millisecond)
-		exchange(func(call *siblingwire.ExchangeCall) {
+		exchange(func(call *peerapi.ExchangeCall) {
 			started(call)
 			call.Answers[0].AgeMs = 80
 			ended("done")(call)
@@ -380,8 +380,8 @@
 	})
 
 	It("gives an executor time to be heard after a take-over before its runs get spares", func() {
-		pool.HandIn(&siblingwire.ClientCall{Entry: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
-			func(siblingwire.ClientAnswer) {})
+		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
+			func(peerapi.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
 		exchange(nil)
@@ -389,10 +389,10 @@
 		tenure.settle(nil)
 		clock.Advance(time.Second)
 		open(4, tenure.pairs())
-		orders := func() []siblingwire.Order {
-			exchange(func(call *siblingwire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
+		orders := func() []peerapi.Order {
+			exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
 			tenure.settle(nil)
-			return exchange(func(call *siblingwire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders
+			return exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders
 		}
 		Expect(orders()).To(BeEmpty())
 		clock.Advance(750 * time.Millisecond)
@@ -406,17 +406,17 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		exchange(func(call *siblingwire.ExchangeCall) {
+		exchange(func(call *peerapi.ExchangeCall) {
 			call.Gone, call.Life, call.Proxy = []string{"i-1"}, "i-2", "side-2"
 		})
 		tenure.settle(nil)
 		exchange(ended("done"))
 		tenure.settle(nil)
 		var state string
-		pool.State(&siblingwire.ClientCall{ID: id}, func(answer siblingwire.ClientAnswer) { state = string(answer.Body) })
+		pool.State(&peerapi.ClientCall{ID: id}, func(answer peerapi.ClientAnswer) { state = string(answer.Body) })
 		pool.Settle()
 		Expect(state).To(ContainSubstring("completed"))
-		Expect(exchange(func(call *siblingwire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
+		Expect(exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
 	})
 
 	It("grants nothing without a lease", func() {
@@ -427,8 +427,8 @@
 	})
 
 	It("says 410 only under a lease", func() {
-		ask := func() (told siblingwire.ClientAnswer) {
-			pool.State(&siblingwire.ClientCall{ID: id}, func(answer siblingwire.ClientAnswer) { told = answer })
+		ask := func() (told peerapi.ClientAnswer) {
+			pool.State(&peerapi.ClientCall{ID: id}, func(answer peerapi.ClientAnswer) { told = answer })
 			pool.Settle()
 			return told
 		}
@@ -438,17 +438,17 @@
 	})
 
 	It("stops a run that no record knows", func() {
-		answer := exchange(func(call *siblingwire.ExchangeCall) {
-			call.Running = []siblingwire.RunReport{{Task: "x.0.0.0", Run: 9}}
+		answer := exchange(func(call *peerapi.ExchangeCall) {
+			call.Running = []peerapi.RunReport{{Task: "x.0.0.0", Run: 9}}
 		})
-		Expect(answer.Orders).To(ConsistOf(siblingwire.Order{Kind: "stop", Task: "x.0.0.0", Run: 9}))
+		Expect(answer.Orders).To(ConsistOf(peerapi.Order{Kind: "stop", Task: "x.0.0.0", Run: 9}))
 	})
 
 	It("refuses a job of a queue whose ID is another queue's", func() {
 		handIn()
 		tenure.settle(nil)
 		var status int
-		pool.HandIn(&siblingwire.ClientCall{Entry: "other", ID: id, Body: []byte(`{}`)}, func(answer siblingwire.ClientAnswer) { status = answer.Status })
+		pool.HandIn(&peerapi.ClientCall{Entry: "other", ID: id, Body: []byte(`{}`)}, func(answer peerapi.ClientAnswer) { status = answer.Status })
 		Expect(status).To(Equal(409))
 	})
 })
--- a/internal/poolowner/records.go
+++ b/internal/poolowner/records.go
@@ -3,16 +3,16 @@
 import (
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all records.go
 
 type jobRecord struct {
-	Entry      string                 `json:"entry"`
-	Terms      siblingwire.EntryTerms `json:"terms"`
-	AcceptedMs int64                  `json:"accepted"`
-	Spec       easyjson.RawMessage    `json:"spec"`
+	Entry      string              `json:"entry"`
+	Terms      peerapi.EntryTerms  `json:"terms"`
+	AcceptedMs int64               `json:"accepted"`
+	Spec       easyjson.RawMessage `json:"spec"`
 }
 
 type stateRecord struct {
--- a/internal/poolowner/runs.go
+++ b/internal/poolowner/runs.go
@@ -7,8 +7,8 @@
 
 	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // launch records the placement and its order in this turn's change; the order leaves after the commit.
@@ -139,7 +139,7 @@
 }
 
 // takeEnd is the second transaction of an order: what became of the run.
-func (p *Pool) takeEnd(home *life, end siblingwire.EndReport) {
+func (p *Pool) takeEnd(home *life, end peerapi.EndReport) {
 	one := home.runs[runKey{end.Task, end.Run}]
 	if one == nil {
 		p.takeForgottenEnd(end)
@@ -174,7 +174,7 @@
 }
 
 // takeForgottenEnd believes a run that was given up and came to its end all the same: its task must not start again.
-func (p *Pool) takeForgottenEnd(end siblingwire.EndReport) {
+func (p *Pool) takeForgottenEnd(end peerapi.EndReport) {
 	which := p.find(end.Task)
 	if end.How != "done" || which == nil || which.isDone || end.Run > which.lastRun {
 		return
--- a/internal/poolowner/tick.go
+++ b/internal/poolowner/tick.go
@@ -9,9 +9,9 @@
 
 	"github.com/mailru/easyjson"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/placetasks"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // Tick does all that falls due; Settle follows it.
@@ -205,20 +205,20 @@
 }
 
 // Beliefs shows jobs and executors to a comparison.
-func (p *Pool) Beliefs() ([]siblingwire.JobBelief, []siblingwire.ExecutorBelief) {
-	var jobs []siblingwire.JobBelief
-	var executors []siblingwire.ExecutorBelief
+func (p *Pool) Beliefs() ([]peerapi.JobBelief, []peerapi.ExecutorBelief) {
+	var jobs []peerapi.JobBelief
+	var executors []peerapi.ExecutorBelief
 	for id, one := range p.jobs {
-		jobs = append(jobs, siblingwire.JobBelief{Key: p.key, ID: id, State: one.shown()})
+		jobs = append(jobs, peerapi.JobBelief{Key: p.key, ID: id, State: one.shown()})
 	}
 	for id, home := range p.lives {
-		executors = append(executors, siblingwire.ExecutorBelief{Key: p.key, Life: id, State: home.shown(), Running: len(home.runs)})
+		executors = append(executors, peerapi.ExecutorBelief{Key: p.key, Life: id, State: home.shown(), Running: len(home.runs)})
 	}
 	return jobs, executors
 }
 
 // JobsOf reads what a replica of the pool says of its jobs.
-func JobsOf(key string, pairs []siblingwire.Op) []siblingwire.JobBelief {
+func JobsOf(key string, pairs []peerapi.Op) []peerapi.JobBelief {
 	states := map[string]string{}
 	for _, pair := range pairs {
 		kind, id, _ := strings.Cut(pair.Name, "/")
@@ -230,9 +230,9 @@
 			states[id] = record.State
 		}
 	}
-	var jobs []siblingwire.JobBelief
+	var jobs []peerapi.JobBelief
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		jobs = append(jobs, siblingwire.JobBelief{Key: key, ID: id, State: states[id]})
+		jobs = append(jobs, peerapi.JobBelief{Key: key, ID: id, State: states[id]})
 	}
 	return jobs
 }
--- a/internal/rehearseday/change.go
+++ b/internal/rehearseday/change.go
@@ -11,9 +11,9 @@
 	"github.com/juju/errors"
 	"go.yaml.in/yaml/v3"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
-	"gannetline/internal/siblingwire"
 )
 
 // Queue is what a change may say of one queue; what it leaves out stays.
@@ -124,7 +124,7 @@
 }
 
 // terms gives what a job is handed in with; its aim is judged by what was recorded.
-func (c *Change) terms(queue string, terms siblingwire.EntryTerms) siblingwire.EntryTerms {
+func (c *Change) terms(queue string, terms peerapi.EntryTerms) peerapi.EntryTerms {
 	change := c.Queues[queue]
 	set(&terms.Priority, change.Priority)
 	set(&terms.MaxAttempts, change.MaxAttempts)
--- a/internal/rehearseday/play.go
+++ b/internal/rehearseday/play.go
@@ -10,8 +10,8 @@
 
 	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/stage"
 )
 
@@ -84,7 +84,7 @@
 	if setup.Record != nil {
 		options = append(options, stage.WithPool(poolowner.WithRecorder(setup.Record)))
 	}
-	p.stage = stage.New(setup.Seed, 3, 0, siblingwire.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
+	p.stage = stage.New(setup.Seed, 3, 0, peerapi.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
 	for _, fault := range setup.Faults {
 		late := fault
 		late.At += warmUp
@@ -174,7 +174,7 @@
 func (p *play) handIn(one *playedJob) {
 	one.askedAt = p.stage.Line.Now()
 	terms := p.setup.Change.terms(one.event.Queue, one.event.Terms)
-	p.stage.HandIn(one.event.ID, one.event.Queue, one.event.Body, terms, func(answer siblingwire.ClientAnswer) {
+	p.stage.HandIn(one.event.ID, one.event.Queue, one.event.Body, terms, func(answer peerapi.ClientAnswer) {
 		one.isTaken = one.isTaken || answer.Status == 200
 	})
 }
@@ -182,7 +182,7 @@
 func (p *play) cancel(id string) {
 	if one := p.jobs[id]; one != nil {
 		one.isCancel = true
-		p.stage.Ask(siblingwire.ClientCall{Verb: "cancel", Entry: one.event.Queue, ID: id}, func(siblingwire.ClientAnswer) {})
+		p.stage.Ask(peerapi.ClientCall{Verb: "cancel", Entry: one.event.Queue, ID: id}, func(peerapi.ClientAnswer) {})
 	}
 }
 
--- a/internal/rehearseday/rehearseday_test.go
+++ b/internal/rehearseday/rehearseday_test.go
@@ -14,8 +14,8 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/daybook"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/rehearseday"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/stage"
 )
 
@@ -36,21 +36,21 @@
 	put(daybook.Event{Kind: daybook.KindHeader, AtMs: dawn, Version: daybook.Version, Node: "steward-1"})
 	for number := range 6 {
 		put(daybook.Event{Kind: daybook.KindExecutor, AtMs: dawn, Machine: fmt.Sprintf("side-%02d", number+1),
-			Room: siblingwire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
+			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
 	}
 	kinds := []struct {
 		queue, body string
-		terms       siblingwire.EntryTerms
+		terms       peerapi.EntryTerms
 		every       int
 	}{
 		{"rota-check", `{"task-descriptor":"","step-list":[{"task-count":8,"cpu-units":1500,"estimated-ms":250,"redundant":true}]}`,
-			siblingwire.EntryTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}, 300},
+			peerapi.EntryTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}, 300},
 		{"settlement", `{"task-descriptor":"","step-list":[{"task-count":4,"cpu-units":2000,"estimated-ms":350},{"task-count":1,"cpu-units":500,"estimated-ms":100,"depends-on":[0]}]}`,
-			siblingwire.EntryTerms{MaxAttempts: 2, Stretch: 1.5, TargetMs: 200}, 400},
+			peerapi.EntryTerms{MaxAttempts: 2, Stretch: 1.5, TargetMs: 200}, 400},
 		{"week-rebuild", `{"task-descriptor":"","step-list":[{"task-count":3,"cpu-units":2000,"estimated-ms":12000,"checkpointing":true}]}`,
-			siblingwire.EntryTerms{Priority: 2, MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000}, 1100},
+			peerapi.EntryTerms{Priority: 2, MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000}, 1100},
 		{"orchard-season", `{"task-descriptor":"","step-list":[{"task-count":3,"cpu-units":4000,"estimated-ms":4000,"gang-scheduled":true}]}`,
-			siblingwire.EntryTerms{Priority: 2, MaxAttempts: 4, Stretch: 3.2, TargetMs: 3000}, 3000},
+			peerapi.EntryTerms{Priority: 2, MaxAttempts: 4, Stretch: 3.2, TargetMs: 3000}, 3000},
 	}
 	for at := range 20000 / 50 {
 		for kind, one := range kinds {
--- a/internal/replication/engine.go
+++ b/internal/replication/engine.go
@@ -7,30 +7,30 @@
 	"time"
 
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/storage"
 )
 
 // Links carries an engine's calls; each answer comes back on the engine's own goroutine.
 type Links interface {
-	Promise(disk string, call siblingwire.PromiseCall, done func(siblingwire.PromiseAnswer, error))
-	Append(disk string, call siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error))
-	Fetch(disk string, call siblingwire.FetchCall, done func(siblingwire.FetchAnswer, error))
+	Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error))
+	Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error))
+	Fetch(disk string, call peerapi.FetchCall, done func(peerapi.FetchAnswer, error))
 	Standing(key string, done func(Standing))
 	History(key string, done func(History))
-	ReadLocal(key string) (siblingwire.Snapshot, error)
-	InstallLocal(call siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error))
+	ReadLocal(key string) (peerapi.Snapshot, error)
+	InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error))
 }
 
 // Machine is what lives on a key while this steward owns it.
 type Machine interface {
-	Open(tenure *Tenure, pairs []siblingwire.Op) error
+	Open(tenure *Tenure, pairs []peerapi.Op) error
 	Close()
 }
 
 // Stewards tells where disks are now: their members, alive or not.
-type Stewards func() []siblingwire.Member
+type Stewards func() []peerapi.Member
 
 type Timing struct {
 	Lease     time.Duration
@@ -62,7 +62,7 @@
 
 type follower struct {
 	disk       string
-	acked      siblingwire.Stamp
+	acked      peerapi.Stamp
 	isKnown    bool
 	isBusy     bool
 	needsWhole bool
@@ -95,7 +95,7 @@
 	members  Stewards
 	timing   Timing
 	log      logs.Logger
-	announce func(fact siblingwire.OwnerFact)
+	announce func(fact peerapi.OwnerFact)
 
 	phase      phase
 	isAsking   bool
@@ -104,13 +104,13 @@
 	epoch      uint64
 	highest    uint64
 	nextTry    time.Duration
-	tailBase   siblingwire.Stamp
-	last       siblingwire.Stamp
+	tailBase   peerapi.Stamp
+	last       peerapi.Stamp
 	committed  uint64
-	set        siblingwire.VoterSet
+	set        peerapi.VoterSet
 	setStep    uint64
 	followers  map[string]*follower
-	tail       []siblingwire.Change
+	tail       []peerapi.Change
 	tailSize   int
 	waiting    []waiter
 	tenure     *Tenure
@@ -138,13 +138,13 @@
 
 func WithLog(log logs.Logger) Option { return func(e *Engine) { e.log = log } }
 
-func WithAnnounce(announce func(siblingwire.OwnerFact)) Option {
+func WithAnnounce(announce func(peerapi.OwnerFact)) Option {
 	return func(e *Engine) { e.announce = announce }
 }
 
 func NewEngine(key, disk, name string, clock pulse.Pulse, links Links, machine Machine, members Stewards, options ...Option) *Engine {
 	engine := &Engine{key: key, disk: disk, name: name, clock: clock, links: links, machine: machine, members: members,
-		timing: DefaultTiming, size: 3, log: logs.Silent(), announce: func(siblingwire.OwnerFact) {}}
+		timing: DefaultTiming, size: 3, log: logs.Silent(), announce: func(peerapi.OwnerFact) {}}
 	for _, option := range options {
 		option(engine)
 	}
@@ -155,8 +155,8 @@
 
 func (e *Engine) Epoch() uint64 { return e.epoch }
 
-func (e *Engine) Belief() siblingwire.KeyBelief {
-	return siblingwire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.set}
+func (e *Engine) Belief() peerapi.KeyBelief {
+	return peerapi.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.set}
 }
 
 // Tick does all that falls due; it is called often.
@@ -243,12 +243,12 @@
 	e.phase = phaseAsking
 	e.attempt++
 	epoch := e.highest + 1
-	e.canvass(voters, epoch, true, func(granted map[string]siblingwire.PromiseAnswer) bool {
+	e.canvass(voters, epoch, true, func(granted map[string]peerapi.PromiseAnswer) bool {
 		if _, isAgreed := e.best(granted); !isAgreed {
 			return false
 		}
 		e.attempt++
-		e.canvass(voters, epoch, false, func(granted map[string]siblingwire.PromiseAnswer) bool {
+		e.canvass(voters, epoch, false, func(granted map[string]peerapi.PromiseAnswer) bool {
 			return e.tryOpen(epoch, granted)
 		})
 		return true
@@ -256,12 +256,12 @@
 }
 
 // canvass asks all voters at once; enough is tried at each grant until it is satisfied.
-func (e *Engine) canvass(voters []string, epoch uint64, isTrial bool, enough func(map[string]siblingwire.PromiseAnswer) bool) {
+func (e *Engine) canvass(voters []string, epoch uint64, isTrial bool, enough func(map[string]peerapi.PromiseAnswer) bool) {
 	attempt, heard := e.attempt, 0
-	granted := map[string]siblingwire.PromiseAnswer{}
+	granted := map[string]peerapi.PromiseAnswer{}
 	for _, disk := range voters {
-		call := siblingwire.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, Trial: isTrial}
-		e.links.Promise(disk, call, func(answer siblingwire.PromiseAnswer, err error) {
+		call := peerapi.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, Trial: isTrial}
+		e.links.Promise(disk, call, func(answer peerapi.PromiseAnswer, err error) {
 			heard++
 			if e.attempt != attempt || e.phase != phaseAsking {
 				return
@@ -288,7 +288,7 @@
 }
 
 // isOutvoted tells whether a sibling has a later state whose voters are others, so that this steward need not ask.
-func (e *Engine) isOutvoted(answer siblingwire.PromiseAnswer) bool {
+func (e *Engine) isOutvoted(answer peerapi.PromiseAnswer) bool {
 	return e.head.Last.Below(answer.Last) && !slices.Contains(disksOf(answer.Set), e.disk)
 }
 
@@ -301,20 +301,20 @@
 }
 
 // best is the furthest state among those who grant; isAgreed tells whether they are a majority of its voters.
-func (e *Engine) best(granted map[string]siblingwire.PromiseAnswer) (best siblingwire.PromiseAnswer, isAgreed bool) {
+func (e *Engine) best(granted map[string]peerapi.PromiseAnswer) (best peerapi.PromiseAnswer, isAgreed bool) {
 	for _, answer := range granted {
 		if best.Disk == "" || best.Last.Below(answer.Last) || best.Last == answer.Last && answer.Disk == e.disk {
 			best = answer
 		}
 	}
 	if len(best.Set.Now) == 0 {
-		best.Set = siblingwire.VoterSet{Now: e.birth}
+		best.Set = peerapi.VoterSet{Now: e.birth}
 	}
 	has := func(disk string) bool { _, isThere := granted[disk]; return isThere }
 	return best, has(e.disk) && Agreed(best.Set, has)
 }
 
-func (e *Engine) tryOpen(epoch uint64, granted map[string]siblingwire.PromiseAnswer) bool {
+func (e *Engine) tryOpen(epoch uint64, granted map[string]peerapi.PromiseAnswer) bool {
 	best, isAgreed := e.best(granted)
 	if !isAgreed {
 		return false
@@ -328,7 +328,7 @@
 		return true
 	}
 	from := granted[e.disk].Last
-	e.links.Fetch(best.Disk, siblingwire.FetchCall{Key: e.key, From: &from}, func(answer siblingwire.FetchAnswer, err error) {
+	e.links.Fetch(best.Disk, peerapi.FetchCall{Key: e.key, From: &from}, func(answer peerapi.FetchAnswer, err error) {
 		if e.attempt != attempt || e.phase != phaseOpening {
 			return
 		}
@@ -337,7 +337,7 @@
 			e.backOff()
 			return
 		}
-		e.links.InstallLocal(call, func(answer siblingwire.AppendAnswer, err error) {
+		e.links.InstallLocal(call, func(answer peerapi.AppendAnswer, err error) {
 			if e.attempt != attempt || e.phase != phaseOpening {
 				return
 			}
@@ -351,7 +351,7 @@
 	return true
 }
 
-func (e *Engine) openWithHistory(base siblingwire.Stamp) {
+func (e *Engine) openWithHistory(base peerapi.Stamp) {
 	attempt := e.attempt
 	e.links.History(e.key, func(held History) {
 		if e.attempt == attempt && e.phase == phaseOpening {
@@ -361,8 +361,8 @@
 }
 
 // takeOver is what brings the local disk to the best state; isWhole tells whether the answer leads there.
-func (e *Engine) takeOver(answer siblingwire.FetchAnswer, from siblingwire.Stamp, best siblingwire.PromiseAnswer) (call siblingwire.AppendCall, isWhole bool) {
-	call = siblingwire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
+func (e *Engine) takeOver(answer peerapi.FetchAnswer, from peerapi.Stamp, best peerapi.PromiseAnswer) (call peerapi.AppendCall, isWhole bool) {
+	call = peerapi.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
 	if count := len(answer.Changes); count > 0 {
 		call.Prev, call.Changes = from, answer.Changes
 		return call, answer.Changes[count-1].Stamp == best.Last
@@ -373,7 +373,7 @@
 	return call, whole.Last == best.Last
 }
 
-func (e *Engine) open(base siblingwire.Stamp, held History) {
+func (e *Engine) open(base peerapi.Stamp, held History) {
 	whole, err := e.links.ReadLocal(e.key)
 	if err != nil || whole.Last != base {
 		e.backOff()
@@ -401,12 +401,12 @@
 			e.stepDown("unreadable state")
 			return
 		}
-		e.announce(siblingwire.OwnerFact{Key: e.key, Epoch: e.epoch, Name: e.name})
+		e.announce(peerapi.OwnerFact{Key: e.key, Epoch: e.epoch, Name: e.name})
 	})
 }
 
 // inherit keeps what was taken before, so that a follower that is a little behind is sent no whole state.
-func (e *Engine) inherit(base siblingwire.Stamp, held History) {
+func (e *Engine) inherit(base peerapi.Stamp, held History) {
 	if held.last() != base {
 		held = History{Base: base}
 	}
@@ -425,9 +425,9 @@
 	return one
 }
 
-func (e *Engine) submit(ops []siblingwire.Op, set *siblingwire.VoterSet, done func(error)) {
-	e.last = siblingwire.Stamp{Epoch: e.epoch, Step: e.last.Step + 1}
-	change := siblingwire.Change{Stamp: e.last, Ops: ops, Set: set}
+func (e *Engine) submit(ops []peerapi.Op, set *peerapi.VoterSet, done func(error)) {
+	e.last = peerapi.Stamp{Epoch: e.epoch, Step: e.last.Step + 1}
+	change := peerapi.Change{Stamp: e.last, Ops: ops, Set: set}
 	e.tail = append(e.tail, change)
 	e.tailSize += sizeOf(change)
 	if set != nil {
@@ -438,7 +438,7 @@
 	e.push()
 }
 
-func sizeOf(change siblingwire.Change) int {
+func sizeOf(change peerapi.Change) int {
 	size := 64
 	for _, op := range change.Ops {
 		size += len(op.Name) + len(op.Value) + 16
@@ -487,7 +487,7 @@
 	if one.isBusy {
 		return
 	}
-	call := siblingwire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk, Prev: one.acked}
+	call := peerapi.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk, Prev: one.acked}
 	getsWhole := one.needsWhole && e.clock.Steady()-one.heardAt < e.timing.LostAfter
 	if getsWhole {
 		packed := e.parcelFor(one)
@@ -519,7 +519,7 @@
 }
 
 // after gives the changes that follow on a stamp, as far as one call may carry them, if the tail still has them all.
-func (e *Engine) after(prev siblingwire.Stamp) ([]siblingwire.Change, bool) {
+func (e *Engine) after(prev peerapi.Stamp) ([]peerapi.Change, bool) {
 	if prev.Step < e.tailBase.Step || prev.Step > e.last.Step {
 		return nil, false
 	}
@@ -536,17 +536,17 @@
 }
 
 // tailStamp is the stamp of the state that so many changes of the tail lead to.
-func (e *Engine) tailStamp(count int) siblingwire.Stamp {
+func (e *Engine) tailStamp(count int) peerapi.Stamp {
 	if count == 0 {
 		return e.tailBase
 	}
 	return e.tail[count-1].Stamp
 }
 
-func (e *Engine) launch(one *follower, call siblingwire.AppendCall) {
+func (e *Engine) launch(one *follower, call peerapi.AppendCall) {
 	one.isBusy, one.sentAt = true, e.clock.Steady()
 	attempt, sentAt := e.attempt, one.sentAt
-	e.links.Append(one.disk, call, func(answer siblingwire.AppendAnswer, err error) {
+	e.links.Append(one.disk, call, func(answer peerapi.AppendAnswer, err error) {
 		if e.attempt != attempt {
 			return
 		}
@@ -558,7 +558,7 @@
 	})
 }
 
-func (e *Engine) hear(one *follower, call siblingwire.AppendCall, answer siblingwire.AppendAnswer, sentAt time.Duration) {
+func (e *Engine) hear(one *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer, sentAt time.Duration) {
 	now := e.clock.Steady()
 	if answer.Disk != one.disk {
 		return
--- a/internal/replication/handon.go
+++ b/internal/replication/handon.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // noteDelay takes how long a change took from its arrival to its sync: as a sibling says, or at the owner's own disk
 // as the owner finds it, with the waits for its own goroutines.
-func (e *Engine) noteDelay(one *follower, answer siblingwire.AppendAnswer, roundTrip time.Duration) {
+func (e *Engine) noteDelay(one *follower, answer peerapi.AppendAnswer, roundTrip time.Duration) {
 	delay := time.Duration(answer.DelayUs) * time.Microsecond
 	if one.disk == e.disk {
 		delay = roundTrip
@@ -74,7 +74,7 @@
 	disks, epoch := disksOf(e.set), e.epoch
 	e.stepDown(why)
 	for _, disk := range disks {
-		e.links.Append(disk, siblingwire.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Heir: heir},
-			func(siblingwire.AppendAnswer, error) {})
+		e.links.Append(disk, peerapi.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Heir: heir},
+			func(peerapi.AppendAnswer, error) {})
 	}
 }
--- a/internal/replication/handon_test.go
+++ b/internal/replication/handon_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -138,7 +138,7 @@
 		life, end := span.Cancellable(span.Root())
 		defer end()
 		go table.Box().Run(life, pulse.NewFake(1), mailbox.Owner{Every: time.Minute})
-		told, err := table.AskAppend(life, siblingwire.AppendCall{Key: key, Epoch: 1})
+		told, err := table.AskAppend(life, peerapi.AppendCall{Key: key, Epoch: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(told.DelayUs).To(Equal(int64(1)))
 	})
--- a/internal/replication/history.go
+++ b/internal/replication/history.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const (
@@ -14,11 +14,11 @@
 // History holds changes that follow on Base, each on the one before. A state whose stamp is among theirs shares
 // all that came before, since an epoch has one owner, and a disk takes a change only on top of the stamp before it.
 type History struct {
-	Base    siblingwire.Stamp
-	Changes []siblingwire.Change
+	Base    peerapi.Stamp
+	Changes []peerapi.Change
 }
 
-func (h History) last() siblingwire.Stamp {
+func (h History) last() peerapi.Stamp {
 	if len(h.Changes) == 0 {
 		return h.Base
 	}
@@ -26,7 +26,7 @@
 }
 
 // after gives the changes that follow on a stamp; there are none if it is not one of the history's, or the last.
-func (h History) after(stamp siblingwire.Stamp) ([]siblingwire.Change, bool) {
+func (h History) after(stamp peerapi.Stamp) ([]peerapi.Change, bool) {
 	if stamp == h.Base {
 		return h.Changes, len(h.Changes) > 0
 	}
@@ -40,12 +40,12 @@
 
 // history is the bounded one of a replica.
 type history struct {
-	base    siblingwire.Stamp
-	changes []siblingwire.Change
+	base    peerapi.Stamp
+	changes []peerapi.Change
 	size    int
 }
 
-func (h *history) take(call siblingwire.AppendCall) {
+func (h *history) take(call peerapi.AppendCall) {
 	if call.Snapshot != nil {
 		*h = history{base: call.Snapshot.Last}
 	} else if (History{h.base, h.changes}).last() != call.Prev {
--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/storage"
 )
 
@@ -106,12 +106,12 @@
 		disk := newDisk("disk-a")
 		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		prev := siblingwire.Stamp{}
+		prev := peerapi.Stamp{}
 		for step := range uint64(9000) {
-			next := siblingwire.Stamp{Epoch: 1 + step/5000, Step: step + 1}
-			change := siblingwire.Change{Stamp: next, Ops: []siblingwire.Op{{Name: fmt.Sprint(step % 7), Value: []byte("1")}}}
-			table.Append(siblingwire.AppendCall{Key: key, Epoch: next.Epoch, Prev: prev, Changes: []siblingwire.Change{change}},
-				func(siblingwire.AppendAnswer) {})
+			next := peerapi.Stamp{Epoch: 1 + step/5000, Step: step + 1}
+			change := peerapi.Change{Stamp: next, Ops: []peerapi.Op{{Name: fmt.Sprint(step % 7), Value: []byte("1")}}}
+			table.Append(peerapi.AppendCall{Key: key, Epoch: next.Epoch, Prev: prev, Changes: []peerapi.Change{change}},
+				func(peerapi.AppendAnswer) {})
 			disk.line[0]()
 			disk.line = nil
 			table.Box().Drain()
@@ -122,7 +122,7 @@
 		Expect(len(held.Changes)).To(BeNumerically("<=", 4000))
 		Expect(held.Changes[0].Stamp.Step).To(Equal(held.Base.Step + 1))
 		Expect(held.Changes[len(held.Changes)-1].Stamp).To(Equal(prev))
-		table.Append(siblingwire.AppendCall{Key: key, Epoch: 3, Snapshot: &siblingwire.Snapshot{Last: prev}}, func(siblingwire.AppendAnswer) {})
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 3, Snapshot: &peerapi.Snapshot{Last: prev}}, func(peerapi.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
 		Expect(table.History(key)).To(Equal(replication.History{Base: prev}))
@@ -130,20 +130,20 @@
 
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
-		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []siblingwire.Change{{Stamp: siblingwire.Stamp{Epoch: 1, Step: 1}}}})
+		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []peerapi.Change{{Stamp: peerapi.Stamp{Epoch: 1, Step: 1}}}})
 		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		change := siblingwire.Change{Stamp: siblingwire.Stamp{Epoch: 1, Step: 2}}
-		table.Append(siblingwire.AppendCall{Key: key, Epoch: 1, Prev: siblingwire.Stamp{Epoch: 1, Step: 1}, Changes: []siblingwire.Change{change}},
-			func(siblingwire.AppendAnswer) {})
+		change := peerapi.Change{Stamp: peerapi.Stamp{Epoch: 1, Step: 2}}
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.Stamp{Epoch: 1, Step: 1}, Changes: []peerapi.Change{change}},
+			func(peerapi.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
-		held := replication.History{Base: siblingwire.Stamp{Epoch: 1, Step: 1}, Changes: []siblingwire.Change{change}}
+		held := replication.History{Base: peerapi.Stamp{Epoch: 1, Step: 1}, Changes: []peerapi.Change{change}}
 		Expect(table.History(key)).To(Equal(held))
 		disk.line = nil
-		refused := siblingwire.Change{Stamp: siblingwire.Stamp{Epoch: 1, Step: 9}}
-		table.Append(siblingwire.AppendCall{Key: key, Epoch: 1, Prev: siblingwire.Stamp{Epoch: 1, Step: 8}, Changes: []siblingwire.Change{refused}},
-			func(siblingwire.AppendAnswer) {})
+		refused := peerapi.Change{Stamp: peerapi.Stamp{Epoch: 1, Step: 9}}
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.Stamp{Epoch: 1, Step: 8}, Changes: []peerapi.Change{refused}},
+			func(peerapi.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
 		Expect(table.History(key)).To(Equal(held))
--- a/internal/replication/pieces.go
+++ b/internal/replication/pieces.go
@@ -1,16 +1,16 @@
 package replication
 
-import "gannetline/internal/siblingwire"
+import "gannetline/internal/peerapi"
 
 const pieceSize = 256 << 10
 
 // parcel is a whole state on its way in pieces; cuts are the places where one piece ends and the next begins.
 type parcel struct {
-	whole siblingwire.Snapshot
+	whole peerapi.Snapshot
 	cuts  []int
 }
 
-func pack(whole siblingwire.Snapshot) *parcel {
+func pack(whole peerapi.Snapshot) *parcel {
 	packed := &parcel{whole: whole, cuts: []int{0}}
 	size := 0
 	for place, pair := range whole.Pairs {
@@ -26,20 +26,20 @@
 
 func (p *parcel) count() int { return len(p.cuts) - 1 }
 
-func (p *parcel) piece(number int) *siblingwire.Piece {
-	return &siblingwire.Piece{At: p.whole.Last, Set: p.whole.Set, Number: number, Count: p.count(),
+func (p *parcel) piece(number int) *peerapi.Piece {
+	return &peerapi.Piece{At: p.whole.Last, Set: p.whole.Set, Number: number, Count: p.count(),
 		Pairs: p.whole.Pairs[p.cuts[number]:p.cuts[number+1]]}
 }
 
 // arrivals are the pieces of one state that a replica has so far; nothing of them is on its disk.
 type arrivals struct {
-	at    siblingwire.Stamp
+	at    peerapi.Stamp
 	count int
-	pairs []siblingwire.Op
+	pairs []peerapi.Op
 }
 
 // take adds the next piece; one that was here before or comes too early changes nothing.
-func (a *arrivals) take(piece *siblingwire.Piece) {
+func (a *arrivals) take(piece *peerapi.Piece) {
 	if piece.At != a.at {
 		*a = arrivals{at: piece.At}
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func (a *arrivals) isWhole(piece *siblingwire.Piece) bool {
+func (a *arrivals) isWhole(piece *peerapi.Piece) bool {
 	return piece.At == a.at && a.count == piece.Count
 }
 
@@ -79,7 +79,7 @@
 }
 
 // hearPiece notes how far the follower has come; one that knows no pieces is sent the state in one call.
-func (e *Engine) hearPiece(one *follower, call siblingwire.AppendCall, answer siblingwire.AppendAnswer) {
+func (e *Engine) hearPiece(one *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer) {
 	one.isKnown, one.needsWhole = false, true
 	one.isOld = one.isOld || call.Piece.Number == 0 && answer.Pieces == 0
 	one.piece = min(answer.Pieces, call.Piece.Count-1)
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 	"gannetline/internal/storage"
 )
@@ -18,7 +18,7 @@
 	Bare() bool
 	Submit(write storage.Write, done func(storage.Outcome))
 	Heads() (map[string]storage.Head, error)
-	Read(key string) (siblingwire.Snapshot, error)
+	Read(key string) (peerapi.Snapshot, error)
 }
 
 type replica struct {
@@ -73,7 +73,7 @@
 }
 
 // Promise must run on the table's goroutine.
-func (r *Replicas) Promise(call siblingwire.PromiseCall, answer func(siblingwire.PromiseAnswer)) {
+func (r *Replicas) Promise(call peerapi.PromiseCall, answer func(peerapi.PromiseAnswer)) {
 	one, now := r.of(call.Key), r.clock.Steady()
 	isLeased := now < one.leaseUntil && one.leaseDisk != call.Disk
 	if isLeased || now < r.quietUntil || call.Epoch <= one.promising {
@@ -94,8 +94,8 @@
 	})
 }
 
-func (r *Replicas) promiseAnswer(head storage.Head, promised uint64, isGranted bool) siblingwire.PromiseAnswer {
-	return siblingwire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
+func (r *Replicas) promiseAnswer(head storage.Head, promised uint64, isGranted bool) peerapi.PromiseAnswer {
+	return peerapi.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
 }
 
 func (r *Replicas) learn(one *replica, outcome storage.Outcome) {
@@ -106,7 +106,7 @@
 }
 
 // Append must run on the table's goroutine.
-func (r *Replicas) Append(call siblingwire.AppendCall, answer func(siblingwire.AppendAnswer)) {
+func (r *Replicas) Append(call peerapi.AppendCall, answer func(peerapi.AppendAnswer)) {
 	one, now := r.of(call.Key), r.clock.Steady()
 	if call.Epoch < one.promising {
 		answer(r.appendAnswer(one.head.Last, one.promising, false))
@@ -128,7 +128,7 @@
 			answer(told)
 			return
 		}
-		call.Snapshot = &siblingwire.Snapshot{Last: call.Piece.At, Set: call.Piece.Set, Pairs: one.arrivals.pairs}
+		call.Snapshot = &peerapi.Snapshot{Last: call.Piece.At, Set: call.Piece.Set, Pairs: one.arrivals.pairs}
 		one.arrivals = arrivals{}
 	}
 	if len(call.Changes) == 0 && call.Snapshot == nil {
@@ -153,19 +153,19 @@
 	one.leaseUntil, one.released, one.releasedAt, one.releasedEpoch, one.heir = 0, true, now, epoch, heir
 }
 
-func (r *Replicas) appendAnswer(last siblingwire.Stamp, promised uint64, isTaken bool) siblingwire.AppendAnswer {
-	return siblingwire.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs()}
+func (r *Replicas) appendAnswer(last peerapi.Stamp, promised uint64, isTaken bool) peerapi.AppendAnswer {
+	return peerapi.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs()}
 }
 
 // Fetch gives the changes after a stamp if the history has them, else the whole state as the disk has it.
-func (r *Replicas) Fetch(held History, call siblingwire.FetchCall) (siblingwire.FetchAnswer, error) {
+func (r *Replicas) Fetch(held History, call peerapi.FetchCall) (peerapi.FetchAnswer, error) {
 	if call.From != nil {
 		if changes, isThere := held.after(*call.From); isThere {
-			return siblingwire.FetchAnswer{Found: true, Changes: changes, Disk: r.disk.Disk()}, nil
+			return peerapi.FetchAnswer{Found: true, Changes: changes, Disk: r.disk.Disk()}, nil
 		}
 	}
 	whole, err := r.disk.Read(call.Key)
-	return siblingwire.FetchAnswer{Found: whole.Last != siblingwire.Stamp{}, Snapshot: whole, Disk: r.disk.Disk()}, err
+	return peerapi.FetchAnswer{Found: whole.Last != peerapi.Stamp{}, Snapshot: whole, Disk: r.disk.Disk()}, err
 }
 
 // History gives the last changes that this disk took, one after the other, up to what it holds.
@@ -202,24 +202,24 @@
 }
 
 // AskPromise, AskAppend, AskFetch and AskStanding are for other goroutines.
-func (r *Replicas) AskPromise(life span.Span, call siblingwire.PromiseCall) (siblingwire.PromiseAnswer, error) {
-	return mailbox.Ask(r.box, life, func(answer func(siblingwire.PromiseAnswer)) { r.Promise(call, answer) })
+func (r *Replicas) AskPromise(life span.Span, call peerapi.PromiseCall) (peerapi.PromiseAnswer, error) {
+	return mailbox.Ask(r.box, life, func(answer func(peerapi.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
-func (r *Replicas) AskAppend(life span.Span, call siblingwire.AppendCall) (siblingwire.AppendAnswer, error) {
+func (r *Replicas) AskAppend(life span.Span, call peerapi.AppendCall) (peerapi.AppendAnswer, error) {
 	arrivedAt := r.clock.Steady()
-	return mailbox.Ask(r.box, life, func(answer func(siblingwire.AppendAnswer)) {
-		r.Append(call, func(told siblingwire.AppendAnswer) {
+	return mailbox.Ask(r.box, life, func(answer func(peerapi.AppendAnswer)) {
+		r.Append(call, func(told peerapi.AppendAnswer) {
 			told.DelayUs = max(1, (r.clock.Steady() - arrivedAt).Microseconds())
 			answer(told)
 		})
 	})
 }
 
-func (r *Replicas) AskFetch(life span.Span, call siblingwire.FetchCall) (siblingwire.FetchAnswer, error) {
+func (r *Replicas) AskFetch(life span.Span, call peerapi.FetchCall) (peerapi.FetchAnswer, error) {
 	held, err := mailbox.Ask(r.box, life, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
-		return siblingwire.FetchAnswer{}, err
+		return peerapi.FetchAnswer{}, err
 	}
 	return r.Fetch(held, call)
 }
--- a/internal/replication/swap.go
+++ b/internal/replication/swap.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const (
@@ -43,7 +43,7 @@
 		return
 	}
 	e.log.Info("changing the voters of a key", "key", e.key, "from", e.set.Now, "to", next)
-	e.submit(nil, &siblingwire.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
+	e.submit(nil, &peerapi.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
 }
 
 func (e *Engine) hasCaughtUp(one *follower) bool {
@@ -54,7 +54,7 @@
 	if e.phase != phaseOwner || len(e.set.Old) == 0 || e.setStep > e.committed {
 		return
 	}
-	final := siblingwire.VoterSet{Now: e.set.Now}
+	final := peerapi.VoterSet{Now: e.set.Now}
 	e.submit(nil, &final, func(error) {})
 }
 
@@ -68,17 +68,17 @@
 
 // isLost tells whether a voter's machine came back with another disk, or has not answered for long.
 // It only matters once there is a learner to take its place, so a voter that is merely slow is kept elsewhere.
-func (e *Engine) isLost(members []siblingwire.Member, disk string) bool {
+func (e *Engine) isLost(members []peerapi.Member, disk string) bool {
 	return disk != e.disk && (isReplaced(members, disk) || e.clock.Steady()-e.follow(disk).heardAt > e.timing.LostAfter)
 }
 
-func isReplaced(members []siblingwire.Member, disk string) bool {
-	return slices.ContainsFunc(members, func(member siblingwire.Member) bool {
+func isReplaced(members []peerapi.Member, disk string) bool {
+	return slices.ContainsFunc(members, func(member peerapi.Member) bool {
 		return member.Disk != disk && slices.Contains(member.Past, disk)
 	})
 }
 
-func domainOf(members []siblingwire.Member, disk string) string {
+func domainOf(members []peerapi.Member, disk string) string {
 	for _, member := range members {
 		if member.Disk == disk {
 			return member.Domain
@@ -88,10 +88,10 @@
 }
 
 // fitForVoting lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
-func (e *Engine) fitForVoting(members []siblingwire.Member) []string {
+func (e *Engine) fitForVoting(members []peerapi.Member) []string {
 	var fit []string
 	for _, member := range members {
-		if member.Disk == "" || member.State != siblingwire.StateAlive || slices.Contains(e.set.Now, member.Disk) {
+		if member.Disk == "" || member.State != peerapi.StateAlive || slices.Contains(e.set.Now, member.Disk) {
 			continue
 		}
 		if one := e.followers[member.Disk]; one != nil && e.clock.Steady()-one.heardAt > e.timing.LostAfter {
--- a/internal/replication/tenure.go
+++ b/internal/replication/tenure.go
@@ -5,8 +5,8 @@
 
 	"github.com/juju/errors"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 var errLost = errors.New("the key has another owner now")
@@ -21,7 +21,7 @@
 func (t *Tenure) Epoch() uint64 { return t.epoch }
 
 // Commit makes a change durable on a majority; done gets an error if the key was lost first.
-func (t *Tenure) Commit(ops []siblingwire.Op, done func(error)) {
+func (t *Tenure) Commit(ops []peerapi.Op, done func(error)) {
 	if !t.isOpen {
 		done(errLost)
 		return
--- a/internal/replication/voters_test.go
+++ b/internal/replication/voters_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 // grown is a world of five voters out of six stewards, whose first voters are a, b and c.
@@ -41,7 +41,7 @@
 func (w *world) holdsAll(one *node) bool {
 	whole, _ := one.disk.Read(key)
 	for name := range w.acked {
-		if !slices.ContainsFunc(whole.Pairs, func(pair siblingwire.Op) bool { return pair.Name == name }) {
+		if !slices.ContainsFunc(whole.Pairs, func(pair peerapi.Op) bool { return pair.Name == name }) {
 			return false
 		}
 	}
@@ -187,8 +187,8 @@
 
 	It("are not the new ones alone before the old ones have agreed", func() {
 		w := newWorldBearing(2, 40, "a", "b", "c", "d", "e")
-		w.eats = func(to *node, call siblingwire.AppendCall) bool {
-			isJoint := func(change siblingwire.Change) bool { return change.Set != nil && len(change.Set.Old) > 0 }
+		w.eats = func(to *node, call peerapi.AppendCall) bool {
+			isJoint := func(change peerapi.Change) bool { return change.Set != nil && len(change.Set.Old) > 0 }
 			return slices.Contains(w.nodes[:3], to) && to.disk.name != call.Disk && slices.ContainsFunc(call.Changes, isJoint)
 		}
 		for range 600 {
@@ -254,7 +254,7 @@
 
 	It("never count a steward without a disk", func() {
 		w := newWorldBearing(2, 7, "a", "b", "c", "d", "e")
-		w.diskless = []siblingwire.Member{{Name: "x", Role: "steward", Domain: "far"}, {Name: "y", Role: "steward", Domain: "off"}}
+		w.diskless = []peerapi.Member{{Name: "x", Role: "steward", Domain: "far"}, {Name: "y", Role: "steward", Domain: "off"}}
 		w.until(func() bool { return w.owner() != nil })
 		w.run(600 * time.Millisecond)
 		Expect(w.voters()).To(ConsistOf("disk-a", "disk-b", "disk-c", "disk-d", "disk-e"))
@@ -293,7 +293,7 @@
 			return !slices.Contains(w.voters(), victim.disk.name)
 		})
 		victim.isFrozen = false
-		var last [2]siblingwire.Stamp
+		var last [2]peerapi.Stamp
 		for place := range last {
 			for range 100 {
 				w.write()
@@ -317,7 +317,7 @@
 		w.write()
 		w.run(500 * time.Millisecond)
 		Expect(isVoter(victim)).To(BeTrue())
-		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(siblingwire.Stamp{}))
+		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(peerapi.Stamp{}))
 	})
 
 	It("keep a lost one while there is none to take its place", func() {
--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -11,9 +11,9 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/stage"
 	"gannetline/internal/storage"
 )
@@ -47,7 +47,7 @@
 	held   map[string]string
 }
 
-func (m *machine) Open(tenure *replication.Tenure, pairs []siblingwire.Op) error {
+func (m *machine) Open(tenure *replication.Tenure, pairs []peerapi.Op) error {
 	m.tenure, m.held = tenure, map[string]string{}
 	for _, pair := range pairs {
 		m.held[pair.Name] = string(pair.Value)
@@ -107,8 +107,8 @@
 	fetched  int
 	pieces   []int
 	bulk     int
-	eats     func(to *node, call siblingwire.AppendCall) bool
-	diskless []siblingwire.Member
+	eats     func(to *node, call peerapi.AppendCall) bool
+	diskless []peerapi.Member
 }
 
 const key = "pool/wards"
@@ -160,14 +160,14 @@
 	n.start()
 }
 
-func (w *world) members() []siblingwire.Member {
+func (w *world) members() []peerapi.Member {
 	all := slices.Clone(w.diskless)
 	for _, one := range w.nodes {
-		state := siblingwire.StateAlive
+		state := peerapi.StateAlive
 		if !one.isUp {
-			state = siblingwire.StateGone
+			state = peerapi.StateGone
 		}
-		all = append(all, siblingwire.Member{Name: one.name, Role: "steward", Domain: one.domain, Disk: one.disk.name, State: state, Past: one.past})
+		all = append(all, peerapi.Member{Name: one.name, Role: "steward", Domain: one.domain, Disk: one.disk.name, State: state, Past: one.past})
 	}
 	return all
 }
@@ -233,15 +233,15 @@
 	life int
 }
 
-func (r *road) Promise(disk string, call siblingwire.PromiseCall, done func(siblingwire.PromiseAnswer, error)) {
+func (r *road) Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
 	if call.Trial {
 		r.node.world.trials++
 	}
 	to := r.node.world.byDisk(disk)
-	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(siblingwire.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
+	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(peerapi.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
 }
 
-func (r *road) Append(disk string, call siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error)) {
+func (r *road) Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
 	if call.Snapshot != nil && disk != r.node.disk.name {
 		r.node.world.wholes++
 	}
@@ -255,8 +255,8 @@
 	if to != nil && to.isOld {
 		call.Piece = nil
 	}
-	carry(r.node.world, r.node, to, time.Second, func(answer func(siblingwire.AppendAnswer)) {
-		to.replicas.Append(call, func(told siblingwire.AppendAnswer) {
+	carry(r.node.world, r.node, to, time.Second, func(answer func(peerapi.AppendAnswer)) {
+		to.replicas.Append(call, func(told peerapi.AppendAnswer) {
 			if !to.isOld && to != r.node {
 				told.DelayUs = max(1, to.late.Microseconds())
 			}
@@ -265,19 +265,19 @@
 	}, done)
 }
 
-func (r *road) InstallLocal(call siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error)) {
+func (r *road) InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
 	if call.Snapshot != nil {
 		r.node.world.fetched++
 	}
 	r.Append(r.node.disk.name, call, done)
 }
 
-func (r *road) Fetch(disk string, ask siblingwire.FetchCall, done func(siblingwire.FetchAnswer, error)) {
+func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
 	to := r.node.world.byDisk(disk)
-	carry(r.node.world, r.node, to, time.Second, func(answer func(siblingwire.FetchAnswer)) {
+	carry(r.node.world, r.node, to, time.Second, func(answer func(peerapi.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			if to.isOld {
-				whole, _ = to.replicas.Fetch(replication.History{}, siblingwire.FetchCall{Key: ask.Key})
+				whole, _ = to.replicas.Fetch(replication.History{}, peerapi.FetchCall{Key: ask.Key})
 			}
 			answer(whole)
 		}
@@ -292,7 +292,7 @@
 	done(r.node.replicas.History(key))
 }
 
-func (r *road) ReadLocal(key string) (siblingwire.Snapshot, error) { return r.node.disk.Read(key) }
+func (r *road) ReadLocal(key string) (peerapi.Snapshot, error) { return r.node.disk.Read(key) }
 
 func (w *world) opened(m *machine) {
 	epoch := m.tenure.Epoch()
@@ -383,7 +383,7 @@
 		w.written++
 		name := fmt.Sprintf("n%d", w.written)
 		value := `"` + name + strings.Repeat("x", w.bulk) + `"`
-		one.machine.tenure.Commit([]siblingwire.Op{{Name: name, Value: []byte(value)}}, func(err error) {
+		one.machine.tenure.Commit([]peerapi.Op{{Name: name, Value: []byte(value)}}, func(err error) {
 			if err == nil {
 				w.acked[name] = value
 			}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -15,9 +15,9 @@
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/logs"
 	"gannetline/internal/metrics"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 	"gannetline/internal/supervise"
 	"gannetline/internal/wiremeter"
@@ -34,7 +34,7 @@
 	settings *bootsettings.Settings
 	clock    pulse.Pulse
 	log      logs.Logger
-	caller   *siblingwire.Caller
+	caller   *peerapi.Caller
 	calls    net.Listener
 	packets  net.PacketConn
 	inner    *http.ServeMux
@@ -83,7 +83,7 @@
 		return nil, errors.Annotate(err, "field internal-port-range")
 	}
 	b.calls, b.packets = b.meter.Listener(calls), b.meter.Packets(packets)
-	b.caller = siblingwire.NewCaller(b.meter.Client(siblingwire.Client(silence, 4)))
+	b.caller = peerapi.NewCaller(b.meter.Client(peerapi.Client(silence, 4)))
 	return b, nil
 }
 
@@ -92,7 +92,7 @@
 	debug.SetMemoryLimit(settings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
-func (b *base) join(self siblingwire.Member, options ...siblingprobe.Option) {
+func (b *base) join(self peerapi.Member, options ...siblingprobe.Option) {
 	self.Name, self.Domain = b.settings.NodeName, b.settings.Domain
 	b.node = siblingprobe.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
 	b.node.Handle(b.inner)
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logs"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
 
@@ -44,9 +44,9 @@
 	if err != nil {
 		return err
 	}
-	b.join(siblingwire.Member{Role: "local-proxy"})
+	b.join(peerapi.Member{Role: "local-proxy"})
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View})
-	executor := executorcalls.NewClient(b.meter.Client(siblingwire.Client(silence, 8)), b.settings.App)
+	executor := executorcalls.NewClient(b.meter.Client(peerapi.Client(silence, 8)), b.settings.App)
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View)
 	b.tree.Add("proxy", proxy.Run)
 	b.tree.Add("executor-calls", serving(control, b.meter.Handler(proxy)))
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -14,10 +14,10 @@
 	"gannetline/internal/daybook"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/ownercalls"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -58,7 +58,7 @@
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page, Ring: ring.Beliefs})
 	outer := http.NewServeMux()
 	outer.Handle("/v1/configuration/", controlcalls.Handler(ownercalls.New(b.caller, b.clock, b.node.View)))
-	outer.Handle(siblingwire.Prefix, b.inner)
+	outer.Handle(peerapi.Prefix, b.inner)
 	if kept.store != nil {
 		b.tree.Add("replicas", func(life span.Span) error {
 			kept.replicas.Box().Run(life, b.clock, mailbox.Owner{Every: time.Minute})
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/storage"
 )
 
@@ -55,8 +55,8 @@
 	s.folder, s.isMakeshift = folder, true
 }
 
-func (s *durableState) member(control string) siblingwire.Member {
-	self := siblingwire.Member{Role: "steward", Control: control}
+func (s *durableState) member(control string) peerapi.Member {
+	self := peerapi.Member{Role: "steward", Control: control}
 	switch {
 	case s.isMakeshift:
 		self.Makeshift = s.store.Disk()
--- a/internal/scalerun/layout.go
+++ b/internal/scalerun/layout.go
@@ -12,7 +12,7 @@
 
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/hollow"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const (
@@ -137,7 +137,7 @@
 			ForMs: hollow.LongestRun.Milliseconds()}
 		for number := first; number < min(first+perHost, workers); number++ {
 			spec.Workers = append(spec.Workers, hollow.Worker{Settings: l.workers[number].settings,
-				Room:   siblingwire.Capacity{CPU: workerCPU, Memory: workerMemory, GPU: 2},
+				Room:   peerapi.Capacity{CPU: workerCPU, Memory: workerMemory, GPU: 2},
 				Labels: []string{"a", fmt.Sprintf("r%d", number/perRack)}, Pace: 1 - float64(number%21)/1000,
 				IsExecutorOnly: number < len(l.realSeats())})
 		}
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -18,7 +18,7 @@
 
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/hollow"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
 
@@ -246,8 +246,8 @@
 	return most
 }
 
-func (r *run) beliefs() []*siblingwire.BeliefsAnswer {
-	var all []*siblingwire.BeliefsAnswer
+func (r *run) beliefs() []*peerapi.BeliefsAnswer {
+	var all []*peerapi.BeliefsAnswer
 	for _, steward := range r.layout.stewards {
 		if answer, err := comparenodes.Ask(steward.at(internalPort), askBeliefs); err == nil {
 			all = append(all, answer)
--- a/internal/siblingprobe/compare.go
+++ b/internal/siblingprobe/compare.go
@@ -1,23 +1,23 @@
 package siblingprobe
 
 import (
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 // Ask is the first call of a comparison: this table's sums by bucket.
-func (t *Table) Ask() siblingwire.MembersCall {
-	return siblingwire.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
+func (t *Table) Ask() peerapi.MembersCall {
+	return peerapi.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
 }
 
 // Answer gives the records of the buckets that differ; a sibling of the older form gets them all.
-func (t *Table) Answer(call *siblingwire.MembersCall) siblingwire.MembersAnswer {
+func (t *Table) Answer(call *peerapi.MembersCall) peerapi.MembersAnswer {
 	t.meet(call.From)
 	for _, member := range call.Members {
 		t.Merge(member)
 	}
 	t.heedNews(call.From, call.Digest)
 	defer t.Settle()
-	answer := siblingwire.MembersAnswer{Digest: t.digestFor(call.From.Role)}
+	answer := peerapi.MembersAnswer{Digest: t.digestFor(call.From.Role)}
 	if call.Gives {
 		return answer
 	}
@@ -45,7 +45,7 @@
 }
 
 // Take merges an answer; it gives a second call where this table holds what the sibling lacks.
-func (t *Table) Take(from Member, answer *siblingwire.MembersAnswer) *siblingwire.MembersCall {
+func (t *Table) Take(from Member, answer *peerapi.MembersAnswer) *peerapi.MembersCall {
 	for _, member := range answer.Members {
 		t.Merge(member)
 	}
@@ -55,7 +55,7 @@
 		return nil
 	}
 	t.silentSince = t.clock.Steady()
-	given := &siblingwire.MembersCall{From: t.self, Gives: true, Digest: t.digestFor(t.self.Role)}
+	given := &peerapi.MembersCall{From: t.self, Gives: true, Digest: t.digestFor(t.self.Role)}
 	lacking := t.notIn(answer)
 	if isLeaf(t.self) {
 		for _, member := range lacking {
@@ -73,7 +73,7 @@
 	return given
 }
 
-func (t *Table) notIn(answer *siblingwire.MembersAnswer) []Member {
+func (t *Table) notIn(answer *peerapi.MembersAnswer) []Member {
 	theirs := map[string]Member{}
 	for _, member := range answer.Members {
 		theirs[Name(member)] = member
@@ -87,7 +87,7 @@
 	var lacking []Member
 	t.each(func(known *entry) {
 		other, isThere := theirs[Name(known.member)]
-		isLacking := isThere && isNewer(known.member, other) || !isThere && known.member.State != siblingwire.StateGone
+		isLacking := isThere && isNewer(known.member, other) || !isThere && known.member.State != peerapi.StateGone
 		if isDiffering[known.bucket] && isLacking {
 			lacking = append(lacking, known.member)
 		}
--- a/internal/siblingprobe/leaves.go
+++ b/internal/siblingprobe/leaves.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -60,13 +60,13 @@
 // pushToLeaves tells the attached local-proxies of keys that have moved.
 func (t *Table) pushToLeaves() {
 	for _, one := range t.leaves {
-		t.send(one.member, siblingwire.Datagram{Kind: kindNews})
+		t.send(one.member, peerapi.Datagram{Kind: kindNews})
 	}
 }
 
 // attach chooses the stewards that a local-proxy pings: one of its own domain, and others by rendezvous.
 func (t *Table) attach() {
-	fit := slices.DeleteFunc(slices.Clone(t.stewards.members), func(one Member) bool { return one.State == siblingwire.StateGone })
+	fit := slices.DeleteFunc(slices.Clone(t.stewards.members), func(one Member) bool { return one.State == peerapi.StateGone })
 	slices.SortStableFunc(fit, func(one, two Member) int {
 		return cmp.Compare(hashOf(t.self.Name+"/"+one.Name, 0, 0), hashOf(t.self.Name+"/"+two.Name, 0, 0))
 	})
@@ -111,5 +111,5 @@
 		t.silentSince = now
 	}
 	t.askedAt, t.isHeard = now, false
-	t.send(among[place], siblingwire.Datagram{Kind: kindPing, Number: t.number})
+	t.send(among[place], peerapi.Datagram{Kind: kindPing, Number: t.number})
 }
--- a/internal/siblingprobe/network_test.go
+++ b/internal/siblingprobe/network_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/mailru/easyjson"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -41,7 +41,7 @@
 
 // resident is a table of the network, and what was counted and seen of it.
 type resident struct {
-	member    siblingwire.Member
+	member    peerapi.Member
 	table     *siblingprobe.Table
 	view      *siblingprobe.View
 	datagrams int
@@ -71,13 +71,13 @@
 
 func (n *network) add(name, role string, incarnation uint64) *resident {
 	n.homes++
-	one := &resident{member: siblingwire.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.all)%4),
+	one := &resident{member: peerapi.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.all)%4),
 		Address: fmt.Sprintf("10.0.0.1:%d", 7000+n.homes), Incarnation: incarnation}, learnedAt: map[uint64]time.Duration{}}
 	if role == "steward" {
 		one.member.Disk = "disk-" + name
 	}
 	one.table = siblingprobe.NewTable(one.member, n.clock, siblingprobe.DefaultTiming, n.draw.Uint64(), siblingprobe.Events{
-		Send: func(to string, datagram siblingwire.Datagram) { n.carry(one, to, datagram) },
+		Send: func(to string, datagram peerapi.Datagram) { n.carry(one, to, datagram) },
 		Show: func(view *siblingprobe.View) {
 			one.view = view
 			epoch := view.Owners["plan"].Epoch
@@ -85,8 +85,8 @@
 				one.learnedAt[epoch] = n.clock.Steady()
 			}
 		},
-		PlanAhead: func(siblingwire.Member, int64) {},
-		Differ:    func(sibling siblingwire.Member) { n.exchange(one, sibling.Address) },
+		PlanAhead: func(peerapi.Member, int64) {},
+		Differ:    func(sibling peerapi.Member) { n.exchange(one, sibling.Address) },
 	})
 	n.all = append(n.all, one)
 	n.by[one.member.Address] = one
@@ -119,7 +119,7 @@
 	n.after(halfway, func() { n.tick(one) })
 }
 
-func (n *network) carry(from *resident, to string, datagram siblingwire.Datagram) {
+func (n *network) carry(from *resident, to string, datagram peerapi.Datagram) {
 	text, err := easyjson.Marshal(datagram)
 	if err != nil {
 		panic(err)
@@ -148,14 +148,14 @@
 
 func (n *network) exchange(one *resident, address string) {
 	call := one.table.Ask()
-	n.call(one, address, &call, func(answer *siblingwire.MembersAnswer) {
-		if given := one.table.Take(siblingwire.Member{Address: address}, answer); given != nil {
-			n.call(one, address, given, func(*siblingwire.MembersAnswer) {})
+	n.call(one, address, &call, func(answer *peerapi.MembersAnswer) {
+		if given := one.table.Take(peerapi.Member{Address: address}, answer); given != nil {
+			n.call(one, address, given, func(*peerapi.MembersAnswer) {})
 		}
 	})
 }
 
-func (n *network) call(one *resident, address string, call *siblingwire.MembersCall, take func(*siblingwire.MembersAnswer)) {
+func (n *network) call(one *resident, address string, call *peerapi.MembersCall, take func(*peerapi.MembersAnswer)) {
 	text, _ := easyjson.Marshal(call)
 	one.calls++
 	one.bytes += len(text)
@@ -206,7 +206,7 @@
 // moveOwner lets a steward announce a key, and gives how long each that runs took to learn it.
 func (n *network) moveOwner(to *resident, epoch uint64, patience time.Duration) []time.Duration {
 	began := n.clock.Steady()
-	if to.table.MergeOwner(siblingwire.OwnerFact{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
+	if to.table.MergeOwner(peerapi.OwnerFact{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
 		to.table.Spread()
 	}
 	n.run(patience)
--- a/internal/siblingprobe/node.go
+++ b/internal/siblingprobe/node.go
@@ -13,8 +13,8 @@
 
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -25,7 +25,7 @@
 	view    atomic.Pointer[View]
 	packets net.PacketConn
 	calls   net.Listener
-	caller  *siblingwire.Caller
+	caller  *peerapi.Caller
 	clock   pulse.Pulse
 	log     logs.Logger
 	seeds   atomic.Pointer[[]string]
@@ -56,7 +56,7 @@
 	return nil, nil, errors.Errorf("no free port from %d to %d on %s", first, last, ip)
 }
 
-func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *siblingwire.Caller,
+func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
 	clock pulse.Pulse, log logs.Logger, options ...Option) *Node {
 	node := &Node{box: mailbox.New(256), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
 		onPlan: func(Member, int64) {}}
@@ -81,7 +81,7 @@
 
 func (n *Node) View() *View { return n.view.Load() }
 
-func (n *Node) send(address string, datagram siblingwire.Datagram) {
+func (n *Node) send(address string, datagram peerapi.Datagram) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return
@@ -125,7 +125,7 @@
 			}
 			continue
 		}
-		var datagram siblingwire.Datagram
+		var datagram peerapi.Datagram
 		if err := easyjson.Unmarshal(room[:count], &datagram); err != nil || datagram.From.Name == "" {
 			datagramsDropped.With("unreadable").Inc()
 			n.log.V(1).Info("a datagram that can't be read was dropped", "bytes", count)
@@ -165,7 +165,7 @@
 	if address == n.View().Self.Control {
 		return
 	}
-	call, err := mailbox.Ask(n.box, span.Root(), func(answer func(siblingwire.MembersCall)) { answer(n.table.Ask()) })
+	call, err := mailbox.Ask(n.box, span.Root(), func(answer func(peerapi.MembersCall)) { answer(n.table.Ask()) })
 	if err != nil {
 		return
 	}
@@ -173,7 +173,7 @@
 	if err != nil {
 		return
 	}
-	given, err := mailbox.Ask(n.box, span.Root(), func(tell func(*siblingwire.MembersCall)) {
+	given, err := mailbox.Ask(n.box, span.Root(), func(tell func(*peerapi.MembersCall)) {
 		tell(n.table.Take(Member{Address: address}, answer))
 	})
 	if err == nil && given != nil {
@@ -181,9 +181,9 @@
 	}
 }
 
-func (n *Node) callMembers(address string, call *siblingwire.MembersCall) (*siblingwire.MembersAnswer, error) {
-	answer, err := siblingwire.Call[siblingwire.MembersCall, siblingwire.MembersAnswer](
-		n.caller, span.Root(), address, siblingwire.ProcedureMembers, 800*time.Millisecond, call)
+func (n *Node) callMembers(address string, call *peerapi.MembersCall) (*peerapi.MembersAnswer, error) {
+	answer, err := peerapi.Call[peerapi.MembersCall, peerapi.MembersAnswer](
+		n.caller, span.Root(), address, peerapi.ProcedureMembers, 800*time.Millisecond, call)
 	if err != nil {
 		n.log.V(1).Info("members could not be compared", "sibling", address, "why", err.Error())
 	}
@@ -192,14 +192,14 @@
 
 // Handle lets siblings compare their lists with this one.
 func (n *Node) Handle(mux *http.ServeMux) {
-	siblingwire.Serve(mux, siblingwire.ProcedureMembers, func(life span.Span, call *siblingwire.MembersCall) (*siblingwire.MembersAnswer, error) {
-		answer, err := mailbox.Ask(n.box, life, func(answer func(siblingwire.MembersAnswer)) { answer(n.table.Answer(call)) })
+	peerapi.Serve(mux, peerapi.ProcedureMembers, func(life span.Span, call *peerapi.MembersCall) (*peerapi.MembersAnswer, error) {
+		answer, err := mailbox.Ask(n.box, life, func(answer func(peerapi.MembersAnswer)) { answer(n.table.Answer(call)) })
 		return &answer, err
 	})
 }
 
 // Announce passes on word of a key's owner; HoldsPlan that of a plan.
-func (n *Node) Announce(fact siblingwire.OwnerFact) {
+func (n *Node) Announce(fact peerapi.OwnerFact) {
 	n.box.Post(func() {
 		if n.table.MergeOwner(fact) {
 			n.table.Spread()
--- a/internal/siblingprobe/node_test.go
+++ b/internal/siblingprobe/node_test.go
@@ -11,9 +11,9 @@
 
 	"gannetline/internal/logs"
 	"gannetline/internal/metrics"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/siblingprobe"
-	"gannetline/internal/siblingwire"
 	"gannetline/internal/span"
 )
 
@@ -22,8 +22,8 @@
 		calls, packets, err := siblingprobe.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
-		node := siblingprobe.NewNode(siblingwire.Member{Name: "one", Role: "gate"}, calls, packets, nil,
-			siblingwire.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent())
+		node := siblingprobe.NewNode(peerapi.Member{Name: "one", Role: "gate"}, calls, packets, nil,
+			peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent())
 		life, end := span.Cancellable(span.Root())
 		over := make(chan error)
 		go func() { over <- node.Run(life) }()
@@ -36,14 +36,14 @@
 		defer other.Close()
 		Expect(other.SetDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
 		other.Write([]byte("no datagram"))
-		text, err := easyjson.Marshal(siblingwire.Datagram{Kind: "ping", Number: 4,
-			From: siblingwire.Member{Name: "two", Role: "gate", Address: other.LocalAddr().String()}})
+		text, err := easyjson.Marshal(peerapi.Datagram{Kind: "ping", Number: 4,
+			From: peerapi.Member{Name: "two", Role: "gate", Address: other.LocalAddr().String()}})
 		Expect(err).NotTo(HaveOccurred())
 		other.Write(text)
 		answer := make([]byte, 16<<10)
 		count, err := other.Read(answer)
 		Expect(err).NotTo(HaveOccurred())
-		var said siblingwire.Datagram
+		var said peerapi.Datagram
 		Expect(easyjson.Unmarshal(answer[:count], &said)).To(Succeed())
 		own := metrics.Own()
 		Expect(own).To(HaveKeyWithValue(`gannetline_datagrams_dropped_total{why="unreadable"}`, 1.0))
--- a/internal/siblingprobe/sums.go
+++ b/internal/siblingprobe/sums.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 const bucketCount = 32
@@ -37,4 +37,4 @@
 	return binary.BigEndian.Uint32(sum[:])
 }
 
-func factHash(fact siblingwire.OwnerFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
+func factHash(fact peerapi.OwnerFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
--- a/internal/siblingprobe/table.go
+++ b/internal/siblingprobe/table.go
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
-type Member = siblingwire.Member
+type Member = peerapi.Member
 
 const (
 	RoleSteward    = "steward"
@@ -76,7 +76,7 @@
 }
 
 type Events struct {
-	Send      func(address string, datagram siblingwire.Datagram)
+	Send      func(address string, datagram peerapi.Datagram)
 	Show      func(*View)
 	PlanAhead func(sibling Member, version int64)
 	Differ    func(sibling Member)
@@ -98,7 +98,7 @@
 	sums        sums
 	stewardSums sums
 
-	owners        map[string]siblingwire.OwnerFact
+	owners        map[string]peerapi.OwnerFact
 	isOwnersShown bool
 	ownerSum      uint32
 	fresh         map[string]int
@@ -134,7 +134,7 @@
 
 func NewTable(self Member, clock pulse.Pulse, timing Timing, seed uint64, events Events) *Table {
 	table := &Table{clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
-		entries: map[string]*entry{}, unwell: map[string]*entry{}, owners: map[string]siblingwire.OwnerFact{},
+		entries: map[string]*entry{}, unwell: map[string]*entry{}, owners: map[string]peerapi.OwnerFact{},
 		fresh: map[string]int{}, probes: map[uint64]probe{}, relays: map[uint64]relay{}, hot: map[string]int{},
 		leaves: map[string]leaf{}, pause: timing.LeafPeriod, isHeard: true, isDirty: true, moved: make(chan struct{})}
 	now := clock.Steady()
@@ -172,13 +172,13 @@
 	if !t.isKept(member) {
 		return false
 	}
-	if isLeaf(t.self) && member.State == siblingwire.StateSuspect {
-		member.State = siblingwire.StateAlive
+	if isLeaf(t.self) && member.State == peerapi.StateSuspect {
+		member.State = peerapi.StateAlive
 	}
 	now := t.clock.Steady()
 	known := t.entries[name]
 	if known == nil {
-		if member.State == siblingwire.StateGone && now-t.born > t.timing.ForgetAfter {
+		if member.State == peerapi.StateGone && now-t.born > t.timing.ForgetAfter {
 			return false
 		}
 		known = &entry{bucket: bucketOf(name), since: now, heardAt: now}
@@ -203,16 +203,16 @@
 	t.count(known)
 	known.member = member
 	known.hash, known.lifeHash = 0, 0
-	if member.State != siblingwire.StateGone {
+	if member.State != peerapi.StateGone {
 		known.hash = hashOf(Name(member), member.Incarnation, member.State)
-		known.lifeHash = hashOf(Name(member), member.Incarnation, siblingwire.StateAlive)
+		known.lifeHash = hashOf(Name(member), member.Incarnation, peerapi.StateAlive)
 	}
 	t.count(known)
 	t.everyone.put(member)
 	if member.Role == RoleSteward {
 		t.stewards.put(member)
 	}
-	if name := Name(member); member.State == siblingwire.StateAlive {
+	if name := Name(member); member.State == peerapi.StateAlive {
 		delete(t.unwell, name)
 	} else {
 		t.unwell[name] = known
@@ -259,7 +259,7 @@
 }
 
 func (t *Table) refute(belief Member) {
-	if belief.Incarnation < t.self.Incarnation || belief.Incarnation == t.self.Incarnation && belief.State == siblingwire.StateAlive {
+	if belief.Incarnation < t.self.Incarnation || belief.Incarnation == t.self.Incarnation && belief.State == peerapi.StateAlive {
 		return
 	}
 	t.self.Past = joinPast(belief, t.self)
@@ -271,7 +271,7 @@
 func (t *Table) noteNews(name string) { t.hot[name] = newsTimes }
 
 // MergeOwner takes word of a key's owner; the higher epoch counts.
-func (t *Table) MergeOwner(fact siblingwire.OwnerFact) bool {
+func (t *Table) MergeOwner(fact peerapi.OwnerFact) bool {
 	known, isThere := t.owners[fact.Key]
 	if isThere && known.Epoch >= fact.Epoch {
 		return false
@@ -308,14 +308,14 @@
 
 func (t *Table) shownOwnerSum() uint32 { return shown(t.ownerSum) }
 
-func (t *Table) digestFor(role string) siblingwire.Digest {
-	return siblingwire.Digest{Plan: t.plan, MemberSum: t.sumsFor(role).whole(), OwnerSum: t.shownOwnerSum()}
+func (t *Table) digestFor(role string) peerapi.Digest {
+	return peerapi.Digest{Plan: t.plan, MemberSum: t.sumsFor(role).whole(), OwnerSum: t.shownOwnerSum()}
 }
 
-func (t *Table) facts() []siblingwire.OwnerFact { return slices.Collect(maps.Values(t.owners)) }
+func (t *Table) facts() []peerapi.OwnerFact { return slices.Collect(maps.Values(t.owners)) }
 
-func (t *Table) freshFacts() []siblingwire.OwnerFact {
-	var facts []siblingwire.OwnerFact
+func (t *Table) freshFacts() []peerapi.OwnerFact {
+	var facts []peerapi.OwnerFact
 	for key := range t.fresh {
 		if len(facts) == mostFacts {
 			break
@@ -326,7 +326,7 @@
 }
 
 // heedNews takes what a digest says outright.
-func (t *Table) heedNews(from Member, digest siblingwire.Digest) {
+func (t *Table) heedNews(from Member, digest peerapi.Digest) {
 	isNews := false
 	for _, fact := range digest.Owners {
 		isNews = t.MergeOwner(fact) || isNews
@@ -340,7 +340,7 @@
 }
 
 // heedSums looks for what a digest shows to be missing; a sibling of the older form has no sums.
-func (t *Table) heedSums(from Member, digest siblingwire.Digest) {
+func (t *Table) heedSums(from Member, digest peerapi.Digest) {
 	if isLeaf(from) {
 		return
 	}
@@ -374,7 +374,7 @@
 }
 
 // Hear takes one datagram.
-func (t *Table) Hear(datagram siblingwire.Datagram) {
+func (t *Table) Hear(datagram peerapi.Datagram) {
 	from := datagram.From
 	if Name(from) == Name(t.self) {
 		return
@@ -384,7 +384,7 @@
 		t.Merge(member)
 	}
 	t.heedNews(from, datagram.Digest)
-	reply := siblingwire.Datagram{Digest: siblingwire.Digest{Owners: t.mend(datagram.Digest)}}
+	reply := peerapi.Datagram{Digest: peerapi.Digest{Owners: t.mend(datagram.Digest)}}
 	switch datagram.Kind {
 	case kindPing:
 		reply.Kind, reply.Number, reply.News = kindAck, datagram.Number, t.beliefAbout(Name(from))
@@ -419,7 +419,7 @@
 }
 
 // mend gives all facts to a sibling whose sum of them differs; if it holds newer ones, it does the same in turn.
-func (t *Table) mend(digest siblingwire.Digest) []siblingwire.OwnerFact {
+func (t *Table) mend(digest peerapi.Digest) []peerapi.OwnerFact {
 	if digest.OwnerSum == 0 || digest.OwnerSum == t.shownOwnerSum() || len(t.owners) > mostFacts {
 		return nil
 	}
@@ -427,33 +427,33 @@
 }
 
 func (t *Table) beliefAbout(name string) []Member {
-	if known := t.entries[name]; known != nil && known.member.State != siblingwire.StateAlive {
+	if known := t.entries[name]; known != nil && known.member.State != peerapi.StateAlive {
 		return []Member{known.member}
 	}
 	return nil
 }
 
-func (t *Table) hearAck(datagram siblingwire.Datagram) {
+func (t *Table) hearAck(datagram peerapi.Datagram) {
 	if pending, isThere := t.relays[datagram.Number]; isThere {
 		delete(t.relays, datagram.Number)
-		t.send(pending.to, siblingwire.Datagram{Kind: kindAck, Number: pending.number})
+		t.send(pending.to, peerapi.Datagram{Kind: kindAck, Number: pending.number})
 		return
 	}
 	delete(t.probes, datagram.Number)
 }
 
-func (t *Table) relay(datagram siblingwire.Datagram) {
+func (t *Table) relay(datagram peerapi.Datagram) {
 	target := t.entries[datagram.Target]
 	if target == nil || len(t.relays) > 64 {
 		return
 	}
 	t.number++
 	t.relays[t.number] = relay{datagram.From, datagram.Number}
-	t.send(target.member, siblingwire.Datagram{Kind: kindPing, Number: t.number})
+	t.send(target.member, peerapi.Datagram{Kind: kindPing, Number: t.number})
 }
 
 // send adds this process's record, digest and news to a datagram.
-func (t *Table) send(to Member, datagram siblingwire.Datagram) {
+func (t *Table) send(to Member, datagram peerapi.Datagram) {
 	facts := datagram.Digest.Owners
 	if len(facts) == 0 {
 		facts = t.freshFacts()
@@ -469,7 +469,7 @@
 	t.events.Send(to.Address, datagram)
 }
 
-func (t *Table) recordsOf(facts []siblingwire.OwnerFact) []Member {
+func (t *Table) recordsOf(facts []peerapi.OwnerFact) []Member {
 	var records []Member
 	for _, fact := range facts {
 		known := t.entries[Name(Member{Name: fact.Name, Role: RoleSteward})]
@@ -511,7 +511,7 @@
 func (t *Table) tell(count int) {
 	t.Settle()
 	for _, one := range t.some(count, "") {
-		t.send(one, siblingwire.Datagram{Kind: kindNews})
+		t.send(one, peerapi.Datagram{Kind: kindNews})
 	}
 }
 
@@ -521,7 +521,7 @@
 	var chosen []Member
 	take := func(one Member) {
 		name := Name(one)
-		isFit := one.State == siblingwire.StateAlive && name != without && name != Name(t.self)
+		isFit := one.State == peerapi.StateAlive && name != without && name != Name(t.self)
 		if isFit && !slices.ContainsFunc(chosen, func(other Member) bool { return Name(other) == name }) {
 			chosen = append(chosen, one)
 		}
@@ -613,7 +613,7 @@
 			one.isAsked = true
 			t.probes[number] = one
 			for _, helper := range t.some(t.timing.SecondOpinion, one.name) {
-				t.send(helper, siblingwire.Datagram{Kind: kindAsk, Number: number, Target: one.name})
+				t.send(helper, peerapi.Datagram{Kind: kindAsk, Number: number, Target: one.name})
 			}
 		}
 	}
@@ -623,8 +623,8 @@
 }
 
 func (t *Table) suspect(name string) {
-	if known := t.entries[name]; known.member.State == siblingwire.StateAlive {
-		t.demote(known, siblingwire.StateSuspect)
+	if known := t.entries[name]; known.member.State == peerapi.StateAlive {
+		t.demote(known, peerapi.StateSuspect)
 	}
 }
 
@@ -639,11 +639,11 @@
 func (t *Table) age(now time.Duration) {
 	for name, known := range t.unwell {
 		switch known.member.State {
-		case siblingwire.StateSuspect:
+		case peerapi.StateSuspect:
 			if now-known.since > t.timing.SuspectFor {
-				t.demote(known, siblingwire.StateGone)
+				t.demote(known, peerapi.StateGone)
 			}
-		case siblingwire.StateGone:
+		case peerapi.StateGone:
 			if now-known.since > t.timing.ForgetAfter {
 				t.forget(name)
 			}
@@ -654,7 +654,7 @@
 func (t *Table) probeNext(now time.Duration) {
 	if len(t.order) == 0 {
 		for _, member := range t.everyone.members {
-			isDue := member.State != siblingwire.StateGone || t.draw.IntN(3) == 0
+			isDue := member.State != peerapi.StateGone || t.draw.IntN(3) == 0
 			if name := Name(member); isDue && name != Name(t.self) {
 				t.order = append(t.order, name)
 			}
@@ -667,7 +667,7 @@
 		if known := t.entries[name]; known != nil {
 			t.number++
 			t.probes[t.number] = probe{name: name, began: now}
-			t.send(known.member, siblingwire.Datagram{Kind: kindPing, Number: t.number, News: t.beliefAbout(name)})
+			t.send(known.member, peerapi.Datagram{Kind: kindPing, Number: t.number, News: t.beliefAbout(name)})
 			return
 		}
 	}
