--- a/internal/siblingprobe/view.go
+++ b/internal/siblingprobe/view.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 // View is what the table shows to the rest of the process; it is never changed after it is made.
@@ -12,7 +12,7 @@
 	Self     Member
 	Members  []Member
 	Stewards []Member
-	Owners   map[string]siblingwire.OwnerFact
+	Owners   map[string]peerapi.OwnerFact
 	// IsLonely is set at a local-proxy that no steward has answered for some time.
 	IsLonely bool
 	// Moved is closed once any key has another owner than this view says.
@@ -40,6 +40,6 @@
 // SeesSteward tells whether any steward that may own keys, but this process, is thought alive.
 func (v *View) SeesSteward() bool {
 	return slices.ContainsFunc(v.Stewards, func(one Member) bool {
-		return one.MayOwn() && one.State == siblingwire.StateAlive && Name(one) != Name(v.Self)
+		return one.MayOwn() && one.State == peerapi.StateAlive && Name(one) != Name(v.Self)
 	})
 }
--- a/internal/stage/disk.go
+++ b/internal/stage/disk.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/storage"
 )
 
@@ -19,10 +19,10 @@
 	return &Shelf{Heads: map[string]storage.Head{}, pairs: map[string]map[string][]byte{}}
 }
 
-func (s *Shelf) Read(key string) (siblingwire.Snapshot, error) {
-	whole := siblingwire.Snapshot{Last: s.Heads[key].Last, Set: s.Heads[key].Set}
+func (s *Shelf) Read(key string) (peerapi.Snapshot, error) {
+	whole := peerapi.Snapshot{Last: s.Heads[key].Last, Set: s.Heads[key].Set}
 	for _, name := range slices.Sorted(maps.Keys(s.pairs[key])) {
-		whole.Pairs = append(whole.Pairs, siblingwire.Op{Name: name, Value: s.pairs[key][name]})
+		whole.Pairs = append(whole.Pairs, peerapi.Op{Name: name, Value: s.pairs[key][name]})
 	}
 	return whole, nil
 }
@@ -54,7 +54,7 @@
 	return storage.Outcome{Taken: true, Head: head}
 }
 
-func (s *Shelf) put(key string, ops []siblingwire.Op) {
+func (s *Shelf) put(key string, ops []peerapi.Op) {
 	if s.pairs[key] == nil {
 		s.pairs[key] = map[string][]byte{}
 	}
--- a/internal/stage/executor.go
+++ b/internal/stage/executor.go
@@ -6,8 +6,8 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/jobtable"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // Work says how a run goes on an executor: how long it takes, and how it ends.
@@ -29,7 +29,7 @@
 	Domain     string
 	Labels     []string
 	ID         string
-	Room       siblingwire.Capacity
+	Room       peerapi.Capacity
 	Speed      float64
 	Starts     int
 	isUp       bool
@@ -87,8 +87,8 @@
 	}
 }
 
-func (e *Executor) used() siblingwire.Capacity {
-	var used siblingwire.Capacity
+func (e *Executor) used() peerapi.Capacity {
+	var used peerapi.Capacity
 	for _, one := range e.active {
 		need := e.stage.Judge.need(one.task)
 		used.CPU, used.Memory = used.CPU+need.CPU, used.Memory+need.Memory
--- a/internal/stage/node.go
+++ b/internal/stage/node.go
@@ -6,9 +6,9 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingwire"
 )
 
 const (
@@ -151,27 +151,27 @@
 	life int
 }
 
-func (r *road) Promise(disk string, ask siblingwire.PromiseCall, done func(siblingwire.PromiseAnswer, error)) {
+func (r *road) Promise(disk string, ask peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
 	to, where := r.node.stage.placeOf(disk)
-	call(r.node.stage, r.node.place(), where, promiseLimit, func(answer func(siblingwire.PromiseAnswer)) { to.replicas.Promise(ask, answer) }, done)
+	call(r.node.stage, r.node.place(), where, promiseLimit, func(answer func(peerapi.PromiseAnswer)) { to.replicas.Promise(ask, answer) }, done)
 }
 
-func (r *road) Append(disk string, ask siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error)) {
+func (r *road) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
 	if disk == r.node.disk.name {
 		r.InstallLocal(ask, done)
 		return
 	}
 	to, where := r.node.stage.placeOf(disk)
-	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(siblingwire.AppendAnswer)) { to.replicas.Append(ask, answer) }, done)
+	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(peerapi.AppendAnswer)) { to.replicas.Append(ask, answer) }, done)
 }
 
-func (r *road) InstallLocal(ask siblingwire.AppendCall, done func(siblingwire.AppendAnswer, error)) {
-	r.node.replicas.Append(ask, func(answer siblingwire.AppendAnswer) { done(answer, nil) })
+func (r *road) InstallLocal(ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	r.node.replicas.Append(ask, func(answer peerapi.AppendAnswer) { done(answer, nil) })
 }
 
-func (r *road) Fetch(disk string, ask siblingwire.FetchCall, done func(siblingwire.FetchAnswer, error)) {
+func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
 	to, where := r.node.stage.placeOf(disk)
-	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(siblingwire.FetchAnswer)) {
+	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(peerapi.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			answer(whole)
 		}
@@ -186,4 +186,4 @@
 	done(r.node.replicas.History(key))
 }
 
-func (r *road) ReadLocal(key string) (siblingwire.Snapshot, error) { return r.node.disk.Read(key) }
+func (r *road) ReadLocal(key string) (peerapi.Snapshot, error) { return r.node.disk.Read(key) }
--- a/internal/stage/proxy.go
+++ b/internal/stage/proxy.go
@@ -5,8 +5,8 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 // refused is the status of a call that nobody listened to.
@@ -174,14 +174,14 @@
 	}
 	owner := p.stage.Nodes[p.guess%len(p.stage.Nodes)]
 	askedAt := p.stage.Line.Now()
-	call(p.stage, p.place(), owner.place(), pulse.Ms(ask.WaitMs)+1500*time.Millisecond, func(answer func(siblingwire.ExchangeAnswer)) {
+	call(p.stage, p.place(), owner.place(), pulse.Ms(ask.WaitMs)+1500*time.Millisecond, func(answer func(peerapi.ExchangeAnswer)) {
 		pool := owner.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
-			answer(siblingwire.ExchangeAnswer{Elsewhere: true})
+			answer(peerapi.ExchangeAnswer{Elsewhere: true})
 			return
 		}
 		pool.Exchange(ask, answer)
-	}, func(answer siblingwire.ExchangeAnswer, err error) {
+	}, func(answer peerapi.ExchangeAnswer, err error) {
 		if err != nil || answer.Elsewhere {
 			p.guess++
 			done(false)
@@ -197,7 +197,7 @@
 	})
 }
 
-func (p *Proxy) carry(executor string, order siblingwire.Order, try int) {
+func (p *Proxy) carry(executor string, order peerapi.Order, try int) {
 	work, isDue := p.table.Ready(executor, order)
 	if !isDue {
 		return
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -7,8 +7,8 @@
 
 	"gannetline/internal/jobtable"
 	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
-	"gannetline/internal/siblingwire"
 )
 
 // Stage is a whole small system: stewards, proxies, executors and clients.
@@ -42,7 +42,7 @@
 // Place is one executor as it should stand on the stage.
 type Place struct {
 	Machine string
-	Room    siblingwire.Capacity
+	Room    peerapi.Capacity
 	Labels  []string
 }
 
@@ -69,7 +69,7 @@
 }
 
 // New sets up stewards and executors and starts them all.
-func New(seed uint64, stewards, executors int, room siblingwire.Capacity, wallMs int64, options ...Option) *Stage {
+func New(seed uint64, stewards, executors int, room peerapi.Capacity, wallMs int64, options ...Option) *Stage {
 	line := NewLine(wallMs, seed)
 	s := &Stage{Line: line, Judge: newJudge(line), service: "board", keys: []string{"pool/board"}, timing: DefaultTiming,
 		log: logs.Silent(), cut: map[string]bool{}, Work: evenWork, grantBy: 1}
@@ -98,7 +98,7 @@
 	return s
 }
 
-func evenPlaces(count int, room siblingwire.Capacity) []Place {
+func evenPlaces(count int, room peerapi.Capacity) []Place {
 	var places []Place
 	for number := range count {
 		places = append(places, Place{Machine: fmt.Sprintf("side-%02d", number+1), Room: room, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
@@ -114,14 +114,14 @@
 	return disks
 }
 
-func (s *Stage) members() []siblingwire.Member {
-	var all []siblingwire.Member
+func (s *Stage) members() []peerapi.Member {
+	var all []peerapi.Member
 	for _, one := range s.Nodes {
-		state := siblingwire.StateAlive
+		state := peerapi.StateAlive
 		if !one.isUp {
-			state = siblingwire.StateGone
+			state = peerapi.StateGone
 		}
-		all = append(all, siblingwire.Member{Name: one.Name, Role: "steward", Disk: one.disk.name, State: state, Past: one.past})
+		all = append(all, peerapi.Member{Name: one.Name, Role: "steward", Disk: one.disk.name, State: state, Past: one.past})
 	}
 	return all
 }
@@ -199,24 +199,24 @@
 }
 
 // Ask plays a client: it asks one steward after another until one answers for the pool.
-func (s *Stage) Ask(ask siblingwire.ClientCall, answer func(siblingwire.ClientAnswer)) {
+func (s *Stage) Ask(ask peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
 	ask.Key = s.keys[0]
 	s.ask(&ask, s.Line.Draw.IntN(len(s.Nodes)), 0, answer)
 }
 
-func (s *Stage) ask(ask *siblingwire.ClientCall, number, try int, answer func(siblingwire.ClientAnswer)) {
+func (s *Stage) ask(ask *peerapi.ClientCall, number, try int, answer func(peerapi.ClientAnswer)) {
 	node := s.Nodes[number%len(s.Nodes)]
 	client := &place{"client", func(run func()) { run() }}
-	call(s, client, node.place(), 900*time.Millisecond, func(told func(siblingwire.ClientAnswer)) {
+	call(s, client, node.place(), 900*time.Millisecond, func(told func(peerapi.ClientAnswer)) {
 		pool := node.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
-			told(siblingwire.ClientAnswer{Elsewhere: true})
+			told(peerapi.ClientAnswer{Elsewhere: true})
 			return
 		}
-		verbs := map[string]func(*siblingwire.ClientCall, func(siblingwire.ClientAnswer)){
+		verbs := map[string]func(*peerapi.ClientCall, func(peerapi.ClientAnswer)){
 			"hand-in": pool.HandIn, "state": pool.State, "cancel": pool.Cancel, "count": pool.Count}
 		verbs[ask.Verb](ask, told)
-	}, func(told siblingwire.ClientAnswer, err error) {
+	}, func(told peerapi.ClientAnswer, err error) {
 		if err == nil && !told.Elsewhere {
 			answer(told)
 			return
@@ -228,13 +228,13 @@
 }
 
 // HandIn gives a job to the system, and tells the judge what was given.
-func (s *Stage) HandIn(id, entry string, body []byte, terms siblingwire.EntryTerms, answer func(siblingwire.ClientAnswer)) error {
+func (s *Stage) HandIn(id, entry string, body []byte, terms peerapi.EntryTerms, answer func(peerapi.ClientAnswer)) error {
 	spec, err := jobtable.Read(body)
 	if err != nil {
 		return err
 	}
 	s.Judge.expect(id, spec, terms.MaxAttempts)
-	s.Ask(siblingwire.ClientCall{Verb: "hand-in", Entry: entry, ID: id, Body: body, Terms: &terms}, answer)
+	s.Ask(peerapi.ClientCall{Verb: "hand-in", Entry: entry, ID: id, Body: body, Terms: &terms}, answer)
 	return nil
 }
 
--- a/internal/storage/metrics.go
+++ b/internal/storage/metrics.go
@@ -2,7 +2,7 @@
 
 import (
 	"gannetline/internal/metrics"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 )
 
 var (
@@ -25,7 +25,7 @@
 	return all
 }
 
-func sizeOf(ops []siblingwire.Op) int {
+func sizeOf(ops []peerapi.Op) int {
 	var all int
 	for _, op := range ops {
 		all += len(op.Name) + len(op.Value)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -13,8 +13,8 @@
 	"github.com/mailru/easyjson"
 	bolt "go.etcd.io/bbolt"
 
+	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingwire"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all head.go
@@ -32,9 +32,9 @@
 type Write struct {
 	Key      string
 	Epoch    uint64
-	Prev     siblingwire.Stamp
-	Changes  []siblingwire.Change
-	Snapshot *siblingwire.Snapshot
+	Prev     peerapi.Stamp
+	Changes  []peerapi.Change
+	Snapshot *peerapi.Snapshot
 	Promise  bool
 }
 
@@ -217,7 +217,7 @@
 	return Outcome{Taken: true, Head: head}, heads.Put([]byte(write.Key), text)
 }
 
-func replacePairs(tx *bolt.Tx, key string, pairs []siblingwire.Op) error {
+func replacePairs(tx *bolt.Tx, key string, pairs []peerapi.Op) error {
 	all := tx.Bucket(bucketPairs)
 	if all.Bucket([]byte(key)) != nil {
 		if err := all.DeleteBucket([]byte(key)); err != nil {
@@ -231,7 +231,7 @@
 	return putAll(fresh, pairs)
 }
 
-func putAll(pairs *bolt.Bucket, ops []siblingwire.Op) error {
+func putAll(pairs *bolt.Bucket, ops []peerapi.Op) error {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
 			if err := pairs.Delete([]byte(op.Name)); err != nil {
@@ -271,8 +271,8 @@
 }
 
 // Read gives the whole state of a key as it is on the disk.
-func (s *Store) Read(key string) (siblingwire.Snapshot, error) {
-	var whole siblingwire.Snapshot
+func (s *Store) Read(key string) (peerapi.Snapshot, error) {
+	var whole peerapi.Snapshot
 	err := s.db.View(func(tx *bolt.Tx) error {
 		head, err := readHead(tx.Bucket(bucketHeads), key)
 		if err != nil {
@@ -284,7 +284,7 @@
 			return nil
 		}
 		return pairs.ForEach(func(name, value []byte) error {
-			whole.Pairs = append(whole.Pairs, siblingwire.Op{Name: string(name), Value: bytes.Clone(value)})
+			whole.Pairs = append(whole.Pairs, peerapi.Op{Name: string(name), Value: bytes.Clone(value)})
 			return nil
 		})
 	})
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/metrics"
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/storage"
 )
 
@@ -18,10 +18,10 @@
 	return <-heard
 }
 
-func at(epoch, step uint64) siblingwire.Stamp { return siblingwire.Stamp{Epoch: epoch, Step: step} }
+func at(epoch, step uint64) peerapi.Stamp { return peerapi.Stamp{Epoch: epoch, Step: step} }
 
-func change(epoch, step uint64, name, value string) siblingwire.Change {
-	return siblingwire.Change{Stamp: at(epoch, step), Ops: []siblingwire.Op{{Name: name, Value: []byte(value)}}}
+func change(epoch, step uint64, name, value string) peerapi.Change {
+	return peerapi.Change{Stamp: at(epoch, step), Ops: []peerapi.Op{{Name: name, Value: []byte(value)}}}
 }
 
 var _ = Describe("the store", func() {
@@ -39,7 +39,7 @@
 		Expect(store.Bare()).To(BeTrue())
 		disk := store.Disk()
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeTrue())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []siblingwire.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []peerapi.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
 		Expect(store.Close()).To(Succeed())
 		again, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
@@ -55,15 +55,15 @@
 	It("refuses an old epoch, a second promise of one, and a change that does not follow on", func() {
 		write(store, storage.Write{Key: "k", Epoch: 3, Promise: true})
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeFalse())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Changes: []siblingwire.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []siblingwire.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Changes: []peerapi.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []peerapi.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
 	})
 
 	It("takes a snapshot for all it had, and forgets what is deleted", func() {
-		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []siblingwire.Change{change(1, 1, "old", "1")}})
-		snapshot := &siblingwire.Snapshot{Last: at(2, 9), Pairs: []siblingwire.Op{{Name: "new", Value: []byte("2")}}}
+		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []peerapi.Change{change(1, 1, "old", "1")}})
+		snapshot := &peerapi.Snapshot{Last: at(2, 9), Pairs: []peerapi.Op{{Name: "new", Value: []byte("2")}}}
 		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot}).Taken).To(BeTrue())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []siblingwire.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []peerapi.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
 		whole, _ := store.Read("k")
 		Expect(whole.Pairs).To(BeEmpty())
 		Expect(whole.Last).To(Equal(at(2, 10)))
@@ -71,9 +71,9 @@
 
 	It("counts its transactions, writes and bytes", func() {
 		before := metrics.Own()
-		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []siblingwire.Change{change(1, 1, "name", "value")}})
-		write(store, storage.Write{Key: "k", Epoch: 0, Changes: []siblingwire.Change{change(0, 2, "old", "value")}})
-		snapshot := &siblingwire.Snapshot{Last: at(2, 9), Pairs: []siblingwire.Op{{Name: "a", Value: []byte("2")}}}
+		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []peerapi.Change{change(1, 1, "name", "value")}})
+		write(store, storage.Write{Key: "k", Epoch: 0, Changes: []peerapi.Change{change(0, 2, "old", "value")}})
+		snapshot := &peerapi.Snapshot{Last: at(2, 9), Pairs: []peerapi.Op{{Name: "a", Value: []byte("2")}}}
 		write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot})
 		own := metrics.Own()
 		since := func(name string) float64 { return own["gannetline_store_"+name] - before["gannetline_store_"+name] }
--- a/internal/wiremeter/wiremeter_test.go
+++ b/internal/wiremeter/wiremeter_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/siblingwire"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/wiremeter"
 )
 
@@ -26,7 +26,7 @@
 		server := &http.Server{Handler: served.Handler(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) { io.WriteString(to, "word") }))}
 		go server.Serve(served.Listener(listener))
 		defer server.Close()
-		response, err := made.Client(siblingwire.Client(0, 1)).Get("http://" + listener.Addr().String())
+		response, err := made.Client(peerapi.Client(0, 1)).Get("http://" + listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
@@ -54,7 +54,7 @@
 
 	It("wraps nothing when there is none", func() {
 		var none *wiremeter.Meter
-		client := siblingwire.Client(0, 1)
+		client := peerapi.Client(0, 1)
 		Expect(none.Client(client).Transport).To(BeIdenticalTo(client.Transport))
 		Expect(none.Listener(nil)).To(BeNil())
 		Expect(none.Packets(nil)).To(BeNil())
