--- a/cmd/gannetline/metrics_test.go
+++ b/cmd/gannetline/metrics_test.go
@@ -14,9 +14,9 @@
 	"github.com/urfave/cli/v3"
 
 	"gannetline/internal/comparenodes"
+	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
@@ -82,7 +82,7 @@
 		steward, _ := scriptedProcess("a 40\n")
 		members := []peerapi.Member{{Name: "e1", Role: "gate", Address: gate}, {Name: "e2", Role: "gate", Address: second},
 			{Name: "c1", Role: "steward", Address: steward}, {Name: "c2", Role: "steward", Address: deadAddress(), State: peerapi.StateGone}}
-		comparenodes.Handle(mux, comparenodes.Sources{View: func() *siblingprobe.View { return &siblingprobe.View{Members: members} }})
+		comparenodes.Handle(mux, comparenodes.Sources{View: func() *membership.View { return &membership.View{Members: members} }})
 		shown, code, _ := runMetrics("--of", gate)
 		Expect(code).To(Equal(0))
 		Expect(shown).To(MatchRegexp(`^metric +gate +steward +sum\na +3 +40 +43\n$`))
--- a/internal/comparenodes/compare.go
+++ b/internal/comparenodes/compare.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/siblingprobe"
 )
 
 // Difference is one thing that two nodes believe differently.
@@ -36,8 +36,8 @@
 	}
 	add("plan", map[string]string{"version": strconv.FormatInt(first.Plan, 10)}, map[string]string{"version": strconv.FormatInt(second.Plan, 10)})
 	isListed := func(member peerapi.Member) bool {
-		hasLeaf := first.Role == siblingprobe.RoleLocalProxy || second.Role == siblingprobe.RoleLocalProxy
-		return !hasLeaf || member.Role == siblingprobe.RoleSteward
+		hasLeaf := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
+		return !hasLeaf || member.Role == membership.RoleSteward
 	}
 	add("member", members(first, isListed), members(second, isListed))
 	add("owner", owners(first), owners(second))
@@ -79,7 +79,7 @@
 		if !isListed(member) {
 			continue
 		}
-		held[siblingprobe.Name(member)] = strings.TrimSpace(states[member.State] + " at " + member.Address + " " + member.Disk)
+		held[membership.Name(member)] = strings.TrimSpace(states[member.State] + " at " + member.Address + " " + member.Disk)
 	}
 	return held
 }
--- a/internal/comparenodes/serve.go
+++ b/internal/comparenodes/serve.go
@@ -5,13 +5,13 @@
 	"net/http"
 
 	"gannetline/internal/configcache"
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
 type Sources struct {
-	View func() *siblingprobe.View
+	View func() *membership.View
 	Page func() *configcache.Page
 	Ring func(life span.Span) ([]peerapi.KeyBelief, []peerapi.JobBelief, []peerapi.ExecutorBelief)
 }
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -13,10 +13,10 @@
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 	"gannetline/internal/storage"
 )
@@ -38,7 +38,7 @@
 	clock, mux := pulse.NewFake(1000), http.NewServeMux()
 	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
-		Node: siblingprobe.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
+		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
 		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Page) {})}
 	if store != nil {
 		var err error
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -10,11 +10,11 @@
 	"gannetline/internal/configowner"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 	"gannetline/internal/storage"
 )
@@ -43,7 +43,7 @@
 	name      string
 	replicas  *replication.Replicas
 	caller    *peerapi.Caller
-	node      *siblingprobe.Node
+	node      *membership.Node
 	book      *configcache.Book
 	timing    poolowner.Timing
 	holders   map[string]*holder
@@ -65,7 +65,7 @@
 	MachineLosses int
 	Name          string
 	Caller        *peerapi.Caller
-	Node          *siblingprobe.Node
+	Node          *membership.Node
 	Book          *configcache.Book
 	Timing        poolowner.Timing
 	Replicas      *replication.Replicas
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -10,12 +10,12 @@
 
 	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
+	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/ownercalls"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
@@ -66,7 +66,7 @@
 
 	It("counts calls by verb and status, and how long they took", func() {
 		clock := pulse.NewFake(0)
-		view := func() *siblingprobe.View { return &siblingprobe.View{} }
+		view := func() *membership.View { return &membership.View{} }
 		pages := func() *configcache.Page { return page() }
 		gate := gatecalls.New(pages, ownercalls.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -9,10 +9,10 @@
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/reply"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
@@ -36,7 +36,7 @@
 	log      logs.Logger
 	executor *executorcalls.Client
 	caller   *peerapi.Caller
-	view     func() *siblingprobe.View
+	view     func() *membership.View
 	service  string
 	work     chan struct{}
 	starts   chan struct{}
@@ -46,7 +46,7 @@
 }
 
 func New(service, domain, name string, clock pulse.Pulse, log logs.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
-	view func() *siblingprobe.View) *Proxy {
+	view func() *membership.View) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
 	proxy.table = NewTable(clock, log, service, domain, name, func() { nudge(proxy.work) }, func() { nudge(proxy.looks) }, func() { nudge(proxy.acks) },
@@ -258,7 +258,7 @@
 		return false
 	}
 	askedAt := p.clock.Steady()
-	patience, release := siblingprobe.UntilMoved(life, view)
+	patience, release := membership.UntilMoved(life, view)
 	defer release()
 	answer, err := peerapi.Call[peerapi.ExchangeCall, peerapi.ExchangeAnswer](p.caller, patience, owner,
 		peerapi.ProcedureExchange, pulse.Ms(call.WaitMs)+exchangeSlow, call)
@@ -279,7 +279,7 @@
 	return true
 }
 
-func ownerAddress(view *siblingprobe.View, key string) string {
+func ownerAddress(view *membership.View, key string) string {
 	if owner, isKnown := view.Steward(view.Owners[key].Name); isKnown {
 		return owner.Address
 	}
--- a/internal/siblingprobe/siblingprobe_suite_test.go
+++ b/internal/membership/membership_suite_test.go
@@ -1,4 +1,4 @@
-package siblingprobe_test
+package membership_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestSiblingprobe(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "siblingprobe")
+	RunSpecs(t, "membership")
 }
--- a/internal/siblingprobe/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package siblingprobe_test
+package membership_test
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 )
 
-func membersOf(view *siblingprobe.View) string {
+func membersOf(view *membership.View) string {
 	told := ""
 	for _, member := range view.Members {
 		if member.Role != "local-proxy" {
@@ -22,7 +22,7 @@
 	return told
 }
 
-func stewardsOf(view *siblingprobe.View) string {
+func stewardsOf(view *membership.View) string {
 	told := ""
 	for _, member := range view.Stewards {
 		told += fmt.Sprint(member.Name, member.Address, member.Incarnation, " ")
@@ -30,11 +30,11 @@
 	return told
 }
 
-func lone(self peerapi.Member, clock pulse.Pulse) (*siblingprobe.Table, *[]peerapi.Datagram, *int) {
+func lone(self peerapi.Member, clock pulse.Pulse) (*membership.Table, *[]peerapi.Datagram, *int) {
 	sent, differed := &[]peerapi.Datagram{}, new(int)
-	return siblingprobe.NewTable(self, clock, siblingprobe.DefaultTiming, 1, siblingprobe.Events{
+	return membership.NewTable(self, clock, membership.DefaultTiming, 1, membership.Events{
 		Send:      func(_ string, datagram peerapi.Datagram) { *sent = append(*sent, datagram) },
-		Show:      func(*siblingprobe.View) {},
+		Show:      func(*membership.View) {},
 		PlanAhead: func(peerapi.Member, int64) {},
 		Differ:    func(peerapi.Member) { *differed++ },
 	}), sent, differed
@@ -212,7 +212,7 @@
 })
 
 var _ = Describe("comparing lists", func() {
-	var one, two *siblingprobe.Table
+	var one, two *membership.Table
 	BeforeEach(func() {
 		clock := pulse.NewFake(1)
 		one, _, _ = lone(steward(0), clock)
@@ -312,9 +312,9 @@
 
 	It("forgets a member that is long gone", func() {
 		clock := pulse.NewFake(1)
-		var shown *siblingprobe.View
-		table := siblingprobe.NewTable(gate(0), clock, siblingprobe.DefaultTiming, 1, siblingprobe.Events{
-			Send: func(string, peerapi.Datagram) {}, Show: func(view *siblingprobe.View) { shown = view }})
+		var shown *membership.View
+		table := membership.NewTable(gate(0), clock, membership.DefaultTiming, 1, membership.Events{
+			Send: func(string, peerapi.Datagram) {}, Show: func(view *membership.View) { shown = view }})
 		empty := table.Ask().Buckets
 		table.Merge(steward(1))
 		for range 600 {
@@ -368,8 +368,8 @@
 	It("waits between two pings as long as it was asked to, at a local-proxy", func() {
 		clock := pulse.NewFake(1)
 		pings, isLonely := 0, false
-		side := siblingprobe.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, siblingprobe.DefaultTiming, 1,
-			siblingprobe.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *siblingprobe.View) { isLonely = isLonely || view.IsLonely }})
+		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = isLonely || view.IsLonely }})
 		side.Merge(steward(0))
 		side.Settle()
 		for range 80 {
@@ -428,8 +428,8 @@
 	It("does not think itself lonely after a freeze of its own, at a local-proxy, and pings at once", func() {
 		clock := pulse.NewFake(1)
 		pings, isLonely := 0, false
-		side := siblingprobe.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, siblingprobe.DefaultTiming, 1,
-			siblingprobe.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *siblingprobe.View) { isLonely = view.IsLonely }})
+		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = view.IsLonely }})
 		side.Merge(steward(0))
 		side.Settle()
 		clock.Advance(1400 * time.Millisecond)
@@ -443,8 +443,8 @@
 	It("pings the steward of its own domain among three, at a local-proxy", func() {
 		clock := pulse.NewFake(1)
 		asked := map[string]bool{}
-		side := siblingprobe.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, siblingprobe.DefaultTiming, 1,
-			siblingprobe.Events{Send: func(to string, _ peerapi.Datagram) { asked[to] = true }, Show: func(*siblingprobe.View) {}})
+		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(to string, _ peerapi.Datagram) { asked[to] = true }, Show: func(*membership.View) {}})
 		for number := range 40 {
 			one := steward(number)
 			if number == 27 {
@@ -534,9 +534,9 @@
 	})
 
 	It("shows views that later changes leave alone", func() {
-		var views []*siblingprobe.View
-		table := siblingprobe.NewTable(steward(5), pulse.NewFake(1), siblingprobe.DefaultTiming, 1, siblingprobe.Events{
-			Send: func(string, peerapi.Datagram) {}, Show: func(view *siblingprobe.View) { views = append(views, view) }})
+		var views []*membership.View
+		table := membership.NewTable(steward(5), pulse.NewFake(1), membership.DefaultTiming, 1, membership.Events{
+			Send: func(string, peerapi.Datagram) {}, Show: func(view *membership.View) { views = append(views, view) }})
 		for _, number := range []int{3, 9, 1} {
 			table.Merge(steward(number))
 			table.Settle()
--- a/internal/siblingprobe/network_test.go
+++ b/internal/membership/network_test.go
@@ -1,4 +1,4 @@
-package siblingprobe_test
+package membership_test
 
 import (
 	"container/heap"
@@ -9,9 +9,9 @@
 
 	"github.com/mailru/easyjson"
 
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 )
 
 const (
@@ -42,8 +42,8 @@
 // resident is a table of the network, and what was counted and seen of it.
 type resident struct {
 	member    peerapi.Member
-	table     *siblingprobe.Table
-	view      *siblingprobe.View
+	table     *membership.Table
+	view      *membership.View
 	datagrams int
 	bytes     int
 	calls     int
@@ -76,9 +76,9 @@
 	if role == "steward" {
 		one.member.Disk = "disk-" + name
 	}
-	one.table = siblingprobe.NewTable(one.member, n.clock, siblingprobe.DefaultTiming, n.draw.Uint64(), siblingprobe.Events{
+	one.table = membership.NewTable(one.member, n.clock, membership.DefaultTiming, n.draw.Uint64(), membership.Events{
 		Send: func(to string, datagram peerapi.Datagram) { n.carry(one, to, datagram) },
-		Show: func(view *siblingprobe.View) {
+		Show: func(view *membership.View) {
 			one.view = view
 			epoch := view.Owners["plan"].Epoch
 			if _, isThere := one.learnedAt[epoch]; !isThere {
@@ -237,7 +237,7 @@
 	}
 }
 
-func (n *network) isAgreed(about func(*siblingprobe.View) string) bool {
+func (n *network) isAgreed(about func(*membership.View) string) bool {
 	first := ""
 	for _, one := range n.all {
 		if one.isShut {
--- a/internal/siblingprobe/node.go
+++ b/internal/membership/node.go
@@ -1,4 +1,4 @@
-package siblingprobe
+package membership
 
 import (
 	"net"
--- a/internal/siblingprobe/node_test.go
+++ b/internal/membership/node_test.go
@@ -1,4 +1,4 @@
-package siblingprobe_test
+package membership_test
 
 import (
 	"net"
@@ -10,19 +10,19 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/logs"
+	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
 var _ = Describe("a node's datagrams", func() {
 	It("are counted by kind, with their bytes, and those that can't be read", func() {
-		calls, packets, err := siblingprobe.BindInternal("127.0.0.1", 20000, 29999)
+		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
-		node := siblingprobe.NewNode(peerapi.Member{Name: "one", Role: "gate"}, calls, packets, nil,
+		node := membership.NewNode(peerapi.Member{Name: "one", Role: "gate"}, calls, packets, nil,
 			peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent())
 		life, end := span.Cancellable(span.Root())
 		over := make(chan error)
--- a/internal/siblingprobe/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -1,4 +1,4 @@
-package siblingprobe_test
+package membership_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 )
 
 type letter struct {
@@ -20,22 +20,22 @@
 // town is a set of tables that hear each other on the next beat, unless a road is shut.
 type town struct {
 	clock  *pulse.Fake
-	tables map[string]*siblingprobe.Table
-	views  map[string]*siblingprobe.View
+	tables map[string]*membership.Table
+	views  map[string]*membership.View
 	ahead  map[string]int64
 	shut   map[string]bool
 	post   []letter
 }
 
 func newTown(count int) *town {
-	t := &town{clock: pulse.NewFake(1000), tables: map[string]*siblingprobe.Table{}, views: map[string]*siblingprobe.View{},
+	t := &town{clock: pulse.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
 		ahead: map[string]int64{}, shut: map[string]bool{}}
 	for number := range count {
 		address := fmt.Sprintf("n%d", number)
 		self := peerapi.Member{Name: address, Role: "gate", Address: address, Incarnation: 1}
-		t.tables[address] = siblingprobe.NewTable(self, t.clock, siblingprobe.DefaultTiming, uint64(number), siblingprobe.Events{
+		t.tables[address] = membership.NewTable(self, t.clock, membership.DefaultTiming, uint64(number), membership.Events{
 			Send:      func(to string, datagram peerapi.Datagram) { t.post = append(t.post, letter{address, to, datagram}) },
-			Show:      func(view *siblingprobe.View) { t.views[address] = view },
+			Show:      func(view *membership.View) { t.views[address] = view },
 			PlanAhead: func(_ peerapi.Member, version int64) { t.ahead[address] = version },
 			Differ:    func(peerapi.Member) {},
 		})
--- a/internal/siblingprobe/table.go
+++ b/internal/membership/table.go
@@ -1,7 +1,7 @@
-// Package siblingprobe knows the system's processes: probes in turn, second opinions, suspicion before
+// Package membership knows the system's processes: probes in turn, second opinions, suspicion before
 // removal; the same datagrams carry news, and digests that show gaps. Local-proxies are leaves: nobody
 // lists or probes them, and they attach to a few stewards.
-package siblingprobe
+package membership
 
 import (
 	"maps"
--- a/internal/ownercalls/ownercalls.go
+++ b/internal/ownercalls/ownercalls.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
@@ -19,11 +19,11 @@
 type Asker struct {
 	caller *peerapi.Caller
 	clock  pulse.Pulse
-	view   func() *siblingprobe.View
+	view   func() *membership.View
 	perTry time.Duration
 }
 
-func New(caller *peerapi.Caller, clock pulse.Pulse, view func() *siblingprobe.View) *Asker {
+func New(caller *peerapi.Caller, clock pulse.Pulse, view func() *membership.View) *Asker {
 	return &Asker{caller: caller, clock: clock, view: view, perTry: 450 * time.Millisecond}
 }
 
@@ -71,14 +71,14 @@
 }
 
 // askOnce gives up early if the key is heard to have another owner.
-func (a *Asker) askOnce(life span.Span, view *siblingprobe.View, address string, limit time.Duration, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
-	patience, release := siblingprobe.UntilMoved(life, view)
+func (a *Asker) askOnce(life span.Span, view *membership.View, address string, limit time.Duration, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+	patience, release := membership.UntilMoved(life, view)
 	defer release()
 	return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](a.caller, patience, address, peerapi.ProcedureClient, limit, call)
 }
 
 // address prefers the hint, then the known owner, then any steward that may own keys.
-func address(view *siblingprobe.View, key, hint string, try int) string {
+func address(view *membership.View, key, hint string, try int) string {
 	if hinted, isThere := view.Steward(hint); isThere {
 		return hinted.Address
 	}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -14,10 +14,10 @@
 
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/logs"
+	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 	"gannetline/internal/supervise"
 	"gannetline/internal/wiremeter"
@@ -39,7 +39,7 @@
 	packets  net.PacketConn
 	inner    *http.ServeMux
 	tree     *supervise.Tree
-	node     *siblingprobe.Node
+	node     *membership.Node
 	meter    *wiremeter.Meter
 }
 
@@ -78,7 +78,7 @@
 	for _, option := range options {
 		option(b)
 	}
-	calls, packets, err := siblingprobe.BindInternal(settings.IPAddress, settings.InternalPorts[0], settings.InternalPorts[1])
+	calls, packets, err := membership.BindInternal(settings.IPAddress, settings.InternalPorts[0], settings.InternalPorts[1])
 	if err != nil {
 		return nil, errors.Annotate(err, "field internal-port-range")
 	}
@@ -92,9 +92,9 @@
 	debug.SetMemoryLimit(settings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
-func (b *base) join(self peerapi.Member, options ...siblingprobe.Option) {
+func (b *base) join(self peerapi.Member, options ...membership.Option) {
 	self.Name, self.Domain = b.settings.NodeName, b.settings.Domain
-	b.node = siblingprobe.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
+	b.node = membership.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
 	b.node.Handle(b.inner)
 	metrics.Handle(b.inner)
 	b.tree.Add("siblings", b.node.Run)
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -9,10 +9,10 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/logs"
+	"gannetline/internal/membership"
 	"gannetline/internal/ownercalls"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/reply"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
@@ -37,7 +37,7 @@
 	}
 	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Page) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
-	b.join(peerapi.Member{Role: "gate"}, siblingprobe.OnPlanAhead(book.Ahead))
+	b.join(peerapi.Member{Role: "gate"}, membership.OnPlanAhead(book.Ahead))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
 	var isLeaving atomic.Bool
 	asker := ownercalls.New(b.caller, b.clock, b.node.View)
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -13,11 +13,11 @@
 	"gannetline/internal/controlkeys"
 	"gannetline/internal/daybook"
 	"gannetline/internal/mailbox"
+	"gannetline/internal/membership"
 	"gannetline/internal/ownercalls"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
-	"gannetline/internal/siblingprobe"
 	"gannetline/internal/span"
 )
 
@@ -40,7 +40,7 @@
 	defer kept.close()
 	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Page) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
-	b.join(kept.member(b.settings.Listen.Control), siblingprobe.OnPlanAhead(book.Ahead))
+	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
 	if err != nil {
 		return errors.Annotate(err, "field queue-rules")
