--- a/internal/controlcalls/controlcalls.go
+++ b/internal/controlcalls/controlcalls.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"gannetline/internal/configowner"
-	"gannetline/internal/ownercalls"
+	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/reply"
 )
@@ -56,7 +56,7 @@
 }
 
 // Handler asks the plan's owner, wherever it is.
-func Handler(asker *ownercalls.Asker) http.Handler {
+func Handler(asker *leaderclient.Asker) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		call, refusal := Decode(request)
 		if call == nil {
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/headerrules"
 	"gannetline/internal/jobtable"
-	"gannetline/internal/ownercalls"
+	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
@@ -88,11 +88,11 @@
 // Gate obeys decisions.
 type Gate struct {
 	page  func() *configcache.Page
-	asker *ownercalls.Asker
+	asker *leaderclient.Asker
 	clock pulse.Pulse
 }
 
-func New(page func() *configcache.Page, asker *ownercalls.Asker, clock pulse.Pulse) *Gate {
+func New(page func() *configcache.Page, asker *leaderclient.Asker, clock pulse.Pulse) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
@@ -151,7 +151,7 @@
 	return replyOf(&call, outcome), outcome.Answer.Status == http.StatusOK
 }
 
-func replyOf(call *peerapi.ClientCall, outcome ownercalls.Outcome) reply.Reply {
+func replyOf(call *peerapi.ClientCall, outcome leaderclient.Outcome) reply.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil && outcome.MaySee && call.Verb == "hand-in":
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -10,9 +10,9 @@
 
 	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
+	"gannetline/internal/leaderclient"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
-	"gannetline/internal/ownercalls"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
@@ -68,7 +68,7 @@
 		clock := pulse.NewFake(0)
 		view := func() *membership.View { return &membership.View{} }
 		pages := func() *configcache.Page { return page() }
-		gate := gatecalls.New(pages, ownercalls.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
+		gate := gatecalls.New(pages, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
 			one := request("GET", path)
--- a/internal/ownercalls/ownercalls.go
+++ b/internal/leaderclient/leaderclient.go
@@ -1,5 +1,5 @@
-// Package ownercalls finds a key's owner and asks it, again and elsewhere until there is no time left.
-package ownercalls
+// Package leaderclient finds a key's owner and asks it, again and elsewhere until there is no time left.
+package leaderclient
 
 import (
 	"math/rand/v2"
--- a/internal/ownercalls/ownercalls_test.go
+++ b/internal/leaderclient/leaderclient_test.go
@@ -1,4 +1,4 @@
-package ownercalls
+package leaderclient
 
 import (
 	"testing"
@@ -12,7 +12,7 @@
 
 func TestOwnercalls(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "ownercalls")
+	RunSpecs(t, "leaderclient")
 }
 
 var _ = Describe("a guess at an owner nobody knows", func() {
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -8,9 +8,9 @@
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
+	"gannetline/internal/leaderclient"
 	"gannetline/internal/logs"
 	"gannetline/internal/membership"
-	"gannetline/internal/ownercalls"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/reply"
 	"gannetline/internal/span"
@@ -40,7 +40,7 @@
 	b.join(peerapi.Member{Role: "gate"}, membership.OnPlanAhead(book.Ahead))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
 	var isLeaving atomic.Bool
-	asker := ownercalls.New(b.caller, b.clock, b.node.View)
+	asker := leaderclient.New(b.caller, b.clock, b.node.View)
 	server := newServer(b.meter.Handler(gatecalls.New(book.Page, asker, b.clock)))
 	b.tree.Add("plan", book.Run)
 	b.tree.Add("clients", func(life span.Span) error {
