--- a/internal/controlcalls/controlcalls.go
+++ b/internal/controlapi/controlapi.go
@@ -1,5 +1,5 @@
-// Package controlcalls serves the operator at any steward.
-package controlcalls
+// Package controlapi serves the operator at any steward.
+package controlapi
 
 import (
 	"encoding/json"
--- a/internal/controlcalls/controlcalls_suite_test.go
+++ b/internal/controlapi/controlapi_suite_test.go
@@ -1,4 +1,4 @@
-package controlcalls_test
+package controlapi_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestControlcalls(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "controlcalls")
+	RunSpecs(t, "controlapi")
 }
--- a/internal/controlcalls/controlcalls_test.go
+++ b/internal/controlapi/controlapi_test.go
@@ -1,4 +1,4 @@
-package controlcalls_test
+package controlapi_test
 
 import (
 	"net/http/httptest"
@@ -7,14 +7,14 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/controlcalls"
+	"gannetline/internal/controlapi"
 )
 
 var _ = Describe("an operator's call", func() {
 	It("becomes a command", func() {
 		one := httptest.NewRequest("POST", "/v1/configuration/replace", strings.NewReader(`{"config-version":1}`))
 		one.Header.Set("X-Base-Version", "5")
-		call, _ := controlcalls.Decode(one)
+		call, _ := controlapi.Decode(one)
 		Expect(call.Verb).To(Equal("replace"))
 		Expect(call.Base).To(Equal(int64(5)))
 	})
@@ -22,7 +22,7 @@
 	DescribeTable("is refused", func(method, path, base, body string, status int) {
 		one := httptest.NewRequest(method, path, strings.NewReader(body))
 		one.Header.Set("X-Base-Version", base)
-		call, refusal := controlcalls.Decode(one)
+		call, refusal := controlapi.Decode(one)
 		Expect(call).To(BeNil())
 		Expect(refusal.Status).To(Equal(status))
 	},
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -9,7 +9,7 @@
 
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/configcache"
-	"gannetline/internal/controlcalls"
+	"gannetline/internal/controlapi"
 	"gannetline/internal/controlkeys"
 	"gannetline/internal/daybook"
 	"gannetline/internal/leaderclient"
@@ -57,7 +57,7 @@
 	ring.Handle(b.inner)
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page, Ring: ring.Beliefs})
 	outer := http.NewServeMux()
-	outer.Handle("/v1/configuration/", controlcalls.Handler(leaderclient.New(b.caller, b.clock, b.node.View)))
+	outer.Handle("/v1/configuration/", controlapi.Handler(leaderclient.New(b.caller, b.clock, b.node.View)))
 	outer.Handle(peerapi.Prefix, b.inner)
 	if kept.store != nil {
 		b.tree.Add("replicas", func(life span.Span) error {
