--- a/cmd/gannetline/tools.go
+++ b/cmd/gannetline/tools.go
@@ -10,8 +10,8 @@
 
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/comparenodes"
+	"gannetline/internal/configuration"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/plancheck"
 	"gannetline/internal/span"
 )
 
@@ -89,6 +89,6 @@
 	if err != nil {
 		return errors.Annotate(err, "reading the plan")
 	}
-	_, err = plancheck.Read(body)
+	_, err = configuration.Read(body)
 	return err
 }
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -8,10 +8,10 @@
 
 	"github.com/juju/errors"
 
+	"gannetline/internal/configuration"
 	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
 )
@@ -21,7 +21,7 @@
 
 type Page struct {
 	Fact    *peerapi.PlanFact
-	Matcher *plancheck.Matcher
+	Matcher *configuration.Matcher
 	edition *Edition
 }
 
@@ -77,12 +77,12 @@
 		return
 	}
 	fact := edition.Fact
-	plan, err := plancheck.Read(fact.Body)
+	plan, err := configuration.Read(fact.Body)
 	if err != nil {
 		b.log.Error(errors.Annotate(err, "a plan from a sibling"), "the plan was refused", "version", fact.Version)
 		return
 	}
-	page := &Page{Fact: fact, Matcher: plancheck.NewMatcher(plan), edition: edition}
+	page := &Page{Fact: fact, Matcher: configuration.NewMatcher(plan), edition: edition}
 	b.page.Store(page)
 	versionsTaken.Inc()
 	versionHeld.Set(float64(fact.Version))
--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -12,9 +12,9 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
+	"gannetline/internal/configuration"
 	"gannetline/internal/logs"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/plancheck"
 )
 
 const (
@@ -85,7 +85,7 @@
 	if p.fact != nil {
 		current = p.fact.Version
 	}
-	plan, err := plancheck.Read(call.Body)
+	plan, err := configuration.Read(call.Body)
 	if plan != nil && p.wasTaken(plan.Version, digestOf(call.Body)) {
 		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusOK, Body: versionBody(plan.Version)})
 		return
@@ -122,7 +122,7 @@
 	answer(what)
 }
 
-func (p *Plan) commit(plan *plancheck.Plan, body []byte, answer answerClient) {
+func (p *Plan) commit(plan *configuration.Plan, body []byte, answer answerClient) {
 	next := p.next(plan, body)
 	value, err := easyjson.Marshal(next)
 	if err != nil {
@@ -143,7 +143,7 @@
 	})
 }
 
-func (p *Plan) next(plan *plancheck.Plan, body []byte) *peerapi.PlanFact {
+func (p *Plan) next(plan *configuration.Plan, body []byte) *peerapi.PlanFact {
 	next := &peerapi.PlanFact{Version: plan.Version, Body: body}
 	if p.fact != nil {
 		next.Births, next.Taken, next.Moved = slices.Clone(p.fact.Births), slices.Clone(p.fact.Taken), slices.Clone(p.fact.Moved)
@@ -160,12 +160,12 @@
 	return next
 }
 
-func (p *Plan) moved(plan *plancheck.Plan, moved []peerapi.MovedEntry) []peerapi.MovedEntry {
-	old, err := plancheck.Read(p.fact.Body)
+func (p *Plan) moved(plan *configuration.Plan, moved []peerapi.MovedEntry) []peerapi.MovedEntry {
+	old, err := configuration.Read(p.fact.Body)
 	if err != nil {
 		return moved
 	}
-	before := plancheck.NewMatcher(old)
+	before := configuration.NewMatcher(old)
 	for _, entry := range plan.Entries {
 		was := before.ByName(entry.Name)
 		if was == nil || was.Service == entry.Service {
--- a/internal/plancheck/check.go
+++ b/internal/configuration/check.go
@@ -1,4 +1,4 @@
-package plancheck
+package configuration
 
 import (
 	"slices"
--- a/internal/plancheck/plancheck_suite_test.go
+++ b/internal/configuration/configuration_suite_test.go
@@ -1,4 +1,4 @@
-package plancheck_test
+package configuration_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestPlancheck(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "plancheck")
+	RunSpecs(t, "configuration")
 }
--- a/internal/plancheck/plancheck_test.go
+++ b/internal/configuration/configuration_test.go
@@ -1,4 +1,4 @@
-package plancheck_test
+package configuration_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/plancheck"
+	"gannetline/internal/configuration"
 )
 
 const sound = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"},` +
@@ -14,13 +14,13 @@
 
 var _ = Describe("a plan", func() {
 	It("is read, with fields that are new", func() {
-		plan, err := plancheck.Read([]byte(sound))
+		plan, err := configuration.Read([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(plan.Version).To(Equal(int64(7)))
 	})
 
 	DescribeTable("is refused with a text that names the field", func(old, fresh, field string) {
-		_, err := plancheck.Read([]byte(strings.Replace(sound, old, fresh, 1)))
+		_, err := configuration.Read([]byte(strings.Replace(sound, old, fresh, 1)))
 		Expect(err).To(MatchError(ContainSubstring(field)))
 	},
 		Entry("unknown service", `"service":"s"}`, `"service":"x"}`, "service"),
@@ -33,8 +33,8 @@
 	)
 
 	It("matches host, then the longest prefix", func() {
-		plan, _ := plancheck.Read([]byte(sound))
-		matcher := plancheck.NewMatcher(plan)
+		plan, _ := configuration.Read([]byte(sound))
+		matcher := configuration.NewMatcher(plan)
 		Expect(matcher.Match("H.example:80", "/q/deep/x").Name).To(Equal("b"))
 		Expect(matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		Expect(matcher.Match("h.example", "/other")).To(BeNil())
--- a/internal/plancheck/plan.go
+++ b/internal/configuration/plan.go
@@ -1,5 +1,5 @@
-// Package plancheck reads and checks the operator's plans.
-package plancheck
+// Package configuration reads and checks the operator's plans.
+package configuration
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all plan.go
 
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"gannetline/internal/configcache"
+	"gannetline/internal/configuration"
 	"gannetline/internal/headerrules"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/reply"
 	"gannetline/internal/span"
@@ -66,7 +66,7 @@
 	return decideJob(decision, entry, request, body)
 }
 
-func decideJob(decision Decision, entry *plancheck.Entry, request *http.Request, body []byte) Decision {
+func decideJob(decision Decision, entry *configuration.Entry, request *http.Request, body []byte) Decision {
 	call := decision.Call
 	switch request.Method {
 	case http.MethodGet:
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -9,12 +9,12 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/configcache"
+	"gannetline/internal/configuration"
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/plancheck"
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
 )
@@ -22,9 +22,9 @@
 const body = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s","priority":2,"max-attempts":4}],"service-list":[{"name":"s"}]}`
 
 func page() *configcache.Page {
-	plan, err := plancheck.Read([]byte(body))
+	plan, err := configuration.Read([]byte(body))
 	Expect(err).NotTo(HaveOccurred())
-	return &configcache.Page{Fact: &peerapi.PlanFact{Version: 7}, Matcher: plancheck.NewMatcher(plan)}
+	return &configcache.Page{Fact: &peerapi.PlanFact{Version: 7}, Matcher: configuration.NewMatcher(plan)}
 }
 
 func request(method, path string) *http.Request {
