--- a/internal/comparenodes/compare.go
+++ b/internal/comparenodes/compare.go
@@ -95,7 +95,7 @@
 func replicas(answer *peerapi.BeliefsAnswer) map[string]string {
 	held := map[string]string{}
 	for _, key := range answer.Keys {
-		held[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Step, strings.Join(key.Set.Now, " "))
+		held[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Index, strings.Join(key.Set.Now, " "))
 	}
 	return held
 }
--- a/internal/comparenodes/comparenodes_test.go
+++ b/internal/comparenodes/comparenodes_test.go
@@ -15,7 +15,7 @@
 func node(name string, plan int64) *peerapi.BeliefsAnswer {
 	return &peerapi.BeliefsAnswer{Name: name, Role: "steward", Plan: plan,
 		Members: []peerapi.Member{{Name: "edge-1", Role: "gate", Address: "10.0.0.1:7720"}},
-		Owners:  []peerapi.OwnerFact{{Key: "plan", Epoch: 2, Name: "edge-1"}},
+		Owners:  []peerapi.LeaderFact{{Key: "plan", Epoch: 2, Name: "edge-1"}},
 		Jobs:    []peerapi.JobBelief{{Key: "pool/s", ID: "5c0e7a21d94b36f8", State: "open"}}}
 }
 
--- a/internal/comparenodes/serve.go
+++ b/internal/comparenodes/serve.go
@@ -12,7 +12,7 @@
 
 type Sources struct {
 	View func() *membership.View
-	Page func() *configcache.Page
+	Page func() *configcache.Snapshot
 	Ring func(life span.Span) ([]peerapi.KeyBelief, []peerapi.JobBelief, []peerapi.ExecutorBelief)
 }
 
--- a/internal/configcache/book_test.go
+++ b/internal/configcache/book_test.go
@@ -18,13 +18,13 @@
 // scriptedSibling answers calls for a plan without a network.
 type scriptedSibling struct {
 	mux   *http.ServeMux
-	calls chan peerapi.PlanCall
-	tell  chan *peerapi.PlanAnswer
+	calls chan peerapi.ConfigurationCall
+	tell  chan *peerapi.ConfigurationAnswer
 }
 
 func newScriptedSibling() *scriptedSibling {
-	s := &scriptedSibling{mux: http.NewServeMux(), calls: make(chan peerapi.PlanCall, 9), tell: make(chan *peerapi.PlanAnswer, 9)}
-	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.PlanCall) (*peerapi.PlanAnswer, error) {
+	s := &scriptedSibling{mux: http.NewServeMux(), calls: make(chan peerapi.ConfigurationCall, 9), tell: make(chan *peerapi.ConfigurationAnswer, 9)}
+	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
 		s.calls <- *call
 		return <-s.tell, nil
 	})
@@ -39,7 +39,7 @@
 
 var _ = Describe("a book", func() {
 	var sibling *scriptedSibling
-	var book *configcache.Book
+	var book *configcache.Cache
 	var clock *pulse.Fake
 	var inForce chan int64
 	old := fact(3, body(3, routes(40)...))
@@ -47,7 +47,7 @@
 	BeforeEach(func() {
 		sibling, clock, inForce = newScriptedSibling(), pulse.NewFake(1), make(chan int64, 9)
 		book = configcache.New(peerapi.NewCaller(&http.Client{Transport: sibling}), clock, logs.Silent(),
-			func(page *configcache.Page) { inForce <- page.Fact.Version })
+			func(page *configcache.Snapshot) { inForce <- page.Fact.Version })
 		life, end := span.Cancellable(span.Root())
 		DeferCleanup(end)
 		go book.Run(life)
@@ -57,21 +57,21 @@
 		book.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
-		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 3, TakesChanges: true}))
-		wrong := *edition(old, next).Answer(&peerapi.PlanCall{Held: 3, TakesChanges: true}).Changes[0]
+		Expect(<-sibling.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true}))
+		wrong := *edition(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true}).Changes[0]
 		wrong.Digest = "of another plan"
-		sibling.tell <- &peerapi.PlanAnswer{Changes: []*peerapi.PlanChange{&wrong}}
-		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 3}))
+		sibling.tell <- &peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{&wrong}}
+		Expect(<-sibling.calls).To(Equal(peerapi.ConfigurationCall{Held: 3}))
 		Expect(book.Page().Fact.Version).To(Equal(int64(3)))
-		sibling.tell <- &peerapi.PlanAnswer{Fact: next}
+		sibling.tell <- &peerapi.ConfigurationAnswer{Fact: next}
 		Expect(<-inForce).To(Equal(int64(5)))
 		Expect(book.Page().Fact.Body).To(Equal(next.Body))
 	})
 
 	It("asks for the whole without a base, and serves what it holds in turn", func() {
 		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
-		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{}))
-		sibling.tell <- &peerapi.PlanAnswer{Fact: old}
+		Expect(<-sibling.calls).To(Equal(peerapi.ConfigurationCall{}))
+		sibling.tell <- &peerapi.ConfigurationAnswer{Fact: old}
 		Expect(<-inForce).To(Equal(int64(3)))
 		book.Hold(next)
 		Expect(<-inForce).To(Equal(int64(5)))
@@ -79,8 +79,8 @@
 		mux := http.NewServeMux()
 		book.Handle(mux)
 		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedSibling{mux: mux}})
-		answer, err := peerapi.Call[peerapi.PlanCall, peerapi.PlanAnswer](caller, span.Root(), "10.0.0.9:1",
-			peerapi.ProcedurePlan, time.Second, &peerapi.PlanCall{Held: 3, TakesChanges: true})
+		answer, err := peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](caller, span.Root(), "10.0.0.9:1",
+			peerapi.ProcedurePlan, time.Second, &peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Changes).To(HaveLen(1))
 	})
@@ -93,10 +93,10 @@
 		book.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 7)
 		book.Hold(old)
 		book.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 7)
-		sibling.tell <- edition(old, next).Answer(&peerapi.PlanCall{Held: 3, TakesChanges: true})
+		sibling.tell <- edition(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
-		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 5, TakesChanges: true}))
-		sibling.tell <- &peerapi.PlanAnswer{}
+		Expect(<-sibling.calls).To(Equal(peerapi.ConfigurationCall{Held: 5, TakesChanges: true}))
+		sibling.tell <- &peerapi.ConfigurationAnswer{}
 		book.Hold(fact(9, body(9)))
 		Expect(<-inForce).To(Equal(int64(9)))
 		Expect(sibling.calls).To(BeEmpty())
@@ -111,8 +111,8 @@
 		Expect(sibling.calls).To(BeEmpty())
 		clock.Advance(250 * time.Millisecond)
 		book.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 5)
-		Expect(<-sibling.calls).To(Equal(peerapi.PlanCall{Held: 3, TakesChanges: true}))
-		sibling.tell <- &peerapi.PlanAnswer{}
-		sibling.tell <- &peerapi.PlanAnswer{}
+		Expect(<-sibling.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true}))
+		sibling.tell <- &peerapi.ConfigurationAnswer{}
+		sibling.tell <- &peerapi.ConfigurationAnswer{}
 	})
 })
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -19,14 +19,14 @@
 // A second sibling is asked only if the first one has not answered for a while.
 const fetchPatience = 200 * time.Millisecond
 
-type Page struct {
-	Fact    *peerapi.PlanFact
+type Snapshot struct {
+	Fact    *peerapi.Configuration
 	Matcher *configuration.Matcher
-	edition *Edition
+	edition *Version
 }
 
 // Moved gives the services that an entry was sent to before.
-func (p *Page) Moved(entry string) []string {
+func (p *Snapshot) Moved(entry string) []string {
 	for _, moved := range p.Fact.Moved {
 		if moved.Entry == entry {
 			return moved.Services
@@ -35,9 +35,9 @@
 	return nil
 }
 
-type Book struct {
+type Cache struct {
 	box      *mailbox.Mailbox
-	page     atomic.Pointer[Page]
+	page     atomic.Pointer[Snapshot]
 	caller   *peerapi.Caller
 	clock    pulse.Pulse
 	log      logs.Logger
@@ -46,33 +46,33 @@
 	// next was heard to hold nextHolds during a fetch.
 	next      peerapi.Member
 	nextHolds int64
-	heed      func(*Page)
+	heed      func(*Snapshot)
 }
 
-func New(caller *peerapi.Caller, clock pulse.Pulse, log logs.Logger, heed func(*Page)) *Book {
-	return &Book{box: mailbox.New(64), caller: caller, clock: clock, log: log, heed: heed, fetching: map[string]bool{}}
+func New(caller *peerapi.Caller, clock pulse.Pulse, log logs.Logger, heed func(*Snapshot)) *Cache {
+	return &Cache{box: mailbox.New(64), caller: caller, clock: clock, log: log, heed: heed, fetching: map[string]bool{}}
 }
 
-func (b *Book) Page() *Page { return b.page.Load() }
+func (b *Cache) Page() *Snapshot { return b.page.Load() }
 
-func (b *Book) Run(life span.Span) error {
+func (b *Cache) Run(life span.Span) error {
 	b.box.Run(life, b.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
 // Hold takes a committed plan.
-func (b *Book) Hold(fact *peerapi.PlanFact) { b.box.Post(func() { b.hold(fact) }) }
+func (b *Cache) Hold(fact *peerapi.Configuration) { b.box.Post(func() { b.hold(fact) }) }
 
-func (b *Book) edition() *Edition {
+func (b *Cache) edition() *Version {
 	if page := b.page.Load(); page != nil {
 		return page.edition
 	}
 	return nil
 }
 
-func (b *Book) hold(fact *peerapi.PlanFact) { b.turnTo(b.edition().Follow(fact)) }
+func (b *Cache) hold(fact *peerapi.Configuration) { b.turnTo(b.edition().Follow(fact)) }
 
-func (b *Book) turnTo(edition *Edition) {
+func (b *Cache) turnTo(edition *Version) {
 	if edition == b.edition() {
 		return
 	}
@@ -82,7 +82,7 @@
 		b.log.Error(errors.Annotate(err, "a plan from a sibling"), "the plan was refused", "version", fact.Version)
 		return
 	}
-	page := &Page{Fact: fact, Matcher: configuration.NewMatcher(plan), edition: edition}
+	page := &Snapshot{Fact: fact, Matcher: configuration.NewMatcher(plan), edition: edition}
 	b.page.Store(page)
 	versionsTaken.Inc()
 	versionHeld.Set(float64(fact.Version))
@@ -91,7 +91,7 @@
 }
 
 // Ahead fetches a plan that a sibling holds and this process does not.
-func (b *Book) Ahead(sibling peerapi.Member, version int64) {
+func (b *Cache) Ahead(sibling peerapi.Member, version int64) {
 	b.box.TryPost(func() {
 		isWaiting := len(b.fetching) > 0 && b.clock.Steady()-b.askedAt < fetchPatience
 		switch {
@@ -105,25 +105,25 @@
 }
 
 // askNext turns to who was heard of during a fetch, if that fetch left this process behind.
-func (b *Book) askNext() {
+func (b *Cache) askNext() {
 	if b.nextHolds > b.edition().version() && !b.fetching[b.next.Address] {
 		b.nextHolds = 0
 		b.ask(b.next.Address, true)
 	}
 }
 
-func (b *Book) ask(address string, takesChanges bool) {
+func (b *Cache) ask(address string, takesChanges bool) {
 	b.fetching[address] = true
 	b.askedAt = b.clock.Steady()
-	call := &peerapi.PlanCall{Held: b.edition().version(), TakesChanges: takesChanges && b.edition() != nil}
+	call := &peerapi.ConfigurationCall{Held: b.edition().version(), TakesChanges: takesChanges && b.edition() != nil}
 	go func() {
-		answer, err := peerapi.Call[peerapi.PlanCall, peerapi.PlanAnswer](b.caller, span.Root(), address,
+		answer, err := peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](b.caller, span.Root(), address,
 			peerapi.ProcedurePlan, time.Second, call)
 		b.box.Post(func() { b.take(address, answer, err) })
 	}()
 }
 
-func (b *Book) take(address string, answer *peerapi.PlanAnswer, err error) {
+func (b *Cache) take(address string, answer *peerapi.ConfigurationAnswer, err error) {
 	delete(b.fetching, address)
 	if err != nil {
 		b.log.Info("a plan could not be fetched", "why", err.Error())
@@ -142,7 +142,7 @@
 }
 
 // bytesOf counts the text of plans in an answer, whole or in parts.
-func bytesOf(answer *peerapi.PlanAnswer) int {
+func bytesOf(answer *peerapi.ConfigurationAnswer) int {
 	count := 0
 	if answer.Fact != nil {
 		count = len(answer.Fact.Body)
@@ -154,8 +154,8 @@
 }
 
 // Handle lets siblings fetch the plan.
-func (b *Book) Handle(mux *http.ServeMux) {
-	peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.PlanCall) (*peerapi.PlanAnswer, error) {
+func (b *Cache) Handle(mux *http.ServeMux) {
+	peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
 		return b.edition().Answer(call), nil
 	})
 }
--- a/internal/configcache/delta.go
+++ b/internal/configcache/delta.go
@@ -56,14 +56,14 @@
 }
 
 // partsOf says a body in pieces of a base, and in text where the base has none.
-func partsOf(base, body [][]byte) []peerapi.PlanPart {
+func partsOf(base, body [][]byte) []peerapi.DeltaPart {
 	places := map[string]int{}
 	for place, piece := range slices.Backward(base) {
 		places[string(piece)] = place
 	}
-	var parts []peerapi.PlanPart
+	var parts []peerapi.DeltaPart
 	for _, piece := range body {
-		var last *peerapi.PlanPart
+		var last *peerapi.DeltaPart
 		if len(parts) > 0 {
 			last = &parts[len(parts)-1]
 		}
@@ -76,17 +76,17 @@
 		place, isThere := places[string(piece)]
 		switch {
 		case isThere && len(piece) >= shortPiece:
-			parts = append(parts, peerapi.PlanPart{From: place, Count: 1})
+			parts = append(parts, peerapi.DeltaPart{From: place, Count: 1})
 		case last != nil && last.Count == 0:
 			last.Text += string(piece)
 		default:
-			parts = append(parts, peerapi.PlanPart{Text: string(piece)})
+			parts = append(parts, peerapi.DeltaPart{Text: string(piece)})
 		}
 	}
 	return parts
 }
 
-func joinParts(base [][]byte, parts []peerapi.PlanPart) ([]byte, error) {
+func joinParts(base [][]byte, parts []peerapi.DeltaPart) ([]byte, error) {
 	var body bytes.Buffer
 	for _, part := range parts {
 		if part.From < 0 || part.Count < 0 || part.From > len(base) || part.Count > len(base)-part.From {
@@ -101,8 +101,8 @@
 }
 
 // digestOf covers all of a fact that is passed on.
-func digestOf(fact *peerapi.PlanFact) (string, error) {
-	rest, err := easyjson.Marshal(peerapi.PlanFact{Version: fact.Version, Births: fact.Births, Moved: fact.Moved})
+func digestOf(fact *peerapi.Configuration) (string, error) {
+	rest, err := easyjson.Marshal(peerapi.Configuration{Version: fact.Version, InitialVoters: fact.InitialVoters, Moved: fact.Moved})
 	if err != nil {
 		return "", errors.Annotate(err, "the digest of a plan")
 	}
@@ -113,16 +113,16 @@
 }
 
 // changeOf gives what makes the base into the fact; nothing if the whole would hardly be longer.
-func changeOf(base, fact *peerapi.PlanFact) *peerapi.PlanChange {
-	if len(fact.Births) < len(base.Births) || len(fact.Moved) < len(base.Moved) {
+func changeOf(base, fact *peerapi.Configuration) *peerapi.ConfigurationDelta {
+	if len(fact.InitialVoters) < len(base.InitialVoters) || len(fact.Moved) < len(base.Moved) {
 		return nil
 	}
 	digest, err := digestOf(fact)
 	if err != nil {
 		return nil
 	}
-	change := &peerapi.PlanChange{Base: base.Version, Version: fact.Version, Digest: digest,
-		Parts: partsOf(Pieces(base.Body), Pieces(fact.Body)), Births: fact.Births[len(base.Births):]}
+	change := &peerapi.ConfigurationDelta{Base: base.Version, Version: fact.Version, Digest: digest,
+		Parts: partsOf(Pieces(base.Body), Pieces(fact.Body)), InitialVoters: fact.InitialVoters[len(base.InitialVoters):]}
 	for place, moved := range fact.Moved {
 		if place >= len(base.Moved) || !isSame(base.Moved[place], moved) {
 			change.Moved = append(change.Moved, moved)
@@ -134,11 +134,11 @@
 	return change
 }
 
-func isSame(one, two peerapi.MovedEntry) bool {
+func isSame(one, two peerapi.MovedRoute) bool {
 	return one.Entry == two.Entry && slices.Equal(one.Services, two.Services)
 }
 
-func textIn(change *peerapi.PlanChange) int {
+func textIn(change *peerapi.ConfigurationDelta) int {
 	count := 0
 	for _, part := range change.Parts {
 		count += len(part.Text)
@@ -147,15 +147,15 @@
 }
 
 // apply makes the next fact; its digest must be the one that the change names.
-func apply(base *peerapi.PlanFact, change *peerapi.PlanChange) (*peerapi.PlanFact, error) {
+func apply(base *peerapi.Configuration, change *peerapi.ConfigurationDelta) (*peerapi.Configuration, error) {
 	body, err := joinParts(Pieces(base.Body), change.Parts)
 	if err != nil {
 		return nil, err
 	}
-	fact := &peerapi.PlanFact{Version: change.Version, Body: body,
-		Births: append(slices.Clone(base.Births), change.Births...), Moved: slices.Clone(base.Moved)}
+	fact := &peerapi.Configuration{Version: change.Version, Body: body,
+		InitialVoters: append(slices.Clone(base.InitialVoters), change.InitialVoters...), Moved: slices.Clone(base.Moved)}
 	for _, moved := range change.Moved {
-		place := slices.IndexFunc(fact.Moved, func(one peerapi.MovedEntry) bool { return one.Entry == moved.Entry })
+		place := slices.IndexFunc(fact.Moved, func(one peerapi.MovedRoute) bool { return one.Entry == moved.Entry })
 		if place < 0 {
 			fact.Moved = append(fact.Moved, moved)
 			continue
--- a/internal/configcache/fetch_test.go
+++ b/internal/configcache/fetch_test.go
@@ -17,7 +17,7 @@
 
 const smallBody = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"}],"service-list":[{"name":"s"}]}`
 
-func runningBook(heed func(*configcache.Page)) *configcache.Book {
+func runningBook(heed func(*configcache.Snapshot)) *configcache.Cache {
 	life, end := span.Cancellable(span.Root())
 	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
 	over := make(chan error, 1)
@@ -32,14 +32,14 @@
 var _ = Describe("the plan that a process holds", func() {
 	It("is fetched from a sibling that is ahead, and counted", func() {
 		before := metrics.Own()
-		pages := make(chan *configcache.Page, 2)
-		heed := func(page *configcache.Page) { pages <- page }
+		pages := make(chan *configcache.Snapshot, 2)
+		heed := func(page *configcache.Snapshot) { pages <- page }
 		ahead, behind := runningBook(heed), runningBook(heed)
 		mux := http.NewServeMux()
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
-		ahead.Hold(&peerapi.PlanFact{Version: 7, Body: []byte(smallBody)})
+		ahead.Hold(&peerapi.Configuration{Version: 7, Body: []byte(smallBody)})
 		<-pages
 		behind.Ahead(peerapi.Member{Address: server.Listener.Addr().String()}, 7)
 		Expect((<-pages).Fact.Version).To(Equal(int64(7)))
--- a/internal/configcache/edition.go
+++ b/internal/configcache/version.go
@@ -8,13 +8,13 @@
 
 const mostChanges = 8
 
-// Edition is a plan that is held, and the changes that led to it, each on the one before; it is never changed.
-type Edition struct {
-	Fact    *peerapi.PlanFact
-	changes []*peerapi.PlanChange
+// Version is a plan that is held, and the changes that led to it, each on the one before; it is never changed.
+type Version struct {
+	Fact    *peerapi.Configuration
+	changes []*peerapi.ConfigurationDelta
 }
 
-func (e *Edition) version() int64 {
+func (e *Version) version() int64 {
 	if e == nil {
 		return 0
 	}
@@ -22,26 +22,26 @@
 }
 
 // Follow gives the edition of a newer fact; an older one changes nothing.
-func (e *Edition) Follow(fact *peerapi.PlanFact) *Edition {
+func (e *Version) Follow(fact *peerapi.Configuration) *Version {
 	if fact.Version <= e.version() {
 		return e
 	}
 	if e == nil {
-		return &Edition{Fact: fact}
+		return &Version{Fact: fact}
 	}
-	return &Edition{fact, e.with(changeOf(e.Fact, fact))}
+	return &Version{fact, e.with(changeOf(e.Fact, fact))}
 }
 
-func (e *Edition) with(change *peerapi.PlanChange) []*peerapi.PlanChange {
+func (e *Version) with(change *peerapi.ConfigurationDelta) []*peerapi.ConfigurationDelta {
 	if change == nil {
 		return nil
 	}
-	changes := append(append([]*peerapi.PlanChange{}, e.changes...), change)
+	changes := append(append([]*peerapi.ConfigurationDelta{}, e.changes...), change)
 	return changes[max(0, len(changes)-mostChanges):]
 }
 
 // Take applies a sibling's answer; an error says that only the whole plan helps.
-func (e *Edition) Take(answer *peerapi.PlanAnswer) (*Edition, error) {
+func (e *Version) Take(answer *peerapi.ConfigurationAnswer) (*Version, error) {
 	if answer.Fact != nil {
 		return e.Follow(answer.Fact), nil
 	}
@@ -57,23 +57,23 @@
 		if err != nil {
 			return e, err
 		}
-		next = &Edition{fact, next.with(change)}
+		next = &Version{fact, next.with(change)}
 	}
 	return next, nil
 }
 
 // Answer gives a sibling the changes since the version that it holds, or the whole plan.
-func (e *Edition) Answer(call *peerapi.PlanCall) *peerapi.PlanAnswer {
+func (e *Version) Answer(call *peerapi.ConfigurationCall) *peerapi.ConfigurationAnswer {
 	if e.version() <= call.Held {
-		return &peerapi.PlanAnswer{}
+		return &peerapi.ConfigurationAnswer{}
 	}
 	if changes := e.since(call.Held); call.TakesChanges && len(changes) > 0 {
-		return &peerapi.PlanAnswer{Changes: changes}
+		return &peerapi.ConfigurationAnswer{Changes: changes}
 	}
-	return &peerapi.PlanAnswer{Fact: e.Fact}
+	return &peerapi.ConfigurationAnswer{Fact: e.Fact}
 }
 
-func (e *Edition) since(held int64) []*peerapi.PlanChange {
+func (e *Version) since(held int64) []*peerapi.ConfigurationDelta {
 	text := 0
 	for place := len(e.changes) - 1; place >= 0; place-- {
 		if text += textIn(e.changes[place]); text > len(e.Fact.Body) {
--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -30,23 +30,23 @@
 	Voters() []string
 }
 
-type Plan struct {
+type Leader struct {
 	tenure  Tenure
-	fact    *peerapi.PlanFact
+	fact    *peerapi.Configuration
 	isBusy  bool
-	publish func(*peerapi.PlanFact)
+	publish func(*peerapi.Configuration)
 	log     logs.Logger
 }
 
-func New(log logs.Logger, publish func(*peerapi.PlanFact)) *Plan {
-	return &Plan{publish: publish, log: log}
+func New(log logs.Logger, publish func(*peerapi.Configuration)) *Leader {
+	return &Leader{publish: publish, log: log}
 }
 
-func (p *Plan) Open(tenure Tenure, pairs []peerapi.Op) error {
+func (p *Leader) Open(tenure Tenure, pairs []peerapi.Op) error {
 	p.fact, p.isBusy = nil, false
 	for _, pair := range pairs {
 		if pair.Name == factName {
-			p.fact = &peerapi.PlanFact{}
+			p.fact = &peerapi.Configuration{}
 			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), p.fact); err != nil {
 				return errors.Annotate(err, "reading the plan from disk")
 			}
@@ -60,13 +60,13 @@
 }
 
 // passedOn leaves out what only the key's owner needs, and the space around the body, which no message carries.
-func passedOn(fact *peerapi.PlanFact) *peerapi.PlanFact {
-	return &peerapi.PlanFact{Version: fact.Version, Body: bytes.TrimSpace(fact.Body), Births: fact.Births, Moved: fact.Moved}
+func passedOn(fact *peerapi.Configuration) *peerapi.Configuration {
+	return &peerapi.Configuration{Version: fact.Version, Body: bytes.TrimSpace(fact.Body), InitialVoters: fact.InitialVoters, Moved: fact.Moved}
 }
 
-func (p *Plan) Close() { p.tenure, p.fact = nil, nil }
+func (p *Leader) Close() { p.tenure, p.fact = nil, nil }
 
-func (p *Plan) IsOpen() bool { return p.tenure != nil }
+func (p *Leader) IsOpen() bool { return p.tenure != nil }
 
 type answerClient = func(peerapi.ClientAnswer)
 
@@ -76,7 +76,7 @@
 }
 
 // Replace decides on an operator's change: taken before, on the wrong base, invalid, or committed.
-func (p *Plan) Replace(call *peerapi.ClientCall, answer answerClient) {
+func (p *Leader) Replace(call *peerapi.ClientCall, answer answerClient) {
 	if p.isBusy {
 		answer(peerapi.ClientAnswer{Elsewhere: true})
 		return
@@ -110,11 +110,11 @@
 	return []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)
 }
 
-func (p *Plan) wasTaken(version int64, digest string) bool {
-	return p.fact != nil && slices.Contains(p.fact.Taken, peerapi.TakenPlan{Version: version, Digest: digest})
+func (p *Leader) wasTaken(version int64, digest string) bool {
+	return p.fact != nil && slices.Contains(p.fact.Confirmed, peerapi.ConfirmedVersion{Version: version, Digest: digest})
 }
 
-func (p *Plan) underLease(answer answerClient, what peerapi.ClientAnswer) {
+func (p *Leader) underLease(answer answerClient, what peerapi.ClientAnswer) {
 	if !p.tenure.HasLease() {
 		answer(peerapi.ClientAnswer{Elsewhere: true})
 		return
@@ -122,7 +122,7 @@
 	answer(what)
 }
 
-func (p *Plan) commit(plan *configuration.Plan, body []byte, answer answerClient) {
+func (p *Leader) commit(plan *configuration.Configuration, body []byte, answer answerClient) {
 	next := p.next(plan, body)
 	value, err := easyjson.Marshal(next)
 	if err != nil {
@@ -143,24 +143,24 @@
 	})
 }
 
-func (p *Plan) next(plan *configuration.Plan, body []byte) *peerapi.PlanFact {
-	next := &peerapi.PlanFact{Version: plan.Version, Body: body}
+func (p *Leader) next(plan *configuration.Configuration, body []byte) *peerapi.Configuration {
+	next := &peerapi.Configuration{Version: plan.Version, Body: body}
 	if p.fact != nil {
-		next.Births, next.Taken, next.Moved = slices.Clone(p.fact.Births), slices.Clone(p.fact.Taken), slices.Clone(p.fact.Moved)
+		next.InitialVoters, next.Confirmed, next.Moved = slices.Clone(p.fact.InitialVoters), slices.Clone(p.fact.Confirmed), slices.Clone(p.fact.Moved)
 		next.Moved = p.moved(plan, next.Moved)
 	}
-	next.Taken = append(next.Taken, peerapi.TakenPlan{Version: plan.Version, Digest: digestOf(body)})
-	next.Taken = next.Taken[max(0, len(next.Taken)-mostTaken):]
+	next.Confirmed = append(next.Confirmed, peerapi.ConfirmedVersion{Version: plan.Version, Digest: digestOf(body)})
+	next.Confirmed = next.Confirmed[max(0, len(next.Confirmed)-mostTaken):]
 	for _, service := range plan.Services {
-		isBorn := slices.ContainsFunc(next.Births, func(birth peerapi.Birth) bool { return birth.Service == service.Name })
+		isBorn := slices.ContainsFunc(next.InitialVoters, func(birth peerapi.InitialVoters) bool { return birth.Service == service.Name })
 		if !isBorn {
-			next.Births = append(next.Births, peerapi.Birth{Service: service.Name, Voters: p.tenure.Voters()})
+			next.InitialVoters = append(next.InitialVoters, peerapi.InitialVoters{Service: service.Name, Voters: p.tenure.Voters()})
 		}
 	}
 	return next
 }
 
-func (p *Plan) moved(plan *configuration.Plan, moved []peerapi.MovedEntry) []peerapi.MovedEntry {
+func (p *Leader) moved(plan *configuration.Configuration, moved []peerapi.MovedRoute) []peerapi.MovedRoute {
 	old, err := configuration.Read(p.fact.Body)
 	if err != nil {
 		return moved
@@ -171,9 +171,9 @@
 		if was == nil || was.Service == entry.Service {
 			continue
 		}
-		place := slices.IndexFunc(moved, func(one peerapi.MovedEntry) bool { return one.Entry == entry.Name })
+		place := slices.IndexFunc(moved, func(one peerapi.MovedRoute) bool { return one.Entry == entry.Name })
 		if place < 0 {
-			moved = append(moved, peerapi.MovedEntry{Entry: entry.Name, Services: []string{was.Service}})
+			moved = append(moved, peerapi.MovedRoute{Entry: entry.Name, Services: []string{was.Service}})
 			continue
 		}
 		if !slices.Contains(moved[place].Services, was.Service) {
@@ -184,7 +184,7 @@
 }
 
 // Retrieve gives back the newest plan, whole.
-func (p *Plan) Retrieve(answer answerClient) {
+func (p *Leader) Retrieve(answer answerClient) {
 	if p.fact == nil {
 		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusServiceUnavailable, RetryAfter: 1, Why: "there is no plan yet"})
 		return
--- a/internal/configowner/configowner_test.go
+++ b/internal/configowner/configowner_test.go
@@ -37,12 +37,12 @@
 
 var _ = Describe("the plan's owner", func() {
 	var tenure *scripted
-	var owner *configowner.Plan
+	var owner *configowner.Leader
 	var published []int64
-	var passedOn *peerapi.PlanFact
+	var passedOn *peerapi.Configuration
 	BeforeEach(func() {
 		tenure, published = &scripted{hasLease: true}, nil
-		owner = configowner.New(logs.Silent(), func(fact *peerapi.PlanFact) {
+		owner = configowner.New(logs.Silent(), func(fact *peerapi.Configuration) {
 			published, passedOn = append(published, fact.Version), fact
 		})
 		Expect(owner.Open(tenure, nil)).To(Succeed())
@@ -75,7 +75,7 @@
 		tenure.settle()
 		replace(3, plan(5, "t"))
 		tenure.settle()
-		next := configowner.New(logs.Silent(), func(*peerapi.PlanFact) {})
+		next := configowner.New(logs.Silent(), func(*peerapi.Configuration) {})
 		Expect(next.Open(tenure, tenure.ops)).To(Succeed())
 		var body string
 		next.Retrieve(func(answer peerapi.ClientAnswer) { body = string(answer.Body) })
@@ -90,8 +90,8 @@
 		tenure.settle()
 		owner.Retrieve(func(answer peerapi.ClientAnswer) { Expect([]byte(answer.Body)).To(Equal(sent)) })
 		Expect([]byte(passedOn.Body)).To(Equal(plan(3, "s")))
-		Expect(passedOn.Births).To(HaveLen(1))
-		Expect(passedOn.Taken).To(BeEmpty())
+		Expect(passedOn.InitialVoters).To(HaveLen(1))
+		Expect(passedOn.Confirmed).To(BeEmpty())
 	})
 
 	It("shows nothing without a lease", func() {
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -10,15 +10,15 @@
 )
 
 // Read decodes a plan and checks all that can be checked without knowing the current one.
-func Read(body []byte) (*Plan, error) {
-	plan := &Plan{}
+func Read(body []byte) (*Configuration, error) {
+	plan := &Configuration{}
 	if err := easyjson.Unmarshal(body, plan); err != nil {
 		return nil, errors.Annotate(err, "the plan can't be read whole")
 	}
 	return plan, plan.check()
 }
 
-func (p *Plan) check() error {
+func (p *Configuration) check() error {
 	var found error
 	complain := func(format string, values ...any) {
 		found = multierr.Append(found, errors.Errorf(format, values...))
@@ -61,12 +61,12 @@
 
 // Matcher finds the entry of a call: host, then the longest prefix.
 type Matcher struct {
-	plan   *Plan
+	plan   *Configuration
 	byHost map[string][]int
 	byName map[string]int
 }
 
-func NewMatcher(plan *Plan) *Matcher {
+func NewMatcher(plan *Configuration) *Matcher {
 	matcher := &Matcher{plan: plan, byHost: map[string][]int{}, byName: map[string]int{}}
 	for place, entry := range plan.Entries {
 		host := strings.ToLower(entry.Host)
@@ -81,9 +81,9 @@
 	return matcher
 }
 
-func (m *Matcher) Plan() *Plan { return m.plan }
+func (m *Matcher) Plan() *Configuration { return m.plan }
 
-func (m *Matcher) Match(host, path string) *Entry {
+func (m *Matcher) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, place := range m.byHost[host] {
 		if entry := &m.plan.Entries[place]; strings.HasPrefix(path, entry.Prefix) {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (m *Matcher) ByName(name string) *Entry {
+func (m *Matcher) ByName(name string) *Route {
 	if place, isThere := m.byName[name]; isThere {
 		return &m.plan.Entries[place]
 	}
--- a/internal/configuration/plan.go
+++ b/internal/configuration/plan.go
@@ -3,8 +3,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all plan.go
 
-// Entry is a route of the protocol: a queue.
-type Entry struct {
+// Route is a route of the protocol: a queue.
+type Route struct {
 	Name        string  `json:"name"`
 	Host        string  `json:"host"`
 	Prefix      string  `json:"path-prefix"`
@@ -31,9 +31,9 @@
 	IdleTimeoutMs   int64 `json:"idle-timeout-ms"`
 }
 
-type Plan struct {
+type Configuration struct {
 	Version  int64     `json:"config-version"`
-	Entries  []Entry   `json:"route-list"`
+	Entries  []Route   `json:"route-list"`
 	Services []Service `json:"service-list"`
 	Limits   Limits    `json:"limits"`
 }
--- a/internal/configuration/plan_easyjson.go
+++ b/internal/configuration/plan_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson74860439DecodeGannetlineInternalPlancheck(in *jlexer.Lexer, out *Service) {
+func easyjson74860439DecodeGannetlineInternalConfiguration(in *jlexer.Lexer, out *Service) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -65,7 +65,7 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalPlancheck(out *jwriter.Writer, in Service) {
+func easyjson74860439EncodeGannetlineInternalConfiguration(out *jwriter.Writer, in Service) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -95,27 +95,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Service) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalPlancheck(&w, v)
+	easyjson74860439EncodeGannetlineInternalConfiguration(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalPlancheck(w, v)
+	easyjson74860439EncodeGannetlineInternalConfiguration(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Service) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalPlancheck(&r, v)
+	easyjson74860439DecodeGannetlineInternalConfiguration(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalPlancheck(l, v)
+	easyjson74860439DecodeGannetlineInternalConfiguration(l, v)
 }
-func easyjson74860439DecodeGannetlineInternalPlancheck1(in *jlexer.Lexer, out *Plan) {
+func easyjson74860439DecodeGannetlineInternalConfiguration1(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -129,71 +129,65 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "config-version":
+		case "name":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Version = int64(in.Int64())
+				out.Name = string(in.String())
 			}
-		case "route-list":
+		case "host":
 			if in.IsNull() {
 				in.Skip()
-				out.Entries = nil
 			} else {
-				in.Delim('[')
-				if out.Entries == nil {
-					if !in.IsDelim(']') {
-						out.Entries = make([]Entry, 0, 0)
-					} else {
-						out.Entries = []Entry{}
-					}
-				} else {
-					out.Entries = (out.Entries)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 Entry
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v1).UnmarshalEasyJSON(in)
-					}
-					out.Entries = append(out.Entries, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Host = string(in.String())
 			}
-		case "service-list":
+		case "path-prefix":
 			if in.IsNull() {
 				in.Skip()
-				out.Services = nil
 			} else {
-				in.Delim('[')
-				if out.Services == nil {
-					if !in.IsDelim(']') {
-						out.Services = make([]Service, 0, 1)
-					} else {
-						out.Services = []Service{}
-					}
-				} else {
-					out.Services = (out.Services)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v2 Service
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v2).UnmarshalEasyJSON(in)
-					}
-					out.Services = append(out.Services, v2)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Prefix = string(in.String())
 			}
-		case "limits":
+		case "route-type":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Limits).UnmarshalEasyJSON(in)
+				out.Kind = string(in.String())
+			}
+		case "timeout-ms":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.TimeoutMs = int64(in.Int64())
+			}
+		case "target-latency-ms":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.TargetMs = int64(in.Int64())
+			}
+		case "priority":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Priority = int(in.Int())
+			}
+		case "service":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Service = string(in.String())
+			}
+		case "max-attempts":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.MaxAttempts = int(in.Int())
+			}
+		case "stretch-factor":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Stretch = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -205,79 +199,87 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalPlancheck1(out *jwriter.Writer, in Plan) {
+func easyjson74860439EncodeGannetlineInternalConfiguration1(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"config-version\":"
+		const prefix string = ",\"name\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.Version))
+		out.String(string(in.Name))
 	}
 	{
-		const prefix string = ",\"route-list\":"
+		const prefix string = ",\"host\":"
 		out.RawString(prefix)
-		if in.Entries == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v3, v4 := range in.Entries {
-				if v3 > 0 {
-					out.RawByte(',')
-				}
-				(v4).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Host))
 	}
 	{
-		const prefix string = ",\"service-list\":"
+		const prefix string = ",\"path-prefix\":"
 		out.RawString(prefix)
-		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v5, v6 := range in.Services {
-				if v5 > 0 {
-					out.RawByte(',')
-				}
-				(v6).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Prefix))
 	}
 	{
-		const prefix string = ",\"limits\":"
+		const prefix string = ",\"route-type\":"
 		out.RawString(prefix)
-		(in.Limits).MarshalEasyJSON(out)
+		out.String(string(in.Kind))
+	}
+	{
+		const prefix string = ",\"timeout-ms\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.TimeoutMs))
+	}
+	{
+		const prefix string = ",\"target-latency-ms\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.TargetMs))
+	}
+	{
+		const prefix string = ",\"priority\":"
+		out.RawString(prefix)
+		out.Int(int(in.Priority))
+	}
+	{
+		const prefix string = ",\"service\":"
+		out.RawString(prefix)
+		out.String(string(in.Service))
+	}
+	{
+		const prefix string = ",\"max-attempts\":"
+		out.RawString(prefix)
+		out.Int(int(in.MaxAttempts))
+	}
+	{
+		const prefix string = ",\"stretch-factor\":"
+		out.RawString(prefix)
+		out.Float64(float64(in.Stretch))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Plan) MarshalJSON() ([]byte, error) {
+func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalPlancheck1(&w, v)
+	easyjson74860439EncodeGannetlineInternalConfiguration1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Plan) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalPlancheck1(w, v)
+func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson74860439EncodeGannetlineInternalConfiguration1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Plan) UnmarshalJSON(data []byte) error {
+func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalPlancheck1(&r, v)
+	easyjson74860439DecodeGannetlineInternalConfiguration1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Plan) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalPlancheck1(l, v)
+func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson74860439DecodeGannetlineInternalConfiguration1(l, v)
 }
-func easyjson74860439DecodeGannetlineInternalPlancheck2(in *jlexer.Lexer, out *Limits) {
+func easyjson74860439DecodeGannetlineInternalConfiguration2(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -325,7 +327,7 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalPlancheck2(out *jwriter.Writer, in Limits) {
+func easyjson74860439EncodeGannetlineInternalConfiguration2(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -355,27 +357,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalPlancheck2(&w, v)
+	easyjson74860439EncodeGannetlineInternalConfiguration2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalPlancheck2(w, v)
+	easyjson74860439EncodeGannetlineInternalConfiguration2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalPlancheck2(&r, v)
+	easyjson74860439DecodeGannetlineInternalConfiguration2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalPlancheck2(l, v)
+	easyjson74860439DecodeGannetlineInternalConfiguration2(l, v)
 }
-func easyjson74860439DecodeGannetlineInternalPlancheck3(in *jlexer.Lexer, out *Entry) {
+func easyjson74860439DecodeGannetlineInternalConfiguration3(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -389,65 +391,71 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "name":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		case "host":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Host = string(in.String())
-			}
-		case "path-prefix":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Prefix = string(in.String())
-			}
-		case "route-type":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Kind = string(in.String())
-			}
-		case "timeout-ms":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.TimeoutMs = int64(in.Int64())
-			}
-		case "target-latency-ms":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.TargetMs = int64(in.Int64())
-			}
-		case "priority":
+		case "config-version":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Priority = int(in.Int())
+				out.Version = int64(in.Int64())
 			}
-		case "service":
+		case "route-list":
 			if in.IsNull() {
 				in.Skip()
+				out.Entries = nil
 			} else {
-				out.Service = string(in.String())
+				in.Delim('[')
+				if out.Entries == nil {
+					if !in.IsDelim(']') {
+						out.Entries = make([]Route, 0, 0)
+					} else {
+						out.Entries = []Route{}
+					}
+				} else {
+					out.Entries = (out.Entries)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v1 Route
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v1).UnmarshalEasyJSON(in)
+					}
+					out.Entries = append(out.Entries, v1)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "max-attempts":
+		case "service-list":
 			if in.IsNull() {
 				in.Skip()
+				out.Services = nil
 			} else {
-				out.MaxAttempts = int(in.Int())
+				in.Delim('[')
+				if out.Services == nil {
+					if !in.IsDelim(']') {
+						out.Services = make([]Service, 0, 1)
+					} else {
+						out.Services = []Service{}
+					}
+				} else {
+					out.Services = (out.Services)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v2 Service
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v2).UnmarshalEasyJSON(in)
+					}
+					out.Services = append(out.Services, v2)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "stretch-factor":
+		case "limits":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stretch = float64(in.Float64())
+				(out.Limits).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.SkipRecursive()
@@ -459,83 +467,75 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalPlancheck3(out *jwriter.Writer, in Entry) {
+func easyjson74860439EncodeGannetlineInternalConfiguration3(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"name\":"
+		const prefix string = ",\"config-version\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Name))
-	}
-	{
-		const prefix string = ",\"host\":"
-		out.RawString(prefix)
-		out.String(string(in.Host))
-	}
-	{
-		const prefix string = ",\"path-prefix\":"
-		out.RawString(prefix)
-		out.String(string(in.Prefix))
-	}
-	{
-		const prefix string = ",\"route-type\":"
-		out.RawString(prefix)
-		out.String(string(in.Kind))
-	}
-	{
-		const prefix string = ",\"timeout-ms\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.TimeoutMs))
-	}
-	{
-		const prefix string = ",\"target-latency-ms\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.TargetMs))
-	}
-	{
-		const prefix string = ",\"priority\":"
-		out.RawString(prefix)
-		out.Int(int(in.Priority))
+		out.Int64(int64(in.Version))
 	}
 	{
-		const prefix string = ",\"service\":"
+		const prefix string = ",\"route-list\":"
 		out.RawString(prefix)
-		out.String(string(in.Service))
+		if in.Entries == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v3, v4 := range in.Entries {
+				if v3 > 0 {
+					out.RawByte(',')
+				}
+				(v4).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	{
-		const prefix string = ",\"max-attempts\":"
+		const prefix string = ",\"service-list\":"
 		out.RawString(prefix)
-		out.Int(int(in.MaxAttempts))
+		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v5, v6 := range in.Services {
+				if v5 > 0 {
+					out.RawByte(',')
+				}
+				(v6).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	{
-		const prefix string = ",\"stretch-factor\":"
+		const prefix string = ",\"limits\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Stretch))
+		(in.Limits).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Entry) MarshalJSON() ([]byte, error) {
+func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalPlancheck3(&w, v)
+	easyjson74860439EncodeGannetlineInternalConfiguration3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Entry) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalPlancheck3(w, v)
+func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson74860439EncodeGannetlineInternalConfiguration3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Entry) UnmarshalJSON(data []byte) error {
+func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalPlancheck3(&r, v)
+	easyjson74860439DecodeGannetlineInternalConfiguration3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Entry) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalPlancheck3(l, v)
+func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson74860439DecodeGannetlineInternalConfiguration3(l, v)
 }
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -39,7 +39,7 @@
 	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
 		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
-		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Page) {})}
+		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Snapshot) {})}
 	if store != nil {
 		var err error
 		config.Replicas, err = replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
--- a/internal/controlkeys/links.go
+++ b/internal/controlkeys/links.go
@@ -57,9 +57,9 @@
 	remote(l, disk, peerapi.ProcedureFetch, snapshotLimit, call, done)
 }
 
-func (l *links) Standing(key string, done func(replication.Standing)) {
+func (l *links) Status(key string, done func(replication.ReplicaStatus)) {
 	l.ring.replicas.Box().Post(func() {
-		standing := l.ring.replicas.Standing(key)
+		standing := l.ring.replicas.Status(key)
 		l.box.Post(func() { done(standing) })
 	})
 }
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -29,7 +29,7 @@
 	box    *mailbox.Mailbox
 	engine *replication.Engine
 	pool   *poolowner.Pool
-	plan   *configowner.Plan
+	plan   *configowner.Leader
 }
 
 // Ring keeps a holder for each key that is wanted.
@@ -44,7 +44,7 @@
 	replicas  *replication.Replicas
 	caller    *peerapi.Caller
 	node      *membership.Node
-	book      *configcache.Book
+	book      *configcache.Cache
 	timing    poolowner.Timing
 	holders   map[string]*holder
 	pool      []poolowner.Option
@@ -66,7 +66,7 @@
 	Name          string
 	Caller        *peerapi.Caller
 	Node          *membership.Node
-	Book          *configcache.Book
+	Book          *configcache.Cache
 	Timing        poolowner.Timing
 	Replicas      *replication.Replicas
 	Pool          []poolowner.Option
@@ -117,7 +117,7 @@
 	if page == nil {
 		return
 	}
-	for _, birth := range page.Fact.Births {
+	for _, birth := range page.Fact.InitialVoters {
 		r.ensure(poolPrefix+birth.Service, birth.Voters)
 	}
 }
@@ -128,7 +128,7 @@
 		return
 	}
 	r.replicas.Box().Post(func() {
-		isThere := len(r.replicas.Standing(configowner.Key).Head.Set.Now) > 0
+		isThere := len(r.replicas.Status(configowner.Key).State.Set.Now) > 0
 		r.box.Post(func() { r.hasPlan = r.hasPlan || isThere })
 	})
 }
@@ -139,11 +139,11 @@
 	}
 	one := &holder{box: mailbox.New(1024)}
 	road := &links{ring: r, box: one.box, life: r.life}
-	options := []replication.Option{replication.WithBirth(birth), replication.WithLog(r.log), replication.WithAnnounce(r.node.Announce),
+	options := []replication.Option{replication.WithInitialVoters(birth), replication.WithLog(r.log), replication.WithAnnounce(r.node.Announce),
 		replication.WithMachineLosses(r.losses)}
 	owner := mailbox.Owner{Every: tickEvery}
 	if key == configowner.Key {
-		one.plan = configowner.New(r.log, func(fact *peerapi.PlanFact) { r.book.Hold(fact) })
+		one.plan = configowner.New(r.log, func(fact *peerapi.Configuration) { r.book.Hold(fact) })
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
@@ -156,10 +156,10 @@
 	go one.box.Run(r.life, r.clock, owner)
 }
 
-type planMachine struct{ *configowner.Plan }
+type planMachine struct{ *configowner.Leader }
 
-func (m planMachine) Open(tenure *replication.Tenure, pairs []peerapi.Op) error {
-	return m.Plan.Open(tenure, pairs)
+func (m planMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
+	return m.Leader.Open(tenure, pairs)
 }
 
 func (r *Ring) stewards() []peerapi.Member { return withDisks(r.node.View().Stewards) }
@@ -362,9 +362,9 @@
 func (r *Ring) replicaBeliefs() []peerapi.KeyBelief {
 	var keys []peerapi.KeyBelief
 	for _, key := range r.replicas.Keys() {
-		standing := r.replicas.Standing(key)
-		keys = append(keys, peerapi.KeyBelief{Key: key, Owner: standing.Owner, Epoch: standing.Promised,
-			Last: standing.Head.Last, Set: standing.Head.Set})
+		standing := r.replicas.Status(key)
+		keys = append(keys, peerapi.KeyBelief{Key: key, Owner: standing.Leader, Epoch: standing.Promised,
+			Last: standing.State.Last, Set: standing.State.Set})
 	}
 	return keys
 }
--- a/internal/daybook/event.go
+++ b/internal/daybook/event.go
@@ -30,7 +30,7 @@
 	Node       string              `json:"node,omitempty"`
 	ID         string              `json:"id,omitempty"`
 	Queue      string              `json:"queue,omitempty"`
-	Terms      peerapi.EntryTerms  `json:"terms"`
+	Terms      peerapi.RouteTerms  `json:"terms"`
 	Body       easyjson.RawMessage `json:"body,omitempty"`
 	Task       string              `json:"task,omitempty"`
 	Run        int64               `json:"run,omitempty"`
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -36,7 +36,7 @@
 func refuse(status int, why string) Decision { return Decision{Refusal: reply.Text(status, why)} }
 
 // Decide is asked about every call; it does no work of its own.
-func Decide(page *configcache.Page, request *http.Request, body []byte) Decision {
+func Decide(page *configcache.Snapshot, request *http.Request, body []byte) Decision {
 	if page == nil {
 		return Decision{Refusal: reply.Later(http.StatusServiceUnavailable, 1, "there is no plan yet")}
 	}
@@ -66,7 +66,7 @@
 	return decideJob(decision, entry, request, body)
 }
 
-func decideJob(decision Decision, entry *configuration.Entry, request *http.Request, body []byte) Decision {
+func decideJob(decision Decision, entry *configuration.Route, request *http.Request, body []byte) Decision {
 	call := decision.Call
 	switch request.Method {
 	case http.MethodGet:
@@ -78,7 +78,7 @@
 			return refuse(http.StatusBadRequest, "the job can't be read: no whole JSON")
 		}
 		call.Verb, call.Body = "hand-in", body
-		call.Terms = &peerapi.EntryTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
+		call.Terms = &peerapi.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
 	default:
 		return refuse(http.StatusMethodNotAllowed, "a job is handed in by POST, asked for by GET, cancelled by DELETE")
 	}
@@ -87,12 +87,12 @@
 
 // Gate obeys decisions.
 type Gate struct {
-	page  func() *configcache.Page
+	page  func() *configcache.Snapshot
 	asker *leaderclient.Asker
 	clock pulse.Pulse
 }
 
-func New(page func() *configcache.Page, asker *leaderclient.Asker, clock pulse.Pulse) *Gate {
+func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock pulse.Pulse) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -21,10 +21,10 @@
 
 const body = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s","priority":2,"max-attempts":4}],"service-list":[{"name":"s"}]}`
 
-func page() *configcache.Page {
+func page() *configcache.Snapshot {
 	plan, err := configuration.Read([]byte(body))
 	Expect(err).NotTo(HaveOccurred())
-	return &configcache.Page{Fact: &peerapi.PlanFact{Version: 7}, Matcher: configuration.NewMatcher(plan)}
+	return &configcache.Snapshot{Fact: &peerapi.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
 }
 
 func request(method, path string) *http.Request {
@@ -67,7 +67,7 @@
 	It("counts calls by verb and status, and how long they took", func() {
 		clock := pulse.NewFake(0)
 		view := func() *membership.View { return &membership.View{} }
-		pages := func() *configcache.Page { return page() }
+		pages := func() *configcache.Snapshot { return page() }
 		gate := gatecalls.New(pages, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
--- a/internal/leaderclient/leaderclient.go
+++ b/internal/leaderclient/leaderclient.go
@@ -88,7 +88,7 @@
 	}
 	var others []string
 	for _, member := range view.Stewards {
-		if member.MayOwn() && member.State == peerapi.StateAlive {
+		if member.MayLead() && member.State == peerapi.StateAlive {
 			others = append(others, member.Address)
 		}
 	}
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -284,7 +284,7 @@
 		return owner.Address
 	}
 	for _, steward := range slices.Backward(view.Stewards) {
-		if steward.MayOwn() {
+		if steward.MayLead() {
 			return steward.Address
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -248,9 +248,9 @@
 	})
 
 	It("gives owners both ways, by the higher epoch", func() {
-		one.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 3, Name: "x"})
-		one.MergeOwner(peerapi.OwnerFact{Key: "b", Epoch: 3, Name: "x"})
-		two.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 4, Name: "y"})
+		one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
+		one.MergeOwner(peerapi.LeaderFact{Key: "b", Epoch: 3, Name: "x"})
+		two.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 4, Name: "y"})
 		ask := one.Ask()
 		answer := two.Answer(&ask)
 		two.Answer(one.Take(steward(1), &answer))
@@ -273,15 +273,15 @@
 	})
 
 	It("gives a sibling of the older form the whole list and all owners, and takes such a list", func() {
-		one.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 3, Name: "x"})
+		one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
 		answer := one.Answer(&peerapi.MembersCall{From: gate(900), Members: []peerapi.Member{gate(901)}})
 		Expect(answer.Members).To(HaveLen(204))
 		Expect(answer.Digest.Owners).To(HaveLen(1))
 		older := &peerapi.MembersAnswer{Members: []peerapi.Member{gate(950)},
-			Digest: peerapi.Digest{Owners: []peerapi.OwnerFact{{Key: "a", Epoch: 9, Name: "z"}}}}
+			Digest: peerapi.Digest{Owners: []peerapi.LeaderFact{{Key: "a", Epoch: 9, Name: "z"}}}}
 		Expect(one.Take(gate(900), older)).To(BeNil())
 		Expect(one.All()).To(ContainElement(gate(950)))
-		Expect(one.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 9, Name: "z"})).To(BeFalse())
+		Expect(one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 9, Name: "z"})).To(BeFalse())
 	})
 })
 
@@ -291,10 +291,10 @@
 		table, sent, differed := lone(gate(0), clock)
 		side := peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
 		table.Hear(peerapi.Datagram{Kind: "ping", Number: 4, From: gate(1), News: []peerapi.Member{side},
-			Digest: peerapi.Digest{Owners: []peerapi.OwnerFact{{Key: "a", Epoch: 2, Name: "x"}}}})
+			Digest: peerapi.Digest{Owners: []peerapi.LeaderFact{{Key: "a", Epoch: 2, Name: "x"}}}})
 		table.Hear(peerapi.Datagram{Kind: "ping", Number: 5, From: side})
 		Expect(table.All()).To(ConsistOf(gate(0), gate(1)))
-		Expect(table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
+		Expect(table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
 		Expect(*differed).To(BeZero())
 		last := (*sent)[len(*sent)-1]
 		Expect(last.Kind).To(Equal("ack"))
@@ -304,7 +304,7 @@
 	It("answers a sibling of the older form without mending what it can't compare", func() {
 		table, sent, differed := lone(gate(0), pulse.NewFake(1))
 		table.Merge(gate(1))
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
 		table.Hear(peerapi.Datagram{Kind: "ack", From: gate(1)})
 		Expect(*sent).To(BeEmpty())
 		Expect(*differed).To(BeZero())
@@ -335,7 +335,7 @@
 		Expect(*differed).To(BeZero())
 		table.Merge(steward(1))
 		table.Merge(gate(1))
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "control-1"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "control-1"})
 		table.Spread()
 		pushed := (*sent)[len(*sent)-1]
 		Expect(pushed.News).To(ConsistOf(steward(1)))
@@ -357,7 +357,7 @@
 				table.Tick()
 			}
 			before := len(*sent)
-			table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: epoch, Name: "control-0"})
+			table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: epoch, Name: "control-0"})
 			table.Spread()
 			return len(*sent) - before
 		}
@@ -420,7 +420,7 @@
 			clock.Advance(350 * time.Millisecond)
 		}
 		before := len(*sent)
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "control-0"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "control-0"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before + 1))
 	})
@@ -484,7 +484,7 @@
 		clock := pulse.NewFake(1)
 		table, sent, _ := lone(gate(0), clock)
 		table.Merge(gate(1))
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
 		for range 6 {
 			clock.Advance(350 * time.Millisecond)
 			table.Tick()
@@ -517,7 +517,7 @@
 		table, sent, _ := lone(steward(0), clock)
 		table.Hear(peerapi.Datagram{Kind: "ping", From: peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
 		before := len(*sent)
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before + 1))
 		for range 400 {
@@ -525,7 +525,7 @@
 			table.Tick()
 		}
 		before = len(*sent)
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 3, Name: "x"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before))
 		gone := gate(3)
@@ -544,7 +544,7 @@
 		risen := steward(3)
 		risen.Incarnation, risen.Disk = 4, "d"
 		table.Merge(risen)
-		table.MergeOwner(peerapi.OwnerFact{Key: "a", Epoch: 2, Name: "control-3"})
+		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "control-3"})
 		table.Settle()
 		Expect(stewardsOf(views[0])).To(Equal("control-310.0.0.3:31 control-510.0.0.3:51 "))
 		Expect(views[2].Owners).To(BeEmpty())
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -199,7 +199,7 @@
 }
 
 // Announce passes on word of a key's owner; HoldsPlan that of a plan.
-func (n *Node) Announce(fact peerapi.OwnerFact) {
+func (n *Node) Announce(fact peerapi.LeaderFact) {
 	n.box.Post(func() {
 		if n.table.MergeOwner(fact) {
 			n.table.Spread()
--- a/internal/membership/sums.go
+++ b/internal/membership/sums.go
@@ -37,4 +37,4 @@
 	return binary.BigEndian.Uint32(sum[:])
 }
 
-func factHash(fact peerapi.OwnerFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
+func factHash(fact peerapi.LeaderFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -98,7 +98,7 @@
 	sums        sums
 	stewardSums sums
 
-	owners        map[string]peerapi.OwnerFact
+	owners        map[string]peerapi.LeaderFact
 	isOwnersShown bool
 	ownerSum      uint32
 	fresh         map[string]int
@@ -134,7 +134,7 @@
 
 func NewTable(self Member, clock pulse.Pulse, timing Timing, seed uint64, events Events) *Table {
 	table := &Table{clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
-		entries: map[string]*entry{}, unwell: map[string]*entry{}, owners: map[string]peerapi.OwnerFact{},
+		entries: map[string]*entry{}, unwell: map[string]*entry{}, owners: map[string]peerapi.LeaderFact{},
 		fresh: map[string]int{}, probes: map[uint64]probe{}, relays: map[uint64]relay{}, hot: map[string]int{},
 		leaves: map[string]leaf{}, pause: timing.LeafPeriod, isHeard: true, isDirty: true, moved: make(chan struct{})}
 	now := clock.Steady()
@@ -271,7 +271,7 @@
 func (t *Table) noteNews(name string) { t.hot[name] = newsTimes }
 
 // MergeOwner takes word of a key's owner; the higher epoch counts.
-func (t *Table) MergeOwner(fact peerapi.OwnerFact) bool {
+func (t *Table) MergeOwner(fact peerapi.LeaderFact) bool {
 	known, isThere := t.owners[fact.Key]
 	if isThere && known.Epoch >= fact.Epoch {
 		return false
@@ -312,10 +312,10 @@
 	return peerapi.Digest{Plan: t.plan, MemberSum: t.sumsFor(role).whole(), OwnerSum: t.shownOwnerSum()}
 }
 
-func (t *Table) facts() []peerapi.OwnerFact { return slices.Collect(maps.Values(t.owners)) }
+func (t *Table) facts() []peerapi.LeaderFact { return slices.Collect(maps.Values(t.owners)) }
 
-func (t *Table) freshFacts() []peerapi.OwnerFact {
-	var facts []peerapi.OwnerFact
+func (t *Table) freshFacts() []peerapi.LeaderFact {
+	var facts []peerapi.LeaderFact
 	for key := range t.fresh {
 		if len(facts) == mostFacts {
 			break
@@ -419,7 +419,7 @@
 }
 
 // mend gives all facts to a sibling whose sum of them differs; if it holds newer ones, it does the same in turn.
-func (t *Table) mend(digest peerapi.Digest) []peerapi.OwnerFact {
+func (t *Table) mend(digest peerapi.Digest) []peerapi.LeaderFact {
 	if digest.OwnerSum == 0 || digest.OwnerSum == t.shownOwnerSum() || len(t.owners) > mostFacts {
 		return nil
 	}
@@ -469,7 +469,7 @@
 	t.events.Send(to.Address, datagram)
 }
 
-func (t *Table) recordsOf(facts []peerapi.OwnerFact) []Member {
+func (t *Table) recordsOf(facts []peerapi.LeaderFact) []Member {
 	var records []Member
 	for _, fact := range facts {
 		known := t.entries[Name(Member{Name: fact.Name, Role: RoleSteward})]
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -12,7 +12,7 @@
 	Self     Member
 	Members  []Member
 	Stewards []Member
-	Owners   map[string]peerapi.OwnerFact
+	Owners   map[string]peerapi.LeaderFact
 	// IsLonely is set at a local-proxy that no steward has answered for some time.
 	IsLonely bool
 	// Moved is closed once any key has another owner than this view says.
@@ -40,6 +40,6 @@
 // SeesSteward tells whether any steward that may own keys, but this process, is thought alive.
 func (v *View) SeesSteward() bool {
 	return slices.ContainsFunc(v.Stewards, func(one Member) bool {
-		return one.MayOwn() && one.State == peerapi.StateAlive && Name(one) != Name(v.Self)
+		return one.MayLead() && one.State == peerapi.StateAlive && Name(one) != Name(v.Self)
 	})
 }
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -5,13 +5,13 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all messages.go
 
-type Stamp struct {
+type LogPosition struct {
 	Epoch uint64 `json:"e"`
-	Step  uint64 `json:"s"`
+	Index uint64 `json:"s"`
 }
 
-func (s Stamp) Below(other Stamp) bool {
-	return s.Epoch < other.Epoch || s.Epoch == other.Epoch && s.Step < other.Step
+func (s LogPosition) Below(other LogPosition) bool {
+	return s.Epoch < other.Epoch || s.Epoch == other.Epoch && s.Index < other.Index
 }
 
 // VoterSet names disks; while Old is there, a majority of both is asked for.
@@ -26,72 +26,72 @@
 }
 
 type Change struct {
-	Stamp Stamp     `json:"at"`
-	Ops   []Op      `json:"ops,omitempty"`
-	Set   *VoterSet `json:"set,omitempty"`
+	Position LogPosition `json:"at"`
+	Ops      []Op        `json:"ops,omitempty"`
+	Set      *VoterSet   `json:"set,omitempty"`
 }
 
 type Snapshot struct {
-	Last  Stamp    `json:"last"`
-	Set   VoterSet `json:"set"`
-	Pairs []Op     `json:"pairs,omitempty"`
+	Last  LogPosition `json:"last"`
+	Set   VoterSet    `json:"set"`
+	Pairs []Op        `json:"pairs,omitempty"`
 }
 
 type PromiseCall struct {
 	Key   string `json:"key"`
 	Epoch uint64 `json:"epoch"`
 	Disk  string `json:"disk"`
-	// Trial asks what would be answered, and binds nobody.
-	Trial bool `json:"trial,omitempty"`
+	// PreVote asks what would be answered, and binds nobody.
+	PreVote bool `json:"trial,omitempty"`
 }
 
 type PromiseAnswer struct {
-	Granted  bool     `json:"granted,omitempty"`
-	Promised uint64   `json:"promised"`
-	Last     Stamp    `json:"last"`
-	Set      VoterSet `json:"set"`
-	Disk     string   `json:"disk"`
+	Granted  bool        `json:"granted,omitempty"`
+	Promised uint64      `json:"promised"`
+	Last     LogPosition `json:"last"`
+	Set      VoterSet    `json:"set"`
+	Disk     string      `json:"disk"`
 }
 
-// Piece is one of Count parts of the state at a stamp; the last one to come lets the state be installed as a whole.
-type Piece struct {
-	At     Stamp    `json:"at"`
-	Set    VoterSet `json:"set"`
-	Number int      `json:"number"`
-	Count  int      `json:"count"`
-	Pairs  []Op     `json:"pairs,omitempty"`
+// SnapshotChunk is one of Count parts of the state at a stamp; the last one to come lets the state be installed as a whole.
+type SnapshotChunk struct {
+	At     LogPosition `json:"at"`
+	Set    VoterSet    `json:"set"`
+	Number int         `json:"number"`
+	Count  int         `json:"count"`
+	Pairs  []Op        `json:"pairs,omitempty"`
 }
 
 type AppendCall struct {
-	Key      string    `json:"key"`
-	Epoch    uint64    `json:"epoch"`
-	Owner    string    `json:"owner"`
-	Disk     string    `json:"disk"`
-	Prev     Stamp     `json:"prev"`
-	Changes  []Change  `json:"changes,omitempty"`
-	Snapshot *Snapshot `json:"snapshot,omitempty"`
-	Piece    *Piece    `json:"piece,omitempty"`
-	Release  bool      `json:"release,omitempty"`
-	// Heir is the disk whose steward should ask first after a release by an owner that is slow.
-	Heir string `json:"heir,omitempty"`
+	Key      string         `json:"key"`
+	Epoch    uint64         `json:"epoch"`
+	Owner    string         `json:"owner"`
+	Disk     string         `json:"disk"`
+	Prev     LogPosition    `json:"prev"`
+	Changes  []Change       `json:"changes,omitempty"`
+	Snapshot *Snapshot      `json:"snapshot,omitempty"`
+	Chunk    *SnapshotChunk `json:"piece,omitempty"`
+	Release  bool           `json:"release,omitempty"`
+	// Successor is the disk whose steward should ask first after a release by an owner that is slow.
+	Successor string `json:"heir,omitempty"`
 }
 
 type AppendAnswer struct {
-	Taken    bool   `json:"taken,omitempty"`
-	Promised uint64 `json:"promised"`
-	Last     Stamp  `json:"last"`
-	Disk     string `json:"disk"`
-	WallMs   int64  `json:"wall"`
+	Taken    bool        `json:"taken,omitempty"`
+	Promised uint64      `json:"promised"`
+	Last     LogPosition `json:"last"`
+	Disk     string      `json:"disk"`
+	WallMs   int64       `json:"wall"`
 	// DelayUs is the time from the call's arrival to this answer, at least 1; 0 is from a sibling of an older form.
 	DelayUs int64 `json:"delay,omitempty"`
-	// Pieces is how many pieces of the state under way are here; a sibling of an older form has none.
-	Pieces int `json:"pieces,omitempty"`
+	// Chunks is how many pieces of the state under way are here; a sibling of an older form has none.
+	Chunks int `json:"pieces,omitempty"`
 }
 
 // FetchCall asks for the changes after From, or for the whole state if they are no longer there or From is not named.
 type FetchCall struct {
-	Key  string `json:"key"`
-	From *Stamp `json:"from,omitempty"`
+	Key  string       `json:"key"`
+	From *LogPosition `json:"from,omitempty"`
 }
 
 type FetchAnswer struct {
@@ -116,8 +116,8 @@
 	Makeshift string `json:"m,omitempty"`
 }
 
-// MayOwn tells whether the member can own keys; a steward without any disk can't.
-func (m Member) MayOwn() bool { return m.Role == "steward" && (m.Disk != "" || m.Makeshift != "") }
+// MayLead tells whether the member can own keys; a steward without any disk can't.
+func (m Member) MayLead() bool { return m.Role == "steward" && (m.Disk != "" || m.Makeshift != "") }
 
 const (
 	StateAlive = iota
@@ -125,8 +125,8 @@
 	StateGone
 )
 
-// OwnerFact says who owns a key, and under which epoch.
-type OwnerFact struct {
+// LeaderFact says who owns a key, and under which epoch.
+type LeaderFact struct {
 	Key   string `json:"k"`
 	Epoch uint64 `json:"e"`
 	Name  string `json:"n"`
@@ -135,10 +135,10 @@
 // Digest carries owners that are news, or missing at the other side; the sums show the rest and are never 0.
 // A sibling of the older form sends no sums, and all of its owners.
 type Digest struct {
-	Plan      int64       `json:"p,omitempty"`
-	Owners    []OwnerFact `json:"o,omitempty"`
-	MemberSum uint32      `json:"s,omitempty"`
-	OwnerSum  uint32      `json:"h,omitempty"`
+	Plan      int64        `json:"p,omitempty"`
+	Owners    []LeaderFact `json:"o,omitempty"`
+	MemberSum uint32       `json:"s,omitempty"`
+	OwnerSum  uint32       `json:"h,omitempty"`
 }
 
 type Datagram struct {
@@ -169,56 +169,56 @@
 	Differing []int    `json:"differing,omitempty"`
 }
 
-// PlanCall asks for what is newer than Held; a sibling of the older form is always given the whole.
-type PlanCall struct {
+// ConfigurationCall asks for what is newer than Held; a sibling of the older form is always given the whole.
+type ConfigurationCall struct {
 	Held         int64 `json:"held"`
 	TakesChanges bool  `json:"changes,omitempty"`
 }
 
-// PlanAnswer holds the whole plan, or the changes that lead to it from the version that is held.
-type PlanAnswer struct {
-	Fact    *PlanFact     `json:"fact,omitempty"`
-	Changes []*PlanChange `json:"changes,omitempty"`
+// ConfigurationAnswer holds the whole plan, or the changes that lead to it from the version that is held.
+type ConfigurationAnswer struct {
+	Fact    *Configuration        `json:"fact,omitempty"`
+	Changes []*ConfigurationDelta `json:"changes,omitempty"`
 }
 
-// PlanChange makes the plan of one version out of that of another; Digest is that of the result.
-type PlanChange struct {
-	Base    int64        `json:"base"`
-	Version int64        `json:"version"`
-	Digest  string       `json:"digest"`
-	Parts   []PlanPart   `json:"parts"`
-	Births  []Birth      `json:"births,omitempty"`
-	Moved   []MovedEntry `json:"moved,omitempty"`
+// ConfigurationDelta makes the plan of one version out of that of another; Digest is that of the result.
+type ConfigurationDelta struct {
+	Base          int64           `json:"base"`
+	Version       int64           `json:"version"`
+	Digest        string          `json:"digest"`
+	Parts         []DeltaPart     `json:"parts"`
+	InitialVoters []InitialVoters `json:"births,omitempty"`
+	Moved         []MovedRoute    `json:"moved,omitempty"`
 }
 
-// PlanPart is a span of the base's pieces, or text.
-type PlanPart struct {
+// DeltaPart is a span of the base's pieces, or text.
+type DeltaPart struct {
 	From  int    `json:"f,omitempty"`
 	Count int    `json:"c,omitempty"`
 	Text  string `json:"t,omitempty"`
 }
 
-// PlanFact is the committed plan as it is passed on; Births are the first voters of its pools.
-type PlanFact struct {
-	Version int64               `json:"version"`
-	Body    easyjson.RawMessage `json:"body"`
-	Births  []Birth             `json:"births,omitempty"`
-	Taken   []TakenPlan         `json:"taken,omitempty"`
-	Moved   []MovedEntry        `json:"moved,omitempty"`
+// Configuration is the committed plan as it is passed on; Births are the first voters of its pools.
+type Configuration struct {
+	Version       int64               `json:"version"`
+	Body          easyjson.RawMessage `json:"body"`
+	InitialVoters []InitialVoters     `json:"births,omitempty"`
+	Confirmed     []ConfirmedVersion  `json:"taken,omitempty"`
+	Moved         []MovedRoute        `json:"moved,omitempty"`
 }
 
-// MovedEntry names the services that an entry was sent to before.
-type MovedEntry struct {
+// MovedRoute names the services that an entry was sent to before.
+type MovedRoute struct {
 	Entry    string   `json:"entry"`
 	Services []string `json:"services"`
 }
 
-type Birth struct {
+type InitialVoters struct {
 	Service string   `json:"service"`
 	Voters  []string `json:"voters"`
 }
 
-type TakenPlan struct {
+type ConfirmedVersion struct {
 	Version int64  `json:"version"`
 	Digest  string `json:"digest"`
 }
@@ -239,12 +239,12 @@
 	Entry  string              `json:"entry,omitempty"`
 	ID     string              `json:"id,omitempty"`
 	Base   int64               `json:"base,omitempty"`
-	Terms  *EntryTerms         `json:"terms,omitempty"`
+	Terms  *RouteTerms         `json:"terms,omitempty"`
 	Body   easyjson.RawMessage `json:"body,omitempty"`
 	LeftMs int64               `json:"left,omitempty"`
 }
 
-type EntryTerms struct {
+type RouteTerms struct {
 	Priority    int     `json:"p,omitempty"`
 	MaxAttempts int     `json:"a,omitempty"`
 	Stretch     float64 `json:"s,omitempty"`
@@ -348,11 +348,11 @@
 type BeliefsCall struct{}
 
 type KeyBelief struct {
-	Key   string   `json:"key"`
-	Owner string   `json:"owner"`
-	Epoch uint64   `json:"epoch"`
-	Last  Stamp    `json:"last"`
-	Set   VoterSet `json:"set"`
+	Key   string      `json:"key"`
+	Owner string      `json:"owner"`
+	Epoch uint64      `json:"epoch"`
+	Last  LogPosition `json:"last"`
+	Set   VoterSet    `json:"set"`
 }
 
 type JobBelief struct {
@@ -373,7 +373,7 @@
 	Role      string           `json:"role"`
 	Plan      int64            `json:"plan"`
 	Members   []Member         `json:"members"`
-	Owners    []OwnerFact      `json:"owners"`
+	Owners    []LeaderFact     `json:"owners"`
 	Keys      []KeyBelief      `json:"keys"`
 	Jobs      []JobBelief      `json:"jobs"`
 	Executors []ExecutorBelief `json:"executors"`
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire(in *jlexer.Lexer, out *VoterSet) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi(in *jlexer.Lexer, out *VoterSet) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -95,7 +95,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire(out *jwriter.Writer, in VoterSet) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi(out *jwriter.Writer, in VoterSet) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -139,27 +139,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v VoterSet) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v VoterSet) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *VoterSet) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *VoterSet) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire1(in *jlexer.Lexer, out *TakenPlan) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi1(in *jlexer.Lexer, out *SnapshotChunk) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -173,93 +173,56 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "version":
+		case "at":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Version = int64(in.Int64())
+				(out.At).UnmarshalEasyJSON(in)
 			}
-		case "digest":
+		case "set":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Digest = string(in.String())
+				(out.Set).UnmarshalEasyJSON(in)
 			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire1(out *jwriter.Writer, in TakenPlan) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"version\":"
-		out.RawString(prefix[1:])
-		out.Int64(int64(in.Version))
-	}
-	{
-		const prefix string = ",\"digest\":"
-		out.RawString(prefix)
-		out.String(string(in.Digest))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v TakenPlan) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire1(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TakenPlan) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire1(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *TakenPlan) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire1(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TakenPlan) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire1(l, v)
-}
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire2(in *jlexer.Lexer, out *Stamp) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "e":
+		case "number":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Epoch = uint64(in.Uint64())
+				out.Number = int(in.Int())
 			}
-		case "s":
+		case "count":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Count = int(in.Int())
+			}
+		case "pairs":
 			if in.IsNull() {
 				in.Skip()
+				out.Pairs = nil
 			} else {
-				out.Step = uint64(in.Uint64())
+				in.Delim('[')
+				if out.Pairs == nil {
+					if !in.IsDelim(']') {
+						out.Pairs = make([]Op, 0, 1)
+					} else {
+						out.Pairs = []Op{}
+					}
+				} else {
+					out.Pairs = (out.Pairs)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v7 Op
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v7).UnmarshalEasyJSON(in)
+					}
+					out.Pairs = append(out.Pairs, v7)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -271,47 +234,71 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire2(out *jwriter.Writer, in Stamp) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi1(out *jwriter.Writer, in SnapshotChunk) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"e\":"
+		const prefix string = ",\"at\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Epoch))
+		(in.At).MarshalEasyJSON(out)
 	}
 	{
-		const prefix string = ",\"s\":"
+		const prefix string = ",\"set\":"
+		out.RawString(prefix)
+		(in.Set).MarshalEasyJSON(out)
+	}
+	{
+		const prefix string = ",\"number\":"
+		out.RawString(prefix)
+		out.Int(int(in.Number))
+	}
+	{
+		const prefix string = ",\"count\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Step))
+		out.Int(int(in.Count))
+	}
+	if len(in.Pairs) != 0 {
+		const prefix string = ",\"pairs\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v8, v9 := range in.Pairs {
+				if v8 > 0 {
+					out.RawByte(',')
+				}
+				(v9).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Stamp) MarshalJSON() ([]byte, error) {
+func (v SnapshotChunk) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire2(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Stamp) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire2(w, v)
+func (v SnapshotChunk) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Stamp) UnmarshalJSON(data []byte) error {
+func (v *SnapshotChunk) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire2(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Stamp) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire2(l, v)
+func (v *SnapshotChunk) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi1(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire3(in *jlexer.Lexer, out *Snapshot) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi2(in *jlexer.Lexer, out *Snapshot) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -353,13 +340,13 @@
 					out.Pairs = (out.Pairs)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v7 Op
+					var v10 Op
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v7).UnmarshalEasyJSON(in)
+						(v10).UnmarshalEasyJSON(in)
 					}
-					out.Pairs = append(out.Pairs, v7)
+					out.Pairs = append(out.Pairs, v10)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -374,7 +361,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire3(out *jwriter.Writer, in Snapshot) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi2(out *jwriter.Writer, in Snapshot) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -393,11 +380,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v8, v9 := range in.Pairs {
-				if v8 > 0 {
+			for v11, v12 := range in.Pairs {
+				if v11 > 0 {
 					out.RawByte(',')
 				}
-				(v9).MarshalEasyJSON(out)
+				(v12).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -408,27 +395,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Snapshot) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire3(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Snapshot) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire3(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Snapshot) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire3(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Snapshot) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire3(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi2(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire4(in *jlexer.Lexer, out *RunReport) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi3(in *jlexer.Lexer, out *RunReport) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -482,7 +469,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire4(out *jwriter.Writer, in RunReport) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi3(out *jwriter.Writer, in RunReport) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -517,27 +504,141 @@
 // MarshalJSON supports json.Marshaler interface
 func (v RunReport) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire4(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v RunReport) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire4(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *RunReport) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire4(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *RunReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire4(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi3(l, v)
+}
+func easyjson66c1e240DecodeGannetlineInternalPeerapi4(in *jlexer.Lexer, out *RouteTerms) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "p":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Priority = int(in.Int())
+			}
+		case "a":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.MaxAttempts = int(in.Int())
+			}
+		case "s":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Stretch = float64(in.Float64())
+			}
+		case "t":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.TargetMs = int64(in.Int64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi4(out *jwriter.Writer, in RouteTerms) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	if in.Priority != 0 {
+		const prefix string = ",\"p\":"
+		first = false
+		out.RawString(prefix[1:])
+		out.Int(int(in.Priority))
+	}
+	if in.MaxAttempts != 0 {
+		const prefix string = ",\"a\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int(int(in.MaxAttempts))
+	}
+	if in.Stretch != 0 {
+		const prefix string = ",\"s\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Float64(float64(in.Stretch))
+	}
+	if in.TargetMs != 0 {
+		const prefix string = ",\"t\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int64(int64(in.TargetMs))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v RouteTerms) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeGannetlineInternalPeerapi4(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v RouteTerms) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi4(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *RouteTerms) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeGannetlineInternalPeerapi4(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *RouteTerms) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi4(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire5(in *jlexer.Lexer, out *PromiseCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi5(in *jlexer.Lexer, out *PromiseCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -573,7 +674,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Trial = bool(in.Bool())
+				out.PreVote = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -585,7 +686,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire5(out *jwriter.Writer, in PromiseCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi5(out *jwriter.Writer, in PromiseCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -604,10 +705,10 @@
 		out.RawString(prefix)
 		out.String(string(in.Disk))
 	}
-	if in.Trial {
+	if in.PreVote {
 		const prefix string = ",\"trial\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Trial))
+		out.Bool(bool(in.PreVote))
 	}
 	out.RawByte('}')
 }
@@ -615,27 +716,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v PromiseCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire5(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PromiseCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire5(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *PromiseCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire5(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PromiseCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire5(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi5(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire6(in *jlexer.Lexer, out *PromiseAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi6(in *jlexer.Lexer, out *PromiseAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -689,7 +790,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire6(out *jwriter.Writer, in PromiseAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi6(out *jwriter.Writer, in PromiseAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -730,27 +831,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v PromiseAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire6(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PromiseAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire6(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *PromiseAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire6(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PromiseAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire6(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi6(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire7(in *jlexer.Lexer, out *PlanPart) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi7(in *jlexer.Lexer, out *OrderAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -764,91 +865,102 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "f":
+		case "t":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.From = int(in.Int())
+				out.Task = string(in.String())
 			}
-		case "c":
+		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = int(in.Int())
+				out.Run = int64(in.Int64())
 			}
-		case "t":
+		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Text = string(in.String())
+				out.Kind = string(in.String())
 			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
+		case "a":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Result = string(in.String())
+			}
+		case "g":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.AgeMs = int64(in.Int64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
 	if isTopLevel {
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire7(out *jwriter.Writer, in PlanPart) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi7(out *jwriter.Writer, in OrderAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.From != 0 {
-		const prefix string = ",\"f\":"
-		first = false
+	{
+		const prefix string = ",\"t\":"
 		out.RawString(prefix[1:])
-		out.Int(int(in.From))
+		out.String(string(in.Task))
 	}
-	if in.Count != 0 {
-		const prefix string = ",\"c\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int(int(in.Count))
+	{
+		const prefix string = ",\"r\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.Run))
 	}
-	if in.Text != "" {
-		const prefix string = ",\"t\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.String(string(in.Text))
+	{
+		const prefix string = ",\"k\":"
+		out.RawString(prefix)
+		out.String(string(in.Kind))
+	}
+	{
+		const prefix string = ",\"a\":"
+		out.RawString(prefix)
+		out.String(string(in.Result))
+	}
+	if in.AgeMs != 0 {
+		const prefix string = ",\"g\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.AgeMs))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v PlanPart) MarshalJSON() ([]byte, error) {
+func (v OrderAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire7(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v PlanPart) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire7(w, v)
+func (v OrderAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *PlanPart) UnmarshalJSON(data []byte) error {
+func (v *OrderAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire7(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *PlanPart) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire7(l, v)
+func (v *OrderAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi7(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire8(in *jlexer.Lexer, out *PlanFact) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi8(in *jlexer.Lexer, out *Order) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -862,98 +974,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "version":
+		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Version = int64(in.Int64())
+				out.Kind = string(in.String())
 			}
-		case "body":
+		case "t":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Body).UnmarshalEasyJSON(in)
+				out.Task = string(in.String())
 			}
-		case "births":
+		case "r":
 			if in.IsNull() {
 				in.Skip()
-				out.Births = nil
 			} else {
-				in.Delim('[')
-				if out.Births == nil {
-					if !in.IsDelim(']') {
-						out.Births = make([]Birth, 0, 1)
-					} else {
-						out.Births = []Birth{}
-					}
-				} else {
-					out.Births = (out.Births)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v10 Birth
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v10).UnmarshalEasyJSON(in)
-					}
-					out.Births = append(out.Births, v10)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Run = int64(in.Int64())
 			}
-		case "taken":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
-				out.Taken = nil
 			} else {
-				in.Delim('[')
-				if out.Taken == nil {
-					if !in.IsDelim(']') {
-						out.Taken = make([]TakenPlan, 0, 2)
-					} else {
-						out.Taken = []TakenPlan{}
-					}
-				} else {
-					out.Taken = (out.Taken)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v11 TakenPlan
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v11).UnmarshalEasyJSON(in)
-					}
-					out.Taken = append(out.Taken, v11)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Spec = string(in.String())
 			}
-		case "moved":
+		case "c":
 			if in.IsNull() {
 				in.Skip()
-				out.Moved = nil
 			} else {
-				in.Delim('[')
-				if out.Moved == nil {
-					if !in.IsDelim(']') {
-						out.Moved = make([]MovedEntry, 0, 1)
-					} else {
-						out.Moved = []MovedEntry{}
-					}
-				} else {
-					out.Moved = (out.Moved)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v12 MovedEntry
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v12).UnmarshalEasyJSON(in)
-					}
-					out.Moved = append(out.Moved, v12)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Saved = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -965,89 +1014,62 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire8(out *jwriter.Writer, in PlanFact) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi8(out *jwriter.Writer, in Order) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"version\":"
+		const prefix string = ",\"k\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.Version))
+		out.String(string(in.Kind))
 	}
 	{
-		const prefix string = ",\"body\":"
+		const prefix string = ",\"t\":"
 		out.RawString(prefix)
-		(in.Body).MarshalEasyJSON(out)
+		out.String(string(in.Task))
 	}
-	if len(in.Births) != 0 {
-		const prefix string = ",\"births\":"
+	{
+		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v13, v14 := range in.Births {
-				if v13 > 0 {
-					out.RawByte(',')
-				}
-				(v14).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.Int64(int64(in.Run))
 	}
-	if len(in.Taken) != 0 {
-		const prefix string = ",\"taken\":"
+	if in.Spec != "" {
+		const prefix string = ",\"s\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v15, v16 := range in.Taken {
-				if v15 > 0 {
-					out.RawByte(',')
-				}
-				(v16).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Spec))
 	}
-	if len(in.Moved) != 0 {
-		const prefix string = ",\"moved\":"
+	if in.Saved != "" {
+		const prefix string = ",\"c\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v17, v18 := range in.Moved {
-				if v17 > 0 {
-					out.RawByte(',')
-				}
-				(v18).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Saved))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v PlanFact) MarshalJSON() ([]byte, error) {
+func (v Order) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire8(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v PlanFact) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire8(w, v)
+func (v Order) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *PlanFact) UnmarshalJSON(data []byte) error {
+func (v *Order) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire8(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *PlanFact) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire8(l, v)
+func (v *Order) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi8(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire9(in *jlexer.Lexer, out *PlanChange) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi9(in *jlexer.Lexer, out *Op) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1061,101 +1083,111 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "base":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Base = int64(in.Int64())
+				out.Name = string(in.String())
 			}
-		case "version":
+		case "v":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Version = int64(in.Int64())
+				(out.Value).UnmarshalEasyJSON(in)
 			}
-		case "digest":
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi9(out *jwriter.Writer, in Op) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"n\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Name))
+	}
+	if (in.Value).IsDefined() {
+		const prefix string = ",\"v\":"
+		out.RawString(prefix)
+		(in.Value).MarshalEasyJSON(out)
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Op) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeGannetlineInternalPeerapi9(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Op) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi9(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Op) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeGannetlineInternalPeerapi9(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Op) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi9(l, v)
+}
+func easyjson66c1e240DecodeGannetlineInternalPeerapi10(in *jlexer.Lexer, out *MovedRoute) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "entry":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Digest = string(in.String())
+				out.Entry = string(in.String())
 			}
-		case "parts":
+		case "services":
 			if in.IsNull() {
 				in.Skip()
-				out.Parts = nil
+				out.Services = nil
 			} else {
 				in.Delim('[')
-				if out.Parts == nil {
+				if out.Services == nil {
 					if !in.IsDelim(']') {
-						out.Parts = make([]PlanPart, 0, 2)
+						out.Services = make([]string, 0, 4)
 					} else {
-						out.Parts = []PlanPart{}
+						out.Services = []string{}
 					}
 				} else {
-					out.Parts = (out.Parts)[:0]
+					out.Services = (out.Services)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v19 PlanPart
+					var v13 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v19).UnmarshalEasyJSON(in)
+						v13 = string(in.String())
 					}
-					out.Parts = append(out.Parts, v19)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "births":
-			if in.IsNull() {
-				in.Skip()
-				out.Births = nil
-			} else {
-				in.Delim('[')
-				if out.Births == nil {
-					if !in.IsDelim(']') {
-						out.Births = make([]Birth, 0, 1)
-					} else {
-						out.Births = []Birth{}
-					}
-				} else {
-					out.Births = (out.Births)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v20 Birth
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v20).UnmarshalEasyJSON(in)
-					}
-					out.Births = append(out.Births, v20)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "moved":
-			if in.IsNull() {
-				in.Skip()
-				out.Moved = nil
-			} else {
-				in.Delim('[')
-				if out.Moved == nil {
-					if !in.IsDelim(']') {
-						out.Moved = make([]MovedEntry, 0, 1)
-					} else {
-						out.Moved = []MovedEntry{}
-					}
-				} else {
-					out.Moved = (out.Moved)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v21 MovedEntry
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v21).UnmarshalEasyJSON(in)
-					}
-					out.Moved = append(out.Moved, v21)
+					out.Services = append(out.Services, v13)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1170,65 +1202,27 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire9(out *jwriter.Writer, in PlanChange) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi10(out *jwriter.Writer, in MovedRoute) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"base\":"
+		const prefix string = ",\"entry\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.Base))
-	}
-	{
-		const prefix string = ",\"version\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.Version))
-	}
-	{
-		const prefix string = ",\"digest\":"
-		out.RawString(prefix)
-		out.String(string(in.Digest))
+		out.String(string(in.Entry))
 	}
 	{
-		const prefix string = ",\"parts\":"
+		const prefix string = ",\"services\":"
 		out.RawString(prefix)
-		if in.Parts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v22, v23 := range in.Parts {
-				if v22 > 0 {
-					out.RawByte(',')
-				}
-				(v23).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	if len(in.Births) != 0 {
-		const prefix string = ",\"births\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v24, v25 := range in.Births {
-				if v24 > 0 {
-					out.RawByte(',')
-				}
-				(v25).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	if len(in.Moved) != 0 {
-		const prefix string = ",\"moved\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v26, v27 := range in.Moved {
-				if v26 > 0 {
+			for v14, v15 := range in.Services {
+				if v14 > 0 {
 					out.RawByte(',')
 				}
-				(v27).MarshalEasyJSON(out)
+				out.String(string(v15))
 			}
 			out.RawByte(']')
 		}
@@ -1237,29 +1231,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v PlanChange) MarshalJSON() ([]byte, error) {
+func (v MovedRoute) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire9(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi10(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v PlanChange) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire9(w, v)
+func (v MovedRoute) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi10(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *PlanChange) UnmarshalJSON(data []byte) error {
+func (v *MovedRoute) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire9(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi10(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *PlanChange) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire9(l, v)
+func (v *MovedRoute) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi10(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire10(in *jlexer.Lexer, out *PlanCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi11(in *jlexer.Lexer, out *MembersCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1273,17 +1267,77 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "held":
+		case "from":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Held = int64(in.Int64())
+				(out.From).UnmarshalEasyJSON(in)
 			}
-		case "changes":
+		case "members":
 			if in.IsNull() {
 				in.Skip()
+				out.Members = nil
 			} else {
-				out.TakesChanges = bool(in.Bool())
+				in.Delim('[')
+				if out.Members == nil {
+					if !in.IsDelim(']') {
+						out.Members = make([]Member, 0, 0)
+					} else {
+						out.Members = []Member{}
+					}
+				} else {
+					out.Members = (out.Members)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v16 Member
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v16).UnmarshalEasyJSON(in)
+					}
+					out.Members = append(out.Members, v16)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "digest":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Digest).UnmarshalEasyJSON(in)
+			}
+		case "buckets":
+			if in.IsNull() {
+				in.Skip()
+				out.Buckets = nil
+			} else {
+				in.Delim('[')
+				if out.Buckets == nil {
+					if !in.IsDelim(']') {
+						out.Buckets = make([]uint32, 0, 16)
+					} else {
+						out.Buckets = []uint32{}
+					}
+				} else {
+					out.Buckets = (out.Buckets)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v17 uint32
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v17 = uint32(in.Uint32())
+					}
+					out.Buckets = append(out.Buckets, v17)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "gives":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Gives = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -1295,47 +1349,80 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire10(out *jwriter.Writer, in PlanCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi11(out *jwriter.Writer, in MembersCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"held\":"
+		const prefix string = ",\"from\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.Held))
+		(in.From).MarshalEasyJSON(out)
 	}
-	if in.TakesChanges {
-		const prefix string = ",\"changes\":"
+	if len(in.Members) != 0 {
+		const prefix string = ",\"members\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.TakesChanges))
+		{
+			out.RawByte('[')
+			for v18, v19 := range in.Members {
+				if v18 > 0 {
+					out.RawByte(',')
+				}
+				(v19).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	{
+		const prefix string = ",\"digest\":"
+		out.RawString(prefix)
+		(in.Digest).MarshalEasyJSON(out)
+	}
+	if len(in.Buckets) != 0 {
+		const prefix string = ",\"buckets\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v20, v21 := range in.Buckets {
+				if v20 > 0 {
+					out.RawByte(',')
+				}
+				out.Uint32(uint32(v21))
+			}
+			out.RawByte(']')
+		}
+	}
+	if in.Gives {
+		const prefix string = ",\"gives\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Gives))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v PlanCall) MarshalJSON() ([]byte, error) {
+func (v MembersCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire10(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi11(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v PlanCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire10(w, v)
+func (v MembersCall) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi11(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *PlanCall) UnmarshalJSON(data []byte) error {
+func (v *MembersCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire10(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi11(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *PlanCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire10(l, v)
+func (v *MembersCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi11(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire11(in *jlexer.Lexer, out *PlanAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi12(in *jlexer.Lexer, out *MembersAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1349,51 +1436,62 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "fact":
+		case "members":
 			if in.IsNull() {
 				in.Skip()
-				out.Fact = nil
+				out.Members = nil
 			} else {
-				if out.Fact == nil {
-					out.Fact = new(PlanFact)
-				}
-				if in.IsNull() {
-					in.Skip()
+				in.Delim('[')
+				if out.Members == nil {
+					if !in.IsDelim(']') {
+						out.Members = make([]Member, 0, 0)
+					} else {
+						out.Members = []Member{}
+					}
 				} else {
-					(*out.Fact).UnmarshalEasyJSON(in)
+					out.Members = (out.Members)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v22 Member
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v22).UnmarshalEasyJSON(in)
+					}
+					out.Members = append(out.Members, v22)
+					in.WantComma()
 				}
+				in.Delim(']')
 			}
-		case "changes":
+		case "digest":
 			if in.IsNull() {
 				in.Skip()
-				out.Changes = nil
+			} else {
+				(out.Digest).UnmarshalEasyJSON(in)
+			}
+		case "differing":
+			if in.IsNull() {
+				in.Skip()
+				out.Differing = nil
 			} else {
 				in.Delim('[')
-				if out.Changes == nil {
+				if out.Differing == nil {
 					if !in.IsDelim(']') {
-						out.Changes = make([]*PlanChange, 0, 8)
+						out.Differing = make([]int, 0, 8)
 					} else {
-						out.Changes = []*PlanChange{}
+						out.Differing = []int{}
 					}
 				} else {
-					out.Changes = (out.Changes)[:0]
+					out.Differing = (out.Differing)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v28 *PlanChange
+					var v23 int
 					if in.IsNull() {
 						in.Skip()
-						v28 = nil
 					} else {
-						if v28 == nil {
-							v28 = new(PlanChange)
-						}
-						if in.IsNull() {
-							in.Skip()
-						} else {
-							(*v28).UnmarshalEasyJSON(in)
-						}
+						v23 = int(in.Int())
 					}
-					out.Changes = append(out.Changes, v28)
+					out.Differing = append(out.Differing, v23)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1408,35 +1506,45 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire11(out *jwriter.Writer, in PlanAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi12(out *jwriter.Writer, in MembersAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Fact != nil {
-		const prefix string = ",\"fact\":"
+	if len(in.Members) != 0 {
+		const prefix string = ",\"members\":"
 		first = false
 		out.RawString(prefix[1:])
-		(*in.Fact).MarshalEasyJSON(out)
+		{
+			out.RawByte('[')
+			for v24, v25 := range in.Members {
+				if v24 > 0 {
+					out.RawByte(',')
+				}
+				(v25).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
-	if len(in.Changes) != 0 {
-		const prefix string = ",\"changes\":"
+	{
+		const prefix string = ",\"digest\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
+		(in.Digest).MarshalEasyJSON(out)
+	}
+	if len(in.Differing) != 0 {
+		const prefix string = ",\"differing\":"
+		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v29, v30 := range in.Changes {
-				if v29 > 0 {
+			for v26, v27 := range in.Differing {
+				if v26 > 0 {
 					out.RawByte(',')
 				}
-				if v30 == nil {
-					out.RawString("null")
-				} else {
-					(*v30).MarshalEasyJSON(out)
-				}
+				out.Int(int(v27))
 			}
 			out.RawByte(']')
 		}
@@ -1445,29 +1553,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v PlanAnswer) MarshalJSON() ([]byte, error) {
+func (v MembersAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire11(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi12(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v PlanAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire11(w, v)
+func (v MembersAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi12(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *PlanAnswer) UnmarshalJSON(data []byte) error {
+func (v *MembersAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire11(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi12(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *PlanAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire11(l, v)
+func (v *MembersAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi12(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire12(in *jlexer.Lexer, out *Piece) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi13(in *jlexer.Lexer, out *Member) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1481,57 +1589,87 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "at":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.At).UnmarshalEasyJSON(in)
+				out.Name = string(in.String())
 			}
-		case "set":
+		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Set).UnmarshalEasyJSON(in)
+				out.Role = string(in.String())
 			}
-		case "number":
+		case "d":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Number = int(in.Int())
+				out.Domain = string(in.String())
 			}
-		case "count":
+		case "a":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = int(in.Int())
+				out.Address = string(in.String())
 			}
-		case "pairs":
+		case "c":
 			if in.IsNull() {
 				in.Skip()
-				out.Pairs = nil
+			} else {
+				out.Control = string(in.String())
+			}
+		case "k":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Disk = string(in.String())
+			}
+		case "i":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Incarnation = uint64(in.Uint64())
+			}
+		case "s":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.State = int(in.Int())
+			}
+		case "x":
+			if in.IsNull() {
+				in.Skip()
+				out.Past = nil
 			} else {
 				in.Delim('[')
-				if out.Pairs == nil {
+				if out.Past == nil {
 					if !in.IsDelim(']') {
-						out.Pairs = make([]Op, 0, 1)
+						out.Past = make([]string, 0, 4)
 					} else {
-						out.Pairs = []Op{}
+						out.Past = []string{}
 					}
 				} else {
-					out.Pairs = (out.Pairs)[:0]
+					out.Past = (out.Past)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v31 Op
+					var v28 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v31).UnmarshalEasyJSON(in)
+						v28 = string(in.String())
 					}
-					out.Pairs = append(out.Pairs, v31)
+					out.Past = append(out.Past, v28)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
+		case "m":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Makeshift = string(in.String())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -1542,71 +1680,96 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire12(out *jwriter.Writer, in Piece) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi13(out *jwriter.Writer, in Member) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"at\":"
+		const prefix string = ",\"n\":"
 		out.RawString(prefix[1:])
-		(in.At).MarshalEasyJSON(out)
+		out.String(string(in.Name))
 	}
 	{
-		const prefix string = ",\"set\":"
+		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		(in.Set).MarshalEasyJSON(out)
+		out.String(string(in.Role))
 	}
 	{
-		const prefix string = ",\"number\":"
+		const prefix string = ",\"d\":"
 		out.RawString(prefix)
-		out.Int(int(in.Number))
+		out.String(string(in.Domain))
 	}
 	{
-		const prefix string = ",\"count\":"
+		const prefix string = ",\"a\":"
 		out.RawString(prefix)
-		out.Int(int(in.Count))
+		out.String(string(in.Address))
 	}
-	if len(in.Pairs) != 0 {
-		const prefix string = ",\"pairs\":"
+	if in.Control != "" {
+		const prefix string = ",\"c\":"
+		out.RawString(prefix)
+		out.String(string(in.Control))
+	}
+	if in.Disk != "" {
+		const prefix string = ",\"k\":"
+		out.RawString(prefix)
+		out.String(string(in.Disk))
+	}
+	{
+		const prefix string = ",\"i\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Incarnation))
+	}
+	if in.State != 0 {
+		const prefix string = ",\"s\":"
+		out.RawString(prefix)
+		out.Int(int(in.State))
+	}
+	if len(in.Past) != 0 {
+		const prefix string = ",\"x\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v32, v33 := range in.Pairs {
-				if v32 > 0 {
+			for v29, v30 := range in.Past {
+				if v29 > 0 {
 					out.RawByte(',')
 				}
-				(v33).MarshalEasyJSON(out)
+				out.String(string(v30))
 			}
 			out.RawByte(']')
 		}
 	}
+	if in.Makeshift != "" {
+		const prefix string = ",\"m\":"
+		out.RawString(prefix)
+		out.String(string(in.Makeshift))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Piece) MarshalJSON() ([]byte, error) {
+func (v Member) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire12(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi13(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Piece) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire12(w, v)
+func (v Member) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi13(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Piece) UnmarshalJSON(data []byte) error {
+func (v *Member) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire12(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi13(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Piece) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire12(l, v)
+func (v *Member) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi13(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire13(in *jlexer.Lexer, out *OwnerFact) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi14(in *jlexer.Lexer, out *LogPosition) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1620,23 +1783,17 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Key = string(in.String())
-			}
 		case "e":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				out.Epoch = uint64(in.Uint64())
 			}
-		case "n":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Name = string(in.String())
+				out.Index = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -1648,52 +1805,47 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire13(out *jwriter.Writer, in OwnerFact) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi14(out *jwriter.Writer, in LogPosition) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"k\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
 	{
 		const prefix string = ",\"e\":"
-		out.RawString(prefix)
+		out.RawString(prefix[1:])
 		out.Uint64(uint64(in.Epoch))
 	}
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"s\":"
 		out.RawString(prefix)
-		out.String(string(in.Name))
+		out.Uint64(uint64(in.Index))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v OwnerFact) MarshalJSON() ([]byte, error) {
+func (v LogPosition) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire13(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi14(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v OwnerFact) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire13(w, v)
+func (v LogPosition) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi14(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *OwnerFact) UnmarshalJSON(data []byte) error {
+func (v *LogPosition) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire13(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi14(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *OwnerFact) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire13(l, v)
+func (v *LogPosition) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi14(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire14(in *jlexer.Lexer, out *OrderAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi15(in *jlexer.Lexer, out *LeaderFact) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1707,35 +1859,23 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "t":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Task = string(in.String())
-			}
-		case "r":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Run = int64(in.Int64())
-			}
 		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = string(in.String())
+				out.Key = string(in.String())
 			}
-		case "a":
+		case "e":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Result = string(in.String())
+				out.Epoch = uint64(in.Uint64())
 			}
-		case "g":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.AgeMs = int64(in.Int64())
+				out.Name = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -1747,62 +1887,52 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire14(out *jwriter.Writer, in OrderAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi15(out *jwriter.Writer, in LeaderFact) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"t\":"
+		const prefix string = ",\"k\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Task))
-	}
-	{
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.Run))
+		out.String(string(in.Key))
 	}
 	{
-		const prefix string = ",\"k\":"
+		const prefix string = ",\"e\":"
 		out.RawString(prefix)
-		out.String(string(in.Kind))
+		out.Uint64(uint64(in.Epoch))
 	}
 	{
-		const prefix string = ",\"a\":"
-		out.RawString(prefix)
-		out.String(string(in.Result))
-	}
-	if in.AgeMs != 0 {
-		const prefix string = ",\"g\":"
+		const prefix string = ",\"n\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.AgeMs))
+		out.String(string(in.Name))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v OrderAnswer) MarshalJSON() ([]byte, error) {
+func (v LeaderFact) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire14(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi15(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v OrderAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire14(w, v)
+func (v LeaderFact) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi15(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *OrderAnswer) UnmarshalJSON(data []byte) error {
+func (v *LeaderFact) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire14(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi15(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *OrderAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire14(l, v)
+func (v *LeaderFact) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi15(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire15(in *jlexer.Lexer, out *Order) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi16(in *jlexer.Lexer, out *KeyBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1816,35 +1946,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "k":
+		case "key":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = string(in.String())
+				out.Key = string(in.String())
 			}
-		case "t":
+		case "owner":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Task = string(in.String())
+				out.Owner = string(in.String())
 			}
-		case "r":
+		case "epoch":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Run = int64(in.Int64())
+				out.Epoch = uint64(in.Uint64())
 			}
-		case "s":
+		case "last":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Spec = string(in.String())
+				(out.Last).UnmarshalEasyJSON(in)
 			}
-		case "c":
+		case "set":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Saved = string(in.String())
+				(out.Set).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.SkipRecursive()
@@ -1856,62 +1986,62 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire15(out *jwriter.Writer, in Order) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi16(out *jwriter.Writer, in KeyBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"k\":"
+		const prefix string = ",\"key\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Kind))
+		out.String(string(in.Key))
 	}
 	{
-		const prefix string = ",\"t\":"
+		const prefix string = ",\"owner\":"
 		out.RawString(prefix)
-		out.String(string(in.Task))
+		out.String(string(in.Owner))
 	}
 	{
-		const prefix string = ",\"r\":"
+		const prefix string = ",\"epoch\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Run))
+		out.Uint64(uint64(in.Epoch))
 	}
-	if in.Spec != "" {
-		const prefix string = ",\"s\":"
+	{
+		const prefix string = ",\"last\":"
 		out.RawString(prefix)
-		out.String(string(in.Spec))
+		(in.Last).MarshalEasyJSON(out)
 	}
-	if in.Saved != "" {
-		const prefix string = ",\"c\":"
+	{
+		const prefix string = ",\"set\":"
 		out.RawString(prefix)
-		out.String(string(in.Saved))
+		(in.Set).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Order) MarshalJSON() ([]byte, error) {
+func (v KeyBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire15(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi16(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Order) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire15(w, v)
+func (v KeyBelief) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi16(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Order) UnmarshalJSON(data []byte) error {
+func (v *KeyBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire15(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi16(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Order) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire15(l, v)
+func (v *KeyBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi16(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire16(in *jlexer.Lexer, out *Op) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi17(in *jlexer.Lexer, out *JobBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1925,17 +2055,23 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "n":
+		case "key":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Name = string(in.String())
+				out.Key = string(in.String())
 			}
-		case "v":
+		case "id":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Value).UnmarshalEasyJSON(in)
+				out.ID = string(in.String())
+			}
+		case "state":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.State = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -1947,47 +2083,52 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire16(out *jwriter.Writer, in Op) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi17(out *jwriter.Writer, in JobBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"key\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Name))
+		out.String(string(in.Key))
 	}
-	if (in.Value).IsDefined() {
-		const prefix string = ",\"v\":"
+	{
+		const prefix string = ",\"id\":"
 		out.RawString(prefix)
-		(in.Value).MarshalEasyJSON(out)
+		out.String(string(in.ID))
+	}
+	{
+		const prefix string = ",\"state\":"
+		out.RawString(prefix)
+		out.String(string(in.State))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Op) MarshalJSON() ([]byte, error) {
+func (v JobBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire16(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi17(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Op) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire16(w, v)
+func (v JobBelief) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi17(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Op) UnmarshalJSON(data []byte) error {
+func (v *JobBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire16(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi17(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Op) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire16(l, v)
+func (v *JobBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi17(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire17(in *jlexer.Lexer, out *MovedEntry) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi18(in *jlexer.Lexer, out *InitialVoters) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2001,35 +2142,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "entry":
+		case "service":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Entry = string(in.String())
+				out.Service = string(in.String())
 			}
-		case "services":
+		case "voters":
 			if in.IsNull() {
 				in.Skip()
-				out.Services = nil
+				out.Voters = nil
 			} else {
 				in.Delim('[')
-				if out.Services == nil {
+				if out.Voters == nil {
 					if !in.IsDelim(']') {
-						out.Services = make([]string, 0, 4)
+						out.Voters = make([]string, 0, 4)
 					} else {
-						out.Services = []string{}
+						out.Voters = []string{}
 					}
 				} else {
-					out.Services = (out.Services)[:0]
+					out.Voters = (out.Voters)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v34 string
+					var v31 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v34 = string(in.String())
+						v31 = string(in.String())
 					}
-					out.Services = append(out.Services, v34)
+					out.Voters = append(out.Voters, v31)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -2044,27 +2185,27 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire17(out *jwriter.Writer, in MovedEntry) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi18(out *jwriter.Writer, in InitialVoters) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"entry\":"
+		const prefix string = ",\"service\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Entry))
+		out.String(string(in.Service))
 	}
 	{
-		const prefix string = ",\"services\":"
+		const prefix string = ",\"voters\":"
 		out.RawString(prefix)
-		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Voters == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v35, v36 := range in.Services {
-				if v35 > 0 {
+			for v32, v33 := range in.Voters {
+				if v32 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v36))
+				out.String(string(v33))
 			}
 			out.RawByte(']')
 		}
@@ -2073,29 +2214,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v MovedEntry) MarshalJSON() ([]byte, error) {
+func (v InitialVoters) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire17(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi18(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v MovedEntry) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire17(w, v)
+func (v InitialVoters) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi18(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *MovedEntry) UnmarshalJSON(data []byte) error {
+func (v *InitialVoters) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire17(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi18(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *MovedEntry) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire17(l, v)
+func (v *InitialVoters) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi18(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire18(in *jlexer.Lexer, out *MembersCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi19(in *jlexer.Lexer, out *IdentifyCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2109,78 +2250,6 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "from":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.From).UnmarshalEasyJSON(in)
-			}
-		case "members":
-			if in.IsNull() {
-				in.Skip()
-				out.Members = nil
-			} else {
-				in.Delim('[')
-				if out.Members == nil {
-					if !in.IsDelim(']') {
-						out.Members = make([]Member, 0, 0)
-					} else {
-						out.Members = []Member{}
-					}
-				} else {
-					out.Members = (out.Members)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v37 Member
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v37).UnmarshalEasyJSON(in)
-					}
-					out.Members = append(out.Members, v37)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "digest":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Digest).UnmarshalEasyJSON(in)
-			}
-		case "buckets":
-			if in.IsNull() {
-				in.Skip()
-				out.Buckets = nil
-			} else {
-				in.Delim('[')
-				if out.Buckets == nil {
-					if !in.IsDelim(']') {
-						out.Buckets = make([]uint32, 0, 16)
-					} else {
-						out.Buckets = []uint32{}
-					}
-				} else {
-					out.Buckets = (out.Buckets)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v38 uint32
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v38 = uint32(in.Uint32())
-					}
-					out.Buckets = append(out.Buckets, v38)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "gives":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Gives = bool(in.Bool())
-			}
 		default:
 			in.SkipRecursive()
 		}
@@ -2191,80 +2260,37 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire18(out *jwriter.Writer, in MembersCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi19(out *jwriter.Writer, in IdentifyCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"from\":"
-		out.RawString(prefix[1:])
-		(in.From).MarshalEasyJSON(out)
-	}
-	if len(in.Members) != 0 {
-		const prefix string = ",\"members\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v39, v40 := range in.Members {
-				if v39 > 0 {
-					out.RawByte(',')
-				}
-				(v40).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	{
-		const prefix string = ",\"digest\":"
-		out.RawString(prefix)
-		(in.Digest).MarshalEasyJSON(out)
-	}
-	if len(in.Buckets) != 0 {
-		const prefix string = ",\"buckets\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v41, v42 := range in.Buckets {
-				if v41 > 0 {
-					out.RawByte(',')
-				}
-				out.Uint32(uint32(v42))
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.Gives {
-		const prefix string = ",\"gives\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Gives))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v MembersCall) MarshalJSON() ([]byte, error) {
+func (v IdentifyCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire18(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi19(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v MembersCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire18(w, v)
+func (v IdentifyCall) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi19(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *MembersCall) UnmarshalJSON(data []byte) error {
+func (v *IdentifyCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire18(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi19(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *MembersCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire18(l, v)
+func (v *IdentifyCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi19(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire19(in *jlexer.Lexer, out *MembersAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi20(in *jlexer.Lexer, out *IdentifyAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2278,65 +2304,23 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "members":
+		case "disk":
 			if in.IsNull() {
 				in.Skip()
-				out.Members = nil
 			} else {
-				in.Delim('[')
-				if out.Members == nil {
-					if !in.IsDelim(']') {
-						out.Members = make([]Member, 0, 0)
-					} else {
-						out.Members = []Member{}
-					}
-				} else {
-					out.Members = (out.Members)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v43 Member
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v43).UnmarshalEasyJSON(in)
-					}
-					out.Members = append(out.Members, v43)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Disk = string(in.String())
 			}
-		case "digest":
+		case "makeshift":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Digest).UnmarshalEasyJSON(in)
+				out.Makeshift = string(in.String())
 			}
-		case "differing":
+		case "fresh":
 			if in.IsNull() {
 				in.Skip()
-				out.Differing = nil
 			} else {
-				in.Delim('[')
-				if out.Differing == nil {
-					if !in.IsDelim(']') {
-						out.Differing = make([]int, 0, 8)
-					} else {
-						out.Differing = []int{}
-					}
-				} else {
-					out.Differing = (out.Differing)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v44 int
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v44 = int(in.Int())
-					}
-					out.Differing = append(out.Differing, v44)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Fresh = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -2348,76 +2332,52 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire19(out *jwriter.Writer, in MembersAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi20(out *jwriter.Writer, in IdentifyAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.Members) != 0 {
-		const prefix string = ",\"members\":"
-		first = false
+	{
+		const prefix string = ",\"disk\":"
 		out.RawString(prefix[1:])
-		{
-			out.RawByte('[')
-			for v45, v46 := range in.Members {
-				if v45 > 0 {
-					out.RawByte(',')
-				}
-				(v46).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Disk))
 	}
-	{
-		const prefix string = ",\"digest\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		(in.Digest).MarshalEasyJSON(out)
+	if in.Makeshift != "" {
+		const prefix string = ",\"makeshift\":"
+		out.RawString(prefix)
+		out.String(string(in.Makeshift))
 	}
-	if len(in.Differing) != 0 {
-		const prefix string = ",\"differing\":"
+	if in.Fresh {
+		const prefix string = ",\"fresh\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v47, v48 := range in.Differing {
-				if v47 > 0 {
-					out.RawByte(',')
-				}
-				out.Int(int(v48))
-			}
-			out.RawByte(']')
-		}
+		out.Bool(bool(in.Fresh))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v MembersAnswer) MarshalJSON() ([]byte, error) {
+func (v IdentifyAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire19(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi20(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v MembersAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire19(w, v)
+func (v IdentifyAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi20(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *MembersAnswer) UnmarshalJSON(data []byte) error {
+func (v *IdentifyAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire19(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi20(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *MembersAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire19(l, v)
+func (v *IdentifyAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi20(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire20(in *jlexer.Lexer, out *Member) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi21(in *jlexer.Lexer, out *FetchCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2431,86 +2391,25 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "n":
+		case "key":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Name = string(in.String())
+				out.Key = string(in.String())
 			}
-		case "r":
+		case "from":
 			if in.IsNull() {
 				in.Skip()
+				out.From = nil
 			} else {
-				out.Role = string(in.String())
-			}
-		case "d":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Domain = string(in.String())
-			}
-		case "a":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Address = string(in.String())
-			}
-		case "c":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Control = string(in.String())
-			}
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Disk = string(in.String())
-			}
-		case "i":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Incarnation = uint64(in.Uint64())
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.State = int(in.Int())
-			}
-		case "x":
-			if in.IsNull() {
-				in.Skip()
-				out.Past = nil
-			} else {
-				in.Delim('[')
-				if out.Past == nil {
-					if !in.IsDelim(']') {
-						out.Past = make([]string, 0, 4)
-					} else {
-						out.Past = []string{}
-					}
-				} else {
-					out.Past = (out.Past)[:0]
+				if out.From == nil {
+					out.From = new(LogPosition)
 				}
-				for !in.IsDelim(']') {
-					var v49 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v49 = string(in.String())
-					}
-					out.Past = append(out.Past, v49)
-					in.WantComma()
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.From).UnmarshalEasyJSON(in)
 				}
-				in.Delim(']')
-			}
-		case "m":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Makeshift = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -2522,96 +2421,47 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire20(out *jwriter.Writer, in Member) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi21(out *jwriter.Writer, in FetchCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"key\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Name))
-	}
-	{
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		out.String(string(in.Role))
-	}
-	{
-		const prefix string = ",\"d\":"
-		out.RawString(prefix)
-		out.String(string(in.Domain))
-	}
-	{
-		const prefix string = ",\"a\":"
-		out.RawString(prefix)
-		out.String(string(in.Address))
-	}
-	if in.Control != "" {
-		const prefix string = ",\"c\":"
-		out.RawString(prefix)
-		out.String(string(in.Control))
-	}
-	if in.Disk != "" {
-		const prefix string = ",\"k\":"
-		out.RawString(prefix)
-		out.String(string(in.Disk))
-	}
-	{
-		const prefix string = ",\"i\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Incarnation))
-	}
-	if in.State != 0 {
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		out.Int(int(in.State))
-	}
-	if len(in.Past) != 0 {
-		const prefix string = ",\"x\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v50, v51 := range in.Past {
-				if v50 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v51))
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Key))
 	}
-	if in.Makeshift != "" {
-		const prefix string = ",\"m\":"
+	if in.From != nil {
+		const prefix string = ",\"from\":"
 		out.RawString(prefix)
-		out.String(string(in.Makeshift))
+		(*in.From).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Member) MarshalJSON() ([]byte, error) {
+func (v FetchCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire20(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi21(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Member) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire20(w, v)
+func (v FetchCall) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi21(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Member) UnmarshalJSON(data []byte) error {
+func (v *FetchCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire20(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi21(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Member) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire20(l, v)
+func (v *FetchCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi21(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire21(in *jlexer.Lexer, out *KeyBelief) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi22(in *jlexer.Lexer, out *FetchAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2625,35 +2475,50 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "key":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Key = string(in.String())
-			}
-		case "owner":
+		case "found":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Owner = string(in.String())
+				out.Found = bool(in.Bool())
 			}
-		case "epoch":
+		case "snapshot":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Epoch = uint64(in.Uint64())
+				(out.Snapshot).UnmarshalEasyJSON(in)
 			}
-		case "last":
+		case "changes":
 			if in.IsNull() {
 				in.Skip()
+				out.Changes = nil
 			} else {
-				(out.Last).UnmarshalEasyJSON(in)
+				in.Delim('[')
+				if out.Changes == nil {
+					if !in.IsDelim(']') {
+						out.Changes = make([]Change, 0, 1)
+					} else {
+						out.Changes = []Change{}
+					}
+				} else {
+					out.Changes = (out.Changes)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v34 Change
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v34).UnmarshalEasyJSON(in)
+					}
+					out.Changes = append(out.Changes, v34)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "set":
+		case "disk":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Set).UnmarshalEasyJSON(in)
+				out.Disk = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -2665,62 +2530,72 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire21(out *jwriter.Writer, in KeyBelief) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi22(out *jwriter.Writer, in FetchAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"key\":"
+	if in.Found {
+		const prefix string = ",\"found\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
-	{
-		const prefix string = ",\"owner\":"
-		out.RawString(prefix)
-		out.String(string(in.Owner))
+		out.Bool(bool(in.Found))
 	}
 	{
-		const prefix string = ",\"epoch\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Epoch))
+		const prefix string = ",\"snapshot\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		(in.Snapshot).MarshalEasyJSON(out)
 	}
-	{
-		const prefix string = ",\"last\":"
+	if len(in.Changes) != 0 {
+		const prefix string = ",\"changes\":"
 		out.RawString(prefix)
-		(in.Last).MarshalEasyJSON(out)
+		{
+			out.RawByte('[')
+			for v35, v36 := range in.Changes {
+				if v35 > 0 {
+					out.RawByte(',')
+				}
+				(v36).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	{
-		const prefix string = ",\"set\":"
+		const prefix string = ",\"disk\":"
 		out.RawString(prefix)
-		(in.Set).MarshalEasyJSON(out)
+		out.String(string(in.Disk))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v KeyBelief) MarshalJSON() ([]byte, error) {
+func (v FetchAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire21(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi22(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v KeyBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire21(w, v)
+func (v FetchAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi22(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *KeyBelief) UnmarshalJSON(data []byte) error {
+func (v *FetchAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire21(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi22(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *KeyBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire21(l, v)
+func (v *FetchAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi22(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire22(in *jlexer.Lexer, out *JobBelief) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi23(in *jlexer.Lexer, out *ExecutorBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2740,11 +2615,11 @@
 			} else {
 				out.Key = string(in.String())
 			}
-		case "id":
+		case "life":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ID = string(in.String())
+				out.Life = string(in.String())
 			}
 		case "state":
 			if in.IsNull() {
@@ -2752,6 +2627,12 @@
 			} else {
 				out.State = string(in.String())
 			}
+		case "running":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Running = int(in.Int())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -2762,7 +2643,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire22(out *jwriter.Writer, in JobBelief) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi23(out *jwriter.Writer, in ExecutorBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2772,42 +2653,47 @@
 		out.String(string(in.Key))
 	}
 	{
-		const prefix string = ",\"id\":"
+		const prefix string = ",\"life\":"
 		out.RawString(prefix)
-		out.String(string(in.ID))
+		out.String(string(in.Life))
 	}
 	{
 		const prefix string = ",\"state\":"
 		out.RawString(prefix)
 		out.String(string(in.State))
 	}
+	{
+		const prefix string = ",\"running\":"
+		out.RawString(prefix)
+		out.Int(int(in.Running))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v JobBelief) MarshalJSON() ([]byte, error) {
+func (v ExecutorBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire22(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi23(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v JobBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire22(w, v)
+func (v ExecutorBelief) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi23(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *JobBelief) UnmarshalJSON(data []byte) error {
+func (v *ExecutorBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire22(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi23(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *JobBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire22(l, v)
+func (v *ExecutorBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi23(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire23(in *jlexer.Lexer, out *IdentifyCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi24(in *jlexer.Lexer, out *ExchangeCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2821,134 +2707,447 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire23(out *jwriter.Writer, in IdentifyCall) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v IdentifyCall) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire23(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v IdentifyCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire23(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *IdentifyCall) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire23(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *IdentifyCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire23(l, v)
-}
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire24(in *jlexer.Lexer, out *IdentifyAnswer) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "disk":
+		case "key":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Disk = string(in.String())
+				out.Key = string(in.String())
 			}
-		case "makeshift":
+		case "life":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Makeshift = string(in.String())
+				out.Life = string(in.String())
 			}
-		case "fresh":
+		case "session":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Fresh = bool(in.Bool())
+				out.Session = uint64(in.Uint64())
+			}
+		case "number":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Number = uint64(in.Uint64())
+			}
+		case "base":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Base = uint64(in.Uint64())
+			}
+		case "proxy":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Proxy = string(in.String())
+			}
+		case "domain":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Domain = string(in.String())
+			}
+		case "labels":
+			if in.IsNull() {
+				in.Skip()
+				out.Labels = nil
+			} else {
+				in.Delim('[')
+				if out.Labels == nil {
+					if !in.IsDelim(']') {
+						out.Labels = make([]string, 0, 4)
+					} else {
+						out.Labels = []string{}
+					}
+				} else {
+					out.Labels = (out.Labels)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v37 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v37 = string(in.String())
+					}
+					out.Labels = append(out.Labels, v37)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "room":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Room).UnmarshalEasyJSON(in)
+			}
+		case "draining":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Draining = bool(in.Bool())
+			}
+		case "departs":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.DepartsMs = int64(in.Int64())
+			}
+		case "gone":
+			if in.IsNull() {
+				in.Skip()
+				out.Gone = nil
+			} else {
+				in.Delim('[')
+				if out.Gone == nil {
+					if !in.IsDelim(']') {
+						out.Gone = make([]string, 0, 4)
+					} else {
+						out.Gone = []string{}
+					}
+				} else {
+					out.Gone = (out.Gone)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v38 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v38 = string(in.String())
+					}
+					out.Gone = append(out.Gone, v38)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "fence":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Fence = uint64(in.Uint64())
+			}
+		case "holdage":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.HoldAgeMs = int64(in.Int64())
+			}
+		case "look":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Look = uint64(in.Uint64())
+			}
+		case "running":
+			if in.IsNull() {
+				in.Skip()
+				out.Running = nil
+			} else {
+				in.Delim('[')
+				if out.Running == nil {
+					if !in.IsDelim(']') {
+						out.Running = make([]RunReport, 0, 1)
+					} else {
+						out.Running = []RunReport{}
+					}
+				} else {
+					out.Running = (out.Running)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v39 RunReport
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v39).UnmarshalEasyJSON(in)
+					}
+					out.Running = append(out.Running, v39)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "changed":
+			if in.IsNull() {
+				in.Skip()
+				out.Changed = nil
+			} else {
+				in.Delim('[')
+				if out.Changed == nil {
+					if !in.IsDelim(']') {
+						out.Changed = make([]RunReport, 0, 1)
+					} else {
+						out.Changed = []RunReport{}
+					}
+				} else {
+					out.Changed = (out.Changed)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v40 RunReport
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v40).UnmarshalEasyJSON(in)
+					}
+					out.Changed = append(out.Changed, v40)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "ends":
+			if in.IsNull() {
+				in.Skip()
+				out.Ends = nil
+			} else {
+				in.Delim('[')
+				if out.Ends == nil {
+					if !in.IsDelim(']') {
+						out.Ends = make([]EndReport, 0, 1)
+					} else {
+						out.Ends = []EndReport{}
+					}
+				} else {
+					out.Ends = (out.Ends)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v41 EndReport
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v41).UnmarshalEasyJSON(in)
+					}
+					out.Ends = append(out.Ends, v41)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "answers":
+			if in.IsNull() {
+				in.Skip()
+				out.Answers = nil
+			} else {
+				in.Delim('[')
+				if out.Answers == nil {
+					if !in.IsDelim(']') {
+						out.Answers = make([]OrderAnswer, 0, 1)
+					} else {
+						out.Answers = []OrderAnswer{}
+					}
+				} else {
+					out.Answers = (out.Answers)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v42 OrderAnswer
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v42).UnmarshalEasyJSON(in)
+					}
+					out.Answers = append(out.Answers, v42)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "wait":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.WaitMs = int64(in.Int64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi24(out *jwriter.Writer, in ExchangeCall) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"key\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Key))
+	}
+	{
+		const prefix string = ",\"life\":"
+		out.RawString(prefix)
+		out.String(string(in.Life))
+	}
+	if in.Session != 0 {
+		const prefix string = ",\"session\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Session))
+	}
+	if in.Number != 0 {
+		const prefix string = ",\"number\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Number))
+	}
+	if in.Base != 0 {
+		const prefix string = ",\"base\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Base))
+	}
+	if in.Proxy != "" {
+		const prefix string = ",\"proxy\":"
+		out.RawString(prefix)
+		out.String(string(in.Proxy))
+	}
+	if in.Domain != "" {
+		const prefix string = ",\"domain\":"
+		out.RawString(prefix)
+		out.String(string(in.Domain))
+	}
+	if len(in.Labels) != 0 {
+		const prefix string = ",\"labels\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v43, v44 := range in.Labels {
+				if v43 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v44))
+			}
+			out.RawByte(']')
+		}
+	}
+	if (in.Room).IsDefined() {
+		const prefix string = ",\"room\":"
+		out.RawString(prefix)
+		(in.Room).MarshalEasyJSON(out)
+	}
+	if in.Draining {
+		const prefix string = ",\"draining\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Draining))
+	}
+	if in.DepartsMs != 0 {
+		const prefix string = ",\"departs\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.DepartsMs))
+	}
+	if len(in.Gone) != 0 {
+		const prefix string = ",\"gone\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v45, v46 := range in.Gone {
+				if v45 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v46))
+			}
+			out.RawByte(']')
+		}
+	}
+	if in.Fence != 0 {
+		const prefix string = ",\"fence\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Fence))
+	}
+	{
+		const prefix string = ",\"holdage\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.HoldAgeMs))
+	}
+	if in.Look != 0 {
+		const prefix string = ",\"look\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Look))
+	}
+	if len(in.Running) != 0 {
+		const prefix string = ",\"running\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v47, v48 := range in.Running {
+				if v47 > 0 {
+					out.RawByte(',')
+				}
+				(v48).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if len(in.Changed) != 0 {
+		const prefix string = ",\"changed\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v49, v50 := range in.Changed {
+				if v49 > 0 {
+					out.RawByte(',')
+				}
+				(v50).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
+	}
+	if len(in.Ends) != 0 {
+		const prefix string = ",\"ends\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v51, v52 := range in.Ends {
+				if v51 > 0 {
+					out.RawByte(',')
+				}
+				(v52).MarshalEasyJSON(out)
 			}
-		default:
-			in.SkipRecursive()
+			out.RawByte(']')
 		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire24(out *jwriter.Writer, in IdentifyAnswer) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"disk\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Disk))
 	}
-	if in.Makeshift != "" {
-		const prefix string = ",\"makeshift\":"
+	if len(in.Answers) != 0 {
+		const prefix string = ",\"answers\":"
 		out.RawString(prefix)
-		out.String(string(in.Makeshift))
+		{
+			out.RawByte('[')
+			for v53, v54 := range in.Answers {
+				if v53 > 0 {
+					out.RawByte(',')
+				}
+				(v54).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.Fresh {
-		const prefix string = ",\"fresh\":"
+	if in.WaitMs != 0 {
+		const prefix string = ",\"wait\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Fresh))
+		out.Int64(int64(in.WaitMs))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v IdentifyAnswer) MarshalJSON() ([]byte, error) {
+func (v ExchangeCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire24(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi24(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v IdentifyAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire24(w, v)
+func (v ExchangeCall) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi24(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *IdentifyAnswer) UnmarshalJSON(data []byte) error {
+func (v *ExchangeCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire24(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi24(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *IdentifyAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire24(l, v)
+func (v *ExchangeCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi24(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire25(in *jlexer.Lexer, out *FetchCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi25(in *jlexer.Lexer, out *ExchangeAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2962,135 +3161,87 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "key":
+		case "elsewhere":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Key = string(in.String())
+				out.Elsewhere = bool(in.Bool())
 			}
-		case "from":
+		case "owner":
 			if in.IsNull() {
 				in.Skip()
-				out.From = nil
 			} else {
-				if out.From == nil {
-					out.From = new(Stamp)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.From).UnmarshalEasyJSON(in)
-				}
+				out.Owner = string(in.String())
 			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire25(out *jwriter.Writer, in FetchCall) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"key\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
-	if in.From != nil {
-		const prefix string = ",\"from\":"
-		out.RawString(prefix)
-		(*in.From).MarshalEasyJSON(out)
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v FetchCall) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire25(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v FetchCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire25(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *FetchCall) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire25(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *FetchCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire25(l, v)
-}
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire26(in *jlexer.Lexer, out *FetchAnswer) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "found":
+		case "fence":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Found = bool(in.Bool())
+				out.Fence = uint64(in.Uint64())
 			}
-		case "snapshot":
+		case "held":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Snapshot).UnmarshalEasyJSON(in)
+				out.Held = uint64(in.Uint64())
 			}
-		case "changes":
+		case "again":
 			if in.IsNull() {
 				in.Skip()
-				out.Changes = nil
+			} else {
+				out.Again = bool(in.Bool())
+			}
+		case "session":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Session = uint64(in.Uint64())
+			}
+		case "grant":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.GrantMs = int64(in.Int64())
+			}
+		case "seen":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.LastSeen = int64(in.Int64())
+			}
+		case "look":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Look = uint64(in.Uint64())
+			}
+		case "orders":
+			if in.IsNull() {
+				in.Skip()
+				out.Orders = nil
 			} else {
 				in.Delim('[')
-				if out.Changes == nil {
+				if out.Orders == nil {
 					if !in.IsDelim(']') {
-						out.Changes = make([]Change, 0, 1)
+						out.Orders = make([]Order, 0, 0)
 					} else {
-						out.Changes = []Change{}
+						out.Orders = []Order{}
 					}
 				} else {
-					out.Changes = (out.Changes)[:0]
+					out.Orders = (out.Orders)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v52 Change
+					var v55 Order
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v52).UnmarshalEasyJSON(in)
+						(v55).UnmarshalEasyJSON(in)
 					}
-					out.Changes = append(out.Changes, v52)
+					out.Orders = append(out.Orders, v55)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "disk":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Disk = string(in.String())
-			}
 		default:
 			in.SkipRecursive()
 		}
@@ -3101,72 +3252,142 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire26(out *jwriter.Writer, in FetchAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi25(out *jwriter.Writer, in ExchangeAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Found {
-		const prefix string = ",\"found\":"
+	if in.Elsewhere {
+		const prefix string = ",\"elsewhere\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Bool(bool(in.Found))
+		out.Bool(bool(in.Elsewhere))
 	}
-	{
-		const prefix string = ",\"snapshot\":"
+	if in.Owner != "" {
+		const prefix string = ",\"owner\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.String(string(in.Owner))
+	}
+	if in.Fence != 0 {
+		const prefix string = ",\"fence\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Uint64(uint64(in.Fence))
+	}
+	if in.Held != 0 {
+		const prefix string = ",\"held\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Uint64(uint64(in.Held))
+	}
+	if in.Again {
+		const prefix string = ",\"again\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Again))
+	}
+	if in.Session != 0 {
+		const prefix string = ",\"session\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Uint64(uint64(in.Session))
+	}
+	if in.GrantMs != 0 {
+		const prefix string = ",\"grant\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int64(int64(in.GrantMs))
+	}
+	if in.LastSeen != 0 {
+		const prefix string = ",\"seen\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int64(int64(in.LastSeen))
+	}
+	if in.Look != 0 {
+		const prefix string = ",\"look\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		(in.Snapshot).MarshalEasyJSON(out)
+		out.Uint64(uint64(in.Look))
 	}
-	if len(in.Changes) != 0 {
-		const prefix string = ",\"changes\":"
-		out.RawString(prefix)
+	if len(in.Orders) != 0 {
+		const prefix string = ",\"orders\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
 		{
 			out.RawByte('[')
-			for v53, v54 := range in.Changes {
-				if v53 > 0 {
+			for v56, v57 := range in.Orders {
+				if v56 > 0 {
 					out.RawByte(',')
 				}
-				(v54).MarshalEasyJSON(out)
+				(v57).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	{
-		const prefix string = ",\"disk\":"
-		out.RawString(prefix)
-		out.String(string(in.Disk))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v FetchAnswer) MarshalJSON() ([]byte, error) {
+func (v ExchangeAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire26(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi25(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v FetchAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire26(w, v)
+func (v ExchangeAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi25(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *FetchAnswer) UnmarshalJSON(data []byte) error {
+func (v *ExchangeAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire26(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi25(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *FetchAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire26(l, v)
+func (v *ExchangeAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi25(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire27(in *jlexer.Lexer, out *ExecutorBelief) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi26(in *jlexer.Lexer, out *EndReport) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3180,29 +3401,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "key":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Key = string(in.String())
+				out.Number = int64(in.Int64())
 			}
-		case "life":
+		case "t":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Life = string(in.String())
+				out.Task = string(in.String())
 			}
-		case "state":
+		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.State = string(in.String())
+				out.Run = int64(in.Int64())
 			}
-		case "running":
+		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Running = int(in.Int())
+				out.How = string(in.String())
+			}
+		case "c":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Saved = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -3214,57 +3441,62 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire27(out *jwriter.Writer, in ExecutorBelief) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi26(out *jwriter.Writer, in EndReport) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"key\":"
+		const prefix string = ",\"n\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Key))
+		out.Int64(int64(in.Number))
 	}
 	{
-		const prefix string = ",\"life\":"
+		const prefix string = ",\"t\":"
 		out.RawString(prefix)
-		out.String(string(in.Life))
+		out.String(string(in.Task))
 	}
 	{
-		const prefix string = ",\"state\":"
+		const prefix string = ",\"r\":"
 		out.RawString(prefix)
-		out.String(string(in.State))
+		out.Int64(int64(in.Run))
 	}
 	{
-		const prefix string = ",\"running\":"
+		const prefix string = ",\"h\":"
 		out.RawString(prefix)
-		out.Int(int(in.Running))
+		out.String(string(in.How))
+	}
+	if in.Saved != "" {
+		const prefix string = ",\"c\":"
+		out.RawString(prefix)
+		out.String(string(in.Saved))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ExecutorBelief) MarshalJSON() ([]byte, error) {
+func (v EndReport) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire27(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi26(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ExecutorBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire27(w, v)
+func (v EndReport) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi26(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ExecutorBelief) UnmarshalJSON(data []byte) error {
+func (v *EndReport) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire27(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi26(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ExecutorBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire27(l, v)
+func (v *EndReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi26(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire28(in *jlexer.Lexer, out *ExchangeCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi27(in *jlexer.Lexer, out *Digest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3278,251 +3510,50 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "key":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Key = string(in.String())
-			}
-		case "life":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Life = string(in.String())
-			}
-		case "session":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Session = uint64(in.Uint64())
-			}
-		case "number":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Number = uint64(in.Uint64())
-			}
-		case "base":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Base = uint64(in.Uint64())
-			}
-		case "proxy":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Proxy = string(in.String())
-			}
-		case "domain":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Domain = string(in.String())
-			}
-		case "labels":
-			if in.IsNull() {
-				in.Skip()
-				out.Labels = nil
-			} else {
-				in.Delim('[')
-				if out.Labels == nil {
-					if !in.IsDelim(']') {
-						out.Labels = make([]string, 0, 4)
-					} else {
-						out.Labels = []string{}
-					}
-				} else {
-					out.Labels = (out.Labels)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v55 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v55 = string(in.String())
-					}
-					out.Labels = append(out.Labels, v55)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "room":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Room).UnmarshalEasyJSON(in)
-			}
-		case "draining":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Draining = bool(in.Bool())
-			}
-		case "departs":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.DepartsMs = int64(in.Int64())
-			}
-		case "gone":
-			if in.IsNull() {
-				in.Skip()
-				out.Gone = nil
-			} else {
-				in.Delim('[')
-				if out.Gone == nil {
-					if !in.IsDelim(']') {
-						out.Gone = make([]string, 0, 4)
-					} else {
-						out.Gone = []string{}
-					}
-				} else {
-					out.Gone = (out.Gone)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v56 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v56 = string(in.String())
-					}
-					out.Gone = append(out.Gone, v56)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "fence":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Fence = uint64(in.Uint64())
-			}
-		case "holdage":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.HoldAgeMs = int64(in.Int64())
-			}
-		case "look":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Look = uint64(in.Uint64())
-			}
-		case "running":
-			if in.IsNull() {
-				in.Skip()
-				out.Running = nil
-			} else {
-				in.Delim('[')
-				if out.Running == nil {
-					if !in.IsDelim(']') {
-						out.Running = make([]RunReport, 0, 1)
-					} else {
-						out.Running = []RunReport{}
-					}
-				} else {
-					out.Running = (out.Running)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v57 RunReport
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v57).UnmarshalEasyJSON(in)
-					}
-					out.Running = append(out.Running, v57)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "changed":
+		case "p":
 			if in.IsNull() {
 				in.Skip()
-				out.Changed = nil
 			} else {
-				in.Delim('[')
-				if out.Changed == nil {
-					if !in.IsDelim(']') {
-						out.Changed = make([]RunReport, 0, 1)
-					} else {
-						out.Changed = []RunReport{}
-					}
-				} else {
-					out.Changed = (out.Changed)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v58 RunReport
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v58).UnmarshalEasyJSON(in)
-					}
-					out.Changed = append(out.Changed, v58)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Plan = int64(in.Int64())
 			}
-		case "ends":
+		case "o":
 			if in.IsNull() {
 				in.Skip()
-				out.Ends = nil
+				out.Owners = nil
 			} else {
 				in.Delim('[')
-				if out.Ends == nil {
+				if out.Owners == nil {
 					if !in.IsDelim(']') {
-						out.Ends = make([]EndReport, 0, 1)
+						out.Owners = make([]LeaderFact, 0, 1)
 					} else {
-						out.Ends = []EndReport{}
+						out.Owners = []LeaderFact{}
 					}
 				} else {
-					out.Ends = (out.Ends)[:0]
+					out.Owners = (out.Owners)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v59 EndReport
+					var v58 LeaderFact
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v59).UnmarshalEasyJSON(in)
+						(v58).UnmarshalEasyJSON(in)
 					}
-					out.Ends = append(out.Ends, v59)
+					out.Owners = append(out.Owners, v58)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "answers":
+		case "s":
 			if in.IsNull() {
 				in.Skip()
-				out.Answers = nil
 			} else {
-				in.Delim('[')
-				if out.Answers == nil {
-					if !in.IsDelim(']') {
-						out.Answers = make([]OrderAnswer, 0, 1)
-					} else {
-						out.Answers = []OrderAnswer{}
-					}
-				} else {
-					out.Answers = (out.Answers)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v60 OrderAnswer
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v60).UnmarshalEasyJSON(in)
-					}
-					out.Answers = append(out.Answers, v60)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.MemberSum = uint32(in.Uint32())
 			}
-		case "wait":
+		case "h":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WaitMs = int64(in.Int64())
+				out.OwnerSum = uint32(in.Uint32())
 			}
 		default:
 			in.SkipRecursive()
