@@ -3534,191 +3565,180 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire28(out *jwriter.Writer, in ExchangeCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi27(out *jwriter.Writer, in Digest) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"key\":"
+	if in.Plan != 0 {
+		const prefix string = ",\"p\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
-	{
-		const prefix string = ",\"life\":"
-		out.RawString(prefix)
-		out.String(string(in.Life))
-	}
-	if in.Session != 0 {
-		const prefix string = ",\"session\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Session))
-	}
-	if in.Number != 0 {
-		const prefix string = ",\"number\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Number))
-	}
-	if in.Base != 0 {
-		const prefix string = ",\"base\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Base))
-	}
-	if in.Proxy != "" {
-		const prefix string = ",\"proxy\":"
-		out.RawString(prefix)
-		out.String(string(in.Proxy))
-	}
-	if in.Domain != "" {
-		const prefix string = ",\"domain\":"
-		out.RawString(prefix)
-		out.String(string(in.Domain))
+		out.Int64(int64(in.Plan))
 	}
-	if len(in.Labels) != 0 {
-		const prefix string = ",\"labels\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v61, v62 := range in.Labels {
-				if v61 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v62))
-			}
-			out.RawByte(']')
+	if len(in.Owners) != 0 {
+		const prefix string = ",\"o\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
 		}
-	}
-	if (in.Room).IsDefined() {
-		const prefix string = ",\"room\":"
-		out.RawString(prefix)
-		(in.Room).MarshalEasyJSON(out)
-	}
-	if in.Draining {
-		const prefix string = ",\"draining\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Draining))
-	}
-	if in.DepartsMs != 0 {
-		const prefix string = ",\"departs\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.DepartsMs))
-	}
-	if len(in.Gone) != 0 {
-		const prefix string = ",\"gone\":"
-		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v63, v64 := range in.Gone {
-				if v63 > 0 {
+			for v59, v60 := range in.Owners {
+				if v59 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v64))
+				(v60).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.Fence != 0 {
-		const prefix string = ",\"fence\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Fence))
-	}
-	{
-		const prefix string = ",\"holdage\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.HoldAgeMs))
+	if in.MemberSum != 0 {
+		const prefix string = ",\"s\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Uint32(uint32(in.MemberSum))
 	}
-	if in.Look != 0 {
-		const prefix string = ",\"look\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Look))
+	if in.OwnerSum != 0 {
+		const prefix string = ",\"h\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Uint32(uint32(in.OwnerSum))
 	}
-	if len(in.Running) != 0 {
-		const prefix string = ",\"running\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v65, v66 := range in.Running {
-				if v65 > 0 {
-					out.RawByte(',')
-				}
-				(v66).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Digest) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeGannetlineInternalPeerapi27(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Digest) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi27(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Digest) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeGannetlineInternalPeerapi27(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Digest) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi27(l, v)
+}
+func easyjson66c1e240DecodeGannetlineInternalPeerapi28(in *jlexer.Lexer, out *DeltaPart) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
 		}
+		in.Skip()
+		return
 	}
-	if len(in.Changed) != 0 {
-		const prefix string = ",\"changed\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v67, v68 := range in.Changed {
-				if v67 > 0 {
-					out.RawByte(',')
-				}
-				(v68).MarshalEasyJSON(out)
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "f":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.From = int(in.Int())
 			}
-			out.RawByte(']')
+		case "c":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Count = int(in.Int())
+			}
+		case "t":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Text = string(in.String())
+			}
+		default:
+			in.SkipRecursive()
 		}
+		in.WantComma()
 	}
-	if len(in.Ends) != 0 {
-		const prefix string = ",\"ends\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v69, v70 := range in.Ends {
-				if v69 > 0 {
-					out.RawByte(',')
-				}
-				(v70).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi28(out *jwriter.Writer, in DeltaPart) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	if in.From != 0 {
+		const prefix string = ",\"f\":"
+		first = false
+		out.RawString(prefix[1:])
+		out.Int(int(in.From))
+	}
+	if in.Count != 0 {
+		const prefix string = ",\"c\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
 		}
+		out.Int(int(in.Count))
 	}
-	if len(in.Answers) != 0 {
-		const prefix string = ",\"answers\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v71, v72 := range in.Answers {
-				if v71 > 0 {
-					out.RawByte(',')
-				}
-				(v72).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
+	if in.Text != "" {
+		const prefix string = ",\"t\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
 		}
-	}
-	if in.WaitMs != 0 {
-		const prefix string = ",\"wait\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.WaitMs))
+		out.String(string(in.Text))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ExchangeCall) MarshalJSON() ([]byte, error) {
+func (v DeltaPart) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire28(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi28(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ExchangeCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire28(w, v)
+func (v DeltaPart) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi28(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ExchangeCall) UnmarshalJSON(data []byte) error {
+func (v *DeltaPart) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire28(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi28(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ExchangeCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire28(l, v)
+func (v *DeltaPart) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi28(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire29(in *jlexer.Lexer, out *ExchangeAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi29(in *jlexer.Lexer, out *Datagram) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3732,87 +3752,69 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "elsewhere":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Elsewhere = bool(in.Bool())
-			}
-		case "owner":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Owner = string(in.String())
-			}
-		case "fence":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Fence = uint64(in.Uint64())
-			}
-		case "held":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Held = uint64(in.Uint64())
-			}
-		case "again":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Again = bool(in.Bool())
-			}
-		case "session":
+		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Session = uint64(in.Uint64())
+				out.Kind = string(in.String())
 			}
-		case "grant":
+		case "q":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.GrantMs = int64(in.Int64())
+				out.Number = uint64(in.Uint64())
 			}
-		case "seen":
+		case "f":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.LastSeen = int64(in.Int64())
+				(out.From).UnmarshalEasyJSON(in)
 			}
-		case "look":
+		case "t":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Look = uint64(in.Uint64())
+				out.Target = string(in.String())
 			}
-		case "orders":
+		case "w":
 			if in.IsNull() {
 				in.Skip()
-				out.Orders = nil
+				out.News = nil
 			} else {
 				in.Delim('[')
-				if out.Orders == nil {
+				if out.News == nil {
 					if !in.IsDelim(']') {
-						out.Orders = make([]Order, 0, 0)
+						out.News = make([]Member, 0, 0)
 					} else {
-						out.Orders = []Order{}
+						out.News = []Member{}
 					}
 				} else {
-					out.Orders = (out.Orders)[:0]
+					out.News = (out.News)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v73 Order
+					var v61 Member
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v73).UnmarshalEasyJSON(in)
+						(v61).UnmarshalEasyJSON(in)
 					}
-					out.Orders = append(out.Orders, v73)
+					out.News = append(out.News, v61)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
+		case "g":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Digest).UnmarshalEasyJSON(in)
+			}
+		case "z":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.PauseMs = int64(in.Int64())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -3823,142 +3825,157 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire29(out *jwriter.Writer, in ExchangeAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi29(out *jwriter.Writer, in Datagram) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Elsewhere {
-		const prefix string = ",\"elsewhere\":"
-		first = false
+	{
+		const prefix string = ",\"k\":"
 		out.RawString(prefix[1:])
-		out.Bool(bool(in.Elsewhere))
-	}
-	if in.Owner != "" {
-		const prefix string = ",\"owner\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.String(string(in.Owner))
+		out.String(string(in.Kind))
 	}
-	if in.Fence != 0 {
-		const prefix string = ",\"fence\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Uint64(uint64(in.Fence))
+	if in.Number != 0 {
+		const prefix string = ",\"q\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Number))
 	}
-	if in.Held != 0 {
-		const prefix string = ",\"held\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Uint64(uint64(in.Held))
+	{
+		const prefix string = ",\"f\":"
+		out.RawString(prefix)
+		(in.From).MarshalEasyJSON(out)
 	}
-	if in.Again {
-		const prefix string = ",\"again\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Bool(bool(in.Again))
+	if in.Target != "" {
+		const prefix string = ",\"t\":"
+		out.RawString(prefix)
+		out.String(string(in.Target))
 	}
-	if in.Session != 0 {
-		const prefix string = ",\"session\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
+	if len(in.News) != 0 {
+		const prefix string = ",\"w\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v62, v63 := range in.News {
+				if v62 > 0 {
+					out.RawByte(',')
+				}
+				(v63).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
 		}
-		out.Uint64(uint64(in.Session))
 	}
-	if in.GrantMs != 0 {
-		const prefix string = ",\"grant\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int64(int64(in.GrantMs))
+	{
+		const prefix string = ",\"g\":"
+		out.RawString(prefix)
+		(in.Digest).MarshalEasyJSON(out)
 	}
-	if in.LastSeen != 0 {
-		const prefix string = ",\"seen\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int64(int64(in.LastSeen))
+	if in.PauseMs != 0 {
+		const prefix string = ",\"z\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.PauseMs))
 	}
-	if in.Look != 0 {
-		const prefix string = ",\"look\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Datagram) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeGannetlineInternalPeerapi29(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Datagram) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi29(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Datagram) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeGannetlineInternalPeerapi29(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Datagram) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi29(l, v)
+}
+func easyjson66c1e240DecodeGannetlineInternalPeerapi30(in *jlexer.Lexer, out *ConfirmedVersion) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
 		}
-		out.Uint64(uint64(in.Look))
+		in.Skip()
+		return
 	}
-	if len(in.Orders) != 0 {
-		const prefix string = ",\"orders\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		{
-			out.RawByte('[')
-			for v74, v75 := range in.Orders {
-				if v74 > 0 {
-					out.RawByte(',')
-				}
-				(v75).MarshalEasyJSON(out)
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "version":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Version = int64(in.Int64())
 			}
-			out.RawByte(']')
+		case "digest":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Digest = string(in.String())
+			}
+		default:
+			in.SkipRecursive()
 		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi30(out *jwriter.Writer, in ConfirmedVersion) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"version\":"
+		out.RawString(prefix[1:])
+		out.Int64(int64(in.Version))
+	}
+	{
+		const prefix string = ",\"digest\":"
+		out.RawString(prefix)
+		out.String(string(in.Digest))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ExchangeAnswer) MarshalJSON() ([]byte, error) {
+func (v ConfirmedVersion) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire29(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi30(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ExchangeAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire29(w, v)
+func (v ConfirmedVersion) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi30(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ExchangeAnswer) UnmarshalJSON(data []byte) error {
+func (v *ConfirmedVersion) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire29(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi30(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ExchangeAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire29(l, v)
+func (v *ConfirmedVersion) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi30(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire30(in *jlexer.Lexer, out *EntryTerms) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi31(in *jlexer.Lexer, out *ConfigurationDelta) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3972,29 +3989,104 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "p":
+		case "base":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Priority = int(in.Int())
+				out.Base = int64(in.Int64())
 			}
-		case "a":
+		case "version":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.MaxAttempts = int(in.Int())
+				out.Version = int64(in.Int64())
 			}
-		case "s":
+		case "digest":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stretch = float64(in.Float64())
+				out.Digest = string(in.String())
 			}
-		case "t":
+		case "parts":
+			if in.IsNull() {
+				in.Skip()
+				out.Parts = nil
+			} else {
+				in.Delim('[')
+				if out.Parts == nil {
+					if !in.IsDelim(']') {
+						out.Parts = make([]DeltaPart, 0, 2)
+					} else {
+						out.Parts = []DeltaPart{}
+					}
+				} else {
+					out.Parts = (out.Parts)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v64 DeltaPart
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v64).UnmarshalEasyJSON(in)
+					}
+					out.Parts = append(out.Parts, v64)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "births":
 			if in.IsNull() {
 				in.Skip()
+				out.InitialVoters = nil
 			} else {
-				out.TargetMs = int64(in.Int64())
+				in.Delim('[')
+				if out.InitialVoters == nil {
+					if !in.IsDelim(']') {
+						out.InitialVoters = make([]InitialVoters, 0, 1)
+					} else {
+						out.InitialVoters = []InitialVoters{}
+					}
+				} else {
+					out.InitialVoters = (out.InitialVoters)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v65 InitialVoters
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v65).UnmarshalEasyJSON(in)
+					}
+					out.InitialVoters = append(out.InitialVoters, v65)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "moved":
+			if in.IsNull() {
+				in.Skip()
+				out.Moved = nil
+			} else {
+				in.Delim('[')
+				if out.Moved == nil {
+					if !in.IsDelim(']') {
+						out.Moved = make([]MovedRoute, 0, 1)
+					} else {
+						out.Moved = []MovedRoute{}
+					}
+				} else {
+					out.Moved = (out.Moved)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v66 MovedRoute
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v66).UnmarshalEasyJSON(in)
+					}
+					out.Moved = append(out.Moved, v66)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -4006,73 +4098,96 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire30(out *jwriter.Writer, in EntryTerms) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi31(out *jwriter.Writer, in ConfigurationDelta) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Priority != 0 {
-		const prefix string = ",\"p\":"
-		first = false
+	{
+		const prefix string = ",\"base\":"
 		out.RawString(prefix[1:])
-		out.Int(int(in.Priority))
+		out.Int64(int64(in.Base))
 	}
-	if in.MaxAttempts != 0 {
-		const prefix string = ",\"a\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
+	{
+		const prefix string = ",\"version\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.Version))
+	}
+	{
+		const prefix string = ",\"digest\":"
+		out.RawString(prefix)
+		out.String(string(in.Digest))
+	}
+	{
+		const prefix string = ",\"parts\":"
+		out.RawString(prefix)
+		if in.Parts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
 		} else {
-			out.RawString(prefix)
+			out.RawByte('[')
+			for v67, v68 := range in.Parts {
+				if v67 > 0 {
+					out.RawByte(',')
+				}
+				(v68).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
 		}
-		out.Int(int(in.MaxAttempts))
 	}
-	if in.Stretch != 0 {
-		const prefix string = ",\"s\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
+	if len(in.InitialVoters) != 0 {
+		const prefix string = ",\"births\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v69, v70 := range in.InitialVoters {
+				if v69 > 0 {
+					out.RawByte(',')
+				}
+				(v70).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
 		}
-		out.Float64(float64(in.Stretch))
 	}
-	if in.TargetMs != 0 {
-		const prefix string = ",\"t\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
+	if len(in.Moved) != 0 {
+		const prefix string = ",\"moved\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v71, v72 := range in.Moved {
+				if v71 > 0 {
+					out.RawByte(',')
+				}
+				(v72).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
 		}
-		out.Int64(int64(in.TargetMs))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v EntryTerms) MarshalJSON() ([]byte, error) {
+func (v ConfigurationDelta) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire30(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi31(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v EntryTerms) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire30(w, v)
+func (v ConfigurationDelta) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi31(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *EntryTerms) UnmarshalJSON(data []byte) error {
+func (v *ConfigurationDelta) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire30(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi31(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *EntryTerms) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire30(l, v)
+func (v *ConfigurationDelta) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi31(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire31(in *jlexer.Lexer, out *EndReport) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi32(in *jlexer.Lexer, out *ConfigurationCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4086,35 +4201,17 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Number = int64(in.Int64())
-			}
-		case "t":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Task = string(in.String())
-			}
-		case "r":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Run = int64(in.Int64())
-			}
-		case "h":
+		case "held":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.How = string(in.String())
+				out.Held = int64(in.Int64())
 			}
-		case "c":
+		case "changes":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Saved = string(in.String())
+				out.TakesChanges = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -4126,62 +4223,47 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire31(out *jwriter.Writer, in EndReport) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi32(out *jwriter.Writer, in ConfigurationCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"held\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.Number))
-	}
-	{
-		const prefix string = ",\"t\":"
-		out.RawString(prefix)
-		out.String(string(in.Task))
-	}
-	{
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.Run))
-	}
-	{
-		const prefix string = ",\"h\":"
-		out.RawString(prefix)
-		out.String(string(in.How))
+		out.Int64(int64(in.Held))
 	}
-	if in.Saved != "" {
-		const prefix string = ",\"c\":"
+	if in.TakesChanges {
+		const prefix string = ",\"changes\":"
 		out.RawString(prefix)
-		out.String(string(in.Saved))
+		out.Bool(bool(in.TakesChanges))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v EndReport) MarshalJSON() ([]byte, error) {
+func (v ConfigurationCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire31(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi32(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v EndReport) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire31(w, v)
+func (v ConfigurationCall) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi32(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *EndReport) UnmarshalJSON(data []byte) error {
+func (v *ConfigurationCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire31(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi32(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *EndReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire31(l, v)
+func (v *ConfigurationCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi32(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire32(in *jlexer.Lexer, out *Digest) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi33(in *jlexer.Lexer, out *ConfigurationAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4195,50 +4277,54 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "p":
+		case "fact":
 			if in.IsNull() {
 				in.Skip()
+				out.Fact = nil
 			} else {
-				out.Plan = int64(in.Int64())
+				if out.Fact == nil {
+					out.Fact = new(Configuration)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Fact).UnmarshalEasyJSON(in)
+				}
 			}
-		case "o":
+		case "changes":
 			if in.IsNull() {
 				in.Skip()
-				out.Owners = nil
+				out.Changes = nil
 			} else {
 				in.Delim('[')
-				if out.Owners == nil {
+				if out.Changes == nil {
 					if !in.IsDelim(']') {
-						out.Owners = make([]OwnerFact, 0, 1)
+						out.Changes = make([]*ConfigurationDelta, 0, 8)
 					} else {
-						out.Owners = []OwnerFact{}
+						out.Changes = []*ConfigurationDelta{}
 					}
 				} else {
-					out.Owners = (out.Owners)[:0]
+					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v76 OwnerFact
+					var v73 *ConfigurationDelta
 					if in.IsNull() {
 						in.Skip()
+						v73 = nil
 					} else {
-						(v76).UnmarshalEasyJSON(in)
-					}
-					out.Owners = append(out.Owners, v76)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MemberSum = uint32(in.Uint32())
-			}
-		case "h":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.OwnerSum = uint32(in.Uint32())
+						if v73 == nil {
+							v73 = new(ConfigurationDelta)
+						}
+						if in.IsNull() {
+							in.Skip()
+						} else {
+							(*v73).UnmarshalEasyJSON(in)
+						}
+					}
+					out.Changes = append(out.Changes, v73)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -4250,18 +4336,18 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire32(out *jwriter.Writer, in Digest) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi33(out *jwriter.Writer, in ConfigurationAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Plan != 0 {
-		const prefix string = ",\"p\":"
+	if in.Fact != nil {
+		const prefix string = ",\"fact\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.Plan))
+		(*in.Fact).MarshalEasyJSON(out)
 	}
-	if len(in.Owners) != 0 {
-		const prefix string = ",\"o\":"
+	if len(in.Changes) != 0 {
+		const prefix string = ",\"changes\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
@@ -4270,62 +4356,46 @@
 		}
 		{
 			out.RawByte('[')
-			for v77, v78 := range in.Owners {
-				if v77 > 0 {
+			for v74, v75 := range in.Changes {
+				if v74 > 0 {
 					out.RawByte(',')
 				}
-				(v78).MarshalEasyJSON(out)
+				if v75 == nil {
+					out.RawString("null")
+				} else {
+					(*v75).MarshalEasyJSON(out)
+				}
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.MemberSum != 0 {
-		const prefix string = ",\"s\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Uint32(uint32(in.MemberSum))
-	}
-	if in.OwnerSum != 0 {
-		const prefix string = ",\"h\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Uint32(uint32(in.OwnerSum))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Digest) MarshalJSON() ([]byte, error) {
+func (v ConfigurationAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire32(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi33(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Digest) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire32(w, v)
+func (v ConfigurationAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi33(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Digest) UnmarshalJSON(data []byte) error {
+func (v *ConfigurationAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire32(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi33(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Digest) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire32(l, v)
+func (v *ConfigurationAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi33(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire33(in *jlexer.Lexer, out *Datagram) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi34(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4339,68 +4409,98 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Kind = string(in.String())
-			}
-		case "q":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Number = uint64(in.Uint64())
-			}
-		case "f":
+		case "version":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.From).UnmarshalEasyJSON(in)
+				out.Version = int64(in.Int64())
 			}
-		case "t":
+		case "body":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Target = string(in.String())
+				(out.Body).UnmarshalEasyJSON(in)
 			}
-		case "w":
+		case "births":
 			if in.IsNull() {
 				in.Skip()
-				out.News = nil
+				out.InitialVoters = nil
 			} else {
 				in.Delim('[')
-				if out.News == nil {
+				if out.InitialVoters == nil {
 					if !in.IsDelim(']') {
-						out.News = make([]Member, 0, 0)
+						out.InitialVoters = make([]InitialVoters, 0, 1)
 					} else {
-						out.News = []Member{}
+						out.InitialVoters = []InitialVoters{}
 					}
 				} else {
-					out.News = (out.News)[:0]
+					out.InitialVoters = (out.InitialVoters)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v79 Member
+					var v76 InitialVoters
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v79).UnmarshalEasyJSON(in)
+						(v76).UnmarshalEasyJSON(in)
 					}
-					out.News = append(out.News, v79)
+					out.InitialVoters = append(out.InitialVoters, v76)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "g":
+		case "taken":
 			if in.IsNull() {
 				in.Skip()
+				out.Confirmed = nil
 			} else {
-				(out.Digest).UnmarshalEasyJSON(in)
+				in.Delim('[')
+				if out.Confirmed == nil {
+					if !in.IsDelim(']') {
+						out.Confirmed = make([]ConfirmedVersion, 0, 2)
+					} else {
+						out.Confirmed = []ConfirmedVersion{}
+					}
+				} else {
+					out.Confirmed = (out.Confirmed)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v77 ConfirmedVersion
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v77).UnmarshalEasyJSON(in)
+					}
+					out.Confirmed = append(out.Confirmed, v77)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "z":
+		case "moved":
 			if in.IsNull() {
 				in.Skip()
+				out.Moved = nil
 			} else {
-				out.PauseMs = int64(in.Int64())
+				in.Delim('[')
+				if out.Moved == nil {
+					if !in.IsDelim(']') {
+						out.Moved = make([]MovedRoute, 0, 1)
+					} else {
+						out.Moved = []MovedRoute{}
+					}
+				} else {
+					out.Moved = (out.Moved)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v78 MovedRoute
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v78).UnmarshalEasyJSON(in)
+					}
+					out.Moved = append(out.Moved, v78)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -4412,81 +4512,89 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire33(out *jwriter.Writer, in Datagram) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi34(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"k\":"
+		const prefix string = ",\"version\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Kind))
-	}
-	if in.Number != 0 {
-		const prefix string = ",\"q\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Number))
+		out.Int64(int64(in.Version))
 	}
 	{
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		(in.From).MarshalEasyJSON(out)
-	}
-	if in.Target != "" {
-		const prefix string = ",\"t\":"
+		const prefix string = ",\"body\":"
 		out.RawString(prefix)
-		out.String(string(in.Target))
+		(in.Body).MarshalEasyJSON(out)
 	}
-	if len(in.News) != 0 {
-		const prefix string = ",\"w\":"
+	if len(in.InitialVoters) != 0 {
+		const prefix string = ",\"births\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v80, v81 := range in.News {
-				if v80 > 0 {
+			for v79, v80 := range in.InitialVoters {
+				if v79 > 0 {
 					out.RawByte(',')
 				}
-				(v81).MarshalEasyJSON(out)
+				(v80).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	{
-		const prefix string = ",\"g\":"
+	if len(in.Confirmed) != 0 {
+		const prefix string = ",\"taken\":"
 		out.RawString(prefix)
-		(in.Digest).MarshalEasyJSON(out)
+		{
+			out.RawByte('[')
+			for v81, v82 := range in.Confirmed {
+				if v81 > 0 {
+					out.RawByte(',')
+				}
+				(v82).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.PauseMs != 0 {
-		const prefix string = ",\"z\":"
+	if len(in.Moved) != 0 {
+		const prefix string = ",\"moved\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.PauseMs))
+		{
+			out.RawByte('[')
+			for v83, v84 := range in.Moved {
+				if v83 > 0 {
+					out.RawByte(',')
+				}
+				(v84).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Datagram) MarshalJSON() ([]byte, error) {
+func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire33(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi34(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Datagram) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire33(w, v)
+func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi34(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Datagram) UnmarshalJSON(data []byte) error {
+func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire33(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi34(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Datagram) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire33(l, v)
+func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi34(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire34(in *jlexer.Lexer, out *ClientCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi35(in *jlexer.Lexer, out *ClientCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4536,7 +4644,7 @@
 				out.Terms = nil
 			} else {
 				if out.Terms == nil {
-					out.Terms = new(EntryTerms)
+					out.Terms = new(RouteTerms)
 				}
 				if in.IsNull() {
 					in.Skip()
@@ -4566,7 +4674,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire34(out *jwriter.Writer, in ClientCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi35(out *jwriter.Writer, in ClientCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4616,27 +4724,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire34(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi35(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire34(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi35(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire34(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi35(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire34(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi35(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire35(in *jlexer.Lexer, out *ClientAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi36(in *jlexer.Lexer, out *ClientAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4696,7 +4804,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire35(out *jwriter.Writer, in ClientAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi36(out *jwriter.Writer, in ClientAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4762,27 +4870,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire35(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi36(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire35(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi36(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire35(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi36(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire35(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi36(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire36(in *jlexer.Lexer, out *Change) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi37(in *jlexer.Lexer, out *Change) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4800,7 +4908,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Stamp).UnmarshalEasyJSON(in)
+				(out.Position).UnmarshalEasyJSON(in)
 			}
 		case "ops":
 			if in.IsNull() {
@@ -4818,13 +4926,13 @@
 					out.Ops = (out.Ops)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v82 Op
+					var v85 Op
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v82).UnmarshalEasyJSON(in)
+						(v85).UnmarshalEasyJSON(in)
 					}
-					out.Ops = append(out.Ops, v82)
+					out.Ops = append(out.Ops, v85)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4853,25 +4961,25 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire36(out *jwriter.Writer, in Change) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi37(out *jwriter.Writer, in Change) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"at\":"
 		out.RawString(prefix[1:])
-		(in.Stamp).MarshalEasyJSON(out)
+		(in.Position).MarshalEasyJSON(out)
 	}
 	if len(in.Ops) != 0 {
 		const prefix string = ",\"ops\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v83, v84 := range in.Ops {
-				if v83 > 0 {
+			for v86, v87 := range in.Ops {
+				if v86 > 0 {
 					out.RawByte(',')
 				}
-				(v84).MarshalEasyJSON(out)
+				(v87).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4887,27 +4995,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Change) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire36(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi37(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Change) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire36(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi37(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Change) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire36(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi37(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Change) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire36(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi37(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire37(in *jlexer.Lexer, out *Capacity) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi38(in *jlexer.Lexer, out *Capacity) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4949,7 +5057,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire37(out *jwriter.Writer, in Capacity) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi38(out *jwriter.Writer, in Capacity) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4974,135 +5082,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Capacity) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire37(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi38(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Capacity) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire37(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi38(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Capacity) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire37(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi38(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Capacity) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire37(l, v)
-}
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire38(in *jlexer.Lexer, out *Birth) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "service":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Service = string(in.String())
-			}
-		case "voters":
-			if in.IsNull() {
-				in.Skip()
-				out.Voters = nil
-			} else {
-				in.Delim('[')
-				if out.Voters == nil {
-					if !in.IsDelim(']') {
-						out.Voters = make([]string, 0, 4)
-					} else {
-						out.Voters = []string{}
-					}
-				} else {
-					out.Voters = (out.Voters)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v85 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v85 = string(in.String())
-					}
-					out.Voters = append(out.Voters, v85)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire38(out *jwriter.Writer, in Birth) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"service\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Service))
-	}
-	{
-		const prefix string = ",\"voters\":"
-		out.RawString(prefix)
-		if in.Voters == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v86, v87 := range in.Voters {
-				if v86 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v87))
-			}
-			out.RawByte(']')
-		}
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Birth) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire38(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Birth) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire38(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Birth) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire38(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Birth) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire38(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi38(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire39(in *jlexer.Lexer, out *BeliefsCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi39(in *jlexer.Lexer, out *BeliefsCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5126,7 +5126,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire39(out *jwriter.Writer, in BeliefsCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi39(out *jwriter.Writer, in BeliefsCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5136,27 +5136,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire39(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi39(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire39(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi39(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire39(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi39(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire39(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi39(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire40(in *jlexer.Lexer, out *BeliefsAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi40(in *jlexer.Lexer, out *BeliefsAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5223,15 +5223,15 @@
 				in.Delim('[')
 				if out.Owners == nil {
 					if !in.IsDelim(']') {
-						out.Owners = make([]OwnerFact, 0, 1)
+						out.Owners = make([]LeaderFact, 0, 1)
 					} else {
-						out.Owners = []OwnerFact{}
+						out.Owners = []LeaderFact{}
 					}
 				} else {
 					out.Owners = (out.Owners)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v89 OwnerFact
+					var v89 LeaderFact
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -5333,7 +5333,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire40(out *jwriter.Writer, in BeliefsAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi40(out *jwriter.Writer, in BeliefsAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5438,27 +5438,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire40(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi40(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire40(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi40(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire40(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi40(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire40(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi40(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire41(in *jlexer.Lexer, out *AppendCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi41(in *jlexer.Lexer, out *AppendCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5546,15 +5546,15 @@
 		case "piece":
 			if in.IsNull() {
 				in.Skip()
-				out.Piece = nil
+				out.Chunk = nil
 			} else {
-				if out.Piece == nil {
-					out.Piece = new(Piece)
+				if out.Chunk == nil {
+					out.Chunk = new(SnapshotChunk)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					(*out.Piece).UnmarshalEasyJSON(in)
+					(*out.Chunk).UnmarshalEasyJSON(in)
 				}
 			}
 		case "release":
@@ -5567,7 +5567,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Heir = string(in.String())
+				out.Successor = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -5579,7 +5579,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire41(out *jwriter.Writer, in AppendCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi41(out *jwriter.Writer, in AppendCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5627,20 +5627,20 @@
 		out.RawString(prefix)
 		(*in.Snapshot).MarshalEasyJSON(out)
 	}
-	if in.Piece != nil {
+	if in.Chunk != nil {
 		const prefix string = ",\"piece\":"
 		out.RawString(prefix)
-		(*in.Piece).MarshalEasyJSON(out)
+		(*in.Chunk).MarshalEasyJSON(out)
 	}
 	if in.Release {
 		const prefix string = ",\"release\":"
 		out.RawString(prefix)
 		out.Bool(bool(in.Release))
 	}
-	if in.Heir != "" {
+	if in.Successor != "" {
 		const prefix string = ",\"heir\":"
 		out.RawString(prefix)
-		out.String(string(in.Heir))
+		out.String(string(in.Successor))
 	}
 	out.RawByte('}')
 }
@@ -5648,27 +5648,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire41(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi41(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire41(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi41(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire41(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi41(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire41(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi41(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalSiblingwire42(in *jlexer.Lexer, out *AppendAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi42(in *jlexer.Lexer, out *AppendAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5722,7 +5722,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Pieces = int(in.Int())
+				out.Chunks = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -5734,7 +5734,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalSiblingwire42(out *jwriter.Writer, in AppendAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi42(out *jwriter.Writer, in AppendAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5774,10 +5774,10 @@
 		out.RawString(prefix)
 		out.Int64(int64(in.DelayUs))
 	}
-	if in.Pieces != 0 {
+	if in.Chunks != 0 {
 		const prefix string = ",\"pieces\":"
 		out.RawString(prefix)
-		out.Int(int(in.Pieces))
+		out.Int(int(in.Chunks))
 	}
 	out.RawByte('}')
 }
@@ -5785,23 +5785,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire42(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi42(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalSiblingwire42(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi42(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire42(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi42(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalSiblingwire42(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi42(l, v)
 }
--- a/internal/peerapi/metrics_test.go
+++ b/internal/peerapi/metrics_test.go
@@ -17,18 +17,18 @@
 var _ = Describe("calls between siblings", func() {
 	It("are counted on both sides, with their bytes and their errors", func() {
 		mux := http.NewServeMux()
-		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.PlanCall) (*peerapi.PlanAnswer, error) {
+		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
 			if call.Held == 9 {
 				return nil, errors.New("no")
 			}
-			return &peerapi.PlanAnswer{}, nil
+			return &peerapi.ConfigurationAnswer{}, nil
 		})
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		caller := peerapi.NewCaller(http.DefaultClient)
 		ask := func(held int64) error {
-			_, err := peerapi.Call[peerapi.PlanCall, peerapi.PlanAnswer](caller, span.Root(),
-				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &peerapi.PlanCall{Held: held})
+			_, err := peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](caller, span.Root(),
+				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &peerapi.ConfigurationCall{Held: held})
 			return err
 		}
 		Expect(ask(1)).To(Succeed())
--- a/internal/poolowner/cost_test.go
+++ b/internal/poolowner/cost_test.go
@@ -104,12 +104,12 @@
 
 // handIn gives one job in the mix of a board: most are short and urgent, some long, some spread out.
 func (c *crowd) handIn(number int) {
-	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, peerapi.EntryTerms{Stretch: 1.5, TargetMs: 250}
+	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, peerapi.RouteTerms{Stretch: 1.5, TargetMs: 250}
 	switch number % 10 {
 	case 8:
-		step, terms = `{"task-count":46,"cpu-units":5000,"memory-req-mb":9200,"estimated-ms":6000}`, peerapi.EntryTerms{Priority: 2, Stretch: 3.2, TargetMs: 3000}
+		step, terms = `{"task-count":46,"cpu-units":5000,"memory-req-mb":9200,"estimated-ms":6000}`, peerapi.RouteTerms{Priority: 2, Stretch: 3.2, TargetMs: 3000}
 	case 9:
-		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, peerapi.EntryTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
+		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, peerapi.RouteTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
 	}
 	c.jobs++
 	c.pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
--- a/internal/poolowner/feed_test.go
+++ b/internal/poolowner/feed_test.go
@@ -56,7 +56,7 @@
 		beat:   executorcalls.Beat{Service: "s", State: "ready", Room: peerapi.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
-	o.pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &peerapi.EntryTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
+	o.pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &peerapi.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
 		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(peerapi.ClientAnswer) {})
 	o.settle()
 	for range 4 {
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -122,7 +122,7 @@
 // Opener lets an engine hand the key to the pool.
 type Opener struct{ *Pool }
 
-func (o Opener) Open(tenure *replication.Tenure, pairs []peerapi.Op) error {
+func (o Opener) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
 	return o.Pool.Open(tenure, pairs)
 }
 
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/poolowner/poolowner_test.go
@@ -108,7 +108,7 @@
 		return told
 	}
 	handIn := func() {
-		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &peerapi.EntryTerms{MaxAttempts: 2},
+		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &peerapi.RouteTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
 			func(answer peerapi.ClientAnswer) { accepted = append(accepted, answer.Status) })
 		pool.Settle()
--- a/internal/poolowner/records.go
+++ b/internal/poolowner/records.go
@@ -10,7 +10,7 @@
 
 type jobRecord struct {
 	Entry      string              `json:"entry"`
-	Terms      peerapi.EntryTerms  `json:"terms"`
+	Terms      peerapi.RouteTerms  `json:"terms"`
 	AcceptedMs int64               `json:"accepted"`
 	Spec       easyjson.RawMessage `json:"spec"`
 }
--- a/internal/poolowner/schedule_test.go
+++ b/internal/poolowner/schedule_test.go
@@ -122,7 +122,7 @@
 	}
 	id := fmt.Sprintf("%016x", s.draw.Uint64())
 	s.jobs = append(s.jobs, id)
-	s.pool.HandIn(&peerapi.ClientCall{Entry: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &peerapi.EntryTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
+	s.pool.HandIn(&peerapi.ClientCall{Entry: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &peerapi.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
 		Body: []byte(`{"task-descriptor":"d","step-list":[` + steps + `]` + repeat + `}`)}, func(peerapi.ClientAnswer) {})
 }
 
--- a/internal/poolowner/trust_test.go
+++ b/internal/poolowner/trust_test.go
@@ -64,7 +64,7 @@
 		})
 	}
 	handIn := func(number int) {
-		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: fmt.Sprintf("%016x", number), Terms: &peerapi.EntryTerms{MaxAttempts: 9},
+		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: fmt.Sprintf("%016x", number), Terms: &peerapi.RouteTerms{MaxAttempts: 9},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)}, func(peerapi.ClientAnswer) {})
 		settle()
 	}
--- a/internal/rehearseday/change.go
+++ b/internal/rehearseday/change.go
@@ -124,7 +124,7 @@
 }
 
 // terms gives what a job is handed in with; its aim is judged by what was recorded.
-func (c *Change) terms(queue string, terms peerapi.EntryTerms) peerapi.EntryTerms {
+func (c *Change) terms(queue string, terms peerapi.RouteTerms) peerapi.RouteTerms {
 	change := c.Queues[queue]
 	set(&terms.Priority, change.Priority)
 	set(&terms.MaxAttempts, change.MaxAttempts)
--- a/internal/rehearseday/rehearseday_test.go
+++ b/internal/rehearseday/rehearseday_test.go
@@ -40,17 +40,17 @@
 	}
 	kinds := []struct {
 		queue, body string
-		terms       peerapi.EntryTerms
+		terms       peerapi.RouteTerms
 		every       int
 	}{
 		{"rota-check", `{"task-descriptor":"","step-list":[{"task-count":8,"cpu-units":1500,"estimated-ms":250,"redundant":true}]}`,
-			peerapi.EntryTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}, 300},
+			peerapi.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}, 300},
 		{"settlement", `{"task-descriptor":"","step-list":[{"task-count":4,"cpu-units":2000,"estimated-ms":350},{"task-count":1,"cpu-units":500,"estimated-ms":100,"depends-on":[0]}]}`,
-			peerapi.EntryTerms{MaxAttempts: 2, Stretch: 1.5, TargetMs: 200}, 400},
+			peerapi.RouteTerms{MaxAttempts: 2, Stretch: 1.5, TargetMs: 200}, 400},
 		{"week-rebuild", `{"task-descriptor":"","step-list":[{"task-count":3,"cpu-units":2000,"estimated-ms":12000,"checkpointing":true}]}`,
-			peerapi.EntryTerms{Priority: 2, MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000}, 1100},
+			peerapi.RouteTerms{Priority: 2, MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000}, 1100},
 		{"orchard-season", `{"task-descriptor":"","step-list":[{"task-count":3,"cpu-units":4000,"estimated-ms":4000,"gang-scheduled":true}]}`,
-			peerapi.EntryTerms{Priority: 2, MaxAttempts: 4, Stretch: 3.2, TargetMs: 3000}, 3000},
+			peerapi.RouteTerms{Priority: 2, MaxAttempts: 4, Stretch: 3.2, TargetMs: 3000}, 3000},
 	}
 	for at := range 20000 / 50 {
 		for kind, one := range kinds {
--- /dev/null
+++ b/internal/replication/election.go
@@ -0,0 +1,245 @@
+package replication
+
+import (
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"gannetline/internal/peerapi"
+)
+
+func (e *Engine) considerCampaign() {
+	if e.isAsking || e.isLeaving || e.clock.Steady() < e.nextTry {
+		return
+	}
+	e.isAsking = true
+	e.links.Status(e.key, func(standing ReplicaStatus) {
+		e.isAsking = false
+		e.highest = max(e.highest, standing.Promised)
+		voters := disksOf(standing.State.Set)
+		if len(voters) == 0 {
+			voters = e.initialVoters
+		}
+		rank := slices.Index(e.ranked(voters), e.disk)
+		if rank < 0 {
+			e.nextTry = e.clock.Steady() + e.timing.Lease/4
+		}
+		if rank < 0 || e.phase != phaseIdle || e.isLeaving {
+			return
+		}
+		wait := standing.LeaseEnd + e.stagger(rank, len(voters))
+		switch {
+		case standing.Disk == e.disk:
+			wait = 0
+		case standing.Released:
+			wait = standing.ReleasedAt + e.afterRelease(rank, len(voters), standing.Successor)
+		}
+		if now := e.clock.Steady(); now < wait {
+			e.nextTry = min(wait, now+e.timing.Lease/4)
+			return
+		}
+		e.replica = standing.State
+		e.campaign(voters)
+	})
+}
+
+// stagger is how long a candidate lets those before it try; the last of any set waits as long as the last of three.
+func (e *Engine) stagger(rank, voters int) time.Duration {
+	return time.Duration(rank) * e.timing.Stagger * 2 / time.Duration(max(2, voters-1))
+}
+
+// ranked orders the voters by rendezvous hash, so that keys spread over stewards.
+func (e *Engine) ranked(voters []string) []string {
+	weigh := func(disk string) uint64 {
+		sum := fnv.New64a()
+		sum.Write([]byte(e.key + "/" + disk))
+		return sum.Sum64()
+	}
+	order := slices.Clone(voters)
+	slices.SortFunc(order, func(one, two string) int {
+		if weigh(one) > weigh(two) {
+			return -1
+		}
+		return 1
+	})
+	return order
+}
+
+// afterRelease lets the heir go first, if the owner has named one; it may look for a release as late as a quarter lease after.
+func (e *Engine) afterRelease(rank, voters int, heir string) time.Duration {
+	wait := e.stagger(rank, voters) / 4
+	switch heir {
+	case "":
+		return wait
+	case e.disk:
+		return 0
+	}
+	return e.timing.Lease/4 + e.timing.Stagger + wait
+}
+
+// ask first tries whether a majority would promise, so that a steward that was cut off disturbs nobody.
+func (e *Engine) campaign(voters []string) {
+	e.phase = phaseCandidate
+	e.attempt++
+	epoch := e.highest + 1
+	e.collectPromises(voters, epoch, true, func(granted map[string]peerapi.PromiseAnswer) bool {
+		if _, isAgreed := e.best(granted); !isAgreed {
+			return false
+		}
+		e.attempt++
+		e.collectPromises(voters, epoch, false, func(granted map[string]peerapi.PromiseAnswer) bool {
+			return e.tryLeading(epoch, granted)
+		})
+		return true
+	})
+}
+
+// canvass asks all voters at once; enough is tried at each grant until it is satisfied.
+func (e *Engine) collectPromises(voters []string, epoch uint64, isTrial bool, enough func(map[string]peerapi.PromiseAnswer) bool) {
+	attempt, heard := e.attempt, 0
+	granted := map[string]peerapi.PromiseAnswer{}
+	for _, disk := range voters {
+		call := peerapi.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, PreVote: isTrial}
+		e.links.Promise(disk, call, func(answer peerapi.PromiseAnswer, err error) {
+			heard++
+			if e.attempt != attempt || e.phase != phaseCandidate {
+				return
+			}
+			if err == nil {
+				e.highest = max(e.highest, answer.Promised)
+				if e.isOutvoted(answer) {
+					e.backOff()
+					e.nextTry = e.clock.Steady() + e.timing.LostAfter
+					return
+				}
+				if answer.Granted {
+					granted[answer.Disk] = answer
+					if enough(granted) {
+						return
+					}
+				}
+			}
+			if heard == len(voters) {
+				e.backOff()
+			}
+		})
+	}
+}
+
+// isOutvoted tells whether a sibling has a later state whose voters are others, so that this steward need not ask.
+func (e *Engine) isOutvoted(answer peerapi.PromiseAnswer) bool {
+	return e.replica.Last.Below(answer.Last) && !slices.Contains(disksOf(answer.Set), e.disk)
+}
+
+func (e *Engine) backOff() {
+	e.phase = phaseIdle
+	spread := fnv.New32a()
+	spread.Write([]byte{byte(e.attempt), byte(e.highest)})
+	spread.Write([]byte(e.disk))
+	e.nextTry = e.clock.Steady() + e.timing.Stagger + time.Duration(spread.Sum32()%200)*time.Millisecond
+}
+
+// best is the furthest state among those who grant; isAgreed tells whether they are a majority of its voters.
+func (e *Engine) best(granted map[string]peerapi.PromiseAnswer) (best peerapi.PromiseAnswer, isAgreed bool) {
+	for _, answer := range granted {
+		if best.Disk == "" || best.Last.Below(answer.Last) || best.Last == answer.Last && answer.Disk == e.disk {
+			best = answer
+		}
+	}
+	if len(best.Set.Now) == 0 {
+		best.Set = peerapi.VoterSet{Now: e.initialVoters}
+	}
+	has := func(disk string) bool { _, isThere := granted[disk]; return isThere }
+	return best, has(e.disk) && Agreed(best.Set, has)
+}
+
+func (e *Engine) tryLeading(epoch uint64, granted map[string]peerapi.PromiseAnswer) bool {
+	best, isAgreed := e.best(granted)
+	if !isAgreed {
+		return false
+	}
+	set := best.Set
+	e.phase, e.epoch, e.set = phaseOpening, epoch, set
+	e.followers, e.staleSince = map[string]*follower{}, e.clock.Steady()
+	attempt := e.attempt
+	if best.Disk == e.disk {
+		e.openWithHistory(best.Last)
+		return true
+	}
+	from := granted[e.disk].Last
+	e.links.Fetch(best.Disk, peerapi.FetchCall{Key: e.key, From: &from}, func(answer peerapi.FetchAnswer, err error) {
+		if e.attempt != attempt || e.phase != phaseOpening {
+			return
+		}
+		call, isWhole := e.catchUpCall(answer, from, best)
+		if err != nil || !isWhole {
+			e.backOff()
+			return
+		}
+		e.links.InstallLocal(call, func(answer peerapi.AppendAnswer, err error) {
+			if e.attempt != attempt || e.phase != phaseOpening {
+				return
+			}
+			if err != nil || !answer.Taken {
+				e.backOff()
+				return
+			}
+			e.openWithHistory(best.Last)
+		})
+	})
+	return true
+}
+
+func (e *Engine) openWithHistory(base peerapi.LogPosition) {
+	attempt := e.attempt
+	e.links.History(e.key, func(held History) {
+		if e.attempt == attempt && e.phase == phaseOpening {
+			e.open(base, held)
+		}
+	})
+}
+
+// takeOver is what brings the local disk to the best state; isWhole tells whether the answer leads there.
+func (e *Engine) catchUpCall(answer peerapi.FetchAnswer, from peerapi.LogPosition, best peerapi.PromiseAnswer) (call peerapi.AppendCall, isWhole bool) {
+	call = peerapi.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
+	if count := len(answer.Changes); count > 0 {
+		call.Prev, call.Changes = from, answer.Changes
+		return call, answer.Changes[count-1].Position == best.Last
+	}
+	whole := answer.Snapshot
+	whole.Set = best.Set
+	call.Snapshot = &whole
+	return call, whole.Last == best.Last
+}
+
+func (e *Engine) open(base peerapi.LogPosition, held History) {
+	whole, err := e.links.ReadLocal(e.key)
+	if err != nil || whole.Last != base {
+		e.backOff()
+		return
+	}
+	e.last, e.committed, e.waiting = base, base.Index, nil
+	e.inherit(base, held)
+	e.setIndex = 0
+	for _, disk := range disksOf(e.set) {
+		e.follow(disk)
+	}
+	opening := e.set
+	e.staleSince, e.shortSince, e.isShortNoted = e.clock.Steady(), e.clock.Steady(), false
+	e.openedAt, e.worseSince, e.wellSince, e.wasWell = e.clock.Steady(), e.clock.Steady(), e.clock.Steady(), false
+	attempt := e.attempt
+	e.propose(nil, &opening, func(err error) {
+		if err != nil || e.attempt != attempt || e.phase != phaseOpening {
+			return
+		}
+		e.phase = phaseLeading
+		e.leadership = &Leadership{engine: e, epoch: e.epoch, isOpen: true}
+		e.log.Info("owner of key", "key", e.key, "epoch", e.epoch, "step", base.Index)
+		if err := e.machine.Open(e.leadership, whole.Pairs); err != nil {
+			e.log.Error(err, "the state of the key could not be taken over", "key", e.key)
+			e.stepDown("unreadable state")
+			return
+		}
+		e.announce(peerapi.LeaderFact{Key: e.key, Epoch: e.epoch, Name: e.name})
+	})
+}
--- a/internal/replication/handon.go
+++ b/internal/replication/handover.go
@@ -28,9 +28,9 @@
 	smooth(&one.delay, delay)
 }
 
-// considerHandingOn gives the key to a follower if this steward has long been clearly slower than it. One that has
+// considerHandover gives the key to a follower if this steward has long been clearly slower than it. One that has
 // never been well since it took the key over is slowed by the key itself, and keeps it for long.
-func (e *Engine) considerHandingOn() {
+func (e *Engine) considerHandover() {
 	now := e.clock.Steady()
 	own, heir := e.follow(e.disk), e.quickest()
 	if heir == nil {
@@ -43,7 +43,7 @@
 	}
 	e.wellSince = now
 	if now-e.worseSince >= worseFor && (e.wasWell || now-e.openedAt >= keptAnyhow) {
-		e.handOn(own, heir)
+		e.handOver(own, heir)
 	}
 }
 
@@ -52,7 +52,7 @@
 	var best *follower
 	for _, disk := range e.set.Now {
 		one := e.followers[disk]
-		if disk == e.disk || one == nil || !one.hasDelay || !e.hasCaughtUp(one) || e.clock.Steady()-one.heardAt > e.timing.LostAfter/2 {
+		if disk == e.disk || one == nil || !one.hasDelay || !e.hasCaughtUp(one) || e.clock.Steady()-one.lastContact > e.timing.LostAfter/2 {
 			continue
 		}
 		if best == nil || one.delay < best.delay {
@@ -62,7 +62,7 @@
 	return best
 }
 
-func (e *Engine) handOn(own, heir *follower) {
+func (e *Engine) handOver(own, heir *follower) {
 	e.log.Info("handing the key on, as a sibling is quicker", "key", e.key, "delay_ms", own.delay.Milliseconds(),
 		"heir", heir.disk, "heir_delay_ms", heir.delay.Milliseconds())
 	e.release("slower than its followers", heir.disk)
@@ -74,7 +74,7 @@
 	disks, epoch := disksOf(e.set), e.epoch
 	e.stepDown(why)
 	for _, disk := range disks {
-		e.links.Append(disk, peerapi.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Heir: heir},
+		e.links.Append(disk, peerapi.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Successor: heir},
 			func(peerapi.AppendAnswer, error) {})
 	}
 }
--- a/internal/replication/history.go
+++ b/internal/replication/history.go
@@ -14,24 +14,24 @@
 // History holds changes that follow on Base, each on the one before. A state whose stamp is among theirs shares
 // all that came before, since an epoch has one owner, and a disk takes a change only on top of the stamp before it.
 type History struct {
-	Base    peerapi.Stamp
+	Base    peerapi.LogPosition
 	Changes []peerapi.Change
 }
 
-func (h History) last() peerapi.Stamp {
+func (h History) last() peerapi.LogPosition {
 	if len(h.Changes) == 0 {
 		return h.Base
 	}
-	return h.Changes[len(h.Changes)-1].Stamp
+	return h.Changes[len(h.Changes)-1].Position
 }
 
 // after gives the changes that follow on a stamp; there are none if it is not one of the history's, or the last.
-func (h History) after(stamp peerapi.Stamp) ([]peerapi.Change, bool) {
+func (h History) after(stamp peerapi.LogPosition) ([]peerapi.Change, bool) {
 	if stamp == h.Base {
 		return h.Changes, len(h.Changes) > 0
 	}
 	for place, change := range h.Changes {
-		if change.Stamp == stamp {
+		if change.Position == stamp {
 			return h.Changes[place+1:], place+1 < len(h.Changes)
 		}
 	}
@@ -40,7 +40,7 @@
 
 // history is the bounded one of a replica.
 type history struct {
-	base    peerapi.Stamp
+	base    peerapi.LogPosition
 	changes []peerapi.Change
 	size    int
 }
@@ -68,6 +68,6 @@
 		h.size -= sizeOf(h.changes[drop])
 		drop++
 	}
-	h.base = h.changes[drop-1].Stamp
+	h.base = h.changes[drop-1].Position
 	h.changes = slices.Clone(h.changes[drop:])
 }
--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -92,7 +92,7 @@
 		old.isFrozen = true
 		w.until(func() bool { return w.owner() != nil })
 		w.work(500 * time.Millisecond)
-		Expect(w.owner().disk.Shelf.Heads[key].Last.Step).To(BeNumerically(">", old.disk.Shelf.Heads[key].Last.Step))
+		Expect(w.owner().disk.Shelf.Heads[key].Last.Index).To(BeNumerically(">", old.disk.Shelf.Heads[key].Last.Index))
 		delete(w.cut, old.name)
 		old.isFrozen, w.wholes = false, 0
 		w.work(3 * time.Second)
@@ -106,10 +106,10 @@
 		disk := newDisk("disk-a")
 		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		prev := peerapi.Stamp{}
+		prev := peerapi.LogPosition{}
 		for step := range uint64(9000) {
-			next := peerapi.Stamp{Epoch: 1 + step/5000, Step: step + 1}
-			change := peerapi.Change{Stamp: next, Ops: []peerapi.Op{{Name: fmt.Sprint(step % 7), Value: []byte("1")}}}
+			next := peerapi.LogPosition{Epoch: 1 + step/5000, Index: step + 1}
+			change := peerapi.Change{Position: next, Ops: []peerapi.Op{{Name: fmt.Sprint(step % 7), Value: []byte("1")}}}
 			table.Append(peerapi.AppendCall{Key: key, Epoch: next.Epoch, Prev: prev, Changes: []peerapi.Change{change}},
 				func(peerapi.AppendAnswer) {})
 			disk.line[0]()
@@ -120,8 +120,8 @@
 		held := table.History(key)
 		Expect(len(held.Changes)).To(BeNumerically(">", 1000))
 		Expect(len(held.Changes)).To(BeNumerically("<=", 4000))
-		Expect(held.Changes[0].Stamp.Step).To(Equal(held.Base.Step + 1))
-		Expect(held.Changes[len(held.Changes)-1].Stamp).To(Equal(prev))
+		Expect(held.Changes[0].Position.Index).To(Equal(held.Base.Index + 1))
+		Expect(held.Changes[len(held.Changes)-1].Position).To(Equal(prev))
 		table.Append(peerapi.AppendCall{Key: key, Epoch: 3, Snapshot: &peerapi.Snapshot{Last: prev}}, func(peerapi.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
@@ -130,19 +130,19 @@
 
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
-		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []peerapi.Change{{Stamp: peerapi.Stamp{Epoch: 1, Step: 1}}}})
+		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []peerapi.Change{{Position: peerapi.LogPosition{Epoch: 1, Index: 1}}}})
 		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		change := peerapi.Change{Stamp: peerapi.Stamp{Epoch: 1, Step: 2}}
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.Stamp{Epoch: 1, Step: 1}, Changes: []peerapi.Change{change}},
+		change := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 2}}
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.LogPosition{Epoch: 1, Index: 1}, Changes: []peerapi.Change{change}},
 			func(peerapi.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
-		held := replication.History{Base: peerapi.Stamp{Epoch: 1, Step: 1}, Changes: []peerapi.Change{change}}
+		held := replication.History{Base: peerapi.LogPosition{Epoch: 1, Index: 1}, Changes: []peerapi.Change{change}}
 		Expect(table.History(key)).To(Equal(held))
 		disk.line = nil
-		refused := peerapi.Change{Stamp: peerapi.Stamp{Epoch: 1, Step: 9}}
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.Stamp{Epoch: 1, Step: 8}, Changes: []peerapi.Change{refused}},
+		refused := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 9}}
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.LogPosition{Epoch: 1, Index: 8}, Changes: []peerapi.Change{refused}},
 			func(peerapi.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
--- a/internal/replication/tenure.go
+++ b/internal/replication/leadership.go
@@ -11,31 +11,31 @@
 
 var errLost = errors.New("the key has another owner now")
 
-// Tenure is the right to change a key under one epoch.
-type Tenure struct {
+// Leadership is the right to change a key under one epoch.
+type Leadership struct {
 	engine *Engine
 	epoch  uint64
 	isOpen bool
 }
 
-func (t *Tenure) Epoch() uint64 { return t.epoch }
+func (t *Leadership) Epoch() uint64 { return t.epoch }
 
 // Commit makes a change durable on a majority; done gets an error if the key was lost first.
-func (t *Tenure) Commit(ops []peerapi.Op, done func(error)) {
+func (t *Leadership) Commit(ops []peerapi.Op, done func(error)) {
 	if !t.isOpen {
 		done(errLost)
 		return
 	}
-	t.engine.submit(ops, nil, done)
+	t.engine.propose(ops, nil, done)
 }
 
 // HasLease tells whether a majority vouches, now, that there is no other owner.
-func (t *Tenure) HasLease() bool { return t.isOpen && t.engine.hasLease() }
+func (t *Leadership) HasLease() bool { return t.isOpen && t.engine.hasLease() }
 
-func (t *Tenure) Voters() []string { return slices.Clone(t.engine.set.Now) }
+func (t *Leadership) Voters() []string { return slices.Clone(t.engine.set.Now) }
 
 // WallMs is the median of the voters' clocks, carried on the steady clock.
-func (t *Tenure) WallMs() int64 {
+func (t *Leadership) WallMs() int64 {
 	e := t.engine
 	steady := pulse.InMs(e.clock.Steady())
 	offsets := []int64{e.clock.WallMs() - steady}
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -17,23 +17,23 @@
 	Disk() string
 	Bare() bool
 	Submit(write storage.Write, done func(storage.Outcome))
-	Heads() (map[string]storage.Head, error)
+	Heads() (map[string]storage.ReplicaState, error)
 	Read(key string) (peerapi.Snapshot, error)
 }
 
 type replica struct {
-	head       storage.Head
-	promising  uint64
-	leaseUntil time.Duration
-	leaseDisk  string
-	leaseOwner string
-	released   bool
-	releasedAt time.Duration
-	heir       string
+	state       storage.ReplicaState
+	promising   uint64
+	leaseUntil  time.Duration
+	leaseDisk   string
+	leaseLeader string
+	released    bool
+	releasedAt  time.Duration
+	successor   string
 
 	releasedEpoch uint64
 	history       history
-	arrivals      arrivals
+	chunks        chunkBuffer
 }
 
 // Replicas is the table of this disk's replicas: what it promised, holds and leases out.
@@ -53,7 +53,7 @@
 	}
 	table := &Replicas{box: box, disk: disk, clock: clock, lease: lease, keys: map[string]*replica{}}
 	for key, head := range heads {
-		table.keys[key] = &replica{head: head, promising: head.Promised}
+		table.keys[key] = &replica{state: head, promising: head.Promised}
 	}
 	if !disk.Bare() {
 		table.quietUntil = clock.Steady() + lease
@@ -77,11 +77,11 @@
 	one, now := r.of(call.Key), r.clock.Steady()
 	isLeased := now < one.leaseUntil && one.leaseDisk != call.Disk
 	if isLeased || now < r.quietUntil || call.Epoch <= one.promising {
-		answer(r.promiseAnswer(one.head, max(one.promising, one.head.Promised), false))
+		answer(r.promiseAnswer(one.state, max(one.promising, one.state.Promised), false))
 		return
 	}
-	if call.Trial {
-		answer(r.promiseAnswer(one.head, one.promising, true))
+	if call.PreVote {
+		answer(r.promiseAnswer(one.state, one.promising, true))
 		return
 	}
 	one.promising = call.Epoch
@@ -94,13 +94,13 @@
 	})
 }
 
-func (r *Replicas) promiseAnswer(head storage.Head, promised uint64, isGranted bool) peerapi.PromiseAnswer {
+func (r *Replicas) promiseAnswer(head storage.ReplicaState, promised uint64, isGranted bool) peerapi.PromiseAnswer {
 	return peerapi.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
 }
 
 func (r *Replicas) learn(one *replica, outcome storage.Outcome) {
 	if outcome.Err == nil {
-		one.head = outcome.Head
+		one.state = outcome.Head
 		one.promising = max(one.promising, outcome.Head.Promised)
 	}
 }
@@ -109,30 +109,30 @@
 func (r *Replicas) Append(call peerapi.AppendCall, answer func(peerapi.AppendAnswer)) {
 	one, now := r.of(call.Key), r.clock.Steady()
 	if call.Epoch < one.promising {
-		answer(r.appendAnswer(one.head.Last, one.promising, false))
+		answer(r.appendAnswer(one.state.Last, one.promising, false))
 		return
 	}
 	if call.Release {
-		one.release(now, call.Epoch, call.Heir)
-		answer(r.appendAnswer(one.head.Last, one.promising, true))
+		one.release(now, call.Epoch, call.Successor)
+		answer(r.appendAnswer(one.state.Last, one.promising, true))
 		return
 	}
 	if call.Epoch > one.releasedEpoch {
-		one.leaseUntil, one.leaseDisk, one.leaseOwner, one.released = now+r.lease, call.Disk, call.Owner, false
+		one.leaseUntil, one.leaseDisk, one.leaseLeader, one.released = now+r.lease, call.Disk, call.Owner, false
 	}
-	if call.Piece != nil {
-		one.arrivals.take(call.Piece)
-		if !one.arrivals.isWhole(call.Piece) {
-			told := r.appendAnswer(one.head.Last, one.promising, false)
-			told.Pieces = one.arrivals.count
+	if call.Chunk != nil {
+		one.chunks.take(call.Chunk)
+		if !one.chunks.isWhole(call.Chunk) {
+			told := r.appendAnswer(one.state.Last, one.promising, false)
+			told.Chunks = one.chunks.count
 			answer(told)
 			return
 		}
-		call.Snapshot = &peerapi.Snapshot{Last: call.Piece.At, Set: call.Piece.Set, Pairs: one.arrivals.pairs}
-		one.arrivals = arrivals{}
+		call.Snapshot = &peerapi.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: one.chunks.pairs}
+		one.chunks = chunkBuffer{}
 	}
 	if len(call.Changes) == 0 && call.Snapshot == nil {
-		answer(r.appendAnswer(one.head.Last, one.promising, call.Epoch == one.head.Promised && one.head.Last == call.Prev))
+		answer(r.appendAnswer(one.state.Last, one.promising, call.Epoch == one.state.Promised && one.state.Last == call.Prev))
 		return
 	}
 	one.promising = call.Epoch
@@ -143,17 +143,17 @@
 			if outcome.Taken {
 				one.history.take(call)
 			}
-			answer(r.appendAnswer(one.head.Last, one.promising, outcome.Taken))
+			answer(r.appendAnswer(one.state.Last, one.promising, outcome.Taken))
 		})
 	})
 }
 
 // release ends the lease of an epoch; what its owner sent before and comes later brings no new one.
 func (one *replica) release(now time.Duration, epoch uint64, heir string) {
-	one.leaseUntil, one.released, one.releasedAt, one.releasedEpoch, one.heir = 0, true, now, epoch, heir
+	one.leaseUntil, one.released, one.releasedAt, one.releasedEpoch, one.successor = 0, true, now, epoch, heir
 }
 
-func (r *Replicas) appendAnswer(last peerapi.Stamp, promised uint64, isTaken bool) peerapi.AppendAnswer {
+func (r *Replicas) appendAnswer(last peerapi.LogPosition, promised uint64, isTaken bool) peerapi.AppendAnswer {
 	return peerapi.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs()}
 }
 
@@ -165,7 +165,7 @@
 		}
 	}
 	whole, err := r.disk.Read(call.Key)
-	return peerapi.FetchAnswer{Found: whole.Last != peerapi.Stamp{}, Snapshot: whole, Disk: r.disk.Disk()}, err
+	return peerapi.FetchAnswer{Found: whole.Last != peerapi.LogPosition{}, Snapshot: whole, Disk: r.disk.Disk()}, err
 }
 
 // History gives the last changes that this disk took, one after the other, up to what it holds.
@@ -174,23 +174,23 @@
 	return History{held.base, slices.Clone(held.changes)}
 }
 
-// Standing is what an engine asks before it seeks an epoch.
-type Standing struct {
-	Head     storage.Head
+// ReplicaStatus is what an engine asks before it seeks an epoch.
+type ReplicaStatus struct {
+	State    storage.ReplicaState
 	Promised uint64
 	LeaseEnd time.Duration
 	Disk     string
-	Owner    string
+	Leader   string
 	Released bool
 	// ReleasedAt and Heir belong to the release.
 	ReleasedAt time.Duration
-	Heir       string
+	Successor  string
 }
 
-func (r *Replicas) Standing(key string) Standing {
+func (r *Replicas) Status(key string) ReplicaStatus {
 	one := r.of(key)
-	return Standing{Head: one.head, Promised: one.promising, LeaseEnd: max(one.leaseUntil, r.quietUntil), Disk: one.leaseDisk,
-		Owner: one.leaseOwner, Released: one.released, ReleasedAt: one.releasedAt, Heir: one.heir}
+	return ReplicaStatus{State: one.state, Promised: one.promising, LeaseEnd: max(one.leaseUntil, r.quietUntil), Disk: one.leaseDisk,
+		Leader: one.leaseLeader, Released: one.released, ReleasedAt: one.releasedAt, Successor: one.successor}
 }
 
 func (r *Replicas) Keys() []string {
@@ -224,6 +224,6 @@
 	return r.Fetch(held, call)
 }
 
-func (r *Replicas) AskStanding(life span.Span, key string) (Standing, error) {
-	return mailbox.Ask(r.box, life, func(answer func(Standing)) { answer(r.Standing(key)) })
+func (r *Replicas) AskStatus(life span.Span, key string) (ReplicaStatus, error) {
+	return mailbox.Ask(r.box, life, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
 }
--- a/internal/replication/pieces_test.go
+++ b/internal/replication/transfer_test.go
@@ -47,14 +47,14 @@
 		w, one := laden(510)
 		hasEaten := false
 		w.eats = func(_ *node, call peerapi.AppendCall) bool {
-			isNext := !hasEaten && call.Piece != nil && call.Piece.Number == 4
+			isNext := !hasEaten && call.Chunk != nil && call.Chunk.Number == 4
 			hasEaten = hasEaten || isNext
 			return isNext
 		}
 		one.wipe("disk-fresh")
 		w.work(800 * time.Millisecond)
 		Expect(hasEaten).To(BeTrue())
-		Expect(one.disk.Shelf.Heads[key].Last).To(Equal(peerapi.Stamp{}))
+		Expect(one.disk.Shelf.Heads[key].Last).To(Equal(peerapi.LogPosition{}))
 		w.work(3 * time.Second)
 		w.run(time.Second)
 		Expect(slices.Index(w.pieces, 5)).To(BeNumerically(">", 0))
@@ -89,7 +89,7 @@
 
 	It("starts again with a newer one once the changes no longer lead on from it", func() {
 		w, one := laden(540)
-		w.eats = func(_ *node, call peerapi.AppendCall) bool { return call.Piece != nil && call.Piece.Number == 4 }
+		w.eats = func(_ *node, call peerapi.AppendCall) bool { return call.Chunk != nil && call.Chunk.Number == 4 }
 		one.wipe("disk-fresh")
 		w.work(3 * time.Second)
 		w.eats = nil
--- a/internal/replication/voters_test.go
+++ b/internal/replication/voters_test.go
@@ -293,7 +293,7 @@
 			return !slices.Contains(w.voters(), victim.disk.name)
 		})
 		victim.isFrozen = false
-		var last [2]peerapi.Stamp
+		var last [2]peerapi.LogPosition
 		for place := range last {
 			for range 100 {
 				w.write()
@@ -317,7 +317,7 @@
 		w.write()
 		w.run(500 * time.Millisecond)
 		Expect(isVoter(victim)).To(BeTrue())
-		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(peerapi.Stamp{}))
+		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(peerapi.LogPosition{}))
 	})
 
 	It("keep a lost one while there is none to take its place", func() {
--- a/internal/replication/swap.go
+++ b/internal/replication/voterset.go
@@ -14,7 +14,7 @@
 
 // considerVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over domains.
 func (e *Engine) considerVoters() {
-	if len(e.set.Old) > 0 || e.setStep > e.committed {
+	if len(e.set.Old) > 0 || e.setIndex > e.committed {
 		return
 	}
 	members := e.members()
@@ -43,19 +43,19 @@
 		return
 	}
 	e.log.Info("changing the voters of a key", "key", e.key, "from", e.set.Now, "to", next)
-	e.submit(nil, &peerapi.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
+	e.propose(nil, &peerapi.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
 }
 
 func (e *Engine) hasCaughtUp(one *follower) bool {
-	return one.isKnown && one.acked.Epoch == e.epoch && e.last.Step-one.acked.Step <= mostBehind
+	return one.isKnown && one.acked.Epoch == e.epoch && e.last.Index-one.acked.Index <= mostBehind
 }
 
 func (e *Engine) finishSwap() {
-	if e.phase != phaseOwner || len(e.set.Old) == 0 || e.setStep > e.committed {
+	if e.phase != phaseLeading || len(e.set.Old) == 0 || e.setIndex > e.committed {
 		return
 	}
 	final := peerapi.VoterSet{Now: e.set.Now}
-	e.submit(nil, &final, func(error) {})
+	e.propose(nil, &final, func(error) {})
 }
 
 func (e *Engine) forgetOutsiders() {
@@ -69,7 +69,7 @@
 // isLost tells whether a voter's machine came back with another disk, or has not answered for long.
 // It only matters once there is a learner to take its place, so a voter that is merely slow is kept elsewhere.
 func (e *Engine) isLost(members []peerapi.Member, disk string) bool {
-	return disk != e.disk && (isReplaced(members, disk) || e.clock.Steady()-e.follow(disk).heardAt > e.timing.LostAfter)
+	return disk != e.disk && (isReplaced(members, disk) || e.clock.Steady()-e.follow(disk).lastContact > e.timing.LostAfter)
 }
 
 func isReplaced(members []peerapi.Member, disk string) bool {
@@ -94,7 +94,7 @@
 		if member.Disk == "" || member.State != peerapi.StateAlive || slices.Contains(e.set.Now, member.Disk) {
 			continue
 		}
-		if one := e.followers[member.Disk]; one != nil && e.clock.Steady()-one.heardAt > e.timing.LostAfter {
+		if one := e.followers[member.Disk]; one != nil && e.clock.Steady()-one.lastContact > e.timing.LostAfter {
 			continue
 		}
 		fit = append(fit, member.Disk)
--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -34,7 +34,9 @@
 func (d *fakeDisk) Disk() string { return d.name }
 func (d *fakeDisk) Bare() bool   { return d.isBare }
 
-func (d *fakeDisk) Heads() (map[string]storage.Head, error) { return maps.Clone(d.Shelf.Heads), nil }
+func (d *fakeDisk) Heads() (map[string]storage.ReplicaState, error) {
+	return maps.Clone(d.Shelf.Heads), nil
+}
 
 func (d *fakeDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	d.line = append(d.line, func() { done(d.Apply(write)) })
@@ -43,11 +45,11 @@
 type machine struct {
 	world  *world
 	node   *node
-	tenure *replication.Tenure
+	tenure *replication.Leadership
 	held   map[string]string
 }
 
-func (m *machine) Open(tenure *replication.Tenure, pairs []peerapi.Op) error {
+func (m *machine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
 	m.tenure, m.held = tenure, map[string]string{}
 	for _, pair := range pairs {
 		m.held[pair.Name] = string(pair.Value)
@@ -148,7 +150,7 @@
 	n.replicas = replicas
 	n.machine = &machine{world: n.world, node: n}
 	n.engine = replication.NewEngine(key, n.disk.name, n.name, n.clock, &road{n, n.life}, n.machine, n.world.members,
-		replication.WithBirth(n.world.birth()), replication.WithMachineLosses(n.world.losses))
+		replication.WithInitialVoters(n.world.birth()), replication.WithMachineLosses(n.world.losses))
 }
 
 func (n *node) kill() { n.isUp = false; n.life++; n.disk.line = nil }
@@ -234,7 +236,7 @@
 }
 
 func (r *road) Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
-	if call.Trial {
+	if call.PreVote {
 		r.node.world.trials++
 	}
 	to := r.node.world.byDisk(disk)
@@ -246,14 +248,14 @@
 		r.node.world.wholes++
 	}
 	to := r.node.world.byDisk(disk)
-	if call.Piece != nil {
-		r.node.world.pieces = append(r.node.world.pieces, call.Piece.Number)
+	if call.Chunk != nil {
+		r.node.world.pieces = append(r.node.world.pieces, call.Chunk.Number)
 	}
 	if to != nil && r.node.world.eats != nil && r.node.world.eats(to, call) {
 		to = nil
 	}
 	if to != nil && to.isOld {
-		call.Piece = nil
+		call.Chunk = nil
 	}
 	carry(r.node.world, r.node, to, time.Second, func(answer func(peerapi.AppendAnswer)) {
 		to.replicas.Append(call, func(told peerapi.AppendAnswer) {
@@ -284,8 +286,8 @@
 	}, done)
 }
 
-func (r *road) Standing(key string, done func(replication.Standing)) {
-	done(r.node.replicas.Standing(key))
+func (r *road) Status(key string, done func(replication.ReplicaStatus)) {
+	done(r.node.replicas.Status(key))
 }
 
 func (r *road) History(key string, done func(replication.History)) {
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Page) { b.node.HoldsPlan(page.Fact.Version) })
+	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
 	b.join(peerapi.Member{Role: "gate"}, membership.OnPlanAhead(book.Ahead))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	defer kept.close()
-	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Page) { b.node.HoldsPlan(page.Fact.Version) })
+	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
 	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
--- a/internal/roles/storage_test.go
+++ b/internal/roles/storage_test.go
@@ -56,13 +56,13 @@
 		GinkgoT().Setenv("TMPDIR", filepath.Join(GinkgoT().TempDir(), "gone"))
 		kept, err := open()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.member("c").MayOwn()).To(BeFalse())
+		Expect(kept.member("c").MayLead()).To(BeFalse())
 	})
 
 	It("is nowhere for a steward that is neither a seed nor has a disk", func() {
 		settings.Listen.Control = "10.0.0.2:1"
 		kept, err := open()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.member("c").MayOwn()).To(BeFalse())
+		Expect(kept.member("c").MayLead()).To(BeFalse())
 	})
 })
--- a/internal/scalerun/load.go
+++ b/internal/scalerun/load.go
@@ -38,11 +38,11 @@
 	Tries      int    `json:"tries"`
 }
 
-func (r *run) plan(version int) configuration.Plan {
-	plan := configuration.Plan{Version: int64(version), Services: []configuration.Service{{Name: service, ConnCap: 64, Guards: true, Protocol: "h1"}},
+func (r *run) plan(version int) configuration.Configuration {
+	plan := configuration.Configuration{Version: int64(version), Services: []configuration.Service{{Name: service, ConnCap: 64, Guards: true, Protocol: "h1"}},
 		Limits: configuration.Limits{HeaderBytes: 16384, BodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
 	add := func(name, prefix string, priority int) {
-		plan.Entries = append(plan.Entries, configuration.Entry{Name: name, Host: host, Prefix: prefix, Kind: "non_idempotent", TimeoutMs: 3000,
+		plan.Entries = append(plan.Entries, configuration.Route{Name: name, Host: host, Prefix: prefix, Kind: "non_idempotent", TimeoutMs: 3000,
 			TargetMs: 1000, Priority: priority, Service: service, MaxAttempts: 4, Stretch: 2})
 	}
 	add("load", queueLoad, 1)
--- a/internal/stage/disk.go
+++ b/internal/stage/disk.go
@@ -11,12 +11,12 @@
 
 // Shelf is what lies on a disk; it takes writes as the real store does.
 type Shelf struct {
-	Heads map[string]storage.Head
+	Heads map[string]storage.ReplicaState
 	pairs map[string]map[string][]byte
 }
 
 func NewShelf() *Shelf {
-	return &Shelf{Heads: map[string]storage.Head{}, pairs: map[string]map[string][]byte{}}
+	return &Shelf{Heads: map[string]storage.ReplicaState{}, pairs: map[string]map[string][]byte{}}
 }
 
 func (s *Shelf) Read(key string) (peerapi.Snapshot, error) {
@@ -44,7 +44,7 @@
 	}
 	for _, change := range write.Changes {
 		s.put(write.Key, change.Ops)
-		head.Last = change.Stamp
+		head.Last = change.Position
 		if change.Set != nil {
 			head.Set = *change.Set
 		}
@@ -88,7 +88,9 @@
 func (d *Disk) Disk() string { return d.name }
 func (d *Disk) Bare() bool   { return d.isBare }
 
-func (d *Disk) Heads() (map[string]storage.Head, error) { return maps.Clone(d.Shelf.Heads), nil }
+func (d *Disk) Heads() (map[string]storage.ReplicaState, error) {
+	return maps.Clone(d.Shelf.Heads), nil
+}
 
 func (d *Disk) Submit(write storage.Write, done func(storage.Outcome)) {
 	d.waiting = append(d.waiting, func() { done(d.Apply(write)) })
--- a/internal/stage/node.go
+++ b/internal/stage/node.go
@@ -48,7 +48,7 @@
 		pool := poolowner.New(key, n.stage.Line.Clock, n.stage.timing, n.stage.log, n.stage.pool...)
 		n.pools[key] = pool
 		n.engines[key] = replication.NewEngine(key, n.disk.name, n.Name, n.stage.Line.Clock, &road{n, n.life}, poolowner.Opener{Pool: pool},
-			n.stage.members, replication.WithBirth(n.stage.birth()), replication.WithLog(n.stage.log))
+			n.stage.members, replication.WithInitialVoters(n.stage.birth()), replication.WithLog(n.stage.log))
 	}
 	n.tick(n.life)
 }
@@ -178,8 +178,8 @@
 	}, done)
 }
 
-func (r *road) Standing(key string, done func(replication.Standing)) {
-	done(r.node.replicas.Standing(key))
+func (r *road) Status(key string, done func(replication.ReplicaStatus)) {
+	done(r.node.replicas.Status(key))
 }
 
 func (r *road) History(key string, done func(replication.History)) {
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -144,7 +144,7 @@
 // Owner is the steward that holds the pool now, if any does.
 func (s *Stage) Owner() *Node {
 	place := slices.IndexFunc(s.Nodes, func(one *Node) bool {
-		return one.isUp && !one.isFrozen && one.engines[s.keys[0]].IsOwner()
+		return one.isUp && !one.isFrozen && one.engines[s.keys[0]].IsLeader()
 	})
 	if place < 0 {
 		return nil
@@ -228,7 +228,7 @@
 }
 
 // HandIn gives a job to the system, and tells the judge what was given.
-func (s *Stage) HandIn(id, entry string, body []byte, terms peerapi.EntryTerms, answer func(peerapi.ClientAnswer)) error {
+func (s *Stage) HandIn(id, entry string, body []byte, terms peerapi.RouteTerms, answer func(peerapi.ClientAnswer)) error {
 	spec, err := jobtable.Read(body)
 	if err != nil {
 		return err
--- a/internal/stage/stage_test.go
+++ b/internal/stage/stage_test.go
@@ -45,7 +45,7 @@
 }
 
 func (c *crowd) handIn(number int, body string) {
-	terms := peerapi.EntryTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}
+	terms := peerapi.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}
 	Expect(c.HandIn(id(number), "cover", []byte(body), terms, func(answer peerapi.ClientAnswer) {
 		if answer.Status == 200 {
 			c.accepted[id(number)] = true
--- a/internal/storage/head_easyjson.go
+++ b/internal/storage/head_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson4963be46DecodeGannetlineInternalKeystore(in *jlexer.Lexer, out *Head) {
+func easyjson4963be46DecodeGannetlineInternalStorage(in *jlexer.Lexer, out *ReplicaState) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -59,7 +59,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4963be46EncodeGannetlineInternalKeystore(out *jwriter.Writer, in Head) {
+func easyjson4963be46EncodeGannetlineInternalStorage(out *jwriter.Writer, in ReplicaState) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -82,25 +82,25 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Head) MarshalJSON() ([]byte, error) {
+func (v ReplicaState) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4963be46EncodeGannetlineInternalKeystore(&w, v)
+	easyjson4963be46EncodeGannetlineInternalStorage(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Head) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4963be46EncodeGannetlineInternalKeystore(w, v)
+func (v ReplicaState) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson4963be46EncodeGannetlineInternalStorage(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Head) UnmarshalJSON(data []byte) error {
+func (v *ReplicaState) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4963be46DecodeGannetlineInternalKeystore(&r, v)
+	easyjson4963be46DecodeGannetlineInternalStorage(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Head) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4963be46DecodeGannetlineInternalKeystore(l, v)
+func (v *ReplicaState) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson4963be46DecodeGannetlineInternalStorage(l, v)
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -32,7 +32,7 @@
 type Write struct {
 	Key      string
 	Epoch    uint64
-	Prev     peerapi.Stamp
+	Prev     peerapi.LogPosition
 	Changes  []peerapi.Change
 	Snapshot *peerapi.Snapshot
 	Promise  bool
@@ -40,7 +40,7 @@
 
 type Outcome struct {
 	Taken bool
-	Head  Head
+	Head  ReplicaState
 	Err   error
 }
 
@@ -203,7 +203,7 @@
 			if err := putAll(pairs, change.Ops); err != nil {
 				return Outcome{}, err
 			}
-			head.Last = change.Stamp
+			head.Last = change.Position
 			if change.Set != nil {
 				head.Set = *change.Set
 			}
@@ -246,8 +246,8 @@
 	return nil
 }
 
-func readHead(heads *bolt.Bucket, key string) (Head, error) {
-	var head Head
+func readHead(heads *bolt.Bucket, key string) (ReplicaState, error) {
+	var head ReplicaState
 	text := heads.Get([]byte(key))
 	if text == nil {
 		return head, nil
@@ -255,11 +255,11 @@
 	return head, easyjson.Unmarshal(bytes.Clone(text), &head)
 }
 
-func (s *Store) Heads() (map[string]Head, error) {
-	all := map[string]Head{}
+func (s *Store) Heads() (map[string]ReplicaState, error) {
+	all := map[string]ReplicaState{}
 	err := s.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketHeads).ForEach(func(key, text []byte) error {
-			var head Head
+			var head ReplicaState
 			if err := easyjson.Unmarshal(bytes.Clone(text), &head); err != nil {
 				return err
 			}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -18,10 +18,12 @@
 	return <-heard
 }
 
-func at(epoch, step uint64) peerapi.Stamp { return peerapi.Stamp{Epoch: epoch, Step: step} }
+func at(epoch, step uint64) peerapi.LogPosition {
+	return peerapi.LogPosition{Epoch: epoch, Index: step}
+}
 
 func change(epoch, step uint64, name, value string) peerapi.Change {
-	return peerapi.Change{Stamp: at(epoch, step), Ops: []peerapi.Op{{Name: name, Value: []byte(value)}}}
+	return peerapi.Change{Position: at(epoch, step), Ops: []peerapi.Op{{Name: name, Value: []byte(value)}}}
 }
 
 var _ = Describe("the store", func() {
