--- /dev/null
+++ b/internal/executorcalls/kept_test.go
@@ -0,0 +1,185 @@
+package executorcalls_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/executorcalls"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/span"
+)
+
+// scriptedExecutor answers the calls that reach it, one script after the other, on connections that it keeps or breaks.
+type scriptedExecutor struct {
+	listener net.Listener
+	guard    sync.Mutex
+	scripts  []func(net.Conn)
+	seen     []string
+	lives    []string
+}
+
+func newScriptedExecutor(scripts ...func(net.Conn)) *scriptedExecutor {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	Expect(err).NotTo(HaveOccurred())
+	one := &scriptedExecutor{listener: listener, scripts: scripts}
+	go one.accept()
+	return one
+}
+
+func (e *scriptedExecutor) accept() {
+	for {
+		connection, err := e.listener.Accept()
+		if err != nil {
+			return
+		}
+		go e.serve(connection)
+	}
+}
+
+func (e *scriptedExecutor) serve(connection net.Conn) {
+	defer connection.Close()
+	reader := bufio.NewReader(connection)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(request.Body)
+		if err != nil {
+			return
+		}
+		if script := e.take(request, body); script != nil {
+			script(connection)
+		}
+	}
+}
+
+func (e *scriptedExecutor) take(request *http.Request, body []byte) func(net.Conn) {
+	e.guard.Lock()
+	defer e.guard.Unlock()
+	e.seen = append(e.seen, request.URL.Path+" "+string(body))
+	e.lives = append(e.lives, request.Header.Get("X-Expected-Executor"))
+	if len(e.scripts) == 0 {
+		return nil
+	}
+	script := e.scripts[0]
+	e.scripts = e.scripts[1:]
+	return script
+}
+
+func (e *scriptedExecutor) calls() []string {
+	e.guard.Lock()
+	defer e.guard.Unlock()
+	return append([]string(nil), e.seen...)
+}
+
+func says(status int, body string) func(net.Conn) {
+	return func(to net.Conn) {
+		fmt.Fprintf(to, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	}
+}
+
+func resets(to net.Conn) {
+	_ = to.(*net.TCPConn).SetLinger(0)
+	to.Close()
+}
+
+func closes(to net.Conn) { to.Close() }
+
+// cutsShort promises more of a body than it sends.
+func cutsShort(to net.Conn) {
+	fmt.Fprint(to, "HTTP/1.1 200 X\r\nContent-Length: 500\r\n\r\n{\"clock-ms\":7")
+	to.Close()
+}
+
+func keepsSilent(net.Conn) {}
+
+var _ = Describe("a call to an executor over a connection that was kept", func() {
+	const limit = 300 * time.Millisecond
+	start := executorcalls.RunStart{Task: "a.0.0.0", Run: 1, Spec: "d", ExpiryMs: 9, Fence: 3}
+	stop := executorcalls.RunStop{Task: "a.0.0.0", Run: 1, Fence: 3}
+	var executor *scriptedExecutor
+	var client *executorcalls.Client
+	begin := func(scripts ...func(net.Conn)) {
+		executor = newScriptedExecutor(scripts...)
+		client = executorcalls.NewClient(peerapi.Client(2*time.Second, 8), executor.listener.Addr().String())
+	}
+	AfterEach(func() { executor.listener.Close() })
+	runStart := func() (int, executorcalls.Answer, error) {
+		return client.Call(span.Root(), "/v1/run-start", "i-1", limit, start)
+	}
+
+	DescribeTable("is sent once, whatever becomes of the connection", func(fate func(net.Conn)) {
+		begin(says(200, `{"clock-ms":5}`), fate, says(200, `{"clock-ms":6}`), says(200, `{"clock-ms":6}`))
+		_, answer, err := runStart()
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.ClockMs).To(Equal(int64(5)))
+		_, _, err = runStart()
+		Expect(err).To(HaveOccurred())
+		Expect(peerapi.NeverSent(err)).To(BeFalse())
+		Consistently(executor.calls, limit, limit/6).Should(HaveLen(2))
+		_, _, err = client.Call(span.Root(), "/v1/run-stop", "i-1", limit, stop)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(executor.calls()).To(HaveLen(3))
+		Expect(executor.calls()[2]).To(HavePrefix("/v1/run-stop"))
+	},
+		Entry("reset instead of an answer", resets),
+		Entry("closed instead of an answer", closes),
+		Entry("broken off within the answer", cutsShort),
+		Entry("frozen", keepsSilent),
+	)
+
+	It("gets no answer that belongs to a call before it", func() {
+		released := make(chan struct{})
+		begin(func(to net.Conn) {
+			go func() {
+				<-released
+				says(200, `{"clock-ms":11}`)(to)
+			}()
+		}, says(409, `{"clock-ms":22,"reason":"old"}`), says(200, `{"clock-ms":33}`))
+		_, _, err := runStart()
+		Expect(err).To(HaveOccurred())
+		close(released)
+		status, answer, err := runStart()
+		Expect(err).NotTo(HaveOccurred())
+		Expect(status).To(Equal(409))
+		Expect(answer.ClockMs).To(Equal(int64(22)))
+		_, answer, err = runStart()
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.ClockMs).To(Equal(int64(33)))
+	})
+
+	It("names the life that it is meant for, each time, and hears that another one is there", func() {
+		begin(says(200, "{}"), says(421, ""))
+		for _, life := range []string{"i-1", "i-2"} {
+			status, _, err := client.Call(span.Root(), "/v1/hold", life, limit, executorcalls.Hold{Fence: 1})
+			Expect(err).NotTo(HaveOccurred())
+			Expect(status).To(Equal(map[string]int{"i-1": 200, "i-2": 421}[life]))
+		}
+		Expect(executor.lives).To(Equal([]string{"i-1", "i-2"}))
+	})
+
+	It("is known as never sent only if nobody listens there", func() {
+		begin()
+		executor.listener.Close()
+		_, _, err := runStart()
+		Expect(err).To(HaveOccurred())
+		Expect(peerapi.NeverSent(err)).To(BeTrue())
+	})
+
+	It("takes a whole answer that can't be read for no answer", func() {
+		begin(says(200, strings.Repeat("{", 5)))
+		_, _, err := runStart()
+		Expect(err).To(HaveOccurred())
+		Expect(peerapi.NeverSent(err)).To(BeFalse())
+	})
+})
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -134,7 +134,7 @@
 		}
 	}
 	outcome := g.asker.Ask(life, decision.Call, decision.Limit)
-	return replyOf(decision.Call, outcome)
+	return ReplyOf(decision.Call, outcome)
 }
 
 // askFormer looks for the job in the pool that its queue was sent to before.
@@ -148,10 +148,11 @@
 	if outcome.Answer == nil {
 		return reply.Later(http.StatusServiceUnavailable, 1, "the queue's former owner does not answer"), true
 	}
-	return replyOf(&call, outcome), outcome.Answer.Status == http.StatusOK
+	return ReplyOf(&call, outcome), outcome.Answer.Status == http.StatusOK
 }
 
-func replyOf(call *peerapi.ClientCall, outcome leaderclient.Outcome) reply.Reply {
+// ReplyOf is what a client is told of an outcome. A hand-in is only refused if no steward can have taken it.
+func ReplyOf(call *peerapi.ClientCall, outcome leaderclient.Outcome) reply.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil && outcome.MaySee && call.Verb == "hand-in":
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/gatecalls/gatecalls_test.go
@@ -83,6 +83,16 @@
 		}
 	})
 
+	DescribeTable("refuses a hand-in only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
+		Expect(gatecalls.ReplyOf(&peerapi.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
+	},
+		Entry("nobody was reached", leaderclient.Outcome{}, 503),
+		Entry("the first try was not answered", leaderclient.Outcome{MaySee: true}, 504),
+		Entry("the first try was not answered, a later one was turned away",
+			leaderclient.Outcome{MaySee: true, Answer: &peerapi.ClientAnswer{Status: 429, Why: "full"}}, 504),
+		Entry("all were turned away", leaderclient.Outcome{Answer: &peerapi.ClientAnswer{Status: 429, Why: "full"}}, 429),
+	)
+
 	It("refuses a strange count of time, and answers 503 while there is no plan", func() {
 		one := request("GET", "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "soon")
--- a/internal/leaderclient/leaderclient.go
+++ b/internal/leaderclient/leaderclient.go
@@ -1,4 +1,4 @@
-// Package leaderclient finds a key's owner and asks it, again and elsewhere until there is no time left.
+// Package leaderclient finds a key's leader and asks it, again and elsewhere until there is no time left.
 package leaderclient
 
 import (
@@ -12,88 +12,52 @@
 )
 
 const (
+	perTry     = 450 * time.Millisecond
 	pauseShort = 30 * time.Millisecond
 	pauseLong  = 120 * time.Millisecond
+	quickTries = 3
 )
 
+// Asker sends calls to the leaders of keys.
 type Asker struct {
 	caller *peerapi.Caller
 	clock  pulse.Pulse
 	view   func() *membership.View
-	perTry time.Duration
 }
 
+// New makes an asker that finds leaders by the view it is given at each try.
 func New(caller *peerapi.Caller, clock pulse.Pulse, view func() *membership.View) *Asker {
-	return &Asker{caller: caller, clock: clock, view: view, perTry: 450 * time.Millisecond}
+	return &Asker{caller: caller, clock: clock, view: view}
 }
 
-// Outcome says what is known after asking: MaySee is set while some steward may have taken the call.
-type Outcome struct {
-	Answer *peerapi.ClientAnswer
-	MaySee bool
-}
-
-// Ask returns an answer of the owner, or none once the time is over.
+// Ask gives an answer of the leader, or none once the limit or the span is over.
 func (a *Asker) Ask(life span.Span, call *peerapi.ClientCall, limit time.Duration) Outcome {
-	var outcome Outcome
-	end := a.clock.Steady() + limit
-	hint := ""
-	for try := 0; ; try++ {
-		left := end - a.clock.Steady()
-		if left <= 0 || life.Err() != nil {
-			return outcome
-		}
+	attempts := NewAttempts(call.Key, a.clock.Steady()+limit, rand.IntN)
+	for {
 		view := a.view()
-		address := address(view, call.Key, hint, try)
-		hint = ""
-		if address != "" {
-			answer, err := a.askOnce(life, view, address, min(a.perTry, left), call)
-			switch {
-			case err == nil && !answer.Elsewhere:
-				outcome.Answer = answer
-				return outcome
-			case err == nil:
-				hint = answer.Owner
-			case !peerapi.NeverSent(err):
-				outcome.MaySee = true
-			}
+		try, isLeft := attempts.Next(view, a.clock.Steady())
+		if !isLeft || life.Err() != nil {
+			return attempts.Outcome()
 		}
-		wait := pauseShort
-		if try > 2 {
-			wait = pauseLong
+		if try.Address != "" {
+			answer, err := a.askOnce(life, view, try, call)
+			if err != nil {
+				attempts.Failed(peerapi.NeverSent(err))
+			} else if attempts.Answered(answer) {
+				return attempts.Outcome()
+			}
 		}
 		select {
 		case <-life.Done():
-			return outcome
-		case <-a.clock.After(min(wait, left)):
+			return attempts.Outcome()
+		case <-a.clock.After(attempts.Pause(a.clock.Steady())):
 		}
 	}
 }
 
-// askOnce gives up early if the key is heard to have another owner.
-func (a *Asker) askOnce(life span.Span, view *membership.View, address string, limit time.Duration, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+// askOnce gives up early if the key is heard to have another leader.
+func (a *Asker) askOnce(life span.Span, view *membership.View, try Try, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
 	patience, release := membership.UntilMoved(life, view)
 	defer release()
-	return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](a.caller, patience, address, peerapi.ProcedureClient, limit, call)
-}
-
-// address prefers the hint, then the known owner, then any steward that may own keys.
-func address(view *membership.View, key, hint string, try int) string {
-	if hinted, isThere := view.Steward(hint); isThere {
-		return hinted.Address
-	}
-	known, isThere := view.Steward(view.Owners[key].Name)
-	if isThere && try%3 != 2 {
-		return known.Address
-	}
-	var others []string
-	for _, member := range view.Stewards {
-		if member.MayLead() && member.State == peerapi.StateAlive {
-			others = append(others, member.Address)
-		}
-	}
-	if len(others) > 0 {
-		return others[rand.IntN(len(others))]
-	}
-	return known.Address
+	return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](a.caller, patience, try.Address, peerapi.ProcedureClient, try.Limit, call)
 }
--- a/internal/leaderclient/leaderclient_test.go
+++ b/internal/leaderclient/leaderclient_test.go
@@ -1,7 +1,9 @@
 package leaderclient
 
 import (
+	"math/rand/v2"
 	"testing"
+	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -20,7 +22,40 @@
 		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
 			{Name: "b", Role: "steward", Address: "b:1"}, {Name: "c", Role: "gate", Address: "c:1", Disk: "e"}}}
 		for try := range 30 {
-			Expect(address(view, "plan", "", try)).To(Equal("a:1"))
+			Expect(address(view, "plan", "", try, rand.IntN)).To(Equal("a:1"))
 		}
 	})
 })
+
+var _ = Describe("the attempts of one call", func() {
+	view := &membership.View{Owners: map[string]peerapi.LeaderFact{"pool/s": {Name: "a"}}, Stewards: []peerapi.Member{
+		{Name: "a", Role: membership.RoleSteward, Address: "a:1", Disk: "d"}, {Name: "b", Role: membership.RoleSteward, Address: "b:1", Disk: "e"}}}
+	var attempts *Attempts
+	BeforeEach(func() { attempts = NewAttempts("pool/s", time.Second, func(int) int { return 0 }) })
+
+	It("go to the known leader, and then where that one points", func() {
+		try, isLeft := attempts.Next(view, 0)
+		Expect(try).To(Equal(Try{Address: "a:1", Limit: perTry}))
+		Expect(isLeft).To(BeTrue())
+		Expect(attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true, Owner: "b"})).To(BeFalse())
+		try, _ = attempts.Next(view, 800*time.Millisecond)
+		Expect(try).To(Equal(Try{Address: "b:1", Limit: 200 * time.Millisecond}))
+		_, isLeft = attempts.Next(view, time.Second)
+		Expect(isLeft).To(BeFalse())
+	})
+
+	DescribeTable("know whether some leader may have taken the call", func(happen func(), maySee bool) {
+		happen()
+		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
+		attempts.Failed(true)
+		attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true})
+		attempts.Answered(&peerapi.ClientAnswer{Status: 503})
+		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
+		Expect(attempts.Outcome().Answer.Status).To(Equal(503))
+	},
+		Entry("not after a call that reached nobody", func() { attempts.Failed(true) }, false),
+		Entry("not after one who leads no more", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true}) }, false),
+		Entry("after a call that was not answered", func() { attempts.Failed(false) }, true),
+		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true, Unsure: true}) }, true),
+	)
+})
--- /dev/null
+++ b/internal/modelcheck/ordermodel/network.go
@@ -0,0 +1,126 @@
+package ordermodel
+
+import (
+	"time"
+
+	"github.com/juju/errors"
+)
+
+var errNoAnswer = errors.New("no answer in time")
+
+// process is one that may be killed, frozen and cut off; what arrives while it is frozen runs once it wakes.
+type process struct {
+	world       *world
+	name        string
+	isUp        bool
+	isFrozen    bool
+	incarnation int
+	// isOnce is set where a call is never doubled: nothing sends a client's call a second time but the client.
+	isOnce bool
+	// isDeaf and isMute are the two directions of a cut.
+	isDeaf bool
+	isMute bool
+	// group is the side of a partition; only processes of one group reach each other.
+	group   int
+	waiting []func()
+}
+
+func (p *process) kill() {
+	p.isUp, p.isFrozen, p.waiting = false, false, nil
+	p.incarnation++
+}
+
+func (p *process) boot() {
+	p.isUp, p.isFrozen, p.waiting = true, false, nil
+	p.incarnation++
+}
+
+func (p *process) wake() {
+	waiting := p.waiting
+	p.isFrozen, p.waiting = false, nil
+	p.world.queue.random.Shuffle(len(waiting), func(one, two int) { waiting[one], waiting[two] = waiting[two], waiting[one] })
+	for _, run := range waiting {
+		p.world.queue.after(0, run)
+	}
+}
+
+// enter runs something inside the process, if the same incarnation of it is still there.
+func (p *process) enter(incarnation int, run func()) {
+	switch {
+	case !p.isUp || p.incarnation != incarnation:
+	case p.isFrozen:
+		p.waiting = append(p.waiting, func() { p.enter(incarnation, run) })
+	default:
+		run()
+	}
+}
+
+// later runs something inside the process after a while.
+func (p *process) later(wait time.Duration, run func()) {
+	incarnation := p.incarnation
+	p.world.queue.after(wait, func() { p.enter(incarnation, run) })
+}
+
+// reaches tells whether a message gets from one process to another at present; clients stand on both sides.
+func (p *process) reaches(to *process) bool {
+	isOneSide := p.group == to.group || p == p.world.outside || to == p.world.outside
+	return p == to || !p.isMute && !to.isDeaf && isOneSide
+}
+
+func (p *process) isReachable() bool { return p.isUp && !p.isFrozen && !p.isDeaf && !p.isMute }
+
+// hop is how messages fare on their way at present, in percent and milliseconds.
+type hop struct {
+	lost    int
+	doubled int
+	late    int
+	lateMs  int
+}
+
+// transit is how long a message is on its way.
+func (w *world) transit() time.Duration {
+	wait := w.queue.between(300*time.Microsecond, 2*time.Millisecond)
+	if w.queue.chance(w.hop.late) {
+		w.count("message_late")
+		wait += w.queue.between(0, time.Duration(w.hop.lateMs)*time.Millisecond)
+	}
+	return wait
+}
+
+// send brings a message from one process to another, unless a fault eats it; a fault may double it.
+func (w *world) send(from, to *process, arrive func()) {
+	copies := 1
+	switch {
+	case w.queue.chance(w.hop.lost):
+		w.count("message_lost")
+		copies = 0
+	case !from.isOnce && !to.isOnce && w.queue.chance(w.hop.doubled):
+		w.count("message_doubled")
+		copies = 2
+	}
+	for range copies {
+		w.queue.after(w.transit(), func() {
+			if from.reaches(to) && to.isUp {
+				to.enter(to.incarnation, arrive)
+			}
+		})
+	}
+}
+
+// call asks another process and gives back its first answer, or an error once the limit is over.
+func call[T any](w *world, from, to *process, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	isOver, incarnation := false, from.incarnation
+	finish := func(value T, err error) {
+		if !isOver {
+			isOver = true
+			done(value, err)
+		}
+	}
+	var none T
+	w.queue.after(limit, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
+	w.send(from, to, func() {
+		serve(func(value T) {
+			w.send(to, from, func() { from.enter(incarnation, func() { finish(value, nil) }) })
+		})
+	})
+}
--- /dev/null
+++ b/internal/modelcheck/ordermodel/ordermodel_test.go
@@ -0,0 +1,56 @@
+package ordermodel_test
+
+import (
+	"fmt"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/modelcheck/ordermodel"
+)
+
+const (
+	// sound is how many schedules are played without a planted fault.
+	sound = 600
+	// most is how many schedules a planted fault may stay hidden.
+	most = 4000
+)
+
+var _ = Describe("the model of the order path", func() {
+	model := ordermodel.New()
+
+	It("finds nothing in the sound code", func() {
+		covered := modelcheck.Coverage{}
+		for seed := range uint64(sound) {
+			outcome := model.Run(model.Draw(seed, 1+int(seed%2)))
+			Expect(outcome.Violations).To(BeEmpty(), fmt.Sprint("seed ", seed))
+			covered.Add(outcome.Coverage)
+		}
+		for _, name := range []string{"election", "commit_unknown_to_leader", "power_lost", "hand_over", "executor_late", "executor_busy",
+			"executor_answer_lost", "message_lost", "message_doubled", "message_late", "start_fenced", "start_old", "start_late", "lapsed",
+			"end_broken", "cancelled", "hand_in_unclear"} {
+			Expect(covered[name]).To(BeNumerically(">", 0), name)
+		}
+	})
+
+	It("plays a schedule alike each time", func() {
+		schedule := model.Draw(7, 1)
+		first := model.Run(schedule)
+		Expect(model.Run(schedule)).To(Equal(first))
+	})
+
+	for _, plant := range model.Plants() {
+		It("finds a planted fault: "+plant.Name, func() {
+			for seed := range uint64(most) {
+				schedule := model.Draw(seed, 1)
+				schedule.Plant = plant.Name
+				if outcome := model.Run(schedule); len(outcome.Violations) > 0 {
+					fmt.Fprintln(GinkgoWriter, "seed", seed, outcome.Violations[0])
+					return
+				}
+			}
+			Fail("nothing was found")
+		})
+	}
+})
--- /dev/null
+++ b/internal/modelcheck/ordermodel/plants.go
@@ -0,0 +1,282 @@
+package ordermodel
+
+import (
+	"bytes"
+	"net/http"
+	"time"
+
+	"gannetline/internal/executorcalls"
+	"gannetline/internal/leaderclient"
+	"gannetline/internal/localproxy"
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/poolowner"
+)
+
+// plant puts one fault into the system by wrapping what the model drives; the zero plant changes nothing.
+type plant struct {
+	name string
+}
+
+// Names of the plants.
+const (
+	plantAnswerByPlace   = "answer-by-place"
+	plantNewRunID        = "resend-under-new-run"
+	plantHoldUngranted   = "hold-without-grant"
+	plantGrantOnArrival  = "grant-from-arrival"
+	plantFenceIgnored    = "old-fence-carried-out"
+	plantLastSeenEarly   = "last-seen-before-commit"
+	plantCancelForgotten = "cancelled-job-started"
+	plantStopUnanswered  = "stop-without-answer"
+	plantRefusedUnclear  = "unclear-hand-in-refused"
+	plantAckEarly        = "acknowledged-before-commit"
+	plantLeaseIgnored    = "lease-not-checked"
+	plantWrongLife       = "other-life-not-refused"
+	plantUnsureForgotten = "unclear-start-called-not-run"
+	plantLookForgotten   = "look-of-an-old-hold"
+)
+
+var plants = []modelcheck.Plant{
+	{Name: plantAnswerByPlace, About: "A proxy takes an executor's answer for the oldest call that waits, not for the call it answers."},
+	{Name: plantNewRunID, About: "A proxy sends a start that was not answered again under the next run-id."},
+	{Name: plantHoldUngranted, About: "A proxy extends holds without a grant of the leader."},
+	{Name: plantGrantOnArrival, About: "A proxy counts a grant from its arrival instead of from when it asked."},
+	{Name: plantFenceIgnored, About: "A proxy carries out the orders of a former leader under the fence of the new one."},
+	{Name: plantLastSeenEarly, About: "A leader acknowledges ends before their commit."},
+	{Name: plantCancelForgotten, About: "A leader acknowledges a cancel whose record it doesn't commit."},
+	{Name: plantStopUnanswered, About: "A proxy reports a stop that was not answered as carried out."},
+	{Name: plantRefusedUnclear, About: "A gate refuses a hand-in though an earlier try of it may have been taken."},
+	{Name: plantAckEarly, About: "A leader takes a change for committed as soon as it is proposed."},
+	{Name: plantLeaseIgnored, About: "A leader grants holds and answers without a lease."},
+	{Name: plantWrongLife, About: "A new executor carries out what was meant for the one before it."},
+	{Name: plantUnsureForgotten, About: "A proxy reports a start that was not answered as certainly not carried out."},
+	{Name: plantLookForgotten, About: "A proxy tells the leader what ran at the hold before the one that was asked for."},
+}
+
+func (p plant) ignoresLife() bool { return p.name == plantWrongLife }
+
+func (p plant) outcome(outcome leaderclient.Outcome) leaderclient.Outcome {
+	if p.name == plantRefusedUnclear {
+		outcome.MaySee = false
+	}
+	return outcome
+}
+
+func (p plant) tenure(fresh *leadership) poolowner.Tenure {
+	switch p.name {
+	case plantCancelForgotten:
+		return forgetfulTenure{fresh}
+	case plantAckEarly:
+		return hastyTenure{fresh}
+	case plantLeaseIgnored:
+		return boldTenure{fresh}
+	}
+	return fresh
+}
+
+// forgetfulTenure leaves out the end of cancelled jobs from what it commits, so that the next leader goes on with them.
+type forgetfulTenure struct{ *leadership }
+
+func (t forgetfulTenure) Commit(ops []peerapi.Op, done func(error)) {
+	var kept []peerapi.Op
+	for _, op := range ops {
+		isEnd := op.Name[0] == 's' && bytes.Contains(op.Value, []byte(`"cancelled"`))
+		if isEnd {
+			t.key.world.forgotten["j/"+op.Name[2:]] = true
+		}
+		isForgetting := len(op.Value) == 0 && t.key.world.forgotten[op.Name]
+		if !isEnd && !isForgetting {
+			kept = append(kept, op)
+		}
+	}
+	t.leadership.Commit(kept, done)
+}
+
+type hastyTenure struct{ *leadership }
+
+func (t hastyTenure) Commit(ops []peerapi.Op, done func(error)) {
+	t.leadership.Commit(ops, func(error) {})
+	t.steward.later(0, func() {
+		done(nil)
+		t.steward.settle()
+	})
+}
+
+type boldTenure struct{ *leadership }
+
+func (t boldTenure) HasLease() bool { return t.isOpen }
+
+func (p plant) scheduler(pool scheduler) scheduler {
+	if p.name == plantLastSeenEarly {
+		return hastyScheduler{pool}
+	}
+	return pool
+}
+
+// hastyScheduler acknowledges whatever ends a call brings.
+type hastyScheduler struct{ scheduler }
+
+func (s hastyScheduler) Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
+	seen := int64(0)
+	if len(call.Ends) > 0 {
+		seen = call.Ends[len(call.Ends)-1].Number
+	}
+	s.scheduler.Exchange(call, func(told peerapi.ExchangeAnswer) {
+		if told.Fence > 0 && !told.Elsewhere {
+			told.LastSeen = max(told.LastSeen, seen)
+		}
+		answer(told)
+	})
+	if seen > 0 {
+		answer(peerapi.ExchangeAnswer{Fence: call.Fence, LastSeen: seen, Held: call.Base})
+	}
+}
+
+func (p plant) table(owner *proxy, table *localproxy.Table) proxyTable {
+	one := plantedTable{Table: table, proxy: owner}
+	switch p.name {
+	case plantNewRunID:
+		return &renumberingTable{one, map[string]int64{}}
+	case plantHoldUngranted:
+		return &ungrantedTable{one}
+	case plantGrantOnArrival:
+		return &lateGrantTable{one}
+	case plantFenceIgnored:
+		return &unfencedTable{plantedTable: one}
+	case plantStopUnanswered:
+		return &stoppingTable{one}
+	case plantUnsureForgotten:
+		return &forgetfulTable{one}
+	case plantLookForgotten:
+		return &oldLookTable{plantedTable: one}
+	}
+	return table
+}
+
+type plantedTable struct {
+	*localproxy.Table
+	proxy *proxy
+}
+
+type renumberingTable struct {
+	plantedTable
+	tries map[string]int64
+}
+
+func (t *renumberingTable) Ready(life string, order peerapi.Order) (localproxy.OrderWork, bool) {
+	work, isDue := t.Table.Ready(life, order)
+	if isDue && order.Kind == "launch" {
+		work.Order.Run += t.tries[order.Task]
+	}
+	return work, isDue
+}
+
+func (t *renumberingTable) Unanswered(work localproxy.OrderWork) {
+	t.tries[work.Order.Task]++
+	t.Table.Unanswered(work)
+}
+
+type ungrantedTable struct{ plantedTable }
+
+func (t *ungrantedTable) NextHold(isLook bool) (localproxy.HoldWork, bool) {
+	work, isDue := t.Table.NextHold(isLook)
+	if work.Hold.ExpiryMs > 0 {
+		work.Hold.ExpiryMs += int64(t.proxy.world.timing.MaxHold / time.Millisecond)
+	}
+	return work, isDue
+}
+
+type lateGrantTable struct{ plantedTable }
+
+func (t *lateGrantTable) Told(call *peerapi.ExchangeCall, _ time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order {
+	return t.Table.Told(call, t.proxy.world.queue.now(), answer)
+}
+
+// unfencedTable carries out, under the fence of a new leader, what the former one ordered last.
+type unfencedTable struct {
+	plantedTable
+	fence  uint64
+	former []peerapi.Order
+}
+
+const formerOrders = 8
+
+func (t *unfencedTable) Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order {
+	orders := t.Table.Told(call, askedAt, answer)
+	if answer.Fence > t.fence {
+		t.fence = answer.Fence
+		orders = append(orders, t.former...)
+	}
+	for _, order := range orders {
+		if order.Kind == "launch" {
+			t.former = append(t.former, order)
+		}
+	}
+	t.former = t.former[max(0, len(t.former)-formerOrders):]
+	return orders
+}
+
+type stoppingTable struct{ plantedTable }
+
+func (t *stoppingTable) Carried(work localproxy.OrderWork, result string) {
+	if work.Order.Kind == "stop" && result == "timeout" {
+		result = "ok"
+	}
+	t.Table.Carried(work, result)
+}
+
+type forgetfulTable struct{ plantedTable }
+
+func (t *forgetfulTable) Unanswered(localproxy.OrderWork) {}
+
+func (t *forgetfulTable) Carried(work localproxy.OrderWork, result string) {
+	if work.Order.Kind == "launch" && result == "timeout" {
+		result = "not-run"
+	}
+	t.Table.Carried(work, result)
+}
+
+// oldLookTable answers a hold with the list that the hold before it brought.
+type oldLookTable struct {
+	plantedTable
+	running []executorcalls.RunningRow
+}
+
+func (t *oldLookTable) Held(work localproxy.HoldWork, answer executorcalls.Answer) {
+	answer.Running, t.running = t.running, answer.Running
+	t.Table.Held(work, answer)
+}
+
+// answers lets a proxy take an executor's answers in the order of its calls, whichever call they belong to.
+func (p plant) answers(owner *proxy, request executorRequest, finish func(executorReply)) func(executorReply) {
+	if p.name != plantAnswerByPlace || request.hold != nil {
+		return finish
+	}
+	waiting := &pendingCall{finish: finish}
+	owner.pending = append(owner.pending, waiting)
+	return func(reply executorReply) {
+		if reply.status != http.StatusOK {
+			waiting.end(reply)
+			return
+		}
+		for _, one := range owner.pending {
+			if !one.isOver {
+				one.end(reply)
+				return
+			}
+		}
+	}
+}
+
+// pendingCall is a call of a proxy that waits for its answer.
+type pendingCall struct {
+	finish func(executorReply)
+	isOver bool
+}
+
+func (c *pendingCall) end(reply executorReply) {
+	if !c.isOver {
+		c.isOver = true
+		c.finish(reply)
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/ordermodel/proxy.go
@@ -0,0 +1,339 @@
+package ordermodel
+
+import (
+	"net/http"
+	"time"
+
+	"gannetline/internal/executorcalls"
+	"gannetline/internal/localproxy"
+	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+)
+
+// The loops of localproxy.Proxy wait on sockets; these are their pauses and limits.
+const (
+	holdGap      = 15 * time.Millisecond
+	pollWaitMs   = 300
+	startPause   = 80 * time.Millisecond
+	orderLimit   = 150 * time.Millisecond
+	orderTries   = 2
+	ordersAtOnce = 6
+	leaderPause  = 60 * time.Millisecond
+	failedPause  = 300 * time.Millisecond
+	exchangeSlow = 1500 * time.Millisecond
+	shortWaitMs  = 150
+)
+
+// proxyTable is what the model drives of a local-proxy; plants wrap it.
+type proxyTable interface {
+	Beat(id string, beat *executorcalls.Beat) (status int, why string)
+	Leave(id string)
+	NextHold(isLook bool) (localproxy.HoldWork, bool)
+	Held(work localproxy.HoldWork, answer executorcalls.Answer)
+	HoldFailed(work localproxy.HoldWork, isOtherLife bool)
+	Compose(waitMs int64) (*peerapi.ExchangeCall, bool)
+	Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order
+	HasUnsent() bool
+	Ready(life string, order peerapi.Order) (localproxy.OrderWork, bool)
+	Refused(work localproxy.OrderWork)
+	Unanswered(work localproxy.OrderWork)
+	Clock(life string, executorMs int64)
+	Carried(work localproxy.OrderWork, result string)
+}
+
+// bell is a channel of one place: it rings once, however often it was struck.
+type bell struct {
+	isStruck bool
+	waiter   func()
+}
+
+func (b *bell) strike() {
+	b.isStruck = true
+	b.answer()
+}
+
+func (b *bell) wait(run func()) {
+	b.waiter = run
+	b.answer()
+}
+
+func (b *bell) answer() {
+	if b.isStruck && b.waiter != nil {
+		run := b.waiter
+		b.isStruck, b.waiter = false, nil
+		run()
+	}
+}
+
+// proxy plays the loops of a local-proxy, as events, round its real table.
+type proxy struct {
+	process
+	executor *executor
+	table    proxyTable
+	// leaderHint is the steward that this process last heard of as the key's leader.
+	leaderHint int
+	carrying   int
+	queued     []func()
+	pending    []*pendingCall
+	work       bell
+	starts     bell
+	looks      bell
+	acks       bell
+}
+
+func (p *proxy) start() {
+	p.boot()
+	p.carrying, p.queued, p.pending = 0, nil, nil
+	p.work, p.starts, p.looks, p.acks = bell{}, bell{}, bell{}, bell{}
+	ring := func(which *bell) func() { return func() { p.later(0, which.strike) } }
+	// A session is the time of day at which the process began.
+	session := uint64(p.world.queue.clock.WallMs())
+	p.table = p.world.plant.table(p, localproxy.NewTable(p.world.queue.clock, logs.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
+		ring(&p.acks), localproxy.WithSession(session), localproxy.WithStartBell(ring(&p.starts))))
+	p.holdLoop()
+	p.lookLoop()
+	p.pollLoop()
+	p.reportLoop()
+}
+
+func (p *proxy) holdLoop() {
+	work, isDue := p.table.NextHold(false)
+	begunAt := p.world.queue.now()
+	if !isDue {
+		p.awaitAck()
+		return
+	}
+	p.hold(work, func(isHeld bool) {
+		switch {
+		case isHeld:
+			p.later(holdGap, p.holdLoop)
+		case work.Hold.WaitMs == shortWaitMs:
+			p.later(localproxy.PauseAfterMiss(p.world.queue.now()-begunAt), p.holdLoop)
+		default:
+			p.awaitAck()
+		}
+	})
+}
+
+// awaitAck goes on with the next hold after a pause, or as soon as the leader has taken note of all ends.
+func (p *proxy) awaitAck() {
+	isOver := false
+	resume := func() {
+		if !isOver {
+			isOver = true
+			p.acks.waiter = nil
+			p.holdLoop()
+		}
+	}
+	p.acks.wait(resume)
+	p.later(failedPause, resume)
+}
+
+func (p *proxy) lookLoop() {
+	p.looks.wait(func() {
+		work, isDue := p.table.NextHold(true)
+		if !isDue {
+			p.lookLoop()
+			return
+		}
+		p.hold(work, func(isHeld bool) {
+			if isHeld {
+				p.lookLoop()
+				return
+			}
+			p.later(failedPause, func() {
+				p.looks.isStruck = true
+				p.lookLoop()
+			})
+		})
+	})
+}
+
+func (p *proxy) hold(work localproxy.HoldWork, done func(isHeld bool)) {
+	p.ask(work.Life, localproxy.HoldLimit(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
+		isHeld := reply.err == nil && reply.status == http.StatusOK
+		if isHeld {
+			p.table.Held(work, reply.answer)
+		} else {
+			p.table.HoldFailed(work, reply.err == nil && reply.status == http.StatusMisdirectedRequest)
+		}
+		done(isHeld)
+	})
+}
+
+func (p *proxy) pollLoop() {
+	p.exchange(pollWaitMs, func(isAnswered bool) {
+		wait := time.Duration(0)
+		if !isAnswered {
+			wait = leaderPause
+		}
+		p.later(wait, p.pollLoop)
+	})
+}
+
+// reportLoop waits for news; news of starts waits a moment for more.
+func (p *proxy) reportLoop() {
+	report := func() {
+		p.work.waiter, p.starts.waiter = nil, nil
+		p.report()
+	}
+	p.work.wait(report)
+	if p.work.waiter == nil {
+		return
+	}
+	p.starts.wait(func() {
+		p.work.waiter = nil
+		p.awaitMore()
+	})
+}
+
+func (p *proxy) awaitMore() {
+	isOver := false
+	p.work.wait(func() {
+		isOver = true
+		p.report()
+	})
+	p.later(startPause, func() {
+		switch {
+		case isOver:
+		case p.table.HasUnsent():
+			p.work.waiter = nil
+			p.report()
+		default:
+			p.work.waiter = nil
+			p.reportLoop()
+		}
+	})
+}
+
+func (p *proxy) report() {
+	p.exchange(0, func(isAnswered bool) {
+		if isAnswered {
+			p.reportLoop()
+			return
+		}
+		p.later(leaderPause, func() {
+			p.work.isStruck = true
+			p.reportLoop()
+		})
+	})
+}
+
+func (p *proxy) exchange(waitMs int64, done func(isAnswered bool)) {
+	request, _ := p.table.Compose(waitMs)
+	if request == nil {
+		if waitMs > 0 {
+			p.later(failedPause, func() { done(true) })
+			return
+		}
+		done(true)
+		return
+	}
+	p.world.oracles.reported(p, request)
+	askedAt := p.world.queue.now()
+	leader := p.world.stewards[p.leaderHint]
+	limit := pulse.Ms(request.WaitMs) + exchangeSlow
+	call(p.world, &p.process, &leader.process, limit, func(answer func(peerapi.ExchangeAnswer)) {
+		leader.exchange(request, answer)
+	}, func(answer peerapi.ExchangeAnswer, err error) {
+		if err != nil || answer.Elsewhere {
+			done(false)
+			return
+		}
+		if answer.Fence > 0 {
+			for _, order := range p.table.Told(request, askedAt, &answer) {
+				p.carryInTurn(request.Life, order)
+			}
+		}
+		done(true)
+	})
+}
+
+// carryInTurn lets few orders be on their way to the executor at once.
+func (p *proxy) carryInTurn(life string, order peerapi.Order) {
+	if p.carrying >= ordersAtOnce {
+		p.queued = append(p.queued, func() { p.carry(life, order, 0) })
+		return
+	}
+	p.carrying++
+	p.carry(life, order, 0)
+}
+
+func (p *proxy) carried() {
+	p.carrying--
+	if len(p.queued) > 0 {
+		next := p.queued[0]
+		p.queued = p.queued[1:]
+		p.carrying++
+		next()
+	}
+}
+
+// carry brings one order to the executor, again if it is not answered.
+func (p *proxy) carry(life string, order peerapi.Order, try int) {
+	work, isDue := p.table.Ready(life, order)
+	if !isDue {
+		p.carried()
+		return
+	}
+	p.ask(work.Life, orderLimit, requestOf(work), func(reply executorReply) {
+		switch {
+		case reply.err == nil:
+			p.table.Clock(life, reply.answer.ClockMs)
+			p.table.Carried(work, localproxy.ResultOf(reply.status, reply.answer.Reason))
+		case order.Kind == "launch" && reply.isRefused:
+			p.table.Refused(work)
+		default:
+			if !reply.isRefused {
+				p.table.Unanswered(work)
+			}
+			if try+1 < orderTries {
+				p.carry(life, order, try+1)
+				return
+			}
+			p.table.Carried(work, "timeout")
+		}
+		p.carried()
+	})
+}
+
+// executorRequest is one of the calls that an executor takes.
+type executorRequest struct {
+	start *executorcalls.RunStart
+	stop  *executorcalls.RunStop
+	hold  *executorcalls.Hold
+}
+
+type executorReply struct {
+	status    int
+	answer    executorcalls.Answer
+	err       error
+	isRefused bool
+}
+
+func requestOf(work localproxy.OrderWork) executorRequest {
+	order := work.Order
+	if order.Kind == "launch" {
+		return executorRequest{start: &executorcalls.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
+			Fence: work.Fence, Saved: order.Saved}}
+	}
+	return executorRequest{stop: &executorcalls.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence}}
+}
+
+// ask calls the executor; an answer that comes after the limit is lost.
+func (p *proxy) ask(life string, limit time.Duration, request executorRequest, done func(executorReply)) {
+	isOver := false
+	finish := func(reply executorReply) {
+		if !isOver {
+			isOver = true
+			done(reply)
+		}
+	}
+	finish = p.world.plant.answers(p, request, finish)
+	p.later(limit, func() { finish(executorReply{err: errNoAnswer}) })
+	incarnation := p.incarnation
+	p.executor.receive(life, request, p.world.plant, func(wait time.Duration, reply executorReply) {
+		p.world.queue.after(wait, func() { p.enter(incarnation, func() { finish(reply) }) })
+	})
+}
--- /dev/null
+++ b/internal/modelcheck/ordermodel/steward.go
@@ -0,0 +1,100 @@
+package ordermodel
+
+import (
+	"time"
+
+	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/poolowner"
+	"gannetline/internal/pulse"
+)
+
+const tickEvery = 50 * time.Millisecond
+
+// scheduler is what the model drives of a pool; plants wrap it.
+type scheduler interface {
+	Open(tenure poolowner.Tenure, pairs []peerapi.Op) error
+	Close()
+	IsOpen() bool
+	Tick()
+	Settle()
+	Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer))
+	HandIn(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer))
+	State(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer))
+	Cancel(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer))
+}
+
+// jumpingClock is the world's clock with a time of day that may jump.
+type jumpingClock struct {
+	*pulse.Fake
+	steward *steward
+}
+
+func (c jumpingClock) WallMs() int64 { return c.Fake.WallMs() + c.steward.wallJumpMs }
+
+// steward runs the real pool while it leads the key.
+type steward struct {
+	process
+	pool       scheduler
+	leads      *leadership
+	wallJumpMs int64
+	isLeaving  bool
+}
+
+func (s *steward) start() {
+	s.boot()
+	s.leads = nil
+	s.pool = s.world.plant.scheduler(poolowner.New(poolKey, jumpingClock{s.world.queue.clock, s}, s.world.timing, logs.Silent()))
+	s.tick()
+}
+
+func (s *steward) tick() {
+	if s.pool.IsOpen() {
+		s.pool.Tick()
+		s.settle()
+	}
+	s.later(tickEvery, s.tick)
+}
+
+func (s *steward) settle() {
+	if s.isUp && !s.isFrozen {
+		s.pool.Settle()
+	}
+}
+
+// lead opens the pool under a new leadership.
+func (s *steward) lead(fresh *leadership, pairs []peerapi.Op) {
+	if s.leads != nil {
+		s.leads.close()
+	}
+	s.leads = fresh
+	if err := s.pool.Open(s.world.plant.tenure(fresh), pairs); err != nil {
+		s.world.violate("READ", "the state of the key can't be taken over: %v", err)
+	}
+}
+
+func (s *steward) exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
+	if !s.pool.IsOpen() {
+		answer(peerapi.ExchangeAnswer{Elsewhere: true})
+		return
+	}
+	s.pool.Exchange(call, answer)
+	s.settle()
+}
+
+// serve runs a client's command, as the steward's own table of commands does.
+func (s *steward) serve(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
+	if !s.pool.IsOpen() {
+		answer(peerapi.ClientAnswer{Elsewhere: true})
+		return
+	}
+	switch call.Verb {
+	case verbHandIn:
+		s.pool.HandIn(call, answer)
+	case verbState:
+		s.pool.State(call, answer)
+	case verbCancel:
+		s.pool.Cancel(call, answer)
+	}
+	s.settle()
+}
--- /dev/null
+++ b/internal/modelcheck/ordermodel/world.go
@@ -0,0 +1,125 @@
+// Package ordermodel runs the real scheduler pool and the real local-proxy table against executors that keep to the
+// protocol, on a fake clock and a simulated network, under schedules of faults.
+package ordermodel
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"gannetline/internal/membership"
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/poolowner"
+)
+
+const (
+	beginWallMs = 1_800_000_000_000
+	queueStream = 42
+
+	service = "board"
+	poolKey = "pool/" + service
+
+	executorCount = 3
+	gateCount     = 2
+)
+
+var executorRoom = peerapi.Capacity{CPU: 4000, Memory: 8192}
+
+// timing is that of a deployment with holds of 6 s.
+var timing = poolowner.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
+	ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
+	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, RemoteFactor: 1.5,
+	Headroom: poolowner.DefaultHeadroom}
+
+// world is a whole small system: stewards, gates, local-proxies and executors.
+type world struct {
+	queue     *eventQueue
+	timing    poolowner.Timing
+	key       *replicatedKey
+	stewards  []*steward
+	gates     []*gate
+	proxies   []*proxy
+	executors []*executor
+	outside   *process
+	oracles   *oracles
+	plant     plant
+	coverage  modelcheck.Coverage
+	views     []*membership.View
+	hop       hop
+	slowSync  time.Duration
+	// troubledAt is the last time at which anything was wrong.
+	troubledAt time.Duration
+	// onCommit is called once, when a leader hears of a commit.
+	onCommit func()
+	// forgotten are records that a plant keeps out of commits.
+	forgotten map[string]bool
+	trace     io.Writer
+}
+
+func newWorld(schedule modelcheck.Schedule) *world {
+	w := &world{queue: newEventQueue(schedule.Seed), timing: timing, plant: plant{schedule.Plant}, coverage: modelcheck.Coverage{}, forgotten: map[string]bool{}}
+	w.oracles = newOracles(w)
+	w.outside = &process{world: w, name: "outside", isUp: true, isOnce: true}
+	w.key = &replicatedKey{world: w, pairs: map[string][]byte{}}
+	w.views = make([]*membership.View, schedule.Nodes)
+	for number := range schedule.Nodes {
+		w.stewards = append(w.stewards, &steward{process: process{world: w, name: fmt.Sprintf("steward-%d", number)}})
+	}
+	for number := range gateCount {
+		w.gates = append(w.gates, &gate{process: process{world: w, name: fmt.Sprintf("gate-%d", number), isOnce: true}})
+	}
+	for number := range executorCount {
+		machine := fmt.Sprintf("side-%d", number)
+		one := &executor{world: w, machine: machine}
+		one.proxy = &proxy{process: process{world: w, name: machine}, executor: one}
+		w.executors, w.proxies = append(w.executors, one), append(w.proxies, one.proxy)
+	}
+	w.start()
+	return w
+}
+
+func (w *world) start() {
+	for _, one := range w.stewards {
+		one.start()
+	}
+	for _, one := range w.gates {
+		one.start()
+	}
+	for _, one := range w.proxies {
+		one.start()
+	}
+	for _, one := range w.executors {
+		one.start()
+	}
+	w.key.watch()
+}
+
+func (w *world) count(what string) { w.coverage[what]++ }
+
+// announce lets processes hear of a new leader, each in its time; one that is cut off hears later.
+func (w *world) announce(fresh *leadership) {
+	for _, one := range w.gates {
+		w.tellLeader(&one.process, &one.leaderHint, fresh)
+	}
+	for _, one := range w.proxies {
+		w.tellLeader(&one.process, &one.leaderHint, fresh)
+	}
+}
+
+func (w *world) tellLeader(to *process, hint *int, fresh *leadership) {
+	w.queue.after(w.queue.between(time.Millisecond, mostNewsTime), func() {
+		if w.key.leader != fresh {
+			return
+		}
+		if !to.isReachable() || to.group != fresh.steward.group {
+			w.tellLeader(to, hint, fresh)
+			return
+		}
+		for place, one := range w.stewards {
+			if one == fresh.steward {
+				*hint = place
+			}
+		}
+	})
+}
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -253,7 +253,9 @@
 
 // ClientAnswer with Elsewhere set was not taken; Owner is then the best guess.
 type ClientAnswer struct {
-	Elsewhere  bool                `json:"elsewhere,omitempty"`
+	Elsewhere bool `json:"elsewhere,omitempty"`
+	// Unsure is set beside Elsewhere by a leader that lost the key while the call's change was under way.
+	Unsure     bool                `json:"unsure,omitempty"`
 	Owner      string              `json:"owner,omitempty"`
 	Status     int                 `json:"status,omitempty"`
 	RetryAfter int                 `json:"retry,omitempty"`
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -4764,6 +4764,12 @@
 			} else {
 				out.Elsewhere = bool(in.Bool())
 			}
+		case "unsure":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Unsure = bool(in.Bool())
+			}
 		case "owner":
 			if in.IsNull() {
 				in.Skip()
@@ -4814,6 +4820,16 @@
 		out.RawString(prefix[1:])
 		out.Bool(bool(in.Elsewhere))
 	}
+	if in.Unsure {
+		const prefix string = ",\"unsure\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Unsure))
+	}
 	if in.Owner != "" {
 		const prefix string = ",\"owner\":"
 		if first {
--- a/internal/poolowner/clients.go
+++ b/internal/poolowner/clients.go
@@ -13,13 +13,17 @@
 
 type answerClient = func(peerapi.ClientAnswer)
 
+// lost answers what changes nothing, once the key has another leader.
 func lost() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true} }
 
+// unsure answers a change that was under way when the key was lost: the next leader may have it.
+func unsure() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true, Unsure: true} }
+
 // HandIn accepts a job once it is committed; the same ID again is the same job.
 func (p *Pool) HandIn(call *peerapi.ClientCall, answer answerClient) {
 	accepted := func(err error) {
 		if err != nil {
-			answer(lost())
+			answer(unsure())
 			return
 		}
 		answer(peerapi.ClientAnswer{Status: http.StatusOK})
@@ -95,7 +99,7 @@
 	p.after(func(err error) {
 		switch {
 		case err != nil || p.tenure == nil || !p.tenure.HasLease():
-			answer(lost())
+			answer(unsure())
 		case one == nil:
 			answer(peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
 		default:
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/poolowner/poolowner_test.go
@@ -128,6 +128,19 @@
 		exchange(nil)
 	})
 
+	DescribeTable("says of a hand-in that nobody knows what became of it, when the key is lost before the commit", func(lose func()) {
+		var told peerapi.ClientAnswer
+		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id,
+			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
+			func(answer peerapi.ClientAnswer) { told = answer })
+		pool.Settle()
+		lose()
+		Expect(told).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unsure: true}))
+	},
+		Entry("with an error", func() { tenure.settle(errors.New("lost")) }),
+		Entry("with the leadership", func() { pool.Close() }),
+	)
+
 	It("answers a client, and lets an order leave, only after the commit", func() {
 		handIn()
 		Expect(accepted).To(BeEmpty())
