--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -132,7 +132,7 @@
 	p.isBusy = true
 	p.tenure.Commit([]peerapi.Op{{Name: factName, Value: value}}, func(err error) {
 		if err != nil {
-			answer(peerapi.ClientAnswer{Elsewhere: true})
+			answer(peerapi.ClientAnswer{Elsewhere: true, Unclear: true})
 			return
 		}
 		p.isBusy = false
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -220,7 +220,9 @@
 		return nil, err
 	}
 	if answer.Elsewhere {
-		return r.elsewhere(call.Key), nil
+		elsewhere := r.elsewhere(call.Key)
+		elsewhere.Unclear = answer.Unclear
+		return elsewhere, nil
 	}
 	return &answer, nil
 }
--- a/internal/leaderclient/leaderclient.go
+++ b/internal/leaderclient/leaderclient.go
@@ -54,6 +54,7 @@
 				return outcome
 			case err == nil:
 				hint = answer.Owner
+				outcome.MaySee = outcome.MaySee || answer.Unclear
 			case !peerapi.NeverSent(err):
 				outcome.MaySee = true
 			}
--- a/internal/leaderclient/leaderclient_test.go
+++ b/internal/leaderclient/leaderclient_test.go
@@ -1,13 +1,18 @@
 package leaderclient
 
 import (
+	"net/http"
+	"net/http/httptest"
 	"testing"
+	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/span"
 )
 
 func TestOwnercalls(t *testing.T) {
@@ -15,6 +20,46 @@
 	RunSpecs(t, "leaderclient")
 }
 
+// straight carries calls into a mux, without a network.
+type straight struct{ mux *http.ServeMux }
+
+func (s straight) RoundTrip(request *http.Request) (*http.Response, error) {
+	answer := httptest.NewRecorder()
+	s.mux.ServeHTTP(answer, request)
+	return answer.Result(), nil
+}
+
+// hurried is a clock whose waits are over at once.
+type hurried struct{ *pulse.Fake }
+
+func (h hurried) After(wait time.Duration) <-chan time.Time {
+	ring := h.Fake.After(wait)
+	h.Advance(wait)
+	return ring
+}
+
+var _ = Describe("a call that no leader answers in time", func() {
+	outcomeOf := func(answers ...peerapi.ClientAnswer) Outcome {
+		mux, count := http.NewServeMux(), 0
+		peerapi.Serve(mux, peerapi.ProcedureClient, func(span.Span, *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+			answer := answers[count%len(answers)]
+			count++
+			return &answer, nil
+		})
+		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "10.0.0.1:1", Disk: "d"}}}
+		client := New(peerapi.NewCaller(&http.Client{Transport: straight{mux}}), hurried{pulse.NewFake(0)}, func() *membership.View { return view })
+		return client.Ask(span.Root(), &peerapi.ClientCall{Key: "pool/s", Verb: "hand-in"}, time.Second)
+	}
+
+	It("was not taken if every steward said so", func() {
+		Expect(outcomeOf(peerapi.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{}))
+	})
+
+	It("may have been taken if a leader proposed it and lost its leadership", func() {
+		Expect(outcomeOf(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}, peerapi.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{MaySee: true}))
+	})
+})
+
 var _ = Describe("a guess at an owner nobody knows", func() {
 	It("passes over stewards that can own nothing", func() {
 		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -251,9 +251,11 @@
 	TargetMs    int64   `json:"t,omitempty"`
 }
 
-// ClientAnswer with Elsewhere set was not taken; Owner is then the best guess.
+// ClientAnswer with Elsewhere set names the leader to ask as Owner, as far as it is known. The call was not taken,
+// unless Unclear is set too: then its change was proposed, and a later leader may keep it or not.
 type ClientAnswer struct {
 	Elsewhere  bool                `json:"elsewhere,omitempty"`
+	Unclear    bool                `json:"unclear,omitempty"`
 	Owner      string              `json:"owner,omitempty"`
 	Status     int                 `json:"status,omitempty"`
 	RetryAfter int                 `json:"retry,omitempty"`
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -4764,6 +4764,12 @@
 			} else {
 				out.Elsewhere = bool(in.Bool())
 			}
+		case "unclear":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Unclear = bool(in.Bool())
+			}
 		case "owner":
 			if in.IsNull() {
 				in.Skip()
@@ -4814,6 +4820,16 @@
 		out.RawString(prefix[1:])
 		out.Bool(bool(in.Elsewhere))
 	}
+	if in.Unclear {
+		const prefix string = ",\"unclear\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Unclear))
+	}
 	if in.Owner != "" {
 		const prefix string = ",\"owner\":"
 		if first {
--- a/internal/poolowner/clients.go
+++ b/internal/poolowner/clients.go
@@ -15,11 +15,14 @@
 
 func lost() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true} }
 
+// unclear is the answer once a change was proposed and the leadership ended before its commit.
+func unclear() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true, Unclear: true} }
+
 // HandIn accepts a job once it is committed; the same ID again is the same job.
 func (p *Pool) HandIn(call *peerapi.ClientCall, answer answerClient) {
 	accepted := func(err error) {
 		if err != nil {
-			answer(lost())
+			answer(unclear())
 			return
 		}
 		answer(peerapi.ClientAnswer{Status: http.StatusOK})
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/poolowner/poolowner_test.go
@@ -205,6 +205,15 @@
 		Expect(exchange(nil).Orders).To(BeEmpty())
 	})
 
+	It("says that a job may have been taken when its leadership ends before the commit", func() {
+		var told []peerapi.ClientAnswer
+		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
+			func(answer peerapi.ClientAnswer) { told = append(told, answer) })
+		pool.Settle()
+		pool.Close()
+		Expect(told).To(Equal([]peerapi.ClientAnswer{{Elsewhere: true, Unclear: true}}))
+	})
+
 	It("sends an unanswered order again after 200 ms, then less often", func() {
 		handIn()
 		tenure.settle(nil)
