--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -4,6 +4,7 @@
 	"net"
 	"net/http"
 	"net/netip"
+	"slices"
 	"strconv"
 	"sync/atomic"
 	"time"
@@ -29,6 +30,7 @@
 	clock   pulse.Pulse
 	log     logs.Logger
 	seeds   atomic.Pointer[[]string]
+	known   []string
 	onPlan  func(sibling Member, version int64)
 }
 
@@ -38,6 +40,11 @@
 	return func(n *Node) { n.onPlan = heed }
 }
 
+// WithKnownPeers names control addresses from an earlier run, to be asked while no steward is seen.
+func WithKnownPeers(addresses []string) Option {
+	return func(n *Node) { n.known = addresses }
+}
+
 // BindInternal takes the first free port of the range, for TCP and UDP alike.
 func BindInternal(ip string, first, last int) (net.Listener, net.PacketConn, error) {
 	for port := first; port <= last; port++ {
@@ -144,8 +151,8 @@
 		view := n.View()
 		isLeaf := isLeaf(view.Self)
 		if !view.SeesSteward() || isLeaf && view.IsLonely || !isLeaf && round%15 == 14 {
-			for _, seed := range *n.seeds.Load() {
-				n.exchange(seed)
+			for _, address := range n.contacts(view) {
+				n.exchange(address)
 			}
 		}
 		wait := time.Second
@@ -160,6 +167,20 @@
 	}
 }
 
+// contacts are the seeds, and peers of an earlier run as long as no steward is seen: seeds can all be down or cut off.
+func (n *Node) contacts(view *View) []string {
+	contacts := slices.Clone(*n.seeds.Load())
+	if view.SeesSteward() {
+		return contacts
+	}
+	for _, address := range n.known {
+		if !slices.Contains(contacts, address) {
+			contacts = append(contacts, address)
+		}
+	}
+	return contacts
+}
+
 // exchange compares lists with a sibling by buckets, and gives it in a second call what it lacked.
 func (n *Node) exchange(address string) {
 	if address == n.View().Self.Control {
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -53,3 +53,30 @@
 		Expect(own[`gannetline_datagrams_sent_bytes_total{kind="`+said.Kind+`"}`]).To(BeNumerically(">=", count))
 	})
 })
+
+// roundTrips records whom a node calls, and answers nothing.
+type roundTrips struct{ hosts chan string }
+
+func (r roundTrips) RoundTrip(request *http.Request) (*http.Response, error) {
+	r.hosts <- request.URL.Host
+	return nil, net.ErrClosed
+}
+
+var _ = Describe("a node that sees no steward", func() {
+	It("asks peers of an earlier run beside its seeds", func() {
+		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
+		Expect(err).NotTo(HaveOccurred())
+		defer calls.Close()
+		hosts := make(chan string, 16)
+		node := membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, calls, packets, []string{"10.0.0.1:1"},
+			peerapi.NewCaller(&http.Client{Transport: roundTrips{hosts}}), pulse.Real(), logs.Silent(),
+			membership.WithKnownPeers([]string{"10.0.0.1:1", "10.0.0.2:1"}))
+		life, end := span.Cancellable(span.Root())
+		over := make(chan error)
+		go func() { over <- node.Run(life) }()
+		Expect(<-hosts).To(Equal("10.0.0.1:1"))
+		Expect(<-hosts).To(Equal("10.0.0.2:1"))
+		end()
+		Expect(<-over).To(Succeed())
+	})
+})
--- /dev/null
+++ b/internal/roles/knownpeers.go
@@ -0,0 +1,67 @@
+package roles
+
+import (
+	"slices"
+	"time"
+
+	"gannetline/internal/membership"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/span"
+)
+
+const (
+	peersSaveEvery = 10 * time.Second
+	mostKnownPeers = 16
+)
+
+// peerStore keeps addresses of peers on disk.
+type peerStore interface {
+	SavePeers(addresses []string) error
+	Peers() ([]string, error)
+}
+
+// savePeers keeps the control addresses of live stewards on disk, so that a steward that restarts finds the others
+// even where its settings name only seeds that are down, cut off or gone. Failures are logged and tried again.
+func (b *base) savePeers(store peerStore) func(span.Span) error {
+	return func(life span.Span) error {
+		saved, err := store.Peers()
+		if err != nil {
+			b.log.Error(err, "the addresses of peers could not be read")
+		}
+		for {
+			select {
+			case <-life.Done():
+				return nil
+			case <-b.clock.After(peersSaveEvery):
+			}
+			next, isNews := withPeers(saved, b.node.View())
+			if !isNews {
+				continue
+			}
+			if err := store.SavePeers(next); err != nil {
+				b.log.Error(err, "the addresses of peers could not be saved")
+				continue
+			}
+			saved = next
+		}
+	}
+}
+
+// withPeers puts the live stewards of a view before the addresses that were saved; it tells whether any is new.
+// Addresses are dropped, the oldest first, only for new ones, so that a member that flaps costs no writes.
+func withPeers(saved []string, view *membership.View) (next []string, isNews bool) {
+	for _, member := range view.Stewards {
+		isOther := membership.Name(member) != membership.Name(view.Self)
+		if !isOther || !member.MayLead() || member.State != peerapi.StateAlive || member.Control == "" {
+			continue
+		}
+		next = append(next, member.Control)
+		isNews = isNews || !slices.Contains(saved, member.Control)
+	}
+	for _, address := range saved {
+		if !slices.Contains(next, address) {
+			next = append(next, address)
+		}
+	}
+	return next[:min(len(next), mostKnownPeers)], isNews
+}
--- /dev/null
+++ b/internal/roles/knownpeers_test.go
@@ -0,0 +1,43 @@
+package roles
+
+import (
+	"fmt"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/membership"
+	"gannetline/internal/peerapi"
+)
+
+var _ = Describe("the peers that a steward keeps on disk", func() {
+	steward := func(name string, state int) peerapi.Member {
+		return peerapi.Member{Name: name, Role: "steward", Control: name + ":1", Disk: "disk-" + name, State: state}
+	}
+	self := steward("self", peerapi.StateAlive)
+
+	It("are the live stewards with a disk, before those known earlier", func() {
+		diskless := steward("diskless", peerapi.StateAlive)
+		diskless.Disk = ""
+		view := &membership.View{Self: self, Stewards: []peerapi.Member{self, diskless, steward("gone", peerapi.StateGone),
+			steward("new", peerapi.StateAlive)}}
+		next, isNews := withPeers([]string{"old:1"}, view)
+		Expect(next).To(Equal([]string{"new:1", "old:1"}))
+		Expect(isNews).To(BeTrue())
+	})
+
+	It("are not written again when a known one is missing", func() {
+		_, isNews := withPeers([]string{"a:1", "b:1"}, &membership.View{Self: self, Stewards: []peerapi.Member{self, steward("a", peerapi.StateAlive)}})
+		Expect(isNews).To(BeFalse())
+	})
+
+	It("stay bounded, and the oldest go", func() {
+		var saved []string
+		for number := range 40 {
+			view := &membership.View{Self: self, Stewards: []peerapi.Member{steward(fmt.Sprint("s", number), peerapi.StateAlive)}}
+			saved, _ = withPeers(saved, view)
+		}
+		Expect(saved).To(HaveLen(mostKnownPeers))
+		Expect(saved[0]).To(Equal("s39:1"))
+	})
+})
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -6,6 +6,7 @@
 
 	"github.com/juju/errors"
 
+	"gannetline/internal/logs"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/replication"
@@ -66,6 +67,18 @@
 	return self
 }
 
+// peers are the addresses that an earlier run saved.
+func (s *durableState) peers(log logs.Logger) []string {
+	if s.store == nil {
+		return nil
+	}
+	addresses, err := s.store.Peers()
+	if err != nil {
+		log.Error(err, "the addresses of peers could not be read")
+	}
+	return addresses
+}
+
 func (s *durableState) close() {
 	if s.store != nil {
 		s.store.Close()
--- /dev/null
+++ b/internal/storage/peers.go
@@ -0,0 +1,30 @@
+package storage
+
+import (
+	"strings"
+
+	"github.com/juju/errors"
+	bolt "go.etcd.io/bbolt"
+)
+
+var namePeers = []byte("peers")
+
+// SavePeers keeps the control addresses of other stewards, the best known first; it returns after the sync.
+func (s *Store) SavePeers(addresses []string) error {
+	err := s.db.Update(func(tx *bolt.Tx) error {
+		return tx.Bucket(bucketMeta).Put(namePeers, []byte(strings.Join(addresses, "\n")))
+	})
+	return errors.Annotate(err, "keeping the addresses of peers")
+}
+
+// Peers gives the addresses that were saved last; there are none on a new disk.
+func (s *Store) Peers() ([]string, error) {
+	var addresses []string
+	err := s.db.View(func(tx *bolt.Tx) error {
+		if text := tx.Bucket(bucketMeta).Get(namePeers); len(text) > 0 {
+			addresses = strings.Split(string(text), "\n")
+		}
+		return nil
+	})
+	return addresses, errors.Annotate(err, "reading the addresses of peers")
+}
