--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/configowner"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 )
 
 const (
@@ -22,37 +22,37 @@
 )
 
 // Decode makes a command of an operator's call, or a refusal.
-func Decode(request *http.Request) (*peerapi.ClientCall, reply.Reply) {
+func Decode(request *http.Request) (*peerapi.ClientCall, response.Reply) {
 	switch request.URL.Path {
 	case pathRetrieve:
 		if request.Method != http.MethodGet {
-			return nil, reply.Text(http.StatusMethodNotAllowed, "only GET is taken here")
+			return nil, response.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &peerapi.ClientCall{Key: configowner.Key, Verb: "retrieve"}, reply.Reply{}
+		return &peerapi.ClientCall{Key: configowner.Key, Verb: "retrieve"}, response.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
-	return nil, reply.Text(http.StatusNotFound, "there is no such call")
+	return nil, response.Text(http.StatusNotFound, "there is no such call")
 }
 
-func decodeReplace(request *http.Request) (*peerapi.ClientCall, reply.Reply) {
+func decodeReplace(request *http.Request) (*peerapi.ClientCall, response.Reply) {
 	if request.Method != http.MethodPost {
-		return nil, reply.Text(http.StatusMethodNotAllowed, "only POST is taken here")
+		return nil, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
 	}
 	base, err := strconv.ParseInt(request.Header.Get("X-Base-Version"), 10, 64)
 	if err != nil || base < 0 {
-		return nil, reply.Text(http.StatusBadRequest, "header X-Base-Version is no version")
+		return nil, response.Text(http.StatusBadRequest, "header X-Base-Version is no version")
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, mostPlan+1))
 	switch {
 	case err != nil:
-		return nil, reply.Text(http.StatusBadRequest, "the body ended early")
+		return nil, response.Text(http.StatusBadRequest, "the body ended early")
 	case len(body) > mostPlan:
-		return nil, reply.Text(http.StatusRequestEntityTooLarge, "the plan is too large")
+		return nil, response.Text(http.StatusRequestEntityTooLarge, "the plan is too large")
 	case !json.Valid(body):
-		return nil, reply.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
+		return nil, response.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, reply.Reply{}
+	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
 }
 
 // Handler asks the plan's owner, wherever it is.
@@ -65,13 +65,13 @@
 		}
 		outcome := asker.Ask(request.Context(), call, patience)
 		if outcome.Answer == nil {
-			reply.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer").Write(to)
+			response.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer").Write(to)
 			return
 		}
 		if outcome.Answer.Why != "" {
-			reply.Later(outcome.Answer.Status, outcome.Answer.RetryAfter, outcome.Answer.Why).Write(to)
+			response.Later(outcome.Answer.Status, outcome.Answer.RetryAfter, outcome.Answer.Why).Write(to)
 			return
 		}
-		reply.Raw(outcome.Answer.Status, outcome.Answer.Body).Write(to)
+		response.Raw(outcome.Answer.Status, outcome.Answer.Body).Write(to)
 	})
 }
--- a/internal/executorcalls/server.go
+++ b/internal/executorcalls/server.go
@@ -7,7 +7,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 )
 
 const (
@@ -23,30 +23,30 @@
 }
 
 // Decode reads a call; a reply with a status means that it was refused.
-func Decode(request *http.Request) (Command, reply.Reply) {
+func Decode(request *http.Request) (Command, response.Reply) {
 	rest, isExecutor := strings.CutPrefix(request.URL.Path, pathPrefix)
 	id, verb, hasVerb := strings.Cut(rest, "/")
 	if !isExecutor || !hasVerb || id == "" || verb != "heartbeat" && verb != "deregister" {
-		return Command{}, reply.Text(http.StatusNotFound, "there is no such call")
+		return Command{}, response.Text(http.StatusNotFound, "there is no such call")
 	}
 	if request.Method != http.MethodPost {
-		return Command{}, reply.Text(http.StatusMethodNotAllowed, "only POST is taken here")
+		return Command{}, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
 	}
 	if verb == "deregister" {
-		return Command{Executor: id, IsLeave: true}, reply.Reply{}
+		return Command{Executor: id, IsLeave: true}, response.Reply{}
 	}
 	text, err := io.ReadAll(io.LimitReader(request.Body, mostBeat+1))
 	if err != nil || len(text) > mostBeat {
-		return Command{}, reply.Text(http.StatusRequestEntityTooLarge, "the beat is too large")
+		return Command{}, response.Text(http.StatusRequestEntityTooLarge, "the beat is too large")
 	}
 	beat := &Beat{}
 	if err := easyjson.Unmarshal(text, beat); err != nil {
-		return Command{}, reply.Text(http.StatusBadRequest, "the beat can't be read: "+err.Error())
+		return Command{}, response.Text(http.StatusBadRequest, "the beat can't be read: "+err.Error())
 	}
 	if why := beat.check(); why != "" {
-		return Command{}, reply.Text(http.StatusBadRequest, why)
+		return Command{}, response.Text(http.StatusBadRequest, why)
 	}
-	return Command{Executor: id, Beat: beat}, reply.Reply{}
+	return Command{Executor: id, Beat: beat}, response.Reply{}
 }
 
 func (b *Beat) check() string {
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -16,7 +16,7 @@
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/span"
 )
 
@@ -27,18 +27,18 @@
 
 // Decision is what should become of a call: refused at once, or asked of a key's owner.
 type Decision struct {
-	Refusal reply.Reply
+	Refusal response.Reply
 	Call    *peerapi.ClientCall
 	Former  []string
 	Limit   time.Duration
 }
 
-func refuse(status int, why string) Decision { return Decision{Refusal: reply.Text(status, why)} }
+func refuse(status int, why string) Decision { return Decision{Refusal: response.Text(status, why)} }
 
 // Decide is asked about every call; it does no work of its own.
 func Decide(page *configcache.Snapshot, request *http.Request, body []byte) Decision {
 	if page == nil {
-		return Decision{Refusal: reply.Later(http.StatusServiceUnavailable, 1, "there is no plan yet")}
+		return Decision{Refusal: response.Later(http.StatusServiceUnavailable, 1, "there is no plan yet")}
 	}
 	entry := page.Matcher.Match(request.Host, request.URL.Path)
 	if entry == nil {
@@ -106,7 +106,7 @@
 
 const verbRefused = "refused"
 
-func (g *Gate) answer(to http.ResponseWriter, request *http.Request) (string, reply.Reply) {
+func (g *Gate) answer(to http.ResponseWriter, request *http.Request) (string, response.Reply) {
 	page := g.page()
 	limit := int64(mostBody)
 	if page != nil && page.Matcher.Plan().Limits.BodyBytes > 0 {
@@ -116,9 +116,9 @@
 	headerrules.Echo(request.Header, to.Header())
 	switch {
 	case err != nil:
-		return verbRefused, reply.Text(http.StatusBadRequest, "the body ended early")
+		return verbRefused, response.Text(http.StatusBadRequest, "the body ended early")
 	case int64(len(body)) > limit:
-		return verbRefused, reply.Text(http.StatusRequestEntityTooLarge, "the body is too large")
+		return verbRefused, response.Text(http.StatusRequestEntityTooLarge, "the body is too large")
 	}
 	decision := Decide(g.page(), request, body)
 	if decision.Call == nil {
@@ -127,7 +127,7 @@
 	return decision.Call.Verb, g.ask(request.Context(), decision)
 }
 
-func (g *Gate) ask(life span.Span, decision Decision) reply.Reply {
+func (g *Gate) ask(life span.Span, decision Decision) response.Reply {
 	for _, service := range decision.Former {
 		if answer, isFound := g.askFormer(life, decision, service); isFound {
 			return answer
@@ -138,7 +138,7 @@
 }
 
 // askFormer looks for the job in the pool that its queue was sent to before.
-func (g *Gate) askFormer(life span.Span, decision Decision, service string) (reply.Reply, bool) {
+func (g *Gate) askFormer(life span.Span, decision Decision, service string) (response.Reply, bool) {
 	call := *decision.Call
 	call.Key, call.Body, call.Terms = "pool/"+service, nil, nil
 	if call.Verb == "hand-in" {
@@ -146,22 +146,22 @@
 	}
 	outcome := g.asker.Ask(life, &call, decision.Limit/2)
 	if outcome.Answer == nil {
-		return reply.Later(http.StatusServiceUnavailable, 1, "the queue's former owner does not answer"), true
+		return response.Later(http.StatusServiceUnavailable, 1, "the queue's former owner does not answer"), true
 	}
 	return replyOf(&call, outcome), outcome.Answer.Status == http.StatusOK
 }
 
-func replyOf(call *peerapi.ClientCall, outcome leaderclient.Outcome) reply.Reply {
+func replyOf(call *peerapi.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil && outcome.MaySee && call.Verb == "hand-in":
-		return reply.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
+		return response.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
 	case answer == nil:
-		return reply.Later(http.StatusServiceUnavailable, 1, "the queue's owner does not answer")
+		return response.Later(http.StatusServiceUnavailable, 1, "the queue's owner does not answer")
 	case outcome.MaySee && call.Verb == "hand-in" && (answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable):
-		return reply.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
+		return response.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
 	case answer.Why != "":
-		return reply.Later(answer.Status, answer.RetryAfter, answer.Why)
+		return response.Later(answer.Status, answer.RetryAfter, answer.Why)
 	}
-	return reply.Raw(answer.Status, answer.Body)
+	return response.Raw(answer.Status, answer.Body)
 }
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -17,7 +17,7 @@
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/roles"
 	"gannetline/internal/span"
 	"gannetline/internal/wiremeter"
@@ -70,17 +70,17 @@
 
 func (n *node) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get("X-Expected-Executor"); expected != "" && expected != n.executor.shape.ID {
-		reply.Empty(http.StatusMisdirectedRequest).Write(to)
+		response.Empty(http.StatusMisdirectedRequest).Write(to)
 		return
 	}
 	text, err := io.ReadAll(io.LimitReader(request.Body, mostCall))
 	if err != nil || request.Method != http.MethodPost {
-		reply.Empty(http.StatusBadRequest).Write(to)
+		response.Empty(http.StatusBadRequest).Write(to)
 		return
 	}
 	command := n.decode(request.URL.Path, text)
 	if command == nil {
-		reply.Empty(http.StatusBadRequest).Write(to)
+		response.Empty(http.StatusBadRequest).Write(to)
 		return
 	}
 	result, err := mailbox.Ask(n.box, request.Context(), command)
@@ -89,10 +89,10 @@
 	}
 	body, err := easyjson.Marshal(result.answer)
 	if err != nil {
-		reply.Empty(http.StatusInternalServerError).Write(to)
+		response.Empty(http.StatusInternalServerError).Write(to)
 		return
 	}
-	reply.Raw(result.status, body).Write(to)
+	response.Raw(result.status, body).Write(to)
 }
 
 // decode makes a command of a call, or nil if it can't be read.
@@ -244,8 +244,8 @@
 func WriteJSON(to http.ResponseWriter, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		reply.Text(http.StatusInternalServerError, err.Error()).Write(to)
+		response.Text(http.StatusInternalServerError, err.Error()).Write(to)
 		return
 	}
-	reply.Raw(http.StatusOK, body).Write(to)
+	response.Raw(http.StatusOK, body).Write(to)
 }
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/span"
 )
 
@@ -92,23 +92,23 @@
 		refusal.Write(to)
 		return
 	}
-	answer, isTaken := ask(p, request.Context(), func() reply.Reply { return p.obey(command) })
+	answer, isTaken := ask(p, request.Context(), func() response.Reply { return p.obey(command) })
 	if !isTaken {
-		answer = reply.Text(http.StatusServiceUnavailable, "the table is busy")
+		answer = response.Text(http.StatusServiceUnavailable, "the table is busy")
 	}
 	answer.Write(to)
 }
 
-func (p *Proxy) obey(command executorcalls.Command) reply.Reply {
+func (p *Proxy) obey(command executorcalls.Command) response.Reply {
 	if command.IsLeave {
 		p.table.Leave(command.Executor)
-		return reply.Raw(http.StatusOK, []byte("{}"))
+		return response.Raw(http.StatusOK, []byte("{}"))
 	}
 	status, why := p.table.Beat(command.Executor, command.Beat)
 	if why != "" {
-		return reply.Text(status, why)
+		return response.Text(status, why)
 	}
-	return reply.Raw(status, []byte("{}"))
+	return response.Raw(status, []byte("{}"))
 }
 
 type holdTurn struct {
--- a/internal/reply/reply.go
+++ b/internal/response/response.go
@@ -1,5 +1,5 @@
-// Package reply writes the answers of the project's HTTP interfaces.
-package reply
+// Package response writes the answers of the project's HTTP interfaces.
+package response
 
 import (
 	"encoding/json"
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/logs"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/span"
 )
 
@@ -73,9 +73,9 @@
 func readiness(isReady func() bool) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 		if isReady() {
-			reply.Empty(http.StatusOK).Write(to)
+			response.Empty(http.StatusOK).Write(to)
 			return
 		}
-		reply.Empty(http.StatusServiceUnavailable).Write(to)
+		response.Empty(http.StatusServiceUnavailable).Write(to)
 	})
 }
