--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/logs"
 	"gannetline/internal/roles"
 	"gannetline/internal/span"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const longestProfile = 60
@@ -49,7 +49,7 @@
 				return cli.Exit("there is no role "+command.Args().First(), exitUsage)
 			}
 			go endWithInput()
-			meter := &wiremeter.Meter{}
+			meter := &transportmetrics.Meter{}
 			return role(command.String("settings"), roles.WithMeter(meter),
 				roles.WithPage(hollow.PathFigures, http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 					hollow.WriteJSON(to, meter.Figures())
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -20,7 +20,7 @@
 	"gannetline/internal/response"
 	"gannetline/internal/roles"
 	"gannetline/internal/span"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const (
@@ -171,7 +171,7 @@
 	if err != nil {
 		return errors.Annotate(err, "field report")
 	}
-	clock, meter, beats := pulse.Real(), &wiremeter.Meter{}, peerapi.Client(beatLimit, 1)
+	clock, meter, beats := pulse.Real(), &transportmetrics.Meter{}, peerapi.Client(beatLimit, 1)
 	failed := make(chan error, len(all)+1)
 	var nodes []*node
 	for place, settings := range all {
@@ -212,7 +212,7 @@
 	server.Serve(listener)
 }
 
-func reports(nodes []*node, meter *wiremeter.Meter) http.Handler {
+func reports(nodes []*node, meter *transportmetrics.Meter) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(PathRecords, func(to http.ResponseWriter, request *http.Request) {
 		all := []RunRecord{}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -20,7 +20,7 @@
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
 	"gannetline/internal/supervise"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const (
@@ -40,14 +40,14 @@
 	inner    *http.ServeMux
 	tree     *supervise.Tree
 	node     *membership.Node
-	meter    *wiremeter.Meter
+	meter    *transportmetrics.Meter
 }
 
 // Option adds to a role what only a measured process has.
 type Option func(*base)
 
 // WithMeter counts what the role sends and receives.
-func WithMeter(meter *wiremeter.Meter) Option { return func(b *base) { b.meter = meter } }
+func WithMeter(meter *transportmetrics.Meter) Option { return func(b *base) { b.meter = meter } }
 
 // WithPage serves one more page at the internal address.
 func WithPage(path string, page http.Handler) Option {
--- a/internal/scalerun/children.go
+++ b/internal/scalerun/children.go
@@ -14,7 +14,7 @@
 
 	"gannetline/internal/hollow"
 	"gannetline/internal/span"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const lookLimit = 20 * time.Second
@@ -127,7 +127,7 @@
 	cpu      float64
 	resident int
 	files    int
-	wire     wiremeter.Figures
+	wire     transportmetrics.Figures
 }
 
 func (r *run) sample(one *child) (sample, error) {
--- a/internal/wiremeter/wiremeter.go
+++ b/internal/transportmetrics/transportmetrics.go
@@ -1,5 +1,5 @@
-// Package wiremeter counts what a process sends and receives, at its sockets.
-package wiremeter
+// Package transportmetrics counts what a process sends and receives, at its sockets.
+package transportmetrics
 
 import (
 	"net"
--- a/internal/wiremeter/wiremeter_test.go
+++ b/internal/transportmetrics/transportmetrics_test.go
@@ -1,4 +1,4 @@
-package wiremeter_test
+package transportmetrics_test
 
 import (
 	"io"
@@ -10,17 +10,17 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/peerapi"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 func TestWiremeter(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "wiremeter")
+	RunSpecs(t, "transportmetrics")
 }
 
 var _ = Describe("the meter", func() {
 	It("counts calls and their bytes on both sides", func() {
-		served, made := &wiremeter.Meter{}, &wiremeter.Meter{}
+		served, made := &transportmetrics.Meter{}, &transportmetrics.Meter{}
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &http.Server{Handler: served.Handler(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) { io.WriteString(to, "word") }))}
@@ -40,7 +40,7 @@
 	})
 
 	It("counts datagrams", func() {
-		meter := &wiremeter.Meter{}
+		meter := &transportmetrics.Meter{}
 		plain, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		packets := meter.Packets(plain)
@@ -49,11 +49,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = packets.ReadFrom(make([]byte, 10))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(meter.Figures()).To(Equal(wiremeter.Figures{BytesIn: 4, BytesOut: 4, DatagramsIn: 1, DatagramsOut: 1}))
+		Expect(meter.Figures()).To(Equal(transportmetrics.Figures{BytesIn: 4, BytesOut: 4, DatagramsIn: 1, DatagramsOut: 1}))
 	})
 
 	It("wraps nothing when there is none", func() {
-		var none *wiremeter.Meter
+		var none *transportmetrics.Meter
 		client := peerapi.Client(0, 1)
 		Expect(none.Client(client).Transport).To(BeIdenticalTo(client.Transport))
 		Expect(none.Listener(nil)).To(BeNil())
