--- a/internal/placetasks/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -1,11 +1,11 @@
-package placetasks_test
+package placement_test
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
 // BenchmarkNarrow places a mixed backlog where nearly all executors have a little room left, too little for most.
@@ -14,9 +14,9 @@
 		draw := rand.New(rand.NewPCG(3, 3))
 		all := executors(size, 16000)
 		for place := range all {
-			all[place].Free = placetasks.Room{CPU: 400 + int64(draw.IntN(700)), Memory: 1000}
+			all[place].Free = placement.Room{CPU: 400 + int64(draw.IntN(700)), Memory: 1000}
 		}
-		var groups []*placetasks.Group
+		var groups []*placement.Group
 		for number := range 1000 {
 			one := group(22, []int64{1100 + int64(draw.IntN(900)), 5500 + int64(draw.IntN(3000))}[number%4/3])
 			one.Due, one.Apart = int64(number), number%20/19
@@ -25,11 +25,11 @@
 		small := group(1, 300)
 		small.Due, small.Labels = 1000, []string{"none"}
 		groups = append(groups, small)
-		line := placetasks.Line{Groups: groups, Least: small.Need}
+		line := placement.Line{Groups: groups, Least: small.Need}
 		b.Run(fmt.Sprintf("executors=%d", size), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				placetasks.Place(all, line, nil)
+				placement.Place(all, line, nil)
 			}
 		})
 	}
--- a/internal/placetasks/most_test.go
+++ b/internal/placement/most_test.go
@@ -1,19 +1,19 @@
-package placetasks_test
+package placement_test
 
 import (
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
 var _ = Describe("an executor that is to earn trust", func() {
-	room := placetasks.Room{CPU: 16000, Memory: 16000}
-	one := placetasks.Room{CPU: 1000, Memory: 1000}
-	executors := func() []placetasks.Executor {
-		return []placetasks.Executor{{Free: room, Total: room, Most: 2}, {Free: room, Total: room, Doubt: 1}}
+	room := placement.Room{CPU: 16000, Memory: 16000}
+	one := placement.Room{CPU: 1000, Memory: 1000}
+	executors := func() []placement.Executor {
+		return []placement.Executor{{Free: room, Total: room, Most: 2}, {Free: room, Total: room, Doubt: 1}}
 	}
-	placedOn := func(placed []placetasks.Placement, executor int) (count int) {
+	placedOn := func(placed []placement.Placement, executor int) (count int) {
 		for _, one := range placed {
 			if one.Executor == executor {
 				count++
@@ -23,34 +23,34 @@
 	}
 
 	It("gets no more runs in one turn than it may, over all steps and gangs", func() {
-		groups := []*placetasks.Group{
+		groups := []*placement.Group{
 			{Need: one, Count: 1},
 			{Need: one, Count: 3, IsGang: true, Due: 1},
 			{Need: one, Count: 5, Due: 2},
 			{Count: 5, Due: 3},
 		}
-		placed := placetasks.PlaceInAnyOrder(executors(), groups, nil)
+		placed := placement.PlaceInAnyOrder(executors(), groups, nil)
 		Expect(placed).To(HaveLen(14))
 		Expect(placedOn(placed, 0)).To(Equal(2))
 	})
 
 	It("counts nothing for a gang that was not placed", func() {
-		groups := []*placetasks.Group{
+		groups := []*placement.Group{
 			{Need: one, Count: 3, IsGang: true, Apart: 1},
 			{Need: one, Count: 2, Due: 1},
 		}
-		placed := placetasks.PlaceInAnyOrder(executors(), groups, nil)
+		placed := placement.PlaceInAnyOrder(executors(), groups, nil)
 		Expect(placedOn(placed, 0)).To(Equal(2))
 	})
 
 	It("counts the members of a gang with what comes after it", func() {
 		few := executors()
 		few[0].Most = 3
-		groups := []*placetasks.Group{
+		groups := []*placement.Group{
 			{Need: one, Count: 1},
 			{Need: one, Count: 2, IsGang: true, Apart: 1, Due: 1},
 			{Need: one, Count: 5, Due: 2},
 		}
-		Expect(placedOn(placetasks.PlaceInAnyOrder(few, groups, nil), 0)).To(Equal(3))
+		Expect(placedOn(placement.PlaceInAnyOrder(few, groups, nil), 0)).To(Equal(3))
 	})
 })
--- a/internal/placetasks/place.go
+++ b/internal/placement/place.go
@@ -1,5 +1,5 @@
-// Package placetasks decides which executor runs which task. It knows neither clock nor network.
-package placetasks
+// Package placement decides which executor runs which task. It knows neither clock nor network.
+package placement
 
 import (
 	"cmp"
--- a/internal/placetasks/placetasks_suite_test.go
+++ b/internal/placement/placement_suite_test.go
@@ -1,4 +1,4 @@
-package placetasks_test
+package placement_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestPlacetasks(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "placetasks")
+	RunSpecs(t, "placement")
 }
--- a/internal/placetasks/placetasks_test.go
+++ b/internal/placement/placement_test.go
@@ -1,4 +1,4 @@
-package placetasks_test
+package placement_test
 
 import (
 	"fmt"
@@ -8,40 +8,40 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
-func executors(count int, cpu int64) []placetasks.Executor {
-	var all []placetasks.Executor
+func executors(count int, cpu int64) []placement.Executor {
+	var all []placement.Executor
 	for number := range count {
 		rack := fmt.Sprintf("r%d", number/2)
-		room := placetasks.Room{CPU: cpu, Memory: 1000}
-		all = append(all, placetasks.Executor{Free: room, Total: room, Labels: []string{"a", rack}, Rack: rack})
+		room := placement.Room{CPU: cpu, Memory: 1000}
+		all = append(all, placement.Executor{Free: room, Total: room, Labels: []string{"a", rack}, Rack: rack})
 	}
 	return all
 }
 
-func group(count int, cpu int64) *placetasks.Group {
-	return &placetasks.Group{Need: placetasks.Room{CPU: cpu}, Count: count}
+func group(count int, cpu int64) *placement.Group {
+	return &placement.Group{Need: placement.Room{CPU: cpu}, Count: count}
 }
 
 var _ = Describe("placement", func() {
 	It("keeps a task near its data while it is to wait there, and keeps no room for it elsewhere", func() {
 		near, large := group(3, 10), group(1, 10)
 		near.Near, near.IsNearOnly, large.Due = []string{"r0"}, true, 1
-		placed := placetasks.PlaceInAnyOrder(executors(4, 10), []*placetasks.Group{near, large}, nil)
-		Expect(placed).To(Equal([]placetasks.Placement{{Group: 0, Executor: 0}, {Group: 0, Executor: 1}, {Group: 1, Executor: 2}}))
+		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near, large}, nil)
+		Expect(placed).To(Equal([]placement.Placement{{Group: 0, Executor: 0}, {Group: 0, Executor: 1}, {Group: 1, Executor: 2}}))
 		near.IsNearOnly = false
-		Expect(placetasks.PlaceInAnyOrder(executors(4, 10), []*placetasks.Group{near, large}, nil)).To(HaveLen(4))
+		Expect(placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near, large}, nil)).To(HaveLen(4))
 	})
 
 	It("takes what can be in time before what is late, and what is too late after all others", func() {
 		late, soon := group(1, 10), group(1, 10)
-		late.Chance, late.Due, soon.Due = placetasks.ChanceLate, 1, 2
-		Expect(placetasks.PlaceInAnyOrder(executors(1, 10), []*placetasks.Group{late, soon}, nil)).To(Equal([]placetasks.Placement{{Group: 1, Executor: 0}}))
+		late.Chance, late.Due, soon.Due = placement.ChanceLate, 1, 2
+		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{late, soon}, nil)).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 		tooLate, lower := group(1, 10), group(1, 10)
-		tooLate.Chance, lower.Priority = placetasks.ChanceTooLate, 2
-		Expect(placetasks.PlaceInAnyOrder(executors(1, 10), []*placetasks.Group{tooLate, lower}, nil)).To(Equal([]placetasks.Placement{{Group: 1, Executor: 0}}))
+		tooLate.Chance, lower.Priority = placement.ChanceTooLate, 2
+		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{tooLate, lower}, nil)).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 	})
 
 	It("puts the urgent first, then what is due first", func() {
@@ -49,14 +49,14 @@
 		late.Priority, late.Due = 1, 200
 		soon.Priority, soon.Due = 1, 100
 		urgent.Due = 900
-		placed := placetasks.PlaceInAnyOrder(executors(1, 20), []*placetasks.Group{late, soon, urgent}, nil)
-		Expect(placed).To(Equal([]placetasks.Placement{{Group: 2, Executor: 0}, {Group: 1, Executor: 0}}))
+		placed := placement.PlaceInAnyOrder(executors(1, 20), []*placement.Group{late, soon, urgent}, nil)
+		Expect(placed).To(Equal([]placement.Placement{{Group: 2, Executor: 0}, {Group: 1, Executor: 0}}))
 	})
 
 	It("prefers the rack of the data, and takes another rather than wait", func() {
 		near := group(3, 10)
 		near.Near = []string{"r1"}
-		placed := placetasks.PlaceInAnyOrder(executors(4, 10), []*placetasks.Group{near}, nil)
+		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near}, nil)
 		Expect(placed).To(HaveLen(3))
 		Expect([]int{placed[0].Executor, placed[1].Executor}).To(ConsistOf(2, 3))
 	})
@@ -64,13 +64,13 @@
 	It("starts a gang whole or not at all, on one rack if it fits there", func() {
 		gang := group(3, 10)
 		gang.IsGang, gang.SameRack = true, true
-		placed := placetasks.PlaceInAnyOrder(executors(4, 20), []*placetasks.Group{gang}, nil)
+		placed := placement.PlaceInAnyOrder(executors(4, 20), []*placement.Group{gang}, nil)
 		Expect(placed).To(HaveLen(3))
 		for _, one := range placed {
 			Expect(one.Executor / 2).To(Equal(placed[0].Executor / 2))
 		}
 		gang.Count = 9
-		Expect(placetasks.PlaceInAnyOrder(executors(4, 20), []*placetasks.Group{gang}, nil)).To(BeEmpty())
+		Expect(placement.PlaceInAnyOrder(executors(4, 20), []*placement.Group{gang}, nil)).To(BeEmpty())
 	})
 
 	It("keeps an executor for a large task that small ones would push aside for ever", func() {
@@ -78,7 +78,7 @@
 		small.Due = 5
 		all := executors(2, 20)
 		all[0].Free.CPU, all[1].Free.CPU = 8, 12
-		placed := placetasks.PlaceInAnyOrder(all, []*placetasks.Group{large, small}, nil)
+		placed := placement.PlaceInAnyOrder(all, []*placement.Group{large, small}, nil)
 		for _, one := range placed {
 			Expect(one.Executor).To(Equal(0))
 		}
@@ -87,20 +87,20 @@
 	It("lets long work of lower priority leave what the urgent asked for lately", func() {
 		long, short := group(4, 10), group(1, 10)
 		long.Priority, long.IsLong, short.Priority = 2, true, 2
-		left := map[int]placetasks.Room{2: {CPU: 20, Memory: 1000}}
-		placed := placetasks.PlaceInAnyOrder(executors(2, 20), []*placetasks.Group{long}, left)
+		left := map[int]placement.Room{2: {CPU: 20, Memory: 1000}}
+		placed := placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{long}, left)
 		Expect(placed).To(HaveLen(2))
-		left = map[int]placetasks.Room{2: {}}
-		Expect(placetasks.PlaceInAnyOrder(executors(2, 20), []*placetasks.Group{short}, left)).To(HaveLen(1))
+		left = map[int]placement.Room{2: {}}
+		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, left)).To(HaveLen(1))
 	})
 
 	It("gives a spare run another executor, and only what is left over", func() {
 		spare, first := group(1, 10), group(1, 10)
 		spare.IsSpare, spare.Barred = true, []bool{true}
 		first.Priority = 3
-		Expect(placetasks.PlaceInAnyOrder(executors(1, 20), []*placetasks.Group{spare}, nil)).To(BeEmpty())
-		placed := placetasks.PlaceInAnyOrder(executors(1, 10), []*placetasks.Group{spare, first}, nil)
-		Expect(placed).To(Equal([]placetasks.Placement{{Group: 1, Executor: 0}}))
+		Expect(placement.PlaceInAnyOrder(executors(1, 20), []*placement.Group{spare}, nil)).To(BeEmpty())
+		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{spare, first}, nil)
+		Expect(placed).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 	})
 
 	It("never goes beyond room, labels or anti-affinity, whatever is asked", func() {
@@ -111,7 +111,7 @@
 				all[place].Free.CPU = int64(draw.IntN(21))
 				all[place].IsClosed = draw.IntN(5) == 0
 			}
-			var groups []*placetasks.Group
+			var groups []*placement.Group
 			for range draw.IntN(6) {
 				one := group(1+draw.IntN(8), int64(draw.IntN(22)))
 				one.Apart, one.Priority, one.IsGang = draw.IntN(3), draw.IntN(3), draw.IntN(4) == 0
@@ -120,9 +120,9 @@
 				}
 				groups = append(groups, one)
 			}
-			used, held := map[int]int64{}, map[placetasks.Placement]int{}
+			used, held := map[int]int64{}, map[placement.Placement]int{}
 			counts := map[int]int{}
-			for _, one := range placetasks.PlaceInAnyOrder(all, groups, nil) {
+			for _, one := range placement.PlaceInAnyOrder(all, groups, nil) {
 				used[one.Executor] += groups[one.Group].Need.CPU
 				held[one]++
 				counts[one.Group]++
@@ -152,8 +152,8 @@
 		for range 4000 {
 			all, groups, left := drawPlacement(draw)
 			other := maps.Clone(left)
-			placed := placetasks.PlaceInAnyOrder(all, groups, left)
-			Expect(placed).To(Equal(placetasks.PlaceByWalking(all, groups, other)))
+			placed := placement.PlaceInAnyOrder(all, groups, left)
+			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, other)))
 			Expect(left).To(Equal(other))
 			starts += len(placed)
 		}
@@ -161,12 +161,12 @@
 	})
 })
 
-func drawPlacement(draw *rand.Rand) ([]placetasks.Executor, []*placetasks.Group, map[int]placetasks.Room) {
+func drawPlacement(draw *rand.Rand) ([]placement.Executor, []*placement.Group, map[int]placement.Room) {
 	all := executors(1+draw.IntN(12), 20)
 	for place := range all {
 		one := &all[place]
-		one.Total = placetasks.Room{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
-		one.Free = placetasks.Room{CPU: int64(draw.IntN(int(one.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: one.Total.GPU}
+		one.Total = placement.Room{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
+		one.Free = placement.Room{CPU: int64(draw.IntN(int(one.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: one.Total.GPU}
 		one.IsClosed, one.Doubt = draw.IntN(5) == 0, float64(draw.IntN(3))/10
 		if draw.IntN(5) == 0 {
 			one.Most = 1 + draw.IntN(2)
@@ -175,17 +175,17 @@
 			one.Labels = append([]string{"b"}, one.Labels...)
 		}
 	}
-	var groups []*placetasks.Group
+	var groups []*placement.Group
 	for range draw.IntN(14) {
 		groups = append(groups, drawGroup(draw, len(all)))
 	}
 	if draw.IntN(2) == 0 {
 		return all, groups, nil
 	}
-	return all, groups, map[int]placetasks.Room{1: {CPU: int64(draw.IntN(60)), Memory: 3000}, 2: {CPU: int64(draw.IntN(30)), Memory: 900}}
+	return all, groups, map[int]placement.Room{1: {CPU: int64(draw.IntN(60)), Memory: 3000}, 2: {CPU: int64(draw.IntN(30)), Memory: 900}}
 }
 
-func drawGroup(draw *rand.Rand, executors int) *placetasks.Group {
+func drawGroup(draw *rand.Rand, executors int) *placement.Group {
 	one := group(1+draw.IntN(8), int64(draw.IntN(14)))
 	one.Need.Memory, one.Need.GPU = int64(draw.IntN(400)), int64(draw.IntN(8)/7)
 	one.Priority, one.Due, one.IsLong = draw.IntN(3), int64(draw.IntN(5)), draw.IntN(3) == 0
--- a/internal/placetasks/reserve.go
+++ b/internal/placement/reserve.go
@@ -1,4 +1,4 @@
-package placetasks
+package placement
 
 import "container/heap"
 
--- a/internal/poolowner/chances.go
+++ b/internal/poolowner/chances.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 )
 
@@ -31,12 +31,12 @@
 	return [4]int64{s.time.aimMs - s.restMs, last, last + resignedMs, last + overdueMs}
 }
 
-func (p *Pool) chance(step *stepState) placetasks.Chance {
+func (p *Pool) chance(step *stepState) placement.Chance {
 	if step.step.Lasting {
-		return placetasks.ChanceInTime
+		return placement.ChanceInTime
 	}
-	chances := [4]placetasks.Chance{placetasks.ChanceLate, placetasks.ChanceTooLate, placetasks.ChanceLate, placetasks.ChanceInTime}
-	now, chance := p.tenure.WallMs(), placetasks.ChanceInTime
+	chances := [4]placement.Chance{placement.ChanceLate, placement.ChanceTooLate, placement.ChanceLate, placement.ChanceInTime}
+	now, chance := p.tenure.WallMs(), placement.ChanceInTime
 	for place, turn := range step.chanceTurns() {
 		if now >= turn {
 			chance = chances[place]
--- a/internal/poolowner/headroom.go
+++ b/internal/poolowner/headroom.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
 const peakHalfLife = 15 * time.Second
@@ -31,18 +31,18 @@
 	k.cpu, k.memory, k.at = max(cpu, k.cpu*fade), max(memory, k.memory*fade), now
 }
 
-type demand struct{ asked, used placetasks.Room }
+type demand struct{ asked, used placement.Room }
 
 // headroom gives each priority what it may still take, so that urgent jobs find room when they come.
-func (p *Pool) headroom(total placetasks.Room, now time.Duration) map[int]placetasks.Room {
+func (p *Pool) headroom(total placement.Room, now time.Duration) map[int]placement.Room {
 	demands := p.demands()
-	left := map[int]placetasks.Room{}
+	left := map[int]placement.Room{}
 	priorities := slices.Sorted(maps.Keys(demands))
-	var used placetasks.Room
+	var used placement.Room
 	for _, one := range demands {
 		used = used.Plus(one.used)
 	}
-	var kept, above placetasks.Room
+	var kept, above placement.Room
 	for place, priority := range priorities {
 		one := demands[priority]
 		if p.peaks[priority] == nil {
@@ -60,28 +60,28 @@
 	return left
 }
 
-func (k *peak) unused(used, most placetasks.Room) placetasks.Room {
-	return placetasks.Room{CPU: max(0, min(int64(k.cpu), most.CPU)-used.CPU), Memory: max(0, min(int64(k.memory), most.Memory)-used.Memory)}
+func (k *peak) unused(used, most placement.Room) placement.Room {
+	return placement.Room{CPU: max(0, min(int64(k.cpu), most.CPU)-used.CPU), Memory: max(0, min(int64(k.memory), most.Memory)-used.Memory)}
 }
 
 // usage is what so many runs, or groups, of one priority take.
 type usage struct {
-	room  placetasks.Room
+	room  placement.Room
 	count int
 }
 
-func (u usage) with(room placetasks.Room, count int) usage {
+func (u usage) with(room placement.Room, count int) usage {
 	if count < 0 {
 		return usage{u.room.Minus(room), u.count + count}
 	}
 	return usage{u.room.Plus(room), u.count + count}
 }
 
-func (p *Pool) use(priority int, need placetasks.Room) {
+func (p *Pool) use(priority int, need placement.Room) {
 	p.usage[priority] = p.usage[priority].with(need, 1)
 }
 
-func (p *Pool) free(priority int, need placetasks.Room) {
+func (p *Pool) free(priority int, need placement.Room) {
 	p.usage[priority] = p.usage[priority].with(need, -1)
 	if p.usage[priority].count == 0 {
 		delete(p.usage, priority)
--- a/internal/poolowner/model.go
+++ b/internal/poolowner/model.go
@@ -8,7 +8,7 @@
 
 	"gannetline/internal/jobtable"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
 const (
@@ -131,8 +131,8 @@
 
 func (s *stepState) priority() int { return s.time.job.record.Terms.Priority }
 
-func (s *stepState) need() placetasks.Room {
-	return placetasks.Room{CPU: s.step.CPU, Memory: s.step.Memory, GPU: s.step.GPU}
+func (s *stepState) need() placement.Room {
+	return placement.Room{CPU: s.step.CPU, Memory: s.step.Memory, GPU: s.step.GPU}
 }
 
 func (s *stepState) lastRun() int64 {
@@ -212,8 +212,8 @@
 	proxy      string
 	domain     string
 	labels     []string
-	room       placetasks.Room
-	used       placetasks.Room
+	room       placement.Room
+	used       placement.Room
 	isDraining bool
 	departsAt  time.Duration
 	isKnown    bool
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -19,7 +19,7 @@
 	"gannetline/internal/jobtable"
 	"gannetline/internal/logs"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
 	"gannetline/internal/replication"
@@ -502,6 +502,6 @@
 	return "o/" + which.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
 }
 
-func room(capacity peerapi.Capacity) placetasks.Room {
-	return placetasks.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
+func room(capacity peerapi.Capacity) placement.Room {
+	return placement.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
 }
--- a/internal/poolowner/roster.go
+++ b/internal/poolowner/roster.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
 const never = time.Duration(math.MaxInt64)
@@ -14,8 +14,8 @@
 // roster keeps the lives in the order of their names, and what placement sees of each.
 type roster struct {
 	lives     []*life
-	executors []placetasks.Executor
-	open      placetasks.Room
+	executors []placement.Executor
+	open      placement.Room
 	version   uint64
 	isStale   bool
 	until     time.Duration
@@ -56,10 +56,10 @@
 }
 
 // executors is what placement sees now; only what changed since is worked out again.
-func (p *Pool) executors(now time.Duration) []placetasks.Executor {
+func (p *Pool) executors(now time.Duration) []placement.Executor {
 	r := &p.roster
 	if r.isStale || now >= r.until {
-		r.until, r.isStale, r.open = never, false, placetasks.Room{}
+		r.until, r.isStale, r.open = never, false, placement.Room{}
 		r.executors = slices.Grow(r.executors[:0], len(r.lives))[:len(r.lives)]
 		clear(r.executors)
 		for _, home := range r.lives {
@@ -90,15 +90,15 @@
 	}
 }
 
-func openRoom(executor *placetasks.Executor) placetasks.Room {
+func openRoom(executor *placement.Executor) placement.Room {
 	if executor.IsClosed {
-		return placetasks.Room{}
+		return placement.Room{}
 	}
 	return executor.Total
 }
 
-func (p *Pool) executor(home *life, now time.Duration) placetasks.Executor {
-	return placetasks.Executor{Free: home.room.Minus(home.used), Total: home.room, Labels: home.labels, Rack: home.rack(),
+func (p *Pool) executor(home *life, now time.Duration) placement.Executor {
+	return placement.Executor{Free: home.room.Minus(home.used), Total: home.room, Labels: home.labels, Rack: home.rack(),
 		Doubt: home.doubt() + home.slowness(), Most: home.most(), IsClosed: home.isAtMost() || !home.isFenced || home.isDraining || home.isBlocked || now < home.sickUntil ||
 			now-home.contactAt > p.timing.SilentAfter}
 }
--- a/internal/poolowner/scratch_test.go
+++ b/internal/poolowner/scratch_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 )
 
 // Differences names what the pool keeps and what is not what comes out when it is worked out from nothing.
@@ -23,7 +23,7 @@
 	lives := slices.SortedFunc(maps.Values(p.lives), func(one, two *life) int { return cmp.Compare(one.id, two.id) })
 	compare("lives", plain(p.roster.lives), plain(lives))
 	executors := slices.Clone(p.executors(now))
-	var open placetasks.Room
+	var open placement.Room
 	for place, home := range lives {
 		if executor := p.executor(home, now); !executor.IsClosed {
 			open = open.Plus(executor.Total)
@@ -83,7 +83,7 @@
 func (p *Pool) compareRuns(compare func(string, any, any), lives []*life) {
 	pending, taken := map[*run]bool{}, map[int]usage{}
 	for _, home := range lives {
-		var used placetasks.Room
+		var used placement.Room
 		for _, one := range home.runs {
 			need, priority := one.task.step.need(), one.task.step.priority()
 			used = used.Plus(need)
@@ -190,7 +190,7 @@
 		if one.group.IsSpare != two.group.IsSpare {
 			return map[bool]int{true: 1, false: -1}[one.group.IsSpare]
 		}
-		return placetasks.CompareGroups(one.group, two.group)
+		return placement.CompareGroups(one.group, two.group)
 	})
 	return found
 }
--- a/internal/poolowner/spares.go
+++ b/internal/poolowner/spares.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 )
 
@@ -157,7 +157,7 @@
 }
 
 // spare asks for a second run of a task, anywhere but where the first one is.
-func (p *Pool) spare(which *task) placetasks.Group {
+func (p *Pool) spare(which *task) placement.Group {
 	group := p.group(which.step, []*task{which})
 	group.IsSpare, group.Except = true, []int{which.runs[0].life.place}
 	return group
--- a/internal/poolowner/tick.go
+++ b/internal/poolowner/tick.go
@@ -10,7 +10,7 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/peerapi"
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 )
 
@@ -169,7 +169,7 @@
 	defer func() { p.meters.placeSeconds.Observe(p.clock.Steady() - now) }()
 	p.refreshAll(now)
 	executors := p.executors(now)
-	placed := placetasks.Place(executors, p.open.line(), p.headroom(p.roster.open, now))
+	placed := placement.Place(executors, p.open.line(), p.headroom(p.roster.open, now))
 	for _, start := range p.starts(placed) {
 		p.launch(start.task, start.home, start.number)
 	}
@@ -182,7 +182,7 @@
 }
 
 // starts gives each placement its task and the number of its run; all of a gang have one number.
-func (p *Pool) starts(placed []placetasks.Placement) []start {
+func (p *Pool) starts(placed []placement.Placement) []start {
 	starts := make([]start, len(placed))
 	next, gangRun := map[int]int{}, map[int]int64{}
 	for place, one := range placed {
--- a/internal/poolowner/waiting.go
+++ b/internal/poolowner/waiting.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
 )
@@ -21,7 +21,7 @@
 	lookAgain time.Duration
 	inTimes   int
 	request   request
-	group     placetasks.Group
+	group     placement.Group
 	spares    []*request
 }
 
@@ -29,16 +29,16 @@
 type request struct {
 	step  *stepState
 	tasks []*task
-	group *placetasks.Group
+	group *placement.Group
 }
 
 // requests are kept in the order in which they are placed, with what they ask for by priority, and a room that none
 // needs less than.
 type requests struct {
 	requests []*request
-	groups   []*placetasks.Group
+	groups   []*placement.Group
 	asked    map[int]usage
-	least    placetasks.Room
+	least    placement.Room
 }
 
 func newRequests() requests {
@@ -48,16 +48,16 @@
 }
 
 func compareRequests(one, two *request) int {
-	if order := placetasks.CompareGroups(one.group, two.group); order != 0 {
+	if order := placement.CompareGroups(one.group, two.group); order != 0 {
 		return order
 	}
 	return cmp.Or(cmp.Compare(one.step.tasks[0].name, two.step.tasks[0].name), cmp.Compare(one.tasks[0].index, two.tasks[0].index))
 }
 
 // change makes a request ask for something else; one that asks for nothing is not listed.
-func (r *requests) change(one *request, tasks []*task, group placetasks.Group) {
+func (r *requests) change(one *request, tasks []*task, group placement.Group) {
 	was := *one.group
-	staysInPlace := was.Count > 0 && group.Count > 0 && placetasks.CompareGroups(&was, &group) == 0
+	staysInPlace := was.Count > 0 && group.Count > 0 && placement.CompareGroups(&was, &group) == 0
 	if was.Count > 0 && !staysInPlace {
 		place, _ := slices.BinarySearchFunc(r.requests, one, compareRequests)
 		r.requests, r.groups = slices.Delete(r.requests, place, place+1), slices.Delete(r.groups, place, place+1)
@@ -71,7 +71,7 @@
 	r.count(&group, 1)
 }
 
-func (r *requests) count(group *placetasks.Group, count int) {
+func (r *requests) count(group *placement.Group, count int) {
 	if group.Count == 0 {
 		return
 	}
@@ -85,11 +85,11 @@
 	}
 }
 
-func asks(group *placetasks.Group) placetasks.Room { return group.Need.Times(float64(group.Count)) }
+func asks(group *placement.Group) placement.Room { return group.Need.Times(float64(group.Count)) }
 
 // findLeast works out the least need again, which only sinks in between.
 func (r *requests) findLeast() {
-	r.least = placetasks.Room{CPU: math.MaxInt64, Memory: math.MaxInt64, GPU: math.MaxInt64}
+	r.least = placement.Room{CPU: math.MaxInt64, Memory: math.MaxInt64, GPU: math.MaxInt64}
 	for _, group := range r.groups {
 		r.least = r.least.AtMost(group.Need)
 	}
@@ -121,9 +121,9 @@
 	if !o.steps[step] {
 		return
 	}
-	o.firsts.change(&step.waits.request, nil, placetasks.Group{})
+	o.firsts.change(&step.waits.request, nil, placement.Group{})
 	for _, spare := range step.waits.spares {
-		o.spares.change(spare, spare.tasks, placetasks.Group{})
+		o.spares.change(spare, spare.tasks, placement.Group{})
 	}
 	step.waits.spares = nil
 	o.times.set(step, never)
@@ -145,8 +145,8 @@
 	return o.spares.requests[number-len(o.firsts.requests)]
 }
 
-func (o *openSteps) line() placetasks.Line {
-	return placetasks.Line{Groups: o.firsts.groups, Spares: o.spares.groups, Least: o.firsts.least.AtMost(o.spares.least)}
+func (o *openSteps) line() placement.Line {
+	return placement.Line{Groups: o.firsts.groups, Spares: o.spares.groups, Least: o.firsts.least.AtMost(o.spares.least)}
 }
 
 // stepTimes is a heap of the steps that have to be looked at again at a time.
@@ -224,7 +224,7 @@
 // refresh works out anew what a step asks for, and until when that holds.
 func (p *Pool) refresh(step *stepState, now time.Duration) {
 	ready, again := p.ready(step, now)
-	var group placetasks.Group
+	var group placement.Group
 	if len(ready) > 0 {
 		group = p.group(step, ready)
 	}
@@ -249,14 +249,14 @@
 	old := step.waits.spares
 	step.waits.spares = nil
 	drop := func() {
-		p.open.spares.change(old[0], old[0].tasks, placetasks.Group{})
+		p.open.spares.change(old[0], old[0].tasks, placement.Group{})
 		old = old[1:]
 	}
 	for _, which := range doubtful {
 		for len(old) > 0 && old[0].tasks[0].index < which.index {
 			drop()
 		}
-		one := &request{step, []*task{which}, &placetasks.Group{}}
+		one := &request{step, []*task{which}, &placement.Group{}}
 		if len(old) > 0 && old[0].tasks[0] == which {
 			one, old = old[0], old[1:]
 		}
@@ -287,9 +287,9 @@
 	return ready, again
 }
 
-func (p *Pool) group(step *stepState, ready []*task) placetasks.Group {
+func (p *Pool) group(step *stepState, ready []*task) placement.Group {
 	owner := step.time.job
-	group := placetasks.Group{Barred: p.barredByRule(step), Need: step.need(), Count: len(ready), IsGang: step.step.Gang,
+	group := placement.Group{Barred: p.barredByRule(step), Need: step.need(), Count: len(ready), IsGang: step.step.Gang,
 		SameRack: step.step.SameRack, Labels: step.step.Labels, Near: step.step.Near, Apart: step.step.Apart,
 		IsLong:   step.step.Lasting || pulse.Ms(step.step.EstimatedMs) > p.timing.Headroom.LongWork,
 		Priority: owner.record.Terms.Priority, Chance: p.chance(step), Due: p.due(step, len(ready))}
