--- a/cmd/gannetline/rehearse.go
+++ b/cmd/gannetline/rehearse.go
@@ -6,7 +6,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/daybook"
+	"gannetline/internal/recording"
 	"gannetline/internal/rehearseday"
 	"gannetline/internal/span"
 )
@@ -61,6 +61,6 @@
 		}
 		setup.Faults = append(setup.Faults, fault)
 	}
-	setup.Day, err = daybook.ReadFiles(command.Args().Slice(), command.Bool("lenient"))
+	setup.Day, err = recording.ReadFiles(command.Args().Slice(), command.Bool("lenient"))
 	return setup, err
 }
--- a/internal/poolowner/clients.go
+++ b/internal/poolowner/clients.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strconv"
 
-	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/recording"
 )
 
 type answerClient = func(peerapi.ClientAnswer)
@@ -48,7 +48,7 @@
 	p.put("j/"+call.ID, one.record)
 	one.record.Spec = nil
 	p.makeTimesOf(one, p.tenure.WallMs())
-	p.record.Record(daybook.Event{Kind: daybook.KindHandIn, AtMs: one.record.AcceptedMs, Queue: call.Entry, ID: call.ID,
+	p.record.Record(recording.Event{Kind: recording.KindHandIn, AtMs: one.record.AcceptedMs, Queue: call.Entry, ID: call.ID,
 		Terms: one.record.Terms, Body: call.Body})
 	p.after(accepted)
 }
@@ -89,7 +89,7 @@
 func (p *Pool) Cancel(call *peerapi.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	if one != nil && one.isOpen() {
-		p.record.Record(daybook.Event{Kind: daybook.KindCancel, AtMs: p.tenure.WallMs(), ID: call.ID})
+		p.record.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.tenure.WallMs(), ID: call.ID})
 		p.end(one, stateCancelled, "cancelled by its client")
 	}
 	p.after(func(err error) {
--- a/internal/poolowner/exchange.go
+++ b/internal/poolowner/exchange.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/daybook"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
+	"gannetline/internal/recording"
 )
 
 // Results a local-proxy gives for an order.
@@ -93,7 +93,7 @@
 	}
 	isNewDrain := call.Draining && !home.isDraining
 	if !home.isKnown || isNewDrain {
-		p.record.Record(daybook.Event{Kind: daybook.KindExecutor, AtMs: p.tenure.WallMs(), Machine: call.Proxy, Room: call.Room,
+		p.record.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.tenure.WallMs(), Machine: call.Proxy, Room: call.Room,
 			Labels: call.Labels, IsDraining: call.Draining})
 	}
 	if home.atOnce > 0 {
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -15,13 +15,13 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/bootsettings"
-	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/logs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/recording"
 	"gannetline/internal/replication"
 )
 
@@ -96,11 +96,11 @@
 }
 
 // Recorder is told what a rehearsal needs to play the day again; it must not block.
-type Recorder interface{ Record(daybook.Event) }
+type Recorder interface{ Record(recording.Event) }
 
 type silentRecorder struct{}
 
-func (silentRecorder) Record(daybook.Event) {}
+func (silentRecorder) Record(recording.Event) {}
 
 type Option func(*Pool)
 
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/poolowner/poolowner_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/daybook"
 	"gannetline/internal/logs"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/recording"
 )
 
 // scripted is a tenure whose commits the test finishes.
@@ -71,8 +71,8 @@
 // diary keeps how long the runs were that ended.
 type diary struct{ lengths []int64 }
 
-func (d *diary) Record(event daybook.Event) {
-	if event.Kind == daybook.KindEnd {
+func (d *diary) Record(event recording.Event) {
+	if event.Kind == recording.KindEnd {
 		d.lengths = append(d.lengths, event.LengthMs)
 	}
 }
--- a/internal/poolowner/runs.go
+++ b/internal/poolowner/runs.go
@@ -5,10 +5,10 @@
 	"strconv"
 	"time"
 
-	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
+	"gannetline/internal/recording"
 )
 
 // launch records the placement and its order in this turn's change; the order leaves after the commit.
@@ -151,7 +151,7 @@
 		p.keepSaved(which, end.Saved)
 	}
 	p.noteStart(which.job())
-	p.record.Record(daybook.Event{Kind: daybook.KindEnd, AtMs: p.tenure.WallMs(), Task: end.Task, Run: end.Run, How: end.How,
+	p.record.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.tenure.WallMs(), Task: end.Task, Run: end.Run, How: end.How,
 		LengthMs: pulse.InMs(now - one.startedAt)})
 	switch end.How {
 	case "done":
--- a/internal/daybook/event.go
+++ b/internal/recording/event.go
@@ -1,5 +1,5 @@
-// Package daybook is the recording of a day: what was asked of the system, and how long the work took.
-package daybook
+// Package recording is the recording of a day: what was asked of the system, and how long the work took.
+package recording
 
 import (
 	"github.com/mailru/easyjson"
--- a/internal/daybook/read.go
+++ b/internal/recording/read.go
@@ -1,4 +1,4 @@
-package daybook
+package recording
 
 import (
 	"bufio"
--- a/internal/rehearseday/play.go
+++ b/internal/rehearseday/play.go
@@ -8,10 +8,10 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/daybook"
 	"gannetline/internal/jobtable"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
+	"gannetline/internal/recording"
 	"gannetline/internal/stage"
 )
 
@@ -23,7 +23,7 @@
 
 // Setup is everything a rehearsal depends on.
 type Setup struct {
-	Day     *daybook.Day
+	Day     *recording.Day
 	Change  *Change
 	Faults  []Fault
 	Seed    uint64
@@ -45,7 +45,7 @@
 }
 
 type playedJob struct {
-	event    daybook.Event
+	event    recording.Event
 	spec     *jobtable.Spec
 	isTaken  bool
 	askedAt  time.Duration
@@ -103,7 +103,7 @@
 
 func (p *play) learnLengths() {
 	for _, event := range p.setup.Day.Events {
-		if event.Kind != daybook.KindEnd {
+		if event.Kind != recording.KindEnd {
 			continue
 		}
 		if event.How == "done" || event.How == "failed" {
@@ -135,7 +135,7 @@
 func (p *play) places() []stage.Place {
 	known := map[string]stage.Place{}
 	for _, event := range p.setup.Day.Events {
-		if event.Kind == daybook.KindExecutor {
+		if event.Kind == recording.KindExecutor {
 			if _, isThere := known[event.Machine]; !isThere {
 				known[event.Machine] = stage.Place{Machine: event.Machine, Room: event.Room, Labels: event.Labels}
 			}
@@ -152,7 +152,7 @@
 	for _, event := range p.setup.Day.Events {
 		wait := warmUp + time.Duration(event.AtMs-p.firstMs)*time.Millisecond
 		switch event.Kind {
-		case daybook.KindHandIn:
+		case recording.KindHandIn:
 			spec, err := jobtable.Read(event.Body)
 			if err != nil {
 				return errors.Annotatef(err, "job %s", event.ID)
@@ -160,9 +160,9 @@
 			one := &playedJob{event: event, spec: spec}
 			p.jobs[event.ID] = one
 			p.stage.Line.After(wait, func() { p.handIn(one) })
-		case daybook.KindCancel:
+		case recording.KindCancel:
 			p.stage.Line.After(wait, func() { p.cancel(event.ID) })
-		case daybook.KindExecutor:
+		case recording.KindExecutor:
 			if event.IsDraining {
 				p.stage.Line.After(wait, func() { p.drain(event.Machine) })
 			}
--- a/internal/rehearseday/rehearseday_test.go
+++ b/internal/rehearseday/rehearseday_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/daybook"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/recording"
 	"gannetline/internal/rehearseday"
 	"gannetline/internal/stage"
 )
@@ -28,14 +28,14 @@
 func exampleDay() []byte {
 	draw := rand.New(rand.NewPCG(2026, 12))
 	var out bytes.Buffer
-	put := func(event daybook.Event) {
+	put := func(event recording.Event) {
 		line, err := easyjson.Marshal(event)
 		Expect(err).NotTo(HaveOccurred())
 		out.Write(append(line, '\n'))
 	}
-	put(daybook.Event{Kind: daybook.KindHeader, AtMs: dawn, Version: daybook.Version, Node: "steward-1"})
+	put(recording.Event{Kind: recording.KindHeader, AtMs: dawn, Version: recording.Version, Node: "steward-1"})
 	for number := range 6 {
-		put(daybook.Event{Kind: daybook.KindExecutor, AtMs: dawn, Machine: fmt.Sprintf("side-%02d", number+1),
+		put(recording.Event{Kind: recording.KindExecutor, AtMs: dawn, Machine: fmt.Sprintf("side-%02d", number+1),
 			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
 	}
 	kinds := []struct {
@@ -55,7 +55,7 @@
 	for at := range 20000 / 50 {
 		for kind, one := range kinds {
 			if draw.IntN(one.every/50) == 0 {
-				put(daybook.Event{Kind: daybook.KindHandIn, AtMs: dawn + 1000 + int64(at)*50, Queue: one.queue,
+				put(recording.Event{Kind: recording.KindHandIn, AtMs: dawn + 1000 + int64(at)*50, Queue: one.queue,
 					ID: fmt.Sprintf("%04x%012x", kind, at), Terms: one.terms, Body: []byte(one.body)})
 			}
 		}
@@ -77,10 +77,10 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func read(text string, isLenient bool) (*daybook.Day, error) {
+func read(text string, isLenient bool) (*recording.Day, error) {
 	path := filepath.Join(GinkgoT().TempDir(), "day.jsonl")
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
-	return daybook.ReadFiles([]string{path}, isLenient)
+	return recording.ReadFiles([]string{path}, isLenient)
 }
 
 func change(text string) (*rehearseday.Change, error) {
@@ -90,7 +90,7 @@
 }
 
 func rehearse(text string, faults ...rehearseday.Fault) *rehearseday.Report {
-	day, err := daybook.ReadFiles([]string{example}, false)
+	day, err := recording.ReadFiles([]string{example}, false)
 	Expect(err).NotTo(HaveOccurred())
 	proposal, err := change(text)
 	Expect(err).NotTo(HaveOccurred())
@@ -165,7 +165,7 @@
 	})
 
 	It("sees what lands twice, when proxies hold longer than they were granted", func() {
-		day, err := daybook.ReadFiles([]string{example}, false)
+		day, err := recording.ReadFiles([]string{example}, false)
 		Expect(err).NotTo(HaveOccurred())
 		setup := rehearseday.Setup{Day: day, Change: &rehearseday.Change{}, Seed: 1, Horizon: time.Minute}
 		for _, machine := range []string{"side-01", "side-02"} {
@@ -188,13 +188,13 @@
 
 	It("rehearses what the system recorded itself, a retried hand-in once", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "own.jsonl")
-		writer := daybook.NewWriter(path, "steward-1", false)
-		day, err := daybook.ReadFiles([]string{example}, false)
+		writer := recording.NewWriter(path, "steward-1", false)
+		day, err := recording.ReadFiles([]string{example}, false)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = rehearseday.Play(rehearseday.Setup{Day: day, Change: &rehearseday.Change{}, Seed: 3, Horizon: time.Minute, Record: writer})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(writer.Flush()).To(Succeed())
-		own, err := daybook.ReadFiles([]string{path, path}, false)
+		own, err := recording.ReadFiles([]string{path, path}, false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(own.Lost).To(BeZero())
 		report, err := rehearseday.Rehearse(rehearseday.Setup{Day: own, Change: &rehearseday.Change{}, Seed: 1, Horizon: time.Minute})
@@ -202,7 +202,7 @@
 		Expect(report.Recorded).To(BeNumerically(">", 100))
 		jobs := 0
 		for _, event := range day.Events {
-			if event.Kind == daybook.KindHandIn {
+			if event.Kind == recording.KindHandIn {
 				jobs++
 			}
 		}
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -11,13 +11,13 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/controlapi"
 	"gannetline/internal/controlkeys"
-	"gannetline/internal/daybook"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/recording"
 	"gannetline/internal/span"
 )
 
@@ -47,7 +47,7 @@
 	}
 	pool := []poolowner.Option{poolowner.WithRules(rules)}
 	if b.settings.RecordDay && kept.folder != "" {
-		writer := daybook.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
+		writer := recording.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
 		b.tree.Add("recording", writer.Run)
 		pool = append(pool, poolowner.WithRecorder(writer))
 	}
