--- a/cmd/gannetline/rehearse.go
+++ b/cmd/gannetline/rehearse.go
@@ -7,7 +7,7 @@
 	"github.com/urfave/cli/v3"
 
 	"gannetline/internal/recording"
-	"gannetline/internal/rehearseday"
+	"gannetline/internal/rehearsal"
 	"gannetline/internal/span"
 )
 
@@ -24,11 +24,11 @@
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 		},
 		Action: func(_ span.Span, command *cli.Command) error {
-			setup, err := rehearsal(command)
+			setup, err := rehearsalSetup(command)
 			if err != nil {
 				return cli.Exit(err.Error(), exitUsage)
 			}
-			report, err := rehearseday.Rehearse(setup)
+			report, err := rehearsal.Rehearse(setup)
 			if err != nil {
 				return cli.Exit(err.Error(), exitUsage)
 			}
@@ -43,19 +43,19 @@
 	}
 }
 
-func rehearsal(command *cli.Command) (rehearseday.Setup, error) {
-	setup := rehearseday.Setup{Change: &rehearseday.Change{}, Seed: command.Uint64("seed"), Horizon: command.Duration("horizon")}
+func rehearsalSetup(command *cli.Command) (rehearsal.Setup, error) {
+	setup := rehearsal.Setup{Change: &rehearsal.Change{}, Seed: command.Uint64("seed"), Horizon: command.Duration("horizon")}
 	if command.Args().Len() == 0 {
 		return setup, cli.Exit("rehearse takes at least one recording", exitUsage)
 	}
 	var err error
 	if path := command.String("change"); path != "" {
-		if setup.Change, err = rehearseday.LoadChange(path); err != nil {
+		if setup.Change, err = rehearsal.LoadChange(path); err != nil {
 			return setup, err
 		}
 	}
 	for _, text := range command.StringSlice("fault") {
-		fault, err := rehearseday.ParseFault(text)
+		fault, err := rehearsal.ParseFault(text)
 		if err != nil {
 			return setup, err
 		}
--- a/internal/rehearseday/change.go
+++ b/internal/rehearsal/change.go
@@ -1,6 +1,6 @@
-// Package rehearseday plays a recorded day again through the project's own code, as things are and under a
+// Package rehearsal plays a recorded day again through the project's own code, as things are and under a
 // proposed change, and says what came late, went missing or landed twice.
-package rehearseday
+package rehearsal
 
 import (
 	"bytes"
--- a/internal/rehearseday/rehearseday_suite_test.go
+++ b/internal/rehearsal/rehearsal_suite_test.go
@@ -1,4 +1,4 @@
-package rehearseday_test
+package rehearsal_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestRehearseday(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "rehearseday")
+	RunSpecs(t, "rehearsal")
 }
--- a/internal/rehearseday/rehearseday_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -1,4 +1,4 @@
-package rehearseday_test
+package rehearsal_test
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"gannetline/internal/peerapi"
 	"gannetline/internal/recording"
-	"gannetline/internal/rehearseday"
+	"gannetline/internal/rehearsal"
 	"gannetline/internal/stage"
 )
 
@@ -83,18 +83,18 @@
 	return recording.ReadFiles([]string{path}, isLenient)
 }
 
-func change(text string) (*rehearseday.Change, error) {
+func change(text string) (*rehearsal.Change, error) {
 	path := filepath.Join(GinkgoT().TempDir(), "change.yaml")
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
-	return rehearseday.LoadChange(path)
+	return rehearsal.LoadChange(path)
 }
 
-func rehearse(text string, faults ...rehearseday.Fault) *rehearseday.Report {
+func rehearse(text string, faults ...rehearsal.Fault) *rehearsal.Report {
 	day, err := recording.ReadFiles([]string{example}, false)
 	Expect(err).NotTo(HaveOccurred())
 	proposal, err := change(text)
 	Expect(err).NotTo(HaveOccurred())
-	report, err := rehearseday.Rehearse(rehearseday.Setup{Day: day, Change: proposal, Seed: 1, Horizon: time.Minute, Faults: faults})
+	report, err := rehearsal.Rehearse(rehearsal.Setup{Day: day, Change: proposal, Seed: 1, Horizon: time.Minute, Faults: faults})
 	Expect(err).NotTo(HaveOccurred())
 	return report
 }
@@ -125,7 +125,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		proposal, err := change("queues:\n  urgent: {priority: 9}\n")
 		Expect(err).NotTo(HaveOccurred())
-		report, err := rehearseday.Rehearse(rehearseday.Setup{Day: day, Change: proposal, Seed: 1, Horizon: 5 * time.Second})
+		report, err := rehearsal.Rehearse(rehearsal.Setup{Day: day, Change: proposal, Seed: 1, Horizon: 5 * time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		urgent := report.Queues["urgent"]
 		Expect(urgent.AsIs.Late + urgent.AsIs.Missing).To(BeZero())
@@ -150,10 +150,10 @@
 	})
 
 	It("plays with faults over the day, and nothing lands twice or goes missing", func() {
-		var faults []rehearseday.Fault
+		var faults []rehearsal.Fault
 		for _, text := range []string{"kill:steward-1:4000:3000", "cut:side-02:6000:7000", "freeze:steward-2:9000:2000", "wipe:steward-3:15000",
 			"drain:side-03:3000", "slow:side-04:5000:5000"} {
-			fault, err := rehearseday.ParseFault(text)
+			fault, err := rehearsal.ParseFault(text)
 			Expect(err).NotTo(HaveOccurred())
 			faults = append(faults, fault)
 		}
@@ -167,12 +167,12 @@
 	It("sees what lands twice, when proxies hold longer than they were granted", func() {
 		day, err := recording.ReadFiles([]string{example}, false)
 		Expect(err).NotTo(HaveOccurred())
-		setup := rehearseday.Setup{Day: day, Change: &rehearseday.Change{}, Seed: 1, Horizon: time.Minute}
+		setup := rehearsal.Setup{Day: day, Change: &rehearsal.Change{}, Seed: 1, Horizon: time.Minute}
 		for _, machine := range []string{"side-01", "side-02"} {
-			setup.Faults = append(setup.Faults, rehearseday.Fault{Kind: "cut", Target: machine, At: 6 * time.Second, Length: 20 * time.Second})
+			setup.Faults = append(setup.Faults, rehearsal.Fault{Kind: "cut", Target: machine, At: 6 * time.Second, Length: 20 * time.Second})
 		}
 		twice := func() (count int) {
-			outcomes, err := rehearseday.Play(setup)
+			outcomes, err := rehearsal.Play(setup)
 			Expect(err).NotTo(HaveOccurred())
 			for _, one := range outcomes {
 				if one.Twice {
@@ -191,13 +191,13 @@
 		writer := recording.NewWriter(path, "steward-1", false)
 		day, err := recording.ReadFiles([]string{example}, false)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = rehearseday.Play(rehearseday.Setup{Day: day, Change: &rehearseday.Change{}, Seed: 3, Horizon: time.Minute, Record: writer})
+		_, err = rehearsal.Play(rehearsal.Setup{Day: day, Change: &rehearsal.Change{}, Seed: 3, Horizon: time.Minute, Record: writer})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(writer.Flush()).To(Succeed())
 		own, err := recording.ReadFiles([]string{path, path}, false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(own.Lost).To(BeZero())
-		report, err := rehearseday.Rehearse(rehearseday.Setup{Day: own, Change: &rehearseday.Change{}, Seed: 1, Horizon: time.Minute})
+		report, err := rehearsal.Rehearse(rehearsal.Setup{Day: own, Change: &rehearsal.Change{}, Seed: 1, Horizon: time.Minute})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(report.Recorded).To(BeNumerically(">", 100))
 		jobs := 0
@@ -244,7 +244,7 @@
 	)
 
 	DescribeTable("refuses a bad fault", func(text string) {
-		_, err := rehearseday.ParseFault(text)
+		_, err := rehearsal.ParseFault(text)
 		Expect(err).To(HaveOccurred())
 	}, Entry("kind", "burn:side-01:5"), Entry("time", "cut:side-01:soon"), Entry("short", "cut"))
 })
--- a/internal/rehearseday/report.go
+++ b/internal/rehearsal/report.go
@@ -1,4 +1,4 @@
-package rehearseday
+package rehearsal
 
 import (
 	"encoding/json"
