--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 
 	"gannetline/internal/hollow"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/roles"
 	"gannetline/internal/span"
 	"gannetline/internal/transportmetrics"
@@ -32,7 +32,7 @@
 			life, forget := span.UntilSignal()
 			defer forget()
 			go endWithInput()
-			return hollow.Run(life, spec, settings, logs.New(os.Stderr, settings[0].LogLevel))
+			return hollow.Run(life, spec, settings, logging.New(os.Stderr, settings[0].LogLevel))
 		},
 	}
 }
--- a/internal/configcache/book_test.go
+++ b/internal/configcache/book_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/configcache"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
@@ -46,7 +46,7 @@
 	next := fact(5, body(5, append(routes(39), route("x", 1))...))
 	BeforeEach(func() {
 		sibling, clock, inForce = newScriptedSibling(), pulse.NewFake(1), make(chan int64, 9)
-		book = configcache.New(peerapi.NewCaller(&http.Client{Transport: sibling}), clock, logs.Silent(),
+		book = configcache.New(peerapi.NewCaller(&http.Client{Transport: sibling}), clock, logging.Silent(),
 			func(page *configcache.Snapshot) { inForce <- page.Fact.Version })
 		life, end := span.Cancellable(span.Root())
 		DeferCleanup(end)
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/configuration"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -40,7 +40,7 @@
 	page     atomic.Pointer[Snapshot]
 	caller   *peerapi.Caller
 	clock    pulse.Pulse
-	log      logs.Logger
+	log      logging.Logger
 	fetching map[string]bool
 	askedAt  time.Duration
 	// next was heard to hold nextHolds during a fetch.
@@ -49,7 +49,7 @@
 	heed      func(*Snapshot)
 }
 
-func New(caller *peerapi.Caller, clock pulse.Pulse, log logs.Logger, heed func(*Snapshot)) *Cache {
+func New(caller *peerapi.Caller, clock pulse.Pulse, log logging.Logger, heed func(*Snapshot)) *Cache {
 	return &Cache{box: mailbox.New(64), caller: caller, clock: clock, log: log, heed: heed, fetching: map[string]bool{}}
 }
 
--- a/internal/configcache/fetch_test.go
+++ b/internal/configcache/fetch_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/configcache"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -19,7 +19,7 @@
 
 func runningBook(heed func(*configcache.Snapshot)) *configcache.Cache {
 	life, end := span.Cancellable(span.Root())
-	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
+	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent(), heed)
 	over := make(chan error, 1)
 	go func() { over <- book.Run(life) }()
 	DeferCleanup(func() {
--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -13,7 +13,7 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/configuration"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 )
 
@@ -35,10 +35,10 @@
 	fact    *peerapi.Configuration
 	isBusy  bool
 	publish func(*peerapi.Configuration)
-	log     logs.Logger
+	log     logging.Logger
 }
 
-func New(log logs.Logger, publish func(*peerapi.Configuration)) *Leader {
+func New(log logging.Logger, publish func(*peerapi.Configuration)) *Leader {
 	return &Leader{publish: publish, log: log}
 }
 
--- a/internal/configowner/configowner_test.go
+++ b/internal/configowner/configowner_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/configowner"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 )
 
@@ -42,7 +42,7 @@
 	var passedOn *peerapi.Configuration
 	BeforeEach(func() {
 		tenure, published = &scripted{hasLease: true}, nil
-		owner = configowner.New(logs.Silent(), func(fact *peerapi.Configuration) {
+		owner = configowner.New(logging.Silent(), func(fact *peerapi.Configuration) {
 			published, passedOn = append(published, fact.Version), fact
 		})
 		Expect(owner.Open(tenure, nil)).To(Succeed())
@@ -75,7 +75,7 @@
 		tenure.settle()
 		replace(3, plan(5, "t"))
 		tenure.settle()
-		next := configowner.New(logs.Silent(), func(*peerapi.Configuration) {})
+		next := configowner.New(logging.Silent(), func(*peerapi.Configuration) {})
 		Expect(next.Open(tenure, tenure.ops)).To(Succeed())
 		var body string
 		next.Retrieve(func(answer peerapi.ClientAnswer) { body = string(answer.Body) })
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -11,7 +11,7 @@
 
 	"gannetline/internal/configcache"
 	"gannetline/internal/configowner"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
@@ -37,9 +37,9 @@
 func newRing(store *storage.Store, isMakeshift bool) (*Ring, *peerapi.Caller) {
 	clock, mux := pulse.NewFake(1000), http.NewServeMux()
 	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
-	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
-		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
-		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Snapshot) {})}
+	config := Config{Clock: clock, Log: logging.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
+		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logging.Silent()),
+		Book: configcache.New(caller, clock, logging.Silent(), func(*configcache.Snapshot) {})}
 	if store != nil {
 		var err error
 		config.Replicas, err = replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -8,7 +8,7 @@
 
 	"gannetline/internal/configcache"
 	"gannetline/internal/configowner"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
@@ -37,7 +37,7 @@
 	life      span.Span
 	box       *mailbox.Mailbox
 	clock     pulse.Pulse
-	log       logs.Logger
+	log       logging.Logger
 	store     *storage.Store
 	disk      string
 	name      string
@@ -59,7 +59,7 @@
 // Config has neither Store nor Replicas on a machine without a disk: such a steward owns no key and is no voter.
 type Config struct {
 	Clock         pulse.Pulse
-	Log           logs.Logger
+	Log           logging.Logger
 	Store         *storage.Store
 	IsMakeshift   bool
 	MachineLosses int
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -13,7 +13,7 @@
 
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -164,7 +164,7 @@
 }
 
 // Run keeps the hollow workers of a spec going until the span or their time ends.
-func Run(life span.Span, spec *Spec, all []*bootsettings.Settings, log logs.Logger) error {
+func Run(life span.Span, spec *Spec, all []*bootsettings.Settings, log logging.Logger) error {
 	life, release := span.Within(life, pulse.Ms(spec.ForMs))
 	defer release()
 	report, err := net.Listen("tcp4", spec.Report)
--- a/internal/localproxy/deaf_test.go
+++ b/internal/localproxy/deaf_test.go
@@ -8,7 +8,7 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -35,7 +35,7 @@
 	}
 	BeforeEach(func() {
 		clock = pulse.NewFake(0)
-		table = localproxy.NewTable(clock, logs.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
+		table = localproxy.NewTable(clock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
 		table.Beat("i-1", &executorcalls.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
 		table.Told(call, 0, &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
--- a/internal/localproxy/feed_test.go
+++ b/internal/localproxy/feed_test.go
@@ -10,7 +10,7 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -40,7 +40,7 @@
 	}
 	begin := func(options ...localproxy.TableOption) {
 		clock, works = pulse.NewFake(0), 0
-		table = localproxy.NewTable(clock, logs.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
+		table = localproxy.NewTable(clock, logging.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
 		table.Beat("i-7f3a91c2", &executorcalls.Beat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
 			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
 	}
--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -8,7 +8,7 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -29,7 +29,7 @@
 	launch := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 	BeforeEach(func() {
 		clock = pulse.NewFake(0)
-		table = localproxy.NewTable(clock, logs.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
+		table = localproxy.NewTable(clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
 		Expect(beat("i-1", "ready", 1)).To(Equal(200))
 	})
 
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
@@ -33,7 +33,7 @@
 	box      *mailbox.Mailbox
 	table    *Table
 	clock    pulse.Pulse
-	log      logs.Logger
+	log      logging.Logger
 	executor *executorcalls.Client
 	caller   *peerapi.Caller
 	view     func() *membership.View
@@ -45,7 +45,7 @@
 	slots    chan struct{}
 }
 
-func New(service, domain, name string, clock pulse.Pulse, log logs.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
+func New(service, domain, name string, clock pulse.Pulse, log logging.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
 	view func() *membership.View) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -87,7 +87,7 @@
 // Table is owned by one goroutine; the loops ask it what to do next and tell it what came back.
 type Table struct {
 	clock   pulse.Pulse
-	log     logs.Logger
+	log     logging.Logger
 	service string
 	domain  string
 	name    string
@@ -108,7 +108,7 @@
 // WithStartBell is rung, instead of the one for work, by news that can wait for a moment: that a run was started.
 func WithStartBell(onStart func()) TableOption { return func(t *Table) { t.onStart = onStart } }
 
-func NewTable(clock pulse.Pulse, log logs.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
+func NewTable(clock pulse.Pulse, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
 	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onWork: onWork, onLook: onLook, onAck: onAck,
 		onStart: onWork}
 	for _, option := range options {
--- a/internal/logs/logs.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logs gives the JSON-line logger.
-package logs
+// Package logging gives the JSON-line logger.
+package logging
 
 import (
 	"fmt"
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -27,7 +27,7 @@
 	calls   net.Listener
 	caller  *peerapi.Caller
 	clock   pulse.Pulse
-	log     logs.Logger
+	log     logging.Logger
 	seeds   atomic.Pointer[[]string]
 	onPlan  func(sibling Member, version int64)
 }
@@ -57,7 +57,7 @@
 }
 
 func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
-	clock pulse.Pulse, log logs.Logger, options ...Option) *Node {
+	clock pulse.Pulse, log logging.Logger, options ...Option) *Node {
 	node := &Node{box: mailbox.New(256), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
 		onPlan: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
@@ -23,7 +23,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
 		node := membership.NewNode(peerapi.Member{Name: "one", Role: "gate"}, calls, packets, nil,
-			peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent())
+			peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent())
 		life, end := span.Cancellable(span.Root())
 		over := make(chan error)
 		go func() { over <- node.Run(life) }()
--- a/internal/metrics/log.go
+++ b/internal/metrics/log.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
 )
@@ -15,7 +15,7 @@
 const mostInLine = 50
 
 // Log writes all that was counted so far, zeros and buckets left out, as few lines.
-func Log(log logs.Logger) {
+func Log(log logging.Logger) {
 	own := Own()
 	maps.DeleteFunc(own, func(name string, _ float64) bool { return strings.Contains(name, "_bucket{") })
 	for names := range slices.Chunk(slices.Sorted(maps.Keys(own)), mostInLine) {
@@ -28,7 +28,7 @@
 }
 
 // Logging does so at each pulse until the span ends.
-func Logging(log logs.Logger, clock pulse.Pulse, every time.Duration) func(span.Span) error {
+func Logging(log logging.Logger, clock pulse.Pulse, every time.Duration) func(span.Span) error {
 	return func(life span.Span) error {
 		for {
 			select {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/metrics"
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
@@ -94,7 +94,7 @@
 		lines, over := make(lineWriter, 100), make(chan error)
 		ring := ringing{pulse.Real(), make(chan time.Time, 1)}
 		ring.rings <- time.Time{}
-		go func() { over <- metrics.Logging(logs.New(lines, 0), ring, time.Second)(life) }()
+		go func() { over <- metrics.Logging(logging.New(lines, 0), ring, time.Second)(life) }()
 		all := metrics.Samples{}
 		for len(all) == 0 || all["test_wait_seconds_count{kind=\"logged\"}"] == 0 {
 			var line struct {
--- a/internal/poolowner/cost_test.go
+++ b/internal/poolowner/cost_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
@@ -74,7 +74,7 @@
 	c := &crowd{clock: clock, tenure: &prompt{clock: clock, kept: kept}}
 	timing := timing
 	timing.Headroom = poolowner.DefaultHeadroom
-	c.pool = poolowner.New("pool/s", clock, timing, logs.Silent())
+	c.pool = poolowner.New("pool/s", clock, timing, logging.Silent())
 	if err := c.pool.Open(c.tenure, nil); err != nil {
 		panic(err)
 	}
@@ -240,7 +240,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				pool := poolowner.New("pool/s", c.clock, timing, logs.Silent())
+				pool := poolowner.New("pool/s", c.clock, timing, logging.Silent())
 				if err := pool.Open(c.tenure, pairs); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/poolowner/feed_test.go
+++ b/internal/poolowner/feed_test.go
@@ -14,7 +14,7 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
@@ -78,7 +78,7 @@
 
 func (o *postOffice) newOwner() {
 	o.tenure.epoch++
-	o.pool = poolowner.New("pool/s", o.clock, timing, logs.Silent())
+	o.pool = poolowner.New("pool/s", o.clock, timing, logging.Silent())
 	Expect(o.pool.Open(o.tenure, o.tenure.pairs())).To(Succeed())
 	o.settle()
 }
@@ -86,7 +86,7 @@
 func (o *postOffice) newProxy(session uint64) {
 	nothing := func() {}
 	o.session = session
-	o.table = localproxy.NewTable(o.clock, logs.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithSession(session))
+	o.table = localproxy.NewTable(o.clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithSession(session))
 	o.say()
 }
 
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -16,7 +16,7 @@
 
 	"gannetline/internal/bootsettings"
 	"gannetline/internal/jobtable"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
@@ -61,7 +61,7 @@
 	key    string
 	clock  pulse.Pulse
 	timing Timing
-	log    logs.Logger
+	log    logging.Logger
 
 	tenure       Tenure
 	jobs         map[string]*job
@@ -110,7 +110,7 @@
 
 func WithRules(rules *queuerules.Rules) Option { return func(p *Pool) { p.rules = rules } }
 
-func New(key string, clock pulse.Pulse, timing Timing, log logs.Logger, options ...Option) *Pool {
+func New(key string, clock pulse.Pulse, timing Timing, log logging.Logger, options ...Option) *Pool {
 	pool := &Pool{key: key, clock: clock, timing: timing, log: log, record: silentRecorder{}, meters: newMeters(key),
 		trusts: map[string]*trust{}}
 	for _, option := range options {
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/poolowner/poolowner_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
@@ -93,7 +93,7 @@
 	var accepted []int
 	open := func(epoch uint64, pairs []peerapi.Op) {
 		tenure.epoch = epoch
-		pool = poolowner.New("pool/s", clock, timing, logs.Silent())
+		pool = poolowner.New("pool/s", clock, timing, logging.Silent())
 		Expect(pool.Open(tenure, pairs)).To(Succeed())
 	}
 	exchange := func(change func(*peerapi.ExchangeCall)) *peerapi.ExchangeAnswer {
@@ -364,7 +364,7 @@
 
 	It("counts a run's length from when it was started, however late that was told", func() {
 		day := &diary{}
-		pool = poolowner.New("pool/s", clock, timing, logs.Silent(), poolowner.WithRecorder(day))
+		pool = poolowner.New("pool/s", clock, timing, logging.Silent(), poolowner.WithRecorder(day))
 		Expect(pool.Open(tenure, nil)).To(Succeed())
 		exchange(nil)
 		handIn()
--- a/internal/poolowner/schedule_test.go
+++ b/internal/poolowner/schedule_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
@@ -66,7 +66,7 @@
 	timing.Headroom, timing.KeepEnded, timing.RemoteFactor = poolowner.DefaultHeadroom, 3*time.Second, 2
 	rules, err := queuerules.Compile(map[string]queuerules.Text{"ruled": {Use: `"r1" in labels || cpu > 4000`, Order: "due - 40 * tasks"}})
 	Expect(err).NotTo(HaveOccurred())
-	s.pool = poolowner.New("pool/s", s.clock, timing, logs.Silent(), poolowner.WithRules(rules))
+	s.pool = poolowner.New("pool/s", s.clock, timing, logging.Silent(), poolowner.WithRules(rules))
 	Expect(s.pool.Open(s.tenure, s.tenure.pairs())).To(Succeed())
 }
 
--- a/internal/poolowner/trust_test.go
+++ b/internal/poolowner/trust_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
@@ -71,7 +71,7 @@
 	BeforeEach(func() {
 		clock = pulse.NewFake(1_000_000)
 		tenure = &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}, epoch: 3}
-		pool = poolowner.New("pool/s", clock, timing, logs.Silent())
+		pool = poolowner.New("pool/s", clock, timing, logging.Silent())
 		Expect(pool.Open(tenure, nil)).To(Succeed())
 		clear(numbers)
 		exchange("i-1", "side-i-1", nil)
--- a/internal/replication/engine.go
+++ b/internal/replication/engine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/storage"
@@ -70,7 +70,7 @@
 	machine       StateMachine
 	members       MemberSource
 	timing        Timing
-	log           logs.Logger
+	log           logging.Logger
 	announce      func(fact peerapi.LeaderFact)
 
 	phase      phase
@@ -112,7 +112,7 @@
 	return func(e *Engine) { e.size = 2*max(1, losses) + 1 }
 }
 
-func WithLog(log logs.Logger) Option { return func(e *Engine) { e.log = log } }
+func WithLog(log logging.Logger) Option { return func(e *Engine) { e.log = log } }
 
 func WithAnnounce(announce func(peerapi.LeaderFact)) Option {
 	return func(e *Engine) { e.announce = announce }
@@ -120,7 +120,7 @@
 
 func NewEngine(key, disk, name string, clock pulse.Pulse, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
 	engine := &Engine{key: key, disk: disk, name: name, clock: clock, links: links, machine: machine, members: members,
-		timing: DefaultTiming, size: 3, log: logs.Silent(), announce: func(peerapi.LeaderFact) {}}
+		timing: DefaultTiming, size: 3, log: logging.Silent(), announce: func(peerapi.LeaderFact) {}}
 	for _, option := range options {
 		option(engine)
 	}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/bootsettings"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
@@ -33,7 +33,7 @@
 	path     string
 	settings *bootsettings.Settings
 	clock    pulse.Pulse
-	log      logs.Logger
+	log      logging.Logger
 	caller   *peerapi.Caller
 	calls    net.Listener
 	packets  net.PacketConn
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	tameMemory(settings)
-	b, err := assemble(settings, logs.New(os.Stderr, settings.LogLevel).WithValues("role", role), options...)
+	b, err := assemble(settings, logging.New(os.Stderr, settings.LogLevel).WithValues("role", role), options...)
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 	return b, nil
 }
 
-func assemble(settings *bootsettings.Settings, log logs.Logger, options ...Option) (*base, error) {
+func assemble(settings *bootsettings.Settings, log logging.Logger, options ...Option) (*base, error) {
 	clock := pulse.Real()
 	b := &base{settings: settings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
 	for _, option := range options {
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/leaderclient"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/response"
@@ -62,7 +62,7 @@
 	})
 }
 
-func closeOrderly(server *http.Server, limit time.Duration, log logs.Logger) {
+func closeOrderly(server *http.Server, limit time.Duration, log logging.Logger) {
 	life, release := span.Within(span.Root(), limit)
 	defer release()
 	if err := server.Shutdown(life); err != nil {
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
@@ -25,7 +25,7 @@
 }
 
 // HollowProxy is a local-proxy among many in one process, until the span ends.
-func HollowProxy(life span.Span, settings *bootsettings.Settings, log logs.Logger, options ...Option) error {
+func HollowProxy(life span.Span, settings *bootsettings.Settings, log logging.Logger, options ...Option) error {
 	if err := settings.Require("local-proxy"); err != nil {
 		return err
 	}
--- a/internal/roles/storage_test.go
+++ b/internal/roles/storage_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/bootsettings"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/pulse"
 )
 
@@ -21,7 +21,7 @@
 var _ = Describe("where a steward keeps its keys", func() {
 	var settings *bootsettings.Settings
 	open := func() (*durableState, error) {
-		return openStorage(&base{settings: settings, log: logs.Silent(), clock: pulse.NewFake(0)})
+		return openStorage(&base{settings: settings, log: logging.Silent(), clock: pulse.NewFake(0)})
 	}
 	BeforeEach(func() {
 		settings = &bootsettings.Settings{Seeds: []string{"10.0.0.1:1"}}
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"gannetline/internal/jobtable"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 )
@@ -26,7 +26,7 @@
 	service   string
 	keys      []string
 	timing    poolowner.Timing
-	log       logs.Logger
+	log       logging.Logger
 	cut       map[string]bool
 	places    []Place
 	pool      []poolowner.Option
@@ -57,7 +57,7 @@
 // WithGrantsBroken makes proxies hold that many times as long as they were granted, to show that the judge sees it.
 func WithGrantsBroken(factor int64) Option { return func(s *Stage) { s.grantBy = factor } }
 
-func WithLog(log logs.Logger) Option { return func(s *Stage) { s.log = log } }
+func WithLog(log logging.Logger) Option { return func(s *Stage) { s.log = log } }
 
 // DefaultTiming is that of a deployment with holds of 6 s.
 var DefaultTiming = poolowner.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
@@ -72,7 +72,7 @@
 func New(seed uint64, stewards, executors int, room peerapi.Capacity, wallMs int64, options ...Option) *Stage {
 	line := NewLine(wallMs, seed)
 	s := &Stage{Line: line, Judge: newJudge(line), service: "board", keys: []string{"pool/board"}, timing: DefaultTiming,
-		log: logs.Silent(), cut: map[string]bool{}, Work: evenWork, grantBy: 1}
+		log: logging.Silent(), cut: map[string]bool{}, Work: evenWork, grantBy: 1}
 	for _, option := range options {
 		option(s)
 	}
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -7,7 +7,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/pulse"
 	"gannetline/internal/span"
 )
@@ -16,7 +16,7 @@
 
 type Tree struct {
 	clock  pulse.Pulse
-	log    logs.Logger
+	log    logging.Logger
 	most   int
 	within time.Duration
 	pause  time.Duration
@@ -35,7 +35,7 @@
 	return func(t *Tree) { t.most, t.within = most, within }
 }
 
-func New(clock pulse.Pulse, log logs.Logger, options ...Option) *Tree {
+func New(clock pulse.Pulse, log logging.Logger, options ...Option) *Tree {
 	tree := &Tree{clock: clock, log: log, most: 5, within: time.Minute, pause: 100 * time.Millisecond}
 	for _, option := range options {
 		option(tree)
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/span"
 	"gannetline/internal/supervise"
 )
@@ -24,7 +24,7 @@
 
 var _ = Describe("the tree", func() {
 	It("starts a part again that failed or panicked", func() {
-		tree, times := supervise.New(hasty{}, logs.Silent()), 0
+		tree, times := supervise.New(hasty{}, logging.Silent()), 0
 		tree.Add("part", func(span.Span) error {
 			times++
 			switch times {
@@ -40,7 +40,7 @@
 	})
 
 	It("ends with the error of a part that fails too often", func() {
-		tree := supervise.New(hasty{}, logs.Silent(), supervise.WithLimit(2, time.Minute))
+		tree := supervise.New(hasty{}, logging.Silent(), supervise.WithLimit(2, time.Minute))
 		tree.Add("part", func(span.Span) error { return errors.New("always") })
 		tree.Add("other", func(life span.Span) error { <-life.Done(); return nil })
 		Expect(tree.Run(span.Root())).To(MatchError(ContainSubstring("always")))
