--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/configuration"
 	"gannetline/internal/headerrules"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -60,7 +60,7 @@
 		call.Verb, decision.Former = "count", nil
 		return decision
 	}
-	if !jobtable.IsID(call.ID) {
+	if !jobs.IsID(call.ID) {
 		return refuse(http.StatusBadRequest, "an ID is 16 hex digits")
 	}
 	return decideJob(decision, entry, request, body)
--- a/internal/jobtable/jobtable_suite_test.go
+++ b/internal/jobs/jobs_suite_test.go
@@ -1,4 +1,4 @@
-package jobtable_test
+package jobs_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestJobtable(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "jobtable")
+	RunSpecs(t, "jobs")
 }
--- a/internal/jobtable/jobtable_test.go
+++ b/internal/jobs/jobs_test.go
@@ -1,4 +1,4 @@
-package jobtable_test
+package jobs_test
 
 import (
 	"strings"
@@ -6,19 +6,19 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 )
 
 var _ = Describe("a job", func() {
 	It("is read, with labels as one word or a list", func() {
-		spec, err := jobtable.Read([]byte(`{"task-descriptor":"x","step-list":[{"task-count":2,"affinity-labels":"r1"},{"task-count":1,"depends-on":[0],"required-labels":["a","b"]}]}`))
+		spec, err := jobs.Read([]byte(`{"task-descriptor":"x","step-list":[{"task-count":2,"affinity-labels":"r1"},{"task-count":1,"depends-on":[0],"required-labels":["a","b"]}]}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(spec.Steps[0].Near).To(Equal(jobtable.Words{"r1"}))
-		Expect(spec.Steps[1].Labels).To(Equal(jobtable.Words{"a", "b"}))
+		Expect(spec.Steps[0].Near).To(Equal(jobs.Words{"r1"}))
+		Expect(spec.Steps[1].Labels).To(Equal(jobs.Words{"a", "b"}))
 	})
 
 	DescribeTable("is refused with a text that names the field", func(body, field string) {
-		_, err := jobtable.Read([]byte(body))
+		_, err := jobs.Read([]byte(body))
 		Expect(err).To(MatchError(ContainSubstring(field)))
 	},
 		Entry("no JSON", `{`, "can't be read"),
@@ -33,16 +33,16 @@
 		Entry("too many tasks", `{"step-list":[{"task-count":20000},{"task-count":20000}]}`, "task-count"),
 	)
 
-	DescribeTable("has an ID of 16 hex digits", func(id string, isGood bool) { Expect(jobtable.IsID(id)).To(Equal(isGood)) },
+	DescribeTable("has an ID of 16 hex digits", func(id string, isGood bool) { Expect(jobs.IsID(id)).To(Equal(isGood)) },
 		Entry("good", "5c0e7a21d94b36f8", true), Entry("short", "5c0e", false), Entry("no digit", "5c0e7a21d94b36fx", false))
 
 	It("names its tasks ID.K.STEP.INDEX", func() {
-		name := jobtable.TaskName("5c0e7a21d94b36f8", 0, 1, 17)
+		name := jobs.TaskName("5c0e7a21d94b36f8", 0, 1, 17)
 		Expect(name).To(Equal("5c0e7a21d94b36f8.0.1.17"))
-		place, isTask := jobtable.ParseTask(name)
+		place, isTask := jobs.ParseTask(name)
 		Expect(isTask).To(BeTrue())
 		Expect(place.Index).To(Equal(17))
-		_, isTask = jobtable.ParseTask("a.b.c.d")
+		_, isTask = jobs.ParseTask("a.b.c.d")
 		Expect(isTask).To(BeFalse())
 	})
 })
--- a/internal/jobtable/read.go
+++ b/internal/jobs/read.go
@@ -1,4 +1,4 @@
-package jobtable
+package jobs
 
 import (
 	"strconv"
--- a/internal/jobtable/spec.go
+++ b/internal/jobs/spec.go
@@ -1,5 +1,5 @@
-// Package jobtable holds jobs: their steps, tasks, runs and what became of them.
-package jobtable
+// Package jobs holds jobs: their steps, tasks, runs and what became of them.
+package jobs
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all spec.go
 
--- a/internal/poolowner/clients.go
+++ b/internal/poolowner/clients.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/recording"
 )
@@ -32,7 +32,7 @@
 		p.after(accepted)
 		return
 	}
-	spec, err := jobtable.Read(call.Body)
+	spec, err := jobs.Read(call.Body)
 	if err != nil {
 		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
 		return
--- a/internal/poolowner/model.go
+++ b/internal/poolowner/model.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/placement"
 )
@@ -34,7 +34,7 @@
 type job struct {
 	id         string
 	record     jobRecord
-	spec       *jobtable.Spec
+	spec       *jobs.Spec
 	state      string
 	endedMs    int64
 	times      map[int]*jobTime
@@ -113,7 +113,7 @@
 type stepState struct {
 	time      *jobTime
 	number    int
-	step      *jobtable.Step
+	step      *jobs.Step
 	tasks     []*task
 	left      int
 	isOpen    bool
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -15,7 +15,7 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/bootsettings"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/placement"
@@ -290,7 +290,7 @@
 	if err := easyjson.Unmarshal(value, &one.record); err != nil {
 		return err
 	}
-	spec, err := jobtable.Read(one.record.Spec)
+	spec, err := jobs.Read(one.record.Spec)
 	if err != nil {
 		return err
 	}
@@ -329,7 +329,7 @@
 }
 
 func (p *Pool) loadTask(name string, value []byte) error {
-	place, isTask := jobtable.ParseTask(name)
+	place, isTask := jobs.ParseTask(name)
 	var record taskRecord
 	if err := easyjson.Unmarshal(value, &record); err != nil || !isTask {
 		return errors.Errorf("a task that can't be read: %v", err)
@@ -417,7 +417,7 @@
 	for place := range one.spec.Steps {
 		step := &stepState{time: spell, number: place, step: &one.spec.Steps[place], left: one.spec.Steps[place].Tasks}
 		for index := range step.left {
-			step.tasks = append(step.tasks, &task{name: jobtable.TaskName(one.id, number, place, index), step: step, index: index})
+			step.tasks = append(step.tasks, &task{name: jobs.TaskName(one.id, number, place, index), step: step, index: index})
 		}
 		step.idle = slices.Clone(step.tasks)
 		spell.steps = append(spell.steps, step)
--- a/internal/poolowner/runs.go
+++ b/internal/poolowner/runs.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 	"gannetline/internal/recording"
@@ -184,7 +184,7 @@
 }
 
 func (p *Pool) find(name string) *task {
-	place, isTask := jobtable.ParseTask(name)
+	place, isTask := jobs.ParseTask(name)
 	one := p.jobs[place.ID]
 	if !isTask || one == nil || one.spec == nil {
 		return nil
--- a/internal/recording/read.go
+++ b/internal/recording/read.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 )
 
 const mostLine = 8 << 20
@@ -96,17 +96,17 @@
 	}
 	switch event.Kind {
 	case KindHandIn:
-		if !jobtable.IsID(event.ID) {
+		if !jobs.IsID(event.ID) {
 			return errors.Errorf("field id: %q is not 16 hex digits", event.ID)
 		}
-		_, err := jobtable.Read(event.Body)
+		_, err := jobs.Read(event.Body)
 		return errors.Annotate(err, "field body")
 	case KindCancel:
-		if !jobtable.IsID(event.ID) {
+		if !jobs.IsID(event.ID) {
 			return errors.Errorf("field id: %q is not 16 hex digits", event.ID)
 		}
 	case KindEnd:
-		if _, isTask := jobtable.ParseTask(event.Task); !isTask || event.LengthMs < 0 {
+		if _, isTask := jobs.ParseTask(event.Task); !isTask || event.LengthMs < 0 {
 			return errors.New("field task or length-ms is wrong")
 		}
 	case KindExecutor:
--- a/internal/recording/write.go
+++ b/internal/recording/write.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/span"
 )
 
@@ -120,7 +120,7 @@
 }
 
 func withoutWords(body []byte) []byte {
-	spec, err := jobtable.Read(body)
+	spec, err := jobs.Read(body)
 	if err != nil {
 		return body
 	}
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -8,7 +8,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/recording"
@@ -46,7 +46,7 @@
 
 type playedJob struct {
 	event    recording.Event
-	spec     *jobtable.Spec
+	spec     *jobs.Spec
 	isTaken  bool
 	askedAt  time.Duration
 	endedAt  time.Duration
@@ -125,7 +125,7 @@
 	if length, isKnown := p.lengths[task]; isKnown {
 		return length, "done"
 	}
-	place, _ := jobtable.ParseTask(task)
+	place, _ := jobs.ParseTask(task)
 	if one := p.jobs[place.ID]; one != nil && one.spec.Steps[place.Step].EstimatedMs > 0 {
 		return time.Duration(one.spec.Steps[place.Step].EstimatedMs) * time.Millisecond, "done"
 	}
@@ -153,7 +153,7 @@
 		wait := warmUp + time.Duration(event.AtMs-p.firstMs)*time.Millisecond
 		switch event.Kind {
 		case recording.KindHandIn:
-			spec, err := jobtable.Read(event.Body)
+			spec, err := jobs.Read(event.Body)
 			if err != nil {
 				return errors.Annotatef(err, "job %s", event.ID)
 			}
@@ -228,7 +228,7 @@
 }
 
 func (j *playedJob) isLasting() bool {
-	return slices.ContainsFunc(j.spec.Steps, func(step jobtable.Step) bool { return step.Lasting })
+	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.Lasting })
 }
 
 // aimMs counts from the hand-in: the queue's recorded stretch times the longest chain of work, and its target.
@@ -242,7 +242,7 @@
 			before = max(before, chain[earlier])
 		}
 		for index := range step.Tasks {
-			length, _ := p.work(jobtable.TaskName(one.event.ID, times-1, number, index), 1, nil)
+			length, _ := p.work(jobs.TaskName(one.event.ID, times-1, number, index), 1, nil)
 			most = max(most, length)
 		}
 		chain[number] = before + most
--- a/internal/scalerun/load.go
+++ b/internal/scalerun/load.go
@@ -12,7 +12,7 @@
 
 	"gannetline/internal/configuration"
 	"gannetline/internal/hollow"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/span"
 )
 
@@ -151,8 +151,8 @@
 
 // handIn sends a job until it is accepted, refused for good, or patience ends.
 func (r *run) handIn(job *Job, queue string, number int, load hollow.Load) error {
-	body, err := json.Marshal(jobtable.Spec{Descriptor: load.Descriptor(),
-		Steps: []jobtable.Step{{Tasks: job.Tasks, CPU: load.CPU, Memory: load.MemoryMB, EstimatedMs: load.Length.Milliseconds()}}})
+	body, err := json.Marshal(jobs.Spec{Descriptor: load.Descriptor(),
+		Steps: []jobs.Step{{Tasks: job.Tasks, CPU: load.CPU, Memory: load.MemoryMB, EstimatedMs: load.Length.Milliseconds()}}})
 	if err != nil {
 		return err
 	}
--- a/internal/stage/executor.go
+++ b/internal/stage/executor.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -220,7 +220,7 @@
 }
 
 // runsOf counts the runs of one step.
-func (e *Executor) runsOf(step jobtable.Place) (count int) {
+func (e *Executor) runsOf(step jobs.Place) (count int) {
 	for _, one := range e.active {
 		if _, place := e.stage.Judge.step(one.task); place.ID == step.ID && place.Time == step.Time && place.Step == step.Step {
 			count++
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 )
 
 type jobFacts struct {
-	spec        *jobtable.Spec
+	spec        *jobs.Spec
 	maxAttempts int
 	cancelledAt time.Duration
 }
@@ -40,21 +40,21 @@
 	j.Problems = append(j.Problems, fmt.Sprintf("%v: ", j.line.Now())+fmt.Sprintf(format, values...))
 }
 
-func (j *Judge) expect(id string, spec *jobtable.Spec, maxAttempts int) {
+func (j *Judge) expect(id string, spec *jobs.Spec, maxAttempts int) {
 	if j.jobs[id] == nil {
 		j.jobs[id] = &jobFacts{spec: spec, maxAttempts: maxAttempts}
 	}
 }
 
-func (j *Judge) step(task string) (*jobtable.Step, jobtable.Place) {
-	place, isTask := jobtable.ParseTask(task)
+func (j *Judge) step(task string) (*jobs.Step, jobs.Place) {
+	place, isTask := jobs.ParseTask(task)
 	if facts := j.jobs[place.ID]; isTask && facts != nil && place.Step < len(facts.spec.Steps) {
 		return &facts.spec.Steps[place.Step], place
 	}
-	return &jobtable.Step{}, place
+	return &jobs.Step{}, place
 }
 
-func (j *Judge) need(task string) *jobtable.Step {
+func (j *Judge) need(task string) *jobs.Step {
 	step, _ := j.step(task)
 	return step
 }
@@ -95,7 +95,7 @@
 	}
 	for _, earlier := range step.DependsOn {
 		for index := range owner.spec.Steps[earlier].Tasks {
-			name := jobtable.TaskName(place.ID, place.Time, earlier, index)
+			name := jobs.TaskName(place.ID, place.Time, earlier, index)
 			if !j.of(name).isDone {
 				j.problem("%s started before %s was done", task, name)
 			}
@@ -115,7 +115,7 @@
 		facts.isDone = true
 		if step, place := j.step(task); step.Gang {
 			for index := range step.Tasks {
-				j.of(jobtable.TaskName(place.ID, place.Time, place.Step, index)).isDone = true
+				j.of(jobs.TaskName(place.ID, place.Time, place.Step, index)).isDone = true
 			}
 		}
 	}
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
@@ -229,7 +229,7 @@
 
 // HandIn gives a job to the system, and tells the judge what was given.
 func (s *Stage) HandIn(id, entry string, body []byte, terms peerapi.RouteTerms, answer func(peerapi.ClientAnswer)) error {
-	spec, err := jobtable.Read(body)
+	spec, err := jobs.Read(body)
 	if err != nil {
 		return err
 	}
