--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -8,8 +8,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/roles"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
 )
 
@@ -24,7 +24,7 @@
 	app := &cli.Command{
 		Name:  "gannetline",
 		Usage: "a cluster scheduler for jobs",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`", Value: bootsettings.Path()}},
+		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`", Value: settings.Path()}},
 		Commands: []*cli.Command{
 			roleCommand("gate", "serve clients on an edge machine", roles.Gate),
 			roleCommand("steward", "keep control keys and schedule the pools they name", roles.Steward),
--- a/cmd/gannetline/tools.go
+++ b/cmd/gannetline/tools.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/configuration"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
 )
 
@@ -82,7 +82,7 @@
 
 func check(path string, isPlan bool) error {
 	if !isPlan {
-		_, err := bootsettings.Load(path)
+		_, err := settings.Load(path)
 		return err
 	}
 	body, err := os.ReadFile(path)
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -11,7 +11,6 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
@@ -19,6 +18,7 @@
 	"gannetline/internal/pulse"
 	"gannetline/internal/response"
 	"gannetline/internal/roles"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
 	"gannetline/internal/transportmetrics"
 )
@@ -40,15 +40,15 @@
 type node struct {
 	box      *mailbox.Mailbox
 	executor *Executor
-	settings *bootsettings.Settings
+	settings *settings.Settings
 	clock    pulse.Pulse
 	life     span.Span
 }
 
-func newNode(life span.Span, worker Worker, settings *bootsettings.Settings, clock pulse.Pulse) *node {
-	one := &node{box: mailbox.New(256), settings: settings, clock: clock, life: life}
-	shape := Shape{Node: settings.NodeName, ID: "i-" + settings.NodeName, Room: worker.Room, Labels: worker.Labels,
-		MaxHold: settings.MaxHold(), StopTimeout: pulse.Ms(settings.Bounds.StopTimeoutMs), Pace: worker.Pace}
+func newNode(life span.Span, worker Worker, nodeSettings *settings.Settings, clock pulse.Pulse) *node {
+	one := &node{box: mailbox.New(256), settings: nodeSettings, clock: clock, life: life}
+	shape := Shape{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Room: worker.Room, Labels: worker.Labels,
+		MaxHold: nodeSettings.MaxHold(), StopTimeout: pulse.Ms(nodeSettings.Bounds.StopTimeoutMs), Pace: worker.Pace}
 	one.executor = NewExecutor(shape, clock, one.later)
 	return one
 }
@@ -164,7 +164,7 @@
 }
 
 // Run keeps the hollow workers of a spec going until the span or their time ends.
-func Run(life span.Span, spec *Spec, all []*bootsettings.Settings, log logging.Logger) error {
+func Run(life span.Span, spec *Spec, all []*settings.Settings, log logging.Logger) error {
 	life, release := span.Within(life, pulse.Ms(spec.ForMs))
 	defer release()
 	report, err := net.Listen("tcp4", spec.Report)
@@ -174,10 +174,10 @@
 	clock, meter, beats := pulse.Real(), &transportmetrics.Meter{}, peerapi.Client(beatLimit, 1)
 	failed := make(chan error, len(all)+1)
 	var nodes []*node
-	for place, settings := range all {
-		one := newNode(life, spec.Workers[place], settings, clock)
+	for place, nodeSettings := range all {
+		one := newNode(life, spec.Workers[place], nodeSettings, clock)
 		nodes = append(nodes, one)
-		app, err := net.Listen("tcp4", settings.App)
+		app, err := net.Listen("tcp4", nodeSettings.App)
 		if err != nil {
 			return errors.Annotatef(err, "worker %d: field app", place)
 		}
@@ -188,7 +188,7 @@
 			continue
 		}
 		go func() {
-			err := roles.HollowProxy(life, settings, log.WithValues("node", settings.NodeName), roles.WithMeter(meter))
+			err := roles.HollowProxy(life, nodeSettings, log.WithValues("node", nodeSettings.NodeName), roles.WithMeter(meter))
 			if err != nil {
 				failed <- errors.Annotatef(err, "worker %d", place)
 			}
--- a/internal/hollow/spec.go
+++ b/internal/hollow/spec.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 	"go.uber.org/multierr"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/settings"
 )
 
 const (
@@ -48,7 +48,7 @@
 }
 
 // LoadSpec reads and checks a spec and the settings it names.
-func LoadSpec(path string) (*Spec, []*bootsettings.Settings, error) {
+func LoadSpec(path string) (*Spec, []*settings.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, errors.Annotate(err, "reading the spec")
@@ -60,16 +60,16 @@
 	if err := spec.check(); err != nil {
 		return nil, nil, errors.Annotate(err, "spec")
 	}
-	var all []*bootsettings.Settings
+	var all []*settings.Settings
 	for place, worker := range spec.Workers {
-		settings, err := bootsettings.Load(worker.Settings)
+		nodeSettings, err := settings.Load(worker.Settings)
 		if err != nil {
 			return nil, nil, errors.Annotatef(err, "worker %d", place)
 		}
-		if err := checkAddresses(settings); err != nil {
+		if err := checkAddresses(nodeSettings); err != nil {
 			return nil, nil, errors.Annotatef(err, "worker %d", place)
 		}
-		all = append(all, settings)
+		all = append(all, nodeSettings)
 	}
 	return spec, all, nil
 }
@@ -96,17 +96,17 @@
 	return found
 }
 
-func checkAddresses(settings *bootsettings.Settings) error {
-	if err := settings.Require("local-proxy"); err != nil {
+func checkAddresses(nodeSettings *settings.Settings) error {
+	if err := nodeSettings.Require("local-proxy"); err != nil {
 		return err
 	}
-	for field, address := range map[string]string{"ip-address": settings.IPAddress, "app": settings.App,
-		"listen-addresses.control-plane": settings.Listen.Control} {
+	for field, address := range map[string]string{"ip-address": nodeSettings.IPAddress, "app": nodeSettings.App,
+		"listen-addresses.control-plane": nodeSettings.Listen.Control} {
 		if !IsLoopback(address) {
 			return errors.Errorf("field %s: %q is no loopback address", field, address)
 		}
 	}
-	for _, seed := range settings.Seeds {
+	for _, seed := range nodeSettings.Seeds {
 		if !IsLoopback(seed) {
 			return errors.Errorf("field seed-nodes: %q is no loopback address", seed)
 		}
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -14,7 +14,6 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/jobs"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -23,6 +22,7 @@
 	"gannetline/internal/queuerules"
 	"gannetline/internal/recording"
 	"gannetline/internal/replication"
+	"gannetline/internal/settings"
 )
 
 // Tenure is what a pool needs of the ownership of its key.
@@ -48,13 +48,13 @@
 	Headroom     Headroom
 }
 
-func TimingFrom(settings *bootsettings.Settings) Timing {
-	hold := settings.MaxHold()
+func TimingFrom(nodeSettings *settings.Settings) Timing {
+	hold := nodeSettings.MaxHold()
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
-		StopTimeout: pulse.Ms(settings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
-		KeepEnded: time.Duration(settings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
-		Headroom:  DefaultHeadroom, RemoteFactor: settings.Bounds.RemoteFactor}
+		StopTimeout: pulse.Ms(nodeSettings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
+		KeepEnded: time.Duration(nodeSettings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
+		Headroom:  DefaultHeadroom, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
 }
 
 type Pool struct {
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -12,12 +12,12 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/logging"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
 	"gannetline/internal/supervise"
 	"gannetline/internal/transportmetrics"
@@ -31,7 +31,7 @@
 // base is what every role has: settings, log, clock, siblings and a tree of parts.
 type base struct {
 	path     string
-	settings *bootsettings.Settings
+	settings *settings.Settings
 	clock    pulse.Pulse
 	log      logging.Logger
 	caller   *peerapi.Caller
@@ -55,15 +55,15 @@
 }
 
 func newBase(path, role string, options ...Option) (*base, error) {
-	settings, err := bootsettings.Load(path)
+	nodeSettings, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := settings.Require(role); err != nil {
+	if err := nodeSettings.Require(role); err != nil {
 		return nil, err
 	}
-	tameMemory(settings)
-	b, err := assemble(settings, logging.New(os.Stderr, settings.LogLevel).WithValues("role", role), options...)
+	tameMemory(nodeSettings)
+	b, err := assemble(nodeSettings, logging.New(os.Stderr, nodeSettings.LogLevel).WithValues("role", role), options...)
 	if err != nil {
 		return nil, err
 	}
@@ -72,13 +72,13 @@
 	return b, nil
 }
 
-func assemble(settings *bootsettings.Settings, log logging.Logger, options ...Option) (*base, error) {
+func assemble(nodeSettings *settings.Settings, log logging.Logger, options ...Option) (*base, error) {
 	clock := pulse.Real()
-	b := &base{settings: settings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
+	b := &base{settings: nodeSettings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
 	for _, option := range options {
 		option(b)
 	}
-	calls, packets, err := membership.BindInternal(settings.IPAddress, settings.InternalPorts[0], settings.InternalPorts[1])
+	calls, packets, err := membership.BindInternal(nodeSettings.IPAddress, nodeSettings.InternalPorts[0], nodeSettings.InternalPorts[1])
 	if err != nil {
 		return nil, errors.Annotate(err, "field internal-port-range")
 	}
@@ -87,9 +87,9 @@
 	return b, nil
 }
 
-func tameMemory(settings *bootsettings.Settings) {
+func tameMemory(nodeSettings *settings.Settings) {
 	debug.SetGCPercent(50)
-	debug.SetMemoryLimit(settings.Limits.MemoryMB << 20 * 6 / 10)
+	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
 func (b *base) join(self peerapi.Member, options ...membership.Option) {
@@ -148,7 +148,7 @@
 			}
 		}
 		last = modified(b.path)
-		fresh, err := bootsettings.Load(b.path)
+		fresh, err := settings.Load(b.path)
 		if err != nil {
 			b.log.Error(err, "the changed settings were refused; the old ones stay")
 			continue
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
 )
 
@@ -25,11 +25,11 @@
 }
 
 // HollowProxy is a local-proxy among many in one process, until the span ends.
-func HollowProxy(life span.Span, settings *bootsettings.Settings, log logging.Logger, options ...Option) error {
-	if err := settings.Require("local-proxy"); err != nil {
+func HollowProxy(life span.Span, nodeSettings *settings.Settings, log logging.Logger, options ...Option) error {
+	if err := nodeSettings.Require("local-proxy"); err != nil {
 		return err
 	}
-	b, err := assemble(settings, log, options...)
+	b, err := assemble(nodeSettings, log, options...)
 	if err != nil {
 		return err
 	}
--- a/internal/roles/storage_test.go
+++ b/internal/roles/storage_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/logging"
 	"gannetline/internal/pulse"
+	"gannetline/internal/settings"
 )
 
 func TestRoles(t *testing.T) {
@@ -19,17 +19,17 @@
 }
 
 var _ = Describe("where a steward keeps its keys", func() {
-	var settings *bootsettings.Settings
+	var nodeSettings *settings.Settings
 	open := func() (*durableState, error) {
-		return openStorage(&base{settings: settings, log: logging.Silent(), clock: pulse.NewFake(0)})
+		return openStorage(&base{settings: nodeSettings, log: logging.Silent(), clock: pulse.NewFake(0)})
 	}
 	BeforeEach(func() {
-		settings = &bootsettings.Settings{Seeds: []string{"10.0.0.1:1"}}
-		settings.Listen.Control = "10.0.0.1:1"
+		nodeSettings = &settings.Settings{Seeds: []string{"10.0.0.1:1"}}
+		nodeSettings.Listen.Control = "10.0.0.1:1"
 	})
 
 	It("is its data directory", func() {
-		settings.DataDirectory = GinkgoT().TempDir()
+		nodeSettings.DataDirectory = GinkgoT().TempDir()
 		kept, err := open()
 		Expect(err).NotTo(HaveOccurred())
 		defer kept.close()
@@ -37,8 +37,8 @@
 	})
 
 	It("must be usable if it is named", func() {
-		settings.DataDirectory = filepath.Join(GinkgoT().TempDir(), "file")
-		Expect(os.WriteFile(settings.DataDirectory, nil, 0o600)).To(Succeed())
+		nodeSettings.DataDirectory = filepath.Join(GinkgoT().TempDir(), "file")
+		Expect(os.WriteFile(nodeSettings.DataDirectory, nil, 0o600)).To(Succeed())
 		_, err := open()
 		Expect(err).To(MatchError(ContainSubstring("field data-directory")))
 	})
@@ -60,7 +60,7 @@
 	})
 
 	It("is nowhere for a steward that is neither a seed nor has a disk", func() {
-		settings.Listen.Control = "10.0.0.2:1"
+		nodeSettings.Listen.Control = "10.0.0.2:1"
 		kept, err := open()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(kept.member("c").MayLead()).To(BeFalse())
--- a/internal/scalerun/layout.go
+++ b/internal/scalerun/layout.go
@@ -10,9 +10,9 @@
 	"github.com/juju/errors"
 	"go.yaml.in/yaml/v3"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/hollow"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/settings"
 )
 
 const (
@@ -104,24 +104,24 @@
 func zoneOf(number int) string { return fmt.Sprintf("zone-%d", number%zoneCount+1) }
 
 func (l *layout) writeSettings(one seat, number int) error {
-	settings := bootsettings.Settings{NodeName: one.name, NodeRole: one.role, IPAddress: one.ip, Domain: zoneOf(number),
+	nodeSettings := settings.Settings{NodeName: one.name, NodeRole: one.role, IPAddress: one.ip, Domain: zoneOf(number),
 		InternalPorts: []int{internalPort, internalPort + 15}, Seeds: l.seeds(), InitialStart: true, HeartbeatMs: 1500}
-	settings.Bounds.StatusS = 120
+	nodeSettings.Bounds.StatusS = 120
 	switch one.role {
 	case "steward":
-		settings.Listen.Control = one.at(controlPort)
-		settings.DataDirectory = filepath.Join(l.folder, one.name)
-		settings.FaultTolerance.MachineLosses = min(mostLosses, (len(l.stewards)-1)/2)
-		settings.Limits.MemoryMB = 1024
-		if err := os.Mkdir(settings.DataDirectory, 0o700); err != nil {
+		nodeSettings.Listen.Control = one.at(controlPort)
+		nodeSettings.DataDirectory = filepath.Join(l.folder, one.name)
+		nodeSettings.FaultTolerance.MachineLosses = min(mostLosses, (len(l.stewards)-1)/2)
+		nodeSettings.Limits.MemoryMB = 1024
+		if err := os.Mkdir(nodeSettings.DataDirectory, 0o700); err != nil {
 			return errors.Annotate(err, "making a data directory")
 		}
 	case "gate":
-		settings.Listen.Front, settings.Listen.Readiness = one.at(frontPort), one.at(readinessPort)
+		nodeSettings.Listen.Front, nodeSettings.Listen.Readiness = one.at(frontPort), one.at(readinessPort)
 	case "worker":
-		settings.Listen.Control, settings.App, settings.Service = one.at(controlPort), one.at(appPort), service
+		nodeSettings.Listen.Control, nodeSettings.App, nodeSettings.Service = one.at(controlPort), one.at(appPort), service
 	}
-	text, err := yaml.Marshal(settings)
+	text, err := yaml.Marshal(nodeSettings)
 	if err != nil {
 		return errors.Annotate(err, "writing settings")
 	}
--- a/internal/bootsettings/bootsettings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package bootsettings reads and checks the settings file of a process.
-package bootsettings
+// Package settings reads and checks the settings file of a process.
+package settings
 
 import (
 	"net"
--- a/internal/bootsettings/bootsettings_suite_test.go
+++ b/internal/settings/settings_suite_test.go
@@ -1,4 +1,4 @@
-package bootsettings_test
+package settings_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestBootsettings(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "bootsettings")
+	RunSpecs(t, "settings")
 }
--- a/internal/bootsettings/bootsettings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package bootsettings_test
+package settings_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/bootsettings"
+	"gannetline/internal/settings"
 )
 
 const sound = `node-name: "edge-1"
@@ -23,15 +23,15 @@
 
 var _ = Describe("settings", func() {
 	It("reads a sound file, ignores what is new, and fills in what is left out", func() {
-		settings, err := bootsettings.Parse([]byte(sound))
+		nodeSettings, err := settings.Parse([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.Bounds.MaxHoldMs).To(Equal(int64(6000)))
-		Expect(settings.Bounds.StopTimeoutMs).To(Equal(int64(400)))
-		Expect(settings.Require("steward")).To(Succeed())
+		Expect(nodeSettings.Bounds.MaxHoldMs).To(Equal(int64(6000)))
+		Expect(nodeSettings.Bounds.StopTimeoutMs).To(Equal(int64(400)))
+		Expect(nodeSettings.Require("steward")).To(Succeed())
 	})
 
 	DescribeTable("names the field that is wrong", func(old, fresh, field string) {
-		_, err := bootsettings.Parse([]byte(strings.Replace(sound, old, fresh, 1)))
+		_, err := settings.Parse([]byte(strings.Replace(sound, old, fresh, 1)))
 		Expect(err).To(MatchError(ContainSubstring(field)))
 	},
 		Entry("no name", `node-name: "edge-1"`, ``, "node-name"),
@@ -48,8 +48,8 @@
 	)
 
 	It("says what a role needs", func() {
-		settings, err := bootsettings.Parse([]byte(sound))
+		nodeSettings, err := settings.Parse([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.Require("gate")).To(MatchError(ContainSubstring("listen-addresses")))
+		Expect(nodeSettings.Require("gate")).To(MatchError(ContainSubstring("listen-addresses")))
 	})
 })
