--- a/internal/rehearseday/play.go
+++ b/internal/rehearsal/play.go
@@ -1,4 +1,4 @@
-package rehearseday
+package rehearsal
 
 import (
 	"maps"
@@ -8,10 +8,10 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/daybook"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
+	"gannetline/internal/recording"
 	"gannetline/internal/stage"
 )
 
@@ -23,7 +23,7 @@
 
 // Setup is everything a rehearsal depends on.
 type Setup struct {
-	Day     *daybook.Day
+	Day     *recording.Day
 	Change  *Change
 	Faults  []Fault
 	Seed    uint64
@@ -45,8 +45,8 @@
 }
 
 type playedJob struct {
-	event    daybook.Event
-	spec     *jobtable.Spec
+	event    recording.Event
+	spec     *jobs.Spec
 	isTaken  bool
 	askedAt  time.Duration
 	endedAt  time.Duration
@@ -103,7 +103,7 @@
 
 func (p *play) learnLengths() {
 	for _, event := range p.setup.Day.Events {
-		if event.Kind != daybook.KindEnd {
+		if event.Kind != recording.KindEnd {
 			continue
 		}
 		if event.How == "done" || event.How == "failed" {
@@ -125,7 +125,7 @@
 	if length, isKnown := p.lengths[task]; isKnown {
 		return length, "done"
 	}
-	place, _ := jobtable.ParseTask(task)
+	place, _ := jobs.ParseTask(task)
 	if one := p.jobs[place.ID]; one != nil && one.spec.Steps[place.Step].EstimatedMs > 0 {
 		return time.Duration(one.spec.Steps[place.Step].EstimatedMs) * time.Millisecond, "done"
 	}
@@ -135,7 +135,7 @@
 func (p *play) places() []stage.Place {
 	known := map[string]stage.Place{}
 	for _, event := range p.setup.Day.Events {
-		if event.Kind == daybook.KindExecutor {
+		if event.Kind == recording.KindExecutor {
 			if _, isThere := known[event.Machine]; !isThere {
 				known[event.Machine] = stage.Place{Machine: event.Machine, Room: event.Room, Labels: event.Labels}
 			}
@@ -152,17 +152,17 @@
 	for _, event := range p.setup.Day.Events {
 		wait := warmUp + time.Duration(event.AtMs-p.firstMs)*time.Millisecond
 		switch event.Kind {
-		case daybook.KindHandIn:
-			spec, err := jobtable.Read(event.Body)
+		case recording.KindHandIn:
+			spec, err := jobs.Read(event.Body)
 			if err != nil {
 				return errors.Annotatef(err, "job %s", event.ID)
 			}
 			one := &playedJob{event: event, spec: spec}
 			p.jobs[event.ID] = one
 			p.stage.Line.After(wait, func() { p.handIn(one) })
-		case daybook.KindCancel:
+		case recording.KindCancel:
 			p.stage.Line.After(wait, func() { p.cancel(event.ID) })
-		case daybook.KindExecutor:
+		case recording.KindExecutor:
 			if event.IsDraining {
 				p.stage.Line.After(wait, func() { p.drain(event.Machine) })
 			}
@@ -228,7 +228,7 @@
 }
 
 func (j *playedJob) isLasting() bool {
-	return slices.ContainsFunc(j.spec.Steps, func(step jobtable.Step) bool { return step.Lasting })
+	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.Lasting })
 }
 
 // aimMs counts from the hand-in: the queue's recorded stretch times the longest chain of work, and its target.
@@ -242,7 +242,7 @@
 			before = max(before, chain[earlier])
 		}
 		for index := range step.Tasks {
-			length, _ := p.work(jobtable.TaskName(one.event.ID, times-1, number, index), 1, nil)
+			length, _ := p.work(jobs.TaskName(one.event.ID, times-1, number, index), 1, nil)
 			most = max(most, length)
 		}
 		chain[number] = before + most
