--- /dev/null
+++ b/tools/system-packages.sh
@@ -0,0 +1,7 @@
+#!/usr/bin/env bash
+# Prints the system (Debian) packages that a clean build needs, one a line: `packages` of deploy/system.toml.
+set -u
+cd "$(dirname "$0")/.." || exit 1
+list=$(sed -n '/^packages *= *\[/,/\]/p' deploy/system.toml | sed 's/#.*//' | grep -o '"[^"]*"' | tr -d '"')
+[ -n "$list" ] || { echo "deploy/system.toml lists no packages" >&2; exit 1; }
+echo "$list"
