--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -2,6 +2,7 @@
 
 import (
 	"hash/fnv"
+	"maps"
 	"slices"
 	"time"
 
@@ -141,7 +142,8 @@
 
 // best is the furthest state among those who grant; isAgreed tells whether they are a majority of its voters.
 func (e *Engine) best(granted map[string]peerapi.PromiseAnswer) (best peerapi.PromiseAnswer, isAgreed bool) {
-	for _, answer := range granted {
+	for _, disk := range slices.Sorted(maps.Keys(granted)) {
+		answer := granted[disk]
 		if best.Disk == "" || best.Last.Below(answer.Last) || best.Last == answer.Last && answer.Disk == e.disk {
 			best = answer
 		}
--- a/internal/stage/disk.go
+++ b/internal/stage/disk.go
@@ -27,31 +27,20 @@
 	return whole, nil
 }
 
+// Apply carries out what the store decides on a write.
 func (s *Shelf) Apply(write storage.Write) storage.Outcome {
-	head := s.Heads[write.Key]
-	isStale := write.Epoch < head.Promised || write.Promise && write.Epoch == head.Promised
-	isGap := !write.Promise && write.Snapshot == nil && write.Prev != head.Last
-	if isStale || isGap {
-		return storage.Outcome{Head: head}
+	outcome, update := storage.Decide(s.Heads[write.Key], write)
+	if !outcome.Taken {
+		return outcome
 	}
-	if write.Snapshot != nil {
-		if write.Snapshot.Last.Below(head.Last) && head.Last.Epoch == write.Epoch {
-			return storage.Outcome{Head: head}
-		}
+	if update.Clear {
 		s.pairs[write.Key] = nil
-		s.put(write.Key, write.Snapshot.Pairs)
-		head.Last, head.Set = write.Snapshot.Last, write.Snapshot.Set
 	}
-	for _, change := range write.Changes {
-		s.put(write.Key, change.Ops)
-		head.Last = change.Position
-		if change.Set != nil {
-			head.Set = *change.Set
-		}
+	if len(update.Ops) > 0 {
+		s.put(write.Key, update.Ops)
 	}
-	head.Promised = write.Epoch
-	s.Heads[write.Key] = head
-	return storage.Outcome{Taken: true, Head: head}
+	s.Heads[write.Key] = outcome.Head
+	return outcome
 }
 
 func (s *Shelf) put(key string, ops []peerapi.Op) {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -176,59 +176,35 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	if write.Epoch < head.Promised || write.Promise && write.Epoch == head.Promised {
-		return Outcome{Head: head}, nil
+	outcome, pairs := Decide(head, write)
+	if !outcome.Taken {
+		return outcome, nil
 	}
-	switch {
-	case write.Promise:
-	case write.Snapshot != nil:
-		if write.Snapshot.Last.Below(head.Last) && head.Last.Epoch == write.Epoch {
-			return Outcome{Head: head}, nil
-		}
-		if err := replacePairs(tx, write.Key, write.Snapshot.Pairs); err != nil {
-			return Outcome{}, err
-		}
-		head.Last, head.Set = write.Snapshot.Last, write.Snapshot.Set
-	default:
-		if write.Prev != head.Last {
-			return Outcome{Head: head}, nil
-		}
-	}
-	if len(write.Changes) > 0 {
-		pairs, err := tx.Bucket(bucketPairs).CreateBucketIfNotExists([]byte(write.Key))
-		if err != nil {
-			return Outcome{}, err
-		}
-		for _, change := range write.Changes {
-			if err := putAll(pairs, change.Ops); err != nil {
-				return Outcome{}, err
-			}
-			head.Last = change.Position
-			if change.Set != nil {
-				head.Set = *change.Set
-			}
-		}
+	if err := updatePairs(tx, write.Key, pairs); err != nil {
+		return Outcome{}, err
 	}
-	head.Promised = write.Epoch
-	text, err := easyjson.Marshal(head)
+	text, err := easyjson.Marshal(outcome.Head)
 	if err != nil {
 		return Outcome{}, err
 	}
-	return Outcome{Taken: true, Head: head}, heads.Put([]byte(write.Key), text)
+	return outcome, heads.Put([]byte(write.Key), text)
 }
 
-func replacePairs(tx *bolt.Tx, key string, pairs []peerapi.Op) error {
+func updatePairs(tx *bolt.Tx, key string, update PairUpdate) error {
+	if !update.Clear && len(update.Ops) == 0 {
+		return nil
+	}
 	all := tx.Bucket(bucketPairs)
-	if all.Bucket([]byte(key)) != nil {
+	if update.Clear && all.Bucket([]byte(key)) != nil {
 		if err := all.DeleteBucket([]byte(key)); err != nil {
 			return err
 		}
 	}
-	fresh, err := all.CreateBucket([]byte(key))
+	pairs, err := all.CreateBucketIfNotExists([]byte(key))
 	if err != nil {
 		return err
 	}
-	return putAll(fresh, pairs)
+	return putAll(pairs, update.Ops)
 }
 
 func putAll(pairs *bolt.Bucket, ops []peerapi.Op) error {
