--- /dev/null
+++ b/cmd/model-check/main.go
@@ -0,0 +1,208 @@
+// Model-check runs the project's own code under simulated faults, each schedule decided by a seed, and checks what callers saw.
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/urfave/cli/v3"
+
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/modelcheck/controlmodel"
+	"gannetline/internal/span"
+)
+
+const (
+	exitViolation = 1
+	exitUsage     = 2
+	reportEvery   = 10 * time.Second
+)
+
+// models are those that can be run.
+var models = []modelcheck.Model{controlmodel.New()}
+
+func main() {
+	life, forget := span.UntilSignal()
+	defer forget()
+	if err := command().Run(life, os.Args); err != nil {
+		fmt.Fprintln(os.Stderr, "model-check:", err)
+		code := exitUsage
+		var coded cli.ExitCoder
+		if errors.As(err, &coded) {
+			code = coded.ExitCode()
+		}
+		os.Exit(code)
+	}
+}
+
+func command() *cli.Command {
+	return &cli.Command{
+		Name: "model-check", Usage: "run the control code under simulated faults and check what its callers saw",
+		Description: "Exit codes: 0 nothing was found, 1 an invariant was broken (its shortest schedule is written to a file), 2 bad use.",
+		Flags: []cli.Flag{
+			&cli.Uint64Flag{Name: "seed", Usage: "decides all schedules", Value: 1},
+			&cli.IntFlag{Name: "schedules", Usage: "how many are run", Value: 10000},
+			&cli.IntFlag{Name: "losses", Usage: "disks that may be lost at once, 1 or 2", Value: 1},
+			&cli.StringFlag{Name: "model", Usage: "one of " + strings.Join(modelNames(), ", "), Value: models[0].Name()},
+			&cli.IntFlag{Name: "workers", Usage: "schedules at once; one a core if 0"},
+			&cli.StringFlag{Name: "plant", Usage: "put in a planted fault"},
+			&cli.BoolFlag{Name: "list-plants", Usage: "list the planted faults of the model"},
+			&cli.StringFlag{Name: "replay", Usage: "run the schedule in `FILE` once"},
+			&cli.BoolFlag{Name: "trace", Usage: "with --replay: print what happens, if the model can say it"},
+			&cli.StringFlag{Name: "out", Usage: "`FOLDER` for the schedule to replay", Value: "."},
+		},
+		Action: check,
+		OnUsageError: func(_ span.Span, _ *cli.Command, err error, _ bool) error {
+			return cli.Exit(err.Error(), exitUsage)
+		},
+		ExitErrHandler: func(span.Span, *cli.Command, error) {},
+	}
+}
+
+func modelNames() []string {
+	var names []string
+	for _, model := range models {
+		names = append(names, model.Name())
+	}
+	return names
+}
+
+func modelNamed(name string) (modelcheck.Model, error) {
+	for _, model := range models {
+		if model.Name() == name {
+			return model, nil
+		}
+	}
+	return nil, cli.Exit(fmt.Sprintf("--model: there is no %q; there are %s", name, strings.Join(modelNames(), ", ")), exitUsage)
+}
+
+func check(_ span.Span, flags *cli.Command) error {
+	if flags.Args().Present() {
+		return cli.Exit(fmt.Sprintf("%q is no flag", flags.Args().First()), exitUsage)
+	}
+	if file := flags.String("replay"); file != "" {
+		return replay(file, flags.Bool("trace"))
+	}
+	model, err := modelNamed(flags.String("model"))
+	if err != nil {
+		return err
+	}
+	if flags.Bool("list-plants") {
+		for _, plant := range model.Plants() {
+			fmt.Printf("%-34s %s\n", plant.Name, plant.About)
+		}
+		return nil
+	}
+	budget := modelcheck.Budget{Seed: flags.Uint64("seed"), Schedules: flags.Int("schedules"), Losses: flags.Int("losses"),
+		Plant: flags.String("plant"), Workers: flags.Int("workers")}
+	if err := checkBudget(model, budget); err != nil {
+		return err
+	}
+	return hunt(model, budget, flags.String("out"))
+}
+
+func checkBudget(model modelcheck.Model, budget modelcheck.Budget) error {
+	isPlant := func(plant modelcheck.Plant) bool { return plant.Name == budget.Plant }
+	switch {
+	case budget.Losses != 1 && budget.Losses != 2:
+		return cli.Exit("--losses must be 1 or 2", exitUsage)
+	case budget.Schedules < 1:
+		return cli.Exit("--schedules must be at least 1", exitUsage)
+	case budget.Workers < 0:
+		return cli.Exit("--workers must not be negative", exitUsage)
+	case budget.Plant != "" && !slices.ContainsFunc(model.Plants(), isPlant):
+		return cli.Exit(fmt.Sprintf("--plant: there is no %q; see --list-plants", budget.Plant), exitUsage)
+	}
+	return nil
+}
+
+func replay(file string, isTraced bool) error {
+	schedule, err := modelcheck.Load(file)
+	if err != nil {
+		return cli.Exit(err.Error(), exitUsage)
+	}
+	model, err := modelNamed(schedule.Model)
+	if err != nil {
+		return err
+	}
+	if schedule.Nodes < 1 {
+		return cli.Exit("the schedule has no nodes", exitUsage)
+	}
+	var outcome modelcheck.Outcome
+	if tracer, canTrace := model.(modelcheck.Tracer); isTraced && canTrace {
+		outcome = tracer.Trace(schedule, os.Stdout)
+	} else {
+		outcome = model.Run(schedule)
+	}
+	printSchedule(schedule)
+	printCoverage(outcome.Coverage)
+	return verdict(outcome)
+}
+
+func hunt(model modelcheck.Model, budget modelcheck.Budget, folder string) error {
+	fmt.Printf("model %s, seed %d, %d schedules, %d losses", model.Name(), budget.Seed, budget.Schedules, budget.Losses)
+	if budget.Plant != "" {
+		fmt.Printf(", planted: %s", budget.Plant)
+	}
+	fmt.Println()
+	var reported time.Duration
+	finding, progress := modelcheck.Run(model, budget, func(progress modelcheck.Progress) {
+		if progress.Took-reported >= reportEvery {
+			reported = progress.Took
+			printProgress(progress)
+		}
+	})
+	printProgress(progress)
+	printCoverage(progress.Coverage)
+	if finding == nil {
+		fmt.Println("nothing found")
+		return nil
+	}
+	shortest, outcome := modelcheck.Shrink(model, finding.Schedule)
+	file := filepath.Join(folder, fmt.Sprintf("%s-%d-%d.json", model.Name(), budget.Seed, finding.Number))
+	if err := modelcheck.Save(file, shortest); err != nil {
+		return cli.Exit(err.Error(), exitUsage)
+	}
+	fmt.Printf("schedule %d, cut down from %d steps to %d:\n", finding.Number, len(finding.Schedule.Steps), len(shortest.Steps))
+	printSchedule(shortest)
+	fmt.Printf("to see it again: model-check --replay %s\n", file)
+	return verdict(outcome)
+}
+
+func verdict(outcome modelcheck.Outcome) error {
+	if len(outcome.Violations) == 0 {
+		fmt.Println("nothing found")
+		return nil
+	}
+	for _, one := range outcome.Violations {
+		fmt.Printf("VIOLATION at %d ms: %s: %s\n", one.AtMs, one.Oracle, one.Detail)
+	}
+	return cli.Exit("an invariant was broken", exitViolation)
+}
+
+func printProgress(progress modelcheck.Progress) {
+	fmt.Printf("%d schedules in %.1f s, %.0f a second\n", progress.Done, progress.Took.Seconds(), float64(progress.Done)/max(0.001, progress.Took.Seconds()))
+}
+
+func printCoverage(coverage modelcheck.Coverage) {
+	var names []string
+	for name := range coverage {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		fmt.Printf("  %-48s %d\n", name, coverage[name])
+	}
+}
+
+func printSchedule(schedule modelcheck.Schedule) {
+	fmt.Printf("model %s, seed %d, %d nodes, %d losses, plant %q\n", schedule.Model, schedule.Seed, schedule.Nodes, schedule.Losses, schedule.Plant)
+	for _, step := range schedule.Steps {
+		fmt.Printf("  %6d ms %-16s node %2d peer %d for %d ms, value %d\n", step.AtMs, step.Kind, step.Node, step.Peer, step.ForMs, step.Value)
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/draw.go
@@ -0,0 +1,191 @@
+package controlmodel
+
+import (
+	"math/rand/v2"
+	"slices"
+
+	"gannetline/internal/modelcheck"
+)
+
+const (
+	// catchUpMs is how long a machine still counts as lost after it is back, or after its start if it is new.
+	catchUpMs = 4000
+	// growUpMs is when faults may begin: the first voters bear one loss, and more once their number has grown.
+	growUpMs = 4000
+	mostMs   = 14000
+	// removedCountsMs is how long a machine that left in order counts as lost. By the pages it should be 0, as its
+	// successor has had its time; the engine does not leave its voters by agreement yet.
+	removedCountsMs = catchUpMs
+)
+
+// lossSpan is the time for which a machine counts as lost.
+type lossSpan struct{ from, to int }
+
+// drawing makes one schedule, and keeps within what the system must be able to lose.
+type drawing struct {
+	draw   *rand.Rand
+	steps  []modelcheck.Step
+	lost   []lossSpan
+	nodes  int
+	losses int
+	endMs  int
+}
+
+func (model) Draw(seed uint64, losses int) modelcheck.Schedule {
+	d := &drawing{draw: rand.New(rand.NewPCG(seed, 3)), losses: losses}
+	d.nodes = 2*losses + 1 + d.draw.IntN(9-2*losses)
+	if d.draw.IntN(2) == 0 {
+		d.nodes = 2*losses + 1 + d.draw.IntN(2)
+	}
+	d.endMs = growUpMs + 1000 + d.draw.IntN(mostMs-growUpMs-1000)
+	d.addFaults()
+	d.addTraffic()
+	slices.SortStableFunc(d.steps, func(one, two modelcheck.Step) int { return one.AtMs - two.AtMs })
+	return modelcheck.Schedule{Model: Name, Seed: seed, Losses: losses, Nodes: d.nodes, Steps: d.steps}
+}
+
+func (d *drawing) add(step modelcheck.Step) { d.steps = append(d.steps, step) }
+
+// isBearable tells whether so many more may be lost for a time.
+func (d *drawing) isBearable(span lossSpan, count int) bool {
+	for _, other := range d.lost {
+		if other.from < span.to && span.from < other.to {
+			count++
+		}
+	}
+	return count <= d.losses
+}
+
+func (d *drawing) addFaults() {
+	count := 1 + d.draw.IntN(5)
+	at := 1500 + d.draw.IntN(1500)
+	if d.losses > 1 {
+		at = growUpMs
+	}
+	for range count {
+		d.addFault(at)
+		at += d.draw.IntN(2500)
+		if d.draw.IntN(3) == 0 {
+			at += catchUpMs
+		}
+		if at > d.endMs {
+			return
+		}
+	}
+}
+
+// harms are the faults that make a machine count as lost.
+var harms = []string{stepKill, stepPower, stepWipe, stepFreeze, stepSlow, stepStall, stepSlowDisk, stepFullDisk, stepCut, stepCut, stepCutOut,
+	stepCutIn, stepReplace, stepReplaceLost, stepRestart, stepPowerOnAck}
+
+func (d *drawing) addFault(at int) {
+	switch d.draw.IntN(10) {
+	case 0:
+		d.add(modelcheck.Step{AtMs: at, Kind: stepWeather, ForMs: 300 + d.draw.IntN(3000), Value: d.draw.IntN(2500)})
+	case 1:
+		d.add(modelcheck.Step{AtMs: at, Kind: stepClock, Node: d.place(), Value: d.draw.IntN(20000) - 10000})
+	case 2, 3:
+		d.addEndOfAll(at)
+	case 4:
+		if d.nodes < 9 && d.draw.IntN(3) == 0 {
+			d.add(modelcheck.Step{AtMs: at, Kind: stepGrow})
+		}
+	}
+	for range 1 + d.draw.IntN(d.losses+1) {
+		d.addHarm(at+d.draw.IntN(400), harms[d.draw.IntN(len(harms))])
+	}
+}
+
+func (d *drawing) place() int {
+	if d.draw.IntN(3) == 0 {
+		return leaderPlace
+	}
+	return d.draw.IntN(d.nodes)
+}
+
+func (d *drawing) addHarm(at int, kind string) {
+	step := modelcheck.Step{AtMs: at, Kind: kind, Node: d.place(), ForMs: d.length(), Value: 20 + d.draw.IntN(800)}
+	span := lossSpan{at, at + step.ForMs + catchUpMs}
+	switch kind {
+	case stepCut, stepCutOut, stepCutIn:
+		step.Peer = d.draw.IntN(2)
+	case stepReplace, stepReplaceLost:
+		step.Node = d.draw.IntN(d.nodes)
+		if kind == stepReplace {
+			step.ForMs = catchUpMs + d.draw.IntN(1000)
+			span.to = at + step.ForMs + 500 + removedCountsMs
+		}
+	case stepPowerOnAck:
+		step.Node, step.Value = leaderPlace, 0
+		span.to += int(trapLife.Milliseconds())
+		if d.draw.IntN(3) == 0 {
+			d.addEndOfAll(at)
+			return
+		}
+	case stepRestart:
+		span.to += int(leaveTime.Milliseconds())
+	}
+	if d.isBearable(span, 1) {
+		d.lost = append(d.lost, span)
+		d.add(step)
+	}
+}
+
+// length is how long a fault lasts: mostly short, at times 20 s and more.
+func (d *drawing) length() int {
+	switch luck := d.draw.IntN(40); {
+	case luck == 0:
+		return 20000 + d.draw.IntN(2000)
+	case luck < 10:
+		return 1500 + d.draw.IntN(3000)
+	}
+	return 50 + d.draw.IntN(1450)
+}
+
+// addEndOfAll takes all machines down at once, and as many disks with them as may be lost besides those lost already.
+func (d *drawing) addEndOfAll(at int) {
+	step := modelcheck.Step{AtMs: at, Kind: stepPowerAll, Node: d.draw.IntN(d.nodes), Peer: 1, ForMs: 250 + d.draw.IntN(1500)}
+	switch d.draw.IntN(4) {
+	case 0:
+		step.Kind = stepKillAll
+	case 1, 2:
+		step.Kind = stepPowerOnAck
+	}
+	span := lossSpan{at, at + step.ForMs + catchUpMs}
+	if step.Kind == stepPowerOnAck {
+		span.to += int(trapLife.Milliseconds())
+	}
+	if d.draw.IntN(2) == 0 && d.isBearable(span, d.losses) {
+		step.Value = d.losses
+	}
+	if step.Value == 0 && !d.isBearable(span, d.losses) {
+		return
+	}
+	for range d.losses {
+		d.lost = append(d.lost, span)
+	}
+	d.add(step)
+}
+
+func (d *drawing) addTraffic() {
+	d.add(modelcheck.Step{AtMs: 700, Kind: stepOrder, Node: 0})
+	pause := 60 + d.draw.IntN(500)
+	for at := 900; at < d.endMs; at += 1 + d.draw.IntN(2*pause) {
+		step := modelcheck.Step{AtMs: at, Node: d.draw.IntN(d.nodes)}
+		switch luck := d.draw.IntN(100); {
+		case luck < 40:
+			step.Kind, step.Value = stepOrder, d.draw.IntN(2)
+		case luck < 75:
+			step.Kind = stepRead
+		case luck < 88:
+			step.Kind, step.Peer = stepRace, d.draw.IntN(d.nodes)
+		case luck < 97:
+			step.Kind, step.Value = stepResend, d.draw.IntN(4)
+		case luck < 99:
+			step.Kind = stepBurst
+		default:
+			step.Kind, step.ForMs = stepStorm, 500+d.draw.IntN(2500)
+		}
+		d.add(step)
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/faults.go
@@ -0,0 +1,263 @@
+package controlmodel
+
+import (
+	"time"
+
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/pulse"
+)
+
+// The kinds of steps. Node is a place of a machine, or leaderPlace for whoever leads at that moment.
+const (
+	stepOrder        = "order"
+	stepRace         = "race"
+	stepResend       = "resend"
+	stepBurst        = "burst"
+	stepStorm        = "storm"
+	stepRead         = "read"
+	stepKill         = "kill"
+	stepPower        = "power"
+	stepWipe         = "wipe"
+	stepFreeze       = "freeze"
+	stepSlow         = "slow"
+	stepStall        = "disk-stall"
+	stepSlowDisk     = "disk-slow"
+	stepFullDisk     = "disk-full"
+	stepCut          = "cut"
+	stepCutOut       = "cut-outgoing"
+	stepCutIn        = "cut-incoming"
+	stepWeather      = "weather"
+	stepClock        = "clock-jump"
+	stepPowerAll     = "power-all"
+	stepKillAll      = "kill-all"
+	stepPowerOnAck   = "power-after-ack"
+	stepReplace      = "replace"
+	stepReplaceLost  = "replace-lost"
+	stepRestart      = "restart"
+	stepGrow         = "grow"
+	leaderPlace      = -1
+	stormPause       = 25 * time.Millisecond
+	trapLife         = time.Second
+	longestAfterAck  = 5
+	weatherLost      = 60
+	weatherDoubled   = 100
+	weatherDelayed   = 150
+	shortestHeldBack = 20 * time.Millisecond
+)
+
+// trap is a fault that comes within 5 ms of the next acknowledgement.
+type trap struct {
+	step  modelcheck.Step
+	until time.Duration
+}
+
+// at is the machine that a step means.
+func (w *world) at(place int) *node {
+	if place == leaderPlace {
+		if leader := w.leader(); leader != nil {
+			return leader
+		}
+		place = 0
+	}
+	return w.slots[place%len(w.slots)]
+}
+
+func (w *world) apply(step modelcheck.Step) {
+	w.cover("step " + step.Kind)
+	length := pulse.Ms(int64(step.ForMs))
+	n := w.at(step.Node)
+	w.tell("step %s of %s for %d ms, peer %d, value %d", step.Kind, n.name, step.ForMs, step.Peer, step.Value)
+	switch step.Kind {
+	case stepOrder, stepRace, stepResend, stepBurst, stepStorm, stepRead:
+		w.operateStep(step)
+	case stepKill:
+		n.kill()
+		w.after(length, n.start)
+	case stepPower:
+		n.losePower()
+		w.after(length, n.start)
+	case stepWipe:
+		n.kill()
+		n.wipe()
+		w.after(length, n.start)
+	case stepFreeze:
+		life := n.life
+		n.freeze()
+		w.after(length, func() {
+			if n.life == life {
+				n.wake()
+			}
+		})
+	case stepSlow:
+		n.slowed = time.Duration(step.Value) * 10 * time.Microsecond
+		w.after(length, func() { n.slowed = 0 })
+	case stepStall, stepSlowDisk, stepFullDisk:
+		w.troubleDisk(step.Kind, n.disk, length)
+	case stepCut, stepCutOut, stepCutIn:
+		w.cutOff(step, n, length)
+	case stepWeather:
+		w.weather = weather{until: w.now + length, lost: weatherLost, doubled: weatherDoubled, delayed: weatherDelayed,
+			longest: shortestHeldBack + pulse.Ms(int64(step.Value))}
+	case stepClock:
+		n.clock.jump += int64(step.Value)
+	case stepPowerAll, stepKillAll:
+		w.endAll(step)
+	case stepPowerOnAck:
+		w.traps = append(w.traps, trap{step, w.now + trapLife})
+	default:
+		w.applyChange(step, n, length)
+	}
+}
+
+// applyChange is what planned work does to machines.
+func (w *world) applyChange(step modelcheck.Step, n *node, length time.Duration) {
+	switch step.Kind {
+	case stepReplace:
+		place := step.Node % len(w.slots)
+		successor := w.addNode()
+		successor.start()
+		w.after(length, func() {
+			old := w.slots[place]
+			w.slots[place] = successor
+			old.leave()
+		})
+	case stepReplaceLost:
+		n.kill()
+		n.isRemoved = true
+		successor := w.addNode()
+		w.slots[step.Node%len(w.slots)] = successor
+		w.after(length, successor.start)
+	case stepRestart:
+		if n.isUp {
+			n.enter(n.life, n.engine.Leave)
+		}
+		w.after(leaveTime, n.kill)
+		w.after(leaveTime+length, n.start)
+	case stepGrow:
+		fresh := w.addNode()
+		w.slots = append(w.slots, fresh)
+		fresh.start()
+	}
+}
+
+func (w *world) troubleDisk(kind string, d *disk, length time.Duration) {
+	switch kind {
+	case stepStall:
+		d.isStalled = true
+	case stepSlowDisk:
+		d.isSlow = true
+	default:
+		d.isFull = true
+	}
+	w.after(length, func() {
+		switch kind {
+		case stepStall:
+			d.isStalled = false
+			d.sync()
+		case stepSlowDisk:
+			d.isSlow = false
+		default:
+			d.isFull = false
+		}
+	})
+}
+
+// cutOff cuts one machine from all others; Peer is 1 where connections are refused and not silent.
+func (w *world) cutOff(step modelcheck.Step, n *node, length time.Duration) {
+	now := cut{cutSilent, w.now + length}
+	if step.Peer == 1 {
+		now.kind = cutRefused
+	}
+	for _, other := range w.nodes {
+		if other == n {
+			continue
+		}
+		if step.Kind != stepCutIn {
+			w.links[pair{n.index, other.index}] = now
+		}
+		if step.Kind != stepCutOut {
+			w.links[pair{other.index, n.index}] = now
+		}
+	}
+}
+
+// endAll takes power from all machines, or kills all; Value of them, from Node on, lose their disks as well.
+func (w *world) endAll(step modelcheck.Step) {
+	for place, one := range w.slots {
+		if step.Kind == stepKillAll {
+			one.kill()
+		} else {
+			one.losePower()
+		}
+		if offset := (place - max(0, step.Node) + len(w.slots)) % len(w.slots); offset < step.Value {
+			w.cover("disk wiped with all machines down")
+			one.wipe()
+		}
+		w.after(pulse.Ms(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, one.start)
+	}
+}
+
+// springTraps lets what waits for an acknowledgement happen: Peer is 1 for all machines, else it is the leader.
+func (w *world) springTraps() {
+	waiting := w.traps
+	w.traps = nil
+	for _, one := range waiting {
+		if one.until < w.now {
+			continue
+		}
+		w.cover("power lost right after an acknowledgement")
+		step := one.step
+		step.Kind = stepPower
+		if step.Peer == 1 {
+			step.Kind = stepPowerAll
+		}
+		w.after(time.Duration(w.draw.IntN(longestAfterAck*1000))*time.Microsecond, func() { w.apply(step) })
+	}
+}
+
+// healAll ends all faults.
+func (w *world) healAll() {
+	w.traps, w.weather = nil, weather{}
+	clear(w.links)
+	for _, one := range w.nodes {
+		one.slowed = 0
+		one.disk.isStalled, one.disk.isSlow, one.disk.isFull = false, false, false
+		one.wake()
+		one.start()
+		one.disk.sync()
+	}
+}
+
+func (w *world) operateStep(step modelcheck.Step) {
+	t := &w.traffic
+	switch step.Kind {
+	case stepRead:
+		w.read(step.Node, ignore)
+	case stepOrder:
+		w.send(w.newOrder(t.newest, t.newest+1+int64(step.Value)), step.Node)
+	case stepRace:
+		w.send(w.newOrder(t.newest, t.newest+1), step.Node)
+		w.send(w.newOrder(t.newest, t.newest+1), step.Peer)
+	case stepBurst:
+		for place := range mostUnderWay {
+			w.send(w.newOrder(t.newest, t.newest+1+int64(place%3)), step.Node+place)
+		}
+	case stepResend:
+		if count := len(t.confirmed); count > 0 {
+			again := t.confirmed[max(0, count-1-step.Value)]
+			again.tries = 0
+			w.send(again, step.Node)
+		}
+	case stepStorm:
+		w.storm(step.Node, w.now+pulse.Ms(int64(step.ForMs)))
+	}
+}
+
+// storm sends a change as soon as the one before it is confirmed.
+func (w *world) storm(via int, end time.Duration) {
+	if w.now >= end {
+		return
+	}
+	w.send(w.newOrder(w.traffic.newest, w.traffic.newest+1), via)
+	w.after(stormPause, func() { w.storm(via, end) })
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/model.go
@@ -0,0 +1,30 @@
+// Package controlmodel runs the real replication engines, replicas and configuration leader of three to nine machines
+// on a simulated clock, network and disks, with operators who change and read the configuration.
+package controlmodel
+
+import (
+	"io"
+
+	"gannetline/internal/modelcheck"
+)
+
+// Name is the model's name in schedules.
+const Name = "control"
+
+type model struct{}
+
+// New gives the model of the control side.
+func New() modelcheck.Model { return model{} }
+
+func (model) Name() string { return Name }
+
+func (model) Plants() []modelcheck.Plant { return listPlants() }
+
+func (model) Run(schedule modelcheck.Schedule) modelcheck.Outcome { return newWorld(schedule).play() }
+
+// Trace runs a schedule as Run does, and writes what happens.
+func (model) Trace(schedule modelcheck.Schedule, to io.Writer) modelcheck.Outcome {
+	w := newWorld(schedule)
+	w.trace = to
+	return w.play()
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/network.go
@@ -0,0 +1,213 @@
+package controlmodel
+
+import (
+	"time"
+
+	"github.com/juju/errors"
+
+	"gannetline/internal/peerapi"
+	"gannetline/internal/replication"
+)
+
+const (
+	promiseLimit  = 500 * time.Millisecond
+	appendLimit   = 1500 * time.Millisecond
+	snapshotLimit = 4 * time.Second
+
+	shortestTransit = 300 * time.Microsecond
+	longestTransit  = 4 * time.Millisecond
+)
+
+var (
+	errSilence = errors.New("no answer in time")
+	errRefused = errors.New("connection refused")
+	errUnknown = errors.New("no peer is known with that disk")
+)
+
+// pair is one direction between two machines, by index.
+type pair struct{ from, to int }
+
+type cutKind int
+
+const (
+	cutSilent cutKind = iota + 1
+	cutRefused
+)
+
+// cut stops what one machine sends to another, until a moment.
+type cut struct {
+	kind  cutKind
+	until time.Duration
+}
+
+// weather is what happens to messages anywhere; shares are in thousandths.
+type weather struct {
+	until   time.Duration
+	lost    int
+	doubled int
+	delayed int
+	longest time.Duration
+}
+
+func (w *world) isOpen(from, to *node) bool {
+	return from == to || w.links[pair{from.index, to.index}].until <= w.now
+}
+
+func (w *world) transit() time.Duration {
+	return shortestTransit + time.Duration(w.draw.Int64N(int64(longestTransit-shortestTransit)))
+}
+
+// deliver brings a message from one machine to another, unless a fault eats, doubles or delays it.
+func (w *world) deliver(from, to *node, arrive func(), refused func()) {
+	if from == to {
+		w.after(0, arrive)
+		return
+	}
+	if now := w.links[pair{from.index, to.index}]; now.until > w.now {
+		w.deliverThroughCut(now, arrive, refused)
+		return
+	}
+	wait := w.transit()
+	if w.weather.until > w.now {
+		luck := w.draw.IntN(1000)
+		switch {
+		case luck < w.weather.lost:
+			w.cover("message lost")
+			return
+		case luck < w.weather.lost+w.weather.doubled:
+			w.cover("message doubled")
+			w.after(wait+time.Duration(w.draw.Int64N(int64(w.weather.longest))), arrive)
+		case luck < w.weather.lost+w.weather.doubled+w.weather.delayed:
+			w.cover("message delayed")
+			wait += time.Duration(w.draw.Int64N(int64(w.weather.longest)))
+		}
+	}
+	w.after(wait, arrive)
+}
+
+// deliverThroughCut loses a message, or holds it until the cut is over, as a connection does that sends again.
+func (w *world) deliverThroughCut(now cut, arrive func(), refused func()) {
+	if now.kind == cutRefused {
+		if refused != nil {
+			w.after(w.transit(), refused)
+		}
+		return
+	}
+	if w.draw.IntN(4) == 0 {
+		w.cover("message held by a cut")
+		w.after(now.until-w.now+w.transit(), arrive)
+	}
+}
+
+// call asks another machine; its answer, or an error once the limit is over, comes back inside the calling process.
+func call[T any](from, to *node, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	w, fromLife, isOver := from.world, from.life, false
+	finish := func(value T, err error) {
+		if !isOver {
+			isOver = true
+			from.enter(fromLife, func() { done(value, err) })
+		}
+	}
+	var none T
+	if to == nil {
+		w.after(0, func() { finish(none, errUnknown) })
+		return
+	}
+	w.after(limit, func() { finish(none, errSilence) })
+	refuse := func() { finish(none, errRefused) }
+	w.deliver(from, to, func() {
+		if !to.isUp {
+			if w.draw.IntN(2) == 0 {
+				w.after(w.transit(), refuse)
+			}
+			return
+		}
+		toLife := to.life
+		to.enter(toLife, func() {
+			serve(func(value T) {
+				// The answer is written a little later, so that a freeze or a loss of power may come in between.
+				w.after(time.Duration(w.draw.IntN(300))*time.Microsecond, func() {
+					to.enter(toLife, func() { w.deliver(to, from, func() { finish(value, nil) }, nil) })
+				})
+			})
+		})
+	}, refuse)
+}
+
+// links carries the calls of a machine's engine over the simulated network.
+type links struct{ node *node }
+
+func (l *links) Promise(disk string, ask peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
+	n := l.node
+	if disk == n.disk.name {
+		n.post(func() {
+			n.replicas.Promise(ask, func(answer peerapi.PromiseAnswer) { n.post(func() { done(answer, nil) }) })
+		})
+		return
+	}
+	to := n.byDisk(disk)
+	n.world.tell("%s asks %s: promise epoch %d, pre-vote %v", n.name, disk, ask.Epoch, ask.PreVote)
+	call(n, to, promiseLimit, func(answer func(peerapi.PromiseAnswer)) {
+		to.replicas.Promise(ask, func(told peerapi.PromiseAnswer) {
+			n.world.tell("%s tells %s: granted %v, promised %d, last %v", to.name, n.name, told.Granted, told.Promised, told.Last)
+			answer(told)
+		})
+	}, done)
+}
+
+func (l *links) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	n := l.node
+	if disk == n.disk.name {
+		l.InstallLocal(ask, done)
+		return
+	}
+	limit := appendLimit
+	if ask.Snapshot != nil {
+		limit = snapshotLimit
+		n.world.cover("snapshot sent")
+	}
+	if ask.Chunk != nil {
+		n.world.cover("snapshot chunk sent")
+	}
+	to := n.byDisk(disk)
+	call(n, to, limit, func(answer func(peerapi.AppendAnswer)) {
+		arrivedAt := n.world.now
+		to.replicas.Append(ask, func(told peerapi.AppendAnswer) {
+			n.world.tell("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, ask.Epoch,
+				told.Taken, told.Promised, told.Last, len(ask.Changes), ask.Release)
+			told.DelayUs = max(1, (n.world.now - arrivedAt).Microseconds())
+			answer(told)
+		})
+	}, done)
+}
+
+func (l *links) InstallLocal(ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	if ask.Snapshot != nil {
+		l.node.world.cover("snapshot installed by a candidate")
+	}
+	n := l.node
+	n.post(func() {
+		n.replicas.Append(ask, func(answer peerapi.AppendAnswer) { n.post(func() { done(answer, nil) }) })
+	})
+}
+
+func (l *links) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
+	n := l.node
+	n.world.cover("candidate fetched")
+	to := n.byDisk(disk)
+	call(n, to, snapshotLimit, func(answer func(peerapi.FetchAnswer)) {
+		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
+			answer(whole)
+		}
+	}, done)
+}
+
+func (l *links) Status(key string, done func(replication.ReplicaStatus)) {
+	done(l.node.replicas.Status(key))
+}
+
+func (l *links) History(key string, done func(replication.History)) {
+	done(l.node.replicas.History(key))
+}
+
+func (l *links) ReadLocal(key string) (peerapi.Snapshot, error) { return l.node.disk.Read(key) }
--- /dev/null
+++ b/internal/modelcheck/controlmodel/operators.go
@@ -0,0 +1,265 @@
+package controlmodel
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/mailru/easyjson"
+
+	"gannetline/internal/configowner"
+	"gannetline/internal/configuration"
+	"gannetline/internal/peerapi"
+)
+
+const (
+	verbReplace  = "replace"
+	verbRetrieve = "retrieve"
+
+	// The operator's path: how long a machine asks on, how long it waits for one try, and its pauses.
+	patience      = 900 * time.Millisecond
+	perTry        = 450 * time.Millisecond
+	pauseShort    = 30 * time.Millisecond
+	pauseLong     = 120 * time.Millisecond
+	operatorLimit = time.Second
+	mostTries     = 10
+	mostUnderWay  = 8
+)
+
+type answerKind int
+
+const (
+	unclear answerKind = iota
+	confirmed
+	refused
+)
+
+// order is one change that an operator sends, the same each time it is sent again.
+type order struct {
+	version   int64
+	base      int64
+	body      []byte
+	digest    string
+	tries     int
+	isDone    bool
+	isRefused bool
+	// confirmedAfter is how many changes had been confirmed when this one was; 0 while it is not.
+	confirmedAfter int
+}
+
+// traffic is what the operators know and have under way.
+type traffic struct {
+	drawn     int
+	newest    int64
+	orders    []*order
+	confirmed []*order
+	underWay  int
+}
+
+func (w *world) newOrder(base, version int64) *order {
+	t := &w.traffic
+	t.drawn++
+	body := fmt.Appendf(nil, `{"config-version":%d,"route-list":[{"name":"r","host":"h%d","path-prefix":"/","timeout-ms":1,"service":"s"}],"service-list":[{"name":"s"}]}`, version, t.drawn)
+	one := &order{version: version, base: base, body: body, digest: digestOf(body)}
+	t.orders = append(t.orders, one)
+	w.record.byDigest[one.digest] = one
+	return one
+}
+
+func digestOf(body []byte) string {
+	sum := sha256.Sum256(body)
+	return hex.EncodeToString(sum[:8])
+}
+
+// send brings an order to a machine, and sends it again elsewhere until there is a clear answer.
+func (w *world) send(one *order, via int) {
+	if one.tries >= mostTries || w.traffic.underWay >= mostUnderWay {
+		return
+	}
+	one.tries++
+	w.traffic.underWay++
+	call := &peerapi.ClientCall{Key: configowner.Key, Verb: verbReplace, Base: one.base, Body: one.body}
+	begun := w.begin(one)
+	w.operate(via, call, func(answer *peerapi.ClientAnswer) {
+		w.traffic.underWay--
+		kind := kindOf(answer)
+		w.end(begun, kind)
+		w.noteOrder(one, kind, answer)
+		if kind == unclear && !one.isDone {
+			w.cover("order sent again")
+			w.after(time.Duration(50+w.draw.IntN(250))*time.Millisecond, func() { w.send(one, via+1) })
+		}
+	})
+}
+
+func kindOf(answer *peerapi.ClientAnswer) answerKind {
+	switch {
+	case answer == nil || answer.Status >= http.StatusInternalServerError:
+		return unclear
+	case answer.Status == http.StatusOK:
+		return confirmed
+	}
+	return refused
+}
+
+func (w *world) noteOrder(one *order, kind answerKind, answer *peerapi.ClientAnswer) {
+	t := &w.traffic
+	switch kind {
+	case confirmed:
+		w.cover("order confirmed")
+		w.checkConfirmed(one)
+		if one.confirmedAfter == 0 {
+			t.confirmed = append(t.confirmed, one)
+			one.confirmedAfter = len(t.confirmed)
+		}
+		one.isDone = true
+		t.newest = max(t.newest, one.version)
+		w.springTraps()
+	case refused:
+		w.cover("order refused")
+		w.checkRefused(one, answer)
+		one.isDone, one.isRefused = true, true
+	default:
+		w.cover("order without a clear answer")
+	}
+}
+
+// read retrieves the configuration through a machine.
+func (w *world) read(via int, done func(isRead bool)) {
+	begun, floor := w.begin(nil), w.record.top
+	call := &peerapi.ClientCall{Key: configowner.Key, Verb: verbRetrieve}
+	w.operate(via, call, func(answer *peerapi.ClientAnswer) {
+		isRead := kindOf(answer) == confirmed
+		if isRead {
+			w.cover("configuration read")
+			w.checkRead(begun, floor, answer.Body)
+		}
+		done(isRead)
+	})
+}
+
+func ignore(bool) {}
+
+// operate brings a call of an operator to a machine's control address; no answer comes back as nil.
+func (w *world) operate(via int, ask *peerapi.ClientCall, done func(*peerapi.ClientAnswer)) {
+	to := w.slots[via%len(w.slots)]
+	isOver := false
+	finish := func(answer *peerapi.ClientAnswer) {
+		if !isOver {
+			isOver = true
+			done(answer)
+		}
+	}
+	w.after(operatorLimit, func() { finish(nil) })
+	w.after(w.transit(), func() {
+		life := to.life
+		if !to.isUp {
+			return
+		}
+		to.enter(life, func() {
+			tryLeader(&attempt{from: to, ask: ask, end: w.now + patience, done: func(answer *peerapi.ClientAnswer) {
+				to.enter(life, func() {
+					if w.weather.until > w.now && w.draw.IntN(4) == 0 {
+						w.cover("acknowledgement lost")
+						return
+					}
+					w.after(w.transit(), func() { finish(answer) })
+				})
+			}})
+		})
+	})
+}
+
+// attempt is a machine's search for the key's leader; it follows leaderclient.Asker, without its goroutines.
+type attempt struct {
+	from  *node
+	ask   *peerapi.ClientCall
+	end   time.Duration
+	tries int
+	hint  *node
+	done  func(*peerapi.ClientAnswer)
+}
+
+func tryLeader(a *attempt) {
+	w := a.from.world
+	left := a.end - w.now
+	if left <= 0 {
+		a.done(nil)
+		return
+	}
+	to := a.address()
+	a.hint = nil
+	if to == nil {
+		a.pause()
+		return
+	}
+	call(a.from, to, min(perTry, left), func(answer func(peerapi.ClientAnswer)) { to.obey(a.ask, answer) },
+		func(answer peerapi.ClientAnswer, err error) {
+			if err == nil && !answer.Elsewhere {
+				a.done(&answer)
+				return
+			}
+			if err == nil {
+				a.hint = w.byName(answer.Owner)
+			}
+			a.pause()
+		})
+}
+
+func (a *attempt) pause() {
+	wait := pauseShort
+	if a.tries > 2 {
+		wait = pauseLong
+	}
+	a.tries++
+	life := a.from.life
+	a.from.world.after(wait, func() { a.from.enter(life, func() { tryLeader(a) }) })
+}
+
+// address prefers the hint, then the leader it has heard of, then any other.
+func (a *attempt) address() *node {
+	if a.hint != nil {
+		return a.hint
+	}
+	a.from.hearsay()
+	if a.from.heard.node != nil && a.tries%3 != 2 {
+		return a.from.heard.node
+	}
+	w := a.from.world
+	return w.slots[w.draw.IntN(len(w.slots))]
+}
+
+func (w *world) byName(name string) *node {
+	for _, one := range w.nodes {
+		if one.name == name {
+			return one
+		}
+	}
+	return nil
+}
+
+// finalReads reads through every machine, and sends the newest confirmed order once more.
+func (t *traffic) finalReads(w *world) {
+	for place := range w.slots {
+		w.read(place, func(isRead bool) {
+			if !isRead && len(t.confirmed) > 0 {
+				w.violated("settled", "machine %d does not answer a read once all is settled", place)
+			}
+		})
+	}
+	if len(t.confirmed) > 0 {
+		last := t.confirmed[len(t.confirmed)-1]
+		last.tries = 0
+		w.send(last, 0)
+	}
+}
+
+func versionOf(body easyjson.RawMessage) (int64, string) {
+	plan, err := configuration.Read(body)
+	if err != nil {
+		return 0, ""
+	}
+	return plan.Version, digestOf(body)
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/oracles.go
@@ -0,0 +1,247 @@
+package controlmodel
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"gannetline/internal/configowner"
+	"gannetline/internal/peerapi"
+)
+
+// mostConfirmed is how many changes the leader remembers as confirmed. An order older than that may be refused:
+// the pages forbid only that one is refused with no other change made since.
+const mostConfirmed = 64
+
+// observation is a call of an operator and its answer.
+type observation struct {
+	order   *order
+	version int64
+	digest  string
+	kind    answerKind
+	begun   time.Duration
+	ended   time.Duration
+}
+
+// record is what the oracles know of the run so far.
+type record struct {
+	byDigest map[string]*order
+	// confirmed is the body under each confirmed number.
+	confirmed map[int64]string
+	top       int64
+	// inForce are the bodies that some leader has held.
+	inForce map[string]bool
+	history []*observation
+	epochs  map[uint64]string
+}
+
+func newRecord() record {
+	return record{byDigest: map[string]*order{}, confirmed: map[int64]string{}, inForce: map[string]bool{}, epochs: map[uint64]string{}}
+}
+
+func (w *world) checkLeases() {
+	var holders []string
+	for _, one := range w.nodes {
+		if one.isUp && one.tenure != nil && one.tenure.HasLease() {
+			holders = append(holders, one.name)
+		}
+	}
+	if len(holders) > 1 {
+		w.violated("one leader", "%v hold a lease at once", holders)
+	}
+}
+
+// checkOpened looks at what a new leader begins with.
+func (w *world) checkOpened(n *node, pairs []peerapi.Op) {
+	epoch := n.tenure.Epoch()
+	if other, isThere := w.record.epochs[epoch]; isThere {
+		w.violated("one leader", "epoch %d belongs to %s and to %s", epoch, other, n.name)
+	}
+	w.record.epochs[epoch] = n.name
+	fact := factOf(pairs)
+	if fact != nil {
+		for _, one := range fact.Confirmed {
+			w.noteInForce(one.Digest)
+		}
+	}
+	if !n.tenure.HasLease() || w.record.top == 0 {
+		return
+	}
+	want := peerapi.ConfirmedVersion{Version: w.record.top, Digest: w.record.confirmed[w.record.top]}
+	switch {
+	case fact == nil:
+		w.violated("acknowledged is kept", "%s leads epoch %d with no configuration, version %d was confirmed", n.name, epoch, w.record.top)
+	case fact.Version < w.record.top || len(fact.Confirmed) < mostConfirmed && !slices.Contains(fact.Confirmed, want):
+		w.violated("acknowledged is kept", "%s leads epoch %d with version %d, version %d was confirmed and is not in it",
+			n.name, epoch, fact.Version, w.record.top)
+	}
+}
+
+func (w *world) noteInForce(digest string) {
+	if w.record.inForce[digest] {
+		return
+	}
+	w.record.inForce[digest] = true
+	if one := w.record.byDigest[digest]; one != nil && one.isRefused {
+		w.violated("refused is never in force", "version %d on base %d was refused and is in force", one.version, one.base)
+	}
+}
+
+func (w *world) checkConfirmed(one *order) {
+	w.noteInForce(one.digest)
+	if other, isThere := w.record.confirmed[one.version]; isThere && other != one.digest {
+		w.violated("one body under a number", "version %d is confirmed for %s and for %s", one.version, other, one.digest)
+	}
+	w.record.confirmed[one.version] = one.digest
+	w.record.top = max(w.record.top, one.version)
+}
+
+func (w *world) checkRefused(one *order, answer *peerapi.ClientAnswer) {
+	if one.confirmedAfter > 0 && len(w.traffic.confirmed)-one.confirmedAfter < mostConfirmed/2 {
+		w.violated("confirmed is confirmed again", "version %d was confirmed and is refused with %d: %s", one.version, answer.Status, answer.Why)
+	}
+	if w.record.inForce[one.digest] && one.confirmedAfter == 0 && len(w.record.inForce) < mostConfirmed {
+		w.violated("refused is never in force", "version %d is in force and is refused with %d: %s", one.version, answer.Status, answer.Why)
+	}
+}
+
+// begin notes a call; an order is nil for a read. Until its answer comes it may take effect at any time.
+func (w *world) begin(one *order) *observation {
+	seen := &observation{order: one, begun: w.now, ended: math.MaxInt64}
+	w.record.history = append(w.record.history, seen)
+	return seen
+}
+
+func (w *world) end(seen *observation, kind answerKind) {
+	if kind != unclear {
+		seen.kind, seen.ended = kind, w.now
+	}
+}
+
+func (w *world) checkRead(seen *observation, floor int64, body []byte) {
+	seen.version, seen.digest = versionOf(body)
+	w.end(seen, confirmed)
+	w.noteInForce(seen.digest)
+	if seen.version < floor {
+		w.violated("no stale read", "version %d was read, version %d was confirmed before the read began", seen.version, floor)
+	}
+	if digest, isThere := w.record.confirmed[seen.version]; isThere && digest != seen.digest {
+		w.violated("one body under a number", "version %d reads as %s, %s was confirmed", seen.version, seen.digest, digest)
+	}
+}
+
+// unsettled names what does not hold yet of all that must hold in a calm system.
+func (w *world) unsettled() string {
+	leader := w.leader()
+	if leader == nil {
+		return "no machine holds a lease"
+	}
+	state := leader.disk.shelf.Heads[configowner.Key]
+	belief := leader.engine.Belief()
+	if len(belief.Set.Old) > 0 {
+		return "a change of voters is under way"
+	}
+	held := 0
+	for _, one := range w.slots {
+		if one.isUp && headOf(one.disk) == belief.Last {
+			held++
+		}
+	}
+	if held <= w.schedule.Losses {
+		return "the newest change is on too few disks"
+	}
+	if wanted := min(2*w.schedule.Losses+1, len(w.slots)-1+len(w.slots)%2); len(belief.Set.Now) < wanted {
+		return "there are fewer voters than the losses ask for"
+	}
+	for _, disk := range belief.Set.Now {
+		place := slices.IndexFunc(w.slots, func(one *node) bool { return one.isUp && one.disk.name == disk })
+		if place < 0 {
+			return "a voter is gone and was not replaced"
+		}
+		if headOf(w.slots[place].disk) != state.Last || state.Last != belief.Last {
+			return "a voter does not hold the newest state"
+		}
+	}
+	return ""
+}
+
+// chain is the state of the sequential model: the configurations in force, the newest first.
+type chain struct {
+	version int64
+	digest  string
+	before  *chain
+}
+
+func (c *chain) has(digest string) bool {
+	for ; c != nil; c = c.before {
+		if c.digest == digest {
+			return true
+		}
+	}
+	return false
+}
+
+func (c *chain) top() int64 {
+	if c == nil {
+		return 0
+	}
+	return c.version
+}
+
+var sequential = porcupine.Model{
+	Init: func() any { return (*chain)(nil) },
+	Step: func(state, input, output any) (bool, any) {
+		held, seen := state.(*chain), output.(*observation)
+		if seen.order == nil {
+			return held.top() == seen.version && (held == nil || held.digest == seen.digest), held
+		}
+		return orderStep(held, seen)
+	},
+	Equal: func(one, two any) bool {
+		first, second := one.(*chain), two.(*chain)
+		for first != second {
+			if first == nil || second == nil || first.digest != second.digest {
+				return false
+			}
+			first, second = first.before, second.before
+		}
+		return true
+	},
+}
+
+func orderStep(held *chain, seen *observation) (bool, any) {
+	isTaken := held.has(seen.order.digest)
+	fits := seen.order.base == held.top() && seen.order.version > held.top()
+	switch {
+	case isTaken:
+		return seen.kind != refused, held
+	case fits:
+		return seen.kind != refused, &chain{seen.order.version, seen.order.digest, held}
+	}
+	return seen.kind != confirmed, held
+}
+
+// checkHistory checks that the operators' calls are linearizable; an unclear call may take effect at any later time, or never.
+func (w *world) checkHistory() {
+	var operations []porcupine.Operation
+	for _, seen := range w.record.history {
+		if seen.kind == unclear && (seen.order == nil || !w.record.inForce[seen.order.digest]) {
+			continue
+		}
+		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: nil, Output: seen, Call: int64(seen.begun), Return: int64(seen.ended)})
+	}
+	if len(operations) > mostConfirmed {
+		operations = operations[:0]
+		w.cover("history too long for porcupine")
+	}
+	switch porcupine.CheckOperationsTimeout(sequential, operations, 2*time.Second) {
+	case porcupine.Illegal:
+		w.violated("linearizable", "%d calls of the operators fit no order", len(operations))
+	case porcupine.Unknown:
+		w.cover("history left undecided")
+	default:
+		w.cover("history linearizable")
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/timeline.go
@@ -0,0 +1,71 @@
+package controlmodel
+
+import "time"
+
+// event is something that falls due; order decides between events of the same moment.
+type event struct {
+	due   time.Duration
+	order uint64
+	run   func()
+}
+
+// timeline holds what is to happen, the next event first. The time jumps from one event to the next.
+type timeline struct {
+	now   time.Duration
+	count uint64
+	heap  []event
+}
+
+func (t *timeline) after(wait time.Duration, run func()) {
+	t.count++
+	t.heap = append(t.heap, event{t.now + max(0, wait), t.count, run})
+	t.up(len(t.heap) - 1)
+}
+
+// next takes out the event that is due first, if it is due by the end.
+func (t *timeline) next(end time.Duration) (func(), bool) {
+	if len(t.heap) == 0 || t.heap[0].due > end {
+		t.now = max(t.now, end)
+		return nil, false
+	}
+	first := t.heap[0]
+	last := len(t.heap) - 1
+	t.heap[0] = t.heap[last]
+	t.heap[last] = event{}
+	t.heap = t.heap[:last]
+	t.down(0)
+	t.now = max(t.now, first.due)
+	return first.run, true
+}
+
+func (t *timeline) before(one, two int) bool {
+	return t.heap[one].due < t.heap[two].due || t.heap[one].due == t.heap[two].due && t.heap[one].order < t.heap[two].order
+}
+
+func (t *timeline) up(place int) {
+	for place > 0 {
+		parent := (place - 1) / 2
+		if !t.before(place, parent) {
+			return
+		}
+		t.heap[place], t.heap[parent] = t.heap[parent], t.heap[place]
+		place = parent
+	}
+}
+
+func (t *timeline) down(place int) {
+	for {
+		child := 2*place + 1
+		if child >= len(t.heap) {
+			return
+		}
+		if child+1 < len(t.heap) && t.before(child+1, child) {
+			child++
+		}
+		if !t.before(child, place) {
+			return
+		}
+		t.heap[place], t.heap[child] = t.heap[child], t.heap[place]
+		place = child
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/controlmodel/world.go
@@ -0,0 +1,127 @@
+package controlmodel
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"time"
+
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/pulse"
+)
+
+const (
+	initialVoters = 3
+	// settleLimit is how long after the last fault the system may take until all oracles of a settled system hold.
+	settleLimit = 12 * time.Second
+	settleLook  = 200 * time.Millisecond
+	wallAtStart = 1_000_000
+)
+
+// world is a whole simulated system: machines, network, operators, and what the oracles know.
+type world struct {
+	timeline
+	schedule modelcheck.Schedule
+	draw     *rand.Rand
+	nodes    []*node
+	// slots are the places of machines: a replaced machine's successor takes its slot.
+	slots    []*node
+	traps    []trap
+	disks    int
+	voters   []string
+	links    map[pair]cut
+	weather  weather
+	plant    plant
+	record   record
+	traffic  traffic
+	coverage modelcheck.Coverage
+	problems []modelcheck.Violation
+	open     int
+	// trace, if there is one, is told what happens.
+	trace io.Writer
+}
+
+func newWorld(schedule modelcheck.Schedule) *world {
+	w := &world{schedule: schedule, draw: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
+		coverage: modelcheck.Coverage{}}
+	w.plant = plants[schedule.Plant]
+	w.record = newRecord()
+	for range schedule.Nodes {
+		w.slots = append(w.slots, w.addNode())
+	}
+	for _, one := range w.nodes[:initialVoters] {
+		w.voters = append(w.voters, one.disk.name)
+	}
+	for _, one := range w.nodes {
+		w.after(time.Duration(w.draw.IntN(60))*time.Millisecond, one.start)
+	}
+	return w
+}
+
+// tell writes a line of the trace.
+func (w *world) tell(format string, values ...any) {
+	if w.trace != nil {
+		fmt.Fprintf(w.trace, "%9.3f ms  "+format+"\n", append([]any{float64(w.now) / float64(time.Millisecond)}, values...)...)
+	}
+}
+
+func (w *world) cover(name string) { w.coverage[name]++ }
+
+// violated notes that an oracle does not hold; the first violation ends the run.
+func (w *world) violated(oracle, format string, values ...any) {
+	w.problems = append(w.problems, modelcheck.Violation{Oracle: oracle, AtMs: int(pulse.InMs(w.now)), Detail: fmt.Sprintf(format, values...)})
+}
+
+// play runs a schedule to its end, and then on until the system has settled.
+func (w *world) play() modelcheck.Outcome {
+	var last time.Duration
+	for _, step := range w.schedule.Steps {
+		w.after(pulse.Ms(int64(step.AtMs)), func() { w.apply(step) })
+		last = max(last, pulse.Ms(int64(step.AtMs+step.ForMs)))
+	}
+	if !w.runUntil(last + time.Millisecond) {
+		return w.outcome()
+	}
+	w.healAll()
+	w.settle()
+	if len(w.problems) == 0 {
+		w.checkHistory()
+	}
+	return w.outcome()
+}
+
+func (w *world) runUntil(end time.Duration) bool {
+	for len(w.problems) == 0 {
+		run, isThere := w.next(end)
+		if !isThere {
+			return true
+		}
+		run()
+		if w.open > 1 {
+			w.checkLeases()
+		}
+	}
+	return false
+}
+
+// settle waits until all that must hold in a calm system holds; what does not within the limit is a violation.
+func (w *world) settle() {
+	end := w.now + settleLimit
+	var open string
+	for w.now < end {
+		if !w.runUntil(w.now + settleLook) {
+			return
+		}
+		if open = w.unsettled(); open == "" {
+			w.traffic.finalReads(w)
+			w.runUntil(w.now + operatorLimit + time.Second)
+			return
+		}
+	}
+	w.violated("settled", "%s, %v after the last fault", open, settleLimit)
+}
+
+func (w *world) outcome() modelcheck.Outcome {
+	w.coverage["simulated seconds"] = int(w.now / time.Second)
+	return modelcheck.Outcome{Violations: w.problems, Coverage: w.coverage}
+}
--- /dev/null
+++ b/internal/modelcheck/shrink.go
@@ -0,0 +1,36 @@
+package modelcheck
+
+import "slices"
+
+// mostShrinkRuns bounds how often a schedule is run again while it is cut down.
+const mostShrinkRuns = 3000
+
+// Shrink removes steps from a failing schedule as long as it goes on breaking the same invariant (delta debugging):
+// first large parts, then ever smaller ones, at last single steps.
+func Shrink(model Model, failing Schedule) (Schedule, Outcome) {
+	best, outcome := failing, model.Run(failing)
+	if len(outcome.Violations) == 0 {
+		return best, outcome
+	}
+	oracle, runs := outcome.Violations[0].Oracle, 0
+	for size := max(1, len(best.Steps)/2); size >= 1 && runs < mostShrinkRuns; {
+		isSmaller := false
+		for start := 0; start < len(best.Steps) && runs < mostShrinkRuns; {
+			candidate := best
+			candidate.Steps = slices.Delete(slices.Clone(best.Steps), start, min(start+size, len(best.Steps)))
+			runs++
+			tried := model.Run(candidate)
+			if len(tried.Violations) > 0 && tried.Violations[0].Oracle == oracle {
+				best, outcome, isSmaller = candidate, tried, true
+				continue
+			}
+			start += size
+		}
+		if size > 1 {
+			size /= 2
+		} else if !isSmaller {
+			break
+		}
+	}
+	return best, outcome
+}
--- a/internal/replication/recentlog.go
+++ b/internal/replication/recentlog.go
@@ -29,7 +29,7 @@
 	needed := e.last.Index
 	for _, one := range e.followers {
 		switch {
-		case e.clock.Steady()-one.lastContact >= e.timing.LostAfter:
+		case one.disk != e.disk && e.clock.Steady()-one.lastContact >= e.timing.LostAfter:
 		case one.transfer != nil:
 			needed = min(needed, one.transfer.snapshot.Last.Index)
 		case !one.needsSnapshot:
