--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -11,16 +11,16 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/bootsettings"
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/roles"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const (
@@ -40,15 +40,15 @@
 type node struct {
 	box      *mailbox.Mailbox
 	executor *Executor
-	settings *bootsettings.Settings
+	settings *settings.Settings
 	clock    pulse.Pulse
 	life     span.Span
 }
 
-func newNode(life span.Span, worker Worker, settings *bootsettings.Settings, clock pulse.Pulse) *node {
-	one := &node{box: mailbox.New(256), settings: settings, clock: clock, life: life}
-	shape := Shape{Node: settings.NodeName, ID: "i-" + settings.NodeName, Room: worker.Room, Labels: worker.Labels,
-		MaxHold: settings.MaxHold(), StopTimeout: pulse.Ms(settings.Bounds.StopTimeoutMs), Pace: worker.Pace}
+func newNode(life span.Span, worker Worker, nodeSettings *settings.Settings, clock pulse.Pulse) *node {
+	one := &node{box: mailbox.New(256), settings: nodeSettings, clock: clock, life: life}
+	shape := Shape{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Room: worker.Room, Labels: worker.Labels,
+		MaxHold: nodeSettings.MaxHold(), StopTimeout: pulse.Ms(nodeSettings.Bounds.StopTimeoutMs), Pace: worker.Pace}
 	one.executor = NewExecutor(shape, clock, one.later)
 	return one
 }
@@ -70,17 +70,17 @@
 
 func (n *node) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get("X-Expected-Executor"); expected != "" && expected != n.executor.shape.ID {
-		reply.Empty(http.StatusMisdirectedRequest).Write(to)
+		response.Empty(http.StatusMisdirectedRequest).Write(to)
 		return
 	}
 	text, err := io.ReadAll(io.LimitReader(request.Body, mostCall))
 	if err != nil || request.Method != http.MethodPost {
-		reply.Empty(http.StatusBadRequest).Write(to)
+		response.Empty(http.StatusBadRequest).Write(to)
 		return
 	}
 	command := n.decode(request.URL.Path, text)
 	if command == nil {
-		reply.Empty(http.StatusBadRequest).Write(to)
+		response.Empty(http.StatusBadRequest).Write(to)
 		return
 	}
 	result, err := mailbox.Ask(n.box, request.Context(), command)
@@ -89,10 +89,10 @@
 	}
 	body, err := easyjson.Marshal(result.answer)
 	if err != nil {
-		reply.Empty(http.StatusInternalServerError).Write(to)
+		response.Empty(http.StatusInternalServerError).Write(to)
 		return
 	}
-	reply.Raw(result.status, body).Write(to)
+	response.Raw(result.status, body).Write(to)
 }
 
 // decode makes a command of a call, or nil if it can't be read.
@@ -164,20 +164,20 @@
 }
 
 // Run keeps the hollow workers of a spec going until the span or their time ends.
-func Run(life span.Span, spec *Spec, all []*bootsettings.Settings, log logs.Logger) error {
+func Run(life span.Span, spec *Spec, all []*settings.Settings, log logging.Logger) error {
 	life, release := span.Within(life, pulse.Ms(spec.ForMs))
 	defer release()
 	report, err := net.Listen("tcp4", spec.Report)
 	if err != nil {
 		return errors.Annotate(err, "field report")
 	}
-	clock, meter, beats := pulse.Real(), &wiremeter.Meter{}, peerapi.Client(beatLimit, 1)
+	clock, meter, beats := pulse.Real(), &transportmetrics.Meter{}, peerapi.Client(beatLimit, 1)
 	failed := make(chan error, len(all)+1)
 	var nodes []*node
-	for place, settings := range all {
-		one := newNode(life, spec.Workers[place], settings, clock)
+	for place, nodeSettings := range all {
+		one := newNode(life, spec.Workers[place], nodeSettings, clock)
 		nodes = append(nodes, one)
-		app, err := net.Listen("tcp4", settings.App)
+		app, err := net.Listen("tcp4", nodeSettings.App)
 		if err != nil {
 			return errors.Annotatef(err, "worker %d: field app", place)
 		}
@@ -188,7 +188,7 @@
 			continue
 		}
 		go func() {
-			err := roles.HollowProxy(life, settings, log.WithValues("node", settings.NodeName), roles.WithMeter(meter))
+			err := roles.HollowProxy(life, nodeSettings, log.WithValues("node", nodeSettings.NodeName), roles.WithMeter(meter))
 			if err != nil {
 				failed <- errors.Annotatef(err, "worker %d", place)
 			}
@@ -212,7 +212,7 @@
 	server.Serve(listener)
 }
 
-func reports(nodes []*node, meter *wiremeter.Meter) http.Handler {
+func reports(nodes []*node, meter *transportmetrics.Meter) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(PathRecords, func(to http.ResponseWriter, request *http.Request) {
 		all := []RunRecord{}
@@ -244,8 +244,8 @@
 func WriteJSON(to http.ResponseWriter, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		reply.Text(http.StatusInternalServerError, err.Error()).Write(to)
+		response.Text(http.StatusInternalServerError, err.Error()).Write(to)
 		return
 	}
-	reply.Raw(http.StatusOK, body).Write(to)
+	response.Raw(http.StatusOK, body).Write(to)
 }
