--- a/internal/modelcheck/controlmodel/node.go
+++ b/internal/modelcheck/controlmodel/node.go
@@ -8,7 +8,7 @@
 	"github.com/go-logr/logr/funcr"
 
 	"gannetline/internal/configowner"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/replication"
@@ -99,7 +99,7 @@
 	n.replicas = replicas
 	n.known, n.heard = nil, leaderHint{}
 	n.world.tell("%s starts, disk %s", n.name, n.disk.name)
-	n.config = configowner.New(logs.Silent(), func(*peerapi.Configuration) {})
+	n.config = configowner.New(logging.Silent(), func(*peerapi.Configuration) {})
 	n.engine = replication.NewEngine(configowner.Key, n.disk.name, n.name, &n.clock, n.world.plant.wrapLinks(n, &links{n}),
 		n.world.plant.wrapMachine(n, &stateMachine{n}), n.members,
 		replication.WithInitialVoters(n.world.voters), replication.WithMachineLosses(n.world.schedule.Losses),
@@ -144,9 +144,9 @@
 }
 
 // logOf is the log of a machine, part of the trace.
-func (w *world) logOf(n *node) logs.Logger {
+func (w *world) logOf(n *node) logging.Logger {
 	if w.trace == nil {
-		return logs.Silent()
+		return logging.Silent()
 	}
 	return funcr.New(func(_, line string) { w.tell("%s: %s", n.name, line) }, funcr.Options{})
 }
