--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"runtime/debug"
 	"slices"
 	"strings"
 	"time"
@@ -26,7 +27,11 @@
 // models are those that can be run.
 var models = []modelcheck.Model{controlmodel.New()}
 
+// gcPercent lets the collector run seldom, as each schedule leaves all its memory behind at once.
+const gcPercent = 1000
+
 func main() {
+	debug.SetGCPercent(gcPercent)
 	life, forget := span.UntilSignal()
 	defer forget()
 	if err := command().Run(life, os.Args); err != nil {
--- a/internal/modelcheck/controlmodel/draw.go
+++ b/internal/modelcheck/controlmodel/draw.go
@@ -10,9 +10,11 @@
 const (
 	// catchUpMs is how long a machine still counts as lost after it is back, or after its start if it is new.
 	catchUpMs = 4000
-	// growUpMs is when faults may begin: the first voters bear one loss, and more once their number has grown.
+	// growUpMs is the time that the voters need to grow from three to five.
 	growUpMs = 4000
-	mostMs   = 14000
+	// A short schedule holds a fault or two, a long one several with the time to catch up between them.
+	shortMs = 2500
+	longMs  = 10000
 	// removedCountsMs is how long a machine that left in order counts as lost. By the pages it should be 0, as its
 	// successor has had its time; the engine does not leave its voters by agreement yet.
 	removedCountsMs = catchUpMs
@@ -37,7 +39,10 @@
 	if d.draw.IntN(2) == 0 {
 		d.nodes = 2*losses + 1 + d.draw.IntN(2)
 	}
-	d.endMs = growUpMs + 1000 + d.draw.IntN(mostMs-growUpMs-1000)
+	d.endMs = d.firstFault() + 500 + d.draw.IntN(shortMs)
+	if d.draw.IntN(5) < 2 {
+		d.endMs += d.draw.IntN(longMs)
+	}
 	d.addFaults()
 	d.addTraffic()
 	slices.SortStableFunc(d.steps, func(one, two modelcheck.Step) int { return one.AtMs - two.AtMs })
@@ -56,12 +61,17 @@
 	return count <= d.losses
 }
 
-func (d *drawing) addFaults() {
-	count := 1 + d.draw.IntN(5)
-	at := 1500 + d.draw.IntN(1500)
+// firstFault is when faults may begin: the first three voters bear one loss, and more only once there are more of them.
+func (d *drawing) firstFault() int {
 	if d.losses > 1 {
-		at = growUpMs
+		return growUpMs
 	}
+	return 1500
+}
+
+func (d *drawing) addFaults() {
+	count := 1 + d.draw.IntN(5)
+	at := d.firstFault() + d.draw.IntN(1000)
 	for range count {
 		d.addFault(at)
 		at += d.draw.IntN(2500)
--- a/internal/modelcheck/controlmodel/world.go
+++ b/internal/modelcheck/controlmodel/world.go
@@ -79,7 +79,7 @@
 		w.after(pulse.Ms(int64(step.AtMs)), func() { w.apply(step) })
 		last = max(last, pulse.Ms(int64(step.AtMs+step.ForMs)))
 	}
-	if !w.runUntil(last + time.Millisecond) {
+	if !w.runUntil(last + leaveTime + time.Millisecond) {
 		return w.outcome()
 	}
 	w.healAll()
