--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -72,8 +72,10 @@
 	Snapshot *Snapshot      `json:"snapshot,omitempty"`
 	Chunk    *SnapshotChunk `json:"piece,omitempty"`
 	Release  bool           `json:"release,omitempty"`
-	// Successor is the disk whose steward should ask first after a release by an owner that is slow.
+	// Successor is the disk whose steward should ask first after a release.
 	Successor string `json:"heir,omitempty"`
+	// VotedOut tells a voter that was leaving that the voter set without it is committed.
+	VotedOut bool `json:"voted_out,omitempty"`
 }
 
 type AppendAnswer struct {
@@ -86,12 +88,18 @@
 	DelayUs int64 `json:"delay,omitempty"`
 	// Chunks is how many pieces of the state under way are here; a sibling of an older form has none.
 	Chunks int `json:"pieces,omitempty"`
+	// Leaving tells that the process has been asked to end, so that its disk should be replaced as a voter.
+	Leaving bool `json:"leaving,omitempty"`
 }
 
 // FetchCall asks for the changes after From, or for the whole state if they are no longer there or From is not named.
 type FetchCall struct {
 	Key  string       `json:"key"`
 	From *LogPosition `json:"from,omitempty"`
+	// Chunked asks for no more than one call should carry: some of the changes, or chunk Number of the snapshot.
+	// A peer of an older form ignores it and answers with all of them.
+	Chunked bool `json:"chunked,omitempty"`
+	Number  int  `json:"number,omitempty"`
 }
 
 type FetchAnswer struct {
@@ -99,6 +107,8 @@
 	Snapshot Snapshot `json:"snapshot"`
 	Changes  []Change `json:"changes,omitempty"`
 	Disk     string   `json:"disk"`
+	// Chunk is the part of the snapshot that was asked for; Snapshot is empty then.
+	Chunk *SnapshotChunk `json:"chunk,omitempty"`
 }
 
 type Member struct {
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -2411,6 +2411,18 @@
 					(*out.From).UnmarshalEasyJSON(in)
 				}
 			}
+		case "chunked":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Chunked = bool(in.Bool())
+			}
+		case "number":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Number = int(in.Int())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -2435,6 +2447,16 @@
 		out.RawString(prefix)
 		(*in.From).MarshalEasyJSON(out)
 	}
+	if in.Chunked {
+		const prefix string = ",\"chunked\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Chunked))
+	}
+	if in.Number != 0 {
+		const prefix string = ",\"number\":"
+		out.RawString(prefix)
+		out.Int(int(in.Number))
+	}
 	out.RawByte('}')
 }
 
@@ -2520,6 +2542,20 @@
 			} else {
 				out.Disk = string(in.String())
 			}
+		case "chunk":
+			if in.IsNull() {
+				in.Skip()
+				out.Chunk = nil
+			} else {
+				if out.Chunk == nil {
+					out.Chunk = new(SnapshotChunk)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Chunk).UnmarshalEasyJSON(in)
+				}
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -2569,6 +2605,11 @@
 		out.RawString(prefix)
 		out.String(string(in.Disk))
 	}
+	if in.Chunk != nil {
+		const prefix string = ",\"chunk\":"
+		out.RawString(prefix)
+		(*in.Chunk).MarshalEasyJSON(out)
+	}
 	out.RawByte('}')
 }
 
@@ -5569,6 +5610,12 @@
 			} else {
 				out.Successor = string(in.String())
 			}
+		case "voted_out":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.VotedOut = bool(in.Bool())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -5642,6 +5689,11 @@
 		out.RawString(prefix)
 		out.String(string(in.Successor))
 	}
+	if in.VotedOut {
+		const prefix string = ",\"voted_out\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.VotedOut))
+	}
 	out.RawByte('}')
 }
 
@@ -5724,6 +5776,12 @@
 			} else {
 				out.Chunks = int(in.Int())
 			}
+		case "leaving":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Leaving = bool(in.Bool())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -5779,6 +5837,11 @@
 		out.RawString(prefix)
 		out.Int(int(in.Chunks))
 	}
+	if in.Leaving {
+		const prefix string = ",\"leaving\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Leaving))
+	}
 	out.RawByte('}')
 }
 
--- /dev/null
+++ b/internal/replication/lease_test.go
@@ -0,0 +1,58 @@
+package replication_test
+
+import (
+	"fmt"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/replication"
+)
+
+// newTable is a voter's table on a fake clock, with an empty disk.
+func newTable(clock *pulse.Fake) *replication.Replicas {
+	disk := newDisk("disk-a")
+	table, err := replication.NewReplicas(mailbox.New(64), disk, clock, 700*time.Millisecond)
+	Expect(err).NotTo(HaveOccurred())
+	return table
+}
+
+var _ = Describe("a voter's lease", func() {
+	It("is not ended by a late release of a leader before", func() {
+		table := newTable(pulse.NewFake(1))
+		ignore := func(peerapi.AppendAnswer) {}
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Owner: "b"}, ignore)
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Disk: "disk-c", Owner: "c", Release: true}, ignore)
+		isGranted := true
+		table.Promise(peerapi.PromiseCall{Key: key, Epoch: 3, Disk: "disk-c", PreVote: true}, func(answer peerapi.PromiseAnswer) {
+			isGranted = answer.Granted
+		})
+		Expect(isGranted).To(BeFalse())
+	})
+
+	for _, rates := range [][]int64{{-10, 10, 10}, {10, -10, -10}} {
+		It(fmt.Sprintf("is over for its leader before it is over for the voter, at clock rates of %v per mille", rates), func() {
+			for seed := range uint64(12) {
+				w := newWorld(900+seed, "a", "b", "c")
+				for place, one := range w.nodes {
+					one.clock.perMille = rates[place]
+				}
+				for range 4 {
+					w.until(func() bool { return w.owner() != nil })
+					w.work(300 * time.Millisecond)
+					leader := w.owner()
+					w.cut[leader.name] = true
+					w.work(2 * time.Second)
+					w.heal()
+					w.work(500 * time.Millisecond)
+				}
+				Expect(w.problems).To(BeEmpty())
+			}
+		})
+	}
+})
+
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -112,6 +112,8 @@
 		answer(r.appendAnswer(one.state.Last, one.promising, false))
 		return
 	}
+	// What an engine grants by this answer must bind later calls of lower epochs, even if nothing is written.
+	one.promising = call.Epoch
 	if call.Release {
 		one.release(now, call.Epoch, call.Successor)
 		answer(r.appendAnswer(one.state.Last, one.promising, true))
@@ -135,7 +137,6 @@
 		answer(r.appendAnswer(one.state.Last, one.promising, call.Epoch == one.state.Promised && one.state.Last == call.Prev))
 		return
 	}
-	one.promising = call.Epoch
 	write := storage.Write{Key: call.Key, Epoch: call.Epoch, Prev: call.Prev, Changes: call.Changes, Snapshot: call.Snapshot}
 	r.disk.Submit(write, func(outcome storage.Outcome) {
 		r.box.Post(func() {
--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -25,10 +25,20 @@
 	isBare bool
 	line   []func()
 	stalls bool
+	// refuses makes each write fail; unclear lets it reach the disk all the same.
+	refuses bool
+	unclear bool
+	// syncTime is how long a sync takes; without one it takes a few milliseconds.
+	syncTime time.Duration
+	begunAt  time.Duration
+	// names are those of all pairs on the disk.
+	names map[string]bool
 }
 
+var errDisk = errors.New("the disk refuses")
+
 func newDisk(name string) *fakeDisk {
-	return &fakeDisk{Shelf: stage.NewShelf(), name: name, isBare: true}
+	return &fakeDisk{Shelf: stage.NewShelf(), name: name, isBare: true, names: map[string]bool{}}
 }
 
 func (d *fakeDisk) Disk() string { return d.name }
@@ -39,7 +49,47 @@
 }
 
 func (d *fakeDisk) Submit(write storage.Write, done func(storage.Outcome)) {
-	d.line = append(d.line, func() { done(d.Apply(write)) })
+	d.line = append(d.line, func() {
+		if d.refuses && !d.unclear {
+			done(storage.Outcome{Err: errDisk})
+			return
+		}
+		outcome := d.Apply(write)
+		d.noteNames(write, outcome)
+		if d.unclear {
+			outcome = storage.Outcome{Err: errDisk}
+		}
+		done(outcome)
+	})
+}
+
+func (d *fakeDisk) noteNames(write storage.Write, outcome storage.Outcome) {
+	if !outcome.Taken {
+		return
+	}
+	if write.Snapshot != nil {
+		clear(d.names)
+		for _, pair := range write.Snapshot.Pairs {
+			d.names[pair.Name] = true
+		}
+	}
+	for _, change := range write.Changes {
+		for _, op := range change.Ops {
+			d.names[op.Name] = true
+		}
+	}
+}
+
+// mayEnd tells whether the sync of what waits may end now.
+func (d *fakeDisk) mayEnd(now time.Duration, draw *rand.Rand) bool {
+	if d.stalls || len(d.line) == 0 {
+		d.begunAt = now
+		return false
+	}
+	if d.syncTime > 0 {
+		return now-d.begunAt >= d.syncTime
+	}
+	return draw.IntN(4) == 0
 }
 
 type machine struct {
@@ -60,10 +110,16 @@
 
 func (m *machine) Close() { m.tenure = nil }
 
-// nodeClock is the world's clock with a time of day that may jump.
+// nodeClock is the world's clock with a time of day that may jump, and a steady clock that may run fast or slow.
 type nodeClock struct {
 	*pulse.Fake
 	jump int64
+	// perMille is how many milliseconds it gains in a second.
+	perMille int64
+}
+
+func (c *nodeClock) Steady() time.Duration {
+	return c.Fake.Steady() * time.Duration(1000+c.perMille) / 1000
 }
 
 func (c *nodeClock) WallMs() int64 { return c.Fake.WallMs() + c.jump }
@@ -98,7 +154,16 @@
 	nodes    []*node
 	letters  []letter
 	cut      map[string]bool
-	loss     float64
+	// oneWay holds the links that carry nothing, as "from>to".
+	oneWay map[string]bool
+	// late is the longest time by which a doubled or delayed call comes late, if there is one.
+	late time.Duration
+	// bytesPerMs limits what a node sends; 0 is no limit. sentUntil is when a node's link is free again.
+	bytesPerMs int
+	sentUntil  map[string]time.Duration
+	appends    int
+	wipedAt    time.Duration
+	loss       float64
 	acked    map[string]string
 	owners   map[uint64]string
 	problems []string
@@ -120,7 +185,7 @@
 // newWorldBearing has keys that must survive the loss of so many disks at once.
 func newWorldBearing(losses int, seed uint64, names ...string) *world {
 	w := &world{losses: losses, clock: pulse.NewFake(1_000_000), draw: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{},
-		acked: map[string]string{}, owners: map[uint64]string{}}
+		oneWay: map[string]bool{}, sentUntil: map[string]time.Duration{}, wipedAt: -time.Hour, acked: map[string]string{}, owners: map[uint64]string{}}
 	for _, name := range names {
 		w.add(name)
 	}
@@ -157,6 +222,7 @@
 
 func (n *node) wipe(name string) {
 	n.kill()
+	n.world.wipedAt = n.world.clock.Steady()
 	n.past = append(n.past, n.disk.name)
 	n.disk = newDisk(name)
 	n.start()
@@ -190,11 +256,60 @@
 func (w *world) transit() time.Duration { return time.Duration(1+w.draw.IntN(9)) * time.Millisecond }
 
 func (w *world) isCut(one, two *node) bool {
-	return one != two && (w.cut[one.name] || w.cut[two.name])
+	return one != two && (w.cut[one.name] || w.cut[two.name] || w.oneWay[one.name+">"+two.name])
+}
+
+// sending is how long a message of some bytes takes to leave a node, behind those before it.
+func (w *world) sending(from, to *node, bytes int) time.Duration {
+	if w.bytesPerMs == 0 || from == to {
+		return 0
+	}
+	now := w.clock.Steady()
+	free := max(now, w.sentUntil[from.name]) + time.Duration(bytes/w.bytesPerMs)*time.Millisecond
+	w.sentUntil[from.name] = free
+	return free - now
+}
+
+func sizeOfChanges(changes []peerapi.Change) (size int) {
+	for _, change := range changes {
+		size += 64 + sizeOfOps(change.Ops)
+	}
+	return size
+}
+
+func sizeOfOps(ops []peerapi.Op) (size int) {
+	for _, op := range ops {
+		size += len(op.Name) + len(op.Value) + 16
+	}
+	return size
+}
+
+func sizeOfAppend(call peerapi.AppendCall) int {
+	size := 128 + sizeOfChanges(call.Changes)
+	if call.Snapshot != nil {
+		size += sizeOfOps(call.Snapshot.Pairs)
+	}
+	if call.Chunk != nil {
+		size += sizeOfOps(call.Chunk.Pairs)
+	}
+	return size
+}
+
+func sizeOfFetched(answer peerapi.FetchAnswer) int {
+	size := 128 + sizeOfChanges(answer.Changes) + sizeOfOps(answer.Snapshot.Pairs)
+	if answer.Chunk != nil {
+		size += sizeOfOps(answer.Chunk.Pairs)
+	}
+	return size
 }
 
 // carry brings a call to another node and its answer back, unless a fault eats one of them.
 func carry[T any](w *world, from, to *node, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	carrySized(w, from, to, 0, func(T) int { return 0 }, limit, serve, done)
+}
+
+// carrySized is carry for a call and an answer that take the link some time.
+func carrySized[T any](w *world, from, to *node, bytes int, bytesBack func(T) int, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
 	fromLife, isOver := from.life, false
 	finish := func(value T, err error) {
 		if !isOver && from.isUp && from.life == fromLife {
@@ -212,9 +327,15 @@
 		times = w.draw.IntN(3)
 	}
 	for range times {
-		w.post(w.transit()+time.Duration(w.draw.IntN(times))*20*time.Millisecond, func() {
+		late := time.Duration(w.draw.IntN(times)) * 20 * time.Millisecond
+		if w.late > 0 && w.draw.IntN(8) == 0 {
+			late = time.Duration(w.draw.Int64N(int64(w.late)))
+		}
+		w.post(w.transit()+w.sending(from, to, bytes)+late, func() {
 			w.arrive(from, to, func() {
-				serve(func(value T) { w.post(w.transit(), func() { w.arrive(to, from, func() { finish(value, nil) }) }) })
+				serve(func(value T) {
+					w.post(w.transit()+w.sending(to, from, bytesBack(value)), func() { w.arrive(to, from, func() { finish(value, nil) }) })
+				})
 			})
 		})
 	}
@@ -257,7 +378,9 @@
 	if to != nil && to.isOld {
 		call.Chunk = nil
 	}
-	carry(r.node.world, r.node, to, time.Second, func(answer func(peerapi.AppendAnswer)) {
+	r.node.world.appends++
+	sizeBack := func(peerapi.AppendAnswer) int { return 128 }
+	carrySized(r.node.world, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(peerapi.AppendAnswer)) {
 		to.replicas.Append(call, func(told peerapi.AppendAnswer) {
 			if !to.isOld && to != r.node {
 				told.DelayUs = max(1, to.late.Microseconds())
@@ -276,7 +399,7 @@
 
 func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
 	to := r.node.world.byDisk(disk)
-	carry(r.node.world, r.node, to, time.Second, func(answer func(peerapi.FetchAnswer)) {
+	carrySized(r.node.world, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(peerapi.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			if to.isOld {
 				whole, _ = to.replicas.Fetch(replication.History{}, peerapi.FetchCall{Key: ask.Key})
@@ -335,9 +458,9 @@
 }
 
 func (n *node) turn(now time.Duration) {
-	if !n.disk.stalls && len(n.disk.line) > 0 && n.world.draw.IntN(4) == 0 {
+	if n.disk.mayEnd(now, n.world.draw) {
 		line := n.disk.line
-		n.disk.line = nil
+		n.disk.line, n.disk.begunAt = nil, now
 		for _, sync := range line {
 			sync()
 		}
@@ -388,7 +511,26 @@
 		one.machine.tenure.Commit([]peerapi.Op{{Name: name, Value: []byte(value)}}, func(err error) {
 			if err == nil {
 				w.acked[name] = value
+				w.checkAcknowledged(one, name)
 			}
 		})
 	}
 }
+
+// checkAcknowledged looks at a change in the moment of its acknowledgement: a majority of its leader's voters must hold
+// it, and each leader of a later epoch.
+func (w *world) checkAcknowledged(leader *node, name string) {
+	set := leader.engine.Belief().Set
+	holds := func(disk string) bool { one := w.byDisk(disk); return one != nil && one.holds(name) }
+	if w.clock.Steady()-w.wipedAt > 2*time.Second && !replication.Agreed(set, holds) {
+		w.problem("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
+	}
+	for _, one := range w.nodes {
+		isLater := one.isUp && one.machine.tenure != nil && one.engine.Epoch() > leader.engine.Epoch()
+		if _, holds := one.machine.held[name]; isLater && !holds {
+			w.problem("%s was acknowledged by %s while %s leads a later epoch without it", name, leader.name, one.name)
+		}
+	}
+}
+
+func (n *node) holds(name string) bool { return n.disk.names[name] }
