--- a/internal/replication/followers.go
+++ b/internal/replication/followers.go
@@ -9,31 +9,46 @@
 	"gannetline/internal/pulse"
 )
 
+// failuresBeforePause is how many calls in a row a follower may leave without effect before the leader pauses.
+const failuresBeforePause = 2
+
+// follower is what the leader knows of a disk that it sends changes to: a voter or a learner, its own disk too.
 type follower struct {
-	disk          string
+	disk string
+	// acked is the position that the disk has said it holds; it counts only while isKnown.
 	acked         peerapi.LogPosition
 	isKnown       bool
-	isBusy        bool
 	needsSnapshot bool
-	sentAt        time.Duration
-	lastContact   time.Duration
-	leaseUntil    time.Duration
-	wallOffset    int64
-	hasWall       bool
-	delay         time.Duration
-	hasDelay      bool
-	transfer      *snapshotTransfer
-	nextChunk     int
-	isOld         bool
+
+	// isBusy tells that a call is under way, isRenewing that a heartbeat is under way beside it.
+	isBusy     bool
+	isRenewing bool
+	sentAt     time.Duration
+	// failures counts calls in a row that brought the follower no further; before pausedUntil it gets heartbeats only.
+	failures    int
+	pausedUntil time.Duration
+
+	// lastContact is the last answer other than to a heartbeat beside a call, so that a disk that hangs counts as silent.
+	lastContact time.Duration
+	leaseUntil  time.Duration
+	wallOffset  int64
+	hasWall     bool
+	delay       time.Duration
+	hasDelay    bool
+
+	transfer  *snapshotTransfer
+	nextChunk int
+	isOld     bool
 }
 
+// follow gives the follower of a disk, from now on if there is none yet.
 func (e *Engine) follow(disk string) *follower {
-	one := e.followers[disk]
-	if one == nil {
-		one = &follower{disk: disk, lastContact: e.clock.Steady()}
-		e.followers[disk] = one
+	known := e.followers[disk]
+	if known == nil {
+		known = &follower{disk: disk, lastContact: e.clock.Steady()}
+		e.followers[disk] = known
 	}
-	return one
+	return known
 }
 
 func (e *Engine) inOrder() []*follower {
@@ -44,92 +59,148 @@
 	return all
 }
 
+// push sends every follower what it lacks.
 func (e *Engine) push() {
-	for _, one := range e.inOrder() {
-		e.send(one, false)
+	for _, to := range e.inOrder() {
+		e.send(to, false)
 	}
 }
 
-func (e *Engine) send(one *follower, isBeat bool) {
-	if one.isBusy {
+// send gives a follower the changes or the snapshot that it lacks; a heartbeat goes out even if it lacks nothing.
+func (e *Engine) send(to *follower, isHeartbeat bool) {
+	if to.isBusy || !isHeartbeat && e.clock.Steady() < to.pausedUntil {
 		return
 	}
-	call := peerapi.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk, Prev: one.acked}
-	getsWhole := one.needsSnapshot && e.clock.Steady()-one.lastContact < e.timing.LostAfter
-	if getsWhole {
-		packed := e.transferFor(one)
-		if packed == nil {
+	call := e.appendCall()
+	call.Prev = to.acked
+	getsSnapshot := to.needsSnapshot && e.clock.Steady()-to.lastContact < e.timing.LostAfter
+	if getsSnapshot {
+		transfer := e.transferFor(to)
+		if transfer == nil {
 			return
 		}
-		call.Prev = packed.snapshot.Last
-		if packed.count() > 1 && !one.isOld {
-			call.Chunk = packed.chunk(one.nextChunk)
-			e.launch(one, call)
+		call.Prev = transfer.snapshot.Last
+		if transfer.count() > 1 && !to.isOld {
+			call.Chunk = transfer.chunk(to.nextChunk)
+			e.launch(to, call)
 			return
 		}
-		call.Snapshot = &packed.snapshot
+		call.Snapshot = &transfer.snapshot
 	}
-	if one.isKnown || getsWhole {
+	if to.isKnown || getsSnapshot {
 		changes, isThere := e.after(call.Prev)
 		if !isThere {
-			one.isKnown, one.needsSnapshot = false, true
+			to.isKnown, to.needsSnapshot = false, true
 			return
 		}
 		call.Changes = changes
 	} else {
-		isBeat = true
+		isHeartbeat = true
 	}
-	if len(call.Changes) == 0 && call.Snapshot == nil && !isBeat {
+	if len(call.Changes) == 0 && call.Snapshot == nil && !isHeartbeat {
 		return
 	}
-	e.launch(one, call)
+	e.launch(to, call)
 }
 
-func (e *Engine) launch(one *follower, call peerapi.AppendCall) {
-	one.isBusy, one.sentAt = true, e.clock.Steady()
-	attempt, sentAt := e.attempt, one.sentAt
-	e.links.Append(one.disk, call, func(answer peerapi.AppendAnswer, err error) {
+func (e *Engine) appendCall() peerapi.AppendCall {
+	return peerapi.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
+}
+
+func (e *Engine) launch(to *follower, call peerapi.AppendCall) {
+	to.isBusy, to.sentAt = true, e.clock.Steady()
+	attempt, sentAt := e.attempt, to.sentAt
+	e.links.Append(to.disk, call, func(answer peerapi.AppendAnswer, err error) {
 		if e.attempt != attempt {
 			return
 		}
-		one.isBusy = false
+		to.isBusy = false
 		if err != nil {
+			e.noteFailure(to)
 			return
 		}
-		e.handleAppendAnswer(one, call, answer, sentAt)
+		e.handleAppendAnswer(to, call, answer, sentAt)
 	})
 }
 
-func (e *Engine) handleAppendAnswer(one *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer, sentAt time.Duration) {
-	now := e.clock.Steady()
-	if answer.Disk != one.disk {
+// renewLease sends a voter a heartbeat beside a call that takes long, as a large one on a slow link or one that waits
+// for a slow disk. Its answer renews the lease and nothing else, as it says nothing about the call.
+func (e *Engine) renewLease(to *follower) {
+	if to.isRenewing || !slices.Contains(disksOf(e.set), to.disk) {
 		return
 	}
+	to.isRenewing, to.sentAt = true, e.clock.Steady()
+	call := e.appendCall()
+	call.Prev = to.acked
+	attempt, sentAt := e.attempt, to.sentAt
+	e.links.Append(to.disk, call, func(answer peerapi.AppendAnswer, err error) {
+		if e.attempt != attempt {
+			return
+		}
+		to.isRenewing = false
+		if err == nil && e.isAnswerOf(to, answer) {
+			to.leaseUntil = max(to.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
+		}
+	})
+}
+
+// isAnswerOf tells whether an answer comes from the follower's disk and the leader may go on; it steps down if a
+// higher epoch was promised.
+func (e *Engine) isAnswerOf(from *follower, answer peerapi.AppendAnswer) bool {
+	if answer.Disk != from.disk {
+		return false
+	}
 	if answer.Promised > e.epoch {
 		e.highest = max(e.highest, answer.Promised)
 		e.stepDown("a higher epoch was promised")
-		return
+		return false
 	}
-	if e.followers[one.disk] != one {
+	return e.followers[from.disk] == from
+}
+
+func (e *Engine) handleAppendAnswer(from *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer, sentAt time.Duration) {
+	if !e.isAnswerOf(from, answer) {
 		return
 	}
-	one.lastContact = now
-	one.leaseUntil = max(one.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
-	if len(call.Changes) > 0 {
-		e.noteDelay(one, answer, now-sentAt)
+	now := e.clock.Steady()
+	from.lastContact = now
+	from.leaseUntil = max(from.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
+	if len(call.Changes) > 0 && answer.Taken {
+		e.noteDelay(from, answer, now-sentAt)
+	}
+	from.wallOffset, from.hasWall = answer.WallMs-pulse.InMs(sentAt+(now-sentAt)/2), true
+	before := *from
+	e.notePosition(from, call, answer)
+	if answer.Taken || before.isKnown != from.isKnown || before.needsSnapshot != from.needsSnapshot ||
+		before.acked != from.acked || before.nextChunk != from.nextChunk {
+		from.failures, from.pausedUntil = 0, 0
+	} else {
+		e.noteFailure(from)
 	}
-	one.wallOffset, one.hasWall = answer.WallMs-pulse.InMs(sentAt+(now-sentAt)/2), true
+	e.advance()
+	if e.phase == phaseLeading || e.phase == phaseOpening {
+		e.send(from, false)
+	}
+}
+
+// notePosition takes from an answer where the follower stands, and so what it is to be sent next.
+func (e *Engine) notePosition(from *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer) {
 	_, isNear := e.after(answer.Last)
 	switch {
 	case answer.Taken || isNear:
-		one.isKnown, one.needsSnapshot, one.acked, one.transfer = true, false, answer.Last, nil
+		from.isKnown, from.needsSnapshot, from.acked, from.transfer = true, false, answer.Last, nil
 	case call.Chunk != nil:
-		e.noteChunkAnswer(one, call, answer)
+		e.noteChunkAnswer(from, call, answer)
 	default:
-		one.isKnown, one.needsSnapshot, one.acked = false, true, answer.Last
+		from.isKnown, from.needsSnapshot, from.acked = false, true, answer.Last
 	}
-	e.advance()
-	if e.phase == phaseLeading || e.phase == phaseOpening {
-		e.send(one, false)
+}
+
+// noteFailure counts a call that brought the follower no further, and pauses after a few, so that a disk that refuses
+// or a machine that resets each connection is not called without end.
+func (e *Engine) noteFailure(to *follower) {
+	to.failures++
+	if to.failures >= failuresBeforePause {
+		to.pausedUntil = e.clock.Steady() + e.timing.Heartbeat
 	}
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -1,18 +1,24 @@
 package replication
 
+// hasLease tells whether a majority of the voters vouches, now, that there is no other leader.
 func (e *Engine) hasLease() bool {
 	now := e.clock.Steady()
 	return Agreed(e.set, func(disk string) bool {
-		one := e.followers[disk]
-		return one != nil && now < one.leaseUntil
+		voter := e.followers[disk]
+		return voter != nil && now < voter.leaseUntil
 	})
 }
 
+// heartbeat renews the leases, and does what a leader does from time to time.
 func (e *Engine) heartbeat() {
 	now := e.clock.Steady()
-	for _, one := range e.inOrder() {
-		if one.needsSnapshot || now-one.sentAt >= e.timing.Heartbeat {
-			e.send(one, now-one.sentAt >= e.timing.Heartbeat)
+	for _, to := range e.inOrder() {
+		isDue := now-to.sentAt >= e.timing.Heartbeat
+		switch {
+		case isDue && to.isBusy:
+			e.renewLease(to)
+		case isDue || to.needsSnapshot:
+			e.send(to, isDue)
 		}
 	}
 	if e.hasLease() {
--- a/internal/replication/lease_test.go
+++ b/internal/replication/lease_test.go
@@ -55,4 +55,3 @@
 		})
 	}
 })
-
--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -149,11 +149,11 @@
 
 // world is a network and a clock of which the test is master.
 type world struct {
-	clock    *pulse.Fake
-	draw     *rand.Rand
-	nodes    []*node
-	letters  []letter
-	cut      map[string]bool
+	clock   *pulse.Fake
+	draw    *rand.Rand
+	nodes   []*node
+	letters []letter
+	cut     map[string]bool
 	// oneWay holds the links that carry nothing, as "from>to".
 	oneWay map[string]bool
 	// late is the longest time by which a doubled or delayed call comes late, if there is one.
@@ -164,18 +164,18 @@
 	appends    int
 	wipedAt    time.Duration
 	loss       float64
-	acked    map[string]string
-	owners   map[uint64]string
-	problems []string
-	written  int
-	losses   int
-	trials   int
-	wholes   int
-	fetched  int
-	pieces   []int
-	bulk     int
-	eats     func(to *node, call peerapi.AppendCall) bool
-	diskless []peerapi.Member
+	acked      map[string]string
+	owners     map[uint64]string
+	problems   []string
+	written    int
+	losses     int
+	trials     int
+	wholes     int
+	fetched    int
+	pieces     []int
+	bulk       int
+	eats       func(to *node, call peerapi.AppendCall) bool
+	diskless   []peerapi.Member
 }
 
 const key = "pool/wards"
