--- a/internal/configcache/delta.go
+++ b/internal/configcache/delta.go
@@ -146,8 +146,9 @@
 	return count
 }
 
-// apply makes the next fact; its digest must be the one that the change names.
-func apply(base *peerapi.Configuration, change *peerapi.ConfigurationDelta) (*peerapi.Configuration, error) {
+// apply makes the next fact; its digest must be the one that the change names, if it is checked. The last of several
+// changes is enough: its result has the right digest only if all before it were right.
+func apply(base *peerapi.Configuration, change *peerapi.ConfigurationDelta, isChecked bool) (*peerapi.Configuration, error) {
 	body, err := joinParts(Pieces(base.Body), change.Parts)
 	if err != nil {
 		return nil, err
@@ -162,6 +163,9 @@
 		}
 		fact.Moved[place] = moved
 	}
+	if !isChecked {
+		return fact, nil
+	}
 	digest, err := digestOf(fact)
 	if err != nil {
 		return nil, err
--- /dev/null
+++ b/internal/configcache/fetch.go
@@ -0,0 +1,222 @@
+package configcache
+
+import (
+	"time"
+
+	"github.com/juju/errors"
+
+	"gannetline/internal/logs"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+)
+
+const (
+	// A sibling is given up after the patience without a byte. It starts short, grows while siblings stall, and
+	// follows the time that answers take.
+	shortPatience = 200 * time.Millisecond
+	longPatience  = 3200 * time.Millisecond
+	// patienceFactor is how many times as long as the last answer took the next one may be silent.
+	patienceFactor = 3
+	// failurePause lies before a sibling that failed is asked again, times its failures.
+	failurePause = 100 * time.Millisecond
+	// restFactor times what applying a version took goes by before the next one is fetched, longestRest at most:
+	// in a storm of versions most are passed over, and a slow processor keeps its time for calls.
+	restFactor  = 4
+	longestRest = 400 * time.Millisecond
+)
+
+// Actions are what a fetcher has its process do.
+type Actions struct {
+	// Ask calls a sibling that may be silent for the patience; Take is told of the outcome.
+	Ask func(address string, call *peerapi.ConfigurationCall, patience time.Duration)
+	// Wake calls the fetcher's Wake after a while.
+	Wake func(after time.Duration)
+	// Use brings a version into force; an error says that it can't be read.
+	Use func(*Version) error
+}
+
+// Fetcher decides whom to ask for what, one call at a time. It knows neither goroutines nor sockets.
+type Fetcher struct {
+	clock   pulse.Pulse
+	log     logs.Logger
+	actions Actions
+
+	held      *Version
+	peers     peers
+	transfers transfers
+	shelf     shelf
+
+	patience   time.Duration
+	askedAt    time.Duration
+	isFetching bool
+	isResting  bool
+}
+
+// NewFetcher makes a fetcher that holds nothing yet.
+func NewFetcher(clock pulse.Pulse, log logs.Logger, actions Actions) *Fetcher {
+	return &Fetcher{clock: clock, log: log, actions: actions, patience: shortPatience}
+}
+
+// Hold takes a committed configuration.
+func (f *Fetcher) Hold(fact *peerapi.Configuration) {
+	if err := f.turnTo(f.held.Follow(fact)); err != nil {
+		f.log.Error(err, "the committed plan was refused", "version", fact.Version)
+	}
+}
+
+// turnTo brings a version into force; an error says that it can't be read, and changes nothing.
+func (f *Fetcher) turnTo(next *Version) error {
+	if next == f.held {
+		return nil
+	}
+	if err := f.actions.Use(next); err != nil {
+		return err
+	}
+	f.held = next
+	f.transfers.reached(next.version())
+	return nil
+}
+
+// Hear notes that a sibling holds a version, and fetches it if it is newer.
+func (f *Fetcher) Hear(sibling peerapi.Member, version int64) {
+	if version > f.held.version() {
+		f.peers.hear(sibling, version)
+		f.fetchNext()
+	}
+}
+
+// Chunk gives a sibling a chunk of an image of the whole.
+func (f *Fetcher) Chunk(call *peerapi.ConfigurationCall) (*peerapi.ConfigurationChunk, error) {
+	return f.shelf.chunk(f.held, call)
+}
+
+// Wake goes on after a rest.
+func (f *Fetcher) Wake() {
+	f.isResting = false
+	f.fetchNext()
+}
+
+func (f *Fetcher) rest(length time.Duration) {
+	if length <= 0 {
+		f.fetchNext()
+		return
+	}
+	f.isResting = true
+	f.actions.Wake(length)
+}
+
+// fetchNext asks the best sibling that is ahead, if there is one and no call is under way.
+func (f *Fetcher) fetchNext() {
+	if f.isFetching || f.isResting {
+		return
+	}
+	if next := f.peers.best(f.held.version()); next != nil {
+		f.ask(next.address, true)
+	}
+}
+
+func (f *Fetcher) ask(address string, takesChanges bool) {
+	f.isFetching, f.askedAt = true, f.clock.Steady()
+	call := &peerapi.ConfigurationCall{Held: f.held.version(), TakesChanges: takesChanges && f.held != nil, TakesChunks: true}
+	if begun := f.transfers.named(address); begun != nil {
+		call.Image, call.Offset = begun.image.Name, len(begun.image.data)
+	}
+	f.actions.Ask(address, call, f.patience)
+}
+
+// Take heeds the outcome of a call, and goes on with what is next.
+func (f *Fetcher) Take(address string, call *peerapi.ConfigurationCall, answer *peerapi.ConfigurationAnswer, err error) {
+	f.isFetching = false
+	switch {
+	case errors.Is(err, peerapi.ErrStalled):
+		f.patience = min(2*f.patience, longPatience)
+		f.failed(address, err)
+	case err != nil:
+		f.failed(address, err)
+	case answer.Busy:
+		f.failed(address, errors.New("the sibling answers too many others"))
+	default:
+		f.patience = max(shortPatience, min(patienceFactor*(f.clock.Steady()-f.askedAt), longPatience))
+		bodyBytesFetched.Add(bytesOf(answer))
+		f.heed(address, call, answer)
+	}
+}
+
+// heed applies an answer.
+func (f *Fetcher) heed(address string, call *peerapi.ConfigurationCall, answer *peerapi.ConfigurationAnswer) {
+	begun, before := f.clock.Steady(), f.held
+	next, isWhole, err := f.read(address, answer)
+	switch {
+	case err != nil && call.TakesChanges && len(answer.Changes) > 0:
+		f.log.Info("changes of the plan do not fit; the whole is fetched", "why", err.Error())
+		f.ask(address, false)
+		return
+	case err != nil:
+		f.failed(address, err)
+		return
+	case !isWhole:
+		f.peers.answered(address)
+		f.ask(address, call.TakesChanges)
+		return
+	}
+	if err := f.turnTo(next); err != nil {
+		f.peers.forget(address)
+		f.failed(address, err)
+		return
+	}
+	if f.held == before {
+		if call.Held == f.held.version() {
+			// The sibling has nothing newer, whatever was heard.
+			f.peers.forget(address)
+		}
+		f.fetchNext()
+		return
+	}
+	f.peers.answered(address)
+	f.rest(min(restFactor*(f.clock.Steady()-begun), longestRest))
+}
+
+// read makes a version of an answer; it is not whole while chunks of its image are missing.
+func (f *Fetcher) read(address string, answer *peerapi.ConfigurationAnswer) (next *Version, isWhole bool, err error) {
+	if answer.Chunk == nil {
+		next, err = f.held.Take(answer)
+		return next, true, err
+	}
+	if answer.Chunk.Version <= f.held.version() {
+		return f.held, true, nil
+	}
+	image, err := f.transfers.take(address, answer.Chunk)
+	if err != nil || image == nil {
+		return nil, false, err
+	}
+	fact, err := image.Unpack()
+	if err != nil {
+		return nil, false, err
+	}
+	f.shelf.put(image)
+	return f.held.Follow(fact), true, nil
+}
+
+// failed turns to another sibling, or after a pause to the same one.
+func (f *Fetcher) failed(address string, why error) {
+	f.log.Info("a plan could not be fetched", "sibling", address, "why", why.Error())
+	f.peers.failed(address)
+	if next := f.peers.best(f.held.version()); next != nil {
+		f.rest(time.Duration(next.failures) * failurePause)
+	}
+}
+
+// bytesOf counts what an answer holds of configurations: text, whole or in parts, and chunks.
+func bytesOf(answer *peerapi.ConfigurationAnswer) int {
+	count := 0
+	if answer.Fact != nil {
+		count = len(answer.Fact.Body)
+	}
+	if answer.Chunk != nil {
+		count += len(answer.Chunk.Data)
+	}
+	for _, change := range answer.Changes {
+		count += textIn(change)
+	}
+	return count
+}
--- /dev/null
+++ b/internal/configcache/image.go
@@ -0,0 +1,213 @@
+package configcache
+
+import (
+	"bytes"
+	"compress/flate"
+	"crypto/sha256"
+	"encoding/hex"
+	"io"
+
+	"github.com/juju/errors"
+	"github.com/mailru/easyjson"
+
+	"gannetline/internal/peerapi"
+)
+
+const (
+	// chunkBytes of an image go into one answer: 64 ms of a link of 2 Mbit/s.
+	chunkBytes = 16 << 10
+	// mostImageBytes bounds an image, packed and unpacked.
+	mostImageBytes = 16 << 20
+)
+
+// Image is the compressed form of one whole version, which siblings fetch in chunks.
+type Image struct {
+	Version int64
+	// Name is the sha256 of the data, in hexadecimal.
+	Name string
+	data []byte
+}
+
+// Pack compresses a whole version.
+func Pack(fact *peerapi.Configuration) (*Image, error) {
+	text, err := easyjson.Marshal(fact)
+	if err != nil {
+		return nil, errors.Annotate(err, "writing the image of a configuration")
+	}
+	var packed bytes.Buffer
+	writer, err := flate.NewWriter(&packed, flate.DefaultCompression)
+	if err != nil {
+		return nil, errors.Annotate(err, "compressing a configuration")
+	}
+	if _, err := writer.Write(text); err != nil {
+		return nil, errors.Annotate(err, "compressing a configuration")
+	}
+	if err := writer.Close(); err != nil {
+		return nil, errors.Annotate(err, "compressing a configuration")
+	}
+	return &Image{fact.Version, nameOf(packed.Bytes()), packed.Bytes()}, nil
+}
+
+func nameOf(data []byte) string {
+	sum := sha256.Sum256(data)
+	return hex.EncodeToString(sum[:])
+}
+
+// Size is the length of the image in bytes.
+func (i *Image) Size() int { return len(i.data) }
+
+// Unpack gives back the version; an error says that the data are not what their name and version promise.
+func (i *Image) Unpack() (*peerapi.Configuration, error) {
+	if nameOf(i.data) != i.Name {
+		return nil, errors.Errorf("the image of version %d has another digest than its name", i.Version)
+	}
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.data)), mostImageBytes))
+	if err != nil {
+		return nil, errors.Annotatef(err, "decompressing version %d", i.Version)
+	}
+	fact := &peerapi.Configuration{}
+	if err := easyjson.Unmarshal(text, fact); err != nil {
+		return nil, errors.Annotatef(err, "reading the image of version %d", i.Version)
+	}
+	if fact.Version != i.Version {
+		return nil, errors.Errorf("the image of version %d holds version %d", i.Version, fact.Version)
+	}
+	return fact, nil
+}
+
+// chunk gives the part that a call goes on with; one that names another image, or no place in this one, starts over.
+func (i *Image) chunk(call *peerapi.ConfigurationCall) *peerapi.ConfigurationChunk {
+	offset := 0
+	if call.Image == i.Name && call.Offset > 0 && call.Offset < len(i.data) {
+		offset = call.Offset
+	}
+	end := min(len(i.data), offset+chunkBytes)
+	return &peerapi.ConfigurationChunk{Version: i.Version, Image: i.Name, Size: len(i.data), Offset: offset, Data: i.data[offset:end]}
+}
+
+// shelf keeps the newest image of this process and the one before it, whose transfers may still be under way.
+type shelf struct{ images []*Image }
+
+const mostImages = 2
+
+func (s *shelf) put(image *Image) {
+	s.images = append(s.images, image)
+	s.images = s.images[max(0, len(s.images)-mostImages):]
+}
+
+// chunk answers a call from the image that it names, or else from the newest one. That one stays in use while the
+// changes since it are at hand, so that transfers aren't overtaken by each new version; beyond that it is made anew.
+func (s *shelf) chunk(current *Version, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationChunk, error) {
+	for _, image := range s.images {
+		if image.Name == call.Image && image.Version > call.Held {
+			return image.chunk(call), nil
+		}
+	}
+	if len(s.images) > 0 {
+		newest := s.images[len(s.images)-1]
+		if newest.Version > call.Held && current.reaches(newest.Version) {
+			return newest.chunk(call), nil
+		}
+	}
+	image, err := Pack(current.Fact)
+	if err != nil {
+		return nil, err
+	}
+	imagesPacked.Inc()
+	s.put(image)
+	return image.chunk(call), nil
+}
+
+// transfer is an image of which some chunks have come.
+type transfer struct {
+	image Image
+	size  int
+	from  string
+}
+
+func (t *transfer) left() int { return t.size - len(t.image.data) }
+
+// transfers keep what came of an image when a sibling goes silent; another sibling may hold the same image.
+type transfers struct{ open []*transfer }
+
+const mostTransfers = 3
+
+// named is the image to go on with at a sibling: one that it sent before, or the one with the least left.
+func (t *transfers) named(address string) *transfer {
+	var best *transfer
+	for _, one := range t.open {
+		if one.from == address {
+			return one
+		}
+		if best == nil || one.left() < best.left() {
+			best = one
+		}
+	}
+	return best
+}
+
+// take adds a chunk; it gives the image once it is whole.
+func (t *transfers) take(address string, chunk *peerapi.ConfigurationChunk) (*Image, error) {
+	one := t.find(chunk)
+	if one == nil {
+		if chunk.Offset != 0 || chunk.Size <= 0 || chunk.Size > mostImageBytes {
+			return nil, errors.Errorf("a chunk of an unknown image at %d of %d bytes", chunk.Offset, chunk.Size)
+		}
+		one = t.add(&transfer{image: Image{Version: chunk.Version, Name: chunk.Image}, size: chunk.Size})
+	}
+	one.from = address
+	have := len(one.image.data)
+	if chunk.Size != one.size || chunk.Version != one.image.Version || chunk.Offset != have || len(chunk.Data) == 0 || len(chunk.Data) > one.left() {
+		t.drop(one)
+		return nil, errors.Errorf("a chunk of %d bytes at %d of %d, and %d of %d are here", len(chunk.Data), chunk.Offset, chunk.Size, have, one.size)
+	}
+	one.image.data = append(one.image.data, chunk.Data...)
+	if one.left() > 0 {
+		return nil, nil
+	}
+	t.drop(one)
+	return &one.image, nil
+}
+
+func (t *transfers) find(chunk *peerapi.ConfigurationChunk) *transfer {
+	for _, one := range t.open {
+		if one.image.Name == chunk.Image {
+			return one
+		}
+	}
+	return nil
+}
+
+// add makes room by dropping the transfer that has most left.
+func (t *transfers) add(one *transfer) *transfer {
+	if len(t.open) == mostTransfers {
+		most := t.open[0]
+		for _, other := range t.open {
+			if other.left() > most.left() {
+				most = other
+			}
+		}
+		t.drop(most)
+	}
+	t.open = append(t.open, one)
+	return one
+}
+
+func (t *transfers) drop(gone *transfer) {
+	t.keep(func(one *transfer) bool { return one != gone })
+}
+
+// reached drops images that a held version makes useless.
+func (t *transfers) reached(version int64) {
+	t.keep(func(one *transfer) bool { return one.image.Version > version })
+}
+
+func (t *transfers) keep(isKept func(*transfer) bool) {
+	var kept []*transfer
+	for _, one := range t.open {
+		if isKept(one) {
+			kept = append(kept, one)
+		}
+	}
+	t.open = kept
+}
--- /dev/null
+++ b/internal/configcache/serve.go
@@ -0,0 +1,53 @@
+package configcache
+
+import (
+	"net/http"
+
+	"gannetline/internal/mailbox"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/span"
+)
+
+// mostAnswers may be under way at once, from the call to its last byte: what a flood of fetches takes of this
+// process's link at any moment is at most that many chunks. Others are sent on.
+const mostAnswers = 12
+
+// Handle lets siblings fetch the configuration.
+func (c *Cache) Handle(mux *http.ServeMux) {
+	open, full := http.NewServeMux(), http.NewServeMux()
+	peerapi.Serve(open, peerapi.ProcedurePlan, c.answer)
+	peerapi.Serve(full, peerapi.ProcedurePlan, func(span.Span, *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+		fetchesRefused.Inc()
+		return &peerapi.ConfigurationAnswer{Busy: true}, nil
+	})
+	mux.HandleFunc(peerapi.ProcedurePlan, func(to http.ResponseWriter, request *http.Request) {
+		select {
+		case c.answering <- struct{}{}:
+			defer func() { <-c.answering }()
+			open.ServeHTTP(to, request)
+		default:
+			full.ServeHTTP(to, request)
+		}
+	})
+}
+
+func (c *Cache) answer(life span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+	if answer := c.edition().Answer(call); answer != nil {
+		return answer, nil
+	}
+	type packed struct {
+		chunk *peerapi.ConfigurationChunk
+		err   error
+	}
+	got, err := mailbox.Ask(c.box, life, func(answer func(packed)) {
+		chunk, err := c.fetcher.Chunk(call)
+		answer(packed{chunk, err})
+	})
+	switch {
+	case err != nil:
+		return nil, err
+	case got.err != nil:
+		return nil, got.err
+	}
+	return &peerapi.ConfigurationAnswer{Chunk: got.chunk}, nil
+}
--- a/internal/configcache/version.go
+++ b/internal/configcache/version.go
@@ -6,7 +6,12 @@
 	"gannetline/internal/peerapi"
 )
 
-const mostChanges = 8
+const (
+	// mostChanges are kept, and sent in one answer if their text is at most mostAnswerText bytes: beyond that the
+	// compressed whole is shorter, and takes less time to apply.
+	mostChanges    = 32
+	mostAnswerText = 16 << 10
+)
 
 // Version is a plan that is held, and the changes that led to it, each on the one before; it is never changed.
 type Version struct {
@@ -46,14 +51,14 @@
 		return e.Follow(answer.Fact), nil
 	}
 	next := e
-	for _, change := range answer.Changes {
+	for place, change := range answer.Changes {
 		if change.Version <= next.version() {
 			continue
 		}
 		if change.Base != next.version() {
 			return e, errors.Errorf("a change to version %d is on version %d, and %d is held", change.Version, change.Base, next.version())
 		}
-		fact, err := apply(next.Fact, change)
+		fact, err := apply(next.Fact, change, place == len(answer.Changes)-1)
 		if err != nil {
 			return e, err
 		}
@@ -62,7 +67,8 @@
 	return next, nil
 }
 
-// Answer gives a sibling the changes since the version that it holds, or the whole plan.
+// Answer gives a sibling the changes since the version that it holds, or the whole configuration; nothing for one
+// that takes the whole in chunks of an image.
 func (e *Version) Answer(call *peerapi.ConfigurationCall) *peerapi.ConfigurationAnswer {
 	if e.version() <= call.Held {
 		return &peerapi.ConfigurationAnswer{}
@@ -70,13 +76,21 @@
 	if changes := e.since(call.Held); call.TakesChanges && len(changes) > 0 {
 		return &peerapi.ConfigurationAnswer{Changes: changes}
 	}
+	if call.TakesChunks {
+		return nil
+	}
 	return &peerapi.ConfigurationAnswer{Fact: e.Fact}
 }
 
+// reaches tells whether changes lead from an older version to this one.
+func (e *Version) reaches(older int64) bool {
+	return older == e.version() || len(e.since(older)) > 0
+}
+
 func (e *Version) since(held int64) []*peerapi.ConfigurationDelta {
 	text := 0
 	for place := len(e.changes) - 1; place >= 0; place-- {
-		if text += textIn(e.changes[place]); text > len(e.Fact.Body) {
+		if text += textIn(e.changes[place]); text > min(len(e.Fact.Body), mostAnswerText) {
 			return nil
 		}
 		if e.changes[place].Base == held {
--- a/internal/peerapi/calls.go
+++ b/internal/peerapi/calls.go
@@ -83,11 +83,15 @@
 func Call[Ask, Tell any](caller *Caller, life span.Span, address, procedure string, limit time.Duration, ask *Ask) (*Tell, error) {
 	life, release := span.Within(life, limit)
 	defer release()
+	return callThrough[Ask, Tell](caller.client, life, address, procedure, ask)
+}
+
+func callThrough[Ask, Tell any](client connect.HTTPClient, life span.Span, address, procedure string, ask *Ask) (*Tell, error) {
 	name := procedure[len(Prefix):]
 	calls.With(name, sideMade).Inc()
-	client := connect.NewClient[Ask, Tell](caller.client, "http://"+address+procedure,
+	asker := connect.NewClient[Ask, Tell](client, "http://"+address+procedure,
 		connect.WithCodec(codec(name, sideMade)), connect.WithReadMaxBytes(maxMessage), connect.WithAcceptCompression("gzip", nil, nil))
-	answer, err := client.CallUnary(life, connect.NewRequest(ask))
+	answer, err := asker.CallUnary(life, connect.NewRequest(ask))
 	if err != nil {
 		callErrors.With(name, sideMade).Inc()
 		return nil, errors.Annotatef(err, "%s at sibling %s", name, address)
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -173,12 +173,31 @@
 type ConfigurationCall struct {
 	Held         int64 `json:"held"`
 	TakesChanges bool  `json:"changes,omitempty"`
+	// TakesChunks lets the whole come as a compressed image in chunks; Image and Offset name where to go on.
+	TakesChunks bool   `json:"chunks,omitempty"`
+	Image       string `json:"image,omitempty"`
+	Offset      int    `json:"offset,omitempty"`
 }
 
-// ConfigurationAnswer holds the whole plan, or the changes that lead to it from the version that is held.
+// ConfigurationAnswer holds the whole configuration, a chunk of its image, or the changes that lead to it from the
+// version that is held; none of them if the sibling holds nothing newer.
 type ConfigurationAnswer struct {
 	Fact    *Configuration        `json:"fact,omitempty"`
 	Changes []*ConfigurationDelta `json:"changes,omitempty"`
+	Chunk   *ConfigurationChunk   `json:"chunk,omitempty"`
+	// Busy says that too many siblings are being answered; another one should be asked.
+	Busy bool `json:"busy,omitempty"`
+}
+
+// ConfigurationChunk is a part of an image: the compressed form of one whole version.
+type ConfigurationChunk struct {
+	Version int64 `json:"version"`
+	// Image is the sha256 of the whole image, in hexadecimal.
+	Image string `json:"image"`
+	// Size of the image and Offset of the chunk are in bytes.
+	Size   int    `json:"size"`
+	Offset int    `json:"offset,omitempty"`
+	Data   []byte `json:"data"`
 }
 
 // ConfigurationDelta makes the plan of one version out of that of another; Digest is that of the result.
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -4187,7 +4187,117 @@
 func (v *ConfigurationDelta) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeGannetlineInternalPeerapi31(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi32(in *jlexer.Lexer, out *ConfigurationCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi32(in *jlexer.Lexer, out *ConfigurationChunk) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "version":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Version = int64(in.Int64())
+			}
+		case "image":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Image = string(in.String())
+			}
+		case "size":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Size = int(in.Int())
+			}
+		case "offset":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Offset = int(in.Int())
+			}
+		case "data":
+			if in.IsNull() {
+				in.Skip()
+				out.Data = nil
+			} else {
+				out.Data = in.Bytes()
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi32(out *jwriter.Writer, in ConfigurationChunk) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"version\":"
+		out.RawString(prefix[1:])
+		out.Int64(int64(in.Version))
+	}
+	{
+		const prefix string = ",\"image\":"
+		out.RawString(prefix)
+		out.String(string(in.Image))
+	}
+	{
+		const prefix string = ",\"size\":"
+		out.RawString(prefix)
+		out.Int(int(in.Size))
+	}
+	if in.Offset != 0 {
+		const prefix string = ",\"offset\":"
+		out.RawString(prefix)
+		out.Int(int(in.Offset))
+	}
+	{
+		const prefix string = ",\"data\":"
+		out.RawString(prefix)
+		out.Base64Bytes(in.Data)
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v ConfigurationChunk) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeGannetlineInternalPeerapi32(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v ConfigurationChunk) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi32(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *ConfigurationChunk) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeGannetlineInternalPeerapi32(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *ConfigurationChunk) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi32(l, v)
+}
+func easyjson66c1e240DecodeGannetlineInternalPeerapi33(in *jlexer.Lexer, out *ConfigurationCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4213,6 +4323,24 @@
 			} else {
 				out.TakesChanges = bool(in.Bool())
 			}
+		case "chunks":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.TakesChunks = bool(in.Bool())
+			}
+		case "image":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Image = string(in.String())
+			}
+		case "offset":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Offset = int(in.Int())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -4223,7 +4351,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi32(out *jwriter.Writer, in ConfigurationCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi33(out *jwriter.Writer, in ConfigurationCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4237,33 +4365,48 @@
 		out.RawString(prefix)
 		out.Bool(bool(in.TakesChanges))
 	}
+	if in.TakesChunks {
+		const prefix string = ",\"chunks\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.TakesChunks))
+	}
+	if in.Image != "" {
+		const prefix string = ",\"image\":"
+		out.RawString(prefix)
+		out.String(string(in.Image))
+	}
+	if in.Offset != 0 {
+		const prefix string = ",\"offset\":"
+		out.RawString(prefix)
+		out.Int(int(in.Offset))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi32(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi33(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi32(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi33(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi32(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi33(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi32(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi33(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi33(in *jlexer.Lexer, out *ConfigurationAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi34(in *jlexer.Lexer, out *ConfigurationAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4307,25 +4450,45 @@
 					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v73 *ConfigurationDelta
+					var v76 *ConfigurationDelta
 					if in.IsNull() {
 						in.Skip()
-						v73 = nil
+						v76 = nil
 					} else {
-						if v73 == nil {
-							v73 = new(ConfigurationDelta)
+						if v76 == nil {
+							v76 = new(ConfigurationDelta)
 						}
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(*v73).UnmarshalEasyJSON(in)
+							(*v76).UnmarshalEasyJSON(in)
 						}
 					}
-					out.Changes = append(out.Changes, v73)
+					out.Changes = append(out.Changes, v76)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
+		case "chunk":
+			if in.IsNull() {
+				in.Skip()
+				out.Chunk = nil
+			} else {
+				if out.Chunk == nil {
+					out.Chunk = new(ConfigurationChunk)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Chunk).UnmarshalEasyJSON(in)
+				}
+			}
+		case "busy":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Busy = bool(in.Bool())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -4336,7 +4499,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi33(out *jwriter.Writer, in ConfigurationAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi34(out *jwriter.Writer, in ConfigurationAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4356,46 +4519,66 @@
 		}
 		{
 			out.RawByte('[')
-			for v74, v75 := range in.Changes {
-				if v74 > 0 {
+			for v77, v78 := range in.Changes {
+				if v77 > 0 {
 					out.RawByte(',')
 				}
-				if v75 == nil {
+				if v78 == nil {
 					out.RawString("null")
 				} else {
-					(*v75).MarshalEasyJSON(out)
+					(*v78).MarshalEasyJSON(out)
 				}
 			}
 			out.RawByte(']')
 		}
 	}
+	if in.Chunk != nil {
+		const prefix string = ",\"chunk\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		(*in.Chunk).MarshalEasyJSON(out)
+	}
+	if in.Busy {
+		const prefix string = ",\"busy\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Busy))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi33(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi34(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi33(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi34(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi33(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi34(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi33(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi34(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi34(in *jlexer.Lexer, out *Configuration) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi35(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4437,13 +4620,13 @@
 					out.InitialVoters = (out.InitialVoters)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v76 InitialVoters
+					var v79 InitialVoters
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v76).UnmarshalEasyJSON(in)
+						(v79).UnmarshalEasyJSON(in)
 					}
-					out.InitialVoters = append(out.InitialVoters, v76)
+					out.InitialVoters = append(out.InitialVoters, v79)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4464,13 +4647,13 @@
 					out.Confirmed = (out.Confirmed)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v77 ConfirmedVersion
+					var v80 ConfirmedVersion
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v77).UnmarshalEasyJSON(in)
+						(v80).UnmarshalEasyJSON(in)
 					}
-					out.Confirmed = append(out.Confirmed, v77)
+					out.Confirmed = append(out.Confirmed, v80)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4491,13 +4674,13 @@
 					out.Moved = (out.Moved)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v78 MovedRoute
+					var v81 MovedRoute
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v78).UnmarshalEasyJSON(in)
+						(v81).UnmarshalEasyJSON(in)
 					}
-					out.Moved = append(out.Moved, v78)
+					out.Moved = append(out.Moved, v81)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4512,7 +4695,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi34(out *jwriter.Writer, in Configuration) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi35(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4531,11 +4714,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v79, v80 := range in.InitialVoters {
-				if v79 > 0 {
+			for v82, v83 := range in.InitialVoters {
+				if v82 > 0 {
 					out.RawByte(',')
 				}
-				(v80).MarshalEasyJSON(out)
+				(v83).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4545,11 +4728,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v81, v82 := range in.Confirmed {
-				if v81 > 0 {
+			for v84, v85 := range in.Confirmed {
+				if v84 > 0 {
 					out.RawByte(',')
 				}
-				(v82).MarshalEasyJSON(out)
+				(v85).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4559,11 +4742,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v83, v84 := range in.Moved {
-				if v83 > 0 {
+			for v86, v87 := range in.Moved {
+				if v86 > 0 {
 					out.RawByte(',')
 				}
-				(v84).MarshalEasyJSON(out)
+				(v87).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4574,27 +4757,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi34(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi35(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi34(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi35(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi34(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi35(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi34(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi35(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi35(in *jlexer.Lexer, out *ClientCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi36(in *jlexer.Lexer, out *ClientCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4674,7 +4857,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi35(out *jwriter.Writer, in ClientCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi36(out *jwriter.Writer, in ClientCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4724,27 +4907,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi35(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi36(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi35(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi36(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi35(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi36(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi35(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi36(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi36(in *jlexer.Lexer, out *ClientAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi37(in *jlexer.Lexer, out *ClientAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4804,7 +4987,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi36(out *jwriter.Writer, in ClientAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi37(out *jwriter.Writer, in ClientAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4870,27 +5053,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi36(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi37(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi36(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi37(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi36(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi37(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi36(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi37(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi37(in *jlexer.Lexer, out *Change) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi38(in *jlexer.Lexer, out *Change) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4926,13 +5109,13 @@
 					out.Ops = (out.Ops)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v85 Op
+					var v88 Op
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v85).UnmarshalEasyJSON(in)
+						(v88).UnmarshalEasyJSON(in)
 					}
-					out.Ops = append(out.Ops, v85)
+					out.Ops = append(out.Ops, v88)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4961,7 +5144,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi37(out *jwriter.Writer, in Change) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi38(out *jwriter.Writer, in Change) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4975,11 +5158,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v86, v87 := range in.Ops {
-				if v86 > 0 {
+			for v89, v90 := range in.Ops {
+				if v89 > 0 {
 					out.RawByte(',')
 				}
-				(v87).MarshalEasyJSON(out)
+				(v90).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4995,27 +5178,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Change) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi37(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi38(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Change) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi37(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi38(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Change) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi37(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi38(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Change) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi37(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi38(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi38(in *jlexer.Lexer, out *Capacity) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi39(in *jlexer.Lexer, out *Capacity) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5057,7 +5240,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi38(out *jwriter.Writer, in Capacity) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi39(out *jwriter.Writer, in Capacity) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5082,27 +5265,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Capacity) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi38(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi39(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Capacity) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi38(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi39(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Capacity) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi38(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi39(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Capacity) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi38(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi39(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi39(in *jlexer.Lexer, out *BeliefsCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi40(in *jlexer.Lexer, out *BeliefsCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5126,7 +5309,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi39(out *jwriter.Writer, in BeliefsCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi40(out *jwriter.Writer, in BeliefsCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5136,27 +5319,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi39(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi40(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi39(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi40(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi39(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi40(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi39(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi40(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi40(in *jlexer.Lexer, out *BeliefsAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi41(in *jlexer.Lexer, out *BeliefsAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5204,13 +5387,13 @@
 					out.Members = (out.Members)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v88 Member
+					var v91 Member
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v88).UnmarshalEasyJSON(in)
+						(v91).UnmarshalEasyJSON(in)
 					}
-					out.Members = append(out.Members, v88)
+					out.Members = append(out.Members, v91)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5231,13 +5414,13 @@
 					out.Owners = (out.Owners)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v89 LeaderFact
+					var v92 LeaderFact
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v89).UnmarshalEasyJSON(in)
+						(v92).UnmarshalEasyJSON(in)
 					}
-					out.Owners = append(out.Owners, v89)
+					out.Owners = append(out.Owners, v92)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5258,13 +5441,13 @@
 					out.Keys = (out.Keys)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v90 KeyBelief
+					var v93 KeyBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v90).UnmarshalEasyJSON(in)
+						(v93).UnmarshalEasyJSON(in)
 					}
-					out.Keys = append(out.Keys, v90)
+					out.Keys = append(out.Keys, v93)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5285,13 +5468,13 @@
 					out.Jobs = (out.Jobs)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v91 JobBelief
+					var v94 JobBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v91).UnmarshalEasyJSON(in)
+						(v94).UnmarshalEasyJSON(in)
 					}
-					out.Jobs = append(out.Jobs, v91)
+					out.Jobs = append(out.Jobs, v94)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5312,13 +5495,13 @@
 					out.Executors = (out.Executors)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v92 ExecutorBelief
+					var v95 ExecutorBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v92).UnmarshalEasyJSON(in)
+						(v95).UnmarshalEasyJSON(in)
 					}
-					out.Executors = append(out.Executors, v92)
+					out.Executors = append(out.Executors, v95)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5333,7 +5516,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi40(out *jwriter.Writer, in BeliefsAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi41(out *jwriter.Writer, in BeliefsAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5359,11 +5542,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v93, v94 := range in.Members {
-				if v93 > 0 {
+			for v96, v97 := range in.Members {
+				if v96 > 0 {
 					out.RawByte(',')
 				}
-				(v94).MarshalEasyJSON(out)
+				(v97).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5375,11 +5558,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v95, v96 := range in.Owners {
-				if v95 > 0 {
+			for v98, v99 := range in.Owners {
+				if v98 > 0 {
 					out.RawByte(',')
 				}
-				(v96).MarshalEasyJSON(out)
+				(v99).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5391,11 +5574,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v97, v98 := range in.Keys {
-				if v97 > 0 {
+			for v100, v101 := range in.Keys {
+				if v100 > 0 {
 					out.RawByte(',')
 				}
-				(v98).MarshalEasyJSON(out)
+				(v101).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5407,11 +5590,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v99, v100 := range in.Jobs {
-				if v99 > 0 {
+			for v102, v103 := range in.Jobs {
+				if v102 > 0 {
 					out.RawByte(',')
 				}
-				(v100).MarshalEasyJSON(out)
+				(v103).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5423,11 +5606,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v101, v102 := range in.Executors {
-				if v101 > 0 {
+			for v104, v105 := range in.Executors {
+				if v104 > 0 {
 					out.RawByte(',')
 				}
-				(v102).MarshalEasyJSON(out)
+				(v105).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5438,27 +5621,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi40(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi41(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi40(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi41(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi40(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi41(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi40(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi41(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi41(in *jlexer.Lexer, out *AppendCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi42(in *jlexer.Lexer, out *AppendCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5518,13 +5701,13 @@
 					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v103 Change
+					var v106 Change
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v103).UnmarshalEasyJSON(in)
+						(v106).UnmarshalEasyJSON(in)
 					}
-					out.Changes = append(out.Changes, v103)
+					out.Changes = append(out.Changes, v106)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5579,7 +5762,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi41(out *jwriter.Writer, in AppendCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi42(out *jwriter.Writer, in AppendCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5613,11 +5796,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v104, v105 := range in.Changes {
-				if v104 > 0 {
+			for v107, v108 := range in.Changes {
+				if v107 > 0 {
 					out.RawByte(',')
 				}
-				(v105).MarshalEasyJSON(out)
+				(v108).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5648,27 +5831,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi41(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi42(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi41(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi42(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi41(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi42(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi41(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi42(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi42(in *jlexer.Lexer, out *AppendAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi43(in *jlexer.Lexer, out *AppendAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5734,7 +5917,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi42(out *jwriter.Writer, in AppendAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi43(out *jwriter.Writer, in AppendAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5785,23 +5968,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi42(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi43(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi42(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi43(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi42(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi43(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi42(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi43(l, v)
 }
--- /dev/null
+++ b/internal/peerapi/moving.go
@@ -0,0 +1,86 @@
+package peerapi
+
+import (
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/juju/errors"
+
+	"gannetline/internal/pulse"
+	"gannetline/internal/span"
+)
+
+// ErrStalled is the cause of a call that was given up because nothing came for too long.
+const ErrStalled = errors.ConstError("no byte of the answer came in time")
+
+// mostMoving bounds a call that keeps moving, so that a sibling which sends a byte now and then can't hold it forever.
+const mostMoving = 30 * time.Second
+
+// movingClient reports each part of an answer that arrives.
+type movingClient struct {
+	client *http.Client
+	moved  chan struct{}
+}
+
+func (m movingClient) report() {
+	select {
+	case m.moved <- struct{}{}:
+	default:
+	}
+}
+
+// Do sends the request; the body of its answer reports what is read.
+func (m movingClient) Do(request *http.Request) (*http.Response, error) {
+	response, err := m.client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	m.report()
+	response.Body = movingBody{response.Body, m}
+	return response, nil
+}
+
+type movingBody struct {
+	io.ReadCloser
+	client movingClient
+}
+
+// Read passes on bytes and reports that some came.
+func (b movingBody) Read(room []byte) (int, error) {
+	count, err := b.ReadCloser.Read(room)
+	if count > 0 {
+		b.client.report()
+	}
+	return count, err
+}
+
+// CallWhileMoving asks the sibling at an address, and gives up only once nothing of the answer has come for as long
+// as the patience: a slow link is no reason to end a call, a silent one is. The cause is then ErrStalled.
+func CallWhileMoving[Ask, Tell any](caller *Caller, clock pulse.Pulse, life span.Span, address, procedure string,
+	patience time.Duration, ask *Ask) (*Tell, error) {
+	type outcome struct {
+		answer *Tell
+		err    error
+	}
+	life, release := span.Within(life, mostMoving)
+	defer release()
+	moving := movingClient{caller.client, make(chan struct{}, 1)}
+	outcomes := make(chan outcome, 1)
+	stall := clock.After(patience)
+	go func() {
+		answer, err := callThrough[Ask, Tell](moving, life, address, procedure, ask)
+		outcomes <- outcome{answer, err}
+	}()
+	for {
+		select {
+		case got := <-outcomes:
+			return got.answer, got.err
+		case <-moving.moved:
+			stall = clock.After(patience)
+		case <-stall:
+			callErrors.With(procedure[len(Prefix):], sideMade).Inc()
+			return nil, errors.Annotatef(ErrStalled, "%s at sibling %s", procedure[len(Prefix):], address)
+		}
+	}
+}
