--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/configuration"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -37,7 +37,7 @@
 	page    atomic.Pointer[Snapshot]
 	caller  *peerapi.Caller
 	clock   pulse.Pulse
-	log     logs.Logger
+	log     logging.Logger
 	heed    func(*Snapshot)
 	fetcher *Fetcher
 	// answering has room for the answers that may be under way at once.
@@ -45,7 +45,7 @@
 }
 
 // New makes a cache; heed is told of each version that comes into force.
-func New(caller *peerapi.Caller, clock pulse.Pulse, log logs.Logger, heed func(*Snapshot)) *Cache {
+func New(caller *peerapi.Caller, clock pulse.Pulse, log logging.Logger, heed func(*Snapshot)) *Cache {
 	cache := &Cache{box: mailbox.New(64), caller: caller, clock: clock, log: log, heed: heed, answering: make(chan struct{}, mostAnswers)}
 	cache.fetcher = NewFetcher(clock, log, Actions{Ask: cache.ask, Wake: cache.wake, Use: cache.use})
 	return cache
--- a/internal/configcache/fetch.go
+++ b/internal/configcache/fetch.go
@@ -5,7 +5,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -38,7 +38,7 @@
 // Fetcher decides whom to ask for what, one call at a time. It knows neither goroutines nor sockets.
 type Fetcher struct {
 	clock   pulse.Pulse
-	log     logs.Logger
+	log     logging.Logger
 	actions Actions
 
 	held      *Version
@@ -53,7 +53,7 @@
 }
 
 // NewFetcher makes a fetcher that holds nothing yet.
-func NewFetcher(clock pulse.Pulse, log logs.Logger, actions Actions) *Fetcher {
+func NewFetcher(clock pulse.Pulse, log logging.Logger, actions Actions) *Fetcher {
 	return &Fetcher{clock: clock, log: log, actions: actions, patience: shortPatience}
 }
 
--- a/internal/configcache/network_test.go
+++ b/internal/configcache/network_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/configcache"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -88,7 +88,7 @@
 func (p *process) start(n *network) {
 	p.held = nil
 	var fetcher *configcache.Fetcher
-	fetcher = configcache.NewFetcher(n.clock, logs.Silent(), configcache.Actions{
+	fetcher = configcache.NewFetcher(n.clock, logging.Silent(), configcache.Actions{
 		Ask: func(address string, call *peerapi.ConfigurationCall, patience time.Duration) {
 			n.carry(fetcher, address, call, patience)
 		},
--- a/internal/peerapi/calls.go
+++ b/internal/peerapi/calls.go
@@ -92,6 +92,9 @@
 	asker := connect.NewClient[Ask, Tell](client, "http://"+address+procedure,
 		connect.WithCodec(codec(name, sideMade)), connect.WithReadMaxBytes(maxMessage), connect.WithAcceptCompression("gzip", nil, nil))
 	answer, err := asker.CallUnary(life, connect.NewRequest(ask))
+	if err == nil {
+		err = check(answer.Msg)
+	}
 	if err != nil {
 		callErrors.With(name, sideMade).Inc()
 		return nil, errors.Annotatef(err, "%s at sibling %s", name, address)
@@ -99,6 +102,14 @@
 	return answer.Msg, nil
 }
 
+// check lets an answer that has a Check refuse itself.
+func check(answer any) error {
+	if checked, isChecked := answer.(interface{ Check() error }); isChecked {
+		return checked.Check()
+	}
+	return nil
+}
+
 // NeverSent tells whether a failed call certainly did not reach the sibling.
 func NeverSent(err error) bool {
 	return isDialError(err)
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -1,7 +1,10 @@
 // Package peerapi holds what the system's own processes say to each other.
 package peerapi
 
-import "github.com/mailru/easyjson"
+import (
+	"github.com/juju/errors"
+	"github.com/mailru/easyjson"
+)
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all messages.go
 
@@ -222,8 +225,11 @@
 	Version       int64               `json:"version"`
 	Body          easyjson.RawMessage `json:"body"`
 	InitialVoters []InitialVoters     `json:"births,omitempty"`
-	Confirmed     []ConfirmedVersion  `json:"taken,omitempty"`
-	Moved         []MovedRoute        `json:"moved,omitempty"`
+	// Confirmed are the last confirmed versions in the older form on disk; each has a record of its own now.
+	Confirmed []ConfirmedVersion `json:"taken,omitempty"`
+	// Forgotten is the newest confirmed version whose record was dropped.
+	Forgotten int64        `json:"forgotten,omitempty"`
+	Moved     []MovedRoute `json:"moved,omitempty"`
 }
 
 // MovedRoute names the services that an entry was sent to before.
@@ -237,6 +243,8 @@
 	Voters  []string `json:"voters"`
 }
 
+// ConfirmedVersion says which body was confirmed under a version: Digest is its sha256 in hexadecimal, or in the older
+// form the first eight bytes of it.
 type ConfirmedVersion struct {
 	Version int64  `json:"version"`
 	Digest  string `json:"digest"`
@@ -270,14 +278,26 @@
 	TargetMs    int64   `json:"t,omitempty"`
 }
 
-// ClientAnswer with Elsewhere set was not taken; Owner is then the best guess.
+// ClientAnswer with Elsewhere set names the leader to ask as Owner, as far as it is known. The call was not taken,
+// unless Unclear is set too: then its change was proposed, and a later leader may keep it or not.
 type ClientAnswer struct {
 	Elsewhere  bool                `json:"elsewhere,omitempty"`
+	Unclear    bool                `json:"unclear,omitempty"`
 	Owner      string              `json:"owner,omitempty"`
 	Status     int                 `json:"status,omitempty"`
 	RetryAfter int                 `json:"retry,omitempty"`
 	Why        string              `json:"why,omitempty"`
 	Body       easyjson.RawMessage `json:"body,omitempty"`
+	// Current is the version in force with a refused configuration.
+	Current int64 `json:"current,omitempty"`
+}
+
+// Check refuses an answer that says nothing.
+func (a *ClientAnswer) Check() error {
+	if !a.Elsewhere && a.Status < 100 {
+		return errors.Errorf("an answer without a status (%d)", a.Status)
+	}
+	return nil
 }
 
 type Capacity struct {
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -4658,6 +4658,12 @@
 				}
 				in.Delim(']')
 			}
+		case "forgotten":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Forgotten = int64(in.Int64())
+			}
 		case "moved":
 			if in.IsNull() {
 				in.Skip()
@@ -4737,6 +4743,11 @@
 			out.RawByte(']')
 		}
 	}
+	if in.Forgotten != 0 {
+		const prefix string = ",\"forgotten\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.Forgotten))
+	}
 	if len(in.Moved) != 0 {
 		const prefix string = ",\"moved\":"
 		out.RawString(prefix)
@@ -4947,6 +4958,12 @@
 			} else {
 				out.Elsewhere = bool(in.Bool())
 			}
+		case "unclear":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Unclear = bool(in.Bool())
+			}
 		case "owner":
 			if in.IsNull() {
 				in.Skip()
@@ -4977,6 +4994,12 @@
 			} else {
 				(out.Body).UnmarshalEasyJSON(in)
 			}
+		case "current":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Current = int64(in.Int64())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -4997,6 +5020,16 @@
 		out.RawString(prefix[1:])
 		out.Bool(bool(in.Elsewhere))
 	}
+	if in.Unclear {
+		const prefix string = ",\"unclear\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Unclear))
+	}
 	if in.Owner != "" {
 		const prefix string = ",\"owner\":"
 		if first {
@@ -5047,6 +5080,16 @@
 		}
 		(in.Body).MarshalEasyJSON(out)
 	}
+	if in.Current != 0 {
+		const prefix string = ",\"current\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int64(int64(in.Current))
+	}
 	out.RawByte('}')
 }
 
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -14,15 +14,15 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/bootsettings"
-	"gannetline/internal/daybook"
-	"gannetline/internal/jobtable"
-	"gannetline/internal/logs"
+	"gannetline/internal/jobs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/placetasks"
+	"gannetline/internal/placement"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/recording"
 	"gannetline/internal/replication"
+	"gannetline/internal/settings"
 )
 
 // Tenure is what a pool needs of the ownership of its key.
@@ -48,20 +48,20 @@
 	Headroom     Headroom
 }
 
-func TimingFrom(settings *bootsettings.Settings) Timing {
-	hold := settings.MaxHold()
+func TimingFrom(nodeSettings *settings.Settings) Timing {
+	hold := nodeSettings.MaxHold()
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
-		StopTimeout: pulse.Ms(settings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
-		KeepEnded: time.Duration(settings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
-		Headroom:  DefaultHeadroom, RemoteFactor: settings.Bounds.RemoteFactor}
+		StopTimeout: pulse.Ms(nodeSettings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
+		KeepEnded: time.Duration(nodeSettings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
+		Headroom:  DefaultHeadroom, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
 }
 
 type Pool struct {
 	key    string
 	clock  pulse.Pulse
 	timing Timing
-	log    logs.Logger
+	log    logging.Logger
 
 	tenure       Tenure
 	jobs         map[string]*job
@@ -96,11 +96,11 @@
 }
 
 // Recorder is told what a rehearsal needs to play the day again; it must not block.
-type Recorder interface{ Record(daybook.Event) }
+type Recorder interface{ Record(recording.Event) }
 
 type silentRecorder struct{}
 
-func (silentRecorder) Record(daybook.Event) {}
+func (silentRecorder) Record(recording.Event) {}
 
 type Option func(*Pool)
 
@@ -110,7 +110,7 @@
 
 func WithRules(rules *queuerules.Rules) Option { return func(p *Pool) { p.rules = rules } }
 
-func New(key string, clock pulse.Pulse, timing Timing, log logs.Logger, options ...Option) *Pool {
+func New(key string, clock pulse.Pulse, timing Timing, log logging.Logger, options ...Option) *Pool {
 	pool := &Pool{key: key, clock: clock, timing: timing, log: log, record: silentRecorder{}, meters: newMeters(key),
 		trusts: map[string]*trust{}}
 	for _, option := range options {
@@ -290,7 +290,7 @@
 	if err := easyjson.Unmarshal(value, &one.record); err != nil {
 		return err
 	}
-	spec, err := jobtable.Read(one.record.Spec)
+	spec, err := jobs.Read(one.record.Spec)
 	if err != nil {
 		return err
 	}
@@ -329,7 +329,7 @@
 }
 
 func (p *Pool) loadTask(name string, value []byte) error {
-	place, isTask := jobtable.ParseTask(name)
+	place, isTask := jobs.ParseTask(name)
 	var record taskRecord
 	if err := easyjson.Unmarshal(value, &record); err != nil || !isTask {
 		return errors.Errorf("a task that can't be read: %v", err)
@@ -417,7 +417,7 @@
 	for place := range one.spec.Steps {
 		step := &stepState{time: spell, number: place, step: &one.spec.Steps[place], left: one.spec.Steps[place].Tasks}
 		for index := range step.left {
-			step.tasks = append(step.tasks, &task{name: jobtable.TaskName(one.id, number, place, index), step: step, index: index})
+			step.tasks = append(step.tasks, &task{name: jobs.TaskName(one.id, number, place, index), step: step, index: index})
 		}
 		step.idle = slices.Clone(step.tasks)
 		spell.steps = append(spell.steps, step)
@@ -502,6 +502,6 @@
 	return "o/" + which.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
 }
 
-func room(capacity peerapi.Capacity) placetasks.Room {
-	return placetasks.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
+func room(capacity peerapi.Capacity) placement.Room {
+	return placement.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
 }
--- a/internal/reply/reply.go
+++ b/internal/response/response.go
@@ -1,5 +1,5 @@
-// Package reply writes the answers of the project's HTTP interfaces.
-package reply
+// Package response writes the answers of the project's HTTP interfaces.
+package response
 
 import (
 	"encoding/json"
@@ -31,7 +31,11 @@
 	return answer
 }
 
+// Write sends the answer; one without a status says that whoever made it gave none.
 func (r Reply) Write(to http.ResponseWriter) {
+	if r.Status == 0 {
+		r = Text(http.StatusBadGateway, "there was no answer")
+	}
 	if len(r.Body) > 0 {
 		to.Header().Set("Content-Type", "application/json")
 	}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -12,15 +12,15 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/bootsettings"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
+	"gannetline/internal/settings"
 	"gannetline/internal/span"
 	"gannetline/internal/supervise"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const (
@@ -31,23 +31,23 @@
 // base is what every role has: settings, log, clock, siblings and a tree of parts.
 type base struct {
 	path     string
-	settings *bootsettings.Settings
+	settings *settings.Settings
 	clock    pulse.Pulse
-	log      logs.Logger
+	log      logging.Logger
 	caller   *peerapi.Caller
 	calls    net.Listener
 	packets  net.PacketConn
 	inner    *http.ServeMux
 	tree     *supervise.Tree
 	node     *membership.Node
-	meter    *wiremeter.Meter
+	meter    *transportmetrics.Meter
 }
 
 // Option adds to a role what only a measured process has.
 type Option func(*base)
 
 // WithMeter counts what the role sends and receives.
-func WithMeter(meter *wiremeter.Meter) Option { return func(b *base) { b.meter = meter } }
+func WithMeter(meter *transportmetrics.Meter) Option { return func(b *base) { b.meter = meter } }
 
 // WithPage serves one more page at the internal address.
 func WithPage(path string, page http.Handler) Option {
@@ -55,15 +55,15 @@
 }
 
 func newBase(path, role string, options ...Option) (*base, error) {
-	settings, err := bootsettings.Load(path)
+	nodeSettings, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := settings.Require(role); err != nil {
+	if err := nodeSettings.Require(role); err != nil {
 		return nil, err
 	}
-	tameMemory(settings)
-	b, err := assemble(settings, logs.New(os.Stderr, settings.LogLevel).WithValues("role", role), options...)
+	tameMemory(nodeSettings)
+	b, err := assemble(nodeSettings, logging.New(os.Stderr, nodeSettings.LogLevel).WithValues("role", role), options...)
 	if err != nil {
 		return nil, err
 	}
@@ -72,13 +72,13 @@
 	return b, nil
 }
 
-func assemble(settings *bootsettings.Settings, log logs.Logger, options ...Option) (*base, error) {
+func assemble(nodeSettings *settings.Settings, log logging.Logger, options ...Option) (*base, error) {
 	clock := pulse.Real()
-	b := &base{settings: settings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
+	b := &base{settings: nodeSettings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
 	for _, option := range options {
 		option(b)
 	}
-	calls, packets, err := membership.BindInternal(settings.IPAddress, settings.InternalPorts[0], settings.InternalPorts[1])
+	calls, packets, err := membership.BindInternal(nodeSettings.IPAddress, nodeSettings.InternalPorts[0], nodeSettings.InternalPorts[1])
 	if err != nil {
 		return nil, errors.Annotate(err, "field internal-port-range")
 	}
@@ -87,9 +87,9 @@
 	return b, nil
 }
 
-func tameMemory(settings *bootsettings.Settings) {
+func tameMemory(nodeSettings *settings.Settings) {
 	debug.SetGCPercent(50)
-	debug.SetMemoryLimit(settings.Limits.MemoryMB << 20 * 6 / 10)
+	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
 func (b *base) join(self peerapi.Member, options ...membership.Option) {
@@ -148,7 +148,7 @@
 			}
 		}
 		last = modified(b.path)
-		fresh, err := bootsettings.Load(b.path)
+		fresh, err := settings.Load(b.path)
 		if err != nil {
 			b.log.Error(err, "the changed settings were refused; the old ones stay")
 			continue
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -9,10 +9,10 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/gatecalls"
 	"gannetline/internal/leaderclient"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/span"
 )
 
@@ -62,7 +62,7 @@
 	})
 }
 
-func closeOrderly(server *http.Server, limit time.Duration, log logs.Logger) {
+func closeOrderly(server *http.Server, limit time.Duration, log logging.Logger) {
 	life, release := span.Within(span.Root(), limit)
 	defer release()
 	if err := server.Shutdown(life); err != nil {
@@ -73,9 +73,9 @@
 func readiness(isReady func() bool) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 		if isReady() {
-			reply.Empty(http.StatusOK).Write(to)
+			response.Empty(http.StatusOK).Write(to)
 			return
 		}
-		reply.Empty(http.StatusServiceUnavailable).Write(to)
+		response.Empty(http.StatusServiceUnavailable).Write(to)
 	})
 }
