--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -1,7 +1,10 @@
 // Package peerapi holds what the system's own processes say to each other.
 package peerapi
 
-import "github.com/mailru/easyjson"
+import (
+	"github.com/juju/errors"
+	"github.com/mailru/easyjson"
+)
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all messages.go
 
@@ -183,12 +186,31 @@
 type ConfigurationCall struct {
 	Held         int64 `json:"held"`
 	TakesChanges bool  `json:"changes,omitempty"`
+	// TakesChunks lets the whole come as a compressed image in chunks; Image and Offset name where to go on.
+	TakesChunks bool   `json:"chunks,omitempty"`
+	Image       string `json:"image,omitempty"`
+	Offset      int    `json:"offset,omitempty"`
 }
 
-// ConfigurationAnswer holds the whole plan, or the changes that lead to it from the version that is held.
+// ConfigurationAnswer holds the whole configuration, a chunk of its image, or the changes that lead to it from the
+// version that is held; none of them if the sibling holds nothing newer.
 type ConfigurationAnswer struct {
 	Fact    *Configuration        `json:"fact,omitempty"`
 	Changes []*ConfigurationDelta `json:"changes,omitempty"`
+	Chunk   *ConfigurationChunk   `json:"chunk,omitempty"`
+	// Busy says that too many siblings are being answered; another one should be asked.
+	Busy bool `json:"busy,omitempty"`
+}
+
+// ConfigurationChunk is a part of an image: the compressed form of one whole version.
+type ConfigurationChunk struct {
+	Version int64 `json:"version"`
+	// Image is the sha256 of the whole image, in hexadecimal.
+	Image string `json:"image"`
+	// Size of the image and Offset of the chunk are in bytes.
+	Size   int    `json:"size"`
+	Offset int    `json:"offset,omitempty"`
+	Data   []byte `json:"data"`
 }
 
 // ConfigurationDelta makes the plan of one version out of that of another; Digest is that of the result.
@@ -213,8 +235,11 @@
 	Version       int64               `json:"version"`
 	Body          easyjson.RawMessage `json:"body"`
 	InitialVoters []InitialVoters     `json:"births,omitempty"`
-	Confirmed     []ConfirmedVersion  `json:"taken,omitempty"`
-	Moved         []MovedRoute        `json:"moved,omitempty"`
+	// Confirmed are the last confirmed versions in the older form on disk; each has a record of its own now.
+	Confirmed []ConfirmedVersion `json:"taken,omitempty"`
+	// Forgotten is the newest confirmed version whose record was dropped.
+	Forgotten int64        `json:"forgotten,omitempty"`
+	Moved     []MovedRoute `json:"moved,omitempty"`
 }
 
 // MovedRoute names the services that an entry was sent to before.
@@ -228,6 +253,8 @@
 	Voters  []string `json:"voters"`
 }
 
+// ConfirmedVersion says which body was confirmed under a version: Digest is its sha256 in hexadecimal, or in the older
+// form the first eight bytes of it.
 type ConfirmedVersion struct {
 	Version int64  `json:"version"`
 	Digest  string `json:"digest"`
@@ -271,6 +298,16 @@
 	RetryAfter int                 `json:"retry,omitempty"`
 	Why        string              `json:"why,omitempty"`
 	Body       easyjson.RawMessage `json:"body,omitempty"`
+	// Current is the version in force with a refused configuration.
+	Current int64 `json:"current,omitempty"`
+}
+
+// Check refuses an answer that says nothing.
+func (a *ClientAnswer) Check() error {
+	if !a.Elsewhere && a.Status < 100 {
+		return errors.Errorf("an answer without a status (%d)", a.Status)
+	}
+	return nil
 }
 
 type Capacity struct {
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/peerapi/messages_easyjson.go
@@ -4228,7 +4228,117 @@
 func (v *ConfigurationDelta) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeGannetlineInternalPeerapi31(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi32(in *jlexer.Lexer, out *ConfigurationCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi32(in *jlexer.Lexer, out *ConfigurationChunk) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "version":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Version = int64(in.Int64())
+			}
+		case "image":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Image = string(in.String())
+			}
+		case "size":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Size = int(in.Int())
+			}
+		case "offset":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Offset = int(in.Int())
+			}
+		case "data":
+			if in.IsNull() {
+				in.Skip()
+				out.Data = nil
+			} else {
+				out.Data = in.Bytes()
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeGannetlineInternalPeerapi32(out *jwriter.Writer, in ConfigurationChunk) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"version\":"
+		out.RawString(prefix[1:])
+		out.Int64(int64(in.Version))
+	}
+	{
+		const prefix string = ",\"image\":"
+		out.RawString(prefix)
+		out.String(string(in.Image))
+	}
+	{
+		const prefix string = ",\"size\":"
+		out.RawString(prefix)
+		out.Int(int(in.Size))
+	}
+	if in.Offset != 0 {
+		const prefix string = ",\"offset\":"
+		out.RawString(prefix)
+		out.Int(int(in.Offset))
+	}
+	{
+		const prefix string = ",\"data\":"
+		out.RawString(prefix)
+		out.Base64Bytes(in.Data)
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v ConfigurationChunk) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeGannetlineInternalPeerapi32(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v ConfigurationChunk) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeGannetlineInternalPeerapi32(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *ConfigurationChunk) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeGannetlineInternalPeerapi32(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *ConfigurationChunk) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeGannetlineInternalPeerapi32(l, v)
+}
+func easyjson66c1e240DecodeGannetlineInternalPeerapi33(in *jlexer.Lexer, out *ConfigurationCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4254,6 +4364,24 @@
 			} else {
 				out.TakesChanges = bool(in.Bool())
 			}
+		case "chunks":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.TakesChunks = bool(in.Bool())
+			}
+		case "image":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Image = string(in.String())
+			}
+		case "offset":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Offset = int(in.Int())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -4264,7 +4392,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi32(out *jwriter.Writer, in ConfigurationCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi33(out *jwriter.Writer, in ConfigurationCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4278,33 +4406,48 @@
 		out.RawString(prefix)
 		out.Bool(bool(in.TakesChanges))
 	}
+	if in.TakesChunks {
+		const prefix string = ",\"chunks\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.TakesChunks))
+	}
+	if in.Image != "" {
+		const prefix string = ",\"image\":"
+		out.RawString(prefix)
+		out.String(string(in.Image))
+	}
+	if in.Offset != 0 {
+		const prefix string = ",\"offset\":"
+		out.RawString(prefix)
+		out.Int(int(in.Offset))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi32(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi33(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi32(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi33(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi32(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi33(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi32(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi33(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi33(in *jlexer.Lexer, out *ConfigurationAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi34(in *jlexer.Lexer, out *ConfigurationAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4348,25 +4491,45 @@
 					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v73 *ConfigurationDelta
+					var v76 *ConfigurationDelta
 					if in.IsNull() {
 						in.Skip()
-						v73 = nil
+						v76 = nil
 					} else {
-						if v73 == nil {
-							v73 = new(ConfigurationDelta)
+						if v76 == nil {
+							v76 = new(ConfigurationDelta)
 						}
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(*v73).UnmarshalEasyJSON(in)
+							(*v76).UnmarshalEasyJSON(in)
 						}
 					}
-					out.Changes = append(out.Changes, v73)
+					out.Changes = append(out.Changes, v76)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
+		case "chunk":
+			if in.IsNull() {
+				in.Skip()
+				out.Chunk = nil
+			} else {
+				if out.Chunk == nil {
+					out.Chunk = new(ConfigurationChunk)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Chunk).UnmarshalEasyJSON(in)
+				}
+			}
+		case "busy":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Busy = bool(in.Bool())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -4377,7 +4540,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi33(out *jwriter.Writer, in ConfigurationAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi34(out *jwriter.Writer, in ConfigurationAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4397,46 +4560,66 @@
 		}
 		{
 			out.RawByte('[')
-			for v74, v75 := range in.Changes {
-				if v74 > 0 {
+			for v77, v78 := range in.Changes {
+				if v77 > 0 {
 					out.RawByte(',')
 				}
-				if v75 == nil {
+				if v78 == nil {
 					out.RawString("null")
 				} else {
-					(*v75).MarshalEasyJSON(out)
+					(*v78).MarshalEasyJSON(out)
 				}
 			}
 			out.RawByte(']')
 		}
 	}
+	if in.Chunk != nil {
+		const prefix string = ",\"chunk\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		(*in.Chunk).MarshalEasyJSON(out)
+	}
+	if in.Busy {
+		const prefix string = ",\"busy\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Bool(bool(in.Busy))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi33(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi34(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi33(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi34(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi33(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi34(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi33(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi34(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi34(in *jlexer.Lexer, out *Configuration) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi35(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4478,13 +4661,13 @@
 					out.InitialVoters = (out.InitialVoters)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v76 InitialVoters
+					var v79 InitialVoters
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v76).UnmarshalEasyJSON(in)
+						(v79).UnmarshalEasyJSON(in)
 					}
-					out.InitialVoters = append(out.InitialVoters, v76)
+					out.InitialVoters = append(out.InitialVoters, v79)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4505,17 +4688,23 @@
 					out.Confirmed = (out.Confirmed)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v77 ConfirmedVersion
+					var v80 ConfirmedVersion
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v77).UnmarshalEasyJSON(in)
+						(v80).UnmarshalEasyJSON(in)
 					}
-					out.Confirmed = append(out.Confirmed, v77)
+					out.Confirmed = append(out.Confirmed, v80)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
+		case "forgotten":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Forgotten = int64(in.Int64())
+			}
 		case "moved":
 			if in.IsNull() {
 				in.Skip()
@@ -4532,13 +4721,13 @@
 					out.Moved = (out.Moved)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v78 MovedRoute
+					var v81 MovedRoute
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v78).UnmarshalEasyJSON(in)
+						(v81).UnmarshalEasyJSON(in)
 					}
-					out.Moved = append(out.Moved, v78)
+					out.Moved = append(out.Moved, v81)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -4553,7 +4742,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi34(out *jwriter.Writer, in Configuration) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi35(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4572,11 +4761,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v79, v80 := range in.InitialVoters {
-				if v79 > 0 {
+			for v82, v83 := range in.InitialVoters {
+				if v82 > 0 {
 					out.RawByte(',')
 				}
-				(v80).MarshalEasyJSON(out)
+				(v83).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4586,25 +4775,30 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v81, v82 := range in.Confirmed {
-				if v81 > 0 {
+			for v84, v85 := range in.Confirmed {
+				if v84 > 0 {
 					out.RawByte(',')
 				}
-				(v82).MarshalEasyJSON(out)
+				(v85).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
+	if in.Forgotten != 0 {
+		const prefix string = ",\"forgotten\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.Forgotten))
+	}
 	if len(in.Moved) != 0 {
 		const prefix string = ",\"moved\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v83, v84 := range in.Moved {
-				if v83 > 0 {
+			for v86, v87 := range in.Moved {
+				if v86 > 0 {
 					out.RawByte(',')
 				}
-				(v84).MarshalEasyJSON(out)
+				(v87).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -4615,27 +4809,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi34(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi35(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi34(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi35(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi34(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi35(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi34(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi35(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi35(in *jlexer.Lexer, out *ClientCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi36(in *jlexer.Lexer, out *ClientCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4715,7 +4909,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi35(out *jwriter.Writer, in ClientCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi36(out *jwriter.Writer, in ClientCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4765,27 +4959,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi35(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi36(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi35(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi36(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi35(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi36(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi35(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi36(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi36(in *jlexer.Lexer, out *ClientAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi37(in *jlexer.Lexer, out *ClientAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4841,6 +5035,12 @@
 			} else {
 				(out.Body).UnmarshalEasyJSON(in)
 			}
+		case "current":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Current = int64(in.Int64())
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -4851,7 +5051,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi36(out *jwriter.Writer, in ClientAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi37(out *jwriter.Writer, in ClientAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4921,33 +5121,43 @@
 		}
 		(in.Body).MarshalEasyJSON(out)
 	}
+	if in.Current != 0 {
+		const prefix string = ",\"current\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int64(int64(in.Current))
+	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
 func (v ClientAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi36(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi37(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi36(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi37(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi36(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi37(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi36(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi37(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi37(in *jlexer.Lexer, out *Change) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi38(in *jlexer.Lexer, out *Change) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4983,13 +5193,13 @@
 					out.Ops = (out.Ops)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v85 Op
+					var v88 Op
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v85).UnmarshalEasyJSON(in)
+						(v88).UnmarshalEasyJSON(in)
 					}
-					out.Ops = append(out.Ops, v85)
+					out.Ops = append(out.Ops, v88)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5018,7 +5228,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi37(out *jwriter.Writer, in Change) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi38(out *jwriter.Writer, in Change) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5032,11 +5242,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v86, v87 := range in.Ops {
-				if v86 > 0 {
+			for v89, v90 := range in.Ops {
+				if v89 > 0 {
 					out.RawByte(',')
 				}
-				(v87).MarshalEasyJSON(out)
+				(v90).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5052,27 +5262,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Change) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi37(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi38(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Change) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi37(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi38(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Change) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi37(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi38(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Change) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi37(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi38(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi38(in *jlexer.Lexer, out *Capacity) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi39(in *jlexer.Lexer, out *Capacity) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5114,7 +5324,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi38(out *jwriter.Writer, in Capacity) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi39(out *jwriter.Writer, in Capacity) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5139,27 +5349,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Capacity) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi38(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi39(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Capacity) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi38(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi39(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Capacity) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi38(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi39(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Capacity) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi38(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi39(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi39(in *jlexer.Lexer, out *BeliefsCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi40(in *jlexer.Lexer, out *BeliefsCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5183,7 +5393,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi39(out *jwriter.Writer, in BeliefsCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi40(out *jwriter.Writer, in BeliefsCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5193,27 +5403,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi39(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi40(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi39(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi40(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi39(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi40(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi39(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi40(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi40(in *jlexer.Lexer, out *BeliefsAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi41(in *jlexer.Lexer, out *BeliefsAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5261,13 +5471,13 @@
 					out.Members = (out.Members)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v88 Member
+					var v91 Member
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v88).UnmarshalEasyJSON(in)
+						(v91).UnmarshalEasyJSON(in)
 					}
-					out.Members = append(out.Members, v88)
+					out.Members = append(out.Members, v91)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5288,13 +5498,13 @@
 					out.Owners = (out.Owners)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v89 LeaderFact
+					var v92 LeaderFact
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v89).UnmarshalEasyJSON(in)
+						(v92).UnmarshalEasyJSON(in)
 					}
-					out.Owners = append(out.Owners, v89)
+					out.Owners = append(out.Owners, v92)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5315,13 +5525,13 @@
 					out.Keys = (out.Keys)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v90 KeyBelief
+					var v93 KeyBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v90).UnmarshalEasyJSON(in)
+						(v93).UnmarshalEasyJSON(in)
 					}
-					out.Keys = append(out.Keys, v90)
+					out.Keys = append(out.Keys, v93)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5342,13 +5552,13 @@
 					out.Jobs = (out.Jobs)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v91 JobBelief
+					var v94 JobBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v91).UnmarshalEasyJSON(in)
+						(v94).UnmarshalEasyJSON(in)
 					}
-					out.Jobs = append(out.Jobs, v91)
+					out.Jobs = append(out.Jobs, v94)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5369,13 +5579,13 @@
 					out.Executors = (out.Executors)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v92 ExecutorBelief
+					var v95 ExecutorBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v92).UnmarshalEasyJSON(in)
+						(v95).UnmarshalEasyJSON(in)
 					}
-					out.Executors = append(out.Executors, v92)
+					out.Executors = append(out.Executors, v95)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5390,7 +5600,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi40(out *jwriter.Writer, in BeliefsAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi41(out *jwriter.Writer, in BeliefsAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5416,11 +5626,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v93, v94 := range in.Members {
-				if v93 > 0 {
+			for v96, v97 := range in.Members {
+				if v96 > 0 {
 					out.RawByte(',')
 				}
-				(v94).MarshalEasyJSON(out)
+				(v97).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5432,11 +5642,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v95, v96 := range in.Owners {
-				if v95 > 0 {
+			for v98, v99 := range in.Owners {
+				if v98 > 0 {
 					out.RawByte(',')
 				}
-				(v96).MarshalEasyJSON(out)
+				(v99).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5448,11 +5658,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v97, v98 := range in.Keys {
-				if v97 > 0 {
+			for v100, v101 := range in.Keys {
+				if v100 > 0 {
 					out.RawByte(',')
 				}
-				(v98).MarshalEasyJSON(out)
+				(v101).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5464,11 +5674,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v99, v100 := range in.Jobs {
-				if v99 > 0 {
+			for v102, v103 := range in.Jobs {
+				if v102 > 0 {
 					out.RawByte(',')
 				}
-				(v100).MarshalEasyJSON(out)
+				(v103).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5480,11 +5690,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v101, v102 := range in.Executors {
-				if v101 > 0 {
+			for v104, v105 := range in.Executors {
+				if v104 > 0 {
 					out.RawByte(',')
 				}
-				(v102).MarshalEasyJSON(out)
+				(v105).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5495,27 +5705,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi40(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi41(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi40(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi41(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi40(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi41(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi40(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi41(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi41(in *jlexer.Lexer, out *AppendCall) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi42(in *jlexer.Lexer, out *AppendCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5575,13 +5785,13 @@
 					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v103 Change
+					var v106 Change
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v103).UnmarshalEasyJSON(in)
+						(v106).UnmarshalEasyJSON(in)
 					}
-					out.Changes = append(out.Changes, v103)
+					out.Changes = append(out.Changes, v106)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -5642,7 +5852,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi41(out *jwriter.Writer, in AppendCall) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi42(out *jwriter.Writer, in AppendCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5676,11 +5886,11 @@
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v104, v105 := range in.Changes {
-				if v104 > 0 {
+			for v107, v108 := range in.Changes {
+				if v107 > 0 {
 					out.RawByte(',')
 				}
-				(v105).MarshalEasyJSON(out)
+				(v108).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -5716,27 +5926,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi41(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi42(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi41(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi42(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi41(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi42(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi41(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi42(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi42(in *jlexer.Lexer, out *AppendAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalPeerapi43(in *jlexer.Lexer, out *AppendAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5808,7 +6018,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi42(out *jwriter.Writer, in AppendAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalPeerapi43(out *jwriter.Writer, in AppendAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5864,23 +6074,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi42(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi43(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi42(w, v)
+	easyjson66c1e240EncodeGannetlineInternalPeerapi43(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi42(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi43(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi42(l, v)
+	easyjson66c1e240DecodeGannetlineInternalPeerapi43(l, v)
 }
