--- a/tools/play-days.sh
+++ b/tools/play-days.sh
@@ -68,6 +68,7 @@
       ([.breaks | to_entries[] | "\(.key) \(.value)"] + (if .fault then ["fault: \(.fault)"] else [] end)) as $broken
       | [$day, $site, $seed, .G,
          (if $broken == [] then "none" else $broken | join(", ") end)
+         + (if .missed + .short == [] then "" else "; missed: \(.missed + .short | join(", "))" end)
          + (if $left == "" then "" else " (left out: \($left))" end)]
       | @tsv' "$report" > "$out/$name.line"
   fi
