--- /dev/null
+++ b/internal/peerapi/check_test.go
@@ -0,0 +1,100 @@
+package peerapi_test
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"time"
+
+	"github.com/juju/errors"
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/span"
+)
+
+// answering serves client calls with one answer.
+func answering(answer *peerapi.ClientAnswer) string {
+	mux := http.NewServeMux()
+	peerapi.Serve(mux, peerapi.ProcedureClient, func(span.Span, *peerapi.ClientCall) (*peerapi.ClientAnswer, error) { return answer, nil })
+	server := httptest.NewServer(mux)
+	DeferCleanup(server.Close)
+	return server.Listener.Addr().String()
+}
+
+var _ = Describe("an answer of a sibling", func() {
+	ask := func(address string) (*peerapi.ClientAnswer, error) {
+		return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](peerapi.NewCaller(http.DefaultClient), span.Root(), address,
+			peerapi.ProcedureClient, 5*time.Second, &peerapi.ClientCall{})
+	}
+
+	It("without a status is an error that names the step and the sibling, and may have been carried out", func() {
+		address := answering(&peerapi.ClientAnswer{})
+		_, err := ask(address)
+		Expect(err).To(MatchError(And(ContainSubstring("Client"), ContainSubstring(address), ContainSubstring("without a status"))))
+		Expect(peerapi.NeverSent(err)).To(BeFalse())
+	})
+
+	It("needs no status if it points elsewhere", func() {
+		Expect(ask(answering(&peerapi.ClientAnswer{Elsewhere: true}))).To(Equal(&peerapi.ClientAnswer{Elsewhere: true}))
+	})
+})
+
+var _ = Describe("a call that may take as long as something comes", func() {
+	// part is written each time that one is asked for.
+	var parts chan string
+	var address string
+	var clock *pulse.Fake
+	BeforeEach(func() {
+		parts, clock = make(chan string), pulse.NewFake(1)
+		server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
+			to.Header().Set("Content-Type", "application/easyjson")
+			to.WriteHeader(http.StatusOK)
+			to.(http.Flusher).Flush()
+			for part := range parts {
+				to.Write([]byte(part))
+				to.(http.Flusher).Flush()
+			}
+		}))
+		DeferCleanup(server.Close)
+		address = server.Listener.Addr().String()
+	})
+
+	It("ends once nothing came for the patience, with the step, the sibling and the cause", func() {
+		DeferCleanup(func() { close(parts) })
+		over := make(chan error)
+		go func() {
+			_, err := peerapi.CallWhileMoving[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
+				impatient{}, span.Root(), address, peerapi.ProcedureFetch, time.Second, &peerapi.ConfigurationCall{})
+			over <- err
+		}()
+		err := <-over
+		Expect(errors.Is(err, peerapi.ErrStalled)).To(BeTrue())
+		Expect(err).To(MatchError(And(ContainSubstring("Fetch"), ContainSubstring(address))))
+	})
+
+	It("gives the answer however many parts it comes in", func() {
+		go func() {
+			for _, part := range []string{`{"fact":`, `{"version":7,`, `"body":{}}`, `}`} {
+				parts <- part
+			}
+			close(parts)
+		}()
+		answer, err := peerapi.CallWhileMoving[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
+			clock, span.Root(), address, peerapi.ProcedureFetch, time.Second, &peerapi.ConfigurationCall{})
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.Fact.Version).To(Equal(int64(7)))
+	})
+})
+
+// impatient is a clock on which every wait is over at once.
+type impatient struct{}
+
+func (impatient) Steady() time.Duration { return 0 }
+func (impatient) WallMs() int64         { return 0 }
+func (impatient) After(time.Duration) <-chan time.Time {
+	over := make(chan time.Time, 1)
+	over <- time.Time{}
+	return over
+}
--- a/internal/response/response.go
+++ b/internal/response/response.go
@@ -62,7 +62,7 @@
 	if r.Status < leastFinalStatus || r.Status > mostFinalStatus {
 		err := errors.Errorf("an answer has the status %d, which is not a final one", r.Status)
 		log.Error(err, "writing an answer", "status", r.Status, "bodyBytes", len(r.Body))
-		r = Text(http.StatusBadGateway, "the answer had no status")
+		r = Text(http.StatusBadGateway, "no answer with a status came")
 	}
 	if len(r.Body) > 0 {
 		to.Header().Set("Content-Type", "application/json")
--- a/internal/response/response_test.go
+++ b/internal/response/response_test.go
@@ -21,6 +21,13 @@
 		Expect(to.Body.String()).To(Equal(`{"error-text":"busy"}`))
 	})
 
+	It("without a status is written as a bad gateway, and ends no handler", func() {
+		recorder := httptest.NewRecorder()
+		response.Raw(0, nil).Write(recorder)
+		Expect(recorder.Code).To(Equal(502))
+		Expect(recorder.Body.String()).To(ContainSubstring("no answer"))
+	})
+
 	DescribeTable("without a final status becomes 502 with a logged error", func(status int) {
 		to, lines := httptest.NewRecorder(), &bytes.Buffer{}
 		response.Raw(status, []byte(`{"config-version":7}`)).WriteLogged(to, logging.New(lines, 0))
