--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -1,10 +1,8 @@
-// Package configowner is the operator's plan while this steward owns its key.
+// Package configowner decides on the operator's configuration while this steward leads its key.
 package configowner
 
 import (
 	"bytes"
-	"crypto/sha256"
-	"encoding/hex"
 	"net/http"
 	"slices"
 	"strconv"
@@ -18,9 +16,11 @@
 )
 
 const (
-	Key       = "plan"
-	factName  = "fact"
-	mostTaken = 64
+	// Key is that of the configuration among the replicated keys.
+	Key      = "plan"
+	factName = "fact"
+	// mostWaiting calls wait for a commit that is under way.
+	mostWaiting = 32
 )
 
 // Tenure is what the plan needs of the ownership of its key.
@@ -30,31 +30,49 @@
 	Voters() []string
 }
 
+// Leader decides on the operator's calls, one after the other in the order in which they come.
 type Leader struct {
-	tenure  Tenure
-	fact    *peerapi.Configuration
-	isBusy  bool
-	publish func(*peerapi.Configuration)
-	log     logging.Logger
+	tenure    Tenure
+	fact      *peerapi.Configuration
+	plan      *configuration.Configuration
+	confirmed *confirmed
+	isBusy    bool
+	waiting   []waitingCall
+	publish   func(*peerapi.Configuration)
+	log       logging.Logger
 }
 
+// waitingCall came while a commit was under way.
+type waitingCall struct {
+	call   *peerapi.ClientCall
+	answer answerClient
+}
+
+// New makes a leader without a tenure; publish is told of each committed configuration.
 func New(log logging.Logger, publish func(*peerapi.Configuration)) *Leader {
 	return &Leader{publish: publish, log: log}
 }
 
+// Open takes over the key with what is committed of it; an error says that it can't be read.
 func (p *Leader) Open(tenure Tenure, pairs []peerapi.Op) error {
-	p.fact, p.isBusy = nil, false
+	p.Close()
+	var fact *peerapi.Configuration
 	for _, pair := range pairs {
 		if pair.Name == factName {
-			p.fact = &peerapi.Configuration{}
-			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), p.fact); err != nil {
+			fact = &peerapi.Configuration{}
+			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), fact); err != nil {
 				return errors.Annotate(err, "reading the plan from disk")
 			}
 		}
 	}
-	p.tenure = tenure
-	if p.fact != nil {
-		p.publish(passedOn(p.fact))
+	confirmed, err := readConfirmed(pairs, fact)
+	if err != nil {
+		return err
+	}
+	p.tenure, p.fact, p.confirmed = tenure, fact, confirmed
+	if fact != nil {
+		fact.Confirmed = nil
+		p.publish(passedOn(fact))
 	}
 	return nil
 }
@@ -64,54 +82,72 @@
 	return &peerapi.Configuration{Version: fact.Version, Body: bytes.TrimSpace(fact.Body), InitialVoters: fact.InitialVoters, Moved: fact.Moved}
 }
 
-func (p *Leader) Close() { p.tenure, p.fact = nil, nil }
+// Close gives up the key; calls that wait were not taken.
+func (p *Leader) Close() {
+	waiting := p.waiting
+	p.tenure, p.fact, p.plan, p.confirmed, p.isBusy, p.waiting = nil, nil, nil, nil, false, nil
+	for _, one := range waiting {
+		one.answer(peerapi.ClientAnswer{Elsewhere: true})
+	}
+}
 
+// IsOpen tells whether the key is led here.
 func (p *Leader) IsOpen() bool { return p.tenure != nil }
 
 type answerClient = func(peerapi.ClientAnswer)
 
-func digestOf(body []byte) string {
-	sum := sha256.Sum256(body)
-	return hex.EncodeToString(sum[:8])
-}
-
-// Replace decides on an operator's change: taken before, on the wrong base, invalid, or committed.
+// Replace decides on an operator's change: taken before, on the wrong base, invalid, or committed. While a commit is
+// under way it waits for its turn.
 func (p *Leader) Replace(call *peerapi.ClientCall, answer answerClient) {
-	if p.isBusy {
+	switch {
+	case !p.isBusy:
+		p.decide(call, answer)
+	case len(p.waiting) < mostWaiting:
+		p.waiting = append(p.waiting, waitingCall{call, answer})
+	default:
 		answer(peerapi.ClientAnswer{Elsewhere: true})
-		return
 	}
+}
+
+// decide answers at once, or commits. A refusal for the base is final: versions only rise, so a call whose base was
+// passed can't be taken later, and the records tell whether it was taken before. Where they no longer can, the answer
+// is none.
+func (p *Leader) decide(call *peerapi.ClientCall, answer answerClient) {
 	var current int64
 	if p.fact != nil {
 		current = p.fact.Version
 	}
 	plan, err := configuration.Read(call.Body)
-	if plan != nil && p.wasTaken(plan.Version, digestOf(call.Body)) {
-		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusOK, Body: versionBody(plan.Version)})
-		return
-	}
 	switch {
+	case plan != nil && p.confirmed.has(plan.Version, call.Body):
+		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusOK, Body: versionBody(plan.Version)})
 	case err != nil:
 		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
-		return
+	case call.Base != current && p.confirmed.isForgotten(plan.Version):
+		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusServiceUnavailable, RetryAfter: 1,
+			Why: "version " + strconv.FormatInt(plan.Version, 10) + " may have been taken too long ago to tell"})
 	case call.Base != current:
-		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusPreconditionFailed,
+		p.underLease(answer, peerapi.ClientAnswer{Status: http.StatusPreconditionFailed, Current: current,
 			Why: "the current version is " + strconv.FormatInt(current, 10)})
-		return
 	case plan.Version <= current:
 		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest,
 			Why: "field config-version is not above the current one, " + strconv.FormatInt(current, 10)})
-		return
+	default:
+		p.commit(plan, call.Body, answer)
 	}
-	p.commit(plan, call.Body, answer)
 }
 
-func versionBody(version int64) []byte {
-	return []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)
+// decideWaiting goes on with the calls that came during a commit, until one of them is committed in turn.
+func (p *Leader) decideWaiting() {
+	for len(p.waiting) > 0 && !p.isBusy && p.IsOpen() {
+		next := p.waiting[0]
+		p.waiting = p.waiting[1:]
+		p.decide(next.call, next.answer)
+	}
 }
 
-func (p *Leader) wasTaken(version int64, digest string) bool {
-	return p.fact != nil && slices.Contains(p.fact.Confirmed, peerapi.ConfirmedVersion{Version: version, Digest: digest})
+func versionBody(version int64) []byte {
+	return []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)
 }
 
 func (p *Leader) underLease(answer answerClient, what peerapi.ClientAnswer) {
@@ -123,34 +159,48 @@
 }
 
 func (p *Leader) commit(plan *configuration.Configuration, body []byte, answer answerClient) {
+	records, err := p.confirmed.with(plan.Version, body)
+	if err != nil {
+		p.refuseUnwritten(err, plan.Version, answer)
+		return
+	}
 	next := p.next(plan, body)
+	next.Forgotten = records.forgotten
 	value, err := easyjson.Marshal(next)
 	if err != nil {
-		answer(peerapi.ClientAnswer{Status: http.StatusInternalServerError, Why: "the plan could not be written"})
+		p.refuseUnwritten(err, plan.Version, answer)
 		return
 	}
 	p.isBusy = true
-	p.tenure.Commit([]peerapi.Op{{Name: factName, Value: value}}, func(err error) {
-		if err != nil {
-			answer(peerapi.ClientAnswer{Elsewhere: true, Unclear: true})
+	tenure := p.tenure
+	tenure.Commit(append([]peerapi.Op{{Name: factName, Value: value}}, records.ops...), func(err error) {
+		if err != nil || p.tenure != tenure {
+			answer(peerapi.ClientAnswer{Elsewhere: true})
 			return
 		}
 		p.isBusy = false
-		p.fact = next
+		p.fact, p.plan = next, plan
+		p.confirmed.take(records)
 		p.log.Info("plan committed", "version", next.Version)
 		p.publish(passedOn(next))
 		answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: versionBody(next.Version)})
+		p.decideWaiting()
 	})
 }
 
+func (p *Leader) refuseUnwritten(err error, version int64, answer answerClient) {
+	p.log.Error(err, "the plan could not be written", "version", version)
+	answer(peerapi.ClientAnswer{Status: http.StatusInternalServerError, Why: "the plan could not be written"})
+}
+
 func (p *Leader) next(plan *configuration.Configuration, body []byte) *peerapi.Configuration {
 	next := &peerapi.Configuration{Version: plan.Version, Body: body}
 	if p.fact != nil {
-		next.InitialVoters, next.Confirmed, next.Moved = slices.Clone(p.fact.InitialVoters), slices.Clone(p.fact.Confirmed), slices.Clone(p.fact.Moved)
-		next.Moved = p.moved(plan, next.Moved)
+		next.InitialVoters, next.Moved = slices.Clone(p.fact.InitialVoters), slices.Clone(p.fact.Moved)
+		if before := p.planInForce(); before != nil {
+			next.Moved = movedRoutes(next.Moved, before, plan)
+		}
 	}
-	next.Confirmed = append(next.Confirmed, peerapi.ConfirmedVersion{Version: plan.Version, Digest: digestOf(body)})
-	next.Confirmed = next.Confirmed[max(0, len(next.Confirmed)-mostTaken):]
 	for _, service := range plan.Services {
 		isBorn := slices.ContainsFunc(next.InitialVoters, func(birth peerapi.InitialVoters) bool { return birth.Service == service.Name })
 		if !isBorn {
@@ -160,27 +210,17 @@
 	return next
 }
 
-func (p *Leader) moved(plan *configuration.Configuration, moved []peerapi.MovedRoute) []peerapi.MovedRoute {
-	old, err := configuration.Read(p.fact.Body)
-	if err != nil {
-		return moved
-	}
-	before := configuration.NewMatcher(old)
-	for _, entry := range plan.Entries {
-		was := before.ByName(entry.Name)
-		if was == nil || was.Service == entry.Service {
-			continue
-		}
-		place := slices.IndexFunc(moved, func(one peerapi.MovedRoute) bool { return one.Entry == entry.Name })
-		if place < 0 {
-			moved = append(moved, peerapi.MovedRoute{Entry: entry.Name, Services: []string{was.Service}})
-			continue
-		}
-		if !slices.Contains(moved[place].Services, was.Service) {
-			moved[place].Services = append(slices.Clone(moved[place].Services), was.Service)
+// planInForce reads the committed configuration once.
+func (p *Leader) planInForce() *configuration.Configuration {
+	if p.plan == nil {
+		plan, err := configuration.Read(p.fact.Body)
+		if err != nil {
+			p.log.Error(err, "the committed plan can't be read", "version", p.fact.Version)
+			return nil
 		}
+		p.plan = plan
 	}
-	return moved
+	return p.plan
 }
 
 // Retrieve gives back the newest plan, whole.
--- a/internal/configowner/configowner_test.go
+++ b/internal/configowner/configowner_test.go
@@ -24,10 +24,33 @@
 func (s *scripted) Voters() []string { return []string{"a", "b", "c"} }
 
 func (s *scripted) settle() {
-	for _, done := range s.waiting {
+	waiting := s.waiting
+	s.waiting = nil
+	for _, done := range waiting {
 		done(nil)
 	}
-	s.waiting = nil
+}
+
+// keep settles each commit at once, and keeps what is written as a disk would.
+func (s *scripted) keep(kept map[string][]byte) {
+	for len(s.waiting) > 0 {
+		for _, op := range s.ops {
+			if len(op.Value) == 0 {
+				delete(kept, op.Name)
+			} else {
+				kept[op.Name] = op.Value
+			}
+		}
+		s.settle()
+	}
+}
+
+func pairsOf(kept map[string][]byte) []peerapi.Op {
+	var pairs []peerapi.Op
+	for name, value := range kept {
+		pairs = append(pairs, peerapi.Op{Name: name, Value: value})
+	}
+	return pairs
 }
 
 func plan(version int, service string) []byte {
@@ -62,8 +85,12 @@
 
 	It("lets one of two on the same base win, and takes the same plan again", func() {
 		replace(0, plan(3, "s"))
-		Expect(replace(0, plan(4, "s")).Elsewhere).To(BeTrue())
+		var second peerapi.ClientAnswer
+		owner.Replace(&peerapi.ClientCall{Base: 0, Body: plan(4, "s")}, func(answer peerapi.ClientAnswer) { second = answer })
+		Expect(second).To(BeZero())
 		tenure.settle()
+		Expect(second.Status).To(Equal(412))
+		Expect(second.Current).To(Equal(int64(3)))
 		Expect(replace(0, plan(4, "s")).Status).To(Equal(412))
 		Expect(replace(0, plan(3, "s")).Status).To(Equal(200))
 		Expect(replace(3, plan(3, "x")).Status).To(Equal(400))
--- /dev/null
+++ b/internal/configowner/confirmed.go
@@ -0,0 +1,133 @@
+package configowner
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/juju/errors"
+	"github.com/mailru/easyjson"
+
+	"gannetline/internal/peerapi"
+)
+
+const (
+	confirmedPrefix = "confirmed/"
+	// mostConfirmed records are kept; with the name and the digest each takes some 100 bytes.
+	mostConfirmed = 2048
+	// mostInFact is how many the older form kept in the configuration's own record.
+	mostInFact = 64
+)
+
+// confirmed remembers which body was confirmed under each version, so that a call that is sent again is confirmed again
+// after any number of other changes. A version is confirmed once: the next one is always above it.
+type confirmed struct {
+	digests map[int64]string
+	// versions are those of the digests, ascending.
+	versions []int64
+	// forgotten is the newest version whose record was dropped, 0 if none was.
+	forgotten int64
+	// unwritten were read in the older form, and get records of their own with the next commit.
+	unwritten []peerapi.ConfirmedVersion
+}
+
+// digestOf is the whole sha256: two bodies under one number are told apart without a thought about chances. The space
+// around a body doesn't count, as some transports drop it.
+func digestOf(body []byte) string {
+	sum := sha256.Sum256(bytes.TrimSpace(body))
+	return hex.EncodeToString(sum[:])
+}
+
+// olderDigestOf is what the older form kept: eight bytes, of the body with the space around it.
+func olderDigestOf(body []byte) string {
+	sum := sha256.Sum256(body)
+	return hex.EncodeToString(sum[:8])
+}
+
+// readConfirmed takes the records of a key, and what the older form kept in the configuration itself.
+func readConfirmed(pairs []peerapi.Op, fact *peerapi.Configuration) (*confirmed, error) {
+	read := &confirmed{digests: map[int64]string{}}
+	for _, pair := range pairs {
+		if !strings.HasPrefix(pair.Name, confirmedPrefix) {
+			continue
+		}
+		var one peerapi.ConfirmedVersion
+		if err := easyjson.Unmarshal(pair.Value, &one); err != nil {
+			return nil, errors.Annotatef(err, "reading %s from disk", pair.Name)
+		}
+		read.digests[one.Version] = one.Digest
+	}
+	if fact != nil {
+		read.forgotten = fact.Forgotten
+		read.takeOlder(fact.Confirmed)
+	}
+	for version := range read.digests {
+		read.versions = append(read.versions, version)
+	}
+	slices.Sort(read.versions)
+	return read, nil
+}
+
+func (c *confirmed) takeOlder(older []peerapi.ConfirmedVersion) {
+	for _, one := range older {
+		if c.digests[one.Version] == "" {
+			c.digests[one.Version] = one.Digest
+			c.unwritten = append(c.unwritten, one)
+		}
+	}
+	if len(older) >= mostInFact {
+		c.forgotten = max(c.forgotten, older[0].Version-1)
+	}
+}
+
+// has tells whether that very body was confirmed under the version.
+func (c *confirmed) has(version int64, body []byte) bool {
+	digest := c.digests[version]
+	return digest != "" && (digest == digestOf(body) || digest == olderDigestOf(body))
+}
+
+// isForgotten tells whether a version may have been confirmed too long ago to know.
+func (c *confirmed) isForgotten(version int64) bool { return version <= c.forgotten }
+
+// confirmation is what one more confirmed version writes and drops.
+type confirmation struct {
+	added     peerapi.ConfirmedVersion
+	dropped   []int64
+	forgotten int64
+	ops       []peerapi.Op
+}
+
+// with works out the records of one more version, and changes nothing before it is committed.
+func (c *confirmed) with(version int64, body []byte) (*confirmation, error) {
+	next := &confirmation{added: peerapi.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
+	if beyond := len(c.versions) + 1 - mostConfirmed; beyond > 0 {
+		next.dropped = slices.Clone(c.versions[:beyond])
+		next.forgotten = next.dropped[beyond-1]
+	}
+	for _, one := range append(slices.Clone(c.unwritten), next.added) {
+		value, err := easyjson.Marshal(one)
+		if err != nil {
+			return nil, errors.Annotatef(err, "writing the record of version %d", one.Version)
+		}
+		next.ops = append(next.ops, peerapi.Op{Name: recordName(one.Version), Value: value})
+	}
+	for _, dropped := range next.dropped {
+		next.ops = append(next.ops, peerapi.Op{Name: recordName(dropped)})
+	}
+	return next, nil
+}
+
+func recordName(version int64) string { return confirmedPrefix + strconv.FormatInt(version, 10) }
+
+// take notes that the records are committed.
+func (c *confirmed) take(next *confirmation) {
+	for _, dropped := range next.dropped {
+		delete(c.digests, dropped)
+	}
+	c.versions = append(c.versions[len(next.dropped):], next.added.Version)
+	c.digests[next.added.Version] = next.added.Digest
+	c.forgotten, c.unwritten = next.forgotten, nil
+}
--- /dev/null
+++ b/internal/configowner/confirmed_test.go
@@ -0,0 +1,206 @@
+package configowner_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"strings"
+
+	"github.com/juju/errors"
+	"github.com/mailru/easyjson"
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/configowner"
+	"gannetline/internal/logging"
+	"gannetline/internal/peerapi"
+)
+
+// operated is a leader, its disk, and calls to it.
+type operated struct {
+	tenure *scripted
+	kept   map[string][]byte
+	leader *configowner.Leader
+}
+
+func newOperated() *operated {
+	o := &operated{tenure: &scripted{hasLease: true}, kept: map[string][]byte{}}
+	o.takeOver()
+	return o
+}
+
+// takeOver is a new leader of what is on disk.
+func (o *operated) takeOver() {
+	o.leader = configowner.New(logging.Silent(), func(*peerapi.Configuration) {})
+	Expect(o.leader.Open(o.tenure, pairsOf(o.kept))).To(Succeed())
+}
+
+// send calls without waiting for commits.
+func (o *operated) send(base int64, body []byte) *peerapi.ClientAnswer {
+	told := &peerapi.ClientAnswer{}
+	o.leader.Replace(&peerapi.ClientCall{Base: base, Body: body}, func(answer peerapi.ClientAnswer) { *told = answer })
+	return told
+}
+
+func (o *operated) replace(base int64, body []byte) int {
+	told := o.send(base, body)
+	o.tenure.keep(o.kept)
+	return told.Status
+}
+
+// grow confirms versions 1 to count, each on the one before.
+func (o *operated) grow(count int) {
+	for version := 1; version <= count; version++ {
+		Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
+	}
+}
+
+var _ = Describe("confirmed versions", func() {
+	It("are confirmed again after 400 other changes and at a new leader, and no other body is", func() {
+		o := newOperated()
+		o.grow(401)
+		o.takeOver()
+		for version := 1; version <= 401; version++ {
+			Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
+			Expect(o.replace(int64(version-1), append(plan(version, "s"), '\n'))).To(Equal(200))
+		}
+		for _, version := range []int{1, 200, 401} {
+			Expect(o.replace(int64(version-1), plan(version, "other"))).To(Equal(412))
+			Expect(o.replace(401, plan(version, "other"))).To(Equal(400))
+		}
+	})
+
+	It("take one small record for each change, and leave the others alone", func() {
+		o := newOperated()
+		o.grow(300)
+		o.send(300, plan(301, "s"))
+		Expect(o.tenure.ops).To(HaveLen(2))
+		GinkgoWriter.Printf("the record of a confirmed version takes %d bytes with its name\n", len(o.tenure.ops[1].Name)+len(o.tenure.ops[1].Value))
+		Expect(len(o.tenure.ops[1].Value)).To(BeNumerically("<", 120))
+		Expect(len(o.tenure.ops[0].Value)).To(BeNumerically("<", 400))
+	})
+
+	It("are bounded: the oldest go, and what is sent of them again gets no clear answer", func() {
+		o := newOperated()
+		o.grow(2100)
+		Expect(o.kept).To(HaveLen(2049))
+		o.takeOver()
+		Expect(o.replace(51, plan(52, "s"))).To(Equal(503))
+		Expect(o.replace(52, plan(53, "s"))).To(Equal(200))
+		Expect(o.replace(2100, plan(52, "s"))).To(Equal(400))
+	})
+
+	It("are read in the older form, and written as records with the next change", func() {
+		older := &peerapi.Configuration{Version: 164, Body: plan(164, "s")}
+		for version := 101; version <= 164; version++ {
+			sum := sha256.Sum256(plan(version, "s"))
+			older.Confirmed = append(older.Confirmed, peerapi.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
+		}
+		value, err := easyjson.Marshal(older)
+		Expect(err).NotTo(HaveOccurred())
+		o := newOperated()
+		o.kept["fact"] = value
+		for range 2 {
+			o.takeOver()
+			Expect(o.replace(100, plan(101, "s"))).To(Equal(200))
+			Expect(o.replace(100, plan(101, "other"))).To(Equal(412))
+			Expect(o.replace(99, plan(100, "s"))).To(Equal(503))
+			o.replace(164, plan(165, "s"))
+		}
+		Expect(string(o.kept["fact"])).NotTo(ContainSubstring("taken"))
+		Expect(o.kept).To(HaveLen(66))
+	})
+
+	It("that can't be read are an error that names the record", func() {
+		o := newOperated()
+		Expect(o.leader.Open(o.tenure, []peerapi.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
+	})
+})
+
+var _ = Describe("orders under way at once", func() {
+	It("wait for their turn: of eight one is taken, and all get a clear answer with its commit", func() {
+		o := newOperated()
+		o.grow(3)
+		var told []*peerapi.ClientAnswer
+		for number := range 8 {
+			told = append(told, o.send(3, plan(4+number%4, fmt.Sprintf("s%d", number%4))))
+		}
+		o.tenure.keep(o.kept)
+		var statuses []int
+		for _, answer := range told {
+			statuses = append(statuses, answer.Status)
+		}
+		Expect(statuses).To(Equal([]int{200, 412, 412, 412, 200, 412, 412, 412}))
+	})
+
+	It("are taken one after the other where each builds on the one before", func() {
+		o := newOperated()
+		var told []*peerapi.ClientAnswer
+		for number := range 8 {
+			told = append(told, o.send(int64(number), plan(number+1, "s")))
+		}
+		o.tenure.keep(o.kept)
+		for _, answer := range told {
+			Expect(answer.Status).To(Equal(200))
+		}
+	})
+
+	It("are not taken where the leadership ends, and none is answered twice", func() {
+		o := newOperated()
+		answers := 0
+		for number := range 40 {
+			o.leader.Replace(&peerapi.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer peerapi.ClientAnswer) {
+				answers++
+				Expect(answer.Elsewhere).To(BeTrue())
+			})
+		}
+		Expect(answers).To(Equal(40 - 33))
+		lost := o.tenure.waiting
+		o.leader.Close()
+		for _, done := range lost {
+			done(errors.New("lost"))
+		}
+		Expect(answers).To(Equal(40))
+	})
+
+	It("that settle after the key was taken over again change nothing there", func() {
+		o := newOperated()
+		told := o.send(0, plan(1, "s"))
+		late := o.tenure.waiting
+		o.tenure = &scripted{hasLease: true}
+		Expect(o.leader.Open(o.tenure, nil)).To(Succeed())
+		late[0](nil)
+		Expect(told.Elsewhere).To(BeTrue())
+		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
+	})
+})
+
+var _ = Describe("state that grows with changes", func() {
+	It("is bounded where routes move between services and are dropped", func() {
+		o := newOperated()
+		fact := func() *peerapi.Configuration {
+			read := &peerapi.Configuration{}
+			Expect(easyjson.Unmarshal(o.kept["fact"], read)).To(Succeed())
+			return read
+		}
+		text := func(version, route int, service string) []byte {
+			var routes []string
+			for number := range 10 {
+				routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h","path-prefix":"/%d","timeout-ms":1,"service":"%s"}`, route+number, number, service))
+			}
+			return []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[%s],"service-list":[{"name":"%s"}]}`, version, strings.Join(routes, ","), service))
+		}
+		for version := 1; version <= 800; version++ {
+			Expect(o.replace(int64(version-1), text(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
+		}
+		Expect(len(fact().Moved)).To(BeNumerically("<=", 2048))
+		Expect(fact().Moved).To(ContainElement(peerapi.MovedRoute{Entry: "r3990", Services: []string{"a"}}))
+		Expect(fact().InitialVoters).To(HaveLen(2))
+		for version := 801; version <= 840; version++ {
+			Expect(o.replace(int64(version-1), text(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
+		}
+		for _, moved := range fact().Moved {
+			Expect(len(moved.Services)).To(BeNumerically("<=", 16))
+		}
+	})
+})
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -55,7 +55,7 @@
 	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
 }
 
-// Handler asks the plan's owner, wherever it is.
+// Handler asks the leader of the configuration's key, wherever it is.
 func Handler(asker *leaderclient.Asker) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		call, refusal := Decode(request)
@@ -63,15 +63,22 @@
 			refusal.Write(to)
 			return
 		}
-		outcome := asker.Ask(request.Context(), call, patience)
-		if outcome.Answer == nil {
-			response.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer").Write(to)
-			return
-		}
-		if outcome.Answer.Why != "" {
-			response.Later(outcome.Answer.Status, outcome.Answer.RetryAfter, outcome.Answer.Why).Write(to)
-			return
-		}
-		response.Raw(outcome.Answer.Status, outcome.Answer.Body).Write(to)
+		Reply(call, asker.Ask(request.Context(), call, patience)).Write(to)
 	})
 }
+
+// Reply is what the operator is told of an outcome. A refusal is passed on only if it says what became of the call:
+// if an earlier try may have been carried out, that is so only where the current version is known to be beyond the
+// call's base. Versions only rise, so no try can be taken from then on, and one taken before would have been confirmed.
+func Reply(call *peerapi.ClientCall, outcome leaderclient.Outcome) response.Reply {
+	answer := outcome.Answer
+	switch {
+	case answer == nil:
+		return response.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer")
+	case answer.Status == http.StatusPreconditionFailed && outcome.MaySee && call.Base >= answer.Current:
+		return response.Later(http.StatusServiceUnavailable, 1, "an earlier try may have been taken")
+	case answer.Why != "":
+		return response.Later(answer.Status, answer.RetryAfter, answer.Why)
+	}
+	return response.Raw(answer.Status, answer.Body)
+}
