--- /dev/null
+++ b/internal/configcache/cost_test.go
@@ -0,0 +1,112 @@
+package configcache_test
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/configcache"
+	"gannetline/internal/configuration"
+	"gannetline/internal/logging"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/span"
+)
+
+// BenchmarkVersion measures what one version costs at the sizes that users have and want.
+func BenchmarkVersion(b *testing.B) {
+	for _, count := range []int{40, 550, 1400} {
+		h := newHistory(count)
+		base := h.next()
+		before := edition(base)
+		next := h.next()
+		answer := before.Follow(next).Answer(&peerapi.ConfigurationCall{Held: base.Version, TakesChanges: true})
+		chain := before
+		for range 32 {
+			chain = chain.Follow(h.next())
+		}
+		chained := chain.Answer(&peerapi.ConfigurationCall{Held: base.Version, TakesChanges: true})
+		image, _ := configcache.Pack(next)
+		steps := map[string]func() error{
+			"read":    func() error { _, err := configuration.Read(next.Body); return err },
+			"follow":  func() error { before.Follow(next); return nil },
+			"apply":   func() error { _, err := before.Take(answer); return err },
+			"apply32": func() error { _, err := before.Take(chained); return err },
+			"pack":    func() error { _, err := configcache.Pack(next); return err },
+			"unpack":  func() error { _, err := image.Unpack(); return err },
+		}
+		for name, step := range steps {
+			b.Run(fmt.Sprintf("%s/%d", name, count), func(b *testing.B) {
+				for b.Loop() {
+					if err := step(); err != nil {
+						b.Fatal(err)
+					}
+				}
+			})
+		}
+	}
+}
+
+// heldWriter is a caller that doesn't read its answer until it is let.
+type heldWriter struct {
+	*httptest.ResponseRecorder
+	isWriting chan struct{}
+	isLet     chan struct{}
+}
+
+func (w heldWriter) Write(text []byte) (int, error) {
+	w.isWriting <- struct{}{}
+	<-w.isLet
+	return w.ResponseRecorder.Write(text)
+}
+
+var _ = Describe("a flood of fetches", func() {
+	const mostAnswers = 12
+
+	It("has a bounded number of answers under way; the next is sent on, and served once one is through", func() {
+		life, end := span.Cancellable(span.Root())
+		DeferCleanup(end)
+		inForce := make(chan struct{}, 1)
+		cache := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.NewFake(1), logging.Silent(),
+			func(*configcache.Snapshot) { inForce <- struct{}{} })
+		go cache.Run(life)
+		mux := http.NewServeMux()
+		cache.Handle(mux)
+		cache.Hold(newHistory(550).next())
+		<-inForce
+		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, mostAnswers)
+		held := &scriptedSibling{mux: mux}
+		call := func(through http.RoundTripper) (*peerapi.ConfigurationAnswer, error) {
+			return peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
+				span.Root(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &peerapi.ConfigurationCall{TakesChunks: true})
+		}
+		for range mostAnswers {
+			go func() {
+				call(roundTrip(func(request *http.Request) (*http.Response, error) {
+					recorder := httptest.NewRecorder()
+					mux.ServeHTTP(heldWriter{recorder, isWriting, isLet}, request)
+					return recorder.Result(), nil
+				}))
+				through <- struct{}{}
+			}()
+			<-isWriting
+		}
+		answer, err := call(held)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer).To(Equal(&peerapi.ConfigurationAnswer{Busy: true}))
+		close(isLet)
+		<-through
+		answer, err = call(held)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.Chunk).NotTo(BeNil())
+	})
+})
+
+type roundTrip func(*http.Request) (*http.Response, error)
+
+func (r roundTrip) RoundTrip(request *http.Request) (*http.Response, error) { return r(request) }
--- a/internal/configcache/delta.go
+++ b/internal/configcache/delta.go
@@ -19,14 +19,29 @@
 	shortPiece = 32
 )
 
-// Pieces cuts a plan around its routes, services and limits; joined they are the same bytes again.
+// piece is a part of a body between two cuts; net is by how much it lies deeper at its end than at its beginning.
+type piece struct {
+	text []byte
+	net  int
+}
+
+// Pieces cuts a configuration around its routes, services and limits; joined they are the same bytes again.
 func Pieces(body []byte) [][]byte {
-	var pieces [][]byte
-	begin, depth := 0, 0
+	var texts [][]byte
+	for _, one := range cutFrom(body, 0) {
+		texts = append(texts, one.text)
+	}
+	return texts
+}
+
+// cutFrom cuts a text that begins at a depth, outside of strings: where each cut lies.
+func cutFrom(body []byte, depth int) []piece {
+	var pieces []piece
+	begin, beginDepth := 0, depth
 	cut := func(end int) {
 		if end > begin {
-			pieces = append(pieces, body[begin:end])
-			begin = end
+			pieces = append(pieces, piece{body[begin:end], depth - beginDepth})
+			begin, beginDepth = end, depth
 		}
 	}
 	isText, isEscaped := false, false
@@ -86,18 +101,41 @@
 	return parts
 }
 
-func joinParts(base [][]byte, parts []peerapi.DeltaPart) ([]byte, error) {
-	var body bytes.Buffer
+// assemble gives the pieces of the body that the parts say, without reading the whole of it: those of a span are pieces
+// of the new body too, and only text is cut anew.
+func assemble(base []piece, parts []peerapi.DeltaPart) ([]piece, error) {
+	var pieces []piece
+	depth := 0
 	for _, part := range parts {
 		if part.From < 0 || part.Count < 0 || part.From > len(base) || part.Count > len(base)-part.From {
 			return nil, errors.Errorf("a part of the change is not in the plan's base")
 		}
-		for _, piece := range base[part.From : part.From+part.Count] {
-			body.Write(piece)
+		for _, added := range [][]piece{base[part.From : part.From+part.Count], cutFrom([]byte(part.Text), depth+netOf(base[part.From:part.From+part.Count]))} {
+			pieces = append(pieces, added...)
+			depth += netOf(added)
 		}
-		body.WriteString(part.Text)
 	}
-	return body.Bytes(), nil
+	return pieces, nil
+}
+
+func netOf(pieces []piece) int {
+	net := 0
+	for _, one := range pieces {
+		net += one.net
+	}
+	return net
+}
+
+func join(pieces []piece) []byte {
+	length := 0
+	for _, one := range pieces {
+		length += len(one.text)
+	}
+	body := make([]byte, 0, length)
+	for _, one := range pieces {
+		body = append(body, one.text...)
+	}
+	return body
 }
 
 // digestOf covers all of a fact that is passed on.
@@ -146,32 +184,39 @@
 	return count
 }
 
-// apply makes the next fact; its digest must be the one that the change names, if it is checked. The last of several
-// changes is enough: its result has the right digest only if all before it were right.
-func apply(base *peerapi.Configuration, change *peerapi.ConfigurationDelta, isChecked bool) (*peerapi.Configuration, error) {
-	body, err := joinParts(Pieces(base.Body), change.Parts)
-	if err != nil {
-		return nil, err
-	}
-	fact := &peerapi.Configuration{Version: change.Version, Body: body,
-		InitialVoters: append(slices.Clone(base.InitialVoters), change.InitialVoters...), Moved: slices.Clone(base.Moved)}
-	for _, moved := range change.Moved {
-		place := slices.IndexFunc(fact.Moved, func(one peerapi.MovedRoute) bool { return one.Entry == moved.Entry })
-		if place < 0 {
-			fact.Moved = append(fact.Moved, moved)
-			continue
+// applyAll makes the fact that a chain of changes leads to. Its digest must be the one that the last change names, which
+// it has only if all before it were right.
+func applyAll(base *peerapi.Configuration, changes []*peerapi.ConfigurationDelta) (*peerapi.Configuration, error) {
+	pieces := cutFrom(base.Body, 0)
+	fact := &peerapi.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
+	for _, change := range changes {
+		var err error
+		if pieces, err = assemble(pieces, change.Parts); err != nil {
+			return nil, err
 		}
-		fact.Moved[place] = moved
-	}
-	if !isChecked {
-		return fact, nil
+		fact.Version = change.Version
+		fact.InitialVoters = append(fact.InitialVoters, change.InitialVoters...)
+		fact.Moved = withMoved(fact.Moved, change.Moved)
 	}
+	fact.Body = join(pieces)
 	digest, err := digestOf(fact)
 	if err != nil {
 		return nil, err
 	}
-	if digest != change.Digest {
-		return nil, errors.Errorf("the plan made of version %d and its change is not version %d", base.Version, change.Version)
+	if digest != changes[len(changes)-1].Digest {
+		return nil, errors.Errorf("the plan made of version %d and its change is not version %d", base.Version, fact.Version)
 	}
 	return fact, nil
 }
+
+func withMoved(all, added []peerapi.MovedRoute) []peerapi.MovedRoute {
+	for _, moved := range added {
+		place := slices.IndexFunc(all, func(one peerapi.MovedRoute) bool { return one.Entry == moved.Entry })
+		if place < 0 {
+			all = append(all, moved)
+			continue
+		}
+		all[place] = moved
+	}
+	return all
+}
--- a/internal/configcache/image.go
+++ b/internal/configcache/image.go
@@ -6,6 +6,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"io"
+	"slices"
 
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
@@ -85,29 +86,37 @@
 	return &peerapi.ConfigurationChunk{Version: i.Version, Image: i.Name, Size: len(i.data), Offset: offset, Data: i.data[offset:end]}
 }
 
-// shelf keeps the newest image of this process and the one before it, whose transfers may still be under way.
+// shelf keeps the images whose transfers may be under way, the one that was asked for last at the end.
 type shelf struct{ images []*Image }
 
-const mostImages = 2
+const mostImages = 8
 
 func (s *shelf) put(image *Image) {
 	s.images = append(s.images, image)
 	s.images = s.images[max(0, len(s.images)-mostImages):]
 }
 
-// chunk answers a call from the image that it names, or else from the newest one. That one stays in use while the
-// changes since it are at hand, so that transfers aren't overtaken by each new version; beyond that it is made anew.
+// ask gives the image that a check finds, and keeps it longest.
+func (s *shelf) ask(isIt func(*Image) bool) *Image {
+	place := slices.IndexFunc(s.images, isIt)
+	if place < 0 {
+		return nil
+	}
+	image := s.images[place]
+	s.images = append(slices.Delete(s.images, place, place+1), image)
+	return image
+}
+
+// chunk answers a call from the image that it names, or else from one that changes lead on from, or from a new one. So
+// a transfer goes on to its end while new versions come, and an image is made only where the changes don't reach.
 func (s *shelf) chunk(current *Version, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationChunk, error) {
-	for _, image := range s.images {
-		if image.Name == call.Image && image.Version > call.Held {
-			return image.chunk(call), nil
-		}
+	named := s.ask(func(image *Image) bool { return image.Name == call.Image && image.Version > call.Held })
+	if named != nil {
+		return named.chunk(call), nil
 	}
-	if len(s.images) > 0 {
-		newest := s.images[len(s.images)-1]
-		if newest.Version > call.Held && current.reaches(newest.Version) {
-			return newest.chunk(call), nil
-		}
+	recent := s.ask(func(image *Image) bool { return image.Version > call.Held && current.reaches(image.Version) })
+	if recent != nil {
+		return recent.chunk(call), nil
 	}
 	image, err := Pack(current.Fact)
 	if err != nil {
--- a/internal/configcache/network_test.go
+++ b/internal/configcache/network_test.go
@@ -29,9 +29,8 @@
 type network struct {
 	clock  *pulse.Fake
 	events []event
-	// rate is that of the fetching process's link, in bytes a second; applying takes as long for each version.
+	// rate is that of the fetching process's link, in bytes a second.
 	rate     int
-	applying time.Duration
 	peers    map[string]*process
 	calls    []peerapi.ConfigurationCall
 	received int
@@ -73,8 +72,10 @@
 	fetcher *configcache.Fetcher
 	held    *configcache.Version
 	isDead  bool
-	bend    func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer
-	taken   map[int64]time.Duration
+	// applying is how long it takes to bring a version into force.
+	applying time.Duration
+	bend     func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer
+	taken    map[int64]time.Duration
 }
 
 func (n *network) add(name string) *process {
@@ -99,7 +100,7 @@
 			}
 			p.held = next
 			p.taken[next.Fact.Version] = n.clock.Steady()
-			n.clock.Advance(n.applying)
+			n.clock.Advance(p.applying)
 			return nil
 		}})
 	p.fetcher = fetcher
@@ -209,15 +210,14 @@
 		}
 	}
 
-	DescribeTable("follows a storm of versions, one call at a time, and is not starved", func(rate int, applying, behind time.Duration) {
+	DescribeTable("follows a storm of versions, one call at a time, and is not starved", func(rate, count int, applying, behind, length time.Duration) {
 		begin(rate)
-		network.applying = applying
-		started := map[int64]time.Duration{}
-		network.storm(h, gate, 0, 100*time.Millisecond, 24*time.Second, steward)
-		network.runTo(24 * time.Second)
+		h = newHistory(count)
+		gate.applying = applying
+		network.storm(h, gate, 0, 100*time.Millisecond, length, steward)
+		network.runTo(length)
 		newest := h.last
-		started[newest] = network.clock.Steady()
-		network.runTo(24*time.Second + behind)
+		network.runTo(length + behind)
 		Expect(gate.held.Fact.Version).To(Equal(newest))
 		Expect(gate.held.Fact.Body).To(Equal(steward.held.Fact.Body))
 		Expect(network.mostAt).To(Equal(1))
@@ -230,17 +230,20 @@
 		for _, at := range times {
 			longest, last = max(longest, at-last), at
 		}
-		GinkgoWriter.Printf("%d B/s, %v to apply: %d of 240 versions taken, the longest gap %v, %d bytes\n", rate, applying, len(times), longest, network.received)
+		GinkgoWriter.Printf("%d B/s, %d routes, %v to apply: %d of %d versions taken, the longest gap %v, %d bytes\n", rate, count, applying, len(times), length/(100*time.Millisecond), longest, network.received)
 		Expect(longest).To(BeNumerically("<", behind))
 	},
-		Entry("2 Mbit/s", 250_000, time.Duration(0), 500*time.Millisecond),
-		Entry("2 Mbit/s and a slow processor", 250_000, 60*time.Millisecond, time.Second),
-		Entry("a tenth of it", 25_000, time.Duration(0), 3*time.Second),
-		Entry("a hundredth of it", 2_500, time.Duration(0), 30*time.Second),
+		Entry("2 Mbit/s", 250_000, 550, time.Duration(0), 500*time.Millisecond, 24*time.Second),
+		Entry("2 Mbit/s and a slow processor", 250_000, 550, 60*time.Millisecond, time.Second, 24*time.Second),
+		Entry("a tenth of it", 25_000, 550, time.Duration(0), 3*time.Second, 24*time.Second),
+		Entry("2 Mbit/s, a slow processor and 1,400 routes", 250_000, 1400, 150*time.Millisecond, 2*time.Second, 10*time.Second),
+		Entry("a tenth of it and 1,400 routes", 25_000, 1400, time.Duration(0), 6*time.Second, 10*time.Second),
+		Entry("a hundredth of it", 2_500, 550, time.Duration(0), 30*time.Second, 24*time.Second),
 	)
 
-	It("makes up for 400 versions from a steward that has restarted, within a second", func() {
+	DescribeTable("makes up for 400 versions from a steward that has restarted, within a second", func(count int) {
 		begin(250_000)
+		h = newHistory(count)
 		steward.fetcher.Hold(h.next())
 		hear()
 		network.runTo(time.Second)
@@ -254,10 +257,10 @@
 		hear()
 		network.runTo(2 * time.Second)
 		Expect(gate.held.Fact).To(Equal(newest))
-		GinkgoWriter.Printf("400 versions made up for in %v with %d bytes; the body has %d\n",
-			gate.taken[newest.Version]-time.Second, network.received, len(newest.Body))
+		GinkgoWriter.Printf("%d routes: 400 versions made up for in %v with %d bytes; the body has %d\n",
+			count, gate.taken[newest.Version]-time.Second, network.received, len(newest.Body))
 		Expect(network.received).To(BeNumerically("<", len(newest.Body)/3))
-	})
+	}, Entry(nil, 550), Entry(nil, 1400))
 
 	It("goes on where a sibling went silent, at another that holds the same image", func() {
 		begin(20_000)
--- a/internal/configcache/version.go
+++ b/internal/configcache/version.go
@@ -1,6 +1,8 @@
 package configcache
 
 import (
+	"slices"
+
 	"github.com/juju/errors"
 
 	"gannetline/internal/peerapi"
@@ -8,7 +10,7 @@
 
 const (
 	// mostChanges are kept, and sent in one answer if their text is at most mostAnswerText bytes: beyond that the
-	// compressed whole is shorter, and takes less time to apply.
+	// compressed whole is shorter.
 	mostChanges    = 32
 	mostAnswerText = 16 << 10
 )
@@ -34,14 +36,15 @@
 	if e == nil {
 		return &Version{Fact: fact}
 	}
-	return &Version{fact, e.with(changeOf(e.Fact, fact))}
-}
-
-func (e *Version) with(change *peerapi.ConfigurationDelta) []*peerapi.ConfigurationDelta {
+	change := changeOf(e.Fact, fact)
 	if change == nil {
-		return nil
+		return &Version{Fact: fact}
 	}
-	changes := append(append([]*peerapi.ConfigurationDelta{}, e.changes...), change)
+	return &Version{fact, e.with(change)}
+}
+
+func (e *Version) with(added ...*peerapi.ConfigurationDelta) []*peerapi.ConfigurationDelta {
+	changes := append(slices.Clone(e.changes), added...)
 	return changes[max(0, len(changes)-mostChanges):]
 }
 
@@ -50,21 +53,28 @@
 	if answer.Fact != nil {
 		return e.Follow(answer.Fact), nil
 	}
-	next := e
-	for place, change := range answer.Changes {
-		if change.Version <= next.version() {
+	var chain []*peerapi.ConfigurationDelta
+	reached := e.version()
+	for _, change := range answer.Changes {
+		if change.Version <= reached {
 			continue
 		}
-		if change.Base != next.version() {
-			return e, errors.Errorf("a change to version %d is on version %d, and %d is held", change.Version, change.Base, next.version())
-		}
-		fact, err := apply(next.Fact, change, place == len(answer.Changes)-1)
-		if err != nil {
-			return e, err
+		if change.Base != reached {
+			return e, errors.Errorf("a change to version %d is on version %d, and %d is held", change.Version, change.Base, reached)
 		}
-		next = &Version{fact, next.with(change)}
+		chain, reached = append(chain, change), change.Version
+	}
+	if len(chain) == 0 {
+		return e, nil
+	}
+	if e == nil {
+		return e, errors.Errorf("a change to version %d, and nothing is held", reached)
+	}
+	fact, err := applyAll(e.Fact, chain)
+	if err != nil {
+		return e, err
 	}
-	return next, nil
+	return &Version{fact, e.with(chain...)}, nil
 }
 
 // Answer gives a sibling the changes since the version that it holds, or the whole configuration; nothing for one
