--- /dev/null
+++ b/internal/storage/files.go
@@ -0,0 +1,64 @@
+package storage
+
+import (
+	"os"
+	"path/filepath"
+
+	"github.com/juju/errors"
+)
+
+const dataFile = "keys.db"
+
+// Files is what Open needs of the file system. A file or folder that was made may be lost with the power until the
+// folder that it lies in has been synced.
+type Files interface {
+	Exists(path string) bool
+	MakeFolder(path string) error
+	SyncFolder(path string) error
+	OpenFile(path string, flag int, mode os.FileMode) (*os.File, error)
+}
+
+type osFiles struct{}
+
+func (osFiles) Exists(path string) bool {
+	_, err := os.Stat(path)
+	return err == nil
+}
+
+func (osFiles) MakeFolder(path string) error { return os.Mkdir(path, 0o755) }
+
+func (osFiles) SyncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer folder.Close()
+	return folder.Sync()
+}
+
+func (osFiles) OpenFile(path string, flag int, mode os.FileMode) (*os.File, error) {
+	return os.OpenFile(path, flag, mode)
+}
+
+// makeFolders makes a folder and its missing parents, the uppermost first, and syncs what holds each of them. What
+// holds the lowest one that was there is synced as well: an earlier process may have made it and ended before the sync.
+func makeFolders(files Files, folder string) error {
+	parent := filepath.Dir(folder)
+	isThere := files.Exists(folder)
+	if !isThere && parent != folder {
+		if err := makeFolders(files, parent); err != nil {
+			return err
+		}
+	}
+	if !isThere {
+		if err := files.MakeFolder(folder); err != nil && !os.IsExist(err) {
+			return errors.Annotate(err, "making the data directory")
+		}
+	}
+	err := files.SyncFolder(parent)
+	if isThere && os.IsPermission(err) {
+		// Who may not even read the parent has not made this folder.
+		return nil
+	}
+	return errors.Annotatef(err, "syncing %s", parent)
+}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"crypto/rand"
 	"encoding/hex"
-	"os"
 	"path/filepath"
 	"time"
 
@@ -38,6 +37,8 @@
 	Promise  bool
 }
 
+// Outcome is what came of a write. Where Err is set nothing is known: the write may be on the disk or not, and Head is
+// empty; the next outcome without an error shows what the replica holds.
 type Outcome struct {
 	Taken bool
 	Head  ReplicaState
@@ -57,27 +58,61 @@
 	over chan struct{}
 
 	clock pulse.Pulse
+	files Files
+	// update runs a transaction of the file.
+	update func(func(tx *bolt.Tx) error) error
+	// isUnclear is set while a transaction has failed that may nevertheless be in the file.
+	isUnclear bool
 }
 
-// Open makes the folder's file if there is none, and names the disk at random then.
-func Open(folder string) (*Store, error) {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, errors.Annotate(err, "making the data directory")
-	}
-	db, err := bolt.Open(filepath.Join(folder, "keys.db"), 0o600, &bolt.Options{
-		NoFreelistSync: true, FreelistType: bolt.FreelistMapType, InitialMmapSize: 16 << 20, Timeout: time.Second})
-	if err != nil {
-		return nil, errors.Annotate(err, "opening keys.db")
+// Option changes how a store is opened.
+type Option func(*Store)
+
+// WithFiles opens the store on another file system; tests use it to lose what was not synced.
+func WithFiles(files Files) Option { return func(s *Store) { s.files = files } }
+
+// Open makes the folder's file if there is none, and names the disk at random then. When it returns, the file, its
+// folder and all folders that were made for it outlast a loss of power. Errors name the step and the folder.
+func Open(folder string, options ...Option) (*Store, error) {
+	store := &Store{jobs: make(chan job, 4096), over: make(chan struct{}), clock: pulse.Real(), files: osFiles{}}
+	for _, option := range options {
+		option(store)
 	}
-	db.MaxBatchDelay = 0
-	store := &Store{db: db, jobs: make(chan job, 4096), over: make(chan struct{}), clock: pulse.Real()}
-	if err := store.prepare(); err != nil {
-		return nil, errors.Annotate(err, "preparing keys.db")
+	if err := store.openFile(folder); err != nil {
+		return nil, err
 	}
 	go store.run()
 	return store, nil
 }
 
+func (s *Store) openFile(folder string) error {
+	folder, err := filepath.Abs(folder)
+	if err != nil {
+		return errors.Annotate(err, "finding the data directory")
+	}
+	if err := makeFolders(s.files, folder); err != nil {
+		return err
+	}
+	s.db, err = bolt.Open(filepath.Join(folder, dataFile), 0o600, &bolt.Options{NoFreelistSync: true,
+		FreelistType: bolt.FreelistMapType, InitialMmapSize: 16 << 20, Timeout: time.Second, OpenFile: s.files.OpenFile})
+	if err != nil {
+		return errors.Annotatef(err, "opening %s", dataFile)
+	}
+	s.db.MaxBatchDelay = 0
+	if s.update == nil {
+		s.update = s.db.Update
+	}
+	if err = s.prepare(); err != nil {
+		err = errors.Annotatef(err, "preparing %s", dataFile)
+	} else {
+		err = errors.Annotatef(s.files.SyncFolder(folder), "syncing %s", folder)
+	}
+	if err != nil {
+		s.db.Close()
+	}
+	return err
+}
+
 func (s *Store) prepare() error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
@@ -141,26 +176,19 @@
 func (s *Store) commit(batch []job) {
 	outcomes := make([]Outcome, len(batch))
 	began := s.clock.Steady()
-	var recordBytes int
 	var pages bolt.TxStats
-	err := s.db.Update(func(tx *bolt.Tx) error {
-		tx.OnCommit(func() { pages = tx.Stats() })
-		for place, one := range batch {
-			outcome, err := apply(tx, one.write)
-			if err != nil {
-				return err
-			}
-			outcomes[place] = outcome
-			if outcome.Taken {
-				recordBytes += one.write.recordBytes()
-			}
-		}
-		return nil
-	})
+	err := s.settle()
+	if err == nil {
+		err = s.update(func(tx *bolt.Tx) error {
+			tx.OnCommit(func() { pages = tx.Stats() })
+			return applyAll(tx, batch, outcomes)
+		})
+	}
+	s.isUnclear = err != nil
 	commitSeconds.Observe(s.clock.Steady() - began)
 	transactions.Inc()
 	writes.Add(len(batch))
-	recordBytesTotal.Add(recordBytes)
+	recordBytesTotal.Add(takenBytes(batch, outcomes))
 	pageBytesTotal.AddInt64(pages.GetPageAlloc())
 	for place, one := range batch {
 		if err != nil {
@@ -170,6 +198,39 @@
 	}
 }
 
+func applyAll(tx *bolt.Tx, batch []job, outcomes []Outcome) error {
+	for place, one := range batch {
+		outcome, err := apply(tx, one.write)
+		if err != nil {
+			return err
+		}
+		outcomes[place] = outcome
+	}
+	return nil
+}
+
+func takenBytes(batch []job, outcomes []Outcome) int {
+	var all int
+	for place, one := range batch {
+		if outcomes[place].Taken {
+			all += one.write.recordBytes()
+		}
+	}
+	return all
+}
+
+// settle makes sure, after a failed transaction, that whatever of it is in the file is durable before anything is
+// answered on top of it: one more transaction has to succeed.
+func (s *Store) settle() error {
+	if !s.isUnclear {
+		return nil
+	}
+	return s.update(func(tx *bolt.Tx) error {
+		meta := tx.Bucket(bucketMeta)
+		return meta.Put(nameDisk, bytes.Clone(meta.Get(nameDisk)))
+	})
+}
+
 func apply(tx *bolt.Tx, write Write) (Outcome, error) {
 	heads := tx.Bucket(bucketHeads)
 	head, err := readHead(heads, write.Key)
