--- a/internal/modelcheck/controlmodel/disk.go
+++ b/internal/modelcheck/controlmodel/disk.go
@@ -47,7 +47,7 @@
 
 func (w *world) newDisk() *disk {
 	w.disks++
-	return &disk{world: w, name: fmt.Sprintf("disk-%d", w.disks), shelf: stage.NewShelf(), isBare: true, isFileSafe: true}
+	return &disk{world: w, name: fmt.Sprintf("disk-%d", w.disks), shelf: stage.NewShelf(), isBare: true, isFileSafe: !w.plant.isFileUnsafe}
 }
 
 func (d *disk) Disk() string { return d.name }
--- a/internal/modelcheck/controlmodel/faults.go
+++ b/internal/modelcheck/controlmodel/faults.go
@@ -116,6 +116,9 @@
 		place := step.Node % len(w.slots)
 		successor := w.addNode()
 		successor.start()
+		if w.plant.leavesAtOnce {
+			length = 0
+		}
 		w.after(length, func() {
 			old := w.slots[place]
 			w.slots[place] = successor
--- a/internal/modelcheck/controlmodel/leader.go
+++ b/internal/modelcheck/controlmodel/leader.go
@@ -24,7 +24,7 @@
 	n.world.tell("%s leads epoch %d", n.name, tenure.Epoch())
 	n.world.announce(n, tenure.Epoch())
 	n.world.checkOpened(n, pairs)
-	return n.config.Open(tenure, pairs)
+	return n.config.Open(n.world.plant.wrapTenure(n, tenure), pairs)
 }
 
 func (m *stateMachine) Close() {
@@ -73,6 +73,9 @@
 // obey serves a call of the operator's path, as the ring of control keys does.
 func (n *node) obey(ask *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
 	told := func(value peerapi.ClientAnswer) {
+		if change := n.world.plant.answer; change != nil {
+			value = change(n, ask, value)
+		}
 		if value.Elsewhere && n.heard.node != nil && n.heard.node != n {
 			value.Owner = n.heard.node.name
 		}
--- a/internal/modelcheck/controlmodel/node.go
+++ b/internal/modelcheck/controlmodel/node.go
@@ -91,7 +91,7 @@
 	n.isUp, n.isFrozen, n.postponed, n.busyUntil = true, false, nil, 0
 	n.startedAt = n.world.now
 	disk := n.world.plant.wrapDisk(n)
-	replicas, err := replication.NewReplicas(mailbox.New(1024), disk, &n.clock, replication.DefaultTiming.Lease)
+	replicas, err := replication.NewReplicas(mailbox.New(1024), disk, &n.clock, n.world.plant.leaseOfReplicas())
 	if err != nil {
 		panic(err)
 	}
--- a/internal/modelcheck/controlmodel/plantlist.go
+++ b/internal/modelcheck/controlmodel/plantlist.go
@@ -2,15 +2,58 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
+	"time"
 
+	"github.com/mailru/easyjson"
+
+	"gannetline/internal/configowner"
+	"gannetline/internal/configuration"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/replication"
 	"gannetline/internal/storage"
 )
 
+// plants are the planted faults by name.
 var plants = map[string]plant{
 	"promise-before-sync": {about: "A replica answers a promise or a change before its disk has synced it.",
-		disk: func(_ *node, inner replication.Disk) replication.Disk { return &hastyDisk{inner.(*disk)} }},
+		disk: func(_ *node, inner *disk) replication.Disk { return &hastyDisk{inner} }},
+	"promise-not-written": {about: "A promise is answered and never written, so a restart forgets it.",
+		disk: func(_ *node, inner *disk) replication.Disk { return &forgetfulDisk{inner} }},
+	"lease-forgotten": {about: "A voter that is restarted does not wait out the lease it may have granted.",
+		disk: func(_ *node, inner *disk) replication.Disk { return &bareDisk{inner} }},
+	"lease-too-long": {about: "A leader counts its lease longer than its replicas do, as if from the answer and not from the call.",
+		lease: 500 * time.Millisecond},
+	"lease-of-another-call": {about: "A leader takes the answer to an earlier heartbeat for that to a later one.",
+		links: func(_ *node, inner *links) replication.Links {
+			return &repeatingLinks{inner, map[string]peerapi.AppendAnswer{}}
+		}},
+	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
+		tenure: func(_ *node, inner configowner.Tenure) configowner.Tenure { return carelessTenure{inner} }},
+	"commit-before-majority": {about: "A leader acknowledges a change before a majority holds it.",
+		tenure: func(_ *node, inner configowner.Tenure) configowner.Tenure { return hastyTenure{inner} }},
+	"commit-in-new-voters-only": {about: "While voters change, a change is committed once a majority of the new ones holds it.",
+		links: func(_ *node, inner *links) replication.Links {
+			return &newVotersLinks{links: inner}
+		}},
+	"voter-change-forgotten": {about: "A replica forgets that a change of voters is under way, so that the next leader begins another.",
+		disk: func(_ *node, inner *disk) replication.Disk { return &simpleSetDisk{inner} }},
+	"learner-counted-early": {about: "A learner that holds nothing says that it has caught up.",
+		links: func(_ *node, inner *links) replication.Links { return &earlyLearnerLinks{inner} }},
+	"old-snapshot-installed": {about: "A replica installs the pairs of an older snapshot at the place of a newer one.",
+		disk: func(n *node, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
+	"chunk-of-another-snapshot": {about: "A chunk of an earlier snapshot is taken in with those of a newer one.",
+		links: func(_ *node, inner *links) replication.Links { return &mixedChunkLinks{inner, map[int][]peerapi.Op{}} }},
+	"folder-not-synced":        {about: "A folder is not synced after the replica's file was made in it.", isFileUnsafe: true},
+	"replaced-disk-keeps-name": {about: "An empty disk answers under the name of the disk it replaces.", keepsDiskName: true},
+	"leaves-at-once":           {about: "A machine that is replaced goes before its successor holds all that it held.", leavesAtOnce: true},
+	"confirmed-list-lost": {about: "A new leader forgets which changes were confirmed.",
+		machine: func(_ *node, inner replication.StateMachine) replication.StateMachine {
+			return forgetfulMachine{inner}
+		}},
+	"two-bodies-under-a-number": {about: "A leader confirms a change whose number is the current one, whatever its body.", answer: confirmNumber},
+	"confirmed-called-refused":  {about: "A leader refuses a change that it has just committed.", answer: refuseCommitted},
 }
 
 func plantNames() []string { return slices.Sorted(maps.Keys(plants)) }
@@ -26,8 +69,187 @@
 	}
 	outcome, _ := storage.Decide(head, write)
 	d.disk.Submit(write, func(storage.Outcome) {})
+	life := d.life
 	d.world.after(0, func() {
-		done(outcome)
-		d.told()
+		if d.life == life {
+			done(outcome)
+			d.told()
+		}
 	})
 }
+
+// forgetfulDisk writes no promises.
+type forgetfulDisk struct{ *disk }
+
+func (d *forgetfulDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+	if !write.Promise {
+		d.disk.Submit(write, done)
+		return
+	}
+	outcome, _ := storage.Decide(d.shelf.Heads[write.Key], write)
+	life := d.life
+	d.world.after(shortestSync, func() {
+		if d.life == life {
+			done(outcome)
+			d.told()
+		}
+	})
+}
+
+// bareDisk says at each start that it has granted nothing before.
+type bareDisk struct{ *disk }
+
+func (bareDisk) Bare() bool { return true }
+
+// simpleSetDisk writes a change of voters as if it were over.
+type simpleSetDisk struct{ *disk }
+
+func (d *simpleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+	write.Changes = slices.Clone(write.Changes)
+	for place, change := range write.Changes {
+		if change.Set != nil {
+			write.Changes[place].Set = &peerapi.VoterSet{Now: change.Set.Now}
+		}
+	}
+	d.disk.Submit(write, done)
+}
+
+// oldSnapshotDisk installs the pairs of the snapshot before.
+type oldSnapshotDisk struct {
+	*disk
+	before *peerapi.Snapshot
+}
+
+func (d *oldSnapshotDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+	if write.Snapshot != nil {
+		newest := write.Snapshot
+		old, _ := d.shelf.Read(write.Key)
+		if d.before == nil && len(old.Pairs) > 0 {
+			d.before = &old
+		}
+		if d.before != nil {
+			write.Snapshot = &peerapi.Snapshot{Last: newest.Last, Set: newest.Set, Pairs: d.before.Pairs}
+		}
+		d.before = newest
+	}
+	d.disk.Submit(write, done)
+}
+
+// repeatingLinks answers a heartbeat at once with what the one before was answered.
+type repeatingLinks struct {
+	*links
+	before map[string]peerapi.AppendAnswer
+}
+
+func (l *repeatingLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	earlier, isThere := l.before[disk]
+	isHeartbeat := len(ask.Changes) == 0 && ask.Snapshot == nil && ask.Chunk == nil && !ask.Release
+	if !isThere || !isHeartbeat || earlier.Promised != ask.Epoch || earlier.Last != ask.Prev {
+		l.links.Append(disk, ask, l.noting(disk, done))
+		return
+	}
+	delete(l.before, disk)
+	l.node.post(func() { done(earlier, nil) })
+	l.links.Append(disk, ask, l.noting(disk, func(peerapi.AppendAnswer, error) {}))
+}
+
+func (l *repeatingLinks) noting(disk string, done func(peerapi.AppendAnswer, error)) func(peerapi.AppendAnswer, error) {
+	return func(answer peerapi.AppendAnswer, err error) {
+		if err == nil && answer.Taken {
+			l.before[disk] = answer
+		}
+		done(answer, err)
+	}
+}
+
+// newVotersLinks answers for the voters that go, while the set changes.
+type newVotersLinks struct {
+	*links
+	set peerapi.VoterSet
+}
+
+func (l *newVotersLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	l.set = l.node.engine.Belief().Set
+	isLeaving := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
+	count := len(ask.Changes)
+	if !isLeaving || count == 0 || ask.Snapshot != nil || disk == l.node.disk.name {
+		l.links.Append(disk, ask, done)
+		return
+	}
+	l.node.post(func() {
+		done(peerapi.AppendAnswer{Taken: true, Promised: ask.Epoch, Last: ask.Changes[count-1].Position, Disk: disk}, nil)
+	})
+}
+
+// earlyLearnerLinks reports an empty learner as one that has everything.
+type earlyLearnerLinks struct{ *links }
+
+func (l *earlyLearnerLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	l.links.Append(disk, ask, func(answer peerapi.AppendAnswer, err error) {
+		belief := l.node.engine.Belief()
+		if err == nil && !answer.Taken && answer.Last == (peerapi.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Set.Old, disk) {
+			answer.Taken, answer.Last = true, belief.Last
+		}
+		done(answer, err)
+	})
+}
+
+// mixedChunkLinks sends the pairs of an earlier snapshot's chunk in place of a newer one's.
+type mixedChunkLinks struct {
+	*links
+	first map[int][]peerapi.Op
+}
+
+func (l *mixedChunkLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+	if ask.Chunk != nil {
+		if pairs, isThere := l.first[ask.Chunk.Number]; isThere {
+			mixed := *ask.Chunk
+			mixed.Pairs = pairs
+			ask.Chunk = &mixed
+		} else {
+			l.first[ask.Chunk.Number] = ask.Chunk.Pairs
+		}
+	}
+	l.links.Append(disk, ask, done)
+}
+
+type carelessTenure struct{ configowner.Tenure }
+
+func (carelessTenure) HasLease() bool { return true }
+
+// hastyTenure says that a change is committed as soon as it is proposed.
+type hastyTenure struct{ configowner.Tenure }
+
+func (t hastyTenure) Commit(ops []peerapi.Op, done func(error)) {
+	t.Tenure.Commit(ops, func(error) {})
+	done(nil)
+}
+
+// forgetfulMachine opens without the list of confirmed changes.
+type forgetfulMachine struct{ replication.StateMachine }
+
+func (m forgetfulMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
+	pairs = slices.Clone(pairs)
+	for place, pair := range pairs {
+		if fact := factOf([]peerapi.Op{pair}); fact != nil {
+			fact.Confirmed = nil
+			pairs[place].Value, _ = easyjson.Marshal(fact)
+		}
+	}
+	return m.StateMachine.Open(tenure, pairs)
+}
+
+func confirmNumber(n *node, ask *peerapi.ClientCall, answer peerapi.ClientAnswer) peerapi.ClientAnswer {
+	plan, err := configuration.Read(ask.Body)
+	if ask.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.world.record.top {
+		return peerapi.ClientAnswer{Status: http.StatusOK}
+	}
+	return answer
+}
+
+func refuseCommitted(n *node, ask *peerapi.ClientCall, answer peerapi.ClientAnswer) peerapi.ClientAnswer {
+	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.world.draw.IntN(50) == 0 {
+		return peerapi.ClientAnswer{Status: http.StatusPreconditionFailed, Why: "planted"}
+	}
+	return answer
+}
--- a/internal/modelcheck/controlmodel/plants.go
+++ b/internal/modelcheck/controlmodel/plants.go
@@ -1,17 +1,31 @@
 package controlmodel
 
 import (
+	"time"
+
+	"gannetline/internal/configowner"
 	"gannetline/internal/modelcheck"
+	"gannetline/internal/peerapi"
 	"gannetline/internal/replication"
 )
 
-// plant is a fault put into the model by wrapping what the real code stands on.
+// plant is a fault put into the model by wrapping what the real code stands on; a field that is not set wraps nothing.
 type plant struct {
-	about         string
+	about string
+	// keepsDiskName lets an empty disk answer under the name of the one before it.
 	keepsDiskName bool
-	disk          func(n *node, inner replication.Disk) replication.Disk
-	links         func(n *node, inner replication.Links) replication.Links
-	machine       func(n *node, inner replication.StateMachine) replication.StateMachine
+	// isFileUnsafe lets a loss of power take a disk's whole file.
+	isFileUnsafe bool
+	// leavesAtOnce lets a machine that is replaced go without leaving the voters.
+	leavesAtOnce bool
+	// lease is what replicas grant, if it is not the engines' own.
+	lease   time.Duration
+	disk    func(n *node, inner *disk) replication.Disk
+	links   func(n *node, inner *links) replication.Links
+	machine func(n *node, inner replication.StateMachine) replication.StateMachine
+	tenure  func(n *node, inner configowner.Tenure) configowner.Tenure
+	// answer changes what a leader tells an operator.
+	answer func(n *node, ask *peerapi.ClientCall, answer peerapi.ClientAnswer) peerapi.ClientAnswer
 }
 
 func (p plant) wrapDisk(n *node) replication.Disk {
@@ -21,7 +35,7 @@
 	return p.disk(n, n.disk)
 }
 
-func (p plant) wrapLinks(n *node, inner replication.Links) replication.Links {
+func (p plant) wrapLinks(n *node, inner *links) replication.Links {
 	if p.links == nil {
 		return inner
 	}
@@ -35,6 +49,20 @@
 	return p.machine(n, inner)
 }
 
+func (p plant) wrapTenure(n *node, inner configowner.Tenure) configowner.Tenure {
+	if p.tenure == nil {
+		return inner
+	}
+	return p.tenure(n, inner)
+}
+
+func (p plant) leaseOfReplicas() time.Duration {
+	if p.lease > 0 {
+		return p.lease
+	}
+	return replication.DefaultTiming.Lease
+}
+
 func listPlants() []modelcheck.Plant {
 	var all []modelcheck.Plant
 	for _, name := range plantNames() {
