--- a/internal/configcache/fetch_test.go
+++ b/internal/configcache/fetch_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/configcache"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -19,7 +19,7 @@
 
 func runningBook(heed func(*configcache.Snapshot)) *configcache.Cache {
 	life, end := span.Cancellable(span.Root())
-	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logs.Silent(), heed)
+	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent(), heed)
 	over := make(chan error, 1)
 	go func() { over <- book.Run(life) }()
 	DeferCleanup(func() {
@@ -48,6 +48,8 @@
 		grown := func(name string) float64 { return own[name] - before[name] }
 		Expect(grown("gannetline_plan_versions_total")).To(Equal(2.0))
 		Expect(own).To(HaveKeyWithValue("gannetline_plan_version", 7.0))
-		Expect(grown("gannetline_plan_fetched_bytes_total")).To(Equal(float64(len(smallBody))))
+		image, err := configcache.Pack(ahead.Page().Fact)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(grown("gannetline_plan_fetched_bytes_total")).To(Equal(float64(image.Size())))
 	})
 })
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -11,7 +11,7 @@
 
 	"gannetline/internal/configcache"
 	"gannetline/internal/configowner"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
@@ -37,9 +37,9 @@
 func newRing(store *storage.Store, isMakeshift bool) (*Ring, *peerapi.Caller) {
 	clock, mux := pulse.NewFake(1000), http.NewServeMux()
 	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
-	config := Config{Clock: clock, Log: logs.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
-		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logs.Silent()),
-		Book: configcache.New(caller, clock, logs.Silent(), func(*configcache.Snapshot) {})}
+	config := Config{Clock: clock, Log: logging.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
+		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logging.Silent()),
+		Book: configcache.New(caller, clock, logging.Silent(), func(*configcache.Snapshot) {})}
 	if store != nil {
 		var err error
 		config.Replicas, err = replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
@@ -130,3 +130,14 @@
 		Expect(found[0].Disk).To(Equal("m"))
 	})
 })
+
+var _ = Describe("the time that a call to a voter may take", func() {
+	It("grows with the bytes that it carries, and not without bound", func() {
+		ops := []peerapi.Op{{Name: "n", Value: make([]byte, 64<<10-1)}}
+		Expect(limitFor(&peerapi.AppendCall{})).To(Equal(appendLimit))
+		Expect(limitFor(&peerapi.AppendCall{Changes: []peerapi.Change{{Ops: ops}}})).To(Equal(appendLimit + time.Second))
+		Expect(limitFor(&peerapi.AppendCall{Chunk: &peerapi.SnapshotChunk{Pairs: ops}})).To(Equal(appendLimit + time.Second))
+		large := &peerapi.Snapshot{Pairs: []peerapi.Op{{Value: make([]byte, 64<<20)}}}
+		Expect(limitFor(&peerapi.AppendCall{Snapshot: large})).To(Equal(mostLimit))
+	})
+})
--- a/internal/leaderclient/attempts.go
+++ b/internal/leaderclient/attempts.go
@@ -51,7 +51,7 @@
 func (a *Attempts) Answered(answer *peerapi.ClientAnswer) bool {
 	if answer.Elsewhere {
 		a.hint = answer.Owner
-		a.outcome.MaySee = a.outcome.MaySee || answer.Unsure
+		a.outcome.MaySee = a.outcome.MaySee || answer.Unclear
 		return false
 	}
 	a.outcome.Answer = answer
--- a/internal/leaderclient/leaderclient_test.go
+++ b/internal/leaderclient/leaderclient_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"math/rand/v2"
+	"net/http"
+	"net/http/httptest"
 	"testing"
 	"time"
 
@@ -10,6 +12,8 @@
 
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/span"
 )
 
 func TestOwnercalls(t *testing.T) {
@@ -17,6 +21,46 @@
 	RunSpecs(t, "leaderclient")
 }
 
+// straight carries calls into a mux, without a network.
+type straight struct{ mux *http.ServeMux }
+
+func (s straight) RoundTrip(request *http.Request) (*http.Response, error) {
+	answer := httptest.NewRecorder()
+	s.mux.ServeHTTP(answer, request)
+	return answer.Result(), nil
+}
+
+// hurried is a clock whose waits are over at once.
+type hurried struct{ *pulse.Fake }
+
+func (h hurried) After(wait time.Duration) <-chan time.Time {
+	ring := h.Fake.After(wait)
+	h.Advance(wait)
+	return ring
+}
+
+var _ = Describe("a call that no leader answers in time", func() {
+	outcomeOf := func(answers ...peerapi.ClientAnswer) Outcome {
+		mux, count := http.NewServeMux(), 0
+		peerapi.Serve(mux, peerapi.ProcedureClient, func(span.Span, *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+			answer := answers[count%len(answers)]
+			count++
+			return &answer, nil
+		})
+		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "10.0.0.1:1", Disk: "d"}}}
+		client := New(peerapi.NewCaller(&http.Client{Transport: straight{mux}}), hurried{pulse.NewFake(0)}, func() *membership.View { return view })
+		return client.Ask(span.Root(), &peerapi.ClientCall{Key: "pool/s", Verb: "hand-in"}, time.Second)
+	}
+
+	It("was not taken if every steward said so", func() {
+		Expect(outcomeOf(peerapi.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{}))
+	})
+
+	It("may have been taken if a leader proposed it and lost its leadership", func() {
+		Expect(outcomeOf(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}, peerapi.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{MaySee: true}))
+	})
+})
+
 var _ = Describe("a guess at an owner nobody knows", func() {
 	It("passes over stewards that can own nothing", func() {
 		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
@@ -56,6 +100,6 @@
 		Entry("not after a call that reached nobody", func() { attempts.Failed(true) }, false),
 		Entry("not after one who leads no more", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true}) }, false),
 		Entry("after a call that was not answered", func() { attempts.Failed(false) }, true),
-		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true, Unsure: true}) }, true),
+		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true, Unclear: true}) }, true),
 	)
 })
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 	"gannetline/internal/span"
 )
 
@@ -33,7 +33,7 @@
 	box      *mailbox.Mailbox
 	table    *Table
 	clock    pulse.Pulse
-	log      logs.Logger
+	log      logging.Logger
 	executor *executorcalls.Client
 	caller   *peerapi.Caller
 	view     func() *membership.View
@@ -45,7 +45,7 @@
 	slots    chan struct{}
 }
 
-func New(service, domain, name string, clock pulse.Pulse, log logs.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
+func New(service, domain, name string, clock pulse.Pulse, log logging.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
 	view func() *membership.View) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
@@ -92,23 +92,23 @@
 		refusal.Write(to)
 		return
 	}
-	answer, isTaken := ask(p, request.Context(), func() reply.Reply { return p.obey(command) })
+	answer, isTaken := ask(p, request.Context(), func() response.Reply { return p.obey(command) })
 	if !isTaken {
-		answer = reply.Text(http.StatusServiceUnavailable, "the table is busy")
+		answer = response.Text(http.StatusServiceUnavailable, "the table is busy")
 	}
 	answer.Write(to)
 }
 
-func (p *Proxy) obey(command executorcalls.Command) reply.Reply {
+func (p *Proxy) obey(command executorcalls.Command) response.Reply {
 	if command.IsLeave {
 		p.table.Leave(command.Executor)
-		return reply.Raw(http.StatusOK, []byte("{}"))
+		return response.Raw(http.StatusOK, []byte("{}"))
 	}
 	status, why := p.table.Beat(command.Executor, command.Beat)
 	if why != "" {
-		return reply.Text(status, why)
+		return response.Text(status, why)
 	}
-	return reply.Raw(status, []byte("{}"))
+	return response.Raw(status, []byte("{}"))
 }
 
 type holdTurn struct {
--- a/internal/modelcheck/ordermodel/executor.go
+++ b/internal/modelcheck/ordermodel/executor.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -32,8 +32,8 @@
 type execution struct {
 	task     string
 	run      int64
-	step     *jobtable.Step
-	place    jobtable.Place
+	step     *jobs.Step
+	place    jobs.Place
 	begunAt  time.Duration
 	length   time.Duration
 	how      string
@@ -248,7 +248,7 @@
 
 func (e *executor) begin(order executorcalls.RunStart, isLate bool) {
 	one := &execution{task: order.Task, run: order.Run, executor: e, begunAt: e.world.queue.now(), saved: order.Saved, isStuck: e.isStuck}
-	one.place, _ = jobtable.ParseTask(order.Task)
+	one.place, _ = jobs.ParseTask(order.Task)
 	one.step = e.world.oracles.stepOf(one.place)
 	one.length, one.how = workOf(order.Task, order.Run)
 	e.active = append(e.active, one)
--- a/internal/modelcheck/ordermodel/oracles.go
+++ b/internal/modelcheck/ordermodel/oracles.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetline/internal/executorcalls"
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/modelcheck"
 	"gannetline/internal/peerapi"
 )
@@ -34,7 +34,7 @@
 // job is what a client handed in, and what it was told of it.
 type job struct {
 	id           string
-	spec         *jobtable.Spec
+	spec         *jobs.Spec
 	maxAttempts  int
 	priority     int
 	isHandedIn   bool
@@ -120,11 +120,11 @@
 	return one
 }
 
-func (o *oracles) stepOf(place jobtable.Place) *jobtable.Step {
+func (o *oracles) stepOf(place jobs.Place) *jobs.Step {
 	if one := o.jobs[place.ID]; one != nil && place.Step < len(one.spec.Steps) {
 		return &one.spec.Steps[place.Step]
 	}
-	return &jobtable.Step{}
+	return &jobs.Step{}
 }
 
 // isCalm tells whether nothing has been wrong anywhere for a time, so that bounds of time hold.
@@ -185,7 +185,7 @@
 		return o.task(one.task).saved[saved]
 	}
 	for index := range one.step.Tasks {
-		if o.task(jobtable.TaskName(one.place.ID, one.place.Time, one.place.Step, index)).saved[saved] {
+		if o.task(jobs.TaskName(one.place.ID, one.place.Time, one.place.Step, index)).saved[saved] {
 			return true
 		}
 	}
@@ -227,7 +227,7 @@
 func (o *oracles) checkDepends(one *execution, owner *job) {
 	for _, earlier := range one.step.DependsOn {
 		for index := range owner.spec.Steps[earlier].Tasks {
-			name := jobtable.TaskName(one.place.ID, one.place.Time, earlier, index)
+			name := jobs.TaskName(one.place.ID, one.place.Time, earlier, index)
 			if !o.task(name).isDone {
 				o.world.violate("ORDER", "%s started before %s was done", one.task, name)
 			}
@@ -256,7 +256,7 @@
 		facts.isDone = true
 		if one.step.Gang {
 			for index := range one.step.Tasks {
-				o.task(jobtable.TaskName(one.place.ID, one.place.Time, one.place.Step, index)).isDone = true
+				o.task(jobs.TaskName(one.place.ID, one.place.Time, one.place.Step, index)).isDone = true
 			}
 		}
 	case howFailed:
@@ -273,7 +273,7 @@
 // noted is told once last-seen reaches an end, unless the hold lapsed in between; starts made since then count against it.
 func (o *oracles) noted(executor *executor, end executorcalls.EndRow) {
 	facts := o.task(end.Task)
-	place, _ := jobtable.ParseTask(end.Task)
+	place, _ := jobs.ParseTask(end.Task)
 	step := o.stepOf(place)
 	switch end.How {
 	case howDone:
@@ -292,7 +292,7 @@
 	}
 }
 
-func (o *oracles) notedFailure(facts *task, end executorcalls.EndRow, step *jobtable.Step, owner *job) {
+func (o *oracles) notedFailure(facts *task, end executorcalls.EndRow, step *jobs.Step, owner *job) {
 	noted, lastAt := 0, time.Duration(0)
 	for place := range facts.failures {
 		if facts.failures[place].run == end.Run {
@@ -414,18 +414,18 @@
 }
 
 // eachTask visits the tasks of all the times of a job.
-func (j *job) eachTask(visit func(name string, step *jobtable.Step)) {
+func (j *job) eachTask(visit func(name string, step *jobs.Step)) {
 	for time := range max(1, j.spec.RepeatCount) {
 		for number := range j.spec.Steps {
 			for index := range j.spec.Steps[number].Tasks {
-				visit(jobtable.TaskName(j.id, time, number, index), &j.spec.Steps[number])
+				visit(jobs.TaskName(j.id, time, number, index), &j.spec.Steps[number])
 			}
 		}
 	}
 }
 
 func (o *oracles) checkCompleted(one *job) {
-	one.eachTask(func(name string, _ *jobtable.Step) {
+	one.eachTask(func(name string, _ *jobs.Step) {
 		if !o.task(name).isDone {
 			o.world.violate("MIXED", "%s is shown as completed and %s is not done", one.id, name)
 		}
@@ -435,7 +435,7 @@
 // mayHaveFailed tells whether a task or a gang of the job has failed as often as it may.
 func (o *oracles) mayHaveFailed(one *job) (mayHave bool) {
 	gangs := map[string]map[int64]bool{}
-	one.eachTask(func(name string, step *jobtable.Step) {
+	one.eachTask(func(name string, step *jobs.Step) {
 		mayHave = mayHave || len(o.task(name).failures) >= one.maxAttempts
 		if !step.Gang {
 			return
@@ -455,6 +455,6 @@
 // isAtWork tells whether all tasks of a lasting job run.
 func (o *oracles) isAtWork(one *job) bool {
 	isAtWork := one.spec.Steps[0].Lasting
-	one.eachTask(func(name string, _ *jobtable.Step) { isAtWork = isAtWork && len(o.task(name).active) > 0 })
+	one.eachTask(func(name string, _ *jobs.Step) { isAtWork = isAtWork && len(o.task(name).active) > 0 })
 	return isAtWork
 }
--- a/internal/modelcheck/ordermodel/proxy.go
+++ b/internal/modelcheck/ordermodel/proxy.go
@@ -6,7 +6,7 @@
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/localproxy"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -89,7 +89,7 @@
 	ring := func(which *bell) func() { return func() { p.later(0, which.strike) } }
 	// A session is the time of day at which the process began.
 	session := uint64(p.world.queue.clock.WallMs())
-	p.table = p.world.plant.table(p, localproxy.NewTable(p.world.queue.clock, logs.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
+	p.table = p.world.plant.table(p, localproxy.NewTable(p.world.queue.clock, logging.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
 		ring(&p.acks), localproxy.WithSession(session), localproxy.WithStartBell(ring(&p.starts))))
 	p.holdLoop()
 	p.lookLoop()
--- a/internal/modelcheck/ordermodel/schedule.go
+++ b/internal/modelcheck/ordermodel/schedule.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/jobtable"
+	"gannetline/internal/jobs"
 	"gannetline/internal/modelcheck"
 	"gannetline/internal/pulse"
 )
@@ -185,38 +185,38 @@
 }
 
 // shapes are the kinds of jobs that clients hand in.
-var shapes = []func(*jobtable.Spec){
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 3, CPU: 1000, Memory: 100, EstimatedMs: 500}}
+var shapes = []func(*jobs.Spec){
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 3, CPU: 1000, Memory: 100, EstimatedMs: 500}}
 	},
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 1, CPU: 3000, Memory: 100, EstimatedMs: 500}}
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 1, CPU: 3000, Memory: 100, EstimatedMs: 500}}
 	},
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 8, CPU: 1500, Memory: 100, EstimatedMs: 400}}
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 8, CPU: 1500, Memory: 100, EstimatedMs: 400}}
 	},
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 2, CPU: 500, EstimatedMs: 300}, {Tasks: 2, CPU: 1000, EstimatedMs: 300, DependsOn: []int{0}}}
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 2, CPU: 500, EstimatedMs: 300}, {Tasks: 2, CPU: 1000, EstimatedMs: 300, DependsOn: []int{0}}}
 	},
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 3, CPU: 1500, EstimatedMs: 400, Gang: true, Checkpointing: true}}
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 3, CPU: 1500, EstimatedMs: 400, Gang: true, Checkpointing: true}}
 	},
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 2, CPU: 1000, EstimatedMs: 300, Redundant: true}, {Tasks: 1, CPU: 500, EstimatedMs: 100, DependsOn: []int{0}}}
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 2, CPU: 1000, EstimatedMs: 300, Redundant: true}, {Tasks: 1, CPU: 500, EstimatedMs: 100, DependsOn: []int{0}}}
 	},
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 2, CPU: 1000, EstimatedMs: 1500, Checkpointing: true}}
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 2, CPU: 1000, EstimatedMs: 1500, Checkpointing: true}}
 	},
-	func(spec *jobtable.Spec) { spec.Steps = []jobtable.Step{{Tasks: 2, CPU: 500, Lasting: true}} },
-	func(spec *jobtable.Spec) {
-		spec.Steps = []jobtable.Step{{Tasks: 1, CPU: 500, EstimatedMs: 200}}
+	func(spec *jobs.Spec) { spec.Steps = []jobs.Step{{Tasks: 2, CPU: 500, Lasting: true}} },
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 1, CPU: 500, EstimatedMs: 200}}
 		spec.RepeatCount, spec.PeriodMs = 3, 1200
 	},
 }
 
 // makeJob gives job number of a schedule its shape; a timed one is due a little after it was handed in.
 func makeJob(number, shape, atMs int) *job {
-	spec := &jobtable.Spec{Descriptor: fmt.Sprintf("descriptor-%d", number)}
+	spec := &jobs.Spec{Descriptor: fmt.Sprintf("descriptor-%d", number)}
 	shapes[shape%len(shapes)](spec)
 	if spec.RepeatCount > 0 {
 		spec.FirstRunMs = beginWallMs + int64(atMs) + 800
--- a/internal/modelcheck/ordermodel/steward.go
+++ b/internal/modelcheck/ordermodel/steward.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
@@ -44,7 +44,7 @@
 func (s *steward) start() {
 	s.boot()
 	s.leads = nil
-	s.pool = s.world.plant.scheduler(poolowner.New(poolKey, jumpingClock{s.world.queue.clock, s}, s.world.timing, logs.Silent()))
+	s.pool = s.world.plant.scheduler(poolowner.New(poolKey, jumpingClock{s.world.queue.clock, s}, s.world.timing, logging.Silent()))
 	s.tick()
 }
 
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -11,13 +11,13 @@
 	"gannetline/internal/configcache"
 	"gannetline/internal/controlapi"
 	"gannetline/internal/controlkeys"
-	"gannetline/internal/daybook"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/recording"
 	"gannetline/internal/span"
 )
 
@@ -40,14 +40,14 @@
 	defer kept.close()
 	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
-	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead))
+	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead), membership.WithKnownPeers(kept.peers(b.log)))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
 	if err != nil {
 		return errors.Annotate(err, "field queue-rules")
 	}
 	pool := []poolowner.Option{poolowner.WithRules(rules)}
 	if b.settings.RecordDay && kept.folder != "" {
-		writer := daybook.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
+		writer := recording.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
 		b.tree.Add("recording", writer.Run)
 		pool = append(pool, poolowner.WithRecorder(writer))
 	}
@@ -60,6 +60,7 @@
 	outer.Handle("/v1/configuration/", controlapi.Handler(leaderclient.New(b.caller, b.clock, b.node.View)))
 	outer.Handle(peerapi.Prefix, b.inner)
 	if kept.store != nil {
+		b.tree.Add("known-peers", b.savePeers(kept.store))
 		b.tree.Add("replicas", func(life span.Span) error {
 			kept.replicas.Box().Run(life, b.clock, mailbox.Owner{Every: time.Minute})
 			return nil
