--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -60,6 +60,22 @@
 		}
 	})
 
+	It("is sent what it misses and no whole state when it comes back after hundreds of changes", func() {
+		w := newWorld(405, "a", "b", "c")
+		w.run(2 * time.Second)
+		away := w.others()[0]
+		away.kill()
+		w.work(8 * time.Second)
+		Expect(len(w.acked)).To(BeNumerically(">", 500))
+		w.wholes, w.pieces = 0, nil
+		away.start()
+		w.run(time.Second)
+		Expect(w.wholes).To(BeZero())
+		Expect(w.pieces).To(BeEmpty())
+		w.expectAlike()
+		Expect(w.problems).To(BeEmpty())
+	})
+
 	It("fetches what it misses and no whole state when it takes over itself, unless its sibling is of the older form", func() {
 		for _, isOld := range []bool{false, true} {
 			w := newWorld(420, "a", "b", "c")
--- a/internal/replication/recentlog.go
+++ b/internal/replication/recentlog.go
@@ -25,20 +25,21 @@
 	return size
 }
 
+// trimRecent lets go of changes that all live followers hold, beyond as many as a replica's history keeps for those that
+// come back, and of any beyond the most that a leader keeps.
 func (e *Engine) trimRecent() {
-	needed := e.last.Index
-	for _, one := range e.followers {
-		switch {
-		case e.clock.Steady()-one.lastContact >= e.timing.LostAfter:
-		case one.transfer != nil:
-			needed = min(needed, one.transfer.snapshot.Last.Index)
-		case !one.needsSnapshot:
-			needed = min(needed, one.acked.Index)
-		}
+	if len(e.recent) <= mostHistory && e.recentSize <= mostHistorySize {
+		return
 	}
+	needed := min(e.neededByFollowers(), e.committed)
 	drop := 0
-	for drop < len(e.recent) && (e.recent[drop].Position.Index <= needed && e.recent[drop].Position.Index <= e.committed ||
-		len(e.recent)-drop > mostTail || e.recentSize > mostTailSize) {
+	for drop < len(e.recent) {
+		count, size := len(e.recent)-drop, e.recentSize
+		isOverKept := count > mostHistory/2 || size > mostHistorySize/2
+		isOverMost := count > mostTail || size > mostTailSize
+		if !isOverMost && (!isOverKept || e.recent[drop].Position.Index > needed) {
+			break
+		}
 		e.recentSize -= sizeOf(e.recent[drop])
 		drop++
 	}
@@ -48,6 +49,21 @@
 	}
 }
 
+// neededByFollowers is the index up to which all followers in contact hold the changes, or the snapshot on its way.
+func (e *Engine) neededByFollowers() uint64 {
+	needed := e.last.Index
+	for _, to := range e.followers {
+		switch {
+		case e.clock.Steady()-to.lastContact >= e.timing.LostAfter:
+		case to.transfer != nil:
+			needed = min(needed, to.transfer.snapshot.Last.Index)
+		case !to.needsSnapshot:
+			needed = min(needed, to.acked.Index)
+		}
+	}
+	return needed
+}
+
 // after gives the changes that follow on a stamp, as far as one call may carry them, if the tail still has them all.
 func (e *Engine) after(prev peerapi.LogPosition) ([]peerapi.Change, bool) {
 	if prev.Index < e.recentBase.Index || prev.Index > e.last.Index {
--- a/internal/replication/transfer_test.go
+++ b/internal/replication/transfer_test.go
@@ -76,8 +76,9 @@
 	It("is not sent into silence, but as soon as the silent one speaks", func() {
 		w, one := laden(560)
 		w.cut[one.name] = true
+		w.bulk = 10 << 10
 		w.work(3 * time.Second)
-		w.pieces = nil
+		w.bulk, w.pieces = 0, nil
 		w.work(3 * time.Second)
 		Expect(w.pieces).To(BeEmpty())
 		delete(w.cut, one.name)
