--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -11,10 +11,10 @@
 	"github.com/urfave/cli/v3"
 
 	"gannetline/internal/hollow"
-	"gannetline/internal/logs"
+	"gannetline/internal/logging"
 	"gannetline/internal/roles"
 	"gannetline/internal/span"
-	"gannetline/internal/wiremeter"
+	"gannetline/internal/transportmetrics"
 )
 
 const longestProfile = 60
@@ -32,7 +32,7 @@
 			life, forget := span.UntilSignal()
 			defer forget()
 			go endWithInput()
-			return hollow.Run(life, spec, settings, logs.New(os.Stderr, settings[0].LogLevel))
+			return hollow.Run(life, spec, settings, logging.New(os.Stderr, settings[0].LogLevel))
 		},
 	}
 }
@@ -49,7 +49,7 @@
 				return cli.Exit("there is no role "+command.Args().First(), exitUsage)
 			}
 			go endWithInput()
-			meter := &wiremeter.Meter{}
+			meter := &transportmetrics.Meter{}
 			return role(command.String("settings"), roles.WithMeter(meter),
 				roles.WithPage(hollow.PathFigures, http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 					hollow.WriteJSON(to, meter.Figures())
--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/configowner"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/reply"
+	"gannetline/internal/response"
 )
 
 const (
@@ -22,40 +22,40 @@
 )
 
 // Decode makes a command of an operator's call, or a refusal.
-func Decode(request *http.Request) (*peerapi.ClientCall, reply.Reply) {
+func Decode(request *http.Request) (*peerapi.ClientCall, response.Reply) {
 	switch request.URL.Path {
 	case pathRetrieve:
 		if request.Method != http.MethodGet {
-			return nil, reply.Text(http.StatusMethodNotAllowed, "only GET is taken here")
+			return nil, response.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &peerapi.ClientCall{Key: configowner.Key, Verb: "retrieve"}, reply.Reply{}
+		return &peerapi.ClientCall{Key: configowner.Key, Verb: "retrieve"}, response.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
-	return nil, reply.Text(http.StatusNotFound, "there is no such call")
+	return nil, response.Text(http.StatusNotFound, "there is no such call")
 }
 
-func decodeReplace(request *http.Request) (*peerapi.ClientCall, reply.Reply) {
+func decodeReplace(request *http.Request) (*peerapi.ClientCall, response.Reply) {
 	if request.Method != http.MethodPost {
-		return nil, reply.Text(http.StatusMethodNotAllowed, "only POST is taken here")
+		return nil, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
 	}
 	base, err := strconv.ParseInt(request.Header.Get("X-Base-Version"), 10, 64)
 	if err != nil || base < 0 {
-		return nil, reply.Text(http.StatusBadRequest, "header X-Base-Version is no version")
+		return nil, response.Text(http.StatusBadRequest, "header X-Base-Version is no version")
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, mostPlan+1))
 	switch {
 	case err != nil:
-		return nil, reply.Text(http.StatusBadRequest, "the body ended early")
+		return nil, response.Text(http.StatusBadRequest, "the body ended early")
 	case len(body) > mostPlan:
-		return nil, reply.Text(http.StatusRequestEntityTooLarge, "the plan is too large")
+		return nil, response.Text(http.StatusRequestEntityTooLarge, "the plan is too large")
 	case !json.Valid(body):
-		return nil, reply.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
+		return nil, response.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, reply.Reply{}
+	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
 }
 
-// Handler asks the plan's owner, wherever it is.
+// Handler asks the leader of the configuration's key, wherever it is.
 func Handler(asker *leaderclient.Asker) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		call, refusal := Decode(request)
@@ -63,15 +63,22 @@
 			refusal.Write(to)
 			return
 		}
-		outcome := asker.Ask(request.Context(), call, patience)
-		if outcome.Answer == nil {
-			reply.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer").Write(to)
-			return
-		}
-		if outcome.Answer.Why != "" {
-			reply.Later(outcome.Answer.Status, outcome.Answer.RetryAfter, outcome.Answer.Why).Write(to)
-			return
-		}
-		reply.Raw(outcome.Answer.Status, outcome.Answer.Body).Write(to)
+		Reply(call, asker.Ask(request.Context(), call, patience)).Write(to)
 	})
 }
+
+// Reply is what the operator is told of an outcome. A refusal is passed on only if it says what became of the call:
+// if an earlier try may have been carried out, that is so only where the current version is known to be beyond the
+// call's base. Versions only rise, so no try can be taken from then on, and one taken before would have been confirmed.
+func Reply(call *peerapi.ClientCall, outcome leaderclient.Outcome) response.Reply {
+	answer := outcome.Answer
+	switch {
+	case answer == nil:
+		return response.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer")
+	case answer.Status == http.StatusPreconditionFailed && outcome.MaySee && call.Base >= answer.Current:
+		return response.Later(http.StatusServiceUnavailable, 1, "an earlier try may have been taken")
+	case answer.Why != "":
+		return response.Later(answer.Status, answer.RetryAfter, answer.Why)
+	}
+	return response.Raw(answer.Status, answer.Body)
+}
--- a/internal/replication/recentlog.go
+++ b/internal/replication/recentlog.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// neededByFollowers is the index up to which all followers in contact hold the changes, or the snapshot on its way.
+// neededByFollowers is the index up to which all followers in contact, and the own disk, hold the changes, or the snapshot on its way.
 func (e *Engine) neededByFollowers() uint64 {
 	needed := e.last.Index
 	for _, to := range e.followers {
 		switch {
-		case e.clock.Steady()-to.lastContact >= e.timing.LostAfter:
+		case to.disk != e.disk && e.clock.Steady()-to.lastContact >= e.timing.LostAfter:
 		case to.transfer != nil:
 			needed = min(needed, to.transfer.snapshot.Last.Index)
 		case !to.needsSnapshot:
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -117,7 +117,7 @@
 		answer(r.appendAnswer(one.state.Last, one.promising, false))
 		return
 	}
-	// What an engine grants by this answer must bind later calls of lower epochs, even if nothing is written.
+	// Also a call without changes ends all older epochs here; else an old leader could take the lease of this one.
 	one.promising = call.Epoch
 	if call.Release {
 		one.release(now, call.Epoch, call.Successor)
