--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/controlkeys/controlkeys_test.go
@@ -141,3 +141,55 @@
 		Expect(limitFor(&peerapi.AppendCall{Snapshot: large})).To(Equal(mostLimit))
 	})
 })
+
+var _ = Describe("a steward that leaves", func() {
+	set := peerapi.VoterSet{Now: []string{"a", "b", "c"}}
+	alive := func(disk string) peerapi.Member { return peerapi.Member{Name: disk, Role: "steward", Disk: disk} }
+
+	It("waits for a replacement only where a live disk is left that is no voter", func() {
+		gone := alive("d")
+		gone.State = peerapi.StateGone
+		Expect(hasSpare([]peerapi.Member{alive("a"), alive("b"), alive("c")}, "a", set)).To(BeFalse())
+		Expect(hasSpare([]peerapi.Member{alive("a"), gone, {Name: "n"}}, "a", set)).To(BeFalse())
+		Expect(hasSpare([]peerapi.Member{alive("d")}, "d", set)).To(BeFalse())
+		Expect(hasSpare([]peerapi.Member{alive("d")}, "a", set)).To(BeTrue())
+		Expect(hasSpare([]peerapi.Member{alive("d")}, "a", peerapi.VoterSet{Old: []string{"d"}, Now: set.Now})).To(BeFalse())
+	})
+
+	It("ends within its limit, and sooner where there is nothing to wait for", func() {
+		for _, hasReplica := range []bool{false, true} {
+			store := openStore()
+			ring, _ := newRing(store, false)
+			clock := ring.clock.(*pulse.Fake)
+			if hasReplica {
+				taken := make(chan struct{})
+				change := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 1}, Set: &peerapi.VoterSet{Now: []string{store.Disk(), "b", "c"}}}
+				store.Submit(storage.Write{Key: "plan", Epoch: 1, Changes: []peerapi.Change{change}}, func(storage.Outcome) { close(taken) })
+				Eventually(taken).Should(BeClosed())
+				replicas, err := replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
+				Expect(err).NotTo(HaveOccurred())
+				ring.replicas = replicas
+			}
+			life, end := span.Cancellable(span.Root())
+			defer end()
+			go ring.replicas.Box().Run(life, clock, mailbox.Owner{Every: time.Minute})
+			go ring.box.Run(life, clock, mailbox.Owner{Every: time.Minute})
+			left, began := make(chan time.Duration, 1), clock.Steady()
+			go func() {
+				ring.Leave(time.Second)
+				left <- clock.Steady() - began
+			}()
+			var took time.Duration
+			Eventually(func() bool {
+				clock.Advance(50 * time.Millisecond)
+				select {
+				case took = <-left:
+					return true
+				default:
+					return false
+				}
+			}, 20*time.Second).Should(BeTrue())
+			Expect(took).To(BeNumerically(">=", handOverTime))
+		}
+	})
+})
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -22,6 +22,8 @@
 const (
 	poolPrefix = "pool/"
 	tickEvery  = 50 * time.Millisecond
+	// handOverTime is how long the peers have to hear of a release before the process ends.
+	handOverTime = 400 * time.Millisecond
 )
 
 // holder is one key: its engine, its machine and the goroutine that owns both.
@@ -270,14 +272,69 @@
 	return &answer, nil
 }
 
-// Leave hands over what is owned here.
-func (r *Ring) Leave() {
+// Leave hands over the keys that are led here, and asks the leaders to replace this disk as a voter. It returns once all
+// that can be replaced is, or after the limit; what could not be done is logged. It takes handOverTime at least.
+func (r *Ring) Leave(limit time.Duration) {
+	if r.disk == "" {
+		<-r.clock.After(handOverTime)
+		return
+	}
+	end := r.clock.Steady() + limit
+	r.replicas.Box().Post(r.replicas.Leave)
 	r.box.Post(func() {
 		r.isLeaving = true
 		for _, one := range r.holders {
 			one.box.Post(one.engine.Leave)
 		}
 	})
+	<-r.clock.After(handOverTime)
+	for {
+		replaceable, rest := r.votingOn()
+		if len(replaceable) == 0 || r.clock.Steady() >= end {
+			r.logLeft(replaceable, rest)
+			return
+		}
+		<-r.clock.After(tickEvery)
+	}
+}
+
+// votingOn lists the keys in which this disk is still a voter: those for which another live disk could take its place, and
+// the rest.
+func (r *Ring) votingOn() (replaceable, rest []string) {
+	life, end := span.Within(span.Root(), time.Second)
+	defer end()
+	sets, err := mailbox.Ask(r.replicas.Box(), life, func(answer func(map[string]peerapi.VoterSet)) { answer(r.replicas.VotingOn()) })
+	if err != nil {
+		return nil, nil
+	}
+	members := r.stewards()
+	for key, set := range sets {
+		if hasSpare(members, r.disk, set) {
+			replaceable = append(replaceable, key)
+		} else {
+			rest = append(rest, key)
+		}
+	}
+	slices.Sort(replaceable)
+	slices.Sort(rest)
+	return replaceable, rest
+}
+
+// hasSpare tells whether a live disk could take the place of a voter.
+func hasSpare(members []peerapi.Member, leaving string, set peerapi.VoterSet) bool {
+	return slices.ContainsFunc(members, func(member peerapi.Member) bool {
+		isVoter := slices.Contains(set.Now, member.Disk) || slices.Contains(set.Old, member.Disk)
+		return member.Disk != "" && member.Disk != leaving && member.State == peerapi.StateAlive && !isVoter
+	})
+}
+
+func (r *Ring) logLeft(replaceable, rest []string) {
+	if len(replaceable) > 0 {
+		r.log.Info("leaving although this disk is still a voter", "keys", replaceable)
+	}
+	if len(rest) > 0 {
+		r.log.Info("leaving as a voter without a replacement, as there is no other live disk", "keys", rest)
+	}
 }
 
 func (r *Ring) Handle(mux *http.ServeMux) {
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -7,8 +7,8 @@
 )
 
 type waiter struct {
-	step uint64
-	done func(error)
+	index uint64
+	done  func(error)
 }
 
 func (e *Engine) propose(ops []peerapi.Op, set *peerapi.VoterSet, done func(error)) {
@@ -25,36 +25,37 @@
 }
 
 func (e *Engine) advance() {
-	step := e.last.Index
-	for ; step > e.committed; step-- {
+	index := e.last.Index
+	for ; index > e.committed; index-- {
 		has := func(disk string) bool {
-			one := e.followers[disk]
-			return one != nil && one.isKnown && one.acked.Epoch == e.epoch && one.acked.Index >= step
+			voter := e.followers[disk]
+			return voter != nil && voter.isKnown && voter.acked.Epoch == e.epoch && voter.acked.Index >= index
 		}
 		if Agreed(e.set, has) {
 			break
 		}
 	}
-	if step <= e.committed {
+	if index <= e.committed {
 		return
 	}
-	e.committed = step
+	e.committed = index
 	ready := 0
-	for ready < len(e.waiting) && e.waiting[ready].step <= step {
+	for ready < len(e.waiting) && e.waiting[ready].index <= index {
 		ready++
 	}
 	done := slices.Clone(e.waiting[:ready])
 	e.waiting = slices.Clone(e.waiting[ready:])
 	attempt := e.attempt
-	for _, one := range done {
+	for _, waiter := range done {
 		if e.attempt != attempt {
-			one.done(errLost)
+			waiter.done(errLost)
 			continue
 		}
-		one.done(nil)
+		waiter.done(nil)
 	}
 	if e.attempt == attempt {
 		e.finishSwap()
 		e.trimRecent()
+		e.considerLeaving()
 	}
 }
--- a/internal/replication/engine.go
+++ b/internal/replication/engine.go
@@ -92,6 +92,7 @@
 	waiting         []waiter
 	leadership      *Leadership
 	isLeaving       bool
+	leaveBy         time.Duration
 	staleSince      time.Duration
 
 	size         int
@@ -170,11 +171,13 @@
 	}
 }
 
-// Leave hands the key over: the lease is given back, and a sibling may ask at once.
+// Leave hands the key over to the follower that holds most, once no change is under way or a moment has passed; no
+// campaign begins after it.
 func (e *Engine) Leave() {
 	e.isLeaving = true
-	if e.phase != phaseLeading && e.phase != phaseOpening {
-		return
+	e.leaveBy = e.clock.Steady() + leaveWait
+	if e.phase == phaseCandidate {
+		e.backOff()
 	}
-	e.release("leaving in order", "")
+	e.considerLeaving()
 }
--- a/internal/replication/followers.go
+++ b/internal/replication/followers.go
@@ -39,6 +39,9 @@
 	transfer  *snapshotTransfer
 	nextChunk int
 	isOld     bool
+
+	// isLeaving tells that its process is about to end.
+	isLeaving bool
 }
 
 // follow gives the follower of a disk, from now on if there is none yet.
@@ -163,7 +166,7 @@
 		return
 	}
 	now := e.clock.Steady()
-	from.lastContact = now
+	from.lastContact, from.isLeaving = now, answer.Leaving
 	from.leaseUntil = max(from.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
 	if len(call.Changes) > 0 && answer.Taken {
 		e.noteDelay(from, answer, now-sentAt)
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -13,6 +13,9 @@
 	wellFor    = 5 * time.Second
 	keptAnyhow = 30 * time.Second
 	standBack  = 6 * time.Second
+
+	// leaveWait is how long a leader that leaves waits for the changes that are under way.
+	leaveWait = 200 * time.Millisecond
 )
 
 func smooth(held *time.Duration, fresh time.Duration) { *held += (fresh - *held) / 4 }
@@ -32,18 +35,18 @@
 // never been well since it took the key over is slowed by the key itself, and keeps it for long.
 func (e *Engine) considerHandover() {
 	now := e.clock.Steady()
-	own, heir := e.follow(e.disk), e.quickest()
-	if heir == nil {
+	own, successor := e.follow(e.disk), e.quickest()
+	if successor == nil {
 		return
 	}
-	if own.delay < slowEnough || own.delay < timesWorse*heir.delay {
+	if own.delay < slowEnough || own.delay < timesWorse*successor.delay {
 		e.worseSince = now
 		e.wasWell = e.wasWell || now-e.wellSince >= wellFor
 		return
 	}
 	e.wellSince = now
 	if now-e.worseSince >= worseFor && (e.wasWell || now-e.openedAt >= keptAnyhow) {
-		e.handOver(own, heir)
+		e.handOver(own, successor)
 	}
 }
 
@@ -51,30 +54,65 @@
 func (e *Engine) quickest() *follower {
 	var best *follower
 	for _, disk := range e.set.Now {
-		one := e.followers[disk]
-		if disk == e.disk || one == nil || !one.hasDelay || !e.hasCaughtUp(one) || e.clock.Steady()-one.lastContact > e.timing.LostAfter/2 {
+		voter := e.followers[disk]
+		if !e.maySucceed(voter) || !voter.hasDelay || !e.hasCaughtUp(voter) {
+			continue
+		}
+		if best == nil || voter.delay < best.delay {
+			best = voter
+		}
+	}
+	return best
+}
+
+// maySucceed tells whether a follower is another steward's that answers and stays.
+func (e *Engine) maySucceed(voter *follower) bool {
+	return voter != nil && voter.disk != e.disk && !voter.isLeaving && e.clock.Steady()-voter.lastContact <= e.timing.LostAfter/2
+}
+
+// considerLeaving gives the key back if this steward is leaving and has no change under way, or has waited long enough.
+func (e *Engine) considerLeaving() {
+	isLeading := e.phase == phaseLeading || e.phase == phaseOpening
+	if !e.isLeaving || !isLeading || len(e.waiting) > 0 && e.clock.Steady() < e.leaveBy {
+		return
+	}
+	successor := ""
+	if best := e.furthest(); best != nil {
+		successor = best.disk
+	} else {
+		e.log.Info("no follower that has caught up can take the key over", "key", e.key, "epoch", e.epoch)
+	}
+	e.release("leaving in order", successor)
+}
+
+// furthest is the follower among the voters that holds most of what this leader has proposed, if any may succeed it.
+func (e *Engine) furthest() *follower {
+	var best *follower
+	for _, disk := range e.set.Now {
+		voter := e.followers[disk]
+		if !e.maySucceed(voter) || !voter.isKnown || voter.acked.Epoch != e.epoch {
 			continue
 		}
-		if best == nil || one.delay < best.delay {
-			best = one
+		if best == nil || best.acked.Below(voter.acked) {
+			best = voter
 		}
 	}
 	return best
 }
 
-func (e *Engine) handOver(own, heir *follower) {
+func (e *Engine) handOver(own, successor *follower) {
 	e.log.Info("handing the key on, as a sibling is quicker", "key", e.key, "delay_ms", own.delay.Milliseconds(),
-		"heir", heir.disk, "heir_delay_ms", heir.delay.Milliseconds())
-	e.release("slower than its followers", heir.disk)
+		"successor", successor.disk, "successor_delay_ms", successor.delay.Milliseconds())
+	e.release("slower than its followers", successor.disk)
 	e.nextTry = e.clock.Steady() + standBack
 }
 
 // release steps down and gives the lease back, so that a sibling may ask at once.
-func (e *Engine) release(why, heir string) {
+func (e *Engine) release(why, successor string) {
 	disks, epoch := disksOf(e.set), e.epoch
 	e.stepDown(why)
 	for _, disk := range disks {
-		e.links.Append(disk, peerapi.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Successor: heir},
+		e.links.Append(disk, peerapi.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Successor: successor},
 			func(peerapi.AppendAnswer, error) {})
 	}
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -27,7 +27,7 @@
 		e.stepDown("no majority answers")
 		return
 	}
-	if e.phase == phaseLeading {
+	if e.considerLeaving(); e.phase == phaseLeading {
 		e.considerVoters()
 		e.considerHandover()
 	}
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -34,6 +34,8 @@
 	releasedEpoch uint64
 	history       history
 	chunks        chunkBuffer
+	// isVotedOut tells that the leader has committed a voter set without this disk, which was leaving.
+	isVotedOut bool
 	// outgoing is the state as it was last read for a candidate that fetches it in chunks.
 	outgoing *snapshotTransfer
 }
@@ -46,8 +48,10 @@
 	lease      time.Duration
 	quietUntil time.Duration
 	keys       map[string]*replica
+	isLeaving  bool
 }
 
+// NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease.
 func NewReplicas(box *mailbox.Mailbox, disk Disk, clock pulse.Pulse, lease time.Duration) (*Replicas, error) {
 	heads, err := disk.Heads()
 	if err != nil {
@@ -124,6 +128,9 @@
 		answer(r.appendAnswer(one.state.Last, one.promising, true))
 		return
 	}
+	if call.VotedOut {
+		one.isVotedOut = true
+	}
 	if call.Epoch > one.releasedEpoch {
 		one.leaseUntil, one.leaseDisk, one.leaseLeader, one.released = now+r.lease, call.Disk, call.Owner, false
 	}
@@ -160,7 +167,24 @@
 }
 
 func (r *Replicas) appendAnswer(last peerapi.LogPosition, promised uint64, isTaken bool) peerapi.AppendAnswer {
-	return peerapi.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs()}
+	return peerapi.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs(),
+		Leaving: r.isLeaving}
+}
+
+// Leave lets each answer say that the process is about to end, so that leaders replace this disk as a voter. It must run
+// on the table's goroutine.
+func (r *Replicas) Leave() { r.isLeaving = true }
+
+// VotingOn gives the voter sets of the keys in which this disk votes, as far as it knows. It must run on the table's
+// goroutine.
+func (r *Replicas) VotingOn() map[string]peerapi.VoterSet {
+	sets := map[string]peerapi.VoterSet{}
+	for key, replica := range r.keys {
+		if !replica.isVotedOut && slices.Contains(disksOf(replica.state.Set), r.disk.Disk()) {
+			sets[key] = replica.state.Set
+		}
+	}
+	return sets
 }
 
 // Fetch gives the changes after a position if the history has them, else the state as the disk has it, or a chunk of it.
--- a/internal/replication/voters.go
+++ b/internal/replication/voters.go
@@ -2,82 +2,131 @@
 
 import (
 	"slices"
+	"time"
 
 	"gannetline/internal/peerapi"
 )
 
-func isMajority(voters []string, has func(disk string) bool) bool {
-	count := 0
-	for _, disk := range voters {
-		if has(disk) {
-			count++
+const (
+	mostBehind  = 200
+	shortageLog = 5 * time.Second
+)
+
+// considerVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over domains.
+func (e *Engine) considerVoters() {
+	if len(e.set.Old) > 0 || e.setIndex > e.committed {
+		return
+	}
+	members := e.members()
+	choice := voterChoice{set: e.set.Now, size: e.size, isLost: func(disk string) bool { return e.isLost(members, disk) },
+		domainOf: func(disk string) string { return domainOf(members, disk) }}
+	fit := e.fitForVoting(members)
+	e.noteShortage(len(choice.kept()) + len(fit))
+	wanted := choice.from(fit)
+	if slices.Equal(wanted, e.set.Now) {
+		e.forgetOutsiders()
+		return
+	}
+	var ready []string
+	for _, disk := range fit {
+		if !slices.Contains(wanted, disk) {
+			continue
+		}
+		if learner := e.follow(disk); e.hasCaughtUp(learner) {
+			ready = append(ready, disk)
+		} else {
+			e.send(learner, true)
 		}
 	}
-	return 2*count > len(voters)
+	next := choice.from(ready)
+	if slices.Equal(next, e.set.Now) {
+		return
+	}
+	e.log.Info("changing the voters of a key", "key", e.key, "from", e.set.Now, "to", next)
+	e.propose(nil, &peerapi.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
+}
+
+// hasCaughtUp tells whether a learner may become a voter. What it still lacks can only make the change of voters wait, as
+// that counts once a majority of the old voters and one of the new hold it, and with it all changes before it.
+func (e *Engine) hasCaughtUp(learner *follower) bool {
+	return learner.isKnown && learner.acked.Epoch == e.epoch && e.last.Index-learner.acked.Index <= mostBehind
 }
 
-// Agreed tells whether the disks are a majority of the set, and of the old set while that still counts.
-func Agreed(set peerapi.VoterSet, has func(disk string) bool) bool {
-	return len(set.Now) > 0 && isMajority(set.Now, has) && (len(set.Old) == 0 || isMajority(set.Old, has))
+// finishSwap proposes the new voters alone, once the joint set is committed.
+func (e *Engine) finishSwap() {
+	if e.phase != phaseLeading || len(e.set.Old) == 0 || e.setIndex > e.committed {
+		return
+	}
+	final := peerapi.VoterSet{Now: e.set.Now}
+	e.propose(nil, &final, func(error) {})
 }
 
-func disksOf(set peerapi.VoterSet) []string {
-	all := slices.Clone(set.Now)
-	for _, disk := range set.Old {
-		if !slices.Contains(all, disk) {
-			all = append(all, disk)
+// forgetOutsiders ends the following of disks that are no voters; it runs once the voter set is committed.
+func (e *Engine) forgetOutsiders() {
+	for _, outsider := range e.inOrder() {
+		if slices.Contains(disksOf(e.set), outsider.disk) {
+			continue
+		}
+		delete(e.followers, outsider.disk)
+		if outsider.isLeaving {
+			call := e.appendCall()
+			call.Prev, call.VotedOut = outsider.acked, true
+			e.links.Append(outsider.disk, call, func(peerapi.AppendAnswer, error) {})
 		}
 	}
-	return all
 }
 
-// voterChoice works out the voters that a key should have.
-type voterChoice struct {
-	set      []string
-	size     int
-	isLost   func(disk string) bool
-	domainOf func(disk string) string
+// isLost tells whether a voter's machine came back with another disk, is leaving, or has not answered for long.
+// It only matters once there is a learner to take its place, so a voter that is merely slow is kept elsewhere.
+func (e *Engine) isLost(members []peerapi.Member, disk string) bool {
+	if disk == e.disk {
+		return false
+	}
+	voter := e.follow(disk)
+	return isReplaced(members, disk) || voter.isLeaving || e.clock.Steady()-voter.lastContact > e.timing.LostAfter
 }
 
-func (c voterChoice) kept() []string {
-	return slices.DeleteFunc(slices.Clone(c.set), c.isLost)
+func isReplaced(members []peerapi.Member, disk string) bool {
+	return slices.ContainsFunc(members, func(member peerapi.Member) bool {
+		return member.Disk != disk && slices.Contains(member.Past, disk)
+	})
 }
 
-// from takes newcomers, the earlier the better, where voters are lost or missing; the number becomes odd, and no live voter goes.
-func (c voterChoice) from(newcomers []string) []string {
-	next := c.kept()
-	goal := max(len(c.set), largestOdd(min(c.size, len(next)+len(newcomers))))
-	if len(c.set) > c.size {
-		goal = c.size
-	}
-	rest := slices.Clone(newcomers)
-	for len(next) < goal && len(rest) > 0 {
-		place := c.loneliest(next, rest)
-		next = append(next, rest[place])
-		rest = slices.Delete(rest, place, place+1)
-	}
-	for _, disk := range c.set {
-		if len(next) < goal && c.isLost(disk) {
-			next = append(next, disk)
+func domainOf(members []peerapi.Member, disk string) string {
+	for _, member := range members {
+		if member.Disk == disk {
+			return member.Domain
 		}
 	}
-	slices.Sort(next)
-	return next
+	return ""
 }
 
-// loneliest is the place of the newcomer whose domain holds the fewest of the voters.
-func (c voterChoice) loneliest(voters, newcomers []string) int {
-	held := map[string]int{}
-	for _, disk := range voters {
-		held[c.domainOf(disk)]++
-	}
-	best := 0
-	for place, disk := range newcomers {
-		if held[c.domainOf(disk)] < held[c.domainOf(newcomers[best])] {
-			best = place
+// fitForVoting lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
+func (e *Engine) fitForVoting(members []peerapi.Member) []string {
+	var fit []string
+	for _, member := range members {
+		if member.Disk == "" || member.State != peerapi.StateAlive || slices.Contains(e.set.Now, member.Disk) {
+			continue
 		}
+		learner := e.followers[member.Disk]
+		if learner != nil && (learner.isLeaving || e.clock.Steady()-learner.lastContact > e.timing.LostAfter) {
+			continue
+		}
+		fit = append(fit, member.Disk)
 	}
-	return best
+	return e.ranked(fit)
 }
 
-func largestOdd(count int) int { return count - 1 + count%2 }
+// noteShortage says once an epoch that the losses to be borne ask for more disks than there are.
+func (e *Engine) noteShortage(disks int) {
+	now := e.clock.Steady()
+	if disks >= e.size {
+		e.shortSince = now
+		return
+	}
+	if now-e.shortSince > shortageLog && !e.isShortNoted {
+		e.isShortNoted = true
+		e.log.Info("too few disks for the losses to be borne", "key", e.key, "disks", disks, "wanted", e.size,
+			"borne", (min(len(e.set.Now), disks)-1)/2)
+	}
+}
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -21,7 +21,8 @@
 	"gannetline/internal/span"
 )
 
-const handOver = 400 * time.Millisecond
+// partOfGrace is how much of the grace period a steward may take until its voters are replaced.
+const partOfGrace = 3
 
 // Steward keeps control keys and schedules the pools it owns, until SIGTERM.
 func Steward(path string, options ...Option) error {
@@ -72,8 +73,5 @@
 	if b.settings.InitialStart && kept.store != nil && kept.store.Bare() {
 		b.tree.Add("first-voters", func(life span.Span) error { ring.FoundFirst(life, b.settings.Seeds); return nil })
 	}
-	return b.run(func() {
-		ring.Leave()
-		<-b.clock.After(handOver)
-	})
+	return b.run(func() { ring.Leave(b.settings.GracePeriod() / partOfGrace) })
 }
