--- a/internal/configcache/delta.go
+++ b/internal/configcache/delta.go
@@ -104,16 +104,17 @@
 // assemble gives the pieces of the body that the parts say, without reading the whole of it: those of a span are pieces
 // of the new body too, and only text is cut anew.
 func assemble(base []piece, parts []peerapi.DeltaPart) ([]piece, error) {
-	var pieces []piece
+	pieces := make([]piece, 0, len(base)+len(parts))
 	depth := 0
 	for _, part := range parts {
 		if part.From < 0 || part.Count < 0 || part.From > len(base) || part.Count > len(base)-part.From {
 			return nil, errors.Errorf("a part of the change is not in the plan's base")
 		}
-		for _, added := range [][]piece{base[part.From : part.From+part.Count], cutFrom([]byte(part.Text), depth+netOf(base[part.From:part.From+part.Count]))} {
-			pieces = append(pieces, added...)
-			depth += netOf(added)
-		}
+		span := base[part.From : part.From+part.Count]
+		depth += netOf(span)
+		text := cutFrom([]byte(part.Text), depth)
+		depth += netOf(text)
+		pieces = append(append(pieces, span...), text...)
 	}
 	return pieces, nil
 }
