--- /dev/null
+++ b/internal/configcache/cache_test.go
@@ -0,0 +1,120 @@
+package configcache_test
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/configcache"
+	"gannetline/internal/logging"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/span"
+)
+
+// scriptedPeer answers calls for a plan without a network.
+type scriptedPeer struct {
+	mux   *http.ServeMux
+	calls chan peerapi.ConfigurationCall
+	tell  chan *peerapi.ConfigurationAnswer
+}
+
+func newScriptedPeer() *scriptedPeer {
+	s := &scriptedPeer{mux: http.NewServeMux(), calls: make(chan peerapi.ConfigurationCall, 9), tell: make(chan *peerapi.ConfigurationAnswer, 9)}
+	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+		s.calls <- *call
+		return <-s.tell, nil
+	})
+	return s
+}
+
+func (s *scriptedPeer) RoundTrip(request *http.Request) (*http.Response, error) {
+	recorder := httptest.NewRecorder()
+	s.mux.ServeHTTP(recorder, request)
+	return recorder.Result(), nil
+}
+
+var _ = Describe("a cache", func() {
+	var peer *scriptedPeer
+	var cache *configcache.Cache
+	var clock *pulse.Fake
+	var inForce chan int64
+	old := fact(3, body(3, routes(40)...))
+	next := fact(5, body(5, append(routes(39), route("x", 1))...))
+	BeforeEach(func() {
+		peer, clock, inForce = newScriptedPeer(), pulse.NewFake(1), make(chan int64, 9)
+		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, logging.Silent(),
+			func(page *configcache.Snapshot) { inForce <- page.Fact.Version })
+		life, end := span.Cancellable(span.Root())
+		DeferCleanup(end)
+		go cache.Run(life)
+	})
+
+	It("asks for changes on what it holds, and for the whole where they don't fit", func() {
+		cache.Hold(old)
+		Expect(<-inForce).To(Equal(int64(3)))
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
+		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
+		wrong := *versionOf(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true}).Changes[0]
+		wrong.Digest = "of another plan"
+		peer.tell <- &peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{&wrong}}
+		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChunks: true}))
+		Expect(cache.Page().Fact.Version).To(Equal(int64(3)))
+		peer.tell <- &peerapi.ConfigurationAnswer{Fact: next}
+		Expect(<-inForce).To(Equal(int64(5)))
+		Expect(cache.Page().Fact.Body).To(Equal(next.Body))
+	})
+
+	It("asks for the whole without a base, and serves what it holds in turn", func() {
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
+		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{TakesChunks: true}))
+		peer.tell <- &peerapi.ConfigurationAnswer{Fact: old}
+		Expect(<-inForce).To(Equal(int64(3)))
+		cache.Hold(next)
+		Expect(<-inForce).To(Equal(int64(5)))
+		cache.Hold(old)
+		mux := http.NewServeMux()
+		cache.Handle(mux)
+		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedPeer{mux: mux}})
+		answer, err := peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](caller, span.Root(), "10.0.0.9:1",
+			peerapi.ProcedurePlan, time.Second, &peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		Expect(err).NotTo(HaveOccurred())
+		Expect(answer.Changes).To(HaveLen(1))
+	})
+
+	It("turns to each who was heard of during a fetch that left it behind, once", func() {
+		cache.Hold(old)
+		<-inForce
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
+		<-peer.calls
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 7)
+		cache.Hold(old)
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 7)
+		peer.tell <- versionOf(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		Expect(<-inForce).To(Equal(int64(5)))
+		for range 2 {
+			Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 5, TakesChanges: true, TakesChunks: true}))
+			peer.tell <- &peerapi.ConfigurationAnswer{}
+		}
+		cache.Hold(fact(9, body(9)))
+		Expect(<-inForce).To(Equal(int64(9)))
+		Expect(peer.calls).To(BeEmpty())
+	})
+
+	It("asks a second peer only once the first one is slow", func() {
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
+		<-peer.calls
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 3)
+		cache.Hold(old)
+		Expect(<-inForce).To(Equal(int64(3)))
+		Expect(peer.calls).To(BeEmpty())
+		clock.Advance(250 * time.Millisecond)
+		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 5)
+		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
+		peer.tell <- &peerapi.ConfigurationAnswer{}
+		peer.tell <- &peerapi.ConfigurationAnswer{}
+	})
+})
--- a/internal/configcache/configcache.go
+++ b/internal/configcache/configcache.go
@@ -1,4 +1,4 @@
-// Package configcache holds the newest committed plan a process has heard of; it never goes back.
+// Package configcache holds the newest committed configuration that a process has heard of, fetches newer ones from peers and serves it to them; it never goes back.
 package configcache
 
 import (
@@ -15,10 +15,11 @@
 	"gannetline/internal/span"
 )
 
+// Snapshot is the version in force, as it was committed and as it is looked up.
 type Snapshot struct {
 	Fact    *peerapi.Configuration
 	Matcher *configuration.Matcher
-	edition *Version
+	version *Version
 }
 
 // Moved gives the services that an entry was sent to before.
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// Cache holds the newest committed configuration, fetches newer ones from siblings and serves it to them.
+// Cache holds the newest committed configuration, fetches newer ones from peers and serves it to them.
 type Cache struct {
 	box     *mailbox.Mailbox
 	page    atomic.Pointer[Snapshot]
@@ -63,26 +64,26 @@
 // Hold takes a committed configuration.
 func (c *Cache) Hold(fact *peerapi.Configuration) { c.box.Post(func() { c.fetcher.Hold(fact) }) }
 
-// Ahead fetches a version that a sibling holds and this process does not.
-func (c *Cache) Ahead(sibling peerapi.Member, version int64) {
-	c.box.TryPost(func() { c.fetcher.Hear(sibling, version) })
+// Ahead fetches a version that a peer holds and this process does not.
+func (c *Cache) Ahead(member peerapi.Member, version int64) {
+	c.box.TryPost(func() { c.fetcher.Hear(member, version) })
 }
 
-func (c *Cache) edition() *Version {
+func (c *Cache) version() *Version {
 	if page := c.page.Load(); page != nil {
-		return page.edition
+		return page.version
 	}
 	return nil
 }
 
 // use brings a version into force; an error says that it can't be read, and changes nothing.
-func (c *Cache) use(edition *Version) error {
-	fact := edition.Fact
+func (c *Cache) use(next *Version) error {
+	fact := next.Fact
 	plan, err := configuration.Read(fact.Body)
 	if err != nil {
 		return errors.Annotatef(err, "version %d of the plan", fact.Version)
 	}
-	page := &Snapshot{Fact: fact, Matcher: configuration.NewMatcher(plan), edition: edition}
+	page := &Snapshot{Fact: fact, Matcher: configuration.NewMatcher(plan), version: next}
 	c.page.Store(page)
 	versionsTaken.Inc()
 	versionHeld.Set(float64(fact.Version))
--- a/internal/configcache/configcache_test.go
+++ b/internal/configcache/configcache_test.go
@@ -52,7 +52,7 @@
 	return arrived
 }
 
-func edition(facts ...*peerapi.Configuration) *configcache.Version {
+func versionOf(facts ...*peerapi.Configuration) *configcache.Version {
 	var held *configcache.Version
 	for _, one := range facts {
 		held = held.Follow(one)
@@ -72,18 +72,18 @@
 		next := changed(5, 7, 4000)
 		next.InitialVoters = append(next.InitialVoters, peerapi.InitialVoters{Service: "t", Voters: []string{"c"}})
 		next.Moved = []peerapi.MovedRoute{{Entry: "r-7", Services: []string{"s"}}}
-		answer := edition(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer := versionOf(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(answer.Fact).To(BeNil())
 		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the whole %d\n", size(answer), size(&peerapi.ConfigurationAnswer{Fact: next}))
 		Expect(size(answer)).To(BeNumerically("<", 700))
-		taken, err := edition(old).Take(sent(answer))
+		taken, err := versionOf(old).Take(sent(answer))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(taken.Fact).To(Equal(next))
 	})
 
 	It("rebuild whatever an operator may send", func() {
 		draw := rand.New(rand.NewPCG(1, 2))
-		held := edition(old)
+		held := versionOf(old)
 		for version := int64(4); version < 200; version++ {
 			all := routes(20 + draw.IntN(30))
 			for range draw.IntN(4) {
@@ -100,10 +100,10 @@
 	})
 
 	It("lead over several versions, in one answer", func() {
-		ahead := edition(old, changed(4, 1, 1), changed(5, 2, 2), changed(9, 3, 3))
+		ahead := versionOf(old, changed(4, 1, 1), changed(5, 2, 2), changed(9, 3, 3))
 		answer := ahead.Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(answer.Changes).To(HaveLen(3))
-		taken, err := edition(old).Take(sent(answer))
+		taken, err := versionOf(old).Take(sent(answer))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(taken.Fact).To(Equal(ahead.Fact))
 		again := taken.Answer(&peerapi.ConfigurationCall{Held: 4, TakesChanges: true})
@@ -112,7 +112,7 @@
 
 	It("are kept for 32 versions, and the whole is sent beyond", func() {
 		all := routes(400)
-		held := edition(fact(3, body(3, all...)))
+		held := versionOf(fact(3, body(3, all...)))
 		for version := range int64(33) {
 			all[version] = route(fmt.Sprintf("r-%d", version), 1)
 			held = held.Follow(fact(4+version, body(4+version, all...)))
@@ -122,7 +122,7 @@
 	})
 
 	It("are the whole where all of them together are longer than it", func() {
-		held := edition(old)
+		held := versionOf(old)
 		for version := int64(4); version < 9; version++ {
 			all := routes(40)
 			for place := range 15 {
@@ -134,23 +134,23 @@
 		Expect(held.Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true}).Fact).NotTo(BeNil())
 	})
 
-	It("are not sent over a gap, to one without a base, or to a sibling of the older form", func() {
-		ahead := edition(old, changed(5, 1, 1), changed(7, 2, 2))
+	It("are not sent over a gap, to one without a base, or to a peer of the older form", func() {
+		ahead := versionOf(old, changed(5, 1, 1), changed(7, 2, 2))
 		for _, call := range []*peerapi.ConfigurationCall{{Held: 6, TakesChanges: true}, {Held: 0, TakesChanges: true}, {Held: 5}} {
 			answer := ahead.Answer(call)
 			Expect(answer.Changes).To(BeEmpty())
 			Expect(answer.Fact.Version).To(Equal(int64(7)))
 		}
-		taken, err := edition(old).Take(&peerapi.ConfigurationAnswer{Fact: ahead.Fact})
+		taken, err := versionOf(old).Take(&peerapi.ConfigurationAnswer{Fact: ahead.Fact})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(taken.Fact.Version).To(Equal(int64(7)))
 	})
 
 	It("that come twice, late or in another order never lead back", func() {
 		four, five := changed(4, 1, 1), changed(5, 2, 2)
-		first := edition(old, four).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
-		second := edition(old, four, five).Answer(&peerapi.ConfigurationCall{Held: 4, TakesChanges: true})
-		held := edition(old)
+		first := versionOf(old, four).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		second := versionOf(old, four, five).Answer(&peerapi.ConfigurationCall{Held: 4, TakesChanges: true})
+		held := versionOf(old)
 		_, err := held.Take(second)
 		Expect(err).To(MatchError(ContainSubstring("3 is held")))
 		for _, answer := range []*peerapi.ConfigurationAnswer{first, second, first, second, {Fact: four}, {}} {
@@ -162,8 +162,8 @@
 
 	It("are refused where the digest differs, the base is another or gone, or a part is beyond it", func() {
 		next := changed(5, 7, 4000)
-		answer := edition(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
-		held := edition(changed(3, 9, 1))
+		answer := versionOf(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		held := versionOf(changed(3, 9, 1))
 		kept, err := held.Take(answer)
 		Expect(err).To(MatchError(ContainSubstring("is not version 5")))
 		Expect(kept).To(BeIdenticalTo(held))
@@ -173,7 +173,7 @@
 		for _, part := range []peerapi.DeltaPart{{From: 9999, Count: 1}, {From: 1, Count: 1 << 40}, {From: -1, Count: 1}, {From: 1, Count: -1}} {
 			wrong := *answer.Changes[0]
 			wrong.Parts = []peerapi.DeltaPart{part}
-			_, err = edition(old).Take(&peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{&wrong}})
+			_, err = versionOf(old).Take(&peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{&wrong}})
 			Expect(err).To(MatchError(ContainSubstring("not in the plan's base")))
 		}
 	})
@@ -183,7 +183,7 @@
 		for number := range 40 {
 			fresh = append(fresh, route(fmt.Sprintf("other-%d", number), 1))
 		}
-		answer := edition(old, fact(5, body(5, fresh...))).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer := versionOf(old, fact(5, body(5, fresh...))).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(answer.Fact).NotTo(BeNil())
 	})
 
@@ -193,9 +193,9 @@
 		Expect(len(big.Body)).To(BeNumerically(">", 1<<20))
 		all[4000] = route("r-4000", 1)
 		next := fact(4, body(4, all...))
-		answer := edition(big, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer := versionOf(big, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(size(answer)).To(BeNumerically("<", 700))
-		taken, err := edition(big).Take(sent(answer))
+		taken, err := versionOf(big).Take(sent(answer))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(taken.Fact.Body, next.Body)).To(BeTrue())
 	})
--- a/internal/configcache/cost_test.go
+++ b/internal/configcache/cost_test.go
@@ -23,7 +23,7 @@
 	for _, count := range []int{40, 550, 1400} {
 		h := newHistory(count)
 		base := h.next()
-		before := edition(base)
+		before := versionOf(base)
 		next := h.next()
 		answer := before.Follow(next).Answer(&peerapi.ConfigurationCall{Held: base.Version, TakesChanges: true})
 		chain := before
@@ -80,7 +80,7 @@
 		cache.Hold(newHistory(550).next())
 		<-inForce
 		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, mostAnswers)
-		held := &scriptedSibling{mux: mux}
+		held := &scriptedPeer{mux: mux}
 		call := func(through http.RoundTripper) (*peerapi.ConfigurationAnswer, error) {
 			return peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
 				span.Root(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &peerapi.ConfigurationCall{TakesChunks: true})
--- a/internal/configcache/fetch.go
+++ b/internal/configcache/fetch.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// A sibling is given up after the patience without a byte. It starts short, grows while siblings stall, and
+	// A peer is given up after the patience without a byte. It starts short, grows while peers stall, and
 	// follows the time that answers take.
 	shortPatience = 200 * time.Millisecond
 	longPatience  = 3200 * time.Millisecond
 	// patienceFactor is how many times as long as the last answer took the next one may be silent.
 	patienceFactor = 3
-	// failurePause lies before a sibling that failed is asked again, times its failures.
+	// failurePause lies before a peer that failed is asked again, times its failures.
 	failurePause = 100 * time.Millisecond
 	// restFactor times what applying a version took goes by before the next one is fetched, longestRest at most:
 	// in a storm of versions most are passed over, and a slow processor keeps its time for calls.
@@ -27,7 +27,7 @@
 
 // Actions are what a fetcher has its process do.
 type Actions struct {
-	// Ask calls a sibling that may be silent for the patience; Take is told of the outcome.
+	// Ask calls a peer that may be silent for the patience; Take is told of the outcome.
 	Ask func(address string, call *peerapi.ConfigurationCall, patience time.Duration)
 	// Wake calls the fetcher's Wake after a while.
 	Wake func(after time.Duration)
@@ -77,15 +77,15 @@
 	return nil
 }
 
-// Hear notes that a sibling holds a version, and fetches it if it is newer.
-func (f *Fetcher) Hear(sibling peerapi.Member, version int64) {
+// Hear notes that a peer holds a version, and fetches it if it is newer.
+func (f *Fetcher) Hear(member peerapi.Member, version int64) {
 	if version > f.held.version() {
-		f.peers.hear(sibling, version)
+		f.peers.hear(member, version)
 		f.fetchNext()
 	}
 }
 
-// Chunk gives a sibling a chunk of an image of the whole.
+// Chunk gives a peer a chunk of an image of the whole.
 func (f *Fetcher) Chunk(call *peerapi.ConfigurationCall) (*peerapi.ConfigurationChunk, error) {
 	return f.shelf.chunk(f.held, call)
 }
@@ -105,7 +105,7 @@
 	f.actions.Wake(length)
 }
 
-// fetchNext asks the best sibling that is ahead, if there is one and no call is under way.
+// fetchNext asks the best peer that is ahead, if there is one and no call is under way.
 func (f *Fetcher) fetchNext() {
 	if f.isFetching || f.isResting {
 		return
@@ -134,7 +134,7 @@
 	case err != nil:
 		f.failed(address, err)
 	case answer.Busy:
-		f.failed(address, errors.New("the sibling answers too many others"))
+		f.failed(address, errors.New("the peer answers too many others"))
 	default:
 		f.patience = max(shortPatience, min(patienceFactor*(f.clock.Steady()-f.askedAt), longPatience))
 		bodyBytesFetched.Add(bytesOf(answer))
@@ -166,7 +166,7 @@
 	}
 	if f.held == before {
 		if call.Held == f.held.version() {
-			// The sibling has nothing newer, whatever was heard.
+			// The peer has nothing newer, whatever was heard.
 			f.peers.forget(address)
 		}
 		f.fetchNext()
@@ -197,9 +197,9 @@
 	return f.held.Follow(fact), true, nil
 }
 
-// failed turns to another sibling, or after a pause to the same one.
+// failed turns to another peer, or after a pause to the same one.
 func (f *Fetcher) failed(address string, why error) {
-	f.log.Info("a plan could not be fetched", "sibling", address, "why", why.Error())
+	f.log.Info("a plan could not be fetched", "peer", address, "why", why.Error())
 	f.peers.failed(address)
 	if next := f.peers.best(f.held.version()); next != nil {
 		f.rest(time.Duration(next.failures) * failurePause)
--- a/internal/configcache/fetch_test.go
+++ b/internal/configcache/fetch_test.go
@@ -17,24 +17,24 @@
 
 const smallBody = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"}],"service-list":[{"name":"s"}]}`
 
-func runningBook(heed func(*configcache.Snapshot)) *configcache.Cache {
+func runningCache(heed func(*configcache.Snapshot)) *configcache.Cache {
 	life, end := span.Cancellable(span.Root())
-	book := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent(), heed)
+	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent(), heed)
 	over := make(chan error, 1)
-	go func() { over <- book.Run(life) }()
+	go func() { over <- cache.Run(life) }()
 	DeferCleanup(func() {
 		end()
 		Expect(<-over).To(Succeed())
 	})
-	return book
+	return cache
 }
 
 var _ = Describe("the plan that a process holds", func() {
-	It("is fetched from a sibling that is ahead, and counted", func() {
+	It("is fetched from a peer that is ahead, and counted", func() {
 		before := metrics.Own()
 		pages := make(chan *configcache.Snapshot, 2)
 		heed := func(page *configcache.Snapshot) { pages <- page }
-		ahead, behind := runningBook(heed), runningBook(heed)
+		ahead, behind := runningCache(heed), runningCache(heed)
 		mux := http.NewServeMux()
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
--- a/internal/configcache/image.go
+++ b/internal/configcache/image.go
@@ -21,7 +21,7 @@
 	mostImageBytes = 16 << 20
 )
 
-// Image is the compressed form of one whole version, which siblings fetch in chunks.
+// Image is the compressed form of one whole version, which peers fetch in chunks.
 type Image struct {
 	Version int64
 	// Name is the sha256 of the data, in hexadecimal.
@@ -136,12 +136,12 @@
 
 func (t *transfer) left() int { return t.size - len(t.image.data) }
 
-// transfers keep what came of an image when a sibling goes silent; another sibling may hold the same image.
+// transfers keep what came of an image when a peer goes silent; another peer may hold the same image.
 type transfers struct{ open []*transfer }
 
 const mostTransfers = 3
 
-// named is the image to go on with at a sibling: one that it sent before, or the one with the least left.
+// named is the image to go on with at a peer: one that it sent before, or the one with the least left.
 func (t *transfers) named(address string) *transfer {
 	var best *transfer
 	for _, one := range t.open {
--- a/internal/configcache/network_test.go
+++ b/internal/configcache/network_test.go
@@ -129,12 +129,12 @@
 			fetcher.Take(address, call, answer, err)
 		}
 	}
-	sibling := n.peers[address]
-	if sibling.isDead {
+	peer := n.peers[address]
+	if peer.isDead {
 		n.after(patience, end(nil, errors.Annotate(peerapi.ErrStalled, address)))
 		return
 	}
-	answer := sibling.answer(call)
+	answer := peer.answer(call)
 	text, err := easyjson.Marshal(answer)
 	Expect(err).NotTo(HaveOccurred())
 	arrived := &peerapi.ConfigurationAnswer{}
@@ -262,7 +262,7 @@
 		Expect(network.received).To(BeNumerically("<", len(newest.Body)/3))
 	}, Entry(nil, 550), Entry(nil, 1400))
 
-	It("goes on where a sibling went silent, at another that holds the same image", func() {
+	It("goes on where a peer went silent, at another that holds the same image", func() {
 		begin(20_000)
 		h = newHistory(1400)
 		newest := h.next()
@@ -281,7 +281,7 @@
 		Expect(network.calls[len(network.calls)-1].Offset).To(BeNumerically(">", 0))
 	})
 
-	It("asks a sibling that was silent again, with pauses that grow, until one answers", func() {
+	It("asks a peer that was silent again, with pauses that grow, until one answers", func() {
 		begin(250_000)
 		steward.fetcher.Hold(h.next())
 		steward.isDead = true
@@ -294,7 +294,7 @@
 		Expect(gate.held.Fact.Version).To(Equal(steward.held.Fact.Version))
 	})
 
-	DescribeTable("takes nothing of a sibling that answers nonsense, and goes on at another",
+	DescribeTable("takes nothing of a peer that answers nonsense, and goes on at another",
 		func(bend func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer) {
 			begin(250_000)
 			first := h.next()
@@ -339,7 +339,7 @@
 		}),
 	)
 
-	It("takes the whole from a sibling of the older form, and gives it to one", func() {
+	It("takes the whole from a peer of the older form, and gives it to one", func() {
 		begin(250_000)
 		newest := h.next()
 		steward.bend = func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
--- a/internal/configcache/peers.go
+++ b/internal/configcache/peers.go
@@ -14,7 +14,7 @@
 	roleSteward  = "steward"
 )
 
-// peer is a sibling that was heard to hold a newer version.
+// peer is a peer that was heard to hold a newer version.
 type peer struct {
 	address   string
 	isSteward bool
@@ -22,19 +22,19 @@
 	failures  int
 }
 
-// peers are the siblings that may be asked, in no order.
+// peers are the peers that may be asked, in no order.
 type peers struct{ known []*peer }
 
 // hear remembers who holds a version; what failed there before stays counted while others are left to ask.
-func (p *peers) hear(sibling peerapi.Member, version int64) {
-	if known := p.find(sibling.Address); known != nil {
+func (p *peers) hear(member peerapi.Member, version int64) {
+	if known := p.find(member.Address); known != nil {
 		known.holds = max(known.holds, version)
 		return
 	}
 	if len(p.known) == mostPeers {
 		p.known = p.known[1:]
 	}
-	p.known = append(p.known, &peer{address: sibling.Address, isSteward: sibling.Role == roleSteward, holds: version})
+	p.known = append(p.known, &peer{address: member.Address, isSteward: member.Role == roleSteward, holds: version})
 }
 
 func (p *peers) find(address string) *peer {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// best is the sibling to ask: the fewest failures, then stewards, whose links are wider, then the newest version.
+// best is the peer to ask: the fewest failures, then stewards, whose links are wider, then the newest version.
 func (p *peers) best(held int64) *peer {
 	p.known = slices.DeleteFunc(p.known, func(one *peer) bool { return one.holds <= held })
 	if len(p.known) == 0 {
--- a/internal/configcache/serve.go
+++ b/internal/configcache/serve.go
@@ -12,7 +12,7 @@
 // process's link at any moment is at most that many chunks. Others are sent on.
 const mostAnswers = 12
 
-// Handle lets siblings fetch the configuration.
+// Handle lets peers fetch the configuration.
 func (c *Cache) Handle(mux *http.ServeMux) {
 	open, full := http.NewServeMux(), http.NewServeMux()
 	peerapi.Serve(open, peerapi.ProcedurePlan, c.answer)
@@ -32,7 +32,7 @@
 }
 
 func (c *Cache) answer(life span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
-	if answer := c.edition().Answer(call); answer != nil {
+	if answer := c.version().Answer(call); answer != nil {
 		return answer, nil
 	}
 	type packed struct {
--- a/internal/configcache/version.go
+++ b/internal/configcache/version.go
@@ -21,90 +21,90 @@
 	changes []*peerapi.ConfigurationDelta
 }
 
-func (e *Version) version() int64 {
-	if e == nil {
+func (v *Version) version() int64 {
+	if v == nil {
 		return 0
 	}
-	return e.Fact.Version
+	return v.Fact.Version
 }
 
-// Follow gives the edition of a newer fact; an older one changes nothing.
-func (e *Version) Follow(fact *peerapi.Configuration) *Version {
-	if fact.Version <= e.version() {
-		return e
+// Follow gives the version of a newer fact; an older one changes nothing.
+func (v *Version) Follow(fact *peerapi.Configuration) *Version {
+	if fact.Version <= v.version() {
+		return v
 	}
-	if e == nil {
+	if v == nil {
 		return &Version{Fact: fact}
 	}
-	change := changeOf(e.Fact, fact)
+	change := changeOf(v.Fact, fact)
 	if change == nil {
 		return &Version{Fact: fact}
 	}
-	return &Version{fact, e.with(change)}
+	return &Version{fact, v.with(change)}
 }
 
-func (e *Version) with(added ...*peerapi.ConfigurationDelta) []*peerapi.ConfigurationDelta {
-	changes := append(slices.Clone(e.changes), added...)
+func (v *Version) with(added ...*peerapi.ConfigurationDelta) []*peerapi.ConfigurationDelta {
+	changes := append(slices.Clone(v.changes), added...)
 	return changes[max(0, len(changes)-mostChanges):]
 }
 
-// Take applies a sibling's answer; an error says that only the whole plan helps.
-func (e *Version) Take(answer *peerapi.ConfigurationAnswer) (*Version, error) {
+// Take applies a peer's answer; an error says that only the whole plan helps.
+func (v *Version) Take(answer *peerapi.ConfigurationAnswer) (*Version, error) {
 	if answer.Fact != nil {
-		return e.Follow(answer.Fact), nil
+		return v.Follow(answer.Fact), nil
 	}
 	var chain []*peerapi.ConfigurationDelta
-	reached := e.version()
+	reached := v.version()
 	for _, change := range answer.Changes {
 		if change.Version <= reached {
 			continue
 		}
 		if change.Base != reached {
-			return e, errors.Errorf("a change to version %d is on version %d, and %d is held", change.Version, change.Base, reached)
+			return v, errors.Errorf("a change to version %d is on version %d, and %d is held", change.Version, change.Base, reached)
 		}
 		chain, reached = append(chain, change), change.Version
 	}
 	if len(chain) == 0 {
-		return e, nil
+		return v, nil
 	}
-	if e == nil {
-		return e, errors.Errorf("a change to version %d, and nothing is held", reached)
+	if v == nil {
+		return v, errors.Errorf("a change to version %d, and nothing is held", reached)
 	}
-	fact, err := applyAll(e.Fact, chain)
+	fact, err := applyAll(v.Fact, chain)
 	if err != nil {
-		return e, err
+		return v, err
 	}
-	return &Version{fact, e.with(chain...)}, nil
+	return &Version{fact, v.with(chain...)}, nil
 }
 
-// Answer gives a sibling the changes since the version that it holds, or the whole configuration; nothing for one
+// Answer gives a peer the changes since the version that it holds, or the whole configuration; nothing for one
 // that takes the whole in chunks of an image.
-func (e *Version) Answer(call *peerapi.ConfigurationCall) *peerapi.ConfigurationAnswer {
-	if e.version() <= call.Held {
+func (v *Version) Answer(call *peerapi.ConfigurationCall) *peerapi.ConfigurationAnswer {
+	if v.version() <= call.Held {
 		return &peerapi.ConfigurationAnswer{}
 	}
-	if changes := e.since(call.Held); call.TakesChanges && len(changes) > 0 {
+	if changes := v.since(call.Held); call.TakesChanges && len(changes) > 0 {
 		return &peerapi.ConfigurationAnswer{Changes: changes}
 	}
 	if call.TakesChunks {
 		return nil
 	}
-	return &peerapi.ConfigurationAnswer{Fact: e.Fact}
+	return &peerapi.ConfigurationAnswer{Fact: v.Fact}
 }
 
 // reaches tells whether changes lead from an older version to this one.
-func (e *Version) reaches(older int64) bool {
-	return older == e.version() || len(e.since(older)) > 0
+func (v *Version) reaches(older int64) bool {
+	return older == v.version() || len(v.since(older)) > 0
 }
 
-func (e *Version) since(held int64) []*peerapi.ConfigurationDelta {
+func (v *Version) since(held int64) []*peerapi.ConfigurationDelta {
 	text := 0
-	for place := len(e.changes) - 1; place >= 0; place-- {
-		if text += textIn(e.changes[place]); text > min(len(e.Fact.Body), mostAnswerText) {
+	for place := len(v.changes) - 1; place >= 0; place-- {
+		if text += textIn(v.changes[place]); text > min(len(v.Fact.Body), mostAnswerText) {
 			return nil
 		}
-		if e.changes[place].Base == held {
-			return e.changes[place:]
+		if v.changes[place].Base == held {
+			return v.changes[place:]
 		}
 	}
 	return nil
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -66,6 +66,7 @@
 	byName map[string]int
 }
 
+// NewMatcher prepares the look-up of a configuration's routes.
 func NewMatcher(plan *Configuration) *Matcher {
 	matcher := &Matcher{plan: plan, byHost: map[string][]int{}, byName: map[string]int{}}
 	for place, entry := range plan.Entries {
@@ -81,8 +82,10 @@
 	return matcher
 }
 
+// Plan gives the configuration that is looked up.
 func (m *Matcher) Plan() *Configuration { return m.plan }
 
+// Match gives the route of a request, nil if there is none.
 func (m *Matcher) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, place := range m.byHost[host] {
@@ -93,6 +96,7 @@
 	return nil
 }
 
+// ByName gives a route by its name, nil if there is none.
 func (m *Matcher) ByName(name string) *Route {
 	if place, isThere := m.byName[name]; isThere {
 		return &m.plan.Entries[place]
--- a/internal/configuration/plan.go
+++ b/internal/configuration/plan.go
@@ -1,4 +1,4 @@
-// Package configuration reads and checks the operator's plans.
+// Package configuration reads and checks the operator's configurations.
 package configuration
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all plan.go
@@ -17,6 +17,7 @@
 	Stretch     float64 `json:"stretch-factor"`
 }
 
+// Service is a pool of executors.
 type Service struct {
 	Name     string `json:"name"`
 	ConnCap  int    `json:"connection-limit"`
@@ -24,6 +25,7 @@
 	Protocol string `json:"protocol"`
 }
 
+// Limits are those of clients' requests; sizes in bytes, times in milliseconds.
 type Limits struct {
 	HeaderBytes     int   `json:"max-header-bytes"`
 	BodyBytes       int64 `json:"max-body-bytes"`
@@ -31,6 +33,7 @@
 	IdleTimeoutMs   int64 `json:"idle-timeout-ms"`
 }
 
+// Configuration is what the operator sent, as far as this system uses it.
 type Configuration struct {
 	Version  int64     `json:"config-version"`
 	Entries  []Route   `json:"route-list"`
