--- a/internal/configowner/confirmed_test.go
+++ b/internal/configowner/confirmed_test.go
@@ -163,6 +163,46 @@
 		Expect(answers).To(Equal(40))
 	})
 
+	DescribeTable("are clear once sent again, to a new leader and after 400 changes, if the leadership ended during the commit", func(isStored bool, others int) {
+		o := newOperated()
+		o.grow(400)
+		orders := make([][]byte, 8)
+		for number := range orders {
+			orders[number] = plan(401, fmt.Sprintf("s%d", number))
+		}
+		first := o.send(400, orders[0])
+		for _, order := range orders[1:] {
+			o.send(400, order)
+		}
+		if isStored {
+			for _, op := range o.tenure.ops {
+				o.kept[op.Name] = op.Value
+			}
+		}
+		lost := o.tenure.waiting
+		o.leader.Close()
+		o.tenure.waiting = nil
+		lost[0](errors.New("lost"))
+		Expect(first.Elsewhere).To(BeTrue())
+		o.takeOver()
+		taken := 0
+		if !isStored {
+			taken = 3
+			Expect(o.replace(400, orders[taken])).To(Equal(200))
+		}
+		for version := 402; version < 402+others; version++ {
+			Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
+		}
+		for number, order := range orders {
+			Expect(o.replace(400, order)).To(Equal(map[bool]int{true: 200, false: 412}[number == taken]))
+		}
+	},
+		Entry("and the change was stored", true, 0),
+		Entry("and the change was not stored", false, 0),
+		Entry("stored, with 400 others since", true, 400),
+		Entry("not stored, with 400 others since", false, 400),
+	)
+
 	It("that settle after the key was taken over again change nothing there", func() {
 		o := newOperated()
 		told := o.send(0, plan(1, "s"))
