--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -38,11 +38,37 @@
 		Expect(status).To(Equal(422))
 		Expect(beat("i-1", "ready", 1)).To(Equal(409))
 		Expect(beat("i-2", "ready", 1)).To(Equal(200))
+		work, _ := table.NextHold(false)
+		table.Held(work, executorcalls.Answer{ClockMs: 1000})
 		Expect(beat("i-1", "ready", 9)).To(Equal(409))
 		call, _ := table.Compose(0)
 		Expect(call.Gone).To(ContainElement("i-1"))
 	})
 
+	It("takes no life for over because of a beat alone, which may be late", func() {
+		Expect(beat("i-0", "ready", 7)).To(Equal(200))
+		call, _ := table.Compose(0)
+		Expect(call.Life).To(Equal("i-0"))
+		Expect(call.Gone).To(BeEmpty())
+		work, _ := table.NextHold(false)
+		Expect(work.Life).To(Equal("i-0"))
+		table.HoldFailed(work, true)
+		call, _ = table.Compose(0)
+		Expect(call.Life).To(Equal("i-1"))
+		Expect(call.Gone).To(Equal([]string{"i-0"}))
+		Expect(beat("i-1", "ready", 2)).To(Equal(200))
+	})
+
+	It("takes no answer to a hold from before a beat for a sign of the life that sent the beat", func() {
+		before, _ := table.NextHold(false)
+		beat("i-2", "ready", 1)
+		clock.Advance(time.Millisecond)
+		beat("i-1", "ready", 2)
+		table.Held(before, executorcalls.Answer{ClockMs: 1000})
+		call, _ := table.Compose(0)
+		Expect(call.Gone).To(BeEmpty())
+	})
+
 	It("extends no hold without a grant, and no further than one", func() {
 		work, _ := table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeZero())
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -74,6 +74,7 @@
 	hasLost     bool
 	feed        *feed
 	busyAt      time.Duration
+	chosenAt    time.Duration
 	misses      int
 	missedAt    time.Duration
 }
@@ -92,6 +93,8 @@
 	domain  string
 	name    string
 	life    *lifeTable
+	// others are lives that have sent beats as well and may be over; the next answer of the present life shows it.
+	others  []*lifeTable
 	gone    []string
 	onWork  func()
 	onLook  func()
@@ -127,13 +130,11 @@
 	if slices.Contains(t.gone, id) {
 		return 409, "this executor is over"
 	}
-	if t.life != nil && t.life.id == id && beat.Sequence <= t.life.sequence && beat.Sequence != 0 {
+	if known := t.known(id); known != nil && beat.Sequence <= known.sequence && beat.Sequence != 0 {
 		return 409, "field call-sequence is old"
 	}
 	now := t.now()
-	if t.life == nil || t.life.id != id {
-		t.newLife(id)
-	}
+	t.choose(id)
 	one := t.life
 	one.sequence, one.beat, one.beatAt = beat.Sequence, *beat, now
 	if beat.ClockMs > 0 {
@@ -150,12 +151,60 @@
 	return 200, ""
 }
 
-func (t *Table) newLife(id string) {
+// known finds a life that is not known to be over.
+func (t *Table) known(id string) *lifeTable {
+	if t.life != nil && t.life.id == id {
+		return t.life
+	}
+	for _, other := range t.others {
+		if other.id == id {
+			return other
+		}
+	}
+	return nil
+}
+
+// choose takes the life that sent a beat for the present one. A beat may be late, so that the one before it is only
+// known to be over once this one has answered a call.
+func (t *Table) choose(id string) {
+	if t.life != nil && t.life.id == id {
+		return
+	}
+	next := t.known(id)
+	if next == nil {
+		t.log.Info("an executor's life begins", "executor", id)
+		next = &lifeTable{id: id, busy: map[orderKey]uint64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
+	}
+	t.others = slices.DeleteFunc(t.others, func(other *lifeTable) bool { return other == next })
 	if t.life != nil {
-		t.markGone(t.life.id)
+		t.others = append(t.others, t.life)
+	}
+	next.chosenAt = t.now()
+	t.life = next
+	t.onAck()
+	t.onWork()
+}
+
+// confirm ends all other lives, as there is one on the machine at a time and the present one has answered.
+func (t *Table) confirm() {
+	for _, other := range t.others {
+		t.markGone(other.id)
+	}
+	if len(t.others) > 0 {
+		t.others = nil
+		t.onWork()
+	}
+}
+
+// dismiss ends the present life; one of the others may be the one that is there.
+func (t *Table) dismiss() {
+	t.markGone(t.life.id)
+	t.life = nil
+	if count := len(t.others); count > 0 {
+		t.life, t.others = t.others[count-1], t.others[:count-1]
+		t.life.chosenAt = t.now()
+		t.onAck()
 	}
-	t.log.Info("an executor's life begins", "executor", id)
-	t.life = &lifeTable{id: id, busy: map[orderKey]uint64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
 	t.onWork()
 }
 
@@ -198,6 +247,8 @@
 	Life string
 	Hold executorcalls.Hold
 	Look uint64
+	// BegunAt is when the hold was made up, on the steady clock.
+	BegunAt time.Duration
 }
 
 func (t *Table) NextHold(isLook bool) (HoldWork, bool) {
@@ -215,7 +266,7 @@
 	if !isLook {
 		hold.WaitMs = t.holdWait(one)
 	}
-	return HoldWork{Life: one.id, Hold: hold, Look: one.lookWanted}, true
+	return HoldWork{Life: one.id, Hold: hold, Look: one.lookWanted, BegunAt: t.now()}, true
 }
 
 // holdWait is short while the executor leaves calls unanswered: a hold that is lost hides all ends until it is given up.
@@ -250,6 +301,9 @@
 	if one == nil || one.id != work.Life {
 		return
 	}
+	if work.BegunAt >= one.chosenAt {
+		t.confirm()
+	}
 	t.sample(one, answer.ClockMs)
 	sinceHold := t.now() - one.holdAt
 	one.holdAt, one.hasHeld, one.misses = t.now(), true, 0
@@ -287,9 +341,7 @@
 	t.noteMisses(one, 1)
 	t.noteLost(one)
 	if isOtherLife || one.isLeaving && t.now()-one.leftAt > leavingAfter {
-		t.markGone(one.id)
-		t.life = nil
-		t.onWork()
+		t.dismiss()
 	}
 }
 
--- a/internal/modelcheck/ordermodel/executor.go
+++ b/internal/modelcheck/ordermodel/executor.go
@@ -15,18 +15,21 @@
 )
 
 const (
-	localHop       = 500 * time.Microsecond
-	leastLate      = 2 * time.Second
-	mostLate       = 12 * time.Second
-	drainMs        = 2000
-	beatEvery      = 1500 * time.Millisecond
-	firstBeatTime  = 300 * time.Millisecond
-	checkpointTime = 700 * time.Millisecond
-	gangWait       = 3 * time.Second
-	mostEndsTold   = 500
-	percentLate    = 50
-	percentBusy    = 60
-	longMs         = 8000
+	localHop      = 500 * time.Microsecond
+	leastLate     = 2 * time.Second
+	mostLate      = 12 * time.Second
+	drainMs       = 2000
+	beatEvery     = 1500 * time.Millisecond
+	firstBeatTime = 300 * time.Millisecond
+	mostBeatTime  = 3 * time.Second
+
+	percentSlowBeats = 3
+	checkpointTime   = 700 * time.Millisecond
+	gangWait         = 3 * time.Second
+	mostEndsTold     = 500
+	percentLate      = 50
+	percentBusy      = 60
+	longMs           = 8000
 )
 
 // execution is a run that an executor has begun.
@@ -129,8 +132,12 @@
 	if e.isDraining {
 		beat.State, beat.DepartsMs = "draining", max(1, pulse.InMs(e.departsAt-e.world.queue.now()))
 	}
-	id, proxy := e.id, e.proxy
-	e.world.queue.after(localHop, func() {
+	id, proxy, wait := e.id, e.proxy, localHop
+	if e.world.queue.chance(percentSlowBeats) {
+		e.world.count("beat_late")
+		wait = e.world.queue.between(localHop, mostBeatTime)
+	}
+	e.world.queue.after(wait, func() {
 		proxy.enter(proxy.incarnation, func() { proxy.table.Beat(id, beat) })
 	})
 	e.later(beatEvery, e.beat)
--- a/internal/stage/node.go
+++ b/internal/stage/node.go
@@ -165,8 +165,11 @@
 	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(peerapi.AppendAnswer)) { to.replicas.Append(ask, answer) }, done)
 }
 
+// InstallLocal answers later, never within the call, as the links of a steward do.
 func (r *road) InstallLocal(ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
-	r.node.replicas.Append(ask, func(answer peerapi.AppendAnswer) { done(answer, nil) })
+	r.node.replicas.Append(ask, func(answer peerapi.AppendAnswer) {
+		r.node.stage.Line.After(0, func() { r.node.enter(r.life, func() { done(answer, nil) }) })
+	})
 }
 
 func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
