--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -115,6 +115,17 @@
 		Expect(work.Fence).To(Equal(uint64(7)))
 	})
 
+	It("is unsure of every refusal once more orders went unanswered than it remembers", func() {
+		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		for run := range int64(10000) {
+			table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: peerapi.Order{Kind: "launch", Task: "other.0.0.0", Run: run}})
+		}
+		table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: launch})
+		table.Carried(localproxy.OrderWork{Life: "i-1", Order: launch}, "room")
+		call, _ := table.Compose(0)
+		Expect(call.Answers[0].Result).To(Equal("unsure"))
+	})
+
 	It("is unsure of a refusal once the order went unanswered", func() {
 		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000})
 		work, _ := table.Ready("i-1", launch)
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -24,6 +24,7 @@
 	idleAfter    = 2 * time.Second
 	deafFor      = time.Second
 	deafAfter    = 2
+	mostUnsure   = 10000
 )
 
 type orderKey struct {
@@ -69,14 +70,16 @@
 	answers     []givenAnswer
 	busy        map[orderKey]uint64
 	unsure      map[runKey]bool
-	toldAt      time.Duration
-	lostAt      time.Duration
-	hasLost     bool
-	feed        *feed
-	busyAt      time.Duration
-	chosenAt    time.Duration
-	misses      int
-	missedAt    time.Duration
+	// isUnsureOfAll is set once more runs are in doubt than are remembered by name.
+	isUnsureOfAll bool
+	toldAt        time.Duration
+	lostAt        time.Duration
+	hasLost       bool
+	feed          *feed
+	busyAt        time.Duration
+	chosenAt      time.Duration
+	misses        int
+	missedAt      time.Duration
 }
 
 type givenAnswer struct {
@@ -512,19 +515,29 @@
 
 // whileDeaf leaves a start that may have reached the executor to be sent again, as that is sooner over than a stop.
 func (l *lifeTable) whileDeaf(order peerapi.Order) string {
-	if l.unsure[runKey{order.Task, order.Run}] {
+	if l.isUnsureOf(runKey{order.Task, order.Run}) {
 		return "timeout"
 	}
 	return "sick"
 }
 
+// isUnsureOf tells whether a start of the run may yet be carried out. A stop that was answered ends the doubt, as the
+// executor turns the run away from then on.
+func (l *lifeTable) isUnsureOf(run runKey) bool { return l.unsure[run] || l.isUnsureOfAll }
+
 // Unanswered notes that an order may yet be carried out.
 func (t *Table) Unanswered(work OrderWork) {
-	if one := t.life; one != nil && one.id == work.Life && len(one.unsure) < 10000 {
+	one := t.life
+	if one == nil || one.id != work.Life {
+		return
+	}
+	if len(one.unsure) < mostUnsure {
 		one.unsure[runKey{work.Order.Task, work.Order.Run}] = true
-		t.noteMisses(one, 1)
-		t.noteLost(one)
+	} else {
+		one.isUnsureOfAll = true
 	}
+	t.noteMisses(one, 1)
+	t.noteLost(one)
 }
 
 func (t *Table) Clock(lifeID string, executorMs int64) {
@@ -542,7 +555,7 @@
 	}
 	order, place := work.Order, runKey{work.Order.Task, work.Order.Run}
 	delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
-	if order.Kind == "launch" && one.unsure[place] && result != "ok" && result != "timeout" {
+	if order.Kind == "launch" && one.isUnsureOf(place) && result != "ok" && result != "timeout" {
 		result = "unsure"
 	}
 	if result == "ok" {
--- a/internal/modelcheck/ordermodel/executor.go
+++ b/internal/modelcheck/ordermodel/executor.go
@@ -48,7 +48,7 @@
 }
 
 // executor keeps to the protocol: fence, highest run, holds on its own clock, numbered ends; its calls may be late,
-// lost or refused, and it guards no room.
+// lost or refused.
 type executor struct {
 	world       *world
 	machine     string
@@ -56,10 +56,12 @@
 	id          string
 	incarnation int
 	isUp        bool
-	isDraining  bool
-	isFrozen    bool
-	departsAt   time.Duration
-	begunAt     time.Duration
+	// isGuarding is set where starts beyond the room are turned away.
+	isGuarding bool
+	isDraining bool
+	isFrozen   bool
+	departsAt  time.Duration
+	begunAt    time.Duration
 	// slowPercent is how much slower than the world's clock its own is, in hundredths of a percent.
 	slowness int64
 	sequence int64
@@ -187,7 +189,7 @@
 		switch {
 		case life != e.id && !planted.ignoresLife():
 			answer(executorReply{status: http.StatusMisdirectedRequest})
-		case isBusy && request.hold == nil:
+		case isBusy:
 			e.world.count("executor_busy")
 			answer(executorReply{status: http.StatusServiceUnavailable})
 		default:
@@ -242,6 +244,11 @@
 		return
 	}
 	e.extend(order.ExpiryMs)
+	if e.isGuarding && !e.hasRoomFor(order.Task) {
+		e.world.count("start_without_room")
+		answer(e.told(http.StatusConflict, "room"))
+		return
+	}
 	e.begin(order, isLate)
 	answer(e.told(http.StatusOK, ""))
 }
@@ -455,6 +462,12 @@
 	return reply
 }
 
+func (e *executor) hasRoomFor(task string) bool {
+	place, _ := jobs.ParseTask(task)
+	used, step := e.used(), e.world.oracles.stepOf(place)
+	return used.CPU+step.CPU <= executorRoom.CPU && used.Memory+step.Memory <= executorRoom.Memory
+}
+
 // used is the room of all that runs, also of what is being stopped.
 func (e *executor) used() (used peerapi.Capacity) {
 	for _, one := range e.active {
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -30,6 +30,8 @@
 	Problems []string
 	Doubled  map[string]int
 	Starts   int
+	// OnNoted is told of each end that last-seen reached.
+	OnNoted func(task string)
 }
 
 func newJudge(line *Line) *Judge {
@@ -123,6 +125,9 @@
 
 func (j *Judge) noted(end executorcalls.EndRow) {
 	facts := j.of(end.Task)
+	if j.OnNoted != nil {
+		j.OnNoted(end.Task)
+	}
 	switch end.How {
 	case "done":
 		facts.isNoted = true
