--- a/internal/comparenodes/serve.go
+++ b/internal/comparenodes/serve.go
@@ -10,6 +10,8 @@
 	"gannetline/internal/span"
 )
 
+// Sources are where a node's beliefs come from: its view of the members, the configuration that it applies, and what
+// it knows of keys, jobs and executors. Ring may be nil on a node that leads no keys.
 type Sources struct {
 	View func() *membership.View
 	Page func() *configcache.Snapshot
--- a/internal/hollow/executor.go
+++ b/internal/hollow/executor.go
@@ -27,6 +27,7 @@
 
 const loadForm = "hollow %d ms, %d cpu-units, %d MB"
 
+// Descriptor writes the load as a task descriptor, from which a hollow executor reads it back.
 func (l Load) Descriptor() string {
 	return fmt.Sprintf(loadForm, l.Length.Milliseconds(), l.CPU, l.MemoryMB)
 }
@@ -89,6 +90,8 @@
 	sequence int64
 }
 
+// NewExecutor makes an executor that only pretends to work: a run ends after the length that its descriptor names.
+// The clock gives its beats, and later calls a function after a wait, on the goroutine that owns the executor.
 func NewExecutor(shape Shape, clock pulse.Pulse, later func(time.Duration, func())) *Executor {
 	return &Executor{shape: shape, clock: clock, later: later, begunAt: clock.Steady(), highest: map[string]int64{}}
 }
@@ -269,6 +272,7 @@
 	Started int `json:"started"`
 }
 
+// Counts counts the runs of this executor since its start.
 func (e *Executor) Counts() Counts {
 	return Counts{Running: len(e.active), Started: len(e.active) + len(e.over)}
 }
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -26,7 +26,9 @@
 const (
 	// PathRecords, PathCounts and PathFigures are where a process of hollow workers reports.
 	PathRecords = "/hollow/records"
-	PathCounts  = "/hollow/counts"
+	// PathCounts answers with the Counts of all workers of the process.
+	PathCounts = "/hollow/counts"
+	// PathFigures answers with what the process has sent and received and what it costs.
 	PathFigures = "/hollow/figures"
 	// PathProfile gives the processor profile of the next so many seconds.
 	PathProfile = "/hollow/profile"
--- a/internal/jobs/read.go
+++ b/internal/jobs/read.go
@@ -20,6 +20,7 @@
 // Words is one label or a list of them.
 type Words []string
 
+// UnmarshalEasyJSON reads one string or a list of strings; null and the empty string are no labels.
 func (w *Words) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	*w = nil
 	if in.IsNull() {
@@ -42,6 +43,7 @@
 	in.Delim(']')
 }
 
+// MarshalEasyJSON writes a single label as a string and any other number as a list.
 func (w Words) MarshalEasyJSON(out *jwriter.Writer) {
 	if len(w) == 1 {
 		out.String(w[0])
@@ -57,6 +59,7 @@
 	out.RawByte(']')
 }
 
+// IsID says whether the text is a job id: 16 hexadecimal digits.
 func IsID(id string) bool {
 	if len(id) != 16 {
 		return false
@@ -124,11 +127,14 @@
 	return id + "." + strconv.Itoa(time) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
 }
 
+// Place names one task of a job: the job's id, the number of its time (0 unless it repeats), of its step, and the
+// task's index in the step.
 type Place struct {
 	ID                string
 	Time, Step, Index int
 }
 
+// ParseTask takes a name apart that TaskName made; false means that it is not one.
 func ParseTask(name string) (Place, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -3,6 +3,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all spec.go
 
+// Step is a group of equal tasks of a job. CPU is in units of a thousandth of a core; DependsOn holds the numbers of
+// steps that must end first; Apart bounds how many of its tasks one executor may run, 0 being no bound.
 type Step struct {
 	Tasks         int   `json:"task-count"`
 	CPU           int64 `json:"cpu-units,omitempty"`
@@ -20,6 +22,8 @@
 	Lasting       bool  `json:"long-running,omitempty"`
 }
 
+// Spec is a job as a client hands it in. FirstRunMs is a time of day in milliseconds since 1970, PeriodMs the time
+// between two runs of a repeated job.
 type Spec struct {
 	Descriptor  string `json:"task-descriptor"`
 	Steps       []Step `json:"step-list"`
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -9,11 +9,15 @@
 	"github.com/go-logr/logr/funcr"
 )
 
+// Logger writes structured lines; a debug level above the configured one writes nothing.
 type Logger = logr.Logger
 
+// New makes a logger that writes one JSON object a line, with a time stamp in milliseconds. Errors are always
+// written; information is, up to the given verbosity.
 func New(to io.Writer, level int) Logger {
 	return funcr.NewJSON(func(line string) { fmt.Fprintln(to, line) },
 		funcr.Options{Verbosity: level, LogTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
 }
 
+// Silent is a logger that writes nothing, for tests and tools.
 func Silent() Logger { return logr.Discard() }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -9,14 +9,19 @@
 	"gannetline/internal/span"
 )
 
+// Mailbox is a bounded queue of functions that one goroutine, the owner of a table, runs one after another. Nothing
+// else touches the table, so it needs no lock.
 type Mailbox struct {
 	letters chan func()
 }
 
+// New makes a mailbox in which so many functions may wait.
 func New(room int) *Mailbox { return &Mailbox{letters: make(chan func(), room)} }
 
+// Post queues a function; it blocks while the mailbox is full, so the owner itself must not call it.
 func (m *Mailbox) Post(letter func()) { m.letters <- letter }
 
+// TryPost queues a function unless the mailbox is full, and says whether it did. It never blocks.
 func (m *Mailbox) TryPost(letter func()) bool {
 	select {
 	case m.letters <- letter:
@@ -26,6 +31,8 @@
 	}
 }
 
+// Owner says how the goroutine runs beside the mailbox: Tick is called every so often, Settle after each burst of
+// functions and each tick; both may be nil. OwnCore binds the goroutine to an operating system thread.
 type Owner struct {
 	Every   time.Duration
 	Tick    func()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -27,19 +27,28 @@
 func init() { library.ExposeMetadata(true) }
 
 type (
+	// Counter only rises.
 	Counter = library.Counter
-	Gauge   = library.Gauge
+	// Gauge goes up and down.
+	Gauge = library.Gauge
 )
 
 // Histogram counts durations, in seconds, by size.
 type Histogram struct{ kept *library.PrometheusHistogram }
 
+// Observe counts one duration.
 func (h Histogram) Observe(length time.Duration) { h.kept.Update(length.Seconds()) }
 
+// NewCounter registers a counter without labels. It panics if the name is taken or malformed, so call it at start-up
+// only.
 func NewCounter(name string) *Counter { return registry.NewCounter(name) }
 
+// NewGauge registers a gauge without labels. It panics if the name is taken or malformed, so call it at start-up
+// only.
 func NewGauge(name string) *Gauge { return registry.NewGauge(name, nil) }
 
+// NewHistogram gives the histogram of that name, with buckets from 0.1 ms to 10 s. It panics if the name is
+// malformed.
 func NewHistogram(name string) Histogram {
 	return Histogram{registry.GetOrCreatePrometheusHistogramExt(name, bounds)}
 }
@@ -60,14 +69,17 @@
 	return vector
 }
 
+// NewCounters makes a family of counters told apart by the values of at most two labels.
 func NewCounters(name string, labels ...string) *Vector[*Counter] {
 	return newVector(registry.GetOrCreateCounter, name, labels)
 }
 
+// NewGauges makes a family of gauges told apart by the values of at most two labels.
 func NewGauges(name string, labels ...string) *Vector[*Gauge] {
 	return newVector(func(name string) *Gauge { return registry.GetOrCreateGauge(name, nil) }, name, labels)
 }
 
+// NewHistograms makes a family of histograms told apart by the values of at most two labels.
 func NewHistograms(name string, labels ...string) *Vector[Histogram] {
 	return newVector(NewHistogram, name, labels)
 }
@@ -115,8 +127,10 @@
 	return sign
 }
 
+// Write writes all metrics of the process in the Prometheus text format.
 func Write(to io.Writer) { registry.WritePrometheus(to) }
 
+// Handle serves all metrics of the process under Path.
 func Handle(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+Path, func(to http.ResponseWriter, _ *http.Request) {
 		to.Header().Set("Content-Type", "text/plain; version=0.0.4")
--- a/internal/metrics/table.go
+++ b/internal/metrics/table.go
@@ -17,6 +17,7 @@
 	Samples Samples
 }
 
+// Add adds the other samples to these, name by name.
 func (s Samples) Add(other Samples) {
 	for name, value := range other {
 		s[name] += value
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -7,32 +7,41 @@
 	"slices"
 )
 
+// Room is an amount of resources: CPU units, memory in MB, and GPUs.
 type Room struct{ CPU, Memory, GPU int64 }
 
+// Fits says whether the need is no more than this room in each resource.
 func (r Room) Fits(need Room) bool {
 	return need.CPU <= r.CPU && need.Memory <= r.Memory && need.GPU <= r.GPU
 }
 
+// Minus subtracts resource by resource; the result may be negative.
 func (r Room) Minus(need Room) Room {
 	return Room{r.CPU - need.CPU, r.Memory - need.Memory, r.GPU - need.GPU}
 }
 
+// Plus adds resource by resource.
 func (r Room) Plus(need Room) Room {
 	return Room{r.CPU + need.CPU, r.Memory + need.Memory, r.GPU + need.GPU}
 }
 
+// Times multiplies each resource, rounded towards zero.
 func (r Room) Times(factor float64) Room {
 	return Room{int64(float64(r.CPU) * factor), int64(float64(r.Memory) * factor), int64(float64(r.GPU) * factor)}
 }
 
+// AtLeast is the larger of the two in each resource.
 func (r Room) AtLeast(other Room) Room {
 	return Room{max(r.CPU, other.CPU), max(r.Memory, other.Memory), max(r.GPU, other.GPU)}
 }
 
+// AtMost is the smaller of the two in each resource.
 func (r Room) AtMost(other Room) Room {
 	return Room{min(r.CPU, other.CPU), min(r.Memory, other.Memory), min(r.GPU, other.GPU)}
 }
 
+// Executor is what placement knows of an executor: its free and total room, its labels and rack. IsClosed takes no
+// new runs; a higher Doubt makes it a later choice.
 type Executor struct {
 	Free     Room
 	Total    Room
@@ -72,11 +81,15 @@
 type Chance int
 
 const (
+	// ChanceInTime may still be in time.
 	ChanceInTime Chance = iota
+	// ChanceLate is late already but still earns something.
 	ChanceLate
+	// ChanceTooLate earns nothing any more.
 	ChanceTooLate
 )
 
+// Placement is one start: the number of the group and the place of the executor.
 type Placement struct{ Group, Executor int }
 
 // Line is groups in the order of CompareGroups, the spares after them, and a room that none needs less than.
--- a/internal/pulse/pulse.go
+++ b/internal/pulse/pulse.go
@@ -3,24 +3,32 @@
 
 import "time"
 
+// Pulse is a clock. Deadlines and leases count by Steady; WallMs is for what is given as a time of day.
 type Pulse interface {
+	// Steady is the time since the clock was made. It never goes back.
 	Steady() time.Duration
+	// WallMs is the time of day in milliseconds since 1970. It may jump in either direction.
 	WallMs() int64
+	// After gives a channel that gets one value once the wait is over.
 	After(wait time.Duration) <-chan time.Time
 }
 
 type realPulse struct{ begin time.Time }
 
+// Real is the clock of the machine.
 func Real() Pulse { return realPulse{begin: time.Now()} }
 
 func (p realPulse) Steady() time.Duration                     { return time.Since(p.begin) }
 func (p realPulse) WallMs() int64                             { return time.Now().UnixMilli() }
 func (p realPulse) After(wait time.Duration) <-chan time.Time { return time.After(wait) }
 
+// Ms converts milliseconds to a duration.
 func Ms(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
+// InMs converts a duration to whole milliseconds, rounded towards zero.
 func InMs(length time.Duration) int64 { return int64(length / time.Millisecond) }
 
+// Fake is a clock for tests that moves only when it is told to. Only one goroutine may use it.
 type Fake struct {
 	now   time.Duration
 	wall  int64
@@ -32,18 +40,26 @@
 	ring chan time.Time
 }
 
+// NewFake makes a fake clock whose time of day begins at so many milliseconds since 1970.
 func NewFake(wallMs int64) *Fake { return &Fake{wall: wallMs} }
 
+// Steady is the sum of all advances.
 func (f *Fake) Steady() time.Duration { return f.now }
-func (f *Fake) WallMs() int64         { return f.wall + InMs(f.now) }
-func (f *Fake) StepWall(ms int64)     { f.wall += ms }
 
+// WallMs is the time of day in milliseconds since 1970, with all steps.
+func (f *Fake) WallMs() int64 { return f.wall + InMs(f.now) }
+
+// StepWall moves the time of day alone, by milliseconds.
+func (f *Fake) StepWall(ms int64) { f.wall += ms }
+
+// After gives a channel that gets one value in the Advance that reaches the end of the wait.
 func (f *Fake) After(wait time.Duration) <-chan time.Time {
 	ring := make(chan time.Time, 1)
 	f.waits = append(f.waits, fakeWait{f.now + wait, ring})
 	return ring
 }
 
+// Advance moves the clock on and ends the waits that have become due.
 func (f *Fake) Advance(length time.Duration) {
 	f.now += length
 	kept := f.waits[:0]
--- a/internal/recording/event.go
+++ b/internal/recording/event.go
@@ -13,6 +13,8 @@
 const Version = 1
 
 const (
+	// KindHeader and the kinds below say what a line records: the header of a file, a job handed in, a job cancelled,
+	// a configuration, an executor's state, the end of a run, and how many lines were lost.
 	KindHeader   = "header"
 	KindHandIn   = "hand-in"
 	KindCancel   = "cancel"
--- a/internal/rehearsal/fault.go
+++ b/internal/rehearsal/fault.go
@@ -19,6 +19,8 @@
 
 var faultKinds = []string{"kill", "cut", "freeze", "wipe", "drain", "slow"}
 
+// ParseFault reads KIND:TARGET:AT-MS[:FOR-MS]; without FOR-MS the fault lasts 5 s. The error names the text and what
+// is wrong with it.
 func ParseFault(text string) (Fault, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 3 || len(parts) > 4 || !slices.Contains(faultKinds, parts[0]) {
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -21,11 +21,13 @@
 	MostMs  int64 `json:"95-of-100-within-ms"`
 }
 
+// Pair is the sums of one queue in the two plays.
 type Pair struct {
 	AsIs    QueueSum `json:"as-is"`
 	Changed QueueSum `json:"changed"`
 }
 
+// JobPair is what became of one job in the two plays.
 type JobPair struct {
 	AsIs    Outcome `json:"as-is"`
 	Changed Outcome `json:"changed"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,6 +14,7 @@
 	"gannetline/internal/queuerules"
 )
 
+// PathVariable is the environment variable that names the settings file.
 const PathVariable = "GANNETLINE_BOOT"
 
 const (
@@ -21,6 +22,8 @@
 	mostMetricsLogS  = 86400
 )
 
+// Limits are what the process may use of its machine. CPUFraction is the share of a core, CoreCount the speed of
+// that core as a multiple; sizes are in MB.
 type Limits struct {
 	CPUFraction     float64 `yaml:"cpu-fraction"`
 	CoreCount       int     `yaml:"core-count"`
@@ -29,16 +32,20 @@
 	DiskMB          int64   `yaml:"disk-mb"`
 }
 
+// Listen holds the addresses, IP:PORT, that the process serves; those that its role does not need are empty.
 type Listen struct {
 	Front     string `yaml:"front-plain"`
 	Readiness string `yaml:"readiness"`
 	Control   string `yaml:"control-plane"`
 }
 
+// FaultTolerance says what may be lost at once with all promises kept.
 type FaultTolerance struct {
 	MachineLosses int `yaml:"machine-losses"`
 }
 
+// Bounds are the figures of the protocol, in milliseconds or seconds as their names say. RemoteFactor multiplies the
+// length of a task that runs away from its data.
 type Bounds struct {
 	ContactWindowMs     int64   `yaml:"contact-window-ms"`
 	AckTimeoutMs        int64   `yaml:"ack-timeout-ms"`
@@ -56,36 +63,48 @@
 	RestoreTimeMs       int64   `yaml:"restore-time-ms"`
 }
 
+// Settings is the settings file of a process. Fields that it does not know are ignored, and missing bounds get
+// defaults.
 type Settings struct {
-	NodeName       string            `yaml:"node-name"`
-	NodeRole       string            `yaml:"node-role"`
-	MachineClass   string            `yaml:"machine-class"`
-	ServedRoles    []string          `yaml:"served-roles"`
-	IPAddress      string            `yaml:"ip-address"`
-	Domain         string            `yaml:"zone"`
-	Region         string            `yaml:"region"`
-	Domains        map[string]string `yaml:"zones"`
-	Listen         Listen            `yaml:"listen-addresses"`
-	InternalPorts  []int             `yaml:"internal-port-range"`
-	Seeds          []string          `yaml:"seed-nodes"`
-	InitialStart   bool              `yaml:"initial-start"`
-	LossCounted    bool              `yaml:"loss-counted"`
-	Limits         Limits            `yaml:"limits"`
-	DataDirectory  string            `yaml:"data-directory"`
-	HeartbeatMs    int64             `yaml:"heartbeat-interval-ms"`
-	FaultTolerance FaultTolerance    `yaml:"fault-tolerance"`
-	Bounds         Bounds            `yaml:"protocol-bounds"`
-	OrderList      string            `yaml:"order-list"`
-	App            string            `yaml:"app"`
-	Service        string            `yaml:"service"`
-	LogLevel       int               `yaml:"log-level"`
-	RecordDay      bool              `yaml:"record-day"`
-	RecordWords    bool              `yaml:"record-descriptors"`
-	MetricsLogS    float64           `yaml:"metrics-log-s"`
+	// NodeName names the process among all others of the system.
+	NodeName     string   `yaml:"node-name"`
+	NodeRole     string   `yaml:"node-role"`
+	MachineClass string   `yaml:"machine-class"`
+	ServedRoles  []string `yaml:"served-roles"`
+	IPAddress    string   `yaml:"ip-address"`
+	Domain       string   `yaml:"zone"`
+	Region       string   `yaml:"region"`
+	// Domains maps each zone to its region.
+	Domains map[string]string `yaml:"zones"`
+	Listen  Listen            `yaml:"listen-addresses"`
+	// InternalPorts is the first and the last port that processes may use among themselves.
+	InternalPorts []int `yaml:"internal-port-range"`
+	// Seeds are control-plane addresses of other machines; some of them may be down or gone.
+	Seeds []string `yaml:"seed-nodes"`
+	// InitialStart is true only when the whole system starts for the first time, with empty disks.
+	InitialStart bool `yaml:"initial-start"`
+	// LossCounted says that this machine counts towards FaultTolerance while it is lost.
+	LossCounted bool   `yaml:"loss-counted"`
+	Limits      Limits `yaml:"limits"`
+	// DataDirectory is the only folder that outlives the process; empty on machines without a disk.
+	DataDirectory  string         `yaml:"data-directory"`
+	HeartbeatMs    int64          `yaml:"heartbeat-interval-ms"`
+	FaultTolerance FaultTolerance `yaml:"fault-tolerance"`
+	Bounds         Bounds         `yaml:"protocol-bounds"`
+	OrderList      string         `yaml:"order-list"`
+	// App is the address of the executor beside a local proxy, and Service the service that it belongs to.
+	App         string `yaml:"app"`
+	Service     string `yaml:"service"`
+	LogLevel    int    `yaml:"log-level"`
+	RecordDay   bool   `yaml:"record-day"`
+	RecordWords bool   `yaml:"record-descriptors"`
+	// MetricsLogS is how often, in seconds, the metrics are logged; 0 is never.
+	MetricsLogS float64 `yaml:"metrics-log-s"`
 
 	QueueRules map[string]queuerules.Text `yaml:"queue-rules"`
 }
 
+// Path is the settings file named by the environment, or else /etc/gannetline/local.yaml.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path
@@ -93,6 +112,7 @@
 	return "/etc/gannetline/local.yaml"
 }
 
+// Load reads, completes and checks a settings file. The error names the file, or the field at fault.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -101,6 +121,7 @@
 	return Parse(text)
 }
 
+// Parse reads settings from YAML, fills in defaults and checks them. The error names the field at fault.
 func Parse(text []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := yaml.Unmarshal(text, settings); err != nil {
@@ -214,6 +235,7 @@
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
+// GracePeriod is the time from SIGTERM until the process must have ended.
 func (s *Settings) GracePeriod() time.Duration {
 	return time.Duration(s.Bounds.GracePeriodS * float64(time.Second))
 }
@@ -223,4 +245,5 @@
 	return time.Duration(s.MetricsLogS * float64(time.Second))
 }
 
+// MaxHold is the longest time for which an executor holds its runs without a renewal.
 func (s *Settings) MaxHold() time.Duration { return pulse.Ms(s.Bounds.MaxHoldMs) }
--- a/internal/span/span.go
+++ b/internal/span/span.go
@@ -8,16 +8,22 @@
 	"time"
 )
 
+// Span is how long something may go on: it ends by cancelling, by a deadline or with its parent.
 type Span = context.Context
 
+// Root is a span without an end.
 func Root() Span { return context.Background() }
 
+// Within gives a span that ends with its parent, after the limit, or by the function, which must be called in the
+// end.
 func Within(parent Span, limit time.Duration) (Span, func()) {
 	return context.WithTimeout(parent, limit)
 }
 
+// Cancellable gives a span that ends with its parent or by the function, which must be called in the end.
 func Cancellable(parent Span) (Span, func()) { return context.WithCancel(parent) }
 
+// UntilSignal gives a span that ends with SIGTERM or SIGINT, or by the function.
 func UntilSignal() (Span, func()) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
--- a/internal/stage/disk.go
+++ b/internal/stage/disk.go
@@ -15,6 +15,7 @@
 	pairs map[string]map[string][]byte
 }
 
+// NewShelf makes an empty disk content.
 func NewShelf() *Shelf {
 	return &Shelf{Heads: map[string]storage.ReplicaState{}, pairs: map[string]map[string][]byte{}}
 }
@@ -70,17 +71,23 @@
 	settled  func()
 }
 
+// NewDisk makes an empty disk whose syncs take so long.
 func NewDisk(line *Line, name string, syncTime time.Duration) *Disk {
 	return &Disk{Shelf: NewShelf(), line: line, name: name, isBare: true, SyncTime: syncTime}
 }
 
+// Disk is the name of the disk.
 func (d *Disk) Disk() string { return d.name }
-func (d *Disk) Bare() bool   { return d.isBare }
 
+// Bare says whether the disk held nothing when its process started.
+func (d *Disk) Bare() bool { return d.isBare }
+
+// Heads are copies of the states of all replicas on the disk.
 func (d *Disk) Heads() (map[string]storage.ReplicaState, error) {
 	return maps.Clone(d.Shelf.Heads), nil
 }
 
+// Submit queues a write; done is called with its outcome once it has been synced, and never if the power goes first.
 func (d *Disk) Submit(write storage.Write, done func(storage.Outcome)) {
 	d.waiting = append(d.waiting, func() { done(d.Apply(write)) })
 	d.sync()
--- a/internal/stage/line.go
+++ b/internal/stage/line.go
@@ -38,12 +38,15 @@
 	count uint64
 }
 
+// NewLine makes an empty line whose time of day begins at so many milliseconds; all chance comes from the seed.
 func NewLine(wallMs int64, seed uint64) *Line {
 	return &Line{Clock: pulse.NewFake(wallMs), Draw: rand.New(rand.NewPCG(seed, 42))}
 }
 
+// Now is the steady time of the simulation.
 func (l *Line) Now() time.Duration { return l.Clock.Steady() }
 
+// After runs the function once the wait is over; what falls due at one moment runs in the order of the calls.
 func (l *Line) After(wait time.Duration, run func()) {
 	l.count++
 	heap.Push(&l.queue, event{l.Now() + max(0, wait), l.count, run})
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -33,10 +33,13 @@
 	grantBy   int64
 }
 
+// Option changes how a stage is set up.
 type Option func(*Stage)
 
+// WithTiming replaces DefaultTiming.
 func WithTiming(timing poolowner.Timing) Option { return func(s *Stage) { s.timing = timing } }
 
+// WithWork decides how long each run takes and how it ends.
 func WithWork(work Work) Option { return func(s *Stage) { s.Work = work } }
 
 // Place is one executor as it should stand on the stage.
@@ -57,6 +60,7 @@
 // WithGrantsBroken makes proxies hold that many times as long as they were granted, to show that the judge sees it.
 func WithGrantsBroken(factor int64) Option { return func(s *Stage) { s.grantBy = factor } }
 
+// WithLog gives the simulated processes a logger; without it they log nothing.
 func WithLog(log logging.Logger) Option { return func(s *Stage) { s.log = log } }
 
 // DefaultTiming is that of a deployment with holds of 6 s.
@@ -139,6 +143,7 @@
 
 func (s *Stage) isCut(one, two string) bool { return one != two && (s.cut[one] || s.cut[two]) }
 
+// Run plays on for so long.
 func (s *Stage) Run(length time.Duration) { s.Line.RunUntil(s.Line.Now() + length) }
 
 // Owner is the steward that holds the pool now, if any does.
@@ -152,11 +157,20 @@
 	return s.Nodes[place]
 }
 
-func (s *Stage) Kill(one *Node)                  { one.kill() }
-func (s *Stage) Start(one *Node)                 { one.start() }
+// Kill takes the power from a steward: what was not synced is lost.
+func (s *Stage) Kill(one *Node) { one.kill() }
+
+// Start starts a steward on the disk that it has.
+func (s *Stage) Start(one *Node) { one.start() }
+
+// Freeze stops a steward from running, or lets it run on; time goes on meanwhile.
 func (s *Stage) Freeze(one *Node, isFrozen bool) { one.isFrozen = isFrozen }
+
+// Stall holds up the disk of a steward, or lets it go on.
 func (s *Stage) Stall(one *Node, isStalled bool) { one.disk.Stall(isStalled) }
-func (s *Stage) Cut(name string, isCut bool)     { s.cut[name] = isCut }
+
+// Cut loses all messages from and to the named process, or lets them through again.
+func (s *Stage) Cut(name string, isCut bool) { s.cut[name] = isCut }
 
 // Wipe restarts a steward with an empty disk.
 func (s *Stage) Wipe(one *Node) {
@@ -166,7 +180,10 @@
 	one.start()
 }
 
-func (s *Stage) KillProxy(one *Proxy)  { one.isUp = false }
+// KillProxy ends a local proxy; its executor goes on.
+func (s *Stage) KillProxy(one *Proxy) { one.isUp = false }
+
+// StartProxy starts a local proxy again, with an empty table.
 func (s *Stage) StartProxy(one *Proxy) { one.start() }
 
 // Crash ends an executor's life; a new one begins a while later.
@@ -176,12 +193,16 @@
 	s.Line.After(down, one.restart)
 }
 
-func (s *Stage) Drain(one *Executor)                { one.isDrain = true }
+// Drain makes an executor announce that it is leaving.
+func (s *Stage) Drain(one *Executor) { one.isDrain = true }
+
+// Slow multiplies the length of each new run on an executor; 1 is the normal length.
 func (s *Stage) Slow(one *Executor, factor float64) { one.Speed = factor }
 
 // Refuse lets an executor refuse connections, while what runs there goes on.
 func (s *Stage) Refuse(one *Executor, isRefusing bool) { one.isRefusing = isRefusing }
 
+// Late makes an executor carry out about half of its calls seconds late, without an answer.
 func (s *Stage) Late(one *Executor, isLate bool) { one.isLate = isLate }
 
 func (s *Stage) breakGang(task string, run int64) {
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -12,8 +12,10 @@
 	"gannetline/internal/span"
 )
 
+// Part is one long-lived activity. It returns nil when it is done or its span has ended, and an error if it failed.
 type Part func(life span.Span) error
 
+// Tree runs parts side by side and starts each again that fails or panics, until one fails too often.
 type Tree struct {
 	clock  pulse.Pulse
 	log    logging.Logger
@@ -28,6 +30,7 @@
 	part Part
 }
 
+// Option changes how a tree is made.
 type Option func(*Tree)
 
 // WithLimit ends the tree once a part failed more often than that within the time.
@@ -35,6 +38,7 @@
 	return func(t *Tree) { t.most, t.within = most, within }
 }
 
+// New makes an empty tree. Without options a part may fail five times a minute and starts again after 100 ms.
 func New(clock pulse.Pulse, log logging.Logger, options ...Option) *Tree {
 	tree := &Tree{clock: clock, log: log, most: 5, within: time.Minute, pause: 100 * time.Millisecond}
 	for _, option := range options {
@@ -43,6 +47,7 @@
 	return tree
 }
 
+// Add adds a part under a name for the log; call it before Run.
 func (t *Tree) Add(name string, part Part) { t.parts = append(t.parts, named{name, part}) }
 
 // Run returns once the span ends, or with the error of a part that failed too often.
--- a/internal/transportmetrics/transportmetrics.go
+++ b/internal/transportmetrics/transportmetrics.go
@@ -24,6 +24,7 @@
 	bytesIn, bytesOut, datagramsIn, datagramsOut, served, made atomic.Int64
 }
 
+// Figures are the counts so far. It must not be called on a nil meter.
 func (m *Meter) Figures() Figures {
 	return Figures{BytesIn: m.bytesIn.Load(), BytesOut: m.bytesOut.Load(), DatagramsIn: m.datagramsIn.Load(),
 		DatagramsOut: m.datagramsOut.Load(), Served: m.served.Load(), Made: m.made.Load()}
@@ -61,6 +62,7 @@
 	return countedConn{conn, l.meter}, nil
 }
 
+// Listener wraps a listener so that the bytes of its connections are counted.
 func (m *Meter) Listener(listener net.Listener) net.Listener {
 	if m == nil {
 		return listener
@@ -91,6 +93,7 @@
 	return count, err
 }
 
+// Packets wraps a UDP socket so that its datagrams and their bytes are counted.
 func (m *Meter) Packets(packets net.PacketConn) net.PacketConn {
 	if m == nil {
 		return packets
