--- a/cmd/scale-run/main.go
+++ b/cmd/scale-run/main.go
@@ -63,7 +63,7 @@
 
 func setupOf(command *cli.Command) (scalerun.Setup, error) {
 	setup := scalerun.Setup{Program: command.String("program"), Sizes: command.IntSlice("sizes"), Stewards: command.Int("stewards"),
-		Gates: command.Int("gates"), Seconds: command.Duration("seconds"), Idle: command.Duration("idle"),
+		Gates: command.Int("gates"), LoadTime: command.Duration("seconds"), Idle: command.Duration("idle"),
 		StartsPerWorker: command.Float("starts-per-worker"), TaskLength: command.Duration("task-length"), Standing: command.Int("standing"),
 		Addresses: command.String("addresses"), Folder: command.String("out"), Note: command.String("note"),
 		KillsOwner: command.Bool("kill-owner"), IsProfiled: command.Bool("profile")}
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	noticeTime = 2200 * time.Millisecond
-	lastSecond = 700 * time.Millisecond
+	noticeTime     = 2200 * time.Millisecond
+	closingReserve = 700 * time.Millisecond
 )
 
 // Gate serves clients until SIGTERM.
@@ -58,7 +58,7 @@
 		isLeaving.Store(true)
 		server.SetKeepAlivesEnabled(false)
 		<-b.clock.After(min(noticeTime, b.settings.GracePeriod()/2))
-		closeOrderly(server, b.settings.GracePeriod()/2-lastSecond, log)
+		closeOrderly(server, b.settings.GracePeriod()/2-closingReserve, log)
 	})
 }
 
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -427,9 +427,9 @@
 	var jobs []*Job
 	over := make(chan error, 1)
 	perSecond := r.rate() / tasksPerJob
-	count := int(perSecond * r.setup.Seconds.Seconds())
+	count := int(perSecond * r.setup.LoadTime.Seconds())
 	load := hollow.Load{Length: r.setup.TaskLength, CPU: 500, MemoryMB: 100}
-	until := time.Now().Add(r.setup.Seconds + r.setup.TaskLength + drainFor)
+	until := time.Now().Add(r.setup.LoadTime + r.setup.TaskLength + drainFor)
 	go func() {
 		var err error
 		jobs, err = r.offer(count, perSecond, func(number int) (*Job, error) {
@@ -444,7 +444,7 @@
 		over <- err
 	}()
 	r.pause(time.Second)
-	err := r.measure(size, phaseLoad, r.setup.Seconds-time.Second, func() error { return r.stir(size) })
+	err := r.measure(size, phaseLoad, r.setup.LoadTime-time.Second, func() error { return r.stir(size) })
 	if failed := <-over; err == nil {
 		err = failed
 	}
@@ -456,7 +456,7 @@
 	profiled := make(chan error, 1)
 	go func() { profiled <- r.profile() }()
 	for turn := range planChanges {
-		if !r.pause(r.setup.Seconds / (planChanges + 2)) {
+		if !r.pause(r.setup.LoadTime / (planChanges + 2)) {
 			return r.life.Err()
 		}
 		waits, err := r.applyPlan()
--- a/internal/scalerun/scalerun_test.go
+++ b/internal/scalerun/scalerun_test.go
@@ -11,7 +11,7 @@
 )
 
 func sound() scalerun.Setup {
-	return scalerun.Setup{Sizes: []int{60, 250}, Stewards: 5, Gates: 4, Seconds: 30 * time.Second, Idle: 10 * time.Second,
+	return scalerun.Setup{Sizes: []int{60, 250}, Stewards: 5, Gates: 4, LoadTime: 30 * time.Second, Idle: 10 * time.Second,
 		StartsPerWorker: 0.62, TaskLength: time.Second, Standing: 14, Addresses: "127.10.0.0/16"}
 }
 
@@ -35,7 +35,7 @@
 		Entry("no steward", func(s *scalerun.Setup) { s.Stewards = 0 }, "--stewards"),
 		Entry("too many stewards", func(s *scalerun.Setup) { s.Stewards = 8 }, "--stewards"),
 		Entry("no gate", func(s *scalerun.Setup) { s.Gates = 0 }, "--gates"),
-		Entry("a load without end", func(s *scalerun.Setup) { s.Seconds = time.Hour }, "--seconds"),
+		Entry("a load without end", func(s *scalerun.Setup) { s.LoadTime = time.Hour }, "--seconds"),
 		Entry("no idle time", func(s *scalerun.Setup) { s.Idle = 0 }, "--idle"),
 		Entry("tasks of no length", func(s *scalerun.Setup) { s.TaskLength = 0 }, "--task-length"),
 		Entry("a negative count of standing tasks", func(s *scalerun.Setup) { s.Standing = -1 }, "--standing"),
--- a/internal/scalerun/setup.go
+++ b/internal/scalerun/setup.go
@@ -32,7 +32,7 @@
 	Sizes           []int
 	Stewards        int
 	Gates           int
-	Seconds         time.Duration
+	LoadTime        time.Duration
 	Idle            time.Duration
 	StartsPerWorker float64
 	TaskLength      time.Duration
@@ -65,7 +65,7 @@
 	if s.Gates < 1 || s.Gates > mostGates {
 		complain("gates", "must be 1 to 16")
 	}
-	if s.Seconds < time.Second || s.Seconds > longestPhase {
+	if s.LoadTime < time.Second || s.LoadTime > longestPhase {
 		complain("seconds", "must be 1 s to 5 min")
 	}
 	if s.Idle < time.Second || s.Idle > longestPhase {
--- a/internal/stage/executor.go
+++ b/internal/stage/executor.go
@@ -145,7 +145,7 @@
 	e.lastEnd++
 	e.endedIn[e.lastEnd] = e.lapses
 	e.ends = append(e.ends, executorcalls.EndRow{Number: e.lastEnd, Task: one.task, Run: one.number, How: how})
-	e.stage.Judge.ended(e, one.task, one.number, how)
+	e.stage.Judge.ended(e, one.task, how)
 	waiting := e.waiting
 	e.waiting = nil
 	for _, wake := range waiting {
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/jobs"
@@ -11,7 +10,6 @@
 type jobFacts struct {
 	spec        *jobs.Spec
 	maxAttempts int
-	cancelledAt time.Duration
 }
 
 type taskFacts struct {
@@ -108,7 +106,7 @@
 	}
 }
 
-func (j *Judge) ended(executor *Executor, task string, run int64, how string) {
+func (j *Judge) ended(executor *Executor, task, how string) {
 	facts := j.of(task)
 	delete(facts.running, executor)
 	if how == "done" {
--- a/internal/stage/stage_test.go
+++ b/internal/stage/stage_test.go
@@ -106,7 +106,7 @@
 
 	It("starts a gang whole, and again after a member failed", func() {
 		failed := false
-		c := newCrowd(4, stage.WithWork(func(task string, run int64, _ *stage.Executor) (time.Duration, string) {
+		c := newCrowd(4, stage.WithWork(func(_ string, run int64, _ *stage.Executor) (time.Duration, string) {
 			if run == 1 && !failed {
 				failed = true
 				return 100 * time.Millisecond, "failed"
