--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -34,8 +34,10 @@
 	onPlan  func(sibling Member, version int64)
 }
 
+// Option changes how a node is made.
 type Option func(*Node)
 
+// OnPlanAhead names the function to be told of a peer that holds a version of the configuration.
 func OnPlanAhead(heed func(sibling Member, version int64)) Option {
 	return func(n *Node) { n.onPlan = heed }
 }
@@ -63,6 +65,7 @@
 	return nil, nil, errors.Errorf("no free port from %d to %d on %s", first, last, ip)
 }
 
+// NewNode makes the membership of this process on the sockets that BindInternal gave. It sends nothing before Run.
 func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
 	clock pulse.Pulse, log logging.Logger, options ...Option) *Node {
 	node := &Node{box: mailbox.New(256), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
@@ -86,6 +89,7 @@
 // SetSeeds takes the addresses of a changed settings file.
 func (n *Node) SetSeeds(seeds []string) { n.seeds.Store(&seeds) }
 
+// View is the newest view of the members, which is never changed; it may be read from any goroutine.
 func (n *Node) View() *View { return n.view.Load() }
 
 func (n *Node) send(address string, datagram peerapi.Datagram) {
@@ -228,4 +232,5 @@
 	})
 }
 
+// HoldsPlan spreads the word that this process holds a version of the configuration.
 func (n *Node) HoldsPlan(version int64) { n.box.Post(func() { n.table.HoldsPlan(version) }) }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -13,13 +13,20 @@
 	"gannetline/internal/pulse"
 )
 
+// Member is what is known of one process: where it is, what it does and whether it lives.
 type Member = peerapi.Member
 
 const (
-	RoleSteward    = "steward"
+	// RoleSteward is the role of the processes that may lead keys.
+	RoleSteward = "steward"
+	// RoleLocalProxy is the role of the process beside each executor.
 	RoleLocalProxy = "local-proxy"
 )
 
+// Timing is how often members are probed and when they are given up. A probe goes out every Period and wants an
+// answer within AnswerWait, else SecondOpinion others are asked to try; SuspectFor later the member is gone, and
+// ForgetAfter that its record is dropped. Fanout and OwnerFanout are how many members hear of news, and of a key's
+// new leader. A local-proxy that hears nobody for LonelyAfter looks for other stewards.
 type Timing struct {
 	Period        time.Duration
 	AnswerWait    time.Duration
@@ -34,6 +41,7 @@
 	LonelyAfter time.Duration
 }
 
+// DefaultTiming finds a silent member in about three and a half seconds.
 var DefaultTiming = Timing{Period: 700 * time.Millisecond, AnswerWait: 250 * time.Millisecond,
 	SuspectFor: 2500 * time.Millisecond, ForgetAfter: 120 * time.Second, Fanout: 3, OwnerFanout: 6, SecondOpinion: 2,
 	LeafPeriod: 1400 * time.Millisecond, LeafKeep: 13 * time.Second, LonelyAfter: 3 * time.Second}
@@ -75,6 +83,9 @@
 	number uint64
 }
 
+// Events are what the table asks of its owner: to send a datagram, to publish a new view, to fetch a configuration
+// that a peer holds already, and to compare lists with a peer whose list differs. They are called on the owner's
+// goroutine.
 type Events struct {
 	Send      func(address string, datagram peerapi.Datagram)
 	Show      func(*View)
@@ -132,6 +143,7 @@
 	hasMoved  bool
 }
 
+// NewTable makes a table that knows only its own process. The seed decides whom it probes when.
 func NewTable(self Member, clock pulse.Pulse, timing Timing, seed uint64, events Events) *Table {
 	table := &Table{clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
 		entries: map[string]*entry{}, unwell: map[string]*entry{}, owners: map[string]peerapi.LeaderFact{},
@@ -146,8 +158,10 @@
 	return table
 }
 
+// Name tells the processes of one machine apart: the machine's name and the role.
 func Name(member Member) string { return member.Name + "/" + member.Role }
 
+// Self is the record of this process.
 func (t *Table) Self() Member { return t.self }
 
 func isNewer(one, two Member) bool {
@@ -289,6 +303,7 @@
 	return true
 }
 
+// HoldsPlan takes note that this process holds a version of the configuration, and spreads it if it is news.
 func (t *Table) HoldsPlan(version int64) {
 	if version > t.plan {
 		t.plan = version
--- a/internal/peerapi/calls.go
+++ b/internal/peerapi/calls.go
@@ -17,6 +17,7 @@
 const Prefix = "/gannetline.v1.Sibling/"
 
 const (
+	// ProcedurePromise and the paths below are the calls between processes; their messages bear the same names.
 	ProcedurePromise  = Prefix + "Promise"
 	ProcedureAppend   = Prefix + "Append"
 	ProcedureFetch    = Prefix + "Fetch"
@@ -75,8 +76,10 @@
 		connect.WithCodec(codec(name, sideServed)), connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil)))
 }
 
+// Caller makes calls to peers over kept connections.
 type Caller struct{ client *http.Client }
 
+// NewCaller makes a caller that uses the client, as Client makes it.
 func NewCaller(client *http.Client) *Caller { return &Caller{client} }
 
 // Call asks the sibling at an address; its error names the step and the sibling.
--- a/internal/peerapi/dial.go
+++ b/internal/peerapi/dial.go
@@ -27,6 +27,8 @@
 	}}
 }
 
+// Client makes an HTTP client that gives up a connection whose other side has acknowledged nothing for the time of
+// silence. It keeps so many idle connections to each peer, for 30 s, and follows no redirects.
 func Client(silence time.Duration, idlePerHost int) *http.Client {
 	dialer := Dialer(silence)
 	return &http.Client{
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -8,11 +8,13 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all messages.go
 
+// LogPosition is the place of a change in a key's history: the epoch of the leader that proposed it and its index.
 type LogPosition struct {
 	Epoch uint64 `json:"e"`
 	Index uint64 `json:"s"`
 }
 
+// Below orders positions by epoch, then by index.
 func (s LogPosition) Below(other LogPosition) bool {
 	return s.Epoch < other.Epoch || s.Epoch == other.Epoch && s.Index < other.Index
 }
@@ -23,23 +25,27 @@
 	Now []string `json:"now,omitempty"`
 }
 
+// Op sets one named value of a key; an empty value removes it.
 type Op struct {
 	Name  string              `json:"n"`
 	Value easyjson.RawMessage `json:"v,omitempty"`
 }
 
+// Change is one entry of a key's log: values that are set, and the voter set from here on, if it changes.
 type Change struct {
 	Position LogPosition `json:"at"`
 	Ops      []Op        `json:"ops,omitempty"`
 	Set      *VoterSet   `json:"set,omitempty"`
 }
 
+// Snapshot is the whole state of a key at a position.
 type Snapshot struct {
 	Last  LogPosition `json:"last"`
 	Set   VoterSet    `json:"set"`
 	Pairs []Op        `json:"pairs,omitempty"`
 }
 
+// PromiseCall asks a voter to follow no leader of a lower epoch any more; Disk is that of the candidate.
 type PromiseCall struct {
 	Key   string `json:"key"`
 	Epoch uint64 `json:"epoch"`
@@ -48,6 +54,8 @@
 	PreVote bool `json:"trial,omitempty"`
 }
 
+// PromiseAnswer says whether the promise is given, and what the voter holds. Promised is the highest epoch that it
+// has promised to anyone.
 type PromiseAnswer struct {
 	Granted  bool        `json:"granted,omitempty"`
 	Promised uint64      `json:"promised"`
@@ -65,6 +73,8 @@
 	Pairs  []Op        `json:"pairs,omitempty"`
 }
 
+// AppendCall brings changes that follow Prev, or a snapshot or a chunk of one; without any it is a heartbeat. Owner
+// and Disk are the leader's. Release gives the leadership up.
 type AppendCall struct {
 	Key      string         `json:"key"`
 	Epoch    uint64         `json:"epoch"`
@@ -81,6 +91,8 @@
 	VotedOut bool `json:"voted_out,omitempty"`
 }
 
+// AppendAnswer says whether the call was taken, and what the replica holds now. WallMs is the time of day at the
+// follower, in milliseconds since 1970.
 type AppendAnswer struct {
 	Taken    bool        `json:"taken,omitempty"`
 	Promised uint64      `json:"promised"`
@@ -105,6 +117,8 @@
 	Number  int  `json:"number,omitempty"`
 }
 
+// FetchAnswer holds the changes after the position asked for, or else the whole state. Found is false if the disk
+// has no replica of the key.
 type FetchAnswer struct {
 	Found    bool     `json:"found,omitempty"`
 	Snapshot Snapshot `json:"snapshot"`
@@ -114,6 +128,9 @@
 	Chunk *SnapshotChunk `json:"chunk,omitempty"`
 }
 
+// Member is one process as members tell each other of it. Address is for calls between processes, Control for
+// operators and executors, Disk the name of its disk. A higher Incarnation replaces a lower one; within one, a
+// higher State does.
 type Member struct {
 	Name        string `json:"n"`
 	Role        string `json:"r"`
@@ -133,8 +150,11 @@
 func (m Member) MayLead() bool { return m.Role == "steward" && (m.Disk != "" || m.Makeshift != "") }
 
 const (
+	// StateAlive is a member that answers.
 	StateAlive = iota
+	// StateSuspect is a member that has not answered lately.
 	StateSuspect
+	// StateGone is a member that is given up, until it comes back with a higher incarnation.
 	StateGone
 )
 
@@ -154,6 +174,8 @@
 	OwnerSum  uint32       `json:"h,omitempty"`
 }
 
+// Datagram is one message of the failure detector, over UDP. Number joins an answer to its probe; Target is whom a
+// helper should probe.
 type Datagram struct {
 	Kind   string   `json:"k"`
 	Number uint64   `json:"q,omitempty"`
@@ -215,10 +237,11 @@
 
 // ConfigurationDelta makes the plan of one version out of that of another; Digest is that of the result.
 type ConfigurationDelta struct {
-	Base          int64           `json:"base"`
-	Version       int64           `json:"version"`
-	Digest        string          `json:"digest"`
-	Parts         []DeltaPart     `json:"parts"`
+	Base    int64       `json:"base"`
+	Version int64       `json:"version"`
+	Digest  string      `json:"digest"`
+	Parts   []DeltaPart `json:"parts"`
+	// InitialVoters are the disks that a service's pool starts with.
 	InitialVoters []InitialVoters `json:"births,omitempty"`
 	Moved         []MovedRoute    `json:"moved,omitempty"`
 }
@@ -260,6 +283,7 @@
 	Digest  string `json:"digest"`
 }
 
+// IdentifyCall asks a steward for the name of its disk.
 type IdentifyCall struct{}
 
 // IdentifyAnswer has no disk if the steward has none, and then at most a makeshift one.
@@ -281,6 +305,8 @@
 	LeftMs int64               `json:"left,omitempty"`
 }
 
+// RouteTerms are what a job's route says of it: its priority, how many attempts a task has, and the aim for its
+// time, as a multiple of its longest chain of work plus TargetMs.
 type RouteTerms struct {
 	Priority    int     `json:"p,omitempty"`
 	MaxAttempts int     `json:"a,omitempty"`
@@ -310,6 +336,7 @@
 	return nil
 }
 
+// Capacity is an amount of resources: CPU in thousandths of a core, memory in MB, and GPUs.
 type Capacity struct {
 	CPU    int64 `json:"cpu-units"`
 	Memory int64 `json:"memory-req-mb"`
@@ -328,6 +355,7 @@
 	Stuck   bool   `json:"x,omitempty"`
 }
 
+// EndReport is the end of a run; an executor numbers its ends in their order.
 type EndReport struct {
 	Number int64  `json:"n"`
 	Task   string `json:"t"`
@@ -371,6 +399,7 @@
 	WaitMs    int64         `json:"wait,omitempty"`
 }
 
+// Order is one thing that a local-proxy should have its executor do with a run.
 type Order struct {
 	Kind  string `json:"k"`
 	Task  string `json:"t"`
@@ -394,8 +423,10 @@
 	Orders    []Order `json:"orders,omitempty"`
 }
 
+// BeliefsCall asks a node for all that it believes.
 type BeliefsCall struct{}
 
+// KeyBelief is what a steward believes of a key that it takes part in.
 type KeyBelief struct {
 	Key   string      `json:"key"`
 	Owner string      `json:"owner"`
@@ -404,12 +435,14 @@
 	Set   VoterSet    `json:"set"`
 }
 
+// JobBelief is the state of a job at the leader of its pool.
 type JobBelief struct {
 	Key   string `json:"key"`
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
+// ExecutorBelief is what the leader of a pool believes of one incarnation of an executor.
 type ExecutorBelief struct {
 	Key     string `json:"key"`
 	Life    string `json:"life"`
@@ -417,6 +450,7 @@
 	Running int    `json:"running"`
 }
 
+// BeliefsAnswer is all that a node believes; what its role does not know is empty.
 type BeliefsAnswer struct {
 	Name      string           `json:"name"`
 	Role      string           `json:"role"`
