--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// PathRecords, PathCounts and PathFigures are where a process of hollow workers reports.
+	// PathRecords answers with the RunRecords of all workers of the process.
 	PathRecords = "/hollow/records"
 	// PathCounts answers with the Counts of all workers of the process.
 	PathCounts = "/hollow/counts"
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -26,7 +26,7 @@
 // Timing is how often members are probed and when they are given up. A probe goes out every Period and wants an
 // answer within AnswerWait, else SecondOpinion others are asked to try; SuspectFor later the member is gone, and
 // ForgetAfter that its record is dropped. Fanout and OwnerFanout are how many members hear of news, and of a key's
-// new leader. A local-proxy that hears nobody for LonelyAfter looks for other stewards.
+// new leader. A local-proxy that hears nobody for LonelyAfter says so in its view (IsLonely).
 type Timing struct {
 	Period        time.Duration
 	AnswerWait    time.Duration
--- a/internal/recording/event.go
+++ b/internal/recording/event.go
@@ -12,9 +12,9 @@
 // Version is that of the format; docs/recording.md describes it.
 const Version = 1
 
+// The kinds of lines: the header of a file, a job handed in, a job cancelled, a configuration, an executor's state, the
+// end of a run, and how many lines were lost.
 const (
-	// KindHeader and the kinds below say what a line records: the header of a file, a job handed in, a job cancelled,
-	// a configuration, an executor's state, the end of a run, and how many lines were lost.
 	KindHeader   = "header"
 	KindHandIn   = "hand-in"
 	KindCancel   = "cancel"
