--- a/internal/executorcalls/client.go
+++ b/internal/executorcalls/client.go
@@ -22,6 +22,7 @@
 	base string
 }
 
+// NewClient makes a client for the executor at an address, IP:PORT.
 func NewClient(client *http.Client, address string) *Client {
 	return &Client{http: client, base: "http://" + address}
 }
--- a/internal/executorcalls/wire.go
+++ b/internal/executorcalls/wire.go
@@ -10,6 +10,9 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
 
+// Beat is an executor's heartbeat. Times are in milliseconds; ClockMs is the executor's steady clock, and Sequence
+// rises with each call of one incarnation.
+//
 //easyjson:json
 type Beat struct {
 	Service   string           `json:"service"`
@@ -26,6 +29,9 @@
 	Sequence  int64            `json:"call-sequence"`
 }
 
+// RunStart orders a run of a task. The executor refuses it below its highest fence, or once its own clock has passed
+// ExpiryMs; Saved is the checkpoint to begin from.
+//
 //easyjson:json
 type RunStart struct {
 	Task     string `json:"task-id"`
@@ -36,6 +42,8 @@
 	Saved    string `json:"checkpoint-ref,omitempty"`
 }
 
+// RunStop orders the end of one run.
+//
 //easyjson:json
 type RunStop struct {
 	Task  string `json:"task-id"`
@@ -43,6 +51,9 @@
 	Fence uint64 `json:"fence-number"`
 }
 
+// Hold extends all runs of the executor until ExpiryMs on its clock, acknowledges its ends up to LastSeen, and waits
+// up to WaitMs for news.
+//
 //easyjson:json
 type Hold struct {
 	ExpiryMs int64  `json:"expiry-ms,omitempty"`
@@ -51,6 +62,8 @@
 	WaitMs   int64  `json:"wait-time-ms,omitempty"`
 }
 
+// Answer is what an executor says to any call: its clock, why it refused, what runs, and what has ended.
+//
 //easyjson:json
 type Answer struct {
 	ClockMs int64        `json:"clock-ms"`
@@ -62,6 +75,7 @@
 // RunningRow is [task, run, saved, percent].
 type RunningRow peerapi.RunReport
 
+// UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
 func (r *RunningRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	readRow(in, func(place int) {
 		switch place {
@@ -79,6 +93,7 @@
 	})
 }
 
+// MarshalEasyJSON writes the row as a JSON list.
 func (r RunningRow) MarshalEasyJSON(out *jwriter.Writer) {
 	out.RawByte('[')
 	out.String(r.Task)
@@ -94,6 +109,7 @@
 // EndRow is [N, task, run, how, saved].
 type EndRow peerapi.EndReport
 
+// UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
 func (e *EndRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	readRow(in, func(place int) {
 		switch place {
@@ -113,6 +129,7 @@
 	})
 }
 
+// MarshalEasyJSON writes the row as a JSON list.
 func (e EndRow) MarshalEasyJSON(out *jwriter.Writer) {
 	out.RawByte('[')
 	out.Int64(e.Number)
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -29,6 +29,8 @@
 	exchangeSlow = 1500 * time.Millisecond
 )
 
+// Proxy joins one executor to the leader of its pool: it takes the executor's heartbeats, carries orders to it and
+// reports what runs and what has ended.
 type Proxy struct {
 	box      *mailbox.Mailbox
 	table    *Table
@@ -45,6 +47,7 @@
 	slots    chan struct{}
 }
 
+// New makes a proxy for the executors of a service on this machine. It calls nobody before Run.
 func New(service, domain, name string, clock pulse.Pulse, log logging.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
 	view func() *membership.View) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -100,6 +100,7 @@
 	session uint64
 }
 
+// TableOption changes how a table is made.
 type TableOption func(*Table)
 
 // WithSession lets only changes travel to the owner; the number should rise from one process beside the executor to the next.
@@ -108,6 +109,9 @@
 // WithStartBell is rung, instead of the one for work, by news that can wait for a moment: that a run was started.
 func WithStartBell(onStart func()) TableOption { return func(t *Table) { t.onStart = onStart } }
 
+// NewTable makes a table without an executor. The functions ring when there is something to do: onWork when the
+// executor should be held or the leader told, onLook when the runs should be listed anew, onAck when an end is to be
+// acknowledged. They must not block.
 func NewTable(clock pulse.Pulse, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
 	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onWork: onWork, onLook: onLook, onAck: onAck,
 		onStart: onWork}
@@ -200,6 +204,7 @@
 	Look uint64
 }
 
+// NextHold is the hold to send next, for the list of runs or for the wait; false means that none is due.
 func (t *Table) NextHold(isLook bool) (HoldWork, bool) {
 	one := t.life
 	if one == nil || isLook && (one.lookDone >= one.lookWanted || t.isDeaf(one)) {
@@ -475,6 +480,7 @@
 	}
 }
 
+// Clock takes a reading of the executor's steady clock, in milliseconds, from any of its answers.
 func (t *Table) Clock(lifeID string, executorMs int64) {
 	if one := t.life; one != nil && one.id == lifeID && executorMs > 0 {
 		one.misses = 0
--- a/internal/peerapi/calls.go
+++ b/internal/peerapi/calls.go
@@ -16,8 +16,8 @@
 // Prefix is the path below which siblings call each other.
 const Prefix = "/gannetline.v1.Sibling/"
 
+// The paths of the calls between processes; their messages bear the same names.
 const (
-	// ProcedurePromise and the paths below are the calls between processes; their messages bear the same names.
 	ProcedurePromise  = Prefix + "Promise"
 	ProcedureAppend   = Prefix + "Append"
 	ProcedureFetch    = Prefix + "Fetch"
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -237,11 +237,10 @@
 
 // ConfigurationDelta makes the plan of one version out of that of another; Digest is that of the result.
 type ConfigurationDelta struct {
-	Base    int64       `json:"base"`
-	Version int64       `json:"version"`
-	Digest  string      `json:"digest"`
-	Parts   []DeltaPart `json:"parts"`
-	// InitialVoters are the disks that a service's pool starts with.
+	Base          int64           `json:"base"`
+	Version       int64           `json:"version"`
+	Digest        string          `json:"digest"`
+	Parts         []DeltaPart     `json:"parts"`
 	InitialVoters []InitialVoters `json:"births,omitempty"`
 	Moved         []MovedRoute    `json:"moved,omitempty"`
 }
@@ -271,6 +270,7 @@
 	Services []string `json:"services"`
 }
 
+// InitialVoters are the disks that a service's pool starts with.
 type InitialVoters struct {
 	Service string   `json:"service"`
 	Voters  []string `json:"voters"`
--- a/internal/poolowner/clients.go
+++ b/internal/poolowner/clients.go
@@ -56,7 +56,8 @@
 	p.after(accepted)
 }
 
-// State, Count and Cancel speak only under a lease, checked again when they answer.
+// State answers with the state of a job. Like Count and Cancel it answers only under a lease, which is checked again at
+// the moment of the answer.
 func (p *Pool) State(call *peerapi.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	p.after(func(err error) {
@@ -78,6 +79,7 @@
 	return j.state
 }
 
+// Count answers with the number of jobs that wait in a queue.
 func (p *Pool) Count(call *peerapi.ClientCall, answer answerClient) {
 	p.after(func(err error) {
 		if err != nil || p.tenure == nil || !p.tenure.HasLease() {
@@ -89,6 +91,7 @@
 	})
 }
 
+// Cancel ends a job and answers once that is committed; a job that has ended stays as it is.
 func (p *Pool) Cancel(call *peerapi.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	if one != nil && one.isOpen() {
--- a/internal/poolowner/headroom.go
+++ b/internal/poolowner/headroom.go
@@ -18,6 +18,8 @@
 	LongWork      time.Duration
 }
 
+// DefaultHeadroom keeps at most 60% of the room free for the urgent and always lets long work have 30%; long is over
+// 1.5 s.
 var DefaultHeadroom = Headroom{MostReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond}
 
 // peak is the most that a priority asked for lately; it fades.
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -33,6 +33,11 @@
 	WallMs() int64
 }
 
+// Timing is how long the pool waits for what. Grant is how long an exchange lets an executor's runs go on, MaxHold
+// the longest that they can go on without one. An order without an answer is sent again after Resend, then ever
+// later up to ResendMost. An executor is left out of placement after SilentAfter without an exchange, and after a
+// hold older than HoldStale. A stopped run may take StopTimeout, a launch that has not begun by StuckAfter is
+// stopped, and an ended job is kept for KeepEnded.
 type Timing struct {
 	Grant       time.Duration
 	MaxHold     time.Duration
@@ -48,6 +53,7 @@
 	Headroom     Headroom
 }
 
+// TimingFrom is the timing that the bounds of a deployment ask for.
 func TimingFrom(nodeSettings *settings.Settings) Timing {
 	hold := nodeSettings.MaxHold()
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
@@ -57,6 +63,8 @@
 		Headroom:  DefaultHeadroom, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
 }
 
+// Pool is the scheduler of one service while this steward leads its key: jobs, executors, placement and orders. One
+// goroutine calls it.
 type Pool struct {
 	key    string
 	clock  pulse.Pulse
@@ -102,14 +110,18 @@
 
 func (silentRecorder) Record(recording.Event) {}
 
+// Option changes how a pool is made.
 type Option func(*Pool)
 
+// WithRecorder records the day.
 func WithRecorder(record Recorder) Option { return func(p *Pool) { p.record = record } }
 
 type flight struct{ effects []func(error) }
 
+// WithRules lets rules of the settings decide on jobs, queue by queue.
 func WithRules(rules *queuerules.Rules) Option { return func(p *Pool) { p.rules = rules } }
 
+// New makes a pool that is closed until Open.
 func New(key string, clock pulse.Pulse, timing Timing, log logging.Logger, options ...Option) *Pool {
 	pool := &Pool{key: key, clock: clock, timing: timing, log: log, record: silentRecorder{}, meters: newMeters(key),
 		trusts: map[string]*trust{}}
@@ -122,10 +134,12 @@
 // Opener lets an engine hand the key to the pool.
 type Opener struct{ *Pool }
 
+// Open passes the leadership on to the pool.
 func (o Opener) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
 	return o.Pool.Open(tenure, pairs)
 }
 
+// Open takes the key over with what is committed of it; an error names the record that can't be read.
 func (p *Pool) Open(tenure Tenure, pairs []peerapi.Op) error {
 	p.jobs, p.lives, p.queued = map[string]*job{}, map[string]*life{}, map[string]int{}
 	p.roster, p.open, p.usage = roster{}, newOpenSteps(), map[int]usage{}
@@ -143,6 +157,7 @@
 	return nil
 }
 
+// Close gives the key up: exchanges that wait are sent elsewhere, and calls whose changes are not committed fail.
 func (p *Pool) Close() {
 	p.tenure = nil
 	for _, one := range p.roster.lives {
@@ -164,6 +179,7 @@
 
 var errClosed = errors.New("the pool has another owner")
 
+// IsOpen says whether the key is led here.
 func (p *Pool) IsOpen() bool { return p.tenure != nil }
 
 func (p *Pool) put(name string, value easyjson.Marshaler) {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -50,6 +50,7 @@
 	done  func(Outcome)
 }
 
+// Store holds the replicas of one disk in a file. One goroutine writes, many writes in one sync.
 type Store struct {
 	db   *bolt.DB
 	disk string
@@ -137,11 +138,13 @@
 	})
 }
 
+// Disk is the random name that the disk got when its file was made.
 func (s *Store) Disk() string { return s.disk }
 
 // Bare tells whether the disk was empty when it was opened.
 func (s *Store) Bare() bool { return s.bare }
 
+// Close writes what was submitted and closes the file; nothing may be submitted afterwards.
 func (s *Store) Close() error {
 	close(s.jobs)
 	<-s.over
@@ -292,6 +295,7 @@
 	return head, easyjson.Unmarshal(bytes.Clone(text), &head)
 }
 
+// Heads are the states of all replicas on the disk, by key.
 func (s *Store) Heads() (map[string]ReplicaState, error) {
 	all := map[string]ReplicaState{}
 	err := s.db.View(func(tx *bolt.Tx) error {
