--- a/internal/metrics/table.go
+++ b/internal/metrics/table.go
@@ -45,6 +45,7 @@
 	return table
 }
 
+// Write writes the table as text with a column for each process, or as JSON.
 func (t Table) Write(to io.Writer, isJSON bool) error {
 	if isJSON {
 		return t.writeJSON(to)
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -63,7 +63,9 @@
 
 // Model is a part of the system that schedules can be run against.
 type Model interface {
+	// Name is unique among the models, without spaces.
 	Name() string
+	// Plants are the faults that can be put into this model.
 	Plants() []Plant
 	// Draw makes the schedule of a seed.
 	Draw(seed uint64, losses int) Schedule
--- a/internal/modelcheck/run.go
+++ b/internal/modelcheck/run.go
@@ -29,6 +29,7 @@
 
 // Tracer is a model that can say what happens in a run.
 type Tracer interface {
+	// Trace plays a schedule as Run does and writes what happens, a line an event.
 	Trace(schedule Schedule, to io.Writer) Outcome
 }
 
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -27,9 +27,13 @@
 
 // Tenure is what a pool needs of the ownership of its key.
 type Tenure interface {
+	// Epoch is that of the leadership; orders carry it as their fence.
 	Epoch() uint64
+	// Commit makes a change durable on a majority; done gets an error if the leadership is lost first.
 	Commit(ops []peerapi.Op, done func(error))
+	// HasLease says whether no other process can lead the key now.
 	HasLease() bool
+	// WallMs is the time of day that the voters agree on, in milliseconds since 1970.
 	WallMs() int64
 }
 
--- a/internal/stage/disk.go
+++ b/internal/stage/disk.go
@@ -20,6 +20,7 @@
 	return &Shelf{Heads: map[string]storage.ReplicaState{}, pairs: map[string]map[string][]byte{}}
 }
 
+// Read gives back the whole state of a key.
 func (s *Shelf) Read(key string) (peerapi.Snapshot, error) {
 	whole := peerapi.Snapshot{Last: s.Heads[key].Last, Set: s.Heads[key].Set}
 	for _, name := range slices.Sorted(maps.Keys(s.pairs[key])) {
--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -12,9 +12,13 @@
 // Files is what Open needs of the file system. A file or folder that was made may be lost with the power until the
 // folder that it lies in has been synced.
 type Files interface {
+	// Exists says whether there is a file or folder of that path.
 	Exists(path string) bool
+	// MakeFolder makes one folder; its parent must exist.
 	MakeFolder(path string) error
+	// SyncFolder makes the names in a folder durable.
 	SyncFolder(path string) error
+	// OpenFile is os.OpenFile.
 	OpenFile(path string, flag int, mode os.FileMode) (*os.File, error)
 }
 
