--- a/internal/peerapi/calls.go
+++ b/internal/peerapi/calls.go
@@ -16,6 +16,7 @@
 // Prefix is the path below which siblings call each other.
 const Prefix = "/gannetline.v1.Sibling/"
 
+// The paths of the calls between processes; their messages bear the same names.
 const (
 	ProcedurePromise  = Prefix + "Promise"
 	ProcedureAppend   = Prefix + "Append"
@@ -75,8 +76,10 @@
 		connect.WithCodec(codec(name, sideServed)), connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil)))
 }
 
+// Caller makes calls to peers over kept connections.
 type Caller struct{ client *http.Client }
 
+// NewCaller makes a caller that uses the client, as Client makes it.
 func NewCaller(client *http.Client) *Caller { return &Caller{client} }
 
 // Call asks the sibling at an address; its error names the step and the sibling.
