--- a/internal/membership/compare.go
+++ b/internal/membership/compare.go
@@ -9,7 +9,7 @@
 	return peerapi.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
 }
 
-// Answer gives the records of the buckets that differ; a sibling of the older form gets them all.
+// Answer gives the records of the buckets that differ; a peer of the older form gets them all.
 func (t *Table) Answer(call *peerapi.MembersCall) peerapi.MembersAnswer {
 	t.meet(call.From)
 	for _, member := range call.Members {
@@ -44,7 +44,7 @@
 	return answer
 }
 
-// Take merges an answer; it gives a second call where this table holds what the sibling lacks.
+// Take merges an answer; it gives a second call where this table holds what the peer lacks.
 func (t *Table) Take(from Member, answer *peerapi.MembersAnswer) *peerapi.MembersCall {
 	for _, member := range answer.Members {
 		t.Merge(member)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -272,7 +272,7 @@
 		Expect(fresh.Ask().Buckets).To(Equal(one.Ask().Buckets))
 	})
 
-	It("gives a sibling of the older form the whole list and all owners, and takes such a list", func() {
+	It("gives a peer of the older form the whole list and all owners, and takes such a list", func() {
 		one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
 		answer := one.Answer(&peerapi.MembersCall{From: gate(900), Members: []peerapi.Member{gate(901)}})
 		Expect(answer.Members).To(HaveLen(204))
@@ -286,7 +286,7 @@
 })
 
 var _ = Describe("one table", func() {
-	It("hears a sibling of the older form without comparing, and lists no proxies that it tells of", func() {
+	It("hears a peer of the older form without comparing, and lists no proxies that it tells of", func() {
 		clock := pulse.NewFake(1)
 		table, sent, differed := lone(gate(0), clock)
 		side := peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
@@ -301,7 +301,7 @@
 		Expect(last.Number).To(Equal(uint64(5)))
 	})
 
-	It("answers a sibling of the older form without mending what it can't compare", func() {
+	It("answers a peer of the older form without mending what it can't compare", func() {
 		table, sent, differed := lone(gate(0), pulse.NewFake(1))
 		table.Merge(gate(1))
 		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
@@ -404,7 +404,7 @@
 		Expect(*differed).To(Equal(2))
 	})
 
-	It("compares with a sibling at once when it has just begun", func() {
+	It("compares with a peer at once when it has just begun", func() {
 		table, _, differed := lone(gate(0), pulse.NewFake(1))
 		table.Hear(peerapi.Datagram{Kind: "news", From: gate(1), Digest: peerapi.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(1))
@@ -480,7 +480,7 @@
 		Expect(side.All()).To(HaveLen(2))
 	})
 
-	It("leaves owners out of datagrams once they are no news, and gives them to a sibling without", func() {
+	It("leaves owners out of datagrams once they are no news, and gives them to a peer without", func() {
 		clock := pulse.NewFake(1)
 		table, sent, _ := lone(gate(0), clock)
 		table.Merge(gate(1))
@@ -496,7 +496,7 @@
 		Expect((*sent)[len(*sent)-1].Digest.Owners).To(HaveLen(1))
 	})
 
-	It("compares with a sibling that stays different, not while news is on its way", func() {
+	It("compares with a peer that stays different, not while news is on its way", func() {
 		clock := pulse.NewFake(1)
 		table, _, differed := lone(gate(0), clock)
 		table.Merge(gate(1))
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -86,7 +86,7 @@
 			}
 		},
 		PlanAhead: func(peerapi.Member, int64) {},
-		Differ:    func(sibling peerapi.Member) { n.exchange(one, sibling.Address) },
+		Differ:    func(peer peerapi.Member) { n.exchange(one, peer.Address) },
 	})
 	n.all = append(n.all, one)
 	n.by[one.member.Address] = one
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -31,14 +31,14 @@
 	log     logging.Logger
 	seeds   atomic.Pointer[[]string]
 	known   []string
-	onPlan  func(sibling Member, version int64)
+	onPlan  func(peer Member, version int64)
 }
 
 // Option changes how a node is made.
 type Option func(*Node)
 
 // OnPlanAhead names the function to be told of a peer that holds a version of the configuration.
-func OnPlanAhead(heed func(sibling Member, version int64)) Option {
+func OnPlanAhead(heed func(peer Member, version int64)) Option {
 	return func(n *Node) { n.onPlan = heed }
 }
 
@@ -79,8 +79,8 @@
 	node.table = NewTable(self, clock, DefaultTiming, self.Incarnation, Events{
 		Send:      node.send,
 		Show:      func(view *View) { node.view.Store(view) },
-		PlanAhead: func(sibling Member, version int64) { node.onPlan(sibling, version) },
-		Differ:    func(sibling Member) { go node.exchange(sibling.Address) },
+		PlanAhead: func(peer Member, version int64) { node.onPlan(peer, version) },
+		Differ:    func(peer Member) { go node.exchange(peer.Address) },
 	})
 	node.table.Settle()
 	return node
@@ -185,7 +185,7 @@
 	return contacts
 }
 
-// exchange compares lists with a sibling by buckets, and gives it in a second call what it lacked.
+// exchange compares lists with a peer by buckets, and gives it in a second call what it lacked.
 func (n *Node) exchange(address string) {
 	if address == n.View().Self.Control {
 		return
@@ -210,12 +210,12 @@
 	answer, err := peerapi.Call[peerapi.MembersCall, peerapi.MembersAnswer](
 		n.caller, span.Root(), address, peerapi.ProcedureMembers, 800*time.Millisecond, call)
 	if err != nil {
-		n.log.V(1).Info("members could not be compared", "sibling", address, "why", err.Error())
+		n.log.V(1).Info("members could not be compared", "peer", address, "why", err.Error())
 	}
 	return answer, err
 }
 
-// Handle lets siblings compare their lists with this one.
+// Handle lets peers compare their lists with this one.
 func (n *Node) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureMembers, func(life span.Span, call *peerapi.MembersCall) (*peerapi.MembersAnswer, error) {
 		answer, err := mailbox.Ask(n.box, life, func(answer func(peerapi.MembersAnswer)) { answer(n.table.Answer(call)) })
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -78,7 +78,7 @@
 	return -1
 }
 
-var _ = Describe("knowing one's siblings", func() {
+var _ = Describe("knowing one's peers", func() {
 	It("thinks nobody gone while all answer", func() {
 		t := newTown(8)
 		t.run(60 * time.Second)
--- a/internal/membership/sums.go
+++ b/internal/membership/sums.go
@@ -22,7 +22,7 @@
 	return shown(whole)
 }
 
-// shown is never 0, as that stands for a sibling without sums.
+// shown is never 0, as that stands for a peer without sums.
 func shown(sum uint32) uint32 { return max(sum, 1) }
 
 func bucketOf(name string) int {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -89,8 +89,8 @@
 type Events struct {
 	Send      func(address string, datagram peerapi.Datagram)
 	Show      func(*View)
-	PlanAhead func(sibling Member, version int64)
-	Differ    func(sibling Member)
+	PlanAhead func(peer Member, version int64)
+	Differ    func(peer Member)
 }
 
 // Table has no goroutine of its own; its owner calls it.
@@ -354,7 +354,7 @@
 	}
 }
 
-// heedSums looks for what a digest shows to be missing; a sibling of the older form has no sums.
+// heedSums looks for what a digest shows to be missing; a peer of the older form has no sums.
 func (t *Table) heedSums(from Member, digest peerapi.Digest) {
 	if isLeaf(from) {
 		return
@@ -419,7 +419,7 @@
 	t.Settle()
 }
 
-// meet notes that a sibling has spoken.
+// meet notes that a peer has spoken.
 func (t *Table) meet(from Member) {
 	if isLeaf(from) {
 		t.hearLeaf(from)
@@ -433,7 +433,7 @@
 	}
 }
 
-// mend gives all facts to a sibling whose sum of them differs; if it holds newer ones, it does the same in turn.
+// mend gives all facts to a peer whose sum of them differs; if it holds newer ones, it does the same in turn.
 func (t *Table) mend(digest peerapi.Digest) []peerapi.LeaderFact {
 	if digest.OwnerSum == 0 || digest.OwnerSum == t.shownOwnerSum() || len(t.owners) > mostFacts {
 		return nil
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -28,7 +28,7 @@
 	settingsLook = 5 * time.Second
 )
 
-// base is what every role has: settings, log, clock, siblings and a tree of parts.
+// base is what every role has: settings, log, clock, peers and a tree of parts.
 type base struct {
 	path     string
 	settings *settings.Settings
@@ -97,8 +97,8 @@
 	b.node = membership.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
 	b.node.Handle(b.inner)
 	metrics.Handle(b.inner)
-	b.tree.Add("siblings", b.node.Run)
-	b.tree.Add("sibling-calls", serving(b.calls, b.meter.Handler(b.inner)))
+	b.tree.Add("peers", b.node.Run)
+	b.tree.Add("peer-calls", serving(b.calls, b.meter.Handler(b.inner)))
 	if every := b.settings.MetricsLog(); every > 0 {
 		b.tree.Add("metrics", metrics.Logging(b.log, b.clock, every))
 	}
