--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -59,6 +59,32 @@
 		Expect(beat("i-1", "ready", 2)).To(Equal(200))
 	})
 
+	It("keeps what it knows of a life's orders while a late beat sets another in its place", func() {
+		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		work, isDue := table.Ready("i-1", launch)
+		Expect(isDue).To(BeTrue())
+		beat("i-0", "ready", 7)
+		table.Unanswered(work)
+		_, isDue = table.Ready("i-1", launch)
+		Expect(isDue).To(BeFalse())
+		hold, _ := table.NextHold(false)
+		table.HoldFailed(hold, true)
+		Expect(told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})).To(HaveLen(1))
+		table.Carried(work, "sick")
+		call, _ := table.Compose(0)
+		Expect(call.Answers[0].Result).To(Equal("unsure"))
+	})
+
+	It("ends a life in whose place another one answers, also when it is not the present one", func() {
+		before, _ := table.NextHold(false)
+		beat("i-2", "ready", 1)
+		table.HoldFailed(before, true)
+		Expect(beat("i-1", "ready", 9)).To(Equal(409))
+		call, _ := table.Compose(0)
+		Expect(call.Life).To(Equal("i-2"))
+		Expect(call.Gone).To(Equal([]string{"i-1"}))
+	})
+
 	It("takes no answer to a hold from before a beat for a sign of the life that sent the beat", func() {
 		before, _ := table.NextHold(false)
 		beat("i-2", "ready", 1)
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -203,6 +203,18 @@
 	}
 }
 
+// endOther ends a life that is not the present one: its executor's address answers for another.
+func (t *Table) endOther(id string) {
+	for place, other := range t.others {
+		if other.id == id {
+			t.others = slices.Delete(t.others, place, place+1)
+			t.markGone(id)
+			t.onWork()
+			return
+		}
+	}
+}
+
 // dismiss ends the present life; one of the others may be the one that is there.
 func (t *Table) dismiss() {
 	t.markGone(t.life.id)
@@ -344,6 +356,9 @@
 func (t *Table) HoldFailed(work HoldWork, isOtherLife bool) {
 	one := t.life
 	if one == nil || one.id != work.Life {
+		if isOtherLife {
+			t.endOther(work.Life)
+		}
 		return
 	}
 	t.noteMisses(one, 1)
@@ -481,6 +496,9 @@
 func (t *Table) Ready(lifeID string, order peerapi.Order) (OrderWork, bool) {
 	one := t.life
 	if one == nil || one.id != lifeID {
+		if other := t.known(lifeID); other != nil {
+			delete(other.busy, orderKey{order.Task, order.Run, order.Kind})
+		}
 		return OrderWork{}, false
 	}
 	if given, isBusy := one.busy[orderKey{order.Task, order.Run, order.Kind}]; isBusy && given != one.fence {
@@ -532,8 +550,8 @@
 
 // Unanswered notes that an order may yet be carried out.
 func (t *Table) Unanswered(work OrderWork) {
-	one := t.life
-	if one == nil || one.id != work.Life {
+	one := t.known(work.Life)
+	if one == nil {
 		return
 	}
 	if len(one.unsure) < mostUnsure {
@@ -555,8 +573,8 @@
 
 // Carried notes an order's answer for the owner.
 func (t *Table) Carried(work OrderWork, result string) {
-	one := t.life
-	if one == nil || one.id != work.Life {
+	one := t.known(work.Life)
+	if one == nil {
 		return
 	}
 	order, place := work.Order, runKey{work.Order.Task, work.Order.Run}
