--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -175,7 +175,7 @@
 	tenure := p.tenure
 	tenure.Commit(append([]peerapi.Op{{Name: factName, Value: value}}, records.ops...), func(err error) {
 		if err != nil || p.tenure != tenure {
-			answer(peerapi.ClientAnswer{Elsewhere: true})
+			answer(peerapi.ClientAnswer{Elsewhere: true, Unclear: true})
 			return
 		}
 		p.isBusy = false
--- a/internal/configowner/confirmed_test.go
+++ b/internal/configowner/confirmed_test.go
@@ -147,11 +147,14 @@
 
 	It("are not taken where the leadership ends, and none is answered twice", func() {
 		o := newOperated()
-		answers := 0
+		answers, unclear := 0, 0
 		for number := range 40 {
 			o.leader.Replace(&peerapi.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer peerapi.ClientAnswer) {
 				answers++
 				Expect(answer.Elsewhere).To(BeTrue())
+				if answer.Unclear {
+					unclear++
+				}
 			})
 		}
 		Expect(answers).To(Equal(40 - 33))
@@ -161,6 +164,7 @@
 			done(errors.New("lost"))
 		}
 		Expect(answers).To(Equal(40))
+		Expect(unclear).To(Equal(1))
 	})
 
 	DescribeTable("are clear once sent again, to a new leader and after 400 changes, if the leadership ended during the commit", func(isStored bool, others int) {
@@ -183,7 +187,7 @@
 		o.leader.Close()
 		o.tenure.waiting = nil
 		lost[0](errors.New("lost"))
-		Expect(first.Elsewhere).To(BeTrue())
+		Expect(*first).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}))
 		o.takeOver()
 		taken := 0
 		if !isStored {
@@ -210,7 +214,7 @@
 		o.tenure = &scripted{hasLease: true}
 		Expect(o.leader.Open(o.tenure, nil)).To(Succeed())
 		late[0](nil)
-		Expect(told.Elsewhere).To(BeTrue())
+		Expect(*told).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}))
 		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
 	})
 })
