--- /dev/null
+++ b/internal/modelcheck/controlmodel/bulk.go
@@ -0,0 +1,80 @@
+package controlmodel
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+
+	"gannetline/internal/configowner"
+	"gannetline/internal/peerapi"
+)
+
+// In a schedule with the step "bulk" each change also writes one of a few large pairs, so that whole states are sent
+// in several chunks, and replicas keep only the last few changes.
+const (
+	bulkPairs    = 5
+	bulkSize     = 90 << 10
+	bulkVariants = 32
+)
+
+// bulkValues are the values that large pairs may have; they are shared and never changed.
+var bulkValues = makeBulkValues()
+
+func makeBulkValues() [][]byte {
+	values := make([][]byte, bulkVariants)
+	for variant := range values {
+		values[variant] = bytes.Repeat([]byte{byte('A' + variant)}, bulkSize)
+	}
+	return values
+}
+
+// bulkState is the variant of each large pair; 0 where there is none.
+type bulkState [bulkPairs]byte
+
+func bulkName(place int) string { return fmt.Sprintf("bulk-%d", place) }
+
+func bulkOf(pairs []peerapi.Op) bulkState {
+	var held bulkState
+	for place := range held {
+		at := slices.IndexFunc(pairs, func(pair peerapi.Op) bool { return pair.Name == bulkName(place) })
+		if at >= 0 {
+			held[place] = pairs[at].Value[0]
+		}
+	}
+	return held
+}
+
+// bulkTenure adds a large pair to each change, and notes what the whole state is then.
+type bulkTenure struct {
+	configowner.Tenure
+	world *world
+	held  bulkState
+}
+
+func (t *bulkTenure) Commit(ops []peerapi.Op, done func(error)) {
+	w := t.world
+	w.bulkCount++
+	place, value := w.bulkCount%bulkPairs, bulkValues[w.bulkCount%bulkVariants]
+	next := t.held
+	next[place] = value[0]
+	if fact := factOf(ops); fact != nil {
+		w.record.bulk[digestOf(fact.Body)] = next
+	}
+	ops = append(slices.Clone(ops), peerapi.Op{Name: bulkName(place), Value: value})
+	t.Tenure.Commit(ops, func(err error) {
+		if err == nil {
+			t.held = next
+		}
+		done(err)
+	})
+}
+
+// checkBulk looks whether the large pairs are those that the newest change left behind.
+func (w *world) checkBulk(n *node, pairs []peerapi.Op, fact *peerapi.Configuration) {
+	if !w.isBulk || fact == nil {
+		return
+	}
+	if want, held := w.record.bulk[digestOf(fact.Body)], bulkOf(pairs); want != held {
+		w.violated("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, fact.Version, held, want)
+	}
+}
--- a/internal/modelcheck/controlmodel/leader.go
+++ b/internal/modelcheck/controlmodel/leader.go
@@ -24,7 +24,11 @@
 	n.world.tell("%s leads epoch %d", n.name, tenure.Epoch())
 	n.world.announce(n, tenure.Epoch())
 	n.world.checkOpened(n, pairs)
-	return n.config.Open(n.world.plant.wrapTenure(n, tenure), pairs)
+	var held configowner.Tenure = tenure
+	if n.world.isBulk {
+		held = &bulkTenure{Tenure: tenure, world: n.world, held: bulkOf(pairs)}
+	}
+	return n.config.Open(n.world.plant.wrapTenure(n, held), pairs)
 }
 
 func (m *stateMachine) Close() {
--- a/internal/modelcheck/controlmodel/oracles.go
+++ b/internal/modelcheck/controlmodel/oracles.go
@@ -1,6 +1,7 @@
 package controlmodel
 
 import (
+	"bytes"
 	"math"
 	"slices"
 	"time"
@@ -35,10 +36,13 @@
 	inForce map[string]bool
 	history []*observation
 	epochs  map[uint64]string
+	// bulk is the large pairs' state after each change, by the digest of its body.
+	bulk map[string]bulkState
 }
 
 func newRecord() record {
-	return record{byDigest: map[string]*order{}, confirmed: map[int64]string{}, inForce: map[string]bool{}, epochs: map[uint64]string{}}
+	return record{byDigest: map[string]*order{}, confirmed: map[int64]string{}, inForce: map[string]bool{}, epochs: map[uint64]string{},
+		bulk: map[string]bulkState{}}
 }
 
 func (w *world) checkLeases() {
@@ -66,6 +70,7 @@
 			w.noteInForce(one.Digest)
 		}
 	}
+	w.checkBulk(n, pairs, fact)
 	if !n.tenure.HasLease() || w.record.top == 0 {
 		return
 	}
@@ -167,6 +172,25 @@
 	return ""
 }
 
+// checkReplicas compares the replicas of a settled system pair by pair: at the same log position they must be alike.
+func (w *world) checkReplicas() {
+	leader := w.leader()
+	if leader == nil {
+		return
+	}
+	want, _ := leader.disk.Read(configowner.Key)
+	for _, one := range w.slots {
+		held, _ := one.disk.Read(configowner.Key)
+		if held.Last == want.Last && !slices.EqualFunc(held.Pairs, want.Pairs, isSamePair) {
+			w.violated("same place, same state", "%s and %s differ at %v", one.name, leader.name, held.Last)
+		}
+	}
+}
+
+func isSamePair(one, two peerapi.Op) bool {
+	return one.Name == two.Name && bytes.Equal(one.Value, two.Value)
+}
+
 // chain is the state of the sequential model: the configurations in force, the newest first.
 type chain struct {
 	version int64
--- a/internal/modelcheck/controlmodel/world.go
+++ b/internal/modelcheck/controlmodel/world.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"gannetline/internal/modelcheck"
@@ -14,6 +15,7 @@
 	initialVoters = 3
 	// settleLimit is how long after the last fault the system may take until all oracles of a settled system hold.
 	settleLimit = 12 * time.Second
+	mostAtOnce  = 20000
 	settleLook  = 200 * time.Millisecond
 	wallAtStart = 1_000_000
 )
@@ -37,6 +39,11 @@
 	coverage modelcheck.Coverage
 	problems []modelcheck.Violation
 	open     int
+	// atOnce counts the events of one moment.
+	atOnce int
+	// isBulk is set where changes write large pairs; bulkCount counts them.
+	isBulk    bool
+	bulkCount int
 	// trace, if there is one, is told what happens.
 	trace io.Writer
 }
@@ -46,6 +53,7 @@
 		coverage: modelcheck.Coverage{}}
 	w.plant = plants[schedule.Plant]
 	w.record = newRecord()
+	w.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
 	for range schedule.Nodes {
 		w.slots = append(w.slots, w.addNode())
 	}
@@ -92,10 +100,12 @@
 
 func (w *world) runUntil(end time.Duration) bool {
 	for len(w.problems) == 0 {
+		before := w.now
 		run, isThere := w.next(end)
 		if !isThere {
 			return true
 		}
+		w.checkProgress(before)
 		run()
 		if w.open > 1 {
 			w.checkLeases()
@@ -104,6 +114,18 @@
 	return false
 }
 
+// checkProgress looks for work that goes round without end and without time.
+func (w *world) checkProgress(before time.Duration) {
+	if w.now > before {
+		w.atOnce = 0
+		return
+	}
+	w.atOnce++
+	if w.atOnce > mostAtOnce {
+		w.violated("time goes on", "more than %d events at one moment", mostAtOnce)
+	}
+}
+
 // settle waits until all that must hold in a calm system holds; what does not within the limit is a violation.
 func (w *world) settle() {
 	end := w.now + settleLimit
@@ -113,6 +135,7 @@
 			return
 		}
 		if open = w.unsettled(); open == "" {
+			w.checkReplicas()
 			w.traffic.finalReads(w)
 			w.runUntil(w.now + operatorLimit + time.Second)
 			return
