--- a/internal/metrics/table.go
+++ b/internal/metrics/table.go
@@ -17,6 +17,7 @@
 	Samples Samples
 }
 
+// Add adds the other samples to these, name by name.
 func (s Samples) Add(other Samples) {
 	for name, value := range other {
 		s[name] += value
@@ -44,6 +45,7 @@
 	return table
 }
 
+// Write writes the table as text with a column for each process, or as JSON.
 func (t Table) Write(to io.Writer, isJSON bool) error {
 	if isJSON {
 		return t.writeJSON(to)
--- a/internal/replication/recentlog.go
+++ b/internal/replication/recentlog.go
@@ -7,11 +7,11 @@
 )
 
 // inherit keeps what was taken before, so that a follower that is a little behind is sent no whole state.
-func (e *Engine) inherit(base peerapi.LogPosition, held History) {
-	if held.last() != base {
-		held = History{Base: base}
+func (e *Engine) inherit(base peerapi.LogPosition, recent History) {
+	if recent.last() != base {
+		recent = History{Base: base}
 	}
-	e.recentBase, e.recent, e.recentSize = held.Base, held.Changes, 0
+	e.recentBase, e.recent, e.recentSize = recent.Base, recent.Changes, 0
 	for _, change := range e.recent {
 		e.recentSize += sizeOf(change)
 	}
@@ -25,20 +25,21 @@
 	return size
 }
 
+// trimRecent lets go of changes that all live followers hold, beyond as many as a replica's history keeps for those that
+// come back, and of any beyond the most that a leader keeps.
 func (e *Engine) trimRecent() {
-	needed := e.last.Index
-	for _, one := range e.followers {
-		switch {
-		case one.disk != e.disk && e.clock.Steady()-one.lastContact >= e.timing.LostAfter:
-		case one.transfer != nil:
-			needed = min(needed, one.transfer.snapshot.Last.Index)
-		case !one.needsSnapshot:
-			needed = min(needed, one.acked.Index)
-		}
+	if len(e.recent) <= mostHistory && e.recentSize <= mostHistorySize {
+		return
 	}
+	needed := min(e.neededByFollowers(), e.committed)
 	drop := 0
-	for drop < len(e.recent) && (e.recent[drop].Position.Index <= needed && e.recent[drop].Position.Index <= e.committed ||
-		len(e.recent)-drop > mostTail || e.recentSize > mostTailSize) {
+	for drop < len(e.recent) {
+		count, size := len(e.recent)-drop, e.recentSize
+		isOverKept := count > mostHistory/2 || size > mostHistorySize/2
+		isOverMost := count > mostTail || size > mostTailSize
+		if !isOverMost && (!isOverKept || e.recent[drop].Position.Index > needed) {
+			break
+		}
 		e.recentSize -= sizeOf(e.recent[drop])
 		drop++
 	}
@@ -48,6 +49,21 @@
 	}
 }
 
+// neededByFollowers is the index up to which all followers in contact, and the own disk, hold the changes, or the snapshot on its way.
+func (e *Engine) neededByFollowers() uint64 {
+	needed := e.last.Index
+	for _, to := range e.followers {
+		switch {
+		case to.disk != e.disk && e.clock.Steady()-to.lastContact >= e.timing.LostAfter:
+		case to.transfer != nil:
+			needed = min(needed, to.transfer.snapshot.Last.Index)
+		case !to.needsSnapshot:
+			needed = min(needed, to.acked.Index)
+		}
+	}
+	return needed
+}
+
 // after gives the changes that follow on a stamp, as far as one call may carry them, if the tail still has them all.
 func (e *Engine) after(prev peerapi.LogPosition) ([]peerapi.Change, bool) {
 	if prev.Index < e.recentBase.Index || prev.Index > e.last.Index {
@@ -57,15 +73,21 @@
 	if prev != e.recentPosition(start) {
 		return nil, false
 	}
-	end, size := start, 0
-	for end < len(e.recent) && end-start < mostPerCall && (end == start || size+sizeOf(e.recent[end]) <= mostPerCallSize) {
-		size += sizeOf(e.recent[end])
-		end++
+	rest := e.recent[start:]
+	return rest[:mostInOneCall(rest)], true
+}
+
+// mostInOneCall is how many changes, from the first on, one call should carry.
+func mostInOneCall(changes []peerapi.Change) int {
+	count, size := 0, 0
+	for count < len(changes) && count < mostPerCall && (count == 0 || size+sizeOf(changes[count]) <= mostPerCallSize) {
+		size += sizeOf(changes[count])
+		count++
 	}
-	return e.recent[start:end], true
+	return count
 }
 
-// tailStamp is the stamp of the state that so many changes of the tail lead to.
+// recentPosition is the position that so many of the recent changes lead to.
 func (e *Engine) recentPosition(count int) peerapi.LogPosition {
 	if count == 0 {
 		return e.recentBase
