--- a/internal/modelcheck/controlmodel/draw.go
+++ b/internal/modelcheck/controlmodel/draw.go
@@ -15,9 +15,6 @@
 	// A short schedule holds a fault or two, a long one several with the time to catch up between them.
 	shortMs = 2500
 	longMs  = 10000
-	// removedCountsMs is how long a machine that left in order counts as lost. By the pages it should be 0, as its
-	// successor has had its time; the engine does not leave its voters by agreement yet.
-	removedCountsMs = catchUpMs
 )
 
 // lossSpan is the time for which a machine counts as lost.
@@ -129,7 +126,8 @@
 		step.Node = d.draw.IntN(d.nodes)
 		if kind == stepReplace {
 			step.ForMs = catchUpMs + d.draw.IntN(1000)
-			span.to = at + step.ForMs + 500 + removedCountsMs
+			// A removed machine no longer counts once its successor has had its time.
+			span.to = at + step.ForMs
 		}
 	case stepPowerOnAck:
 		step.Node, step.Value = leaderPlace, 0
@@ -139,7 +137,7 @@
 			return
 		}
 	case stepRestart:
-		span.to += int(leaveTime.Milliseconds())
+		span.to += int(leaveLimit.Milliseconds())
 	}
 	if d.isBearable(span, 1) {
 		d.lost = append(d.lost, span)
--- a/internal/modelcheck/controlmodel/faults.go
+++ b/internal/modelcheck/controlmodel/faults.go
@@ -117,13 +117,11 @@
 		place := step.Node % len(w.slots)
 		successor := w.addNode()
 		successor.start()
-		if w.plant.leavesAtOnce {
-			length = 0
-		}
 		w.after(length, func() {
 			old := w.slots[place]
 			w.slots[place] = successor
-			old.leave()
+			old.isRemoved = true
+			old.leave(func() {})
 		})
 	case stepReplaceLost:
 		n.kill()
@@ -132,11 +130,7 @@
 		w.slots[step.Node%len(w.slots)] = successor
 		w.after(length, successor.start)
 	case stepRestart:
-		if n.isUp {
-			n.enter(n.life, n.engine.Leave)
-		}
-		w.after(leaveTime, n.kill)
-		w.after(leaveTime+length, n.start)
+		n.leave(func() { w.after(length, n.start) })
 	case stepGrow:
 		fresh := w.addNode()
 		w.slots = append(w.slots, fresh)
--- a/internal/modelcheck/controlmodel/leader.go
+++ b/internal/modelcheck/controlmodel/leader.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"strings"
 	"time"
 
 	"github.com/mailru/easyjson"
@@ -11,7 +12,11 @@
 	"gannetline/internal/replication"
 )
 
-const factName = "fact"
+// The names of the configuration leader's pairs.
+const (
+	factName        = "fact"
+	confirmedPrefix = "confirmed/"
+)
 
 // stateMachine is the configuration leader of a machine, with the oracles looking on.
 type stateMachine struct{ node *node }
@@ -107,5 +112,17 @@
 	return nil
 }
 
+// confirmedOf are the changes that a key's pairs name as confirmed.
+func confirmedOf(pairs []peerapi.Op) []peerapi.ConfirmedVersion {
+	var all []peerapi.ConfirmedVersion
+	for _, pair := range pairs {
+		var one peerapi.ConfirmedVersion
+		if strings.HasPrefix(pair.Name, confirmedPrefix) && easyjson.Unmarshal(pair.Value, &one) == nil {
+			all = append(all, one)
+		}
+	}
+	return all
+}
+
 // headOf is what a disk holds of the key.
 func headOf(d *disk) peerapi.LogPosition { return d.shelf.Heads[configowner.Key].Last }
--- a/internal/modelcheck/controlmodel/network.go
+++ b/internal/modelcheck/controlmodel/network.go
@@ -13,6 +13,7 @@
 	promiseLimit  = 500 * time.Millisecond
 	appendLimit   = 1500 * time.Millisecond
 	snapshotLimit = 4 * time.Second
+	fetchLimit    = 4 * time.Second
 
 	shortestTransit = 300 * time.Microsecond
 	longestTransit  = 4 * time.Millisecond
--- a/internal/modelcheck/controlmodel/node.go
+++ b/internal/modelcheck/controlmodel/node.go
@@ -19,7 +19,9 @@
 	gossipDelay = 300 * time.Millisecond
 	goneAfter   = 2 * time.Second
 	leaveTime   = 400 * time.Millisecond
-	mostPast    = 4
+	// leaveLimit is how long a machine that leaves waits until another disk has taken its place.
+	leaveLimit = 3 * time.Second
+	mostPast   = 4
 )
 
 // node is one control machine: its disk outlives its process.
@@ -76,7 +78,7 @@
 }
 
 func (w *world) addNode() *node {
-	one := &node{world: w, index: len(w.nodes), name: fmt.Sprintf("machine-%d", len(w.nodes)), disk: w.newDisk()}
+	one := &node{world: w, index: len(w.nodes), name: fmt.Sprintf("machine-%02d", len(w.nodes)), disk: w.newDisk()}
 	one.clock = nodeClock{world: w, offset: time.Duration(w.draw.IntN(1000)) * time.Millisecond}
 	w.nodes = append(w.nodes, one)
 	return one
@@ -212,14 +214,42 @@
 	}
 }
 
-// leave is a planned end for good: the lease is given back, and the process goes a little later.
-func (n *node) leave() {
-	n.isRemoved = true
+// leave is a planned end, as after SIGTERM: the disk's voters are replaced first if another disk can take their place.
+func (n *node) leave(gone func()) {
 	if !n.isUp {
+		gone()
 		return
 	}
-	n.enter(n.life, n.engine.Leave)
-	n.world.after(leaveTime, n.kill)
+	life, end := n.life, n.world.now+leaveLimit
+	if n.world.plant.leavesAtOnce {
+		end = n.world.now
+	} else {
+		n.enter(life, func() {
+			n.replicas.Leave()
+			n.engine.Leave()
+		})
+	}
+	n.world.after(leaveTime, func() { n.awaitLeave(life, end, gone) })
+}
+
+func (n *node) awaitLeave(life int, end time.Duration, gone func()) {
+	isOver := n.world.now >= end || !n.isReplaceable()
+	if n.life == life && !isOver {
+		n.world.after(tickEvery, func() { n.awaitLeave(life, end, gone) })
+		return
+	}
+	if n.life == life {
+		n.kill()
+	}
+	gone()
+}
+
+// isReplaceable tells whether this disk is still a voter and another live one could take its place.
+func (n *node) isReplaceable() bool {
+	set, isVoter := n.replicas.VotingOn()[configowner.Key]
+	return isVoter && slices.ContainsFunc(n.members(), func(member peerapi.Member) bool {
+		return member.State == peerapi.StateAlive && !slices.Contains(set.Now, member.Disk) && !slices.Contains(set.Old, member.Disk)
+	})
 }
 
 // members is what this machine knows of the others: news takes a while, and none comes through a cut.
@@ -247,7 +277,7 @@
 }
 
 func (n *node) member() peerapi.Member {
-	return peerapi.Member{Name: n.name, Role: "steward", Disk: n.disk.name, State: peerapi.StateAlive, Past: slices.Clone(n.past)}
+	return peerapi.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: peerapi.StateAlive, Past: slices.Clone(n.past)}
 }
 
 // byDisk is the machine that holds a disk, as far as this one knows.
--- a/internal/modelcheck/controlmodel/operators.go
+++ b/internal/modelcheck/controlmodel/operators.go
@@ -1,6 +1,7 @@
 package controlmodel
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
@@ -11,18 +12,19 @@
 
 	"gannetline/internal/configowner"
 	"gannetline/internal/configuration"
+	"gannetline/internal/controlapi"
+	"gannetline/internal/leaderclient"
+	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/response"
 )
 
 const (
 	verbReplace  = "replace"
 	verbRetrieve = "retrieve"
 
-	// The operator's path: how long a machine asks on, how long it waits for one try, and its pauses.
+	// patience is how long a machine asks on for an operator.
 	patience      = 900 * time.Millisecond
-	perTry        = 450 * time.Millisecond
-	pauseShort    = 30 * time.Millisecond
-	pauseLong     = 120 * time.Millisecond
 	operatorLimit = time.Second
 	mostTries     = 10
 	mostUnderWay  = 8
@@ -69,8 +71,8 @@
 }
 
 func digestOf(body []byte) string {
-	sum := sha256.Sum256(body)
-	return hex.EncodeToString(sum[:8])
+	sum := sha256.Sum256(bytes.TrimSpace(body))
+	return hex.EncodeToString(sum[:])
 }
 
 // send brings an order to a machine, and sends it again elsewhere until there is a clear answer.
@@ -82,7 +84,7 @@
 	w.traffic.underWay++
 	call := &peerapi.ClientCall{Key: configowner.Key, Verb: verbReplace, Base: one.base, Body: one.body}
 	begun := w.begin(one)
-	w.operate(via, call, func(answer *peerapi.ClientAnswer) {
+	w.operate(via, call, func(answer *response.Reply) {
 		w.traffic.underWay--
 		kind := kindOf(answer)
 		w.end(begun, kind)
@@ -94,7 +96,7 @@
 	})
 }
 
-func kindOf(answer *peerapi.ClientAnswer) answerKind {
+func kindOf(answer *response.Reply) answerKind {
 	switch {
 	case answer == nil || answer.Status >= http.StatusInternalServerError:
 		return unclear
@@ -104,7 +106,7 @@
 	return refused
 }
 
-func (w *world) noteOrder(one *order, kind answerKind, answer *peerapi.ClientAnswer) {
+func (w *world) noteOrder(one *order, kind answerKind, answer *response.Reply) {
 	t := &w.traffic
 	switch kind {
 	case confirmed:
@@ -130,7 +132,7 @@
 func (w *world) read(via int, done func(isRead bool)) {
 	begun, floor := w.begin(nil), w.record.top
 	call := &peerapi.ClientCall{Key: configowner.Key, Verb: verbRetrieve}
-	w.operate(via, call, func(answer *peerapi.ClientAnswer) {
+	w.operate(via, call, func(answer *response.Reply) {
 		isRead := kindOf(answer) == confirmed
 		if isRead {
 			w.cover("configuration read")
@@ -143,10 +145,10 @@
 func ignore(bool) {}
 
 // operate brings a call of an operator to a machine's control address; no answer comes back as nil.
-func (w *world) operate(via int, ask *peerapi.ClientCall, done func(*peerapi.ClientAnswer)) {
+func (w *world) operate(via int, ask *peerapi.ClientCall, done func(*response.Reply)) {
 	to := w.slots[via%len(w.slots)]
 	isOver := false
-	finish := func(answer *peerapi.ClientAnswer) {
+	finish := func(answer *response.Reply) {
 		if !isOver {
 			isOver = true
 			done(answer)
@@ -159,76 +161,68 @@
 			return
 		}
 		to.enter(life, func() {
-			tryLeader(&attempt{from: to, ask: ask, end: w.now + patience, done: func(answer *peerapi.ClientAnswer) {
+			tries := leaderclient.NewAttempts(ask.Key, w.now+patience, w.draw.IntN)
+			search := &attempt{from: to, ask: ask, tries: tries, done: func(answer response.Reply) {
 				to.enter(life, func() {
 					if w.weather.until > w.now && w.draw.IntN(4) == 0 {
 						w.cover("acknowledgement lost")
 						return
 					}
-					w.after(w.transit(), func() { finish(answer) })
+					w.after(w.transit(), func() { finish(&answer) })
 				})
-			}})
+			}}
+			search.next()
 		})
 	})
 }
 
-// attempt is a machine's search for the key's leader; it follows leaderclient.Asker, without its goroutines.
+// attempt is a machine's search for the key's leader: the tries are the daemon's own, the waits are the model's.
 type attempt struct {
 	from  *node
 	ask   *peerapi.ClientCall
-	end   time.Duration
-	tries int
-	hint  *node
-	done  func(*peerapi.ClientAnswer)
+	tries *leaderclient.Attempts
+	done  func(response.Reply)
 }
 
-func tryLeader(a *attempt) {
+func (a *attempt) next() {
 	w := a.from.world
-	left := a.end - w.now
-	if left <= 0 {
-		a.done(nil)
+	try, isLeft := a.tries.Next(a.from.view(), w.now)
+	if !isLeft {
+		a.end()
 		return
 	}
-	to := a.address()
-	a.hint = nil
+	to := w.byName(try.Address)
 	if to == nil {
 		a.pause()
 		return
 	}
-	call(a.from, to, min(perTry, left), func(answer func(peerapi.ClientAnswer)) { to.obey(a.ask, answer) },
+	call(a.from, to, try.Limit, func(answer func(peerapi.ClientAnswer)) { to.obey(a.ask, answer) },
 		func(answer peerapi.ClientAnswer, err error) {
-			if err == nil && !answer.Elsewhere {
-				a.done(&answer)
+			if err != nil {
+				a.tries.Failed(err == errRefused)
+			} else if a.tries.Answered(&answer) {
+				a.end()
 				return
 			}
-			if err == nil {
-				a.hint = w.byName(answer.Owner)
-			}
 			a.pause()
 		})
 }
 
+func (a *attempt) end() { a.done(controlapi.Reply(a.ask, a.tries.Outcome())) }
+
 func (a *attempt) pause() {
-	wait := pauseShort
-	if a.tries > 2 {
-		wait = pauseLong
-	}
-	a.tries++
 	life := a.from.life
-	a.from.world.after(wait, func() { a.from.enter(life, func() { tryLeader(a) }) })
+	a.from.world.after(a.tries.Pause(a.from.world.now), func() { a.from.enter(life, a.next) })
 }
 
-// address prefers the hint, then the leader it has heard of, then any other.
-func (a *attempt) address() *node {
-	if a.hint != nil {
-		return a.hint
+// view is what a machine's membership tells its operator's path.
+func (n *node) view() *membership.View {
+	n.hearsay()
+	view := &membership.View{Stewards: n.members(), Owners: map[string]peerapi.LeaderFact{}}
+	if n.heard.node != nil {
+		view.Owners[configowner.Key] = peerapi.LeaderFact{Key: configowner.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
 	}
-	a.from.hearsay()
-	if a.from.heard.node != nil && a.tries%3 != 2 {
-		return a.from.heard.node
-	}
-	w := a.from.world
-	return w.slots[w.draw.IntN(len(w.slots))]
+	return view
 }
 
 func (w *world) byName(name string) *node {
--- a/internal/modelcheck/controlmodel/oracles.go
+++ b/internal/modelcheck/controlmodel/oracles.go
@@ -10,11 +10,15 @@
 
 	"gannetline/internal/configowner"
 	"gannetline/internal/peerapi"
+	"gannetline/internal/response"
 )
 
 // mostConfirmed is how many changes the leader remembers as confirmed. An order older than that may be refused:
 // the pages forbid only that one is refused with no other change made since.
-const mostConfirmed = 64
+const mostConfirmed = 2048
+
+// mostOperations is how many calls a history may have to be checked as a whole; what an order costs rises steeply.
+const mostOperations = 64
 
 // observation is a call of an operator and its answer.
 type observation struct {
@@ -64,11 +68,9 @@
 		w.violated("one leader", "epoch %d belongs to %s and to %s", epoch, other, n.name)
 	}
 	w.record.epochs[epoch] = n.name
-	fact := factOf(pairs)
-	if fact != nil {
-		for _, one := range fact.Confirmed {
-			w.noteInForce(one.Digest)
-		}
+	fact, confirmed := factOf(pairs), confirmedOf(pairs)
+	for _, one := range confirmed {
+		w.noteInForce(one.Digest)
 	}
 	w.checkBulk(n, pairs, fact)
 	if !n.tenure.HasLease() || w.record.top == 0 {
@@ -78,7 +80,7 @@
 	switch {
 	case fact == nil:
 		w.violated("acknowledged is kept", "%s leads epoch %d with no configuration, version %d was confirmed", n.name, epoch, w.record.top)
-	case fact.Version < w.record.top || len(fact.Confirmed) < mostConfirmed && !slices.Contains(fact.Confirmed, want):
+	case fact.Version < w.record.top || !slices.Contains(confirmed, want):
 		w.violated("acknowledged is kept", "%s leads epoch %d with version %d, version %d was confirmed and is not in it",
 			n.name, epoch, fact.Version, w.record.top)
 	}
@@ -103,12 +105,12 @@
 	w.record.top = max(w.record.top, one.version)
 }
 
-func (w *world) checkRefused(one *order, answer *peerapi.ClientAnswer) {
+func (w *world) checkRefused(one *order, answer *response.Reply) {
 	if one.confirmedAfter > 0 && len(w.traffic.confirmed)-one.confirmedAfter < mostConfirmed/2 {
-		w.violated("confirmed is confirmed again", "version %d was confirmed and is refused with %d: %s", one.version, answer.Status, answer.Why)
+		w.violated("confirmed is confirmed again", "version %d was confirmed and is refused with %d: %s", one.version, answer.Status, answer.Body)
 	}
 	if w.record.inForce[one.digest] && one.confirmedAfter == 0 && len(w.record.inForce) < mostConfirmed {
-		w.violated("refused is never in force", "version %d is in force and is refused with %d: %s", one.version, answer.Status, answer.Why)
+		w.violated("refused is never in force", "version %d is in force and is refused with %d: %s", one.version, answer.Status, answer.Body)
 	}
 }
 
@@ -256,7 +258,7 @@
 		}
 		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: nil, Output: seen, Call: int64(seen.begun), Return: int64(seen.ended)})
 	}
-	if len(operations) > mostConfirmed {
+	if len(operations) > mostOperations {
 		operations = operations[:0]
 		w.cover("history too long for porcupine")
 	}
--- a/internal/modelcheck/controlmodel/plantlist.go
+++ b/internal/modelcheck/controlmodel/plantlist.go
@@ -4,10 +4,9 @@
 	"maps"
 	"net/http"
 	"slices"
+	"strings"
 	"time"
 
-	"github.com/mailru/easyjson"
-
 	"gannetline/internal/configowner"
 	"gannetline/internal/configuration"
 	"gannetline/internal/peerapi"
@@ -209,13 +208,8 @@
 type forgetfulMachine struct{ replication.StateMachine }
 
 func (m forgetfulMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
-	pairs = slices.Clone(pairs)
-	for place, pair := range pairs {
-		if fact := factOf([]peerapi.Op{pair}); fact != nil {
-			fact.Confirmed = nil
-			pairs[place].Value, _ = easyjson.Marshal(fact)
-		}
-	}
+	isRecord := func(pair peerapi.Op) bool { return strings.HasPrefix(pair.Name, confirmedPrefix) }
+	pairs = slices.DeleteFunc(slices.Clone(pairs), isRecord)
 	return m.StateMachine.Open(tenure, pairs)
 }
 
--- a/internal/modelcheck/controlmodel/world.go
+++ b/internal/modelcheck/controlmodel/world.go
@@ -85,9 +85,9 @@
 	var last time.Duration
 	for _, step := range w.schedule.Steps {
 		w.after(pulse.Ms(int64(step.AtMs)), func() { w.apply(step) })
-		last = max(last, pulse.Ms(int64(step.AtMs+step.ForMs)))
+		last = max(last, endOf(step))
 	}
-	if !w.runUntil(last + leaveTime + time.Millisecond) {
+	if !w.runUntil(last + time.Millisecond) {
 		return w.outcome()
 	}
 	w.healAll()
@@ -98,6 +98,15 @@
 	return w.outcome()
 }
 
+// endOf is when a step has surely ended.
+func endOf(step modelcheck.Step) time.Duration {
+	end := pulse.Ms(int64(step.AtMs + step.ForMs))
+	if step.Kind == stepReplace || step.Kind == stepRestart {
+		end += leaveLimit + leaveTime
+	}
+	return end
+}
+
 func (w *world) runUntil(end time.Duration) bool {
 	for len(w.problems) == 0 {
 		before := w.now
