--- a/internal/modelcheck/controlmodel/bulk.go
+++ b/internal/modelcheck/controlmodel/bulk.go
@@ -52,14 +52,17 @@
 }
 
 func (t *bulkTenure) Commit(ops []peerapi.Op, done func(error)) {
-	w := t.world
-	w.bulkCount++
-	place, value := w.bulkCount%bulkPairs, bulkValues[w.bulkCount%bulkVariants]
+	fact := factOf(ops)
+	if fact == nil {
+		t.Tenure.Commit(ops, done)
+		return
+	}
+	// The pair follows from the body, so that a change proposed again by another leader leads to the same state.
+	digest := digestOf(fact.Body)
+	place, value := int(digest[0])%bulkPairs, bulkValues[int(digest[1])%bulkVariants]
 	next := t.held
 	next[place] = value[0]
-	if fact := factOf(ops); fact != nil {
-		w.record.bulk[digestOf(fact.Body)] = next
-	}
+	t.world.record.bulk[digest] = next
 	ops = append(slices.Clone(ops), peerapi.Op{Name: bulkName(place), Value: value})
 	t.Tenure.Commit(ops, func(err error) {
 		if err == nil {
--- a/internal/modelcheck/controlmodel/world.go
+++ b/internal/modelcheck/controlmodel/world.go
@@ -41,9 +41,8 @@
 	open     int
 	// atOnce counts the events of one moment.
 	atOnce int
-	// isBulk is set where changes write large pairs; bulkCount counts them.
-	isBulk    bool
-	bulkCount int
+	// isBulk is set where changes write large pairs.
+	isBulk bool
 	// trace, if there is one, is told what happens.
 	trace io.Writer
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -11,6 +11,10 @@
 
 // heartbeat renews the leases, and does what a leader does from time to time.
 func (e *Engine) heartbeat() {
+	if e.isOwnReplicaBehind() {
+		e.release("its own replica is behind the changes it keeps", "")
+		return
+	}
 	now := e.clock.Steady()
 	for _, to := range e.inOrder() {
 		isDue := now-to.sentAt >= e.timing.Heartbeat
@@ -32,3 +36,10 @@
 		e.considerHandover()
 	}
 }
+
+// isOwnReplicaBehind tells whether the own disk was stalled or full for so long that the changes it lacks are no longer
+// kept. Nobody can send them to it, and it has no snapshot for others; the next leader has both.
+func (e *Engine) isOwnReplicaBehind() bool {
+	own := e.followers[e.disk]
+	return own != nil && own.needsSnapshot
+}
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -75,7 +75,11 @@
 	if err != nil || snapshot.Last.Epoch != e.epoch {
 		return nil
 	}
-	to.transfer = newSnapshotTransfer(snapshot)
+	fresh := newSnapshotTransfer(snapshot)
+	if !e.leadsOn(fresh) {
+		return nil
+	}
+	to.transfer = fresh
 	return to.transfer
 }
 
