--- a/internal/modelcheck/controlmodel/world.go
+++ b/internal/modelcheck/controlmodel/world.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"gannetline/internal/modelcheck"
@@ -14,6 +15,7 @@
 	initialVoters = 3
 	// settleLimit is how long after the last fault the system may take until all oracles of a settled system hold.
 	settleLimit = 12 * time.Second
+	mostAtOnce  = 20000
 	settleLook  = 200 * time.Millisecond
 	wallAtStart = 1_000_000
 )
@@ -37,6 +39,10 @@
 	coverage modelcheck.Coverage
 	problems []modelcheck.Violation
 	open     int
+	// atOnce counts the events of one moment.
+	atOnce int
+	// isBulk is set where changes write large pairs.
+	isBulk bool
 	// trace, if there is one, is told what happens.
 	trace io.Writer
 }
@@ -46,6 +52,7 @@
 		coverage: modelcheck.Coverage{}}
 	w.plant = plants[schedule.Plant]
 	w.record = newRecord()
+	w.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
 	for range schedule.Nodes {
 		w.slots = append(w.slots, w.addNode())
 	}
@@ -77,9 +84,9 @@
 	var last time.Duration
 	for _, step := range w.schedule.Steps {
 		w.after(pulse.Ms(int64(step.AtMs)), func() { w.apply(step) })
-		last = max(last, pulse.Ms(int64(step.AtMs+step.ForMs)))
+		last = max(last, endOf(step))
 	}
-	if !w.runUntil(last + leaveTime + time.Millisecond) {
+	if !w.runUntil(last + time.Millisecond) {
 		return w.outcome()
 	}
 	w.healAll()
@@ -90,12 +97,23 @@
 	return w.outcome()
 }
 
+// endOf is when a step has surely ended.
+func endOf(step modelcheck.Step) time.Duration {
+	end := pulse.Ms(int64(step.AtMs + step.ForMs))
+	if step.Kind == stepReplace || step.Kind == stepRestart {
+		end += leaveLimit + leaveTime
+	}
+	return end
+}
+
 func (w *world) runUntil(end time.Duration) bool {
 	for len(w.problems) == 0 {
+		before := w.now
 		run, isThere := w.next(end)
 		if !isThere {
 			return true
 		}
+		w.checkProgress(before)
 		run()
 		if w.open > 1 {
 			w.checkLeases()
@@ -104,6 +122,18 @@
 	return false
 }
 
+// checkProgress looks for work that goes round without end and without time.
+func (w *world) checkProgress(before time.Duration) {
+	if w.now > before {
+		w.atOnce = 0
+		return
+	}
+	w.atOnce++
+	if w.atOnce > mostAtOnce {
+		w.violated("time goes on", "more than %d events at one moment", mostAtOnce)
+	}
+}
+
 // settle waits until all that must hold in a calm system holds; what does not within the limit is a violation.
 func (w *world) settle() {
 	end := w.now + settleLimit
@@ -113,6 +143,7 @@
 			return
 		}
 		if open = w.unsettled(); open == "" {
+			w.checkReplicas()
 			w.traffic.finalReads(w)
 			w.runUntil(w.now + operatorLimit + time.Second)
 			return
