--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -38,11 +38,63 @@
 		Expect(status).To(Equal(422))
 		Expect(beat("i-1", "ready", 1)).To(Equal(409))
 		Expect(beat("i-2", "ready", 1)).To(Equal(200))
+		work, _ := table.NextHold(false)
+		table.Held(work, executorcalls.Answer{ClockMs: 1000})
 		Expect(beat("i-1", "ready", 9)).To(Equal(409))
 		call, _ := table.Compose(0)
 		Expect(call.Gone).To(ContainElement("i-1"))
 	})
 
+	It("takes no life for over because of a beat alone, which may be late", func() {
+		Expect(beat("i-0", "ready", 7)).To(Equal(200))
+		call, _ := table.Compose(0)
+		Expect(call.Life).To(Equal("i-0"))
+		Expect(call.Gone).To(BeEmpty())
+		work, _ := table.NextHold(false)
+		Expect(work.Life).To(Equal("i-0"))
+		table.HoldFailed(work, true)
+		call, _ = table.Compose(0)
+		Expect(call.Life).To(Equal("i-1"))
+		Expect(call.Gone).To(Equal([]string{"i-0"}))
+		Expect(beat("i-1", "ready", 2)).To(Equal(200))
+	})
+
+	It("keeps what it knows of a life's orders while a late beat sets another in its place", func() {
+		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		work, isDue := table.Ready("i-1", launch)
+		Expect(isDue).To(BeTrue())
+		beat("i-0", "ready", 7)
+		table.Unanswered(work)
+		_, isDue = table.Ready("i-1", launch)
+		Expect(isDue).To(BeFalse())
+		hold, _ := table.NextHold(false)
+		table.HoldFailed(hold, true)
+		Expect(told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})).To(HaveLen(1))
+		table.Carried(work, "sick")
+		call, _ := table.Compose(0)
+		Expect(call.Answers[0].Result).To(Equal("unsure"))
+	})
+
+	It("ends a life in whose place another one answers, also when it is not the present one", func() {
+		before, _ := table.NextHold(false)
+		beat("i-2", "ready", 1)
+		table.HoldFailed(before, true)
+		Expect(beat("i-1", "ready", 9)).To(Equal(409))
+		call, _ := table.Compose(0)
+		Expect(call.Life).To(Equal("i-2"))
+		Expect(call.Gone).To(Equal([]string{"i-1"}))
+	})
+
+	It("takes no answer to a hold from before a beat for a sign of the life that sent the beat", func() {
+		before, _ := table.NextHold(false)
+		beat("i-2", "ready", 1)
+		clock.Advance(time.Millisecond)
+		beat("i-1", "ready", 2)
+		table.Held(before, executorcalls.Answer{ClockMs: 1000})
+		call, _ := table.Compose(0)
+		Expect(call.Gone).To(BeEmpty())
+	})
+
 	It("extends no hold without a grant, and no further than one", func() {
 		work, _ := table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeZero())
@@ -89,6 +141,17 @@
 		Expect(work.Fence).To(Equal(uint64(7)))
 	})
 
+	It("is unsure of every refusal once more orders went unanswered than it remembers", func() {
+		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		for run := range int64(10000) {
+			table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: peerapi.Order{Kind: "launch", Task: "other.0.0.0", Run: run}})
+		}
+		table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: launch})
+		table.Carried(localproxy.OrderWork{Life: "i-1", Order: launch}, "room")
+		call, _ := table.Compose(0)
+		Expect(call.Answers[0].Result).To(Equal("unsure"))
+	})
+
 	It("is unsure of a refusal once the order went unanswered", func() {
 		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000})
 		work, _ := table.Ready("i-1", launch)
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -28,6 +28,8 @@
 	Problems []string
 	Doubled  map[string]int
 	Starts   int
+	// OnNoted is told of each end that last-seen reached.
+	OnNoted func(task string)
 }
 
 func newJudge(line *Line) *Judge {
@@ -121,6 +123,9 @@
 
 func (j *Judge) noted(end executorcalls.EndRow) {
 	facts := j.of(end.Task)
+	if j.OnNoted != nil {
+		j.OnNoted(end.Task)
+	}
 	switch end.How {
 	case "done":
 		facts.isNoted = true
