--- a/internal/recording/event.go
+++ b/internal/recording/event.go
@@ -1,4 +1,5 @@
-// Package recording is the recording of a day: what was asked of the system, and how long the work took.
+// Package recording writes and reads the recording of a day, a JSON line an event: what was asked of the system, and how
+// long the work took.
 package recording
 
 import (
@@ -24,7 +25,8 @@
 	KindLost     = "lost"
 )
 
-// Event is one line.
+// Event is one line; a kind fills in only the fields that it needs. AtMs is a time of day in milliseconds since 1970,
+// Version that of the format (in the header), Plan that of a configuration, Count the number of lines that were lost.
 type Event struct {
 	Kind       string              `json:"kind"`
 	AtMs       int64               `json:"at-ms"`
