--- a/internal/modelcheck/ordermodel/executor.go
+++ b/internal/modelcheck/ordermodel/executor.go
@@ -30,6 +30,8 @@
 	percentLate      = 50
 	percentBusy      = 60
 	longMs           = 8000
+	// hopelessMs is the estimate of the tasks that fail every time.
+	hopelessMs = 250
 )
 
 // execution is a run that an executor has begun.
@@ -52,6 +54,7 @@
 type executor struct {
 	world       *world
 	machine     string
+	labels      []string
 	proxy       *proxy
 	id          string
 	incarnation int
@@ -129,7 +132,7 @@
 // beat tells the proxy of the machine that the executor is there.
 func (e *executor) beat() {
 	e.sequence++
-	beat := &executorcalls.Beat{Service: service, State: "ready", Room: executorRoom, Labels: []string{"zone", "rack-" + e.machine},
+	beat := &executorcalls.Beat{Service: service, State: "ready", Room: executorRoom, Labels: e.labels,
 		ClockMs: e.clockMs(), Sequence: e.sequence}
 	if e.isDraining {
 		beat.State, beat.DepartsMs = "draining", max(1, pulse.InMs(e.departsAt-e.world.queue.now()))
@@ -484,7 +487,7 @@
 	}
 	hash ^= hash >> 29
 	how := howDone
-	if hash%100 < percentFailing {
+	if hash%100 < percentFailing || step.EstimatedMs == hopelessMs {
 		how = howFailed
 	}
 	length := 50 + (hash/100)%700
--- a/internal/modelcheck/ordermodel/oracles.go
+++ b/internal/modelcheck/ordermodel/oracles.go
@@ -150,6 +150,7 @@
 	o.checkTwice(executor, one, facts, isLate)
 	o.checkBudget(one, owner, facts)
 	o.checkDepends(one, owner)
+	o.checkRoute(executor, one)
 	if used := executor.used(); used.CPU > executorRoom.CPU || used.Memory > executorRoom.Memory {
 		o.world.violate("LIMIT", "%s run %d takes %s to %d cpu-units", one.task, one.run, executor.id, used.CPU)
 	}
@@ -246,6 +247,24 @@
 	}
 }
 
+// checkRoute looks for starts where a label is missing, or beyond anti-affinity.
+func (o *oracles) checkRoute(executor *executor, one *execution) {
+	for _, label := range one.step.Labels {
+		if !slices.Contains(executor.labels, label) {
+			o.world.violate("ROUTE", "%s run %d began on %s, which lacks %s", one.task, one.run, executor.id, label)
+		}
+	}
+	together := 0
+	for _, other := range executor.active {
+		if other.place.ID == one.place.ID && other.place.Time == one.place.Time && other.place.Step == one.place.Step {
+			together++
+		}
+	}
+	if one.step.Apart > 0 && together > one.step.Apart {
+		o.world.violate("ROUTE", "%s run %d is one of %d tasks of its step on %s", one.task, one.run, together, executor.id)
+	}
+}
+
 func (o *oracles) ended(executor *executor, one *execution, how string) {
 	o.world.count("end_" + how)
 	o.world.note("%s: %s run %d ends %s", executor.id, one.task, one.run, how)
--- a/internal/modelcheck/ordermodel/ordermodel_test.go
+++ b/internal/modelcheck/ordermodel/ordermodel_test.go
@@ -18,7 +18,8 @@
 )
 
 // firstSeeds spare the time of looking for what shows in one of about a thousand schedules; all other searches begin at 0.
-var firstSeeds = map[string]uint64{"grant-from-arrival": 650, "life-ended-by-beat": 750, "unclear-start-called-not-run": 1300}
+var firstSeeds = map[string]uint64{"grant-from-arrival": 450, "life-ended-by-beat": 1750, "unclear-start-called-not-run": 1400,
+	"stop-without-answer": 300, "checkpoint-of-another-task": 250}
 
 var _ = Describe("the model of the order path", func() {
 	model := ordermodel.New()
@@ -32,7 +33,7 @@
 		}
 		for _, name := range []string{"election", "commit_unknown_to_leader", "power_lost", "hand_over", "executor_late", "executor_busy",
 			"executor_answer_lost", "message_lost", "message_doubled", "message_late", "start_fenced", "start_old", "lapsed",
-			"end_broken", "cancelled", "hand_in_unclear"} {
+			"end_broken", "end_failed", "cancelled", "hand_in_unclear"} {
 			Expect(covered[name]).To(BeNumerically(">", 0), name)
 		}
 	})
--- a/internal/modelcheck/ordermodel/plants.go
+++ b/internal/modelcheck/ordermodel/plants.go
@@ -34,6 +34,10 @@
 	plantWrongLife       = "other-life-not-refused"
 	plantUnsureForgotten = "unclear-start-called-not-run"
 	plantBeatEndsLife    = "life-ended-by-beat"
+	plantOtherCheckpoint = "checkpoint-of-another-task"
+	plantRoomOverstated  = "capacity-overstated"
+	plantFailureDone     = "failure-told-as-done"
+	plantFailureStopped  = "failure-not-counted"
 	plantLookForgotten   = "look-of-an-old-hold"
 )
 
@@ -52,6 +56,10 @@
 	{Name: plantWrongLife, About: "A new executor carries out what was meant for the one before it."},
 	{Name: plantUnsureForgotten, About: "A proxy reports a start that was not answered as certainly not carried out."},
 	{Name: plantBeatEndsLife, About: "A proxy takes a life for over as soon as another one's heartbeat comes, however late that is."},
+	{Name: plantOtherCheckpoint, About: "A proxy starts a task from the checkpoint of another."},
+	{Name: plantRoomOverstated, About: "A proxy tells the leader of twice the room that its executor has."},
+	{Name: plantFailureDone, About: "A proxy tells the leader that a failed run is done."},
+	{Name: plantFailureStopped, About: "A proxy tells the leader that a failed run was stopped."},
 	{Name: plantLookForgotten, About: "A proxy tells the leader what ran at the hold before the one that was asked for."},
 }
 
@@ -151,6 +159,14 @@
 		return &forgetfulTable{one}
 	case plantBeatEndsLife:
 		return &trustingTable{one}
+	case plantOtherCheckpoint:
+		return &mixingTable{plantedTable: one}
+	case plantRoomOverstated:
+		return &boastingTable{one}
+	case plantFailureDone:
+		return &lyingTable{one, howDone}
+	case plantFailureStopped:
+		return &lyingTable{one, howStopped}
 	case plantLookForgotten:
 		return &oldLookTable{plantedTable: one}
 	}
@@ -251,6 +267,49 @@
 	return status, why
 }
 
+// mixingTable starts each task from the checkpoint that came last.
+type mixingTable struct {
+	plantedTable
+	saved string
+}
+
+func (t *mixingTable) Ready(life string, order peerapi.Order) (localproxy.OrderWork, bool) {
+	work, isDue := t.Table.Ready(life, order)
+	saved := t.saved
+	if work.Order.Saved != "" {
+		t.saved = work.Order.Saved
+	}
+	if saved != "" {
+		work.Order.Saved = saved
+	}
+	return work, isDue
+}
+
+type boastingTable struct{ plantedTable }
+
+func (t *boastingTable) Compose(waitMs int64) (*peerapi.ExchangeCall, bool) {
+	call, isDue := t.Table.Compose(waitMs)
+	if isDue {
+		call.Room.CPU *= 2
+	}
+	return call, isDue
+}
+
+// lyingTable tells of failed runs that they ended otherwise.
+type lyingTable struct {
+	plantedTable
+	how string
+}
+
+func (t *lyingTable) Held(work localproxy.HoldWork, answer executorcalls.Answer) {
+	for place := range answer.Ends {
+		if answer.Ends[place].How == howFailed {
+			answer.Ends[place].How = t.how
+		}
+	}
+	t.Table.Held(work, answer)
+}
+
 // oldLookTable answers a hold with the list that the hold before it brought.
 type oldLookTable struct {
 	plantedTable
--- a/internal/modelcheck/ordermodel/schedule.go
+++ b/internal/modelcheck/ordermodel/schedule.go
@@ -213,12 +213,20 @@
 	},
 	func(spec *jobs.Spec) { spec.Steps = []jobs.Step{{Tasks: 2, CPU: 500, Lasting: true}} },
 	func(spec *jobs.Spec) { spec.Steps = []jobs.Step{{Tasks: 3, CPU: 1000, EstimatedMs: longMs}} },
+	func(spec *jobs.Spec) { spec.Steps = []jobs.Step{{Tasks: 3, CPU: 500, EstimatedMs: 800, Apart: 1}} },
+	func(spec *jobs.Spec) { spec.Steps = []jobs.Step{{Tasks: 1, CPU: 500, EstimatedMs: hopelessMs}} },
+	func(spec *jobs.Spec) {
+		spec.Steps = []jobs.Step{{Tasks: 2, CPU: 500, EstimatedMs: 800, Labels: jobs.Words{rackOf(1)}}}
+	},
 	func(spec *jobs.Spec) {
 		spec.Steps = []jobs.Step{{Tasks: 1, CPU: 500, EstimatedMs: 200}}
 		spec.RepeatCount, spec.PeriodMs = 3, 1200
 	},
 }
 
+// rackOf is the label of a machine's rack.
+func rackOf(machine int) string { return fmt.Sprintf("rack-%d", machine) }
+
 // makeJob gives job number of a schedule its shape; a timed one is due a little after it was handed in.
 func makeJob(number, shape, atMs int) *job {
 	spec := &jobs.Spec{Descriptor: fmt.Sprintf("descriptor-%d", number)}
--- a/internal/modelcheck/ordermodel/world.go
+++ b/internal/modelcheck/ordermodel/world.go
@@ -72,7 +72,7 @@
 	}
 	for number := range executorCount {
 		machine := fmt.Sprintf("side-%d", number)
-		one := &executor{world: w, machine: machine, isGuarding: number == 0}
+		one := &executor{world: w, machine: machine, labels: []string{"zone", rackOf(number)}, isGuarding: number == 0}
 		one.proxy = &proxy{process: process{world: w, name: machine}, executor: one}
 		w.executors, w.proxies = append(w.executors, one), append(w.proxies, one.proxy)
 	}
