--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -486,6 +486,7 @@
 	for _, one := range w.nodes {
 		if one.isUp && one.machine.tenure != nil && one.machine.tenure.HasLease() {
 			holders = append(holders, one.name)
+			w.checkVouched(one)
 		}
 	}
 	if len(holders) > 1 {
@@ -493,6 +494,17 @@
 	}
 }
 
+// checkVouched looks whether a majority of a leader's voters would refuse any other now; those that are down or gone do.
+func (w *world) checkVouched(leader *node) {
+	refuses := func(disk string) bool {
+		voter := w.byDisk(disk)
+		return voter == nil || !voter.isUp || voter.clock.Steady() < voter.replicas.Status(key).LeaseEnd
+	}
+	if set := leader.engine.Belief().Set; !replication.Agreed(set, refuses) {
+		w.problem("%s counts on a lease that no majority of %v has granted", leader.name, set)
+	}
+}
+
 func (w *world) run(length time.Duration) {
 	for range length / time.Millisecond {
 		w.step()
