--- a/internal/modelcheck/controlmodel/draw.go
+++ b/internal/modelcheck/controlmodel/draw.go
@@ -101,11 +101,24 @@
 			d.add(modelcheck.Step{AtMs: at, Kind: stepGrow})
 		}
 	}
+	if d.draw.IntN(10) == 0 {
+		d.addRestartInWeather(at)
+	}
 	for range 1 + d.draw.IntN(d.losses+1) {
 		d.addHarm(at+d.draw.IntN(400), harms[d.draw.IntN(len(harms))])
 	}
 }
 
+// addRestartInWeather lets many messages be lost while a machine is killed and back within a lease.
+func (d *drawing) addRestartInWeather(at int) {
+	d.add(modelcheck.Step{AtMs: at, Kind: stepWeather, Peer: 1, ForMs: 1000 + d.draw.IntN(1500), Value: d.draw.IntN(300)})
+	step := modelcheck.Step{AtMs: at + 300 + d.draw.IntN(900), Kind: stepKill, Node: d.draw.IntN(d.nodes), ForMs: 5 + d.draw.IntN(60)}
+	if span := (lossSpan{step.AtMs, step.AtMs + step.ForMs + catchUpMs}); d.isBearable(span, 1) {
+		d.lost = append(d.lost, span)
+		d.add(step)
+	}
+}
+
 func (d *drawing) place() int {
 	if d.draw.IntN(3) == 0 {
 		return leaderPlace
--- a/internal/modelcheck/controlmodel/faults.go
+++ b/internal/modelcheck/controlmodel/faults.go
@@ -41,6 +41,7 @@
 	trapLife         = time.Second
 	longestAfterAck  = 5
 	weatherLost      = 80
+	weatherHeavyLost = 300
 	weatherDoubled   = 100
 	weatherDelayed   = 150
 	shortestHeldBack = 20 * time.Millisecond
@@ -99,6 +100,9 @@
 	case stepWeather:
 		w.weather = weather{until: w.now + length, lost: weatherLost, doubled: weatherDoubled, delayed: weatherDelayed,
 			longest: shortestHeldBack + pulse.Ms(int64(step.Value))}
+		if step.Peer == 1 {
+			w.weather.lost = weatherHeavyLost
+		}
 	case stepClock:
 		n.clock.jump += int64(step.Value)
 	case stepPowerAll, stepKillAll:
