--- a/internal/modelcheck/controlmodel/node.go
+++ b/internal/modelcheck/controlmodel/node.go
@@ -101,7 +101,7 @@
 	n.replicas = replicas
 	n.known, n.heard = nil, leaderHint{}
 	n.world.tell("%s starts, disk %s", n.name, n.disk.name)
-	n.config = configowner.New(logging.Silent(), func(*peerapi.Configuration) {})
+	n.config = configowner.New(logging.Silent(), func(fact *peerapi.Configuration) { n.world.noteInForce(digestOf(fact.Body)) })
 	n.engine = replication.NewEngine(configowner.Key, n.disk.name, n.name, &n.clock, n.world.plant.wrapLinks(n, &links{n}),
 		n.world.plant.wrapMachine(n, &stateMachine{n}), n.members,
 		replication.WithInitialVoters(n.world.voters), replication.WithMachineLosses(n.world.schedule.Losses),
--- a/internal/modelcheck/controlmodel/oracles.go
+++ b/internal/modelcheck/controlmodel/oracles.go
@@ -264,6 +264,7 @@
 	}
 	switch porcupine.CheckOperationsTimeout(sequential, operations, 2*time.Second) {
 	case porcupine.Illegal:
+		w.tellHistory()
 		w.violated("linearizable", "%d calls of the operators fit no order", len(operations))
 	case porcupine.Unknown:
 		w.cover("history left undecided")
@@ -271,3 +272,16 @@
 		w.cover("history linearizable")
 	}
 }
+
+// tellHistory writes the operators' calls into the trace.
+func (w *world) tellHistory() {
+	names := map[answerKind]string{unclear: "unclear", confirmed: "ok", refused: "refused"}
+	for _, seen := range w.record.history {
+		if seen.order == nil {
+			w.tell("call from %v to %v: read %s, version %d %.6s", seen.begun, seen.ended, names[seen.kind], seen.version, seen.digest)
+			continue
+		}
+		w.tell("call from %v to %v: order %s, version %d on %d %.6s, in force %v", seen.begun, seen.ended, names[seen.kind],
+			seen.order.version, seen.order.base, seen.order.digest, w.record.inForce[seen.order.digest])
+	}
+}
