--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -24,6 +24,7 @@
 	idleAfter    = 2 * time.Second
 	deafFor      = time.Second
 	deafAfter    = 2
+	mostUnsure   = 10000
 )
 
 type orderKey struct {
@@ -69,13 +70,16 @@
 	answers     []givenAnswer
 	busy        map[orderKey]uint64
 	unsure      map[runKey]bool
-	toldAt      time.Duration
-	lostAt      time.Duration
-	hasLost     bool
-	feed        *feed
-	busyAt      time.Duration
-	misses      int
-	missedAt    time.Duration
+	// isUnsureOfAll is set once more runs are in doubt than are remembered by name.
+	isUnsureOfAll bool
+	toldAt        time.Duration
+	lostAt        time.Duration
+	hasLost       bool
+	feed          *feed
+	busyAt        time.Duration
+	chosenAt      time.Duration
+	misses        int
+	missedAt      time.Duration
 }
 
 type givenAnswer struct {
@@ -92,6 +96,8 @@
 	domain  string
 	name    string
 	life    *lifeTable
+	// others are lives that have sent beats as well and may be over; the next answer of the present life shows it.
+	others  []*lifeTable
 	gone    []string
 	onWork  func()
 	onLook  func()
@@ -131,13 +137,11 @@
 	if slices.Contains(t.gone, id) {
 		return 409, "this executor is over"
 	}
-	if t.life != nil && t.life.id == id && beat.Sequence <= t.life.sequence && beat.Sequence != 0 {
+	if known := t.known(id); known != nil && beat.Sequence <= known.sequence && beat.Sequence != 0 {
 		return 409, "field call-sequence is old"
 	}
 	now := t.now()
-	if t.life == nil || t.life.id != id {
-		t.newLife(id)
-	}
+	t.choose(id)
 	one := t.life
 	one.sequence, one.beat, one.beatAt = beat.Sequence, *beat, now
 	if beat.ClockMs > 0 {
@@ -154,12 +158,72 @@
 	return 200, ""
 }
 
-func (t *Table) newLife(id string) {
+// known finds a life that is not known to be over.
+func (t *Table) known(id string) *lifeTable {
+	if t.life != nil && t.life.id == id {
+		return t.life
+	}
+	for _, other := range t.others {
+		if other.id == id {
+			return other
+		}
+	}
+	return nil
+}
+
+// choose takes the life that sent a beat for the present one. A beat may be late, so that the one before it is only
+// known to be over once this one has answered a call.
+func (t *Table) choose(id string) {
+	if t.life != nil && t.life.id == id {
+		return
+	}
+	next := t.known(id)
+	if next == nil {
+		t.log.Info("an executor's life begins", "executor", id)
+		next = &lifeTable{id: id, busy: map[orderKey]uint64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
+	}
+	t.others = slices.DeleteFunc(t.others, func(other *lifeTable) bool { return other == next })
 	if t.life != nil {
-		t.markGone(t.life.id)
+		t.others = append(t.others, t.life)
+	}
+	next.chosenAt = t.now()
+	t.life = next
+	t.onAck()
+	t.onWork()
+}
+
+// confirm ends all other lives, as there is one on the machine at a time and the present one has answered.
+func (t *Table) confirm() {
+	for _, other := range t.others {
+		t.markGone(other.id)
+	}
+	if len(t.others) > 0 {
+		t.others = nil
+		t.onWork()
+	}
+}
+
+// endOther ends a life that is not the present one: its executor's address answers for another.
+func (t *Table) endOther(id string) {
+	for place, other := range t.others {
+		if other.id == id {
+			t.others = slices.Delete(t.others, place, place+1)
+			t.markGone(id)
+			t.onWork()
+			return
+		}
+	}
+}
+
+// dismiss ends the present life; one of the others may be the one that is there.
+func (t *Table) dismiss() {
+	t.markGone(t.life.id)
+	t.life = nil
+	if count := len(t.others); count > 0 {
+		t.life, t.others = t.others[count-1], t.others[:count-1]
+		t.life.chosenAt = t.now()
+		t.onAck()
 	}
-	t.log.Info("an executor's life begins", "executor", id)
-	t.life = &lifeTable{id: id, busy: map[orderKey]uint64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
 	t.onWork()
 }
 
@@ -202,6 +266,8 @@
 	Life string
 	Hold executorcalls.Hold
 	Look uint64
+	// BegunAt is when the hold was made up, on the steady clock.
+	BegunAt time.Duration
 }
 
 // NextHold is the hold to send next, for the list of runs or for the wait; false means that none is due.
@@ -220,7 +286,7 @@
 	if !isLook {
 		hold.WaitMs = t.holdWait(one)
 	}
-	return HoldWork{Life: one.id, Hold: hold, Look: one.lookWanted}, true
+	return HoldWork{Life: one.id, Hold: hold, Look: one.lookWanted, BegunAt: t.now()}, true
 }
 
 // holdWait is short while the executor leaves calls unanswered: a hold that is lost hides all ends until it is given up.
@@ -255,6 +321,9 @@
 	if one == nil || one.id != work.Life {
 		return
 	}
+	if work.BegunAt >= one.chosenAt {
+		t.confirm()
+	}
 	t.sample(one, answer.ClockMs)
 	sinceHold := t.now() - one.holdAt
 	one.holdAt, one.hasHeld, one.misses = t.now(), true, 0
@@ -287,14 +356,15 @@
 func (t *Table) HoldFailed(work HoldWork, isOtherLife bool) {
 	one := t.life
 	if one == nil || one.id != work.Life {
+		if isOtherLife {
+			t.endOther(work.Life)
+		}
 		return
 	}
 	t.noteMisses(one, 1)
 	t.noteLost(one)
 	if isOtherLife || one.isLeaving && t.now()-one.leftAt > leavingAfter {
-		t.markGone(one.id)
-		t.life = nil
-		t.onWork()
+		t.dismiss()
 	}
 }
 
@@ -426,6 +496,9 @@
 func (t *Table) Ready(lifeID string, order peerapi.Order) (OrderWork, bool) {
 	one := t.life
 	if one == nil || one.id != lifeID {
+		if other := t.known(lifeID); other != nil {
+			delete(other.busy, orderKey{order.Task, order.Run, order.Kind})
+		}
 		return OrderWork{}, false
 	}
 	if given, isBusy := one.busy[orderKey{order.Task, order.Run, order.Kind}]; isBusy && given != one.fence {
@@ -465,19 +538,29 @@
 
 // whileDeaf leaves a start that may have reached the executor to be sent again, as that is sooner over than a stop.
 func (l *lifeTable) whileDeaf(order peerapi.Order) string {
-	if l.unsure[runKey{order.Task, order.Run}] {
+	if l.isUnsureOf(runKey{order.Task, order.Run}) {
 		return "timeout"
 	}
 	return "sick"
 }
 
+// isUnsureOf tells whether a start of the run may yet be carried out. A stop that was answered ends the doubt, as the
+// executor turns the run away from then on.
+func (l *lifeTable) isUnsureOf(run runKey) bool { return l.unsure[run] || l.isUnsureOfAll }
+
 // Unanswered notes that an order may yet be carried out.
 func (t *Table) Unanswered(work OrderWork) {
-	if one := t.life; one != nil && one.id == work.Life && len(one.unsure) < 10000 {
+	one := t.known(work.Life)
+	if one == nil {
+		return
+	}
+	if len(one.unsure) < mostUnsure {
 		one.unsure[runKey{work.Order.Task, work.Order.Run}] = true
-		t.noteMisses(one, 1)
-		t.noteLost(one)
+	} else {
+		one.isUnsureOfAll = true
 	}
+	t.noteMisses(one, 1)
+	t.noteLost(one)
 }
 
 // Clock takes a reading of the executor's steady clock, in milliseconds, from any of its answers.
@@ -490,13 +573,13 @@
 
 // Carried notes an order's answer for the owner.
 func (t *Table) Carried(work OrderWork, result string) {
-	one := t.life
-	if one == nil || one.id != work.Life {
+	one := t.known(work.Life)
+	if one == nil {
 		return
 	}
 	order, place := work.Order, runKey{work.Order.Task, work.Order.Run}
 	delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
-	if order.Kind == "launch" && one.unsure[place] && result != "ok" && result != "timeout" {
+	if order.Kind == "launch" && one.isUnsureOf(place) && result != "ok" && result != "timeout" {
 		result = "unsure"
 	}
 	if result == "ok" {
