--- a/internal/configcache/network_test.go
+++ b/internal/configcache/network_test.go
@@ -310,31 +310,31 @@
 			Expect(gate.taken).To(HaveLen(2))
 			Expect(len(network.calls)).To(BeNumerically("<", 12))
 		},
-		Entry("changes that don't fit", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("changes that don't fit", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{{Base: 77, Version: 9999}}}
 		}),
-		Entry("a whole that can't be read", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("a whole that can't be read", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Fact: &peerapi.Configuration{Version: 9999, Body: []byte(`"garbage"`)}}
 		}),
-		Entry("an older version", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("an older version", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 1, Image: "x", Size: 5, Data: []byte("hello")}}
 		}),
-		Entry("data of another digest", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("data of another digest", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 5, Data: []byte("hello")}}
 		}),
-		Entry("no data", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("no data", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 5}}
 		}),
-		Entry("a chunk at no place", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("a chunk at no place", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 50, Offset: -3, Data: []byte("hello")}}
 		}),
-		Entry("an image of any size", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("an image of any size", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 1 << 40, Data: []byte("hello")}}
 		}),
-		Entry("that it is busy", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("that it is busy", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{Busy: true}
 		}),
-		Entry("nothing", func(answer *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
+		Entry("nothing", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
 			return &peerapi.ConfigurationAnswer{}
 		}),
 	)
--- a/internal/configowner/configowner.go
+++ b/internal/configowner/configowner.go
@@ -25,8 +25,11 @@
 
 // Tenure is what the plan needs of the ownership of its key.
 type Tenure interface {
+	// Commit makes a change durable on a majority; done gets an error if the leadership is lost first.
 	Commit(ops []peerapi.Op, done func(error))
+	// HasLease says whether no other process can lead the key now.
 	HasLease() bool
+	// Voters are the disks that vote on the key now.
 	Voters() []string
 }
 
--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -74,6 +74,7 @@
 	Pool          []poolowner.Option
 }
 
+// New makes a ring without holders; Run starts them.
 func New(config Config) *Ring {
 	ring := &Ring{box: mailbox.New(256), clock: config.Clock, log: config.Log, store: config.Store, isMakeshift: config.IsMakeshift,
 		losses: config.MachineLosses, name: config.Name, replicas: config.Replicas, caller: config.Caller, node: config.Node,
@@ -337,6 +338,7 @@
 	}
 }
 
+// Handle serves what other processes ask of the keys on this machine.
 func (r *Ring) Handle(mux *http.ServeMux) {
 	if r.disk != "" {
 		r.handleReplicas(mux)
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -92,10 +92,12 @@
 	clock pulse.Pulse
 }
 
+// New makes a gate that decides by the newest configuration and asks the leaders of the pools.
 func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock pulse.Pulse) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
+// ServeHTTP answers one request of a client.
 func (g *Gate) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	began := g.clock.Steady()
 	verb, answer := g.answer(to, request)
--- a/internal/modelcheck/controlmodel/oracles.go
+++ b/internal/modelcheck/controlmodel/oracles.go
@@ -192,7 +192,7 @@
 
 var sequential = porcupine.Model{
 	Init: func() any { return (*chain)(nil) },
-	Step: func(state, input, output any) (bool, any) {
+	Step: func(state, _, output any) (bool, any) {
 		held, seen := state.(*chain), output.(*observation)
 		if seen.order == nil {
 			return held.top() == seen.version && (held == nil || held.digest == seen.digest), held
--- a/internal/modelcheck/controlmodel/plantlist.go
+++ b/internal/modelcheck/controlmodel/plantlist.go
@@ -42,7 +42,7 @@
 	"learner-counted-early": {about: "A learner that holds nothing says that it has caught up.",
 		links: func(_ *node, inner *links) replication.Links { return &earlyLearnerLinks{inner} }},
 	"old-snapshot-installed": {about: "A replica installs the pairs of an older snapshot at the place of a newer one.",
-		disk: func(n *node, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
+		disk: func(_ *node, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
 	"chunk-of-another-snapshot": {about: "A chunk of an earlier snapshot is taken in with those of a newer one.",
 		links: func(_ *node, inner *links) replication.Links { return &mixedChunkLinks{inner, map[int][]peerapi.Op{}} }},
 	"folder-not-synced":        {about: "A folder is not synced after the replica's file was made in it.", isFileUnsafe: true},
--- a/internal/modelcheck/ordermodel/leadership.go
+++ b/internal/modelcheck/ordermodel/leadership.go
@@ -29,7 +29,6 @@
 	epoch     uint64
 	leader    *leadership
 	proposals []*proposal
-	freeAt    time.Duration
 	isOpening bool
 }
 
--- a/internal/replication/engine.go
+++ b/internal/replication/engine.go
@@ -11,24 +11,35 @@
 
 // Links carries an engine's calls; each answer comes back on the engine's own goroutine.
 type Links interface {
+	// Promise asks the disk's replica for a promise.
 	Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error))
+	// Append sends changes, a snapshot or a heartbeat to the disk's replica.
 	Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error))
+	// Fetch asks the disk's replica for what it holds beyond a position.
 	Fetch(disk string, call peerapi.FetchCall, done func(peerapi.FetchAnswer, error))
+	// Status reads the state of the local replica.
 	Status(key string, done func(ReplicaStatus))
+	// History reads the changes that the local replica still has one by one.
 	History(key string, done func(History))
+	// ReadLocal reads the whole state of the local replica from its disk.
 	ReadLocal(key string) (peerapi.Snapshot, error)
+	// InstallLocal brings the local replica to a fetched state.
 	InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error))
 }
 
 // StateMachine is what lives on a key while this steward owns it.
 type StateMachine interface {
+	// Open hands the key over with all its values; an error gives the leadership up.
 	Open(tenure *Leadership, pairs []peerapi.Op) error
+	// Close ends the leadership; commits that wait have failed by then.
 	Close()
 }
 
 // MemberSource tells where disks are now: their members, alive or not.
 type MemberSource func() []peerapi.Member
 
+// Timing of the replication: the length of a lease, the pause between two heartbeats, the pause by which candidates
+// keep out of each other's way, and the silence after which a voter counts as lost.
 type Timing struct {
 	Lease     time.Duration
 	Heartbeat time.Duration
@@ -36,6 +47,7 @@
 	LostAfter time.Duration
 }
 
+// DefaultTiming finds a new leader about a second after the old one has gone.
 var DefaultTiming = Timing{Lease: 700 * time.Millisecond, Heartbeat: 175 * time.Millisecond,
 	Stagger: 100 * time.Millisecond, LostAfter: 1500 * time.Millisecond}
 
@@ -105,8 +117,10 @@
 	wasWell    bool
 }
 
+// Option changes how an engine is made.
 type Option func(*Engine)
 
+// WithInitialVoters names the disks that may bootstrap the key where none of them holds it yet.
 func WithInitialVoters(voters []string) Option { return func(e *Engine) { e.initialVoters = voters } }
 
 // WithMachineLosses sets how many disks a key must be able to lose at once; its voters grow to twice that and one.
@@ -114,12 +128,15 @@
 	return func(e *Engine) { e.size = 2*max(1, losses) + 1 }
 }
 
+// WithLog gives the engine a logger; without it, it logs nothing.
 func WithLog(log logging.Logger) Option { return func(e *Engine) { e.log = log } }
 
+// WithAnnounce names the function that is told of each new leadership of this engine.
 func WithAnnounce(announce func(peerapi.LeaderFact)) Option {
 	return func(e *Engine) { e.announce = announce }
 }
 
+// NewEngine makes an engine for one key on the replica of one disk; it does nothing before the first Tick.
 func NewEngine(key, disk, name string, clock pulse.Pulse, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
 	engine := &Engine{key: key, disk: disk, name: name, clock: clock, links: links, machine: machine, members: members,
 		timing: DefaultTiming, size: 3, log: logging.Silent(), announce: func(peerapi.LeaderFact) {}}
@@ -129,10 +146,13 @@
 	return engine
 }
 
+// IsLeader says whether the engine leads the key; whether it may answer for it is up to the lease.
 func (e *Engine) IsLeader() bool { return e.phase == phaseLeading }
 
+// Epoch is the epoch under which the engine leads the key, or last did.
 func (e *Engine) Epoch() uint64 { return e.epoch }
 
+// Belief is what the engine would tell an operator of its key.
 func (e *Engine) Belief() peerapi.KeyBelief {
 	return peerapi.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.set}
 }
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -18,6 +18,7 @@
 	isOpen bool
 }
 
+// Epoch is the epoch of this leadership; no other leadership of the key has the same.
 func (t *Leadership) Epoch() uint64 { return t.epoch }
 
 // Commit makes a change durable on a majority; done gets an error if the key was lost first.
@@ -32,6 +33,7 @@
 // HasLease tells whether a majority vouches, now, that there is no other owner.
 func (t *Leadership) HasLease() bool { return t.isOpen && t.engine.hasLease() }
 
+// Voters are the disks that vote on the key now.
 func (t *Leadership) Voters() []string { return slices.Clone(t.engine.set.Now) }
 
 // WallMs is the median of the voters' clocks, carried on the steady clock.
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -14,10 +14,15 @@
 
 // Disk is where replicas are kept; storage.Store is the real one.
 type Disk interface {
+	// Disk is the name of the disk.
 	Disk() string
+	// Bare says whether the disk was empty when it was opened.
 	Bare() bool
+	// Submit queues a write; done gets its outcome after the sync.
 	Submit(write storage.Write, done func(storage.Outcome))
+	// Heads are the states of all replicas on the disk, by key.
 	Heads() (map[string]storage.ReplicaState, error)
+	// Read gives the whole state of a replica.
 	Read(key string) (peerapi.Snapshot, error)
 }
 
@@ -67,6 +72,7 @@
 	return table, nil
 }
 
+// Box is the mailbox of the goroutine that owns the table.
 func (r *Replicas) Box() *mailbox.Mailbox { return r.box }
 
 func (r *Replicas) of(key string) *replica {
@@ -250,12 +256,14 @@
 	Successor  string
 }
 
+// Status is what an engine has to know of a replica before it seeks an epoch.
 func (r *Replicas) Status(key string) ReplicaStatus {
 	one := r.of(key)
 	return ReplicaStatus{State: one.state, Promised: one.promising, LeaseEnd: max(one.leaseUntil, r.quietUntil), Disk: one.leaseDisk,
 		Leader: one.leaseLeader, Released: one.released, ReleasedAt: one.releasedAt, Successor: one.successor}
 }
 
+// Keys are the names of all replicas, in no order.
 func (r *Replicas) Keys() []string {
 	names := make([]string, 0, len(r.keys))
 	for name := range r.keys {
@@ -264,11 +272,12 @@
 	return names
 }
 
-// AskPromise, AskAppend, AskFetch and AskStanding are for other goroutines.
+// AskPromise is Promise for other goroutines; the error says that the span ended first.
 func (r *Replicas) AskPromise(life span.Span, call peerapi.PromiseCall) (peerapi.PromiseAnswer, error) {
 	return mailbox.Ask(r.box, life, func(answer func(peerapi.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
+// AskAppend is Append for other goroutines; the answer carries the time that it took.
 func (r *Replicas) AskAppend(life span.Span, call peerapi.AppendCall) (peerapi.AppendAnswer, error) {
 	arrivedAt := r.clock.Steady()
 	return mailbox.Ask(r.box, life, func(answer func(peerapi.AppendAnswer)) {
@@ -279,6 +288,7 @@
 	})
 }
 
+// AskFetch is Fetch for other goroutines; it reads the disk on the caller's goroutine.
 func (r *Replicas) AskFetch(life span.Span, call peerapi.FetchCall) (peerapi.FetchAnswer, error) {
 	recent, err := mailbox.Ask(r.box, life, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
@@ -287,6 +297,7 @@
 	return r.Fetch(recent, call)
 }
 
+// AskStatus is Status for other goroutines.
 func (r *Replicas) AskStatus(life span.Span, key string) (ReplicaStatus, error) {
 	return mailbox.Ask(r.box, life, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
 }
