--- a/check.sh
+++ b/check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The project's test command: build, vet, gofmt, generated code, tests with the race detector; tests listed
+# The project's test command: build, vet, gofmt, generated code, linters, tests with the race detector; tests listed
 # in KNOWN-RED.txt may fail, and only these (internal/checktests).
 set -u
 cd "$(dirname "$0")" || exit 1
@@ -25,10 +25,22 @@
   rm -rf "$copy"
   return $status
 }
+# The linters are Go tools of tools/lint, a module outside the workspace; lint_tool NAME prints where one is built.
+lint_tool() { GOWORK=off go -C tools/lint tool -n "$1"; }
+staticcheck_is_clean() {
+  local tool
+  tool=$(lint_tool staticcheck) && "$tool" ./...
+}
+revive_is_clean() {
+  local tool
+  tool=$(lint_tool revive) && "$tool" -config revive.toml -set_exit_status ./...
+}
 step "build" go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...
 step "vet" go vet ./...
 step "gofmt" formatted
 step "generated code" generated_is_current
+step "staticcheck" staticcheck_is_clean
+step "revive" revive_is_clean
 step "tests" go run ./internal/checktests -race -count=1 -timeout 40m ./...
 if [ "$failed" -ne 0 ]; then
   echo "the checks failed"
