--- a/internal/controlapi/controlapi.go
+++ b/internal/controlapi/controlapi.go
@@ -1,4 +1,5 @@
-// Package controlapi serves the operator at any steward.
+// Package controlapi serves the operator at any steward: it reads a request, asks the leader of the configuration and
+// writes what came of it.
 package controlapi
 
 import (
--- a/internal/controlkeys/links.go
+++ b/internal/controlkeys/links.go
@@ -1,4 +1,5 @@
-// Package controlkeys runs the control keys that a steward may own.
+// Package controlkeys runs an engine for each control key that this steward may lead: the configuration, and a pool for
+// each service. It carries their calls to other stewards.
 package controlkeys
 
 import (
--- a/internal/executorcalls/wire.go
+++ b/internal/executorcalls/wire.go
@@ -1,4 +1,5 @@
-// Package executorcalls is what executors and local-proxies say to each other.
+// Package executorcalls holds the messages between executors and local proxies, the client that calls an executor, and the
+// reading of an executor's calls.
 package executorcalls
 
 import (
--- a/internal/gatecalls/gatecalls.go
+++ b/internal/gatecalls/gatecalls.go
@@ -1,4 +1,4 @@
-// Package gatecalls serves clients: a decision is made about each call, and an executor carries it out.
+// Package gatecalls serves clients: Decide finds the route of a request, and the gate asks the leader of its pool.
 package gatecalls
 
 import (
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -1,5 +1,5 @@
-// Package localproxy stands between the owner of a pool and the executor on its own machine:
-// it carries orders, extends holds by what it was granted, and reports what the executor says.
+// Package localproxy stands between the leader of a pool and the executor on its own machine: it carries orders,
+// extends holds by what it was granted, and reports what the executor says.
 package localproxy
 
 import (
--- a/internal/peerapi/messages.go
+++ b/internal/peerapi/messages.go
@@ -1,4 +1,4 @@
-// Package peerapi holds what the system's own processes say to each other.
+// Package peerapi holds the messages between the system's own processes, and the means to call and to serve.
 package peerapi
 
 import (
--- a/internal/poolowner/pool.go
+++ b/internal/poolowner/pool.go
@@ -1,5 +1,5 @@
-// Package poolowner is everything about scheduling one service while this steward owns its key:
-// jobs, tasks, runs, the order table, and what its executors are believed to do.
+// Package poolowner schedules the jobs of one service while this steward leads its key: it keeps jobs, tasks and
+// runs, sends orders, and knows what its executors were last heard to do.
 package poolowner
 
 import (
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -1,4 +1,5 @@
-// Package replication gives each control key one owner at a time, and keeps its changes on a majority of disks.
+// Package replication elects one leader at a time for each control key and keeps its changes on a majority of
+// disks. An Engine decides for one key, Replicas keep what one disk holds.
 package replication
 
 import (
