--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -141,6 +141,16 @@
 		Expect(work.Fence).To(Equal(uint64(7)))
 	})
 
+	It("carries out no start beyond the grant that came with it, whatever was granted later", func() {
+		call, _ := table.Compose(0)
+		table.Told(call, clock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		first, _ := table.Ready("i-1", launch)
+		clock.Advance(7 * time.Second)
+		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		again, isDue := table.Ready("i-1", launch)
+		Expect(isDue && again.ExpiryMs > first.ExpiryMs).To(BeFalse())
+	})
+
 	It("is unsure of every refusal once more orders went unanswered than it remembers", func() {
 		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		for run := range int64(10000) {
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -69,7 +69,9 @@
 	lookRunning []peerapi.RunReport
 	answers     []givenAnswer
 	busy        map[orderKey]uint64
-	unsure      map[runKey]bool
+	// limits are how long each start may still be carried out, by the grant that came with it.
+	limits map[orderKey]int64
+	unsure map[runKey]bool
 	// isUnsureOfAll is set once more runs are in doubt than are remembered by name.
 	isUnsureOfAll bool
 	toldAt        time.Duration
@@ -180,7 +182,7 @@
 	next := t.known(id)
 	if next == nil {
 		t.log.Info("an executor's life begins", "executor", id)
-		next = &lifeTable{id: id, busy: map[orderKey]uint64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
+		next = &lifeTable{id: id, busy: map[orderKey]uint64{}, limits: map[orderKey]int64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
 	}
 	t.others = slices.DeleteFunc(t.others, func(other *lifeTable) bool { return other == next })
 	if t.life != nil {
@@ -455,7 +457,7 @@
 	if one.lookWanted > one.lookDone {
 		t.onLook()
 	}
-	return t.accept(one, answer.Orders)
+	return t.accept(one, answer.Orders, t.limitOf(one, askedAt, answer.GrantMs))
 }
 
 // HasUnsent tells whether an answer of the executor was in no exchange yet.
@@ -469,7 +471,16 @@
 	})
 }
 
-func (t *Table) accept(one *lifeTable, orders []peerapi.Order) []peerapi.Order {
+// limitOf is the expiry that the leader counted on when it gave an order. A later grant doesn't lengthen it: the leader may
+// have given the run up in between.
+func (t *Table) limitOf(one *lifeTable, askedAt time.Duration, grantMs int64) int64 {
+	if grantMs == 0 {
+		return one.expiryMs
+	}
+	return one.clock.clockAt(askedAt) + grantMs
+}
+
+func (t *Table) accept(one *lifeTable, orders []peerapi.Order, limit int64) []peerapi.Order {
 	kept := orders[:0]
 	for _, order := range orders {
 		key := orderKey{order.Task, order.Run, order.Kind}
@@ -477,6 +488,7 @@
 		one.busy[key] = one.fence
 		if !isBusy {
 			one.busyAt = t.now()
+			one.limits[key] = limit
 			kept = append(kept, order)
 		}
 	}
@@ -521,7 +533,10 @@
 		t.Carried(work, one.whileDeaf(order))
 		return work, false
 	}
-	if one.expiryMs < one.clock.clockAt(t.now())+400 {
+	if limit, isLimited := one.limits[orderKey{order.Task, order.Run, order.Kind}]; isLimited {
+		work.ExpiryMs = min(work.ExpiryMs, limit)
+	}
+	if work.ExpiryMs < one.clock.clockAt(t.now())+400 {
 		delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
 		return work, false
 	}
@@ -579,6 +594,7 @@
 	}
 	order, place := work.Order, runKey{work.Order.Task, work.Order.Run}
 	delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
+	delete(one.limits, orderKey{order.Task, order.Run, order.Kind})
 	if order.Kind == "launch" && one.isUnsureOf(place) && result != "ok" && result != "timeout" {
 		result = "unsure"
 	}
