--- a/internal/configowner/confirmed_test.go
+++ b/internal/configowner/confirmed_test.go
@@ -147,11 +147,14 @@
 
 	It("are not taken where the leadership ends, and none is answered twice", func() {
 		o := newOperated()
-		answers := 0
+		answers, unclear := 0, 0
 		for number := range 40 {
 			o.leader.Replace(&peerapi.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer peerapi.ClientAnswer) {
 				answers++
 				Expect(answer.Elsewhere).To(BeTrue())
+				if answer.Unclear {
+					unclear++
+				}
 			})
 		}
 		Expect(answers).To(Equal(40 - 33))
@@ -161,8 +164,49 @@
 			done(errors.New("lost"))
 		}
 		Expect(answers).To(Equal(40))
+		Expect(unclear).To(Equal(1))
 	})
 
+	DescribeTable("are clear once sent again, to a new leader and after 400 changes, if the leadership ended during the commit", func(isStored bool, others int) {
+		o := newOperated()
+		o.grow(400)
+		orders := make([][]byte, 8)
+		for number := range orders {
+			orders[number] = plan(401, fmt.Sprintf("s%d", number))
+		}
+		first := o.send(400, orders[0])
+		for _, order := range orders[1:] {
+			o.send(400, order)
+		}
+		if isStored {
+			for _, op := range o.tenure.ops {
+				o.kept[op.Name] = op.Value
+			}
+		}
+		lost := o.tenure.waiting
+		o.leader.Close()
+		o.tenure.waiting = nil
+		lost[0](errors.New("lost"))
+		Expect(*first).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}))
+		o.takeOver()
+		taken := 0
+		if !isStored {
+			taken = 3
+			Expect(o.replace(400, orders[taken])).To(Equal(200))
+		}
+		for version := 402; version < 402+others; version++ {
+			Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
+		}
+		for number, order := range orders {
+			Expect(o.replace(400, order)).To(Equal(map[bool]int{true: 200, false: 412}[number == taken]))
+		}
+	},
+		Entry("and the change was stored", true, 0),
+		Entry("and the change was not stored", false, 0),
+		Entry("stored, with 400 others since", true, 400),
+		Entry("not stored, with 400 others since", false, 400),
+	)
+
 	It("that settle after the key was taken over again change nothing there", func() {
 		o := newOperated()
 		told := o.send(0, plan(1, "s"))
@@ -170,7 +214,7 @@
 		o.tenure = &scripted{hasLease: true}
 		Expect(o.leader.Open(o.tenure, nil)).To(Succeed())
 		late[0](nil)
-		Expect(told.Elsewhere).To(BeTrue())
+		Expect(*told).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}))
 		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
 	})
 })
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"gannetline/internal/executorcalls"
 	"gannetline/internal/jobs"
@@ -11,7 +10,6 @@
 type jobFacts struct {
 	spec        *jobs.Spec
 	maxAttempts int
-	cancelledAt time.Duration
 }
 
 type taskFacts struct {
@@ -30,6 +28,8 @@
 	Problems []string
 	Doubled  map[string]int
 	Starts   int
+	// OnNoted is told of each end that last-seen reached.
+	OnNoted func(task string)
 }
 
 func newJudge(line *Line) *Judge {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (j *Judge) ended(executor *Executor, task string, run int64, how string) {
+func (j *Judge) ended(executor *Executor, task, how string) {
 	facts := j.of(task)
 	delete(facts.running, executor)
 	if how == "done" {
@@ -123,6 +123,9 @@
 
 func (j *Judge) noted(end executorcalls.EndRow) {
 	facts := j.of(end.Task)
+	if j.OnNoted != nil {
+		j.OnNoted(end.Task)
+	}
 	switch end.How {
 	case "done":
 		facts.isNoted = true
