--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -250,6 +250,19 @@
 	return nil
 }
 
+// route is where a call to a disk goes: to its node, also when that came back with another disk at the same address.
+func (w *world) route(disk string) *node {
+	if one := w.byDisk(disk); one != nil {
+		return one
+	}
+	for _, one := range w.nodes {
+		if slices.Contains(one.past, disk) {
+			return one
+		}
+	}
+	return nil
+}
+
 func (w *world) post(wait time.Duration, run func()) {
 	w.letters = append(w.letters, letter{w.clock.Steady() + wait, run})
 }
@@ -367,7 +380,7 @@
 	if call.PreVote {
 		r.node.world.trials++
 	}
-	to := r.node.world.byDisk(disk)
+	to := r.node.world.route(disk)
 	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(peerapi.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
 }
 
@@ -375,7 +388,7 @@
 	if call.Snapshot != nil && disk != r.node.disk.name {
 		r.node.world.wholes++
 	}
-	to := r.node.world.byDisk(disk)
+	to := r.node.world.route(disk)
 	if call.Chunk != nil {
 		r.node.world.pieces = append(r.node.world.pieces, call.Chunk.Number)
 	}
@@ -405,7 +418,7 @@
 }
 
 func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
-	to := r.node.world.byDisk(disk)
+	to := r.node.world.route(disk)
 	carrySized(r.node.world, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(peerapi.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			if to.isOld {
