--- /dev/null
+++ b/internal/modelcheck/controlmodel/controlmodel_test.go
@@ -0,0 +1,72 @@
+package controlmodel_test
+
+import (
+	"fmt"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/modelcheck"
+	"gannetline/internal/modelcheck/controlmodel"
+)
+
+const (
+	seed = 1
+	// soundSchedules are run for each number of losses without any planted fault.
+	soundSchedules = 1500
+	// plantSchedules is within how many each planted fault must be found, with one loss or with two.
+	plantSchedules = 6000
+	workers        = 2
+)
+
+func run(budget modelcheck.Budget) *modelcheck.Finding {
+	budget.Workers = workers
+	finding, _ := modelcheck.Run(controlmodel.New(), budget, func(modelcheck.Progress) {})
+	return finding
+}
+
+func describe(finding *modelcheck.Finding) string {
+	if finding == nil {
+		return ""
+	}
+	return fmt.Sprintf("schedule %d (seed %d): %+v", finding.Number, finding.Schedule.Seed, finding.Outcome.Violations)
+}
+
+var _ = Describe("the model of the control side", func() {
+	for _, losses := range []int{1, 2} {
+		It(fmt.Sprintf("breaks no invariant with %d losses to be borne", losses), func() {
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundSchedules, Losses: losses})
+			Expect(finding).To(BeNil(), "%s", describe(finding))
+		})
+	}
+
+	for _, plant := range controlmodel.New().Plants() {
+		It("finds the planted fault "+plant.Name, func() {
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: plantSchedules, Losses: 1, Plant: plant.Name})
+			if finding == nil {
+				finding = run(modelcheck.Budget{Seed: seed, Schedules: plantSchedules, Losses: 2, Plant: plant.Name})
+			}
+			Expect(finding).NotTo(BeNil())
+		})
+	}
+
+	It("gives the same outcome for a schedule each time, and the same finding for any number of workers", func() {
+		model := controlmodel.New()
+		for number := range uint64(20) {
+			schedule := model.Draw(number, 1)
+			Expect(model.Run(schedule)).To(Equal(model.Run(schedule)))
+		}
+		budget := modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Plant: "commit-before-majority", Workers: 1}
+		one, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
+		budget.Workers = 4
+		four, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
+		Expect(one.Number).To(Equal(four.Number))
+	})
+
+	It("cuts a failing schedule down to fewer steps that break the same invariant", func() {
+		finding := run(modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Plant: "confirmed-list-lost"})
+		shortest, outcome := modelcheck.Shrink(controlmodel.New(), finding.Schedule)
+		Expect(len(shortest.Steps)).To(BeNumerically("<", len(finding.Schedule.Steps)))
+		Expect(outcome.Violations[0].Oracle).To(Equal(finding.Outcome.Violations[0].Oracle))
+	})
+})
