--- a/internal/modelcheck/ordermodel/plants.go
+++ b/internal/modelcheck/ordermodel/plants.go
@@ -116,7 +116,7 @@
 
 func (t boldTenure) HasLease() bool { return t.isOpen }
 
-func (p plant) scheduler(pool scheduler) scheduler {
+func (p plant) scheduler(pool poolLeader) poolLeader {
 	if p.name == plantLastSeenEarly {
 		return hastyScheduler{pool}
 	}
@@ -124,14 +124,14 @@
 }
 
 // hastyScheduler acknowledges whatever ends a call brings.
-type hastyScheduler struct{ scheduler }
+type hastyScheduler struct{ poolLeader }
 
 func (s hastyScheduler) Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
 	seen := int64(0)
 	if len(call.Ends) > 0 {
 		seen = call.Ends[len(call.Ends)-1].Number
 	}
-	s.scheduler.Exchange(call, func(told peerapi.ExchangeAnswer) {
+	s.poolLeader.Exchange(call, func(told peerapi.ExchangeAnswer) {
 		if told.Fence > 0 && !told.Elsewhere {
 			told.LastSeen = max(told.LastSeen, seen)
 		}
--- a/internal/modelcheck/ordermodel/steward.go
+++ b/internal/modelcheck/ordermodel/steward.go
@@ -11,8 +11,8 @@
 
 const tickEvery = 50 * time.Millisecond
 
-// scheduler is what the model drives of a pool; plants wrap it.
-type scheduler interface {
+// poolLeader is what the model drives of a pool; plants wrap it.
+type poolLeader interface {
 	Open(tenure poolowner.Tenure, pairs []peerapi.Op) error
 	Close()
 	IsOpen() bool
@@ -35,7 +35,7 @@
 // steward runs the real pool while it leads the key.
 type steward struct {
 	process
-	pool       scheduler
+	pool       poolLeader
 	leads      *leadership
 	wallJumpMs int64
 	isLeaving  bool
