--- a/internal/controlkeys/ring.go
+++ b/internal/controlkeys/ring.go
@@ -12,9 +12,9 @@
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/replication"
+	"gannetline/internal/scheduler"
 	"gannetline/internal/span"
 	"gannetline/internal/storage"
 )
@@ -30,7 +30,7 @@
 type holder struct {
 	box    *mailbox.Mailbox
 	engine *replication.Engine
-	pool   *poolowner.Pool
+	pool   *scheduler.Pool
 	plan   *configowner.Leader
 }
 
@@ -47,9 +47,9 @@
 	caller    *peerapi.Caller
 	node      *membership.Node
 	book      *configcache.Cache
-	timing    poolowner.Timing
+	timing    scheduler.Timing
 	holders   map[string]*holder
-	pool      []poolowner.Option
+	pool      []scheduler.Option
 	birth     []string
 	hasPlan   bool
 	isLeaving bool
@@ -69,9 +69,9 @@
 	Caller        *peerapi.Caller
 	Node          *membership.Node
 	Book          *configcache.Cache
-	Timing        poolowner.Timing
+	Timing        scheduler.Timing
 	Replicas      *replication.Replicas
-	Pool          []poolowner.Option
+	Pool          []scheduler.Option
 }
 
 // New makes a ring without holders; Run starts them.
@@ -150,8 +150,8 @@
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
-		one.pool = poolowner.New(key, r.clock, r.timing, r.log, r.pool...)
-		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, poolowner.Opener{Pool: one.pool}, r.stewards, options...)
+		one.pool = scheduler.New(key, r.clock, r.timing, r.log, r.pool...)
+		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, scheduler.Opener{Pool: one.pool}, r.stewards, options...)
 		owner.Tick = func() { one.engine.Tick(); one.pool.Tick() }
 		owner.Settle = one.pool.Settle
 	}
@@ -403,7 +403,7 @@
 			continue
 		}
 		if whole, err := r.store.Read(key); err == nil {
-			jobs = append(jobs, poolowner.JobsOf(key, whole.Pairs)...)
+			jobs = append(jobs, scheduler.JobsOf(key, whole.Pairs)...)
 		}
 		held, err := mailbox.Ask(one.box, life, func(answer func([]peerapi.ExecutorBelief)) {
 			if !one.pool.IsOpen() {
--- a/internal/modelcheck/ordermodel/plants.go
+++ b/internal/modelcheck/ordermodel/plants.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/localproxy"
 	"gannetline/internal/modelcheck"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
+	"gannetline/internal/scheduler"
 )
 
 // plant puts one fault into the system by wrapping what the model drives; the zero plant changes nothing.
@@ -72,7 +72,7 @@
 	return outcome
 }
 
-func (p plant) tenure(fresh *leadership) poolowner.Tenure {
+func (p plant) tenure(fresh *leadership) scheduler.Tenure {
 	switch p.name {
 	case plantCancelForgotten:
 		return forgetfulTenure{fresh}
--- a/internal/modelcheck/ordermodel/steward.go
+++ b/internal/modelcheck/ordermodel/steward.go
@@ -5,15 +5,15 @@
 
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/scheduler"
 )
 
 const tickEvery = 50 * time.Millisecond
 
 // poolLeader is what the model drives of a pool; plants wrap it.
 type poolLeader interface {
-	Open(tenure poolowner.Tenure, pairs []peerapi.Op) error
+	Open(tenure scheduler.Tenure, pairs []peerapi.Op) error
 	Close()
 	IsOpen() bool
 	Tick()
@@ -44,7 +44,7 @@
 func (s *steward) start() {
 	s.boot()
 	s.leads = nil
-	s.pool = s.world.plant.scheduler(poolowner.New(poolKey, jumpingClock{s.world.queue.clock, s}, s.world.timing, logging.Silent()))
+	s.pool = s.world.plant.scheduler(scheduler.New(poolKey, jumpingClock{s.world.queue.clock, s}, s.world.timing, logging.Silent()))
 	s.tick()
 }
 
--- a/internal/modelcheck/ordermodel/world.go
+++ b/internal/modelcheck/ordermodel/world.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/membership"
 	"gannetline/internal/modelcheck"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
+	"gannetline/internal/scheduler"
 )
 
 const (
@@ -27,15 +27,15 @@
 var executorRoom = peerapi.Capacity{CPU: 4000, Memory: 8192}
 
 // timing is that of a deployment with holds of 6 s.
-var timing = poolowner.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
+var timing = scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
 	ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, RemoteFactor: 1.5,
-	Headroom: poolowner.DefaultHeadroom}
+	Headroom: scheduler.DefaultHeadroom}
 
 // world is a whole small system: stewards, gates, local-proxies and executors.
 type world struct {
 	queue     *eventQueue
-	timing    poolowner.Timing
+	timing    scheduler.Timing
 	key       *replicatedKey
 	stewards  []*steward
 	gates     []*gate
--- a/internal/rehearsal/change.go
+++ b/internal/rehearsal/change.go
@@ -12,8 +12,8 @@
 	"go.yaml.in/yaml/v3"
 
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/scheduler"
 )
 
 // Queue is what a change may say of one queue; what it leaves out stays.
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *Change) timing(timing poolowner.Timing) poolowner.Timing {
+func (c *Change) timing(timing scheduler.Timing) scheduler.Timing {
 	setMs := func(field *time.Duration, value *int64) {
 		if value != nil {
 			*field = time.Duration(*value) * time.Millisecond
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -10,8 +10,8 @@
 
 	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/recording"
+	"gannetline/internal/scheduler"
 	"gannetline/internal/stage"
 )
 
@@ -28,7 +28,7 @@
 	Faults  []Fault
 	Seed    uint64
 	Horizon time.Duration
-	Record  poolowner.Recorder
+	Record  scheduler.Recorder
 	Stage   []stage.Option
 }
 
@@ -80,9 +80,9 @@
 	if err != nil {
 		return nil, err
 	}
-	options = append(options, stage.WithPool(poolowner.WithRules(rules)))
+	options = append(options, stage.WithPool(scheduler.WithRules(rules)))
 	if setup.Record != nil {
-		options = append(options, stage.WithPool(poolowner.WithRecorder(setup.Record)))
+		options = append(options, stage.WithPool(scheduler.WithRecorder(setup.Record)))
 	}
 	p.stage = stage.New(setup.Seed, 3, 0, peerapi.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
 	for _, fault := range setup.Faults {
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -15,9 +15,9 @@
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/queuerules"
 	"gannetline/internal/recording"
+	"gannetline/internal/scheduler"
 	"gannetline/internal/span"
 )
 
@@ -46,15 +46,15 @@
 	if err != nil {
 		return errors.Annotate(err, "field queue-rules")
 	}
-	pool := []poolowner.Option{poolowner.WithRules(rules)}
+	pool := []scheduler.Option{scheduler.WithRules(rules)}
 	if b.settings.RecordDay && kept.folder != "" {
 		writer := recording.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
 		b.tree.Add("recording", writer.Run)
-		pool = append(pool, poolowner.WithRecorder(writer))
+		pool = append(pool, scheduler.WithRecorder(writer))
 	}
 	ring := controlkeys.New(controlkeys.Config{Clock: b.clock, Log: b.log, Store: kept.store, IsMakeshift: kept.isMakeshift,
 		MachineLosses: b.settings.FaultTolerance.MachineLosses, Name: b.settings.NodeName, Caller: b.caller, Node: b.node, Book: book,
-		Timing: poolowner.TimingFrom(b.settings), Replicas: kept.replicas, Pool: pool})
+		Timing: scheduler.TimingFrom(b.settings), Replicas: kept.replicas, Pool: pool})
 	ring.Handle(b.inner)
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page, Ring: ring.Beliefs})
 	outer := http.NewServeMux()
--- a/internal/poolowner/cost_test.go
+++ b/internal/scheduler/cost_test.go
@@ -1,4 +1,4 @@
-package poolowner_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/scheduler"
 )
 
 // prompt is a tenure whose commits succeed at once; it counts what they would write.
@@ -61,7 +61,7 @@
 type crowd struct {
 	clock  *pulse.Fake
 	tenure *prompt
-	pool   *poolowner.Pool
+	pool   *scheduler.Pool
 	hands  []*hand
 	jobs   int
 	starts int
@@ -73,8 +73,8 @@
 	clock := pulse.NewFake(1_000_000)
 	c := &crowd{clock: clock, tenure: &prompt{clock: clock, kept: kept}}
 	timing := timing
-	timing.Headroom = poolowner.DefaultHeadroom
-	c.pool = poolowner.New("pool/s", clock, timing, logging.Silent())
+	timing.Headroom = scheduler.DefaultHeadroom
+	c.pool = scheduler.New("pool/s", clock, timing, logging.Silent())
 	if err := c.pool.Open(c.tenure, nil); err != nil {
 		panic(err)
 	}
@@ -124,7 +124,7 @@
 	c.pool.Exchange(call, func(answer peerapi.ExchangeAnswer) {
 		for _, order := range answer.Orders {
 			one.running = append(one.running, order)
-			one.answers = append(one.answers, peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: poolowner.ResultOK})
+			one.answers = append(one.answers, peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: scheduler.ResultOK})
 			c.starts++
 		}
 	})
@@ -240,7 +240,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				pool := poolowner.New("pool/s", c.clock, timing, logging.Silent())
+				pool := scheduler.New("pool/s", c.clock, timing, logging.Silent())
 				if err := pool.Open(c.tenure, pairs); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/poolowner/feed_test.go
+++ b/internal/scheduler/feed_test.go
@@ -1,4 +1,4 @@
-package poolowner_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -16,8 +16,8 @@
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/scheduler"
 )
 
 const tasksHere = 6
@@ -37,7 +37,7 @@
 	draw      *rand.Rand
 	clock     *pulse.Fake
 	tenure    *scripted
-	pool      *poolowner.Pool
+	pool      *scheduler.Pool
 	table     *localproxy.Table
 	session   uint64
 	sequence  int64
@@ -78,7 +78,7 @@
 
 func (o *postOffice) newOwner() {
 	o.tenure.epoch++
-	o.pool = poolowner.New("pool/s", o.clock, timing, logging.Silent())
+	o.pool = scheduler.New("pool/s", o.clock, timing, logging.Silent())
 	Expect(o.pool.Open(o.tenure, o.tenure.pairs())).To(Succeed())
 	o.settle()
 }
--- a/internal/poolowner/pool.go
+++ b/internal/scheduler/pool.go
@@ -1,6 +1,6 @@
-// Package poolowner schedules the jobs of one service while this steward leads its key: it keeps jobs, tasks and
+// Package scheduler schedules the jobs of one service while this steward leads its key: it keeps jobs, tasks and
 // runs, sends orders, and knows what its executors were last heard to do.
-package poolowner
+package scheduler
 
 import (
 	"cmp"
--- a/internal/poolowner/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -1,4 +1,4 @@
-package poolowner_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/queuerules"
+	"gannetline/internal/scheduler"
 )
 
 // player stands for an executor and its proxy, which do what luck says.
@@ -37,7 +37,7 @@
 	draw    *rand.Rand
 	clock   *pulse.Fake
 	tenure  *scripted
-	pool    *poolowner.Pool
+	pool    *scheduler.Pool
 	players []*player
 	lives   int
 	jobs    []string
@@ -63,10 +63,10 @@
 	s.tenure.waiting = nil
 	s.tenure.epoch++
 	timing := timing
-	timing.Headroom, timing.KeepEnded, timing.RemoteFactor = poolowner.DefaultHeadroom, 3*time.Second, 2
+	timing.Headroom, timing.KeepEnded, timing.RemoteFactor = scheduler.DefaultHeadroom, 3*time.Second, 2
 	rules, err := queuerules.Compile(map[string]queuerules.Text{"ruled": {Use: `"r1" in labels || cpu > 4000`, Order: "due - 40 * tasks"}})
 	Expect(err).NotTo(HaveOccurred())
-	s.pool = poolowner.New("pool/s", s.clock, timing, logging.Silent(), poolowner.WithRules(rules))
+	s.pool = scheduler.New("pool/s", s.clock, timing, logging.Silent(), scheduler.WithRules(rules))
 	Expect(s.pool.Open(s.tenure, s.tenure.pairs())).To(Succeed())
 }
 
--- a/internal/poolowner/poolowner_suite_test.go
+++ b/internal/scheduler/scheduler_suite_test.go
@@ -1,4 +1,4 @@
-package poolowner_test
+package scheduler_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestPoolowner(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "poolowner")
+	RunSpecs(t, "scheduler")
 }
--- a/internal/poolowner/poolowner_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package poolowner_test
+package scheduler_test
 
 import (
 	"strings"
@@ -11,9 +11,9 @@
 	"gannetline/internal/logging"
 	"gannetline/internal/metrics"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
 	"gannetline/internal/recording"
+	"gannetline/internal/scheduler"
 )
 
 // scripted is a tenure whose commits the test finishes.
@@ -82,18 +82,18 @@
 	task = id + ".0.0.0"
 )
 
-var timing = poolowner.Timing{Grant: 4 * time.Second, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond, ResendMost: time.Second,
+var timing = scheduler.Timing{Grant: 4 * time.Second, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond, ResendMost: time.Second,
 	HoldStale: 2500 * time.Millisecond, SilentAfter: 1500 * time.Millisecond, StopTimeout: 400 * time.Millisecond,
 	StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second}
 
 var _ = Describe("orders as persistent messages", func() {
 	var clock *pulse.Fake
 	var tenure *scripted
-	var pool *poolowner.Pool
+	var pool *scheduler.Pool
 	var accepted []int
 	open := func(epoch uint64, pairs []peerapi.Op) {
 		tenure.epoch = epoch
-		pool = poolowner.New("pool/s", clock, timing, logging.Silent())
+		pool = scheduler.New("pool/s", clock, timing, logging.Silent())
 		Expect(pool.Open(tenure, pairs)).To(Succeed())
 	}
 	exchange := func(change func(*peerapi.ExchangeCall)) *peerapi.ExchangeAnswer {
@@ -373,7 +373,7 @@
 
 	It("counts a run's length from when it was started, however late that was told", func() {
 		day := &diary{}
-		pool = poolowner.New("pool/s", clock, timing, logging.Silent(), poolowner.WithRecorder(day))
+		pool = scheduler.New("pool/s", clock, timing, logging.Silent(), scheduler.WithRecorder(day))
 		Expect(pool.Open(tenure, nil)).To(Succeed())
 		exchange(nil)
 		handIn()
--- a/internal/poolowner/tick.go
+++ b/internal/scheduler/tick.go
@@ -1,4 +1,4 @@
-package poolowner
+package scheduler
 
 import (
 	"cmp"
--- a/internal/poolowner/trust_test.go
+++ b/internal/scheduler/trust_test.go
@@ -1,4 +1,4 @@
-package poolowner_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/pulse"
+	"gannetline/internal/scheduler"
 )
 
 var _ = Describe("trust in executors", func() {
 	var clock *pulse.Fake
 	var tenure *scripted
-	var pool *poolowner.Pool
+	var pool *scheduler.Pool
 	numbers := map[string]int64{}
 	settle := func() {
 		pool.Settle()
@@ -71,7 +71,7 @@
 	BeforeEach(func() {
 		clock = pulse.NewFake(1_000_000)
 		tenure = &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}, epoch: 3}
-		pool = poolowner.New("pool/s", clock, timing, logging.Silent())
+		pool = scheduler.New("pool/s", clock, timing, logging.Silent())
 		Expect(pool.Open(tenure, nil)).To(Succeed())
 		clear(numbers)
 		exchange("i-1", "side-i-1", nil)
--- a/internal/stage/node.go
+++ b/internal/stage/node.go
@@ -7,8 +7,8 @@
 
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
 	"gannetline/internal/replication"
+	"gannetline/internal/scheduler"
 )
 
 const (
@@ -31,7 +31,7 @@
 	life     int
 	replicas *replication.Replicas
 	engines  map[string]*replication.Engine
-	pools    map[string]*poolowner.Pool
+	pools    map[string]*scheduler.Pool
 }
 
 func (n *Node) start() {
@@ -43,11 +43,11 @@
 		panic(err)
 	}
 	n.replicas = replicas
-	n.engines, n.pools = map[string]*replication.Engine{}, map[string]*poolowner.Pool{}
+	n.engines, n.pools = map[string]*replication.Engine{}, map[string]*scheduler.Pool{}
 	for _, key := range n.stage.keys {
-		pool := poolowner.New(key, n.stage.Line.Clock, n.stage.timing, n.stage.log, n.stage.pool...)
+		pool := scheduler.New(key, n.stage.Line.Clock, n.stage.timing, n.stage.log, n.stage.pool...)
 		n.pools[key] = pool
-		n.engines[key] = replication.NewEngine(key, n.disk.name, n.Name, n.stage.Line.Clock, &road{n, n.life}, poolowner.Opener{Pool: pool},
+		n.engines[key] = replication.NewEngine(key, n.disk.name, n.Name, n.stage.Line.Clock, &road{n, n.life}, scheduler.Opener{Pool: pool},
 			n.stage.members, replication.WithInitialVoters(n.stage.birth()), replication.WithLog(n.stage.log))
 	}
 	n.tick(n.life)
--- a/internal/stage/stage.go
+++ b/internal/stage/stage.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/jobs"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
+	"gannetline/internal/scheduler"
 )
 
 // Stage is a whole small system: stewards, proxies, executors and clients.
@@ -25,11 +25,11 @@
 	Refusals  int
 	service   string
 	keys      []string
-	timing    poolowner.Timing
+	timing    scheduler.Timing
 	log       logging.Logger
 	cut       map[string]bool
 	places    []Place
-	pool      []poolowner.Option
+	pool      []scheduler.Option
 	grantBy   int64
 }
 
@@ -37,7 +37,7 @@
 type Option func(*Stage)
 
 // WithTiming replaces DefaultTiming.
-func WithTiming(timing poolowner.Timing) Option { return func(s *Stage) { s.timing = timing } }
+func WithTiming(timing scheduler.Timing) Option { return func(s *Stage) { s.timing = timing } }
 
 // WithWork decides how long each run takes and how it ends.
 func WithWork(work Work) Option { return func(s *Stage) { s.Work = work } }
@@ -53,7 +53,7 @@
 func WithPlaces(places []Place) Option { return func(s *Stage) { s.places = places } }
 
 // WithPool passes options on to every pool.
-func WithPool(options ...poolowner.Option) Option {
+func WithPool(options ...scheduler.Option) Option {
 	return func(s *Stage) { s.pool = append(s.pool, options...) }
 }
 
@@ -64,9 +64,9 @@
 func WithLog(log logging.Logger) Option { return func(s *Stage) { s.log = log } }
 
 // DefaultTiming is that of a deployment with holds of 6 s.
-var DefaultTiming = poolowner.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
+var DefaultTiming = scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
 	ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
-	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, Headroom: poolowner.DefaultHeadroom}
+	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, Headroom: scheduler.DefaultHeadroom}
 
 func evenWork(string, int64, *Executor) (time.Duration, string) {
 	return 200 * time.Millisecond, "done"
