--- a/internal/executorcalls/client.go
+++ b/internal/executorapi/client.go
@@ -1,4 +1,4 @@
-package executorcalls
+package executorapi
 
 import (
 	"bytes"
--- a/internal/executorcalls/executorcalls_suite_test.go
+++ b/internal/executorapi/executorapi_suite_test.go
@@ -1,4 +1,4 @@
-package executorcalls_test
+package executorapi_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestExecutorcalls(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "executorcalls")
+	RunSpecs(t, "executorapi")
 }
--- a/internal/executorcalls/executorcalls_test.go
+++ b/internal/executorapi/executorapi_test.go
@@ -1,4 +1,4 @@
-package executorcalls_test
+package executorapi_test
 
 import (
 	"io"
@@ -11,29 +11,29 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/metrics"
 	"gannetline/internal/span"
 )
 
 var _ = Describe("what executors say", func() {
 	It("reads the hold lists", func() {
-		var answer executorcalls.Answer
+		var answer executorapi.Answer
 		text := `{"clock-ms":482113,"running-count":[["a.0.1.17",2,"00000bb87a21d94b",41]],"end-state":[[58,"a.0.1.9",1,"done",""]]}`
 		Expect(easyjson.Unmarshal([]byte(text), &answer)).To(Succeed())
-		Expect(answer.Running).To(Equal([]executorcalls.RunningRow{{Task: "a.0.1.17", Run: 2, Saved: "00000bb87a21d94b", Percent: 41}}))
-		Expect(answer.Ends).To(Equal([]executorcalls.EndRow{{Number: 58, Task: "a.0.1.9", Run: 1, How: "done"}}))
+		Expect(answer.Running).To(Equal([]executorapi.RunningRow{{Task: "a.0.1.17", Run: 2, Saved: "00000bb87a21d94b", Percent: 41}}))
+		Expect(answer.Ends).To(Equal([]executorapi.EndRow{{Number: 58, Task: "a.0.1.9", Run: 1, How: "done"}}))
 		back, err := easyjson.Marshal(answer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(back)).To(ContainSubstring(`[58,"a.0.1.9",1,"done",""]`))
 	})
 
 	It("makes a command of a beat and of a farewell", func() {
-		beat, _ := executorcalls.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/heartbeat",
+		beat, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/heartbeat",
 			strings.NewReader(`{"service":"s","executor-state":"ready","call-sequence":4}`)))
 		Expect(beat.Executor).To(Equal("i-1"))
 		Expect(beat.Beat.Sequence).To(Equal(int64(4)))
-		leave, _ := executorcalls.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/deregister", nil))
+		leave, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/deregister", nil))
 		Expect(leave.IsLeave).To(BeTrue())
 	})
 
@@ -42,12 +42,12 @@
 			to.WriteHeader(http.StatusConflict)
 			io.WriteString(to, "{}")
 		}))
-		client := executorcalls.NewClient(http.DefaultClient, server.Listener.Addr().String())
-		status, _, err := client.Call(span.Root(), "/v1/counted", "i-1", time.Minute, executorcalls.Answer{})
+		client := executorapi.NewClient(http.DefaultClient, server.Listener.Addr().String())
+		status, _, err := client.Call(span.Root(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusConflict))
 		server.Close()
-		_, _, err = client.Call(span.Root(), "/v1/counted", "i-1", time.Minute, executorcalls.Answer{})
+		_, _, err = client.Call(span.Root(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
 		Expect(err).To(HaveOccurred())
 		own := metrics.Own()
 		Expect(own).To(HaveKeyWithValue(`gannetline_executor_calls_total{path="/v1/counted",result="409"}`, 1.0))
@@ -57,7 +57,7 @@
 	})
 
 	DescribeTable("refuses", func(method, path, body string, status int) {
-		_, refusal := executorcalls.Decode(httptest.NewRequest(method, path, strings.NewReader(body)))
+		_, refusal := executorapi.Decode(httptest.NewRequest(method, path, strings.NewReader(body)))
 		Expect(refusal.Status).To(Equal(status))
 	},
 		Entry("an unknown call", "POST", "/v1/executors/i-1/dance", "{}", 404),
--- a/internal/executorcalls/kept_test.go
+++ b/internal/executorapi/kept_test.go
@@ -1,4 +1,4 @@
-package executorcalls_test
+package executorapi_test
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/span"
 )
@@ -105,16 +105,16 @@
 
 var _ = Describe("a call to an executor over a connection that was kept", func() {
 	const limit = 300 * time.Millisecond
-	start := executorcalls.RunStart{Task: "a.0.0.0", Run: 1, Spec: "d", ExpiryMs: 9, Fence: 3}
-	stop := executorcalls.RunStop{Task: "a.0.0.0", Run: 1, Fence: 3}
+	start := executorapi.RunStart{Task: "a.0.0.0", Run: 1, Spec: "d", ExpiryMs: 9, Fence: 3}
+	stop := executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 3}
 	var executor *scriptedExecutor
-	var client *executorcalls.Client
+	var client *executorapi.Client
 	begin := func(scripts ...func(net.Conn)) {
 		executor = newScriptedExecutor(scripts...)
-		client = executorcalls.NewClient(peerapi.Client(2*time.Second, 8), executor.listener.Addr().String())
+		client = executorapi.NewClient(peerapi.Client(2*time.Second, 8), executor.listener.Addr().String())
 	}
 	AfterEach(func() { executor.listener.Close() })
-	runStart := func() (int, executorcalls.Answer, error) {
+	runStart := func() (int, executorapi.Answer, error) {
 		return client.Call(span.Root(), "/v1/run-start", "i-1", limit, start)
 	}
 
@@ -161,7 +161,7 @@
 	It("names the life that it is meant for, each time, and hears that another one is there", func() {
 		begin(says(200, "{}"), says(421, ""))
 		for _, life := range []string{"i-1", "i-2"} {
-			status, _, err := client.Call(span.Root(), "/v1/hold", life, limit, executorcalls.Hold{Fence: 1})
+			status, _, err := client.Call(span.Root(), "/v1/hold", life, limit, executorapi.Hold{Fence: 1})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status).To(Equal(map[string]int{"i-1": 200, "i-2": 421}[life]))
 		}
--- a/internal/executorcalls/wire.go
+++ b/internal/executorapi/wire.go
@@ -1,6 +1,6 @@
-// Package executorcalls holds the messages between executors and local proxies, the client that calls an executor, and the
+// Package executorapi holds the messages between executors and local proxies, the client that calls an executor, and the
 // reading of an executor's calls.
-package executorcalls
+package executorapi
 
 import (
 	"github.com/mailru/easyjson/jlexer"
--- a/internal/hollow/executor.go
+++ b/internal/hollow/executor.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
 )
@@ -57,7 +57,7 @@
 }
 
 type waitingHold struct {
-	answer func(int, executorcalls.Answer)
+	answer func(int, executorapi.Answer)
 }
 
 // Shape is what an executor is: its name, room, labels, and how it keeps time.
@@ -82,7 +82,7 @@
 	expiryMs int64
 	isTimed  bool
 	active   []*activeRun
-	ends     []executorcalls.EndRow
+	ends     []executorapi.EndRow
 	lastEnd  int64
 	highest  map[string]int64
 	waiting  []*waitingHold
@@ -101,8 +101,8 @@
 	return firstClock + int64(float64(pulse.InMs(e.clock.Steady()-e.begunAt))*e.shape.Pace)
 }
 
-func (e *Executor) answer(reason string) executorcalls.Answer {
-	return executorcalls.Answer{ClockMs: e.ClockMs(), Reason: reason}
+func (e *Executor) answer(reason string) executorapi.Answer {
+	return executorapi.Answer{ClockMs: e.ClockMs(), Reason: reason}
 }
 
 func (e *Executor) raise(fence uint64) bool {
@@ -156,7 +156,7 @@
 }
 
 // Start is POST /v1/run-start.
-func (e *Executor) Start(order executorcalls.RunStart) (int, executorcalls.Answer) {
+func (e *Executor) Start(order executorapi.RunStart) (int, executorapi.Answer) {
 	load, err := parseLoad(order.Spec)
 	switch {
 	case !e.raise(order.Fence):
@@ -180,7 +180,7 @@
 	return 200, e.answer("")
 }
 
-func (e *Executor) begin(order executorcalls.RunStart, load Load) {
+func (e *Executor) begin(order executorapi.RunStart, load Load) {
 	one := &activeRun{load: load, began: e.clock.Steady(),
 		record: RunRecord{Task: order.Task, Run: order.Run, Node: e.shape.Node, StartMs: e.clock.WallMs()}}
 	e.active = append(e.active, one)
@@ -200,7 +200,7 @@
 	e.over = append(e.over, one.record)
 	e.highest[one.record.Task] = max(e.highest[one.record.Task], one.record.Run)
 	e.lastEnd++
-	e.ends = append(e.ends, executorcalls.EndRow{Number: e.lastEnd, Task: one.record.Task, Run: one.record.Run, How: how})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.record.Task, Run: one.record.Run, How: how})
 	waiting := e.waiting
 	e.waiting = nil
 	for _, hold := range waiting {
@@ -209,7 +209,7 @@
 }
 
 // Stop is POST /v1/run-stop.
-func (e *Executor) Stop(order executorcalls.RunStop) (int, executorcalls.Answer) {
+func (e *Executor) Stop(order executorapi.RunStop) (int, executorapi.Answer) {
 	if !e.raise(order.Fence) {
 		return 409, e.answer("fence")
 	}
@@ -225,12 +225,12 @@
 }
 
 // Hold is POST /v1/hold; the answer may wait for an end.
-func (e *Executor) Hold(hold executorcalls.Hold, answer func(int, executorcalls.Answer)) {
+func (e *Executor) Hold(hold executorapi.Hold, answer func(int, executorapi.Answer)) {
 	if !e.raise(hold.Fence) {
 		answer(409, e.answer("fence"))
 		return
 	}
-	e.ends = slices.DeleteFunc(e.ends, func(end executorcalls.EndRow) bool { return end.Number <= hold.LastSeen })
+	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool { return end.Number <= hold.LastSeen })
 	if hold.ExpiryMs > 0 {
 		e.extend(hold.ExpiryMs)
 	}
@@ -248,21 +248,21 @@
 	})
 }
 
-func (e *Executor) lists() executorcalls.Answer {
+func (e *Executor) lists() executorapi.Answer {
 	answer := e.answer("")
 	answer.Ends = slices.Clone(e.ends[:min(len(e.ends), mostEnds)])
 	for _, one := range e.active {
 		percent := int(100 * (e.clock.Steady() - one.began) / max(one.load.Length, 1))
 		answer.Running = append(answer.Running,
-			executorcalls.RunningRow{Task: one.record.Task, Run: one.record.Run, Percent: min(percent, 99)})
+			executorapi.RunningRow{Task: one.record.Task, Run: one.record.Run, Percent: min(percent, 99)})
 	}
 	return answer
 }
 
 // Beat is the executor's next word of itself.
-func (e *Executor) Beat(service, address, domain string) executorcalls.Beat {
+func (e *Executor) Beat(service, address, domain string) executorapi.Beat {
 	e.sequence++
-	return executorcalls.Beat{Service: service, Address: address, Domain: domain, Version: "v1", Slots: 8, State: "ready",
+	return executorapi.Beat{Service: service, Address: address, Domain: domain, Version: "v1", Slots: 8, State: "ready",
 		Room: e.shape.Room, Labels: e.shape.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
 }
 
--- a/internal/hollow/executor_test.go
+++ b/internal/hollow/executor_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/hollow"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -48,8 +48,8 @@
 	}
 }
 
-func (w *world) order(task string, run int64, fence uint64) executorcalls.RunStart {
-	return executorcalls.RunStart{Task: task, Run: run, Fence: fence, ExpiryMs: w.executor.ClockMs() + 5000,
+func (w *world) order(task string, run int64, fence uint64) executorapi.RunStart {
+	return executorapi.RunStart{Task: task, Run: run, Fence: fence, ExpiryMs: w.executor.ClockMs() + 5000,
 		Spec: hollow.Load{Length: time.Second, CPU: 600, MemoryMB: 10}.Descriptor()}
 }
 
@@ -58,13 +58,13 @@
 	return status, answer.Reason
 }
 
-func (w *world) hold(hold executorcalls.Hold) *executorcalls.Answer {
-	var got *executorcalls.Answer
-	w.executor.Hold(hold, func(_ int, answer executorcalls.Answer) { got = &answer })
+func (w *world) hold(hold executorapi.Hold) *executorapi.Answer {
+	var got *executorapi.Answer
+	w.executor.Hold(hold, func(_ int, answer executorapi.Answer) { got = &answer })
 	return got
 }
 
-func (w *world) ends() []executorcalls.EndRow { return w.hold(executorcalls.Hold{Fence: 9}).Ends }
+func (w *world) ends() []executorapi.EndRow { return w.hold(executorapi.Hold{Fence: 9}).Ends }
 
 var _ = Describe("the stand-in executor", func() {
 	var w *world
@@ -83,16 +83,16 @@
 	It("runs a task for its time, and tells its end until it is seen", func() {
 		started("a.0.0.0", 1, 1)
 		w.pass(1100 * time.Millisecond)
-		Expect(w.ends()).To(Equal([]executorcalls.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, How: "done"}}))
-		Expect(w.hold(executorcalls.Hold{Fence: 9, LastSeen: 1}).Ends).To(BeEmpty())
+		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, How: "done"}}))
+		Expect(w.hold(executorapi.Hold{Fence: 9, LastSeen: 1}).Ends).To(BeEmpty())
 	})
 
 	It("does nothing for a lower fence", func() {
 		started("a.0.0.0", 1, 5)
 		refused("b.0.0.0", 1, 4, "fence")
-		status, _ := w.executor.Stop(executorcalls.RunStop{Task: "a.0.0.0", Run: 1, Fence: 4})
+		status, _ := w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 4})
 		Expect(status).To(Equal(409))
-		Expect(w.hold(executorcalls.Hold{Fence: 4}).Reason).To(Equal("fence"))
+		Expect(w.hold(executorapi.Hold{Fence: 4}).Reason).To(Equal("fence"))
 	})
 
 	It("takes a start that is there already, and turns away the old, the late and what has no room", func() {
@@ -109,17 +109,17 @@
 	})
 
 	It("turns away a run that was stopped before it came", func() {
-		w.executor.Stop(executorcalls.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
+		w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
 		refused("a.0.0.0", 1, 1, "old")
 		started("a.0.0.0", 2, 1)
 	})
 
 	It("stops a run within the stop's time, and lists its end once", func() {
 		started("a.0.0.0", 1, 1)
-		w.executor.Stop(executorcalls.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
+		w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
 		w.pass(410 * time.Millisecond)
 		w.pass(time.Second)
-		Expect(w.ends()).To(Equal([]executorcalls.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, How: "stopped"}}))
+		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, How: "stopped"}}))
 	})
 
 	long := func(expiry time.Duration) {
@@ -141,8 +141,8 @@
 	It("goes on while it is held, and a hold is never shortened", func() {
 		long(5 * time.Second)
 		w.pass(4 * time.Second)
-		w.hold(executorcalls.Hold{Fence: 1, ExpiryMs: w.executor.ClockMs() + 5000})
-		w.hold(executorcalls.Hold{Fence: 1, ExpiryMs: w.executor.ClockMs() + 10})
+		w.hold(executorapi.Hold{Fence: 1, ExpiryMs: w.executor.ClockMs() + 5000})
+		w.hold(executorapi.Hold{Fence: 1, ExpiryMs: w.executor.ClockMs() + 10})
 		w.pass(4 * time.Second)
 		Expect(w.executor.Counts().Running).To(Equal(1))
 	})
@@ -159,7 +159,7 @@
 		started("a.0.0.0", 1, 1)
 		var answers []int
 		wait := func() {
-			w.executor.Hold(executorcalls.Hold{Fence: 1, WaitMs: 700}, func(_ int, answer executorcalls.Answer) {
+			w.executor.Hold(executorapi.Hold{Fence: 1, WaitMs: 700}, func(_ int, answer executorapi.Answer) {
 				answers = append(answers, len(answer.Ends))
 			})
 		}
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/peerapi"
@@ -67,7 +67,7 @@
 
 type told struct {
 	status int
-	answer executorcalls.Answer
+	answer executorapi.Answer
 }
 
 func (n *node) ServeHTTP(to http.ResponseWriter, request *http.Request) {
@@ -101,15 +101,15 @@
 func (n *node) decode(path string, text []byte) func(func(told)) {
 	switch path {
 	case "/v1/run-start":
-		var order executorcalls.RunStart
+		var order executorapi.RunStart
 		return commandOf(text, &order, func(answer func(told)) { answer(tell(n.executor.Start(order))) })
 	case "/v1/run-stop":
-		var order executorcalls.RunStop
+		var order executorapi.RunStop
 		return commandOf(text, &order, func(answer func(told)) { answer(tell(n.executor.Stop(order))) })
 	case "/v1/hold":
-		var hold executorcalls.Hold
+		var hold executorapi.Hold
 		return commandOf(text, &hold, func(answer func(told)) {
-			n.executor.Hold(hold, func(status int, lists executorcalls.Answer) { answer(told{status, lists}) })
+			n.executor.Hold(hold, func(status int, lists executorapi.Answer) { answer(told{status, lists}) })
 		})
 	}
 	return nil
@@ -122,7 +122,7 @@
 	return command
 }
 
-func tell(status int, answer executorcalls.Answer) told { return told{status, answer} }
+func tell(status int, answer executorapi.Answer) told { return told{status, answer} }
 
 // beat says that the executor is there, over and over.
 func (n *node) beat(client *http.Client, place int) {
@@ -134,7 +134,7 @@
 		case <-n.clock.After(wait):
 		}
 		wait = pulse.Ms(n.settings.HeartbeatMs)
-		word, err := mailbox.Ask(n.box, n.life, func(answer func(executorcalls.Beat)) {
+		word, err := mailbox.Ask(n.box, n.life, func(answer func(executorapi.Beat)) {
 			answer(n.executor.Beat(n.settings.Service, n.settings.App, n.settings.Domain))
 		})
 		if err != nil || n.send(client, word) != nil {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (n *node) send(client *http.Client, word executorcalls.Beat) error {
+func (n *node) send(client *http.Client, word executorapi.Beat) error {
 	body, err := easyjson.Marshal(word)
 	if err != nil {
 		return err
--- a/internal/localproxy/deaf_test.go
+++ b/internal/localproxy/deaf_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -36,12 +36,12 @@
 	BeforeEach(func() {
 		clock = pulse.NewFake(0)
 		table = localproxy.NewTable(clock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
-		table.Beat("i-1", &executorcalls.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
+		table.Beat("i-1", &executorapi.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
 		table.Told(call, 0, &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
 		work, _ := table.NextHold(false)
 		work.Look = 0
-		table.Held(work, executorcalls.Answer{ClockMs: 1000})
+		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		works = 0
 	})
 
@@ -78,7 +78,7 @@
 		work, isDue := table.NextHold(false)
 		Expect(isDue).To(BeTrue())
 		Expect(work.Look).To(Equal(uint64(5)))
-		table.Held(work, executorcalls.Answer{ClockMs: 1000})
+		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		_, isDue = ready("stop", 1)
 		Expect(isDue).To(BeTrue())
 		_, isDue = ready("launch", 2)
--- a/internal/localproxy/feed_test.go
+++ b/internal/localproxy/feed_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -25,13 +25,13 @@
 		table.Told(call, clock.Steady(), &answer)
 		return call
 	}
-	hold := func(isLook bool, rows ...executorcalls.RunningRow) {
+	hold := func(isLook bool, rows ...executorapi.RunningRow) {
 		work, isDue := table.NextHold(isLook)
 		Expect(isDue).To(BeTrue())
-		table.Held(work, executorcalls.Answer{ClockMs: 1000, Running: rows})
+		table.Held(work, executorapi.Answer{ClockMs: 1000, Running: rows})
 	}
-	row := func(number int, saved string) executorcalls.RunningRow {
-		return executorcalls.RunningRow{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", number), Run: 1, Saved: saved, Percent: 41}
+	row := func(number int, saved string) executorapi.RunningRow {
+		return executorapi.RunningRow{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", number), Run: 1, Saved: saved, Percent: 41}
 	}
 	size := func(call *peerapi.ExchangeCall) int {
 		text, err := easyjson.Marshal(call)
@@ -41,7 +41,7 @@
 	begin := func(options ...localproxy.TableOption) {
 		clock, works = pulse.NewFake(0), 0
 		table = localproxy.NewTable(clock, logging.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
-		table.Beat("i-7f3a91c2", &executorcalls.Beat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
+		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
 			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
 	}
 	BeforeEach(func() { begin(localproxy.WithSession(7)) })
@@ -53,7 +53,7 @@
 		second := told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
 		Expect(second.Proxy).To(BeEmpty())
 		Expect(second.Base).To(Equal(first.Number))
-		table.Beat("i-7f3a91c2", &executorcalls.Beat{Service: "rota-board", State: "draining", Sequence: 2})
+		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "draining", Sequence: 2})
 		third := told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
 		Expect(third.Draining).To(BeTrue())
 		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: third.Number}).Draining).To(BeTrue(), "as the answer was not there yet")
@@ -72,7 +72,7 @@
 	})
 
 	It("tells that a run stands still, and that it moves again", func() {
-		percent := func(number, percent int) executorcalls.RunningRow {
+		percent := func(number, percent int) executorapi.RunningRow {
 			one := row(number, "")
 			one.Percent = percent
 			return one
@@ -192,7 +192,7 @@
 	})
 
 	It("says little once the owner holds all", func() {
-		var rows []executorcalls.RunningRow
+		var rows []executorapi.RunningRow
 		for number := range 12 {
 			rows = append(rows, row(number, ""))
 		}
--- a/internal/localproxy/localproxy_test.go
+++ b/internal/localproxy/localproxy_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -18,7 +18,7 @@
 	var table *localproxy.Table
 	nothing := func() {}
 	beat := func(id, state string, sequence int64) int {
-		status, _ := table.Beat(id, &executorcalls.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
+		status, _ := table.Beat(id, &executorapi.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
 	told := func(answer peerapi.ExchangeAnswer) []peerapi.Order {
@@ -34,12 +34,12 @@
 	})
 
 	It("refuses beats of another service, old ones, and those of a life that is over", func() {
-		status, _ := table.Beat("i-1", &executorcalls.Beat{Service: "x"})
+		status, _ := table.Beat("i-1", &executorapi.Beat{Service: "x"})
 		Expect(status).To(Equal(422))
 		Expect(beat("i-1", "ready", 1)).To(Equal(409))
 		Expect(beat("i-2", "ready", 1)).To(Equal(200))
 		work, _ := table.NextHold(false)
-		table.Held(work, executorcalls.Answer{ClockMs: 1000})
+		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		Expect(beat("i-1", "ready", 9)).To(Equal(409))
 		call, _ := table.Compose(0)
 		Expect(call.Gone).To(ContainElement("i-1"))
@@ -90,7 +90,7 @@
 		beat("i-2", "ready", 1)
 		clock.Advance(time.Millisecond)
 		beat("i-1", "ready", 2)
-		table.Held(before, executorcalls.Answer{ClockMs: 1000})
+		table.Held(before, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
 		Expect(call.Gone).To(BeEmpty())
 	})
@@ -163,7 +163,7 @@
 
 	It("tells an end until it is taken note of, and then lets the executor forget it", func() {
 		work, _ := table.NextHold(false)
-		table.Held(work, executorcalls.Answer{ClockMs: 1000, Ends: []executorcalls.EndRow{{Number: 1, Task: "t", Run: 1, How: "done"}}})
+		table.Held(work, executorapi.Answer{ClockMs: 1000, Ends: []executorapi.EndRow{{Number: 1, Task: "t", Run: 1, How: "done"}}})
 		told(peerapi.ExchangeAnswer{Fence: 1})
 		call, _ := table.Compose(0)
 		Expect(call.Ends).To(HaveLen(1))
@@ -177,12 +177,12 @@
 	It("tells a look of a new fence, even while an exchange of the old one is under way", func() {
 		told(peerapi.ExchangeAnswer{Fence: 1, Look: 9})
 		work, _ := table.NextHold(true)
-		table.Held(work, executorcalls.Answer{ClockMs: 1000})
+		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		old, _ := table.Compose(0)
 		told(peerapi.ExchangeAnswer{Fence: 2, Look: 3})
 		table.Told(old, clock.Steady(), &peerapi.ExchangeAnswer{Fence: 2, Look: 3})
 		work, _ = table.NextHold(true)
-		table.Held(work, executorcalls.Answer{ClockMs: 1000})
+		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
 		Expect(call.Look).To(Equal(uint64(3)))
 		Expect(call.Fence).To(Equal(uint64(2)))
--- a/internal/localproxy/proxy.go
+++ b/internal/localproxy/proxy.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/logging"
 	"gannetline/internal/mailbox"
 	"gannetline/internal/membership"
@@ -36,7 +36,7 @@
 	table    *Table
 	clock    pulse.Pulse
 	log      logging.Logger
-	executor *executorcalls.Client
+	executor *executorapi.Client
 	caller   *peerapi.Caller
 	view     func() *membership.View
 	service  string
@@ -48,7 +48,7 @@
 }
 
 // New makes a proxy for the executors of a service on this machine. It calls nobody before Run.
-func New(service, domain, name string, clock pulse.Pulse, log logging.Logger, executor *executorcalls.Client, caller *peerapi.Caller,
+func New(service, domain, name string, clock pulse.Pulse, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
 	view func() *membership.View) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
@@ -90,7 +90,7 @@
 
 // ServeHTTP takes the executor's own calls.
 func (p *Proxy) ServeHTTP(to http.ResponseWriter, request *http.Request) {
-	command, refusal := executorcalls.Decode(request)
+	command, refusal := executorapi.Decode(request)
 	if refusal.Status != 0 {
 		refusal.Write(to)
 		return
@@ -102,7 +102,7 @@
 	answer.Write(to)
 }
 
-func (p *Proxy) obey(command executorcalls.Command) response.Reply {
+func (p *Proxy) obey(command executorapi.Command) response.Reply {
 	if command.IsLeave {
 		p.table.Leave(command.Executor)
 		return response.Raw(http.StatusOK, []byte("{}"))
@@ -341,14 +341,14 @@
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
-func (p *Proxy) deliver(life span.Span, work OrderWork) (int, executorcalls.Answer, error) {
+func (p *Proxy) deliver(life span.Span, work OrderWork) (int, executorapi.Answer, error) {
 	order := work.Order
 	if order.Kind == "launch" {
-		return p.executor.Call(life, "/v1/run-start", work.Life, startLimit, executorcalls.RunStart{Task: order.Task, Run: order.Run,
+		return p.executor.Call(life, "/v1/run-start", work.Life, startLimit, executorapi.RunStart{Task: order.Task, Run: order.Run,
 			Spec: order.Spec, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Saved: order.Saved})
 	}
 	return p.executor.Call(life, "/v1/run-stop", work.Life, startLimit,
-		executorcalls.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
+		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
 
 // ResultOf names what an executor's answer to an order means.
--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -48,7 +48,7 @@
 type lifeTable struct {
 	id          string
 	sequence    int64
-	beat        executorcalls.Beat
+	beat        executorapi.Beat
 	beatAt      time.Duration
 	isDraining  bool
 	departsAt   time.Duration
@@ -130,7 +130,7 @@
 func (t *Table) now() time.Duration { return t.clock.Steady() }
 
 // Beat takes an executor's word of itself; why is set when it is refused.
-func (t *Table) Beat(id string, beat *executorcalls.Beat) (status int, why string) {
+func (t *Table) Beat(id string, beat *executorapi.Beat) (status int, why string) {
 	if beat.Service != t.service {
 		return 422, "service " + beat.Service + " is unknown on this machine"
 	}
@@ -264,7 +264,7 @@
 // HoldWork is what a hold should say now.
 type HoldWork struct {
 	Life string
-	Hold executorcalls.Hold
+	Hold executorapi.Hold
 	Look uint64
 	// BegunAt is when the hold was made up, on the steady clock.
 	BegunAt time.Duration
@@ -279,7 +279,7 @@
 	if !isLook && len(one.ends) > 0 && t.now()-one.holdAt < unackedWait {
 		return HoldWork{}, false
 	}
-	hold := executorcalls.Hold{Fence: one.fence, LastSeen: one.lastSeen}
+	hold := executorapi.Hold{Fence: one.fence, LastSeen: one.lastSeen}
 	if one.expiryMs > 0 && one.expiryMs > one.clock.clockAt(t.now()) {
 		hold.ExpiryMs = one.expiryMs
 	}
@@ -298,7 +298,7 @@
 }
 
 // HoldLimit is when a hold is given up.
-func HoldLimit(hold executorcalls.Hold) time.Duration { return pulse.Ms(hold.WaitMs) + holdSlack }
+func HoldLimit(hold executorapi.Hold) time.Duration { return pulse.Ms(hold.WaitMs) + holdSlack }
 
 // isDeaf tells whether calls to the executor fail one after the other; the holds that go on show when they do no more.
 func (t *Table) isDeaf(one *lifeTable) bool {
@@ -316,7 +316,7 @@
 func (t *Table) noteLost(one *lifeTable) { one.lostAt, one.hasLost = t.now(), true }
 
 // Held takes the answer to a hold.
-func (t *Table) Held(work HoldWork, answer executorcalls.Answer) {
+func (t *Table) Held(work HoldWork, answer executorapi.Answer) {
 	one := t.life
 	if one == nil || one.id != work.Life {
 		return
--- a/internal/modelcheck/ordermodel/executor.go
+++ b/internal/modelcheck/ordermodel/executor.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/jobs"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/peerapi"
@@ -76,7 +76,7 @@
 	expiryMs int64
 	lapses   int
 	active   []*execution
-	ends     []executorcalls.EndRow
+	ends     []executorapi.EndRow
 	endedAt  map[int64]int
 	lastEnd  int64
 	highest  map[string]int64
@@ -132,7 +132,7 @@
 // beat tells the proxy of the machine that the executor is there.
 func (e *executor) beat() {
 	e.sequence++
-	beat := &executorcalls.Beat{Service: service, State: "ready", Room: executorRoom, Labels: e.labels,
+	beat := &executorapi.Beat{Service: service, State: "ready", Room: executorRoom, Labels: e.labels,
 		ClockMs: e.clockMs(), Sequence: e.sequence}
 	if e.isDraining {
 		beat.State, beat.DepartsMs = "draining", max(1, pulse.InMs(e.departsAt-e.world.queue.now()))
@@ -213,7 +213,7 @@
 }
 
 func (e *executor) told(status int, reason string) executorReply {
-	return executorReply{status: status, answer: executorcalls.Answer{ClockMs: e.clockMs(), Reason: reason}}
+	return executorReply{status: status, answer: executorapi.Answer{ClockMs: e.clockMs(), Reason: reason}}
 }
 
 func (e *executor) raiseFence(fence uint64) bool {
@@ -224,7 +224,7 @@
 	return true
 }
 
-func (e *executor) runStart(order executorcalls.RunStart, isLate bool, answer func(executorReply)) {
+func (e *executor) runStart(order executorapi.RunStart, isLate bool, answer func(executorReply)) {
 	if !e.raiseFence(order.Fence) {
 		e.world.count("start_fenced")
 		answer(e.told(http.StatusConflict, "fence"))
@@ -264,7 +264,7 @@
 	return e.active[place]
 }
 
-func (e *executor) begin(order executorcalls.RunStart, isLate bool) {
+func (e *executor) begin(order executorapi.RunStart, isLate bool) {
 	one := &execution{task: order.Task, run: order.Run, executor: e, begunAt: e.world.queue.now(), saved: order.Saved, isStuck: e.isStuck}
 	one.place, _ = jobs.ParseTask(order.Task)
 	one.step = e.world.oracles.stepOf(one.place)
@@ -343,7 +343,7 @@
 	e.highest[one.task] = max(e.highest[one.task], one.run)
 	e.lastEnd++
 	e.endedAt[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorcalls.EndRow{Number: e.lastEnd, Task: one.task, Run: one.run, How: how, Saved: one.saved})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.run, How: how, Saved: one.saved})
 	e.world.oracles.ended(e, one, how)
 	pollers := e.pollers
 	e.pollers = nil
@@ -369,7 +369,7 @@
 	}
 }
 
-func (e *executor) runStop(order executorcalls.RunStop, answer func(executorReply)) {
+func (e *executor) runStop(order executorapi.RunStop, answer func(executorReply)) {
 	if !e.raiseFence(order.Fence) {
 		answer(e.told(http.StatusConflict, "fence"))
 		return
@@ -413,7 +413,7 @@
 	}
 }
 
-func (e *executor) hold(request executorcalls.Hold, answer func(executorReply)) {
+func (e *executor) hold(request executorapi.Hold, answer func(executorReply)) {
 	if !e.raiseFence(request.Fence) {
 		answer(e.told(http.StatusConflict, "fence"))
 		return
@@ -438,7 +438,7 @@
 }
 
 func (e *executor) forgetEnds(lastSeen int64) {
-	e.ends = slices.DeleteFunc(e.ends, func(end executorcalls.EndRow) bool {
+	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool {
 		if end.Number > lastSeen {
 			return false
 		}
@@ -460,7 +460,7 @@
 		if one.step.Lasting {
 			percent = int(e.world.queue.now()/(100*time.Millisecond)) % 100
 		}
-		reply.answer.Running = append(reply.answer.Running, executorcalls.RunningRow{Task: one.task, Run: one.run, Saved: one.saved, Percent: percent})
+		reply.answer.Running = append(reply.answer.Running, executorapi.RunningRow{Task: one.task, Run: one.run, Saved: one.saved, Percent: percent})
 	}
 	return reply
 }
--- a/internal/modelcheck/ordermodel/oracles.go
+++ b/internal/modelcheck/ordermodel/oracles.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/jobs"
 	"gannetline/internal/modelcheck"
 	"gannetline/internal/peerapi"
@@ -131,7 +131,7 @@
 func (o *oracles) isCalm() bool { return o.world.queue.now()-o.world.troubledAt > contactTime }
 
 // started is told of each run that an executor begins.
-func (o *oracles) started(executor *executor, one *execution, order executorcalls.RunStart, isLate bool) {
+func (o *oracles) started(executor *executor, one *execution, order executorapi.RunStart, isLate bool) {
 	o.world.count("start")
 	o.world.note("%s: %s run %d begins under fence %d, late %t", executor.id, one.task, one.run, order.Fence, isLate)
 	owner, facts := o.jobs[one.place.ID], o.task(one.task)
@@ -162,7 +162,7 @@
 	o.begun[lifeRun{executor.id, one.task, one.run}] = true
 }
 
-func (o *oracles) checkOrder(executor *executor, one *execution, order executorcalls.RunStart, owner *job, facts *task) {
+func (o *oracles) checkOrder(executor *executor, one *execution, order executorapi.RunStart, owner *job, facts *task) {
 	if order.Spec != owner.spec.Descriptor {
 		o.world.violate("UNASKED", "%s started with another descriptor", one.task)
 	}
@@ -290,7 +290,7 @@
 }
 
 // noted is told once last-seen reaches an end, unless the hold lapsed in between; starts made since then count against it.
-func (o *oracles) noted(executor *executor, end executorcalls.EndRow) {
+func (o *oracles) noted(executor *executor, end executorapi.EndRow) {
 	facts := o.task(end.Task)
 	place, _ := jobs.ParseTask(end.Task)
 	step := o.stepOf(place)
@@ -311,7 +311,7 @@
 	}
 }
 
-func (o *oracles) notedFailure(facts *task, end executorcalls.EndRow, step *jobs.Step, owner *job) {
+func (o *oracles) notedFailure(facts *task, end executorapi.EndRow, step *jobs.Step, owner *job) {
 	noted, lastAt := 0, time.Duration(0)
 	for place := range facts.failures {
 		if facts.failures[place].run == end.Run {
--- a/internal/modelcheck/ordermodel/plants.go
+++ b/internal/modelcheck/ordermodel/plants.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/modelcheck"
@@ -259,10 +259,10 @@
 // trustingTable takes each heartbeat for an answer of the life that it names.
 type trustingTable struct{ plantedTable }
 
-func (t *trustingTable) Beat(id string, beat *executorcalls.Beat) (int, string) {
+func (t *trustingTable) Beat(id string, beat *executorapi.Beat) (int, string) {
 	status, why := t.Table.Beat(id, beat)
 	if status == http.StatusOK {
-		t.Table.Held(localproxy.HoldWork{Life: id, BegunAt: t.proxy.world.queue.now()}, executorcalls.Answer{ClockMs: beat.ClockMs})
+		t.Table.Held(localproxy.HoldWork{Life: id, BegunAt: t.proxy.world.queue.now()}, executorapi.Answer{ClockMs: beat.ClockMs})
 	}
 	return status, why
 }
@@ -301,7 +301,7 @@
 	how string
 }
 
-func (t *lyingTable) Held(work localproxy.HoldWork, answer executorcalls.Answer) {
+func (t *lyingTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
 	for place := range answer.Ends {
 		if answer.Ends[place].How == howFailed {
 			answer.Ends[place].How = t.how
@@ -313,10 +313,10 @@
 // oldLookTable answers a hold with the list that the hold before it brought.
 type oldLookTable struct {
 	plantedTable
-	running []executorcalls.RunningRow
+	running []executorapi.RunningRow
 }
 
-func (t *oldLookTable) Held(work localproxy.HoldWork, answer executorcalls.Answer) {
+func (t *oldLookTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
 	answer.Running, t.running = t.running, answer.Running
 	t.Table.Held(work, answer)
 }
--- a/internal/modelcheck/ordermodel/proxy.go
+++ b/internal/modelcheck/ordermodel/proxy.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -27,10 +27,10 @@
 
 // proxyTable is what the model drives of a local-proxy; plants wrap it.
 type proxyTable interface {
-	Beat(id string, beat *executorcalls.Beat) (status int, why string)
+	Beat(id string, beat *executorapi.Beat) (status int, why string)
 	Leave(id string)
 	NextHold(isLook bool) (localproxy.HoldWork, bool)
-	Held(work localproxy.HoldWork, answer executorcalls.Answer)
+	Held(work localproxy.HoldWork, answer executorapi.Answer)
 	HoldFailed(work localproxy.HoldWork, isOtherLife bool)
 	Compose(waitMs int64) (*peerapi.ExchangeCall, bool)
 	Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order
@@ -298,14 +298,14 @@
 
 // executorRequest is one of the calls that an executor takes.
 type executorRequest struct {
-	start *executorcalls.RunStart
-	stop  *executorcalls.RunStop
-	hold  *executorcalls.Hold
+	start *executorapi.RunStart
+	stop  *executorapi.RunStop
+	hold  *executorapi.Hold
 }
 
 type executorReply struct {
 	status    int
-	answer    executorcalls.Answer
+	answer    executorapi.Answer
 	err       error
 	isRefused bool
 }
@@ -313,10 +313,10 @@
 func requestOf(work localproxy.OrderWork) executorRequest {
 	order := work.Order
 	if order.Kind == "launch" {
-		return executorRequest{start: &executorcalls.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
+		return executorRequest{start: &executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
 			Fence: work.Fence, Saved: order.Saved}}
 	}
-	return executorRequest{stop: &executorcalls.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence}}
+	return executorRequest{stop: &executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence}}
 }
 
 // ask calls the executor; an answer that comes after the limit is lost.
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"gannetline/internal/comparenodes"
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -46,7 +46,7 @@
 	}
 	b.join(peerapi.Member{Role: "local-proxy"})
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View})
-	executor := executorcalls.NewClient(b.meter.Client(peerapi.Client(silence, 8)), b.settings.App)
+	executor := executorapi.NewClient(b.meter.Client(peerapi.Client(silence, 8)), b.settings.App)
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View)
 	b.tree.Add("proxy", proxy.Run)
 	b.tree.Add("executor-calls", serving(control, b.meter.Handler(proxy)))
--- a/internal/scheduler/feed_test.go
+++ b/internal/scheduler/feed_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/logging"
 	"gannetline/internal/peerapi"
@@ -41,7 +41,7 @@
 	table     *localproxy.Table
 	session   uint64
 	sequence  int64
-	beat      executorcalls.Beat
+	beat      executorapi.Beat
 	saved     map[string]string
 	calls     []letter
 	answers   []returned
@@ -53,7 +53,7 @@
 	clock := pulse.NewFake(1_000_000)
 	o := &postOffice{draw: rand.New(rand.NewPCG(seed, 7)), clock: clock, saved: map[string]string{}, truth: map[[2]uint64]picture{},
 		tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}},
-		beat:   executorcalls.Beat{Service: "s", State: "ready", Room: peerapi.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
+		beat:   executorapi.Beat{Service: "s", State: "ready", Room: peerapi.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
 	o.pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &peerapi.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
@@ -102,9 +102,9 @@
 	if !isDue {
 		return
 	}
-	answer := executorcalls.Answer{ClockMs: pulse.InMs(o.clock.Steady()) + 1}
+	answer := executorapi.Answer{ClockMs: pulse.InMs(o.clock.Steady()) + 1}
 	for _, task := range slices.Sorted(maps.Keys(o.saved)) {
-		answer.Running = append(answer.Running, executorcalls.RunningRow{Task: task, Run: 1, Saved: o.saved[task]})
+		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Saved: o.saved[task]})
 	}
 	o.table.Held(work, answer)
 }
--- a/internal/stage/executor.go
+++ b/internal/stage/executor.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/jobs"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -41,7 +41,7 @@
 	fence      uint64
 	expiry     int64
 	active     []*activeRun
-	ends       []executorcalls.EndRow
+	ends       []executorapi.EndRow
 	lastEnd    int64
 	highest    map[string]int64
 	waiting    []func()
@@ -97,9 +97,9 @@
 }
 
 // Start is POST /v1/run-start.
-func (e *Executor) Start(order executorcalls.RunStart) (int, executorcalls.Answer) {
-	answer := executorcalls.Answer{ClockMs: e.ClockMs()}
-	refuse := func(why string) (int, executorcalls.Answer) { answer.Reason = why; return 409, answer }
+func (e *Executor) Start(order executorapi.RunStart) (int, executorapi.Answer) {
+	answer := executorapi.Answer{ClockMs: e.ClockMs()}
+	refuse := func(why string) (int, executorapi.Answer) { answer.Reason = why; return 409, answer }
 	if !e.raise(order.Fence) {
 		return refuse("fence")
 	}
@@ -124,7 +124,7 @@
 	return 200, answer
 }
 
-func (e *Executor) begin(order executorcalls.RunStart) {
+func (e *Executor) begin(order executorapi.RunStart) {
 	length, how := e.stage.Work(order.Task, order.Run, e)
 	length = time.Duration(float64(length) * e.Speed)
 	one := &activeRun{task: order.Task, number: order.Run, ends: e.stage.Line.Now() + length, length: length, how: how}
@@ -144,7 +144,7 @@
 	e.highest[one.task] = max(e.highest[one.task], one.number)
 	e.lastEnd++
 	e.endedIn[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorcalls.EndRow{Number: e.lastEnd, Task: one.task, Run: one.number, How: how})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.number, How: how})
 	e.stage.Judge.ended(e, one.task, how)
 	waiting := e.waiting
 	e.waiting = nil
@@ -157,8 +157,8 @@
 }
 
 // Stop is POST /v1/run-stop.
-func (e *Executor) Stop(order executorcalls.RunStop) (int, executorcalls.Answer) {
-	answer := executorcalls.Answer{ClockMs: e.ClockMs()}
+func (e *Executor) Stop(order executorapi.RunStop) (int, executorapi.Answer) {
+	answer := executorapi.Answer{ClockMs: e.ClockMs()}
 	if !e.raise(order.Fence) {
 		answer.Reason = "fence"
 		return 409, answer
@@ -178,12 +178,12 @@
 }
 
 // Hold is POST /v1/hold; the answer may wait for an end.
-func (e *Executor) Hold(hold executorcalls.Hold, answer func(int, executorcalls.Answer)) {
+func (e *Executor) Hold(hold executorapi.Hold, answer func(int, executorapi.Answer)) {
 	if !e.raise(hold.Fence) {
-		answer(409, executorcalls.Answer{ClockMs: e.ClockMs(), Reason: "fence"})
+		answer(409, executorapi.Answer{ClockMs: e.ClockMs(), Reason: "fence"})
 		return
 	}
-	e.ends = slices.DeleteFunc(e.ends, func(end executorcalls.EndRow) bool {
+	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool {
 		if end.Number <= hold.LastSeen && e.endedIn[end.Number] == e.lapses {
 			e.stage.Judge.noted(end)
 		}
@@ -207,14 +207,14 @@
 	e.stage.Line.After(pulse.Ms(hold.WaitMs), reply)
 }
 
-func (e *Executor) lists() executorcalls.Answer {
-	answer := executorcalls.Answer{ClockMs: e.ClockMs(), Ends: slices.Clone(e.ends)}
+func (e *Executor) lists() executorapi.Answer {
+	answer := executorapi.Answer{ClockMs: e.ClockMs(), Ends: slices.Clone(e.ends)}
 	for _, one := range e.active {
 		percent := 0
 		if one.length > 0 && !one.isStuck {
 			percent = int(100 - 100*(one.ends-e.stage.Line.Now())/one.length)
 		}
-		answer.Running = append(answer.Running, executorcalls.RunningRow{Task: one.task, Run: one.number, Percent: percent})
+		answer.Running = append(answer.Running, executorapi.RunningRow{Task: one.task, Run: one.number, Percent: percent})
 	}
 	return answer
 }
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/jobs"
 )
 
@@ -121,7 +121,7 @@
 	}
 }
 
-func (j *Judge) noted(end executorcalls.EndRow) {
+func (j *Judge) noted(end executorapi.EndRow) {
 	facts := j.of(end.Task)
 	if j.OnNoted != nil {
 		j.OnNoted(end.Task)
--- a/internal/stage/proxy.go
+++ b/internal/stage/proxy.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/peerapi"
 	"gannetline/internal/pulse"
@@ -61,7 +61,7 @@
 			if p.executor.isDrain {
 				state = "draining"
 			}
-			p.table.Beat(p.executor.ID, &executorcalls.Beat{Service: p.stage.service, State: state, Room: p.executor.Room,
+			p.table.Beat(p.executor.ID, &executorapi.Beat{Service: p.stage.service, State: state, Room: p.executor.Room,
 				Labels: p.executor.Labels, ClockMs: p.executor.ClockMs(), Sequence: p.sequence})
 		}
 		p.stage.Line.After(1500*time.Millisecond, func() { p.beat(life) })
@@ -76,9 +76,9 @@
 }
 
 // ask brings a call to the executor; a late one is carried out seconds after it was given up.
-func (p *Proxy) ask(executor string, limit time.Duration, serve func(answer func(int, executorcalls.Answer)), done func(int, executorcalls.Answer, bool)) {
+func (p *Proxy) ask(executor string, limit time.Duration, serve func(answer func(int, executorapi.Answer)), done func(int, executorapi.Answer, bool)) {
 	life, isOver := p.life, false
-	finish := func(status int, answer executorcalls.Answer, isAnswered bool) {
+	finish := func(status int, answer executorapi.Answer, isAnswered bool) {
 		p.enter(life, func() {
 			if !isOver {
 				isOver = true
@@ -86,7 +86,7 @@
 			}
 		})
 	}
-	p.stage.Line.After(limit, func() { finish(0, executorcalls.Answer{}, false) })
+	p.stage.Line.After(limit, func() { finish(0, executorapi.Answer{}, false) })
 	birth, wait := p.executor.birth, time.Millisecond
 	isMute := p.executor.isLate && p.stage.Line.Draw.IntN(2) == 0
 	if isMute {
@@ -97,11 +97,11 @@
 		case !p.executor.isUp:
 		case p.executor.isRefusing:
 			p.stage.Refusals++
-			finish(refused, executorcalls.Answer{}, false)
+			finish(refused, executorapi.Answer{}, false)
 		case p.executor.birth != birth || p.executor.ID != executor:
-			finish(421, executorcalls.Answer{}, true)
+			finish(421, executorapi.Answer{}, true)
 		default:
-			serve(func(status int, answer executorcalls.Answer) {
+			serve(func(status int, answer executorapi.Answer) {
 				if !isMute {
 					p.stage.Line.After(time.Millisecond, func() { finish(status, answer, true) })
 				}
@@ -115,8 +115,8 @@
 	if !isDue || p.life != life {
 		return
 	}
-	p.ask(work.Life, localproxy.HoldLimit(work.Hold), func(answer func(int, executorcalls.Answer)) { p.executor.Hold(work.Hold, answer) },
-		func(status int, answer executorcalls.Answer, isAnswered bool) {
+	p.ask(work.Life, localproxy.HoldLimit(work.Hold), func(answer func(int, executorapi.Answer)) { p.executor.Hold(work.Hold, answer) },
+		func(status int, answer executorapi.Answer, isAnswered bool) {
 			if isAnswered && status == 200 {
 				p.table.Held(work, answer)
 				return
@@ -202,8 +202,8 @@
 	if !isDue {
 		return
 	}
-	p.ask(executor, 150*time.Millisecond, func(answer func(int, executorcalls.Answer)) { answer(p.deliver(work)) },
-		func(status int, answer executorcalls.Answer, isAnswered bool) {
+	p.ask(executor, 150*time.Millisecond, func(answer func(int, executorapi.Answer)) { answer(p.deliver(work)) },
+		func(status int, answer executorapi.Answer, isAnswered bool) {
 			if isAnswered {
 				p.table.Clock(executor, answer.ClockMs)
 				p.table.Carried(work, localproxy.ResultOf(status, answer.Reason))
@@ -222,11 +222,11 @@
 		})
 }
 
-func (p *Proxy) deliver(work localproxy.OrderWork) (int, executorcalls.Answer) {
+func (p *Proxy) deliver(work localproxy.OrderWork) (int, executorapi.Answer) {
 	order := work.Order
 	if order.Kind == "launch" {
-		return p.executor.Start(executorcalls.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
+		return p.executor.Start(executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
 			Fence: work.Fence, Saved: order.Saved})
 	}
-	return p.executor.Stop(executorcalls.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
+	return p.executor.Stop(executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
