--- a/internal/gatecalls/gatecalls.go
+++ b/internal/clientapi/clientapi.go
@@ -1,5 +1,5 @@
-// Package gatecalls serves clients: Decide finds the route of a request, and the gate asks the leader of its pool.
-package gatecalls
+// Package clientapi serves clients: Decide finds the route of a request, and the gate asks the leader of its pool.
+package clientapi
 
 import (
 	"encoding/json"
--- a/internal/gatecalls/gatecalls_suite_test.go
+++ b/internal/clientapi/clientapi_suite_test.go
@@ -1,4 +1,4 @@
-package gatecalls_test
+package clientapi_test
 
 import (
 	"testing"
@@ -9,5 +9,5 @@
 
 func TestGatecalls(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "gatecalls")
+	RunSpecs(t, "clientapi")
 }
--- a/internal/gatecalls/gatecalls_test.go
+++ b/internal/clientapi/clientapi_test.go
@@ -1,4 +1,4 @@
-package gatecalls_test
+package clientapi_test
 
 import (
 	"net/http"
@@ -8,9 +8,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/clientapi"
 	"gannetline/internal/configcache"
 	"gannetline/internal/configuration"
-	"gannetline/internal/gatecalls"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/membership"
 	"gannetline/internal/metrics"
@@ -37,23 +37,23 @@
 
 var _ = Describe("the decision about a client's call", func() {
 	It("asks the owner of the entry's pool", func() {
-		decision := gatecalls.Decide(page(), request("POST", "/q/"+id), []byte(`{}`))
+		decision := clientapi.Decide(page(), request("POST", "/q/"+id), []byte(`{}`))
 		Expect(decision.Call.Key).To(Equal("pool/s"))
 		Expect(decision.Call.Verb).To(Equal("hand-in"))
 		Expect(decision.Call.Terms.MaxAttempts).To(Equal(4))
-		Expect(gatecalls.Decide(page(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal("state"))
-		Expect(gatecalls.Decide(page(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal("cancel"))
-		Expect(gatecalls.Decide(page(), request("GET", "/q/"), nil).Call.Verb).To(Equal("count"))
+		Expect(clientapi.Decide(page(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal("state"))
+		Expect(clientapi.Decide(page(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal("cancel"))
+		Expect(clientapi.Decide(page(), request("GET", "/q/"), nil).Call.Verb).To(Equal("count"))
 	})
 
 	It("goes by the time that the client has left", func() {
 		one := request("GET", "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "700")
-		Expect(gatecalls.Decide(page(), one, nil).Limit).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
+		Expect(clientapi.Decide(page(), one, nil).Limit).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
 	})
 
 	DescribeTable("refuses at once", func(method, path, text string, status int) {
-		decision := gatecalls.Decide(page(), request(method, path), []byte(text))
+		decision := clientapi.Decide(page(), request(method, path), []byte(text))
 		Expect(decision.Call).To(BeNil())
 		Expect(decision.Refusal.Status).To(Equal(status))
 	},
@@ -68,7 +68,7 @@
 		clock := pulse.NewFake(0)
 		view := func() *membership.View { return &membership.View{} }
 		pages := func() *configcache.Snapshot { return page() }
-		gate := gatecalls.New(pages, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
+		gate := clientapi.New(pages, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
 			one := request("GET", path)
@@ -84,7 +84,7 @@
 	})
 
 	DescribeTable("refuses a hand-in only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
-		Expect(gatecalls.ReplyOf(&peerapi.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
+		Expect(clientapi.ReplyOf(&peerapi.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
 	},
 		Entry("nobody was reached", leaderclient.Outcome{}, 503),
 		Entry("the first try was not answered", leaderclient.Outcome{MaySee: true}, 504),
@@ -96,8 +96,8 @@
 	It("refuses a strange count of time, and answers 503 while there is no plan", func() {
 		one := request("GET", "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "soon")
-		Expect(gatecalls.Decide(page(), one, nil).Refusal.Status).To(Equal(400))
-		none := gatecalls.Decide(nil, request("GET", "/q/"+id), nil)
+		Expect(clientapi.Decide(page(), one, nil).Refusal.Status).To(Equal(400))
+		none := clientapi.Decide(nil, request("GET", "/q/"+id), nil)
 		Expect(none.Refusal.Status).To(Equal(503))
 		Expect(none.Refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
--- a/internal/gatecalls/metrics.go
+++ b/internal/clientapi/metrics.go
@@ -1,4 +1,4 @@
-package gatecalls
+package clientapi
 
 import "gannetline/internal/metrics"
 
--- a/internal/modelcheck/ordermodel/client.go
+++ b/internal/modelcheck/ordermodel/client.go
@@ -6,7 +6,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/gatecalls"
+	"gannetline/internal/clientapi"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/membership"
 	"gannetline/internal/peerapi"
@@ -67,7 +67,7 @@
 }
 
 func (g *gate) reply(request *peerapi.ClientCall, outcome leaderclient.Outcome) clientReply {
-	told := gatecalls.ReplyOf(request, g.world.plant.outcome(outcome))
+	told := clientapi.ReplyOf(request, g.world.plant.outcome(outcome))
 	return clientReply{told.Status, string(told.Body)}
 }
 
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"gannetline/internal/clientapi"
 	"gannetline/internal/comparenodes"
 	"gannetline/internal/configcache"
-	"gannetline/internal/gatecalls"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/logging"
 	"gannetline/internal/membership"
@@ -41,7 +41,7 @@
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
 	var isLeaving atomic.Bool
 	asker := leaderclient.New(b.caller, b.clock, b.node.View)
-	server := newServer(b.meter.Handler(gatecalls.New(book.Page, asker, b.clock)))
+	server := newServer(b.meter.Handler(clientapi.New(book.Page, asker, b.clock)))
 	b.tree.Add("plan", book.Run)
 	b.tree.Add("clients", func(life span.Span) error {
 		if err := server.Serve(front); err != http.ErrServerClosed {
