--- a/internal/modelcheck/ordermodel/executor.go
+++ b/internal/modelcheck/ordermodel/executor.go
@@ -23,13 +23,15 @@
 	firstBeatTime = 300 * time.Millisecond
 	mostBeatTime  = 3 * time.Second
 
-	percentSlowBeats = 3
+	percentLateBeats = 60
 	checkpointTime   = 700 * time.Millisecond
 	gangWait         = 3 * time.Second
 	mostEndsTold     = 500
 	percentLate      = 50
 	percentBusy      = 60
 	longMs           = 8000
+	// hopelessMs is the estimate of the tasks that fail every time.
+	hopelessMs = 250
 )
 
 // execution is a run that an executor has begun.
@@ -52,6 +54,7 @@
 type executor struct {
 	world       *world
 	machine     string
+	labels      []string
 	proxy       *proxy
 	id          string
 	incarnation int
@@ -66,7 +69,7 @@
 	slowness int64
 	sequence int64
 
-	isLate, isMute, isBusy, isRefusing, isStuck bool
+	isLate, isMute, isBusy, isRefusing, isStuck, isBeatLate bool
 
 	waiting  []func()
 	fence    uint64
@@ -129,13 +132,13 @@
 // beat tells the proxy of the machine that the executor is there.
 func (e *executor) beat() {
 	e.sequence++
-	beat := &executorcalls.Beat{Service: service, State: "ready", Room: executorRoom, Labels: []string{"zone", "rack-" + e.machine},
+	beat := &executorcalls.Beat{Service: service, State: "ready", Room: executorRoom, Labels: e.labels,
 		ClockMs: e.clockMs(), Sequence: e.sequence}
 	if e.isDraining {
 		beat.State, beat.DepartsMs = "draining", max(1, pulse.InMs(e.departsAt-e.world.queue.now()))
 	}
 	id, proxy, wait := e.id, e.proxy, localHop
-	if e.world.queue.chance(percentSlowBeats) {
+	if e.isBeatLate && e.world.queue.chance(percentLateBeats) {
 		e.world.count("beat_late")
 		wait = e.world.queue.between(localHop, mostBeatTime)
 	}
@@ -484,7 +487,7 @@
 	}
 	hash ^= hash >> 29
 	how := howDone
-	if hash%100 < percentFailing {
+	if hash%100 < percentFailing || step.EstimatedMs == hopelessMs {
 		how = howFailed
 	}
 	length := 50 + (hash/100)%700
--- a/internal/replication/world_test.go
+++ b/internal/replication/world_test.go
@@ -156,8 +156,8 @@
 	cut     map[string]bool
 	// oneWay holds the links that carry nothing, as "from>to".
 	oneWay map[string]bool
-	// late is the longest time by which a doubled or delayed call comes late, if there is one.
-	late time.Duration
+	// late holds the nodes whose calls, there and from there, may come seconds late.
+	late map[string]bool
 	// bytesPerMs limits what a node sends; 0 is no limit. sentUntil is when a node's link is free again.
 	bytesPerMs int
 	sentUntil  map[string]time.Duration
@@ -186,7 +186,7 @@
 // newWorldBearing has keys that must survive the loss of so many disks at once.
 func newWorldBearing(losses int, seed uint64, names ...string) *world {
 	w := &world{losses: losses, clock: pulse.NewFake(1_000_000), draw: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{},
-		oneWay: map[string]bool{}, sentUntil: map[string]time.Duration{}, wipedAt: -time.Hour, acked: map[string]string{}, owners: map[uint64]string{}}
+		oneWay: map[string]bool{}, late: map[string]bool{}, sentUntil: map[string]time.Duration{}, wipedAt: -time.Hour, acked: map[string]string{}, owners: map[uint64]string{}}
 	for _, name := range names {
 		w.add(name)
 	}
@@ -250,6 +250,19 @@
 	return nil
 }
 
+// route is where a call to a disk goes: to its node, also when that came back with another disk at the same address.
+func (w *world) route(disk string) *node {
+	if one := w.byDisk(disk); one != nil {
+		return one
+	}
+	for _, one := range w.nodes {
+		if slices.Contains(one.past, disk) {
+			return one
+		}
+	}
+	return nil
+}
+
 func (w *world) post(wait time.Duration, run func()) {
 	w.letters = append(w.letters, letter{w.clock.Steady() + wait, run})
 }
@@ -335,8 +348,8 @@
 	}
 	for range times {
 		late := time.Duration(w.draw.IntN(times)) * 20 * time.Millisecond
-		if w.late > 0 && w.draw.IntN(8) == 0 {
-			late = time.Duration(w.draw.Int64N(int64(w.late)))
+		if (w.late[from.name] || w.late[to.name]) && w.draw.IntN(2) == 0 {
+			late = time.Duration(w.draw.IntN(2500)) * time.Millisecond
 		}
 		w.post(w.transit()+w.sending(from, to, bytes)+late, func() {
 			w.arrive(from, to, func() {
@@ -367,7 +380,7 @@
 	if call.PreVote {
 		r.node.world.trials++
 	}
-	to := r.node.world.byDisk(disk)
+	to := r.node.world.route(disk)
 	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(peerapi.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
 }
 
@@ -375,7 +388,7 @@
 	if call.Snapshot != nil && disk != r.node.disk.name {
 		r.node.world.wholes++
 	}
-	to := r.node.world.byDisk(disk)
+	to := r.node.world.route(disk)
 	if call.Chunk != nil {
 		r.node.world.pieces = append(r.node.world.pieces, call.Chunk.Number)
 	}
@@ -405,7 +418,7 @@
 }
 
 func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
-	to := r.node.world.byDisk(disk)
+	to := r.node.world.route(disk)
 	carrySized(r.node.world, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(peerapi.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			if to.isOld {
@@ -486,6 +499,7 @@
 	for _, one := range w.nodes {
 		if one.isUp && one.machine.tenure != nil && one.machine.tenure.HasLease() {
 			holders = append(holders, one.name)
+			w.checkVouched(one)
 		}
 	}
 	if len(holders) > 1 {
@@ -493,6 +507,17 @@
 	}
 }
 
+// checkVouched looks whether a majority of a leader's voters would refuse any other now; those that are down or gone do.
+func (w *world) checkVouched(leader *node) {
+	refuses := func(disk string) bool {
+		voter := w.byDisk(disk)
+		return voter == nil || !voter.isUp || voter.clock.Steady() < voter.replicas.Status(key).LeaseEnd
+	}
+	if set := leader.engine.Belief().Set; !replication.Agreed(set, refuses) {
+		w.problem("%s counts on a lease that no majority of %v has granted", leader.name, set)
+	}
+}
+
 func (w *world) run(length time.Duration) {
 	for range length / time.Millisecond {
 		w.step()
