--- a/internal/scheduler/records_easyjson.go
+++ b/internal/scheduler/records_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner(in *jlexer.Lexer, out *timeRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler(in *jlexer.Lexer, out *timeRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -47,7 +47,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner(out *jwriter.Writer, in timeRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler(out *jwriter.Writer, in timeRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -62,27 +62,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v timeRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v timeRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *timeRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *timeRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler(l, v)
 }
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner1(in *jlexer.Lexer, out *taskRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler1(in *jlexer.Lexer, out *taskRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -157,7 +157,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner1(out *jwriter.Writer, in taskRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler1(out *jwriter.Writer, in taskRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -222,27 +222,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v taskRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner1(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v taskRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner1(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *taskRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner1(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *taskRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner1(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler1(l, v)
 }
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner2(in *jlexer.Lexer, out *stateRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler2(in *jlexer.Lexer, out *stateRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -290,7 +290,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner2(out *jwriter.Writer, in stateRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler2(out *jwriter.Writer, in stateRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -320,27 +320,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v stateRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner2(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v stateRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner2(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *stateRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner2(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *stateRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner2(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler2(l, v)
 }
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner3(in *jlexer.Lexer, out *runRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler3(in *jlexer.Lexer, out *runRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -382,7 +382,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner3(out *jwriter.Writer, in runRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler3(out *jwriter.Writer, in runRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -407,27 +407,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v runRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner3(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v runRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner3(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *runRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner3(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *runRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner3(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler3(l, v)
 }
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner4(in *jlexer.Lexer, out *orderRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler4(in *jlexer.Lexer, out *orderRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -457,7 +457,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner4(out *jwriter.Writer, in orderRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler4(out *jwriter.Writer, in orderRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -472,27 +472,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v orderRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner4(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v orderRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner4(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *orderRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner4(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *orderRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner4(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler4(l, v)
 }
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner5(in *jlexer.Lexer, out *jobRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler5(in *jlexer.Lexer, out *jobRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -540,7 +540,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner5(out *jwriter.Writer, in jobRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler5(out *jwriter.Writer, in jobRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -570,27 +570,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v jobRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner5(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v jobRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner5(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *jobRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner5(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *jobRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner5(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler5(l, v)
 }
-func easyjsonAf922c28DecodeGannetlineInternalPoolowner6(in *jlexer.Lexer, out *executorRecord) {
+func easyjsonAf922c28DecodeGannetlineInternalScheduler6(in *jlexer.Lexer, out *executorRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -620,7 +620,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeGannetlineInternalPoolowner6(out *jwriter.Writer, in executorRecord) {
+func easyjsonAf922c28EncodeGannetlineInternalScheduler6(out *jwriter.Writer, in executorRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -635,23 +635,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v executorRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner6(&w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v executorRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeGannetlineInternalPoolowner6(w, v)
+	easyjsonAf922c28EncodeGannetlineInternalScheduler6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *executorRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner6(&r, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *executorRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeGannetlineInternalPoolowner6(l, v)
+	easyjsonAf922c28DecodeGannetlineInternalScheduler6(l, v)
 }
