--- a/internal/modelcheck/ordermodel/plants.go
+++ b/internal/modelcheck/ordermodel/plants.go
@@ -5,12 +5,12 @@
 	"net/http"
 	"time"
 
-	"gannetline/internal/executorcalls"
+	"gannetline/internal/executorapi"
 	"gannetline/internal/leaderclient"
 	"gannetline/internal/localproxy"
 	"gannetline/internal/modelcheck"
 	"gannetline/internal/peerapi"
-	"gannetline/internal/poolowner"
+	"gannetline/internal/scheduler"
 )
 
 // plant puts one fault into the system by wrapping what the model drives; the zero plant changes nothing.
@@ -72,7 +72,7 @@
 	return outcome
 }
 
-func (p plant) tenure(fresh *leadership) poolowner.Tenure {
+func (p plant) tenure(fresh *leadership) scheduler.Tenure {
 	switch p.name {
 	case plantCancelForgotten:
 		return forgetfulTenure{fresh}
@@ -116,7 +116,7 @@
 
 func (t boldTenure) HasLease() bool { return t.isOpen }
 
-func (p plant) scheduler(pool scheduler) scheduler {
+func (p plant) scheduler(pool poolLeader) poolLeader {
 	if p.name == plantLastSeenEarly {
 		return hastyScheduler{pool}
 	}
@@ -124,14 +124,14 @@
 }
 
 // hastyScheduler acknowledges whatever ends a call brings.
-type hastyScheduler struct{ scheduler }
+type hastyScheduler struct{ poolLeader }
 
 func (s hastyScheduler) Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
 	seen := int64(0)
 	if len(call.Ends) > 0 {
 		seen = call.Ends[len(call.Ends)-1].Number
 	}
-	s.scheduler.Exchange(call, func(told peerapi.ExchangeAnswer) {
+	s.poolLeader.Exchange(call, func(told peerapi.ExchangeAnswer) {
 		if told.Fence > 0 && !told.Elsewhere {
 			told.LastSeen = max(told.LastSeen, seen)
 		}
@@ -259,10 +259,10 @@
 // trustingTable takes each heartbeat for an answer of the life that it names.
 type trustingTable struct{ plantedTable }
 
-func (t *trustingTable) Beat(id string, beat *executorcalls.Beat) (int, string) {
+func (t *trustingTable) Beat(id string, beat *executorapi.Beat) (int, string) {
 	status, why := t.Table.Beat(id, beat)
 	if status == http.StatusOK {
-		t.Table.Held(localproxy.HoldWork{Life: id, BegunAt: t.proxy.world.queue.now()}, executorcalls.Answer{ClockMs: beat.ClockMs})
+		t.Table.Held(localproxy.HoldWork{Life: id, BegunAt: t.proxy.world.queue.now()}, executorapi.Answer{ClockMs: beat.ClockMs})
 	}
 	return status, why
 }
@@ -301,7 +301,7 @@
 	how string
 }
 
-func (t *lyingTable) Held(work localproxy.HoldWork, answer executorcalls.Answer) {
+func (t *lyingTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
 	for place := range answer.Ends {
 		if answer.Ends[place].How == howFailed {
 			answer.Ends[place].How = t.how
@@ -313,10 +313,10 @@
 // oldLookTable answers a hold with the list that the hold before it brought.
 type oldLookTable struct {
 	plantedTable
-	running []executorcalls.RunningRow
+	running []executorapi.RunningRow
 }
 
-func (t *oldLookTable) Held(work localproxy.HoldWork, answer executorcalls.Answer) {
+func (t *oldLookTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
 	answer.Running, t.running = t.running, answer.Running
 	t.Table.Held(work, answer)
 }
