--- a/internal/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/modelcheck/controlmodel/controlmodel_test.go
@@ -50,6 +50,12 @@
 		})
 	}
 
+	It("breaks no invariant under a schedule that once left a leader without a vote of its own", func() {
+		schedule, err := modelcheck.Load("testdata/leader-voted-out.json")
+		Expect(err).NotTo(HaveOccurred())
+		Expect(controlmodel.New().Run(schedule).Violations).To(BeEmpty())
+	})
+
 	It("gives the same outcome for a schedule each time, and the same finding for any number of workers", func() {
 		model := controlmodel.New()
 		for number := range uint64(20) {
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"slices"
 	"time"
 
 	"gannetline/internal/peerapi"
@@ -76,13 +77,25 @@
 	if !e.isLeaving || !isLeading || len(e.waiting) > 0 && e.clock.Steady() < e.leaveBy {
 		return
 	}
+	e.releaseToFurthest("leaving in order")
+}
+
+// releaseToFurthest gives the key back and names the voter that holds most as successor, if any may succeed.
+func (e *Engine) releaseToFurthest(why string) {
 	successor := ""
 	if best := e.furthest(); best != nil {
 		successor = best.disk
 	} else {
 		e.log.Info("no follower that has caught up can take the key over", "key", e.key, "epoch", e.epoch)
 	}
-	e.release("leaving in order", successor)
+	e.release(why, successor)
+}
+
+// isVotedOut tells whether the committed voters are without this leader's own disk, as when it was elected by those of a
+// change that was replacing it. It sends its own disk nothing any more, and so has no snapshot for others.
+func (e *Engine) isVotedOut() bool {
+	isSettled := len(e.set.Old) == 0 && e.setIndex <= e.committed
+	return e.phase == phaseLeading && isSettled && !slices.Contains(e.set.Now, e.disk)
 }
 
 // furthest is the follower among the voters that holds most of what this leader has proposed, if any may succeed it.
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -16,6 +16,10 @@
 		return
 	}
 	now := e.clock.Steady()
+	if e.isVotedOut() {
+		e.releaseToFurthest("its disk is no longer a voter")
+		return
+	}
 	for _, to := range e.inOrder() {
 		isDue := now-to.sentAt >= e.timing.Heartbeat
 		switch {
