--- a/internal/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/modelcheck/controlmodel/controlmodel_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"path/filepath"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -50,11 +51,18 @@
 		})
 	}
 
-	It("breaks no invariant under a schedule that once left a leader without a vote of its own", func() {
-		schedule, err := modelcheck.Load("testdata/leader-voted-out.json")
+	DescribeTable("breaks no invariant under a schedule that once did", func(file string) {
+		schedule, err := modelcheck.Load(filepath.Join("testdata", file))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(controlmodel.New().Run(schedule).Violations).To(BeEmpty())
-	})
+	},
+		Entry("two leases at once, by a heartbeat of an old leader", "old-leader-takes-lease.json"),
+		Entry("no leader after a planned replacement and a wipe", "planned-replacement-then-wipe.json"),
+		Entry("a leader behind its own log after its disk stalled", "leaders-own-disk-stalled.json"),
+		Entry("a leader that spins, as its own replica is behind", "leader-spins-when-its-own-replica-is-behind.json"),
+		Entry("a voter gone during the change that replaces it", "leaver-goes-during-joint-change.json"),
+		Entry("a leader without a vote of its own", "leader-voted-out.json"),
+	)
 
 	It("gives the same outcome for a schedule each time, and the same finding for any number of workers", func() {
 		model := controlmodel.New()
--- a/internal/replication/lease_test.go
+++ b/internal/replication/lease_test.go
@@ -34,6 +34,20 @@
 		Expect(isGranted).To(BeFalse())
 	})
 
+	It("is not taken over by a heartbeat of a leader before, nor is its disk promised anything meanwhile", func() {
+		table := newTable(pulse.NewFake(1))
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Owner: "c"}, func(peerapi.AppendAnswer) {})
+		var late peerapi.AppendAnswer
+		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Owner: "a"}, func(answer peerapi.AppendAnswer) { late = answer })
+		Expect(late.Taken).To(BeFalse())
+		Expect(late.Promised).To(Equal(uint64(3)))
+		isGranted := true
+		table.Promise(peerapi.PromiseCall{Key: key, Epoch: 4, Disk: "disk-a", PreVote: true}, func(answer peerapi.PromiseAnswer) {
+			isGranted = answer.Granted
+		})
+		Expect(isGranted).To(BeFalse())
+	})
+
 	for _, rates := range [][]int64{{-10, 10, 10}, {10, -10, -10}} {
 		It(fmt.Sprintf("is over for its leader before it is over for the voter, at clock rates of %v per mille", rates), func() {
 			for seed := range uint64(12) {
