--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -17,17 +17,13 @@
 // peerStore keeps addresses of peers on disk.
 type peerStore interface {
 	SavePeers(addresses []string) error
-	Peers() ([]string, error)
 }
 
 // savePeers keeps the control addresses of live stewards on disk, so that a steward that restarts finds the others
-// even where its settings name only seeds that are down, cut off or gone. Failures are logged and tried again.
-func (b *base) savePeers(store peerStore) func(span.Span) error {
+// even where its settings name only seeds that are down, cut off or gone. It begins with the addresses
+// that are saved already. Failures are logged and tried again.
+func (b *base) savePeers(store peerStore, saved []string) func(span.Span) error {
 	return func(life span.Span) error {
-		saved, err := store.Peers()
-		if err != nil {
-			b.log.Error(err, "the addresses of peers could not be read")
-		}
 		for {
 			select {
 			case <-life.Done():
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -41,7 +41,8 @@
 	defer kept.close()
 	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
-	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead), membership.WithKnownPeers(kept.peers(b.log)))
+	knownPeers := kept.peers(b.log)
+	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead), membership.WithKnownPeers(knownPeers))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
 	if err != nil {
 		return errors.Annotate(err, "field queue-rules")
@@ -61,7 +62,7 @@
 	outer.Handle("/v1/configuration/", controlapi.Handler(leaderclient.New(b.caller, b.clock, b.node.View)))
 	outer.Handle(peerapi.Prefix, b.inner)
 	if kept.store != nil {
-		b.tree.Add("known-peers", b.savePeers(kept.store))
+		b.tree.Add("known-peers", b.savePeers(kept.store, knownPeers))
 		b.tree.Add("replicas", func(life span.Span) error {
 			kept.replicas.Box().Run(life, b.clock, mailbox.Owner{Every: time.Minute})
 			return nil
