--- a/internal/localproxy/table.go
+++ b/internal/localproxy/table.go
@@ -33,6 +33,15 @@
 	kind string
 }
 
+func keyOf(order peerapi.Order) orderKey { return orderKey{order.Task, order.Run, order.Kind} }
+
+// givenOrder is an order on its way to the executor: the fence of the leader that gave it last, and the reading of the
+// executor's clock, in milliseconds, up to which a start may be carried out by the grant that came with it.
+type givenOrder struct {
+	fence   uint64
+	limitMs int64
+}
+
 type runKey struct {
 	task string
 	run  int64
@@ -68,10 +77,8 @@
 	lookTold    uint64
 	lookRunning []peerapi.RunReport
 	answers     []givenAnswer
-	busy        map[orderKey]uint64
-	// limits are how long each start may still be carried out, by the grant that came with it.
-	limits map[orderKey]int64
-	unsure map[runKey]bool
+	busy        map[orderKey]givenOrder
+	unsure      map[runKey]bool
 	// isUnsureOfAll is set once more runs are in doubt than are remembered by name.
 	isUnsureOfAll bool
 	toldAt        time.Duration
@@ -182,7 +189,7 @@
 	next := t.known(id)
 	if next == nil {
 		t.log.Info("an executor's life begins", "executor", id)
-		next = &lifeTable{id: id, busy: map[orderKey]uint64{}, limits: map[orderKey]int64{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
+		next = &lifeTable{id: id, busy: map[orderKey]givenOrder{}, unsure: map[runKey]bool{}, feed: newFeed(t.session), busyAt: t.now()}
 	}
 	t.others = slices.DeleteFunc(t.others, func(other *lifeTable) bool { return other == next })
 	if t.life != nil {
@@ -483,14 +490,15 @@
 func (t *Table) accept(one *lifeTable, orders []peerapi.Order, limit int64) []peerapi.Order {
 	kept := orders[:0]
 	for _, order := range orders {
-		key := orderKey{order.Task, order.Run, order.Kind}
-		_, isBusy := one.busy[key]
-		one.busy[key] = one.fence
+		key := keyOf(order)
+		given, isBusy := one.busy[key]
+		given.fence = one.fence
 		if !isBusy {
 			one.busyAt = t.now()
-			one.limits[key] = limit
+			given.limitMs = limit
 			kept = append(kept, order)
 		}
+		one.busy[key] = given
 	}
 	return kept
 }
@@ -509,18 +517,19 @@
 	one := t.life
 	if one == nil || one.id != lifeID {
 		if other := t.known(lifeID); other != nil {
-			delete(other.busy, orderKey{order.Task, order.Run, order.Kind})
+			delete(other.busy, keyOf(order))
 		}
 		return OrderWork{}, false
 	}
-	if given, isBusy := one.busy[orderKey{order.Task, order.Run, order.Kind}]; isBusy && given != one.fence {
-		delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
+	given, isBusy := one.busy[keyOf(order)]
+	if isBusy && given.fence != one.fence {
+		delete(one.busy, keyOf(order))
 		return OrderWork{}, false
 	}
 	work := OrderWork{Life: lifeID, Order: order, Fence: one.fence, ExpiryMs: one.expiryMs}
 	if order.Kind != "launch" {
 		if t.isDeaf(one) {
-			delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
+			delete(one.busy, keyOf(order))
 			return work, false
 		}
 		return work, true
@@ -533,11 +542,11 @@
 		t.Carried(work, one.whileDeaf(order))
 		return work, false
 	}
-	if limit, isLimited := one.limits[orderKey{order.Task, order.Run, order.Kind}]; isLimited {
-		work.ExpiryMs = min(work.ExpiryMs, limit)
+	if isBusy {
+		work.ExpiryMs = min(work.ExpiryMs, given.limitMs)
 	}
 	if work.ExpiryMs < one.clock.clockAt(t.now())+400 {
-		delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
+		delete(one.busy, keyOf(order))
 		return work, false
 	}
 	return work, true
@@ -593,8 +602,7 @@
 		return
 	}
 	order, place := work.Order, runKey{work.Order.Task, work.Order.Run}
-	delete(one.busy, orderKey{order.Task, order.Run, order.Kind})
-	delete(one.limits, orderKey{order.Task, order.Run, order.Kind})
+	delete(one.busy, keyOf(order))
 	if order.Kind == "launch" && one.isUnsureOf(place) && result != "ok" && result != "timeout" {
 		result = "unsure"
 	}
