--- a/tools/play-days.sh
+++ b/tools/play-days.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of days/ on sites of the bench and sums up. Every figure it prints is simulated.
+# Plays the days of days/ on sites of the bench and sums up. Every figure it prints is simulated. It is run
+# at the root of the repository, as the bench is; every play leaves an entry in journal/.
 #
 #   FLEETBENCH=PATH tools/play-days.sh [-d DAY]... [-s SEED]... [-j N] [-o DIR] [-w WHY] SITE...
 #
