--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -22,7 +22,14 @@
 )
 
 func main() {
-	app := &cli.Command{
+	if err := newApplication().Run(span.Root(), os.Args); err != nil {
+		os.Exit(report(err))
+	}
+}
+
+// newApplication has a command for each role and each tool.
+func newApplication() *cli.Command {
+	return &cli.Command{
 		Name:  "gannetline",
 		Usage: "a cluster scheduler for jobs",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`", Value: settings.Path()}},
@@ -45,9 +52,6 @@
 		},
 		ExitErrHandler: func(span.Span, *cli.Command, error) {},
 	}
-	if err := app.Run(span.Root(), os.Args); err != nil {
-		os.Exit(report(err))
-	}
 }
 
 // report prints an error, if it says anything, and gives the exit code.
--- /dev/null
+++ b/internal/configowner/stored_data_test.go
@@ -0,0 +1,37 @@
+package configowner_test
+
+import (
+	"os"
+	"strings"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/configowner"
+	"gannetline/internal/logging"
+	"gannetline/internal/peerapi"
+)
+
+var _ = Describe("a configuration that an earlier version kept", func() {
+	It("is in force again, with its confirmed versions", func() {
+		text, err := os.ReadFile("testdata/configuration-records.txt")
+		Expect(err).NotTo(HaveOccurred())
+		kept := map[string][]byte{}
+		for line := range strings.Lines(string(text)) {
+			name, value, hasValue := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+			Expect(hasValue).To(BeTrue())
+			kept[name] = []byte(value)
+		}
+		var published *peerapi.Configuration
+		leader := configowner.New(logging.Silent(), func(next *peerapi.Configuration) { published = next })
+		Expect(leader.Open(&scripted{hasLease: true}, pairsOf(kept))).To(Succeed())
+		Expect(published.Version).To(BeEquivalentTo(2))
+		Expect(published.InitialVoters).To(HaveLen(1))
+		var answer peerapi.ClientAnswer
+		leader.Retrieve(func(given peerapi.ClientAnswer) { answer = given })
+		Expect(answer.Status).To(Equal(200))
+		Expect(string(answer.Body)).To(ContainSubstring(`"name":"second"`))
+		leader.Replace(&peerapi.ClientCall{Base: 1, Body: answer.Body}, func(given peerapi.ClientAnswer) { answer = given })
+		Expect(answer.Status).To(Equal(200), "the confirmed version is sent again")
+	})
+})
--- /dev/null
+++ b/internal/configuration/golden_test.go
@@ -0,0 +1,21 @@
+package configuration_test
+
+import (
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/configuration"
+	"gannetline/internal/testsupport/golden"
+)
+
+var _ = DescribeTable("the names of the configuration's fields are kept",
+	func(name string, empty golden.Message) {
+		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
+	},
+	Entry("route", "route", &configuration.Route{}),
+	Entry("service", "service", &configuration.Service{}),
+	Entry("limits", "limits", &configuration.Limits{}),
+	Entry("configuration", "configuration", &configuration.Configuration{}),
+)
--- /dev/null
+++ b/internal/executorapi/golden_test.go
@@ -0,0 +1,22 @@
+package executorapi_test
+
+import (
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/executorapi"
+	"gannetline/internal/testsupport/golden"
+)
+
+var _ = DescribeTable("the form of calls to and from executors is kept",
+	func(name string, empty golden.Message) {
+		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
+	},
+	Entry("beat", "beat", &executorapi.Beat{}),
+	Entry("run-start", "run-start", &executorapi.RunStart{}),
+	Entry("run-stop", "run-stop", &executorapi.RunStop{}),
+	Entry("hold", "hold", &executorapi.Hold{}),
+	Entry("answer", "answer", &executorapi.Answer{}),
+)
--- /dev/null
+++ b/internal/jobs/golden_test.go
@@ -0,0 +1,19 @@
+package jobs_test
+
+import (
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/jobs"
+	"gannetline/internal/testsupport/golden"
+)
+
+var _ = DescribeTable("the form of a job as clients submit it is kept",
+	func(name string, empty golden.Message) {
+		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
+	},
+	Entry("step", "step", &jobs.Step{}),
+	Entry("spec", "spec", &jobs.Spec{}),
+)
--- /dev/null
+++ b/internal/scheduler/golden_test.go
@@ -0,0 +1,24 @@
+package scheduler
+
+import (
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/testsupport/golden"
+)
+
+var _ = DescribeTable("the form of a pool's records is kept",
+	func(name string, empty golden.Message) {
+		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
+	},
+	Entry("job-record", "job-record", &jobRecord{}),
+	Entry("state-record", "state-record", &stateRecord{}),
+	Entry("run-record", "run-record", &runRecord{}),
+	Entry("task-record", "task-record", &taskRecord{}),
+	Entry("order-record", "order-record", &orderRecord{}),
+	Entry("executor-record", "executor-record", &executorRecord{}),
+	Entry("renounced-record", "renounced-record", &renouncedRecord{}),
+	Entry("time-record", "time-record", &timeRecord{}),
+)
--- /dev/null
+++ b/internal/scheduler/stored_data_test.go
@@ -0,0 +1,54 @@
+package scheduler_test
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/logging"
+	"gannetline/internal/peerapi"
+	"gannetline/internal/pulse"
+	"gannetline/internal/scheduler"
+	"gannetline/internal/testsupport/golden"
+)
+
+// storedRecords reads records as a pool of an earlier version kept them: a name, a tab and the value on each line.
+func storedRecords(path string) []peerapi.Op {
+	text, err := os.ReadFile(path)
+	Expect(err).NotTo(HaveOccurred())
+	var records []peerapi.Op
+	for line := range strings.Lines(string(text)) {
+		name, value, hasValue := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		Expect(hasValue).To(BeTrue())
+		records = append(records, peerapi.Op{Name: name, Value: []byte(value)})
+	}
+	return records
+}
+
+var _ = Describe("a pool that an earlier version kept", func() {
+	It("is taken over with all jobs and runs", func() {
+		clock := pulse.NewFake(1796206542000)
+		leadership := &scripted{clock: clock, epoch: 1 << 40, hasLease: true, kept: map[string][]byte{}}
+		pool := scheduler.New("pool/demo", clock, timing, logging.Silent())
+		pool.Open(leadership, storedRecords("testdata/pool-records.txt"))
+		pool.Settle()
+		clock.Advance(100 * time.Millisecond)
+		pool.Tick()
+		Expect(pool.Unreadable()).To(BeEmpty())
+		jobs, executors := pool.Beliefs()
+		slices.SortFunc(jobs, func(a, b peerapi.JobBelief) int { return strings.Compare(a.ID, b.ID) })
+		var contents strings.Builder
+		for _, job := range jobs {
+			fmt.Fprintf(&contents, "job %s %s %s\n", job.Key, job.ID, job.State)
+		}
+		for _, executor := range executors {
+			fmt.Fprintf(&contents, "executor %s %s %s %d\n", executor.Key, executor.Life, executor.State, executor.Running)
+		}
+		Expect(golden.CheckText("testdata/pool-state.txt", contents.String())).To(Succeed())
+	})
+})
