--- a/cmd/gannetline/check.go
+++ b/cmd/gannetline/check.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/configuration"
-	"gannetline/internal/settings"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/platform/settings"
 	"gannetline/internal/span"
 )
 
--- a/cmd/gannetline/compare.go
+++ b/cmd/gannetline/compare.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/span"
 )
 
--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -10,11 +10,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/hollow"
-	"gannetline/internal/logging"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/transportmetrics"
 	"gannetline/internal/roles"
+	"gannetline/internal/simulation/hollow"
 	"gannetline/internal/span"
-	"gannetline/internal/transportmetrics"
 )
 
 // longestProfile is in seconds.
--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -8,8 +8,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"gannetline/internal/platform/settings"
 	"gannetline/internal/roles"
-	"gannetline/internal/settings"
 	"gannetline/internal/span"
 )
 
--- a/cmd/gannetline/metrics.go
+++ b/cmd/gannetline/metrics.go
@@ -9,9 +9,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
--- a/cmd/gannetline/metrics_test.go
+++ b/cmd/gannetline/metrics_test.go
@@ -13,10 +13,10 @@
 	. "github.com/onsi/gomega"
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/membership"
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
--- a/cmd/gannetline/rehearse.go
+++ b/cmd/gannetline/rehearse.go
@@ -6,8 +6,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/recording"
-	"gannetline/internal/rehearsal"
+	"gannetline/internal/scheduling/recording"
+	"gannetline/internal/simulation/rehearsal"
 	"gannetline/internal/span"
 )
 
--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -13,9 +13,9 @@
 	"github.com/juju/errors"
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/modelcheck"
-	"gannetline/internal/modelcheck/controlmodel"
-	"gannetline/internal/modelcheck/ordermodel"
+	"gannetline/internal/simulation/modelcheck"
+	"gannetline/internal/simulation/modelcheck/controlmodel"
+	"gannetline/internal/simulation/modelcheck/ordermodel"
 	"gannetline/internal/span"
 )
 
--- a/cmd/scale-run/main.go
+++ b/cmd/scale-run/main.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/procfs"
 	"github.com/urfave/cli/v3"
 
-	"gannetline/internal/scalerun"
+	"gannetline/internal/simulation/scalerun"
 	"gannetline/internal/span"
 )
 
--- a/internal/comparenodes/ask.go
+++ b/internal/cluster/comparenodes/ask.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/span"
 )
 
--- a/internal/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // Difference is one thing that two nodes believe differently.
--- a/internal/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/peerapi"
 )
 
 func node(name string, plan int64) *peerapi.BeliefsAnswer {
--- a/internal/comparenodes/serve.go
+++ b/internal/cluster/comparenodes/serve.go
@@ -4,9 +4,9 @@
 import (
 	"net/http"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/span"
 )
 
--- a/internal/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 	"gannetline/internal/span"
 )
 
@@ -40,13 +40,13 @@
 var _ = Describe("a cache", func() {
 	var peer *scriptedPeer
 	var cache *configcache.Cache
-	var clock *pulse.Fake
+	var fakeClock *clock.Fake
 	var inForce chan int64
 	old := fact(3, body(3, routes(40)...))
 	next := fact(5, body(5, append(routes(39), route("x", 1))...))
 	BeforeEach(func() {
-		peer, clock, inForce = newScriptedPeer(), pulse.NewFake(1), make(chan int64, 9)
-		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, logging.Silent(),
+		peer, fakeClock, inForce = newScriptedPeer(), clock.NewFake(1), make(chan int64, 9)
+		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), fakeClock, logging.Silent(),
 			func(page *configcache.Snapshot) { inForce <- page.Fact.Version })
 		life, end := span.Cancellable(span.Root())
 		DeferCleanup(end)
@@ -111,7 +111,7 @@
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		Expect(peer.calls).To(BeEmpty())
-		clock.Advance(250 * time.Millisecond)
+		fakeClock.Advance(250 * time.Millisecond)
 		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 5)
 		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
 		peer.tell <- &peerapi.ConfigurationAnswer{}
--- a/internal/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -8,11 +8,11 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/configuration"
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
 )
 
@@ -40,7 +40,7 @@
 	mailbox  *mailbox.Mailbox
 	current  atomic.Pointer[Snapshot]
 	caller   *peerapi.Caller
-	clock    pulse.Pulse
+	clock    clock.Pulse
 	log      logging.Logger
 	onChange func(*Snapshot)
 	fetcher  *Fetcher
@@ -49,7 +49,7 @@
 }
 
 // New makes a cache; onChange is told of each version that comes into force, on the goroutine that owns the cache.
-func New(caller *peerapi.Caller, clock pulse.Pulse, log logging.Logger, onChange func(*Snapshot)) *Cache {
+func New(caller *peerapi.Caller, clock clock.Pulse, log logging.Logger, onChange func(*Snapshot)) *Cache {
 	cache := &Cache{mailbox: mailbox.New(mailboxRoom), caller: caller, clock: clock, log: log, onChange: onChange,
 		answering: make(chan struct{}, mostAnswers)}
 	cache.fetcher = NewFetcher(clock, log, Actions{Ask: cache.ask, Wake: cache.wake, Use: cache.use})
--- a/internal/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/peerapi"
 )
 
 func route(name string, timeout int) string {
--- a/internal/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/configuration"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 	"gannetline/internal/span"
 )
 
@@ -72,7 +72,7 @@
 		life, end := span.Cancellable(span.Root())
 		DeferCleanup(end)
 		inForce := make(chan struct{}, 1)
-		cache := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.NewFake(1), logging.Silent(),
+		cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.NewFake(1), logging.Silent(),
 			func(*configcache.Snapshot) { inForce <- struct{}{} })
 		go cache.Run(life)
 		mux := http.NewServeMux()
--- a/internal/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -5,9 +5,9 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Fetcher decides whom to ask for what, one call at a time. It knows neither goroutines nor sockets.
 type Fetcher struct {
-	clock   pulse.Pulse
+	clock   clock.Pulse
 	log     logging.Logger
 	actions Actions
 
@@ -53,7 +53,7 @@
 }
 
 // NewFetcher makes a fetcher that holds nothing yet.
-func NewFetcher(clock pulse.Pulse, log logging.Logger, actions Actions) *Fetcher {
+func NewFetcher(clock clock.Pulse, log logging.Logger, actions Actions) *Fetcher {
 	return &Fetcher{clock: clock, log: log, actions: actions, patience: shortPatience}
 }
 
--- a/internal/configcache/fetch_test.go
+++ b/internal/cluster/configcache/fetch_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/logging"
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
@@ -19,7 +19,7 @@
 
 func runningCache(heed func(*configcache.Snapshot)) *configcache.Cache {
 	life, end := span.Cancellable(span.Root())
-	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent(), heed)
+	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.Real(), logging.Silent(), heed)
 	over := make(chan error, 1)
 	go func() { over <- cache.Run(life) }()
 	DeferCleanup(func() {
--- a/internal/configcache/metrics.go
+++ b/internal/cluster/configcache/metrics.go
@@ -1,6 +1,6 @@
 package configcache
 
-import "gannetline/internal/metrics"
+import "gannetline/internal/platform/metrics"
 
 var (
 	versionsTaken    = metrics.NewCounter("gannetline_plan_versions_total")
--- a/internal/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -12,10 +12,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 const latency = 5 * time.Millisecond
@@ -27,7 +27,7 @@
 
 // network is a fake clock, and links on which an answer takes as long as its bytes.
 type network struct {
-	clock  *pulse.Fake
+	clock  *clock.Fake
 	events []event
 	// rate is that of the fetching process's link, in bytes a second.
 	rate     int
@@ -39,7 +39,7 @@
 }
 
 func newNetwork(rate int) *network {
-	return &network{clock: pulse.NewFake(1), rate: rate, peers: map[string]*process{}}
+	return &network{clock: clock.NewFake(1), rate: rate, peers: map[string]*process{}}
 }
 
 func (n *network) after(wait time.Duration, do func()) {
--- a/internal/configcache/peers.go
+++ b/internal/cluster/configcache/peers.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
 )
 
--- a/internal/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -5,7 +5,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/configuration/configuration_test.go
+++ b/internal/cluster/configuration/configuration_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configuration"
+	"gannetline/internal/cluster/configuration"
 )
 
 const sound = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"},` +
--- a/internal/configuration/golden_test.go
+++ b/internal/cluster/configuration/golden_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configuration"
+	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/testsupport/golden"
 )
 
--- a/internal/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // Outcome says what is known after asking: MaySee is set while some steward may have taken the call.
--- a/internal/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // darkFleet is five stewards of which some say nothing, or little. Where the key's leader is dark, another takes it over
--- a/internal/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -24,12 +24,12 @@
 // Asker sends calls to the leaders of keys.
 type Asker struct {
 	caller *peerapi.Caller
-	clock  pulse.Pulse
+	clock  clock.Pulse
 	view   func() *membership.View
 }
 
 // New makes an asker that finds leaders by the view it is given at each try.
-func New(caller *peerapi.Caller, clock pulse.Pulse, view func() *membership.View) *Asker {
+func New(caller *peerapi.Caller, clock clock.Pulse, view func() *membership.View) *Asker {
 	return &Asker{caller: caller, clock: clock, view: view}
 }
 
--- a/internal/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // hurried is a clock whose waits are over at once.
-type hurried struct{ *pulse.Fake }
+type hurried struct{ *clock.Fake }
 
 func (h hurried) After(wait time.Duration) <-chan time.Time {
 	ring := h.Fake.After(wait)
@@ -48,7 +48,7 @@
 			return &answer, nil
 		})
 		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "10.0.0.1:1", Disk: "d"}}}
-		client := New(peerapi.NewCaller(&http.Client{Transport: straight{mux}}), hurried{pulse.NewFake(0)}, func() *membership.View { return view })
+		client := New(peerapi.NewCaller(&http.Client{Transport: straight{mux}}), hurried{clock.NewFake(0)}, func() *membership.View { return view })
 		return client.Ask(span.Root(), &peerapi.ClientCall{Key: "pool/s", Verb: "hand-in"}, time.Second)
 	}
 
--- a/internal/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -1,7 +1,7 @@
 package membership
 
 import (
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // Ask is the first call of a comparison: this table's sums by bucket.
--- a/internal/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // The kinds of datagrams, as they are on the wire.
--- a/internal/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 const (
@@ -51,7 +51,7 @@
 	if len(t.leaves) <= easyLeaves {
 		return 0
 	}
-	return pulse.InMs(t.stretched(t.timing.LeafPeriod))
+	return clock.InMs(t.stretched(t.timing.LeafPeriod))
 }
 
 func (t *Table) forgetLeaves(now time.Duration) {
@@ -87,7 +87,7 @@
 
 // setPingPause takes the pace that a steward asks for.
 func (t *Table) setPingPause(pauseMs int64) {
-	t.pingPause = min(max(pulse.Ms(pauseMs), t.timing.LeafPeriod), longestPause)
+	t.pingPause = min(max(clock.Ms(pauseMs), t.timing.LeafPeriod), longestPause)
 }
 
 // tickLeaf pings the attached stewards in turn, and any other as soon as one does not answer.
--- a/internal/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 func membersOf(view *membership.View) string {
@@ -30,7 +30,7 @@
 	return told
 }
 
-func lone(self peerapi.Member, clock pulse.Pulse) (*membership.Table, *[]peerapi.Datagram, *int) {
+func lone(self peerapi.Member, clock clock.Pulse) (*membership.Table, *[]peerapi.Datagram, *int) {
 	sent, differed := &[]peerapi.Datagram{}, new(int)
 	return membership.NewTable(self, clock, membership.DefaultTiming, 1, membership.Events{
 		Send:      func(_ string, datagram peerapi.Datagram) { *sent = append(*sent, datagram) },
@@ -214,7 +214,7 @@
 var _ = Describe("comparing lists", func() {
 	var one, two *membership.Table
 	BeforeEach(func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		one, _, _ = lone(steward(0), clock)
 		two, _, _ = lone(steward(1), clock)
 		for number := range 200 {
@@ -265,7 +265,7 @@
 			member.Incarnation, member.State = uint64(1+number%3), number%3
 			one.Merge(member)
 		}
-		fresh, _, _ := lone(steward(0), pulse.NewFake(1))
+		fresh, _, _ := lone(steward(0), clock.NewFake(1))
 		for _, member := range one.All() {
 			fresh.Merge(member)
 		}
@@ -287,7 +287,7 @@
 
 var _ = Describe("one table", func() {
 	It("hears a peer of the older form without comparing, and lists no proxies that it tells of", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, sent, differed := lone(gate(0), clock)
 		side := peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
 		table.Hear(peerapi.Datagram{Kind: "ping", Number: 4, From: gate(1), News: []peerapi.Member{side},
@@ -302,7 +302,7 @@
 	})
 
 	It("answers a peer of the older form without mending what it can't compare", func() {
-		table, sent, differed := lone(gate(0), pulse.NewFake(1))
+		table, sent, differed := lone(gate(0), clock.NewFake(1))
 		table.Merge(gate(1))
 		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
 		table.Hear(peerapi.Datagram{Kind: "ack", From: gate(1)})
@@ -311,7 +311,7 @@
 	})
 
 	It("forgets a member that is long gone", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		var shown *membership.View
 		table := membership.NewTable(gate(0), clock, membership.DefaultTiming, 1, membership.Events{
 			Send: func(string, peerapi.Datagram) {}, Show: func(view *membership.View) { shown = view }})
@@ -327,7 +327,7 @@
 	})
 
 	It("tells a local-proxy where a key's new owner is, and compares with no local-proxy", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, sent, differed := lone(steward(0), clock)
 		side := peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 5}
 		clock.Advance(20 * time.Second)
@@ -343,7 +343,7 @@
 	})
 
 	It("asks its leaves to wait longer the more they are, and keeps them as much longer", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, sent, _ := lone(steward(0), clock)
 		for number := range 1600 {
 			side := peerapi.Member{Name: fmt.Sprintf("side-%d", number), Role: "local-proxy", Address: "10.0.0.4:1"}
@@ -366,7 +366,7 @@
 	})
 
 	It("waits between two pings as long as it was asked to, at a local-proxy", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		pings, isLonely := 0, false
 		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
 			membership.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = isLonely || view.IsLonely }})
@@ -384,7 +384,7 @@
 	})
 
 	It("compares at once when it is new, and keeps the usual pace while it differs, at a local-proxy", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		side, sent, differed := lone(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock)
 		side.Merge(steward(0))
 		side.Settle()
@@ -405,13 +405,13 @@
 	})
 
 	It("compares with a peer at once when it has just begun", func() {
-		table, _, differed := lone(gate(0), pulse.NewFake(1))
+		table, _, differed := lone(gate(0), clock.NewFake(1))
 		table.Hear(peerapi.Datagram{Kind: "news", From: gate(1), Digest: peerapi.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(1))
 	})
 
 	It("keeps its leaves over a freeze of its own", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, sent, _ := lone(steward(0), clock)
 		table.Hear(peerapi.Datagram{Kind: "ping", From: peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
 		clock.Advance(30 * time.Second)
@@ -426,7 +426,7 @@
 	})
 
 	It("does not think itself lonely after a freeze of its own, at a local-proxy, and pings at once", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		pings, isLonely := 0, false
 		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
 			membership.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = view.IsLonely }})
@@ -441,7 +441,7 @@
 	})
 
 	It("pings the steward of its own domain among three, at a local-proxy", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		asked := map[string]bool{}
 		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
 			membership.Events{Send: func(to string, _ peerapi.Datagram) { asked[to] = true }, Show: func(*membership.View) {}})
@@ -465,11 +465,11 @@
 	})
 
 	It("drops at a local-proxy a steward that the answerer has forgotten, and gives it stewards alone", func() {
-		control, _, _ := lone(steward(0), pulse.NewFake(1))
+		control, _, _ := lone(steward(0), clock.NewFake(1))
 		for number := range 60 {
 			control.Merge(gate(number))
 		}
-		side, _, _ := lone(peerapi.Member{Name: "side-1", Role: "local-proxy"}, pulse.NewFake(1))
+		side, _, _ := lone(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock.NewFake(1))
 		for number := range 60 {
 			side.Merge(steward(number))
 		}
@@ -481,7 +481,7 @@
 	})
 
 	It("leaves owners out of datagrams once they are no news, and gives them to a peer without", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, sent, _ := lone(gate(0), clock)
 		table.Merge(gate(1))
 		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
@@ -497,7 +497,7 @@
 	})
 
 	It("compares with a peer that stays different, not while news is on its way", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, _, differed := lone(gate(0), clock)
 		table.Merge(gate(1))
 		clock.Advance(20 * time.Second)
@@ -513,7 +513,7 @@
 	})
 
 	It("does not take back a member that is long gone, and pushes to no leaf that fell silent", func() {
-		clock := pulse.NewFake(1)
+		clock := clock.NewFake(1)
 		table, sent, _ := lone(steward(0), clock)
 		table.Hear(peerapi.Datagram{Kind: "ping", From: peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
 		before := len(*sent)
@@ -535,7 +535,7 @@
 
 	It("shows views that later changes leave alone", func() {
 		var views []*membership.View
-		table := membership.NewTable(steward(5), pulse.NewFake(1), membership.DefaultTiming, 1, membership.Events{
+		table := membership.NewTable(steward(5), clock.NewFake(1), membership.DefaultTiming, 1, membership.Events{
 			Send: func(string, peerapi.Datagram) {}, Show: func(view *membership.View) { views = append(views, view) }})
 		for _, number := range []int{3, 9, 1} {
 			table.Merge(steward(number))
--- a/internal/membership/metrics.go
+++ b/internal/cluster/membership/metrics.go
@@ -1,6 +1,6 @@
 package membership
 
-import "gannetline/internal/metrics"
+import "gannetline/internal/platform/metrics"
 
 var (
 	datagramsSent         = metrics.NewCounters("gannetline_datagrams_sent_total", "kind")
--- a/internal/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 const (
@@ -53,7 +53,7 @@
 
 // network carries datagrams and calls between tables; it loses, doubles and delays datagrams as it is told.
 type network struct {
-	clock   *pulse.Fake
+	clock   *clock.Fake
 	draw    *rand.Rand
 	all     []*resident
 	by      map[string]*resident
@@ -66,7 +66,7 @@
 }
 
 func newNetwork(seed uint64) *network {
-	return &network{clock: pulse.NewFake(1000), draw: rand.New(rand.NewPCG(seed, 1)), by: map[string]*resident{}}
+	return &network{clock: clock.NewFake(1000), draw: rand.New(rand.NewPCG(seed, 1)), by: map[string]*resident{}}
 }
 
 func (n *network) add(name, role string, incarnation uint64) *resident {
--- a/internal/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -12,10 +12,10 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
 )
 
@@ -39,7 +39,7 @@
 	packets net.PacketConn
 	calls   net.Listener
 	caller  *peerapi.Caller
-	clock   pulse.Pulse
+	clock   clock.Pulse
 	log     logging.Logger
 	seeds   atomic.Pointer[[]string]
 	// knownPeers are control addresses from an earlier run.
@@ -80,7 +80,7 @@
 
 // NewNode makes the membership of this process on the sockets that BindInternal gave. It sends nothing before Run.
 func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
-	clock pulse.Pulse, log logging.Logger, options ...Option) *Node {
+	clock clock.Pulse, log logging.Logger, options ...Option) *Node {
 	node := &Node{mailbox: mailbox.New(mailboxRoom), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
 		onPlanAhead: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
--- a/internal/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -9,11 +9,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/membership"
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
@@ -23,7 +23,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
 		node := membership.NewNode(peerapi.Member{Name: "one", Role: "gate"}, calls, packets, nil,
-			peerapi.NewCaller(http.DefaultClient), pulse.Real(), logging.Silent())
+			peerapi.NewCaller(http.DefaultClient), clock.Real(), logging.Silent())
 		life, end := span.Cancellable(span.Root())
 		over := make(chan error)
 		go func() { over <- node.Run(life) }()
@@ -69,7 +69,7 @@
 		defer calls.Close()
 		hosts := make(chan string, 16)
 		node := membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, calls, packets, []string{"10.0.0.1:1"},
-			peerapi.NewCaller(&http.Client{Transport: roundTrips{hosts}}), pulse.Real(), logging.Silent(),
+			peerapi.NewCaller(&http.Client{Transport: roundTrips{hosts}}), clock.Real(), logging.Silent(),
 			membership.WithKnownPeers([]string{"10.0.0.1:1", "10.0.0.2:1"}))
 		life, end := span.Cancellable(span.Root())
 		over := make(chan error)
--- a/internal/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 type letter struct {
@@ -19,7 +19,7 @@
 
 // town is a set of tables that hear each other on the next beat, unless a road is shut.
 type town struct {
-	clock  *pulse.Fake
+	clock  *clock.Fake
 	tables map[string]*membership.Table
 	views  map[string]*membership.View
 	ahead  map[string]int64
@@ -28,7 +28,7 @@
 }
 
 func newTown(count int) *town {
-	t := &town{clock: pulse.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
+	t := &town{clock: clock.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
 		ahead: map[string]int64{}, shut: map[string]bool{}}
 	for number := range count {
 		address := fmt.Sprintf("n%d", number)
--- a/internal/membership/probes.go
+++ b/internal/cluster/membership/probes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // mostPastDisks is how many former disks of a member its record names.
--- a/internal/membership/sums.go
+++ b/internal/cluster/membership/sums.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // bucketCount is into how many buckets the names are hashed, so that only records of differing buckets are compared.
--- a/internal/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 // Member is what is known of one process: where it is, what it does and whether it lives.
@@ -34,7 +34,7 @@
 // Table is the state of the failure detector. It has no goroutine of its own; its owner calls it.
 type Table struct {
 	self   Member
-	clock  pulse.Pulse
+	clock  clock.Pulse
 	timing Timing
 	events Events
 	draw   *rand.Rand
@@ -88,7 +88,7 @@
 }
 
 // NewTable makes a table that knows only its own process. The seed decides whom it probes when.
-func NewTable(self Member, clock pulse.Pulse, timing Timing, seed uint64, events Events) *Table {
+func NewTable(self Member, clock clock.Pulse, timing Timing, seed uint64, events Events) *Table {
 	now := clock.Steady()
 	table := &Table{
 		self: self, clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
--- a/internal/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // View is what the table publishes to the rest of the process; it is never changed after it is made.
--- a/internal/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/metrics"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
--- a/internal/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -45,9 +45,9 @@
 	// part is written each time that one is asked for.
 	var parts chan string
 	var address string
-	var clock *pulse.Fake
+	var fakeClock *clock.Fake
 	BeforeEach(func() {
-		parts, clock = make(chan string), pulse.NewFake(1)
+		parts, fakeClock = make(chan string), clock.NewFake(1)
 		server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 			to.Header().Set("Content-Type", "application/easyjson")
 			to.WriteHeader(http.StatusOK)
@@ -82,13 +82,13 @@
 			close(parts)
 		}()
 		answer, err := peerapi.CallWhileMoving[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
-			clock, span.Root(), address, peerapi.ProcedureFetch, time.Second, &peerapi.ConfigurationCall{})
+			fakeClock, span.Root(), address, peerapi.ProcedureFetch, time.Second, &peerapi.ConfigurationCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Fact.Version).To(Equal(int64(7)))
 	})
 })
 
-// impatient is a clock on which every wait is over at once.
+// impatient is a fakeClock on which every wait is over at once.
 type impatient struct{}
 
 func (impatient) Steady() time.Duration { return 0 }
--- a/internal/peerapi/golden_test.go
+++ b/internal/cluster/peerapi/golden_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/testsupport/golden"
 )
 
--- a/internal/peerapi/messages_easyjson.go
+++ b/internal/cluster/peerapi/messages_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson66c1e240DecodeGannetlineInternalPeerapi(in *jlexer.Lexer, out *VoterSet) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi(in *jlexer.Lexer, out *VoterSet) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -95,7 +95,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi(out *jwriter.Writer, in VoterSet) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi(out *jwriter.Writer, in VoterSet) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -139,27 +139,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v VoterSet) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v VoterSet) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *VoterSet) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *VoterSet) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi1(in *jlexer.Lexer, out *SnapshotChunk) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi1(in *jlexer.Lexer, out *SnapshotChunk) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -234,7 +234,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi1(out *jwriter.Writer, in SnapshotChunk) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi1(out *jwriter.Writer, in SnapshotChunk) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -278,27 +278,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v SnapshotChunk) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi1(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v SnapshotChunk) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi1(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *SnapshotChunk) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi1(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *SnapshotChunk) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi1(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi1(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi2(in *jlexer.Lexer, out *Snapshot) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi2(in *jlexer.Lexer, out *Snapshot) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -361,7 +361,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi2(out *jwriter.Writer, in Snapshot) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi2(out *jwriter.Writer, in Snapshot) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -395,27 +395,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Snapshot) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi2(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Snapshot) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi2(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Snapshot) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi2(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Snapshot) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi2(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi2(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi3(in *jlexer.Lexer, out *RunReport) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi3(in *jlexer.Lexer, out *RunReport) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -469,7 +469,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi3(out *jwriter.Writer, in RunReport) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi3(out *jwriter.Writer, in RunReport) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -504,27 +504,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v RunReport) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi3(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v RunReport) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi3(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *RunReport) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi3(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *RunReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi3(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi3(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi4(in *jlexer.Lexer, out *RouteTerms) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi4(in *jlexer.Lexer, out *RouteTerms) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -572,7 +572,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi4(out *jwriter.Writer, in RouteTerms) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi4(out *jwriter.Writer, in RouteTerms) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -618,27 +618,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v RouteTerms) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi4(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v RouteTerms) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi4(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *RouteTerms) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi4(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *RouteTerms) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi4(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi4(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi5(in *jlexer.Lexer, out *PromiseCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi5(in *jlexer.Lexer, out *PromiseCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -686,7 +686,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi5(out *jwriter.Writer, in PromiseCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi5(out *jwriter.Writer, in PromiseCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -716,27 +716,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v PromiseCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi5(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PromiseCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi5(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *PromiseCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi5(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PromiseCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi5(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi5(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi6(in *jlexer.Lexer, out *PromiseAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi6(in *jlexer.Lexer, out *PromiseAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -790,7 +790,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi6(out *jwriter.Writer, in PromiseAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi6(out *jwriter.Writer, in PromiseAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -831,27 +831,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v PromiseAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi6(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PromiseAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi6(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *PromiseAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi6(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PromiseAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi6(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi6(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi7(in *jlexer.Lexer, out *OrderAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi7(in *jlexer.Lexer, out *OrderAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -905,7 +905,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi7(out *jwriter.Writer, in OrderAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi7(out *jwriter.Writer, in OrderAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -940,27 +940,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v OrderAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi7(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v OrderAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi7(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *OrderAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi7(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *OrderAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi7(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi7(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi8(in *jlexer.Lexer, out *Order) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi8(in *jlexer.Lexer, out *Order) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1014,7 +1014,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi8(out *jwriter.Writer, in Order) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi8(out *jwriter.Writer, in Order) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1049,27 +1049,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Order) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi8(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Order) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi8(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Order) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi8(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Order) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi8(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi8(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi9(in *jlexer.Lexer, out *Op) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi9(in *jlexer.Lexer, out *Op) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1105,7 +1105,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi9(out *jwriter.Writer, in Op) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi9(out *jwriter.Writer, in Op) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1125,27 +1125,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Op) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi9(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi9(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Op) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi9(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi9(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Op) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi9(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi9(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Op) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi9(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi9(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi10(in *jlexer.Lexer, out *MovedRoute) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi10(in *jlexer.Lexer, out *MovedRoute) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1202,7 +1202,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi10(out *jwriter.Writer, in MovedRoute) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi10(out *jwriter.Writer, in MovedRoute) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1233,27 +1233,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v MovedRoute) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi10(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi10(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v MovedRoute) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi10(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi10(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *MovedRoute) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi10(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi10(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *MovedRoute) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi10(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi10(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi11(in *jlexer.Lexer, out *MembersCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi11(in *jlexer.Lexer, out *MembersCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1349,7 +1349,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi11(out *jwriter.Writer, in MembersCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi11(out *jwriter.Writer, in MembersCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1402,27 +1402,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v MembersCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi11(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi11(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v MembersCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi11(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi11(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *MembersCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi11(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi11(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *MembersCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi11(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi11(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi12(in *jlexer.Lexer, out *MembersAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi12(in *jlexer.Lexer, out *MembersAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1506,7 +1506,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi12(out *jwriter.Writer, in MembersAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi12(out *jwriter.Writer, in MembersAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1555,27 +1555,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v MembersAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi12(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi12(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v MembersAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi12(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi12(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *MembersAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi12(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi12(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *MembersAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi12(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi12(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi13(in *jlexer.Lexer, out *Member) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi13(in *jlexer.Lexer, out *Member) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1680,7 +1680,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi13(out *jwriter.Writer, in Member) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi13(out *jwriter.Writer, in Member) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1749,27 +1749,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Member) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi13(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi13(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Member) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi13(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi13(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Member) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi13(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi13(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Member) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi13(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi13(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi14(in *jlexer.Lexer, out *LogPosition) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi14(in *jlexer.Lexer, out *LogPosition) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1805,7 +1805,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi14(out *jwriter.Writer, in LogPosition) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi14(out *jwriter.Writer, in LogPosition) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1825,27 +1825,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v LogPosition) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi14(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi14(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v LogPosition) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi14(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi14(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *LogPosition) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi14(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi14(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *LogPosition) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi14(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi14(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi15(in *jlexer.Lexer, out *LeaderFact) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi15(in *jlexer.Lexer, out *LeaderFact) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1887,7 +1887,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi15(out *jwriter.Writer, in LeaderFact) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi15(out *jwriter.Writer, in LeaderFact) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1912,27 +1912,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v LeaderFact) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi15(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi15(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v LeaderFact) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi15(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi15(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *LeaderFact) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi15(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi15(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *LeaderFact) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi15(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi15(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi16(in *jlexer.Lexer, out *KeyBelief) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi16(in *jlexer.Lexer, out *KeyBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1986,7 +1986,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi16(out *jwriter.Writer, in KeyBelief) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi16(out *jwriter.Writer, in KeyBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2021,27 +2021,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v KeyBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi16(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi16(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v KeyBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi16(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi16(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *KeyBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi16(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi16(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *KeyBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi16(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi16(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi17(in *jlexer.Lexer, out *JobBelief) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi17(in *jlexer.Lexer, out *JobBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2083,7 +2083,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi17(out *jwriter.Writer, in JobBelief) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi17(out *jwriter.Writer, in JobBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2108,27 +2108,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v JobBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi17(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi17(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v JobBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi17(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi17(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *JobBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi17(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi17(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *JobBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi17(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi17(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi18(in *jlexer.Lexer, out *InitialVoters) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi18(in *jlexer.Lexer, out *InitialVoters) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2185,7 +2185,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi18(out *jwriter.Writer, in InitialVoters) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi18(out *jwriter.Writer, in InitialVoters) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2216,27 +2216,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v InitialVoters) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi18(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi18(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v InitialVoters) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi18(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi18(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *InitialVoters) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi18(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi18(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *InitialVoters) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi18(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi18(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi19(in *jlexer.Lexer, out *IdentifyCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi19(in *jlexer.Lexer, out *IdentifyCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2260,7 +2260,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi19(out *jwriter.Writer, in IdentifyCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi19(out *jwriter.Writer, in IdentifyCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2270,27 +2270,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v IdentifyCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi19(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi19(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v IdentifyCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi19(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi19(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *IdentifyCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi19(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi19(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *IdentifyCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi19(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi19(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi20(in *jlexer.Lexer, out *IdentifyAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi20(in *jlexer.Lexer, out *IdentifyAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2332,7 +2332,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi20(out *jwriter.Writer, in IdentifyAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi20(out *jwriter.Writer, in IdentifyAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2357,27 +2357,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v IdentifyAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi20(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi20(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v IdentifyAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi20(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi20(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *IdentifyAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi20(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi20(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *IdentifyAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi20(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi20(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi21(in *jlexer.Lexer, out *FetchCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi21(in *jlexer.Lexer, out *FetchCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2433,7 +2433,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi21(out *jwriter.Writer, in FetchCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi21(out *jwriter.Writer, in FetchCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2463,27 +2463,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v FetchCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi21(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi21(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v FetchCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi21(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi21(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *FetchCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi21(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi21(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *FetchCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi21(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi21(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi22(in *jlexer.Lexer, out *FetchAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi22(in *jlexer.Lexer, out *FetchAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2566,7 +2566,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi22(out *jwriter.Writer, in FetchAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi22(out *jwriter.Writer, in FetchAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2616,27 +2616,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v FetchAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi22(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi22(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v FetchAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi22(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi22(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *FetchAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi22(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi22(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *FetchAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi22(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi22(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi23(in *jlexer.Lexer, out *ExecutorBelief) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi23(in *jlexer.Lexer, out *ExecutorBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2684,7 +2684,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi23(out *jwriter.Writer, in ExecutorBelief) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi23(out *jwriter.Writer, in ExecutorBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2714,27 +2714,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ExecutorBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi23(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi23(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ExecutorBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi23(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi23(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ExecutorBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi23(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi23(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ExecutorBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi23(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi23(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi24(in *jlexer.Lexer, out *ExchangeCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi24(in *jlexer.Lexer, out *ExchangeCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3004,7 +3004,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi24(out *jwriter.Writer, in ExchangeCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi24(out *jwriter.Writer, in ExchangeCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3168,27 +3168,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ExchangeCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi24(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi24(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ExchangeCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi24(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi24(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ExchangeCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi24(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi24(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ExchangeCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi24(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi24(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi25(in *jlexer.Lexer, out *ExchangeAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi25(in *jlexer.Lexer, out *ExchangeAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3293,7 +3293,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi25(out *jwriter.Writer, in ExchangeAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi25(out *jwriter.Writer, in ExchangeAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3408,27 +3408,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ExchangeAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi25(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi25(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ExchangeAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi25(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi25(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ExchangeAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi25(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi25(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ExchangeAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi25(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi25(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi26(in *jlexer.Lexer, out *EndReport) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi26(in *jlexer.Lexer, out *EndReport) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3482,7 +3482,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi26(out *jwriter.Writer, in EndReport) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi26(out *jwriter.Writer, in EndReport) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3517,27 +3517,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v EndReport) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi26(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi26(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v EndReport) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi26(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi26(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *EndReport) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi26(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi26(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *EndReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi26(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi26(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi27(in *jlexer.Lexer, out *Digest) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi27(in *jlexer.Lexer, out *Digest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3606,7 +3606,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi27(out *jwriter.Writer, in Digest) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi27(out *jwriter.Writer, in Digest) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3661,27 +3661,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Digest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi27(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi27(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Digest) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi27(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi27(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Digest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi27(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi27(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Digest) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi27(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi27(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi28(in *jlexer.Lexer, out *DeltaPart) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi28(in *jlexer.Lexer, out *DeltaPart) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3723,7 +3723,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi28(out *jwriter.Writer, in DeltaPart) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi28(out *jwriter.Writer, in DeltaPart) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3759,27 +3759,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v DeltaPart) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi28(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi28(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v DeltaPart) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi28(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi28(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *DeltaPart) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi28(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi28(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *DeltaPart) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi28(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi28(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi29(in *jlexer.Lexer, out *Datagram) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi29(in *jlexer.Lexer, out *Datagram) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3866,7 +3866,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi29(out *jwriter.Writer, in Datagram) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi29(out *jwriter.Writer, in Datagram) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3920,27 +3920,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Datagram) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi29(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi29(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Datagram) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi29(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi29(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Datagram) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi29(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi29(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Datagram) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi29(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi29(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi30(in *jlexer.Lexer, out *ConfirmedVersion) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi30(in *jlexer.Lexer, out *ConfirmedVersion) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -3976,7 +3976,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi30(out *jwriter.Writer, in ConfirmedVersion) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi30(out *jwriter.Writer, in ConfirmedVersion) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -3996,27 +3996,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ConfirmedVersion) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi30(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi30(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfirmedVersion) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi30(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi30(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfirmedVersion) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi30(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi30(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfirmedVersion) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi30(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi30(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi31(in *jlexer.Lexer, out *ConfigurationDelta) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi31(in *jlexer.Lexer, out *ConfigurationDelta) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4139,7 +4139,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi31(out *jwriter.Writer, in ConfigurationDelta) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi31(out *jwriter.Writer, in ConfigurationDelta) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4208,27 +4208,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationDelta) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi31(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi31(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationDelta) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi31(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi31(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationDelta) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi31(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi31(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationDelta) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi31(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi31(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi32(in *jlexer.Lexer, out *ConfigurationChunk) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi32(in *jlexer.Lexer, out *ConfigurationChunk) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4283,7 +4283,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi32(out *jwriter.Writer, in ConfigurationChunk) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi32(out *jwriter.Writer, in ConfigurationChunk) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4318,27 +4318,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationChunk) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi32(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi32(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationChunk) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi32(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi32(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationChunk) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi32(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi32(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationChunk) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi32(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi32(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi33(in *jlexer.Lexer, out *ConfigurationCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi33(in *jlexer.Lexer, out *ConfigurationCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4392,7 +4392,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi33(out *jwriter.Writer, in ConfigurationCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi33(out *jwriter.Writer, in ConfigurationCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4427,27 +4427,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi33(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi33(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi33(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi33(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi33(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi33(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi33(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi33(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi34(in *jlexer.Lexer, out *ConfigurationAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi34(in *jlexer.Lexer, out *ConfigurationAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4540,7 +4540,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi34(out *jwriter.Writer, in ConfigurationAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi34(out *jwriter.Writer, in ConfigurationAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4599,27 +4599,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ConfigurationAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi34(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi34(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ConfigurationAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi34(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi34(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ConfigurationAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi34(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi34(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ConfigurationAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi34(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi34(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi35(in *jlexer.Lexer, out *Configuration) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi35(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4742,7 +4742,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi35(out *jwriter.Writer, in Configuration) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi35(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4809,27 +4809,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi35(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi35(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi35(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi35(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi35(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi35(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi35(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi35(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi36(in *jlexer.Lexer, out *ClientCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi36(in *jlexer.Lexer, out *ClientCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -4909,7 +4909,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi36(out *jwriter.Writer, in ClientCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi36(out *jwriter.Writer, in ClientCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -4959,27 +4959,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi36(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi36(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi36(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi36(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi36(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi36(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi36(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi36(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi37(in *jlexer.Lexer, out *ClientAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi37(in *jlexer.Lexer, out *ClientAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5051,7 +5051,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi37(out *jwriter.Writer, in ClientAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi37(out *jwriter.Writer, in ClientAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5137,27 +5137,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ClientAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi37(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi37(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ClientAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi37(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi37(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi37(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi37(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ClientAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi37(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi37(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi38(in *jlexer.Lexer, out *Change) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi38(in *jlexer.Lexer, out *Change) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5228,7 +5228,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi38(out *jwriter.Writer, in Change) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi38(out *jwriter.Writer, in Change) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5262,27 +5262,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Change) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi38(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi38(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Change) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi38(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi38(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Change) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi38(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi38(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Change) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi38(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi38(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi39(in *jlexer.Lexer, out *Capacity) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi39(in *jlexer.Lexer, out *Capacity) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5324,7 +5324,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi39(out *jwriter.Writer, in Capacity) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi39(out *jwriter.Writer, in Capacity) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5349,27 +5349,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Capacity) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi39(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi39(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Capacity) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi39(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi39(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Capacity) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi39(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi39(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Capacity) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi39(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi39(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi40(in *jlexer.Lexer, out *BeliefsCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi40(in *jlexer.Lexer, out *BeliefsCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5393,7 +5393,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi40(out *jwriter.Writer, in BeliefsCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi40(out *jwriter.Writer, in BeliefsCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5403,27 +5403,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi40(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi40(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi40(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi40(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi40(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi40(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi40(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi40(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi41(in *jlexer.Lexer, out *BeliefsAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi41(in *jlexer.Lexer, out *BeliefsAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5600,7 +5600,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi41(out *jwriter.Writer, in BeliefsAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi41(out *jwriter.Writer, in BeliefsAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5705,27 +5705,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi41(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi41(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi41(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi41(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi41(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi41(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi41(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi41(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi42(in *jlexer.Lexer, out *AppendCall) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi42(in *jlexer.Lexer, out *AppendCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -5852,7 +5852,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi42(out *jwriter.Writer, in AppendCall) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi42(out *jwriter.Writer, in AppendCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -5926,27 +5926,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi42(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi42(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi42(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi42(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi42(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi42(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi42(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi42(l, v)
 }
-func easyjson66c1e240DecodeGannetlineInternalPeerapi43(in *jlexer.Lexer, out *AppendAnswer) {
+func easyjson66c1e240DecodeGannetlineInternalClusterPeerapi43(in *jlexer.Lexer, out *AppendAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -6018,7 +6018,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeGannetlineInternalPeerapi43(out *jwriter.Writer, in AppendAnswer) {
+func easyjson66c1e240EncodeGannetlineInternalClusterPeerapi43(out *jwriter.Writer, in AppendAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -6074,23 +6074,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v AppendAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeGannetlineInternalPeerapi43(&w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi43(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v AppendAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeGannetlineInternalPeerapi43(w, v)
+	easyjson66c1e240EncodeGannetlineInternalClusterPeerapi43(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeGannetlineInternalPeerapi43(&r, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi43(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *AppendAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeGannetlineInternalPeerapi43(l, v)
+	easyjson66c1e240DecodeGannetlineInternalClusterPeerapi43(l, v)
 }
--- a/internal/peerapi/metrics.go
+++ b/internal/cluster/peerapi/metrics.go
@@ -1,6 +1,6 @@
 package peerapi
 
-import "gannetline/internal/metrics"
+import "gannetline/internal/platform/metrics"
 
 // The sides of a call, as a label of its metrics.
 const (
--- a/internal/peerapi/metrics_test.go
+++ b/internal/cluster/peerapi/metrics_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
--- a/internal/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -7,7 +7,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -59,7 +59,7 @@
 
 // CallWhileMoving asks the peer at an address, and gives up only once nothing of the answer has come for as long
 // as the patience: a slow link is no reason to end a call, a silent one is. The cause is then ErrStalled.
-func CallWhileMoving[Request, Answer any](caller *Caller, clock pulse.Pulse, life span.Span, address, procedure string,
+func CallWhileMoving[Request, Answer any](caller *Caller, clock clock.Pulse, life span.Span, address, procedure string,
 	patience time.Duration, request *Request) (*Answer, error) {
 	type outcome struct {
 		answer *Answer
--- a/internal/configowner/configowner.go
+++ b/internal/control/configleader/configleader.go
@@ -1,5 +1,5 @@
-// Package configowner decides on the operator's configuration while this steward leads its key.
-package configowner
+// Package configleader decides on the operator's configuration while this steward leads its key.
+package configleader
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/configuration"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/logging"
 )
 
 const (
--- a/internal/configowner/configowner_suite_test.go
+++ b/internal/control/configleader/configleader_suite_test.go
@@ -1,4 +1,4 @@
-package configowner_test
+package configleader_test
 
 import (
 	"testing"
--- a/internal/configowner/configowner_test.go
+++ b/internal/control/configleader/configleader_test.go
@@ -1,4 +1,4 @@
-package configowner_test
+package configleader_test
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configowner"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/platform/logging"
 )
 
 type scripted struct {
@@ -60,12 +60,12 @@
 
 var _ = Describe("the plan's owner", func() {
 	var tenure *scripted
-	var owner *configowner.Leader
+	var owner *configleader.Leader
 	var published []int64
 	var passedOn *peerapi.Configuration
 	BeforeEach(func() {
 		tenure, published = &scripted{hasLease: true}, nil
-		owner = configowner.New(logging.Silent(), func(fact *peerapi.Configuration) {
+		owner = configleader.New(logging.Silent(), func(fact *peerapi.Configuration) {
 			published, passedOn = append(published, fact.Version), fact
 		})
 		Expect(owner.Open(tenure, nil)).To(Succeed())
@@ -102,7 +102,7 @@
 		tenure.settle()
 		replace(3, plan(5, "t"))
 		tenure.settle()
-		next := configowner.New(logging.Silent(), func(*peerapi.Configuration) {})
+		next := configleader.New(logging.Silent(), func(*peerapi.Configuration) {})
 		Expect(next.Open(tenure, tenure.ops)).To(Succeed())
 		var body string
 		next.Retrieve(func(answer peerapi.ClientAnswer) { body = string(answer.Body) })
--- a/internal/configowner/confirmed.go
+++ b/internal/control/configleader/confirmed.go
@@ -1,4 +1,4 @@
-package configowner
+package configleader
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/configowner/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -1,4 +1,4 @@
-package configowner_test
+package configleader_test
 
 import (
 	"crypto/sha256"
@@ -11,16 +11,16 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configowner"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/platform/logging"
 )
 
 // operated is a leader, its disk, and calls to it.
 type operated struct {
 	tenure *scripted
 	kept   map[string][]byte
-	leader *configowner.Leader
+	leader *configleader.Leader
 }
 
 func newOperated() *operated {
@@ -31,7 +31,7 @@
 
 // takeOver is a new leader of what is on disk.
 func (o *operated) takeOver() {
-	o.leader = configowner.New(logging.Silent(), func(*peerapi.Configuration) {})
+	o.leader = configleader.New(logging.Silent(), func(*peerapi.Configuration) {})
 	Expect(o.leader.Open(o.tenure, pairsOf(o.kept))).To(Succeed())
 }
 
--- a/internal/configowner/moved.go
+++ b/internal/control/configleader/moved.go
@@ -1,10 +1,10 @@
-package configowner
+package configleader
 
 import (
 	"slices"
 
-	"gannetline/internal/configuration"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/configowner/stored_data_test.go
+++ b/internal/control/configleader/stored_data_test.go
@@ -1,4 +1,4 @@
-package configowner_test
+package configleader_test
 
 import (
 	"os"
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configowner"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/platform/logging"
 )
 
 var _ = Describe("a configuration that an earlier version kept", func() {
@@ -23,7 +23,7 @@
 			kept[name] = []byte(value)
 		}
 		var published *peerapi.Configuration
-		leader := configowner.New(logging.Silent(), func(next *peerapi.Configuration) { published = next })
+		leader := configleader.New(logging.Silent(), func(next *peerapi.Configuration) { published = next })
 		Expect(leader.Open(&scripted{hasLease: true}, pairsOf(kept))).To(Succeed())
 		Expect(published.Version).To(BeEquivalentTo(2))
 		Expect(published.InitialVoters).To(HaveLen(1))
--- a/internal/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"gannetline/internal/configowner"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/response"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/platform/response"
 )
 
 const (
@@ -29,7 +29,7 @@
 		if request.Method != http.MethodGet {
 			return nil, response.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &peerapi.ClientCall{Key: configowner.Key, Verb: "retrieve"}, response.Reply{}
+		return &peerapi.ClientCall{Key: configleader.Key, Verb: "retrieve"}, response.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
@@ -53,7 +53,7 @@
 	case !json.Valid(body):
 		return nil, response.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &peerapi.ClientCall{Key: configowner.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
+	return &peerapi.ClientCall{Key: configleader.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
 }
 
 // Handler asks the leader of the configuration's key, wherever it is.
--- a/internal/controlapi/controlapi_test.go
+++ b/internal/control/controlapi/controlapi_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/controlapi"
+	"gannetline/internal/control/controlapi"
 )
 
 var _ = Describe("an operator's call", func() {
--- a/internal/controlapi/reply_test.go
+++ b/internal/control/controlapi/reply_test.go
@@ -4,9 +4,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/controlapi"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/controlapi"
 )
 
 var _ = DescribeTable("what the operator is told", func(base int64, outcome leaderclient.Outcome, status int) {
--- a/internal/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -9,16 +9,16 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/configowner"
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
-	"gannetline/internal/storage"
 )
 
 type nameOnly struct{ net.Listener }
@@ -35,7 +35,7 @@
 }
 
 func newRing(store *storage.Store, isMakeshift bool) (*Ring, *peerapi.Caller) {
-	clock, mux := pulse.NewFake(1000), http.NewServeMux()
+	clock, mux := clock.NewFake(1000), http.NewServeMux()
 	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logging.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
 		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logging.Silent()),
@@ -106,7 +106,7 @@
 		Expect(ring.holders).To(BeEmpty())
 		ring.birth = []string{"a", "b", store.Disk()}
 		ring.want()
-		Expect(ring.holders).To(HaveKey(configowner.Key))
+		Expect(ring.holders).To(HaveKey(configleader.Key))
 	})
 })
 
@@ -161,7 +161,7 @@
 		for _, hasReplica := range []bool{false, true} {
 			store := openStore()
 			ring, _ := newRing(store, false)
-			clock := pulse.Real()
+			clock := clock.Real()
 			ring.clock = clock
 			if hasReplica {
 				taken := make(chan struct{})
--- a/internal/controlkeys/links.go
+++ b/internal/control/controlkeys/links.go
@@ -7,9 +7,9 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/replication"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
 )
 
--- a/internal/controlkeys/ring.go
+++ b/internal/control/controlkeys/ring.go
@@ -6,18 +6,18 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/configowner"
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/poolhost"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
-	"gannetline/internal/scheduler"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/control/poolhost"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/scheduling/scheduler"
 	"gannetline/internal/span"
-	"gannetline/internal/storage"
 )
 
 const (
@@ -35,14 +35,14 @@
 	calls  *mailbox.Mailbox
 	engine *replication.Engine
 	pool   *scheduler.Pool
-	plan   *configowner.Leader
+	plan   *configleader.Leader
 }
 
 // Ring keeps a holder for each key that is wanted.
 type Ring struct {
 	life      span.Span
 	box       *mailbox.Mailbox
-	clock     pulse.Pulse
+	clock     clock.Pulse
 	log       logging.Logger
 	store     *storage.Store
 	disk      string
@@ -64,7 +64,7 @@
 
 // Config has neither Store nor Replicas on a machine without a disk: such a steward owns no key and is no voter.
 type Config struct {
-	Clock         pulse.Pulse
+	Clock         clock.Pulse
 	Log           logging.Logger
 	Store         *storage.Store
 	IsMakeshift   bool
@@ -118,7 +118,7 @@
 		return
 	}
 	if r.hasPlan || len(r.birth) > 0 {
-		r.ensure(configowner.Key, r.birth)
+		r.ensure(configleader.Key, r.birth)
 	}
 	page := r.book.Page()
 	if page == nil {
@@ -135,7 +135,7 @@
 		return
 	}
 	r.replicas.Box().Post(func() {
-		isThere := len(r.replicas.Status(configowner.Key).State.Set.Now) > 0
+		isThere := len(r.replicas.Status(configleader.Key).State.Set.Now) > 0
 		r.box.Post(func() { r.hasPlan = r.hasPlan || isThere })
 	})
 }
@@ -150,8 +150,8 @@
 	options := []replication.Option{replication.WithInitialVoters(birth), replication.WithLog(r.log), replication.WithAnnounce(r.node.Announce),
 		replication.WithMachineLosses(r.losses)}
 	owner := mailbox.Owner{Every: tickEvery}
-	if key == configowner.Key {
-		one.plan = configowner.New(r.log, func(fact *peerapi.Configuration) { r.book.Hold(fact) })
+	if key == configleader.Key {
+		one.plan = configleader.New(r.log, func(fact *peerapi.Configuration) { r.book.Hold(fact) })
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
@@ -166,9 +166,9 @@
 	go one.box.Run(r.life, r.clock, owner)
 }
 
-type planMachine struct{ *configowner.Leader }
+type planMachine struct{ *configleader.Leader }
 
-// Open passes a leadership on as the narrower configowner.Tenure; it runs on the goroutine of the key's engine.
+// Open passes a leadership on as the narrower configleader.Tenure; it runs on the goroutine of the key's engine.
 func (m planMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
 	return m.Leader.Open(tenure, pairs)
 }
--- a/internal/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -4,10 +4,10 @@
 package poolhost
 
 import (
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/replication"
-	"gannetline/internal/scheduler"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/scheduling/scheduler"
 )
 
 // mailboxSize is how many calls may wait for the pool's goroutine.
--- a/internal/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"time"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/poolhost"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
-	"gannetline/internal/scheduler"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/poolhost"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/scheduling/scheduler"
 )
 
 const (
@@ -29,7 +29,7 @@
 
 // steward is a candidate with its pool on a slow processor, beside scripted voters that grant all they may.
 type steward struct {
-	clock     *pulse.Fake
+	clock     *clock.Fake
 	events    []event
 	engineBox *mailbox.Mailbox
 	engine    *replication.Engine
@@ -59,7 +59,7 @@
 }
 
 func newSteward(costs costs, pairs []peerapi.Op) *steward {
-	s := &steward{clock: pulse.NewFake(1_000_000), engineBox: mailbox.New(1024), costs: costs, voters: map[string]*voter{}}
+	s := &steward{clock: clock.NewFake(1_000_000), engineBox: mailbox.New(1024), costs: costs, voters: map[string]*voter{}}
 	base := peerapi.LogPosition{Epoch: 1, Index: 100}
 	set := peerapi.VoterSet{Now: []string{"a", "b", "c", "d", "e"}}
 	s.state = peerapi.Snapshot{Last: base, Set: set, Pairs: pairs}
--- a/internal/replication/election.go
+++ b/internal/control/replication/election.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // considerCampaign starts a campaign if the key seems to be without a leader and it is this voter's turn.
--- a/internal/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 // Links carries an engine's calls; each answer comes back on the engine's own goroutine.
@@ -79,7 +79,7 @@
 	disk          string
 	name          string
 	initialVoters []string
-	clock         pulse.Pulse
+	clock         clock.Pulse
 	links         Links
 	machine       StateMachine
 	members       MemberSource
@@ -143,7 +143,7 @@
 }
 
 // NewEngine makes an engine for one key on the replica of one disk; it does nothing before the first Tick.
-func NewEngine(key, disk, name string, clock pulse.Pulse, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
+func NewEngine(key, disk, name string, clock clock.Pulse, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
 	engine := &Engine{key: key, disk: disk, name: name, clock: clock, links: links, machine: machine, members: members,
 		timing: DefaultTiming, size: 3, log: logging.Silent(), announce: func(peerapi.LeaderFact) {}}
 	for _, option := range options {
--- a/internal/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // fetch is how a candidate gets the state of the voter that is furthest, from where its own disk stands.
--- a/internal/replication/followers.go
+++ b/internal/control/replication/followers.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 // mostRenewals is how many heartbeats may be under way to a follower beside a call. Some are needed where an answer takes
@@ -177,7 +177,7 @@
 	}
 	now := e.clock.Steady()
 	from.lastContact, from.isLeaving = now, answer.Leaving
-	from.wallOffset, from.hasWall = answer.WallMs-pulse.InMs(sentAt+(now-sentAt)/2), true
+	from.wallOffset, from.hasWall = answer.WallMs-clock.InMs(sentAt+(now-sentAt)/2), true
 	e.renewed(from, sentAt)
 	if len(call.Changes) > 0 && answer.Taken {
 		e.noteDelay(from, answer, now-sentAt)
--- a/internal/replication/handover_test.go
+++ b/internal/control/replication/handover_test.go
@@ -7,10 +7,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
 )
 
@@ -133,11 +133,11 @@
 	})
 
 	It("hears from each voter how long its call has taken there", func() {
-		table, err := replication.NewReplicas(mailbox.New(4), newDisk("disk-a"), pulse.NewFake(1), time.Second)
+		table, err := replication.NewReplicas(mailbox.New(4), newDisk("disk-a"), clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		life, end := span.Cancellable(span.Root())
 		defer end()
-		go table.Box().Run(life, pulse.NewFake(1), mailbox.Owner{Every: time.Minute})
+		go table.Box().Run(life, clock.NewFake(1), mailbox.Owner{Every: time.Minute})
 		told, err := table.AskAppend(life, peerapi.AppendCall{Key: key, Epoch: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(told.DelayUs).To(Equal(int64(1)))
--- a/internal/replication/history.go
+++ b/internal/control/replication/history.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/replication/history_test.go
+++ b/internal/control/replication/history_test.go
@@ -8,11 +8,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/mailbox"
 )
 
 // others are all nodes but the owner.
@@ -120,7 +120,7 @@
 
 	It("finds the last changes there, one after the other and not without bound", func() {
 		disk := newDisk("disk-a")
-		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
+		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		prev := peerapi.LogPosition{}
 		for step := range uint64(9000) {
@@ -147,7 +147,7 @@
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
 		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []peerapi.Change{{Position: peerapi.LogPosition{Epoch: 1, Index: 1}}}})
-		table, err := replication.NewReplicas(mailbox.New(64), disk, pulse.NewFake(1), time.Second)
+		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		change := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 2}}
 		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.LogPosition{Epoch: 1, Index: 1}, Changes: []peerapi.Change{change}},
--- a/internal/replication/leadership.go
+++ b/internal/control/replication/leadership.go
@@ -7,8 +7,8 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 var errLost = errors.New("the key has another owner now")
@@ -18,7 +18,7 @@
 type Leadership struct {
 	engine *Engine
 	epoch  uint64
-	clock  pulse.Pulse
+	clock  clock.Pulse
 
 	isOver atomic.Bool
 	// leaseEnd is when the lease ends on the steady clock, as far as answers have come.
@@ -70,7 +70,7 @@
 
 // WallMs is the median of the voters' clocks, carried on the steady clock. Any goroutine may ask.
 func (t *Leadership) WallMs() int64 {
-	steady := pulse.InMs(t.clock.Steady())
+	steady := clock.InMs(t.clock.Steady())
 	offsets := append([]int64{t.clock.WallMs() - steady}, *t.wallOffsets.Load()...)
 	slices.Sort(offsets)
 	return steady + offsets[(len(offsets)-1)/2]
--- a/internal/replication/lease_test.go
+++ b/internal/control/replication/lease_test.go
@@ -7,14 +7,14 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/mailbox"
 )
 
 // newTable is a voter's table on a fake clock, with an empty disk.
-func newTable(clock *pulse.Fake) *replication.Replicas {
+func newTable(clock *clock.Fake) *replication.Replicas {
 	disk := newDisk("disk-a")
 	table, err := replication.NewReplicas(mailbox.New(64), disk, clock, 700*time.Millisecond)
 	Expect(err).NotTo(HaveOccurred())
@@ -23,7 +23,7 @@
 
 var _ = Describe("a voter's lease", func() {
 	It("is not ended by a late release of a leader before", func() {
-		table := newTable(pulse.NewFake(1))
+		table := newTable(clock.NewFake(1))
 		ignore := func(peerapi.AppendAnswer) {}
 		table.Append(peerapi.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Owner: "b"}, ignore)
 		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Disk: "disk-c", Owner: "c", Release: true}, ignore)
@@ -35,7 +35,7 @@
 	})
 
 	It("is not taken over by a heartbeat of a leader before, nor is its disk promised anything meanwhile", func() {
-		table := newTable(pulse.NewFake(1))
+		table := newTable(clock.NewFake(1))
 		table.Append(peerapi.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Owner: "c"}, func(peerapi.AppendAnswer) {})
 		var late peerapi.AppendAnswer
 		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Owner: "a"}, func(answer peerapi.AppendAnswer) { late = answer })
--- a/internal/replication/recentlog.go
+++ b/internal/control/replication/recentlog.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // inherit keeps what was taken before, so that a follower that is a little behind is sent no whole state.
--- a/internal/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/span"
-	"gannetline/internal/storage"
 )
 
 // Disk is where replicas are kept; storage.Store is the real one.
@@ -50,7 +50,7 @@
 type Replicas struct {
 	box        *mailbox.Mailbox
 	disk       Disk
-	clock      pulse.Pulse
+	clock      clock.Pulse
 	lease      time.Duration
 	quietUntil time.Duration
 	keys       map[string]*replica
@@ -58,7 +58,7 @@
 }
 
 // NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease.
-func NewReplicas(box *mailbox.Mailbox, disk Disk, clock pulse.Pulse, lease time.Duration) (*Replicas, error) {
+func NewReplicas(box *mailbox.Mailbox, disk Disk, clock clock.Pulse, lease time.Duration) (*Replicas, error) {
 	heads, err := disk.Heads()
 	if err != nil {
 		return nil, err
--- a/internal/replication/transfer_test.go
+++ b/internal/control/replication/transfer_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // laden is a world whose state takes some ten pieces, and a follower that is not the owner.
--- a/internal/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 // grown is a world of five voters out of six stewards, whose first voters are a, b and c.
--- a/internal/replication/world_test.go
+++ b/internal/control/replication/world_test.go
@@ -10,17 +10,17 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/replication"
-	"gannetline/internal/stage"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/simulation/simcluster"
 )
 
 // fakeDisk keeps what was synced; a write waits in the line until the world syncs it.
 type fakeDisk struct {
-	*stage.Shelf
+	*simcluster.Shelf
 	name   string
 	isBare bool
 	line   []func()
@@ -38,7 +38,7 @@
 var errDisk = errors.New("the disk refuses")
 
 func newDisk(name string) *fakeDisk {
-	return &fakeDisk{Shelf: stage.NewShelf(), name: name, isBare: true, names: map[string]bool{}}
+	return &fakeDisk{Shelf: simcluster.NewShelf(), name: name, isBare: true, names: map[string]bool{}}
 }
 
 func (d *fakeDisk) Disk() string { return d.name }
@@ -112,7 +112,7 @@
 
 // nodeClock is the world's clock with a time of day that may jump, and a steady clock that may run fast or slow.
 type nodeClock struct {
-	*pulse.Fake
+	*clock.Fake
 	jump int64
 	// perMille is how many milliseconds it gains in a second.
 	perMille int64
@@ -152,7 +152,7 @@
 
 // world is a network and a clock of which the test is master.
 type world struct {
-	clock   *pulse.Fake
+	clock   *clock.Fake
 	draw    *rand.Rand
 	nodes   []*node
 	letters []letter
@@ -193,7 +193,7 @@
 
 // newWorldBearing has keys that must survive the loss of so many disks at once.
 func newWorldBearing(losses int, seed uint64, names ...string) *world {
-	w := &world{losses: losses, clock: pulse.NewFake(1_000_000), draw: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{},
+	w := &world{losses: losses, clock: clock.NewFake(1_000_000), draw: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{},
 		oneWay: map[string]bool{}, late: map[string]bool{}, sentUntil: map[string]time.Duration{}, wipedAt: -time.Hour, acked: map[string]string{}, owners: map[uint64]string{}}
 	for _, name := range names {
 		w.add(name)
--- a/internal/storage/decide.go
+++ b/internal/control/storage/decide.go
@@ -1,6 +1,6 @@
 package storage
 
-import "gannetline/internal/peerapi"
+import "gannetline/internal/cluster/peerapi"
 
 // PairUpdate is what a write does to the pairs of its key, in this order.
 type PairUpdate struct {
--- a/internal/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 	bolt "go.etcd.io/bbolt"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/storage"
 )
 
 var errEnded = errors.New("the process ended here")
--- a/internal/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/storage"
+	"gannetline/internal/control/storage"
 	"gannetline/internal/testsupport/golden"
 )
 
--- a/internal/storage/head.go
+++ b/internal/control/storage/head.go
@@ -1,6 +1,6 @@
 package storage
 
-import "gannetline/internal/peerapi"
+import "gannetline/internal/cluster/peerapi"
 
 // ReplicaState is what a replica knows of a key besides its pairs.
 type ReplicaState struct {
--- a/internal/storage/head_easyjson.go
+++ b/internal/control/storage/head_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson4963be46DecodeGannetlineInternalStorage(in *jlexer.Lexer, out *ReplicaState) {
+func easyjson4963be46DecodeGannetlineInternalControlStorage(in *jlexer.Lexer, out *ReplicaState) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -59,7 +59,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4963be46EncodeGannetlineInternalStorage(out *jwriter.Writer, in ReplicaState) {
+func easyjson4963be46EncodeGannetlineInternalControlStorage(out *jwriter.Writer, in ReplicaState) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -84,23 +84,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ReplicaState) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4963be46EncodeGannetlineInternalStorage(&w, v)
+	easyjson4963be46EncodeGannetlineInternalControlStorage(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ReplicaState) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4963be46EncodeGannetlineInternalStorage(w, v)
+	easyjson4963be46EncodeGannetlineInternalControlStorage(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ReplicaState) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4963be46DecodeGannetlineInternalStorage(&r, v)
+	easyjson4963be46DecodeGannetlineInternalControlStorage(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ReplicaState) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4963be46DecodeGannetlineInternalStorage(l, v)
+	easyjson4963be46DecodeGannetlineInternalControlStorage(l, v)
 }
--- a/internal/storage/metrics.go
+++ b/internal/control/storage/metrics.go
@@ -1,8 +1,8 @@
 package storage
 
 import (
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/metrics"
 )
 
 var (
--- a/internal/storage/peers_test.go
+++ b/internal/control/storage/peers_test.go
@@ -4,7 +4,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/storage"
+	"gannetline/internal/control/storage"
 )
 
 var _ = Describe("the addresses of peers", func() {
--- a/internal/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -12,8 +12,8 @@
 	"github.com/mailru/easyjson"
 	bolt "go.etcd.io/bbolt"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all head.go
@@ -58,7 +58,7 @@
 	jobs chan job
 	over chan struct{}
 
-	clock pulse.Pulse
+	clock clock.Pulse
 	files Files
 	// update runs a transaction of the file.
 	update func(func(tx *bolt.Tx) error) error
@@ -75,7 +75,7 @@
 // Open makes the folder's file if there is none, and names the disk at random then. When it returns, the file, its
 // folder and all folders that were made for it outlast a loss of power. Errors name the step and the folder.
 func Open(folder string, options ...Option) (*Store, error) {
-	store := &Store{jobs: make(chan job, 4096), over: make(chan struct{}), clock: pulse.Real(), files: osFiles{}}
+	store := &Store{jobs: make(chan job, 4096), over: make(chan struct{}), clock: clock.Real(), files: osFiles{}}
 	for _, option := range options {
 		option(store)
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/metrics"
 )
 
 func write(store *storage.Store, one storage.Write) storage.Outcome {
--- a/internal/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -9,14 +9,14 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/configcache"
-	"gannetline/internal/configuration"
-	"gannetline/internal/headerrules"
-	"gannetline/internal/jobs"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/response"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/gate/headerrules"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/response"
+	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/span"
 )
 
@@ -89,11 +89,11 @@
 type Gate struct {
 	page  func() *configcache.Snapshot
 	asker *leaderclient.Asker
-	clock pulse.Pulse
+	clock clock.Pulse
 }
 
 // New makes a gate that decides by the newest configuration and asks the leaders of the pools.
-func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock pulse.Pulse) *Gate {
+func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock clock.Pulse) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
--- a/internal/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -8,14 +8,14 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/clientapi"
-	"gannetline/internal/configcache"
-	"gannetline/internal/configuration"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/membership"
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/configuration"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/gate/clientapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
@@ -65,7 +65,7 @@
 	)
 
 	It("counts calls by verb and status, and how long they took", func() {
-		clock := pulse.NewFake(0)
+		clock := clock.NewFake(0)
 		view := func() *membership.View { return &membership.View{} }
 		pages := func() *configcache.Snapshot { return page() }
 		gate := clientapi.New(pages, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
--- a/internal/clientapi/leaving_test.go
+++ b/internal/gate/clientapi/leaving_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/clientapi"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/gate/clientapi"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -28,7 +28,7 @@
 }
 
 // hurried is a clock whose waits are over at once.
-type hurried struct{ *pulse.Fake }
+type hurried struct{ *clock.Fake }
 
 func (h hurried) After(wait time.Duration) <-chan time.Time {
 	ring := h.Fake.After(wait)
@@ -39,7 +39,7 @@
 // slowBody takes some time until it is whole.
 type slowBody struct {
 	io.Reader
-	clock *pulse.Fake
+	clock *clock.Fake
 	takes time.Duration
 }
 
@@ -52,7 +52,7 @@
 	view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: membership.RoleSteward, Address: "10.0.0.1:1", Disk: "d"}}}
 
 	DescribeTable("says what is known of a call that a steward may have taken", func(method string, status int) {
-		clock, peer := pulse.NewFake(0), silentPeer{make(chan struct{})}
+		clock, peer := clock.NewFake(0), silentPeer{make(chan struct{})}
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, func() *membership.View { return view })
 		gate := clientapi.New(page, asker, clock)
 		life, end := span.Cancellable(span.Root())
@@ -71,7 +71,7 @@
 	)
 
 	It("refuses a hand-in that nobody was asked about", func() {
-		clock := pulse.NewFake(0)
+		clock := clock.NewFake(0)
 		asker := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
 		life, end := span.Cancellable(span.Root())
 		end()
@@ -85,7 +85,7 @@
 
 var _ = Describe("the time that a client has left", func() {
 	It("counts from the beginning of its request, not from the end of its body", func() {
-		clock := hurried{pulse.NewFake(0)}
+		clock := hurried{clock.NewFake(0)}
 		asker := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return &membership.View{} })
 		one := request(http.MethodGet, "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "700")
--- a/internal/clientapi/metrics.go
+++ b/internal/gate/clientapi/metrics.go
@@ -1,6 +1,6 @@
 package clientapi
 
-import "gannetline/internal/metrics"
+import "gannetline/internal/platform/metrics"
 
 var (
 	calls       = metrics.NewCounters("gannetline_client_calls_total", "verb", "status")
--- a/internal/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -10,18 +10,18 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/clientapi"
-	"gannetline/internal/configcache"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/gate/clientapi"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
 // scriptedLeaders carry calls to the leaders of two pools; one that is silent takes all the time that a try has.
 type scriptedLeaders struct {
-	clock   *pulse.Fake
+	clock   *clock.Fake
 	muxes   map[string]*http.ServeMux
 	silent  string
 	handIns int
@@ -46,11 +46,11 @@
 
 var _ = Describe("a queue that was moved to another service", func() {
 	const patience = 3 * time.Second
-	var clock hurried
+	var fakeClock hurried
 	// ask sends one request while a pool knows the job, or none does, and another is silent, or none is.
 	ask := func(method, knowing, silent string) (int, *scriptedLeaders) {
-		clock = hurried{pulse.NewFake(0)}
-		leaders := &scriptedLeaders{clock: clock.Fake, muxes: map[string]*http.ServeMux{}, silent: silent}
+		fakeClock = hurried{clock.NewFake(0)}
+		leaders := &scriptedLeaders{clock: fakeClock.Fake, muxes: map[string]*http.ServeMux{}, silent: silent}
 		lead := func(steward, key string) {
 			leaders.muxes[steward] = http.NewServeMux()
 			peerapi.Serve(leaders.muxes[steward], peerapi.ProcedureClient, func(_ span.Span, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
@@ -74,11 +74,11 @@
 				{Name: formerPool, Role: membership.RoleSteward, Address: "former:1", Disk: "e"}}}
 		moved := page()
 		moved.Fact.Moved = []peerapi.MovedRoute{{Entry: "a", Services: []string{formerPool}}}
-		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), clock, func() *membership.View { return view })
+		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
 		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(func() *configcache.Snapshot { return moved }, asker, clock).ServeHTTP(answer, one)
-		Expect(clock.Steady()).To(BeNumerically("<=", patience), "the answer came after the time of the route")
+		clientapi.New(func() *configcache.Snapshot { return moved }, asker, fakeClock).ServeHTTP(answer, one)
+		Expect(fakeClock.Steady()).To(BeNumerically("<=", patience), "the answer came after the time of the route")
 		return answer.Code, leaders
 	}
 
--- a/internal/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/clientapi"
-	"gannetline/internal/configcache"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/gate/clientapi"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -41,7 +41,7 @@
 			Stewards: []peerapi.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
 		moved := page()
 		moved.Fact = &peerapi.Configuration{Moved: []peerapi.MovedRoute{{Entry: "a", Services: []string{"former"}}}}
-		clock := pulse.NewFake(0)
+		clock := clock.NewFake(0)
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
 		answer := httptest.NewRecorder()
 		clientapi.New(func() *configcache.Snapshot { return moved }, asker, clock).ServeHTTP(answer,
--- a/internal/executorapi/executorapi_test.go
+++ b/internal/node/executorapi/executorapi_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/metrics"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
--- a/internal/executorapi/golden_test.go
+++ b/internal/node/executorapi/golden_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
+	"gannetline/internal/node/executorapi"
 	"gannetline/internal/testsupport/golden"
 )
 
--- a/internal/executorapi/kept_test.go
+++ b/internal/node/executorapi/kept_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
 	"gannetline/internal/span"
 )
 
--- a/internal/executorapi/metrics.go
+++ b/internal/node/executorapi/metrics.go
@@ -1,6 +1,6 @@
 package executorapi
 
-import "gannetline/internal/metrics"
+import "gannetline/internal/platform/metrics"
 
 var (
 	calls         = metrics.NewCounters("gannetline_executor_calls_total", "path", "result")
--- a/internal/executorapi/server.go
+++ b/internal/node/executorapi/server.go
@@ -7,7 +7,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/response"
+	"gannetline/internal/platform/response"
 )
 
 const (
--- a/internal/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -6,7 +6,7 @@
 	"github.com/mailru/easyjson/jlexer"
 	"github.com/mailru/easyjson/jwriter"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
--- a/internal/executorapi/wire_easyjson.go
+++ b/internal/node/executorapi/wire_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonF4688553DecodeGannetlineInternalExecutorapi(in *jlexer.Lexer, out *RunStop) {
+func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi(in *jlexer.Lexer, out *RunStop) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -59,7 +59,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeGannetlineInternalExecutorapi(out *jwriter.Writer, in RunStop) {
+func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi(out *jwriter.Writer, in RunStop) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -84,27 +84,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v RunStop) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi(&w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v RunStop) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi(w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *RunStop) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi(&r, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *RunStop) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi(l, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi(l, v)
 }
-func easyjsonF4688553DecodeGannetlineInternalExecutorapi1(in *jlexer.Lexer, out *RunStart) {
+func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi1(in *jlexer.Lexer, out *RunStart) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -164,7 +164,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeGannetlineInternalExecutorapi1(out *jwriter.Writer, in RunStart) {
+func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi1(out *jwriter.Writer, in RunStart) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -204,27 +204,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v RunStart) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi1(&w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v RunStart) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi1(w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *RunStart) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi1(&r, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *RunStart) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi1(l, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi1(l, v)
 }
-func easyjsonF4688553DecodeGannetlineInternalExecutorapi2(in *jlexer.Lexer, out *Hold) {
+func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi2(in *jlexer.Lexer, out *Hold) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -272,7 +272,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeGannetlineInternalExecutorapi2(out *jwriter.Writer, in Hold) {
+func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi2(out *jwriter.Writer, in Hold) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -308,27 +308,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Hold) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi2(&w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Hold) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi2(w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Hold) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi2(&r, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Hold) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi2(l, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi2(l, v)
 }
-func easyjsonF4688553DecodeGannetlineInternalExecutorapi3(in *jlexer.Lexer, out *Beat) {
+func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(in *jlexer.Lexer, out *Beat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -445,7 +445,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeGannetlineInternalExecutorapi3(out *jwriter.Writer, in Beat) {
+func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(out *jwriter.Writer, in Beat) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -526,27 +526,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Beat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi3(&w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Beat) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi3(w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Beat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi3(&r, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Beat) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi3(l, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(l, v)
 }
-func easyjsonF4688553DecodeGannetlineInternalExecutorapi4(in *jlexer.Lexer, out *Answer) {
+func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi4(in *jlexer.Lexer, out *Answer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -636,7 +636,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeGannetlineInternalExecutorapi4(out *jwriter.Writer, in Answer) {
+func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi4(out *jwriter.Writer, in Answer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -688,23 +688,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Answer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi4(&w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Answer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeGannetlineInternalExecutorapi4(w, v)
+	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Answer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi4(&r, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Answer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeGannetlineInternalExecutorapi4(l, v)
+	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi4(l, v)
 }
--- a/internal/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -6,15 +6,15 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/localproxy"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/node/localproxy"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 var _ = Describe("an executor that no call gets through to", func() {
-	var clock *pulse.Fake
+	var fakeClock *clock.Fake
 	var table *localproxy.Table
 	var works int
 	nothing := func() {}
@@ -34,8 +34,8 @@
 		table.HoldFailed(work, false)
 	}
 	BeforeEach(func() {
-		clock = pulse.NewFake(0)
-		table = localproxy.NewTable(clock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
+		fakeClock = clock.NewFake(0)
+		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
 		table.Beat("i-1", &executorapi.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
 		table.Told(call, 0, &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
@@ -64,7 +64,7 @@
 		_, isDue = ready("launch", 2)
 		Expect(isDue).To(BeFalse())
 		call, _ := table.Compose(0)
-		Expect(pulse.Ms(call.HoldAgeMs)).To(BeNumerically(">", time.Minute))
+		Expect(clock.Ms(call.HoldAgeMs)).To(BeNumerically(">", time.Minute))
 	})
 
 	It("is spared stops and looks meanwhile; the holds go on, and show when it answers", func() {
@@ -102,7 +102,7 @@
 	It("is tried again after a while", func() {
 		holdFails()
 		holdFails()
-		clock.Advance(1100 * time.Millisecond)
+		fakeClock.Advance(1100 * time.Millisecond)
 		_, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
 	})
--- a/internal/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
 )
 
 const (
@@ -32,11 +32,11 @@
 	}
 	now := t.now()
 	call := &peerapi.ExchangeCall{Key: "pool/" + t.service, Life: current.id, Fence: current.fenceHeld,
-		WaitMs: t.pollWait(current, waitMs), HoldAgeMs: pulse.InMs(t.holdAge(current)), Ends: slices.Clone(current.ends)}
+		WaitMs: t.pollWait(current, waitMs), HoldAgeMs: clock.InMs(t.holdAge(current)), Ends: slices.Clone(current.ends)}
 	current.feed.noteFacts(t.factsOf(current))
 	current.feed.write(call)
 	if current.departsAt > now {
-		call.DepartsMs = pulse.InMs(current.departsAt - now)
+		call.DepartsMs = clock.InMs(current.departsAt - now)
 	}
 	current.writeAnswers(call, now)
 	current.writeRuns(call, now)
@@ -59,7 +59,7 @@
 func (i *incarnation) writeAnswers(call *peerapi.ExchangeCall, now time.Duration) {
 	for place := range i.answers {
 		given := &i.answers[place]
-		given.AgeMs, given.isSent = pulse.InMs(now-given.at), true
+		given.AgeMs, given.isSent = clock.InMs(now-given.at), true
 		call.Answers = append(call.Answers, given.OrderAnswer)
 	}
 }
--- a/internal/localproxy/executorclock.go
+++ b/internal/node/localproxy/executorclock.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
 )
 
 // The executor's clock may be 2% slow or fast: a share of 100 of the time passed that it shows at least, and at most.
@@ -23,9 +23,9 @@
 func (s clockSample) clockAt(moment time.Duration) int64 {
 	apart := moment - s.readAt
 	if apart >= 0 {
-		return s.executorMs + pulse.InMs(apart*slowestClock/100)
+		return s.executorMs + clock.InMs(apart*slowestClock/100)
 	}
-	return s.executorMs + pulse.InMs(apart*fastestClock/100)
+	return s.executorMs + clock.InMs(apart*fastestClock/100)
 }
 
 func (t *Table) sample(from *incarnation, executorMs int64) {
--- a/internal/localproxy/farewell_test.go
+++ b/internal/node/localproxy/farewell_test.go
@@ -6,16 +6,16 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/localproxy"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/node/localproxy"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 var _ = Describe("an executor that leaves", func() {
 	const drainTime = 2500 * time.Millisecond
-	var clock *pulse.Fake
+	var fakeClock *clock.Fake
 	var table *localproxy.Table
 	nothing := func() {}
 	launch := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
@@ -33,13 +33,13 @@
 	}
 	startIsDue := func() bool {
 		call := told()
-		table.Told(call, clock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		table.Told(call, fakeClock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
 		_, isDue := table.Ready(call.Life, launch)
 		return isDue
 	}
 	BeforeEach(func() {
-		clock = pulse.NewFake(0)
-		table = localproxy.NewTable(clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithDrainTime(drainTime))
+		fakeClock = clock.NewFake(0)
+		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithDrainTime(drainTime))
 	})
 
 	Context("with a farewell that nothing announced", func() {
@@ -56,7 +56,7 @@
 		It("is sent no start", func() { Expect(startIsDue()).To(BeFalse()) })
 
 		It("isn't taken for over because it leaves calls unanswered: it may serve on for many seconds", func() {
-			clock.Advance(10 * time.Second)
+			fakeClock.Advance(10 * time.Second)
 			holdFails()
 			Expect(told().Life).To(Equal("i-1"))
 			Expect(told().Gone).To(BeEmpty())
@@ -70,7 +70,7 @@
 		})
 
 		It("isn't called back by a beat that comes late, nor by a second farewell", func() {
-			clock.Advance(time.Second)
+			fakeClock.Advance(time.Second)
 			Expect(beat("i-1", "ready", 2)).To(Equal(200))
 			table.Leave("i-1")
 			Expect(told().Draining).To(BeTrue())
@@ -82,7 +82,7 @@
 	It("is over soon after its farewell if it had announced it and answers no more", func() {
 		beat("i-1", "draining", 1)
 		table.Leave("i-1")
-		clock.Advance(4 * time.Second)
+		fakeClock.Advance(4 * time.Second)
 		holdFails()
 		_, hasLife := table.Compose(0)
 		Expect(hasLife).To(BeFalse())
--- a/internal/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -8,21 +8,21 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/localproxy"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/node/localproxy"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 var _ = Describe("what a proxy leaves out of its exchanges", func() {
-	var clock *pulse.Fake
+	var fakeClock *clock.Fake
 	var table *localproxy.Table
 	var works int
 	nothing := func() {}
 	told := func(answer peerapi.ExchangeAnswer) *peerapi.ExchangeCall {
 		call, _ := table.Compose(0)
-		table.Told(call, clock.Steady(), &answer)
+		table.Told(call, fakeClock.Steady(), &answer)
 		return call
 	}
 	hold := func(isLook bool, rows ...executorapi.RunningRow) {
@@ -39,8 +39,8 @@
 		return len(text)
 	}
 	begin := func(options ...localproxy.TableOption) {
-		clock, works = pulse.NewFake(0), 0
-		table = localproxy.NewTable(clock, logging.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
+		fakeClock, works = clock.NewFake(0), 0
+		table = localproxy.NewTable(fakeClock, logging.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
 		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
 			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
 	}
@@ -80,7 +80,7 @@
 		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, percent(1, 40), percent(2, 40))
 		for step := range 5 {
-			clock.Advance(400 * time.Millisecond)
+			fakeClock.Advance(400 * time.Millisecond)
 			hold(false, percent(1, 40), percent(2, 41+step))
 		}
 		stuck, _ := table.Compose(0)
@@ -93,7 +93,7 @@
 	It("takes an executor that was silent for long for one that stood still as a whole", func() {
 		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, row(1, ""))
-		clock.Advance(time.Minute)
+		fakeClock.Advance(time.Minute)
 		hold(false, row(1, ""))
 		call, _ := table.Compose(0)
 		Expect(call.Changed).To(BeEmpty())
@@ -103,7 +103,7 @@
 		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, row(1, "c1"))
 		for range 10 {
-			clock.Advance(400 * time.Millisecond)
+			fakeClock.Advance(400 * time.Millisecond)
 			hold(false, row(1, "c1"))
 		}
 		call, _ := table.Compose(0)
@@ -115,7 +115,7 @@
 		told(peerapi.ExchangeAnswer{Fence: 3, Held: 2, Look: 1})
 		hold(true, row(1, ""), row(2, "c1"))
 		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(HaveLen(2))
-		clock.Advance(5 * time.Second)
+		fakeClock.Advance(5 * time.Second)
 		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(BeEmpty())
 	})
 
@@ -142,14 +142,14 @@
 	})
 
 	It("tells an owner of the older form the whole each time, and what runs once a second", func() {
-		clock.Advance(2 * time.Second)
+		fakeClock.Advance(2 * time.Second)
 		hold(false, row(1, ""), row(2, "c1"))
 		for range 3 {
 			call := told(peerapi.ExchangeAnswer{Fence: 3})
 			Expect(call.Proxy).To(Equal("side-1"))
 			Expect(call.Running).To(HaveLen(2))
 			Expect(told(peerapi.ExchangeAnswer{Fence: 3}).Running).To(BeEmpty())
-			clock.Advance(1100 * time.Millisecond)
+			fakeClock.Advance(1100 * time.Millisecond)
 		}
 	})
 
@@ -166,7 +166,7 @@
 		launch(1, "ok")
 		Expect([]int{begins, works}).To(Equal([]int{1, 0}))
 		Expect(table.HasUnsent()).To(BeTrue())
-		clock.Advance(70 * time.Millisecond)
+		fakeClock.Advance(70 * time.Millisecond)
 		call, _ := table.Compose(0)
 		Expect(call.Answers).To(ConsistOf(HaveField("AgeMs", int64(70))))
 		Expect(table.HasUnsent()).To(BeFalse())
@@ -182,11 +182,11 @@
 			return call.WaitMs
 		}
 		Expect(wait()).To(Equal(int64(300)))
-		clock.Advance(2100 * time.Millisecond)
+		fakeClock.Advance(2100 * time.Millisecond)
 		Expect(wait()).To(Equal(int64(600)))
 		told(peerapi.ExchangeAnswer{Fence: 3, Orders: []peerapi.Order{{Kind: "launch", Task: "t.0.0.0", Run: 1}}})
 		Expect(wait()).To(Equal(int64(300)))
-		clock.Advance(2100 * time.Millisecond)
+		fakeClock.Advance(2100 * time.Millisecond)
 		hold(false, row(1, ""))
 		Expect(wait()).To(Equal(int64(300)))
 	})
@@ -197,7 +197,7 @@
 			rows = append(rows, row(number, ""))
 		}
 		measure := func(held uint64) (calm, busy int) {
-			clock.Advance(2 * time.Second)
+			fakeClock.Advance(2 * time.Second)
 			hold(false, rows...)
 			busy = size(told(peerapi.ExchangeAnswer{Fence: 3, Held: held}))
 			return size(told(peerapi.ExchangeAnswer{Fence: 3, Held: held})), busy
--- a/internal/localproxy/holds.go
+++ b/internal/node/localproxy/holds.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/platform/clock"
 )
 
 const (
@@ -67,7 +67,7 @@
 }
 
 // HoldLimit is when a hold is given up.
-func HoldLimit(hold executorapi.Hold) time.Duration { return pulse.Ms(hold.WaitMs) + holdSlack }
+func HoldLimit(hold executorapi.Hold) time.Duration { return clock.Ms(hold.WaitMs) + holdSlack }
 
 // isUnresponsive tells whether calls to the executor fail one after the other; the holds that go on show when they do
 // no more.
--- a/internal/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/platform/clock"
 )
 
 const (
@@ -104,7 +104,7 @@
 		t.onWork()
 	}
 	if beat.DepartsMs > 0 {
-		sender.departsAt = t.now() + pulse.Ms(beat.DepartsMs)
+		sender.departsAt = t.now() + clock.Ms(beat.DepartsMs)
 	}
 }
 
--- a/internal/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -6,15 +6,15 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/localproxy"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/node/localproxy"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 var _ = Describe("a local-proxy's table", func() {
-	var clock *pulse.Fake
+	var fakeClock *clock.Fake
 	var table *localproxy.Table
 	nothing := func() {}
 	beat := func(id, state string, sequence int64) int {
@@ -24,12 +24,12 @@
 	told := func(answer peerapi.ExchangeAnswer) []peerapi.Order {
 		call, isDue := table.Compose(0)
 		Expect(isDue).To(BeTrue())
-		return table.Told(call, clock.Steady(), &answer)
+		return table.Told(call, fakeClock.Steady(), &answer)
 	}
 	launch := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 	BeforeEach(func() {
-		clock = pulse.NewFake(0)
-		table = localproxy.NewTable(clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
+		fakeClock = clock.NewFake(0)
+		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
 		Expect(beat("i-1", "ready", 1)).To(Equal(200))
 	})
 
@@ -88,7 +88,7 @@
 	It("takes no answer to a hold from before a beat for a sign of the life that sent the beat", func() {
 		before, _ := table.NextHold(false)
 		beat("i-2", "ready", 1)
-		clock.Advance(time.Millisecond)
+		fakeClock.Advance(time.Millisecond)
 		beat("i-1", "ready", 2)
 		table.Held(before, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
@@ -102,7 +102,7 @@
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeNumerically("<=", 5000))
 		Expect(work.Hold.ExpiryMs).To(BeNumerically(">", 4900))
-		clock.Advance(5 * time.Second)
+		fakeClock.Advance(5 * time.Second)
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeZero())
 	})
@@ -143,9 +143,9 @@
 
 	It("carries out no start beyond the grant that came with it, whatever was granted later", func() {
 		call, _ := table.Compose(0)
-		table.Told(call, clock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		table.Told(call, fakeClock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
 		first, _ := table.Ready("i-1", launch)
-		clock.Advance(7 * time.Second)
+		fakeClock.Advance(7 * time.Second)
 		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		again, isDue := table.Ready("i-1", launch)
 		Expect(isDue && again.ExpiryMs > first.ExpiryMs).To(BeFalse())
@@ -190,7 +190,7 @@
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		old, _ := table.Compose(0)
 		told(peerapi.ExchangeAnswer{Fence: 2, Look: 3})
-		table.Told(old, clock.Steady(), &peerapi.ExchangeAnswer{Fence: 2, Look: 3})
+		table.Told(old, fakeClock.Steady(), &peerapi.ExchangeAnswer{Fence: 2, Look: 3})
 		work, _ = table.NextHold(true)
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
@@ -204,7 +204,7 @@
 		table.HoldFailed(work, false)
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.WaitMs).To(BeNumerically("<", calm/2))
-		clock.Advance(time.Minute)
+		fakeClock.Advance(time.Minute)
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.WaitMs).To(Equal(calm))
 	})
--- a/internal/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -1,7 +1,7 @@
 package localproxy
 
 import (
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/peerapi"
 )
 
 const (
--- a/internal/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/executorapi"
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/response"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/platform/response"
 	"gannetline/internal/span"
 )
 
@@ -34,7 +34,7 @@
 type Proxy struct {
 	box      *mailbox.Mailbox
 	table    *Table
-	clock    pulse.Pulse
+	clock    clock.Pulse
 	log      logging.Logger
 	executor *executorapi.Client
 	caller   *peerapi.Caller
@@ -48,7 +48,7 @@
 }
 
 // New makes a proxy for the executors of a service on this machine. It calls nobody before Run.
-func New(service, domain, name string, clock pulse.Pulse, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
+func New(service, domain, name string, clock clock.Pulse, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
 	view func() *membership.View, options ...TableOption) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
@@ -265,7 +265,7 @@
 	patience, release := membership.UntilMoved(life, view)
 	defer release()
 	answer, err := peerapi.Call[peerapi.ExchangeCall, peerapi.ExchangeAnswer](p.caller, patience, owner,
-		peerapi.ProcedureExchange, pulse.Ms(call.WaitMs)+exchangeSlow, call)
+		peerapi.ProcedureExchange, clock.Ms(call.WaitMs)+exchangeSlow, call)
 	if err != nil {
 		p.log.V(1).Info("an exchange failed", "why", err.Error())
 		return false
--- a/internal/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -5,14 +5,14 @@
 import (
 	"time"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 )
 
 // Table is what a local proxy knows of its executor and of the leader's orders. It is owned by one goroutine; the loops
 // ask it what to do next and tell it what came back.
 type Table struct {
-	clock   pulse.Pulse
+	clock   clock.Pulse
 	log     logging.Logger
 	service string
 	domain  string
@@ -48,7 +48,7 @@
 // NewTable makes a table without an executor. The functions ring when there is something to do: onWork when the
 // executor should be held or the leader told, onLook when the runs should be listed anew, onAck when an end is to be
 // acknowledged. They must not block.
-func NewTable(clock pulse.Pulse, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
+func NewTable(clock clock.Pulse, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
 	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onWork: onWork, onLook: onLook, onAck: onAck,
 		onStart: onWork, drainTime: usualDrain}
 	for _, option := range options {
--- a/internal/pulse/pulse.go
+++ b/internal/platform/clock/clock.go
@@ -1,5 +1,5 @@
-// Package pulse is the only place where the project asks for the time.
-package pulse
+// Package clock is the only place where the project asks for the time.
+package clock
 
 import "time"
 
--- a/internal/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/response"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/response"
 )
 
 // steppedClock is a clock for a server that leaves: its waits end when a test says so, one after another.
--- a/internal/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -14,9 +14,9 @@
 
 	jujuerrors "github.com/juju/errors"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/pulse"
-	"gannetline/internal/response"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/response"
 	"gannetline/internal/span"
 )
 
@@ -33,7 +33,7 @@
 	inner    *http.Server
 	handler  http.Handler
 	listener *trackingListener
-	clock    pulse.Pulse
+	clock    clock.Pulse
 	log      logging.Logger
 	isEnding atomic.Bool
 	endCalls func()
@@ -55,7 +55,7 @@
 }
 
 // New makes a server for a listener. It takes no connection before Serve.
-func New(listener net.Listener, handler http.Handler, clock pulse.Pulse, log logging.Logger, options ...Option) *Server {
+func New(listener net.Listener, handler http.Handler, clock clock.Pulse, log logging.Logger, options ...Option) *Server {
 	server := &Server{handler: handler, clock: clock, log: log}
 	server.tracker.clock = clock
 	server.listener = newTrackingListener(listener, &server.tracker)
--- a/internal/httpserver/tracking.go
+++ b/internal/platform/httpserver/tracking.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"time"
 
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
 // tracker counts what a server has read and not answered yet.
 type tracker struct {
-	clock      pulse.Pulse
+	clock      clock.Pulse
 	isLeaving  atomic.Bool
 	open       atomic.Int64
 	unanswered atomic.Int64
--- a/internal/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"time"
 
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -46,7 +46,7 @@
 }
 
 // Run owns the table until the span ends; Settle is called after each burst of letters.
-func (m *Mailbox) Run(life span.Span, clock pulse.Pulse, owner Owner) {
+func (m *Mailbox) Run(life span.Span, clock clock.Pulse, owner Owner) {
 	if owner.OwnCore {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/platform/mailbox/mailbox_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
 	"gannetline/internal/span"
 )
 
@@ -58,7 +58,7 @@
 			box.Post(func() { close(ended) })
 			NewOutbox(box).Send(func() { order = append(order, "sent") })
 			life, end := span.Cancellable(span.Root())
-			go box.Run(life, pulse.NewFake(0), Owner{Every: time.Second})
+			go box.Run(life, clock.NewFake(0), Owner{Every: time.Second})
 			<-ended
 			end()
 			Expect(order).To(Equal([]string{"sent", "posted"}))
--- a/internal/metrics/log.go
+++ b/internal/platform/metrics/log.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 	"gannetline/internal/span"
 )
 
@@ -28,7 +28,7 @@
 }
 
 // Logging does so at each pulse until the span ends.
-func Logging(log logging.Logger, clock pulse.Pulse, every time.Duration) func(span.Span) error {
+func Logging(log logging.Logger, clock clock.Pulse, every time.Duration) func(span.Span) error {
 	return func(life span.Span) error {
 		for {
 			select {
--- a/internal/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -13,9 +13,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/metrics"
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/metrics"
 	"gannetline/internal/span"
 )
 
@@ -40,7 +40,7 @@
 
 // ringing is a clock that rings when the test says so.
 type ringing struct {
-	pulse.Pulse
+	clock.Pulse
 	rings chan time.Time
 }
 
@@ -92,7 +92,7 @@
 		waits.With("logged").Observe(20 * time.Millisecond)
 		life, end := span.Cancellable(span.Root())
 		lines, over := make(lineWriter, 100), make(chan error)
-		ring := ringing{pulse.Real(), make(chan time.Time, 1)}
+		ring := ringing{clock.Real(), make(chan time.Time, 1)}
 		ring.rings <- time.Time{}
 		go func() { over <- metrics.Logging(logging.New(lines, 0), ring, time.Second)(life) }()
 		all := metrics.Samples{}
--- a/internal/queuerules/queuerules_test.go
+++ b/internal/platform/queuerules/queuerules_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/queuerules"
+	"gannetline/internal/platform/queuerules"
 )
 
 func compile(use, order string) (*queuerules.Rules, error) {
--- a/internal/response/response.go
+++ b/internal/platform/response/response.go
@@ -9,7 +9,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/logging"
+	"gannetline/internal/platform/logging"
 )
 
 // A final answer has a status of three digits; those below 200 are interim and can't end an answer.
--- a/internal/response/response_test.go
+++ b/internal/platform/response/response_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/response"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/response"
 )
 
 var _ = Describe("an answer", func() {
--- a/internal/settings/golden_test.go
+++ b/internal/platform/settings/golden_test.go
@@ -4,7 +4,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/settings"
+	"gannetline/internal/platform/settings"
 	"gannetline/internal/testsupport/golden"
 )
 
--- a/internal/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -10,8 +10,8 @@
 	"go.uber.org/multierr"
 	"go.yaml.in/yaml/v3"
 
-	"gannetline/internal/pulse"
-	"gannetline/internal/queuerules"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/queuerules"
 )
 
 // PathVariable is the environment variable that names the settings file.
@@ -246,4 +246,4 @@
 }
 
 // MaxHold is the longest time for which an executor holds its runs without a renewal.
-func (s *Settings) MaxHold() time.Duration { return pulse.Ms(s.Bounds.MaxHoldMs) }
+func (s *Settings) MaxHold() time.Duration { return clock.Ms(s.Bounds.MaxHoldMs) }
--- a/internal/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/settings"
+	"gannetline/internal/platform/settings"
 )
 
 const sound = `node-name: "edge-1"
--- a/internal/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -7,8 +7,8 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/pulse"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
 	"gannetline/internal/span"
 )
 
@@ -17,7 +17,7 @@
 
 // Tree runs parts side by side and starts each again that fails or panics, until one fails too often.
 type Tree struct {
-	clock  pulse.Pulse
+	clock  clock.Pulse
 	log    logging.Logger
 	most   int
 	within time.Duration
@@ -39,7 +39,7 @@
 }
 
 // New makes an empty tree. Without options a part may fail five times a minute and starts again after 100 ms.
-func New(clock pulse.Pulse, log logging.Logger, options ...Option) *Tree {
+func New(clock clock.Pulse, log logging.Logger, options ...Option) *Tree {
 	tree := &Tree{clock: clock, log: log, most: 5, within: time.Minute, pause: 100 * time.Millisecond}
 	for _, option := range options {
 		option(tree)
--- a/internal/supervise/supervise_test.go
+++ b/internal/platform/supervise/supervise_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/logging"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/supervise"
 	"gannetline/internal/span"
-	"gannetline/internal/supervise"
 )
 
 type hasty struct{}
--- a/internal/transportmetrics/transportmetrics_test.go
+++ b/internal/platform/transportmetrics/transportmetrics_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/peerapi"
-	"gannetline/internal/transportmetrics"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/transportmetrics"
 )
 
 func TestWiremeter(t *testing.T) {
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -12,16 +12,16 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/httpserver"
-	"gannetline/internal/logging"
-	"gannetline/internal/membership"
-	"gannetline/internal/metrics"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/settings"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/httpserver"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/metrics"
+	"gannetline/internal/platform/settings"
+	"gannetline/internal/platform/supervise"
+	"gannetline/internal/platform/transportmetrics"
 	"gannetline/internal/span"
-	"gannetline/internal/supervise"
-	"gannetline/internal/transportmetrics"
 )
 
 const (
@@ -33,7 +33,7 @@
 type base struct {
 	path     string
 	settings *settings.Settings
-	clock    pulse.Pulse
+	clock    clock.Pulse
 	log      logging.Logger
 	caller   *peerapi.Caller
 	calls    net.Listener
@@ -76,7 +76,7 @@
 }
 
 func assemble(nodeSettings *settings.Settings, log logging.Logger, options ...Option) (*base, error) {
-	clock := pulse.Real()
+	clock := clock.Real()
 	b := &base{settings: nodeSettings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
 	for _, option := range options {
 		option(b)
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 	"time"
 
-	"gannetline/internal/clientapi"
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/configcache"
-	"gannetline/internal/httpserver"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/response"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/gate/clientapi"
+	"gannetline/internal/platform/httpserver"
+	"gannetline/internal/platform/response"
 	"gannetline/internal/span"
 )
 
--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/span"
 )
 
--- a/internal/roles/knownpeers_test.go
+++ b/internal/roles/knownpeers_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
 )
 
 var _ = Describe("the peers that a steward keeps on disk", func() {
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -11,10 +11,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/httpserver"
-	"gannetline/internal/logging"
-	"gannetline/internal/pulse"
-	"gannetline/internal/response"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/httpserver"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/response"
 	"gannetline/internal/span"
 )
 
@@ -32,7 +32,7 @@
 	)
 
 	It("is not ended by SIGHUP once it reads settings no more", func() {
-		b := &base{clock: pulse.NewFake(0), log: logging.Silent(), hangups: noticeHangups()}
+		b := &base{clock: clock.NewFake(0), log: logging.Silent(), hangups: noticeHangups()}
 		life, end := span.Cancellable(span.Root())
 		end()
 		Expect(b.watchSettings(life)).To(Succeed())
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/executorapi"
-	"gannetline/internal/localproxy"
-	"gannetline/internal/logging"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/pulse"
-	"gannetline/internal/settings"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/node/executorapi"
+	"gannetline/internal/node/localproxy"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/settings"
 	"gannetline/internal/span"
 )
 
@@ -49,7 +49,7 @@
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View})
 	executor := executorapi.NewClient(b.meter.Client(peerapi.Client(silence, 8)), b.settings.App)
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View,
-		localproxy.WithDrainTime(pulse.Ms(b.settings.Bounds.DrainTimeoutMs)))
+		localproxy.WithDrainTime(clock.Ms(b.settings.Bounds.DrainTimeoutMs)))
 	b.tree.Add("proxy", proxy.Run)
 	b.tree.Add("executor-calls", b.serving(control, proxy, executorLeave))
 	return nil
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -7,17 +7,17 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/comparenodes"
-	"gannetline/internal/configcache"
-	"gannetline/internal/controlapi"
-	"gannetline/internal/controlkeys"
-	"gannetline/internal/leaderclient"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/membership"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/queuerules"
-	"gannetline/internal/recording"
-	"gannetline/internal/scheduler"
+	"gannetline/internal/cluster/comparenodes"
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/controlapi"
+	"gannetline/internal/control/controlkeys"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/platform/queuerules"
+	"gannetline/internal/scheduling/recording"
+	"gannetline/internal/scheduling/scheduler"
 	"gannetline/internal/span"
 )
 
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -6,11 +6,11 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/logging"
-	"gannetline/internal/mailbox"
-	"gannetline/internal/peerapi"
-	"gannetline/internal/replication"
-	"gannetline/internal/storage"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
 )
 
 // durableState is where a steward keeps its replicas; it has no store on a machine without a disk, unless that is a seed.
