--- a/cmd/gannetline/check.go
+++ b/cmd/gannetline/check.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 
@@ -9,14 +10,13 @@
 
 	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/platform/settings"
-	"gannetline/internal/span"
 )
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name: "check", Usage: "check a settings file or a plan", ArgsUsage: "FILE",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "plan", Usage: "FILE is a plan in JSON, not settings"}},
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() != 1 {
 				return cli.Exit("check takes one file", exitUsage)
 			}
--- a/cmd/gannetline/compare.go
+++ b/cmd/gannetline/compare.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"os"
 	"time"
 
@@ -8,8 +9,7 @@
 	"github.com/urfave/cli/v3"
 
 	"gannetline/internal/cluster/comparenodes"
-	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/span"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 func compareCommand() *cli.Command {
@@ -21,7 +21,7 @@
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 			&cli.DurationFlag{Name: "timeout", Usage: "how long a node may take", Value: 3 * time.Second},
 		},
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() != 2 {
 				return cli.Exit("compare takes two nodes, ip:port each", exitUsage)
 			}
@@ -32,7 +32,7 @@
 
 // compare prints what two nodes believe differently, or exits with exitDiffers or exitSilent.
 func compare(first, second string, limit time.Duration, isJSON bool) error {
-	beliefs := askAll([]string{first, second}, func(address string) (*peerapi.BeliefsAnswer, error) {
+	beliefs := askAll([]string{first, second}, func(address string) (*wire.BeliefsAnswer, error) {
 		return comparenodes.Ask(address, limit)
 	})
 	for _, node := range beliefs {
--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"os"
@@ -11,10 +12,10 @@
 	"github.com/urfave/cli/v3"
 
 	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/supervise"
 	"gannetline/internal/platform/transportmetrics"
 	"gannetline/internal/roles"
 	"gannetline/internal/simulation/hollow"
-	"gannetline/internal/span"
 )
 
 // longestProfile is in seconds.
@@ -26,15 +27,15 @@
 		Name: "hollow", Usage: "run many hollow workers in one process, on loopback addresses",
 		Description: "Ends with its time, at SIGTERM, or when its standard input is closed. Exit codes: 0 over, 1 failed, 2 bad input.",
 		Flags:       []cli.Flag{&cli.StringFlag{Name: "spec", Usage: "the workers, a JSON `FILE` as scale-run writes it", Required: true}},
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			spec, settings, err := hollow.LoadSpec(command.String("spec"))
 			if err != nil {
 				return cli.Exit(err.Error(), exitUsage)
 			}
-			life, forget := span.UntilSignal()
+			ctx, forget := supervise.UntilSignal()
 			defer forget()
 			go endWithInput()
-			return hollow.Run(life, spec, settings, logging.New(os.Stderr, settings[0].LogLevel))
+			return hollow.Run(ctx, spec, settings, logging.New(os.Stderr, settings[0].LogLevel))
 		},
 	}
 }
@@ -45,7 +46,7 @@
 		"gate": roles.Gate, "steward": roles.Steward, "local-proxy": roles.LocalProxy}
 	return &cli.Command{
 		Name: "measured", Usage: "run a role within a scale run", ArgsUsage: "ROLE", Hidden: true,
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			role := run[command.Args().First()]
 			if role == nil {
 				return cli.Exit("there is no role "+command.Args().First(), exitUsage)
--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -10,7 +11,6 @@
 
 	"gannetline/internal/platform/settings"
 	"gannetline/internal/roles"
-	"gannetline/internal/span"
 )
 
 // The exit codes, as docs/operators.md lists them.
@@ -22,7 +22,7 @@
 )
 
 func main() {
-	if err := newApplication().Run(span.Root(), os.Args); err != nil {
+	if err := newApplication().Run(context.Background(), os.Args); err != nil {
 		os.Exit(report(err))
 	}
 }
@@ -44,13 +44,13 @@
 			hollowCommand(),
 			measuredCommand(),
 		},
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() > 0 {
 				return cli.Exit("there is no command "+command.Args().First(), exitUsage)
 			}
 			return cli.ShowAppHelp(command)
 		},
-		ExitErrHandler: func(span.Span, *cli.Command, error) {},
+		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // roleCommand runs a role until it is told to end.
 func roleCommand(name, usage string, run func(path string, options ...roles.Option) error) *cli.Command {
-	return &cli.Command{Name: name, Usage: usage, Action: func(_ span.Span, command *cli.Command) error {
+	return &cli.Command{Name: name, Usage: usage, Action: func(_ context.Context, command *cli.Command) error {
 		return run(command.String("settings"))
 	}}
 }
--- a/cmd/gannetline/metrics.go
+++ b/cmd/gannetline/metrics.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"net"
 	"slices"
 	"strings"
@@ -11,8 +12,8 @@
 
 	"gannetline/internal/cluster/comparenodes"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 func metricsCommand() *cli.Command {
@@ -26,7 +27,7 @@
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 			&cli.DurationFlag{Name: "timeout", Usage: "how long a process may take", Value: 3 * time.Second},
 		},
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			asked, err := processesToAsk(command)
 			if err != nil {
 				return err
@@ -84,7 +85,7 @@
 	}
 	var asked []process
 	for _, member := range beliefs.Members {
-		if member.State != peerapi.StateGone {
+		if member.State != wire.StateGone {
 			asked = append(asked, process{member.Address, member.Role})
 		}
 	}
--- a/cmd/gannetline/metrics_test.go
+++ b/cmd/gannetline/metrics_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -15,9 +16,8 @@
 
 	"gannetline/internal/cluster/comparenodes"
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 func scriptedProcess(page string) (address string, mux *http.ServeMux) {
@@ -37,8 +37,8 @@
 
 func runMetrics(arguments ...string) (string, int, string) {
 	var shown bytes.Buffer
-	app := &cli.Command{Commands: []*cli.Command{metricsCommand()}, Writer: &shown, ExitErrHandler: func(span.Span, *cli.Command, error) {}}
-	err := app.Run(span.Root(), append([]string{"gannetline", "metrics"}, arguments...))
+	app := &cli.Command{Commands: []*cli.Command{metricsCommand()}, Writer: &shown, ExitErrHandler: func(context.Context, *cli.Command, error) {}}
+	err := app.Run(context.Background(), append([]string{"gannetline", "metrics"}, arguments...))
 	if err == nil {
 		return shown.String(), 0, ""
 	}
@@ -80,8 +80,8 @@
 		gate, mux := scriptedProcess("a 1\n")
 		second, _ := scriptedProcess("a 2\n")
 		steward, _ := scriptedProcess("a 40\n")
-		members := []peerapi.Member{{Name: "e1", Role: "gate", Address: gate}, {Name: "e2", Role: "gate", Address: second},
-			{Name: "c1", Role: "steward", Address: steward}, {Name: "c2", Role: "steward", Address: deadAddress(), State: peerapi.StateGone}}
+		members := []wire.Member{{Name: "e1", Role: "gate", Address: gate}, {Name: "e2", Role: "gate", Address: second},
+			{Name: "c1", Role: "steward", Address: steward}, {Name: "c2", Role: "steward", Address: deadAddress(), State: wire.StateGone}}
 		comparenodes.Handle(mux, comparenodes.Sources{View: func() *membership.View { return &membership.View{Members: members} }})
 		shown, code, _ := runMetrics("--of", gate)
 		Expect(code).To(Equal(0))
--- a/cmd/gannetline/rehearse.go
+++ b/cmd/gannetline/rehearse.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"os"
 	"time"
 
@@ -8,7 +9,6 @@
 
 	"gannetline/internal/scheduling/recording"
 	"gannetline/internal/simulation/rehearsal"
-	"gannetline/internal/span"
 )
 
 func rehearseCommand() *cli.Command {
@@ -23,7 +23,7 @@
 			&cli.BoolFlag{Name: "lenient", Usage: "skip and count broken lines"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 		},
-		Action: func(_ span.Span, command *cli.Command) error {
+		Action: func(_ context.Context, command *cli.Command) error {
 			setup, err := rehearsalSetup(command)
 			if err != nil {
 				return cli.Exit(err.Error(), exitUsage)
--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -16,7 +17,6 @@
 	"gannetline/internal/simulation/modelcheck"
 	"gannetline/internal/simulation/modelcheck/controlmodel"
 	"gannetline/internal/simulation/modelcheck/ordermodel"
-	"gannetline/internal/span"
 )
 
 const (
@@ -34,7 +34,7 @@
 func main() {
 	debug.SetGCPercent(gcPercent)
 	// No signal is caught: a hunt keeps nothing that an end in the middle could harm.
-	if err := command().Run(span.Root(), os.Args); err != nil {
+	if err := command().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "model-check:", err)
 		code := exitUsage
 		var coded cli.ExitCoder
@@ -63,10 +63,10 @@
 			&cli.StringFlag{Name: "out", Usage: "`FOLDER` for the schedule to replay", Value: "."},
 		},
 		Action: check,
-		OnUsageError: func(_ span.Span, _ *cli.Command, err error, _ bool) error {
+		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 			return cli.Exit(err.Error(), exitUsage)
 		},
-		ExitErrHandler: func(span.Span, *cli.Command, error) {},
+		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 }
 
@@ -99,7 +99,7 @@
 	return "", cli.Exit("--size must be small or large", exitUsage)
 }
 
-func check(_ span.Span, flags *cli.Command) error {
+func check(_ context.Context, flags *cli.Command) error {
 	if flags.Args().Present() {
 		return cli.Exit(fmt.Sprintf("%q is no flag", flags.Args().First()), exitUsage)
 	}
--- a/cmd/scale-run/main.go
+++ b/cmd/scale-run/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,8 +12,8 @@
 	"github.com/prometheus/procfs"
 	"github.com/urfave/cli/v3"
 
+	"gannetline/internal/platform/supervise"
 	"gannetline/internal/simulation/scalerun"
-	"gannetline/internal/span"
 )
 
 const (
@@ -43,14 +44,14 @@
 			&cli.StringFlag{Name: "program", Usage: "the gannetline `PROGRAM`; beside this one if left out"},
 		},
 		Action: play,
-		OnUsageError: func(_ span.Span, _ *cli.Command, err error, _ bool) error {
+		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 			return cli.Exit(err.Error(), exitUsage)
 		},
-		ExitErrHandler: func(span.Span, *cli.Command, error) {},
+		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
-	life, forget := span.UntilSignal()
+	ctx, forget := supervise.UntilSignal()
 	defer forget()
-	if err := app.Run(life, os.Args); err != nil {
+	if err := app.Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "scale-run:", err)
 		code := exitFailed
 		var coded cli.ExitCoder
@@ -101,7 +102,7 @@
 	return *memory.MemTotalBytes, nil
 }
 
-func play(life span.Span, command *cli.Command) error {
+func play(ctx context.Context, command *cli.Command) error {
 	setup, err := setupOf(command)
 	if err != nil {
 		return cli.Exit(err.Error(), exitUsage)
@@ -117,10 +118,10 @@
 	}
 	var sizes []scalerun.Size
 	for _, workers := range setup.Sizes {
-		if life.Err() != nil {
+		if ctx.Err() != nil {
 			break
 		}
-		sizes = append(sizes, scalerun.Play(life, &setup, workers, os.Stderr, memory))
+		sizes = append(sizes, scalerun.Play(ctx, &setup, workers, os.Stderr, memory))
 	}
 	report := scalerun.NewReport(setup, sizes, memory)
 	if err := report.Print(os.Stdout); err != nil {
--- a/internal/cluster/comparenodes/ask.go
+++ b/internal/cluster/comparenodes/ask.go
@@ -1,15 +1,16 @@
 package comparenodes
 
 import (
+	"context"
 	"time"
 
 	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/span"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // Ask fetches a node's beliefs; a node that is silent is given up after the limit.
-func Ask(address string, limit time.Duration) (*peerapi.BeliefsAnswer, error) {
+func Ask(address string, limit time.Duration) (*wire.BeliefsAnswer, error) {
 	caller := peerapi.NewCaller(peerapi.Client(limit, 1))
-	return peerapi.Call[peerapi.BeliefsCall, peerapi.BeliefsAnswer](caller, span.Root(), address,
-		peerapi.ProcedureBeliefs, limit, &peerapi.BeliefsCall{})
+	return peerapi.Call[wire.BeliefsCall, wire.BeliefsAnswer](caller, context.Background(), address,
+		peerapi.ProcedureBeliefs, limit, &wire.BeliefsCall{})
 }
--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // Difference is one thing that two nodes believe differently.
@@ -24,7 +24,7 @@
 const unknown = "(unknown)"
 
 // Compare gives the differences only, in a fixed order. What the role of a node need not know is not compared.
-func Compare(first, second *peerapi.BeliefsAnswer) []Difference {
+func Compare(first, second *wire.BeliefsAnswer) []Difference {
 	var all []Difference
 	add := func(kind string, believedFirst, believedSecond map[string]string) {
 		for _, name := range namesOf(believedFirst, believedSecond) {
@@ -35,7 +35,7 @@
 		}
 	}
 	add("plan", map[string]string{"version": strconv.FormatInt(first.Plan, 10)}, map[string]string{"version": strconv.FormatInt(second.Plan, 10)})
-	isListed := func(member peerapi.Member) bool {
+	isListed := func(member wire.Member) bool {
 		hasLeaf := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
 		return !hasLeaf || member.Role == membership.RoleSteward
 	}
@@ -72,8 +72,8 @@
 	return unknown
 }
 
-func members(answer *peerapi.BeliefsAnswer, isListed func(peerapi.Member) bool) map[string]string {
-	states := map[int]string{peerapi.StateAlive: "alive", peerapi.StateSuspect: "suspect", peerapi.StateGone: "gone"}
+func members(answer *wire.BeliefsAnswer, isListed func(wire.Member) bool) map[string]string {
+	states := map[int]string{wire.StateAlive: "alive", wire.StateSuspect: "suspect", wire.StateGone: "gone"}
 	beliefs := map[string]string{}
 	for _, member := range answer.Members {
 		if !isListed(member) {
@@ -84,7 +84,7 @@
 	return beliefs
 }
 
-func owners(answer *peerapi.BeliefsAnswer) map[string]string {
+func owners(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
 	for _, fact := range answer.Owners {
 		beliefs[fact.Key] = fmt.Sprintf("%s, epoch %d", fact.Name, fact.Epoch)
@@ -92,7 +92,7 @@
 	return beliefs
 }
 
-func replicas(answer *peerapi.BeliefsAnswer) map[string]string {
+func replicas(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
 	for _, key := range answer.Keys {
 		beliefs[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Index, strings.Join(key.Set.Now, " "))
@@ -100,7 +100,7 @@
 	return beliefs
 }
 
-func jobs(answer *peerapi.BeliefsAnswer) map[string]string {
+func jobs(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
 	for _, job := range answer.Jobs {
 		beliefs[job.Key+"/"+job.ID] = job.State
@@ -108,7 +108,7 @@
 	return beliefs
 }
 
-func executors(answer *peerapi.BeliefsAnswer) map[string]string {
+func executors(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
 	for _, executor := range answer.Executors {
 		beliefs[executor.Key+"/"+executor.Life] = fmt.Sprintf("%s, %d runs", executor.State, executor.Running)
--- a/internal/cluster/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -9,14 +9,14 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/cluster/comparenodes"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
-func node(name string, plan int64) *peerapi.BeliefsAnswer {
-	return &peerapi.BeliefsAnswer{Name: name, Role: "steward", Plan: plan,
-		Members: []peerapi.Member{{Name: "edge-1", Role: "gate", Address: "10.0.0.1:7720"}},
-		Owners:  []peerapi.LeaderFact{{Key: "plan", Epoch: 2, Name: "edge-1"}},
-		Jobs:    []peerapi.JobBelief{{Key: "pool/s", ID: "5c0e7a21d94b36f8", State: "open"}}}
+func node(name string, plan int64) *wire.BeliefsAnswer {
+	return &wire.BeliefsAnswer{Name: name, Role: "steward", Plan: plan,
+		Members: []wire.Member{{Name: "edge-1", Role: "gate", Address: "10.0.0.1:7720"}},
+		Owners:  []wire.LeaderFact{{Key: "plan", Epoch: 2, Name: "edge-1"}},
+		Jobs:    []wire.JobBelief{{Key: "pool/s", ID: "5c0e7a21d94b36f8", State: "open"}}}
 }
 
 var _ = Describe("comparing two nodes", func() {
@@ -26,7 +26,7 @@
 
 	It("does not miss at a local-proxy the members that it need not know", func() {
 		side := node("side-1", 7)
-		side.Role, side.Members = "local-proxy", []peerapi.Member{{Name: "side-1", Role: "local-proxy"}}
+		side.Role, side.Members = "local-proxy", []wire.Member{{Name: "side-1", Role: "local-proxy"}}
 		Expect(comparenodes.Compare(node("a", 7), side)).To(BeEmpty())
 	})
 
--- a/internal/cluster/comparenodes/serve.go
+++ b/internal/cluster/comparenodes/serve.go
@@ -2,12 +2,13 @@
 package comparenodes
 
 import (
+	"context"
 	"net/http"
 
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/span"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // Sources are where a node's beliefs come from: its view of the members, the configuration that it applies, and what
@@ -15,14 +16,14 @@
 type Sources struct {
 	View func() *membership.View
 	Page func() *configcache.Snapshot
-	Ring func(life span.Span) ([]peerapi.KeyBelief, []peerapi.JobBelief, []peerapi.ExecutorBelief)
+	Ring func(ctx context.Context) ([]wire.KeyBelief, []wire.JobBelief, []wire.ExecutorBelief)
 }
 
 // Handle lets an operator's tool ask this node for its beliefs.
 func Handle(mux *http.ServeMux, sources Sources) {
-	peerapi.Serve(mux, peerapi.ProcedureBeliefs, func(life span.Span, _ *peerapi.BeliefsCall) (*peerapi.BeliefsAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedureBeliefs, func(ctx context.Context, _ *wire.BeliefsCall) (*wire.BeliefsAnswer, error) {
 		view := sources.View()
-		answer := &peerapi.BeliefsAnswer{Name: view.Self.Name, Role: view.Self.Role, Members: view.Members}
+		answer := &wire.BeliefsAnswer{Name: view.Self.Name, Role: view.Self.Role, Members: view.Members}
 		for _, fact := range view.Owners {
 			answer.Owners = append(answer.Owners, fact)
 		}
@@ -32,7 +33,7 @@
 			}
 		}
 		if sources.Ring != nil {
-			answer.Keys, answer.Jobs, answer.Executors = sources.Ring(life)
+			answer.Keys, answer.Jobs, answer.Executors = sources.Ring(ctx)
 		}
 		return answer, nil
 	})
--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -1,6 +1,7 @@
 package configcache_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"time"
@@ -10,21 +11,21 @@
 
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
-	"gannetline/internal/span"
 )
 
 // scriptedPeer answers calls for a plan without a network.
 type scriptedPeer struct {
 	mux   *http.ServeMux
-	calls chan peerapi.ConfigurationCall
-	tell  chan *peerapi.ConfigurationAnswer
+	calls chan wire.ConfigurationCall
+	tell  chan *wire.ConfigurationAnswer
 }
 
 func newScriptedPeer() *scriptedPeer {
-	s := &scriptedPeer{mux: http.NewServeMux(), calls: make(chan peerapi.ConfigurationCall, 9), tell: make(chan *peerapi.ConfigurationAnswer, 9)}
-	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+	s := &scriptedPeer{mux: http.NewServeMux(), calls: make(chan wire.ConfigurationCall, 9), tell: make(chan *wire.ConfigurationAnswer, 9)}
+	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 		s.calls <- *call
 		return <-s.tell, nil
 	})
@@ -48,30 +49,30 @@
 		peer, fakeClock, inForce = newScriptedPeer(), clock.NewFake(1), make(chan int64, 9)
 		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), fakeClock, logging.Silent(),
 			func(page *configcache.Snapshot) { inForce <- page.Fact.Version })
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		DeferCleanup(end)
-		go cache.Run(life)
+		go cache.Run(ctx)
 	})
 
 	It("asks for changes on what it holds, and for the whole where they don't fit", func() {
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
-		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
-		wrong := *versionOf(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true}).Changes[0]
+		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 5)
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
+		wrong := *versionOf(old, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true}).Changes[0]
 		wrong.Digest = "of another plan"
-		peer.tell <- &peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{&wrong}}
-		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChunks: true}))
+		peer.tell <- &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{&wrong}}
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 3, TakesChunks: true}))
 		Expect(cache.Page().Fact.Version).To(Equal(int64(3)))
-		peer.tell <- &peerapi.ConfigurationAnswer{Fact: next}
+		peer.tell <- &wire.ConfigurationAnswer{Fact: next}
 		Expect(<-inForce).To(Equal(int64(5)))
 		Expect(cache.Page().Fact.Body).To(Equal(next.Body))
 	})
 
 	It("asks for the whole without a base, and serves what it holds in turn", func() {
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
-		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{TakesChunks: true}))
-		peer.tell <- &peerapi.ConfigurationAnswer{Fact: old}
+		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 3)
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{TakesChunks: true}))
+		peer.tell <- &wire.ConfigurationAnswer{Fact: old}
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.Hold(next)
 		Expect(<-inForce).To(Equal(int64(5)))
@@ -79,8 +80,8 @@
 		mux := http.NewServeMux()
 		cache.Handle(mux)
 		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedPeer{mux: mux}})
-		answer, err := peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](caller, span.Root(), "10.0.0.9:1",
-			peerapi.ProcedurePlan, time.Second, &peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(), "10.0.0.9:1",
+			peerapi.ProcedurePlan, time.Second, &wire.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Changes).To(HaveLen(1))
 	})
@@ -88,16 +89,16 @@
 	It("turns to each who was heard of during a fetch that left it behind, once", func() {
 		cache.Hold(old)
 		<-inForce
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 5)
+		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 5)
 		<-peer.calls
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 7)
+		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 7)
 		cache.Hold(old)
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 7)
-		peer.tell <- versionOf(old, next).Answer(&peerapi.ConfigurationCall{Held: 3, TakesChanges: true})
+		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 7)
+		peer.tell <- versionOf(old, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
 		for range 2 {
-			Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 5, TakesChanges: true, TakesChunks: true}))
-			peer.tell <- &peerapi.ConfigurationAnswer{}
+			Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 5, TakesChanges: true, TakesChunks: true}))
+			peer.tell <- &wire.ConfigurationAnswer{}
 		}
 		cache.Hold(fact(9, body(9)))
 		Expect(<-inForce).To(Equal(int64(9)))
@@ -105,16 +106,16 @@
 	})
 
 	It("asks a second peer only once the first one is slow", func() {
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:1"}, 3)
+		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 3)
 		<-peer.calls
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 3)
+		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 3)
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		Expect(peer.calls).To(BeEmpty())
 		fakeClock.Advance(250 * time.Millisecond)
-		cache.Ahead(peerapi.Member{Address: "10.0.0.9:2"}, 5)
-		Expect(<-peer.calls).To(Equal(peerapi.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
-		peer.tell <- &peerapi.ConfigurationAnswer{}
-		peer.tell <- &peerapi.ConfigurationAnswer{}
+		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 5)
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
+		peer.tell <- &wire.ConfigurationAnswer{}
+		peer.tell <- &wire.ConfigurationAnswer{}
 	})
 })
--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -3,6 +3,7 @@
 package configcache
 
 import (
+	"context"
 	"sync/atomic"
 	"time"
 
@@ -10,15 +11,15 @@
 
 	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 // Snapshot is the version in force, as it was committed and as it is looked up.
 type Snapshot struct {
-	Fact    *peerapi.Configuration
+	Fact    *wire.Configuration
 	Matcher *configuration.Matcher
 	version *Version
 }
@@ -40,7 +41,7 @@
 	mailbox  *mailbox.Mailbox
 	current  atomic.Pointer[Snapshot]
 	caller   *peerapi.Caller
-	clock    clock.Pulse
+	clock    clock.Clock
 	log      logging.Logger
 	onChange func(*Snapshot)
 	fetcher  *Fetcher
@@ -49,7 +50,7 @@
 }
 
 // New makes a cache; onChange is told of each version that comes into force, on the goroutine that owns the cache.
-func New(caller *peerapi.Caller, clock clock.Pulse, log logging.Logger, onChange func(*Snapshot)) *Cache {
+func New(caller *peerapi.Caller, clock clock.Clock, log logging.Logger, onChange func(*Snapshot)) *Cache {
 	cache := &Cache{mailbox: mailbox.New(mailboxRoom), caller: caller, clock: clock, log: log, onChange: onChange,
 		answering: make(chan struct{}, mostAnswers)}
 	cache.fetcher = NewFetcher(clock, log, Actions{Ask: cache.ask, Wake: cache.wake, Use: cache.use})
@@ -59,17 +60,17 @@
 // Page gives the version in force, nil before the first.
 func (c *Cache) Page() *Snapshot { return c.current.Load() }
 
-// Run owns the cache until the span ends.
-func (c *Cache) Run(life span.Span) error {
-	c.mailbox.Run(life, c.clock, mailbox.Owner{Every: time.Minute})
+// Run owns the cache until ctx is done.
+func (c *Cache) Run(ctx context.Context) error {
+	c.mailbox.Run(ctx, c.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
 // Hold takes a committed configuration.
-func (c *Cache) Hold(fact *peerapi.Configuration) { c.mailbox.Post(func() { c.fetcher.Hold(fact) }) }
+func (c *Cache) Hold(fact *wire.Configuration) { c.mailbox.Post(func() { c.fetcher.Hold(fact) }) }
 
 // Ahead fetches a version that a peer holds and this process does not.
-func (c *Cache) Ahead(member peerapi.Member, version int64) {
+func (c *Cache) Ahead(member wire.Member, version int64) {
 	c.mailbox.TryPost(func() { c.fetcher.Hear(member, version) })
 }
 
@@ -97,9 +98,9 @@
 }
 
 // ask calls a peer and tells the fetcher of the outcome.
-func (c *Cache) ask(address string, call *peerapi.ConfigurationCall, patience time.Duration) {
+func (c *Cache) ask(address string, call *wire.ConfigurationCall, patience time.Duration) {
 	go func() {
-		answer, err := peerapi.CallWhileMoving[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](c.caller, c.clock, span.Root(), address,
+		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](c.caller, c.clock, context.Background(), address,
 			peerapi.ProcedurePlan, patience, call)
 		c.mailbox.Post(func() { c.fetcher.Take(address, call, answer, err) })
 	}()
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -1,6 +1,7 @@
 package configcache_test
 
 import (
+	"context"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -13,9 +14,9 @@
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
-	"gannetline/internal/span"
 )
 
 // BenchmarkVersion measures what one version costs at the sizes that users have and want.
@@ -25,12 +26,12 @@
 		base := h.next()
 		before := versionOf(base)
 		next := h.next()
-		answer := before.Follow(next).Answer(&peerapi.ConfigurationCall{Held: base.Version, TakesChanges: true})
+		answer := before.Follow(next).Answer(&wire.ConfigurationCall{Held: base.Version, TakesChanges: true})
 		chain := before
 		for range 32 {
 			chain = chain.Follow(h.next())
 		}
-		chained := chain.Answer(&peerapi.ConfigurationCall{Held: base.Version, TakesChanges: true})
+		chained := chain.Answer(&wire.ConfigurationCall{Held: base.Version, TakesChanges: true})
 		image, _ := configcache.Pack(next)
 		steps := map[string]func() error{
 			"read":    func() error { _, err := configuration.Read(next.Body); return err },
@@ -69,21 +70,21 @@
 	const mostAnswers = 12
 
 	It("has a bounded number of answers under way; the next is sent on, and served once one is through", func() {
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		DeferCleanup(end)
 		inForce := make(chan struct{}, 1)
 		cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.NewFake(1), logging.Silent(),
 			func(*configcache.Snapshot) { inForce <- struct{}{} })
-		go cache.Run(life)
+		go cache.Run(ctx)
 		mux := http.NewServeMux()
 		cache.Handle(mux)
 		cache.Hold(newHistory(550).next())
 		<-inForce
 		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, mostAnswers)
 		held := &scriptedPeer{mux: mux}
-		call := func(through http.RoundTripper) (*peerapi.ConfigurationAnswer, error) {
-			return peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
-				span.Root(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &peerapi.ConfigurationCall{TakesChunks: true})
+		call := func(through http.RoundTripper) (*wire.ConfigurationAnswer, error) {
+			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
+				context.Background(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{TakesChunks: true})
 		}
 		for range mostAnswers {
 			go func() {
@@ -98,7 +99,7 @@
 		}
 		answer, err := call(held)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer).To(Equal(&peerapi.ConfigurationAnswer{Busy: true}))
+		Expect(answer).To(Equal(&wire.ConfigurationAnswer{Busy: true}))
 		close(isLet)
 		<-through
 		answer, err = call(held)
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -71,14 +71,14 @@
 }
 
 // partsOf says a body in pieces of a base, and in text where the base has none.
-func partsOf(base, body [][]byte) []peerapi.DeltaPart {
+func partsOf(base, body [][]byte) []wire.DeltaPart {
 	places := map[string]int{}
 	for place, piece := range slices.Backward(base) {
 		places[string(piece)] = place
 	}
-	var parts []peerapi.DeltaPart
+	var parts []wire.DeltaPart
 	for _, piece := range body {
-		var last *peerapi.DeltaPart
+		var last *wire.DeltaPart
 		if len(parts) > 0 {
 			last = &parts[len(parts)-1]
 		}
@@ -91,11 +91,11 @@
 		place, isThere := places[string(piece)]
 		switch {
 		case isThere && len(piece) >= shortPiece:
-			parts = append(parts, peerapi.DeltaPart{From: place, Count: 1})
+			parts = append(parts, wire.DeltaPart{From: place, Count: 1})
 		case last != nil && last.Count == 0:
 			last.Text += string(piece)
 		default:
-			parts = append(parts, peerapi.DeltaPart{Text: string(piece)})
+			parts = append(parts, wire.DeltaPart{Text: string(piece)})
 		}
 	}
 	return parts
@@ -103,7 +103,7 @@
 
 // assemble gives the pieces of the body that the parts say, without reading the whole of it: those of a span are pieces
 // of the new body too, and only text is cut anew.
-func assemble(base []piece, parts []peerapi.DeltaPart) ([]piece, error) {
+func assemble(base []piece, parts []wire.DeltaPart) ([]piece, error) {
 	pieces := make([]piece, 0, len(base)+len(parts))
 	depth := 0
 	for _, part := range parts {
@@ -141,8 +141,8 @@
 }
 
 // digestOf covers all of a fact that is passed on.
-func digestOf(fact *peerapi.Configuration) (string, error) {
-	rest, err := easyjson.Marshal(peerapi.Configuration{Version: fact.Version, InitialVoters: fact.InitialVoters, Moved: fact.Moved})
+func digestOf(fact *wire.Configuration) (string, error) {
+	rest, err := easyjson.Marshal(wire.Configuration{Version: fact.Version, InitialVoters: fact.InitialVoters, Moved: fact.Moved})
 	if err != nil {
 		return "", errors.Annotate(err, "the digest of a plan")
 	}
@@ -153,7 +153,7 @@
 }
 
 // changeOf gives what makes the base into the fact; nothing if the whole would hardly be longer.
-func changeOf(base, fact *peerapi.Configuration) *peerapi.ConfigurationDelta {
+func changeOf(base, fact *wire.Configuration) *wire.ConfigurationDelta {
 	if len(fact.InitialVoters) < len(base.InitialVoters) || len(fact.Moved) < len(base.Moved) {
 		return nil
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil
 	}
-	change := &peerapi.ConfigurationDelta{Base: base.Version, Version: fact.Version, Digest: digest,
+	change := &wire.ConfigurationDelta{Base: base.Version, Version: fact.Version, Digest: digest,
 		Parts: partsOf(Pieces(base.Body), Pieces(fact.Body)), InitialVoters: fact.InitialVoters[len(base.InitialVoters):]}
 	for place, moved := range fact.Moved {
 		if place >= len(base.Moved) || !isSame(base.Moved[place], moved) {
@@ -174,12 +174,12 @@
 	return change
 }
 
-func isSame(a, b peerapi.MovedRoute) bool {
+func isSame(a, b wire.MovedRoute) bool {
 	return a.Entry == b.Entry && slices.Equal(a.Services, b.Services)
 }
 
 // textIn is how many bytes of text a change brings.
-func textIn(change *peerapi.ConfigurationDelta) int {
+func textIn(change *wire.ConfigurationDelta) int {
 	count := 0
 	for _, part := range change.Parts {
 		count += len(part.Text)
@@ -189,9 +189,9 @@
 
 // applyAll makes the fact that a chain of changes leads to. Its digest must be the one that the last change names, which
 // it has only if all before it were right.
-func applyAll(base *peerapi.Configuration, changes []*peerapi.ConfigurationDelta) (*peerapi.Configuration, error) {
+func applyAll(base *wire.Configuration, changes []*wire.ConfigurationDelta) (*wire.Configuration, error) {
 	pieces := cutFrom(base.Body, 0)
-	fact := &peerapi.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
+	fact := &wire.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
 	for _, change := range changes {
 		var err error
 		if pieces, err = assemble(pieces, change.Parts); err != nil {
@@ -213,9 +213,9 @@
 }
 
 // withMoved replaces the entries of routes that have moved again, and adds the others.
-func withMoved(all, added []peerapi.MovedRoute) []peerapi.MovedRoute {
+func withMoved(all, added []wire.MovedRoute) []wire.MovedRoute {
 	for _, moved := range added {
-		place := slices.IndexFunc(all, func(known peerapi.MovedRoute) bool { return known.Entry == moved.Entry })
+		place := slices.IndexFunc(all, func(known wire.MovedRoute) bool { return known.Entry == moved.Entry })
 		if place < 0 {
 			all = append(all, moved)
 			continue
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -6,6 +6,7 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 )
@@ -28,7 +29,7 @@
 // Actions are what a fetcher has its process do.
 type Actions struct {
 	// Ask calls a peer that may be silent for the patience; Take is told of the outcome.
-	Ask func(address string, call *peerapi.ConfigurationCall, patience time.Duration)
+	Ask func(address string, call *wire.ConfigurationCall, patience time.Duration)
 	// Wake calls the fetcher's Wake after a while.
 	Wake func(after time.Duration)
 	// Use brings a version into force; an error says that it can't be read.
@@ -37,7 +38,7 @@
 
 // Fetcher decides whom to ask for what, one call at a time. It knows neither goroutines nor sockets.
 type Fetcher struct {
-	clock   clock.Pulse
+	clock   clock.Clock
 	log     logging.Logger
 	actions Actions
 
@@ -53,12 +54,12 @@
 }
 
 // NewFetcher makes a fetcher that holds nothing yet.
-func NewFetcher(clock clock.Pulse, log logging.Logger, actions Actions) *Fetcher {
+func NewFetcher(clock clock.Clock, log logging.Logger, actions Actions) *Fetcher {
 	return &Fetcher{clock: clock, log: log, actions: actions, patience: shortPatience}
 }
 
 // Hold takes a committed configuration.
-func (f *Fetcher) Hold(fact *peerapi.Configuration) {
+func (f *Fetcher) Hold(fact *wire.Configuration) {
 	if err := f.adopt(f.current.Follow(fact)); err != nil {
 		f.log.Error(err, "the committed plan was refused", "version", fact.Version)
 	}
@@ -78,7 +79,7 @@
 }
 
 // Hear notes that a peer holds a version, and fetches it if it is newer.
-func (f *Fetcher) Hear(member peerapi.Member, version int64) {
+func (f *Fetcher) Hear(member wire.Member, version int64) {
 	if version > f.current.version() {
 		f.peers.note(member, version)
 		f.fetchNext()
@@ -86,7 +87,7 @@
 }
 
 // Chunk gives a peer a chunk of an image of the whole.
-func (f *Fetcher) Chunk(call *peerapi.ConfigurationCall) (*peerapi.ConfigurationChunk, error) {
+func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
 
@@ -116,8 +117,8 @@
 }
 
 func (f *Fetcher) ask(address string, takesChanges bool) {
-	f.isFetching, f.askedAt = true, f.clock.Steady()
-	call := &peerapi.ConfigurationCall{Held: f.current.version(), TakesChanges: takesChanges && f.current != nil, TakesChunks: true}
+	f.isFetching, f.askedAt = true, f.clock.Monotonic()
+	call := &wire.ConfigurationCall{Held: f.current.version(), TakesChanges: takesChanges && f.current != nil, TakesChunks: true}
 	if begun := f.transfers.next(address); begun != nil {
 		call.Image, call.Offset = begun.image.Name, len(begun.image.data)
 	}
@@ -125,7 +126,7 @@
 }
 
 // Take handles the outcome of a call, and goes on with what is next.
-func (f *Fetcher) Take(address string, call *peerapi.ConfigurationCall, answer *peerapi.ConfigurationAnswer, err error) {
+func (f *Fetcher) Take(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer, err error) {
 	f.isFetching = false
 	switch {
 	case errors.Is(err, peerapi.ErrStalled):
@@ -136,15 +137,15 @@
 	case answer.Busy:
 		f.failed(address, errors.New("the peer answers too many others"))
 	default:
-		f.patience = max(shortPatience, min(patienceFactor*(f.clock.Steady()-f.askedAt), longPatience))
+		f.patience = max(shortPatience, min(patienceFactor*(f.clock.Monotonic()-f.askedAt), longPatience))
 		bodyBytesFetched.Add(bytesOf(answer))
 		f.apply(address, call, answer)
 	}
 }
 
 // apply uses an answer, and goes on with the rest of an image or with what is next.
-func (f *Fetcher) apply(address string, call *peerapi.ConfigurationCall, answer *peerapi.ConfigurationAnswer) {
-	begun, before := f.clock.Steady(), f.current
+func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
+	begun, before := f.clock.Monotonic(), f.current
 	next, isWhole, err := f.read(address, answer)
 	switch {
 	case err != nil && call.TakesChanges && len(answer.Changes) > 0:
@@ -173,11 +174,11 @@
 		return
 	}
 	f.peers.answered(address)
-	f.pause(min(pauseFactor*(f.clock.Steady()-begun), longestPause))
+	f.pause(min(pauseFactor*(f.clock.Monotonic()-begun), longestPause))
 }
 
 // read makes a version of an answer; it is not whole while chunks of its image are missing.
-func (f *Fetcher) read(address string, answer *peerapi.ConfigurationAnswer) (next *Version, isWhole bool, err error) {
+func (f *Fetcher) read(address string, answer *wire.ConfigurationAnswer) (next *Version, isWhole bool, err error) {
 	if answer.Chunk == nil {
 		next, err = f.current.Take(answer)
 		return next, true, err
@@ -207,7 +208,7 @@
 }
 
 // bytesOf counts what an answer holds of configurations: text, whole or in parts, and chunks.
-func bytesOf(answer *peerapi.ConfigurationAnswer) int {
+func bytesOf(answer *wire.ConfigurationAnswer) int {
 	count := 0
 	if answer.Fact != nil {
 		count = len(answer.Fact.Body)
--- a/internal/cluster/configcache/fetch_test.go
+++ b/internal/cluster/configcache/fetch_test.go
@@ -1,6 +1,7 @@
 package configcache_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 
@@ -9,19 +10,19 @@
 
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 const smallBody = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"}],"service-list":[{"name":"s"}]}`
 
 func runningCache(heed func(*configcache.Snapshot)) *configcache.Cache {
-	life, end := span.Cancellable(span.Root())
-	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.Real(), logging.Silent(), heed)
+	ctx, end := context.WithCancel(context.Background())
+	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent(), heed)
 	over := make(chan error, 1)
-	go func() { over <- cache.Run(life) }()
+	go func() { over <- cache.Run(ctx) }()
 	DeferCleanup(func() {
 		end()
 		Expect(<-over).To(Succeed())
@@ -39,9 +40,9 @@
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
-		ahead.Hold(&peerapi.Configuration{Version: 7, Body: []byte(smallBody)})
+		ahead.Hold(&wire.Configuration{Version: 7, Body: []byte(smallBody)})
 		<-pages
-		behind.Ahead(peerapi.Member{Address: server.Listener.Addr().String()}, 7)
+		behind.Ahead(wire.Member{Address: server.Listener.Addr().String()}, 7)
 		Expect((<-pages).Fact.Version).To(Equal(int64(7)))
 		Expect(behind.Page().Matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		own := metrics.Own()
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -30,7 +30,7 @@
 }
 
 // Pack compresses a whole version.
-func Pack(fact *peerapi.Configuration) (*Image, error) {
+func Pack(fact *wire.Configuration) (*Image, error) {
 	text, err := easyjson.Marshal(fact)
 	if err != nil {
 		return nil, errors.Annotate(err, "writing the image of a configuration")
@@ -58,7 +58,7 @@
 func (i *Image) Size() int { return len(i.data) }
 
 // Unpack gives back the version; an error says that the data are not what their name and version promise.
-func (i *Image) Unpack() (*peerapi.Configuration, error) {
+func (i *Image) Unpack() (*wire.Configuration, error) {
 	if nameOf(i.data) != i.Name {
 		return nil, errors.Errorf("the image of version %d has another digest than its name", i.Version)
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "decompressing version %d", i.Version)
 	}
-	fact := &peerapi.Configuration{}
+	fact := &wire.Configuration{}
 	if err := easyjson.Unmarshal(text, fact); err != nil {
 		return nil, errors.Annotatef(err, "reading the image of version %d", i.Version)
 	}
@@ -77,13 +77,13 @@
 }
 
 // chunk gives the part that a call goes on with; one that names another image, or no place in this one, starts over.
-func (i *Image) chunk(call *peerapi.ConfigurationCall) *peerapi.ConfigurationChunk {
+func (i *Image) chunk(call *wire.ConfigurationCall) *wire.ConfigurationChunk {
 	offset := 0
 	if call.Image == i.Name && call.Offset > 0 && call.Offset < len(i.data) {
 		offset = call.Offset
 	}
 	end := min(len(i.data), offset+chunkBytes)
-	return &peerapi.ConfigurationChunk{Version: i.Version, Image: i.Name, Size: len(i.data), Offset: offset, Data: i.data[offset:end]}
+	return &wire.ConfigurationChunk{Version: i.Version, Image: i.Name, Size: len(i.data), Offset: offset, Data: i.data[offset:end]}
 }
 
 // imageCache keeps the images whose transfers may be under way, the one that was asked for last at the end.
@@ -109,7 +109,7 @@
 
 // chunk answers a call from the image that it names, or else from one that changes lead on from, or from a new one. So
 // a transfer goes on to its end while new versions come, and an image is made only where the changes don't reach.
-func (c *imageCache) chunk(current *Version, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationChunk, error) {
+func (c *imageCache) chunk(current *Version, call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	named := c.use(func(image *Image) bool { return image.Name == call.Image && image.Version > call.Held })
 	if named != nil {
 		return named.chunk(call), nil
@@ -138,7 +138,7 @@
 func (t *transfer) left() int { return t.size - len(t.image.data) }
 
 // fits tells whether a chunk is the next one of this image.
-func (t *transfer) fits(chunk *peerapi.ConfigurationChunk) bool {
+func (t *transfer) fits(chunk *wire.ConfigurationChunk) bool {
 	isSame := chunk.Size == t.size && chunk.Version == t.image.Version
 	isNext := chunk.Offset == len(t.image.data)
 	return isSame && isNext && len(chunk.Data) > 0 && len(chunk.Data) <= t.left()
@@ -164,7 +164,7 @@
 }
 
 // take adds a chunk; it gives the image once it is whole.
-func (t *transfers) take(address string, chunk *peerapi.ConfigurationChunk) (*Image, error) {
+func (t *transfers) take(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
 	begun := t.find(chunk)
 	if begun == nil {
 		if chunk.Offset != 0 || chunk.Size <= 0 || chunk.Size > mostImageBytes {
@@ -186,7 +186,7 @@
 	return &begun.image, nil
 }
 
-func (t *transfers) find(chunk *peerapi.ConfigurationChunk) *transfer {
+func (t *transfers) find(chunk *wire.ConfigurationChunk) *transfer {
 	for _, begun := range t.open {
 		if begun.image.Name == chunk.Image {
 			return begun
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -14,6 +14,7 @@
 
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 )
@@ -32,7 +33,7 @@
 	// rate is that of the fetching process's link, in bytes a second.
 	rate     int
 	peers    map[string]*process
-	calls    []peerapi.ConfigurationCall
+	calls    []wire.ConfigurationCall
 	received int
 	underWay int
 	mostAt   int
@@ -43,7 +44,7 @@
 }
 
 func (n *network) after(wait time.Duration, do func()) {
-	n.events = append(n.events, event{n.clock.Steady() + wait, do})
+	n.events = append(n.events, event{n.clock.Monotonic() + wait, do})
 }
 
 // runTo carries out what is due until a moment.
@@ -56,30 +57,30 @@
 			}
 		}
 		if next < 0 {
-			n.clock.Advance(max(0, end-n.clock.Steady()))
+			n.clock.Advance(max(0, end-n.clock.Monotonic()))
 			return
 		}
 		due := n.events[next]
 		n.events = slices.Delete(n.events, next, next+1)
-		n.clock.Advance(max(0, due.at-n.clock.Steady()))
+		n.clock.Advance(max(0, due.at-n.clock.Monotonic()))
 		due.do()
 	}
 }
 
 // process is one that holds a configuration; answers may be bent, and a dead one is silent.
 type process struct {
-	member  peerapi.Member
+	member  wire.Member
 	fetcher *configcache.Fetcher
 	held    *configcache.Version
 	isDead  bool
 	// applying is how long it takes to bring a version into force.
 	applying time.Duration
-	bend     func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer
+	bend     func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer
 	taken    map[int64]time.Duration
 }
 
 func (n *network) add(name string) *process {
-	one := &process{member: peerapi.Member{Name: name, Role: "steward", Address: name}, taken: map[int64]time.Duration{}}
+	one := &process{member: wire.Member{Name: name, Role: "steward", Address: name}, taken: map[int64]time.Duration{}}
 	one.start(n)
 	n.peers[name] = one
 	return one
@@ -90,7 +91,7 @@
 	p.held = nil
 	var fetcher *configcache.Fetcher
 	fetcher = configcache.NewFetcher(n.clock, logging.Silent(), configcache.Actions{
-		Ask: func(address string, call *peerapi.ConfigurationCall, patience time.Duration) {
+		Ask: func(address string, call *wire.ConfigurationCall, patience time.Duration) {
 			n.carry(fetcher, address, call, patience)
 		},
 		Wake: func(after time.Duration) { n.after(after, fetcher.Wake) },
@@ -99,19 +100,19 @@
 				return errors.New(`"garbage`)
 			}
 			p.held = next
-			p.taken[next.Fact.Version] = n.clock.Steady()
+			p.taken[next.Fact.Version] = n.clock.Monotonic()
 			n.clock.Advance(p.applying)
 			return nil
 		}})
 	p.fetcher = fetcher
 }
 
-func (p *process) answer(call *peerapi.ConfigurationCall) *peerapi.ConfigurationAnswer {
+func (p *process) answer(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
 	answer := p.held.Answer(call)
 	if answer == nil {
 		chunk, err := p.fetcher.Chunk(call)
 		Expect(err).NotTo(HaveOccurred())
-		answer = &peerapi.ConfigurationAnswer{Chunk: chunk}
+		answer = &wire.ConfigurationAnswer{Chunk: chunk}
 	}
 	if p.bend != nil {
 		answer = p.bend(answer)
@@ -119,11 +120,11 @@
 	return answer
 }
 
-func (n *network) carry(fetcher *configcache.Fetcher, address string, call *peerapi.ConfigurationCall, patience time.Duration) {
+func (n *network) carry(fetcher *configcache.Fetcher, address string, call *wire.ConfigurationCall, patience time.Duration) {
 	n.calls = append(n.calls, *call)
 	n.underWay++
 	n.mostAt = max(n.mostAt, n.underWay)
-	end := func(answer *peerapi.ConfigurationAnswer, err error) func() {
+	end := func(answer *wire.ConfigurationAnswer, err error) func() {
 		return func() {
 			n.underWay--
 			fetcher.Take(address, call, answer, err)
@@ -137,7 +138,7 @@
 	answer := peer.answer(call)
 	text, err := easyjson.Marshal(answer)
 	Expect(err).NotTo(HaveOccurred())
-	arrived := &peerapi.ConfigurationAnswer{}
+	arrived := &wire.ConfigurationAnswer{}
 	Expect(easyjson.Unmarshal(text, arrived)).To(Succeed())
 	n.received += len(text)
 	n.after(latency+time.Duration(len(text))*time.Second/time.Duration(n.rate), end(arrived, nil))
@@ -171,7 +172,7 @@
 		h.word(7), h.word(6), h.word(4), h.draw.IntN(999), 1000+h.draw.IntN(9000))
 }
 
-func (h *history) next() *peerapi.Configuration {
+func (h *history) next() *wire.Configuration {
 	h.last += int64(1 + h.draw.IntN(3))
 	h.routes[h.draw.IntN(len(h.routes))] = h.route()
 	return fact(h.last, []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[%s],"service-list":[{"name":"s"}],"limits":{"max-header-bytes":16384}}`,
@@ -295,7 +296,7 @@
 	})
 
 	DescribeTable("takes nothing of a peer that answers nonsense, and goes on at another",
-		func(bend func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer) {
+		func(bend func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer) {
 			begin(250_000)
 			first := h.next()
 			gate.fetcher.Hold(first)
@@ -310,47 +311,47 @@
 			Expect(gate.taken).To(HaveLen(2))
 			Expect(len(network.calls)).To(BeNumerically("<", 12))
 		},
-		Entry("changes that don't fit", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Changes: []*peerapi.ConfigurationDelta{{Base: 77, Version: 9999}}}
+		Entry("changes that don't fit", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{{Base: 77, Version: 9999}}}
 		}),
-		Entry("a whole that can't be read", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Fact: &peerapi.Configuration{Version: 9999, Body: []byte(`"garbage"`)}}
+		Entry("a whole that can't be read", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Fact: &wire.Configuration{Version: 9999, Body: []byte(`"garbage"`)}}
 		}),
-		Entry("an older version", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 1, Image: "x", Size: 5, Data: []byte("hello")}}
+		Entry("an older version", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Chunk: &wire.ConfigurationChunk{Version: 1, Image: "x", Size: 5, Data: []byte("hello")}}
 		}),
-		Entry("data of another digest", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 5, Data: []byte("hello")}}
+		Entry("data of another digest", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Chunk: &wire.ConfigurationChunk{Version: 9999, Image: "x", Size: 5, Data: []byte("hello")}}
 		}),
-		Entry("no data", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 5}}
+		Entry("no data", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Chunk: &wire.ConfigurationChunk{Version: 9999, Image: "x", Size: 5}}
 		}),
-		Entry("a chunk at no place", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 50, Offset: -3, Data: []byte("hello")}}
+		Entry("a chunk at no place", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Chunk: &wire.ConfigurationChunk{Version: 9999, Image: "x", Size: 50, Offset: -3, Data: []byte("hello")}}
 		}),
-		Entry("an image of any size", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Chunk: &peerapi.ConfigurationChunk{Version: 9999, Image: "x", Size: 1 << 40, Data: []byte("hello")}}
+		Entry("an image of any size", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Chunk: &wire.ConfigurationChunk{Version: 9999, Image: "x", Size: 1 << 40, Data: []byte("hello")}}
 		}),
-		Entry("that it is busy", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Busy: true}
+		Entry("that it is busy", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Busy: true}
 		}),
-		Entry("nothing", func(_ *peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{}
+		Entry("nothing", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{}
 		}),
 	)
 
 	It("takes the whole from a peer of the older form, and gives it to one", func() {
 		begin(250_000)
 		newest := h.next()
-		steward.bend = func(*peerapi.ConfigurationAnswer) *peerapi.ConfigurationAnswer {
-			return &peerapi.ConfigurationAnswer{Fact: newest}
+		steward.bend = func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+			return &wire.ConfigurationAnswer{Fact: newest}
 		}
 		steward.fetcher.Hold(newest)
 		hear()
 		network.runTo(5 * time.Second)
 		Expect(gate.held.Fact).To(Equal(newest))
-		Expect(gate.answer(&peerapi.ConfigurationCall{}).Fact).To(Equal(newest))
-		Expect(gate.answer(&peerapi.ConfigurationCall{Held: 1 << 30}).Fact).To(BeNil())
+		Expect(gate.answer(&wire.ConfigurationCall{}).Fact).To(Equal(newest))
+		Expect(gate.answer(&wire.ConfigurationCall{Held: 1 << 30}).Fact).To(BeNil())
 	})
 })
 
--- a/internal/cluster/configcache/peers.go
+++ b/internal/cluster/configcache/peers.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -26,7 +26,7 @@
 type peers struct{ known []*peer }
 
 // note remembers who holds a version; what failed there before stays counted while others are left to ask.
-func (p *peers) note(member peerapi.Member, version int64) {
+func (p *peers) note(member wire.Member, version int64) {
 	if known := p.find(member.Address); known != nil {
 		known.holds = max(known.holds, version)
 		return
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -1,11 +1,12 @@
 package configcache
 
 import (
+	"context"
 	"net/http"
 
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 // mostAnswers may be under way at once, from the call to its last byte: what a flood of fetches takes of this
@@ -16,9 +17,9 @@
 func (c *Cache) Handle(mux *http.ServeMux) {
 	open, full := http.NewServeMux(), http.NewServeMux()
 	peerapi.Serve(open, peerapi.ProcedurePlan, c.answer)
-	peerapi.Serve(full, peerapi.ProcedurePlan, func(span.Span, *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+	peerapi.Serve(full, peerapi.ProcedurePlan, func(context.Context, *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 		fetchesRefused.Inc()
-		return &peerapi.ConfigurationAnswer{Busy: true}, nil
+		return &wire.ConfigurationAnswer{Busy: true}, nil
 	})
 	mux.HandleFunc(peerapi.ProcedurePlan, func(to http.ResponseWriter, request *http.Request) {
 		select {
@@ -32,15 +33,15 @@
 }
 
 // answer gives changes, or a chunk of an image, which is packed on the goroutine that owns the cache.
-func (c *Cache) answer(life span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+func (c *Cache) answer(ctx context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 	if answer := c.version().Answer(call); answer != nil {
 		return answer, nil
 	}
 	type outcome struct {
-		chunk *peerapi.ConfigurationChunk
+		chunk *wire.ConfigurationChunk
 		err   error
 	}
-	packed, err := mailbox.Ask(c.mailbox, life, func(answer func(outcome)) {
+	packed, err := mailbox.Ask(c.mailbox, ctx, func(answer func(outcome)) {
 		chunk, err := c.fetcher.Chunk(call)
 		answer(outcome{chunk, err})
 	})
@@ -50,5 +51,5 @@
 	case packed.err != nil:
 		return nil, packed.err
 	}
-	return &peerapi.ConfigurationAnswer{Chunk: packed.chunk}, nil
+	return &wire.ConfigurationAnswer{Chunk: packed.chunk}, nil
 }
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -5,7 +5,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -17,8 +17,8 @@
 
 // Version is a committed configuration, and the changes that led to it, each on the one before; it is never changed.
 type Version struct {
-	Fact    *peerapi.Configuration
-	changes []*peerapi.ConfigurationDelta
+	Fact    *wire.Configuration
+	changes []*wire.ConfigurationDelta
 }
 
 func (v *Version) version() int64 {
@@ -29,7 +29,7 @@
 }
 
 // Follow gives the version of a newer fact; an older one changes nothing.
-func (v *Version) Follow(fact *peerapi.Configuration) *Version {
+func (v *Version) Follow(fact *wire.Configuration) *Version {
 	if fact.Version <= v.version() {
 		return v
 	}
@@ -44,17 +44,17 @@
 }
 
 // with gives the kept changes and more, without the oldest beyond mostChanges.
-func (v *Version) with(added ...*peerapi.ConfigurationDelta) []*peerapi.ConfigurationDelta {
+func (v *Version) with(added ...*wire.ConfigurationDelta) []*wire.ConfigurationDelta {
 	changes := append(slices.Clone(v.changes), added...)
 	return changes[max(0, len(changes)-mostChanges):]
 }
 
 // Take applies a peer's answer; an error says that only the whole configuration helps.
-func (v *Version) Take(answer *peerapi.ConfigurationAnswer) (*Version, error) {
+func (v *Version) Take(answer *wire.ConfigurationAnswer) (*Version, error) {
 	if answer.Fact != nil {
 		return v.Follow(answer.Fact), nil
 	}
-	var chain []*peerapi.ConfigurationDelta
+	var chain []*wire.ConfigurationDelta
 	reached := v.version()
 	for _, change := range answer.Changes {
 		if change.Version <= reached {
@@ -80,17 +80,17 @@
 
 // Answer gives a peer the changes since the version that it holds, or the whole configuration; nothing for one
 // that takes the whole in chunks of an image.
-func (v *Version) Answer(call *peerapi.ConfigurationCall) *peerapi.ConfigurationAnswer {
+func (v *Version) Answer(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
 	if v.version() <= call.Held {
-		return &peerapi.ConfigurationAnswer{}
+		return &wire.ConfigurationAnswer{}
 	}
 	if changes := v.since(call.Held); call.TakesChanges && len(changes) > 0 {
-		return &peerapi.ConfigurationAnswer{Changes: changes}
+		return &wire.ConfigurationAnswer{Changes: changes}
 	}
 	if call.TakesChunks {
 		return nil
 	}
-	return &peerapi.ConfigurationAnswer{Fact: v.Fact}
+	return &wire.ConfigurationAnswer{Fact: v.Fact}
 }
 
 // reaches tells whether changes lead from an older version to this one.
@@ -99,7 +99,7 @@
 }
 
 // since gives the changes that lead from an older version to this one; none if they are not all kept, or too long.
-func (v *Version) since(held int64) []*peerapi.ConfigurationDelta {
+func (v *Version) since(held int64) []*wire.ConfigurationDelta {
 	text := 0
 	for place := len(v.changes) - 1; place >= 0; place-- {
 		if text += textIn(v.changes[place]); text > min(len(v.Fact.Body), mostAnswerText) {
--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -4,12 +4,12 @@
 	"time"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // Outcome says what is known after asking: MaySee is set while some steward may have taken the call.
 type Outcome struct {
-	Answer *peerapi.ClientAnswer
+	Answer *wire.ClientAnswer
 	MaySee bool
 }
 
@@ -59,7 +59,7 @@
 
 // Answered takes a steward's answer and tells whether it is the last word. A leader that lost the key before its change
 // was committed can't tell what became of it: the next one may have it.
-func (a *Attempts) Answered(answer *peerapi.ClientAnswer) bool {
+func (a *Attempts) Answered(answer *wire.ClientAnswer) bool {
 	if answer.Elsewhere {
 		a.hint = answer.Owner
 		a.outcome.MaySee = a.outcome.MaySee || answer.Unclear
@@ -105,7 +105,7 @@
 		a.confirmed++
 	}
 	known, isKnown := view.Steward(view.Owners[a.key].Name)
-	if isKnown && known.State != peerapi.StateGone && a.mayAsk(known.Address) {
+	if isKnown && known.State != wire.StateGone && a.mayAsk(known.Address) {
 		return known.Address
 	}
 	others := a.others(view)
@@ -128,7 +128,7 @@
 func (a *Attempts) others(view *membership.View) []string {
 	var all, answering []string
 	for _, member := range view.Stewards {
-		if !member.MayLead() || member.State != peerapi.StateAlive {
+		if !member.MayLead() || member.State != wire.StateAlive {
 			continue
 		}
 		all = append(all, member.Address)
--- a/internal/cluster/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // darkFleet is five stewards of which some say nothing, or little. Where the key's leader is dark, another takes it over
@@ -31,10 +31,10 @@
 )
 
 func (f *darkFleet) view() *membership.View {
-	view := &membership.View{Owners: map[string]peerapi.LeaderFact{darkKey: {Name: "s0"}}}
+	view := &membership.View{Owners: map[string]wire.LeaderFact{darkKey: {Name: "s0"}}}
 	for place := range 5 {
 		name := fmt.Sprint("s", place)
-		view.Stewards = append(view.Stewards, peerapi.Member{Name: name, Role: membership.RoleSteward, Address: name, Disk: "d" + name})
+		view.Stewards = append(view.Stewards, wire.Member{Name: name, Role: membership.RoleSteward, Address: name, Disk: "d" + name})
 	}
 	return view
 }
@@ -59,12 +59,12 @@
 		} else {
 			now += f.hop
 			isTakenOver := now.Seconds() >= f.takenOverS
-			answer := &peerapi.ClientAnswer{Elsewhere: true, Owner: "s0"}
+			answer := &wire.ClientAnswer{Elsewhere: true, Owner: "s0"}
 			if isTakenOver {
 				answer.Owner = f.successor
 			}
 			if isTakenOver && try.Address == f.successor {
-				answer = &peerapi.ClientAnswer{Status: 200}
+				answer = &wire.ClientAnswer{Status: 200}
 			}
 			if attempts.Answered(answer) {
 				return now, tries, true
@@ -117,7 +117,7 @@
 
 	It("goes to a steward that is there first where the view has given up the leader", func() {
 		view := (&darkFleet{}).view()
-		view.Stewards[0].State = peerapi.StateGone
+		view.Stewards[0].State = wire.StateGone
 		try, _ := NewAttempts(darkKey, clientTime, func(int) int { return 0 }).Next(view, 0)
 		Expect(try.Address).To(Equal("s1"))
 	})
--- a/internal/cluster/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -2,13 +2,14 @@
 package leaderclient
 
 import (
+	"context"
 	"math/rand/v2"
 	"time"
 
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 const (
@@ -24,39 +25,39 @@
 // Asker sends calls to the leaders of keys.
 type Asker struct {
 	caller *peerapi.Caller
-	clock  clock.Pulse
+	clock  clock.Clock
 	view   func() *membership.View
 }
 
 // New makes an asker that finds leaders by the view it is given at each try.
-func New(caller *peerapi.Caller, clock clock.Pulse, view func() *membership.View) *Asker {
+func New(caller *peerapi.Caller, clock clock.Clock, view func() *membership.View) *Asker {
 	return &Asker{caller: caller, clock: clock, view: view}
 }
 
-// Ask gives an answer of the leader, or none once the limit or the span is over.
-func (a *Asker) Ask(life span.Span, call *peerapi.ClientCall, limit time.Duration) Outcome {
-	attempts := NewAttempts(call.Key, a.clock.Steady()+limit, rand.IntN)
+// Ask gives an answer of the leader, or none once the limit is over or ctx is done.
+func (a *Asker) Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) Outcome {
+	attempts := NewAttempts(call.Key, a.clock.Monotonic()+limit, rand.IntN)
 	for {
 		view := a.view()
-		try, isLeft := attempts.Next(view, a.clock.Steady())
-		if !isLeft || life.Err() != nil {
+		try, isLeft := attempts.Next(view, a.clock.Monotonic())
+		if !isLeft || ctx.Err() != nil {
 			return attempts.Outcome()
 		}
-		if try.Address != "" && a.send(life, view, attempts, try, call) {
+		if try.Address != "" && a.send(ctx, view, attempts, try, call) {
 			return attempts.Outcome()
 		}
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return attempts.Outcome()
 		case <-view.Moved:
-		case <-a.clock.After(attempts.Pause(a.clock.Steady())):
+		case <-a.clock.After(attempts.Pause(a.clock.Monotonic())):
 		}
 	}
 }
 
 // send makes one try and tells whether its answer is the last word.
-func (a *Asker) send(life span.Span, view *membership.View, attempts *Attempts, try Try, call *peerapi.ClientCall) bool {
-	answer, err := a.askOnce(life, view, try, call)
+func (a *Asker) send(ctx context.Context, view *membership.View, attempts *Attempts, try Try, call *wire.ClientCall) bool {
+	answer, err := a.askOnce(ctx, view, try, call)
 	switch {
 	case err == nil:
 		return attempts.Answered(answer)
@@ -79,8 +80,8 @@
 }
 
 // askOnce gives up early if the key is heard to have another leader.
-func (a *Asker) askOnce(life span.Span, view *membership.View, try Try, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
-	patience, release := membership.UntilMoved(life, view)
+func (a *Asker) askOnce(ctx context.Context, view *membership.View, try Try, call *wire.ClientCall) (*wire.ClientAnswer, error) {
+	patience, release := membership.UntilMoved(ctx, view)
 	defer release()
-	return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](a.caller, patience, try.Address, peerapi.ProcedureClient, try.Limit, call)
+	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](a.caller, patience, try.Address, peerapi.ProcedureClient, try.Limit, call)
 }
--- a/internal/cluster/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -1,6 +1,7 @@
 package leaderclient
 
 import (
+	"context"
 	"math/rand/v2"
 	"net/http"
 	"net/http/httptest"
@@ -12,8 +13,8 @@
 
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 func TestOwnercalls(t *testing.T) {
@@ -40,30 +41,30 @@
 }
 
 var _ = Describe("a call that no leader answers in time", func() {
-	outcomeOf := func(answers ...peerapi.ClientAnswer) Outcome {
+	outcomeOf := func(answers ...wire.ClientAnswer) Outcome {
 		mux, count := http.NewServeMux(), 0
-		peerapi.Serve(mux, peerapi.ProcedureClient, func(span.Span, *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+		peerapi.Serve(mux, peerapi.ProcedureClient, func(context.Context, *wire.ClientCall) (*wire.ClientAnswer, error) {
 			answer := answers[count%len(answers)]
 			count++
 			return &answer, nil
 		})
-		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "10.0.0.1:1", Disk: "d"}}}
+		view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: "steward", Address: "10.0.0.1:1", Disk: "d"}}}
 		client := New(peerapi.NewCaller(&http.Client{Transport: straight{mux}}), hurried{clock.NewFake(0)}, func() *membership.View { return view })
-		return client.Ask(span.Root(), &peerapi.ClientCall{Key: "pool/s", Verb: "hand-in"}, time.Second)
+		return client.Ask(context.Background(), &wire.ClientCall{Key: "pool/s", Verb: "hand-in"}, time.Second)
 	}
 
 	It("was not taken if every steward said so", func() {
-		Expect(outcomeOf(peerapi.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{}))
+		Expect(outcomeOf(wire.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{}))
 	})
 
 	It("may have been taken if a leader proposed it and lost its leadership", func() {
-		Expect(outcomeOf(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}, peerapi.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{MaySee: true}))
+		Expect(outcomeOf(wire.ClientAnswer{Elsewhere: true, Unclear: true}, wire.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{MaySee: true}))
 	})
 })
 
 var _ = Describe("a guess at an owner nobody knows", func() {
 	It("passes over stewards that can own nothing", func() {
-		view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
+		view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
 			{Name: "b", Role: "steward", Address: "b:1"}, {Name: "c", Role: "gate", Address: "c:1", Disk: "e"}}}
 		attempts := NewAttempts("plan", time.Second, rand.IntN)
 		for range 30 {
@@ -75,7 +76,7 @@
 })
 
 var _ = Describe("the attempts of one call", func() {
-	view := &membership.View{Owners: map[string]peerapi.LeaderFact{"pool/s": {Name: "a"}}, Stewards: []peerapi.Member{
+	view := &membership.View{Owners: map[string]wire.LeaderFact{"pool/s": {Name: "a"}}, Stewards: []wire.Member{
 		{Name: "a", Role: membership.RoleSteward, Address: "a:1", Disk: "d"}, {Name: "b", Role: membership.RoleSteward, Address: "b:1", Disk: "e"}}}
 	var attempts *Attempts
 	BeforeEach(func() { attempts = NewAttempts("pool/s", time.Second, func(int) int { return 0 }) })
@@ -84,7 +85,7 @@
 		try, isLeft := attempts.Next(view, 0)
 		Expect(try).To(Equal(Try{Address: "a:1", Limit: perTry}))
 		Expect(isLeft).To(BeTrue())
-		Expect(attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true, Owner: "b"})).To(BeFalse())
+		Expect(attempts.Answered(&wire.ClientAnswer{Elsewhere: true, Owner: "b"})).To(BeFalse())
 		try, _ = attempts.Next(view, 800*time.Millisecond)
 		Expect(try).To(Equal(Try{Address: "b:1", Limit: 200 * time.Millisecond}))
 		_, isLeft = attempts.Next(view, time.Second)
@@ -95,14 +96,14 @@
 		happen()
 		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
 		attempts.Failed(true)
-		attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true})
-		attempts.Answered(&peerapi.ClientAnswer{Status: 503})
+		attempts.Answered(&wire.ClientAnswer{Elsewhere: true})
+		attempts.Answered(&wire.ClientAnswer{Status: 503})
 		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
 		Expect(attempts.Outcome().Answer.Status).To(Equal(503))
 	},
 		Entry("not after a call that reached nobody", func() { attempts.Failed(true) }, false),
-		Entry("not after one who leads no more", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true}) }, false),
+		Entry("not after one who leads no more", func() { attempts.Answered(&wire.ClientAnswer{Elsewhere: true}) }, false),
 		Entry("after a call that was not answered", func() { attempts.Failed(false) }, true),
-		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&peerapi.ClientAnswer{Elsewhere: true, Unclear: true}) }, true),
+		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&wire.ClientAnswer{Elsewhere: true, Unclear: true}) }, true),
 	)
 })
--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -1,23 +1,23 @@
 package membership
 
 import (
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // Ask is the first call of a comparison: this table's sums by bucket.
-func (t *Table) Ask() peerapi.MembersCall {
-	return peerapi.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
+func (t *Table) Ask() wire.MembersCall {
+	return wire.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
 }
 
 // Answer gives the records of the buckets that differ; a peer of the older form gets them all.
-func (t *Table) Answer(call *peerapi.MembersCall) peerapi.MembersAnswer {
+func (t *Table) Answer(call *wire.MembersCall) wire.MembersAnswer {
 	t.noteContact(call.From)
 	for _, member := range call.Members {
 		t.Merge(member)
 	}
 	t.handleNews(call.From, call.Digest)
 	defer t.Settle()
-	answer := peerapi.MembersAnswer{Digest: t.digestFor(call.From.Role)}
+	answer := wire.MembersAnswer{Digest: t.digestFor(call.From.Role)}
 	if call.Gives {
 		return answer
 	}
@@ -33,7 +33,7 @@
 }
 
 // answerBuckets names the buckets whose sums differ, and gives the records in them.
-func (t *Table) answerBuckets(call *peerapi.MembersCall, answer *peerapi.MembersAnswer) {
+func (t *Table) answerBuckets(call *wire.MembersCall, answer *wire.MembersAnswer) {
 	var isDiffering [bucketCount]bool
 	for bucket, sum := range t.sumsFor(call.From.Role) {
 		if sum != call.Buckets[bucket] {
@@ -50,7 +50,7 @@
 }
 
 // Take merges an answer; it gives a second call where this table holds what the peer lacks.
-func (t *Table) Take(from Member, answer *peerapi.MembersAnswer) *peerapi.MembersCall {
+func (t *Table) Take(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
 	for _, member := range answer.Members {
 		t.Merge(member)
 	}
@@ -59,8 +59,8 @@
 	if answer.Digest.MemberSum == 0 {
 		return nil
 	}
-	t.silentSince = t.clock.Steady()
-	given := &peerapi.MembersCall{From: t.self, Gives: true, Digest: t.digestFor(t.self.Role)}
+	t.silentSince = t.clock.Monotonic()
+	given := &wire.MembersCall{From: t.self, Gives: true, Digest: t.digestFor(t.self.Role)}
 	lacking := t.notIn(answer)
 	if isLeaf(t.self) {
 		for _, member := range lacking {
@@ -79,7 +79,7 @@
 }
 
 // notIn gives the records of the differing buckets that an answer lacks or has in an older form.
-func (t *Table) notIn(answer *peerapi.MembersAnswer) []Member {
+func (t *Table) notIn(answer *wire.MembersAnswer) []Member {
 	listed := map[string]Member{}
 	for _, member := range answer.Members {
 		listed[Name(member)] = member
@@ -93,7 +93,7 @@
 	var lacking []Member
 	t.each(func(known *record) {
 		other, isThere := listed[Name(known.member)]
-		isLacking := isThere && isNewer(known.member, other) || !isThere && known.member.State != peerapi.StateGone
+		isLacking := isThere && isNewer(known.member, other) || !isThere && known.member.State != wire.StateGone
 		if isDiffering[known.bucket] && isLacking {
 			lacking = append(lacking, known.member)
 		}
--- a/internal/cluster/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // The kinds of datagrams, as they are on the wire.
@@ -23,7 +23,7 @@
 )
 
 // Hear takes one datagram.
-func (t *Table) Hear(datagram peerapi.Datagram) {
+func (t *Table) Hear(datagram wire.Datagram) {
 	from := datagram.From
 	if Name(from) == Name(t.self) {
 		return
@@ -33,7 +33,7 @@
 		t.Merge(member)
 	}
 	t.handleNews(from, datagram.Digest)
-	reply := peerapi.Datagram{Digest: peerapi.Digest{Owners: t.factsMissingAt(datagram.Digest)}}
+	reply := wire.Datagram{Digest: wire.Digest{Owners: t.factsMissingAt(datagram.Digest)}}
 	switch datagram.Kind {
 	case kindPing:
 		reply.Kind, reply.Number, reply.News = kindAck, datagram.Number, t.doubtOf(Name(from))
@@ -60,7 +60,7 @@
 		return
 	}
 	t.Merge(from)
-	now := t.clock.Steady()
+	now := t.clock.Monotonic()
 	if known := t.records[Name(from)]; known != nil {
 		known.lastContactAt = now
 		t.isPingAnswered = true
@@ -69,14 +69,14 @@
 
 // doubtOf gives the record of a member that is not thought alive, so that it can refute it.
 func (t *Table) doubtOf(name string) []Member {
-	if known := t.records[name]; known != nil && known.member.State != peerapi.StateAlive {
+	if known := t.records[name]; known != nil && known.member.State != wire.StateAlive {
 		return []Member{known.member}
 	}
 	return nil
 }
 
 // send adds this process's record, digest and news to a datagram.
-func (t *Table) send(to Member, datagram peerapi.Datagram) {
+func (t *Table) send(to Member, datagram wire.Datagram) {
 	facts := datagram.Digest.Owners
 	if len(facts) == 0 {
 		facts = t.recentFacts()
@@ -123,7 +123,7 @@
 func (t *Table) sendNews(count int) {
 	t.Settle()
 	for _, member := range t.randomMembers(count, "") {
-		t.send(member, peerapi.Datagram{Kind: kindNews})
+		t.send(member, wire.Datagram{Kind: kindNews})
 	}
 }
 
@@ -133,7 +133,7 @@
 	var chosen []Member
 	take := func(member Member) {
 		name := Name(member)
-		isFit := member.State == peerapi.StateAlive && name != without && name != Name(t.self)
+		isFit := member.State == wire.StateAlive && name != without && name != Name(t.self)
 		if isFit && !slices.ContainsFunc(chosen, func(other Member) bool { return Name(other) == name }) {
 			chosen = append(chosen, member)
 		}
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -31,12 +31,12 @@
 	return &t.sums
 }
 
-func (t *Table) digestFor(role string) peerapi.Digest {
-	return peerapi.Digest{Plan: t.configurationVersion, MemberSum: t.sumsFor(role).whole(), OwnerSum: t.shownLeaderSum()}
+func (t *Table) digestFor(role string) wire.Digest {
+	return wire.Digest{Plan: t.configurationVersion, MemberSum: t.sumsFor(role).whole(), OwnerSum: t.shownLeaderSum()}
 }
 
 // handleNews takes what a digest says outright.
-func (t *Table) handleNews(from Member, digest peerapi.Digest) {
+func (t *Table) handleNews(from Member, digest wire.Digest) {
 	isNews := false
 	for _, fact := range digest.Owners {
 		isNews = t.MergeOwner(fact) || isNews
@@ -50,7 +50,7 @@
 }
 
 // compareSums looks for what a digest shows to be missing; a peer of the older form has no sums.
-func (t *Table) compareSums(from Member, digest peerapi.Digest) {
+func (t *Table) compareSums(from Member, digest wire.Digest) {
 	if isLeaf(from) {
 		return
 	}
@@ -59,7 +59,7 @@
 	if isMembersDiffering {
 		t.pingPause = t.timing.LeafPeriod
 	}
-	now := t.clock.Steady()
+	now := t.clock.Monotonic()
 	isDue := isLeadersDiffering || isMembersDiffering && t.isCalm(now)
 	if !isDue || now-t.differAt <= 2*t.timing.Period {
 		return
--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
@@ -38,7 +38,7 @@
 	if _, isKnown := t.leaves[name]; !isKnown && len(t.leaves) >= mostLeaves {
 		return
 	}
-	t.leaves[name] = leaf{member, t.clock.Steady()}
+	t.leaves[name] = leaf{member, t.clock.Monotonic()}
 }
 
 // stretched lengthens a time in proportion to the leaves above easyLeaves.
@@ -51,7 +51,7 @@
 	if len(t.leaves) <= easyLeaves {
 		return 0
 	}
-	return clock.InMs(t.stretched(t.timing.LeafPeriod))
+	return t.stretched(t.timing.LeafPeriod).Milliseconds()
 }
 
 func (t *Table) forgetLeaves(now time.Duration) {
@@ -66,13 +66,13 @@
 // pushToLeaves tells the attached local-proxies of keys that have moved.
 func (t *Table) pushToLeaves() {
 	for _, attached := range t.leaves {
-		t.send(attached.member, peerapi.Datagram{Kind: kindNews})
+		t.send(attached.member, wire.Datagram{Kind: kindNews})
 	}
 }
 
 // attach chooses the stewards that a local-proxy pings: one of its own zone, and others by rendezvous hashing.
 func (t *Table) attach() {
-	isGone := func(steward Member) bool { return steward.State == peerapi.StateGone }
+	isGone := func(steward Member) bool { return steward.State == wire.StateGone }
 	candidates := slices.DeleteFunc(slices.Clone(t.stewards.members), isGone)
 	slices.SortStableFunc(candidates, func(a, b Member) int {
 		return cmp.Compare(hashOf(t.self.Name+"/"+a.Name, 0, 0), hashOf(t.self.Name+"/"+b.Name, 0, 0))
@@ -87,7 +87,7 @@
 
 // setPingPause takes the pace that a steward asks for.
 func (t *Table) setPingPause(pauseMs int64) {
-	t.pingPause = min(max(clock.Ms(pauseMs), t.timing.LeafPeriod), longestPause)
+	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPeriod), longestPause)
 }
 
 // tickLeaf pings the attached stewards in turn, and any other as soon as one does not answer.
@@ -120,5 +120,5 @@
 		t.silentSince = now
 	}
 	t.pingedAt, t.isPingAnswered = now, false
-	t.send(among[place], peerapi.Datagram{Kind: kindPing, Number: t.lastNumber})
+	t.send(among[place], wire.Datagram{Kind: kindPing, Number: t.lastNumber})
 }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
@@ -30,22 +30,22 @@
 	return told
 }
 
-func lone(self peerapi.Member, clock clock.Pulse) (*membership.Table, *[]peerapi.Datagram, *int) {
-	sent, differed := &[]peerapi.Datagram{}, new(int)
+func lone(self wire.Member, clock clock.Clock) (*membership.Table, *[]wire.Datagram, *int) {
+	sent, differed := &[]wire.Datagram{}, new(int)
 	return membership.NewTable(self, clock, membership.DefaultTiming, 1, membership.Events{
-		Send:      func(_ string, datagram peerapi.Datagram) { *sent = append(*sent, datagram) },
+		Send:      func(_ string, datagram wire.Datagram) { *sent = append(*sent, datagram) },
 		Show:      func(*membership.View) {},
-		PlanAhead: func(peerapi.Member, int64) {},
-		Differ:    func(peerapi.Member) { *differed++ },
+		PlanAhead: func(wire.Member, int64) {},
+		Differ:    func(wire.Member) { *differed++ },
 	}), sent, differed
 }
 
-func gate(number int) peerapi.Member {
-	return peerapi.Member{Name: fmt.Sprintf("edge-%d", number), Role: "gate", Address: fmt.Sprintf("10.0.0.2:%d", number), Incarnation: 1}
+func gate(number int) wire.Member {
+	return wire.Member{Name: fmt.Sprintf("edge-%d", number), Role: "gate", Address: fmt.Sprintf("10.0.0.2:%d", number), Incarnation: 1}
 }
 
-func steward(number int) peerapi.Member {
-	return peerapi.Member{Name: fmt.Sprintf("control-%d", number), Role: "steward", Address: fmt.Sprintf("10.0.0.3:%d", number), Incarnation: 1}
+func steward(number int) wire.Member {
+	return wire.Member{Name: fmt.Sprintf("control-%d", number), Role: "steward", Address: fmt.Sprintf("10.0.0.3:%d", number), Incarnation: 1}
 }
 
 var _ = Describe("a network of tables", func() {
@@ -183,7 +183,7 @@
 				kept, isKnown := one.view.Steward("control-1")
 				Expect(isKnown).To(BeTrue())
 				Expect(kept.Address).To(Equal(fresh.member.Address), "%s, incarnation %d", one.member.Name, incarnation)
-				Expect(kept.State).To(Equal(peerapi.StateAlive))
+				Expect(kept.State).To(Equal(wire.StateAlive))
 			}
 		}
 	})
@@ -232,7 +232,7 @@
 
 	It("moves only the buckets that differ, and the newer record both ways", func() {
 		dead, risen := gate(7), gate(8)
-		dead.State, risen.Incarnation = peerapi.StateSuspect, 2
+		dead.State, risen.Incarnation = wire.StateSuspect, 2
 		one.Merge(dead)
 		two.Merge(risen)
 		ask := one.Ask()
@@ -248,9 +248,9 @@
 	})
 
 	It("gives owners both ways, by the higher epoch", func() {
-		one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
-		one.MergeOwner(peerapi.LeaderFact{Key: "b", Epoch: 3, Name: "x"})
-		two.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 4, Name: "y"})
+		one.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
+		one.MergeOwner(wire.LeaderFact{Key: "b", Epoch: 3, Name: "x"})
+		two.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 4, Name: "y"})
 		ask := one.Ask()
 		answer := two.Answer(&ask)
 		two.Answer(one.Take(steward(1), &answer))
@@ -273,15 +273,15 @@
 	})
 
 	It("gives a peer of the older form the whole list and all owners, and takes such a list", func() {
-		one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
-		answer := one.Answer(&peerapi.MembersCall{From: gate(900), Members: []peerapi.Member{gate(901)}})
+		one.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
+		answer := one.Answer(&wire.MembersCall{From: gate(900), Members: []wire.Member{gate(901)}})
 		Expect(answer.Members).To(HaveLen(204))
 		Expect(answer.Digest.Owners).To(HaveLen(1))
-		older := &peerapi.MembersAnswer{Members: []peerapi.Member{gate(950)},
-			Digest: peerapi.Digest{Owners: []peerapi.LeaderFact{{Key: "a", Epoch: 9, Name: "z"}}}}
+		older := &wire.MembersAnswer{Members: []wire.Member{gate(950)},
+			Digest: wire.Digest{Owners: []wire.LeaderFact{{Key: "a", Epoch: 9, Name: "z"}}}}
 		Expect(one.Take(gate(900), older)).To(BeNil())
 		Expect(one.All()).To(ContainElement(gate(950)))
-		Expect(one.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 9, Name: "z"})).To(BeFalse())
+		Expect(one.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 9, Name: "z"})).To(BeFalse())
 	})
 })
 
@@ -289,12 +289,12 @@
 	It("hears a peer of the older form without comparing, and lists no proxies that it tells of", func() {
 		clock := clock.NewFake(1)
 		table, sent, differed := lone(gate(0), clock)
-		side := peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
-		table.Hear(peerapi.Datagram{Kind: "ping", Number: 4, From: gate(1), News: []peerapi.Member{side},
-			Digest: peerapi.Digest{Owners: []peerapi.LeaderFact{{Key: "a", Epoch: 2, Name: "x"}}}})
-		table.Hear(peerapi.Datagram{Kind: "ping", Number: 5, From: side})
+		side := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
+		table.Hear(wire.Datagram{Kind: "ping", Number: 4, From: gate(1), News: []wire.Member{side},
+			Digest: wire.Digest{Owners: []wire.LeaderFact{{Key: "a", Epoch: 2, Name: "x"}}}})
+		table.Hear(wire.Datagram{Kind: "ping", Number: 5, From: side})
 		Expect(table.All()).To(ConsistOf(gate(0), gate(1)))
-		Expect(table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
+		Expect(table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
 		Expect(*differed).To(BeZero())
 		last := (*sent)[len(*sent)-1]
 		Expect(last.Kind).To(Equal("ack"))
@@ -304,8 +304,8 @@
 	It("answers a peer of the older form without mending what it can't compare", func() {
 		table, sent, differed := lone(gate(0), clock.NewFake(1))
 		table.Merge(gate(1))
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
-		table.Hear(peerapi.Datagram{Kind: "ack", From: gate(1)})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
+		table.Hear(wire.Datagram{Kind: "ack", From: gate(1)})
 		Expect(*sent).To(BeEmpty())
 		Expect(*differed).To(BeZero())
 	})
@@ -314,7 +314,7 @@
 		clock := clock.NewFake(1)
 		var shown *membership.View
 		table := membership.NewTable(gate(0), clock, membership.DefaultTiming, 1, membership.Events{
-			Send: func(string, peerapi.Datagram) {}, Show: func(view *membership.View) { shown = view }})
+			Send: func(string, wire.Datagram) {}, Show: func(view *membership.View) { shown = view }})
 		empty := table.Ask().Buckets
 		table.Merge(steward(1))
 		for range 600 {
@@ -329,13 +329,13 @@
 	It("tells a local-proxy where a key's new owner is, and compares with no local-proxy", func() {
 		clock := clock.NewFake(1)
 		table, sent, differed := lone(steward(0), clock)
-		side := peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 5}
+		side := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 5}
 		clock.Advance(20 * time.Second)
-		table.Hear(peerapi.Datagram{Kind: "ping", From: side, Digest: peerapi.Digest{MemberSum: 99}})
+		table.Hear(wire.Datagram{Kind: "ping", From: side, Digest: wire.Digest{MemberSum: 99}})
 		Expect(*differed).To(BeZero())
 		table.Merge(steward(1))
 		table.Merge(gate(1))
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "control-1"})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "control-1"})
 		table.Spread()
 		pushed := (*sent)[len(*sent)-1]
 		Expect(pushed.News).To(ConsistOf(steward(1)))
@@ -346,8 +346,8 @@
 		clock := clock.NewFake(1)
 		table, sent, _ := lone(steward(0), clock)
 		for number := range 1600 {
-			side := peerapi.Member{Name: fmt.Sprintf("side-%d", number), Role: "local-proxy", Address: "10.0.0.4:1"}
-			table.Hear(peerapi.Datagram{Kind: "ping", From: side})
+			side := wire.Member{Name: fmt.Sprintf("side-%d", number), Role: "local-proxy", Address: "10.0.0.4:1"}
+			table.Hear(wire.Datagram{Kind: "ping", From: side})
 		}
 		Expect((*sent)[0].PauseMs).To(BeZero())
 		Expect((*sent)[1599].PauseMs).To(Equal(int64(14_000)))
@@ -357,7 +357,7 @@
 				table.Tick()
 			}
 			before := len(*sent)
-			table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: epoch, Name: "control-0"})
+			table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: epoch, Name: "control-0"})
 			table.Spread()
 			return len(*sent) - before
 		}
@@ -368,15 +368,15 @@
 	It("waits between two pings as long as it was asked to, at a local-proxy", func() {
 		clock := clock.NewFake(1)
 		pings, isLonely := 0, false
-		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
-			membership.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = isLonely || view.IsLonely }})
+		side := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(string, wire.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = isLonely || view.IsLonely }})
 		side.Merge(steward(0))
 		side.Settle()
 		for range 80 {
 			clock.Advance(350 * time.Millisecond)
 			before := pings
 			if side.Tick(); pings > before {
-				side.Hear(peerapi.Datagram{Kind: "ack", From: steward(0), PauseMs: 7000})
+				side.Hear(wire.Datagram{Kind: "ack", From: steward(0), PauseMs: 7000})
 			}
 		}
 		Expect(pings).To(Equal(4))
@@ -385,14 +385,14 @@
 
 	It("compares at once when it is new, and keeps the usual pace while it differs, at a local-proxy", func() {
 		clock := clock.NewFake(1)
-		side, sent, differed := lone(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock)
+		side, sent, differed := lone(wire.Member{Name: "side-1", Role: "local-proxy"}, clock)
 		side.Merge(steward(0))
 		side.Settle()
 		for range 9 {
 			clock.Advance(350 * time.Millisecond)
 			before := len(*sent)
 			if side.Tick(); len(*sent) > before {
-				side.Hear(peerapi.Datagram{Kind: "ack", From: steward(0), PauseMs: 7000, Digest: peerapi.Digest{MemberSum: 5}})
+				side.Hear(wire.Datagram{Kind: "ack", From: steward(0), PauseMs: 7000, Digest: wire.Digest{MemberSum: 5}})
 			}
 		}
 		Expect(*sent).To(HaveLen(2))
@@ -400,27 +400,27 @@
 		side.Tick()
 		clock.Advance(1400 * time.Millisecond)
 		side.Tick()
-		side.Hear(peerapi.Datagram{Kind: "ack", From: steward(0), Digest: peerapi.Digest{MemberSum: 5}})
+		side.Hear(wire.Datagram{Kind: "ack", From: steward(0), Digest: wire.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(2))
 	})
 
 	It("compares with a peer at once when it has just begun", func() {
 		table, _, differed := lone(gate(0), clock.NewFake(1))
-		table.Hear(peerapi.Datagram{Kind: "news", From: gate(1), Digest: peerapi.Digest{MemberSum: 5}})
+		table.Hear(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(1))
 	})
 
 	It("keeps its leaves over a freeze of its own", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := lone(steward(0), clock)
-		table.Hear(peerapi.Datagram{Kind: "ping", From: peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
+		table.Hear(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
 		clock.Advance(30 * time.Second)
 		for range 20 {
 			table.Tick()
 			clock.Advance(350 * time.Millisecond)
 		}
 		before := len(*sent)
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "control-0"})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "control-0"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before + 1))
 	})
@@ -428,8 +428,8 @@
 	It("does not think itself lonely after a freeze of its own, at a local-proxy, and pings at once", func() {
 		clock := clock.NewFake(1)
 		pings, isLonely := 0, false
-		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
-			membership.Events{Send: func(string, peerapi.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = view.IsLonely }})
+		side := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(string, wire.Datagram) { pings++ }, Show: func(view *membership.View) { isLonely = view.IsLonely }})
 		side.Merge(steward(0))
 		side.Settle()
 		clock.Advance(1400 * time.Millisecond)
@@ -443,8 +443,8 @@
 	It("pings the steward of its own domain among three, at a local-proxy", func() {
 		clock := clock.NewFake(1)
 		asked := map[string]bool{}
-		side := membership.NewTable(peerapi.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
-			membership.Events{Send: func(to string, _ peerapi.Datagram) { asked[to] = true }, Show: func(*membership.View) {}})
+		side := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(to string, _ wire.Datagram) { asked[to] = true }, Show: func(*membership.View) {}})
 		for number := range 40 {
 			one := steward(number)
 			if number == 27 {
@@ -457,7 +457,7 @@
 			clock.Advance(350 * time.Millisecond)
 			side.Tick()
 			for number := range 40 {
-				side.Hear(peerapi.Datagram{Kind: "ack", From: steward(number)})
+				side.Hear(wire.Datagram{Kind: "ack", From: steward(number)})
 			}
 		}
 		Expect(asked).To(HaveLen(3))
@@ -469,7 +469,7 @@
 		for number := range 60 {
 			control.Merge(gate(number))
 		}
-		side, _, _ := lone(peerapi.Member{Name: "side-1", Role: "local-proxy"}, clock.NewFake(1))
+		side, _, _ := lone(wire.Member{Name: "side-1", Role: "local-proxy"}, clock.NewFake(1))
 		for number := range 60 {
 			side.Merge(steward(number))
 		}
@@ -484,15 +484,15 @@
 		clock := clock.NewFake(1)
 		table, sent, _ := lone(gate(0), clock)
 		table.Merge(gate(1))
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
 		for range 6 {
 			clock.Advance(350 * time.Millisecond)
 			table.Tick()
 		}
 		sum := table.Ask().Digest.OwnerSum
-		table.Hear(peerapi.Datagram{Kind: "ping", From: gate(1), Digest: peerapi.Digest{OwnerSum: sum}})
+		table.Hear(wire.Datagram{Kind: "ping", From: gate(1), Digest: wire.Digest{OwnerSum: sum}})
 		Expect((*sent)[len(*sent)-1].Digest.Owners).To(BeEmpty())
-		table.Hear(peerapi.Datagram{Kind: "ack", From: gate(1), Digest: peerapi.Digest{OwnerSum: 1}})
+		table.Hear(wire.Datagram{Kind: "ack", From: gate(1), Digest: wire.Digest{OwnerSum: 1}})
 		Expect((*sent)[len(*sent)-1].Digest.Owners).To(HaveLen(1))
 	})
 
@@ -501,23 +501,23 @@
 		table, _, differed := lone(gate(0), clock)
 		table.Merge(gate(1))
 		clock.Advance(20 * time.Second)
-		table.Hear(peerapi.Datagram{Kind: "news", From: gate(1), Digest: peerapi.Digest{MemberSum: 5}})
+		table.Hear(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(1))
 		clock.Advance(2 * time.Second)
 		table.Merge(gate(2))
-		table.Hear(peerapi.Datagram{Kind: "news", From: gate(1), Digest: peerapi.Digest{MemberSum: 5}})
+		table.Hear(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(1))
 		clock.Advance(time.Second)
-		table.Hear(peerapi.Datagram{Kind: "news", From: gate(1), Digest: peerapi.Digest{MemberSum: 5}})
+		table.Hear(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
 		Expect(*differed).To(Equal(2))
 	})
 
 	It("does not take back a member that is long gone, and pushes to no leaf that fell silent", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := lone(steward(0), clock)
-		table.Hear(peerapi.Datagram{Kind: "ping", From: peerapi.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
+		table.Hear(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
 		before := len(*sent)
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before + 1))
 		for range 400 {
@@ -525,18 +525,18 @@
 			table.Tick()
 		}
 		before = len(*sent)
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before))
 		gone := gate(3)
-		gone.State = peerapi.StateGone
+		gone.State = wire.StateGone
 		Expect(table.Merge(gone)).To(BeFalse())
 	})
 
 	It("shows views that later changes leave alone", func() {
 		var views []*membership.View
 		table := membership.NewTable(steward(5), clock.NewFake(1), membership.DefaultTiming, 1, membership.Events{
-			Send: func(string, peerapi.Datagram) {}, Show: func(view *membership.View) { views = append(views, view) }})
+			Send: func(string, wire.Datagram) {}, Show: func(view *membership.View) { views = append(views, view) }})
 		for _, number := range []int{3, 9, 1} {
 			table.Merge(steward(number))
 			table.Settle()
@@ -544,7 +544,7 @@
 		risen := steward(3)
 		risen.Incarnation, risen.Disk = 4, "d"
 		table.Merge(risen)
-		table.MergeOwner(peerapi.LeaderFact{Key: "a", Epoch: 2, Name: "control-3"})
+		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "control-3"})
 		table.Settle()
 		Expect(stewardsOf(views[0])).To(Equal("control-310.0.0.3:31 control-510.0.0.3:51 "))
 		Expect(views[2].Owners).To(BeEmpty())
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -10,7 +10,7 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
@@ -41,7 +41,7 @@
 
 // resident is a table of the network, and what was counted and seen of it.
 type resident struct {
-	member    peerapi.Member
+	member    wire.Member
 	table     *membership.Table
 	view      *membership.View
 	datagrams int
@@ -71,22 +71,22 @@
 
 func (n *network) add(name, role string, incarnation uint64) *resident {
 	n.homes++
-	one := &resident{member: peerapi.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.all)%4),
+	one := &resident{member: wire.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.all)%4),
 		Address: fmt.Sprintf("10.0.0.1:%d", 7000+n.homes), Incarnation: incarnation}, learnedAt: map[uint64]time.Duration{}}
 	if role == "steward" {
 		one.member.Disk = "disk-" + name
 	}
 	one.table = membership.NewTable(one.member, n.clock, membership.DefaultTiming, n.draw.Uint64(), membership.Events{
-		Send: func(to string, datagram peerapi.Datagram) { n.carry(one, to, datagram) },
+		Send: func(to string, datagram wire.Datagram) { n.carry(one, to, datagram) },
 		Show: func(view *membership.View) {
 			one.view = view
 			epoch := view.Owners["plan"].Epoch
 			if _, isThere := one.learnedAt[epoch]; !isThere {
-				one.learnedAt[epoch] = n.clock.Steady()
+				one.learnedAt[epoch] = n.clock.Monotonic()
 			}
 		},
-		PlanAhead: func(peerapi.Member, int64) {},
-		Differ:    func(peer peerapi.Member) { n.exchange(one, peer.Address) },
+		PlanAhead: func(wire.Member, int64) {},
+		Differ:    func(peer wire.Member) { n.exchange(one, peer.Address) },
 	})
 	n.all = append(n.all, one)
 	n.by[one.member.Address] = one
@@ -106,7 +106,7 @@
 
 func (n *network) after(wait time.Duration, occur func()) {
 	n.number++
-	heap.Push(&n.agenda, happening{n.clock.Steady() + wait, n.number, occur})
+	heap.Push(&n.agenda, happening{n.clock.Monotonic() + wait, n.number, occur})
 }
 
 func (n *network) tick(one *resident) {
@@ -119,7 +119,7 @@
 	n.after(halfway, func() { n.tick(one) })
 }
 
-func (n *network) carry(from *resident, to string, datagram peerapi.Datagram) {
+func (n *network) carry(from *resident, to string, datagram wire.Datagram) {
 	text, err := easyjson.Marshal(datagram)
 	if err != nil {
 		panic(err)
@@ -148,14 +148,14 @@
 
 func (n *network) exchange(one *resident, address string) {
 	call := one.table.Ask()
-	n.call(one, address, &call, func(answer *peerapi.MembersAnswer) {
-		if given := one.table.Take(peerapi.Member{Address: address}, answer); given != nil {
-			n.call(one, address, given, func(*peerapi.MembersAnswer) {})
+	n.call(one, address, &call, func(answer *wire.MembersAnswer) {
+		if given := one.table.Take(wire.Member{Address: address}, answer); given != nil {
+			n.call(one, address, given, func(*wire.MembersAnswer) {})
 		}
 	})
 }
 
-func (n *network) call(one *resident, address string, call *peerapi.MembersCall, take func(*peerapi.MembersAnswer)) {
+func (n *network) call(one *resident, address string, call *wire.MembersCall, take func(*wire.MembersAnswer)) {
 	text, _ := easyjson.Marshal(call)
 	one.calls++
 	one.bytes += len(text)
@@ -172,13 +172,13 @@
 }
 
 func (n *network) run(length time.Duration) {
-	end := n.clock.Steady() + length
+	end := n.clock.Monotonic() + length
 	for len(n.agenda) > 0 && n.agenda[0].at <= end {
 		next := heap.Pop(&n.agenda).(happening)
-		n.clock.Advance(next.at - n.clock.Steady())
+		n.clock.Advance(next.at - n.clock.Monotonic())
 		next.occur()
 	}
-	n.clock.Advance(end - n.clock.Steady())
+	n.clock.Advance(end - n.clock.Monotonic())
 }
 
 func (n *network) resetCounts() {
@@ -205,8 +205,8 @@
 
 // moveOwner lets a steward announce a key, and gives how long each that runs took to learn it.
 func (n *network) moveOwner(to *resident, epoch uint64, patience time.Duration) []time.Duration {
-	began := n.clock.Steady()
-	if to.table.MergeOwner(peerapi.LeaderFact{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
+	began := n.clock.Monotonic()
+	if to.table.MergeOwner(wire.LeaderFact{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
 		to.table.Spread()
 	}
 	n.run(patience)
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"net/netip"
@@ -13,10 +14,10 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 const (
@@ -39,7 +40,7 @@
 	packets net.PacketConn
 	calls   net.Listener
 	caller  *peerapi.Caller
-	clock   clock.Pulse
+	clock   clock.Clock
 	log     logging.Logger
 	seeds   atomic.Pointer[[]string]
 	// knownPeers are control addresses from an earlier run.
@@ -80,7 +81,7 @@
 
 // NewNode makes the membership of this process on the sockets that BindInternal gave. It sends nothing before Run.
 func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
-	clock clock.Pulse, log logging.Logger, options ...Option) *Node {
+	clock clock.Clock, log logging.Logger, options ...Option) *Node {
 	node := &Node{mailbox: mailbox.New(mailboxRoom), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
 		onPlanAhead: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
@@ -105,7 +106,7 @@
 // View is the newest view of the members, which is never changed; it may be read from any goroutine.
 func (n *Node) View() *View { return n.view.Load() }
 
-func (n *Node) send(address string, datagram peerapi.Datagram) {
+func (n *Node) send(address string, datagram wire.Datagram) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return
@@ -117,24 +118,24 @@
 	}
 }
 
-// UntilMoved gives a span that ends early once a key has another leader than the view says.
-func UntilMoved(life span.Span, view *View) (span.Span, func()) {
-	life, cancel := span.Cancellable(life)
+// UntilMoved gives a context that is cancelled once a key has another leader than the view says.
+func UntilMoved(ctx context.Context, view *View) (context.Context, func()) {
+	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
 		case <-view.Moved:
 			cancel()
-		case <-life.Done():
+		case <-ctx.Done():
 		}
 	}()
-	return life, cancel
+	return ctx, cancel
 }
 
-// Run probes, joins and listens until the span ends.
-func (n *Node) Run(life span.Span) error {
+// Run probes, joins and listens until ctx is done.
+func (n *Node) Run(ctx context.Context) error {
 	go n.listen()
-	go n.join(life)
-	n.mailbox.Run(life, n.clock, mailbox.Owner{Every: n.table.timing.Period / 2, Tick: n.table.Tick})
+	go n.join(ctx)
+	n.mailbox.Run(ctx, n.clock, mailbox.Owner{Every: n.table.timing.Period / 2, Tick: n.table.Tick})
 	n.packets.Close()
 	return nil
 }
@@ -150,7 +151,7 @@
 			}
 			continue
 		}
-		var datagram peerapi.Datagram
+		var datagram wire.Datagram
 		if err := easyjson.Unmarshal(buffer[:count], &datagram); err != nil || datagram.From.Name == "" {
 			datagramsDropped.With("unreadable").Inc()
 			n.log.V(1).Info("a datagram that can't be read was dropped", "bytes", count)
@@ -165,7 +166,7 @@
 }
 
 // join compares lists with seeds while no steward is seen, and now and then afterwards.
-func (n *Node) join(life span.Span) {
+func (n *Node) join(ctx context.Context) {
 	for round := 0; ; round++ {
 		view := n.View()
 		isLeaf := isLeaf(view.Self)
@@ -180,7 +181,7 @@
 			wait = joinPauseAlone
 		}
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return
 		case <-n.clock.After(wait):
 		}
@@ -206,7 +207,7 @@
 	if address == n.View().Self.Control {
 		return
 	}
-	call, err := mailbox.Ask(n.mailbox, span.Root(), func(answer func(peerapi.MembersCall)) { answer(n.table.Ask()) })
+	call, err := mailbox.Ask(n.mailbox, context.Background(), func(answer func(wire.MembersCall)) { answer(n.table.Ask()) })
 	if err != nil {
 		return
 	}
@@ -214,7 +215,7 @@
 	if err != nil {
 		return
 	}
-	given, err := mailbox.Ask(n.mailbox, span.Root(), func(answerWith func(*peerapi.MembersCall)) {
+	given, err := mailbox.Ask(n.mailbox, context.Background(), func(answerWith func(*wire.MembersCall)) {
 		answerWith(n.table.Take(Member{Address: address}, answer))
 	})
 	if err == nil && given != nil {
@@ -222,9 +223,9 @@
 	}
 }
 
-func (n *Node) callMembers(address string, call *peerapi.MembersCall) (*peerapi.MembersAnswer, error) {
-	answer, err := peerapi.Call[peerapi.MembersCall, peerapi.MembersAnswer](
-		n.caller, span.Root(), address, peerapi.ProcedureMembers, membersCallWait, call)
+func (n *Node) callMembers(address string, call *wire.MembersCall) (*wire.MembersAnswer, error) {
+	answer, err := peerapi.Call[wire.MembersCall, wire.MembersAnswer](
+		n.caller, context.Background(), address, peerapi.ProcedureMembers, membersCallWait, call)
 	if err != nil {
 		n.log.V(1).Info("members could not be compared", "peer", address, "why", err.Error())
 	}
@@ -233,14 +234,14 @@
 
 // Handle lets peers compare their lists with this one.
 func (n *Node) Handle(mux *http.ServeMux) {
-	peerapi.Serve(mux, peerapi.ProcedureMembers, func(life span.Span, call *peerapi.MembersCall) (*peerapi.MembersAnswer, error) {
-		answer, err := mailbox.Ask(n.mailbox, life, func(answer func(peerapi.MembersAnswer)) { answer(n.table.Answer(call)) })
+	peerapi.Serve(mux, peerapi.ProcedureMembers, func(ctx context.Context, call *wire.MembersCall) (*wire.MembersAnswer, error) {
+		answer, err := mailbox.Ask(n.mailbox, ctx, func(answer func(wire.MembersAnswer)) { answer(n.table.Answer(call)) })
 		return &answer, err
 	})
 }
 
 // Announce passes on word of a key's leader.
-func (n *Node) Announce(fact peerapi.LeaderFact) {
+func (n *Node) Announce(fact wire.LeaderFact) {
 	n.mailbox.Post(func() {
 		if n.table.MergeOwner(fact) {
 			n.table.Spread()
--- a/internal/cluster/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -1,6 +1,7 @@
 package membership_test
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"time"
@@ -11,10 +12,10 @@
 
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 var _ = Describe("a node's datagrams", func() {
@@ -22,11 +23,11 @@
 		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
-		node := membership.NewNode(peerapi.Member{Name: "one", Role: "gate"}, calls, packets, nil,
-			peerapi.NewCaller(http.DefaultClient), clock.Real(), logging.Silent())
-		life, end := span.Cancellable(span.Root())
+		node := membership.NewNode(wire.Member{Name: "one", Role: "gate"}, calls, packets, nil,
+			peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent())
+		ctx, end := context.WithCancel(context.Background())
 		over := make(chan error)
-		go func() { over <- node.Run(life) }()
+		go func() { over <- node.Run(ctx) }()
 		defer func() {
 			end()
 			Expect(<-over).To(Succeed())
@@ -36,14 +37,14 @@
 		defer other.Close()
 		Expect(other.SetDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
 		other.Write([]byte("no datagram"))
-		text, err := easyjson.Marshal(peerapi.Datagram{Kind: "ping", Number: 4,
-			From: peerapi.Member{Name: "two", Role: "gate", Address: other.LocalAddr().String()}})
+		text, err := easyjson.Marshal(wire.Datagram{Kind: "ping", Number: 4,
+			From: wire.Member{Name: "two", Role: "gate", Address: other.LocalAddr().String()}})
 		Expect(err).NotTo(HaveOccurred())
 		other.Write(text)
 		answer := make([]byte, 16<<10)
 		count, err := other.Read(answer)
 		Expect(err).NotTo(HaveOccurred())
-		var said peerapi.Datagram
+		var said wire.Datagram
 		Expect(easyjson.Unmarshal(answer[:count], &said)).To(Succeed())
 		own := metrics.Own()
 		Expect(own).To(HaveKeyWithValue(`gannetline_datagrams_dropped_total{why="unreadable"}`, 1.0))
@@ -68,12 +69,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
 		hosts := make(chan string, 16)
-		node := membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, calls, packets, []string{"10.0.0.1:1"},
-			peerapi.NewCaller(&http.Client{Transport: roundTrips{hosts}}), clock.Real(), logging.Silent(),
+		node := membership.NewNode(wire.Member{Name: "one", Role: "steward"}, calls, packets, []string{"10.0.0.1:1"},
+			peerapi.NewCaller(&http.Client{Transport: roundTrips{hosts}}), clock.System(), logging.Silent(),
 			membership.WithKnownPeers([]string{"10.0.0.1:1", "10.0.0.2:1"}))
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		over := make(chan error)
-		go func() { over <- node.Run(life) }()
+		go func() { over <- node.Run(ctx) }()
 		Expect(<-hosts).To(Equal("10.0.0.1:1"))
 		Expect(<-hosts).To(Equal("10.0.0.2:1"))
 		end()
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -8,13 +8,13 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
 type letter struct {
 	from, to string
-	datagram peerapi.Datagram
+	datagram wire.Datagram
 }
 
 // town is a set of tables that hear each other on the next beat, unless a road is shut.
@@ -32,12 +32,12 @@
 		ahead: map[string]int64{}, shut: map[string]bool{}}
 	for number := range count {
 		address := fmt.Sprintf("n%d", number)
-		self := peerapi.Member{Name: address, Role: "gate", Address: address, Incarnation: 1}
+		self := wire.Member{Name: address, Role: "gate", Address: address, Incarnation: 1}
 		t.tables[address] = membership.NewTable(self, t.clock, membership.DefaultTiming, uint64(number), membership.Events{
-			Send:      func(to string, datagram peerapi.Datagram) { t.post = append(t.post, letter{address, to, datagram}) },
+			Send:      func(to string, datagram wire.Datagram) { t.post = append(t.post, letter{address, to, datagram}) },
 			Show:      func(view *membership.View) { t.views[address] = view },
-			PlanAhead: func(_ peerapi.Member, version int64) { t.ahead[address] = version },
-			Differ:    func(peerapi.Member) {},
+			PlanAhead: func(_ wire.Member, version int64) { t.ahead[address] = version },
+			Differ:    func(wire.Member) {},
 		})
 	}
 	for _, one := range t.tables {
@@ -83,7 +83,7 @@
 		t := newTown(8)
 		t.run(60 * time.Second)
 		for number := range 8 {
-			Expect(t.state("n0", fmt.Sprintf("n%d", number))).To(Equal(peerapi.StateAlive))
+			Expect(t.state("n0", fmt.Sprintf("n%d", number))).To(Equal(wire.StateAlive))
 		}
 	})
 
@@ -91,10 +91,10 @@
 		t := newTown(8)
 		t.shut["n3"] = true
 		t.run(20 * time.Second)
-		Expect(t.state("n0", "n3")).To(Equal(peerapi.StateGone))
+		Expect(t.state("n0", "n3")).To(Equal(wire.StateGone))
 		t.shut["n3"] = false
 		t.run(40 * time.Second)
-		Expect(t.state("n0", "n3")).To(Equal(peerapi.StateAlive))
+		Expect(t.state("n0", "n3")).To(Equal(wire.StateAlive))
 	})
 
 	It("suspects nobody after a freeze of its own", func() {
@@ -104,14 +104,14 @@
 		t.tables["n0"].Tick()
 		t.run(2 * time.Second)
 		for number := range 4 {
-			Expect(t.state("n0", fmt.Sprintf("n%d", number))).To(Equal(peerapi.StateAlive))
+			Expect(t.state("n0", fmt.Sprintf("n%d", number))).To(Equal(wire.StateAlive))
 		}
 	})
 
 	It("spreads word of a plan and of a key's owner to all, and never goes back", func() {
 		t := newTown(20)
 		t.tables["n0"].HoldsPlan(7)
-		t.tables["n0"].MergeOwner(peerapi.LeaderFact{Key: "plan", Epoch: 4, Name: "n0"})
+		t.tables["n0"].MergeOwner(wire.LeaderFact{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n0"].Spread()
 		t.run(4 * time.Second)
 		for name := range t.tables {
@@ -120,13 +120,13 @@
 			}
 			Expect(t.views[name].Owners["plan"].Epoch).To(Equal(uint64(4)), name)
 		}
-		Expect(t.tables["n5"].MergeOwner(peerapi.LeaderFact{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
+		Expect(t.tables["n5"].MergeOwner(wire.LeaderFact{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
 	})
 
 	It("tells who waits on an owner that the key has moved", func() {
 		t := newTown(3)
 		old := t.views["n1"]
-		t.tables["n1"].MergeOwner(peerapi.LeaderFact{Key: "plan", Epoch: 4, Name: "n0"})
+		t.tables["n1"].MergeOwner(wire.LeaderFact{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n1"].Settle()
 		Expect(old.Moved).To(BeClosed())
 		Expect(t.views["n1"].Moved).NotTo(BeClosed())
@@ -134,8 +134,8 @@
 
 	It("remembers the disks that a machine has lost", func() {
 		t := newTown(2)
-		t.tables["n0"].Merge(peerapi.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 5, Disk: "old"})
-		t.tables["n0"].Merge(peerapi.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 9, Disk: "new"})
+		t.tables["n0"].Merge(wire.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 5, Disk: "old"})
+		t.tables["n0"].Merge(wire.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 9, Disk: "new"})
 		t.tables["n0"].Settle()
 		for _, member := range t.views["n0"].Members {
 			if member.Name == "n1" {
--- a/internal/cluster/membership/probes.go
+++ b/internal/cluster/membership/probes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -27,24 +27,24 @@
 	number uint64
 }
 
-func (t *Table) handleAck(datagram peerapi.Datagram) {
+func (t *Table) handleAck(datagram wire.Datagram) {
 	if pending, isThere := t.relays[datagram.Number]; isThere {
 		delete(t.relays, datagram.Number)
-		t.send(pending.to, peerapi.Datagram{Kind: kindAck, Number: pending.number})
+		t.send(pending.to, wire.Datagram{Kind: kindAck, Number: pending.number})
 		return
 	}
 	delete(t.probes, datagram.Number)
 }
 
 // probeFor pings a member because another one asks for it.
-func (t *Table) probeFor(datagram peerapi.Datagram) {
+func (t *Table) probeFor(datagram wire.Datagram) {
 	target := t.records[datagram.Target]
 	if target == nil || len(t.relays) > mostRelays {
 		return
 	}
 	t.lastNumber++
 	t.relays[t.lastNumber] = relay{datagram.From, datagram.Number}
-	t.send(target.member, peerapi.Datagram{Kind: kindPing, Number: t.lastNumber})
+	t.send(target.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber})
 }
 
 // followProbes asks others about members that do not answer, and suspects those that go on not answering.
@@ -72,7 +72,7 @@
 	pending.isAsked = true
 	t.probes[number] = pending
 	for _, helper := range t.randomMembers(t.timing.SecondOpinion, pending.name) {
-		t.send(helper, peerapi.Datagram{Kind: kindAsk, Number: number, Target: pending.name})
+		t.send(helper, wire.Datagram{Kind: kindAsk, Number: number, Target: pending.name})
 	}
 }
 
@@ -87,7 +87,7 @@
 		if known := t.records[name]; known != nil {
 			t.lastNumber++
 			t.probes[t.lastNumber] = probe{name: name, began: now}
-			t.send(known.member, peerapi.Datagram{Kind: kindPing, Number: t.lastNumber, News: t.doubtOf(name)})
+			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber, News: t.doubtOf(name)})
 			return
 		}
 	}
@@ -96,7 +96,7 @@
 // beginProbeRound shuffles the members, with a third of those that are gone, as one of them may be back.
 func (t *Table) beginProbeRound() {
 	for _, member := range t.everyone.members {
-		isDue := member.State != peerapi.StateGone || t.draw.IntN(3) == 0
+		isDue := member.State != wire.StateGone || t.draw.IntN(3) == 0
 		if name := Name(member); isDue && name != Name(t.self) {
 			t.probeOrder = append(t.probeOrder, name)
 		}
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // mostPastDisks is how many former disks of a member its record names.
@@ -45,8 +45,8 @@
 	if !t.isKept(member) {
 		return false
 	}
-	if isLeaf(t.self) && member.State == peerapi.StateSuspect {
-		member.State = peerapi.StateAlive
+	if isLeaf(t.self) && member.State == wire.StateSuspect {
+		member.State = wire.StateAlive
 	}
 	if known := t.records[name]; known != nil {
 		return t.mergeKnown(known, member)
@@ -56,8 +56,8 @@
 
 // mergeUnknown adds a member; an old table does not take up one that is gone, as it may just have forgotten it.
 func (t *Table) mergeUnknown(name string, member Member) bool {
-	now := t.clock.Steady()
-	if member.State == peerapi.StateGone && now-t.createdAt > t.timing.ForgetAfter {
+	now := t.clock.Monotonic()
+	if member.State == wire.StateGone && now-t.createdAt > t.timing.ForgetAfter {
 		return false
 	}
 	added := &record{bucket: bucketOf(name), since: now, lastContactAt: now}
@@ -72,7 +72,7 @@
 		return false
 	}
 	member.Past = joinPast(known.member, member)
-	known.since = t.clock.Steady()
+	known.since = t.clock.Monotonic()
 	t.write(known, member)
 	t.noteNews(Name(member))
 	return true
@@ -83,16 +83,16 @@
 	t.toggleSums(known)
 	known.member = member
 	known.hash, known.incarnationHash = 0, 0
-	if member.State != peerapi.StateGone {
+	if member.State != wire.StateGone {
 		known.hash = hashOf(Name(member), member.Incarnation, member.State)
-		known.incarnationHash = hashOf(Name(member), member.Incarnation, peerapi.StateAlive)
+		known.incarnationHash = hashOf(Name(member), member.Incarnation, wire.StateAlive)
 	}
 	t.toggleSums(known)
 	t.everyone.put(member)
 	if member.Role == RoleSteward {
 		t.stewards.put(member)
 	}
-	if name := Name(member); member.State == peerapi.StateAlive {
+	if name := Name(member); member.State == wire.StateAlive {
 		delete(t.unhealthy, name)
 	} else {
 		t.unhealthy[name] = known
@@ -126,7 +126,7 @@
 
 func (t *Table) noteChange() {
 	t.isDirty = true
-	t.changedAt = t.clock.Steady()
+	t.changedAt = t.clock.Monotonic()
 }
 
 // joinPast lists the former disks that either record of a member names, the newest last.
@@ -143,7 +143,7 @@
 // refute answers a record of this process that says it is suspect, gone or of a later incarnation: by a later one yet.
 func (t *Table) refute(claim Member) {
 	isOlder := claim.Incarnation < t.self.Incarnation
-	isSame := claim.Incarnation == t.self.Incarnation && claim.State == peerapi.StateAlive
+	isSame := claim.Incarnation == t.self.Incarnation && claim.State == wire.StateAlive
 	if isOlder || isSame {
 		return
 	}
@@ -156,15 +156,15 @@
 func (t *Table) noteNews(name string) { t.newsToSend[name] = newsTimes }
 
 func (t *Table) suspect(name string) {
-	if known := t.records[name]; known.member.State == peerapi.StateAlive {
-		t.demote(known, peerapi.StateSuspect)
+	if known := t.records[name]; known.member.State == wire.StateAlive {
+		t.demote(known, wire.StateSuspect)
 	}
 }
 
 func (t *Table) demote(known *record, state int) {
 	member := known.member
 	member.State = state
-	known.since = t.clock.Steady()
+	known.since = t.clock.Monotonic()
 	t.write(known, member)
 	t.noteNews(Name(member))
 }
@@ -173,11 +173,11 @@
 func (t *Table) ageRecords(now time.Duration) {
 	for name, known := range t.unhealthy {
 		switch known.member.State {
-		case peerapi.StateSuspect:
+		case wire.StateSuspect:
 			if now-known.since > t.timing.SuspectFor {
-				t.demote(known, peerapi.StateGone)
+				t.demote(known, wire.StateGone)
 			}
-		case peerapi.StateGone:
+		case wire.StateGone:
 			if now-known.since > t.timing.ForgetAfter {
 				t.forget(name)
 			}
--- a/internal/cluster/membership/sums.go
+++ b/internal/cluster/membership/sums.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // bucketCount is into how many buckets the names are hashed, so that only records of differing buckets are compared.
@@ -39,4 +39,4 @@
 	return binary.BigEndian.Uint32(sum[:])
 }
 
-func factHash(fact peerapi.LeaderFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
+func factHash(fact wire.LeaderFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -7,12 +7,12 @@
 	"math/rand/v2"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
 // Member is what is known of one process: where it is, what it does and whether it lives.
-type Member = peerapi.Member
+type Member = wire.Member
 
 const (
 	// RoleSteward is the role of the processes that may lead keys.
@@ -25,7 +25,7 @@
 // that a peer holds already, and to compare lists with a peer whose list differs. They are called on the owner's
 // goroutine.
 type Events struct {
-	Send      func(address string, datagram peerapi.Datagram)
+	Send      func(address string, datagram wire.Datagram)
 	Show      func(*View)
 	PlanAhead func(peer Member, version int64)
 	Differ    func(peer Member)
@@ -34,7 +34,7 @@
 // Table is the state of the failure detector. It has no goroutine of its own; its owner calls it.
 type Table struct {
 	self   Member
-	clock  clock.Pulse
+	clock  clock.Clock
 	timing Timing
 	events Events
 	draw   *rand.Rand
@@ -47,7 +47,7 @@
 	sums        sums
 	stewardSums sums
 
-	leaders        map[string]peerapi.LeaderFact
+	leaders        map[string]wire.LeaderFact
 	isLeadersShown bool
 	leaderSum      uint32
 	// recentLeaders counts the ticks for which the leader of a key is still sent along with each datagram.
@@ -88,12 +88,12 @@
 }
 
 // NewTable makes a table that knows only its own process. The seed decides whom it probes when.
-func NewTable(self Member, clock clock.Pulse, timing Timing, seed uint64, events Events) *Table {
-	now := clock.Steady()
+func NewTable(self Member, clock clock.Clock, timing Timing, seed uint64, events Events) *Table {
+	now := clock.Monotonic()
 	table := &Table{
 		self: self, clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
 		ownRecord: &record{bucket: bucketOf(Name(self))}, records: map[string]*record{}, unhealthy: map[string]*record{},
-		leaders: map[string]peerapi.LeaderFact{}, recentLeaders: map[string]int{},
+		leaders: map[string]wire.LeaderFact{}, recentLeaders: map[string]int{},
 		probes: map[uint64]probe{}, relays: map[uint64]relay{}, newsToSend: map[string]int{},
 		leaves: map[string]leaf{}, pingPause: timing.LeafPeriod, isPingAnswered: true,
 		createdAt: now, lastTick: now, differAt: now - 2*timing.Period - 1,
@@ -111,7 +111,7 @@
 
 // Tick is called a few times a period.
 func (t *Table) Tick() {
-	now := t.clock.Steady()
+	now := t.clock.Monotonic()
 	if now-t.lastTick > 2*t.timing.Period {
 		t.resumeAfterFreeze(now)
 	}
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // View is what the table publishes to the rest of the process; it is never changed after it is made.
@@ -12,7 +12,7 @@
 	Self     Member
 	Members  []Member
 	Stewards []Member
-	Owners   map[string]peerapi.LeaderFact
+	Owners   map[string]wire.LeaderFact
 	// IsLonely is set at a local-proxy that no steward has answered for some time.
 	IsLonely bool
 	// Moved is closed once any key has another leader than this view says.
@@ -40,6 +40,6 @@
 // SeesSteward tells whether any steward that may lead keys, except this process, is thought alive.
 func (v *View) SeesSteward() bool {
 	return slices.ContainsFunc(v.Stewards, func(steward Member) bool {
-		return steward.MayLead() && steward.State == peerapi.StateAlive && Name(steward) != Name(v.Self)
+		return steward.MayLead() && steward.State == wire.StateAlive && Name(steward) != Name(v.Self)
 	})
 }
--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"net/http"
 	"time"
 
@@ -10,7 +11,6 @@
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 // Prefix is the path below which peers call each other.
@@ -64,12 +64,12 @@
 const maxMessage = 16 << 20
 
 // Serve answers one procedure on the mux. An error of the handler reaches the caller as that of its call.
-func Serve[Request, Answer any](mux *http.ServeMux, procedure string, handle func(span.Span, *Request) (*Answer, error)) {
+func Serve[Request, Answer any](mux *http.ServeMux, procedure string, handle func(context.Context, *Request) (*Answer, error)) {
 	name := procedure[len(Prefix):]
 	calls, failures := calls.With(name, sideServed), callErrors.With(name, sideServed)
-	counted := func(life span.Span, request *Request) (*Answer, error) {
+	counted := func(ctx context.Context, request *Request) (*Answer, error) {
 		calls.Inc()
-		answer, err := handle(life, request)
+		answer, err := handle(ctx, request)
 		if err != nil {
 			failures.Inc()
 		}
@@ -86,18 +86,18 @@
 func NewCaller(client *http.Client) *Caller { return &Caller{client} }
 
 // Call asks the peer at an address, for as long as the limit; its error names the procedure and the peer.
-func Call[Request, Answer any](caller *Caller, life span.Span, address, procedure string, limit time.Duration, request *Request) (*Answer, error) {
-	life, release := span.Within(life, limit)
+func Call[Request, Answer any](caller *Caller, ctx context.Context, address, procedure string, limit time.Duration, request *Request) (*Answer, error) {
+	ctx, release := context.WithTimeout(ctx, limit)
 	defer release()
-	return callThrough[Request, Answer](caller.client, life, address, procedure, request)
+	return callThrough[Request, Answer](caller.client, ctx, address, procedure, request)
 }
 
-func callThrough[Request, Answer any](client connect.HTTPClient, life span.Span, address, procedure string, request *Request) (*Answer, error) {
+func callThrough[Request, Answer any](client connect.HTTPClient, ctx context.Context, address, procedure string, request *Request) (*Answer, error) {
 	name := procedure[len(Prefix):]
 	calls.With(name, sideMade).Inc()
 	connection := connect.NewClient[Request, Answer](client, "http://"+address+procedure,
 		connect.WithCodec(codec(name, sideMade)), connect.WithReadMaxBytes(maxMessage), connect.WithAcceptCompression("gzip", nil, nil))
-	answer, err := connection.CallUnary(life, connect.NewRequest(request))
+	answer, err := connection.CallUnary(ctx, connect.NewRequest(request))
 	if err == nil {
 		err = check(answer.Msg)
 	}
--- a/internal/cluster/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -1,6 +1,7 @@
 package peerapi_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"time"
@@ -10,34 +11,34 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // answering serves client calls with one answer.
-func answering(answer *peerapi.ClientAnswer) string {
+func answering(answer *wire.ClientAnswer) string {
 	mux := http.NewServeMux()
-	peerapi.Serve(mux, peerapi.ProcedureClient, func(span.Span, *peerapi.ClientCall) (*peerapi.ClientAnswer, error) { return answer, nil })
+	peerapi.Serve(mux, peerapi.ProcedureClient, func(context.Context, *wire.ClientCall) (*wire.ClientAnswer, error) { return answer, nil })
 	server := httptest.NewServer(mux)
 	DeferCleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
 var _ = Describe("an answer of a sibling", func() {
-	ask := func(address string) (*peerapi.ClientAnswer, error) {
-		return peerapi.Call[peerapi.ClientCall, peerapi.ClientAnswer](peerapi.NewCaller(http.DefaultClient), span.Root(), address,
-			peerapi.ProcedureClient, 5*time.Second, &peerapi.ClientCall{})
+	ask := func(address string) (*wire.ClientAnswer, error) {
+		return peerapi.Call[wire.ClientCall, wire.ClientAnswer](peerapi.NewCaller(http.DefaultClient), context.Background(), address,
+			peerapi.ProcedureClient, 5*time.Second, &wire.ClientCall{})
 	}
 
 	It("without a status is an error that names the step and the sibling, and may have been carried out", func() {
-		address := answering(&peerapi.ClientAnswer{})
+		address := answering(&wire.ClientAnswer{})
 		_, err := ask(address)
 		Expect(err).To(MatchError(And(ContainSubstring("Client"), ContainSubstring(address), ContainSubstring("without a status"))))
 		Expect(peerapi.NeverSent(err)).To(BeFalse())
 	})
 
 	It("needs no status if it points elsewhere", func() {
-		Expect(ask(answering(&peerapi.ClientAnswer{Elsewhere: true}))).To(Equal(&peerapi.ClientAnswer{Elsewhere: true}))
+		Expect(ask(answering(&wire.ClientAnswer{Elsewhere: true}))).To(Equal(&wire.ClientAnswer{Elsewhere: true}))
 	})
 })
 
@@ -65,8 +66,8 @@
 		DeferCleanup(func() { close(parts) })
 		over := make(chan error)
 		go func() {
-			_, err := peerapi.CallWhileMoving[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
-				impatient{}, span.Root(), address, peerapi.ProcedureFetch, time.Second, &peerapi.ConfigurationCall{})
+			_, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
+				impatient{}, context.Background(), address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 			over <- err
 		}()
 		err := <-over
@@ -81,8 +82,8 @@
 			}
 			close(parts)
 		}()
-		answer, err := peerapi.CallWhileMoving[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
-			fakeClock, span.Root(), address, peerapi.ProcedureFetch, time.Second, &peerapi.ConfigurationCall{})
+		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
+			fakeClock, context.Background(), address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Fact.Version).To(Equal(int64(7)))
 	})
@@ -91,8 +92,8 @@
 // impatient is a fakeClock on which every wait is over at once.
 type impatient struct{}
 
-func (impatient) Steady() time.Duration { return 0 }
-func (impatient) WallMs() int64         { return 0 }
+func (impatient) Monotonic() time.Duration { return 0 }
+func (impatient) WallMs() int64            { return 0 }
 func (impatient) After(time.Duration) <-chan time.Time {
 	over := make(chan time.Time, 1)
 	over <- time.Time{}
--- a/internal/cluster/peerapi/dial.go
+++ b/internal/cluster/peerapi/dial.go
@@ -1,6 +1,7 @@
 package peerapi
 
 import (
+	"context"
 	stderrors "errors"
 	"net"
 	"net/http"
@@ -9,8 +10,6 @@
 
 	"github.com/juju/errors"
 	"golang.org/x/sys/unix"
-
-	"gannetline/internal/span"
 )
 
 const (
@@ -40,8 +39,8 @@
 	dialer := Dialer(silence)
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext: func(life span.Span, network, address string) (net.Conn, error) {
-				return dialer.DialContext(life, network, address)
+			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+				return dialer.DialContext(ctx, network, address)
 			},
 			MaxIdleConnsPerHost: idlePerHost,
 			IdleConnTimeout:     idleTimeout,
--- a/internal/cluster/peerapi/metrics_test.go
+++ b/internal/cluster/peerapi/metrics_test.go
@@ -1,6 +1,7 @@
 package peerapi_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"time"
@@ -10,25 +11,25 @@
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 var _ = Describe("calls between siblings", func() {
 	It("are counted on both sides, with their bytes and their errors", func() {
 		mux := http.NewServeMux()
-		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ span.Span, call *peerapi.ConfigurationCall) (*peerapi.ConfigurationAnswer, error) {
+		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 			if call.Held == 9 {
 				return nil, errors.New("no")
 			}
-			return &peerapi.ConfigurationAnswer{}, nil
+			return &wire.ConfigurationAnswer{}, nil
 		})
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		caller := peerapi.NewCaller(http.DefaultClient)
 		ask := func(held int64) error {
-			_, err := peerapi.Call[peerapi.ConfigurationCall, peerapi.ConfigurationAnswer](caller, span.Root(),
-				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &peerapi.ConfigurationCall{Held: held})
+			_, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(),
+				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{Held: held})
 			return err
 		}
 		Expect(ask(1)).To(Succeed())
--- a/internal/cluster/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -1,6 +1,7 @@
 package peerapi
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"time"
@@ -8,7 +9,6 @@
 	"github.com/juju/errors"
 
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // ErrStalled is the cause of a call that was given up because nothing came for too long.
@@ -59,19 +59,19 @@
 
 // CallWhileMoving asks the peer at an address, and gives up only once nothing of the answer has come for as long
 // as the patience: a slow link is no reason to end a call, a silent one is. The cause is then ErrStalled.
-func CallWhileMoving[Request, Answer any](caller *Caller, clock clock.Pulse, life span.Span, address, procedure string,
+func CallWhileMoving[Request, Answer any](caller *Caller, clock clock.Clock, ctx context.Context, address, procedure string,
 	patience time.Duration, request *Request) (*Answer, error) {
 	type outcome struct {
 		answer *Answer
 		err    error
 	}
-	life, release := span.Within(life, mostMoving)
+	ctx, release := context.WithTimeout(ctx, mostMoving)
 	defer release()
 	moving := movingClient{caller.client, make(chan struct{}, 1)}
 	outcomes := make(chan outcome, 1)
 	stall := clock.After(patience)
 	go func() {
-		answer, err := callThrough[Request, Answer](moving, life, address, procedure, request)
+		answer, err := callThrough[Request, Answer](moving, ctx, address, procedure, request)
 		outcomes <- outcome{answer, err}
 	}()
 	for {
--- /dev/null
+++ b/internal/cluster/peerapi/wire/golden_test.go
@@ -0,0 +1,67 @@
+package wire_test
+
+import (
+	"path/filepath"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/testsupport/golden"
+)
+
+// goldenMessages are all messages between peers, and what they hold, by the names of their golden files.
+var goldenMessages = map[string]golden.Message{
+	"log-position":         &wire.LogPosition{},
+	"voter-set":            &wire.VoterSet{},
+	"op":                   &wire.Op{},
+	"change":               &wire.Change{},
+	"snapshot":             &wire.Snapshot{},
+	"promise-call":         &wire.PromiseCall{},
+	"promise-answer":       &wire.PromiseAnswer{},
+	"snapshot-chunk":       &wire.SnapshotChunk{},
+	"append-call":          &wire.AppendCall{},
+	"append-answer":        &wire.AppendAnswer{},
+	"fetch-call":           &wire.FetchCall{},
+	"fetch-answer":         &wire.FetchAnswer{},
+	"member":               &wire.Member{},
+	"leader-fact":          &wire.LeaderFact{},
+	"digest":               &wire.Digest{},
+	"datagram":             &wire.Datagram{},
+	"members-call":         &wire.MembersCall{},
+	"members-answer":       &wire.MembersAnswer{},
+	"configuration-call":   &wire.ConfigurationCall{},
+	"configuration-answer": &wire.ConfigurationAnswer{},
+	"configuration-chunk":  &wire.ConfigurationChunk{},
+	"configuration-delta":  &wire.ConfigurationDelta{},
+	"delta-part":           &wire.DeltaPart{},
+	"configuration":        &wire.Configuration{},
+	"moved-route":          &wire.MovedRoute{},
+	"initial-voters":       &wire.InitialVoters{},
+	"confirmed-version":    &wire.ConfirmedVersion{},
+	"identify-call":        &wire.IdentifyCall{},
+	"identify-answer":      &wire.IdentifyAnswer{},
+	"client-call":          &wire.ClientCall{},
+	"route-terms":          &wire.RouteTerms{},
+	"client-answer":        &wire.ClientAnswer{},
+	"capacity":             &wire.Capacity{},
+	"run-report":           &wire.RunReport{},
+	"end-report":           &wire.EndReport{},
+	"order-answer":         &wire.OrderAnswer{},
+	"exchange-call":        &wire.ExchangeCall{},
+	"order":                &wire.Order{},
+	"exchange-answer":      &wire.ExchangeAnswer{},
+	"beliefs-call":         &wire.BeliefsCall{},
+	"key-belief":           &wire.KeyBelief{},
+	"job-belief":           &wire.JobBelief{},
+	"executor-belief":      &wire.ExecutorBelief{},
+	"beliefs-answer":       &wire.BeliefsAnswer{},
+}
+
+var _ = Describe("the form of messages between peers", func() {
+	for name, message := range goldenMessages {
+		It("is kept for "+name, func() {
+			Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), message)).To(Succeed())
+		})
+	}
+})
--- a/internal/control/configleader/configleader_test.go
+++ b/internal/control/configleader/configleader_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/platform/logging"
 )
@@ -14,10 +14,10 @@
 type scripted struct {
 	hasLease bool
 	waiting  []func(error)
-	ops      []peerapi.Op
+	ops      []wire.Op
 }
 
-func (s *scripted) Commit(ops []peerapi.Op, done func(error)) {
+func (s *scripted) Commit(ops []wire.Op, done func(error)) {
 	s.ops, s.waiting = ops, append(s.waiting, done)
 }
 func (s *scripted) HasLease() bool   { return s.hasLease }
@@ -45,10 +45,10 @@
 	}
 }
 
-func pairsOf(kept map[string][]byte) []peerapi.Op {
-	var pairs []peerapi.Op
+func pairsOf(kept map[string][]byte) []wire.Op {
+	var pairs []wire.Op
 	for name, value := range kept {
-		pairs = append(pairs, peerapi.Op{Name: name, Value: value})
+		pairs = append(pairs, wire.Op{Name: name, Value: value})
 	}
 	return pairs
 }
@@ -62,17 +62,17 @@
 	var tenure *scripted
 	var owner *configleader.Leader
 	var published []int64
-	var passedOn *peerapi.Configuration
+	var passedOn *wire.Configuration
 	BeforeEach(func() {
 		tenure, published = &scripted{hasLease: true}, nil
-		owner = configleader.New(logging.Silent(), func(fact *peerapi.Configuration) {
+		owner = configleader.New(logging.Silent(), func(fact *wire.Configuration) {
 			published, passedOn = append(published, fact.Version), fact
 		})
 		Expect(owner.Open(tenure, nil)).To(Succeed())
 	})
-	replace := func(base int64, body []byte) *peerapi.ClientAnswer {
-		var told *peerapi.ClientAnswer
-		owner.Replace(&peerapi.ClientCall{Base: base, Body: body}, func(answer peerapi.ClientAnswer) { told = &answer })
+	replace := func(base int64, body []byte) *wire.ClientAnswer {
+		var told *wire.ClientAnswer
+		owner.Replace(&wire.ClientCall{Base: base, Body: body}, func(answer wire.ClientAnswer) { told = &answer })
 		return told
 	}
 
@@ -85,8 +85,8 @@
 
 	It("lets one of two on the same base win, and takes the same plan again", func() {
 		replace(0, plan(3, "s"))
-		var second peerapi.ClientAnswer
-		owner.Replace(&peerapi.ClientCall{Base: 0, Body: plan(4, "s")}, func(answer peerapi.ClientAnswer) { second = answer })
+		var second wire.ClientAnswer
+		owner.Replace(&wire.ClientCall{Base: 0, Body: plan(4, "s")}, func(answer wire.ClientAnswer) { second = answer })
 		Expect(second).To(BeZero())
 		tenure.settle()
 		Expect(second.Status).To(Equal(412))
@@ -102,10 +102,10 @@
 		tenure.settle()
 		replace(3, plan(5, "t"))
 		tenure.settle()
-		next := configleader.New(logging.Silent(), func(*peerapi.Configuration) {})
+		next := configleader.New(logging.Silent(), func(*wire.Configuration) {})
 		Expect(next.Open(tenure, tenure.ops)).To(Succeed())
 		var body string
-		next.Retrieve(func(answer peerapi.ClientAnswer) { body = string(answer.Body) })
+		next.Retrieve(func(answer wire.ClientAnswer) { body = string(answer.Body) })
 		Expect(body).To(Equal(string(plan(5, "t"))))
 		Expect(string(tenure.ops[0].Value)).To(ContainSubstring(`"moved":[{"entry":"r","services":["s"]}]`))
 		Expect(string(tenure.ops[0].Value)).To(ContainSubstring(`"births":[{"service":"s","voters":["a","b","c"]}`))
@@ -115,7 +115,7 @@
 		sent := append([]byte(" \n"), append(plan(3, "s"), '\n')...)
 		replace(0, sent)
 		tenure.settle()
-		owner.Retrieve(func(answer peerapi.ClientAnswer) { Expect([]byte(answer.Body)).To(Equal(sent)) })
+		owner.Retrieve(func(answer wire.ClientAnswer) { Expect([]byte(answer.Body)).To(Equal(sent)) })
 		Expect([]byte(passedOn.Body)).To(Equal(plan(3, "s")))
 		Expect(passedOn.InitialVoters).To(HaveLen(1))
 		Expect(passedOn.Confirmed).To(BeEmpty())
@@ -125,8 +125,8 @@
 		replace(0, plan(3, "s"))
 		tenure.settle()
 		tenure.hasLease = false
-		var told peerapi.ClientAnswer
-		owner.Retrieve(func(answer peerapi.ClientAnswer) { told = answer })
+		var told wire.ClientAnswer
+		owner.Retrieve(func(answer wire.ClientAnswer) { told = answer })
 		Expect(told.Elsewhere).To(BeTrue())
 		Expect(replace(0, plan(9, "s")).Elsewhere).To(BeTrue())
 	})
--- a/internal/control/configleader/confirmed.go
+++ b/internal/control/configleader/confirmed.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -31,7 +31,7 @@
 	// forgotten is the newest version whose record was dropped, 0 if none was.
 	forgotten int64
 	// unwritten were read in the older form, and get records of their own with the next commit.
-	unwritten []peerapi.ConfirmedVersion
+	unwritten []wire.ConfirmedVersion
 }
 
 // digestOf is the whole sha256: two bodies under one number are told apart without a thought about chances. The space
@@ -48,13 +48,13 @@
 }
 
 // readConfirmed takes the records of a key, and what the older form kept in the configuration itself.
-func readConfirmed(pairs []peerapi.Op, fact *peerapi.Configuration) (*confirmed, error) {
+func readConfirmed(pairs []wire.Op, fact *wire.Configuration) (*confirmed, error) {
 	read := &confirmed{digests: map[int64]string{}}
 	for _, pair := range pairs {
 		if !strings.HasPrefix(pair.Name, confirmedPrefix) {
 			continue
 		}
-		var record peerapi.ConfirmedVersion
+		var record wire.ConfirmedVersion
 		if err := easyjson.Unmarshal(pair.Value, &record); err != nil {
 			return nil, errors.Annotatef(err, "reading %s from disk", pair.Name)
 		}
@@ -72,7 +72,7 @@
 }
 
 // takeOlder takes the records of the older form. A full list may have lost the versions before its first.
-func (c *confirmed) takeOlder(older []peerapi.ConfirmedVersion) {
+func (c *confirmed) takeOlder(older []wire.ConfirmedVersion) {
 	for _, record := range older {
 		if c.digests[record.Version] == "" {
 			c.digests[record.Version] = record.Digest
@@ -95,15 +95,15 @@
 
 // confirmation is what one more confirmed version writes and drops.
 type confirmation struct {
-	added     peerapi.ConfirmedVersion
+	added     wire.ConfirmedVersion
 	dropped   []int64
 	forgotten int64
-	ops       []peerapi.Op
+	ops       []wire.Op
 }
 
 // with works out the records of one more version, and changes nothing before it is committed.
 func (c *confirmed) with(version int64, body []byte) (*confirmation, error) {
-	next := &confirmation{added: peerapi.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
+	next := &confirmation{added: wire.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
 	if beyond := len(c.versions) + 1 - mostConfirmed; beyond > 0 {
 		next.dropped = slices.Clone(c.versions[:beyond])
 		next.forgotten = next.dropped[beyond-1]
@@ -113,10 +113,10 @@
 		if err != nil {
 			return nil, errors.Annotatef(err, "writing the record of version %d", record.Version)
 		}
-		next.ops = append(next.ops, peerapi.Op{Name: recordName(record.Version), Value: value})
+		next.ops = append(next.ops, wire.Op{Name: recordName(record.Version), Value: value})
 	}
 	for _, dropped := range next.dropped {
-		next.ops = append(next.ops, peerapi.Op{Name: recordName(dropped)})
+		next.ops = append(next.ops, wire.Op{Name: recordName(dropped)})
 	}
 	return next, nil
 }
--- a/internal/control/configleader/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/platform/logging"
 )
@@ -31,14 +31,14 @@
 
 // takeOver is a new leader of what is on disk.
 func (o *operated) takeOver() {
-	o.leader = configleader.New(logging.Silent(), func(*peerapi.Configuration) {})
+	o.leader = configleader.New(logging.Silent(), func(*wire.Configuration) {})
 	Expect(o.leader.Open(o.tenure, pairsOf(o.kept))).To(Succeed())
 }
 
 // send calls without waiting for commits.
-func (o *operated) send(base int64, body []byte) *peerapi.ClientAnswer {
-	told := &peerapi.ClientAnswer{}
-	o.leader.Replace(&peerapi.ClientCall{Base: base, Body: body}, func(answer peerapi.ClientAnswer) { *told = answer })
+func (o *operated) send(base int64, body []byte) *wire.ClientAnswer {
+	told := &wire.ClientAnswer{}
+	o.leader.Replace(&wire.ClientCall{Base: base, Body: body}, func(answer wire.ClientAnswer) { *told = answer })
 	return told
 }
 
@@ -91,10 +91,10 @@
 	})
 
 	It("are read in the older form, and written as records with the next change", func() {
-		older := &peerapi.Configuration{Version: 164, Body: plan(164, "s")}
+		older := &wire.Configuration{Version: 164, Body: plan(164, "s")}
 		for version := 101; version <= 164; version++ {
 			sum := sha256.Sum256(plan(version, "s"))
-			older.Confirmed = append(older.Confirmed, peerapi.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
+			older.Confirmed = append(older.Confirmed, wire.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
 		}
 		value, err := easyjson.Marshal(older)
 		Expect(err).NotTo(HaveOccurred())
@@ -113,7 +113,7 @@
 
 	It("that can't be read are an error that names the record", func() {
 		o := newOperated()
-		Expect(o.leader.Open(o.tenure, []peerapi.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
+		Expect(o.leader.Open(o.tenure, []wire.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
 	})
 })
 
@@ -121,7 +121,7 @@
 	It("wait for their turn: of eight one is taken, and all get a clear answer with its commit", func() {
 		o := newOperated()
 		o.grow(3)
-		var told []*peerapi.ClientAnswer
+		var told []*wire.ClientAnswer
 		for number := range 8 {
 			told = append(told, o.send(3, plan(4+number%4, fmt.Sprintf("s%d", number%4))))
 		}
@@ -135,7 +135,7 @@
 
 	It("are taken one after the other where each builds on the one before", func() {
 		o := newOperated()
-		var told []*peerapi.ClientAnswer
+		var told []*wire.ClientAnswer
 		for number := range 8 {
 			told = append(told, o.send(int64(number), plan(number+1, "s")))
 		}
@@ -149,7 +149,7 @@
 		o := newOperated()
 		answers, unclear := 0, 0
 		for number := range 40 {
-			o.leader.Replace(&peerapi.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer peerapi.ClientAnswer) {
+			o.leader.Replace(&wire.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer wire.ClientAnswer) {
 				answers++
 				Expect(answer.Elsewhere).To(BeTrue())
 				if answer.Unclear {
@@ -187,7 +187,7 @@
 		o.leader.Close()
 		o.tenure.waiting = nil
 		lost[0](errors.New("lost"))
-		Expect(*first).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}))
+		Expect(*first).To(Equal(wire.ClientAnswer{Elsewhere: true, Unclear: true}))
 		o.takeOver()
 		taken := 0
 		if !isStored {
@@ -214,7 +214,7 @@
 		o.tenure = &scripted{hasLease: true}
 		Expect(o.leader.Open(o.tenure, nil)).To(Succeed())
 		late[0](nil)
-		Expect(*told).To(Equal(peerapi.ClientAnswer{Elsewhere: true, Unclear: true}))
+		Expect(*told).To(Equal(wire.ClientAnswer{Elsewhere: true, Unclear: true}))
 		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
 	})
 })
@@ -222,8 +222,8 @@
 var _ = Describe("state that grows with changes", func() {
 	It("is bounded where routes move between services and are dropped", func() {
 		o := newOperated()
-		fact := func() *peerapi.Configuration {
-			read := &peerapi.Configuration{}
+		fact := func() *wire.Configuration {
+			read := &wire.Configuration{}
 			Expect(easyjson.Unmarshal(o.kept["fact"], read)).To(Succeed())
 			return read
 		}
@@ -238,7 +238,7 @@
 			Expect(o.replace(int64(version-1), text(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
 		}
 		Expect(len(fact().Moved)).To(BeNumerically("<=", 2048))
-		Expect(fact().Moved).To(ContainElement(peerapi.MovedRoute{Entry: "r3990", Services: []string{"a"}}))
+		Expect(fact().Moved).To(ContainElement(wire.MovedRoute{Entry: "r3990", Services: []string{"a"}}))
 		Expect(fact().InitialVoters).To(HaveLen(2))
 		for version := 801; version <= 840; version++ {
 			Expect(o.replace(int64(version-1), text(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
--- a/internal/control/configleader/moved.go
+++ b/internal/control/configleader/moved.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"gannetline/internal/cluster/configuration"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -16,7 +16,7 @@
 )
 
 // movedRoutes adds the routes that the next configuration sends to another service than the one before.
-func movedRoutes(moved []peerapi.MovedRoute, before, next *configuration.Configuration) []peerapi.MovedRoute {
+func movedRoutes(moved []wire.MovedRoute, before, next *configuration.Configuration) []wire.MovedRoute {
 	former := configuration.NewMatcher(before)
 	places := map[string]int{}
 	for place, route := range moved {
@@ -30,7 +30,7 @@
 		place, isThere := places[route.Name]
 		if !isThere {
 			places[route.Name] = len(moved)
-			moved = append(moved, peerapi.MovedRoute{Entry: route.Name, Services: []string{was.Service}})
+			moved = append(moved, wire.MovedRoute{Entry: route.Name, Services: []string{was.Service}})
 			continue
 		}
 		moved[place].Services = withService(moved[place].Services, was.Service)
@@ -48,13 +48,13 @@
 }
 
 // boundMoved drops what is beyond mostMoved, if it is no longer in the configuration.
-func boundMoved(moved []peerapi.MovedRoute, next *configuration.Configuration) []peerapi.MovedRoute {
+func boundMoved(moved []wire.MovedRoute, next *configuration.Configuration) []wire.MovedRoute {
 	beyond := len(moved) - mostMoved
 	if beyond <= 0 {
 		return moved
 	}
 	inForce := configuration.NewMatcher(next)
-	return slices.DeleteFunc(moved, func(route peerapi.MovedRoute) bool {
+	return slices.DeleteFunc(moved, func(route wire.MovedRoute) bool {
 		isDropped := beyond > 0 && inForce.ByName(route.Entry) == nil
 		if isDropped {
 			beyond--
--- a/internal/control/configleader/stored_data_test.go
+++ b/internal/control/configleader/stored_data_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/platform/logging"
 )
@@ -22,16 +22,16 @@
 			Expect(hasValue).To(BeTrue())
 			kept[name] = []byte(value)
 		}
-		var published *peerapi.Configuration
-		leader := configleader.New(logging.Silent(), func(next *peerapi.Configuration) { published = next })
+		var published *wire.Configuration
+		leader := configleader.New(logging.Silent(), func(next *wire.Configuration) { published = next })
 		Expect(leader.Open(&scripted{hasLease: true}, pairsOf(kept))).To(Succeed())
 		Expect(published.Version).To(BeEquivalentTo(2))
 		Expect(published.InitialVoters).To(HaveLen(1))
-		var answer peerapi.ClientAnswer
-		leader.Retrieve(func(given peerapi.ClientAnswer) { answer = given })
+		var answer wire.ClientAnswer
+		leader.Retrieve(func(given wire.ClientAnswer) { answer = given })
 		Expect(answer.Status).To(Equal(200))
 		Expect(string(answer.Body)).To(ContainSubstring(`"name":"second"`))
-		leader.Replace(&peerapi.ClientCall{Base: 1, Body: answer.Body}, func(given peerapi.ClientAnswer) { answer = given })
+		leader.Replace(&wire.ClientCall{Base: 1, Body: answer.Body}, func(given wire.ClientAnswer) { answer = given })
 		Expect(answer.Status).To(Equal(200), "the confirmed version is sent again")
 	})
 })
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"gannetline/internal/cluster/leaderclient"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/platform/response"
 )
@@ -23,20 +23,20 @@
 )
 
 // Decode makes a command of an operator's call, or a refusal.
-func Decode(request *http.Request) (*peerapi.ClientCall, response.Reply) {
+func Decode(request *http.Request) (*wire.ClientCall, response.Reply) {
 	switch request.URL.Path {
 	case pathRetrieve:
 		if request.Method != http.MethodGet {
 			return nil, response.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &peerapi.ClientCall{Key: configleader.Key, Verb: "retrieve"}, response.Reply{}
+		return &wire.ClientCall{Key: configleader.Key, Verb: "retrieve"}, response.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
 	return nil, response.Text(http.StatusNotFound, "there is no such call")
 }
 
-func decodeReplace(request *http.Request) (*peerapi.ClientCall, response.Reply) {
+func decodeReplace(request *http.Request) (*wire.ClientCall, response.Reply) {
 	if request.Method != http.MethodPost {
 		return nil, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
 	}
@@ -53,7 +53,7 @@
 	case !json.Valid(body):
 		return nil, response.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &peerapi.ClientCall{Key: configleader.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
+	return &wire.ClientCall{Key: configleader.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
 }
 
 // Handler asks the leader of the configuration's key, wherever it is.
@@ -71,7 +71,7 @@
 // Reply is what the operator is told of an outcome. A refusal is passed on only if it says what became of the call:
 // if an earlier try may have been carried out, that is so only where the current version is known to be beyond the
 // call's base. Versions only rise, so no try can be taken from then on, and one taken before would have been confirmed.
-func Reply(call *peerapi.ClientCall, outcome leaderclient.Outcome) response.Reply {
+func Reply(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil:
--- a/internal/control/controlkeys/bootstrap.go
+++ b/internal/control/controlkeys/bootstrap.go
@@ -1,23 +1,24 @@
 package controlkeys
 
 import (
+	"context"
 	"slices"
 	"time"
 
 	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/span"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // FoundFirst asks the seeds for their disks until all have spoken; they are the first voters.
-func (r *Ring) FoundFirst(life span.Span, seeds []string) {
-	answers := map[string]peerapi.IdentifyAnswer{}
+func (r *Ring) FoundFirst(ctx context.Context, seeds []string) {
+	answers := map[string]wire.IdentifyAnswer{}
 	for {
 		for _, seed := range seeds {
 			if _, hasSpoken := answers[seed]; hasSpoken {
 				continue
 			}
-			answer, err := peerapi.Call[peerapi.IdentifyCall, peerapi.IdentifyAnswer](r.caller, life, seed,
-				peerapi.ProcedureIdentify, 500*time.Millisecond, &peerapi.IdentifyCall{})
+			answer, err := peerapi.Call[wire.IdentifyCall, wire.IdentifyAnswer](r.caller, ctx, seed,
+				peerapi.ProcedureIdentify, 500*time.Millisecond, &wire.IdentifyCall{})
 			if err == nil {
 				answers[seed] = *answer
 			}
@@ -29,7 +30,7 @@
 			return
 		}
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return
 		case <-r.clock.After(100 * time.Millisecond):
 		}
@@ -37,7 +38,7 @@
 }
 
 // firstVoters are the seeds' disks; makeshift ones count only if no seed has a lasting one.
-func firstVoters(answers map[string]peerapi.IdentifyAnswer) []string {
+func firstVoters(answers map[string]wire.IdentifyAnswer) []string {
 	var lasting, makeshift []string
 	for _, answer := range answers {
 		if answer.Disk != "" {
--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -1,6 +1,7 @@
 package controlkeys
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -12,13 +13,13 @@
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 type nameOnly struct{ net.Listener }
@@ -38,7 +39,7 @@
 	clock, mux := clock.NewFake(1000), http.NewServeMux()
 	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
 	config := Config{Clock: clock, Log: logging.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
-		Node: membership.NewNode(peerapi.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logging.Silent()),
+		Node: membership.NewNode(wire.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logging.Silent()),
 		Book: configcache.New(caller, clock, logging.Silent(), func(*configcache.Snapshot) {})}
 	if store != nil {
 		var err error
@@ -46,13 +47,13 @@
 		Expect(err).NotTo(HaveOccurred())
 	}
 	ring := New(config)
-	ring.life = span.Root()
+	ring.ctx = context.Background()
 	ring.Handle(mux)
 	return ring, caller
 }
 
 func ask[Ask, Tell any](caller *peerapi.Caller, procedure string, call Ask) (*Tell, error) {
-	return peerapi.Call[Ask, Tell](caller, span.Root(), "10.0.0.1:7000", procedure, time.Second, &call)
+	return peerapi.Call[Ask, Tell](caller, context.Background(), "10.0.0.1:7000", procedure, time.Second, &call)
 }
 
 func openStore() *storage.Store {
@@ -68,36 +69,36 @@
 		ring.birth = []string{"a", "b", "c"}
 		ring.want()
 		Expect(ring.holders).To(BeEmpty())
-		identity, err := ask[peerapi.IdentifyCall, peerapi.IdentifyAnswer](caller, peerapi.ProcedureIdentify, peerapi.IdentifyCall{})
+		identity, err := ask[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(*identity).To(Equal(peerapi.IdentifyAnswer{}))
-		_, err = ask[peerapi.PromiseCall, peerapi.PromiseAnswer](caller, peerapi.ProcedurePromise, peerapi.PromiseCall{Key: "plan", Epoch: 1})
+		Expect(*identity).To(Equal(wire.IdentifyAnswer{}))
+		_, err = ask[wire.PromiseCall, wire.PromiseAnswer](caller, peerapi.ProcedurePromise, wire.PromiseCall{Key: "plan", Epoch: 1})
 		Expect(err).To(HaveOccurred())
-		_, err = ask[peerapi.AppendCall, peerapi.AppendAnswer](caller, peerapi.ProcedureAppend, peerapi.AppendCall{Key: "plan", Epoch: 1})
+		_, err = ask[wire.AppendCall, wire.AppendAnswer](caller, peerapi.ProcedureAppend, wire.AppendCall{Key: "plan", Epoch: 1})
 		Expect(err).To(HaveOccurred())
-		told, err := ask[peerapi.ClientCall, peerapi.ClientAnswer](caller, peerapi.ProcedureClient, peerapi.ClientCall{Key: "plan"})
+		told, err := ask[wire.ClientCall, wire.ClientAnswer](caller, peerapi.ProcedureClient, wire.ClientCall{Key: "plan"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(told.Elsewhere).To(BeTrue())
-		exchanged, err := ask[peerapi.ExchangeCall, peerapi.ExchangeAnswer](caller, peerapi.ProcedureExchange, peerapi.ExchangeCall{Key: "pool/s"})
+		exchanged, err := ask[wire.ExchangeCall, wire.ExchangeAnswer](caller, peerapi.ProcedureExchange, wire.ExchangeCall{Key: "pool/s"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(exchanged.Elsewhere).To(BeTrue())
-		keys, jobs, executors := ring.Beliefs(span.Root())
+		keys, jobs, executors := ring.Beliefs(context.Background())
 		Expect(keys).To(BeNil())
 		Expect(jobs).To(BeNil())
 		Expect(executors).To(BeNil())
 	})
 
-	It("ends its part when its span does", func() {
+	It("ends its part when its context is done", func() {
 		ring, _ := newRing(nil, false)
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		end()
-		Expect(ring.Run(life)).To(Succeed())
+		Expect(ring.Run(ctx)).To(Succeed())
 	})
 
 	It("takes part with a makeshift disk only if it is one of the first voters", func() {
 		store := openStore()
 		ring, caller := newRing(store, true)
-		identity, err := ask[peerapi.IdentifyCall, peerapi.IdentifyAnswer](caller, peerapi.ProcedureIdentify, peerapi.IdentifyCall{})
+		identity, err := ask[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(identity.Disk).To(BeEmpty())
 		Expect(identity.Makeshift).To(Equal(store.Disk()))
@@ -112,20 +113,20 @@
 
 var _ = Describe("the first voters", func() {
 	It("are the seeds' lasting disks, each once", func() {
-		Expect(firstVoters(map[string]peerapi.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
-		Expect(firstVoters(map[string]peerapi.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"b"}))
+		Expect(firstVoters(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
+		Expect(firstVoters(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"b"}))
 	})
 
 	It("are makeshift ones where no seed has another", func() {
-		Expect(firstVoters(map[string]peerapi.IdentifyAnswer{"x": {Makeshift: "n"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"m", "n"}))
+		Expect(firstVoters(map[string]wire.IdentifyAnswer{"x": {Makeshift: "n"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"m", "n"}))
 	})
 })
 
 var _ = Describe("the disks that an owner may choose from", func() {
 	It("leave out members without one, and makeshift ones beside lasting ones", func() {
-		lasting, makeshift, none := peerapi.Member{Name: "a", Disk: "a"}, peerapi.Member{Name: "m", Makeshift: "m"}, peerapi.Member{Name: "n"}
-		Expect(withDisks([]peerapi.Member{makeshift, lasting, none})).To(Equal([]peerapi.Member{lasting}))
-		found := withDisks([]peerapi.Member{makeshift, none})
+		lasting, makeshift, none := wire.Member{Name: "a", Disk: "a"}, wire.Member{Name: "m", Makeshift: "m"}, wire.Member{Name: "n"}
+		Expect(withDisks([]wire.Member{makeshift, lasting, none})).To(Equal([]wire.Member{lasting}))
+		found := withDisks([]wire.Member{makeshift, none})
 		Expect(found).To(HaveLen(1))
 		Expect(found[0].Disk).To(Equal("m"))
 	})
@@ -133,52 +134,52 @@
 
 var _ = Describe("the time that a call to a voter may take", func() {
 	It("grows with the bytes that it carries, and not without bound", func() {
-		ops := []peerapi.Op{{Name: "n", Value: make([]byte, 64<<10-1)}}
-		Expect(limitFor(&peerapi.AppendCall{})).To(Equal(appendLimit))
-		Expect(limitFor(&peerapi.AppendCall{Changes: []peerapi.Change{{Ops: ops}}})).To(Equal(appendLimit + time.Second))
-		Expect(limitFor(&peerapi.AppendCall{Chunk: &peerapi.SnapshotChunk{Pairs: ops}})).To(Equal(appendLimit + time.Second))
-		large := &peerapi.Snapshot{Pairs: []peerapi.Op{{Value: make([]byte, 64<<20)}}}
-		Expect(limitFor(&peerapi.AppendCall{Snapshot: large})).To(Equal(mostLimit))
+		ops := []wire.Op{{Name: "n", Value: make([]byte, 64<<10-1)}}
+		Expect(limitFor(&wire.AppendCall{})).To(Equal(appendLimit))
+		Expect(limitFor(&wire.AppendCall{Changes: []wire.Change{{Ops: ops}}})).To(Equal(appendLimit + time.Second))
+		Expect(limitFor(&wire.AppendCall{Chunk: &wire.SnapshotChunk{Pairs: ops}})).To(Equal(appendLimit + time.Second))
+		large := &wire.Snapshot{Pairs: []wire.Op{{Value: make([]byte, 64<<20)}}}
+		Expect(limitFor(&wire.AppendCall{Snapshot: large})).To(Equal(mostLimit))
 	})
 })
 
 var _ = Describe("a steward that leaves", func() {
-	set := peerapi.VoterSet{Now: []string{"a", "b", "c"}}
-	alive := func(disk string) peerapi.Member { return peerapi.Member{Name: disk, Role: "steward", Disk: disk} }
+	set := wire.VoterSet{Now: []string{"a", "b", "c"}}
+	alive := func(disk string) wire.Member { return wire.Member{Name: disk, Role: "steward", Disk: disk} }
 
 	It("waits for a replacement only where a live disk is left that is no voter", func() {
 		gone := alive("d")
-		gone.State = peerapi.StateGone
-		Expect(IsReplaceable([]peerapi.Member{alive("a"), alive("b"), alive("c")}, "a", set)).To(BeFalse())
-		Expect(IsReplaceable([]peerapi.Member{alive("a"), gone, {Name: "n"}}, "a", set)).To(BeFalse())
-		Expect(IsReplaceable([]peerapi.Member{alive("d")}, "d", set)).To(BeFalse())
-		Expect(IsReplaceable([]peerapi.Member{alive("d")}, "a", set)).To(BeTrue())
-		Expect(IsReplaceable([]peerapi.Member{alive("d")}, "a", peerapi.VoterSet{Old: []string{"d"}, Now: set.Now})).To(BeFalse())
-		Expect(IsReplaceable([]peerapi.Member{alive("d")}, "a", peerapi.VoterSet{Old: set.Now, Now: []string{"b", "c", "d"}})).To(BeTrue(), "the change still needs its vote")
+		gone.State = wire.StateGone
+		Expect(IsReplaceable([]wire.Member{alive("a"), alive("b"), alive("c")}, "a", set)).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{alive("a"), gone, {Name: "n"}}, "a", set)).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "d", set)).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", set)).To(BeTrue())
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: []string{"d"}, Now: set.Now})).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Now, Now: []string{"b", "c", "d"}})).To(BeTrue(), "the change still needs its vote")
 	})
 
 	It("ends long before its limit where there is nothing to wait for", func() {
 		for _, hasReplica := range []bool{false, true} {
 			store := openStore()
 			ring, _ := newRing(store, false)
-			clock := clock.Real()
+			clock := clock.System()
 			ring.clock = clock
 			if hasReplica {
 				taken := make(chan struct{})
-				change := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 1}, Set: &peerapi.VoterSet{Now: []string{store.Disk(), "b", "c"}}}
-				store.Submit(storage.Write{Key: "plan", Epoch: 1, Changes: []peerapi.Change{change}}, func(storage.Outcome) { close(taken) })
+				change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 1}, Set: &wire.VoterSet{Now: []string{store.Disk(), "b", "c"}}}
+				store.Submit(storage.Write{Key: "plan", Epoch: 1, Changes: []wire.Change{change}}, func(storage.Outcome) { close(taken) })
 				Eventually(taken).Should(BeClosed())
 				replicas, err := replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
 				Expect(err).NotTo(HaveOccurred())
 				ring.replicas = replicas
 			}
-			life, end := span.Cancellable(span.Root())
+			ctx, end := context.WithCancel(context.Background())
 			defer end()
-			go ring.replicas.Box().Run(life, clock, mailbox.Owner{Every: time.Minute})
-			go ring.box.Run(life, clock, mailbox.Owner{Every: time.Minute})
-			began := clock.Steady()
+			go ring.replicas.Box().Run(ctx, clock, mailbox.Owner{Every: time.Minute})
+			go ring.box.Run(ctx, clock, mailbox.Owner{Every: time.Minute})
+			began := clock.Monotonic()
 			ring.Leave(time.Minute)
-			took := clock.Steady() - began
+			took := clock.Monotonic() - began
 			Expect(took).To(BeNumerically(">=", handOverTime))
 			Expect(took).To(BeNumerically("<", time.Minute))
 		}
--- a/internal/control/controlkeys/links.go
+++ b/internal/control/controlkeys/links.go
@@ -3,14 +3,15 @@
 package controlkeys
 
 import (
+	"context"
 	"time"
 
 	"github.com/juju/errors"
 
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 const (
@@ -27,15 +28,15 @@
 type links struct {
 	ring *Ring
 	box  *mailbox.Mailbox
-	life span.Span
+	ctx  context.Context
 }
 
 // Promise asks the replica of a disk for a promise, the local one straight away, another within promiseLimit. As with all
 // methods of links, the engine's goroutine calls it and runs done later.
-func (l *links) Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
+func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if disk == l.ring.disk {
 		l.ring.replicas.Box().Post(func() {
-			l.ring.replicas.Promise(call, func(answer peerapi.PromiseAnswer) { l.box.Post(func() { done(answer, nil) }) })
+			l.ring.replicas.Promise(call, func(answer wire.PromiseAnswer) { l.box.Post(func() { done(answer, nil) }) })
 		})
 		return
 	}
@@ -44,7 +45,7 @@
 
 // Append sends changes, a snapshot, a chunk or a heartbeat to the replica of a disk; the time limit grows with the bytes of
 // the call (limitFor).
-func (l *links) Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *links) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if disk == l.ring.disk {
 		l.InstallLocal(call, done)
 		return
@@ -53,7 +54,7 @@
 }
 
 // limitFor is how long a call may take, by the bytes that it carries.
-func limitFor(call *peerapi.AppendCall) time.Duration {
+func limitFor(call *wire.AppendCall) time.Duration {
 	bytes := 0
 	for _, change := range call.Changes {
 		bytes += bytesOf(change.Ops)
@@ -67,7 +68,7 @@
 	return min(appendLimit+time.Duration(bytes)*time.Second/slowestBytesPerSecond, mostLimit)
 }
 
-func bytesOf(ops []peerapi.Op) int {
+func bytesOf(ops []wire.Op) int {
 	bytes := 0
 	for _, op := range ops {
 		bytes += len(op.Name) + len(op.Value)
@@ -76,14 +77,14 @@
 }
 
 // InstallLocal has the local replica take a call as if the leader had sent it. It has no time limit and done gets no error.
-func (l *links) InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *links) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.ring.replicas.Box().Post(func() {
-		l.ring.replicas.Append(call, func(answer peerapi.AppendAnswer) { l.box.Post(func() { done(answer, nil) }) })
+		l.ring.replicas.Append(call, func(answer wire.AppendAnswer) { l.box.Post(func() { done(answer, nil) }) })
 	})
 }
 
 // Fetch asks another steward for what the replica on its disk holds beyond a position, within fetchLimit.
-func (l *links) Fetch(disk string, call peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
+func (l *links) Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	remote(l, disk, peerapi.ProcedureFetch, fetchLimit, call, done)
 }
 
@@ -105,7 +106,7 @@
 
 // ReadLocal reads the whole state of the local replica from the store, on a goroutine of its own, as that takes long for a
 // large key.
-func (l *links) ReadLocal(key string, done func(peerapi.Snapshot, error)) {
+func (l *links) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	go func() {
 		snapshot, err := l.ring.store.Read(key)
 		l.box.Post(func() { done(snapshot, err) })
@@ -119,7 +120,7 @@
 		var err error = errors.Errorf("no sibling is known with disk %s", disk)
 		if address != "" {
 			var told *Tell
-			if told, err = peerapi.Call[Ask, Tell](l.ring.caller, l.life, address, procedure, limit, &call); err == nil {
+			if told, err = peerapi.Call[Ask, Tell](l.ring.caller, l.ctx, address, procedure, limit, &call); err == nil {
 				answer = *told
 			}
 		}
--- a/internal/control/controlkeys/ring.go
+++ b/internal/control/controlkeys/ring.go
@@ -1,6 +1,7 @@
 package controlkeys
 
 import (
+	"context"
 	"net/http"
 	"slices"
 	"strings"
@@ -9,6 +10,7 @@
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/poolhost"
 	"gannetline/internal/control/replication"
@@ -17,7 +19,6 @@
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/scheduling/scheduler"
-	"gannetline/internal/span"
 )
 
 const (
@@ -40,9 +41,9 @@
 
 // Ring keeps a holder for each key that is wanted.
 type Ring struct {
-	life      span.Span
+	ctx       context.Context
 	box       *mailbox.Mailbox
-	clock     clock.Pulse
+	clock     clock.Clock
 	log       logging.Logger
 	store     *storage.Store
 	disk      string
@@ -64,7 +65,7 @@
 
 // Config has neither Store nor Replicas on a machine without a disk: such a steward owns no key and is no voter.
 type Config struct {
-	Clock         clock.Pulse
+	Clock         clock.Clock
 	Log           logging.Logger
 	Store         *storage.Store
 	IsMakeshift   bool
@@ -90,13 +91,13 @@
 }
 
 // Run keeps the holders that the plan asks for.
-func (r *Ring) Run(life span.Span) error {
+func (r *Ring) Run(ctx context.Context) error {
 	if r.disk == "" {
-		<-life.Done()
+		<-ctx.Done()
 		return nil
 	}
-	r.life = life
-	r.box.Run(life, r.clock, mailbox.Owner{Every: 200 * time.Millisecond, Tick: r.want})
+	r.ctx = ctx
+	r.box.Run(ctx, r.clock, mailbox.Owner{Every: 200 * time.Millisecond, Tick: r.want})
 	return nil
 }
 
@@ -146,12 +147,12 @@
 	}
 	box := mailbox.New(1024)
 	one := &holder{box: box, calls: box}
-	road := &links{ring: r, box: one.box, life: r.life}
+	road := &links{ring: r, box: one.box, ctx: r.ctx}
 	options := []replication.Option{replication.WithInitialVoters(birth), replication.WithLog(r.log), replication.WithAnnounce(r.node.Announce),
 		replication.WithMachineLosses(r.losses)}
 	owner := mailbox.Owner{Every: tickEvery}
 	if key == configleader.Key {
-		one.plan = configleader.New(r.log, func(fact *peerapi.Configuration) { r.book.Hold(fact) })
+		one.plan = configleader.New(r.log, func(fact *wire.Configuration) { r.book.Hold(fact) })
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, planMachine{one.plan}, r.stewards, options...)
 		owner.Tick = one.engine.Tick
 	} else {
@@ -160,24 +161,24 @@
 		one.calls = host.Box()
 		one.engine = replication.NewEngine(key, r.disk, r.name, r.clock, road, host, r.stewards, options...)
 		owner.Tick, owner.Settle = one.engine.Tick, host.Flush
-		go one.calls.Run(r.life, r.clock, mailbox.Owner{Every: tickEvery, Tick: one.pool.Tick, Settle: one.pool.Settle})
+		go one.calls.Run(r.ctx, r.clock, mailbox.Owner{Every: tickEvery, Tick: one.pool.Tick, Settle: one.pool.Settle})
 	}
 	r.holders[key] = one
-	go one.box.Run(r.life, r.clock, owner)
+	go one.box.Run(r.ctx, r.clock, owner)
 }
 
 type planMachine struct{ *configleader.Leader }
 
 // Open passes a leadership on as the narrower configleader.Tenure; it runs on the goroutine of the key's engine.
-func (m planMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
+func (m planMachine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
 	return m.Leader.Open(tenure, pairs)
 }
 
-func (r *Ring) stewards() []peerapi.Member { return withDisks(r.node.View().Stewards) }
+func (r *Ring) stewards() []wire.Member { return withDisks(r.node.View().Stewards) }
 
 // withDisks lists the members that have a disk; makeshift ones count only if there is no other.
-func withDisks(members []peerapi.Member) []peerapi.Member {
-	var lasting, makeshift []peerapi.Member
+func withDisks(members []wire.Member) []wire.Member {
+	var lasting, makeshift []wire.Member
 	for _, member := range members {
 		if member.Disk != "" {
 			lasting = append(lasting, member)
@@ -198,19 +199,19 @@
 	return keeper.Address
 }
 
-func (r *Ring) holder(life span.Span, key string) *holder {
+func (r *Ring) holder(ctx context.Context, key string) *holder {
 	if r.disk == "" {
 		return nil
 	}
-	one, err := mailbox.Ask(r.box, life, func(answer func(*holder)) { answer(r.holders[key]) })
+	one, err := mailbox.Ask(r.box, ctx, func(answer func(*holder)) { answer(r.holders[key]) })
 	if err != nil {
 		return nil
 	}
 	return one
 }
 
-func (r *Ring) elsewhere(key string) *peerapi.ClientAnswer {
-	return &peerapi.ClientAnswer{Elsewhere: true, Owner: r.ownerName(key)}
+func (r *Ring) elsewhere(key string) *wire.ClientAnswer {
+	return &wire.ClientAnswer{Elsewhere: true, Owner: r.ownerName(key)}
 }
 
 func (r *Ring) ownerName(key string) string {
@@ -221,12 +222,12 @@
 }
 
 // Client runs a client's or operator's command on the table that owns the key.
-func (r *Ring) Client(life span.Span, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
-	one := r.holder(life, call.Key)
+func (r *Ring) Client(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
+	one := r.holder(ctx, call.Key)
 	if one == nil {
 		return r.elsewhere(call.Key), nil
 	}
-	answer, err := mailbox.Ask(one.calls, life, func(answer func(peerapi.ClientAnswer)) { one.obey(call, answer) })
+	answer, err := mailbox.Ask(one.calls, ctx, func(answer func(wire.ClientAnswer)) { one.obey(call, answer) })
 	if err != nil {
 		return nil, err
 	}
@@ -238,37 +239,37 @@
 	return &answer, nil
 }
 
-func (h *holder) obey(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
-	commands := map[string]func(*peerapi.ClientCall, func(peerapi.ClientAnswer)){}
+func (h *holder) obey(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
+	commands := map[string]func(*wire.ClientCall, func(wire.ClientAnswer)){}
 	switch {
 	case h.pool != nil && h.pool.IsOpen():
 		commands["hand-in"], commands["state"], commands["count"], commands["cancel"] = h.pool.HandIn, h.pool.State, h.pool.Count, h.pool.Cancel
 		commands["renounce"] = h.pool.Renounce
 	case h.plan != nil && h.plan.IsOpen():
 		commands["replace"] = h.plan.Replace
-		commands["retrieve"] = func(_ *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) { h.plan.Retrieve(answer) }
+		commands["retrieve"] = func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { h.plan.Retrieve(answer) }
 	default:
-		answer(peerapi.ClientAnswer{Elsewhere: true})
+		answer(wire.ClientAnswer{Elsewhere: true})
 		return
 	}
 	command := commands[call.Verb]
 	if command == nil {
-		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: "unknown verb " + call.Verb})
+		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Why: "unknown verb " + call.Verb})
 		return
 	}
 	command(call, answer)
 }
 
 // Exchange serves a local-proxy.
-func (r *Ring) Exchange(life span.Span, call *peerapi.ExchangeCall) (*peerapi.ExchangeAnswer, error) {
-	elsewhere := &peerapi.ExchangeAnswer{Elsewhere: true, Owner: r.ownerName(call.Key)}
-	one := r.holder(life, call.Key)
+func (r *Ring) Exchange(ctx context.Context, call *wire.ExchangeCall) (*wire.ExchangeAnswer, error) {
+	elsewhere := &wire.ExchangeAnswer{Elsewhere: true, Owner: r.ownerName(call.Key)}
+	one := r.holder(ctx, call.Key)
 	if one == nil || one.pool == nil {
 		return elsewhere, nil
 	}
-	answer, err := mailbox.Ask(one.calls, life, func(answer func(peerapi.ExchangeAnswer)) {
+	answer, err := mailbox.Ask(one.calls, ctx, func(answer func(wire.ExchangeAnswer)) {
 		if !one.pool.IsOpen() {
-			answer(peerapi.ExchangeAnswer{Elsewhere: true})
+			answer(wire.ExchangeAnswer{Elsewhere: true})
 			return
 		}
 		one.pool.Exchange(call, answer)
@@ -289,7 +290,7 @@
 		<-r.clock.After(handOverTime)
 		return
 	}
-	end := r.clock.Steady() + limit
+	end := r.clock.Monotonic() + limit
 	r.replicas.Box().Post(r.replicas.Leave)
 	r.box.Post(func() {
 		r.isLeaving = true
@@ -300,7 +301,7 @@
 	<-r.clock.After(handOverTime)
 	for {
 		replaceable, rest := r.votingOn()
-		if len(replaceable) == 0 || r.clock.Steady() >= end {
+		if len(replaceable) == 0 || r.clock.Monotonic() >= end {
 			r.logLeft(replaceable, rest)
 			return
 		}
@@ -311,9 +312,9 @@
 // votingOn lists the keys in which this disk is still a voter: those for which another live disk could take its place, and
 // the rest.
 func (r *Ring) votingOn() (replaceable, rest []string) {
-	life, end := span.Within(span.Root(), time.Second)
+	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	sets, err := mailbox.Ask(r.replicas.Box(), life, func(answer func(map[string]peerapi.VoterSet)) { answer(r.replicas.VotingOn()) })
+	sets, err := mailbox.Ask(r.replicas.Box(), ctx, func(answer func(map[string]wire.VoterSet)) { answer(r.replicas.VotingOn()) })
 	if err != nil {
 		return nil, nil
 	}
@@ -332,13 +333,13 @@
 
 // IsReplaceable tells whether a voter that leaves should wait: a live disk could take its place, or one is about to and
 // the change still needs the leaving voter's agreement.
-func IsReplaceable(members []peerapi.Member, leaving string, set peerapi.VoterSet) bool {
+func IsReplaceable(members []wire.Member, leaving string, set wire.VoterSet) bool {
 	if slices.Contains(set.Old, leaving) && !slices.Contains(set.Now, leaving) {
 		return true
 	}
-	return slices.ContainsFunc(members, func(member peerapi.Member) bool {
+	return slices.ContainsFunc(members, func(member wire.Member) bool {
 		isVoter := slices.Contains(set.Now, member.Disk) || slices.Contains(set.Old, member.Disk)
-		return member.Disk != "" && member.Disk != leaving && member.State == peerapi.StateAlive && !isVoter
+		return member.Disk != "" && member.Disk != leaving && member.State == wire.StateAlive && !isVoter
 	})
 }
 
@@ -356,52 +357,52 @@
 	if r.disk != "" {
 		r.handleReplicas(mux)
 	}
-	peerapi.Serve(mux, peerapi.ProcedureIdentify, func(span.Span, *peerapi.IdentifyCall) (*peerapi.IdentifyAnswer, error) {
+	peerapi.Serve(mux, peerapi.ProcedureIdentify, func(context.Context, *wire.IdentifyCall) (*wire.IdentifyAnswer, error) {
 		return r.identity(), nil
 	})
 	peerapi.Serve(mux, peerapi.ProcedureClient, r.Client)
 	peerapi.Serve(mux, peerapi.ProcedureExchange, r.Exchange)
 }
 
-func (r *Ring) identity() *peerapi.IdentifyAnswer {
+func (r *Ring) identity() *wire.IdentifyAnswer {
 	if r.disk == "" {
-		return &peerapi.IdentifyAnswer{}
+		return &wire.IdentifyAnswer{}
 	}
 	if r.isMakeshift {
-		return &peerapi.IdentifyAnswer{Makeshift: r.disk, Fresh: true}
+		return &wire.IdentifyAnswer{Makeshift: r.disk, Fresh: true}
 	}
-	return &peerapi.IdentifyAnswer{Disk: r.disk, Fresh: r.store.Bare()}
+	return &wire.IdentifyAnswer{Disk: r.disk, Fresh: r.store.Bare()}
 }
 
 func (r *Ring) handleReplicas(mux *http.ServeMux) {
-	peerapi.Serve(mux, peerapi.ProcedurePromise, func(life span.Span, call *peerapi.PromiseCall) (*peerapi.PromiseAnswer, error) {
-		answer, err := r.replicas.AskPromise(life, *call)
+	peerapi.Serve(mux, peerapi.ProcedurePromise, func(ctx context.Context, call *wire.PromiseCall) (*wire.PromiseAnswer, error) {
+		answer, err := r.replicas.AskPromise(ctx, *call)
 		return &answer, err
 	})
-	peerapi.Serve(mux, peerapi.ProcedureAppend, func(life span.Span, call *peerapi.AppendCall) (*peerapi.AppendAnswer, error) {
-		answer, err := r.replicas.AskAppend(life, *call)
+	peerapi.Serve(mux, peerapi.ProcedureAppend, func(ctx context.Context, call *wire.AppendCall) (*wire.AppendAnswer, error) {
+		answer, err := r.replicas.AskAppend(ctx, *call)
 		return &answer, err
 	})
-	peerapi.Serve(mux, peerapi.ProcedureFetch, func(life span.Span, call *peerapi.FetchCall) (*peerapi.FetchAnswer, error) {
-		answer, err := r.replicas.AskFetch(life, *call)
+	peerapi.Serve(mux, peerapi.ProcedureFetch, func(ctx context.Context, call *wire.FetchCall) (*wire.FetchAnswer, error) {
+		answer, err := r.replicas.AskFetch(ctx, *call)
 		return &answer, err
 	})
 }
 
 // Beliefs gathers what this steward holds true.
-func (r *Ring) Beliefs(life span.Span) ([]peerapi.KeyBelief, []peerapi.JobBelief, []peerapi.ExecutorBelief) {
-	var keys []peerapi.KeyBelief
-	var jobs []peerapi.JobBelief
-	var executors []peerapi.ExecutorBelief
+func (r *Ring) Beliefs(ctx context.Context) ([]wire.KeyBelief, []wire.JobBelief, []wire.ExecutorBelief) {
+	var keys []wire.KeyBelief
+	var jobs []wire.JobBelief
+	var executors []wire.ExecutorBelief
 	if r.disk == "" {
 		return nil, nil, nil
 	}
-	names, err := mailbox.Ask(r.replicas.Box(), life, func(answer func([]peerapi.KeyBelief)) { answer(r.replicaBeliefs()) })
+	names, err := mailbox.Ask(r.replicas.Box(), ctx, func(answer func([]wire.KeyBelief)) { answer(r.replicaBeliefs()) })
 	if err != nil {
 		return nil, nil, nil
 	}
 	keys = append(keys, names...)
-	holders, err := mailbox.Ask(r.box, life, func(answer func(map[string]*holder)) {
+	holders, err := mailbox.Ask(r.box, ctx, func(answer func(map[string]*holder)) {
 		copied := map[string]*holder{}
 		for key, one := range r.holders {
 			copied[key] = one
@@ -418,7 +419,7 @@
 		if whole, err := r.store.Read(key); err == nil {
 			jobs = append(jobs, scheduler.JobsOf(key, whole.Pairs)...)
 		}
-		held, err := mailbox.Ask(one.calls, life, func(answer func([]peerapi.ExecutorBelief)) {
+		held, err := mailbox.Ask(one.calls, ctx, func(answer func([]wire.ExecutorBelief)) {
 			if !one.pool.IsOpen() {
 				answer(nil)
 				return
@@ -433,11 +434,11 @@
 	return keys, jobs, executors
 }
 
-func (r *Ring) replicaBeliefs() []peerapi.KeyBelief {
-	var keys []peerapi.KeyBelief
+func (r *Ring) replicaBeliefs() []wire.KeyBelief {
+	var keys []wire.KeyBelief
 	for _, key := range r.replicas.Keys() {
 		standing := r.replicas.Status(key)
-		keys = append(keys, peerapi.KeyBelief{Key: key, Owner: standing.Leader, Epoch: standing.Promised,
+		keys = append(keys, wire.KeyBelief{Key: key, Owner: standing.Leader, Epoch: standing.Promised,
 			Last: standing.State.Last, Set: standing.State.Set})
 	}
 	return keys
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -4,7 +4,7 @@
 package poolhost
 
 import (
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/scheduling/scheduler"
@@ -16,7 +16,7 @@
 // Pool is what a host runs; scheduler.Pool is the real one. Its methods run on the goroutine of the host's Box.
 type Pool interface {
 	// Open takes the key over with all its values.
-	Open(tenure scheduler.Tenure, pairs []peerapi.Op)
+	Open(tenure scheduler.Tenure, pairs []wire.Op)
 	// Close ends the leadership.
 	Close()
 }
@@ -42,7 +42,7 @@
 func (h *Host) Flush() { h.outbox.Flush() }
 
 // Open lets the pool load what is committed of the key. Calls that come to the pool's mailbox meanwhile wait there.
-func (h *Host) Open(leadership *replication.Leadership, pairs []peerapi.Op) error {
+func (h *Host) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	h.outbox.Send(func() {
 		if leadership.IsOpen() {
 			h.pool.Open(&tenure{leadership, h}, pairs)
@@ -61,7 +61,7 @@
 }
 
 // Commit makes a change durable on a majority; done runs on the pool's goroutine.
-func (t *tenure) Commit(ops []peerapi.Op, done func(error)) {
+func (t *tenure) Commit(ops []wire.Op, done func(error)) {
 	t.host.engine.Post(func() {
 		t.Leadership.Commit(ops, func(err error) { t.host.outbox.Send(func() { done(err) }) })
 	})
--- a/internal/control/poolhost/poolhost_test.go
+++ b/internal/control/poolhost/poolhost_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 var _ = Describe("a pool on a slow processor", func() {
@@ -29,7 +29,7 @@
 
 	It("keeps the key though a record of it can't be read, and names the record", func() {
 		const damaged = "j/0000000000000001"
-		s := newSteward(costs{}, []peerapi.Op{{Name: damaged, Value: []byte("{")}})
+		s := newSteward(costs{}, []wire.Op{{Name: damaged, Value: []byte("{")}})
 		s.run(2 * time.Second)
 		Expect(s.gaps).To(BeZero())
 		Expect(s.openings).To(Equal(1))
