--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/poolhost"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/control/storage"
@@ -36,7 +36,7 @@
 	host      *poolhost.Host
 	pool      *scheduler.Pool
 	costs     costs
-	state     peerapi.Snapshot
+	state     wire.Snapshot
 	voters    map[string]*voter
 	openings  int
 	// busyUntil is when the pool's goroutine is free again.
@@ -53,16 +53,16 @@
 
 // voter is a disk with its steward: what it holds, and until when it promises nobody else.
 type voter struct {
-	last       peerapi.LogPosition
+	last       wire.LogPosition
 	promised   uint64
 	leaseUntil time.Duration
 }
 
-func newSteward(costs costs, pairs []peerapi.Op) *steward {
+func newSteward(costs costs, pairs []wire.Op) *steward {
 	s := &steward{clock: clock.NewFake(1_000_000), engineBox: mailbox.New(1024), costs: costs, voters: map[string]*voter{}}
-	base := peerapi.LogPosition{Epoch: 1, Index: 100}
-	set := peerapi.VoterSet{Now: []string{"a", "b", "c", "d", "e"}}
-	s.state = peerapi.Snapshot{Last: base, Set: set, Pairs: pairs}
+	base := wire.LogPosition{Epoch: 1, Index: 100}
+	set := wire.VoterSet{Now: []string{"a", "b", "c", "d", "e"}}
+	s.state = wire.Snapshot{Last: base, Set: set, Pairs: pairs}
 	for _, disk := range set.Now {
 		s.voters[disk] = &voter{last: base, promised: 1}
 	}
@@ -81,33 +81,33 @@
 	steward *steward
 }
 
-func (p *slowPool) Open(tenure scheduler.Tenure, pairs []peerapi.Op) {
+func (p *slowPool) Open(tenure scheduler.Tenure, pairs []wire.Op) {
 	p.steward.openings++
 	p.steward.spend(time.Duration(len(pairs)) * p.steward.costs.record)
 	p.Pool.Open(tenure, pairs)
 }
 
-func (s *steward) members() []peerapi.Member {
-	var all []peerapi.Member
+func (s *steward) members() []wire.Member {
+	var all []wire.Member
 	for _, disk := range s.state.Set.Now {
-		all = append(all, peerapi.Member{Name: disk, Role: "steward", Disk: disk, State: peerapi.StateAlive})
+		all = append(all, wire.Member{Name: disk, Role: "steward", Disk: disk, State: wire.StateAlive})
 	}
 	return all
 }
 
 func (s *steward) spend(length time.Duration) {
-	s.busyUntil = max(s.busyUntil, s.clock.Steady()) + length
+	s.busyUntil = max(s.busyUntil, s.clock.Monotonic()) + length
 }
 
 func (s *steward) after(wait time.Duration, run func()) {
-	s.events = append(s.events, event{s.clock.Steady() + wait, run})
+	s.events = append(s.events, event{s.clock.Monotonic() + wait, run})
 }
 
 // run lets time pass in steps of a millisecond.
 func (s *steward) run(length time.Duration) {
 	for range length / time.Millisecond {
 		s.clock.Advance(time.Millisecond)
-		now := s.clock.Steady()
+		now := s.clock.Monotonic()
 		due := s.events
 		s.events = nil
 		for _, one := range due {
@@ -177,35 +177,35 @@
 
 func (l *links) back(run func()) { l.s.after(transit, func() { l.s.engineBox.Post(run) }) }
 
-func (l *links) Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
+func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	l.s.after(transit, func() {
 		one := l.s.voters[disk]
 		isGranted := call.Epoch > one.promised
 		if isGranted && !call.PreVote {
 			one.promised = call.Epoch
 		}
-		answer := peerapi.PromiseAnswer{Granted: isGranted, Promised: one.promised, Last: one.last, Set: l.s.state.Set, Disk: disk}
+		answer := wire.PromiseAnswer{Granted: isGranted, Promised: one.promised, Last: one.last, Set: l.s.state.Set, Disk: disk}
 		l.back(func() { done(answer, nil) })
 	})
 }
 
-func (l *links) Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *links) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.s.after(transit, func() {
 		one := l.s.voters[disk]
 		isTaken := call.Epoch == one.promised && call.Prev == one.last && !call.Release
 		if call.Epoch == one.promised && !call.Release {
-			one.leaseUntil = l.s.clock.Steady() + replication.DefaultTiming.Lease
+			one.leaseUntil = l.s.clock.Monotonic() + replication.DefaultTiming.Lease
 		}
 		if isTaken && len(call.Changes) > 0 {
 			one.last = call.Changes[len(call.Changes)-1].Position
 		}
-		answer := peerapi.AppendAnswer{Taken: isTaken, Promised: one.promised, Last: one.last, Disk: disk, DelayUs: 1000, WallMs: l.s.clock.WallMs()}
+		answer := wire.AppendAnswer{Taken: isTaken, Promised: one.promised, Last: one.last, Disk: disk, DelayUs: 1000, WallMs: l.s.clock.WallMs()}
 		l.back(func() { done(answer, nil) })
 	})
 }
 
-func (l *links) Fetch(_ string, _ peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
-	l.back(func() { done(peerapi.FetchAnswer{}, errors.New("not scripted")) })
+func (l *links) Fetch(_ string, _ wire.FetchCall, done func(wire.FetchAnswer, error)) {
+	l.back(func() { done(wire.FetchAnswer{}, errors.New("not scripted")) })
 }
 
 func (l *links) Status(_ string, done func(replication.ReplicaStatus)) {
@@ -218,13 +218,13 @@
 	done(replication.History{Base: l.s.voters["a"].last})
 }
 
-func (l *links) ReadLocal(_ string, done func(peerapi.Snapshot, error)) {
+func (l *links) ReadLocal(_ string, done func(wire.Snapshot, error)) {
 	state := l.s.state
 	state.Last = l.s.voters["a"].last
 	l.back(func() { done(state, nil) })
 }
 
-func (l *links) InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *links) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.Append("a", call, done)
 }
 
@@ -254,7 +254,7 @@
 	p.calls++
 	p.s.after(callLimit, func() { finish(func() { p.s.after(failedPause, p.call) }) })
 	name := fmt.Sprintf("i-%04d", p.number)
-	ask := &peerapi.ExchangeCall{Key: key, Life: name, Proxy: "side-" + name, Room: peerapi.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, Look: p.look}
+	ask := &wire.ExchangeCall{Key: key, Life: name, Proxy: "side-" + name, Room: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, Look: p.look}
 	isKnown := p.fence > 0
 	p.post(func() {
 		if !p.s.pool.IsOpen() {
@@ -262,7 +262,7 @@
 			return
 		}
 		p.s.spend(p.s.costs.exchange)
-		p.s.pool.Exchange(ask, func(answer peerapi.ExchangeAnswer) {
+		p.s.pool.Exchange(ask, func(answer wire.ExchangeAnswer) {
 			p.s.after(transit, func() { finish(func() { p.take(answer, isKnown) }) })
 		})
 	})
@@ -274,7 +274,7 @@
 	}
 }
 
-func (p *proxy) take(answer peerapi.ExchangeAnswer, isKnown bool) {
+func (p *proxy) take(answer wire.ExchangeAnswer, isKnown bool) {
 	if isKnown && !answer.Elsewhere && answer.Fence == p.fence {
 		p.isFenced = true
 		return
@@ -285,8 +285,8 @@
 
 // settled runs until all proxies are known to the new leader, or the limit is reached.
 func (s *steward) settled(proxies []*proxy, limit time.Duration) time.Duration {
-	began := s.clock.Steady()
-	for s.clock.Steady()-began < limit {
+	began := s.clock.Monotonic()
+	for s.clock.Monotonic()-began < limit {
 		s.run(10 * time.Millisecond)
 		fenced := 0
 		for _, one := range proxies {
@@ -295,7 +295,7 @@
 			}
 		}
 		if fenced == len(proxies) {
-			return s.clock.Steady() - began
+			return s.clock.Monotonic() - began
 		}
 	}
 	return limit
@@ -312,12 +312,12 @@
 }
 
 // jobs are the records of so many jobs of four tasks each.
-func jobs(count int) []peerapi.Op {
-	var pairs []peerapi.Op
+func jobs(count int) []wire.Op {
+	var pairs []wire.Op
 	for number := range count {
 		id := fmt.Sprintf("%016x", number)
 		spec := `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":8000,"estimated-ms":200}]}`
-		pairs = append(pairs, peerapi.Op{Name: "j/" + id, Value: []byte(`{"entry":"q","terms":{},"accepted":1,"spec":` + spec + `}`)})
+		pairs = append(pairs, wire.Op{Name: "j/" + id, Value: []byte(`{"entry":"q","terms":{},"accepted":1,"spec":` + spec + `}`)})
 	}
 	return pairs
 }
--- a/internal/control/replication/commit.go
+++ b/internal/control/replication/commit.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 type waiter struct {
@@ -11,9 +11,9 @@
 	done  func(error)
 }
 
-func (e *Engine) propose(ops []peerapi.Op, set *peerapi.VoterSet, done func(error)) {
-	e.last = peerapi.LogPosition{Epoch: e.epoch, Index: e.last.Index + 1}
-	change := peerapi.Change{Position: e.last, Ops: ops, Set: set}
+func (e *Engine) propose(ops []wire.Op, set *wire.VoterSet, done func(error)) {
+	e.last = wire.LogPosition{Epoch: e.epoch, Index: e.last.Index + 1}
+	change := wire.Change{Position: e.last, Ops: ops, Set: set}
 	e.recent = append(e.recent, change)
 	e.recentSize += sizeOf(change)
 	if set != nil {
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -6,19 +6,19 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // considerCampaign starts a campaign if the key seems to be without a leader and it is this voter's turn.
 func (e *Engine) considerCampaign() {
-	if e.isAsking || e.isLeaving || e.clock.Steady() < e.nextTry {
+	if e.isAsking || e.isLeaving || e.clock.Monotonic() < e.nextTry {
 		return
 	}
 	e.isAsking = true
 	e.links.Status(e.key, func(status ReplicaStatus) {
 		e.isAsking = false
 		e.highest = max(e.highest, status.Promised)
-		if status.Disk != e.disk && e.clock.Steady() < status.LeaseEnd {
+		if status.Disk != e.disk && e.clock.Monotonic() < status.LeaseEnd {
 			e.hasSteppedAside, e.fetched = false, chunkBuffer{}
 		}
 		voters := disksOf(status.State.Set)
@@ -27,7 +27,7 @@
 		}
 		rank := slices.Index(e.ranked(voters), e.disk)
 		if rank < 0 {
-			e.nextTry = e.clock.Steady() + e.timing.Lease/4
+			e.nextTry = e.clock.Monotonic() + e.timing.Lease/4
 		}
 		if rank < 0 || e.phase != phaseIdle || e.isLeaving {
 			return
@@ -39,7 +39,7 @@
 		case status.Released:
 			wait = status.ReleasedAt + e.afterRelease(rank, len(voters), status.Successor)
 		}
-		if now := e.clock.Steady(); now < wait {
+		if now := e.clock.Monotonic(); now < wait {
 			e.nextTry = min(wait, now+e.timing.Lease/4)
 			return
 		}
@@ -87,12 +87,12 @@
 	e.phase = phaseCandidate
 	e.attempt++
 	epoch := e.highest + 1
-	e.collectPromises(voters, epoch, true, func(granted map[string]peerapi.PromiseAnswer) bool {
+	e.collectPromises(voters, epoch, true, func(granted map[string]wire.PromiseAnswer) bool {
 		if _, isAgreed := e.best(granted); !isAgreed {
 			return false
 		}
 		e.attempt++
-		e.collectPromises(voters, epoch, false, func(granted map[string]peerapi.PromiseAnswer) bool {
+		e.collectPromises(voters, epoch, false, func(granted map[string]wire.PromiseAnswer) bool {
 			return e.tryLeading(epoch, granted)
 		})
 		return true
@@ -100,12 +100,12 @@
 }
 
 // canvass asks all voters at once; enough is tried at each grant until it is satisfied.
-func (e *Engine) collectPromises(voters []string, epoch uint64, isTrial bool, enough func(map[string]peerapi.PromiseAnswer) bool) {
+func (e *Engine) collectPromises(voters []string, epoch uint64, isTrial bool, enough func(map[string]wire.PromiseAnswer) bool) {
 	attempt, heard := e.attempt, 0
-	granted := map[string]peerapi.PromiseAnswer{}
+	granted := map[string]wire.PromiseAnswer{}
 	for _, disk := range voters {
-		call := peerapi.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, PreVote: isTrial}
-		e.links.Promise(disk, call, func(answer peerapi.PromiseAnswer, err error) {
+		call := wire.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, PreVote: isTrial}
+		e.links.Promise(disk, call, func(answer wire.PromiseAnswer, err error) {
 			heard++
 			if e.attempt != attempt || e.phase != phaseCandidate {
 				return
@@ -114,7 +114,7 @@
 				e.highest = max(e.highest, answer.Promised)
 				if e.isOutvoted(answer) {
 					e.backOff()
-					e.nextTry = e.clock.Steady() + e.timing.LostAfter
+					e.nextTry = e.clock.Monotonic() + e.timing.LostAfter
 					return
 				}
 				if answer.Granted {
@@ -132,7 +132,7 @@
 }
 
 // isOutvoted tells whether a sibling has a later state whose voters are others, so that this steward need not ask.
-func (e *Engine) isOutvoted(answer peerapi.PromiseAnswer) bool {
+func (e *Engine) isOutvoted(answer wire.PromiseAnswer) bool {
 	return e.replica.Last.Below(answer.Last) && !slices.Contains(disksOf(answer.Set), e.disk)
 }
 
@@ -141,11 +141,11 @@
 	spread := fnv.New32a()
 	spread.Write([]byte{byte(e.attempt), byte(e.highest)})
 	spread.Write([]byte(e.disk))
-	e.nextTry = e.clock.Steady() + e.timing.Stagger + time.Duration(spread.Sum32()%200)*time.Millisecond
+	e.nextTry = e.clock.Monotonic() + e.timing.Stagger + time.Duration(spread.Sum32()%200)*time.Millisecond
 }
 
 // best is the furthest state among those who grant; isAgreed tells whether they are a majority of its voters.
-func (e *Engine) best(granted map[string]peerapi.PromiseAnswer) (best peerapi.PromiseAnswer, isAgreed bool) {
+func (e *Engine) best(granted map[string]wire.PromiseAnswer) (best wire.PromiseAnswer, isAgreed bool) {
 	for _, disk := range slices.Sorted(maps.Keys(granted)) {
 		answer := granted[disk]
 		if best.Disk == "" || best.Last.Below(answer.Last) || best.Last == answer.Last && answer.Disk == e.disk {
@@ -153,7 +153,7 @@
 		}
 	}
 	if len(best.Set.Now) == 0 {
-		best.Set = peerapi.VoterSet{Now: e.initialVoters}
+		best.Set = wire.VoterSet{Now: e.initialVoters}
 	}
 	has := func(disk string) bool { _, isThere := granted[disk]; return isThere }
 	return best, has(e.disk) && Agreed(best.Set, has)
@@ -161,13 +161,13 @@
 
 // tryLeading takes the epoch once a majority of the voters of the furthest state has promised it: as soon as the own disk
 // holds that state, the leader may open it.
-func (e *Engine) tryLeading(epoch uint64, granted map[string]peerapi.PromiseAnswer) bool {
+func (e *Engine) tryLeading(epoch uint64, granted map[string]wire.PromiseAnswer) bool {
 	best, isAgreed := e.best(granted)
 	if !isAgreed {
 		return false
 	}
 	e.phase, e.epoch, e.set = phaseFetching, epoch, best.Set
-	e.followers, e.staleSince = map[string]*follower{}, e.clock.Steady()
+	e.followers, e.staleSince = map[string]*follower{}, e.clock.Monotonic()
 	if best.Disk == e.disk {
 		e.openWithHistory(best.Last)
 	} else {
@@ -177,7 +177,7 @@
 }
 
 // openWithHistory begins to lead from the state of the own disk, which is at that position.
-func (e *Engine) openWithHistory(base peerapi.LogPosition) {
+func (e *Engine) openWithHistory(base wire.LogPosition) {
 	e.phase = phaseOpening
 	attempt := e.attempt
 	e.links.History(e.key, func(recent History) {
@@ -189,8 +189,8 @@
 
 // open takes the leadership over. It asks for the lease at once and keeps it while the state is being read, however long
 // that takes; else another candidate would be promised the next epoch meanwhile, and fare no better.
-func (e *Engine) open(base peerapi.LogPosition, recent History) {
-	now := e.clock.Steady()
+func (e *Engine) open(base wire.LogPosition, recent History) {
+	now := e.clock.Monotonic()
 	e.last, e.committed, e.waiting = base, base.Index, nil
 	e.inherit(base, recent)
 	e.followers = map[string]*follower{}
@@ -201,7 +201,7 @@
 		e.send(e.follow(disk), true)
 	}
 	attempt := e.attempt
-	e.links.ReadLocal(e.key, func(snapshot peerapi.Snapshot, err error) {
+	e.links.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
 		if e.attempt != attempt || e.phase != phaseOpening {
 			return
 		}
@@ -216,7 +216,7 @@
 }
 
 // takeOver commits a first change under the new epoch, and then hands the state to the machine.
-func (e *Engine) takeOver(snapshot peerapi.Snapshot) {
+func (e *Engine) takeOver(snapshot wire.Snapshot) {
 	opening := e.set
 	attempt := e.attempt
 	e.propose(nil, &opening, func(err error) {
@@ -231,6 +231,6 @@
 			e.stepDown("unreadable state")
 			return
 		}
-		e.announce(peerapi.LeaderFact{Key: e.key, Epoch: e.epoch, Name: e.name})
+		e.announce(wire.LeaderFact{Key: e.key, Epoch: e.epoch, Name: e.name})
 	})
 }
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
@@ -12,32 +12,32 @@
 // Links carries an engine's calls; each answer comes back on the engine's own goroutine.
 type Links interface {
 	// Promise asks the disk's replica for a promise.
-	Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error))
+	Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error))
 	// Append sends changes, a snapshot or a heartbeat to the disk's replica.
-	Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error))
+	Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error))
 	// Fetch asks the disk's replica for what it holds beyond a position.
-	Fetch(disk string, call peerapi.FetchCall, done func(peerapi.FetchAnswer, error))
+	Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error))
 	// Status reads the state of the local replica.
 	Status(key string, done func(ReplicaStatus))
 	// History reads the changes that the local replica still has one by one.
 	History(key string, done func(History))
 	// ReadLocal reads the whole state of the local replica from its disk. The reading must not hold up the engine's
 	// goroutine, which has leases to renew meanwhile; done is never called within the call.
-	ReadLocal(key string, done func(peerapi.Snapshot, error))
+	ReadLocal(key string, done func(wire.Snapshot, error))
 	// InstallLocal brings the local replica to a fetched state.
-	InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error))
+	InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error))
 }
 
 // StateMachine is what lives on a key while this steward owns it.
 type StateMachine interface {
 	// Open hands the key over with all its values; an error gives the leadership up.
-	Open(tenure *Leadership, pairs []peerapi.Op) error
+	Open(tenure *Leadership, pairs []wire.Op) error
 	// Close ends the leadership; commits that wait have failed by then.
 	Close()
 }
 
 // MemberSource tells where disks are now: their members, alive or not.
-type MemberSource func() []peerapi.Member
+type MemberSource func() []wire.Member
 
 // Timing of the replication: the length of a lease, the pause between two heartbeats, the pause by which candidates
 // keep out of each other's way, and the silence after which a voter counts as lost.
@@ -79,13 +79,13 @@
 	disk          string
 	name          string
 	initialVoters []string
-	clock         clock.Pulse
+	clock         clock.Clock
 	links         Links
 	machine       StateMachine
 	members       MemberSource
 	timing        Timing
 	log           logging.Logger
-	announce      func(fact peerapi.LeaderFact)
+	announce      func(fact wire.LeaderFact)
 
 	phase      phase
 	isAsking   bool
@@ -94,16 +94,16 @@
 	epoch      uint64
 	highest    uint64
 	nextTry    time.Duration
-	recentBase peerapi.LogPosition
-	last       peerapi.LogPosition
+	recentBase wire.LogPosition
+	last       wire.LogPosition
 	committed  uint64
-	set        peerapi.VoterSet
+	set        wire.VoterSet
 	setIndex   uint64
 	// fetched are the chunks of the furthest state that a candidate has so far, also across campaigns.
 	fetched         chunkBuffer
 	hasSteppedAside bool
 	followers       map[string]*follower
-	recent          []peerapi.Change
+	recent          []wire.Change
 	recentSize      int
 	waiting         []waiter
 	leadership      *Leadership
@@ -138,14 +138,14 @@
 func WithLog(log logging.Logger) Option { return func(e *Engine) { e.log = log } }
 
 // WithAnnounce names the function that is told of each new leadership of this engine.
-func WithAnnounce(announce func(peerapi.LeaderFact)) Option {
+func WithAnnounce(announce func(wire.LeaderFact)) Option {
 	return func(e *Engine) { e.announce = announce }
 }
 
 // NewEngine makes an engine for one key on the replica of one disk; it does nothing before the first Tick.
-func NewEngine(key, disk, name string, clock clock.Pulse, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
+func NewEngine(key, disk, name string, clock clock.Clock, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
 	engine := &Engine{key: key, disk: disk, name: name, clock: clock, links: links, machine: machine, members: members,
-		timing: DefaultTiming, size: 3, log: logging.Silent(), announce: func(peerapi.LeaderFact) {}}
+		timing: DefaultTiming, size: 3, log: logging.Silent(), announce: func(wire.LeaderFact) {}}
 	for _, option := range options {
 		option(engine)
 	}
@@ -159,8 +159,8 @@
 func (e *Engine) Epoch() uint64 { return e.epoch }
 
 // Belief is what the engine would tell an operator of its key.
-func (e *Engine) Belief() peerapi.KeyBelief {
-	return peerapi.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.set}
+func (e *Engine) Belief() wire.KeyBelief {
+	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.set}
 }
 
 // Tick does all that falls due; it is called often.
@@ -203,7 +203,7 @@
 // campaign begins after it.
 func (e *Engine) Leave() {
 	e.isLeaving = true
-	e.leaveBy = e.clock.Steady() + leaveWait
+	e.leaveBy = e.clock.Monotonic() + leaveWait
 	if e.phase == phaseCandidate {
 		e.backOff()
 	}
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // fetch is how a candidate gets the state of the voter that is furthest, from where its own disk stands.
 type fetch struct {
-	best     peerapi.PromiseAnswer
-	from     peerapi.LogPosition
+	best     wire.PromiseAnswer
+	from     wire.LogPosition
 	failures int
 }
 
@@ -23,7 +23,7 @@
 // fetchFrom brings the local disk to the best state, and opens it. The changes come in calls of limited size, a state
 // that the changes no longer lead to in chunks; chunks are kept across campaigns, and whoever holds that very position
 // may send the next.
-func (e *Engine) fetchFrom(best peerapi.PromiseAnswer, from peerapi.LogPosition) {
+func (e *Engine) fetchFrom(best wire.PromiseAnswer, from wire.LogPosition) {
 	e.holdOthersOff()
 	e.fetchNext(&fetch{best: best, from: from})
 }
@@ -39,7 +39,7 @@
 
 // considerFetching ends a campaign for which no state comes.
 func (e *Engine) considerFetching() {
-	if e.clock.Steady()-e.staleSince > mostFetching {
+	if e.clock.Monotonic()-e.staleSince > mostFetching {
 		e.release("the furthest state does not come", "")
 	}
 }
@@ -47,8 +47,8 @@
 func (e *Engine) fetchNext(task *fetch) {
 	e.fetched.start(task.best.Last)
 	from, attempt := task.from, e.attempt
-	call := peerapi.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.fetched.count}
-	e.links.Fetch(task.best.Disk, call, func(answer peerapi.FetchAnswer, err error) {
+	call := wire.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.fetched.count}
+	e.links.Fetch(task.best.Disk, call, func(answer wire.FetchAnswer, err error) {
 		switch {
 		case e.attempt != attempt || e.phase != phaseFetching:
 		case err != nil:
@@ -89,7 +89,7 @@
 	})
 }
 
-func (e *Engine) takeChunk(task *fetch, chunk *peerapi.SnapshotChunk) {
+func (e *Engine) takeChunk(task *fetch, chunk *wire.SnapshotChunk) {
 	if chunk.At != task.best.Last {
 		e.release("the furthest state is another by now", "")
 		return
@@ -98,7 +98,7 @@
 	e.fetched.take(chunk)
 	switch {
 	case e.fetched.isWhole(chunk):
-		e.installSnapshot(task, peerapi.Snapshot{Last: chunk.At, Pairs: e.fetched.pairs})
+		e.installSnapshot(task, wire.Snapshot{Last: chunk.At, Pairs: e.fetched.pairs})
 	case !e.hasSteppedAside:
 		e.stepAside(task)
 	case e.fetched.count == before:
@@ -114,10 +114,10 @@
 func (e *Engine) stepAside(task *fetch) {
 	e.hasSteppedAside = true
 	e.release("standing aside for a voter that is ahead", task.best.Disk)
-	e.nextTry = e.clock.Steady() + e.timing.Lease
+	e.nextTry = e.clock.Monotonic() + e.timing.Lease
 }
 
-func (e *Engine) installSnapshot(task *fetch, snapshot peerapi.Snapshot) {
+func (e *Engine) installSnapshot(task *fetch, snapshot wire.Snapshot) {
 	e.fetched = chunkBuffer{}
 	snapshot.Set = task.best.Set
 	call := e.appendCall()
@@ -126,13 +126,13 @@
 }
 
 // installFetched writes what was fetched to the local disk, and opens the state or fetches what is still missing.
-func (e *Engine) installFetched(task *fetch, call peerapi.AppendCall, reached peerapi.LogPosition) {
+func (e *Engine) installFetched(task *fetch, call wire.AppendCall, reached wire.LogPosition) {
 	if task.best.Last.Below(reached) || !task.from.Below(reached) {
 		e.release("what was fetched is not what was asked for", "")
 		return
 	}
 	attempt := e.attempt
-	e.links.InstallLocal(call, func(answer peerapi.AppendAnswer, err error) {
+	e.links.InstallLocal(call, func(answer wire.AppendAnswer, err error) {
 		switch {
 		case e.attempt != attempt || e.phase != phaseFetching:
 		case err != nil || !answer.Taken:
--- a/internal/control/replication/followers.go
+++ b/internal/control/replication/followers.go
@@ -5,8 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/platform/clock"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // mostRenewals is how many heartbeats may be under way to a follower beside a call. Some are needed where an answer takes
@@ -20,7 +19,7 @@
 type follower struct {
 	disk string
 	// acked is the position that the disk has said it holds; it counts only while isKnown.
-	acked         peerapi.LogPosition
+	acked         wire.LogPosition
 	isKnown       bool
 	needsSnapshot bool
 
@@ -54,7 +53,7 @@
 func (e *Engine) follow(disk string) *follower {
 	known := e.followers[disk]
 	if known == nil {
-		known = &follower{disk: disk, lastContact: e.clock.Steady()}
+		known = &follower{disk: disk, lastContact: e.clock.Monotonic()}
 		e.followers[disk] = known
 	}
 	return known
@@ -77,12 +76,12 @@
 
 // send gives a follower the changes or the snapshot that it lacks; a heartbeat goes out even if it lacks nothing.
 func (e *Engine) send(to *follower, isHeartbeat bool) {
-	if to.isBusy || !isHeartbeat && e.clock.Steady() < to.pausedUntil {
+	if to.isBusy || !isHeartbeat && e.clock.Monotonic() < to.pausedUntil {
 		return
 	}
 	call := e.appendCall()
 	call.Prev = to.acked
-	getsSnapshot := to.needsSnapshot && e.clock.Steady()-to.lastContact < e.timing.LostAfter
+	getsSnapshot := to.needsSnapshot && e.clock.Monotonic()-to.lastContact < e.timing.LostAfter
 	if getsSnapshot {
 		transfer := e.transferFor(to)
 		if transfer == nil {
@@ -115,14 +114,14 @@
 	e.launch(to, call)
 }
 
-func (e *Engine) appendCall() peerapi.AppendCall {
-	return peerapi.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
+func (e *Engine) appendCall() wire.AppendCall {
+	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
 }
 
-func (e *Engine) launch(to *follower, call peerapi.AppendCall) {
-	to.isBusy, to.sentAt = true, e.clock.Steady()
+func (e *Engine) launch(to *follower, call wire.AppendCall) {
+	to.isBusy, to.sentAt = true, e.clock.Monotonic()
 	attempt, sentAt := e.attempt, to.sentAt
-	e.links.Append(to.disk, call, func(answer peerapi.AppendAnswer, err error) {
+	e.links.Append(to.disk, call, func(answer wire.AppendAnswer, err error) {
 		if e.attempt != attempt {
 			return
 		}
@@ -142,11 +141,11 @@
 		return
 	}
 	to.renewals++
-	to.sentAt = e.clock.Steady()
+	to.sentAt = e.clock.Monotonic()
 	call := e.appendCall()
 	call.Prev = to.acked
 	attempt, sentAt := e.attempt, to.sentAt
-	e.links.Append(to.disk, call, func(answer peerapi.AppendAnswer, err error) {
+	e.links.Append(to.disk, call, func(answer wire.AppendAnswer, err error) {
 		if e.attempt != attempt {
 			return
 		}
@@ -159,7 +158,7 @@
 
 // isAnswerOf tells whether an answer comes from the follower's disk and the leader may go on; it steps down if a
 // higher epoch was promised.
-func (e *Engine) isAnswerOf(from *follower, answer peerapi.AppendAnswer) bool {
+func (e *Engine) isAnswerOf(from *follower, answer wire.AppendAnswer) bool {
 	if answer.Disk != from.disk {
 		return false
 	}
@@ -171,13 +170,13 @@
 	return e.followers[from.disk] == from
 }
 
-func (e *Engine) handleAppendAnswer(from *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer, sentAt time.Duration) {
+func (e *Engine) handleAppendAnswer(from *follower, call wire.AppendCall, answer wire.AppendAnswer, sentAt time.Duration) {
 	if !e.isAnswerOf(from, answer) {
 		return
 	}
-	now := e.clock.Steady()
+	now := e.clock.Monotonic()
 	from.lastContact, from.isLeaving = now, answer.Leaving
-	from.wallOffset, from.hasWall = answer.WallMs-clock.InMs(sentAt+(now-sentAt)/2), true
+	from.wallOffset, from.hasWall = answer.WallMs-(sentAt+(now-sentAt)/2).Milliseconds(), true
 	e.renewed(from, sentAt)
 	if len(call.Changes) > 0 && answer.Taken {
 		e.noteDelay(from, answer, now-sentAt)
@@ -197,7 +196,7 @@
 }
 
 // notePosition takes from an answer where the follower stands, and so what it is to be sent next.
-func (e *Engine) notePosition(from *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer) {
+func (e *Engine) notePosition(from *follower, call wire.AppendCall, answer wire.AppendAnswer) {
 	_, isNear := e.after(answer.Last)
 	switch {
 	case answer.Taken || isNear:
@@ -217,6 +216,6 @@
 func (e *Engine) noteFailure(to *follower) {
 	to.failures++
 	if to.failures >= failuresBeforePause {
-		to.pausedUntil = e.clock.Steady() + e.timing.Heartbeat
+		to.pausedUntil = e.clock.Monotonic() + e.timing.Heartbeat
 	}
 }
--- a/internal/control/replication/handover.go
+++ b/internal/control/replication/handover.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // noteDelay takes how long a change took from its arrival to its sync: as a sibling says, or at the owner's own disk
 // as the owner finds it, with the waits for its own goroutines.
-func (e *Engine) noteDelay(one *follower, answer peerapi.AppendAnswer, roundTrip time.Duration) {
+func (e *Engine) noteDelay(one *follower, answer wire.AppendAnswer, roundTrip time.Duration) {
 	delay := time.Duration(answer.DelayUs) * time.Microsecond
 	if one.disk == e.disk {
 		delay = roundTrip
@@ -35,7 +35,7 @@
 // considerHandover gives the key to a follower if this steward has long been clearly slower than it. One that has
 // never been well since it took the key over is slowed by the key itself, and keeps it for long.
 func (e *Engine) considerHandover() {
-	now := e.clock.Steady()
+	now := e.clock.Monotonic()
 	own, successor := e.follow(e.disk), e.quickest()
 	if successor == nil {
 		return
@@ -68,13 +68,13 @@
 
 // maySucceed tells whether a follower is another steward's that answers and stays.
 func (e *Engine) maySucceed(voter *follower) bool {
-	return voter != nil && voter.disk != e.disk && !voter.isLeaving && e.clock.Steady()-voter.lastContact <= e.timing.LostAfter/2
+	return voter != nil && voter.disk != e.disk && !voter.isLeaving && e.clock.Monotonic()-voter.lastContact <= e.timing.LostAfter/2
 }
 
 // considerLeaving gives the key back if this steward is leaving and has no change under way, or has waited long enough.
 func (e *Engine) considerLeaving() {
 	isLeading := e.phase >= phaseFetching
-	if !e.isLeaving || !isLeading || len(e.waiting) > 0 && e.clock.Steady() < e.leaveBy {
+	if !e.isLeaving || !isLeading || len(e.waiting) > 0 && e.clock.Monotonic() < e.leaveBy {
 		return
 	}
 	e.releaseToFurthest("leaving in order")
@@ -117,7 +117,7 @@
 	e.log.Info("handing the key on, as a sibling is quicker", "key", e.key, "delay_ms", own.delay.Milliseconds(),
 		"successor", successor.disk, "successor_delay_ms", successor.delay.Milliseconds())
 	e.release("slower than its followers", successor.disk)
-	e.nextTry = e.clock.Steady() + standBack
+	e.nextTry = e.clock.Monotonic() + standBack
 }
 
 // release steps down and gives the lease back, so that a sibling may ask at once.
@@ -125,7 +125,7 @@
 	disks, epoch := disksOf(e.set), e.epoch
 	e.stepDown(why)
 	for _, disk := range disks {
-		e.links.Append(disk, peerapi.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Successor: successor},
-			func(peerapi.AppendAnswer, error) {})
+		e.links.Append(disk, wire.AppendCall{Key: e.key, Epoch: epoch, Owner: e.name, Disk: e.disk, Release: true, Successor: successor},
+			func(wire.AppendAnswer, error) {})
 	}
 }
--- a/internal/control/replication/handover_test.go
+++ b/internal/control/replication/handover_test.go
@@ -1,17 +1,17 @@
 package replication_test
 
 import (
+	"context"
 	"slices"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 // slowOwner is a world whose owner is slow, while one follower is the quickest of the others.
@@ -36,7 +36,7 @@
 // work lets time pass with a change each ten milliseconds.
 func (w *world) work(length time.Duration) {
 	for range length / time.Millisecond {
-		if w.clock.Steady()%(10*time.Millisecond) == 0 {
+		if w.clock.Monotonic()%(10*time.Millisecond) == 0 {
 			w.write()
 		}
 		w.step()
@@ -135,10 +135,10 @@
 	It("hears from each voter how long its call has taken there", func() {
 		table, err := replication.NewReplicas(mailbox.New(4), newDisk("disk-a"), clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		defer end()
-		go table.Box().Run(life, clock.NewFake(1), mailbox.Owner{Every: time.Minute})
-		told, err := table.AskAppend(life, peerapi.AppendCall{Key: key, Epoch: 1})
+		go table.Box().Run(ctx, clock.NewFake(1), mailbox.Owner{Every: time.Minute})
+		told, err := table.AskAppend(ctx, wire.AppendCall{Key: key, Epoch: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(told.DelayUs).To(Equal(int64(1)))
 	})
--- a/internal/control/replication/history.go
+++ b/internal/control/replication/history.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -14,13 +14,13 @@
 // History holds changes that follow on Base, each on the one before. A state whose stamp is among theirs shares
 // all that came before, since an epoch has one owner, and a disk takes a change only on top of the stamp before it.
 type History struct {
-	Base    peerapi.LogPosition
-	Changes []peerapi.Change
+	Base    wire.LogPosition
+	Changes []wire.Change
 
 	outgoing *snapshotTransfer
 }
 
-func (h History) last() peerapi.LogPosition {
+func (h History) last() wire.LogPosition {
 	if len(h.Changes) == 0 {
 		return h.Base
 	}
@@ -28,7 +28,7 @@
 }
 
 // after gives the changes that follow on a stamp; there are none if it is not one of the history's, or the last.
-func (h History) after(stamp peerapi.LogPosition) ([]peerapi.Change, bool) {
+func (h History) after(stamp wire.LogPosition) ([]wire.Change, bool) {
 	if stamp == h.Base {
 		return h.Changes, len(h.Changes) > 0
 	}
@@ -42,12 +42,12 @@
 
 // history is the bounded one of a replica.
 type history struct {
-	base    peerapi.LogPosition
-	changes []peerapi.Change
+	base    wire.LogPosition
+	changes []wire.Change
 	size    int
 }
 
-func (h *history) take(call peerapi.AppendCall) {
+func (h *history) take(call wire.AppendCall) {
 	if call.Snapshot != nil {
 		*h = history{base: call.Snapshot.Last}
 	} else if (History{Base: h.base, Changes: h.changes}).last() != call.Prev {
--- a/internal/control/replication/history_test.go
+++ b/internal/control/replication/history_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
@@ -122,12 +122,12 @@
 		disk := newDisk("disk-a")
 		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		prev := peerapi.LogPosition{}
+		prev := wire.LogPosition{}
 		for step := range uint64(9000) {
-			next := peerapi.LogPosition{Epoch: 1 + step/5000, Index: step + 1}
-			change := peerapi.Change{Position: next, Ops: []peerapi.Op{{Name: fmt.Sprint(step % 7), Value: []byte("1")}}}
-			table.Append(peerapi.AppendCall{Key: key, Epoch: next.Epoch, Prev: prev, Changes: []peerapi.Change{change}},
-				func(peerapi.AppendAnswer) {})
+			next := wire.LogPosition{Epoch: 1 + step/5000, Index: step + 1}
+			change := wire.Change{Position: next, Ops: []wire.Op{{Name: fmt.Sprint(step % 7), Value: []byte("1")}}}
+			table.Append(wire.AppendCall{Key: key, Epoch: next.Epoch, Prev: prev, Changes: []wire.Change{change}},
+				func(wire.AppendAnswer) {})
 			disk.line[0]()
 			disk.line = nil
 			table.Box().Drain()
@@ -138,7 +138,7 @@
 		Expect(len(held.Changes)).To(BeNumerically("<=", 4000))
 		Expect(held.Changes[0].Position.Index).To(Equal(held.Base.Index + 1))
 		Expect(held.Changes[len(held.Changes)-1].Position).To(Equal(prev))
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 3, Snapshot: &peerapi.Snapshot{Last: prev}}, func(peerapi.AppendAnswer) {})
+		table.Append(wire.AppendCall{Key: key, Epoch: 3, Snapshot: &wire.Snapshot{Last: prev}}, func(wire.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
 		Expect(table.History(key)).To(Equal(replication.History{Base: prev}))
@@ -146,20 +146,20 @@
 
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
-		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []peerapi.Change{{Position: peerapi.LogPosition{Epoch: 1, Index: 1}}}})
+		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []wire.Change{{Position: wire.LogPosition{Epoch: 1, Index: 1}}}})
 		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		change := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 2}}
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.LogPosition{Epoch: 1, Index: 1}, Changes: []peerapi.Change{change}},
-			func(peerapi.AppendAnswer) {})
+		change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 2}}
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Prev: wire.LogPosition{Epoch: 1, Index: 1}, Changes: []wire.Change{change}},
+			func(wire.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
-		held := replication.History{Base: peerapi.LogPosition{Epoch: 1, Index: 1}, Changes: []peerapi.Change{change}}
+		held := replication.History{Base: wire.LogPosition{Epoch: 1, Index: 1}, Changes: []wire.Change{change}}
 		Expect(table.History(key)).To(Equal(held))
 		disk.line = nil
-		refused := peerapi.Change{Position: peerapi.LogPosition{Epoch: 1, Index: 9}}
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Prev: peerapi.LogPosition{Epoch: 1, Index: 8}, Changes: []peerapi.Change{refused}},
-			func(peerapi.AppendAnswer) {})
+		refused := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 9}}
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Prev: wire.LogPosition{Epoch: 1, Index: 8}, Changes: []wire.Change{refused}},
+			func(wire.AppendAnswer) {})
 		disk.line[0]()
 		table.Box().Drain()
 		Expect(table.History(key)).To(Equal(held))
--- a/internal/control/replication/leadership.go
+++ b/internal/control/replication/leadership.go
@@ -7,7 +7,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
@@ -18,7 +18,7 @@
 type Leadership struct {
 	engine *Engine
 	epoch  uint64
-	clock  clock.Pulse
+	clock  clock.Clock
 
 	isOver atomic.Bool
 	// leaseEnd is when the lease ends on the steady clock, as far as answers have come.
@@ -52,7 +52,7 @@
 func (t *Leadership) IsOpen() bool { return !t.isOver.Load() }
 
 // Commit makes a change durable on a majority; done gets an error if the key was lost first.
-func (t *Leadership) Commit(ops []peerapi.Op, done func(error)) {
+func (t *Leadership) Commit(ops []wire.Op, done func(error)) {
 	if !t.IsOpen() {
 		done(errLost)
 		return
@@ -62,7 +62,7 @@
 
 // HasLease tells whether a majority vouches, now, that there is no other owner. Any goroutine may ask.
 func (t *Leadership) HasLease() bool {
-	return t.IsOpen() && t.clock.Steady() < time.Duration(t.leaseEnd.Load())
+	return t.IsOpen() && t.clock.Monotonic() < time.Duration(t.leaseEnd.Load())
 }
 
 // Voters are the disks that vote on the key now.
@@ -70,7 +70,7 @@
 
 // WallMs is the median of the voters' clocks, carried on the steady clock. Any goroutine may ask.
 func (t *Leadership) WallMs() int64 {
-	steady := clock.InMs(t.clock.Steady())
+	steady := t.clock.Monotonic().Milliseconds()
 	offsets := append([]int64{t.clock.WallMs() - steady}, *t.wallOffsets.Load()...)
 	slices.Sort(offsets)
 	return steady + offsets[(len(offsets)-1)/2]
--- a/internal/control/replication/learner_test.go
+++ b/internal/control/replication/learner_test.go
@@ -19,14 +19,14 @@
 
 // untilVoter rushes on until a disk is a voter, and gives the time that it took, or the limit.
 func (w *world) untilVoter(disk string, limit time.Duration) time.Duration {
-	began := w.clock.Steady()
-	for w.clock.Steady()-began < limit {
+	began := w.clock.Monotonic()
+	for w.clock.Monotonic()-began < limit {
 		w.rush(10 * time.Millisecond)
 		if slices.Contains(w.voters(), disk) {
 			break
 		}
 	}
-	return w.clock.Steady() - began
+	return w.clock.Monotonic() - began
 }
 
 var _ = Describe("a new disk, with no other to spare", func() {
@@ -73,12 +73,12 @@
 		}
 		w.bulk, w.bytesPerMs = 10<<10, 5000
 		w.others()[1].wipe("disk-fresh")
-		began := w.clock.Steady()
-		for w.clock.Steady()-began < 40*time.Second && !slices.Contains(w.voters(), "disk-fresh") {
+		began := w.clock.Monotonic()
+		for w.clock.Monotonic()-began < 40*time.Second && !slices.Contains(w.voters(), "disk-fresh") {
 			w.work(50 * time.Millisecond)
 		}
-		AddReportEntry("a voter after", (w.clock.Steady() - began).String())
-		Expect(w.clock.Steady() - began).To(BeNumerically("<", 40*time.Second))
+		AddReportEntry("a voter after", (w.clock.Monotonic() - began).String())
+		Expect(w.clock.Monotonic() - began).To(BeNumerically("<", 40*time.Second))
 		Expect(w.problems).To(BeEmpty())
 	})
 })
--- a/internal/control/replication/lease.go
+++ b/internal/control/replication/lease.go
@@ -10,7 +10,7 @@
 const mostReading = 10 * time.Second
 
 // hasLease tells whether a majority of the voters vouches, now, that there is no other leader.
-func (e *Engine) hasLease() bool { return e.clock.Steady() < e.leaseEnd() }
+func (e *Engine) hasLease() bool { return e.clock.Monotonic() < e.leaseEnd() }
 
 // leaseEnd is until when a majority of the voters vouches that there is no other leader, and a majority of the old ones
 // while those still count.
@@ -55,7 +55,7 @@
 		e.release("its own replica is behind the changes it keeps", "")
 		return
 	}
-	now := e.clock.Steady()
+	now := e.clock.Monotonic()
 	if e.isStuckReading() {
 		e.release("its own disk does not give the state", "")
 		e.nextTry = now + standBack
@@ -90,7 +90,7 @@
 
 // isStuckReading tells whether the leader has waited too long for the state on its own disk.
 func (e *Engine) isStuckReading() bool {
-	return e.reader.isReading && e.clock.Steady()-e.reader.since > mostReading
+	return e.reader.isReading && e.clock.Monotonic()-e.reader.since > mostReading
 }
 
 // isOwnReplicaBehind tells whether the own disk was stalled or full for so long that the changes it lacks are no longer
--- a/internal/control/replication/lease_test.go
+++ b/internal/control/replication/lease_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/mailbox"
@@ -24,11 +24,11 @@
 var _ = Describe("a voter's lease", func() {
 	It("is not ended by a late release of a leader before", func() {
 		table := newTable(clock.NewFake(1))
-		ignore := func(peerapi.AppendAnswer) {}
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Owner: "b"}, ignore)
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Disk: "disk-c", Owner: "c", Release: true}, ignore)
+		ignore := func(wire.AppendAnswer) {}
+		table.Append(wire.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Owner: "b"}, ignore)
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-c", Owner: "c", Release: true}, ignore)
 		isGranted := true
-		table.Promise(peerapi.PromiseCall{Key: key, Epoch: 3, Disk: "disk-c", PreVote: true}, func(answer peerapi.PromiseAnswer) {
+		table.Promise(wire.PromiseCall{Key: key, Epoch: 3, Disk: "disk-c", PreVote: true}, func(answer wire.PromiseAnswer) {
 			isGranted = answer.Granted
 		})
 		Expect(isGranted).To(BeFalse())
@@ -36,13 +36,13 @@
 
 	It("is not taken over by a heartbeat of a leader before, nor is its disk promised anything meanwhile", func() {
 		table := newTable(clock.NewFake(1))
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Owner: "c"}, func(peerapi.AppendAnswer) {})
-		var late peerapi.AppendAnswer
-		table.Append(peerapi.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Owner: "a"}, func(answer peerapi.AppendAnswer) { late = answer })
+		table.Append(wire.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Owner: "c"}, func(wire.AppendAnswer) {})
+		var late wire.AppendAnswer
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Owner: "a"}, func(answer wire.AppendAnswer) { late = answer })
 		Expect(late.Taken).To(BeFalse())
 		Expect(late.Promised).To(Equal(uint64(3)))
 		isGranted := true
-		table.Promise(peerapi.PromiseCall{Key: key, Epoch: 4, Disk: "disk-a", PreVote: true}, func(answer peerapi.PromiseAnswer) {
+		table.Promise(wire.PromiseCall{Key: key, Epoch: 4, Disk: "disk-a", PreVote: true}, func(answer wire.PromiseAnswer) {
 			isGranted = answer.Granted
 		})
 		Expect(isGranted).To(BeFalse())
--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -16,7 +16,7 @@
 
 // untilVotedOut lets work go on until a leaving node has nothing left to vote on, or the limit has passed.
 func (w *world) untilVotedOut(leaving *node, limit time.Duration) bool {
-	for end := w.clock.Steady() + limit; w.clock.Steady() < end; w.work(10 * time.Millisecond) {
+	for end := w.clock.Monotonic() + limit; w.clock.Monotonic() < end; w.work(10 * time.Millisecond) {
 		if len(leaving.replicas.VotingOn()) == 0 {
 			return true
 		}
@@ -144,7 +144,7 @@
 				w.wholes, w.pieces = 0, nil
 			}
 			one.leave()
-			for end := w.clock.Steady() + 2*time.Second; w.clock.Steady() < end && len(one.replicas.VotingOn()) > 0; w.work(time.Millisecond) {
+			for end := w.clock.Monotonic() + 2*time.Second; w.clock.Monotonic() < end && len(one.replicas.VotingOn()) > 0; w.work(time.Millisecond) {
 				if w.owner() == nil {
 					without++
 				}
--- a/internal/control/replication/recentlog.go
+++ b/internal/control/replication/recentlog.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // inherit keeps what was taken before, so that a follower that is a little behind is sent no whole state.
-func (e *Engine) inherit(base peerapi.LogPosition, recent History) {
+func (e *Engine) inherit(base wire.LogPosition, recent History) {
 	if recent.last() != base {
 		recent = History{Base: base}
 	}
@@ -17,7 +17,7 @@
 	}
 }
 
-func sizeOf(change peerapi.Change) int {
+func sizeOf(change wire.Change) int {
 	size := 64
 	for _, op := range change.Ops {
 		size += len(op.Name) + len(op.Value) + 16
@@ -65,7 +65,7 @@
 func (e *Engine) mostKept() allowance {
 	most := allowance{count: mostTail, size: mostTailSize}
 	for _, to := range e.followers {
-		if e.clock.Steady()-to.lastContact < e.timing.LostAfter {
+		if e.clock.Monotonic()-to.lastContact < e.timing.LostAfter {
 			most.count = max(most.count, mostTail+to.mayLack.count)
 			most.size = max(most.size, mostTailSize+to.mayLack.size)
 		}
@@ -78,7 +78,7 @@
 	needed := e.reader.needed(e.last.Index)
 	for _, to := range e.followers {
 		switch {
-		case to.disk != e.disk && e.clock.Steady()-to.lastContact >= e.timing.LostAfter:
+		case to.disk != e.disk && e.clock.Monotonic()-to.lastContact >= e.timing.LostAfter:
 		case to.transfer != nil:
 			needed = min(needed, to.transfer.snapshot.Last.Index)
 		case !to.needsSnapshot:
@@ -89,7 +89,7 @@
 }
 
 // after gives the changes that follow on a stamp, as far as one call may carry them, if the tail still has them all.
-func (e *Engine) after(prev peerapi.LogPosition) ([]peerapi.Change, bool) {
+func (e *Engine) after(prev wire.LogPosition) ([]wire.Change, bool) {
 	if prev.Index < e.recentBase.Index || prev.Index > e.last.Index {
 		return nil, false
 	}
@@ -102,7 +102,7 @@
 }
 
 // mostInOneCall is how many changes, from the first on, one call should carry.
-func mostInOneCall(changes []peerapi.Change) int {
+func mostInOneCall(changes []wire.Change) int {
 	count, size := 0, 0
 	for count < len(changes) && count < mostPerCall && (count == 0 || size+sizeOf(changes[count]) <= mostPerCallSize) {
 		size += sizeOf(changes[count])
@@ -112,7 +112,7 @@
 }
 
 // recentPosition is the position that so many of the recent changes lead to.
-func (e *Engine) recentPosition(count int) peerapi.LogPosition {
+func (e *Engine) recentPosition(count int) wire.LogPosition {
 	if count == 0 {
 		return e.recentBase
 	}
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -3,14 +3,14 @@
 package replication
 
 import (
+	"context"
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/mailbox"
-	"gannetline/internal/span"
 )
 
 // Disk is where replicas are kept; storage.Store is the real one.
@@ -24,7 +24,7 @@
 	// Heads are the states of all replicas on the disk, by key.
 	Heads() (map[string]storage.ReplicaState, error)
 	// Read gives the whole state of a replica.
-	Read(key string) (peerapi.Snapshot, error)
+	Read(key string) (wire.Snapshot, error)
 }
 
 type replica struct {
@@ -50,7 +50,7 @@
 type Replicas struct {
 	box        *mailbox.Mailbox
 	disk       Disk
-	clock      clock.Pulse
+	clock      clock.Clock
 	lease      time.Duration
 	quietUntil time.Duration
 	keys       map[string]*replica
@@ -58,7 +58,7 @@
 }
 
 // NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease.
-func NewReplicas(box *mailbox.Mailbox, disk Disk, clock clock.Pulse, lease time.Duration) (*Replicas, error) {
+func NewReplicas(box *mailbox.Mailbox, disk Disk, clock clock.Clock, lease time.Duration) (*Replicas, error) {
 	heads, err := disk.Heads()
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 		table.keys[key] = &replica{state: head, promising: head.Promised}
 	}
 	if !disk.Bare() {
-		table.quietUntil = clock.Steady() + lease
+		table.quietUntil = clock.Monotonic() + lease
 	}
 	return table, nil
 }
@@ -86,8 +86,8 @@
 }
 
 // Promise must run on the table's goroutine.
-func (r *Replicas) Promise(call peerapi.PromiseCall, answer func(peerapi.PromiseAnswer)) {
-	one, now := r.of(call.Key), r.clock.Steady()
+func (r *Replicas) Promise(call wire.PromiseCall, answer func(wire.PromiseAnswer)) {
+	one, now := r.of(call.Key), r.clock.Monotonic()
 	isLeased := now < one.leaseUntil && one.leaseDisk != call.Disk
 	if isLeased || now < r.quietUntil || call.Epoch <= one.promising {
 		answer(r.promiseAnswer(one.state, max(one.promising, one.state.Promised), false))
@@ -107,8 +107,8 @@
 	})
 }
 
-func (r *Replicas) promiseAnswer(head storage.ReplicaState, promised uint64, isGranted bool) peerapi.PromiseAnswer {
-	return peerapi.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
+func (r *Replicas) promiseAnswer(head storage.ReplicaState, promised uint64, isGranted bool) wire.PromiseAnswer {
+	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
 }
 
 func (r *Replicas) learn(one *replica, outcome storage.Outcome) {
@@ -122,8 +122,8 @@
 }
 
 // Append must run on the table's goroutine.
-func (r *Replicas) Append(call peerapi.AppendCall, answer func(peerapi.AppendAnswer)) {
-	one, now := r.of(call.Key), r.clock.Steady()
+func (r *Replicas) Append(call wire.AppendCall, answer func(wire.AppendAnswer)) {
+	one, now := r.of(call.Key), r.clock.Monotonic()
 	if call.Epoch < one.promising {
 		answer(r.appendAnswer(one.state.Last, one.promising, false))
 		return
@@ -149,7 +149,7 @@
 			answer(told)
 			return
 		}
-		call.Snapshot = &peerapi.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: one.chunks.pairs}
+		call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: one.chunks.pairs}
 		one.chunks = chunkBuffer{}
 	}
 	if len(call.Changes) == 0 && call.Snapshot == nil {
@@ -173,8 +173,8 @@
 	one.leaseUntil, one.released, one.releasedAt, one.releasedEpoch, one.successor = 0, true, now, epoch, heir
 }
 
-func (r *Replicas) appendAnswer(last peerapi.LogPosition, promised uint64, isTaken bool) peerapi.AppendAnswer {
-	return peerapi.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs(),
+func (r *Replicas) appendAnswer(last wire.LogPosition, promised uint64, isTaken bool) wire.AppendAnswer {
+	return wire.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs(),
 		Leaving: r.isLeaving}
 }
 
@@ -184,8 +184,8 @@
 
 // VotingOn gives the voter sets of the keys in which this disk votes, as far as it knows. It must run on the table's
 // goroutine.
-func (r *Replicas) VotingOn() map[string]peerapi.VoterSet {
-	sets := map[string]peerapi.VoterSet{}
+func (r *Replicas) VotingOn() map[string]wire.VoterSet {
+	sets := map[string]wire.VoterSet{}
 	for key, replica := range r.keys {
 		if !replica.isVotedOut && slices.Contains(disksOf(replica.state.Set), r.disk.Disk()) {
 			sets[key] = replica.state.Set
@@ -196,8 +196,8 @@
 
 // Fetch gives the changes after a position if the history has them, else the state as the disk has it, or a chunk of it.
 // It may run on any goroutine.
-func (r *Replicas) Fetch(recent History, call peerapi.FetchCall) (peerapi.FetchAnswer, error) {
-	answer := peerapi.FetchAnswer{Disk: r.disk.Disk()}
+func (r *Replicas) Fetch(recent History, call wire.FetchCall) (wire.FetchAnswer, error) {
+	answer := wire.FetchAnswer{Disk: r.disk.Disk()}
 	if call.From != nil {
 		if changes, isThere := recent.after(*call.From); isThere {
 			answer.Found, answer.Changes = true, changes
@@ -211,11 +211,11 @@
 		return r.fetchChunk(recent.outgoing, call, answer)
 	}
 	snapshot, err := r.disk.Read(call.Key)
-	answer.Found, answer.Snapshot = snapshot.Last != peerapi.LogPosition{}, snapshot
+	answer.Found, answer.Snapshot = snapshot.Last != wire.LogPosition{}, snapshot
 	return answer, err
 }
 
-func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call peerapi.FetchCall, answer peerapi.FetchAnswer) (peerapi.FetchAnswer, error) {
+func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call wire.FetchCall, answer wire.FetchAnswer) (wire.FetchAnswer, error) {
 	if outgoing == nil {
 		snapshot, err := r.disk.Read(call.Key)
 		if err != nil {
@@ -224,7 +224,7 @@
 		outgoing = newSnapshotTransfer(snapshot)
 		r.keepOutgoing(call.Key, outgoing)
 	}
-	answer.Found = outgoing.snapshot.Last != peerapi.LogPosition{}
+	answer.Found = outgoing.snapshot.Last != wire.LogPosition{}
 	answer.Chunk = outgoing.chunk(min(call.Number, outgoing.count()-1))
 	return answer, nil
 }
@@ -273,32 +273,32 @@
 	return names
 }
 
-// AskPromise is Promise for other goroutines; the error says that the span ended first.
-func (r *Replicas) AskPromise(life span.Span, call peerapi.PromiseCall) (peerapi.PromiseAnswer, error) {
-	return mailbox.Ask(r.box, life, func(answer func(peerapi.PromiseAnswer)) { r.Promise(call, answer) })
+// AskPromise is Promise for other goroutines; the error says that ctx was done first.
+func (r *Replicas) AskPromise(ctx context.Context, call wire.PromiseCall) (wire.PromiseAnswer, error) {
+	return mailbox.Ask(r.box, ctx, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
 // AskAppend is Append for other goroutines; the answer carries the time that it took.
-func (r *Replicas) AskAppend(life span.Span, call peerapi.AppendCall) (peerapi.AppendAnswer, error) {
-	arrivedAt := r.clock.Steady()
-	return mailbox.Ask(r.box, life, func(answer func(peerapi.AppendAnswer)) {
-		r.Append(call, func(told peerapi.AppendAnswer) {
-			told.DelayUs = max(1, (r.clock.Steady() - arrivedAt).Microseconds())
+func (r *Replicas) AskAppend(ctx context.Context, call wire.AppendCall) (wire.AppendAnswer, error) {
+	arrivedAt := r.clock.Monotonic()
+	return mailbox.Ask(r.box, ctx, func(answer func(wire.AppendAnswer)) {
+		r.Append(call, func(told wire.AppendAnswer) {
+			told.DelayUs = max(1, (r.clock.Monotonic() - arrivedAt).Microseconds())
 			answer(told)
 		})
 	})
 }
 
 // AskFetch is Fetch for other goroutines; it reads the disk on the caller's goroutine.
-func (r *Replicas) AskFetch(life span.Span, call peerapi.FetchCall) (peerapi.FetchAnswer, error) {
-	recent, err := mailbox.Ask(r.box, life, func(answer func(History)) { answer(r.History(call.Key)) })
+func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
+	recent, err := mailbox.Ask(r.box, ctx, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
-		return peerapi.FetchAnswer{}, err
+		return wire.FetchAnswer{}, err
 	}
 	return r.Fetch(recent, call)
 }
 
 // AskStatus is Status for other goroutines.
-func (r *Replicas) AskStatus(life span.Span, key string) (ReplicaStatus, error) {
-	return mailbox.Ask(r.box, life, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
+func (r *Replicas) AskStatus(ctx context.Context, key string) (ReplicaStatus, error) {
+	return mailbox.Ask(r.box, ctx, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
 }
--- a/internal/control/replication/schedule_test.go
+++ b/internal/control/replication/schedule_test.go
@@ -41,7 +41,7 @@
 func (s *schedule) lost() int {
 	count := 0
 	for _, one := range s.nodes {
-		if s.clock.Steady() < s.lostUntil[one] {
+		if s.clock.Monotonic() < s.lostUntil[one] {
 			count++
 		}
 	}
@@ -51,10 +51,10 @@
 // endTroubles ends those that are over, or all of them.
 func (s *schedule) endTroubles(isAll bool) {
 	for _, one := range slices.Clone(s.nodes) {
-		if until, isStruck := s.endsAt[one]; isStruck && (isAll || s.clock.Steady() >= until) {
+		if until, isStruck := s.endsAt[one]; isStruck && (isAll || s.clock.Monotonic() >= until) {
 			delete(s.endsAt, one)
 			s.restore(one)
-			s.lostUntil[one] = s.clock.Steady() + catchUp
+			s.lostUntil[one] = s.clock.Monotonic() + catchUp
 		}
 	}
 }
@@ -78,11 +78,11 @@
 // strike gives a node that is not lost a trouble of some length.
 func (s *schedule) strike() {
 	one := s.nodes[s.draw.IntN(len(s.nodes))]
-	if s.lost() >= s.losses || s.clock.Steady() < s.lostUntil[one] {
+	if s.lost() >= s.losses || s.clock.Monotonic() < s.lostUntil[one] {
 		return
 	}
 	length := time.Duration(50+s.draw.IntN(6000)) * time.Millisecond
-	s.endsAt[one] = s.clock.Steady() + length
+	s.endsAt[one] = s.clock.Monotonic() + length
 	s.lostUntil[one] = s.endsAt[one] + catchUp
 	troubles := []string{"kill", "restart", "cut", "cut one way", "late", "freeze", "stall", "refuse", "unclear", "slow disk", "leave",
 		"replace", "replace in order", "wipe", "wipe, all others lose power"}
@@ -133,20 +133,20 @@
 // replace removes a node for good, and adds another at another address at once.
 func (s *schedule) replace(one *node) {
 	one.kill()
-	s.wipedAt = s.clock.Steady()
+	s.wipedAt = s.clock.Monotonic()
 	s.nodes = slices.DeleteFunc(s.nodes, func(other *node) bool { return other == one })
 	delete(s.endsAt, one)
 	s.made++
 	fresh := s.add(fmt.Sprintf("new%d", s.made))
 	fresh.start()
-	s.lostUntil[fresh] = s.clock.Steady() + catchUp
+	s.lostUntil[fresh] = s.clock.Monotonic() + catchUp
 }
 
 func (s *schedule) wipe(one *node) {
 	s.made++
 	one.wipe(fmt.Sprintf("disk-%s-%d", one.name, s.made))
 	delete(s.endsAt, one)
-	s.lostUntil[one] = s.clock.Steady() + catchUp
+	s.lostUntil[one] = s.clock.Monotonic() + catchUp
 }
 
 // losePower takes away from all nodes, or all but one, what they have not synced; it ends all other troubles.
@@ -160,7 +160,7 @@
 	for _, one := range s.nodes {
 		if one != except {
 			one.start()
-			s.lostUntil[one] = s.clock.Steady() + catchUp
+			s.lostUntil[one] = s.clock.Monotonic() + catchUp
 		}
 	}
 }
--- a/internal/control/replication/second_loss_test.go
+++ b/internal/control/replication/second_loss_test.go
@@ -12,7 +12,7 @@
 // remove takes a node away for good, with its disk.
 func (w *world) remove(lost *node) {
 	lost.kill()
-	w.wipedAt = w.clock.Steady()
+	w.wipedAt = w.clock.Monotonic()
 	w.nodes = slices.DeleteFunc(w.nodes, func(one *node) bool { return one == lost })
 }
 
@@ -86,11 +86,11 @@
 			w.bytesPerMs = 2000
 			w.remove(one)
 			w.add("fresh").start()
-			began := w.clock.Steady()
+			began := w.clock.Monotonic()
 			w.until(func() bool { return slices.Contains(w.voters(), "disk-fresh") && w.holdsAll(w.byDisk("disk-fresh")) })
-			Expect(w.clock.Steady() - began).To(BeNumerically("<", 4*time.Second))
-			AddReportEntry("replaced after", (w.clock.Steady() - began).String())
-			w.work(began + 4*time.Second - w.clock.Steady())
+			Expect(w.clock.Monotonic() - began).To(BeNumerically("<", 4*time.Second))
+			AddReportEntry("replaced after", (w.clock.Monotonic() - began).String())
+			w.work(began + 4*time.Second - w.clock.Monotonic())
 			w.remove(w.owner())
 			w.add("fresher").start()
 			w.work(4 * time.Second)
--- a/internal/control/replication/takeover_test.go
+++ b/internal/control/replication/takeover_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // slowReaders gives all nodes processors that need so long to read the state.
@@ -19,14 +19,14 @@
 
 // settleTime is how long it takes until one leader has held its lease for two seconds on end; a limit ends the wait.
 func (w *world) settleTime(limit time.Duration) time.Duration {
-	began, since := w.clock.Steady(), w.clock.Steady()
+	began, since := w.clock.Monotonic(), w.clock.Monotonic()
 	var leader *node
-	for w.clock.Steady()-began < limit {
+	for w.clock.Monotonic()-began < limit {
 		w.work(time.Millisecond)
 		if now := w.owner(); now == nil || now != leader {
-			leader, since = now, w.clock.Steady()
+			leader, since = now, w.clock.Monotonic()
 		}
-		if leader != nil && w.clock.Steady()-since >= 2*time.Second {
+		if leader != nil && w.clock.Monotonic()-since >= 2*time.Second {
 			return since - began
 		}
 	}
@@ -103,10 +103,10 @@
 		w.run(100 * time.Millisecond)
 		owner, others := w.owner(), w.others()
 		behind, ahead := others[0], others[1]
-		w.eats = func(to *node, call peerapi.AppendCall) bool { return to == behind && len(call.Changes) > 0 }
+		w.eats = func(to *node, call wire.AppendCall) bool { return to == behind && len(call.Changes) > 0 }
 		w.write()
 		w.run(200 * time.Millisecond)
-		w.eats = func(to *node, call peerapi.AppendCall) bool {
+		w.eats = func(to *node, call wire.AppendCall) bool {
 			return to != ahead && to != owner && len(call.Changes) > 0
 		}
 		w.write()
@@ -156,7 +156,7 @@
 		holds := func() bool {
 			return slices.ContainsFunc(w.nodes, func(one *node) bool {
 				status := one.replicas.Status(key)
-				return status.Disk == late.disk.name && w.clock.Steady() < status.LeaseEnd
+				return status.Disk == late.disk.name && w.clock.Monotonic() < status.LeaseEnd
 			})
 		}
 		w.until(holds)
--- a/internal/control/replication/transfer.go
+++ b/internal/control/replication/transfer.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const chunkSize = 256 << 10
@@ -12,12 +12,12 @@
 // snapshotTransfer is a snapshot on its way in chunks; cuts are the places where one chunk ends and the next begins.
 // The same state has the same chunks, whoever sends it.
 type snapshotTransfer struct {
-	snapshot peerapi.Snapshot
+	snapshot wire.Snapshot
 	cuts     []int
 	size     int
 }
 
-func newSnapshotTransfer(snapshot peerapi.Snapshot) *snapshotTransfer {
+func newSnapshotTransfer(snapshot wire.Snapshot) *snapshotTransfer {
 	transfer := &snapshotTransfer{snapshot: snapshot, cuts: []int{0}}
 	size := 0
 	for place, pair := range snapshot.Pairs {
@@ -34,27 +34,27 @@
 
 func (p *snapshotTransfer) count() int { return len(p.cuts) - 1 }
 
-func (p *snapshotTransfer) chunk(number int) *peerapi.SnapshotChunk {
-	return &peerapi.SnapshotChunk{At: p.snapshot.Last, Set: p.snapshot.Set, Number: number, Count: p.count(),
+func (p *snapshotTransfer) chunk(number int) *wire.SnapshotChunk {
+	return &wire.SnapshotChunk{At: p.snapshot.Last, Set: p.snapshot.Set, Number: number, Count: p.count(),
 		Pairs: p.snapshot.Pairs[p.cuts[number]:p.cuts[number+1]]}
 }
 
 // chunkBuffer holds the chunks of one state that a replica has so far; nothing of them is on its disk.
 type chunkBuffer struct {
-	at    peerapi.LogPosition
+	at    wire.LogPosition
 	count int
-	pairs []peerapi.Op
+	pairs []wire.Op
 }
 
 // start keeps the chunks of a state, and lets go of those of another.
-func (b *chunkBuffer) start(at peerapi.LogPosition) {
+func (b *chunkBuffer) start(at wire.LogPosition) {
 	if b.at != at {
 		*b = chunkBuffer{at: at}
 	}
 }
 
 // take adds the next chunk; one that was here before or comes too early changes nothing.
-func (b *chunkBuffer) take(chunk *peerapi.SnapshotChunk) {
+func (b *chunkBuffer) take(chunk *wire.SnapshotChunk) {
 	b.start(chunk.At)
 	if chunk.Number == b.count {
 		b.pairs = append(b.pairs, chunk.Pairs...)
@@ -62,7 +62,7 @@
 	}
 }
 
-func (b *chunkBuffer) isWhole(chunk *peerapi.SnapshotChunk) bool {
+func (b *chunkBuffer) isWhole(chunk *wire.SnapshotChunk) bool {
 	return chunk.At == b.at && b.count == chunk.Count
 }
 
@@ -127,9 +127,9 @@
 	if e.reader.isReading || own == nil || !own.isKnown || own.acked.Epoch != e.epoch {
 		return
 	}
-	e.reader = stateReader{isReading: true, since: e.clock.Steady(), from: own.acked.Index}
+	e.reader = stateReader{isReading: true, since: e.clock.Monotonic(), from: own.acked.Index}
 	attempt := e.attempt
-	e.links.ReadLocal(e.key, func(snapshot peerapi.Snapshot, err error) {
+	e.links.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
 		if e.attempt != attempt {
 			return
 		}
@@ -142,7 +142,7 @@
 }
 
 // offer begins to send a state that was read to the followers that need it.
-func (e *Engine) offer(snapshot peerapi.Snapshot) {
+func (e *Engine) offer(snapshot wire.Snapshot) {
 	if !e.isStateWanted() {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // noteChunkAnswer notes how far the follower has come; one that knows no pieces is sent the state in one call.
-func (e *Engine) noteChunkAnswer(from *follower, call peerapi.AppendCall, answer peerapi.AppendAnswer) {
+func (e *Engine) noteChunkAnswer(from *follower, call wire.AppendCall, answer wire.AppendAnswer) {
 	from.isKnown, from.needsSnapshot = false, true
 	from.isOld = from.isOld || call.Chunk.Number == 0 && answer.Chunks == 0
 	from.nextChunk = min(answer.Chunks, call.Chunk.Count-1)
--- a/internal/control/replication/transfer_test.go
+++ b/internal/control/replication/transfer_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // laden is a world whose state takes some ten pieces, and a follower that is not the owner.
@@ -46,7 +46,7 @@
 	It("goes on with the piece that is missing once the way is open again, and is installed at the last", func() {
 		w, one := laden(510)
 		hasEaten := false
-		w.eats = func(_ *node, call peerapi.AppendCall) bool {
+		w.eats = func(_ *node, call wire.AppendCall) bool {
 			isNext := !hasEaten && call.Chunk != nil && call.Chunk.Number == 4
 			hasEaten = hasEaten || isNext
 			return isNext
@@ -54,7 +54,7 @@
 		one.wipe("disk-fresh")
 		w.work(800 * time.Millisecond)
 		Expect(hasEaten).To(BeTrue())
-		Expect(one.disk.Shelf.Heads[key].Last).To(Equal(peerapi.LogPosition{}))
+		Expect(one.disk.Shelf.Heads[key].Last).To(Equal(wire.LogPosition{}))
 		w.work(3 * time.Second)
 		w.run(time.Second)
 		Expect(slices.Index(w.pieces, 5)).To(BeNumerically(">", 0))
@@ -90,7 +90,7 @@
 
 	It("starts again with a newer one once the changes no longer lead on from it", func() {
 		w, one := laden(540)
-		w.eats = func(_ *node, call peerapi.AppendCall) bool { return call.Chunk != nil && call.Chunk.Number == 4 }
+		w.eats = func(_ *node, call wire.AppendCall) bool { return call.Chunk != nil && call.Chunk.Number == 4 }
 		one.wipe("disk-fresh")
 		w.work(3 * time.Second)
 		w.eats = nil
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -43,7 +43,7 @@
 		return
 	}
 	e.log.Info("changing the voters of a key", "key", e.key, "from", e.set.Now, "to", next)
-	e.propose(nil, &peerapi.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
+	e.propose(nil, &wire.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
 }
 
 // hasCaughtUp tells whether a learner may become a voter: it lacks little, or follows within the time after which a voter
@@ -59,7 +59,7 @@
 		return false
 	}
 	isNear := e.last.Index-one.acked.Index <= mostBehind
-	return isNear || e.marks.isPast(one.acked.Index, e.clock.Steady()-age)
+	return isNear || e.marks.isPast(one.acked.Index, e.clock.Monotonic()-age)
 }
 
 // finishSwap proposes the new voters alone, once the joint set is committed.
@@ -67,7 +67,7 @@
 	if e.phase != phaseLeading || len(e.set.Old) == 0 || e.setIndex > e.committed {
 		return
 	}
-	final := peerapi.VoterSet{Now: e.set.Now}
+	final := wire.VoterSet{Now: e.set.Now}
 	e.propose(nil, &final, func(error) {})
 }
 
@@ -82,28 +82,28 @@
 		if outsider.isLeaving {
 			call := e.appendCall()
 			call.Prev, call.VotedOut = outsider.acked, true
-			e.links.Append(outsider.disk, call, func(peerapi.AppendAnswer, error) {})
+			e.links.Append(outsider.disk, call, func(wire.AppendAnswer, error) {})
 		}
 	}
 }
 
 // isLost tells whether a voter's machine came back with another disk, is leaving, or has not answered for long.
 // It only matters once there is a learner to take its place, so a voter that is merely slow is kept elsewhere.
-func (e *Engine) isLost(members []peerapi.Member, disk string) bool {
+func (e *Engine) isLost(members []wire.Member, disk string) bool {
 	if disk == e.disk {
 		return false
 	}
 	voter := e.follow(disk)
-	return isReplaced(members, disk) || voter.isLeaving || e.clock.Steady()-voter.lastContact > e.timing.LostAfter
+	return isReplaced(members, disk) || voter.isLeaving || e.clock.Monotonic()-voter.lastContact > e.timing.LostAfter
 }
 
-func isReplaced(members []peerapi.Member, disk string) bool {
-	return slices.ContainsFunc(members, func(member peerapi.Member) bool {
+func isReplaced(members []wire.Member, disk string) bool {
+	return slices.ContainsFunc(members, func(member wire.Member) bool {
 		return member.Disk != disk && slices.Contains(member.Past, disk)
 	})
 }
 
-func domainOf(members []peerapi.Member, disk string) string {
+func domainOf(members []wire.Member, disk string) string {
 	for _, member := range members {
 		if member.Disk == disk {
 			return member.Domain
@@ -113,14 +113,14 @@
 }
 
 // fitForVoting lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
-func (e *Engine) fitForVoting(members []peerapi.Member) []string {
+func (e *Engine) fitForVoting(members []wire.Member) []string {
 	var fit []string
 	for _, member := range members {
-		if member.Disk == "" || member.State != peerapi.StateAlive || slices.Contains(e.set.Now, member.Disk) {
+		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.set.Now, member.Disk) {
 			continue
 		}
 		learner := e.followers[member.Disk]
-		if learner != nil && (learner.isLeaving || e.clock.Steady()-learner.lastContact > e.timing.LostAfter) {
+		if learner != nil && (learner.isLeaving || e.clock.Monotonic()-learner.lastContact > e.timing.LostAfter) {
 			continue
 		}
 		fit = append(fit, member.Disk)
@@ -130,7 +130,7 @@
 
 // noteShortage says once an epoch that the losses to be borne ask for more disks than there are.
 func (e *Engine) noteShortage(disks int) {
-	now := e.clock.Steady()
+	now := e.clock.Monotonic()
 	if disks >= e.size {
 		e.shortSince = now
 		return
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // grown is a world of five voters out of six stewards, whose first voters are a, b and c.
@@ -41,7 +41,7 @@
 func (w *world) holdsAll(one *node) bool {
 	whole, _ := one.disk.Read(key)
 	for name := range w.acked {
-		if !slices.ContainsFunc(whole.Pairs, func(pair peerapi.Op) bool { return pair.Name == name }) {
+		if !slices.ContainsFunc(whole.Pairs, func(pair wire.Op) bool { return pair.Name == name }) {
 			return false
 		}
 	}
@@ -52,12 +52,12 @@
 	It("grow from three to five in one change and well under a second, while commits flow", func() {
 		w := newWorldBearing(2, 1, "a", "b", "c", "d", "e")
 		w.until(func() bool { return w.owner() != nil })
-		began := w.clock.Steady()
+		began := w.clock.Monotonic()
 		for len(w.voters()) < 5 {
 			w.write()
 			w.run(5 * time.Millisecond)
 			Expect(w.voters()).NotTo(HaveLen(4))
-			Expect(w.clock.Steady() - began).To(BeNumerically("<", 600*time.Millisecond))
+			Expect(w.clock.Monotonic() - began).To(BeNumerically("<", 600*time.Millisecond))
 		}
 		w.run(200 * time.Millisecond)
 		Expect(w.owner().disk.Shelf.Heads[key].Set.Old).To(BeEmpty())
@@ -187,8 +187,8 @@
 
 	It("are not the new ones alone before the old ones have agreed", func() {
 		w := newWorldBearing(2, 40, "a", "b", "c", "d", "e")
-		w.eats = func(to *node, call peerapi.AppendCall) bool {
-			isJoint := func(change peerapi.Change) bool { return change.Set != nil && len(change.Set.Old) > 0 }
+		w.eats = func(to *node, call wire.AppendCall) bool {
+			isJoint := func(change wire.Change) bool { return change.Set != nil && len(change.Set.Old) > 0 }
 			return slices.Contains(w.nodes[:3], to) && to.disk.name != call.Disk && slices.ContainsFunc(call.Changes, isJoint)
 		}
 		for range 600 {
@@ -254,7 +254,7 @@
 
 	It("never count a steward without a disk", func() {
 		w := newWorldBearing(2, 7, "a", "b", "c", "d", "e")
-		w.diskless = []peerapi.Member{{Name: "x", Role: "steward", Domain: "far"}, {Name: "y", Role: "steward", Domain: "off"}}
+		w.diskless = []wire.Member{{Name: "x", Role: "steward", Domain: "far"}, {Name: "y", Role: "steward", Domain: "off"}}
 		w.until(func() bool { return w.owner() != nil })
 		w.run(600 * time.Millisecond)
 		Expect(w.voters()).To(ConsistOf("disk-a", "disk-b", "disk-c", "disk-d", "disk-e"))
@@ -293,7 +293,7 @@
 			return !slices.Contains(w.voters(), victim.disk.name)
 		})
 		victim.isFrozen = false
-		var last [2]peerapi.LogPosition
+		var last [2]wire.LogPosition
 		for place := range last {
 			for range 100 {
 				w.write()
@@ -317,7 +317,7 @@
 		w.write()
 		w.run(500 * time.Millisecond)
 		Expect(isVoter(victim)).To(BeTrue())
-		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(peerapi.LogPosition{}))
+		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(wire.LogPosition{}))
 	})
 
 	It("keep a lost one while there is none to take its place", func() {
@@ -369,8 +369,8 @@
 
 // until lets time pass until something is so.
 func (w *world) until(isSo func() bool) {
-	for end := w.clock.Steady() + 5*time.Second; !isSo(); w.step() {
-		Expect(w.clock.Steady()).To(BeNumerically("<", end))
+	for end := w.clock.Monotonic() + 5*time.Second; !isSo(); w.step() {
+		Expect(w.clock.Monotonic()).To(BeNumerically("<", end))
 	}
 }
 
--- a/internal/control/replication/voterset.go
+++ b/internal/control/replication/voterset.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 func isMajority(voters []string, has func(disk string) bool) bool {
@@ -17,11 +17,11 @@
 }
 
 // Agreed tells whether the disks are a majority of the set, and of the old set while that still counts.
-func Agreed(set peerapi.VoterSet, has func(disk string) bool) bool {
+func Agreed(set wire.VoterSet, has func(disk string) bool) bool {
 	return len(set.Now) > 0 && isMajority(set.Now, has) && (len(set.Old) == 0 || isMajority(set.Old, has))
 }
 
-func disksOf(set peerapi.VoterSet) []string {
+func disksOf(set wire.VoterSet) []string {
 	all := slices.Clone(set.Now)
 	for _, disk := range set.Old {
 		if !slices.Contains(all, disk) {
--- a/internal/control/replication/world_test.go
+++ b/internal/control/replication/world_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
@@ -99,7 +99,7 @@
 	held   map[string]string
 }
 
-func (m *machine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
+func (m *machine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
 	m.tenure, m.held = tenure, map[string]string{}
 	for _, pair := range pairs {
 		m.held[pair.Name] = string(pair.Value)
@@ -118,8 +118,8 @@
 	perMille int64
 }
 
-func (c *nodeClock) Steady() time.Duration {
-	return c.Fake.Steady() * time.Duration(1000+c.perMille) / 1000
+func (c *nodeClock) Monotonic() time.Duration {
+	return c.Fake.Monotonic() * time.Duration(1000+c.perMille) / 1000
 }
 
 func (c *nodeClock) WallMs() int64 { return c.Fake.WallMs() + c.jump }
@@ -183,8 +183,8 @@
 	pieces        []int
 	chunks        []int
 	bulk          int
-	eats          func(to *node, call peerapi.AppendCall) bool
-	diskless      []peerapi.Member
+	eats          func(to *node, call wire.AppendCall) bool
+	diskless      []wire.Member
 }
 
 const key = "pool/wards"
@@ -231,20 +231,20 @@
 
 func (n *node) wipe(name string) {
 	n.kill()
-	n.world.wipedAt = n.world.clock.Steady()
+	n.world.wipedAt = n.world.clock.Monotonic()
 	n.past = append(n.past, n.disk.name)
 	n.disk = newDisk(name)
 	n.start()
 }
 
-func (w *world) members() []peerapi.Member {
+func (w *world) members() []wire.Member {
 	all := slices.Clone(w.diskless)
 	for _, one := range w.nodes {
-		state := peerapi.StateAlive
+		state := wire.StateAlive
 		if !one.isUp {
-			state = peerapi.StateGone
+			state = wire.StateGone
 		}
-		all = append(all, peerapi.Member{Name: one.name, Role: "steward", Domain: one.domain, Disk: one.disk.name, State: state, Past: one.past})
+		all = append(all, wire.Member{Name: one.name, Role: "steward", Domain: one.domain, Disk: one.disk.name, State: state, Past: one.past})
 	}
 	return all
 }
@@ -272,7 +272,7 @@
 }
 
 func (w *world) post(wait time.Duration, run func()) {
-	w.letters = append(w.letters, letter{w.clock.Steady() + wait, run})
+	w.letters = append(w.letters, letter{w.clock.Monotonic() + wait, run})
 }
 
 func (w *world) transit() time.Duration {
@@ -294,27 +294,27 @@
 	if bytes < smallMessage {
 		return time.Duration(bytes/w.bytesPerMs) * time.Millisecond
 	}
-	now := w.clock.Steady()
+	now := w.clock.Monotonic()
 	free := max(now, w.sentUntil[from.name]) + time.Duration(bytes/w.bytesPerMs)*time.Millisecond
 	w.sentUntil[from.name] = free
 	return free - now
 }
 
-func sizeOfChanges(changes []peerapi.Change) (size int) {
+func sizeOfChanges(changes []wire.Change) (size int) {
 	for _, change := range changes {
 		size += 64 + sizeOfOps(change.Ops)
 	}
 	return size
 }
 
-func sizeOfOps(ops []peerapi.Op) (size int) {
+func sizeOfOps(ops []wire.Op) (size int) {
 	for _, op := range ops {
 		size += len(op.Name) + len(op.Value) + 16
 	}
 	return size
 }
 
-func sizeOfAppend(call peerapi.AppendCall) int {
+func sizeOfAppend(call wire.AppendCall) int {
 	size := 128 + sizeOfChanges(call.Changes)
 	if call.Snapshot != nil {
 		size += sizeOfOps(call.Snapshot.Pairs)
@@ -325,7 +325,7 @@
 	return size
 }
 
-func sizeOfFetched(answer peerapi.FetchAnswer) int {
+func sizeOfFetched(answer wire.FetchAnswer) int {
 	size := 128 + sizeOfChanges(answer.Changes) + sizeOfOps(answer.Snapshot.Pairs)
 	if answer.Chunk != nil {
 		size += sizeOfOps(answer.Chunk.Pairs)
@@ -375,7 +375,7 @@
 
 // onEngine runs something on the goroutine of the node's engine, once that is free.
 func (n *node) onEngine(run func()) {
-	if wait := n.busyUntil - n.world.clock.Steady(); wait > 0 {
+	if wait := n.busyUntil - n.world.clock.Monotonic(); wait > 0 {
 		n.world.post(wait, func() { n.onEngine(run) })
 		return
 	}
@@ -397,15 +397,15 @@
 	life int
 }
 
-func (r *road) Promise(disk string, call peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
+func (r *road) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if call.PreVote {
 		r.node.world.trials++
 	}
 	to := r.node.world.route(disk)
-	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(peerapi.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
+	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
 }
 
-func (r *road) Append(disk string, call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (r *road) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if call.Snapshot != nil && disk != r.node.disk.name {
 		r.node.world.wholes++
 	}
@@ -420,9 +420,9 @@
 		call.Chunk = nil
 	}
 	r.node.world.appends++
-	sizeBack := func(peerapi.AppendAnswer) int { return 128 }
-	carrySized(r.node.world, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(peerapi.AppendAnswer)) {
-		to.replicas.Append(call, func(told peerapi.AppendAnswer) {
+	sizeBack := func(wire.AppendAnswer) int { return 128 }
+	carrySized(r.node.world, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(wire.AppendAnswer)) {
+		to.replicas.Append(call, func(told wire.AppendAnswer) {
 			if !to.isOld && to != r.node {
 				told.DelayUs = max(1, to.late.Microseconds())
 			}
@@ -431,22 +431,22 @@
 	}, done)
 }
 
-func (r *road) InstallLocal(call peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (r *road) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if call.Snapshot != nil {
 		r.node.world.fetched++
 	}
 	r.Append(r.node.disk.name, call, done)
 }
 
-func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
+func (r *road) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	to := r.node.world.route(disk)
 	if r.node.world.silentFetches {
 		to = nil
 	}
-	carrySized(r.node.world, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(peerapi.FetchAnswer)) {
+	carrySized(r.node.world, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(wire.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			if to.isOld {
-				whole, _ = to.replicas.Fetch(replication.History{}, peerapi.FetchCall{Key: ask.Key})
+				whole, _ = to.replicas.Fetch(replication.History{}, wire.FetchCall{Key: ask.Key})
 			}
 			if whole.Chunk != nil {
 				r.node.world.chunks = append(r.node.world.chunks, whole.Chunk.Number)
@@ -464,7 +464,7 @@
 	done(r.node.replicas.History(key))
 }
 
-func (r *road) ReadLocal(key string, done func(peerapi.Snapshot, error)) {
+func (r *road) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	life := r.node.life
 	snapshot, err := r.node.disk.Read(key)
 	r.node.world.post(r.node.readTime, func() {
@@ -490,13 +490,13 @@
 }
 
 func (w *world) problem(format string, values ...any) {
-	w.problems = append(w.problems, fmt.Sprintf("%v: ", w.clock.Steady())+fmt.Sprintf(format, values...))
+	w.problems = append(w.problems, fmt.Sprintf("%v: ", w.clock.Monotonic())+fmt.Sprintf(format, values...))
 }
 
 // step lets one millisecond pass.
 func (w *world) step() {
 	w.clock.Advance(time.Millisecond)
-	now := w.clock.Steady()
+	now := w.clock.Monotonic()
 	due := w.letters
 	w.letters = nil
 	for _, one := range due {
@@ -545,7 +545,7 @@
 func (w *world) checkVouched(leader *node) {
 	refuses := func(disk string) bool {
 		voter := w.byDisk(disk)
-		return voter == nil || !voter.isUp || voter.clock.Steady() < voter.replicas.Status(key).LeaseEnd
+		return voter == nil || !voter.isUp || voter.clock.Monotonic() < voter.replicas.Status(key).LeaseEnd
 	}
 	if set := leader.engine.Belief().Set; !replication.Agreed(set, refuses) {
 		w.problem("%s counts on a lease that no majority of %v has granted", leader.name, set)
@@ -577,7 +577,7 @@
 		w.written++
 		name := fmt.Sprintf("n%d", w.written)
 		value := `"` + name + strings.Repeat("x", w.bulk) + `"`
-		one.machine.tenure.Commit([]peerapi.Op{{Name: name, Value: []byte(value)}}, func(err error) {
+		one.machine.tenure.Commit([]wire.Op{{Name: name, Value: []byte(value)}}, func(err error) {
 			if err == nil {
 				w.acked[name] = value
 				w.checkAcknowledged(one, name)
@@ -591,7 +591,7 @@
 func (w *world) checkAcknowledged(leader *node, name string) {
 	set := leader.engine.Belief().Set
 	holds := func(disk string) bool { one := w.byDisk(disk); return one != nil && one.holds(name) }
-	if w.clock.Steady()-w.wipedAt > 2*time.Second && !replication.Agreed(set, holds) {
+	if w.clock.Monotonic()-w.wipedAt > 2*time.Second && !replication.Agreed(set, holds) {
 		w.problem("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
 	}
 	for _, one := range w.nodes {
--- a/internal/control/storage/decide.go
+++ b/internal/control/storage/decide.go
@@ -1,13 +1,13 @@
 package storage
 
-import "gannetline/internal/cluster/peerapi"
+import "gannetline/internal/cluster/peerapi/wire"
 
 // PairUpdate is what a write does to the pairs of its key, in this order.
 type PairUpdate struct {
 	// Clear removes all pairs first.
 	Clear bool
 	// Ops puts each pair, or removes it where the value is empty.
-	Ops []peerapi.Op
+	Ops []wire.Op
 }
 
 // Decide works out whether a replica in this state takes a write, its state afterwards, and the update of its pairs.
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 	bolt "go.etcd.io/bbolt"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/storage"
 )
 
@@ -144,7 +144,7 @@
 		store, err := storage.Open(GinkgoT().TempDir(), storage.WithUpdate(update))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { store.Close() })
-		first := storage.Write{Key: "k", Epoch: 1, Changes: []peerapi.Change{change(1, 1, "a", "1")}}
+		first := storage.Write{Key: "k", Epoch: 1, Changes: []wire.Change{change(1, 1, "a", "1")}}
 
 		By("a transaction that is in the file though its sync failed")
 		failures = 1
@@ -158,7 +158,7 @@
 		By("one that is not, with a second failure while the first is looked into")
 		isWritten = false
 		failures = 2
-		second := storage.Write{Key: "k", Epoch: 1, Prev: at(1, 1), Changes: []peerapi.Change{change(1, 2, "b", "2")}}
+		second := storage.Write{Key: "k", Epoch: 1, Prev: at(1, 1), Changes: []wire.Change{change(1, 2, "b", "2")}}
 		Expect(write(store, second).Err).To(HaveOccurred())
 		Expect(write(store, second).Err).To(HaveOccurred())
 		Expect(write(store, second).Taken).To(BeTrue())
--- a/internal/control/storage/metrics.go
+++ b/internal/control/storage/metrics.go
@@ -1,7 +1,7 @@
 package storage
 
 import (
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/metrics"
 )
 
@@ -25,7 +25,7 @@
 	return all
 }
 
-func sizeOf(ops []peerapi.Op) int {
+func sizeOf(ops []wire.Op) int {
 	var all int
 	for _, op := range ops {
 		all += len(op.Name) + len(op.Value)
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -12,7 +12,7 @@
 	"github.com/mailru/easyjson"
 	bolt "go.etcd.io/bbolt"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 )
 
@@ -31,9 +31,9 @@
 type Write struct {
 	Key      string
 	Epoch    uint64
-	Prev     peerapi.LogPosition
-	Changes  []peerapi.Change
-	Snapshot *peerapi.Snapshot
+	Prev     wire.LogPosition
+	Changes  []wire.Change
+	Snapshot *wire.Snapshot
 	Promise  bool
 }
 
@@ -58,7 +58,7 @@
 	jobs chan job
 	over chan struct{}
 
-	clock clock.Pulse
+	clock clock.Clock
 	files Files
 	// update runs a transaction of the file.
 	update func(func(tx *bolt.Tx) error) error
@@ -75,7 +75,7 @@
 // Open makes the folder's file if there is none, and names the disk at random then. When it returns, the file, its
 // folder and all folders that were made for it outlast a loss of power. Errors name the step and the folder.
 func Open(folder string, options ...Option) (*Store, error) {
-	store := &Store{jobs: make(chan job, 4096), over: make(chan struct{}), clock: clock.Real(), files: osFiles{}}
+	store := &Store{jobs: make(chan job, 4096), over: make(chan struct{}), clock: clock.System(), files: osFiles{}}
 	for _, option := range options {
 		option(store)
 	}
@@ -178,7 +178,7 @@
 
 func (s *Store) commit(batch []job) {
 	outcomes := make([]Outcome, len(batch))
-	began := s.clock.Steady()
+	began := s.clock.Monotonic()
 	var pages bolt.TxStats
 	err := s.settle()
 	if err == nil {
@@ -188,7 +188,7 @@
 		})
 	}
 	s.isUnclear = err != nil
-	commitSeconds.Observe(s.clock.Steady() - began)
+	commitSeconds.Observe(s.clock.Monotonic() - began)
 	transactions.Inc()
 	writes.Add(len(batch))
 	recordBytesTotal.Add(takenBytes(batch, outcomes))
@@ -271,7 +271,7 @@
 	return putAll(pairs, update.Ops)
 }
 
-func putAll(pairs *bolt.Bucket, ops []peerapi.Op) error {
+func putAll(pairs *bolt.Bucket, ops []wire.Op) error {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
 			if err := pairs.Delete([]byte(op.Name)); err != nil {
@@ -312,8 +312,8 @@
 }
 
 // Read gives the whole state of a key as it is on the disk.
-func (s *Store) Read(key string) (peerapi.Snapshot, error) {
-	var whole peerapi.Snapshot
+func (s *Store) Read(key string) (wire.Snapshot, error) {
+	var whole wire.Snapshot
 	err := s.db.View(func(tx *bolt.Tx) error {
 		head, err := readHead(tx.Bucket(bucketHeads), key)
 		if err != nil {
@@ -325,7 +325,7 @@
 			return nil
 		}
 		return pairs.ForEach(func(name, value []byte) error {
-			whole.Pairs = append(whole.Pairs, peerapi.Op{Name: string(name), Value: bytes.Clone(value)})
+			whole.Pairs = append(whole.Pairs, wire.Op{Name: string(name), Value: bytes.Clone(value)})
 			return nil
 		})
 	})
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/metrics"
 )
@@ -18,12 +18,12 @@
 	return <-heard
 }
 
-func at(epoch, step uint64) peerapi.LogPosition {
-	return peerapi.LogPosition{Epoch: epoch, Index: step}
+func at(epoch, step uint64) wire.LogPosition {
+	return wire.LogPosition{Epoch: epoch, Index: step}
 }
 
-func change(epoch, step uint64, name, value string) peerapi.Change {
-	return peerapi.Change{Position: at(epoch, step), Ops: []peerapi.Op{{Name: name, Value: []byte(value)}}}
+func change(epoch, step uint64, name, value string) wire.Change {
+	return wire.Change{Position: at(epoch, step), Ops: []wire.Op{{Name: name, Value: []byte(value)}}}
 }
 
 var _ = Describe("the store", func() {
@@ -41,7 +41,7 @@
 		Expect(store.Bare()).To(BeTrue())
 		disk := store.Disk()
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeTrue())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []peerapi.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []wire.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
 		Expect(store.Close()).To(Succeed())
 		again, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
@@ -57,15 +57,15 @@
 	It("refuses an old epoch, a second promise of one, and a change that does not follow on", func() {
 		write(store, storage.Write{Key: "k", Epoch: 3, Promise: true})
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeFalse())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Changes: []peerapi.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []peerapi.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Changes: []wire.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []wire.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
 	})
 
 	It("takes a snapshot for all it had, and forgets what is deleted", func() {
-		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []peerapi.Change{change(1, 1, "old", "1")}})
-		snapshot := &peerapi.Snapshot{Last: at(2, 9), Pairs: []peerapi.Op{{Name: "new", Value: []byte("2")}}}
+		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []wire.Change{change(1, 1, "old", "1")}})
+		snapshot := &wire.Snapshot{Last: at(2, 9), Pairs: []wire.Op{{Name: "new", Value: []byte("2")}}}
 		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot}).Taken).To(BeTrue())
-		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []peerapi.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
+		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []wire.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
 		whole, _ := store.Read("k")
 		Expect(whole.Pairs).To(BeEmpty())
 		Expect(whole.Last).To(Equal(at(2, 10)))
@@ -73,9 +73,9 @@
 
 	It("counts its transactions, writes and bytes", func() {
 		before := metrics.Own()
-		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []peerapi.Change{change(1, 1, "name", "value")}})
-		write(store, storage.Write{Key: "k", Epoch: 0, Changes: []peerapi.Change{change(0, 2, "old", "value")}})
-		snapshot := &peerapi.Snapshot{Last: at(2, 9), Pairs: []peerapi.Op{{Name: "a", Value: []byte("2")}}}
+		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []wire.Change{change(1, 1, "name", "value")}})
+		write(store, storage.Write{Key: "k", Epoch: 0, Changes: []wire.Change{change(0, 2, "old", "value")}})
+		snapshot := &wire.Snapshot{Last: at(2, 9), Pairs: []wire.Op{{Name: "a", Value: []byte("2")}}}
 		write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot})
 		own := metrics.Own()
 		since := func(name string) float64 { return own["gannetline_store_"+name] - before["gannetline_store_"+name] }
@@ -97,12 +97,12 @@
 var _ = Describe("a snapshot", func() {
 	It("never lowers a replica, whatever its epoch", func() {
 		held := storage.ReplicaState{Promised: 3, Last: at(2, 9)}
-		for _, last := range []peerapi.LogPosition{at(2, 8), at(1, 20), {}} {
-			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &peerapi.Snapshot{Last: last}})
+		for _, last := range []wire.LogPosition{at(2, 8), at(1, 20), {}} {
+			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
 			Expect(outcome).To(Equal(storage.Outcome{Head: held}))
 		}
-		for _, last := range []peerapi.LogPosition{at(2, 9), at(3, 1)} {
-			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &peerapi.Snapshot{Last: last}})
+		for _, last := range []wire.LogPosition{at(2, 9), at(3, 1)} {
+			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
 			Expect(outcome.Head).To(Equal(storage.ReplicaState{Promised: 4, Last: last}))
 		}
 	})
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -2,6 +2,7 @@
 package clientapi
 
 import (
+	"context"
 	"encoding/json"
 	"io"
 	"net/http"
@@ -12,12 +13,11 @@
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/cluster/leaderclient"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/headerrules"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/response"
 	"gannetline/internal/scheduling/jobs"
-	"gannetline/internal/span"
 )
 
 const (
@@ -28,7 +28,7 @@
 // Decision is what should become of a call: refused at once, or asked of a key's owner.
 type Decision struct {
 	Refusal response.Reply
-	Call    *peerapi.ClientCall
+	Call    *wire.ClientCall
 	Former  []string
 	Limit   time.Duration
 }
@@ -51,7 +51,7 @@
 	if limit > 4*answerGap {
 		limit -= answerGap
 	}
-	call := &peerapi.ClientCall{Key: "pool/" + entry.Service, Entry: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
+	call := &wire.ClientCall{Key: "pool/" + entry.Service, Entry: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
 	decision := Decision{Call: call, Former: page.Moved(entry.Name), Limit: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
@@ -78,7 +78,7 @@
 			return refuse(http.StatusBadRequest, "the job can't be read: no whole JSON")
 		}
 		call.Verb, call.Body = verbHandIn, body
-		call.Terms = &peerapi.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
+		call.Terms = &wire.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
 	default:
 		return refuse(http.StatusMethodNotAllowed, "a job is handed in by POST, asked for by GET, cancelled by DELETE")
 	}
@@ -89,21 +89,21 @@
 type Gate struct {
 	page  func() *configcache.Snapshot
 	asker *leaderclient.Asker
-	clock clock.Pulse
+	clock clock.Clock
 }
 
 // New makes a gate that decides by the newest configuration and asks the leaders of the pools.
-func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock clock.Pulse) *Gate {
+func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock clock.Clock) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
 // ServeHTTP answers one request of a client.
 func (g *Gate) ServeHTTP(to http.ResponseWriter, request *http.Request) {
-	began := g.clock.Steady()
+	began := g.clock.Monotonic()
 	verb, answer := g.answer(to, request, began)
 	answer.Write(to)
 	calls.With(verb, strconv.Itoa(answer.Status)).Inc()
-	callSeconds.With(verb).Observe(g.clock.Steady() - began)
+	callSeconds.With(verb).Observe(g.clock.Monotonic() - began)
 }
 
 // The verbs of calls to pools, and the one under which refusals are counted.
@@ -135,23 +135,23 @@
 	if decision.Call == nil {
 		return verbRefused, decision.Refusal
 	}
-	decision.Limit -= g.clock.Steady() - began
+	decision.Limit -= g.clock.Monotonic() - began
 	return decision.Call.Verb, g.ask(request.Context(), decision)
 }
 
 // ask spends the time of the decision on all pools that it has to ask.
-func (g *Gate) ask(life span.Span, decision Decision) response.Reply {
-	end := g.clock.Steady() + decision.Limit
+func (g *Gate) ask(ctx context.Context, decision Decision) response.Reply {
+	end := g.clock.Monotonic() + decision.Limit
 	if decision.Call.Verb == verbHandIn {
-		return g.handIn(life, decision, end)
+		return g.handIn(ctx, decision, end)
 	}
-	return g.find(life, decision, end)
+	return g.find(ctx, decision, end)
 }
 
 // handIn hands a job in, unless a pool that its queue was sent to before has it or does not answer.
-func (g *Gate) handIn(life span.Span, decision Decision, end time.Duration) response.Reply {
+func (g *Gate) handIn(ctx context.Context, decision Decision, end time.Duration) response.Reply {
 	for _, service := range decision.Former {
-		call, outcome := g.renounce(life, decision.Call, service, end)
+		call, outcome := g.renounce(ctx, decision.Call, service, end)
 		switch {
 		case outcome.Answer == nil:
 			return response.Later(http.StatusServiceUnavailable, 1, "the queue's former owner does not answer")
@@ -159,36 +159,36 @@
 			return ReplyOf(call, outcome)
 		}
 	}
-	outcome := g.asker.Ask(life, decision.Call, end-g.clock.Steady())
+	outcome := g.asker.Ask(ctx, decision.Call, end-g.clock.Monotonic())
 	return ReplyOf(decision.Call, outcome)
 }
 
 // renounce has a former pool of a queue promise not to take the job itself, as an earlier try may still be on its way
 // there. A leader of an older version can only be asked whether it has the job.
-func (g *Gate) renounce(life span.Span, handIn *peerapi.ClientCall, service string, end time.Duration) (*peerapi.ClientCall, leaderclient.Outcome) {
+func (g *Gate) renounce(ctx context.Context, handIn *wire.ClientCall, service string, end time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
 	call := formerCall(handIn, service, verbRenounce)
-	outcome := g.asker.Ask(life, call, (end-g.clock.Steady())/2)
+	outcome := g.asker.Ask(ctx, call, (end-g.clock.Monotonic())/2)
 	if outcome.Answer != nil && outcome.Answer.Status == http.StatusBadRequest {
 		call = formerCall(handIn, service, verbState)
-		outcome = g.asker.Ask(life, call, (end-g.clock.Steady())/2)
+		outcome = g.asker.Ask(ctx, call, (end-g.clock.Monotonic())/2)
 	}
 	return call, outcome
 }
 
 // find asks the pool of the queue for a job, and then those that the queue was sent to before. A pool that does not
 // answer leaves the jobs of the others alone; only a job that no pool knows is gone.
-func (g *Gate) find(life span.Span, decision Decision, end time.Duration) response.Reply {
-	calls := []*peerapi.ClientCall{decision.Call}
+func (g *Gate) find(ctx context.Context, decision Decision, end time.Duration) response.Reply {
+	calls := []*wire.ClientCall{decision.Call}
 	for _, service := range decision.Former {
 		calls = append(calls, formerCall(decision.Call, service, decision.Call.Verb))
 	}
 	var gone, unanswered response.Reply
 	for place, call := range calls {
-		limit := end - g.clock.Steady()
+		limit := end - g.clock.Monotonic()
 		if isLast := place == len(calls)-1; !isLast {
 			limit /= 2
 		}
-		outcome := g.asker.Ask(life, call, limit)
+		outcome := g.asker.Ask(ctx, call, limit)
 		switch {
 		case outcome.Answer == nil:
 			unanswered = ReplyOf(call, outcome)
@@ -205,14 +205,14 @@
 }
 
 // formerCall asks something about the job of a call of a pool that the queue was sent to before.
-func formerCall(call *peerapi.ClientCall, service, verb string) *peerapi.ClientCall {
+func formerCall(call *wire.ClientCall, service, verb string) *wire.ClientCall {
 	former := *call
 	former.Key, former.Verb, former.Body, former.Terms = "pool/"+service, verb, nil, nil
 	return &former
 }
 
 // ReplyOf is what a client is told of an outcome. A hand-in is only refused if no steward can have taken it.
-func ReplyOf(call *peerapi.ClientCall, outcome leaderclient.Outcome) response.Reply {
+func ReplyOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil && outcome.MaySee && call.Verb == verbHandIn:
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -1,6 +1,7 @@
 package clientapi_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"time"
@@ -13,10 +14,10 @@
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/clientapi"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 const body = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s","priority":2,"max-attempts":4}],"service-list":[{"name":"s"}]}`
@@ -24,7 +25,7 @@
 func page() *configcache.Snapshot {
 	plan, err := configuration.Read([]byte(body))
 	Expect(err).NotTo(HaveOccurred())
-	return &configcache.Snapshot{Fact: &peerapi.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
+	return &configcache.Snapshot{Fact: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
 }
 
 func request(method, path string) *http.Request {
@@ -72,9 +73,9 @@
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
 			one := request("GET", path)
-			life, end := span.Cancellable(span.Root())
+			ctx, end := context.WithCancel(context.Background())
 			end()
-			gate.ServeHTTP(httptest.NewRecorder(), one.WithContext(life))
+			gate.ServeHTTP(httptest.NewRecorder(), one.WithContext(ctx))
 		}
 		own := metrics.Own()
 		for _, name := range []string{`calls_total{verb="refused",status="404"}`, `calls_total{verb="state",status="503"}`,
@@ -84,13 +85,13 @@
 	})
 
 	DescribeTable("refuses a hand-in only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
-		Expect(clientapi.ReplyOf(&peerapi.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
+		Expect(clientapi.ReplyOf(&wire.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
 	},
 		Entry("nobody was reached", leaderclient.Outcome{}, 503),
 		Entry("the first try was not answered", leaderclient.Outcome{MaySee: true}, 504),
 		Entry("the first try was not answered, a later one was turned away",
-			leaderclient.Outcome{MaySee: true, Answer: &peerapi.ClientAnswer{Status: 429, Why: "full"}}, 504),
-		Entry("all were turned away", leaderclient.Outcome{Answer: &peerapi.ClientAnswer{Status: 429, Why: "full"}}, 429),
+			leaderclient.Outcome{MaySee: true, Answer: &wire.ClientAnswer{Status: 429, Why: "full"}}, 504),
+		Entry("all were turned away", leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Why: "full"}}, 429),
 	)
 
 	It("refuses a strange count of time, and answers 503 while there is no plan", func() {
--- a/internal/gate/clientapi/leaving_test.go
+++ b/internal/gate/clientapi/leaving_test.go
@@ -1,6 +1,7 @@
 package clientapi_test
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -13,9 +14,9 @@
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/clientapi"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // silentPeer takes calls and answers none; it reports each.
@@ -49,20 +50,20 @@
 }
 
 var _ = Describe("a gate whose calls are ended", func() {
-	view := &membership.View{Stewards: []peerapi.Member{{Name: "a", Role: membership.RoleSteward, Address: "10.0.0.1:1", Disk: "d"}}}
+	view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: membership.RoleSteward, Address: "10.0.0.1:1", Disk: "d"}}}
 
 	DescribeTable("says what is known of a call that a steward may have taken", func(method string, status int) {
 		clock, peer := clock.NewFake(0), silentPeer{make(chan struct{})}
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, func() *membership.View { return view })
 		gate := clientapi.New(page, asker, clock)
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		go func() {
 			<-peer.asked
 			end()
 		}()
 		answer := httptest.NewRecorder()
 		one := httptest.NewRequest(method, "http://h.example/q/"+id, strings.NewReader("{}"))
-		gate.ServeHTTP(answer, one.WithContext(life))
+		gate.ServeHTTP(answer, one.WithContext(ctx))
 		Expect(answer.Code).To(Equal(status))
 	},
 		Entry("a hand-in may run, and comes again", http.MethodPost, 504),
@@ -73,11 +74,11 @@
 	It("refuses a hand-in that nobody was asked about", func() {
 		clock := clock.NewFake(0)
 		asker := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		end()
 		one := httptest.NewRequest(http.MethodPost, "http://h.example/q/"+id, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(page, asker, clock).ServeHTTP(answer, one.WithContext(life))
+		clientapi.New(page, asker, clock).ServeHTTP(answer, one.WithContext(ctx))
 		Expect(answer.Code).To(Equal(503))
 		Expect(answer.Header().Get("Retry-After")).NotTo(BeEmpty())
 	})
@@ -93,6 +94,6 @@
 		answer := httptest.NewRecorder()
 		clientapi.New(page, asker, clock).ServeHTTP(answer, one)
 		Expect(answer.Code).To(Equal(503))
-		Expect(clock.Steady()).To(BeNumerically("<=", 700*time.Millisecond))
+		Expect(clock.Monotonic()).To(BeNumerically("<=", 700*time.Millisecond))
 	})
 })
--- a/internal/gate/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -1,6 +1,7 @@
 package clientapi_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -14,9 +15,9 @@
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/clientapi"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // scriptedLeaders carry calls to the leaders of two pools; one that is silent takes all the time that a try has.
@@ -53,32 +54,32 @@
 		leaders := &scriptedLeaders{clock: fakeClock.Fake, muxes: map[string]*http.ServeMux{}, silent: silent}
 		lead := func(steward, key string) {
 			leaders.muxes[steward] = http.NewServeMux()
-			peerapi.Serve(leaders.muxes[steward], peerapi.ProcedureClient, func(_ span.Span, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+			peerapi.Serve(leaders.muxes[steward], peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 				switch {
 				case call.Key != key:
-					return &peerapi.ClientAnswer{Elsewhere: true}, nil
+					return &wire.ClientAnswer{Elsewhere: true}, nil
 				case call.Verb == "hand-in":
 					leaders.handIns++
-					return &peerapi.ClientAnswer{Status: http.StatusOK}, nil
+					return &wire.ClientAnswer{Status: http.StatusOK}, nil
 				case call.Key == "pool/"+knowing:
-					return &peerapi.ClientAnswer{Status: http.StatusOK}, nil
+					return &wire.ClientAnswer{Status: http.StatusOK}, nil
 				}
-				return &peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"}, nil
+				return &wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"}, nil
 			})
 		}
 		lead(currentPool, "pool/s")
 		lead(formerPool, "pool/"+formerPool)
 		view := &membership.View{
-			Owners: map[string]peerapi.LeaderFact{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
-			Stewards: []peerapi.Member{{Name: currentPool, Role: membership.RoleSteward, Address: "current:1", Disk: "d"},
+			Owners: map[string]wire.LeaderFact{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
+			Stewards: []wire.Member{{Name: currentPool, Role: membership.RoleSteward, Address: "current:1", Disk: "d"},
 				{Name: formerPool, Role: membership.RoleSteward, Address: "former:1", Disk: "e"}}}
 		moved := page()
-		moved.Fact.Moved = []peerapi.MovedRoute{{Entry: "a", Services: []string{formerPool}}}
+		moved.Fact.Moved = []wire.MovedRoute{{Entry: "a", Services: []string{formerPool}}}
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
 		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
 		clientapi.New(func() *configcache.Snapshot { return moved }, asker, fakeClock).ServeHTTP(answer, one)
-		Expect(fakeClock.Steady()).To(BeNumerically("<=", patience), "the answer came after the time of the route")
+		Expect(fakeClock.Monotonic()).To(BeNumerically("<=", patience), "the answer came after the time of the route")
 		return answer.Code, leaders
 	}
 
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -1,6 +1,7 @@
 package clientapi_test
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -12,9 +13,9 @@
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/clientapi"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // directCalls serve calls to peers in the process itself.
@@ -30,17 +31,17 @@
 	DescribeTable("is taken only where the former pool will not take it any more", func(known map[string]int, status int, asked ...string) {
 		var verbs []string
 		mux := http.NewServeMux()
-		peerapi.Serve(mux, peerapi.ProcedureClient, func(_ span.Span, call *peerapi.ClientCall) (*peerapi.ClientAnswer, error) {
+		peerapi.Serve(mux, peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 			verbs = append(verbs, call.Key+" "+call.Verb)
 			if call.Key == "pool/s" {
-				return &peerapi.ClientAnswer{Status: http.StatusOK}, nil
+				return &wire.ClientAnswer{Status: http.StatusOK}, nil
 			}
-			return &peerapi.ClientAnswer{Status: known[call.Verb], Why: "told so"}, nil
+			return &wire.ClientAnswer{Status: known[call.Verb], Why: "told so"}, nil
 		})
-		view := &membership.View{Owners: map[string]peerapi.LeaderFact{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
-			Stewards: []peerapi.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
+		view := &membership.View{Owners: map[string]wire.LeaderFact{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
+			Stewards: []wire.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
 		moved := page()
-		moved.Fact = &peerapi.Configuration{Moved: []peerapi.MovedRoute{{Entry: "a", Services: []string{"former"}}}}
+		moved.Fact = &wire.Configuration{Moved: []wire.MovedRoute{{Entry: "a", Services: []string{"former"}}}}
 		clock := clock.NewFake(0)
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
 		answer := httptest.NewRecorder()
--- a/internal/node/executorapi/client.go
+++ b/internal/node/executorapi/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net/http"
 	"strconv"
@@ -10,8 +11,6 @@
 	"github.com/dghubble/sling"
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
-
-	"gannetline/internal/span"
 )
 
 // longestAnswer is in bytes.
@@ -30,8 +29,8 @@
 
 // Call posts a message to the executor, to the incarnation with this ID only, and gives the status and what it says. An
 // error means that nobody knows what was done; it names the path and the executor.
-func (c *Client) Call(life span.Span, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
-	status, answer, err := c.call(life, path, executor, limit, message)
+func (c *Client) Call(ctx context.Context, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
+	status, answer, err := c.call(ctx, path, executor, limit, message)
 	result := "error"
 	if err == nil {
 		result = strconv.Itoa(status)
@@ -40,7 +39,7 @@
 	return status, answer, err
 }
 
-func (c *Client) call(life span.Span, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
+func (c *Client) call(ctx context.Context, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
 	var answer Answer
 	body, err := easyjson.Marshal(message)
 	if err != nil {
@@ -52,9 +51,9 @@
 		return 0, answer, errors.Annotate(err, "making a call")
 	}
 	sentBytes.With(path).Add(len(body))
-	life, release := span.Within(life, limit)
+	ctx, release := context.WithTimeout(ctx, limit)
 	defer release()
-	response, err := c.http.Do(request.WithContext(life))
+	response, err := c.http.Do(request.WithContext(ctx))
 	if err != nil {
 		return 0, answer, errors.Annotatef(err, "%s at executor %s", path, executor)
 	}
--- a/internal/node/executorapi/executorapi_test.go
+++ b/internal/node/executorapi/executorapi_test.go
@@ -1,6 +1,7 @@
 package executorapi_test
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -13,7 +14,6 @@
 
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 var _ = Describe("what executors say", func() {
@@ -43,11 +43,11 @@
 			io.WriteString(to, "{}")
 		}))
 		client := executorapi.NewClient(http.DefaultClient, server.Listener.Addr().String())
-		status, _, err := client.Call(span.Root(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
+		status, _, err := client.Call(context.Background(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusConflict))
 		server.Close()
-		_, _, err = client.Call(span.Root(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
+		_, _, err = client.Call(context.Background(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
 		Expect(err).To(HaveOccurred())
 		own := metrics.Own()
 		Expect(own).To(HaveKeyWithValue(`gannetline_executor_calls_total{path="/v1/counted",result="409"}`, 1.0))
--- a/internal/node/executorapi/kept_test.go
+++ b/internal/node/executorapi/kept_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -15,7 +16,6 @@
 
 	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/node/executorapi"
-	"gannetline/internal/span"
 )
 
 // scriptedExecutor answers the calls that reach it, one script after the other, on connections that it keeps or breaks.
@@ -115,7 +115,7 @@
 	}
 	AfterEach(func() { executor.listener.Close() })
 	runStart := func() (int, executorapi.Answer, error) {
-		return client.Call(span.Root(), "/v1/run-start", "i-1", limit, start)
+		return client.Call(context.Background(), "/v1/run-start", "i-1", limit, start)
 	}
 
 	DescribeTable("is sent once, whatever becomes of the connection", func(fate func(net.Conn)) {
@@ -127,7 +127,7 @@
 		Expect(err).To(HaveOccurred())
 		Expect(peerapi.NeverSent(err)).To(BeFalse())
 		Consistently(executor.calls, limit, limit/6).Should(HaveLen(2))
-		_, _, err = client.Call(span.Root(), "/v1/run-stop", "i-1", limit, stop)
+		_, _, err = client.Call(context.Background(), "/v1/run-stop", "i-1", limit, stop)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(executor.calls()).To(HaveLen(3))
 		Expect(executor.calls()[2]).To(HavePrefix("/v1/run-stop"))
@@ -161,7 +161,7 @@
 	It("names the life that it is meant for, each time, and hears that another one is there", func() {
 		begin(says(200, "{}"), says(421, ""))
 		for _, life := range []string{"i-1", "i-2"} {
-			status, _, err := client.Call(span.Root(), "/v1/hold", life, limit, executorapi.Hold{Fence: 1})
+			status, _, err := client.Call(context.Background(), "/v1/hold", life, limit, executorapi.Hold{Fence: 1})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status).To(Equal(map[string]int{"i-1": 200, "i-2": 421}[life]))
 		}
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -6,7 +6,7 @@
 	"github.com/mailru/easyjson/jlexer"
 	"github.com/mailru/easyjson/jwriter"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
@@ -16,18 +16,18 @@
 //
 //easyjson:json
 type Beat struct {
-	Service   string           `json:"service"`
-	Address   string           `json:"address"`
-	Domain    string           `json:"zone"`
-	Version   string           `json:"config-version"`
-	Slots     int              `json:"slot-count"`
-	State     string           `json:"executor-state"`
-	ColdMs    int64            `json:"cold-remaining-ms"`
-	Room      peerapi.Capacity `json:"capacity"`
-	Labels    []string         `json:"labels"`
-	ClockMs   int64            `json:"clock-ms"`
-	DepartsMs int64            `json:"departure-ms"`
-	Sequence  int64            `json:"call-sequence"`
+	Service   string        `json:"service"`
+	Address   string        `json:"address"`
+	Domain    string        `json:"zone"`
+	Version   string        `json:"config-version"`
+	Slots     int           `json:"slot-count"`
+	State     string        `json:"executor-state"`
+	ColdMs    int64         `json:"cold-remaining-ms"`
+	Room      wire.Capacity `json:"capacity"`
+	Labels    []string      `json:"labels"`
+	ClockMs   int64         `json:"clock-ms"`
+	DepartsMs int64         `json:"departure-ms"`
+	Sequence  int64         `json:"call-sequence"`
 }
 
 // RunStart orders a run of a task. The executor refuses it below its highest fence, or once its own clock has passed
@@ -74,7 +74,7 @@
 }
 
 // RunningRow is [task, run, saved, percent].
-type RunningRow peerapi.RunReport
+type RunningRow wire.RunReport
 
 // UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
 func (r *RunningRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
@@ -108,7 +108,7 @@
 }
 
 // EndRow is [N, task, run, how, saved].
-type EndRow peerapi.EndReport
+type EndRow wire.EndReport
 
 // UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
 func (e *EndRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
--- a/internal/node/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -18,8 +18,8 @@
 	var table *localproxy.Table
 	var works int
 	nothing := func() {}
-	order := func(kind string, run int64) peerapi.Order {
-		return peerapi.Order{Kind: kind, Task: "t.0.0.0", Run: run}
+	order := func(kind string, run int64) wire.Order {
+		return wire.Order{Kind: kind, Task: "t.0.0.0", Run: run}
 	}
 	ready := func(kind string, run int64) (localproxy.OrderWork, bool) { return table.Ready("i-1", order(kind, run)) }
 	results := func() (all []string) {
@@ -38,7 +38,7 @@
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
 		table.Beat("i-1", &executorapi.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
-		table.Told(call, 0, &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
+		table.Told(call, 0, &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
 		work, _ := table.NextHold(false)
 		work.Look = 0
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
@@ -64,7 +64,7 @@
 		_, isDue = ready("launch", 2)
 		Expect(isDue).To(BeFalse())
 		call, _ := table.Compose(0)
-		Expect(clock.Ms(call.HoldAgeMs)).To(BeNumerically(">", time.Minute))
+		Expect(clock.Milliseconds(call.HoldAgeMs)).To(BeNumerically(">", time.Minute))
 	})
 
 	It("is spared stops and looks meanwhile; the holds go on, and show when it answers", func() {
--- a/internal/node/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -4,8 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/platform/clock"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -19,24 +18,24 @@
 
 // givenAnswer is the executor's answer to an order, until the leader has it.
 type givenAnswer struct {
-	peerapi.OrderAnswer
+	wire.OrderAnswer
 	at     time.Duration
 	isSent bool
 }
 
 // Compose makes the next exchange, which may wait at the leader for waitMs; Told takes the answer to it.
-func (t *Table) Compose(waitMs int64) (*peerapi.ExchangeCall, bool) {
+func (t *Table) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	current := t.current
 	if current == nil {
 		return nil, false
 	}
 	now := t.now()
-	call := &peerapi.ExchangeCall{Key: "pool/" + t.service, Life: current.id, Fence: current.fenceHeld,
-		WaitMs: t.pollWait(current, waitMs), HoldAgeMs: clock.InMs(t.holdAge(current)), Ends: slices.Clone(current.ends)}
+	call := &wire.ExchangeCall{Key: "pool/" + t.service, Life: current.id, Fence: current.fenceHeld,
+		WaitMs: t.pollWait(current, waitMs), HoldAgeMs: t.holdAge(current).Milliseconds(), Ends: slices.Clone(current.ends)}
 	current.feed.noteFacts(t.factsOf(current))
 	current.feed.write(call)
 	if current.departsAt > now {
-		call.DepartsMs = clock.InMs(current.departsAt - now)
+		call.DepartsMs = (current.departsAt - now).Milliseconds()
 	}
 	current.writeAnswers(call, now)
 	current.writeRuns(call, now)
@@ -56,17 +55,17 @@
 	return t.now() - executor.heldAt
 }
 
-func (i *incarnation) writeAnswers(call *peerapi.ExchangeCall, now time.Duration) {
+func (i *incarnation) writeAnswers(call *wire.ExchangeCall, now time.Duration) {
 	for place := range i.answers {
 		given := &i.answers[place]
-		given.AgeMs, given.isSent = clock.InMs(now-given.at), true
+		given.AgeMs, given.isSent = (now - given.at).Milliseconds(), true
 		call.Answers = append(call.Answers, given.OrderAnswer)
 	}
 }
 
 // writeRuns adds the complete list of runs that the leader waits for, or now and then the running ones where it holds
 // no numbered news.
-func (i *incarnation) writeRuns(call *peerapi.ExchangeCall, now time.Duration) {
+func (i *incarnation) writeRuns(call *wire.ExchangeCall, now time.Duration) {
 	if i.listTaken > i.listReported {
 		call.Look, call.Running = i.listTaken, i.listedRuns
 	} else if i.feed.acknowledged == 0 && now-i.runningSentAt > runningEvery {
@@ -84,7 +83,7 @@
 
 // Told takes the leader's answer and gives the orders that are to be carried out. askedAt is when the exchange was
 // sent, on the steady clock: a grant counts from then.
-func (t *Table) Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order {
+func (t *Table) Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
 	current := t.currentIs(call.Life)
 	if current == nil || answer.Fence < current.fence {
 		return nil
@@ -117,7 +116,7 @@
 }
 
 // noteDelivered drops the answers that the leader has taken, and notes the list of runs that it has.
-func (i *incarnation) noteDelivered(call *peerapi.ExchangeCall, fence uint64) {
+func (i *incarnation) noteDelivered(call *wire.ExchangeCall, fence uint64) {
 	if len(call.Answers) > 0 {
 		i.answers = slices.DeleteFunc(i.answers, func(given givenAnswer) bool { return given.isIn(call.Answers) })
 	}
@@ -132,7 +131,7 @@
 	if len(current.ends) == 0 {
 		return
 	}
-	current.ends = slices.DeleteFunc(current.ends, func(end peerapi.EndReport) bool { return end.Number <= current.lastSeen })
+	current.ends = slices.DeleteFunc(current.ends, func(end wire.EndReport) bool { return end.Number <= current.lastSeen })
 	if len(current.ends) == 0 {
 		t.onAck()
 	}
@@ -143,8 +142,8 @@
 	return t.current != nil && slices.ContainsFunc(t.current.answers, func(given givenAnswer) bool { return !given.isSent })
 }
 
-func (g givenAnswer) isIn(sent []peerapi.OrderAnswer) bool {
-	return slices.ContainsFunc(sent, func(answer peerapi.OrderAnswer) bool {
+func (g givenAnswer) isIn(sent []wire.OrderAnswer) bool {
+	return slices.ContainsFunc(sent, func(answer wire.OrderAnswer) bool {
 		return answer.Task == g.Task && answer.Run == g.Run && answer.Kind == g.Kind && answer.Result == g.Result
 	})
 }
--- a/internal/node/localproxy/executorclock.go
+++ b/internal/node/localproxy/executorclock.go
@@ -2,8 +2,6 @@
 
 import (
 	"time"
-
-	"gannetline/internal/platform/clock"
 )
 
 // The executor's clock may be 2% slow or fast: a share of 100 of the time passed that it shows at least, and at most.
@@ -23,9 +21,9 @@
 func (s clockSample) clockAt(moment time.Duration) int64 {
 	apart := moment - s.readAt
 	if apart >= 0 {
-		return s.executorMs + clock.InMs(apart*slowestClock/100)
+		return s.executorMs + (apart * slowestClock / 100).Milliseconds()
 	}
-	return s.executorMs + clock.InMs(apart*fastestClock/100)
+	return s.executorMs + (apart * fastestClock / 100).Milliseconds()
 }
 
 func (t *Table) sample(from *incarnation, executorMs int64) {
--- a/internal/node/localproxy/farewell_test.go
+++ b/internal/node/localproxy/farewell_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -18,12 +18,12 @@
 	var fakeClock *clock.Fake
 	var table *localproxy.Table
 	nothing := func() {}
-	launch := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
+	launch := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 	beat := func(id, state string, sequence int64) int {
 		status, _ := table.Beat(id, &executorapi.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
-	told := func() *peerapi.ExchangeCall {
+	told := func() *wire.ExchangeCall {
 		call, _ := table.Compose(0)
 		return call
 	}
@@ -33,7 +33,7 @@
 	}
 	startIsDue := func() bool {
 		call := told()
-		table.Told(call, fakeClock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		table.Told(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		_, isDue := table.Ready(call.Life, launch)
 		return isDue
 	}
--- a/internal/node/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -22,7 +22,7 @@
 	proxy      string
 	domain     string
 	labels     []string
-	room       peerapi.Capacity
+	room       wire.Capacity
 	isDraining bool
 	gone       []string
 }
@@ -34,7 +34,7 @@
 
 // runNews is what the leader is told of a run: its checkpoint, and whether it stands still.
 type runNews struct {
-	report    peerapi.RunReport
+	report    wire.RunReport
 	changedAt uint64
 	percent   int
 	// stillFor is how long the run's progress has been the same.
@@ -62,7 +62,7 @@
 }
 
 // noteRunning takes the list of running runs that an executor gave after a while; a run that is not in it needs telling no more.
-func (f *feed) noteRunning(running []peerapi.RunReport, after time.Duration) {
+func (f *feed) noteRunning(running []wire.RunReport, after time.Duration) {
 	kept := make(map[runKey]runNews, len(running))
 	next := f.number + 1
 	for _, report := range running {
@@ -84,8 +84,8 @@
 }
 
 // newRunNews gives a run that begins from a checkpoint time to restore it.
-func newRunNews(report peerapi.RunReport) runNews {
-	news := runNews{report: peerapi.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
+func newRunNews(report wire.RunReport) runNews {
+	news := runNews{report: wire.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
 	if report.Saved != "" {
 		news.stillFor = -restoreMost
 	}
@@ -102,7 +102,7 @@
 }
 
 // write adds to an exchange what has changed since the number that the leader has acknowledged.
-func (f *feed) write(call *peerapi.ExchangeCall) {
+func (f *feed) write(call *wire.ExchangeCall) {
 	if f.session > 0 {
 		call.Session, call.Number, call.Base = f.session, f.number, f.acknowledged
 	}
@@ -118,13 +118,13 @@
 			call.Changed = append(call.Changed, news.report)
 		}
 	}
-	slices.SortFunc(call.Changed, func(a, b peerapi.RunReport) int {
+	slices.SortFunc(call.Changed, func(a, b wire.RunReport) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Run, b.Run))
 	})
 }
 
 // acknowledge takes note of what the leader holds. Where the leader knows a later session, a new one begins.
-func (f *feed) acknowledge(answer *peerapi.ExchangeAnswer) {
+func (f *feed) acknowledge(answer *wire.ExchangeAnswer) {
 	f.acknowledged = answer.Held
 	if answer.Again && answer.Session > f.session {
 		f.session = answer.Session + 1
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -20,9 +20,9 @@
 	var table *localproxy.Table
 	var works int
 	nothing := func() {}
-	told := func(answer peerapi.ExchangeAnswer) *peerapi.ExchangeCall {
+	told := func(answer wire.ExchangeAnswer) *wire.ExchangeCall {
 		call, _ := table.Compose(0)
-		table.Told(call, fakeClock.Steady(), &answer)
+		table.Told(call, fakeClock.Monotonic(), &answer)
 		return call
 	}
 	hold := func(isLook bool, rows ...executorapi.RunningRow) {
@@ -33,7 +33,7 @@
 	row := func(number int, saved string) executorapi.RunningRow {
 		return executorapi.RunningRow{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", number), Run: 1, Saved: saved, Percent: 41}
 	}
-	size := func(call *peerapi.ExchangeCall) int {
+	size := func(call *wire.ExchangeCall) int {
 		text, err := easyjson.Marshal(call)
 		Expect(err).NotTo(HaveOccurred())
 		return len(text)
@@ -42,33 +42,33 @@
 		fakeClock, works = clock.NewFake(0), 0
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
 		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
-			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
+			Room: wire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
 	}
 	BeforeEach(func() { begin(localproxy.WithSession(7)) })
 
 	It("tells facts again only when they changed", func() {
-		first := told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		first := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		Expect(first.Proxy).To(Equal("side-1"))
 		Expect(first.Base).To(BeZero())
-		second := told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		second := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		Expect(second.Proxy).To(BeEmpty())
 		Expect(second.Base).To(Equal(first.Number))
 		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "draining", Sequence: 2})
-		third := told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		third := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		Expect(third.Draining).To(BeTrue())
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: third.Number}).Draining).To(BeTrue(), "as the answer was not there yet")
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: third.Number}).Proxy).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: third.Number}).Draining).To(BeTrue(), "as the answer was not there yet")
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: third.Number}).Proxy).To(BeEmpty())
 	})
 
 	It("tells a checkpoint until the owner holds it, and a run without one not at all", func() {
-		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, row(1, ""), row(2, "c1"))
 		lost, _ := table.Compose(0)
 		Expect(lost.Changed).To(ConsistOf(HaveField("Saved", "c1")))
-		again := told(peerapi.ExchangeAnswer{Fence: 3, Held: lost.Number})
+		again := told(wire.ExchangeAnswer{Fence: 3, Held: lost.Number})
 		Expect(again.Changed).To(HaveLen(1))
 		hold(false, row(1, ""), row(2, "c1"))
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: again.Number}).Changed).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: again.Number}).Changed).To(BeEmpty())
 	})
 
 	It("tells that a run stands still, and that it moves again", func() {
@@ -77,7 +77,7 @@
 			one.Percent = percent
 			return one
 		}
-		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, percent(1, 40), percent(2, 40))
 		for step := range 5 {
 			fakeClock.Advance(400 * time.Millisecond)
@@ -91,7 +91,7 @@
 	})
 
 	It("takes an executor that was silent for long for one that stood still as a whole", func() {
-		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, row(1, ""))
 		fakeClock.Advance(time.Minute)
 		hold(false, row(1, ""))
@@ -100,7 +100,7 @@
 	})
 
 	It("leaves a run that began from a checkpoint time to restore it", func() {
-		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		hold(false, row(1, "c1"))
 		for range 10 {
 			fakeClock.Advance(400 * time.Millisecond)
@@ -112,43 +112,43 @@
 
 	It("gives a look whole, whatever the owner holds", func() {
 		hold(false, row(1, ""), row(2, "c1"))
-		told(peerapi.ExchangeAnswer{Fence: 3, Held: 2, Look: 1})
+		told(wire.ExchangeAnswer{Fence: 3, Held: 2, Look: 1})
 		hold(true, row(1, ""), row(2, "c1"))
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(HaveLen(2))
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(HaveLen(2))
 		fakeClock.Advance(5 * time.Second)
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(BeEmpty())
 	})
 
 	It("keeps what was told in an exchange that the owner did not take, and tells it with the whole at once", func() {
-		told(peerapi.ExchangeAnswer{Fence: 3, Held: 1, GrantMs: 4000, Look: 1})
+		told(wire.ExchangeAnswer{Fence: 3, Held: 1, GrantMs: 4000, Look: 1})
 		hold(true)
-		order := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
+		order := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 		work, isDue := table.Ready("i-7f3a91c2", order)
 		Expect(isDue).To(BeTrue())
 		table.Carried(work, "ok")
 		works = 0
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Again: true}).Base).NotTo(BeZero())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Again: true}).Base).NotTo(BeZero())
 		Expect(works).To(Equal(1))
-		whole := told(peerapi.ExchangeAnswer{Fence: 3, Held: 1})
+		whole := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
 		Expect(whole.Base).To(BeZero())
 		Expect(whole.Answers).To(HaveLen(1))
 		Expect(whole.Look).To(Equal(uint64(1)))
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3, Held: 1}).Answers).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: 1}).Answers).To(BeEmpty())
 	})
 
 	It("begins a later session where the owner knows one already", func() {
-		told(peerapi.ExchangeAnswer{Fence: 3, Again: true, Session: 90})
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3}).Session).To(Equal(uint64(91)))
+		told(wire.ExchangeAnswer{Fence: 3, Again: true, Session: 90})
+		Expect(told(wire.ExchangeAnswer{Fence: 3}).Session).To(Equal(uint64(91)))
 	})
 
 	It("tells an owner of the older form the whole each time, and what runs once a second", func() {
 		fakeClock.Advance(2 * time.Second)
 		hold(false, row(1, ""), row(2, "c1"))
 		for range 3 {
-			call := told(peerapi.ExchangeAnswer{Fence: 3})
+			call := told(wire.ExchangeAnswer{Fence: 3})
 			Expect(call.Proxy).To(Equal("side-1"))
 			Expect(call.Running).To(HaveLen(2))
-			Expect(told(peerapi.ExchangeAnswer{Fence: 3}).Running).To(BeEmpty())
+			Expect(told(wire.ExchangeAnswer{Fence: 3}).Running).To(BeEmpty())
 			fakeClock.Advance(1100 * time.Millisecond)
 		}
 	})
@@ -156,9 +156,9 @@
 	It("lets the news of a start wait for a moment, with its age, and no other news", func() {
 		begins := 0
 		begin(localproxy.WithStartBell(func() { begins++ }))
-		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		launch := func(number int64, result string) {
-			work, _ := table.Ready("i-7f3a91c2", peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: number})
+			work, _ := table.Ready("i-7f3a91c2", wire.Order{Kind: "launch", Task: "t.0.0.0", Run: number})
 			table.Carried(work, result)
 		}
 		works = 0
@@ -170,8 +170,8 @@
 		call, _ := table.Compose(0)
 		Expect(call.Answers).To(ConsistOf(HaveField("AgeMs", int64(70))))
 		Expect(table.HasUnsent()).To(BeFalse())
-		told(peerapi.ExchangeAnswer{Fence: 3})
-		Expect(told(peerapi.ExchangeAnswer{Fence: 3}).Answers).To(BeEmpty())
+		told(wire.ExchangeAnswer{Fence: 3})
+		Expect(told(wire.ExchangeAnswer{Fence: 3}).Answers).To(BeEmpty())
 		launch(2, "room")
 		Expect([]int{begins, works}).To(Equal([]int{1, 1}))
 	})
@@ -184,7 +184,7 @@
 		Expect(wait()).To(Equal(int64(300)))
 		fakeClock.Advance(2100 * time.Millisecond)
 		Expect(wait()).To(Equal(int64(600)))
-		told(peerapi.ExchangeAnswer{Fence: 3, Orders: []peerapi.Order{{Kind: "launch", Task: "t.0.0.0", Run: 1}}})
+		told(wire.ExchangeAnswer{Fence: 3, Orders: []wire.Order{{Kind: "launch", Task: "t.0.0.0", Run: 1}}})
 		Expect(wait()).To(Equal(int64(300)))
 		fakeClock.Advance(2100 * time.Millisecond)
 		hold(false, row(1, ""))
@@ -199,8 +199,8 @@
 		measure := func(held uint64) (calm, busy int) {
 			fakeClock.Advance(2 * time.Second)
 			hold(false, rows...)
-			busy = size(told(peerapi.ExchangeAnswer{Fence: 3, Held: held}))
-			return size(told(peerapi.ExchangeAnswer{Fence: 3, Held: held})), busy
+			busy = size(told(wire.ExchangeAnswer{Fence: 3, Held: held}))
+			return size(told(wire.ExchangeAnswer{Fence: 3, Held: held})), busy
 		}
 		measure(1)
 		calm, busy := measure(1)
--- a/internal/node/localproxy/holds.go
+++ b/internal/node/localproxy/holds.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 )
@@ -67,7 +67,9 @@
 }
 
 // HoldLimit is when a hold is given up.
-func HoldLimit(hold executorapi.Hold) time.Duration { return clock.Ms(hold.WaitMs) + holdSlack }
+func HoldLimit(hold executorapi.Hold) time.Duration {
+	return clock.Milliseconds(hold.WaitMs) + holdSlack
+}
 
 // isUnresponsive tells whether calls to the executor fail one after the other; the holds that go on show when they do
 // no more.
@@ -114,7 +116,7 @@
 	hasNew := false
 	for _, row := range rows {
 		if row.Number > i.lastEnd() && row.Number > i.lastSeen {
-			i.ends = append(i.ends, peerapi.EndReport(row))
+			i.ends = append(i.ends, wire.EndReport(row))
 			hasNew = true
 		}
 	}
@@ -124,7 +126,7 @@
 func (i *incarnation) takeRunning(rows []executorapi.RunningRow) {
 	i.running = i.running[:0]
 	for _, row := range rows {
-		i.running = append(i.running, peerapi.RunReport(row))
+		i.running = append(i.running, wire.RunReport(row))
 	}
 }
 
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 )
@@ -45,8 +45,8 @@
 
 	// lastSeen is the number of the last end that the leader has acknowledged.
 	lastSeen int64
-	ends     []peerapi.EndReport
-	running  []peerapi.RunReport
+	ends     []wire.EndReport
+	running  []wire.RunReport
 	// runningSentAt is when an exchange with the list of running runs was answered last.
 	runningSentAt time.Duration
 	feed          *feed
@@ -55,7 +55,7 @@
 	listWanted   uint64
 	listTaken    uint64
 	listReported uint64
-	listedRuns   []peerapi.RunReport
+	listedRuns   []wire.RunReport
 
 	// underWay are the orders that are being carried to the executor; answers are its answers to them.
 	underWay map[orderKey]givenOrder
@@ -104,7 +104,7 @@
 		t.onWork()
 	}
 	if beat.DepartsMs > 0 {
-		sender.departsAt = t.now() + clock.Ms(beat.DepartsMs)
+		sender.departsAt = t.now() + clock.Milliseconds(beat.DepartsMs)
 	}
 }
 
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -21,12 +21,12 @@
 		status, _ := table.Beat(id, &executorapi.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
-	told := func(answer peerapi.ExchangeAnswer) []peerapi.Order {
+	told := func(answer wire.ExchangeAnswer) []wire.Order {
 		call, isDue := table.Compose(0)
 		Expect(isDue).To(BeTrue())
-		return table.Told(call, fakeClock.Steady(), &answer)
+		return table.Told(call, fakeClock.Monotonic(), &answer)
 	}
-	launch := peerapi.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
+	launch := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(0)
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
@@ -60,7 +60,7 @@
 	})
 
 	It("keeps what it knows of a life's orders while a late beat sets another in its place", func() {
-		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})
 		work, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeTrue())
 		beat("i-0", "ready", 7)
@@ -69,7 +69,7 @@
 		Expect(isDue).To(BeFalse())
 		hold, _ := table.NextHold(false)
 		table.HoldFailed(hold, true)
-		Expect(told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})).To(HaveLen(1))
+		Expect(told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})).To(HaveLen(1))
 		table.Carried(work, "sick")
 		call, _ := table.Compose(0)
 		Expect(call.Answers[0].Result).To(Equal("unsure"))
@@ -98,7 +98,7 @@
 	It("extends no hold without a grant, and no further than one", func() {
 		work, _ := table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeZero())
-		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.ExpiryMs).To(BeNumerically("<=", 5000))
 		Expect(work.Hold.ExpiryMs).To(BeNumerically(">", 4900))
@@ -110,7 +110,7 @@
 	It("starts nothing on a draining executor, nor for another life, nor without time left", func() {
 		_, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
-		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		_, isDue = table.Ready("i-1", launch)
 		Expect(isDue).To(BeTrue())
 		_, isDue = table.Ready("i-0", launch)
@@ -119,23 +119,23 @@
 		_, isDue = table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
 		call, _ := table.Compose(0)
-		Expect(call.Answers).To(ConsistOf(peerapi.OrderAnswer{Task: "t.0.0.0", Run: 1, Kind: "launch", Result: "not-run"}))
+		Expect(call.Answers).To(ConsistOf(wire.OrderAnswer{Task: "t.0.0.0", Run: 1, Kind: "launch", Result: "not-run"}))
 	})
 
 	It("heeds no owner of an older epoch", func() {
-		told(peerapi.ExchangeAnswer{Fence: 5})
-		Expect(told(peerapi.ExchangeAnswer{Fence: 4, Orders: []peerapi.Order{launch}})).To(BeEmpty())
-		Expect(told(peerapi.ExchangeAnswer{Fence: 5, Orders: []peerapi.Order{launch, launch}})).To(HaveLen(1))
+		told(wire.ExchangeAnswer{Fence: 5})
+		Expect(told(wire.ExchangeAnswer{Fence: 4, Orders: []wire.Order{launch}})).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 5, Orders: []wire.Order{launch, launch}})).To(HaveLen(1))
 	})
 
 	It("carries out no order of an owner before the present one, unless that gave it as well", func() {
-		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []peerapi.Order{launch}})
-		told(peerapi.ExchangeAnswer{Fence: 6, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})
+		told(wire.ExchangeAnswer{Fence: 6, GrantMs: 4000})
 		_, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
-		told(peerapi.ExchangeAnswer{Fence: 6, GrantMs: 4000, Orders: []peerapi.Order{launch}})
-		told(peerapi.ExchangeAnswer{Fence: 7, GrantMs: 4000})
-		Expect(told(peerapi.ExchangeAnswer{Fence: 7, GrantMs: 4000, Orders: []peerapi.Order{launch}})).To(BeEmpty())
+		told(wire.ExchangeAnswer{Fence: 6, GrantMs: 4000, Orders: []wire.Order{launch}})
+		told(wire.ExchangeAnswer{Fence: 7, GrantMs: 4000})
+		Expect(told(wire.ExchangeAnswer{Fence: 7, GrantMs: 4000, Orders: []wire.Order{launch}})).To(BeEmpty())
 		work, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeTrue())
 		Expect(work.Fence).To(Equal(uint64(7)))
@@ -143,18 +143,18 @@
 
 	It("carries out no start beyond the grant that came with it, whatever was granted later", func() {
 		call, _ := table.Compose(0)
-		table.Told(call, fakeClock.Steady(), &peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []peerapi.Order{launch}})
+		table.Told(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		first, _ := table.Ready("i-1", launch)
 		fakeClock.Advance(7 * time.Second)
-		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		again, isDue := table.Ready("i-1", launch)
 		Expect(isDue && again.ExpiryMs > first.ExpiryMs).To(BeFalse())
 	})
 
 	It("is unsure of every refusal once more orders went unanswered than it remembers", func() {
-		told(peerapi.ExchangeAnswer{Fence: 3, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		for run := range int64(10000) {
-			table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: peerapi.Order{Kind: "launch", Task: "other.0.0.0", Run: run}})
+			table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: wire.Order{Kind: "launch", Task: "other.0.0.0", Run: run}})
 		}
 		table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: launch})
 		table.Carried(localproxy.OrderWork{Life: "i-1", Order: launch}, "room")
@@ -163,7 +163,7 @@
 	})
 
 	It("is unsure of a refusal once the order went unanswered", func() {
-		told(peerapi.ExchangeAnswer{Fence: 5, GrantMs: 4000})
+		told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000})
 		work, _ := table.Ready("i-1", launch)
 		table.Unanswered(work)
 		table.Carried(work, "room")
@@ -174,10 +174,10 @@
 	It("tells an end until it is taken note of, and then lets the executor forget it", func() {
 		work, _ := table.NextHold(false)
 		table.Held(work, executorapi.Answer{ClockMs: 1000, Ends: []executorapi.EndRow{{Number: 1, Task: "t", Run: 1, How: "done"}}})
-		told(peerapi.ExchangeAnswer{Fence: 1})
+		told(wire.ExchangeAnswer{Fence: 1})
 		call, _ := table.Compose(0)
 		Expect(call.Ends).To(HaveLen(1))
-		told(peerapi.ExchangeAnswer{Fence: 1, LastSeen: 1})
+		told(wire.ExchangeAnswer{Fence: 1, LastSeen: 1})
 		call, _ = table.Compose(0)
 		Expect(call.Ends).To(BeEmpty())
 		work, _ = table.NextHold(false)
@@ -185,12 +185,12 @@
 	})
 
 	It("tells a look of a new fence, even while an exchange of the old one is under way", func() {
-		told(peerapi.ExchangeAnswer{Fence: 1, Look: 9})
+		told(wire.ExchangeAnswer{Fence: 1, Look: 9})
 		work, _ := table.NextHold(true)
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		old, _ := table.Compose(0)
-		told(peerapi.ExchangeAnswer{Fence: 2, Look: 3})
-		table.Told(old, fakeClock.Steady(), &peerapi.ExchangeAnswer{Fence: 2, Look: 3})
+		told(wire.ExchangeAnswer{Fence: 2, Look: 3})
+		table.Told(old, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 2, Look: 3})
 		work, _ = table.NextHold(true)
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -1,7 +1,7 @@
 package localproxy
 
 import (
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -28,14 +28,14 @@
 	kind string
 }
 
-func keyOf(order peerapi.Order) orderKey { return orderKey{order.Task, order.Run, order.Kind} }
+func keyOf(order wire.Order) orderKey { return orderKey{order.Task, order.Run, order.Kind} }
 
 type runKey struct {
 	task string
 	run  int64
 }
 
-func runOf(order peerapi.Order) runKey { return runKey{order.Task, order.Run} }
+func runOf(order wire.Order) runKey { return runKey{order.Task, order.Run} }
 
 // givenOrder is an order on its way to the executor: the fence of the leader that gave it last, and the reading of the
 // executor's clock, in milliseconds, up to which a start may be carried out by the grant that came with it.
@@ -45,7 +45,7 @@
 }
 
 // accept gives the orders that are not under way yet; the others go on under the fence of the leader that repeats them.
-func (t *Table) accept(current *incarnation, orders []peerapi.Order, limitMs int64) []peerapi.Order {
+func (t *Table) accept(current *incarnation, orders []wire.Order, limitMs int64) []wire.Order {
 	accepted := orders[:0]
 	for _, order := range orders {
 		key := keyOf(order)
@@ -64,14 +64,14 @@
 // OrderWork is one order made ready for the executor. ExpiryMs is up to when the run may go on, by the executor's clock.
 type OrderWork struct {
 	Life     string
-	Order    peerapi.Order
+	Order    wire.Order
 	Fence    uint64
 	ExpiryMs int64
 }
 
 // Ready is the last check before an executor: incarnation, leader, drain and grant. An order that waited here while the
 // pool changed its leader is carried out only if the new one gave it, too.
-func (t *Table) Ready(lifeID string, order peerapi.Order) (OrderWork, bool) {
+func (t *Table) Ready(lifeID string, order wire.Order) (OrderWork, bool) {
 	current := t.currentIs(lifeID)
 	if current == nil {
 		if other := t.known(lifeID); other != nil {
@@ -95,7 +95,7 @@
 }
 
 // isStopReady drops a stop while the executor answers nothing; the leader gives it again.
-func (t *Table) isStopReady(current *incarnation, order peerapi.Order) bool {
+func (t *Table) isStopReady(current *incarnation, order wire.Order) bool {
 	if t.isUnresponsive(current) {
 		delete(current.underWay, keyOf(order))
 		return false
@@ -128,7 +128,7 @@
 
 // resultWhileUnresponsive leaves a start that may have reached the executor to be sent again, as that is sooner over
 // than a stop.
-func (i *incarnation) resultWhileUnresponsive(order peerapi.Order) string {
+func (i *incarnation) resultWhileUnresponsive(order wire.Order) string {
 	if i.isUnsureOf(runOf(order)) {
 		return resultTimeout
 	}
@@ -169,7 +169,7 @@
 		delete(known.unsure, run)
 	}
 	known.answers = append(known.answers, givenAnswer{at: t.now(),
-		OrderAnswer: peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
+		OrderAnswer: wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
 	if order.Kind == kindLaunch && result == resultOK {
 		t.onStart()
 		return
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -1,6 +1,7 @@
 package localproxy
 
 import (
+	"context"
 	stderrors "errors"
 	"net/http"
 	"slices"
@@ -8,12 +9,12 @@
 
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/platform/response"
-	"gannetline/internal/span"
 )
 
 const (
@@ -34,7 +35,7 @@
 type Proxy struct {
 	box      *mailbox.Mailbox
 	table    *Table
-	clock    clock.Pulse
+	clock    clock.Clock
 	log      logging.Logger
 	executor *executorapi.Client
 	caller   *peerapi.Caller
@@ -48,7 +49,7 @@
 }
 
 // New makes a proxy for the executors of a service on this machine. It calls nobody before Run.
-func New(service, domain, name string, clock clock.Pulse, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
+func New(service, domain, name string, clock clock.Clock, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
 	view func() *membership.View, options ...TableOption) *Proxy {
 	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
 		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
@@ -65,24 +66,24 @@
 	}
 }
 
-// Run keeps the loops going until the span ends.
-func (p *Proxy) Run(life span.Span) error {
-	go p.holdLoop(life)
-	go p.lookLoop(life)
-	go p.pollLoop(life)
-	go p.reportLoop(life)
-	p.box.Run(life, p.clock, mailbox.Owner{Every: time.Minute})
+// Run keeps the loops going until ctx is done.
+func (p *Proxy) Run(ctx context.Context) error {
+	go p.holdLoop(ctx)
+	go p.lookLoop(ctx)
+	go p.pollLoop(ctx)
+	go p.reportLoop(ctx)
+	p.box.Run(ctx, p.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
-func ask[T any](p *Proxy, life span.Span, question func() T) (T, bool) {
-	value, err := mailbox.Ask(p.box, life, func(answer func(T)) { answer(question()) })
+func ask[T any](p *Proxy, ctx context.Context, question func() T) (T, bool) {
+	value, err := mailbox.Ask(p.box, ctx, func(answer func(T)) { answer(question()) })
 	return value, err == nil
 }
 
-func (p *Proxy) pause(life span.Span, wait time.Duration) bool {
+func (p *Proxy) pause(ctx context.Context, wait time.Duration) bool {
 	select {
-	case <-life.Done():
+	case <-ctx.Done():
 		return false
 	case <-p.clock.After(wait):
 		return true
@@ -120,26 +121,26 @@
 	isDue bool
 }
 
-func (p *Proxy) holdLoop(life span.Span) {
+func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
-		turn, isOpen := ask(p, life, func() holdTurn {
+		turn, isOpen := ask(p, ctx, func() holdTurn {
 			work, isDue := p.table.NextHold(false)
 			return holdTurn{work, isDue}
 		})
 		if !isOpen {
 			return
 		}
-		begunAt := p.clock.Steady()
-		if turn.isDue && p.hold(life, turn.work) {
-			p.pause(life, holdGap)
+		begunAt := p.clock.Monotonic()
+		if turn.isDue && p.hold(ctx, turn.work) {
+			p.pause(ctx, holdGap)
 			continue
 		}
 		if turn.isDue && turn.work.Hold.WaitMs == shortWaitMs {
-			p.pause(life, PauseAfterMiss(p.clock.Steady()-begunAt))
+			p.pause(ctx, PauseAfterMiss(p.clock.Monotonic()-begunAt))
 			continue
 		}
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return
 		case <-p.acks:
 		case <-p.clock.After(failedPause):
@@ -150,22 +151,22 @@
 // PauseAfterMiss is longer where a hold was cut or refused at once: each try is then a new connection.
 func PauseAfterMiss(took time.Duration) time.Duration { return max(holdGap, deafPause-took) }
 
-func (p *Proxy) lookLoop(life span.Span) {
+func (p *Proxy) lookLoop(ctx context.Context) {
 	for {
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return
 		case <-p.looks:
 		}
-		turn, isOpen := ask(p, life, func() holdTurn {
+		turn, isOpen := ask(p, ctx, func() holdTurn {
 			work, isDue := p.table.NextHold(true)
 			return holdTurn{work, isDue}
 		})
 		if !isOpen {
 			return
 		}
-		if turn.isDue && !p.hold(life, turn.work) {
-			if !p.pause(life, failedPause) {
+		if turn.isDue && !p.hold(ctx, turn.work) {
+			if !p.pause(ctx, failedPause) {
 				return
 			}
 			nudge(p.looks)
@@ -173,9 +174,9 @@
 	}
 }
 
-func (p *Proxy) hold(life span.Span, work HoldWork) bool {
+func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
 	limit := HoldLimit(work.Hold)
-	status, answer, err := p.executor.Call(life, "/v1/hold", work.Life, limit, work.Hold)
+	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Life, limit, work.Hold)
 	isHeld := err == nil && status == http.StatusOK
 	p.box.Post(func() {
 		if isHeld {
@@ -197,30 +198,30 @@
 	return err.Error()
 }
 
-func (p *Proxy) pollLoop(life span.Span) {
+func (p *Proxy) pollLoop(ctx context.Context) {
 	for {
-		if !p.exchange(life, pollWaitMs) && !p.pause(life, ownerPause) {
+		if !p.exchange(ctx, pollWaitMs) && !p.pause(ctx, ownerPause) {
 			return
 		}
-		if life.Err() != nil {
+		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-func (p *Proxy) reportLoop(life span.Span) {
+func (p *Proxy) reportLoop(ctx context.Context) {
 	for {
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return
 		case <-p.work:
 		case <-p.starts:
-			if !p.awaitMore(life) {
+			if !p.awaitMore(ctx) {
 				continue
 			}
 		}
-		if !p.exchange(life, 0) {
-			if !p.pause(life, ownerPause) {
+		if !p.exchange(ctx, 0) {
+			if !p.pause(ctx, ownerPause) {
 				return
 			}
 			nudge(p.work)
@@ -229,21 +230,21 @@
 }
 
 // awaitMore lets news that can wait share the report of what follows; it tells whether a report is due.
-func (p *Proxy) awaitMore(life span.Span) bool {
+func (p *Proxy) awaitMore(ctx context.Context) bool {
 	select {
-	case <-life.Done():
+	case <-ctx.Done():
 		return false
 	case <-p.work:
 		return true
 	case <-p.clock.After(startPause):
 	}
-	hasUnsent, _ := ask(p, life, p.table.HasUnsent)
+	hasUnsent, _ := ask(p, ctx, p.table.HasUnsent)
 	return hasUnsent
 }
 
 // exchange talks to the owner once; it tells whether the owner answered.
-func (p *Proxy) exchange(life span.Span, waitMs int64) bool {
-	call, isOpen := ask(p, life, func() *peerapi.ExchangeCall {
+func (p *Proxy) exchange(ctx context.Context, waitMs int64) bool {
+	call, isOpen := ask(p, ctx, func() *wire.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
 		return call
 	})
@@ -252,7 +253,7 @@
 	}
 	if call == nil {
 		if waitMs > 0 {
-			p.pause(life, failedPause)
+			p.pause(ctx, failedPause)
 		}
 		return true
 	}
@@ -261,11 +262,11 @@
 	if owner == "" {
 		return false
 	}
-	askedAt := p.clock.Steady()
-	patience, release := membership.UntilMoved(life, view)
+	askedAt := p.clock.Monotonic()
+	patience, release := membership.UntilMoved(ctx, view)
 	defer release()
-	answer, err := peerapi.Call[peerapi.ExchangeCall, peerapi.ExchangeAnswer](p.caller, patience, owner,
-		peerapi.ProcedureExchange, clock.Ms(call.WaitMs)+exchangeSlow, call)
+	answer, err := peerapi.Call[wire.ExchangeCall, wire.ExchangeAnswer](p.caller, patience, owner,
+		peerapi.ProcedureExchange, clock.Milliseconds(call.WaitMs)+exchangeSlow, call)
 	if err != nil {
 		p.log.V(1).Info("an exchange failed", "why", err.Error())
 		return false
@@ -276,9 +277,9 @@
 	if answer.Fence == 0 {
 		return true
 	}
-	orders, _ := ask(p, life, func() []peerapi.Order { return p.table.Told(call, askedAt, answer) })
+	orders, _ := ask(p, ctx, func() []wire.Order { return p.table.Told(call, askedAt, answer) })
 	for _, order := range orders {
-		go p.carry(life, call.Life, order)
+		go p.carry(ctx, call.Life, order)
 	}
 	return true
 }
@@ -301,18 +302,18 @@
 }
 
 // carry brings one order to the executor, again if it is not answered.
-func (p *Proxy) carry(life span.Span, executor string, order peerapi.Order) {
+func (p *Proxy) carry(ctx context.Context, executor string, order wire.Order) {
 	p.slots <- struct{}{}
 	defer func() { <-p.slots }()
 	for try := range startTries {
-		turn, isOpen := ask(p, life, func() orderTurn {
+		turn, isOpen := ask(p, ctx, func() orderTurn {
 			work, isDue := p.table.Ready(executor, order)
 			return orderTurn{work, isDue}
 		})
 		if !isOpen || !turn.isDue {
 			return
 		}
-		status, answer, err := p.deliver(life, turn.work)
+		status, answer, err := p.deliver(ctx, turn.work)
 		if err == nil {
 			result := ResultOf(status, answer.Reason)
 			p.box.Post(func() {
@@ -342,13 +343,13 @@
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
-func (p *Proxy) deliver(life span.Span, work OrderWork) (int, executorapi.Answer, error) {
+func (p *Proxy) deliver(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
 	order := work.Order
 	if order.Kind == "launch" {
-		return p.executor.Call(life, "/v1/run-start", work.Life, startLimit, executorapi.RunStart{Task: order.Task, Run: order.Run,
+		return p.executor.Call(ctx, "/v1/run-start", work.Life, startLimit, executorapi.RunStart{Task: order.Task, Run: order.Run,
 			Spec: order.Spec, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Saved: order.Saved})
 	}
-	return p.executor.Call(life, "/v1/run-stop", work.Life, startLimit,
+	return p.executor.Call(ctx, "/v1/run-stop", work.Life, startLimit,
 		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
 
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -12,7 +12,7 @@
 // Table is what a local proxy knows of its executor and of the leader's orders. It is owned by one goroutine; the loops
 // ask it what to do next and tell it what came back.
 type Table struct {
-	clock   clock.Pulse
+	clock   clock.Clock
 	log     logging.Logger
 	service string
 	domain  string
@@ -48,7 +48,7 @@
 // NewTable makes a table without an executor. The functions ring when there is something to do: onWork when the
 // executor should be held or the leader told, onLook when the runs should be listed anew, onAck when an end is to be
 // acknowledged. They must not block.
-func NewTable(clock clock.Pulse, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
+func NewTable(clock clock.Clock, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
 	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onWork: onWork, onLook: onLook, onAck: onAck,
 		onStart: onWork, drainTime: usualDrain}
 	for _, option := range options {
@@ -57,4 +57,4 @@
 	return table
 }
 
-func (t *Table) now() time.Duration { return t.clock.Steady() }
+func (t *Table) now() time.Duration { return t.clock.Monotonic() }
--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -31,10 +31,10 @@
 
 func newSteppedClock() *steppedClock { return &steppedClock{waits: make(chan steppedWait)} }
 
-func (c *steppedClock) Steady() time.Duration { return time.Duration(c.now.Load()) }
-func (c *steppedClock) WallMs() int64         { return 0 }
+func (c *steppedClock) Monotonic() time.Duration { return time.Duration(c.now.Load()) }
+func (c *steppedClock) WallMs() int64            { return 0 }
 func (c *steppedClock) After(wait time.Duration) <-chan time.Time {
-	one := steppedWait{c.Steady() + wait, make(chan time.Time, 1)}
+	one := steppedWait{c.Monotonic() + wait, make(chan time.Time, 1)}
 	c.waits <- one
 	return one.ring
 }
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -5,6 +5,7 @@
 package httpserver
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -17,7 +18,6 @@
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/response"
-	"gannetline/internal/span"
 )
 
 const (
@@ -33,11 +33,11 @@
 	inner    *http.Server
 	handler  http.Handler
 	listener *trackingListener
-	clock    clock.Pulse
+	clock    clock.Clock
 	log      logging.Logger
 	isEnding atomic.Bool
 	endCalls func()
-	calls    span.Span
+	calls    context.Context
 	tracker  tracker
 	mostKept int64
 }
@@ -55,17 +55,17 @@
 }
 
 // New makes a server for a listener. It takes no connection before Serve.
-func New(listener net.Listener, handler http.Handler, clock clock.Pulse, log logging.Logger, options ...Option) *Server {
+func New(listener net.Listener, handler http.Handler, clock clock.Clock, log logging.Logger, options ...Option) *Server {
 	server := &Server{handler: handler, clock: clock, log: log}
 	server.tracker.clock = clock
 	server.listener = newTrackingListener(listener, &server.tracker)
-	server.calls, server.endCalls = span.Cancellable(span.Root())
+	server.calls, server.endCalls = context.WithCancel(context.Background())
 	server.inner = &http.Server{
 		Handler:           http.HandlerFunc(server.serveOne),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    mostHeaderSize,
-		BaseContext:       func(net.Listener) span.Span { return server.calls },
+		BaseContext:       func(net.Listener) context.Context { return server.calls },
 		ConnContext:       withConnection,
 		ConnState:         noteState,
 	}
@@ -103,12 +103,12 @@
 func (s *Server) Leave(times LeaveTimes) {
 	defer s.inner.Close()
 	defer s.endCalls()
-	begun := s.clock.Steady()
+	begun := s.clock.Monotonic()
 	s.tracker.isLeaving.Store(true)
 	if times.Notice > 0 {
 		<-s.clock.After(times.Notice)
 	}
-	for !s.hasLeft(times, s.clock.Steady()-begun) {
+	for !s.hasLeft(times, s.clock.Monotonic()-begun) {
 		<-s.clock.After(lookEvery)
 	}
 }
--- a/internal/platform/httpserver/tracking.go
+++ b/internal/platform/httpserver/tracking.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -8,12 +9,11 @@
 	"time"
 
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // tracker counts what a server has read and not answered yet.
 type tracker struct {
-	clock      clock.Pulse
+	clock      clock.Clock
 	isLeaving  atomic.Bool
 	open       atomic.Int64
 	unanswered atomic.Int64
@@ -22,11 +22,11 @@
 }
 
 func (t *tracker) sinceAccept() time.Duration {
-	return t.clock.Steady() - time.Duration(t.lastAccept.Load())
+	return t.clock.Monotonic() - time.Duration(t.lastAccept.Load())
 }
 
 func (t *tracker) sinceRead() time.Duration {
-	return t.clock.Steady() - time.Duration(t.lastRead.Load())
+	return t.clock.Monotonic() - time.Duration(t.lastRead.Load())
 }
 
 // trackingListener gives tracked connections. It fails only once it is closed: any other fault, as a lack of
@@ -57,7 +57,7 @@
 		return nil, passingFault{err}
 	}
 	l.tracker.open.Add(1)
-	l.tracker.lastAccept.Store(int64(l.tracker.clock.Steady()))
+	l.tracker.lastAccept.Store(int64(l.tracker.clock.Monotonic()))
 	return &connection{Conn: conn, listener: l}, nil
 }
 
@@ -113,7 +113,7 @@
 	count, err := c.Conn.Read(room)
 	if count > 0 {
 		tracker := c.listener.tracker
-		tracker.lastRead.Store(int64(tracker.clock.Steady()))
+		tracker.lastRead.Store(int64(tracker.clock.Monotonic()))
 		if c.isUnanswered.CompareAndSwap(false, true) {
 			tracker.unanswered.Add(1)
 		}
@@ -148,8 +148,8 @@
 // connectionKey finds the connection in the context of a request.
 type connectionKey struct{}
 
-func withConnection(life span.Span, conn net.Conn) span.Span {
-	return span.WithValue(life, connectionKey{}, conn)
+func withConnection(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
 // noteState clears the mark of a connection that waits for its next request.
--- a/internal/platform/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -2,11 +2,11 @@
 package mailbox
 
 import (
+	"context"
 	"runtime"
 	"time"
 
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 // Mailbox is a bounded queue of functions that one goroutine, the owner of a table, runs one after another. Nothing
@@ -45,8 +45,8 @@
 	OwnCore bool
 }
 
-// Run owns the table until the span ends; Settle is called after each burst of letters.
-func (m *Mailbox) Run(life span.Span, clock clock.Pulse, owner Owner) {
+// Run owns the table until ctx is done; Settle is called after each burst of letters.
+func (m *Mailbox) Run(ctx context.Context, clock clock.Clock, owner Owner) {
 	if owner.OwnCore {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
@@ -54,7 +54,7 @@
 	ring := clock.After(owner.Every)
 	for {
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return
 		case letter := <-m.first:
 			letter()
@@ -116,7 +116,7 @@
 
 // Ask runs the question on the owner's goroutine and waits for its answer. A question whose asker has given up by the time
 // of its turn is not run, so that an owner that has fallen behind spends no time on answers that nobody waits for.
-func Ask[T any](m *Mailbox, life span.Span, question func(answer func(T))) (T, error) {
+func Ask[T any](m *Mailbox, ctx context.Context, question func(answer func(T))) (T, error) {
 	answers := make(chan T, 1)
 	answer := func(value T) {
 		select {
@@ -126,19 +126,19 @@
 	}
 	var none T
 	letter := func() {
-		if life.Err() == nil {
+		if ctx.Err() == nil {
 			question(answer)
 		}
 	}
 	select {
 	case m.letters <- letter:
-	case <-life.Done():
-		return none, life.Err()
+	case <-ctx.Done():
+		return none, ctx.Err()
 	}
 	select {
 	case value := <-answers:
 		return value, nil
-	case <-life.Done():
-		return none, life.Err()
+	case <-ctx.Done():
+		return none, ctx.Err()
 	}
 }
--- a/internal/platform/mailbox/mailbox_test.go
+++ b/internal/platform/mailbox/mailbox_test.go
@@ -1,23 +1,23 @@
 package mailbox
 
 import (
+	"context"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/span"
 )
 
 var _ = Describe("a mailbox", func() {
 	It("does not run a question whose asker has given up by its turn", func() {
 		box, wasRun := New(4), 0
 		question := func(answer func(int)) { wasRun++; answer(wasRun) }
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		givenUp := make(chan error)
 		go func() {
-			_, err := Ask(box, life, question)
+			_, err := Ask(box, ctx, question)
 			givenUp <- err
 		}()
 		Eventually(func() int { return len(box.letters) }).Should(Equal(1))
@@ -27,7 +27,7 @@
 		Expect(wasRun).To(BeZero())
 		answered := make(chan int)
 		go func() {
-			answer, _ := Ask(box, span.Root(), question)
+			answer, _ := Ask(box, context.Background(), question)
 			answered <- answer
 		}()
 		Eventually(func() int { return len(box.letters) }).Should(Equal(1))
@@ -57,8 +57,8 @@
 			box.Post(func() { order = append(order, "posted") })
 			box.Post(func() { close(ended) })
 			NewOutbox(box).Send(func() { order = append(order, "sent") })
-			life, end := span.Cancellable(span.Root())
-			go box.Run(life, clock.NewFake(0), Owner{Every: time.Second})
+			ctx, end := context.WithCancel(context.Background())
+			go box.Run(ctx, clock.NewFake(0), Owner{Every: time.Second})
 			<-ended
 			end()
 			Expect(order).To(Equal([]string{"sent", "posted"}))
--- a/internal/platform/metrics/log.go
+++ b/internal/platform/metrics/log.go
@@ -1,6 +1,7 @@
 package metrics
 
 import (
+	"context"
 	"maps"
 	"slices"
 	"strings"
@@ -8,7 +9,6 @@
 
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
-	"gannetline/internal/span"
 )
 
 // mostInLine keeps lines short enough for collectors that cut long ones.
@@ -27,12 +27,12 @@
 	}
 }
 
-// Logging does so at each pulse until the span ends.
-func Logging(log logging.Logger, clock clock.Pulse, every time.Duration) func(span.Span) error {
-	return func(life span.Span) error {
+// Logging does so at each interval until ctx is done.
+func Logging(log logging.Logger, clock clock.Clock, every time.Duration) func(context.Context) error {
+	return func(ctx context.Context) error {
 		for {
 			select {
-			case <-life.Done():
+			case <-ctx.Done():
 				return nil
 			case <-clock.After(every):
 				Log(log)
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"net/http"
 	"net/http/httptest"
@@ -16,7 +17,6 @@
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/metrics"
-	"gannetline/internal/span"
 )
 
 var (
@@ -40,7 +40,7 @@
 
 // ringing is a clock that rings when the test says so.
 type ringing struct {
-	clock.Pulse
+	clock.Clock
 	rings chan time.Time
 }
 
@@ -83,18 +83,18 @@
 		Expect(own).To(HaveKeyWithValue(`test_crowd_total{name="other"}`, 144.0))
 	})
 
-	It("logs what was counted, without the zeros, as short lines of JSON at each pulse", func() {
+	It("logs what was counted, without the zeros, as short lines of JSON at each interval", func() {
 		letters.With("logged", "sent").Inc()
 		letters.With("never", "sent")
 		for number := range 60 {
 			letters.With(strconv.Itoa(number), "logged").Inc()
 		}
 		waits.With("logged").Observe(20 * time.Millisecond)
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		lines, over := make(lineWriter, 100), make(chan error)
-		ring := ringing{clock.Real(), make(chan time.Time, 1)}
+		ring := ringing{clock.System(), make(chan time.Time, 1)}
 		ring.rings <- time.Time{}
-		go func() { over <- metrics.Logging(logging.New(lines, 0), ring, time.Second)(life) }()
+		go func() { over <- metrics.Logging(logging.New(lines, 0), ring, time.Second)(ctx) }()
 		all := metrics.Samples{}
 		for len(all) == 0 || all["test_wait_seconds_count{kind=\"logged\"}"] == 0 {
 			var line struct {
--- a/internal/platform/metrics/samples.go
+++ b/internal/platform/metrics/samples.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"io"
 	"net/http"
 	"strconv"
@@ -10,8 +11,6 @@
 	"time"
 
 	"github.com/juju/errors"
-
-	"gannetline/internal/span"
 )
 
 const mostPage = 4 << 20
@@ -59,9 +58,9 @@
 
 // Fetch asks the process at an internal address.
 func Fetch(client *http.Client, address string, limit time.Duration) (Samples, error) {
-	life, release := span.Within(span.Root(), limit)
+	ctx, release := context.WithTimeout(context.Background(), limit)
 	defer release()
-	request, err := http.NewRequestWithContext(life, http.MethodGet, "http://"+address+Path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
 		return nil, errors.Annotatef(err, "metrics of %s", address)
 	}
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -246,4 +246,4 @@
 }
 
 // MaxHold is the longest time for which an executor holds its runs without a renewal.
-func (s *Settings) MaxHold() time.Duration { return clock.Ms(s.Bounds.MaxHoldMs) }
+func (s *Settings) MaxHold() time.Duration { return clock.Milliseconds(s.Bounds.MaxHoldMs) }
--- a/internal/platform/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -2,22 +2,24 @@
 package supervise
 
 import (
+	"context"
+	"os/signal"
 	"runtime/debug"
+	"syscall"
 	"time"
 
 	"github.com/juju/errors"
 
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
-	"gannetline/internal/span"
 )
 
-// Part is one long-lived activity. It returns nil when it is done or its span has ended, and an error if it failed.
-type Part func(life span.Span) error
+// Part is one long-lived activity. It returns nil when it is done or ctx is done, and an error if it failed.
+type Part func(ctx context.Context) error
 
 // Tree runs parts side by side and starts each again that fails or panics, until one fails too often.
 type Tree struct {
-	clock  clock.Pulse
+	clock  clock.Clock
 	log    logging.Logger
 	most   int
 	within time.Duration
@@ -39,7 +41,7 @@
 }
 
 // New makes an empty tree. Without options a part may fail five times a minute and starts again after 100 ms.
-func New(clock clock.Pulse, log logging.Logger, options ...Option) *Tree {
+func New(clock clock.Clock, log logging.Logger, options ...Option) *Tree {
 	tree := &Tree{clock: clock, log: log, most: 5, within: time.Minute, pause: 100 * time.Millisecond}
 	for _, option := range options {
 		option(tree)
@@ -50,13 +52,13 @@
 // Add adds a part under a name for the log; call it before Run.
 func (t *Tree) Add(name string, part Part) { t.parts = append(t.parts, named{name, part}) }
 
-// Run returns once the span ends, or with the error of a part that failed too often.
-func (t *Tree) Run(life span.Span) error {
-	life, cancel := span.Cancellable(life)
+// Run returns once ctx is done, or with the error of a part that failed too often.
+func (t *Tree) Run(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan error, len(t.parts))
 	for _, one := range t.parts {
-		go func() { results <- t.keep(life, one) }()
+		go func() { results <- t.keep(ctx, one) }()
 	}
 	for range t.parts {
 		if err := <-results; err != nil {
@@ -66,17 +68,17 @@
 	return nil
 }
 
-func (t *Tree) keep(life span.Span, one named) error {
+func (t *Tree) keep(ctx context.Context, one named) error {
 	var failures []time.Duration
 	for {
-		err := guarded(life, one.part)
-		if life.Err() != nil {
+		err := guarded(ctx, one.part)
+		if ctx.Err() != nil {
 			return nil
 		}
 		if err == nil {
 			return nil
 		}
-		now := t.clock.Steady()
+		now := t.clock.Monotonic()
 		failures = append(failures, now)
 		for len(failures) > 0 && now-failures[0] > t.within {
 			failures = failures[1:]
@@ -86,18 +88,23 @@
 			return errors.Annotatef(err, "part %s failed too often", one.name)
 		}
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return nil
 		case <-t.clock.After(t.pause):
 		}
 	}
 }
 
-func guarded(life span.Span, part Part) (err error) {
+func guarded(ctx context.Context, part Part) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = errors.Errorf("panic: %v\n%s", cause, debug.Stack())
 		}
 	}()
-	return part(life)
+	return part(ctx)
+}
+
+// UntilSignal gives a context that is cancelled by SIGTERM or SIGINT, or by the function, which must be called in the end.
+func UntilSignal() (context.Context, context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
--- a/internal/platform/transportmetrics/transportmetrics.go
+++ b/internal/platform/transportmetrics/transportmetrics.go
@@ -2,11 +2,10 @@
 package transportmetrics
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"sync/atomic"
-
-	"gannetline/internal/span"
 )
 
 // Figures are counts since the start: bytes of TCP and UDP payload, datagrams, and calls made and answered.
@@ -122,8 +121,8 @@
 		return client
 	}
 	dial := transport.DialContext
-	transport.DialContext = func(life span.Span, network, address string) (net.Conn, error) {
-		conn, err := dial(life, network, address)
+	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -2,6 +2,7 @@
 package roles
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"os"
@@ -14,6 +15,7 @@
 
 	"gannetline/internal/cluster/membership"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/httpserver"
 	"gannetline/internal/platform/logging"
@@ -21,7 +23,6 @@
 	"gannetline/internal/platform/settings"
 	"gannetline/internal/platform/supervise"
 	"gannetline/internal/platform/transportmetrics"
-	"gannetline/internal/span"
 )
 
 const (
@@ -33,7 +34,7 @@
 type base struct {
 	path     string
 	settings *settings.Settings
-	clock    clock.Pulse
+	clock    clock.Clock
 	log      logging.Logger
 	caller   *peerapi.Caller
 	calls    net.Listener
@@ -76,7 +77,7 @@
 }
 
 func assemble(nodeSettings *settings.Settings, log logging.Logger, options ...Option) (*base, error) {
-	clock := clock.Real()
+	clock := clock.System()
 	b := &base{settings: nodeSettings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
 	for _, option := range options {
 		option(b)
@@ -95,7 +96,7 @@
 	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
-func (b *base) join(self peerapi.Member, options ...membership.Option) {
+func (b *base) join(self wire.Member, options ...membership.Option) {
 	self.Name, self.Domain = b.settings.NodeName, b.settings.Domain
 	b.node = membership.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
 	b.node.Handle(b.inner)
@@ -114,16 +115,16 @@
 	operatorLeave = httpserver.LeaveTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
 )
 
-// serving gives a part that answers calls until its span ends, and then leaves in order.
+// serving gives a part that answers calls until its context is done, and then leaves in order.
 func (b *base) serving(listener net.Listener, handler http.Handler, times httpserver.LeaveTimes) supervise.Part {
 	server := httpserver.New(listener, b.meter.Handler(handler), b.clock, b.log)
-	return func(life span.Span) error {
+	return func(ctx context.Context) error {
 		ended := make(chan error, 1)
 		go func() { ended <- server.Serve() }()
 		select {
 		case err := <-ended:
 			return err
-		case <-life.Done():
+		case <-ctx.Done():
 			server.Leave(times)
 			return nil
 		}
@@ -146,11 +147,11 @@
 }
 
 // watchSettings takes a changed file, and keeps the old settings if the new ones are bad.
-func (b *base) watchSettings(life span.Span) error {
+func (b *base) watchSettings(ctx context.Context) error {
 	last := modified(b.path)
 	for {
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return nil
 		case <-b.hangups:
 		case <-b.clock.After(settingsLook):
@@ -180,12 +181,12 @@
 // run keeps the parts going until SIGTERM, then calls leave, and ends the parts once that is done. Further signals of
 // the kind change nothing.
 func (b *base) run(leave func()) error {
-	asked, forget := span.UntilSignal()
+	asked, forget := supervise.UntilSignal()
 	defer forget()
-	life, end := span.Cancellable(span.Root())
+	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	over := make(chan error, 1)
-	go func() { over <- b.tree.Run(life) }()
+	go func() { over <- b.tree.Run(ctx) }()
 	select {
 	case err := <-over:
 		return err
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -1,6 +1,7 @@
 package roles
 
 import (
+	"context"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -9,11 +10,10 @@
 	"gannetline/internal/cluster/configcache"
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/clientapi"
 	"gannetline/internal/platform/httpserver"
 	"gannetline/internal/platform/response"
-	"gannetline/internal/span"
 )
 
 const (
@@ -41,14 +41,14 @@
 	}
 	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
 	book.Handle(b.inner)
-	b.join(peerapi.Member{Role: "gate"}, membership.OnPlanAhead(book.Ahead))
+	b.join(wire.Member{Role: "gate"}, membership.OnPlanAhead(book.Ahead))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
 	var isLeaving atomic.Bool
 	asker := leaderclient.New(b.caller, b.clock, b.node.View)
 	server := httpserver.New(front, b.meter.Handler(clientapi.New(book.Page, asker, b.clock)), b.clock, b.log,
 		httpserver.WithMostConnections(mostClientConnections(b.settings.Limits.FileDescriptors)))
 	b.tree.Add("plan", book.Run)
-	b.tree.Add("clients", func(span.Span) error { return server.Serve() })
+	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
 	b.tree.Add("readiness", b.serving(ready, readiness(func() bool {
 		return !isLeaving.Load() && book.Page() != nil && b.node.View().SeesSteward()
 	}), internalLeave))
--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -1,12 +1,12 @@
 package roles
 
 import (
+	"context"
 	"slices"
 	"time"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/span"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -22,11 +22,11 @@
 // savePeers keeps the control addresses of live stewards on disk, so that a steward that restarts finds the others
 // even where its settings name only seeds that are down, cut off or gone. It begins with the addresses
 // that are saved already. Failures are logged and tried again.
-func (b *base) savePeers(store peerStore, saved []string) func(span.Span) error {
-	return func(life span.Span) error {
+func (b *base) savePeers(store peerStore, saved []string) func(context.Context) error {
+	return func(ctx context.Context) error {
 		for {
 			select {
-			case <-life.Done():
+			case <-ctx.Done():
 				return nil
 			case <-b.clock.After(peersSaveEvery):
 			}
@@ -48,7 +48,7 @@
 func withPeers(saved []string, view *membership.View) (next []string, isNews bool) {
 	for _, member := range view.Stewards {
 		isOther := membership.Name(member) != membership.Name(view.Self)
-		if !isOther || !member.MayLead() || member.State != peerapi.StateAlive || member.Control == "" {
+		if !isOther || !member.MayLead() || member.State != wire.StateAlive || member.Control == "" {
 			continue
 		}
 		next = append(next, member.Control)
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -1,6 +1,7 @@
 package roles
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"os"
@@ -15,7 +16,6 @@
 	"gannetline/internal/platform/httpserver"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/response"
-	"gannetline/internal/span"
 )
 
 var _ = Describe("a process that is told to leave", func() {
@@ -33,9 +33,9 @@
 
 	It("is not ended by SIGHUP once it reads settings no more", func() {
 		b := &base{clock: clock.NewFake(0), log: logging.Silent(), hangups: noticeHangups()}
-		life, end := span.Cancellable(span.Root())
+		ctx, end := context.WithCancel(context.Background())
 		end()
-		Expect(b.watchSettings(life)).To(Succeed())
+		Expect(b.watchSettings(ctx)).To(Succeed())
 		Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 		Eventually(b.hangups).Should(Receive())
 	})
@@ -47,7 +47,7 @@
 	ring chan time.Time
 }
 
-func (c *heldClock) Steady() time.Duration                { return time.Duration(c.now.Load()) }
+func (c *heldClock) Monotonic() time.Duration             { return time.Duration(c.now.Load()) }
 func (c *heldClock) WallMs() int64                        { return 0 }
 func (c *heldClock) After(time.Duration) <-chan time.Time { return c.ring }
 
@@ -70,10 +70,10 @@
 				response.Empty(http.StatusOK).Write(to)
 			}
 		}), times)
-		var life span.Span
-		life, end = span.Cancellable(span.Root())
+		var ctx context.Context
+		ctx, end = context.WithCancel(context.Background())
 		DeferCleanup(end)
-		go func() { left <- part(life) }()
+		go func() { left <- part(ctx) }()
 		go func() {
 			defer close(answer)
 			got, err := http.Get("http://" + listener.Addr().String())
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -1,16 +1,17 @@
 package roles
 
 import (
+	"context"
 	"time"
 
 	"gannetline/internal/cluster/comparenodes"
 	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/settings"
-	"gannetline/internal/span"
 )
 
 // LocalProxy stands before the executor of its machine, until SIGTERM.
@@ -25,8 +26,8 @@
 	return b.run(func() { <-b.clock.After(200 * time.Millisecond) })
 }
 
-// HollowProxy is a local-proxy among many in one process, until the span ends.
-func HollowProxy(life span.Span, nodeSettings *settings.Settings, log logging.Logger, options ...Option) error {
+// HollowProxy is a local-proxy among many in one process, until ctx is done.
+func HollowProxy(ctx context.Context, nodeSettings *settings.Settings, log logging.Logger, options ...Option) error {
 	if err := nodeSettings.Require("local-proxy"); err != nil {
 		return err
 	}
@@ -37,7 +38,7 @@
 	if err := b.standBeforeExecutor(); err != nil {
 		return err
 	}
-	return b.tree.Run(life)
+	return b.tree.Run(ctx)
 }
 
 func (b *base) standBeforeExecutor() error {
@@ -45,11 +46,11 @@
 	if err != nil {
 		return err
 	}
-	b.join(peerapi.Member{Role: "local-proxy"})
+	b.join(wire.Member{Role: "local-proxy"})
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View})
 	executor := executorapi.NewClient(b.meter.Client(peerapi.Client(silence, 8)), b.settings.App)
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View,
-		localproxy.WithDrainTime(clock.Ms(b.settings.Bounds.DrainTimeoutMs)))
+		localproxy.WithDrainTime(clock.Milliseconds(b.settings.Bounds.DrainTimeoutMs)))
 	b.tree.Add("proxy", proxy.Run)
 	b.tree.Add("executor-calls", b.serving(control, proxy, executorLeave))
 	return nil
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -1,6 +1,7 @@
 package roles
 
 import (
+	"context"
 	"net/http"
 	"path/filepath"
 	"time"
@@ -18,7 +19,6 @@
 	"gannetline/internal/platform/queuerules"
 	"gannetline/internal/scheduling/recording"
 	"gannetline/internal/scheduling/scheduler"
-	"gannetline/internal/span"
 )
 
 // partOfGrace is how much of the grace period a steward may take until its voters are replaced.
@@ -63,8 +63,8 @@
 	outer.Handle(peerapi.Prefix, b.inner)
 	if kept.store != nil {
 		b.tree.Add("known-peers", b.savePeers(kept.store, knownPeers))
-		b.tree.Add("replicas", func(life span.Span) error {
-			kept.replicas.Box().Run(life, b.clock, mailbox.Owner{Every: time.Minute})
+		b.tree.Add("replicas", func(ctx context.Context) error {
+			kept.replicas.Box().Run(ctx, b.clock, mailbox.Owner{Every: time.Minute})
 			return nil
 		})
 	}
@@ -72,7 +72,7 @@
 	b.tree.Add("keys", ring.Run)
 	b.tree.Add("control-calls", b.serving(control, outer, operatorLeave))
 	if b.settings.InitialStart && kept.store != nil && kept.store.Bare() {
-		b.tree.Add("first-voters", func(life span.Span) error { ring.FoundFirst(life, b.settings.Seeds); return nil })
+		b.tree.Add("first-voters", func(ctx context.Context) error { ring.FoundFirst(ctx, b.settings.Seeds); return nil })
 	}
 	return b.run(func() { ring.Leave(b.settings.GracePeriod() / partOfGrace) })
 }
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -6,7 +6,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/logging"
@@ -56,8 +56,8 @@
 	s.folder, s.isMakeshift = folder, true
 }
 
-func (s *durableState) member(control string) peerapi.Member {
-	self := peerapi.Member{Role: "steward", Control: control}
+func (s *durableState) member(control string) wire.Member {
+	self := wire.Member{Role: "steward", Control: control}
 	switch {
 	case s.isMakeshift:
 		self.Makeshift = s.store.Disk()
--- a/internal/scheduling/recording/event.go
+++ b/internal/scheduling/recording/event.go
@@ -5,7 +5,7 @@
 import (
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all event.go
@@ -34,14 +34,14 @@
 	Node       string              `json:"node,omitempty"`
 	ID         string              `json:"id,omitempty"`
 	Queue      string              `json:"queue,omitempty"`
-	Terms      peerapi.RouteTerms  `json:"terms"`
+	Terms      wire.RouteTerms     `json:"terms"`
 	Body       easyjson.RawMessage `json:"body,omitempty"`
 	Task       string              `json:"task,omitempty"`
 	Run        int64               `json:"run,omitempty"`
 	How        string              `json:"how,omitempty"`
 	LengthMs   int64               `json:"length-ms,omitempty"`
 	Machine    string              `json:"machine,omitempty"`
-	Room       peerapi.Capacity    `json:"room"`
+	Room       wire.Capacity       `json:"room"`
 	Labels     []string            `json:"labels,omitempty"`
 	IsDraining bool                `json:"draining,omitempty"`
 	Plan       int64               `json:"plan,omitempty"`
--- a/internal/scheduling/recording/write.go
+++ b/internal/scheduling/recording/write.go
@@ -2,13 +2,13 @@
 
 import (
 	"bufio"
+	"context"
 	"os"
 
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
 	"gannetline/internal/scheduling/jobs"
-	"gannetline/internal/span"
 )
 
 const (
@@ -46,11 +46,11 @@
 	}
 }
 
-// Run writes until the span ends.
-func (w *Writer) Run(life span.Span) error {
+// Run writes until ctx is done.
+func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
-		case <-life.Done():
+		case <-ctx.Done():
 			return w.Flush()
 		case event := <-w.lines:
 			if err := w.write(event); err != nil {
