--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/scheduler"
@@ -26,10 +26,10 @@
 		pool.Open(tenure, tenure.pairs())
 	}
 	// ask sends a client's call and settles its commit.
-	ask := func(verb, text string) peerapi.ClientAnswer {
-		var told peerapi.ClientAnswer
-		call := &peerapi.ClientCall{Verb: verb, Entry: "e", ID: id, Body: []byte(text), Terms: &peerapi.RouteTerms{MaxAttempts: 2}}
-		answer := func(one peerapi.ClientAnswer) { told = one }
+	ask := func(verb, text string) wire.ClientAnswer {
+		var told wire.ClientAnswer
+		call := &wire.ClientCall{Verb: verb, Entry: "e", ID: id, Body: []byte(text), Terms: &wire.RouteTerms{MaxAttempts: 2}}
+		answer := func(one wire.ClientAnswer) { told = one }
 		switch verb {
 		case "hand-in":
 			pool.HandIn(call, answer)
@@ -43,29 +43,29 @@
 		return told
 	}
 	state := func() string { return string(ask("state", "").Body) }
-	exchange := func(change func(*peerapi.ExchangeCall)) peerapi.ExchangeAnswer {
-		call := &peerapi.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: peerapi.Capacity{CPU: 4000, Memory: 4000},
+	exchange := func(change func(*wire.ExchangeCall)) wire.ExchangeAnswer {
+		call := &wire.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: wire.Capacity{CPU: 4000, Memory: 4000},
 			Labels: []string{"a", "r1"}, Fence: tenure.epoch, Look: 1 << 40}
 		change(call)
-		var told peerapi.ExchangeAnswer
-		pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { told = answer })
+		var told wire.ExchangeAnswer
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = answer })
 		pool.Settle()
 		tenure.settle(nil)
 		return told
 	}
-	nothing := func(*peerapi.ExchangeCall) {}
+	nothing := func(*wire.ExchangeCall) {}
 	start := func() {
 		exchange(nothing)
 		pool.Settle()
 		tenure.settle(nil)
 		Expect(exchange(nothing).Orders).To(HaveLen(1))
-		exchange(func(call *peerapi.ExchangeCall) {
-			call.Answers = []peerapi.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
+		exchange(func(call *wire.ExchangeCall) {
+			call.Answers = []wire.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
 		})
 	}
 	finish := func() {
-		exchange(func(call *peerapi.ExchangeCall) {
-			call.Ends = []peerapi.EndReport{{Number: 1, Task: task, Run: 1, How: "done"}}
+		exchange(func(call *wire.ExchangeCall) {
+			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, How: "done"}}
 		})
 	}
 	BeforeEach(func() {
@@ -99,7 +99,7 @@
 		Entry("of a job that runs", func() { start() }, 200, "cancelled"),
 		Entry("of a job that runs where the executor leaves", func() {
 			start()
-			exchange(func(call *peerapi.ExchangeCall) { call.Draining = true })
+			exchange(func(call *wire.ExchangeCall) { call.Draining = true })
 		}, 200, "cancelled"),
 		Entry("of a job that has ended", func() { start(); finish() }, 200, "completed"),
 		Entry("at the next leader", func() { start(); open(4) }, 200, "cancelled"),
@@ -108,10 +108,10 @@
 	It("acknowledges a cancel that comes while the hand-in is being committed", func() {
 		open(4)
 		var handedIn, cancelled int
-		other := &peerapi.ClientCall{Entry: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &peerapi.RouteTerms{MaxAttempts: 2}}
-		pool.HandIn(other, func(answer peerapi.ClientAnswer) { handedIn = answer.Status })
+		other := &wire.ClientCall{Entry: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &wire.RouteTerms{MaxAttempts: 2}}
+		pool.HandIn(other, func(answer wire.ClientAnswer) { handedIn = answer.Status })
 		pool.Settle()
-		pool.Cancel(other, func(answer peerapi.ClientAnswer) { cancelled = answer.Status })
+		pool.Cancel(other, func(answer wire.ClientAnswer) { cancelled = answer.Status })
 		pool.Settle()
 		tenure.settle(nil)
 		tenure.settle(nil)
@@ -121,12 +121,12 @@
 
 	It("moves at once what will not end before an executor is gone that left unannounced", func() {
 		start()
-		exchange(func(call *peerapi.ExchangeCall) { call.Draining, call.DepartsMs = true, 2000 })
-		Expect(exchange(nothing).Orders).To(ContainElement(peerapi.Order{Kind: "stop", Task: task, Run: 1}))
+		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartsMs = true, 2000 })
+		Expect(exchange(nothing).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: task, Run: 1}))
 	})
 
 	It("starts nothing on an executor that leaves because its proxy forgot that", func() {
-		exchange(func(call *peerapi.ExchangeCall) { call.Draining, call.DepartsMs = true, 2000 })
+		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartsMs = true, 2000 })
 		exchange(nothing)
 		pool.Settle()
 		tenure.settle(nil)
--- a/internal/scheduling/scheduler/chances.go
+++ b/internal/scheduling/scheduler/chances.go
@@ -53,7 +53,7 @@
 	wall := p.tenure.WallMs()
 	for _, turn := range step.chanceTurns() {
 		if wall < turn {
-			return now + clock.Ms(turn-wall)
+			return now + clock.Milliseconds(turn-wall)
 		}
 	}
 	return never
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -6,42 +6,42 @@
 	"slices"
 	"strconv"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/scheduling/recording"
 )
 
-type answerClient = func(peerapi.ClientAnswer)
+type answerClient = func(wire.ClientAnswer)
 
-func lost() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true} }
+func lost() wire.ClientAnswer { return wire.ClientAnswer{Elsewhere: true} }
 
 // unclear is the answer once a change was proposed and the leadership ended before its commit.
-func unclear() peerapi.ClientAnswer { return peerapi.ClientAnswer{Elsewhere: true, Unclear: true} }
+func unclear() wire.ClientAnswer { return wire.ClientAnswer{Elsewhere: true, Unclear: true} }
 
 // HandIn accepts a job once it is committed; the same ID again is the same job.
-func (p *Pool) HandIn(call *peerapi.ClientCall, answer answerClient) {
+func (p *Pool) HandIn(call *wire.ClientCall, answer answerClient) {
 	accepted := func(err error) {
 		if err != nil {
 			answer(unclear())
 			return
 		}
-		answer(peerapi.ClientAnswer{Status: http.StatusOK})
+		answer(wire.ClientAnswer{Status: http.StatusOK})
 	}
 	if known := p.jobs[call.ID]; known != nil {
 		if known.record.Entry != call.Entry {
-			answer(peerapi.ClientAnswer{Status: http.StatusConflict, Why: "the ID belongs to a job of another queue"})
+			answer(wire.ClientAnswer{Status: http.StatusConflict, Why: "the ID belongs to a job of another queue"})
 			return
 		}
 		p.after(accepted)
 		return
 	}
 	if p.renounced.ids[call.ID] {
-		answer(peerapi.ClientAnswer{Status: http.StatusServiceUnavailable, Why: "the job's queue has moved to another service"})
+		answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Why: "the job's queue has moved to another service"})
 		return
 	}
 	spec, err := jobs.Read(call.Body)
 	if err != nil {
-		answer(peerapi.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
+		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
 		return
 	}
 	p.meters.handIns.Inc()
@@ -62,18 +62,18 @@
 
 // State answers with the state of a job. Like Count and Cancel it answers only under a lease, which is checked again at
 // the moment of the answer.
-func (p *Pool) State(call *peerapi.ClientCall, answer answerClient) {
+func (p *Pool) State(call *wire.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	p.after(func(err error) {
 		switch {
 		case err != nil || p.tenure == nil || !p.tenure.HasLease():
 			answer(lost())
 		case one == nil:
-			answer(peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
+			answer(wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
 		case one.isUnreadable && one.isOpen():
-			answer(peerapi.ClientAnswer{Status: http.StatusServiceUnavailable, Why: "the job's record can't be read by this version"})
+			answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Why: "the job's record can't be read by this version"})
 		default:
-			answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + one.shown() + `"}`)})
+			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + one.shown() + `"}`)})
 		}
 	})
 }
@@ -86,19 +86,19 @@
 }
 
 // Count answers with the number of jobs that wait in a queue.
-func (p *Pool) Count(call *peerapi.ClientCall, answer answerClient) {
+func (p *Pool) Count(call *wire.ClientCall, answer answerClient) {
 	p.after(func(err error) {
 		if err != nil || p.tenure == nil || !p.tenure.HasLease() {
 			answer(lost())
 			return
 		}
 		count := strconv.Itoa(max(0, p.queued[call.Entry]))
-		answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)})
+		answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)})
 	})
 }
 
 // Cancel ends a job and answers once that is committed; a job that has ended stays as it is.
-func (p *Pool) Cancel(call *peerapi.ClientCall, answer answerClient) {
+func (p *Pool) Cancel(call *wire.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	if one != nil && one.isOpen() {
 		p.record.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.tenure.WallMs(), ID: call.ID})
@@ -109,9 +109,9 @@
 		case err != nil || p.tenure == nil || !p.tenure.HasLease():
 			answer(lost())
 		case one == nil:
-			answer(peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
+			answer(wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
 		default:
-			answer(peerapi.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
+			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
 		}
 	})
 }
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/scheduler"
@@ -26,7 +26,7 @@
 func (t *prompt) HasLease() bool { return true }
 func (t *prompt) WallMs() int64  { return t.clock.WallMs() }
 
-func (t *prompt) Commit(ops []peerapi.Op, done func(error)) {
+func (t *prompt) Commit(ops []wire.Op, done func(error)) {
 	t.ops += len(ops)
 	for _, op := range ops {
 		t.bytes += len(op.Name) + len(op.Value)
@@ -37,7 +37,7 @@
 	done(nil)
 }
 
-func (t *prompt) keep(ops []peerapi.Op) {
+func (t *prompt) keep(ops []wire.Op) {
 	for _, op := range ops {
 		t.kept[op.Name] = op.Value
 		if len(op.Value) == 0 {
@@ -53,8 +53,8 @@
 	labels  []string
 	ends    int64
 	look    uint64
-	running []peerapi.Order
-	answers []peerapi.OrderAnswer
+	running []wire.Order
+	answers []wire.OrderAnswer
 }
 
 // crowd is a pool with full executors and a backlog of open steps.
@@ -102,27 +102,27 @@
 
 // handIn gives one job in the mix of a board: most are short and urgent, some long, some spread out.
 func (c *crowd) handIn(number int) {
-	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, peerapi.RouteTerms{Stretch: 1.5, TargetMs: 250}
+	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, wire.RouteTerms{Stretch: 1.5, TargetMs: 250}
 	switch number % 10 {
 	case 8:
-		step, terms = `{"task-count":46,"cpu-units":5000,"memory-req-mb":9200,"estimated-ms":6000}`, peerapi.RouteTerms{Priority: 2, Stretch: 3.2, TargetMs: 3000}
+		step, terms = `{"task-count":46,"cpu-units":5000,"memory-req-mb":9200,"estimated-ms":6000}`, wire.RouteTerms{Priority: 2, Stretch: 3.2, TargetMs: 3000}
 	case 9:
-		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, peerapi.RouteTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
+		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, wire.RouteTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
 	}
 	c.jobs++
-	c.pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
-		Body: []byte(`{"task-descriptor":"` + fmt.Sprintf("%0200d", c.jobs) + `","step-list":[` + step + `]}`)}, func(peerapi.ClientAnswer) {})
+	c.pool.HandIn(&wire.ClientCall{Verb: "hand-in", Entry: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
+		Body: []byte(`{"task-descriptor":"` + fmt.Sprintf("%0200d", c.jobs) + `","step-list":[` + step + `]}`)}, func(wire.ClientAnswer) {})
 	c.pool.Settle()
 }
 
-func (c *crowd) exchange(one *hand, ends []peerapi.EndReport) {
-	call := &peerapi.ExchangeCall{Key: "pool/s", Life: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
-		Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, Look: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
+func (c *crowd) exchange(one *hand, ends []wire.EndReport) {
+	call := &wire.ExchangeCall{Key: "pool/s", Life: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
+		Room: wire.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, Look: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
 	one.answers, one.look = nil, 0
-	c.pool.Exchange(call, func(answer peerapi.ExchangeAnswer) {
+	c.pool.Exchange(call, func(answer wire.ExchangeAnswer) {
 		for _, order := range answer.Orders {
 			one.running = append(one.running, order)
-			one.answers = append(one.answers, peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: scheduler.ResultOK})
+			one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: scheduler.ResultOK})
 			c.starts++
 		}
 	})
@@ -136,7 +136,7 @@
 	gone := one.running[0]
 	one.running = one.running[1:]
 	one.ends++
-	c.exchange(one, []peerapi.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, How: "done"}})
+	c.exchange(one, []wire.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, How: "done"}})
 	c.pool.Settle()
 	c.exchange(one, nil)
 	c.pool.Settle()
@@ -218,7 +218,7 @@
 	eachSize(b, func(b *testing.B, c *crowd) {
 		for range b.N {
 			c.handIn(0)
-			c.pool.Cancel(&peerapi.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(peerapi.ClientAnswer) {})
+			c.pool.Cancel(&wire.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(wire.ClientAnswer) {})
 			c.pool.Settle()
 		}
 	})
@@ -231,9 +231,9 @@
 			kept := map[string][]byte{}
 			c := newCrowdKept(executors, 300, kept)
 			c.tenure.kept = nil
-			var pairs []peerapi.Op
+			var pairs []wire.Op
 			for name, value := range kept {
-				pairs = append(pairs, peerapi.Op{Name: name, Value: value})
+				pairs = append(pairs, wire.Op{Name: name, Value: value})
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/scheduling/scheduler/drains_test.go
+++ b/internal/scheduling/scheduler/drains_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 var _ = Describe("a run whose start is told once its executor is leaving", func() {
@@ -18,8 +18,8 @@
 	// leave has the executor say that it leaves along with its answer to the start, and maybe to another leader.
 	leave := func(body string, isTakenOver bool) {
 		f = newFleet(timing)
-		f.add(2, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, body)
+		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, body)
 		for _, one := range f.executors {
 			if f.hear(one); len(one.running) > 0 {
 				leaving = one
--- a/internal/scheduling/scheduler/ended_test.go
+++ b/internal/scheduling/scheduler/ended_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 var _ = Describe("a job that has ended", func() {
@@ -16,11 +16,11 @@
 	var f *fleet
 	BeforeEach(func() {
 		f = newFleet(timing)
-		f.add(2, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
 	DescribeTable("is known for status_s, whatever the leaders' clocks show", func(atItsEnd, afterwards int64) {
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, single)
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		f.clock.StepWall(atItsEnd)
 		f.endAll("done")
@@ -30,7 +30,7 @@
 		f.clock.Advance(statusTime)
 		f.pass(200 * time.Millisecond)
 		Expect(f.state(id)).To(ContainSubstring("completed"))
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, single)
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		Expect(f.starts()).To(Equal(1))
 	},
@@ -40,7 +40,7 @@
 	)
 
 	It("runs each time of a timed job once, whatever jumps of the clock and changes of the leader come between", func() {
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}],`+
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}],`+
 			`"repeat-count":4,"first-run-ms":1001000,"period-ms":2000}`)
 		for _, jump := range []int64{0, 3000, -5000, 4000, -2000, 0, 0, 0} {
 			f.clock.StepWall(jump)
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/scheduling/recording"
 )
@@ -20,8 +20,8 @@
 )
 
 // Exchange takes what a local-proxy says of its executor, and answers with orders, grant and acks.
-func (p *Pool) Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
-	now := p.clock.Steady()
+func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
+	now := p.clock.Monotonic()
 	home := p.lifeOf(call.Life)
 	call, isTaken := home.heard.take(call)
 	p.learnContact(home, call, now)
@@ -51,7 +51,7 @@
 	p.takeLook(home, call)
 	if call.WaitMs > 0 {
 		p.answerParked(home)
-		home.parked = &parkedCall{until: now + clock.Ms(call.WaitMs), answer: answer}
+		home.parked = &parkedCall{until: now + clock.Milliseconds(call.WaitMs), answer: answer}
 		p.release(home)
 		return
 	}
@@ -63,18 +63,18 @@
 }
 
 // answerAck tells the proxy at once, with the commit, how far its ends are taken note of.
-func (p *Pool) answerAck(home *life, err error, answer func(peerapi.ExchangeAnswer)) {
+func (p *Pool) answerAck(home *life, err error, answer func(wire.ExchangeAnswer)) {
 	if err != nil || p.tenure == nil {
-		answer(peerapi.ExchangeAnswer{Elsewhere: true})
+		answer(wire.ExchangeAnswer{Elsewhere: true})
 		return
 	}
 	answer(p.answerFor(home))
 }
 
 // learnContact takes what every exchange tells, also one whose base is not known here.
-func (p *Pool) learnContact(home *life, call *peerapi.ExchangeCall, now time.Duration) {
+func (p *Pool) learnContact(home *life, call *wire.ExchangeCall, now time.Duration) {
 	p.roster.note(home)
-	isBlocked := clock.Ms(call.HoldAgeMs) > p.timing.HoldStale
+	isBlocked := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
 	if home.isBlocked && !isBlocked {
 		p.needsPlacing = true
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (p *Pool) learnFacts(home *life, call *peerapi.ExchangeCall, now time.Duration) {
+func (p *Pool) learnFacts(home *life, call *wire.ExchangeCall, now time.Duration) {
 	if !home.isKnown || home.isDraining != call.Draining {
 		p.needsPlacing = true
 	}
@@ -107,7 +107,7 @@
 	// A proxy that was restarted may not have heard yet that its executor leaves; no executor takes that back.
 	home.room, home.isDraining = room(call.Room), home.isDraining || call.Draining
 	if call.DepartsMs > 0 {
-		home.departsAt = now + clock.Ms(call.DepartsMs)
+		home.departsAt = now + clock.Milliseconds(call.DepartsMs)
 	}
 	if !home.isFenced && call.Fence == p.tenure.Epoch() && call.Look >= home.firstLook {
 		home.isFenced = true
@@ -119,11 +119,11 @@
 	}
 }
 
-func (p *Pool) answerFor(home *life) peerapi.ExchangeAnswer {
-	now := p.clock.Steady()
-	answer := peerapi.ExchangeAnswer{Fence: p.tenure.Epoch(), LastSeen: home.lastSeen, Look: home.lookWanted, Held: home.heard.held}
+func (p *Pool) answerFor(home *life) wire.ExchangeAnswer {
+	now := p.clock.Monotonic()
+	answer := wire.ExchangeAnswer{Fence: p.tenure.Epoch(), LastSeen: home.lastSeen, Look: home.lookWanted, Held: home.heard.held}
 	if !home.isBlocked && p.tenure.HasLease() {
-		answer.GrantMs = clock.InMs(p.timing.Grant)
+		answer.GrantMs = p.timing.Grant.Milliseconds()
 		home.lapsesAt = max(home.lapsesAt, now+p.lapse(p.timing.Grant))
 	}
 	answer.Orders = home.strays
@@ -146,8 +146,8 @@
 	return answer
 }
 
-func (p *Pool) order(one *run) peerapi.Order {
-	order := peerapi.Order{Kind: kindStop, Task: one.task.name, Run: one.number}
+func (p *Pool) order(one *run) wire.Order {
+	order := wire.Order{Kind: kindStop, Task: one.task.name, Run: one.number}
 	if one.state == runLaunching {
 		order.Kind, order.Spec, order.Saved = kindLaunch, one.task.job().spec.Descriptor, one.task.checkpoint()
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (p *Pool) unpark(home *life, answer peerapi.ExchangeAnswer) {
+func (p *Pool) unpark(home *life, answer wire.ExchangeAnswer) {
 	if home.parked != nil {
 		reply := home.parked.answer
 		home.parked = nil
@@ -176,17 +176,17 @@
 
 func (p *Pool) wantLook(home *life, one *run) {
 	p.looks++
-	home.lookWanted, home.lookAt = p.looks, p.clock.Steady()
+	home.lookWanted, home.lookAt = p.looks, p.clock.Monotonic()
 	one.needsLook = p.looks
 	p.answerParked(home)
 }
 
-func (p *Pool) takeAnswer(home *life, answer peerapi.OrderAnswer) {
+func (p *Pool) takeAnswer(home *life, answer wire.OrderAnswer) {
 	one := home.runs[runKey{answer.Task, answer.Run}]
 	if one == nil {
 		return
 	}
-	now := p.clock.Steady()
+	now := p.clock.Monotonic()
 	if answer.Kind == kindStop {
 		if one.state == runStopping && answer.Result == ResultOK && !one.isAnswered {
 			one.isAnswered, one.answeredAt = true, now
@@ -202,7 +202,7 @@
 	switch answer.Result {
 	case ResultOK:
 		p.started(one)
-		one.startedAt -= min(clock.Ms(answer.AgeMs), now-one.orderedAt)
+		one.startedAt -= min(clock.Milliseconds(answer.AgeMs), now-one.orderedAt)
 	case ResultNotRun, ResultRoom, ResultSick:
 		if answer.Result == ResultSick {
 			p.penalizeUnlessResting(home)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (p *Pool) takeEnds(home *life, ends []peerapi.EndReport) (hasNews bool) {
+func (p *Pool) takeEnds(home *life, ends []wire.EndReport) (hasNews bool) {
 	if !home.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= home.notedEnd {
 		return false
 	}
@@ -243,7 +243,7 @@
 	return true
 }
 
-func (p *Pool) takeChanged(home *life, changed []peerapi.RunReport) {
+func (p *Pool) takeChanged(home *life, changed []wire.RunReport) {
 	for _, report := range changed {
 		one := home.runs[runKey{report.Task, report.Run}]
 		if one == nil {
@@ -257,7 +257,7 @@
 	}
 }
 
-func (p *Pool) takeLook(home *life, call *peerapi.ExchangeCall) {
+func (p *Pool) takeLook(home *life, call *wire.ExchangeCall) {
 	if call.Look == 0 || !home.isFenced {
 		return
 	}
@@ -265,7 +265,7 @@
 	for _, report := range call.Running {
 		key := runKey{report.Task, report.Run}
 		running[key] = true
-		hasEnded := slices.ContainsFunc(call.Ends, func(end peerapi.EndReport) bool { return end.Task == report.Task && end.Run == report.Run })
+		hasEnded := slices.ContainsFunc(call.Ends, func(end wire.EndReport) bool { return end.Task == report.Task && end.Run == report.Run })
 		if home.runs[key] == nil && !hasEnded {
 			p.stray(home, report)
 		}
@@ -297,8 +297,8 @@
 }
 
 // stray stops a run that no record knows, such as one carried out long after its order was given up.
-func (p *Pool) stray(home *life, report peerapi.RunReport) {
-	order := peerapi.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
+func (p *Pool) stray(home *life, report wire.RunReport) {
+	order := wire.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
 	if !slices.Contains(home.strays, order) {
 		p.log.Info("stopping a run that no record knows", "task", report.Task, "run", report.Run, "executor", home.id)
 		home.strays = append(home.strays, order)
@@ -308,7 +308,7 @@
 // lifeGone closes all that ran on a life that certainly runs nothing any more.
 func (p *Pool) lifeGone(home *life) {
 	home.isKnown = false
-	p.unpark(home, peerapi.ExchangeAnswer{})
+	p.unpark(home, wire.ExchangeAnswer{})
 	for _, one := range home.inOrder() {
 		p.closeRun(one)
 	}
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -4,11 +4,11 @@
 	"maps"
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // Heard is what the owner believes of an executor, and of which session and number it is.
-func (p *Pool) Heard(id string) (told peerapi.ExchangeCall, saved map[string]string) {
+func (p *Pool) Heard(id string) (told wire.ExchangeCall, saved map[string]string) {
 	home := p.lives[id]
 	if home == nil || !home.isKnown {
 		return told, nil
@@ -17,8 +17,8 @@
 	for _, key := range slices.Collect(maps.Keys(home.runs)) {
 		saved[key.task] = home.runs[key].task.saved
 	}
-	return peerapi.ExchangeCall{Session: home.heard.session, Number: home.heard.held, Proxy: home.proxy, Domain: home.domain,
-		Labels: home.labels, Room: peerapi.Capacity{CPU: home.room.CPU, Memory: home.room.Memory, GPU: home.room.GPU},
+	return wire.ExchangeCall{Session: home.heard.session, Number: home.heard.held, Proxy: home.proxy, Domain: home.domain,
+		Labels: home.labels, Room: wire.Capacity{CPU: home.room.CPU, Memory: home.room.Memory, GPU: home.room.GPU},
 		Draining: home.isDraining}, saved
 }
 
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -23,13 +23,13 @@
 const tasksHere = 6
 
 type letter struct {
-	call  peerapi.ExchangeCall
+	call  wire.ExchangeCall
 	table *localproxy.Table
 }
 
 type returned struct {
 	letter
-	answer peerapi.ExchangeAnswer
+	answer wire.ExchangeAnswer
 }
 
 // postOffice carries exchanges between a real proxy's table and a real pool, and may lose, double and reorder them.
@@ -53,11 +53,11 @@
 	clock := clock.NewFake(1_000_000)
 	o := &postOffice{draw: rand.New(rand.NewPCG(seed, 7)), clock: clock, saved: map[string]string{}, truth: map[[2]uint64]picture{},
 		tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}},
-		beat:   executorapi.Beat{Service: "s", State: "ready", Room: peerapi.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
+		beat:   executorapi.Beat{Service: "s", State: "ready", Room: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
-	o.pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &peerapi.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
-		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(peerapi.ClientAnswer) {})
+	o.pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
+		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(wire.ClientAnswer) {})
 	o.settle()
 	for range 4 {
 		o.exchangeAll()
@@ -92,7 +92,7 @@
 
 func (o *postOffice) say() {
 	o.sequence++
-	o.beat.Sequence, o.beat.ClockMs = o.sequence, clock.InMs(o.clock.Steady())+1
+	o.beat.Sequence, o.beat.ClockMs = o.sequence, o.clock.Monotonic().Milliseconds()+1
 	beat := o.beat
 	o.table.Beat("i-1", &beat)
 }
@@ -102,7 +102,7 @@
 	if !isDue {
 		return
 	}
-	answer := executorapi.Answer{ClockMs: clock.InMs(o.clock.Steady()) + 1}
+	answer := executorapi.Answer{ClockMs: o.clock.Monotonic().Milliseconds() + 1}
 	for _, task := range slices.Sorted(maps.Keys(o.saved)) {
 		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Saved: o.saved[task]})
 	}
@@ -114,7 +114,7 @@
 	saved map[string]string
 }
 
-func pictureOf(call peerapi.ExchangeCall, saved map[string]string) picture {
+func pictureOf(call wire.ExchangeCall, saved map[string]string) picture {
 	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Room, call.Draining), maps.Clone(saved)}
 }
 
@@ -127,9 +127,9 @@
 func (o *postOffice) deliver(one letter) {
 	text, err := easyjson.Marshal(one.call)
 	Expect(err).NotTo(HaveOccurred())
-	var call peerapi.ExchangeCall
+	var call wire.ExchangeCall
 	Expect(easyjson.Unmarshal(text, &call)).To(Succeed())
-	o.pool.Exchange(&call, func(answer peerapi.ExchangeAnswer) { o.answers = append(o.answers, returned{one, answer}) })
+	o.pool.Exchange(&call, func(answer wire.ExchangeAnswer) { o.answers = append(o.answers, returned{one, answer}) })
 	o.settle()
 }
 
@@ -137,7 +137,7 @@
 	if one.table != o.table {
 		return
 	}
-	for _, order := range o.table.Told(&one.call, o.clock.Steady(), &one.answer) {
+	for _, order := range o.table.Told(&one.call, o.clock.Monotonic(), &one.answer) {
 		if work, isDue := o.table.Ready("i-1", order); isDue {
 			o.table.Carried(work, "ok")
 		}
@@ -175,7 +175,7 @@
 func (o *postOffice) noteTruth() {
 	call := o.calls[len(o.calls)-1].call
 	place := [2]uint64{call.Session, call.Number}
-	now := pictureOf(peerapi.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Room: o.beat.Room}, o.saved)
+	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Room: o.beat.Room}, o.saved)
 	if was, isThere := o.truth[place]; isThere {
 		Expect(now).To(Equal(was), "number %v stands for two things", place)
 	}
@@ -256,7 +256,7 @@
 
 var _ = Describe("an owner that lacks the base of what a proxy tells", func() {
 	var o *postOffice
-	answered := func() peerapi.ExchangeAnswer {
+	answered := func() wire.ExchangeAnswer {
 		o.compose()
 		o.deliver(o.calls[len(o.calls)-1])
 		last := o.answers[len(o.answers)-1]
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/scheduler"
@@ -18,8 +18,8 @@
 
 // fleetExecutor is an executor and its local proxy, which obey every order at once unless they are told otherwise.
 type fleetExecutor struct {
-	peerapi.ExchangeCall
-	running  []peerapi.Order
+	wire.ExchangeCall
+	running  []wire.Order
 	isSilent bool
 	// refusal answers every launch, if it is set.
 	refusal string
@@ -52,11 +52,11 @@
 }
 
 // add brings executors of one kind that are known to the pool.
-func (f *fleet) add(count int, room peerapi.Capacity, labels ...string) []*fleetExecutor {
+func (f *fleet) add(count int, room wire.Capacity, labels ...string) []*fleetExecutor {
 	var added []*fleetExecutor
 	for range count {
 		name := fmt.Sprintf("%03d", len(f.executors))
-		one := &fleetExecutor{ExchangeCall: peerapi.ExchangeCall{Key: "pool/s", Life: "i-" + name, Proxy: "side-" + name, Room: room, Labels: labels}}
+		one := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Life: "i-" + name, Proxy: "side-" + name, Room: room, Labels: labels}}
 		f.executors = append(f.executors, one)
 		added = append(added, one)
 	}
@@ -75,11 +75,11 @@
 	call := one.ExchangeCall
 	call.Fence, call.Look = f.tenure.epoch, 1<<40
 	for _, order := range one.running {
-		call.Running = append(call.Running, peerapi.RunReport{Task: order.Task, Run: order.Run})
+		call.Running = append(call.Running, wire.RunReport{Task: order.Task, Run: order.Run})
 	}
 	one.Answers = nil
-	f.pool.Exchange(&call, func(answer peerapi.ExchangeAnswer) {
-		one.Ends = slices.DeleteFunc(one.Ends, func(end peerapi.EndReport) bool { return end.Number <= answer.LastSeen })
+	f.pool.Exchange(&call, func(answer wire.ExchangeAnswer) {
+		one.Ends = slices.DeleteFunc(one.Ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
 		for _, order := range answer.Orders {
 			one.obey(order)
 		}
@@ -87,7 +87,7 @@
 	f.settle()
 }
 
-func (one *fleetExecutor) obey(order peerapi.Order) {
+func (one *fleetExecutor) obey(order wire.Order) {
 	result := "ok"
 	switch {
 	case order.Kind == "stop":
@@ -98,17 +98,17 @@
 		one.starts++
 		one.running = append(one.running, order)
 	}
-	one.Answers = append(one.Answers, peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
+	one.Answers = append(one.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
 }
 
 // end ends the run of a task here, if there is one.
 func (one *fleetExecutor) end(task, how string) {
-	one.running = slices.DeleteFunc(one.running, func(order peerapi.Order) bool {
+	one.running = slices.DeleteFunc(one.running, func(order wire.Order) bool {
 		if order.Task != task {
 			return false
 		}
 		one.lastEnd++
-		one.Ends = append(one.Ends, peerapi.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, How: how})
+		one.Ends = append(one.Ends, wire.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, How: how})
 		return true
 	})
 }
@@ -124,7 +124,7 @@
 
 // pass lets time go on.
 func (f *fleet) pass(length time.Duration) {
-	for end := f.clock.Steady() + length; f.clock.Steady() < end; f.clock.Advance(fleetTick) {
+	for end := f.clock.Monotonic() + length; f.clock.Monotonic() < end; f.clock.Advance(fleetTick) {
 		f.pool.Tick()
 		f.settle()
 		for _, one := range f.executors {
@@ -135,15 +135,15 @@
 	}
 }
 
-func (f *fleet) handIn(id string, terms peerapi.RouteTerms, body string) {
-	f.pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer peerapi.ClientAnswer) {
+func (f *fleet) handIn(id string, terms wire.RouteTerms, body string) {
+	f.pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
 		Expect(answer.Status).To(Equal(200))
 	})
 	f.settle()
 }
 
 func (f *fleet) state(id string) (told string) {
-	f.pool.State(&peerapi.ClientCall{Entry: "e", ID: id}, func(answer peerapi.ClientAnswer) { told = fmt.Sprint(answer.Status, string(answer.Body)) })
+	f.pool.State(&wire.ClientCall{Entry: "e", ID: id}, func(answer wire.ClientAnswer) { told = fmt.Sprint(answer.Status, string(answer.Body)) })
 	f.settle()
 	return told
 }
--- a/internal/scheduling/scheduler/gangs_test.go
+++ b/internal/scheduling/scheduler/gangs_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 var _ = Describe("a gang that loses a member", func() {
@@ -15,8 +15,8 @@
 	var f *fleet
 	BeforeEach(func() {
 		f = newFleet(timing)
-		f.add(6, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, gangOfThree)
+		f.add(6, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, gangOfThree)
 		f.pass(time.Second)
 		Expect(f.tasks()).To(HaveLen(3))
 	})
@@ -71,7 +71,7 @@
 		f.endAll("done")
 		f.pass(time.Second)
 		f.executors[0].refusal = "timeout"
-		f.handIn(secondID, peerapi.RouteTerms{MaxAttempts: 2}, gangOfThree)
+		f.handIn(secondID, wire.RouteTerms{MaxAttempts: 2}, gangOfThree)
 		f.pass(time.Second)
 		Expect(f.tasks()).To(HaveLen(2))
 		f.pass(1400 * time.Millisecond)
--- a/internal/scheduling/scheduler/heard.go
+++ b/internal/scheduling/scheduler/heard.go
@@ -1,16 +1,16 @@
 package scheduler
 
-import "gannetline/internal/cluster/peerapi"
+import "gannetline/internal/cluster/peerapi/wire"
 
 // heard is what a local-proxy has told of an executor, up to a number of its session.
 type heard struct {
 	session uint64
 	held    uint64
-	facts   peerapi.ExchangeCall
+	facts   wire.ExchangeCall
 }
 
 // take gives the call with all that it left out put back; it is false where the base is not known here.
-func (h *heard) take(call *peerapi.ExchangeCall) (*peerapi.ExchangeCall, bool) {
+func (h *heard) take(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
 	whole := *call
 	if call.Session == 0 {
 		whole.Changed = call.Running
@@ -29,12 +29,12 @@
 	return &whole, true
 }
 
-func putFacts(to, from *peerapi.ExchangeCall) {
+func putFacts(to, from *wire.ExchangeCall) {
 	to.Proxy, to.Domain, to.Labels, to.Room, to.Draining, to.Gone = from.Proxy, from.Domain, from.Labels, from.Room, from.Draining, from.Gone
 }
 
 // follows begins a later session with its whole.
-func (h *heard) follows(call *peerapi.ExchangeCall) bool {
+func (h *heard) follows(call *wire.ExchangeCall) bool {
 	if call.Session == h.session {
 		return call.Base <= h.held
 	}
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -10,14 +10,14 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 )
 
 // load rebuilds the tables from the committed records. No record keeps the key from being taken over, as the next
 // leader would find the same one: a job with a record that can't be read is set aside, and all others go on.
-func (p *Pool) load(pairs []peerapi.Op) {
-	kept := map[byte][]peerapi.Op{}
+func (p *Pool) load(pairs []wire.Op) {
+	kept := map[byte][]wire.Op{}
 	for _, pair := range pairs {
 		if len(pair.Name) > 2 {
 			kept[pair.Name[0]] = append(kept[pair.Name[0]], pair)
@@ -45,7 +45,7 @@
 }
 
 // loadEach takes the records of one kind, whose names begin with two bytes that tell the kind.
-func (p *Pool) loadEach(pairs []peerapi.Op, take func(name string, value []byte) error) {
+func (p *Pool) loadEach(pairs []wire.Op, take func(name string, value []byte) error) {
 	for _, pair := range pairs {
 		if err := take(pair.Name[2:], pair.Value); err != nil {
 			p.noteUnreadable(pair.Name, err)
@@ -125,7 +125,7 @@
 
 // readTasks reads the records of tasks before any step of their jobs opens. What a job that is over, or another job
 // under the same ID, has left behind is dropped.
-func (p *Pool) readTasks(pairs []peerapi.Op) []loadedTask {
+func (p *Pool) readTasks(pairs []wire.Op) []loadedTask {
 	tasks := make([]loadedTask, 0, len(pairs))
 	for _, pair := range pairs {
 		one := loadedTask{name: pair.Name}
@@ -222,7 +222,7 @@
 }
 
 // dropLeftOrders drops the orders that no run waits for.
-func (p *Pool) dropLeftOrders(pairs []peerapi.Op) {
+func (p *Pool) dropLeftOrders(pairs []wire.Op) {
 	if len(pairs) == 0 {
 		return
 	}
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 var _ = Describe("a pool taken over", func() {
@@ -21,15 +21,15 @@
 	}
 	BeforeEach(func() {
 		f = newFleet(timing)
-		f.add(2, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
 	DescribeTable("goes on with all other jobs where a record of one can't be read", func(record, text string) {
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, single)
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		f.tenure.kept[record] = []byte(text)
 		f.takeOver()
-		f.handIn(otherID, peerapi.RouteTerms{MaxAttempts: 2}, single)
+		f.handIn(otherID, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		f.endAll("done")
 		f.pass(200 * time.Millisecond)
@@ -45,7 +45,7 @@
 	)
 
 	It("goes on without the records of executors that can't be read", func() {
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, single)
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		Expect(kept("e/")).To(HaveLen(1))
 		f.tenure.kept[kept("e/")[0]] = []byte("{")
@@ -67,7 +67,7 @@
 	It("drops the record of a task that the job under this ID doesn't have", func() {
 		f.tenure.kept["t/"+id+".0.0.5"] = []byte(`{"d":true,"r":1}`)
 		f.tenure.kept["t/"+otherID+".0.0.0"] = []byte(`{"d":true,"r":1}`)
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, single)
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.takeOver()
 		Expect(f.pool.Unreadable()).To(BeEmpty())
 		Expect(kept("t/")).NotTo(ContainElement("t/" + id + ".0.0.5"))
@@ -75,7 +75,7 @@
 	})
 
 	It("stops the runs of a time that was done before, and keeps no records of them", func() {
-		f.handIn(id, peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","repeat-count":2,"period-ms":60000,"first-run-ms":1000000,`+
+		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","repeat-count":2,"period-ms":60000,"first-run-ms":1000000,`+
 			`"step-list":[{"task-count":2,"cpu-units":3000,"gang-scheduled":true}]}`)
 		f.pass(200 * time.Millisecond)
 		Expect(f.tasks()).To(HaveLen(2))
--- a/internal/scheduling/scheduler/model.go
+++ b/internal/scheduling/scheduler/model.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/scheduling/placement"
 )
@@ -235,7 +235,7 @@
 	slow       float64
 	runs       map[runKey]*run
 	outbox     []*run
-	strays     []peerapi.Order
+	strays     []wire.Order
 	parked     *parkedCall
 	isBlocked  bool
 	isRecorded bool
@@ -267,5 +267,5 @@
 
 type parkedCall struct {
 	until  time.Duration
-	answer func(peerapi.ExchangeAnswer)
+	answer func(wire.ExchangeAnswer)
 }
--- a/internal/scheduling/scheduler/near.go
+++ b/internal/scheduling/scheduler/near.go
@@ -15,7 +15,7 @@
 	if len(step.step.Near) == 0 || step.step.Gang || step.step.Lasting {
 		return 0
 	}
-	loss := time.Duration((p.timing.RemoteFactor - 1) * float64(clock.Ms(step.step.EstimatedMs)))
+	loss := time.Duration((p.timing.RemoteFactor - 1) * float64(clock.Milliseconds(step.step.EstimatedMs)))
 	return step.openedAt + min(loss/2, mostNearWait)
 }
 
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/queuerules"
@@ -29,7 +29,7 @@
 	Epoch() uint64
 	// Commit makes a change durable on a majority; done gets an error if the leadership is lost first. It runs on the
 	// pool's goroutine, in the order of the commits.
-	Commit(ops []peerapi.Op, done func(error))
+	Commit(ops []wire.Op, done func(error))
 	// HasLease says whether no other process can lead the key now.
 	HasLease() bool
 	// WallMs is the time of day that the voters agree on, in milliseconds since 1970.
@@ -61,7 +61,7 @@
 	hold := nodeSettings.MaxHold()
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
-		StopTimeout: clock.Ms(nodeSettings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
+		StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
 		KeepEnded: time.Duration(nodeSettings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
 		Headroom:  DefaultHeadroom, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
 }
@@ -70,7 +70,7 @@
 // goroutine calls it.
 type Pool struct {
 	key    string
-	clock  clock.Pulse
+	clock  clock.Clock
 	timing Timing
 	log    logging.Logger
 
@@ -93,7 +93,7 @@
 	unreadable   []string
 	trusts       map[string]*trust
 
-	ops      []peerapi.Op
+	ops      []wire.Op
 	opPlaces map[string]int
 	opTasks  []*task
 	effects  []func(error)
@@ -128,7 +128,7 @@
 func WithRules(rules *queuerules.Rules) Option { return func(p *Pool) { p.rules = rules } }
 
 // New makes a pool that is closed until Open.
-func New(key string, clock clock.Pulse, timing Timing, log logging.Logger, options ...Option) *Pool {
+func New(key string, clock clock.Clock, timing Timing, log logging.Logger, options ...Option) *Pool {
 	pool := &Pool{key: key, clock: clock, timing: timing, log: log, record: silentRecorder{}, meters: newMeters(key),
 		trusts: map[string]*trust{}}
 	for _, option := range options {
@@ -138,14 +138,14 @@
 }
 
 // Open takes the key over with what is committed of it. No record keeps a pool from opening.
-func (p *Pool) Open(tenure Tenure, pairs []peerapi.Op) {
+func (p *Pool) Open(tenure Tenure, pairs []wire.Op) {
 	p.jobs, p.lives, p.queued = map[string]*job{}, map[string]*life{}, map[string]int{}
 	p.roster, p.open, p.usage = roster{}, newOpenSteps(), map[int]usage{}
 	p.pending, p.broken, p.ended, p.timesAtMs = map[*run]bool{}, map[*stepState]bool{}, nil, 0
 	p.ops, p.opTasks, p.effects, p.flights, p.opPlaces, p.toRelease = nil, nil, nil, nil, map[string]int{}, map[*life]bool{}
 	p.untimed, p.peaks, p.newest = map[string]*job{}, map[int]*peak{}, map[string]*life{}
 	p.spreads, p.unreadable, p.renounced = map[string]*spread{}, nil, newRenounced()
-	p.began = p.clock.Steady()
+	p.began = p.clock.Monotonic()
 	p.load(pairs)
 	p.tenure = tenure
 	p.needsPlacing = true
@@ -156,7 +156,7 @@
 func (p *Pool) Close() {
 	p.tenure = nil
 	for _, one := range p.roster.lives {
-		p.unpark(one, peerapi.ExchangeAnswer{Elsewhere: true})
+		p.unpark(one, wire.ExchangeAnswer{Elsewhere: true})
 	}
 	p.meters.clear()
 	flights, effects := p.flights, p.effects
@@ -183,13 +183,13 @@
 		p.log.Error(err, "a record could not be written", "name", name)
 		return
 	}
-	p.setOp(peerapi.Op{Name: name, Value: text}, nil)
+	p.setOp(wire.Op{Name: name, Value: text}, nil)
 }
 
-func (p *Pool) drop(name string) { p.setOp(peerapi.Op{Name: name}, nil) }
+func (p *Pool) drop(name string) { p.setOp(wire.Op{Name: name}, nil) }
 
 // setOp takes the value of a task's record from the task itself, when the turn is committed.
-func (p *Pool) setOp(op peerapi.Op, which *task) {
+func (p *Pool) setOp(op wire.Op, which *task) {
 	if place, isThere := p.opPlaces[op.Name]; isThere {
 		p.ops[place], p.opTasks[place] = op, which
 		return
@@ -261,7 +261,7 @@
 func (p *Pool) lifeOf(id string) *life {
 	one := p.lives[id]
 	if one == nil {
-		one = &life{id: id, runs: map[runKey]*run{}, slow: 1, contactAt: p.clock.Steady()}
+		one = &life{id: id, runs: map[runKey]*run{}, slow: 1, contactAt: p.clock.Monotonic()}
 		p.looks++
 		one.firstLook, one.lookWanted = p.looks, p.looks
 		one.lapsesAt = p.began + p.lapse(p.timing.MaxHold)
@@ -333,14 +333,14 @@
 			isReady = isReady && spell.steps[earlier].left == 0
 		}
 		if isReady {
-			step.isOpen, step.openedAt, step.ranAt = true, p.clock.Steady(), p.clock.Steady()
+			step.isOpen, step.openedAt, step.ranAt = true, p.clock.Monotonic(), p.clock.Monotonic()
 			p.open.add(step)
 			p.needsPlacing = true
 		}
 	}
 }
 
-func (p *Pool) putTask(which *task) { p.setOp(peerapi.Op{Name: "t/" + which.name}, which) }
+func (p *Pool) putTask(which *task) { p.setOp(wire.Op{Name: "t/" + which.name}, which) }
 
 // writeTasks gives each task that changed its record as it is at the end of the turn.
 func (p *Pool) writeTasks() {
@@ -372,6 +372,6 @@
 	return "o/" + which.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
 }
 
-func room(capacity peerapi.Capacity) placement.Room {
+func room(capacity wire.Capacity) placement.Room {
 	return placement.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
 }
--- a/internal/scheduling/scheduler/records.go
+++ b/internal/scheduling/scheduler/records.go
@@ -3,14 +3,14 @@
 import (
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all records.go
 
 type jobRecord struct {
 	Entry      string              `json:"entry"`
-	Terms      peerapi.RouteTerms  `json:"terms"`
+	Terms      wire.RouteTerms     `json:"terms"`
 	AcceptedMs int64               `json:"accepted"`
 	Spec       easyjson.RawMessage `json:"spec"`
 }
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -5,8 +5,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/platform/clock"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // renounced are the IDs that the pool has promised never to take a job under, in the order of the promises. A queue that
@@ -33,7 +32,7 @@
 
 // Renounce answers with the state of a job if the pool has it, and otherwise with 410 once it is committed that the pool
 // will not take it any more.
-func (p *Pool) Renounce(call *peerapi.ClientCall, answer answerClient) {
+func (p *Pool) Renounce(call *wire.ClientCall, answer answerClient) {
 	if p.jobs[call.ID] != nil {
 		p.State(call, answer)
 		return
@@ -47,7 +46,7 @@
 			answer(lost())
 			return
 		}
-		answer(peerapi.ClientAnswer{Status: http.StatusGone, Why: "there is no such job, and won't be"})
+		answer(wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job, and won't be"})
 	})
 }
 
@@ -63,7 +62,7 @@
 
 func (p *Pool) forgetRenounced(wall int64) {
 	r := &p.renounced
-	for len(r.order) > 0 && wall-r.order[0].atMs > clock.InMs(p.timing.KeepEnded) {
+	for len(r.order) > 0 && wall-r.order[0].atMs > p.timing.KeepEnded.Milliseconds() {
 		delete(r.ids, r.order[0].id)
 		p.drop("m/" + r.order[0].id)
 		r.order = r.order[1:]
--- a/internal/scheduling/scheduler/renounce_test.go
+++ b/internal/scheduling/scheduler/renounce_test.go
@@ -6,21 +6,21 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 var _ = Describe("a pool whose queue has moved to another service", func() {
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
-	ask := func(verb func(*peerapi.ClientCall, func(peerapi.ClientAnswer))) (told peerapi.ClientAnswer) {
-		verb(&peerapi.ClientCall{Entry: "e", ID: id, Terms: &peerapi.RouteTerms{MaxAttempts: 2}, Body: []byte(single)},
-			func(answer peerapi.ClientAnswer) { told = answer })
+	ask := func(verb func(*wire.ClientCall, func(wire.ClientAnswer))) (told wire.ClientAnswer) {
+		verb(&wire.ClientCall{Entry: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: []byte(single)},
+			func(answer wire.ClientAnswer) { told = answer })
 		f.settle()
 		return told
 	}
 	BeforeEach(func() {
 		f = newFleet(timing)
-		f.add(2, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
 	It("turns away a hand-in that comes after it promised not to take the job, also under another leader", func() {
@@ -33,12 +33,12 @@
 	})
 
 	It("promises nothing before that is committed", func() {
-		var told []peerapi.ClientAnswer
-		f.pool.Renounce(&peerapi.ClientCall{Entry: "e", ID: id}, func(answer peerapi.ClientAnswer) { told = append(told, answer) })
+		var told []wire.ClientAnswer
+		f.pool.Renounce(&wire.ClientCall{Entry: "e", ID: id}, func(answer wire.ClientAnswer) { told = append(told, answer) })
 		f.pool.Settle()
 		Expect(told).To(BeEmpty())
 		f.pool.Close()
-		Expect(told).To(Equal([]peerapi.ClientAnswer{{Elsewhere: true}}))
+		Expect(told).To(Equal([]wire.ClientAnswer{{Elsewhere: true}}))
 	})
 
 	It("has the job if the hand-in came first", func() {
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -5,8 +5,7 @@
 	"strconv"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
-	"gannetline/internal/platform/clock"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/scheduling/recording"
 )
@@ -14,7 +13,7 @@
 // launch records the placement and its order in this turn's change; the order leaves after the commit.
 func (p *Pool) launch(which *task, home *life, number int64) {
 	p.meters.placements.Inc()
-	one := &run{task: which, number: number, life: home, state: runLaunching, orderedAt: p.clock.Steady()}
+	one := &run{task: which, number: number, life: home, state: runLaunching, orderedAt: p.clock.Monotonic()}
 	which.lastRun = number
 	p.noteWhole(which.step)
 	p.recordExecutor(home)
@@ -59,7 +58,7 @@
 		return
 	}
 	p.meters.stops.Inc()
-	one.state, one.sends, one.sentAt, one.isAnswered, one.orderedAt = runStopping, 0, 0, false, p.clock.Steady()
+	one.state, one.sends, one.sentAt, one.isAnswered, one.orderedAt = runStopping, 0, 0, false, p.clock.Monotonic()
 	p.pending[one] = true
 	p.noteChange(one)
 	p.drop(orderName(one.task, one.number, kindLaunch))
@@ -99,9 +98,9 @@
 		return
 	}
 	delete(home.runs, one.key())
-	home.idleAt = p.clock.Steady()
+	home.idleAt = p.clock.Monotonic()
 	if one.startedAt > 0 {
-		which.step.ranAt = p.clock.Steady()
+		which.step.ranAt = p.clock.Monotonic()
 	}
 	delete(p.pending, one)
 	home.used = home.used.Minus(which.step.need())
@@ -130,7 +129,7 @@
 		return
 	}
 	p.meters.starts.Inc()
-	one.state, one.startedAt = runRunning, p.clock.Steady()
+	one.state, one.startedAt = runRunning, p.clock.Monotonic()
 	delete(p.pending, one)
 	p.noteChange(one)
 	p.drop(orderName(one.task, one.number, kindLaunch))
@@ -149,20 +148,20 @@
 }
 
 // takeEnd is the second transaction of an order: what became of the run.
-func (p *Pool) takeEnd(home *life, end peerapi.EndReport) {
+func (p *Pool) takeEnd(home *life, end wire.EndReport) {
 	one := home.runs[runKey{end.Task, end.Run}]
 	if one == nil {
 		p.takeForgottenEnd(end)
 		return
 	}
 	ends.With(p.key, end.How).Inc()
-	which, now := one.task, p.clock.Steady()
+	which, now := one.task, p.clock.Monotonic()
 	if end.Saved != "" {
 		p.keepSaved(which, end.Saved)
 	}
 	p.noteStart(which.job())
 	p.record.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.tenure.WallMs(), Task: end.Task, Run: end.Run, How: end.How,
-		LengthMs: clock.InMs(now - one.startedAt)})
+		LengthMs: (now - one.startedAt).Milliseconds()})
 	switch end.How {
 	case "done":
 		home.dones++
@@ -181,7 +180,7 @@
 }
 
 // takeForgottenEnd believes a run that was given up and came to its end all the same: its task must not start again.
-func (p *Pool) takeForgottenEnd(end peerapi.EndReport) {
+func (p *Pool) takeForgottenEnd(end wire.EndReport) {
 	which := p.find(end.Task)
 	if end.How != "done" || which == nil || which.isDone || end.Run > which.lastRun {
 		return
@@ -227,7 +226,7 @@
 func (p *Pool) countFailure(which *task, number int64) {
 	step, owner := which.step, which.job()
 	if step.step.Lasting || !owner.isOpen() || which.isDone {
-		which.notBefore = p.clock.Steady() + 100*time.Millisecond
+		which.notBefore = p.clock.Monotonic() + 100*time.Millisecond
 		step.notBefore = max(step.notBefore, which.notBefore)
 		return
 	}
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/queuerules"
@@ -24,9 +24,9 @@
 	isSilent  bool
 	isStale   bool
 	isLeaving bool
-	running   []peerapi.Order
-	answers   []peerapi.OrderAnswer
-	ends      []peerapi.EndReport
+	running   []wire.Order
+	answers   []wire.OrderAnswer
+	ends      []wire.EndReport
 	lastEnd   int64
 	fence     uint64
 	look      uint64
@@ -75,7 +75,7 @@
 	case luck < 120:
 		s.handIn()
 	case luck < 130 && len(s.jobs) > 0:
-		s.pool.Cancel(&peerapi.ClientCall{ID: s.jobs[s.draw.IntN(len(s.jobs))]}, func(peerapi.ClientAnswer) {})
+		s.pool.Cancel(&wire.ClientCall{ID: s.jobs[s.draw.IntN(len(s.jobs))]}, func(wire.ClientAnswer) {})
 	case luck < 320:
 		s.clock.Advance(50 * time.Millisecond)
 		s.pool.Tick()
@@ -122,8 +122,8 @@
 	}
 	id := fmt.Sprintf("%016x", s.draw.Uint64())
 	s.jobs = append(s.jobs, id)
-	s.pool.HandIn(&peerapi.ClientCall{Entry: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &peerapi.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
-		Body: []byte(`{"task-descriptor":"d","step-list":[` + steps + `]` + repeat + `}`)}, func(peerapi.ClientAnswer) {})
+	s.pool.HandIn(&wire.ClientCall{Entry: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &wire.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
+		Body: []byte(`{"task-descriptor":"d","step-list":[` + steps + `]` + repeat + `}`)}, func(wire.ClientAnswer) {})
 }
 
 // replace lets an executor end and another come, told of by the next one's beats or never.
@@ -131,7 +131,7 @@
 	gone := s.players[place].life
 	s.players[place] = s.newPlayer()
 	if s.draw.IntN(2) == 0 {
-		s.pool.Exchange(&peerapi.ExchangeCall{Life: s.players[place].life, Gone: []string{gone}}, func(peerapi.ExchangeAnswer) {})
+		s.pool.Exchange(&wire.ExchangeCall{Life: s.players[place].life, Gone: []string{gone}}, func(wire.ExchangeAnswer) {})
 	}
 }
 
@@ -150,37 +150,37 @@
 		return
 	}
 	s.work(one)
-	call := &peerapi.ExchangeCall{Life: one.life, Proxy: one.life, Labels: []string{"a", fmt.Sprintf("r%d", one.number%3)}, Draining: one.isLeaving,
-		Room: peerapi.Capacity{CPU: 4000 + 2000*int64(one.number%2), Memory: 4000}, Fence: one.fence, Look: one.look, Ends: slices.Clone(one.ends), Answers: one.answers}
+	call := &wire.ExchangeCall{Life: one.life, Proxy: one.life, Labels: []string{"a", fmt.Sprintf("r%d", one.number%3)}, Draining: one.isLeaving,
+		Room: wire.Capacity{CPU: 4000 + 2000*int64(one.number%2), Memory: 4000}, Fence: one.fence, Look: one.look, Ends: slices.Clone(one.ends), Answers: one.answers}
 	if one.isStale {
 		call.HoldAgeMs = 4000
 	}
 	if one.look > 0 || s.draw.IntN(5) == 0 {
 		for _, order := range one.running {
-			call.Running = append(call.Running, peerapi.RunReport{Task: order.Task, Run: order.Run})
+			call.Running = append(call.Running, wire.RunReport{Task: order.Task, Run: order.Run})
 		}
 	}
 	if s.draw.IntN(3) == 0 {
 		call.WaitMs = 100
 	}
 	one.answers, one.look = nil, 0
-	s.pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { s.take(one, answer) })
+	s.pool.Exchange(call, func(answer wire.ExchangeAnswer) { s.take(one, answer) })
 }
 
 // work ends some of what runs.
 func (s *schedule) work(one *player) {
-	one.running = slices.DeleteFunc(one.running, func(order peerapi.Order) bool {
+	one.running = slices.DeleteFunc(one.running, func(order wire.Order) bool {
 		if s.draw.IntN(6) > 0 {
 			return false
 		}
 		how := []string{"done", "done", "done", "failed", "stopped"}[s.draw.IntN(5)]
 		one.lastEnd++
-		one.ends = append(one.ends, peerapi.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, How: how})
+		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, How: how})
 		return true
 	})
 }
 
-func (s *schedule) take(one *player, answer peerapi.ExchangeAnswer) {
+func (s *schedule) take(one *player, answer wire.ExchangeAnswer) {
 	if answer.Elsewhere || answer.Fence < one.fence {
 		return
 	}
@@ -188,27 +188,27 @@
 		one.fence, one.look = answer.Fence, 0
 	}
 	one.look = answer.Look
-	one.ends = slices.DeleteFunc(one.ends, func(end peerapi.EndReport) bool { return end.Number <= answer.LastSeen })
+	one.ends = slices.DeleteFunc(one.ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
 	for _, order := range answer.Orders {
 		s.obey(one, order)
 	}
 }
 
-func (s *schedule) obey(one *player, order peerapi.Order) {
-	same := func(other peerapi.Order) bool { return other.Task == order.Task && other.Run == order.Run }
+func (s *schedule) obey(one *player, order wire.Order) {
+	same := func(other wire.Order) bool { return other.Task == order.Task && other.Run == order.Run }
 	result := []string{"ok", "ok", "ok", "ok", "ok", "ok", "room", "sick", "unsure", "not-run", "timeout", ""}[s.draw.IntN(12)]
 	switch {
 	case order.Kind == "stop":
 		result = "ok"
 		one.running = slices.DeleteFunc(one.running, same)
 		one.lastEnd++
-		one.ends = append(one.ends, peerapi.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, How: "stopped"})
+		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, How: "stopped"})
 	case (result == "ok" || result == "unsure") && !slices.ContainsFunc(one.running, same):
 		one.running = append(one.running, order)
 		s.starts++
 	}
 	if result != "" {
-		one.answers = append(one.answers, peerapi.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
+		one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
 	}
 }
 
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/metrics"
@@ -29,7 +29,7 @@
 func (s *scripted) HasLease() bool { return s.hasLease }
 func (s *scripted) WallMs() int64  { return s.clock.WallMs() }
 
-func (s *scripted) Commit(ops []peerapi.Op, done func(error)) {
+func (s *scripted) Commit(ops []wire.Op, done func(error)) {
 	s.waiting = append(s.waiting, func(err error) {
 		if err == nil {
 			for _, op := range ops {
@@ -51,10 +51,10 @@
 	}
 }
 
-func (s *scripted) pairs() []peerapi.Op {
-	var all []peerapi.Op
+func (s *scripted) pairs() []wire.Op {
+	var all []wire.Op
 	for name, value := range s.kept {
-		all = append(all, peerapi.Op{Name: name, Value: value})
+		all = append(all, wire.Op{Name: name, Value: value})
 	}
 	return all
 }
@@ -91,34 +91,34 @@
 	var tenure *scripted
 	var pool *scheduler.Pool
 	var accepted []int
-	open := func(epoch uint64, pairs []peerapi.Op) {
+	open := func(epoch uint64, pairs []wire.Op) {
 		tenure.epoch = epoch
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
 		pool.Open(tenure, pairs)
 	}
-	exchange := func(change func(*peerapi.ExchangeCall)) *peerapi.ExchangeAnswer {
-		call := &peerapi.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: peerapi.Capacity{CPU: 4000, Memory: 4000},
+	exchange := func(change func(*wire.ExchangeCall)) *wire.ExchangeAnswer {
+		call := &wire.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: wire.Capacity{CPU: 4000, Memory: 4000},
 			Labels: []string{"a", "r1"}, Fence: tenure.epoch, Look: 1 << 40}
 		if change != nil {
 			change(call)
 		}
-		var told *peerapi.ExchangeAnswer
-		pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { told = &answer })
+		var told *wire.ExchangeAnswer
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
 		pool.Settle()
 		return told
 	}
 	handIn := func() {
-		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &peerapi.RouteTerms{MaxAttempts: 2},
+		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
-			func(answer peerapi.ClientAnswer) { accepted = append(accepted, answer.Status) })
+			func(answer wire.ClientAnswer) { accepted = append(accepted, answer.Status) })
 		pool.Settle()
 	}
-	started := func(call *peerapi.ExchangeCall) {
-		call.Answers = []peerapi.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
+	started := func(call *wire.ExchangeCall) {
+		call.Answers = []wire.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
 	}
-	ended := func(how string) func(*peerapi.ExchangeCall) {
-		return func(call *peerapi.ExchangeCall) {
-			call.Ends = []peerapi.EndReport{{Number: 1, Task: task, Run: 1, How: how}}
+	ended := func(how string) func(*wire.ExchangeCall) {
+		return func(call *wire.ExchangeCall) {
+			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, How: how}}
 		}
 	}
 	BeforeEach(func() {
@@ -157,10 +157,10 @@
 		exchange(ended("failed"))
 		tenure.settle(nil)
 		exchange(nil)
-		exchange(func(call *peerapi.ExchangeCall) {
-			call.Answers = []peerapi.OrderAnswer{{Task: task, Run: 2, Kind: "launch", Result: "ok"}}
+		exchange(func(call *wire.ExchangeCall) {
+			call.Answers = []wire.OrderAnswer{{Task: task, Run: 2, Kind: "launch", Result: "ok"}}
 		})
-		pool.Cancel(&peerapi.ClientCall{ID: id}, func(peerapi.ClientAnswer) {})
+		pool.Cancel(&wire.ClientCall{ID: id}, func(wire.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
 		exchange(nil)
@@ -184,15 +184,15 @@
 	It("counts a spare run apart", func() {
 		spares := `gannetline_pool_spares_total{key="pool/s"}`
 		before := metrics.Own()[spares]
-		pool.HandIn(&peerapi.ClientCall{Verb: "hand-in", Entry: "e", ID: id,
-			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(peerapi.ClientAnswer) {})
+		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Entry: "e", ID: id,
+			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(wire.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
 		exchange(nil)
 		exchange(started)
 		Expect(metrics.Own()[spares]).To(Equal(before))
 		fakeClock.Advance(800 * time.Millisecond)
-		exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
+		exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
 		pool.Tick()
 		pool.Settle()
 		Expect(metrics.Own()[spares] - before).To(Equal(1.0))
@@ -206,12 +206,12 @@
 	})
 
 	It("says that a job may have been taken when its leadership ends before the commit", func() {
-		var told []peerapi.ClientAnswer
-		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
-			func(answer peerapi.ClientAnswer) { told = append(told, answer) })
+		var told []wire.ClientAnswer
+		pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
+			func(answer wire.ClientAnswer) { told = append(told, answer) })
 		pool.Settle()
 		pool.Close()
-		Expect(told).To(Equal([]peerapi.ClientAnswer{{Elsewhere: true, Unclear: true}}))
+		Expect(told).To(Equal([]wire.ClientAnswer{{Elsewhere: true, Unclear: true}}))
 	})
 
 	It("sends an unanswered order again after 200 ms, then less often", func() {
@@ -245,10 +245,10 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		var told *peerapi.ExchangeAnswer
-		call := &peerapi.ExchangeCall{Key: "pool/s", Life: "i-1", Fence: 3}
+		var told *wire.ExchangeAnswer
+		call := &wire.ExchangeCall{Key: "pool/s", Life: "i-1", Fence: 3}
 		ended("done")(call)
-		pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { told = &answer })
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
 		pool.Settle()
 		Expect(told).To(BeNil())
 		tenure.settle(nil)
@@ -260,7 +260,7 @@
 		tenure.settle(nil)
 		exchange(nil)
 		open(4, tenure.pairs())
-		Expect(exchange(func(call *peerapi.ExchangeCall) { call.Fence, call.Look = 3, 0 }).Orders).To(BeEmpty())
+		Expect(exchange(func(call *wire.ExchangeCall) { call.Fence, call.Look = 3, 0 }).Orders).To(BeEmpty())
 		answer := exchange(nil)
 		tenure.settle(nil)
 		if len(answer.Orders) == 0 {
@@ -275,14 +275,14 @@
 		tenure.settle(nil)
 		exchange(nil)
 		open(4, tenure.pairs())
-		exchange(func(call *peerapi.ExchangeCall) { call.Running = []peerapi.RunReport{{Task: task, Run: 1}} })
+		exchange(func(call *wire.ExchangeCall) { call.Running = []wire.RunReport{{Task: task, Run: 1}} })
 		tenure.settle(nil)
 		Expect(exchange(nil).Orders).To(BeEmpty())
 		Expect(tenure.has("o/")).To(BeFalse())
 		exchange(ended("done"))
 		tenure.settle(nil)
 		var state string
-		pool.State(&peerapi.ClientCall{ID: id}, func(answer peerapi.ClientAnswer) { state = string(answer.Body) })
+		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		pool.Settle()
 		Expect(state).To(ContainSubstring("completed"))
 	})
@@ -293,7 +293,7 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		other := func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }
+		other := func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }
 		for waited := time.Duration(0); waited < 6300*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			pool.Tick()
@@ -316,8 +316,8 @@
 		exchange(started)
 		tenure.settle(nil)
 		open(4, tenure.pairs())
-		next := func(call *peerapi.ExchangeCall) { call.Life = "i-2" }
-		unfenced := func(call *peerapi.ExchangeCall) { call.Life, call.Fence, call.Look = "i-2", 3, 0 }
+		next := func(call *wire.ExchangeCall) { call.Life = "i-2" }
+		unfenced := func(call *wire.ExchangeCall) { call.Life, call.Fence, call.Look = "i-2", 3, 0 }
 		exchange(unfenced)
 		pool.Tick()
 		pool.Settle()
@@ -337,7 +337,7 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		next := func(call *peerapi.ExchangeCall) { call.Life = "i-2" }
+		next := func(call *wire.ExchangeCall) { call.Life = "i-2" }
 		for waited := time.Duration(0); waited < 2500*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			exchange(next)
@@ -359,7 +359,7 @@
 		handIn()
 		tenure.settle(nil)
 		exchange(nil)
-		exchange(func(call *peerapi.ExchangeCall) { call.Life = "i-0" })
+		exchange(func(call *wire.ExchangeCall) { call.Life = "i-0" })
 		exchange(started)
 		tenure.settle(nil)
 		fakeClock.Advance(100 * time.Millisecond)
@@ -380,7 +380,7 @@
 		tenure.settle(nil)
 		exchange(nil)
 		fakeClock.Advance(90 * time.Millisecond)
-		exchange(func(call *peerapi.ExchangeCall) {
+		exchange(func(call *wire.ExchangeCall) {
 			started(call)
 			call.Answers[0].AgeMs = 80
 			ended("done")(call)
@@ -389,8 +389,8 @@
 	})
 
 	It("gives an executor time to be heard after a take-over before its runs get spares", func() {
-		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
-			func(peerapi.ClientAnswer) {})
+		pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
+			func(wire.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
 		exchange(nil)
@@ -398,10 +398,10 @@
 		tenure.settle(nil)
 		fakeClock.Advance(time.Second)
 		open(4, tenure.pairs())
-		orders := func() []peerapi.Order {
-			exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
+		orders := func() []wire.Order {
+			exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
 			tenure.settle(nil)
-			return exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders
+			return exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders
 		}
 		Expect(orders()).To(BeEmpty())
 		fakeClock.Advance(750 * time.Millisecond)
@@ -415,17 +415,17 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		exchange(func(call *peerapi.ExchangeCall) {
+		exchange(func(call *wire.ExchangeCall) {
 			call.Gone, call.Life, call.Proxy = []string{"i-1"}, "i-2", "side-2"
 		})
 		tenure.settle(nil)
 		exchange(ended("done"))
 		tenure.settle(nil)
 		var state string
-		pool.State(&peerapi.ClientCall{ID: id}, func(answer peerapi.ClientAnswer) { state = string(answer.Body) })
+		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		pool.Settle()
 		Expect(state).To(ContainSubstring("completed"))
-		Expect(exchange(func(call *peerapi.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
+		Expect(exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
 	})
 
 	It("grants nothing without a lease", func() {
@@ -436,8 +436,8 @@
 	})
 
 	It("says 410 only under a lease", func() {
-		ask := func() (told peerapi.ClientAnswer) {
-			pool.State(&peerapi.ClientCall{ID: id}, func(answer peerapi.ClientAnswer) { told = answer })
+		ask := func() (told wire.ClientAnswer) {
+			pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { told = answer })
 			pool.Settle()
 			return told
 		}
@@ -447,17 +447,17 @@
 	})
 
 	It("stops a run that no record knows", func() {
-		answer := exchange(func(call *peerapi.ExchangeCall) {
-			call.Running = []peerapi.RunReport{{Task: "x.0.0.0", Run: 9}}
+		answer := exchange(func(call *wire.ExchangeCall) {
+			call.Running = []wire.RunReport{{Task: "x.0.0.0", Run: 9}}
 		})
-		Expect(answer.Orders).To(ConsistOf(peerapi.Order{Kind: "stop", Task: "x.0.0.0", Run: 9}))
+		Expect(answer.Orders).To(ConsistOf(wire.Order{Kind: "stop", Task: "x.0.0.0", Run: 9}))
 	})
 
 	It("refuses a job of a queue whose ID is another queue's", func() {
 		handIn()
 		tenure.settle(nil)
 		var status int
-		pool.HandIn(&peerapi.ClientCall{Entry: "other", ID: id, Body: []byte(`{}`)}, func(answer peerapi.ClientAnswer) { status = answer.Status })
+		pool.HandIn(&wire.ClientCall{Entry: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
 		Expect(status).To(Equal(409))
 	})
 })
--- a/internal/scheduling/scheduler/scratch_test.go
+++ b/internal/scheduling/scheduler/scratch_test.go
@@ -19,7 +19,7 @@
 			found = append(found, fmt.Sprintf("%s: kept %+v, worked out %+v", what, kept, fresh))
 		}
 	}
-	now := p.clock.Steady()
+	now := p.clock.Monotonic()
 	lives := slices.SortedFunc(maps.Values(p.lives), func(one, two *life) int { return cmp.Compare(one.id, two.id) })
 	compare("lives", plain(p.roster.lives), plain(lives))
 	executors := slices.Clone(p.executors(now))
--- a/internal/scheduling/scheduler/spares.go
+++ b/internal/scheduling/scheduler/spares.go
@@ -78,7 +78,7 @@
 	if one.state != runRunning {
 		return
 	}
-	if ratio, isKnown := one.task.step.ratio(p.clock.Steady() - one.startedAt); isKnown {
+	if ratio, isKnown := one.task.step.ratio(p.clock.Monotonic() - one.startedAt); isKnown {
 		p.spreadOf(one.task.step).note(ratio)
 	}
 }
@@ -91,7 +91,7 @@
 	if typical, isKnown := s.typical(); isKnown {
 		return max(leastOverdue, time.Duration(s.patience*float64(typical)))
 	}
-	return max(2*leastOverdue, 4*clock.Ms(s.step.EstimatedMs))
+	return max(2*leastOverdue, 4*clock.Milliseconds(s.step.EstimatedMs))
 }
 
 // doubtful gives the tasks of a redundant step whose only run may not come back in time, and when others may join them.
--- a/internal/scheduling/scheduler/stalls_test.go
+++ b/internal/scheduling/scheduler/stalls_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/scheduler"
 )
 
@@ -30,49 +30,49 @@
 		return false
 	}
 	burstOfUrgent := func() {
-		f.handIn(name(0), peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":40,"cpu-units":4000,"estimated-ms":200}]}`)
+		f.handIn(name(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":40,"cpu-units":4000,"estimated-ms":200}]}`)
 		for range 10 {
 			f.pass(4 * fleetTick)
 			f.endAll("done")
 		}
 		Expect(f.state(name(0))).To(ContainSubstring("completed"))
-		f.handIn(name(99), peerapi.RouteTerms{MaxAttempts: 2}, lasting(1, 10))
+		f.handIn(name(99), wire.RouteTerms{MaxAttempts: 2}, lasting(1, 10))
 	}
 	BeforeEach(func() {
 		timing := timing
 		timing.Headroom = scheduler.DefaultHeadroom
 		f = newFleet(timing)
-		f.add(10, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.add(10, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
 	It("starts though room is kept for the urgent, who asked for much a while ago", func() {
 		burstOfUrgent()
-		f.handIn(name(1), peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, lasting(20, 1000))
+		f.handIn(name(1), wire.RouteTerms{Priority: 1, MaxAttempts: 2}, lasting(20, 1000))
 		f.pass(time.Second)
-		f.handIn(lateID, peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, long(1000, ""))
+		f.handIn(lateID, wire.RouteTerms{Priority: 1, MaxAttempts: 2}, long(1000, ""))
 		f.pass(3 * time.Second)
 		Expect(hasStarted(lateID)).To(BeTrue())
 	})
 
 	It("starts though many large tasks wait for executors with a label that are full", func() {
-		f.add(1, peerapi.Capacity{CPU: 4000, Memory: 4000}, "b", "r1")
+		f.add(1, wire.Capacity{CPU: 4000, Memory: 4000}, "b", "r1")
 		for number := range 14 {
-			f.handIn(name(number), peerapi.RouteTerms{MaxAttempts: 2}, long(3000, `,"required-labels":"b"`))
+			f.handIn(name(number), wire.RouteTerms{MaxAttempts: 2}, long(3000, `,"required-labels":"b"`))
 		}
 		f.pass(time.Second)
-		f.handIn(lateID, peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
+		f.handIn(lateID, wire.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
 		f.pass(3 * time.Second)
 		Expect(hasStarted(lateID)).To(BeTrue())
 	})
 
 	It("starts though many tasks wait that need a whole executor", func() {
-		f.handIn(name(0), peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":10,"cpu-units":400,"long-running":true,"anti-affinity":1}]}`)
+		f.handIn(name(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":10,"cpu-units":400,"long-running":true,"anti-affinity":1}]}`)
 		f.pass(time.Second)
 		for number := range 14 {
-			f.handIn(name(1+number), peerapi.RouteTerms{MaxAttempts: 2}, long(4000, ""))
+			f.handIn(name(1+number), wire.RouteTerms{MaxAttempts: 2}, long(4000, ""))
 		}
 		f.pass(time.Second)
-		f.handIn(lateID, peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
+		f.handIn(lateID, wire.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
 		f.pass(3 * time.Second)
 		Expect(hasStarted(lateID)).To(BeTrue())
 	})
@@ -83,32 +83,32 @@
 		}
 		f.pass(time.Second)
 		for number := range 14 {
-			f.handIn(name(number), peerapi.RouteTerms{MaxAttempts: 2}, long(500, ""))
+			f.handIn(name(number), wire.RouteTerms{MaxAttempts: 2}, long(500, ""))
 		}
 		f.pass(3 * time.Second)
 		Expect(f.tasks()).To(HaveLen(14))
 	})
 
 	It("starts though lost executors, whose holds have yet to lapse, count as full", func() {
-		f.handIn(name(0), peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":4000,"long-running":true}]}`)
+		f.handIn(name(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":4000,"long-running":true}]}`)
 		f.pass(200 * time.Millisecond)
 		for _, one := range f.executors {
 			one.isSilent = len(one.running) > 0
 		}
-		f.handIn(name(1), peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":1100,"long-running":true,"anti-affinity":1}]}`)
+		f.handIn(name(1), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":1100,"long-running":true,"anti-affinity":1}]}`)
 		f.pass(200 * time.Millisecond)
 		for number := range 14 {
-			f.handIn(name(2+number), peerapi.RouteTerms{MaxAttempts: 2}, long(4000, ""))
+			f.handIn(name(2+number), wire.RouteTerms{MaxAttempts: 2}, long(4000, ""))
 		}
 		f.pass(200 * time.Millisecond)
-		f.handIn(lateID, peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
+		f.handIn(lateID, wire.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
 		f.pass(3 * time.Second)
 		Expect(f.executors[0].isSilent).To(BeTrue())
 		Expect(hasStarted(lateID)).To(BeTrue())
 	})
 
 	It("starts though most of the room is on executors that are lost or leaving, and the others are well used", func() {
-		f.handIn(name(0), peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":4000,"long-running":true}]}`)
+		f.handIn(name(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":4000,"long-running":true}]}`)
 		f.pass(200 * time.Millisecond)
 		leaving := 0
 		for _, one := range f.executors {
@@ -119,22 +119,22 @@
 			}
 		}
 		f.pass(200 * time.Millisecond)
-		f.handIn(name(1), peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":2600,"long-running":true,"anti-affinity":1}]}`)
+		f.handIn(name(1), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":2600,"long-running":true,"anti-affinity":1}]}`)
 		f.pass(200 * time.Millisecond)
 		for number := range 14 {
-			f.handIn(name(2+number), peerapi.RouteTerms{MaxAttempts: 2}, long(4000, ""))
+			f.handIn(name(2+number), wire.RouteTerms{MaxAttempts: 2}, long(4000, ""))
 		}
 		f.pass(200 * time.Millisecond)
-		f.handIn(lateID, peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
+		f.handIn(lateID, wire.RouteTerms{Priority: 1, MaxAttempts: 2}, long(500, ""))
 		f.pass(2800 * time.Millisecond)
 		Expect(hasStarted(lateID)).To(BeTrue())
 	})
 
 	It("starts, if it is a gang, though room is kept for the urgent", func() {
 		burstOfUrgent()
-		f.handIn(name(1), peerapi.RouteTerms{Priority: 1, MaxAttempts: 2}, lasting(10, 1000))
+		f.handIn(name(1), wire.RouteTerms{Priority: 1, MaxAttempts: 2}, lasting(10, 1000))
 		f.pass(time.Second)
-		f.handIn(lateID, peerapi.RouteTerms{Priority: 1, MaxAttempts: 2},
+		f.handIn(lateID, wire.RouteTerms{Priority: 1, MaxAttempts: 2},
 			`{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":2800,"estimated-ms":60000,"gang-scheduled":true}]}`)
 		f.pass(3 * time.Second)
 		Expect(hasStarted(lateID)).To(BeTrue())
--- a/internal/scheduling/scheduler/stored_data_test.go
+++ b/internal/scheduling/scheduler/stored_data_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/scheduler"
@@ -18,14 +18,14 @@
 )
 
 // storedRecords reads records as a pool of an earlier version kept them: a name, a tab and the value on each line.
-func storedRecords(path string) []peerapi.Op {
+func storedRecords(path string) []wire.Op {
 	text, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
-	var records []peerapi.Op
+	var records []wire.Op
 	for line := range strings.Lines(string(text)) {
 		name, value, hasValue := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		Expect(hasValue).To(BeTrue())
-		records = append(records, peerapi.Op{Name: name, Value: []byte(value)})
+		records = append(records, wire.Op{Name: name, Value: []byte(value)})
 	}
 	return records
 }
@@ -41,7 +41,7 @@
 		pool.Tick()
 		Expect(pool.Unreadable()).To(BeEmpty())
 		jobs, executors := pool.Beliefs()
-		slices.SortFunc(jobs, func(a, b peerapi.JobBelief) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(jobs, func(a, b wire.JobBelief) int { return strings.Compare(a.ID, b.ID) })
 		var contents strings.Builder
 		for _, job := range jobs {
 			fmt.Fprintf(&contents, "job %s %s %s\n", job.Key, job.ID, job.State)
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -9,7 +9,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/scheduling/placement"
 )
@@ -19,8 +19,8 @@
 	if p.tenure == nil {
 		return
 	}
-	now := p.clock.Steady()
-	defer func() { p.meters.tickSeconds.Observe(p.clock.Steady() - now) }()
+	now := p.clock.Monotonic()
+	defer func() { p.meters.tickSeconds.Observe(p.clock.Monotonic() - now) }()
 	p.makeTimes()
 	for _, home := range slices.Clone(p.roster.lives) {
 		p.tickLife(home, now)
@@ -64,7 +64,7 @@
 // noteBroken begins to watch a gang that has lost a member, whichever way: what is left of it can only wait.
 func (p *Pool) noteBroken(step *stepState) {
 	if step.step.Gang && step.hasRuns() && step.brokenAt == 0 {
-		step.brokenAt = p.clock.Steady()
+		step.brokenAt = p.clock.Monotonic()
 		p.broken[step] = true
 	}
 }
@@ -143,11 +143,11 @@
 }
 
 func (p *Pool) evacuateRun(one *run) {
-	home, step, now := one.life, one.task.step.step, p.clock.Steady()
+	home, step, now := one.life, one.task.step.step, p.clock.Monotonic()
 	if one.state != runRunning || !home.isDraining {
 		return
 	}
-	left := clock.Ms(step.EstimatedMs) - (now - one.startedAt)
+	left := clock.Milliseconds(step.EstimatedMs) - (now - one.startedAt)
 	if step.Lasting || home.departsAt > 0 && left > home.departsAt-now {
 		p.stopRun(one)
 	}
@@ -155,7 +155,7 @@
 
 func (p *Pool) forgetEnded() {
 	wall := p.tenure.WallMs()
-	for len(p.ended) > 0 && wall-p.ended[0].endedMs > clock.InMs(p.timing.KeepEnded) {
+	for len(p.ended) > 0 && wall-p.ended[0].endedMs > p.timing.KeepEnded.Milliseconds() {
 		delete(p.jobs, p.ended[0].id)
 		p.drop("s/" + p.ended[0].id)
 		p.ended = p.ended[1:]
@@ -179,8 +179,8 @@
 	if !slices.ContainsFunc(p.roster.lives, func(home *life) bool { return home.isKnown }) {
 		return
 	}
-	now := p.clock.Steady()
-	defer func() { p.meters.placeSeconds.Observe(p.clock.Steady() - now) }()
+	now := p.clock.Monotonic()
+	defer func() { p.meters.placeSeconds.Observe(p.clock.Monotonic() - now) }()
 	p.refreshAll(now)
 	executors := p.executors(now)
 	placed := placement.Place(executors, p.open.line(), p.limits(now))
@@ -219,14 +219,14 @@
 }
 
 // Beliefs shows jobs and executors to a comparison.
-func (p *Pool) Beliefs() ([]peerapi.JobBelief, []peerapi.ExecutorBelief) {
-	var jobs []peerapi.JobBelief
-	var executors []peerapi.ExecutorBelief
+func (p *Pool) Beliefs() ([]wire.JobBelief, []wire.ExecutorBelief) {
+	var jobs []wire.JobBelief
+	var executors []wire.ExecutorBelief
 	for id, one := range p.jobs {
-		jobs = append(jobs, peerapi.JobBelief{Key: p.key, ID: id, State: one.shown()})
+		jobs = append(jobs, wire.JobBelief{Key: p.key, ID: id, State: one.shown()})
 	}
 	for id, home := range p.lives {
-		executors = append(executors, peerapi.ExecutorBelief{Key: p.key, Life: id, State: home.shown(), Running: len(home.runs)})
+		executors = append(executors, wire.ExecutorBelief{Key: p.key, Life: id, State: home.shown(), Running: len(home.runs)})
 	}
 	return jobs, executors
 }
@@ -245,7 +245,7 @@
 }
 
 // JobsOf reads what a replica of the pool says of its jobs.
-func JobsOf(key string, pairs []peerapi.Op) []peerapi.JobBelief {
+func JobsOf(key string, pairs []wire.Op) []wire.JobBelief {
 	states := map[string]string{}
 	for _, pair := range pairs {
 		kind, id, _ := strings.Cut(pair.Name, "/")
@@ -257,9 +257,9 @@
 			states[id] = record.State
 		}
 	}
-	var jobs []peerapi.JobBelief
+	var jobs []wire.JobBelief
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		jobs = append(jobs, peerapi.JobBelief{Key: key, ID: id, State: states[id]})
+		jobs = append(jobs, wire.JobBelief{Key: key, ID: id, State: states[id]})
 	}
 	return jobs
 }
--- a/internal/scheduling/scheduler/trust.go
+++ b/internal/scheduling/scheduler/trust.go
@@ -53,7 +53,7 @@
 }
 
 func (p *Pool) penalize(home *life) {
-	now := p.clock.Steady()
+	now := p.clock.Monotonic()
 	one := p.trusts[home.proxy]
 	if one == nil {
 		maps.DeleteFunc(p.trusts, func(_ string, other *trust) bool { return other.penaltyAt(now) < forgotten })
@@ -104,7 +104,7 @@
 
 // penalizeUnlessResting counts the refusals of one moment once.
 func (p *Pool) penalizeUnlessResting(home *life) {
-	if p.clock.Steady() >= home.sickUntil {
+	if p.clock.Monotonic() >= home.sickUntil {
 		p.penalize(home)
 	}
 }
--- a/internal/scheduling/scheduler/trust_test.go
+++ b/internal/scheduling/scheduler/trust_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/scheduler"
@@ -23,18 +23,18 @@
 		tenure.settle(nil)
 		pool.Settle()
 	}
-	exchange := func(life, machine string, change func(*peerapi.ExchangeCall)) (told peerapi.ExchangeAnswer) {
-		call := &peerapi.ExchangeCall{Key: "pool/s", Life: life, Proxy: machine, Fence: 3, Look: 1 << 40,
-			Room: peerapi.Capacity{CPU: 4000, Memory: 4000}}
+	exchange := func(life, machine string, change func(*wire.ExchangeCall)) (told wire.ExchangeAnswer) {
+		call := &wire.ExchangeCall{Key: "pool/s", Life: life, Proxy: machine, Fence: 3, Look: 1 << 40,
+			Room: wire.Capacity{CPU: 4000, Memory: 4000}}
 		if change != nil {
 			change(call)
 		}
-		pool.Exchange(call, func(answer peerapi.ExchangeAnswer) { told = answer })
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = answer })
 		settle()
 		return told
 	}
 	// orderOf gives the next start that one of the executors is told.
-	orderOf := func() (life string, order peerapi.Order) {
+	orderOf := func() (life string, order wire.Order) {
 		for range 20 {
 			for _, life := range []string{"i-1", "i-2"} {
 				for _, one := range exchange(life, "side-"+life, nil).Orders {
@@ -48,24 +48,24 @@
 			settle()
 		}
 		Fail("nothing was placed")
-		return "", peerapi.Order{}
+		return "", wire.Order{}
 	}
-	end := func(life string, order peerapi.Order, how string) {
+	end := func(life string, order wire.Order, how string) {
 		numbers[life]++
 		machine := map[string]string{"i-1": "side-i-1", "i-2": "side-i-2", "i-9": "side-i-2"}[life]
-		exchange(life, machine, func(call *peerapi.ExchangeCall) {
-			call.Answers = []peerapi.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: "ok"}}
-			call.Ends = []peerapi.EndReport{{Number: numbers[life], Task: order.Task, Run: order.Run, How: how}}
+		exchange(life, machine, func(call *wire.ExchangeCall) {
+			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: "ok"}}
+			call.Ends = []wire.EndReport{{Number: numbers[life], Task: order.Task, Run: order.Run, How: how}}
 		})
 	}
-	refuse := func(life string, order peerapi.Order, result string) {
-		exchange(life, "side-"+life, func(call *peerapi.ExchangeCall) {
-			call.Answers = []peerapi.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: result}}
+	refuse := func(life string, order wire.Order, result string) {
+		exchange(life, "side-"+life, func(call *wire.ExchangeCall) {
+			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: result}}
 		})
 	}
 	handIn := func(number int) {
-		pool.HandIn(&peerapi.ClientCall{Entry: "e", ID: fmt.Sprintf("%016x", number), Terms: &peerapi.RouteTerms{MaxAttempts: 9},
-			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)}, func(peerapi.ClientAnswer) {})
+		pool.HandIn(&wire.ClientCall{Entry: "e", ID: fmt.Sprintf("%016x", number), Terms: &wire.RouteTerms{MaxAttempts: 9},
+			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)}, func(wire.ClientAnswer) {})
 		settle()
 	}
 	BeforeEach(func() {
@@ -102,7 +102,7 @@
 	})
 
 	It("mistrusts a machine whose executor died, in its next life, for a while", func() {
-		exchange("i-9", "side-i-1", func(call *peerapi.ExchangeCall) { call.Gone = []string{"i-1"} })
+		exchange("i-9", "side-i-1", func(call *wire.ExchangeCall) { call.Gone = []string{"i-1"} })
 		died := pool.Doubt("i-9")
 		Expect(died).To(BeNumerically("~", 0.3, 0.01))
 		fakeClock.Advance(8 * time.Second)
@@ -112,14 +112,14 @@
 	})
 
 	It("holds nothing against a machine whose executor left in order", func() {
-		exchange("i-1", "side-i-1", func(call *peerapi.ExchangeCall) { call.Draining = true })
-		exchange("i-9", "side-i-1", func(call *peerapi.ExchangeCall) { call.Gone = []string{"i-1"} })
+		exchange("i-1", "side-i-1", func(call *wire.ExchangeCall) { call.Draining = true })
+		exchange("i-9", "side-i-1", func(call *wire.ExchangeCall) { call.Gone = []string{"i-1"} })
 		Expect(pool.Doubt("i-9")).To(BeZero())
 	})
 
 	for result, most := range map[string]float64{"room": 0, "sick": 0.3} {
 		It("counts refusals of one moment once, and want of room not at all: "+result, func() {
-			var orders []peerapi.Order
+			var orders []wire.Order
 			for number := range 3 {
 				handIn(number + 1)
 				life, order := orderOf()
@@ -135,12 +135,12 @@
 	}
 
 	It("lets a machine that lost trust run one task at a time, and twice as many with each success", func() {
-		exchange("i-1", "side-i-1", func(call *peerapi.ExchangeCall) { call.Draining = true })
-		exchange("i-9", "side-i-2", func(call *peerapi.ExchangeCall) { call.Gone = []string{"i-2"} })
+		exchange("i-1", "side-i-1", func(call *wire.ExchangeCall) { call.Draining = true })
+		exchange("i-9", "side-i-2", func(call *wire.ExchangeCall) { call.Gone = []string{"i-2"} })
 		for number := range 9 {
 			handIn(number + 1)
 		}
-		given := func() (orders []peerapi.Order) {
+		given := func() (orders []wire.Order) {
 			for range 3 {
 				orders = append(orders, exchange("i-9", "side-i-2", nil).Orders...)
 			}
@@ -148,14 +148,14 @@
 		}
 		Expect(given()).To(HaveLen(1))
 		fakeClock.Advance(20 * time.Millisecond)
-		end("i-9", peerapi.Order{Task: fmt.Sprintf("%016x.0.0.0", 1), Run: 1}, "done")
+		end("i-9", wire.Order{Task: fmt.Sprintf("%016x.0.0.0", 1), Run: 1}, "done")
 		Expect(given()).To(HaveLen(2))
-		end("i-9", peerapi.Order{Task: fmt.Sprintf("%016x.0.0.0", 2), Run: 1}, "done")
+		end("i-9", wire.Order{Task: fmt.Sprintf("%016x.0.0.0", 2), Run: 1}, "done")
 		Expect(given()).To(HaveLen(3), "four at once, one of them from before")
 	})
 
 	It("sets no bound where a start is refused, as a refusal costs nothing that ran", func() {
-		var orders []peerapi.Order
+		var orders []wire.Order
 		for number := range 4 {
 			handIn(number + 1)
 			_, order := orderOf()
@@ -169,9 +169,9 @@
 	It("moves a run that hangs, even when its start is only known of later, and where it hung gets the task last", func() {
 		handIn(1)
 		first, order := orderOf()
-		stuck := func(call *peerapi.ExchangeCall) {
+		stuck := func(call *wire.ExchangeCall) {
 			call.Session, call.Number, call.Proxy = 1, 1, "side-"+first
-			call.Changed = []peerapi.RunReport{{Task: order.Task, Run: order.Run, Stuck: true}}
+			call.Changed = []wire.RunReport{{Task: order.Task, Run: order.Run, Stuck: true}}
 		}
 		Expect(exchange(first, "side-"+first, stuck).Orders).To(BeEmpty())
 		refuse(first, order, "ok")
@@ -184,7 +184,7 @@
 	})
 
 	It("is forgiven with time", func() {
-		exchange("i-9", "side-i-2", func(call *peerapi.ExchangeCall) { call.Gone = []string{"i-2"} })
+		exchange("i-9", "side-i-2", func(call *wire.ExchangeCall) { call.Gone = []string{"i-2"} })
 		Expect(pool.AtOnce("i-9")).To(Equal(1))
 		fakeClock.Advance(9 * time.Second)
 		exchange("i-9", "side-i-2", nil)
@@ -193,10 +193,10 @@
 
 	It("chooses an executor last, among equals, that should have been heard again", func() {
 		f := newFleet(timing)
-		f.add(2, peerapi.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
+		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 		f.executors[0].isSilent = true
 		f.pass(500 * time.Millisecond)
-		f.handIn("5c0e7a21d94b36f8", peerapi.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)
+		f.handIn("5c0e7a21d94b36f8", wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)
 		f.pass(100 * time.Millisecond)
 		Expect(f.executors[1].running).To(HaveLen(1))
 	})
--- a/internal/scheduling/scheduler/waiting.go
+++ b/internal/scheduling/scheduler/waiting.go
@@ -224,7 +224,7 @@
 // namesExecutors tells whether what a step asks for depends on who is in the roster, and in which place.
 func (p *Pool) namesExecutors(step *stepState) bool {
 	ready := step.waits.request.tasks
-	return p.clock.Steady() < p.nearUntil(step) || step.step.Apart > 0 || len(step.waits.spares) > 0 || len(ready) > 0 && ready[0].avoid != "" ||
+	return p.clock.Monotonic() < p.nearUntil(step) || step.step.Apart > 0 || len(step.waits.spares) > 0 || len(ready) > 0 && ready[0].avoid != "" ||
 		p.rules.HasUse(step.time.job.record.Entry)
 }
 
@@ -299,11 +299,11 @@
 
 func (p *Pool) group(step *stepState, ready []*task) placement.Group {
 	owner := step.time.job
-	group := placement.Group{Barred: p.barredByRule(step), Need: step.need(), Count: len(ready), IsGang: step.step.Gang, IsIdle: p.clock.Steady() >= p.idleFrom(step),
+	group := placement.Group{Barred: p.barredByRule(step), Need: step.need(), Count: len(ready), IsGang: step.step.Gang, IsIdle: p.clock.Monotonic() >= p.idleFrom(step),
 		SameRack: step.step.SameRack, Labels: step.step.Labels, Near: step.step.Near, Apart: step.step.Apart,
-		IsLong:   step.step.Lasting || clock.Ms(step.step.EstimatedMs) > p.timing.Headroom.LongWork,
+		IsLong:   step.step.Lasting || clock.Milliseconds(step.step.EstimatedMs) > p.timing.Headroom.LongWork,
 		Priority: owner.record.Terms.Priority, Chance: p.chance(step), Due: p.due(step, len(ready))}
-	group.IsNearOnly = p.clock.Steady() < p.nearUntil(step) && p.hasNear(step)
+	group.IsNearOnly = p.clock.Monotonic() < p.nearUntil(step) && p.hasNear(step)
 	if group.Apart > 0 {
 		group.Held = step.held()
 	}
@@ -341,7 +341,7 @@
 // so that no rule of a queue leaves work undone while there is room.
 func (p *Pool) barredByRule(step *stepState) []bool {
 	queue := step.time.job.record.Entry
-	if !p.rules.HasUse(queue) || p.clock.Steady()-step.openedAt > ruleHolds {
+	if !p.rules.HasUse(queue) || p.clock.Monotonic()-step.openedAt > ruleHolds {
 		return nil
 	}
 	barred := make([]bool, len(p.roster.lives))
--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 )
@@ -58,7 +58,7 @@
 	var ms int64
 	var load Load
 	_, err := fmt.Sscanf(text, loadForm, &ms, &load.CPU, &load.MemoryMB)
-	load.Length = clock.Ms(ms)
+	load.Length = clock.Milliseconds(ms)
 	return load, err
 }
 
@@ -88,7 +88,7 @@
 type Shape struct {
 	Node        string
 	ID          string
-	Room        peerapi.Capacity
+	Room        wire.Capacity
 	Labels      []string
 	MaxHold     time.Duration
 	StopTimeout time.Duration
@@ -100,7 +100,7 @@
 // later calls functions back on that owner.
 type Executor struct {
 	shape    Shape
-	clock    clock.Pulse
+	clock    clock.Clock
 	later    func(wait time.Duration, run func())
 	begunAt  time.Duration
 	fence    uint64
@@ -119,13 +119,13 @@
 
 // NewExecutor makes an executor that only pretends to work: a run ends after the length that its descriptor names.
 // The clock gives its time, and later calls a function after a wait, on the goroutine that owns the executor.
-func NewExecutor(shape Shape, clock clock.Pulse, later func(time.Duration, func())) *Executor {
-	return &Executor{shape: shape, clock: clock, later: later, begunAt: clock.Steady(), highest: map[string]int64{}}
+func NewExecutor(shape Shape, clock clock.Clock, later func(time.Duration, func())) *Executor {
+	return &Executor{shape: shape, clock: clock, later: later, begunAt: clock.Monotonic(), highest: map[string]int64{}}
 }
 
 // ClockMs is the executor's own steady clock.
 func (e *Executor) ClockMs() int64 {
-	return firstClockMs + int64(float64(clock.InMs(e.clock.Steady()-e.begunAt))*e.shape.Pace)
+	return firstClockMs + int64(float64((e.clock.Monotonic()-e.begunAt).Milliseconds())*e.shape.Pace)
 }
 
 func (e *Executor) answer(reason string) executorapi.Answer {
@@ -143,7 +143,7 @@
 
 // extend lengthens the hold to a time of the executor's clock, and by the longest hold at most.
 func (e *Executor) extend(expiryMs int64) {
-	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+clock.InMs(e.shape.MaxHold)))
+	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.shape.MaxHold.Milliseconds()))
 	if !e.isWatched {
 		e.watchExpiry()
 	}
@@ -151,7 +151,7 @@
 
 // watchExpiry ends all runs once the hold is over.
 func (e *Executor) watchExpiry() {
-	left := clock.Ms(int64(float64(e.expiryMs-e.ClockMs())/e.shape.Pace) + 1)
+	left := clock.Milliseconds(int64(float64(e.expiryMs-e.ClockMs())/e.shape.Pace) + 1)
 	e.isWatched = true
 	e.later(left, func() {
 		e.isWatched = false
@@ -211,7 +211,7 @@
 }
 
 func (e *Executor) begin(order executorapi.RunStart, load Load) {
-	started := &activeRun{load: load, began: e.clock.Steady(),
+	started := &activeRun{load: load, began: e.clock.Monotonic(),
 		record: RunRecord{Task: order.Task, Run: order.Run, Node: e.shape.Node, StartMs: e.clock.WallMs()}}
 	e.active = append(e.active, started)
 	if !e.isWatched {
@@ -271,7 +271,7 @@
 	}
 	waiting := &waitingHold{answer: answer}
 	e.waiting = append(e.waiting, waiting)
-	e.later(clock.Ms(min(hold.WaitMs, mostWaitMs)), func() {
+	e.later(clock.Milliseconds(min(hold.WaitMs, mostWaitMs)), func() {
 		if place := slices.Index(e.waiting, waiting); place >= 0 {
 			e.waiting = slices.Delete(e.waiting, place, place+1)
 			waiting.answer(200, e.lists())
@@ -284,7 +284,7 @@
 	answer := e.answer("")
 	answer.Ends = slices.Clone(e.ends[:min(len(e.ends), mostEnds)])
 	for _, active := range e.active {
-		percent := int(100 * (e.clock.Steady() - active.began) / max(active.load.Length, 1))
+		percent := int(100 * (e.clock.Monotonic() - active.began) / max(active.load.Length, 1))
 		answer.Running = append(answer.Running,
 			executorapi.RunningRow{Task: active.record.Task, Run: active.record.Run, Percent: min(percent, mostPercent)})
 	}
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/simulation/hollow"
@@ -26,20 +26,20 @@
 
 func newWorld() *world {
 	w := &world{clock: clock.NewFake(0)}
-	w.executor = hollow.NewExecutor(hollow.Shape{Node: "w", ID: "i-w", Room: peerapi.Capacity{CPU: 1000, Memory: 1000},
+	w.executor = hollow.NewExecutor(hollow.Shape{Node: "w", ID: "i-w", Room: wire.Capacity{CPU: 1000, Memory: 1000},
 		MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, Pace: 1}, w.clock,
 		func(wait time.Duration, run func()) {
-			w.delayed = append(w.delayed, delayedCall{w.clock.Steady() + wait, run})
+			w.delayed = append(w.delayed, delayedCall{w.clock.Monotonic() + wait, run})
 		})
 	return w
 }
 
 func (w *world) pass(length time.Duration) {
-	for until := w.clock.Steady() + length; w.clock.Steady() < until; w.clock.Advance(time.Millisecond) {
+	for until := w.clock.Monotonic() + length; w.clock.Monotonic() < until; w.clock.Advance(time.Millisecond) {
 		due := w.delayed
 		w.delayed = nil
 		for _, call := range due {
-			if call.due <= w.clock.Steady() {
+			if call.due <= w.clock.Monotonic() {
 				call.run()
 			} else {
 				w.delayed = append(w.delayed, call)
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"io"
 	"net"
@@ -20,7 +21,6 @@
 	"gannetline/internal/platform/settings"
 	"gannetline/internal/platform/transportmetrics"
 	"gannetline/internal/roles"
-	"gannetline/internal/span"
 )
 
 const (
@@ -48,14 +48,14 @@
 	mailbox  *mailbox.Mailbox
 	executor *Executor
 	settings *settings.Settings
-	clock    clock.Pulse
-	life     span.Span
+	clock    clock.Clock
+	ctx      context.Context
 }
 
-func newNode(life span.Span, worker Worker, nodeSettings *settings.Settings, timeSource clock.Pulse) *node {
-	started := &node{mailbox: mailbox.New(mailboxRoom), settings: nodeSettings, clock: timeSource, life: life}
+func newNode(ctx context.Context, worker Worker, nodeSettings *settings.Settings, timeSource clock.Clock) *node {
+	started := &node{mailbox: mailbox.New(mailboxRoom), settings: nodeSettings, clock: timeSource, ctx: ctx}
 	shape := Shape{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Room: worker.Room, Labels: worker.Labels,
-		MaxHold: nodeSettings.MaxHold(), StopTimeout: clock.Ms(nodeSettings.Bounds.StopTimeoutMs), Pace: worker.Pace}
+		MaxHold: nodeSettings.MaxHold(), StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), Pace: worker.Pace}
 	started.executor = NewExecutor(shape, timeSource, started.later)
 	return started
 }
@@ -64,7 +64,7 @@
 func (n *node) later(wait time.Duration, run func()) {
 	go func() {
 		select {
-		case <-n.life.Done():
+		case <-n.ctx.Done():
 		case <-n.clock.After(wait):
 			n.mailbox.Post(run)
 		}
@@ -139,15 +139,15 @@
 // sendHeartbeats reports to the local proxy at the interval of the settings, sooner after a failure. The place among all
 // workers of the process spreads the first heartbeats.
 func (n *node) sendHeartbeats(client *http.Client, place int) {
-	wait := clock.Ms(int64(place%heartbeatSpread) * n.settings.HeartbeatMs / heartbeatSpread)
+	wait := clock.Milliseconds(int64(place%heartbeatSpread) * n.settings.HeartbeatMs / heartbeatSpread)
 	for {
 		select {
-		case <-n.life.Done():
+		case <-n.ctx.Done():
 			return
 		case <-n.clock.After(wait):
 		}
-		wait = clock.Ms(n.settings.HeartbeatMs)
-		heartbeat, err := mailbox.Ask(n.mailbox, n.life, func(answer func(executorapi.Beat)) {
+		wait = clock.Milliseconds(n.settings.HeartbeatMs)
+		heartbeat, err := mailbox.Ask(n.mailbox, n.ctx, func(answer func(executorapi.Beat)) {
 			answer(n.executor.Beat(n.settings.Service, n.settings.App, n.settings.Domain))
 		})
 		if err != nil || n.send(client, heartbeat) != nil {
@@ -161,10 +161,10 @@
 	if err != nil {
 		return err
 	}
-	life, release := span.Within(n.life, heartbeatTimeout)
+	ctx, release := context.WithTimeout(n.ctx, heartbeatTimeout)
 	defer release()
 	url := "http://" + n.settings.Listen.Control + "/v1/executors/" + n.executor.shape.ID + "/heartbeat"
-	request, err := http.NewRequestWithContext(life, http.MethodPost, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -178,52 +178,52 @@
 	return err
 }
 
-// Run keeps the hollow workers of a spec going until the span or their time ends. It takes their settings in the order of
+// Run keeps the hollow workers of a spec going until ctx is done or their time is over. It takes their settings in the order of
 // the spec. An error names the worker that could not be started, or whose local proxy ended.
-func Run(life span.Span, spec *Spec, all []*settings.Settings, log logging.Logger) error {
-	life, release := span.Within(life, clock.Ms(spec.ForMs))
+func Run(ctx context.Context, spec *Spec, all []*settings.Settings, log logging.Logger) error {
+	ctx, release := context.WithTimeout(ctx, clock.Milliseconds(spec.ForMs))
 	defer release()
 	report, err := net.Listen("tcp4", spec.Report)
 	if err != nil {
 		return errors.Annotate(err, "field report")
 	}
-	timeSource, meter, client := clock.Real(), &transportmetrics.Meter{}, peerapi.Client(heartbeatTimeout, 1)
+	timeSource, meter, client := clock.System(), &transportmetrics.Meter{}, peerapi.Client(heartbeatTimeout, 1)
 	failed := make(chan error, len(all)+1)
 	var nodes []*node
 	for place, nodeSettings := range all {
-		started := newNode(life, spec.Workers[place], nodeSettings, timeSource)
+		started := newNode(ctx, spec.Workers[place], nodeSettings, timeSource)
 		nodes = append(nodes, started)
 		app, err := net.Listen("tcp4", nodeSettings.App)
 		if err != nil {
 			return errors.Annotatef(err, "worker %d: field app", place)
 		}
-		go started.mailbox.Run(life, timeSource, mailbox.Owner{Every: time.Minute})
-		go serve(life, app, started)
+		go started.mailbox.Run(ctx, timeSource, mailbox.Owner{Every: time.Minute})
+		go serve(ctx, app, started)
 		go started.sendHeartbeats(client, place)
 		if spec.Workers[place].IsExecutorOnly {
 			continue
 		}
 		go func() {
-			err := roles.HollowProxy(life, nodeSettings, log.WithValues("node", nodeSettings.NodeName), roles.WithMeter(meter))
+			err := roles.HollowProxy(ctx, nodeSettings, log.WithValues("node", nodeSettings.NodeName), roles.WithMeter(meter))
 			if err != nil {
 				failed <- errors.Annotatef(err, "worker %d", place)
 			}
 		}()
 	}
-	go serve(life, report, reports(nodes, meter))
+	go serve(ctx, report, reports(nodes, meter))
 	select {
-	case <-life.Done():
+	case <-ctx.Done():
 		return nil
 	case err := <-failed:
 		return err
 	}
 }
 
-// serve answers calls on a listener until the span ends.
-func serve(life span.Span, listener net.Listener, handler http.Handler) {
+// serve answers calls on a listener until ctx is done.
+func serve(ctx context.Context, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	go func() {
-		<-life.Done()
+		<-ctx.Done()
 		server.Close()
 	}()
 	server.Serve(listener)
@@ -249,9 +249,9 @@
 }
 
 // gather asks each executor on the goroutine that owns it, and gives up at the first that does not answer.
-func gather[T any](nodes []*node, life span.Span, question func(*Executor) T, take func(T)) {
+func gather[T any](nodes []*node, ctx context.Context, question func(*Executor) T, take func(T)) {
 	for _, asked := range nodes {
-		value, err := mailbox.Ask(asked.mailbox, life, func(answer func(T)) { answer(question(asked.executor)) })
+		value, err := mailbox.Ask(asked.mailbox, ctx, func(answer func(T)) { answer(question(asked.executor)) })
 		if err != nil {
 			return
 		}
--- a/internal/simulation/hollow/spec.go
+++ b/internal/simulation/hollow/spec.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 	"go.uber.org/multierr"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/settings"
 )
 
@@ -22,10 +22,10 @@
 
 // Worker is one hollow node: the settings file of its local-proxy and the executor behind it.
 type Worker struct {
-	Settings string           `json:"settings"`
-	Room     peerapi.Capacity `json:"capacity"`
-	Labels   []string         `json:"labels"`
-	Pace     float64          `json:"pace"`
+	Settings string        `json:"settings"`
+	Room     wire.Capacity `json:"capacity"`
+	Labels   []string      `json:"labels"`
+	Pace     float64       `json:"pace"`
 	// IsExecutorOnly leaves the local-proxy to another process.
 	IsExecutorOnly bool `json:"executor-only,omitempty"`
 }
--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 )
 
@@ -34,10 +34,10 @@
 
 func bulkName(place int) string { return fmt.Sprintf("bulk-%d", place) }
 
-func bulkOf(pairs []peerapi.Op) bulkState {
+func bulkOf(pairs []wire.Op) bulkState {
 	var held bulkState
 	for place := range held {
-		at := slices.IndexFunc(pairs, func(pair peerapi.Op) bool { return pair.Name == bulkName(place) })
+		at := slices.IndexFunc(pairs, func(pair wire.Op) bool { return pair.Name == bulkName(place) })
 		if at >= 0 {
 			held[place] = pairs[at].Value[0]
 		}
@@ -53,7 +53,7 @@
 }
 
 // Commit proposes the change with the large pair that belongs to it.
-func (t *bulkTenure) Commit(ops []peerapi.Op, done func(error)) {
+func (t *bulkTenure) Commit(ops []wire.Op, done func(error)) {
 	fact := factOf(ops)
 	if fact == nil {
 		t.Tenure.Commit(ops, done)
@@ -65,7 +65,7 @@
 	next := t.held
 	next[place] = value[0]
 	t.world.record.bulk[digest] = next
-	ops = append(slices.Clone(ops), peerapi.Op{Name: bulkName(place), Value: value})
+	ops = append(slices.Clone(ops), wire.Op{Name: bulkName(place), Value: value})
 	t.Tenure.Commit(ops, func(err error) {
 		if err == nil {
 			t.held = next
@@ -75,7 +75,7 @@
 }
 
 // checkBulk looks whether the large pairs are those that the newest change left behind.
-func (w *world) checkBulk(n *node, pairs []peerapi.Op, fact *peerapi.Configuration) {
+func (w *world) checkBulk(n *node, pairs []wire.Op, fact *wire.Configuration) {
 	if !w.isBulk || fact == nil {
 		return
 	}
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -8,7 +8,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/simulation/simcluster"
 )
@@ -62,7 +62,7 @@
 }
 
 // Read gives the synced state of a key.
-func (d *disk) Read(key string) (peerapi.Snapshot, error) { return d.shelf.Read(key) }
+func (d *disk) Read(key string) (wire.Snapshot, error) { return d.shelf.Read(key) }
 
 // Submit queues a write; done is told what became of it once it was synced.
 func (d *disk) Submit(write storage.Write, done func(storage.Outcome)) {
--- a/internal/simulation/modelcheck/controlmodel/faults.go
+++ b/internal/simulation/modelcheck/controlmodel/faults.go
@@ -66,7 +66,7 @@
 
 func (w *world) apply(step modelcheck.Step) {
 	w.cover("step " + step.Kind)
-	length := clock.Ms(int64(step.ForMs))
+	length := clock.Milliseconds(int64(step.ForMs))
 	n := w.at(step.Node)
 	w.tell("step %s of %s for %d ms, peer %d, value %d", step.Kind, n.name, step.ForMs, step.Peer, step.Value)
 	switch step.Kind {
@@ -99,7 +99,7 @@
 		w.cutOff(step, n, length)
 	case stepWeather:
 		w.weather = weather{until: w.now + length, lost: weatherLost, doubled: weatherDoubled, delayed: weatherDelayed,
-			longest: shortestHeldBack + clock.Ms(int64(step.Value))}
+			longest: shortestHeldBack + clock.Milliseconds(int64(step.Value))}
 		if step.Peer == 1 {
 			w.weather.lost = weatherHeavyLost
 		}
@@ -195,7 +195,7 @@
 			w.cover("disk wiped with all machines down")
 			one.wipe()
 		}
-		w.after(clock.Ms(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, one.start)
+		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, one.start)
 	}
 }
 
@@ -251,7 +251,7 @@
 			w.send(again, step.Node)
 		}
 	case stepStorm:
-		w.storm(step.Node, w.now+clock.Ms(int64(step.ForMs)))
+		w.storm(step.Node, w.now+clock.Milliseconds(int64(step.ForMs)))
 	}
 }
 
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -7,7 +7,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/replication"
 )
@@ -22,7 +22,7 @@
 type stateMachine struct{ node *node }
 
 // Open takes the configuration over under a new leadership.
-func (m *stateMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
+func (m *stateMachine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
 	n := m.node
 	n.tenure = tenure
 	n.world.open++
@@ -82,8 +82,8 @@
 }
 
 // obey serves a call of the operator's path, as the ring of control keys does.
-func (n *node) obey(ask *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
-	told := func(value peerapi.ClientAnswer) {
+func (n *node) obey(ask *wire.ClientCall, answer func(wire.ClientAnswer)) {
+	told := func(value wire.ClientAnswer) {
 		if change := n.world.plant.answer; change != nil {
 			value = change(n, ask, value)
 		}
@@ -94,7 +94,7 @@
 	}
 	switch {
 	case !n.config.IsOpen():
-		told(peerapi.ClientAnswer{Elsewhere: true})
+		told(wire.ClientAnswer{Elsewhere: true})
 	case ask.Verb == verbReplace:
 		n.config.Replace(ask, told)
 	default:
@@ -102,10 +102,10 @@
 	}
 }
 
-func factOf(pairs []peerapi.Op) *peerapi.Configuration {
+func factOf(pairs []wire.Op) *wire.Configuration {
 	for _, pair := range pairs {
 		if pair.Name == factName {
-			fact := &peerapi.Configuration{}
+			fact := &wire.Configuration{}
 			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), fact); err == nil {
 				return fact
 			}
@@ -115,10 +115,10 @@
 }
 
 // confirmedOf are the changes that a key's pairs name as confirmed.
-func confirmedOf(pairs []peerapi.Op) []peerapi.ConfirmedVersion {
-	var all []peerapi.ConfirmedVersion
+func confirmedOf(pairs []wire.Op) []wire.ConfirmedVersion {
+	var all []wire.ConfirmedVersion
 	for _, pair := range pairs {
-		var one peerapi.ConfirmedVersion
+		var one wire.ConfirmedVersion
 		if strings.HasPrefix(pair.Name, confirmedPrefix) && easyjson.Unmarshal(pair.Value, &one) == nil {
 			all = append(all, one)
 		}
@@ -127,4 +127,4 @@
 }
 
 // headOf is what a disk holds of the key.
-func headOf(d *disk) peerapi.LogPosition { return d.shelf.Heads[configleader.Key].Last }
+func headOf(d *disk) wire.LogPosition { return d.shelf.Heads[configleader.Key].Last }
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -5,7 +5,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/simulation/modelcheck"
 )
@@ -144,18 +144,18 @@
 type links struct{ node *node }
 
 // Promise asks a disk for a promise of an epoch.
-func (l *links) Promise(disk string, ask peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
+func (l *links) Promise(disk string, ask wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	n := l.node
 	if disk == n.disk.name {
 		n.post(func() {
-			n.replicas.Promise(ask, func(answer peerapi.PromiseAnswer) { n.post(func() { done(answer, nil) }) })
+			n.replicas.Promise(ask, func(answer wire.PromiseAnswer) { n.post(func() { done(answer, nil) }) })
 		})
 		return
 	}
 	to := n.byDisk(disk)
 	n.world.tell("%s asks %s: promise epoch %d, pre-vote %v", n.name, disk, ask.Epoch, ask.PreVote)
-	call(n, to, promiseLimit, func(answer func(peerapi.PromiseAnswer)) {
-		to.replicas.Promise(ask, func(told peerapi.PromiseAnswer) {
+	call(n, to, promiseLimit, func(answer func(wire.PromiseAnswer)) {
+		to.replicas.Promise(ask, func(told wire.PromiseAnswer) {
 			n.world.tell("%s tells %s: granted %v, promised %d, last %v", to.name, n.name, told.Granted, told.Promised, told.Last)
 			answer(told)
 		})
@@ -163,7 +163,7 @@
 }
 
 // Append sends changes, a snapshot or a chunk of one to a disk.
-func (l *links) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *links) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	n := l.node
 	if disk == n.disk.name {
 		l.InstallLocal(ask, done)
@@ -193,11 +193,11 @@
 	return shortestChunk + time.Duration(w.draw.Int64N(int64(longestChunk-shortestChunk)))
 }
 
-func (l *links) append(to *node, ask peerapi.AppendCall, limit time.Duration, done func(peerapi.AppendAnswer, error)) {
+func (l *links) append(to *node, ask wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
 	n := l.node
-	call(n, to, limit, func(answer func(peerapi.AppendAnswer)) {
+	call(n, to, limit, func(answer func(wire.AppendAnswer)) {
 		arrivedAt := n.world.now
-		to.replicas.Append(ask, func(told peerapi.AppendAnswer) {
+		to.replicas.Append(ask, func(told wire.AppendAnswer) {
 			n.world.tell("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, ask.Epoch,
 				told.Taken, told.Promised, told.Last, len(ask.Changes), ask.Release)
 			told.DelayUs = max(1, (n.world.now - arrivedAt).Microseconds())
@@ -207,22 +207,22 @@
 }
 
 // InstallLocal appends to the own disk.
-func (l *links) InstallLocal(ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *links) InstallLocal(ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if ask.Snapshot != nil {
 		l.node.world.cover("snapshot installed by a candidate")
 	}
 	n := l.node
 	n.post(func() {
-		n.replicas.Append(ask, func(answer peerapi.AppendAnswer) { n.post(func() { done(answer, nil) }) })
+		n.replicas.Append(ask, func(answer wire.AppendAnswer) { n.post(func() { done(answer, nil) }) })
 	})
 }
 
 // Fetch asks a disk for the changes or the state that the own one lacks.
-func (l *links) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
+func (l *links) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	n := l.node
 	n.world.cover("candidate fetched")
 	to := n.byDisk(disk)
-	call(n, to, silence, func(answer func(peerapi.FetchAnswer)) {
+	call(n, to, silence, func(answer func(wire.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			answer(whole)
 		}
@@ -240,7 +240,7 @@
 }
 
 // ReadLocal reads the whole state of the machine's own replica from its disk; done is never called within the call.
-func (l *links) ReadLocal(key string, done func(peerapi.Snapshot, error)) {
+func (l *links) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	snapshot, err := l.node.disk.Read(key)
 	l.node.post(func() { done(snapshot, err) })
 }
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-logr/logr/funcr"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/controlkeys"
 	"gannetline/internal/control/replication"
@@ -58,8 +58,8 @@
 	jump   int64
 }
 
-// Steady is the steady time of the machine; it never jumps.
-func (c *nodeClock) Steady() time.Duration { return c.world.now + c.offset }
+// Monotonic is the steady time of the machine; it never jumps.
+func (c *nodeClock) Monotonic() time.Duration { return c.world.now + c.offset }
 
 // WallMs is the machine's time of day in milliseconds, which a fault may set.
 func (c *nodeClock) WallMs() int64 {
@@ -71,7 +71,7 @@
 
 // knownMember is what a machine last heard of another.
 type knownMember struct {
-	member  peerapi.Member
+	member  wire.Member
 	heardAt time.Duration
 	isKnown bool
 }
@@ -107,7 +107,7 @@
 	n.replicas = replicas
 	n.known, n.heard = nil, leaderHint{}
 	n.world.tell("%s starts, disk %s", n.name, n.disk.name)
-	n.config = configleader.New(logging.Silent(), func(fact *peerapi.Configuration) { n.world.noteInForce(digestOf(fact.Body)) })
+	n.config = configleader.New(logging.Silent(), func(fact *wire.Configuration) { n.world.noteInForce(digestOf(fact.Body)) })
 	n.engine = replication.NewEngine(configleader.Key, n.disk.name, n.name, &n.clock, n.world.plant.wrapLinks(n, &links{n}),
 		n.world.plant.wrapMachine(n, &stateMachine{n}), n.members,
 		replication.WithInitialVoters(n.world.voters), replication.WithMachineLosses(n.world.schedule.Losses),
@@ -257,12 +257,12 @@
 }
 
 // members is what this machine knows of the others: news takes a while, and none comes through a cut.
-func (n *node) members() []peerapi.Member {
+func (n *node) members() []wire.Member {
 	for len(n.known) < len(n.world.nodes) {
 		n.known = append(n.known, knownMember{})
 	}
 	now := n.world.now
-	all := make([]peerapi.Member, 0, len(n.known))
+	all := make([]wire.Member, 0, len(n.known))
 	for place, other := range n.world.nodes {
 		known := &n.known[place]
 		isHeard := other == n || other.isUp && !other.isFrozen && n.world.isOpen(n, other) && n.world.isOpen(other, n)
@@ -273,15 +273,15 @@
 			continue
 		}
 		if now-known.heardAt > goneAfter {
-			known.member.State = peerapi.StateGone
+			known.member.State = wire.StateGone
 		}
 		all = append(all, known.member)
 	}
 	return all
 }
 
-func (n *node) member() peerapi.Member {
-	return peerapi.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: peerapi.StateAlive, Past: slices.Clone(n.past)}
+func (n *node) member() wire.Member {
+	return wire.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: wire.StateAlive, Past: slices.Clone(n.past)}
 }
 
 // byDisk is the machine that holds a disk, as far as this one knows.
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/controlapi"
 	"gannetline/internal/platform/response"
@@ -82,7 +82,7 @@
 	}
 	one.tries++
 	w.traffic.underWay++
-	call := &peerapi.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: one.base, Body: one.body}
+	call := &wire.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: one.base, Body: one.body}
 	begun := w.begin(one)
 	w.operate(via, call, func(answer *response.Reply) {
 		w.traffic.underWay--
@@ -131,7 +131,7 @@
 // read retrieves the configuration through a machine.
 func (w *world) read(via int, done func(isRead bool)) {
 	begun, floor := w.begin(nil), w.record.top
-	call := &peerapi.ClientCall{Key: configleader.Key, Verb: verbRetrieve}
+	call := &wire.ClientCall{Key: configleader.Key, Verb: verbRetrieve}
 	w.operate(via, call, func(answer *response.Reply) {
 		isRead := kindOf(answer) == confirmed
 		if isRead {
@@ -145,7 +145,7 @@
 func ignore(bool) {}
 
 // operate brings a call of an operator to a machine's control address; no answer comes back as nil.
-func (w *world) operate(via int, ask *peerapi.ClientCall, done func(*response.Reply)) {
+func (w *world) operate(via int, ask *wire.ClientCall, done func(*response.Reply)) {
 	to := w.slots[via%len(w.slots)]
 	isOver := false
 	finish := func(answer *response.Reply) {
@@ -179,7 +179,7 @@
 // attempt is a machine's search for the key's leader: the tries are the daemon's own, the waits are the model's.
 type attempt struct {
 	from  *node
-	ask   *peerapi.ClientCall
+	ask   *wire.ClientCall
 	tries *leaderclient.Attempts
 	done  func(response.Reply)
 }
@@ -196,8 +196,8 @@
 		a.pause()
 		return
 	}
-	call(a.from, to, try.Limit, func(answer func(peerapi.ClientAnswer)) { to.obey(a.ask, answer) },
-		func(answer peerapi.ClientAnswer, err error) {
+	call(a.from, to, try.Limit, func(answer func(wire.ClientAnswer)) { to.obey(a.ask, answer) },
+		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
 				a.tries.Failed(err == errRefused)
 			} else if a.tries.Answered(&answer) {
@@ -218,9 +218,9 @@
 // view is what a machine's membership tells its operator's path.
 func (n *node) view() *membership.View {
 	n.hearsay()
-	view := &membership.View{Stewards: n.members(), Owners: map[string]peerapi.LeaderFact{}}
+	view := &membership.View{Stewards: n.members(), Owners: map[string]wire.LeaderFact{}}
 	if n.heard.node != nil {
-		view.Owners[configleader.Key] = peerapi.LeaderFact{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
+		view.Owners[configleader.Key] = wire.LeaderFact{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
 	}
 	return view
 }
--- a/internal/simulation/modelcheck/controlmodel/oracles.go
+++ b/internal/simulation/modelcheck/controlmodel/oracles.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/platform/response"
 )
@@ -62,7 +62,7 @@
 }
 
 // checkOpened looks at what a new leader begins with.
-func (w *world) checkOpened(n *node, pairs []peerapi.Op) {
+func (w *world) checkOpened(n *node, pairs []wire.Op) {
 	epoch := n.tenure.Epoch()
 	if other, isThere := w.record.epochs[epoch]; isThere {
 		w.violated("one leader", "epoch %d belongs to %s and to %s", epoch, other, n.name)
@@ -76,7 +76,7 @@
 	if !n.tenure.HasLease() || w.record.top == 0 {
 		return
 	}
-	want := peerapi.ConfirmedVersion{Version: w.record.top, Digest: w.record.confirmed[w.record.top]}
+	want := wire.ConfirmedVersion{Version: w.record.top, Digest: w.record.confirmed[w.record.top]}
 	switch {
 	case fact == nil:
 		w.violated("acknowledged is kept", "%s leads epoch %d with no configuration, version %d was confirmed", n.name, epoch, w.record.top)
@@ -189,7 +189,7 @@
 	}
 }
 
-func isSamePair(one, two peerapi.Op) bool {
+func isSamePair(one, two wire.Op) bool {
 	return one.Name == two.Name && bytes.Equal(one.Value, two.Value)
 }
 
--- a/internal/simulation/modelcheck/controlmodel/plantlist.go
+++ b/internal/simulation/modelcheck/controlmodel/plantlist.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gannetline/internal/cluster/configuration"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/control/storage"
@@ -24,7 +24,7 @@
 		lease: 500 * time.Millisecond},
 	"lease-of-another-call": {about: "A leader takes the answer to an earlier heartbeat for that to a later one.",
 		links: func(_ *node, inner *links) replication.Links {
-			return &repeatingLinks{inner, map[string]peerapi.AppendAnswer{}}
+			return &repeatingLinks{inner, map[string]wire.AppendAnswer{}}
 		}},
 	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
 		tenure: func(_ *node, inner configleader.Tenure) configleader.Tenure { return carelessTenure{inner} }},
@@ -45,7 +45,7 @@
 	"old-snapshot-installed": {about: "A replica installs the pairs of an older snapshot at the place of a newer one.",
 		disk: func(_ *node, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
 	"chunk-of-another-snapshot": {about: "A chunk of an earlier snapshot is taken in with those of a newer one.",
-		links: func(_ *node, inner *links) replication.Links { return &mixedChunkLinks{inner, map[int][]peerapi.Op{}} }},
+		links: func(_ *node, inner *links) replication.Links { return &mixedChunkLinks{inner, map[int][]wire.Op{}} }},
 	"folder-not-synced":        {about: "A folder is not synced after the replica's file was made in it.", isFileUnsafe: true},
 	"replaced-disk-keeps-name": {about: "An empty disk answers under the name of the disk it replaces.", keepsDiskName: true},
 	"leaves-at-once":           {about: "A machine that is replaced goes before its successor holds all that it held.", leavesAtOnce: true},
@@ -94,7 +94,7 @@
 	write.Changes = slices.Clone(write.Changes)
 	for place, change := range write.Changes {
 		if change.Set != nil {
-			write.Changes[place].Set = &peerapi.VoterSet{Now: change.Set.Now}
+			write.Changes[place].Set = &wire.VoterSet{Now: change.Set.Now}
 		}
 	}
 	d.disk.Submit(write, done)
@@ -103,7 +103,7 @@
 // oldSnapshotDisk installs the pairs of the snapshot before.
 type oldSnapshotDisk struct {
 	*disk
-	before *peerapi.Snapshot
+	before *wire.Snapshot
 }
 
 // Submit installs the snapshot before in place of the newest.
@@ -115,7 +115,7 @@
 			d.before = &old
 		}
 		if d.before != nil {
-			write.Snapshot = &peerapi.Snapshot{Last: newest.Last, Set: newest.Set, Pairs: d.before.Pairs}
+			write.Snapshot = &wire.Snapshot{Last: newest.Last, Set: newest.Set, Pairs: d.before.Pairs}
 		}
 		d.before = newest
 	}
@@ -125,11 +125,11 @@
 // repeatingLinks answers a heartbeat at once with what the one before was answered.
 type repeatingLinks struct {
 	*links
-	before map[string]peerapi.AppendAnswer
+	before map[string]wire.AppendAnswer
 }
 
 // Append answers heartbeats with the answer before.
-func (l *repeatingLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *repeatingLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	earlier, isThere := l.before[disk]
 	isHeartbeat := len(ask.Changes) == 0 && ask.Snapshot == nil && ask.Chunk == nil && !ask.Release
 	if !isThere || !isHeartbeat || earlier.Promised != ask.Epoch || earlier.Last != ask.Prev {
@@ -138,11 +138,11 @@
 	}
 	delete(l.before, disk)
 	l.node.post(func() { done(earlier, nil) })
-	l.links.Append(disk, ask, l.noting(disk, func(peerapi.AppendAnswer, error) {}))
+	l.links.Append(disk, ask, l.noting(disk, func(wire.AppendAnswer, error) {}))
 }
 
-func (l *repeatingLinks) noting(disk string, done func(peerapi.AppendAnswer, error)) func(peerapi.AppendAnswer, error) {
-	return func(answer peerapi.AppendAnswer, err error) {
+func (l *repeatingLinks) noting(disk string, done func(wire.AppendAnswer, error)) func(wire.AppendAnswer, error) {
+	return func(answer wire.AppendAnswer, err error) {
 		if err == nil && answer.Taken {
 			l.before[disk] = answer
 		}
@@ -153,11 +153,11 @@
 // newVotersLinks answers for the voters that go, while the set changes.
 type newVotersLinks struct {
 	*links
-	set peerapi.VoterSet
+	set wire.VoterSet
 }
 
 // Append answers changes in the name of a voter that is to go.
-func (l *newVotersLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *newVotersLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.set = l.node.engine.Belief().Set
 	isLeaving := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
 	count := len(ask.Changes)
@@ -166,7 +166,7 @@
 		return
 	}
 	l.node.post(func() {
-		done(peerapi.AppendAnswer{Taken: true, Promised: ask.Epoch, Last: ask.Changes[count-1].Position, Disk: disk}, nil)
+		done(wire.AppendAnswer{Taken: true, Promised: ask.Epoch, Last: ask.Changes[count-1].Position, Disk: disk}, nil)
 	})
 }
 
@@ -174,10 +174,10 @@
 type earlyLearnerLinks struct{ *links }
 
 // Append says of an empty disk that it has taken everything.
-func (l *earlyLearnerLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
-	l.links.Append(disk, ask, func(answer peerapi.AppendAnswer, err error) {
+func (l *earlyLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
 		belief := l.node.engine.Belief()
-		if err == nil && !answer.Taken && answer.Last == (peerapi.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Set.Old, disk) {
+		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Set.Old, disk) {
 			answer.Taken, answer.Last = true, belief.Last
 		}
 		done(answer, err)
@@ -191,8 +191,8 @@
 }
 
 // Append says of a disk between two chunks that it has taken everything.
-func (l *unfinishedLearnerLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
-	l.links.Append(disk, ask, func(answer peerapi.AppendAnswer, err error) {
+func (l *unfinishedLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
 		isPart := err == nil && !answer.Taken && answer.Promised <= ask.Epoch && (ask.Chunk != nil || l.unfinished[disk])
 		if isPart {
 			l.unfinished[disk] = true
@@ -205,11 +205,11 @@
 // mixedChunkLinks sends the pairs of an earlier snapshot's chunk in place of a newer one's.
 type mixedChunkLinks struct {
 	*links
-	first map[int][]peerapi.Op
+	first map[int][]wire.Op
 }
 
 // Append sends the first pairs ever sent under the number of a chunk.
-func (l *mixedChunkLinks) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (l *mixedChunkLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if ask.Chunk != nil {
 		if pairs, isThere := l.first[ask.Chunk.Number]; isThere {
 			mixed := *ask.Chunk
@@ -231,7 +231,7 @@
 type hastyTenure struct{ configleader.Tenure }
 
 // Commit reports success before the change is committed.
-func (t hastyTenure) Commit(ops []peerapi.Op, done func(error)) {
+func (t hastyTenure) Commit(ops []wire.Op, done func(error)) {
 	t.Tenure.Commit(ops, func(error) {})
 	done(nil)
 }
@@ -240,23 +240,23 @@
 type forgetfulMachine struct{ replication.StateMachine }
 
 // Open leaves the records of confirmed changes out.
-func (m forgetfulMachine) Open(tenure *replication.Leadership, pairs []peerapi.Op) error {
-	isRecord := func(pair peerapi.Op) bool { return strings.HasPrefix(pair.Name, confirmedPrefix) }
+func (m forgetfulMachine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
+	isRecord := func(pair wire.Op) bool { return strings.HasPrefix(pair.Name, confirmedPrefix) }
 	pairs = slices.DeleteFunc(slices.Clone(pairs), isRecord)
 	return m.StateMachine.Open(tenure, pairs)
 }
 
-func confirmNumber(n *node, ask *peerapi.ClientCall, answer peerapi.ClientAnswer) peerapi.ClientAnswer {
+func confirmNumber(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	plan, err := configuration.Read(ask.Body)
 	if ask.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.world.record.top {
-		return peerapi.ClientAnswer{Status: http.StatusOK}
+		return wire.ClientAnswer{Status: http.StatusOK}
 	}
 	return answer
 }
 
-func refuseCommitted(n *node, ask *peerapi.ClientCall, answer peerapi.ClientAnswer) peerapi.ClientAnswer {
+func refuseCommitted(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.world.draw.IntN(50) == 0 {
-		return peerapi.ClientAnswer{Status: http.StatusPreconditionFailed, Why: "planted"}
+		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Why: "planted"}
 	}
 	return answer
 }
--- a/internal/simulation/modelcheck/controlmodel/plants.go
+++ b/internal/simulation/modelcheck/controlmodel/plants.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/configleader"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/simulation/modelcheck"
@@ -25,7 +25,7 @@
 	machine func(n *node, inner replication.StateMachine) replication.StateMachine
 	tenure  func(n *node, inner configleader.Tenure) configleader.Tenure
 	// answer changes what a leader tells an operator.
-	answer func(n *node, ask *peerapi.ClientCall, answer peerapi.ClientAnswer) peerapi.ClientAnswer
+	answer func(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer
 }
 
 func (p plant) wrapDisk(n *node) replication.Disk {
--- a/internal/simulation/modelcheck/controlmodel/world.go
+++ b/internal/simulation/modelcheck/controlmodel/world.go
@@ -82,14 +82,14 @@
 
 // violated notes that an oracle does not hold; the first violation ends the run.
 func (w *world) violated(oracle, format string, values ...any) {
-	w.problems = append(w.problems, modelcheck.Violation{Oracle: oracle, AtMs: int(clock.InMs(w.now)), Detail: fmt.Sprintf(format, values...)})
+	w.problems = append(w.problems, modelcheck.Violation{Oracle: oracle, AtMs: int(w.now.Milliseconds()), Detail: fmt.Sprintf(format, values...)})
 }
 
 // play runs a schedule to its end, and then on until the system has settled.
 func (w *world) play() modelcheck.Outcome {
 	var last time.Duration
 	for _, step := range w.schedule.Steps {
-		w.after(clock.Ms(int64(step.AtMs)), func() { w.apply(step) })
+		w.after(clock.Milliseconds(int64(step.AtMs)), func() { w.apply(step) })
 		last = max(last, endOf(step))
 	}
 	if !w.runUntil(last + time.Millisecond) {
@@ -105,7 +105,7 @@
 
 // endOf is when a step has surely ended.
 func endOf(step modelcheck.Step) time.Duration {
-	end := clock.Ms(int64(step.AtMs + step.ForMs))
+	end := clock.Milliseconds(int64(step.AtMs + step.ForMs))
 	if step.Kind == stepReplace || step.Kind == stepRestart {
 		end += leaveLimit + leaveTime
 	}
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -8,7 +8,7 @@
 
 	"gannetline/internal/cluster/leaderclient"
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/gate/clientapi"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // serve asks the key's leader until there is an answer or no time left.
-func (g *gate) serve(request peerapi.ClientCall, answer func(clientReply)) {
+func (g *gate) serve(request wire.ClientCall, answer func(clientReply)) {
 	attempts := leaderclient.NewAttempts(poolKey, g.world.queue.now()+g.world.queue.between(leastPatience, mostPatience), g.world.queue.random.IntN)
 	var next func()
 	pause := func() { g.later(attempts.Pause(g.world.queue.now()), next) }
@@ -48,9 +48,9 @@
 			return
 		}
 		to := g.world.stewardAt(try.Address)
-		callLeader(g.world, &g.process, &to.process, try.Limit, func(answer func(peerapi.ClientAnswer)) {
+		callLeader(g.world, &g.process, &to.process, try.Limit, func(answer func(wire.ClientAnswer)) {
 			to.serve(&request, answer)
-		}, func(told peerapi.ClientAnswer, err error) {
+		}, func(told wire.ClientAnswer, err error) {
 			if err != nil {
 				attempts.Failed(false)
 				pause()
@@ -66,7 +66,7 @@
 	next()
 }
 
-func (g *gate) reply(request *peerapi.ClientCall, outcome leaderclient.Outcome) clientReply {
+func (g *gate) reply(request *wire.ClientCall, outcome leaderclient.Outcome) clientReply {
 	told := clientapi.ReplyOf(request, g.world.plant.outcome(outcome))
 	return clientReply{told.Status, string(told.Body)}
 }
@@ -74,9 +74,9 @@
 // view is what a process knows of the stewards, with the leader it last heard of.
 func (w *world) view(leader int) *membership.View {
 	if w.views[leader] == nil {
-		view := &membership.View{Owners: map[string]peerapi.LeaderFact{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
+		view := &membership.View{Owners: map[string]wire.LeaderFact{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
 		for _, one := range w.stewards {
-			view.Stewards = append(view.Stewards, peerapi.Member{Name: one.name, Role: membership.RoleSteward, Address: one.name, Disk: one.name})
+			view.Stewards = append(view.Stewards, wire.Member{Name: one.name, Role: membership.RoleSteward, Address: one.name, Disk: one.name})
 		}
 		w.views[leader] = view
 	}
@@ -93,7 +93,7 @@
 }
 
 // request sends a client's call by way of a gate.
-func (w *world) request(through int, request peerapi.ClientCall, done func(clientReply)) {
+func (w *world) request(through int, request wire.ClientCall, done func(clientReply)) {
 	to := w.gates[through%len(w.gates)]
 	call(w, w.outside, &to.process, clientPatience, func(answer func(clientReply)) { to.serve(request, answer) },
 		func(reply clientReply, err error) {
@@ -112,7 +112,7 @@
 		return
 	}
 	terms := one.terms
-	request := peerapi.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbHandIn, Body: body, Terms: &terms}
+	request := wire.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbHandIn, Body: body, Terms: &terms}
 	one.openTries++
 	w.request(through, request, func(reply clientReply) {
 		w.oracles.handedIn(one, reply)
@@ -124,7 +124,7 @@
 
 func (w *world) cancel(one *job, through, try int) {
 	one.isCancelSent = true
-	w.request(through, peerapi.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbCancel}, func(reply clientReply) {
+	w.request(through, wire.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbCancel}, func(reply clientReply) {
 		if reply.status == http.StatusOK {
 			w.oracles.cancelled(one)
 			return
@@ -138,7 +138,7 @@
 // look asks for a job's state, once.
 func (w *world) look(one *job, through int, done func()) {
 	wasAccepted, wasCancelled := one.isAccepted, one.isCancelled
-	w.request(through, peerapi.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbState}, func(reply clientReply) {
+	w.request(through, wire.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbState}, func(reply clientReply) {
 		w.oracles.shown(one, reply, wasAccepted, wasCancelled)
 		done()
 	})
--- a/internal/simulation/modelcheck/ordermodel/events.go
+++ b/internal/simulation/modelcheck/ordermodel/events.go
@@ -30,7 +30,7 @@
 	return &eventQueue{clock: clock.NewFake(beginWallMs), random: rand.New(rand.NewPCG(seed, queueStream))}
 }
 
-func (q *eventQueue) now() time.Duration { return q.clock.Steady() }
+func (q *eventQueue) now() time.Duration { return q.clock.Monotonic() }
 
 // after runs something later; a time that has passed counts as now.
 func (q *eventQueue) after(wait time.Duration, run func()) {
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -32,7 +32,7 @@
 	world       *world
 	machine     string
 	number      int
-	room        peerapi.Capacity
+	room        wire.Capacity
 	labels      []string
 	proxy       *proxy
 	id          string
@@ -114,7 +114,7 @@
 }
 
 func (e *executor) clockMs() int64 {
-	return 100_000 + clock.InMs((e.world.queue.now()-e.begunAt)*time.Duration(10000-e.slowness)/10000)
+	return 100_000 + ((e.world.queue.now() - e.begunAt) * time.Duration(10000-e.slowness) / 10000).Milliseconds()
 }
 
 // beat tells the proxy of the machine that the executor is there.
@@ -126,7 +126,7 @@
 	beat := &executorapi.Beat{Service: service, State: "ready", Room: e.room, Labels: e.labels,
 		ClockMs: e.clockMs(), Sequence: e.sequence}
 	if e.isDraining {
-		beat.State, beat.DepartsMs = "draining", max(1, clock.InMs(e.departsAt-e.world.queue.now()))
+		beat.State, beat.DepartsMs = "draining", max(1, (e.departsAt-e.world.queue.now()).Milliseconds())
 	}
 	id, proxy, wait := e.id, e.proxy, localHop
 	if e.isBeatLate && e.world.queue.chance(percentLateBeats) {
@@ -144,8 +144,8 @@
 	if !e.isUp || e.isDraining {
 		return
 	}
-	e.isDraining, e.departsAt = true, e.world.queue.now()+clock.Ms(drainMs)
-	e.later(clock.Ms(drainMs), func() {
+	e.isDraining, e.departsAt = true, e.world.queue.now()+clock.Milliseconds(drainMs)
+	e.later(clock.Milliseconds(drainMs), func() {
 		e.sayFarewell()
 		e.later(100*time.Millisecond, e.replace)
 	})
@@ -160,7 +160,7 @@
 	e.world.count("farewell_unannounced")
 	e.isLeaving = true
 	e.sayFarewell()
-	e.later(clock.Ms(drainMs)+servesOn, e.replace)
+	e.later(clock.Milliseconds(drainMs)+servesOn, e.replace)
 }
 
 func (e *executor) sayFarewell() {
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/scheduling/jobs"
@@ -139,7 +139,7 @@
 		}
 	}
 	e.pollers = append(e.pollers, tell)
-	e.later(clock.Ms(request.WaitMs), tell)
+	e.later(clock.Milliseconds(request.WaitMs), tell)
 }
 
 func (e *executor) forgetEnds(lastSeen int64) {
@@ -172,12 +172,12 @@
 
 // extend lets all that runs go on until a time on the executor's own clock.
 func (e *executor) extend(expiryMs int64) {
-	most := e.clockMs() + clock.InMs(e.world.timing.MaxHold)
+	most := e.clockMs() + e.world.timing.MaxHold.Milliseconds()
 	if expiryMs = min(expiryMs, most); expiryMs <= e.expiryMs {
 		return
 	}
 	e.expiryMs = expiryMs
-	wait := clock.Ms(expiryMs-e.clockMs())*10000/time.Duration(10000-e.slowness) + time.Millisecond
+	wait := clock.Milliseconds(expiryMs-e.clockMs())*10000/time.Duration(10000-e.slowness) + time.Millisecond
 	// A run lapses by itself, also on an executor that answers nobody.
 	incarnation := e.incarnation
 	e.world.queue.after(wait, func() {
@@ -202,7 +202,7 @@
 }
 
 // used is the room of all that runs, also of what is being stopped.
-func (e *executor) used() (used peerapi.Capacity) {
+func (e *executor) used() (used wire.Capacity) {
 	for _, one := range e.active {
 		used.CPU, used.Memory = used.CPU+one.step.CPU, used.Memory+one.step.Memory
 	}
--- a/internal/simulation/modelcheck/ordermodel/facts.go
+++ b/internal/simulation/modelcheck/ordermodel/facts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 )
 
@@ -11,7 +11,7 @@
 type job struct {
 	id           string
 	spec         *jobs.Spec
-	terms        peerapi.RouteTerms
+	terms        wire.RouteTerms
 	isHandedIn   bool
 	isRefused    bool
 	isUnclear    bool
--- a/internal/simulation/modelcheck/ordermodel/leadership.go
+++ b/internal/simulation/modelcheck/ordermodel/leadership.go
@@ -7,7 +7,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 type proposal struct {
 	leadership *leadership
-	ops        []peerapi.Op
+	ops        []wire.Op
 	done       func(error)
 }
 
@@ -69,7 +69,7 @@
 }
 
 // Commit is done once a majority has synced the change.
-func (l *leadership) Commit(ops []peerapi.Op, done func(error)) {
+func (l *leadership) Commit(ops []wire.Op, done func(error)) {
 	if !l.isOpen {
 		done(errLost)
 		return
@@ -122,7 +122,7 @@
 	leader.acknowledge(batch)
 }
 
-func (k *replicatedKey) apply(ops []peerapi.Op) {
+func (k *replicatedKey) apply(ops []wire.Op) {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
 			delete(k.pairs, op.Name)
@@ -223,10 +223,10 @@
 	k.world.announce(fresh)
 }
 
-func (k *replicatedKey) snapshot() []peerapi.Op {
-	pairs := make([]peerapi.Op, 0, len(k.pairs))
+func (k *replicatedKey) snapshot() []wire.Op {
+	pairs := make([]wire.Op, 0, len(k.pairs))
 	for _, name := range slices.Sorted(maps.Keys(k.pairs)) {
-		pairs = append(pairs, peerapi.Op{Name: name, Value: k.pairs[name]})
+		pairs = append(pairs, wire.Op{Name: name, Value: k.pairs[name]})
 	}
 	return pairs
 }
--- a/internal/simulation/modelcheck/ordermodel/model.go
+++ b/internal/simulation/modelcheck/ordermodel/model.go
@@ -60,14 +60,14 @@
 func (w *world) run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	lastMs, quiet := 0, holdsOver
 	for _, step := range schedule.Steps {
-		w.queue.after(clock.Ms(int64(step.AtMs)), func() { w.play(step) })
+		w.queue.after(clock.Milliseconds(int64(step.AtMs)), func() { w.play(step) })
 		lastMs = max(lastMs, step.AtMs+step.ForMs)
 		if step.Kind == kindLateExecutor {
 			quiet = lateOver
 		}
 	}
-	last := clock.Ms(int64(lastMs))
-	w.queue.after(clock.Ms(firstStepMs), func() { w.lookRound(0) })
+	last := clock.Milliseconds(int64(lastMs))
+	w.queue.after(clock.Milliseconds(firstStepMs), func() { w.lookRound(0) })
 	w.queue.after(last+quiet, w.watchEnd)
 	w.queue.runUntil(last+w.profile.settleTime, func() bool { return len(w.oracles.violations) > 0 || w.isDone })
 	if len(w.oracles.violations) == 0 {
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/simulation/modelcheck"
 )
@@ -88,7 +88,7 @@
 }
 
 // reported checks that what a proxy tells of orders is what the executor did with these, and not with others.
-func (o *oracles) reported(proxy *proxy, call *peerapi.ExchangeCall) {
+func (o *oracles) reported(proxy *proxy, call *wire.ExchangeCall) {
 	for _, one := range call.Answers {
 		which := lifeRun{call.Life, one.Task, one.Run}
 		if one.Result != "ok" {
--- a/internal/simulation/modelcheck/ordermodel/plantedleaders.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedleaders.go
@@ -3,15 +3,15 @@
 import (
 	"bytes"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 // forgetfulTenure leaves out the end of cancelled jobs from what it commits, so that the next leader goes on with them.
 type forgetfulTenure struct{ *leadership }
 
 // Commit leaves out the ends of cancelled jobs.
-func (t forgetfulTenure) Commit(ops []peerapi.Op, done func(error)) {
-	var kept []peerapi.Op
+func (t forgetfulTenure) Commit(ops []wire.Op, done func(error)) {
+	var kept []wire.Op
 	for _, op := range ops {
 		isEnd := op.Name[0] == 's' && bytes.Contains(op.Value, []byte(`"cancelled"`))
 		if isEnd {
@@ -28,7 +28,7 @@
 type hastyTenure struct{ *leadership }
 
 // Commit reports success before the change is durable.
-func (t hastyTenure) Commit(ops []peerapi.Op, done func(error)) {
+func (t hastyTenure) Commit(ops []wire.Op, done func(error)) {
 	t.leadership.Commit(ops, func(error) {})
 	t.steward.later(0, func() {
 		done(nil)
@@ -45,18 +45,18 @@
 type hastyScheduler struct{ poolLeader }
 
 // Exchange acknowledges all ends of the call at once.
-func (s hastyScheduler) Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
+func (s hastyScheduler) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	seen := int64(0)
 	if len(call.Ends) > 0 {
 		seen = call.Ends[len(call.Ends)-1].Number
 	}
-	s.poolLeader.Exchange(call, func(told peerapi.ExchangeAnswer) {
+	s.poolLeader.Exchange(call, func(told wire.ExchangeAnswer) {
 		if told.Fence > 0 && !told.Elsewhere {
 			told.LastSeen = max(told.LastSeen, seen)
 		}
 		answer(told)
 	})
 	if seen > 0 {
-		answer(peerapi.ExchangeAnswer{Fence: call.Fence, LastSeen: seen, Held: call.Base})
+		answer(wire.ExchangeAnswer{Fence: call.Fence, LastSeen: seen, Held: call.Base})
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/plantedstalls.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedstalls.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/localproxy"
 )
 
@@ -21,10 +21,10 @@
 type skippingTable struct{ plantedTable }
 
 // Compose leaves out each fifth end.
-func (t *skippingTable) Compose(waitMs int64) (*peerapi.ExchangeCall, bool) {
+func (t *skippingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue {
-		call.Ends = slices.DeleteFunc(call.Ends, func(end peerapi.EndReport) bool { return end.Number%oneInSkipped == 0 })
+		call.Ends = slices.DeleteFunc(call.Ends, func(end wire.EndReport) bool { return end.Number%oneInSkipped == 0 })
 	}
 	return call, isDue
 }
@@ -44,7 +44,7 @@
 }
 
 // Compose reports no hold once one has failed.
-func (t *grudgingTable) Compose(waitMs int64) (*peerapi.ExchangeCall, bool) {
+func (t *grudgingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue && t.hasFailed {
 		call.HoldAgeMs = neverHeld.Milliseconds()
@@ -69,7 +69,7 @@
 type silentScheduler struct{ poolLeader }
 
 // State answers for all jobs but those whose ID ends with certain digits.
-func (s silentScheduler) State(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
+func (s silentScheduler) State(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if call.ID[len(call.ID)-1]%8 != 3 {
 		s.poolLeader.State(call, answer)
 	}
--- a/internal/simulation/modelcheck/ordermodel/plantedtables.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedtables.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 )
@@ -21,7 +21,7 @@
 }
 
 // Ready gives a start that was tried before the next run-id.
-func (t *renumberingTable) Ready(life string, order peerapi.Order) (localproxy.OrderWork, bool) {
+func (t *renumberingTable) Ready(life string, order wire.Order) (localproxy.OrderWork, bool) {
 	work, isDue := t.Table.Ready(life, order)
 	if isDue && order.Kind == "launch" {
 		work.Order.Run += t.tries[order.Task]
@@ -49,7 +49,7 @@
 type lateGrantTable struct{ plantedTable }
 
 // Told counts a grant from now.
-func (t *lateGrantTable) Told(call *peerapi.ExchangeCall, _ time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order {
+func (t *lateGrantTable) Told(call *wire.ExchangeCall, _ time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
 	return t.Table.Told(call, t.proxy.world.queue.now(), answer)
 }
 
@@ -57,13 +57,13 @@
 type unfencedTable struct {
 	plantedTable
 	fence  uint64
-	former []peerapi.Order
+	former []wire.Order
 }
 
 const formerOrders = 8
 
 // Told adds the orders of the former leader to the first of a new one.
-func (t *unfencedTable) Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order {
+func (t *unfencedTable) Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
 	orders := t.Table.Told(call, askedAt, answer)
 	if answer.Fence > t.fence {
 		t.fence = answer.Fence
@@ -120,7 +120,7 @@
 }
 
 // Ready puts the checkpoint of the order before into a start.
-func (t *mixingTable) Ready(life string, order peerapi.Order) (localproxy.OrderWork, bool) {
+func (t *mixingTable) Ready(life string, order wire.Order) (localproxy.OrderWork, bool) {
 	work, isDue := t.Table.Ready(life, order)
 	saved := t.saved
 	if work.Order.Saved != "" {
@@ -135,7 +135,7 @@
 type boastingTable struct{ plantedTable }
 
 // Compose doubles the room.
-func (t *boastingTable) Compose(waitMs int64) (*peerapi.ExchangeCall, bool) {
+func (t *boastingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue {
 		call.Room.CPU *= 2
--- a/internal/simulation/modelcheck/ordermodel/play.go
+++ b/internal/simulation/modelcheck/ordermodel/play.go
@@ -15,7 +15,7 @@
 		return
 	}
 	w.trouble(step.ForMs)
-	length := clock.Ms(int64(step.ForMs))
+	length := clock.Milliseconds(int64(step.ForMs))
 	switch step.Kind {
 	case kindLoseMessages:
 		w.hop.lost = step.Value
@@ -33,7 +33,7 @@
 	case kindHandOver:
 		w.key.handOver()
 	case kindSlowSync:
-		w.slowSync = clock.Ms(int64(step.Value))
+		w.slowSync = clock.Milliseconds(int64(step.Value))
 		w.queue.after(length, func() { w.slowSync = 0 })
 	case kindLosePower:
 		w.losePower(step.Value, length)
@@ -146,7 +146,7 @@
 
 // trouble notes that something is wrong from now on for a while.
 func (w *world) trouble(forMs int) {
-	until := w.queue.now() + clock.Ms(int64(forMs))
+	until := w.queue.now() + clock.Milliseconds(int64(forMs))
 	w.troubledAt = max(w.troubledAt, until)
 }
 
@@ -211,7 +211,7 @@
 // losePower kills all stewards within a few milliseconds of the next acknowledgement of a commit.
 func (w *world) losePower(withinMs int, length time.Duration) {
 	w.onCommit = func() {
-		w.queue.after(clock.Ms(int64(withinMs)), func() {
+		w.queue.after(clock.Milliseconds(int64(withinMs)), func() {
 			w.count("power_lost")
 			w.trouble(int(length / time.Millisecond))
 			w.coreTrouble(length)
--- a/internal/simulation/modelcheck/ordermodel/profile.go
+++ b/internal/simulation/modelcheck/ordermodel/profile.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/scheduler"
 	"gannetline/internal/simulation/modelcheck"
 )
@@ -16,7 +16,7 @@
 	rackSize int
 	// partitionBits is into how many parts the machines fall when the network is split.
 	partitionBits int
-	room          func(number int) peerapi.Capacity
+	room          func(number int) wire.Capacity
 	// isGuarding tells whether an executor turns away starts beyond its room.
 	isGuarding func(number int) bool
 	timing     scheduler.Timing
@@ -39,7 +39,7 @@
 
 // smallProfile has few machines and jobs, so that hundreds of schedules a second can be played.
 var smallProfile = &profile{executors: 3, gates: 2, rackSize: 1, partitionBits: 3,
-	room:       func(int) peerapi.Capacity { return peerapi.Capacity{CPU: 4000, Memory: 8192} },
+	room:       func(int) wire.Capacity { return wire.Capacity{CPU: 4000, Memory: 8192} },
 	isGuarding: func(number int) bool { return number == 0 },
 	timing: scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
@@ -50,11 +50,11 @@
 
 // largeProfile has the sizes of a large deployment: 240 executors in racks of twenty, jobs of up to hundreds of tasks.
 var largeProfile = &profile{executors: 240, gates: 4, rackSize: 20, partitionBits: 12,
-	room: func(number int) peerapi.Capacity {
+	room: func(number int) wire.Capacity {
 		if number%3 == 2 {
-			return peerapi.Capacity{CPU: 96000, Memory: 196608}
+			return wire.Capacity{CPU: 96000, Memory: 196608}
 		}
-		return peerapi.Capacity{CPU: 64000, Memory: 131072}
+		return wire.Capacity{CPU: 64000, Memory: 131072}
 	},
 	isGuarding: func(number int) bool { return number%2 == 0 },
 	timing: scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -32,10 +32,10 @@
 	NextHold(isLook bool) (localproxy.HoldWork, bool)
 	Held(work localproxy.HoldWork, answer executorapi.Answer)
 	HoldFailed(work localproxy.HoldWork, isOtherLife bool)
-	Compose(waitMs int64) (*peerapi.ExchangeCall, bool)
-	Told(call *peerapi.ExchangeCall, askedAt time.Duration, answer *peerapi.ExchangeAnswer) []peerapi.Order
+	Compose(waitMs int64) (*wire.ExchangeCall, bool)
+	Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order
 	HasUnsent() bool
-	Ready(life string, order peerapi.Order) (localproxy.OrderWork, bool)
+	Ready(life string, order wire.Order) (localproxy.OrderWork, bool)
 	Refused(work localproxy.OrderWork)
 	Unanswered(work localproxy.OrderWork)
 	Clock(life string, executorMs int64)
@@ -231,10 +231,10 @@
 	p.world.oracles.reported(p, request)
 	askedAt := p.world.queue.now()
 	leader := p.world.stewards[p.leaderHint]
-	limit := clock.Ms(request.WaitMs) + exchangeSlow
-	callLeader(p.world, &p.process, &leader.process, limit, func(answer func(peerapi.ExchangeAnswer)) {
+	limit := clock.Milliseconds(request.WaitMs) + exchangeSlow
+	callLeader(p.world, &p.process, &leader.process, limit, func(answer func(wire.ExchangeAnswer)) {
 		leader.exchange(request, answer)
-	}, func(answer peerapi.ExchangeAnswer, err error) {
+	}, func(answer wire.ExchangeAnswer, err error) {
 		if err != nil || answer.Elsewhere {
 			done(false)
 			return
@@ -249,7 +249,7 @@
 }
 
 // carryInTurn lets few orders be on their way to the executor at once.
-func (p *proxy) carryInTurn(life string, order peerapi.Order) {
+func (p *proxy) carryInTurn(life string, order wire.Order) {
 	if p.carrying >= ordersAtOnce {
 		p.queued = append(p.queued, func() { p.carry(life, order, 0) })
 		return
@@ -269,7 +269,7 @@
 }
 
 // carry brings one order to the executor, again if it is not answered.
-func (p *proxy) carry(life string, order peerapi.Order, try int) {
+func (p *proxy) carry(life string, order wire.Order, try int) {
 	work, isDue := p.table.Ready(life, order)
 	if !isDue {
 		p.carried()
--- a/internal/simulation/modelcheck/ordermodel/shapes.go
+++ b/internal/simulation/modelcheck/ordermodel/shapes.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 )
 
@@ -35,9 +35,9 @@
 
 // The terms of the queues of the large profile.
 var (
-	urgentTerms = peerapi.RouteTerms{MaxAttempts: 3, Stretch: 1.5, TargetMs: 250, Priority: 0}
-	plainTerms  = peerapi.RouteTerms{MaxAttempts: 4, Stretch: 2.2, TargetMs: 1000, Priority: 1}
-	patientTerm = peerapi.RouteTerms{MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000, Priority: 2}
+	urgentTerms = wire.RouteTerms{MaxAttempts: 3, Stretch: 1.5, TargetMs: 250, Priority: 0}
+	plainTerms  = wire.RouteTerms{MaxAttempts: 4, Stretch: 2.2, TargetMs: 1000, Priority: 1}
+	patientTerm = wire.RouteTerms{MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000, Priority: 2}
 )
 
 // Places of shapes in largeShapes that the schedules of the large profile name.
@@ -99,7 +99,7 @@
 	}
 }
 
-func under(terms peerapi.RouteTerms, all ...jobs.Step) shape {
+func under(terms wire.RouteTerms, all ...jobs.Step) shape {
 	return func(one *job) {
 		one.spec.Steps, one.terms = all, terms
 	}
@@ -113,7 +113,7 @@
 // makeJob gives job number of a schedule its shape; a timed one is due a little after it was handed in.
 func (p *profile) makeJob(number, shape int, atMs int64) *job {
 	one := &job{id: jobID(number), spec: &jobs.Spec{Descriptor: fmt.Sprintf("descriptor-%d", number)},
-		terms: peerapi.RouteTerms{MaxAttempts: defaultAttempts, Stretch: 1.5, TargetMs: 250, Priority: number % 2}}
+		terms: wire.RouteTerms{MaxAttempts: defaultAttempts, Stretch: 1.5, TargetMs: 250, Priority: number % 2}}
 	p.shapes[shape%len(p.shapes)](one)
 	if one.spec.RepeatCount > 0 {
 		one.spec.FirstRunMs = beginWallMs + atMs + firstRunDelayMs
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 )
 
@@ -35,16 +35,16 @@
 // offeredRoom is what sound executors have free now.
 type offeredRoom struct {
 	executors []*executor
-	free      []peerapi.Capacity
+	free      []wire.Capacity
 	// isHalfUsed tells whether half of the service's room or more is in use: of all executors that are up, or of the sound
 	// ones alone, as the room of the others is out of reach.
 	isHalfUsed bool
 }
 
 // share is room and how much of it is in use.
-type share struct{ used, total peerapi.Capacity }
+type share struct{ used, total wire.Capacity }
 
-func (s *share) add(used, total peerapi.Capacity) {
+func (s *share) add(used, total wire.Capacity) {
 	s.used.CPU, s.used.Memory = s.used.CPU+used.CPU, s.used.Memory+used.Memory
 	s.total.CPU, s.total.Memory = s.total.CPU+total.CPU, s.total.Memory+total.Memory
 }
@@ -64,7 +64,7 @@
 		if o.isSound(one) {
 			sound.add(used, one.room)
 			offered.executors = append(offered.executors, one)
-			offered.free = append(offered.free, peerapi.Capacity{CPU: one.room.CPU - used.CPU, Memory: one.room.Memory - used.Memory})
+			offered.free = append(offered.free, wire.Capacity{CPU: one.room.CPU - used.CPU, Memory: one.room.Memory - used.Memory})
 		}
 	}
 	offered.isHalfUsed = all.isHalfUsed() || sound.isHalfUsed()
@@ -97,7 +97,7 @@
 }
 
 // slotsIn is how many tasks of a step fit in a room.
-func slotsIn(free peerapi.Capacity, step *jobs.Step) int64 {
+func slotsIn(free wire.Capacity, step *jobs.Step) int64 {
 	if free.CPU < step.CPU || free.Memory < step.Memory {
 		return 0
 	}
@@ -205,7 +205,7 @@
 }
 
 // orderedTo notes that the leader answers an exchange with orders for tasks.
-func (o *oracles) orderedTo(call *peerapi.ExchangeCall, orders []peerapi.Order) {
+func (o *oracles) orderedTo(call *wire.ExchangeCall, orders []wire.Order) {
 	machine := -1
 	for _, order := range orders {
 		if machine < 0 {
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/scheduler"
@@ -13,16 +13,16 @@
 
 // poolLeader is what the model drives of a pool; plants wrap it.
 type poolLeader interface {
-	Open(tenure scheduler.Tenure, pairs []peerapi.Op)
+	Open(tenure scheduler.Tenure, pairs []wire.Op)
 	Unreadable() []string
 	Close()
 	IsOpen() bool
 	Tick()
 	Settle()
-	Exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer))
-	HandIn(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer))
-	State(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer))
-	Cancel(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer))
+	Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer))
+	HandIn(call *wire.ClientCall, answer func(wire.ClientAnswer))
+	State(call *wire.ClientCall, answer func(wire.ClientAnswer))
+	Cancel(call *wire.ClientCall, answer func(wire.ClientAnswer))
 }
 
 // jumpingClock is the world's clock with a time of day that may jump.
@@ -65,7 +65,7 @@
 }
 
 // lead opens the pool under a new leadership.
-func (s *steward) lead(fresh *leadership, pairs []peerapi.Op) {
+func (s *steward) lead(fresh *leadership, pairs []wire.Op) {
 	if s.leads != nil {
 		s.leads.close()
 	}
@@ -76,12 +76,12 @@
 	}
 }
 
-func (s *steward) exchange(call *peerapi.ExchangeCall, answer func(peerapi.ExchangeAnswer)) {
+func (s *steward) exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	if !s.pool.IsOpen() {
-		answer(peerapi.ExchangeAnswer{Elsewhere: true})
+		answer(wire.ExchangeAnswer{Elsewhere: true})
 		return
 	}
-	s.pool.Exchange(call, func(told peerapi.ExchangeAnswer) {
+	s.pool.Exchange(call, func(told wire.ExchangeAnswer) {
 		s.world.oracles.orderedTo(call, told.Orders)
 		answer(told)
 	})
@@ -89,9 +89,9 @@
 }
 
 // serve runs a client's command, as the steward's own table of commands does.
-func (s *steward) serve(call *peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
+func (s *steward) serve(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if !s.pool.IsOpen() {
-		answer(peerapi.ClientAnswer{Elsewhere: true})
+		answer(wire.ClientAnswer{Elsewhere: true})
 		return
 	}
 	switch call.Verb {
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -28,7 +28,7 @@
 // stream hands Peer jobs of the shape Value in, evenly spread over the step's time; their numbers begin with Node.
 func (w *world) stream(step modelcheck.Step) {
 	for count := range step.Peer {
-		at := clock.Ms(int64(step.ForMs)) * time.Duration(count) / time.Duration(step.Peer)
+		at := clock.Milliseconds(int64(step.ForMs)) * time.Duration(count) / time.Duration(step.Peer)
 		w.queue.after(at, func() { w.handInOfStream(step.Node+count, step.Value) })
 	}
 }
@@ -48,7 +48,7 @@
 func (w *world) giveUp(step modelcheck.Step) {
 	for _, one := range w.oracles.order {
 		if !one.isOver() && !one.isCancelSent && w.queue.chance(step.Value) {
-			wait := w.queue.between(0, clock.Ms(int64(step.ForMs)))
+			wait := w.queue.between(0, clock.Milliseconds(int64(step.ForMs)))
 			w.queue.after(wait, func() { w.cancel(one, w.queue.random.IntN(len(w.gates)), 0) })
 		}
 	}
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -46,7 +46,7 @@
 	case (hash/70000)%8 == 0:
 		length += 2500
 	}
-	return clock.Ms(int64(length)), how
+	return clock.Milliseconds(int64(length)), how
 }
 
 // largeWork is from half to one and a half of the estimate, longer away from a step's data and on a slow executor.
@@ -65,7 +65,7 @@
 	if isRemote(one.step, one.executor) {
 		length = int64(float64(length) * one.executor.world.timing.RemoteFactor)
 	}
-	return min(clock.Ms(length), mostLargeWork), how
+	return min(clock.Milliseconds(length), mostLargeWork), how
 }
 
 func isRemote(step *jobs.Step, where *executor) bool {
--- a/internal/simulation/modelcheck/run.go
+++ b/internal/simulation/modelcheck/run.go
@@ -57,8 +57,8 @@
 // Run plays the schedules of a budget until one breaks an invariant, which it returns with what was run until then.
 // Schedules are handed out in rounds, so that the same one is found whatever the number of workers.
 func Run(model Model, budget Budget, report func(Progress)) (*Finding, Progress) {
-	clock := clock.Real()
-	began := clock.Steady()
+	clock := clock.System()
+	began := clock.Monotonic()
 	progress := Progress{Coverage: Coverage{}}
 	for progress.Done < budget.Schedules {
 		count := min(budget.perRound(), budget.Schedules-progress.Done)
@@ -68,11 +68,11 @@
 			progress.Coverage.Add(outcome.Coverage)
 			if len(outcome.Violations) > 0 {
 				number := progress.Done - 1
-				progress.Took = clock.Steady() - began
+				progress.Took = clock.Monotonic() - began
 				return &Finding{number, budget.schedule(model, number), outcomes[place]}, progress
 			}
 		}
-		progress.Took = clock.Steady() - began
+		progress.Took = clock.Monotonic() - began
 		report(progress)
 	}
 	return nil, progress
--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"go.yaml.in/yaml/v3"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/queuerules"
 	"gannetline/internal/scheduling/scheduler"
 )
@@ -130,7 +130,7 @@
 }
 
 // terms gives what a job is handed in with; its aim is judged by what was recorded.
-func (c *Change) terms(queue string, terms peerapi.RouteTerms) peerapi.RouteTerms {
+func (c *Change) terms(queue string, terms wire.RouteTerms) wire.RouteTerms {
 	change := c.Queues[queue]
 	set(&terms.Priority, change.Priority)
 	set(&terms.MaxAttempts, change.MaxAttempts)
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -9,7 +9,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/scheduling/recording"
 	"gannetline/internal/scheduling/scheduler"
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.stage = simcluster.New(setup.Seed, stewards, 0, peerapi.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
+	p.stage = simcluster.New(setup.Seed, stewards, 0, wire.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
 	for _, fault := range setup.Faults {
 		late := fault
 		late.At += warmUp
@@ -212,7 +212,7 @@
 func (p *play) handIn(job *playedJob) {
 	job.askedAt = p.stage.Line.Now()
 	terms := p.setup.Change.terms(job.event.Queue, job.event.Terms)
-	p.stage.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer peerapi.ClientAnswer) {
+	p.stage.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
 		job.isTaken = job.isTaken || answer.Status == http.StatusOK
 	})
 }
@@ -220,7 +220,7 @@
 func (p *play) cancel(id string) {
 	if job := p.jobs[id]; job != nil {
 		job.isCancelled = true
-		p.stage.Ask(peerapi.ClientCall{Verb: "cancel", Entry: job.event.Queue, ID: id}, func(peerapi.ClientAnswer) {})
+		p.stage.Ask(wire.ClientCall{Verb: "cancel", Entry: job.event.Queue, ID: id}, func(wire.ClientAnswer) {})
 	}
 }
 
--- a/internal/simulation/rehearsal/rehearsal_test.go
+++ b/internal/simulation/rehearsal/rehearsal_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/recording"
 	"gannetline/internal/simulation/rehearsal"
 	"gannetline/internal/simulation/simcluster"
@@ -36,21 +36,21 @@
 	put(recording.Event{Kind: recording.KindHeader, AtMs: dawn, Version: recording.Version, Node: "steward-1"})
 	for number := range 6 {
 		put(recording.Event{Kind: recording.KindExecutor, AtMs: dawn, Machine: fmt.Sprintf("side-%02d", number+1),
-			Room: peerapi.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
+			Room: wire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
 	}
 	kinds := []struct {
 		queue, body string
-		terms       peerapi.RouteTerms
+		terms       wire.RouteTerms
 		every       int
 	}{
 		{"rota-check", `{"task-descriptor":"","step-list":[{"task-count":8,"cpu-units":1500,"estimated-ms":250,"redundant":true}]}`,
-			peerapi.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}, 300},
+			wire.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}, 300},
 		{"settlement", `{"task-descriptor":"","step-list":[{"task-count":4,"cpu-units":2000,"estimated-ms":350},{"task-count":1,"cpu-units":500,"estimated-ms":100,"depends-on":[0]}]}`,
-			peerapi.RouteTerms{MaxAttempts: 2, Stretch: 1.5, TargetMs: 200}, 400},
+			wire.RouteTerms{MaxAttempts: 2, Stretch: 1.5, TargetMs: 200}, 400},
 		{"week-rebuild", `{"task-descriptor":"","step-list":[{"task-count":3,"cpu-units":2000,"estimated-ms":12000,"checkpointing":true}]}`,
-			peerapi.RouteTerms{Priority: 2, MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000}, 1100},
+			wire.RouteTerms{Priority: 2, MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000}, 1100},
 		{"orchard-season", `{"task-descriptor":"","step-list":[{"task-count":3,"cpu-units":4000,"estimated-ms":4000,"gang-scheduled":true}]}`,
-			peerapi.RouteTerms{Priority: 2, MaxAttempts: 4, Stretch: 3.2, TargetMs: 3000}, 3000},
+			wire.RouteTerms{Priority: 2, MaxAttempts: 4, Stretch: 3.2, TargetMs: 3000}, 3000},
 	}
 	for at := range 20000 / 50 {
 		for kind, one := range kinds {
--- a/internal/simulation/scalerun/costs.go
+++ b/internal/simulation/scalerun/costs.go
@@ -54,7 +54,7 @@
 		failed <- nil
 	}
 	if !r.pause(length) {
-		return r.life.Err()
+		return r.ctx.Err()
 	}
 	after, err := r.samples()
 	if err != nil {
@@ -143,7 +143,7 @@
 			return counts.Running, err
 		}
 		if !r.pause(checkEvery) {
-			return counts.Running, r.life.Err()
+			return counts.Running, r.ctx.Err()
 		}
 	}
 }
--- a/internal/simulation/scalerun/disturb.go
+++ b/internal/simulation/scalerun/disturb.go
@@ -29,7 +29,7 @@
 	go func() { profiled <- r.profile() }()
 	for turn := range configurationChanges {
 		if !r.pause(r.setup.LoadTime / (configurationChanges + 2)) {
-			return r.life.Err()
+			return r.ctx.Err()
 		}
 		waits, err := r.changeConfiguration()
 		if err != nil {
--- a/internal/simulation/scalerun/layout.go
+++ b/internal/simulation/scalerun/layout.go
@@ -11,7 +11,7 @@
 	"go.yaml.in/yaml/v3"
 
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/settings"
 	"gannetline/internal/simulation/hollow"
 )
@@ -147,7 +147,7 @@
 			ForMs: hollow.LongestRun.Milliseconds()}
 		for number := first; number < min(first+perHost, workers); number++ {
 			spec.Workers = append(spec.Workers, hollow.Worker{Settings: l.workers[number].settings,
-				Room:   peerapi.Capacity{CPU: workerCPU, Memory: workerMemory, GPU: 2},
+				Room:   wire.Capacity{CPU: workerCPU, Memory: workerMemory, GPU: 2},
 				Labels: []string{"a", fmt.Sprintf("r%d", number/perRack)}, Pace: 1 - float64(number%21)/1000,
 				IsExecutorOnly: number < len(l.realProxyNodes())})
 		}
--- a/internal/simulation/scalerun/load.go
+++ b/internal/simulation/scalerun/load.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -13,7 +14,6 @@
 	"gannetline/internal/cluster/configuration"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/simulation/hollow"
-	"gannetline/internal/span"
 )
 
 const (
@@ -60,9 +60,9 @@
 func newPrefix(version int) string { return fmt.Sprintf("/new-%d/", version) }
 
 func (r *run) call(method, url string, base int, body []byte) (int, []byte, error) {
-	life, release := span.Within(r.life, callTimeout)
+	ctx, release := context.WithTimeout(r.ctx, callTimeout)
 	defer release()
-	request, err := http.NewRequestWithContext(life, method, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -82,7 +82,7 @@
 
 func (r *run) pause(wait time.Duration) bool {
 	select {
-	case <-r.life.Done():
+	case <-r.ctx.Done():
 		return false
 	case <-time.After(wait):
 		return true
@@ -112,7 +112,7 @@
 			return err
 		}
 		if !r.pause(retryPause) {
-			return r.life.Err()
+			return r.ctx.Err()
 		}
 	}
 }
@@ -172,7 +172,7 @@
 			return errors.Errorf("job %s was not accepted in %v: %d %v", job.ID, retryLimit, status, err)
 		}
 		if !r.pause(retryPause) {
-			return r.life.Err()
+			return r.ctx.Err()
 		}
 	}
 }
@@ -223,7 +223,7 @@
 	for number := range count {
 		due := began.Add(time.Duration(float64(number) / perSecond * float64(time.Second)))
 		if !r.pause(time.Until(due)) {
-			return nil, r.life.Err()
+			return nil, r.ctx.Err()
 		}
 		go func() {
 			job, err := handInOne(number)
--- a/internal/simulation/scalerun/roles.go
+++ b/internal/simulation/scalerun/roles.go
@@ -6,7 +6,7 @@
 
 	"gannetline/internal/cluster/comparenodes"
 	"gannetline/internal/cluster/membership"
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 )
 
 const (
@@ -35,8 +35,8 @@
 }
 
 // beliefs asks every steward what it believes; those that don't answer are left out.
-func (r *run) beliefs() []*peerapi.BeliefsAnswer {
-	var all []*peerapi.BeliefsAnswer
+func (r *run) beliefs() []*wire.BeliefsAnswer {
+	var all []*wire.BeliefsAnswer
 	for _, steward := range r.layout.stewards {
 		if answer, err := comparenodes.Ask(steward.at(internalPort), beliefsTimeout); err == nil {
 			all = append(all, answer)
@@ -63,7 +63,7 @@
 }
 
 // addVoters adds the stewards whose disks vote for the pool, by what one steward believes.
-func addVoters(roles map[string]string, answer *peerapi.BeliefsAnswer) {
+func addVoters(roles map[string]string, answer *wire.BeliefsAnswer) {
 	for _, key := range answer.Keys {
 		if key.Key != poolKey {
 			continue
--- a/internal/simulation/scalerun/run.go
+++ b/internal/simulation/scalerun/run.go
@@ -1,6 +1,7 @@
 package scalerun
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -13,8 +14,6 @@
 
 	"github.com/juju/errors"
 	"go.uber.org/multierr"
-
-	"gannetline/internal/span"
 )
 
 const (
@@ -26,7 +25,7 @@
 
 // run is one size being played.
 type run struct {
-	life     span.Span
+	ctx      context.Context
 	setup    *Setup
 	workers  int
 	layout   *layout
@@ -51,7 +50,7 @@
 
 // Play runs one size and always stops what it started; what failed is in the size. Memory is that of the machine, in
 // bytes: a run that takes more than half of it is ended.
-func Play(life span.Span, setup *Setup, workers int, progress io.Writer, memory uint64) Size {
+func Play(ctx context.Context, setup *Setup, workers int, progress io.Writer, memory uint64) Size {
 	size := Size{Workers: workers}
 	folder, err := os.MkdirTemp("", "gannetline-scale-")
 	if err != nil {
@@ -59,9 +58,9 @@
 		return size
 	}
 	defer os.RemoveAll(folder)
-	life, end := span.Cancellable(life)
+	ctx, end := context.WithCancel(ctx)
 	defer end()
-	r := &run{life: life, setup: setup, workers: workers, progress: progress, began: time.Now(),
+	r := &run{ctx: ctx, setup: setup, workers: workers, progress: progress, began: time.Now(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}}
 	defer r.client.CloseIdleConnections()
 	r.children.Store(&[]*child{})
--- a/internal/simulation/scalerun/samples.go
+++ b/internal/simulation/scalerun/samples.go
@@ -1,6 +1,7 @@
 package scalerun
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"time"
@@ -10,7 +11,6 @@
 
 	"gannetline/internal/platform/transportmetrics"
 	"gannetline/internal/simulation/hollow"
-	"gannetline/internal/span"
 )
 
 // fetchTimeout is long, as a process under full load answers late.
@@ -72,9 +72,9 @@
 
 // fetch reads a JSON page of a process.
 func (r *run) fetch(url string, into any) error {
-	life, release := span.Within(r.life, fetchTimeout)
+	ctx, release := context.WithTimeout(r.ctx, fetchTimeout)
 	defer release()
-	request, err := http.NewRequestWithContext(life, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/storage"
 )
 
@@ -21,10 +21,10 @@
 }
 
 // Read gives back the whole state of a key.
-func (s *Shelf) Read(key string) (peerapi.Snapshot, error) {
-	whole := peerapi.Snapshot{Last: s.Heads[key].Last, Set: s.Heads[key].Set}
+func (s *Shelf) Read(key string) (wire.Snapshot, error) {
+	whole := wire.Snapshot{Last: s.Heads[key].Last, Set: s.Heads[key].Set}
 	for _, name := range slices.Sorted(maps.Keys(s.pairs[key])) {
-		whole.Pairs = append(whole.Pairs, peerapi.Op{Name: name, Value: s.pairs[key][name]})
+		whole.Pairs = append(whole.Pairs, wire.Op{Name: name, Value: s.pairs[key][name]})
 	}
 	return whole, nil
 }
@@ -45,7 +45,7 @@
 	return outcome
 }
 
-func (s *Shelf) put(key string, ops []peerapi.Op) {
+func (s *Shelf) put(key string, ops []wire.Op) {
 	if s.pairs[key] == nil {
 		s.pairs[key] = map[string][]byte{}
 	}
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/scheduling/jobs"
@@ -29,7 +29,7 @@
 	Domain     string
 	Labels     []string
 	ID         string
-	Room       peerapi.Capacity
+	Room       wire.Capacity
 	Speed      float64
 	Starts     int
 	isUp       bool
@@ -60,7 +60,7 @@
 
 // ClockMs is the executor's own clock, 1% slow.
 func (e *Executor) ClockMs() int64 {
-	return 100_000 + clock.InMs((e.stage.Line.Now()-e.begunAt)*99/100)
+	return 100_000 + ((e.stage.Line.Now() - e.begunAt) * 99 / 100).Milliseconds()
 }
 
 func (e *Executor) raise(fence uint64) bool {
@@ -72,9 +72,9 @@
 }
 
 func (e *Executor) extend(expiryMs int64) {
-	e.expiry = max(e.expiry, min(expiryMs, e.ClockMs()+clock.InMs(e.stage.timing.MaxHold)))
+	e.expiry = max(e.expiry, min(expiryMs, e.ClockMs()+e.stage.timing.MaxHold.Milliseconds()))
 	birth := e.birth
-	e.stage.Line.After(clock.Ms((e.expiry-e.ClockMs())*102/100+2), func() {
+	e.stage.Line.After(clock.Milliseconds((e.expiry-e.ClockMs())*102/100+2), func() {
 		if e.birth == birth && e.ClockMs() >= e.expiry {
 			e.lapse()
 		}
@@ -88,8 +88,8 @@
 	}
 }
 
-func (e *Executor) used() peerapi.Capacity {
-	var used peerapi.Capacity
+func (e *Executor) used() wire.Capacity {
+	var used wire.Capacity
 	for _, one := range e.active {
 		need := e.stage.Judge.need(one.task)
 		used.CPU, used.Memory = used.CPU+need.CPU, used.Memory+need.Memory
@@ -205,7 +205,7 @@
 		}
 	}
 	e.waiting = append(e.waiting, reply)
-	e.stage.Line.After(clock.Ms(hold.WaitMs), reply)
+	e.stage.Line.After(clock.Milliseconds(hold.WaitMs), reply)
 }
 
 func (e *Executor) lists() executorapi.Answer {
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -68,7 +68,7 @@
 // Estimate is how long the task's step is said to take, and whether it lasts.
 func (j *Judge) Estimate(task string) (length time.Duration, isLasting bool) {
 	step := j.need(task)
-	return clock.Ms(step.EstimatedMs), step.Lasting
+	return clock.Milliseconds(step.EstimatedMs), step.Lasting
 }
 
 func (j *Judge) isGang(task string) bool { return j.need(task).Gang }
--- a/internal/simulation/simcluster/line.go
+++ b/internal/simulation/simcluster/line.go
@@ -55,7 +55,7 @@
 }
 
 // Now is the steady time of the simulation.
-func (l *Line) Now() time.Duration { return l.Clock.Steady() }
+func (l *Line) Now() time.Duration { return l.Clock.Monotonic() }
 
 // After runs the function once the wait is over; what falls due at one moment runs in the order of the calls.
 func (l *Line) After(wait time.Duration, run func()) {
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -5,7 +5,7 @@
 
 	"github.com/juju/errors"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/poolhost"
 	"gannetline/internal/control/replication"
 	"gannetline/internal/platform/mailbox"
@@ -172,32 +172,32 @@
 }
 
 // Promise asks the steward of a disk for a promise; done gets an error if nothing came within promiseLimit.
-func (r *road) Promise(disk string, ask peerapi.PromiseCall, done func(peerapi.PromiseAnswer, error)) {
+func (r *road) Promise(disk string, ask wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	to, where := r.node.stage.placeOf(disk)
-	call(r.node.stage, r.node.place(), where, promiseLimit, func(answer func(peerapi.PromiseAnswer)) { to.replicas.Promise(ask, answer) }, done)
+	call(r.node.stage, r.node.place(), where, promiseLimit, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(ask, answer) }, done)
 }
 
 // Append sends changes to the steward of a disk; done gets an error if nothing came within appendLimit.
-func (r *road) Append(disk string, ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
+func (r *road) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if disk == r.node.disk.name {
 		r.InstallLocal(ask, done)
 		return
 	}
 	to, where := r.node.stage.placeOf(disk)
-	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(peerapi.AppendAnswer)) { to.replicas.Append(ask, answer) }, done)
+	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(wire.AppendAnswer)) { to.replicas.Append(ask, answer) }, done)
 }
 
 // InstallLocal answers later, never within the call, as the links of a steward do.
-func (r *road) InstallLocal(ask peerapi.AppendCall, done func(peerapi.AppendAnswer, error)) {
-	r.node.replicas.Append(ask, func(answer peerapi.AppendAnswer) {
+func (r *road) InstallLocal(ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	r.node.replicas.Append(ask, func(answer wire.AppendAnswer) {
 		r.node.stage.Line.After(0, func() { r.node.enter(r.life, func() { done(answer, nil) }) })
 	})
 }
 
 // Fetch asks the steward of a disk for a part of a key's state; done gets an error if nothing came within appendLimit.
-func (r *road) Fetch(disk string, ask peerapi.FetchCall, done func(peerapi.FetchAnswer, error)) {
+func (r *road) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	to, where := r.node.stage.placeOf(disk)
-	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(peerapi.FetchAnswer)) {
+	call(r.node.stage, r.node.place(), where, appendLimit, func(answer func(wire.FetchAnswer)) {
 		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			answer(whole)
 		}
@@ -216,7 +216,7 @@
 
 // ReadLocal reads the whole state of this node's own replica from its disk; done runs later, never within the call, and not
 // once the process that asked has ended.
-func (r *road) ReadLocal(key string, done func(peerapi.Snapshot, error)) {
+func (r *road) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	snapshot, err := r.node.disk.Read(key)
 	r.node.stage.Line.After(0, func() { r.node.enter(r.life, func() { done(snapshot, err) }) })
 }
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/platform/clock"
@@ -180,14 +180,14 @@
 		owner = p.stage.Nodes[guess%len(p.stage.Nodes)]
 	}
 	askedAt := p.stage.Line.Now()
-	call(p.stage, p.place(), owner.place(), clock.Ms(ask.WaitMs)+1500*time.Millisecond, func(answer func(peerapi.ExchangeAnswer)) {
+	call(p.stage, p.place(), owner.place(), clock.Milliseconds(ask.WaitMs)+1500*time.Millisecond, func(answer func(wire.ExchangeAnswer)) {
 		pool := owner.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
-			answer(peerapi.ExchangeAnswer{Elsewhere: true})
+			answer(wire.ExchangeAnswer{Elsewhere: true})
 			return
 		}
 		pool.Exchange(ask, answer)
-	}, func(answer peerapi.ExchangeAnswer, err error) {
+	}, func(answer wire.ExchangeAnswer, err error) {
 		if err != nil || answer.Elsewhere {
 			if p.guess == guess || !p.stage.hasGossip {
 				p.guess++
@@ -207,7 +207,7 @@
 	})
 }
 
-func (p *Proxy) carry(executor string, order peerapi.Order, try int) {
+func (p *Proxy) carry(executor string, order wire.Order, try int) {
 	work, isDue := p.table.Ready(executor, order)
 	if !isDue {
 		return
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/scheduling/scheduler"
@@ -49,7 +49,7 @@
 // Place is one executor as it should stand on the stage.
 type Place struct {
 	Machine string
-	Room    peerapi.Capacity
+	Room    wire.Capacity
 	Labels  []string
 }
 
@@ -80,7 +80,7 @@
 }
 
 // New sets up stewards and executors and starts them all.
-func New(seed uint64, stewards, executors int, room peerapi.Capacity, wallMs int64, options ...Option) *Stage {
+func New(seed uint64, stewards, executors int, room wire.Capacity, wallMs int64, options ...Option) *Stage {
 	line := NewLine(wallMs, seed)
 	s := &Stage{Line: line, Judge: newJudge(line), service: "board", keys: []string{"pool/board"}, timing: DefaultTiming,
 		log: logging.Silent(), cut: map[string]bool{}, Work: evenWork, grantBy: 1}
@@ -123,7 +123,7 @@
 	s.Line.After(gossipTime/2, s.spreadOwner)
 }
 
-func evenPlaces(count int, room peerapi.Capacity) []Place {
+func evenPlaces(count int, room wire.Capacity) []Place {
 	var places []Place
 	for number := range count {
 		places = append(places, Place{Machine: fmt.Sprintf("side-%02d", number+1), Room: room, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
@@ -139,14 +139,14 @@
 	return disks
 }
 
-func (s *Stage) members() []peerapi.Member {
-	var all []peerapi.Member
+func (s *Stage) members() []wire.Member {
+	var all []wire.Member
 	for _, one := range s.Nodes {
-		state := peerapi.StateAlive
+		state := wire.StateAlive
 		if !one.isUp {
-			state = peerapi.StateGone
+			state = wire.StateGone
 		}
-		all = append(all, peerapi.Member{Name: one.Name, Role: "steward", Disk: one.disk.name, State: state, Past: one.past})
+		all = append(all, wire.Member{Name: one.Name, Role: "steward", Disk: one.disk.name, State: state, Past: one.past})
 	}
 	return all
 }
@@ -244,24 +244,24 @@
 }
 
 // Ask plays a client: it asks one steward after another until one answers for the pool.
-func (s *Stage) Ask(ask peerapi.ClientCall, answer func(peerapi.ClientAnswer)) {
+func (s *Stage) Ask(ask wire.ClientCall, answer func(wire.ClientAnswer)) {
 	ask.Key = s.keys[0]
 	s.ask(&ask, s.Line.Draw.IntN(len(s.Nodes)), 0, answer)
 }
 
-func (s *Stage) ask(ask *peerapi.ClientCall, number, try int, answer func(peerapi.ClientAnswer)) {
+func (s *Stage) ask(ask *wire.ClientCall, number, try int, answer func(wire.ClientAnswer)) {
 	node := s.Nodes[number%len(s.Nodes)]
 	client := &place{"client", func(run func()) { run() }}
-	call(s, client, node.place(), 900*time.Millisecond, func(told func(peerapi.ClientAnswer)) {
+	call(s, client, node.place(), 900*time.Millisecond, func(told func(wire.ClientAnswer)) {
 		pool := node.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
-			told(peerapi.ClientAnswer{Elsewhere: true})
+			told(wire.ClientAnswer{Elsewhere: true})
 			return
 		}
-		verbs := map[string]func(*peerapi.ClientCall, func(peerapi.ClientAnswer)){
+		verbs := map[string]func(*wire.ClientCall, func(wire.ClientAnswer)){
 			"hand-in": pool.HandIn, "state": pool.State, "cancel": pool.Cancel, "count": pool.Count}
 		verbs[ask.Verb](ask, told)
-	}, func(told peerapi.ClientAnswer, err error) {
+	}, func(told wire.ClientAnswer, err error) {
 		if err == nil && !told.Elsewhere {
 			answer(told)
 			return
@@ -273,13 +273,13 @@
 }
 
 // HandIn gives a job to the system, and tells the judge what was given.
-func (s *Stage) HandIn(id, entry string, body []byte, terms peerapi.RouteTerms, answer func(peerapi.ClientAnswer)) error {
+func (s *Stage) HandIn(id, entry string, body []byte, terms wire.RouteTerms, answer func(wire.ClientAnswer)) error {
 	spec, err := jobs.Read(body)
 	if err != nil {
 		return err
 	}
 	s.Judge.expect(id, spec, terms.MaxAttempts)
-	s.Ask(peerapi.ClientCall{Verb: "hand-in", Entry: entry, ID: id, Body: body, Terms: &terms}, func(told peerapi.ClientAnswer) {
+	s.Ask(wire.ClientCall{Verb: "hand-in", Entry: entry, ID: id, Body: body, Terms: &terms}, func(told wire.ClientAnswer) {
 		if told.Status == http.StatusOK {
 			s.Judge.jobs[id].isAccepted = true
 		}
