--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -10,13 +10,13 @@
 	. "github.com/onsi/gomega"
 	"github.com/onsi/gomega/types"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/simulation/simcluster"
 )
 
 const wall = 1_800_000_000_000
 
-var room = peerapi.Capacity{CPU: 16000, Memory: 32768}
+var room = wire.Capacity{CPU: 16000, Memory: 32768}
 
 func id(number int) string { return fmt.Sprintf("%016x", number) }
 
@@ -45,8 +45,8 @@
 }
 
 func (c *crowd) handIn(number int, body string) {
-	terms := peerapi.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}
-	Expect(c.HandIn(id(number), "cover", []byte(body), terms, func(answer peerapi.ClientAnswer) {
+	terms := wire.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}
+	Expect(c.HandIn(id(number), "cover", []byte(body), terms, func(answer wire.ClientAnswer) {
 		if answer.Status == 200 {
 			c.accepted[id(number)] = true
 		}
@@ -55,7 +55,7 @@
 
 func (c *crowd) state(number int) string {
 	var state string
-	c.Ask(peerapi.ClientCall{Verb: "state", Entry: "cover", ID: id(number)}, func(answer peerapi.ClientAnswer) {
+	c.Ask(wire.ClientCall{Verb: "state", Entry: "cover", ID: id(number)}, func(answer wire.ClientAnswer) {
 		state = fmt.Sprintf("%d%s", answer.Status, answer.Body)
 	})
 	c.Run(3 * time.Second)
@@ -70,7 +70,7 @@
 func (c *crowd) expectAll(isRight types.GomegaMatcher) {
 	for one := range c.accepted {
 		var state string
-		c.Ask(peerapi.ClientCall{Verb: "state", Entry: "cover", ID: one}, func(answer peerapi.ClientAnswer) { state = string(answer.Body) })
+		c.Ask(wire.ClientCall{Verb: "state", Entry: "cover", ID: one}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		for round := 0; round < 100 && state == ""; round++ {
 			c.Run(50 * time.Millisecond)
 		}
@@ -135,7 +135,7 @@
 		c := newCrowd(6, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return time.Minute, "done" }))
 		c.handIn(1, plain(40, 4000))
 		c.Run(time.Second)
-		c.Ask(peerapi.ClientCall{Verb: "cancel", Entry: "cover", ID: id(1)}, func(peerapi.ClientAnswer) {})
+		c.Ask(wire.ClientCall{Verb: "cancel", Entry: "cover", ID: id(1)}, func(wire.ClientAnswer) {})
 		c.Run(2 * time.Second)
 		starts := c.Judge.Starts
 		c.Run(5 * time.Second)
--- a/internal/simulation/simcluster/stalls.go
+++ b/internal/simulation/simcluster/stalls.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/jobs"
 )
 
@@ -81,7 +81,7 @@
 // running tells which jobs have runs on executors that are up, and whether half of all room is in use.
 func (w *StallWatch) running() (jobsRunning map[string]bool, isBusy bool) {
 	jobsRunning = map[string]bool{}
-	var used, all peerapi.Capacity
+	var used, all wire.Capacity
 	for _, one := range w.stage.Executors {
 		if !one.isUp {
 			continue
--- a/internal/simulation/simcluster/stalls_test.go
+++ b/internal/simulation/simcluster/stalls_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/simulation/simcluster"
 )
 
@@ -43,7 +43,7 @@
 func newLargeDay(seed uint64, executors int) *largeDay {
 	var places []simcluster.Place
 	for number := range executors {
-		places = append(places, simcluster.Place{Machine: fmt.Sprintf("side-%03d", number+1), Room: peerapi.Capacity{CPU: 64000, Memory: 128000},
+		places = append(places, simcluster.Place{Machine: fmt.Sprintf("side-%03d", number+1), Room: wire.Capacity{CPU: 64000, Memory: 128000},
 			Labels: []string{"a", fmt.Sprintf("r%d", number/20)}})
 	}
 	day := &largeDay{isLoose: map[string]bool{}}
@@ -86,8 +86,8 @@
 	}
 	d.handedIn++
 	number := d.handedIn
-	terms := peerapi.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 500, Priority: draw.IntN(3)}
-	Expect(d.HandIn(id(number), "cover", []byte(`{"task-descriptor":"d","step-list":[`+steps+`]`+repeat+`}`), terms, func(answer peerapi.ClientAnswer) {
+	terms := wire.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 500, Priority: draw.IntN(3)}
+	Expect(d.HandIn(id(number), "cover", []byte(`{"task-descriptor":"d","step-list":[`+steps+`]`+repeat+`}`), terms, func(answer wire.ClientAnswer) {
 		if answer.Status == 200 {
 			d.accepted[id(number)] = true
 		}
@@ -97,7 +97,7 @@
 		d.isLoose[id(number)] = true
 		d.Line.After(time.Duration(draw.IntN(4000))*time.Millisecond, func() {
 			d.watch.End(id(number))
-			d.Ask(peerapi.ClientCall{Verb: "cancel", Entry: "cover", ID: id(number)}, func(peerapi.ClientAnswer) {})
+			d.Ask(wire.ClientCall{Verb: "cancel", Entry: "cover", ID: id(number)}, func(wire.ClientAnswer) {})
 		})
 	}
 }
