--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -175,7 +175,7 @@
 			}
 			ctx, end := context.WithCancel(context.Background())
 			defer end()
-			go ring.replicas.Box().Run(ctx, clock, mailbox.Owner{Every: time.Minute})
+			go ring.replicas.Mailbox().Run(ctx, clock, mailbox.Owner{Every: time.Minute})
 			go ring.box.Run(ctx, clock, mailbox.Owner{Every: time.Minute})
 			began := clock.Monotonic()
 			ring.Leave(time.Minute)
--- a/internal/control/controlkeys/links.go
+++ b/internal/control/controlkeys/links.go
@@ -35,7 +35,7 @@
 // methods of links, the engine's goroutine calls it and runs done later.
 func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if disk == l.ring.disk {
-		l.ring.replicas.Box().Post(func() {
+		l.ring.replicas.Mailbox().Post(func() {
 			l.ring.replicas.Promise(call, func(answer wire.PromiseAnswer) { l.box.Post(func() { done(answer, nil) }) })
 		})
 		return
@@ -78,7 +78,7 @@
 
 // InstallLocal has the local replica take a call as if the leader had sent it. It has no time limit and done gets no error.
 func (l *links) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.ring.replicas.Box().Post(func() {
+	l.ring.replicas.Mailbox().Post(func() {
 		l.ring.replicas.Append(call, func(answer wire.AppendAnswer) { l.box.Post(func() { done(answer, nil) }) })
 	})
 }
@@ -90,7 +90,7 @@
 
 // Status reads the state of the local replica on the goroutine of the replicas.
 func (l *links) Status(key string, done func(replication.ReplicaStatus)) {
-	l.ring.replicas.Box().Post(func() {
+	l.ring.replicas.Mailbox().Post(func() {
 		standing := l.ring.replicas.Status(key)
 		l.box.Post(func() { done(standing) })
 	})
@@ -98,7 +98,7 @@
 
 // History reads the changes that the local replica still has one by one, on the goroutine of the replicas.
 func (l *links) History(key string, done func(replication.History)) {
-	l.ring.replicas.Box().Post(func() {
+	l.ring.replicas.Mailbox().Post(func() {
 		held := l.ring.replicas.History(key)
 		l.box.Post(func() { done(held) })
 	})
--- a/internal/control/controlkeys/ring.go
+++ b/internal/control/controlkeys/ring.go
@@ -135,7 +135,7 @@
 	if r.hasPlan {
 		return
 	}
-	r.replicas.Box().Post(func() {
+	r.replicas.Mailbox().Post(func() {
 		isThere := len(r.replicas.Status(configleader.Key).State.Set.Now) > 0
 		r.box.Post(func() { r.hasPlan = r.hasPlan || isThere })
 	})
@@ -291,7 +291,7 @@
 		return
 	}
 	end := r.clock.Monotonic() + limit
-	r.replicas.Box().Post(r.replicas.Leave)
+	r.replicas.Mailbox().Post(r.replicas.Leave)
 	r.box.Post(func() {
 		r.isLeaving = true
 		for _, one := range r.holders {
@@ -314,7 +314,7 @@
 func (r *Ring) votingOn() (replaceable, rest []string) {
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	sets, err := mailbox.Ask(r.replicas.Box(), ctx, func(answer func(map[string]wire.VoterSet)) { answer(r.replicas.VotingOn()) })
+	sets, err := mailbox.Ask(r.replicas.Mailbox(), ctx, func(answer func(map[string]wire.VoterSet)) { answer(r.replicas.VotingKeys()) })
 	if err != nil {
 		return nil, nil
 	}
@@ -371,7 +371,7 @@
 	if r.isMakeshift {
 		return &wire.IdentifyAnswer{Makeshift: r.disk, Fresh: true}
 	}
-	return &wire.IdentifyAnswer{Disk: r.disk, Fresh: r.store.Bare()}
+	return &wire.IdentifyAnswer{Disk: r.disk, Fresh: r.store.IsNew()}
 }
 
 func (r *Ring) handleReplicas(mux *http.ServeMux) {
@@ -397,7 +397,7 @@
 	if r.disk == "" {
 		return nil, nil, nil
 	}
-	names, err := mailbox.Ask(r.replicas.Box(), ctx, func(answer func([]wire.KeyBelief)) { answer(r.replicaBeliefs()) })
+	names, err := mailbox.Ask(r.replicas.Mailbox(), ctx, func(answer func([]wire.KeyBelief)) { answer(r.replicaBeliefs()) })
 	if err != nil {
 		return nil, nil, nil
 	}
@@ -438,7 +438,7 @@
 	var keys []wire.KeyBelief
 	for _, key := range r.replicas.Keys() {
 		standing := r.replicas.Status(key)
-		keys = append(keys, wire.KeyBelief{Key: key, Owner: standing.Leader, Epoch: standing.Promised,
+		keys = append(keys, wire.KeyBelief{Key: key, Owner: standing.LeaseHolder, Epoch: standing.Promised,
 			Last: standing.State.Last, Set: standing.State.Set})
 	}
 	return keys
--- a/internal/control/replication/commit.go
+++ b/internal/control/replication/commit.go
@@ -6,7 +6,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-type waiter struct {
+type pendingCommit struct {
 	index uint64
 	done  func(error)
 }
@@ -17,46 +17,46 @@
 	e.recent = append(e.recent, change)
 	e.recentSize += sizeOf(change)
 	if set != nil {
-		e.set, e.setIndex = *set, e.last.Index
-		e.publish()
+		e.voters, e.votersIndex = *set, e.last.Index
+		e.publishLease()
 	}
-	e.waiting = append(e.waiting, waiter{e.last.Index, done})
-	e.trimRecent()
-	e.push()
+	e.pendingCommits = append(e.pendingCommits, pendingCommit{e.last.Index, done})
+	e.trimLog()
+	e.replicate()
 }
 
-func (e *Engine) advance() {
+func (e *Engine) advanceCommit() {
 	index := e.last.Index
-	for ; index > e.committed; index-- {
+	for ; index > e.commitIndex; index-- {
 		has := func(disk string) bool {
 			voter := e.followers[disk]
-			return voter != nil && voter.isKnown && voter.acked.Epoch == e.epoch && voter.acked.Index >= index
+			return voter != nil && voter.isPositionKnown && voter.acked.Epoch == e.epoch && voter.acked.Index >= index
 		}
-		if Agreed(e.set, has) {
+		if HasQuorum(e.voters, has) {
 			break
 		}
 	}
-	if index <= e.committed {
+	if index <= e.commitIndex {
 		return
 	}
-	e.committed = index
+	e.commitIndex = index
 	ready := 0
-	for ready < len(e.waiting) && e.waiting[ready].index <= index {
+	for ready < len(e.pendingCommits) && e.pendingCommits[ready].index <= index {
 		ready++
 	}
-	done := slices.Clone(e.waiting[:ready])
-	e.waiting = slices.Clone(e.waiting[ready:])
-	attempt := e.attempt
+	done := slices.Clone(e.pendingCommits[:ready])
+	e.pendingCommits = slices.Clone(e.pendingCommits[ready:])
+	attempt := e.generation
 	for _, waiter := range done {
-		if e.attempt != attempt {
-			waiter.done(errLost)
+		if e.generation != attempt {
+			waiter.done(ErrLeadershipLost)
 			continue
 		}
 		waiter.done(nil)
 	}
-	if e.attempt == attempt {
-		e.finishSwap()
-		e.trimRecent()
-		e.considerLeaving()
+	if e.generation == attempt {
+		e.leaveJoint()
+		e.trimLog()
+		e.maybeLeave()
 	}
 }
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -9,17 +9,17 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// considerCampaign starts a campaign if the key seems to be without a leader and it is this voter's turn.
-func (e *Engine) considerCampaign() {
-	if e.isAsking || e.isLeaving || e.clock.Monotonic() < e.nextTry {
+// maybeCampaign starts a campaign if the key seems to be without a leader and it is this voter's turn.
+func (e *Engine) maybeCampaign() {
+	if e.isStatusPending || e.isLeaving || e.clock.Monotonic() < e.nextCampaignAt {
 		return
 	}
-	e.isAsking = true
-	e.links.Status(e.key, func(status ReplicaStatus) {
-		e.isAsking = false
-		e.highest = max(e.highest, status.Promised)
-		if status.Disk != e.disk && e.clock.Monotonic() < status.LeaseEnd {
-			e.hasSteppedAside, e.fetched = false, chunkBuffer{}
+	e.isStatusPending = true
+	e.transport.Status(e.key, func(status ReplicaStatus) {
+		e.isStatusPending = false
+		e.highestEpochSeen = max(e.highestEpochSeen, status.Promised)
+		if status.LeaseHolderDisk != e.disk && e.clock.Monotonic() < status.LeaseUntil {
+			e.hasYielded, e.fetchedChunks = false, chunkBuffer{}
 		}
 		voters := disksOf(status.State.Set)
 		if len(voters) == 0 {
@@ -27,23 +27,23 @@
 		}
 		rank := slices.Index(e.ranked(voters), e.disk)
 		if rank < 0 {
-			e.nextTry = e.clock.Monotonic() + e.timing.Lease/4
+			e.nextCampaignAt = e.clock.Monotonic() + e.timing.Lease/4
 		}
 		if rank < 0 || e.phase != phaseIdle || e.isLeaving {
 			return
 		}
-		wait := status.LeaseEnd + e.stagger(rank, len(voters))
+		wait := status.LeaseUntil + e.stagger(rank, len(voters))
 		switch {
-		case status.Disk == e.disk:
+		case status.LeaseHolderDisk == e.disk:
 			wait = 0
 		case status.Released:
-			wait = status.ReleasedAt + e.afterRelease(rank, len(voters), status.Successor)
+			wait = status.ReleasedAt + e.delayAfterRelease(rank, len(voters), status.Successor)
 		}
 		if now := e.clock.Monotonic(); now < wait {
-			e.nextTry = min(wait, now+e.timing.Lease/4)
+			e.nextCampaignAt = min(wait, now+e.timing.Lease/4)
 			return
 		}
-		e.replica = status.State
+		e.ownState = status.State
 		e.campaign(voters)
 	})
 }
@@ -61,8 +61,8 @@
 		return sum.Sum64()
 	}
 	order := slices.Clone(voters)
-	slices.SortFunc(order, func(one, two string) int {
-		if weigh(one) > weigh(two) {
+	slices.SortFunc(order, func(a, b string) int {
+		if weigh(a) > weigh(b) {
 			return -1
 		}
 		return 1
@@ -70,10 +70,10 @@
 	return order
 }
 
-// afterRelease lets the heir go first, if the owner has named one; it may look for a release as late as a quarter lease after.
-func (e *Engine) afterRelease(rank, voters int, heir string) time.Duration {
+// delayAfterRelease lets the heir go first, if the owner has named one; it may look for a release as late as a quarter lease after.
+func (e *Engine) delayAfterRelease(rank, voters int, successor string) time.Duration {
 	wait := e.stagger(rank, voters) / 4
-	switch heir {
+	switch successor {
 	case "":
 		return wait
 	case e.disk:
@@ -85,93 +85,93 @@
 // ask first tries whether a majority would promise, so that a steward that was cut off disturbs nobody.
 func (e *Engine) campaign(voters []string) {
 	e.phase = phaseCandidate
-	e.attempt++
-	epoch := e.highest + 1
+	e.generation++
+	epoch := e.highestEpochSeen + 1
 	e.collectPromises(voters, epoch, true, func(granted map[string]wire.PromiseAnswer) bool {
-		if _, isAgreed := e.best(granted); !isAgreed {
+		if _, isAgreed := e.furthestGranted(granted); !isAgreed {
 			return false
 		}
-		e.attempt++
+		e.generation++
 		e.collectPromises(voters, epoch, false, func(granted map[string]wire.PromiseAnswer) bool {
-			return e.tryLeading(epoch, granted)
+			return e.winCampaign(epoch, granted)
 		})
 		return true
 	})
 }
 
 // canvass asks all voters at once; enough is tried at each grant until it is satisfied.
-func (e *Engine) collectPromises(voters []string, epoch uint64, isTrial bool, enough func(map[string]wire.PromiseAnswer) bool) {
-	attempt, heard := e.attempt, 0
+func (e *Engine) collectPromises(voters []string, epoch uint64, isPreVote bool, isEnough func(map[string]wire.PromiseAnswer) bool) {
+	attempt, answered := e.generation, 0
 	granted := map[string]wire.PromiseAnswer{}
 	for _, disk := range voters {
-		call := wire.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, PreVote: isTrial}
-		e.links.Promise(disk, call, func(answer wire.PromiseAnswer, err error) {
-			heard++
-			if e.attempt != attempt || e.phase != phaseCandidate {
+		call := wire.PromiseCall{Key: e.key, Epoch: epoch, Disk: e.disk, PreVote: isPreVote}
+		e.transport.Promise(disk, call, func(answer wire.PromiseAnswer, err error) {
+			answered++
+			if e.generation != attempt || e.phase != phaseCandidate {
 				return
 			}
 			if err == nil {
-				e.highest = max(e.highest, answer.Promised)
-				if e.isOutvoted(answer) {
+				e.highestEpochSeen = max(e.highestEpochSeen, answer.Promised)
+				if e.isSupersededBy(answer) {
 					e.backOff()
-					e.nextTry = e.clock.Monotonic() + e.timing.LostAfter
+					e.nextCampaignAt = e.clock.Monotonic() + e.timing.LostAfter
 					return
 				}
 				if answer.Granted {
 					granted[answer.Disk] = answer
-					if enough(granted) {
+					if isEnough(granted) {
 						return
 					}
 				}
 			}
-			if heard == len(voters) {
+			if answered == len(voters) {
 				e.backOff()
 			}
 		})
 	}
 }
 
-// isOutvoted tells whether a sibling has a later state whose voters are others, so that this steward need not ask.
-func (e *Engine) isOutvoted(answer wire.PromiseAnswer) bool {
-	return e.replica.Last.Below(answer.Last) && !slices.Contains(disksOf(answer.Set), e.disk)
+// isSupersededBy tells whether a sibling has a later state whose voters are others, so that this steward need not ask.
+func (e *Engine) isSupersededBy(answer wire.PromiseAnswer) bool {
+	return e.ownState.Last.Below(answer.Last) && !slices.Contains(disksOf(answer.Set), e.disk)
 }
 
 func (e *Engine) backOff() {
 	e.phase = phaseIdle
-	spread := fnv.New32a()
-	spread.Write([]byte{byte(e.attempt), byte(e.highest)})
-	spread.Write([]byte(e.disk))
-	e.nextTry = e.clock.Monotonic() + e.timing.Stagger + time.Duration(spread.Sum32()%200)*time.Millisecond
+	jitter := fnv.New32a()
+	jitter.Write([]byte{byte(e.generation), byte(e.highestEpochSeen)})
+	jitter.Write([]byte(e.disk))
+	e.nextCampaignAt = e.clock.Monotonic() + e.timing.Stagger + time.Duration(jitter.Sum32()%200)*time.Millisecond
 }
 
-// best is the furthest state among those who grant; isAgreed tells whether they are a majority of its voters.
-func (e *Engine) best(granted map[string]wire.PromiseAnswer) (best wire.PromiseAnswer, isAgreed bool) {
+// furthestGranted is the furthest state among those who grant; isAgreed tells whether they are a majority of its voters.
+func (e *Engine) furthestGranted(granted map[string]wire.PromiseAnswer) (furthest wire.PromiseAnswer, isAgreed bool) {
 	for _, disk := range slices.Sorted(maps.Keys(granted)) {
 		answer := granted[disk]
-		if best.Disk == "" || best.Last.Below(answer.Last) || best.Last == answer.Last && answer.Disk == e.disk {
-			best = answer
+		if furthest.Disk == "" || furthest.Last.Below(answer.Last) || furthest.Last == answer.Last && answer.Disk == e.disk {
+			furthest = answer
 		}
 	}
-	if len(best.Set.Now) == 0 {
-		best.Set = wire.VoterSet{Now: e.initialVoters}
+	if len(furthest.Set.Now) == 0 {
+		furthest.Set = wire.VoterSet{Now: e.initialVoters}
 	}
-	has := func(disk string) bool { _, isThere := granted[disk]; return isThere }
-	return best, has(e.disk) && Agreed(best.Set, has)
+	has := func(disk string) bool { _, isKept := granted[disk]; return isKept }
+	return furthest, has(e.disk) && HasQuorum(furthest.Set, has)
 }
 
-// tryLeading takes the epoch once a majority of the voters of the furthest state has promised it: as soon as the own disk
+// winCampaign takes the epoch once a majority of the voters of the furthest state has promised it: as soon as the own disk
 // holds that state, the leader may open it.
-func (e *Engine) tryLeading(epoch uint64, granted map[string]wire.PromiseAnswer) bool {
-	best, isAgreed := e.best(granted)
+func (e *Engine) winCampaign(epoch uint64, granted map[string]wire.PromiseAnswer) bool {
+	furthest, isAgreed := e.furthestGranted(granted)
 	if !isAgreed {
 		return false
 	}
-	e.phase, e.epoch, e.set = phaseFetching, epoch, best.Set
-	e.followers, e.staleSince = map[string]*follower{}, e.clock.Monotonic()
-	if best.Disk == e.disk {
-		e.openWithHistory(best.Last)
+	e.phase, e.epoch, e.voters = phaseFetching, epoch, furthest.Set
+	e.followers, e.lastLeaseAt = map[string]*followerProgress{}, e.clock.Monotonic()
+	if furthest.Disk == e.disk {
+		e.openWithHistory(furthest.Last)
 	} else {
-		e.fetchFrom(best, granted[e.disk].Last)
+		e.fetchFrom(furthest, granted[e.disk].Last)
 	}
 	return true
 }
@@ -179,48 +179,48 @@
 // openWithHistory begins to lead from the state of the own disk, which is at that position.
 func (e *Engine) openWithHistory(base wire.LogPosition) {
 	e.phase = phaseOpening
-	attempt := e.attempt
-	e.links.History(e.key, func(recent History) {
-		if e.attempt == attempt && e.phase == phaseOpening {
-			e.open(base, recent)
+	attempt := e.generation
+	e.transport.History(e.key, func(recent History) {
+		if e.generation == attempt && e.phase == phaseOpening {
+			e.openLeadership(base, recent)
 		}
 	})
 }
 
-// open takes the leadership over. It asks for the lease at once and keeps it while the state is being read, however long
+// openLeadership takes the leadership over. It asks for the lease at once and keeps it while the state is being read, however long
 // that takes; else another candidate would be promised the next epoch meanwhile, and fare no better.
-func (e *Engine) open(base wire.LogPosition, recent History) {
+func (e *Engine) openLeadership(base wire.LogPosition, recent History) {
 	now := e.clock.Monotonic()
-	e.last, e.committed, e.waiting = base, base.Index, nil
-	e.inherit(base, recent)
-	e.followers = map[string]*follower{}
-	e.setIndex, e.reader = 0, stateReader{isReading: true, since: now, from: base.Index}
-	e.staleSince, e.shortSince, e.isShortNoted, e.marks = now, now, false, nil
+	e.last, e.commitIndex, e.pendingCommits = base, base.Index, nil
+	e.restoreLog(base, recent)
+	e.followers = map[string]*followerProgress{}
+	e.votersIndex, e.snapshotReader = 0, snapshotReader{isReading: true, startedAt: now, fromIndex: base.Index}
+	e.lastLeaseAt, e.shortSince, e.isShortNoted, e.progress = now, now, false, nil
 	e.openedAt, e.worseSince, e.wellSince, e.wasWell = now, now, now, false
-	for _, disk := range disksOf(e.set) {
-		e.send(e.follow(disk), true)
+	for _, disk := range disksOf(e.voters) {
+		e.sendAppend(e.followerOf(disk), true)
 	}
-	attempt := e.attempt
-	e.links.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
-		if e.attempt != attempt || e.phase != phaseOpening {
+	attempt := e.generation
+	e.transport.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
+		if e.generation != attempt || e.phase != phaseOpening {
 			return
 		}
-		e.reader = stateReader{}
+		e.snapshotReader = snapshotReader{}
 		if err != nil || snapshot.Last != base {
 			e.release("the state on its own disk could not be read", "")
 			return
 		}
-		e.offer(snapshot)
-		e.takeOver(snapshot)
+		e.distributeSnapshot(snapshot)
+		e.commitOpening(snapshot)
 	})
 }
 
-// takeOver commits a first change under the new epoch, and then hands the state to the machine.
-func (e *Engine) takeOver(snapshot wire.Snapshot) {
-	opening := e.set
-	attempt := e.attempt
-	e.propose(nil, &opening, func(err error) {
-		if err != nil || e.attempt != attempt || e.phase != phaseOpening {
+// commitOpening commits a first change under the new epoch, and then hands the state to the machine.
+func (e *Engine) commitOpening(snapshot wire.Snapshot) {
+	openingVoters := e.voters
+	attempt := e.generation
+	e.propose(nil, &openingVoters, func(err error) {
+		if err != nil || e.generation != attempt || e.phase != phaseOpening {
 			return
 		}
 		e.phase = phaseLeading
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -9,8 +9,8 @@
 	"gannetline/internal/platform/logging"
 )
 
-// Links carries an engine's calls; each answer comes back on the engine's own goroutine.
-type Links interface {
+// Transport carries an engine's calls; each answer comes back on the engine's own goroutine.
+type Transport interface {
 	// Promise asks the disk's replica for a promise.
 	Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error))
 	// Append sends changes, a snapshot or a heartbeat to the disk's replica.
@@ -31,7 +31,7 @@
 // StateMachine is what lives on a key while this steward owns it.
 type StateMachine interface {
 	// Open hands the key over with all its values; an error gives the leadership up.
-	Open(tenure *Leadership, pairs []wire.Op) error
+	Open(leadership *Leadership, pairs []wire.Op) error
 	// Close ends the leadership; commits that wait have failed by then.
 	Close()
 }
@@ -54,11 +54,11 @@
 
 const (
 	leaseMargin  = 30 * time.Millisecond
-	mostTail     = 20000
-	mostTailSize = 6 << 20
-	mostPerCall  = 2000
+	maxTailCount     = 20000
+	maxTailBytes = 6 << 20
+	maxChangesPerCall  = 2000
 
-	mostPerCallSize = 256 << 10
+	maxBytesPerCall = 256 << 10
 )
 
 type phase int
@@ -80,7 +80,7 @@
 	name          string
 	initialVoters []string
 	clock         clock.Clock
-	links         Links
+	transport         Transport
 	machine       StateMachine
 	members       MemberSource
 	timing        Timing
@@ -88,32 +88,32 @@
 	announce      func(fact wire.LeaderFact)
 
 	phase      phase
-	isAsking   bool
-	replica    storage.ReplicaState
-	attempt    uint64
+	isStatusPending   bool
+	ownState    storage.ReplicaState
+	generation    uint64
 	epoch      uint64
-	highest    uint64
-	nextTry    time.Duration
+	highestEpochSeen    uint64
+	nextCampaignAt    time.Duration
 	recentBase wire.LogPosition
 	last       wire.LogPosition
-	committed  uint64
-	set        wire.VoterSet
-	setIndex   uint64
-	// fetched are the chunks of the furthest state that a candidate has so far, also across campaigns.
-	fetched         chunkBuffer
-	hasSteppedAside bool
-	followers       map[string]*follower
+	commitIndex  uint64
+	voters        wire.VoterSet
+	votersIndex   uint64
+	// fetchedChunks are the chunks of the furthest state that a candidate has so far, also across campaigns.
+	fetchedChunks         chunkBuffer
+	hasYielded bool
+	followers       map[string]*followerProgress
 	recent          []wire.Change
 	recentSize      int
-	waiting         []waiter
+	pendingCommits         []pendingCommit
 	leadership      *Leadership
 	isLeaving       bool
-	leaveBy         time.Duration
-	staleSince      time.Duration
-	reader          stateReader
-	marks           progressMarks
+	leaveDeadline         time.Duration
+	lastLeaseAt      time.Duration
+	snapshotReader          snapshotReader
+	progress           progressHistory
 
-	size         int
+	voterGoal         int
 	shortSince   time.Duration
 	isShortNoted bool
 
@@ -131,7 +131,7 @@
 
 // WithMachineLosses sets how many disks a key must be able to lose at once; its voters grow to twice that and one.
 func WithMachineLosses(losses int) Option {
-	return func(e *Engine) { e.size = 2*max(1, losses) + 1 }
+	return func(e *Engine) { e.voterGoal = 2*max(1, losses) + 1 }
 }
 
 // WithLog gives the engine a logger; without it, it logs nothing.
@@ -143,9 +143,9 @@
 }
 
 // NewEngine makes an engine for one key on the replica of one disk; it does nothing before the first Tick.
-func NewEngine(key, disk, name string, clock clock.Clock, links Links, machine StateMachine, members MemberSource, options ...Option) *Engine {
-	engine := &Engine{key: key, disk: disk, name: name, clock: clock, links: links, machine: machine, members: members,
-		timing: DefaultTiming, size: 3, log: logging.Silent(), announce: func(wire.LeaderFact) {}}
+func NewEngine(key, disk, name string, clock clock.Clock, links Transport, machine StateMachine, members MemberSource, options ...Option) *Engine {
+	engine := &Engine{key: key, disk: disk, name: name, clock: clock, transport: links, machine: machine, members: members,
+		timing: DefaultTiming, voterGoal: 3, log: logging.Silent(), announce: func(wire.LeaderFact) {}}
 	for _, option := range options {
 		option(engine)
 	}
@@ -160,41 +160,41 @@
 
 // Belief is what the engine would tell an operator of its key.
 func (e *Engine) Belief() wire.KeyBelief {
-	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.set}
+	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.voters}
 }
 
 // Tick does all that falls due; it is called often.
 func (e *Engine) Tick() {
 	switch e.phase {
 	case phaseIdle:
-		e.considerCampaign()
+		e.maybeCampaign()
 	case phaseFetching:
-		e.considerFetching()
+		e.checkFetchTimeout()
 	case phaseLeading, phaseOpening:
 		e.heartbeat()
 	}
 }
 
 // stepDown ends a candidacy or a leadership; changes that are not yet committed get an unclear end.
-func (e *Engine) stepDown(why string) {
+func (e *Engine) stepDown(reason string) {
 	if e.phase == phaseIdle {
 		return
 	}
-	e.log.Info("no longer owner of key", "key", e.key, "epoch", e.epoch, "why", why)
-	wasOwner := e.phase == phaseLeading
+	e.log.Info("no longer owner of key", "key", e.key, "epoch", e.epoch, "why", reason)
+	wasLeader := e.phase == phaseLeading
 	e.phase = phaseIdle
-	e.attempt++
-	waiters := e.waiting
-	e.waiting, e.recent, e.recentSize = nil, nil, 0
+	e.generation++
+	waiters := e.pendingCommits
+	e.pendingCommits, e.recent, e.recentSize = nil, nil, 0
 	if e.leadership != nil {
 		e.leadership.isOver.Store(true)
 		e.leadership = nil
 	}
 	e.backOff()
 	for _, waiter := range waiters {
-		waiter.done(errLost)
+		waiter.done(ErrLeadershipLost)
 	}
-	if wasOwner {
+	if wasLeader {
 		e.machine.Close()
 	}
 }
@@ -203,9 +203,9 @@
 // campaign begins after it.
 func (e *Engine) Leave() {
 	e.isLeaving = true
-	e.leaveBy = e.clock.Monotonic() + leaveWait
+	e.leaveDeadline = e.clock.Monotonic() + maxLeaveWait
 	if e.phase == phaseCandidate {
 		e.backOff()
 	}
-	e.considerLeaving()
+	e.maybeLeave()
 }
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -6,144 +6,144 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// fetch is how a candidate gets the state of the voter that is furthest, from where its own disk stands.
-type fetch struct {
+// fetchTask is how a candidate gets the state of the voter that is furthest, from where its own disk stands.
+type fetchTask struct {
 	best     wire.PromiseAnswer
 	from     wire.LogPosition
 	failures int
 }
 
 const (
-	// mostFetchFailures is how many calls in a row may bring nothing before the candidate gives up.
-	mostFetchFailures = 3
-	// mostFetching is how long it waits for any state before it campaigns anew; chunks that have come are kept.
-	mostFetching = 2800 * time.Millisecond
+	// maxFetchFailures is how many calls in a row may bring nothing before the candidate gives up.
+	maxFetchFailures = 3
+	// fetchTimeout is how long it waits for any state before it campaigns anew; chunks that have come are kept.
+	fetchTimeout = 2800 * time.Millisecond
 )
 
 // fetchFrom brings the local disk to the best state, and opens it. The changes come in calls of limited size, a state
 // that the changes no longer lead to in chunks; chunks are kept across campaigns, and whoever holds that very position
 // may send the next.
-func (e *Engine) fetchFrom(best wire.PromiseAnswer, from wire.LogPosition) {
-	e.holdOthersOff()
-	e.fetchNext(&fetch{best: best, from: from})
+func (e *Engine) fetchFrom(furthest wire.PromiseAnswer, from wire.LogPosition) {
+	e.renewCandidateLease()
+	e.fetchNext(&fetchTask{best: furthest, from: from})
 }
 
-// holdOthersOff renews the lease that the candidate has by its promises, for the few calls that the changes it lacks take.
+// renewCandidateLease renews the lease that the candidate has by its promises, for the few calls that the changes it lacks take.
 // It is asked for once at first, and again only as changes come: a voter that does not send what it has, or a transfer of a
 // whole state, keeps nobody out for longer than one lease.
-func (e *Engine) holdOthersOff() {
-	for _, disk := range disksOf(e.set) {
-		e.renewLease(e.follow(disk))
+func (e *Engine) renewCandidateLease() {
+	for _, disk := range disksOf(e.voters) {
+		e.renewLease(e.followerOf(disk))
 	}
 }
 
-// considerFetching ends a campaign for which no state comes.
-func (e *Engine) considerFetching() {
-	if e.clock.Monotonic()-e.staleSince > mostFetching {
+// checkFetchTimeout ends a campaign for which no state comes.
+func (e *Engine) checkFetchTimeout() {
+	if e.clock.Monotonic()-e.lastLeaseAt > fetchTimeout {
 		e.release("the furthest state does not come", "")
 	}
 }
 
-func (e *Engine) fetchNext(task *fetch) {
-	e.fetched.start(task.best.Last)
-	from, attempt := task.from, e.attempt
-	call := wire.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.fetched.count}
-	e.links.Fetch(task.best.Disk, call, func(answer wire.FetchAnswer, err error) {
+func (e *Engine) fetchNext(fetch *fetchTask) {
+	e.fetchedChunks.start(fetch.best.Last)
+	from, attempt := fetch.from, e.generation
+	call := wire.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.fetchedChunks.count}
+	e.transport.Fetch(fetch.best.Disk, call, func(answer wire.FetchAnswer, err error) {
 		switch {
-		case e.attempt != attempt || e.phase != phaseFetching:
+		case e.generation != attempt || e.phase != phaseFetching:
 		case err != nil:
-			e.retryFetch(task)
+			e.retryFetch(fetch)
 		case answer.Chunk != nil:
-			e.takeChunk(task, answer.Chunk)
+			e.handleChunk(fetch, answer.Chunk)
 		case len(answer.Changes) > 0:
-			e.holdOthersOff()
+			e.renewCandidateLease()
 			call := e.appendCall()
-			call.Prev, call.Changes = task.from, answer.Changes
-			e.installFetched(task, call, answer.Changes[len(answer.Changes)-1].Position)
+			call.Prev, call.Changes = fetch.from, answer.Changes
+			e.installFetched(fetch, call, answer.Changes[len(answer.Changes)-1].Position)
 		default:
-			e.installSnapshot(task, answer.Snapshot)
+			e.installSnapshot(fetch, answer.Snapshot)
 		}
 	})
 }
 
 // retryFetch asks again after a call that brought nothing, unless the epoch is lost by now.
-func (e *Engine) retryFetch(task *fetch) {
-	if task.failures++; task.failures >= mostFetchFailures {
+func (e *Engine) retryFetch(fetch *fetchTask) {
+	if fetch.failures++; fetch.failures >= maxFetchFailures {
 		e.release("the furthest state does not come", "")
 		return
 	}
-	e.continueFetch(task)
+	e.continueFetch(fetch)
 }
 
 // continueFetch goes on if no other candidate has a higher epoch here.
-func (e *Engine) continueFetch(task *fetch) {
-	attempt := e.attempt
-	e.links.Status(e.key, func(status ReplicaStatus) {
+func (e *Engine) continueFetch(fetch *fetchTask) {
+	attempt := e.generation
+	e.transport.Status(e.key, func(status ReplicaStatus) {
 		switch {
-		case e.attempt != attempt || e.phase != phaseFetching:
+		case e.generation != attempt || e.phase != phaseFetching:
 		case status.Promised > e.epoch:
 			e.backOff()
 		default:
-			e.fetchNext(task)
+			e.fetchNext(fetch)
 		}
 	})
 }
 
-func (e *Engine) takeChunk(task *fetch, chunk *wire.SnapshotChunk) {
-	if chunk.At != task.best.Last {
+func (e *Engine) handleChunk(fetch *fetchTask, chunk *wire.SnapshotChunk) {
+	if chunk.At != fetch.best.Last {
 		e.release("the furthest state is another by now", "")
 		return
 	}
-	before := e.fetched.count
-	e.fetched.take(chunk)
+	before := e.fetchedChunks.count
+	e.fetchedChunks.take(chunk)
 	switch {
-	case e.fetched.isWhole(chunk):
-		e.installSnapshot(task, wire.Snapshot{Last: chunk.At, Pairs: e.fetched.pairs})
-	case !e.hasSteppedAside:
-		e.stepAside(task)
-	case e.fetched.count == before:
-		e.retryFetch(task)
+	case e.fetchedChunks.isComplete(chunk):
+		e.installSnapshot(fetch, wire.Snapshot{Last: chunk.At, Pairs: e.fetchedChunks.pairs})
+	case !e.hasYielded:
+		e.yieldToFurthest(fetch)
+	case e.fetchedChunks.count == before:
+		e.retryFetch(fetch)
 	default:
-		task.failures = 0
-		e.continueFetch(task)
+		fetch.failures = 0
+		e.continueFetch(fetch)
 	}
 }
 
-// stepAside lets the voter with the furthest state lead, as it needs no transfer; the candidate asks again a lease later,
+// yieldToFurthest lets the voter with the furthest state lead, as it needs no transfer; the candidate asks again a lease later,
 // and fetches the state then if nobody leads.
-func (e *Engine) stepAside(task *fetch) {
-	e.hasSteppedAside = true
-	e.release("standing aside for a voter that is ahead", task.best.Disk)
-	e.nextTry = e.clock.Monotonic() + e.timing.Lease
+func (e *Engine) yieldToFurthest(fetch *fetchTask) {
+	e.hasYielded = true
+	e.release("standing aside for a voter that is ahead", fetch.best.Disk)
+	e.nextCampaignAt = e.clock.Monotonic() + e.timing.Lease
 }
 
-func (e *Engine) installSnapshot(task *fetch, snapshot wire.Snapshot) {
-	e.fetched = chunkBuffer{}
-	snapshot.Set = task.best.Set
+func (e *Engine) installSnapshot(fetch *fetchTask, snapshot wire.Snapshot) {
+	e.fetchedChunks = chunkBuffer{}
+	snapshot.Set = fetch.best.Set
 	call := e.appendCall()
 	call.Snapshot = &snapshot
-	e.installFetched(task, call, snapshot.Last)
+	e.installFetched(fetch, call, snapshot.Last)
 }
 
 // installFetched writes what was fetched to the local disk, and opens the state or fetches what is still missing.
-func (e *Engine) installFetched(task *fetch, call wire.AppendCall, reached wire.LogPosition) {
-	if task.best.Last.Below(reached) || !task.from.Below(reached) {
+func (e *Engine) installFetched(fetch *fetchTask, call wire.AppendCall, reached wire.LogPosition) {
+	if fetch.best.Last.Below(reached) || !fetch.from.Below(reached) {
 		e.release("what was fetched is not what was asked for", "")
 		return
 	}
-	attempt := e.attempt
-	e.links.InstallLocal(call, func(answer wire.AppendAnswer, err error) {
+	attempt := e.generation
+	e.transport.InstallLocal(call, func(answer wire.AppendAnswer, err error) {
 		switch {
-		case e.attempt != attempt || e.phase != phaseFetching:
+		case e.generation != attempt || e.phase != phaseFetching:
 		case err != nil || !answer.Taken:
 			e.release("its own disk does not take what was fetched", "")
-		case reached == task.best.Last:
+		case reached == fetch.best.Last:
 			e.openWithHistory(reached)
 		case call.Snapshot != nil:
 			e.release("the furthest state is another by now", "")
 		default:
-			task.from, task.failures = reached, 0
-			e.continueFetch(task)
+			fetch.from, fetch.failures = reached, 0
+			e.continueFetch(fetch)
 		}
 	})
 }
--- a/internal/control/replication/handover_test.go
+++ b/internal/control/replication/handover_test.go
@@ -14,122 +14,122 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// slowOwner is a world whose owner is slow, while one follower is the quickest of the others.
-func slowOwner(seed uint64) (w *world, owner, quickest *node) {
-	w = grown(seed)
-	w.work(5 * time.Second)
-	owner = w.owner()
-	for _, one := range w.nodes {
-		if one == owner {
-			one.late = 200 * time.Millisecond
+// slowLeader is a world whose owner is slow, while one follower is the quickest of the others.
+func slowLeader(seed uint64) (c *testCluster, leader, quickest *testNode) {
+	c = newGrownCluster(seed)
+	c.runWithWrites(5 * time.Second)
+	leader = c.leader()
+	for _, node := range c.nodes {
+		if node == leader {
+			node.delay = 200 * time.Millisecond
 			continue
 		}
-		one.late = 20 * time.Millisecond
-		if slices.Contains(w.voters(), one.disk.name) {
-			quickest = one
+		node.delay = 20 * time.Millisecond
+		if slices.Contains(c.voters(), node.disk.name) {
+			quickest = node
 		}
 	}
-	quickest.late = time.Millisecond
-	return w, owner, quickest
+	quickest.delay = time.Millisecond
+	return c, leader, quickest
 }
 
-// work lets time pass with a change each ten milliseconds.
-func (w *world) work(length time.Duration) {
+// runWithWrites lets time pass with a change each ten milliseconds.
+func (c *testCluster) runWithWrites(length time.Duration) {
 	for range length / time.Millisecond {
-		if w.clock.Monotonic()%(10*time.Millisecond) == 0 {
-			w.write()
+		if c.clock.Monotonic()%(10*time.Millisecond) == 0 {
+			c.write()
 		}
-		w.step()
+		c.step()
 	}
 }
 
 var _ = Describe("an owner that is slow", func() {
 	It("hands its key on to the quickest follower, without a gap that matters", func() {
-		w, _, quickest := slowOwner(300)
-		w.work(time.Second)
+		c, _, quickest := slowLeader(300)
+		c.runWithWrites(time.Second)
 		without := 0
 		for range 1500 {
-			w.work(time.Millisecond)
-			if w.owner() == nil {
+			c.runWithWrites(time.Millisecond)
+			if c.leader() == nil {
 				without++
 			}
 		}
-		Expect(w.owner()).To(Equal(quickest))
+		Expect(c.leader()).To(Equal(quickest))
 		Expect(without).To(BeNumerically("<", 250))
-		Expect(w.problems).To(BeEmpty())
+		Expect(c.violations).To(BeEmpty())
 	})
 
 	It("stands back for a while, and then asks if nobody else does", func() {
-		w, owner, quickest := slowOwner(301)
-		w.work(2500 * time.Millisecond)
-		Expect(w.owner()).To(Equal(quickest))
-		owner.late = 0
-		for _, one := range w.nodes {
-			if one != owner && slices.Contains(w.voters(), one.disk.name) {
-				one.engine.Leave()
+		c, leader, quickest := slowLeader(301)
+		c.runWithWrites(2500 * time.Millisecond)
+		Expect(c.leader()).To(Equal(quickest))
+		leader.delay = 0
+		for _, node := range c.nodes {
+			if node != leader && slices.Contains(c.voters(), node.disk.name) {
+				node.engine.Leave()
 			}
 		}
-		w.work(3 * time.Second)
-		Expect(w.owner()).To(BeNil())
-		w.work(3 * time.Second)
-		Expect(w.owner()).To(Equal(owner))
-		Expect(w.problems).To(BeEmpty())
+		c.runWithWrites(3 * time.Second)
+		Expect(c.leader()).To(BeNil())
+		c.runWithWrites(3 * time.Second)
+		Expect(c.leader()).To(Equal(leader))
+		Expect(c.violations).To(BeEmpty())
 	})
 
 	It("keeps the key if it is slow for a moment only", func() {
-		w, owner, _ := slowOwner(302)
-		w.work(700 * time.Millisecond)
-		owner.late = 0
-		w.work(3 * time.Second)
-		Expect(w.owner()).To(Equal(owner))
+		c, leader, _ := slowLeader(302)
+		c.runWithWrites(700 * time.Millisecond)
+		leader.delay = 0
+		c.runWithWrites(3 * time.Second)
+		Expect(c.leader()).To(Equal(leader))
 	})
 
 	It("keeps the key while all are slow alike", func() {
-		w, owner, _ := slowOwner(303)
-		for _, one := range w.nodes {
-			one.late = 200 * time.Millisecond
+		c, leader, _ := slowLeader(303)
+		for _, node := range c.nodes {
+			node.delay = 200 * time.Millisecond
 		}
-		w.work(12 * time.Second)
-		Expect(w.owner()).To(Equal(owner))
+		c.runWithWrites(12 * time.Second)
+		Expect(c.leader()).To(Equal(leader))
 	})
 
 	It("keeps the key if it is only a little slow", func() {
-		w, owner, _ := slowOwner(304)
-		owner.late = 8 * time.Millisecond
-		w.work(5 * time.Second)
-		Expect(w.owner()).To(Equal(owner))
+		c, leader, _ := slowLeader(304)
+		leader.delay = 8 * time.Millisecond
+		c.runWithWrites(5 * time.Second)
+		Expect(c.leader()).To(Equal(leader))
 	})
 
 	It("keeps the key among siblings of the older form, which say nothing of theirs", func() {
-		w, owner, _ := slowOwner(305)
-		for _, one := range w.nodes {
-			one.isOld = true
+		c, leader, _ := slowLeader(305)
+		for _, node := range c.nodes {
+			node.lacksChunkSupport = true
 		}
-		w.work(5 * time.Second)
-		Expect(w.owner()).To(Equal(owner))
+		c.runWithWrites(5 * time.Second)
+		Expect(c.leader()).To(Equal(leader))
 	})
 
 	It("keeps the key for long if it is the key that makes its owner slow", func() {
-		w := grown(306)
-		w.work(5 * time.Second)
-		hands, last := 0, w.owner()
+		c := newGrownCluster(306)
+		c.runWithWrites(5 * time.Second)
+		hands, last := 0, c.leader()
 		for turn := range 60 * 20 {
-			for _, one := range w.nodes {
-				one.late = 0
+			for _, node := range c.nodes {
+				node.delay = 0
 			}
-			if owner := w.owner(); owner != nil {
+			if leader := c.leader(); leader != nil {
 				if turn%40 < 32 {
-					owner.late = 200 * time.Millisecond
+					leader.delay = 200 * time.Millisecond
 				}
-				if owner != last {
-					hands, last = hands+1, owner
+				if leader != last {
+					hands, last = hands+1, leader
 				}
 			}
-			w.work(50 * time.Millisecond)
+			c.runWithWrites(50 * time.Millisecond)
 		}
 		Expect(hands).To(BeNumerically(">=", 2))
 		Expect(hands).To(BeNumerically("<=", 3))
-		Expect(w.problems).To(BeEmpty())
+		Expect(c.violations).To(BeEmpty())
 	})
 
 	It("hears from each voter how long its call has taken there", func() {
@@ -137,9 +137,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
-		go table.Box().Run(ctx, clock.NewFake(1), mailbox.Owner{Every: time.Minute})
-		told, err := table.AskAppend(ctx, wire.AppendCall{Key: key, Epoch: 1})
+		go table.Mailbox().Run(ctx, clock.NewFake(1), mailbox.Owner{Every: time.Minute})
+		response, err := table.AskAppend(ctx, wire.AppendCall{Key: key, Epoch: 1})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(told.DelayUs).To(Equal(int64(1)))
+		Expect(response.DelayUs).To(Equal(int64(1)))
 	})
 })
--- a/internal/control/replication/history.go
+++ b/internal/control/replication/history.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	mostHistory     = 4000
-	mostHistorySize = 1 << 20
+	maxHistoryCount     = 4000
+	maxHistoryBytes = 1 << 20
 )
 
 // History holds changes that follow on Base, each on the one before. A state whose stamp is among theirs shares
@@ -28,13 +28,13 @@
 }
 
 // after gives the changes that follow on a stamp; there are none if it is not one of the history's, or the last.
-func (h History) after(stamp wire.LogPosition) ([]wire.Change, bool) {
-	if stamp == h.Base {
+func (h History) after(position wire.LogPosition) ([]wire.Change, bool) {
+	if position == h.Base {
 		return h.Changes, len(h.Changes) > 0
 	}
-	for place, change := range h.Changes {
-		if change.Position == stamp {
-			return h.Changes[place+1:], place+1 < len(h.Changes)
+	for index, change := range h.Changes {
+		if change.Position == position {
+			return h.Changes[index+1:], index+1 < len(h.Changes)
 		}
 	}
 	return nil, false
@@ -62,11 +62,11 @@
 
 // trim lets go of the older half at once, so that little is copied.
 func (h *history) trim() {
-	if len(h.changes) <= mostHistory && h.size <= mostHistorySize {
+	if len(h.changes) <= maxHistoryCount && h.size <= maxHistoryBytes {
 		return
 	}
 	drop := 0
-	for len(h.changes)-drop > mostHistory/2 || h.size > mostHistorySize/2 {
+	for len(h.changes)-drop > maxHistoryCount/2 || h.size > maxHistoryBytes/2 {
 		h.size -= sizeOf(h.changes[drop])
 		drop++
 	}
--- a/internal/control/replication/lease.go
+++ b/internal/control/replication/lease.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// mostReading is how long a leader may read the state of its own disk, lease in hand, before another should try: long
+// snapshotReadTimeout is how long a leader may read the state of its own disk, lease in hand, before another should try: long
 // enough for slow processors, while a disk that hangs would give nothing for ever.
-const mostReading = 10 * time.Second
+const snapshotReadTimeout = 10 * time.Second
 
 // hasLease tells whether a majority of the voters vouches, now, that there is no other leader.
-func (e *Engine) hasLease() bool { return e.clock.Monotonic() < e.leaseEnd() }
+func (e *Engine) hasLease() bool { return e.clock.Monotonic() < e.leaseUntil() }
 
-// leaseEnd is until when a majority of the voters vouches that there is no other leader, and a majority of the old ones
+// leaseUntil is until when a majority of the voters vouches that there is no other leader, and a majority of the old ones
 // while those still count.
-func (e *Engine) leaseEnd() time.Duration {
-	end := e.majorityLease(e.set.Now)
-	if len(e.set.Old) > 0 {
-		end = min(end, e.majorityLease(e.set.Old))
+func (e *Engine) leaseUntil() time.Duration {
+	end := e.majorityLease(e.voters.Now)
+	if len(e.voters.Old) > 0 {
+		end = min(end, e.majorityLease(e.voters.Old))
 	}
 	return end
 }
@@ -27,23 +27,23 @@
 		return 0
 	}
 	ends := make([]time.Duration, len(voters))
-	for place, disk := range voters {
+	for index, disk := range voters {
 		if voter := e.followers[disk]; voter != nil {
-			ends[place] = voter.leaseUntil
+			ends[index] = voter.leaseUntil
 		}
 	}
 	slices.Sort(ends)
 	return ends[(len(ends)-1)/2]
 }
 
-// renewed notes a lease that a follower has granted by its answer to a call that was sent at that moment.
-func (e *Engine) renewed(by *follower, sentAt time.Duration) {
-	by.leaseUntil = max(by.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
-	e.publish()
+// noteLease notes a lease that a follower has granted by its answer to a call that was sent at that moment.
+func (e *Engine) noteLease(follower *followerProgress, sentAt time.Duration) {
+	follower.leaseUntil = max(follower.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
+	e.publishLease()
 }
 
-// publish tells the leadership, if there is one, what has changed of its lease.
-func (e *Engine) publish() {
+// publishLease tells the leadership, if there is one, what has changed of its lease.
+func (e *Engine) publishLease() {
 	if e.leadership != nil {
 		e.leadership.publish()
 	}
@@ -56,41 +56,41 @@
 		return
 	}
 	now := e.clock.Monotonic()
-	if e.isStuckReading() {
+	if e.isSnapshotReadOverdue() {
 		e.release("its own disk does not give the state", "")
-		e.nextTry = now + standBack
+		e.nextCampaignAt = now + campaignPause
 		return
 	}
-	if e.isVotedOut() {
+	if e.isRemoved() {
 		e.releaseToFurthest("its disk is no longer a voter")
 		return
 	}
-	for _, to := range e.inOrder() {
-		isDue := now-to.sentAt >= e.timing.Heartbeat
+	for _, follower := range e.sortedFollowers() {
+		isDue := now-follower.sentAt >= e.timing.Heartbeat
 		switch {
-		case isDue && to.isBusy:
-			e.renewLease(to)
-		case isDue || to.needsSnapshot:
-			e.send(to, isDue)
+		case isDue && follower.isBusy:
+			e.renewLease(follower)
+		case isDue || follower.needsSnapshot:
+			e.sendAppend(follower, isDue)
 		}
 	}
 	if e.hasLease() {
-		e.staleSince = now
-	} else if now-e.staleSince > 4*e.timing.Lease {
+		e.lastLeaseAt = now
+	} else if now-e.lastLeaseAt > 4*e.timing.Lease {
 		e.stepDown("no majority answers")
 		return
 	}
-	e.reader.keepOnlyIf(e.isStateWanted())
-	e.marks.note(now, e.last.Index, e.timing.LostAfter)
-	if e.considerLeaving(); e.phase == phaseLeading {
-		e.considerVoters()
-		e.considerHandover()
+	e.snapshotReader.keepOnlyIf(e.isSnapshotNeeded())
+	e.progress.record(now, e.last.Index, e.timing.LostAfter)
+	if e.maybeLeave(); e.phase == phaseLeading {
+		e.maybeChangeVoters()
+		e.maybeHandOver()
 	}
 }
 
-// isStuckReading tells whether the leader has waited too long for the state on its own disk.
-func (e *Engine) isStuckReading() bool {
-	return e.reader.isReading && e.clock.Monotonic()-e.reader.since > mostReading
+// isSnapshotReadOverdue tells whether the leader has waited too long for the state on its own disk.
+func (e *Engine) isSnapshotReadOverdue() bool {
+	return e.snapshotReader.isReading && e.clock.Monotonic()-e.snapshotReader.startedAt > snapshotReadTimeout
 }
 
 // isOwnReplicaBehind tells whether the own disk was stalled or full for so long that the changes it lacks are no longer
--- a/internal/control/replication/lease_test.go
+++ b/internal/control/replication/lease_test.go
@@ -51,41 +51,41 @@
 	for _, rates := range [][]int64{{-10, 10, 10}, {10, -10, -10}} {
 		It(fmt.Sprintf("is over for its leader before it is over for the voter, at clock rates of %v per mille", rates), func() {
 			for seed := range uint64(12) {
-				w := newWorld(900+seed, "a", "b", "c")
-				for place, one := range w.nodes {
-					one.clock.perMille = rates[place]
+				c := newTestCluster(900+seed, "a", "b", "c")
+				for index, node := range c.nodes {
+					node.clock.perMille = rates[index]
 				}
 				for range 4 {
-					w.until(func() bool { return w.owner() != nil })
-					w.work(300 * time.Millisecond)
-					leader := w.owner()
-					w.cut[leader.name] = true
-					w.work(2 * time.Second)
-					w.heal()
-					w.work(500 * time.Millisecond)
+					c.runUntil(func() bool { return c.leader() != nil })
+					c.runWithWrites(300 * time.Millisecond)
+					leader := c.leader()
+					c.isolated[leader.name] = true
+					c.runWithWrites(2 * time.Second)
+					c.heal()
+					c.runWithWrites(500 * time.Millisecond)
 				}
-				Expect(w.problems).To(BeEmpty())
+				Expect(c.violations).To(BeEmpty())
 			}
 		})
 	}
 
 	It("is counted from before the call was sent, however late the answer comes", func() {
 		for seed := range uint64(12) {
-			w := newWorld(980+seed, "a", "b", "c")
-			w.run(2 * time.Second)
-			leader := w.owner()
-			for _, one := range w.others() {
-				one.late = 600 * time.Millisecond
+			c := newTestCluster(980+seed, "a", "b", "c")
+			c.run(2 * time.Second)
+			leader := c.leader()
+			for _, node := range c.others() {
+				node.delay = 600 * time.Millisecond
 			}
-			w.work(time.Duration(1000+50*seed) * time.Millisecond)
-			for _, one := range w.nodes {
-				if one != leader {
-					w.oneWay[leader.name+">"+one.name], one.late = true, 0
+			c.runWithWrites(time.Duration(1000+50*seed) * time.Millisecond)
+			for _, node := range c.nodes {
+				if node != leader {
+					c.blockedLinks[leader.name+">"+node.name], node.delay = true, 0
 				}
 			}
-			w.work(2 * time.Second)
-			Expect(w.owner()).NotTo(Equal(leader))
-			Expect(w.problems).To(BeEmpty())
+			c.runWithWrites(2 * time.Second)
+			Expect(c.leader()).NotTo(Equal(leader))
+			Expect(c.violations).To(BeEmpty())
 		}
 	})
 })
--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -9,175 +9,175 @@
 )
 
 // leave is what a steward does at SIGTERM.
-func (n *node) leave() {
+func (n *testNode) leave() {
 	n.replicas.Leave()
 	n.engine.Leave()
 }
 
-// untilVotedOut lets work go on until a leaving node has nothing left to vote on, or the limit has passed.
-func (w *world) untilVotedOut(leaving *node, limit time.Duration) bool {
-	for end := w.clock.Monotonic() + limit; w.clock.Monotonic() < end; w.work(10 * time.Millisecond) {
-		if len(leaving.replicas.VotingOn()) == 0 {
+// runUntilRemoved lets work go on until a leaving node has nothing left to vote on, or the limit has passed.
+func (c *testCluster) runUntilRemoved(leaving *testNode, limit time.Duration) bool {
+	for end := c.clock.Monotonic() + limit; c.clock.Monotonic() < end; c.runWithWrites(10 * time.Millisecond) {
+		if len(leaving.replicas.VotingKeys()) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// aVoter is a voter that does not lead.
-func (w *world) aVoter() *node {
-	for _, one := range w.others() {
-		if slices.Contains(w.voters(), one.disk.name) {
-			return one
+// anyVoter is a voter that does not lead.
+func (c *testCluster) anyVoter() *testNode {
+	for _, node := range c.others() {
+		if slices.Contains(c.voters(), node.disk.name) {
+			return node
 		}
 	}
 	return nil
 }
 
 var _ = Describe("a steward that leaves in order", func() {
-	for place, role := range []string{"the leader", "a follower"} {
+	for index, role := range []string{"the leader", "a follower"} {
 		It("is replaced as a voter before it goes, "+role+", so that the next disk may be lost at once", func() {
 			for seed := range uint64(8) {
-				w := newWorld(1000+seed, "a", "b", "c", "d")
-				w.run(2 * time.Second)
-				w.work(500 * time.Millisecond)
-				leaving := []*node{w.owner(), w.aVoter()}[place]
+				c := newTestCluster(1000+seed, "a", "b", "c", "d")
+				c.run(2 * time.Second)
+				c.runWithWrites(500 * time.Millisecond)
+				leaving := []*testNode{c.leader(), c.anyVoter()}[index]
 				leaving.leave()
-				Expect(w.untilVotedOut(leaving, 2*time.Second)).To(BeTrue())
+				Expect(c.runUntilRemoved(leaving, 2*time.Second)).To(BeTrue())
 				leaving.kill()
-				lost := w.owner()
+				lost := c.leader()
 				Expect(lost).NotTo(BeNil())
-				Expect(w.voters()).NotTo(ContainElement(leaving.disk.name))
+				Expect(c.voters()).NotTo(ContainElement(leaving.disk.name))
 				lost.kill()
-				w.nodes = slices.DeleteFunc(w.nodes, func(one *node) bool { return one == lost || one == leaving })
-				w.run(3 * time.Second)
-				Expect(w.owner()).NotTo(BeNil())
-				Expect(w.problems).To(BeEmpty())
+				c.nodes = slices.DeleteFunc(c.nodes, func(node *testNode) bool { return node == lost || node == leaving })
+				c.run(3 * time.Second)
+				Expect(c.leader()).NotTo(BeNil())
+				Expect(c.violations).To(BeEmpty())
 			}
 		})
 	}
 
 	It("hands its key to the follower that holds most if no disk is left to replace its own", func() {
 		for seed := range uint64(8) {
-			w := newWorld(1020+seed, "a", "b", "c")
-			w.run(2 * time.Second)
-			w.work(500 * time.Millisecond)
-			leaving := w.owner()
-			voters := w.voters()
-			behind := w.aVoter()
-			behind.disk.stalls = true
-			w.work(100 * time.Millisecond)
+			c := newTestCluster(1020+seed, "a", "b", "c")
+			c.run(2 * time.Second)
+			c.runWithWrites(500 * time.Millisecond)
+			leaving := c.leader()
+			voters := c.voters()
+			behind := c.anyVoter()
+			behind.disk.isStalled = true
+			c.runWithWrites(100 * time.Millisecond)
 			leaving.leave()
-			Expect(w.untilVotedOut(leaving, 600*time.Millisecond)).To(BeFalse())
-			behind.disk.stalls = false
+			Expect(c.runUntilRemoved(leaving, 600*time.Millisecond)).To(BeFalse())
+			behind.disk.isStalled = false
 			leaving.kill()
-			Expect(w.owner()).NotTo(BeNil())
-			Expect(w.owner()).NotTo(Equal(behind))
-			Expect(w.voters()).To(Equal(voters))
-			Expect(w.fetched).To(BeZero())
-			Expect(w.problems).To(BeEmpty())
+			Expect(c.leader()).NotTo(BeNil())
+			Expect(c.leader()).NotTo(Equal(behind))
+			Expect(c.voters()).To(Equal(voters))
+			Expect(c.snapshotsInstalled).To(BeZero())
+			Expect(c.violations).To(BeEmpty())
 		}
 	})
 
 	It("waits for the changes that are under way, but not long", func() {
-		w := newWorld(1040, "a", "b", "c")
-		w.run(2 * time.Second)
-		leaving := w.owner()
-		w.write()
+		c := newTestCluster(1040, "a", "b", "c")
+		c.run(2 * time.Second)
+		leaving := c.leader()
+		c.write()
 		leaving.leave()
-		w.run(100 * time.Millisecond)
-		Expect(w.acked).To(HaveLen(1))
-		w = newWorld(1041, "a", "b", "c")
-		w.run(2 * time.Second)
-		leaving = w.owner()
-		w.write()
+		c.run(100 * time.Millisecond)
+		Expect(c.acknowledged).To(HaveLen(1))
+		c = newTestCluster(1041, "a", "b", "c")
+		c.run(2 * time.Second)
+		leaving = c.leader()
+		c.write()
 		leaving.leave()
-		for _, one := range w.nodes {
-			one.disk.stalls = true
+		for _, node := range c.nodes {
+			node.disk.isStalled = true
 		}
-		w.run(300 * time.Millisecond)
+		c.run(300 * time.Millisecond)
 		Expect(leaving.engine.IsLeader()).To(BeFalse())
 	})
 
 	It("does not go on as a candidate", func() {
-		w := newWorld(1050, "a", "b", "c")
-		for _, one := range w.nodes {
-			one.disk.stalls = true
+		c := newTestCluster(1050, "a", "b", "c")
+		for _, node := range c.nodes {
+			node.disk.isStalled = true
 		}
-		w.until(func() bool { return w.trials > 0 })
-		w.run(30 * time.Millisecond)
-		for _, one := range w.nodes {
-			one.engine.Leave()
-			one.disk.stalls = false
+		c.runUntil(func() bool { return c.preVotes > 0 })
+		c.run(30 * time.Millisecond)
+		for _, node := range c.nodes {
+			node.engine.Leave()
+			node.disk.isStalled = false
 		}
-		w.run(3 * time.Second)
-		Expect(w.owner()).To(BeNil())
+		c.run(3 * time.Second)
+		Expect(c.leader()).To(BeNil())
 	})
 
 	It("is not told that it may go while the new voters lack what was acknowledged", func() {
 		for seed := range uint64(8) {
-			w := newWorld(1060+seed, "a", "b", "c", "d")
-			w.run(2 * time.Second)
-			w.work(500 * time.Millisecond)
-			leaving, hung := w.owner(), w.aVoter()
-			hung.disk.stalls = true
+			c := newTestCluster(1060+seed, "a", "b", "c", "d")
+			c.run(2 * time.Second)
+			c.runWithWrites(500 * time.Millisecond)
+			leaving, hung := c.leader(), c.anyVoter()
+			hung.disk.isStalled = true
 			leaving.leave()
-			Expect(w.untilVotedOut(leaving, 4*time.Second)).To(BeTrue())
+			Expect(c.runUntilRemoved(leaving, 4*time.Second)).To(BeTrue())
 			holders := 0
-			for _, one := range w.nodes {
-				if one != leaving && w.holdsAll(one) {
+			for _, node := range c.nodes {
+				if node != leaving && c.holdsAllAcknowledged(node) {
 					holders++
 				}
 			}
 			Expect(holders).To(BeNumerically(">=", 2))
-			Expect(w.problems).To(BeEmpty())
+			Expect(c.violations).To(BeEmpty())
 		}
 	})
 
 	It("costs no snapshot but the first when all restart in turn, and no more than moments without a leader", func() {
-		w := newWorld(1080, "a", "b", "c", "d")
-		w.run(2 * time.Second)
-		w.work(500 * time.Millisecond)
+		c := newTestCluster(1080, "a", "b", "c", "d")
+		c.run(2 * time.Second)
+		c.runWithWrites(500 * time.Millisecond)
 		without := 0
-		for turn, one := range w.nodes {
+		for turn, node := range c.nodes {
 			if turn == 1 {
-				w.wholes, w.pieces = 0, nil
+				c.snapshotsSent, c.chunksSent = 0, nil
 			}
-			one.leave()
-			for end := w.clock.Monotonic() + 2*time.Second; w.clock.Monotonic() < end && len(one.replicas.VotingOn()) > 0; w.work(time.Millisecond) {
-				if w.owner() == nil {
+			node.leave()
+			for end := c.clock.Monotonic() + 2*time.Second; c.clock.Monotonic() < end && len(node.replicas.VotingKeys()) > 0; c.runWithWrites(time.Millisecond) {
+				if c.leader() == nil {
 					without++
 				}
 			}
-			one.kill()
+			node.kill()
 			for range 3000 {
-				w.work(time.Millisecond)
-				if w.owner() == nil {
+				c.runWithWrites(time.Millisecond)
+				if c.leader() == nil {
 					without++
 				}
 			}
-			one.start()
-			w.work(4 * time.Second)
+			node.start()
+			c.runWithWrites(4 * time.Second)
 		}
-		w.run(time.Second)
-		Expect(w.wholes).To(BeZero())
-		Expect(w.pieces).To(BeEmpty())
+		c.run(time.Second)
+		Expect(c.snapshotsSent).To(BeZero())
+		Expect(c.chunksSent).To(BeEmpty())
 		Expect(without).To(BeNumerically("<", 1500))
-		Expect(w.voters()).To(HaveLen(3))
-		Expect(w.problems).To(BeEmpty())
+		Expect(c.voters()).To(HaveLen(3))
+		Expect(c.violations).To(BeEmpty())
 	})
 
 	It("is a voter like others once it is back", func() {
-		w := newWorld(1090, "a", "b", "c")
-		w.run(2 * time.Second)
-		leaving := w.owner()
+		c := newTestCluster(1090, "a", "b", "c")
+		c.run(2 * time.Second)
+		leaving := c.leader()
 		leaving.leave()
-		w.run(time.Second)
+		c.run(time.Second)
 		leaving.kill()
 		leaving.start()
-		w.run(2 * time.Second)
-		w.add("d").start()
-		w.run(3 * time.Second)
-		Expect(w.voters()).To(ContainElement(leaving.disk.name))
+		c.run(2 * time.Second)
+		c.add("d").start()
+		c.run(3 * time.Second)
+		Expect(c.voters()).To(ContainElement(leaving.disk.name))
 	})
 })
--- a/internal/control/replication/recentlog.go
+++ b/internal/control/replication/recentlog.go
@@ -6,8 +6,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// inherit keeps what was taken before, so that a follower that is a little behind is sent no whole state.
-func (e *Engine) inherit(base wire.LogPosition, recent History) {
+// restoreLog keeps what was taken before, so that a follower that is a little behind is sent no whole state.
+func (e *Engine) restoreLog(base wire.LogPosition, recent History) {
 	if recent.last() != base {
 		recent = History{Base: base}
 	}
@@ -25,19 +25,19 @@
 	return size
 }
 
-// trimRecent lets go of changes that all live followers hold, beyond as many as a replica's history keeps for those that
+// trimLog lets go of changes that all live followers hold, beyond as many as a replica's history keeps for those that
 // come back, and of any beyond the most that a leader keeps.
-func (e *Engine) trimRecent() {
-	if len(e.recent) <= mostHistory && e.recentSize <= mostHistorySize {
+func (e *Engine) trimLog() {
+	if len(e.recent) <= maxHistoryCount && e.recentSize <= maxHistoryBytes {
 		return
 	}
-	needed := min(e.neededByFollowers(), e.committed)
-	most := e.mostKept()
+	needed := min(e.neededIndex(), e.commitIndex)
+	limit := e.retention()
 	drop := 0
 	for drop < len(e.recent) {
 		count, size := len(e.recent)-drop, e.recentSize
-		isOverKept := count > mostHistory/2 || size > mostHistorySize/2
-		isOverMost := count > most.count || size > most.size
+		isOverKept := count > maxHistoryCount/2 || size > maxHistoryBytes/2
+		isOverMost := count > limit.count || size > limit.size
 		if !isOverMost && (!isOverKept || e.recent[drop].Position.Index > needed) {
 			break
 		}
@@ -50,46 +50,46 @@
 	}
 }
 
-// timesSnapshot is how many times the size of a state may be kept as changes for a follower that is sent that state. A
+// snapshotRetentionFactor is how many times the size of a state may be kept as changes for a follower that is sent that state. A
 // state takes a time on its way that grows with its size, and so do the changes made meanwhile; with a fixed limit a large
 // one would be too old whenever it arrived, and another would be sent, without end.
-const timesSnapshot = 2
+const snapshotRetentionFactor = 2
 
-// allowance is how many changes, and of which size, are kept for a follower.
-type allowance struct {
+// retention is how many changes, and of which size, are kept for a follower.
+type retention struct {
 	count int
 	size  int
 }
 
-// mostKept is what a leader keeps at most for followers in contact.
-func (e *Engine) mostKept() allowance {
-	most := allowance{count: mostTail, size: mostTailSize}
-	for _, to := range e.followers {
-		if e.clock.Monotonic()-to.lastContact < e.timing.LostAfter {
-			most.count = max(most.count, mostTail+to.mayLack.count)
-			most.size = max(most.size, mostTailSize+to.mayLack.size)
+// retention is what a leader keeps at most for followers in contact.
+func (e *Engine) retention() retention {
+	limit := retention{count: maxTailCount, size: maxTailBytes}
+	for _, follower := range e.followers {
+		if e.clock.Monotonic()-follower.lastContact < e.timing.LostAfter {
+			limit.count = max(limit.count, maxTailCount+follower.retention.count)
+			limit.size = max(limit.size, maxTailBytes+follower.retention.size)
 		}
 	}
-	return most
+	return limit
 }
 
-// neededByFollowers is the index up to which all followers in contact, and the own disk, hold the changes, or the snapshot on its way.
-func (e *Engine) neededByFollowers() uint64 {
-	needed := e.reader.needed(e.last.Index)
-	for _, to := range e.followers {
+// neededIndex is the index up to which all followers in contact, and the own disk, hold the changes, or the snapshot on its way.
+func (e *Engine) neededIndex() uint64 {
+	needed := e.snapshotReader.neededIndex(e.last.Index)
+	for _, follower := range e.followers {
 		switch {
-		case to.disk != e.disk && e.clock.Monotonic()-to.lastContact >= e.timing.LostAfter:
-		case to.transfer != nil:
-			needed = min(needed, to.transfer.snapshot.Last.Index)
-		case !to.needsSnapshot:
-			needed = min(needed, to.acked.Index)
+		case follower.disk != e.disk && e.clock.Monotonic()-follower.lastContact >= e.timing.LostAfter:
+		case follower.transfer != nil:
+			needed = min(needed, follower.transfer.snapshot.Last.Index)
+		case !follower.needsSnapshot:
+			needed = min(needed, follower.acked.Index)
 		}
 	}
 	return needed
 }
 
-// after gives the changes that follow on a stamp, as far as one call may carry them, if the tail still has them all.
-func (e *Engine) after(prev wire.LogPosition) ([]wire.Change, bool) {
+// changesAfter gives the changes that follow on a stamp, as far as one call may carry them, if the tail still has them all.
+func (e *Engine) changesAfter(prev wire.LogPosition) ([]wire.Change, bool) {
 	if prev.Index < e.recentBase.Index || prev.Index > e.last.Index {
 		return nil, false
 	}
@@ -98,13 +98,13 @@
 		return nil, false
 	}
 	rest := e.recent[start:]
-	return rest[:mostInOneCall(rest)], true
+	return rest[:countForOneCall(rest)], true
 }
 
-// mostInOneCall is how many changes, from the first on, one call should carry.
-func mostInOneCall(changes []wire.Change) int {
+// countForOneCall is how many changes, from the first on, one call should carry.
+func countForOneCall(changes []wire.Change) int {
 	count, size := 0, 0
-	for count < len(changes) && count < mostPerCall && (count == 0 || size+sizeOf(changes[count]) <= mostPerCallSize) {
+	for count < len(changes) && count < maxChangesPerCall && (count == 0 || size+sizeOf(changes[count]) <= maxBytesPerCall) {
 		size += sizeOf(changes[count])
 		count++
 	}
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -17,30 +17,30 @@
 type Disk interface {
 	// Disk is the name of the disk.
 	Disk() string
-	// Bare says whether the disk was empty when it was opened.
-	Bare() bool
+	// IsNew says whether the disk was empty when it was opened.
+	IsNew() bool
 	// Submit queues a write; done gets its outcome after the sync.
 	Submit(write storage.Write, done func(storage.Outcome))
-	// Heads are the states of all replicas on the disk, by key.
-	Heads() (map[string]storage.ReplicaState, error)
+	// ReplicaStates are the states of all replicas on the disk, by key.
+	ReplicaStates() (map[string]storage.ReplicaState, error)
 	// Read gives the whole state of a replica.
 	Read(key string) (wire.Snapshot, error)
 }
 
-type replica struct {
+type localReplica struct {
 	state       storage.ReplicaState
-	promising   uint64
+	promised   uint64
 	leaseUntil  time.Duration
-	leaseDisk   string
-	leaseLeader string
+	leaseHolderDisk   string
+	leaseHolder string
 	released    bool
 	releasedAt  time.Duration
 	successor   string
 
 	releasedEpoch uint64
 	history       history
-	chunks        chunkBuffer
-	// isVotedOut tells that the leader has committed a voter set without this disk, which was leaving.
+	incomingChunks        chunkBuffer
+	// isRemoved tells that the leader has committed a voter set without this disk, which was leaving.
 	isVotedOut bool
 	// outgoing is the state as it was last read for a candidate that fetches it in chunks.
 	outgoing *snapshotTransfer
@@ -48,129 +48,129 @@
 
 // Replicas is the table of this disk's replicas: what it promised, holds and leases out.
 type Replicas struct {
-	box        *mailbox.Mailbox
+	mailbox        *mailbox.Mailbox
 	disk       Disk
 	clock      clock.Clock
 	lease      time.Duration
-	quietUntil time.Duration
-	keys       map[string]*replica
+	promisesBlockedUntil time.Duration
+	keys       map[string]*localReplica
 	isLeaving  bool
 }
 
 // NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease.
-func NewReplicas(box *mailbox.Mailbox, disk Disk, clock clock.Clock, lease time.Duration) (*Replicas, error) {
-	heads, err := disk.Heads()
+func NewReplicas(inbox *mailbox.Mailbox, disk Disk, clock clock.Clock, lease time.Duration) (*Replicas, error) {
+	states, err := disk.ReplicaStates()
 	if err != nil {
 		return nil, err
 	}
-	table := &Replicas{box: box, disk: disk, clock: clock, lease: lease, keys: map[string]*replica{}}
-	for key, head := range heads {
-		table.keys[key] = &replica{state: head, promising: head.Promised}
+	table := &Replicas{mailbox: inbox, disk: disk, clock: clock, lease: lease, keys: map[string]*localReplica{}}
+	for key, state := range states {
+		table.keys[key] = &localReplica{state: state, promised: state.Promised}
 	}
-	if !disk.Bare() {
-		table.quietUntil = clock.Monotonic() + lease
+	if !disk.IsNew() {
+		table.promisesBlockedUntil = clock.Monotonic() + lease
 	}
 	return table, nil
 }
 
-// Box is the mailbox of the goroutine that owns the table.
-func (r *Replicas) Box() *mailbox.Mailbox { return r.box }
+// Mailbox is the mailbox of the goroutine that owns the table.
+func (r *Replicas) Mailbox() *mailbox.Mailbox { return r.mailbox }
 
-func (r *Replicas) of(key string) *replica {
-	one := r.keys[key]
-	if one == nil {
-		one = &replica{}
-		r.keys[key] = one
+func (r *Replicas) replicaOf(key string) *localReplica {
+	replica := r.keys[key]
+	if replica == nil {
+		replica = &localReplica{}
+		r.keys[key] = replica
 	}
-	return one
+	return replica
 }
 
 // Promise must run on the table's goroutine.
 func (r *Replicas) Promise(call wire.PromiseCall, answer func(wire.PromiseAnswer)) {
-	one, now := r.of(call.Key), r.clock.Monotonic()
-	isLeased := now < one.leaseUntil && one.leaseDisk != call.Disk
-	if isLeased || now < r.quietUntil || call.Epoch <= one.promising {
-		answer(r.promiseAnswer(one.state, max(one.promising, one.state.Promised), false))
+	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
+	isLeased := now < replica.leaseUntil && replica.leaseHolderDisk != call.Disk
+	if isLeased || now < r.promisesBlockedUntil || call.Epoch <= replica.promised {
+		answer(r.promiseAnswer(replica.state, max(replica.promised, replica.state.Promised), false))
 		return
 	}
 	if call.PreVote {
-		answer(r.promiseAnswer(one.state, one.promising, true))
+		answer(r.promiseAnswer(replica.state, replica.promised, true))
 		return
 	}
-	one.promising = call.Epoch
-	one.leaseUntil = 0
+	replica.promised = call.Epoch
+	replica.leaseUntil = 0
 	r.disk.Submit(storage.Write{Key: call.Key, Epoch: call.Epoch, Promise: true}, func(outcome storage.Outcome) {
-		r.box.Post(func() {
-			r.learn(one, outcome)
+		r.mailbox.Post(func() {
+			r.applyOutcome(replica, outcome)
 			answer(r.promiseAnswer(outcome.Head, call.Epoch, outcome.Taken))
 		})
 	})
 }
 
-func (r *Replicas) promiseAnswer(head storage.ReplicaState, promised uint64, isGranted bool) wire.PromiseAnswer {
-	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: head.Last, Set: head.Set, Disk: r.disk.Disk()}
+func (r *Replicas) promiseAnswer(state storage.ReplicaState, promised uint64, isGranted bool) wire.PromiseAnswer {
+	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: state.Last, Set: state.Set, Disk: r.disk.Disk()}
 }
 
-func (r *Replicas) learn(one *replica, outcome storage.Outcome) {
+func (r *Replicas) applyOutcome(replica *localReplica, outcome storage.Outcome) {
 	if outcome.Err == nil {
-		if outcome.Head.Last != one.state.Last {
-			one.outgoing = nil
+		if outcome.Head.Last != replica.state.Last {
+			replica.outgoing = nil
 		}
-		one.state = outcome.Head
-		one.promising = max(one.promising, outcome.Head.Promised)
+		replica.state = outcome.Head
+		replica.promised = max(replica.promised, outcome.Head.Promised)
 	}
 }
 
 // Append must run on the table's goroutine.
 func (r *Replicas) Append(call wire.AppendCall, answer func(wire.AppendAnswer)) {
-	one, now := r.of(call.Key), r.clock.Monotonic()
-	if call.Epoch < one.promising {
-		answer(r.appendAnswer(one.state.Last, one.promising, false))
+	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
+	if call.Epoch < replica.promised {
+		answer(r.appendAnswer(replica.state.Last, replica.promised, false))
 		return
 	}
 	// Also a call without changes ends all older epochs here; else an old leader could take the lease of this one.
-	one.promising = call.Epoch
+	replica.promised = call.Epoch
 	if call.Release {
-		one.release(now, call.Epoch, call.Successor)
-		answer(r.appendAnswer(one.state.Last, one.promising, true))
+		replica.noteRelease(now, call.Epoch, call.Successor)
+		answer(r.appendAnswer(replica.state.Last, replica.promised, true))
 		return
 	}
 	if call.VotedOut {
-		one.isVotedOut = true
+		replica.isVotedOut = true
 	}
-	if call.Epoch > one.releasedEpoch {
-		one.leaseUntil, one.leaseDisk, one.leaseLeader, one.released = now+r.lease, call.Disk, call.Owner, false
+	if call.Epoch > replica.releasedEpoch {
+		replica.leaseUntil, replica.leaseHolderDisk, replica.leaseHolder, replica.released = now+r.lease, call.Disk, call.Owner, false
 	}
 	if call.Chunk != nil {
-		one.chunks.take(call.Chunk)
-		if !one.chunks.isWhole(call.Chunk) {
-			told := r.appendAnswer(one.state.Last, one.promising, false)
-			told.Chunks = one.chunks.count
-			answer(told)
+		replica.incomingChunks.take(call.Chunk)
+		if !replica.incomingChunks.isComplete(call.Chunk) {
+			response := r.appendAnswer(replica.state.Last, replica.promised, false)
+			response.Chunks = replica.incomingChunks.count
+			answer(response)
 			return
 		}
-		call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: one.chunks.pairs}
-		one.chunks = chunkBuffer{}
+		call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: replica.incomingChunks.pairs}
+		replica.incomingChunks = chunkBuffer{}
 	}
 	if len(call.Changes) == 0 && call.Snapshot == nil {
-		answer(r.appendAnswer(one.state.Last, one.promising, call.Epoch == one.state.Promised && one.state.Last == call.Prev))
+		answer(r.appendAnswer(replica.state.Last, replica.promised, call.Epoch == replica.state.Promised && replica.state.Last == call.Prev))
 		return
 	}
 	write := storage.Write{Key: call.Key, Epoch: call.Epoch, Prev: call.Prev, Changes: call.Changes, Snapshot: call.Snapshot}
 	r.disk.Submit(write, func(outcome storage.Outcome) {
-		r.box.Post(func() {
-			r.learn(one, outcome)
+		r.mailbox.Post(func() {
+			r.applyOutcome(replica, outcome)
 			if outcome.Taken {
-				one.history.take(call)
+				replica.history.take(call)
 			}
-			answer(r.appendAnswer(one.state.Last, one.promising, outcome.Taken))
+			answer(r.appendAnswer(replica.state.Last, replica.promised, outcome.Taken))
 		})
 	})
 }
 
-// release ends the lease of an epoch; what its owner sent before and comes later brings no new one.
-func (one *replica) release(now time.Duration, epoch uint64, heir string) {
-	one.leaseUntil, one.released, one.releasedAt, one.releasedEpoch, one.successor = 0, true, now, epoch, heir
+// noteRelease ends the lease of an epoch; what its owner sent before and comes later brings no new one.
+func (r *localReplica) noteRelease(now time.Duration, epoch uint64, successor string) {
+	r.leaseUntil, r.released, r.releasedAt, r.releasedEpoch, r.successor = 0, true, now, epoch, successor
 }
 
 func (r *Replicas) appendAnswer(last wire.LogPosition, promised uint64, isTaken bool) wire.AppendAnswer {
@@ -182,9 +182,9 @@
 // on the table's goroutine.
 func (r *Replicas) Leave() { r.isLeaving = true }
 
-// VotingOn gives the voter sets of the keys in which this disk votes, as far as it knows. It must run on the table's
+// VotingKeys gives the voter sets of the keys in which this disk votes, as far as it knows. It must run on the table's
 // goroutine.
-func (r *Replicas) VotingOn() map[string]wire.VoterSet {
+func (r *Replicas) VotingKeys() map[string]wire.VoterSet {
 	sets := map[string]wire.VoterSet{}
 	for key, replica := range r.keys {
 		if !replica.isVotedOut && slices.Contains(disksOf(replica.state.Set), r.disk.Disk()) {
@@ -199,10 +199,10 @@
 func (r *Replicas) Fetch(recent History, call wire.FetchCall) (wire.FetchAnswer, error) {
 	answer := wire.FetchAnswer{Disk: r.disk.Disk()}
 	if call.From != nil {
-		if changes, isThere := recent.after(*call.From); isThere {
+		if changes, isKept := recent.after(*call.From); isKept {
 			answer.Found, answer.Changes = true, changes
 			if call.Chunked {
-				answer.Changes = changes[:mostInOneCall(changes)]
+				answer.Changes = changes[:countForOneCall(changes)]
 			}
 			return answer, nil
 		}
@@ -231,8 +231,8 @@
 
 // keepOutgoing spares the next call the reading, as long as the replica stays at that position.
 func (r *Replicas) keepOutgoing(key string, outgoing *snapshotTransfer) {
-	r.box.TryPost(func() {
-		if replica := r.of(key); replica.state.Last == outgoing.snapshot.Last {
+	r.mailbox.TryPost(func() {
+		if replica := r.replicaOf(key); replica.state.Last == outgoing.snapshot.Last {
 			replica.outgoing = outgoing
 		}
 	})
@@ -240,7 +240,7 @@
 
 // History gives the last changes that this disk took, one after the other, up to what it holds.
 func (r *Replicas) History(key string) History {
-	replica := r.of(key)
+	replica := r.replicaOf(key)
 	return History{Base: replica.history.base, Changes: slices.Clone(replica.history.changes), outgoing: replica.outgoing}
 }
 
@@ -248,9 +248,9 @@
 type ReplicaStatus struct {
 	State    storage.ReplicaState
 	Promised uint64
-	LeaseEnd time.Duration
-	Disk     string
-	Leader   string
+	LeaseUntil time.Duration
+	LeaseHolderDisk     string
+	LeaseHolder   string
 	Released bool
 	// ReleasedAt and Heir belong to the release.
 	ReleasedAt time.Duration
@@ -259,9 +259,9 @@
 
 // Status is what an engine has to know of a replica before it seeks an epoch.
 func (r *Replicas) Status(key string) ReplicaStatus {
-	one := r.of(key)
-	return ReplicaStatus{State: one.state, Promised: one.promising, LeaseEnd: max(one.leaseUntil, r.quietUntil), Disk: one.leaseDisk,
-		Leader: one.leaseLeader, Released: one.released, ReleasedAt: one.releasedAt, Successor: one.successor}
+	replica := r.replicaOf(key)
+	return ReplicaStatus{State: replica.state, Promised: replica.promised, LeaseUntil: max(replica.leaseUntil, r.promisesBlockedUntil), LeaseHolderDisk: replica.leaseHolderDisk,
+		LeaseHolder: replica.leaseHolder, Released: replica.released, ReleasedAt: replica.releasedAt, Successor: replica.successor}
 }
 
 // Keys are the names of all replicas, in no order.
@@ -275,23 +275,23 @@
 
 // AskPromise is Promise for other goroutines; the error says that ctx was done first.
 func (r *Replicas) AskPromise(ctx context.Context, call wire.PromiseCall) (wire.PromiseAnswer, error) {
-	return mailbox.Ask(r.box, ctx, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
+	return mailbox.Ask(r.mailbox, ctx, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
 // AskAppend is Append for other goroutines; the answer carries the time that it took.
 func (r *Replicas) AskAppend(ctx context.Context, call wire.AppendCall) (wire.AppendAnswer, error) {
 	arrivedAt := r.clock.Monotonic()
-	return mailbox.Ask(r.box, ctx, func(answer func(wire.AppendAnswer)) {
-		r.Append(call, func(told wire.AppendAnswer) {
-			told.DelayUs = max(1, (r.clock.Monotonic() - arrivedAt).Microseconds())
-			answer(told)
+	return mailbox.Ask(r.mailbox, ctx, func(answer func(wire.AppendAnswer)) {
+		r.Append(call, func(response wire.AppendAnswer) {
+			response.DelayUs = max(1, (r.clock.Monotonic() - arrivedAt).Microseconds())
+			answer(response)
 		})
 	})
 }
 
 // AskFetch is Fetch for other goroutines; it reads the disk on the caller's goroutine.
 func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
-	recent, err := mailbox.Ask(r.box, ctx, func(answer func(History)) { answer(r.History(call.Key)) })
+	recent, err := mailbox.Ask(r.mailbox, ctx, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
 		return wire.FetchAnswer{}, err
 	}
@@ -300,5 +300,5 @@
 
 // AskStatus is Status for other goroutines.
 func (r *Replicas) AskStatus(ctx context.Context, key string) (ReplicaStatus, error) {
-	return mailbox.Ask(r.box, ctx, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
+	return mailbox.Ask(r.mailbox, ctx, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
 }
--- a/internal/control/replication/replication_suite_test.go
+++ b/internal/control/replication/replication_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestKeyowner(t *testing.T) {
+func TestReplication(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "replication")
 }
--- a/internal/control/replication/schedule_test.go
+++ b/internal/control/replication/schedule_test.go
@@ -18,187 +18,187 @@
 	seedsVariable = "REPLICATION_SEEDS"
 )
 
-// schedule strikes a world with as many losses at once as it must bear, and counts them as the deployment does.
-type schedule struct {
-	*world
+// faultSchedule strikes a world with as many losses at once as it must bear, and counts them as the deployment does.
+type faultSchedule struct {
+	*testCluster
 	// endsAt is when a node's trouble ends, lostUntil when it no longer counts as lost.
-	endsAt    map[*node]time.Duration
-	lostUntil map[*node]time.Duration
-	made      int
-	struck    map[string]int
-	isPlanned map[*node]bool
+	endsAt    map[*testNode]time.Duration
+	lostUntil map[*testNode]time.Duration
+	madeAt      int
+	injected    map[string]int
+	isPlanned map[*testNode]bool
 }
 
-func newSchedule(losses int, seed uint64, names ...string) *schedule {
-	s := &schedule{world: newWorldBearing(losses, seed, names...), endsAt: map[*node]time.Duration{},
-		lostUntil: map[*node]time.Duration{}, struck: map[string]int{}, isPlanned: map[*node]bool{}}
-	for _, one := range s.nodes {
-		one.clock.perMille = int64(s.draw.IntN(21) - 10)
+func newFaultSchedule(losses int, seed uint64, names ...string) *faultSchedule {
+	s := &faultSchedule{testCluster: newTestClusterBearing(losses, seed, names...), endsAt: map[*testNode]time.Duration{},
+		lostUntil: map[*testNode]time.Duration{}, injected: map[string]int{}, isPlanned: map[*testNode]bool{}}
+	for _, node := range s.nodes {
+		node.clock.perMille = int64(s.random.IntN(21) - 10)
 	}
 	return s
 }
 
-func (s *schedule) lost() int {
+func (s *faultSchedule) lostNodes() int {
 	count := 0
-	for _, one := range s.nodes {
-		if s.clock.Monotonic() < s.lostUntil[one] {
+	for _, node := range s.nodes {
+		if s.clock.Monotonic() < s.lostUntil[node] {
 			count++
 		}
 	}
 	return count
 }
 
-// endTroubles ends those that are over, or all of them.
-func (s *schedule) endTroubles(isAll bool) {
-	for _, one := range slices.Clone(s.nodes) {
-		if until, isStruck := s.endsAt[one]; isStruck && (isAll || s.clock.Monotonic() >= until) {
-			delete(s.endsAt, one)
-			s.restore(one)
-			s.lostUntil[one] = s.clock.Monotonic() + catchUp
+// endFaults ends those that are over, or all of them.
+func (s *faultSchedule) endFaults(isAll bool) {
+	for _, node := range slices.Clone(s.nodes) {
+		if until, isInjected := s.endsAt[node]; isInjected && (isAll || s.clock.Monotonic() >= until) {
+			delete(s.endsAt, node)
+			s.restore(node)
+			s.lostUntil[node] = s.clock.Monotonic() + catchUp
 		}
 	}
 }
 
-func (s *schedule) restore(one *node) {
-	delete(s.cut, one.name)
-	delete(s.late, one.name)
+func (s *faultSchedule) restore(node *testNode) {
+	delete(s.isolated, node.name)
+	delete(s.lateNodes, node.name)
 	for _, other := range s.nodes {
-		delete(s.oneWay, one.name+">"+other.name)
-		delete(s.oneWay, other.name+">"+one.name)
+		delete(s.blockedLinks, node.name+">"+other.name)
+		delete(s.blockedLinks, other.name+">"+node.name)
 	}
-	one.isFrozen = false
-	one.disk.stalls, one.disk.refuses, one.disk.unclear, one.disk.syncTime = false, false, false, 0
-	if !one.isUp || s.isPlanned[one] {
-		one.kill()
-		one.start()
+	node.isFrozen = false
+	node.disk.isStalled, node.disk.failsWrites, node.disk.isOutcomeUnclear, node.disk.syncTime = false, false, false, 0
+	if !node.isUp || s.isPlanned[node] {
+		node.kill()
+		node.start()
 	}
-	delete(s.isPlanned, one)
+	delete(s.isPlanned, node)
 }
 
-// strike gives a node that is not lost a trouble of some length.
-func (s *schedule) strike() {
-	one := s.nodes[s.draw.IntN(len(s.nodes))]
-	if s.lost() >= s.losses || s.clock.Monotonic() < s.lostUntil[one] {
+// injectNext gives a node that is not lost a trouble of some length.
+func (s *faultSchedule) injectNext() {
+	node := s.nodes[s.random.IntN(len(s.nodes))]
+	if s.lostNodes() >= s.machineLosses || s.clock.Monotonic() < s.lostUntil[node] {
 		return
 	}
-	length := time.Duration(50+s.draw.IntN(6000)) * time.Millisecond
-	s.endsAt[one] = s.clock.Monotonic() + length
-	s.lostUntil[one] = s.endsAt[one] + catchUp
-	troubles := []string{"kill", "restart", "cut", "cut one way", "late", "freeze", "stall", "refuse", "unclear", "slow disk", "leave",
+	length := time.Duration(50+s.random.IntN(6000)) * time.Millisecond
+	s.endsAt[node] = s.clock.Monotonic() + length
+	s.lostUntil[node] = s.endsAt[node] + catchUp
+	faults := []string{"kill", "restart", "cut", "cut one way", "late", "freeze", "stall", "refuse", "unclear", "slow disk", "leave",
 		"replace", "replace in order", "wipe", "wipe, all others lose power"}
-	trouble := troubles[s.draw.IntN(len(troubles))]
-	s.struck[trouble]++
-	switch trouble {
+	fault := faults[s.random.IntN(len(faults))]
+	s.injected[fault]++
+	switch fault {
 	case "kill":
-		one.kill()
+		node.kill()
 	case "restart":
-		one.kill()
-		one.start()
+		node.kill()
+		node.start()
 	case "cut":
-		s.cut[one.name] = true
+		s.isolated[node.name] = true
 	case "late":
-		s.late[one.name] = true
+		s.lateNodes[node.name] = true
 	case "cut one way":
 		for _, other := range s.nodes {
-			link := []string{one.name + ">" + other.name, other.name + ">" + one.name}[int(length/time.Millisecond)%2]
-			s.oneWay[link] = true
+			link := []string{node.name + ">" + other.name, other.name + ">" + node.name}[int(length/time.Millisecond)%2]
+			s.blockedLinks[link] = true
 		}
 	case "freeze":
-		one.isFrozen = true
+		node.isFrozen = true
 	case "stall":
-		one.disk.stalls = true
+		node.disk.isStalled = true
 	case "refuse":
-		one.disk.refuses = true
+		node.disk.failsWrites = true
 	case "unclear":
-		one.disk.unclear = true
+		node.disk.isOutcomeUnclear = true
 	case "slow disk":
-		one.disk.syncTime = time.Duration(100+s.draw.IntN(1500)) * time.Millisecond
+		node.disk.syncTime = time.Duration(100+s.random.IntN(1500)) * time.Millisecond
 	case "leave":
-		s.isPlanned[one] = true
-		one.leave()
+		s.isPlanned[node] = true
+		node.leave()
 	case "replace":
-		s.replace(one)
+		s.replace(node)
 	case "replace in order":
-		one.leave()
-		s.run(time.Duration(s.draw.IntN(2000)) * time.Millisecond)
-		s.replace(one)
+		node.leave()
+		s.run(time.Duration(s.random.IntN(2000)) * time.Millisecond)
+		s.replace(node)
 	case "wipe":
-		s.wipe(one)
+		s.wipe(node)
 	case "wipe, all others lose power":
-		s.wipe(one)
-		s.losePower(one)
+		s.wipe(node)
+		s.losePower(node)
 	}
 }
 
 // replace removes a node for good, and adds another at another address at once.
-func (s *schedule) replace(one *node) {
-	one.kill()
-	s.wipedAt = s.clock.Monotonic()
-	s.nodes = slices.DeleteFunc(s.nodes, func(other *node) bool { return other == one })
-	delete(s.endsAt, one)
-	s.made++
-	fresh := s.add(fmt.Sprintf("new%d", s.made))
+func (s *faultSchedule) replace(node *testNode) {
+	node.kill()
+	s.lastWipeAt = s.clock.Monotonic()
+	s.nodes = slices.DeleteFunc(s.nodes, func(other *testNode) bool { return other == node })
+	delete(s.endsAt, node)
+	s.madeAt++
+	fresh := s.add(fmt.Sprintf("new%d", s.madeAt))
 	fresh.start()
 	s.lostUntil[fresh] = s.clock.Monotonic() + catchUp
 }
 
-func (s *schedule) wipe(one *node) {
-	s.made++
-	one.wipe(fmt.Sprintf("disk-%s-%d", one.name, s.made))
-	delete(s.endsAt, one)
-	s.lostUntil[one] = s.clock.Monotonic() + catchUp
+func (s *faultSchedule) wipe(node *testNode) {
+	s.madeAt++
+	node.wipe(fmt.Sprintf("disk-%s-%d", node.name, s.madeAt))
+	delete(s.endsAt, node)
+	s.lostUntil[node] = s.clock.Monotonic() + catchUp
 }
 
 // losePower takes away from all nodes, or all but one, what they have not synced; it ends all other troubles.
-func (s *schedule) losePower(except *node) {
-	s.endTroubles(true)
-	for _, one := range s.nodes {
-		if one != except {
-			one.kill()
+func (s *faultSchedule) losePower(except *testNode) {
+	s.endFaults(true)
+	for _, node := range s.nodes {
+		if node != except {
+			node.kill()
 		}
 	}
-	for _, one := range s.nodes {
-		if one != except {
-			one.start()
-			s.lostUntil[one] = s.clock.Monotonic() + catchUp
+	for _, node := range s.nodes {
+		if node != except {
+			node.start()
+			s.lostUntil[node] = s.clock.Monotonic() + catchUp
 		}
 	}
 }
 
 // play lets a world go through its troubles, and then come to rest.
-func (s *schedule) play(steps int) {
-	s.loss = 0.02
+func (s *faultSchedule) play(steps int) {
+	s.lossRate = 0.02
 	for range steps {
-		s.endTroubles(false)
-		if s.draw.IntN(60) == 0 {
-			s.struck["all lose power"]++
+		s.endFaults(false)
+		if s.random.IntN(60) == 0 {
+			s.injected["all lose power"]++
 			s.losePower(nil)
 		}
-		if s.draw.IntN(3) == 0 {
-			s.strike()
+		if s.random.IntN(3) == 0 {
+			s.injectNext()
 		}
 		for range 5 {
 			s.write()
-			s.run(time.Duration(1+s.draw.IntN(40)) * time.Millisecond)
+			s.run(time.Duration(1+s.random.IntN(40)) * time.Millisecond)
 		}
-		if len(s.problems) > 0 {
+		if len(s.violations) > 0 {
 			return
 		}
 	}
-	s.endTroubles(true)
-	s.loss = 0
+	s.endFaults(true)
+	s.lossRate = 0
 	s.run(8 * time.Second)
 }
 
-func (s *schedule) expectRest() {
+func (s *faultSchedule) expectSettled() {
 	GinkgoHelper()
-	Expect(s.problems).To(BeEmpty())
-	Expect(s.owner()).NotTo(BeNil())
-	Expect(s.acked).NotTo(BeEmpty())
-	Expect(s.voters()).To(HaveLen(2*s.losses + 1))
+	Expect(s.violations).To(BeEmpty())
+	Expect(s.leader()).NotTo(BeNil())
+	Expect(s.acknowledged).NotTo(BeEmpty())
+	Expect(s.voters()).To(HaveLen(2*s.machineLosses + 1))
 	for _, disk := range s.voters() {
 		Expect(s.byDisk(disk)).NotTo(BeNil())
-		Expect(s.holdsAll(s.byDisk(disk))).To(BeTrue())
+		Expect(s.holdsAllAcknowledged(s.byDisk(disk))).To(BeTrue())
 	}
 }
 
@@ -222,11 +222,11 @@
 	} {
 		It(fmt.Sprintf("by %d disks through %d losses at once, cuts, disk errors, replacements and losses of all power", len(shape.names), shape.losses), func() {
 			for seed := range seeds(6) {
-				s := newSchedule(shape.losses, 2000+seed, shape.names...)
+				s := newFaultSchedule(shape.losses, 2000+seed, shape.names...)
 				s.run(3 * time.Second)
 				s.play(150)
-				By(fmt.Sprintf("seed %d, troubles %v", seed, s.struck))
-				s.expectRest()
+				By(fmt.Sprintf("seed %d, troubles %v", seed, s.injected))
+				s.expectSettled()
 			}
 		})
 	}
--- a/internal/control/replication/transfer.go
+++ b/internal/control/replication/transfer.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-const chunkSize = 256 << 10
+const maxChunkBytes = 256 << 10
 
 // snapshotTransfer is a snapshot on its way in chunks; cuts are the places where one chunk ends and the next begins.
 // The same state has the same chunks, whoever sends it.
@@ -20,10 +20,10 @@
 func newSnapshotTransfer(snapshot wire.Snapshot) *snapshotTransfer {
 	transfer := &snapshotTransfer{snapshot: snapshot, cuts: []int{0}}
 	size := 0
-	for place, pair := range snapshot.Pairs {
+	for index, pair := range snapshot.Pairs {
 		next := len(pair.Name) + len(pair.Value) + 16
-		if size > 0 && size+next > chunkSize {
-			transfer.cuts, size = append(transfer.cuts, place), 0
+		if size > 0 && size+next > maxChunkBytes {
+			transfer.cuts, size = append(transfer.cuts, index), 0
 		}
 		size += next
 		transfer.size += next
@@ -32,11 +32,11 @@
 	return transfer
 }
 
-func (p *snapshotTransfer) count() int { return len(p.cuts) - 1 }
+func (t *snapshotTransfer) count() int { return len(t.cuts) - 1 }
 
-func (p *snapshotTransfer) chunk(number int) *wire.SnapshotChunk {
-	return &wire.SnapshotChunk{At: p.snapshot.Last, Set: p.snapshot.Set, Number: number, Count: p.count(),
-		Pairs: p.snapshot.Pairs[p.cuts[number]:p.cuts[number+1]]}
+func (t *snapshotTransfer) chunk(number int) *wire.SnapshotChunk {
+	return &wire.SnapshotChunk{At: t.snapshot.Last, Set: t.snapshot.Set, Number: number, Count: t.count(),
+		Pairs: t.snapshot.Pairs[t.cuts[number]:t.cuts[number+1]]}
 }
 
 // chunkBuffer holds the chunks of one state that a replica has so far; nothing of them is on its disk.
@@ -62,115 +62,115 @@
 	}
 }
 
-func (b *chunkBuffer) isWhole(chunk *wire.SnapshotChunk) bool {
+func (b *chunkBuffer) isComplete(chunk *wire.SnapshotChunk) bool {
 	return chunk.At == b.at && b.count == chunk.Count
 }
 
-// stateReader reads the state of the own disk for the followers that need all of it, once for all of them.
-type stateReader struct {
+// snapshotReader reads the state of the own disk for the followers that need all of it, once for all of them.
+type snapshotReader struct {
 	isReading bool
-	since     time.Duration
-	// from is the index from which on the changes must be kept, so that they lead on from the state that is being read.
-	from uint64
-	// fresh is a state that was read and is not yet under way to anyone.
-	fresh *snapshotTransfer
+	startedAt     time.Duration
+	// fromIndex is the index from which on the changes must be kept, so that they lead on from the state that is being read.
+	fromIndex uint64
+	// unsent is a state that was read and is not yet under way to anyone.
+	unsent *snapshotTransfer
 }
 
-// needed is the lowest index that the reader asks to be kept, or the given one if that is lower.
-func (r *stateReader) needed(index uint64) uint64 {
+// neededIndex is the lowest index that the reader asks to be kept, or the given one if that is lower.
+func (r *snapshotReader) neededIndex(index uint64) uint64 {
 	switch {
-	case r.fresh != nil:
-		return min(index, r.fresh.snapshot.Last.Index)
+	case r.unsent != nil:
+		return min(index, r.unsent.snapshot.Last.Index)
 	case r.isReading:
-		return min(index, r.from)
+		return min(index, r.fromIndex)
 	}
 	return index
 }
 
 // keepOnlyIf lets go of a state that was read but that no follower wants any more.
-func (r *stateReader) keepOnlyIf(isWanted bool) {
+func (r *snapshotReader) keepOnlyIf(isWanted bool) {
 	if !isWanted {
-		r.fresh = nil
+		r.unsent = nil
 	}
 }
 
 // transferFor gives the state that is under way to the follower, or to another, as long as the tail leads on from it.
 // There is none while the state is still being read.
-func (e *Engine) transferFor(to *follower) *snapshotTransfer {
-	if e.serves(to.transfer, to) {
-		return to.transfer
+func (e *Engine) transferFor(follower *followerProgress) *snapshotTransfer {
+	if e.canSend(follower.transfer, follower) {
+		return follower.transfer
 	}
-	to.transfer, to.nextChunk = nil, 0
-	for _, other := range e.inOrder() {
-		if e.serves(other.transfer, to) {
-			return to.begin(other.transfer)
+	follower.transfer, follower.nextChunk = nil, 0
+	for _, other := range e.sortedFollowers() {
+		if e.canSend(other.transfer, follower) {
+			return follower.startTransfer(other.transfer)
 		}
 	}
-	if fresh := e.reader.fresh; e.serves(fresh, to) {
-		e.reader.fresh = nil
-		return to.begin(fresh)
+	if fresh := e.snapshotReader.unsent; e.canSend(fresh, follower) {
+		e.snapshotReader.unsent = nil
+		return follower.startTransfer(fresh)
 	}
-	e.readState()
+	e.readSnapshot()
 	return nil
 }
 
-// begin notes a state as under way to the follower.
-func (to *follower) begin(transfer *snapshotTransfer) *snapshotTransfer {
-	to.transfer = transfer
-	to.mayLack = allowance{count: timesSnapshot * len(transfer.snapshot.Pairs), size: timesSnapshot * transfer.size}
+// startTransfer notes a state as under way to the follower.
+func (follower *followerProgress) startTransfer(transfer *snapshotTransfer) *snapshotTransfer {
+	follower.transfer = transfer
+	follower.retention = retention{count: snapshotRetentionFactor * len(transfer.snapshot.Pairs), size: snapshotRetentionFactor * transfer.size}
 	return transfer
 }
 
-// readState begins to read the state, unless that is under way or the own disk has no change of this epoch yet.
-func (e *Engine) readState() {
+// readSnapshot begins to read the state, unless that is under way or the own disk has no change of this epoch yet.
+func (e *Engine) readSnapshot() {
 	own := e.followers[e.disk]
-	if e.reader.isReading || own == nil || !own.isKnown || own.acked.Epoch != e.epoch {
+	if e.snapshotReader.isReading || own == nil || !own.isPositionKnown || own.acked.Epoch != e.epoch {
 		return
 	}
-	e.reader = stateReader{isReading: true, since: e.clock.Monotonic(), from: own.acked.Index}
-	attempt := e.attempt
-	e.links.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
-		if e.attempt != attempt {
+	e.snapshotReader = snapshotReader{isReading: true, startedAt: e.clock.Monotonic(), fromIndex: own.acked.Index}
+	attempt := e.generation
+	e.transport.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
+		if e.generation != attempt {
 			return
 		}
-		e.reader = stateReader{}
+		e.snapshotReader = snapshotReader{}
 		if err != nil || snapshot.Last.Epoch != e.epoch {
 			return
 		}
-		e.offer(snapshot)
+		e.distributeSnapshot(snapshot)
 	})
 }
 
-// offer begins to send a state that was read to the followers that need it.
-func (e *Engine) offer(snapshot wire.Snapshot) {
-	if !e.isStateWanted() {
+// distributeSnapshot begins to send a state that was read to the followers that need it.
+func (e *Engine) distributeSnapshot(snapshot wire.Snapshot) {
+	if !e.isSnapshotNeeded() {
 		return
 	}
-	e.reader.fresh = newSnapshotTransfer(snapshot)
-	for _, to := range e.inOrder() {
-		if to.needsSnapshot {
-			e.send(to, false)
+	e.snapshotReader.unsent = newSnapshotTransfer(snapshot)
+	for _, follower := range e.sortedFollowers() {
+		if follower.needsSnapshot {
+			e.sendAppend(follower, false)
 		}
 	}
 }
 
-// isStateWanted tells whether any follower lacks more than the changes that are kept.
-func (e *Engine) isStateWanted() bool {
-	return slices.ContainsFunc(e.inOrder(), func(to *follower) bool { return to.needsSnapshot })
+// isSnapshotNeeded tells whether any follower lacks more than the changes that are kept.
+func (e *Engine) isSnapshotNeeded() bool {
+	return slices.ContainsFunc(e.sortedFollowers(), func(follower *followerProgress) bool { return follower.needsSnapshot })
 }
 
-// serves tells whether a transfer may go to a follower: the changes lead on from it, and it is no step back for the disk.
-func (e *Engine) serves(transfer *snapshotTransfer, to *follower) bool {
-	if transfer == nil || transfer.snapshot.Last.Below(to.acked) {
+// canSend tells whether a transfer may go to a follower: the changes lead on from it, and it is no step back for the disk.
+func (e *Engine) canSend(transfer *snapshotTransfer, follower *followerProgress) bool {
+	if transfer == nil || transfer.snapshot.Last.Below(follower.acked) {
 		return false
 	}
-	_, isThere := e.after(transfer.snapshot.Last)
-	return isThere
+	_, isKept := e.changesAfter(transfer.snapshot.Last)
+	return isKept
 }
 
 // noteChunkAnswer notes how far the follower has come; one that knows no pieces is sent the state in one call.
-func (e *Engine) noteChunkAnswer(from *follower, call wire.AppendCall, answer wire.AppendAnswer) {
-	from.isKnown, from.needsSnapshot = false, true
-	from.isOld = from.isOld || call.Chunk.Number == 0 && answer.Chunks == 0
-	from.nextChunk = min(answer.Chunks, call.Chunk.Count-1)
+func (e *Engine) noteChunkAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
+	follower.isPositionKnown, follower.needsSnapshot = false, true
+	follower.lacksChunkSupport = follower.lacksChunkSupport || call.Chunk.Number == 0 && answer.Chunks == 0
+	follower.nextChunk = min(answer.Chunks, call.Chunk.Count-1)
 }
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -8,81 +8,81 @@
 )
 
 const (
-	mostBehind  = 200
-	shortageLog = 5 * time.Second
+	maxLag  = 200
+	shortageLogDelay = 5 * time.Second
 )
 
-// considerVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over domains.
-func (e *Engine) considerVoters() {
-	if len(e.set.Old) > 0 || e.setIndex > e.committed {
+// maybeChangeVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over domains.
+func (e *Engine) maybeChangeVoters() {
+	if len(e.voters.Old) > 0 || e.votersIndex > e.commitIndex {
 		return
 	}
 	members := e.members()
-	choice := voterChoice{set: e.set.Now, size: e.size, isLost: func(disk string) bool { return e.isLost(members, disk) },
+	choice := voterSelection{current: e.voters.Now, goal: e.voterGoal, isLost: func(disk string) bool { return e.isLost(members, disk) },
 		domainOf: func(disk string) string { return domainOf(members, disk) }}
-	fit := e.fitForVoting(members)
-	e.noteShortage(len(choice.kept()) + len(fit))
-	wanted := choice.from(fit)
-	if slices.Equal(wanted, e.set.Now) {
-		e.forgetOutsiders()
+	candidates := e.fitForVoting(members)
+	e.noteShortage(len(choice.kept()) + len(candidates))
+	wanted := choice.next(candidates)
+	if slices.Equal(wanted, e.voters.Now) {
+		e.dropNonVoters()
 		return
 	}
 	var ready []string
-	for _, disk := range fit {
+	for _, disk := range candidates {
 		if !slices.Contains(wanted, disk) {
 			continue
 		}
-		if learner := e.follow(disk); e.hasCaughtUp(learner) {
+		if learner := e.followerOf(disk); e.hasCaughtUp(learner) {
 			ready = append(ready, disk)
 		} else {
-			e.send(learner, true)
+			e.sendAppend(learner, true)
 		}
 	}
-	next := choice.from(ready)
-	if slices.Equal(next, e.set.Now) {
+	next := choice.next(ready)
+	if slices.Equal(next, e.voters.Now) {
 		return
 	}
-	e.log.Info("changing the voters of a key", "key", e.key, "from", e.set.Now, "to", next)
-	e.propose(nil, &wire.VoterSet{Old: e.set.Now, Now: next}, func(error) {})
+	e.log.Info("changing the voters of a key", "key", e.key, "from", e.voters.Now, "to", next)
+	e.propose(nil, &wire.VoterSet{Old: e.voters.Now, Now: next}, func(error) {})
 }
 
 // hasCaughtUp tells whether a learner may become a voter: it lacks little, or follows within the time after which a voter
 // would count as lost, however many changes that is. What it still lacks can only make the change of voters wait, as that
 // counts once a majority of the old voters and one of the new hold it, and with it all changes before it.
-func (e *Engine) hasCaughtUp(learner *follower) bool {
-	return e.followsWithin(learner, e.timing.LostAfter)
+func (e *Engine) hasCaughtUp(learner *followerProgress) bool {
+	return e.isWithinLag(learner, e.timing.LostAfter)
 }
 
-// followsWithin tells whether a follower lacks few changes, or none that is older than the given age.
-func (e *Engine) followsWithin(one *follower, age time.Duration) bool {
-	if !one.isKnown || one.acked.Epoch != e.epoch {
+// isWithinLag tells whether a follower lacks few changes, or none that is older than the given age.
+func (e *Engine) isWithinLag(follower *followerProgress, age time.Duration) bool {
+	if !follower.isPositionKnown || follower.acked.Epoch != e.epoch {
 		return false
 	}
-	isNear := e.last.Index-one.acked.Index <= mostBehind
-	return isNear || e.marks.isPast(one.acked.Index, e.clock.Monotonic()-age)
+	isNear := e.last.Index-follower.acked.Index <= maxLag
+	return isNear || e.progress.hadReached(follower.acked.Index, e.clock.Monotonic()-age)
 }
 
-// finishSwap proposes the new voters alone, once the joint set is committed.
-func (e *Engine) finishSwap() {
-	if e.phase != phaseLeading || len(e.set.Old) == 0 || e.setIndex > e.committed {
+// leaveJoint proposes the new voters alone, once the joint set is committed.
+func (e *Engine) leaveJoint() {
+	if e.phase != phaseLeading || len(e.voters.Old) == 0 || e.votersIndex > e.commitIndex {
 		return
 	}
-	final := wire.VoterSet{Now: e.set.Now}
+	final := wire.VoterSet{Now: e.voters.Now}
 	e.propose(nil, &final, func(error) {})
 }
 
-// forgetOutsiders ends the following of disks that are no voters; it runs once the voter set is committed.
-func (e *Engine) forgetOutsiders() {
-	for _, outsider := range e.inOrder() {
-		if slices.Contains(disksOf(e.set), outsider.disk) {
+// dropNonVoters ends the following of disks that are no voters; it runs once the voter set is committed.
+func (e *Engine) dropNonVoters() {
+	for _, outsider := range e.sortedFollowers() {
+		if slices.Contains(disksOf(e.voters), outsider.disk) {
 			continue
 		}
 		delete(e.followers, outsider.disk)
-		e.publish()
+		e.publishLease()
 		if outsider.isLeaving {
 			call := e.appendCall()
 			call.Prev, call.VotedOut = outsider.acked, true
-			e.links.Append(outsider.disk, call, func(wire.AppendAnswer, error) {})
+			e.transport.Append(outsider.disk, call, func(wire.AppendAnswer, error) {})
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	if disk == e.disk {
 		return false
 	}
-	voter := e.follow(disk)
+	voter := e.followerOf(disk)
 	return isReplaced(members, disk) || voter.isLeaving || e.clock.Monotonic()-voter.lastContact > e.timing.LostAfter
 }
 
@@ -114,30 +114,30 @@
 
 // fitForVoting lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
 func (e *Engine) fitForVoting(members []wire.Member) []string {
-	var fit []string
+	var candidates []string
 	for _, member := range members {
-		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.set.Now, member.Disk) {
+		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.voters.Now, member.Disk) {
 			continue
 		}
 		learner := e.followers[member.Disk]
 		if learner != nil && (learner.isLeaving || e.clock.Monotonic()-learner.lastContact > e.timing.LostAfter) {
 			continue
 		}
-		fit = append(fit, member.Disk)
+		candidates = append(candidates, member.Disk)
 	}
-	return e.ranked(fit)
+	return e.ranked(candidates)
 }
 
 // noteShortage says once an epoch that the losses to be borne ask for more disks than there are.
 func (e *Engine) noteShortage(disks int) {
 	now := e.clock.Monotonic()
-	if disks >= e.size {
+	if disks >= e.voterGoal {
 		e.shortSince = now
 		return
 	}
-	if now-e.shortSince > shortageLog && !e.isShortNoted {
+	if now-e.shortSince > shortageLogDelay && !e.isShortNoted {
 		e.isShortNoted = true
-		e.log.Info("too few disks for the losses to be borne", "key", e.key, "disks", disks, "wanted", e.size,
-			"borne", (min(len(e.set.Now), disks)-1)/2)
+		e.log.Info("too few disks for the losses to be borne", "key", e.key, "disks", disks, "wanted", e.voterGoal,
+			"borne", (min(len(e.voters.Now), disks)-1)/2)
 	}
 }
--- a/internal/control/replication/world_test.go
+++ b/internal/control/replication/world_test.go
@@ -22,93 +22,93 @@
 type fakeDisk struct {
 	*simcluster.Shelf
 	name   string
-	isBare bool
-	line   []func()
-	stalls bool
-	// refuses makes each write fail; unclear lets it reach the disk all the same.
-	refuses bool
-	unclear bool
+	isNew bool
+	pendingWrites   []func()
+	isStalled bool
+	// failsWrites makes each write fail; unclear lets it reach the disk all the same.
+	failsWrites bool
+	isOutcomeUnclear bool
 	// syncTime is how long a sync takes; without one it takes a few milliseconds.
 	syncTime time.Duration
-	begunAt  time.Duration
-	// names are those of all pairs on the disk.
-	names map[string]bool
+	syncBegunAt  time.Duration
+	// pairNames are those of all pairs on the disk.
+	pairNames map[string]bool
 }
 
-var errDisk = errors.New("the disk refuses")
+var errDiskFull = errors.New("the disk refuses")
 
 func newDisk(name string) *fakeDisk {
-	return &fakeDisk{Shelf: simcluster.NewShelf(), name: name, isBare: true, names: map[string]bool{}}
+	return &fakeDisk{Shelf: simcluster.NewShelf(), name: name, isNew: true, pairNames: map[string]bool{}}
 }
 
 func (d *fakeDisk) Disk() string { return d.name }
-func (d *fakeDisk) Bare() bool   { return d.isBare }
+func (d *fakeDisk) IsNew() bool   { return d.isNew }
 
-func (d *fakeDisk) Heads() (map[string]storage.ReplicaState, error) {
+func (d *fakeDisk) ReplicaStates() (map[string]storage.ReplicaState, error) {
 	return maps.Clone(d.Shelf.Heads), nil
 }
 
 func (d *fakeDisk) Submit(write storage.Write, done func(storage.Outcome)) {
-	d.line = append(d.line, func() {
-		if d.refuses && !d.unclear {
-			done(storage.Outcome{Err: errDisk})
+	d.pendingWrites = append(d.pendingWrites, func() {
+		if d.failsWrites && !d.isOutcomeUnclear {
+			done(storage.Outcome{Err: errDiskFull})
 			return
 		}
 		outcome := d.Apply(write)
-		d.noteNames(write, outcome)
-		if d.unclear {
-			outcome = storage.Outcome{Err: errDisk}
+		d.recordNames(write, outcome)
+		if d.isOutcomeUnclear {
+			outcome = storage.Outcome{Err: errDiskFull}
 		}
 		done(outcome)
 	})
 }
 
-func (d *fakeDisk) noteNames(write storage.Write, outcome storage.Outcome) {
+func (d *fakeDisk) recordNames(write storage.Write, outcome storage.Outcome) {
 	if !outcome.Taken {
 		return
 	}
 	if write.Snapshot != nil {
-		clear(d.names)
+		clear(d.pairNames)
 		for _, pair := range write.Snapshot.Pairs {
-			d.names[pair.Name] = true
+			d.pairNames[pair.Name] = true
 		}
 	}
 	for _, change := range write.Changes {
 		for _, op := range change.Ops {
-			d.names[op.Name] = true
+			d.pairNames[op.Name] = true
 		}
 	}
 }
 
-// mayEnd tells whether the sync of what waits may end now.
-func (d *fakeDisk) mayEnd(now time.Duration, draw *rand.Rand) bool {
-	if d.stalls || len(d.line) == 0 {
-		d.begunAt = now
+// maySync tells whether the sync of what waits may end now.
+func (d *fakeDisk) maySync(now time.Duration, random *rand.Rand) bool {
+	if d.isStalled || len(d.pendingWrites) == 0 {
+		d.syncBegunAt = now
 		return false
 	}
 	if d.syncTime > 0 {
-		return now-d.begunAt >= d.syncTime
+		return now-d.syncBegunAt >= d.syncTime
 	}
-	return draw.IntN(4) == 0
+	return random.IntN(4) == 0
 }
 
-type machine struct {
-	world  *world
-	node   *node
-	tenure *replication.Leadership
-	held   map[string]string
+type recordingMachine struct {
+	cluster  *testCluster
+	node   *testNode
+	leadership *replication.Leadership
+	values   map[string]string
 }
 
-func (m *machine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
-	m.tenure, m.held = tenure, map[string]string{}
+func (m *recordingMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+	m.leadership, m.values = leadership, map[string]string{}
 	for _, pair := range pairs {
-		m.held[pair.Name] = string(pair.Value)
+		m.values[pair.Name] = string(pair.Value)
 	}
-	m.world.opened(m)
+	m.cluster.onOpen(m)
 	return nil
 }
 
-func (m *machine) Close() { m.tenure = nil }
+func (m *recordingMachine) Close() { m.leadership = nil }
 
 // nodeClock is the world's clock with a time of day that may jump, and a steady clock that may run fast or slow.
 type nodeClock struct {
@@ -124,179 +124,179 @@
 
 func (c *nodeClock) WallMs() int64 { return c.Fake.WallMs() + c.jump }
 
-// node is one steward: its disk stays while the rest of it may die.
-type node struct {
-	world    *world
+// testNode is one steward: its disk stays while the rest of it may die.
+type testNode struct {
+	cluster    *testCluster
 	name     string
 	domain   string
 	disk     *fakeDisk
-	past     []string
+	formerDisks     []string
 	isUp     bool
 	isFrozen bool
-	isOld    bool
-	late     time.Duration
-	life     int
-	// readTime is how long its processor needs to read the whole state; busyUntil is when its engine's goroutine is free.
-	readTime  time.Duration
+	lacksChunkSupport    bool
+	delay     time.Duration
+	incarnation     int
+	// snapshotReadTime is how long its processor needs to read the whole state; busyUntil is when its engine's goroutine is free.
+	snapshotReadTime  time.Duration
 	busyUntil time.Duration
 	clock     *nodeClock
 	replicas  *replication.Replicas
 	engine    *replication.Engine
-	machine   *machine
+	machine   *recordingMachine
 }
 
-type letter struct {
+type message struct {
 	due time.Duration
 	run func()
 }
 
-// world is a network and a clock of which the test is master.
-type world struct {
+// testCluster is a network and a clock of which the test is master.
+type testCluster struct {
 	clock   *clock.Fake
-	draw    *rand.Rand
-	nodes   []*node
-	letters []letter
-	cut     map[string]bool
-	// oneWay holds the links that carry nothing, as "from>to".
-	oneWay map[string]bool
-	// late holds the nodes whose calls, there and from there, may come seconds late.
-	late map[string]bool
-	// bytesPerMs limits what a node sends; 0 is no limit. sentUntil is when a node's link is free again.
+	random    *rand.Rand
+	nodes   []*testNode
+	messages []message
+	isolated     map[string]bool
+	// blockedLinks holds the links that carry nothing, as "from>to".
+	blockedLinks map[string]bool
+	// lateNodes holds the nodes whose calls, there and from there, may come seconds late.
+	lateNodes map[string]bool
+	// bytesPerMs limits what a node sends; 0 is no limit. linkBusyUntil is when a node's link is free again.
 	bytesPerMs int
-	sentUntil  map[string]time.Duration
+	linkBusyUntil  map[string]time.Duration
 	// slowness is how long each message takes at most beyond the usual, and half of it at least, as on machines short of
 	// processors.
 	slowness time.Duration
 	// silentFetches lets no call for a state arrive.
 	silentFetches bool
-	appends       int
-	wipedAt       time.Duration
-	loss          float64
-	acked         map[string]string
-	owners        map[uint64]string
-	problems      []string
-	written       int
-	losses        int
-	trials        int
-	wholes        int
-	fetched       int
-	pieces        []int
-	chunks        []int
-	bulk          int
-	eats          func(to *node, call wire.AppendCall) bool
+	appendCount       int
+	lastWipeAt       time.Duration
+	lossRate          float64
+	acknowledged         map[string]string
+	leaders        map[uint64]string
+	violations      []string
+	writeCount       int
+	machineLosses        int
+	preVotes        int
+	snapshotsSent        int
+	snapshotsInstalled       int
+	chunksSent        []int
+	chunksFetched        []int
+	valueBytes          int
+	drops          func(to *testNode, call wire.AppendCall) bool
 	diskless      []wire.Member
 }
 
 const key = "pool/wards"
 
-func newWorld(seed uint64, names ...string) *world { return newWorldBearing(1, seed, names...) }
+func newTestCluster(seed uint64, names ...string) *testCluster { return newTestClusterBearing(1, seed, names...) }
 
-// newWorldBearing has keys that must survive the loss of so many disks at once.
-func newWorldBearing(losses int, seed uint64, names ...string) *world {
-	w := &world{losses: losses, clock: clock.NewFake(1_000_000), draw: rand.New(rand.NewPCG(seed, 1)), cut: map[string]bool{},
-		oneWay: map[string]bool{}, late: map[string]bool{}, sentUntil: map[string]time.Duration{}, wipedAt: -time.Hour, acked: map[string]string{}, owners: map[uint64]string{}}
+// newTestClusterBearing has keys that must survive the loss of so many disks at once.
+func newTestClusterBearing(losses int, seed uint64, names ...string) *testCluster {
+	c := &testCluster{machineLosses: losses, clock: clock.NewFake(1_000_000), random: rand.New(rand.NewPCG(seed, 1)), isolated: map[string]bool{},
+		blockedLinks: map[string]bool{}, lateNodes: map[string]bool{}, linkBusyUntil: map[string]time.Duration{}, lastWipeAt: -time.Hour, acknowledged: map[string]string{}, leaders: map[uint64]string{}}
 	for _, name := range names {
-		w.add(name)
+		c.add(name)
 	}
-	for _, one := range w.nodes {
-		one.start()
+	for _, node := range c.nodes {
+		node.start()
 	}
-	return w
+	return c
 }
 
-func (w *world) add(name string) *node {
-	one := &node{world: w, name: name, disk: newDisk("disk-" + name), clock: &nodeClock{Fake: w.clock}}
-	w.nodes = append(w.nodes, one)
-	return one
+func (c *testCluster) add(name string) *testNode {
+	node := &testNode{cluster: c, name: name, disk: newDisk("disk-" + name), clock: &nodeClock{Fake: c.clock}}
+	c.nodes = append(c.nodes, node)
+	return node
 }
 
-func (w *world) birth() []string { return []string{"disk-a", "disk-b", "disk-c"} }
+func (c *testCluster) initialVoters() []string { return []string{"disk-a", "disk-b", "disk-c"} }
 
-func (n *node) start() {
+func (n *testNode) start() {
 	n.isUp, n.isFrozen = true, false
-	n.life++
-	n.disk.line = nil
+	n.incarnation++
+	n.disk.pendingWrites = nil
 	replicas, err := replication.NewReplicas(mailbox.New(64), n.disk, n.clock, replication.DefaultTiming.Lease)
 	if err != nil {
 		panic(err)
 	}
-	n.disk.isBare = false
+	n.disk.isNew = false
 	n.replicas = replicas
-	n.machine = &machine{world: n.world, node: n}
-	n.engine = replication.NewEngine(key, n.disk.name, n.name, n.clock, &road{n, n.life}, n.machine, n.world.members,
-		replication.WithInitialVoters(n.world.birth()), replication.WithMachineLosses(n.world.losses))
+	n.machine = &recordingMachine{cluster: n.cluster, node: n}
+	n.engine = replication.NewEngine(key, n.disk.name, n.name, n.clock, &testTransport{n, n.incarnation}, n.machine, n.cluster.members,
+		replication.WithInitialVoters(n.cluster.initialVoters()), replication.WithMachineLosses(n.cluster.machineLosses))
 }
 
-func (n *node) kill() { n.isUp = false; n.life++; n.disk.line = nil }
+func (n *testNode) kill() { n.isUp = false; n.incarnation++; n.disk.pendingWrites = nil }
 
-func (n *node) wipe(name string) {
+func (n *testNode) wipe(name string) {
 	n.kill()
-	n.world.wipedAt = n.world.clock.Monotonic()
-	n.past = append(n.past, n.disk.name)
+	n.cluster.lastWipeAt = n.cluster.clock.Monotonic()
+	n.formerDisks = append(n.formerDisks, n.disk.name)
 	n.disk = newDisk(name)
 	n.start()
 }
 
-func (w *world) members() []wire.Member {
-	all := slices.Clone(w.diskless)
-	for _, one := range w.nodes {
+func (c *testCluster) members() []wire.Member {
+	all := slices.Clone(c.diskless)
+	for _, node := range c.nodes {
 		state := wire.StateAlive
-		if !one.isUp {
+		if !node.isUp {
 			state = wire.StateGone
 		}
-		all = append(all, wire.Member{Name: one.name, Role: "steward", Domain: one.domain, Disk: one.disk.name, State: state, Past: one.past})
+		all = append(all, wire.Member{Name: node.name, Role: "steward", Domain: node.domain, Disk: node.disk.name, State: state, Past: node.formerDisks})
 	}
 	return all
 }
 
-func (w *world) byDisk(disk string) *node {
-	for _, one := range w.nodes {
-		if one.disk.name == disk {
-			return one
+func (c *testCluster) byDisk(disk string) *testNode {
+	for _, node := range c.nodes {
+		if node.disk.name == disk {
+			return node
 		}
 	}
 	return nil
 }
 
-// route is where a call to a disk goes: to its node, also when that came back with another disk at the same address.
-func (w *world) route(disk string) *node {
-	if one := w.byDisk(disk); one != nil {
-		return one
+// nodeFor is where a call to a disk goes: to its node, also when that came back with another disk at the same address.
+func (c *testCluster) nodeFor(disk string) *testNode {
+	if node := c.byDisk(disk); node != nil {
+		return node
 	}
-	for _, one := range w.nodes {
-		if slices.Contains(one.past, disk) {
-			return one
+	for _, node := range c.nodes {
+		if slices.Contains(node.formerDisks, disk) {
+			return node
 		}
 	}
 	return nil
 }
 
-func (w *world) post(wait time.Duration, run func()) {
-	w.letters = append(w.letters, letter{w.clock.Monotonic() + wait, run})
+func (c *testCluster) schedule(wait time.Duration, run func()) {
+	c.messages = append(c.messages, message{c.clock.Monotonic() + wait, run})
 }
 
-func (w *world) transit() time.Duration {
-	return time.Duration(1+w.draw.IntN(9))*time.Millisecond + w.slowness/2 + time.Duration(w.draw.Int64N(int64(w.slowness)/2+1))
+func (c *testCluster) transit() time.Duration {
+	return time.Duration(1+c.random.IntN(9))*time.Millisecond + c.slowness/2 + time.Duration(c.random.Int64N(int64(c.slowness)/2+1))
 }
 
-func (w *world) isCut(one, two *node) bool {
-	return one != two && (w.cut[one.name] || w.cut[two.name] || w.oneWay[one.name+">"+two.name])
+func (c *testCluster) isCut(a, b *testNode) bool {
+	return a != b && (c.isolated[a.name] || c.isolated[b.name] || c.blockedLinks[a.name+">"+b.name])
 }
 
 // smallMessage is one that passes by the large ones on a link, as windows are small there.
 const smallMessage = 4 << 10
 
-// sending is how long a message of some bytes takes to leave a node, a large one behind those before it.
-func (w *world) sending(from, to *node, bytes int) time.Duration {
-	if w.bytesPerMs == 0 || from == to {
+// sendTime is how long a message of some bytes takes to leave a node, a large one behind those before it.
+func (c *testCluster) sendTime(from, to *testNode, bytes int) time.Duration {
+	if c.bytesPerMs == 0 || from == to {
 		return 0
 	}
 	if bytes < smallMessage {
-		return time.Duration(bytes/w.bytesPerMs) * time.Millisecond
+		return time.Duration(bytes/c.bytesPerMs) * time.Millisecond
 	}
-	now := w.clock.Monotonic()
-	free := max(now, w.sentUntil[from.name]) + time.Duration(bytes/w.bytesPerMs)*time.Millisecond
-	w.sentUntil[from.name] = free
+	now := c.clock.Monotonic()
+	free := max(now, c.linkBusyUntil[from.name]) + time.Duration(bytes/c.bytesPerMs)*time.Millisecond
+	c.linkBusyUntil[from.name] = free
 	return free - now
 }
 
@@ -334,39 +334,39 @@
 }
 
 // carry brings a call to another node and its answer back, unless a fault eats one of them.
-func carry[T any](w *world, from, to *node, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
-	carrySized(w, from, to, 0, func(T) int { return 0 }, limit, serve, done)
+func carry[T any](c *testCluster, from, to *testNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	carrySized(c, from, to, 0, func(T) int { return 0 }, limit, serve, done)
 }
 
 // carrySized is carry for a call and an answer that take the link some time.
-func carrySized[T any](w *world, from, to *node, bytes int, bytesBack func(T) int, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
-	fromLife, isOver := from.life, false
+func carrySized[T any](c *testCluster, from, to *testNode, bytes int, bytesBack func(T) int, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	incarnation, isOver := from.incarnation, false
 	finish := func(value T, err error) {
 		from.onEngine(func() {
-			if !isOver && from.isUp && from.life == fromLife {
+			if !isOver && from.isUp && from.incarnation == incarnation {
 				isOver = true
 				done(value, err)
 			}
 		})
 	}
 	var none T
-	w.post(limit, func() { finish(none, errors.New("no answer in time")) })
+	c.schedule(limit, func() { finish(none, errors.New("no answer in time")) })
 	if to == nil {
 		return
 	}
 	times := 1
-	if w.draw.Float64() < w.loss {
-		times = w.draw.IntN(3)
+	if c.random.Float64() < c.lossRate {
+		times = c.random.IntN(3)
 	}
 	for range times {
-		late := time.Duration(w.draw.IntN(times)) * 20 * time.Millisecond
-		if (w.late[from.name] || w.late[to.name]) && w.draw.IntN(2) == 0 {
-			late = time.Duration(w.draw.IntN(2500)) * time.Millisecond
+		late := time.Duration(c.random.IntN(times)) * 20 * time.Millisecond
+		if (c.lateNodes[from.name] || c.lateNodes[to.name]) && c.random.IntN(2) == 0 {
+			late = time.Duration(c.random.IntN(2500)) * time.Millisecond
 		}
-		w.post(w.transit()+w.sending(from, to, bytes)+late, func() {
-			w.arrive(from, to, func() {
+		c.schedule(c.transit()+c.sendTime(from, to, bytes)+late, func() {
+			c.arrive(from, to, func() {
 				serve(func(value T) {
-					w.post(w.transit()+w.sending(to, from, bytesBack(value)), func() { w.arrive(to, from, func() { finish(value, nil) }) })
+					c.schedule(c.transit()+c.sendTime(to, from, bytesBack(value)), func() { c.arrive(to, from, func() { finish(value, nil) }) })
 				})
 			})
 		})
@@ -374,213 +374,213 @@
 }
 
 // onEngine runs something on the goroutine of the node's engine, once that is free.
-func (n *node) onEngine(run func()) {
-	if wait := n.busyUntil - n.world.clock.Monotonic(); wait > 0 {
-		n.world.post(wait, func() { n.onEngine(run) })
+func (n *testNode) onEngine(run func()) {
+	if wait := n.busyUntil - n.cluster.clock.Monotonic(); wait > 0 {
+		n.cluster.schedule(wait, func() { n.onEngine(run) })
 		return
 	}
 	run()
 }
 
-func (w *world) arrive(from, to *node, run func()) {
+func (c *testCluster) arrive(from, to *testNode, run func()) {
 	switch {
-	case w.isCut(from, to) || !to.isUp:
+	case c.isCut(from, to) || !to.isUp:
 	case to.isFrozen:
-		w.post(20*time.Millisecond, func() { w.arrive(from, to, run) })
+		c.schedule(20*time.Millisecond, func() { c.arrive(from, to, run) })
 	default:
 		run()
 	}
 }
 
-type road struct {
-	node *node
-	life int
+type testTransport struct {
+	node *testNode
+	incarnation int
 }
 
-func (r *road) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
+func (r *testTransport) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if call.PreVote {
-		r.node.world.trials++
+		r.node.cluster.preVotes++
 	}
-	to := r.node.world.route(disk)
-	carry(r.node.world, r.node, to, 500*time.Millisecond, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
+	to := r.node.cluster.nodeFor(disk)
+	carry(r.node.cluster, r.node, to, 500*time.Millisecond, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
 }
 
-func (r *road) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+func (r *testTransport) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if call.Snapshot != nil && disk != r.node.disk.name {
-		r.node.world.wholes++
+		r.node.cluster.snapshotsSent++
 	}
-	to := r.node.world.route(disk)
+	to := r.node.cluster.nodeFor(disk)
 	if call.Chunk != nil {
-		r.node.world.pieces = append(r.node.world.pieces, call.Chunk.Number)
+		r.node.cluster.chunksSent = append(r.node.cluster.chunksSent, call.Chunk.Number)
 	}
-	if to != nil && r.node.world.eats != nil && r.node.world.eats(to, call) {
+	if to != nil && r.node.cluster.drops != nil && r.node.cluster.drops(to, call) {
 		to = nil
 	}
-	if to != nil && to.isOld {
+	if to != nil && to.lacksChunkSupport {
 		call.Chunk = nil
 	}
-	r.node.world.appends++
+	r.node.cluster.appendCount++
 	sizeBack := func(wire.AppendAnswer) int { return 128 }
-	carrySized(r.node.world, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(wire.AppendAnswer)) {
-		to.replicas.Append(call, func(told wire.AppendAnswer) {
-			if !to.isOld && to != r.node {
-				told.DelayUs = max(1, to.late.Microseconds())
+	carrySized(r.node.cluster, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(wire.AppendAnswer)) {
+		to.replicas.Append(call, func(response wire.AppendAnswer) {
+			if !to.lacksChunkSupport && to != r.node {
+				response.DelayUs = max(1, to.delay.Microseconds())
 			}
-			r.node.world.post(to.late, func() { answer(told) })
+			r.node.cluster.schedule(to.delay, func() { answer(response) })
 		})
 	}, done)
 }
 
-func (r *road) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+func (r *testTransport) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if call.Snapshot != nil {
-		r.node.world.fetched++
+		r.node.cluster.snapshotsInstalled++
 	}
 	r.Append(r.node.disk.name, call, done)
 }
 
-func (r *road) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
-	to := r.node.world.route(disk)
-	if r.node.world.silentFetches {
+func (r *testTransport) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
+	to := r.node.cluster.nodeFor(disk)
+	if r.node.cluster.silentFetches {
 		to = nil
 	}
-	carrySized(r.node.world, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(wire.FetchAnswer)) {
-		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
-			if to.isOld {
-				whole, _ = to.replicas.Fetch(replication.History{}, wire.FetchCall{Key: ask.Key})
+	carrySized(r.node.cluster, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(wire.FetchAnswer)) {
+		if snapshot, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
+			if to.lacksChunkSupport {
+				snapshot, _ = to.replicas.Fetch(replication.History{}, wire.FetchCall{Key: ask.Key})
 			}
-			if whole.Chunk != nil {
-				r.node.world.chunks = append(r.node.world.chunks, whole.Chunk.Number)
+			if snapshot.Chunk != nil {
+				r.node.cluster.chunksFetched = append(r.node.cluster.chunksFetched, snapshot.Chunk.Number)
 			}
-			answer(whole)
+			answer(snapshot)
 		}
 	}, done)
 }
 
-func (r *road) Status(key string, done func(replication.ReplicaStatus)) {
+func (r *testTransport) Status(key string, done func(replication.ReplicaStatus)) {
 	done(r.node.replicas.Status(key))
 }
 
-func (r *road) History(key string, done func(replication.History)) {
+func (r *testTransport) History(key string, done func(replication.History)) {
 	done(r.node.replicas.History(key))
 }
 
-func (r *road) ReadLocal(key string, done func(wire.Snapshot, error)) {
-	life := r.node.life
+func (r *testTransport) ReadLocal(key string, done func(wire.Snapshot, error)) {
+	incarnation := r.node.incarnation
 	snapshot, err := r.node.disk.Read(key)
-	r.node.world.post(r.node.readTime, func() {
+	r.node.cluster.schedule(r.node.snapshotReadTime, func() {
 		r.node.onEngine(func() {
-			if r.node.isUp && r.node.life == life {
+			if r.node.isUp && r.node.incarnation == incarnation {
 				done(snapshot, err)
 			}
 		})
 	})
 }
 
-func (w *world) opened(m *machine) {
-	epoch := m.tenure.Epoch()
-	if other, isTaken := w.owners[epoch]; isTaken {
-		w.problem("epoch %d is owned by %s and %s", epoch, other, m.node.name)
+func (c *testCluster) onOpen(m *recordingMachine) {
+	epoch := m.leadership.Epoch()
+	if other, isTaken := c.leaders[epoch]; isTaken {
+		c.recordViolation("epoch %d is owned by %s and %s", epoch, other, m.node.name)
 	}
-	w.owners[epoch] = m.node.name
-	for name, value := range w.acked {
-		if m.held[name] != value {
-			w.problem("%s owns epoch %d without %s, which was acknowledged", m.node.name, epoch, name)
+	c.leaders[epoch] = m.node.name
+	for name, value := range c.acknowledged {
+		if m.values[name] != value {
+			c.recordViolation("%s owns epoch %d without %s, which was acknowledged", m.node.name, epoch, name)
 		}
 	}
 }
 
-func (w *world) problem(format string, values ...any) {
-	w.problems = append(w.problems, fmt.Sprintf("%v: ", w.clock.Monotonic())+fmt.Sprintf(format, values...))
+func (c *testCluster) recordViolation(format string, values ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.clock.Monotonic())+fmt.Sprintf(format, values...))
 }
 
 // step lets one millisecond pass.
-func (w *world) step() {
-	w.clock.Advance(time.Millisecond)
-	now := w.clock.Monotonic()
-	due := w.letters
-	w.letters = nil
-	for _, one := range due {
-		if one.due > now {
-			w.letters = append(w.letters, one)
+func (c *testCluster) step() {
+	c.clock.Advance(time.Millisecond)
+	now := c.clock.Monotonic()
+	due := c.messages
+	c.messages = nil
+	for _, message := range due {
+		if message.due > now {
+			c.messages = append(c.messages, message)
 			continue
 		}
-		one.run()
+		message.run()
 	}
-	for _, one := range w.nodes {
-		if one.isUp && !one.isFrozen {
-			one.turn(now)
+	for _, node := range c.nodes {
+		if node.isUp && !node.isFrozen {
+			node.runOnce(now)
 		}
 	}
-	w.checkLeases()
+	c.checkLeases()
 }
 
-func (n *node) turn(now time.Duration) {
-	if n.disk.mayEnd(now, n.world.draw) {
-		line := n.disk.line
-		n.disk.line, n.disk.begunAt = nil, now
+func (n *testNode) runOnce(now time.Duration) {
+	if n.disk.maySync(now, n.cluster.random) {
+		line := n.disk.pendingWrites
+		n.disk.pendingWrites, n.disk.syncBegunAt = nil, now
 		for _, sync := range line {
 			sync()
 		}
 	}
-	n.replicas.Box().Drain()
+	n.replicas.Mailbox().Drain()
 	if now%(25*time.Millisecond) == 0 && now >= n.busyUntil {
 		n.engine.Tick()
 	}
 }
 
-func (w *world) checkLeases() {
+func (c *testCluster) checkLeases() {
 	var holders []string
-	for _, one := range w.nodes {
-		if one.isUp && one.machine.tenure != nil && one.machine.tenure.HasLease() {
-			holders = append(holders, one.name)
-			w.checkVouched(one)
+	for _, node := range c.nodes {
+		if node.isUp && node.machine.leadership != nil && node.machine.leadership.HasLease() {
+			holders = append(holders, node.name)
+			c.checkLeaseGranted(node)
 		}
 	}
 	if len(holders) > 1 {
-		w.problem("two leases at once: %v", holders)
+		c.recordViolation("two leases at once: %v", holders)
 	}
 }
 
-// checkVouched looks whether a majority of a leader's voters would refuse any other now; those that are down or gone do.
-func (w *world) checkVouched(leader *node) {
+// checkLeaseGranted looks whether a majority of a leader's voters would refuse any other now; those that are down or gone do.
+func (c *testCluster) checkLeaseGranted(leader *testNode) {
 	refuses := func(disk string) bool {
-		voter := w.byDisk(disk)
-		return voter == nil || !voter.isUp || voter.clock.Monotonic() < voter.replicas.Status(key).LeaseEnd
+		voter := c.byDisk(disk)
+		return voter == nil || !voter.isUp || voter.clock.Monotonic() < voter.replicas.Status(key).LeaseUntil
 	}
-	if set := leader.engine.Belief().Set; !replication.Agreed(set, refuses) {
-		w.problem("%s counts on a lease that no majority of %v has granted", leader.name, set)
+	if set := leader.engine.Belief().Set; !replication.HasQuorum(set, refuses) {
+		c.recordViolation("%s counts on a lease that no majority of %v has granted", leader.name, set)
 	}
 }
 
-func (w *world) run(length time.Duration) {
+func (c *testCluster) run(length time.Duration) {
 	for range length / time.Millisecond {
-		w.step()
+		c.step()
 	}
 }
 
-func (w *world) owner() *node {
-	place := slices.IndexFunc(w.nodes, func(one *node) bool {
-		return one.isUp && !one.isFrozen && one.machine.tenure != nil && one.machine.tenure.HasLease()
+func (c *testCluster) leader() *testNode {
+	index := slices.IndexFunc(c.nodes, func(node *testNode) bool {
+		return node.isUp && !node.isFrozen && node.machine.leadership != nil && node.machine.leadership.HasLease()
 	})
-	if place < 0 {
+	if index < 0 {
 		return nil
 	}
-	return w.nodes[place]
+	return c.nodes[index]
 }
 
 // write hands a change to whoever holds the key, and notes it once it is acknowledged.
-func (w *world) write() {
-	for _, one := range w.nodes {
-		if !one.isUp || one.isFrozen || one.machine.tenure == nil {
+func (c *testCluster) write() {
+	for _, node := range c.nodes {
+		if !node.isUp || node.isFrozen || node.machine.leadership == nil {
 			continue
 		}
-		w.written++
-		name := fmt.Sprintf("n%d", w.written)
-		value := `"` + name + strings.Repeat("x", w.bulk) + `"`
-		one.machine.tenure.Commit([]wire.Op{{Name: name, Value: []byte(value)}}, func(err error) {
+		c.writeCount++
+		name := fmt.Sprintf("n%d", c.writeCount)
+		value := `"` + name + strings.Repeat("x", c.valueBytes) + `"`
+		node.machine.leadership.Commit([]wire.Op{{Name: name, Value: []byte(value)}}, func(err error) {
 			if err == nil {
-				w.acked[name] = value
-				w.checkAcknowledged(one, name)
+				c.acknowledged[name] = value
+				c.checkAcknowledged(node, name)
 			}
 		})
 	}
@@ -588,18 +588,18 @@
 
 // checkAcknowledged looks at a change in the moment of its acknowledgement: a majority of its leader's voters must hold
 // it, and each leader of a later epoch.
-func (w *world) checkAcknowledged(leader *node, name string) {
+func (c *testCluster) checkAcknowledged(leader *testNode, name string) {
 	set := leader.engine.Belief().Set
-	holds := func(disk string) bool { one := w.byDisk(disk); return one != nil && one.holds(name) }
-	if w.clock.Monotonic()-w.wipedAt > 2*time.Second && !replication.Agreed(set, holds) {
-		w.problem("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
-	}
-	for _, one := range w.nodes {
-		isLater := one.isUp && one.machine.tenure != nil && one.engine.Epoch() > leader.engine.Epoch()
-		if _, holds := one.machine.held[name]; isLater && !holds {
-			w.problem("%s was acknowledged by %s while %s leads a later epoch without it", name, leader.name, one.name)
+	holds := func(disk string) bool { node := c.byDisk(disk); return node != nil && node.holds(name) }
+	if c.clock.Monotonic()-c.lastWipeAt > 2*time.Second && !replication.HasQuorum(set, holds) {
+		c.recordViolation("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
+	}
+	for _, node := range c.nodes {
+		isLater := node.isUp && node.machine.leadership != nil && node.engine.Epoch() > leader.engine.Epoch()
+		if _, holds := node.machine.values[name]; isLater && !holds {
+			c.recordViolation("%s was acknowledged by %s while %s leads a later epoch without it", name, leader.name, node.name)
 		}
 	}
 }
 
-func (n *node) holds(name string) bool { return n.disk.names[name] }
+func (n *testNode) holds(name string) bool { return n.disk.pairNames[name] }
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -97,7 +97,7 @@
 	It("keeps a promise, with all folders that were made for it", func() {
 		before, after := promiseAndLosePower(&losingFiles{left: -1})
 		Expect(after.Disk()).To(Equal(before))
-		heads, err := after.Heads()
+		heads, err := after.ReplicaStates()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(heads["k"].Promised).To(Equal(uint64(3)))
 	})
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -54,7 +54,7 @@
 type Store struct {
 	db   *bolt.DB
 	disk string
-	bare bool
+	isNew bool
 	jobs chan job
 	over chan struct{}
 
@@ -133,7 +133,7 @@
 		if _, err := rand.Read(name[:]); err != nil {
 			return err
 		}
-		s.disk, s.bare = hex.EncodeToString(name[:]), true
+		s.disk, s.isNew = hex.EncodeToString(name[:]), true
 		return meta.Put(nameDisk, []byte(s.disk))
 	})
 }
@@ -141,8 +141,8 @@
 // Disk is the random name that the disk got when its file was made.
 func (s *Store) Disk() string { return s.disk }
 
-// Bare tells whether the disk was empty when it was opened.
-func (s *Store) Bare() bool { return s.bare }
+// IsNew tells whether the disk was empty when it was opened.
+func (s *Store) IsNew() bool { return s.isNew }
 
 // Close writes what was submitted and closes the file; nothing may be submitted afterwards.
 func (s *Store) Close() error {
@@ -295,8 +295,8 @@
 	return head, easyjson.Unmarshal(bytes.Clone(text), &head)
 }
 
-// Heads are the states of all replicas on the disk, by key.
-func (s *Store) Heads() (map[string]ReplicaState, error) {
+// ReplicaStates are the states of all replicas on the disk, by key.
+func (s *Store) ReplicaStates() (map[string]ReplicaState, error) {
 	all := map[string]ReplicaState{}
 	err := s.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketHeads).ForEach(func(key, text []byte) error {
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -38,7 +38,7 @@
 	AfterEach(func() { Expect(store.Close()).To(Succeed()) })
 
 	It("keeps its disk's name, its promises and its pairs", func() {
-		Expect(store.Bare()).To(BeTrue())
+		Expect(store.IsNew()).To(BeTrue())
 		disk := store.Disk()
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeTrue())
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []wire.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
@@ -47,7 +47,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		store = again
 		Expect(store.Disk()).To(Equal(disk))
-		Expect(store.Bare()).To(BeFalse())
+		Expect(store.IsNew()).To(BeFalse())
 		whole, err := store.Read("k")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(whole.Last).To(Equal(at(3, 1)))
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -64,14 +64,14 @@
 	if kept.store != nil {
 		b.tree.Add("known-peers", b.savePeers(kept.store, knownPeers))
 		b.tree.Add("replicas", func(ctx context.Context) error {
-			kept.replicas.Box().Run(ctx, b.clock, mailbox.Owner{Every: time.Minute})
+			kept.replicas.Mailbox().Run(ctx, b.clock, mailbox.Owner{Every: time.Minute})
 			return nil
 		})
 	}
 	b.tree.Add("plan", book.Run)
 	b.tree.Add("keys", ring.Run)
 	b.tree.Add("control-calls", b.serving(control, outer, operatorLeave))
-	if b.settings.InitialStart && kept.store != nil && kept.store.Bare() {
+	if b.settings.InitialStart && kept.store != nil && kept.store.IsNew() {
 		b.tree.Add("first-voters", func(ctx context.Context) error { ring.FoundFirst(ctx, b.settings.Seeds); return nil })
 	}
 	return b.run(func() { ring.Leave(b.settings.GracePeriod() / partOfGrace) })
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -53,11 +53,11 @@
 // Disk is the name that an empty disk gave itself.
 func (d *disk) Disk() string { return d.name }
 
-// Bare tells whether nothing was ever kept here.
-func (d *disk) Bare() bool { return d.isBare }
+// IsNew tells whether nothing was ever kept here.
+func (d *disk) IsNew() bool { return d.isBare }
 
 // Heads are the states of the replicas that were synced.
-func (d *disk) Heads() (map[string]storage.ReplicaState, error) {
+func (d *disk) ReplicaStates() (map[string]storage.ReplicaState, error) {
 	return maps.Clone(d.shelf.Heads), nil
 }
 
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -166,7 +166,7 @@
 }
 
 // drain runs what the disk has told the replicas.
-func (n *node) drain() { n.replicas.Box().Drain() }
+func (n *node) drain() { n.replicas.Mailbox().Drain() }
 
 // kill ends the process at once.
 func (n *node) kill() {
@@ -252,7 +252,7 @@
 
 // isReplaceable tells whether this disk is still a voter and another live one could take its place.
 func (n *node) isReplaceable() bool {
-	set, isVoter := n.replicas.VotingOn()[configleader.Key]
+	set, isVoter := n.replicas.VotingKeys()[configleader.Key]
 	return isVoter && controlkeys.IsReplaceable(n.members(), n.disk.name, set)
 }
 
--- a/internal/simulation/modelcheck/controlmodel/plantlist.go
+++ b/internal/simulation/modelcheck/controlmodel/plantlist.go
@@ -23,7 +23,7 @@
 	"lease-too-long": {about: "A leader counts its lease longer than its replicas do, as if from the answer and not from the call.",
 		lease: 500 * time.Millisecond},
 	"lease-of-another-call": {about: "A leader takes the answer to an earlier heartbeat for that to a later one.",
-		links: func(_ *node, inner *links) replication.Links {
+		links: func(_ *node, inner *links) replication.Transport {
 			return &repeatingLinks{inner, map[string]wire.AppendAnswer{}}
 		}},
 	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
@@ -31,21 +31,21 @@
 	"commit-before-majority": {about: "A leader acknowledges a change before a majority holds it.",
 		tenure: func(_ *node, inner configleader.Tenure) configleader.Tenure { return hastyTenure{inner} }},
 	"commit-in-new-voters-only": {about: "While voters change, a change is committed once a majority of the new ones holds it.",
-		links: func(_ *node, inner *links) replication.Links {
+		links: func(_ *node, inner *links) replication.Transport {
 			return &newVotersLinks{links: inner}
 		}},
 	"voter-change-forgotten": {about: "A replica forgets that a change of voters is under way, so that the next leader begins another.",
 		disk: func(_ *node, inner *disk) replication.Disk { return &simpleSetDisk{inner} }},
 	"learner-counted-early": {about: "A learner that holds nothing says that it has caught up.",
-		links: func(_ *node, inner *links) replication.Links { return &earlyLearnerLinks{inner} }},
+		links: func(_ *node, inner *links) replication.Transport { return &earlyLearnerLinks{inner} }},
 	"learner-counted-between-chunks": {about: "A learner that has some chunks of a state is counted as if it held the state, and what follows it.",
-		links: func(_ *node, inner *links) replication.Links {
+		links: func(_ *node, inner *links) replication.Transport {
 			return &unfinishedLearnerLinks{inner, map[string]bool{}}
 		}},
 	"old-snapshot-installed": {about: "A replica installs the pairs of an older snapshot at the place of a newer one.",
 		disk: func(_ *node, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
 	"chunk-of-another-snapshot": {about: "A chunk of an earlier snapshot is taken in with those of a newer one.",
-		links: func(_ *node, inner *links) replication.Links { return &mixedChunkLinks{inner, map[int][]wire.Op{}} }},
+		links: func(_ *node, inner *links) replication.Transport { return &mixedChunkLinks{inner, map[int][]wire.Op{}} }},
 	"folder-not-synced":        {about: "A folder is not synced after the replica's file was made in it.", isFileUnsafe: true},
 	"replaced-disk-keeps-name": {about: "An empty disk answers under the name of the disk it replaces.", keepsDiskName: true},
 	"leaves-at-once":           {about: "A machine that is replaced goes before its successor holds all that it held.", leavesAtOnce: true},
@@ -83,8 +83,8 @@
 // bareDisk says at each start that it has granted nothing before.
 type bareDisk struct{ *disk }
 
-// Bare says that nothing was ever kept here.
-func (bareDisk) Bare() bool { return true }
+// IsNew says that nothing was ever kept here.
+func (bareDisk) IsNew() bool { return true }
 
 // simpleSetDisk writes a change of voters as if it were over.
 type simpleSetDisk struct{ *disk }
--- a/internal/simulation/modelcheck/controlmodel/plants.go
+++ b/internal/simulation/modelcheck/controlmodel/plants.go
@@ -21,7 +21,7 @@
 	// lease is what replicas grant, if it is not the engines' own.
 	lease   time.Duration
 	disk    func(n *node, inner *disk) replication.Disk
-	links   func(n *node, inner *links) replication.Links
+	links   func(n *node, inner *links) replication.Transport
 	machine func(n *node, inner replication.StateMachine) replication.StateMachine
 	tenure  func(n *node, inner configleader.Tenure) configleader.Tenure
 	// answer changes what a leader tells an operator.
@@ -35,7 +35,7 @@
 	return p.disk(n, n.disk)
 }
 
-func (p plant) wrapLinks(n *node, inner *links) replication.Links {
+func (p plant) wrapLinks(n *node, inner *links) replication.Transport {
 	if p.links == nil {
 		return inner
 	}
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -80,11 +80,11 @@
 // Disk is the name of the disk.
 func (d *Disk) Disk() string { return d.name }
 
-// Bare says whether the disk held nothing when its process started.
-func (d *Disk) Bare() bool { return d.isBare }
+// IsNew says whether the disk held nothing when its process started.
+func (d *Disk) IsNew() bool { return d.isBare }
 
-// Heads are copies of the states of all replicas on the disk.
-func (d *Disk) Heads() (map[string]storage.ReplicaState, error) {
+// ReplicaStates are copies of the states of all replicas on the disk.
+func (d *Disk) ReplicaStates() (map[string]storage.ReplicaState, error) {
 	return maps.Clone(d.Shelf.Heads), nil
 }
 
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -88,7 +88,7 @@
 	if !n.isUp || n.isFrozen {
 		return
 	}
-	n.replicas.Box().Drain()
+	n.replicas.Mailbox().Drain()
 	for _, key := range n.stage.keys {
 		for n.settleKey(key) {
 		}
