--- a/internal/control/replication/followers.go
+++ b/internal/control/replication/append.go
@@ -1,71 +1,19 @@
 package replication
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/control/replication/quorum"
 )
 
-// maxConcurrentHeartbeats is how many heartbeats may be under way to a follower beside a call. Some are needed where an answer takes
-// longer than the pause between two heartbeats; with one alone the lease would end before it can be renewed.
-const maxConcurrentHeartbeats = 3
-
-// failuresBeforePause is how many calls in a row a follower may leave without effect before the leader pauses.
-const failuresBeforePause = 2
-
-// followerProgress is what the leader knows of a disk that it sends changes to: a voter or a learner, its own disk too.
-type followerProgress struct {
-	disk string
-	// acked is the position that the disk has said it holds; it counts only while isPositionKnown.
-	acked         wire.LogPosition
-	isPositionKnown       bool
-	needsSnapshot bool
-
-	// isBusy tells that a call is under way, renewals how many heartbeats are under way beside it.
-	isBusy   bool
-	concurrentHeartbeats int
-	sentAt   time.Duration
-	// failures counts calls in a row that brought the follower no further; before pausedUntil it gets heartbeats only.
-	failures    int
-	pausedUntil time.Duration
-
-	// lastContact is the last answer other than to a heartbeat beside a call, so that a disk that hangs counts as silent.
-	lastContact time.Duration
-	leaseUntil  time.Duration
-	wallOffsetMs  int64
-	hasWallOffset     bool
-	syncDelay       time.Duration
-	hasSyncDelay    bool
-
-	transfer  *snapshotTransfer
-	nextChunk int
-	// retention is what is kept for it beyond the usual, from the begin of a transfer until it has caught up.
-	retention retention
-	lacksChunkSupport   bool
-
-	// isLeaving tells that its process is about to end.
-	isLeaving bool
-}
-
-// followerOf gives the follower of a disk, from now on if there is none yet.
-func (e *Engine) followerOf(disk string) *followerProgress {
-	follower := e.followers[disk]
-	if follower == nil {
-		follower = &followerProgress{disk: disk, lastContact: e.clock.Monotonic()}
-		e.followers[disk] = follower
-	}
-	return follower
-}
-
-func (e *Engine) sortedFollowers() []*followerProgress {
-	followers := make([]*followerProgress, 0, len(e.followers))
-	for _, disk := range slices.Sorted(maps.Keys(e.followers)) {
-		followers = append(followers, e.followers[disk])
-	}
-	return followers
-}
+const (
+	// maxConcurrentHeartbeats is how many heartbeats may be under way to a follower beside a call. Some are needed where an
+	// answer takes longer than the pause between two heartbeats; with one alone the lease would end before it can be renewed.
+	maxConcurrentHeartbeats = 3
+	// failuresBeforePause is how many calls in a row a follower may leave without effect before the leader pauses.
+	failuresBeforePause = 2
+)
 
 // replicate sends every follower what it lacks.
 func (e *Engine) replicate() {
@@ -79,50 +27,63 @@
 	if follower.isBusy || !isHeartbeat && e.clock.Monotonic() < follower.pausedUntil {
 		return
 	}
-	call := e.appendCall()
-	call.Prev = follower.acked
-	getsSnapshot := follower.needsSnapshot && e.clock.Monotonic()-follower.lastContact < e.timing.LostAfter
-	if getsSnapshot {
-		transfer := e.transferFor(follower)
-		if transfer == nil {
-			if isHeartbeat {
-				e.callAppend(follower, call)
-			}
-			return
-		}
-		call.Prev = transfer.snapshot.Last
-		if transfer.count() > 1 && !follower.lacksChunkSupport {
-			call.Chunk = transfer.chunk(follower.nextChunk)
-			e.callAppend(follower, call)
-			return
-		}
-		call.Snapshot = &transfer.snapshot
+	if follower.needsSnapshot && e.isInContact(follower) {
+		e.sendSnapshot(follower, isHeartbeat)
+		return
 	}
-	if follower.isPositionKnown || getsSnapshot {
-		changes, isKept := e.changesAfter(call.Prev)
-		if !isKept {
-			follower.isPositionKnown, follower.needsSnapshot = false, true
-			return
+	call := e.appendCall(follower.acked)
+	if !follower.isPositionKnown {
+		// The answer to a call without changes tells the position.
+		e.callAppend(follower, call)
+		return
+	}
+	changes, isKept := e.changes.after(call.Prev)
+	if !isKept {
+		follower.isPositionKnown, follower.needsSnapshot = false, true
+		return
+	}
+	call.Changes = changes
+	if len(changes) > 0 || isHeartbeat {
+		e.callAppend(follower, call)
+	}
+}
+
+// sendSnapshot sends a follower the next chunk of the key's state, or all of it and the changes that follow on it if one call
+// can carry the state. While the state is still being read, only a heartbeat goes out.
+func (e *Engine) sendSnapshot(follower *followerProgress, isHeartbeat bool) {
+	transfer := e.transferFor(follower)
+	if transfer == nil {
+		if isHeartbeat {
+			e.callAppend(follower, e.appendCall(follower.acked))
 		}
-		call.Changes = changes
-	} else {
-		isHeartbeat = true
+		return
 	}
-	if len(call.Changes) == 0 && call.Snapshot == nil && !isHeartbeat {
+	call := e.appendCall(transfer.snapshot.Last)
+	if transfer.count() > 1 && !follower.lacksChunkSupport {
+		call.Chunk = transfer.chunk(follower.nextChunk)
+		e.callAppend(follower, call)
 		return
 	}
+	changes, isKept := e.changes.after(call.Prev)
+	if !isKept {
+		follower.isPositionKnown, follower.needsSnapshot = false, true
+		return
+	}
+	call.Snapshot, call.Changes = &transfer.snapshot, changes
 	e.callAppend(follower, call)
 }
 
-func (e *Engine) appendCall() wire.AppendCall {
-	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk}
+// appendCall is a call of this leadership without changes.
+func (e *Engine) appendCall(prev wire.LogPosition) wire.AppendCall {
+	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk, Prev: prev}
 }
 
+// callAppend makes the one call at a time that may bring a follower further.
 func (e *Engine) callAppend(follower *followerProgress, call wire.AppendCall) {
 	follower.isBusy, follower.sentAt = true, e.clock.Monotonic()
-	attempt, sentAt := e.generation, follower.sentAt
+	generation, sentAt := e.generation, follower.sentAt
 	e.transport.Append(follower.disk, call, func(answer wire.AppendAnswer, err error) {
-		if e.generation != attempt {
+		if e.generation != generation {
 			return
 		}
 		follower.isBusy = false
@@ -137,16 +98,15 @@
 // renewLease sends a voter a heartbeat beside a call that takes long, as a large one on a slow link or one that waits
 // for a slow disk. Its answer renews the lease and nothing else, as it says nothing about the call.
 func (e *Engine) renewLease(follower *followerProgress) {
-	if follower.concurrentHeartbeats >= maxConcurrentHeartbeats || !slices.Contains(disksOf(e.voters), follower.disk) {
+	if follower.concurrentHeartbeats >= maxConcurrentHeartbeats || !quorum.Contains(e.voters.set, follower.disk) {
 		return
 	}
 	follower.concurrentHeartbeats++
 	follower.sentAt = e.clock.Monotonic()
-	call := e.appendCall()
-	call.Prev = follower.acked
-	attempt, sentAt := e.generation, follower.sentAt
+	call := e.appendCall(follower.acked)
+	generation, sentAt := e.generation, follower.sentAt
 	e.transport.Append(follower.disk, call, func(answer wire.AppendAnswer, err error) {
-		if e.generation != attempt {
+		if e.generation != generation {
 			return
 		}
 		follower.concurrentHeartbeats--
@@ -163,13 +123,14 @@
 		return false
 	}
 	if answer.Promised > e.epoch {
-		e.highestEpochSeen = max(e.highestEpochSeen, answer.Promised)
+		e.campaignState.highestEpochSeen = max(e.campaignState.highestEpochSeen, answer.Promised)
 		e.stepDown("a higher epoch was promised")
 		return false
 	}
 	return e.followers[follower.disk] == follower
 }
 
+// handleAppendAnswer takes the answer to a call of callAppend that was sent at that moment, and sends what comes next.
 func (e *Engine) handleAppendAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer, sentAt time.Duration) {
 	if !e.isAnswerOf(follower, answer) {
 		return
@@ -183,8 +144,7 @@
 	}
 	before := *follower
 	e.notePosition(follower, call, answer)
-	if answer.Taken || before.isPositionKnown != follower.isPositionKnown || before.needsSnapshot != follower.needsSnapshot ||
-		before.acked != follower.acked || before.nextChunk != follower.nextChunk {
+	if answer.Taken || hasMoved(&before, follower) {
 		follower.failures, follower.pausedUntil = 0, 0
 	} else {
 		e.noteFailure(follower)
@@ -195,13 +155,19 @@
 	}
 }
 
+// hasMoved tells whether an answer has changed what the follower is to be sent next.
+func hasMoved(before, after *followerProgress) bool {
+	return before.isPositionKnown != after.isPositionKnown || before.needsSnapshot != after.needsSnapshot ||
+		before.acked != after.acked || before.nextChunk != after.nextChunk
+}
+
 // notePosition takes from an answer where the follower stands, and so what it is to be sent next.
 func (e *Engine) notePosition(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
-	_, isNear := e.changesAfter(answer.Last)
+	_, isKept := e.changes.after(answer.Last)
 	switch {
-	case answer.Taken || isNear:
+	case answer.Taken || isKept:
 		follower.isPositionKnown, follower.needsSnapshot, follower.acked, follower.transfer = true, false, answer.Last, nil
-		if e.last.Index-follower.acked.Index <= maxLag {
+		if e.changes.last.Index-follower.acked.Index <= maxLag {
 			follower.retention = retention{}
 		}
 	case call.Chunk != nil:
--- a/internal/control/replication/availability_test.go
+++ b/internal/control/replication/availability_test.go
@@ -77,7 +77,7 @@
 	})
 })
 
-// restartedBehind is a world in which the voter that asks first lacks a change, and all have forgotten their history.
+// restartedBehind is a simulated cluster in which the voter that asks first lacks a change, and all have forgotten their history.
 func restartedBehind(seed uint64) (c *testCluster, late *testNode) {
 	c, _ = newLoadedCluster(seed)
 	late = c.leader()
--- a/internal/control/replication/commit.go
+++ b/internal/control/replication/commit.go
@@ -4,59 +4,87 @@
 	"slices"
 
 	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/control/replication/quorum"
 )
 
+// pendingCommit is a proposed change whose proposer waits for the quorum.
 type pendingCommit struct {
 	index uint64
 	done  func(error)
 }
 
-func (e *Engine) propose(ops []wire.Op, set *wire.VoterSet, done func(error)) {
-	e.last = wire.LogPosition{Epoch: e.epoch, Index: e.last.Index + 1}
-	change := wire.Change{Position: e.last, Ops: ops, Set: set}
-	e.recent = append(e.recent, change)
-	e.recentSize += sizeOf(change)
-	if set != nil {
-		e.voters, e.votersIndex = *set, e.last.Index
+// commitQueue knows how far the log is committed, and who waits for more. The pending commits are in the order of their
+// indices, all of them above index.
+type commitQueue struct {
+	index   uint64
+	pending []pendingCommit
+}
+
+// takeUpTo removes the pending commits up to an index and gives them.
+func (q *commitQueue) takeUpTo(index uint64) []pendingCommit {
+	count := 0
+	for count < len(q.pending) && q.pending[count].index <= index {
+		count++
+	}
+	taken := slices.Clone(q.pending[:count])
+	q.pending = slices.Clone(q.pending[count:])
+	return taken
+}
+
+// takeAll removes all pending commits and gives them.
+func (q *commitQueue) takeAll() []pendingCommit {
+	taken := q.pending
+	q.pending = nil
+	return taken
+}
+
+// propose appends a change to the log and sends it to all followers; done is called once it is committed, or with
+// ErrLeadershipLost. A voter set counts from the moment of its proposal, as in Raft.
+func (e *Engine) propose(ops []wire.Op, voters *wire.VoterSet, done func(error)) {
+	change := e.changes.append(e.epoch, ops, voters)
+	if voters != nil {
+		e.voters = voterState{set: *voters, index: change.Position.Index}
 		e.publishLease()
 	}
-	e.pendingCommits = append(e.pendingCommits, pendingCommit{e.last.Index, done})
+	e.commits.pending = append(e.commits.pending, pendingCommit{change.Position.Index, done})
 	e.trimLog()
 	e.replicate()
 }
 
+// advanceCommit commits the changes that a quorum holds by now, and answers those who wait for them.
 func (e *Engine) advanceCommit() {
-	index := e.last.Index
-	for ; index > e.commitIndex; index-- {
-		has := func(disk string) bool {
-			voter := e.followers[disk]
-			return voter != nil && voter.isPositionKnown && voter.acked.Epoch == e.epoch && voter.acked.Index >= index
-		}
-		if HasQuorum(e.voters, has) {
-			break
-		}
-	}
-	if index <= e.commitIndex {
+	index := e.quorumIndex()
+	if index <= e.commits.index {
 		return
 	}
-	e.commitIndex = index
-	ready := 0
-	for ready < len(e.pendingCommits) && e.pendingCommits[ready].index <= index {
-		ready++
-	}
-	done := slices.Clone(e.pendingCommits[:ready])
-	e.pendingCommits = slices.Clone(e.pendingCommits[ready:])
-	attempt := e.generation
-	for _, waiter := range done {
-		if e.generation != attempt {
-			waiter.done(ErrLeadershipLost)
+	e.commits.index = index
+	generation := e.generation
+	for _, commit := range e.commits.takeUpTo(index) {
+		// The one before may have made this engine step down.
+		if e.generation != generation {
+			commit.done(ErrLeadershipLost)
 			continue
 		}
-		waiter.done(nil)
+		commit.done(nil)
 	}
-	if e.generation == attempt {
+	if e.generation == generation {
 		e.leaveJoint()
 		e.trimLog()
 		e.maybeLeave()
 	}
 }
+
+// quorumIndex is the highest index that a quorum holds under this epoch, or the commit index if none is above it. A change of an
+// earlier epoch is only ever committed by one of this epoch that follows it.
+func (e *Engine) quorumIndex() uint64 {
+	for index := e.changes.last.Index; index > e.commits.index; index-- {
+		holds := func(disk string) bool {
+			voter := e.followers[disk]
+			return voter != nil && voter.isPositionKnown && voter.acked.Epoch == e.epoch && voter.acked.Index >= index
+		}
+		if quorum.Reached(e.voters.set, holds) {
+			return index
+		}
+	}
+	return e.commits.index
+}
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -1,158 +1,98 @@
+// Package replication elects one leader at a time for each key and keeps the key's changes on a majority of disks. It is
+// close to Raft, with these differences:
+//
+//   - A voter is a disk with a random name, not an address, so that a wiped disk is a new one and can't vote on what the old one knew.
+//   - An epoch is what Raft calls a term. A vote is a promise, synced before it is given, to follow nobody of a lower epoch.
+//   - A candidate that is elected without holding the furthest state fetches it from the voter that does, and then leads.
+//   - A leader serves reads under a lease: voters that have answered it promise nobody else for Timing.Lease.
+//   - Followers that are too far behind get a snapshot in chunks, and new disks are learners until they follow closely.
+//
+// Engine decides for one key; it has no goroutine, no socket and no clock of its own. Replicas is the table of what one disk
+// holds, has promised and leases out. Package quorum counts majorities. Time comes through clock.Clock, calls go through
+// Transport, and a StateMachine lives on the key while it is led here.
 package replication
 
 import (
 	"time"
 
 	"gannetline/internal/cluster/peerapi/wire"
-	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
-	"gannetline/internal/platform/logging"
-)
-
-// Transport carries an engine's calls; each answer comes back on the engine's own goroutine.
-type Transport interface {
-	// Promise asks the disk's replica for a promise.
-	Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error))
-	// Append sends changes, a snapshot or a heartbeat to the disk's replica.
-	Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error))
-	// Fetch asks the disk's replica for what it holds beyond a position.
-	Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error))
-	// Status reads the state of the local replica.
-	Status(key string, done func(ReplicaStatus))
-	// History reads the changes that the local replica still has one by one.
-	History(key string, done func(History))
-	// ReadLocal reads the whole state of the local replica from its disk. The reading must not hold up the engine's
-	// goroutine, which has leases to renew meanwhile; done is never called within the call.
-	ReadLocal(key string, done func(wire.Snapshot, error))
-	// InstallLocal brings the local replica to a fetched state.
-	InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error))
-}
-
-// StateMachine is what lives on a key while this steward owns it.
-type StateMachine interface {
-	// Open hands the key over with all its values; an error gives the leadership up.
-	Open(leadership *Leadership, pairs []wire.Op) error
-	// Close ends the leadership; commits that wait have failed by then.
-	Close()
-}
-
-// MemberSource tells where disks are now: their members, alive or not.
-type MemberSource func() []wire.Member
-
-// Timing of the replication: the length of a lease, the pause between two heartbeats, the pause by which candidates
-// keep out of each other's way, and the silence after which a voter counts as lost.
-type Timing struct {
-	Lease     time.Duration
-	Heartbeat time.Duration
-	Stagger   time.Duration
-	LostAfter time.Duration
-}
-
-// DefaultTiming finds a new leader about a second after the old one has gone.
-var DefaultTiming = Timing{Lease: 700 * time.Millisecond, Heartbeat: 175 * time.Millisecond,
-	Stagger: 100 * time.Millisecond, LostAfter: 1500 * time.Millisecond}
-
-const (
-	leaseMargin  = 30 * time.Millisecond
-	maxTailCount     = 20000
-	maxTailBytes = 6 << 20
-	maxChangesPerCall  = 2000
-
-	maxBytesPerCall = 256 << 10
 )
 
+// phase is how far an engine has come towards leading its key.
 type phase int
 
 const (
+	// phaseIdle: another disk leads, or nobody.
 	phaseIdle phase = iota
+	// phaseCandidate: promises are being collected.
 	phaseCandidate
 	// phaseFetching: a majority has promised, but the own disk lacks changes.
 	phaseFetching
 	// phaseOpening: the own disk holds the furthest state, of which the machine is not told yet.
 	phaseOpening
+	// phaseLeading: the state machine is open.
 	phaseLeading
 )
 
-// Engine owns one key's election, replication, lease and voter set. It has no goroutine of its own.
-type Engine struct {
-	key           string
-	disk          string
-	name          string
-	initialVoters []string
-	clock         clock.Clock
-	transport         Transport
-	machine       StateMachine
-	members       MemberSource
-	timing        Timing
-	log           logging.Logger
-	announce      func(fact wire.LeaderFact)
-
-	phase      phase
-	isStatusPending   bool
-	ownState    storage.ReplicaState
-	generation    uint64
-	epoch      uint64
-	highestEpochSeen    uint64
-	nextCampaignAt    time.Duration
-	recentBase wire.LogPosition
-	last       wire.LogPosition
-	commitIndex  uint64
-	voters        wire.VoterSet
-	votersIndex   uint64
-	// fetchedChunks are the chunks of the furthest state that a candidate has so far, also across campaigns.
-	fetchedChunks         chunkBuffer
-	hasYielded bool
-	followers       map[string]*followerProgress
-	recent          []wire.Change
-	recentSize      int
-	pendingCommits         []pendingCommit
-	leadership      *Leadership
-	isLeaving       bool
-	leaveDeadline         time.Duration
-	lastLeaseAt      time.Duration
-	snapshotReader          snapshotReader
-	progress           progressHistory
-
-	voterGoal         int
-	shortSince   time.Duration
-	isShortNoted bool
-
-	openedAt   time.Duration
-	worseSince time.Duration
-	wellSince  time.Duration
-	wasWell    bool
+// identity names the key, the disk on which the engine votes for it, and the process.
+type identity struct {
+	key  string
+	disk string
+	name string
 }
 
-// Option changes how an engine is made.
-type Option func(*Engine)
-
-// WithInitialVoters names the disks that may bootstrap the key where none of them holds it yet.
-func WithInitialVoters(voters []string) Option { return func(e *Engine) { e.initialVoters = voters } }
-
-// WithMachineLosses sets how many disks a key must be able to lose at once; its voters grow to twice that and one.
-func WithMachineLosses(losses int) Option {
-	return func(e *Engine) { e.voterGoal = 2*max(1, losses) + 1 }
+// environment is all that an engine reaches beyond itself.
+type environment struct {
+	clock     clock.Clock
+	transport Transport
+	machine   StateMachine
+	members   MemberSource
 }
 
-// WithLog gives the engine a logger; without it, it logs nothing.
-func WithLog(log logging.Logger) Option { return func(e *Engine) { e.log = log } }
-
-// WithAnnounce names the function that is told of each new leadership of this engine.
-func WithAnnounce(announce func(wire.LeaderFact)) Option {
-	return func(e *Engine) { e.announce = announce }
+// Engine leads or seeks to lead one key. All methods belong to one goroutine, on which the answers of its calls come back too.
+type Engine struct {
+	identity
+	environment
+	options
+
+	phase phase
+	// generation rises whenever the engine begins a campaign, moves from pre-vote to vote, or steps down. An answer to a call
+	// of an earlier generation is dropped, so that nothing of an ended leadership touches the next.
+	generation uint64
+	// epoch is that of the leadership, or of the last one. No other disk ever leads under the same.
+	epoch         uint64
+	campaignState campaignState
+
+	// The fields from here on belong to a leadership, and begin anew with each in openLeadership.
+	leadership *Leadership
+	// changes ends with the last change that this leader has proposed; a follower's position is compared with it.
+	changes changeLog
+	commits commitQueue
+	voters  voterState
+	// followers are those the leader sends to, by disk: voters, learners and its own disk.
+	followers map[string]*followerProgress
+	// lastLeaseAt is when a quorum last vouched for this leader.
+	lastLeaseAt time.Duration
+	snapshots   snapshotReader
+	progress    progressHistory
+	slowness    slownessWatch
+	shortage    shortageWatch
+
+	leaving leaveRequest
 }
 
 // NewEngine makes an engine for one key on the replica of one disk; it does nothing before the first Tick.
-func NewEngine(key, disk, name string, clock clock.Clock, links Transport, machine StateMachine, members MemberSource, options ...Option) *Engine {
-	engine := &Engine{key: key, disk: disk, name: name, clock: clock, transport: links, machine: machine, members: members,
-		timing: DefaultTiming, voterGoal: 3, log: logging.Silent(), announce: func(wire.LeaderFact) {}}
-	for _, option := range options {
-		option(engine)
+func NewEngine(key, disk, name string, clock clock.Clock, transport Transport, machine StateMachine, members MemberSource, opts ...Option) *Engine {
+	engine := &Engine{identity: identity{key: key, disk: disk, name: name}, options: defaultOptions(),
+		environment: environment{clock: clock, transport: transport, machine: machine, members: members}}
+	for _, option := range opts {
+		option(&engine.options)
 	}
 	return engine
 }
 
-// IsLeader says whether the engine leads the key; whether it may answer for it is up to the lease.
+// IsLeader tells whether the engine leads the key; whether it may answer for it is up to the lease.
 func (e *Engine) IsLeader() bool { return e.phase == phaseLeading }
 
 // Epoch is the epoch under which the engine leads the key, or last did.
@@ -160,7 +100,7 @@
 
 // Belief is what the engine would tell an operator of its key.
 func (e *Engine) Belief() wire.KeyBelief {
-	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.last, Set: e.voters}
+	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.changes.last, Set: e.voters.set}
 }
 
 // Tick does all that falls due; it is called often.
@@ -175,37 +115,35 @@
 	}
 }
 
-// stepDown ends a candidacy or a leadership; changes that are not yet committed get an unclear end.
+// step is a phase within a generation. What is done after a call came back is only right if the engine is still in the step in
+// which it made the call.
+type step struct {
+	generation uint64
+	phase      phase
+}
+
+func (e *Engine) step() step { return step{e.generation, e.phase} }
+
+// stepDown ends a candidacy or a leadership; changes that are not yet committed end with ErrLeadershipLost.
 func (e *Engine) stepDown(reason string) {
 	if e.phase == phaseIdle {
 		return
 	}
-	e.log.Info("no longer owner of key", "key", e.key, "epoch", e.epoch, "why", reason)
+	e.log.Info("stepped down", "key", e.key, "epoch", e.epoch, "reason", reason)
 	wasLeader := e.phase == phaseLeading
 	e.phase = phaseIdle
 	e.generation++
-	waiters := e.pendingCommits
-	e.pendingCommits, e.recent, e.recentSize = nil, nil, 0
+	pending := e.commits.takeAll()
+	e.changes.clear()
 	if e.leadership != nil {
 		e.leadership.isOver.Store(true)
 		e.leadership = nil
 	}
 	e.backOff()
-	for _, waiter := range waiters {
-		waiter.done(ErrLeadershipLost)
+	for _, commit := range pending {
+		commit.done(ErrLeadershipLost)
 	}
 	if wasLeader {
 		e.machine.Close()
 	}
 }
-
-// Leave hands the key over to the follower that holds most, once no change is under way or a moment has passed; no
-// campaign begins after it.
-func (e *Engine) Leave() {
-	e.isLeaving = true
-	e.leaveDeadline = e.clock.Monotonic() + maxLeaveWait
-	if e.phase == phaseCandidate {
-		e.backOff()
-	}
-	e.maybeLeave()
-}
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -4,12 +4,15 @@
 	"time"
 
 	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/control/replication/quorum"
 )
 
-// fetchTask is how a candidate gets the state of the voter that is furthest, from where its own disk stands.
+// fetchTask is how a candidate gets the state of the voter that is furthest.
 type fetchTask struct {
-	best     wire.PromiseAnswer
-	from     wire.LogPosition
+	furthest wire.PromiseAnswer
+	// from is where the own disk stands.
+	from wire.LogPosition
+	// failures counts the calls in a row that brought nothing.
 	failures int
 }
 
@@ -20,19 +23,19 @@
 	fetchTimeout = 2800 * time.Millisecond
 )
 
-// fetchFrom brings the local disk to the best state, and opens it. The changes come in calls of limited size, a state
+// fetchFrom brings the local disk to the furthest state, and opens it. The changes come in calls of limited size, a state
 // that the changes no longer lead to in chunks; chunks are kept across campaigns, and whoever holds that very position
 // may send the next.
 func (e *Engine) fetchFrom(furthest wire.PromiseAnswer, from wire.LogPosition) {
 	e.renewCandidateLease()
-	e.fetchNext(&fetchTask{best: furthest, from: from})
+	e.fetchNext(&fetchTask{furthest: furthest, from: from})
 }
 
 // renewCandidateLease renews the lease that the candidate has by its promises, for the few calls that the changes it lacks take.
 // It is asked for once at first, and again only as changes come: a voter that does not send what it has, or a transfer of a
-// whole state, keeps nobody out for longer than one lease.
+// snapshot, keeps nobody out for longer than one lease.
 func (e *Engine) renewCandidateLease() {
-	for _, disk := range disksOf(e.voters) {
+	for _, disk := range quorum.Disks(e.voters.set) {
 		e.renewLease(e.followerOf(disk))
 	}
 }
@@ -44,21 +47,22 @@
 	}
 }
 
+// fetchNext asks for the changes that the own disk lacks, or for the next chunk of the state where changes don't lead to it.
 func (e *Engine) fetchNext(fetch *fetchTask) {
-	e.fetchedChunks.start(fetch.best.Last)
-	from, attempt := fetch.from, e.generation
-	call := wire.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.fetchedChunks.count}
-	e.transport.Fetch(fetch.best.Disk, call, func(answer wire.FetchAnswer, err error) {
+	e.campaignState.fetchedChunks.start(fetch.furthest.Last)
+	from, step := fetch.from, e.step()
+	call := wire.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.campaignState.fetchedChunks.count}
+	e.transport.Fetch(fetch.furthest.Disk, call, func(answer wire.FetchAnswer, err error) {
 		switch {
-		case e.generation != attempt || e.phase != phaseFetching:
+		case e.step() != step:
 		case err != nil:
 			e.retryFetch(fetch)
 		case answer.Chunk != nil:
 			e.handleChunk(fetch, answer.Chunk)
 		case len(answer.Changes) > 0:
 			e.renewCandidateLease()
-			call := e.appendCall()
-			call.Prev, call.Changes = fetch.from, answer.Changes
+			call := e.appendCall(fetch.from)
+			call.Changes = answer.Changes
 			e.installFetched(fetch, call, answer.Changes[len(answer.Changes)-1].Position)
 		default:
 			e.installSnapshot(fetch, answer.Snapshot)
@@ -77,10 +81,10 @@
 
 // continueFetch goes on if no other candidate has a higher epoch here.
 func (e *Engine) continueFetch(fetch *fetchTask) {
-	attempt := e.generation
+	step := e.step()
 	e.transport.Status(e.key, func(status ReplicaStatus) {
 		switch {
-		case e.generation != attempt || e.phase != phaseFetching:
+		case e.step() != step:
 		case status.Promised > e.epoch:
 			e.backOff()
 		default:
@@ -89,19 +93,21 @@
 	})
 }
 
+// handleChunk keeps a chunk of the furthest state, and installs the state once it is complete.
 func (e *Engine) handleChunk(fetch *fetchTask, chunk *wire.SnapshotChunk) {
-	if chunk.At != fetch.best.Last {
+	if chunk.At != fetch.furthest.Last {
 		e.release("the furthest state is another by now", "")
 		return
 	}
-	before := e.fetchedChunks.count
-	e.fetchedChunks.take(chunk)
+	chunks := &e.campaignState.fetchedChunks
+	countBefore := chunks.count
+	chunks.take(chunk)
 	switch {
-	case e.fetchedChunks.isComplete(chunk):
-		e.installSnapshot(fetch, wire.Snapshot{Last: chunk.At, Pairs: e.fetchedChunks.pairs})
-	case !e.hasYielded:
+	case chunks.isComplete(chunk):
+		e.installSnapshot(fetch, wire.Snapshot{Last: chunk.At, Pairs: chunks.pairs})
+	case !e.campaignState.hasYielded:
 		e.yieldToFurthest(fetch)
-	case e.fetchedChunks.count == before:
+	case chunks.count == countBefore:
 		e.retryFetch(fetch)
 	default:
 		fetch.failures = 0
@@ -112,32 +118,33 @@
 // yieldToFurthest lets the voter with the furthest state lead, as it needs no transfer; the candidate asks again a lease later,
 // and fetches the state then if nobody leads.
 func (e *Engine) yieldToFurthest(fetch *fetchTask) {
-	e.hasYielded = true
-	e.release("standing aside for a voter that is ahead", fetch.best.Disk)
-	e.nextCampaignAt = e.clock.Monotonic() + e.timing.Lease
+	e.campaignState.hasYielded = true
+	e.release("standing aside for a voter that is ahead", fetch.furthest.Disk)
+	e.campaignState.nextAt = e.clock.Monotonic() + e.timing.Lease
 }
 
+// installSnapshot writes a snapshot to the local disk, under the voters that were promised.
 func (e *Engine) installSnapshot(fetch *fetchTask, snapshot wire.Snapshot) {
-	e.fetchedChunks = chunkBuffer{}
-	snapshot.Set = fetch.best.Set
-	call := e.appendCall()
+	e.campaignState.fetchedChunks = chunkBuffer{}
+	snapshot.Set = fetch.furthest.Set
+	call := e.appendCall(wire.LogPosition{})
 	call.Snapshot = &snapshot
 	e.installFetched(fetch, call, snapshot.Last)
 }
 
 // installFetched writes what was fetched to the local disk, and opens the state or fetches what is still missing.
 func (e *Engine) installFetched(fetch *fetchTask, call wire.AppendCall, reached wire.LogPosition) {
-	if fetch.best.Last.Below(reached) || !fetch.from.Below(reached) {
+	if fetch.furthest.Last.Below(reached) || !fetch.from.Below(reached) {
 		e.release("what was fetched is not what was asked for", "")
 		return
 	}
-	attempt := e.generation
+	step := e.step()
 	e.transport.InstallLocal(call, func(answer wire.AppendAnswer, err error) {
 		switch {
-		case e.generation != attempt || e.phase != phaseFetching:
+		case e.step() != step:
 		case err != nil || !answer.Taken:
 			e.release("its own disk does not take what was fetched", "")
-		case reached == fetch.best.Last:
+		case reached == fetch.furthest.Last:
 			e.openWithHistory(reached)
 		case call.Snapshot != nil:
 			e.release("the furthest state is another by now", "")
--- a/internal/control/replication/history_test.go
+++ b/internal/control/replication/history_test.go
@@ -15,7 +15,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// others are all nodes but the owner.
+// others are all nodes but the leader.
 func (c *testCluster) others() []*testNode {
 	leader := c.leader()
 	return slices.DeleteFunc(slices.Clone(c.nodes), func(node *testNode) bool { return node == leader })
@@ -30,7 +30,7 @@
 	}
 }
 
-// takeOverBy is a world whose owner dies while one follower is some changes behind the other.
+// takeOverBy is a cluster whose leader dies while one follower is some changes behind the other.
 func takeOverBy(seed uint64) (c *testCluster, dead *testNode) {
 	c = newTestCluster(seed, "a", "b", "c")
 	c.run(2 * time.Second)
@@ -48,7 +48,7 @@
 }
 
 var _ = Describe("a follower that is behind", func() {
-	It("is sent what it misses and no whole state, though the owner is another", func() {
+	It("is sent what it misses and no snapshot, though the leader is another", func() {
 		for seed := range uint64(6) {
 			c, dead := takeOverBy(400 + seed)
 			Expect(c.snapshotsSent + c.snapshotsInstalled).To(BeZero())
@@ -60,7 +60,7 @@
 		}
 	})
 
-	It("is sent what it misses and no whole state when it comes back after hundreds of changes", func() {
+	It("is sent what it misses and no snapshot when it comes back after hundreds of changes", func() {
 		c := newTestCluster(405, "a", "b", "c")
 		c.run(2 * time.Second)
 		away := c.others()[0]
@@ -76,7 +76,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("fetches what it misses and no whole state when it takes over itself, unless its sibling is of the older form", func() {
+	It("fetches what it misses and no snapshot when it takes over itself, unless its peer is of an earlier version", func() {
 		for _, isOld := range []bool{false, true} {
 			c := newTestCluster(420, "a", "b", "c")
 			c.run(2 * time.Second)
@@ -98,7 +98,7 @@
 		}
 	})
 
-	It("is sent the whole state if it holds changes that were never agreed to", func() {
+	It("is sent the snapshot if it holds changes that were never agreed to", func() {
 		c := newTestCluster(410, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.runWithWrites(500 * time.Millisecond)
--- a/internal/control/replication/leadership.go
+++ b/internal/control/replication/leadership.go
@@ -11,7 +11,8 @@
 	"gannetline/internal/platform/clock"
 )
 
-var ErrLeadershipLost = errors.New("the key has another owner now")
+// ErrLeadershipLost ends a commit whose leadership is over. The change may still be committed by a later leader, or may not.
+const ErrLeadershipLost = errors.ConstError("the leadership of the key is lost")
 
 // Leadership is the right to change a key under one epoch. Its methods belong to the engine's goroutine, but for those that
 // say otherwise.
@@ -21,9 +22,9 @@
 	clock  clock.Clock
 
 	isOver atomic.Bool
-	// leaseUntil is when the lease ends on the steady clock, as far as answers have come.
+	// leaseUntil is when the lease ends on the monotonic clock, in nanoseconds, as far as answers have come.
 	leaseUntil atomic.Int64
-	// wallOffsets are the clocks of the other voters, less the steady clock, in milliseconds; the values never change.
+	// wallOffsets are the times of day of the other voters less the monotonic clock, in milliseconds; the values never change.
 	wallOffsets atomic.Pointer[[]int64]
 }
 
@@ -51,7 +52,7 @@
 // IsOpen tells whether the leadership has not ended yet. Any goroutine may ask.
 func (l *Leadership) IsOpen() bool { return !l.isOver.Load() }
 
-// Commit makes a change durable on a majority; done gets an error if the key was lost first.
+// Commit makes a change durable on a quorum; done gets ErrLeadershipLost if the leadership ends first.
 func (l *Leadership) Commit(ops []wire.Op, done func(error)) {
 	if !l.IsOpen() {
 		done(ErrLeadershipLost)
@@ -60,18 +61,19 @@
 	l.engine.propose(ops, nil, done)
 }
 
-// HasLease tells whether a majority vouches, now, that there is no other owner. Any goroutine may ask.
+// HasLease tells whether a quorum vouches, now, that there is no other leader. Any goroutine may ask.
 func (l *Leadership) HasLease() bool {
 	return l.IsOpen() && l.clock.Monotonic() < time.Duration(l.leaseUntil.Load())
 }
 
 // Voters are the disks that vote on the key now.
-func (l *Leadership) Voters() []string { return slices.Clone(l.engine.voters.Now) }
+func (l *Leadership) Voters() []string { return slices.Clone(l.engine.voters.set.Now) }
 
-// WallMs is the median of the voters' clocks, carried on the steady clock. Any goroutine may ask.
+// WallMs is the time of day in milliseconds since 1970: the median of the voters' clocks, carried on the monotonic clock, so
+// that a single clock that jumps changes nothing. Any goroutine may ask.
 func (l *Leadership) WallMs() int64 {
-	steadyMs := l.clock.Monotonic().Milliseconds()
-	offsets := append([]int64{l.clock.WallMs() - steadyMs}, *l.wallOffsets.Load()...)
+	monotonicMs := l.clock.Monotonic().Milliseconds()
+	offsets := append([]int64{l.clock.WallMs() - monotonicMs}, *l.wallOffsets.Load()...)
 	slices.Sort(offsets)
-	return steadyMs + offsets[(len(offsets)-1)/2]
+	return monotonicMs + offsets[(len(offsets)-1)/2]
 }
--- a/internal/control/replication/handover_test.go
+++ b/internal/control/replication/leadershiptransfer_test.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// slowLeader is a world whose owner is slow, while one follower is the quickest of the others.
+// slowLeader is a cluster whose leader is slow, while one follower is the quickest of the others.
 func slowLeader(seed uint64) (c *testCluster, leader, quickest *testNode) {
 	c = newGrownCluster(seed)
 	c.runWithWrites(5 * time.Second)
@@ -43,7 +43,7 @@
 	}
 }
 
-var _ = Describe("an owner that is slow", func() {
+var _ = Describe("a leader that is slow", func() {
 	It("hands its key on to the quickest follower, without a gap that matters", func() {
 		c, _, quickest := slowLeader(300)
 		c.runWithWrites(time.Second)
@@ -100,7 +100,7 @@
 		Expect(c.leader()).To(Equal(leader))
 	})
 
-	It("keeps the key among siblings of the older form, which say nothing of theirs", func() {
+	It("keeps the key among peers of an earlier version, which say nothing of theirs", func() {
 		c, leader, _ := slowLeader(305)
 		for _, node := range c.nodes {
 			node.lacksChunkSupport = true
@@ -109,7 +109,7 @@
 		Expect(c.leader()).To(Equal(leader))
 	})
 
-	It("keeps the key for long if it is the key that makes its owner slow", func() {
+	It("keeps the key for long if it is the key that makes its leader slow", func() {
 		c := newGrownCluster(306)
 		c.runWithWrites(5 * time.Second)
 		hands, last := 0, c.leader()
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -1,5 +1,3 @@
-// Package replication elects one leader at a time for each control key and keeps its changes on a majority of
-// disks. An Engine decides for one key, Replicas keep what one disk holds.
 package replication
 
 import (
@@ -8,6 +6,7 @@
 	"time"
 
 	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/control/replication/quorum"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/mailbox"
@@ -17,47 +16,63 @@
 type Disk interface {
 	// Disk is the name of the disk.
 	Disk() string
-	// IsNew says whether the disk was empty when it was opened.
+	// IsNew tells whether the disk was empty when it was opened.
 	IsNew() bool
 	// Submit queues a write; done gets its outcome after the sync.
 	Submit(write storage.Write, done func(storage.Outcome))
 	// ReplicaStates are the states of all replicas on the disk, by key.
 	ReplicaStates() (map[string]storage.ReplicaState, error)
-	// Read gives the whole state of a replica.
+	// Read gives the snapshot of a replica.
 	Read(key string) (wire.Snapshot, error)
 }
 
+// localReplica is what this process knows of one replica of its disk.
 type localReplica struct {
-	state       storage.ReplicaState
-	promised   uint64
-	leaseUntil  time.Duration
-	leaseHolderDisk   string
-	leaseHolder string
-	released    bool
-	releasedAt  time.Duration
-	successor   string
-
-	releasedEpoch uint64
-	history       history
-	incomingChunks        chunkBuffer
-	// isRemoved tells that the leader has committed a voter set without this disk, which was leaving.
+	// state is what is synced; promised is the highest epoch that is promised or being promised, never below state.Promised.
+	state    storage.ReplicaState
+	promised uint64
+	lease    grantedLease
+	release  releasedLease
+	history  history
+	// incomingChunks are those of a snapshot that a leader sends.
+	incomingChunks chunkBuffer
+	// isVotedOut tells that the leader has committed a voter set without this disk, which was leaving.
 	isVotedOut bool
 	// outgoing is the state as it was last read for a candidate that fetches it in chunks.
 	outgoing *snapshotTransfer
 }
 
-// Replicas is the table of this disk's replicas: what it promised, holds and leases out.
+// grantedLease is the promise of a replica to a leader that no other disk is promised an epoch before the end.
+type grantedLease struct {
+	until      time.Duration
+	holderDisk string
+	holder     string
+}
+
+// releasedLease tells that the leader of an epoch gave the key back, and which disk should ask first.
+type releasedLease struct {
+	isReleased bool
+	at         time.Duration
+	epoch      uint64
+	successor  string
+}
+
+// Replicas is the table of this disk's replicas: what each promised, holds and leases out. It belongs to the goroutine of its
+// mailbox.
 type Replicas struct {
-	mailbox        *mailbox.Mailbox
-	disk       Disk
-	clock      clock.Clock
-	lease      time.Duration
+	mailbox *mailbox.Mailbox
+	disk    Disk
+	clock   clock.Clock
+	// lease is the length of the leases that it grants.
+	lease time.Duration
+	// promisesBlockedUntil ends the first lease after a restart: this process doesn't know what the one before it granted.
 	promisesBlockedUntil time.Duration
-	keys       map[string]*localReplica
-	isLeaving  bool
+	keys                 map[string]*localReplica
+	isLeaving            bool
 }
 
-// NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease.
+// NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease. The error is
+// that of reading the disk.
 func NewReplicas(inbox *mailbox.Mailbox, disk Disk, clock clock.Clock, lease time.Duration) (*Replicas, error) {
 	states, err := disk.ReplicaStates()
 	if err != nil {
@@ -73,9 +88,10 @@
 	return table, nil
 }
 
-// Mailbox is the mailbox of the goroutine that owns the table.
+// Mailbox is that of the goroutine that leads the table.
 func (r *Replicas) Mailbox() *mailbox.Mailbox { return r.mailbox }
 
+// replicaOf gives the replica of a key, an empty one if the disk has none yet.
 func (r *Replicas) replicaOf(key string) *localReplica {
 	replica := r.keys[key]
 	if replica == nil {
@@ -85,10 +101,11 @@
 	return replica
 }
 
-// Promise must run on the table's goroutine.
+// Promise answers a candidate. It refuses while another disk holds the lease, and an epoch that is not above all that were
+// promised; a promise is synced before it is given. It must run on the table's goroutine.
 func (r *Replicas) Promise(call wire.PromiseCall, answer func(wire.PromiseAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
-	isLeased := now < replica.leaseUntil && replica.leaseHolderDisk != call.Disk
+	isLeased := now < replica.lease.until && replica.lease.holderDisk != call.Disk
 	if isLeased || now < r.promisesBlockedUntil || call.Epoch <= replica.promised {
 		answer(r.promiseAnswer(replica.state, max(replica.promised, replica.state.Promised), false))
 		return
@@ -98,11 +115,11 @@
 		return
 	}
 	replica.promised = call.Epoch
-	replica.leaseUntil = 0
+	replica.lease.until = 0
 	r.disk.Submit(storage.Write{Key: call.Key, Epoch: call.Epoch, Promise: true}, func(outcome storage.Outcome) {
 		r.mailbox.Post(func() {
-			r.applyOutcome(replica, outcome)
-			answer(r.promiseAnswer(outcome.Head, call.Epoch, outcome.Taken))
+			replica.applyOutcome(outcome)
+			answer(r.promiseAnswer(outcome.State, call.Epoch, outcome.Taken))
 		})
 	})
 }
@@ -111,71 +128,93 @@
 	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: state.Last, Set: state.Set, Disk: r.disk.Disk()}
 }
 
-func (r *Replicas) applyOutcome(replica *localReplica, outcome storage.Outcome) {
-	if outcome.Err == nil {
-		if outcome.Head.Last != replica.state.Last {
-			replica.outgoing = nil
-		}
-		replica.state = outcome.Head
-		replica.promised = max(replica.promised, outcome.Head.Promised)
+// applyOutcome takes what a write has left on the disk; one that failed tells nothing.
+func (replica *localReplica) applyOutcome(outcome storage.Outcome) {
+	if outcome.Err != nil {
+		return
+	}
+	if outcome.State.Last != replica.state.Last {
+		replica.outgoing = nil
 	}
+	replica.state = outcome.State
+	replica.promised = max(replica.promised, outcome.State.Promised)
 }
 
-// Append must run on the table's goroutine.
+// Append takes a leader's changes, snapshot, chunk, heartbeat or release, and grants it a lease; it refuses a leader whose
+// epoch is below what was promised. The answer comes after the sync. It must run on the table's goroutine.
 func (r *Replicas) Append(call wire.AppendCall, answer func(wire.AppendAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
 	if call.Epoch < replica.promised {
-		answer(r.appendAnswer(replica.state.Last, replica.promised, false))
+		answer(r.appendAnswer(replica, false))
 		return
 	}
 	// Also a call without changes ends all older epochs here; else an old leader could take the lease of this one.
 	replica.promised = call.Epoch
 	if call.Release {
 		replica.noteRelease(now, call.Epoch, call.Successor)
-		answer(r.appendAnswer(replica.state.Last, replica.promised, true))
+		answer(r.appendAnswer(replica, true))
 		return
 	}
 	if call.VotedOut {
 		replica.isVotedOut = true
 	}
-	if call.Epoch > replica.releasedEpoch {
-		replica.leaseUntil, replica.leaseHolderDisk, replica.leaseHolder, replica.released = now+r.lease, call.Disk, call.Owner, false
-	}
-	if call.Chunk != nil {
-		replica.incomingChunks.take(call.Chunk)
-		if !replica.incomingChunks.isComplete(call.Chunk) {
-			response := r.appendAnswer(replica.state.Last, replica.promised, false)
-			response.Chunks = replica.incomingChunks.count
-			answer(response)
-			return
-		}
-		call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: replica.incomingChunks.pairs}
-		replica.incomingChunks = chunkBuffer{}
+	replica.grantLease(call, now+r.lease)
+	if call.Chunk != nil && !replica.completeSnapshot(&call) {
+		response := r.appendAnswer(replica, false)
+		response.Chunks = replica.incomingChunks.count
+		answer(response)
+		return
 	}
 	if len(call.Changes) == 0 && call.Snapshot == nil {
-		answer(r.appendAnswer(replica.state.Last, replica.promised, call.Epoch == replica.state.Promised && replica.state.Last == call.Prev))
+		answer(r.appendAnswer(replica, call.Epoch == replica.state.Promised && replica.state.Last == call.Prev))
 		return
 	}
+	r.write(replica, call, answer)
+}
+
+// write brings the changes or the snapshot of a call to the disk.
+func (r *Replicas) write(replica *localReplica, call wire.AppendCall, answer func(wire.AppendAnswer)) {
 	write := storage.Write{Key: call.Key, Epoch: call.Epoch, Prev: call.Prev, Changes: call.Changes, Snapshot: call.Snapshot}
 	r.disk.Submit(write, func(outcome storage.Outcome) {
 		r.mailbox.Post(func() {
-			r.applyOutcome(replica, outcome)
+			replica.applyOutcome(outcome)
 			if outcome.Taken {
 				replica.history.take(call)
 			}
-			answer(r.appendAnswer(replica.state.Last, replica.promised, outcome.Taken))
+			answer(r.appendAnswer(replica, outcome.Taken))
 		})
 	})
 }
 
-// noteRelease ends the lease of an epoch; what its owner sent before and comes later brings no new one.
-func (r *localReplica) noteRelease(now time.Duration, epoch uint64, successor string) {
-	r.leaseUntil, r.released, r.releasedAt, r.releasedEpoch, r.successor = 0, true, now, epoch, successor
+// grantLease lets the leader of the call keep others out until that moment, unless it has released its epoch before: a call
+// that it sent earlier and that comes later brings no new lease.
+func (replica *localReplica) grantLease(call wire.AppendCall, until time.Duration) {
+	if call.Epoch > replica.release.epoch {
+		replica.lease = grantedLease{until: until, holderDisk: call.Disk, holder: call.Owner}
+		replica.release.isReleased = false
+	}
+}
+
+// noteRelease ends the lease of an epoch.
+func (replica *localReplica) noteRelease(now time.Duration, epoch uint64, successor string) {
+	replica.lease.until = 0
+	replica.release = releasedLease{isReleased: true, at: now, epoch: epoch, successor: successor}
+}
+
+// completeSnapshot keeps the chunk of a call; once all chunks are here, the call carries the snapshot in its place.
+func (replica *localReplica) completeSnapshot(call *wire.AppendCall) bool {
+	replica.incomingChunks.take(call.Chunk)
+	if !replica.incomingChunks.isComplete(call.Chunk) {
+		return false
+	}
+	call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: replica.incomingChunks.pairs}
+	replica.incomingChunks = chunkBuffer{}
+	return true
 }
 
-func (r *Replicas) appendAnswer(last wire.LogPosition, promised uint64, isTaken bool) wire.AppendAnswer {
-	return wire.AppendAnswer{Taken: isTaken, Promised: promised, Last: last, Disk: r.disk.Disk(), WallMs: r.clock.WallMs(),
-		Leaving: r.isLeaving}
+func (r *Replicas) appendAnswer(replica *localReplica, isTaken bool) wire.AppendAnswer {
+	return wire.AppendAnswer{Taken: isTaken, Promised: replica.promised, Last: replica.state.Last, Disk: r.disk.Disk(),
+		WallMs: r.clock.WallMs(), Leaving: r.isLeaving}
 }
 
 // Leave lets each answer say that the process is about to end, so that leaders replace this disk as a voter. It must run
@@ -187,57 +226,13 @@
 func (r *Replicas) VotingKeys() map[string]wire.VoterSet {
 	sets := map[string]wire.VoterSet{}
 	for key, replica := range r.keys {
-		if !replica.isVotedOut && slices.Contains(disksOf(replica.state.Set), r.disk.Disk()) {
+		if !replica.isVotedOut && quorum.Contains(replica.state.Set, r.disk.Disk()) {
 			sets[key] = replica.state.Set
 		}
 	}
 	return sets
 }
 
-// Fetch gives the changes after a position if the history has them, else the state as the disk has it, or a chunk of it.
-// It may run on any goroutine.
-func (r *Replicas) Fetch(recent History, call wire.FetchCall) (wire.FetchAnswer, error) {
-	answer := wire.FetchAnswer{Disk: r.disk.Disk()}
-	if call.From != nil {
-		if changes, isKept := recent.after(*call.From); isKept {
-			answer.Found, answer.Changes = true, changes
-			if call.Chunked {
-				answer.Changes = changes[:countForOneCall(changes)]
-			}
-			return answer, nil
-		}
-	}
-	if call.Chunked {
-		return r.fetchChunk(recent.outgoing, call, answer)
-	}
-	snapshot, err := r.disk.Read(call.Key)
-	answer.Found, answer.Snapshot = snapshot.Last != wire.LogPosition{}, snapshot
-	return answer, err
-}
-
-func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call wire.FetchCall, answer wire.FetchAnswer) (wire.FetchAnswer, error) {
-	if outgoing == nil {
-		snapshot, err := r.disk.Read(call.Key)
-		if err != nil {
-			return answer, err
-		}
-		outgoing = newSnapshotTransfer(snapshot)
-		r.keepOutgoing(call.Key, outgoing)
-	}
-	answer.Found = outgoing.snapshot.Last != wire.LogPosition{}
-	answer.Chunk = outgoing.chunk(min(call.Number, outgoing.count()-1))
-	return answer, nil
-}
-
-// keepOutgoing spares the next call the reading, as long as the replica stays at that position.
-func (r *Replicas) keepOutgoing(key string, outgoing *snapshotTransfer) {
-	r.mailbox.TryPost(func() {
-		if replica := r.replicaOf(key); replica.state.Last == outgoing.snapshot.Last {
-			replica.outgoing = outgoing
-		}
-	})
-}
-
 // History gives the last changes that this disk took, one after the other, up to what it holds.
 func (r *Replicas) History(key string) History {
 	replica := r.replicaOf(key)
@@ -246,13 +241,16 @@
 
 // ReplicaStatus is what an engine asks before it seeks an epoch.
 type ReplicaStatus struct {
-	State    storage.ReplicaState
+	State storage.ReplicaState
+	// Promised is the highest epoch that the replica has promised or is promising.
 	Promised uint64
-	LeaseUntil time.Duration
-	LeaseHolderDisk     string
-	LeaseHolder   string
-	Released bool
-	// ReleasedAt and Heir belong to the release.
+	// LeaseUntil is when the replica may promise again, on this process's monotonic clock; the holder is the leader it last
+	// granted a lease.
+	LeaseUntil      time.Duration
+	LeaseHolderDisk string
+	LeaseHolder     string
+	// Released tells that the lease holder gave the key back, at ReleasedAt; Successor should ask first, if it is not empty.
+	Released   bool
 	ReleasedAt time.Duration
 	Successor  string
 }
@@ -260,8 +258,10 @@
 // Status is what an engine has to know of a replica before it seeks an epoch.
 func (r *Replicas) Status(key string) ReplicaStatus {
 	replica := r.replicaOf(key)
-	return ReplicaStatus{State: replica.state, Promised: replica.promised, LeaseUntil: max(replica.leaseUntil, r.promisesBlockedUntil), LeaseHolderDisk: replica.leaseHolderDisk,
-		LeaseHolder: replica.leaseHolder, Released: replica.released, ReleasedAt: replica.releasedAt, Successor: replica.successor}
+	lease, release := replica.lease, replica.release
+	return ReplicaStatus{State: replica.state, Promised: replica.promised, LeaseUntil: max(lease.until, r.promisesBlockedUntil),
+		LeaseHolderDisk: lease.holderDisk, LeaseHolder: lease.holder, Released: release.isReleased, ReleasedAt: release.at,
+		Successor: release.successor}
 }
 
 // Keys are the names of all replicas, in no order.
@@ -289,15 +289,6 @@
 	})
 }
 
-// AskFetch is Fetch for other goroutines; it reads the disk on the caller's goroutine.
-func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
-	recent, err := mailbox.Ask(r.mailbox, ctx, func(answer func(History)) { answer(r.History(call.Key)) })
-	if err != nil {
-		return wire.FetchAnswer{}, err
-	}
-	return r.Fetch(recent, call)
-}
-
 // AskStatus is Status for other goroutines.
 func (r *Replicas) AskStatus(ctx context.Context, key string) (ReplicaStatus, error) {
 	return mailbox.Ask(r.mailbox, ctx, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
--- a/internal/control/replication/replication_test.go
+++ b/internal/control/replication/replication_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a key and its owner", func() {
-	It("finds one owner, and commits on a majority", func() {
+var _ = Describe("a key and its leader", func() {
+	It("finds one leader, and commits on a majority", func() {
 		c := newTestCluster(1, "a", "b", "c")
 		c.run(2 * time.Second)
 		Expect(c.leader()).NotTo(BeNil())
@@ -20,7 +20,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("does not commit while the owner is alone", func() {
+	It("does not commit while the leader is alone", func() {
 		c := newTestCluster(2, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.isolated[c.leader().name] = true
@@ -49,7 +49,7 @@
 		Expect(leader.machine.leadership.Epoch()).To(Equal(epoch))
 	})
 
-	It("changes hands soon when the owner leaves in order", func() {
+	It("changes hands soon when the leader leaves in order", func() {
 		c := newTestCluster(4, "a", "b", "c")
 		c.run(2 * time.Second)
 		old := c.leader()
@@ -108,7 +108,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("goes on while one disk hangs, the owner's too", func() {
+	It("goes on while one disk hangs, the leader's too", func() {
 		c := newTestCluster(8, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.leader().disk.isStalled = true
--- a/internal/control/replication/schedule_test.go
+++ b/internal/control/replication/schedule_test.go
@@ -18,14 +18,14 @@
 	seedsVariable = "REPLICATION_SEEDS"
 )
 
-// faultSchedule strikes a world with as many losses at once as it must bear, and counts them as the deployment does.
+// faultSchedule strikes a simulated cluster with as many losses at once as it must bear, and counts them as the deployment does.
 type faultSchedule struct {
 	*testCluster
 	// endsAt is when a node's trouble ends, lostUntil when it no longer counts as lost.
 	endsAt    map[*testNode]time.Duration
 	lostUntil map[*testNode]time.Duration
-	madeAt      int
-	injected    map[string]int
+	madeAt    int
+	injected  map[string]int
 	isPlanned map[*testNode]bool
 }
 
@@ -75,7 +75,7 @@
 	delete(s.isPlanned, node)
 }
 
-// injectNext gives a node that is not lost a trouble of some length.
+// injectNext gives a node that is not lost a fault of some length.
 func (s *faultSchedule) injectNext() {
 	node := s.nodes[s.random.IntN(len(s.nodes))]
 	if s.lostNodes() >= s.machineLosses || s.clock.Monotonic() < s.lostUntil[node] {
@@ -88,12 +88,39 @@
 		"replace", "replace in order", "wipe", "wipe, all others lose power"}
 	fault := faults[s.random.IntN(len(faults))]
 	s.injected[fault]++
+	s.inject(fault, node, length)
+}
+
+func (s *faultSchedule) inject(fault string, node *testNode, length time.Duration) {
 	switch fault {
 	case "kill":
 		node.kill()
 	case "restart":
 		node.kill()
 		node.start()
+	case "freeze":
+		node.isFrozen = true
+	case "leave":
+		s.isPlanned[node] = true
+		node.leave()
+	case "replace":
+		s.replace(node)
+	case "replace in order":
+		node.leave()
+		s.run(time.Duration(s.random.IntN(2000)) * time.Millisecond)
+		s.replace(node)
+	case "wipe":
+		s.wipe(node)
+	case "wipe, all others lose power":
+		s.wipe(node)
+		s.losePower(node)
+	default:
+		s.injectNetworkOrDisk(fault, node, length)
+	}
+}
+
+func (s *faultSchedule) injectNetworkOrDisk(fault string, node *testNode, length time.Duration) {
+	switch fault {
 	case "cut":
 		s.isolated[node.name] = true
 	case "late":
@@ -103,8 +130,6 @@
 			link := []string{node.name + ">" + other.name, other.name + ">" + node.name}[int(length/time.Millisecond)%2]
 			s.blockedLinks[link] = true
 		}
-	case "freeze":
-		node.isFrozen = true
 	case "stall":
 		node.disk.isStalled = true
 	case "refuse":
@@ -113,20 +138,8 @@
 		node.disk.isOutcomeUnclear = true
 	case "slow disk":
 		node.disk.syncTime = time.Duration(100+s.random.IntN(1500)) * time.Millisecond
-	case "leave":
-		s.isPlanned[node] = true
-		node.leave()
-	case "replace":
-		s.replace(node)
-	case "replace in order":
-		node.leave()
-		s.run(time.Duration(s.random.IntN(2000)) * time.Millisecond)
-		s.replace(node)
-	case "wipe":
-		s.wipe(node)
-	case "wipe, all others lose power":
-		s.wipe(node)
-		s.losePower(node)
+	default:
+		panic("no such fault: " + fault)
 	}
 }
 
@@ -165,7 +178,7 @@
 	}
 }
 
-// play lets a world go through its troubles, and then come to rest.
+// play lets a simulated cluster go through its troubles, and then come to rest.
 func (s *faultSchedule) play(steps int) {
 	s.lossRate = 0.02
 	for range steps {
--- a/internal/control/replication/second_loss_test.go
+++ b/internal/control/replication/second_loss_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("a second loss", func() {
-	It("in the moment of the swap that a cut of 20 s brought about, or just after its end, costs nothing acknowledged", func() {
+	It("at the moment of the swap that a cut of 20 s brought about, or just after its end, costs nothing acknowledged", func() {
 		for moment := range 5 {
 			c := newTestClusterBearing(2, 1100+uint64(moment), "a", "b", "c", "d", "e", "f")
 			c.run(3 * time.Second)
@@ -87,7 +87,9 @@
 			c.remove(node)
 			c.add("fresh").start()
 			began := c.clock.Monotonic()
-			c.runUntil(func() bool { return slices.Contains(c.voters(), "disk-fresh") && c.holdsAllAcknowledged(c.byDisk("disk-fresh")) })
+			c.runUntil(func() bool {
+				return slices.Contains(c.voters(), "disk-fresh") && c.holdsAllAcknowledged(c.byDisk("disk-fresh"))
+			})
 			Expect(c.clock.Monotonic() - began).To(BeNumerically("<", 4*time.Second))
 			AddReportEntry("replaced after", (c.clock.Monotonic() - began).String())
 			c.runWithWrites(began + 4*time.Second - c.clock.Monotonic())
--- /dev/null
+++ b/internal/control/replication/servefetch.go
@@ -0,0 +1,61 @@
+package replication
+
+import (
+	"context"
+
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/platform/mailbox"
+)
+
+// AskFetch is Fetch for any goroutine, with the history as the table has it now; it reads the disk on the caller's goroutine.
+func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
+	recent, err := mailbox.Ask(r.mailbox, ctx, func(answer func(History)) { answer(r.History(call.Key)) })
+	if err != nil {
+		return wire.FetchAnswer{}, err
+	}
+	return r.Fetch(recent, call)
+}
+
+// Fetch gives a candidate the changes after a position if the history has them, else the state as the disk has it, or a
+// chunk of it. It may run on any goroutine; the error is that of reading the disk.
+func (r *Replicas) Fetch(recent History, call wire.FetchCall) (wire.FetchAnswer, error) {
+	answer := wire.FetchAnswer{Disk: r.disk.Disk()}
+	if call.From != nil {
+		if changes, isKept := recent.after(*call.From); isKept {
+			answer.Found, answer.Changes = true, changes
+			if call.Chunked {
+				answer.Changes = changes[:prefixForCall(changes)]
+			}
+			return answer, nil
+		}
+	}
+	if call.Chunked {
+		return r.fetchChunk(recent.outgoing, call, answer)
+	}
+	snapshot, err := r.disk.Read(call.Key)
+	answer.Found, answer.Snapshot = snapshot.Last != wire.LogPosition{}, snapshot
+	return answer, err
+}
+
+func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call wire.FetchCall, answer wire.FetchAnswer) (wire.FetchAnswer, error) {
+	if outgoing == nil {
+		snapshot, err := r.disk.Read(call.Key)
+		if err != nil {
+			return answer, err
+		}
+		outgoing = newSnapshotTransfer(snapshot)
+		r.keepOutgoing(call.Key, outgoing)
+	}
+	answer.Found = outgoing.snapshot.Last != wire.LogPosition{}
+	answer.Chunk = outgoing.chunk(min(call.Number, outgoing.count()-1))
+	return answer, nil
+}
+
+// keepOutgoing spares the next call the reading, as long as the replica stays at that position.
+func (r *Replicas) keepOutgoing(key string, outgoing *snapshotTransfer) {
+	r.mailbox.TryPost(func() {
+		if replica := r.replicaOf(key); replica.state.Last == outgoing.snapshot.Last {
+			replica.outgoing = outgoing
+		}
+	})
+}
--- a/internal/control/replication/transfer.go
+++ b/internal/control/replication/snapshots.go
@@ -7,69 +7,15 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-const maxChunkBytes = 256 << 10
-
-// snapshotTransfer is a snapshot on its way in chunks; cuts are the places where one chunk ends and the next begins.
-// The same state has the same chunks, whoever sends it.
-type snapshotTransfer struct {
-	snapshot wire.Snapshot
-	cuts     []int
-	size     int
-}
-
-func newSnapshotTransfer(snapshot wire.Snapshot) *snapshotTransfer {
-	transfer := &snapshotTransfer{snapshot: snapshot, cuts: []int{0}}
-	size := 0
-	for index, pair := range snapshot.Pairs {
-		next := len(pair.Name) + len(pair.Value) + 16
-		if size > 0 && size+next > maxChunkBytes {
-			transfer.cuts, size = append(transfer.cuts, index), 0
-		}
-		size += next
-		transfer.size += next
-	}
-	transfer.cuts = append(transfer.cuts, len(snapshot.Pairs))
-	return transfer
-}
-
-func (t *snapshotTransfer) count() int { return len(t.cuts) - 1 }
-
-func (t *snapshotTransfer) chunk(number int) *wire.SnapshotChunk {
-	return &wire.SnapshotChunk{At: t.snapshot.Last, Set: t.snapshot.Set, Number: number, Count: t.count(),
-		Pairs: t.snapshot.Pairs[t.cuts[number]:t.cuts[number+1]]}
-}
-
-// chunkBuffer holds the chunks of one state that a replica has so far; nothing of them is on its disk.
-type chunkBuffer struct {
-	at    wire.LogPosition
-	count int
-	pairs []wire.Op
-}
-
-// start keeps the chunks of a state, and lets go of those of another.
-func (b *chunkBuffer) start(at wire.LogPosition) {
-	if b.at != at {
-		*b = chunkBuffer{at: at}
-	}
-}
-
-// take adds the next chunk; one that was here before or comes too early changes nothing.
-func (b *chunkBuffer) take(chunk *wire.SnapshotChunk) {
-	b.start(chunk.At)
-	if chunk.Number == b.count {
-		b.pairs = append(b.pairs, chunk.Pairs...)
-		b.count++
-	}
-}
-
-func (b *chunkBuffer) isComplete(chunk *wire.SnapshotChunk) bool {
-	return chunk.At == b.at && b.count == chunk.Count
-}
+// snapshotRetentionFactor is how many times the size of a state may be kept as changes for a follower that is sent that state.
+// A state takes a time on its way that grows with its size, and so do the changes made meanwhile; with a fixed limit a large
+// one would be too old whenever it arrived, and another would be sent, without end.
+const snapshotRetentionFactor = 2
 
 // snapshotReader reads the state of the own disk for the followers that need all of it, once for all of them.
 type snapshotReader struct {
 	isReading bool
-	startedAt     time.Duration
+	startedAt time.Duration
 	// fromIndex is the index from which on the changes must be kept, so that they lead on from the state that is being read.
 	fromIndex uint64
 	// unsent is a state that was read and is not yet under way to anyone.
@@ -87,7 +33,7 @@
 	return index
 }
 
-// keepOnlyIf lets go of a state that was read but that no follower wants any more.
+// keepOnlyIf drops a state that was read but that no follower wants any more.
 func (r *snapshotReader) keepOnlyIf(isWanted bool) {
 	if !isWanted {
 		r.unsent = nil
@@ -106,34 +52,34 @@
 			return follower.startTransfer(other.transfer)
 		}
 	}
-	if fresh := e.snapshotReader.unsent; e.canSend(fresh, follower) {
-		e.snapshotReader.unsent = nil
-		return follower.startTransfer(fresh)
+	if unsent := e.snapshots.unsent; e.canSend(unsent, follower) {
+		e.snapshots.unsent = nil
+		return follower.startTransfer(unsent)
 	}
 	e.readSnapshot()
 	return nil
 }
 
 // startTransfer notes a state as under way to the follower.
-func (follower *followerProgress) startTransfer(transfer *snapshotTransfer) *snapshotTransfer {
-	follower.transfer = transfer
-	follower.retention = retention{count: snapshotRetentionFactor * len(transfer.snapshot.Pairs), size: snapshotRetentionFactor * transfer.size}
+func (f *followerProgress) startTransfer(transfer *snapshotTransfer) *snapshotTransfer {
+	f.transfer = transfer
+	f.retention = retention{count: snapshotRetentionFactor * len(transfer.snapshot.Pairs), size: snapshotRetentionFactor * transfer.size}
 	return transfer
 }
 
 // readSnapshot begins to read the state, unless that is under way or the own disk has no change of this epoch yet.
 func (e *Engine) readSnapshot() {
 	own := e.followers[e.disk]
-	if e.snapshotReader.isReading || own == nil || !own.isPositionKnown || own.acked.Epoch != e.epoch {
+	if e.snapshots.isReading || own == nil || !own.isPositionKnown || own.acked.Epoch != e.epoch {
 		return
 	}
-	e.snapshotReader = snapshotReader{isReading: true, startedAt: e.clock.Monotonic(), fromIndex: own.acked.Index}
-	attempt := e.generation
+	e.snapshots = snapshotReader{isReading: true, startedAt: e.clock.Monotonic(), fromIndex: own.acked.Index}
+	generation := e.generation
 	e.transport.ReadLocal(e.key, func(snapshot wire.Snapshot, err error) {
-		if e.generation != attempt {
+		if e.generation != generation {
 			return
 		}
-		e.snapshotReader = snapshotReader{}
+		e.snapshots = snapshotReader{}
 		if err != nil || snapshot.Last.Epoch != e.epoch {
 			return
 		}
@@ -146,7 +92,7 @@
 	if !e.isSnapshotNeeded() {
 		return
 	}
-	e.snapshotReader.unsent = newSnapshotTransfer(snapshot)
+	e.snapshots.unsent = newSnapshotTransfer(snapshot)
 	for _, follower := range e.sortedFollowers() {
 		if follower.needsSnapshot {
 			e.sendAppend(follower, false)
@@ -164,11 +110,11 @@
 	if transfer == nil || transfer.snapshot.Last.Below(follower.acked) {
 		return false
 	}
-	_, isKept := e.changesAfter(transfer.snapshot.Last)
+	_, isKept := e.changes.after(transfer.snapshot.Last)
 	return isKept
 }
 
-// noteChunkAnswer notes how far the follower has come; one that knows no pieces is sent the state in one call.
+// noteChunkAnswer notes how far the follower has come; one that knows no chunks is sent the state in one call.
 func (e *Engine) noteChunkAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
 	follower.isPositionKnown, follower.needsSnapshot = false, true
 	follower.lacksChunkSupport = follower.lacksChunkSupport || call.Chunk.Number == 0 && answer.Chunks == 0
--- a/internal/control/replication/transfer_test.go
+++ b/internal/control/replication/snapshots_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// newLoadedCluster is a world whose state takes some ten pieces, and a follower that is not the owner.
+// newLoadedCluster is a cluster whose state takes some ten chunks, and a follower that is not the leader.
 func newLoadedCluster(seed uint64) (c *testCluster, node *testNode) {
 	c = newTestCluster(seed, "a", "b", "c")
 	c.run(2 * time.Second)
@@ -26,8 +26,8 @@
 	return c, c.others()[0]
 }
 
-var _ = Describe("a whole state", func() {
-	It("travels in pieces, through loss, doubling and another order", func() {
+var _ = Describe("a snapshot", func() {
+	It("travels in chunks, through loss, doubling and another order", func() {
 		for seed := range uint64(5) {
 			c, node := newLoadedCluster(500 + seed)
 			c.lossRate = 0.4
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("goes on with the piece that is missing once the way is open again, and is installed at the last", func() {
+	It("goes on with the chunk that is missing once the way is open again, and is installed at the last", func() {
 		c, node := newLoadedCluster(510)
 		hasEaten := false
 		c.drops = func(_ *testNode, call wire.AppendCall) bool {
@@ -103,7 +103,7 @@
 		c.expectSameState()
 	})
 
-	It("starts again under another owner, and when the disk it was for is wiped", func() {
+	It("starts again under another leader, and when the disk it was for is wiped", func() {
 		for index, strike := range []func(c *testCluster, node *testNode){
 			func(c *testCluster, _ *testNode) { c.leader().engine.Leave() },
 			func(_ *testCluster, node *testNode) { node.wipe("disk-fresher") },
@@ -121,7 +121,7 @@
 		}
 	})
 
-	It("is sent in one call to a sibling of the older form", func() {
+	It("is sent in one call to a peer of an earlier version", func() {
 		c, node := newLoadedCluster(530)
 		node.lacksChunkSupport = true
 		node.wipe("disk-fresh")
--- a/internal/control/replication/world_test.go
+++ b/internal/control/replication/testcluster_test.go
@@ -12,25 +12,26 @@
 
 	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/replication"
+	"gannetline/internal/control/replication/quorum"
 	"gannetline/internal/control/storage"
 	"gannetline/internal/platform/clock"
 	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/simulation/simcluster"
 )
 
-// fakeDisk keeps what was synced; a write waits in the line until the world syncs it.
+// fakeDisk keeps what was synced; a write waits in the line until the simulated cluster syncs it.
 type fakeDisk struct {
 	*simcluster.Shelf
-	name   string
-	isNew bool
-	pendingWrites   []func()
-	isStalled bool
+	name          string
+	isNew         bool
+	pendingWrites []func()
+	isStalled     bool
 	// failsWrites makes each write fail; unclear lets it reach the disk all the same.
-	failsWrites bool
+	failsWrites      bool
 	isOutcomeUnclear bool
 	// syncTime is how long a sync takes; without one it takes a few milliseconds.
-	syncTime time.Duration
-	syncBegunAt  time.Duration
+	syncTime    time.Duration
+	syncBegunAt time.Duration
 	// pairNames are those of all pairs on the disk.
 	pairNames map[string]bool
 }
@@ -42,7 +43,7 @@
 }
 
 func (d *fakeDisk) Disk() string { return d.name }
-func (d *fakeDisk) IsNew() bool   { return d.isNew }
+func (d *fakeDisk) IsNew() bool  { return d.isNew }
 
 func (d *fakeDisk) ReplicaStates() (map[string]storage.ReplicaState, error) {
 	return maps.Clone(d.Shelf.Heads), nil
@@ -93,10 +94,10 @@
 }
 
 type recordingMachine struct {
-	cluster  *testCluster
-	node   *testNode
+	cluster    *testCluster
+	node       *testNode
 	leadership *replication.Leadership
-	values   map[string]string
+	values     map[string]string
 }
 
 func (m *recordingMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
@@ -110,7 +111,7 @@
 
 func (m *recordingMachine) Close() { m.leadership = nil }
 
-// nodeClock is the world's clock with a time of day that may jump, and a steady clock that may run fast or slow.
+// nodeClock is the simulated cluster's clock with a time of day that may jump, and a steady clock that may run fast or slow.
 type nodeClock struct {
 	*clock.Fake
 	jump int64
@@ -126,23 +127,23 @@
 
 // testNode is one steward: its disk stays while the rest of it may die.
 type testNode struct {
-	cluster    *testCluster
-	name     string
-	domain   string
-	disk     *fakeDisk
-	formerDisks     []string
-	isUp     bool
-	isFrozen bool
-	lacksChunkSupport    bool
-	delay     time.Duration
-	incarnation     int
-	// snapshotReadTime is how long its processor needs to read the whole state; busyUntil is when its engine's goroutine is free.
-	snapshotReadTime  time.Duration
-	busyUntil time.Duration
-	clock     *nodeClock
-	replicas  *replication.Replicas
-	engine    *replication.Engine
-	machine   *recordingMachine
+	cluster           *testCluster
+	name              string
+	domain            string
+	disk              *fakeDisk
+	formerDisks       []string
+	isUp              bool
+	isFrozen          bool
+	lacksChunkSupport bool
+	delay             time.Duration
+	incarnation       int
+	// snapshotReadTime is how long its processor needs to read the snapshot; busyUntil is when its engine's goroutine is free.
+	snapshotReadTime time.Duration
+	busyUntil        time.Duration
+	clock            *nodeClock
+	replicas         *replication.Replicas
+	engine           *replication.Engine
+	machine          *recordingMachine
 }
 
 type message struct {
@@ -150,51 +151,74 @@
 	run func()
 }
 
-// testCluster is a network and a clock of which the test is master.
-type testCluster struct {
-	clock   *clock.Fake
-	random    *rand.Rand
-	nodes   []*testNode
-	messages []message
+// networkFaults are what the network does to messages. Links are named "from>to".
+type networkFaults struct {
+	// isolated holds the nodes that reach nobody, blockedLinks the links that carry nothing.
 	isolated     map[string]bool
-	// blockedLinks holds the links that carry nothing, as "from>to".
 	blockedLinks map[string]bool
 	// lateNodes holds the nodes whose calls, there and from there, may come seconds late.
 	lateNodes map[string]bool
+	// lossRate is the share of messages that are lost or doubled.
+	lossRate float64
+	// drops tells whether a call is lost.
+	drops func(to *testNode, call wire.AppendCall) bool
+	// silentFetches lets no call for a state arrive.
+	silentFetches bool
 	// bytesPerMs limits what a node sends; 0 is no limit. linkBusyUntil is when a node's link is free again.
-	bytesPerMs int
-	linkBusyUntil  map[string]time.Duration
+	bytesPerMs    int
+	linkBusyUntil map[string]time.Duration
 	// slowness is how long each message takes at most beyond the usual, and half of it at least, as on machines short of
 	// processors.
 	slowness time.Duration
-	// silentFetches lets no call for a state arrive.
-	silentFetches bool
-	appendCount       int
-	lastWipeAt       time.Duration
-	lossRate          float64
-	acknowledged         map[string]string
-	leaders        map[uint64]string
-	violations      []string
-	writeCount       int
-	machineLosses        int
-	preVotes        int
-	snapshotsSent        int
-	snapshotsInstalled       int
-	chunksSent        []int
-	chunksFetched        []int
-	valueBytes          int
-	drops          func(to *testNode, call wire.AppendCall) bool
-	diskless      []wire.Member
+}
+
+func noNetworkFaults() networkFaults {
+	return networkFaults{isolated: map[string]bool{}, blockedLinks: map[string]bool{}, lateNodes: map[string]bool{},
+		linkBusyUntil: map[string]time.Duration{}}
+}
+
+// callCounts are the calls that were made so far, and the numbers of the chunks that were sent and fetched.
+type callCounts struct {
+	appendCount        int
+	preVotes           int
+	snapshotsSent      int
+	snapshotsInstalled int
+	chunksSent         []int
+	chunksFetched      []int
+}
+
+// testCluster is a network and a clock of which the test is master.
+type testCluster struct {
+	networkFaults
+	callCounts
+	clock    *clock.Fake
+	random   *rand.Rand
+	nodes    []*testNode
+	messages []message
+	// diskless are members without a disk, beside the nodes.
+	diskless []wire.Member
+	// machineLosses is how many disks must be able to be lost at once.
+	machineLosses int
+	lastWipeAt    time.Duration
+	// valueBytes is how much longer each value is made; writeCount numbers the writes.
+	valueBytes int
+	writeCount int
+	// acknowledged holds the values by name, leaders the node that led each epoch, violations what broke the invariants.
+	acknowledged map[string]string
+	leaders      map[uint64]string
+	violations   []string
 }
 
 const key = "pool/wards"
 
-func newTestCluster(seed uint64, names ...string) *testCluster { return newTestClusterBearing(1, seed, names...) }
+func newTestCluster(seed uint64, names ...string) *testCluster {
+	return newTestClusterBearing(1, seed, names...)
+}
 
 // newTestClusterBearing has keys that must survive the loss of so many disks at once.
 func newTestClusterBearing(losses int, seed uint64, names ...string) *testCluster {
-	c := &testCluster{machineLosses: losses, clock: clock.NewFake(1_000_000), random: rand.New(rand.NewPCG(seed, 1)), isolated: map[string]bool{},
-		blockedLinks: map[string]bool{}, lateNodes: map[string]bool{}, linkBusyUntil: map[string]time.Duration{}, lastWipeAt: -time.Hour, acknowledged: map[string]string{}, leaders: map[uint64]string{}}
+	c := &testCluster{networkFaults: noNetworkFaults(), machineLosses: losses, clock: clock.NewFake(1_000_000),
+		random: rand.New(rand.NewPCG(seed, 1)), lastWipeAt: -time.Hour, acknowledged: map[string]string{}, leaders: map[uint64]string{}}
 	for _, name := range names {
 		c.add(name)
 	}
@@ -393,7 +417,7 @@
 }
 
 type testTransport struct {
-	node *testNode
+	node        *testNode
 	incarnation int
 }
 
@@ -479,12 +503,12 @@
 func (c *testCluster) onOpen(m *recordingMachine) {
 	epoch := m.leadership.Epoch()
 	if other, isTaken := c.leaders[epoch]; isTaken {
-		c.recordViolation("epoch %d is owned by %s and %s", epoch, other, m.node.name)
+		c.recordViolation("epoch %d is led by %s and %s", epoch, other, m.node.name)
 	}
 	c.leaders[epoch] = m.node.name
 	for name, value := range c.acknowledged {
 		if m.values[name] != value {
-			c.recordViolation("%s owns epoch %d without %s, which was acknowledged", m.node.name, epoch, name)
+			c.recordViolation("%s leads epoch %d without %s, which was acknowledged", m.node.name, epoch, name)
 		}
 	}
 }
@@ -516,9 +540,9 @@
 
 func (n *testNode) runOnce(now time.Duration) {
 	if n.disk.maySync(now, n.cluster.random) {
-		line := n.disk.pendingWrites
+		writes := n.disk.pendingWrites
 		n.disk.pendingWrites, n.disk.syncBegunAt = nil, now
-		for _, sync := range line {
+		for _, sync := range writes {
 			sync()
 		}
 	}
@@ -547,7 +571,7 @@
 		voter := c.byDisk(disk)
 		return voter == nil || !voter.isUp || voter.clock.Monotonic() < voter.replicas.Status(key).LeaseUntil
 	}
-	if set := leader.engine.Belief().Set; !replication.HasQuorum(set, refuses) {
+	if set := leader.engine.Belief().Set; !quorum.Reached(set, refuses) {
 		c.recordViolation("%s counts on a lease that no majority of %v has granted", leader.name, set)
 	}
 }
@@ -586,12 +610,12 @@
 	}
 }
 
-// checkAcknowledged looks at a change in the moment of its acknowledgement: a majority of its leader's voters must hold
+// checkAcknowledged looks at a change at the moment of its acknowledgement: a majority of its leader's voters must hold
 // it, and each leader of a later epoch.
 func (c *testCluster) checkAcknowledged(leader *testNode, name string) {
 	set := leader.engine.Belief().Set
 	holds := func(disk string) bool { node := c.byDisk(disk); return node != nil && node.holds(name) }
-	if c.clock.Monotonic()-c.lastWipeAt > 2*time.Second && !replication.HasQuorum(set, holds) {
+	if c.clock.Monotonic()-c.lastWipeAt > 2*time.Second && !quorum.Reached(set, holds) {
 		c.recordViolation("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
 	}
 	for _, node := range c.nodes {
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -5,28 +5,59 @@
 	"time"
 
 	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/control/replication/quorum"
 )
 
 const (
-	maxLag  = 200
+	// maxLag is how many changes a follower may lack and still count as caught up, however old they are.
+	maxLag = 200
+	// shortageLogDelay is how long there must be too few disks before that is logged.
 	shortageLogDelay = 5 * time.Second
 )
 
-// maybeChangeVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over domains.
+// voterState is the voter set that counts now, and the index of the change that brought it. The set counts from its proposal
+// on, so it may not be committed yet; while it is joint or not committed, no other change of voters is proposed.
+type voterState struct {
+	set   wire.VoterSet
+	index uint64
+}
+
+func (v *voterState) isCommitted(commitIndex uint64) bool { return v.index <= commitIndex }
+
+// shortageWatch knows since when there are too few disks, and whether that was logged.
+type shortageWatch struct {
+	since    time.Duration
+	isLogged bool
+}
+
+// maybeChangeVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over failure
+// domains. A change goes by way of a joint set, so that no moment has two majorities that share no disk.
 func (e *Engine) maybeChangeVoters() {
-	if len(e.voters.Old) > 0 || e.votersIndex > e.commitIndex {
+	if quorum.IsJoint(e.voters.set) || !e.voters.isCommitted(e.commits.index) {
 		return
 	}
 	members := e.members()
-	choice := voterSelection{current: e.voters.Now, goal: e.voterGoal, isLost: func(disk string) bool { return e.isLost(members, disk) },
-		domainOf: func(disk string) string { return domainOf(members, disk) }}
-	candidates := e.fitForVoting(members)
-	e.noteShortage(len(choice.kept()) + len(candidates))
-	wanted := choice.next(candidates)
-	if slices.Equal(wanted, e.voters.Now) {
+	current := e.voters.set.Now
+	selection := quorum.Selection{Current: current, Goal: e.voterGoal,
+		IsLost:   func(disk string) bool { return e.isLost(members, disk) },
+		DomainOf: func(disk string) string { return domainOf(members, disk) }}
+	candidates := e.voterCandidates(members)
+	e.noteShortage(len(selection.Kept()) + len(candidates))
+	wanted := selection.Next(candidates)
+	if slices.Equal(wanted, current) {
 		e.dropNonVoters()
 		return
 	}
+	next := selection.Next(e.caughtUp(candidates, wanted))
+	if slices.Equal(next, current) {
+		return
+	}
+	e.log.Info("changing voters", "key", e.key, "from", current, "to", next)
+	e.propose(nil, &wire.VoterSet{Old: current, Now: next}, func(error) {})
+}
+
+// caughtUp gives those of the wanted candidates that may become voters now, and sends the others what they lack.
+func (e *Engine) caughtUp(candidates, wanted []string) []string {
 	var ready []string
 	for _, disk := range candidates {
 		if !slices.Contains(wanted, disk) {
@@ -38,12 +69,7 @@
 			e.sendAppend(learner, true)
 		}
 	}
-	next := choice.next(ready)
-	if slices.Equal(next, e.voters.Now) {
-		return
-	}
-	e.log.Info("changing the voters of a key", "key", e.key, "from", e.voters.Now, "to", next)
-	e.propose(nil, &wire.VoterSet{Old: e.voters.Now, Now: next}, func(error) {})
+	return ready
 }
 
 // hasCaughtUp tells whether a learner may become a voter: it lacks little, or follows within the time after which a voter
@@ -53,36 +79,28 @@
 	return e.isWithinLag(learner, e.timing.LostAfter)
 }
 
-// isWithinLag tells whether a follower lacks few changes, or none that is older than the given age.
-func (e *Engine) isWithinLag(follower *followerProgress, age time.Duration) bool {
-	if !follower.isPositionKnown || follower.acked.Epoch != e.epoch {
-		return false
-	}
-	isNear := e.last.Index-follower.acked.Index <= maxLag
-	return isNear || e.progress.hadReached(follower.acked.Index, e.clock.Monotonic()-age)
-}
-
 // leaveJoint proposes the new voters alone, once the joint set is committed.
 func (e *Engine) leaveJoint() {
-	if e.phase != phaseLeading || len(e.voters.Old) == 0 || e.votersIndex > e.commitIndex {
+	if e.phase != phaseLeading || !quorum.IsJoint(e.voters.set) || !e.voters.isCommitted(e.commits.index) {
 		return
 	}
-	final := wire.VoterSet{Now: e.voters.Now}
+	final := wire.VoterSet{Now: e.voters.set.Now}
 	e.propose(nil, &final, func(error) {})
 }
 
-// dropNonVoters ends the following of disks that are no voters; it runs once the voter set is committed.
+// dropNonVoters ends the following of disks that are no voters; it runs once the voter set is committed. One that is leaving
+// learns by it that it may go.
 func (e *Engine) dropNonVoters() {
-	for _, outsider := range e.sortedFollowers() {
-		if slices.Contains(disksOf(e.voters), outsider.disk) {
+	for _, follower := range e.sortedFollowers() {
+		if quorum.Contains(e.voters.set, follower.disk) {
 			continue
 		}
-		delete(e.followers, outsider.disk)
+		delete(e.followers, follower.disk)
 		e.publishLease()
-		if outsider.isLeaving {
-			call := e.appendCall()
-			call.Prev, call.VotedOut = outsider.acked, true
-			e.transport.Append(outsider.disk, call, func(wire.AppendAnswer, error) {})
+		if follower.isLeaving {
+			call := e.appendCall(follower.acked)
+			call.VotedOut = true
+			e.transport.Append(follower.disk, call, func(wire.AppendAnswer, error) {})
 		}
 	}
 }
@@ -97,12 +115,14 @@
 	return isReplaced(members, disk) || voter.isLeaving || e.clock.Monotonic()-voter.lastContact > e.timing.LostAfter
 }
 
+// isReplaced tells whether a member says that it once had the disk and now has another.
 func isReplaced(members []wire.Member, disk string) bool {
 	return slices.ContainsFunc(members, func(member wire.Member) bool {
 		return member.Disk != disk && slices.Contains(member.Past, disk)
 	})
 }
 
+// domainOf is the failure domain of a disk, or empty if no member has it.
 func domainOf(members []wire.Member, disk string) string {
 	for _, member := range members {
 		if member.Disk == disk {
@@ -112,11 +132,11 @@
 	return ""
 }
 
-// fitForVoting lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
-func (e *Engine) fitForVoting(members []wire.Member) []string {
+// voterCandidates lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
+func (e *Engine) voterCandidates(members []wire.Member) []string {
 	var candidates []string
 	for _, member := range members {
-		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.voters.Now, member.Disk) {
+		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.voters.set.Now, member.Disk) {
 			continue
 		}
 		learner := e.followers[member.Disk]
@@ -128,16 +148,16 @@
 	return e.ranked(candidates)
 }
 
-// noteShortage says once an epoch that the losses to be borne ask for more disks than there are.
+// noteShortage logs once an epoch that the losses to be borne ask for more disks than there are.
 func (e *Engine) noteShortage(disks int) {
 	now := e.clock.Monotonic()
 	if disks >= e.voterGoal {
-		e.shortSince = now
+		e.shortage.since = now
 		return
 	}
-	if now-e.shortSince > shortageLogDelay && !e.isShortNoted {
-		e.isShortNoted = true
+	if now-e.shortage.since > shortageLogDelay && !e.shortage.isLogged {
+		e.shortage.isLogged = true
 		e.log.Info("too few disks for the losses to be borne", "key", e.key, "disks", disks, "wanted", e.voterGoal,
-			"borne", (min(len(e.voters.Now), disks)-1)/2)
+			"borne", (min(len(e.voters.set.Now), disks)-1)/2)
 	}
 }
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// newGrownCluster is a world of five voters out of six stewards, whose first voters are a, b and c.
+// newGrownCluster is a simulated cluster of five voters out of six stewards, whose first voters are a, b and c.
 func newGrownCluster(seed uint64) *testCluster {
 	c := newTestClusterBearing(2, seed, "a", "b", "c", "d", "e", "f")
 	c.run(3 * time.Second)
@@ -27,7 +27,7 @@
 	return leader.disk.Shelf.Heads[key].Set.Now
 }
 
-// nodesHolding are up to count nodes whose disks hold all that was acknowledged, the owner the first.
+// nodesHolding are up to count nodes whose disks hold all that was acknowledged, the leader the first.
 func (c *testCluster) nodesHolding(count int) []*testNode {
 	var all []*testNode
 	for _, node := range append([]*testNode{c.leader()}, c.nodes...) {
@@ -307,17 +307,17 @@
 	It("leave alone a newcomer that is no longer needed", func() {
 		c := newGrownCluster(15)
 		isVoter := func(node *testNode) bool { return slices.Contains(c.voters(), node.disk.name) }
-		spare := c.nodes[slices.IndexFunc(c.nodes, func(node *testNode) bool { return !isVoter(node) })]
+		replacement := c.nodes[slices.IndexFunc(c.nodes, func(node *testNode) bool { return !isVoter(node) })]
 		victim := c.nodes[slices.IndexFunc(c.nodes, func(node *testNode) bool { return node != c.leader() && isVoter(node) })]
-		c.isolated[spare.name], victim.isFrozen = true, true
+		c.isolated[replacement.name], victim.isFrozen = true, true
 		c.run(1900 * time.Millisecond)
 		victim.isFrozen = false
 		c.run(300 * time.Millisecond)
-		delete(c.isolated, spare.name)
+		delete(c.isolated, replacement.name)
 		c.write()
 		c.run(500 * time.Millisecond)
 		Expect(isVoter(victim)).To(BeTrue())
-		Expect(spare.disk.Shelf.Heads[key].Last).To(Equal(wire.LogPosition{}))
+		Expect(replacement.disk.Shelf.Heads[key].Last).To(Equal(wire.LogPosition{}))
 	})
 
 	It("keep a lost one while there is none to take its place", func() {
@@ -426,7 +426,7 @@
 	}
 }
 
-// haveAllVotersCaughtUp tells whether five live voters stand by what the owner holds, so that two more may be lost.
+// haveAllVotersCaughtUp tells whether five live voters stand by what the leader holds, so that two more may be lost.
 func (c *testCluster) haveAllVotersCaughtUp() bool {
 	leader := c.leader()
 	if leader == nil {
--- a/internal/control/storage/decide.go
+++ b/internal/control/storage/decide.go
@@ -14,7 +14,7 @@
 // It is the only place where this is decided; the store and the simulated disks carry it out.
 func Decide(state ReplicaState, write Write) (Outcome, PairUpdate) {
 	if isRefused(state, write) {
-		return Outcome{Head: state}, PairUpdate{}
+		return Outcome{State: state}, PairUpdate{}
 	}
 	var update PairUpdate
 	if write.Snapshot != nil && !write.Promise {
@@ -33,7 +33,7 @@
 		}
 	}
 	state.Promised = write.Epoch
-	return Outcome{Taken: true, Head: state}, update
+	return Outcome{Taken: true, State: state}, update
 }
 
 // isRefused tells whether a write comes from an epoch that is over, or does not follow on what the replica holds.
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -152,7 +152,7 @@
 		Expect(outcome.Err).To(MatchError(ContainSubstring("the sync failed")))
 		Expect(outcome.Taken).To(BeFalse())
 		attempts = 0
-		Expect(write(store, first).Head.Last).To(Equal(at(1, 1)))
+		Expect(write(store, first).State.Last).To(Equal(at(1, 1)))
 		Expect(attempts).To(Equal(2))
 
 		By("one that is not, with a second failure while the first is looked into")
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -41,7 +41,7 @@
 // empty; the next outcome without an error shows what the replica holds.
 type Outcome struct {
 	Taken bool
-	Head  ReplicaState
+	State ReplicaState
 	Err   error
 }
 
@@ -52,11 +52,11 @@
 
 // Store holds the replicas of one disk in a file. One goroutine writes, many writes in one sync.
 type Store struct {
-	db   *bolt.DB
-	disk string
+	db    *bolt.DB
+	disk  string
 	isNew bool
-	jobs chan job
-	over chan struct{}
+	jobs  chan job
+	over  chan struct{}
 
 	clock clock.Clock
 	files Files
@@ -247,7 +247,7 @@
 	if err := updatePairs(tx, write.Key, pairs); err != nil {
 		return Outcome{}, err
 	}
-	text, err := easyjson.Marshal(outcome.Head)
+	text, err := easyjson.Marshal(outcome.State)
 	if err != nil {
 		return Outcome{}, err
 	}
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -99,11 +99,11 @@
 		held := storage.ReplicaState{Promised: 3, Last: at(2, 9)}
 		for _, last := range []wire.LogPosition{at(2, 8), at(1, 20), {}} {
 			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
-			Expect(outcome).To(Equal(storage.Outcome{Head: held}))
+			Expect(outcome).To(Equal(storage.Outcome{State: held}))
 		}
 		for _, last := range []wire.LogPosition{at(2, 9), at(3, 1)} {
 			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
-			Expect(outcome.Head).To(Equal(storage.ReplicaState{Promised: 4, Last: last}))
+			Expect(outcome.State).To(Equal(storage.ReplicaState{Promised: 4, Last: last}))
 		}
 	})
 })
--- a/internal/simulation/modelcheck/controlmodel/plantlist.go
+++ b/internal/simulation/modelcheck/controlmodel/plantlist.go
@@ -67,7 +67,7 @@
 	head := d.shelf.Heads[write.Key]
 	for _, one := range append(slices.Clone(d.syncing), d.waiting...) {
 		outcome, _ := storage.Decide(head, one.write)
-		head = outcome.Head
+		head = outcome.State
 	}
 	outcome, _ := storage.Decide(head, write)
 	d.disk.Submit(write, func(storage.Outcome) {})
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -41,7 +41,7 @@
 	if len(update.Ops) > 0 {
 		s.put(write.Key, update.Ops)
 	}
-	s.Heads[write.Key] = outcome.Head
+	s.Heads[write.Key] = outcome.State
 	return outcome
 }
 
