--- a/internal/control/storage/decide.go
+++ b/internal/control/storage/decide.go
@@ -21,8 +21,8 @@
 		state.Last, state.Set = write.Snapshot.Last, write.Snapshot.Set
 		update = PairUpdate{Clear: true, Ops: write.Snapshot.Pairs}
 	}
-	for place, change := range write.Changes {
-		if place == 0 && len(update.Ops) == 0 {
+	for index, change := range write.Changes {
+		if index == 0 && len(update.Ops) == 0 {
 			update.Ops = change.Ops
 		} else {
 			update.Ops = append(update.Ops[:len(update.Ops):len(update.Ops)], change.Ops...)
--- a/internal/control/storage/files.go
+++ b/internal/control/storage/files.go
@@ -7,12 +7,10 @@
 	"github.com/juju/errors"
 )
 
-const dataFile = "keys.db"
-
 // Files is what Open needs of the file system. A file or folder that was made may be lost with the power until the
 // folder that it lies in has been synced.
 type Files interface {
-	// Exists says whether there is a file or folder of that path.
+	// Exists tells whether there is a file or folder of that path.
 	Exists(path string) bool
 	// MakeFolder makes one folder; its parent must exist.
 	MakeFolder(path string) error
@@ -52,19 +50,19 @@
 // holds the lowest one that was there is synced as well: an earlier process may have made it and ended before the sync.
 func makeFolders(files Files, folder string) error {
 	parent := filepath.Dir(folder)
-	isThere := files.Exists(folder)
-	if !isThere && parent != folder {
+	exists := files.Exists(folder)
+	if !exists && parent != folder {
 		if err := makeFolders(files, parent); err != nil {
 			return err
 		}
 	}
-	if !isThere {
+	if !exists {
 		if err := files.MakeFolder(folder); err != nil && !os.IsExist(err) {
 			return errors.Annotate(err, "making the data directory")
 		}
 	}
 	err := files.SyncFolder(parent)
-	if isThere && os.IsPermission(err) {
+	if exists && os.IsPermission(err) {
 		// Who may not even read the parent has not made this folder.
 		return nil
 	}
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -19,17 +19,17 @@
 // losingFiles is a file system that loses each entry whose folder was not synced after it was made.
 type losingFiles struct {
 	unsynced []string
-	// left is how many more operations succeed before the process ends; below zero it never does.
-	left int
-	// lies makes the syncs of folders do nothing.
-	lies bool
+	// operationsLeft is how many more operations succeed before the process ends; below zero it never does.
+	operationsLeft int
+	// ignoresSyncs makes the syncs of folders do nothing.
+	ignoresSyncs bool
 }
 
-func (f *losingFiles) goesOn() error {
-	if f.left == 0 {
+func (f *losingFiles) countOperation() error {
+	if f.operationsLeft == 0 {
 		return errEnded
 	}
-	f.left--
+	f.operationsLeft--
 	return nil
 }
 
@@ -39,7 +39,7 @@
 }
 
 func (f *losingFiles) MakeFolder(path string) error {
-	if err := f.goesOn(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	f.unsynced = append(f.unsynced, path)
@@ -47,12 +47,12 @@
 }
 
 func (f *losingFiles) SyncFolder(path string) error {
-	if err := f.goesOn(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	var kept []string
 	for _, entry := range f.unsynced {
-		if f.lies || filepath.Dir(entry) != path {
+		if f.ignoresSyncs || filepath.Dir(entry) != path {
 			kept = append(kept, entry)
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 func (f *losingFiles) OpenFile(path string, flag int, mode fs.FileMode) (*os.File, error) {
-	if err := f.goesOn(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return nil, err
 	}
 	if !f.Exists(path) {
@@ -95,33 +95,33 @@
 	}
 
 	It("keeps a promise, with all folders that were made for it", func() {
-		before, after := promiseAndLosePower(&losingFiles{left: -1})
+		before, after := promiseAndLosePower(&losingFiles{operationsLeft: -1})
 		Expect(after.Disk()).To(Equal(before))
-		heads, err := after.ReplicaStates()
+		states, err := after.ReplicaStates()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(heads["k"].Promised).To(Equal(uint64(3)))
+		Expect(states["k"].Promised).To(Equal(uint64(3)))
 	})
 
 	It("would lose the replica if the folders were not synced", func() {
-		before, after := promiseAndLosePower(&losingFiles{left: -1, lies: true})
+		before, after := promiseAndLosePower(&losingFiles{operationsLeft: -1, ignoresSyncs: true})
 		Expect(after.Disk()).NotTo(Equal(before))
 	})
 
 	It("keeps a promise after an earlier process ended anywhere within its first opening", func() {
 		for count := range 20 {
 			folder = filepath.Join(GinkgoT().TempDir(), "var", "lib", "keys")
-			files := &losingFiles{left: count}
+			files := &losingFiles{operationsLeft: count}
 			if store, err := storage.Open(folder, storage.WithFiles(files)); err == nil {
 				Expect(store.Close()).To(Succeed())
 			}
-			files.left = -1
+			files.operationsLeft = -1
 			before, after := promiseAndLosePower(files)
 			Expect(after.Disk()).To(Equal(before), "the first process ended after %d operations", count)
 		}
 	})
 
 	It("says which step failed", func() {
-		_, err := storage.Open(folder, storage.WithFiles(&losingFiles{left: 2}))
+		_, err := storage.Open(folder, storage.WithFiles(&losingFiles{operationsLeft: 2}))
 		Expect(err).To(MatchError(ContainSubstring("syncing " + filepath.Dir(filepath.Dir(filepath.Dir(folder))))))
 	})
 })
--- a/internal/control/storage/metrics.go
+++ b/internal/control/storage/metrics.go
@@ -13,22 +13,33 @@
 	commitSeconds    = metrics.NewHistogram("gannetline_store_commit_seconds")
 )
 
+// takenBytes sums up the writes that were not refused.
+func takenBytes(batch []queuedWrite, outcomes []Outcome) int {
+	total := 0
+	for index, queued := range batch {
+		if outcomes[index].Taken {
+			total += queued.write.recordBytes()
+		}
+	}
+	return total
+}
+
 // recordBytes are those of names and values, before the store makes pages of them.
 func (w Write) recordBytes() int {
-	var all int
+	total := 0
 	for _, change := range w.Changes {
-		all += sizeOf(change.Ops)
+		total += sizeOf(change.Ops)
 	}
 	if w.Snapshot != nil {
-		all += sizeOf(w.Snapshot.Pairs)
+		total += sizeOf(w.Snapshot.Pairs)
 	}
-	return all
+	return total
 }
 
 func sizeOf(ops []wire.Op) int {
-	var all int
+	total := 0
 	for _, op := range ops {
-		all += len(op.Name) + len(op.Value)
+		total += len(op.Name) + len(op.Value)
 	}
-	return all
+	return total
 }
--- a/internal/control/storage/peers.go
+++ b/internal/control/storage/peers.go
@@ -7,12 +7,10 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-var namePeers = []byte("peers")
-
 // SavePeers keeps the control addresses of other stewards, the best known first; it returns after the sync.
 func (s *Store) SavePeers(addresses []string) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketMeta).Put(namePeers, []byte(strings.Join(addresses, "\n")))
+		return tx.Bucket(bucketMeta).Put(recordPeers, []byte(strings.Join(addresses, "\n")))
 	})
 	return errors.Annotate(err, "keeping the addresses of peers")
 }
@@ -21,7 +19,7 @@
 func (s *Store) Peers() ([]string, error) {
 	var addresses []string
 	err := s.db.View(func(tx *bolt.Tx) error {
-		if text := tx.Bucket(bucketMeta).Get(namePeers); len(text) > 0 {
+		if text := tx.Bucket(bucketMeta).Get(recordPeers); len(text) > 0 {
 			addresses = strings.Split(string(text), "\n")
 		}
 		return nil
--- a/internal/control/storage/head_easyjson.go
+++ b/internal/control/storage/replicastate_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson4963be46DecodeGannetlineInternalControlStorage(in *jlexer.Lexer, out *ReplicaState) {
+func easyjsonB6ff5f0fDecodeGannetlineInternalControlStorage(in *jlexer.Lexer, out *ReplicaState) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -59,7 +59,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4963be46EncodeGannetlineInternalControlStorage(out *jwriter.Writer, in ReplicaState) {
+func easyjsonB6ff5f0fEncodeGannetlineInternalControlStorage(out *jwriter.Writer, in ReplicaState) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -84,23 +84,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ReplicaState) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4963be46EncodeGannetlineInternalControlStorage(&w, v)
+	easyjsonB6ff5f0fEncodeGannetlineInternalControlStorage(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ReplicaState) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4963be46EncodeGannetlineInternalControlStorage(w, v)
+	easyjsonB6ff5f0fEncodeGannetlineInternalControlStorage(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ReplicaState) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4963be46DecodeGannetlineInternalControlStorage(&r, v)
+	easyjsonB6ff5f0fDecodeGannetlineInternalControlStorage(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ReplicaState) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4963be46DecodeGannetlineInternalControlStorage(l, v)
+	easyjsonB6ff5f0fDecodeGannetlineInternalControlStorage(l, v)
 }
--- a/internal/control/storage/storage_suite_test.go
+++ b/internal/control/storage/storage_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestKeystore(t *testing.T) {
+func TestStorage(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "storage")
 }
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -12,18 +12,18 @@
 	"gannetline/internal/platform/metrics"
 )
 
-func write(store *storage.Store, one storage.Write) storage.Outcome {
-	heard := make(chan storage.Outcome, 1)
-	store.Submit(one, func(outcome storage.Outcome) { heard <- outcome })
-	return <-heard
+func write(store *storage.Store, request storage.Write) storage.Outcome {
+	outcomes := make(chan storage.Outcome, 1)
+	store.Submit(request, func(outcome storage.Outcome) { outcomes <- outcome })
+	return <-outcomes
 }
 
-func at(epoch, step uint64) wire.LogPosition {
-	return wire.LogPosition{Epoch: epoch, Index: step}
+func at(epoch, index uint64) wire.LogPosition {
+	return wire.LogPosition{Epoch: epoch, Index: index}
 }
 
-func change(epoch, step uint64, name, value string) wire.Change {
-	return wire.Change{Position: at(epoch, step), Ops: []wire.Op{{Name: name, Value: []byte(value)}}}
+func change(epoch, index uint64, name, value string) wire.Change {
+	return wire.Change{Position: at(epoch, index), Ops: []wire.Op{{Name: name, Value: []byte(value)}}}
 }
 
 var _ = Describe("the store", func() {
@@ -48,10 +48,10 @@
 		store = again
 		Expect(store.Disk()).To(Equal(disk))
 		Expect(store.IsNew()).To(BeFalse())
-		whole, err := store.Read("k")
+		state, err := store.Read("k")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole.Last).To(Equal(at(3, 1)))
-		Expect(string(whole.Pairs[0].Value)).To(Equal("1"))
+		Expect(state.Last).To(Equal(at(3, 1)))
+		Expect(string(state.Pairs[0].Value)).To(Equal("1"))
 	})
 
 	It("refuses an old epoch, a second promise of one, and a change that does not follow on", func() {
@@ -66,9 +66,9 @@
 		snapshot := &wire.Snapshot{Last: at(2, 9), Pairs: []wire.Op{{Name: "new", Value: []byte("2")}}}
 		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot}).Taken).To(BeTrue())
 		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Prev: at(2, 9), Changes: []wire.Change{change(2, 10, "new", "")}}).Taken).To(BeTrue())
-		whole, _ := store.Read("k")
-		Expect(whole.Pairs).To(BeEmpty())
-		Expect(whole.Last).To(Equal(at(2, 10)))
+		state, _ := store.Read("k")
+		Expect(state.Pairs).To(BeEmpty())
+		Expect(state.Last).To(Equal(at(2, 10)))
 	})
 
 	It("counts its transactions, writes and bytes", func() {
--- a/internal/control/storage/stored_data_test.go
+++ b/internal/control/storage/stored_data_test.go
@@ -39,17 +39,17 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(store.Close)
 		Expect(store.IsNew()).To(BeFalse())
-		heads, err := store.ReplicaStates()
+		states, err := store.ReplicaStates()
 		Expect(err).NotTo(HaveOccurred())
 		peers, err := store.Peers()
 		Expect(err).NotTo(HaveOccurred())
 		var contents strings.Builder
 		fmt.Fprintf(&contents, "disk %s\npeers %v\n", store.Disk(), peers)
-		for _, key := range slices.Sorted(maps.Keys(heads)) {
+		for _, key := range slices.Sorted(maps.Keys(states)) {
 			state, err := store.Read(key)
 			Expect(err).NotTo(HaveOccurred())
-			fmt.Fprintf(&contents, "key %s promised %d last %v voters %v\n", key, heads[key].Promised, heads[key].Last, heads[key].Set)
-			Expect(state.Last).To(Equal(heads[key].Last))
+			fmt.Fprintf(&contents, "key %s promised %d last %v voters %v\n", key, states[key].Promised, states[key].Last, states[key].Set)
+			Expect(state.Last).To(Equal(states[key].Last))
 			for _, pair := range state.Pairs {
 				fmt.Fprintf(&contents, "%s\t%s\t%s\n", key, pair.Name, pair.Value)
 			}
