--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	add("plan", map[string]string{"version": strconv.FormatInt(first.Plan, 10)}, map[string]string{"version": strconv.FormatInt(second.Plan, 10)})
+	add("plan", map[string]string{"version": strconv.FormatInt(first.ConfigVersion, 10)}, map[string]string{"version": strconv.FormatInt(second.ConfigVersion, 10)})
 	isListed := func(member wire.Member) bool {
 		hasLeaf := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
 		return !hasLeaf || member.Role == membership.RoleSteward
@@ -86,7 +86,7 @@
 
 func owners(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
-	for _, fact := range answer.Owners {
+	for _, fact := range answer.Leaders {
 		beliefs[fact.Key] = fmt.Sprintf("%s, epoch %d", fact.Name, fact.Epoch)
 	}
 	return beliefs
@@ -95,7 +95,7 @@
 func replicas(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
 	for _, key := range answer.Keys {
-		beliefs[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Index, strings.Join(key.Set.Now, " "))
+		beliefs[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Index, strings.Join(key.Voters.Current, " "))
 	}
 	return beliefs
 }
@@ -111,7 +111,7 @@
 func executors(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
 	for _, executor := range answer.Executors {
-		beliefs[executor.Key+"/"+executor.Life] = fmt.Sprintf("%s, %d runs", executor.State, executor.Running)
+		beliefs[executor.Key+"/"+executor.Executor] = fmt.Sprintf("%s, %d runs", executor.State, executor.Running)
 	}
 	return beliefs
 }
--- a/internal/cluster/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -13,9 +13,9 @@
 )
 
 func node(name string, plan int64) *wire.BeliefsAnswer {
-	return &wire.BeliefsAnswer{Name: name, Role: "steward", Plan: plan,
+	return &wire.BeliefsAnswer{Name: name, Role: "steward", ConfigVersion: plan,
 		Members: []wire.Member{{Name: "edge-1", Role: "gate", Address: "10.0.0.1:7720"}},
-		Owners:  []wire.LeaderFact{{Key: "plan", Epoch: 2, Name: "edge-1"}},
+		Leaders: []wire.KeyLeader{{Key: "plan", Epoch: 2, Name: "edge-1"}},
 		Jobs:    []wire.JobBelief{{Key: "pool/s", ID: "5c0e7a21d94b36f8", State: "open"}}}
 }
 
@@ -32,7 +32,7 @@
 
 	It("shows the differences only, to people and as JSON", func() {
 		other := node("b", 9)
-		other.Owners[0].Epoch = 3
+		other.Leaders[0].Epoch = 3
 		other.Jobs[0].State = "completed"
 		all := comparenodes.Compare(node("a", 7), other)
 		Expect(all).To(HaveLen(3))
--- a/internal/cluster/comparenodes/serve.go
+++ b/internal/cluster/comparenodes/serve.go
@@ -25,11 +25,11 @@
 		view := sources.View()
 		answer := &wire.BeliefsAnswer{Name: view.Self.Name, Role: view.Self.Role, Members: view.Members}
 		for _, fact := range view.Owners {
-			answer.Owners = append(answer.Owners, fact)
+			answer.Leaders = append(answer.Leaders, fact)
 		}
 		if sources.Page != nil {
 			if page := sources.Page(); page != nil {
-				answer.Plan = page.Fact.Version
+				answer.ConfigVersion = page.Fact.Version
 			}
 		}
 		if sources.Ring != nil {
--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -58,21 +58,21 @@
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 5)
-		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
-		wrong := *versionOf(old, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true}).Changes[0]
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
+		wrong := *versionOf(old, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Changes[0]
 		wrong.Digest = "of another plan"
 		peer.tell <- &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{&wrong}}
-		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 3, TakesChunks: true}))
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChunks: true}))
 		Expect(cache.Page().Fact.Version).To(Equal(int64(3)))
-		peer.tell <- &wire.ConfigurationAnswer{Fact: next}
+		peer.tell <- &wire.ConfigurationAnswer{Full: next}
 		Expect(<-inForce).To(Equal(int64(5)))
 		Expect(cache.Page().Fact.Body).To(Equal(next.Body))
 	})
 
 	It("asks for the whole without a base, and serves what it holds in turn", func() {
 		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 3)
-		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{TakesChunks: true}))
-		peer.tell <- &wire.ConfigurationAnswer{Fact: old}
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{AcceptsChunks: true}))
+		peer.tell <- &wire.ConfigurationAnswer{Full: old}
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.Hold(next)
 		Expect(<-inForce).To(Equal(int64(5)))
@@ -81,7 +81,7 @@
 		cache.Handle(mux)
 		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedPeer{mux: mux}})
 		answer, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(), "10.0.0.9:1",
-			peerapi.ProcedurePlan, time.Second, &wire.ConfigurationCall{Held: 3, TakesChanges: true})
+			peerapi.ProcedurePlan, time.Second, &wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Changes).To(HaveLen(1))
 	})
@@ -94,10 +94,10 @@
 		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 7)
 		cache.Hold(old)
 		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 7)
-		peer.tell <- versionOf(old, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
+		peer.tell <- versionOf(old, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
 		for range 2 {
-			Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 5, TakesChanges: true, TakesChunks: true}))
+			Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 5, AcceptsChanges: true, AcceptsChunks: true}))
 			peer.tell <- &wire.ConfigurationAnswer{}
 		}
 		cache.Hold(fact(9, body(9)))
@@ -114,7 +114,7 @@
 		Expect(peer.calls).To(BeEmpty())
 		fakeClock.Advance(250 * time.Millisecond)
 		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 5)
-		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{Held: 3, TakesChanges: true, TakesChunks: true}))
+		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
 		peer.tell <- &wire.ConfigurationAnswer{}
 		peer.tell <- &wire.ConfigurationAnswer{}
 	})
--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -27,7 +27,7 @@
 // Moved gives the services that a route led to before.
 func (s *Snapshot) Moved(route string) []string {
 	for _, moved := range s.Fact.Moved {
-		if moved.Entry == route {
+		if moved.Route == route {
 			return moved.Services
 		}
 	}
--- a/internal/cluster/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -71,10 +71,10 @@
 	It("carry one route, and rebuild the body byte for byte", func() {
 		next := changed(5, 7, 4000)
 		next.InitialVoters = append(next.InitialVoters, wire.InitialVoters{Service: "t", Voters: []string{"c"}})
-		next.Moved = []wire.MovedRoute{{Entry: "r-7", Services: []string{"s"}}}
-		answer := versionOf(old, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
-		Expect(answer.Fact).To(BeNil())
-		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the whole %d\n", size(answer), size(&wire.ConfigurationAnswer{Fact: next}))
+		next.Moved = []wire.MovedRoute{{Route: "r-7", Services: []string{"s"}}}
+		answer := versionOf(old, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
+		Expect(answer.Full).To(BeNil())
+		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the whole %d\n", size(answer), size(&wire.ConfigurationAnswer{Full: next}))
 		Expect(size(answer)).To(BeNumerically("<", 700))
 		taken, err := versionOf(old).Take(sent(answer))
 		Expect(err).NotTo(HaveOccurred())
@@ -91,7 +91,7 @@
 			}
 			draw.Shuffle(draw.IntN(len(all)), func(i, j int) { all[i], all[j] = all[j], all[i] })
 			next := fact(version, body(version, all...))
-			answer := held.Follow(next).Answer(&wire.ConfigurationCall{Held: version - 1, TakesChanges: true})
+			answer := held.Follow(next).Answer(&wire.ConfigurationCall{HeldVersion: version - 1, AcceptsChanges: true})
 			taken, err := held.Take(sent(answer))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(string(taken.Fact.Body)).To(Equal(string(next.Body)))
@@ -101,12 +101,12 @@
 
 	It("lead over several versions, in one answer", func() {
 		ahead := versionOf(old, changed(4, 1, 1), changed(5, 2, 2), changed(9, 3, 3))
-		answer := ahead.Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer := ahead.Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Changes).To(HaveLen(3))
 		taken, err := versionOf(old).Take(sent(answer))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(taken.Fact).To(Equal(ahead.Fact))
-		again := taken.Answer(&wire.ConfigurationCall{Held: 4, TakesChanges: true})
+		again := taken.Answer(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true})
 		Expect(again.Changes).To(HaveLen(2))
 	})
 
@@ -117,8 +117,8 @@
 			all[version] = route(fmt.Sprintf("r-%d", version), 1)
 			held = held.Follow(fact(4+version, body(4+version, all...)))
 		}
-		Expect(held.Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true}).Fact).NotTo(BeNil())
-		Expect(held.Answer(&wire.ConfigurationCall{Held: 4, TakesChanges: true}).Changes).To(HaveLen(32))
+		Expect(held.Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Full).NotTo(BeNil())
+		Expect(held.Answer(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true}).Changes).To(HaveLen(32))
 	})
 
 	It("are the whole where all of them together are longer than it", func() {
@@ -130,30 +130,30 @@
 			}
 			held = held.Follow(fact(version, body(version, all...)))
 		}
-		Expect(held.Answer(&wire.ConfigurationCall{Held: 7, TakesChanges: true}).Changes).To(HaveLen(1))
-		Expect(held.Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true}).Fact).NotTo(BeNil())
+		Expect(held.Answer(&wire.ConfigurationCall{HeldVersion: 7, AcceptsChanges: true}).Changes).To(HaveLen(1))
+		Expect(held.Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Full).NotTo(BeNil())
 	})
 
 	It("are not sent over a gap, to one without a base, or to a peer of the older form", func() {
 		ahead := versionOf(old, changed(5, 1, 1), changed(7, 2, 2))
-		for _, call := range []*wire.ConfigurationCall{{Held: 6, TakesChanges: true}, {Held: 0, TakesChanges: true}, {Held: 5}} {
+		for _, call := range []*wire.ConfigurationCall{{HeldVersion: 6, AcceptsChanges: true}, {HeldVersion: 0, AcceptsChanges: true}, {HeldVersion: 5}} {
 			answer := ahead.Answer(call)
 			Expect(answer.Changes).To(BeEmpty())
-			Expect(answer.Fact.Version).To(Equal(int64(7)))
+			Expect(answer.Full.Version).To(Equal(int64(7)))
 		}
-		taken, err := versionOf(old).Take(&wire.ConfigurationAnswer{Fact: ahead.Fact})
+		taken, err := versionOf(old).Take(&wire.ConfigurationAnswer{Full: ahead.Fact})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(taken.Fact.Version).To(Equal(int64(7)))
 	})
 
 	It("that come twice, late or in another order never lead back", func() {
 		four, five := changed(4, 1, 1), changed(5, 2, 2)
-		first := versionOf(old, four).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
-		second := versionOf(old, four, five).Answer(&wire.ConfigurationCall{Held: 4, TakesChanges: true})
+		first := versionOf(old, four).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
+		second := versionOf(old, four, five).Answer(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true})
 		held := versionOf(old)
 		_, err := held.Take(second)
 		Expect(err).To(MatchError(ContainSubstring("3 is held")))
-		for _, answer := range []*wire.ConfigurationAnswer{first, second, first, second, {Fact: four}, {}} {
+		for _, answer := range []*wire.ConfigurationAnswer{first, second, first, second, {Full: four}, {}} {
 			held, err = held.Take(answer)
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -162,7 +162,7 @@
 
 	It("are refused where the digest differs, the base is another or gone, or a part is beyond it", func() {
 		next := changed(5, 7, 4000)
-		answer := versionOf(old, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer := versionOf(old, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		held := versionOf(changed(3, 9, 1))
 		kept, err := held.Take(answer)
 		Expect(err).To(MatchError(ContainSubstring("is not version 5")))
@@ -183,8 +183,8 @@
 		for number := range 40 {
 			fresh = append(fresh, route(fmt.Sprintf("other-%d", number), 1))
 		}
-		answer := versionOf(old, fact(5, body(5, fresh...))).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
-		Expect(answer.Fact).NotTo(BeNil())
+		answer := versionOf(old, fact(5, body(5, fresh...))).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
+		Expect(answer.Full).NotTo(BeNil())
 	})
 
 	It("of a plan of 1 MB are as short as those of a small one", func() {
@@ -193,7 +193,7 @@
 		Expect(len(big.Body)).To(BeNumerically(">", 1<<20))
 		all[4000] = route("r-4000", 1)
 		next := fact(4, body(4, all...))
-		answer := versionOf(big, next).Answer(&wire.ConfigurationCall{Held: 3, TakesChanges: true})
+		answer := versionOf(big, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(size(answer)).To(BeNumerically("<", 700))
 		taken, err := versionOf(big).Take(sent(answer))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -26,12 +26,12 @@
 		base := h.next()
 		before := versionOf(base)
 		next := h.next()
-		answer := before.Follow(next).Answer(&wire.ConfigurationCall{Held: base.Version, TakesChanges: true})
+		answer := before.Follow(next).Answer(&wire.ConfigurationCall{HeldVersion: base.Version, AcceptsChanges: true})
 		chain := before
 		for range 32 {
 			chain = chain.Follow(h.next())
 		}
-		chained := chain.Answer(&wire.ConfigurationCall{Held: base.Version, TakesChanges: true})
+		chained := chain.Answer(&wire.ConfigurationCall{HeldVersion: base.Version, AcceptsChanges: true})
 		image, _ := configcache.Pack(next)
 		steps := map[string]func() error{
 			"read":    func() error { _, err := configuration.Read(next.Body); return err },
@@ -84,7 +84,7 @@
 		held := &scriptedPeer{mux: mux}
 		call := func(through http.RoundTripper) (*wire.ConfigurationAnswer, error) {
 			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
-				context.Background(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{TakesChunks: true})
+				context.Background(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
 		}
 		for range mostAnswers {
 			go func() {
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -175,7 +175,7 @@
 }
 
 func isSame(a, b wire.MovedRoute) bool {
-	return a.Entry == b.Entry && slices.Equal(a.Services, b.Services)
+	return a.Route == b.Route && slices.Equal(a.Services, b.Services)
 }
 
 // textIn is how many bytes of text a change brings.
@@ -215,7 +215,7 @@
 // withMoved replaces the entries of routes that have moved again, and adds the others.
 func withMoved(all, added []wire.MovedRoute) []wire.MovedRoute {
 	for _, moved := range added {
-		place := slices.IndexFunc(all, func(known wire.MovedRoute) bool { return known.Entry == moved.Entry })
+		place := slices.IndexFunc(all, func(known wire.MovedRoute) bool { return known.Route == moved.Route })
 		if place < 0 {
 			all = append(all, moved)
 			continue
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -118,7 +118,7 @@
 
 func (f *Fetcher) ask(address string, takesChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
-	call := &wire.ConfigurationCall{Held: f.current.version(), TakesChanges: takesChanges && f.current != nil, TakesChunks: true}
+	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: takesChanges && f.current != nil, AcceptsChunks: true}
 	if begun := f.transfers.next(address); begun != nil {
 		call.Image, call.Offset = begun.image.Name, len(begun.image.data)
 	}
@@ -148,7 +148,7 @@
 	begun, before := f.clock.Monotonic(), f.current
 	next, isWhole, err := f.read(address, answer)
 	switch {
-	case err != nil && call.TakesChanges && len(answer.Changes) > 0:
+	case err != nil && call.AcceptsChanges && len(answer.Changes) > 0:
 		f.log.Info("changes of the plan do not fit; the whole is fetched", "why", err.Error())
 		f.ask(address, false)
 		return
@@ -157,7 +157,7 @@
 		return
 	case !isWhole:
 		f.peers.answered(address)
-		f.ask(address, call.TakesChanges)
+		f.ask(address, call.AcceptsChanges)
 		return
 	}
 	if err := f.adopt(next); err != nil {
@@ -166,7 +166,7 @@
 		return
 	}
 	if f.current == before {
-		if call.Held == f.current.version() {
+		if call.HeldVersion == f.current.version() {
 			// The peer has nothing newer, whatever was said of it.
 			f.peers.forget(address)
 		}
@@ -210,8 +210,8 @@
 // bytesOf counts what an answer holds of configurations: text, whole or in parts, and chunks.
 func bytesOf(answer *wire.ConfigurationAnswer) int {
 	count := 0
-	if answer.Fact != nil {
-		count = len(answer.Fact.Body)
+	if answer.Full != nil {
+		count = len(answer.Full.Body)
 	}
 	if answer.Chunk != nil {
 		count += len(answer.Chunk.Data)
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -110,11 +110,11 @@
 // chunk answers a call from the image that it names, or else from one that changes lead on from, or from a new one. So
 // a transfer goes on to its end while new versions come, and an image is made only where the changes don't reach.
 func (c *imageCache) chunk(current *Version, call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
-	named := c.use(func(image *Image) bool { return image.Name == call.Image && image.Version > call.Held })
+	named := c.use(func(image *Image) bool { return image.Name == call.Image && image.Version > call.HeldVersion })
 	if named != nil {
 		return named.chunk(call), nil
 	}
-	recent := c.use(func(image *Image) bool { return image.Version > call.Held && current.reaches(image.Version) })
+	recent := c.use(func(image *Image) bool { return image.Version > call.HeldVersion && current.reaches(image.Version) })
 	if recent != nil {
 		return recent.chunk(call), nil
 	}
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -315,7 +315,7 @@
 			return &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{{Base: 77, Version: 9999}}}
 		}),
 		Entry("a whole that can't be read", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
-			return &wire.ConfigurationAnswer{Fact: &wire.Configuration{Version: 9999, Body: []byte(`"garbage"`)}}
+			return &wire.ConfigurationAnswer{Full: &wire.Configuration{Version: 9999, Body: []byte(`"garbage"`)}}
 		}),
 		Entry("an older version", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
 			return &wire.ConfigurationAnswer{Chunk: &wire.ConfigurationChunk{Version: 1, Image: "x", Size: 5, Data: []byte("hello")}}
@@ -344,14 +344,14 @@
 		begin(250_000)
 		newest := h.next()
 		steward.bend = func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
-			return &wire.ConfigurationAnswer{Fact: newest}
+			return &wire.ConfigurationAnswer{Full: newest}
 		}
 		steward.fetcher.Hold(newest)
 		hear()
 		network.runTo(5 * time.Second)
 		Expect(gate.held.Fact).To(Equal(newest))
-		Expect(gate.answer(&wire.ConfigurationCall{}).Fact).To(Equal(newest))
-		Expect(gate.answer(&wire.ConfigurationCall{Held: 1 << 30}).Fact).To(BeNil())
+		Expect(gate.answer(&wire.ConfigurationCall{}).Full).To(Equal(newest))
+		Expect(gate.answer(&wire.ConfigurationCall{HeldVersion: 1 << 30}).Full).To(BeNil())
 	})
 })
 
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -51,8 +51,8 @@
 
 // Take applies a peer's answer; an error says that only the whole configuration helps.
 func (v *Version) Take(answer *wire.ConfigurationAnswer) (*Version, error) {
-	if answer.Fact != nil {
-		return v.Follow(answer.Fact), nil
+	if answer.Full != nil {
+		return v.Follow(answer.Full), nil
 	}
 	var chain []*wire.ConfigurationDelta
 	reached := v.version()
@@ -81,16 +81,16 @@
 // Answer gives a peer the changes since the version that it holds, or the whole configuration; nothing for one
 // that takes the whole in chunks of an image.
 func (v *Version) Answer(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
-	if v.version() <= call.Held {
+	if v.version() <= call.HeldVersion {
 		return &wire.ConfigurationAnswer{}
 	}
-	if changes := v.since(call.Held); call.TakesChanges && len(changes) > 0 {
+	if changes := v.since(call.HeldVersion); call.AcceptsChanges && len(changes) > 0 {
 		return &wire.ConfigurationAnswer{Changes: changes}
 	}
-	if call.TakesChunks {
+	if call.AcceptsChunks {
 		return nil
 	}
-	return &wire.ConfigurationAnswer{Fact: v.Fact}
+	return &wire.ConfigurationAnswer{Full: v.Fact}
 }
 
 // reaches tells whether changes lead from an older version to this one.
--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -60,9 +60,9 @@
 // Answered takes a steward's answer and tells whether it is the last word. A leader that lost the key before its change
 // was committed can't tell what became of it: the next one may have it.
 func (a *Attempts) Answered(answer *wire.ClientAnswer) bool {
-	if answer.Elsewhere {
-		a.hint = answer.Owner
-		a.outcome.MaySee = a.outcome.MaySee || answer.Unclear
+	if answer.NotLeader {
+		a.hint = answer.Leader
+		a.outcome.MaySee = a.outcome.MaySee || answer.OutcomeUnknown
 		return false
 	}
 	a.outcome.Answer = answer
--- a/internal/cluster/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -31,7 +31,7 @@
 )
 
 func (f *darkFleet) view() *membership.View {
-	view := &membership.View{Owners: map[string]wire.LeaderFact{darkKey: {Name: "s0"}}}
+	view := &membership.View{Owners: map[string]wire.KeyLeader{darkKey: {Name: "s0"}}}
 	for place := range 5 {
 		name := fmt.Sprint("s", place)
 		view.Stewards = append(view.Stewards, wire.Member{Name: name, Role: membership.RoleSteward, Address: name, Disk: "d" + name})
@@ -59,9 +59,9 @@
 		} else {
 			now += f.hop
 			isTakenOver := now.Seconds() >= f.takenOverS
-			answer := &wire.ClientAnswer{Elsewhere: true, Owner: "s0"}
+			answer := &wire.ClientAnswer{NotLeader: true, Leader: "s0"}
 			if isTakenOver {
-				answer.Owner = f.successor
+				answer.Leader = f.successor
 			}
 			if isTakenOver && try.Address == f.successor {
 				answer = &wire.ClientAnswer{Status: 200}
--- a/internal/cluster/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -54,11 +54,11 @@
 	}
 
 	It("was not taken if every steward said so", func() {
-		Expect(outcomeOf(wire.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{}))
+		Expect(outcomeOf(wire.ClientAnswer{NotLeader: true})).To(Equal(Outcome{}))
 	})
 
 	It("may have been taken if a leader proposed it and lost its leadership", func() {
-		Expect(outcomeOf(wire.ClientAnswer{Elsewhere: true, Unclear: true}, wire.ClientAnswer{Elsewhere: true})).To(Equal(Outcome{MaySee: true}))
+		Expect(outcomeOf(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}, wire.ClientAnswer{NotLeader: true})).To(Equal(Outcome{MaySee: true}))
 	})
 })
 
@@ -76,7 +76,7 @@
 })
 
 var _ = Describe("the attempts of one call", func() {
-	view := &membership.View{Owners: map[string]wire.LeaderFact{"pool/s": {Name: "a"}}, Stewards: []wire.Member{
+	view := &membership.View{Owners: map[string]wire.KeyLeader{"pool/s": {Name: "a"}}, Stewards: []wire.Member{
 		{Name: "a", Role: membership.RoleSteward, Address: "a:1", Disk: "d"}, {Name: "b", Role: membership.RoleSteward, Address: "b:1", Disk: "e"}}}
 	var attempts *Attempts
 	BeforeEach(func() { attempts = NewAttempts("pool/s", time.Second, func(int) int { return 0 }) })
@@ -85,7 +85,7 @@
 		try, isLeft := attempts.Next(view, 0)
 		Expect(try).To(Equal(Try{Address: "a:1", Limit: perTry}))
 		Expect(isLeft).To(BeTrue())
-		Expect(attempts.Answered(&wire.ClientAnswer{Elsewhere: true, Owner: "b"})).To(BeFalse())
+		Expect(attempts.Answered(&wire.ClientAnswer{NotLeader: true, Leader: "b"})).To(BeFalse())
 		try, _ = attempts.Next(view, 800*time.Millisecond)
 		Expect(try).To(Equal(Try{Address: "b:1", Limit: 200 * time.Millisecond}))
 		_, isLeft = attempts.Next(view, time.Second)
@@ -96,14 +96,14 @@
 		happen()
 		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
 		attempts.Failed(true)
-		attempts.Answered(&wire.ClientAnswer{Elsewhere: true})
+		attempts.Answered(&wire.ClientAnswer{NotLeader: true})
 		attempts.Answered(&wire.ClientAnswer{Status: 503})
 		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
 		Expect(attempts.Outcome().Answer.Status).To(Equal(503))
 	},
 		Entry("not after a call that reached nobody", func() { attempts.Failed(true) }, false),
-		Entry("not after one who leads no more", func() { attempts.Answered(&wire.ClientAnswer{Elsewhere: true}) }, false),
+		Entry("not after one who leads no more", func() { attempts.Answered(&wire.ClientAnswer{NotLeader: true}) }, false),
 		Entry("after a call that was not answered", func() { attempts.Failed(false) }, true),
-		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&wire.ClientAnswer{Elsewhere: true, Unclear: true}) }, true),
+		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}) }, true),
 	)
 })
--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -18,11 +18,11 @@
 	t.handleNews(call.From, call.Digest)
 	defer t.Settle()
 	answer := wire.MembersAnswer{Digest: t.digestFor(call.From.Role)}
-	if call.Gives {
+	if call.IsFollowUp {
 		return answer
 	}
-	if call.Digest.OwnerSum != answer.Digest.OwnerSum {
-		answer.Digest.Owners = t.allFacts()
+	if call.Digest.LeaderSum != answer.Digest.LeaderSum {
+		answer.Digest.Leaders = t.allFacts()
 	}
 	if len(call.Buckets) != bucketCount {
 		answer.Members = t.All()
@@ -60,7 +60,7 @@
 		return nil
 	}
 	t.silentSince = t.clock.Monotonic()
-	given := &wire.MembersCall{From: t.self, Gives: true, Digest: t.digestFor(t.self.Role)}
+	given := &wire.MembersCall{From: t.self, IsFollowUp: true, Digest: t.digestFor(t.self.Role)}
 	lacking := t.notIn(answer)
 	if isLeaf(t.self) {
 		for _, member := range lacking {
@@ -69,10 +69,10 @@
 	} else {
 		given.Members = lacking
 	}
-	if t.shownLeaderSum() != answer.Digest.OwnerSum {
-		given.Digest.Owners = t.allFacts()
+	if t.shownLeaderSum() != answer.Digest.LeaderSum {
+		given.Digest.Leaders = t.allFacts()
 	}
-	if len(given.Members) == 0 && len(given.Digest.Owners) == 0 {
+	if len(given.Members) == 0 && len(given.Digest.Leaders) == 0 {
 		return nil
 	}
 	return given
--- a/internal/cluster/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -29,21 +29,21 @@
 		return
 	}
 	t.noteContact(from)
-	for _, member := range datagram.News {
+	for _, member := range datagram.Updates {
 		t.Merge(member)
 	}
 	t.handleNews(from, datagram.Digest)
-	reply := wire.Datagram{Digest: wire.Digest{Owners: t.factsMissingAt(datagram.Digest)}}
+	reply := wire.Datagram{Digest: wire.Digest{Leaders: t.factsMissingAt(datagram.Digest)}}
 	switch datagram.Kind {
 	case kindPing:
-		reply.Kind, reply.Number, reply.News = kindAck, datagram.Number, t.doubtOf(Name(from))
+		reply.Kind, reply.Number, reply.Updates = kindAck, datagram.Number, t.doubtOf(Name(from))
 	case kindAck:
 		t.handleAck(datagram)
-		t.setPingPause(datagram.PauseMs)
+		t.setPingPause(datagram.PingPauseMs)
 	case kindAsk:
 		t.probeFor(datagram)
 	}
-	if reply.Kind == "" && len(reply.Digest.Owners) > 0 {
+	if reply.Kind == "" && len(reply.Digest.Leaders) > 0 {
 		reply.Kind = kindNews
 	}
 	if reply.Kind != "" {
@@ -77,18 +77,18 @@
 
 // send adds this process's record, digest and news to a datagram.
 func (t *Table) send(to Member, datagram wire.Datagram) {
-	facts := datagram.Digest.Owners
+	facts := datagram.Digest.Leaders
 	if len(facts) == 0 {
 		facts = t.recentFacts()
 	}
 	if isLeaf(to) {
-		datagram.PauseMs = t.pauseMs()
-		datagram.News = append(datagram.News, t.recordsOf(facts)...)
+		datagram.PingPauseMs = t.pauseMs()
+		datagram.Updates = append(datagram.Updates, t.recordsOf(facts)...)
 	} else {
-		datagram.News = t.withNews(datagram.News)
+		datagram.Updates = t.withNews(datagram.Updates)
 	}
 	datagram.From, datagram.Digest = t.self, t.digestFor(to.Role)
-	datagram.Digest.Owners = facts
+	datagram.Digest.Leaders = facts
 	t.events.Send(to.Address, datagram)
 }
 
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -32,17 +32,17 @@
 }
 
 func (t *Table) digestFor(role string) wire.Digest {
-	return wire.Digest{Plan: t.configurationVersion, MemberSum: t.sumsFor(role).whole(), OwnerSum: t.shownLeaderSum()}
+	return wire.Digest{ConfigVersion: t.configurationVersion, MemberSum: t.sumsFor(role).whole(), LeaderSum: t.shownLeaderSum()}
 }
 
 // handleNews takes what a digest says outright.
 func (t *Table) handleNews(from Member, digest wire.Digest) {
 	isNews := false
-	for _, fact := range digest.Owners {
+	for _, fact := range digest.Leaders {
 		isNews = t.MergeOwner(fact) || isNews
 	}
-	if digest.Plan > t.configurationVersion {
-		t.events.PlanAhead(from, digest.Plan)
+	if digest.ConfigVersion > t.configurationVersion {
+		t.events.PlanAhead(from, digest.ConfigVersion)
 	}
 	if isNews && !isLeaf(t.self) {
 		t.Spread()
@@ -54,7 +54,7 @@
 	if isLeaf(from) {
 		return
 	}
-	isLeadersDiffering := digest.OwnerSum != 0 && digest.OwnerSum != t.shownLeaderSum() && len(t.leaders) > mostFacts
+	isLeadersDiffering := digest.LeaderSum != 0 && digest.LeaderSum != t.shownLeaderSum() && len(t.leaders) > mostFacts
 	isMembersDiffering := digest.MemberSum != 0 && digest.MemberSum != t.sumsFor(from.Role).whole()
 	if isMembersDiffering {
 		t.pingPause = t.timing.LeafPeriod
--- a/internal/cluster/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -15,7 +15,7 @@
 )
 
 // MergeOwner takes word of a key's leader; the higher epoch counts. It tells whether it was news.
-func (t *Table) MergeOwner(fact wire.LeaderFact) bool {
+func (t *Table) MergeOwner(fact wire.KeyLeader) bool {
 	known, isThere := t.leaders[fact.Key]
 	if isThere && known.Epoch >= fact.Epoch {
 		return false
@@ -35,10 +35,10 @@
 
 func (t *Table) shownLeaderSum() uint32 { return shown(t.leaderSum) }
 
-func (t *Table) allFacts() []wire.LeaderFact { return slices.Collect(maps.Values(t.leaders)) }
+func (t *Table) allFacts() []wire.KeyLeader { return slices.Collect(maps.Values(t.leaders)) }
 
-func (t *Table) recentFacts() []wire.LeaderFact {
-	var facts []wire.LeaderFact
+func (t *Table) recentFacts() []wire.KeyLeader {
+	var facts []wire.KeyLeader
 	for key := range t.recentLeaders {
 		if len(facts) == mostFacts {
 			break
@@ -49,8 +49,8 @@
 }
 
 // factsMissingAt gives all facts to a peer whose sum of them differs; if it holds newer ones, it does the same in turn.
-func (t *Table) factsMissingAt(digest wire.Digest) []wire.LeaderFact {
-	if digest.OwnerSum == 0 || digest.OwnerSum == t.shownLeaderSum() || len(t.leaders) > mostFacts {
+func (t *Table) factsMissingAt(digest wire.Digest) []wire.KeyLeader {
+	if digest.LeaderSum == 0 || digest.LeaderSum == t.shownLeaderSum() || len(t.leaders) > mostFacts {
 		return nil
 	}
 	return t.allFacts()
@@ -69,7 +69,7 @@
 }
 
 // recordsOf gives the records of the leaders that the facts name, so that a local-proxy can call them at once.
-func (t *Table) recordsOf(facts []wire.LeaderFact) []Member {
+func (t *Table) recordsOf(facts []wire.KeyLeader) []Member {
 	var leaders []Member
 	for _, fact := range facts {
 		known := t.records[Name(Member{Name: fact.Name, Role: RoleSteward})]
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -248,15 +248,15 @@
 	})
 
 	It("gives owners both ways, by the higher epoch", func() {
-		one.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
-		one.MergeOwner(wire.LeaderFact{Key: "b", Epoch: 3, Name: "x"})
-		two.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 4, Name: "y"})
+		one.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 3, Name: "x"})
+		one.MergeOwner(wire.KeyLeader{Key: "b", Epoch: 3, Name: "x"})
+		two.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 4, Name: "y"})
 		ask := one.Ask()
 		answer := two.Answer(&ask)
 		two.Answer(one.Take(steward(1), &answer))
-		Expect(one.Ask().Digest.OwnerSum).To(Equal(two.Ask().Digest.OwnerSum))
+		Expect(one.Ask().Digest.LeaderSum).To(Equal(two.Ask().Digest.LeaderSum))
 		again := two.Ask()
-		Expect(one.Answer(&again).Digest.Owners).To(BeEmpty())
+		Expect(one.Answer(&again).Digest.Leaders).To(BeEmpty())
 	})
 
 	It("keeps sums by change as if they were worked out from nothing", func() {
@@ -273,15 +273,15 @@
 	})
 
 	It("gives a peer of the older form the whole list and all owners, and takes such a list", func() {
-		one.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
+		one.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 3, Name: "x"})
 		answer := one.Answer(&wire.MembersCall{From: gate(900), Members: []wire.Member{gate(901)}})
 		Expect(answer.Members).To(HaveLen(204))
-		Expect(answer.Digest.Owners).To(HaveLen(1))
+		Expect(answer.Digest.Leaders).To(HaveLen(1))
 		older := &wire.MembersAnswer{Members: []wire.Member{gate(950)},
-			Digest: wire.Digest{Owners: []wire.LeaderFact{{Key: "a", Epoch: 9, Name: "z"}}}}
+			Digest: wire.Digest{Leaders: []wire.KeyLeader{{Key: "a", Epoch: 9, Name: "z"}}}}
 		Expect(one.Take(gate(900), older)).To(BeNil())
 		Expect(one.All()).To(ContainElement(gate(950)))
-		Expect(one.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 9, Name: "z"})).To(BeFalse())
+		Expect(one.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 9, Name: "z"})).To(BeFalse())
 	})
 })
 
@@ -290,11 +290,11 @@
 		clock := clock.NewFake(1)
 		table, sent, differed := lone(gate(0), clock)
 		side := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
-		table.Hear(wire.Datagram{Kind: "ping", Number: 4, From: gate(1), News: []wire.Member{side},
-			Digest: wire.Digest{Owners: []wire.LeaderFact{{Key: "a", Epoch: 2, Name: "x"}}}})
+		table.Hear(wire.Datagram{Kind: "ping", Number: 4, From: gate(1), Updates: []wire.Member{side},
+			Digest: wire.Digest{Leaders: []wire.KeyLeader{{Key: "a", Epoch: 2, Name: "x"}}}})
 		table.Hear(wire.Datagram{Kind: "ping", Number: 5, From: side})
 		Expect(table.All()).To(ConsistOf(gate(0), gate(1)))
-		Expect(table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
+		Expect(table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
 		Expect(*differed).To(BeZero())
 		last := (*sent)[len(*sent)-1]
 		Expect(last.Kind).To(Equal("ack"))
@@ -304,7 +304,7 @@
 	It("answers a peer of the older form without mending what it can't compare", func() {
 		table, sent, differed := lone(gate(0), clock.NewFake(1))
 		table.Merge(gate(1))
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "x"})
 		table.Hear(wire.Datagram{Kind: "ack", From: gate(1)})
 		Expect(*sent).To(BeEmpty())
 		Expect(*differed).To(BeZero())
@@ -335,11 +335,11 @@
 		Expect(*differed).To(BeZero())
 		table.Merge(steward(1))
 		table.Merge(gate(1))
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "control-1"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "control-1"})
 		table.Spread()
 		pushed := (*sent)[len(*sent)-1]
-		Expect(pushed.News).To(ConsistOf(steward(1)))
-		Expect(pushed.Digest.Owners).To(HaveLen(1))
+		Expect(pushed.Updates).To(ConsistOf(steward(1)))
+		Expect(pushed.Digest.Leaders).To(HaveLen(1))
 	})
 
 	It("asks its leaves to wait longer the more they are, and keeps them as much longer", func() {
@@ -349,15 +349,15 @@
 			side := wire.Member{Name: fmt.Sprintf("side-%d", number), Role: "local-proxy", Address: "10.0.0.4:1"}
 			table.Hear(wire.Datagram{Kind: "ping", From: side})
 		}
-		Expect((*sent)[0].PauseMs).To(BeZero())
-		Expect((*sent)[1599].PauseMs).To(Equal(int64(14_000)))
+		Expect((*sent)[0].PingPauseMs).To(BeZero())
+		Expect((*sent)[1599].PingPauseMs).To(Equal(int64(14_000)))
 		pushes := func(wait time.Duration, epoch uint64) int {
 			for range wait / (350 * time.Millisecond) {
 				clock.Advance(350 * time.Millisecond)
 				table.Tick()
 			}
 			before := len(*sent)
-			table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: epoch, Name: "control-0"})
+			table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: epoch, Name: "control-0"})
 			table.Spread()
 			return len(*sent) - before
 		}
@@ -376,7 +376,7 @@
 			clock.Advance(350 * time.Millisecond)
 			before := pings
 			if side.Tick(); pings > before {
-				side.Hear(wire.Datagram{Kind: "ack", From: steward(0), PauseMs: 7000})
+				side.Hear(wire.Datagram{Kind: "ack", From: steward(0), PingPauseMs: 7000})
 			}
 		}
 		Expect(pings).To(Equal(4))
@@ -392,7 +392,7 @@
 			clock.Advance(350 * time.Millisecond)
 			before := len(*sent)
 			if side.Tick(); len(*sent) > before {
-				side.Hear(wire.Datagram{Kind: "ack", From: steward(0), PauseMs: 7000, Digest: wire.Digest{MemberSum: 5}})
+				side.Hear(wire.Datagram{Kind: "ack", From: steward(0), PingPauseMs: 7000, Digest: wire.Digest{MemberSum: 5}})
 			}
 		}
 		Expect(*sent).To(HaveLen(2))
@@ -420,7 +420,7 @@
 			clock.Advance(350 * time.Millisecond)
 		}
 		before := len(*sent)
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "control-0"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "control-0"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before + 1))
 	})
@@ -484,16 +484,16 @@
 		clock := clock.NewFake(1)
 		table, sent, _ := lone(gate(0), clock)
 		table.Merge(gate(1))
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "x"})
 		for range 6 {
 			clock.Advance(350 * time.Millisecond)
 			table.Tick()
 		}
-		sum := table.Ask().Digest.OwnerSum
-		table.Hear(wire.Datagram{Kind: "ping", From: gate(1), Digest: wire.Digest{OwnerSum: sum}})
-		Expect((*sent)[len(*sent)-1].Digest.Owners).To(BeEmpty())
-		table.Hear(wire.Datagram{Kind: "ack", From: gate(1), Digest: wire.Digest{OwnerSum: 1}})
-		Expect((*sent)[len(*sent)-1].Digest.Owners).To(HaveLen(1))
+		sum := table.Ask().Digest.LeaderSum
+		table.Hear(wire.Datagram{Kind: "ping", From: gate(1), Digest: wire.Digest{LeaderSum: sum}})
+		Expect((*sent)[len(*sent)-1].Digest.Leaders).To(BeEmpty())
+		table.Hear(wire.Datagram{Kind: "ack", From: gate(1), Digest: wire.Digest{LeaderSum: 1}})
+		Expect((*sent)[len(*sent)-1].Digest.Leaders).To(HaveLen(1))
 	})
 
 	It("compares with a peer that stays different, not while news is on its way", func() {
@@ -517,7 +517,7 @@
 		table, sent, _ := lone(steward(0), clock)
 		table.Hear(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
 		before := len(*sent)
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "x"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "x"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before + 1))
 		for range 400 {
@@ -525,7 +525,7 @@
 			table.Tick()
 		}
 		before = len(*sent)
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 3, Name: "x"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 3, Name: "x"})
 		table.Spread()
 		Expect(*sent).To(HaveLen(before))
 		gone := gate(3)
@@ -544,7 +544,7 @@
 		risen := steward(3)
 		risen.Incarnation, risen.Disk = 4, "d"
 		table.Merge(risen)
-		table.MergeOwner(wire.LeaderFact{Key: "a", Epoch: 2, Name: "control-3"})
+		table.MergeOwner(wire.KeyLeader{Key: "a", Epoch: 2, Name: "control-3"})
 		table.Settle()
 		Expect(stewardsOf(views[0])).To(Equal("control-310.0.0.3:31 control-510.0.0.3:51 "))
 		Expect(views[2].Owners).To(BeEmpty())
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -206,7 +206,7 @@
 // moveOwner lets a steward announce a key, and gives how long each that runs took to learn it.
 func (n *network) moveOwner(to *resident, epoch uint64, patience time.Duration) []time.Duration {
 	began := n.clock.Monotonic()
-	if to.table.MergeOwner(wire.LeaderFact{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
+	if to.table.MergeOwner(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
 		to.table.Spread()
 	}
 	n.run(patience)
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -241,7 +241,7 @@
 }
 
 // Announce passes on word of a key's leader.
-func (n *Node) Announce(fact wire.LeaderFact) {
+func (n *Node) Announce(fact wire.KeyLeader) {
 	n.mailbox.Post(func() {
 		if n.table.MergeOwner(fact) {
 			n.table.Spread()
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -111,7 +111,7 @@
 	It("spreads word of a plan and of a key's owner to all, and never goes back", func() {
 		t := newTown(20)
 		t.tables["n0"].HoldsPlan(7)
-		t.tables["n0"].MergeOwner(wire.LeaderFact{Key: "plan", Epoch: 4, Name: "n0"})
+		t.tables["n0"].MergeOwner(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n0"].Spread()
 		t.run(4 * time.Second)
 		for name := range t.tables {
@@ -120,13 +120,13 @@
 			}
 			Expect(t.views[name].Owners["plan"].Epoch).To(Equal(uint64(4)), name)
 		}
-		Expect(t.tables["n5"].MergeOwner(wire.LeaderFact{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
+		Expect(t.tables["n5"].MergeOwner(wire.KeyLeader{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
 	})
 
 	It("tells who waits on an owner that the key has moved", func() {
 		t := newTown(3)
 		old := t.views["n1"]
-		t.tables["n1"].MergeOwner(wire.LeaderFact{Key: "plan", Epoch: 4, Name: "n0"})
+		t.tables["n1"].MergeOwner(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n1"].Settle()
 		Expect(old.Moved).To(BeClosed())
 		Expect(t.views["n1"].Moved).NotTo(BeClosed())
@@ -139,7 +139,7 @@
 		t.tables["n0"].Settle()
 		for _, member := range t.views["n0"].Members {
 			if member.Name == "n1" {
-				Expect(member.Past).To(ContainElement("old"))
+				Expect(member.FormerDisks).To(ContainElement("old"))
 			}
 		}
 	})
--- a/internal/cluster/membership/probes.go
+++ b/internal/cluster/membership/probes.go
@@ -87,7 +87,7 @@
 		if known := t.records[name]; known != nil {
 			t.lastNumber++
 			t.probes[t.lastNumber] = probe{name: name, began: now}
-			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber, News: t.doubtOf(name)})
+			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber, Updates: t.doubtOf(name)})
 			return
 		}
 	}
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -71,7 +71,7 @@
 	if !isNewer(member, known.member) {
 		return false
 	}
-	member.Past = joinPast(known.member, member)
+	member.FormerDisks = joinPast(known.member, member)
 	known.since = t.clock.Monotonic()
 	t.write(known, member)
 	t.noteNews(Name(member))
@@ -131,8 +131,8 @@
 
 // joinPast lists the former disks that either record of a member names, the newest last.
 func joinPast(former, latest Member) []string {
-	past := slices.Clone(latest.Past)
-	for _, disk := range append(slices.Clone(former.Past), former.Disk) {
+	past := slices.Clone(latest.FormerDisks)
+	for _, disk := range append(slices.Clone(former.FormerDisks), former.Disk) {
 		if disk != "" && disk != latest.Disk && !slices.Contains(past, disk) {
 			past = append(past, disk)
 		}
@@ -147,7 +147,7 @@
 	if isOlder || isSame {
 		return
 	}
-	t.self.Past = joinPast(claim, t.self)
+	t.self.FormerDisks = joinPast(claim, t.self)
 	t.self.Incarnation = claim.Incarnation + 1
 	t.write(t.ownRecord, t.self)
 	t.Spread()
--- a/internal/cluster/membership/sums.go
+++ b/internal/cluster/membership/sums.go
@@ -39,4 +39,4 @@
 	return binary.BigEndian.Uint32(sum[:])
 }
 
-func factHash(fact wire.LeaderFact) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
+func factHash(fact wire.KeyLeader) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -47,7 +47,7 @@
 	sums        sums
 	stewardSums sums
 
-	leaders        map[string]wire.LeaderFact
+	leaders        map[string]wire.KeyLeader
 	isLeadersShown bool
 	leaderSum      uint32
 	// recentLeaders counts the ticks for which the leader of a key is still sent along with each datagram.
@@ -93,7 +93,7 @@
 	table := &Table{
 		self: self, clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
 		ownRecord: &record{bucket: bucketOf(Name(self))}, records: map[string]*record{}, unhealthy: map[string]*record{},
-		leaders: map[string]wire.LeaderFact{}, recentLeaders: map[string]int{},
+		leaders: map[string]wire.KeyLeader{}, recentLeaders: map[string]int{},
 		probes: map[uint64]probe{}, relays: map[uint64]relay{}, newsToSend: map[string]int{},
 		leaves: map[string]leaf{}, pingPause: timing.LeafPeriod, isPingAnswered: true,
 		createdAt: now, lastTick: now, differAt: now - 2*timing.Period - 1,
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -12,7 +12,7 @@
 	Self     Member
 	Members  []Member
 	Stewards []Member
-	Owners   map[string]wire.LeaderFact
+	Owners   map[string]wire.KeyLeader
 	// IsLonely is set at a local-proxy that no steward has answered for some time.
 	IsLonely bool
 	// Moved is closed once any key has another leader than this view says.
@@ -30,7 +30,7 @@
 
 // StewardOf finds the steward that keeps a disk, a lasting or a makeshift one.
 func (v *View) StewardOf(disk string) (Member, bool) {
-	place := slices.IndexFunc(v.Stewards, func(steward Member) bool { return steward.Disk == disk || steward.Makeshift == disk })
+	place := slices.IndexFunc(v.Stewards, func(steward Member) bool { return steward.Disk == disk || steward.TemporaryDisk == disk })
 	if place < 0 || disk == "" {
 		return Member{}, false
 	}
--- a/internal/cluster/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -38,7 +38,7 @@
 	})
 
 	It("needs no status if it points elsewhere", func() {
-		Expect(ask(answering(&wire.ClientAnswer{Elsewhere: true}))).To(Equal(&wire.ClientAnswer{Elsewhere: true}))
+		Expect(ask(answering(&wire.ClientAnswer{NotLeader: true}))).To(Equal(&wire.ClientAnswer{NotLeader: true}))
 	})
 })
 
@@ -85,7 +85,7 @@
 		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
 			fakeClock, context.Background(), address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Fact.Version).To(Equal(int64(7)))
+		Expect(answer.Full.Version).To(Equal(int64(7)))
 	})
 })
 
--- a/internal/cluster/peerapi/metrics_test.go
+++ b/internal/cluster/peerapi/metrics_test.go
@@ -19,7 +19,7 @@
 	It("are counted on both sides, with their bytes and their errors", func() {
 		mux := http.NewServeMux()
 		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
-			if call.Held == 9 {
+			if call.HeldVersion == 9 {
 				return nil, errors.New("no")
 			}
 			return &wire.ConfigurationAnswer{}, nil
@@ -29,7 +29,7 @@
 		caller := peerapi.NewCaller(http.DefaultClient)
 		ask := func(held int64) error {
 			_, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(),
-				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{Held: held})
+				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{HeldVersion: held})
 			return err
 		}
 		Expect(ask(1)).To(Succeed())
--- /dev/null
+++ b/internal/cluster/peerapi/wire/client.go
@@ -0,0 +1,72 @@
+package wire
+
+import (
+	"github.com/juju/errors"
+	"github.com/mailru/easyjson"
+)
+
+//go:generate go run github.com/mailru/easyjson/easyjson -all client.go
+
+// Verb is what a client or an operator wants.
+type Verb string
+
+// The verbs: those of clients go to the key of a pool, those of operators to the key of the configuration.
+const (
+	// VerbSubmit submits a job under an ID that the client has chosen.
+	VerbSubmit Verb = "hand-in"
+	// VerbRenounce asks a pool never to take a job under an ID, so that another pool may.
+	VerbRenounce Verb = "renounce"
+	// VerbState asks for the state of a job.
+	VerbState Verb = "state"
+	// VerbCancel cancels a job.
+	VerbCancel Verb = "cancel"
+	// VerbCount asks how many jobs of a route are waiting.
+	VerbCount Verb = "count"
+	// VerbReplace replaces the configuration.
+	VerbReplace Verb = "replace"
+	// VerbRetrieve asks for the configuration.
+	VerbRetrieve Verb = "retrieve"
+)
+
+// ClientCall is a command of a client or operator on the way to the leader of a key.
+type ClientCall struct {
+	Key         string              `json:"key"`
+	Verb        Verb                `json:"verb"`
+	Route       string              `json:"entry,omitempty"`
+	ID          string              `json:"id,omitempty"`
+	Base        int64               `json:"base,omitempty"`
+	Terms       *RouteTerms         `json:"terms,omitempty"`
+	Body        easyjson.RawMessage `json:"body,omitempty"`
+	RemainingMs int64               `json:"left,omitempty"`
+}
+
+// RouteTerms are what a job's route says of it: its priority, how many attempts a task has, and the target for its
+// latency, as a multiple of its longest chain of work plus TargetMs.
+type RouteTerms struct {
+	Priority    int     `json:"p,omitempty"`
+	MaxAttempts int     `json:"a,omitempty"`
+	Stretch     float64 `json:"s,omitempty"`
+	TargetMs    int64   `json:"t,omitempty"`
+}
+
+// ClientAnswer with NotLeader set names the leader to ask, as far as it is known. The command was not taken, unless
+// OutcomeUnknown is set too: then its change was proposed, and a later leader may keep it or not. Status is that of HTTP.
+type ClientAnswer struct {
+	NotLeader      bool                `json:"elsewhere,omitempty"`
+	OutcomeUnknown bool                `json:"unclear,omitempty"`
+	Leader         string              `json:"owner,omitempty"`
+	Status         int                 `json:"status,omitempty"`
+	RetryAfterS    int                 `json:"retry,omitempty"`
+	Reason         string              `json:"why,omitempty"`
+	Body           easyjson.RawMessage `json:"body,omitempty"`
+	// Current is the version in force with a refused configuration.
+	Current int64 `json:"current,omitempty"`
+}
+
+// Check refuses an answer that says nothing.
+func (a *ClientAnswer) Check() error {
+	if !a.NotLeader && a.Status < 100 {
+		return errors.Errorf("an answer without a status (%d)", a.Status)
+	}
+	return nil
+}
--- a/internal/cluster/peerapi/wire/golden_test.go
+++ b/internal/cluster/peerapi/wire/golden_test.go
@@ -25,7 +25,7 @@
 	"fetch-call":           &wire.FetchCall{},
 	"fetch-answer":         &wire.FetchAnswer{},
 	"member":               &wire.Member{},
-	"leader-fact":          &wire.LeaderFact{},
+	"leader-fact":          &wire.KeyLeader{},
 	"digest":               &wire.Digest{},
 	"datagram":             &wire.Datagram{},
 	"members-call":         &wire.MembersCall{},
--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -1,4 +1,9 @@
-// Package configleader decides on the operator's configuration while this steward leads its key.
+// Package configleader decides on the operator's configuration while this steward leads its key. It is a state machine without
+// goroutines and sockets: controlkeys calls it on the goroutine of the key's engine, and a Leadership commits for it.
+//
+// A configuration is confirmed to the operator only once it is committed. Each confirmed version has a record with the digest of
+// its body, so that an operator who sends the same change again after a lost answer is confirmed again, and never told of a
+// conflict with the own change.
 package configleader
 
 import (
@@ -17,17 +22,18 @@
 
 const (
 	// Key is that of the configuration among the replicated keys.
-	Key      = "plan"
-	factName = "fact"
-	// mostWaiting calls wait for a commit that is under way.
-	mostWaiting = 32
+	Key = "plan"
+	// recordConfiguration is the name of the record with the configuration in force.
+	recordConfiguration = "fact"
+	// maxQueued calls wait for a commit that is under way.
+	maxQueued = 32
 )
 
-// Tenure is what the configuration needs of the leadership of its key.
-type Tenure interface {
-	// Commit makes a change durable on a majority; done gets an error if the leadership is lost first.
+// Leadership is what the configuration needs of the leadership of its key; replication.Leadership is the real one.
+type Leadership interface {
+	// Commit makes a change durable on a quorum; done gets an error if the leadership is lost first.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease says whether no other process can lead the key now.
+	// HasLease tells whether no other process can lead the key now.
 	HasLease() bool
 	// Voters are the disks that vote on the key now.
 	Voters() []string
@@ -35,177 +41,202 @@
 
 // Leader decides on the operator's calls, one after the other in the order in which they come.
 type Leader struct {
-	tenure Tenure
-	// fact is what is committed, nil before the first; decoded is its body, once it was read.
-	fact      *wire.Configuration
-	decoded   *configuration.Configuration
-	confirmed *confirmed
-	isBusy    bool
-	waiting   []waitingCall
-	publish   func(*wire.Configuration)
-	log       logging.Logger
-}
-
-// waitingCall came while a commit was under way.
-type waitingCall struct {
+	// leadership is nil while the key is led elsewhere.
+	leadership Leadership
+	// committed is the configuration in force, nil before the first; decodedCommitted is its body, once it was read.
+	committed        *wire.Configuration
+	decodedCommitted *configuration.Configuration
+	confirmed        *confirmedVersions
+	// queued are the calls that came while a commit was under way; there are none unless isCommitting.
+	isCommitting bool
+	queued       []queuedCall
+	publish      func(*wire.Configuration)
+	log          logging.Logger
+}
+
+// queuedCall came while a commit was under way.
+type queuedCall struct {
 	call   *wire.ClientCall
 	answer answerClient
 }
 
-// New makes a leader without a tenure; publish is told of each committed configuration.
+// answerClient takes the answer to a client's call, once.
+type answerClient = func(wire.ClientAnswer)
+
+// New makes a leader without a leadership; publish gets each committed configuration.
 func New(log logging.Logger, publish func(*wire.Configuration)) *Leader {
 	return &Leader{publish: publish, log: log}
 }
 
-// Open takes over the key with what is committed of it; an error says that it can't be read.
-func (l *Leader) Open(tenure Tenure, pairs []wire.Op) error {
+// Open takes over the key with what is committed of it; an error names the record that can't be read.
+func (l *Leader) Open(leadership Leadership, pairs []wire.Op) error {
 	l.Close()
-	var fact *wire.Configuration
-	for _, pair := range pairs {
-		if pair.Name == factName {
-			fact = &wire.Configuration{}
-			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), fact); err != nil {
-				return errors.Annotate(err, "reading the plan from disk")
-			}
-		}
+	committed, err := readCommitted(pairs)
+	if err != nil {
+		return err
 	}
-	confirmed, err := readConfirmed(pairs, fact)
+	confirmed, err := readConfirmed(pairs, committed)
 	if err != nil {
 		return err
 	}
-	l.tenure, l.fact, l.confirmed = tenure, fact, confirmed
-	if fact != nil {
-		fact.Confirmed = nil
-		l.publish(passedOn(fact))
+	l.leadership, l.committed, l.confirmed = leadership, committed, confirmed
+	if committed != nil {
+		committed.Confirmed = nil
+		l.publish(published(committed))
 	}
 	return nil
 }
 
-// passedOn leaves out what only the key's leader needs, and the space around the body, which no message carries.
-func passedOn(fact *wire.Configuration) *wire.Configuration {
-	return &wire.Configuration{Version: fact.Version, Body: bytes.TrimSpace(fact.Body), InitialVoters: fact.InitialVoters, Moved: fact.Moved}
+// readCommitted gives the configuration in force, or nil if there is none yet.
+func readCommitted(pairs []wire.Op) (*wire.Configuration, error) {
+	for _, pair := range pairs {
+		if pair.Name != recordConfiguration {
+			continue
+		}
+		committed := &wire.Configuration{}
+		err := easyjson.Unmarshal(bytes.Clone(pair.Value), committed)
+		return committed, errors.Annotate(err, "reading the configuration from disk")
+	}
+	return nil, nil
 }
 
-// Close gives up the key; calls that wait were not taken.
+// published leaves out what only the key's leader needs, and the space around the body, which no message carries.
+func published(committed *wire.Configuration) *wire.Configuration {
+	return &wire.Configuration{Version: committed.Version, Body: bytes.TrimSpace(committed.Body), InitialVoters: committed.InitialVoters,
+		Moved: committed.Moved}
+}
+
+// Close gives up the key; calls that are queued were not taken.
 func (l *Leader) Close() {
-	waiting := l.waiting
-	l.tenure, l.fact, l.decoded, l.confirmed, l.isBusy, l.waiting = nil, nil, nil, nil, false, nil
-	for _, next := range waiting {
-		next.answer(wire.ClientAnswer{Elsewhere: true})
+	queued := l.queued
+	l.leadership, l.committed, l.decodedCommitted, l.confirmed, l.isCommitting, l.queued = nil, nil, nil, nil, false, nil
+	for _, next := range queued {
+		next.answer(wire.ClientAnswer{NotLeader: true})
 	}
 }
 
 // IsOpen tells whether the key is led here.
-func (l *Leader) IsOpen() bool { return l.tenure != nil }
-
-// answerClient takes the answer to a client's call, once.
-type answerClient = func(wire.ClientAnswer)
+func (l *Leader) IsOpen() bool { return l.leadership != nil }
 
-// Replace decides on an operator's change: taken before, on the wrong base, invalid, or committed. While a commit is
+// Replace decides on an operator's change: confirmed before, on the wrong base, invalid, or committed. While a commit is
 // under way it waits for its turn.
 func (l *Leader) Replace(call *wire.ClientCall, answer answerClient) {
 	switch {
-	case !l.isBusy:
+	case !l.isCommitting:
 		l.decide(call, answer)
-	case len(l.waiting) < mostWaiting:
-		l.waiting = append(l.waiting, waitingCall{call, answer})
+	case len(l.queued) < maxQueued:
+		l.queued = append(l.queued, queuedCall{call, answer})
 	default:
-		answer(wire.ClientAnswer{Elsewhere: true})
+		answer(wire.ClientAnswer{NotLeader: true})
 	}
 }
 
-// decide answers at once, or commits. A refusal for the base is final: versions only rise, so a call whose base was
-// passed can't be taken later, and the records tell whether it was taken before. Where they no longer can, the answer
-// is none.
+// decide answers at once, or commits.
 func (l *Leader) decide(call *wire.ClientCall, answer answerClient) {
+	proposed, invalid := configuration.Read(call.Body)
+	if proposed != nil && l.confirmed.has(proposed.Version, call.Body) {
+		l.answerUnderLease(answer, confirmationOf(proposed.Version))
+		return
+	}
+	err := l.check(proposed, invalid, call.Base)
+	switch {
+	case err == nil:
+		l.commit(proposed, call.Body, answer)
+	case needsLease(err):
+		l.answerUnderLease(answer, refusalOf(err))
+	default:
+		answer(refusalOf(err))
+	}
+}
+
+// check tells why a change can't be committed: an *InvalidError, *ForgottenVersionError, *VersionConflictError or
+// *VersionNotAboveError. A refusal for the base is final: versions only rise, so a call whose base was passed can't be taken
+// later, and the records tell whether it was taken before. Where they no longer can, the operator has to ask.
+func (l *Leader) check(proposed *configuration.Configuration, invalid error, base int64) error {
 	var current int64
-	if l.fact != nil {
-		current = l.fact.Version
+	if l.committed != nil {
+		current = l.committed.Version
 	}
-	proposed, err := configuration.Read(call.Body)
 	switch {
-	case proposed != nil && l.confirmed.has(proposed.Version, call.Body):
-		l.underLease(answer, wire.ClientAnswer{Status: http.StatusOK, Body: versionBody(proposed.Version)})
-	case err != nil:
-		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
-	case call.Base != current && l.confirmed.isForgotten(proposed.Version):
-		l.underLease(answer, wire.ClientAnswer{Status: http.StatusServiceUnavailable, RetryAfter: 1,
-			Why: "version " + strconv.FormatInt(proposed.Version, 10) + " may have been taken too long ago to tell"})
-	case call.Base != current:
-		l.underLease(answer, wire.ClientAnswer{Status: http.StatusPreconditionFailed, Current: current,
-			Why: "the current version is " + strconv.FormatInt(current, 10)})
+	case invalid != nil:
+		return &InvalidError{invalid}
+	case base != current && l.confirmed.isForgotten(proposed.Version):
+		return &ForgottenVersionError{proposed.Version}
+	case base != current:
+		return &VersionConflictError{current}
 	case proposed.Version <= current:
-		answer(wire.ClientAnswer{Status: http.StatusBadRequest,
-			Why: "field config-version is not above the current one, " + strconv.FormatInt(current, 10)})
-	default:
-		l.commit(proposed, call.Body, answer)
+		return &VersionNotAboveError{current}
 	}
+	return nil
 }
 
-// decideWaiting goes on with the calls that came during a commit, until one of them is committed in turn.
-func (l *Leader) decideWaiting() {
-	for len(l.waiting) > 0 && !l.isBusy && l.IsOpen() {
-		next := l.waiting[0]
-		l.waiting = l.waiting[1:]
+// decideQueued goes on with the calls that came during a commit, until one of them is committed in turn.
+func (l *Leader) decideQueued() {
+	for len(l.queued) > 0 && !l.isCommitting && l.IsOpen() {
+		next := l.queued[0]
+		l.queued = l.queued[1:]
 		l.decide(next.call, next.answer)
 	}
 }
 
-func versionBody(version int64) []byte {
-	return []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)
+// confirmationOf is the answer that confirms a version.
+func confirmationOf(version int64) wire.ClientAnswer {
+	return wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)}
 }
 
-// underLease gives an answer that is only true while no other process leads the key.
-func (l *Leader) underLease(answer answerClient, what wire.ClientAnswer) {
-	if !l.tenure.HasLease() {
-		answer(wire.ClientAnswer{Elsewhere: true})
+// answerUnderLease gives an answer that is only true while no other process leads the key. The lease is asked for after the
+// answer was worked out, since the process may have been frozen in between.
+func (l *Leader) answerUnderLease(answer answerClient, response wire.ClientAnswer) {
+	if !l.leadership.HasLease() {
+		answer(wire.ClientAnswer{NotLeader: true})
 		return
 	}
-	answer(what)
+	answer(response)
 }
 
 // commit writes a configuration and the record of its confirmation, and answers once both are durable.
 func (l *Leader) commit(proposed *configuration.Configuration, body []byte, answer answerClient) {
-	records, err := l.confirmed.with(proposed.Version, body)
+	next := l.next(proposed, body)
+	confirmation, err := l.confirmed.prepare(proposed.Version, body)
 	if err != nil {
 		l.refuseUnwritten(err, proposed.Version, answer)
 		return
 	}
-	next := l.next(proposed, body)
-	next.Forgotten = records.forgotten
+	next.Forgotten = confirmation.forgotten
 	value, err := easyjson.Marshal(next)
 	if err != nil {
 		l.refuseUnwritten(err, proposed.Version, answer)
 		return
 	}
-	l.isBusy = true
-	tenure := l.tenure
-	tenure.Commit(append([]wire.Op{{Name: factName, Value: value}}, records.ops...), func(err error) {
-		if err != nil || l.tenure != tenure {
-			answer(wire.ClientAnswer{Elsewhere: true, Unclear: true})
+	l.isCommitting = true
+	leadership := l.leadership
+	ops := append([]wire.Op{{Name: recordConfiguration, Value: value}}, confirmation.ops...)
+	leadership.Commit(ops, func(err error) {
+		if err != nil || l.leadership != leadership {
+			answer(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true})
 			return
 		}
-		l.isBusy = false
-		l.fact, l.decoded = next, proposed
-		l.confirmed.take(records)
-		l.log.Info("plan committed", "version", next.Version)
-		l.publish(passedOn(next))
-		answer(wire.ClientAnswer{Status: http.StatusOK, Body: versionBody(next.Version)})
-		l.decideWaiting()
+		l.isCommitting = false
+		l.committed, l.decodedCommitted = next, proposed
+		l.confirmed.apply(confirmation)
+		l.log.Info("configuration committed", "version", next.Version)
+		l.publish(published(next))
+		answer(confirmationOf(next.Version))
+		l.decideQueued()
 	})
 }
 
 func (l *Leader) refuseUnwritten(err error, version int64, answer answerClient) {
-	l.log.Error(err, "the plan could not be written", "version", version)
-	answer(wire.ClientAnswer{Status: http.StatusInternalServerError, Why: "the plan could not be written"})
+	l.log.Error(err, "the configuration can't be written", "version", version)
+	answer(wire.ClientAnswer{Status: http.StatusInternalServerError, Reason: "the configuration could not be written"})
 }
 
-// next is the record of a configuration that is to be committed: with the first voters of new services, and the routes
-// that lead elsewhere than before.
+// next is the record of a configuration that is to be committed: with the initial voters of new services' pools, and the
+// routes that lead to another service than before.
 func (l *Leader) next(proposed *configuration.Configuration, body []byte) *wire.Configuration {
 	next := &wire.Configuration{Version: proposed.Version, Body: body}
-	if l.fact != nil {
-		next.InitialVoters, next.Moved = slices.Clone(l.fact.InitialVoters), slices.Clone(l.fact.Moved)
+	if l.committed != nil {
+		next.InitialVoters, next.Moved = slices.Clone(l.committed.InitialVoters), slices.Clone(l.committed.Moved)
 		if before := l.inForce(); before != nil {
 			next.Moved = movedRoutes(next.Moved, before, proposed)
 		}
@@ -213,30 +244,30 @@
 	for _, service := range proposed.Services {
 		hasVoters := slices.ContainsFunc(next.InitialVoters, func(voters wire.InitialVoters) bool { return voters.Service == service.Name })
 		if !hasVoters {
-			next.InitialVoters = append(next.InitialVoters, wire.InitialVoters{Service: service.Name, Voters: l.tenure.Voters()})
+			next.InitialVoters = append(next.InitialVoters, wire.InitialVoters{Service: service.Name, Voters: l.leadership.Voters()})
 		}
 	}
 	return next
 }
 
-// inForce decodes the committed configuration once.
+// inForce decodes the committed configuration once; it is nil if that can't be read.
 func (l *Leader) inForce() *configuration.Configuration {
-	if l.decoded == nil {
-		decoded, err := configuration.Read(l.fact.Body)
+	if l.decodedCommitted == nil {
+		decoded, err := configuration.Read(l.committed.Body)
 		if err != nil {
-			l.log.Error(err, "the committed plan can't be read", "version", l.fact.Version)
+			l.log.Error(err, "the committed configuration can't be read", "version", l.committed.Version)
 			return nil
 		}
-		l.decoded = decoded
+		l.decodedCommitted = decoded
 	}
-	return l.decoded
+	return l.decodedCommitted
 }
 
-// Retrieve gives back the newest configuration, whole.
+// Retrieve gives back the newest configuration, as the operator sent it.
 func (l *Leader) Retrieve(answer answerClient) {
-	if l.fact == nil {
-		l.underLease(answer, wire.ClientAnswer{Status: http.StatusServiceUnavailable, RetryAfter: 1, Why: "there is no plan yet"})
+	if l.committed == nil {
+		l.answerUnderLease(answer, refusalOf(ErrNoConfiguration))
 		return
 	}
-	l.underLease(answer, wire.ClientAnswer{Status: http.StatusOK, Body: l.fact.Body})
+	l.answerUnderLease(answer, wire.ClientAnswer{Status: http.StatusOK, Body: l.committed.Body})
 }
--- a/internal/control/configleader/confirmed.go
+++ b/internal/control/configleader/confirmed.go
@@ -16,21 +16,21 @@
 
 const (
 	confirmedPrefix = "confirmed/"
-	// mostConfirmed records are kept; with the name and the digest each takes some 100 bytes.
-	mostConfirmed = 2048
-	// mostInFact is how many the older form kept in the configuration's own record.
-	mostInFact = 64
+	// maxConfirmed records are kept; with the name and the digest each takes some 100 bytes.
+	maxConfirmed = 2048
+	// maxConfirmedInRecord is how many the older form kept in the configuration's own record.
+	maxConfirmedInRecord = 64
 )
 
-// confirmed remembers which body was confirmed under each version, so that a call that is sent again is confirmed again
+// confirmedVersions remembers which body was confirmed under each version, so that a call that is sent again is confirmed again
 // after any number of other changes. A version is confirmed once: the next one is always above it.
-type confirmed struct {
+type confirmedVersions struct {
 	digests map[int64]string
 	// versions are those of the digests, ascending.
 	versions []int64
 	// forgotten is the newest version whose record was dropped, 0 if none was.
 	forgotten int64
-	// unwritten were read in the older form, and get records of their own with the next commit.
+	// unwritten were read in the form of an earlier version, and get records of their own with the next commit.
 	unwritten []wire.ConfirmedVersion
 }
 
@@ -41,15 +41,15 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// olderDigestOf is what the older form kept: eight bytes, of the body with the space around it.
-func olderDigestOf(body []byte) string {
+// earlierDigestOf is what the older form kept: eight bytes, of the body with the space around it.
+func earlierDigestOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
 }
 
 // readConfirmed takes the records of a key, and what the older form kept in the configuration itself.
-func readConfirmed(pairs []wire.Op, fact *wire.Configuration) (*confirmed, error) {
-	read := &confirmed{digests: map[int64]string{}}
+func readConfirmed(pairs []wire.Op, committed *wire.Configuration) (*confirmedVersions, error) {
+	read := &confirmedVersions{digests: map[int64]string{}}
 	for _, pair := range pairs {
 		if !strings.HasPrefix(pair.Name, confirmedPrefix) {
 			continue
@@ -60,9 +60,9 @@
 		}
 		read.digests[record.Version] = record.Digest
 	}
-	if fact != nil {
-		read.forgotten = fact.Forgotten
-		read.takeOlder(fact.Confirmed)
+	if committed != nil {
+		read.forgotten = committed.Forgotten
+		read.addFromEarlierVersion(committed.Confirmed)
 	}
 	for version := range read.digests {
 		read.versions = append(read.versions, version)
@@ -71,27 +71,27 @@
 	return read, nil
 }
 
-// takeOlder takes the records of the older form. A full list may have lost the versions before its first.
-func (c *confirmed) takeOlder(older []wire.ConfirmedVersion) {
+// addFromEarlierVersion takes the records of an earlier version. A full list may have lost the versions before its first.
+func (c *confirmedVersions) addFromEarlierVersion(older []wire.ConfirmedVersion) {
 	for _, record := range older {
 		if c.digests[record.Version] == "" {
 			c.digests[record.Version] = record.Digest
 			c.unwritten = append(c.unwritten, record)
 		}
 	}
-	if len(older) >= mostInFact {
+	if len(older) >= maxConfirmedInRecord {
 		c.forgotten = max(c.forgotten, older[0].Version-1)
 	}
 }
 
 // has tells whether that very body was confirmed under the version.
-func (c *confirmed) has(version int64, body []byte) bool {
+func (c *confirmedVersions) has(version int64, body []byte) bool {
 	digest := c.digests[version]
-	return digest != "" && (digest == digestOf(body) || digest == olderDigestOf(body))
+	return digest != "" && (digest == digestOf(body) || digest == earlierDigestOf(body))
 }
 
 // isForgotten tells whether a version may have been confirmed too long ago to know.
-func (c *confirmed) isForgotten(version int64) bool { return version <= c.forgotten }
+func (c *confirmedVersions) isForgotten(version int64) bool { return version <= c.forgotten }
 
 // confirmation is what one more confirmed version writes and drops.
 type confirmation struct {
@@ -101,12 +101,12 @@
 	ops       []wire.Op
 }
 
-// with works out the records of one more version, and changes nothing before it is committed.
-func (c *confirmed) with(version int64, body []byte) (*confirmation, error) {
+// prepare works out the records of one more version, and changes nothing before it is committed.
+func (c *confirmedVersions) prepare(version int64, body []byte) (*confirmation, error) {
 	next := &confirmation{added: wire.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
-	if beyond := len(c.versions) + 1 - mostConfirmed; beyond > 0 {
-		next.dropped = slices.Clone(c.versions[:beyond])
-		next.forgotten = next.dropped[beyond-1]
+	if excess := len(c.versions) + 1 - maxConfirmed; excess > 0 {
+		next.dropped = slices.Clone(c.versions[:excess])
+		next.forgotten = next.dropped[excess-1]
 	}
 	for _, record := range append(slices.Clone(c.unwritten), next.added) {
 		value, err := easyjson.Marshal(record)
@@ -123,8 +123,8 @@
 
 func recordName(version int64) string { return confirmedPrefix + strconv.FormatInt(version, 10) }
 
-// take notes that the records are committed.
-func (c *confirmed) take(next *confirmation) {
+// apply notes that the records are committed.
+func (c *confirmedVersions) apply(next *confirmation) {
 	for _, dropped := range next.dropped {
 		delete(c.digests, dropped)
 	}
--- a/internal/control/configleader/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -18,13 +18,13 @@
 
 // operated is a leader, its disk, and calls to it.
 type operated struct {
-	tenure *scripted
+	tenure *scriptedLeadership
 	kept   map[string][]byte
 	leader *configleader.Leader
 }
 
 func newOperated() *operated {
-	o := &operated{tenure: &scripted{hasLease: true}, kept: map[string][]byte{}}
+	o := &operated{tenure: &scriptedLeadership{hasLease: true}, kept: map[string][]byte{}}
 	o.takeOver()
 	return o
 }
@@ -37,15 +37,15 @@
 
 // send calls without waiting for commits.
 func (o *operated) send(base int64, body []byte) *wire.ClientAnswer {
-	told := &wire.ClientAnswer{}
-	o.leader.Replace(&wire.ClientCall{Base: base, Body: body}, func(answer wire.ClientAnswer) { *told = answer })
-	return told
+	response := &wire.ClientAnswer{}
+	o.leader.Replace(&wire.ClientCall{Base: base, Body: body}, func(answer wire.ClientAnswer) { *response = answer })
+	return response
 }
 
 func (o *operated) replace(base int64, body []byte) int {
-	told := o.send(base, body)
-	o.tenure.keep(o.kept)
-	return told.Status
+	response := o.send(base, body)
+	o.tenure.commitInto(o.kept)
+	return response.Status
 }
 
 // grow confirms versions 1 to count, each on the one before.
@@ -90,7 +90,7 @@
 		Expect(o.replace(2100, plan(52, "s"))).To(Equal(400))
 	})
 
-	It("are read in the older form, and written as records with the next change", func() {
+	It("are read in the form of an earlier version, and written as records with the next change", func() {
 		older := &wire.Configuration{Version: 164, Body: plan(164, "s")}
 		for version := 101; version <= 164; version++ {
 			sum := sha256.Sum256(plan(version, "s"))
@@ -121,13 +121,13 @@
 	It("wait for their turn: of eight one is taken, and all get a clear answer with its commit", func() {
 		o := newOperated()
 		o.grow(3)
-		var told []*wire.ClientAnswer
+		var response []*wire.ClientAnswer
 		for number := range 8 {
-			told = append(told, o.send(3, plan(4+number%4, fmt.Sprintf("s%d", number%4))))
+			response = append(response, o.send(3, plan(4+number%4, fmt.Sprintf("s%d", number%4))))
 		}
-		o.tenure.keep(o.kept)
+		o.tenure.commitInto(o.kept)
 		var statuses []int
-		for _, answer := range told {
+		for _, answer := range response {
 			statuses = append(statuses, answer.Status)
 		}
 		Expect(statuses).To(Equal([]int{200, 412, 412, 412, 200, 412, 412, 412}))
@@ -135,12 +135,12 @@
 
 	It("are taken one after the other where each builds on the one before", func() {
 		o := newOperated()
-		var told []*wire.ClientAnswer
+		var response []*wire.ClientAnswer
 		for number := range 8 {
-			told = append(told, o.send(int64(number), plan(number+1, "s")))
+			response = append(response, o.send(int64(number), plan(number+1, "s")))
 		}
-		o.tenure.keep(o.kept)
-		for _, answer := range told {
+		o.tenure.commitInto(o.kept)
+		for _, answer := range response {
 			Expect(answer.Status).To(Equal(200))
 		}
 	})
@@ -151,14 +151,14 @@
 		for number := range 40 {
 			o.leader.Replace(&wire.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer wire.ClientAnswer) {
 				answers++
-				Expect(answer.Elsewhere).To(BeTrue())
-				if answer.Unclear {
+				Expect(answer.NotLeader).To(BeTrue())
+				if answer.OutcomeUnknown {
 					unclear++
 				}
 			})
 		}
 		Expect(answers).To(Equal(40 - 33))
-		lost := o.tenure.waiting
+		lost := o.tenure.pending
 		o.leader.Close()
 		for _, done := range lost {
 			done(errors.New("lost"))
@@ -183,11 +183,11 @@
 				o.kept[op.Name] = op.Value
 			}
 		}
-		lost := o.tenure.waiting
+		lost := o.tenure.pending
 		o.leader.Close()
-		o.tenure.waiting = nil
+		o.tenure.pending = nil
 		lost[0](errors.New("lost"))
-		Expect(*first).To(Equal(wire.ClientAnswer{Elsewhere: true, Unclear: true}))
+		Expect(*first).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
 		o.takeOver()
 		taken := 0
 		if !isStored {
@@ -209,12 +209,12 @@
 
 	It("that settle after the key was taken over again change nothing there", func() {
 		o := newOperated()
-		told := o.send(0, plan(1, "s"))
-		late := o.tenure.waiting
-		o.tenure = &scripted{hasLease: true}
+		response := o.send(0, plan(1, "s"))
+		late := o.tenure.pending
+		o.tenure = &scriptedLeadership{hasLease: true}
 		Expect(o.leader.Open(o.tenure, nil)).To(Succeed())
 		late[0](nil)
-		Expect(*told).To(Equal(wire.ClientAnswer{Elsewhere: true, Unclear: true}))
+		Expect(*response).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
 		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
 	})
 })
@@ -222,7 +222,7 @@
 var _ = Describe("state that grows with changes", func() {
 	It("is bounded where routes move between services and are dropped", func() {
 		o := newOperated()
-		fact := func() *wire.Configuration {
+		committed := func() *wire.Configuration {
 			read := &wire.Configuration{}
 			Expect(easyjson.Unmarshal(o.kept["fact"], read)).To(Succeed())
 			return read
@@ -237,13 +237,13 @@
 		for version := 1; version <= 800; version++ {
 			Expect(o.replace(int64(version-1), text(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
 		}
-		Expect(len(fact().Moved)).To(BeNumerically("<=", 2048))
-		Expect(fact().Moved).To(ContainElement(wire.MovedRoute{Entry: "r3990", Services: []string{"a"}}))
-		Expect(fact().InitialVoters).To(HaveLen(2))
+		Expect(len(committed().Moved)).To(BeNumerically("<=", 2048))
+		Expect(committed().Moved).To(ContainElement(wire.MovedRoute{Route: "r3990", Services: []string{"a"}}))
+		Expect(committed().InitialVoters).To(HaveLen(2))
 		for version := 801; version <= 840; version++ {
 			Expect(o.replace(int64(version-1), text(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
 		}
-		for _, moved := range fact().Moved {
+		for _, moved := range committed().Moved {
 			Expect(len(moved.Services)).To(BeNumerically("<=", 16))
 		}
 	})
--- a/internal/control/configleader/moved.go
+++ b/internal/control/configleader/moved.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// mostMoved routes are remembered that went to another service; beyond that those go first which are no longer
+	// maxMovedRoutes routes are remembered that went to another service; beyond that those go first which are no longer
 	// in the configuration, the oldest of them before others.
-	mostMoved = 2048
-	// mostServices that a route went to before are remembered, the last ones.
-	mostServices = 16
+	maxMovedRoutes = 2048
+	// maxFormerServices that a route went to before are remembered, the last ones.
+	maxFormerServices = 16
 )
 
 // movedRoutes adds the routes that the next configuration sends to another service than the one before.
 func movedRoutes(moved []wire.MovedRoute, before, next *configuration.Configuration) []wire.MovedRoute {
 	former := configuration.NewMatcher(before)
-	places := map[string]int{}
-	for place, route := range moved {
-		places[route.Entry] = place
+	positions := map[string]int{}
+	for position, route := range moved {
+		positions[route.Route] = position
 	}
 	for _, route := range next.Entries {
-		was := former.ByName(route.Name)
-		if was == nil || was.Service == route.Service {
+		formerRoute := former.ByName(route.Name)
+		if formerRoute == nil || formerRoute.Service == route.Service {
 			continue
 		}
-		place, isThere := places[route.Name]
-		if !isThere {
-			places[route.Name] = len(moved)
-			moved = append(moved, wire.MovedRoute{Entry: route.Name, Services: []string{was.Service}})
+		position, isKnown := positions[route.Name]
+		if !isKnown {
+			positions[route.Name] = len(moved)
+			moved = append(moved, wire.MovedRoute{Route: route.Name, Services: []string{formerRoute.Service}})
 			continue
 		}
-		moved[place].Services = withService(moved[place].Services, was.Service)
+		moved[position].Services = withService(moved[position].Services, formerRoute.Service)
 	}
 	return boundMoved(moved, next)
 }
@@ -44,20 +44,20 @@
 		return services
 	}
 	services = append(slices.Clone(services), service)
-	return services[max(0, len(services)-mostServices):]
+	return services[max(0, len(services)-maxFormerServices):]
 }
 
-// boundMoved drops what is beyond mostMoved, if it is no longer in the configuration.
+// boundMoved drops what is beyond maxMovedRoutes, if it is no longer in the configuration.
 func boundMoved(moved []wire.MovedRoute, next *configuration.Configuration) []wire.MovedRoute {
-	beyond := len(moved) - mostMoved
-	if beyond <= 0 {
+	excess := len(moved) - maxMovedRoutes
+	if excess <= 0 {
 		return moved
 	}
 	inForce := configuration.NewMatcher(next)
 	return slices.DeleteFunc(moved, func(route wire.MovedRoute) bool {
-		isDropped := beyond > 0 && inForce.ByName(route.Entry) == nil
+		isDropped := excess > 0 && inForce.ByName(route.Route) == nil
 		if isDropped {
-			beyond--
+			excess--
 		}
 		return isDropped
 	})
--- a/internal/control/configleader/stored_data_test.go
+++ b/internal/control/configleader/stored_data_test.go
@@ -24,7 +24,7 @@
 		}
 		var published *wire.Configuration
 		leader := configleader.New(logging.Silent(), func(next *wire.Configuration) { published = next })
-		Expect(leader.Open(&scripted{hasLease: true}, pairsOf(kept))).To(Succeed())
+		Expect(leader.Open(&scriptedLeadership{hasLease: true}, pairsOf(kept))).To(Succeed())
 		Expect(published.Version).To(BeEquivalentTo(2))
 		Expect(published.InitialVoters).To(HaveLen(1))
 		var answer wire.ClientAnswer
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	pathReplace  = "/v1/configuration/replace"
-	pathRetrieve = "/v1/configuration/retrieve"
-	mostPlan     = 8 << 20
-	patience     = 900 * time.Millisecond
+	pathReplace           = "/v1/configuration/replace"
+	pathRetrieve          = "/v1/configuration/retrieve"
+	maxConfigurationBytes = 8 << 20
+	answerTimeout         = 900 * time.Millisecond
 )
 
 // Decode makes a command of an operator's call, or a refusal.
@@ -29,7 +29,7 @@
 		if request.Method != http.MethodGet {
 			return nil, response.Text(http.StatusMethodNotAllowed, "only GET is taken here")
 		}
-		return &wire.ClientCall{Key: configleader.Key, Verb: "retrieve"}, response.Reply{}
+		return &wire.ClientCall{Key: configleader.Key, Verb: wire.VerbRetrieve}, response.Reply{}
 	case pathReplace:
 		return decodeReplace(request)
 	}
@@ -44,16 +44,16 @@
 	if err != nil || base < 0 {
 		return nil, response.Text(http.StatusBadRequest, "header X-Base-Version is no version")
 	}
-	body, err := io.ReadAll(io.LimitReader(request.Body, mostPlan+1))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxConfigurationBytes+1))
 	switch {
 	case err != nil:
 		return nil, response.Text(http.StatusBadRequest, "the body ended early")
-	case len(body) > mostPlan:
+	case len(body) > maxConfigurationBytes:
 		return nil, response.Text(http.StatusRequestEntityTooLarge, "the plan is too large")
 	case !json.Valid(body):
 		return nil, response.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
 	}
-	return &wire.ClientCall{Key: configleader.Key, Verb: "replace", Base: base, Body: body}, response.Reply{}
+	return &wire.ClientCall{Key: configleader.Key, Verb: wire.VerbReplace, Base: base, Body: body}, response.Reply{}
 }
 
 // Handler asks the leader of the configuration's key, wherever it is.
@@ -64,7 +64,7 @@
 			refusal.Write(to)
 			return
 		}
-		Reply(call, asker.Ask(request.Context(), call, patience)).Write(to)
+		Reply(call, asker.Ask(request.Context(), call, answerTimeout)).Write(to)
 	})
 }
 
@@ -78,8 +78,8 @@
 		return response.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer")
 	case answer.Status == http.StatusPreconditionFailed && outcome.MaySee && call.Base >= answer.Current:
 		return response.Later(http.StatusServiceUnavailable, 1, "an earlier try may have been taken")
-	case answer.Why != "":
-		return response.Later(answer.Status, answer.RetryAfter, answer.Why)
+	case answer.Reason != "":
+		return response.Later(answer.Status, answer.RetryAfterS, answer.Reason)
 	}
 	return response.Raw(answer.Status, answer.Body)
 }
--- a/internal/control/controlapi/controlapi_test.go
+++ b/internal/control/controlapi/controlapi_test.go
@@ -7,6 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/control/controlapi"
 )
 
@@ -15,7 +16,7 @@
 		one := httptest.NewRequest("POST", "/v1/configuration/replace", strings.NewReader(`{"config-version":1}`))
 		one.Header.Set("X-Base-Version", "5")
 		call, _ := controlapi.Decode(one)
-		Expect(call.Verb).To(Equal("replace"))
+		Expect(call.Verb).To(Equal(wire.VerbReplace))
 		Expect(call.Base).To(Equal(int64(5)))
 	})
 
--- /dev/null
+++ b/internal/control/controlkeys/beliefs.go
@@ -0,0 +1,66 @@
+package controlkeys
+
+import (
+	"context"
+	"maps"
+	"strings"
+
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/scheduling/scheduler"
+)
+
+// Beliefs gathers what this steward holds true, for an operator who compares nodes. What can't be had before ctx is done is
+// left out.
+func (m *Manager) Beliefs(ctx context.Context) ([]wire.KeyBelief, []wire.JobBelief, []wire.ExecutorBelief) {
+	if !m.hasDisk() {
+		return nil, nil, nil
+	}
+	keys, err := mailbox.Ask(m.Replicas.Mailbox(), ctx, func(answer func([]wire.KeyBelief)) { answer(m.replicaBeliefs()) })
+	if err != nil {
+		return nil, nil, nil
+	}
+	runners, err := mailbox.Ask(m.mailbox, ctx, func(answer func(map[string]*keyRunner)) { answer(maps.Clone(m.runners)) })
+	if err != nil {
+		return keys, nil, nil
+	}
+	var jobs []wire.JobBelief
+	var executors []wire.ExecutorBelief
+	for key, runner := range runners {
+		if !strings.HasPrefix(key, poolPrefix) {
+			continue
+		}
+		if snapshot, err := m.Store.Read(key); err == nil {
+			jobs = append(jobs, scheduler.JobsOf(key, snapshot.Pairs)...)
+		}
+		executors = append(executors, runner.executorBeliefs(ctx)...)
+	}
+	return keys, jobs, executors
+}
+
+// executorBeliefs is what the pool believes of its executors, if it is led here.
+func (r *keyRunner) executorBeliefs(ctx context.Context) []wire.ExecutorBelief {
+	executors, err := mailbox.Ask(r.stateMailbox, ctx, func(answer func([]wire.ExecutorBelief)) {
+		if !r.pool.IsOpen() {
+			answer(nil)
+			return
+		}
+		_, executors := r.pool.Beliefs()
+		answer(executors)
+	})
+	if err != nil {
+		return nil
+	}
+	return executors
+}
+
+// replicaBeliefs is what the replicas of this disk hold. It must run on their goroutine.
+func (m *Manager) replicaBeliefs() []wire.KeyBelief {
+	var keys []wire.KeyBelief
+	for _, key := range m.Replicas.Keys() {
+		status := m.Replicas.Status(key)
+		keys = append(keys, wire.KeyBelief{Key: key, Leader: status.LeaseHolder, Epoch: status.Promised,
+			Last: status.State.Last, Voters: status.State.Voters})
+	}
+	return keys
+}
--- a/internal/control/controlkeys/bootstrap.go
+++ b/internal/control/controlkeys/bootstrap.go
@@ -9,48 +9,54 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// FoundFirst asks the seeds for their disks until all have spoken; they are the first voters.
-func (r *Ring) FoundFirst(ctx context.Context, seeds []string) {
+const (
+	// identifyTimeout is how long a seed may take to name its disk, identifyPause the time between two rounds of questions.
+	identifyTimeout = 500 * time.Millisecond
+	identifyPause   = 100 * time.Millisecond
+)
+
+// BootstrapFromSeeds asks the seeds for their disks until all have answered; they are the initial voters.
+func (m *Manager) BootstrapFromSeeds(ctx context.Context, seeds []string) {
 	answers := map[string]wire.IdentifyAnswer{}
 	for {
 		for _, seed := range seeds {
-			if _, hasSpoken := answers[seed]; hasSpoken {
+			if _, hasAnswered := answers[seed]; hasAnswered {
 				continue
 			}
-			answer, err := peerapi.Call[wire.IdentifyCall, wire.IdentifyAnswer](r.caller, ctx, seed,
-				peerapi.ProcedureIdentify, 500*time.Millisecond, &wire.IdentifyCall{})
+			answer, err := peerapi.Call[wire.IdentifyCall, wire.IdentifyAnswer](m.Caller, ctx, seed,
+				peerapi.ProcedureIdentify, identifyTimeout, &wire.IdentifyCall{})
 			if err == nil {
 				answers[seed] = *answer
 			}
 		}
 		if len(answers) == len(seeds) {
-			voters := firstVoters(answers)
-			r.log.Info("the first voters", "disks", voters)
-			r.Found(voters)
+			voters := initialVotersOf(answers)
+			m.Log.Info("initial voters", "disks", voters)
+			m.Bootstrap(voters)
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.clock.After(100 * time.Millisecond):
+		case <-m.Clock.After(identifyPause):
 		}
 	}
 }
 
-// firstVoters are the seeds' disks; makeshift ones count only if no seed has a lasting one.
-func firstVoters(answers map[string]wire.IdentifyAnswer) []string {
-	var lasting, makeshift []string
+// initialVotersOf are the seeds' disks; temporary ones count only if no seed has a lasting one.
+func initialVotersOf(answers map[string]wire.IdentifyAnswer) []string {
+	var lasting, temporary []string
 	for _, answer := range answers {
 		if answer.Disk != "" {
 			lasting = append(lasting, answer.Disk)
 		}
-		if answer.Makeshift != "" {
-			makeshift = append(makeshift, answer.Makeshift)
+		if answer.TemporaryDisk != "" {
+			temporary = append(temporary, answer.TemporaryDisk)
 		}
 	}
 	voters := lasting
 	if len(voters) == 0 {
-		voters = makeshift
+		voters = temporary
 	}
 	slices.Sort(voters)
 	return slices.Compact(voters)
--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -22,34 +22,36 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-type nameOnly struct{ net.Listener }
+type addressOnlyListener struct{ net.Listener }
 
-func (nameOnly) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7000} }
+func (addressOnlyListener) Addr() net.Addr {
+	return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7000}
+}
 
-// straight carries calls into a mux, without a network.
-type straight struct{ mux *http.ServeMux }
+// directTransport carries calls into a mux, without a network.
+type directTransport struct{ mux *http.ServeMux }
 
-func (s straight) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s directTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	answer := httptest.NewRecorder()
 	s.mux.ServeHTTP(answer, request)
 	return answer.Result(), nil
 }
 
-func newRing(store *storage.Store, isMakeshift bool) (*Ring, *peerapi.Caller) {
+func newManager(store *storage.Store, isTemporary bool) (*Manager, *peerapi.Caller) {
 	clock, mux := clock.NewFake(1000), http.NewServeMux()
-	caller := peerapi.NewCaller(&http.Client{Transport: straight{mux}})
-	config := Config{Clock: clock, Log: logging.Silent(), Store: store, IsMakeshift: isMakeshift, MachineLosses: 1, Name: "one", Caller: caller,
-		Node: membership.NewNode(wire.Member{Name: "one", Role: "steward"}, nameOnly{}, nil, nil, caller, clock, logging.Silent()),
-		Book: configcache.New(caller, clock, logging.Silent(), func(*configcache.Snapshot) {})}
+	caller := peerapi.NewCaller(&http.Client{Transport: directTransport{mux}})
+	config := Config{Clock: clock, Log: logging.Silent(), Store: store, IsDiskTemporary: isTemporary, MachineLosses: 1, Name: "one", Caller: caller,
+		Node:           membership.NewNode(wire.Member{Name: "one", Role: "steward"}, addressOnlyListener{}, nil, nil, caller, clock, logging.Silent()),
+		Configurations: configcache.New(caller, clock, logging.Silent(), func(*configcache.Snapshot) {})}
 	if store != nil {
 		var err error
 		config.Replicas, err = replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	ring := New(config)
-	ring.ctx = context.Background()
-	ring.Handle(mux)
-	return ring, caller
+	manager := New(config)
+	manager.ctx = context.Background()
+	manager.Handle(mux)
+	return manager, caller
 }
 
 func ask[Ask, Tell any](caller *peerapi.Caller, procedure string, call Ask) (*Tell, error) {
@@ -64,11 +66,11 @@
 }
 
 var _ = Describe("a steward without a disk", func() {
-	It("names none, votes on nothing, and sends callers elsewhere", func() {
-		ring, caller := newRing(nil, false)
-		ring.birth = []string{"a", "b", "c"}
-		ring.want()
-		Expect(ring.holders).To(BeEmpty())
+	It("names none, votes on nothing, and tells callers that it leads no key", func() {
+		manager, caller := newManager(nil, false)
+		manager.initialVoters = []string{"a", "b", "c"}
+		manager.reconcile()
+		Expect(manager.runners).To(BeEmpty())
 		identity, err := ask[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(*identity).To(Equal(wire.IdentifyAnswer{}))
@@ -78,57 +80,57 @@
 		Expect(err).To(HaveOccurred())
 		told, err := ask[wire.ClientCall, wire.ClientAnswer](caller, peerapi.ProcedureClient, wire.ClientCall{Key: "plan"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(told.Elsewhere).To(BeTrue())
+		Expect(told.NotLeader).To(BeTrue())
 		exchanged, err := ask[wire.ExchangeCall, wire.ExchangeAnswer](caller, peerapi.ProcedureExchange, wire.ExchangeCall{Key: "pool/s"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(exchanged.Elsewhere).To(BeTrue())
-		keys, jobs, executors := ring.Beliefs(context.Background())
+		Expect(exchanged.NotLeader).To(BeTrue())
+		keys, jobs, executors := manager.Beliefs(context.Background())
 		Expect(keys).To(BeNil())
 		Expect(jobs).To(BeNil())
 		Expect(executors).To(BeNil())
 	})
 
 	It("ends its part when its context is done", func() {
-		ring, _ := newRing(nil, false)
+		manager, _ := newManager(nil, false)
 		ctx, end := context.WithCancel(context.Background())
 		end()
-		Expect(ring.Run(ctx)).To(Succeed())
+		Expect(manager.Run(ctx)).To(Succeed())
 	})
 
-	It("takes part with a makeshift disk only if it is one of the first voters", func() {
+	It("takes part with a temporary disk only if it is one of the initial voters", func() {
 		store := openStore()
-		ring, caller := newRing(store, true)
+		manager, caller := newManager(store, true)
 		identity, err := ask[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(identity.Disk).To(BeEmpty())
-		Expect(identity.Makeshift).To(Equal(store.Disk()))
-		ring.birth = []string{"a", "b", "c"}
-		ring.want()
-		Expect(ring.holders).To(BeEmpty())
-		ring.birth = []string{"a", "b", store.Disk()}
-		ring.want()
-		Expect(ring.holders).To(HaveKey(configleader.Key))
+		Expect(identity.TemporaryDisk).To(Equal(store.Disk()))
+		manager.initialVoters = []string{"a", "b", "c"}
+		manager.reconcile()
+		Expect(manager.runners).To(BeEmpty())
+		manager.initialVoters = []string{"a", "b", store.Disk()}
+		manager.reconcile()
+		Expect(manager.runners).To(HaveKey(configleader.Key))
 	})
 })
 
-var _ = Describe("the first voters", func() {
+var _ = Describe("the initial voters", func() {
 	It("are the seeds' lasting disks, each once", func() {
-		Expect(firstVoters(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
-		Expect(firstVoters(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"b"}))
+		Expect(initialVotersOf(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
+		Expect(initialVotersOf(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {TemporaryDisk: "m"}})).To(Equal([]string{"b"}))
 	})
 
-	It("are makeshift ones where no seed has another", func() {
-		Expect(firstVoters(map[string]wire.IdentifyAnswer{"x": {Makeshift: "n"}, "y": {}, "z": {Makeshift: "m"}})).To(Equal([]string{"m", "n"}))
+	It("are temporary ones where no seed has another", func() {
+		Expect(initialVotersOf(map[string]wire.IdentifyAnswer{"x": {TemporaryDisk: "n"}, "y": {}, "z": {TemporaryDisk: "m"}})).To(Equal([]string{"m", "n"}))
 	})
 })
 
-var _ = Describe("the disks that an owner may choose from", func() {
-	It("leave out members without one, and makeshift ones beside lasting ones", func() {
-		lasting, makeshift, none := wire.Member{Name: "a", Disk: "a"}, wire.Member{Name: "m", Makeshift: "m"}, wire.Member{Name: "n"}
-		Expect(withDisks([]wire.Member{makeshift, lasting, none})).To(Equal([]wire.Member{lasting}))
-		found := withDisks([]wire.Member{makeshift, none})
-		Expect(found).To(HaveLen(1))
-		Expect(found[0].Disk).To(Equal("m"))
+var _ = Describe("the disks that a leader may choose from", func() {
+	It("leave out members without one, and temporary ones beside lasting ones", func() {
+		lasting, temporary, none := wire.Member{Name: "a", Disk: "a"}, wire.Member{Name: "m", TemporaryDisk: "m"}, wire.Member{Name: "n"}
+		Expect(withDisks([]wire.Member{temporary, lasting, none})).To(Equal([]wire.Member{lasting}))
+		usable := withDisks([]wire.Member{temporary, none})
+		Expect(usable).To(HaveLen(1))
+		Expect(usable[0].Disk).To(Equal("m"))
 	})
 })
 
@@ -139,12 +141,12 @@
 		Expect(limitFor(&wire.AppendCall{Changes: []wire.Change{{Ops: ops}}})).To(Equal(appendLimit + time.Second))
 		Expect(limitFor(&wire.AppendCall{Chunk: &wire.SnapshotChunk{Pairs: ops}})).To(Equal(appendLimit + time.Second))
 		large := &wire.Snapshot{Pairs: []wire.Op{{Value: make([]byte, 64<<20)}}}
-		Expect(limitFor(&wire.AppendCall{Snapshot: large})).To(Equal(mostLimit))
+		Expect(limitFor(&wire.AppendCall{Snapshot: large})).To(Equal(maxCallLimit))
 	})
 })
 
 var _ = Describe("a steward that leaves", func() {
-	set := wire.VoterSet{Now: []string{"a", "b", "c"}}
+	set := wire.VoterSet{Current: []string{"a", "b", "c"}}
 	alive := func(disk string) wire.Member { return wire.Member{Name: disk, Role: "steward", Disk: disk} }
 
 	It("waits for a replacement only where a live disk is left that is no voter", func() {
@@ -154,33 +156,33 @@
 		Expect(IsReplaceable([]wire.Member{alive("a"), gone, {Name: "n"}}, "a", set)).To(BeFalse())
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "d", set)).To(BeFalse())
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", set)).To(BeTrue())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: []string{"d"}, Now: set.Now})).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Now, Now: []string{"b", "c", "d"}})).To(BeTrue(), "the change still needs its vote")
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: []string{"d"}, Current: set.Current})).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change still needs its vote")
 	})
 
 	It("ends long before its limit where there is nothing to wait for", func() {
 		for _, hasReplica := range []bool{false, true} {
 			store := openStore()
-			ring, _ := newRing(store, false)
+			manager, _ := newManager(store, false)
 			clock := clock.System()
-			ring.clock = clock
+			manager.Clock = clock
 			if hasReplica {
 				taken := make(chan struct{})
-				change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 1}, Set: &wire.VoterSet{Now: []string{store.Disk(), "b", "c"}}}
+				change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 1}, Voters: &wire.VoterSet{Current: []string{store.Disk(), "b", "c"}}}
 				store.Submit(storage.Write{Key: "plan", Epoch: 1, Changes: []wire.Change{change}}, func(storage.Outcome) { close(taken) })
 				Eventually(taken).Should(BeClosed())
 				replicas, err := replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
 				Expect(err).NotTo(HaveOccurred())
-				ring.replicas = replicas
+				manager.Replicas = replicas
 			}
 			ctx, end := context.WithCancel(context.Background())
 			defer end()
-			go ring.replicas.Mailbox().Run(ctx, clock, mailbox.Owner{Every: time.Minute})
-			go ring.box.Run(ctx, clock, mailbox.Owner{Every: time.Minute})
+			go manager.Replicas.Mailbox().Run(ctx, clock, mailbox.Owner{Every: time.Minute})
+			go manager.mailbox.Run(ctx, clock, mailbox.Owner{Every: time.Minute})
 			began := clock.Monotonic()
-			ring.Leave(time.Minute)
+			manager.Leave(time.Minute)
 			took := clock.Monotonic() - began
-			Expect(took).To(BeNumerically(">=", handOverTime))
+			Expect(took).To(BeNumerically(">=", releaseNoticeTime))
 			Expect(took).To(BeNumerically("<", time.Minute))
 		}
 	})
--- /dev/null
+++ b/internal/control/controlkeys/manager.go
@@ -0,0 +1,173 @@
+// Package controlkeys runs an engine of package replication for each key that this steward may lead: the configuration, and a
+// pool for each service. A Manager keeps one keyRunner for each key that the configuration asks for; it serves the calls of
+// other processes to those keys, and hands the keys on when the process leaves.
+package controlkeys
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"gannetline/internal/cluster/configcache"
+	"gannetline/internal/cluster/membership"
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/control/configleader"
+	"gannetline/internal/control/replication"
+	"gannetline/internal/control/storage"
+	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/logging"
+	"gannetline/internal/platform/mailbox"
+	"gannetline/internal/scheduling/scheduler"
+)
+
+const (
+	// poolPrefix begins the names of pools' keys; the rest is the service.
+	poolPrefix = "pool/"
+	// tickInterval is how often engines and pools do what falls due.
+	tickInterval = 50 * time.Millisecond
+	// reconcileInterval is how often the manager compares the keys there should be with those that run.
+	reconcileInterval  = 200 * time.Millisecond
+	managerMailboxSize = 256
+)
+
+// Config is what a manager needs. It has neither Store nor Replicas on a machine without a disk: such a steward leads no key
+// and is no voter.
+type Config struct {
+	Clock clock.Clock
+	Log   logging.Logger
+	Store *storage.Store
+	// IsDiskTemporary tells that the disk does not outlive the machine's power.
+	IsDiskTemporary bool
+	// MachineLosses is how many machines may be lost at once.
+	MachineLosses  int
+	Name           string
+	Caller         *peerapi.Caller
+	Node           *membership.Node
+	Configurations *configcache.Cache
+	Timing         scheduler.Timing
+	Replicas       *replication.Replicas
+	PoolOptions    []scheduler.Option
+}
+
+// Manager keeps a runner for each key that is wanted. Its tables belong to the goroutine of Run; all methods may be called from
+// any goroutine.
+type Manager struct {
+	Config
+	mailbox *mailbox.Mailbox
+	// disk is the name of the disk, empty on a machine without one; that is also how a manager without keys is known.
+	disk string
+
+	// ctx ends the runners.
+	ctx     context.Context
+	runners map[string]*keyRunner
+	// initialVoters are those of the configuration's key, once they are known on the first start of the whole system.
+	initialVoters []string
+	// hasConfigurationReplica tells that the disk holds a replica of the configuration's key.
+	hasConfigurationReplica bool
+	isLeaving               bool
+}
+
+// New makes a manager without runners; Run starts them.
+func New(config Config) *Manager {
+	manager := &Manager{Config: config, mailbox: mailbox.New(managerMailboxSize), runners: map[string]*keyRunner{}}
+	if config.Store != nil {
+		manager.disk = config.Store.Disk()
+	}
+	return manager
+}
+
+// hasDisk tells whether this steward may lead keys and vote.
+func (m *Manager) hasDisk() bool { return m.disk != "" }
+
+// Run keeps a runner for each key that the configuration asks for, until ctx is done.
+func (m *Manager) Run(ctx context.Context) error {
+	if !m.hasDisk() {
+		<-ctx.Done()
+		return nil
+	}
+	m.ctx = ctx
+	m.mailbox.Run(ctx, m.Clock, mailbox.Owner{Every: reconcileInterval, Tick: m.reconcile})
+	return nil
+}
+
+// Bootstrap sets the initial voters of the configuration's key, once the seeds have named their disks.
+func (m *Manager) Bootstrap(voters []string) {
+	m.mailbox.Post(func() {
+		m.initialVoters = voters
+		m.reconcile()
+	})
+}
+
+// reconcile starts a runner for each key that should run and does not. No key ever ends but with the process: the pool of a
+// service that no route leads to any more still answers for its jobs.
+func (m *Manager) reconcile() {
+	if m.isLeaving || !m.hasDisk() {
+		return
+	}
+	m.checkConfigurationReplica()
+	// A temporary disk takes part only if it was there from the beginning, as one that lost its votes must not vote anew.
+	if m.IsDiskTemporary && !m.hasConfigurationReplica && !slices.Contains(m.initialVoters, m.disk) {
+		return
+	}
+	if m.hasConfigurationReplica || len(m.initialVoters) > 0 {
+		m.startKey(configleader.Key, m.initialVoters)
+	}
+	snapshot := m.Configurations.Page()
+	if snapshot == nil {
+		return
+	}
+	for _, pool := range snapshot.Fact.InitialVoters {
+		m.startKey(poolPrefix+pool.Service, pool.Voters)
+	}
+}
+
+// checkConfigurationReplica notes when this disk holds a replica of the configuration's key.
+func (m *Manager) checkConfigurationReplica() {
+	if m.hasConfigurationReplica {
+		return
+	}
+	m.Replicas.Mailbox().Post(func() {
+		hasReplica := len(m.Replicas.Status(configleader.Key).State.Voters.Current) > 0
+		m.mailbox.Post(func() { m.hasConfigurationReplica = m.hasConfigurationReplica || hasReplica })
+	})
+}
+
+// runnerOf gives the runner of a key, or nil if there is none here or ctx is done first.
+func (m *Manager) runnerOf(ctx context.Context, key string) *keyRunner {
+	if !m.hasDisk() {
+		return nil
+	}
+	runner, err := mailbox.Ask(m.mailbox, ctx, func(answer func(*keyRunner)) { answer(m.runners[key]) })
+	if err != nil {
+		return nil
+	}
+	return runner
+}
+
+// disksInCluster are the members that an engine may choose voters from.
+func (m *Manager) disksInCluster() []wire.Member { return withDisks(m.Node.View().Stewards) }
+
+// withDisks lists the members that have a disk; temporary ones count only if there is no other.
+func withDisks(members []wire.Member) []wire.Member {
+	var lasting, temporary []wire.Member
+	for _, member := range members {
+		if member.Disk != "" {
+			lasting = append(lasting, member)
+		}
+		if member.TemporaryDisk != "" {
+			member.Disk = member.TemporaryDisk
+			temporary = append(temporary, member)
+		}
+	}
+	if len(lasting) == 0 {
+		return temporary
+	}
+	return lasting
+}
+
+// addressOf is where the steward of a disk is called, or empty if it is not known.
+func (m *Manager) addressOf(disk string) string {
+	steward, _ := m.Node.View().StewardOf(disk)
+	return steward.Address
+}
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -16,27 +16,27 @@
 // Pool is what a host runs; scheduler.Pool is the real one. Its methods run on the goroutine of the host's Box.
 type Pool interface {
 	// Open takes the key over with all its values.
-	Open(tenure scheduler.Tenure, pairs []wire.Op)
+	Open(leadership scheduler.Leadership, pairs []wire.Op)
 	// Close ends the leadership.
 	Close()
 }
 
 // Host is the replication.StateMachine of a pool. Its methods run on the engine's goroutine, the pool's on that of Box.
 type Host struct {
-	pool   Pool
-	engine *mailbox.Mailbox
-	box    *mailbox.Mailbox
-	outbox *mailbox.Outbox
+	pool          Pool
+	engineMailbox *mailbox.Mailbox
+	poolMailbox   *mailbox.Mailbox
+	outbox        *mailbox.Outbox
 }
 
 // New makes the host of a pool whose engine runs on the goroutine of that mailbox.
-func New(pool Pool, engine *mailbox.Mailbox) *Host {
-	box := mailbox.New(mailboxSize)
-	return &Host{pool: pool, engine: engine, box: box, outbox: mailbox.NewOutbox(box)}
+func New(pool Pool, engineMailbox *mailbox.Mailbox) *Host {
+	poolMailbox := mailbox.New(mailboxSize)
+	return &Host{pool: pool, engineMailbox: engineMailbox, poolMailbox: poolMailbox, outbox: mailbox.NewOutbox(poolMailbox)}
 }
 
-// Box is the mailbox of the goroutine that owns the pool.
-func (h *Host) Box() *mailbox.Mailbox { return h.box }
+// Mailbox is the mailbox of the goroutine that leads the pool.
+func (h *Host) Mailbox() *mailbox.Mailbox { return h.poolMailbox }
 
 // Flush passes on what the pool's mailbox had no room for; the engine's goroutine calls it after each burst.
 func (h *Host) Flush() { h.outbox.Flush() }
@@ -45,7 +45,7 @@
 func (h *Host) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	h.outbox.Send(func() {
 		if leadership.IsOpen() {
-			h.pool.Open(&tenure{leadership, h}, pairs)
+			h.pool.Open(&hostedLeadership{leadership, h}, pairs)
 		}
 	})
 	return nil
@@ -54,15 +54,15 @@
 // Close ends the leadership for the pool; commits that wait have told it of their end by then.
 func (h *Host) Close() { h.outbox.Send(h.pool.Close) }
 
-// tenure is a leadership as the pool's goroutine uses it.
-type tenure struct {
+// hostedLeadership is a leadership as the pool's goroutine uses it.
+type hostedLeadership struct {
 	*replication.Leadership
 	host *Host
 }
 
 // Commit makes a change durable on a majority; done runs on the pool's goroutine.
-func (t *tenure) Commit(ops []wire.Op, done func(error)) {
-	t.host.engine.Post(func() {
-		t.Leadership.Commit(ops, func(err error) { t.host.outbox.Send(func() { done(err) }) })
+func (l *hostedLeadership) Commit(ops []wire.Op, done func(error)) {
+	l.host.engineMailbox.Post(func() {
+		l.Leadership.Commit(ops, func(err error) { l.host.outbox.Send(func() { done(err) }) })
 	})
 }
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -61,9 +61,9 @@
 func newSteward(costs costs, pairs []wire.Op) *steward {
 	s := &steward{clock: clock.NewFake(1_000_000), engineBox: mailbox.New(1024), costs: costs, voters: map[string]*voter{}}
 	base := wire.LogPosition{Epoch: 1, Index: 100}
-	set := wire.VoterSet{Now: []string{"a", "b", "c", "d", "e"}}
-	s.state = wire.Snapshot{Last: base, Set: set, Pairs: pairs}
-	for _, disk := range set.Now {
+	set := wire.VoterSet{Current: []string{"a", "b", "c", "d", "e"}}
+	s.state = wire.Snapshot{Last: base, Voters: set, Pairs: pairs}
+	for _, disk := range set.Current {
 		s.voters[disk] = &voter{last: base, promised: 1}
 	}
 	s.pool = scheduler.New(key, s.clock, scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second,
@@ -81,15 +81,15 @@
 	steward *steward
 }
 
-func (p *slowPool) Open(tenure scheduler.Tenure, pairs []wire.Op) {
+func (p *slowPool) Open(leadership scheduler.Leadership, pairs []wire.Op) {
 	p.steward.openings++
 	p.steward.spend(time.Duration(len(pairs)) * p.steward.costs.record)
-	p.Pool.Open(tenure, pairs)
+	p.Pool.Open(leadership, pairs)
 }
 
 func (s *steward) members() []wire.Member {
 	var all []wire.Member
-	for _, disk := range s.state.Set.Now {
+	for _, disk := range s.state.Voters.Current {
 		all = append(all, wire.Member{Name: disk, Role: "steward", Disk: disk, State: wire.StateAlive})
 	}
 	return all
@@ -135,7 +135,7 @@
 // runPool is a turn of the pool's goroutine: as much as the processor does in a millisecond.
 func (s *steward) runPool(now time.Duration) {
 	for s.busyUntil <= now {
-		if !s.host.Box().Step() {
+		if !s.host.Mailbox().Step() {
 			break
 		}
 	}
@@ -184,7 +184,7 @@
 		if isGranted && !call.PreVote {
 			one.promised = call.Epoch
 		}
-		answer := wire.PromiseAnswer{Granted: isGranted, Promised: one.promised, Last: one.last, Set: l.s.state.Set, Disk: disk}
+		answer := wire.PromiseAnswer{Granted: isGranted, Promised: one.promised, Last: one.last, Voters: l.s.state.Voters, Disk: disk}
 		l.back(func() { done(answer, nil) })
 	})
 }
@@ -210,7 +210,7 @@
 
 func (l *links) Status(_ string, done func(replication.ReplicaStatus)) {
 	own := l.s.voters["a"]
-	done(replication.ReplicaStatus{State: storage.ReplicaState{Last: own.last, Set: l.s.state.Set, Promised: own.promised},
+	done(replication.ReplicaStatus{State: storage.ReplicaState{Last: own.last, Voters: l.s.state.Voters, Promised: own.promised},
 		Promised: own.promised})
 }
 
@@ -254,7 +254,7 @@
 	p.calls++
 	p.s.after(callLimit, func() { finish(func() { p.s.after(failedPause, p.call) }) })
 	name := fmt.Sprintf("i-%04d", p.number)
-	ask := &wire.ExchangeCall{Key: key, Life: name, Proxy: "side-" + name, Room: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, Look: p.look}
+	ask := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.look}
 	isKnown := p.fence > 0
 	p.post(func() {
 		if !p.s.pool.IsOpen() {
@@ -269,17 +269,17 @@
 }
 
 func (p *proxy) post(letter func()) {
-	if !p.s.host.Box().TryPost(letter) {
+	if !p.s.host.Mailbox().TryPost(letter) {
 		p.s.after(5*time.Millisecond, func() { p.post(letter) })
 	}
 }
 
 func (p *proxy) take(answer wire.ExchangeAnswer, isKnown bool) {
-	if isKnown && !answer.Elsewhere && answer.Fence == p.fence {
+	if isKnown && !answer.NotLeader && answer.Fence == p.fence {
 		p.isFenced = true
 		return
 	}
-	p.fence, p.look = answer.Fence, answer.Look
+	p.fence, p.look = answer.Fence, answer.WantedList
 	p.s.after(transit, p.call)
 }
 
--- a/internal/control/replication/append.go
+++ b/internal/control/replication/append.go
@@ -75,7 +75,7 @@
 
 // appendCall is a call of this leadership without changes.
 func (e *Engine) appendCall(prev wire.LogPosition) wire.AppendCall {
-	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk, Prev: prev}
+	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Leader: e.name, Disk: e.disk, Prev: prev}
 }
 
 // callAppend makes the one call at a time that may bring a follower further.
--- a/internal/control/replication/changelog.go
+++ b/internal/control/replication/changelog.go
@@ -51,7 +51,7 @@
 // append adds a change of the epoch behind the last one.
 func (l *changeLog) append(epoch uint64, ops []wire.Op, voters *wire.VoterSet) wire.Change {
 	l.last = wire.LogPosition{Epoch: epoch, Index: l.last.Index + 1}
-	change := wire.Change{Position: l.last, Ops: ops, Set: voters}
+	change := wire.Change{Position: l.last, Ops: ops, Voters: voters}
 	l.entries = append(l.entries, change)
 	l.size += sizeOf(change)
 	return change
--- a/internal/control/replication/chunks.go
+++ b/internal/control/replication/chunks.go
@@ -36,7 +36,7 @@
 
 // chunk gives the chunk of a number, from 0 on.
 func (t *snapshotTransfer) chunk(number int) *wire.SnapshotChunk {
-	return &wire.SnapshotChunk{At: t.snapshot.Last, Set: t.snapshot.Set, Number: number, Count: t.count(),
+	return &wire.SnapshotChunk{At: t.snapshot.Last, Voters: t.snapshot.Voters, Number: number, Count: t.count(),
 		Pairs: t.snapshot.Pairs[t.cuts[number]:t.cuts[number+1]]}
 }
 
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -52,7 +52,7 @@
 	if status.LeaseHolderDisk != e.disk && now < status.LeaseUntil {
 		e.campaignState.hasYielded, e.campaignState.fetchedChunks = false, chunkBuffer{}
 	}
-	voters := quorum.Disks(status.State.Set)
+	voters := quorum.Disks(status.State.Voters)
 	if len(voters) == 0 {
 		voters = e.initialVoters
 	}
@@ -167,7 +167,7 @@
 
 // isSupersededBy tells whether a peer has a later state in which this disk is no voter, so that this steward need not ask.
 func (e *Engine) isSupersededBy(answer wire.PromiseAnswer) bool {
-	return e.campaignState.ownState.Last.Below(answer.Last) && !quorum.Contains(answer.Set, e.disk)
+	return e.campaignState.ownState.Last.Below(answer.Last) && !quorum.Contains(answer.Voters, e.disk)
 }
 
 // backOff ends a campaign; the next comes after a pause that differs from disk to disk.
@@ -189,14 +189,14 @@
 			furthest = answer
 		}
 	}
-	if len(furthest.Set.Now) == 0 {
-		furthest.Set = wire.VoterSet{Now: e.initialVoters}
+	if len(furthest.Voters.Current) == 0 {
+		furthest.Voters = wire.VoterSet{Current: e.initialVoters}
 	}
 	hasGranted := func(disk string) bool {
 		_, isGranted := granted[disk]
 		return isGranted
 	}
-	return furthest, hasGranted(e.disk) && quorum.Reached(furthest.Set, hasGranted)
+	return furthest, hasGranted(e.disk) && quorum.Reached(furthest.Voters, hasGranted)
 }
 
 // winCampaign takes the epoch once a quorum of the voters of the furthest state has promised it: as soon as the own disk
@@ -206,7 +206,7 @@
 	if !isQuorum {
 		return false
 	}
-	e.phase, e.epoch, e.voters.set = phaseFetching, epoch, furthest.Set
+	e.phase, e.epoch, e.voters.set = phaseFetching, epoch, furthest.Voters
 	e.followers, e.lastLeaseAt = map[string]*followerProgress{}, e.clock.Monotonic()
 	if furthest.Disk == e.disk {
 		e.openWithHistory(furthest.Last)
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -100,7 +100,7 @@
 
 // Belief is what the engine would tell an operator of its key.
 func (e *Engine) Belief() wire.KeyBelief {
-	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.changes.last, Set: e.voters.set}
+	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.changes.last, Voters: e.voters.set}
 }
 
 // Tick does all that falls due; it is called often.
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -126,7 +126,7 @@
 // installSnapshot writes a snapshot to the local disk, under the voters that were promised.
 func (e *Engine) installSnapshot(fetch *fetchTask, snapshot wire.Snapshot) {
 	e.campaignState.fetchedChunks = chunkBuffer{}
-	snapshot.Set = fetch.furthest.Set
+	snapshot.Voters = fetch.furthest.Voters
 	call := e.appendCall(wire.LogPosition{})
 	call.Snapshot = &snapshot
 	e.installFetched(fetch, call, snapshot.Last)
--- a/internal/control/replication/leadership.go
+++ b/internal/control/replication/leadership.go
@@ -67,7 +67,7 @@
 }
 
 // Voters are the disks that vote on the key now.
-func (l *Leadership) Voters() []string { return slices.Clone(l.engine.voters.set.Now) }
+func (l *Leadership) Voters() []string { return slices.Clone(l.engine.voters.set.Current) }
 
 // WallMs is the time of day in milliseconds since 1970: the median of the voters' clocks, carried on the monotonic clock, so
 // that a single clock that jumps changes nothing. Any goroutine may ask.
--- a/internal/control/replication/leadershiptransfer.go
+++ b/internal/control/replication/leadershiptransfer.go
@@ -76,7 +76,7 @@
 // quickestFollower is the live follower with the shortest sync delay, as far as it says and has caught up.
 func (e *Engine) quickestFollower() *followerProgress {
 	var quickest *followerProgress
-	for _, disk := range e.voters.set.Now {
+	for _, disk := range e.voters.set.Current {
 		voter := e.followers[disk]
 		if !e.maySucceed(voter) || !voter.hasSyncDelay || !e.isWithinLag(voter, e.timing.Lease/2) {
 			continue
--- a/internal/control/replication/lease_test.go
+++ b/internal/control/replication/lease_test.go
@@ -25,8 +25,8 @@
 	It("is not ended by a late release of a leader before", func() {
 		table := newTable(clock.NewFake(1))
 		ignore := func(wire.AppendAnswer) {}
-		table.Append(wire.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Owner: "b"}, ignore)
-		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-c", Owner: "c", Release: true}, ignore)
+		table.Append(wire.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Leader: "b"}, ignore)
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-c", Leader: "c", Release: true}, ignore)
 		isGranted := true
 		table.Promise(wire.PromiseCall{Key: key, Epoch: 3, Disk: "disk-c", PreVote: true}, func(answer wire.PromiseAnswer) {
 			isGranted = answer.Granted
@@ -36,9 +36,9 @@
 
 	It("is not taken over by a heartbeat of a leader before, nor is its disk promised anything meanwhile", func() {
 		table := newTable(clock.NewFake(1))
-		table.Append(wire.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Owner: "c"}, func(wire.AppendAnswer) {})
+		table.Append(wire.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Leader: "c"}, func(wire.AppendAnswer) {})
 		var late wire.AppendAnswer
-		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Owner: "a"}, func(answer wire.AppendAnswer) { late = answer })
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Leader: "a"}, func(answer wire.AppendAnswer) { late = answer })
 		Expect(late.Taken).To(BeFalse())
 		Expect(late.Promised).To(Equal(uint64(3)))
 		isGranted := true
--- a/internal/control/replication/leaving.go
+++ b/internal/control/replication/leaving.go
@@ -51,13 +51,13 @@
 // change that was replacing it. It sends its own disk nothing any more, and so has no snapshot for others.
 func (e *Engine) isRemoved() bool {
 	isSettled := !quorum.IsJoint(e.voters.set) && e.voters.isCommitted(e.commits.index)
-	return e.phase == phaseLeading && isSettled && !slices.Contains(e.voters.set.Now, e.disk)
+	return e.phase == phaseLeading && isSettled && !slices.Contains(e.voters.set.Current, e.disk)
 }
 
 // furthestFollower is the follower among the voters that holds most of what this leader has proposed, if any may succeed it.
 func (e *Engine) furthestFollower() *followerProgress {
 	var furthest *followerProgress
-	for _, disk := range e.voters.set.Now {
+	for _, disk := range e.voters.set.Current {
 		voter := e.followers[disk]
 		if !e.maySucceed(voter) || !voter.isPositionKnown || voter.acked.Epoch != e.epoch {
 			continue
@@ -72,7 +72,7 @@
 // release steps down and gives the lease back, so that a peer may ask at once; the successor is the disk whose steward should
 // ask first, or empty.
 func (e *Engine) release(reason, successor string) {
-	call := wire.AppendCall{Key: e.key, Epoch: e.epoch, Owner: e.name, Disk: e.disk, Release: true, Successor: successor}
+	call := wire.AppendCall{Key: e.key, Epoch: e.epoch, Leader: e.name, Disk: e.disk, Release: true, Successor: successor}
 	disks := quorum.Disks(e.voters.set)
 	e.stepDown(reason)
 	for _, disk := range disks {
--- a/internal/control/replication/options.go
+++ b/internal/control/replication/options.go
@@ -33,11 +33,11 @@
 	voterGoal int
 	timing    Timing
 	log       logging.Logger
-	announce  func(wire.LeaderFact)
+	announce  func(wire.KeyLeader)
 }
 
 func defaultOptions() options {
-	return options{voterGoal: defaultVoterGoal, timing: DefaultTiming, log: logging.Silent(), announce: func(wire.LeaderFact) {}}
+	return options{voterGoal: defaultVoterGoal, timing: DefaultTiming, log: logging.Silent(), announce: func(wire.KeyLeader) {}}
 }
 
 // Option changes how an engine is made.
@@ -55,6 +55,6 @@
 func WithLog(log logging.Logger) Option { return func(o *options) { o.log = log } }
 
 // WithAnnounce names the function that is told of each new leadership of this engine.
-func WithAnnounce(announce func(wire.LeaderFact)) Option {
+func WithAnnounce(announce func(wire.KeyLeader)) Option {
 	return func(o *options) { o.announce = announce }
 }
--- a/internal/control/replication/quorum/quorum.go
+++ b/internal/control/replication/quorum/quorum.go
@@ -12,7 +12,7 @@
 
 // Reached tells whether the disks for which has is true are a quorum of the set. An empty set has no quorum.
 func Reached(set wire.VoterSet, has func(disk string) bool) bool {
-	return len(set.Now) > 0 && isMajority(set.Now, has) && (!IsJoint(set) || isMajority(set.Old, has))
+	return len(set.Current) > 0 && isMajority(set.Current, has) && (!IsJoint(set) || isMajority(set.Old, has))
 }
 
 // IsJoint tells whether the old voters still count beside the new ones.
@@ -20,7 +20,7 @@
 
 // Disks lists the disks that vote, those of the new list first, each once.
 func Disks(set wire.VoterSet) []string {
-	disks := slices.Clone(set.Now)
+	disks := slices.Clone(set.Current)
 	for _, disk := range set.Old {
 		if !slices.Contains(disks, disk) {
 			disks = append(disks, disk)
@@ -31,13 +31,13 @@
 
 // Contains tells whether a disk votes.
 func Contains(set wire.VoterSet, disk string) bool {
-	return slices.Contains(set.Now, disk) || slices.Contains(set.Old, disk)
+	return slices.Contains(set.Current, disk) || slices.Contains(set.Old, disk)
 }
 
 // LeaseEnd is the latest moment at which a quorum of the set still vouches for its leader; leaseOf tells until when one
 // disk does, as a time on the leader's monotonic clock. It is 0 for an empty set.
 func LeaseEnd(set wire.VoterSet, leaseOf func(disk string) time.Duration) time.Duration {
-	end := majorityLease(set.Now, leaseOf)
+	end := majorityLease(set.Current, leaseOf)
 	if IsJoint(set) {
 		end = min(end, majorityLease(set.Old, leaseOf))
 	}
--- a/internal/control/replication/quorum/quorum_test.go
+++ b/internal/control/replication/quorum/quorum_test.go
@@ -17,7 +17,7 @@
 
 var _ = DescribeTable("a quorum is reached by a majority of the new voters and, in a joint set, of the old ones",
 	func(old, now, granted string, isReached bool) {
-		set := wire.VoterSet{Old: disks(old), Now: disks(now)}
+		set := wire.VoterSet{Old: disks(old), Current: disks(now)}
 		has := func(disk string) bool { return slices.Contains(disks(granted), disk) }
 		Expect(quorum.Reached(set, has)).To(Equal(isReached))
 	},
@@ -32,7 +32,7 @@
 
 var _ = DescribeTable("a lease ends when a quorum no longer vouches",
 	func(old, now string, ends map[string]int, wanted int) {
-		set := wire.VoterSet{Old: disks(old), Now: disks(now)}
+		set := wire.VoterSet{Old: disks(old), Current: disks(now)}
 		leaseOf := func(disk string) time.Duration { return time.Duration(ends[disk]) }
 		Expect(quorum.LeaseEnd(set, leaseOf)).To(Equal(time.Duration(wanted)))
 	},
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -125,7 +125,7 @@
 }
 
 func (r *Replicas) promiseAnswer(state storage.ReplicaState, promised uint64, isGranted bool) wire.PromiseAnswer {
-	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: state.Last, Set: state.Set, Disk: r.disk.Disk()}
+	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: state.Last, Voters: state.Voters, Disk: r.disk.Disk()}
 }
 
 // applyOutcome takes what a write has left on the disk; one that failed tells nothing.
@@ -190,7 +190,7 @@
 // that it sent earlier and that comes later brings no new lease.
 func (replica *localReplica) grantLease(call wire.AppendCall, until time.Duration) {
 	if call.Epoch > replica.release.epoch {
-		replica.lease = grantedLease{until: until, holderDisk: call.Disk, holder: call.Owner}
+		replica.lease = grantedLease{until: until, holderDisk: call.Disk, holder: call.Leader}
 		replica.release.isReleased = false
 	}
 }
@@ -207,7 +207,7 @@
 	if !replica.incomingChunks.isComplete(call.Chunk) {
 		return false
 	}
-	call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Set: call.Chunk.Set, Pairs: replica.incomingChunks.pairs}
+	call.Snapshot = &wire.Snapshot{Last: call.Chunk.At, Voters: call.Chunk.Voters, Pairs: replica.incomingChunks.pairs}
 	replica.incomingChunks = chunkBuffer{}
 	return true
 }
@@ -226,8 +226,8 @@
 func (r *Replicas) VotingKeys() map[string]wire.VoterSet {
 	sets := map[string]wire.VoterSet{}
 	for key, replica := range r.keys {
-		if !replica.isVotedOut && quorum.Contains(replica.state.Set, r.disk.Disk()) {
-			sets[key] = replica.state.Set
+		if !replica.isVotedOut && quorum.Contains(replica.state.Voters, r.disk.Disk()) {
+			sets[key] = replica.state.Voters
 		}
 	}
 	return sets
--- a/internal/control/replication/replication_test.go
+++ b/internal/control/replication/replication_test.go
@@ -87,7 +87,7 @@
 		c.nodes[0].wipe("disk-a2")
 		c.run(6 * time.Second)
 		Expect(c.leader()).NotTo(BeNil())
-		Expect(c.nodes[0].disk.Shelf.Heads[key].Set.Now).To(ContainElement("disk-a2"))
+		Expect(c.nodes[0].disk.Shelf.Heads[key].Voters.Current).To(ContainElement("disk-a2"))
 		c.write()
 		c.run(100 * time.Millisecond)
 		c.nodes[1].kill()
@@ -104,7 +104,7 @@
 		c.add("d").start()
 		c.run(4 * time.Second)
 		Expect(c.leader()).NotTo(BeNil())
-		Expect(c.leader().disk.Shelf.Heads[key].Set.Now).To(ConsistOf("disk-a", "disk-b", "disk-d"))
+		Expect(c.leader().disk.Shelf.Heads[key].Voters.Current).To(ConsistOf("disk-a", "disk-b", "disk-d"))
 		Expect(c.violations).To(BeEmpty())
 	})
 
@@ -202,8 +202,8 @@
 	}
 	state := leader.disk.Shelf.Heads[key]
 	for _, node := range c.nodes {
-		isVoter := slices.Contains(state.Set.Now, node.disk.name)
-		if !isVoter || node.disk.Shelf.Heads[key].Last.Epoch != state.Last.Epoch || len(state.Set.Old) > 0 {
+		isVoter := slices.Contains(state.Voters.Current, node.disk.name)
+		if !isVoter || node.disk.Shelf.Heads[key].Last.Epoch != state.Last.Epoch || len(state.Voters.Old) > 0 {
 			return false
 		}
 	}
--- a/internal/control/replication/takeover.go
+++ b/internal/control/replication/takeover.go
@@ -69,6 +69,6 @@
 			e.stepDown("unreadable state")
 			return
 		}
-		e.announce(wire.LeaderFact{Key: e.key, Epoch: e.epoch, Name: e.name})
+		e.announce(wire.KeyLeader{Key: e.key, Epoch: e.epoch, Name: e.name})
 	})
 }
--- a/internal/control/replication/testcluster_test.go
+++ b/internal/control/replication/testcluster_test.go
@@ -268,7 +268,7 @@
 		if !node.isUp {
 			state = wire.StateGone
 		}
-		all = append(all, wire.Member{Name: node.name, Role: "steward", Domain: node.domain, Disk: node.disk.name, State: state, Past: node.formerDisks})
+		all = append(all, wire.Member{Name: node.name, Role: "steward", Domain: node.domain, Disk: node.disk.name, State: state, FormerDisks: node.formerDisks})
 	}
 	return all
 }
@@ -571,7 +571,7 @@
 		voter := c.byDisk(disk)
 		return voter == nil || !voter.isUp || voter.clock.Monotonic() < voter.replicas.Status(key).LeaseUntil
 	}
-	if set := leader.engine.Belief().Set; !quorum.Reached(set, refuses) {
+	if set := leader.engine.Belief().Voters; !quorum.Reached(set, refuses) {
 		c.recordViolation("%s counts on a lease that no majority of %v has granted", leader.name, set)
 	}
 }
@@ -613,7 +613,7 @@
 // checkAcknowledged looks at a change at the moment of its acknowledgement: a majority of its leader's voters must hold
 // it, and each leader of a later epoch.
 func (c *testCluster) checkAcknowledged(leader *testNode, name string) {
-	set := leader.engine.Belief().Set
+	set := leader.engine.Belief().Voters
 	holds := func(disk string) bool { node := c.byDisk(disk); return node != nil && node.holds(name) }
 	if c.clock.Monotonic()-c.lastWipeAt > 2*time.Second && !quorum.Reached(set, holds) {
 		c.recordViolation("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -37,7 +37,7 @@
 		return
 	}
 	members := e.members()
-	current := e.voters.set.Now
+	current := e.voters.set.Current
 	selection := quorum.Selection{Current: current, Goal: e.voterGoal,
 		IsLost:   func(disk string) bool { return e.isLost(members, disk) },
 		DomainOf: func(disk string) string { return domainOf(members, disk) }}
@@ -53,7 +53,7 @@
 		return
 	}
 	e.log.Info("changing voters", "key", e.key, "from", current, "to", next)
-	e.propose(nil, &wire.VoterSet{Old: current, Now: next}, func(error) {})
+	e.propose(nil, &wire.VoterSet{Old: current, Current: next}, func(error) {})
 }
 
 // caughtUp gives those of the wanted candidates that may become voters now, and sends the others what they lack.
@@ -84,7 +84,7 @@
 	if e.phase != phaseLeading || !quorum.IsJoint(e.voters.set) || !e.voters.isCommitted(e.commits.index) {
 		return
 	}
-	final := wire.VoterSet{Now: e.voters.set.Now}
+	final := wire.VoterSet{Current: e.voters.set.Current}
 	e.propose(nil, &final, func(error) {})
 }
 
@@ -118,7 +118,7 @@
 // isReplaced tells whether a member says that it once had the disk and now has another.
 func isReplaced(members []wire.Member, disk string) bool {
 	return slices.ContainsFunc(members, func(member wire.Member) bool {
-		return member.Disk != disk && slices.Contains(member.Past, disk)
+		return member.Disk != disk && slices.Contains(member.FormerDisks, disk)
 	})
 }
 
@@ -136,7 +136,7 @@
 func (e *Engine) voterCandidates(members []wire.Member) []string {
 	var candidates []string
 	for _, member := range members {
-		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.voters.set.Now, member.Disk) {
+		if member.Disk == "" || member.State != wire.StateAlive || slices.Contains(e.voters.set.Current, member.Disk) {
 			continue
 		}
 		learner := e.followers[member.Disk]
@@ -158,6 +158,6 @@
 	if now-e.shortage.since > shortageLogDelay && !e.shortage.isLogged {
 		e.shortage.isLogged = true
 		e.log.Info("too few disks for the losses to be borne", "key", e.key, "disks", disks, "wanted", e.voterGoal,
-			"borne", (min(len(e.voters.set.Now), disks)-1)/2)
+			"borne", (min(len(e.voters.set.Current), disks)-1)/2)
 	}
 }
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -24,7 +24,7 @@
 	if leader == nil {
 		return nil
 	}
-	return leader.disk.Shelf.Heads[key].Set.Now
+	return leader.disk.Shelf.Heads[key].Voters.Current
 }
 
 // nodesHolding are up to count nodes whose disks hold all that was acknowledged, the leader the first.
@@ -60,7 +60,7 @@
 			Expect(c.clock.Monotonic() - began).To(BeNumerically("<", 600*time.Millisecond))
 		}
 		c.run(200 * time.Millisecond)
-		Expect(c.leader().disk.Shelf.Heads[key].Set.Old).To(BeEmpty())
+		Expect(c.leader().disk.Shelf.Heads[key].Voters.Old).To(BeEmpty())
 		Expect(len(c.acknowledged)).To(BeNumerically(">", 5))
 		Expect(c.violations).To(BeEmpty())
 	})
@@ -168,7 +168,7 @@
 
 	It("change once at a time: a change that the old voters have not agreed to is not followed by another", func() {
 		c := newTestClusterBearing(2, 9, "a", "b", "c", "d", "e", "f")
-		c.runUntil(func() bool { return c.leader() != nil && len(c.leader().engine.Belief().Set.Old) > 0 })
+		c.runUntil(func() bool { return c.leader() != nil && len(c.leader().engine.Belief().Voters.Old) > 0 })
 		leader := c.leader()
 		for _, node := range c.nodes[:3] {
 			c.isolated[node.name] = node != leader
@@ -178,7 +178,7 @@
 			c.run(100 * time.Millisecond)
 		}
 		Expect(c.acknowledged).To(BeEmpty())
-		Expect(leader.engine.Belief().Set.Old).To(ConsistOf("disk-a", "disk-b", "disk-c"))
+		Expect(leader.engine.Belief().Voters.Old).To(ConsistOf("disk-a", "disk-b", "disk-c"))
 		c.heal()
 		c.run(4 * time.Second)
 		Expect(c.voters()).To(HaveLen(5))
@@ -188,7 +188,7 @@
 	It("are not the new ones alone before the old ones have agreed", func() {
 		c := newTestClusterBearing(2, 40, "a", "b", "c", "d", "e")
 		c.drops = func(to *testNode, call wire.AppendCall) bool {
-			isJoint := func(change wire.Change) bool { return change.Set != nil && len(change.Set.Old) > 0 }
+			isJoint := func(change wire.Change) bool { return change.Voters != nil && len(change.Voters.Old) > 0 }
 			return slices.Contains(c.nodes[:3], to) && to.disk.name != call.Disk && slices.ContainsFunc(call.Changes, isJoint)
 		}
 		for range 600 {
@@ -437,5 +437,5 @@
 		node := c.byDisk(disk)
 		return node == nil || node.disk.Shelf.Heads[key].Last.Epoch != state.Last.Epoch
 	}
-	return len(state.Set.Now) == 5 && len(state.Set.Old) == 0 && !slices.ContainsFunc(state.Set.Now, isBehind)
+	return len(state.Voters.Current) == 5 && len(state.Voters.Old) == 0 && !slices.ContainsFunc(state.Voters.Current, isBehind)
 }
--- a/internal/control/storage/decide.go
+++ b/internal/control/storage/decide.go
@@ -18,7 +18,7 @@
 	}
 	var update PairUpdate
 	if write.Snapshot != nil && !write.Promise {
-		state.Last, state.Set = write.Snapshot.Last, write.Snapshot.Set
+		state.Last, state.Voters = write.Snapshot.Last, write.Snapshot.Voters
 		update = PairUpdate{Clear: true, Ops: write.Snapshot.Pairs}
 	}
 	for index, change := range write.Changes {
@@ -28,8 +28,8 @@
 			update.Ops = append(update.Ops[:len(update.Ops):len(update.Ops)], change.Ops...)
 		}
 		state.Last = change.Position
-		if change.Set != nil {
-			state.Set = *change.Set
+		if change.Voters != nil {
+			state.Voters = *change.Voters
 		}
 	}
 	state.Promised = write.Epoch
--- a/internal/control/storage/read.go
+++ b/internal/control/storage/read.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		snapshot.Last, snapshot.Set = state.Last, state.Set
+		snapshot.Last, snapshot.Voters = state.Last, state.Voters
 		pairs := tx.Bucket(bucketPairs).Bucket([]byte(key))
 		if pairs == nil {
 			return nil
--- a/internal/control/storage/replicastate.go
+++ b/internal/control/storage/replicastate.go
@@ -10,6 +10,6 @@
 	Promised uint64 `json:"promised"`
 	// Last is the position of the last change that it holds.
 	Last wire.LogPosition `json:"last"`
-	// Set is the voter set of the last change that brought one; it is empty for a replica that was only asked for a promise.
-	Set wire.VoterSet `json:"set"`
+	// Voters is the voter set of the last change that brought one; it is empty for a replica that was only asked for a promise.
+	Voters wire.VoterSet `json:"set"`
 }
--- a/internal/control/storage/replicastate_easyjson.go
+++ b/internal/control/storage/replicastate_easyjson.go
@@ -47,7 +47,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Set).UnmarshalEasyJSON(in)
+				(out.Voters).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.SkipRecursive()
@@ -76,7 +76,7 @@
 	{
 		const prefix string = ",\"set\":"
 		out.RawString(prefix)
-		(in.Set).MarshalEasyJSON(out)
+		(in.Voters).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
--- a/internal/control/storage/stored_data_test.go
+++ b/internal/control/storage/stored_data_test.go
@@ -48,7 +48,7 @@
 		for _, key := range slices.Sorted(maps.Keys(states)) {
 			state, err := store.Read(key)
 			Expect(err).NotTo(HaveOccurred())
-			fmt.Fprintf(&contents, "key %s promised %d last %v voters %v\n", key, states[key].Promised, states[key].Last, states[key].Set)
+			fmt.Fprintf(&contents, "key %s promised %d last %v voters %v\n", key, states[key].Promised, states[key].Last, states[key].Voters)
 			Expect(state.Last).To(Equal(states[key].Last))
 			for _, pair := range state.Pairs {
 				fmt.Fprintf(&contents, "%s\t%s\t%s\n", key, pair.Name, pair.Value)
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -51,13 +51,13 @@
 	if limit > 4*answerGap {
 		limit -= answerGap
 	}
-	call := &wire.ClientCall{Key: "pool/" + entry.Service, Entry: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
+	call := &wire.ClientCall{Key: "pool/" + entry.Service, Route: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
 	decision := Decision{Call: call, Former: page.Moved(entry.Name), Limit: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
 			return refuse(http.StatusMethodNotAllowed, "a queue is only asked for its count")
 		}
-		call.Verb, decision.Former = verbCount, nil
+		call.Verb, decision.Former = wire.VerbCount, nil
 		return decision
 	}
 	if !jobs.IsID(call.ID) {
@@ -70,14 +70,14 @@
 	call := decision.Call
 	switch request.Method {
 	case http.MethodGet:
-		call.Verb = verbState
+		call.Verb = wire.VerbState
 	case http.MethodDelete:
-		call.Verb = verbCancel
+		call.Verb = wire.VerbCancel
 	case http.MethodPost:
 		if !json.Valid(body) {
 			return refuse(http.StatusBadRequest, "the job can't be read: no whole JSON")
 		}
-		call.Verb, call.Body = verbHandIn, body
+		call.Verb, call.Body = wire.VerbSubmit, body
 		call.Terms = &wire.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
 	default:
 		return refuse(http.StatusMethodNotAllowed, "a job is handed in by POST, asked for by GET, cancelled by DELETE")
@@ -102,22 +102,15 @@
 	began := g.clock.Monotonic()
 	verb, answer := g.answer(to, request, began)
 	answer.Write(to)
-	calls.With(verb, strconv.Itoa(answer.Status)).Inc()
-	callSeconds.With(verb).Observe(g.clock.Monotonic() - began)
+	calls.With(string(verb), strconv.Itoa(answer.Status)).Inc()
+	callSeconds.With(string(verb)).Observe(g.clock.Monotonic() - began)
 }
 
-// The verbs of calls to pools, and the one under which refusals are counted.
-const (
-	verbHandIn   = "hand-in"
-	verbRenounce = "renounce"
-	verbState    = "state"
-	verbCancel   = "cancel"
-	verbCount    = "count"
-	verbRefused  = "refused"
-)
+// verbRefused is the verb under which requests are counted that ask no pool.
+const verbRefused wire.Verb = "refused"
 
 // answer reads the request and asks for its answer; the time that the client has left counts from when it began.
-func (g *Gate) answer(to http.ResponseWriter, request *http.Request, began time.Duration) (string, response.Reply) {
+func (g *Gate) answer(to http.ResponseWriter, request *http.Request, began time.Duration) (wire.Verb, response.Reply) {
 	page := g.page()
 	limit := int64(mostBody)
 	if page != nil && page.Matcher.Plan().Limits.BodyBytes > 0 {
@@ -142,7 +135,7 @@
 // ask spends the time of the decision on all pools that it has to ask.
 func (g *Gate) ask(ctx context.Context, decision Decision) response.Reply {
 	end := g.clock.Monotonic() + decision.Limit
-	if decision.Call.Verb == verbHandIn {
+	if decision.Call.Verb == wire.VerbSubmit {
 		return g.handIn(ctx, decision, end)
 	}
 	return g.find(ctx, decision, end)
@@ -166,10 +159,10 @@
 // renounce has a former pool of a queue promise not to take the job itself, as an earlier try may still be on its way
 // there. A leader of an older version can only be asked whether it has the job.
 func (g *Gate) renounce(ctx context.Context, handIn *wire.ClientCall, service string, end time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
-	call := formerCall(handIn, service, verbRenounce)
+	call := formerCall(handIn, service, wire.VerbRenounce)
 	outcome := g.asker.Ask(ctx, call, (end-g.clock.Monotonic())/2)
 	if outcome.Answer != nil && outcome.Answer.Status == http.StatusBadRequest {
-		call = formerCall(handIn, service, verbState)
+		call = formerCall(handIn, service, wire.VerbState)
 		outcome = g.asker.Ask(ctx, call, (end-g.clock.Monotonic())/2)
 	}
 	return call, outcome
@@ -205,7 +198,7 @@
 }
 
 // formerCall asks something about the job of a call of a pool that the queue was sent to before.
-func formerCall(call *wire.ClientCall, service, verb string) *wire.ClientCall {
+func formerCall(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
 	former := *call
 	former.Key, former.Verb, former.Body, former.Terms = "pool/"+service, verb, nil, nil
 	return &former
@@ -215,14 +208,14 @@
 func ReplyOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
-	case answer == nil && outcome.MaySee && call.Verb == verbHandIn:
+	case answer == nil && outcome.MaySee && call.Verb == wire.VerbSubmit:
 		return response.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
 	case answer == nil:
 		return response.Later(http.StatusServiceUnavailable, 1, "the queue's owner does not answer")
-	case outcome.MaySee && call.Verb == verbHandIn && (answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable):
+	case outcome.MaySee && call.Verb == wire.VerbSubmit && (answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable):
 		return response.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
-	case answer.Why != "":
-		return response.Later(answer.Status, answer.RetryAfter, answer.Why)
+	case answer.Reason != "":
+		return response.Later(answer.Status, answer.RetryAfterS, answer.Reason)
 	}
 	return response.Raw(answer.Status, answer.Body)
 }
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -40,11 +40,11 @@
 	It("asks the owner of the entry's pool", func() {
 		decision := clientapi.Decide(page(), request("POST", "/q/"+id), []byte(`{}`))
 		Expect(decision.Call.Key).To(Equal("pool/s"))
-		Expect(decision.Call.Verb).To(Equal("hand-in"))
+		Expect(decision.Call.Verb).To(Equal(wire.VerbSubmit))
 		Expect(decision.Call.Terms.MaxAttempts).To(Equal(4))
-		Expect(clientapi.Decide(page(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal("state"))
-		Expect(clientapi.Decide(page(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal("cancel"))
-		Expect(clientapi.Decide(page(), request("GET", "/q/"), nil).Call.Verb).To(Equal("count"))
+		Expect(clientapi.Decide(page(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbState))
+		Expect(clientapi.Decide(page(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbCancel))
+		Expect(clientapi.Decide(page(), request("GET", "/q/"), nil).Call.Verb).To(Equal(wire.VerbCount))
 	})
 
 	It("goes by the time that the client has left", func() {
@@ -90,8 +90,8 @@
 		Entry("nobody was reached", leaderclient.Outcome{}, 503),
 		Entry("the first try was not answered", leaderclient.Outcome{MaySee: true}, 504),
 		Entry("the first try was not answered, a later one was turned away",
-			leaderclient.Outcome{MaySee: true, Answer: &wire.ClientAnswer{Status: 429, Why: "full"}}, 504),
-		Entry("all were turned away", leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Why: "full"}}, 429),
+			leaderclient.Outcome{MaySee: true, Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 504),
+		Entry("all were turned away", leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 429),
 	)
 
 	It("refuses a strange count of time, and answers 503 while there is no plan", func() {
--- a/internal/gate/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -57,24 +57,24 @@
 			peerapi.Serve(leaders.muxes[steward], peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 				switch {
 				case call.Key != key:
-					return &wire.ClientAnswer{Elsewhere: true}, nil
+					return &wire.ClientAnswer{NotLeader: true}, nil
 				case call.Verb == "hand-in":
 					leaders.handIns++
 					return &wire.ClientAnswer{Status: http.StatusOK}, nil
 				case call.Key == "pool/"+knowing:
 					return &wire.ClientAnswer{Status: http.StatusOK}, nil
 				}
-				return &wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"}, nil
+				return &wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"}, nil
 			})
 		}
 		lead(currentPool, "pool/s")
 		lead(formerPool, "pool/"+formerPool)
 		view := &membership.View{
-			Owners: map[string]wire.LeaderFact{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
+			Owners: map[string]wire.KeyLeader{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
 			Stewards: []wire.Member{{Name: currentPool, Role: membership.RoleSteward, Address: "current:1", Disk: "d"},
 				{Name: formerPool, Role: membership.RoleSteward, Address: "former:1", Disk: "e"}}}
 		moved := page()
-		moved.Fact.Moved = []wire.MovedRoute{{Entry: "a", Services: []string{formerPool}}}
+		moved.Fact.Moved = []wire.MovedRoute{{Route: "a", Services: []string{formerPool}}}
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
 		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -32,16 +32,16 @@
 		var verbs []string
 		mux := http.NewServeMux()
 		peerapi.Serve(mux, peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
-			verbs = append(verbs, call.Key+" "+call.Verb)
+			verbs = append(verbs, call.Key+" "+string(call.Verb))
 			if call.Key == "pool/s" {
 				return &wire.ClientAnswer{Status: http.StatusOK}, nil
 			}
-			return &wire.ClientAnswer{Status: known[call.Verb], Why: "told so"}, nil
+			return &wire.ClientAnswer{Status: known[string(call.Verb)], Reason: "told so"}, nil
 		})
-		view := &membership.View{Owners: map[string]wire.LeaderFact{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
+		view := &membership.View{Owners: map[string]wire.KeyLeader{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
 			Stewards: []wire.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
 		moved := page()
-		moved.Fact = &wire.Configuration{Moved: []wire.MovedRoute{{Entry: "a", Services: []string{"former"}}}}
+		moved.Fact = &wire.Configuration{Moved: []wire.MovedRoute{{Route: "a", Services: []string{"former"}}}}
 		clock := clock.NewFake(0)
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
 		answer := httptest.NewRecorder()
--- a/internal/node/executorapi/executorapi_test.go
+++ b/internal/node/executorapi/executorapi_test.go
@@ -21,8 +21,8 @@
 		var answer executorapi.Answer
 		text := `{"clock-ms":482113,"running-count":[["a.0.1.17",2,"00000bb87a21d94b",41]],"end-state":[[58,"a.0.1.9",1,"done",""]]}`
 		Expect(easyjson.Unmarshal([]byte(text), &answer)).To(Succeed())
-		Expect(answer.Running).To(Equal([]executorapi.RunningRow{{Task: "a.0.1.17", Run: 2, Saved: "00000bb87a21d94b", Percent: 41}}))
-		Expect(answer.Ends).To(Equal([]executorapi.EndRow{{Number: 58, Task: "a.0.1.9", Run: 1, How: "done"}}))
+		Expect(answer.Running).To(Equal([]executorapi.RunningRow{{Task: "a.0.1.17", Run: 2, Checkpoint: "00000bb87a21d94b", Percent: 41}}))
+		Expect(answer.Ends).To(Equal([]executorapi.EndRow{{Number: 58, Task: "a.0.1.9", Run: 1, Outcome: "done"}}))
 		back, err := easyjson.Marshal(answer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(back)).To(ContainSubstring(`[58,"a.0.1.9",1,"done",""]`))
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -85,7 +85,7 @@
 		case 1:
 			r.Run = in.Int64()
 		case 2:
-			r.Saved = in.String()
+			r.Checkpoint = in.String()
 		case 3:
 			r.Percent = int(in.Float64())
 		default:
@@ -101,7 +101,7 @@
 	out.RawByte(',')
 	out.Int64(r.Run)
 	out.RawByte(',')
-	out.String(r.Saved)
+	out.String(r.Checkpoint)
 	out.RawByte(',')
 	out.Int(r.Percent)
 	out.RawByte(']')
@@ -121,9 +121,9 @@
 		case 2:
 			e.Run = in.Int64()
 		case 3:
-			e.How = in.String()
+			e.Outcome = in.String()
 		case 4:
-			e.Saved = in.String()
+			e.Checkpoint = in.String()
 		default:
 			in.SkipRecursive()
 		}
@@ -139,9 +139,9 @@
 	out.RawByte(',')
 	out.Int64(e.Run)
 	out.RawByte(',')
-	out.String(e.How)
+	out.String(e.Outcome)
 	out.RawByte(',')
-	out.String(e.Saved)
+	out.String(e.Checkpoint)
 	out.RawByte(']')
 }
 
--- a/internal/node/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -38,7 +38,7 @@
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
 		table.Beat("i-1", &executorapi.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
-		table.Told(call, 0, &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Look: 5})
+		table.Told(call, 0, &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, WantedList: 5})
 		work, _ := table.NextHold(false)
 		work.Look = 0
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
--- a/internal/node/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -30,12 +30,12 @@
 		return nil, false
 	}
 	now := t.now()
-	call := &wire.ExchangeCall{Key: "pool/" + t.service, Life: current.id, Fence: current.fenceHeld,
+	call := &wire.ExchangeCall{Key: "pool/" + t.service, Executor: current.id, Fence: current.fenceHeld,
 		WaitMs: t.pollWait(current, waitMs), HoldAgeMs: t.holdAge(current).Milliseconds(), Ends: slices.Clone(current.ends)}
 	current.feed.noteFacts(t.factsOf(current))
 	current.feed.write(call)
 	if current.departsAt > now {
-		call.DepartsMs = (current.departsAt - now).Milliseconds()
+		call.DepartureMs = (current.departsAt - now).Milliseconds()
 	}
 	current.writeAnswers(call, now)
 	current.writeRuns(call, now)
@@ -67,7 +67,7 @@
 // no numbered news.
 func (i *incarnation) writeRuns(call *wire.ExchangeCall, now time.Duration) {
 	if i.listTaken > i.listReported {
-		call.Look, call.Running = i.listTaken, i.listedRuns
+		call.ListNumber, call.Running = i.listTaken, i.listedRuns
 	} else if i.feed.acknowledged == 0 && now-i.runningSentAt > runningEvery {
 		call.Running = slices.Clone(i.running)
 	}
@@ -84,7 +84,7 @@
 // Told takes the leader's answer and gives the orders that are to be carried out. askedAt is when the exchange was
 // sent, on the steady clock: a grant counts from then.
 func (t *Table) Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
-	current := t.currentIs(call.Life)
+	current := t.currentIs(call.Executor)
 	if current == nil || answer.Fence < current.fence {
 		return nil
 	}
@@ -92,7 +92,7 @@
 		current.beginFence(answer.Fence)
 	}
 	current.feed.acknowledge(answer)
-	if answer.Again {
+	if answer.NeedsFullState {
 		t.onWork()
 	} else {
 		current.noteDelivered(call, answer.Fence)
@@ -102,7 +102,7 @@
 	}
 	t.acknowledgeEnds(current, answer.LastSeen)
 	current.extend(askedAt, answer.GrantMs)
-	current.listWanted = max(current.listWanted, answer.Look)
+	current.listWanted = max(current.listWanted, answer.WantedList)
 	if current.listWanted > current.listTaken {
 		t.onLook()
 	}
@@ -121,7 +121,7 @@
 		i.answers = slices.DeleteFunc(i.answers, func(given givenAnswer) bool { return given.isIn(call.Answers) })
 	}
 	if call.Fence == fence {
-		i.listReported = max(i.listReported, call.Look)
+		i.listReported = max(i.listReported, call.ListNumber)
 	}
 }
 
--- a/internal/node/localproxy/farewell_test.go
+++ b/internal/node/localproxy/farewell_test.go
@@ -34,7 +34,7 @@
 	startIsDue := func() bool {
 		call := told()
 		table.Told(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
-		_, isDue := table.Ready(call.Life, launch)
+		_, isDue := table.Ready(call.Executor, launch)
 		return isDue
 	}
 	BeforeEach(func() {
@@ -50,7 +50,7 @@
 
 		It("is known to go once the time to drain is over, so that what would run longer is moved", func() {
 			Expect(told().Draining).To(BeTrue())
-			Expect(told().DepartsMs).To(Equal(drainTime.Milliseconds()))
+			Expect(told().DepartureMs).To(Equal(drainTime.Milliseconds()))
 		})
 
 		It("is sent no start", func() { Expect(startIsDue()).To(BeFalse()) })
@@ -58,7 +58,7 @@
 		It("isn't taken for over because it leaves calls unanswered: it may serve on for many seconds", func() {
 			fakeClock.Advance(10 * time.Second)
 			holdFails()
-			Expect(told().Life).To(Equal("i-1"))
+			Expect(told().Executor).To(Equal("i-1"))
 			Expect(told().Gone).To(BeEmpty())
 		})
 
@@ -74,7 +74,7 @@
 			Expect(beat("i-1", "ready", 2)).To(Equal(200))
 			table.Leave("i-1")
 			Expect(told().Draining).To(BeTrue())
-			Expect(told().DepartsMs).To(Equal((drainTime - time.Second).Milliseconds()))
+			Expect(told().DepartureMs).To(Equal((drainTime - time.Second).Milliseconds()))
 			Expect(startIsDue()).To(BeFalse())
 		})
 	})
@@ -103,7 +103,7 @@
 		table.Leave("i-1")
 		hold, _ := table.NextHold(false)
 		table.HoldFailed(hold, true)
-		Expect(told().Life).To(Equal("i-1"))
+		Expect(told().Executor).To(Equal("i-1"))
 		Expect(startIsDue()).To(BeFalse())
 	})
 
--- a/internal/node/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -74,8 +74,8 @@
 			news = newRunNews(report)
 		}
 		isStuck := news.stillFor > stuckAfter
-		if news.report.Saved != report.Saved || news.report.Stuck != isStuck {
-			news.report.Saved, news.report.Stuck = report.Saved, isStuck
+		if news.report.Checkpoint != report.Checkpoint || news.report.Stuck != isStuck {
+			news.report.Checkpoint, news.report.Stuck = report.Checkpoint, isStuck
 			news.changedAt, f.number = next, next
 		}
 		kept[key] = news
@@ -86,7 +86,7 @@
 // newRunNews gives a run that begins from a checkpoint time to restore it.
 func newRunNews(report wire.RunReport) runNews {
 	news := runNews{report: wire.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
-	if report.Saved != "" {
+	if report.Checkpoint != "" {
 		news.stillFor = -restoreMost
 	}
 	return news
@@ -107,7 +107,7 @@
 		call.Session, call.Number, call.Base = f.session, f.number, f.acknowledged
 	}
 	if f.factsAt > call.Base {
-		call.Proxy, call.Domain, call.Labels, call.Room = f.facts.proxy, f.facts.domain, f.facts.labels, f.facts.room
+		call.Proxy, call.Domain, call.Labels, call.Capacity = f.facts.proxy, f.facts.domain, f.facts.labels, f.facts.room
 		call.Draining, call.Gone = f.facts.isDraining, f.facts.gone
 	}
 	if f.session == 0 {
@@ -125,8 +125,8 @@
 
 // acknowledge takes note of what the leader holds. Where the leader knows a later session, a new one begins.
 func (f *feed) acknowledge(answer *wire.ExchangeAnswer) {
-	f.acknowledged = answer.Held
-	if answer.Again && answer.Session > f.session {
+	f.acknowledged = answer.HeldNumber
+	if answer.NeedsFullState && answer.Session > f.session {
 		f.session = answer.Session + 1
 	}
 }
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -31,7 +31,7 @@
 		table.Held(work, executorapi.Answer{ClockMs: 1000, Running: rows})
 	}
 	row := func(number int, saved string) executorapi.RunningRow {
-		return executorapi.RunningRow{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", number), Run: 1, Saved: saved, Percent: 41}
+		return executorapi.RunningRow{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", number), Run: 1, Checkpoint: saved, Percent: 41}
 	}
 	size := func(call *wire.ExchangeCall) int {
 		text, err := easyjson.Marshal(call)
@@ -47,28 +47,28 @@
 	BeforeEach(func() { begin(localproxy.WithSession(7)) })
 
 	It("tells facts again only when they changed", func() {
-		first := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		first := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(first.Proxy).To(Equal("side-1"))
 		Expect(first.Base).To(BeZero())
-		second := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		second := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(second.Proxy).To(BeEmpty())
 		Expect(second.Base).To(Equal(first.Number))
 		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "draining", Sequence: 2})
-		third := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		third := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(third.Draining).To(BeTrue())
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: third.Number}).Draining).To(BeTrue(), "as the answer was not there yet")
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: third.Number}).Proxy).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: third.Number}).Draining).To(BeTrue(), "as the answer was not there yet")
+		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: third.Number}).Proxy).To(BeEmpty())
 	})
 
 	It("tells a checkpoint until the owner holds it, and a run without one not at all", func() {
-		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, row(1, ""), row(2, "c1"))
 		lost, _ := table.Compose(0)
 		Expect(lost.Changed).To(ConsistOf(HaveField("Saved", "c1")))
-		again := told(wire.ExchangeAnswer{Fence: 3, Held: lost.Number})
+		again := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: lost.Number})
 		Expect(again.Changed).To(HaveLen(1))
 		hold(false, row(1, ""), row(2, "c1"))
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: again.Number}).Changed).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: again.Number}).Changed).To(BeEmpty())
 	})
 
 	It("tells that a run stands still, and that it moves again", func() {
@@ -77,7 +77,7 @@
 			one.Percent = percent
 			return one
 		}
-		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, percent(1, 40), percent(2, 40))
 		for step := range 5 {
 			fakeClock.Advance(400 * time.Millisecond)
@@ -91,7 +91,7 @@
 	})
 
 	It("takes an executor that was silent for long for one that stood still as a whole", func() {
-		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, row(1, ""))
 		fakeClock.Advance(time.Minute)
 		hold(false, row(1, ""))
@@ -100,7 +100,7 @@
 	})
 
 	It("leaves a run that began from a checkpoint time to restore it", func() {
-		told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, row(1, "c1"))
 		for range 10 {
 			fakeClock.Advance(400 * time.Millisecond)
@@ -112,32 +112,32 @@
 
 	It("gives a look whole, whatever the owner holds", func() {
 		hold(false, row(1, ""), row(2, "c1"))
-		told(wire.ExchangeAnswer{Fence: 3, Held: 2, Look: 1})
+		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1})
 		hold(true, row(1, ""), row(2, "c1"))
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(HaveLen(2))
+		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1}).Running).To(HaveLen(2))
 		fakeClock.Advance(5 * time.Second)
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: 2, Look: 1}).Running).To(BeEmpty())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1}).Running).To(BeEmpty())
 	})
 
 	It("keeps what was told in an exchange that the owner did not take, and tells it with the whole at once", func() {
-		told(wire.ExchangeAnswer{Fence: 3, Held: 1, GrantMs: 4000, Look: 1})
+		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1, GrantMs: 4000, WantedList: 1})
 		hold(true)
 		order := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 		work, isDue := table.Ready("i-7f3a91c2", order)
 		Expect(isDue).To(BeTrue())
 		table.Carried(work, "ok")
 		works = 0
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Again: true}).Base).NotTo(BeZero())
+		Expect(told(wire.ExchangeAnswer{Fence: 3, NeedsFullState: true}).Base).NotTo(BeZero())
 		Expect(works).To(Equal(1))
-		whole := told(wire.ExchangeAnswer{Fence: 3, Held: 1})
+		whole := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(whole.Base).To(BeZero())
 		Expect(whole.Answers).To(HaveLen(1))
-		Expect(whole.Look).To(Equal(uint64(1)))
-		Expect(told(wire.ExchangeAnswer{Fence: 3, Held: 1}).Answers).To(BeEmpty())
+		Expect(whole.ListNumber).To(Equal(uint64(1)))
+		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1}).Answers).To(BeEmpty())
 	})
 
 	It("begins a later session where the owner knows one already", func() {
-		told(wire.ExchangeAnswer{Fence: 3, Again: true, Session: 90})
+		told(wire.ExchangeAnswer{Fence: 3, NeedsFullState: true, Session: 90})
 		Expect(told(wire.ExchangeAnswer{Fence: 3}).Session).To(Equal(uint64(91)))
 	})
 
@@ -199,8 +199,8 @@
 		measure := func(held uint64) (calm, busy int) {
 			fakeClock.Advance(2 * time.Second)
 			hold(false, rows...)
-			busy = size(told(wire.ExchangeAnswer{Fence: 3, Held: held}))
-			return size(told(wire.ExchangeAnswer{Fence: 3, Held: held})), busy
+			busy = size(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: held}))
+			return size(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: held})), busy
 		}
 		measure(1)
 		calm, busy := measure(1)
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -48,13 +48,13 @@
 	It("takes no life for over because of a beat alone, which may be late", func() {
 		Expect(beat("i-0", "ready", 7)).To(Equal(200))
 		call, _ := table.Compose(0)
-		Expect(call.Life).To(Equal("i-0"))
+		Expect(call.Executor).To(Equal("i-0"))
 		Expect(call.Gone).To(BeEmpty())
 		work, _ := table.NextHold(false)
 		Expect(work.Life).To(Equal("i-0"))
 		table.HoldFailed(work, true)
 		call, _ = table.Compose(0)
-		Expect(call.Life).To(Equal("i-1"))
+		Expect(call.Executor).To(Equal("i-1"))
 		Expect(call.Gone).To(Equal([]string{"i-0"}))
 		Expect(beat("i-1", "ready", 2)).To(Equal(200))
 	})
@@ -81,7 +81,7 @@
 		table.HoldFailed(before, true)
 		Expect(beat("i-1", "ready", 9)).To(Equal(409))
 		call, _ := table.Compose(0)
-		Expect(call.Life).To(Equal("i-2"))
+		Expect(call.Executor).To(Equal("i-2"))
 		Expect(call.Gone).To(Equal([]string{"i-1"}))
 	})
 
@@ -173,7 +173,7 @@
 
 	It("tells an end until it is taken note of, and then lets the executor forget it", func() {
 		work, _ := table.NextHold(false)
-		table.Held(work, executorapi.Answer{ClockMs: 1000, Ends: []executorapi.EndRow{{Number: 1, Task: "t", Run: 1, How: "done"}}})
+		table.Held(work, executorapi.Answer{ClockMs: 1000, Ends: []executorapi.EndRow{{Number: 1, Task: "t", Run: 1, Outcome: "done"}}})
 		told(wire.ExchangeAnswer{Fence: 1})
 		call, _ := table.Compose(0)
 		Expect(call.Ends).To(HaveLen(1))
@@ -185,16 +185,16 @@
 	})
 
 	It("tells a look of a new fence, even while an exchange of the old one is under way", func() {
-		told(wire.ExchangeAnswer{Fence: 1, Look: 9})
+		told(wire.ExchangeAnswer{Fence: 1, WantedList: 9})
 		work, _ := table.NextHold(true)
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		old, _ := table.Compose(0)
-		told(wire.ExchangeAnswer{Fence: 2, Look: 3})
-		table.Told(old, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 2, Look: 3})
+		told(wire.ExchangeAnswer{Fence: 2, WantedList: 3})
+		table.Told(old, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 2, WantedList: 3})
 		work, _ = table.NextHold(true)
 		table.Held(work, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
-		Expect(call.Look).To(Equal(uint64(3)))
+		Expect(call.ListNumber).To(Equal(uint64(3)))
 		Expect(call.Fence).To(Equal(uint64(2)))
 	})
 
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -271,7 +271,7 @@
 		p.log.V(1).Info("an exchange failed", "why", err.Error())
 		return false
 	}
-	if answer.Elsewhere {
+	if answer.NotLeader {
 		return false
 	}
 	if answer.Fence == 0 {
@@ -279,7 +279,7 @@
 	}
 	orders, _ := ask(p, ctx, func() []wire.Order { return p.table.Told(call, askedAt, answer) })
 	for _, order := range orders {
-		go p.carry(ctx, call.Life, order)
+		go p.carry(ctx, call.Executor, order)
 	}
 	return true
 }
@@ -347,7 +347,7 @@
 	order := work.Order
 	if order.Kind == "launch" {
 		return p.executor.Call(ctx, "/v1/run-start", work.Life, startLimit, executorapi.RunStart{Task: order.Task, Run: order.Run,
-			Spec: order.Spec, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Saved: order.Saved})
+			Spec: order.Descriptor, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Saved: order.Checkpoint})
 	}
 	return p.executor.Call(ctx, "/v1/run-stop", work.Life, startLimit,
 		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -39,18 +39,18 @@
 	if err != nil {
 		return err
 	}
-	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
-	book.Handle(b.inner)
-	b.join(wire.Member{Role: "gate"}, membership.OnPlanAhead(book.Ahead))
-	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page})
+	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
+	configurations.Handle(b.inner)
+	b.join(wire.Member{Role: "gate"}, membership.OnPlanAhead(configurations.Ahead))
+	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: configurations.Page})
 	var isLeaving atomic.Bool
 	asker := leaderclient.New(b.caller, b.clock, b.node.View)
-	server := httpserver.New(front, b.meter.Handler(clientapi.New(book.Page, asker, b.clock)), b.clock, b.log,
+	server := httpserver.New(front, b.meter.Handler(clientapi.New(configurations.Page, asker, b.clock)), b.clock, b.log,
 		httpserver.WithMostConnections(mostClientConnections(b.settings.Limits.FileDescriptors)))
-	b.tree.Add("plan", book.Run)
+	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
 	b.tree.Add("readiness", b.serving(ready, readiness(func() bool {
-		return !isLeaving.Load() && book.Page() != nil && b.node.View().SeesSteward()
+		return !isLeaving.Load() && configurations.Page() != nil && b.node.View().SeesSteward()
 	}), internalLeave))
 	return b.run(func() {
 		isLeaving.Store(true)
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -24,7 +24,7 @@
 // partOfGrace is how much of the grace period a steward may take until its voters are replaced.
 const partOfGrace = 3
 
-// Steward keeps control keys and schedules the pools it owns, until SIGTERM.
+// Steward keeps control keys and schedules the pools it leads, until SIGTERM.
 func Steward(path string, options ...Option) error {
 	b, err := newBase(path, "steward", options...)
 	if err != nil {
@@ -39,10 +39,10 @@
 		return err
 	}
 	defer kept.close()
-	book := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
-	book.Handle(b.inner)
+	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
+	configurations.Handle(b.inner)
 	knownPeers := kept.peers(b.log)
-	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(book.Ahead), membership.WithKnownPeers(knownPeers))
+	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(configurations.Ahead), membership.WithKnownPeers(knownPeers))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
 	if err != nil {
 		return errors.Annotate(err, "field queue-rules")
@@ -53,11 +53,11 @@
 		b.tree.Add("recording", writer.Run)
 		pool = append(pool, scheduler.WithRecorder(writer))
 	}
-	ring := controlkeys.New(controlkeys.Config{Clock: b.clock, Log: b.log, Store: kept.store, IsMakeshift: kept.isMakeshift,
-		MachineLosses: b.settings.FaultTolerance.MachineLosses, Name: b.settings.NodeName, Caller: b.caller, Node: b.node, Book: book,
-		Timing: scheduler.TimingFrom(b.settings), Replicas: kept.replicas, Pool: pool})
-	ring.Handle(b.inner)
-	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: book.Page, Ring: ring.Beliefs})
+	manager := controlkeys.New(controlkeys.Config{Clock: b.clock, Log: b.log, Store: kept.store, IsDiskTemporary: kept.isTemporary,
+		MachineLosses: b.settings.FaultTolerance.MachineLosses, Name: b.settings.NodeName, Caller: b.caller, Node: b.node, Configurations: configurations,
+		Timing: scheduler.TimingFrom(b.settings), Replicas: kept.replicas, PoolOptions: pool})
+	manager.Handle(b.inner)
+	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: configurations.Page, Ring: manager.Beliefs})
 	outer := http.NewServeMux()
 	outer.Handle("/v1/configuration/", controlapi.Handler(leaderclient.New(b.caller, b.clock, b.node.View)))
 	outer.Handle(peerapi.Prefix, b.inner)
@@ -68,11 +68,11 @@
 			return nil
 		})
 	}
-	b.tree.Add("plan", book.Run)
-	b.tree.Add("keys", ring.Run)
+	b.tree.Add("plan", configurations.Run)
+	b.tree.Add("keys", manager.Run)
 	b.tree.Add("control-calls", b.serving(control, outer, operatorLeave))
 	if b.settings.InitialStart && kept.store != nil && kept.store.IsNew() {
-		b.tree.Add("first-voters", func(ctx context.Context) error { ring.FoundFirst(ctx, b.settings.Seeds); return nil })
+		b.tree.Add("first-voters", func(ctx context.Context) error { manager.BootstrapFromSeeds(ctx, b.settings.Seeds); return nil })
 	}
-	return b.run(func() { ring.Leave(b.settings.GracePeriod() / partOfGrace) })
+	return b.run(func() { manager.Leave(b.settings.GracePeriod() / partOfGrace) })
 }
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -16,7 +16,7 @@
 // durableState is where a steward keeps its replicas; it has no store on a machine without a disk, unless that is a seed.
 type durableState struct {
 	folder      string
-	isMakeshift bool
+	isTemporary bool
 	store       *storage.Store
 	replicas    *replication.Replicas
 }
@@ -53,14 +53,14 @@
 		b.log.Error(err, "a seed without a disk keeps no keys: field data-directory is empty, and no other folder can be used")
 		return
 	}
-	s.folder, s.isMakeshift = folder, true
+	s.folder, s.isTemporary = folder, true
 }
 
 func (s *durableState) member(control string) wire.Member {
 	self := wire.Member{Role: "steward", Control: control}
 	switch {
-	case s.isMakeshift:
-		self.Makeshift = s.store.Disk()
+	case s.isTemporary:
+		self.TemporaryDisk = s.store.Disk()
 	case s.store != nil:
 		self.Disk = s.store.Disk()
 	}
--- a/internal/roles/storage_test.go
+++ b/internal/roles/storage_test.go
@@ -43,16 +43,16 @@
 		Expect(err).To(MatchError(ContainSubstring("field data-directory")))
 	})
 
-	It("is a makeshift folder for a seed without a disk", func() {
+	It("is a temporary folder for a seed without a disk", func() {
 		GinkgoT().Setenv("TMPDIR", GinkgoT().TempDir())
 		kept, err := open()
 		Expect(err).NotTo(HaveOccurred())
 		defer kept.close()
 		Expect(kept.member("c").Disk).To(BeEmpty())
-		Expect(kept.member("c").Makeshift).NotTo(BeEmpty())
+		Expect(kept.member("c").TemporaryDisk).NotTo(BeEmpty())
 	})
 
-	It("is nowhere for a seed that can have no makeshift folder, and it goes on without", func() {
+	It("is nowhere for a seed that can have no temporary folder, and it goes on without", func() {
 		GinkgoT().Setenv("TMPDIR", filepath.Join(GinkgoT().TempDir(), "gone"))
 		kept, err := open()
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -26,9 +26,9 @@
 		pool.Open(tenure, tenure.pairs())
 	}
 	// ask sends a client's call and settles its commit.
-	ask := func(verb, text string) wire.ClientAnswer {
+	ask := func(verb wire.Verb, text string) wire.ClientAnswer {
 		var told wire.ClientAnswer
-		call := &wire.ClientCall{Verb: verb, Entry: "e", ID: id, Body: []byte(text), Terms: &wire.RouteTerms{MaxAttempts: 2}}
+		call := &wire.ClientCall{Verb: verb, Route: "e", ID: id, Body: []byte(text), Terms: &wire.RouteTerms{MaxAttempts: 2}}
 		answer := func(one wire.ClientAnswer) { told = one }
 		switch verb {
 		case "hand-in":
@@ -44,8 +44,8 @@
 	}
 	state := func() string { return string(ask("state", "").Body) }
 	exchange := func(change func(*wire.ExchangeCall)) wire.ExchangeAnswer {
-		call := &wire.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: wire.Capacity{CPU: 4000, Memory: 4000},
-			Labels: []string{"a", "r1"}, Fence: tenure.epoch, Look: 1 << 40}
+		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Proxy: "side-1", Capacity: wire.Capacity{CPU: 4000, Memory: 4000},
+			Labels: []string{"a", "r1"}, Fence: tenure.epoch, ListNumber: 1 << 40}
 		change(call)
 		var told wire.ExchangeAnswer
 		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = answer })
@@ -65,7 +65,7 @@
 	}
 	finish := func() {
 		exchange(func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, How: "done"}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, Outcome: "done"}}
 		})
 	}
 	BeforeEach(func() {
@@ -108,7 +108,7 @@
 	It("acknowledges a cancel that comes while the hand-in is being committed", func() {
 		open(4)
 		var handedIn, cancelled int
-		other := &wire.ClientCall{Entry: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &wire.RouteTerms{MaxAttempts: 2}}
+		other := &wire.ClientCall{Route: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &wire.RouteTerms{MaxAttempts: 2}}
 		pool.HandIn(other, func(answer wire.ClientAnswer) { handedIn = answer.Status })
 		pool.Settle()
 		pool.Cancel(other, func(answer wire.ClientAnswer) { cancelled = answer.Status })
@@ -121,12 +121,12 @@
 
 	It("moves at once what will not end before an executor is gone that left unannounced", func() {
 		start()
-		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartsMs = true, 2000 })
+		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
 		Expect(exchange(nothing).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: task, Run: 1}))
 	})
 
 	It("starts nothing on an executor that leaves because its proxy forgot that", func() {
-		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartsMs = true, 2000 })
+		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
 		exchange(nothing)
 		pool.Settle()
 		tenure.settle(nil)
--- a/internal/scheduling/scheduler/chances.go
+++ b/internal/scheduling/scheduler/chances.go
@@ -36,7 +36,7 @@
 		return placement.ChanceInTime
 	}
 	chances := [4]placement.Chance{placement.ChanceLate, placement.ChanceTooLate, placement.ChanceLate, placement.ChanceInTime}
-	now, chance := p.tenure.WallMs(), placement.ChanceInTime
+	now, chance := p.leadership.WallMs(), placement.ChanceInTime
 	for place, turn := range step.chanceTurns() {
 		if now >= turn {
 			chance = chances[place]
@@ -50,7 +50,7 @@
 	if step.step.Lasting {
 		return never
 	}
-	wall := p.tenure.WallMs()
+	wall := p.leadership.WallMs()
 	for _, turn := range step.chanceTurns() {
 		if wall < turn {
 			return now + clock.Milliseconds(turn-wall)
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -13,10 +13,10 @@
 
 type answerClient = func(wire.ClientAnswer)
 
-func lost() wire.ClientAnswer { return wire.ClientAnswer{Elsewhere: true} }
+func lost() wire.ClientAnswer { return wire.ClientAnswer{NotLeader: true} }
 
 // unclear is the answer once a change was proposed and the leadership ended before its commit.
-func unclear() wire.ClientAnswer { return wire.ClientAnswer{Elsewhere: true, Unclear: true} }
+func unclear() wire.ClientAnswer { return wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true} }
 
 // HandIn accepts a job once it is committed; the same ID again is the same job.
 func (p *Pool) HandIn(call *wire.ClientCall, answer answerClient) {
@@ -28,34 +28,34 @@
 		answer(wire.ClientAnswer{Status: http.StatusOK})
 	}
 	if known := p.jobs[call.ID]; known != nil {
-		if known.record.Entry != call.Entry {
-			answer(wire.ClientAnswer{Status: http.StatusConflict, Why: "the ID belongs to a job of another queue"})
+		if known.record.Entry != call.Route {
+			answer(wire.ClientAnswer{Status: http.StatusConflict, Reason: "the ID belongs to a job of another queue"})
 			return
 		}
 		p.after(accepted)
 		return
 	}
 	if p.renounced.ids[call.ID] {
-		answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Why: "the job's queue has moved to another service"})
+		answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's queue has moved to another service"})
 		return
 	}
 	spec, err := jobs.Read(call.Body)
 	if err != nil {
-		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Why: err.Error()})
+		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Reason: err.Error()})
 		return
 	}
 	p.meters.handIns.Inc()
 	one := &job{id: call.ID, spec: spec, state: stateQueued, times: map[int]*jobTime{}, doneTimes: map[int]bool{}}
-	one.record = jobRecord{Entry: call.Entry, AcceptedMs: p.tenure.WallMs(), Spec: call.Body}
+	one.record = jobRecord{Entry: call.Route, AcceptedMs: p.leadership.WallMs(), Spec: call.Body}
 	if call.Terms != nil {
 		one.record.Terms = *call.Terms
 	}
 	p.jobs[call.ID], p.untimed[call.ID] = one, one
-	p.queued[call.Entry]++
+	p.queued[call.Route]++
 	p.put("j/"+call.ID, one.record)
 	one.record.Spec = nil
-	p.makeTimesOf(one, p.tenure.WallMs())
-	p.record.Record(recording.Event{Kind: recording.KindHandIn, AtMs: one.record.AcceptedMs, Queue: call.Entry, ID: call.ID,
+	p.makeTimesOf(one, p.leadership.WallMs())
+	p.record.Record(recording.Event{Kind: recording.KindHandIn, AtMs: one.record.AcceptedMs, Queue: call.Route, ID: call.ID,
 		Terms: one.record.Terms, Body: call.Body})
 	p.after(accepted)
 }
@@ -66,12 +66,12 @@
 	one := p.jobs[call.ID]
 	p.after(func(err error) {
 		switch {
-		case err != nil || p.tenure == nil || !p.tenure.HasLease():
+		case err != nil || p.leadership == nil || !p.leadership.HasLease():
 			answer(lost())
 		case one == nil:
-			answer(wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
+			answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"})
 		case one.isUnreadable && one.isOpen():
-			answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Why: "the job's record can't be read by this version"})
+			answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's record can't be read by this version"})
 		default:
 			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + one.shown() + `"}`)})
 		}
@@ -88,11 +88,11 @@
 // Count answers with the number of jobs that wait in a queue.
 func (p *Pool) Count(call *wire.ClientCall, answer answerClient) {
 	p.after(func(err error) {
-		if err != nil || p.tenure == nil || !p.tenure.HasLease() {
+		if err != nil || p.leadership == nil || !p.leadership.HasLease() {
 			answer(lost())
 			return
 		}
-		count := strconv.Itoa(max(0, p.queued[call.Entry]))
+		count := strconv.Itoa(max(0, p.queued[call.Route]))
 		answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)})
 	})
 }
@@ -101,15 +101,15 @@
 func (p *Pool) Cancel(call *wire.ClientCall, answer answerClient) {
 	one := p.jobs[call.ID]
 	if one != nil && one.isOpen() {
-		p.record.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.tenure.WallMs(), ID: call.ID})
+		p.record.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.leadership.WallMs(), ID: call.ID})
 		p.end(one, stateCancelled, "cancelled by its client")
 	}
 	p.after(func(err error) {
 		switch {
-		case err != nil || p.tenure == nil || !p.tenure.HasLease():
+		case err != nil || p.leadership == nil || !p.leadership.HasLease():
 			answer(lost())
 		case one == nil:
-			answer(wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job"})
+			answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"})
 		default:
 			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
 		}
@@ -121,7 +121,7 @@
 	if one.state == stateQueued {
 		p.queued[one.record.Entry]--
 	}
-	one.state, one.endedMs = state, p.tenure.WallMs()
+	one.state, one.endedMs = state, p.leadership.WallMs()
 	p.put("s/"+one.id, stateRecord{Entry: one.record.Entry, State: state, Why: why, EndedMs: one.endedMs})
 	if state != stateCompleted {
 		p.log.V(1).Info("job ended", "job", one.id, "state", state, "why", why)
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -110,14 +110,14 @@
 		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, wire.RouteTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
 	}
 	c.jobs++
-	c.pool.HandIn(&wire.ClientCall{Verb: "hand-in", Entry: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
+	c.pool.HandIn(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
 		Body: []byte(`{"task-descriptor":"` + fmt.Sprintf("%0200d", c.jobs) + `","step-list":[` + step + `]}`)}, func(wire.ClientAnswer) {})
 	c.pool.Settle()
 }
 
 func (c *crowd) exchange(one *hand, ends []wire.EndReport) {
-	call := &wire.ExchangeCall{Key: "pool/s", Life: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
-		Room: wire.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, Look: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
+	call := &wire.ExchangeCall{Key: "pool/s", Executor: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
+		Capacity: wire.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, ListNumber: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
 	one.answers, one.look = nil, 0
 	c.pool.Exchange(call, func(answer wire.ExchangeAnswer) {
 		for _, order := range answer.Orders {
@@ -136,7 +136,7 @@
 	gone := one.running[0]
 	one.running = one.running[1:]
 	one.ends++
-	c.exchange(one, []wire.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, How: "done"}})
+	c.exchange(one, []wire.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, Outcome: "done"}})
 	c.pool.Settle()
 	c.exchange(one, nil)
 	c.pool.Settle()
--- a/internal/scheduling/scheduler/drains_test.go
+++ b/internal/scheduling/scheduler/drains_test.go
@@ -26,7 +26,7 @@
 				break
 			}
 		}
-		leaving.Draining, leaving.DepartsMs = true, 2000
+		leaving.Draining, leaving.DepartureMs = true, 2000
 		if isTakenOver {
 			leaving.Answers = nil
 			f.takeOver()
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -22,20 +22,20 @@
 // Exchange takes what a local-proxy says of its executor, and answers with orders, grant and acks.
 func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	now := p.clock.Monotonic()
-	home := p.lifeOf(call.Life)
+	home := p.lifeOf(call.Executor)
 	call, isTaken := home.heard.take(call)
 	p.learnContact(home, call, now)
 	if !isTaken {
 		refusal := p.answerFor(home)
-		refusal.Held, refusal.Again, refusal.Session = 0, true, home.heard.session
+		refusal.HeldNumber, refusal.NeedsFullState, refusal.Session = 0, true, home.heard.session
 		answer(refusal)
 		return
 	}
-	if call.Fence != p.tenure.Epoch() {
-		call.Look = 0
+	if call.Fence != p.leadership.Epoch() {
+		call.ListNumber = 0
 	}
 	for _, gone := range call.Gone {
-		if old := p.lives[gone]; old != nil && gone != call.Life {
+		if old := p.lives[gone]; old != nil && gone != call.Executor {
 			if !old.isDraining {
 				p.mistrust(old)
 			}
@@ -64,8 +64,8 @@
 
 // answerAck tells the proxy at once, with the commit, how far its ends are taken note of.
 func (p *Pool) answerAck(home *life, err error, answer func(wire.ExchangeAnswer)) {
-	if err != nil || p.tenure == nil {
-		answer(wire.ExchangeAnswer{Elsewhere: true})
+	if err != nil || p.leadership == nil {
+		answer(wire.ExchangeAnswer{NotLeader: true})
 		return
 	}
 	answer(p.answerFor(home))
@@ -82,7 +82,7 @@
 		p.doubtRuns(home)
 	}
 	home.isBlocked, home.contactAt = isBlocked, now
-	if !isBlocked && p.tenure.HasLease() {
+	if !isBlocked && p.leadership.HasLease() {
 		home.lapsesAt = max(home.lapsesAt, now+p.lapse(p.timing.Grant))
 	}
 }
@@ -93,23 +93,23 @@
 	}
 	isNewDrain := call.Draining && !home.isDraining
 	if !home.isKnown || isNewDrain {
-		p.record.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.tenure.WallMs(), Machine: call.Proxy, Room: call.Room,
+		p.record.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.leadership.WallMs(), Machine: call.Proxy, Room: call.Capacity,
 			Labels: call.Labels, IsDraining: call.Draining})
 	}
 	if home.atOnce > 0 {
 		p.needsPlacing = true
 	}
 	home.learnPenalty(p.penaltyOf(call.Proxy, now))
-	if p.rules != nil && (home.room != room(call.Room) || !slices.Equal(home.labels, call.Labels)) {
+	if p.rules != nil && (home.room != room(call.Capacity) || !slices.Equal(home.labels, call.Labels)) {
 		p.roster.version++
 	}
 	home.isKnown, home.proxy, home.domain, home.labels = true, call.Proxy, call.Domain, call.Labels
 	// A proxy that was restarted may not have heard yet that its executor leaves; no executor takes that back.
-	home.room, home.isDraining = room(call.Room), home.isDraining || call.Draining
-	if call.DepartsMs > 0 {
-		home.departsAt = now + clock.Milliseconds(call.DepartsMs)
+	home.room, home.isDraining = room(call.Capacity), home.isDraining || call.Draining
+	if call.DepartureMs > 0 {
+		home.departsAt = now + clock.Milliseconds(call.DepartureMs)
 	}
-	if !home.isFenced && call.Fence == p.tenure.Epoch() && call.Look >= home.firstLook {
+	if !home.isFenced && call.Fence == p.leadership.Epoch() && call.ListNumber >= home.firstLook {
 		home.isFenced = true
 		p.newest[home.proxy] = home
 		p.needsPlacing = true
@@ -121,8 +121,8 @@
 
 func (p *Pool) answerFor(home *life) wire.ExchangeAnswer {
 	now := p.clock.Monotonic()
-	answer := wire.ExchangeAnswer{Fence: p.tenure.Epoch(), LastSeen: home.lastSeen, Look: home.lookWanted, Held: home.heard.held}
-	if !home.isBlocked && p.tenure.HasLease() {
+	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: home.lastSeen, WantedList: home.lookWanted, HeldNumber: home.heard.held}
+	if !home.isBlocked && p.leadership.HasLease() {
 		answer.GrantMs = p.timing.Grant.Milliseconds()
 		home.lapsesAt = max(home.lapsesAt, now+p.lapse(p.timing.Grant))
 	}
@@ -149,7 +149,7 @@
 func (p *Pool) order(one *run) wire.Order {
 	order := wire.Order{Kind: kindStop, Task: one.task.name, Run: one.number}
 	if one.state == runLaunching {
-		order.Kind, order.Spec, order.Saved = kindLaunch, one.task.job().spec.Descriptor, one.task.checkpoint()
+		order.Kind, order.Descriptor, order.Checkpoint = kindLaunch, one.task.job().spec.Descriptor, one.task.checkpoint()
 	}
 	return order
 }
@@ -249,8 +249,8 @@
 		if one == nil {
 			continue
 		}
-		if report.Saved != "" {
-			p.keepSaved(one.task, report.Saved)
+		if report.Checkpoint != "" {
+			p.keepSaved(one.task, report.Checkpoint)
 		}
 		one.isStuck = report.Stuck
 		p.moveStuck(one)
@@ -258,7 +258,7 @@
 }
 
 func (p *Pool) takeLook(home *life, call *wire.ExchangeCall) {
-	if call.Look == 0 || !home.isFenced {
+	if call.ListNumber == 0 || !home.isFenced {
 		return
 	}
 	running := map[runKey]bool{}
@@ -271,7 +271,7 @@
 		}
 	}
 	for _, one := range home.inOrder() {
-		if one.needsLook == 0 || one.needsLook > call.Look {
+		if one.needsLook == 0 || one.needsLook > call.ListNumber {
 			continue
 		}
 		one.needsLook = 0
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -18,7 +18,7 @@
 		saved[key.task] = home.runs[key].task.saved
 	}
 	return wire.ExchangeCall{Session: home.heard.session, Number: home.heard.held, Proxy: home.proxy, Domain: home.domain,
-		Labels: home.labels, Room: wire.Capacity{CPU: home.room.CPU, Memory: home.room.Memory, GPU: home.room.GPU},
+		Labels: home.labels, Capacity: wire.Capacity{CPU: home.room.CPU, Memory: home.room.Memory, GPU: home.room.GPU},
 		Draining: home.isDraining}, saved
 }
 
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -56,7 +56,7 @@
 		beat:   executorapi.Beat{Service: "s", State: "ready", Room: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
-	o.pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
+	o.pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
 		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(wire.ClientAnswer) {})
 	o.settle()
 	for range 4 {
@@ -104,7 +104,7 @@
 	}
 	answer := executorapi.Answer{ClockMs: o.clock.Monotonic().Milliseconds() + 1}
 	for _, task := range slices.Sorted(maps.Keys(o.saved)) {
-		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Saved: o.saved[task]})
+		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Checkpoint: o.saved[task]})
 	}
 	o.table.Held(work, answer)
 }
@@ -115,7 +115,7 @@
 }
 
 func pictureOf(call wire.ExchangeCall, saved map[string]string) picture {
-	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Room, call.Draining), maps.Clone(saved)}
+	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Capacity, call.Draining), maps.Clone(saved)}
 }
 
 func (o *postOffice) compose() {
@@ -175,7 +175,7 @@
 func (o *postOffice) noteTruth() {
 	call := o.calls[len(o.calls)-1].call
 	place := [2]uint64{call.Session, call.Number}
-	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Room: o.beat.Room}, o.saved)
+	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Capacity: o.beat.Room}, o.saved)
 	if was, isThere := o.truth[place]; isThere {
 		Expect(now).To(Equal(was), "number %v stands for two things", place)
 	}
@@ -266,16 +266,16 @@
 	BeforeEach(func() { o = newPostOffice(1) })
 
 	It("takes nothing, wants a look as ever, and has the whole with the next exchange", func() {
-		Expect(answered().Again).To(BeFalse())
+		Expect(answered().NeedsFullState).To(BeFalse())
 		o.newOwner()
 		refused := answered()
-		Expect(refused.Again).To(BeTrue())
+		Expect(refused.NeedsFullState).To(BeTrue())
 		Expect(refused.Fence).To(Equal(o.tenure.epoch))
-		Expect(refused.Look).NotTo(BeZero())
+		Expect(refused.WantedList).NotTo(BeZero())
 		Expect(refused.GrantMs).NotTo(BeZero())
 		told, _ := o.pool.Heard("i-1")
 		Expect(told.Proxy).To(BeEmpty())
-		Expect(answered().Again).To(BeFalse())
+		Expect(answered().NeedsFullState).To(BeFalse())
 		told, _ = o.pool.Heard("i-1")
 		Expect(told.Labels).To(Equal([]string{"a", "r1"}))
 	})
@@ -288,8 +288,8 @@
 		o.newProxy(9)
 		answered()
 		o.newProxy(4)
-		Expect(answered().Again).To(BeTrue())
-		Expect(answered().Again).To(BeFalse())
+		Expect(answered().NeedsFullState).To(BeTrue())
+		Expect(answered().NeedsFullState).To(BeFalse())
 		told, _ := o.pool.Heard("i-1")
 		Expect(told.Session).To(Equal(uint64(10)))
 	})
@@ -299,7 +299,7 @@
 		o.newProxy(0)
 		o.beat.Labels = []string{"b"}
 		o.say()
-		Expect(answered().Again).To(BeFalse())
+		Expect(answered().NeedsFullState).To(BeFalse())
 		told, _ := o.pool.Heard("i-1")
 		Expect(told.Labels).To(Equal([]string{"b"}))
 	})
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -56,7 +56,7 @@
 	var added []*fleetExecutor
 	for range count {
 		name := fmt.Sprintf("%03d", len(f.executors))
-		one := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Life: "i-" + name, Proxy: "side-" + name, Room: room, Labels: labels}}
+		one := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Executor: "i-" + name, Proxy: "side-" + name, Capacity: room, Labels: labels}}
 		f.executors = append(f.executors, one)
 		added = append(added, one)
 	}
@@ -73,7 +73,7 @@
 // hear exchanges once for an executor and has it obey what it is told.
 func (f *fleet) hear(one *fleetExecutor) {
 	call := one.ExchangeCall
-	call.Fence, call.Look = f.tenure.epoch, 1<<40
+	call.Fence, call.ListNumber = f.tenure.epoch, 1<<40
 	for _, order := range one.running {
 		call.Running = append(call.Running, wire.RunReport{Task: order.Task, Run: order.Run})
 	}
@@ -108,7 +108,7 @@
 			return false
 		}
 		one.lastEnd++
-		one.Ends = append(one.Ends, wire.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, How: how})
+		one.Ends = append(one.Ends, wire.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, Outcome: how})
 		return true
 	})
 }
@@ -136,14 +136,14 @@
 }
 
 func (f *fleet) handIn(id string, terms wire.RouteTerms, body string) {
-	f.pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
+	f.pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
 		Expect(answer.Status).To(Equal(200))
 	})
 	f.settle()
 }
 
 func (f *fleet) state(id string) (told string) {
-	f.pool.State(&wire.ClientCall{Entry: "e", ID: id}, func(answer wire.ClientAnswer) { told = fmt.Sprint(answer.Status, string(answer.Body)) })
+	f.pool.State(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { told = fmt.Sprint(answer.Status, string(answer.Body)) })
 	f.settle()
 	return told
 }
--- a/internal/scheduling/scheduler/gangs_test.go
+++ b/internal/scheduling/scheduler/gangs_test.go
@@ -55,7 +55,7 @@
 	It("is not left waiting by a member that was refused", func() {
 		f.endAll("lapsed")
 		for _, one := range f.executors {
-			if one.refusal = "room"; one.Life == "i-005" {
+			if one.refusal = "room"; one.Executor == "i-005" {
 				one.refusal = ""
 			}
 		}
--- a/internal/scheduling/scheduler/heard.go
+++ b/internal/scheduling/scheduler/heard.go
@@ -30,7 +30,7 @@
 }
 
 func putFacts(to, from *wire.ExchangeCall) {
-	to.Proxy, to.Domain, to.Labels, to.Room, to.Draining, to.Gone = from.Proxy, from.Domain, from.Labels, from.Room, from.Draining, from.Gone
+	to.Proxy, to.Domain, to.Labels, to.Capacity, to.Draining, to.Gone = from.Proxy, from.Domain, from.Labels, from.Capacity, from.Draining, from.Gone
 }
 
 // follows begins a later session with its whole.
