--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -23,8 +23,8 @@
 	"gannetline/internal/scheduling/recording"
 )
 
-// Tenure is what a pool needs of the ownership of its key.
-type Tenure interface {
+// Leadership is what a pool needs of the ownership of its key.
+type Leadership interface {
 	// Epoch is that of the leadership; orders carry it as their fence.
 	Epoch() uint64
 	// Commit makes a change durable on a majority; done gets an error if the leadership is lost first. It runs on the
@@ -74,7 +74,7 @@
 	timing Timing
 	log    logging.Logger
 
-	tenure       Tenure
+	leadership       Leadership
 	jobs         map[string]*job
 	queued       map[string]int
 	lives        map[string]*life
@@ -138,7 +138,7 @@
 }
 
 // Open takes the key over with what is committed of it. No record keeps a pool from opening.
-func (p *Pool) Open(tenure Tenure, pairs []wire.Op) {
+func (p *Pool) Open(leadership Leadership, pairs []wire.Op) {
 	p.jobs, p.lives, p.queued = map[string]*job{}, map[string]*life{}, map[string]int{}
 	p.roster, p.open, p.usage = roster{}, newOpenSteps(), map[int]usage{}
 	p.pending, p.broken, p.ended, p.timesAtMs = map[*run]bool{}, map[*stepState]bool{}, nil, 0
@@ -147,16 +147,16 @@
 	p.spreads, p.unreadable, p.renounced = map[string]*spread{}, nil, newRenounced()
 	p.began = p.clock.Monotonic()
 	p.load(pairs)
-	p.tenure = tenure
+	p.leadership = leadership
 	p.needsPlacing = true
 	p.Settle()
 }
 
 // Close gives the key up: exchanges that wait are sent elsewhere, and calls whose changes are not committed fail.
 func (p *Pool) Close() {
-	p.tenure = nil
+	p.leadership = nil
 	for _, one := range p.roster.lives {
-		p.unpark(one, wire.ExchangeAnswer{Elsewhere: true})
+		p.unpark(one, wire.ExchangeAnswer{NotLeader: true})
 	}
 	p.meters.clear()
 	flights, effects := p.flights, p.effects
@@ -175,7 +175,7 @@
 var errClosed = errors.New("the pool has another owner")
 
 // IsOpen says whether the key is led here.
-func (p *Pool) IsOpen() bool { return p.tenure != nil }
+func (p *Pool) IsOpen() bool { return p.leadership != nil }
 
 func (p *Pool) put(name string, value easyjson.Marshaler) {
 	text, err := easyjson.Marshal(value)
@@ -203,7 +203,7 @@
 
 // Settle places what can be placed and commits the turn; effects follow the commit.
 func (p *Pool) Settle() {
-	if p.tenure == nil {
+	if p.leadership == nil {
 		return
 	}
 	p.place()
@@ -220,7 +220,7 @@
 	p.flights = append(p.flights, one)
 	p.meters.commits.Inc()
 	p.meters.changes.Add(len(ops))
-	p.tenure.Commit(ops, func(err error) {
+	p.leadership.Commit(ops, func(err error) {
 		if len(p.flights) > 0 && p.flights[0] == one {
 			p.flights = p.flights[1:]
 			for _, effect := range one.effects {
@@ -297,8 +297,8 @@
 // makeTimes starts what has come due.
 func (p *Pool) makeTimes() {
 	var wall int64
-	if p.tenure != nil {
-		wall = p.tenure.WallMs()
+	if p.leadership != nil {
+		wall = p.leadership.WallMs()
 	}
 	if wall < p.timesAtMs {
 		return
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -38,15 +38,15 @@
 		return
 	}
 	if !p.renounced.ids[call.ID] {
-		p.renounced.add(call.ID, p.tenure.WallMs())
-		p.put("m/"+call.ID, renouncedRecord{AtMs: p.tenure.WallMs()})
+		p.renounced.add(call.ID, p.leadership.WallMs())
+		p.put("m/"+call.ID, renouncedRecord{AtMs: p.leadership.WallMs()})
 	}
 	p.after(func(err error) {
 		if err != nil {
 			answer(lost())
 			return
 		}
-		answer(wire.ClientAnswer{Status: http.StatusGone, Why: "there is no such job, and won't be"})
+		answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job, and won't be"})
 	})
 }
 
--- a/internal/scheduling/scheduler/renounce_test.go
+++ b/internal/scheduling/scheduler/renounce_test.go
@@ -13,7 +13,7 @@
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
 	ask := func(verb func(*wire.ClientCall, func(wire.ClientAnswer))) (told wire.ClientAnswer) {
-		verb(&wire.ClientCall{Entry: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: []byte(single)},
+		verb(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: []byte(single)},
 			func(answer wire.ClientAnswer) { told = answer })
 		f.settle()
 		return told
@@ -34,11 +34,11 @@
 
 	It("promises nothing before that is committed", func() {
 		var told []wire.ClientAnswer
-		f.pool.Renounce(&wire.ClientCall{Entry: "e", ID: id}, func(answer wire.ClientAnswer) { told = append(told, answer) })
+		f.pool.Renounce(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { told = append(told, answer) })
 		f.pool.Settle()
 		Expect(told).To(BeEmpty())
 		f.pool.Close()
-		Expect(told).To(Equal([]wire.ClientAnswer{{Elsewhere: true}}))
+		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true}}))
 	})
 
 	It("has the job if the hand-in came first", func() {
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -154,15 +154,15 @@
 		p.takeForgottenEnd(end)
 		return
 	}
-	ends.With(p.key, end.How).Inc()
+	ends.With(p.key, end.Outcome).Inc()
 	which, now := one.task, p.clock.Monotonic()
-	if end.Saved != "" {
-		p.keepSaved(which, end.Saved)
+	if end.Checkpoint != "" {
+		p.keepSaved(which, end.Checkpoint)
 	}
 	p.noteStart(which.job())
-	p.record.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.tenure.WallMs(), Task: end.Task, Run: end.Run, How: end.How,
+	p.record.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: end.Outcome,
 		LengthMs: (now - one.startedAt).Milliseconds()})
-	switch end.How {
+	switch end.Outcome {
 	case "done":
 		home.dones++
 		home.earn()
@@ -182,7 +182,7 @@
 // takeForgottenEnd believes a run that was given up and came to its end all the same: its task must not start again.
 func (p *Pool) takeForgottenEnd(end wire.EndReport) {
 	which := p.find(end.Task)
-	if end.How != "done" || which == nil || which.isDone || end.Run > which.lastRun {
+	if end.Outcome != "done" || which == nil || which.isDone || end.Run > which.lastRun {
 		return
 	}
 	p.log.Info("a run that was given up has done its task", "task", end.Task, "run", end.Run)
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -122,7 +122,7 @@
 	}
 	id := fmt.Sprintf("%016x", s.draw.Uint64())
 	s.jobs = append(s.jobs, id)
-	s.pool.HandIn(&wire.ClientCall{Entry: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &wire.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
+	s.pool.HandIn(&wire.ClientCall{Route: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &wire.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
 		Body: []byte(`{"task-descriptor":"d","step-list":[` + steps + `]` + repeat + `}`)}, func(wire.ClientAnswer) {})
 }
 
@@ -131,7 +131,7 @@
 	gone := s.players[place].life
 	s.players[place] = s.newPlayer()
 	if s.draw.IntN(2) == 0 {
-		s.pool.Exchange(&wire.ExchangeCall{Life: s.players[place].life, Gone: []string{gone}}, func(wire.ExchangeAnswer) {})
+		s.pool.Exchange(&wire.ExchangeCall{Executor: s.players[place].life, Gone: []string{gone}}, func(wire.ExchangeAnswer) {})
 	}
 }
 
@@ -150,8 +150,8 @@
 		return
 	}
 	s.work(one)
-	call := &wire.ExchangeCall{Life: one.life, Proxy: one.life, Labels: []string{"a", fmt.Sprintf("r%d", one.number%3)}, Draining: one.isLeaving,
-		Room: wire.Capacity{CPU: 4000 + 2000*int64(one.number%2), Memory: 4000}, Fence: one.fence, Look: one.look, Ends: slices.Clone(one.ends), Answers: one.answers}
+	call := &wire.ExchangeCall{Executor: one.life, Proxy: one.life, Labels: []string{"a", fmt.Sprintf("r%d", one.number%3)}, Draining: one.isLeaving,
+		Capacity: wire.Capacity{CPU: 4000 + 2000*int64(one.number%2), Memory: 4000}, Fence: one.fence, ListNumber: one.look, Ends: slices.Clone(one.ends), Answers: one.answers}
 	if one.isStale {
 		call.HoldAgeMs = 4000
 	}
@@ -175,19 +175,19 @@
 		}
 		how := []string{"done", "done", "done", "failed", "stopped"}[s.draw.IntN(5)]
 		one.lastEnd++
-		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, How: how})
+		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, Outcome: how})
 		return true
 	})
 }
 
 func (s *schedule) take(one *player, answer wire.ExchangeAnswer) {
-	if answer.Elsewhere || answer.Fence < one.fence {
+	if answer.NotLeader || answer.Fence < one.fence {
 		return
 	}
 	if answer.Fence > one.fence {
 		one.fence, one.look = answer.Fence, 0
 	}
-	one.look = answer.Look
+	one.look = answer.WantedList
 	one.ends = slices.DeleteFunc(one.ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
 	for _, order := range answer.Orders {
 		s.obey(one, order)
@@ -202,7 +202,7 @@
 		result = "ok"
 		one.running = slices.DeleteFunc(one.running, same)
 		one.lastEnd++
-		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, How: "stopped"})
+		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, Outcome: "stopped"})
 	case (result == "ok" || result == "unsure") && !slices.ContainsFunc(one.running, same):
 		one.running = append(one.running, order)
 		s.starts++
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -97,8 +97,8 @@
 		pool.Open(tenure, pairs)
 	}
 	exchange := func(change func(*wire.ExchangeCall)) *wire.ExchangeAnswer {
-		call := &wire.ExchangeCall{Key: "pool/s", Life: "i-1", Proxy: "side-1", Room: wire.Capacity{CPU: 4000, Memory: 4000},
-			Labels: []string{"a", "r1"}, Fence: tenure.epoch, Look: 1 << 40}
+		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Proxy: "side-1", Capacity: wire.Capacity{CPU: 4000, Memory: 4000},
+			Labels: []string{"a", "r1"}, Fence: tenure.epoch, ListNumber: 1 << 40}
 		if change != nil {
 			change(call)
 		}
@@ -108,7 +108,7 @@
 		return told
 	}
 	handIn := func() {
-		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Entry: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
+		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
 			func(answer wire.ClientAnswer) { accepted = append(accepted, answer.Status) })
 		pool.Settle()
@@ -118,7 +118,7 @@
 	}
 	ended := func(how string) func(*wire.ExchangeCall) {
 		return func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, How: how}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, Outcome: how}}
 		}
 	}
 	BeforeEach(func() {
@@ -184,7 +184,7 @@
 	It("counts a spare run apart", func() {
 		spares := `gannetline_pool_spares_total{key="pool/s"}`
 		before := metrics.Own()[spares]
-		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Entry: "e", ID: id,
+		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id,
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(wire.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
@@ -192,7 +192,7 @@
 		exchange(started)
 		Expect(metrics.Own()[spares]).To(Equal(before))
 		fakeClock.Advance(800 * time.Millisecond)
-		exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
+		exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" })
 		pool.Tick()
 		pool.Settle()
 		Expect(metrics.Own()[spares] - before).To(Equal(1.0))
@@ -207,11 +207,11 @@
 
 	It("says that a job may have been taken when its leadership ends before the commit", func() {
 		var told []wire.ClientAnswer
-		pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
+		pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
 			func(answer wire.ClientAnswer) { told = append(told, answer) })
 		pool.Settle()
 		pool.Close()
-		Expect(told).To(Equal([]wire.ClientAnswer{{Elsewhere: true, Unclear: true}}))
+		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true, OutcomeUnknown: true}}))
 	})
 
 	It("sends an unanswered order again after 200 ms, then less often", func() {
@@ -246,7 +246,7 @@
 		exchange(started)
 		tenure.settle(nil)
 		var told *wire.ExchangeAnswer
-		call := &wire.ExchangeCall{Key: "pool/s", Life: "i-1", Fence: 3}
+		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Fence: 3}
 		ended("done")(call)
 		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
 		pool.Settle()
@@ -260,7 +260,7 @@
 		tenure.settle(nil)
 		exchange(nil)
 		open(4, tenure.pairs())
-		Expect(exchange(func(call *wire.ExchangeCall) { call.Fence, call.Look = 3, 0 }).Orders).To(BeEmpty())
+		Expect(exchange(func(call *wire.ExchangeCall) { call.Fence, call.ListNumber = 3, 0 }).Orders).To(BeEmpty())
 		answer := exchange(nil)
 		tenure.settle(nil)
 		if len(answer.Orders) == 0 {
@@ -293,7 +293,7 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		other := func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }
+		other := func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }
 		for waited := time.Duration(0); waited < 6300*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			pool.Tick()
@@ -316,8 +316,8 @@
 		exchange(started)
 		tenure.settle(nil)
 		open(4, tenure.pairs())
-		next := func(call *wire.ExchangeCall) { call.Life = "i-2" }
-		unfenced := func(call *wire.ExchangeCall) { call.Life, call.Fence, call.Look = "i-2", 3, 0 }
+		next := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
+		unfenced := func(call *wire.ExchangeCall) { call.Executor, call.Fence, call.ListNumber = "i-2", 3, 0 }
 		exchange(unfenced)
 		pool.Tick()
 		pool.Settle()
@@ -337,7 +337,7 @@
 		exchange(nil)
 		exchange(started)
 		tenure.settle(nil)
-		next := func(call *wire.ExchangeCall) { call.Life = "i-2" }
+		next := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
 		for waited := time.Duration(0); waited < 2500*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			exchange(next)
@@ -359,7 +359,7 @@
 		handIn()
 		tenure.settle(nil)
 		exchange(nil)
-		exchange(func(call *wire.ExchangeCall) { call.Life = "i-0" })
+		exchange(func(call *wire.ExchangeCall) { call.Executor = "i-0" })
 		exchange(started)
 		tenure.settle(nil)
 		fakeClock.Advance(100 * time.Millisecond)
@@ -389,7 +389,7 @@
 	})
 
 	It("gives an executor time to be heard after a take-over before its runs get spares", func() {
-		pool.HandIn(&wire.ClientCall{Entry: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
+		pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
 			func(wire.ClientAnswer) {})
 		pool.Settle()
 		tenure.settle(nil)
@@ -399,9 +399,9 @@
 		fakeClock.Advance(time.Second)
 		open(4, tenure.pairs())
 		orders := func() []wire.Order {
-			exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" })
+			exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" })
 			tenure.settle(nil)
-			return exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders
+			return exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }).Orders
 		}
 		Expect(orders()).To(BeEmpty())
 		fakeClock.Advance(750 * time.Millisecond)
@@ -416,7 +416,7 @@
 		exchange(started)
 		tenure.settle(nil)
 		exchange(func(call *wire.ExchangeCall) {
-			call.Gone, call.Life, call.Proxy = []string{"i-1"}, "i-2", "side-2"
+			call.Gone, call.Executor, call.Proxy = []string{"i-1"}, "i-2", "side-2"
 		})
 		tenure.settle(nil)
 		exchange(ended("done"))
@@ -425,7 +425,7 @@
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		pool.Settle()
 		Expect(state).To(ContainSubstring("completed"))
-		Expect(exchange(func(call *wire.ExchangeCall) { call.Life, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
+		Expect(exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
 	})
 
 	It("grants nothing without a lease", func() {
@@ -443,7 +443,7 @@
 		}
 		Expect(ask().Status).To(Equal(410))
 		tenure.hasLease = false
-		Expect(ask().Elsewhere).To(BeTrue())
+		Expect(ask().NotLeader).To(BeTrue())
 	})
 
 	It("stops a run that no record knows", func() {
@@ -457,7 +457,7 @@
 		handIn()
 		tenure.settle(nil)
 		var status int
-		pool.HandIn(&wire.ClientCall{Entry: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
+		pool.HandIn(&wire.ClientCall{Route: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
 		Expect(status).To(Equal(409))
 	})
 })
--- a/internal/scheduling/scheduler/stalls_test.go
+++ b/internal/scheduling/scheduler/stalls_test.go
@@ -79,7 +79,7 @@
 
 	It("starts though all executors died a moment ago and have yet to earn trust", func() {
 		for _, one := range f.executors {
-			one.Gone, one.Life = []string{one.Life}, one.Life+"-next"
+			one.Gone, one.Executor = []string{one.Executor}, one.Executor+"-next"
 		}
 		f.pass(time.Second)
 		for number := range 14 {
--- a/internal/scheduling/scheduler/stored_data_test.go
+++ b/internal/scheduling/scheduler/stored_data_test.go
@@ -47,7 +47,7 @@
 			fmt.Fprintf(&contents, "job %s %s %s\n", job.Key, job.ID, job.State)
 		}
 		for _, executor := range executors {
-			fmt.Fprintf(&contents, "executor %s %s %s %d\n", executor.Key, executor.Life, executor.State, executor.Running)
+			fmt.Fprintf(&contents, "executor %s %s %s %d\n", executor.Key, executor.Executor, executor.State, executor.Running)
 		}
 		Expect(golden.CheckText("testdata/pool-state.txt", contents.String())).To(Succeed())
 	})
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -16,7 +16,7 @@
 
 // Tick does all that falls due; Settle follows it.
 func (p *Pool) Tick() {
-	if p.tenure == nil {
+	if p.leadership == nil {
 		return
 	}
 	now := p.clock.Monotonic()
@@ -154,7 +154,7 @@
 }
 
 func (p *Pool) forgetEnded() {
-	wall := p.tenure.WallMs()
+	wall := p.leadership.WallMs()
 	for len(p.ended) > 0 && wall-p.ended[0].endedMs > p.timing.KeepEnded.Milliseconds() {
 		delete(p.jobs, p.ended[0].id)
 		p.drop("s/" + p.ended[0].id)
@@ -226,7 +226,7 @@
 		jobs = append(jobs, wire.JobBelief{Key: p.key, ID: id, State: one.shown()})
 	}
 	for id, home := range p.lives {
-		executors = append(executors, wire.ExecutorBelief{Key: p.key, Life: id, State: home.shown(), Running: len(home.runs)})
+		executors = append(executors, wire.ExecutorBelief{Key: p.key, Executor: id, State: home.shown(), Running: len(home.runs)})
 	}
 	return jobs, executors
 }
--- a/internal/scheduling/scheduler/trust_test.go
+++ b/internal/scheduling/scheduler/trust_test.go
@@ -24,8 +24,8 @@
 		pool.Settle()
 	}
 	exchange := func(life, machine string, change func(*wire.ExchangeCall)) (told wire.ExchangeAnswer) {
-		call := &wire.ExchangeCall{Key: "pool/s", Life: life, Proxy: machine, Fence: 3, Look: 1 << 40,
-			Room: wire.Capacity{CPU: 4000, Memory: 4000}}
+		call := &wire.ExchangeCall{Key: "pool/s", Executor: life, Proxy: machine, Fence: 3, ListNumber: 1 << 40,
+			Capacity: wire.Capacity{CPU: 4000, Memory: 4000}}
 		if change != nil {
 			change(call)
 		}
@@ -55,7 +55,7 @@
 		machine := map[string]string{"i-1": "side-i-1", "i-2": "side-i-2", "i-9": "side-i-2"}[life]
 		exchange(life, machine, func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: "ok"}}
-			call.Ends = []wire.EndReport{{Number: numbers[life], Task: order.Task, Run: order.Run, How: how}}
+			call.Ends = []wire.EndReport{{Number: numbers[life], Task: order.Task, Run: order.Run, Outcome: how}}
 		})
 	}
 	refuse := func(life string, order wire.Order, result string) {
@@ -64,7 +64,7 @@
 		})
 	}
 	handIn := func(number int) {
-		pool.HandIn(&wire.ClientCall{Entry: "e", ID: fmt.Sprintf("%016x", number), Terms: &wire.RouteTerms{MaxAttempts: 9},
+		pool.HandIn(&wire.ClientCall{Route: "e", ID: fmt.Sprintf("%016x", number), Terms: &wire.RouteTerms{MaxAttempts: 9},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)}, func(wire.ClientAnswer) {})
 		settle()
 	}
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -83,7 +83,7 @@
 	It("runs a task for its time, and tells its end until it is seen", func() {
 		started("a.0.0.0", 1, 1)
 		w.pass(1100 * time.Millisecond)
-		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, How: "done"}}))
+		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "done"}}))
 		Expect(w.hold(executorapi.Hold{Fence: 9, LastSeen: 1}).Ends).To(BeEmpty())
 	})
 
@@ -119,7 +119,7 @@
 		w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
 		w.pass(410 * time.Millisecond)
 		w.pass(time.Second)
-		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, How: "stopped"}}))
+		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "stopped"}}))
 	})
 
 	long := func(expiry time.Duration) {
--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -47,7 +47,7 @@
 
 // bulkTenure adds a large pair to each change, and notes what the whole state is then.
 type bulkTenure struct {
-	configleader.Tenure
+	configleader.Leadership
 	world *world
 	held  bulkState
 }
@@ -56,7 +56,7 @@
 func (t *bulkTenure) Commit(ops []wire.Op, done func(error)) {
 	fact := factOf(ops)
 	if fact == nil {
-		t.Tenure.Commit(ops, done)
+		t.Leadership.Commit(ops, done)
 		return
 	}
 	// The pair follows from the body, so that a change proposed again by another leader leads to the same state.
@@ -66,7 +66,7 @@
 	next[place] = value[0]
 	t.world.record.bulk[digest] = next
 	ops = append(slices.Clone(ops), wire.Op{Name: bulkName(place), Value: value})
-	t.Tenure.Commit(ops, func(err error) {
+	t.Leadership.Commit(ops, func(err error) {
 		if err == nil {
 			t.held = next
 		}
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -30,9 +30,9 @@
 	n.world.tell("%s leads epoch %d", n.name, tenure.Epoch())
 	n.world.announce(n, tenure.Epoch())
 	n.world.checkOpened(n, pairs)
-	var held configleader.Tenure = tenure
+	var held configleader.Leadership = tenure
 	if n.world.isBulk {
-		held = &bulkTenure{Tenure: tenure, world: n.world, held: bulkOf(pairs)}
+		held = &bulkTenure{Leadership: tenure, world: n.world, held: bulkOf(pairs)}
 	}
 	return n.config.Open(n.world.plant.wrapTenure(n, held), pairs)
 }
@@ -87,14 +87,14 @@
 		if change := n.world.plant.answer; change != nil {
 			value = change(n, ask, value)
 		}
-		if value.Elsewhere && n.heard.node != nil && n.heard.node != n {
-			value.Owner = n.heard.node.name
+		if value.NotLeader && n.heard.node != nil && n.heard.node != n {
+			value.Leader = n.heard.node.name
 		}
 		answer(value)
 	}
 	switch {
 	case !n.config.IsOpen():
-		told(wire.ClientAnswer{Elsewhere: true})
+		told(wire.ClientAnswer{NotLeader: true})
 	case ask.Verb == verbReplace:
 		n.config.Replace(ask, told)
 	default:
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -281,7 +281,7 @@
 }
 
 func (n *node) member() wire.Member {
-	return wire.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: wire.StateAlive, Past: slices.Clone(n.past)}
+	return wire.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: wire.StateAlive, FormerDisks: slices.Clone(n.past)}
 }
 
 // byDisk is the machine that holds a disk, as far as this one knows.
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -218,9 +218,9 @@
 // view is what a machine's membership tells its operator's path.
 func (n *node) view() *membership.View {
 	n.hearsay()
-	view := &membership.View{Stewards: n.members(), Owners: map[string]wire.LeaderFact{}}
+	view := &membership.View{Stewards: n.members(), Owners: map[string]wire.KeyLeader{}}
 	if n.heard.node != nil {
-		view.Owners[configleader.Key] = wire.LeaderFact{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
+		view.Owners[configleader.Key] = wire.KeyLeader{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
 	}
 	return view
 }
--- a/internal/simulation/modelcheck/controlmodel/oracles.go
+++ b/internal/simulation/modelcheck/controlmodel/oracles.go
@@ -147,7 +147,7 @@
 	}
 	state := leader.disk.shelf.Heads[configleader.Key]
 	belief := leader.engine.Belief()
-	if len(belief.Set.Old) > 0 {
+	if len(belief.Voters.Old) > 0 {
 		return "a change of voters is under way"
 	}
 	held := 0
@@ -159,10 +159,10 @@
 	if held <= w.schedule.Losses {
 		return "the newest change is on too few disks"
 	}
-	if wanted := min(2*w.schedule.Losses+1, len(w.slots)-1+len(w.slots)%2); len(belief.Set.Now) < wanted {
+	if wanted := min(2*w.schedule.Losses+1, len(w.slots)-1+len(w.slots)%2); len(belief.Voters.Current) < wanted {
 		return "there are fewer voters than the losses ask for"
 	}
-	for _, disk := range belief.Set.Now {
+	for _, disk := range belief.Voters.Current {
 		place := slices.IndexFunc(w.slots, func(one *node) bool { return one.isUp && one.disk.name == disk })
 		if place < 0 {
 			return "a voter is gone and was not replaced"
--- a/internal/simulation/modelcheck/controlmodel/plantlist.go
+++ b/internal/simulation/modelcheck/controlmodel/plantlist.go
@@ -27,9 +27,9 @@
 			return &repeatingLinks{inner, map[string]wire.AppendAnswer{}}
 		}},
 	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
-		tenure: func(_ *node, inner configleader.Tenure) configleader.Tenure { return carelessTenure{inner} }},
+		tenure: func(_ *node, inner configleader.Leadership) configleader.Leadership { return carelessTenure{inner} }},
 	"commit-before-majority": {about: "A leader acknowledges a change before a majority holds it.",
-		tenure: func(_ *node, inner configleader.Tenure) configleader.Tenure { return hastyTenure{inner} }},
+		tenure: func(_ *node, inner configleader.Leadership) configleader.Leadership { return hastyTenure{inner} }},
 	"commit-in-new-voters-only": {about: "While voters change, a change is committed once a majority of the new ones holds it.",
 		links: func(_ *node, inner *links) replication.Transport {
 			return &newVotersLinks{links: inner}
@@ -93,8 +93,8 @@
 func (d *simpleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	write.Changes = slices.Clone(write.Changes)
 	for place, change := range write.Changes {
-		if change.Set != nil {
-			write.Changes[place].Set = &wire.VoterSet{Now: change.Set.Now}
+		if change.Voters != nil {
+			write.Changes[place].Voters = &wire.VoterSet{Current: change.Voters.Current}
 		}
 	}
 	d.disk.Submit(write, done)
@@ -115,7 +115,7 @@
 			d.before = &old
 		}
 		if d.before != nil {
-			write.Snapshot = &wire.Snapshot{Last: newest.Last, Set: newest.Set, Pairs: d.before.Pairs}
+			write.Snapshot = &wire.Snapshot{Last: newest.Last, Voters: newest.Voters, Pairs: d.before.Pairs}
 		}
 		d.before = newest
 	}
@@ -158,7 +158,7 @@
 
 // Append answers changes in the name of a voter that is to go.
 func (l *newVotersLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.set = l.node.engine.Belief().Set
+	l.set = l.node.engine.Belief().Voters
 	isLeaving := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
 	count := len(ask.Changes)
 	if !isLeaving || count == 0 || ask.Snapshot != nil || disk == l.node.disk.name {
@@ -177,7 +177,7 @@
 func (l *earlyLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
 		belief := l.node.engine.Belief()
-		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Set.Old, disk) {
+		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Voters.Old, disk) {
 			answer.Taken, answer.Last = true, belief.Last
 		}
 		done(answer, err)
@@ -222,17 +222,17 @@
 	l.links.Append(disk, ask, done)
 }
 
-type carelessTenure struct{ configleader.Tenure }
+type carelessTenure struct{ configleader.Leadership }
 
 // HasLease is always true.
 func (carelessTenure) HasLease() bool { return true }
 
 // hastyTenure says that a change is committed as soon as it is proposed.
-type hastyTenure struct{ configleader.Tenure }
+type hastyTenure struct{ configleader.Leadership }
 
 // Commit reports success before the change is committed.
 func (t hastyTenure) Commit(ops []wire.Op, done func(error)) {
-	t.Tenure.Commit(ops, func(error) {})
+	t.Leadership.Commit(ops, func(error) {})
 	done(nil)
 }
 
@@ -256,7 +256,7 @@
 
 func refuseCommitted(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.world.draw.IntN(50) == 0 {
-		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Why: "planted"}
+		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "planted"}
 	}
 	return answer
 }
--- a/internal/simulation/modelcheck/controlmodel/plants.go
+++ b/internal/simulation/modelcheck/controlmodel/plants.go
@@ -23,7 +23,7 @@
 	disk    func(n *node, inner *disk) replication.Disk
 	links   func(n *node, inner *links) replication.Transport
 	machine func(n *node, inner replication.StateMachine) replication.StateMachine
-	tenure  func(n *node, inner configleader.Tenure) configleader.Tenure
+	tenure  func(n *node, inner configleader.Leadership) configleader.Leadership
 	// answer changes what a leader tells an operator.
 	answer func(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer
 }
@@ -49,7 +49,7 @@
 	return p.machine(n, inner)
 }
 
-func (p plant) wrapTenure(n *node, inner configleader.Tenure) configleader.Tenure {
+func (p plant) wrapTenure(n *node, inner configleader.Leadership) configleader.Leadership {
 	if p.tenure == nil {
 		return inner
 	}
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -74,7 +74,7 @@
 // view is what a process knows of the stewards, with the leader it last heard of.
 func (w *world) view(leader int) *membership.View {
 	if w.views[leader] == nil {
-		view := &membership.View{Owners: map[string]wire.LeaderFact{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
+		view := &membership.View{Owners: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
 		for _, one := range w.stewards {
 			view.Stewards = append(view.Stewards, wire.Member{Name: one.name, Role: membership.RoleSteward, Address: one.name, Disk: one.name})
 		}
@@ -112,7 +112,7 @@
 		return
 	}
 	terms := one.terms
-	request := wire.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbHandIn, Body: body, Terms: &terms}
+	request := wire.ClientCall{Key: poolKey, Route: route, ID: one.id, Verb: verbHandIn, Body: body, Terms: &terms}
 	one.openTries++
 	w.request(through, request, func(reply clientReply) {
 		w.oracles.handedIn(one, reply)
@@ -124,7 +124,7 @@
 
 func (w *world) cancel(one *job, through, try int) {
 	one.isCancelSent = true
-	w.request(through, wire.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbCancel}, func(reply clientReply) {
+	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: one.id, Verb: verbCancel}, func(reply clientReply) {
 		if reply.status == http.StatusOK {
 			w.oracles.cancelled(one)
 			return
@@ -138,7 +138,7 @@
 // look asks for a job's state, once.
 func (w *world) look(one *job, through int, done func()) {
 	wasAccepted, wasCancelled := one.isAccepted, one.isCancelled
-	w.request(through, wire.ClientCall{Key: poolKey, Entry: route, ID: one.id, Verb: verbState}, func(reply clientReply) {
+	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: one.id, Verb: verbState}, func(reply clientReply) {
 		w.oracles.shown(one, reply, wasAccepted, wasCancelled)
 		done()
 	})
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -165,7 +165,7 @@
 		if one.step.Lasting {
 			percent = int(e.world.queue.now()/(100*time.Millisecond)) % 100
 		}
-		reply.answer.Running = append(reply.answer.Running, executorapi.RunningRow{Task: one.task, Run: one.run, Saved: one.saved, Percent: percent})
+		reply.answer.Running = append(reply.answer.Running, executorapi.RunningRow{Task: one.task, Run: one.run, Checkpoint: one.saved, Percent: percent})
 	}
 	return reply
 }
--- a/internal/simulation/modelcheck/ordermodel/leadership.go
+++ b/internal/simulation/modelcheck/ordermodel/leadership.go
@@ -38,7 +38,7 @@
 	done       func(error)
 }
 
-// leadership is a steward's right to change the key under one epoch; it is a scheduler.Tenure.
+// leadership is a steward's right to change the key under one epoch; it is a scheduler.Leadership.
 type leadership struct {
 	key         *replicatedKey
 	steward     *steward
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -90,15 +90,15 @@
 // reported checks that what a proxy tells of orders is what the executor did with these, and not with others.
 func (o *oracles) reported(proxy *proxy, call *wire.ExchangeCall) {
 	for _, one := range call.Answers {
-		which := lifeRun{call.Life, one.Task, one.Run}
+		which := lifeRun{call.Executor, one.Task, one.Run}
 		if one.Result != "ok" {
 			continue
 		}
 		if one.Kind == "launch" && !o.begun[which] {
-			o.world.violate("ANSWER", "%s reports %s run %d as started on %s, which never began it", proxy.name, one.Task, one.Run, call.Life)
+			o.world.violate("ANSWER", "%s reports %s run %d as started on %s, which never began it", proxy.name, one.Task, one.Run, call.Executor)
 		}
 		if one.Kind == "stop" && !o.stops[which] {
-			o.world.violate("ANSWER", "%s reports %s run %d as stopped on %s, which was never told so", proxy.name, one.Task, one.Run, call.Life)
+			o.world.violate("ANSWER", "%s reports %s run %d as stopped on %s, which was never told so", proxy.name, one.Task, one.Run, call.Executor)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/plantedleaders.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedleaders.go
@@ -51,12 +51,12 @@
 		seen = call.Ends[len(call.Ends)-1].Number
 	}
 	s.poolLeader.Exchange(call, func(told wire.ExchangeAnswer) {
-		if told.Fence > 0 && !told.Elsewhere {
+		if told.Fence > 0 && !told.NotLeader {
 			told.LastSeen = max(told.LastSeen, seen)
 		}
 		answer(told)
 	})
 	if seen > 0 {
-		answer(wire.ExchangeAnswer{Fence: call.Fence, LastSeen: seen, Held: call.Base})
+		answer(wire.ExchangeAnswer{Fence: call.Fence, LastSeen: seen, HeldNumber: call.Base})
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/plantedtables.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedtables.go
@@ -123,11 +123,11 @@
 func (t *mixingTable) Ready(life string, order wire.Order) (localproxy.OrderWork, bool) {
 	work, isDue := t.Table.Ready(life, order)
 	saved := t.saved
-	if work.Order.Saved != "" {
-		t.saved = work.Order.Saved
+	if work.Order.Checkpoint != "" {
+		t.saved = work.Order.Checkpoint
 	}
 	if saved != "" {
-		work.Order.Saved = saved
+		work.Order.Checkpoint = saved
 	}
 	return work, isDue
 }
@@ -138,7 +138,7 @@
 func (t *boastingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue {
-		call.Room.CPU *= 2
+		call.Capacity.CPU *= 2
 	}
 	return call, isDue
 }
@@ -153,8 +153,8 @@
 // Held changes how runs ended.
 func (t *lyingTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
 	for place := range answer.Ends {
-		if slices.Contains(t.hows, answer.Ends[place].How) {
-			answer.Ends[place].How = t.told
+		if slices.Contains(t.hows, answer.Ends[place].Outcome) {
+			answer.Ends[place].Outcome = t.told
 		}
 	}
 	t.Table.Held(work, answer)
--- a/internal/simulation/modelcheck/ordermodel/plants.go
+++ b/internal/simulation/modelcheck/ordermodel/plants.go
@@ -93,7 +93,7 @@
 	return outcome
 }
 
-func (p plant) tenure(fresh *leadership) scheduler.Tenure {
+func (p plant) tenure(fresh *leadership) scheduler.Leadership {
 	switch p.name {
 	case plantCancelForgotten:
 		return forgetfulTenure{fresh}
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -235,13 +235,13 @@
 	callLeader(p.world, &p.process, &leader.process, limit, func(answer func(wire.ExchangeAnswer)) {
 		leader.exchange(request, answer)
 	}, func(answer wire.ExchangeAnswer, err error) {
-		if err != nil || answer.Elsewhere {
+		if err != nil || answer.NotLeader {
 			done(false)
 			return
 		}
 		if answer.Fence > 0 {
 			for _, order := range p.table.Told(request, askedAt, &answer) {
-				p.carryInTurn(request.Life, order)
+				p.carryInTurn(request.Executor, order)
 			}
 		}
 		done(true)
@@ -313,8 +313,8 @@
 func requestOf(work localproxy.OrderWork) executorRequest {
 	order := work.Order
 	if order.Kind == "launch" {
-		return executorRequest{start: &executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
-			Fence: work.Fence, Saved: order.Saved}}
+		return executorRequest{start: &executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Descriptor, ExpiryMs: work.ExpiryMs,
+			Fence: work.Fence, Saved: order.Checkpoint}}
 	}
 	return executorRequest{stop: &executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence}}
 }
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -179,7 +179,7 @@
 	facts := o.task(end.Task)
 	place, _ := jobs.ParseTask(end.Task)
 	step := o.stepOf(place)
-	switch end.How {
+	switch end.Outcome {
 	case howDone:
 		if !facts.notedDone {
 			facts.notedDone, facts.doneAt = true, o.world.queue.now()
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -209,7 +209,7 @@
 	machine := -1
 	for _, order := range orders {
 		if machine < 0 {
-			machine = o.machineOf(call.Life)
+			machine = o.machineOf(call.Executor)
 		}
 		place, _ := jobs.ParseTask(order.Task)
 		if one := o.jobs[place.ID]; one != nil {
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -13,7 +13,7 @@
 
 // poolLeader is what the model drives of a pool; plants wrap it.
 type poolLeader interface {
-	Open(tenure scheduler.Tenure, pairs []wire.Op)
+	Open(tenure scheduler.Leadership, pairs []wire.Op)
 	Unreadable() []string
 	Close()
 	IsOpen() bool
@@ -78,7 +78,7 @@
 
 func (s *steward) exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	if !s.pool.IsOpen() {
-		answer(wire.ExchangeAnswer{Elsewhere: true})
+		answer(wire.ExchangeAnswer{NotLeader: true})
 		return
 	}
 	s.pool.Exchange(call, func(told wire.ExchangeAnswer) {
@@ -91,7 +91,7 @@
 // serve runs a client's command, as the steward's own table of commands does.
 func (s *steward) serve(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if !s.pool.IsOpen() {
-		answer(wire.ClientAnswer{Elsewhere: true})
+		answer(wire.ClientAnswer{NotLeader: true})
 		return
 	}
 	switch call.Verb {
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -220,7 +220,7 @@
 func (p *play) cancel(id string) {
 	if job := p.jobs[id]; job != nil {
 		job.isCancelled = true
-		p.stage.Ask(wire.ClientCall{Verb: "cancel", Entry: job.event.Queue, ID: id}, func(wire.ClientAnswer) {})
+		p.stage.Ask(wire.ClientCall{Verb: "cancel", Route: job.event.Queue, ID: id}, func(wire.ClientAnswer) {})
 	}
 }
 
--- a/internal/simulation/scalerun/roles.go
+++ b/internal/simulation/scalerun/roles.go
@@ -50,7 +50,7 @@
 	roles, epoch, owner := map[string]string{}, uint64(0), ""
 	for _, answer := range r.beliefs() {
 		addVoters(roles, answer)
-		for _, fact := range answer.Owners {
+		for _, fact := range answer.Leaders {
 			if fact.Key == poolKey && fact.Epoch > epoch {
 				epoch, owner = fact.Epoch, fact.Name
 			}
@@ -69,7 +69,7 @@
 			continue
 		}
 		for _, member := range answer.Members {
-			if member.Role == membership.RoleSteward && slices.Contains(key.Set.Now, member.Disk) {
+			if member.Role == membership.RoleSteward && slices.Contains(key.Voters.Current, member.Disk) {
 				roles[member.Name] = roleVoter
 			}
 		}
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -22,7 +22,7 @@
 
 // Read gives back the whole state of a key.
 func (s *Shelf) Read(key string) (wire.Snapshot, error) {
-	whole := wire.Snapshot{Last: s.Heads[key].Last, Set: s.Heads[key].Set}
+	whole := wire.Snapshot{Last: s.Heads[key].Last, Voters: s.Heads[key].Voters}
 	for _, name := range slices.Sorted(maps.Keys(s.pairs[key])) {
 		whole.Pairs = append(whole.Pairs, wire.Op{Name: name, Value: s.pairs[key][name]})
 	}
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -171,7 +171,7 @@
 	if j.OnNoted != nil {
 		j.OnNoted(end.Task)
 	}
-	switch end.How {
+	switch end.Outcome {
 	case "done":
 		facts.isNoted = true
 	case "failed":
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -183,12 +183,12 @@
 	call(p.stage, p.place(), owner.place(), clock.Milliseconds(ask.WaitMs)+1500*time.Millisecond, func(answer func(wire.ExchangeAnswer)) {
 		pool := owner.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
-			answer(wire.ExchangeAnswer{Elsewhere: true})
+			answer(wire.ExchangeAnswer{NotLeader: true})
 			return
 		}
 		pool.Exchange(ask, answer)
 	}, func(answer wire.ExchangeAnswer, err error) {
-		if err != nil || answer.Elsewhere {
+		if err != nil || answer.NotLeader {
 			if p.guess == guess || !p.stage.hasGossip {
 				p.guess++
 			}
@@ -200,7 +200,7 @@
 		answer.GrantMs *= p.stage.grantBy
 		if answer.Fence > 0 {
 			for _, order := range p.table.Told(ask, askedAt, &answer) {
-				p.carry(ask.Life, order, 0)
+				p.carry(ask.Executor, order, 0)
 			}
 		}
 		done(true)
@@ -240,8 +240,8 @@
 func (p *Proxy) deliver(work localproxy.OrderWork) (int, executorapi.Answer) {
 	order := work.Order
 	if order.Kind == "launch" {
-		return p.executor.Start(executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Spec, ExpiryMs: work.ExpiryMs,
-			Fence: work.Fence, Saved: order.Saved})
+		return p.executor.Start(executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Descriptor, ExpiryMs: work.ExpiryMs,
+			Fence: work.Fence, Saved: order.Checkpoint})
 	}
 	return p.executor.Stop(executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -146,7 +146,7 @@
 		if !one.isUp {
 			state = wire.StateGone
 		}
-		all = append(all, wire.Member{Name: one.Name, Role: "steward", Disk: one.disk.name, State: state, Past: one.past})
+		all = append(all, wire.Member{Name: one.Name, Role: "steward", Disk: one.disk.name, State: state, FormerDisks: one.past})
 	}
 	return all
 }
@@ -255,14 +255,14 @@
 	call(s, client, node.place(), 900*time.Millisecond, func(told func(wire.ClientAnswer)) {
 		pool := node.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
-			told(wire.ClientAnswer{Elsewhere: true})
+			told(wire.ClientAnswer{NotLeader: true})
 			return
 		}
-		verbs := map[string]func(*wire.ClientCall, func(wire.ClientAnswer)){
-			"hand-in": pool.HandIn, "state": pool.State, "cancel": pool.Cancel, "count": pool.Count}
-		verbs[ask.Verb](ask, told)
+		commands := map[wire.Verb]func(*wire.ClientCall, func(wire.ClientAnswer)){
+			wire.VerbSubmit: pool.HandIn, wire.VerbState: pool.State, wire.VerbCancel: pool.Cancel, wire.VerbCount: pool.Count}
+		commands[ask.Verb](ask, told)
 	}, func(told wire.ClientAnswer, err error) {
-		if err == nil && !told.Elsewhere {
+		if err == nil && !told.NotLeader {
 			answer(told)
 			return
 		}
@@ -279,7 +279,7 @@
 		return err
 	}
 	s.Judge.expect(id, spec, terms.MaxAttempts)
-	s.Ask(wire.ClientCall{Verb: "hand-in", Entry: entry, ID: id, Body: body, Terms: &terms}, func(told wire.ClientAnswer) {
+	s.Ask(wire.ClientCall{Verb: wire.VerbSubmit, Route: entry, ID: id, Body: body, Terms: &terms}, func(told wire.ClientAnswer) {
 		if told.Status == http.StatusOK {
 			s.Judge.jobs[id].isAccepted = true
 		}
--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -55,7 +55,7 @@
 
 func (c *crowd) state(number int) string {
 	var state string
-	c.Ask(wire.ClientCall{Verb: "state", Entry: "cover", ID: id(number)}, func(answer wire.ClientAnswer) {
+	c.Ask(wire.ClientCall{Verb: "state", Route: "cover", ID: id(number)}, func(answer wire.ClientAnswer) {
 		state = fmt.Sprintf("%d%s", answer.Status, answer.Body)
 	})
 	c.Run(3 * time.Second)
@@ -70,7 +70,7 @@
 func (c *crowd) expectAll(isRight types.GomegaMatcher) {
 	for one := range c.accepted {
 		var state string
-		c.Ask(wire.ClientCall{Verb: "state", Entry: "cover", ID: one}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
+		c.Ask(wire.ClientCall{Verb: "state", Route: "cover", ID: one}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		for round := 0; round < 100 && state == ""; round++ {
 			c.Run(50 * time.Millisecond)
 		}
@@ -135,7 +135,7 @@
 		c := newCrowd(6, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return time.Minute, "done" }))
 		c.handIn(1, plain(40, 4000))
 		c.Run(time.Second)
-		c.Ask(wire.ClientCall{Verb: "cancel", Entry: "cover", ID: id(1)}, func(wire.ClientAnswer) {})
+		c.Ask(wire.ClientCall{Verb: "cancel", Route: "cover", ID: id(1)}, func(wire.ClientAnswer) {})
 		c.Run(2 * time.Second)
 		starts := c.Judge.Starts
 		c.Run(5 * time.Second)
--- a/internal/simulation/simcluster/stalls_test.go
+++ b/internal/simulation/simcluster/stalls_test.go
@@ -97,7 +97,7 @@
 		d.isLoose[id(number)] = true
 		d.Line.After(time.Duration(draw.IntN(4000))*time.Millisecond, func() {
 			d.watch.End(id(number))
-			d.Ask(wire.ClientCall{Verb: "cancel", Entry: "cover", ID: id(number)}, func(wire.ClientAnswer) {})
+			d.Ask(wire.ClientCall{Verb: "cancel", Route: "cover", ID: id(number)}, func(wire.ClientAnswer) {})
 		})
 	}
 }
