--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -86,8 +86,8 @@
 
 func owners(answer *wire.BeliefsAnswer) map[string]string {
 	beliefs := map[string]string{}
-	for _, fact := range answer.Leaders {
-		beliefs[fact.Key] = fmt.Sprintf("%s, epoch %d", fact.Name, fact.Epoch)
+	for _, leader := range answer.Leaders {
+		beliefs[leader.Key] = fmt.Sprintf("%s, epoch %d", leader.Name, leader.Epoch)
 	}
 	return beliefs
 }
@@ -129,8 +129,8 @@
 		return err
 	}
 	slices.SortStableFunc(all, func(a, b Difference) int { return cmp.Compare(a.Kind, b.Kind) })
-	for _, found := range all {
-		if _, err := fmt.Fprintf(to, "%s %s\n  %s: %s\n  %s: %s\n", found.Kind, found.Name, first, found.First, second, found.Second); err != nil {
+	for _, differences := range all {
+		if _, err := fmt.Fprintf(to, "%s %s\n  %s: %s\n  %s: %s\n", differences.Kind, differences.Name, first, differences.First, second, differences.Second); err != nil {
 			return err
 		}
 	}
--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -16,7 +16,7 @@
 	"gannetline/internal/platform/logging"
 )
 
-// scriptedPeer answers calls for a plan without a network.
+// scriptedPeer answers calls for a configuration without a network.
 type scriptedPeer struct {
 	mux   *http.ServeMux
 	calls chan wire.ConfigurationCall
@@ -43,12 +43,12 @@
 	var cache *configcache.Cache
 	var fakeClock *clock.Fake
 	var inForce chan int64
-	old := fact(3, body(3, routes(40)...))
-	next := fact(5, body(5, append(routes(39), route("x", 1))...))
+	old := committedVersion(3, body(3, routes(40)...))
+	next := committedVersion(5, body(5, append(routes(39), route("x", 1))...))
 	BeforeEach(func() {
 		peer, fakeClock, inForce = newScriptedPeer(), clock.NewFake(1), make(chan int64, 9)
 		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), fakeClock, logging.Silent(),
-			func(page *configcache.Snapshot) { inForce <- page.Fact.Version })
+			func(page *configcache.Snapshot) { inForce <- page.Committed.Version })
 		ctx, end := context.WithCancel(context.Background())
 		DeferCleanup(end)
 		go cache.Run(ctx)
@@ -57,20 +57,20 @@
 	It("asks for changes on what it holds, and for the whole where they don't fit", func() {
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
-		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 5)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
-		wrong := *versionOf(old, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Changes[0]
+		wrong := *versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Changes[0]
 		wrong.Digest = "of another plan"
 		peer.tell <- &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{&wrong}}
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChunks: true}))
-		Expect(cache.Page().Fact.Version).To(Equal(int64(3)))
+		Expect(cache.Current().Committed.Version).To(Equal(int64(3)))
 		peer.tell <- &wire.ConfigurationAnswer{Full: next}
 		Expect(<-inForce).To(Equal(int64(5)))
-		Expect(cache.Page().Fact.Body).To(Equal(next.Body))
+		Expect(cache.Current().Committed.Body).To(Equal(next.Body))
 	})
 
 	It("asks for the whole without a base, and serves what it holds in turn", func() {
-		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 3)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{AcceptsChunks: true}))
 		peer.tell <- &wire.ConfigurationAnswer{Full: old}
 		Expect(<-inForce).To(Equal(int64(3)))
@@ -89,31 +89,31 @@
 	It("turns to each who was heard of during a fetch that left it behind, once", func() {
 		cache.Hold(old)
 		<-inForce
-		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 5)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
 		<-peer.calls
-		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 7)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 7)
 		cache.Hold(old)
-		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 7)
-		peer.tell <- versionOf(old, next).Answer(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 7)
+		peer.tell <- versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
 		for range 2 {
 			Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 5, AcceptsChanges: true, AcceptsChunks: true}))
 			peer.tell <- &wire.ConfigurationAnswer{}
 		}
-		cache.Hold(fact(9, body(9)))
+		cache.Hold(committedVersion(9, body(9)))
 		Expect(<-inForce).To(Equal(int64(9)))
 		Expect(peer.calls).To(BeEmpty())
 	})
 
 	It("asks a second peer only once the first one is slow", func() {
-		cache.Ahead(wire.Member{Address: "10.0.0.9:1"}, 3)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		<-peer.calls
-		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 3)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 3)
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		Expect(peer.calls).To(BeEmpty())
 		fakeClock.Advance(250 * time.Millisecond)
-		cache.Ahead(wire.Member{Address: "10.0.0.9:2"}, 5)
+		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 5)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
 		peer.tell <- &wire.ConfigurationAnswer{}
 		peer.tell <- &wire.ConfigurationAnswer{}
--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -19,14 +19,14 @@
 
 // Snapshot is the version in force, as it was committed and as it is looked up.
 type Snapshot struct {
-	Fact    *wire.Configuration
-	Matcher *configuration.Matcher
-	version *Version
+	Committed *wire.Configuration
+	Matcher   *configuration.Matcher
+	version   *Version
 }
 
-// Moved gives the services that a route led to before.
-func (s *Snapshot) Moved(route string) []string {
-	for _, moved := range s.Fact.Moved {
+// FormerServices gives the services that a route led to before.
+func (s *Snapshot) FormerServices(route string) []string {
+	for _, moved := range s.Committed.Moved {
 		if moved.Route == route {
 			return moved.Services
 		}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-const mailboxRoom = 64
+const mailboxSize = 64
 
 // Cache holds the newest committed configuration, fetches newer ones from peers and serves it to them.
 type Cache struct {
@@ -45,33 +45,35 @@
 	log      logging.Logger
 	onChange func(*Snapshot)
 	fetcher  *Fetcher
-	// answering has room for the answers that may be under way at once.
-	answering chan struct{}
+	// answerSlots has room for the answers that may be under way at once.
+	answerSlots chan struct{}
 }
 
-// New makes a cache; onChange is told of each version that comes into force, on the goroutine that owns the cache.
+// New makes a cache; onChange gets each version that comes into force, on the goroutine that leads the cache.
 func New(caller *peerapi.Caller, clock clock.Clock, log logging.Logger, onChange func(*Snapshot)) *Cache {
-	cache := &Cache{mailbox: mailbox.New(mailboxRoom), caller: caller, clock: clock, log: log, onChange: onChange,
-		answering: make(chan struct{}, mostAnswers)}
-	cache.fetcher = NewFetcher(clock, log, Actions{Ask: cache.ask, Wake: cache.wake, Use: cache.use})
+	cache := &Cache{mailbox: mailbox.New(mailboxSize), caller: caller, clock: clock, log: log, onChange: onChange,
+		answerSlots: make(chan struct{}, maxConcurrentAnswers)}
+	cache.fetcher = NewFetcher(clock, log, Actions{Ask: cache.ask, ResumeAfter: cache.resumeAfter, Use: cache.use})
 	return cache
 }
 
-// Page gives the version in force, nil before the first.
-func (c *Cache) Page() *Snapshot { return c.current.Load() }
+// Current gives the version in force, nil before the first.
+func (c *Cache) Current() *Snapshot { return c.current.Load() }
 
-// Run owns the cache until ctx is done.
+// Run leads the cache until ctx is done.
 func (c *Cache) Run(ctx context.Context) error {
 	c.mailbox.Run(ctx, c.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
 // Hold takes a committed configuration.
-func (c *Cache) Hold(fact *wire.Configuration) { c.mailbox.Post(func() { c.fetcher.Hold(fact) }) }
+func (c *Cache) Hold(committed *wire.Configuration) {
+	c.mailbox.Post(func() { c.fetcher.Hold(committed) })
+}
 
-// Ahead fetches a version that a peer holds and this process does not.
-func (c *Cache) Ahead(member wire.Member, version int64) {
-	c.mailbox.TryPost(func() { c.fetcher.Hear(member, version) })
+// FetchFrom fetches a version that a peer holds and this process does not.
+func (c *Cache) FetchFrom(member wire.Member, version int64) {
+	c.mailbox.TryPost(func() { c.fetcher.PeerHolds(member, version) })
 }
 
 func (c *Cache) version() *Version {
@@ -83,16 +85,16 @@
 
 // use brings a version into force; an error says that it can't be read, and changes nothing.
 func (c *Cache) use(next *Version) error {
-	fact := next.Fact
-	plan, err := configuration.Read(fact.Body)
+	committed := next.Committed
+	decoded, err := configuration.Read(committed.Body)
 	if err != nil {
-		return errors.Annotatef(err, "version %d of the plan", fact.Version)
+		return errors.Annotatef(err, "version %d of the configuration", committed.Version)
 	}
-	current := &Snapshot{Fact: fact, Matcher: configuration.NewMatcher(plan), version: next}
+	current := &Snapshot{Committed: committed, Matcher: configuration.NewMatcher(decoded), version: next}
 	c.current.Store(current)
-	versionsTaken.Inc()
-	versionHeld.Set(float64(fact.Version))
-	c.log.Info("plan in force", "version", fact.Version, "routes", len(plan.Entries))
+	versionsApplied.Inc()
+	versionInForce.Set(float64(committed.Version))
+	c.log.Info("configuration in force", "version", committed.Version, "routes", len(decoded.Routes))
 	c.onChange(current)
 	return nil
 }
@@ -102,15 +104,15 @@
 	go func() {
 		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](c.caller, c.clock, context.Background(), address,
 			peerapi.ProcedurePlan, patience, call)
-		c.mailbox.Post(func() { c.fetcher.Take(address, call, answer, err) })
+		c.mailbox.Post(func() { c.fetcher.HandleAnswer(address, call, answer, err) })
 	}()
 }
 
-// wake calls the fetcher after a while.
-func (c *Cache) wake(after time.Duration) {
+// resumeAfter calls the fetcher after a while.
+func (c *Cache) resumeAfter(after time.Duration) {
 	due := c.clock.After(after)
 	go func() {
 		<-due
-		c.mailbox.Post(c.fetcher.Wake)
+		c.mailbox.Post(c.fetcher.Resume)
 	}()
 }
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -26,18 +26,18 @@
 		base := h.next()
 		before := versionOf(base)
 		next := h.next()
-		answer := before.Follow(next).Answer(&wire.ConfigurationCall{HeldVersion: base.Version, AcceptsChanges: true})
+		answer := before.Next(next).AnswerTo(&wire.ConfigurationCall{HeldVersion: base.Version, AcceptsChanges: true})
 		chain := before
 		for range 32 {
-			chain = chain.Follow(h.next())
+			chain = chain.Next(h.next())
 		}
-		chained := chain.Answer(&wire.ConfigurationCall{HeldVersion: base.Version, AcceptsChanges: true})
+		chained := chain.AnswerTo(&wire.ConfigurationCall{HeldVersion: base.Version, AcceptsChanges: true})
 		image, _ := configcache.Pack(next)
 		steps := map[string]func() error{
 			"read":    func() error { _, err := configuration.Read(next.Body); return err },
-			"follow":  func() error { before.Follow(next); return nil },
-			"apply":   func() error { _, err := before.Take(answer); return err },
-			"apply32": func() error { _, err := before.Take(chained); return err },
+			"follow":  func() error { before.Next(next); return nil },
+			"apply":   func() error { _, err := before.Apply(answer); return err },
+			"apply32": func() error { _, err := before.Apply(chained); return err },
 			"pack":    func() error { _, err := configcache.Pack(next); return err },
 			"unpack":  func() error { _, err := image.Unpack(); return err },
 		}
@@ -53,14 +53,14 @@
 	}
 }
 
-// heldWriter is a caller that doesn't read its answer until it is let.
-type heldWriter struct {
+// blockedWriter is a caller that doesn't read its answer until it is let.
+type blockedWriter struct {
 	*httptest.ResponseRecorder
 	isWriting chan struct{}
 	isLet     chan struct{}
 }
 
-func (w heldWriter) Write(text []byte) (int, error) {
+func (w blockedWriter) Write(text []byte) (int, error) {
 	w.isWriting <- struct{}{}
 	<-w.isLet
 	return w.ResponseRecorder.Write(text)
@@ -81,7 +81,7 @@
 		cache.Hold(newHistory(550).next())
 		<-inForce
 		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, mostAnswers)
-		held := &scriptedPeer{mux: mux}
+		current := &scriptedPeer{mux: mux}
 		call := func(through http.RoundTripper) (*wire.ConfigurationAnswer, error) {
 			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
 				context.Background(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
@@ -90,19 +90,19 @@
 			go func() {
 				call(roundTrip(func(request *http.Request) (*http.Response, error) {
 					recorder := httptest.NewRecorder()
-					mux.ServeHTTP(heldWriter{recorder, isWriting, isLet}, request)
+					mux.ServeHTTP(blockedWriter{recorder, isWriting, isLet}, request)
 					return recorder.Result(), nil
 				}))
 				through <- struct{}{}
 			}()
 			<-isWriting
 		}
-		answer, err := call(held)
+		answer, err := call(current)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(Equal(&wire.ConfigurationAnswer{Busy: true}))
 		close(isLet)
 		<-through
-		answer, err = call(held)
+		answer, err = call(current)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Chunk).NotTo(BeNil())
 	})
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -15,171 +15,171 @@
 const (
 	// cutDepth is that of the elements of route-list and service-list, and of the fields of limits.
 	cutDepth = 2
-	// shortPiece is not worth a reference of its own.
-	shortPiece = 32
+	// minReferencedBytes is not worth a reference of its own.
+	minReferencedBytes = 32
 )
 
-// piece is a part of a body between two cuts; net is by how much it lies deeper at its end than at its beginning.
-type piece struct {
+// segment is a part of a body between two cuts; net is by how much it lies deeper at its end than at its beginning.
+type segment struct {
 	text []byte
 	net  int
 }
 
-// Pieces cuts a configuration around its routes, services and limits; joined they are the same bytes again.
-func Pieces(body []byte) [][]byte {
+// Segments cuts a configuration around its routes, services and limits; joined they are the same bytes again.
+func Segments(body []byte) [][]byte {
 	var texts [][]byte
-	for _, piece := range cutFrom(body, 0) {
-		texts = append(texts, piece.text)
+	for _, segment := range cut(body, 0) {
+		texts = append(texts, segment.text)
 	}
 	return texts
 }
 
-// cutFrom cuts a text that begins at a depth, outside of strings: where each cut lies.
-func cutFrom(body []byte, depth int) []piece {
-	var pieces []piece
+// cut cuts a text that begins at a depth, outside of strings: where each cut lies.
+func cut(body []byte, depth int) []segment {
+	var segments []segment
 	begin, beginDepth := 0, depth
-	cut := func(end int) {
+	endSegment := func(end int) {
 		if end > begin {
-			pieces = append(pieces, piece{body[begin:end], depth - beginDepth})
+			segments = append(segments, segment{body[begin:end], depth - beginDepth})
 			begin, beginDepth = end, depth
 		}
 	}
-	isText, isEscaped := false, false
-	for place, char := range body {
+	isInString, isEscaped := false, false
+	for index, char := range body {
 		switch {
-		case isText:
-			isText = isEscaped || char != '"'
+		case isInString:
+			isInString = isEscaped || char != '"'
 			isEscaped = !isEscaped && char == '\\'
 		case char == '"':
-			isText = true
+			isInString = true
 		case char == '{' || char == '[':
 			if depth++; depth <= cutDepth {
-				cut(place + 1)
+				endSegment(index + 1)
 			}
 		case char == '}' || char == ']':
 			if depth <= cutDepth {
-				cut(place)
+				endSegment(index)
 			}
 			depth--
 		case char == ',' && depth <= cutDepth:
-			cut(place)
-			cut(place + 1)
+			endSegment(index)
+			endSegment(index + 1)
 		}
 	}
-	cut(len(body))
-	return pieces
+	endSegment(len(body))
+	return segments
 }
 
-// partsOf says a body in pieces of a base, and in text where the base has none.
+// partsOf says a body in chunks of a base, and in text where the base has none.
 func partsOf(base, body [][]byte) []wire.DeltaPart {
-	places := map[string]int{}
-	for place, piece := range slices.Backward(base) {
-		places[string(piece)] = place
+	firstIndex := map[string]int{}
+	for index, segment := range slices.Backward(base) {
+		firstIndex[string(segment)] = index
 	}
 	var parts []wire.DeltaPart
-	for _, piece := range body {
+	for _, segment := range body {
 		var last *wire.DeltaPart
 		if len(parts) > 0 {
 			last = &parts[len(parts)-1]
 		}
 		if last != nil && last.Count > 0 {
-			if next := last.From + last.Count; next < len(base) && bytes.Equal(base[next], piece) {
+			if next := last.From + last.Count; next < len(base) && bytes.Equal(base[next], segment) {
 				last.Count++
 				continue
 			}
 		}
-		place, isThere := places[string(piece)]
+		index, exists := firstIndex[string(segment)]
 		switch {
-		case isThere && len(piece) >= shortPiece:
-			parts = append(parts, wire.DeltaPart{From: place, Count: 1})
+		case exists && len(segment) >= minReferencedBytes:
+			parts = append(parts, wire.DeltaPart{From: index, Count: 1})
 		case last != nil && last.Count == 0:
-			last.Text += string(piece)
+			last.Text += string(segment)
 		default:
-			parts = append(parts, wire.DeltaPart{Text: string(piece)})
+			parts = append(parts, wire.DeltaPart{Text: string(segment)})
 		}
 	}
 	return parts
 }
 
-// assemble gives the pieces of the body that the parts say, without reading the whole of it: those of a span are pieces
+// assemble gives the chunks of the body that the parts say, without reading the whole of it: those of a span are chunks
 // of the new body too, and only text is cut anew.
-func assemble(base []piece, parts []wire.DeltaPart) ([]piece, error) {
-	pieces := make([]piece, 0, len(base)+len(parts))
+func assemble(base []segment, parts []wire.DeltaPart) ([]segment, error) {
+	segments := make([]segment, 0, len(base)+len(parts))
 	depth := 0
 	for _, part := range parts {
 		if part.From < 0 || part.Count < 0 || part.From > len(base) || part.Count > len(base)-part.From {
-			return nil, errors.Errorf("a part of the change is not in the plan's base")
+			return nil, errors.Errorf("a part of the change is not in the configuration's base")
 		}
-		span := base[part.From : part.From+part.Count]
-		depth += netOf(span)
-		text := cutFrom([]byte(part.Text), depth)
-		depth += netOf(text)
-		pieces = append(append(pieces, span...), text...)
+		run := base[part.From : part.From+part.Count]
+		depth += netDepth(run)
+		text := cut([]byte(part.Text), depth)
+		depth += netDepth(text)
+		segments = append(append(segments, run...), text...)
 	}
-	return pieces, nil
+	return segments, nil
 }
 
-// netOf is by how much the depth is greater after the pieces than before them.
-func netOf(pieces []piece) int {
+// netDepth is by how much the depth is greater after the chunks than before them.
+func netDepth(segments []segment) int {
 	net := 0
-	for _, piece := range pieces {
-		net += piece.net
+	for _, segment := range segments {
+		net += segment.net
 	}
 	return net
 }
 
-func join(pieces []piece) []byte {
+func join(segments []segment) []byte {
 	length := 0
-	for _, piece := range pieces {
-		length += len(piece.text)
+	for _, segment := range segments {
+		length += len(segment.text)
 	}
 	body := make([]byte, 0, length)
-	for _, piece := range pieces {
-		body = append(body, piece.text...)
+	for _, segment := range segments {
+		body = append(body, segment.text...)
 	}
 	return body
 }
 
 // digestOf covers all of a fact that is passed on.
-func digestOf(fact *wire.Configuration) (string, error) {
-	rest, err := easyjson.Marshal(wire.Configuration{Version: fact.Version, InitialVoters: fact.InitialVoters, Moved: fact.Moved})
+func digestOf(committed *wire.Configuration) (string, error) {
+	rest, err := easyjson.Marshal(wire.Configuration{Version: committed.Version, InitialVoters: committed.InitialVoters, Moved: committed.Moved})
 	if err != nil {
-		return "", errors.Annotate(err, "the digest of a plan")
+		return "", errors.Annotate(err, "the digest of a configuration")
 	}
 	sum := sha256.New()
-	sum.Write(fact.Body)
+	sum.Write(committed.Body)
 	sum.Write(rest)
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// changeOf gives what makes the base into the fact; nothing if the whole would hardly be longer.
-func changeOf(base, fact *wire.Configuration) *wire.ConfigurationDelta {
-	if len(fact.InitialVoters) < len(base.InitialVoters) || len(fact.Moved) < len(base.Moved) {
+// deltaBetween gives what makes the base into the fact; nothing if the whole would hardly be longer.
+func deltaBetween(base, committed *wire.Configuration) *wire.ConfigurationDelta {
+	if len(committed.InitialVoters) < len(base.InitialVoters) || len(committed.Moved) < len(base.Moved) {
 		return nil
 	}
-	digest, err := digestOf(fact)
+	digest, err := digestOf(committed)
 	if err != nil {
 		return nil
 	}
-	change := &wire.ConfigurationDelta{Base: base.Version, Version: fact.Version, Digest: digest,
-		Parts: partsOf(Pieces(base.Body), Pieces(fact.Body)), InitialVoters: fact.InitialVoters[len(base.InitialVoters):]}
-	for place, moved := range fact.Moved {
-		if place >= len(base.Moved) || !isSame(base.Moved[place], moved) {
+	change := &wire.ConfigurationDelta{Base: base.Version, Version: committed.Version, Digest: digest,
+		Parts: partsOf(Segments(base.Body), Segments(committed.Body)), InitialVoters: committed.InitialVoters[len(base.InitialVoters):]}
+	for index, moved := range committed.Moved {
+		if index >= len(base.Moved) || !isSameRoute(base.Moved[index], moved) {
 			change.Moved = append(change.Moved, moved)
 		}
 	}
-	if 2*textIn(change) > len(fact.Body) {
+	if 2*textBytes(change) > len(committed.Body) {
 		return nil
 	}
 	return change
 }
 
-func isSame(a, b wire.MovedRoute) bool {
+func isSameRoute(a, b wire.MovedRoute) bool {
 	return a.Route == b.Route && slices.Equal(a.Services, b.Services)
 }
 
-// textIn is how many bytes of text a change brings.
-func textIn(change *wire.ConfigurationDelta) int {
+// textBytes is how many bytes of text a change brings.
+func textBytes(change *wire.ConfigurationDelta) int {
 	count := 0
 	for _, part := range change.Parts {
 		count += len(part.Text)
@@ -187,40 +187,40 @@
 	return count
 }
 
-// applyAll makes the fact that a chain of changes leads to. Its digest must be the one that the last change names, which
+// applyChain makes the fact that a chain of changes leads to. Its digest must be the one that the last change names, which
 // it has only if all before it were right.
-func applyAll(base *wire.Configuration, changes []*wire.ConfigurationDelta) (*wire.Configuration, error) {
-	pieces := cutFrom(base.Body, 0)
-	fact := &wire.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
+func applyChain(base *wire.Configuration, changes []*wire.ConfigurationDelta) (*wire.Configuration, error) {
+	segments := cut(base.Body, 0)
+	committed := &wire.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
 	for _, change := range changes {
 		var err error
-		if pieces, err = assemble(pieces, change.Parts); err != nil {
+		if segments, err = assemble(segments, change.Parts); err != nil {
 			return nil, err
 		}
-		fact.Version = change.Version
-		fact.InitialVoters = append(fact.InitialVoters, change.InitialVoters...)
-		fact.Moved = withMoved(fact.Moved, change.Moved)
+		committed.Version = change.Version
+		committed.InitialVoters = append(committed.InitialVoters, change.InitialVoters...)
+		committed.Moved = mergeMoved(committed.Moved, change.Moved)
 	}
-	fact.Body = join(pieces)
-	digest, err := digestOf(fact)
+	committed.Body = join(segments)
+	digest, err := digestOf(committed)
 	if err != nil {
 		return nil, err
 	}
 	if digest != changes[len(changes)-1].Digest {
-		return nil, errors.Errorf("the plan made of version %d and its change is not version %d", base.Version, fact.Version)
+		return nil, errors.Errorf("the configuration made of version %d and its change is not version %d", base.Version, committed.Version)
 	}
-	return fact, nil
+	return committed, nil
 }
 
-// withMoved replaces the entries of routes that have moved again, and adds the others.
-func withMoved(all, added []wire.MovedRoute) []wire.MovedRoute {
+// mergeMoved replaces the entries of routes that have moved again, and adds the others.
+func mergeMoved(all, added []wire.MovedRoute) []wire.MovedRoute {
 	for _, moved := range added {
-		place := slices.IndexFunc(all, func(known wire.MovedRoute) bool { return known.Route == moved.Route })
-		if place < 0 {
+		index := slices.IndexFunc(all, func(known wire.MovedRoute) bool { return known.Route == moved.Route })
+		if index < 0 {
 			all = append(all, moved)
 			continue
 		}
-		all[place] = moved
+		all[index] = moved
 	}
 	return all
 }
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -14,24 +14,24 @@
 const (
 	// A peer is given up after the patience without a byte. It starts short, grows while peers stall, and
 	// follows the time that answers take.
-	shortPatience = 200 * time.Millisecond
-	longPatience  = 3200 * time.Millisecond
+	minPatience = 200 * time.Millisecond
+	maxPatience = 3200 * time.Millisecond
 	// patienceFactor is how many times as long as the last answer took the next one may be silent.
 	patienceFactor = 3
 	// failurePause lies before a peer that failed is asked again, times its failures.
 	failurePause = 100 * time.Millisecond
-	// pauseFactor times what applying a version took goes by before the next one is fetched, longestPause at most:
+	// pauseFactor times what applying a version took goes by before the next one is fetched, maxPause at most:
 	// in a storm of versions most are passed over, and a slow processor keeps its time for calls.
-	pauseFactor  = 4
-	longestPause = 400 * time.Millisecond
+	pauseFactor = 4
+	maxPause    = 400 * time.Millisecond
 )
 
 // Actions are what a fetcher has its process do.
 type Actions struct {
 	// Ask calls a peer that may be silent for the patience; Take is told of the outcome.
 	Ask func(address string, call *wire.ConfigurationCall, patience time.Duration)
-	// Wake calls the fetcher's Wake after a while.
-	Wake func(after time.Duration)
+	// ResumeAfter calls the fetcher's Wake after a while.
+	ResumeAfter func(after time.Duration)
 	// Use brings a version into force; an error says that it can't be read.
 	Use func(*Version) error
 }
@@ -44,7 +44,7 @@
 
 	current   *Version
 	peers     peers
-	transfers transfers
+	transfers imageTransfers
 	images    imageCache
 
 	patience   time.Duration
@@ -55,13 +55,13 @@
 
 // NewFetcher makes a fetcher that holds nothing yet.
 func NewFetcher(clock clock.Clock, log logging.Logger, actions Actions) *Fetcher {
-	return &Fetcher{clock: clock, log: log, actions: actions, patience: shortPatience}
+	return &Fetcher{clock: clock, log: log, actions: actions, patience: minPatience}
 }
 
 // Hold takes a committed configuration.
-func (f *Fetcher) Hold(fact *wire.Configuration) {
-	if err := f.adopt(f.current.Follow(fact)); err != nil {
-		f.log.Error(err, "the committed plan was refused", "version", fact.Version)
+func (f *Fetcher) Hold(committed *wire.Configuration) {
+	if err := f.adopt(f.current.Next(committed)); err != nil {
+		f.log.Error(err, "the committed configuration can't be read", "version", committed.Version)
 	}
 }
 
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Hear notes that a peer holds a version, and fetches it if it is newer.
-func (f *Fetcher) Hear(member wire.Member, version int64) {
+// PeerHolds notes that a peer holds a version, and fetches it if it is newer.
+func (f *Fetcher) PeerHolds(member wire.Member, version int64) {
 	if version > f.current.version() {
 		f.peers.note(member, version)
 		f.fetchNext()
@@ -91,8 +91,8 @@
 	return f.images.chunk(f.current, call)
 }
 
-// Wake goes on after a pause.
-func (f *Fetcher) Wake() {
+// Resume goes on after a pause.
+func (f *Fetcher) Resume() {
 	f.isPausing = false
 	f.fetchNext()
 }
@@ -103,7 +103,7 @@
 		return
 	}
 	f.isPausing = true
-	f.actions.Wake(length)
+	f.actions.ResumeAfter(length)
 }
 
 // fetchNext asks the best peer that is ahead, if there is one and no call is under way.
@@ -111,7 +111,7 @@
 	if f.isFetching || f.isPausing {
 		return
 	}
-	if next := f.peers.best(f.current.version()); next != nil {
+	if next := f.peers.next(f.current.version()); next != nil {
 		f.ask(next.address, true)
 	}
 }
@@ -119,25 +119,25 @@
 func (f *Fetcher) ask(address string, takesChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
 	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: takesChanges && f.current != nil, AcceptsChunks: true}
-	if begun := f.transfers.next(address); begun != nil {
-		call.Image, call.Offset = begun.image.Name, len(begun.image.data)
+	if transfer := f.transfers.resumable(address); transfer != nil {
+		call.Image, call.Offset = transfer.image.Name, len(transfer.image.data)
 	}
 	f.actions.Ask(address, call, f.patience)
 }
 
-// Take handles the outcome of a call, and goes on with what is next.
-func (f *Fetcher) Take(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer, err error) {
+// HandleAnswer handles the outcome of a call, and goes on with what is next.
+func (f *Fetcher) HandleAnswer(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer, err error) {
 	f.isFetching = false
 	switch {
 	case errors.Is(err, peerapi.ErrStalled):
-		f.patience = min(2*f.patience, longPatience)
+		f.patience = min(2*f.patience, maxPatience)
 		f.failed(address, err)
 	case err != nil:
 		f.failed(address, err)
 	case answer.Busy:
 		f.failed(address, errors.New("the peer answers too many others"))
 	default:
-		f.patience = max(shortPatience, min(patienceFactor*(f.clock.Monotonic()-f.askedAt), longPatience))
+		f.patience = max(minPatience, min(patienceFactor*(f.clock.Monotonic()-f.askedAt), maxPatience))
 		bodyBytesFetched.Add(bytesOf(answer))
 		f.apply(address, call, answer)
 	}
@@ -145,17 +145,17 @@
 
 // apply uses an answer, and goes on with the rest of an image or with what is next.
 func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
-	begun, before := f.clock.Monotonic(), f.current
-	next, isWhole, err := f.read(address, answer)
+	transfer, before := f.clock.Monotonic(), f.current
+	next, isComplete, err := f.read(address, answer)
 	switch {
 	case err != nil && call.AcceptsChanges && len(answer.Changes) > 0:
-		f.log.Info("changes of the plan do not fit; the whole is fetched", "why", err.Error())
+		f.log.Info("configuration changes don't fit, fetching it in full", "reason", err.Error())
 		f.ask(address, false)
 		return
 	case err != nil:
 		f.failed(address, err)
 		return
-	case !isWhole:
+	case !isComplete:
 		f.peers.answered(address)
 		f.ask(address, call.AcceptsChanges)
 		return
@@ -174,13 +174,13 @@
 		return
 	}
 	f.peers.answered(address)
-	f.pause(min(pauseFactor*(f.clock.Monotonic()-begun), longestPause))
+	f.pause(min(pauseFactor*(f.clock.Monotonic()-transfer), maxPause))
 }
 
 // read makes a version of an answer; it is not whole while chunks of its image are missing.
-func (f *Fetcher) read(address string, answer *wire.ConfigurationAnswer) (next *Version, isWhole bool, err error) {
+func (f *Fetcher) read(address string, answer *wire.ConfigurationAnswer) (next *Version, isComplete bool, err error) {
 	if answer.Chunk == nil {
-		next, err = f.current.Take(answer)
+		next, err = f.current.Apply(answer)
 		return next, true, err
 	}
 	if answer.Chunk.Version <= f.current.version() {
@@ -190,19 +190,19 @@
 	if err != nil || image == nil {
 		return nil, false, err
 	}
-	fact, err := image.Unpack()
+	committed, err := image.Unpack()
 	if err != nil {
 		return nil, false, err
 	}
 	f.images.put(image)
-	return f.current.Follow(fact), true, nil
+	return f.current.Next(committed), true, nil
 }
 
 // failed turns to another peer, or after a pause to the same one.
-func (f *Fetcher) failed(address string, why error) {
-	f.log.Info("a plan could not be fetched", "peer", address, "why", why.Error())
+func (f *Fetcher) failed(address string, reason error) {
+	f.log.Info("configuration not fetched", "peer", address, "reason", reason.Error())
 	f.peers.failed(address)
-	if next := f.peers.best(f.current.version()); next != nil {
+	if next := f.peers.next(f.current.version()); next != nil {
 		f.pause(time.Duration(next.failures) * failurePause)
 	}
 }
@@ -217,7 +217,7 @@
 		count += len(answer.Chunk.Data)
 	}
 	for _, change := range answer.Changes {
-		count += textIn(change)
+		count += textBytes(change)
 	}
 	return count
 }
--- a/internal/cluster/configcache/fetch_test.go
+++ b/internal/cluster/configcache/fetch_test.go
@@ -30,7 +30,7 @@
 	return cache
 }
 
-var _ = Describe("the plan that a process holds", func() {
+var _ = Describe("the configuration that a process holds", func() {
 	It("is fetched from a peer that is ahead, and counted", func() {
 		before := metrics.Own()
 		pages := make(chan *configcache.Snapshot, 2)
@@ -42,15 +42,15 @@
 		defer server.Close()
 		ahead.Hold(&wire.Configuration{Version: 7, Body: []byte(smallBody)})
 		<-pages
-		behind.Ahead(wire.Member{Address: server.Listener.Addr().String()}, 7)
-		Expect((<-pages).Fact.Version).To(Equal(int64(7)))
-		Expect(behind.Page().Matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
+		behind.FetchFrom(wire.Member{Address: server.Listener.Addr().String()}, 7)
+		Expect((<-pages).Committed.Version).To(Equal(int64(7)))
+		Expect(behind.Current().Matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		own := metrics.Own()
 		grown := func(name string) float64 { return own[name] - before[name] }
-		Expect(grown("gannetline_plan_versions_total")).To(Equal(2.0))
-		Expect(own).To(HaveKeyWithValue("gannetline_plan_version", 7.0))
-		image, err := configcache.Pack(ahead.Page().Fact)
+		Expect(grown("gannetline_configuration_versions_total")).To(Equal(2.0))
+		Expect(own).To(HaveKeyWithValue("gannetline_configuration_version", 7.0))
+		image, err := configcache.Pack(ahead.Current().Committed)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(grown("gannetline_plan_fetched_bytes_total")).To(Equal(float64(image.Size())))
+		Expect(grown("gannetline_configuration_fetched_bytes_total")).To(Equal(float64(image.Size())))
 	})
 })
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -17,8 +17,8 @@
 const (
 	// chunkBytes of an image go into one answer: 64 ms of a link of 2 Mbit/s.
 	chunkBytes = 16 << 10
-	// mostImageBytes bounds an image, packed and unpacked.
-	mostImageBytes = 16 << 20
+	// maxImageBytes bounds an image, packed and unpacked.
+	maxImageBytes = 16 << 20
 )
 
 // Image is the compressed form of one whole version, which peers fetch in chunks.
@@ -30,8 +30,8 @@
 }
 
 // Pack compresses a whole version.
-func Pack(fact *wire.Configuration) (*Image, error) {
-	text, err := easyjson.Marshal(fact)
+func Pack(committed *wire.Configuration) (*Image, error) {
+	text, err := easyjson.Marshal(committed)
 	if err != nil {
 		return nil, errors.Annotate(err, "writing the image of a configuration")
 	}
@@ -46,10 +46,10 @@
 	if err := writer.Close(); err != nil {
 		return nil, errors.Annotate(err, "compressing a configuration")
 	}
-	return &Image{fact.Version, nameOf(packed.Bytes()), packed.Bytes()}, nil
+	return &Image{committed.Version, digestOfImage(packed.Bytes()), packed.Bytes()}, nil
 }
 
-func nameOf(data []byte) string {
+func digestOfImage(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
@@ -59,21 +59,21 @@
 
 // Unpack gives back the version; an error says that the data are not what their name and version promise.
 func (i *Image) Unpack() (*wire.Configuration, error) {
-	if nameOf(i.data) != i.Name {
+	if digestOfImage(i.data) != i.Name {
 		return nil, errors.Errorf("the image of version %d has another digest than its name", i.Version)
 	}
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.data)), mostImageBytes))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.data)), maxImageBytes))
 	if err != nil {
 		return nil, errors.Annotatef(err, "decompressing version %d", i.Version)
 	}
-	fact := &wire.Configuration{}
-	if err := easyjson.Unmarshal(text, fact); err != nil {
+	committed := &wire.Configuration{}
+	if err := easyjson.Unmarshal(text, committed); err != nil {
 		return nil, errors.Annotatef(err, "reading the image of version %d", i.Version)
 	}
-	if fact.Version != i.Version {
-		return nil, errors.Errorf("the image of version %d holds version %d", i.Version, fact.Version)
+	if committed.Version != i.Version {
+		return nil, errors.Errorf("the image of version %d holds version %d", i.Version, committed.Version)
 	}
-	return fact, nil
+	return committed, nil
 }
 
 // chunk gives the part that a call goes on with; one that names another image, or no place in this one, starts over.
@@ -89,36 +89,38 @@
 // imageCache keeps the images whose transfers may be under way, the one that was asked for last at the end.
 type imageCache struct{ images []*Image }
 
-const mostImages = 8
+const maxImages = 8
 
 func (c *imageCache) put(image *Image) {
 	c.images = append(c.images, image)
-	c.images = c.images[max(0, len(c.images)-mostImages):]
+	c.images = c.images[max(0, len(c.images)-maxImages):]
 }
 
-// use gives the image that a check finds, and keeps it longest.
-func (c *imageCache) use(isIt func(*Image) bool) *Image {
-	place := slices.IndexFunc(c.images, isIt)
-	if place < 0 {
+// touch gives the image that a check finds, and keeps it longest.
+func (c *imageCache) touch(matches func(*Image) bool) *Image {
+	index := slices.IndexFunc(c.images, matches)
+	if index < 0 {
 		return nil
 	}
-	image := c.images[place]
-	c.images = append(slices.Delete(c.images, place, place+1), image)
+	image := c.images[index]
+	c.images = append(slices.Delete(c.images, index, index+1), image)
 	return image
 }
 
 // chunk answers a call from the image that it names, or else from one that changes lead on from, or from a new one. So
 // a transfer goes on to its end while new versions come, and an image is made only where the changes don't reach.
 func (c *imageCache) chunk(current *Version, call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
-	named := c.use(func(image *Image) bool { return image.Name == call.Image && image.Version > call.HeldVersion })
+	named := c.touch(func(image *Image) bool { return image.Name == call.Image && image.Version > call.HeldVersion })
 	if named != nil {
 		return named.chunk(call), nil
 	}
-	recent := c.use(func(image *Image) bool { return image.Version > call.HeldVersion && current.reaches(image.Version) })
+	recent := c.touch(func(image *Image) bool {
+		return image.Version > call.HeldVersion && current.isReachableFrom(image.Version)
+	})
 	if recent != nil {
 		return recent.chunk(call), nil
 	}
-	image, err := Pack(current.Fact)
+	image, err := Pack(current.Committed)
 	if err != nil {
 		return nil, err
 	}
@@ -127,104 +129,104 @@
 	return image.chunk(call), nil
 }
 
-// transfer is an image of which some chunks have come.
-type transfer struct {
+// imageTransfer is an image of which some chunks have come.
+type imageTransfer struct {
 	image Image
 	size  int
 	from  string
 }
 
-// left is how many bytes are still missing.
-func (t *transfer) left() int { return t.size - len(t.image.data) }
+// remaining is how many bytes are still missing.
+func (t *imageTransfer) remaining() int { return t.size - len(t.image.data) }
 
 // fits tells whether a chunk is the next one of this image.
-func (t *transfer) fits(chunk *wire.ConfigurationChunk) bool {
+func (t *imageTransfer) fits(chunk *wire.ConfigurationChunk) bool {
 	isSame := chunk.Size == t.size && chunk.Version == t.image.Version
 	isNext := chunk.Offset == len(t.image.data)
-	return isSame && isNext && len(chunk.Data) > 0 && len(chunk.Data) <= t.left()
+	return isSame && isNext && len(chunk.Data) > 0 && len(chunk.Data) <= t.remaining()
 }
 
-// transfers keep what came of an image when a peer goes silent; another peer may hold the same image.
-type transfers struct{ open []*transfer }
+// imageTransfers keep what came of an image when a peer goes silent; another peer may hold the same image.
+type imageTransfers struct{ underway []*imageTransfer }
 
-const mostTransfers = 3
+const maxTransfers = 3
 
-// next is the image to go on with at a peer: one that it sent before, or the one with the least left.
-func (t *transfers) next(address string) *transfer {
-	var best *transfer
-	for _, begun := range t.open {
-		if begun.from == address {
-			return begun
+// resumable is the image to go on with at a peer: one that it sent before, or the one with the least left.
+func (t *imageTransfers) resumable(address string) *imageTransfer {
+	var shortest *imageTransfer
+	for _, transfer := range t.underway {
+		if transfer.from == address {
+			return transfer
 		}
-		if best == nil || begun.left() < best.left() {
-			best = begun
+		if shortest == nil || transfer.remaining() < shortest.remaining() {
+			shortest = transfer
 		}
 	}
-	return best
+	return shortest
 }
 
 // take adds a chunk; it gives the image once it is whole.
-func (t *transfers) take(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
-	begun := t.find(chunk)
-	if begun == nil {
-		if chunk.Offset != 0 || chunk.Size <= 0 || chunk.Size > mostImageBytes {
+func (t *imageTransfers) take(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
+	transfer := t.find(chunk)
+	if transfer == nil {
+		if chunk.Offset != 0 || chunk.Size <= 0 || chunk.Size > maxImageBytes {
 			return nil, errors.Errorf("a chunk of an unknown image at %d of %d bytes", chunk.Offset, chunk.Size)
 		}
-		begun = t.add(&transfer{image: Image{Version: chunk.Version, Name: chunk.Image}, size: chunk.Size})
+		transfer = t.add(&imageTransfer{image: Image{Version: chunk.Version, Name: chunk.Image}, size: chunk.Size})
 	}
-	begun.from = address
-	have := len(begun.image.data)
-	if !begun.fits(chunk) {
-		t.drop(begun)
-		return nil, errors.Errorf("a chunk of %d bytes at %d of %d, and %d of %d are here", len(chunk.Data), chunk.Offset, chunk.Size, have, begun.size)
+	transfer.from = address
+	received := len(transfer.image.data)
+	if !transfer.fits(chunk) {
+		t.drop(transfer)
+		return nil, errors.Errorf("a chunk of %d bytes at %d of %d, and %d of %d are here", len(chunk.Data), chunk.Offset, chunk.Size, received, transfer.size)
 	}
-	begun.image.data = append(begun.image.data, chunk.Data...)
-	if begun.left() > 0 {
+	transfer.image.data = append(transfer.image.data, chunk.Data...)
+	if transfer.remaining() > 0 {
 		return nil, nil
 	}
-	t.drop(begun)
-	return &begun.image, nil
+	t.drop(transfer)
+	return &transfer.image, nil
 }
 
-func (t *transfers) find(chunk *wire.ConfigurationChunk) *transfer {
-	for _, begun := range t.open {
-		if begun.image.Name == chunk.Image {
-			return begun
+func (t *imageTransfers) find(chunk *wire.ConfigurationChunk) *imageTransfer {
+	for _, transfer := range t.underway {
+		if transfer.image.Name == chunk.Image {
+			return transfer
 		}
 	}
 	return nil
 }
 
 // add makes room by dropping the transfer that has most left.
-func (t *transfers) add(begun *transfer) *transfer {
-	if len(t.open) == mostTransfers {
-		most := t.open[0]
-		for _, other := range t.open {
-			if other.left() > most.left() {
-				most = other
+func (t *imageTransfers) add(transfer *imageTransfer) *imageTransfer {
+	if len(t.underway) == maxTransfers {
+		longest := t.underway[0]
+		for _, other := range t.underway {
+			if other.remaining() > longest.remaining() {
+				longest = other
 			}
 		}
-		t.drop(most)
+		t.drop(longest)
 	}
-	t.open = append(t.open, begun)
-	return begun
+	t.underway = append(t.underway, transfer)
+	return transfer
 }
 
-func (t *transfers) drop(gone *transfer) {
-	t.keep(func(begun *transfer) bool { return begun != gone })
+func (t *imageTransfers) drop(dropped *imageTransfer) {
+	t.keep(func(transfer *imageTransfer) bool { return transfer != dropped })
 }
 
 // reached drops images that a held version makes useless.
-func (t *transfers) reached(version int64) {
-	t.keep(func(begun *transfer) bool { return begun.image.Version > version })
+func (t *imageTransfers) reached(version int64) {
+	t.keep(func(transfer *imageTransfer) bool { return transfer.image.Version > version })
 }
 
-func (t *transfers) keep(isKept func(*transfer) bool) {
-	var kept []*transfer
-	for _, begun := range t.open {
-		if isKept(begun) {
-			kept = append(kept, begun)
+func (t *imageTransfers) keep(isKept func(*imageTransfer) bool) {
+	var kept []*imageTransfer
+	for _, transfer := range t.underway {
+		if isKept(transfer) {
+			kept = append(kept, transfer)
 		}
 	}
-	t.open = kept
+	t.underway = kept
 }
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -36,7 +36,7 @@
 	calls    []wire.ConfigurationCall
 	received int
 	underWay int
-	mostAt   int
+	maxAt    int
 }
 
 func newNetwork(rate int) *network {
@@ -51,9 +51,9 @@
 func (n *network) runTo(end time.Duration) {
 	for {
 		next := -1
-		for place, one := range n.events {
-			if one.at <= end && (next < 0 || one.at < n.events[next].at) {
-				next = place
+		for index, element := range n.events {
+			if element.at <= end && (next < 0 || element.at < n.events[next].at) {
+				next = index
 			}
 		}
 		if next < 0 {
@@ -80,10 +80,10 @@
 }
 
 func (n *network) add(name string) *process {
-	one := &process{member: wire.Member{Name: name, Role: "steward", Address: name}, taken: map[int64]time.Duration{}}
-	one.start(n)
-	n.peers[name] = one
-	return one
+	element := &process{member: wire.Member{Name: name, Role: "steward", Address: name}, taken: map[int64]time.Duration{}}
+	element.start(n)
+	n.peers[name] = element
+	return element
 }
 
 // start begins a life that remembers nothing.
@@ -94,13 +94,13 @@
 		Ask: func(address string, call *wire.ConfigurationCall, patience time.Duration) {
 			n.carry(fetcher, address, call, patience)
 		},
-		Wake: func(after time.Duration) { n.after(after, fetcher.Wake) },
+		ResumeAfter: func(after time.Duration) { n.after(after, fetcher.Resume) },
 		Use: func(next *configcache.Version) error {
-			if strings.HasPrefix(string(next.Fact.Body), `"garbage`) {
+			if strings.HasPrefix(string(next.Committed.Body), `"garbage`) {
 				return errors.New(`"garbage`)
 			}
 			p.held = next
-			p.taken[next.Fact.Version] = n.clock.Monotonic()
+			p.taken[next.Committed.Version] = n.clock.Monotonic()
 			n.clock.Advance(p.applying)
 			return nil
 		}})
@@ -108,7 +108,7 @@
 }
 
 func (p *process) answer(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
-	answer := p.held.Answer(call)
+	answer := p.held.AnswerTo(call)
 	if answer == nil {
 		chunk, err := p.fetcher.Chunk(call)
 		Expect(err).NotTo(HaveOccurred())
@@ -123,11 +123,11 @@
 func (n *network) carry(fetcher *configcache.Fetcher, address string, call *wire.ConfigurationCall, patience time.Duration) {
 	n.calls = append(n.calls, *call)
 	n.underWay++
-	n.mostAt = max(n.mostAt, n.underWay)
+	n.maxAt = max(n.maxAt, n.underWay)
 	end := func(answer *wire.ConfigurationAnswer, err error) func() {
 		return func() {
 			n.underWay--
-			fetcher.Take(address, call, answer, err)
+			fetcher.HandleAnswer(address, call, answer, err)
 		}
 	}
 	peer := n.peers[address]
@@ -160,11 +160,11 @@
 }
 
 func (h *history) word(length int) string {
-	var word strings.Builder
+	var text strings.Builder
 	for range length {
-		word.WriteByte(byte('a' + h.draw.IntN(26)))
+		text.WriteByte(byte('a' + h.draw.IntN(26)))
 	}
-	return word.String()
+	return text.String()
 }
 
 func (h *history) route() string {
@@ -175,7 +175,7 @@
 func (h *history) next() *wire.Configuration {
 	h.last += int64(1 + h.draw.IntN(3))
 	h.routes[h.draw.IntN(len(h.routes))] = h.route()
-	return fact(h.last, []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[%s],"service-list":[{"name":"s"}],"limits":{"max-header-bytes":16384}}`,
+	return committedVersion(h.last, []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[%s],"service-list":[{"name":"s"}],"limits":{"max-header-bytes":16384}}`,
 		h.last, strings.Join(h.routes, ","))))
 }
 
@@ -188,7 +188,7 @@
 				holder.fetcher.Hold(next)
 			}
 			for _, holder := range holders {
-				gate.fetcher.Hear(holder.member, next.Version)
+				gate.fetcher.PeerHolds(holder.member, next.Version)
 			}
 		}})
 	}
@@ -204,9 +204,9 @@
 		steward, other, gate = network.add("steward"), network.add("other"), network.add("gate")
 	}
 	hear := func() {
-		for _, one := range []*process{steward, other} {
-			if one.held != nil {
-				gate.fetcher.Hear(one.member, one.held.Fact.Version)
+		for _, element := range []*process{steward, other} {
+			if element.held != nil {
+				gate.fetcher.PeerHolds(element.member, element.held.Committed.Version)
 			}
 		}
 	}
@@ -219,9 +219,9 @@
 		network.runTo(length)
 		newest := h.last
 		network.runTo(length + behind)
-		Expect(gate.held.Fact.Version).To(Equal(newest))
-		Expect(gate.held.Fact.Body).To(Equal(steward.held.Fact.Body))
-		Expect(network.mostAt).To(Equal(1))
+		Expect(gate.held.Committed.Version).To(Equal(newest))
+		Expect(gate.held.Committed.Body).To(Equal(steward.held.Committed.Body))
+		Expect(network.maxAt).To(Equal(1))
 		var last, longest time.Duration
 		var times []time.Duration
 		for _, at := range gate.taken {
@@ -257,7 +257,7 @@
 		network.received = 0
 		hear()
 		network.runTo(2 * time.Second)
-		Expect(gate.held.Fact).To(Equal(newest))
+		Expect(gate.held.Committed).To(Equal(newest))
 		GinkgoWriter.Printf("%d routes: 400 versions made up for in %v with %d bytes; the body has %d\n",
 			count, gate.taken[newest.Version]-time.Second, network.received, len(newest.Body))
 		Expect(network.received).To(BeNumerically("<", len(newest.Body)/3))
@@ -269,13 +269,13 @@
 		newest := h.next()
 		steward.fetcher.Hold(newest)
 		other.fetcher.Hold(newest)
-		gate.fetcher.Hear(steward.member, newest.Version)
+		gate.fetcher.PeerHolds(steward.member, newest.Version)
 		network.runTo(900 * time.Millisecond)
 		Expect(gate.held).To(BeNil())
 		steward.isDead = true
-		gate.fetcher.Hear(other.member, newest.Version)
+		gate.fetcher.PeerHolds(other.member, newest.Version)
 		network.runTo(10 * time.Second)
-		Expect(gate.held.Fact).To(Equal(newest))
+		Expect(gate.held.Committed).To(Equal(newest))
 		image, err := configcache.Pack(newest)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(network.received).To(BeNumerically("<", image.Size()*14/10))
@@ -292,7 +292,7 @@
 		steward.isDead = false
 		hear()
 		network.runTo(31 * time.Second)
-		Expect(gate.held.Fact.Version).To(Equal(steward.held.Fact.Version))
+		Expect(gate.held.Committed.Version).To(Equal(steward.held.Committed.Version))
 	})
 
 	DescribeTable("takes nothing of a peer that answers nonsense, and goes on at another",
@@ -304,10 +304,10 @@
 			steward.bend = bend
 			steward.fetcher.Hold(newest)
 			other.fetcher.Hold(newest)
-			gate.fetcher.Hear(steward.member, newest.Version)
-			gate.fetcher.Hear(other.member, newest.Version)
+			gate.fetcher.PeerHolds(steward.member, newest.Version)
+			gate.fetcher.PeerHolds(other.member, newest.Version)
 			network.runTo(5 * time.Second)
-			Expect(gate.held.Fact).To(Equal(newest))
+			Expect(gate.held.Committed).To(Equal(newest))
 			Expect(gate.taken).To(HaveLen(2))
 			Expect(len(network.calls)).To(BeNumerically("<", 12))
 		},
@@ -340,7 +340,7 @@
 		}),
 	)
 
-	It("takes the whole from a peer of the older form, and gives it to one", func() {
+	It("takes the whole from a peer of an earlier version, and gives it to one", func() {
 		begin(250_000)
 		newest := h.next()
 		steward.bend = func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
@@ -349,7 +349,7 @@
 		steward.fetcher.Hold(newest)
 		hear()
 		network.runTo(5 * time.Second)
-		Expect(gate.held.Fact).To(Equal(newest))
+		Expect(gate.held.Committed).To(Equal(newest))
 		Expect(gate.answer(&wire.ConfigurationCall{}).Full).To(Equal(newest))
 		Expect(gate.answer(&wire.ConfigurationCall{HeldVersion: 1 << 30}).Full).To(BeNil())
 	})
--- a/internal/cluster/configcache/peers.go
+++ b/internal/cluster/configcache/peers.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// mostPeers that are ahead are remembered; mostFailures in a row make one be forgotten until it is named again.
-	mostPeers    = 16
-	mostFailures = 3
-	roleSteward  = "steward"
+	// maxPeers that are ahead are remembered; maxFailures in a row make one be forgotten until it is named again.
+	maxPeers    = 16
+	maxFailures = 3
+	roleSteward = "steward"
 )
 
 // peer is a process that is said to hold a newer version.
 type peer struct {
 	address   string
 	isSteward bool
-	holds     int64
+	version   int64
 	failures  int
 }
 
@@ -28,13 +28,13 @@
 // note remembers who holds a version; what failed there before stays counted while others are left to ask.
 func (p *peers) note(member wire.Member, version int64) {
 	if known := p.find(member.Address); known != nil {
-		known.holds = max(known.holds, version)
+		known.version = max(known.version, version)
 		return
 	}
-	if len(p.known) == mostPeers {
+	if len(p.known) == maxPeers {
 		p.known = p.known[1:]
 	}
-	p.known = append(p.known, &peer{address: member.Address, isSteward: member.Role == roleSteward, holds: version})
+	p.known = append(p.known, &peer{address: member.Address, isSteward: member.Role == roleSteward, version: version})
 }
 
 func (p *peers) find(address string) *peer {
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// best is the peer to ask: the fewest failures, then stewards, whose links are wider, then the newest version.
-func (p *peers) best(held int64) *peer {
-	p.known = slices.DeleteFunc(p.known, func(known *peer) bool { return known.holds <= held })
+// next is the peer to ask: the fewest failures, then stewards, whose links are wider, then the newest version.
+func (p *peers) next(current int64) *peer {
+	p.known = slices.DeleteFunc(p.known, func(known *peer) bool { return known.version <= current })
 	if len(p.known) == 0 {
 		return nil
 	}
@@ -61,14 +61,14 @@
 		case a.isSteward != b.isSteward:
 			return 1
 		}
-		return cmp.Compare(b.holds, a.holds)
+		return cmp.Compare(b.version, a.version)
 	})
 }
 
 // failed counts a failure in a row.
 func (p *peers) failed(address string) {
 	if known := p.find(address); known != nil {
-		if known.failures++; known.failures >= mostFailures {
+		if known.failures++; known.failures >= maxFailures {
 			p.forget(address)
 		}
 	}
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -9,9 +9,9 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// mostAnswers may be under way at once, from the call to its last byte: what a flood of fetches takes of this
+// maxConcurrentAnswers may be under way at once, from the call to its last byte: what a flood of fetches takes of this
 // process's link at any moment is at most that many chunks. Others are sent on.
-const mostAnswers = 12
+const maxConcurrentAnswers = 12
 
 // Handle lets peers fetch the configuration.
 func (c *Cache) Handle(mux *http.ServeMux) {
@@ -23,8 +23,8 @@
 	})
 	mux.HandleFunc(peerapi.ProcedurePlan, func(to http.ResponseWriter, request *http.Request) {
 		select {
-		case c.answering <- struct{}{}:
-			defer func() { <-c.answering }()
+		case c.answerSlots <- struct{}{}:
+			defer func() { <-c.answerSlots }()
 			open.ServeHTTP(to, request)
 		default:
 			full.ServeHTTP(to, request)
@@ -32,9 +32,9 @@
 	})
 }
 
-// answer gives changes, or a chunk of an image, which is packed on the goroutine that owns the cache.
+// answer gives changes, or a chunk of an image, which is packed on the goroutine that leads the cache.
 func (c *Cache) answer(ctx context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
-	if answer := c.version().Answer(call); answer != nil {
+	if answer := c.version().AnswerTo(call); answer != nil {
 		return answer, nil
 	}
 	type outcome struct {
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// mostChanges are kept, and sent in one answer if their text is at most mostAnswerText bytes: beyond that the
+	// maxKeptChanges are kept, and sent in one answer if their text is at most maxAnswerTextBytes bytes: beyond that the
 	// compressed whole is shorter.
-	mostChanges    = 32
-	mostAnswerText = 16 << 10
+	maxKeptChanges     = 32
+	maxAnswerTextBytes = 16 << 10
 )
 
 // Version is a committed configuration, and the changes that led to it, each on the one before; it is never changed.
 type Version struct {
-	Fact    *wire.Configuration
-	changes []*wire.ConfigurationDelta
+	Committed *wire.Configuration
+	changes   []*wire.ConfigurationDelta
 }
 
 func (v *Version) version() int64 {
 	if v == nil {
 		return 0
 	}
-	return v.Fact.Version
+	return v.Committed.Version
 }
 
-// Follow gives the version of a newer fact; an older one changes nothing.
-func (v *Version) Follow(fact *wire.Configuration) *Version {
-	if fact.Version <= v.version() {
+// Next gives the version of a newer fact; an older one changes nothing.
+func (v *Version) Next(committed *wire.Configuration) *Version {
+	if committed.Version <= v.version() {
 		return v
 	}
 	if v == nil {
-		return &Version{Fact: fact}
+		return &Version{Committed: committed}
 	}
-	change := changeOf(v.Fact, fact)
+	change := deltaBetween(v.Committed, committed)
 	if change == nil {
-		return &Version{Fact: fact}
+		return &Version{Committed: committed}
 	}
-	return &Version{fact, v.with(change)}
+	return &Version{committed, v.with(change)}
 }
 
-// with gives the kept changes and more, without the oldest beyond mostChanges.
+// with gives the kept changes and more, without the oldest beyond maxKeptChanges.
 func (v *Version) with(added ...*wire.ConfigurationDelta) []*wire.ConfigurationDelta {
 	changes := append(slices.Clone(v.changes), added...)
-	return changes[max(0, len(changes)-mostChanges):]
+	return changes[max(0, len(changes)-maxKeptChanges):]
 }
 
-// Take applies a peer's answer; an error says that only the whole configuration helps.
-func (v *Version) Take(answer *wire.ConfigurationAnswer) (*Version, error) {
+// Apply applies a peer's answer; an error says that only the whole configuration helps.
+func (v *Version) Apply(answer *wire.ConfigurationAnswer) (*Version, error) {
 	if answer.Full != nil {
-		return v.Follow(answer.Full), nil
+		return v.Next(answer.Full), nil
 	}
 	var chain []*wire.ConfigurationDelta
 	reached := v.version()
@@ -71,42 +71,42 @@
 	if v == nil {
 		return v, errors.Errorf("a change to version %d, and nothing is held", reached)
 	}
-	fact, err := applyAll(v.Fact, chain)
+	committed, err := applyChain(v.Committed, chain)
 	if err != nil {
 		return v, err
 	}
-	return &Version{fact, v.with(chain...)}, nil
+	return &Version{committed, v.with(chain...)}, nil
 }
 
-// Answer gives a peer the changes since the version that it holds, or the whole configuration; nothing for one
+// AnswerTo gives a peer the changes since the version that it holds, or the whole configuration; nothing for one
 // that takes the whole in chunks of an image.
-func (v *Version) Answer(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
+func (v *Version) AnswerTo(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
 	if v.version() <= call.HeldVersion {
 		return &wire.ConfigurationAnswer{}
 	}
-	if changes := v.since(call.HeldVersion); call.AcceptsChanges && len(changes) > 0 {
+	if changes := v.changesSince(call.HeldVersion); call.AcceptsChanges && len(changes) > 0 {
 		return &wire.ConfigurationAnswer{Changes: changes}
 	}
 	if call.AcceptsChunks {
 		return nil
 	}
-	return &wire.ConfigurationAnswer{Full: v.Fact}
+	return &wire.ConfigurationAnswer{Full: v.Committed}
 }
 
-// reaches tells whether changes lead from an older version to this one.
-func (v *Version) reaches(older int64) bool {
-	return older == v.version() || len(v.since(older)) > 0
+// isReachableFrom tells whether changes lead from an older version to this one.
+func (v *Version) isReachableFrom(version int64) bool {
+	return version == v.version() || len(v.changesSince(version)) > 0
 }
 
-// since gives the changes that lead from an older version to this one; none if they are not all kept, or too long.
-func (v *Version) since(held int64) []*wire.ConfigurationDelta {
+// changesSince gives the changes that lead from an older version to this one; none if they are not all kept, or too long.
+func (v *Version) changesSince(base int64) []*wire.ConfigurationDelta {
 	text := 0
-	for place := len(v.changes) - 1; place >= 0; place-- {
-		if text += textIn(v.changes[place]); text > min(len(v.Fact.Body), mostAnswerText) {
+	for index := len(v.changes) - 1; index >= 0; index-- {
+		if text += textBytes(v.changes[index]); text > min(len(v.Committed.Body), maxAnswerTextBytes) {
 			return nil
 		}
-		if v.changes[place].Base == held {
-			return v.changes[place:]
+		if v.changes[index].Base == base {
+			return v.changes[index:]
 		}
 	}
 	return nil
--- a/internal/cluster/configuration/check.go
+++ b/internal/cluster/configuration/check.go
@@ -14,62 +14,62 @@
 func Read(body []byte) (*Configuration, error) {
 	decoded := &Configuration{}
 	if err := easyjson.Unmarshal(body, decoded); err != nil {
-		return nil, errors.Annotate(err, "the plan can't be read whole")
+		return nil, errors.Annotate(err, "the configuration can't be read")
 	}
 	return decoded, decoded.check()
 }
 
-// complaints gathers what is wrong with a configuration.
-type complaints struct{ found error }
+// problems gathers what is wrong with a configuration.
+type problems struct{ err error }
 
-func (c *complaints) add(format string, values ...any) {
-	c.found = multierr.Append(c.found, errors.Errorf(format, values...))
+func (c *problems) add(format string, values ...any) {
+	c.err = multierr.Append(c.err, errors.Errorf(format, values...))
 }
 
 func (c *Configuration) check() error {
-	var wrong complaints
+	var problems problems
 	if c.Version <= 0 {
-		wrong.add("field config-version must be above 0")
+		problems.add("field config-version must be above 0")
 	}
-	c.checkRoutes(&wrong, c.checkServices(&wrong))
-	return wrong.found
+	c.checkRoutes(&problems, c.checkServices(&problems))
+	return problems.err
 }
 
 // checkServices gives the names of the services.
-func (c *Configuration) checkServices(wrong *complaints) map[string]bool {
+func (c *Configuration) checkServices(problems *problems) map[string]bool {
 	services := map[string]bool{}
 	for _, service := range c.Services {
 		if service.Name == "" {
-			wrong.add("field service-list: a service has no name")
+			problems.add("field service-list: a service has no name")
 		}
 		if services[service.Name] {
-			wrong.add("field service-list: %q stands twice", service.Name)
+			problems.add("field service-list: %q stands twice", service.Name)
 		}
 		services[service.Name] = true
 	}
 	return services
 }
 
-func (c *Configuration) checkRoutes(wrong *complaints, services map[string]bool) {
+func (c *Configuration) checkRoutes(problems *problems, services map[string]bool) {
 	takenBy := map[string]string{}
-	for _, route := range c.Entries {
+	for _, route := range c.Routes {
 		if route.Name == "" {
-			wrong.add("field route-list: a route has no name")
+			problems.add("field route-list: a route has no name")
 		}
 		if !services[route.Service] {
-			wrong.add("route %q: field service names %q, which is unknown", route.Name, route.Service)
+			problems.add("route %q: field service names %q, which is unknown", route.Name, route.Service)
 		}
 		if route.TimeoutMs <= 0 {
-			wrong.add("route %q: field timeout-ms must be above 0", route.Name)
+			problems.add("route %q: field timeout-ms must be above 0", route.Name)
 		}
-		if route.MaxAttempts < 0 || route.Stretch < 0 || route.TargetMs < 0 {
-			wrong.add("route %q: a field is negative", route.Name)
+		if route.MaxAttempts < 0 || route.StretchFactor < 0 || route.TargetLatencyMs < 0 {
+			problems.add("route %q: a field is negative", route.Name)
 		}
-		place := route.Host + " " + route.Prefix
-		if other, isTaken := takenBy[place]; isTaken {
-			wrong.add("route %q: fields host and path-prefix are those of route %q", route.Name, other)
+		location := route.Host + " " + route.PathPrefix
+		if other, isTaken := takenBy[location]; isTaken {
+			problems.add("route %q: fields host and path-prefix are those of route %q", route.Name, other)
 		}
-		takenBy[place] = route.Name
+		takenBy[location] = route.Name
 	}
 }
 
@@ -84,27 +84,27 @@
 // NewMatcher prepares the look-up of a configuration's routes.
 func NewMatcher(configuration *Configuration) *Matcher {
 	matcher := &Matcher{configuration: configuration, byHost: map[string][]int{}, byName: map[string]int{}}
-	for place, route := range configuration.Entries {
+	for index, route := range configuration.Routes {
 		host := strings.ToLower(route.Host)
-		matcher.byHost[host] = append(matcher.byHost[host], place)
-		matcher.byName[route.Name] = place
+		matcher.byHost[host] = append(matcher.byHost[host], index)
+		matcher.byName[route.Name] = index
 	}
-	for _, places := range matcher.byHost {
-		slices.SortFunc(places, func(a, b int) int {
-			return len(configuration.Entries[b].Prefix) - len(configuration.Entries[a].Prefix)
+	for _, indices := range matcher.byHost {
+		slices.SortFunc(indices, func(a, b int) int {
+			return len(configuration.Routes[b].PathPrefix) - len(configuration.Routes[a].PathPrefix)
 		})
 	}
 	return matcher
 }
 
-// Plan gives the configuration in which routes are looked up.
-func (m *Matcher) Plan() *Configuration { return m.configuration }
+// Configuration gives the configuration in which routes are looked up.
+func (m *Matcher) Configuration() *Configuration { return m.configuration }
 
 // Match gives the route of a request, nil if there is none.
 func (m *Matcher) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
-	for _, place := range m.byHost[host] {
-		if route := &m.configuration.Entries[place]; strings.HasPrefix(path, route.Prefix) {
+	for _, index := range m.byHost[host] {
+		if route := &m.configuration.Routes[index]; strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
 	}
@@ -113,8 +113,8 @@
 
 // ByName gives a route by its name, nil if there is none.
 func (m *Matcher) ByName(name string) *Route {
-	if place, isThere := m.byName[name]; isThere {
-		return &m.configuration.Entries[place]
+	if index, exists := m.byName[name]; exists {
+		return &m.configuration.Routes[index]
 	}
 	return nil
 }
--- a/internal/cluster/configuration/configuration_suite_test.go
+++ b/internal/cluster/configuration/configuration_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPlancheck(t *testing.T) {
+func TestConfiguration(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "configuration")
 }
--- a/internal/cluster/configuration/configuration_test.go
+++ b/internal/cluster/configuration/configuration_test.go
@@ -12,7 +12,7 @@
 const sound = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"},` +
 	`{"name":"b","host":"h.example","path-prefix":"/q/deep/","timeout-ms":3000,"service":"s","new-field":[1]}],"service-list":[{"name":"s"}]}`
 
-var _ = Describe("a plan", func() {
+var _ = Describe("a configuration", func() {
 	It("is read, with fields that are new", func() {
 		plan, err := configuration.Read([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
@@ -27,8 +27,8 @@
 		Entry("the same place twice", `/q/deep/`, `/q/`, "path-prefix"),
 		Entry("no time-out", `"timeout-ms":3000`, `"timeout-ms":0`, "timeout-ms"),
 		Entry("no version", `"config-version":7`, `"config-version":0`, "config-version"),
-		Entry("cut short", `"service-list":[{"name":"s"}]}`, ``, "read whole"),
-		Entry("a wrong type", `"config-version":7`, `"config-version":"seven"`, "read whole"),
+		Entry("cut short", `"service-list":[{"name":"s"}]}`, ``, "the configuration can't be read"),
+		Entry("a wrong type", `"config-version":7`, `"config-version":"seven"`, "the configuration can't be read"),
 		Entry("a service without a name", `{"name":"s"}`, `{"name":"s"},{}`, "service-list"),
 	)
 
--- a/internal/cluster/configuration/plan.go
+++ b/internal/cluster/configuration/plan.go
@@ -4,27 +4,27 @@
 //go:generate go run github.com/mailru/easyjson/easyjson -all plan.go
 
 // Route is a queue: jobs for a host and path prefix go to a service. Priority 0 is the most urgent; MaxAttempts is how
-// often a task may fail; the aim for a job is Stretch times its longest chain of work, plus TargetMs.
+// often a task may fail; the aim for a job is Stretch times its longest chain of work, plus TargetLatencyMs.
 type Route struct {
-	Name        string  `json:"name"`
-	Host        string  `json:"host"`
-	Prefix      string  `json:"path-prefix"`
-	Kind        string  `json:"route-type"`
-	TimeoutMs   int64   `json:"timeout-ms"`
-	TargetMs    int64   `json:"target-latency-ms"`
-	Priority    int     `json:"priority"`
-	Service     string  `json:"service"`
-	MaxAttempts int     `json:"max-attempts"`
-	Stretch     float64 `json:"stretch-factor"`
+	Name            string  `json:"name"`
+	Host            string  `json:"host"`
+	PathPrefix      string  `json:"path-prefix"`
+	Type            string  `json:"route-type"`
+	TimeoutMs       int64   `json:"timeout-ms"`
+	TargetLatencyMs int64   `json:"target-latency-ms"`
+	Priority        int     `json:"priority"`
+	Service         string  `json:"service"`
+	MaxAttempts     int     `json:"max-attempts"`
+	StretchFactor   float64 `json:"stretch-factor"`
 }
 
-// Service is a pool of executors. ConnCap is how many connections each takes; Guards says that they turn away what does
+// Service is a pool of executors. ConnectionLimit is how many connections each takes; Guards says that they turn away what does
 // not fit.
 type Service struct {
-	Name     string `json:"name"`
-	ConnCap  int    `json:"connection-limit"`
-	Guards   bool   `json:"guard-list"`
-	Protocol string `json:"protocol"`
+	Name            string `json:"name"`
+	ConnectionLimit int    `json:"connection-limit"`
+	GuardsCapacity  bool   `json:"guard-list"`
+	Protocol        string `json:"protocol"`
 }
 
 // Limits are those of clients' requests; sizes in bytes, times in milliseconds.
@@ -38,7 +38,7 @@
 // Configuration is what the operator sent, as far as this system uses it.
 type Configuration struct {
 	Version  int64     `json:"config-version"`
-	Entries  []Route   `json:"route-list"`
+	Routes   []Route   `json:"route-list"`
 	Services []Service `json:"service-list"`
 	Limits   Limits    `json:"limits"`
 }
--- a/internal/cluster/configuration/plan_easyjson.go
+++ b/internal/cluster/configuration/plan_easyjson.go
@@ -41,13 +41,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ConnCap = int(in.Int())
+				out.ConnectionLimit = int(in.Int())
 			}
 		case "guard-list":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Guards = bool(in.Bool())
+				out.GuardsCapacity = bool(in.Bool())
 			}
 		case "protocol":
 			if in.IsNull() {
@@ -77,12 +77,12 @@
 	{
 		const prefix string = ",\"connection-limit\":"
 		out.RawString(prefix)
-		out.Int(int(in.ConnCap))
+		out.Int(int(in.ConnectionLimit))
 	}
 	{
 		const prefix string = ",\"guard-list\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Guards))
+		out.Bool(bool(in.GuardsCapacity))
 	}
 	{
 		const prefix string = ",\"protocol\":"
@@ -145,13 +145,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Prefix = string(in.String())
+				out.PathPrefix = string(in.String())
 			}
 		case "route-type":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = string(in.String())
+				out.Type = string(in.String())
 			}
 		case "timeout-ms":
 			if in.IsNull() {
@@ -163,7 +163,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.TargetMs = int64(in.Int64())
+				out.TargetLatencyMs = int64(in.Int64())
 			}
 		case "priority":
 			if in.IsNull() {
@@ -187,7 +187,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stretch = float64(in.Float64())
+				out.StretchFactor = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -216,12 +216,12 @@
 	{
 		const prefix string = ",\"path-prefix\":"
 		out.RawString(prefix)
-		out.String(string(in.Prefix))
+		out.String(string(in.PathPrefix))
 	}
 	{
 		const prefix string = ",\"route-type\":"
 		out.RawString(prefix)
-		out.String(string(in.Kind))
+		out.String(string(in.Type))
 	}
 	{
 		const prefix string = ",\"timeout-ms\":"
@@ -231,7 +231,7 @@
 	{
 		const prefix string = ",\"target-latency-ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.TargetMs))
+		out.Int64(int64(in.TargetLatencyMs))
 	}
 	{
 		const prefix string = ",\"priority\":"
@@ -251,7 +251,7 @@
 	{
 		const prefix string = ",\"stretch-factor\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Stretch))
+		out.Float64(float64(in.StretchFactor))
 	}
 	out.RawByte('}')
 }
@@ -400,17 +400,17 @@
 		case "route-list":
 			if in.IsNull() {
 				in.Skip()
-				out.Entries = nil
+				out.Routes = nil
 			} else {
 				in.Delim('[')
-				if out.Entries == nil {
+				if out.Routes == nil {
 					if !in.IsDelim(']') {
-						out.Entries = make([]Route, 0, 0)
+						out.Routes = make([]Route, 0, 0)
 					} else {
-						out.Entries = []Route{}
+						out.Routes = []Route{}
 					}
 				} else {
-					out.Entries = (out.Entries)[:0]
+					out.Routes = (out.Routes)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v1 Route
@@ -419,7 +419,7 @@
 					} else {
 						(v1).UnmarshalEasyJSON(in)
 					}
-					out.Entries = append(out.Entries, v1)
+					out.Routes = append(out.Routes, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -479,11 +479,11 @@
 	{
 		const prefix string = ",\"route-list\":"
 		out.RawString(prefix)
-		if in.Entries == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Routes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v3, v4 := range in.Entries {
+			for v3, v4 := range in.Routes {
 				if v3 > 0 {
 					out.RawByte(',')
 				}
--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -7,21 +7,21 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Outcome says what is known after asking: MaySee is set while some steward may have taken the call.
+// Outcome says what is known after asking: MayHaveRun is set while some steward may have taken the call.
 type Outcome struct {
-	Answer *wire.ClientAnswer
-	MaySee bool
+	Answer     *wire.ClientAnswer
+	MayHaveRun bool
 }
 
 // Attempts decides where a call is sent next and what is known of it; it knows neither goroutines nor sockets.
 type Attempts struct {
-	key   string
-	end   time.Duration
-	hint  string
-	tries int
-	pick  func(count int) int
-	// last is the address of the latest try.
-	last string
+	key      string
+	deadline time.Duration
+	hint     string
+	count    int
+	pick     func(count int) int
+	// lastAddress is the address of the latest try.
+	lastAddress string
 	// silent counts, for each address, the tries of this call that it left unanswered.
 	silent map[string]int
 	// confirmed counts the answers of others that name a leader which was silent.
@@ -31,65 +31,65 @@
 
 // NewAttempts begins a call that may take until end; pick draws a number below the count that it is given.
 func NewAttempts(key string, end time.Duration, pick func(count int) int) *Attempts {
-	return &Attempts{key: key, end: end, pick: pick, silent: map[string]int{}}
+	return &Attempts{key: key, deadline: end, pick: pick, silent: map[string]int{}}
 }
 
-// Try is one sending of the call. Address is empty while nobody is known who could take it.
-type Try struct {
+// Attempt is one sending of the call. Address is empty while nobody is known who could take it.
+type Attempt struct {
 	Address string
 	Limit   time.Duration
 }
 
 // Next gives the next try, or false once the time is over. A leader that was silent is given twice the time when it is
 // asked again, as it may be slow.
-func (a *Attempts) Next(view *membership.View, now time.Duration) (Try, bool) {
-	left := a.end - now
-	if left <= 0 {
-		return Try{}, false
+func (a *Attempts) Next(view *membership.View, now time.Duration) (Attempt, bool) {
+	remaining := a.deadline - now
+	if remaining <= 0 {
+		return Attempt{}, false
 	}
-	a.last = a.address(view)
-	limit := perTry
-	if a.silent[a.last] > 0 {
-		limit = 2 * perTry
+	a.lastAddress = a.address(view)
+	limit := attemptTimeout
+	if a.silent[a.lastAddress] > 0 {
+		limit = 2 * attemptTimeout
 	}
 	a.hint = ""
-	a.tries++
-	return Try{Address: a.last, Limit: min(limit, left)}, true
+	a.count++
+	return Attempt{Address: a.lastAddress, Limit: min(limit, remaining)}, true
 }
 
-// Answered takes a steward's answer and tells whether it is the last word. A leader that lost the key before its change
+// HandleAnswer takes a steward's answer and tells whether it is the last word. A leader that lost the key before its change
 // was committed can't tell what became of it: the next one may have it.
-func (a *Attempts) Answered(answer *wire.ClientAnswer) bool {
+func (a *Attempts) HandleAnswer(answer *wire.ClientAnswer) bool {
 	if answer.NotLeader {
 		a.hint = answer.Leader
-		a.outcome.MaySee = a.outcome.MaySee || answer.OutcomeUnknown
+		a.outcome.MayHaveRun = a.outcome.MayHaveRun || answer.OutcomeUnknown
 		return false
 	}
 	a.outcome.Answer = answer
 	return true
 }
 
-// Failed takes a try without an answer; neverSent says that it certainly reached nobody.
-func (a *Attempts) Failed(neverSent bool) {
-	a.silent[a.last]++
-	a.Interrupted(neverSent)
+// HandleFailure takes a try without an answer; neverSent says that it certainly reached nobody.
+func (a *Attempts) HandleFailure(neverSent bool) {
+	a.silent[a.lastAddress]++
+	a.HandleInterruption(neverSent)
 }
 
-// Interrupted takes a try that was given up because the leaders have changed; it says nothing against its steward.
-func (a *Attempts) Interrupted(neverSent bool) {
-	a.outcome.MaySee = a.outcome.MaySee || !neverSent
+// HandleInterruption takes a try that was given up because the leaders have changed; it says nothing against its steward.
+func (a *Attempts) HandleInterruption(neverSent bool) {
+	a.outcome.MayHaveRun = a.outcome.MayHaveRun || !neverSent
 }
 
 // Pause is how long to wait before the next try.
 func (a *Attempts) Pause(now time.Duration) time.Duration {
-	wait := pauseLongest
+	wait := maxPause
 	switch {
-	case a.tries <= quickTries:
-		wait = pauseShort
-	case a.tries <= 2*quickTries:
-		wait = pauseLong
+	case a.count <= quickAttempts:
+		wait = pauseAfterRedirect
+	case a.count <= 2*quickAttempts:
+		wait = pauseBetweenAttempts
 	}
-	return min(wait, a.end-now)
+	return min(wait, a.deadline-now)
 }
 
 // Outcome is what is known by now.
@@ -104,7 +104,7 @@
 	if isHinted {
 		a.confirmed++
 	}
-	known, isKnown := view.Steward(view.Owners[a.key].Name)
+	known, isKnown := view.Steward(view.Leaders[a.key].Name)
 	if isKnown && known.State != wire.StateGone && a.mayAsk(known.Address) {
 		return known.Address
 	}
@@ -121,7 +121,7 @@
 	if a.silent[leader] > 0 {
 		return a.silent[leader] == 1 && a.confirmed >= confirmations
 	}
-	return a.tries%3 != 2
+	return a.count%3 != 2
 }
 
 // others are the stewards that may lead keys, but those that were silent, unless all were.
--- a/internal/cluster/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -31,7 +31,7 @@
 )
 
 func (f *darkFleet) view() *membership.View {
-	view := &membership.View{Owners: map[string]wire.KeyLeader{darkKey: {Name: "s0"}}}
+	view := &membership.View{Leaders: map[string]wire.KeyLeader{darkKey: {Name: "s0"}}}
 	for place := range 5 {
 		name := fmt.Sprint("s", place)
 		view.Stewards = append(view.Stewards, wire.Member{Name: name, Role: membership.RoleSteward, Address: name, Disk: "d" + name})
@@ -44,18 +44,18 @@
 	view, now := f.view(), time.Duration(0)
 	attempts := NewAttempts(darkKey, clientTime, draw.IntN)
 	for {
-		try, isLeft := attempts.Next(view, now)
-		if !isLeft {
+		attempt, isTimeLeft := attempts.Next(view, now)
+		if !isTimeLeft {
 			return now, tries, false
 		}
 		tries++
-		isSlow := try.Address == f.slow
-		if isSlow && f.slowHop <= try.Limit {
+		isSlow := attempt.Address == f.slow
+		if isSlow && f.slowHop <= attempt.Limit {
 			return now + f.slowHop, tries, true
 		}
-		if isSlow || slices.Contains(f.dark, try.Address) {
-			now += try.Limit
-			attempts.Failed(false)
+		if isSlow || slices.Contains(f.dark, attempt.Address) {
+			now += attempt.Limit
+			attempts.HandleFailure(false)
 		} else {
 			now += f.hop
 			isTakenOver := now.Seconds() >= f.takenOverS
@@ -63,10 +63,10 @@
 			if isTakenOver {
 				answer.Leader = f.successor
 			}
-			if isTakenOver && try.Address == f.successor {
+			if isTakenOver && attempt.Address == f.successor {
 				answer = &wire.ClientAnswer{Status: 200}
 			}
-			if attempts.Answered(answer) {
+			if attempts.HandleAnswer(answer) {
 				return now, tries, true
 			}
 		}
@@ -78,15 +78,15 @@
 	DescribeTable("is answered soon after the key has a leader again, though the view still names the one before",
 		func(dark []string, takenOverS float64) {
 			fleet := &darkFleet{dark: dark, takenOverS: takenOverS, hop: 10 * time.Millisecond, successor: "s4"}
-			slowest, most := time.Duration(0), 0
+			slowest, maxAttempts := time.Duration(0), 0
 			for seed := range uint64(500) {
 				took, tries, isAnswered := fleet.ask(rand.New(rand.NewPCG(seed, 1)))
 				Expect(isAnswered).To(BeTrue(), "seed %d", seed)
-				slowest, most = max(slowest, took), max(most, tries)
+				slowest, maxAttempts = max(slowest, took), max(maxAttempts, tries)
 			}
-			GinkgoWriter.Println("slowest", slowest, "most tries", most)
+			GinkgoWriter.Println("slowest", slowest, "most tries", maxAttempts)
 			Expect(slowest.Seconds()).To(BeNumerically("<", takenOverS+1.3))
-			Expect(most).To(BeNumerically("<=", 16))
+			Expect(maxAttempts).To(BeNumerically("<=", 16))
 		},
 		Entry("one, taken over already", []string{"s0"}, 0.0),
 		Entry("one, taken over after a second", []string{"s0"}, 1.0),
@@ -109,16 +109,16 @@
 		fleet := &darkFleet{}
 		attempts := NewAttempts(darkKey, clientTime, func(int) int { return 0 })
 		attempts.Next(fleet.view(), 0)
-		attempts.Interrupted(false)
-		try, _ := attempts.Next(fleet.view(), time.Millisecond)
-		Expect(try).To(Equal(Try{Address: "s0", Limit: perTry}))
-		Expect(attempts.Outcome().MaySee).To(BeTrue())
+		attempts.HandleInterruption(false)
+		attempt, _ := attempts.Next(fleet.view(), time.Millisecond)
+		Expect(attempt).To(Equal(Attempt{Address: "s0", Limit: attemptTimeout}))
+		Expect(attempts.Outcome().MayHaveRun).To(BeTrue())
 	})
 
 	It("goes to a steward that is there first where the view has given up the leader", func() {
 		view := (&darkFleet{}).view()
 		view.Stewards[0].State = wire.StateGone
-		try, _ := NewAttempts(darkKey, clientTime, func(int) int { return 0 }).Next(view, 0)
-		Expect(try.Address).To(Equal("s1"))
+		attempt, _ := NewAttempts(darkKey, clientTime, func(int) int { return 0 }).Next(view, 0)
+		Expect(attempt.Address).To(Equal("s1"))
 	})
 })
--- a/internal/cluster/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -13,75 +13,75 @@
 )
 
 const (
-	perTry       = 450 * time.Millisecond
-	pauseShort   = 30 * time.Millisecond
-	pauseLong    = 120 * time.Millisecond
-	pauseLongest = 240 * time.Millisecond
-	quickTries   = 3
+	attemptTimeout       = 450 * time.Millisecond
+	pauseAfterRedirect   = 30 * time.Millisecond
+	pauseBetweenAttempts = 120 * time.Millisecond
+	maxPause             = 240 * time.Millisecond
+	quickAttempts        = 3
 	// confirmations is how many answers must name a leader that was silent before it is asked again.
 	confirmations = 2
 )
 
-// Asker sends calls to the leaders of keys.
-type Asker struct {
+// Client sends calls to the leaders of keys.
+type Client struct {
 	caller *peerapi.Caller
 	clock  clock.Clock
 	view   func() *membership.View
 }
 
 // New makes an asker that finds leaders by the view it is given at each try.
-func New(caller *peerapi.Caller, clock clock.Clock, view func() *membership.View) *Asker {
-	return &Asker{caller: caller, clock: clock, view: view}
+func New(caller *peerapi.Caller, clock clock.Clock, view func() *membership.View) *Client {
+	return &Client{caller: caller, clock: clock, view: view}
 }
 
 // Ask gives an answer of the leader, or none once the limit is over or ctx is done.
-func (a *Asker) Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) Outcome {
-	attempts := NewAttempts(call.Key, a.clock.Monotonic()+limit, rand.IntN)
+func (c *Client) Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) Outcome {
+	attempts := NewAttempts(call.Key, c.clock.Monotonic()+limit, rand.IntN)
 	for {
-		view := a.view()
-		try, isLeft := attempts.Next(view, a.clock.Monotonic())
-		if !isLeft || ctx.Err() != nil {
+		view := c.view()
+		attempt, isTimeLeft := attempts.Next(view, c.clock.Monotonic())
+		if !isTimeLeft || ctx.Err() != nil {
 			return attempts.Outcome()
 		}
-		if try.Address != "" && a.send(ctx, view, attempts, try, call) {
+		if attempt.Address != "" && c.tryOnce(ctx, view, attempts, attempt, call) {
 			return attempts.Outcome()
 		}
 		select {
 		case <-ctx.Done():
 			return attempts.Outcome()
-		case <-view.Moved:
-		case <-a.clock.After(attempts.Pause(a.clock.Monotonic())):
+		case <-view.LeaderMoved:
+		case <-c.clock.After(attempts.Pause(c.clock.Monotonic())):
 		}
 	}
 }
 
-// send makes one try and tells whether its answer is the last word.
-func (a *Asker) send(ctx context.Context, view *membership.View, attempts *Attempts, try Try, call *wire.ClientCall) bool {
-	answer, err := a.askOnce(ctx, view, try, call)
+// tryOnce makes one try and tells whether its answer is the last word.
+func (c *Client) tryOnce(ctx context.Context, view *membership.View, attempts *Attempts, attempt Attempt, call *wire.ClientCall) bool {
+	answer, err := c.callOnce(ctx, view, attempt, call)
 	switch {
 	case err == nil:
-		return attempts.Answered(answer)
-	case hasMoved(view):
-		attempts.Interrupted(peerapi.NeverSent(err))
+		return attempts.HandleAnswer(answer)
+	case hasLeaderMoved(view):
+		attempts.HandleInterruption(peerapi.NeverSent(err))
 	default:
-		attempts.Failed(peerapi.NeverSent(err))
+		attempts.HandleFailure(peerapi.NeverSent(err))
 	}
 	return false
 }
 
-// hasMoved tells whether any key is heard to have another leader than the view says.
-func hasMoved(view *membership.View) bool {
+// hasLeaderMoved tells whether any key is heard to have another leader than the view says.
+func hasLeaderMoved(view *membership.View) bool {
 	select {
-	case <-view.Moved:
+	case <-view.LeaderMoved:
 		return true
 	default:
 		return false
 	}
 }
 
-// askOnce gives up early if the key is heard to have another leader.
-func (a *Asker) askOnce(ctx context.Context, view *membership.View, try Try, call *wire.ClientCall) (*wire.ClientAnswer, error) {
-	patience, release := membership.UntilMoved(ctx, view)
+// callOnce gives up early if the key is heard to have another leader.
+func (c *Client) callOnce(ctx context.Context, view *membership.View, attempt Attempt, call *wire.ClientCall) (*wire.ClientAnswer, error) {
+	attemptCtx, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
-	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](a.caller, patience, try.Address, peerapi.ProcedureClient, try.Limit, call)
+	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](c.caller, attemptCtx, attempt.Address, peerapi.ProcedureClient, attempt.Limit, call)
 }
--- a/internal/cluster/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -35,9 +35,9 @@
 type hurried struct{ *clock.Fake }
 
 func (h hurried) After(wait time.Duration) <-chan time.Time {
-	ring := h.Fake.After(wait)
+	manager := h.Fake.After(wait)
 	h.Advance(wait)
-	return ring
+	return manager
 }
 
 var _ = Describe("a call that no leader answers in time", func() {
@@ -58,52 +58,52 @@
 	})
 
 	It("may have been taken if a leader proposed it and lost its leadership", func() {
-		Expect(outcomeOf(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}, wire.ClientAnswer{NotLeader: true})).To(Equal(Outcome{MaySee: true}))
+		Expect(outcomeOf(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}, wire.ClientAnswer{NotLeader: true})).To(Equal(Outcome{MayHaveRun: true}))
 	})
 })
 
-var _ = Describe("a guess at an owner nobody knows", func() {
+var _ = Describe("a guess at an leader nobody knows", func() {
 	It("passes over stewards that can own nothing", func() {
 		view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
 			{Name: "b", Role: "steward", Address: "b:1"}, {Name: "c", Role: "gate", Address: "c:1", Disk: "e"}}}
 		attempts := NewAttempts("plan", time.Second, rand.IntN)
 		for range 30 {
-			try, _ := attempts.Next(view, 0)
-			Expect(try.Address).To(Equal("a:1"))
-			attempts.Failed(false)
+			attempt, _ := attempts.Next(view, 0)
+			Expect(attempt.Address).To(Equal("a:1"))
+			attempts.HandleFailure(false)
 		}
 	})
 })
 
 var _ = Describe("the attempts of one call", func() {
-	view := &membership.View{Owners: map[string]wire.KeyLeader{"pool/s": {Name: "a"}}, Stewards: []wire.Member{
+	view := &membership.View{Leaders: map[string]wire.KeyLeader{"pool/s": {Name: "a"}}, Stewards: []wire.Member{
 		{Name: "a", Role: membership.RoleSteward, Address: "a:1", Disk: "d"}, {Name: "b", Role: membership.RoleSteward, Address: "b:1", Disk: "e"}}}
 	var attempts *Attempts
 	BeforeEach(func() { attempts = NewAttempts("pool/s", time.Second, func(int) int { return 0 }) })
 
 	It("go to the known leader, and then where that one points", func() {
-		try, isLeft := attempts.Next(view, 0)
-		Expect(try).To(Equal(Try{Address: "a:1", Limit: perTry}))
-		Expect(isLeft).To(BeTrue())
-		Expect(attempts.Answered(&wire.ClientAnswer{NotLeader: true, Leader: "b"})).To(BeFalse())
-		try, _ = attempts.Next(view, 800*time.Millisecond)
-		Expect(try).To(Equal(Try{Address: "b:1", Limit: 200 * time.Millisecond}))
-		_, isLeft = attempts.Next(view, time.Second)
-		Expect(isLeft).To(BeFalse())
+		attempt, isTimeLeft := attempts.Next(view, 0)
+		Expect(attempt).To(Equal(Attempt{Address: "a:1", Limit: attemptTimeout}))
+		Expect(isTimeLeft).To(BeTrue())
+		Expect(attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true, Leader: "b"})).To(BeFalse())
+		attempt, _ = attempts.Next(view, 800*time.Millisecond)
+		Expect(attempt).To(Equal(Attempt{Address: "b:1", Limit: 200 * time.Millisecond}))
+		_, isTimeLeft = attempts.Next(view, time.Second)
+		Expect(isTimeLeft).To(BeFalse())
 	})
 
 	DescribeTable("know whether some leader may have taken the call", func(happen func(), maySee bool) {
 		happen()
-		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
-		attempts.Failed(true)
-		attempts.Answered(&wire.ClientAnswer{NotLeader: true})
-		attempts.Answered(&wire.ClientAnswer{Status: 503})
-		Expect(attempts.Outcome().MaySee).To(Equal(maySee))
+		Expect(attempts.Outcome().MayHaveRun).To(Equal(maySee))
+		attempts.HandleFailure(true)
+		attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true})
+		attempts.HandleAnswer(&wire.ClientAnswer{Status: 503})
+		Expect(attempts.Outcome().MayHaveRun).To(Equal(maySee))
 		Expect(attempts.Outcome().Answer.Status).To(Equal(503))
 	},
-		Entry("not after a call that reached nobody", func() { attempts.Failed(true) }, false),
-		Entry("not after one who leads no more", func() { attempts.Answered(&wire.ClientAnswer{NotLeader: true}) }, false),
-		Entry("after a call that was not answered", func() { attempts.Failed(false) }, true),
-		Entry("after one that lost the key meanwhile", func() { attempts.Answered(&wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}) }, true),
+		Entry("not after a call that reached nobody", func() { attempts.HandleFailure(true) }, false),
+		Entry("not after one who leads no more", func() { attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true}) }, false),
+		Entry("after a call that was not answered", func() { attempts.HandleFailure(false) }, true),
+		Entry("after one that lost the key meanwhile", func() { attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}) }, true),
 	)
 })
--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -4,25 +4,25 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Ask is the first call of a comparison: this table's sums by bucket.
-func (t *Table) Ask() wire.MembersCall {
+// SumsCall is the first call of a comparison: this table's sums by bucket.
+func (t *Table) SumsCall() wire.MembersCall {
 	return wire.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
 }
 
-// Answer gives the records of the buckets that differ; a peer of the older form gets them all.
-func (t *Table) Answer(call *wire.MembersCall) wire.MembersAnswer {
+// AnswerCall gives the records of the buckets that differ; a peer of an earlier version gets them all.
+func (t *Table) AnswerCall(call *wire.MembersCall) wire.MembersAnswer {
 	t.noteContact(call.From)
 	for _, member := range call.Members {
 		t.Merge(member)
 	}
-	t.handleNews(call.From, call.Digest)
-	defer t.Settle()
+	t.handleDigest(call.From, call.Digest)
+	defer t.PublishIfChanged()
 	answer := wire.MembersAnswer{Digest: t.digestFor(call.From.Role)}
 	if call.IsFollowUp {
 		return answer
 	}
 	if call.Digest.LeaderSum != answer.Digest.LeaderSum {
-		answer.Digest.Leaders = t.allFacts()
+		answer.Digest.Leaders = t.allLeaders()
 	}
 	if len(call.Buckets) != bucketCount {
 		answer.Members = t.All()
@@ -49,19 +49,19 @@
 	})
 }
 
-// Take merges an answer; it gives a second call where this table holds what the peer lacks.
-func (t *Table) Take(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
+// HandleAnswer merges an answer; it gives a second call where this table holds what the peer lacks.
+func (t *Table) HandleAnswer(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
 	for _, member := range answer.Members {
 		t.Merge(member)
 	}
-	t.handleNews(from, answer.Digest)
-	defer t.Settle()
+	t.handleDigest(from, answer.Digest)
+	defer t.PublishIfChanged()
 	if answer.Digest.MemberSum == 0 {
 		return nil
 	}
 	t.silentSince = t.clock.Monotonic()
 	given := &wire.MembersCall{From: t.self, IsFollowUp: true, Digest: t.digestFor(t.self.Role)}
-	lacking := t.notIn(answer)
+	lacking := t.lackingIn(answer)
 	if isLeaf(t.self) {
 		for _, member := range lacking {
 			t.forget(Name(member))
@@ -69,8 +69,8 @@
 	} else {
 		given.Members = lacking
 	}
-	if t.shownLeaderSum() != answer.Digest.LeaderSum {
-		given.Digest.Leaders = t.allFacts()
+	if t.publishedLeaderSum() != answer.Digest.LeaderSum {
+		given.Digest.Leaders = t.allLeaders()
 	}
 	if len(given.Members) == 0 && len(given.Digest.Leaders) == 0 {
 		return nil
@@ -78,8 +78,8 @@
 	return given
 }
 
-// notIn gives the records of the differing buckets that an answer lacks or has in an older form.
-func (t *Table) notIn(answer *wire.MembersAnswer) []Member {
+// lackingIn gives the records of the differing buckets that an answer lacks or has in an older form.
+func (t *Table) lackingIn(answer *wire.MembersAnswer) []Member {
 	listed := map[string]Member{}
 	for _, member := range answer.Members {
 		listed[Name(member)] = member
@@ -92,8 +92,8 @@
 	}
 	var lacking []Member
 	t.each(func(known *record) {
-		other, isThere := listed[Name(known.member)]
-		isLacking := isThere && isNewer(known.member, other) || !isThere && known.member.State != wire.StateGone
+		other, exists := listed[Name(known.member)]
+		isLacking := exists && isNewer(known.member, other) || !exists && known.member.State != wire.StateGone
 		if isDiffering[known.bucket] && isLacking {
 			lacking = append(lacking, known.member)
 		}
--- a/internal/cluster/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -11,19 +11,19 @@
 	kindPing = "ping"
 	kindAck  = "ack"
 	// kindAsk asks for an indirect probe: the receiver pings the target and passes its answer on.
-	kindAsk  = "ask"
-	kindNews = "news"
+	kindAsk    = "ask"
+	kindUpdate = "news"
 )
 
 const (
-	// mostNews is how many records a datagram carries at most.
-	mostNews = 5
-	// newsTimes is how often a changed record is sent along.
-	newsTimes = 4
+	// maxUpdates is how many records a datagram carries at most.
+	maxUpdates = 5
+	// updateRepeats is how often a changed record is sent along.
+	updateRepeats = 4
 )
 
-// Hear takes one datagram.
-func (t *Table) Hear(datagram wire.Datagram) {
+// HandleDatagram takes one datagram.
+func (t *Table) HandleDatagram(datagram wire.Datagram) {
 	from := datagram.From
 	if Name(from) == Name(t.self) {
 		return
@@ -32,11 +32,11 @@
 	for _, member := range datagram.Updates {
 		t.Merge(member)
 	}
-	t.handleNews(from, datagram.Digest)
-	reply := wire.Datagram{Digest: wire.Digest{Leaders: t.factsMissingAt(datagram.Digest)}}
+	t.handleDigest(from, datagram.Digest)
+	reply := wire.Datagram{Digest: wire.Digest{Leaders: t.leadersMissingAt(datagram.Digest)}}
 	switch datagram.Kind {
 	case kindPing:
-		reply.Kind, reply.Number, reply.Updates = kindAck, datagram.Number, t.doubtOf(Name(from))
+		reply.Kind, reply.Number, reply.Updates = kindAck, datagram.Number, t.suspicionOf(Name(from))
 	case kindAck:
 		t.handleAck(datagram)
 		t.setPingPause(datagram.PingPauseMs)
@@ -44,13 +44,13 @@
 		t.probeFor(datagram)
 	}
 	if reply.Kind == "" && len(reply.Digest.Leaders) > 0 {
-		reply.Kind = kindNews
+		reply.Kind = kindUpdate
 	}
 	if reply.Kind != "" {
 		t.send(from, reply)
 	}
 	t.compareSums(from, datagram.Digest)
-	t.Settle()
+	t.PublishIfChanged()
 }
 
 // noteContact notes that a peer has sent something.
@@ -67,69 +67,69 @@
 	}
 }
 
-// doubtOf gives the record of a member that is not thought alive, so that it can refute it.
-func (t *Table) doubtOf(name string) []Member {
+// suspicionOf gives the record of a member that is not thought alive, so that it can refute it.
+func (t *Table) suspicionOf(name string) []Member {
 	if known := t.records[name]; known != nil && known.member.State != wire.StateAlive {
 		return []Member{known.member}
 	}
 	return nil
 }
 
-// send adds this process's record, digest and news to a datagram.
+// send adds this process's record, digest and recent changes to a datagram.
 func (t *Table) send(to Member, datagram wire.Datagram) {
-	facts := datagram.Digest.Leaders
-	if len(facts) == 0 {
-		facts = t.recentFacts()
+	leaders := datagram.Digest.Leaders
+	if len(leaders) == 0 {
+		leaders = t.newLeaders()
 	}
 	if isLeaf(to) {
 		datagram.PingPauseMs = t.pauseMs()
-		datagram.Updates = append(datagram.Updates, t.recordsOf(facts)...)
+		datagram.Updates = append(datagram.Updates, t.recordsOf(leaders)...)
 	} else {
-		datagram.Updates = t.withNews(datagram.Updates)
+		datagram.Updates = t.withRecentChanges(datagram.Updates)
 	}
 	datagram.From, datagram.Digest = t.self, t.digestFor(to.Role)
-	datagram.Digest.Leaders = facts
+	datagram.Digest.Leaders = leaders
 	t.events.Send(to.Address, datagram)
 }
 
-// withNews adds records that have changed of late, and counts that they were sent.
-func (t *Table) withNews(news []Member) []Member {
-	for name, timesLeft := range t.newsToSend {
-		if len(news) >= mostNews {
+// withRecentChanges adds records that have changed of late, and counts that they were sent.
+func (t *Table) withRecentChanges(updates []Member) []Member {
+	for name, timesLeft := range t.changesToSend {
+		if len(updates) >= maxUpdates {
 			break
 		}
 		if known := t.records[name]; known != nil {
-			news = append(news, known.member)
+			updates = append(updates, known.member)
 		}
 		if timesLeft <= 1 {
-			delete(t.newsToSend, name)
+			delete(t.changesToSend, name)
 			continue
 		}
-		t.newsToSend[name] = timesLeft - 1
+		t.changesToSend[name] = timesLeft - 1
 	}
-	return news
+	return updates
 }
 
-// Spread passes news on to a few others at once.
-func (t *Table) Spread() {
+// Broadcast sends recent changes to a few others at once.
+func (t *Table) Broadcast() {
 	if len(t.recentLeaders) == 0 {
-		t.sendNews(t.timing.Fanout)
+		t.sendUpdates(t.timing.Fanout)
 		return
 	}
-	t.sendNews(t.timing.OwnerFanout)
-	t.pushToLeaves()
+	t.sendUpdates(t.timing.LeaderFanout)
+	t.sendToLeaves()
 }
 
-func (t *Table) sendNews(count int) {
-	t.Settle()
+func (t *Table) sendUpdates(count int) {
+	t.PublishIfChanged()
 	for _, member := range t.randomMembers(count, "") {
-		t.send(member, wire.Datagram{Kind: kindNews})
+		t.send(member, wire.Datagram{Kind: kindUpdate})
 	}
 }
 
 // randomMembers draws a few members that are alive, without walking the whole list unless most of it is not.
 func (t *Table) randomMembers(count int, without string) []Member {
-	all := t.everyone.members
+	all := t.members.members
 	var chosen []Member
 	take := func(member Member) {
 		name := Name(member)
@@ -139,14 +139,14 @@
 		}
 	}
 	for try := 0; try < 8*count && len(chosen) < count; try++ {
-		take(all[t.draw.IntN(len(all))])
+		take(all[t.random.IntN(len(all))])
 	}
 	if len(chosen) == count {
 		return chosen
 	}
-	for _, place := range t.draw.Perm(len(all)) {
+	for _, index := range t.random.Perm(len(all)) {
 		if len(chosen) < count {
-			take(all[place])
+			take(all[index])
 		}
 	}
 	return chosen
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -13,16 +13,16 @@
 	youngFor = 10 * time.Second
 )
 
-// HoldsPlan takes note that this process holds a version of the configuration, and spreads it if it is news.
-func (t *Table) HoldsPlan(version int64) {
-	if version > t.configurationVersion {
-		t.configurationVersion = version
+// HoldsConfiguration takes note that this process holds a version of the configuration, and spreads it if it is new.
+func (t *Table) HoldsConfiguration(version int64) {
+	if version > t.configVersion {
+		t.configVersion = version
 		t.versionRounds = announceRounds
-		t.spreadVersion()
+		t.announceVersion()
 	}
 }
 
-func (t *Table) spreadVersion() { t.sendNews(2 * t.timing.Fanout) }
+func (t *Table) announceVersion() { t.sendUpdates(2 * t.timing.Fanout) }
 
 func (t *Table) sumsFor(role string) *sums {
 	if isLeaf(t.self) || role == RoleLocalProxy {
@@ -32,43 +32,43 @@
 }
 
 func (t *Table) digestFor(role string) wire.Digest {
-	return wire.Digest{ConfigVersion: t.configurationVersion, MemberSum: t.sumsFor(role).whole(), LeaderSum: t.shownLeaderSum()}
+	return wire.Digest{ConfigVersion: t.configVersion, MemberSum: t.sumsFor(role).total(), LeaderSum: t.publishedLeaderSum()}
 }
 
-// handleNews takes what a digest says outright.
-func (t *Table) handleNews(from Member, digest wire.Digest) {
-	isNews := false
-	for _, fact := range digest.Leaders {
-		isNews = t.MergeOwner(fact) || isNews
+// handleDigest takes what a digest says outright.
+func (t *Table) handleDigest(from Member, digest wire.Digest) {
+	isNew := false
+	for _, leader := range digest.Leaders {
+		isNew = t.MergeLeader(leader) || isNew
 	}
-	if digest.ConfigVersion > t.configurationVersion {
-		t.events.PlanAhead(from, digest.ConfigVersion)
+	if digest.ConfigVersion > t.configVersion {
+		t.events.ConfigurationAhead(from, digest.ConfigVersion)
 	}
-	if isNews && !isLeaf(t.self) {
-		t.Spread()
+	if isNew && !isLeaf(t.self) {
+		t.Broadcast()
 	}
 }
 
-// compareSums looks for what a digest shows to be missing; a peer of the older form has no sums.
+// compareSums looks for what a digest shows to be missing; a peer of an earlier version has no sums.
 func (t *Table) compareSums(from Member, digest wire.Digest) {
 	if isLeaf(from) {
 		return
 	}
-	isLeadersDiffering := digest.LeaderSum != 0 && digest.LeaderSum != t.shownLeaderSum() && len(t.leaders) > mostFacts
-	isMembersDiffering := digest.MemberSum != 0 && digest.MemberSum != t.sumsFor(from.Role).whole()
-	if isMembersDiffering {
+	doLeadersDiffer := digest.LeaderSum != 0 && digest.LeaderSum != t.publishedLeaderSum() && len(t.leaders) > maxLeaders
+	doMembersDiffer := digest.MemberSum != 0 && digest.MemberSum != t.sumsFor(from.Role).total()
+	if doMembersDiffer {
 		t.pingPause = t.timing.LeafPeriod
 	}
 	now := t.clock.Monotonic()
-	isDue := isLeadersDiffering || isMembersDiffering && t.isCalm(now)
-	if !isDue || now-t.differAt <= 2*t.timing.Period {
+	isDue := doLeadersDiffer || doMembersDiffer && t.hasSettled(now)
+	if !isDue || now-t.comparedAt <= 2*t.timing.Period {
 		return
 	}
-	t.differAt = now
-	t.events.Differ(from)
+	t.comparedAt = now
+	t.events.ListsDiffer(from)
 }
 
-// isCalm gives news the time to arrive by itself, except in the first seconds and where changes never cease.
-func (t *Table) isCalm(now time.Duration) bool {
-	return now-t.createdAt < youngFor || now-t.changedAt >= t.timing.Period || now-t.differAt >= 6*t.timing.Period
+// hasSettled gives changes the time to arrive by itself, except in the first seconds and where changes never cease.
+func (t *Table) hasSettled(now time.Duration) bool {
+	return now-t.createdAt < youngFor || now-t.changedAt >= t.timing.Period || now-t.comparedAt >= 6*t.timing.Period
 }
--- a/internal/cluster/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// mostFacts is how many leaders of keys a datagram names at most.
-	mostFacts = 12
+	// maxLeaders is how many leaders of keys a datagram names at most.
+	maxLeaders = 12
 	// recentTicks is for how many ticks a new leader of a key is sent along with each datagram.
 	recentTicks = 4
 )
 
-// MergeOwner takes word of a key's leader; the higher epoch counts. It tells whether it was news.
-func (t *Table) MergeOwner(fact wire.KeyLeader) bool {
-	known, isThere := t.leaders[fact.Key]
-	if isThere && known.Epoch >= fact.Epoch {
+// MergeLeader takes a leader of a key; the higher epoch counts. It tells whether that is new.
+func (t *Table) MergeLeader(leader wire.KeyLeader) bool {
+	known, exists := t.leaders[leader.Key]
+	if exists && known.Epoch >= leader.Epoch {
 		return false
 	}
-	if t.isLeadersShown {
-		t.leaders, t.isLeadersShown = maps.Clone(t.leaders), false
+	if t.areLeadersPublished {
+		t.leaders, t.areLeadersPublished = maps.Clone(t.leaders), false
 	}
-	if isThere {
-		t.leaderSum ^= factHash(known)
+	if exists {
+		t.leaderSum ^= hashOfLeader(known)
 	}
-	t.leaderSum ^= factHash(fact)
-	t.leaders[fact.Key] = fact
-	t.recentLeaders[fact.Key] = recentTicks
+	t.leaderSum ^= hashOfLeader(leader)
+	t.leaders[leader.Key] = leader
+	t.recentLeaders[leader.Key] = recentTicks
 	t.isDirty, t.hasLeaderMoved = true, true
 	return true
 }
 
-func (t *Table) shownLeaderSum() uint32 { return shown(t.leaderSum) }
+func (t *Table) publishedLeaderSum() uint32 { return nonZero(t.leaderSum) }
 
-func (t *Table) allFacts() []wire.KeyLeader { return slices.Collect(maps.Values(t.leaders)) }
+func (t *Table) allLeaders() []wire.KeyLeader { return slices.Collect(maps.Values(t.leaders)) }
 
-func (t *Table) recentFacts() []wire.KeyLeader {
-	var facts []wire.KeyLeader
+func (t *Table) newLeaders() []wire.KeyLeader {
+	var leaders []wire.KeyLeader
 	for key := range t.recentLeaders {
-		if len(facts) == mostFacts {
+		if len(leaders) == maxLeaders {
 			break
 		}
-		facts = append(facts, t.leaders[key])
+		leaders = append(leaders, t.leaders[key])
 	}
-	return facts
+	return leaders
 }
 
-// factsMissingAt gives all facts to a peer whose sum of them differs; if it holds newer ones, it does the same in turn.
-func (t *Table) factsMissingAt(digest wire.Digest) []wire.KeyLeader {
-	if digest.LeaderSum == 0 || digest.LeaderSum == t.shownLeaderSum() || len(t.leaders) > mostFacts {
+// leadersMissingAt gives all leaders to a peer whose sum of them differs; if it holds newer ones, it does the same in turn.
+func (t *Table) leadersMissingAt(digest wire.Digest) []wire.KeyLeader {
+	if digest.LeaderSum == 0 || digest.LeaderSum == t.publishedLeaderSum() || len(t.leaders) > maxLeaders {
 		return nil
 	}
-	return t.allFacts()
+	return t.allLeaders()
 }
 
-// ageLeaders lets facts about leaders cease to be news; it tells whether some are to be spread once more.
+// ageLeaders lets leaders cease to be new; it tells whether some are to be spread once more.
 func (t *Table) ageLeaders() bool {
 	isSpreadDue := false
 	for key, ticksLeft := range t.recentLeaders {
@@ -68,17 +68,17 @@
 	return isSpreadDue
 }
 
-// recordsOf gives the records of the leaders that the facts name, so that a local-proxy can call them at once.
-func (t *Table) recordsOf(facts []wire.KeyLeader) []Member {
-	var leaders []Member
-	for _, fact := range facts {
-		known := t.records[Name(Member{Name: fact.Name, Role: RoleSteward})]
-		if known == nil || len(leaders) >= mostNews {
+// recordsOf gives the records of those leaders, so that a local-proxy can call them at once.
+func (t *Table) recordsOf(leaders []wire.KeyLeader) []Member {
+	var members []Member
+	for _, leader := range leaders {
+		known := t.records[Name(Member{Name: leader.Name, Role: RoleSteward})]
+		if known == nil || len(members) >= maxUpdates {
 			continue
 		}
-		if !slices.ContainsFunc(leaders, func(listed Member) bool { return listed.Name == fact.Name }) {
-			leaders = append(leaders, known.member)
+		if !slices.ContainsFunc(members, func(listed Member) bool { return listed.Name == leader.Name }) {
+			members = append(members, known.member)
 		}
 	}
-	return leaders
+	return members
 }
--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -12,15 +12,32 @@
 const (
 	// leafTicks lie between two searches for leaves that ping no more.
 	leafTicks = 16
-	// attachments is how many stewards a local-proxy pings.
-	attachments = 3
-	// mostLeaves is how many local-proxies a steward pushes news to.
-	mostLeaves = 4096
-	// easyLeaves ping at the usual pace; with more of them each waits longer, so that a steward hears as many pings.
-	easyLeaves   = 160
-	longestPause = 20 * time.Second
+	// attachedStewards is how many stewards a local-proxy pings.
+	attachedStewards = 3
+	// maxLeaves is how many local-proxies a steward pushes changes to.
+	maxLeaves = 4096
+	// leavesAtUsualPace ping at the usual pace; with more of them each waits longer, so that a steward gets as many pings.
+	leavesAtUsualPace = 160
+	maxPingPause      = 20 * time.Second
 )
 
+// leafServer knows, at a steward, which local-proxies ping it.
+type leafServer struct{ leaves map[string]leaf }
+
+// leafClient is what a local-proxy knows of its pings to stewards.
+type leafClient struct {
+	// attached are the stewards that are pinged in turn.
+	attached []Member
+	pingTurn int
+	// pingPause lies between two pings while they are answered.
+	pingPause      time.Duration
+	pingedAt       time.Duration
+	isPingAnswered bool
+	// silentSince is when the first of the pings went out that nobody has answered yet; isIsolated follows from it.
+	silentSince time.Duration
+	isIsolated  bool
+}
+
 // leaf is a local-proxy that pings this steward.
 type leaf struct {
 	member        Member
@@ -35,27 +52,27 @@
 		return
 	}
 	name := Name(member)
-	if _, isKnown := t.leaves[name]; !isKnown && len(t.leaves) >= mostLeaves {
+	if _, isKnown := t.leaves[name]; !isKnown && len(t.leaves) >= maxLeaves {
 		return
 	}
 	t.leaves[name] = leaf{member, t.clock.Monotonic()}
 }
 
-// stretched lengthens a time in proportion to the leaves above easyLeaves.
-func (t *Table) stretched(length time.Duration) time.Duration {
-	return length * time.Duration(max(easyLeaves, len(t.leaves))) / easyLeaves
+// scaledByLeaves lengthens a time in proportion to the leaves above leavesAtUsualPace.
+func (t *Table) scaledByLeaves(length time.Duration) time.Duration {
+	return length * time.Duration(max(leavesAtUsualPace, len(t.leaves))) / leavesAtUsualPace
 }
 
 // pauseMs is how long a leaf waits between pings, in milliseconds; it is 0 while a leaf may ping at the usual pace.
 func (t *Table) pauseMs() int64 {
-	if len(t.leaves) <= easyLeaves {
+	if len(t.leaves) <= leavesAtUsualPace {
 		return 0
 	}
-	return t.stretched(t.timing.LeafPeriod).Milliseconds()
+	return t.scaledByLeaves(t.timing.LeafPeriod).Milliseconds()
 }
 
 func (t *Table) forgetLeaves(now time.Duration) {
-	keep := t.stretched(t.timing.LeafKeep)
+	keep := t.scaledByLeaves(t.timing.LeafKeep)
 	for name, known := range t.leaves {
 		if now-known.lastContactAt > keep {
 			delete(t.leaves, name)
@@ -63,10 +80,10 @@
 	}
 }
 
-// pushToLeaves tells the attached local-proxies of keys that have moved.
-func (t *Table) pushToLeaves() {
+// sendToLeaves sends the attached local-proxies the leaders that have changed.
+func (t *Table) sendToLeaves() {
 	for _, attached := range t.leaves {
-		t.send(attached.member, wire.Datagram{Kind: kindNews})
+		t.send(attached.member, wire.Datagram{Kind: kindUpdate})
 	}
 }
 
@@ -77,17 +94,17 @@
 	slices.SortStableFunc(candidates, func(a, b Member) int {
 		return cmp.Compare(hashOf(t.self.Name+"/"+a.Name, 0, 0), hashOf(t.self.Name+"/"+b.Name, 0, 0))
 	})
-	isNear := func(steward Member) bool { return steward.Domain == t.self.Domain }
-	if place := slices.IndexFunc(candidates, isNear); place > 0 {
-		near := candidates[place]
-		candidates = slices.Insert(slices.Delete(candidates, place, place+1), 0, near)
+	isInOwnDomain := func(steward Member) bool { return steward.Domain == t.self.Domain }
+	if index := slices.IndexFunc(candidates, isInOwnDomain); index > 0 {
+		nearest := candidates[index]
+		candidates = slices.Insert(slices.Delete(candidates, index, index+1), 0, nearest)
 	}
-	t.attached = candidates[:min(attachments, len(candidates))]
+	t.attached = candidates[:min(attachedStewards, len(candidates))]
 }
 
 // setPingPause takes the pace that a steward asks for.
 func (t *Table) setPingPause(pauseMs int64) {
-	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPeriod), longestPause)
+	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPeriod), maxPingPause)
 }
 
 // tickLeaf pings the attached stewards in turn, and any other as soon as one does not answer.
@@ -96,29 +113,29 @@
 	if isUnanswered || now-t.pingedAt >= t.pingPause {
 		t.pingSteward(now, isUnanswered)
 	}
-	if isLonely := !t.isPingAnswered && now-t.silentSince > t.timing.LonelyAfter; isLonely != t.isLonely {
-		t.isLonely, t.isDirty = isLonely, true
+	if isLonely := !t.isPingAnswered && now-t.silentSince > t.timing.IsolatedAfter; isLonely != t.isIsolated {
+		t.isIsolated, t.isDirty = isLonely, true
 	}
 }
 
 // pingSteward pings the next attached steward, or any at random.
-func (t *Table) pingSteward(now time.Duration, isAnyone bool) {
+func (t *Table) pingSteward(now time.Duration, isAnySteward bool) {
 	among := t.attached
-	if isAnyone {
+	if isAnySteward {
 		among = t.stewards.members
 	}
 	if len(among) == 0 {
 		return
 	}
 	t.pingTurn++
-	place := t.pingTurn % len(among)
-	if isAnyone {
-		place = t.draw.IntN(len(among))
+	index := t.pingTurn % len(among)
+	if isAnySteward {
+		index = t.random.IntN(len(among))
 	}
 	t.lastNumber++
 	if t.isPingAnswered {
 		t.silentSince = now
 	}
 	t.pingedAt, t.isPingAnswered = now, false
-	t.send(among[place], wire.Datagram{Kind: kindPing, Number: t.lastNumber})
+	t.send(among[index], wire.Datagram{Kind: kindPing, Number: t.lastNumber})
 }
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	oneWay  = time.Millisecond
-	halfway = 350 * time.Millisecond
+	linkDelay  = time.Millisecond
+	halfPeriod = 350 * time.Millisecond
 )
 
-type happening struct {
+type event struct {
 	at     time.Duration
 	number int
 	occur  func()
 }
 
-type agenda []happening
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].number < a[j].number
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(one any) { *a = append(*a, one.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int)     { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(element any) { *a = append(*a, element.(event)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// resident is a table of the network, and what was counted and seen of it.
-type resident struct {
+// process is a table of the network, and what was counted and seen of it.
+type process struct {
 	member    wire.Member
 	table     *membership.Table
 	view      *membership.View
@@ -48,78 +48,78 @@
 	bytes     int
 	calls     int
 	learnedAt map[uint64]time.Duration
-	isShut    bool
+	isStopped bool
 }
 
 // network carries datagrams and calls between tables; it loses, doubles and delays datagrams as it is told.
 type network struct {
-	clock   *clock.Fake
-	draw    *rand.Rand
-	all     []*resident
-	by      map[string]*resident
-	agenda  agenda
-	number  int
-	homes   int
-	loss    float64
-	doubled float64
-	jitter  time.Duration
+	clock        *clock.Fake
+	random       *rand.Rand
+	processes    []*process
+	byAddress    map[string]*process
+	agenda       eventQueue
+	number       int
+	addressCount int
+	loss         float64
+	doubled      float64
+	jitter       time.Duration
 }
 
 func newNetwork(seed uint64) *network {
-	return &network{clock: clock.NewFake(1000), draw: rand.New(rand.NewPCG(seed, 1)), by: map[string]*resident{}}
+	return &network{clock: clock.NewFake(1000), random: rand.New(rand.NewPCG(seed, 1)), byAddress: map[string]*process{}}
 }
 
-func (n *network) add(name, role string, incarnation uint64) *resident {
-	n.homes++
-	one := &resident{member: wire.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.all)%4),
-		Address: fmt.Sprintf("10.0.0.1:%d", 7000+n.homes), Incarnation: incarnation}, learnedAt: map[uint64]time.Duration{}}
+func (n *network) add(name, role string, incarnation uint64) *process {
+	n.addressCount++
+	member := &process{member: wire.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.processes)%4),
+		Address: fmt.Sprintf("10.0.0.1:%d", 7000+n.addressCount), Incarnation: incarnation}, learnedAt: map[uint64]time.Duration{}}
 	if role == "steward" {
-		one.member.Disk = "disk-" + name
-	}
-	one.table = membership.NewTable(one.member, n.clock, membership.DefaultTiming, n.draw.Uint64(), membership.Events{
-		Send: func(to string, datagram wire.Datagram) { n.carry(one, to, datagram) },
-		Show: func(view *membership.View) {
-			one.view = view
-			epoch := view.Owners["plan"].Epoch
-			if _, isThere := one.learnedAt[epoch]; !isThere {
-				one.learnedAt[epoch] = n.clock.Monotonic()
+		member.member.Disk = "disk-" + name
+	}
+	member.table = membership.NewTable(member.member, n.clock, membership.DefaultTiming, n.random.Uint64(), membership.Events{
+		Send: func(to string, datagram wire.Datagram) { n.carry(member, to, datagram) },
+		Publish: func(view *membership.View) {
+			member.view = view
+			epoch := view.Leaders["plan"].Epoch
+			if _, exists := member.learnedAt[epoch]; !exists {
+				member.learnedAt[epoch] = n.clock.Monotonic()
 			}
 		},
-		PlanAhead: func(wire.Member, int64) {},
-		Differ:    func(peer wire.Member) { n.exchange(one, peer.Address) },
+		ConfigurationAhead: func(wire.Member, int64) {},
+		ListsDiffer:        func(peer wire.Member) { n.exchange(member, peer.Address) },
 	})
-	n.all = append(n.all, one)
-	n.by[one.member.Address] = one
-	one.table.Settle()
-	n.after(time.Duration(n.draw.Int64N(int64(halfway))), func() { n.tick(one) })
-	return one
+	n.processes = append(n.processes, member)
+	n.byAddress[member.member.Address] = member
+	member.table.PublishIfChanged()
+	n.after(time.Duration(n.random.Int64N(int64(halfPeriod))), func() { n.tick(member) })
+	return member
 }
 
-func (n *network) acquaint() {
-	for _, one := range n.all {
-		for _, other := range n.all {
-			one.table.Merge(other.member)
+func (n *network) introduceAll() {
+	for _, member := range n.processes {
+		for _, other := range n.processes {
+			member.table.Merge(other.member)
 		}
-		one.table.Settle()
+		member.table.PublishIfChanged()
 	}
 }
 
 func (n *network) after(wait time.Duration, occur func()) {
 	n.number++
-	heap.Push(&n.agenda, happening{n.clock.Monotonic() + wait, n.number, occur})
+	heap.Push(&n.agenda, event{n.clock.Monotonic() + wait, n.number, occur})
 }
 
-func (n *network) tick(one *resident) {
-	if n.by[one.member.Address] != one {
+func (n *network) tick(member *process) {
+	if n.byAddress[member.member.Address] != member {
 		return
 	}
-	if !one.isShut {
-		one.table.Tick()
+	if !member.isStopped {
+		member.table.Tick()
 	}
-	n.after(halfway, func() { n.tick(one) })
+	n.after(halfPeriod, func() { n.tick(member) })
 }
 
-func (n *network) carry(from *resident, to string, datagram wire.Datagram) {
+func (n *network) carry(from *process, to string, datagram wire.Datagram) {
 	text, err := easyjson.Marshal(datagram)
 	if err != nil {
 		panic(err)
@@ -127,54 +127,54 @@
 	from.datagrams++
 	from.bytes += len(text)
 	times := 1
-	if n.draw.Float64() < n.doubled {
+	if n.random.Float64() < n.doubled {
 		times = 2
 	}
 	for range times {
-		if n.draw.Float64() < n.loss {
+		if n.random.Float64() < n.loss {
 			continue
 		}
-		wait := oneWay
+		wait := linkDelay
 		if n.jitter > 0 {
-			wait += time.Duration(n.draw.Int64N(int64(n.jitter)))
+			wait += time.Duration(n.random.Int64N(int64(n.jitter)))
 		}
 		n.after(wait, func() {
-			if there := n.by[to]; there != nil && !there.isShut && !from.isShut {
-				there.table.Hear(datagram)
+			if there := n.byAddress[to]; there != nil && !there.isStopped && !from.isStopped {
+				there.table.HandleDatagram(datagram)
 			}
 		})
 	}
 }
 
-func (n *network) exchange(one *resident, address string) {
-	call := one.table.Ask()
-	n.call(one, address, &call, func(answer *wire.MembersAnswer) {
-		if given := one.table.Take(wire.Member{Address: address}, answer); given != nil {
-			n.call(one, address, given, func(*wire.MembersAnswer) {})
+func (n *network) exchange(member *process, address string) {
+	call := member.table.SumsCall()
+	n.call(member, address, &call, func(answer *wire.MembersAnswer) {
+		if given := member.table.HandleAnswer(wire.Member{Address: address}, answer); given != nil {
+			n.call(member, address, given, func(*wire.MembersAnswer) {})
 		}
 	})
 }
 
-func (n *network) call(one *resident, address string, call *wire.MembersCall, take func(*wire.MembersAnswer)) {
+func (n *network) call(member *process, address string, call *wire.MembersCall, take func(*wire.MembersAnswer)) {
 	text, _ := easyjson.Marshal(call)
-	one.calls++
-	one.bytes += len(text)
-	n.after(oneWay, func() {
-		there := n.by[address]
-		if there == nil || there.isShut || one.isShut {
+	member.calls++
+	member.bytes += len(text)
+	n.after(linkDelay, func() {
+		there := n.byAddress[address]
+		if there == nil || there.isStopped || member.isStopped {
 			return
 		}
-		answer := there.table.Answer(call)
+		answer := there.table.AnswerCall(call)
 		text, _ := easyjson.Marshal(answer)
 		there.bytes += len(text)
-		n.after(oneWay, func() { take(&answer) })
+		n.after(linkDelay, func() { take(&answer) })
 	})
 }
 
 func (n *network) run(length time.Duration) {
 	end := n.clock.Monotonic() + length
 	for len(n.agenda) > 0 && n.agenda[0].at <= end {
-		next := heap.Pop(&n.agenda).(happening)
+		next := heap.Pop(&n.agenda).(event)
 		n.clock.Advance(next.at - n.clock.Monotonic())
 		next.occur()
 	}
@@ -182,41 +182,41 @@
 }
 
 func (n *network) resetCounts() {
-	for _, one := range n.all {
-		one.datagrams, one.bytes, one.calls = 0, 0, 0
+	for _, member := range n.processes {
+		member.datagrams, member.bytes, member.calls = 0, 0, 0
 	}
 }
 
-func (n *network) most(count func(*resident) int) int {
-	most := 0
-	for _, one := range n.all {
-		most = max(most, count(one))
+func (n *network) maxCount(count func(*process) int) int {
+	maximum := 0
+	for _, member := range n.processes {
+		maximum = max(maximum, count(member))
 	}
-	return most
+	return maximum
 }
 
-func (n *network) total(count func(*resident) int) int {
+func (n *network) total(count func(*process) int) int {
 	total := 0
-	for _, one := range n.all {
-		total += count(one)
+	for _, member := range n.processes {
+		total += count(member)
 	}
 	return total
 }
 
-// moveOwner lets a steward announce a key, and gives how long each that runs took to learn it.
-func (n *network) moveOwner(to *resident, epoch uint64, patience time.Duration) []time.Duration {
+// moveLeader lets a steward announce a key, and gives how long each that runs took to learn it.
+func (n *network) moveLeader(to *process, epoch uint64, patience time.Duration) []time.Duration {
 	began := n.clock.Monotonic()
-	if to.table.MergeOwner(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
-		to.table.Spread()
+	if to.table.MergeLeader(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
+		to.table.Broadcast()
 	}
 	n.run(patience)
 	var lengths []time.Duration
-	for _, one := range n.all {
-		if one.isShut {
+	for _, member := range n.processes {
+		if member.isStopped {
 			continue
 		}
-		at, isThere := one.learnedAt[epoch]
-		if !isThere {
+		at, exists := member.learnedAt[epoch]
+		if !exists {
 			at = began + time.Hour
 		}
 		lengths = append(lengths, at-began)
@@ -225,7 +225,7 @@
 	return lengths
 }
 
-func (n *network) people(stewards, gates, proxies int) {
+func (n *network) addProcesses(stewards, gates, proxies int) {
 	for number := range stewards {
 		n.add(fmt.Sprintf("control-%d", number), "steward", 1)
 	}
@@ -239,13 +239,13 @@
 
 func (n *network) isAgreed(about func(*membership.View) string) bool {
 	first := ""
-	for _, one := range n.all {
-		if one.isShut {
+	for _, member := range n.processes {
+		if member.isStopped {
 			continue
 		}
-		if told := about(one.view); first == "" {
-			first = told
-		} else if told != first {
+		if text := about(member.view); first == "" {
+			first = text
+		} else if text != first {
 			return false
 		}
 	}
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	mailboxRoom = 256
-	// longestDatagram is in bytes.
-	longestDatagram = 16 << 10
-	// joinPause lies between two looks at the view; it is short while no steward is seen.
-	joinPause       = time.Second
-	joinPauseAlone  = 200 * time.Millisecond
-	membersCallWait = 800 * time.Millisecond
+	mailboxSize = 256
+	// maxDatagramBytes is in bytes.
+	maxDatagramBytes = 16 << 10
+	// joinPause lies between two checks of the view; it is short while no steward is seen.
+	joinPause          = time.Second
+	joinPauseIsolated  = 200 * time.Millisecond
+	membersCallTimeout = 800 * time.Millisecond
 	// seedRounds is after how many pauses a process compares lists with its seeds, even if it sees a steward.
 	seedRounds = 15
 )
@@ -44,16 +44,16 @@
 	log     logging.Logger
 	seeds   atomic.Pointer[[]string]
 	// knownPeers are control addresses from an earlier run.
-	knownPeers  []string
-	onPlanAhead func(peer Member, version int64)
+	knownPeers           []string
+	onConfigurationAhead func(peer Member, version int64)
 }
 
 // Option changes how a node is made.
 type Option func(*Node)
 
-// OnPlanAhead names the function to be told of a peer that holds a version of the configuration.
-func OnPlanAhead(handle func(peer Member, version int64)) Option {
-	return func(n *Node) { n.onPlanAhead = handle }
+// OnConfigurationAhead names the function to be told of a peer that holds a version of the configuration.
+func OnConfigurationAhead(handle func(peer Member, version int64)) Option {
+	return func(n *Node) { n.onConfigurationAhead = handle }
 }
 
 // WithKnownPeers names control addresses from an earlier run, to be asked while no steward is seen.
@@ -82,8 +82,8 @@
 // NewNode makes the membership of this process on the sockets that BindInternal gave. It sends nothing before Run.
 func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
 	clock clock.Clock, log logging.Logger, options ...Option) *Node {
-	node := &Node{mailbox: mailbox.New(mailboxRoom), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
-		onPlanAhead: func(Member, int64) {}}
+	node := &Node{mailbox: mailbox.New(mailboxSize), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
+		onConfigurationAhead: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
 	for _, option := range options {
 		option(node)
@@ -91,12 +91,12 @@
 	self.Address = calls.Addr().String()
 	self.Incarnation = uint64(clock.WallMs())
 	node.table = NewTable(self, clock, DefaultTiming, self.Incarnation, Events{
-		Send:      node.send,
-		Show:      func(view *View) { node.view.Store(view) },
-		PlanAhead: func(peer Member, version int64) { node.onPlanAhead(peer, version) },
-		Differ:    func(peer Member) { go node.exchange(peer.Address) },
+		Send:               node.send,
+		Publish:            func(view *View) { node.view.Store(view) },
+		ConfigurationAhead: func(peer Member, version int64) { node.onConfigurationAhead(peer, version) },
+		ListsDiffer:        func(peer Member) { go node.exchange(peer.Address) },
 	})
-	node.table.Settle()
+	node.table.PublishIfChanged()
 	return node
 }
 
@@ -118,12 +118,12 @@
 	}
 }
 
-// UntilMoved gives a context that is cancelled once a key has another leader than the view says.
-func UntilMoved(ctx context.Context, view *View) (context.Context, func()) {
+// UntilLeaderMoved gives a context that is cancelled once a key has another leader than the view says.
+func UntilLeaderMoved(ctx context.Context, view *View) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
-		case <-view.Moved:
+		case <-view.LeaderMoved:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -142,7 +142,7 @@
 
 // listen hands each datagram to the table, and drops those that come faster than it takes them.
 func (n *Node) listen() {
-	buffer := make([]byte, longestDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		count, _, err := n.packets.ReadFrom(buffer)
 		if err != nil {
@@ -159,7 +159,7 @@
 		}
 		datagramsReceived.With(datagram.Kind).Inc()
 		datagramBytesReceived.With(datagram.Kind).Add(count)
-		if !n.mailbox.TryPost(func() { n.table.Hear(datagram) }) {
+		if !n.mailbox.TryPost(func() { n.table.HandleDatagram(datagram) }) {
 			datagramsDropped.With("busy").Inc()
 		}
 	}
@@ -171,14 +171,14 @@
 		view := n.View()
 		isLeaf := isLeaf(view.Self)
 		isSeedTurn := !isLeaf && round%seedRounds == seedRounds-1
-		if !view.SeesSteward() || isLeaf && view.IsLonely || isSeedTurn {
+		if !view.SeesSteward() || isLeaf && view.IsIsolated || isSeedTurn {
 			for _, address := range n.contacts(view) {
 				n.exchange(address)
 			}
 		}
 		wait := joinPause
 		if !n.View().SeesSteward() {
-			wait = joinPauseAlone
+			wait = joinPauseIsolated
 		}
 		select {
 		case <-ctx.Done():
@@ -207,7 +207,7 @@
 	if address == n.View().Self.Control {
 		return
 	}
-	call, err := mailbox.Ask(n.mailbox, context.Background(), func(answer func(wire.MembersCall)) { answer(n.table.Ask()) })
+	call, err := mailbox.Ask(n.mailbox, context.Background(), func(answer func(wire.MembersCall)) { answer(n.table.SumsCall()) })
 	if err != nil {
 		return
 	}
@@ -216,7 +216,7 @@
 		return
 	}
 	given, err := mailbox.Ask(n.mailbox, context.Background(), func(answerWith func(*wire.MembersCall)) {
-		answerWith(n.table.Take(Member{Address: address}, answer))
+		answerWith(n.table.HandleAnswer(Member{Address: address}, answer))
 	})
 	if err == nil && given != nil {
 		n.callMembers(address, given)
@@ -225,7 +225,7 @@
 
 func (n *Node) callMembers(address string, call *wire.MembersCall) (*wire.MembersAnswer, error) {
 	answer, err := peerapi.Call[wire.MembersCall, wire.MembersAnswer](
-		n.caller, context.Background(), address, peerapi.ProcedureMembers, membersCallWait, call)
+		n.caller, context.Background(), address, peerapi.ProcedureMembers, membersCallTimeout, call)
 	if err != nil {
 		n.log.V(1).Info("members could not be compared", "peer", address, "why", err.Error())
 	}
@@ -235,19 +235,21 @@
 // Handle lets peers compare their lists with this one.
 func (n *Node) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureMembers, func(ctx context.Context, call *wire.MembersCall) (*wire.MembersAnswer, error) {
-		answer, err := mailbox.Ask(n.mailbox, ctx, func(answer func(wire.MembersAnswer)) { answer(n.table.Answer(call)) })
+		answer, err := mailbox.Ask(n.mailbox, ctx, func(answer func(wire.MembersAnswer)) { answer(n.table.AnswerCall(call)) })
 		return &answer, err
 	})
 }
 
-// Announce passes on word of a key's leader.
-func (n *Node) Announce(fact wire.KeyLeader) {
+// Announce passes on the leader of a key.
+func (n *Node) Announce(leader wire.KeyLeader) {
 	n.mailbox.Post(func() {
-		if n.table.MergeOwner(fact) {
-			n.table.Spread()
+		if n.table.MergeLeader(leader) {
+			n.table.Broadcast()
 		}
 	})
 }
 
-// HoldsPlan spreads the word that this process holds a version of the configuration.
-func (n *Node) HoldsPlan(version int64) { n.mailbox.Post(func() { n.table.HoldsPlan(version) }) }
+// HoldsConfiguration announces that this process holds a version of the configuration.
+func (n *Node) HoldsConfiguration(version int64) {
+	n.mailbox.Post(func() { n.table.HoldsConfiguration(version) })
+}
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -12,44 +12,44 @@
 	"gannetline/internal/platform/clock"
 )
 
-type letter struct {
+type message struct {
 	from, to string
 	datagram wire.Datagram
 }
 
-// town is a set of tables that hear each other on the next beat, unless a road is shut.
-type town struct {
+// pairNetwork is a set of tables that hear each other on the next beat, unless a road is shut.
+type pairNetwork struct {
 	clock  *clock.Fake
 	tables map[string]*membership.Table
 	views  map[string]*membership.View
 	ahead  map[string]int64
 	shut   map[string]bool
-	post   []letter
+	post   []message
 }
 
-func newTown(count int) *town {
-	t := &town{clock: clock.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
+func newPairNetwork(count int) *pairNetwork {
+	t := &pairNetwork{clock: clock.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
 		ahead: map[string]int64{}, shut: map[string]bool{}}
 	for number := range count {
 		address := fmt.Sprintf("n%d", number)
 		self := wire.Member{Name: address, Role: "gate", Address: address, Incarnation: 1}
 		t.tables[address] = membership.NewTable(self, t.clock, membership.DefaultTiming, uint64(number), membership.Events{
-			Send:      func(to string, datagram wire.Datagram) { t.post = append(t.post, letter{address, to, datagram}) },
-			Show:      func(view *membership.View) { t.views[address] = view },
-			PlanAhead: func(_ wire.Member, version int64) { t.ahead[address] = version },
-			Differ:    func(wire.Member) {},
+			Send:               func(to string, datagram wire.Datagram) { t.post = append(t.post, message{address, to, datagram}) },
+			Publish:            func(view *membership.View) { t.views[address] = view },
+			ConfigurationAhead: func(_ wire.Member, version int64) { t.ahead[address] = version },
+			ListsDiffer:        func(wire.Member) {},
 		})
 	}
-	for _, one := range t.tables {
+	for _, first := range t.tables {
 		for _, other := range t.tables {
-			one.Merge(other.Self())
+			first.Merge(other.Self())
 		}
-		one.Settle()
+		first.PublishIfChanged()
 	}
 	return t
 }
 
-func (t *town) run(length time.Duration) {
+func (t *pairNetwork) run(length time.Duration) {
 	for range length / (350 * time.Millisecond) {
 		t.clock.Advance(350 * time.Millisecond)
 		for number := range len(t.tables) {
@@ -60,16 +60,16 @@
 		for round := 0; round < 4 && len(t.post) > 0; round++ {
 			post := t.post
 			t.post = nil
-			for _, one := range post {
-				if table := t.tables[one.to]; table != nil && !t.shut[one.from] && !t.shut[one.to] {
-					table.Hear(one.datagram)
+			for _, message := range post {
+				if table := t.tables[message.to]; table != nil && !t.shut[message.from] && !t.shut[message.to] {
+					table.HandleDatagram(message.datagram)
 				}
 			}
 		}
 	}
 }
 
-func (t *town) state(of, name string) int {
+func (t *pairNetwork) state(of, name string) int {
 	for _, member := range t.views[of].Members {
 		if member.Name == name {
 			return member.State
@@ -80,7 +80,7 @@
 
 var _ = Describe("knowing one's peers", func() {
 	It("thinks nobody gone while all answer", func() {
-		t := newTown(8)
+		t := newPairNetwork(8)
 		t.run(60 * time.Second)
 		for number := range 8 {
 			Expect(t.state("n0", fmt.Sprintf("n%d", number))).To(Equal(wire.StateAlive))
@@ -88,7 +88,7 @@
 	})
 
 	It("suspects a silent one, thinks it gone later, and takes it back when it refutes", func() {
-		t := newTown(8)
+		t := newPairNetwork(8)
 		t.shut["n3"] = true
 		t.run(20 * time.Second)
 		Expect(t.state("n0", "n3")).To(Equal(wire.StateGone))
@@ -98,7 +98,7 @@
 	})
 
 	It("suspects nobody after a freeze of its own", func() {
-		t := newTown(4)
+		t := newPairNetwork(4)
 		t.run(2 * time.Second)
 		t.clock.Advance(30 * time.Second)
 		t.tables["n0"].Tick()
@@ -108,35 +108,35 @@
 		}
 	})
 
-	It("spreads word of a plan and of a key's owner to all, and never goes back", func() {
-		t := newTown(20)
-		t.tables["n0"].HoldsPlan(7)
-		t.tables["n0"].MergeOwner(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
-		t.tables["n0"].Spread()
+	It("spreads the version of a configuration and of a key's leader to all, and never goes back", func() {
+		t := newPairNetwork(20)
+		t.tables["n0"].HoldsConfiguration(7)
+		t.tables["n0"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
+		t.tables["n0"].Broadcast()
 		t.run(4 * time.Second)
 		for name := range t.tables {
 			if name != "n0" {
 				Expect(t.ahead[name]).To(Equal(int64(7)), name)
 			}
-			Expect(t.views[name].Owners["plan"].Epoch).To(Equal(uint64(4)), name)
+			Expect(t.views[name].Leaders["plan"].Epoch).To(Equal(uint64(4)), name)
 		}
-		Expect(t.tables["n5"].MergeOwner(wire.KeyLeader{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
+		Expect(t.tables["n5"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
 	})
 
-	It("tells who waits on an owner that the key has moved", func() {
-		t := newTown(3)
+	It("tells who waits on an leader that the key has moved", func() {
+		t := newPairNetwork(3)
 		old := t.views["n1"]
-		t.tables["n1"].MergeOwner(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
-		t.tables["n1"].Settle()
-		Expect(old.Moved).To(BeClosed())
-		Expect(t.views["n1"].Moved).NotTo(BeClosed())
+		t.tables["n1"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
+		t.tables["n1"].PublishIfChanged()
+		Expect(old.LeaderMoved).To(BeClosed())
+		Expect(t.views["n1"].LeaderMoved).NotTo(BeClosed())
 	})
 
 	It("remembers the disks that a machine has lost", func() {
-		t := newTown(2)
+		t := newPairNetwork(2)
 		t.tables["n0"].Merge(wire.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 5, Disk: "old"})
 		t.tables["n0"].Merge(wire.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 9, Disk: "new"})
-		t.tables["n0"].Settle()
+		t.tables["n0"].PublishIfChanged()
 		for _, member := range t.views["n0"].Members {
 			if member.Name == "n1" {
 				Expect(member.FormerDisks).To(ContainElement("old"))
--- a/internal/cluster/membership/probes.go
+++ b/internal/cluster/membership/probes.go
@@ -9,11 +9,21 @@
 const (
 	// probeTicks lie between two probes.
 	probeTicks = 2
-	// mostRelays is how many indirect probes are taken on at once; beyond staleRelays, unanswered ones are dropped.
-	mostRelays  = 64
+	// maxRelays is how many indirect probes are taken on at once; beyond staleRelays, unanswered ones are dropped.
+	maxRelays   = 64
 	staleRelays = 32
 )
 
+// prober knows which pings are under way.
+type prober struct {
+	// probeOrder are the members that the present round has still to probe.
+	probeOrder []string
+	lastNumber uint64
+	// probes are this process's own pings by their numbers, relays those that it sends for others.
+	probes map[uint64]probe
+	relays map[uint64]relay
+}
+
 // probe is a ping that has not been answered yet; isAsked is set once others were asked to probe as well.
 type probe struct {
 	name    string
@@ -23,14 +33,14 @@
 
 // relay is a ping sent for another member, which gets the answer under its own number.
 type relay struct {
-	to     Member
-	number uint64
+	requester Member
+	number    uint64
 }
 
 func (t *Table) handleAck(datagram wire.Datagram) {
-	if pending, isThere := t.relays[datagram.Number]; isThere {
+	if pending, exists := t.relays[datagram.Number]; exists {
 		delete(t.relays, datagram.Number)
-		t.send(pending.to, wire.Datagram{Kind: kindAck, Number: pending.number})
+		t.send(pending.requester, wire.Datagram{Kind: kindAck, Number: pending.number})
 		return
 	}
 	delete(t.probes, datagram.Number)
@@ -39,7 +49,7 @@
 // probeFor pings a member because another one asks for it.
 func (t *Table) probeFor(datagram wire.Datagram) {
 	target := t.records[datagram.Target]
-	if target == nil || len(t.relays) > mostRelays {
+	if target == nil || len(t.relays) > maxRelays {
 		return
 	}
 	t.lastNumber++
@@ -71,7 +81,7 @@
 func (t *Table) askOthers(number uint64, pending probe) {
 	pending.isAsked = true
 	t.probes[number] = pending
-	for _, helper := range t.randomMembers(t.timing.SecondOpinion, pending.name) {
+	for _, helper := range t.randomMembers(t.timing.IndirectProbes, pending.name) {
 		t.send(helper, wire.Datagram{Kind: kindAsk, Number: number, Target: pending.name})
 	}
 }
@@ -87,7 +97,7 @@
 		if known := t.records[name]; known != nil {
 			t.lastNumber++
 			t.probes[t.lastNumber] = probe{name: name, began: now}
-			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber, Updates: t.doubtOf(name)})
+			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber, Updates: t.suspicionOf(name)})
 			return
 		}
 	}
@@ -95,13 +105,13 @@
 
 // beginProbeRound shuffles the members, with a third of those that are gone, as one of them may be back.
 func (t *Table) beginProbeRound() {
-	for _, member := range t.everyone.members {
-		isDue := member.State != wire.StateGone || t.draw.IntN(3) == 0
+	for _, member := range t.members.members {
+		isDue := member.State != wire.StateGone || t.random.IntN(3) == 0
 		if name := Name(member); isDue && name != Name(t.self) {
 			t.probeOrder = append(t.probeOrder, name)
 		}
 	}
-	t.draw.Shuffle(len(t.probeOrder), func(i, j int) {
+	t.random.Shuffle(len(t.probeOrder), func(i, j int) {
 		t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i]
 	})
 }
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -7,8 +7,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// mostPastDisks is how many former disks of a member its record names.
-const mostPastDisks = 4
+// maxFormerDisks is how many former disks of a member its record names.
+const maxFormerDisks = 4
 
 // record is a member with what is derived from it.
 type record struct {
@@ -35,7 +35,7 @@
 	return !isLeaf(member)
 }
 
-// Merge takes one record; it tells whether it was news.
+// Merge takes one record; it tells whether that is new.
 func (t *Table) Merge(member Member) bool {
 	name := Name(member)
 	if name == Name(t.self) {
@@ -63,7 +63,7 @@
 	added := &record{bucket: bucketOf(name), since: now, lastContactAt: now}
 	t.records[name] = added
 	t.write(added, member)
-	t.noteNews(name)
+	t.scheduleUpdate(name)
 	return true
 }
 
@@ -71,10 +71,10 @@
 	if !isNewer(member, known.member) {
 		return false
 	}
-	member.FormerDisks = joinPast(known.member, member)
+	member.FormerDisks = joinFormerDisks(known.member, member)
 	known.since = t.clock.Monotonic()
 	t.write(known, member)
-	t.noteNews(Name(member))
+	t.scheduleUpdate(Name(member))
 	return true
 }
 
@@ -88,7 +88,7 @@
 		known.incarnationHash = hashOf(Name(member), member.Incarnation, wire.StateAlive)
 	}
 	t.toggleSums(known)
-	t.everyone.put(member)
+	t.members.put(member)
 	if member.Role == RoleSteward {
 		t.stewards.put(member)
 	}
@@ -119,7 +119,7 @@
 	t.toggleSums(known)
 	delete(t.records, name)
 	delete(t.unhealthy, name)
-	t.everyone.drop(known.member)
+	t.members.drop(known.member)
 	t.stewards.drop(known.member)
 	t.noteChange()
 }
@@ -129,15 +129,15 @@
 	t.changedAt = t.clock.Monotonic()
 }
 
-// joinPast lists the former disks that either record of a member names, the newest last.
-func joinPast(former, latest Member) []string {
-	past := slices.Clone(latest.FormerDisks)
+// joinFormerDisks lists the former disks that either record of a member names, the newest last.
+func joinFormerDisks(former, latest Member) []string {
+	disks := slices.Clone(latest.FormerDisks)
 	for _, disk := range append(slices.Clone(former.FormerDisks), former.Disk) {
-		if disk != "" && disk != latest.Disk && !slices.Contains(past, disk) {
-			past = append(past, disk)
+		if disk != "" && disk != latest.Disk && !slices.Contains(disks, disk) {
+			disks = append(disks, disk)
 		}
 	}
-	return past[max(0, len(past)-mostPastDisks):]
+	return disks[max(0, len(disks)-maxFormerDisks):]
 }
 
 // refute answers a record of this process that says it is suspect, gone or of a later incarnation: by a later one yet.
@@ -147,13 +147,13 @@
 	if isOlder || isSame {
 		return
 	}
-	t.self.FormerDisks = joinPast(claim, t.self)
+	t.self.FormerDisks = joinFormerDisks(claim, t.self)
 	t.self.Incarnation = claim.Incarnation + 1
 	t.write(t.ownRecord, t.self)
-	t.Spread()
+	t.Broadcast()
 }
 
-func (t *Table) noteNews(name string) { t.newsToSend[name] = newsTimes }
+func (t *Table) scheduleUpdate(name string) { t.changesToSend[name] = updateRepeats }
 
 func (t *Table) suspect(name string) {
 	if known := t.records[name]; known.member.State == wire.StateAlive {
@@ -166,7 +166,7 @@
 	member.State = state
 	known.since = t.clock.Monotonic()
 	t.write(known, member)
-	t.noteNews(Name(member))
+	t.scheduleUpdate(Name(member))
 }
 
 // ageRecords gives up members that have been suspect for long, and drops those that have been gone for long.
@@ -198,7 +198,7 @@
 
 // each visits all records in the order of their names, this process's own included unless it is a local-proxy.
 func (t *Table) each(visit func(*record)) {
-	for _, member := range t.everyone.members {
+	for _, member := range t.members.members {
 		switch name := Name(member); {
 		case name != Name(t.self):
 			visit(t.records[name])
--- a/internal/cluster/membership/sums.go
+++ b/internal/cluster/membership/sums.go
@@ -15,16 +15,16 @@
 
 func (s *sums) toggle(bucket int, hash uint32) { s[bucket] ^= hash }
 
-func (s *sums) whole() uint32 {
-	var whole uint32
+func (s *sums) total() uint32 {
+	var total uint32
 	for _, sum := range s {
-		whole ^= sum
+		total ^= sum
 	}
-	return shown(whole)
+	return nonZero(total)
 }
 
-// shown is never 0, as that stands for a peer without sums.
-func shown(sum uint32) uint32 { return max(sum, 1) }
+// nonZero is never 0, as that stands for a peer without sums.
+func nonZero(sum uint32) uint32 { return max(sum, 1) }
 
 func bucketOf(name string) int {
 	sum := sha256.Sum256([]byte(name))
@@ -39,4 +39,4 @@
 	return binary.BigEndian.Uint32(sum[:])
 }
 
-func factHash(fact wire.KeyLeader) uint32 { return hashOf(fact.Key, fact.Epoch, 0) }
+func hashOfLeader(leader wire.KeyLeader) uint32 { return hashOf(leader.Key, leader.Epoch, 0) }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -1,6 +1,12 @@
-// Package membership is the failure detector of the system's processes: probes in turn, indirect probes, suspicion
-// before removal. The same datagrams carry news of members, leaders and configurations, and digests that show gaps.
-// Local-proxies are leaves: nobody lists or probes them, and they attach to a few stewards.
+// Package membership is the failure detector of the system's processes, in the manner of SWIM: members are probed in turn, directly
+// and then through others; one that does not answer is suspect, and gone after a while unless it refutes with a higher
+// incarnation. The same datagrams carry changed records, the leaders of keys and the version of the configuration, and digests
+// that show what a peer lacks, so that lists are compared in full only where they differ.
+//
+// Local-proxies are leaves: nobody lists or probes them, and each attaches to a few stewards.
+//
+// Table is the state, without goroutines and sockets. Node runs it on the machine's internal ports. View is what the rest of the
+// process reads.
 package membership
 
 import (
@@ -14,6 +20,10 @@
 // Member is what is known of one process: where it is, what it does and whether it lives.
 type Member = wire.Member
 
+// randomStream tells the table's random numbers apart from others that begin with the same seed.
+const randomStream = 7
+
+// The roles of processes that this package treats in a way of their own.
 const (
 	// RoleSteward is the role of the processes that may lead keys.
 	RoleSteward = "steward"
@@ -21,83 +31,97 @@
 	RoleLocalProxy = "local-proxy"
 )
 
-// Events are what the table asks of its owner: to send a datagram, to publish a new view, to fetch a configuration
-// that a peer holds already, and to compare lists with a peer whose list differs. They are called on the owner's
-// goroutine.
+// Events are what the table asks of its leader. They are called on the leader's goroutine.
 type Events struct {
-	Send      func(address string, datagram wire.Datagram)
-	Show      func(*View)
-	PlanAhead func(peer Member, version int64)
-	Differ    func(peer Member)
+	// Send sends a datagram.
+	Send func(address string, datagram wire.Datagram)
+	// Publish replaces the view.
+	Publish func(*View)
+	// ConfigurationAhead tells of a peer that holds a newer configuration.
+	ConfigurationAhead func(peer Member, version int64)
+	// ListsDiffer tells of a peer whose list should be compared with this one.
+	ListsDiffer func(peer Member)
 }
 
-// Table is the state of the failure detector. It has no goroutine of its own; its owner calls it.
+// Table is the state of the failure detector. It has no goroutine of its own; its leader calls it.
 type Table struct {
-	self   Member
 	clock  clock.Clock
 	timing Timing
 	events Events
-	draw   *rand.Rand
+	random *rand.Rand
+
+	memberList
+	leaderList
+	configurationNotice
+	prober
+	leafServer
+	leafClient
+	publication
+	// changesToSend counts how often the record of a member is still sent along.
+	changesToSend map[string]int
+
+	createdAt time.Duration
+	lastTick  time.Duration
+	// comparedAt is when this process last compared its list with a peer's.
+	comparedAt time.Duration
+	ticks      int
+}
 
-	ownRecord   *record
-	records     map[string]*record
-	unhealthy   map[string]*record
-	everyone    roster
-	stewards    roster
+// memberList holds the records of all members. The sorted lists and the sums are derived from the records, and change only
+// together with them, in write and forget.
+type memberList struct {
+	self      Member
+	ownRecord *record
+	// records are those of all other members that this table lists, by name; unhealthy are those that are not alive.
+	records   map[string]*record
+	unhealthy map[string]*record
+	members   sortedList
+	stewards  sortedList
+	// sums are of all members but local-proxies, stewardSums of stewards alone, for comparisons with local-proxies.
 	sums        sums
 	stewardSums sums
+	changedAt   time.Duration
+}
 
-	leaders        map[string]wire.KeyLeader
-	isLeadersShown bool
-	leaderSum      uint32
+// leaderList holds the leaders of keys, each under the highest epoch that was heard of.
+type leaderList struct {
+	// leaders is part of a published view while areLeadersPublished, and copied before the next change then.
+	leaders             map[string]wire.KeyLeader
+	areLeadersPublished bool
+	leaderSum           uint32
 	// recentLeaders counts the ticks for which the leader of a key is still sent along with each datagram.
 	recentLeaders map[string]int
+}
 
-	configurationVersion int64
+// configurationNotice is what others are told of the configuration.
+type configurationNotice struct {
+	configVersion int64
 	// versionRounds counts the ticks in which the configuration's version is still announced to others.
 	versionRounds int
+}
 
-	probeOrder []string
-	lastNumber uint64
-	probes     map[uint64]probe
-	relays     map[uint64]relay
-	// newsToSend counts how often the record of a member is still sent along.
-	newsToSend map[string]int
-
-	leaves   map[string]leaf
-	attached []Member
-	pingTurn int
-	// pingPause lies between two pings of a leaf while they are answered.
-	pingPause      time.Duration
-	pingedAt       time.Duration
-	isPingAnswered bool
-	isLonely       bool
-	// silentSince is when the first of the pings went out that nobody has answered yet.
-	silentSince time.Duration
-
-	createdAt time.Duration
-	lastTick  time.Duration
-	changedAt time.Duration
-	differAt  time.Duration
-	ticks     int
-
-	// isDirty is set while the published view is older than the table.
-	isDirty        bool
-	leaderMoved    chan struct{}
-	hasLeaderMoved bool
+// publication knows whether the published view is older than the table.
+type publication struct {
+	isDirty bool
+	// leaderMovedSignal is closed with the next view if a key has another leader in it.
+	leaderMovedSignal chan struct{}
+	hasLeaderMoved    bool
 }
 
 // NewTable makes a table that knows only its own process. The seed decides whom it probes when.
 func NewTable(self Member, clock clock.Clock, timing Timing, seed uint64, events Events) *Table {
 	now := clock.Monotonic()
 	table := &Table{
-		self: self, clock: clock, timing: timing, events: events, draw: rand.New(rand.NewPCG(seed, 7)),
-		ownRecord: &record{bucket: bucketOf(Name(self))}, records: map[string]*record{}, unhealthy: map[string]*record{},
-		leaders: map[string]wire.KeyLeader{}, recentLeaders: map[string]int{},
-		probes: map[uint64]probe{}, relays: map[uint64]relay{}, newsToSend: map[string]int{},
-		leaves: map[string]leaf{}, pingPause: timing.LeafPeriod, isPingAnswered: true,
-		createdAt: now, lastTick: now, differAt: now - 2*timing.Period - 1,
-		isDirty: true, leaderMoved: make(chan struct{}),
+		clock: clock, timing: timing, events: events, random: rand.New(rand.NewPCG(seed, randomStream)),
+		memberList: memberList{self: self, ownRecord: &record{bucket: bucketOf(Name(self))}, records: map[string]*record{},
+			unhealthy: map[string]*record{}},
+		leaderList:    leaderList{leaders: map[string]wire.KeyLeader{}, recentLeaders: map[string]int{}},
+		prober:        prober{probes: map[uint64]probe{}, relays: map[uint64]relay{}},
+		leafServer:    leafServer{leaves: map[string]leaf{}},
+		leafClient:    leafClient{pingPause: timing.LeafPeriod, isPingAnswered: true},
+		publication:   publication{isDirty: true, leaderMovedSignal: make(chan struct{})},
+		changesToSend: map[string]int{},
+		createdAt:     now, lastTick: now, comparedAt: now - 2*timing.Period - 1,
 	}
 	table.write(table.ownRecord, self)
 	return table
@@ -123,7 +147,7 @@
 	} else {
 		t.tickMember(now)
 	}
-	t.Settle()
+	t.PublishIfChanged()
 }
 
 // tickMember is the work of a tick for all processes but local-proxies.
@@ -132,10 +156,10 @@
 	t.ageRecords(now)
 	if t.versionRounds > 0 {
 		t.versionRounds--
-		t.spreadVersion()
+		t.announceVersion()
 	}
 	if t.ageLeaders() {
-		t.Spread()
+		t.Broadcast()
 	}
 	if t.ticks%probeTicks == 0 {
 		t.probeNext(now)
@@ -159,22 +183,22 @@
 	t.silentSince = now
 }
 
-// Settle publishes a view if anything has changed since the last one.
-func (t *Table) Settle() {
+// PublishIfChanged publishes a view if anything has changed since the last one.
+func (t *Table) PublishIfChanged() {
 	if !t.isDirty {
 		return
 	}
 	t.isDirty = false
-	if isLeaf(t.self) && !t.stewards.isShown {
+	if isLeaf(t.self) && !t.stewards.isPublished {
 		t.attach()
 	}
-	formerMoved := t.leaderMoved
+	formerMoved := t.leaderMovedSignal
 	if t.hasLeaderMoved {
-		t.leaderMoved = make(chan struct{})
+		t.leaderMovedSignal = make(chan struct{})
 	}
-	t.isLeadersShown = true
-	t.events.Show(&View{Self: t.self, Members: t.everyone.show(), Stewards: t.stewards.show(), Owners: t.leaders,
-		IsLonely: t.isLonely, Moved: t.leaderMoved})
+	t.areLeadersPublished = true
+	t.events.Publish(&View{Self: t.self, Members: t.members.publish(), Stewards: t.stewards.publish(), Leaders: t.leaders,
+		IsIsolated: t.isIsolated, LeaderMoved: t.leaderMovedSignal})
 	if t.hasLeaderMoved {
 		t.hasLeaderMoved = false
 		close(formerMoved)
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -12,29 +12,29 @@
 	Self     Member
 	Members  []Member
 	Stewards []Member
-	Owners   map[string]wire.KeyLeader
-	// IsLonely is set at a local-proxy that no steward has answered for some time.
-	IsLonely bool
-	// Moved is closed once any key has another leader than this view says.
-	Moved chan struct{}
+	Leaders  map[string]wire.KeyLeader
+	// IsIsolated is set at a local-proxy that no steward has answered for some time.
+	IsIsolated bool
+	// LeaderMoved is closed once any key has another leader than this view says.
+	LeaderMoved chan struct{}
 }
 
 // Steward finds a steward by its node's name.
 func (v *View) Steward(name string) (Member, bool) {
-	place, isThere := slices.BinarySearchFunc(v.Stewards, Member{Name: name, Role: RoleSteward}, byName)
-	if !isThere {
+	index, exists := slices.BinarySearchFunc(v.Stewards, Member{Name: name, Role: RoleSteward}, byName)
+	if !exists {
 		return Member{}, false
 	}
-	return v.Stewards[place], true
+	return v.Stewards[index], true
 }
 
-// StewardOf finds the steward that keeps a disk, a lasting or a makeshift one.
+// StewardOf finds the steward that keeps a disk, a lasting or a temporary one.
 func (v *View) StewardOf(disk string) (Member, bool) {
-	place := slices.IndexFunc(v.Stewards, func(steward Member) bool { return steward.Disk == disk || steward.TemporaryDisk == disk })
-	if place < 0 || disk == "" {
+	index := slices.IndexFunc(v.Stewards, func(steward Member) bool { return steward.Disk == disk || steward.TemporaryDisk == disk })
+	if index < 0 || disk == "" {
 		return Member{}, false
 	}
-	return v.Stewards[place], true
+	return v.Stewards[index], true
 }
 
 // SeesSteward tells whether any steward that may lead keys, except this process, is thought alive.
--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -43,7 +43,7 @@
 func (c easyCodec) Marshal(message any) ([]byte, error) {
 	value, isMessage := message.(easyjson.Marshaler)
 	if !isMessage {
-		return nil, errors.Errorf("%T is not a sibling message", message)
+		return nil, errors.Errorf("%T is not a message between peers", message)
 	}
 	text, err := easyjson.Marshal(value)
 	c.sent.Add(len(text))
@@ -54,7 +54,7 @@
 func (c easyCodec) Unmarshal(text []byte, message any) error {
 	value, isMessage := message.(easyjson.Unmarshaler)
 	if !isMessage {
-		return errors.Errorf("%T is not a sibling message", message)
+		return errors.Errorf("%T is not a message between peers", message)
 	}
 	c.received.Add(len(text))
 	return easyjson.Unmarshal(bytes.Clone(text), value)
@@ -103,7 +103,7 @@
 	}
 	if err != nil {
 		callErrors.With(name, sideMade).Inc()
-		return nil, errors.Annotatef(err, "%s at sibling %s", name, address)
+		return nil, errors.Annotatef(err, "%s at peer %s", name, address)
 	}
 	return answer.Msg, nil
 }
--- a/internal/cluster/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -24,13 +24,13 @@
 	return server.Listener.Addr().String()
 }
 
-var _ = Describe("an answer of a sibling", func() {
+var _ = Describe("an answer of a peer", func() {
 	ask := func(address string) (*wire.ClientAnswer, error) {
 		return peerapi.Call[wire.ClientCall, wire.ClientAnswer](peerapi.NewCaller(http.DefaultClient), context.Background(), address,
 			peerapi.ProcedureClient, 5*time.Second, &wire.ClientCall{})
 	}
 
-	It("without a status is an error that names the step and the sibling, and may have been carried out", func() {
+	It("without a status is an error that names the step and the peer, and may have been carried out", func() {
 		address := answering(&wire.ClientAnswer{})
 		_, err := ask(address)
 		Expect(err).To(MatchError(And(ContainSubstring("Client"), ContainSubstring(address), ContainSubstring("without a status"))))
@@ -62,7 +62,7 @@
 		address = server.Listener.Addr().String()
 	})
 
-	It("ends once nothing came for the patience, with the step, the sibling and the cause", func() {
+	It("ends once nothing came for the patience, with the step, the peer and the cause", func() {
 		DeferCleanup(func() { close(parts) })
 		over := make(chan error)
 		go func() {
--- a/internal/cluster/peerapi/dial.go
+++ b/internal/cluster/peerapi/dial.go
@@ -25,18 +25,18 @@
 }
 
 // Dialer gives up a connection whose other side has acknowledged nothing for the time of silence.
-func Dialer(silence time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: silence, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+func Dialer(timeout time.Duration) *net.Dialer {
+	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence/time.Millisecond))
+			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
 		})
 	}}
 }
 
 // Client makes an HTTP client that gives up a connection whose other side has acknowledged nothing for the time of
 // silence. It keeps so many idle connections to each peer, for 30 s, and follows no redirects.
-func Client(silence time.Duration, idlePerHost int) *http.Client {
-	dialer := Dialer(silence)
+func Client(timeout time.Duration, idlePerHost int) *http.Client {
+	dialer := Dialer(timeout)
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/cluster/peerapi/metrics.go
+++ b/internal/cluster/peerapi/metrics.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	calls         = metrics.NewCounters("gannetline_sibling_calls_total", "procedure", "side")
-	callErrors    = metrics.NewCounters("gannetline_sibling_call_errors_total", "procedure", "side")
-	sentBytes     = metrics.NewCounters("gannetline_sibling_sent_bytes_total", "procedure", "side")
-	receivedBytes = metrics.NewCounters("gannetline_sibling_received_bytes_total", "procedure", "side")
+	calls         = metrics.NewCounters("gannetline_peer_calls_total", "procedure", "side")
+	callErrors    = metrics.NewCounters("gannetline_peer_call_errors_total", "procedure", "side")
+	sentBytes     = metrics.NewCounters("gannetline_peer_sent_bytes_total", "procedure", "side")
+	receivedBytes = metrics.NewCounters("gannetline_peer_received_bytes_total", "procedure", "side")
 )
--- a/internal/cluster/peerapi/metrics_test.go
+++ b/internal/cluster/peerapi/metrics_test.go
@@ -15,7 +15,7 @@
 	"gannetline/internal/platform/metrics"
 )
 
-var _ = Describe("calls between siblings", func() {
+var _ = Describe("calls between peers", func() {
 	It("are counted on both sides, with their bytes and their errors", func() {
 		mux := http.NewServeMux()
 		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
@@ -27,9 +27,9 @@
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		caller := peerapi.NewCaller(http.DefaultClient)
-		ask := func(held int64) error {
+		ask := func(body int64) error {
 			_, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(),
-				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{HeldVersion: held})
+				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{HeldVersion: body})
 			return err
 		}
 		Expect(ask(1)).To(Succeed())
@@ -37,12 +37,12 @@
 		own := metrics.Own()
 		for _, side := range []string{"made", "served"} {
 			labels := `{procedure="Plan",side="` + side + `"}`
-			Expect(own).To(HaveKeyWithValue("gannetline_sibling_calls_total"+labels, 2.0))
-			Expect(own).To(HaveKeyWithValue("gannetline_sibling_call_errors_total"+labels, 1.0))
+			Expect(own).To(HaveKeyWithValue("gannetline_peer_calls_total"+labels, 2.0))
+			Expect(own).To(HaveKeyWithValue("gannetline_peer_call_errors_total"+labels, 1.0))
 		}
-		Expect(own).To(HaveKeyWithValue(`gannetline_sibling_sent_bytes_total{procedure="Plan",side="made"}`, float64(2*len(`{"held":1}`))))
-		Expect(own).To(HaveKeyWithValue(`gannetline_sibling_received_bytes_total{procedure="Plan",side="served"}`, float64(2*len(`{"held":1}`))))
-		Expect(own).To(HaveKeyWithValue(`gannetline_sibling_sent_bytes_total{procedure="Plan",side="served"}`, float64(len(`{}`))))
-		Expect(own).To(HaveKeyWithValue(`gannetline_sibling_received_bytes_total{procedure="Plan",side="made"}`, float64(len(`{}`))))
+		Expect(own).To(HaveKeyWithValue(`gannetline_peer_sent_bytes_total{procedure="Plan",side="made"}`, float64(2*len(`{"held":1}`))))
+		Expect(own).To(HaveKeyWithValue(`gannetline_peer_received_bytes_total{procedure="Plan",side="served"}`, float64(2*len(`{"held":1}`))))
+		Expect(own).To(HaveKeyWithValue(`gannetline_peer_sent_bytes_total{procedure="Plan",side="served"}`, float64(len(`{}`))))
+		Expect(own).To(HaveKeyWithValue(`gannetline_peer_received_bytes_total{procedure="Plan",side="made"}`, float64(len(`{}`))))
 	})
 })
--- a/internal/cluster/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -14,8 +14,8 @@
 // ErrStalled is the cause of a call that was given up because nothing came for too long.
 const ErrStalled = errors.ConstError("no byte of the answer came in time")
 
-// mostMoving bounds a call that keeps moving, so that a peer which sends a byte now and then can't hold it forever.
-const mostMoving = 30 * time.Second
+// maxMovingCall bounds a call that keeps moving, so that a peer which sends a byte now and then can't hold it forever.
+const maxMovingCall = 30 * time.Second
 
 // movingClient reports each part of an answer that arrives.
 type movingClient struct {
@@ -65,7 +65,7 @@
 		answer *Answer
 		err    error
 	}
-	ctx, release := context.WithTimeout(ctx, mostMoving)
+	ctx, release := context.WithTimeout(ctx, maxMovingCall)
 	defer release()
 	moving := movingClient{caller.client, make(chan struct{}, 1)}
 	outcomes := make(chan outcome, 1)
@@ -82,7 +82,7 @@
 			stall = clock.After(patience)
 		case <-stall:
 			callErrors.With(procedure[len(Prefix):], sideMade).Inc()
-			return nil, errors.Annotatef(ErrStalled, "%s at sibling %s", procedure[len(Prefix):], address)
+			return nil, errors.Annotatef(ErrStalled, "%s at peer %s", procedure[len(Prefix):], address)
 		}
 	}
 }
--- a/internal/cluster/peerapi/wire/beliefs_easyjson.go
+++ b/internal/cluster/peerapi/wire/beliefs_easyjson.go
@@ -50,9 +50,17 @@
 				out.Epoch = uint64(in.Uint64())
 			}
 		case "last":
-			easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire1(in, &out.Last)
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Last).UnmarshalEasyJSON(in)
+			}
 		case "set":
-			easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire2(in, &out.Voters)
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Voters).UnmarshalEasyJSON(in)
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -85,12 +93,12 @@
 	{
 		const prefix string = ",\"last\":"
 		out.RawString(prefix)
-		easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire1(out, in.Last)
+		(in.Last).MarshalEasyJSON(out)
 	}
 	{
 		const prefix string = ",\"set\":"
 		out.RawString(prefix)
-		easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire2(out, in.Voters)
+		(in.Voters).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
@@ -118,177 +126,7 @@
 func (v *KeyBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire(l, v)
 }
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire2(in *jlexer.Lexer, out *VoterSet) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "old":
-			if in.IsNull() {
-				in.Skip()
-				out.Old = nil
-			} else {
-				in.Delim('[')
-				if out.Old == nil {
-					if !in.IsDelim(']') {
-						out.Old = make([]string, 0, 4)
-					} else {
-						out.Old = []string{}
-					}
-				} else {
-					out.Old = (out.Old)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v1 = string(in.String())
-					}
-					out.Old = append(out.Old, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "now":
-			if in.IsNull() {
-				in.Skip()
-				out.Current = nil
-			} else {
-				in.Delim('[')
-				if out.Current == nil {
-					if !in.IsDelim(']') {
-						out.Current = make([]string, 0, 4)
-					} else {
-						out.Current = []string{}
-					}
-				} else {
-					out.Current = (out.Current)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v2 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v2 = string(in.String())
-					}
-					out.Current = append(out.Current, v2)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire2(out *jwriter.Writer, in VoterSet) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	if len(in.Old) != 0 {
-		const prefix string = ",\"old\":"
-		first = false
-		out.RawString(prefix[1:])
-		{
-			out.RawByte('[')
-			for v3, v4 := range in.Old {
-				if v3 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v4))
-			}
-			out.RawByte(']')
-		}
-	}
-	if len(in.Current) != 0 {
-		const prefix string = ",\"now\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		{
-			out.RawByte('[')
-			for v5, v6 := range in.Current {
-				if v5 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v6))
-			}
-			out.RawByte(']')
-		}
-	}
-	out.RawByte('}')
-}
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire1(in *jlexer.Lexer, out *LogPosition) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "e":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Epoch = uint64(in.Uint64())
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Index = uint64(in.Uint64())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire1(out *jwriter.Writer, in LogPosition) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"e\":"
-		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Epoch))
-	}
-	{
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Index))
-	}
-	out.RawByte('}')
-}
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire3(in *jlexer.Lexer, out *JobBelief) {
+func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire1(in *jlexer.Lexer, out *JobBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -330,7 +168,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire3(out *jwriter.Writer, in JobBelief) {
+func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire1(out *jwriter.Writer, in JobBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -355,27 +193,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v JobBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire3(&w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v JobBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire3(w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *JobBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire3(&r, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *JobBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire3(l, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire1(l, v)
 }
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire4(in *jlexer.Lexer, out *ExecutorBelief) {
+func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire2(in *jlexer.Lexer, out *ExecutorBelief) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -423,7 +261,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire4(out *jwriter.Writer, in ExecutorBelief) {
+func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire2(out *jwriter.Writer, in ExecutorBelief) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -453,27 +291,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v ExecutorBelief) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire4(&w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v ExecutorBelief) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire4(w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *ExecutorBelief) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire4(&r, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *ExecutorBelief) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire4(l, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire2(l, v)
 }
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire5(in *jlexer.Lexer, out *BeliefsCall) {
+func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire3(in *jlexer.Lexer, out *BeliefsCall) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -497,7 +335,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire5(out *jwriter.Writer, in BeliefsCall) {
+func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire3(out *jwriter.Writer, in BeliefsCall) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -507,27 +345,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsCall) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire5(&w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsCall) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire5(w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire5(&r, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsCall) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire5(l, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire3(l, v)
 }
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire6(in *jlexer.Lexer, out *BeliefsAnswer) {
+func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire4(in *jlexer.Lexer, out *BeliefsAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -575,9 +413,13 @@
 					out.Members = (out.Members)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v7 Member
-					easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire7(in, &v7)
-					out.Members = append(out.Members, v7)
+					var v1 Member
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v1).UnmarshalEasyJSON(in)
+					}
+					out.Members = append(out.Members, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -598,9 +440,13 @@
 					out.Leaders = (out.Leaders)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v8 KeyLeader
-					easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire8(in, &v8)
-					out.Leaders = append(out.Leaders, v8)
+					var v2 KeyLeader
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v2).UnmarshalEasyJSON(in)
+					}
+					out.Leaders = append(out.Leaders, v2)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -621,13 +467,13 @@
 					out.Keys = (out.Keys)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v9 KeyBelief
+					var v3 KeyBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v9).UnmarshalEasyJSON(in)
+						(v3).UnmarshalEasyJSON(in)
 					}
-					out.Keys = append(out.Keys, v9)
+					out.Keys = append(out.Keys, v3)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -648,13 +494,13 @@
 					out.Jobs = (out.Jobs)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 JobBelief
+					var v4 JobBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v10).UnmarshalEasyJSON(in)
+						(v4).UnmarshalEasyJSON(in)
 					}
-					out.Jobs = append(out.Jobs, v10)
+					out.Jobs = append(out.Jobs, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -675,13 +521,13 @@
 					out.Executors = (out.Executors)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v11 ExecutorBelief
+					var v5 ExecutorBelief
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v11).UnmarshalEasyJSON(in)
+						(v5).UnmarshalEasyJSON(in)
 					}
-					out.Executors = append(out.Executors, v11)
+					out.Executors = append(out.Executors, v5)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -696,7 +542,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire6(out *jwriter.Writer, in BeliefsAnswer) {
+func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire4(out *jwriter.Writer, in BeliefsAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -722,11 +568,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v12, v13 := range in.Members {
-				if v12 > 0 {
+			for v6, v7 := range in.Members {
+				if v6 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire7(out, v13)
+				(v7).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -738,11 +584,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v14, v15 := range in.Leaders {
-				if v14 > 0 {
+			for v8, v9 := range in.Leaders {
+				if v8 > 0 {
 					out.RawByte(',')
 				}
-				easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire8(out, v15)
+				(v9).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -754,11 +600,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v16, v17 := range in.Keys {
-				if v16 > 0 {
+			for v10, v11 := range in.Keys {
+				if v10 > 0 {
 					out.RawByte(',')
 				}
-				(v17).MarshalEasyJSON(out)
+				(v11).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -770,11 +616,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v18, v19 := range in.Jobs {
-				if v18 > 0 {
+			for v12, v13 := range in.Jobs {
+				if v12 > 0 {
 					out.RawByte(',')
 				}
-				(v19).MarshalEasyJSON(out)
+				(v13).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -786,11 +632,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v20, v21 := range in.Executors {
-				if v20 > 0 {
+			for v14, v15 := range in.Executors {
+				if v14 > 0 {
 					out.RawByte(',')
 				}
-				(v21).MarshalEasyJSON(out)
+				(v15).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -801,256 +647,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v BeliefsAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire6(&w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v BeliefsAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire6(w, v)
+	easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire6(&r, v)
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *BeliefsAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire6(l, v)
-}
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire8(in *jlexer.Lexer, out *KeyLeader) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Key = string(in.String())
-			}
-		case "e":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Epoch = uint64(in.Uint64())
-			}
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire8(out *jwriter.Writer, in KeyLeader) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"k\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
-	{
-		const prefix string = ",\"e\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Epoch))
-	}
-	{
-		const prefix string = ",\"n\":"
-		out.RawString(prefix)
-		out.String(string(in.Name))
-	}
-	out.RawByte('}')
-}
-func easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire7(in *jlexer.Lexer, out *Member) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		case "r":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Role = string(in.String())
-			}
-		case "d":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Domain = string(in.String())
-			}
-		case "a":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Address = string(in.String())
-			}
-		case "c":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Control = string(in.String())
-			}
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Disk = string(in.String())
-			}
-		case "i":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Incarnation = uint64(in.Uint64())
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.State = int(in.Int())
-			}
-		case "x":
-			if in.IsNull() {
-				in.Skip()
-				out.FormerDisks = nil
-			} else {
-				in.Delim('[')
-				if out.FormerDisks == nil {
-					if !in.IsDelim(']') {
-						out.FormerDisks = make([]string, 0, 4)
-					} else {
-						out.FormerDisks = []string{}
-					}
-				} else {
-					out.FormerDisks = (out.FormerDisks)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v22 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v22 = string(in.String())
-					}
-					out.FormerDisks = append(out.FormerDisks, v22)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "m":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.TemporaryDisk = string(in.String())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson6b3e414cEncodeGannetlineInternalClusterPeerapiWire7(out *jwriter.Writer, in Member) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"n\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Name))
-	}
-	{
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		out.String(string(in.Role))
-	}
-	{
-		const prefix string = ",\"d\":"
-		out.RawString(prefix)
-		out.String(string(in.Domain))
-	}
-	{
-		const prefix string = ",\"a\":"
-		out.RawString(prefix)
-		out.String(string(in.Address))
-	}
-	if in.Control != "" {
-		const prefix string = ",\"c\":"
-		out.RawString(prefix)
-		out.String(string(in.Control))
-	}
-	if in.Disk != "" {
-		const prefix string = ",\"k\":"
-		out.RawString(prefix)
-		out.String(string(in.Disk))
-	}
-	{
-		const prefix string = ",\"i\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Incarnation))
-	}
-	if in.State != 0 {
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		out.Int(int(in.State))
-	}
-	if len(in.FormerDisks) != 0 {
-		const prefix string = ",\"x\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v23, v24 := range in.FormerDisks {
-				if v23 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v24))
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.TemporaryDisk != "" {
-		const prefix string = ",\"m\":"
-		out.RawString(prefix)
-		out.String(string(in.TemporaryDisk))
-	}
-	out.RawByte('}')
+	easyjson6b3e414cDecodeGannetlineInternalClusterPeerapiWire4(l, v)
 }
--- a/internal/cluster/peerapi/wire/replication.go
+++ b/internal/cluster/peerapi/wire/replication.go
@@ -35,7 +35,7 @@
 	Voters   *VoterSet   `json:"set,omitempty"`
 }
 
-// Snapshot is the whole state of a key at a position.
+// Snapshot is the snapshot of a key at a position.
 type Snapshot struct {
 	Last   LogPosition `json:"last"`
 	Voters VoterSet    `json:"set"`
@@ -104,7 +104,7 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// FetchCall asks for the changes after From, or for the whole state if they are no longer there or From is not named.
+// FetchCall asks for the changes after From, or for the snapshot if they are no longer there or From is not named.
 type FetchCall struct {
 	Key  string       `json:"key"`
 	From *LogPosition `json:"from,omitempty"`
@@ -114,13 +114,13 @@
 	Number  int  `json:"number,omitempty"`
 }
 
-// FetchAnswer holds the changes after the position asked for, or else the whole state. Found is false if the disk
+// FetchAnswer holds the changes after the position asked for, or else the snapshot. Found is false if the disk
 // has no replica of the key.
 type FetchAnswer struct {
-	Found    bool     `json:"found,omitempty"`
-	Snapshot Snapshot `json:"snapshot"`
-	Changes  []Change `json:"changes,omitempty"`
-	Disk     string   `json:"disk"`
+	HasReplica bool     `json:"found,omitempty"`
+	Snapshot   Snapshot `json:"snapshot"`
+	Changes    []Change `json:"changes,omitempty"`
+	Disk       string   `json:"disk"`
 	// Chunk is the part of the snapshot that was asked for; Snapshot is empty then.
 	Chunk *SnapshotChunk `json:"chunk,omitempty"`
 }
--- a/internal/cluster/peerapi/wire/replication_easyjson.go
+++ b/internal/cluster/peerapi/wire/replication_easyjson.go
@@ -1045,7 +1045,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Found = bool(in.Bool())
+				out.HasReplica = bool(in.Bool())
 			}
 		case "snapshot":
 			if in.IsNull() {
@@ -1114,11 +1114,11 @@
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Found {
+	if in.HasReplica {
 		const prefix string = ",\"found\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Bool(bool(in.Found))
+		out.Bool(bool(in.HasReplica))
 	}
 	{
 		const prefix string = ",\"snapshot\":"
--- a/internal/control/configleader/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -18,13 +18,13 @@
 
 // operated is a leader, its disk, and calls to it.
 type operated struct {
-	tenure *scriptedLeadership
-	kept   map[string][]byte
-	leader *configleader.Leader
+	leadership *scriptedLeadership
+	kept       map[string][]byte
+	leader     *configleader.Leader
 }
 
 func newOperated() *operated {
-	o := &operated{tenure: &scriptedLeadership{hasLease: true}, kept: map[string][]byte{}}
+	o := &operated{leadership: &scriptedLeadership{hasLease: true}, kept: map[string][]byte{}}
 	o.takeOver()
 	return o
 }
@@ -32,7 +32,7 @@
 // takeOver is a new leader of what is on disk.
 func (o *operated) takeOver() {
 	o.leader = configleader.New(logging.Silent(), func(*wire.Configuration) {})
-	Expect(o.leader.Open(o.tenure, pairsOf(o.kept))).To(Succeed())
+	Expect(o.leader.Open(o.leadership, pairsOf(o.kept))).To(Succeed())
 }
 
 // send calls without waiting for commits.
@@ -44,7 +44,7 @@
 
 func (o *operated) replace(base int64, body []byte) int {
 	response := o.send(base, body)
-	o.tenure.commitInto(o.kept)
+	o.leadership.commitInto(o.kept)
 	return response.Status
 }
 
@@ -74,10 +74,10 @@
 		o := newOperated()
 		o.grow(300)
 		o.send(300, plan(301, "s"))
-		Expect(o.tenure.ops).To(HaveLen(2))
-		GinkgoWriter.Printf("the record of a confirmed version takes %d bytes with its name\n", len(o.tenure.ops[1].Name)+len(o.tenure.ops[1].Value))
-		Expect(len(o.tenure.ops[1].Value)).To(BeNumerically("<", 120))
-		Expect(len(o.tenure.ops[0].Value)).To(BeNumerically("<", 400))
+		Expect(o.leadership.ops).To(HaveLen(2))
+		GinkgoWriter.Printf("the record of a confirmed version takes %d bytes with its name\n", len(o.leadership.ops[1].Name)+len(o.leadership.ops[1].Value))
+		Expect(len(o.leadership.ops[1].Value)).To(BeNumerically("<", 120))
+		Expect(len(o.leadership.ops[0].Value)).To(BeNumerically("<", 400))
 	})
 
 	It("are bounded: the oldest go, and what is sent of them again gets no clear answer", func() {
@@ -113,7 +113,7 @@
 
 	It("that can't be read are an error that names the record", func() {
 		o := newOperated()
-		Expect(o.leader.Open(o.tenure, []wire.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
+		Expect(o.leader.Open(o.leadership, []wire.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
 	})
 })
 
@@ -125,7 +125,7 @@
 		for number := range 8 {
 			response = append(response, o.send(3, plan(4+number%4, fmt.Sprintf("s%d", number%4))))
 		}
-		o.tenure.commitInto(o.kept)
+		o.leadership.commitInto(o.kept)
 		var statuses []int
 		for _, answer := range response {
 			statuses = append(statuses, answer.Status)
@@ -139,7 +139,7 @@
 		for number := range 8 {
 			response = append(response, o.send(int64(number), plan(number+1, "s")))
 		}
-		o.tenure.commitInto(o.kept)
+		o.leadership.commitInto(o.kept)
 		for _, answer := range response {
 			Expect(answer.Status).To(Equal(200))
 		}
@@ -158,7 +158,7 @@
 			})
 		}
 		Expect(answers).To(Equal(40 - 33))
-		lost := o.tenure.pending
+		lost := o.leadership.pending
 		o.leader.Close()
 		for _, done := range lost {
 			done(errors.New("lost"))
@@ -179,13 +179,13 @@
 			o.send(400, order)
 		}
 		if isStored {
-			for _, op := range o.tenure.ops {
+			for _, op := range o.leadership.ops {
 				o.kept[op.Name] = op.Value
 			}
 		}
-		lost := o.tenure.pending
+		lost := o.leadership.pending
 		o.leader.Close()
-		o.tenure.pending = nil
+		o.leadership.pending = nil
 		lost[0](errors.New("lost"))
 		Expect(*first).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
 		o.takeOver()
@@ -210,9 +210,9 @@
 	It("that settle after the key was taken over again change nothing there", func() {
 		o := newOperated()
 		response := o.send(0, plan(1, "s"))
-		late := o.tenure.pending
-		o.tenure = &scriptedLeadership{hasLease: true}
-		Expect(o.leader.Open(o.tenure, nil)).To(Succeed())
+		late := o.leadership.pending
+		o.leadership = &scriptedLeadership{hasLease: true}
+		Expect(o.leader.Open(o.leadership, nil)).To(Succeed())
 		late[0](nil)
 		Expect(*response).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
 		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
--- a/internal/control/configleader/moved.go
+++ b/internal/control/configleader/moved.go
@@ -22,7 +22,7 @@
 	for position, route := range moved {
 		positions[route.Route] = position
 	}
-	for _, route := range next.Entries {
+	for _, route := range next.Routes {
 		formerRoute := former.ByName(route.Name)
 		if formerRoute == nil || formerRoute.Service == route.Service {
 			continue
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -49,15 +49,15 @@
 	case err != nil:
 		return nil, response.Text(http.StatusBadRequest, "the body ended early")
 	case len(body) > maxConfigurationBytes:
-		return nil, response.Text(http.StatusRequestEntityTooLarge, "the plan is too large")
+		return nil, response.Text(http.StatusRequestEntityTooLarge, "the configuration is too large")
 	case !json.Valid(body):
-		return nil, response.Text(http.StatusBadRequest, "the plan can't be read whole: no whole JSON")
+		return nil, response.Text(http.StatusBadRequest, "the configuration can't be read: it is not JSON")
 	}
 	return &wire.ClientCall{Key: configleader.Key, Verb: wire.VerbReplace, Base: base, Body: body}, response.Reply{}
 }
 
 // Handler asks the leader of the configuration's key, wherever it is.
-func Handler(asker *leaderclient.Asker) http.Handler {
+func Handler(asker *leaderclient.Client) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		call, refusal := Decode(request)
 		if call == nil {
@@ -75,8 +75,8 @@
 	answer := outcome.Answer
 	switch {
 	case answer == nil:
-		return response.Later(http.StatusServiceUnavailable, 1, "the plan's owner does not answer")
-	case answer.Status == http.StatusPreconditionFailed && outcome.MaySee && call.Base >= answer.Current:
+		return response.Later(http.StatusServiceUnavailable, 1, "the configuration's leader does not answer")
+	case answer.Status == http.StatusPreconditionFailed && outcome.MayHaveRun && call.Base >= answer.Current:
 		return response.Later(http.StatusServiceUnavailable, 1, "an earlier try may have been taken")
 	case answer.Reason != "":
 		return response.Later(answer.Status, answer.RetryAfterS, answer.Reason)
--- a/internal/control/controlapi/controlapi_test.go
+++ b/internal/control/controlapi/controlapi_test.go
@@ -13,17 +13,17 @@
 
 var _ = Describe("an operator's call", func() {
 	It("becomes a command", func() {
-		one := httptest.NewRequest("POST", "/v1/configuration/replace", strings.NewReader(`{"config-version":1}`))
-		one.Header.Set("X-Base-Version", "5")
-		call, _ := controlapi.Decode(one)
+		request := httptest.NewRequest("POST", "/v1/configuration/replace", strings.NewReader(`{"config-version":1}`))
+		request.Header.Set("X-Base-Version", "5")
+		call, _ := controlapi.Decode(request)
 		Expect(call.Verb).To(Equal(wire.VerbReplace))
 		Expect(call.Base).To(Equal(int64(5)))
 	})
 
 	DescribeTable("is refused", func(method, path, base, body string, status int) {
-		one := httptest.NewRequest(method, path, strings.NewReader(body))
-		one.Header.Set("X-Base-Version", base)
-		call, refusal := controlapi.Decode(one)
+		request := httptest.NewRequest(method, path, strings.NewReader(body))
+		request.Header.Set("X-Base-Version", base)
+		call, refusal := controlapi.Decode(request)
 		Expect(call).To(BeNil())
 		Expect(refusal.Status).To(Equal(status))
 	},
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -113,11 +113,11 @@
 	if m.hasConfigurationReplica || len(m.initialVoters) > 0 {
 		m.startKey(configleader.Key, m.initialVoters)
 	}
-	snapshot := m.Configurations.Page()
+	snapshot := m.Configurations.Current()
 	if snapshot == nil {
 		return
 	}
-	for _, pool := range snapshot.Fact.InitialVoters {
+	for _, pool := range snapshot.Committed.InitialVoters {
 		m.startKey(poolPrefix+pool.Service, pool.Voters)
 	}
 }
--- a/internal/control/controlkeys/serve.go
+++ b/internal/control/controlkeys/serve.go
@@ -94,7 +94,7 @@
 
 // otherLeader is the name of the leader as the members know it, or empty if that is this process, which does not lead.
 func (m *Manager) otherLeader(key string) string {
-	if leader := m.Node.View().Owners[key].Name; leader != m.Name {
+	if leader := m.Node.View().Leaders[key].Name; leader != m.Name {
 		return leader
 	}
 	return ""
