--- a/internal/control/poolhost/poolhost_test.go
+++ b/internal/control/poolhost/poolhost_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("a pool on a slow processor", func() {
 	It("is taken over once, and knows all executors a few seconds later, at 1,000 of them", func() {
 		s := newSteward(costs{record: 500 * time.Microsecond, exchange: time.Millisecond}, jobs(4000))
-		took := s.settled(crowdOf(s, 1000), 30*time.Second)
+		took := s.settled(jobsOf(s, 1000), 30*time.Second)
 		AddReportEntry("all known after", took.String())
 		Expect(s.gaps).To(BeZero(), "times that the voters would have promised another")
 		Expect(s.openings).To(Equal(1))
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -29,16 +29,16 @@
 
 // steward is a candidate with its pool on a slow processor, beside scripted voters that grant all they may.
 type steward struct {
-	clock     *clock.Fake
-	events    []event
-	engineBox *mailbox.Mailbox
-	engine    *replication.Engine
-	host      *poolhost.Host
-	pool      *scheduler.Pool
-	costs     costs
-	state     wire.Snapshot
-	voters    map[string]*voter
-	openings  int
+	clock         *clock.Fake
+	events        []event
+	engineMailbox *mailbox.Mailbox
+	engine        *replication.Engine
+	host          *poolhost.Host
+	pool          *scheduler.Pool
+	costs         costs
+	state         wire.Snapshot
+	voters        map[string]*voter
+	openings      int
 	// busyUntil is when the pool's goroutine is free again.
 	busyUntil time.Duration
 	// gaps counts the times that a majority of the voters would have promised another candidate.
@@ -59,7 +59,7 @@
 }
 
 func newSteward(costs costs, pairs []wire.Op) *steward {
-	s := &steward{clock: clock.NewFake(1_000_000), engineBox: mailbox.New(1024), costs: costs, voters: map[string]*voter{}}
+	s := &steward{clock: clock.NewFake(1_000_000), engineMailbox: mailbox.New(1024), costs: costs, voters: map[string]*voter{}}
 	base := wire.LogPosition{Epoch: 1, Index: 100}
 	set := wire.VoterSet{Current: []string{"a", "b", "c", "d", "e"}}
 	s.state = wire.Snapshot{Last: base, Voters: set, Pairs: pairs}
@@ -70,7 +70,7 @@
 		Resend: 200 * time.Millisecond, ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: time.Minute, Headroom: scheduler.DefaultHeadroom},
 		logging.Silent())
-	s.host = poolhost.New(&slowPool{s.pool, s}, s.engineBox)
+	s.host = poolhost.New(&slowPool{s.pool, s}, s.engineMailbox)
 	s.engine = replication.NewEngine(key, "a", "one", s.clock, &links{s}, s.host, s.members, replication.WithMachineLosses(2))
 	return s
 }
@@ -128,7 +128,7 @@
 	if now%tickEvery == 0 {
 		s.engine.Tick()
 	}
-	s.engineBox.Drain()
+	s.engineMailbox.Drain()
 	s.host.Flush()
 }
 
@@ -175,7 +175,7 @@
 // links are those of the steward's engine to the scripted voters.
 type links struct{ s *steward }
 
-func (l *links) back(run func()) { l.s.after(transit, func() { l.s.engineBox.Post(run) }) }
+func (l *links) back(run func()) { l.s.after(transit, func() { l.s.engineMailbox.Post(run) }) }
 
 func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	l.s.after(transit, func() {
@@ -230,12 +230,12 @@
 
 // proxy is a local proxy that calls until the new leader knows its executor, as often as the real one does.
 type proxy struct {
-	s        *steward
-	number   int
-	fence    uint64
-	look     uint64
-	calls    int
-	isFenced bool
+	s          *steward
+	number     int
+	fence      uint64
+	listNumber uint64
+	calls      int
+	isFenced   bool
 }
 
 const (
@@ -254,7 +254,7 @@
 	p.calls++
 	p.s.after(callLimit, func() { finish(func() { p.s.after(failedPause, p.call) }) })
 	name := fmt.Sprintf("i-%04d", p.number)
-	ask := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.look}
+	ask := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.listNumber}
 	isKnown := p.fence > 0
 	p.post(func() {
 		if !p.s.pool.IsOpen() {
@@ -279,7 +279,7 @@
 		p.isFenced = true
 		return
 	}
-	p.fence, p.look = answer.Fence, answer.WantedList
+	p.fence, p.listNumber = answer.Fence, answer.WantedList
 	p.s.after(transit, p.call)
 }
 
@@ -301,7 +301,7 @@
 	return limit
 }
 
-func crowdOf(s *steward, count int) []*proxy {
+func jobsOf(s *steward, count int) []*proxy {
 	var all []*proxy
 	for number := range count {
 		one := &proxy{s: s, number: number}
--- a/internal/control/replication/servefetch.go
+++ b/internal/control/replication/servefetch.go
@@ -22,7 +22,7 @@
 	answer := wire.FetchAnswer{Disk: r.disk.Disk()}
 	if call.From != nil {
 		if changes, isKept := recent.after(*call.From); isKept {
-			answer.Found, answer.Changes = true, changes
+			answer.HasReplica, answer.Changes = true, changes
 			if call.Chunked {
 				answer.Changes = changes[:prefixForCall(changes)]
 			}
@@ -33,7 +33,7 @@
 		return r.fetchChunk(recent.outgoing, call, answer)
 	}
 	snapshot, err := r.disk.Read(call.Key)
-	answer.Found, answer.Snapshot = snapshot.Last != wire.LogPosition{}, snapshot
+	answer.HasReplica, answer.Snapshot = snapshot.Last != wire.LogPosition{}, snapshot
 	return answer, err
 }
 
@@ -46,7 +46,7 @@
 		outgoing = newSnapshotTransfer(snapshot)
 		r.keepOutgoing(call.Key, outgoing)
 	}
-	answer.Found = outgoing.snapshot.Last != wire.LogPosition{}
+	answer.HasReplica = outgoing.snapshot.Last != wire.LogPosition{}
 	answer.Chunk = outgoing.chunk(min(call.Number, outgoing.count()-1))
 	return answer, nil
 }
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -51,8 +51,8 @@
 	if limit > 4*answerGap {
 		limit -= answerGap
 	}
-	call := &wire.ClientCall{Key: "pool/" + entry.Service, Route: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.Prefix):])}
-	decision := Decision{Call: call, Former: page.Moved(entry.Name), Limit: limit}
+	call := &wire.ClientCall{Key: "pool/" + entry.Service, Route: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.PathPrefix):])}
+	decision := Decision{Call: call, Former: page.FormerServices(entry.Name), Limit: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
 			return refuse(http.StatusMethodNotAllowed, "a queue is only asked for its count")
@@ -78,7 +78,7 @@
 			return refuse(http.StatusBadRequest, "the job can't be read: no whole JSON")
 		}
 		call.Verb, call.Body = wire.VerbSubmit, body
-		call.Terms = &wire.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.Stretch, TargetMs: entry.TargetMs}
+		call.Terms = &wire.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.StretchFactor, TargetMs: entry.TargetLatencyMs}
 	default:
 		return refuse(http.StatusMethodNotAllowed, "a job is handed in by POST, asked for by GET, cancelled by DELETE")
 	}
@@ -88,12 +88,12 @@
 // Gate obeys decisions.
 type Gate struct {
 	page  func() *configcache.Snapshot
-	asker *leaderclient.Asker
+	asker *leaderclient.Client
 	clock clock.Clock
 }
 
 // New makes a gate that decides by the newest configuration and asks the leaders of the pools.
-func New(page func() *configcache.Snapshot, asker *leaderclient.Asker, clock clock.Clock) *Gate {
+func New(page func() *configcache.Snapshot, asker *leaderclient.Client, clock clock.Clock) *Gate {
 	return &Gate{page: page, asker: asker, clock: clock}
 }
 
@@ -113,8 +113,8 @@
 func (g *Gate) answer(to http.ResponseWriter, request *http.Request, began time.Duration) (wire.Verb, response.Reply) {
 	page := g.page()
 	limit := int64(mostBody)
-	if page != nil && page.Matcher.Plan().Limits.BodyBytes > 0 {
-		limit = page.Matcher.Plan().Limits.BodyBytes
+	if page != nil && page.Matcher.Configuration().Limits.BodyBytes > 0 {
+		limit = page.Matcher.Configuration().Limits.BodyBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
 	headerrules.Echo(request.Header, to.Header())
@@ -208,11 +208,11 @@
 func ReplyOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
-	case answer == nil && outcome.MaySee && call.Verb == wire.VerbSubmit:
+	case answer == nil && outcome.MayHaveRun && call.Verb == wire.VerbSubmit:
 		return response.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
 	case answer == nil:
 		return response.Later(http.StatusServiceUnavailable, 1, "the queue's owner does not answer")
-	case outcome.MaySee && call.Verb == wire.VerbSubmit && (answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable):
+	case outcome.MayHaveRun && call.Verb == wire.VerbSubmit && (answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable):
 		return response.Text(http.StatusGatewayTimeout, "nobody knows yet whether the job was taken; hand it in again")
 	case answer.Reason != "":
 		return response.Later(answer.Status, answer.RetryAfterS, answer.Reason)
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -25,7 +25,7 @@
 func page() *configcache.Snapshot {
 	plan, err := configuration.Read([]byte(body))
 	Expect(err).NotTo(HaveOccurred())
-	return &configcache.Snapshot{Fact: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
+	return &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
 }
 
 func request(method, path string) *http.Request {
@@ -88,9 +88,9 @@
 		Expect(clientapi.ReplyOf(&wire.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
 	},
 		Entry("nobody was reached", leaderclient.Outcome{}, 503),
-		Entry("the first try was not answered", leaderclient.Outcome{MaySee: true}, 504),
+		Entry("the first try was not answered", leaderclient.Outcome{MayHaveRun: true}, 504),
 		Entry("the first try was not answered, a later one was turned away",
-			leaderclient.Outcome{MaySee: true, Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 504),
+			leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 504),
 		Entry("all were turned away", leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 429),
 	)
 
--- a/internal/gate/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -70,11 +70,11 @@
 		lead(currentPool, "pool/s")
 		lead(formerPool, "pool/"+formerPool)
 		view := &membership.View{
-			Owners: map[string]wire.KeyLeader{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
+			Leaders: map[string]wire.KeyLeader{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
 			Stewards: []wire.Member{{Name: currentPool, Role: membership.RoleSteward, Address: "current:1", Disk: "d"},
 				{Name: formerPool, Role: membership.RoleSteward, Address: "former:1", Disk: "e"}}}
 		moved := page()
-		moved.Fact.Moved = []wire.MovedRoute{{Route: "a", Services: []string{formerPool}}}
+		moved.Committed.Moved = []wire.MovedRoute{{Route: "a", Services: []string{formerPool}}}
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
 		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -38,10 +38,10 @@
 			}
 			return &wire.ClientAnswer{Status: known[string(call.Verb)], Reason: "told so"}, nil
 		})
-		view := &membership.View{Owners: map[string]wire.KeyLeader{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
+		view := &membership.View{Leaders: map[string]wire.KeyLeader{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
 			Stewards: []wire.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
 		moved := page()
-		moved.Fact = &wire.Configuration{Moved: []wire.MovedRoute{{Route: "a", Services: []string{"former"}}}}
+		moved.Committed = &wire.Configuration{Moved: []wire.MovedRoute{{Route: "a", Services: []string{"former"}}}}
 		clock := clock.NewFake(0)
 		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
 		answer := httptest.NewRecorder()
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -64,7 +64,7 @@
 		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, row(1, ""), row(2, "c1"))
 		lost, _ := table.Compose(0)
-		Expect(lost.Changed).To(ConsistOf(HaveField("Saved", "c1")))
+		Expect(lost.Changed).To(ConsistOf(HaveField("Checkpoint", "c1")))
 		again := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: lost.Number})
 		Expect(again.Changed).To(HaveLen(1))
 		hold(false, row(1, ""), row(2, "c1"))
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -263,7 +263,7 @@
 		return false
 	}
 	askedAt := p.clock.Monotonic()
-	patience, release := membership.UntilMoved(ctx, view)
+	patience, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
 	answer, err := peerapi.Call[wire.ExchangeCall, wire.ExchangeAnswer](p.caller, patience, owner,
 		peerapi.ProcedureExchange, clock.Milliseconds(call.WaitMs)+exchangeSlow, call)
@@ -285,7 +285,7 @@
 }
 
 func ownerAddress(view *membership.View, key string) string {
-	if owner, isKnown := view.Steward(view.Owners[key].Name); isKnown {
+	if owner, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
 		return owner.Address
 	}
 	for _, steward := range slices.Backward(view.Stewards) {
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -39,18 +39,18 @@
 	if err != nil {
 		return err
 	}
-	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
+	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsConfiguration(page.Committed.Version) })
 	configurations.Handle(b.inner)
-	b.join(wire.Member{Role: "gate"}, membership.OnPlanAhead(configurations.Ahead))
-	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: configurations.Page})
+	b.join(wire.Member{Role: "gate"}, membership.OnConfigurationAhead(configurations.FetchFrom))
+	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current})
 	var isLeaving atomic.Bool
 	asker := leaderclient.New(b.caller, b.clock, b.node.View)
-	server := httpserver.New(front, b.meter.Handler(clientapi.New(configurations.Page, asker, b.clock)), b.clock, b.log,
+	server := httpserver.New(front, b.meter.Handler(clientapi.New(configurations.Current, asker, b.clock)), b.clock, b.log,
 		httpserver.WithMostConnections(mostClientConnections(b.settings.Limits.FileDescriptors)))
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
 	b.tree.Add("readiness", b.serving(ready, readiness(func() bool {
-		return !isLeaving.Load() && configurations.Page() != nil && b.node.View().SeesSteward()
+		return !isLeaving.Load() && configurations.Current() != nil && b.node.View().SeesSteward()
 	}), internalLeave))
 	return b.run(func() {
 		isLeaving.Store(true)
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -39,10 +39,10 @@
 		return err
 	}
 	defer kept.close()
-	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsPlan(page.Fact.Version) })
+	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsConfiguration(page.Committed.Version) })
 	configurations.Handle(b.inner)
 	knownPeers := kept.peers(b.log)
-	b.join(kept.member(b.settings.Listen.Control), membership.OnPlanAhead(configurations.Ahead), membership.WithKnownPeers(knownPeers))
+	b.join(kept.member(b.settings.Listen.Control), membership.OnConfigurationAhead(configurations.FetchFrom), membership.WithKnownPeers(knownPeers))
 	rules, err := queuerules.Compile(b.settings.QueueRules)
 	if err != nil {
 		return errors.Annotate(err, "field queue-rules")
@@ -57,7 +57,7 @@
 		MachineLosses: b.settings.FaultTolerance.MachineLosses, Name: b.settings.NodeName, Caller: b.caller, Node: b.node, Configurations: configurations,
 		Timing: scheduler.TimingFrom(b.settings), Replicas: kept.replicas, PoolOptions: pool})
 	manager.Handle(b.inner)
-	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Page: configurations.Page, Ring: manager.Beliefs})
+	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current, Keys: manager.Beliefs})
 	outer := http.NewServeMux()
 	outer.Handle("/v1/configuration/", controlapi.Handler(leaderclient.New(b.caller, b.clock, b.node.View)))
 	outer.Handle(peerapi.Prefix, b.inner)
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -74,7 +74,7 @@
 	timing Timing
 	log    logging.Logger
 
-	leadership       Leadership
+	leadership   Leadership
 	jobs         map[string]*job
 	queued       map[string]int
 	lives        map[string]*life
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -199,8 +199,8 @@
 	call(a.from, to, try.Limit, func(answer func(wire.ClientAnswer)) { to.obey(a.ask, answer) },
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
-				a.tries.Failed(err == errRefused)
-			} else if a.tries.Answered(&answer) {
+				a.tries.HandleFailure(err == errRefused)
+			} else if a.tries.HandleAnswer(&answer) {
 				a.end()
 				return
 			}
@@ -218,9 +218,9 @@
 // view is what a machine's membership tells its operator's path.
 func (n *node) view() *membership.View {
 	n.hearsay()
-	view := &membership.View{Stewards: n.members(), Owners: map[string]wire.KeyLeader{}}
+	view := &membership.View{Stewards: n.members(), Leaders: map[string]wire.KeyLeader{}}
 	if n.heard.node != nil {
-		view.Owners[configleader.Key] = wire.KeyLeader{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
+		view.Leaders[configleader.Key] = wire.KeyLeader{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
 	}
 	return view
 }
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -52,11 +52,11 @@
 			to.serve(&request, answer)
 		}, func(told wire.ClientAnswer, err error) {
 			if err != nil {
-				attempts.Failed(false)
+				attempts.HandleFailure(false)
 				pause()
 				return
 			}
-			if attempts.Answered(&told) {
+			if attempts.HandleAnswer(&told) {
 				answer(g.reply(&request, attempts.Outcome()))
 				return
 			}
@@ -74,7 +74,7 @@
 // view is what a process knows of the stewards, with the leader it last heard of.
 func (w *world) view(leader int) *membership.View {
 	if w.views[leader] == nil {
-		view := &membership.View{Owners: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
+		view := &membership.View{Leaders: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
 		for _, one := range w.stewards {
 			view.Stewards = append(view.Stewards, wire.Member{Name: one.name, Role: membership.RoleSteward, Address: one.name, Disk: one.name})
 		}
--- a/internal/simulation/modelcheck/ordermodel/plants.go
+++ b/internal/simulation/modelcheck/ordermodel/plants.go
@@ -88,7 +88,7 @@
 
 func (p plant) outcome(outcome leaderclient.Outcome) leaderclient.Outcome {
 	if p.name == plantRefusedUnclear {
-		outcome.MaySee = false
+		outcome.MayHaveRun = false
 	}
 	return outcome
 }
--- a/internal/simulation/scalerun/load.go
+++ b/internal/simulation/scalerun/load.go
@@ -40,11 +40,11 @@
 
 // configuration is the version of this number: the routes of the load, idle ones, and one more for each version.
 func (r *run) configuration(version int) configuration.Configuration {
-	made := configuration.Configuration{Version: int64(version), Services: []configuration.Service{{Name: service, ConnCap: 64, Guards: true, Protocol: "h1"}},
+	made := configuration.Configuration{Version: int64(version), Services: []configuration.Service{{Name: service, ConnectionLimit: 64, GuardsCapacity: true, Protocol: "h1"}},
 		Limits: configuration.Limits{HeaderBytes: 16384, BodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}}
 	add := func(name, prefix string, priority int) {
-		made.Entries = append(made.Entries, configuration.Route{Name: name, Host: host, Prefix: prefix, Kind: "non_idempotent", TimeoutMs: 3000,
-			TargetMs: 1000, Priority: priority, Service: service, MaxAttempts: 4, Stretch: 2})
+		made.Routes = append(made.Routes, configuration.Route{Name: name, Host: host, PathPrefix: prefix, Type: "non_idempotent", TimeoutMs: 3000,
+			TargetLatencyMs: 1000, Priority: priority, Service: service, MaxAttempts: 4, StretchFactor: 2})
 	}
 	add("load", queueLoad, 1)
 	add("standing", queueStanding, 2)
