--- a/check.sh
+++ b/check.sh
@@ -27,13 +27,10 @@
 }
 # The linters are Go tools of tools/lint, a module outside the workspace; lint_tool NAME prints where one is built.
 lint_tool() { GOWORK=off go -C tools/lint tool -n "$1"; }
-staticcheck_is_clean() {
+# linter_is_clean NAME OPTIONS...: runs a linter on all packages.
+linter_is_clean() {
   local tool
-  tool=$(lint_tool staticcheck) && "$tool" ./...
-}
-revive_is_clean() {
-  local tool
-  tool=$(lint_tool revive) && "$tool" -config revive.toml -set_exit_status ./...
+  tool=$(lint_tool "$1") && "$tool" "${@:2}" ./...
 }
 # The first run of the README, on addresses that two checks at once seldom share.
 first_run_completes() { FIRST_RUN_NETWORK=127.91.$(($$ % 256)) tools/first-run.sh; }
@@ -42,8 +39,12 @@
 step "gofmt" formatted
 step "generated code" generated_is_current
 step "first run" first_run_completes
-step "staticcheck" staticcheck_is_clean
-step "revive" revive_is_clean
+step "staticcheck" linter_is_clean staticcheck
+step "revive" linter_is_clean revive -config revive.toml -set_exit_status
+step "errorlint" linter_is_clean go-errorlint
+step "errname" linter_is_clean errname
+step "unparam" linter_is_clean unparam
+step "gocritic" linter_is_clean gocritic check
 step "tests" go run ./internal/checktests -race -count=1 -timeout 40m ./...
 if [ "$failed" -ne 0 ]; then
   echo "the checks failed"
--- a/cmd/scale-run/main.go
+++ b/cmd/scale-run/main.go
@@ -49,9 +49,7 @@
 		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
-	ctx, forget := supervise.UntilSignal()
-	defer forget()
-	if err := app.Run(ctx, os.Args); err != nil {
+	if err := runUntilSignal(app); err != nil {
 		fmt.Fprintln(os.Stderr, "scale-run:", err)
 		code := exitFailed
 		var coded cli.ExitCoder
@@ -62,6 +60,12 @@
 	}
 }
 
+func runUntilSignal(app *cli.Command) error {
+	ctx, cancel := supervise.UntilSignal()
+	defer cancel()
+	return app.Run(ctx, os.Args)
+}
+
 func setupOf(command *cli.Command) (scalerun.Setup, error) {
 	setup := scalerun.Setup{Program: command.String("program"), Sizes: command.IntSlice("sizes"), Stewards: command.Int("stewards"),
 		Gates: command.Int("gates"), LoadTime: command.Duration("seconds"), Idle: command.Duration("idle"),
--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -80,7 +80,7 @@
 		mux := http.NewServeMux()
 		cache.Handle(mux)
 		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedPeer{mux: mux}})
-		answer, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(), "10.0.0.9:1",
+		answer, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), caller, "10.0.0.9:1",
 			peerapi.ProcedurePlan, time.Second, &wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Changes).To(HaveLen(1))
--- a/internal/cluster/configcache/configcache_suite_test.go
+++ b/internal/cluster/configcache/configcache_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPlanbook(t *testing.T) {
+func TestConfigcache(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "configcache")
 }
--- a/internal/cluster/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -152,7 +152,7 @@
 		second := versionOf(old, four, five).AnswerTo(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true})
 		current := versionOf(old)
 		_, err := current.Apply(second)
-		Expect(err).To(MatchError(ContainSubstring("3 is held")))
+		Expect(err).To(And(MatchError(configcache.ErrBaseMismatch), MatchError(ContainSubstring("3 is in force"))))
 		for _, answer := range []*wire.ConfigurationAnswer{first, second, first, second, {Full: four}, {}} {
 			current, err = current.Apply(answer)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -83,8 +83,7 @@
 		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, mostAnswers)
 		current := &scriptedPeer{mux: mux}
 		call := func(through http.RoundTripper) (*wire.ConfigurationAnswer, error) {
-			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(&http.Client{Transport: through}),
-				context.Background(), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
+			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(&http.Client{Transport: through}), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
 		}
 		for range mostAnswers {
 			go func() {
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -108,7 +108,7 @@
 	depth := 0
 	for _, part := range parts {
 		if part.From < 0 || part.Count < 0 || part.From > len(base) || part.Count > len(base)-part.From {
-			return nil, errors.Errorf("a part of the change is not in the configuration's base")
+			return nil, errors.Annotate(ErrBadDelta, "a part of the change is not in the configuration's base")
 		}
 		run := base[part.From : part.From+part.Count]
 		depth += netDepth(run)
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	if digest != changes[len(changes)-1].Digest {
-		return nil, errors.Errorf("the configuration made of version %d and its change is not version %d", base.Version, committed.Version)
+		return nil, errors.Annotatef(ErrBadDelta, "the configuration made of version %d and its change is not version %d", base.Version, committed.Version)
 	}
 	return committed, nil
 }
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -135,7 +135,7 @@
 	case err != nil:
 		f.failed(address, err)
 	case answer.Busy:
-		f.failed(address, errors.New("the peer answers too many others"))
+		f.failed(address, ErrPeerBusy)
 	default:
 		f.patience = max(minPatience, min(patienceFactor*(f.clock.Monotonic()-f.askedAt), maxPatience))
 		bodyBytesFetched.Add(bytesOf(answer))
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -60,7 +60,7 @@
 // Unpack gives back the version; an error says that the data are not what their name and version promise.
 func (i *Image) Unpack() (*wire.Configuration, error) {
 	if digestOfImage(i.data) != i.Name {
-		return nil, errors.Errorf("the image of version %d has another digest than its name", i.Version)
+		return nil, errors.Annotatef(ErrBadImage, "version %d has another digest than its name", i.Version)
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.data)), maxImageBytes))
 	if err != nil {
@@ -71,7 +71,7 @@
 		return nil, errors.Annotatef(err, "reading the image of version %d", i.Version)
 	}
 	if committed.Version != i.Version {
-		return nil, errors.Errorf("the image of version %d holds version %d", i.Version, committed.Version)
+		return nil, errors.Annotatef(ErrBadImage, "that of version %d holds version %d", i.Version, committed.Version)
 	}
 	return committed, nil
 }
@@ -170,7 +170,7 @@
 	transfer := t.find(chunk)
 	if transfer == nil {
 		if chunk.Offset != 0 || chunk.Size <= 0 || chunk.Size > maxImageBytes {
-			return nil, errors.Errorf("a chunk of an unknown image at %d of %d bytes", chunk.Offset, chunk.Size)
+			return nil, errors.Annotatef(ErrBadChunk, "of an unknown image at %d of %d bytes", chunk.Offset, chunk.Size)
 		}
 		transfer = t.add(&imageTransfer{image: Image{Version: chunk.Version, Name: chunk.Image}, size: chunk.Size})
 	}
@@ -178,7 +178,7 @@
 	received := len(transfer.image.data)
 	if !transfer.fits(chunk) {
 		t.drop(transfer)
-		return nil, errors.Errorf("a chunk of %d bytes at %d of %d, and %d of %d are here", len(chunk.Data), chunk.Offset, chunk.Size, received, transfer.size)
+		return nil, errors.Annotatef(ErrBadChunk, "%d bytes at %d of %d, and %d of %d are here", len(chunk.Data), chunk.Offset, chunk.Size, received, transfer.size)
 	}
 	transfer.image.data = append(transfer.image.data, chunk.Data...)
 	if transfer.remaining() > 0 {
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -41,7 +41,7 @@
 		chunk *wire.ConfigurationChunk
 		err   error
 	}
-	packed, err := mailbox.Ask(c.mailbox, ctx, func(answer func(outcome)) {
+	packed, err := mailbox.Ask(ctx, c.mailbox, func(answer func(outcome)) {
 		chunk, err := c.fetcher.Chunk(call)
 		answer(outcome{chunk, err})
 	})
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		if change.Base != reached {
-			return v, errors.Errorf("a change to version %d is on version %d, and %d is held", change.Version, change.Base, reached)
+			return v, errors.Annotatef(ErrBaseMismatch, "a change to version %d is on version %d, and %d is in force", change.Version, change.Base, reached)
 		}
 		chain, reached = append(chain, change), change.Version
 	}
@@ -69,7 +69,7 @@
 		return v, nil
 	}
 	if v == nil {
-		return v, errors.Errorf("a change to version %d, and nothing is held", reached)
+		return v, errors.Annotatef(ErrBaseMismatch, "a change to version %d, and none is in force", reached)
 	}
 	committed, err := applyChain(v.Committed, chain)
 	if err != nil {
--- a/internal/cluster/configuration/check.go
+++ b/internal/cluster/configuration/check.go
@@ -1,6 +1,7 @@
 package configuration
 
 import (
+	"fmt"
 	"slices"
 	"strings"
 
@@ -10,7 +11,7 @@
 )
 
 // Read decodes a configuration and checks all that can be checked without knowing the current one. An error that comes
-// with a configuration names every field at fault; without one, the body can't be read.
+// with a configuration holds a *FieldError for every field at fault; without one, the body can't be read.
 func Read(body []byte) (*Configuration, error) {
 	decoded := &Configuration{}
 	if err := easyjson.Unmarshal(body, decoded); err != nil {
@@ -19,17 +20,33 @@
 	return decoded, decoded.check()
 }
 
-// problems gathers what is wrong with a configuration.
+// FieldError tells what is wrong with a field of a configuration.
+type FieldError struct {
+	// Route is the name of the route, or empty for a field of the configuration itself.
+	Route string
+	// Problem names the field and says what is wrong with it.
+	Problem string
+}
+
+// Error names the route and the field.
+func (e *FieldError) Error() string {
+	if e.Route == "" {
+		return e.Problem
+	}
+	return fmt.Sprintf("route %q: %s", e.Route, e.Problem)
+}
+
+// problems gathers all that is wrong with a configuration.
 type problems struct{ err error }
 
-func (c *problems) add(format string, values ...any) {
-	c.err = multierr.Append(c.err, errors.Errorf(format, values...))
+func (p *problems) add(route, format string, values ...any) {
+	p.err = multierr.Append(p.err, &FieldError{Route: route, Problem: fmt.Sprintf(format, values...)})
 }
 
 func (c *Configuration) check() error {
 	var problems problems
 	if c.Version <= 0 {
-		problems.add("field config-version must be above 0")
+		problems.add("", "field config-version must be above 0")
 	}
 	c.checkRoutes(&problems, c.checkServices(&problems))
 	return problems.err
@@ -40,10 +57,10 @@
 	services := map[string]bool{}
 	for _, service := range c.Services {
 		if service.Name == "" {
-			problems.add("field service-list: a service has no name")
+			problems.add("", "field service-list: a service has no name")
 		}
 		if services[service.Name] {
-			problems.add("field service-list: %q stands twice", service.Name)
+			problems.add("", "field service-list: %q stands twice", service.Name)
 		}
 		services[service.Name] = true
 	}
@@ -54,20 +71,20 @@
 	takenBy := map[string]string{}
 	for _, route := range c.Routes {
 		if route.Name == "" {
-			problems.add("field route-list: a route has no name")
+			problems.add("", "field route-list: a route has no name")
 		}
 		if !services[route.Service] {
-			problems.add("route %q: field service names %q, which is unknown", route.Name, route.Service)
+			problems.add(route.Name, "field service names %q, which is unknown", route.Service)
 		}
 		if route.TimeoutMs <= 0 {
-			problems.add("route %q: field timeout-ms must be above 0", route.Name)
+			problems.add(route.Name, "field timeout-ms must be above 0")
 		}
 		if route.MaxAttempts < 0 || route.StretchFactor < 0 || route.TargetLatencyMs < 0 {
-			problems.add("route %q: a field is negative", route.Name)
+			problems.add(route.Name, "a field is negative")
 		}
 		location := route.Host + " " + route.PathPrefix
 		if other, isTaken := takenBy[location]; isTaken {
-			problems.add("route %q: fields host and path-prefix are those of route %q", route.Name, other)
+			problems.add(route.Name, "fields host and path-prefix are those of route %q", other)
 		}
 		takenBy[location] = route.Name
 	}
--- a/internal/cluster/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -83,5 +83,5 @@
 func (c *Client) callOnce(ctx context.Context, view *membership.View, attempt Attempt, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 	attemptCtx, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
-	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](c.caller, attemptCtx, attempt.Address, peerapi.ProcedureClient, attempt.Limit, call)
+	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](attemptCtx, c.caller, attempt.Address, peerapi.ProcedureClient, attempt.Limit, call)
 }
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -32,6 +32,9 @@
 	seedRounds = 15
 )
 
+// ErrNoFreePort tells that other processes use all ports of the range.
+const ErrNoFreePort = errors.ConstError("no port is free")
+
 // Node runs a table on the machine's internal ports.
 type Node struct {
 	table   *Table
@@ -61,7 +64,7 @@
 	return func(n *Node) { n.knownPeers = addresses }
 }
 
-// BindInternal takes the first free port of the range, for TCP and UDP alike.
+// BindInternal takes the first free port of the range, for TCP and UDP alike; the error is ErrNoFreePort.
 func BindInternal(ip string, first, last int) (net.Listener, net.PacketConn, error) {
 	for port := first; port <= last; port++ {
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
@@ -76,7 +79,7 @@
 		}
 		return calls, packets, nil
 	}
-	return nil, nil, errors.Errorf("no free port from %d to %d on %s", first, last, ip)
+	return nil, nil, errors.Annotatef(ErrNoFreePort, "ports %d to %d on %s", first, last, ip)
 }
 
 // NewNode makes the membership of this process on the sockets that BindInternal gave. It sends nothing before Run.
@@ -154,7 +157,7 @@
 		var datagram wire.Datagram
 		if err := easyjson.Unmarshal(buffer[:count], &datagram); err != nil || datagram.From.Name == "" {
 			datagramsDropped.With("unreadable").Inc()
-			n.log.V(1).Info("a datagram that can't be read was dropped", "bytes", count)
+			n.log.V(1).Info("unreadable datagram dropped", "bytes", count)
 			continue
 		}
 		datagramsReceived.With(datagram.Kind).Inc()
@@ -207,7 +210,7 @@
 	if address == n.View().Self.Control {
 		return
 	}
-	call, err := mailbox.Ask(n.mailbox, context.Background(), func(answer func(wire.MembersCall)) { answer(n.table.SumsCall()) })
+	call, err := mailbox.Ask(context.Background(), n.mailbox, func(answer func(wire.MembersCall)) { answer(n.table.SumsCall()) })
 	if err != nil {
 		return
 	}
@@ -215,7 +218,7 @@
 	if err != nil {
 		return
 	}
-	given, err := mailbox.Ask(n.mailbox, context.Background(), func(answerWith func(*wire.MembersCall)) {
+	given, err := mailbox.Ask(context.Background(), n.mailbox, func(answerWith func(*wire.MembersCall)) {
 		answerWith(n.table.HandleAnswer(Member{Address: address}, answer))
 	})
 	if err == nil && given != nil {
@@ -225,9 +228,9 @@
 
 func (n *Node) callMembers(address string, call *wire.MembersCall) (*wire.MembersAnswer, error) {
 	answer, err := peerapi.Call[wire.MembersCall, wire.MembersAnswer](
-		n.caller, context.Background(), address, peerapi.ProcedureMembers, membersCallTimeout, call)
+		context.Background(), n.caller, address, peerapi.ProcedureMembers, membersCallTimeout, call)
 	if err != nil {
-		n.log.V(1).Info("members could not be compared", "peer", address, "why", err.Error())
+		n.log.V(1).Info("member lists not compared", "peer", address, "reason", err.Error())
 	}
 	return answer, err
 }
@@ -235,7 +238,7 @@
 // Handle lets peers compare their lists with this one.
 func (n *Node) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureMembers, func(ctx context.Context, call *wire.MembersCall) (*wire.MembersAnswer, error) {
-		answer, err := mailbox.Ask(n.mailbox, ctx, func(answer func(wire.MembersAnswer)) { answer(n.table.AnswerCall(call)) })
+		answer, err := mailbox.Ask(ctx, n.mailbox, func(answer func(wire.MembersAnswer)) { answer(n.table.AnswerCall(call)) })
 		return &answer, err
 	})
 }
--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -1,3 +1,6 @@
+// Package peerapi carries calls between the processes of the system: each procedure has a path, a message that asks and one that
+// answers (package wire), over connect-go with a codec of generated JSON. Serve answers a procedure, Call and CallWhileMoving
+// ask a peer, and an error tells by NeverSent whether the call certainly did not reach it.
 package peerapi
 
 import (
@@ -29,6 +32,9 @@
 	ProcedureBeliefs  = Prefix + "Beliefs"
 )
 
+// ErrNotMessage tells that a type has no generated JSON code.
+const ErrNotMessage = errors.ConstError("not a message between peers")
+
 // easyCodec is connect's codec of messages with generated JSON code; it counts the bytes of bodies that it writes and reads.
 type easyCodec struct{ sent, received *metrics.Counter }
 
@@ -43,7 +49,7 @@
 func (c easyCodec) Marshal(message any) ([]byte, error) {
 	value, isMessage := message.(easyjson.Marshaler)
 	if !isMessage {
-		return nil, errors.Errorf("%T is not a message between peers", message)
+		return nil, errors.Annotatef(ErrNotMessage, "%T", message)
 	}
 	text, err := easyjson.Marshal(value)
 	c.sent.Add(len(text))
@@ -54,7 +60,7 @@
 func (c easyCodec) Unmarshal(text []byte, message any) error {
 	value, isMessage := message.(easyjson.Unmarshaler)
 	if !isMessage {
-		return errors.Errorf("%T is not a message between peers", message)
+		return errors.Annotatef(ErrNotMessage, "%T", message)
 	}
 	c.received.Add(len(text))
 	return easyjson.Unmarshal(bytes.Clone(text), value)
@@ -86,13 +92,13 @@
 func NewCaller(client *http.Client) *Caller { return &Caller{client} }
 
 // Call asks the peer at an address, for as long as the limit; its error names the procedure and the peer.
-func Call[Request, Answer any](caller *Caller, ctx context.Context, address, procedure string, limit time.Duration, request *Request) (*Answer, error) {
+func Call[Request, Answer any](ctx context.Context, caller *Caller, address, procedure string, limit time.Duration, request *Request) (*Answer, error) {
 	ctx, release := context.WithTimeout(ctx, limit)
 	defer release()
-	return callThrough[Request, Answer](caller.client, ctx, address, procedure, request)
+	return callThrough[Request, Answer](ctx, caller.client, address, procedure, request)
 }
 
-func callThrough[Request, Answer any](client connect.HTTPClient, ctx context.Context, address, procedure string, request *Request) (*Answer, error) {
+func callThrough[Request, Answer any](ctx context.Context, client connect.HTTPClient, address, procedure string, request *Request) (*Answer, error) {
 	name := procedure[len(Prefix):]
 	calls.With(name, sideMade).Inc()
 	connection := connect.NewClient[Request, Answer](client, "http://"+address+procedure,
--- a/internal/cluster/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -26,7 +26,7 @@
 
 var _ = Describe("an answer of a peer", func() {
 	ask := func(address string) (*wire.ClientAnswer, error) {
-		return peerapi.Call[wire.ClientCall, wire.ClientAnswer](peerapi.NewCaller(http.DefaultClient), context.Background(), address,
+		return peerapi.Call[wire.ClientCall, wire.ClientAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient), address,
 			peerapi.ProcedureClient, 5*time.Second, &wire.ClientCall{})
 	}
 
@@ -66,8 +66,8 @@
 		DeferCleanup(func() { close(parts) })
 		over := make(chan error)
 		go func() {
-			_, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
-				impatient{}, context.Background(), address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
+			_, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
+				impatient{}, address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 			over <- err
 		}()
 		err := <-over
@@ -82,8 +82,8 @@
 			}
 			close(parts)
 		}()
-		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](peerapi.NewCaller(http.DefaultClient),
-			fakeClock, context.Background(), address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
+		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
+			fakeClock, address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Full.Version).To(Equal(int64(7)))
 	})
--- a/internal/cluster/peerapi/metrics_test.go
+++ b/internal/cluster/peerapi/metrics_test.go
@@ -28,7 +28,7 @@
 		defer server.Close()
 		caller := peerapi.NewCaller(http.DefaultClient)
 		ask := func(body int64) error {
-			_, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](caller, context.Background(),
+			_, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), caller,
 				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{HeldVersion: body})
 			return err
 		}
--- a/internal/cluster/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -59,7 +59,7 @@
 
 // CallWhileMoving asks the peer at an address, and gives up only once nothing of the answer has come for as long
 // as the patience: a slow link is no reason to end a call, a silent one is. The cause is then ErrStalled.
-func CallWhileMoving[Request, Answer any](caller *Caller, clock clock.Clock, ctx context.Context, address, procedure string,
+func CallWhileMoving[Request, Answer any](ctx context.Context, caller *Caller, clock clock.Clock, address, procedure string,
 	patience time.Duration, request *Request) (*Answer, error) {
 	type outcome struct {
 		answer *Answer
@@ -71,7 +71,7 @@
 	outcomes := make(chan outcome, 1)
 	stall := clock.After(patience)
 	go func() {
-		answer, err := callThrough[Request, Answer](moving, ctx, address, procedure, request)
+		answer, err := callThrough[Request, Answer](ctx, moving, address, procedure, request)
 		outcomes <- outcome{answer, err}
 	}()
 	for {
--- a/internal/cluster/peerapi/wire/client.go
+++ b/internal/cluster/peerapi/wire/client.go
@@ -63,10 +63,13 @@
 	Current int64 `json:"current,omitempty"`
 }
 
-// Check refuses an answer that says nothing.
+// ErrNoStatus refuses an answer that says nothing.
+const ErrNoStatus = errors.ConstError("an answer without a status")
+
+// Check refuses an answer that says nothing, with ErrNoStatus.
 func (a *ClientAnswer) Check() error {
 	if !a.NotLeader && a.Status < 100 {
-		return errors.Errorf("an answer without a status (%d)", a.Status)
+		return errors.Annotatef(ErrNoStatus, "status %d", a.Status)
 	}
 	return nil
 }
--- a/internal/control/controlkeys/beliefs.go
+++ b/internal/control/controlkeys/beliefs.go
@@ -16,11 +16,11 @@
 	if !m.hasDisk() {
 		return nil, nil, nil
 	}
-	keys, err := mailbox.Ask(m.Replicas.Mailbox(), ctx, func(answer func([]wire.KeyBelief)) { answer(m.replicaBeliefs()) })
+	keys, err := mailbox.Ask(ctx, m.Replicas.Mailbox(), func(answer func([]wire.KeyBelief)) { answer(m.replicaBeliefs()) })
 	if err != nil {
 		return nil, nil, nil
 	}
-	runners, err := mailbox.Ask(m.mailbox, ctx, func(answer func(map[string]*keyRunner)) { answer(maps.Clone(m.runners)) })
+	runners, err := mailbox.Ask(ctx, m.mailbox, func(answer func(map[string]*keyRunner)) { answer(maps.Clone(m.runners)) })
 	if err != nil {
 		return keys, nil, nil
 	}
@@ -40,7 +40,7 @@
 
 // executorBeliefs is what the pool believes of its executors, if it is led here.
 func (r *keyRunner) executorBeliefs(ctx context.Context) []wire.ExecutorBelief {
-	executors, err := mailbox.Ask(r.stateMailbox, ctx, func(answer func([]wire.ExecutorBelief)) {
+	executors, err := mailbox.Ask(ctx, r.stateMailbox, func(answer func([]wire.ExecutorBelief)) {
 		if !r.pool.IsOpen() {
 			answer(nil)
 			return
--- a/internal/control/controlkeys/bootstrap.go
+++ b/internal/control/controlkeys/bootstrap.go
@@ -23,7 +23,7 @@
 			if _, hasAnswered := answers[seed]; hasAnswered {
 				continue
 			}
-			answer, err := peerapi.Call[wire.IdentifyCall, wire.IdentifyAnswer](m.Caller, ctx, seed,
+			answer, err := peerapi.Call[wire.IdentifyCall, wire.IdentifyAnswer](ctx, m.Caller, seed,
 				peerapi.ProcedureIdentify, identifyTimeout, &wire.IdentifyCall{})
 			if err == nil {
 				answers[seed] = *answer
--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -55,7 +55,7 @@
 }
 
 func ask[Ask, Tell any](caller *peerapi.Caller, procedure string, call Ask) (*Tell, error) {
-	return peerapi.Call[Ask, Tell](caller, context.Background(), "10.0.0.1:7000", procedure, time.Second, &call)
+	return peerapi.Call[Ask, Tell](context.Background(), caller, "10.0.0.1:7000", procedure, time.Second, &call)
 }
 
 func openStore() *storage.Store {
--- a/internal/control/controlkeys/leave.go
+++ b/internal/control/controlkeys/leave.go
@@ -48,7 +48,7 @@
 func (m *Manager) votingKeys() (replaceable, others []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), votingKeysTimeout)
 	defer cancel()
-	sets, err := mailbox.Ask(m.Replicas.Mailbox(), ctx, func(answer func(map[string]wire.VoterSet)) { answer(m.Replicas.VotingKeys()) })
+	sets, err := mailbox.Ask(ctx, m.Replicas.Mailbox(), func(answer func(map[string]wire.VoterSet)) { answer(m.Replicas.VotingKeys()) })
 	if err != nil {
 		return nil, nil
 	}
@@ -79,9 +79,9 @@
 
 func (m *Manager) logStillVoting(replaceable, others []string) {
 	if len(replaceable) > 0 {
-		m.Log.Info("leaving although this disk is still a voter", "keys", replaceable)
+		m.Log.Info("leaving while still a voter", "keys", replaceable)
 	}
 	if len(others) > 0 {
-		m.Log.Info("leaving as a voter without a replacement, as there is no other live disk", "keys", others)
+		m.Log.Info("leaving as a voter without a replacement", "keys", others)
 	}
 }
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -138,7 +138,7 @@
 	if !m.hasDisk() {
 		return nil
 	}
-	runner, err := mailbox.Ask(m.mailbox, ctx, func(answer func(*keyRunner)) { answer(m.runners[key]) })
+	runner, err := mailbox.Ask(ctx, m.mailbox, func(answer func(*keyRunner)) { answer(m.runners[key]) })
 	if err != nil {
 		return nil
 	}
--- a/internal/control/controlkeys/serve.go
+++ b/internal/control/controlkeys/serve.go
@@ -54,7 +54,7 @@
 	if runner == nil {
 		return m.notLeader(call.Key), nil
 	}
-	answer, err := mailbox.Ask(runner.stateMailbox, ctx, func(answer func(wire.ClientAnswer)) { runner.execute(call, answer) })
+	answer, err := mailbox.Ask(ctx, runner.stateMailbox, func(answer func(wire.ClientAnswer)) { runner.execute(call, answer) })
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 	if runner == nil || runner.pool == nil {
 		return &wire.ExchangeAnswer{NotLeader: true, Leader: m.otherLeader(call.Key)}, nil
 	}
-	answer, err := mailbox.Ask(runner.stateMailbox, ctx, func(answer func(wire.ExchangeAnswer)) {
+	answer, err := mailbox.Ask(ctx, runner.stateMailbox, func(answer func(wire.ExchangeAnswer)) {
 		if !runner.isOpen() {
 			answer(wire.ExchangeAnswer{NotLeader: true})
 			return
--- a/internal/control/controlkeys/transport.go
+++ b/internal/control/controlkeys/transport.go
@@ -123,7 +123,7 @@
 		err := errors.Annotatef(ErrUnknownDisk, "calling disk %s", disk)
 		if address != "" {
 			var response *Answer
-			if response, err = peerapi.Call[Call, Answer](t.manager.Caller, t.ctx, address, procedure, limit, &call); err == nil {
+			if response, err = peerapi.Call[Call, Answer](t.ctx, t.manager.Caller, address, procedure, limit, &call); err == nil {
 				answer = *response
 			}
 		}
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -275,13 +275,13 @@
 
 // AskPromise is Promise for other goroutines; the error says that ctx was done first.
 func (r *Replicas) AskPromise(ctx context.Context, call wire.PromiseCall) (wire.PromiseAnswer, error) {
-	return mailbox.Ask(r.mailbox, ctx, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
+	return mailbox.Ask(ctx, r.mailbox, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
 // AskAppend is Append for other goroutines; the answer carries the time that it took.
 func (r *Replicas) AskAppend(ctx context.Context, call wire.AppendCall) (wire.AppendAnswer, error) {
 	arrivedAt := r.clock.Monotonic()
-	return mailbox.Ask(r.mailbox, ctx, func(answer func(wire.AppendAnswer)) {
+	return mailbox.Ask(ctx, r.mailbox, func(answer func(wire.AppendAnswer)) {
 		r.Append(call, func(response wire.AppendAnswer) {
 			response.DelayUs = max(1, (r.clock.Monotonic() - arrivedAt).Microseconds())
 			answer(response)
@@ -291,5 +291,5 @@
 
 // AskStatus is Status for other goroutines.
 func (r *Replicas) AskStatus(ctx context.Context, key string) (ReplicaStatus, error) {
-	return mailbox.Ask(r.mailbox, ctx, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
+	return mailbox.Ask(ctx, r.mailbox, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
 }
--- a/internal/control/replication/servefetch.go
+++ b/internal/control/replication/servefetch.go
@@ -9,7 +9,7 @@
 
 // AskFetch is Fetch for any goroutine, with the history as the table has it now; it reads the disk on the caller's goroutine.
 func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
-	recent, err := mailbox.Ask(r.mailbox, ctx, func(answer func(History)) { answer(r.History(call.Key)) })
+	recent, err := mailbox.Ask(ctx, r.mailbox, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
 		return wire.FetchAnswer{}, err
 	}
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -68,8 +68,7 @@
 	It("counts calls by verb and status, and how long they took", func() {
 		clock := clock.NewFake(0)
 		view := func() *membership.View { return &membership.View{} }
-		pages := func() *configcache.Snapshot { return page() }
-		gate := clientapi.New(pages, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
+		gate := clientapi.New(page, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
 			one := request("GET", path)
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -100,7 +100,7 @@
 	}
 	if beat.State == stateDraining && !sender.isDraining {
 		sender.isDraining = true
-		t.log.Info("the executor is draining", "executor", sender.id, "departs-ms", beat.DepartsMs)
+		t.log.Info("executor draining", "executor", sender.id, "departure_ms", beat.DepartsMs)
 		t.onWork()
 	}
 	if beat.DepartsMs > 0 {
@@ -137,7 +137,7 @@
 	}
 	next := t.known(id)
 	if next == nil {
-		t.log.Info("an executor's life begins", "executor", id)
+		t.log.Info("executor registered", "executor", id)
 		next = t.newIncarnation(id)
 	}
 	t.others = slices.DeleteFunc(t.others, func(other *incarnation) bool { return other == next })
@@ -213,7 +213,7 @@
 		sender.servesOn, sender.departsAt = true, t.now()+t.drainTime
 	}
 	sender.isDraining, sender.isLeaving, sender.leftAt = true, true, t.now()
-	t.log.Info("the executor says farewell", "executor", sender.id)
+	t.log.Info("executor deregistered", "executor", sender.id)
 	t.onWork()
 }
 
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -76,8 +76,8 @@
 	return nil
 }
 
-func ask[T any](p *Proxy, ctx context.Context, question func() T) (T, bool) {
-	value, err := mailbox.Ask(p.box, ctx, func(answer func(T)) { answer(question()) })
+func ask[T any](ctx context.Context, p *Proxy, question func() T) (T, bool) {
+	value, err := mailbox.Ask(ctx, p.box, func(answer func(T)) { answer(question()) })
 	return value, err == nil
 }
 
@@ -97,7 +97,7 @@
 		refusal.Write(to)
 		return
 	}
-	answer, isTaken := ask(p, request.Context(), func() response.Reply { return p.obey(command) })
+	answer, isTaken := ask(request.Context(), p, func() response.Reply { return p.obey(command) })
 	if !isTaken {
 		answer = response.Text(http.StatusServiceUnavailable, "the table is busy")
 	}
@@ -123,7 +123,7 @@
 
 func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
-		turn, isOpen := ask(p, ctx, func() holdTurn {
+		turn, isOpen := ask(ctx, p, func() holdTurn {
 			work, isDue := p.table.NextHold(false)
 			return holdTurn{work, isDue}
 		})
@@ -158,7 +158,7 @@
 			return
 		case <-p.looks:
 		}
-		turn, isOpen := ask(p, ctx, func() holdTurn {
+		turn, isOpen := ask(ctx, p, func() holdTurn {
 			work, isDue := p.table.NextHold(true)
 			return holdTurn{work, isDue}
 		})
@@ -186,7 +186,7 @@
 		p.table.HoldFailed(work, err == nil && status == http.StatusMisdirectedRequest)
 	})
 	if !isHeld {
-		p.log.V(1).Info("a hold failed", "executor", work.Life, "status", status, "why", errorText(err))
+		p.log.V(1).Info("lease renewal failed", "executor", work.Life, "status", status, "reason", errorText(err))
 	}
 	return isHeld
 }
@@ -238,13 +238,13 @@
 		return true
 	case <-p.clock.After(startPause):
 	}
-	hasUnsent, _ := ask(p, ctx, p.table.HasUnsent)
+	hasUnsent, _ := ask(ctx, p, p.table.HasUnsent)
 	return hasUnsent
 }
 
 // exchange talks to the owner once; it tells whether the owner answered.
 func (p *Proxy) exchange(ctx context.Context, waitMs int64) bool {
-	call, isOpen := ask(p, ctx, func() *wire.ExchangeCall {
+	call, isOpen := ask(ctx, p, func() *wire.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
 		return call
 	})
@@ -265,10 +265,10 @@
 	askedAt := p.clock.Monotonic()
 	patience, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
-	answer, err := peerapi.Call[wire.ExchangeCall, wire.ExchangeAnswer](p.caller, patience, owner,
+	answer, err := peerapi.Call[wire.ExchangeCall, wire.ExchangeAnswer](patience, p.caller, owner,
 		peerapi.ProcedureExchange, clock.Milliseconds(call.WaitMs)+exchangeSlow, call)
 	if err != nil {
-		p.log.V(1).Info("an exchange failed", "why", err.Error())
+		p.log.V(1).Info("exchange failed", "reason", err.Error())
 		return false
 	}
 	if answer.NotLeader {
@@ -277,7 +277,7 @@
 	if answer.Fence == 0 {
 		return true
 	}
-	orders, _ := ask(p, ctx, func() []wire.Order { return p.table.Told(call, askedAt, answer) })
+	orders, _ := ask(ctx, p, func() []wire.Order { return p.table.Told(call, askedAt, answer) })
 	for _, order := range orders {
 		go p.carry(ctx, call.Executor, order)
 	}
@@ -306,7 +306,7 @@
 	p.slots <- struct{}{}
 	defer func() { <-p.slots }()
 	for try := range startTries {
-		turn, isOpen := ask(p, ctx, func() orderTurn {
+		turn, isOpen := ask(ctx, p, func() orderTurn {
 			work, isDue := p.table.Ready(executor, order)
 			return orderTurn{work, isDue}
 		})
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -123,7 +123,7 @@
 		s.listener.Close()
 	}
 	if passed >= times.Close {
-		s.log.Info("connections were still open at the end", "unanswered", s.tracker.unanswered.Load())
+		s.log.Info("connections still open at exit", "unanswered", s.tracker.unanswered.Load())
 		return true
 	}
 	return s.listener.isClosed.Load() && s.tracker.unanswered.Load() == 0 && s.tracker.sinceRead() >= times.Quiet
@@ -147,10 +147,10 @@
 	if cause == nil {
 		return
 	}
-	if cause == http.ErrAbortHandler {
+	if err, isError := cause.(error); isError && errors.Is(err, http.ErrAbortHandler) {
 		panic(cause)
 	}
-	s.log.Error(jujuerrors.Errorf("panic: %v\n%s", cause, debug.Stack()), "a handler failed")
+	s.log.Error(jujuerrors.Errorf("panic: %v\n%s", cause, debug.Stack()), "handler failed")
 	if answer.hasBegun {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/platform/httpserver/tracking.go
+++ b/internal/platform/httpserver/tracking.go
@@ -54,7 +54,7 @@
 		if l.isClosed.Load() || errors.Is(err, net.ErrClosed) {
 			return nil, net.ErrClosed
 		}
-		return nil, passingFault{err}
+		return nil, transientError{err}
 	}
 	l.tracker.open.Add(1)
 	l.tracker.lastAccept.Store(int64(l.tracker.clock.Monotonic()))
@@ -88,17 +88,17 @@
 	return l.Listener.Close()
 }
 
-// passingFault is a failure to accept after which accepting goes on.
-type passingFault struct{ error }
+// transientError is a failure to accept after which accepting goes on.
+type transientError struct{ error }
 
 // Timeout is false: no deadline is set on accepting.
-func (passingFault) Timeout() bool { return false }
+func (transientError) Timeout() bool { return false }
 
 // Temporary is true, which makes http.Server go on.
-func (passingFault) Temporary() bool { return true }
+func (transientError) Temporary() bool { return true }
 
-// Unwrap gives the fault itself.
-func (f passingFault) Unwrap() error { return f.error }
+// Unwrap gives the error of accepting.
+func (e transientError) Unwrap() error { return e.error }
 
 // connection knows whether anything was read since its last answer.
 type connection struct {
--- a/internal/platform/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -13,23 +13,23 @@
 // else touches the table, so it needs no lock. Any goroutine may call TryPost, and any but the owner Post and Ask; Run, Drain
 // and Step are for the owner alone.
 type Mailbox struct {
-	letters chan func()
+	messages chan func()
 	// first holds functions that go before all others; only an Outbox fills it.
 	first chan func()
 }
 
 // New makes a mailbox in which so many functions may wait.
 func New(room int) *Mailbox {
-	return &Mailbox{letters: make(chan func(), room), first: make(chan func(), room)}
+	return &Mailbox{messages: make(chan func(), room), first: make(chan func(), room)}
 }
 
 // Post queues a function; it blocks while the mailbox is full, so the owner itself must not call it.
-func (m *Mailbox) Post(letter func()) { m.letters <- letter }
+func (m *Mailbox) Post(letter func()) { m.messages <- letter }
 
 // TryPost queues a function unless the mailbox is full, and says whether it did. It never blocks.
 func (m *Mailbox) TryPost(letter func()) bool {
 	select {
-	case m.letters <- letter:
+	case m.messages <- letter:
 		return true
 	default:
 		return false
@@ -45,7 +45,7 @@
 	OwnCore bool
 }
 
-// Run owns the table until ctx is done; Settle is called after each burst of letters.
+// Run owns the table until ctx is done; Settle is called after each burst of messages.
 func (m *Mailbox) Run(ctx context.Context, clock clock.Clock, owner Owner) {
 	if owner.OwnCore {
 		runtime.LockOSThread()
@@ -59,7 +59,7 @@
 		case letter := <-m.first:
 			letter()
 			m.Drain()
-		case letter := <-m.letters:
+		case letter := <-m.messages:
 			m.drainFirst()
 			letter()
 			m.Drain()
@@ -90,7 +90,7 @@
 
 // Drain runs what waits, and no more than the box holds.
 func (m *Mailbox) Drain() {
-	for range cap(m.letters) {
+	for range cap(m.messages) {
 		if !m.Step() {
 			return
 		}
@@ -106,7 +106,7 @@
 	default:
 	}
 	select {
-	case letter := <-m.letters:
+	case letter := <-m.messages:
 		letter()
 		return true
 	default:
@@ -116,7 +116,7 @@
 
 // Ask runs the question on the owner's goroutine and waits for its answer. A question whose asker has given up by the time
 // of its turn is not run, so that an owner that has fallen behind spends no time on answers that nobody waits for.
-func Ask[T any](m *Mailbox, ctx context.Context, question func(answer func(T))) (T, error) {
+func Ask[T any](ctx context.Context, m *Mailbox, question func(answer func(T))) (T, error) {
 	answers := make(chan T, 1)
 	answer := func(value T) {
 		select {
@@ -131,7 +131,7 @@
 		}
 	}
 	select {
-	case m.letters <- letter:
+	case m.messages <- letter:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
--- a/internal/platform/mailbox/mailbox_test.go
+++ b/internal/platform/mailbox/mailbox_test.go
@@ -17,20 +17,20 @@
 		ctx, end := context.WithCancel(context.Background())
 		givenUp := make(chan error)
 		go func() {
-			_, err := Ask(box, ctx, question)
+			_, err := Ask(ctx, box, question)
 			givenUp <- err
 		}()
-		Eventually(func() int { return len(box.letters) }).Should(Equal(1))
+		Eventually(func() int { return len(box.messages) }).Should(Equal(1))
 		end()
 		Expect(<-givenUp).To(HaveOccurred())
 		box.Drain()
 		Expect(wasRun).To(BeZero())
 		answered := make(chan int)
 		go func() {
-			answer, _ := Ask(box, context.Background(), question)
+			answer, _ := Ask(context.Background(), box, question)
 			answered <- answer
 		}()
-		Eventually(func() int { return len(box.letters) }).Should(Equal(1))
+		Eventually(func() int { return len(box.messages) }).Should(Equal(1))
 		box.Drain()
 		Expect(<-answered).To(Equal(1))
 	})
--- a/internal/platform/response/response.go
+++ b/internal/platform/response/response.go
@@ -61,7 +61,7 @@
 func (r Reply) WriteLogged(to http.ResponseWriter, log logging.Logger) {
 	if r.Status < leastFinalStatus || r.Status > mostFinalStatus {
 		err := errors.Errorf("an answer has the status %d, which is not a final one", r.Status)
-		log.Error(err, "writing an answer", "status", r.Status, "bodyBytes", len(r.Body))
+		log.Error(err, "response not written", "status", r.Status, "body_bytes", len(r.Body))
 		r = Text(http.StatusBadGateway, "no answer with a status came")
 	}
 	if len(r.Body) > 0 {
--- a/internal/platform/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -83,7 +83,7 @@
 		for len(failures) > 0 && now-failures[0] > t.within {
 			failures = failures[1:]
 		}
-		t.log.Error(err, "a part failed", "part", one.name, "times", len(failures))
+		t.log.Error(err, "part failed", "part", one.name, "times", len(failures))
 		if len(failures) > t.most {
 			return errors.Annotatef(err, "part %s failed too often", one.name)
 		}
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -162,11 +162,11 @@
 		last = modified(b.path)
 		fresh, err := settings.Load(b.path)
 		if err != nil {
-			b.log.Error(err, "the changed settings were refused; the old ones stay")
+			b.log.Error(err, "settings refused, the old ones stay")
 			continue
 		}
 		b.node.SetSeeds(fresh.Seeds)
-		b.log.Info("the changed settings were taken")
+		b.log.Info("settings reloaded")
 	}
 }
 
@@ -191,7 +191,7 @@
 	case err := <-over:
 		return err
 	case <-asked.Done():
-		b.log.Info("leaving in order")
+		b.log.Info("shutting down")
 		if b.settings.MetricsLog() > 0 {
 			metrics.Log(b.log)
 		}
--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -35,7 +35,7 @@
 				continue
 			}
 			if err := store.SavePeers(next); err != nil {
-				b.log.Error(err, "the addresses of peers could not be saved")
+				b.log.Error(err, "peer addresses not saved")
 				continue
 			}
 			saved = next
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -50,7 +50,7 @@
 		s.store, err = storage.Open(folder)
 	}
 	if err != nil {
-		b.log.Error(err, "a seed without a disk keeps no keys: field data-directory is empty, and no other folder can be used")
+		b.log.Error(err, "seed without a disk: field data-directory is empty, and no other folder can be used")
 		return
 	}
 	s.folder, s.isTemporary = folder, true
@@ -74,7 +74,7 @@
 	}
 	addresses, err := s.store.Peers()
 	if err != nil {
-		log.Error(err, "the addresses of peers could not be read")
+		log.Error(err, "peer addresses not read")
 	}
 	return addresses
 }
--- a/internal/scheduling/placement/oracle_test.go
+++ b/internal/scheduling/placement/oracle_test.go
@@ -227,7 +227,7 @@
 	slices.SortStableFunc(firsts, compare)
 	slices.SortStableFunc(spares, compare)
 	line := Line{}
-	order := append(firsts, spares...)
+	order := slices.Concat(firsts, spares)
 	for place, number := range order {
 		if place == 0 {
 			line.Least = groups[number].Need
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -124,7 +124,7 @@
 	one.state, one.endedMs = state, p.leadership.WallMs()
 	p.put("s/"+one.id, stateRecord{Entry: one.record.Entry, State: state, Why: why, EndedMs: one.endedMs})
 	if state != stateCompleted {
-		p.log.V(1).Info("job ended", "job", one.id, "state", state, "why", why)
+		p.log.V(1).Info("job ended", "job", one.id, "state", state, "reason", why)
 	}
 	for _, spell := range one.timesInOrder() {
 		for _, step := range spell.steps {
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -300,7 +300,7 @@
 func (p *Pool) stray(home *life, report wire.RunReport) {
 	order := wire.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
 	if !slices.Contains(home.strays, order) {
-		p.log.Info("stopping a run that no record knows", "task", report.Task, "run", report.Run, "executor", home.id)
+		p.log.Info("stopping orphaned run", "task", report.Task, "run", report.Run, "executor", home.id)
 		home.strays = append(home.strays, order)
 	}
 }
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -54,7 +54,7 @@
 }
 
 func (p *Pool) noteUnreadable(record string, err error) {
-	p.log.Error(err, "a record can't be read", "key", p.key, "record", record)
+	p.log.Error(err, "unreadable record", "key", p.key, "record", record)
 	p.unreadable = append(p.unreadable, record)
 }
 
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -172,7 +172,7 @@
 	}
 }
 
-var errClosed = errors.New("the pool has another owner")
+var errClosed = errors.ConstError("the pool is led elsewhere")
 
 // IsOpen says whether the key is led here.
 func (p *Pool) IsOpen() bool { return p.leadership != nil }
@@ -180,7 +180,7 @@
 func (p *Pool) put(name string, value easyjson.Marshaler) {
 	text, err := easyjson.Marshal(value)
 	if err != nil {
-		p.log.Error(err, "a record could not be written", "name", name)
+		p.log.Error(err, "record not written", "name", name)
 		return
 	}
 	p.setOp(wire.Op{Name: name, Value: text}, nil)
@@ -361,7 +361,7 @@
 		}
 		text, err := easyjson.Marshal(record)
 		if err != nil {
-			p.log.Error(err, "a record could not be written", "name", which.name)
+			p.log.Error(err, "record not written", "name", which.name)
 			continue
 		}
 		p.ops[place].Value = text
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -185,7 +185,7 @@
 	if end.Outcome != "done" || which == nil || which.isDone || end.Run > which.lastRun {
 		return
 	}
-	p.log.Info("a run that was given up has done its task", "task", end.Task, "run", end.Run)
+	p.log.Info("abandoned run completed its task", "task", end.Task, "run", end.Run)
 	p.taskDone(which)
 }
 
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -78,7 +78,7 @@
 func (p *Pool) tickLife(home *life, now time.Duration) {
 	home.fails, home.dones = home.fails*0.99, home.dones*0.99
 	if p.isOutlived(home, now) {
-		p.log.Info("an executor was replaced on its machine", "executor", home.id, "machine", home.proxy, "runs", len(home.runs))
+		p.log.Info("executor replaced on its machine", "executor", home.id, "machine", home.proxy, "runs", len(home.runs))
 		p.lifeGone(home)
 		return
 	}
@@ -94,7 +94,7 @@
 // lapsed closes what ran where the longest hold ever granted is over.
 func (p *Pool) lapsed(home *life, now time.Duration) {
 	if len(home.runs) > 0 {
-		p.log.Info("holds have lapsed", "executor", home.id, "runs", len(home.runs))
+		p.log.Info("executor lease expired", "executor", home.id, "runs", len(home.runs))
 	}
 	if now-home.contactAt > p.timing.SilentAfter || !home.isKnown {
 		p.lifeGone(home)
--- a/internal/scheduling/scheduler/trust.go
+++ b/internal/scheduling/scheduler/trust.go
@@ -115,7 +115,7 @@
 	if !one.isStuck || one.state != runRunning || which.step.step.Lasting || which.step.step.Gang || which.timesHung >= mostHung {
 		return
 	}
-	p.log.Info("a run makes no progress", "task", which.name, "run", one.number, "executor", home.id)
+	p.log.Info("run makes no progress", "task", which.name, "run", one.number, "executor", home.id)
 	p.mistrust(home)
 	home.fails++
 	which.timesHung++
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -96,7 +96,7 @@
 		response.Empty(http.StatusBadRequest).Write(to)
 		return
 	}
-	done, err := mailbox.Ask(n.mailbox, request.Context(), decoded)
+	done, err := mailbox.Ask(request.Context(), n.mailbox, decoded)
 	if err != nil {
 		return
 	}
@@ -147,7 +147,7 @@
 		case <-n.clock.After(wait):
 		}
 		wait = clock.Milliseconds(n.settings.HeartbeatMs)
-		heartbeat, err := mailbox.Ask(n.mailbox, n.ctx, func(answer func(executorapi.Beat)) {
+		heartbeat, err := mailbox.Ask(n.ctx, n.mailbox, func(answer func(executorapi.Beat)) {
 			answer(n.executor.Beat(n.settings.Service, n.settings.App, n.settings.Domain))
 		})
 		if err != nil || n.send(client, heartbeat) != nil {
@@ -234,12 +234,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc(PathRecords, func(to http.ResponseWriter, request *http.Request) {
 		all := []RunRecord{}
-		gather(nodes, request.Context(), (*Executor).Records, func(records []RunRecord) { all = append(all, records...) })
+		gather(request.Context(), nodes, (*Executor).Records, func(records []RunRecord) { all = append(all, records...) })
 		WriteJSON(to, all)
 	})
 	mux.HandleFunc(PathCounts, func(to http.ResponseWriter, request *http.Request) {
 		var sum Counts
-		gather(nodes, request.Context(), (*Executor).Counts, func(counts Counts) {
+		gather(request.Context(), nodes, (*Executor).Counts, func(counts Counts) {
 			sum.Running, sum.Started = sum.Running+counts.Running, sum.Started+counts.Started
 		})
 		WriteJSON(to, sum)
@@ -249,9 +249,9 @@
 }
 
 // gather asks each executor on the goroutine that owns it, and gives up at the first that does not answer.
-func gather[T any](nodes []*node, ctx context.Context, question func(*Executor) T, take func(T)) {
+func gather[T any](ctx context.Context, nodes []*node, question func(*Executor) T, take func(T)) {
 	for _, asked := range nodes {
-		value, err := mailbox.Ask(asked.mailbox, ctx, func(answer func(T)) { answer(question(asked.executor)) })
+		value, err := mailbox.Ask(ctx, asked.mailbox, func(answer func(T)) { answer(question(asked.executor)) })
 		if err != nil {
 			return
 		}
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -56,7 +56,7 @@
 // IsNew tells whether nothing was ever kept here.
 func (d *disk) IsNew() bool { return d.isBare }
 
-// Heads are the states of the replicas that were synced.
+// ReplicaStates are the states of the replicas that were synced.
 func (d *disk) ReplicaStates() (map[string]storage.ReplicaState, error) {
 	return maps.Clone(d.shelf.Heads), nil
 }
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"net/http"
 	"time"
@@ -199,7 +200,7 @@
 	call(a.from, to, try.Limit, func(answer func(wire.ClientAnswer)) { to.obey(a.ask, answer) },
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
-				a.tries.HandleFailure(err == errRefused)
+				a.tries.HandleFailure(errors.Is(err, errRefused))
 			} else if a.tries.HandleAnswer(&answer) {
 				a.end()
 				return
--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -46,7 +46,7 @@
 	change := &Change{}
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
-	if err := decoder.Decode(change); err != nil && err != io.EOF {
+	if err := decoder.Decode(change); err != nil && !errors.Is(err, io.EOF) {
 		return nil, errors.Annotate(err, path)
 	}
 	return change, errors.Annotate(change.check(), path)
