--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -48,13 +48,13 @@
 	BeforeEach(func() {
 		peer, fakeClock, inForce = newScriptedPeer(), clock.NewFake(1), make(chan int64, 9)
 		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), fakeClock, logging.Silent(),
-			func(page *configcache.Snapshot) { inForce <- page.Committed.Version })
+			func(snapshot *configcache.Snapshot) { inForce <- snapshot.Committed.Version })
 		ctx, end := context.WithCancel(context.Background())
 		DeferCleanup(end)
 		go cache.Run(ctx)
 	})
 
-	It("asks for changes on what it holds, and for the whole where they don't fit", func() {
+	It("asks for changes on what it holds, and for the full configuration where they don't fit", func() {
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
@@ -69,7 +69,7 @@
 		Expect(cache.Current().Committed.Body).To(Equal(next.Body))
 	})
 
-	It("asks for the whole without a base, and serves what it holds in turn", func() {
+	It("asks for the full configuration without a base, and serves what it holds in turn", func() {
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{AcceptsChunks: true}))
 		peer.tell <- &wire.ConfigurationAnswer{Full: old}
--- a/internal/cluster/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -52,9 +52,9 @@
 	return arrived
 }
 
-func versionOf(facts ...*wire.Configuration) *configcache.Version {
+func versionOf(versions ...*wire.Configuration) *configcache.Version {
 	var current *configcache.Version
-	for _, element := range facts {
+	for _, element := range versions {
 		current = current.Next(element)
 	}
 	return current
@@ -110,7 +110,7 @@
 		Expect(again.Changes).To(HaveLen(2))
 	})
 
-	It("are kept for 32 versions, and the whole is sent beyond", func() {
+	It("are kept for 32 versions, and the full configuration is sent beyond", func() {
 		all := routes(400)
 		current := versionOf(committedVersion(3, body(3, all...)))
 		for version := range int64(33) {
@@ -121,7 +121,7 @@
 		Expect(current.AnswerTo(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true}).Changes).To(HaveLen(32))
 	})
 
-	It("are the whole where all of them together are longer than it", func() {
+	It("are the full configuration where all of them together are longer than it", func() {
 		current := versionOf(old)
 		for version := int64(4); version < 9; version++ {
 			all := routes(40)
@@ -178,7 +178,7 @@
 		}
 	})
 
-	It("are the whole where nearly all is new", func() {
+	It("are the full configuration where nearly all is new", func() {
 		var fresh []string
 		for number := range 40 {
 			fresh = append(fresh, route(fmt.Sprintf("other-%d", number), 1))
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -67,7 +67,7 @@
 }
 
 var _ = Describe("a flood of fetches", func() {
-	const mostAnswers = 12
+	const maxConcurrentAnswers = 12
 
 	It("has a bounded number of answers under way; the next is sent on, and served once one is through", func() {
 		ctx, end := context.WithCancel(context.Background())
@@ -80,12 +80,12 @@
 		cache.Handle(mux)
 		cache.Hold(newHistory(550).next())
 		<-inForce
-		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, mostAnswers)
+		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, maxConcurrentAnswers)
 		current := &scriptedPeer{mux: mux}
 		call := func(through http.RoundTripper) (*wire.ConfigurationAnswer, error) {
 			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(&http.Client{Transport: through}), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
 		}
-		for range mostAnswers {
+		for range maxConcurrentAnswers {
 			go func() {
 				call(roundTrip(func(request *http.Request) (*http.Response, error) {
 					recorder := httptest.NewRecorder()
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -70,7 +70,7 @@
 	return segments
 }
 
-// partsOf says a body in chunks of a base, and in text where the base has none.
+// partsOf says a body in segments of a base, and in text where the base has none.
 func partsOf(base, body [][]byte) []wire.DeltaPart {
 	firstIndex := map[string]int{}
 	for index, segment := range slices.Backward(base) {
@@ -101,7 +101,7 @@
 	return parts
 }
 
-// assemble gives the chunks of the body that the parts say, without reading the whole of it: those of a span are chunks
+// assemble gives the segments of the body that the parts say, without reading the whole of it: those of a span are segments
 // of the new body too, and only text is cut anew.
 func assemble(base []segment, parts []wire.DeltaPart) ([]segment, error) {
 	segments := make([]segment, 0, len(base)+len(parts))
@@ -119,7 +119,7 @@
 	return segments, nil
 }
 
-// netDepth is by how much the depth is greater after the chunks than before them.
+// netDepth is by how much the depth is greater after the segments than before them.
 func netDepth(segments []segment) int {
 	net := 0
 	for _, segment := range segments {
@@ -152,7 +152,7 @@
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// deltaBetween gives what makes the base into the fact; nothing if the whole would hardly be longer.
+// deltaBetween gives what makes the base into the fact; nothing if the full configuration would hardly be longer.
 func deltaBetween(base, committed *wire.Configuration) *wire.ConfigurationDelta {
 	if len(committed.InitialVoters) < len(base.InitialVoters) || len(committed.Moved) < len(base.Moved) {
 		return nil
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -28,7 +28,7 @@
 
 // Actions are what a fetcher has its process do.
 type Actions struct {
-	// Ask calls a peer that may be silent for the patience; Take is told of the outcome.
+	// Ask calls a peer that may be silent for the patience; HandleAnswer gets the outcome.
 	Ask func(address string, call *wire.ConfigurationCall, patience time.Duration)
 	// ResumeAfter calls the fetcher's Wake after a while.
 	ResumeAfter func(after time.Duration)
@@ -86,7 +86,7 @@
 	}
 }
 
-// Chunk gives a peer a chunk of an image of the whole.
+// Chunk gives a peer a chunk of an image of the configuration.
 func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
@@ -177,7 +177,7 @@
 	f.pause(min(pauseFactor*(f.clock.Monotonic()-transfer), maxPause))
 }
 
-// read makes a version of an answer; it is not whole while chunks of its image are missing.
+// read makes a version of an answer; it is not complete while chunks of its image are missing.
 func (f *Fetcher) read(address string, answer *wire.ConfigurationAnswer) (next *Version, isComplete bool, err error) {
 	if answer.Chunk == nil {
 		next, err = f.current.Apply(answer)
@@ -207,7 +207,7 @@
 	}
 }
 
-// bytesOf counts what an answer holds of configurations: text, whole or in parts, and chunks.
+// bytesOf counts what an answer holds of configurations: text, in full or in parts, and chunks.
 func bytesOf(answer *wire.ConfigurationAnswer) int {
 	count := 0
 	if answer.Full != nil {
--- a/internal/cluster/configcache/fetch_test.go
+++ b/internal/cluster/configcache/fetch_test.go
@@ -18,9 +18,9 @@
 
 const smallBody = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"}],"service-list":[{"name":"s"}]}`
 
-func runningCache(heed func(*configcache.Snapshot)) *configcache.Cache {
+func runningCache(onChange func(*configcache.Snapshot)) *configcache.Cache {
 	ctx, end := context.WithCancel(context.Background())
-	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent(), heed)
+	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent(), onChange)
 	over := make(chan error, 1)
 	go func() { over <- cache.Run(ctx) }()
 	DeferCleanup(func() {
@@ -33,17 +33,17 @@
 var _ = Describe("the configuration that a process holds", func() {
 	It("is fetched from a peer that is ahead, and counted", func() {
 		before := metrics.Own()
-		pages := make(chan *configcache.Snapshot, 2)
-		heed := func(page *configcache.Snapshot) { pages <- page }
-		ahead, behind := runningCache(heed), runningCache(heed)
+		snapshots := make(chan *configcache.Snapshot, 2)
+		onChange := func(snapshot *configcache.Snapshot) { snapshots <- snapshot }
+		ahead, behind := runningCache(onChange), runningCache(onChange)
 		mux := http.NewServeMux()
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		ahead.Hold(&wire.Configuration{Version: 7, Body: []byte(smallBody)})
-		<-pages
+		<-snapshots
 		behind.FetchFrom(wire.Member{Address: server.Listener.Addr().String()}, 7)
-		Expect((<-pages).Committed.Version).To(Equal(int64(7)))
+		Expect((<-snapshots).Committed.Version).To(Equal(int64(7)))
 		Expect(behind.Current().Matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		own := metrics.Own()
 		grown := func(name string) float64 { return own[name] - before[name] }
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -21,7 +21,7 @@
 	maxImageBytes = 16 << 20
 )
 
-// Image is the compressed form of one whole version, which peers fetch in chunks.
+// Image is the compressed form of one version, which peers fetch in chunks.
 type Image struct {
 	Version int64
 	// Name is the sha256 of the data, in hexadecimal.
@@ -29,7 +29,7 @@
 	data []byte
 }
 
-// Pack compresses a whole version.
+// Pack compresses a version.
 func Pack(committed *wire.Configuration) (*Image, error) {
 	text, err := easyjson.Marshal(committed)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return shortest
 }
 
-// take adds a chunk; it gives the image once it is whole.
+// take adds a chunk; it gives the image once it is complete.
 func (t *imageTransfers) take(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
 	transfer := t.find(chunk)
 	if transfer == nil {
@@ -216,7 +216,7 @@
 	t.keep(func(transfer *imageTransfer) bool { return transfer != dropped })
 }
 
-// reached drops images that a held version makes useless.
+// reached drops images that the version in force makes useless.
 func (t *imageTransfers) reached(version int64) {
 	t.keep(func(transfer *imageTransfer) bool { return transfer.image.Version > version })
 }
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -71,7 +71,7 @@
 type process struct {
 	member  wire.Member
 	fetcher *configcache.Fetcher
-	held    *configcache.Version
+	current *configcache.Version
 	isDead  bool
 	// applying is how long it takes to bring a version into force.
 	applying time.Duration
@@ -88,7 +88,7 @@
 
 // start begins a life that remembers nothing.
 func (p *process) start(n *network) {
-	p.held = nil
+	p.current = nil
 	var fetcher *configcache.Fetcher
 	fetcher = configcache.NewFetcher(n.clock, logging.Silent(), configcache.Actions{
 		Ask: func(address string, call *wire.ConfigurationCall, patience time.Duration) {
@@ -99,7 +99,7 @@
 			if strings.HasPrefix(string(next.Committed.Body), `"garbage`) {
 				return errors.New(`"garbage`)
 			}
-			p.held = next
+			p.current = next
 			p.taken[next.Committed.Version] = n.clock.Monotonic()
 			n.clock.Advance(p.applying)
 			return nil
@@ -108,7 +108,7 @@
 }
 
 func (p *process) answer(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
-	answer := p.held.AnswerTo(call)
+	answer := p.current.AnswerTo(call)
 	if answer == nil {
 		chunk, err := p.fetcher.Chunk(call)
 		Expect(err).NotTo(HaveOccurred())
@@ -159,7 +159,7 @@
 	return h
 }
 
-func (h *history) word(length int) string {
+func (h *history) randomWord(length int) string {
 	var text strings.Builder
 	for range length {
 		text.WriteByte(byte('a' + h.draw.IntN(26)))
@@ -169,7 +169,7 @@
 
 func (h *history) route() string {
 	return fmt.Sprintf(`{"name":"r-%s","host":"%s.example","path-prefix":"/%s%d/","route-type":"non_idempotent","timeout-ms":%d,"target-latency-ms":200,"priority":0,"service":"s","max-attempts":2,"stretch-factor":1.5}`,
-		h.word(7), h.word(6), h.word(4), h.draw.IntN(999), 1000+h.draw.IntN(9000))
+		h.randomWord(7), h.randomWord(6), h.randomWord(4), h.draw.IntN(999), 1000+h.draw.IntN(9000))
 }
 
 func (h *history) next() *wire.Configuration {
@@ -205,8 +205,8 @@
 	}
 	hear := func() {
 		for _, element := range []*process{steward, other} {
-			if element.held != nil {
-				gate.fetcher.PeerHolds(element.member, element.held.Committed.Version)
+			if element.current != nil {
+				gate.fetcher.PeerHolds(element.member, element.current.Committed.Version)
 			}
 		}
 	}
@@ -219,8 +219,8 @@
 		network.runTo(length)
 		newest := h.last
 		network.runTo(length + behind)
-		Expect(gate.held.Committed.Version).To(Equal(newest))
-		Expect(gate.held.Committed.Body).To(Equal(steward.held.Committed.Body))
+		Expect(gate.current.Committed.Version).To(Equal(newest))
+		Expect(gate.current.Committed.Body).To(Equal(steward.current.Committed.Body))
 		Expect(network.maxAt).To(Equal(1))
 		var last, longest time.Duration
 		var times []time.Duration
@@ -257,7 +257,7 @@
 		network.received = 0
 		hear()
 		network.runTo(2 * time.Second)
-		Expect(gate.held.Committed).To(Equal(newest))
+		Expect(gate.current.Committed).To(Equal(newest))
 		GinkgoWriter.Printf("%d routes: 400 versions made up for in %v with %d bytes; the body has %d\n",
 			count, gate.taken[newest.Version]-time.Second, network.received, len(newest.Body))
 		Expect(network.received).To(BeNumerically("<", len(newest.Body)/3))
@@ -271,11 +271,11 @@
 		other.fetcher.Hold(newest)
 		gate.fetcher.PeerHolds(steward.member, newest.Version)
 		network.runTo(900 * time.Millisecond)
-		Expect(gate.held).To(BeNil())
+		Expect(gate.current).To(BeNil())
 		steward.isDead = true
 		gate.fetcher.PeerHolds(other.member, newest.Version)
 		network.runTo(10 * time.Second)
-		Expect(gate.held.Committed).To(Equal(newest))
+		Expect(gate.current.Committed).To(Equal(newest))
 		image, err := configcache.Pack(newest)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(network.received).To(BeNumerically("<", image.Size()*14/10))
@@ -292,7 +292,7 @@
 		steward.isDead = false
 		hear()
 		network.runTo(31 * time.Second)
-		Expect(gate.held.Committed.Version).To(Equal(steward.held.Committed.Version))
+		Expect(gate.current.Committed.Version).To(Equal(steward.current.Committed.Version))
 	})
 
 	DescribeTable("takes nothing of a peer that answers nonsense, and goes on at another",
@@ -307,7 +307,7 @@
 			gate.fetcher.PeerHolds(steward.member, newest.Version)
 			gate.fetcher.PeerHolds(other.member, newest.Version)
 			network.runTo(5 * time.Second)
-			Expect(gate.held.Committed).To(Equal(newest))
+			Expect(gate.current.Committed).To(Equal(newest))
 			Expect(gate.taken).To(HaveLen(2))
 			Expect(len(network.calls)).To(BeNumerically("<", 12))
 		},
@@ -349,7 +349,7 @@
 		steward.fetcher.Hold(newest)
 		hear()
 		network.runTo(5 * time.Second)
-		Expect(gate.held.Committed).To(Equal(newest))
+		Expect(gate.current.Committed).To(Equal(newest))
 		Expect(gate.answer(&wire.ConfigurationCall{}).Full).To(Equal(newest))
 		Expect(gate.answer(&wire.ConfigurationCall{HeldVersion: 1 << 30}).Full).To(BeNil())
 	})
--- a/internal/cluster/configuration/plan.go
+++ b/internal/cluster/configuration/configuration.go
@@ -1,7 +1,7 @@
 // Package configuration reads and checks the operator's configurations.
 package configuration
 
-//go:generate go run github.com/mailru/easyjson/easyjson -all plan.go
+//go:generate go run github.com/mailru/easyjson/easyjson -all configuration.go
 
 // Route is a queue: jobs for a host and path prefix go to a service. Priority 0 is the most urgent; MaxAttempts is how
 // often a task may fail; the aim for a job is Stretch times its longest chain of work, plus TargetLatencyMs.
--- a/internal/cluster/configuration/plan_easyjson.go
+++ b/internal/cluster/configuration/configuration_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson74860439DecodeGannetlineInternalClusterConfiguration(in *jlexer.Lexer, out *Service) {
+func easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration(in *jlexer.Lexer, out *Service) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -65,7 +65,7 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalClusterConfiguration(out *jwriter.Writer, in Service) {
+func easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration(out *jwriter.Writer, in Service) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -95,27 +95,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Service) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration(&w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration(w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Service) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration(&r, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration(l, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration(l, v)
 }
-func easyjson74860439DecodeGannetlineInternalClusterConfiguration1(in *jlexer.Lexer, out *Route) {
+func easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration1(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -199,7 +199,7 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalClusterConfiguration1(out *jwriter.Writer, in Route) {
+func easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration1(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -259,27 +259,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration1(&w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration1(w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration1(&r, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration1(l, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration1(l, v)
 }
-func easyjson74860439DecodeGannetlineInternalClusterConfiguration2(in *jlexer.Lexer, out *Limits) {
+func easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration2(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -327,7 +327,7 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalClusterConfiguration2(out *jwriter.Writer, in Limits) {
+func easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration2(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -357,27 +357,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration2(&w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration2(w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration2(&r, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration2(l, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration2(l, v)
 }
-func easyjson74860439DecodeGannetlineInternalClusterConfiguration3(in *jlexer.Lexer, out *Configuration) {
+func easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration3(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -467,7 +467,7 @@
 		in.Consumed()
 	}
 }
-func easyjson74860439EncodeGannetlineInternalClusterConfiguration3(out *jwriter.Writer, in Configuration) {
+func easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration3(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -519,23 +519,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration3(&w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson74860439EncodeGannetlineInternalClusterConfiguration3(w, v)
+	easyjsonA0a30a08EncodeGannetlineInternalClusterConfiguration3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration3(&r, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson74860439DecodeGannetlineInternalClusterConfiguration3(l, v)
+	easyjsonA0a30a08DecodeGannetlineInternalClusterConfiguration3(l, v)
 }
--- a/internal/cluster/configuration/configuration_test.go
+++ b/internal/cluster/configuration/configuration_test.go
@@ -14,9 +14,9 @@
 
 var _ = Describe("a configuration", func() {
 	It("is read, with fields that are new", func() {
-		plan, err := configuration.Read([]byte(sound))
+		decoded, err := configuration.Read([]byte(sound))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(plan.Version).To(Equal(int64(7)))
+		Expect(decoded.Version).To(Equal(int64(7)))
 	})
 
 	DescribeTable("is refused with a text that names the field", func(old, fresh, field string) {
@@ -33,8 +33,8 @@
 	)
 
 	It("matches host, then the longest prefix", func() {
-		plan, _ := configuration.Read([]byte(sound))
-		matcher := configuration.NewMatcher(plan)
+		decoded, _ := configuration.Read([]byte(sound))
+		matcher := configuration.NewMatcher(decoded)
 		Expect(matcher.Match("H.example:80", "/q/deep/x").Name).To(Equal("b"))
 		Expect(matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		Expect(matcher.Match("h.example", "/other")).To(BeNil())
--- a/internal/cluster/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -40,18 +40,18 @@
 }
 
 // ask plays one call and gives how long it took, how many tries it made and whether it was answered.
-func (f *darkFleet) ask(draw *rand.Rand) (took time.Duration, tries int, isAnswered bool) {
+func (f *darkFleet) ask(draw *rand.Rand) (took time.Duration, count int, isAnswered bool) {
 	view, now := f.view(), time.Duration(0)
 	attempts := NewAttempts(darkKey, clientTime, draw.IntN)
 	for {
 		attempt, isTimeLeft := attempts.Next(view, now)
 		if !isTimeLeft {
-			return now, tries, false
+			return now, count, false
 		}
-		tries++
+		count++
 		isSlow := attempt.Address == f.slow
 		if isSlow && f.slowHop <= attempt.Limit {
-			return now + f.slowHop, tries, true
+			return now + f.slowHop, count, true
 		}
 		if isSlow || slices.Contains(f.dark, attempt.Address) {
 			now += attempt.Limit
@@ -67,7 +67,7 @@
 				answer = &wire.ClientAnswer{Status: 200}
 			}
 			if attempts.HandleAnswer(answer) {
-				return now, tries, true
+				return now, count, true
 			}
 		}
 		now += attempts.Pause(now)
@@ -80,9 +80,9 @@
 			fleet := &darkFleet{dark: dark, takenOverS: takenOverS, hop: 10 * time.Millisecond, successor: "s4"}
 			slowest, maxAttempts := time.Duration(0), 0
 			for seed := range uint64(500) {
-				took, tries, isAnswered := fleet.ask(rand.New(rand.NewPCG(seed, 1)))
+				took, count, isAnswered := fleet.ask(rand.New(rand.NewPCG(seed, 1)))
 				Expect(isAnswered).To(BeTrue(), "seed %d", seed)
-				slowest, maxAttempts = max(slowest, took), max(maxAttempts, tries)
+				slowest, maxAttempts = max(slowest, took), max(maxAttempts, count)
 			}
 			GinkgoWriter.Println("slowest", slowest, "most tries", maxAttempts)
 			Expect(slowest.Seconds()).To(BeNumerically("<", takenOverS+1.3))
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -166,7 +166,7 @@
 		Expect(isKnown).To(BeTrue())
 	})
 
-	It("takes a restarted steward by its new life, also where its clock went back", func() {
+	It("takes a restarted steward by its new incarnation, also where its clock went back", func() {
 		for _, incarnation := range []uint64{7, 1} {
 			n := newNetwork(17)
 			n.addProcesses(3, 2, 6)
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -54,7 +54,7 @@
 // Option changes how a node is made.
 type Option func(*Node)
 
-// OnConfigurationAhead names the function to be told of a peer that holds a version of the configuration.
+// OnConfigurationAhead names the function that gets a peer that holds a version of the configuration.
 func OnConfigurationAhead(handle func(peer Member, version int64)) Option {
 	return func(n *Node) { n.onConfigurationAhead = handle }
 }
--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -2,7 +2,7 @@
 // goroutines and sockets: controlkeys calls it on the goroutine of the key's engine, and a Leadership commits for it.
 //
 // A configuration is confirmed to the operator only once it is committed. Each confirmed version has a record with the digest of
-// its body, so that an operator who sends the same change again after a lost answer is confirmed again, and never told of a
+// its body, so that an operator who sends the same change again after a lost answer is confirmed again, and never shown a
 // conflict with the own change.
 package configleader
 
--- a/internal/control/configleader/configleader_test.go
+++ b/internal/control/configleader/configleader_test.go
@@ -53,7 +53,7 @@
 	return pairs
 }
 
-func plan(version int, service string) []byte {
+func configurationBody(version int, service string) []byte {
 	return []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[{"name":"r","host":"h","path-prefix":"/","timeout-ms":1,"service":"%s"}],"service-list":[{"name":"%s"}]}`,
 		version, service, service))
 }
@@ -77,57 +77,57 @@
 	}
 
 	It("acknowledges a configuration, and passes it on, only after the commit", func() {
-		Expect(replace(0, plan(3, "s"))).To(BeNil())
+		Expect(replace(0, configurationBody(3, "s"))).To(BeNil())
 		Expect(published).To(BeEmpty())
 		leadership.commitAll()
 		Expect(published).To(Equal([]int64{3}))
 	})
 
 	It("lets one of two on the same base win, and takes the same plan again", func() {
-		replace(0, plan(3, "s"))
+		replace(0, configurationBody(3, "s"))
 		var second wire.ClientAnswer
-		leader.Replace(&wire.ClientCall{Base: 0, Body: plan(4, "s")}, func(answer wire.ClientAnswer) { second = answer })
+		leader.Replace(&wire.ClientCall{Base: 0, Body: configurationBody(4, "s")}, func(answer wire.ClientAnswer) { second = answer })
 		Expect(second).To(BeZero())
 		leadership.commitAll()
 		Expect(second.Status).To(Equal(412))
 		Expect(second.Current).To(Equal(int64(3)))
-		Expect(replace(0, plan(4, "s")).Status).To(Equal(412))
-		Expect(replace(0, plan(3, "s")).Status).To(Equal(200))
-		Expect(replace(3, plan(3, "x")).Status).To(Equal(400))
+		Expect(replace(0, configurationBody(4, "s")).Status).To(Equal(412))
+		Expect(replace(0, configurationBody(3, "s")).Status).To(Equal(200))
+		Expect(replace(3, configurationBody(3, "x")).Status).To(Equal(400))
 		Expect(replace(3, []byte(`{"config-version":9}`))).To(BeNil())
 	})
 
 	It("takes over what was committed, and remembers where entries went before", func() {
-		replace(0, plan(3, "s"))
+		replace(0, configurationBody(3, "s"))
 		leadership.commitAll()
-		replace(3, plan(5, "t"))
+		replace(3, configurationBody(5, "t"))
 		leadership.commitAll()
 		next := configleader.New(logging.Silent(), func(*wire.Configuration) {})
 		Expect(next.Open(leadership, leadership.ops)).To(Succeed())
 		var body string
 		next.Retrieve(func(answer wire.ClientAnswer) { body = string(answer.Body) })
-		Expect(body).To(Equal(string(plan(5, "t"))))
+		Expect(body).To(Equal(string(configurationBody(5, "t"))))
 		Expect(string(leadership.ops[0].Value)).To(ContainSubstring(`"moved":[{"entry":"r","services":["s"]}]`))
 		Expect(string(leadership.ops[0].Value)).To(ContainSubstring(`"births":[{"service":"s","voters":["a","b","c"]}`))
 	})
 
 	It("gives back the very bytes, and passes on the body without the space around it", func() {
-		sent := append([]byte(" \n"), append(plan(3, "s"), '\n')...)
+		sent := append([]byte(" \n"), append(configurationBody(3, "s"), '\n')...)
 		replace(0, sent)
 		leadership.commitAll()
 		leader.Retrieve(func(answer wire.ClientAnswer) { Expect([]byte(answer.Body)).To(Equal(sent)) })
-		Expect([]byte(passedOn.Body)).To(Equal(plan(3, "s")))
+		Expect([]byte(passedOn.Body)).To(Equal(configurationBody(3, "s")))
 		Expect(passedOn.InitialVoters).To(HaveLen(1))
 		Expect(passedOn.Confirmed).To(BeEmpty())
 	})
 
 	It("shows nothing without a lease", func() {
-		replace(0, plan(3, "s"))
+		replace(0, configurationBody(3, "s"))
 		leadership.commitAll()
 		leadership.hasLease = false
 		var response wire.ClientAnswer
 		leader.Retrieve(func(answer wire.ClientAnswer) { response = answer })
 		Expect(response.NotLeader).To(BeTrue())
-		Expect(replace(0, plan(9, "s")).NotLeader).To(BeTrue())
+		Expect(replace(0, configurationBody(9, "s")).NotLeader).To(BeTrue())
 	})
 })
--- a/internal/control/configleader/confirmed.go
+++ b/internal/control/configleader/confirmed.go
@@ -72,15 +72,15 @@
 }
 
 // addFromEarlierVersion takes the records of an earlier version. A full list may have lost the versions before its first.
-func (c *confirmedVersions) addFromEarlierVersion(older []wire.ConfirmedVersion) {
-	for _, record := range older {
+func (c *confirmedVersions) addFromEarlierVersion(earlier []wire.ConfirmedVersion) {
+	for _, record := range earlier {
 		if c.digests[record.Version] == "" {
 			c.digests[record.Version] = record.Digest
 			c.unwritten = append(c.unwritten, record)
 		}
 	}
-	if len(older) >= maxConfirmedInRecord {
-		c.forgotten = max(c.forgotten, older[0].Version-1)
+	if len(earlier) >= maxConfirmedInRecord {
+		c.forgotten = max(c.forgotten, earlier[0].Version-1)
 	}
 }
 
--- a/internal/control/configleader/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -51,7 +51,7 @@
 // grow confirms versions 1 to count, each on the one before.
 func (o *operated) grow(count int) {
 	for version := 1; version <= count; version++ {
-		Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
+		Expect(o.replace(int64(version-1), configurationBody(version, "s"))).To(Equal(200))
 	}
 }
 
@@ -61,19 +61,19 @@
 		o.grow(401)
 		o.takeOver()
 		for version := 1; version <= 401; version++ {
-			Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
-			Expect(o.replace(int64(version-1), append(plan(version, "s"), '\n'))).To(Equal(200))
+			Expect(o.replace(int64(version-1), configurationBody(version, "s"))).To(Equal(200))
+			Expect(o.replace(int64(version-1), append(configurationBody(version, "s"), '\n'))).To(Equal(200))
 		}
 		for _, version := range []int{1, 200, 401} {
-			Expect(o.replace(int64(version-1), plan(version, "other"))).To(Equal(412))
-			Expect(o.replace(401, plan(version, "other"))).To(Equal(400))
+			Expect(o.replace(int64(version-1), configurationBody(version, "other"))).To(Equal(412))
+			Expect(o.replace(401, configurationBody(version, "other"))).To(Equal(400))
 		}
 	})
 
 	It("take one small record for each change, and leave the others alone", func() {
 		o := newOperated()
 		o.grow(300)
-		o.send(300, plan(301, "s"))
+		o.send(300, configurationBody(301, "s"))
 		Expect(o.leadership.ops).To(HaveLen(2))
 		GinkgoWriter.Printf("the record of a confirmed version takes %d bytes with its name\n", len(o.leadership.ops[1].Name)+len(o.leadership.ops[1].Value))
 		Expect(len(o.leadership.ops[1].Value)).To(BeNumerically("<", 120))
@@ -85,27 +85,27 @@
 		o.grow(2100)
 		Expect(o.kept).To(HaveLen(2049))
 		o.takeOver()
-		Expect(o.replace(51, plan(52, "s"))).To(Equal(503))
-		Expect(o.replace(52, plan(53, "s"))).To(Equal(200))
-		Expect(o.replace(2100, plan(52, "s"))).To(Equal(400))
+		Expect(o.replace(51, configurationBody(52, "s"))).To(Equal(503))
+		Expect(o.replace(52, configurationBody(53, "s"))).To(Equal(200))
+		Expect(o.replace(2100, configurationBody(52, "s"))).To(Equal(400))
 	})
 
 	It("are read in the form of an earlier version, and written as records with the next change", func() {
-		older := &wire.Configuration{Version: 164, Body: plan(164, "s")}
+		earlier := &wire.Configuration{Version: 164, Body: configurationBody(164, "s")}
 		for version := 101; version <= 164; version++ {
-			sum := sha256.Sum256(plan(version, "s"))
-			older.Confirmed = append(older.Confirmed, wire.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
+			sum := sha256.Sum256(configurationBody(version, "s"))
+			earlier.Confirmed = append(earlier.Confirmed, wire.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
 		}
-		value, err := easyjson.Marshal(older)
+		value, err := easyjson.Marshal(earlier)
 		Expect(err).NotTo(HaveOccurred())
 		o := newOperated()
 		o.kept["fact"] = value
 		for range 2 {
 			o.takeOver()
-			Expect(o.replace(100, plan(101, "s"))).To(Equal(200))
-			Expect(o.replace(100, plan(101, "other"))).To(Equal(412))
-			Expect(o.replace(99, plan(100, "s"))).To(Equal(503))
-			o.replace(164, plan(165, "s"))
+			Expect(o.replace(100, configurationBody(101, "s"))).To(Equal(200))
+			Expect(o.replace(100, configurationBody(101, "other"))).To(Equal(412))
+			Expect(o.replace(99, configurationBody(100, "s"))).To(Equal(503))
+			o.replace(164, configurationBody(165, "s"))
 		}
 		Expect(string(o.kept["fact"])).NotTo(ContainSubstring("taken"))
 		Expect(o.kept).To(HaveLen(66))
@@ -123,7 +123,7 @@
 		o.grow(3)
 		var response []*wire.ClientAnswer
 		for number := range 8 {
-			response = append(response, o.send(3, plan(4+number%4, fmt.Sprintf("s%d", number%4))))
+			response = append(response, o.send(3, configurationBody(4+number%4, fmt.Sprintf("s%d", number%4))))
 		}
 		o.leadership.commitInto(o.kept)
 		var statuses []int
@@ -137,7 +137,7 @@
 		o := newOperated()
 		var response []*wire.ClientAnswer
 		for number := range 8 {
-			response = append(response, o.send(int64(number), plan(number+1, "s")))
+			response = append(response, o.send(int64(number), configurationBody(number+1, "s")))
 		}
 		o.leadership.commitInto(o.kept)
 		for _, answer := range response {
@@ -149,7 +149,7 @@
 		o := newOperated()
 		answers, unclear := 0, 0
 		for number := range 40 {
-			o.leader.Replace(&wire.ClientCall{Base: 0, Body: plan(number+1, "s")}, func(answer wire.ClientAnswer) {
+			o.leader.Replace(&wire.ClientCall{Base: 0, Body: configurationBody(number+1, "s")}, func(answer wire.ClientAnswer) {
 				answers++
 				Expect(answer.NotLeader).To(BeTrue())
 				if answer.OutcomeUnknown {
@@ -172,7 +172,7 @@
 		o.grow(400)
 		orders := make([][]byte, 8)
 		for number := range orders {
-			orders[number] = plan(401, fmt.Sprintf("s%d", number))
+			orders[number] = configurationBody(401, fmt.Sprintf("s%d", number))
 		}
 		first := o.send(400, orders[0])
 		for _, order := range orders[1:] {
@@ -195,7 +195,7 @@
 			Expect(o.replace(400, orders[taken])).To(Equal(200))
 		}
 		for version := 402; version < 402+others; version++ {
-			Expect(o.replace(int64(version-1), plan(version, "s"))).To(Equal(200))
+			Expect(o.replace(int64(version-1), configurationBody(version, "s"))).To(Equal(200))
 		}
 		for number, order := range orders {
 			Expect(o.replace(400, order)).To(Equal(map[bool]int{true: 200, false: 412}[number == taken]))
@@ -209,13 +209,13 @@
 
 	It("that settle after the key was taken over again change nothing there", func() {
 		o := newOperated()
-		response := o.send(0, plan(1, "s"))
+		response := o.send(0, configurationBody(1, "s"))
 		late := o.leadership.pending
 		o.leadership = &scriptedLeadership{hasLease: true}
 		Expect(o.leader.Open(o.leadership, nil)).To(Succeed())
 		late[0](nil)
 		Expect(*response).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
-		Expect(o.replace(0, plan(2, "s"))).To(Equal(200))
+		Expect(o.replace(0, configurationBody(2, "s"))).To(Equal(200))
 	})
 })
 
--- a/internal/control/configleader/stored_data_test.go
+++ b/internal/control/configleader/stored_data_test.go
@@ -17,8 +17,8 @@
 		text, err := os.ReadFile("testdata/configuration-records.txt")
 		Expect(err).NotTo(HaveOccurred())
 		kept := map[string][]byte{}
-		for recordLine := range strings.Lines(string(text)) {
-			name, value, hasValue := strings.Cut(strings.TrimSuffix(recordLine, "\n"), "\t")
+		for record := range strings.Lines(string(text)) {
+			name, value, hasValue := strings.Cut(strings.TrimSuffix(record, "\n"), "\t")
 			Expect(hasValue).To(BeTrue())
 			kept[name] = []byte(value)
 		}
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -68,7 +68,7 @@
 	})
 }
 
-// Reply is what the operator is told of an outcome. A refusal is passed on only if it says what became of the call:
+// Reply is the answer to the operator. A refusal is passed on only if it says what became of the call:
 // if an earlier try may have been carried out, that is so only where the current version is known to be beyond the
 // call's base. Versions only rise, so no try can be taken from then on, and one taken before would have been confirmed.
 func Reply(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
--- a/internal/control/controlapi/reply_test.go
+++ b/internal/control/controlapi/reply_test.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/control/controlapi"
 )
 
-var _ = DescribeTable("what the operator is told", func(base int64, outcome leaderclient.Outcome, status int) {
+var _ = DescribeTable("the answer to the operator", func(base int64, outcome leaderclient.Outcome, status int) {
 	Expect(controlapi.Reply(&wire.ClientCall{Verb: "replace", Base: base}, outcome).Status).To(Equal(status))
 },
 	Entry("nobody answered", int64(5), leaderclient.Outcome{}, 503),
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Close ends the leadership for the pool; commits that wait have told it of their end by then.
+// Close ends the leadership for the pool; commits that wait have ended for it by then.
 func (h *Host) Close() { h.outbox.Send(h.pool.Close) }
 
 // hostedLeadership is a leadership as the pool's goroutine uses it.
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -110,12 +110,12 @@
 		now := s.clock.Monotonic()
 		due := s.events
 		s.events = nil
-		for _, one := range due {
-			if one.due > now {
-				s.events = append(s.events, one)
+		for _, event := range due {
+			if event.due > now {
+				s.events = append(s.events, event)
 				continue
 			}
-			one.run()
+			event.run()
 		}
 		s.runEngine(now)
 		s.runPool(now)
@@ -150,8 +150,8 @@
 
 func (s *steward) noteGap(now time.Duration) {
 	free := 0
-	for _, one := range s.voters {
-		if one.promised > 1 && now >= one.leaseUntil {
+	for _, voter := range s.voters {
+		if voter.promised > 1 && now >= voter.leaseUntil {
 			free++
 		}
 	}
@@ -164,8 +164,8 @@
 
 // hasLed tells whether any voter has granted a lease so far.
 func (s *steward) hasLed() bool {
-	for _, one := range s.voters {
-		if one.leaseUntil > 0 {
+	for _, voter := range s.voters {
+		if voter.leaseUntil > 0 {
 			return true
 		}
 	}
@@ -179,27 +179,27 @@
 
 func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	l.s.after(transit, func() {
-		one := l.s.voters[disk]
-		isGranted := call.Epoch > one.promised
+		voter := l.s.voters[disk]
+		isGranted := call.Epoch > voter.promised
 		if isGranted && !call.PreVote {
-			one.promised = call.Epoch
+			voter.promised = call.Epoch
 		}
-		answer := wire.PromiseAnswer{Granted: isGranted, Promised: one.promised, Last: one.last, Voters: l.s.state.Voters, Disk: disk}
+		answer := wire.PromiseAnswer{Granted: isGranted, Promised: voter.promised, Last: voter.last, Voters: l.s.state.Voters, Disk: disk}
 		l.back(func() { done(answer, nil) })
 	})
 }
 
 func (l *links) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.s.after(transit, func() {
-		one := l.s.voters[disk]
-		isTaken := call.Epoch == one.promised && call.Prev == one.last && !call.Release
-		if call.Epoch == one.promised && !call.Release {
-			one.leaseUntil = l.s.clock.Monotonic() + replication.DefaultTiming.Lease
+		voter := l.s.voters[disk]
+		isTaken := call.Epoch == voter.promised && call.Prev == voter.last && !call.Release
+		if call.Epoch == voter.promised && !call.Release {
+			voter.leaseUntil = l.s.clock.Monotonic() + replication.DefaultTiming.Lease
 		}
 		if isTaken && len(call.Changes) > 0 {
-			one.last = call.Changes[len(call.Changes)-1].Position
+			voter.last = call.Changes[len(call.Changes)-1].Position
 		}
-		answer := wire.AppendAnswer{Taken: isTaken, Promised: one.promised, Last: one.last, Disk: disk, DelayUs: 1000, WallMs: l.s.clock.WallMs()}
+		answer := wire.AppendAnswer{Taken: isTaken, Promised: voter.promised, Last: voter.last, Disk: disk, DelayUs: 1000, WallMs: l.s.clock.WallMs()}
 		l.back(func() { done(answer, nil) })
 	})
 }
@@ -228,8 +228,8 @@
 	l.Append("a", call, done)
 }
 
-// proxy is a local proxy that calls until the new leader knows its executor, as often as the real one does.
-type proxy struct {
+// testProxy is a local proxy that calls until the new leader knows its executor, as often as the real one does.
+type testProxy struct {
 	s          *steward
 	number     int
 	fence      uint64
@@ -243,7 +243,7 @@
 	failedPause = 300 * time.Millisecond
 )
 
-func (p *proxy) call() {
+func (p *testProxy) call() {
 	isOver := false
 	finish := func(then func()) {
 		if !isOver {
@@ -268,13 +268,13 @@
 	})
 }
 
-func (p *proxy) post(letter func()) {
-	if !p.s.host.Mailbox().TryPost(letter) {
-		p.s.after(5*time.Millisecond, func() { p.post(letter) })
+func (p *testProxy) post(run func()) {
+	if !p.s.host.Mailbox().TryPost(run) {
+		p.s.after(5*time.Millisecond, func() { p.post(run) })
 	}
 }
 
-func (p *proxy) take(answer wire.ExchangeAnswer, isKnown bool) {
+func (p *testProxy) take(answer wire.ExchangeAnswer, isKnown bool) {
 	if isKnown && !answer.NotLeader && answer.Fence == p.fence {
 		p.isFenced = true
 		return
@@ -284,13 +284,13 @@
 }
 
 // settled runs until all proxies are known to the new leader, or the limit is reached.
-func (s *steward) settled(proxies []*proxy, limit time.Duration) time.Duration {
+func (s *steward) settled(proxies []*testProxy, limit time.Duration) time.Duration {
 	began := s.clock.Monotonic()
 	for s.clock.Monotonic()-began < limit {
 		s.run(10 * time.Millisecond)
 		fenced := 0
-		for _, one := range proxies {
-			if one.isFenced {
+		for _, proxy := range proxies {
+			if proxy.isFenced {
 				fenced++
 			}
 		}
@@ -301,12 +301,12 @@
 	return limit
 }
 
-func jobsOf(s *steward, count int) []*proxy {
-	var all []*proxy
+func jobsOf(s *steward, count int) []*testProxy {
+	var all []*testProxy
 	for number := range count {
-		one := &proxy{s: s, number: number}
-		all = append(all, one)
-		s.after(time.Duration(number%300)*time.Millisecond, one.call)
+		proxy := &testProxy{s: s, number: number}
+		all = append(all, proxy)
+		s.after(time.Duration(number%300)*time.Millisecond, proxy.call)
 	}
 	return all
 }
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -29,7 +29,7 @@
 	phaseCandidate
 	// phaseFetching: a majority has promised, but the own disk lacks changes.
 	phaseFetching
-	// phaseOpening: the own disk holds the furthest state, of which the machine is not told yet.
+	// phaseOpening: the own disk holds the furthest state, which the state machine does not have yet.
 	phaseOpening
 	// phaseLeading: the state machine is open.
 	phaseLeading
--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -114,7 +114,7 @@
 		Expect(c.leader()).To(BeNil())
 	})
 
-	It("is not told that it may go while the new voters lack what was acknowledged", func() {
+	It("does not learn that it may go while the new voters lack what was acknowledged", func() {
 		for seed := range uint64(8) {
 			c := newTestCluster(1060+seed, "a", "b", "c", "d")
 			c.run(2 * time.Second)
--- a/internal/control/replication/options.go
+++ b/internal/control/replication/options.go
@@ -54,7 +54,7 @@
 // WithLog gives the engine a logger; without it, it logs nothing.
 func WithLog(log logging.Logger) Option { return func(o *options) { o.log = log } }
 
-// WithAnnounce names the function that is told of each new leadership of this engine.
+// WithAnnounce names the function that gets each new leadership of this engine.
 func WithAnnounce(announce func(wire.KeyLeader)) Option {
 	return func(o *options) { o.announce = announce }
 }
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -112,7 +112,7 @@
 		})
 	}
 
-	It("are made whole after two are lost, so that the next two may be lost", func() {
+	It("are completed after two are lost, so that the next two may be lost", func() {
 		c := newGrownCluster(20)
 		c.write()
 		c.run(100 * time.Millisecond)
--- a/internal/control/storage/metrics.go
+++ b/internal/control/storage/metrics.go
@@ -9,7 +9,7 @@
 	transactions     = metrics.NewCounter("gannetline_store_transactions_total")
 	writes           = metrics.NewCounter("gannetline_store_writes_total")
 	recordBytesTotal = metrics.NewCounter("gannetline_store_record_bytes_total")
-	pageBytesTotal   = metrics.NewCounter("gannetline_store_page_bytes_total")
+	filePageBytes    = metrics.NewCounter("gannetline_store_page_bytes_total")
 	commitSeconds    = metrics.NewHistogram("gannetline_store_commit_seconds")
 )
 
--- a/internal/control/storage/write.go
+++ b/internal/control/storage/write.go
@@ -86,7 +86,7 @@
 	transactions.Inc()
 	writes.Add(len(batch))
 	recordBytesTotal.Add(takenBytes(batch, outcomes))
-	pageBytesTotal.AddInt64(pages.GetPageAlloc())
+	filePageBytes.AddInt64(pages.GetPageAlloc())
 	for index, queued := range batch {
 		if err != nil {
 			outcomes[index] = Outcome{Err: errors.Annotate(err, "syncing keys")}
