--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -48,7 +48,7 @@
 		runner.stateMailbox = host.Mailbox()
 		runner.engine = newEngine(host)
 		owner.Settle = host.Flush
-		go runner.stateMailbox.Run(m.ctx, m.Clock, mailbox.Owner{Every: tickInterval, Tick: runner.pool.Tick, Settle: runner.pool.Settle})
+		go runner.stateMailbox.Run(m.ctx, m.Clock, mailbox.Owner{Every: tickInterval, Tick: runner.pool.Tick, Settle: runner.pool.Flush})
 	}
 	owner.Tick = runner.engine.Tick
 	m.runners[key] = runner
@@ -101,7 +101,7 @@
 	}
 	switch verb {
 	case wire.VerbSubmit:
-		return r.pool.HandIn
+		return r.pool.Submit
 	case wire.VerbState:
 		return r.pool.State
 	case wire.VerbCount:
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -68,7 +68,7 @@
 	}
 	s.pool = scheduler.New(key, s.clock, scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second,
 		Resend: 200 * time.Millisecond, ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
-		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: time.Minute, Headroom: scheduler.DefaultHeadroom},
+		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: time.Minute, ReservedCapacity: scheduler.DefaultReservedCapacity},
 		logging.Silent())
 	s.host = poolhost.New(&slowPool{s.pool, s}, s.engineMailbox)
 	s.engine = replication.NewEngine(key, "a", "one", s.clock, &links{s}, s.host, s.members, replication.WithMachineLosses(2))
@@ -145,7 +145,7 @@
 	if now%tickEvery == 0 {
 		s.pool.Tick()
 	}
-	s.pool.Settle()
+	s.pool.Flush()
 }
 
 func (s *steward) noteGap(now time.Duration) {
--- a/internal/scheduling/jobs/jobs_test.go
+++ b/internal/scheduling/jobs/jobs_test.go
@@ -13,8 +13,8 @@
 	It("is read, with labels as one word or a list", func() {
 		spec, err := jobs.Read([]byte(`{"task-descriptor":"x","step-list":[{"task-count":2,"affinity-labels":"r1"},{"task-count":1,"depends-on":[0],"required-labels":["a","b"]}]}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(spec.Steps[0].Near).To(Equal(jobs.Words{"r1"}))
-		Expect(spec.Steps[1].Labels).To(Equal(jobs.Words{"a", "b"}))
+		Expect(spec.Steps[0].Affinity).To(Equal(jobs.Labels{"r1"}))
+		Expect(spec.Steps[1].Labels).To(Equal(jobs.Labels{"a", "b"}))
 	})
 
 	DescribeTable("is refused with a text that names the field", func(body, field string) {
--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -17,11 +17,11 @@
 	mostRepeats    = 100000
 )
 
-// Words is one label or a list of them.
-type Words []string
+// Labels is one label or a list of them.
+type Labels []string
 
 // UnmarshalEasyJSON reads one string or a list of strings; null and the empty string are no labels.
-func (w *Words) UnmarshalEasyJSON(in *jlexer.Lexer) {
+func (w *Labels) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	*w = nil
 	if in.IsNull() {
 		in.Skip()
@@ -29,7 +29,7 @@
 	}
 	if !in.IsDelim('[') {
 		if word := in.String(); word != "" {
-			*w = Words{word}
+			*w = Labels{word}
 		}
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // MarshalEasyJSON writes a single label as a string and any other number as a list.
-func (w Words) MarshalEasyJSON(out *jwriter.Writer) {
+func (w Labels) MarshalEasyJSON(out *jwriter.Writer) {
 	if len(w) == 1 {
 		out.String(w[0])
 		return
@@ -132,7 +132,7 @@
 		return errors.New("field task-count must be at least 1")
 	}
 	for field, value := range map[string]int64{"cpu-units": s.CPU, "memory-req-mb": s.Memory, "gpu-count": s.GPU,
-		"estimated-ms": s.EstimatedMs, "anti-affinity": int64(s.Apart)} {
+		"estimated-ms": s.EstimatedMs, "anti-affinity": int64(s.AntiAffinity)} {
 		if value < 0 {
 			return errors.Errorf("field %s is negative", field)
 		}
--- a/internal/scheduling/jobs/spec_easyjson.go
+++ b/internal/scheduling/jobs/spec_easyjson.go
@@ -116,13 +116,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Near).UnmarshalEasyJSON(in)
+				(out.Affinity).UnmarshalEasyJSON(in)
 			}
 		case "anti-affinity":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Apart = int(in.Int())
+				out.AntiAffinity = int(in.Int())
 			}
 		case "redundant":
 			if in.IsNull() {
@@ -134,7 +134,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Lasting = bool(in.Bool())
+				out.LongRunning = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -209,25 +209,25 @@
 		out.RawString(prefix)
 		(in.Labels).MarshalEasyJSON(out)
 	}
-	if len(in.Near) != 0 {
+	if len(in.Affinity) != 0 {
 		const prefix string = ",\"affinity-labels\":"
 		out.RawString(prefix)
-		(in.Near).MarshalEasyJSON(out)
+		(in.Affinity).MarshalEasyJSON(out)
 	}
-	if in.Apart != 0 {
+	if in.AntiAffinity != 0 {
 		const prefix string = ",\"anti-affinity\":"
 		out.RawString(prefix)
-		out.Int(int(in.Apart))
+		out.Int(int(in.AntiAffinity))
 	}
 	if in.Redundant {
 		const prefix string = ",\"redundant\":"
 		out.RawString(prefix)
 		out.Bool(bool(in.Redundant))
 	}
-	if in.Lasting {
+	if in.LongRunning {
 		const prefix string = ",\"long-running\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Lasting))
+		out.Bool(bool(in.LongRunning))
 	}
 	out.RawByte('}')
 }
--- a/internal/scheduling/placement/cost_test.go
+++ b/internal/scheduling/placement/cost_test.go
@@ -14,18 +14,18 @@
 		draw := rand.New(rand.NewPCG(3, 3))
 		all := executors(size, 16000)
 		for place := range all {
-			all[place].Free = placement.Room{CPU: 400 + int64(draw.IntN(700)), Memory: 1000}
+			all[place].Free = placement.Resources{CPU: 400 + int64(draw.IntN(700)), Memory: 1000}
 		}
 		var groups []*placement.Group
 		for number := range 1000 {
 			one := group(22, []int64{1100 + int64(draw.IntN(900)), 5500 + int64(draw.IntN(3000))}[number%4/3])
-			one.Due, one.Apart = int64(number), number%20/19
+			one.Due, one.AntiAffinity = int64(number), number%20/19
 			groups = append(groups, one)
 		}
 		small := group(1, 300)
 		small.Due, small.Labels = 1000, []string{"none"}
 		groups = append(groups, small)
-		line := placement.Line{Groups: groups, Least: small.Need}
+		line := placement.Queue{Groups: groups, MinNeed: small.Need}
 		b.Run(fmt.Sprintf("executors=%d", size), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
--- a/internal/scheduling/placement/misses.go
+++ b/internal/scheduling/placement/misses.go
@@ -7,7 +7,7 @@
 type misses []miss
 
 type miss struct {
-	need   Room
+	need   Resources
 	labels []string
 }
 
@@ -17,7 +17,7 @@
 
 // note remembers what a group asked for, if size and labels alone decided.
 func (m *misses) note(group *Group) {
-	if group.Apart > 0 || group.Barred != nil || group.Except != nil || group.IsNearOnly {
+	if group.AntiAffinity > 0 || group.Excluded != nil || group.ExcludedIndices != nil || group.IsLocalityRequired {
 		return
 	}
 	*m = append(slices.DeleteFunc(*m, func(old miss) bool { return old.need.Fits(group.Need) && hasAll(old.labels, group.Labels) }),
--- a/internal/scheduling/placement/most_test.go
+++ b/internal/scheduling/placement/most_test.go
@@ -8,10 +8,10 @@
 )
 
 var _ = Describe("an executor that is to earn trust", func() {
-	room := placement.Room{CPU: 16000, Memory: 16000}
-	one := placement.Room{CPU: 1000, Memory: 1000}
+	room := placement.Resources{CPU: 16000, Memory: 16000}
+	one := placement.Resources{CPU: 1000, Memory: 1000}
 	executors := func() []placement.Executor {
-		return []placement.Executor{{Free: room, Total: room, Most: 2}, {Free: room, Total: room, Doubt: 1}}
+		return []placement.Executor{{Free: room, Total: room, RunLimit: 2}, {Free: room, Total: room, Penalty: 1}}
 	}
 	placedOn := func(placed []placement.Placement, executor int) (count int) {
 		for _, one := range placed {
@@ -36,7 +36,7 @@
 
 	It("counts nothing for a gang that was not placed", func() {
 		groups := []*placement.Group{
-			{Need: one, Count: 3, IsGang: true, Apart: 1},
+			{Need: one, Count: 3, IsGang: true, AntiAffinity: 1},
 			{Need: one, Count: 2, Due: 1},
 		}
 		placed := placement.PlaceInAnyOrder(executors(), groups, placement.Limits{})
@@ -45,10 +45,10 @@
 
 	It("counts the members of a gang with what comes after it", func() {
 		few := executors()
-		few[0].Most = 3
+		few[0].RunLimit = 3
 		groups := []*placement.Group{
 			{Need: one, Count: 1},
-			{Need: one, Count: 2, IsGang: true, Apart: 1, Due: 1},
+			{Need: one, Count: 2, IsGang: true, AntiAffinity: 1, Due: 1},
 			{Need: one, Count: 5, Due: 2},
 		}
 		Expect(placedOn(placement.PlaceInAnyOrder(few, groups, placement.Limits{}), 0)).To(Equal(3))
--- a/internal/scheduling/placement/oracle_test.go
+++ b/internal/scheduling/placement/oracle_test.go
@@ -17,14 +17,14 @@
 	groups := make([]denseGroup, len(sparse))
 	for number, group := range sparse {
 		dense := denseGroup{group, make([]int, executors), make([]bool, executors), make([]bool, executors)}
-		copy(dense.barred, group.Barred)
-		for place, count := range group.Held {
+		copy(dense.barred, group.Excluded)
+		for place, count := range group.RunsByExecutor {
 			dense.held[place] = count
 		}
-		for _, place := range group.Avoid {
+		for _, place := range group.Avoided {
 			dense.avoid[place] = true
 		}
-		for _, place := range group.Except {
+		for _, place := range group.ExcludedIndices {
 			dense.barred[place] = true
 		}
 		groups[number] = dense
@@ -34,9 +34,9 @@
 
 // PlaceByWalking is the plain way to place: all executors are looked at for each task.
 func PlaceByWalking(executors []Executor, sparse []*Group, limits Limits) []Placement {
-	left, firstRuns := limits.Left, limits.FirstRuns
+	left, firstRuns := limits.Remaining, limits.FirstRunCPU
 	groups := denseGroups(sparse, len(executors))
-	free := make([]Room, len(executors))
+	free := make([]Resources, len(executors))
 	for place, executor := range executors {
 		free[place] = executor.Free
 	}
@@ -45,15 +45,15 @@
 		order[place] = place
 	}
 	slices.SortStableFunc(order, func(one, two int) int {
-		return cmp.Or(compareBools(groups[one].IsSpare, groups[two].IsSpare), compareBools(groups[one].Chance == ChanceTooLate, groups[two].Chance == ChanceTooLate),
-			cmp.Compare(groups[one].Priority, groups[two].Priority), cmp.Compare(groups[one].Chance, groups[two].Chance), cmp.Compare(groups[one].Due, groups[two].Due))
+		return cmp.Or(compareBools(groups[one].IsSpeculative, groups[two].IsSpeculative), compareBools(groups[one].Deadline == Expired, groups[two].Deadline == Expired),
+			cmp.Compare(groups[one].Priority, groups[two].Priority), cmp.Compare(groups[one].Deadline, groups[two].Deadline), cmp.Compare(groups[one].Due, groups[two].Due))
 	})
 	var placed []Placement
 	reserved, added := make([]bool, len(executors)), make([]int, len(executors))
 	for _, number := range order {
 		group := &groups[number]
 		allowance := allowanceOf(left, group.Group)
-		isFirst := group.IsIdle && !group.IsSpare && firstRuns > 0
+		isFirst := group.IsIdle && !group.IsSpeculative && firstRuns > 0
 		if group.IsGang {
 			if isFirst || allowance.covers(group.Need.Times(float64(group.Count))) {
 				gang := placeGang(executors, free, added, group, number)
@@ -77,7 +77,7 @@
 				best = choose(unlimited(executors), free, make([]bool, len(executors)), added, group, held)
 			}
 			if best < 0 {
-				if !group.IsSpare && !group.IsNearOnly {
+				if !group.IsSpeculative && !group.IsLocalityRequired {
 					reserve(executors, free, reserved, group)
 				}
 				break
@@ -97,14 +97,14 @@
 func unlimited(executors []Executor) []Executor {
 	all := slices.Clone(executors)
 	for place := range all {
-		all[place].Most = 0
+		all[place].RunLimit = 0
 	}
 	return all
 }
 
 func allowed(executor *Executor, group *denseGroup, held []int, place int) bool {
 	isBarred := len(group.barred) > place && group.barred[place]
-	if executor.IsClosed || isBarred || group.Apart > 0 && held[place] >= group.Apart || group.IsNearOnly && !isNear(executor, group.Group) {
+	if executor.IsUnschedulable || isBarred || group.AntiAffinity > 0 && held[place] >= group.AntiAffinity || group.IsLocalityRequired && !isNear(executor, group.Group) {
 		return false
 	}
 	for _, label := range group.Labels {
@@ -115,11 +115,11 @@
 	return true
 }
 
-func choose(executors []Executor, free []Room, reserved []bool, added []int, group *denseGroup, held []int) int {
+func choose(executors []Executor, free []Resources, reserved []bool, added []int, group *denseGroup, held []int) int {
 	best, bestScore := -1, 0.0
 	for place := range executors {
 		executor := &executors[place]
-		isLimited := executor.Most == NoMore || executor.Most > 0 && added[place] >= executor.Most
+		isLimited := executor.RunLimit == NoRuns || executor.RunLimit > 0 && added[place] >= executor.RunLimit
 		if isLimited || reserved[place] || !allowed(executor, group, held, place) || !free[place].Fits(group.Need) {
 			continue
 		}
@@ -135,13 +135,13 @@
 }
 
 // reserve keeps the emptiest executor for a large task, so that it does not starve behind small later ones.
-func reserve(executors []Executor, free []Room, reserved []bool, group *denseGroup) {
+func reserve(executors []Executor, free []Resources, reserved []bool, group *denseGroup) {
 	best := -1
 	for place := range executors {
 		executor := &executors[place]
 		isLarge := 3*group.Need.CPU > executor.Total.CPU || 3*group.Need.Memory > executor.Total.Memory
-		mayUse := !(len(group.Barred) > place && group.Barred[place]) && hasAll(executor.Labels, group.Labels)
-		if !mayUse || reserved[place] || executor.IsClosed || executor.Most == NoMore || !isLarge || !executor.Total.Fits(group.Need) {
+		mayUse := !(len(group.Excluded) > place && group.Excluded[place]) && hasAll(executor.Labels, group.Labels)
+		if !mayUse || reserved[place] || executor.IsUnschedulable || executor.RunLimit == NoRuns || !isLarge || !executor.Total.Fits(group.Need) {
 			continue
 		}
 		if best < 0 || free[place].CPU > free[best].CPU {
@@ -153,7 +153,7 @@
 	}
 }
 
-func placeGang(executors []Executor, free []Room, added []int, group *denseGroup, number int) []Placement {
+func placeGang(executors []Executor, free []Resources, added []int, group *denseGroup, number int) []Placement {
 	if group.SameRack {
 		for _, rack := range racksByFree(executors, free) {
 			if placed := fillGang(executors, free, added, group, number, rack); placed != nil {
@@ -164,10 +164,10 @@
 	return fillGang(executors, free, added, group, number, "")
 }
 
-func racksByFree(executors []Executor, free []Room) []string {
+func racksByFree(executors []Executor, free []Resources) []string {
 	total := map[string]int64{}
 	for place, executor := range executors {
-		if !executor.IsClosed && executor.Rack != "" {
+		if !executor.IsUnschedulable && executor.Rack != "" {
 			total[executor.Rack] += free[place].CPU
 		}
 	}
@@ -181,7 +181,7 @@
 	return racks
 }
 
-func fillGang(executors []Executor, free []Room, added []int, group *denseGroup, number int, rack string) []Placement {
+func fillGang(executors []Executor, free []Resources, added []int, group *denseGroup, number int, rack string) []Placement {
 	trial, held, counts := slices.Clone(free), slices.Clone(group.held), slices.Clone(added)
 	closed := make([]bool, len(executors))
 	for place, executor := range executors {
@@ -217,7 +217,7 @@
 func PlaceInAnyOrder(executors []Executor, groups []*Group, limits Limits) []Placement {
 	var firsts, spares []int
 	for number, group := range groups {
-		if group.IsSpare {
+		if group.IsSpeculative {
 			spares = append(spares, number)
 			continue
 		}
@@ -226,15 +226,15 @@
 	compare := func(one, two int) int { return CompareGroups(groups[one], groups[two]) }
 	slices.SortStableFunc(firsts, compare)
 	slices.SortStableFunc(spares, compare)
-	line := Line{}
+	line := Queue{}
 	order := slices.Concat(firsts, spares)
 	for place, number := range order {
 		if place == 0 {
-			line.Least = groups[number].Need
+			line.MinNeed = groups[number].Need
 		}
-		line.Least = line.Least.AtMost(groups[number].Need)
-		if groups[number].IsSpare {
-			line.Spares = append(line.Spares, groups[number])
+		line.MinNeed = line.MinNeed.AtMost(groups[number].Need)
+		if groups[number].IsSpeculative {
+			line.Speculative = append(line.Speculative, groups[number])
 			continue
 		}
 		line.Groups = append(line.Groups, groups[number])
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -7,127 +7,127 @@
 	"slices"
 )
 
-// Room is an amount of resources: CPU units, memory in MB, and GPUs.
-type Room struct{ CPU, Memory, GPU int64 }
+// Resources is an amount of resources: CPU units, memory in MB, and GPUs.
+type Resources struct{ CPU, Memory, GPU int64 }
 
 // Fits says whether the need is no more than this room in each resource.
-func (r Room) Fits(need Room) bool {
+func (r Resources) Fits(need Resources) bool {
 	return need.CPU <= r.CPU && need.Memory <= r.Memory && need.GPU <= r.GPU
 }
 
 // Minus subtracts resource by resource; the result may be negative.
-func (r Room) Minus(need Room) Room {
-	return Room{r.CPU - need.CPU, r.Memory - need.Memory, r.GPU - need.GPU}
+func (r Resources) Minus(need Resources) Resources {
+	return Resources{r.CPU - need.CPU, r.Memory - need.Memory, r.GPU - need.GPU}
 }
 
 // Plus adds resource by resource.
-func (r Room) Plus(need Room) Room {
-	return Room{r.CPU + need.CPU, r.Memory + need.Memory, r.GPU + need.GPU}
+func (r Resources) Plus(need Resources) Resources {
+	return Resources{r.CPU + need.CPU, r.Memory + need.Memory, r.GPU + need.GPU}
 }
 
 // Times multiplies each resource, rounded towards zero.
-func (r Room) Times(factor float64) Room {
-	return Room{int64(float64(r.CPU) * factor), int64(float64(r.Memory) * factor), int64(float64(r.GPU) * factor)}
+func (r Resources) Times(factor float64) Resources {
+	return Resources{int64(float64(r.CPU) * factor), int64(float64(r.Memory) * factor), int64(float64(r.GPU) * factor)}
 }
 
 // AtLeast is the larger of the two in each resource.
-func (r Room) AtLeast(other Room) Room {
-	return Room{max(r.CPU, other.CPU), max(r.Memory, other.Memory), max(r.GPU, other.GPU)}
+func (r Resources) AtLeast(other Resources) Resources {
+	return Resources{max(r.CPU, other.CPU), max(r.Memory, other.Memory), max(r.GPU, other.GPU)}
 }
 
 // AtMost is the smaller of the two in each resource.
-func (r Room) AtMost(other Room) Room {
-	return Room{min(r.CPU, other.CPU), min(r.Memory, other.Memory), min(r.GPU, other.GPU)}
+func (r Resources) AtMost(other Resources) Resources {
+	return Resources{min(r.CPU, other.CPU), min(r.Memory, other.Memory), min(r.GPU, other.GPU)}
 }
 
-// Executor is what placement knows of an executor: its free and total room, its labels and rack. IsClosed takes no
+// Executor is what placement knows of an executor: its free and total room, its labels and rack. IsUnschedulable takes no
 // new runs; a higher Doubt makes it a later choice.
 type Executor struct {
-	Free     Room
-	Total    Room
-	Labels   []string
-	Rack     string
-	IsClosed bool
-	Doubt    float64
-	// Most is how many runs may be added where trust is to be earned first; 0 sets no bound, NoMore adds none.
-	Most int
+	Free            Resources
+	Total           Resources
+	Labels          []string
+	Rack            string
+	IsUnschedulable bool
+	Penalty         float64
+	// RunLimit is how many runs may be added where trust is to be earned first; 0 sets no bound, NoRuns adds none.
+	RunLimit int
 }
 
-// NoMore is the Most of an executor that has as many runs as it is trusted with.
-const NoMore = -1
+// NoRuns is the Most of an executor that has as many runs as it is trusted with.
+const NoRuns = -1
 
 // isShut tells whether only first runs, if any, may be added.
-func (e *Executor) isShut() bool { return e.IsClosed || e.Most == NoMore }
+func (e *Executor) isShut() bool { return e.IsUnschedulable || e.RunLimit == NoRuns }
 
 // Group is the tasks of one step that may start now; they all ask for the same. Executors are named by their place;
 // Held counts those that hold tasks of the step already, and matters only with Apart.
 type Group struct {
-	Need     Room
+	Need     Resources
 	Count    int
 	IsGang   bool
 	SameRack bool
 	Labels   []string
-	Near     []string
-	// IsNearOnly keeps the tasks waiting for room near their data.
-	IsNearOnly bool
-	Apart      int
-	Held       map[int]int
-	Avoid      []int
-	Except     []int
-	Barred     []bool
-	IsSpare    bool
-	IsLong     bool
+	Locality []string
+	// IsLocalityRequired keeps the tasks waiting for room near their data.
+	IsLocalityRequired bool
+	AntiAffinity       int
+	RunsByExecutor     map[int]int
+	Avoided            []int
+	ExcludedIndices    []int
+	Excluded           []bool
+	IsSpeculative      bool
+	IsLong             bool
 	// IsIdle tells that none of the step's tasks runs, so that its first run, or its gang, may go past soft limits.
 	IsIdle   bool
 	Priority int
-	Chance   Chance
+	Deadline DeadlineClass
 	Due      int64
 }
 
-// Chance is what a group's job can still earn. Within a priority what may be in time goes before what is late, and
+// DeadlineClass is what a group's job can still earn. Within a priority what may be in time goes before what is late, and
 // what comes too late for anything goes after all others.
-type Chance int
+type DeadlineClass int
 
 const (
-	// ChanceInTime may still be in time.
-	ChanceInTime Chance = iota
-	// ChanceLate is late already but still earns something.
-	ChanceLate
-	// ChanceTooLate earns nothing any more.
-	ChanceTooLate
+	// OnTime may still be in time.
+	OnTime DeadlineClass = iota
+	// Late is late already but still earns something.
+	Late
+	// Expired earns nothing any more.
+	Expired
 )
 
 // Placement is one start: the number of the group and the place of the executor.
 type Placement struct{ Group, Executor int }
 
-// Line is groups in the order of CompareGroups, the spares after them, and a room that none needs less than.
+// Queue is groups in the order of CompareGroups, the spares after them, and a room that none needs less than.
 // Spares are numbered on from the groups.
-type Line struct {
-	Groups []*Group
-	Spares []*Group
-	Least  Room
+type Queue struct {
+	Groups      []*Group
+	Speculative []*Group
+	MinNeed     Resources
 }
 
 // Limits are the soft limits of a placement. Left is what long work of a priority may still take of all room
-// together; a priority without an entry may take all there is. As long as less CPU than FirstRuns has been given out,
+// together; a priority without an entry may take all there is. As long as less CPU than FirstRunCPU has been given out,
 // Left, reservations and the Most of executors keep no step from its first run.
 type Limits struct {
-	Left      map[int]Room
-	FirstRuns int64
+	Remaining   map[int]Resources
+	FirstRunCPU int64
 }
 
 // Place gives the starts that fit, in the order of the line.
-func Place(executors []Executor, line Line, limits Limits) []Placement {
-	if len(line.Groups)+len(line.Spares) == 0 {
+func Place(executors []Executor, line Queue, limits Limits) []Placement {
+	if len(line.Groups)+len(line.Speculative) == 0 {
 		return nil
 	}
-	turn := newTurn(executors, line.Least, limits.FirstRuns)
-	turn.placeAll(line.Groups, 0, limits.Left)
-	turn.placeAll(line.Spares, len(line.Groups), limits.Left)
+	turn := newTurn(executors, line.MinNeed, limits.FirstRunCPU)
+	turn.placeAll(line.Groups, 0, limits.Remaining)
+	turn.placeAll(line.Speculative, len(line.Groups), limits.Remaining)
 	return turn.placed
 }
 
-func (t *turn) placeAll(groups []*Group, number int, left map[int]Room) {
+func (t *turn) placeAll(groups []*Group, number int, left map[int]Resources) {
 	for place, group := range groups {
 		if t.isOver {
 			return
@@ -153,22 +153,22 @@
 	if one.Priority != two.Priority {
 		return cmp.Compare(one.Priority, two.Priority)
 	}
-	if one.Chance != two.Chance {
-		return cmp.Compare(one.Chance, two.Chance)
+	if one.Deadline != two.Deadline {
+		return cmp.Compare(one.Deadline, two.Deadline)
 	}
 	return cmp.Compare(one.Due, two.Due)
 }
 
-func (g *Group) isTooLate() bool { return g.Chance == ChanceTooLate }
+func (g *Group) isTooLate() bool { return g.Deadline == Expired }
 
 // allowance is what one priority may still take.
 type allowance struct {
-	left     map[int]Room
+	left     map[int]Resources
 	priority int
 	isBound  bool
 }
 
-func allowanceOf(left map[int]Room, group *Group) allowance {
+func allowanceOf(left map[int]Resources, group *Group) allowance {
 	if !group.IsLong {
 		return allowance{left: left, priority: group.Priority}
 	}
@@ -176,7 +176,7 @@
 	return allowance{left, group.Priority, isBound}
 }
 
-func (a allowance) covers(need Room) bool {
+func (a allowance) covers(need Resources) bool {
 	if !a.isBound {
 		return true
 	}
@@ -185,7 +185,7 @@
 }
 
 // spend counts against this priority and all below it.
-func (a allowance) spend(need Room) {
+func (a allowance) spend(need Resources) {
 	for priority, room := range a.left {
 		if priority >= a.priority {
 			a.left[priority] = room.Minus(need)
@@ -197,33 +197,33 @@
 // and only executors with room for the least need of all can be chosen. Gangs may use reserved executors, others not.
 type turn struct {
 	executors  []Executor
-	least      Room
+	least      Resources
 	candidates []candidate
 	sizes      []*size
 	open       int
-	most       Room
+	most       Resources
 	isMostOld  bool
 	isOver     bool
 	failed     misses
 	failedAny  misses
 	firstRuns  int64
-	smallest   Room
+	smallest   Resources
 	placed     []Placement
 }
 
 // candidate is an executor that had room when the turn began, and what it has now.
 type candidate struct {
 	place      int
-	free       Room
+	free       Resources
 	isReserved bool
 	added      int
 }
 
-func newTurn(executors []Executor, least Room, firstRuns int64) *turn {
+func newTurn(executors []Executor, least Resources, firstRuns int64) *turn {
 	t := &turn{executors: executors, least: least, firstRuns: firstRuns}
 	for place := range executors {
 		executor := &executors[place]
-		if executor.IsClosed {
+		if executor.IsUnschedulable {
 			continue
 		}
 		if !executor.isShut() {
@@ -244,7 +244,7 @@
 // measure works out the most room that any executor has for single tasks; it is too much once something was placed.
 // It also finds out when no executor, reserved or not, has room for anything.
 func (t *turn) measure() {
-	t.most, t.isMostOld, t.isOver = Room{CPU: -1, Memory: -1, GPU: -1}, false, true
+	t.most, t.isMostOld, t.isOver = Resources{CPU: -1, Memory: -1, GPU: -1}, false, true
 	for place := range t.candidates {
 		one := &t.candidates[place]
 		hasMost := t.hasMost(one)
@@ -260,12 +260,14 @@
 
 // hasMost tells whether an executor was given all that it may have in this turn.
 func (t *turn) hasMost(one *candidate) bool {
-	most := t.executors[one.place].Most
+	most := t.executors[one.place].RunLimit
 	return most != 0 && one.added >= max(0, most)
 }
 
 // mayGoPast tells whether soft limits give way to a group, as far as nothing of its step runs.
-func (t *turn) mayGoPast(group *Group) bool { return group.IsIdle && !group.IsSpare && t.firstRuns > 0 }
+func (t *turn) mayGoPast(group *Group) bool {
+	return group.IsIdle && !group.IsSpeculative && t.firstRuns > 0
+}
 
 // hasNoRoom rejects at once a single task that certainly fits nowhere.
 func (t *turn) hasNoRoom(group *Group) bool {
@@ -283,8 +285,8 @@
 }
 
 func (t *turn) placeSingles(group *Group, number int, allowance allowance) {
-	held := group.Held
-	if group.Apart > 0 {
+	held := group.RunsByExecutor
+	if group.AntiAffinity > 0 {
 		held = heldBy(group)
 	}
 	for count := range group.Count {
@@ -325,13 +327,13 @@
 	if !t.hasNoRoom(group) {
 		t.noteFailure(group)
 	}
-	if !group.IsSpare && !group.IsNearOnly && t.open > 0 && !t.isOver {
+	if !group.IsSpeculative && !group.IsLocalityRequired && t.open > 0 && !t.isOver {
 		t.reserve(group)
 	}
 }
 
 func heldBy(group *Group) map[int]int {
-	held := maps.Clone(group.Held)
+	held := maps.Clone(group.RunsByExecutor)
 	if held == nil {
 		held = map[int]int{}
 	}
@@ -343,16 +345,16 @@
 	one.added++
 	t.firstRuns -= group.Need.CPU
 	t.isMostOld = true
-	if group.Apart > 0 {
+	if group.AntiAffinity > 0 {
 		held[one.place]++
 	}
 }
 
 func (t *turn) allows(group *Group, held map[int]int, place int) bool {
-	if len(group.Barred) > place && group.Barred[place] || slices.Contains(group.Except, place) {
+	if len(group.Excluded) > place && group.Excluded[place] || slices.Contains(group.ExcludedIndices, place) {
 		return false
 	}
-	if group.Apart > 0 && held[place] >= group.Apart || group.IsNearOnly && !isNear(&t.executors[place], group) {
+	if group.AntiAffinity > 0 && held[place] >= group.AntiAffinity || group.IsLocalityRequired && !isNear(&t.executors[place], group) {
 		return false
 	}
 	for _, label := range group.Labels {
@@ -387,7 +389,7 @@
 			continue
 		}
 		score := rate(executor, one.free, group)
-		if slices.Contains(group.Avoid, one.place) {
+		if slices.Contains(group.Avoided, one.place) {
 			score += 20
 		}
 		if best == nil || score < bestScore {
@@ -398,9 +400,9 @@
 }
 
 // rate is lower for better executors: near the data first, then trusted, then tightly filled.
-func rate(executor *Executor, free Room, group *Group) float64 {
-	score := executor.Doubt * 10
-	if len(group.Near) > 0 && !isNear(executor, group) {
+func rate(executor *Executor, free Resources, group *Group) float64 {
+	score := executor.Penalty * 10
+	if len(group.Locality) > 0 && !isNear(executor, group) {
 		score += 5
 	}
 	left := free.Minus(group.Need)
@@ -414,7 +416,7 @@
 }
 
 func isNear(executor *Executor, group *Group) bool {
-	return slices.ContainsFunc(group.Near, func(label string) bool { return slices.Contains(executor.Labels, label) })
+	return slices.ContainsFunc(group.Locality, func(label string) bool { return slices.Contains(executor.Labels, label) })
 }
 
 func (t *turn) placeGang(group *Group, number int, allowance allowance) {
@@ -450,7 +452,7 @@
 func (t *turn) racksByFree() []string {
 	total := map[string]int64{}
 	for place := range t.executors {
-		if executor := &t.executors[place]; !executor.IsClosed && executor.Rack != "" {
+		if executor := &t.executors[place]; !executor.IsUnschedulable && executor.Rack != "" {
 			total[executor.Rack] += executor.Free.CPU
 		}
 	}
@@ -503,7 +505,7 @@
 }
 
 // slots is how often a need fits, counted no further than most.
-func (r Room) slots(need Room, most int64) int64 {
+func (r Resources) slots(need Resources, most int64) int64 {
 	if !r.Fits(need) {
 		return 0
 	}
--- a/internal/scheduling/placement/placement_test.go
+++ b/internal/scheduling/placement/placement_test.go
@@ -15,32 +15,32 @@
 	var all []placement.Executor
 	for number := range count {
 		rack := fmt.Sprintf("r%d", number/2)
-		room := placement.Room{CPU: cpu, Memory: 1000}
+		room := placement.Resources{CPU: cpu, Memory: 1000}
 		all = append(all, placement.Executor{Free: room, Total: room, Labels: []string{"a", rack}, Rack: rack})
 	}
 	return all
 }
 
 func group(count int, cpu int64) *placement.Group {
-	return &placement.Group{Need: placement.Room{CPU: cpu}, Count: count}
+	return &placement.Group{Need: placement.Resources{CPU: cpu}, Count: count}
 }
 
 var _ = Describe("placement", func() {
 	It("keeps a task near its data while it is to wait there, and keeps no room for it elsewhere", func() {
 		near, large := group(3, 10), group(1, 10)
-		near.Near, near.IsNearOnly, large.Due = []string{"r0"}, true, 1
+		near.Locality, near.IsLocalityRequired, large.Due = []string{"r0"}, true, 1
 		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near, large}, placement.Limits{})
 		Expect(placed).To(Equal([]placement.Placement{{Group: 0, Executor: 0}, {Group: 0, Executor: 1}, {Group: 1, Executor: 2}}))
-		near.IsNearOnly = false
+		near.IsLocalityRequired = false
 		Expect(placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near, large}, placement.Limits{})).To(HaveLen(4))
 	})
 
 	It("takes what can be in time before what is late, and what is too late after all others", func() {
 		late, soon := group(1, 10), group(1, 10)
-		late.Chance, late.Due, soon.Due = placement.ChanceLate, 1, 2
+		late.Deadline, late.Due, soon.Due = placement.Late, 1, 2
 		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{late, soon}, placement.Limits{})).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 		tooLate, lower := group(1, 10), group(1, 10)
-		tooLate.Chance, lower.Priority = placement.ChanceTooLate, 2
+		tooLate.Deadline, lower.Priority = placement.Expired, 2
 		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{tooLate, lower}, placement.Limits{})).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 	})
 
@@ -55,7 +55,7 @@
 
 	It("prefers the rack of the data, and takes another rather than wait", func() {
 		near := group(3, 10)
-		near.Near = []string{"r1"}
+		near.Locality = []string{"r1"}
 		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near}, placement.Limits{})
 		Expect(placed).To(HaveLen(3))
 		Expect([]int{placed[0].Executor, placed[1].Executor}).To(ConsistOf(2, 3))
@@ -87,16 +87,16 @@
 	It("lets long work of lower priority leave what the urgent asked for lately", func() {
 		long, short := group(4, 10), group(1, 10)
 		long.Priority, long.IsLong, short.Priority = 2, true, 2
-		left := map[int]placement.Room{2: {CPU: 20, Memory: 1000}}
-		placed := placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{long}, placement.Limits{Left: left})
+		left := map[int]placement.Resources{2: {CPU: 20, Memory: 1000}}
+		placed := placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{long}, placement.Limits{Remaining: left})
 		Expect(placed).To(HaveLen(2))
-		left = map[int]placement.Room{2: {}}
-		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, placement.Limits{Left: left})).To(HaveLen(1))
+		left = map[int]placement.Resources{2: {}}
+		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, placement.Limits{Remaining: left})).To(HaveLen(1))
 	})
 
 	It("gives a spare run another executor, and only what is left over", func() {
 		spare, first := group(1, 10), group(1, 10)
-		spare.IsSpare, spare.Barred = true, []bool{true}
+		spare.IsSpeculative, spare.Excluded = true, []bool{true}
 		first.Priority = 3
 		Expect(placement.PlaceInAnyOrder(executors(1, 20), []*placement.Group{spare}, placement.Limits{})).To(BeEmpty())
 		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{spare, first}, placement.Limits{})
@@ -109,12 +109,12 @@
 			all := executors(1+draw.IntN(6), 20)
 			for place := range all {
 				all[place].Free.CPU = int64(draw.IntN(21))
-				all[place].IsClosed = draw.IntN(5) == 0
+				all[place].IsUnschedulable = draw.IntN(5) == 0
 			}
 			var groups []*placement.Group
 			for range draw.IntN(6) {
 				one := group(1+draw.IntN(8), int64(draw.IntN(22)))
-				one.Apart, one.Priority, one.IsGang = draw.IntN(3), draw.IntN(3), draw.IntN(4) == 0
+				one.AntiAffinity, one.Priority, one.IsGang = draw.IntN(3), draw.IntN(3), draw.IntN(4) == 0
 				if draw.IntN(3) == 0 {
 					one.Labels = []string{"r0"}
 				}
@@ -126,11 +126,11 @@
 				used[one.Executor] += groups[one.Group].Need.CPU
 				held[one]++
 				counts[one.Group]++
-				Expect(all[one.Executor].IsClosed).To(BeFalse())
+				Expect(all[one.Executor].IsUnschedulable).To(BeFalse())
 				if groups[one.Group].Labels != nil {
 					Expect(all[one.Executor].Rack).To(Equal("r0"))
 				}
-				if apart := groups[one.Group].Apart; apart > 0 {
+				if apart := groups[one.Group].AntiAffinity; apart > 0 {
 					Expect(held[one]).To(BeNumerically("<=", apart))
 				}
 			}
@@ -161,8 +161,8 @@
 		for range 4000 {
 			all, groups, left := drawPlacement(draw)
 			other, firstRuns := maps.Clone(left), max(0, int64(draw.IntN(400))-200)
-			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Left: left, FirstRuns: firstRuns})
-			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, placement.Limits{Left: other, FirstRuns: firstRuns})))
+			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Remaining: left, FirstRunCPU: firstRuns})
+			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRuns})))
 			Expect(left).To(Equal(other))
 			starts += len(placed)
 		}
@@ -170,15 +170,15 @@
 	})
 })
 
-func drawPlacement(draw *rand.Rand) ([]placement.Executor, []*placement.Group, map[int]placement.Room) {
+func drawPlacement(draw *rand.Rand) ([]placement.Executor, []*placement.Group, map[int]placement.Resources) {
 	all := executors(1+draw.IntN(12), 20)
 	for place := range all {
 		one := &all[place]
-		one.Total = placement.Room{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
-		one.Free = placement.Room{CPU: int64(draw.IntN(int(one.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: one.Total.GPU}
-		one.IsClosed, one.Doubt = draw.IntN(5) == 0, float64(draw.IntN(3))/10
+		one.Total = placement.Resources{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
+		one.Free = placement.Resources{CPU: int64(draw.IntN(int(one.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: one.Total.GPU}
+		one.IsUnschedulable, one.Penalty = draw.IntN(5) == 0, float64(draw.IntN(3))/10
 		if draw.IntN(5) == 0 {
-			one.Most = []int{1, 2, placement.NoMore}[draw.IntN(3)]
+			one.RunLimit = []int{1, 2, placement.NoRuns}[draw.IntN(3)]
 		}
 		if draw.IntN(3) == 0 {
 			one.Labels = append([]string{"b"}, one.Labels...)
@@ -191,7 +191,7 @@
 	if draw.IntN(2) == 0 {
 		return all, groups, nil
 	}
-	return all, groups, map[int]placement.Room{1: {CPU: int64(draw.IntN(60)), Memory: 3000}, 2: {CPU: int64(draw.IntN(30)), Memory: 900}}
+	return all, groups, map[int]placement.Resources{1: {CPU: int64(draw.IntN(60)), Memory: 3000}, 2: {CPU: int64(draw.IntN(30)), Memory: 900}}
 }
 
 func drawGroup(draw *rand.Rand, executors int) *placement.Group {
@@ -200,17 +200,17 @@
 	one.Priority, one.Due, one.IsLong = draw.IntN(3), int64(draw.IntN(5)), draw.IntN(3) == 0
 	one.IsGang, one.SameRack, one.IsIdle = draw.IntN(5) == 0, draw.IntN(2) == 0, draw.IntN(2) == 0
 	if draw.IntN(3) == 0 {
-		one.Apart, one.Held = 1+draw.IntN(2), map[int]int{draw.IntN(executors): 1, draw.IntN(executors): 2}
+		one.AntiAffinity, one.RunsByExecutor = 1+draw.IntN(2), map[int]int{draw.IntN(executors): 1, draw.IntN(executors): 2}
 	}
 	if draw.IntN(4) == 0 {
-		one.Avoid = []int{draw.IntN(executors)}
+		one.Avoided = []int{draw.IntN(executors)}
 	}
 	if draw.IntN(5) == 0 {
-		one.Count, one.IsGang, one.IsSpare, one.Except = 1, false, true, []int{draw.IntN(executors)}
+		one.Count, one.IsGang, one.IsSpeculative, one.ExcludedIndices = 1, false, true, []int{draw.IntN(executors)}
 	}
 	if draw.IntN(6) == 0 {
-		one.Barred = make([]bool, executors)
-		one.Barred[draw.IntN(executors)] = true
+		one.Excluded = make([]bool, executors)
+		one.Excluded[draw.IntN(executors)] = true
 	}
 	switch draw.IntN(8) {
 	case 0:
@@ -218,7 +218,7 @@
 	case 1:
 		one.Labels = []string{"a", "r1"}
 	case 2:
-		one.Near, one.IsNearOnly = []string{"r0"}, draw.IntN(2) == 0
+		one.Locality, one.IsLocalityRequired = []string{"r0"}, draw.IntN(2) == 0
 	}
 	return one
 }
--- a/internal/scheduling/placement/reserve.go
+++ b/internal/scheduling/placement/reserve.go
@@ -4,7 +4,7 @@
 
 // size is the executors of one total room that are open and not reserved: a heap with the emptiest on top.
 type size struct {
-	total      Room
+	total      Resources
 	places     []emptiness
 	candidates []candidate
 }
@@ -32,7 +32,7 @@
 // Pop leaves the last executor where heap.Remove has moved it; take cuts it off.
 func (s *size) Pop() any { return nil }
 
-func (s *size) suits(need Room) bool {
+func (s *size) suits(need Resources) bool {
 	isLarge := 3*need.CPU > s.total.CPU || 3*need.Memory > s.total.Memory
 	return isLarge && len(s.places) > 0 && s.total.Fits(need)
 }
@@ -65,7 +65,7 @@
 		if one.candidate != noCandidate {
 			one.cpu = s.candidates[one.candidate].free.CPU
 		}
-		isBarred := len(group.Barred) > one.place && group.Barred[one.place]
+		isBarred := len(group.Excluded) > one.place && group.Excluded[one.place]
 		if !isBarred && hasAll(executors[one.place].Labels, group.Labels) && (number < 0 || one.isBefore(best)) {
 			best, number = one, place
 		}
@@ -75,7 +75,7 @@
 
 // findEmptiest gives the emptiest executor of this size that a group may use, by its number in the heap.
 func (s *size) findEmptiest(group *Group, executors []Executor) (best emptiness, number int) {
-	if len(group.Labels) == 0 && group.Barred == nil {
+	if len(group.Labels) == 0 && group.Excluded == nil {
 		return s.emptiest(), 0
 	}
 	return s.emptiestFor(group, executors)
@@ -111,7 +111,7 @@
 
 func (t *turn) bySize() []*size {
 	sizes := []*size{}
-	known := map[Room]*size{}
+	known := map[Resources]*size{}
 	next := 0
 	for place := range t.executors {
 		executor := &t.executors[place]
--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -32,13 +32,13 @@
 		answer := func(one wire.ClientAnswer) { told = one }
 		switch verb {
 		case "hand-in":
-			pool.HandIn(call, answer)
+			pool.Submit(call, answer)
 		case "cancel":
 			pool.Cancel(call, answer)
 		case "state":
 			pool.State(call, answer)
 		}
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		return told
 	}
@@ -49,23 +49,23 @@
 		change(call)
 		var told wire.ExchangeAnswer
 		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = answer })
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		return told
 	}
 	nothing := func(*wire.ExchangeCall) {}
 	start := func() {
 		exchange(nothing)
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(exchange(nothing).Orders).To(HaveLen(1))
 		exchange(func(call *wire.ExchangeCall) {
-			call.Answers = []wire.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
+			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
 		})
 	}
 	finish := func() {
 		exchange(func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, Outcome: "done"}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: "done"}}
 		})
 	}
 	BeforeEach(func() {
@@ -109,10 +109,10 @@
 		open(4)
 		var handedIn, cancelled int
 		other := &wire.ClientCall{Route: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &wire.RouteTerms{MaxAttempts: 2}}
-		pool.HandIn(other, func(answer wire.ClientAnswer) { handedIn = answer.Status })
-		pool.Settle()
+		pool.Submit(other, func(answer wire.ClientAnswer) { handedIn = answer.Status })
+		pool.Flush()
 		pool.Cancel(other, func(answer wire.ClientAnswer) { cancelled = answer.Status })
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		tenure.settle(nil)
 		Expect(handedIn).To(Equal(http.StatusOK))
@@ -122,13 +122,13 @@
 	It("moves at once what will not end before an executor is gone that left unannounced", func() {
 		start()
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
-		Expect(exchange(nothing).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: task, Run: 1}))
+		Expect(exchange(nothing).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: taskState, Run: 1}))
 	})
 
 	It("starts nothing on an executor that leaves because its proxy forgot that", func() {
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
 		exchange(nothing)
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(exchange(nothing).Orders).To(BeEmpty())
 	})
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -13,26 +13,28 @@
 
 type answerClient = func(wire.ClientAnswer)
 
-func lost() wire.ClientAnswer { return wire.ClientAnswer{NotLeader: true} }
+func notLeaderAnswer() wire.ClientAnswer { return wire.ClientAnswer{NotLeader: true} }
 
-// unclear is the answer once a change was proposed and the leadership ended before its commit.
-func unclear() wire.ClientAnswer { return wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true} }
+// outcomeUnknownAnswer is the answer once a change was proposed and the leadership ended before its commit.
+func outcomeUnknownAnswer() wire.ClientAnswer {
+	return wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}
+}
 
-// HandIn accepts a job once it is committed; the same ID again is the same job.
-func (p *Pool) HandIn(call *wire.ClientCall, answer answerClient) {
+// Submit accepts a job once it is committed; the same ID again is the same job.
+func (p *Pool) Submit(call *wire.ClientCall, answer answerClient) {
 	accepted := func(err error) {
 		if err != nil {
-			answer(unclear())
+			answer(outcomeUnknownAnswer())
 			return
 		}
 		answer(wire.ClientAnswer{Status: http.StatusOK})
 	}
 	if known := p.jobs[call.ID]; known != nil {
-		if known.record.Entry != call.Route {
+		if known.record.Route != call.Route {
 			answer(wire.ClientAnswer{Status: http.StatusConflict, Reason: "the ID belongs to a job of another queue"})
 			return
 		}
-		p.after(accepted)
+		p.afterCommit(accepted)
 		return
 	}
 	if p.renounced.ids[call.ID] {
@@ -44,41 +46,41 @@
 		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Reason: err.Error()})
 		return
 	}
-	p.meters.handIns.Inc()
-	one := &job{id: call.ID, spec: spec, state: stateQueued, times: map[int]*jobTime{}, doneTimes: map[int]bool{}}
-	one.record = jobRecord{Entry: call.Route, AcceptedMs: p.leadership.WallMs(), Spec: call.Body}
+	p.meters.submissions.Inc()
+	job := &jobState{id: call.ID, spec: spec, state: stateQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+	job.record = jobRecord{Route: call.Route, AcceptedMs: p.leadership.WallMs(), Spec: call.Body}
 	if call.Terms != nil {
-		one.record.Terms = *call.Terms
+		job.record.Terms = *call.Terms
 	}
-	p.jobs[call.ID], p.untimed[call.ID] = one, one
+	p.jobs[call.ID], p.awaitingRelease[call.ID] = job, job
 	p.queued[call.Route]++
-	p.put("j/"+call.ID, one.record)
-	one.record.Spec = nil
-	p.makeTimesOf(one, p.leadership.WallMs())
-	p.record.Record(recording.Event{Kind: recording.KindHandIn, AtMs: one.record.AcceptedMs, Queue: call.Route, ID: call.ID,
-		Terms: one.record.Terms, Body: call.Body})
-	p.after(accepted)
+	p.putRecord("j/"+call.ID, job.record)
+	job.record.Spec = nil
+	p.releaseDueOf(job, p.leadership.WallMs())
+	p.recorder.Record(recording.Event{Kind: recording.KindHandIn, AtMs: job.record.AcceptedMs, Queue: call.Route, ID: call.ID,
+		Terms: job.record.Terms, Body: call.Body})
+	p.afterCommit(accepted)
 }
 
 // State answers with the state of a job. Like Count and Cancel it answers only under a lease, which is checked again at
 // the moment of the answer.
 func (p *Pool) State(call *wire.ClientCall, answer answerClient) {
-	one := p.jobs[call.ID]
-	p.after(func(err error) {
+	job := p.jobs[call.ID]
+	p.afterCommit(func(err error) {
 		switch {
 		case err != nil || p.leadership == nil || !p.leadership.HasLease():
-			answer(lost())
-		case one == nil:
+			answer(notLeaderAnswer())
+		case job == nil:
 			answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"})
-		case one.isUnreadable && one.isOpen():
+		case job.isUnreadable && job.isOpen():
 			answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's record can't be read by this version"})
 		default:
-			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + one.shown() + `"}`)})
+			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + job.shownState() + `"}`)})
 		}
 	})
 }
 
-func (j *job) shown() string {
+func (j *jobState) shownState() string {
 	if j.state == stateQueued && j.hasStarted {
 		return stateActive
 	}
@@ -87,9 +89,9 @@
 
 // Count answers with the number of jobs that wait in a queue.
 func (p *Pool) Count(call *wire.ClientCall, answer answerClient) {
-	p.after(func(err error) {
+	p.afterCommit(func(err error) {
 		if err != nil || p.leadership == nil || !p.leadership.HasLease() {
-			answer(lost())
+			answer(notLeaderAnswer())
 			return
 		}
 		count := strconv.Itoa(max(0, p.queued[call.Route]))
@@ -99,16 +101,16 @@
 
 // Cancel ends a job and answers once that is committed; a job that has ended stays as it is.
 func (p *Pool) Cancel(call *wire.ClientCall, answer answerClient) {
-	one := p.jobs[call.ID]
-	if one != nil && one.isOpen() {
-		p.record.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.leadership.WallMs(), ID: call.ID})
-		p.end(one, stateCancelled, "cancelled by its client")
+	job := p.jobs[call.ID]
+	if job != nil && job.isOpen() {
+		p.recorder.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.leadership.WallMs(), ID: call.ID})
+		p.end(job, stateCancelled, "cancelled by its client")
 	}
-	p.after(func(err error) {
+	p.afterCommit(func(err error) {
 		switch {
 		case err != nil || p.leadership == nil || !p.leadership.HasLease():
-			answer(lost())
-		case one == nil:
+			answer(notLeaderAnswer())
+		case job == nil:
 			answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"})
 		default:
 			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
@@ -117,39 +119,39 @@
 }
 
 // end closes a job for good and stops whatever of it still runs.
-func (p *Pool) end(one *job, state, why string) {
-	if one.state == stateQueued {
-		p.queued[one.record.Entry]--
+func (p *Pool) end(job *jobState, state, why string) {
+	if job.state == stateQueued {
+		p.queued[job.record.Route]--
 	}
-	one.state, one.endedMs = state, p.leadership.WallMs()
-	p.put("s/"+one.id, stateRecord{Entry: one.record.Entry, State: state, Why: why, EndedMs: one.endedMs})
+	job.state, job.endedMs = state, p.leadership.WallMs()
+	p.putRecord("s/"+job.id, stateRecord{Route: job.record.Route, State: state, Reason: why, EndedMs: job.endedMs})
 	if state != stateCompleted {
-		p.log.V(1).Info("job ended", "job", one.id, "state", state, "reason", why)
+		p.log.V(1).Info("job ended", "job", job.id, "state", state, "reason", why)
 	}
-	for _, spell := range one.timesInOrder() {
-		for _, step := range spell.steps {
+	for _, occurrence := range job.sortedOccurrences() {
+		for _, step := range occurrence.steps {
 			p.open.remove(step)
 			p.stopStep(step)
-			for _, which := range step.tasks {
-				if which.lastRun > 0 {
-					p.putTask(which)
+			for _, task := range step.tasks {
+				if task.lastRun > 0 {
+					p.putTask(task)
 				}
 			}
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(one.doneTimes)) {
-		p.drop("k/" + one.id + "/" + strconv.Itoa(number))
+	for _, number := range slices.Sorted(maps.Keys(job.completedOccurrences)) {
+		p.dropRecord("k/" + job.id + "/" + strconv.Itoa(number))
 	}
-	p.forgetIfOver(one)
+	p.forgetIfOver(job)
 }
 
 // forgetIfOver keeps only the end of a job once none of its runs is left.
-func (p *Pool) forgetIfOver(one *job) {
-	if one.isOpen() || one.runs > 0 || one.spec == nil {
+func (p *Pool) forgetIfOver(job *jobState) {
+	if job.isOpen() || job.runCount > 0 || job.spec == nil {
 		return
 	}
-	p.drop("j/" + one.id)
-	one.spec, one.times = nil, nil
-	delete(p.untimed, one.id)
-	p.noteEnded(one)
+	p.dropRecord("j/" + job.id)
+	job.spec, job.occurrences = nil, nil
+	delete(p.awaitingRelease, job.id)
+	p.insertEnded(job)
 }
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -73,7 +73,7 @@
 	clock := clock.NewFake(1_000_000)
 	c := &crowd{clock: clock, tenure: &prompt{clock: clock, kept: kept}}
 	timing := timing
-	timing.Headroom = scheduler.DefaultHeadroom
+	timing.ReservedCapacity = scheduler.DefaultReservedCapacity
 	c.pool = scheduler.New("pool/s", clock, timing, logging.Silent())
 	c.pool.Open(c.tenure, nil)
 	for number := range executors {
@@ -96,7 +96,7 @@
 func (c *crowd) beatAll() {
 	for _, one := range c.hands {
 		c.exchange(one, nil)
-		c.pool.Settle()
+		c.pool.Flush()
 	}
 }
 
@@ -110,9 +110,9 @@
 		step, terms = `{"task-count":5,"cpu-units":2500,"memory-req-mb":2600,"estimated-ms":900,"anti-affinity":1}`, wire.RouteTerms{Priority: 1, Stretch: 2.2, TargetMs: 1000}
 	}
 	c.jobs++
-	c.pool.HandIn(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
+	c.pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: fmt.Sprintf("%016x", c.jobs), Terms: &terms,
 		Body: []byte(`{"task-descriptor":"` + fmt.Sprintf("%0200d", c.jobs) + `","step-list":[` + step + `]}`)}, func(wire.ClientAnswer) {})
-	c.pool.Settle()
+	c.pool.Flush()
 }
 
 func (c *crowd) exchange(one *hand, ends []wire.EndReport) {
@@ -137,9 +137,9 @@
 	one.running = one.running[1:]
 	one.ends++
 	c.exchange(one, []wire.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, Outcome: "done"}})
-	c.pool.Settle()
+	c.pool.Flush()
 	c.exchange(one, nil)
-	c.pool.Settle()
+	c.pool.Flush()
 }
 
 // processorTime is what this process has used, also for collecting garbage; it says more than the clock on a busy machine.
@@ -198,7 +198,7 @@
 				b.StartTimer()
 			}
 			c.pool.Tick()
-			c.pool.Settle()
+			c.pool.Flush()
 		}
 	})
 }
@@ -208,7 +208,7 @@
 	eachSize(b, func(b *testing.B, c *crowd) {
 		for turn := range b.N {
 			c.exchange(c.hands[turn%len(c.hands)], nil)
-			c.pool.Settle()
+			c.pool.Flush()
 		}
 	})
 }
@@ -219,7 +219,7 @@
 		for range b.N {
 			c.handIn(0)
 			c.pool.Cancel(&wire.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(wire.ClientAnswer) {})
-			c.pool.Settle()
+			c.pool.Flush()
 		}
 	})
 }
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -11,23 +11,23 @@
 
 // Results a local-proxy gives for an order.
 const (
-	ResultOK      = "ok"
-	ResultNotRun  = "not-run"
-	ResultRoom    = "room"
-	ResultSick    = "sick"
-	ResultUnsure  = "unsure"
-	ResultTimeout = "timeout"
+	ResultOK         = "ok"
+	ResultNotRun     = "not-run"
+	ResultNoCapacity = "room"
+	ResultUnhealthy  = "sick"
+	ResultUncertain  = "unsure"
+	ResultTimeout    = "timeout"
 )
 
 // Exchange takes what a local-proxy says of its executor, and answers with orders, grant and acks.
 func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	now := p.clock.Monotonic()
-	home := p.lifeOf(call.Executor)
-	call, isTaken := home.heard.take(call)
-	p.learnContact(home, call, now)
+	executor := p.executorOf(call.Executor)
+	call, isTaken := executor.exchange.merge(call)
+	p.updateContact(executor, call, now)
 	if !isTaken {
-		refusal := p.answerFor(home)
-		refusal.HeldNumber, refusal.NeedsFullState, refusal.Session = 0, true, home.heard.session
+		refusal := p.answerFor(executor)
+		refusal.HeldNumber, refusal.NeedsFullState, refusal.Session = 0, true, executor.exchange.session
 		answer(refusal)
 		return
 	}
@@ -35,230 +35,230 @@
 		call.ListNumber = 0
 	}
 	for _, gone := range call.Gone {
-		if old := p.lives[gone]; old != nil && gone != call.Executor {
-			if !old.isDraining {
-				p.mistrust(old)
+		if former := p.executors[gone]; former != nil && gone != call.Executor {
+			if !former.isDraining {
+				p.suspectMachine(former)
 			}
-			p.lifeGone(old)
+			p.executorGone(former)
 		}
 	}
-	p.learnFacts(home, call, now)
-	for _, one := range call.Answers {
-		p.takeAnswer(home, one)
+	p.updateFacts(executor, call, now)
+	for _, orderAnswer := range call.Answers {
+		p.handleOrderAnswer(executor, orderAnswer)
 	}
-	hasNews := p.takeEnds(home, call.Ends)
-	p.takeChanged(home, call.Changed)
-	p.takeLook(home, call)
+	hasNews := p.handleEnds(executor, call.Ends)
+	p.handleChangedRuns(executor, call.Changed)
+	p.handleRunList(executor, call)
 	if call.WaitMs > 0 {
-		p.answerParked(home)
-		home.parked = &parkedCall{until: now + clock.Milliseconds(call.WaitMs), answer: answer}
-		p.release(home)
+		p.answerPoll(executor)
+		executor.poll = &pendingPoll{until: now + clock.Milliseconds(call.WaitMs), answer: answer}
+		p.sendOrders(executor)
 		return
 	}
 	if hasNews {
-		p.after(func(err error) { p.answerAck(home, err, answer) })
+		p.afterCommit(func(err error) { p.answerAck(executor, err, answer) })
 		return
 	}
-	answer(p.answerFor(home))
+	answer(p.answerFor(executor))
 }
 
 // answerAck tells the proxy at once, with the commit, how far its ends are taken note of.
-func (p *Pool) answerAck(home *life, err error, answer func(wire.ExchangeAnswer)) {
+func (p *Pool) answerAck(executor *executorState, err error, answer func(wire.ExchangeAnswer)) {
 	if err != nil || p.leadership == nil {
 		answer(wire.ExchangeAnswer{NotLeader: true})
 		return
 	}
-	answer(p.answerFor(home))
+	answer(p.answerFor(executor))
 }
 
-// learnContact takes what every exchange tells, also one whose base is not known here.
-func (p *Pool) learnContact(home *life, call *wire.ExchangeCall, now time.Duration) {
-	p.roster.note(home)
+// updateContact takes what every exchange tells, also one whose base is not known here.
+func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
+	p.table.markChanged(executor)
 	isBlocked := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
-	if home.isBlocked && !isBlocked {
+	if executor.isUnschedulable && !isBlocked {
 		p.needsPlacing = true
 	}
-	if isBlocked != home.isBlocked || now-home.contactAt > doubtAfter {
-		p.doubtRuns(home)
+	if isBlocked != executor.isUnschedulable || now-executor.contactAt > silenceBeforeSpeculation {
+		p.refreshSpeculation(executor)
 	}
-	home.isBlocked, home.contactAt = isBlocked, now
+	executor.isUnschedulable, executor.contactAt = isBlocked, now
 	if !isBlocked && p.leadership.HasLease() {
-		home.lapsesAt = max(home.lapsesAt, now+p.lapse(p.timing.Grant))
+		executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
 	}
 }
 
-func (p *Pool) learnFacts(home *life, call *wire.ExchangeCall, now time.Duration) {
-	if !home.isKnown || home.isDraining != call.Draining {
+func (p *Pool) updateFacts(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
+	if !executor.isKnown || executor.isDraining != call.Draining {
 		p.needsPlacing = true
 	}
-	isNewDrain := call.Draining && !home.isDraining
-	if !home.isKnown || isNewDrain {
-		p.record.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.leadership.WallMs(), Machine: call.Proxy, Room: call.Capacity,
+	isNewDrain := call.Draining && !executor.isDraining
+	if !executor.isKnown || isNewDrain {
+		p.recorder.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.leadership.WallMs(), Machine: call.Proxy, Room: call.Capacity,
 			Labels: call.Labels, IsDraining: call.Draining})
 	}
-	if home.atOnce > 0 {
+	if executor.runLimit > 0 {
 		p.needsPlacing = true
 	}
-	home.learnPenalty(p.penaltyOf(call.Proxy, now))
-	if p.rules != nil && (home.room != room(call.Capacity) || !slices.Equal(home.labels, call.Labels)) {
-		p.roster.version++
+	executor.learnPenalty(p.machinePenalty(call.Proxy, now))
+	if p.rules != nil && (executor.capacity != resourcesOf(call.Capacity) || !slices.Equal(executor.labels, call.Labels)) {
+		p.table.version++
 	}
-	home.isKnown, home.proxy, home.domain, home.labels = true, call.Proxy, call.Domain, call.Labels
+	executor.isKnown, executor.proxy, executor.domain, executor.labels = true, call.Proxy, call.Domain, call.Labels
 	// A proxy that was restarted may not have heard yet that its executor leaves; no executor takes that back.
-	home.room, home.isDraining = room(call.Capacity), home.isDraining || call.Draining
+	executor.capacity, executor.isDraining = resourcesOf(call.Capacity), executor.isDraining || call.Draining
 	if call.DepartureMs > 0 {
-		home.departsAt = now + clock.Milliseconds(call.DepartureMs)
+		executor.departureAt = now + clock.Milliseconds(call.DepartureMs)
 	}
-	if !home.isFenced && call.Fence == p.leadership.Epoch() && call.ListNumber >= home.firstLook {
-		home.isFenced = true
-		p.newest[home.proxy] = home
+	if !executor.isFenced && call.Fence == p.leadership.Epoch() && call.ListNumber >= executor.firstList {
+		executor.isFenced = true
+		p.newestOnMachine[executor.proxy] = executor
 		p.needsPlacing = true
 	}
 	if isNewDrain {
-		p.evacuate(home)
+		p.evacuate(executor)
 	}
 }
 
-func (p *Pool) answerFor(home *life) wire.ExchangeAnswer {
+func (p *Pool) answerFor(executor *executorState) wire.ExchangeAnswer {
 	now := p.clock.Monotonic()
-	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: home.lastSeen, WantedList: home.lookWanted, HeldNumber: home.heard.held}
-	if !home.isBlocked && p.leadership.HasLease() {
+	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: executor.lastSeen, WantedList: executor.listWanted, HeldNumber: executor.exchange.number}
+	if !executor.isUnschedulable && p.leadership.HasLease() {
 		answer.GrantMs = p.timing.Grant.Milliseconds()
-		home.lapsesAt = max(home.lapsesAt, now+p.lapse(p.timing.Grant))
+		executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
 	}
-	answer.Orders = home.strays
-	home.strays = nil
-	if !home.isFenced {
+	answer.Orders = executor.orphanStops
+	executor.orphanStops = nil
+	if !executor.isFenced {
 		return answer
 	}
-	for _, one := range home.outbox {
-		one.isQueued = false
-		if home.runs[one.key()] != one || one.state == runRunning {
+	for _, run := range executor.outbox {
+		run.isQueued = false
+		if executor.runs[run.key()] != run || run.state == runRunning {
 			continue
 		}
-		p.meters.sent(one)
-		one.sends++
-		one.sentAt = now
-		p.touch(one.task)
-		answer.Orders = append(answer.Orders, p.order(one))
+		p.meters.sent(run)
+		run.sendCount++
+		run.sentAt = now
+		p.markChanged(run.task)
+		answer.Orders = append(answer.Orders, p.order(run))
 	}
-	home.outbox = nil
+	executor.outbox = nil
 	return answer
 }
 
-func (p *Pool) order(one *run) wire.Order {
-	order := wire.Order{Kind: kindStop, Task: one.task.name, Run: one.number}
-	if one.state == runLaunching {
-		order.Kind, order.Descriptor, order.Checkpoint = kindLaunch, one.task.job().spec.Descriptor, one.task.checkpoint()
+func (p *Pool) order(run *runState) wire.Order {
+	order := wire.Order{Kind: kindStop, Task: run.task.name, Run: run.number}
+	if run.state == runLaunching {
+		order.Kind, order.Descriptor, order.Checkpoint = kindLaunch, run.task.owner().spec.Descriptor, run.task.latestCheckpoint()
 	}
 	return order
 }
 
-func (p *Pool) release(home *life) {
-	if home.isFenced && len(home.outbox) > 0 || len(home.strays) > 0 {
-		p.answerParked(home)
+func (p *Pool) sendOrders(executor *executorState) {
+	if executor.isFenced && len(executor.outbox) > 0 || len(executor.orphanStops) > 0 {
+		p.answerPoll(executor)
 	}
 }
 
-func (p *Pool) answerParked(home *life) {
-	if home.parked != nil {
-		p.unpark(home, p.answerFor(home))
+func (p *Pool) answerPoll(executor *executorState) {
+	if executor.poll != nil {
+		p.endPoll(executor, p.answerFor(executor))
 	}
 }
 
-func (p *Pool) unpark(home *life, answer wire.ExchangeAnswer) {
-	if home.parked != nil {
-		reply := home.parked.answer
-		home.parked = nil
+func (p *Pool) endPoll(executor *executorState, answer wire.ExchangeAnswer) {
+	if executor.poll != nil {
+		reply := executor.poll.answer
+		executor.poll = nil
 		reply(answer)
 	}
 }
 
-func (p *Pool) wantLook(home *life, one *run) {
-	p.looks++
-	home.lookWanted, home.lookAt = p.looks, p.clock.Monotonic()
-	one.needsLook = p.looks
-	p.answerParked(home)
+func (p *Pool) requestRunList(executor *executorState, run *runState) {
+	p.lastListNumber++
+	executor.listWanted, executor.listWantedAt = p.lastListNumber, p.clock.Monotonic()
+	run.awaitedList = p.lastListNumber
+	p.answerPoll(executor)
 }
 
-func (p *Pool) takeAnswer(home *life, answer wire.OrderAnswer) {
-	one := home.runs[runKey{answer.Task, answer.Run}]
-	if one == nil {
+func (p *Pool) handleOrderAnswer(executor *executorState, answer wire.OrderAnswer) {
+	run := executor.runs[runKey{answer.Task, answer.Run}]
+	if run == nil {
 		return
 	}
 	now := p.clock.Monotonic()
 	if answer.Kind == kindStop {
-		if one.state == runStopping && answer.Result == ResultOK && !one.isAnswered {
-			one.isAnswered, one.answeredAt = true, now
-			p.drop(orderName(one.task, one.number, kindStop))
-			p.putTask(one.task)
+		if run.state == runStopping && answer.Result == ResultOK && !run.isAnswered {
+			run.isAnswered, run.answeredAt = true, now
+			p.dropRecord(orderName(run.task, run.number, kindStop))
+			p.putTask(run.task)
 		}
 		return
 	}
-	if one.state != runLaunching {
+	if run.state != runLaunching {
 		return
 	}
-	isCertain := one.sends <= 1 && one.needsLook == 0
+	isCertain := run.sendCount <= 1 && run.awaitedList == 0
 	switch answer.Result {
 	case ResultOK:
-		p.started(one)
-		one.startedAt -= min(clock.Milliseconds(answer.AgeMs), now-one.orderedAt)
-	case ResultNotRun, ResultRoom, ResultSick:
-		if answer.Result == ResultSick {
-			p.penalizeUnlessResting(home)
-			home.fails++
+		p.runStarted(run)
+		run.startedAt -= min(clock.Milliseconds(answer.AgeMs), now-run.orderedAt)
+	case ResultNotRun, ResultNoCapacity, ResultUnhealthy:
+		if answer.Result == ResultUnhealthy {
+			p.penalizeUnlessEjected(executor)
+			executor.failures++
 		}
 		if answer.Result != ResultNotRun {
-			home.sickUntil = now + sickPause
+			executor.ejectedUntil = now + ejectionPause
 		}
-		one.task.avoid = home.id
+		run.task.avoid = executor.id
 		if isCertain {
-			p.closeRun(one)
+			p.closeRun(run)
 			return
 		}
-		p.stopRun(one)
-	case ResultUnsure:
-		p.stopRun(one)
+		p.stopRun(run)
+	case ResultUncertain:
+		p.stopRun(run)
 	case ResultTimeout:
-		home.fails += 0.3
+		executor.failures += 0.3
 	}
 }
 
-func (p *Pool) takeEnds(home *life, ends []wire.EndReport) (hasNews bool) {
-	if !home.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= home.notedEnd {
+func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNews bool) {
+	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
 		return false
 	}
 	for _, end := range ends {
-		if end.Number > home.notedEnd {
-			home.notedEnd = end.Number
-			p.takeEnd(home, end)
+		if end.Number > executor.takenEnd {
+			executor.takenEnd = end.Number
+			p.handleEnd(executor, end)
 		}
 	}
-	noted := home.notedEnd
-	p.after(func(err error) {
-		if err == nil && noted > home.lastSeen {
-			home.lastSeen = noted
+	taken := executor.takenEnd
+	p.afterCommit(func(err error) {
+		if err == nil && taken > executor.lastSeen {
+			executor.lastSeen = taken
 		}
 	})
 	return true
 }
 
-func (p *Pool) takeChanged(home *life, changed []wire.RunReport) {
+func (p *Pool) handleChangedRuns(executor *executorState, changed []wire.RunReport) {
 	for _, report := range changed {
-		one := home.runs[runKey{report.Task, report.Run}]
-		if one == nil {
+		run := executor.runs[runKey{report.Task, report.Run}]
+		if run == nil {
 			continue
 		}
 		if report.Checkpoint != "" {
-			p.keepSaved(one.task, report.Checkpoint)
+			p.recordCheckpoint(run.task, report.Checkpoint)
 		}
-		one.isStuck = report.Stuck
-		p.moveStuck(one)
+		run.isStuck = report.Stuck
+		p.moveStalled(run)
 	}
 }
 
-func (p *Pool) takeLook(home *life, call *wire.ExchangeCall) {
-	if call.ListNumber == 0 || !home.isFenced {
+func (p *Pool) handleRunList(executor *executorState, call *wire.ExchangeCall) {
+	if call.ListNumber == 0 || !executor.isFenced {
 		return
 	}
 	running := map[runKey]bool{}
@@ -266,52 +266,52 @@
 		key := runKey{report.Task, report.Run}
 		running[key] = true
 		hasEnded := slices.ContainsFunc(call.Ends, func(end wire.EndReport) bool { return end.Task == report.Task && end.Run == report.Run })
-		if home.runs[key] == nil && !hasEnded {
-			p.stray(home, report)
+		if executor.runs[key] == nil && !hasEnded {
+			p.stopOrphan(executor, report)
 		}
 	}
-	for _, one := range home.inOrder() {
-		if one.needsLook == 0 || one.needsLook > call.ListNumber {
+	for _, run := range executor.sortedRuns() {
+		if run.awaitedList == 0 || run.awaitedList > call.ListNumber {
 			continue
 		}
-		one.needsLook = 0
-		p.resolve(one, running[one.key()])
+		run.awaitedList = 0
+		p.resolve(run, running[run.key()])
 	}
 }
 
 // resolve settles a doubtful run by a look that was taken after the doubt arose.
-func (p *Pool) resolve(one *run, isRunning bool) {
+func (p *Pool) resolve(run *runState, isRunning bool) {
 	switch {
-	case one.state == runLaunching && isRunning:
-		p.started(one)
-	case one.state == runLaunching:
-		one.sends = 0
-		p.queue(one)
-	case one.state == runRunning && !isRunning:
-		p.closeRun(one)
-	case one.state == runStopping && one.isAnswered && !isRunning:
-		p.closeRun(one)
-	case one.state == runStopping && !one.isAnswered:
-		p.queue(one)
+	case run.state == runLaunching && isRunning:
+		p.runStarted(run)
+	case run.state == runLaunching:
+		run.sendCount = 0
+		p.queueOrder(run)
+	case run.state == runRunning && !isRunning:
+		p.closeRun(run)
+	case run.state == runStopping && run.isAnswered && !isRunning:
+		p.closeRun(run)
+	case run.state == runStopping && !run.isAnswered:
+		p.queueOrder(run)
 	}
 }
 
-// stray stops a run that no record knows, such as one carried out long after its order was given up.
-func (p *Pool) stray(home *life, report wire.RunReport) {
+// stopOrphan stops a run that no record knows, such as one carried out long after its order was given up.
+func (p *Pool) stopOrphan(executor *executorState, report wire.RunReport) {
 	order := wire.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
-	if !slices.Contains(home.strays, order) {
-		p.log.Info("stopping orphaned run", "task", report.Task, "run", report.Run, "executor", home.id)
-		home.strays = append(home.strays, order)
+	if !slices.Contains(executor.orphanStops, order) {
+		p.log.Info("stopping orphaned run", "task", report.Task, "run", report.Run, "executor", executor.id)
+		executor.orphanStops = append(executor.orphanStops, order)
 	}
 }
 
-// lifeGone closes all that ran on a life that certainly runs nothing any more.
-func (p *Pool) lifeGone(home *life) {
-	home.isKnown = false
-	p.unpark(home, wire.ExchangeAnswer{})
-	for _, one := range home.inOrder() {
-		p.closeRun(one)
-	}
-	p.forgetLife(home)
+// executorGone closes all that ran on a life that certainly runs nothing any more.
+func (p *Pool) executorGone(executor *executorState) {
+	executor.isKnown = false
+	p.endPoll(executor, wire.ExchangeAnswer{})
+	for _, run := range executor.sortedRuns() {
+		p.closeRun(run)
+	}
+	p.forgetExecutor(executor)
 	p.needsPlacing = true
 }
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -56,7 +56,7 @@
 		beat:   executorapi.Beat{Service: "s", State: "ready", Room: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
-	o.pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
+	o.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
 		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(wire.ClientAnswer) {})
 	o.settle()
 	for range 4 {
@@ -69,10 +69,10 @@
 }
 
 func (o *postOffice) settle() {
-	o.pool.Settle()
+	o.pool.Flush()
 	for len(o.tenure.waiting) > 0 {
 		o.tenure.settle(nil)
-		o.pool.Settle()
+		o.pool.Flush()
 	}
 }
 
@@ -114,13 +114,13 @@
 	saved map[string]string
 }
 
-func pictureOf(call wire.ExchangeCall, saved map[string]string) picture {
-	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Capacity, call.Draining), maps.Clone(saved)}
+func pictureOf(call wire.ExchangeCall, checkpoint map[string]string) picture {
+	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Capacity, call.Draining), maps.Clone(checkpoint)}
 }
 
 func (o *postOffice) compose() {
-	call, isThere := o.table.Compose(0)
-	Expect(isThere).To(BeTrue())
+	call, exists := o.table.Compose(0)
+	Expect(exists).To(BeTrue())
 	o.calls = append(o.calls, letter{*call, o.table})
 }
 
@@ -153,8 +153,8 @@
 }
 
 func (o *postOffice) believed() (uint64, uint64, picture) {
-	told, saved := o.pool.Heard("i-1")
-	return told.Session, told.Number, pictureOf(told, saved)
+	told, checkpoint := o.pool.Heard("i-1")
+	return told.Session, told.Number, pictureOf(told, checkpoint)
 }
 
 func (o *postOffice) change() {
@@ -176,8 +176,8 @@
 	call := o.calls[len(o.calls)-1].call
 	place := [2]uint64{call.Session, call.Number}
 	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Capacity: o.beat.Room}, o.saved)
-	if was, isThere := o.truth[place]; isThere {
-		Expect(now).To(Equal(was), "number %v stands for two things", place)
+	if former, exists := o.truth[place]; exists {
+		Expect(now).To(Equal(former), "number %v stands for two things", place)
 	}
 	o.truth[place] = now
 }
@@ -189,9 +189,9 @@
 	}
 	truth := o.truth[[2]uint64{session, number}]
 	Expect(seen.facts).To(Equal(truth.facts), "session %d number %d", session, number)
-	for task, saved := range truth.saved {
-		if isTold := saved != ""; isTold {
-			Expect(seen.saved[task]).To(Equal(saved), "%s at session %d number %d", task, session, number)
+	for task, checkpoint := range truth.saved {
+		if isTold := checkpoint != ""; isTold {
+			Expect(seen.saved[task]).To(Equal(checkpoint), "%s at session %d number %d", task, session, number)
 		}
 	}
 	now := [3]uint64{o.tenure.epoch, session, number}
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -65,7 +65,7 @@
 }
 
 func (f *fleet) settle() {
-	for f.pool.Settle(); len(f.tenure.waiting) > 0; f.pool.Settle() {
+	for f.pool.Flush(); len(f.tenure.waiting) > 0; f.pool.Flush() {
 		f.tenure.settle(nil)
 	}
 }
@@ -136,7 +136,7 @@
 }
 
 func (f *fleet) handIn(id string, terms wire.RouteTerms, body string) {
-	f.pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
+	f.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
 		Expect(answer.Status).To(Equal(200))
 	})
 	f.settle()
--- a/internal/scheduling/scheduler/heard.go
+++ b/internal/scheduling/scheduler/heard.go
@@ -2,31 +2,31 @@
 
 import "gannetline/internal/cluster/peerapi/wire"
 
-// heard is what a local-proxy has told of an executor, up to a number of its session.
-type heard struct {
+// exchangeState is what a local-proxy has told of an executor, up to a number of its session.
+type exchangeState struct {
 	session uint64
-	held    uint64
+	number  uint64
 	facts   wire.ExchangeCall
 }
 
-// take gives the call with all that it left out put back; it is false where the base is not known here.
-func (h *heard) take(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
-	whole := *call
+// merge gives the call with all that it left out put back; it is false where the base is not known here.
+func (h *exchangeState) merge(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
+	full := *call
 	if call.Session == 0 {
-		whole.Changed = call.Running
-		return &whole, true
+		full.Changed = call.Running
+		return &full, true
 	}
 	if !h.follows(call) {
-		return &whole, false
+		return &full, false
 	}
-	if call.Number <= h.held {
-		whole.Changed = nil
+	if call.Number <= h.number {
+		full.Changed = nil
 	} else if call.Proxy != "" {
 		putFacts(&h.facts, call)
 	}
-	h.held = max(h.held, call.Number)
-	putFacts(&whole, &h.facts)
-	return &whole, true
+	h.number = max(h.number, call.Number)
+	putFacts(&full, &h.facts)
+	return &full, true
 }
 
 func putFacts(to, from *wire.ExchangeCall) {
@@ -34,13 +34,13 @@
 }
 
 // follows begins a later session with its whole.
-func (h *heard) follows(call *wire.ExchangeCall) bool {
+func (h *exchangeState) follows(call *wire.ExchangeCall) bool {
 	if call.Session == h.session {
-		return call.Base <= h.held
+		return call.Base <= h.number
 	}
 	if call.Base > 0 || call.Session < h.session {
 		return false
 	}
-	h.session, h.held = call.Session, 0
+	h.session, h.number = call.Session, 0
 	return true
 }
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -25,23 +25,23 @@
 	}
 	p.loadEach(kept['j'], p.loadJob)
 	p.loadEach(kept['s'], p.loadState)
-	p.loadEach(kept['k'], p.loadTime)
+	p.loadEach(kept['k'], p.loadOccurrence)
 	tasks := p.readTasks(kept['t'])
-	p.makeTimes()
-	for _, one := range tasks {
-		p.loadTask(one)
+	p.releaseDue()
+	for _, loaded := range tasks {
+		p.loadTask(loaded)
 	}
 	p.loadEach(kept['e'], p.loadExecutor)
 	p.loadEach(kept['m'], p.loadRenounced)
 	slices.SortStableFunc(p.renounced.order, func(one, two renouncedID) int { return cmp.Compare(one.atMs, two.atMs) })
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
-		if one := p.jobs[id]; one.spec != nil {
-			p.reopen(one)
+		if job := p.jobs[id]; job.spec != nil {
+			p.reopen(job)
 		} else {
-			p.noteEnded(one)
+			p.insertEnded(job)
 		}
 	}
-	p.dropLeftOrders(kept['o'])
+	p.dropOrphanedOrders(kept['o'])
 }
 
 // loadEach takes the records of one kind, whose names begin with two bytes that tell the kind.
@@ -62,55 +62,55 @@
 func (p *Pool) Unreadable() []string { return p.unreadable }
 
 func (p *Pool) loadJob(id string, value []byte) error {
-	one := &job{id: id, state: stateQueued, times: map[int]*jobTime{}, doneTimes: map[int]bool{}}
-	p.jobs[id], p.untimed[id] = one, one
-	if err := easyjson.Unmarshal(value, &one.record); err != nil {
-		p.setAside(one)
+	job := &jobState{id: id, state: stateQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+	p.jobs[id], p.awaitingRelease[id] = job, job
+	if err := easyjson.Unmarshal(value, &job.record); err != nil {
+		p.setAside(job)
 		return err
 	}
-	p.queued[one.record.Entry]++
-	spec, err := jobs.Restore(one.record.Spec)
+	p.queued[job.record.Route]++
+	spec, err := jobs.Restore(job.record.Spec)
 	if err != nil {
-		p.setAside(one)
+		p.setAside(job)
 		return err
 	}
-	one.spec, one.record.Spec = spec, nil
+	job.spec, job.record.Spec = spec, nil
 	return nil
 }
 
 // setAside keeps a job known that can't be run here, and its records as they are, for a program that can read them.
-func (p *Pool) setAside(one *job) {
-	one.isUnreadable = true
-	one.spec, one.record.Spec = &jobs.Spec{}, nil
-	delete(p.untimed, one.id)
+func (p *Pool) setAside(job *jobState) {
+	job.isUnreadable = true
+	job.spec, job.record.Spec = &jobs.Spec{}, nil
+	delete(p.awaitingRelease, job.id)
 }
 
 func (p *Pool) loadState(id string, value []byte) error {
-	one, isKnown := p.jobs[id]
+	job, isKnown := p.jobs[id]
 	if !isKnown {
-		one = &job{id: id, state: stateQueued, times: map[int]*jobTime{}, doneTimes: map[int]bool{}}
-		p.jobs[id] = one
+		job = &jobState{id: id, state: stateQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+		p.jobs[id] = job
 	}
 	var record stateRecord
 	if err := easyjson.Unmarshal(value, &record); err != nil {
-		p.setAside(one)
+		p.setAside(job)
 		return err
 	}
 	if isKnown {
-		p.queued[one.record.Entry]--
+		p.queued[job.record.Route]--
 	}
-	one.state, one.endedMs, one.record.Entry = record.State, record.EndedMs, record.Entry
+	job.state, job.endedMs, job.record.Route = record.State, record.EndedMs, record.Route
 	return nil
 }
 
-func (p *Pool) loadTime(name string, _ []byte) error {
+func (p *Pool) loadOccurrence(name string, _ []byte) error {
 	id, number, isWhole := strings.Cut(name, "/")
 	count, err := strconv.Atoi(number)
 	if !isWhole || err != nil {
 		return errors.New("not ID/K")
 	}
-	if one := p.jobs[id]; one != nil {
-		one.doneTimes[count] = true
+	if job := p.jobs[id]; job != nil {
+		job.completedOccurrences[count] = true
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 // loadedTask is the record of a task that belongs to a job under way.
 type loadedTask struct {
 	name   string
-	job    *job
+	job    *jobState
 	place  jobs.Place
 	record taskRecord
 }
@@ -128,113 +128,113 @@
 func (p *Pool) readTasks(pairs []wire.Op) []loadedTask {
 	tasks := make([]loadedTask, 0, len(pairs))
 	for _, pair := range pairs {
-		one := loadedTask{name: pair.Name}
+		loaded := loadedTask{name: pair.Name}
 		var isTask bool
-		if one.place, isTask = jobs.ParseTask(pair.Name[2:]); !isTask {
+		if loaded.place, isTask = jobs.ParseTask(pair.Name[2:]); !isTask {
 			p.noteUnreadable(pair.Name, errors.New("not ID.K.STEP.INDEX"))
 			continue
 		}
-		one.job = p.jobs[one.place.ID]
-		if one.job != nil && one.job.isUnreadable {
+		loaded.job = p.jobs[loaded.place.ID]
+		if loaded.job != nil && loaded.job.isUnreadable {
 			continue
 		}
-		if one.job == nil || !one.job.hasTask(one.place) {
-			p.drop(pair.Name)
+		if loaded.job == nil || !loaded.job.hasTask(loaded.place) {
+			p.dropRecord(pair.Name)
 			continue
 		}
-		if err := easyjson.Unmarshal(pair.Value, &one.record); err != nil {
+		if err := easyjson.Unmarshal(pair.Value, &loaded.record); err != nil {
 			p.noteUnreadable(pair.Name, err)
-			p.setAside(one.job)
+			p.setAside(loaded.job)
 			continue
 		}
-		tasks = append(tasks, one)
+		tasks = append(tasks, loaded)
 	}
-	return slices.DeleteFunc(tasks, func(one loadedTask) bool { return one.job.isUnreadable })
+	return slices.DeleteFunc(tasks, func(loaded loadedTask) bool { return loaded.job.isUnreadable })
 }
 
-func (j *job) hasTask(place jobs.Place) bool {
-	return j.spec != nil && place.Time < j.timeCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
+func (j *jobState) hasTask(place jobs.Place) bool {
+	return j.spec != nil && place.Time < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
 }
 
-func (p *Pool) loadTask(one loadedTask) {
-	isOver, record := one.job.doneTimes[one.place.Time], one.record
+func (p *Pool) loadTask(loaded loadedTask) {
+	isOver, record := loaded.job.completedOccurrences[loaded.place.Time], loaded.record
 	if isOver && len(record.Runs) == 0 {
-		p.drop(one.name)
+		p.dropRecord(loaded.name)
 		return
 	}
-	step := p.timeOf(one.job, one.place.Time).steps[one.place.Step]
-	which := step.tasks[one.place.Index]
-	which.isDone, which.failed, which.lastRun, which.saved = record.Done || isOver, record.Failed, record.LastRun, record.Saved
+	step := p.occurrenceOf(loaded.job, loaded.place.Time).steps[loaded.place.Step]
+	task := step.tasks[loaded.place.Index]
+	task.isDone, task.failed, task.lastRun, task.checkpoint = record.Done || isOver, record.Failed, record.LastRun, record.Checkpoint
 	step.failedRun = max(step.failedRun, record.FailedRun)
-	if which.isDone {
-		step.left--
-		step.file(which)
+	if task.isDone {
+		step.remaining--
+		step.classify(task)
 	}
 	if record.LastRun > 0 {
-		one.job.hasStarted = true
+		loaded.job.hasStarted = true
 	}
-	for _, was := range record.Runs {
-		p.adopt(which, was)
+	for _, former := range record.Runs {
+		p.adopt(task, former)
 	}
 }
 
-func (p *Pool) adopt(which *task, was runRecord) {
-	home := p.lifeOf(was.Life)
-	one := &run{task: which, number: was.Number, life: home, state: was.State, isCommitted: true, startedAt: p.began, orderedAt: p.began}
-	p.hold(one)
-	one.needsLook = home.lookWanted
+func (p *Pool) adopt(task *taskState, former runRecord) {
+	executor := p.executorOf(former.Executor)
+	run := &runState{task: task, number: former.Number, executor: executor, state: former.State, isCommitted: true, startedAt: p.openedAt, orderedAt: p.openedAt}
+	p.addRun(run)
+	run.awaitedList = executor.listWanted
 }
 
 // reopen works out what was under way when the state was written.
-func (p *Pool) reopen(one *job) {
-	if !one.isOpen() {
-		for _, spell := range one.timesInOrder() {
-			p.stopTime(spell)
+func (p *Pool) reopen(job *jobState) {
+	if !job.isOpen() {
+		for _, occurrence := range job.sortedOccurrences() {
+			p.stopOccurrence(occurrence)
 		}
-		p.forgetIfOver(one)
+		p.forgetIfOver(job)
 		return
 	}
-	if one.hasStarted {
-		p.noteStart(one)
+	if job.hasStarted {
+		p.recordStart(job)
 	}
-	for _, spell := range one.timesInOrder() {
-		if one.doneTimes[spell.number] {
-			p.stopTime(spell)
+	for _, occurrence := range job.sortedOccurrences() {
+		if job.completedOccurrences[occurrence.number] {
+			p.stopOccurrence(occurrence)
 			continue
 		}
-		spell.left = 0
-		for _, step := range spell.steps {
-			if step.left > 0 {
-				spell.left++
+		occurrence.remaining = 0
+		for _, step := range occurrence.steps {
+			if step.remaining > 0 {
+				occurrence.remaining++
 				continue
 			}
 			p.open.remove(step)
 		}
-		p.openSteps(spell)
+		p.openReadySteps(occurrence)
 	}
 }
 
-// stopTime stops what still runs of a time that is over.
-func (p *Pool) stopTime(spell *jobTime) {
-	for _, step := range spell.steps {
+// stopOccurrence stops what still runs of a time that is over.
+func (p *Pool) stopOccurrence(occurrence *occurrence) {
+	for _, step := range occurrence.steps {
 		p.stopStep(step)
 	}
 }
 
-// dropLeftOrders drops the orders that no run waits for.
-func (p *Pool) dropLeftOrders(pairs []wire.Op) {
+// dropOrphanedOrders drops the orders that no run waits for.
+func (p *Pool) dropOrphanedOrders(pairs []wire.Op) {
 	if len(pairs) == 0 {
 		return
 	}
 	waiting := map[string]bool{}
-	for one := range p.pending {
+	for run := range p.pendingRuns {
 		for _, kind := range []string{kindLaunch, kindStop} {
-			waiting[orderName(one.task, one.number, kind)] = true
+			waiting[orderName(run.task, run.number, kind)] = true
 		}
 	}
 	for _, pair := range pairs {
 		if !waiting[pair.Name] {
-			p.drop(pair.Name)
+			p.dropRecord(pair.Name)
 		}
 	}
 }
--- a/internal/scheduling/scheduler/meters.go
+++ b/internal/scheduling/scheduler/meters.go
@@ -6,7 +6,7 @@
 	"gannetline/internal/platform/metrics"
 )
 
-const showEvery = time.Second
+const metricsInterval = time.Second
 
 const (
 	stateReady    = "ready"
@@ -16,81 +16,81 @@
 )
 
 var (
-	handIns      = metrics.NewCounters("gannetline_pool_hand_ins_total", "key")
-	placements   = metrics.NewCounters("gannetline_pool_placements_total", "key")
-	starts       = metrics.NewCounters("gannetline_pool_starts_total", "key")
-	ends         = metrics.NewCounters("gannetline_pool_ends_total", "key", "how")
-	stops        = metrics.NewCounters("gannetline_pool_stops_total", "key")
-	spares       = metrics.NewCounters("gannetline_pool_spares_total", "key")
-	ordersSent   = metrics.NewCounters("gannetline_pool_orders_sent_total", "key", "kind")
-	ordersResent = metrics.NewCounters("gannetline_pool_orders_resent_total", "key", "kind")
-	commits      = metrics.NewCounters("gannetline_pool_commits_total", "key")
-	changes      = metrics.NewCounters("gannetline_pool_changes_total", "key")
-	stepsOpen    = metrics.NewGauges("gannetline_pool_open_steps", "key")
-	runsHeld     = metrics.NewGauges("gannetline_pool_runs", "key")
-	executors    = metrics.NewGauges("gannetline_pool_executors", "key", "state")
-	tickSeconds  = metrics.NewHistograms("gannetline_pool_tick_seconds", "key")
-	placeSeconds = metrics.NewHistograms("gannetline_pool_placement_seconds", "key")
+	submissions     = metrics.NewCounters("gannetline_pool_hand_ins_total", "key")
+	placements      = metrics.NewCounters("gannetline_pool_placements_total", "key")
+	starts          = metrics.NewCounters("gannetline_pool_starts_total", "key")
+	ends            = metrics.NewCounters("gannetline_pool_ends_total", "key", "how")
+	stops           = metrics.NewCounters("gannetline_pool_stops_total", "key")
+	speculativeRuns = metrics.NewCounters("gannetline_pool_spares_total", "key")
+	ordersSent      = metrics.NewCounters("gannetline_pool_orders_sent_total", "key", "kind")
+	ordersResent    = metrics.NewCounters("gannetline_pool_orders_resent_total", "key", "kind")
+	commits         = metrics.NewCounters("gannetline_pool_commits_total", "key")
+	changes         = metrics.NewCounters("gannetline_pool_changes_total", "key")
+	stepsOpen       = metrics.NewGauges("gannetline_pool_open_steps", "key")
+	runGauge        = metrics.NewGauges("gannetline_pool_runs", "key")
+	executors       = metrics.NewGauges("gannetline_pool_executors", "key", "state")
+	tickSeconds     = metrics.NewHistograms("gannetline_pool_tick_seconds", "key")
+	placeSeconds    = metrics.NewHistograms("gannetline_pool_placement_seconds", "key")
 )
 
-// meters are the series of one pool, found once.
-type meters struct {
-	key                                                          string
-	handIns, placements, starts, stops, spares, commits, changes *metrics.Counter
-	tickSeconds, placeSeconds                                    metrics.Histogram
-	shownAt                                                      time.Duration
+// poolMetrics are the series of one pool, found once.
+type poolMetrics struct {
+	key                                                                       string
+	submissions, placements, starts, stops, speculativeRuns, commits, changes *metrics.Counter
+	tickSeconds, placeSeconds                                                 metrics.Histogram
+	shownAt                                                                   time.Duration
 }
 
-func newMeters(key string) meters {
-	return meters{key: key, handIns: handIns.With(key), placements: placements.With(key), starts: starts.With(key),
-		stops: stops.With(key), spares: spares.With(key), commits: commits.With(key), changes: changes.With(key),
+func newMeters(key string) poolMetrics {
+	return poolMetrics{key: key, submissions: submissions.With(key), placements: placements.With(key), starts: starts.With(key),
+		stops: stops.With(key), speculativeRuns: speculativeRuns.With(key), commits: commits.With(key), changes: changes.With(key),
 		tickSeconds: tickSeconds.With(key), placeSeconds: placeSeconds.With(key)}
 }
 
-func (m *meters) sent(one *run) {
+func (m *poolMetrics) sent(run *runState) {
 	kind := kindStop
-	if one.state == runLaunching {
+	if run.state == runLaunching {
 		kind = kindLaunch
 	}
 	ordersSent.With(m.key, kind).Inc()
-	if one.sends > 0 {
+	if run.sendCount > 0 {
 		ordersResent.With(m.key, kind).Inc()
 	}
 }
 
 // show sets what is there now, once a second.
-func (m *meters) show(p *Pool, now time.Duration) {
-	if now-m.shownAt < showEvery {
+func (m *poolMetrics) show(p *Pool, now time.Duration) {
+	if now-m.shownAt < metricsInterval {
 		return
 	}
 	m.shownAt = now
 	counts := map[string]int{}
 	var running int
-	for _, home := range p.lives {
-		counts[home.shown()]++
-		running += len(home.runs)
+	for _, executor := range p.executors {
+		counts[executor.shownState()]++
+		running += len(executor.runs)
 	}
 	m.set(len(p.open.steps), running, counts)
 }
 
-func (m *meters) clear() { m.set(0, 0, nil) }
+func (m *poolMetrics) clear() { m.set(0, 0, nil) }
 
-func (m *meters) set(open, running int, counts map[string]int) {
+func (m *poolMetrics) set(open, running int, counts map[string]int) {
 	stepsOpen.With(m.key).Set(float64(open))
-	runsHeld.With(m.key).Set(float64(running))
+	runGauge.With(m.key).Set(float64(running))
 	for _, state := range []string{stateReady, stateUnfenced, stateDraining, stateBlocked} {
 		executors.With(m.key, state).Set(float64(counts[state]))
 	}
 }
 
-// shown is the executor's state as operators see it.
-func (l *life) shown() string {
+// shownState is the executor's state as operators see it.
+func (l *executorState) shownState() string {
 	switch {
 	case !l.isFenced:
 		return stateUnfenced
 	case l.isDraining:
 		return stateDraining
-	case l.isBlocked:
+	case l.isUnschedulable:
 		return stateBlocked
 	}
 	return stateReady
--- a/internal/scheduling/scheduler/near.go
+++ b/internal/scheduling/scheduler/near.go
@@ -7,21 +7,21 @@
 	"gannetline/internal/platform/clock"
 )
 
-// mostNearWait bounds the wait for room near a step's data.
-const mostNearWait = time.Second
+// maxLocalityWait bounds the wait for room near a step's data.
+const maxLocalityWait = time.Second
 
-// nearUntil is how long a step waits for room near its data: half of what its tasks lose elsewhere, and not for long.
-func (p *Pool) nearUntil(step *stepState) time.Duration {
-	if len(step.step.Near) == 0 || step.step.Gang || step.step.Lasting {
+// localityWaitUntil is how long a step waits for room near its data: half of what its tasks lose elsewhere, and not for long.
+func (p *Pool) localityWaitUntil(step *stepState) time.Duration {
+	if len(step.spec.Affinity) == 0 || step.spec.Gang || step.spec.LongRunning {
 		return 0
 	}
-	loss := time.Duration((p.timing.RemoteFactor - 1) * float64(clock.Milliseconds(step.step.EstimatedMs)))
-	return step.openedAt + min(loss/2, mostNearWait)
+	loss := time.Duration((p.timing.RemoteFactor - 1) * float64(clock.Milliseconds(step.spec.EstimatedMs)))
+	return step.openedAt + min(loss/2, maxLocalityWait)
 }
 
-// hasNear tells whether any executor in the roster is near the step's data.
-func (p *Pool) hasNear(step *stepState) bool {
-	return slices.ContainsFunc(p.roster.lives, func(home *life) bool {
-		return slices.ContainsFunc(step.step.Near, func(label string) bool { return slices.Contains(home.labels, label) })
+// hasLocalExecutor tells whether any executor in the roster is near the step's data.
+func (p *Pool) hasLocalExecutor(step *stepState) bool {
+	return slices.ContainsFunc(p.table.sorted, func(executor *executorState) bool {
+		return slices.ContainsFunc(step.spec.Affinity, func(label string) bool { return slices.Contains(executor.labels, label) })
 	})
 }
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -52,8 +52,8 @@
 	StuckAfter  time.Duration
 	KeepEnded   time.Duration
 	// RemoteFactor is how many times as long a task takes away from its data.
-	RemoteFactor float64
-	Headroom     Headroom
+	RemoteFactor     float64
+	ReservedCapacity ReservedCapacity
 }
 
 // TimingFrom is the timing that the bounds of a deployment ask for.
@@ -62,8 +62,8 @@
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 		StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
-		KeepEnded: time.Duration(nodeSettings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
-		Headroom:  DefaultHeadroom, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
+		KeepEnded:        time.Duration(nodeSettings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
+		ReservedCapacity: DefaultReservedCapacity, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
 }
 
 // Pool is the scheduler of one service while this steward leads its key: jobs, executors, placement and orders. One
@@ -74,38 +74,38 @@
 	timing Timing
 	log    logging.Logger
 
-	leadership   Leadership
-	jobs         map[string]*job
-	queued       map[string]int
-	lives        map[string]*life
-	newest       map[string]*life
-	roster       roster
-	open         openSteps
-	usage        map[int]usage
-	pending      map[*run]bool
-	broken       map[*stepState]bool
-	ended        []*job
-	timesAtMs    int64
-	looks        uint64
-	began        time.Duration
-	needsPlacing bool
-	renounced    renounced
-	unreadable   []string
-	trusts       map[string]*trust
-
-	ops      []wire.Op
-	opPlaces map[string]int
-	opTasks  []*task
-	effects  []func(error)
-	flights  []*flight
-
-	toRelease map[*life]bool
-	untimed   map[string]*job
-	peaks     map[int]*peak
-	spreads   map[string]*spread
-	record    Recorder
-	rules     *queuerules.Rules
-	meters    meters
+	leadership      Leadership
+	jobs            map[string]*jobState
+	queued          map[string]int
+	executors       map[string]*executorState
+	newestOnMachine map[string]*executorState
+	table           executorTable
+	open            openSteps
+	allocations     map[int]allocation
+	pendingRuns     map[*runState]bool
+	brokenGangs     map[*stepState]bool
+	endedJobs       []*jobState
+	nextReleaseMs   int64
+	lastListNumber  uint64
+	openedAt        time.Duration
+	needsPlacing    bool
+	renounced       renounced
+	unreadable      []string
+	health          map[string]*machineHealth
+
+	ops       []wire.Op
+	opIndex   map[string]int
+	opTasks   []*taskState
+	callbacks []func(error)
+	inFlight  []*commitInFlight
+
+	ordersToSend    map[*executorState]bool
+	awaitingRelease map[string]*jobState
+	peaks           map[int]*peakDemand
+	spreads         map[string]*durationSpread
+	recorder        Recorder
+	rules           *queuerules.Rules
+	meters          poolMetrics
 }
 
 // Recorder is told what a rehearsal needs to play the day again; it must not block.
@@ -120,17 +120,17 @@
 type Option func(*Pool)
 
 // WithRecorder records the day.
-func WithRecorder(record Recorder) Option { return func(p *Pool) { p.record = record } }
+func WithRecorder(record Recorder) Option { return func(p *Pool) { p.recorder = record } }
 
-type flight struct{ effects []func(error) }
+type commitInFlight struct{ callbacks []func(error) }
 
 // WithRules lets rules of the settings decide on jobs, queue by queue.
 func WithRules(rules *queuerules.Rules) Option { return func(p *Pool) { p.rules = rules } }
 
 // New makes a pool that is closed until Open.
 func New(key string, clock clock.Clock, timing Timing, log logging.Logger, options ...Option) *Pool {
-	pool := &Pool{key: key, clock: clock, timing: timing, log: log, record: silentRecorder{}, meters: newMeters(key),
-		trusts: map[string]*trust{}}
+	pool := &Pool{key: key, clock: clock, timing: timing, log: log, recorder: silentRecorder{}, meters: newMeters(key),
+		health: map[string]*machineHealth{}}
 	for _, option := range options {
 		option(pool)
 	}
@@ -139,31 +139,31 @@
 
 // Open takes the key over with what is committed of it. No record keeps a pool from opening.
 func (p *Pool) Open(leadership Leadership, pairs []wire.Op) {
-	p.jobs, p.lives, p.queued = map[string]*job{}, map[string]*life{}, map[string]int{}
-	p.roster, p.open, p.usage = roster{}, newOpenSteps(), map[int]usage{}
-	p.pending, p.broken, p.ended, p.timesAtMs = map[*run]bool{}, map[*stepState]bool{}, nil, 0
-	p.ops, p.opTasks, p.effects, p.flights, p.opPlaces, p.toRelease = nil, nil, nil, nil, map[string]int{}, map[*life]bool{}
-	p.untimed, p.peaks, p.newest = map[string]*job{}, map[int]*peak{}, map[string]*life{}
-	p.spreads, p.unreadable, p.renounced = map[string]*spread{}, nil, newRenounced()
-	p.began = p.clock.Monotonic()
+	p.jobs, p.executors, p.queued = map[string]*jobState{}, map[string]*executorState{}, map[string]int{}
+	p.table, p.open, p.allocations = executorTable{}, newOpenSteps(), map[int]allocation{}
+	p.pendingRuns, p.brokenGangs, p.endedJobs, p.nextReleaseMs = map[*runState]bool{}, map[*stepState]bool{}, nil, 0
+	p.ops, p.opTasks, p.callbacks, p.inFlight, p.opIndex, p.ordersToSend = nil, nil, nil, nil, map[string]int{}, map[*executorState]bool{}
+	p.awaitingRelease, p.peaks, p.newestOnMachine = map[string]*jobState{}, map[int]*peakDemand{}, map[string]*executorState{}
+	p.spreads, p.unreadable, p.renounced = map[string]*durationSpread{}, nil, newRenounced()
+	p.openedAt = p.clock.Monotonic()
 	p.load(pairs)
 	p.leadership = leadership
 	p.needsPlacing = true
-	p.Settle()
+	p.Flush()
 }
 
 // Close gives the key up: exchanges that wait are sent elsewhere, and calls whose changes are not committed fail.
 func (p *Pool) Close() {
 	p.leadership = nil
-	for _, one := range p.roster.lives {
-		p.unpark(one, wire.ExchangeAnswer{NotLeader: true})
+	for _, executor := range p.table.sorted {
+		p.endPoll(executor, wire.ExchangeAnswer{NotLeader: true})
 	}
 	p.meters.clear()
-	flights, effects := p.flights, p.effects
-	p.jobs, p.lives, p.flights, p.effects, p.ops, p.opTasks = nil, nil, nil, nil, nil, nil
-	p.roster, p.open, p.usage, p.pending, p.broken, p.ended = roster{}, openSteps{}, nil, nil, nil, nil
-	for _, one := range flights {
-		for _, effect := range one.effects {
+	flights, effects := p.inFlight, p.callbacks
+	p.jobs, p.executors, p.inFlight, p.callbacks, p.ops, p.opTasks = nil, nil, nil, nil, nil, nil
+	p.table, p.open, p.allocations, p.pendingRuns, p.brokenGangs, p.endedJobs = executorTable{}, openSteps{}, nil, nil, nil, nil
+	for _, commit := range flights {
+		for _, effect := range commit.callbacks {
 			effect(errClosed)
 		}
 	}
@@ -177,80 +177,80 @@
 // IsOpen says whether the key is led here.
 func (p *Pool) IsOpen() bool { return p.leadership != nil }
 
-func (p *Pool) put(name string, value easyjson.Marshaler) {
+func (p *Pool) putRecord(name string, value easyjson.Marshaler) {
 	text, err := easyjson.Marshal(value)
 	if err != nil {
 		p.log.Error(err, "record not written", "name", name)
 		return
 	}
-	p.setOp(wire.Op{Name: name, Value: text}, nil)
+	p.record(wire.Op{Name: name, Value: text}, nil)
 }
 
-func (p *Pool) drop(name string) { p.setOp(wire.Op{Name: name}, nil) }
+func (p *Pool) dropRecord(name string) { p.record(wire.Op{Name: name}, nil) }
 
-// setOp takes the value of a task's record from the task itself, when the turn is committed.
-func (p *Pool) setOp(op wire.Op, which *task) {
-	if place, isThere := p.opPlaces[op.Name]; isThere {
-		p.ops[place], p.opTasks[place] = op, which
+// record takes the value of a task's record from the task itself, when the turn is committed.
+func (p *Pool) record(op wire.Op, task *taskState) {
+	if index, exists := p.opIndex[op.Name]; exists {
+		p.ops[index], p.opTasks[index] = op, task
 		return
 	}
-	p.opPlaces[op.Name] = len(p.ops)
-	p.ops, p.opTasks = append(p.ops, op), append(p.opTasks, which)
+	p.opIndex[op.Name] = len(p.ops)
+	p.ops, p.opTasks = append(p.ops, op), append(p.opTasks, task)
 }
 
-// after runs an effect once all that was decided so far is committed.
-func (p *Pool) after(effect func(error)) { p.effects = append(p.effects, effect) }
+// afterCommit runs an effect once all that was decided so far is committed.
+func (p *Pool) afterCommit(effect func(error)) { p.callbacks = append(p.callbacks, effect) }
 
-// Settle places what can be placed and commits the turn; effects follow the commit.
-func (p *Pool) Settle() {
+// Flush places what can be placed and commits the turn; effects follow the commit.
+func (p *Pool) Flush() {
 	if p.leadership == nil {
 		return
 	}
 	p.place()
-	p.releaseAll()
+	p.sendAllOrders()
 	if len(p.ops) == 0 {
-		p.settleReads()
+		p.flushReads()
 		return
 	}
-	one := &flight{effects: p.effects}
+	commit := &commitInFlight{callbacks: p.callbacks}
 	p.writeTasks()
 	ops := p.ops
-	p.ops, p.opTasks, p.effects = nil, p.opTasks[:0], nil
-	clear(p.opPlaces)
-	p.flights = append(p.flights, one)
+	p.ops, p.opTasks, p.callbacks = nil, p.opTasks[:0], nil
+	clear(p.opIndex)
+	p.inFlight = append(p.inFlight, commit)
 	p.meters.commits.Inc()
 	p.meters.changes.Add(len(ops))
 	p.leadership.Commit(ops, func(err error) {
-		if len(p.flights) > 0 && p.flights[0] == one {
-			p.flights = p.flights[1:]
-			for _, effect := range one.effects {
+		if len(p.inFlight) > 0 && p.inFlight[0] == commit {
+			p.inFlight = p.inFlight[1:]
+			for _, effect := range commit.callbacks {
 				effect(err)
 			}
-			p.releaseAll()
+			p.sendAllOrders()
 		}
 	})
 }
 
-// releaseAll lets orders leave together, once all effects of a commit are done.
-func (p *Pool) releaseAll() {
-	if len(p.toRelease) == 0 {
+// sendAllOrders lets orders leave together, once all effects of a commit are done.
+func (p *Pool) sendAllOrders() {
+	if len(p.ordersToSend) == 0 {
 		return
 	}
-	homes := slices.SortedFunc(maps.Keys(p.toRelease), func(one, two *life) int { return cmp.Compare(one.id, two.id) })
-	clear(p.toRelease)
-	for _, home := range homes {
-		if p.lives[home.id] == home {
-			p.release(home)
+	executors := slices.SortedFunc(maps.Keys(p.ordersToSend), func(executor, otherExecutor *executorState) int { return cmp.Compare(executor.id, otherExecutor.id) })
+	clear(p.ordersToSend)
+	for _, executor := range executors {
+		if p.executors[executor.id] == executor {
+			p.sendOrders(executor)
 		}
 	}
 }
 
-func (p *Pool) settleReads() {
-	effects := p.effects
-	p.effects = nil
-	if len(p.flights) > 0 {
-		last := p.flights[len(p.flights)-1]
-		last.effects = append(last.effects, effects...)
+func (p *Pool) flushReads() {
+	effects := p.callbacks
+	p.callbacks = nil
+	if len(p.inFlight) > 0 {
+		last := p.inFlight[len(p.inFlight)-1]
+		last.callbacks = append(last.callbacks, effects...)
 		return
 	}
 	for _, effect := range effects {
@@ -258,120 +258,120 @@
 	}
 }
 
-func (p *Pool) lifeOf(id string) *life {
-	one := p.lives[id]
-	if one == nil {
-		one = &life{id: id, runs: map[runKey]*run{}, slow: 1, contactAt: p.clock.Monotonic()}
-		p.looks++
-		one.firstLook, one.lookWanted = p.looks, p.looks
-		one.lapsesAt = p.began + p.lapse(p.timing.MaxHold)
-		p.lives[id] = one
-		p.roster.add(one)
+func (p *Pool) executorOf(id string) *executorState {
+	executor := p.executors[id]
+	if executor == nil {
+		executor = &executorState{id: id, runs: map[runKey]*runState{}, slowFactor: 1, contactAt: p.clock.Monotonic()}
+		p.lastListNumber++
+		executor.firstList, executor.listWanted = p.lastListNumber, p.lastListNumber
+		executor.leaseExpiry = p.openedAt + p.leaseWithMargin(p.timing.MaxHold)
+		p.executors[id] = executor
+		p.table.add(executor)
 	}
-	return one
+	return executor
 }
 
-// lapse is how long after a grant its executor may still hold, with its clock up to 2% slow.
-func (p *Pool) lapse(grant time.Duration) time.Duration {
+// leaseWithMargin is how long after a grant its executor may still hold, with its clock up to 2% slow.
+func (p *Pool) leaseWithMargin(grant time.Duration) time.Duration {
 	return grant + grant/40 + 250*time.Millisecond
 }
 
-func (p *Pool) timeOf(one *job, number int) *jobTime {
-	if spell := one.times[number]; spell != nil {
-		return spell
+func (p *Pool) occurrenceOf(job *jobState, number int) *occurrence {
+	if occurrence := job.occurrences[number]; occurrence != nil {
+		return occurrence
 	}
-	spell := one.newTime(number)
-	for place := range one.spec.Steps {
-		step := &stepState{time: spell, number: place, step: &one.spec.Steps[place], left: one.spec.Steps[place].Tasks}
-		for index := range step.left {
-			step.tasks = append(step.tasks, &task{name: jobs.TaskName(one.id, number, place, index), step: step, index: index})
+	occurrence := job.newOccurrence(number)
+	for stepNumber := range job.spec.Steps {
+		step := &stepState{occurrence: occurrence, number: stepNumber, spec: &job.spec.Steps[stepNumber], remaining: job.spec.Steps[stepNumber].Tasks}
+		for index := range step.remaining {
+			step.tasks = append(step.tasks, &taskState{name: jobs.TaskName(job.id, number, stepNumber, index), step: step, index: index})
 		}
 		step.idle = slices.Clone(step.tasks)
-		spell.steps = append(spell.steps, step)
+		occurrence.steps = append(occurrence.steps, step)
 	}
-	spell.noteRests()
-	one.times[number] = spell
-	return spell
+	occurrence.computeRemainingPaths()
+	job.occurrences[number] = occurrence
+	return occurrence
 }
 
-// makeTimes starts what has come due.
-func (p *Pool) makeTimes() {
-	var wall int64
+// releaseDue starts what has come due.
+func (p *Pool) releaseDue() {
+	var nowMs int64
 	if p.leadership != nil {
-		wall = p.leadership.WallMs()
+		nowMs = p.leadership.WallMs()
 	}
-	if wall < p.timesAtMs {
+	if nowMs < p.nextReleaseMs {
 		return
 	}
-	p.timesAtMs = math.MaxInt64
-	for _, id := range slices.Sorted(maps.Keys(p.untimed)) {
-		p.makeTimesOf(p.untimed[id], wall)
+	p.nextReleaseMs = math.MaxInt64
+	for _, id := range slices.Sorted(maps.Keys(p.awaitingRelease)) {
+		p.releaseDueOf(p.awaitingRelease[id], nowMs)
 	}
 }
 
-func (p *Pool) makeTimesOf(one *job, wall int64) {
-	for one.isOpen() && one.nextTime < one.timeCount() && one.dueMs(one.nextTime) <= wall {
-		if number := one.nextTime; !one.doneTimes[number] {
-			p.openSteps(p.timeOf(one, number))
+func (p *Pool) releaseDueOf(job *jobState, nowMs int64) {
+	for job.isOpen() && job.nextOccurrence < job.occurrenceCount() && job.releaseMs(job.nextOccurrence) <= nowMs {
+		if number := job.nextOccurrence; !job.completedOccurrences[number] {
+			p.openReadySteps(p.occurrenceOf(job, number))
 		}
-		one.nextTime++
+		job.nextOccurrence++
 	}
-	if !one.isOpen() || one.nextTime >= one.timeCount() {
-		delete(p.untimed, one.id)
+	if !job.isOpen() || job.nextOccurrence >= job.occurrenceCount() {
+		delete(p.awaitingRelease, job.id)
 		return
 	}
-	p.timesAtMs = min(p.timesAtMs, one.dueMs(one.nextTime))
+	p.nextReleaseMs = min(p.nextReleaseMs, job.releaseMs(job.nextOccurrence))
 }
 
-func (p *Pool) openSteps(spell *jobTime) {
-	for _, step := range spell.steps {
-		if step.isOpen || step.left == 0 {
+func (p *Pool) openReadySteps(occurrence *occurrence) {
+	for _, step := range occurrence.steps {
+		if step.isOpen || step.remaining == 0 {
 			continue
 		}
 		isReady := true
-		for _, earlier := range step.step.DependsOn {
-			isReady = isReady && spell.steps[earlier].left == 0
+		for _, earlier := range step.spec.DependsOn {
+			isReady = isReady && occurrence.steps[earlier].remaining == 0
 		}
 		if isReady {
-			step.isOpen, step.openedAt, step.ranAt = true, p.clock.Monotonic(), p.clock.Monotonic()
+			step.isOpen, step.openedAt, step.lastProgressAt = true, p.clock.Monotonic(), p.clock.Monotonic()
 			p.open.add(step)
 			p.needsPlacing = true
 		}
 	}
 }
 
-func (p *Pool) putTask(which *task) { p.setOp(wire.Op{Name: "t/" + which.name}, which) }
+func (p *Pool) putTask(task *taskState) { p.record(wire.Op{Name: "t/" + task.name}, task) }
 
 // writeTasks gives each task that changed its record as it is at the end of the turn.
 func (p *Pool) writeTasks() {
-	for place, which := range p.opTasks {
-		if which == nil {
+	for index, task := range p.opTasks {
+		if task == nil {
 			continue
 		}
-		record := taskRecord{Done: which.isDone, Failed: which.failed, LastRun: which.lastRun, Saved: which.saved}
-		if which.index == 0 {
-			record.FailedRun = which.step.failedRun
+		record := taskRecord{Done: task.isDone, Failed: task.failed, LastRun: task.lastRun, Checkpoint: task.checkpoint}
+		if task.index == 0 {
+			record.FailedRun = task.step.failedRun
 		}
-		for _, one := range which.runs {
-			record.Runs = append(record.Runs, runRecord{one.number, one.life.id, one.state})
+		for _, run := range task.runs {
+			record.Runs = append(record.Runs, runRecord{run.number, run.executor.id, run.state})
 		}
-		isOver := !which.job().isOpen() || which.job().doneTimes[which.step.time.number]
+		isOver := !task.owner().isOpen() || task.owner().completedOccurrences[task.step.occurrence.number]
 		if isOver && len(record.Runs) == 0 {
 			continue
 		}
 		text, err := easyjson.Marshal(record)
 		if err != nil {
-			p.log.Error(err, "record not written", "name", which.name)
+			p.log.Error(err, "record not written", "name", task.name)
 			continue
 		}
-		p.ops[place].Value = text
+		p.ops[index].Value = text
 	}
 }
 
-func orderName(which *task, number int64, kind string) string {
-	return "o/" + which.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
+func orderName(task *taskState, number int64, kind string) string {
+	return "o/" + task.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
 }
 
-func room(capacity wire.Capacity) placement.Room {
-	return placement.Room{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
+func resourcesOf(capacity wire.Capacity) placement.Resources {
+	return placement.Resources{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
 }
--- a/internal/scheduling/scheduler/records.go
+++ b/internal/scheduling/scheduler/records.go
@@ -9,37 +9,37 @@
 //go:generate go run github.com/mailru/easyjson/easyjson -all records.go
 
 type jobRecord struct {
-	Entry      string              `json:"entry"`
+	Route      string              `json:"entry"`
 	Terms      wire.RouteTerms     `json:"terms"`
 	AcceptedMs int64               `json:"accepted"`
 	Spec       easyjson.RawMessage `json:"spec"`
 }
 
 type stateRecord struct {
-	Entry   string `json:"entry"`
+	Route   string `json:"entry"`
 	State   string `json:"state"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 	EndedMs int64  `json:"ended"`
 }
 
 type runRecord struct {
-	Number int64  `json:"n"`
-	Life   string `json:"l"`
-	State  string `json:"s"`
+	Number   int64  `json:"n"`
+	Executor string `json:"l"`
+	State    string `json:"s"`
 }
 
 type taskRecord struct {
-	Done    bool        `json:"d,omitempty"`
-	Failed  int         `json:"f,omitempty"`
-	LastRun int64       `json:"r,omitempty"`
-	Saved   string      `json:"c,omitempty"`
-	Runs    []runRecord `json:"x,omitempty"`
+	Done       bool        `json:"d,omitempty"`
+	Failed     int         `json:"f,omitempty"`
+	LastRun    int64       `json:"r,omitempty"`
+	Checkpoint string      `json:"c,omitempty"`
+	Runs       []runRecord `json:"x,omitempty"`
 	// FailedRun is the last run of a gang that counts among Failed; it stands in the record of the first task.
 	FailedRun int64 `json:"g,omitempty"`
 }
 
 type orderRecord struct {
-	Life string `json:"l"`
+	Executor string `json:"l"`
 }
 
 // executorRecord tells on which machine an executor that was given runs stands.
--- a/internal/scheduling/scheduler/records_easyjson.go
+++ b/internal/scheduling/scheduler/records_easyjson.go
@@ -118,7 +118,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Saved = string(in.String())
+				out.Checkpoint = string(in.String())
 			}
 		case "x":
 			if in.IsNull() {
@@ -193,7 +193,7 @@
 		}
 		out.Int64(int64(in.LastRun))
 	}
-	if in.Saved != "" {
+	if in.Checkpoint != "" {
 		const prefix string = ",\"c\":"
 		if first {
 			first = false
@@ -201,7 +201,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.String(string(in.Saved))
+		out.String(string(in.Checkpoint))
 	}
 	if len(in.Runs) != 0 {
 		const prefix string = ",\"x\":"
@@ -276,7 +276,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Entry = string(in.String())
+				out.Route = string(in.String())
 			}
 		case "state":
 			if in.IsNull() {
@@ -288,7 +288,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Why = string(in.String())
+				out.Reason = string(in.String())
 			}
 		case "ended":
 			if in.IsNull() {
@@ -313,17 +313,17 @@
 	{
 		const prefix string = ",\"entry\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Entry))
+		out.String(string(in.Route))
 	}
 	{
 		const prefix string = ",\"state\":"
 		out.RawString(prefix)
 		out.String(string(in.State))
 	}
-	if in.Why != "" {
+	if in.Reason != "" {
 		const prefix string = ",\"why\":"
 		out.RawString(prefix)
-		out.String(string(in.Why))
+		out.String(string(in.Reason))
 	}
 	{
 		const prefix string = ",\"ended\":"
@@ -380,7 +380,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Life = string(in.String())
+				out.Executor = string(in.String())
 			}
 		case "s":
 			if in.IsNull() {
@@ -410,7 +410,7 @@
 	{
 		const prefix string = ",\"l\":"
 		out.RawString(prefix)
-		out.String(string(in.Life))
+		out.String(string(in.Executor))
 	}
 	{
 		const prefix string = ",\"s\":"
@@ -526,7 +526,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Life = string(in.String())
+				out.Executor = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -545,7 +545,7 @@
 	{
 		const prefix string = ",\"l\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Life))
+		out.String(string(in.Executor))
 	}
 	out.RawByte('}')
 }
@@ -591,7 +591,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Entry = string(in.String())
+				out.Route = string(in.String())
 			}
 		case "terms":
 			if in.IsNull() {
@@ -628,7 +628,7 @@
 	{
 		const prefix string = ",\"entry\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Entry))
+		out.String(string(in.Route))
 	}
 	{
 		const prefix string = ",\"terms\":"
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -39,11 +39,11 @@
 	}
 	if !p.renounced.ids[call.ID] {
 		p.renounced.add(call.ID, p.leadership.WallMs())
-		p.put("m/"+call.ID, renouncedRecord{AtMs: p.leadership.WallMs()})
+		p.putRecord("m/"+call.ID, renouncedRecord{AtMs: p.leadership.WallMs()})
 	}
-	p.after(func(err error) {
+	p.afterCommit(func(err error) {
 		if err != nil {
-			answer(lost())
+			answer(notLeaderAnswer())
 			return
 		}
 		answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job, and won't be"})
@@ -60,11 +60,11 @@
 	return err
 }
 
-func (p *Pool) forgetRenounced(wall int64) {
+func (p *Pool) forgetRenounced(nowMs int64) {
 	r := &p.renounced
-	for len(r.order) > 0 && wall-r.order[0].atMs > p.timing.KeepEnded.Milliseconds() {
+	for len(r.order) > 0 && nowMs-r.order[0].atMs > p.timing.KeepEnded.Milliseconds() {
 		delete(r.ids, r.order[0].id)
-		p.drop("m/" + r.order[0].id)
+		p.dropRecord("m/" + r.order[0].id)
 		r.order = r.order[1:]
 	}
 }
--- a/internal/scheduling/scheduler/renounce_test.go
+++ b/internal/scheduling/scheduler/renounce_test.go
@@ -25,9 +25,9 @@
 
 	It("turns away a hand-in that comes after it promised not to take the job, also under another leader", func() {
 		Expect(ask(f.pool.Renounce).Status).To(Equal(410))
-		Expect(ask(f.pool.HandIn).Status).To(Equal(503))
+		Expect(ask(f.pool.Submit).Status).To(Equal(503))
 		f.takeOver()
-		Expect(ask(f.pool.HandIn).Status).To(Equal(503))
+		Expect(ask(f.pool.Submit).Status).To(Equal(503))
 		f.pass(200 * time.Millisecond)
 		Expect(f.tasks()).To(BeEmpty())
 	})
@@ -35,14 +35,14 @@
 	It("promises nothing before that is committed", func() {
 		var told []wire.ClientAnswer
 		f.pool.Renounce(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { told = append(told, answer) })
-		f.pool.Settle()
+		f.pool.Flush()
 		Expect(told).To(BeEmpty())
 		f.pool.Close()
 		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true}}))
 	})
 
 	It("has the job if the hand-in came first", func() {
-		Expect(ask(f.pool.HandIn).Status).To(Equal(200))
+		Expect(ask(f.pool.Submit).Status).To(Equal(200))
 		Expect(ask(f.pool.Renounce).Status).To(Equal(200))
 	})
 
@@ -51,6 +51,6 @@
 		f.clock.Advance(timing.KeepEnded + time.Second)
 		f.pass(100 * time.Millisecond)
 		Expect(f.tenure.has("m/")).To(BeFalse())
-		Expect(ask(f.pool.HandIn).Status).To(Equal(200))
+		Expect(ask(f.pool.Submit).Status).To(Equal(200))
 	})
 })
--- a/internal/scheduling/scheduler/roster.go
+++ b/internal/scheduling/scheduler/roster.go
@@ -11,118 +11,118 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// roster keeps the lives in the order of their names, and what placement sees of each.
-type roster struct {
-	lives     []*life
-	executors []placement.Executor
-	// open is the room of those that may be given runs, taken the CPU that runs take of those that are in order, and all
+// executorTable keeps the lives in the order of their names, and what placement sees of each.
+type executorTable struct {
+	sorted []*executorState
+	view   []placement.Executor
+	// openCapacity is the room of those that may be given runs, taken the CPU that runs take of those that are in order, and all
 	// the room of those that are known.
-	open    placement.Room
-	all     placement.Room
-	taken   int64
-	version uint64
-	isStale bool
-	until   time.Duration
-	changed []*life
+	openCapacity  placement.Resources
+	totalCapacity placement.Resources
+	usedCPU       int64
+	version       uint64
+	isStale       bool
+	validUntil    time.Duration
+	changed       []*executorState
 }
 
-func (r *roster) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(r.lives, id, func(one *life, id string) int { return cmp.Compare(one.id, id) })
+func (r *executorTable) indexOf(id string) (int, bool) {
+	return slices.BinarySearchFunc(r.sorted, id, func(executor *executorState, id string) int { return cmp.Compare(executor.id, id) })
 }
 
-func (r *roster) add(one *life) {
-	place, _ := r.find(one.id)
-	r.lives = slices.Insert(r.lives, place, one)
-	r.renumber(place)
+func (r *executorTable) add(executor *executorState) {
+	index, _ := r.indexOf(executor.id)
+	r.sorted = slices.Insert(r.sorted, index, executor)
+	r.renumber(index)
 }
 
-func (r *roster) remove(one *life) {
-	place, isThere := r.find(one.id)
-	if isThere {
-		r.lives = slices.Delete(r.lives, place, place+1)
-		r.renumber(place)
+func (r *executorTable) remove(executor *executorState) {
+	index, exists := r.indexOf(executor.id)
+	if exists {
+		r.sorted = slices.Delete(r.sorted, index, index+1)
+		r.renumber(index)
 	}
 }
 
-func (r *roster) renumber(from int) {
-	for place := from; place < len(r.lives); place++ {
-		r.lives[place].place = place
+func (r *executorTable) renumber(from int) {
+	for index := from; index < len(r.sorted); index++ {
+		r.sorted[index].index = index
 	}
 	r.version++
 	r.isStale = true
 }
 
-func (r *roster) note(one *life) {
-	if !one.isChanged {
-		one.isChanged = true
-		r.changed = append(r.changed, one)
+func (r *executorTable) markChanged(executor *executorState) {
+	if !executor.isChanged {
+		executor.isChanged = true
+		r.changed = append(r.changed, executor)
 	}
 }
 
-// executors is what placement sees now; only what changed since is worked out again.
-func (p *Pool) executors(now time.Duration) []placement.Executor {
-	r := &p.roster
-	if r.isStale || now >= r.until {
-		r.until, r.isStale, r.taken, r.open, r.all = never, false, 0, placement.Room{}, placement.Room{}
-		r.executors = slices.Grow(r.executors[:0], len(r.lives))[:len(r.lives)]
-		clear(r.executors)
-		for _, home := range r.lives {
-			p.show(home, now)
+// placementView is what placement sees now; only what changed since is worked out again.
+func (p *Pool) placementView(now time.Duration) []placement.Executor {
+	r := &p.table
+	if r.isStale || now >= r.validUntil {
+		r.validUntil, r.isStale, r.usedCPU, r.openCapacity, r.totalCapacity = never, false, 0, placement.Resources{}, placement.Resources{}
+		r.view = slices.Grow(r.view[:0], len(r.sorted))[:len(r.sorted)]
+		clear(r.view)
+		for _, executor := range r.sorted {
+			p.updateView(executor, now)
 		}
 	} else {
-		for _, home := range r.changed {
-			p.show(home, now)
+		for _, executor := range r.changed {
+			p.updateView(executor, now)
 		}
 	}
-	for _, home := range r.changed {
-		home.isChanged = false
+	for _, executor := range r.changed {
+		executor.isChanged = false
 	}
 	r.changed = r.changed[:0]
-	return r.executors
+	return r.view
 }
 
-func (p *Pool) show(home *life, now time.Duration) {
-	r := &p.roster
-	old, fresh := &r.executors[home.place], p.executor(home, now)
-	r.open = r.open.Minus(openRoom(old)).Plus(openRoom(&fresh))
-	r.taken += takenCPU(&fresh) - takenCPU(old)
-	r.all = r.all.Minus(old.Total).Plus(fresh.Total)
-	*old = fresh
-	if now < home.sickUntil {
-		r.until = min(r.until, home.sickUntil)
+func (p *Pool) updateView(executor *executorState, now time.Duration) {
+	r := &p.table
+	former, current := &r.view[executor.index], p.viewOf(executor, now)
+	r.openCapacity = r.openCapacity.Minus(openRoom(former)).Plus(openRoom(&current))
+	r.usedCPU += takenCPU(&current) - takenCPU(former)
+	r.totalCapacity = r.totalCapacity.Minus(former.Total).Plus(current.Total)
+	*former = current
+	if now < executor.ejectedUntil {
+		r.validUntil = min(r.validUntil, executor.ejectedUntil)
 	}
-	if overdueAt := home.contactAt + overdueIn + 1; now < overdueAt {
-		r.until = min(r.until, overdueAt)
+	if overdueAt := executor.contactAt + heartbeatOverdue + 1; now < overdueAt {
+		r.validUntil = min(r.validUntil, overdueAt)
 	}
-	if silentAt := home.contactAt + p.timing.SilentAfter + 1; now < silentAt {
-		r.until = min(r.until, silentAt)
+	if silentAt := executor.contactAt + p.timing.SilentAfter + 1; now < silentAt {
+		r.validUntil = min(r.validUntil, silentAt)
 	}
 }
 
 // takenCPU is what runs take of an executor that is in order.
-func takenCPU(executor *placement.Executor) int64 {
-	if executor.IsClosed {
+func takenCPU(view *placement.Executor) int64 {
+	if view.IsUnschedulable {
 		return 0
 	}
-	return executor.Total.CPU - executor.Free.CPU
+	return view.Total.CPU - view.Free.CPU
 }
 
-func openRoom(executor *placement.Executor) placement.Room {
-	if executor.IsClosed || executor.Most == placement.NoMore {
-		return placement.Room{}
+func openRoom(view *placement.Executor) placement.Resources {
+	if view.IsUnschedulable || view.RunLimit == placement.NoRuns {
+		return placement.Resources{}
 	}
-	return executor.Total
+	return view.Total
 }
 
-func (p *Pool) executor(home *life, now time.Duration) placement.Executor {
-	return placement.Executor{Free: home.room.Minus(home.used), Total: home.room, Labels: home.labels, Rack: home.rack(),
-		Doubt: home.doubt() + home.slowness() + home.silence(now), Most: home.most(), IsClosed: !home.isFenced || home.isDraining || home.isBlocked || now < home.sickUntil ||
-			now-home.contactAt > p.timing.SilentAfter}
+func (p *Pool) viewOf(executor *executorState, now time.Duration) placement.Executor {
+	return placement.Executor{Free: executor.capacity.Minus(executor.allocated), Total: executor.capacity, Labels: executor.labels, Rack: executor.rack(),
+		Penalty: executor.penaltyScore() + executor.slownessPenalty() + executor.overduePenalty(now), RunLimit: executor.remainingRuns(), IsUnschedulable: !executor.isFenced || executor.isDraining || executor.isUnschedulable || now < executor.ejectedUntil ||
+			now-executor.contactAt > p.timing.SilentAfter}
 }
 
-func (p *Pool) dropLife(home *life) {
-	if p.lives[home.id] == home {
-		delete(p.lives, home.id)
-		p.roster.remove(home)
+func (p *Pool) removeExecutor(executor *executorState) {
+	if p.executors[executor.id] == executor {
+		delete(p.executors, executor.id)
+		p.table.remove(executor)
 	}
 }
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -11,227 +11,227 @@
 )
 
 // launch records the placement and its order in this turn's change; the order leaves after the commit.
-func (p *Pool) launch(which *task, home *life, number int64) {
+func (p *Pool) launch(task *taskState, executor *executorState, number int64) {
 	p.meters.placements.Inc()
-	one := &run{task: which, number: number, life: home, state: runLaunching, orderedAt: p.clock.Monotonic()}
-	which.lastRun = number
-	p.noteWhole(which.step)
-	p.recordExecutor(home)
-	p.hold(one)
-	p.put(orderName(which, number, kindLaunch), orderRecord{Life: home.id})
-	p.putTask(which)
-	p.after(func(err error) {
-		one.isCommitted = true
-		if err == nil && one.state == runLaunching {
-			p.queue(one)
+	run := &runState{task: task, number: number, executor: executor, state: runLaunching, orderedAt: p.clock.Monotonic()}
+	task.lastRun = number
+	p.endGangWatch(task.step)
+	p.recordExecutor(executor)
+	p.addRun(run)
+	p.putRecord(orderName(task, number, kindLaunch), orderRecord{Executor: executor.id})
+	p.putTask(task)
+	p.afterCommit(func(err error) {
+		run.isCommitted = true
+		if err == nil && run.state == runLaunching {
+			p.queueOrder(run)
 		}
 	})
 }
 
-// hold counts a run where it is; closeRun is its end.
-func (p *Pool) hold(one *run) {
-	which, home, need := one.task, one.life, one.task.step.need()
-	which.runs = append(which.runs, one)
-	home.runs[one.key()] = one
-	home.used = home.used.Plus(need)
-	which.job().runs++
-	p.use(which.step.priority(), need)
-	if one.state != runRunning {
-		p.pending[one] = true
-	}
-	p.noteChange(one)
+// addRun counts a run where it is; closeRun is its end.
+func (p *Pool) addRun(run *runState) {
+	task, executor, need := run.task, run.executor, run.task.step.need()
+	task.runs = append(task.runs, run)
+	executor.runs[run.key()] = run
+	executor.allocated = executor.allocated.Plus(need)
+	task.owner().runCount++
+	p.allocate(task.step.priority(), need)
+	if run.state != runRunning {
+		p.pendingRuns[run] = true
+	}
+	p.markRunChanged(run)
 }
 
-// noteChange tells placement that a run is another than it was.
-func (p *Pool) noteChange(one *run) {
-	p.touch(one.task)
-	p.roster.note(one.life)
+// markRunChanged tells placement that a run is another than it was.
+func (p *Pool) markRunChanged(run *runState) {
+	p.markChanged(run.task)
+	p.table.markChanged(run.executor)
 }
 
 // stopRun has a run stopped, and with a member of a gang all others, which could only wait for it.
-func (p *Pool) stopRun(one *run) {
-	if one.state == runStopping {
+func (p *Pool) stopRun(run *runState) {
+	if run.state == runStopping {
 		return
 	}
-	if one.state == runLaunching && one.isCommitted && one.sends == 0 && one.needsLook == 0 {
-		p.closeRun(one)
+	if run.state == runLaunching && run.isCommitted && run.sendCount == 0 && run.awaitedList == 0 {
+		p.closeRun(run)
 		return
 	}
 	p.meters.stops.Inc()
-	one.state, one.sends, one.sentAt, one.isAnswered, one.orderedAt = runStopping, 0, 0, false, p.clock.Monotonic()
-	p.pending[one] = true
-	p.noteChange(one)
-	p.drop(orderName(one.task, one.number, kindLaunch))
-	p.put(orderName(one.task, one.number, kindStop), orderRecord{Life: one.life.id})
-	p.putTask(one.task)
-	p.after(func(err error) {
-		if err == nil && one.state == runStopping {
-			p.queue(one)
+	run.state, run.sendCount, run.sentAt, run.isAnswered, run.orderedAt = runStopping, 0, 0, false, p.clock.Monotonic()
+	p.pendingRuns[run] = true
+	p.markRunChanged(run)
+	p.dropRecord(orderName(run.task, run.number, kindLaunch))
+	p.putRecord(orderName(run.task, run.number, kindStop), orderRecord{Executor: run.executor.id})
+	p.putTask(run.task)
+	p.afterCommit(func(err error) {
+		if err == nil && run.state == runStopping {
+			p.queueOrder(run)
 		}
 	})
-	if one.task.step.step.Gang {
-		p.stopStep(one.task.step)
+	if run.task.step.spec.Gang {
+		p.stopStep(run.task.step)
 	}
 }
 
 func (p *Pool) stopStep(step *stepState) {
-	for _, which := range slices.Clone(step.busy) {
-		for _, one := range slices.Clone(which.runs) {
-			p.stopRun(one)
+	for _, task := range slices.Clone(step.busy) {
+		for _, run := range slices.Clone(task.runs) {
+			p.stopRun(run)
 		}
 	}
 }
 
-func (p *Pool) queue(one *run) {
-	if one.isQueued || one.life.runs[one.key()] != one {
+func (p *Pool) queueOrder(run *runState) {
+	if run.isQueued || run.executor.runs[run.key()] != run {
 		return
 	}
-	one.isQueued = true
-	one.life.outbox = append(one.life.outbox, one)
-	p.toRelease[one.life] = true
+	run.isQueued = true
+	run.executor.outbox = append(run.executor.outbox, run)
+	p.ordersToSend[run.executor] = true
 }
 
 // closeRun forgets a run that certainly neither works nor will.
-func (p *Pool) closeRun(one *run) {
-	home, which := one.life, one.task
-	if home.runs[one.key()] != one {
+func (p *Pool) closeRun(run *runState) {
+	executor, task := run.executor, run.task
+	if executor.runs[run.key()] != run {
 		return
 	}
-	delete(home.runs, one.key())
-	home.idleAt = p.clock.Monotonic()
-	if one.startedAt > 0 {
-		which.step.ranAt = p.clock.Monotonic()
-	}
-	delete(p.pending, one)
-	home.used = home.used.Minus(which.step.need())
-	which.runs = slices.DeleteFunc(which.runs, func(other *run) bool { return other == one })
-	p.free(which.step.priority(), which.step.need())
-	p.noteChange(one)
-	p.noteBroken(which.step)
-	switch one.state {
+	delete(executor.runs, run.key())
+	executor.idleSince = p.clock.Monotonic()
+	if run.startedAt > 0 {
+		task.step.lastProgressAt = p.clock.Monotonic()
+	}
+	delete(p.pendingRuns, run)
+	executor.allocated = executor.allocated.Minus(task.step.need())
+	task.runs = slices.DeleteFunc(task.runs, func(other *runState) bool { return other == run })
+	p.deallocate(task.step.priority(), task.step.need())
+	p.markRunChanged(run)
+	p.watchBrokenGang(task.step)
+	switch run.state {
 	case runLaunching:
-		p.drop(orderName(which, one.number, kindLaunch))
+		p.dropRecord(orderName(task, run.number, kindLaunch))
 	case runStopping:
-		p.drop(orderName(which, one.number, kindStop))
+		p.dropRecord(orderName(task, run.number, kindStop))
 	}
-	p.putTask(which)
+	p.putTask(task)
 	p.needsPlacing = true
-	owner := which.job()
-	owner.runs--
-	p.forgetIfOver(owner)
-	if !home.isKnown && len(home.runs) == 0 {
-		p.forgetLife(home)
+	job := task.owner()
+	job.runCount--
+	p.forgetIfOver(job)
+	if !executor.isKnown && len(executor.runs) == 0 {
+		p.forgetExecutor(executor)
 	}
 }
 
-func (p *Pool) started(one *run) {
-	if one.state != runLaunching {
+func (p *Pool) runStarted(run *runState) {
+	if run.state != runLaunching {
 		return
 	}
 	p.meters.starts.Inc()
-	one.state, one.startedAt = runRunning, p.clock.Monotonic()
-	delete(p.pending, one)
-	p.noteChange(one)
-	p.drop(orderName(one.task, one.number, kindLaunch))
-	p.putTask(one.task)
-	p.noteStart(one.task.job())
-	p.moveStuck(one)
-	p.evacuateRun(one)
+	run.state, run.startedAt = runRunning, p.clock.Monotonic()
+	delete(p.pendingRuns, run)
+	p.markRunChanged(run)
+	p.dropRecord(orderName(run.task, run.number, kindLaunch))
+	p.putTask(run.task)
+	p.recordStart(run.task.owner())
+	p.moveStalled(run)
+	p.evacuateRun(run)
 }
 
-func (p *Pool) noteStart(owner *job) {
-	owner.hasStarted = true
-	if owner.state == stateQueued {
-		owner.state = stateActive
-		p.queued[owner.record.Entry]--
+func (p *Pool) recordStart(job *jobState) {
+	job.hasStarted = true
+	if job.state == stateQueued {
+		job.state = stateActive
+		p.queued[job.record.Route]--
 	}
 }
 
-// takeEnd is the second transaction of an order: what became of the run.
-func (p *Pool) takeEnd(home *life, end wire.EndReport) {
-	one := home.runs[runKey{end.Task, end.Run}]
-	if one == nil {
-		p.takeForgottenEnd(end)
+// handleEnd is the second transaction of an order: what became of the run.
+func (p *Pool) handleEnd(executor *executorState, end wire.EndReport) {
+	run := executor.runs[runKey{end.Task, end.Run}]
+	if run == nil {
+		p.handleAbandonedEnd(end)
 		return
 	}
 	ends.With(p.key, end.Outcome).Inc()
-	which, now := one.task, p.clock.Monotonic()
+	task, now := run.task, p.clock.Monotonic()
 	if end.Checkpoint != "" {
-		p.keepSaved(which, end.Checkpoint)
+		p.recordCheckpoint(task, end.Checkpoint)
 	}
-	p.noteStart(which.job())
-	p.record.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: end.Outcome,
-		LengthMs: (now - one.startedAt).Milliseconds()})
+	p.recordStart(task.owner())
+	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: end.Outcome,
+		LengthMs: (now - run.startedAt).Milliseconds()})
 	switch end.Outcome {
 	case "done":
-		home.dones++
-		home.earn()
-		p.noteLength(which.step, home, now-one.startedAt)
-		p.closeRun(one)
-		p.taskDone(which)
+		executor.successes++
+		executor.recordSuccess()
+		p.recordDuration(task.step, executor, now-run.startedAt)
+		p.closeRun(run)
+		p.completeTask(task)
 	case "failed":
-		p.blame(which, home)
-		which.avoid = home.id
-		p.countFailure(which, end.Run)
-		p.closeRun(one)
+		p.blame(task, executor)
+		task.avoid = executor.id
+		p.countFailure(task, end.Run)
+		p.closeRun(run)
 	default:
-		p.closeRun(one)
+		p.closeRun(run)
 	}
 }
 
-// takeForgottenEnd believes a run that was given up and came to its end all the same: its task must not start again.
-func (p *Pool) takeForgottenEnd(end wire.EndReport) {
-	which := p.find(end.Task)
-	if end.Outcome != "done" || which == nil || which.isDone || end.Run > which.lastRun {
+// handleAbandonedEnd believes a run that was given up and came to its end all the same: its task must not start again.
+func (p *Pool) handleAbandonedEnd(end wire.EndReport) {
+	task := p.find(end.Task)
+	if end.Outcome != "done" || task == nil || task.isDone || end.Run > task.lastRun {
 		return
 	}
 	p.log.Info("abandoned run completed its task", "task", end.Task, "run", end.Run)
-	p.taskDone(which)
+	p.completeTask(task)
 }
 
-func (p *Pool) find(name string) *task {
+func (p *Pool) find(name string) *taskState {
 	place, isTask := jobs.ParseTask(name)
-	one := p.jobs[place.ID]
-	if !isTask || one == nil || one.spec == nil {
+	job := p.jobs[place.ID]
+	if !isTask || job == nil || job.spec == nil {
 		return nil
 	}
-	spell := one.times[place.Time]
-	if spell == nil || place.Step >= len(spell.steps) || place.Index >= len(spell.steps[place.Step].tasks) {
+	occurrence := job.occurrences[place.Time]
+	if occurrence == nil || place.Step >= len(occurrence.steps) || place.Index >= len(occurrence.steps[place.Step].tasks) {
 		return nil
 	}
-	return spell.steps[place.Step].tasks[place.Index]
+	return occurrence.steps[place.Step].tasks[place.Index]
 }
 
-func (p *Pool) keepSaved(which *task, saved string) {
-	if which.saved == saved || which.job().spec == nil {
+func (p *Pool) recordCheckpoint(task *taskState, checkpoint string) {
+	if task.checkpoint == checkpoint || task.owner().spec == nil {
 		return
 	}
-	holder := which
-	if which.step.step.Gang {
-		holder = which.step.tasks[0]
+	holder := task
+	if task.step.spec.Gang {
+		holder = task.step.tasks[0]
 	}
-	if holder.saved != saved && which.job().isOpen() {
-		holder.saved = saved
+	if holder.checkpoint != checkpoint && task.owner().isOpen() {
+		holder.checkpoint = checkpoint
 		p.putTask(holder)
 	}
 }
 
-func (t *task) checkpoint() string {
-	if t.step.step.Gang {
-		return t.step.tasks[0].saved
+func (t *taskState) latestCheckpoint() string {
+	if t.step.spec.Gang {
+		return t.step.tasks[0].checkpoint
 	}
-	return t.saved
+	return t.checkpoint
 }
 
-func (p *Pool) countFailure(which *task, number int64) {
-	step, owner := which.step, which.job()
-	if step.step.Lasting || !owner.isOpen() || which.isDone {
-		which.notBefore = p.clock.Monotonic() + 100*time.Millisecond
-		step.notBefore = max(step.notBefore, which.notBefore)
+func (p *Pool) countFailure(task *taskState, number int64) {
+	step, job := task.step, task.owner()
+	if step.spec.LongRunning || !job.isOpen() || task.isDone {
+		task.notBefore = p.clock.Monotonic() + 100*time.Millisecond
+		step.notBefore = max(step.notBefore, task.notBefore)
 		return
 	}
-	counter := which
-	if step.step.Gang {
+	counter := task
+	if step.spec.Gang {
 		counter = step.tasks[0]
 		if step.failedRun == number {
 			return
@@ -240,18 +240,18 @@
 	}
 	counter.failed++
 	p.putTask(counter)
-	if counter.failed >= max(1, owner.record.Terms.MaxAttempts) {
-		p.end(owner, stateFailed, "task "+which.name+" failed "+strconv.Itoa(counter.failed)+" times")
+	if counter.failed >= max(1, job.record.Terms.MaxAttempts) {
+		p.end(job, stateFailed, "task "+task.name+" failed "+strconv.Itoa(counter.failed)+" times")
 	}
 }
 
-func (p *Pool) taskDone(which *task) {
-	step, owner := which.step, which.job()
-	if which.isDone || !owner.isOpen() {
+func (p *Pool) completeTask(task *taskState) {
+	step, job := task.step, task.owner()
+	if task.isDone || !job.isOpen() {
 		return
 	}
-	finished := []*task{which}
-	if step.step.Gang {
+	finished := []*taskState{task}
+	if step.spec.Gang {
 		finished = step.tasks
 	}
 	for _, one := range finished {
@@ -259,50 +259,50 @@
 			continue
 		}
 		one.isDone = true
-		p.touch(one)
-		step.left--
+		p.markChanged(one)
+		step.remaining--
 		p.putTask(one)
-		if !step.step.Gang {
+		if !step.spec.Gang {
 			for _, other := range slices.Clone(one.runs) {
-				p.noteOvertaken(other)
+				p.recordOvertaken(other)
 				p.stopRun(other)
 			}
 		}
 	}
-	if step.left == 0 {
-		p.stepDone(step)
+	if step.remaining == 0 {
+		p.completeStep(step)
 	}
 }
 
-func (p *Pool) stepDone(step *stepState) {
-	spell, owner := step.time, step.time.job
+func (p *Pool) completeStep(step *stepState) {
+	occurrence, job := step.occurrence, step.occurrence.job
 	p.open.remove(step)
-	spell.left--
-	if spell.left > 0 {
-		p.openSteps(spell)
+	occurrence.remaining--
+	if occurrence.remaining > 0 {
+		p.openReadySteps(occurrence)
 		return
 	}
-	owner.doneTimes[spell.number] = true
-	if len(owner.doneTimes) == owner.timeCount() {
-		p.end(owner, stateCompleted, "")
+	job.completedOccurrences[occurrence.number] = true
+	if len(job.completedOccurrences) == job.occurrenceCount() {
+		p.end(job, stateCompleted, "")
 		return
 	}
-	p.put("k/"+owner.id+"/"+strconv.Itoa(spell.number), timeRecord{Done: true})
-	for _, other := range spell.steps {
-		for _, which := range other.tasks {
-			if len(which.runs) == 0 {
-				p.drop("t/" + which.name)
+	p.putRecord("k/"+job.id+"/"+strconv.Itoa(occurrence.number), timeRecord{Done: true})
+	for _, other := range occurrence.steps {
+		for _, task := range other.tasks {
+			if len(task.runs) == 0 {
+				p.dropRecord("t/" + task.name)
 			}
 		}
 	}
-	p.dropTimeIfOver(owner, spell)
+	p.dropOccurrenceIfOver(job, occurrence)
 }
 
-func (p *Pool) dropTimeIfOver(owner *job, spell *jobTime) {
-	for _, step := range spell.steps {
+func (p *Pool) dropOccurrenceIfOver(job *jobState, occurrence *occurrence) {
+	for _, step := range occurrence.steps {
 		if step.hasRuns() {
 			return
 		}
 	}
-	delete(owner.times, spell.number)
+	delete(job.occurrences, occurrence.number)
 }
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -63,7 +63,7 @@
 	s.tenure.waiting = nil
 	s.tenure.epoch++
 	timing := timing
-	timing.Headroom, timing.KeepEnded, timing.RemoteFactor = scheduler.DefaultHeadroom, 3*time.Second, 2
+	timing.ReservedCapacity, timing.KeepEnded, timing.RemoteFactor = scheduler.DefaultReservedCapacity, 3*time.Second, 2
 	rules, err := queuerules.Compile(map[string]queuerules.Text{"ruled": {Use: `"r1" in labels || cpu > 4000`, Order: "due - 40 * tasks"}})
 	Expect(err).NotTo(HaveOccurred())
 	s.pool = scheduler.New("pool/s", s.clock, timing, logging.Silent(), scheduler.WithRules(rules))
@@ -92,7 +92,7 @@
 }
 
 func (s *schedule) settle() {
-	s.pool.Settle()
+	s.pool.Flush()
 	if s.draw.IntN(4) > 0 {
 		s.tenure.settle(nil)
 	}
@@ -122,16 +122,16 @@
 	}
 	id := fmt.Sprintf("%016x", s.draw.Uint64())
 	s.jobs = append(s.jobs, id)
-	s.pool.HandIn(&wire.ClientCall{Route: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &wire.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
+	s.pool.Submit(&wire.ClientCall{Route: []string{"plain", "ruled"}[s.draw.IntN(2)], ID: id, Terms: &wire.RouteTerms{Priority: s.draw.IntN(3), MaxAttempts: 3, TargetMs: int64(s.draw.IntN(3)) * 100},
 		Body: []byte(`{"task-descriptor":"d","step-list":[` + steps + `]` + repeat + `}`)}, func(wire.ClientAnswer) {})
 }
 
 // replace lets an executor end and another come, told of by the next one's beats or never.
-func (s *schedule) replace(place int) {
-	gone := s.players[place].life
-	s.players[place] = s.newPlayer()
+func (s *schedule) replace(index int) {
+	gone := s.players[index].life
+	s.players[index] = s.newPlayer()
 	if s.draw.IntN(2) == 0 {
-		s.pool.Exchange(&wire.ExchangeCall{Executor: s.players[place].life, Gone: []string{gone}}, func(wire.ExchangeAnswer) {})
+		s.pool.Exchange(&wire.ExchangeCall{Executor: s.players[index].life, Gone: []string{gone}}, func(wire.ExchangeAnswer) {})
 	}
 }
 
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -78,8 +78,8 @@
 }
 
 const (
-	id   = "5c0e7a21d94b36f8"
-	task = id + ".0.0.0"
+	id        = "5c0e7a21d94b36f8"
+	taskState = id + ".0.0.0"
 )
 
 var timing = scheduler.Timing{Grant: 4 * time.Second, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond, ResendMost: time.Second,
@@ -104,21 +104,21 @@
 		}
 		var told *wire.ExchangeAnswer
 		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
-		pool.Settle()
+		pool.Flush()
 		return told
 	}
 	handIn := func() {
-		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
+		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
 			func(answer wire.ClientAnswer) { accepted = append(accepted, answer.Status) })
-		pool.Settle()
+		pool.Flush()
 	}
 	started := func(call *wire.ExchangeCall) {
-		call.Answers = []wire.OrderAnswer{{Task: task, Run: 1, Kind: "launch", Result: "ok"}}
+		call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
 	}
 	ended := func(how string) func(*wire.ExchangeCall) {
 		return func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: task, Run: 1, Outcome: how}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: how}}
 		}
 	}
 	BeforeEach(func() {
@@ -135,7 +135,7 @@
 		tenure.settle(nil)
 		Expect(accepted).To(Equal([]int{200}))
 		Expect(exchange(nil).Orders).To(HaveLen(1))
-		Expect(tenure.has("o/" + task + "/1/launch")).To(BeTrue())
+		Expect(tenure.has("o/" + taskState + "/1/launch")).To(BeTrue())
 	})
 
 	It("counts hand-ins, placements, orders, starts, ends, stops and commits, and shows what is open", func() {
@@ -145,7 +145,7 @@
 		exchange(nil)
 		fakeClock.Advance(250 * time.Millisecond)
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		exchange(nil)
 		exchange(started)
 		fakeClock.Advance(time.Second)
@@ -158,10 +158,10 @@
 		tenure.settle(nil)
 		exchange(nil)
 		exchange(func(call *wire.ExchangeCall) {
-			call.Answers = []wire.OrderAnswer{{Task: task, Run: 2, Kind: "launch", Result: "ok"}}
+			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 2, Kind: "launch", Result: "ok"}}
 		})
 		pool.Cancel(&wire.ClientCall{ID: id}, func(wire.ClientAnswer) {})
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		exchange(nil)
 		own := metrics.Own()
@@ -184,9 +184,9 @@
 	It("counts a spare run apart", func() {
 		spares := `gannetline_pool_spares_total{key="pool/s"}`
 		before := metrics.Own()[spares]
-		pool.HandIn(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id,
+		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id,
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(wire.ClientAnswer) {})
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		exchange(nil)
 		exchange(started)
@@ -194,7 +194,7 @@
 		fakeClock.Advance(800 * time.Millisecond)
 		exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" })
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		Expect(metrics.Own()[spares] - before).To(Equal(1.0))
 	})
 
@@ -207,9 +207,9 @@
 
 	It("says that a job may have been taken when its leadership ends before the commit", func() {
 		var told []wire.ClientAnswer
-		pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
+		pool.Submit(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
 			func(answer wire.ClientAnswer) { told = append(told, answer) })
-		pool.Settle()
+		pool.Flush()
 		pool.Close()
 		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true, OutcomeUnknown: true}}))
 	})
@@ -249,7 +249,7 @@
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Fence: 3}
 		ended("done")(call)
 		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
-		pool.Settle()
+		pool.Flush()
 		Expect(told).To(BeNil())
 		tenure.settle(nil)
 		Expect(told.LastSeen).To(Equal(int64(1)))
@@ -275,7 +275,7 @@
 		tenure.settle(nil)
 		exchange(nil)
 		open(4, tenure.pairs())
-		exchange(func(call *wire.ExchangeCall) { call.Running = []wire.RunReport{{Task: task, Run: 1}} })
+		exchange(func(call *wire.ExchangeCall) { call.Running = []wire.RunReport{{Task: taskState, Run: 1}} })
 		tenure.settle(nil)
 		Expect(exchange(nil).Orders).To(BeEmpty())
 		Expect(tenure.has("o/")).To(BeFalse())
@@ -283,7 +283,7 @@
 		tenure.settle(nil)
 		var state string
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
-		pool.Settle()
+		pool.Flush()
 		Expect(state).To(ContainSubstring("completed"))
 	})
 
@@ -297,14 +297,14 @@
 		for waited := time.Duration(0); waited < 6300*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			pool.Tick()
-			pool.Settle()
+			pool.Flush()
 			tenure.settle(nil)
 			Expect(exchange(other).Orders).To(BeEmpty(), waited.String())
 		}
 		fakeClock.Advance(500 * time.Millisecond)
 		exchange(other)
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(exchange(other).Orders).To(HaveLen(1))
 	})
@@ -320,12 +320,12 @@
 		unfenced := func(call *wire.ExchangeCall) { call.Executor, call.Fence, call.ListNumber = "i-2", 3, 0 }
 		exchange(unfenced)
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(exchange(unfenced).Orders).To(BeEmpty())
 		exchange(next)
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(exchange(next).Orders).To(ConsistOf(HaveField("Run", int64(2))))
 		Expect(tenure.has("e/i-1")).To(BeFalse())
@@ -342,14 +342,14 @@
 			fakeClock.Advance(50 * time.Millisecond)
 			exchange(next)
 			pool.Tick()
-			pool.Settle()
+			pool.Flush()
 			tenure.settle(nil)
 			Expect(tenure.has("e/i-1")).To(BeTrue(), waited.String())
 		}
 		fakeClock.Advance(50 * time.Millisecond)
 		exchange(next)
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(tenure.has("e/i-1")).To(BeFalse())
 		Expect(exchange(next).Orders).To(HaveLen(1))
@@ -366,7 +366,7 @@
 		exchange(nil)
 		fakeClock.Advance(3 * time.Second)
 		pool.Tick()
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		Expect(tenure.has("e/i-1")).To(BeTrue())
 	})
@@ -389,9 +389,9 @@
 	})
 
 	It("gives an executor time to be heard after a take-over before its runs get spares", func() {
-		pool.HandIn(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
+		pool.Submit(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
 			func(wire.ClientAnswer) {})
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
 		exchange(nil)
 		exchange(started)
@@ -423,7 +423,7 @@
 		tenure.settle(nil)
 		var state string
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
-		pool.Settle()
+		pool.Flush()
 		Expect(state).To(ContainSubstring("completed"))
 		Expect(exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
 	})
@@ -438,7 +438,7 @@
 	It("says 410 only under a lease", func() {
 		ask := func() (told wire.ClientAnswer) {
 			pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { told = answer })
-			pool.Settle()
+			pool.Flush()
 			return told
 		}
 		Expect(ask().Status).To(Equal(410))
@@ -457,7 +457,7 @@
 		handIn()
 		tenure.settle(nil)
 		var status int
-		pool.HandIn(&wire.ClientCall{Route: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
+		pool.Submit(&wire.ClientCall{Route: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
 		Expect(status).To(Equal(409))
 	})
 })
--- a/internal/scheduling/scheduler/scratch_test.go
+++ b/internal/scheduling/scheduler/scratch_test.go
@@ -14,60 +14,60 @@
 // Differences names what the pool keeps and what is not what comes out when it is worked out from nothing.
 func (p *Pool) Differences() []string {
 	var found []string
-	compare := func(what string, kept, fresh any) {
-		if !reflect.DeepEqual(kept, fresh) {
-			found = append(found, fmt.Sprintf("%s: kept %+v, worked out %+v", what, kept, fresh))
+	compare := func(what string, kept, current any) {
+		if !reflect.DeepEqual(kept, current) {
+			found = append(found, fmt.Sprintf("%s: kept %+v, worked out %+v", what, kept, current))
 		}
 	}
 	now := p.clock.Monotonic()
-	lives := slices.SortedFunc(maps.Values(p.lives), func(one, two *life) int { return cmp.Compare(one.id, two.id) })
-	compare("lives", plain(p.roster.lives), plain(lives))
-	executors := slices.Clone(p.executors(now))
-	var open, all placement.Room
+	lives := slices.SortedFunc(maps.Values(p.executors), func(executor, otherExecutor *executorState) int { return cmp.Compare(executor.id, otherExecutor.id) })
+	compare("lives", plain(p.table.sorted), plain(lives))
+	executors := slices.Clone(p.placementView(now))
+	var open, all placement.Resources
 	var taken int64
-	for place, home := range lives {
-		executor := p.executor(home, now)
-		if all = all.Plus(executor.Total); !executor.IsClosed && executor.Most != placement.NoMore {
-			open = open.Plus(executor.Total)
+	for index, executor := range lives {
+		view := p.viewOf(executor, now)
+		if all = all.Plus(view.Total); !view.IsUnschedulable && view.RunLimit != placement.NoRuns {
+			open = open.Plus(view.Total)
 		}
-		taken += takenCPU(&executor)
-		compare("place", home.place, place)
-		compare("executor "+home.id, executors[place], p.executor(home, now))
+		taken += takenCPU(&view)
+		compare("place", executor.index, index)
+		compare("executor "+executor.id, executors[index], p.viewOf(executor, now))
 	}
-	compare("open room", p.roster.open, open)
-	compare("all room", p.roster.all, all)
-	compare("taken CPU", p.roster.taken, taken)
+	compare("open room", p.table.openCapacity, open)
+	compare("all room", p.table.totalCapacity, all)
+	compare("taken CPU", p.table.usedCPU, taken)
 	p.compareRuns(compare, lives)
-	compare("ended", plain(p.ended), p.endedFromNothing())
+	compare("ended", plain(p.endedJobs), p.endedFromNothing())
 	compare("broken", p.brokenAndOpen(), p.brokenFromNothing())
-	for id, one := range p.untimed {
-		compare("due before it is looked at, "+id, one.dueMs(one.nextTime) < p.timesAtMs, false)
+	for id, job := range p.awaitingRelease {
+		compare("due before it is looked at, "+id, job.releaseMs(job.nextOccurrence) < p.nextReleaseMs, false)
 	}
-	for _, step := range p.open.times.steps {
+	for _, step := range p.open.refreshTimes.steps {
 		compare("open while its time is kept", p.open.steps[step], true)
 	}
 	steps := p.openFromNothing()
 	for _, step := range steps {
 		name := step.tasks[0].name
-		compare("idle of "+name, plain(step.idle), where(step, func(which *task) bool { return !which.isDone && len(which.runs) == 0 }))
-		compare("busy of "+name, plain(step.busy), where(step, func(which *task) bool { return len(which.runs) > 0 }))
+		compare("idle of "+name, plain(step.idle), where(step, func(task *taskState) bool { return !task.isDone && len(task.runs) == 0 }))
+		compare("busy of "+name, plain(step.busy), where(step, func(task *taskState) bool { return len(task.runs) > 0 }))
 	}
 	p.refreshAll(now)
-	kept, fresh := append(slices.Clone(p.open.firsts.requests), p.open.spares.requests...), p.requestsFromNothing(steps, now)
-	compare("requests", len(kept), len(fresh))
-	for place := range min(len(kept), len(fresh)) {
-		compare("step", kept[place].step.tasks[0].name, fresh[place].step.tasks[0].name)
-		compare("tasks", plain(kept[place].tasks), fresh[place].tasks)
-		compare("group", *kept[place].group, *fresh[place].group)
+	kept, current := append(slices.Clone(p.open.first.requests), p.open.speculative.requests...), p.requestsFromNothing(steps, now)
+	compare("requests", len(kept), len(current))
+	for index := range min(len(kept), len(current)) {
+		compare("step", kept[index].step.tasks[0].name, current[index].step.tasks[0].name)
+		compare("tasks", plain(kept[index].tasks), current[index].tasks)
+		compare("group", *kept[index].group, *current[index].group)
 	}
-	for _, list := range []*requests{&p.open.firsts, &p.open.spares} {
-		asked := map[int]usage{}
-		for place, one := range list.requests {
-			compare("group in its place", list.groups[place] == one.group, true)
-			compare("least need", one.group.Need.Fits(list.least), true)
-			asked[one.group.Priority] = asked[one.group.Priority].with(asks(one.group), 1)
+	for _, list := range []*requests{&p.open.first, &p.open.speculative} {
+		asked := map[int]allocation{}
+		for index, request := range list.requests {
+			compare("group in its place", list.groups[index] == request.group, true)
+			compare("least need", request.group.Need.Fits(list.minNeed), true)
+			asked[request.group.Priority] = asked[request.group.Priority].with(asks(request.group), 1)
 		}
-		compare("asked", list.asked, asked)
+		compare("asked", list.demand, asked)
 	}
 	return found
 }
@@ -75,69 +75,69 @@
 // plain makes no difference between a list that is empty and one that is not there.
 func plain[T any](list []T) []T { return append([]T(nil), list...) }
 
-func where(step *stepState, holds func(*task) bool) []*task {
-	var found []*task
-	for _, which := range step.tasks {
-		if holds(which) {
-			found = append(found, which)
+func where(step *stepState, holds func(*taskState) bool) []*taskState {
+	var tasks []*taskState
+	for _, task := range step.tasks {
+		if holds(task) {
+			tasks = append(tasks, task)
 		}
 	}
-	return found
+	return tasks
 }
 
-func (p *Pool) compareRuns(compare func(string, any, any), lives []*life) {
-	pending, taken := map[*run]bool{}, map[int]usage{}
-	for _, home := range lives {
-		var used placement.Room
-		for _, one := range home.runs {
-			need, priority := one.task.step.need(), one.task.step.priority()
+func (p *Pool) compareRuns(compare func(string, any, any), lives []*executorState) {
+	pending, taken := map[*runState]bool{}, map[int]allocation{}
+	for _, executor := range lives {
+		var used placement.Resources
+		for _, run := range executor.runs {
+			need, priority := run.task.step.need(), run.task.step.priority()
 			used = used.Plus(need)
 			taken[priority] = taken[priority].with(need, 1)
-			if one.state != runRunning {
-				pending[one] = true
+			if run.state != runRunning {
+				pending[run] = true
 			}
 		}
-		compare("used of "+home.id, home.used, used)
+		compare("used of "+executor.id, executor.allocated, used)
 	}
-	compare("pending", p.pending, pending)
-	compare("usage", p.usage, taken)
+	compare("pending", p.pendingRuns, pending)
+	compare("usage", p.allocations, taken)
 }
 
 // Orders names the orders that may be under way.
 func (p *Pool) Orders() []string {
 	var names []string
-	for _, home := range p.lives {
-		for _, one := range home.runs {
-			switch one.state {
+	for _, executor := range p.executors {
+		for _, run := range executor.runs {
+			switch run.state {
 			case runLaunching:
-				names = append(names, orderName(one.task, one.number, kindLaunch))
+				names = append(names, orderName(run.task, run.number, kindLaunch))
 			case runStopping:
-				names = append(names, orderName(one.task, one.number, kindStop))
+				names = append(names, orderName(run.task, run.number, kindStop))
 			}
 		}
 	}
 	return names
 }
 
-func (p *Pool) endedFromNothing() []*job {
-	var ended []*job
-	for _, one := range p.jobs {
-		if !one.isOpen() && one.spec == nil {
-			ended = append(ended, one)
+func (p *Pool) endedFromNothing() []*jobState {
+	var ended []*jobState
+	for _, job := range p.jobs {
+		if !job.isOpen() && job.spec == nil {
+			ended = append(ended, job)
 		}
 	}
-	slices.SortFunc(ended, func(one, two *job) int {
-		return cmp.Or(cmp.Compare(one.endedMs, two.endedMs), cmp.Compare(one.id, two.id))
+	slices.SortFunc(ended, func(job, otherJob *jobState) int {
+		return cmp.Or(cmp.Compare(job.endedMs, otherJob.endedMs), cmp.Compare(job.id, otherJob.id))
 	})
 	return ended
 }
 
 func (p *Pool) openFromNothing() []*stepState {
 	var steps []*stepState
-	for _, one := range p.jobs {
-		for _, spell := range one.times {
-			for _, step := range spell.steps {
-				if one.isOpen() && step.isOpen && step.left > 0 {
+	for _, job := range p.jobs {
+		for _, occurrence := range job.occurrences {
+			for _, step := range occurrence.steps {
+				if job.isOpen() && step.isOpen && step.remaining > 0 {
 					steps = append(steps, step)
 				}
 			}
@@ -149,8 +149,8 @@
 
 func (p *Pool) brokenAndOpen() map[string]bool {
 	found := map[string]bool{}
-	for step := range p.broken {
-		if step.left > 0 && step.time.job.isOpen() {
+	for step := range p.brokenGangs {
+		if step.remaining > 0 && step.occurrence.job.isOpen() {
 			found[step.tasks[0].name] = true
 		}
 	}
@@ -167,35 +167,35 @@
 	return found
 }
 
-func (p *Pool) requestsFromNothing(steps []*stepState, now time.Duration) []*request {
-	var found []*request
+func (p *Pool) requestsFromNothing(steps []*stepState, now time.Duration) []*placementRequest {
+	var found []*placementRequest
 	for _, step := range steps {
-		ready := where(step, func(which *task) bool {
-			return !which.isDone && len(which.runs) == 0 && which.notBefore <= now && !(step.step.Gang && step.hasRuns())
+		ready := where(step, func(task *taskState) bool {
+			return !task.isDone && len(task.runs) == 0 && task.notBefore <= now && !(step.spec.Gang && step.hasRuns())
 		})
 		if len(ready) > 0 {
 			group := p.group(step, ready)
-			found = append(found, &request{step, ready, &group})
+			found = append(found, &placementRequest{step, ready, &group})
 		}
-		doubtful := where(step, func(which *task) bool {
-			return step.step.Redundant && !step.step.Gang && !which.isDone && len(which.runs) == 1 && p.isDoubtful(which.runs[0], now)
+		candidates := where(step, func(task *taskState) bool {
+			return step.spec.Redundant && !step.spec.Gang && !task.isDone && len(task.runs) == 1 && p.needsSpeculation(task.runs[0], now)
 		})
-		if step.step.Apart > 0 && len(ready) > 0 {
-			doubtful = nil
+		if step.spec.AntiAffinity > 0 && len(ready) > 0 {
+			candidates = nil
 		}
-		if step.step.Apart > 0 && len(doubtful) > 1 {
-			doubtful = doubtful[:1]
+		if step.spec.AntiAffinity > 0 && len(candidates) > 1 {
+			candidates = candidates[:1]
 		}
-		for _, which := range doubtful {
-			group := p.spare(which)
-			found = append(found, &request{step, []*task{which}, &group})
+		for _, task := range candidates {
+			group := p.speculativeGroup(task)
+			found = append(found, &placementRequest{step, []*taskState{task}, &group})
 		}
 	}
-	slices.SortStableFunc(found, func(one, two *request) int {
-		if one.group.IsSpare != two.group.IsSpare {
-			return map[bool]int{true: 1, false: -1}[one.group.IsSpare]
+	slices.SortStableFunc(found, func(request, otherRequest *placementRequest) int {
+		if request.group.IsSpeculative != otherRequest.group.IsSpeculative {
+			return map[bool]int{true: 1, false: -1}[request.group.IsSpeculative]
 		}
-		return placement.CompareGroups(one.group, two.group)
+		return placement.CompareGroups(request.group, otherRequest.group)
 	})
 	return found
 }
--- a/internal/scheduling/scheduler/spares.go
+++ b/internal/scheduling/scheduler/spares.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	doubtAfter   = 700 * time.Millisecond
-	unansweredIn = 400 * time.Millisecond
-	leastOverdue = 250 * time.Millisecond
-	fewDone      = 3
-	mostKnown    = 64
+	silenceBeforeSpeculation    = 700 * time.Millisecond
+	unansweredBeforeSpeculation = 400 * time.Millisecond
+	minOverdue                  = 250 * time.Millisecond
+	minSamples                  = 3
+	maxDurations                = 64
 )
 
-// typical is how long runs of this step take, once some have ended; the estimate is only a guess.
-func (s *stepState) typical() (time.Duration, bool) {
-	if len(s.lengths) < min(fewDone, max(1, len(s.tasks)/3)) {
+// medianDuration is how long runs of this step take, once some have ended; the estimate is only a guess.
+func (s *stepState) medianDuration() (time.Duration, bool) {
+	if len(s.durations) < min(minSamples, max(1, len(s.tasks)/3)) {
 		return 0, false
 	}
-	return s.lengths[len(s.lengths)/2], true
+	return s.durations[len(s.durations)/2], true
 }
 
-func (p *Pool) noteLength(step *stepState, home *life, length time.Duration) {
+func (p *Pool) recordDuration(step *stepState, executor *executorState, length time.Duration) {
 	if ratio, isKnown := step.ratio(length); isKnown {
 		spread := p.spreadOf(step)
-		home.slow += (min(10, ratio*evenSpread/max(evenSpread, spread.ninth)) - home.slow) / 6
+		executor.slowFactor += (min(10, ratio*evenSpread/max(evenSpread, spread.ninth)) - executor.slowFactor) / 6
 		spread.note(ratio)
 	}
-	if len(step.lengths) < mostKnown {
-		place, _ := slices.BinarySearch(step.lengths, length)
-		step.lengths = slices.Insert(step.lengths, place, length)
+	if len(step.durations) < maxDurations {
+		index, _ := slices.BinarySearch(step.durations, length)
+		step.durations = slices.Insert(step.durations, index, length)
 	}
-	step.patience = max(2, pastSpread*p.spreadOf(step).ninth)
+	step.overdueFactor = max(2, pastSpread*p.spreadOf(step).ninth)
 }
 
 func (s *stepState) ratio(length time.Duration) (float64, bool) {
-	typical, isKnown := s.typical()
+	typical, isKnown := s.medianDuration()
 	if !isKnown || typical <= 0 {
 		return 0, false
 	}
 	return min(10, float64(length)/float64(typical)), true
 }
 
-// spread is how uneven the runs of a queue's steps are: the ratio to the step's median that nine of ten stay below.
-type spread struct{ ninth float64 }
+// durationSpread is how uneven the runs of a queue's steps are: the ratio to the step's median that nine of ten stay below.
+type durationSpread struct{ ninth float64 }
 
 const (
 	evenSpread = 4.0 / 3
@@ -55,7 +55,7 @@
 )
 
 // note moves the estimate up by nine parts or down by one, so that it rests where nine of ten are below it.
-func (s *spread) note(ratio float64) {
+func (s *durationSpread) note(ratio float64) {
 	if ratio > s.ninth {
 		s.ninth += 0.9 * spreadStep
 		return
@@ -63,102 +63,102 @@
 	s.ninth = max(1, s.ninth-0.1*spreadStep)
 }
 
-func (p *Pool) spreadOf(step *stepState) *spread {
-	queue := step.time.job.record.Entry
-	one := p.spreads[queue]
-	if one == nil {
-		one = &spread{ninth: evenSpread}
-		p.spreads[queue] = one
+func (p *Pool) spreadOf(step *stepState) *durationSpread {
+	queue := step.occurrence.job.record.Route
+	spread := p.spreads[queue]
+	if spread == nil {
+		spread = &durationSpread{ninth: evenSpread}
+		p.spreads[queue] = spread
 	}
-	return one
+	return spread
 }
 
-// noteOvertaken counts a run that its spare overtook: it would have been longer still.
-func (p *Pool) noteOvertaken(one *run) {
-	if one.state != runRunning {
+// recordOvertaken counts a run that its spare overtook: it would have been longer still.
+func (p *Pool) recordOvertaken(run *runState) {
+	if run.state != runRunning {
 		return
 	}
-	if ratio, isKnown := one.task.step.ratio(p.clock.Monotonic() - one.startedAt); isKnown {
-		p.spreadOf(one.task.step).note(ratio)
+	if ratio, isKnown := run.task.step.ratio(p.clock.Monotonic() - run.startedAt); isKnown {
+		p.spreadOf(run.task.step).note(ratio)
 	}
 }
 
-// slowness is 0 for an executor that keeps up with the others.
-func (l *life) slowness() float64 { return max(0, l.slow-1.6) * 0.4 }
+// slownessPenalty is 0 for an executor that keeps up with the others.
+func (l *executorState) slownessPenalty() float64 { return max(0, l.slowFactor-1.6) * 0.4 }
 
-// overdue is when a run takes so long that something is wrong with its executor.
-func (s *stepState) overdue() time.Duration {
-	if typical, isKnown := s.typical(); isKnown {
-		return max(leastOverdue, time.Duration(s.patience*float64(typical)))
+// overdueAfter is when a run takes so long that something is wrong with its executor.
+func (s *stepState) overdueAfter() time.Duration {
+	if typical, isKnown := s.medianDuration(); isKnown {
+		return max(minOverdue, time.Duration(s.overdueFactor*float64(typical)))
 	}
-	return max(2*leastOverdue, 4*clock.Milliseconds(s.step.EstimatedMs))
+	return max(2*minOverdue, 4*clock.Milliseconds(s.spec.EstimatedMs))
 }
 
-// doubtful gives the tasks of a redundant step whose only run may not come back in time, and when others may join them.
-func (p *Pool) doubtful(step *stepState, now time.Duration) (found []*task, again time.Duration) {
-	again = never
-	if !step.step.Redundant || step.step.Gang {
-		return nil, again
+// tasksToSpeculate gives the tasks of a redundant step whose only run may not come back in time, and when others may join them.
+func (p *Pool) tasksToSpeculate(step *stepState, now time.Duration) (tasks []*taskState, next time.Duration) {
+	next = never
+	if !step.spec.Redundant || step.spec.Gang {
+		return nil, next
 	}
-	for _, which := range step.busy {
+	for _, task := range step.busy {
 		switch {
-		case which.isDone || len(which.runs) != 1:
-		case p.isDoubtful(which.runs[0], now):
-			found = append(found, which)
+		case task.isDone || len(task.runs) != 1:
+		case p.needsSpeculation(task.runs[0], now):
+			tasks = append(tasks, task)
 		default:
-			again = min(again, doubtfulFrom(which.runs[0]))
+			next = min(next, speculateFrom(task.runs[0]))
 		}
 	}
-	if step.step.Apart > 0 && len(found) > 0 {
-		found = p.oneApart(step, found, now)
+	if step.spec.AntiAffinity > 0 && len(tasks) > 0 {
+		tasks = p.limitByAntiAffinity(step, tasks, now)
 	}
-	return found, again
+	return tasks, next
 }
 
-// doubtfulFrom is when a run becomes doubtful if nothing is heard until then.
-func doubtfulFrom(one *run) time.Duration {
-	silent := one.life.contactAt + doubtAfter + 1
+// speculateFrom is when a run becomes doubtful if nothing is heard until then.
+func speculateFrom(run *runState) time.Duration {
+	silent := run.executor.contactAt + silenceBeforeSpeculation + 1
 	switch {
-	case one.state == runStopping:
+	case run.state == runStopping:
 		return never
-	case one.state == runLaunching && one.sends == 0:
+	case run.state == runLaunching && run.sendCount == 0:
 		return silent
-	case one.state == runLaunching:
-		return min(silent, one.orderedAt+unansweredIn+1)
+	case run.state == runLaunching:
+		return min(silent, run.orderedAt+unansweredBeforeSpeculation+1)
 	}
-	return min(silent, one.startedAt+one.task.step.overdue()+1)
+	return min(silent, run.startedAt+run.task.step.overdueAfter()+1)
 }
 
-// doubtRuns has the spares of all that an executor runs worked out anew, as it is trusted more or less than before.
-func (p *Pool) doubtRuns(home *life) {
-	for _, one := range home.runs {
-		p.touch(one.task)
+// refreshSpeculation has the spares of all that an executor runs worked out anew, as it is trusted more or less than before.
+func (p *Pool) refreshSpeculation(executor *executorState) {
+	for _, run := range executor.runs {
+		p.markChanged(run.task)
 	}
 }
 
-// oneApart lets a step with anti-affinity ask once in a turn, as what else is placed in the turn is not counted yet.
-func (p *Pool) oneApart(step *stepState, found []*task, now time.Duration) []*task {
+// limitByAntiAffinity lets a step with anti-affinity ask once in a turn, as what else is placed in the turn is not counted yet.
+func (p *Pool) limitByAntiAffinity(step *stepState, tasks []*taskState, now time.Duration) []*taskState {
 	if ready, _ := p.ready(step, now); len(ready) > 0 {
 		return nil
 	}
-	return found[:1]
+	return tasks[:1]
 }
 
-func (p *Pool) isDoubtful(one *run, now time.Duration) bool {
-	switch home := one.life; {
-	case one.state == runStopping:
+func (p *Pool) needsSpeculation(run *runState, now time.Duration) bool {
+	switch executor := run.executor; {
+	case run.state == runStopping:
 		return false
-	case now-home.contactAt > doubtAfter || home.isBlocked:
+	case now-executor.contactAt > silenceBeforeSpeculation || executor.isUnschedulable:
 		return true
-	case one.state == runLaunching:
-		return one.sends > 0 && now-one.orderedAt > unansweredIn
+	case run.state == runLaunching:
+		return run.sendCount > 0 && now-run.orderedAt > unansweredBeforeSpeculation
 	}
-	return now-one.startedAt > one.task.step.overdue()
+	return now-run.startedAt > run.task.step.overdueAfter()
 }
 
-// spare asks for a second run of a task, anywhere but where the first one is.
-func (p *Pool) spare(which *task) placement.Group {
-	group := p.group(which.step, []*task{which})
-	group.IsSpare, group.Except = true, []int{which.runs[0].life.place}
+// speculativeGroup asks for a second run of a task, anywhere but where the first one is.
+func (p *Pool) speculativeGroup(task *taskState) placement.Group {
+	group := p.group(task.step, []*taskState{task})
+	group.IsSpeculative, group.ExcludedIndices = true, []int{task.runs[0].executor.index}
 	return group
 }
--- a/internal/scheduling/scheduler/stalls_test.go
+++ b/internal/scheduling/scheduler/stalls_test.go
@@ -40,7 +40,7 @@
 	}
 	BeforeEach(func() {
 		timing := timing
-		timing.Headroom = scheduler.DefaultHeadroom
+		timing.ReservedCapacity = scheduler.DefaultReservedCapacity
 		f = newFleet(timing)
 		f.add(10, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
--- a/internal/scheduling/scheduler/stored_data_test.go
+++ b/internal/scheduling/scheduler/stored_data_test.go
@@ -36,7 +36,7 @@
 		leadership := &scripted{clock: clock, epoch: 1 << 40, hasLease: true, kept: map[string][]byte{}}
 		pool := scheduler.New("pool/demo", clock, timing, logging.Silent())
 		pool.Open(leadership, storedRecords("testdata/pool-records.txt"))
-		pool.Settle()
+		pool.Flush()
 		clock.Advance(100 * time.Millisecond)
 		pool.Tick()
 		Expect(pool.Unreadable()).To(BeEmpty())
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -21,16 +21,16 @@
 	}
 	now := p.clock.Monotonic()
 	defer func() { p.meters.tickSeconds.Observe(p.clock.Monotonic() - now) }()
-	p.makeTimes()
-	for _, home := range slices.Clone(p.roster.lives) {
-		p.tickLife(home, now)
+	p.releaseDue()
+	for _, executor := range slices.Clone(p.table.sorted) {
+		p.tickExecutor(executor, now)
 	}
-	p.roster.isStale = true
+	p.table.isStale = true
 	p.tickPending(now)
-	p.tickAllBroken(now)
+	p.tickBrokenGangs(now)
 	p.forgetEnded()
-	p.open.firsts.findLeast()
-	p.open.spares.findLeast()
+	p.open.first.findMinNeed()
+	p.open.speculative.findMinNeed()
 	if len(p.open.steps) > 0 {
 		p.needsPlacing = true
 	}
@@ -39,92 +39,92 @@
 
 // tickPending looks after the runs that an order is under way for, in an order that is the same at every replay.
 func (p *Pool) tickPending(now time.Duration) {
-	runs := slices.SortedFunc(maps.Keys(p.pending), func(one, two *run) int {
-		return cmp.Or(cmp.Compare(one.life.id, two.life.id), cmp.Compare(one.task.name, two.task.name), cmp.Compare(one.number, two.number))
+	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(run, otherRun *runState) int {
+		return cmp.Or(cmp.Compare(run.executor.id, otherRun.executor.id), cmp.Compare(run.task.name, otherRun.task.name), cmp.Compare(run.number, otherRun.number))
 	})
-	for _, one := range runs {
-		if p.pending[one] {
-			p.tickRun(one.life, one, now)
+	for _, run := range runs {
+		if p.pendingRuns[run] {
+			p.tickRun(run.executor, run, now)
 		}
 	}
 }
 
-func (p *Pool) tickAllBroken(now time.Duration) {
-	steps := slices.SortedFunc(maps.Keys(p.broken), func(one, two *stepState) int { return cmp.Compare(one.tasks[0].name, two.tasks[0].name) })
+func (p *Pool) tickBrokenGangs(now time.Duration) {
+	steps := slices.SortedFunc(maps.Keys(p.brokenGangs), func(one, two *stepState) int { return cmp.Compare(one.tasks[0].name, two.tasks[0].name) })
 	for _, step := range steps {
-		if step.left > 0 && step.time.job.isOpen() {
-			p.tickBroken(step, now)
+		if step.remaining > 0 && step.occurrence.job.isOpen() {
+			p.tickBrokenGang(step, now)
 		}
-		if step.brokenAt == 0 || step.left == 0 || !step.time.job.isOpen() {
-			delete(p.broken, step)
+		if step.brokenAt == 0 || step.remaining == 0 || !step.occurrence.job.isOpen() {
+			delete(p.brokenGangs, step)
 		}
 	}
 }
 
-// noteBroken begins to watch a gang that has lost a member, whichever way: what is left of it can only wait.
-func (p *Pool) noteBroken(step *stepState) {
-	if step.step.Gang && step.hasRuns() && step.brokenAt == 0 {
+// watchBrokenGang begins to watch a gang that has lost a member, whichever way: what is left of it can only wait.
+func (p *Pool) watchBrokenGang(step *stepState) {
+	if step.spec.Gang && step.hasRuns() && step.brokenAt == 0 {
 		step.brokenAt = p.clock.Monotonic()
-		p.broken[step] = true
+		p.brokenGangs[step] = true
 	}
 }
 
-// noteWhole ends the watch over a gang that starts again, as the members it has now are not those that were broken.
-func (p *Pool) noteWhole(step *stepState) {
+// endGangWatch ends the watch over a gang that starts again, as the members it has now are not those that were broken.
+func (p *Pool) endGangWatch(step *stepState) {
 	step.brokenAt = 0
-	delete(p.broken, step)
+	delete(p.brokenGangs, step)
 }
 
-func (p *Pool) tickLife(home *life, now time.Duration) {
-	home.fails, home.dones = home.fails*0.99, home.dones*0.99
-	if p.isOutlived(home, now) {
-		p.log.Info("executor replaced on its machine", "executor", home.id, "machine", home.proxy, "runs", len(home.runs))
-		p.lifeGone(home)
+func (p *Pool) tickExecutor(executor *executorState, now time.Duration) {
+	executor.failures, executor.successes = executor.failures*0.99, executor.successes*0.99
+	if p.isReplaced(executor, now) {
+		p.log.Info("executor replaced on its machine", "executor", executor.id, "machine", executor.proxy, "runs", len(executor.runs))
+		p.executorGone(executor)
 		return
 	}
-	if now > home.lapsesAt {
-		p.lapsed(home, now)
+	if now > executor.leaseExpiry {
+		p.expireLease(executor, now)
 	}
-	p.tidyLife(home, now)
-	if home.parked != nil && now >= home.parked.until {
-		p.answerParked(home)
+	p.tidyRecord(executor, now)
+	if executor.poll != nil && now >= executor.poll.until {
+		p.answerPoll(executor)
 	}
 }
 
-// lapsed closes what ran where the longest hold ever granted is over.
-func (p *Pool) lapsed(home *life, now time.Duration) {
-	if len(home.runs) > 0 {
-		p.log.Info("executor lease expired", "executor", home.id, "runs", len(home.runs))
+// expireLease closes what ran where the longest hold ever granted is over.
+func (p *Pool) expireLease(executor *executorState, now time.Duration) {
+	if len(executor.runs) > 0 {
+		p.log.Info("executor lease expired", "executor", executor.id, "runs", len(executor.runs))
 	}
-	if now-home.contactAt > p.timing.SilentAfter || !home.isKnown {
-		p.lifeGone(home)
+	if now-executor.contactAt > p.timing.SilentAfter || !executor.isKnown {
+		p.executorGone(executor)
 		return
 	}
-	for _, one := range home.inOrder() {
-		p.closeRun(one)
+	for _, run := range executor.sortedRuns() {
+		p.closeRun(run)
 	}
 }
 
-func (p *Pool) tickRun(home *life, one *run, now time.Duration) {
-	isSilent := now-home.contactAt > p.timing.SilentAfter
+func (p *Pool) tickRun(executor *executorState, run *runState, now time.Duration) {
+	isSilent := now-executor.contactAt > p.timing.SilentAfter
 	switch {
-	case one.needsLook > 0 || one.isQueued && !isSilent:
-	case one.state == runLaunching && one.isCommitted && one.sends == 0 && isSilent && home.isFenced:
-		p.closeRun(one)
-	case one.state == runLaunching && one.sends > 0 && !isSilent && now-one.orderedAt > p.timing.StuckAfter:
-		p.stopRun(one)
-	case one.state != runRunning && !one.isAnswered && one.sends > 0:
-		if wait := min(p.timing.Resend<<min(one.sends-1, 4), p.timing.ResendMost); now-one.sentAt > wait {
-			p.queue(one)
+	case run.awaitedList > 0 || run.isQueued && !isSilent:
+	case run.state == runLaunching && run.isCommitted && run.sendCount == 0 && isSilent && executor.isFenced:
+		p.closeRun(run)
+	case run.state == runLaunching && run.sendCount > 0 && !isSilent && now-run.orderedAt > p.timing.StuckAfter:
+		p.stopRun(run)
+	case run.state != runRunning && !run.isAnswered && run.sendCount > 0:
+		if wait := min(p.timing.Resend<<min(run.sendCount-1, 4), p.timing.ResendMost); now-run.sentAt > wait {
+			p.queueOrder(run)
 		}
-	case one.state == runStopping && one.isAnswered && now-one.answeredAt > p.timing.StopTimeout+300*time.Millisecond:
-		one.answeredAt = now
-		p.wantLook(home, one)
+	case run.state == runStopping && run.isAnswered && now-run.answeredAt > p.timing.StopTimeout+300*time.Millisecond:
+		run.answeredAt = now
+		p.requestRunList(executor, run)
 	}
 }
 
-// tickBroken stops the rest of a gang that lost a member, unless they ended by themselves.
-func (p *Pool) tickBroken(step *stepState, now time.Duration) {
+// tickBrokenGang stops the rest of a gang that lost a member, unless they ended by themselves.
+func (p *Pool) tickBrokenGang(step *stepState, now time.Duration) {
 	if !step.hasRuns() {
 		step.brokenAt = 0
 		p.needsPlacing = true
@@ -136,39 +136,39 @@
 }
 
 // evacuate moves what will not end before a leaving executor is gone.
-func (p *Pool) evacuate(home *life) {
-	for _, one := range home.inOrder() {
-		p.evacuateRun(one)
+func (p *Pool) evacuate(executor *executorState) {
+	for _, run := range executor.sortedRuns() {
+		p.evacuateRun(run)
 	}
 }
 
-func (p *Pool) evacuateRun(one *run) {
-	home, step, now := one.life, one.task.step.step, p.clock.Monotonic()
-	if one.state != runRunning || !home.isDraining {
+func (p *Pool) evacuateRun(run *runState) {
+	executor, step, now := run.executor, run.task.step.spec, p.clock.Monotonic()
+	if run.state != runRunning || !executor.isDraining {
 		return
 	}
-	left := clock.Milliseconds(step.EstimatedMs) - (now - one.startedAt)
-	if step.Lasting || home.departsAt > 0 && left > home.departsAt-now {
-		p.stopRun(one)
+	remaining := clock.Milliseconds(step.EstimatedMs) - (now - run.startedAt)
+	if step.LongRunning || executor.departureAt > 0 && remaining > executor.departureAt-now {
+		p.stopRun(run)
 	}
 }
 
 func (p *Pool) forgetEnded() {
-	wall := p.leadership.WallMs()
-	for len(p.ended) > 0 && wall-p.ended[0].endedMs > p.timing.KeepEnded.Milliseconds() {
-		delete(p.jobs, p.ended[0].id)
-		p.drop("s/" + p.ended[0].id)
-		p.ended = p.ended[1:]
+	nowMs := p.leadership.WallMs()
+	for len(p.endedJobs) > 0 && nowMs-p.endedJobs[0].endedMs > p.timing.KeepEnded.Milliseconds() {
+		delete(p.jobs, p.endedJobs[0].id)
+		p.dropRecord("s/" + p.endedJobs[0].id)
+		p.endedJobs = p.endedJobs[1:]
 	}
-	p.forgetRenounced(wall)
+	p.forgetRenounced(nowMs)
 }
 
-// noteEnded keeps ended jobs in the order in which they may be forgotten.
-func (p *Pool) noteEnded(one *job) {
-	place, _ := slices.BinarySearchFunc(p.ended, one, func(one, two *job) int {
-		return cmp.Or(cmp.Compare(one.endedMs, two.endedMs), cmp.Compare(one.id, two.id))
+// insertEnded keeps ended jobs in the order in which they may be forgotten.
+func (p *Pool) insertEnded(job *jobState) {
+	index, _ := slices.BinarySearchFunc(p.endedJobs, job, func(job, otherJob *jobState) int {
+		return cmp.Or(cmp.Compare(job.endedMs, otherJob.endedMs), cmp.Compare(job.id, otherJob.id))
 	})
-	p.ended = slices.Insert(p.ended, place, one)
+	p.endedJobs = slices.Insert(p.endedJobs, index, job)
 }
 
 func (p *Pool) place() {
@@ -176,44 +176,44 @@
 		return
 	}
 	p.needsPlacing = false
-	if !slices.ContainsFunc(p.roster.lives, func(home *life) bool { return home.isKnown }) {
+	if !slices.ContainsFunc(p.table.sorted, func(executor *executorState) bool { return executor.isKnown }) {
 		return
 	}
 	now := p.clock.Monotonic()
 	defer func() { p.meters.placeSeconds.Observe(p.clock.Monotonic() - now) }()
 	p.refreshAll(now)
-	executors := p.executors(now)
-	placed := placement.Place(executors, p.open.line(), p.limits(now))
+	executors := p.placementView(now)
+	placed := placement.Place(executors, p.open.queue(), p.limits(now))
 	for _, start := range p.starts(placed) {
-		p.launch(start.task, start.home, start.number)
+		p.launch(start.task, start.executor, start.number)
 	}
 }
 
 type start struct {
-	task   *task
-	home   *life
-	number int64
+	task     *taskState
+	executor *executorState
+	number   int64
 }
 
 // starts gives each placement its task and the number of its run; all of a gang have one number.
 func (p *Pool) starts(placed []placement.Placement) []start {
 	starts := make([]start, len(placed))
 	next, gangRun := map[int]int{}, map[int]int64{}
-	for place, one := range placed {
-		request := p.open.request(one.Group)
-		if request.group.IsSpare {
-			p.meters.spares.Inc()
+	for index, assignment := range placed {
+		request := p.open.request(assignment.Group)
+		if request.group.IsSpeculative {
+			p.meters.speculativeRuns.Inc()
 		}
-		step, which := request.step, request.tasks[next[one.Group]]
-		next[one.Group]++
-		number := which.lastRun + 1
-		if step.step.Gang {
-			if gangRun[one.Group] == 0 {
-				gangRun[one.Group] = step.lastRun() + 1
+		step, task := request.step, request.tasks[next[assignment.Group]]
+		next[assignment.Group]++
+		number := task.lastRun + 1
+		if step.spec.Gang {
+			if gangRun[assignment.Group] == 0 {
+				gangRun[assignment.Group] = step.lastRun() + 1
 			}
-			number = gangRun[one.Group]
+			number = gangRun[assignment.Group]
 		}
-		starts[place] = start{which, p.roster.lives[one.Executor], number}
+		starts[index] = start{task, p.table.sorted[assignment.Executor], number}
 	}
 	return starts
 }
@@ -222,11 +222,11 @@
 func (p *Pool) Beliefs() ([]wire.JobBelief, []wire.ExecutorBelief) {
 	var jobs []wire.JobBelief
 	var executors []wire.ExecutorBelief
-	for id, one := range p.jobs {
-		jobs = append(jobs, wire.JobBelief{Key: p.key, ID: id, State: one.shown()})
+	for id, job := range p.jobs {
+		jobs = append(jobs, wire.JobBelief{Key: p.key, ID: id, State: job.shownState()})
 	}
-	for id, home := range p.lives {
-		executors = append(executors, wire.ExecutorBelief{Key: p.key, Executor: id, State: home.shown(), Running: len(home.runs)})
+	for id, executor := range p.executors {
+		executors = append(executors, wire.ExecutorBelief{Key: p.key, Executor: id, State: executor.shownState(), Running: len(executor.runs)})
 	}
 	return jobs, executors
 }
@@ -234,10 +234,10 @@
 // JobsOn names the jobs with runs, as this leader knows, on the executors of a machine.
 func (p *Pool) JobsOn(machine string) []string {
 	found := map[string]bool{}
-	for _, home := range p.lives {
-		if home.proxy == machine {
-			for _, one := range home.runs {
-				found[one.task.job().id] = true
+	for _, executor := range p.executors {
+		if executor.proxy == machine {
+			for _, run := range executor.runs {
+				found[run.task.owner().id] = true
 			}
 		}
 	}
--- a/internal/scheduling/scheduler/trust.go
+++ b/internal/scheduling/scheduler/trust.go
@@ -9,140 +9,140 @@
 )
 
 const (
-	trustHalfLife = 8 * time.Second
-	mostPenalty   = 6.0
-	forgotten     = 0.05
-	sickPause     = 300 * time.Millisecond
-	forgiven      = 0.5
-	trusted       = 64
-	mostHung      = 4
-	// overdueIn is when an executor should have been heard again, as its proxy asks for orders every 300 ms. One that was
+	penaltyHalfLife   = 8 * time.Second
+	maxPenalty        = 6.0
+	negligiblePenalty = 0.05
+	ejectionPause     = 300 * time.Millisecond
+	singleRunPenalty  = 0.5
+	unlimitedRuns     = 64
+	maxStalls         = 4
+	// heartbeatOverdue is when an executor should have been heard again, as its proxy asks for orders every 300 ms. One that was
 	// not is chosen last among equals, as an order may wait there in vain until it counts as silent.
-	overdueIn     = 450 * time.Millisecond
-	overdueWeight = 0.4
-	// strange weighs a failure of a task that failed on another executor as well.
-	strange = 0.2
+	heartbeatOverdue = 450 * time.Millisecond
+	overdueWeight    = 0.4
+	// sharedFailureWeight weighs a failure of a task that failed on another executor as well.
+	sharedFailureWeight = 0.2
 )
 
-// trust is what an executor's machine lost by falling silent, refusing or dying, whatever life it is in now.
-type trust struct {
+// machineHealth is what an executor's machine lost by falling silent, refusing or dying, whatever life it is in now.
+type machineHealth struct {
 	penalty float64
 	at      time.Duration
 }
 
 // penaltyAt halves with time, so that trust comes back by degrees.
-func (t *trust) penaltyAt(now time.Duration) float64 {
-	return t.penalty * math.Exp2(-float64(now-t.at)/float64(trustHalfLife))
+func (t *machineHealth) penaltyAt(now time.Duration) float64 {
+	return t.penalty * math.Exp2(-float64(now-t.at)/float64(penaltyHalfLife))
 }
 
-func (t *trust) lose(now time.Duration) {
-	t.penalty, t.at = min(mostPenalty, t.penaltyAt(now)+1), now
+func (t *machineHealth) worsen(now time.Duration) {
+	t.penalty, t.at = min(maxPenalty, t.penaltyAt(now)+1), now
 }
 
-func (p *Pool) penaltyOf(machine string, now time.Duration) float64 {
-	if one := p.trusts[machine]; one != nil {
-		return one.penaltyAt(now)
+func (p *Pool) machinePenalty(machine string, now time.Duration) float64 {
+	if health := p.health[machine]; health != nil {
+		return health.penaltyAt(now)
 	}
 	return 0
 }
 
-// mistrust notes that an executor died or hung; what comes next there begins with one run at once.
-func (p *Pool) mistrust(home *life) {
-	p.penalize(home)
-	home.atOnce = 1
+// suspectMachine notes that an executor died or hung; what comes next there begins with one run at once.
+func (p *Pool) suspectMachine(executor *executorState) {
+	p.penalize(executor)
+	executor.runLimit = 1
 }
 
-func (p *Pool) penalize(home *life) {
+func (p *Pool) penalize(executor *executorState) {
 	now := p.clock.Monotonic()
-	one := p.trusts[home.proxy]
-	if one == nil {
-		maps.DeleteFunc(p.trusts, func(_ string, other *trust) bool { return other.penaltyAt(now) < forgotten })
-		one = &trust{at: now}
-		p.trusts[home.proxy] = one
+	health := p.health[executor.proxy]
+	if health == nil {
+		maps.DeleteFunc(p.health, func(_ string, other *machineHealth) bool { return other.penaltyAt(now) < negligiblePenalty })
+		health = &machineHealth{at: now}
+		p.health[executor.proxy] = health
 	}
-	one.lose(now)
-	home.penalty = one.penaltyAt(now)
+	health.worsen(now)
+	executor.penalty = health.penaltyAt(now)
 }
 
 // learnPenalty lets a machine that lost trust begin with one run at a time, in a new life as well.
-func (l *life) learnPenalty(penalty float64) {
-	if !l.isKnown && penalty >= forgiven {
-		l.atOnce = 1
+func (l *executorState) learnPenalty(penalty float64) {
+	if !l.isKnown && penalty >= singleRunPenalty {
+		l.runLimit = 1
 	}
-	if penalty < forgiven {
-		l.atOnce = 0
+	if penalty < singleRunPenalty {
+		l.runLimit = 0
 	}
 	l.penalty = penalty
 }
 
-// earn doubles what may run at once, as each success gives some trust back.
-func (l *life) earn() {
-	l.atOnce *= 2
-	if l.atOnce >= trusted {
-		l.atOnce = 0
+// recordSuccess doubles what may run at once, as each success gives some trust back.
+func (l *executorState) recordSuccess() {
+	l.runLimit *= 2
+	if l.runLimit >= unlimitedRuns {
+		l.runLimit = 0
 	}
 }
 
-// most is how many runs may be added, as placement counts them.
-func (l *life) most() int {
+// remainingRuns is how many runs may be added, as placement counts them.
+func (l *executorState) remainingRuns() int {
 	switch {
-	case l.atOnce == 0:
+	case l.runLimit == 0:
 		return 0
-	case len(l.runs) >= l.atOnce:
-		return placement.NoMore
+	case len(l.runs) >= l.runLimit:
+		return placement.NoRuns
 	}
-	return l.atOnce - len(l.runs)
+	return l.runLimit - len(l.runs)
 }
 
-// silence weighs that an executor should have been heard again.
-func (l *life) silence(now time.Duration) float64 {
-	if now-l.contactAt > overdueIn {
+// overduePenalty weighs that an executor should have been heard again.
+func (l *executorState) overduePenalty(now time.Duration) float64 {
+	if now-l.contactAt > heartbeatOverdue {
 		return overdueWeight
 	}
 	return 0
 }
 
-// penalizeUnlessResting counts the refusals of one moment once.
-func (p *Pool) penalizeUnlessResting(home *life) {
-	if p.clock.Monotonic() >= home.sickUntil {
-		p.penalize(home)
+// penalizeUnlessEjected counts the refusals of one moment once.
+func (p *Pool) penalizeUnlessEjected(executor *executorState) {
+	if p.clock.Monotonic() >= executor.ejectedUntil {
+		p.penalize(executor)
 	}
 }
 
-// moveStuck stops a run that makes no progress, so that its task starts elsewhere. A task that hangs wherever it is, is left to it.
-func (p *Pool) moveStuck(one *run) {
-	which, home := one.task, one.life
-	if !one.isStuck || one.state != runRunning || which.step.step.Lasting || which.step.step.Gang || which.timesHung >= mostHung {
+// moveStalled stops a run that makes no progress, so that its task starts elsewhere. A task that hangs wherever it is, is left to it.
+func (p *Pool) moveStalled(run *runState) {
+	task, executor := run.task, run.executor
+	if !run.isStuck || run.state != runRunning || task.step.spec.LongRunning || task.step.spec.Gang || task.stallCount >= maxStalls {
 		return
 	}
-	p.log.Info("run makes no progress", "task", which.name, "run", one.number, "executor", home.id)
-	p.mistrust(home)
-	home.fails++
-	which.timesHung++
-	which.avoid = home.id
-	p.stopRun(one)
+	p.log.Info("run makes no progress", "task", task.name, "run", run.number, "executor", executor.id)
+	p.suspectMachine(executor)
+	executor.failures++
+	task.stallCount++
+	task.avoid = executor.id
+	p.stopRun(run)
 }
 
 // blame weighs a failure against its executor, less where the same task failed on another one before.
-func (p *Pool) blame(which *task, home *life) {
+func (p *Pool) blame(task *taskState, executor *executorState) {
 	switch {
-	case which.failedAt == nil:
-		which.failedAt = home
-		home.fails++
-	case which.failedAt == home:
-		home.fails++
+	case task.firstFailedOn == nil:
+		task.firstFailedOn = executor
+		executor.failures++
+	case task.firstFailedOn == executor:
+		executor.failures++
 	default:
-		home.fails += strange
-		p.excuse(which)
+		executor.failures += sharedFailureWeight
+		p.excuse(task)
 	}
 }
 
 // excuse gives back what the first executor was blamed for, once another one shows that the task itself fails.
-func (p *Pool) excuse(which *task) {
-	first := which.failedAt
-	if !which.isExcused && p.lives[first.id] == first {
-		first.fails = max(0, first.fails-(1-strange))
-		p.roster.note(first)
+func (p *Pool) excuse(task *taskState) {
+	first := task.firstFailedOn
+	if !task.isFailureExcused && p.executors[first.id] == first {
+		first.failures = max(0, first.failures-(1-sharedFailureWeight))
+		p.table.markChanged(first)
 	}
-	which.isExcused = true
+	task.isFailureExcused = true
 }
--- a/internal/scheduling/scheduler/trust_test.go
+++ b/internal/scheduling/scheduler/trust_test.go
@@ -19,9 +19,9 @@
 	var pool *scheduler.Pool
 	numbers := map[string]int64{}
 	settle := func() {
-		pool.Settle()
+		pool.Flush()
 		tenure.settle(nil)
-		pool.Settle()
+		pool.Flush()
 	}
 	exchange := func(life, machine string, change func(*wire.ExchangeCall)) (told wire.ExchangeAnswer) {
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: life, Proxy: machine, Fence: 3, ListNumber: 1 << 40,
@@ -64,7 +64,7 @@
 		})
 	}
 	handIn := func(number int) {
-		pool.HandIn(&wire.ClientCall{Route: "e", ID: fmt.Sprintf("%016x", number), Terms: &wire.RouteTerms{MaxAttempts: 9},
+		pool.Submit(&wire.ClientCall{Route: "e", ID: fmt.Sprintf("%016x", number), Terms: &wire.RouteTerms{MaxAttempts: 9},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)}, func(wire.ClientAnswer) {})
 		settle()
 	}
@@ -117,7 +117,7 @@
 		Expect(pool.Doubt("i-9")).To(BeZero())
 	})
 
-	for result, most := range map[string]float64{"room": 0, "sick": 0.3} {
+	for result, limit := range map[string]float64{"room": 0, "sick": 0.3} {
 		It("counts refusals of one moment once, and want of room not at all: "+result, func() {
 			var orders []wire.Order
 			for number := range 3 {
@@ -130,7 +130,7 @@
 				refuse("i-1", order, result)
 			}
 			exchange("i-9", "side-i-1", nil)
-			Expect(pool.Doubt("i-9")).To(BeNumerically("~", most, 0.02))
+			Expect(pool.Doubt("i-9")).To(BeNumerically("~", limit, 0.02))
 		})
 	}
 
--- a/internal/simulation/modelcheck/ordermodel/clientoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/clientoracles.go
@@ -99,7 +99,7 @@
 
 // isAtWork tells whether all tasks of a lasting job run.
 func (o *oracles) isAtWork(one *job) bool {
-	isAtWork := one.spec.Steps[0].Lasting
+	isAtWork := one.spec.Steps[0].LongRunning
 	one.eachTask(func(name string, _ *jobs.Step) { isAtWork = isAtWork && len(o.task(name).active) > 0 })
 	return isAtWork
 }
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -52,7 +52,7 @@
 	if one.step.Checkpointing {
 		e.checkpoint(one)
 	}
-	if one.isStuck || one.step.Lasting && one.how == howDone {
+	if one.isStuck || one.step.LongRunning && one.how == howDone {
 		return
 	}
 	e.later(one.length, func() { e.end(one, one.how) })
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -162,7 +162,7 @@
 		if one.isGoing && !one.isStuck && one.length > 0 {
 			percent = int(100 * (e.world.queue.now() - one.begunAt) / one.length)
 		}
-		if one.step.Lasting {
+		if one.step.LongRunning {
 			percent = int(e.world.queue.now()/(100*time.Millisecond)) % 100
 		}
 		reply.answer.Running = append(reply.answer.Running, executorapi.RunningRow{Task: one.task, Run: one.run, Checkpoint: one.saved, Percent: percent})
--- a/internal/simulation/modelcheck/ordermodel/plants.go
+++ b/internal/simulation/modelcheck/ordermodel/plants.go
@@ -79,7 +79,7 @@
 	case plantForgottenEarly:
 		timing.KeepEnded = forgottenAfter
 	case plantRoomReserved:
-		timing.Headroom.MostReserved, timing.Headroom.AlwaysAllowed, timing.Headroom.FirstRuns = 1, 0, 0
+		timing.ReservedCapacity.MaxReserved, timing.ReservedCapacity.AlwaysAllowed, timing.ReservedCapacity.FirstRunShare = 1, 0, 0
 	}
 	return timing
 }
--- a/internal/simulation/modelcheck/ordermodel/profile.go
+++ b/internal/simulation/modelcheck/ordermodel/profile.go
@@ -44,7 +44,7 @@
 	timing: scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, RemoteFactor: 1.5,
-		Headroom: scheduler.DefaultHeadroom},
+		ReservedCapacity: scheduler.DefaultReservedCapacity},
 	shapes: smallShapes, work: smallWork, gangWait: 3 * time.Second, cancelTime: 3 * time.Second, contactTime: 3 * time.Second,
 	settleTime: 40 * time.Second, lookEvery: 300 * time.Millisecond, stallEvery: 100 * time.Millisecond}
 
@@ -60,7 +60,7 @@
 	timing: scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
 		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 		StopTimeout: 900 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, RemoteFactor: 3,
-		Headroom: scheduler.DefaultHeadroom},
+		ReservedCapacity: scheduler.DefaultReservedCapacity},
 	shapes: largeShapes, work: largeWork, gangWait: 5 * time.Second, cancelTime: 5 * time.Second, contactTime: 5 * time.Second,
 	settleTime: 60 * time.Second, progressWithin: 20 * time.Second, lookEvery: 10 * time.Millisecond, stallEvery: 200 * time.Millisecond}
 
