--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -90,7 +90,7 @@
 }
 
 func (o *oracles) checkBudget(one *execution, owner *job, facts *task) {
-	if one.step.Lasting || one.step.Redundant {
+	if one.step.LongRunning || one.step.Redundant {
 		return
 	}
 	noted := 0
@@ -139,7 +139,7 @@
 			together++
 		}
 	}
-	if one.step.Apart > 0 && together > one.step.Apart {
+	if one.step.AntiAffinity > 0 && together > one.step.AntiAffinity {
 		o.world.violate("ROUTE", "%s run %d is one of %d tasks of its step on %s", one.task, one.run, together, executor.id)
 	}
 }
@@ -207,7 +207,7 @@
 			lastAt = max(lastAt, facts.failures[place].at)
 		}
 	}
-	if step.Lasting || step.Redundant || owner == nil || noted < owner.terms.MaxAttempts {
+	if step.LongRunning || step.Redundant || owner == nil || noted < owner.terms.MaxAttempts {
 		return
 	}
 	for _, begun := range facts.starts {
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -86,8 +86,8 @@
 			continue
 		}
 		slots := slotsIn(r.free[place], step)
-		if step.Apart > 0 {
-			slots = min(slots, int64(max(0, step.Apart-held(one))))
+		if step.AntiAffinity > 0 {
+			slots = min(slots, int64(max(0, step.AntiAffinity-held(one))))
 		}
 		if found += slots; found >= count {
 			return true
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -18,9 +18,9 @@
 	Close()
 	IsOpen() bool
 	Tick()
-	Settle()
+	Flush()
 	Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer))
-	HandIn(call *wire.ClientCall, answer func(wire.ClientAnswer))
+	Submit(call *wire.ClientCall, answer func(wire.ClientAnswer))
 	State(call *wire.ClientCall, answer func(wire.ClientAnswer))
 	Cancel(call *wire.ClientCall, answer func(wire.ClientAnswer))
 }
@@ -60,7 +60,7 @@
 
 func (s *steward) settle() {
 	if s.isUp && !s.isFrozen {
-		s.pool.Settle()
+		s.pool.Flush()
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	switch call.Verb {
 	case verbHandIn:
-		s.pool.HandIn(call, answer)
+		s.pool.Submit(call, answer)
 	case verbState:
 		s.pool.State(call, answer)
 	case verbCancel:
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -70,5 +70,5 @@
 
 func isRemote(step *jobs.Step, where *executor) bool {
 	isThere := func(label string) bool { return slices.Contains(where.labels, label) }
-	return len(step.Near) > 0 && !slices.ContainsFunc(step.Near, isThere)
+	return len(step.Affinity) > 0 && !slices.ContainsFunc(step.Affinity, isThere)
 }
--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -122,9 +122,9 @@
 	}
 	setMs(&timing.Grant, c.GrantMs)
 	setMs(&timing.Resend, c.ResendMs)
-	setMs(&timing.Headroom.LongWork, c.LongWorkMs)
-	set(&timing.Headroom.MostReserved, c.MostReserved)
-	set(&timing.Headroom.AlwaysAllowed, c.AlwaysAllowed)
+	setMs(&timing.ReservedCapacity.LongWork, c.LongWorkMs)
+	set(&timing.ReservedCapacity.MaxReserved, c.MostReserved)
+	set(&timing.ReservedCapacity.AlwaysAllowed, c.AlwaysAllowed)
 	timing.Grant = min(timing.Grant, timing.MaxHold)
 	return timing
 }
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -274,7 +274,7 @@
 
 // isLasting tells whether a job goes on until it is cancelled.
 func (j *playedJob) isLasting() bool {
-	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.Lasting })
+	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.LongRunning })
 }
 
 // aimMs counts from the hand-in: the queue's recorded stretch times the longest chain of work, and its target.
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -68,7 +68,7 @@
 // Estimate is how long the task's step is said to take, and whether it lasts.
 func (j *Judge) Estimate(task string) (length time.Duration, isLasting bool) {
 	step := j.need(task)
-	return clock.Milliseconds(step.EstimatedMs), step.Lasting
+	return clock.Milliseconds(step.EstimatedMs), step.LongRunning
 }
 
 func (j *Judge) isGang(task string) bool { return j.need(task).Gang }
@@ -102,7 +102,7 @@
 			j.problem("%s run %d started on %s after it was done", task, run, executor.ID)
 		}
 	}
-	if !step.Lasting && !step.Gang && facts.failed >= max(1, owner.maxAttempts) {
+	if !step.LongRunning && !step.Gang && facts.failed >= max(1, owner.maxAttempts) {
 		j.problem("%s run %d started after %d failures", task, run, facts.failed)
 	}
 	for _, earlier := range step.DependsOn {
@@ -115,7 +115,7 @@
 	}
 	facts.starts++
 	facts.running[executor] = run
-	if here := executor.runsOf(place); step.Apart > 0 && here > step.Apart {
+	if here := executor.runsOf(place); step.AntiAffinity > 0 && here > step.AntiAffinity {
 		j.problem("%s run %d is one of %d of its step on %s", task, run, here, executor.ID)
 	}
 }
@@ -141,7 +141,7 @@
 	owner := j.jobs[id]
 	for name, facts := range j.tasks {
 		step, place := j.step(name)
-		if place.ID != id || step.Lasting {
+		if place.ID != id || step.LongRunning {
 			continue
 		}
 		failed := len(facts.failedRuns)
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -97,7 +97,7 @@
 
 // settleKey lets the goroutines of a key's pool and of its engine run what waits, and says whether there was anything.
 func (n *Node) settleKey(key string) (wasBusy bool) {
-	n.pools[key].Settle()
+	n.pools[key].Flush()
 	for _, box := range []*mailbox.Mailbox{n.boxes[key], n.hosts[key].Mailbox()} {
 		for box.Step() {
 			wasBusy = true
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -73,7 +73,7 @@
 // DefaultTiming is that of a deployment with holds of 6 s.
 var DefaultTiming = scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
 	ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
-	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, Headroom: scheduler.DefaultHeadroom}
+	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, ReservedCapacity: scheduler.DefaultReservedCapacity}
 
 func evenWork(string, int64, *Executor) (time.Duration, string) {
 	return 200 * time.Millisecond, "done"
@@ -259,7 +259,7 @@
 			return
 		}
 		commands := map[wire.Verb]func(*wire.ClientCall, func(wire.ClientAnswer)){
-			wire.VerbSubmit: pool.HandIn, wire.VerbState: pool.State, wire.VerbCancel: pool.Cancel, wire.VerbCount: pool.Count}
+			wire.VerbSubmit: pool.Submit, wire.VerbState: pool.State, wire.VerbCancel: pool.Cancel, wire.VerbCount: pool.Count}
 		commands[ask.Verb](ask, told)
 	}, func(told wire.ClientAnswer, err error) {
 		if err == nil && !told.NotLeader {
--- a/internal/simulation/simcluster/stalls.go
+++ b/internal/simulation/simcluster/stalls.go
@@ -156,8 +156,8 @@
 }
 
 func (e *Executor) slots(step *jobs.Step, most int) int {
-	if step.Apart > 0 {
-		most = min(most, step.Apart)
+	if step.AntiAffinity > 0 {
+		most = min(most, step.AntiAffinity)
 	}
 	used := e.used()
 	freeCPU, freeMemory := e.Room.CPU-used.CPU, e.Room.Memory-used.Memory
