--- /dev/null
+++ b/internal/scheduling/scheduler/beliefs.go
@@ -0,0 +1,57 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/mailru/easyjson"
+
+	"gannetline/internal/cluster/peerapi/wire"
+)
+
+// Beliefs shows jobs and executors to a comparison.
+func (p *Pool) Beliefs() ([]wire.JobBelief, []wire.ExecutorBelief) {
+	var jobs []wire.JobBelief
+	var executors []wire.ExecutorBelief
+	for id, job := range p.jobs {
+		jobs = append(jobs, wire.JobBelief{Key: p.key, ID: id, State: string(job.shownState())})
+	}
+	for id, executor := range p.executors {
+		executors = append(executors, wire.ExecutorBelief{Key: p.key, Executor: id, State: executor.shownState(), Running: len(executor.runs)})
+	}
+	return jobs, executors
+}
+
+// JobsOn names the jobs with runs, as this leader knows, on the executors of a machine.
+func (p *Pool) JobsOn(machine string) []string {
+	found := map[string]bool{}
+	for _, executor := range p.executors {
+		if executor.proxy == machine {
+			for _, run := range executor.runs {
+				found[run.task.owner().id] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(found))
+}
+
+// JobsOf reads what a replica of the pool says of its jobs.
+func JobsOf(key string, pairs []wire.Op) []wire.JobBelief {
+	states := map[string]string{}
+	for _, pair := range pairs {
+		kind, id, _ := strings.Cut(pair.Name, "/")
+		var record stateRecord
+		switch {
+		case kind == "j" && states[id] == "":
+			states[id] = "open"
+		case kind == "s" && easyjson.Unmarshal(pair.Value, &record) == nil:
+			states[id] = record.State
+		}
+	}
+	var jobs []wire.JobBelief
+	for _, id := range slices.Sorted(maps.Keys(states)) {
+		jobs = append(jobs, wire.JobBelief{Key: key, ID: id, State: states[id]})
+	}
+	return jobs
+}
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -1,9 +1,7 @@
 package scheduler
 
 import (
-	"maps"
 	"net/http"
-	"slices"
 	"strconv"
 
 	"gannetline/internal/cluster/peerapi/wire"
@@ -46,15 +44,15 @@
 		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Reason: err.Error()})
 		return
 	}
-	p.meters.submissions.Inc()
-	job := &jobState{id: call.ID, spec: spec, state: stateQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+	p.metrics.submissions.Inc()
+	job := &jobState{id: call.ID, spec: spec, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
 	job.record = jobRecord{Route: call.Route, AcceptedMs: p.leadership.WallMs(), Spec: call.Body}
 	if call.Terms != nil {
 		job.record.Terms = *call.Terms
 	}
 	p.jobs[call.ID], p.awaitingRelease[call.ID] = job, job
 	p.queued[call.Route]++
-	p.putRecord("j/"+call.ID, job.record)
+	p.putRecord(prefixJob+call.ID, job.record)
 	job.record.Spec = nil
 	p.releaseDueOf(job, p.leadership.WallMs())
 	p.recorder.Record(recording.Event{Kind: recording.KindHandIn, AtMs: job.record.AcceptedMs, Queue: call.Route, ID: call.ID,
@@ -75,16 +73,16 @@
 		case job.isUnreadable && job.isOpen():
 			answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's record can't be read by this version"})
 		default:
-			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + job.shownState() + `"}`)})
+			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + string(job.shownState()) + `"}`)})
 		}
 	})
 }
 
-func (j *jobState) shownState() string {
-	if j.state == stateQueued && j.hasStarted {
-		return stateActive
+func (j *jobState) shownState() jobPhase {
+	if j.phase == jobQueued && j.hasStarted {
+		return jobActive
 	}
-	return j.state
+	return j.phase
 }
 
 // Count answers with the number of jobs that wait in a queue.
@@ -104,7 +102,7 @@
 	job := p.jobs[call.ID]
 	if job != nil && job.isOpen() {
 		p.recorder.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.leadership.WallMs(), ID: call.ID})
-		p.end(job, stateCancelled, "cancelled by its client")
+		p.end(job, jobCancelled, "cancelled by its client")
 	}
 	p.afterCommit(func(err error) {
 		switch {
@@ -117,41 +115,3 @@
 		}
 	})
 }
-
-// end closes a job for good and stops whatever of it still runs.
-func (p *Pool) end(job *jobState, state, why string) {
-	if job.state == stateQueued {
-		p.queued[job.record.Route]--
-	}
-	job.state, job.endedMs = state, p.leadership.WallMs()
-	p.putRecord("s/"+job.id, stateRecord{Route: job.record.Route, State: state, Reason: why, EndedMs: job.endedMs})
-	if state != stateCompleted {
-		p.log.V(1).Info("job ended", "job", job.id, "state", state, "reason", why)
-	}
-	for _, occurrence := range job.sortedOccurrences() {
-		for _, step := range occurrence.steps {
-			p.open.remove(step)
-			p.stopStep(step)
-			for _, task := range step.tasks {
-				if task.lastRun > 0 {
-					p.putTask(task)
-				}
-			}
-		}
-	}
-	for _, number := range slices.Sorted(maps.Keys(job.completedOccurrences)) {
-		p.dropRecord("k/" + job.id + "/" + strconv.Itoa(number))
-	}
-	p.forgetIfOver(job)
-}
-
-// forgetIfOver keeps only the end of a job once none of its runs is left.
-func (p *Pool) forgetIfOver(job *jobState) {
-	if job.isOpen() || job.runCount > 0 || job.spec == nil {
-		return
-	}
-	p.dropRecord("j/" + job.id)
-	job.spec, job.occurrences = nil, nil
-	delete(p.awaitingRelease, job.id)
-	p.insertEnded(job)
-}
--- /dev/null
+++ b/internal/scheduling/scheduler/completion.go
@@ -0,0 +1,171 @@
+package scheduler
+
+import (
+	"slices"
+	"strconv"
+	"time"
+
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/scheduling/jobs"
+	"gannetline/internal/scheduling/recording"
+)
+
+// handleEnd is the second transaction of an order: what became of the run.
+func (p *Pool) handleEnd(executor *executorState, end wire.EndReport) {
+	run := executor.runs[runKey{end.Task, end.Run}]
+	if run == nil {
+		p.handleAbandonedEnd(end)
+		return
+	}
+	ends.With(p.key, end.Outcome).Inc()
+	task, now := run.task, p.clock.Monotonic()
+	if end.Checkpoint != "" {
+		p.recordCheckpoint(task, end.Checkpoint)
+	}
+	p.recordStart(task.owner())
+	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: end.Outcome,
+		LengthMs: (now - run.startedAt).Milliseconds()})
+	switch end.Outcome {
+	case "done":
+		executor.successes++
+		executor.recordSuccess()
+		p.recordDuration(task.step, executor, now-run.startedAt)
+		p.closeRun(run)
+		p.completeTask(task)
+	case "failed":
+		p.blame(task, executor)
+		task.avoid = executor.id
+		p.countFailure(task, end.Run)
+		p.closeRun(run)
+	default:
+		p.closeRun(run)
+	}
+}
+
+// handleAbandonedEnd believes a run that was given up and came to its end all the same: its task must not start again.
+func (p *Pool) handleAbandonedEnd(end wire.EndReport) {
+	task := p.find(end.Task)
+	if end.Outcome != "done" || task == nil || task.isDone || end.Run > task.lastRun {
+		return
+	}
+	p.log.Info("abandoned run completed its task", "task", end.Task, "run", end.Run)
+	p.completeTask(task)
+}
+
+func (p *Pool) find(name string) *taskState {
+	place, isTask := jobs.ParseTask(name)
+	job := p.jobs[place.ID]
+	if !isTask || job == nil || job.spec == nil {
+		return nil
+	}
+	occurrence := job.occurrences[place.Time]
+	if occurrence == nil || place.Step >= len(occurrence.steps) || place.Index >= len(occurrence.steps[place.Step].tasks) {
+		return nil
+	}
+	return occurrence.steps[place.Step].tasks[place.Index]
+}
+
+func (p *Pool) recordCheckpoint(task *taskState, checkpoint string) {
+	if task.checkpoint == checkpoint || task.owner().spec == nil {
+		return
+	}
+	holder := task
+	if task.step.spec.Gang {
+		holder = task.step.tasks[0]
+	}
+	if holder.checkpoint != checkpoint && task.owner().isOpen() {
+		holder.checkpoint = checkpoint
+		p.putTask(holder)
+	}
+}
+
+func (t *taskState) latestCheckpoint() string {
+	if t.step.spec.Gang {
+		return t.step.tasks[0].checkpoint
+	}
+	return t.checkpoint
+}
+
+func (p *Pool) countFailure(task *taskState, number int64) {
+	step, job := task.step, task.owner()
+	if step.spec.LongRunning || !job.isOpen() || task.isDone {
+		task.notBefore = p.clock.Monotonic() + 100*time.Millisecond
+		step.notBefore = max(step.notBefore, task.notBefore)
+		return
+	}
+	counter := task
+	if step.spec.Gang {
+		counter = step.tasks[0]
+		if step.failedRun == number {
+			return
+		}
+		step.failedRun = number
+	}
+	counter.failed++
+	p.putTask(counter)
+	if counter.failed >= max(1, job.record.Terms.MaxAttempts) {
+		p.end(job, jobFailed, "task "+task.name+" failed "+strconv.Itoa(counter.failed)+" times")
+	}
+}
+
+func (p *Pool) completeTask(task *taskState) {
+	step, job := task.step, task.owner()
+	if task.isDone || !job.isOpen() {
+		return
+	}
+	finished := []*taskState{task}
+	if step.spec.Gang {
+		finished = step.tasks
+	}
+	for _, one := range finished {
+		if one.isDone {
+			continue
+		}
+		one.isDone = true
+		p.markChanged(one)
+		step.remaining--
+		p.putTask(one)
+		if !step.spec.Gang {
+			for _, other := range slices.Clone(one.runs) {
+				p.recordOvertaken(other)
+				p.stopRun(other)
+			}
+		}
+	}
+	if step.remaining == 0 {
+		p.completeStep(step)
+	}
+}
+
+func (p *Pool) completeStep(step *stepState) {
+	occurrence, job := step.occurrence, step.occurrence.job
+	p.open.remove(step)
+	occurrence.remaining--
+	if occurrence.remaining > 0 {
+		p.openReadySteps(occurrence)
+		return
+	}
+	job.completedOccurrences[occurrence.number] = true
+	if len(job.completedOccurrences) == job.occurrenceCount() {
+		p.end(job, jobCompleted, "")
+		return
+	}
+	p.putRecord(prefixOccurrence+job.id+"/"+strconv.Itoa(occurrence.number), timeRecord{Done: true})
+	for _, other := range occurrence.steps {
+		for _, task := range other.tasks {
+			if len(task.runs) == 0 {
+				p.dropRecord(prefixTask + task.name)
+			}
+		}
+	}
+	p.dropOccurrenceIfOver(job, occurrence)
+}
+
+func (p *Pool) dropOccurrenceIfOver(job *jobState, occurrence *occurrence) {
+	for _, step := range occurrence.steps {
+		if step.hasRuns() {
+			return
+		}
+	}
+	delete(job.occurrences, occurrence.number)
+}
--- a/internal/scheduling/scheduler/scratch_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -93,7 +93,7 @@
 			need, priority := run.task.step.need(), run.task.step.priority()
 			used = used.Plus(need)
 			taken[priority] = taken[priority].with(need, 1)
-			if run.state != runRunning {
+			if run.phase != runRunning {
 				pending[run] = true
 			}
 		}
@@ -108,7 +108,7 @@
 	var names []string
 	for _, executor := range p.executors {
 		for _, run := range executor.runs {
-			switch run.state {
+			switch run.phase {
 			case runLaunching:
 				names = append(names, orderName(run.task, run.number, kindLaunch))
 			case runStopping:
--- /dev/null
+++ b/internal/scheduling/scheduler/endedjobs.go
@@ -0,0 +1,64 @@
+package scheduler
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+)
+
+// end closes a job for good and stops whatever of it still runs.
+func (p *Pool) end(job *jobState, phase jobPhase, reason string) {
+	if job.phase == jobQueued {
+		p.queued[job.record.Route]--
+	}
+	job.phase, job.endedMs = phase, p.leadership.WallMs()
+	p.putRecord(prefixState+job.id, stateRecord{Route: job.record.Route, State: string(phase), Reason: reason, EndedMs: job.endedMs})
+	if phase != jobCompleted {
+		p.log.V(1).Info("job ended", "job", job.id, "state", phase, "reason", reason)
+	}
+	for _, occurrence := range job.sortedOccurrences() {
+		for _, step := range occurrence.steps {
+			p.open.remove(step)
+			p.stopStep(step)
+			for _, task := range step.tasks {
+				if task.lastRun > 0 {
+					p.putTask(task)
+				}
+			}
+		}
+	}
+	for _, number := range slices.Sorted(maps.Keys(job.completedOccurrences)) {
+		p.dropRecord(prefixOccurrence + job.id + "/" + strconv.Itoa(number))
+	}
+	p.forgetIfOver(job)
+}
+
+// forgetIfOver keeps only the end of a job once none of its runs is left.
+func (p *Pool) forgetIfOver(job *jobState) {
+	if job.isOpen() || job.runCount > 0 || job.spec == nil {
+		return
+	}
+	p.dropRecord(prefixJob + job.id)
+	job.spec, job.occurrences = nil, nil
+	delete(p.awaitingRelease, job.id)
+	p.insertEnded(job)
+}
+
+func (p *Pool) forgetEnded() {
+	nowMs := p.leadership.WallMs()
+	for len(p.endedJobs) > 0 && nowMs-p.endedJobs[0].endedMs > p.timing.KeepEnded.Milliseconds() {
+		delete(p.jobs, p.endedJobs[0].id)
+		p.dropRecord(prefixState + p.endedJobs[0].id)
+		p.endedJobs = p.endedJobs[1:]
+	}
+	p.forgetRenounced(nowMs)
+}
+
+// insertEnded keeps ended jobs in the order in which they may be forgotten.
+func (p *Pool) insertEnded(job *jobState) {
+	index, _ := slices.BinarySearchFunc(p.endedJobs, job, func(job, otherJob *jobState) int {
+		return cmp.Or(cmp.Compare(job.endedMs, otherJob.endedMs), cmp.Compare(job.id, otherJob.id))
+	})
+	p.endedJobs = slices.Insert(p.endedJobs, index, job)
+}
--- a/internal/scheduling/scheduler/trust.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -65,38 +65,38 @@
 }
 
 // learnPenalty lets a machine that lost trust begin with one run at a time, in a new life as well.
-func (l *executorState) learnPenalty(penalty float64) {
-	if !l.isKnown && penalty >= singleRunPenalty {
-		l.runLimit = 1
+func (e *executorState) learnPenalty(penalty float64) {
+	if !e.isKnown && penalty >= singleRunPenalty {
+		e.runLimit = 1
 	}
 	if penalty < singleRunPenalty {
-		l.runLimit = 0
+		e.runLimit = 0
 	}
-	l.penalty = penalty
+	e.penalty = penalty
 }
 
 // recordSuccess doubles what may run at once, as each success gives some trust back.
-func (l *executorState) recordSuccess() {
-	l.runLimit *= 2
-	if l.runLimit >= unlimitedRuns {
-		l.runLimit = 0
+func (e *executorState) recordSuccess() {
+	e.runLimit *= 2
+	if e.runLimit >= unlimitedRuns {
+		e.runLimit = 0
 	}
 }
 
 // remainingRuns is how many runs may be added, as placement counts them.
-func (l *executorState) remainingRuns() int {
+func (e *executorState) remainingRuns() int {
 	switch {
-	case l.runLimit == 0:
+	case e.runLimit == 0:
 		return 0
-	case len(l.runs) >= l.runLimit:
+	case len(e.runs) >= e.runLimit:
 		return placement.NoRuns
 	}
-	return l.runLimit - len(l.runs)
+	return e.runLimit - len(e.runs)
 }
 
 // overduePenalty weighs that an executor should have been heard again.
-func (l *executorState) overduePenalty(now time.Duration) float64 {
-	if now-l.contactAt > heartbeatOverdue {
+func (e *executorState) overduePenalty(now time.Duration) float64 {
+	if now-e.contactAt > heartbeatOverdue {
 		return overdueWeight
 	}
 	return 0
@@ -112,7 +112,7 @@
 // moveStalled stops a run that makes no progress, so that its task starts elsewhere. A task that hangs wherever it is, is left to it.
 func (p *Pool) moveStalled(run *runState) {
 	task, executor := run.task, run.executor
-	if !run.isStuck || run.state != runRunning || task.step.spec.LongRunning || task.step.spec.Gang || task.stallCount >= maxStalls {
+	if !run.isStuck || run.phase != runRunning || task.step.spec.LongRunning || task.step.spec.Gang || task.stallCount >= maxStalls {
 		return
 	}
 	p.log.Info("run makes no progress", "task", task.name, "run", run.number, "executor", executor.id)
--- /dev/null
+++ b/internal/scheduling/scheduler/gangs.go
@@ -0,0 +1,46 @@
+package scheduler
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// watchBrokenGang begins to watch a gang that has lost a member, whichever way: what is left of it can only wait.
+func (p *Pool) watchBrokenGang(step *stepState) {
+	if step.spec.Gang && step.hasRuns() && step.brokenAt == 0 {
+		step.brokenAt = p.clock.Monotonic()
+		p.brokenGangs[step] = true
+	}
+}
+
+// endGangWatch ends the watch over a gang that starts again, as the members it has now are not those that were broken.
+func (p *Pool) endGangWatch(step *stepState) {
+	step.brokenAt = 0
+	delete(p.brokenGangs, step)
+}
+
+func (p *Pool) tickBrokenGangs(now time.Duration) {
+	steps := slices.SortedFunc(maps.Keys(p.brokenGangs), func(one, two *stepState) int { return cmp.Compare(one.tasks[0].name, two.tasks[0].name) })
+	for _, step := range steps {
+		if step.remaining > 0 && step.occurrence.job.isOpen() {
+			p.tickBrokenGang(step, now)
+		}
+		if step.brokenAt == 0 || step.remaining == 0 || !step.occurrence.job.isOpen() {
+			delete(p.brokenGangs, step)
+		}
+	}
+}
+
+// tickBrokenGang stops the rest of a gang that lost a member, unless they ended by themselves.
+func (p *Pool) tickBrokenGang(step *stepState, now time.Duration) {
+	if !step.hasRuns() {
+		step.brokenAt = 0
+		p.needsPlacing = true
+		return
+	}
+	if now-step.brokenAt > time.Second {
+		p.stopStep(step)
+	}
+}
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -14,25 +14,32 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
+// prefixLength is that of all prefixes of records' names.
+const prefixLength = 2
+
+// errBadName refuses a record whose name is none of its kind.
+const errBadName = errors.ConstError("the record's name can't be read")
+
 // load rebuilds the tables from the committed records. No record keeps the key from being taken over, as the next
 // leader would find the same one: a job with a record that can't be read is set aside, and all others go on.
 func (p *Pool) load(pairs []wire.Op) {
-	kept := map[byte][]wire.Op{}
+	records := map[string][]wire.Op{}
 	for _, pair := range pairs {
-		if len(pair.Name) > 2 {
-			kept[pair.Name[0]] = append(kept[pair.Name[0]], pair)
+		if len(pair.Name) > prefixLength {
+			prefix := pair.Name[:prefixLength]
+			records[prefix] = append(records[prefix], pair)
 		}
 	}
-	p.loadEach(kept['j'], p.loadJob)
-	p.loadEach(kept['s'], p.loadState)
-	p.loadEach(kept['k'], p.loadOccurrence)
-	tasks := p.readTasks(kept['t'])
+	p.loadEach(records[prefixJob], p.loadJob)
+	p.loadEach(records[prefixState], p.loadState)
+	p.loadEach(records[prefixOccurrence], p.loadOccurrence)
+	tasks := p.readTasks(records[prefixTask])
 	p.releaseDue()
 	for _, loaded := range tasks {
 		p.loadTask(loaded)
 	}
-	p.loadEach(kept['e'], p.loadExecutor)
-	p.loadEach(kept['m'], p.loadRenounced)
+	p.loadEach(records[prefixExecutor], p.loadExecutor)
+	p.loadEach(records[prefixRenounced], p.loadRenounced)
 	slices.SortStableFunc(p.renounced.order, func(one, two renouncedID) int { return cmp.Compare(one.atMs, two.atMs) })
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		if job := p.jobs[id]; job.spec != nil {
@@ -41,13 +48,13 @@
 			p.insertEnded(job)
 		}
 	}
-	p.dropOrphanedOrders(kept['o'])
+	p.dropOrphanedOrders(records[prefixOrder])
 }
 
-// loadEach takes the records of one kind, whose names begin with two bytes that tell the kind.
+// loadEach takes the records of one kind, without the prefix of their names.
 func (p *Pool) loadEach(pairs []wire.Op, take func(name string, value []byte) error) {
 	for _, pair := range pairs {
-		if err := take(pair.Name[2:], pair.Value); err != nil {
+		if err := take(pair.Name[prefixLength:], pair.Value); err != nil {
 			p.noteUnreadable(pair.Name, err)
 		}
 	}
@@ -62,7 +69,7 @@
 func (p *Pool) Unreadable() []string { return p.unreadable }
 
 func (p *Pool) loadJob(id string, value []byte) error {
-	job := &jobState{id: id, state: stateQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+	job := &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
 	p.jobs[id], p.awaitingRelease[id] = job, job
 	if err := easyjson.Unmarshal(value, &job.record); err != nil {
 		p.setAside(job)
@@ -88,7 +95,7 @@
 func (p *Pool) loadState(id string, value []byte) error {
 	job, isKnown := p.jobs[id]
 	if !isKnown {
-		job = &jobState{id: id, state: stateQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+		job = &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
 		p.jobs[id] = job
 	}
 	var record stateRecord
@@ -99,7 +106,7 @@
 	if isKnown {
 		p.queued[job.record.Route]--
 	}
-	job.state, job.endedMs, job.record.Route = record.State, record.EndedMs, record.Route
+	job.phase, job.endedMs, job.record.Route = jobPhase(record.State), record.EndedMs, record.Route
 	return nil
 }
 
@@ -107,7 +114,7 @@
 	id, number, isWhole := strings.Cut(name, "/")
 	count, err := strconv.Atoi(number)
 	if !isWhole || err != nil {
-		return errors.New("not ID/K")
+		return errors.Annotate(errBadName, "not ID/K")
 	}
 	if job := p.jobs[id]; job != nil {
 		job.completedOccurrences[count] = true
@@ -130,8 +137,8 @@
 	for _, pair := range pairs {
 		loaded := loadedTask{name: pair.Name}
 		var isTask bool
-		if loaded.place, isTask = jobs.ParseTask(pair.Name[2:]); !isTask {
-			p.noteUnreadable(pair.Name, errors.New("not ID.K.STEP.INDEX"))
+		if loaded.place, isTask = jobs.ParseTask(pair.Name[prefixLength:]); !isTask {
+			p.noteUnreadable(pair.Name, errors.Annotate(errBadName, "not ID.K.STEP.INDEX"))
 			continue
 		}
 		loaded.job = p.jobs[loaded.place.ID]
@@ -180,7 +187,7 @@
 
 func (p *Pool) adopt(task *taskState, former runRecord) {
 	executor := p.executorOf(former.Executor)
-	run := &runState{task: task, number: former.Number, executor: executor, state: former.State, isCommitted: true, startedAt: p.openedAt, orderedAt: p.openedAt}
+	run := &runState{task: task, number: former.Number, executor: executor, phase: runPhase(former.State), isCommitted: true, startedAt: p.openedAt, orderedAt: p.openedAt}
 	p.addRun(run)
 	run.awaitedList = executor.listWanted
 }
--- a/internal/scheduling/scheduler/meters.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -41,7 +41,7 @@
 	shownAt                                                                   time.Duration
 }
 
-func newMeters(key string) poolMetrics {
+func newPoolMetrics(key string) poolMetrics {
 	return poolMetrics{key: key, submissions: submissions.With(key), placements: placements.With(key), starts: starts.With(key),
 		stops: stops.With(key), speculativeRuns: speculativeRuns.With(key), commits: commits.With(key), changes: changes.With(key),
 		tickSeconds: tickSeconds.With(key), placeSeconds: placeSeconds.With(key)}
@@ -49,7 +49,7 @@
 
 func (m *poolMetrics) sent(run *runState) {
 	kind := kindStop
-	if run.state == runLaunching {
+	if run.phase == runLaunching {
 		kind = kindLaunch
 	}
 	ordersSent.With(m.key, kind).Inc()
@@ -84,13 +84,13 @@
 }
 
 // shownState is the executor's state as operators see it.
-func (l *executorState) shownState() string {
+func (e *executorState) shownState() string {
 	switch {
-	case !l.isFenced:
+	case !e.isFenced:
 		return stateUnfenced
-	case l.isDraining:
+	case e.isDraining:
 		return stateDraining
-	case l.isUnschedulable:
+	case e.isUnschedulable:
 		return stateBlocked
 	}
 	return stateReady
--- a/internal/scheduling/scheduler/records.go
+++ b/internal/scheduling/scheduler/records.go
@@ -6,6 +6,17 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
+// The kinds of records, as the first two bytes of their names tell them.
+const (
+	prefixJob        = "j/"
+	prefixState      = "s/"
+	prefixOccurrence = "k/"
+	prefixTask       = "t/"
+	prefixOrder      = "o/"
+	prefixExecutor   = "e/"
+	prefixRenounced  = "m/"
+)
+
 //go:generate go run github.com/mailru/easyjson/easyjson -all records.go
 
 type jobRecord struct {
--- a/internal/scheduling/scheduler/records_easyjson.go
+++ b/internal/scheduling/scheduler/records_easyjson.go
@@ -4,6 +4,7 @@
 
 import (
 	json "encoding/json"
+
 	easyjson "github.com/mailru/easyjson"
 	jlexer "github.com/mailru/easyjson/jlexer"
 	jwriter "github.com/mailru/easyjson/jwriter"
--- /dev/null
+++ b/internal/scheduling/scheduler/release.go
@@ -0,0 +1,73 @@
+package scheduler
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"gannetline/internal/scheduling/jobs"
+)
+
+func (p *Pool) occurrenceOf(job *jobState, number int) *occurrence {
+	if occurrence := job.occurrences[number]; occurrence != nil {
+		return occurrence
+	}
+	occurrence := job.newOccurrence(number)
+	for stepNumber := range job.spec.Steps {
+		step := &stepState{occurrence: occurrence, number: stepNumber, spec: &job.spec.Steps[stepNumber], remaining: job.spec.Steps[stepNumber].Tasks}
+		for index := range step.remaining {
+			step.tasks = append(step.tasks, &taskState{name: jobs.TaskName(job.id, number, stepNumber, index), step: step, index: index})
+		}
+		step.idle = slices.Clone(step.tasks)
+		occurrence.steps = append(occurrence.steps, step)
+	}
+	occurrence.computeRemainingPaths()
+	job.occurrences[number] = occurrence
+	return occurrence
+}
+
+// releaseDue starts what has come due.
+func (p *Pool) releaseDue() {
+	var nowMs int64
+	if p.leadership != nil {
+		nowMs = p.leadership.WallMs()
+	}
+	if nowMs < p.nextReleaseMs {
+		return
+	}
+	p.nextReleaseMs = math.MaxInt64
+	for _, id := range slices.Sorted(maps.Keys(p.awaitingRelease)) {
+		p.releaseDueOf(p.awaitingRelease[id], nowMs)
+	}
+}
+
+func (p *Pool) releaseDueOf(job *jobState, nowMs int64) {
+	for job.isOpen() && job.nextOccurrence < job.occurrenceCount() && job.releaseMs(job.nextOccurrence) <= nowMs {
+		if number := job.nextOccurrence; !job.completedOccurrences[number] {
+			p.openReadySteps(p.occurrenceOf(job, number))
+		}
+		job.nextOccurrence++
+	}
+	if !job.isOpen() || job.nextOccurrence >= job.occurrenceCount() {
+		delete(p.awaitingRelease, job.id)
+		return
+	}
+	p.nextReleaseMs = min(p.nextReleaseMs, job.releaseMs(job.nextOccurrence))
+}
+
+func (p *Pool) openReadySteps(occurrence *occurrence) {
+	for _, step := range occurrence.steps {
+		if step.isOpen || step.remaining == 0 {
+			continue
+		}
+		isReady := true
+		for _, earlier := range step.spec.DependsOn {
+			isReady = isReady && occurrence.steps[earlier].remaining == 0
+		}
+		if isReady {
+			step.isOpen, step.openedAt, step.lastProgressAt = true, p.clock.Monotonic(), p.clock.Monotonic()
+			p.open.add(step)
+			p.needsPlacing = true
+		}
+	}
+}
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -39,7 +39,7 @@
 	}
 	if !p.renounced.ids[call.ID] {
 		p.renounced.add(call.ID, p.leadership.WallMs())
-		p.putRecord("m/"+call.ID, renouncedRecord{AtMs: p.leadership.WallMs()})
+		p.putRecord(prefixRenounced+call.ID, renouncedRecord{AtMs: p.leadership.WallMs()})
 	}
 	p.afterCommit(func(err error) {
 		if err != nil {
@@ -64,7 +64,7 @@
 	r := &p.renounced
 	for len(r.order) > 0 && nowMs-r.order[0].atMs > p.timing.KeepEnded.Milliseconds() {
 		delete(r.ids, r.order[0].id)
-		p.dropRecord("m/" + r.order[0].id)
+		p.dropRecord(prefixRenounced + r.order[0].id)
 		r.order = r.order[1:]
 	}
 }
--- a/internal/scheduling/scheduler/successors.go
+++ b/internal/scheduling/scheduler/replacedexecutors.go
@@ -17,14 +17,14 @@
 func (p *Pool) recordExecutor(executor *executorState) {
 	if !executor.isRecorded {
 		executor.isRecorded = true
-		p.putRecord("e/"+executor.id, executorRecord{Proxy: executor.proxy})
+		p.putRecord(prefixExecutor+executor.id, executorRecord{Proxy: executor.proxy})
 	}
 }
 
 func (p *Pool) loadExecutor(id string, value []byte) error {
 	executor := p.executors[id]
 	if executor == nil {
-		p.dropRecord("e/" + id)
+		p.dropRecord(prefixExecutor + id)
 		return nil
 	}
 	var record executorRecord
@@ -41,7 +41,7 @@
 		delete(p.newestOnMachine, executor.proxy)
 	}
 	if executor.isRecorded {
-		p.dropRecord("e/" + executor.id)
+		p.dropRecord(prefixExecutor + executor.id)
 	}
 }
 
@@ -59,6 +59,6 @@
 func (p *Pool) tidyRecord(executor *executorState, now time.Duration) {
 	if executor.isRecorded && len(executor.runs) == 0 && now-executor.idleSince > recordIdleTime {
 		executor.isRecorded = false
-		p.dropRecord("e/" + executor.id)
+		p.dropRecord(prefixExecutor + executor.id)
 	}
 }
--- /dev/null
+++ b/internal/scheduling/scheduler/reports.go
@@ -0,0 +1,139 @@
+package scheduler
+
+import (
+	"slices"
+
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/platform/clock"
+)
+
+func (p *Pool) handleOrderAnswer(executor *executorState, answer wire.OrderAnswer) {
+	run := executor.runs[runKey{answer.Task, answer.Run}]
+	if run == nil {
+		return
+	}
+	now := p.clock.Monotonic()
+	if answer.Kind == kindStop {
+		if run.phase == runStopping && answer.Result == ResultOK && !run.isAnswered {
+			run.isAnswered, run.answeredAt = true, now
+			p.dropRecord(orderName(run.task, run.number, kindStop))
+			p.putTask(run.task)
+		}
+		return
+	}
+	if run.phase != runLaunching {
+		return
+	}
+	isCertain := run.sendCount <= 1 && run.awaitedList == 0
+	switch answer.Result {
+	case ResultOK:
+		p.runStarted(run)
+		run.startedAt -= min(clock.Milliseconds(answer.AgeMs), now-run.orderedAt)
+	case ResultNotRun, ResultNoCapacity, ResultUnhealthy:
+		if answer.Result == ResultUnhealthy {
+			p.penalizeUnlessEjected(executor)
+			executor.failures++
+		}
+		if answer.Result != ResultNotRun {
+			executor.ejectedUntil = now + ejectionPause
+		}
+		run.task.avoid = executor.id
+		if isCertain {
+			p.closeRun(run)
+			return
+		}
+		p.stopRun(run)
+	case ResultUncertain:
+		p.stopRun(run)
+	case ResultTimeout:
+		executor.failures += 0.3
+	}
+}
+
+func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNews bool) {
+	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
+		return false
+	}
+	for _, end := range ends {
+		if end.Number > executor.takenEnd {
+			executor.takenEnd = end.Number
+			p.handleEnd(executor, end)
+		}
+	}
+	taken := executor.takenEnd
+	p.afterCommit(func(err error) {
+		if err == nil && taken > executor.lastSeen {
+			executor.lastSeen = taken
+		}
+	})
+	return true
+}
+
+func (p *Pool) handleChangedRuns(executor *executorState, changed []wire.RunReport) {
+	for _, report := range changed {
+		run := executor.runs[runKey{report.Task, report.Run}]
+		if run == nil {
+			continue
+		}
+		if report.Checkpoint != "" {
+			p.recordCheckpoint(run.task, report.Checkpoint)
+		}
+		run.isStuck = report.Stuck
+		p.moveStalled(run)
+	}
+}
+
+func (p *Pool) requestRunList(executor *executorState, run *runState) {
+	p.lastListNumber++
+	executor.listWanted, executor.listWantedAt = p.lastListNumber, p.clock.Monotonic()
+	run.awaitedList = p.lastListNumber
+	p.answerPoll(executor)
+}
+
+func (p *Pool) handleRunList(executor *executorState, call *wire.ExchangeCall) {
+	if call.ListNumber == 0 || !executor.isFenced {
+		return
+	}
+	running := map[runKey]bool{}
+	for _, report := range call.Running {
+		key := runKey{report.Task, report.Run}
+		running[key] = true
+		hasEnded := slices.ContainsFunc(call.Ends, func(end wire.EndReport) bool { return end.Task == report.Task && end.Run == report.Run })
+		if executor.runs[key] == nil && !hasEnded {
+			p.stopOrphan(executor, report)
+		}
+	}
+	for _, run := range executor.sortedRuns() {
+		if run.awaitedList == 0 || run.awaitedList > call.ListNumber {
+			continue
+		}
+		run.awaitedList = 0
+		p.resolve(run, running[run.key()])
+	}
+}
+
+// resolve settles a doubtful run by a look that was taken after the doubt arose.
+func (p *Pool) resolve(run *runState, isRunning bool) {
+	switch {
+	case run.phase == runLaunching && isRunning:
+		p.runStarted(run)
+	case run.phase == runLaunching:
+		run.sendCount = 0
+		p.queueOrder(run)
+	case run.phase == runRunning && !isRunning:
+		p.closeRun(run)
+	case run.phase == runStopping && run.isAnswered && !isRunning:
+		p.closeRun(run)
+	case run.phase == runStopping && !run.isAnswered:
+		p.queueOrder(run)
+	}
+}
+
+// stopOrphan stops a run that no record knows, such as one carried out long after its order was given up.
+func (p *Pool) stopOrphan(executor *executorState, report wire.RunReport) {
+	order := wire.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
+	if !slices.Contains(executor.orphanStops, order) {
+		p.log.Info("stopping orphaned run", "task", report.Task, "run", report.Run, "executor", executor.id)
+		executor.orphanStops = append(executor.orphanStops, order)
+	}
+}
--- a/internal/scheduling/scheduler/headroom.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -25,6 +25,17 @@
 // 1.5 s. First runs go past soft limits up to 60%: over half, as runs that have ended count as running until that is told.
 var DefaultReservedCapacity = ReservedCapacity{MaxReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond, FirstRunShare: 0.6}
 
+// capacityUse is what the runs of each priority take, and what each priority asked for at its peak.
+type capacityUse struct {
+	// allocations are of all runs that are not closed, by priority; a priority without runs has no entry.
+	allocations map[int]allocation
+	peaks       map[int]*peakDemand
+}
+
+func newCapacityUse() capacityUse {
+	return capacityUse{allocations: map[int]allocation{}, peaks: map[int]*peakDemand{}}
+}
+
 // peakDemand is the most that a priority asked for lately; it fades.
 type peakDemand struct {
 	cpu, memory float64
@@ -89,14 +100,16 @@
 	return allocation{u.resources.Plus(room), u.count + count}
 }
 
-func (p *Pool) allocate(priority int, need placement.Resources) {
-	p.allocations[priority] = p.allocations[priority].with(need, 1)
+// allocate counts a run that takes resources.
+func (c *capacityUse) allocate(priority int, need placement.Resources) {
+	c.allocations[priority] = c.allocations[priority].with(need, 1)
 }
 
-func (p *Pool) deallocate(priority int, need placement.Resources) {
-	p.allocations[priority] = p.allocations[priority].with(need, -1)
-	if p.allocations[priority].count == 0 {
-		delete(p.allocations, priority)
+// deallocate is the end of what allocate counted.
+func (c *capacityUse) deallocate(priority int, need placement.Resources) {
+	c.allocations[priority] = c.allocations[priority].with(need, -1)
+	if c.allocations[priority].count == 0 {
+		delete(c.allocations, priority)
 	}
 }
 
--- a/internal/scheduling/scheduler/spares.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -75,7 +75,7 @@
 
 // recordOvertaken counts a run that its spare overtook: it would have been longer still.
 func (p *Pool) recordOvertaken(run *runState) {
-	if run.state != runRunning {
+	if run.phase != runRunning {
 		return
 	}
 	if ratio, isKnown := run.task.step.ratio(p.clock.Monotonic() - run.startedAt); isKnown {
@@ -84,7 +84,7 @@
 }
 
 // slownessPenalty is 0 for an executor that keeps up with the others.
-func (l *executorState) slownessPenalty() float64 { return max(0, l.slowFactor-1.6) * 0.4 }
+func (e *executorState) slownessPenalty() float64 { return max(0, e.slowFactor-1.6) * 0.4 }
 
 // overdueAfter is when a run takes so long that something is wrong with its executor.
 func (s *stepState) overdueAfter() time.Duration {
@@ -119,11 +119,11 @@
 func speculateFrom(run *runState) time.Duration {
 	silent := run.executor.contactAt + silenceBeforeSpeculation + 1
 	switch {
-	case run.state == runStopping:
+	case run.phase == runStopping:
 		return never
-	case run.state == runLaunching && run.sendCount == 0:
+	case run.phase == runLaunching && run.sendCount == 0:
 		return silent
-	case run.state == runLaunching:
+	case run.phase == runLaunching:
 		return min(silent, run.orderedAt+unansweredBeforeSpeculation+1)
 	}
 	return min(silent, run.startedAt+run.task.step.overdueAfter()+1)
@@ -146,11 +146,11 @@
 
 func (p *Pool) needsSpeculation(run *runState, now time.Duration) bool {
 	switch executor := run.executor; {
-	case run.state == runStopping:
+	case run.phase == runStopping:
 		return false
 	case now-executor.contactAt > silenceBeforeSpeculation || executor.isUnschedulable:
 		return true
-	case run.state == runLaunching:
+	case run.phase == runLaunching:
 		return run.sendCount > 0 && now-run.orderedAt > unansweredBeforeSpeculation
 	}
 	return now-run.startedAt > run.task.step.overdueAfter()
--- /dev/null
+++ b/internal/scheduling/scheduler/step.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"gannetline/internal/scheduling/jobs"
+	"gannetline/internal/scheduling/placement"
+)
+
+type stepState struct {
+	occurrence *occurrence
+	number     int
+	spec       *jobs.Step
+	tasks      []*taskState
+	remaining  int
+	isOpen     bool
+	openedAt   time.Duration
+	// lastProgressAt is when a run of the step was last known to work, or when the step opened.
+	lastProgressAt  time.Duration
+	failedRun       int64
+	brokenAt        time.Duration
+	durations       []time.Duration
+	overdueFactor   float64
+	remainingPathMs int64
+	notBefore       time.Duration
+	idle            []*taskState
+	busy            []*taskState
+	requests        stepRequests
+}
+
+func (s *stepState) priority() int { return s.occurrence.job.record.Terms.Priority }
+
+func (s *stepState) need() placement.Resources {
+	return placement.Resources{CPU: s.spec.CPU, Memory: s.spec.Memory, GPU: s.spec.GPU}
+}
+
+func (s *stepState) lastRun() int64 {
+	var last int64
+	for _, one := range s.tasks {
+		last = max(last, one.lastRun)
+	}
+	return last
+}
+
+func (s *stepState) hasRuns() bool { return len(s.busy) > 0 }
+
+// classify keeps a task among those of its step that run, those that could, or neither.
+func (s *stepState) classify(task *taskState) {
+	s.busy = withMembership(s.busy, task, len(task.runs) > 0)
+	s.idle = withMembership(s.idle, task, len(task.runs) == 0 && !task.isDone)
+}
+
+func withMembership(list []*taskState, task *taskState, belongs bool) []*taskState {
+	index, exists := slices.BinarySearchFunc(list, task, func(one, two *taskState) int { return cmp.Compare(one.index, two.index) })
+	switch {
+	case belongs && !exists:
+		return slices.Insert(list, index, task)
+	case exists && !belongs && index == 0:
+		return list[1:]
+	case exists && !belongs:
+		return slices.Delete(list, index, index+1)
+	}
+	return list
+}
--- /dev/null
+++ b/internal/scheduling/scheduler/task.go
@@ -0,0 +1,63 @@
+package scheduler
+
+import (
+	"time"
+)
+
+// runPhase is how far a run is, as it is stored.
+type runPhase string
+
+// The phases of a run. An order is under way while it is launching or stopping.
+const (
+	runLaunching runPhase = "launching"
+	runRunning   runPhase = "running"
+	runStopping  runPhase = "stopping"
+)
+
+// The kinds of orders.
+const (
+	kindLaunch = "launch"
+	kindStop   = "stop"
+)
+
+type taskState struct {
+	name             string
+	step             *stepState
+	index            int
+	isDone           bool
+	failed           int
+	lastRun          int64
+	checkpoint       string
+	runs             []*runState
+	avoid            string
+	firstFailedOn    *executorState
+	isFailureExcused bool
+	stallCount       int
+	notBefore        time.Duration
+}
+
+func (t *taskState) owner() *jobState { return t.step.occurrence.job }
+
+type runState struct {
+	task        *taskState
+	number      int64
+	executor    *executorState
+	phase       runPhase
+	isCommitted bool
+	isQueued    bool
+	sendCount   int
+	sentAt      time.Duration
+	orderedAt   time.Duration
+	startedAt   time.Duration
+	answeredAt  time.Duration
+	isAnswered  bool
+	awaitedList uint64
+	isStuck     bool
+}
+
+func (r *runState) key() runKey { return runKey{r.task.name, r.number} }
+
+type runKey struct {
+	task   string
+	number int64
+}
