--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -67,7 +67,7 @@
 		s.voters[disk] = &voter{last: base, promised: 1}
 	}
 	s.pool = scheduler.New(key, s.clock, scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second,
-		Resend: 200 * time.Millisecond, ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
+		Resend: 200 * time.Millisecond, MaxResend: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: time.Minute, ReservedCapacity: scheduler.DefaultReservedCapacity},
 		logging.Silent())
 	s.host = poolhost.New(&slowPool{s.pool, s}, s.engineMailbox)
--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	mostDescriptor = 4000
-	mostSteps      = 256
-	mostTasks      = 20000
-	mostRepeats    = 100000
+	maxDescriptorBytes = 4000
+	maxSteps           = 256
+	maxTasks           = 20000
+	maxRepeats         = 100000
 )
 
 // Labels is one label or a list of them.
@@ -28,15 +28,15 @@
 		return
 	}
 	if !in.IsDelim('[') {
-		if word := in.String(); word != "" {
-			*w = Labels{word}
+		if label := in.String(); label != "" {
+			*w = Labels{label}
 		}
 		return
 	}
 	in.Delim('[')
 	for !in.IsDelim(']') {
-		if word := in.String(); word != "" {
-			*w = append(*w, word)
+		if label := in.String(); label != "" {
+			*w = append(*w, label)
 		}
 		in.WantComma()
 	}
@@ -50,11 +50,11 @@
 		return
 	}
 	out.RawByte('[')
-	for place, word := range w {
+	for place, label := range w {
 		if place > 0 {
 			out.RawByte(',')
 		}
-		out.String(word)
+		out.String(label)
 	}
 	out.RawByte(']')
 }
@@ -64,8 +64,8 @@
 	if len(id) != 16 {
 		return false
 	}
-	for _, letter := range id {
-		if !strings.ContainsRune("0123456789abcdefABCDEF", letter) {
+	for _, digit := range id {
+		if !strings.ContainsRune("0123456789abcdefABCDEF", digit) {
 			return false
 		}
 	}
@@ -92,21 +92,21 @@
 
 // checkSize refuses what is larger than a client may hand in.
 func (s *Spec) checkSize() error {
-	if len(s.Descriptor) > mostDescriptor {
-		return errors.Errorf("field task-descriptor is longer than %d bytes", mostDescriptor)
+	if len(s.Descriptor) > maxDescriptorBytes {
+		return errors.Errorf("field task-descriptor is longer than %d bytes", maxDescriptorBytes)
 	}
-	if len(s.Steps) > mostSteps {
-		return errors.Errorf("field step-list must hold 1 to %d steps", mostSteps)
+	if len(s.Steps) > maxSteps {
+		return errors.Errorf("field step-list must hold 1 to %d steps", maxSteps)
 	}
-	if s.RepeatCount > mostRepeats {
-		return errors.Errorf("field repeat-count is over %d", mostRepeats)
+	if s.RepeatCount > maxRepeats {
+		return errors.Errorf("field repeat-count is over %d", maxRepeats)
 	}
 	total := 0
 	for _, step := range s.Steps {
-		total += min(step.Tasks, mostTasks+1)
+		total += min(step.Tasks, maxTasks+1)
 	}
-	if total > mostTasks {
-		return errors.Errorf("field task-count: more than %d tasks in all", mostTasks)
+	if total > maxTasks {
+		return errors.Errorf("field task-count: more than %d tasks in all", maxTasks)
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 // check refuses what could not be run at all.
 func (s *Spec) check() error {
 	if len(s.Steps) == 0 {
-		return errors.Errorf("field step-list must hold 1 to %d steps", mostSteps)
+		return errors.Errorf("field step-list must hold 1 to %d steps", maxSteps)
 	}
 	if s.RepeatCount < 0 || s.PeriodMs < 0 || s.FirstRunMs < 0 {
 		return errors.New("fields repeat-count, period-ms and first-run-ms must not be negative")
--- a/internal/scheduling/placement/cost_test.go
+++ b/internal/scheduling/placement/cost_test.go
@@ -13,8 +13,8 @@
 	for _, size := range []int{62, 1000} {
 		draw := rand.New(rand.NewPCG(3, 3))
 		all := executors(size, 16000)
-		for place := range all {
-			all[place].Free = placement.Resources{CPU: 400 + int64(draw.IntN(700)), Memory: 1000}
+		for index := range all {
+			all[index].Free = placement.Resources{CPU: 400 + int64(draw.IntN(700)), Memory: 1000}
 		}
 		var groups []*placement.Group
 		for number := range 1000 {
--- a/internal/scheduling/placement/misses.go
+++ b/internal/scheduling/placement/misses.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// misses are needs that no executor had room for. Room only shrinks during a turn, so what asks for as much, or more,
+// misses are needs that no executor had capacity for. Capacity only shrinks during a turn, so what asks for as much, or more,
 // of executors with the same labels, or more labels, finds none either.
 type misses []miss
 
@@ -25,5 +25,5 @@
 }
 
 func hasAll(labels, wanted []string) bool {
-	return !slices.ContainsFunc(wanted, func(one string) bool { return !slices.Contains(labels, one) })
+	return !slices.ContainsFunc(wanted, func(label string) bool { return !slices.Contains(labels, label) })
 }
--- a/internal/scheduling/placement/most_test.go
+++ b/internal/scheduling/placement/most_test.go
@@ -8,10 +8,10 @@
 )
 
 var _ = Describe("an executor that is to earn trust", func() {
-	room := placement.Resources{CPU: 16000, Memory: 16000}
+	capacity := placement.Resources{CPU: 16000, Memory: 16000}
 	one := placement.Resources{CPU: 1000, Memory: 1000}
 	executors := func() []placement.Executor {
-		return []placement.Executor{{Free: room, Total: room, RunLimit: 2}, {Free: room, Total: room, Penalty: 1}}
+		return []placement.Executor{{Free: capacity, Total: capacity, RunLimit: 2}, {Free: capacity, Total: capacity, Penalty: 1}}
 	}
 	placedOn := func(placed []placement.Placement, executor int) (count int) {
 		for _, one := range placed {
--- a/internal/scheduling/placement/oracle_test.go
+++ b/internal/scheduling/placement/oracle_test.go
@@ -18,14 +18,14 @@
 	for number, group := range sparse {
 		dense := denseGroup{group, make([]int, executors), make([]bool, executors), make([]bool, executors)}
 		copy(dense.barred, group.Excluded)
-		for place, count := range group.RunsByExecutor {
-			dense.held[place] = count
+		for index, count := range group.RunsByExecutor {
+			dense.held[index] = count
 		}
-		for _, place := range group.Avoided {
-			dense.avoid[place] = true
+		for _, index := range group.Avoided {
+			dense.avoid[index] = true
 		}
-		for _, place := range group.ExcludedIndices {
-			dense.barred[place] = true
+		for _, index := range group.ExcludedIndices {
+			dense.barred[index] = true
 		}
 		groups[number] = dense
 	}
@@ -34,15 +34,15 @@
 
 // PlaceByWalking is the plain way to place: all executors are looked at for each task.
 func PlaceByWalking(executors []Executor, sparse []*Group, limits Limits) []Placement {
-	left, firstRuns := limits.Remaining, limits.FirstRunCPU
+	remaining, firstRunCPU := limits.Remaining, limits.FirstRunCPU
 	groups := denseGroups(sparse, len(executors))
 	free := make([]Resources, len(executors))
-	for place, executor := range executors {
-		free[place] = executor.Free
+	for index, executor := range executors {
+		free[index] = executor.Free
 	}
 	order := make([]int, len(groups))
-	for place := range order {
-		order[place] = place
+	for index := range order {
+		order[index] = index
 	}
 	slices.SortStableFunc(order, func(one, two int) int {
 		return cmp.Or(compareBools(groups[one].IsSpeculative, groups[two].IsSpeculative), compareBools(groups[one].Deadline == Expired, groups[two].Deadline == Expired),
@@ -52,8 +52,8 @@
 	reserved, added := make([]bool, len(executors)), make([]int, len(executors))
 	for _, number := range order {
 		group := &groups[number]
-		allowance := allowanceOf(left, group.Group)
-		isFirst := group.IsIdle && !group.IsSpeculative && firstRuns > 0
+		allowance := allowanceOf(remaining, group.Group)
+		isFirst := group.IsIdle && !group.IsSpeculative && firstRunCPU > 0
 		if group.IsGang {
 			if isFirst || allowance.covers(group.Need.Times(float64(group.Count))) {
 				gang := placeGang(executors, free, added, group, number)
@@ -61,20 +61,20 @@
 					gang = placeGang(unlimited(executors), free, added, group, number)
 				}
 				allowance.spend(group.Need.Times(float64(len(gang))))
-				firstRuns -= group.Need.CPU * int64(len(gang))
+				firstRunCPU -= group.Need.CPU * int64(len(gang))
 				placed = append(placed, gang...)
 			}
 			continue
 		}
-		held := slices.Clone(group.held)
+		runs := slices.Clone(group.held)
 		for count := range group.Count {
 			isFirst = isFirst && count == 0
 			if !isFirst && !allowance.covers(group.Need) {
 				break
 			}
-			best := choose(executors, free, reserved, added, group, held)
+			best := choose(executors, free, reserved, added, group, runs)
 			if best < 0 && isFirst {
-				best = choose(unlimited(executors), free, make([]bool, len(executors)), added, group, held)
+				best = choose(unlimited(executors), free, make([]bool, len(executors)), added, group, runs)
 			}
 			if best < 0 {
 				if !group.IsSpeculative && !group.IsLocalityRequired {
@@ -83,10 +83,10 @@
 				break
 			}
 			free[best] = free[best].Minus(group.Need)
-			held[best]++
+			runs[best]++
 			added[best]++
 			allowance.spend(group.Need)
-			firstRuns -= group.Need.CPU
+			firstRunCPU -= group.Need.CPU
 			placed = append(placed, Placement{number, best})
 		}
 	}
@@ -96,15 +96,15 @@
 // unlimited gives the executors without any bound on their runs.
 func unlimited(executors []Executor) []Executor {
 	all := slices.Clone(executors)
-	for place := range all {
-		all[place].RunLimit = 0
+	for index := range all {
+		all[index].RunLimit = 0
 	}
 	return all
 }
 
-func allowed(executor *Executor, group *denseGroup, held []int, place int) bool {
-	isBarred := len(group.barred) > place && group.barred[place]
-	if executor.IsUnschedulable || isBarred || group.AntiAffinity > 0 && held[place] >= group.AntiAffinity || group.IsLocalityRequired && !isNear(executor, group.Group) {
+func allowed(executor *Executor, group *denseGroup, runs []int, index int) bool {
+	isExcluded := len(group.barred) > index && group.barred[index]
+	if executor.IsUnschedulable || isExcluded || group.AntiAffinity > 0 && runs[index] >= group.AntiAffinity || group.IsLocalityRequired && !isLocal(executor, group.Group) {
 		return false
 	}
 	for _, label := range group.Labels {
@@ -115,20 +115,20 @@
 	return true
 }
 
-func choose(executors []Executor, free []Resources, reserved []bool, added []int, group *denseGroup, held []int) int {
+func choose(executors []Executor, free []Resources, reserved []bool, added []int, group *denseGroup, runs []int) int {
 	best, bestScore := -1, 0.0
-	for place := range executors {
-		executor := &executors[place]
-		isLimited := executor.RunLimit == NoRuns || executor.RunLimit > 0 && added[place] >= executor.RunLimit
-		if isLimited || reserved[place] || !allowed(executor, group, held, place) || !free[place].Fits(group.Need) {
+	for index := range executors {
+		executor := &executors[index]
+		isLimited := executor.RunLimit == NoRuns || executor.RunLimit > 0 && added[index] >= executor.RunLimit
+		if isLimited || reserved[index] || !allowed(executor, group, runs, index) || !free[index].Fits(group.Need) {
 			continue
 		}
-		score := rate(executor, free[place], group.Group)
-		if len(group.avoid) > place && group.avoid[place] {
+		score := fitScore(executor, free[index], group.Group)
+		if len(group.avoid) > index && group.avoid[index] {
 			score += 20
 		}
 		if best < 0 || score < bestScore {
-			best, bestScore = place, score
+			best, bestScore = index, score
 		}
 	}
 	return best
@@ -137,15 +137,15 @@
 // reserve keeps the emptiest executor for a large task, so that it does not starve behind small later ones.
 func reserve(executors []Executor, free []Resources, reserved []bool, group *denseGroup) {
 	best := -1
-	for place := range executors {
-		executor := &executors[place]
+	for index := range executors {
+		executor := &executors[index]
 		isLarge := 3*group.Need.CPU > executor.Total.CPU || 3*group.Need.Memory > executor.Total.Memory
-		mayUse := !(len(group.Excluded) > place && group.Excluded[place]) && hasAll(executor.Labels, group.Labels)
-		if !mayUse || reserved[place] || executor.IsUnschedulable || executor.RunLimit == NoRuns || !isLarge || !executor.Total.Fits(group.Need) {
+		mayUse := !(len(group.Excluded) > index && group.Excluded[index]) && hasAll(executor.Labels, group.Labels)
+		if !mayUse || reserved[index] || executor.IsUnschedulable || executor.RunLimit == NoRuns || !isLarge || !executor.Total.Fits(group.Need) {
 			continue
 		}
-		if best < 0 || free[place].CPU > free[best].CPU {
-			best = place
+		if best < 0 || free[index].CPU > free[best].CPU {
+			best = index
 		}
 	}
 	if best >= 0 {
@@ -166,35 +166,35 @@
 
 func racksByFree(executors []Executor, free []Resources) []string {
 	total := map[string]int64{}
-	for place, executor := range executors {
+	for index, executor := range executors {
 		if !executor.IsUnschedulable && executor.Rack != "" {
-			total[executor.Rack] += free[place].CPU
+			total[executor.Rack] += free[index].CPU
 		}
 	}
 	racks := make([]string, 0, len(total))
 	for rack := range total {
 		racks = append(racks, rack)
 	}
-	slices.SortFunc(racks, func(one, two string) int {
-		return cmp.Or(cmp.Compare(total[two], total[one]), cmp.Compare(one, two))
+	slices.SortFunc(racks, func(a, two string) int {
+		return cmp.Or(cmp.Compare(total[two], total[a]), cmp.Compare(a, two))
 	})
 	return racks
 }
 
 func fillGang(executors []Executor, free []Resources, added []int, group *denseGroup, number int, rack string) []Placement {
-	trial, held, counts := slices.Clone(free), slices.Clone(group.held), slices.Clone(added)
+	trial, runs, counts := slices.Clone(free), slices.Clone(group.held), slices.Clone(added)
 	closed := make([]bool, len(executors))
-	for place, executor := range executors {
-		closed[place] = rack != "" && executor.Rack != rack
+	for index, executor := range executors {
+		closed[index] = rack != "" && executor.Rack != rack
 	}
 	var placed []Placement
 	for range group.Count {
-		best := choose(executors, trial, closed, counts, group, held)
+		best := choose(executors, trial, closed, counts, group, runs)
 		if best < 0 {
 			return nil
 		}
 		trial[best] = trial[best].Minus(group.Need)
-		held[best]++
+		runs[best]++
 		counts[best]++
 		placed = append(placed, Placement{number, best})
 	}
@@ -228,11 +228,11 @@
 	slices.SortStableFunc(spares, compare)
 	line := Queue{}
 	order := slices.Concat(firsts, spares)
-	for place, number := range order {
-		if place == 0 {
+	for index, number := range order {
+		if index == 0 {
 			line.MinNeed = groups[number].Need
 		}
-		line.MinNeed = line.MinNeed.AtMost(groups[number].Need)
+		line.MinNeed = line.MinNeed.Min(groups[number].Need)
 		if groups[number].IsSpeculative {
 			line.Speculative = append(line.Speculative, groups[number])
 			continue
@@ -240,8 +240,8 @@
 		line.Groups = append(line.Groups, groups[number])
 	}
 	placed := Place(executors, line, limits)
-	for place := range placed {
-		placed[place].Group = order[placed[place].Group]
+	for index := range placed {
+		placed[index].Group = order[placed[index].Group]
 	}
 	return placed
 }
--- a/internal/scheduling/placement/placement_test.go
+++ b/internal/scheduling/placement/placement_test.go
@@ -15,8 +15,8 @@
 	var all []placement.Executor
 	for number := range count {
 		rack := fmt.Sprintf("r%d", number/2)
-		room := placement.Resources{CPU: cpu, Memory: 1000}
-		all = append(all, placement.Executor{Free: room, Total: room, Labels: []string{"a", rack}, Rack: rack})
+		capacity := placement.Resources{CPU: cpu, Memory: 1000}
+		all = append(all, placement.Executor{Free: capacity, Total: capacity, Labels: []string{"a", rack}, Rack: rack})
 	}
 	return all
 }
@@ -87,11 +87,11 @@
 	It("lets long work of lower priority leave what the urgent asked for lately", func() {
 		long, short := group(4, 10), group(1, 10)
 		long.Priority, long.IsLong, short.Priority = 2, true, 2
-		left := map[int]placement.Resources{2: {CPU: 20, Memory: 1000}}
-		placed := placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{long}, placement.Limits{Remaining: left})
+		remaining := map[int]placement.Resources{2: {CPU: 20, Memory: 1000}}
+		placed := placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{long}, placement.Limits{Remaining: remaining})
 		Expect(placed).To(HaveLen(2))
-		left = map[int]placement.Resources{2: {}}
-		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, placement.Limits{Remaining: left})).To(HaveLen(1))
+		remaining = map[int]placement.Resources{2: {}}
+		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, placement.Limits{Remaining: remaining})).To(HaveLen(1))
 	})
 
 	It("gives a spare run another executor, and only what is left over", func() {
@@ -107,9 +107,9 @@
 		draw := rand.New(rand.NewPCG(5, 5))
 		for range 2000 {
 			all := executors(1+draw.IntN(6), 20)
-			for place := range all {
-				all[place].Free.CPU = int64(draw.IntN(21))
-				all[place].IsUnschedulable = draw.IntN(5) == 0
+			for index := range all {
+				all[index].Free.CPU = int64(draw.IntN(21))
+				all[index].IsUnschedulable = draw.IntN(5) == 0
 			}
 			var groups []*placement.Group
 			for range draw.IntN(6) {
@@ -120,22 +120,22 @@
 				}
 				groups = append(groups, one)
 			}
-			used, held := map[int]int64{}, map[placement.Placement]int{}
+			used, runs := map[int]int64{}, map[placement.Placement]int{}
 			counts := map[int]int{}
 			for _, one := range placement.PlaceInAnyOrder(all, groups, placement.Limits{}) {
 				used[one.Executor] += groups[one.Group].Need.CPU
-				held[one]++
+				runs[one]++
 				counts[one.Group]++
 				Expect(all[one.Executor].IsUnschedulable).To(BeFalse())
 				if groups[one.Group].Labels != nil {
 					Expect(all[one.Executor].Rack).To(Equal("r0"))
 				}
 				if apart := groups[one.Group].AntiAffinity; apart > 0 {
-					Expect(held[one]).To(BeNumerically("<=", apart))
+					Expect(runs[one]).To(BeNumerically("<=", apart))
 				}
 			}
-			for place, cpu := range used {
-				Expect(cpu).To(BeNumerically("<=", all[place].Free.CPU))
+			for index, cpu := range used {
+				Expect(cpu).To(BeNumerically("<=", all[index].Free.CPU))
 			}
 			for number, count := range counts {
 				Expect(count).To(BeNumerically("<=", groups[number].Count))
@@ -159,11 +159,11 @@
 		draw := rand.New(rand.NewPCG(7, 7))
 		starts := 0
 		for range 4000 {
-			all, groups, left := drawPlacement(draw)
-			other, firstRuns := maps.Clone(left), max(0, int64(draw.IntN(400))-200)
-			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Remaining: left, FirstRunCPU: firstRuns})
-			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRuns})))
-			Expect(left).To(Equal(other))
+			all, groups, remaining := drawPlacement(draw)
+			other, firstRunCPU := maps.Clone(remaining), max(0, int64(draw.IntN(400))-200)
+			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Remaining: remaining, FirstRunCPU: firstRunCPU})
+			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRunCPU})))
+			Expect(remaining).To(Equal(other))
 			starts += len(placed)
 		}
 		Expect(starts).To(BeNumerically(">", 10000))
@@ -172,8 +172,8 @@
 
 func drawPlacement(draw *rand.Rand) ([]placement.Executor, []*placement.Group, map[int]placement.Resources) {
 	all := executors(1+draw.IntN(12), 20)
-	for place := range all {
-		one := &all[place]
+	for index := range all {
+		one := &all[index]
 		one.Total = placement.Resources{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
 		one.Free = placement.Resources{CPU: int64(draw.IntN(int(one.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: one.Total.GPU}
 		one.IsUnschedulable, one.Penalty = draw.IntN(5) == 0, float64(draw.IntN(3))/10
--- a/internal/scheduling/placement/reserve.go
+++ b/internal/scheduling/placement/reserve.go
@@ -2,45 +2,45 @@
 
 import "container/heap"
 
-// size is the executors of one total room that are open and not reserved: a heap with the emptiest on top.
-type size struct {
+// sizeClass is the executors of one total capacity that are open and not reserved: a heap with the emptiest on top.
+type sizeClass struct {
 	total      Resources
-	places     []emptiness
-	candidates []candidate
+	entries    []heapEntry
+	candidates []candidateState
 }
 
-// emptiness is the room an executor had when it was last looked at; a candidate may have less by now.
-type emptiness struct {
-	place     int
+// heapEntry is the CPU that was free on an executor when it was last looked at; a candidate may have less by now.
+type heapEntry struct {
+	index     int
 	cpu       int64
 	candidate int
 }
 
 const noCandidate = -1
 
-func (e emptiness) isBefore(other emptiness) bool {
-	return e.cpu > other.cpu || e.cpu == other.cpu && e.place < other.place
+func (e heapEntry) isEmptierThan(other heapEntry) bool {
+	return e.cpu > other.cpu || e.cpu == other.cpu && e.index < other.index
 }
 
-func (s *size) Len() int               { return len(s.places) }
-func (s *size) Less(one, two int) bool { return s.places[one].isBefore(s.places[two]) }
-func (s *size) Swap(one, two int)      { s.places[one], s.places[two] = s.places[two], s.places[one] }
+func (s *sizeClass) Len() int           { return len(s.entries) }
+func (s *sizeClass) Less(a, b int) bool { return s.entries[a].isEmptierThan(s.entries[b]) }
+func (s *sizeClass) Swap(a, b int)      { s.entries[a], s.entries[b] = s.entries[b], s.entries[a] }
 
 // Push does nothing; heap.Interface asks for it, but executors are only put in before heap.Init.
-func (s *size) Push(any) {}
+func (s *sizeClass) Push(any) {}
 
 // Pop leaves the last executor where heap.Remove has moved it; take cuts it off.
-func (s *size) Pop() any { return nil }
+func (s *sizeClass) Pop() any { return nil }
 
-func (s *size) suits(need Resources) bool {
+func (s *sizeClass) suits(need Resources) bool {
 	isLarge := 3*need.CPU > s.total.CPU || 3*need.Memory > s.total.Memory
-	return isLarge && len(s.places) > 0 && s.total.Fits(need)
+	return isLarge && len(s.entries) > 0 && s.total.Fits(need)
 }
 
 // emptiest brings up to date what lies on top until it is what it says.
-func (s *size) emptiest() emptiness {
+func (s *sizeClass) emptiest() heapEntry {
 	for {
-		top := &s.places[0]
+		top := &s.entries[0]
 		if top.candidate == noCandidate || s.candidates[top.candidate].free.CPU == top.cpu {
 			return *top
 		}
@@ -50,31 +50,31 @@
 }
 
 // take reserves an executor and removes it from the heap.
-func (s *size) take(number int) {
-	if one := s.places[number].candidate; one != noCandidate {
+func (s *sizeClass) take(number int) {
+	if one := s.entries[number].candidate; one != noCandidate {
 		s.candidates[one].isReserved = true
 	}
 	heap.Remove(s, number)
-	s.places = s.places[:len(s.places)-1]
+	s.entries = s.entries[:len(s.entries)-1]
 }
 
-// emptiestFor finds the emptiest executor that a group with labels, or with executors barred, may use at all.
-func (s *size) emptiestFor(group *Group, executors []Executor) (best emptiness, number int) {
+// emptiestFor finds the emptiest executor that a group with labels, or with executors excluded, may use at all.
+func (s *sizeClass) emptiestFor(group *Group, executors []Executor) (emptiest heapEntry, number int) {
 	number = -1
-	for place, one := range s.places {
-		if one.candidate != noCandidate {
-			one.cpu = s.candidates[one.candidate].free.CPU
+	for index, entry := range s.entries {
+		if entry.candidate != noCandidate {
+			entry.cpu = s.candidates[entry.candidate].free.CPU
 		}
-		isBarred := len(group.Excluded) > one.place && group.Excluded[one.place]
-		if !isBarred && hasAll(executors[one.place].Labels, group.Labels) && (number < 0 || one.isBefore(best)) {
-			best, number = one, place
+		isExcluded := len(group.Excluded) > entry.index && group.Excluded[entry.index]
+		if !isExcluded && hasAll(executors[entry.index].Labels, group.Labels) && (number < 0 || entry.isEmptierThan(emptiest)) {
+			emptiest, number = entry, index
 		}
 	}
-	return best, number
+	return emptiest, number
 }
 
 // findEmptiest gives the emptiest executor of this size that a group may use, by its number in the heap.
-func (s *size) findEmptiest(group *Group, executors []Executor) (best emptiness, number int) {
+func (s *sizeClass) findEmptiest(group *Group, executors []Executor) (emptiest heapEntry, number int) {
 	if len(group.Labels) == 0 && group.Excluded == nil {
 		return s.emptiest(), 0
 	}
@@ -84,58 +84,58 @@
 // reserve keeps the emptiest executor for a large task, so that it does not starve behind small later ones. One that
 // the task can't use is left to others.
 func (t *turn) reserve(group *Group) {
-	if 3*group.Need.CPU <= t.smallest.CPU && 3*group.Need.Memory <= t.smallest.Memory {
+	if 3*group.Need.CPU <= t.smallestTotal.CPU && 3*group.Need.Memory <= t.smallestTotal.Memory {
 		return
 	}
-	if t.sizes == nil {
-		t.sizes = t.bySize()
+	if t.sizeClasses == nil {
+		t.sizeClasses = t.bySizeClass()
 	}
-	var best emptiness
-	var of *size
+	var emptiest heapEntry
+	var chosen *sizeClass
 	var inHeap int
-	for _, one := range t.sizes {
-		if !one.suits(group.Need) {
+	for _, class := range t.sizeClasses {
+		if !class.suits(group.Need) {
 			continue
 		}
-		if top, number := one.findEmptiest(group, t.executors); number >= 0 && (of == nil || top.isBefore(best)) {
-			best, of, inHeap = top, one, number
+		if top, number := class.findEmptiest(group, t.executors); number >= 0 && (chosen == nil || top.isEmptierThan(emptiest)) {
+			emptiest, chosen, inHeap = top, class, number
 		}
 	}
-	if of == nil {
+	if chosen == nil {
 		return
 	}
-	of.take(inHeap)
-	t.open--
-	t.isMostOld = true
+	chosen.take(inHeap)
+	t.openCount--
+	t.isLargestFreeStale = true
 }
 
-func (t *turn) bySize() []*size {
-	sizes := []*size{}
-	known := map[Resources]*size{}
+func (t *turn) bySizeClass() []*sizeClass {
+	sizes := []*sizeClass{}
+	known := map[Resources]*sizeClass{}
 	next := 0
-	for place := range t.executors {
-		executor := &t.executors[place]
-		isCandidate := next < len(t.candidates) && t.candidates[next].place == place
+	for index := range t.executors {
+		executor := &t.executors[index]
+		isCandidate := next < len(t.candidates) && t.candidates[next].index == index
 		if isCandidate {
 			next++
 		}
 		if executor.isShut() {
 			continue
 		}
-		of := known[executor.Total]
-		if of == nil {
-			of = &size{total: executor.Total, candidates: t.candidates}
-			known[executor.Total] = of
-			sizes = append(sizes, of)
+		class := known[executor.Total]
+		if class == nil {
+			class = &sizeClass{total: executor.Total, candidates: t.candidates}
+			known[executor.Total] = class
+			sizes = append(sizes, class)
 		}
-		one := emptiness{place, executor.Free.CPU, noCandidate}
+		entry := heapEntry{index, executor.Free.CPU, noCandidate}
 		if isCandidate {
-			one.candidate, one.cpu = next-1, t.candidates[next-1].free.CPU
+			entry.candidate, entry.cpu = next-1, t.candidates[next-1].free.CPU
 		}
-		of.places = append(of.places, one)
+		class.entries = append(class.entries, entry)
 	}
-	for _, one := range sizes {
-		heap.Init(one)
+	for _, class := range sizes {
+		heap.Init(class)
 	}
 	return sizes
 }
--- a/internal/scheduling/recording/event.go
+++ b/internal/scheduling/recording/event.go
@@ -13,11 +13,11 @@
 // Version is that of the format; docs/recording.md describes it.
 const Version = 1
 
-// The kinds of lines: the header of a file, a job handed in, a job cancelled, a configuration, an executor's state, the
+// The kinds of lines: the header of a file, a job submitted, a job cancelled, a configuration, an executor's state, the
 // end of a run, and how many lines were lost.
 const (
 	KindHeader   = "header"
-	KindHandIn   = "hand-in"
+	KindSubmit   = "hand-in"
 	KindCancel   = "cancel"
 	KindPlan     = "plan"
 	KindExecutor = "executor"
@@ -41,7 +41,7 @@
 	How        string              `json:"how,omitempty"`
 	LengthMs   int64               `json:"length-ms,omitempty"`
 	Machine    string              `json:"machine,omitempty"`
-	Room       wire.Capacity       `json:"room"`
+	Capacity   wire.Capacity       `json:"room"`
 	Labels     []string            `json:"labels,omitempty"`
 	IsDraining bool                `json:"draining,omitempty"`
 	Plan       int64               `json:"plan,omitempty"`
--- a/internal/scheduling/recording/event_easyjson.go
+++ b/internal/scheduling/recording/event_easyjson.go
@@ -113,7 +113,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Room).UnmarshalEasyJSON(in)
+				(out.Capacity).UnmarshalEasyJSON(in)
 			}
 		case "labels":
 			if in.IsNull() {
@@ -242,7 +242,7 @@
 	{
 		const prefix string = ",\"room\":"
 		out.RawString(prefix)
-		(in.Room).MarshalEasyJSON(out)
+		(in.Capacity).MarshalEasyJSON(out)
 	}
 	if len(in.Labels) != 0 {
 		const prefix string = ",\"labels\":"
--- a/internal/scheduling/recording/read.go
+++ b/internal/scheduling/recording/read.go
@@ -14,8 +14,8 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// longestLine is in bytes.
-const longestLine = 8 << 20
+// maxLineBytes is in bytes.
+const maxLineBytes = 8 << 20
 
 // Day is what was read: events in order of time, and what is missing. Lost counts the lines that were never written,
 // Skipped those that could not be read.
@@ -47,7 +47,7 @@
 
 func (d *Day) read(from io.Reader, path string, isLenient bool) error {
 	lines := bufio.NewScanner(from)
-	lines.Buffer(make([]byte, 64<<10), longestLine)
+	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
 	var last int64
 	hasHeader := false
 	for number := 1; lines.Scan(); number++ {
@@ -82,9 +82,9 @@
 	return nil
 }
 
-func decode(line []byte) (Event, error) {
+func decode(text []byte) (Event, error) {
 	var event Event
-	err := easyjson.Unmarshal(slices.Clone(line), &event)
+	err := easyjson.Unmarshal(slices.Clone(text), &event)
 	return event, errors.Annotate(err, "a broken line")
 }
 
@@ -99,7 +99,7 @@
 		return errors.Errorf("field at-ms: the time goes backwards, from %d to %d", last, event.AtMs)
 	}
 	switch event.Kind {
-	case KindHandIn:
+	case KindSubmit:
 		if !jobs.IsID(event.ID) {
 			return errors.Errorf("field id: %q is not 16 hex digits", event.ID)
 		}
@@ -114,7 +114,7 @@
 			return errors.New("field task or length-ms is wrong")
 		}
 	case KindExecutor:
-		if event.Machine == "" || event.Room.CPU < 0 {
+		if event.Machine == "" || event.Capacity.CPU < 0 {
 			return errors.New("field machine or room is wrong")
 		}
 	case KindHeader, KindPlan, KindLost:
@@ -131,7 +131,7 @@
 	d.Events = slices.DeleteFunc(d.Events, func(event Event) bool {
 		var name string
 		switch event.Kind {
-		case KindHandIn, KindCancel:
+		case KindSubmit, KindCancel:
 			name = event.Kind + event.ID
 		case KindEnd:
 			name = event.Task + "/" + strconv.FormatInt(event.Run, 10)
--- a/internal/scheduling/recording/write.go
+++ b/internal/scheduling/recording/write.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// mostWaiting is how many events wait for the writer at most.
-	mostWaiting = 65536
+	// maxQueuedEvents is how many events wait for the writer at most.
+	maxQueuedEvents = 65536
 	// longestFile is in bytes; what comes after that is counted as lost.
 	longestFile = 24 << 20
 )
@@ -34,7 +34,7 @@
 func NewWriter(path, node string, withDescriptors bool) *Writer {
 	lost := make(chan int64, 1)
 	lost <- 0
-	return &Writer{lines: make(chan Event, mostWaiting), lost: lost, path: path, node: node, withDescriptors: withDescriptors}
+	return &Writer{lines: make(chan Event, maxQueuedEvents), lost: lost, path: path, node: node, withDescriptors: withDescriptors}
 }
 
 // Record hands an event to the writer. It never blocks: what doesn't fit is counted as lost.
@@ -97,7 +97,7 @@
 func (w *Writer) put(out *bufio.Writer, event Event) {
 	if lost := <-w.lost; lost > 0 && w.size < longestFile {
 		w.lost <- 0
-		w.line(out, Event{Kind: KindLost, AtMs: event.AtMs, Count: lost})
+		w.writeLine(out, Event{Kind: KindLost, AtMs: event.AtMs, Count: lost})
 	} else {
 		w.lost <- lost
 	}
@@ -105,14 +105,14 @@
 		w.lost <- <-w.lost + 1
 		return
 	}
-	if event.Kind == KindHandIn && !w.withDescriptors {
+	if event.Kind == KindSubmit && !w.withDescriptors {
 		event.Body = withoutDescriptor(event.Body)
 	}
-	w.line(out, event)
+	w.writeLine(out, event)
 }
 
-// line writes one line, whose time is never before that of the line above.
-func (w *Writer) line(out *bufio.Writer, event Event) {
+// writeLine writes one line, whose time is never before that of the line above.
+func (w *Writer) writeLine(out *bufio.Writer, event Event) {
 	w.last = max(w.last, event.AtMs)
 	event.AtMs = w.last
 	text, err := easyjson.Marshal(event)
--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -105,7 +105,7 @@
 		Entry("at the next leader", func() { start(); open(4) }, 200, "cancelled"),
 	)
 
-	It("acknowledges a cancel that comes while the hand-in is being committed", func() {
+	It("acknowledges a cancel that comes while the submission is being committed", func() {
 		open(4)
 		var handedIn, cancelled int
 		other := &wire.ClientCall{Route: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &wire.RouteTerms{MaxAttempts: 2}}
--- a/internal/scheduling/scheduler/beliefs.go
+++ b/internal/scheduling/scheduler/beliefs.go
@@ -25,15 +25,15 @@
 
 // JobsOn names the jobs with runs, as this leader knows, on the executors of a machine.
 func (p *Pool) JobsOn(machine string) []string {
-	found := map[string]bool{}
+	jobIDs := map[string]bool{}
 	for _, executor := range p.executors {
 		if executor.proxy == machine {
 			for _, run := range executor.runs {
-				found[run.task.owner().id] = true
+				jobIDs[run.task.owner().id] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(found))
+	return slices.Sorted(maps.Keys(jobIDs))
 }
 
 // JobsOf reads what a replica of the pool says of its jobs.
--- a/internal/scheduling/scheduler/changeset.go
+++ b/internal/scheduling/scheduler/changeset.go
@@ -20,12 +20,12 @@
 	opTasks []*taskState
 	// callbacks run once all that was recorded so far is committed.
 	callbacks []func(error)
-	// inFlight are the commits under way, in their order.
-	inFlight []*commitInFlight
+	// pendingCommits are the commits under way, in their order.
+	pendingCommits []*pendingCommit
 }
 
-// commitInFlight is a change that was proposed, with what follows its commit.
-type commitInFlight struct{ callbacks []func(error) }
+// pendingCommit is a change that was proposed, with what follows its commit.
+type pendingCommit struct{ callbacks []func(error) }
 
 func newChangeSet() changeSet { return changeSet{opIndex: map[string]int{}} }
 
@@ -51,18 +51,18 @@
 // takeCallbacks gives all callbacks, those of commits under way first.
 func (c *changeSet) takeCallbacks() []func(error) {
 	var all []func(error)
-	for _, commit := range c.inFlight {
+	for _, commit := range c.pendingCommits {
 		all = append(all, commit.callbacks...)
 	}
 	return append(all, c.callbacks...)
 }
 
 // begin makes a commit of the change set, and leaves the set empty.
-func (c *changeSet) begin() (*commitInFlight, []wire.Op) {
-	commit, ops := &commitInFlight{callbacks: c.callbacks}, c.ops
+func (c *changeSet) begin() (*pendingCommit, []wire.Op) {
+	commit, ops := &pendingCommit{callbacks: c.callbacks}, c.ops
 	c.ops, c.opTasks, c.callbacks = nil, c.opTasks[:0], nil
 	clear(c.opIndex)
-	c.inFlight = append(c.inFlight, commit)
+	c.pendingCommits = append(c.pendingCommits, commit)
 	return commit, ops
 }
 
@@ -71,8 +71,8 @@
 func (c *changeSet) flushReads() {
 	callbacks := c.callbacks
 	c.callbacks = nil
-	if len(c.inFlight) > 0 {
-		last := c.inFlight[len(c.inFlight)-1]
+	if len(c.pendingCommits) > 0 {
+		last := c.pendingCommits[len(c.pendingCommits)-1]
 		last.callbacks = append(last.callbacks, callbacks...)
 		return
 	}
@@ -107,8 +107,8 @@
 	p.metrics.commits.Inc()
 	p.metrics.changes.Add(len(ops))
 	p.leadership.Commit(ops, func(err error) {
-		if len(p.inFlight) > 0 && p.inFlight[0] == commit {
-			p.inFlight = p.inFlight[1:]
+		if len(p.pendingCommits) > 0 && p.pendingCommits[0] == commit {
+			p.pendingCommits = p.pendingCommits[1:]
 			for _, callback := range commit.callbacks {
 				callback(err)
 			}
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -55,7 +55,7 @@
 	p.putRecord(prefixJob+call.ID, job.record)
 	job.record.Spec = nil
 	p.releaseDueOf(job, p.leadership.WallMs())
-	p.recorder.Record(recording.Event{Kind: recording.KindHandIn, AtMs: job.record.AcceptedMs, Queue: call.Route, ID: call.ID,
+	p.recorder.Record(recording.Event{Kind: recording.KindSubmit, AtMs: job.record.AcceptedMs, Queue: call.Route, ID: call.ID,
 		Terms: job.record.Terms, Body: call.Body})
 	p.afterCommit(accepted)
 }
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// handleAbandonedEnd believes a run that was given up and came to its end all the same: its task must not start again.
+// handleAbandonedEnd believes a run that was abandoned and came to its end all the same: its task must not start again.
 func (p *Pool) handleAbandonedEnd(end wire.EndReport) {
 	task := p.find(end.Task)
 	if end.Outcome != "done" || task == nil || task.isDone || end.Run > task.lastRun {
@@ -117,16 +117,16 @@
 	if step.spec.Gang {
 		finished = step.tasks
 	}
-	for _, one := range finished {
-		if one.isDone {
+	for _, member := range finished {
+		if member.isDone {
 			continue
 		}
-		one.isDone = true
-		p.markChanged(one)
+		member.isDone = true
+		p.markChanged(member)
 		step.remaining--
-		p.putTask(one)
+		p.putTask(member)
 		if !step.spec.Gang {
-			for _, other := range slices.Clone(one.runs) {
+			for _, other := range slices.Clone(member.runs) {
 				p.recordOvertaken(other)
 				p.stopRun(other)
 			}
--- a/internal/scheduling/scheduler/consistency_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -13,14 +13,14 @@
 
 // Differences names what the pool keeps and what is not what comes out when it is worked out from nothing.
 func (p *Pool) Differences() []string {
-	var found []string
+	var jobIDs []string
 	compare := func(what string, kept, current any) {
 		if !reflect.DeepEqual(kept, current) {
-			found = append(found, fmt.Sprintf("%s: kept %+v, worked out %+v", what, kept, current))
+			jobIDs = append(jobIDs, fmt.Sprintf("%s: kept %+v, worked out %+v", what, kept, current))
 		}
 	}
 	now := p.clock.Monotonic()
-	lives := slices.SortedFunc(maps.Values(p.executors), func(executor, otherExecutor *executorState) int { return cmp.Compare(executor.id, otherExecutor.id) })
+	lives := slices.SortedFunc(maps.Values(p.executors), func(executor, b *executorState) int { return cmp.Compare(executor.id, b.id) })
 	compare("lives", plain(p.table.sorted), plain(lives))
 	executors := slices.Clone(p.placementView(now))
 	var open, all placement.Resources
@@ -69,7 +69,7 @@
 		}
 		compare("asked", list.demand, asked)
 	}
-	return found
+	return jobIDs
 }
 
 // plain makes no difference between a list that is empty and one that is not there.
@@ -126,8 +126,8 @@
 			ended = append(ended, job)
 		}
 	}
-	slices.SortFunc(ended, func(job, otherJob *jobState) int {
-		return cmp.Or(cmp.Compare(job.endedMs, otherJob.endedMs), cmp.Compare(job.id, otherJob.id))
+	slices.SortFunc(ended, func(job, b *jobState) int {
+		return cmp.Or(cmp.Compare(job.endedMs, b.endedMs), cmp.Compare(job.id, b.id))
 	})
 	return ended
 }
@@ -148,34 +148,34 @@
 }
 
 func (p *Pool) brokenAndOpen() map[string]bool {
-	found := map[string]bool{}
+	jobIDs := map[string]bool{}
 	for step := range p.brokenGangs {
 		if step.remaining > 0 && step.occurrence.job.isOpen() {
-			found[step.tasks[0].name] = true
+			jobIDs[step.tasks[0].name] = true
 		}
 	}
-	return found
+	return jobIDs
 }
 
 func (p *Pool) brokenFromNothing() map[string]bool {
-	found := map[string]bool{}
+	jobIDs := map[string]bool{}
 	for _, step := range p.openFromNothing() {
 		if step.brokenAt > 0 {
-			found[step.tasks[0].name] = true
+			jobIDs[step.tasks[0].name] = true
 		}
 	}
-	return found
+	return jobIDs
 }
 
 func (p *Pool) requestsFromNothing(steps []*stepState, now time.Duration) []*placementRequest {
-	var found []*placementRequest
+	var jobIDs []*placementRequest
 	for _, step := range steps {
 		ready := where(step, func(task *taskState) bool {
 			return !task.isDone && len(task.runs) == 0 && task.notBefore <= now && !(step.spec.Gang && step.hasRuns())
 		})
 		if len(ready) > 0 {
 			group := p.group(step, ready)
-			found = append(found, &placementRequest{step, ready, &group})
+			jobIDs = append(jobIDs, &placementRequest{step, ready, &group})
 		}
 		candidates := where(step, func(task *taskState) bool {
 			return step.spec.Redundant && !step.spec.Gang && !task.isDone && len(task.runs) == 1 && p.needsSpeculation(task.runs[0], now)
@@ -188,14 +188,14 @@
 		}
 		for _, task := range candidates {
 			group := p.speculativeGroup(task)
-			found = append(found, &placementRequest{step, []*taskState{task}, &group})
+			jobIDs = append(jobIDs, &placementRequest{step, []*taskState{task}, &group})
 		}
 	}
-	slices.SortStableFunc(found, func(request, otherRequest *placementRequest) int {
-		if request.group.IsSpeculative != otherRequest.group.IsSpeculative {
+	slices.SortStableFunc(jobIDs, func(request, b *placementRequest) int {
+		if request.group.IsSpeculative != b.group.IsSpeculative {
 			return map[bool]int{true: 1, false: -1}[request.group.IsSpeculative]
 		}
-		return placement.CompareGroups(request.group, otherRequest.group)
+		return placement.CompareGroups(request.group, b.group)
 	})
-	return found
+	return jobIDs
 }
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// prompt is a tenure whose commits succeed at once; it counts what they would write.
+// prompt is a leadership whose commits succeed at once; it counts what they would write.
 type prompt struct {
 	clock *clock.Fake
 	ops   int
@@ -166,7 +166,7 @@
 	}
 }
 
-// BenchmarkTurn is one end, the start that follows, its answer, and the 22nd part of a hand-in.
+// BenchmarkTurn is one end, the start that follows, its answer, and the 22nd part of a submission.
 func BenchmarkTurn(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *crowd) {
 		c.tenure.bytes, c.tenure.ops, c.starts = 0, 0, 0
--- a/internal/scheduling/scheduler/deadline.go
+++ b/internal/scheduling/scheduler/deadline.go
@@ -35,17 +35,17 @@
 	if step.spec.LongRunning {
 		return placement.OnTime
 	}
-	chances := [4]placement.DeadlineClass{placement.Late, placement.Expired, placement.Late, placement.OnTime}
-	now, chance := p.leadership.WallMs(), placement.OnTime
+	classes := [4]placement.DeadlineClass{placement.Late, placement.Expired, placement.Late, placement.OnTime}
+	now, class := p.leadership.WallMs(), placement.OnTime
 	for index, turn := range step.deadlineTurns() {
 		if now >= turn {
-			chance = chances[index]
+			class = classes[index]
 		}
 	}
-	return chance
+	return class
 }
 
-// nextDeadlineChange is when the chance of a step is another one next.
+// nextDeadlineChange is when the deadline class of a step changes next.
 func (p *Pool) nextDeadlineChange(step *stepState, now time.Duration) time.Duration {
 	if step.spec.LongRunning {
 		return never
--- a/internal/scheduling/scheduler/endedjobs.go
+++ b/internal/scheduling/scheduler/endedjobs.go
@@ -57,8 +57,8 @@
 
 // insertEnded keeps ended jobs in the order in which they may be forgotten.
 func (p *Pool) insertEnded(job *jobState) {
-	index, _ := slices.BinarySearchFunc(p.endedJobs, job, func(job, otherJob *jobState) int {
-		return cmp.Or(cmp.Compare(job.endedMs, otherJob.endedMs), cmp.Compare(job.id, otherJob.id))
+	index, _ := slices.BinarySearchFunc(p.endedJobs, job, func(job, b *jobState) int {
+		return cmp.Or(cmp.Compare(job.endedMs, b.endedMs), cmp.Compare(job.id, b.id))
 	})
 	p.endedJobs = slices.Insert(p.endedJobs, index, job)
 }
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -46,7 +46,7 @@
 	for _, orderAnswer := range call.Answers {
 		p.handleOrderAnswer(executor, orderAnswer)
 	}
-	hasNews := p.handleEnds(executor, call.Ends)
+	hasNewEnds := p.handleEnds(executor, call.Ends)
 	p.handleChangedRuns(executor, call.Changed)
 	p.handleRunList(executor, call)
 	if call.WaitMs > 0 {
@@ -55,14 +55,14 @@
 		p.sendOrders(executor)
 		return
 	}
-	if hasNews {
+	if hasNewEnds {
 		p.afterCommit(func(err error) { p.answerAck(executor, err, answer) })
 		return
 	}
 	answer(p.answerFor(executor))
 }
 
-// answerAck tells the proxy at once, with the commit, how far its ends are taken note of.
+// answerAck acknowledges ends at once, with their commit.
 func (p *Pool) answerAck(executor *executorState, err error, answer func(wire.ExchangeAnswer)) {
 	if err != nil || p.leadership == nil {
 		answer(wire.ExchangeAnswer{NotLeader: true})
@@ -71,7 +71,7 @@
 	answer(p.answerFor(executor))
 }
 
-// updateContact takes what every exchange tells, also one whose base is not known here.
+// updateContact takes what every exchange reports, also one whose base is not known here.
 func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	p.table.markChanged(executor)
 	isBlocked := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
@@ -93,7 +93,7 @@
 	}
 	isNewDrain := call.Draining && !executor.isDraining
 	if !executor.isKnown || isNewDrain {
-		p.recorder.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.leadership.WallMs(), Machine: call.Proxy, Room: call.Capacity,
+		p.recorder.Record(recording.Event{Kind: recording.KindExecutor, AtMs: p.leadership.WallMs(), Machine: call.Proxy, Capacity: call.Capacity,
 			Labels: call.Labels, IsDraining: call.Draining})
 	}
 	if executor.runLimit > 0 {
@@ -104,7 +104,7 @@
 		p.table.version++
 	}
 	executor.isKnown, executor.proxy, executor.domain, executor.labels = true, call.Proxy, call.Domain, call.Labels
-	// A proxy that was restarted may not have heard yet that its executor leaves; no executor takes that back.
+	// A proxy that was restarted may not know yet that its executor leaves; no executor takes that back.
 	executor.capacity, executor.isDraining = resourcesOf(call.Capacity), executor.isDraining || call.Draining
 	if call.DepartureMs > 0 {
 		executor.departureAt = now + clock.Milliseconds(call.DepartureMs)
@@ -119,7 +119,7 @@
 	}
 }
 
-// executorGone closes all that ran on a life that certainly runs nothing any more.
+// executorGone closes all that ran on an executor that certainly runs nothing any more.
 func (p *Pool) executorGone(executor *executorState) {
 	executor.isKnown = false
 	p.endPoll(executor, wire.ExchangeAnswer{})
--- a/internal/scheduling/scheduler/exchangestate.go
+++ b/internal/scheduling/scheduler/exchangestate.go
@@ -2,7 +2,7 @@
 
 import "gannetline/internal/cluster/peerapi/wire"
 
-// exchangeState is what a local-proxy has told of an executor, up to a number of its session.
+// exchangeState is what a local-proxy has reported of an executor, up to a number of its session.
 type exchangeState struct {
 	session uint64
 	number  uint64
@@ -33,7 +33,7 @@
 	to.Proxy, to.Domain, to.Labels, to.Capacity, to.Draining, to.Gone = from.Proxy, from.Domain, from.Labels, from.Capacity, from.Draining, from.Gone
 }
 
-// follows begins a later session with its whole.
+// follows begins a later session with a full report.
 func (h *exchangeState) follows(call *wire.ExchangeCall) bool {
 	if call.Session == h.session {
 		return call.Base <= h.number
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -71,7 +71,7 @@
 	slowFactor float64
 	// penalty is that of its machine.
 	penalty float64
-	// runLimit is how many runs it may have at once until it has shown that it is sound; 0 is no limit.
+	// runLimit is how many runs it may have at once until it has shown that it is healthy; 0 is no limit.
 	runLimit int
 }
 
@@ -100,8 +100,8 @@
 // sortedRuns gives the runs in an order that is the same at every replay.
 func (e *executorState) sortedRuns() []*runState {
 	runs := slices.Collect(maps.Values(e.runs))
-	slices.SortFunc(runs, func(run, otherRun *runState) int {
-		return cmp.Or(cmp.Compare(run.task.name, otherRun.task.name), cmp.Compare(run.number, otherRun.number))
+	slices.SortFunc(runs, func(run, b *runState) int {
+		return cmp.Or(cmp.Compare(run.task.name, b.task.name), cmp.Compare(run.number, b.number))
 	})
 	return runs
 }
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -16,7 +16,7 @@
 	singleRunPenalty  = 0.5
 	unlimitedRuns     = 64
 	maxStalls         = 4
-	// heartbeatOverdue is when an executor should have been heard again, as its proxy asks for orders every 300 ms. One that was
+	// heartbeatOverdue is when an executor should have reported again, as its proxy asks for orders every 300 ms. One that was
 	// not is chosen last among equals, as an order may wait there in vain until it counts as silent.
 	heartbeatOverdue = 450 * time.Millisecond
 	overdueWeight    = 0.4
@@ -24,13 +24,13 @@
 	sharedFailureWeight = 0.2
 )
 
-// machineHealth is what an executor's machine lost by falling silent, refusing or dying, whatever life it is in now.
+// machineHealth is the penalty of an executor's machine for falling silent, refusing or dying, whatever incarnation it is in now.
 type machineHealth struct {
 	penalty float64
 	at      time.Duration
 }
 
-// penaltyAt halves with time, so that trust comes back by degrees.
+// penaltyAt halves with time, so that a machine recovers by degrees.
 func (t *machineHealth) penaltyAt(now time.Duration) float64 {
 	return t.penalty * math.Exp2(-float64(now-t.at)/float64(penaltyHalfLife))
 }
@@ -64,7 +64,7 @@
 	executor.penalty = health.penaltyAt(now)
 }
 
-// learnPenalty lets a machine that lost trust begin with one run at a time, in a new life as well.
+// learnPenalty lets a penalised machine begin with one run at a time, in a new incarnation as well.
 func (e *executorState) learnPenalty(penalty float64) {
 	if !e.isKnown && penalty >= singleRunPenalty {
 		e.runLimit = 1
@@ -75,7 +75,7 @@
 	e.penalty = penalty
 }
 
-// recordSuccess doubles what may run at once, as each success gives some trust back.
+// recordSuccess doubles what may run at once, as each success shows that it is healthy.
 func (e *executorState) recordSuccess() {
 	e.runLimit *= 2
 	if e.runLimit >= unlimitedRuns {
@@ -94,7 +94,7 @@
 	return e.runLimit - len(e.runs)
 }
 
-// overduePenalty weighs that an executor should have been heard again.
+// overduePenalty weighs that an executor should have reported again.
 func (e *executorState) overduePenalty(now time.Duration) float64 {
 	if now-e.contactAt > heartbeatOverdue {
 		return overdueWeight
--- a/internal/scheduling/scheduler/executortable.go
+++ b/internal/scheduling/scheduler/executortable.go
@@ -11,12 +11,12 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// executorTable keeps the lives in the order of their names, and what placement sees of each.
+// executorTable keeps the executors in the order of their names, and what placement sees of each.
 type executorTable struct {
 	sorted []*executorState
 	view   []placement.Executor
-	// openCapacity is the room of those that may be given runs, taken the CPU that runs take of those that are in order, and all
-	// the room of those that are known.
+	// openCapacity is that of those that may be given runs, usedCPU the CPU that runs take of those that are in order, and all
+	// the capacity of those that are known.
 	openCapacity  placement.Resources
 	totalCapacity placement.Resources
 	usedCPU       int64
@@ -84,7 +84,7 @@
 func (p *Pool) updateView(executor *executorState, now time.Duration) {
 	r := &p.table
 	former, current := &r.view[executor.index], p.viewOf(executor, now)
-	r.openCapacity = r.openCapacity.Minus(openRoom(former)).Plus(openRoom(&current))
+	r.openCapacity = r.openCapacity.Minus(openCapacity(former)).Plus(openCapacity(&current))
 	r.usedCPU += takenCPU(&current) - takenCPU(former)
 	r.totalCapacity = r.totalCapacity.Minus(former.Total).Plus(current.Total)
 	*former = current
@@ -107,7 +107,7 @@
 	return view.Total.CPU - view.Free.CPU
 }
 
-func openRoom(view *placement.Executor) placement.Resources {
+func openCapacity(view *placement.Executor) placement.Resources {
 	if view.IsUnschedulable || view.RunLimit == placement.NoRuns {
 		return placement.Resources{}
 	}
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Heard is what the owner believes of an executor, and of which session and number it is.
+// Heard is what the leader believes of an executor, and of which session and number it is.
 func (p *Pool) Heard(id string) (told wire.ExchangeCall, checkpoint map[string]string) {
 	executor := p.executors[id]
 	if executor == nil || !executor.isKnown {
@@ -22,7 +22,7 @@
 		Draining: executor.isDraining}, checkpoint
 }
 
-// Doubt is how little the owner trusts an executor.
+// Doubt is how little the leader trusts an executor.
 func (p *Pool) Doubt(id string) float64 { return p.executors[id].penaltyScore() }
 
 // AtOnce is how many runs an executor may have at once; 0 sets no bound.
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-var _ = Describe("an owner that lacks the base of what a proxy tells", func() {
+var _ = Describe("an leader that lacks the base of what a proxy tells", func() {
 	var o *postOffice
 	answered := func() wire.ExchangeAnswer {
 		o.compose()
@@ -294,7 +294,7 @@
 		Expect(told.Session).To(Equal(uint64(10)))
 	})
 
-	It("takes a proxy of the older form as whole each time", func() {
+	It("takes a proxy of an earlier version as whole each time", func() {
 		answered()
 		o.newProxy(0)
 		o.beat.Labels = []string{"b"}
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -27,7 +27,7 @@
 	lastEnd int64
 }
 
-// fleet is a pool, the executors that report to it, and a tenure whose commits succeed at once.
+// fleet is a pool, the executors that report to it, and a leadership whose commits succeed at once.
 type fleet struct {
 	clock     *clock.Fake
 	tenure    *scripted
@@ -52,11 +52,11 @@
 }
 
 // add brings executors of one kind that are known to the pool.
-func (f *fleet) add(count int, room wire.Capacity, labels ...string) []*fleetExecutor {
+func (f *fleet) add(count int, resources wire.Capacity, labels ...string) []*fleetExecutor {
 	var added []*fleetExecutor
 	for range count {
 		name := fmt.Sprintf("%03d", len(f.executors))
-		one := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Executor: "i-" + name, Proxy: "side-" + name, Capacity: room, Labels: labels}}
+		one := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Executor: "i-" + name, Proxy: "side-" + name, Capacity: resources, Labels: labels}}
 		f.executors = append(f.executors, one)
 		added = append(added, one)
 	}
--- a/internal/scheduling/scheduler/gangs.go
+++ b/internal/scheduling/scheduler/gangs.go
@@ -22,7 +22,7 @@
 }
 
 func (p *Pool) tickBrokenGangs(now time.Duration) {
-	steps := slices.SortedFunc(maps.Keys(p.brokenGangs), func(one, two *stepState) int { return cmp.Compare(one.tasks[0].name, two.tasks[0].name) })
+	steps := slices.SortedFunc(maps.Keys(p.brokenGangs), func(a, b *stepState) int { return cmp.Compare(a.tasks[0].name, b.tasks[0].name) })
 	for _, step := range steps {
 		if step.remaining > 0 && step.occurrence.job.isOpen() {
 			p.tickBrokenGang(step, now)
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -68,12 +68,12 @@
 	return begin + int64(stretch*float64(j.criticalPathMs)) + j.record.Terms.TargetMs
 }
 
-// lateFactor times the aim is the last that counts as late.
+// lateFactor times the target is the last that counts as late.
 const lateFactor = 3
 
 func (j *jobState) newOccurrence(number int) *occurrence {
-	begin, aim := max(j.record.AcceptedMs, j.releaseMs(number)), j.targetMs(number)
-	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: begin, targetMs: aim, expiryMs: begin + lateFactor*(aim-begin)}
+	begin, targetMs := max(j.record.AcceptedMs, j.releaseMs(number)), j.targetMs(number)
+	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: begin, targetMs: targetMs, expiryMs: begin + lateFactor*(targetMs-begin)}
 }
 
 func (j *jobState) computeCriticalPath() int64 {
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -40,7 +40,7 @@
 	}
 	p.loadEach(records[prefixExecutor], p.loadExecutor)
 	p.loadEach(records[prefixRenounced], p.loadRenounced)
-	slices.SortStableFunc(p.renounced.order, func(one, two renouncedID) int { return cmp.Compare(one.atMs, two.atMs) })
+	slices.SortStableFunc(p.renounced.order, func(a, b renouncedID) int { return cmp.Compare(a.atMs, b.atMs) })
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		if job := p.jobs[id]; job.spec != nil {
 			p.reopen(job)
@@ -111,9 +111,9 @@
 }
 
 func (p *Pool) loadOccurrence(name string, _ []byte) error {
-	id, number, isWhole := strings.Cut(name, "/")
+	id, number, isPair := strings.Cut(name, "/")
 	count, err := strconv.Atoi(number)
-	if !isWhole || err != nil {
+	if !isPair || err != nil {
 		return errors.Annotate(errBadName, "not ID/K")
 	}
 	if job := p.jobs[id]; job != nil {
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -56,7 +56,7 @@
 		Expect(f.state(id)).To(ContainSubstring("completed"))
 	})
 
-	It("runs a job that is larger than what may be handed in today", func() {
+	It("runs a job that is larger than what may be submitted today", func() {
 		steps := strings.Repeat(`{"task-count":1,"cpu-units":1},`, 300)
 		f.tenure.kept["j/"+id] = []byte(`{"entry":"e","spec":{"task-descriptor":"d","step-list":[` + strings.TrimSuffix(steps, ",") + `]}}`)
 		f.takeOver()
--- a/internal/scheduling/scheduler/locality.go
+++ b/internal/scheduling/scheduler/locality.go
@@ -7,10 +7,10 @@
 	"gannetline/internal/platform/clock"
 )
 
-// maxLocalityWait bounds the wait for room near a step's data.
+// maxLocalityWait bounds the wait for capacity near a step's data.
 const maxLocalityWait = time.Second
 
-// localityWaitUntil is how long a step waits for room near its data: half of what its tasks lose elsewhere, and not for long.
+// localityWaitUntil is how long a step waits for capacity near its data: half of what its tasks lose elsewhere, and not for long.
 func (p *Pool) localityWaitUntil(step *stepState) time.Duration {
 	if len(step.spec.Affinity) == 0 || step.spec.Gang || step.spec.LongRunning {
 		return 0
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -182,7 +182,7 @@
 	return executor
 }
 
-// leaseWithMargin is how long after a grant its executor may still hold, with its clock up to 2% slow.
+// leaseWithMargin is how long after a grant the lease of an executor may still last, with its clock up to 2% slow.
 func (p *Pool) leaseWithMargin(grant time.Duration) time.Duration {
 	return grant + grant/40 + 250*time.Millisecond
 }
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// request gives the request of a group by its number in the line.
+// request gives the request of a group by its number in the queue.
 func (o *openSteps) request(number int) *placementRequest {
 	if number < len(o.first.requests) {
 		return o.first.requests[number]
@@ -58,22 +58,22 @@
 }
 
 func (o *openSteps) queue() placement.Queue {
-	return placement.Queue{Groups: o.first.groups, Speculative: o.speculative.groups, MinNeed: o.first.minNeed.AtMost(o.speculative.minNeed)}
+	return placement.Queue{Groups: o.first.groups, Speculative: o.speculative.groups, MinNeed: o.first.minNeed.Min(o.speculative.minNeed)}
 }
 
 // stepTimes is a heap of the steps that have to be looked at again at a time.
 type stepTimes struct{ steps []*stepState }
 
 func (t *stepTimes) Len() int { return len(t.steps) }
-func (t *stepTimes) Less(one, two int) bool {
-	return t.steps[one].requests.refreshAt < t.steps[two].requests.refreshAt
+func (t *stepTimes) Less(a, b int) bool {
+	return t.steps[a].requests.refreshAt < t.steps[b].requests.refreshAt
 }
-func (t *stepTimes) Swap(one, two int) {
-	t.steps[one], t.steps[two] = t.steps[two], t.steps[one]
-	t.steps[one].requests.heapIndex, t.steps[two].requests.heapIndex = one+1, two+1
+func (t *stepTimes) Swap(a, b int) {
+	t.steps[a], t.steps[b] = t.steps[b], t.steps[a]
+	t.steps[a].requests.heapIndex, t.steps[b].requests.heapIndex = a+1, b+1
 }
 
-// Push appends a *stepState for package heap, and notes its place plus one in the step; heap.Push calls it.
+// Push appends a *stepState for package heap, and notes its index plus one in the step; heap.Push calls it.
 func (t *stepTimes) Push(step any) {
 	t.steps = append(t.steps, step.(*stepState))
 	t.steps[len(t.steps)-1].requests.heapIndex = len(t.steps)
--- a/internal/scheduling/scheduler/records_easyjson.go
+++ b/internal/scheduling/scheduler/records_easyjson.go
@@ -4,7 +4,6 @@
 
 import (
 	json "encoding/json"
-
 	easyjson "github.com/mailru/easyjson"
 	jlexer "github.com/mailru/easyjson/jlexer"
 	jwriter "github.com/mailru/easyjson/jwriter"
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -14,7 +14,7 @@
 // maxIdleWait is how long soft limits may keep a step that runs nothing from its first run.
 const maxIdleWait = time.Second
 
-// markChanged notes that something of a task changed which placement may see.
+// markChanged notes that something of a task has changed which placement may see.
 func (p *Pool) markChanged(task *taskState) {
 	task.step.classify(task)
 	p.open.markStale(task.step)
@@ -45,7 +45,7 @@
 	o.stale = o.stale[:0]
 }
 
-// dependsOnExecutors tells whether what a step asks for depends on who is in the roster, and in which place.
+// dependsOnExecutors tells whether what a step asks for depends on which executors there are, and on their indices.
 func (p *Pool) dependsOnExecutors(step *stepState) bool {
 	ready := step.requests.first.tasks
 	return p.clock.Monotonic() < p.localityWaitUntil(step) || step.spec.AntiAffinity > 0 || len(step.requests.speculative) > 0 || len(ready) > 0 && ready[0].avoid != "" ||
@@ -78,7 +78,7 @@
 	p.open.refreshTimes.set(step, next)
 }
 
-// refreshSpeculative goes along the spares there are and those there should be, both in the order of their tasks.
+// refreshSpeculative goes along the speculative requests there are and those there should be, both in the order of their tasks.
 func (p *Pool) refreshSpeculative(step *stepState, candidates []*taskState) {
 	former := step.requests.speculative
 	step.requests.speculative = nil
@@ -150,7 +150,7 @@
 		CPU: int(step.spec.CPU), Memory: int(step.spec.Memory), Estimate: int(step.spec.EstimatedMs)})
 }
 
-// runsByExecutor counts the runs of a step by the place of their executor.
+// runsByExecutor counts the runs of a step by the index of their executor.
 func (s *stepState) runsByExecutor() map[int]int {
 	runs := map[int]int{}
 	for _, task := range s.busy {
@@ -162,7 +162,7 @@
 }
 
 // excludedByRule keeps a queue to the executors of its rule for a moment; a task that waits longer may go anywhere,
-// so that no rule of a queue leaves work undone while there is room.
+// so that no rule of a queue leaves work undone while there is capacity.
 func (p *Pool) excludedByRule(step *stepState) []bool {
 	queue := step.occurrence.job.record.Route
 	if !p.rules.HasUse(queue) || p.clock.Monotonic()-step.openedAt > ruleHoldTime {
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -9,8 +9,8 @@
 )
 
 // renounced are the IDs that the pool has promised never to take a job under, in the order of the promises. A queue that
-// moved to another service asks its former pool for the promise before it takes a job, as a hand-in may still be on its
-// way to the former one. Promises are kept as long as ended jobs, by when no hand-in is under way any more.
+// moved to another service asks its former pool for the promise before it takes a job, as a submission may still be on its
+// way to the former one. Promises are kept as long as ended jobs, by when no submission is under way any more.
 type renounced struct {
 	ids   map[string]bool
 	order []renouncedID
--- a/internal/scheduling/scheduler/renounce_test.go
+++ b/internal/scheduling/scheduler/renounce_test.go
@@ -23,7 +23,7 @@
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
-	It("turns away a hand-in that comes after it promised not to take the job, also under another leader", func() {
+	It("turns away a submission that comes after it promised not to take the job, also under another leader", func() {
 		Expect(ask(f.pool.Renounce).Status).To(Equal(410))
 		Expect(ask(f.pool.Submit).Status).To(Equal(503))
 		f.takeOver()
@@ -41,12 +41,12 @@
 		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true}}))
 	})
 
-	It("has the job if the hand-in came first", func() {
+	It("has the job if the submission came first", func() {
 		Expect(ask(f.pool.Submit).Status).To(Equal(200))
 		Expect(ask(f.pool.Renounce).Status).To(Equal(200))
 	})
 
-	It("forgets the promise when no hand-in can be under way any more", func() {
+	It("forgets the promise when no submission can be under way any more", func() {
 		Expect(ask(f.pool.Renounce).Status).To(Equal(410))
 		f.clock.Advance(timing.KeepEnded + time.Second)
 		f.pass(100 * time.Millisecond)
--- a/internal/scheduling/scheduler/replacedexecutors.go
+++ b/internal/scheduling/scheduler/replacedexecutors.go
@@ -6,14 +6,14 @@
 	"github.com/mailru/easyjson"
 )
 
-// replacedAfter is how long a known life must have been silent before its successor ends it: longer than an exchange
-// may be on its way, so that word which comes late takes no younger life for the older one.
+// replacedAfter is how long a known executor must have been silent before its replacement ends it: longer than an exchange
+// may be on its way, so that a late report takes no newer executor for the older one.
 const replacedAfter = 2500 * time.Millisecond
 
 // recordIdleTime is how long the record of an executor without runs is kept, so that it is not written at every start.
 const recordIdleTime = 30 * time.Second
 
-// recordExecutor keeps the machine of a life that has runs, so that a later owner knows its successor there.
+// recordExecutor keeps the machine of an executor that has runs, so that a later leader knows its replacement there.
 func (p *Pool) recordExecutor(executor *executorState) {
 	if !executor.isRecorded {
 		executor.isRecorded = true
@@ -45,8 +45,8 @@
 	}
 }
 
-// isReplaced tells whether another life has answered under this epoch's fence from the same machine, which holds one
-// executor at a time, while this one has not been heard.
+// isReplaced tells whether another executor has answered under this epoch's fence from the same machine, which holds one
+// executor at a time, while this one was silent.
 func (p *Pool) isReplaced(executor *executorState, now time.Duration) bool {
 	next := p.newestOnMachine[executor.proxy]
 	if executor.proxy == "" || next == nil || next == executor {
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNews bool) {
+func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNewEnds bool) {
 	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
 		return false
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-// resolve settles a doubtful run by a look that was taken after the doubt arose.
+// resolve decides on an uncertain run by a list that was taken after it became uncertain.
 func (p *Pool) resolve(run *runState, isRunning bool) {
 	switch {
 	case run.phase == runLaunching && isRunning:
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// stepRequests is what a step asks of placement, kept until something of the step changes or its time comes.
+// stepRequests is what a step asks of placement, kept until something of the step changes or it falls due.
 type stepRequests struct {
 	isStale     bool
 	refreshAt   time.Duration
@@ -26,7 +26,7 @@
 	group *placement.Group
 }
 
-// requests are kept in the order in which they are placed, with what they ask for by priority, and a room that none
+// requests are kept in the order in which they are placed, with what they ask for by priority, and resources that none
 // needs less than.
 type requests struct {
 	requests []*placementRequest
@@ -41,11 +41,11 @@
 	return r
 }
 
-func compareRequests(request, otherRequest *placementRequest) int {
-	if order := placement.CompareGroups(request.group, otherRequest.group); order != 0 {
+func compareRequests(request, b *placementRequest) int {
+	if order := placement.CompareGroups(request.group, b.group); order != 0 {
 		return order
 	}
-	return cmp.Or(cmp.Compare(request.step.tasks[0].name, otherRequest.step.tasks[0].name), cmp.Compare(request.tasks[0].index, otherRequest.tasks[0].index))
+	return cmp.Or(cmp.Compare(request.step.tasks[0].name, b.step.tasks[0].name), cmp.Compare(request.tasks[0].index, b.tasks[0].index))
 }
 
 // change makes a request ask for something else; one that asks for nothing is not listed.
@@ -75,7 +75,7 @@
 		delete(r.demand, group.Priority)
 	}
 	if count > 0 {
-		r.minNeed = r.minNeed.AtMost(group.Need)
+		r.minNeed = r.minNeed.Min(group.Need)
 	}
 }
 
@@ -85,6 +85,6 @@
 func (r *requests) findMinNeed() {
 	r.minNeed = placement.Resources{CPU: math.MaxInt64, Memory: math.MaxInt64, GPU: math.MaxInt64}
 	for _, group := range r.groups {
-		r.minNeed = r.minNeed.AtMost(group.Need)
+		r.minNeed = r.minNeed.Min(group.Need)
 	}
 }
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -9,9 +9,9 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-const peakHalfLife = 15 * time.Second
+const demandHalfLife = 15 * time.Second
 
-// ReservedCapacity is what long work of lower priority leaves to the urgent: at most MaxReserved of all room, and always
+// ReservedCapacity is what long work of lower priority leaves to the urgent: at most MaxReserved of all capacity, and always
 // AlwaysAllowed of it to long work, which is work over LongWork. FirstRunShare is the part of all CPU up to which no soft
 // limit keeps a step from its first run.
 type ReservedCapacity struct {
@@ -21,42 +21,42 @@
 	FirstRunShare float64
 }
 
-// DefaultReservedCapacity keeps at most 60% of the room free for the urgent and always lets long work have 30%; long is over
-// 1.5 s. First runs go past soft limits up to 60%: over half, as runs that have ended count as running until that is told.
+// DefaultReservedCapacity keeps at most 60% of the capacity free for the urgent and always lets long work have 30%; long is over
+// 1.5 s. First runs go past soft limits up to 60%: over half, as runs that have ended count as running until that is reported.
 var DefaultReservedCapacity = ReservedCapacity{MaxReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond, FirstRunShare: 0.6}
 
 // capacityUse is what the runs of each priority take, and what each priority asked for at its peak.
 type capacityUse struct {
 	// allocations are of all runs that are not closed, by priority; a priority without runs has no entry.
-	allocations map[int]allocation
-	peaks       map[int]*peakDemand
+	allocations   map[int]allocation
+	recentDemands map[int]*recentDemand
 }
 
 func newCapacityUse() capacityUse {
-	return capacityUse{allocations: map[int]allocation{}, peaks: map[int]*peakDemand{}}
+	return capacityUse{allocations: map[int]allocation{}, recentDemands: map[int]*recentDemand{}}
 }
 
-// peakDemand is the most that a priority asked for lately; it fades.
-type peakDemand struct {
+// recentDemand is the most that a priority asked for lately; it fades.
+type recentDemand struct {
 	cpu, memory float64
 	at          time.Duration
 }
 
-func (k *peakDemand) raise(cpu, memory float64, now time.Duration) {
-	fade := math.Exp2(-float64(now-k.at) / float64(peakHalfLife))
+func (k *recentDemand) raise(cpu, memory float64, now time.Duration) {
+	fade := math.Exp2(-float64(now-k.at) / float64(demandHalfLife))
 	k.cpu, k.memory, k.at = max(cpu, k.cpu*fade), max(memory, k.memory*fade), now
 }
 
 type demand struct{ wanted, allocated placement.Resources }
 
 // limits are the soft limits of a placement now. The share is that of all known executors, but of what runs take only
-// that on those in order counts: on a lost or leaving one it may be over already, and its room then stands empty.
+// that on those in order counts: on a lost or leaving one it may be over already, and its capacity then stands empty.
 func (p *Pool) limits(now time.Duration) placement.Limits {
 	firstRuns := int64(p.timing.ReservedCapacity.FirstRunShare*float64(p.table.totalCapacity.CPU)) - p.table.usedCPU
 	return placement.Limits{Remaining: p.remainingByPriority(p.table.openCapacity, now), FirstRunCPU: firstRuns}
 }
 
-// remainingByPriority gives each priority what it may still take, so that urgent jobs find room when they come.
+// remainingByPriority gives each priority what it may still take, so that urgent jobs find capacity when they come.
 func (p *Pool) remainingByPriority(total placement.Resources, now time.Duration) map[int]placement.Resources {
 	demands := p.demands()
 	remaining := map[int]placement.Resources{}
@@ -68,22 +68,22 @@
 	var kept, above placement.Resources
 	for index, priority := range priorities {
 		demand := demands[priority]
-		if p.peaks[priority] == nil {
-			p.peaks[priority] = &peakDemand{}
+		if p.recentDemands[priority] == nil {
+			p.recentDemands[priority] = &recentDemand{}
 		}
-		p.peaks[priority].raise(float64(demand.wanted.CPU), float64(demand.wanted.Memory), now)
+		p.recentDemands[priority].raise(float64(demand.wanted.CPU), float64(demand.wanted.Memory), now)
 		if index > 0 {
 			free := total.Minus(used).Minus(kept)
-			least := total.Times(p.timing.ReservedCapacity.AlwaysAllowed).Minus(used.Minus(above))
-			remaining[priority] = free.AtLeast(least)
+			minimum := total.Times(p.timing.ReservedCapacity.AlwaysAllowed).Minus(used.Minus(above))
+			remaining[priority] = free.Max(minimum)
 		}
-		kept = kept.Plus(p.peaks[priority].unused(demand.allocated, total.Times(p.timing.ReservedCapacity.MaxReserved)))
+		kept = kept.Plus(p.recentDemands[priority].unused(demand.allocated, total.Times(p.timing.ReservedCapacity.MaxReserved)))
 		above = above.Plus(demand.allocated)
 	}
 	return remaining
 }
 
-func (k *peakDemand) unused(used, limit placement.Resources) placement.Resources {
+func (k *recentDemand) unused(used, limit placement.Resources) placement.Resources {
 	return placement.Resources{CPU: max(0, min(int64(k.cpu), limit.CPU)-used.CPU), Memory: max(0, min(int64(k.memory), limit.Memory)-used.Memory)}
 }
 
@@ -93,11 +93,11 @@
 	count     int
 }
 
-func (u allocation) with(room placement.Resources, count int) allocation {
+func (u allocation) with(resources placement.Resources, count int) allocation {
 	if count < 0 {
-		return allocation{u.resources.Minus(room), u.count + count}
+		return allocation{u.resources.Minus(resources), u.count + count}
 	}
-	return allocation{u.resources.Plus(room), u.count + count}
+	return allocation{u.resources.Plus(resources), u.count + count}
 }
 
 // allocate counts a run that takes resources.
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -16,7 +16,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// scripted is a tenure whose commits the test finishes.
+// scripted is a leadership whose commits the test finishes.
 type scripted struct {
 	clock    *clock.Fake
 	epoch    uint64
@@ -82,7 +82,7 @@
 	taskState = id + ".0.0.0"
 )
 
-var timing = scheduler.Timing{Grant: 4 * time.Second, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond, ResendMost: time.Second,
+var timing = scheduler.Timing{Grant: 4 * time.Second, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond, MaxResend: time.Second,
 	HoldStale: 2500 * time.Millisecond, SilentAfter: 1500 * time.Millisecond, StopTimeout: 400 * time.Millisecond,
 	StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second}
 
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -73,7 +73,7 @@
 	return spread
 }
 
-// recordOvertaken counts a run that its spare overtook: it would have been longer still.
+// recordOvertaken counts a run that its speculative run overtook: it would have been longer still.
 func (p *Pool) recordOvertaken(run *runState) {
 	if run.phase != runRunning {
 		return
@@ -115,7 +115,7 @@
 	return tasks, next
 }
 
-// speculateFrom is when a run becomes doubtful if nothing is heard until then.
+// speculateFrom is when a run needs a speculative one if nothing is reported until then.
 func speculateFrom(run *runState) time.Duration {
 	silent := run.executor.contactAt + silenceBeforeSpeculation + 1
 	switch {
@@ -129,7 +129,7 @@
 	return min(silent, run.startedAt+run.task.step.overdueAfter()+1)
 }
 
-// refreshSpeculation has the spares of all that an executor runs worked out anew, as it is trusted more or less than before.
+// refreshSpeculation has the speculative runs of all that an executor runs worked out anew, as its health has changed.
 func (p *Pool) refreshSpeculation(executor *executorState) {
 	for _, run := range executor.runs {
 		p.markChanged(run.task)
--- a/internal/scheduling/scheduler/step.go
+++ b/internal/scheduling/scheduler/step.go
@@ -38,8 +38,8 @@
 
 func (s *stepState) lastRun() int64 {
 	var last int64
-	for _, one := range s.tasks {
-		last = max(last, one.lastRun)
+	for _, member := range s.tasks {
+		last = max(last, member.lastRun)
 	}
 	return last
 }
@@ -53,7 +53,7 @@
 }
 
 func withMembership(list []*taskState, task *taskState, belongs bool) []*taskState {
-	index, exists := slices.BinarySearchFunc(list, task, func(one, two *taskState) int { return cmp.Compare(one.index, two.index) })
+	index, exists := slices.BinarySearchFunc(list, task, func(member, b *taskState) int { return cmp.Compare(member.index, b.index) })
 	switch {
 	case belongs && !exists:
 		return slices.Insert(list, index, task)
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -30,10 +30,10 @@
 	p.metrics.show(p, now)
 }
 
-// tickPending looks after the runs that an order is under way for, in an order that is the same at every replay.
+// tickPending attends to the runs that an order is under way for, in an order that is the same at every replay.
 func (p *Pool) tickPending(now time.Duration) {
-	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(run, otherRun *runState) int {
-		return cmp.Or(cmp.Compare(run.executor.id, otherRun.executor.id), cmp.Compare(run.task.name, otherRun.task.name), cmp.Compare(run.number, otherRun.number))
+	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(run, b *runState) int {
+		return cmp.Or(cmp.Compare(run.executor.id, b.executor.id), cmp.Compare(run.task.name, b.task.name), cmp.Compare(run.number, b.number))
 	})
 	for _, run := range runs {
 		if p.pendingRuns[run] {
@@ -58,7 +58,7 @@
 	}
 }
 
-// expireLease closes what ran where the longest hold ever granted is over.
+// expireLease closes what ran where the longest lease ever granted has expired.
 func (p *Pool) expireLease(executor *executorState, now time.Duration) {
 	if len(executor.runs) > 0 {
 		p.log.Info("executor lease expired", "executor", executor.id, "runs", len(executor.runs))
@@ -81,7 +81,7 @@
 	case run.phase == runLaunching && run.sendCount > 0 && !isSilent && now-run.orderedAt > p.timing.StuckAfter:
 		p.stopRun(run)
 	case run.phase != runRunning && !run.isAnswered && run.sendCount > 0:
-		if wait := min(p.timing.Resend<<min(run.sendCount-1, 4), p.timing.ResendMost); now-run.sentAt > wait {
+		if wait := min(p.timing.Resend<<min(run.sendCount-1, 4), p.timing.MaxResend); now-run.sentAt > wait {
 			p.queueOrder(run)
 		}
 	case run.phase == runStopping && run.isAnswered && now-run.answeredAt > p.timing.StopTimeout+300*time.Millisecond:
--- a/internal/scheduling/scheduler/timing.go
+++ b/internal/scheduling/scheduler/timing.go
@@ -9,14 +9,14 @@
 
 // Timing is how long the pool waits for what. Grant is how long an exchange lets an executor's runs go on, MaxHold
 // the longest that they can go on without one. An order without an answer is sent again after Resend, then ever
-// later up to ResendMost. An executor is left out of placement after SilentAfter without an exchange, and after a
-// hold older than HoldStale. A stopped run may take StopTimeout, a launch that has not begun by StuckAfter is
+// later up to MaxResend. An executor is left out of placement after SilentAfter without an exchange, and after a
+// lease renewal older than HoldStale. A stopped run may take StopTimeout, a launch that has not begun by StuckAfter is
 // stopped, and an ended job is kept for KeepEnded.
 type Timing struct {
 	Grant       time.Duration
 	MaxHold     time.Duration
 	Resend      time.Duration
-	ResendMost  time.Duration
+	MaxResend   time.Duration
 	HoldStale   time.Duration
 	SilentAfter time.Duration
 	StopTimeout time.Duration
@@ -31,7 +31,7 @@
 func TimingFrom(nodeSettings *settings.Settings) Timing {
 	hold := nodeSettings.MaxHold()
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
-		ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
+		MaxResend: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 		StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), StuckAfter: 2 * time.Second,
 		KeepEnded:        time.Duration(nodeSettings.Bounds.StatusS*float64(time.Second)) + 30*time.Second,
 		ReservedCapacity: DefaultReservedCapacity, RemoteFactor: nodeSettings.Bounds.RemoteFactor}
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -174,7 +174,7 @@
 	for _, event := range p.setup.Day.Events {
 		if event.Kind == recording.KindExecutor {
 			if _, isThere := known[event.Machine]; !isThere {
-				known[event.Machine] = simcluster.Place{Machine: event.Machine, Room: event.Room, Labels: event.Labels}
+				known[event.Machine] = simcluster.Place{Machine: event.Machine, Room: event.Capacity, Labels: event.Labels}
 			}
 		}
 	}
@@ -190,7 +190,7 @@
 	for _, event := range p.setup.Day.Events {
 		wait := warmUp + time.Duration(event.AtMs-p.firstMs)*time.Millisecond
 		switch event.Kind {
-		case recording.KindHandIn:
+		case recording.KindSubmit:
 			spec, err := jobs.Read(event.Body)
 			if err != nil {
 				return errors.Annotatef(err, "job %s", event.ID)
--- a/internal/simulation/rehearsal/rehearsal_test.go
+++ b/internal/simulation/rehearsal/rehearsal_test.go
@@ -36,7 +36,7 @@
 	put(recording.Event{Kind: recording.KindHeader, AtMs: dawn, Version: recording.Version, Node: "steward-1"})
 	for number := range 6 {
 		put(recording.Event{Kind: recording.KindExecutor, AtMs: dawn, Machine: fmt.Sprintf("side-%02d", number+1),
-			Room: wire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
+			Capacity: wire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", number/3+1)}})
 	}
 	kinds := []struct {
 		queue, body string
@@ -55,7 +55,7 @@
 	for at := range 20000 / 50 {
 		for kind, one := range kinds {
 			if draw.IntN(one.every/50) == 0 {
-				put(recording.Event{Kind: recording.KindHandIn, AtMs: dawn + 1000 + int64(at)*50, Queue: one.queue,
+				put(recording.Event{Kind: recording.KindSubmit, AtMs: dawn + 1000 + int64(at)*50, Queue: one.queue,
 					ID: fmt.Sprintf("%04x%012x", kind, at), Terms: one.terms, Body: []byte(one.body)})
 			}
 		}
@@ -202,7 +202,7 @@
 		Expect(report.Recorded).To(BeNumerically(">", 100))
 		jobs := 0
 		for _, event := range day.Events {
-			if event.Kind == recording.KindHandIn {
+			if event.Kind == recording.KindSubmit {
 				jobs++
 			}
 		}
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -72,7 +72,7 @@
 
 // DefaultTiming is that of a deployment with holds of 6 s.
 var DefaultTiming = scheduler.Timing{Grant: 4800 * time.Millisecond, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond,
-	ResendMost: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
+	MaxResend: time.Second, HoldStale: 2500 * time.Millisecond, SilentAfter: 900 * time.Millisecond,
 	StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, ReservedCapacity: scheduler.DefaultReservedCapacity}
 
 func evenWork(string, int64, *Executor) (time.Duration, string) {
