--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	mostBody  = 1 << 20
-	answerGap = 25 * time.Millisecond
+	defaultMaxBody = 1 << 20
+	answerGap      = 25 * time.Millisecond
 )
 
 // Decision is what should become of a call: refused at once, or asked of a key's owner.
@@ -36,23 +36,23 @@
 func refuse(status int, why string) Decision { return Decision{Refusal: response.Text(status, why)} }
 
 // Decide is asked about every call; it does no work of its own.
-func Decide(page *configcache.Snapshot, request *http.Request, body []byte) Decision {
-	if page == nil {
+func Decide(snapshot *configcache.Snapshot, request *http.Request, body []byte) Decision {
+	if snapshot == nil {
 		return Decision{Refusal: response.Later(http.StatusServiceUnavailable, 1, "there is no plan yet")}
 	}
-	entry := page.Matcher.Match(request.Host, request.URL.Path)
-	if entry == nil {
+	route := snapshot.Matcher.Match(request.Host, request.URL.Path)
+	if route == nil {
 		return refuse(http.StatusNotFound, "there is no such queue")
 	}
-	limit, isSane := headerrules.TimeLeft(request.Header, time.Duration(entry.TimeoutMs)*time.Millisecond)
+	limit, isSane := headerrules.TimeLeft(request.Header, time.Duration(route.TimeoutMs)*time.Millisecond)
 	if !isSane {
 		return refuse(http.StatusBadRequest, "header X-Time-Remaining is no count of milliseconds")
 	}
 	if limit > 4*answerGap {
 		limit -= answerGap
 	}
-	call := &wire.ClientCall{Key: "pool/" + entry.Service, Route: entry.Name, ID: strings.ToLower(request.URL.Path[len(entry.PathPrefix):])}
-	decision := Decision{Call: call, Former: page.FormerServices(entry.Name), Limit: limit}
+	call := &wire.ClientCall{Key: "pool/" + route.Service, Route: route.Name, ID: strings.ToLower(request.URL.Path[len(route.PathPrefix):])}
+	decision := Decision{Call: call, Former: snapshot.FormerServices(route.Name), Limit: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
 			return refuse(http.StatusMethodNotAllowed, "a queue is only asked for its count")
@@ -63,10 +63,10 @@
 	if !jobs.IsID(call.ID) {
 		return refuse(http.StatusBadRequest, "an ID is 16 hex digits")
 	}
-	return decideJob(decision, entry, request, body)
+	return decideJob(decision, route, request, body)
 }
 
-func decideJob(decision Decision, entry *configuration.Route, request *http.Request, body []byte) Decision {
+func decideJob(decision Decision, route *configuration.Route, request *http.Request, body []byte) Decision {
 	call := decision.Call
 	switch request.Method {
 	case http.MethodGet:
@@ -78,7 +78,7 @@
 			return refuse(http.StatusBadRequest, "the job can't be read: no whole JSON")
 		}
 		call.Verb, call.Body = wire.VerbSubmit, body
-		call.Terms = &wire.RouteTerms{Priority: entry.Priority, MaxAttempts: entry.MaxAttempts, Stretch: entry.StretchFactor, TargetMs: entry.TargetLatencyMs}
+		call.Terms = &wire.RouteTerms{Priority: route.Priority, MaxAttempts: route.MaxAttempts, Stretch: route.StretchFactor, TargetMs: route.TargetLatencyMs}
 	default:
 		return refuse(http.StatusMethodNotAllowed, "a job is handed in by POST, asked for by GET, cancelled by DELETE")
 	}
@@ -87,14 +87,14 @@
 
 // Gate obeys decisions.
 type Gate struct {
-	page  func() *configcache.Snapshot
-	asker *leaderclient.Client
-	clock clock.Clock
+	snapshot     func() *configcache.Snapshot
+	leaderClient *leaderclient.Client
+	clock        clock.Clock
 }
 
 // New makes a gate that decides by the newest configuration and asks the leaders of the pools.
-func New(page func() *configcache.Snapshot, asker *leaderclient.Client, clock clock.Clock) *Gate {
-	return &Gate{page: page, asker: asker, clock: clock}
+func New(snapshot func() *configcache.Snapshot, leaderClient *leaderclient.Client, clock clock.Clock) *Gate {
+	return &Gate{snapshot: snapshot, leaderClient: leaderClient, clock: clock}
 }
 
 // ServeHTTP answers one request of a client.
@@ -111,10 +111,10 @@
 
 // answer reads the request and asks for its answer; the time that the client has left counts from when it began.
 func (g *Gate) answer(to http.ResponseWriter, request *http.Request, began time.Duration) (wire.Verb, response.Reply) {
-	page := g.page()
-	limit := int64(mostBody)
-	if page != nil && page.Matcher.Configuration().Limits.BodyBytes > 0 {
-		limit = page.Matcher.Configuration().Limits.BodyBytes
+	snapshot := g.snapshot()
+	limit := int64(defaultMaxBody)
+	if snapshot != nil && snapshot.Matcher.Configuration().Limits.BodyBytes > 0 {
+		limit = snapshot.Matcher.Configuration().Limits.BodyBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
 	headerrules.Echo(request.Header, to.Header())
@@ -124,7 +124,7 @@
 	case int64(len(body)) > limit:
 		return verbRefused, response.Text(http.StatusRequestEntityTooLarge, "the body is too large")
 	}
-	decision := Decide(g.page(), request, body)
+	decision := Decide(g.snapshot(), request, body)
 	if decision.Call == nil {
 		return verbRefused, decision.Refusal
 	}
@@ -136,59 +136,59 @@
 func (g *Gate) ask(ctx context.Context, decision Decision) response.Reply {
 	end := g.clock.Monotonic() + decision.Limit
 	if decision.Call.Verb == wire.VerbSubmit {
-		return g.handIn(ctx, decision, end)
+		return g.submit(ctx, decision, end)
 	}
-	return g.find(ctx, decision, end)
+	return g.findJob(ctx, decision, end)
 }
 
-// handIn hands a job in, unless a pool that its queue was sent to before has it or does not answer.
-func (g *Gate) handIn(ctx context.Context, decision Decision, end time.Duration) response.Reply {
+// submit hands a job in, unless a pool that its queue was sent to before has it or does not answer.
+func (g *Gate) submit(ctx context.Context, decision Decision, end time.Duration) response.Reply {
 	for _, service := range decision.Former {
 		call, outcome := g.renounce(ctx, decision.Call, service, end)
 		switch {
 		case outcome.Answer == nil:
 			return response.Later(http.StatusServiceUnavailable, 1, "the queue's former owner does not answer")
 		case outcome.Answer.Status != http.StatusGone:
-			return ReplyOf(call, outcome)
+			return ResponseOf(call, outcome)
 		}
 	}
-	outcome := g.asker.Ask(ctx, decision.Call, end-g.clock.Monotonic())
-	return ReplyOf(decision.Call, outcome)
+	outcome := g.leaderClient.Ask(ctx, decision.Call, end-g.clock.Monotonic())
+	return ResponseOf(decision.Call, outcome)
 }
 
 // renounce has a former pool of a queue promise not to take the job itself, as an earlier try may still be on its way
 // there. A leader of an older version can only be asked whether it has the job.
-func (g *Gate) renounce(ctx context.Context, handIn *wire.ClientCall, service string, end time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
-	call := formerCall(handIn, service, wire.VerbRenounce)
-	outcome := g.asker.Ask(ctx, call, (end-g.clock.Monotonic())/2)
+func (g *Gate) renounce(ctx context.Context, submission *wire.ClientCall, service string, end time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
+	call := callToFormer(submission, service, wire.VerbRenounce)
+	outcome := g.leaderClient.Ask(ctx, call, (end-g.clock.Monotonic())/2)
 	if outcome.Answer != nil && outcome.Answer.Status == http.StatusBadRequest {
-		call = formerCall(handIn, service, wire.VerbState)
-		outcome = g.asker.Ask(ctx, call, (end-g.clock.Monotonic())/2)
+		call = callToFormer(submission, service, wire.VerbState)
+		outcome = g.leaderClient.Ask(ctx, call, (end-g.clock.Monotonic())/2)
 	}
 	return call, outcome
 }
 
-// find asks the pool of the queue for a job, and then those that the queue was sent to before. A pool that does not
+// findJob asks the pool of the queue for a job, and then those that the queue was sent to before. A pool that does not
 // answer leaves the jobs of the others alone; only a job that no pool knows is gone.
-func (g *Gate) find(ctx context.Context, decision Decision, end time.Duration) response.Reply {
+func (g *Gate) findJob(ctx context.Context, decision Decision, end time.Duration) response.Reply {
 	calls := []*wire.ClientCall{decision.Call}
 	for _, service := range decision.Former {
-		calls = append(calls, formerCall(decision.Call, service, decision.Call.Verb))
+		calls = append(calls, callToFormer(decision.Call, service, decision.Call.Verb))
 	}
 	var gone, unanswered response.Reply
-	for place, call := range calls {
+	for index, call := range calls {
 		limit := end - g.clock.Monotonic()
-		if isLast := place == len(calls)-1; !isLast {
+		if isLast := index == len(calls)-1; !isLast {
 			limit /= 2
 		}
-		outcome := g.asker.Ask(ctx, call, limit)
+		outcome := g.leaderClient.Ask(ctx, call, limit)
 		switch {
 		case outcome.Answer == nil:
-			unanswered = ReplyOf(call, outcome)
+			unanswered = ResponseOf(call, outcome)
 		case outcome.Answer.Status != http.StatusGone:
-			return ReplyOf(call, outcome)
+			return ResponseOf(call, outcome)
 		default:
-			gone = ReplyOf(call, outcome)
+			gone = ResponseOf(call, outcome)
 		}
 	}
 	if unanswered.Status != 0 {
@@ -197,15 +197,15 @@
 	return gone
 }
 
-// formerCall asks something about the job of a call of a pool that the queue was sent to before.
-func formerCall(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
+// callToFormer asks something about the job of a call of a pool that the queue was sent to before.
+func callToFormer(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
 	former := *call
 	former.Key, former.Verb, former.Body, former.Terms = "pool/"+service, verb, nil, nil
 	return &former
 }
 
-// ReplyOf is what a client is told of an outcome. A hand-in is only refused if no steward can have taken it.
-func ReplyOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
+// ResponseOf is what a client is told of an outcome. A hand-in is only refused if no steward can have taken it.
+func ResponseOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
 	case answer == nil && outcome.MayHaveRun && call.Verb == wire.VerbSubmit:
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -84,7 +84,7 @@
 	})
 
 	DescribeTable("refuses a hand-in only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
-		Expect(clientapi.ReplyOf(&wire.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
+		Expect(clientapi.ResponseOf(&wire.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
 	},
 		Entry("nobody was reached", leaderclient.Outcome{}, 503),
 		Entry("the first try was not answered", leaderclient.Outcome{MayHaveRun: true}, 504),
--- a/internal/gate/clientapi/leaving_test.go
+++ b/internal/gate/clientapi/leaving_test.go
@@ -54,8 +54,8 @@
 
 	DescribeTable("says what is known of a call that a steward may have taken", func(method string, status int) {
 		clock, peer := clock.NewFake(0), silentPeer{make(chan struct{})}
-		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, func() *membership.View { return view })
-		gate := clientapi.New(page, asker, clock)
+		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, func() *membership.View { return view })
+		gate := clientapi.New(page, leaderClient, clock)
 		ctx, end := context.WithCancel(context.Background())
 		go func() {
 			<-peer.asked
@@ -73,12 +73,12 @@
 
 	It("refuses a hand-in that nobody was asked about", func() {
 		clock := clock.NewFake(0)
-		asker := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
+		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
 		ctx, end := context.WithCancel(context.Background())
 		end()
 		one := httptest.NewRequest(http.MethodPost, "http://h.example/q/"+id, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(page, asker, clock).ServeHTTP(answer, one.WithContext(ctx))
+		clientapi.New(page, leaderClient, clock).ServeHTTP(answer, one.WithContext(ctx))
 		Expect(answer.Code).To(Equal(503))
 		Expect(answer.Header().Get("Retry-After")).NotTo(BeEmpty())
 	})
@@ -87,12 +87,12 @@
 var _ = Describe("the time that a client has left", func() {
 	It("counts from the beginning of its request, not from the end of its body", func() {
 		clock := hurried{clock.NewFake(0)}
-		asker := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return &membership.View{} })
+		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return &membership.View{} })
 		one := request(http.MethodGet, "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "700")
 		one.Body = io.NopCloser(slowBody{clock: clock.Fake, takes: 400 * time.Millisecond})
 		answer := httptest.NewRecorder()
-		clientapi.New(page, asker, clock).ServeHTTP(answer, one)
+		clientapi.New(page, leaderClient, clock).ServeHTTP(answer, one)
 		Expect(answer.Code).To(Equal(503))
 		Expect(clock.Monotonic()).To(BeNumerically("<=", 700*time.Millisecond))
 	})
--- a/internal/gate/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -75,10 +75,10 @@
 				{Name: formerPool, Role: membership.RoleSteward, Address: "former:1", Disk: "e"}}}
 		moved := page()
 		moved.Committed.Moved = []wire.MovedRoute{{Route: "a", Services: []string{formerPool}}}
-		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
+		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
 		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(func() *configcache.Snapshot { return moved }, asker, fakeClock).ServeHTTP(answer, one)
+		clientapi.New(func() *configcache.Snapshot { return moved }, leaderClient, fakeClock).ServeHTTP(answer, one)
 		Expect(fakeClock.Monotonic()).To(BeNumerically("<=", patience), "the answer came after the time of the route")
 		return answer.Code, leaders
 	}
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -43,9 +43,9 @@
 		moved := page()
 		moved.Committed = &wire.Configuration{Moved: []wire.MovedRoute{{Route: "a", Services: []string{"former"}}}}
 		clock := clock.NewFake(0)
-		asker := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
+		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
 		answer := httptest.NewRecorder()
-		clientapi.New(func() *configcache.Snapshot { return moved }, asker, clock).ServeHTTP(answer,
+		clientapi.New(func() *configcache.Snapshot { return moved }, leaderClient, clock).ServeHTTP(answer,
 			httptest.NewRequest("POST", "http://h.example/q/"+id, strings.NewReader("{}")))
 		Expect(answer.Code).To(Equal(status))
 		Expect(verbs).To(Equal(asked))
--- a/internal/node/executorapi/client.go
+++ b/internal/node/executorapi/client.go
@@ -13,8 +13,8 @@
 	"github.com/mailru/easyjson"
 )
 
-// longestAnswer is in bytes.
-const longestAnswer = 4 << 20
+// maxAnswerBytes is in bytes.
+const maxAnswerBytes = 4 << 20
 
 // Client calls the executor of its own machine.
 type Client struct {
@@ -58,7 +58,7 @@
 		return 0, answer, errors.Annotatef(err, "%s at executor %s", path, executor)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, longestAnswer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, answer, errors.Annotatef(err, "%s at executor %s", path, executor)
 	}
--- a/internal/node/executorapi/executorapi_test.go
+++ b/internal/node/executorapi/executorapi_test.go
@@ -29,12 +29,12 @@
 	})
 
 	It("makes a command of a beat and of a farewell", func() {
-		beat, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/heartbeat",
+		heartbeat, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/heartbeat",
 			strings.NewReader(`{"service":"s","executor-state":"ready","call-sequence":4}`)))
-		Expect(beat.Executor).To(Equal("i-1"))
-		Expect(beat.Beat.Sequence).To(Equal(int64(4)))
+		Expect(heartbeat.Executor).To(Equal("i-1"))
+		Expect(heartbeat.Heartbeat.Sequence).To(Equal(int64(4)))
 		leave, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/deregister", nil))
-		Expect(leave.IsLeave).To(BeTrue())
+		Expect(leave.IsDeregistration).To(BeTrue())
 	})
 
 	It("counts calls by path and result, with their bytes", func() {
--- a/internal/node/executorapi/golden_test.go
+++ b/internal/node/executorapi/golden_test.go
@@ -14,7 +14,7 @@
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
 	},
-	Entry("beat", "beat", &executorapi.Beat{}),
+	Entry("beat", "beat", &executorapi.Heartbeat{}),
 	Entry("run-start", "run-start", &executorapi.RunStart{}),
 	Entry("run-stop", "run-stop", &executorapi.RunStop{}),
 	Entry("hold", "hold", &executorapi.Hold{}),
--- a/internal/node/executorapi/kept_test.go
+++ b/internal/node/executorapi/kept_test.go
@@ -105,7 +105,7 @@
 
 var _ = Describe("a call to an executor over a connection that was kept", func() {
 	const limit = 300 * time.Millisecond
-	start := executorapi.RunStart{Task: "a.0.0.0", Run: 1, Spec: "d", ExpiryMs: 9, Fence: 3}
+	start := executorapi.RunStart{Task: "a.0.0.0", Run: 1, Descriptor: "d", ExpiryMs: 9, Fence: 3}
 	stop := executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 3}
 	var executor *scriptedExecutor
 	var client *executorapi.Client
--- a/internal/node/executorapi/server.go
+++ b/internal/node/executorapi/server.go
@@ -14,8 +14,8 @@
 	pathPrefix     = "/v1/executors/"
 	verbHeartbeat  = "heartbeat"
 	verbDeregister = "deregister"
-	// longestHeartbeat is in bytes.
-	longestHeartbeat = 64 << 10
+	// maxHeartbeatBytes is in bytes.
+	maxHeartbeatBytes = 64 << 10
 )
 
 // The states that an executor reports.
@@ -24,12 +24,12 @@
 	stateDraining = "draining"
 )
 
-// Command is a decoded call of an executor: a heartbeat, or with IsLeave its notice that it leaves. The table that owns the
+// Command is a decoded call of an executor: a heartbeat, or with IsDeregistration its notice that it leaves. The table that owns the
 // executor's state carries it out.
 type Command struct {
-	Executor string
-	Beat     *Beat
-	IsLeave  bool
+	Executor         string
+	Heartbeat        *Heartbeat
+	IsDeregistration bool
 }
 
 // Decode reads a call; a reply with a status means that it was refused.
@@ -43,30 +43,30 @@
 		return Command{}, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
 	}
 	if verb == verbDeregister {
-		return Command{Executor: id, IsLeave: true}, response.Reply{}
+		return Command{Executor: id, IsDeregistration: true}, response.Reply{}
 	}
-	text, err := io.ReadAll(io.LimitReader(request.Body, longestHeartbeat+1))
-	if err != nil || len(text) > longestHeartbeat {
+	text, err := io.ReadAll(io.LimitReader(request.Body, maxHeartbeatBytes+1))
+	if err != nil || len(text) > maxHeartbeatBytes {
 		return Command{}, response.Text(http.StatusRequestEntityTooLarge, "the beat is too large")
 	}
-	beat := &Beat{}
-	if err := easyjson.Unmarshal(text, beat); err != nil {
+	heartbeat := &Heartbeat{}
+	if err := easyjson.Unmarshal(text, heartbeat); err != nil {
 		return Command{}, response.Text(http.StatusBadRequest, "the beat can't be read: "+err.Error())
 	}
-	if why := beat.check(); why != "" {
-		return Command{}, response.Text(http.StatusBadRequest, why)
+	if problem := heartbeat.check(); problem != "" {
+		return Command{}, response.Text(http.StatusBadRequest, problem)
 	}
-	return Command{Executor: id, Beat: beat}, response.Reply{}
+	return Command{Executor: id, Heartbeat: heartbeat}, response.Reply{}
 }
 
 // check gives what is wrong with a heartbeat, or an empty text.
-func (b *Beat) check() string {
+func (b *Heartbeat) check() string {
 	switch {
 	case b.Service == "":
 		return "field service is missing"
-	case b.Room.CPU < 0 || b.Room.Memory < 0 || b.Room.GPU < 0:
+	case b.Capacity.CPU < 0 || b.Capacity.Memory < 0 || b.Capacity.GPU < 0:
 		return "field capacity is negative"
-	case b.DepartsMs < 0:
+	case b.DepartureMs < 0:
 		return "field departure-ms is negative"
 	case b.State != stateReady && b.State != stateDraining:
 		return "field executor-state is neither ready nor draining"
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -11,23 +11,23 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
 
-// Beat is an executor's heartbeat. Times are in milliseconds; ClockMs is the executor's steady clock, and Sequence
+// Heartbeat is an executor's heartbeat. Times are in milliseconds; ClockMs is the executor's steady clock, and Sequence
 // rises with each call of one incarnation.
 //
 //easyjson:json
-type Beat struct {
-	Service   string        `json:"service"`
-	Address   string        `json:"address"`
-	Domain    string        `json:"zone"`
-	Version   string        `json:"config-version"`
-	Slots     int           `json:"slot-count"`
-	State     string        `json:"executor-state"`
-	ColdMs    int64         `json:"cold-remaining-ms"`
-	Room      wire.Capacity `json:"capacity"`
-	Labels    []string      `json:"labels"`
-	ClockMs   int64         `json:"clock-ms"`
-	DepartsMs int64         `json:"departure-ms"`
-	Sequence  int64         `json:"call-sequence"`
+type Heartbeat struct {
+	Service     string        `json:"service"`
+	Address     string        `json:"address"`
+	Domain      string        `json:"zone"`
+	Version     string        `json:"config-version"`
+	Slots       int           `json:"slot-count"`
+	State       string        `json:"executor-state"`
+	WarmUpMs    int64         `json:"cold-remaining-ms"`
+	Capacity    wire.Capacity `json:"capacity"`
+	Labels      []string      `json:"labels"`
+	ClockMs     int64         `json:"clock-ms"`
+	DepartureMs int64         `json:"departure-ms"`
+	Sequence    int64         `json:"call-sequence"`
 }
 
 // RunStart orders a run of a task. The executor refuses it below its highest fence, or once its own clock has passed
@@ -35,12 +35,12 @@
 //
 //easyjson:json
 type RunStart struct {
-	Task     string `json:"task-id"`
-	Run      int64  `json:"run-id"`
-	Spec     string `json:"task-descriptor"`
-	ExpiryMs int64  `json:"expiry-ms"`
-	Fence    uint64 `json:"fence-number"`
-	Saved    string `json:"checkpoint-ref,omitempty"`
+	Task       string `json:"task-id"`
+	Run        int64  `json:"run-id"`
+	Descriptor string `json:"task-descriptor"`
+	ExpiryMs   int64  `json:"expiry-ms"`
+	Fence      uint64 `json:"fence-number"`
+	Checkpoint string `json:"checkpoint-ref,omitempty"`
 }
 
 // RunStop orders the end of one run.
@@ -78,8 +78,8 @@
 
 // UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
 func (r *RunningRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
-	readRow(in, func(place int) {
-		switch place {
+	readRow(in, func(index int) {
+		switch index {
 		case 0:
 			r.Task = in.String()
 		case 1:
@@ -112,8 +112,8 @@
 
 // UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
 func (e *EndRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
-	readRow(in, func(place int) {
-		switch place {
+	readRow(in, func(index int) {
+		switch index {
 		case 0:
 			e.Number = in.Int64()
 		case 1:
@@ -146,13 +146,13 @@
 }
 
 // readRow reads a JSON list element by element; nulls are skipped.
-func readRow(in *jlexer.Lexer, take func(place int)) {
+func readRow(in *jlexer.Lexer, readElement func(index int)) {
 	in.Delim('[')
-	for place := 0; !in.IsDelim(']') && in.Ok(); place++ {
+	for index := 0; !in.IsDelim(']') && in.Ok(); index++ {
 		if in.IsNull() {
 			in.Skip()
 		} else {
-			take(place)
+			readElement(index)
 		}
 		in.WantComma()
 	}
--- a/internal/node/executorapi/wire_easyjson.go
+++ b/internal/node/executorapi/wire_easyjson.go
@@ -134,7 +134,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Spec = string(in.String())
+				out.Descriptor = string(in.String())
 			}
 		case "expiry-ms":
 			if in.IsNull() {
@@ -152,7 +152,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Saved = string(in.String())
+				out.Checkpoint = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -181,7 +181,7 @@
 	{
 		const prefix string = ",\"task-descriptor\":"
 		out.RawString(prefix)
-		out.String(string(in.Spec))
+		out.String(string(in.Descriptor))
 	}
 	{
 		const prefix string = ",\"expiry-ms\":"
@@ -193,10 +193,10 @@
 		out.RawString(prefix)
 		out.Uint64(uint64(in.Fence))
 	}
-	if in.Saved != "" {
+	if in.Checkpoint != "" {
 		const prefix string = ",\"checkpoint-ref\":"
 		out.RawString(prefix)
-		out.String(string(in.Saved))
+		out.String(string(in.Checkpoint))
 	}
 	out.RawByte('}')
 }
@@ -328,7 +328,7 @@
 func (v *Hold) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi2(l, v)
 }
-func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(in *jlexer.Lexer, out *Beat) {
+func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -382,13 +382,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ColdMs = int64(in.Int64())
+				out.WarmUpMs = int64(in.Int64())
 			}
 		case "capacity":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Room).UnmarshalEasyJSON(in)
+				(out.Capacity).UnmarshalEasyJSON(in)
 			}
 		case "labels":
 			if in.IsNull() {
@@ -427,7 +427,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.DepartsMs = int64(in.Int64())
+				out.DepartureMs = int64(in.Int64())
 			}
 		case "call-sequence":
 			if in.IsNull() {
@@ -445,7 +445,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(out *jwriter.Writer, in Beat) {
+func easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -482,12 +482,12 @@
 	{
 		const prefix string = ",\"cold-remaining-ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.ColdMs))
+		out.Int64(int64(in.WarmUpMs))
 	}
 	{
 		const prefix string = ",\"capacity\":"
 		out.RawString(prefix)
-		(in.Room).MarshalEasyJSON(out)
+		(in.Capacity).MarshalEasyJSON(out)
 	}
 	{
 		const prefix string = ",\"labels\":"
@@ -513,7 +513,7 @@
 	{
 		const prefix string = ",\"departure-ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.DepartsMs))
+		out.Int64(int64(in.DepartureMs))
 	}
 	{
 		const prefix string = ",\"call-sequence\":"
@@ -524,26 +524,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Beat) MarshalJSON() ([]byte, error) {
+func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Beat) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeGannetlineInternalNodeExecutorapi3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Beat) UnmarshalJSON(data []byte) error {
+func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Beat) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi3(l, v)
 }
 func easyjsonF4688553DecodeGannetlineInternalNodeExecutorapi4(in *jlexer.Lexer, out *Answer) {
--- a/internal/node/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -31,24 +31,24 @@
 	}
 	holdFails := func() {
 		work, _ := table.NextHold(false)
-		table.HoldFailed(work, false)
+		table.HandleHoldFailure(work, false)
 	}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(0)
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
-		table.Beat("i-1", &executorapi.Beat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
+		table.Heartbeat("i-1", &executorapi.Heartbeat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
-		table.Told(call, 0, &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, WantedList: 5})
+		table.HandleAnswer(call, 0, &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, WantedList: 5})
 		work, _ := table.NextHold(false)
-		work.Look = 0
-		table.Held(work, executorapi.Answer{ClockMs: 1000})
+		work.ListNumber = 0
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
 		works = 0
 	})
 
 	It("is sick at once where nobody listens, and no further call is spent on a start", func() {
 		work, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
-		table.Refused(work)
+		table.HandleOrderRefusal(work)
 		_, isDue = ready("launch", 2)
 		Expect(isDue).To(BeFalse())
 		Expect(results()).To(Equal([]string{"sick", "sick"}))
@@ -77,8 +77,8 @@
 		Expect(isDue).To(BeFalse())
 		work, isDue := table.NextHold(false)
 		Expect(isDue).To(BeTrue())
-		Expect(work.Look).To(Equal(uint64(5)))
-		table.Held(work, executorapi.Answer{ClockMs: 1000})
+		Expect(work.ListNumber).To(Equal(uint64(5)))
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
 		_, isDue = ready("stop", 1)
 		Expect(isDue).To(BeTrue())
 		_, isDue = ready("launch", 2)
@@ -87,8 +87,8 @@
 
 	It("is not known to have left a start undone that may have reached it", func() {
 		work, _ := ready("launch", 1)
-		table.Unanswered(work)
-		table.Unanswered(work)
+		table.HandleOrderTimeout(work)
+		table.HandleOrderTimeout(work)
 		_, isDue := ready("launch", 1)
 		Expect(isDue).To(BeFalse())
 		Expect(results()).To(Equal([]string{"timeout"}))
@@ -109,7 +109,7 @@
 
 	It("counts as heard when an order is answered between two failures", func() {
 		holdFails()
-		table.Clock("i-1", 1000)
+		table.ReadClock("i-1", 1000)
 		holdFails()
 		_, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
--- a/internal/node/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// neverHeld stands for the age of the last hold while there is none.
-	neverHeld = time.Hour
+	// neverRenewed stands for the age of the last hold while there is none.
+	neverRenewed = time.Hour
 	// idleAfter is how long after its last run an executor counts as idle.
 	idleAfter = 2 * time.Second
 	// runningEvery lies between two lists of running runs to a leader that holds no numbered news.
@@ -30,34 +30,34 @@
 		return nil, false
 	}
 	now := t.now()
-	call := &wire.ExchangeCall{Key: "pool/" + t.service, Executor: current.id, Fence: current.fenceHeld,
+	call := &wire.ExchangeCall{Key: "pool/" + t.service, Executor: current.id, Fence: current.fenceAtExecutor,
 		WaitMs: t.pollWait(current, waitMs), HoldAgeMs: t.holdAge(current).Milliseconds(), Ends: slices.Clone(current.ends)}
-	current.feed.noteFacts(t.factsOf(current))
+	current.feed.updateFacts(t.factsOf(current))
 	current.feed.write(call)
-	if current.departsAt > now {
-		call.DepartureMs = (current.departsAt - now).Milliseconds()
+	if current.departureAt > now {
+		call.DepartureMs = (current.departureAt - now).Milliseconds()
 	}
 	current.writeAnswers(call, now)
 	current.writeRuns(call, now)
 	return call, true
 }
 
-func (t *Table) factsOf(executor *incarnation) facts {
-	return facts{proxy: t.name, domain: t.domain, labels: executor.heartbeat.Labels, room: executor.heartbeat.Room,
+func (t *Table) factsOf(executor *executorState) facts {
+	return facts{proxy: t.name, domain: t.domain, labels: executor.heartbeat.Labels, capacity: executor.heartbeat.Capacity,
 		isDraining: executor.isDraining, gone: slices.Clone(t.gone)}
 }
 
 // holdAge is the time since the executor answered a hold; an unresponsive one counts as never held.
-func (t *Table) holdAge(executor *incarnation) time.Duration {
-	if !executor.hasHeld || t.isUnresponsive(executor) {
-		return neverHeld
+func (t *Table) holdAge(executor *executorState) time.Duration {
+	if !executor.hasRenewed || t.isUnresponsive(executor) {
+		return neverRenewed
 	}
-	return t.now() - executor.heldAt
+	return t.now() - executor.renewedAt
 }
 
-func (i *incarnation) writeAnswers(call *wire.ExchangeCall, now time.Duration) {
-	for place := range i.answers {
-		given := &i.answers[place]
+func (e *executorState) writeAnswers(call *wire.ExchangeCall, now time.Duration) {
+	for index := range e.answers {
+		given := &e.answers[index]
 		given.AgeMs, given.isSent = (now - given.at).Milliseconds(), true
 		call.Answers = append(call.Answers, given.OrderAnswer)
 	}
@@ -65,25 +65,25 @@
 
 // writeRuns adds the complete list of runs that the leader waits for, or now and then the running ones where it holds
 // no numbered news.
-func (i *incarnation) writeRuns(call *wire.ExchangeCall, now time.Duration) {
-	if i.listTaken > i.listReported {
-		call.ListNumber, call.Running = i.listTaken, i.listedRuns
-	} else if i.feed.acknowledged == 0 && now-i.runningSentAt > runningEvery {
-		call.Running = slices.Clone(i.running)
+func (e *executorState) writeRuns(call *wire.ExchangeCall, now time.Duration) {
+	if e.listTaken > e.listReported {
+		call.ListNumber, call.Running = e.listTaken, e.listedRuns
+	} else if e.feed.acknowledged == 0 && now-e.runningSentAt > runningEvery {
+		call.Running = slices.Clone(e.running)
 	}
 }
 
 // pollWait is longer while the executor is idle; it stays well below the silence after which a leader places nothing there.
-func (t *Table) pollWait(executor *incarnation, waitMs int64) int64 {
+func (t *Table) pollWait(executor *executorState, waitMs int64) int64 {
 	if t.now()-executor.lastBusyAt > idleAfter {
 		return 2 * waitMs
 	}
 	return waitMs
 }
 
-// Told takes the leader's answer and gives the orders that are to be carried out. askedAt is when the exchange was
+// HandleAnswer takes the leader's answer and gives the orders that are to be carried out. askedAt is when the exchange was
 // sent, on the steady clock: a grant counts from then.
-func (t *Table) Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
+func (t *Table) HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
 	current := t.currentIs(call.Executor)
 	if current == nil || answer.Fence < current.fence {
 		return nil
@@ -93,47 +93,47 @@
 	}
 	current.feed.acknowledge(answer)
 	if answer.NeedsFullState {
-		t.onWork()
+		t.onReportDue()
 	} else {
-		current.noteDelivered(call, answer.Fence)
+		current.dropDelivered(call, answer.Fence)
 	}
 	if len(call.Running) > 0 {
 		current.runningSentAt = t.now()
 	}
 	t.acknowledgeEnds(current, answer.LastSeen)
-	current.extend(askedAt, answer.GrantMs)
+	current.extendLease(askedAt, answer.GrantMs)
 	current.listWanted = max(current.listWanted, answer.WantedList)
 	if current.listWanted > current.listTaken {
-		t.onLook()
+		t.onListDue()
 	}
-	return t.accept(current, answer.Orders, current.limitOf(askedAt, answer.GrantMs))
+	return t.accept(current, answer.Orders, current.leaseLimit(askedAt, answer.GrantMs))
 }
 
 // beginFence forgets what the former leader has acknowledged and asked for.
-func (i *incarnation) beginFence(fence uint64) {
-	i.fence, i.lastSeen = fence, 0
-	i.listTaken, i.listReported, i.listWanted = 0, 0, 0
+func (e *executorState) beginFence(fence uint64) {
+	e.fence, e.lastSeen = fence, 0
+	e.listTaken, e.listReported, e.listWanted = 0, 0, 0
 }
 
-// noteDelivered drops the answers that the leader has taken, and notes the list of runs that it has.
-func (i *incarnation) noteDelivered(call *wire.ExchangeCall, fence uint64) {
+// dropDelivered drops the answers that the leader has taken, and notes the list of runs that it has.
+func (e *executorState) dropDelivered(call *wire.ExchangeCall, fence uint64) {
 	if len(call.Answers) > 0 {
-		i.answers = slices.DeleteFunc(i.answers, func(given givenAnswer) bool { return given.isIn(call.Answers) })
+		e.answers = slices.DeleteFunc(e.answers, func(given givenAnswer) bool { return given.isIn(call.Answers) })
 	}
 	if call.Fence == fence {
-		i.listReported = max(i.listReported, call.ListNumber)
+		e.listReported = max(e.listReported, call.ListNumber)
 	}
 }
 
 // acknowledgeEnds drops the ends that the leader has seen.
-func (t *Table) acknowledgeEnds(current *incarnation, lastSeen int64) {
+func (t *Table) acknowledgeEnds(current *executorState, lastSeen int64) {
 	current.lastSeen = max(current.lastSeen, lastSeen)
 	if len(current.ends) == 0 {
 		return
 	}
 	current.ends = slices.DeleteFunc(current.ends, func(end wire.EndReport) bool { return end.Number <= current.lastSeen })
 	if len(current.ends) == 0 {
-		t.onAck()
+		t.onAckDue()
 	}
 }
 
--- a/internal/node/localproxy/farewell_test.go
+++ b/internal/node/localproxy/farewell_test.go
@@ -19,8 +19,8 @@
 	var table *localproxy.Table
 	nothing := func() {}
 	launch := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
-	beat := func(id, state string, sequence int64) int {
-		status, _ := table.Beat(id, &executorapi.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
+	heartbeat := func(id, state string, sequence int64) int {
+		status, _ := table.Heartbeat(id, &executorapi.Heartbeat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
 	told := func() *wire.ExchangeCall {
@@ -29,11 +29,11 @@
 	}
 	holdFails := func() {
 		work, _ := table.NextHold(false)
-		table.HoldFailed(work, false)
+		table.HandleHoldFailure(work, false)
 	}
 	startIsDue := func() bool {
 		call := told()
-		table.Told(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
+		table.HandleAnswer(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		_, isDue := table.Ready(call.Executor, launch)
 		return isDue
 	}
@@ -44,8 +44,8 @@
 
 	Context("with a farewell that nothing announced", func() {
 		BeforeEach(func() {
-			beat("i-1", "ready", 1)
-			table.Leave("i-1")
+			heartbeat("i-1", "ready", 1)
+			table.Deregister("i-1")
 		})
 
 		It("is known to go once the time to drain is over, so that what would run longer is moved", func() {
@@ -63,16 +63,16 @@
 		})
 
 		It("is over once another answers in its place", func() {
-			beat("i-2", "ready", 1)
+			heartbeat("i-2", "ready", 1)
 			work, _ := table.NextHold(false)
-			table.Held(work, executorapi.Answer{ClockMs: 1000})
+			table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
 			Expect(told().Gone).To(ContainElement("i-1"))
 		})
 
 		It("isn't called back by a beat that comes late, nor by a second farewell", func() {
 			fakeClock.Advance(time.Second)
-			Expect(beat("i-1", "ready", 2)).To(Equal(200))
-			table.Leave("i-1")
+			Expect(heartbeat("i-1", "ready", 2)).To(Equal(200))
+			table.Deregister("i-1")
 			Expect(told().Draining).To(BeTrue())
 			Expect(told().DepartureMs).To(Equal((drainTime - time.Second).Milliseconds()))
 			Expect(startIsDue()).To(BeFalse())
@@ -80,36 +80,36 @@
 	})
 
 	It("is over soon after its farewell if it had announced it and answers no more", func() {
-		beat("i-1", "draining", 1)
-		table.Leave("i-1")
+		heartbeat("i-1", "draining", 1)
+		table.Deregister("i-1")
 		fakeClock.Advance(4 * time.Second)
 		holdFails()
 		_, hasLife := table.Compose(0)
 		Expect(hasLife).To(BeFalse())
-		Expect(beat("i-1", "ready", 9)).To(Equal(409))
+		Expect(heartbeat("i-1", "ready", 9)).To(Equal(409))
 	})
 
 	It("isn't ready again by an older beat that comes late", func() {
-		Expect(beat("i-1", "draining", 6)).To(Equal(200))
-		Expect(beat("i-1", "ready", 4)).To(Equal(409))
+		Expect(heartbeat("i-1", "draining", 6)).To(Equal(200))
+		Expect(heartbeat("i-1", "ready", 4)).To(Equal(409))
 		Expect(told().Draining).To(BeTrue())
-		Expect(beat("i-1", "ready", 7)).To(Equal(200))
+		Expect(heartbeat("i-1", "ready", 7)).To(Equal(200))
 		Expect(told().Draining).To(BeTrue())
 	})
 
 	It("has left also where a late beat of the one before it came between", func() {
-		beat("i-1", "ready", 1)
-		beat("i-0", "ready", 8)
-		table.Leave("i-1")
+		heartbeat("i-1", "ready", 1)
+		heartbeat("i-0", "ready", 8)
+		table.Deregister("i-1")
 		hold, _ := table.NextHold(false)
-		table.HoldFailed(hold, true)
+		table.HandleHoldFailure(hold, true)
 		Expect(told().Executor).To(Equal("i-1"))
 		Expect(startIsDue()).To(BeFalse())
 	})
 
 	It("has left also where its farewell came first and a beat of before comes late", func() {
-		table.Leave("i-1")
-		Expect(beat("i-1", "ready", 3)).To(Equal(200))
+		table.Deregister("i-1")
+		Expect(heartbeat("i-1", "ready", 3)).To(Equal(200))
 		Expect(told().Draining).To(BeTrue())
 		Expect(startIsDue()).To(BeFalse())
 	})
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -22,13 +22,13 @@
 	nothing := func() {}
 	told := func(answer wire.ExchangeAnswer) *wire.ExchangeCall {
 		call, _ := table.Compose(0)
-		table.Told(call, fakeClock.Monotonic(), &answer)
+		table.HandleAnswer(call, fakeClock.Monotonic(), &answer)
 		return call
 	}
 	hold := func(isLook bool, rows ...executorapi.RunningRow) {
 		work, isDue := table.NextHold(isLook)
 		Expect(isDue).To(BeTrue())
-		table.Held(work, executorapi.Answer{ClockMs: 1000, Running: rows})
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000, Running: rows})
 	}
 	row := func(number int, saved string) executorapi.RunningRow {
 		return executorapi.RunningRow{Task: fmt.Sprintf("5c0e7a21d94b36f8.0.1.%d", number), Run: 1, Checkpoint: saved, Percent: 41}
@@ -41,8 +41,8 @@
 	begin := func(options ...localproxy.TableOption) {
 		fakeClock, works = clock.NewFake(0), 0
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "rota-board", "derby-hall", "side-1", func() { works++ }, nothing, nothing, options...)
-		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
-			Room: wire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
+		table.Heartbeat("i-7f3a91c2", &executorapi.Heartbeat{Service: "rota-board", State: "ready", ClockMs: 1000, Sequence: 1,
+			Capacity: wire.Capacity{CPU: 16000, Memory: 32768}, Labels: []string{"a", "r1-3"}})
 	}
 	BeforeEach(func() { begin(localproxy.WithSession(7)) })
 
@@ -53,7 +53,7 @@
 		second := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(second.Proxy).To(BeEmpty())
 		Expect(second.Base).To(Equal(first.Number))
-		table.Beat("i-7f3a91c2", &executorapi.Beat{Service: "rota-board", State: "draining", Sequence: 2})
+		table.Heartbeat("i-7f3a91c2", &executorapi.Heartbeat{Service: "rota-board", State: "draining", Sequence: 2})
 		third := told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(third.Draining).To(BeTrue())
 		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: third.Number}).Draining).To(BeTrue(), "as the answer was not there yet")
@@ -125,7 +125,7 @@
 		order := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 		work, isDue := table.Ready("i-7f3a91c2", order)
 		Expect(isDue).To(BeTrue())
-		table.Carried(work, "ok")
+		table.HandleOrderResult(work, "ok")
 		works = 0
 		Expect(told(wire.ExchangeAnswer{Fence: 3, NeedsFullState: true}).Base).NotTo(BeZero())
 		Expect(works).To(Equal(1))
@@ -155,11 +155,11 @@
 
 	It("lets the news of a start wait for a moment, with its age, and no other news", func() {
 		begins := 0
-		begin(localproxy.WithStartBell(func() { begins++ }))
+		begin(localproxy.WithStartSignal(func() { begins++ }))
 		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		launch := func(number int64, result string) {
 			work, _ := table.Ready("i-7f3a91c2", wire.Order{Kind: "launch", Task: "t.0.0.0", Run: number})
-			table.Carried(work, result)
+			table.HandleOrderResult(work, result)
 		}
 		works = 0
 		Expect(table.HasUnsent()).To(BeFalse())
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// mostGone is how many former incarnations are remembered, so that late heartbeats of them are refused.
-	mostGone = 4
-	// usualDrain is how long an executor serves on after its farewell where the settings name no other time.
-	usualDrain = 2 * time.Second
+	// maxGone is how many former incarnations are remembered, so that late heartbeats of them are refused.
+	maxGone = 4
+	// defaultDrainTime is how long an executor serves on after its farewell where the settings name no other time.
+	defaultDrainTime = 2 * time.Second
 )
 
 // stateDraining is what an executor says in its heartbeat once it takes no new runs.
 const stateDraining = "draining"
 
-// incarnation is what the proxy knows of one life of the executor, from its first heartbeat to its end.
-type incarnation struct {
-	id         string
-	sequence   int64
-	heartbeat  executorapi.Beat
-	isDraining bool
-	departsAt  time.Duration
-	isLeaving  bool
-	// servesOn is set at a farewell that nothing announced: the executor serves on for some time, and how long is not known.
-	servesOn bool
-	leftAt   time.Duration
+// executorState is what the proxy knows of one life of the executor, from its first heartbeat to its end.
+type executorState struct {
+	id          string
+	sequence    int64
+	heartbeat   executorapi.Heartbeat
+	isDraining  bool
+	departureAt time.Duration
+	isLeaving   bool
+	// isServingOn is set at a farewell that nothing announced: the executor serves on for some time, and how long is not known.
+	isServingOn bool
+	leftAt      time.Duration
 	// currentSince is when it became the current incarnation.
 	currentSince time.Duration
 	clock        clockSample
 
-	// expiryMs is how long its runs may go on, by its own clock.
-	expiryMs int64
-	heldAt   time.Duration
-	hasHeld  bool
-	// fence is that of the leader which answered last; fenceHeld the highest that the executor has answered to.
-	fence     uint64
-	fenceHeld uint64
+	// leaseExpiryMs is how long its runs may go on, by its own clock.
+	leaseExpiryMs int64
+	renewedAt     time.Duration
+	hasRenewed    bool
+	// fence is that of the leader which answered last; fenceAtExecutor the highest that the executor has answered to.
+	fence           uint64
+	fenceAtExecutor uint64
 
 	// lastSeen is the number of the last end that the leader has acknowledged.
 	lastSeen int64
@@ -57,67 +57,67 @@
 	listReported uint64
 	listedRuns   []wire.RunReport
 
-	// underWay are the orders that are being carried to the executor; answers are its answers to them.
-	underWay map[orderKey]givenOrder
-	answers  []givenAnswer
-	// unsure are the runs whose start may yet be carried out; isUnsureOfAll is set once they are more than mostUnsure.
-	unsure        map[runKey]bool
-	isUnsureOfAll bool
+	// ordersInFlight are the orders that are being carried to the executor; answers are its answers to them.
+	ordersInFlight map[orderKey]givenOrder
+	answers        []givenAnswer
+	// uncertainRuns are the runs whose start may yet be carried out; areAllUncertain is set once they are more than maxUncertainRuns.
+	uncertainRuns   map[runKey]bool
+	areAllUncertain bool
 
 	// misses counts calls in a row that the executor did not answer.
-	misses     int
-	missedAt   time.Duration
-	lostAt     time.Duration
-	hasLost    bool
-	lastBusyAt time.Duration
+	misses        int
+	missedAt      time.Duration
+	lostAt        time.Duration
+	hasLostAnswer bool
+	lastBusyAt    time.Duration
 }
 
-func (t *Table) newIncarnation(id string) *incarnation {
-	return &incarnation{id: id, underWay: map[orderKey]givenOrder{}, unsure: map[runKey]bool{}, feed: newFeed(t.session),
+func (t *Table) newIncarnation(id string) *executorState {
+	return &executorState{id: id, ordersInFlight: map[orderKey]givenOrder{}, uncertainRuns: map[runKey]bool{}, feed: newFeed(t.session),
 		lastBusyAt: t.now()}
 }
 
-// Beat takes an executor's heartbeat and gives the HTTP status to answer with; why is set when it is refused.
-func (t *Table) Beat(id string, beat *executorapi.Beat) (status int, why string) {
-	if beat.Service != t.service {
-		return http.StatusUnprocessableEntity, "service " + beat.Service + " is unknown on this machine"
+// Heartbeat takes an executor's heartbeat and gives the HTTP status to answer with; why is set when it is refused.
+func (t *Table) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (status int, problem string) {
+	if heartbeat.Service != t.service {
+		return http.StatusUnprocessableEntity, "service " + heartbeat.Service + " is unknown on this machine"
 	}
 	if slices.Contains(t.gone, id) {
 		return http.StatusConflict, "this executor is over"
 	}
-	if known := t.known(id); known != nil && beat.Sequence <= known.sequence && beat.Sequence != 0 {
+	if known := t.find(id); known != nil && heartbeat.Sequence <= known.sequence && heartbeat.Sequence != 0 {
 		return http.StatusConflict, "field call-sequence is old"
 	}
-	t.choose(id)
-	t.takeHeartbeat(t.current, beat)
+	t.makeCurrent(id)
+	t.takeHeartbeat(t.current, heartbeat)
 	return http.StatusOK, ""
 }
 
-func (t *Table) takeHeartbeat(sender *incarnation, beat *executorapi.Beat) {
-	sender.sequence, sender.heartbeat = beat.Sequence, *beat
-	if beat.ClockMs > 0 {
-		t.sample(sender, beat.ClockMs)
+func (t *Table) takeHeartbeat(sender *executorState, heartbeat *executorapi.Heartbeat) {
+	sender.sequence, sender.heartbeat = heartbeat.Sequence, *heartbeat
+	if heartbeat.ClockMs > 0 {
+		t.sample(sender, heartbeat.ClockMs)
 	}
-	if beat.State == stateDraining && !sender.isDraining {
+	if heartbeat.State == stateDraining && !sender.isDraining {
 		sender.isDraining = true
-		t.log.Info("executor draining", "executor", sender.id, "departure_ms", beat.DepartsMs)
-		t.onWork()
+		t.log.Info("executor draining", "executor", sender.id, "departure_ms", heartbeat.DepartureMs)
+		t.onReportDue()
 	}
-	if beat.DepartsMs > 0 {
-		sender.departsAt = t.now() + clock.Milliseconds(beat.DepartsMs)
+	if heartbeat.DepartureMs > 0 {
+		sender.departureAt = t.now() + clock.Milliseconds(heartbeat.DepartureMs)
 	}
 }
 
 // currentIs gives the current incarnation if it has this ID, else nil.
-func (t *Table) currentIs(id string) *incarnation {
+func (t *Table) currentIs(id string) *executorState {
 	if t.current != nil && t.current.id == id {
 		return t.current
 	}
 	return nil
 }
 
-// known finds an incarnation that is not known to be over.
-func (t *Table) known(id string) *incarnation {
+// find finds an incarnation that is not known to be over.
+func (t *Table) find(id string) *executorState {
 	if current := t.currentIs(id); current != nil {
 		return current
 	}
@@ -129,48 +129,48 @@
 	return nil
 }
 
-// choose takes the incarnation that sent a heartbeat for the current one. A heartbeat may be late, so that the one
+// makeCurrent takes the incarnation that sent a heartbeat for the current one. A heartbeat may be late, so that the one
 // before it is only known to be over once this one has answered a call.
-func (t *Table) choose(id string) {
+func (t *Table) makeCurrent(id string) {
 	if t.currentIs(id) != nil {
 		return
 	}
-	next := t.known(id)
+	next := t.find(id)
 	if next == nil {
 		t.log.Info("executor registered", "executor", id)
 		next = t.newIncarnation(id)
 	}
-	t.others = slices.DeleteFunc(t.others, func(other *incarnation) bool { return other == next })
+	t.others = slices.DeleteFunc(t.others, func(other *executorState) bool { return other == next })
 	if t.current != nil {
 		t.others = append(t.others, t.current)
 	}
 	next.currentSince = t.now()
 	t.current = next
-	if slices.Contains(t.farewells, id) {
-		t.leave(next)
+	if slices.Contains(t.deregistered, id) {
+		t.deregister(next)
 	}
-	t.onAck()
-	t.onWork()
+	t.onAckDue()
+	t.onReportDue()
 }
 
-// confirm ends all other incarnations, as there is one on the machine at a time and the current one has answered.
-func (t *Table) confirm() {
+// confirmCurrent ends all other incarnations, as there is one on the machine at a time and the current one has answered.
+func (t *Table) confirmCurrent() {
 	for _, other := range t.others {
 		t.markGone(other.id)
 	}
 	if len(t.others) > 0 {
 		t.others = nil
-		t.onWork()
+		t.onReportDue()
 	}
 }
 
 // endOther ends an incarnation that is not the current one: its executor's address answers for another.
 func (t *Table) endOther(id string) {
-	for place, other := range t.others {
+	for index, other := range t.others {
 		if other.id == id {
-			t.others = slices.Delete(t.others, place, place+1)
+			t.others = slices.Delete(t.others, index, index+1)
 			t.markGone(id)
-			t.onWork()
+			t.onReportDue()
 			return
 		}
 	}
@@ -183,42 +183,42 @@
 	if count := len(t.others); count > 0 {
 		t.current, t.others = t.others[count-1], t.others[:count-1]
 		t.current.currentSince = t.now()
-		t.onAck()
+		t.onAckDue()
 	}
-	t.onWork()
+	t.onReportDue()
 }
 
 func (t *Table) markGone(id string) {
 	t.gone = append(t.gone, id)
-	t.gone = t.gone[max(0, len(t.gone)-mostGone):]
+	t.gone = t.gone[max(0, len(t.gone)-maxGone):]
 }
 
-// Leave takes an executor's farewell. One that said before that it drains ends with it; any other serves on, so that what
+// Deregister takes an executor's farewell. One that said before that it drains ends with it; any other serves on, so that what
 // it runs is moved as if it had said so.
-func (t *Table) Leave(id string) {
-	sender := t.known(id)
+func (t *Table) Deregister(id string) {
+	sender := t.find(id)
 	if sender == nil {
-		t.farewells = append(t.farewells, id)
-		t.farewells = t.farewells[max(0, len(t.farewells)-mostGone):]
+		t.deregistered = append(t.deregistered, id)
+		t.deregistered = t.deregistered[max(0, len(t.deregistered)-maxGone):]
 		return
 	}
-	t.leave(sender)
+	t.deregister(sender)
 }
 
-func (t *Table) leave(sender *incarnation) {
+func (t *Table) deregister(sender *executorState) {
 	if sender.isLeaving {
 		return
 	}
 	if !sender.isDraining {
-		sender.servesOn, sender.departsAt = true, t.now()+t.drainTime
+		sender.isServingOn, sender.departureAt = true, t.now()+t.drainTime
 	}
 	sender.isDraining, sender.isLeaving, sender.leftAt = true, true, t.now()
 	t.log.Info("executor deregistered", "executor", sender.id)
-	t.onWork()
+	t.onReportDue()
 }
 
-// isOver tells whether an executor that no longer answers has ended by its own word. One that serves on for a time that
+// hasEnded tells whether an executor that no longer answers has ended by its own word. One that serves on for a time that
 // nobody knows may only be deaf for the moment: its runs are over when their hold is, or when another answers.
-func (t *Table) isOver(sender *incarnation) bool {
-	return sender.isLeaving && !sender.servesOn && t.now()-sender.leftAt > leavingAfter
+func (t *Table) hasEnded(sender *executorState) bool {
+	return sender.isLeaving && !sender.isServingOn && t.now()-sender.leftAt > leavingAfter
 }
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -17,69 +17,69 @@
 	var fakeClock *clock.Fake
 	var table *localproxy.Table
 	nothing := func() {}
-	beat := func(id, state string, sequence int64) int {
-		status, _ := table.Beat(id, &executorapi.Beat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
+	heartbeat := func(id, state string, sequence int64) int {
+		status, _ := table.Heartbeat(id, &executorapi.Heartbeat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
 	told := func(answer wire.ExchangeAnswer) []wire.Order {
 		call, isDue := table.Compose(0)
 		Expect(isDue).To(BeTrue())
-		return table.Told(call, fakeClock.Monotonic(), &answer)
+		return table.HandleAnswer(call, fakeClock.Monotonic(), &answer)
 	}
 	launch := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(0)
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing)
-		Expect(beat("i-1", "ready", 1)).To(Equal(200))
+		Expect(heartbeat("i-1", "ready", 1)).To(Equal(200))
 	})
 
 	It("refuses beats of another service, old ones, and those of a life that is over", func() {
-		status, _ := table.Beat("i-1", &executorapi.Beat{Service: "x"})
+		status, _ := table.Heartbeat("i-1", &executorapi.Heartbeat{Service: "x"})
 		Expect(status).To(Equal(422))
-		Expect(beat("i-1", "ready", 1)).To(Equal(409))
-		Expect(beat("i-2", "ready", 1)).To(Equal(200))
+		Expect(heartbeat("i-1", "ready", 1)).To(Equal(409))
+		Expect(heartbeat("i-2", "ready", 1)).To(Equal(200))
 		work, _ := table.NextHold(false)
-		table.Held(work, executorapi.Answer{ClockMs: 1000})
-		Expect(beat("i-1", "ready", 9)).To(Equal(409))
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
+		Expect(heartbeat("i-1", "ready", 9)).To(Equal(409))
 		call, _ := table.Compose(0)
 		Expect(call.Gone).To(ContainElement("i-1"))
 	})
 
 	It("takes no life for over because of a beat alone, which may be late", func() {
-		Expect(beat("i-0", "ready", 7)).To(Equal(200))
+		Expect(heartbeat("i-0", "ready", 7)).To(Equal(200))
 		call, _ := table.Compose(0)
 		Expect(call.Executor).To(Equal("i-0"))
 		Expect(call.Gone).To(BeEmpty())
 		work, _ := table.NextHold(false)
-		Expect(work.Life).To(Equal("i-0"))
-		table.HoldFailed(work, true)
+		Expect(work.Executor).To(Equal("i-0"))
+		table.HandleHoldFailure(work, true)
 		call, _ = table.Compose(0)
 		Expect(call.Executor).To(Equal("i-1"))
 		Expect(call.Gone).To(Equal([]string{"i-0"}))
-		Expect(beat("i-1", "ready", 2)).To(Equal(200))
+		Expect(heartbeat("i-1", "ready", 2)).To(Equal(200))
 	})
 
 	It("keeps what it knows of a life's orders while a late beat sets another in its place", func() {
 		told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})
 		work, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeTrue())
-		beat("i-0", "ready", 7)
-		table.Unanswered(work)
+		heartbeat("i-0", "ready", 7)
+		table.HandleOrderTimeout(work)
 		_, isDue = table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
 		hold, _ := table.NextHold(false)
-		table.HoldFailed(hold, true)
+		table.HandleHoldFailure(hold, true)
 		Expect(told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})).To(HaveLen(1))
-		table.Carried(work, "sick")
+		table.HandleOrderResult(work, "sick")
 		call, _ := table.Compose(0)
 		Expect(call.Answers[0].Result).To(Equal("unsure"))
 	})
 
 	It("ends a life in whose place another one answers, also when it is not the present one", func() {
 		before, _ := table.NextHold(false)
-		beat("i-2", "ready", 1)
-		table.HoldFailed(before, true)
-		Expect(beat("i-1", "ready", 9)).To(Equal(409))
+		heartbeat("i-2", "ready", 1)
+		table.HandleHoldFailure(before, true)
+		Expect(heartbeat("i-1", "ready", 9)).To(Equal(409))
 		call, _ := table.Compose(0)
 		Expect(call.Executor).To(Equal("i-2"))
 		Expect(call.Gone).To(Equal([]string{"i-1"}))
@@ -87,10 +87,10 @@
 
 	It("takes no answer to a hold from before a beat for a sign of the life that sent the beat", func() {
 		before, _ := table.NextHold(false)
-		beat("i-2", "ready", 1)
+		heartbeat("i-2", "ready", 1)
 		fakeClock.Advance(time.Millisecond)
-		beat("i-1", "ready", 2)
-		table.Held(before, executorapi.Answer{ClockMs: 1000})
+		heartbeat("i-1", "ready", 2)
+		table.HandleHold(before, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
 		Expect(call.Gone).To(BeEmpty())
 	})
@@ -115,7 +115,7 @@
 		Expect(isDue).To(BeTrue())
 		_, isDue = table.Ready("i-0", launch)
 		Expect(isDue).To(BeFalse())
-		beat("i-1", "draining", 2)
+		heartbeat("i-1", "draining", 2)
 		_, isDue = table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
 		call, _ := table.Compose(0)
@@ -143,7 +143,7 @@
 
 	It("carries out no start beyond the grant that came with it, whatever was granted later", func() {
 		call, _ := table.Compose(0)
-		table.Told(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
+		table.HandleAnswer(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		first, _ := table.Ready("i-1", launch)
 		fakeClock.Advance(7 * time.Second)
 		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
@@ -154,10 +154,10 @@
 	It("is unsure of every refusal once more orders went unanswered than it remembers", func() {
 		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		for run := range int64(10000) {
-			table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: wire.Order{Kind: "launch", Task: "other.0.0.0", Run: run}})
+			table.HandleOrderTimeout(localproxy.OrderWork{Executor: "i-1", Order: wire.Order{Kind: "launch", Task: "other.0.0.0", Run: run}})
 		}
-		table.Unanswered(localproxy.OrderWork{Life: "i-1", Order: launch})
-		table.Carried(localproxy.OrderWork{Life: "i-1", Order: launch}, "room")
+		table.HandleOrderTimeout(localproxy.OrderWork{Executor: "i-1", Order: launch})
+		table.HandleOrderResult(localproxy.OrderWork{Executor: "i-1", Order: launch}, "room")
 		call, _ := table.Compose(0)
 		Expect(call.Answers[0].Result).To(Equal("unsure"))
 	})
@@ -165,15 +165,15 @@
 	It("is unsure of a refusal once the order went unanswered", func() {
 		told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000})
 		work, _ := table.Ready("i-1", launch)
-		table.Unanswered(work)
-		table.Carried(work, "room")
+		table.HandleOrderTimeout(work)
+		table.HandleOrderResult(work, "room")
 		call, _ := table.Compose(0)
 		Expect(call.Answers[0].Result).To(Equal("unsure"))
 	})
 
 	It("tells an end until it is taken note of, and then lets the executor forget it", func() {
 		work, _ := table.NextHold(false)
-		table.Held(work, executorapi.Answer{ClockMs: 1000, Ends: []executorapi.EndRow{{Number: 1, Task: "t", Run: 1, Outcome: "done"}}})
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000, Ends: []executorapi.EndRow{{Number: 1, Task: "t", Run: 1, Outcome: "done"}}})
 		told(wire.ExchangeAnswer{Fence: 1})
 		call, _ := table.Compose(0)
 		Expect(call.Ends).To(HaveLen(1))
@@ -187,12 +187,12 @@
 	It("tells a look of a new fence, even while an exchange of the old one is under way", func() {
 		told(wire.ExchangeAnswer{Fence: 1, WantedList: 9})
 		work, _ := table.NextHold(true)
-		table.Held(work, executorapi.Answer{ClockMs: 1000})
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
 		old, _ := table.Compose(0)
 		told(wire.ExchangeAnswer{Fence: 2, WantedList: 3})
-		table.Told(old, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 2, WantedList: 3})
+		table.HandleAnswer(old, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 2, WantedList: 3})
 		work, _ = table.NextHold(true)
-		table.Held(work, executorapi.Answer{ClockMs: 1000})
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
 		call, _ := table.Compose(0)
 		Expect(call.ListNumber).To(Equal(uint64(3)))
 		Expect(call.Fence).To(Equal(uint64(2)))
@@ -201,7 +201,7 @@
 	It("waits shortly for ends while the executor leaves calls unanswered", func() {
 		work, _ := table.NextHold(false)
 		calm := work.Hold.WaitMs
-		table.HoldFailed(work, false)
+		table.HandleHoldFailure(work, false)
 		work, _ = table.NextHold(false)
 		Expect(work.Hold.WaitMs).To(BeNumerically("<", calm/2))
 		fakeClock.Advance(time.Minute)
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// mostUnsure is how many runs in doubt are remembered by name.
-	mostUnsure = 10000
+	// maxUncertainRuns is how many runs in doubt are remembered by name.
+	maxUncertainRuns = 10000
 	// startMargin is how much longer than now a start must be held, in milliseconds, to be carried out.
 	startMargin = 400
 	// kindLaunch is the kind of an order that starts a run; all others may be carried out twice.
@@ -15,11 +15,11 @@
 
 // What came of an order, as the leader is told.
 const (
-	resultOK      = "ok"
-	resultNotRun  = "not-run"
-	resultSick    = "sick"
-	resultTimeout = "timeout"
-	resultUnsure  = "unsure"
+	resultOK        = "ok"
+	resultNotRun    = "not-run"
+	resultUnhealthy = "sick"
+	resultTimeout   = "timeout"
+	resultUncertain = "unsure"
 )
 
 type orderKey struct {
@@ -45,25 +45,25 @@
 }
 
 // accept gives the orders that are not under way yet; the others go on under the fence of the leader that repeats them.
-func (t *Table) accept(current *incarnation, orders []wire.Order, limitMs int64) []wire.Order {
+func (t *Table) accept(current *executorState, orders []wire.Order, limitMs int64) []wire.Order {
 	accepted := orders[:0]
 	for _, order := range orders {
 		key := keyOf(order)
-		given, isUnderWay := current.underWay[key]
+		given, isInFlight := current.ordersInFlight[key]
 		given.fence = current.fence
-		if !isUnderWay {
+		if !isInFlight {
 			current.lastBusyAt = t.now()
 			given.limitMs = limitMs
 			accepted = append(accepted, order)
 		}
-		current.underWay[key] = given
+		current.ordersInFlight[key] = given
 	}
 	return accepted
 }
 
 // OrderWork is one order made ready for the executor. ExpiryMs is up to when the run may go on, by the executor's clock.
 type OrderWork struct {
-	Life     string
+	Executor string
 	Order    wire.Order
 	Fence    uint64
 	ExpiryMs int64
@@ -71,108 +71,110 @@
 
 // Ready is the last check before an executor: incarnation, leader, drain and grant. An order that waited here while the
 // pool changed its leader is carried out only if the new one gave it, too.
-func (t *Table) Ready(lifeID string, order wire.Order) (OrderWork, bool) {
-	current := t.currentIs(lifeID)
+func (t *Table) Ready(executorID string, order wire.Order) (OrderWork, bool) {
+	current := t.currentIs(executorID)
 	if current == nil {
-		if other := t.known(lifeID); other != nil {
-			delete(other.underWay, keyOf(order))
+		if other := t.find(executorID); other != nil {
+			delete(other.ordersInFlight, keyOf(order))
 		}
 		return OrderWork{}, false
 	}
-	given, isUnderWay := current.underWay[keyOf(order)]
-	if isUnderWay && given.fence != current.fence {
-		delete(current.underWay, keyOf(order))
+	given, isInFlight := current.ordersInFlight[keyOf(order)]
+	if isInFlight && given.fence != current.fence {
+		delete(current.ordersInFlight, keyOf(order))
 		return OrderWork{}, false
 	}
-	work := OrderWork{Life: lifeID, Order: order, Fence: current.fence, ExpiryMs: current.expiryMs}
+	work := OrderWork{Executor: executorID, Order: order, Fence: current.fence, ExpiryMs: current.leaseExpiryMs}
 	if order.Kind != kindLaunch {
 		return work, t.isStopReady(current, order)
 	}
-	if isUnderWay {
+	if isInFlight {
 		work.ExpiryMs = min(work.ExpiryMs, given.limitMs)
 	}
 	return work, t.isStartReady(current, work)
 }
 
 // isStopReady drops a stop while the executor answers nothing; the leader gives it again.
-func (t *Table) isStopReady(current *incarnation, order wire.Order) bool {
+func (t *Table) isStopReady(current *executorState, order wire.Order) bool {
 	if t.isUnresponsive(current) {
-		delete(current.underWay, keyOf(order))
+		delete(current.ordersInFlight, keyOf(order))
 		return false
 	}
 	return true
 }
 
 // isStartReady tells whether a start may be sent; if not, the leader is told why, or gives it again.
-func (t *Table) isStartReady(current *incarnation, work OrderWork) bool {
+func (t *Table) isStartReady(current *executorState, work OrderWork) bool {
 	switch {
 	case current.isDraining:
-		t.Carried(work, resultNotRun)
+		t.HandleOrderResult(work, resultNotRun)
 	case t.isUnresponsive(current):
-		t.Carried(work, current.resultWhileUnresponsive(work.Order))
+		t.HandleOrderResult(work, current.resultWhileUnresponsive(work.Order))
 	case work.ExpiryMs < current.clock.clockAt(t.now())+startMargin:
-		delete(current.underWay, keyOf(work.Order))
+		delete(current.ordersInFlight, keyOf(work.Order))
 	default:
 		return true
 	}
 	return false
 }
 
-// Refused notes that nobody listens at the executor's address: the order was certainly not carried out.
-func (t *Table) Refused(work OrderWork) {
-	if current := t.currentIs(work.Life); current != nil {
-		t.noteMisses(current, unresponsiveAfter)
-		t.Carried(work, resultSick)
+// HandleOrderRefusal notes that nobody listens at the executor's address: the order was certainly not carried out.
+func (t *Table) HandleOrderRefusal(work OrderWork) {
+	if current := t.currentIs(work.Executor); current != nil {
+		t.recordMisses(current, unresponsiveAfter)
+		t.HandleOrderResult(work, resultUnhealthy)
 	}
 }
 
 // resultWhileUnresponsive leaves a start that may have reached the executor to be sent again, as that is sooner over
 // than a stop.
-func (i *incarnation) resultWhileUnresponsive(order wire.Order) string {
-	if i.isUnsureOf(runOf(order)) {
+func (e *executorState) resultWhileUnresponsive(order wire.Order) string {
+	if e.isUncertain(runOf(order)) {
 		return resultTimeout
 	}
-	return resultSick
+	return resultUnhealthy
 }
 
-// isUnsureOf tells whether a start of the run may yet be carried out. A stop that was answered ends the doubt, as the
+// isUncertain tells whether a start of the run may yet be carried out. A stop that was answered ends the doubt, as the
 // executor turns the run away from then on.
-func (i *incarnation) isUnsureOf(run runKey) bool { return i.unsure[run] || i.isUnsureOfAll }
+func (e *executorState) isUncertain(run runKey) bool {
+	return e.uncertainRuns[run] || e.areAllUncertain
+}
 
-// Unanswered notes that an order may yet be carried out.
-func (t *Table) Unanswered(work OrderWork) {
-	known := t.known(work.Life)
+// HandleOrderTimeout notes that an order may yet be carried out.
+func (t *Table) HandleOrderTimeout(work OrderWork) {
+	known := t.find(work.Executor)
 	if known == nil {
 		return
 	}
-	if len(known.unsure) < mostUnsure {
-		known.unsure[runOf(work.Order)] = true
+	if len(known.uncertainRuns) < maxUncertainRuns {
+		known.uncertainRuns[runOf(work.Order)] = true
 	} else {
-		known.isUnsureOfAll = true
+		known.areAllUncertain = true
 	}
-	t.noteMisses(known, 1)
-	t.noteLost(known)
+	t.recordMisses(known, 1)
+	t.recordLostAnswer(known)
 }
 
-// Carried notes an order's answer for the leader.
-func (t *Table) Carried(work OrderWork, result string) {
-	known := t.known(work.Life)
+// HandleOrderResult notes an order's answer for the leader.
+func (t *Table) HandleOrderResult(work OrderWork, result string) {
+	known := t.find(work.Executor)
 	if known == nil {
 		return
 	}
 	order, run := work.Order, runOf(work.Order)
-	delete(known.underWay, keyOf(order))
-	if order.Kind == kindLaunch && known.isUnsureOf(run) && result != resultOK && result != resultTimeout {
-		result = resultUnsure
+	delete(known.ordersInFlight, keyOf(order))
+	if order.Kind == kindLaunch && known.isUncertain(run) && result != resultOK && result != resultTimeout {
+		result = resultUncertain
 	}
 	if result == resultOK {
-		delete(known.unsure, run)
+		delete(known.uncertainRuns, run)
 	}
 	known.answers = append(known.answers, givenAnswer{at: t.now(),
 		OrderAnswer: wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
 	if order.Kind == kindLaunch && result == resultOK {
-		t.onStart()
+		t.onRunStarted()
 		return
 	}
-	t.onWork()
+	t.onReportDue()
 }
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -18,50 +18,50 @@
 )
 
 const (
-	holdGap      = 15 * time.Millisecond
-	deafPause    = 100 * time.Millisecond
-	pollWaitMs   = 300
-	startPause   = 80 * time.Millisecond
-	startLimit   = 150 * time.Millisecond
-	startTries   = 2
-	atOnce       = 6
-	ownerPause   = 60 * time.Millisecond
-	failedPause  = 300 * time.Millisecond
-	exchangeSlow = 1500 * time.Millisecond
+	holdPause           = 15 * time.Millisecond
+	unansweredHoldPause = 100 * time.Millisecond
+	pollWaitMs          = 300
+	startReportDelay    = 80 * time.Millisecond
+	orderTimeout        = 150 * time.Millisecond
+	maxOrderAttempts    = 2
+	maxConcurrentOrders = 6
+	leaderPause         = 60 * time.Millisecond
+	failedPause         = 300 * time.Millisecond
+	exchangeTimeout     = 1500 * time.Millisecond
 )
 
 // Proxy joins one executor to the leader of its pool: it takes the executor's heartbeats, carries orders to it and
 // reports what runs and what has ended.
 type Proxy struct {
-	box      *mailbox.Mailbox
-	table    *Table
-	clock    clock.Clock
-	log      logging.Logger
-	executor *executorapi.Client
-	caller   *peerapi.Caller
-	view     func() *membership.View
-	service  string
-	work     chan struct{}
-	starts   chan struct{}
-	looks    chan struct{}
-	acks     chan struct{}
-	slots    chan struct{}
+	mailbox    *mailbox.Mailbox
+	table      *Table
+	clock      clock.Clock
+	log        logging.Logger
+	executor   *executorapi.Client
+	caller     *peerapi.Caller
+	view       func() *membership.View
+	service    string
+	reportDue  chan struct{}
+	runStarted chan struct{}
+	listDue    chan struct{}
+	ackDue     chan struct{}
+	orderSlots chan struct{}
 }
 
 // New makes a proxy for the executors of a service on this machine. It calls nobody before Run.
 func New(service, domain, name string, clock clock.Clock, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
 	view func() *membership.View, options ...TableOption) *Proxy {
-	proxy := &Proxy{box: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
-		work: make(chan struct{}, 1), starts: make(chan struct{}, 1), looks: make(chan struct{}, 1), acks: make(chan struct{}, 1), slots: make(chan struct{}, atOnce)}
-	options = append([]TableOption{WithSession(uint64(clock.WallMs())), WithStartBell(func() { nudge(proxy.starts) })}, options...)
-	proxy.table = NewTable(clock, log, service, domain, name, func() { nudge(proxy.work) }, func() { nudge(proxy.looks) },
-		func() { nudge(proxy.acks) }, options...)
+	proxy := &Proxy{mailbox: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
+		reportDue: make(chan struct{}, 1), runStarted: make(chan struct{}, 1), listDue: make(chan struct{}, 1), ackDue: make(chan struct{}, 1), orderSlots: make(chan struct{}, maxConcurrentOrders)}
+	options = append([]TableOption{WithSession(uint64(clock.WallMs())), WithStartSignal(func() { signal(proxy.runStarted) })}, options...)
+	proxy.table = NewTable(clock, log, service, domain, name, func() { signal(proxy.reportDue) }, func() { signal(proxy.listDue) },
+		func() { signal(proxy.ackDue) }, options...)
 	return proxy
 }
 
-func nudge(bell chan struct{}) {
+func signal(channel chan struct{}) {
 	select {
-	case bell <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
@@ -69,15 +69,15 @@
 // Run keeps the loops going until ctx is done.
 func (p *Proxy) Run(ctx context.Context) error {
 	go p.holdLoop(ctx)
-	go p.lookLoop(ctx)
+	go p.listLoop(ctx)
 	go p.pollLoop(ctx)
 	go p.reportLoop(ctx)
-	p.box.Run(ctx, p.clock, mailbox.Owner{Every: time.Minute})
+	p.mailbox.Run(ctx, p.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
 func ask[T any](ctx context.Context, p *Proxy, question func() T) (T, bool) {
-	value, err := mailbox.Ask(ctx, p.box, func(answer func(T)) { answer(question()) })
+	value, err := mailbox.Ask(ctx, p.mailbox, func(answer func(T)) { answer(question()) })
 	return value, err == nil
 }
 
@@ -97,42 +97,42 @@
 		refusal.Write(to)
 		return
 	}
-	answer, isTaken := ask(request.Context(), p, func() response.Reply { return p.obey(command) })
+	answer, isTaken := ask(request.Context(), p, func() response.Reply { return p.execute(command) })
 	if !isTaken {
 		answer = response.Text(http.StatusServiceUnavailable, "the table is busy")
 	}
 	answer.Write(to)
 }
 
-func (p *Proxy) obey(command executorapi.Command) response.Reply {
-	if command.IsLeave {
-		p.table.Leave(command.Executor)
+func (p *Proxy) execute(command executorapi.Command) response.Reply {
+	if command.IsDeregistration {
+		p.table.Deregister(command.Executor)
 		return response.Raw(http.StatusOK, []byte("{}"))
 	}
-	status, why := p.table.Beat(command.Executor, command.Beat)
-	if why != "" {
-		return response.Text(status, why)
+	status, problem := p.table.Heartbeat(command.Executor, command.Heartbeat)
+	if problem != "" {
+		return response.Text(status, problem)
 	}
 	return response.Raw(status, []byte("{}"))
 }
 
-type holdTurn struct {
+type nextHold struct {
 	work  HoldWork
 	isDue bool
 }
 
 func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
-		turn, isOpen := ask(ctx, p, func() holdTurn {
+		turn, isOpen := ask(ctx, p, func() nextHold {
 			work, isDue := p.table.NextHold(false)
-			return holdTurn{work, isDue}
+			return nextHold{work, isDue}
 		})
 		if !isOpen {
 			return
 		}
 		begunAt := p.clock.Monotonic()
 		if turn.isDue && p.hold(ctx, turn.work) {
-			p.pause(ctx, holdGap)
+			p.pause(ctx, holdPause)
 			continue
 		}
 		if turn.isDue && turn.work.Hold.WaitMs == shortWaitMs {
@@ -142,25 +142,27 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.acks:
+		case <-p.ackDue:
 		case <-p.clock.After(failedPause):
 		}
 	}
 }
 
 // PauseAfterMiss is longer where a hold was cut or refused at once: each try is then a new connection.
-func PauseAfterMiss(took time.Duration) time.Duration { return max(holdGap, deafPause-took) }
+func PauseAfterMiss(took time.Duration) time.Duration {
+	return max(holdPause, unansweredHoldPause-took)
+}
 
-func (p *Proxy) lookLoop(ctx context.Context) {
+func (p *Proxy) listLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.looks:
+		case <-p.listDue:
 		}
-		turn, isOpen := ask(ctx, p, func() holdTurn {
+		turn, isOpen := ask(ctx, p, func() nextHold {
 			work, isDue := p.table.NextHold(true)
-			return holdTurn{work, isDue}
+			return nextHold{work, isDue}
 		})
 		if !isOpen {
 			return
@@ -169,24 +171,24 @@
 			if !p.pause(ctx, failedPause) {
 				return
 			}
-			nudge(p.looks)
+			signal(p.listDue)
 		}
 	}
 }
 
 func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
 	limit := HoldLimit(work.Hold)
-	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Life, limit, work.Hold)
+	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, limit, work.Hold)
 	isHeld := err == nil && status == http.StatusOK
-	p.box.Post(func() {
+	p.mailbox.Post(func() {
 		if isHeld {
-			p.table.Held(work, answer)
+			p.table.HandleHold(work, answer)
 			return
 		}
-		p.table.HoldFailed(work, err == nil && status == http.StatusMisdirectedRequest)
+		p.table.HandleHoldFailure(work, err == nil && status == http.StatusMisdirectedRequest)
 	})
 	if !isHeld {
-		p.log.V(1).Info("lease renewal failed", "executor", work.Life, "status", status, "reason", errorText(err))
+		p.log.V(1).Info("lease renewal failed", "executor", work.Executor, "status", status, "reason", errorText(err))
 	}
 	return isHeld
 }
@@ -200,7 +202,7 @@
 
 func (p *Proxy) pollLoop(ctx context.Context) {
 	for {
-		if !p.exchange(ctx, pollWaitMs) && !p.pause(ctx, ownerPause) {
+		if !p.exchange(ctx, pollWaitMs) && !p.pause(ctx, leaderPause) {
 			return
 		}
 		if ctx.Err() != nil {
@@ -214,29 +216,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.work:
-		case <-p.starts:
-			if !p.awaitMore(ctx) {
+		case <-p.reportDue:
+		case <-p.runStarted:
+			if !p.waitForMore(ctx) {
 				continue
 			}
 		}
 		if !p.exchange(ctx, 0) {
-			if !p.pause(ctx, ownerPause) {
+			if !p.pause(ctx, leaderPause) {
 				return
 			}
-			nudge(p.work)
+			signal(p.reportDue)
 		}
 	}
 }
 
-// awaitMore lets news that can wait share the report of what follows; it tells whether a report is due.
-func (p *Proxy) awaitMore(ctx context.Context) bool {
+// waitForMore lets news that can wait share the report of what follows; it tells whether a report is due.
+func (p *Proxy) waitForMore(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-p.work:
+	case <-p.reportDue:
 		return true
-	case <-p.clock.After(startPause):
+	case <-p.clock.After(startReportDelay):
 	}
 	hasUnsent, _ := ask(ctx, p, p.table.HasUnsent)
 	return hasUnsent
@@ -258,15 +260,15 @@
 		return true
 	}
 	view := p.view()
-	owner := ownerAddress(view, call.Key)
-	if owner == "" {
+	leader := leaderAddress(view, call.Key)
+	if leader == "" {
 		return false
 	}
 	askedAt := p.clock.Monotonic()
-	patience, release := membership.UntilLeaderMoved(ctx, view)
+	callCtx, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
-	answer, err := peerapi.Call[wire.ExchangeCall, wire.ExchangeAnswer](patience, p.caller, owner,
-		peerapi.ProcedureExchange, clock.Milliseconds(call.WaitMs)+exchangeSlow, call)
+	answer, err := peerapi.Call[wire.ExchangeCall, wire.ExchangeAnswer](callCtx, p.caller, leader,
+		peerapi.ProcedureExchange, clock.Milliseconds(call.WaitMs)+exchangeTimeout, call)
 	if err != nil {
 		p.log.V(1).Info("exchange failed", "reason", err.Error())
 		return false
@@ -277,16 +279,16 @@
 	if answer.Fence == 0 {
 		return true
 	}
-	orders, _ := ask(ctx, p, func() []wire.Order { return p.table.Told(call, askedAt, answer) })
+	orders, _ := ask(ctx, p, func() []wire.Order { return p.table.HandleAnswer(call, askedAt, answer) })
 	for _, order := range orders {
-		go p.carry(ctx, call.Executor, order)
+		go p.deliverOrder(ctx, call.Executor, order)
 	}
 	return true
 }
 
-func ownerAddress(view *membership.View, key string) string {
-	if owner, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
-		return owner.Address
+func leaderAddress(view *membership.View, key string) string {
+	if leader, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
+		return leader.Address
 	}
 	for _, steward := range slices.Backward(view.Stewards) {
 		if steward.MayLead() {
@@ -296,43 +298,43 @@
 	return ""
 }
 
-type orderTurn struct {
+type nextOrder struct {
 	work  OrderWork
 	isDue bool
 }
 
-// carry brings one order to the executor, again if it is not answered.
-func (p *Proxy) carry(ctx context.Context, executor string, order wire.Order) {
-	p.slots <- struct{}{}
-	defer func() { <-p.slots }()
-	for try := range startTries {
-		turn, isOpen := ask(ctx, p, func() orderTurn {
+// deliverOrder brings one order to the executor, again if it is not answered.
+func (p *Proxy) deliverOrder(ctx context.Context, executor string, order wire.Order) {
+	p.orderSlots <- struct{}{}
+	defer func() { <-p.orderSlots }()
+	for attempt := range maxOrderAttempts {
+		turn, isOpen := ask(ctx, p, func() nextOrder {
 			work, isDue := p.table.Ready(executor, order)
-			return orderTurn{work, isDue}
+			return nextOrder{work, isDue}
 		})
 		if !isOpen || !turn.isDue {
 			return
 		}
-		status, answer, err := p.deliver(ctx, turn.work)
+		status, answer, err := p.send(ctx, turn.work)
 		if err == nil {
 			result := ResultOf(status, answer.Reason)
-			p.box.Post(func() {
-				p.table.Clock(executor, answer.ClockMs)
-				p.table.Carried(turn.work, result)
+			p.mailbox.Post(func() {
+				p.table.ReadClock(executor, answer.ClockMs)
+				p.table.HandleOrderResult(turn.work, result)
 			})
 			return
 		}
 		if order.Kind == "launch" && isRefused(err) {
-			p.box.Post(func() { p.table.Refused(turn.work) })
+			p.mailbox.Post(func() { p.table.HandleOrderRefusal(turn.work) })
 			return
 		}
-		isLast := try == startTries-1
-		p.box.Post(func() {
+		isLast := attempt == maxOrderAttempts-1
+		p.mailbox.Post(func() {
 			if !isRefused(err) {
-				p.table.Unanswered(turn.work)
+				p.table.HandleOrderTimeout(turn.work)
 			}
 			if isLast {
-				p.table.Carried(turn.work, "timeout")
+				p.table.HandleOrderResult(turn.work, "timeout")
 			}
 		})
 	}
@@ -343,13 +345,13 @@
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
-func (p *Proxy) deliver(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
+func (p *Proxy) send(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
 	order := work.Order
 	if order.Kind == "launch" {
-		return p.executor.Call(ctx, "/v1/run-start", work.Life, startLimit, executorapi.RunStart{Task: order.Task, Run: order.Run,
-			Spec: order.Descriptor, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Saved: order.Checkpoint})
+		return p.executor.Call(ctx, "/v1/run-start", work.Executor, orderTimeout, executorapi.RunStart{Task: order.Task, Run: order.Run,
+			Descriptor: order.Descriptor, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Checkpoint: order.Checkpoint})
 	}
-	return p.executor.Call(ctx, "/v1/run-stop", work.Life, startLimit,
+	return p.executor.Call(ctx, "/v1/run-stop", work.Executor, orderTimeout,
 		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
 
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -18,19 +18,19 @@
 	domain  string
 	name    string
 	// current is the incarnation of the executor that sent a heartbeat last; nil while there is none.
-	current *incarnation
+	current *executorState
 	// others have sent heartbeats as well and may be over; the next answer of the current incarnation shows it.
-	others []*incarnation
+	others []*executorState
 	// gone are the IDs of the last incarnations that are over.
 	gone []string
-	// farewells are those of incarnations that this process has not heard of; a heartbeat of theirs may still come.
-	farewells []string
-	drainTime time.Duration
-	onWork    func()
-	onLook    func()
-	onAck     func()
-	onStart   func()
-	session   uint64
+	// deregistered are those of incarnations that this process has not heard of; a heartbeat of theirs may still come.
+	deregistered []string
+	drainTime    time.Duration
+	onReportDue  func()
+	onListDue    func()
+	onAckDue     func()
+	onRunStarted func()
+	session      uint64
 }
 
 // TableOption changes how a table is made.
@@ -42,15 +42,15 @@
 // WithDrainTime says how long an executor serves on at least once it has said that it leaves.
 func WithDrainTime(length time.Duration) TableOption { return func(t *Table) { t.drainTime = length } }
 
-// WithStartBell is rung, instead of the one for work, by news that can wait for a moment: that a run was started.
-func WithStartBell(onStart func()) TableOption { return func(t *Table) { t.onStart = onStart } }
+// WithStartSignal is rung, instead of the one for work, by news that can wait for a moment: that a run was started.
+func WithStartSignal(onStart func()) TableOption { return func(t *Table) { t.onRunStarted = onStart } }
 
-// NewTable makes a table without an executor. The functions ring when there is something to do: onWork when the
-// executor should be held or the leader told, onLook when the runs should be listed anew, onAck when an end is to be
+// NewTable makes a table without an executor. The functions ring when there is something to do: onReportDue when the
+// executor should be held or the leader told, onListDue when the runs should be listed anew, onAckDue when an end is to be
 // acknowledged. They must not block.
 func NewTable(clock clock.Clock, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
-	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onWork: onWork, onLook: onLook, onAck: onAck,
-		onStart: onWork, drainTime: usualDrain}
+	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onReportDue: onWork, onListDue: onLook, onAckDue: onAck,
+		onRunStarted: onWork, drainTime: defaultDrainTime}
 	for _, option := range options {
 		option(table)
 	}
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -41,7 +41,7 @@
 	table     *localproxy.Table
 	session   uint64
 	sequence  int64
-	beat      executorapi.Beat
+	beat      executorapi.Heartbeat
 	saved     map[string]string
 	calls     []letter
 	answers   []returned
@@ -53,7 +53,7 @@
 	clock := clock.NewFake(1_000_000)
 	o := &postOffice{draw: rand.New(rand.NewPCG(seed, 7)), clock: clock, saved: map[string]string{}, truth: map[[2]uint64]picture{},
 		tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}},
-		beat:   executorapi.Beat{Service: "s", State: "ready", Room: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
+		beat:   executorapi.Heartbeat{Service: "s", State: "ready", Capacity: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
 	o.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
@@ -94,7 +94,7 @@
 	o.sequence++
 	o.beat.Sequence, o.beat.ClockMs = o.sequence, o.clock.Monotonic().Milliseconds()+1
 	beat := o.beat
-	o.table.Beat("i-1", &beat)
+	o.table.Heartbeat("i-1", &beat)
 }
 
 func (o *postOffice) hold(isLook bool) {
@@ -106,7 +106,7 @@
 	for _, task := range slices.Sorted(maps.Keys(o.saved)) {
 		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Checkpoint: o.saved[task]})
 	}
-	o.table.Held(work, answer)
+	o.table.HandleHold(work, answer)
 }
 
 type picture struct {
@@ -137,9 +137,9 @@
 	if one.table != o.table {
 		return
 	}
-	for _, order := range o.table.Told(&one.call, o.clock.Monotonic(), &one.answer) {
+	for _, order := range o.table.HandleAnswer(&one.call, o.clock.Monotonic(), &one.answer) {
 		if work, isDue := o.table.Ready("i-1", order); isDue {
-			o.table.Carried(work, "ok")
+			o.table.HandleOrderResult(work, "ok")
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	case 0:
 		o.beat.Labels = []string{"a", "r" + strconv.Itoa(o.draw.IntN(3))}
 	case 1:
-		o.beat.Room.Memory = int64(9000 + o.draw.IntN(3))
+		o.beat.Capacity.Memory = int64(9000 + o.draw.IntN(3))
 	default:
 		o.saved[fmt.Sprintf("%s.0.0.%d", id, o.draw.IntN(tasksHere))] = strconv.Itoa(o.draw.IntN(1 << 30))
 	}
@@ -175,7 +175,7 @@
 func (o *postOffice) noteTruth() {
 	call := o.calls[len(o.calls)-1].call
 	place := [2]uint64{call.Session, call.Number}
-	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Capacity: o.beat.Room}, o.saved)
+	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Capacity: o.beat.Capacity}, o.saved)
 	if former, exists := o.truth[place]; exists {
 		Expect(now).To(Equal(former), "number %v stands for two things", place)
 	}
--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -187,7 +187,7 @@
 
 // Start is POST /v1/run-start.
 func (e *Executor) Start(order executorapi.RunStart) (int, executorapi.Answer) {
-	load, err := parseLoad(order.Spec)
+	load, err := parseLoad(order.Descriptor)
 	switch {
 	case !e.raise(order.Fence):
 		return 409, e.answer(reasonFence)
@@ -292,10 +292,10 @@
 }
 
 // Beat is the executor's next heartbeat.
-func (e *Executor) Beat(service, address, domain string) executorapi.Beat {
+func (e *Executor) Beat(service, address, domain string) executorapi.Heartbeat {
 	e.sequence++
-	return executorapi.Beat{Service: service, Address: address, Domain: domain, Version: "v1", Slots: 8, State: "ready",
-		Room: e.shape.Room, Labels: e.shape.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
+	return executorapi.Heartbeat{Service: service, Address: address, Domain: domain, Version: "v1", Slots: 8, State: "ready",
+		Capacity: e.shape.Room, Labels: e.shape.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
 }
 
 // Counts are how many tasks run now and how many were started in all.
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -50,7 +50,7 @@
 
 func (w *world) order(task string, run int64, fence uint64) executorapi.RunStart {
 	return executorapi.RunStart{Task: task, Run: run, Fence: fence, ExpiryMs: w.executor.ClockMs() + 5000,
-		Spec: hollow.Load{Length: time.Second, CPU: 600, MemoryMB: 10}.Descriptor()}
+		Descriptor: hollow.Load{Length: time.Second, CPU: 600, MemoryMB: 10}.Descriptor()}
 }
 
 func (w *world) start(task string, run int64, fence uint64) (int, string) {
@@ -124,7 +124,7 @@
 
 	long := func(expiry time.Duration) {
 		order := w.order("a.0.0.0", 1, 1)
-		order.Spec = hollow.Load{Length: time.Minute, CPU: 600}.Descriptor()
+		order.Descriptor = hollow.Load{Length: time.Minute, CPU: 600}.Descriptor()
 		order.ExpiryMs = w.executor.ClockMs() + expiry.Milliseconds()
 		status, _ := w.executor.Start(order)
 		Expect(status).To(Equal(200))
@@ -175,7 +175,7 @@
 
 	It("refuses a descriptor that is not of the scale run", func() {
 		order := w.order("a.0.0.0", 1, 1)
-		order.Spec = "something else"
+		order.Descriptor = "something else"
 		status, _ := w.executor.Start(order)
 		Expect(status).To(Equal(400))
 	})
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -147,7 +147,7 @@
 		case <-n.clock.After(wait):
 		}
 		wait = clock.Milliseconds(n.settings.HeartbeatMs)
-		heartbeat, err := mailbox.Ask(n.ctx, n.mailbox, func(answer func(executorapi.Beat)) {
+		heartbeat, err := mailbox.Ask(n.ctx, n.mailbox, func(answer func(executorapi.Heartbeat)) {
 			answer(n.executor.Beat(n.settings.Service, n.settings.App, n.settings.Domain))
 		})
 		if err != nil || n.send(client, heartbeat) != nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-func (n *node) send(client *http.Client, heartbeat executorapi.Beat) error {
+func (n *node) send(client *http.Client, heartbeat executorapi.Heartbeat) error {
 	body, err := easyjson.Marshal(heartbeat)
 	if err != nil {
 		return err
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -67,7 +67,7 @@
 }
 
 func (g *gate) reply(request *wire.ClientCall, outcome leaderclient.Outcome) clientReply {
-	told := clientapi.ReplyOf(request, g.world.plant.outcome(outcome))
+	told := clientapi.ResponseOf(request, g.world.plant.outcome(outcome))
 	return clientReply{told.Status, string(told.Body)}
 }
 
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -32,7 +32,7 @@
 }
 
 func (e *executor) begin(order executorapi.RunStart, isLate bool) {
-	one := &execution{task: order.Task, run: order.Run, executor: e, begunAt: e.world.queue.now(), saved: order.Saved, isStuck: e.isStuck}
+	one := &execution{task: order.Task, run: order.Run, executor: e, begunAt: e.world.queue.now(), saved: order.Checkpoint, isStuck: e.isStuck}
 	one.place, _ = jobs.ParseTask(order.Task)
 	one.step = e.world.oracles.stepOf(one.place)
 	one.length, one.how = e.world.profile.work(one)
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -123,10 +123,10 @@
 		return
 	}
 	e.sequence++
-	beat := &executorapi.Beat{Service: service, State: "ready", Room: e.room, Labels: e.labels,
+	beat := &executorapi.Heartbeat{Service: service, State: "ready", Capacity: e.room, Labels: e.labels,
 		ClockMs: e.clockMs(), Sequence: e.sequence}
 	if e.isDraining {
-		beat.State, beat.DepartsMs = "draining", max(1, (e.departsAt-e.world.queue.now()).Milliseconds())
+		beat.State, beat.DepartureMs = "draining", max(1, (e.departsAt-e.world.queue.now()).Milliseconds())
 	}
 	id, proxy, wait := e.id, e.proxy, localHop
 	if e.isBeatLate && e.world.queue.chance(percentLateBeats) {
@@ -134,7 +134,7 @@
 		wait = e.world.queue.between(localHop, mostBeatTime)
 	}
 	e.world.queue.after(wait, func() {
-		proxy.enter(proxy.incarnation, func() { proxy.table.Beat(id, beat) })
+		proxy.enter(proxy.incarnation, func() { proxy.table.Heartbeat(id, beat) })
 	})
 	e.later(beatEvery, e.beat)
 }
@@ -166,7 +166,7 @@
 func (e *executor) sayFarewell() {
 	id, proxy := e.id, e.proxy
 	e.isSilent = true
-	proxy.enter(proxy.incarnation, func() { proxy.table.Leave(id) })
+	proxy.enter(proxy.incarnation, func() { proxy.table.Deregister(id) })
 }
 
 // replace ends this life, and begins another after a while.
--- a/internal/simulation/modelcheck/ordermodel/plantedstalls.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedstalls.go
@@ -37,10 +37,10 @@
 
 const neverHeld = time.Hour
 
-// HoldFailed remembers the failure for ever.
-func (t *grudgingTable) HoldFailed(work localproxy.HoldWork, isOtherLife bool) {
+// HandleHoldFailure remembers the failure for ever.
+func (t *grudgingTable) HandleHoldFailure(work localproxy.HoldWork, isOtherLife bool) {
 	t.hasFailed = true
-	t.Table.HoldFailed(work, isOtherLife)
+	t.Table.HandleHoldFailure(work, isOtherLife)
 }
 
 // Compose reports no hold once one has failed.
--- a/internal/simulation/modelcheck/ordermodel/plantedtables.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedtables.go
@@ -29,10 +29,10 @@
 	return work, isDue
 }
 
-// Unanswered counts the try.
-func (t *renumberingTable) Unanswered(work localproxy.OrderWork) {
+// HandleOrderTimeout counts the try.
+func (t *renumberingTable) HandleOrderTimeout(work localproxy.OrderWork) {
 	t.tries[work.Order.Task]++
-	t.Table.Unanswered(work)
+	t.Table.HandleOrderTimeout(work)
 }
 
 type ungrantedTable struct{ plantedTable }
@@ -48,9 +48,9 @@
 
 type lateGrantTable struct{ plantedTable }
 
-// Told counts a grant from now.
-func (t *lateGrantTable) Told(call *wire.ExchangeCall, _ time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
-	return t.Table.Told(call, t.proxy.world.queue.now(), answer)
+// HandleAnswer counts a grant from now.
+func (t *lateGrantTable) HandleAnswer(call *wire.ExchangeCall, _ time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
+	return t.Table.HandleAnswer(call, t.proxy.world.queue.now(), answer)
 }
 
 // unfencedTable carries out, under the fence of a new leader, what the former one ordered last.
@@ -62,9 +62,9 @@
 
 const formerOrders = 8
 
-// Told adds the orders of the former leader to the first of a new one.
-func (t *unfencedTable) Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
-	orders := t.Table.Told(call, askedAt, answer)
+// HandleAnswer adds the orders of the former leader to the first of a new one.
+func (t *unfencedTable) HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
+	orders := t.Table.HandleAnswer(call, askedAt, answer)
 	if answer.Fence > t.fence {
 		t.fence = answer.Fence
 		orders = append(orders, t.former...)
@@ -80,35 +80,35 @@
 
 type stoppingTable struct{ plantedTable }
 
-// Carried reports a stop without an answer as done.
-func (t *stoppingTable) Carried(work localproxy.OrderWork, result string) {
+// HandleOrderResult reports a stop without an answer as done.
+func (t *stoppingTable) HandleOrderResult(work localproxy.OrderWork, result string) {
 	if work.Order.Kind == "stop" && result == "timeout" {
 		result = "ok"
 	}
-	t.Table.Carried(work, result)
+	t.Table.HandleOrderResult(work, result)
 }
 
 type forgetfulTable struct{ plantedTable }
 
-// Unanswered forgets that the start may yet be carried out.
-func (t *forgetfulTable) Unanswered(localproxy.OrderWork) {}
+// HandleOrderTimeout forgets that the start may yet be carried out.
+func (t *forgetfulTable) HandleOrderTimeout(localproxy.OrderWork) {}
 
-// Carried reports a start without an answer as not carried out.
-func (t *forgetfulTable) Carried(work localproxy.OrderWork, result string) {
+// HandleOrderResult reports a start without an answer as not carried out.
+func (t *forgetfulTable) HandleOrderResult(work localproxy.OrderWork, result string) {
 	if work.Order.Kind == "launch" && result == "timeout" {
 		result = "not-run"
 	}
-	t.Table.Carried(work, result)
+	t.Table.HandleOrderResult(work, result)
 }
 
 // trustingTable takes each heartbeat for an answer of the life that it names.
 type trustingTable struct{ plantedTable }
 
-// Beat takes the heartbeat for the answer to a hold.
-func (t *trustingTable) Beat(id string, beat *executorapi.Beat) (int, string) {
-	status, why := t.Table.Beat(id, beat)
+// Heartbeat takes the heartbeat for the answer to a hold.
+func (t *trustingTable) Heartbeat(id string, beat *executorapi.Heartbeat) (int, string) {
+	status, why := t.Table.Heartbeat(id, beat)
 	if status == http.StatusOK {
-		t.Table.Held(localproxy.HoldWork{Life: id, BegunAt: t.proxy.world.queue.now()}, executorapi.Answer{ClockMs: beat.ClockMs})
+		t.Table.HandleHold(localproxy.HoldWork{Executor: id, BegunAt: t.proxy.world.queue.now()}, executorapi.Answer{ClockMs: beat.ClockMs})
 	}
 	return status, why
 }
@@ -150,14 +150,14 @@
 	told string
 }
 
-// Held changes how runs ended.
-func (t *lyingTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
+// HandleHold changes how runs ended.
+func (t *lyingTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
 	for place := range answer.Ends {
 		if slices.Contains(t.hows, answer.Ends[place].Outcome) {
 			answer.Ends[place].Outcome = t.told
 		}
 	}
-	t.Table.Held(work, answer)
+	t.Table.HandleHold(work, answer)
 }
 
 // oldLookTable answers a hold with the list that the hold before it brought.
@@ -166,8 +166,8 @@
 	running []executorapi.RunningRow
 }
 
-// Held replaces the list of runs by the one before.
-func (t *oldLookTable) Held(work localproxy.HoldWork, answer executorapi.Answer) {
+// HandleHold replaces the list of runs by the one before.
+func (t *oldLookTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
 	answer.Running, t.running = t.running, answer.Running
-	t.Table.Held(work, answer)
+	t.Table.HandleHold(work, answer)
 }
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -27,19 +27,19 @@
 
 // proxyTable is what the model drives of a local-proxy; plants wrap it.
 type proxyTable interface {
-	Beat(id string, beat *executorapi.Beat) (status int, why string)
-	Leave(id string)
+	Heartbeat(id string, beat *executorapi.Heartbeat) (status int, why string)
+	Deregister(id string)
 	NextHold(isLook bool) (localproxy.HoldWork, bool)
-	Held(work localproxy.HoldWork, answer executorapi.Answer)
-	HoldFailed(work localproxy.HoldWork, isOtherLife bool)
+	HandleHold(work localproxy.HoldWork, answer executorapi.Answer)
+	HandleHoldFailure(work localproxy.HoldWork, isOtherLife bool)
 	Compose(waitMs int64) (*wire.ExchangeCall, bool)
-	Told(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order
+	HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order
 	HasUnsent() bool
 	Ready(life string, order wire.Order) (localproxy.OrderWork, bool)
-	Refused(work localproxy.OrderWork)
-	Unanswered(work localproxy.OrderWork)
-	Clock(life string, executorMs int64)
-	Carried(work localproxy.OrderWork, result string)
+	HandleOrderRefusal(work localproxy.OrderWork)
+	HandleOrderTimeout(work localproxy.OrderWork)
+	ReadClock(life string, executorMs int64)
+	HandleOrderResult(work localproxy.OrderWork, result string)
 }
 
 // bell is a channel of one place: it rings once, however often it was struck.
@@ -88,7 +88,7 @@
 	// A session is the time of day at which the process began.
 	session := uint64(p.world.queue.clock.WallMs())
 	p.table = p.world.plant.table(p, localproxy.NewTable(p.world.queue.clock, logging.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
-		ring(&p.acks), localproxy.WithSession(session), localproxy.WithStartBell(ring(&p.starts))))
+		ring(&p.acks), localproxy.WithSession(session), localproxy.WithStartSignal(ring(&p.starts))))
 	p.holdLoop()
 	p.lookLoop()
 	p.pollLoop()
@@ -149,12 +149,12 @@
 }
 
 func (p *proxy) hold(work localproxy.HoldWork, done func(isHeld bool)) {
-	p.ask(work.Life, localproxy.HoldLimit(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
+	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
 		isHeld := reply.err == nil && reply.status == http.StatusOK
 		if isHeld {
-			p.table.Held(work, reply.answer)
+			p.table.HandleHold(work, reply.answer)
 		} else {
-			p.table.HoldFailed(work, reply.err == nil && reply.status == http.StatusMisdirectedRequest)
+			p.table.HandleHoldFailure(work, reply.err == nil && reply.status == http.StatusMisdirectedRequest)
 		}
 		done(isHeld)
 	})
@@ -240,7 +240,7 @@
 			return
 		}
 		if answer.Fence > 0 {
-			for _, order := range p.table.Told(request, askedAt, &answer) {
+			for _, order := range p.table.HandleAnswer(request, askedAt, &answer) {
 				p.carryInTurn(request.Executor, order)
 			}
 		}
@@ -275,22 +275,22 @@
 		p.carried()
 		return
 	}
-	p.ask(work.Life, orderLimit, requestOf(work), func(reply executorReply) {
+	p.ask(work.Executor, orderLimit, requestOf(work), func(reply executorReply) {
 		switch {
 		case reply.err == nil:
-			p.table.Clock(life, reply.answer.ClockMs)
-			p.table.Carried(work, localproxy.ResultOf(reply.status, reply.answer.Reason))
+			p.table.ReadClock(life, reply.answer.ClockMs)
+			p.table.HandleOrderResult(work, localproxy.ResultOf(reply.status, reply.answer.Reason))
 		case order.Kind == "launch" && reply.isRefused:
-			p.table.Refused(work)
+			p.table.HandleOrderRefusal(work)
 		default:
 			if !reply.isRefused {
-				p.table.Unanswered(work)
+				p.table.HandleOrderTimeout(work)
 			}
 			if try+1 < orderTries {
 				p.carry(life, order, try+1)
 				return
 			}
-			p.table.Carried(work, "timeout")
+			p.table.HandleOrderResult(work, "timeout")
 		}
 		p.carried()
 	})
@@ -313,8 +313,8 @@
 func requestOf(work localproxy.OrderWork) executorRequest {
 	order := work.Order
 	if order.Kind == "launch" {
-		return executorRequest{start: &executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Descriptor, ExpiryMs: work.ExpiryMs,
-			Fence: work.Fence, Saved: order.Checkpoint}}
+		return executorRequest{start: &executorapi.RunStart{Task: order.Task, Run: order.Run, Descriptor: order.Descriptor, ExpiryMs: work.ExpiryMs,
+			Fence: work.Fence, Checkpoint: order.Checkpoint}}
 	}
 	return executorRequest{stop: &executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence}}
 }
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -42,11 +42,11 @@
 }
 
 func (o *oracles) checkOrder(executor *executor, one *execution, order executorapi.RunStart, owner *job, facts *task) {
-	if order.Spec != owner.spec.Descriptor {
+	if order.Descriptor != owner.spec.Descriptor {
 		o.world.violate("UNASKED", "%s started with another descriptor", one.task)
 	}
-	if order.Saved != "" && !o.isSavedBy(one, order.Saved) {
-		o.world.violate("UNASKED", "%s started from %s, which is no checkpoint of it", one.task, order.Saved)
+	if order.Checkpoint != "" && !o.isSavedBy(one, order.Checkpoint) {
+		o.world.violate("UNASKED", "%s started from %s, which is no checkpoint of it", one.task, order.Checkpoint)
 	}
 	if one.step.Redundant {
 		return
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -38,7 +38,7 @@
 	}
 	p.table = localproxy.NewTable(p.stage.Line.Clock, p.stage.log, p.stage.service, p.executor.Domain, p.executor.Machine,
 		later(p.report), later(func() { p.hold(life, true) }), later(func() { p.hold(life, false) }), localproxy.WithSession(uint64(life)),
-		localproxy.WithStartBell(func() { p.stage.Line.After(startPause, func() { p.enter(life, p.reportStarts) }) }))
+		localproxy.WithStartSignal(func() { p.stage.Line.After(startPause, func() { p.enter(life, p.reportStarts) }) }))
 	p.beat(life)
 	p.holdLoop(life)
 	p.poll(life)
@@ -63,7 +63,7 @@
 			if p.executor.isDrain {
 				state = "draining"
 			}
-			p.table.Beat(p.executor.ID, &executorapi.Beat{Service: p.stage.service, State: state, Room: p.executor.Room,
+			p.table.Heartbeat(p.executor.ID, &executorapi.Heartbeat{Service: p.stage.service, State: state, Capacity: p.executor.Room,
 				Labels: p.executor.Labels, ClockMs: p.executor.ClockMs(), Sequence: p.sequence})
 		}
 		p.stage.Line.After(1500*time.Millisecond, func() { p.beat(life) })
@@ -117,13 +117,13 @@
 	if !isDue || p.life != life {
 		return
 	}
-	p.ask(work.Life, localproxy.HoldLimit(work.Hold), func(answer func(int, executorapi.Answer)) { p.executor.Hold(work.Hold, answer) },
+	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), func(answer func(int, executorapi.Answer)) { p.executor.Hold(work.Hold, answer) },
 		func(status int, answer executorapi.Answer, isAnswered bool) {
 			if isAnswered && status == 200 {
-				p.table.Held(work, answer)
+				p.table.HandleHold(work, answer)
 				return
 			}
-			p.table.HoldFailed(work, isAnswered && status == 421)
+			p.table.HandleHoldFailure(work, isAnswered && status == 421)
 		})
 }
 
@@ -199,7 +199,7 @@
 		p.misses = 0
 		answer.GrantMs *= p.stage.grantBy
 		if answer.Fence > 0 {
-			for _, order := range p.table.Told(ask, askedAt, &answer) {
+			for _, order := range p.table.HandleAnswer(ask, askedAt, &answer) {
 				p.carry(ask.Executor, order, 0)
 			}
 		}
@@ -220,28 +220,28 @@
 	},
 		func(status int, answer executorapi.Answer, isAnswered bool) {
 			if isAnswered {
-				p.table.Clock(executor, answer.ClockMs)
-				p.table.Carried(work, localproxy.ResultOf(status, answer.Reason))
+				p.table.ReadClock(executor, answer.ClockMs)
+				p.table.HandleOrderResult(work, localproxy.ResultOf(status, answer.Reason))
 				return
 			}
 			if status == refused && order.Kind == "launch" {
-				p.table.Refused(work)
+				p.table.HandleOrderRefusal(work)
 				return
 			}
-			p.table.Unanswered(work)
+			p.table.HandleOrderTimeout(work)
 			if try == 0 {
 				p.carry(executor, order, 1)
 				return
 			}
-			p.table.Carried(work, "timeout")
+			p.table.HandleOrderResult(work, "timeout")
 		})
 }
 
 func (p *Proxy) deliver(work localproxy.OrderWork) (int, executorapi.Answer) {
 	order := work.Order
 	if order.Kind == "launch" {
-		return p.executor.Start(executorapi.RunStart{Task: order.Task, Run: order.Run, Spec: order.Descriptor, ExpiryMs: work.ExpiryMs,
-			Fence: work.Fence, Saved: order.Checkpoint})
+		return p.executor.Start(executorapi.RunStart{Task: order.Task, Run: order.Run, Descriptor: order.Descriptor, ExpiryMs: work.ExpiryMs,
+			Fence: work.Fence, Checkpoint: order.Checkpoint})
 	}
 	return p.executor.Stop(executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
