--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -21,22 +21,61 @@
 	Stuck      bool   `json:"x,omitempty"`
 }
 
+// RunOutcome is how a run ended, as its executor says. Of others than these the scheduler only knows that the run is over.
+type RunOutcome string
+
+// The outcomes that the scheduler acts on.
+const (
+	// OutcomeDone completes the task.
+	OutcomeDone RunOutcome = "done"
+	// OutcomeFailed counts as an attempt.
+	OutcomeFailed RunOutcome = "failed"
+)
+
+// OrderKind is what is to be done with a run.
+type OrderKind string
+
+// The kinds of orders.
+const (
+	OrderLaunch OrderKind = "launch"
+	OrderStop   OrderKind = "stop"
+)
+
+// OrderResult is what came of an order.
+type OrderResult string
+
+// The results of orders.
+const (
+	// ResultOK: the order was carried out.
+	ResultOK OrderResult = "ok"
+	// ResultNotRun: the order was certainly not carried out, and the executor is not to blame.
+	ResultNotRun OrderResult = "not-run"
+	// ResultNoCapacity: the executor has no capacity for the run.
+	ResultNoCapacity OrderResult = "room"
+	// ResultUnhealthy: the order was certainly not carried out, as the executor refuses or is not there.
+	ResultUnhealthy OrderResult = "sick"
+	// ResultUncertain: a start may yet be carried out.
+	ResultUncertain OrderResult = "unsure"
+	// ResultTimeout: nothing was answered; the order is sent again.
+	ResultTimeout OrderResult = "timeout"
+)
+
 // EndReport is the end of a run; an executor numbers its ends in their order.
 type EndReport struct {
-	Number     int64  `json:"n"`
-	Task       string `json:"t"`
-	Run        int64  `json:"r"`
-	Outcome    string `json:"h"`
-	Checkpoint string `json:"c,omitempty"`
+	Number     int64      `json:"n"`
+	Task       string     `json:"t"`
+	Run        int64      `json:"r"`
+	Outcome    RunOutcome `json:"h"`
+	Checkpoint string     `json:"c,omitempty"`
 }
 
 // OrderAnswer is what came of an order, AgeMs before it is reported.
 type OrderAnswer struct {
-	Task   string `json:"t"`
-	Run    int64  `json:"r"`
-	Kind   string `json:"k"`
-	Result string `json:"a"`
-	AgeMs  int64  `json:"g,omitempty"`
+	Task   string      `json:"t"`
+	Run    int64       `json:"r"`
+	Kind   OrderKind   `json:"k"`
+	Result OrderResult `json:"a"`
+	AgeMs  int64       `json:"g,omitempty"`
 }
 
 // ExchangeCall is what a local-proxy reports to the leader of its executor's pool. With a Session, the facts (Proxy to
@@ -67,11 +106,11 @@
 
 // Order is one thing that a local-proxy should have its executor do with a run.
 type Order struct {
-	Kind       string `json:"k"`
-	Task       string `json:"t"`
-	Run        int64  `json:"r"`
-	Descriptor string `json:"s,omitempty"`
-	Checkpoint string `json:"c,omitempty"`
+	Kind       OrderKind `json:"k"`
+	Task       string    `json:"t"`
+	Run        int64     `json:"r"`
+	Descriptor string    `json:"s,omitempty"`
+	Checkpoint string    `json:"c,omitempty"`
 }
 
 // ExchangeAnswer names the Number that the leader holds. NeedsFullState asks for a full report, as nothing of the call was
--- a/internal/cluster/peerapi/wire/exchange_easyjson.go
+++ b/internal/cluster/peerapi/wire/exchange_easyjson.go
@@ -156,13 +156,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = string(in.String())
+				out.Kind = OrderKind(in.String())
 			}
 		case "a":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Result = string(in.String())
+				out.Result = OrderResult(in.String())
 			}
 		case "g":
 			if in.IsNull() {
@@ -253,7 +253,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = string(in.String())
+				out.Kind = OrderKind(in.String())
 			}
 		case "t":
 			if in.IsNull() {
@@ -1074,7 +1074,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Outcome = string(in.String())
+				out.Outcome = RunOutcome(in.String())
 			}
 		case "c":
 			if in.IsNull() {
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -121,7 +121,7 @@
 		case 2:
 			e.Run = in.Int64()
 		case 3:
-			e.Outcome = in.String()
+			e.Outcome = wire.RunOutcome(in.String())
 		case 4:
 			e.Checkpoint = in.String()
 		default:
@@ -139,7 +139,7 @@
 	out.RawByte(',')
 	out.Int64(e.Run)
 	out.RawByte(',')
-	out.String(e.Outcome)
+	out.String(string(e.Outcome))
 	out.RawByte(',')
 	out.String(e.Checkpoint)
 	out.RawByte(']')
--- a/internal/node/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -19,13 +19,13 @@
 	var works int
 	nothing := func() {}
 	order := func(kind string, run int64) wire.Order {
-		return wire.Order{Kind: kind, Task: "t.0.0.0", Run: run}
+		return wire.Order{Kind: wire.OrderKind(kind), Task: "t.0.0.0", Run: run}
 	}
 	ready := func(kind string, run int64) (localproxy.OrderWork, bool) { return table.Ready("i-1", order(kind, run)) }
 	results := func() (all []string) {
 		call, _ := table.Compose(0)
 		for _, one := range call.Answers {
-			all = append(all, one.Result)
+			all = append(all, string(one.Result))
 		}
 		return all
 	}
--- /dev/null
+++ b/internal/node/localproxy/delivery.go
@@ -0,0 +1,83 @@
+package localproxy
+
+import (
+	"context"
+	stderrors "errors"
+	"net/http"
+
+	"gannetline/internal/cluster/peerapi"
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/node/executorapi"
+)
+
+type nextOrder struct {
+	work  OrderWork
+	isDue bool
+}
+
+// deliverOrder brings one order to the executor, again if it is not answered.
+func (p *Proxy) deliverOrder(ctx context.Context, executor string, order wire.Order) {
+	p.orderSlots <- struct{}{}
+	defer func() { <-p.orderSlots }()
+	for attempt := range maxOrderAttempts {
+		turn, isOpen := ask(ctx, p, func() nextOrder {
+			work, isDue := p.table.Ready(executor, order)
+			return nextOrder{work, isDue}
+		})
+		if !isOpen || !turn.isDue {
+			return
+		}
+		status, answer, err := p.send(ctx, turn.work)
+		if err == nil {
+			result := ResultOf(status, answer.Reason)
+			p.mailbox.Post(func() {
+				p.table.ReadClock(executor, answer.ClockMs)
+				p.table.HandleOrderResult(turn.work, result)
+			})
+			return
+		}
+		if order.Kind == wire.OrderLaunch && isRefused(err) {
+			p.mailbox.Post(func() { p.table.HandleOrderRefusal(turn.work) })
+			return
+		}
+		isLast := attempt == maxOrderAttempts-1
+		p.mailbox.Post(func() {
+			if !isRefused(err) {
+				p.table.HandleOrderTimeout(turn.work)
+			}
+			if isLast {
+				p.table.HandleOrderResult(turn.work, wire.ResultTimeout)
+			}
+		})
+	}
+}
+
+func isRefused(err error) bool {
+	var timeout interface{ Timeout() bool }
+	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
+}
+
+func (p *Proxy) send(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
+	order := work.Order
+	if order.Kind == wire.OrderLaunch {
+		return p.executor.Call(ctx, "/v1/run-start", work.Executor, orderTimeout, executorapi.RunStart{Task: order.Task, Run: order.Run,
+			Descriptor: order.Descriptor, ExpiryMs: work.ExpiryMs, Fence: work.Fence, Checkpoint: order.Checkpoint})
+	}
+	return p.executor.Call(ctx, "/v1/run-stop", work.Executor, orderTimeout,
+		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
+}
+
+// ResultOf names what an executor's answer to an order means.
+func ResultOf(status int, reason string) wire.OrderResult {
+	switch {
+	case status == http.StatusOK:
+		return wire.ResultOK
+	case status == http.StatusConflict && reason == "room":
+		return wire.ResultNoCapacity
+	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
+		return wire.ResultUnhealthy
+	case status == http.StatusBadRequest || status == http.StatusMisdirectedRequest:
+		return wire.ResultNotRun
+	}
+	return wire.ResultUncertain
+}
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -159,7 +159,7 @@
 		told(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
 		launch := func(number int64, result string) {
 			work, _ := table.Ready("i-7f3a91c2", wire.Order{Kind: "launch", Task: "t.0.0.0", Run: number})
-			table.HandleOrderResult(work, result)
+			table.HandleOrderResult(work, wire.OrderResult(result))
 		}
 		works = 0
 		Expect(table.HasUnsent()).To(BeFalse())
--- /dev/null
+++ b/internal/node/localproxy/holdloop.go
@@ -0,0 +1,91 @@
+package localproxy
+
+import (
+	"context"
+	"net/http"
+	"time"
+)
+
+type nextHold struct {
+	work  HoldWork
+	isDue bool
+}
+
+func (p *Proxy) holdLoop(ctx context.Context) {
+	for {
+		turn, isOpen := ask(ctx, p, func() nextHold {
+			work, isDue := p.table.NextHold(false)
+			return nextHold{work, isDue}
+		})
+		if !isOpen {
+			return
+		}
+		begunAt := p.clock.Monotonic()
+		if turn.isDue && p.hold(ctx, turn.work) {
+			p.pause(ctx, holdPause)
+			continue
+		}
+		if turn.isDue && turn.work.Hold.WaitMs == shortWaitMs {
+			p.pause(ctx, PauseAfterMiss(p.clock.Monotonic()-begunAt))
+			continue
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.ackDue:
+		case <-p.clock.After(failedPause):
+		}
+	}
+}
+
+// PauseAfterMiss is longer where a hold was cut or refused at once: each try is then a new connection.
+func PauseAfterMiss(took time.Duration) time.Duration {
+	return max(holdPause, unansweredHoldPause-took)
+}
+
+func (p *Proxy) listLoop(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.listDue:
+		}
+		turn, isOpen := ask(ctx, p, func() nextHold {
+			work, isDue := p.table.NextHold(true)
+			return nextHold{work, isDue}
+		})
+		if !isOpen {
+			return
+		}
+		if turn.isDue && !p.hold(ctx, turn.work) {
+			if !p.pause(ctx, failedPause) {
+				return
+			}
+			signal(p.listDue)
+		}
+	}
+}
+
+func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
+	limit := HoldLimit(work.Hold)
+	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, limit, work.Hold)
+	isHeld := err == nil && status == http.StatusOK
+	p.mailbox.Post(func() {
+		if isHeld {
+			p.table.HandleHold(work, answer)
+			return
+		}
+		p.table.HandleHoldFailure(work, err == nil && status == http.StatusMisdirectedRequest)
+	})
+	if !isHeld {
+		p.log.V(1).Info("lease renewal failed", "executor", work.Executor, "status", status, "reason", errorText(err))
+	}
+	return isHeld
+}
+
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/platform/clock"
 )
@@ -20,63 +19,6 @@
 // stateDraining is what an executor says in its heartbeat once it takes no new runs.
 const stateDraining = "draining"
 
-// executorState is what the proxy knows of one life of the executor, from its first heartbeat to its end.
-type executorState struct {
-	id          string
-	sequence    int64
-	heartbeat   executorapi.Heartbeat
-	isDraining  bool
-	departureAt time.Duration
-	isLeaving   bool
-	// isServingOn is set at a farewell that nothing announced: the executor serves on for some time, and how long is not known.
-	isServingOn bool
-	leftAt      time.Duration
-	// currentSince is when it became the current incarnation.
-	currentSince time.Duration
-	clock        clockSample
-
-	// leaseExpiryMs is how long its runs may go on, by its own clock.
-	leaseExpiryMs int64
-	renewedAt     time.Duration
-	hasRenewed    bool
-	// fence is that of the leader which answered last; fenceAtExecutor the highest that the executor has answered to.
-	fence           uint64
-	fenceAtExecutor uint64
-
-	// lastSeen is the number of the last end that the leader has acknowledged.
-	lastSeen int64
-	ends     []wire.EndReport
-	running  []wire.RunReport
-	// runningSentAt is when an exchange with the list of running runs was answered last.
-	runningSentAt time.Duration
-	feed          *feed
-
-	// The leader asks for complete lists of the runs by rising numbers: the last one asked for, taken and reported.
-	listWanted   uint64
-	listTaken    uint64
-	listReported uint64
-	listedRuns   []wire.RunReport
-
-	// ordersInFlight are the orders that are being carried to the executor; answers are its answers to them.
-	ordersInFlight map[orderKey]givenOrder
-	answers        []givenAnswer
-	// uncertainRuns are the runs whose start may yet be carried out; areAllUncertain is set once they are more than maxUncertainRuns.
-	uncertainRuns   map[runKey]bool
-	areAllUncertain bool
-
-	// misses counts calls in a row that the executor did not answer.
-	misses        int
-	missedAt      time.Duration
-	lostAt        time.Duration
-	hasLostAnswer bool
-	lastBusyAt    time.Duration
-}
-
-func (t *Table) newIncarnation(id string) *executorState {
-	return &executorState{id: id, ordersInFlight: map[orderKey]givenOrder{}, uncertainRuns: map[runKey]bool{}, feed: newFeed(t.session),
-		lastBusyAt: t.now()}
-}
-
 // Heartbeat takes an executor's heartbeat and gives the HTTP status to answer with; why is set when it is refused.
 func (t *Table) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (status int, problem string) {
 	if heartbeat.Service != t.service {
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -72,7 +72,7 @@
 		Expect(told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})).To(HaveLen(1))
 		table.HandleOrderResult(work, "sick")
 		call, _ := table.Compose(0)
-		Expect(call.Answers[0].Result).To(Equal("unsure"))
+		Expect(call.Answers[0].Result).To(Equal(wire.OrderResult("unsure")))
 	})
 
 	It("ends a life in whose place another one answers, also when it is not the present one", func() {
@@ -159,7 +159,7 @@
 		table.HandleOrderTimeout(localproxy.OrderWork{Executor: "i-1", Order: launch})
 		table.HandleOrderResult(localproxy.OrderWork{Executor: "i-1", Order: launch}, "room")
 		call, _ := table.Compose(0)
-		Expect(call.Answers[0].Result).To(Equal("unsure"))
+		Expect(call.Answers[0].Result).To(Equal(wire.OrderResult("unsure")))
 	})
 
 	It("is unsure of a refusal once the order went unanswered", func() {
@@ -168,7 +168,7 @@
 		table.HandleOrderTimeout(work)
 		table.HandleOrderResult(work, "room")
 		call, _ := table.Compose(0)
-		Expect(call.Answers[0].Result).To(Equal("unsure"))
+		Expect(call.Answers[0].Result).To(Equal(wire.OrderResult("unsure")))
 	})
 
 	It("tells an end until it is taken note of, and then lets the executor forget it", func() {
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -9,23 +9,12 @@
 	maxUncertainRuns = 10000
 	// startMargin is how much longer than now a start must be held, in milliseconds, to be carried out.
 	startMargin = 400
-	// kindLaunch is the kind of an order that starts a run; all others may be carried out twice.
-	kindLaunch = "launch"
-)
-
-// What came of an order, as the leader is told.
-const (
-	resultOK        = "ok"
-	resultNotRun    = "not-run"
-	resultUnhealthy = "sick"
-	resultTimeout   = "timeout"
-	resultUncertain = "unsure"
 )
 
 type orderKey struct {
 	task string
 	run  int64
-	kind string
+	kind wire.OrderKind
 }
 
 func keyOf(order wire.Order) orderKey { return orderKey{order.Task, order.Run, order.Kind} }
@@ -85,7 +74,7 @@
 		return OrderWork{}, false
 	}
 	work := OrderWork{Executor: executorID, Order: order, Fence: current.fence, ExpiryMs: current.leaseExpiryMs}
-	if order.Kind != kindLaunch {
+	if order.Kind != wire.OrderLaunch {
 		return work, t.isStopReady(current, order)
 	}
 	if isInFlight {
@@ -107,7 +96,7 @@
 func (t *Table) isStartReady(current *executorState, work OrderWork) bool {
 	switch {
 	case current.isDraining:
-		t.HandleOrderResult(work, resultNotRun)
+		t.HandleOrderResult(work, wire.ResultNotRun)
 	case t.isUnresponsive(current):
 		t.HandleOrderResult(work, current.resultWhileUnresponsive(work.Order))
 	case work.ExpiryMs < current.clock.clockAt(t.now())+startMargin:
@@ -122,17 +111,17 @@
 func (t *Table) HandleOrderRefusal(work OrderWork) {
 	if current := t.currentIs(work.Executor); current != nil {
 		t.recordMisses(current, unresponsiveAfter)
-		t.HandleOrderResult(work, resultUnhealthy)
+		t.HandleOrderResult(work, wire.ResultUnhealthy)
 	}
 }
 
 // resultWhileUnresponsive leaves a start that may have reached the executor to be sent again, as that is sooner over
 // than a stop.
-func (e *executorState) resultWhileUnresponsive(order wire.Order) string {
+func (e *executorState) resultWhileUnresponsive(order wire.Order) wire.OrderResult {
 	if e.isUncertain(runOf(order)) {
-		return resultTimeout
+		return wire.ResultTimeout
 	}
-	return resultUnhealthy
+	return wire.ResultUnhealthy
 }
 
 // isUncertain tells whether a start of the run may yet be carried out. A stop that was answered ends the doubt, as the
@@ -157,22 +146,22 @@
 }
 
 // HandleOrderResult notes an order's answer for the leader.
-func (t *Table) HandleOrderResult(work OrderWork, result string) {
+func (t *Table) HandleOrderResult(work OrderWork, result wire.OrderResult) {
 	known := t.find(work.Executor)
 	if known == nil {
 		return
 	}
 	order, run := work.Order, runOf(work.Order)
 	delete(known.ordersInFlight, keyOf(order))
-	if order.Kind == kindLaunch && known.isUncertain(run) && result != resultOK && result != resultTimeout {
-		result = resultUncertain
+	if order.Kind == wire.OrderLaunch && known.isUncertain(run) && result != wire.ResultOK && result != wire.ResultTimeout {
+		result = wire.ResultUncertain
 	}
-	if result == resultOK {
+	if result == wire.ResultOK {
 		delete(known.uncertainRuns, run)
 	}
 	known.answers = append(known.answers, givenAnswer{at: t.now(),
 		OrderAnswer: wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
-	if order.Kind == kindLaunch && result == resultOK {
+	if order.Kind == wire.OrderLaunch && result == wire.ResultOK {
 		t.onRunStarted()
 		return
 	}
--- a/internal/scheduling/scheduler/changeset.go
+++ b/internal/scheduling/scheduler/changeset.go
@@ -164,6 +164,6 @@
 }
 
 // orderName is the name of the record of an order.
-func orderName(task *taskState, number int64, kind string) string {
-	return prefixOrder + task.name + "/" + strconv.FormatInt(number, 10) + "/" + kind
+func orderName(task *taskState, number int64, kind wire.OrderKind) string {
+	return prefixOrder + task.name + "/" + strconv.FormatInt(number, 10) + "/" + string(kind)
 }
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -17,22 +17,22 @@
 		p.handleAbandonedEnd(end)
 		return
 	}
-	ends.With(p.key, end.Outcome).Inc()
+	ends.With(p.key, string(end.Outcome)).Inc()
 	task, now := run.task, p.clock.Monotonic()
 	if end.Checkpoint != "" {
 		p.recordCheckpoint(task, end.Checkpoint)
 	}
 	p.recordStart(task.owner())
-	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: end.Outcome,
+	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: string(end.Outcome),
 		LengthMs: (now - run.startedAt).Milliseconds()})
 	switch end.Outcome {
-	case "done":
+	case wire.OutcomeDone:
 		executor.successes++
 		executor.recordSuccess()
 		p.recordDuration(task.step, executor, now-run.startedAt)
 		p.closeRun(run)
 		p.completeTask(task)
-	case "failed":
+	case wire.OutcomeFailed:
 		p.blame(task, executor)
 		task.avoid = executor.id
 		p.countFailure(task, end.Run)
@@ -45,7 +45,7 @@
 // handleAbandonedEnd believes a run that was abandoned and came to its end all the same: its task must not start again.
 func (p *Pool) handleAbandonedEnd(end wire.EndReport) {
 	task := p.find(end.Task)
-	if end.Outcome != "done" || task == nil || task.isDone || end.Run > task.lastRun {
+	if end.Outcome != wire.OutcomeDone || task == nil || task.isDone || end.Run > task.lastRun {
 		return
 	}
 	p.log.Info("abandoned run completed its task", "task", end.Task, "run", end.Run)
--- a/internal/scheduling/scheduler/consistency_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/scheduling/placement"
 )
 
@@ -110,9 +111,9 @@
 		for _, run := range executor.runs {
 			switch run.phase {
 			case runLaunching:
-				names = append(names, orderName(run.task, run.number, kindLaunch))
+				names = append(names, orderName(run.task, run.number, wire.OrderLaunch))
 			case runStopping:
-				names = append(names, orderName(run.task, run.number, kindStop))
+				names = append(names, orderName(run.task, run.number, wire.OrderStop))
 			}
 		}
 	}
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -122,7 +122,7 @@
 	c.pool.Exchange(call, func(answer wire.ExchangeAnswer) {
 		for _, order := range answer.Orders {
 			one.running = append(one.running, order)
-			one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: scheduler.ResultOK})
+			one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.ResultOK})
 			c.starts++
 		}
 	})
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -9,16 +9,6 @@
 	"gannetline/internal/scheduling/recording"
 )
 
-// Results a local-proxy gives for an order.
-const (
-	ResultOK         = "ok"
-	ResultNotRun     = "not-run"
-	ResultNoCapacity = "room"
-	ResultUnhealthy  = "sick"
-	ResultUncertain  = "unsure"
-	ResultTimeout    = "timeout"
-)
-
 // Exchange takes what a local-proxy says of its executor, and answers with orders, grant and acks.
 func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	now := p.clock.Monotonic()
--- a/internal/scheduling/scheduler/executorhealth_test.go
+++ b/internal/scheduling/scheduler/executorhealth_test.go
@@ -55,12 +55,12 @@
 		machine := map[string]string{"i-1": "side-i-1", "i-2": "side-i-2", "i-9": "side-i-2"}[life]
 		exchange(life, machine, func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: "ok"}}
-			call.Ends = []wire.EndReport{{Number: numbers[life], Task: order.Task, Run: order.Run, Outcome: how}}
+			call.Ends = []wire.EndReport{{Number: numbers[life], Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(how)}}
 		})
 	}
 	refuse := func(life string, order wire.Order, result string) {
 		exchange(life, "side-"+life, func(call *wire.ExchangeCall) {
-			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: result}}
+			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: wire.OrderResult(result)}}
 		})
 	}
 	handIn := func(number int) {
@@ -175,7 +175,7 @@
 		}
 		Expect(exchange(first, "side-"+first, stuck).Orders).To(BeEmpty())
 		refuse(first, order, "ok")
-		Expect(exchange(first, "side-"+first, nil).Orders).To(ConsistOf(HaveField("Kind", "stop")))
+		Expect(exchange(first, "side-"+first, nil).Orders).To(ConsistOf(HaveField("Kind", wire.OrderStop)))
 		Expect(pool.AtOnce(first)).To(Equal(1))
 		end(first, order, "stopped")
 		second, order := orderOf()
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -98,7 +98,7 @@
 		one.starts++
 		one.running = append(one.running, order)
 	}
-	one.Answers = append(one.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
+	one.Answers = append(one.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
 }
 
 // end ends the run of a task here, if there is one.
@@ -108,7 +108,7 @@
 			return false
 		}
 		one.lastEnd++
-		one.Ends = append(one.Ends, wire.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, Outcome: how})
+		one.Ends = append(one.Ends, wire.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, Outcome: wire.RunOutcome(how)})
 		return true
 	})
 }
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -235,7 +235,7 @@
 	}
 	waiting := map[string]bool{}
 	for run := range p.pendingRuns {
-		for _, kind := range []string{kindLaunch, kindStop} {
+		for _, kind := range []wire.OrderKind{wire.OrderLaunch, wire.OrderStop} {
 			waiting[orderName(run.task, run.number, kind)] = true
 		}
 	}
--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/metrics"
 )
 
@@ -48,13 +49,13 @@
 }
 
 func (m *poolMetrics) sent(run *runState) {
-	kind := kindStop
+	kind := wire.OrderStop
 	if run.phase == runLaunching {
-		kind = kindLaunch
+		kind = wire.OrderLaunch
 	}
-	ordersSent.With(m.key, kind).Inc()
+	ordersSent.With(m.key, string(kind)).Inc()
 	if run.sendCount > 0 {
-		ordersResent.With(m.key, kind).Inc()
+		ordersResent.With(m.key, string(kind)).Inc()
 	}
 }
 
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -32,9 +32,9 @@
 }
 
 func (p *Pool) order(run *runState) wire.Order {
-	order := wire.Order{Kind: kindStop, Task: run.task.name, Run: run.number}
+	order := wire.Order{Kind: wire.OrderStop, Task: run.task.name, Run: run.number}
 	if run.phase == runLaunching {
-		order.Kind, order.Descriptor, order.Checkpoint = kindLaunch, run.task.owner().spec.Descriptor, run.task.latestCheckpoint()
+		order.Kind, order.Descriptor, order.Checkpoint = wire.OrderLaunch, run.task.owner().spec.Descriptor, run.task.latestCheckpoint()
 	}
 	return order
 }
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -13,10 +13,10 @@
 		return
 	}
 	now := p.clock.Monotonic()
-	if answer.Kind == kindStop {
-		if run.phase == runStopping && answer.Result == ResultOK && !run.isAnswered {
+	if answer.Kind == wire.OrderStop {
+		if run.phase == runStopping && answer.Result == wire.ResultOK && !run.isAnswered {
 			run.isAnswered, run.answeredAt = true, now
-			p.dropRecord(orderName(run.task, run.number, kindStop))
+			p.dropRecord(orderName(run.task, run.number, wire.OrderStop))
 			p.putTask(run.task)
 		}
 		return
@@ -26,15 +26,15 @@
 	}
 	isCertain := run.sendCount <= 1 && run.awaitedList == 0
 	switch answer.Result {
-	case ResultOK:
+	case wire.ResultOK:
 		p.runStarted(run)
 		run.startedAt -= min(clock.Milliseconds(answer.AgeMs), now-run.orderedAt)
-	case ResultNotRun, ResultNoCapacity, ResultUnhealthy:
-		if answer.Result == ResultUnhealthy {
+	case wire.ResultNotRun, wire.ResultNoCapacity, wire.ResultUnhealthy:
+		if answer.Result == wire.ResultUnhealthy {
 			p.penalizeUnlessEjected(executor)
 			executor.failures++
 		}
-		if answer.Result != ResultNotRun {
+		if answer.Result != wire.ResultNotRun {
 			executor.ejectedUntil = now + ejectionPause
 		}
 		run.task.avoid = executor.id
@@ -43,9 +43,9 @@
 			return
 		}
 		p.stopRun(run)
-	case ResultUncertain:
+	case wire.ResultUncertain:
 		p.stopRun(run)
-	case ResultTimeout:
+	case wire.ResultTimeout:
 		executor.failures += 0.3
 	}
 }
@@ -131,7 +131,7 @@
 
 // stopOrphan stops a run that no record knows, such as one carried out long after its order was given up.
 func (p *Pool) stopOrphan(executor *executorState, report wire.RunReport) {
-	order := wire.Order{Kind: kindStop, Task: report.Task, Run: report.Run}
+	order := wire.Order{Kind: wire.OrderStop, Task: report.Task, Run: report.Run}
 	if !slices.Contains(executor.orphanStops, order) {
 		p.log.Info("stopping orphaned run", "task", report.Task, "run", report.Run, "executor", executor.id)
 		executor.orphanStops = append(executor.orphanStops, order)
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"gannetline/internal/cluster/peerapi/wire"
 	"slices"
 )
 
@@ -12,7 +13,7 @@
 	p.endGangWatch(task.step)
 	p.recordExecutor(executor)
 	p.addRun(run)
-	p.putRecord(orderName(task, number, kindLaunch), orderRecord{Executor: executor.id})
+	p.putRecord(orderName(task, number, wire.OrderLaunch), orderRecord{Executor: executor.id})
 	p.putTask(task)
 	p.afterCommit(func(err error) {
 		run.isCommitted = true
@@ -55,8 +56,8 @@
 	run.phase, run.sendCount, run.sentAt, run.isAnswered, run.orderedAt = runStopping, 0, 0, false, p.clock.Monotonic()
 	p.pendingRuns[run] = true
 	p.markRunChanged(run)
-	p.dropRecord(orderName(run.task, run.number, kindLaunch))
-	p.putRecord(orderName(run.task, run.number, kindStop), orderRecord{Executor: run.executor.id})
+	p.dropRecord(orderName(run.task, run.number, wire.OrderLaunch))
+	p.putRecord(orderName(run.task, run.number, wire.OrderStop), orderRecord{Executor: run.executor.id})
 	p.putTask(run.task)
 	p.afterCommit(func(err error) {
 		if err == nil && run.phase == runStopping {
@@ -95,9 +96,9 @@
 	p.watchBrokenGang(task.step)
 	switch run.phase {
 	case runLaunching:
-		p.dropRecord(orderName(task, run.number, kindLaunch))
+		p.dropRecord(orderName(task, run.number, wire.OrderLaunch))
 	case runStopping:
-		p.dropRecord(orderName(task, run.number, kindStop))
+		p.dropRecord(orderName(task, run.number, wire.OrderStop))
 	}
 	p.putTask(task)
 	p.needsPlacing = true
@@ -117,7 +118,7 @@
 	run.phase, run.startedAt = runRunning, p.clock.Monotonic()
 	delete(p.pendingRuns, run)
 	p.markRunChanged(run)
-	p.dropRecord(orderName(run.task, run.number, kindLaunch))
+	p.dropRecord(orderName(run.task, run.number, wire.OrderLaunch))
 	p.putTask(run.task)
 	p.recordStart(run.task.owner())
 	p.moveStalled(run)
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -175,7 +175,7 @@
 		}
 		how := []string{"done", "done", "done", "failed", "stopped"}[s.draw.IntN(5)]
 		one.lastEnd++
-		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, Outcome: how})
+		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(how)})
 		return true
 	})
 }
@@ -208,7 +208,7 @@
 		s.starts++
 	}
 	if result != "" {
-		one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
+		one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
 	}
 }
 
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -118,7 +118,7 @@
 	}
 	ended := func(how string) func(*wire.ExchangeCall) {
 		return func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: how}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: wire.RunOutcome(how)}}
 		}
 	}
 	BeforeEach(func() {
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -14,12 +14,6 @@
 	runStopping  runPhase = "stopping"
 )
 
-// The kinds of orders.
-const (
-	kindLaunch = "launch"
-	kindStop   = "stop"
-)
-
 type taskState struct {
 	name             string
 	step             *stepState
--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -231,7 +231,7 @@
 	e.ended = append(e.ended, run.record)
 	e.highest[run.record.Task] = max(e.highest[run.record.Task], run.record.Run)
 	e.lastEnd++
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: run.record.Task, Run: run.record.Run, Outcome: how})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: run.record.Task, Run: run.record.Run, Outcome: wire.RunOutcome(how)})
 	waiting := e.waiting
 	e.waiting = nil
 	for _, hold := range waiting {
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -135,7 +135,7 @@
 		w.pass(5900 * time.Millisecond)
 		Expect(w.executor.Counts().Running).To(Equal(1))
 		w.pass(200 * time.Millisecond)
-		Expect(w.ends()).To(HaveExactElements(HaveField("Outcome", "lapsed")))
+		Expect(w.ends()).To(HaveExactElements(HaveField("Outcome", wire.RunOutcome("lapsed"))))
 	})
 
 	It("goes on while it is held, and a hold is never shortened", func() {
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/executorapi"
 	"gannetline/internal/scheduling/jobs"
 )
@@ -110,7 +111,7 @@
 	e.highest[one.task] = max(e.highest[one.task], one.run)
 	e.lastEnd++
 	e.endedAt[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.run, Outcome: how, Checkpoint: one.saved})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.run, Outcome: wire.RunOutcome(how), Checkpoint: one.saved})
 	e.world.oracles.ended(e, one, how)
 	pollers := e.pollers
 	e.pollers = nil
--- a/internal/simulation/modelcheck/ordermodel/plantedtables.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedtables.go
@@ -81,7 +81,7 @@
 type stoppingTable struct{ plantedTable }
 
 // HandleOrderResult reports a stop without an answer as done.
-func (t *stoppingTable) HandleOrderResult(work localproxy.OrderWork, result string) {
+func (t *stoppingTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
 	if work.Order.Kind == "stop" && result == "timeout" {
 		result = "ok"
 	}
@@ -94,7 +94,7 @@
 func (t *forgetfulTable) HandleOrderTimeout(localproxy.OrderWork) {}
 
 // HandleOrderResult reports a start without an answer as not carried out.
-func (t *forgetfulTable) HandleOrderResult(work localproxy.OrderWork, result string) {
+func (t *forgetfulTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
 	if work.Order.Kind == "launch" && result == "timeout" {
 		result = "not-run"
 	}
@@ -146,8 +146,8 @@
 // lyingTable tells of runs that ended in some ways that they ended in another.
 type lyingTable struct {
 	plantedTable
-	hows []string
-	told string
+	hows []wire.RunOutcome
+	told wire.RunOutcome
 }
 
 // HandleHold changes how runs ended.
--- a/internal/simulation/modelcheck/ordermodel/plants.go
+++ b/internal/simulation/modelcheck/ordermodel/plants.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"gannetline/internal/cluster/leaderclient"
+	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/node/localproxy"
 	"gannetline/internal/scheduling/scheduler"
 	"gannetline/internal/simulation/modelcheck"
@@ -139,11 +140,11 @@
 	case plantRoomOverstated:
 		return &boastingTable{one}
 	case plantFailureDone:
-		return &lyingTable{one, []string{howFailed}, howDone}
+		return &lyingTable{one, []wire.RunOutcome{howFailed}, howDone}
 	case plantFailureStopped:
-		return &lyingTable{one, []string{howFailed}, howStopped}
+		return &lyingTable{one, []wire.RunOutcome{howFailed}, howStopped}
 	case plantStopCounted:
-		return &lyingTable{one, []string{howStopped, howLapsed, howBroken}, howFailed}
+		return &lyingTable{one, []wire.RunOutcome{howStopped, howLapsed, howBroken}, howFailed}
 	case plantEndSkipped:
 		return &skippingTable{one}
 	case plantAvoided:
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -39,7 +39,7 @@
 	HandleOrderRefusal(work localproxy.OrderWork)
 	HandleOrderTimeout(work localproxy.OrderWork)
 	ReadClock(life string, executorMs int64)
-	HandleOrderResult(work localproxy.OrderWork, result string)
+	HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult)
 }
 
 // bell is a channel of one place: it rings once, however often it was struck.
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -145,7 +145,7 @@
 	e.highest[one.task] = max(e.highest[one.task], one.number)
 	e.lastEnd++
 	e.endedIn[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.number, Outcome: how})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.number, Outcome: wire.RunOutcome(how)})
 	e.stage.Judge.ended(e, one.task, one.number, how)
 	waiting := e.waiting
 	e.waiting = nil
