--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -49,7 +49,7 @@
 	answerSlots chan struct{}
 }
 
-// New makes a cache; onChange gets each version that comes into force, on the goroutine that leads the cache.
+// New makes a cache; onChange gets each version that comes into force, on the goroutine that owns the cache.
 func New(caller *peerapi.Caller, clock clock.Clock, log logging.Logger, onChange func(*Snapshot)) *Cache {
 	cache := &Cache{mailbox: mailbox.New(mailboxSize), caller: caller, clock: clock, log: log, onChange: onChange,
 		answerSlots: make(chan struct{}, maxConcurrentAnswers)}
@@ -60,7 +60,7 @@
 // Current gives the version in force, nil before the first.
 func (c *Cache) Current() *Snapshot { return c.current.Load() }
 
-// Run leads the cache until ctx is done.
+// Run owns the cache until ctx is done.
 func (c *Cache) Run(ctx context.Context) error {
 	c.mailbox.Run(ctx, c.clock, mailbox.Owner{Every: time.Minute})
 	return nil
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// answer gives changes, or a chunk of an image, which is packed on the goroutine that leads the cache.
+// answer gives changes, or a chunk of an image, which is packed on the goroutine that owns the cache.
 func (c *Cache) answer(ctx context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 	if answer := c.version().AnswerTo(call); answer != nil {
 		return answer, nil
--- a/internal/cluster/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -62,7 +62,7 @@
 	})
 })
 
-var _ = Describe("a guess at an leader nobody knows", func() {
+var _ = Describe("a guess at a leader nobody knows", func() {
 	It("passes over stewards that can own nothing", func() {
 		view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
 			{Name: "b", Role: "steward", Address: "b:1"}, {Name: "c", Role: "gate", Address: "c:1", Disk: "e"}}}
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -49,7 +49,7 @@
 }
 
 var _ = Describe("a network of tables", func() {
-	DescribeTable("an leader's change reaches every process at once, for a bounded number of datagrams",
+	DescribeTable("a leader's change reaches every process at once, for a bounded number of datagrams",
 		func(stewards, gates, proxies int) {
 			n := newNetwork(7)
 			n.loss = 0.01
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -123,7 +123,7 @@
 		Expect(t.tables["n5"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
 	})
 
-	It("tells who waits on an leader that the key has moved", func() {
+	It("tells who waits on a leader that the key has moved", func() {
 		t := newPairNetwork(3)
 		old := t.views["n1"]
 		t.tables["n1"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -31,7 +31,7 @@
 	RoleLocalProxy = "local-proxy"
 )
 
-// Events are what the table asks of its leader. They are called on the leader's goroutine.
+// Events are what the table asks of its owner. They are called on the owner's goroutine.
 type Events struct {
 	// Send sends a datagram.
 	Send func(address string, datagram wire.Datagram)
@@ -43,7 +43,7 @@
 	ListsDiffer func(peer Member)
 }
 
-// Table is the state of the failure detector. It has no goroutine of its own; its leader calls it.
+// Table is the state of the failure detector. It has no goroutine of its own; its owner calls it.
 type Table struct {
 	clock  clock.Clock
 	timing Timing
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -35,7 +35,7 @@
 	return &Host{pool: pool, engineMailbox: engineMailbox, poolMailbox: poolMailbox, outbox: mailbox.NewOutbox(poolMailbox)}
 }
 
-// Mailbox is the mailbox of the goroutine that leads the pool.
+// Mailbox is the mailbox of the goroutine that owns the pool.
 func (h *Host) Mailbox() *mailbox.Mailbox { return h.poolMailbox }
 
 // Flush passes on what the pool's mailbox had no room for; the engine's goroutine calls it after each burst.
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -88,7 +88,7 @@
 	return table, nil
 }
 
-// Mailbox is that of the goroutine that leads the table.
+// Mailbox is that of the goroutine that owns the table.
 func (r *Replicas) Mailbox() *mailbox.Mailbox { return r.mailbox }
 
 // replicaOf gives the replica of a key, an empty one if the disk has none yet.
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -25,7 +25,7 @@
 	answerGap      = 25 * time.Millisecond
 )
 
-// Decision is what should become of a call: refused at once, or asked of a key's owner.
+// Decision is what should become of a call: refused at once, or asked of a key's leader.
 type Decision struct {
 	Refusal response.Reply
 	Call    *wire.ClientCall
@@ -156,7 +156,7 @@
 	return ResponseOf(decision.Call, outcome)
 }
 
-// renounce has a former pool of a queue promise not to take the job itself, as an earlier try may still be on its way
+// renounce has a former pool of a queue promise not to take the job itself, as an earlier attempt may still be on its way
 // there. A leader of an older version can only be asked whether it has the job.
 func (g *Gate) renounce(ctx context.Context, submission *wire.ClientCall, service string, end time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
 	call := callToFormer(submission, service, wire.VerbRenounce)
@@ -204,7 +204,7 @@
 	return &former
 }
 
-// ResponseOf is what a client is told of an outcome. A hand-in is only refused if no steward can have taken it.
+// ResponseOf is the answer to a client. A submission is only refused if no steward can have taken it.
 func ResponseOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -37,7 +37,7 @@
 const id = "5c0e7a21d94b36f8"
 
 var _ = Describe("the decision about a client's call", func() {
-	It("asks the owner of the entry's pool", func() {
+	It("asks the leader of the entry's pool", func() {
 		decision := clientapi.Decide(page(), request("POST", "/q/"+id), []byte(`{}`))
 		Expect(decision.Call.Key).To(Equal("pool/s"))
 		Expect(decision.Call.Verb).To(Equal(wire.VerbSubmit))
@@ -83,7 +83,7 @@
 		}
 	})
 
-	DescribeTable("refuses a hand-in only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
+	DescribeTable("refuses a submission only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
 		Expect(clientapi.ResponseOf(&wire.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
 	},
 		Entry("nobody was reached", leaderclient.Outcome{}, 503),
--- a/internal/gate/clientapi/leaving_test.go
+++ b/internal/gate/clientapi/leaving_test.go
@@ -66,12 +66,12 @@
 		gate.ServeHTTP(answer, one.WithContext(ctx))
 		Expect(answer.Code).To(Equal(status))
 	},
-		Entry("a hand-in may run, and comes again", http.MethodPost, 504),
+		Entry("a submission may run, and comes again", http.MethodPost, 504),
 		Entry("a question", http.MethodGet, 503),
 		Entry("a cancel", http.MethodDelete, 503),
 	)
 
-	It("refuses a hand-in that nobody was asked about", func() {
+	It("refuses a submission that nobody was asked about", func() {
 		clock := clock.NewFake(0)
 		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
 		ctx, end := context.WithCancel(context.Background())
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -27,7 +27,7 @@
 	return answer.Result(), nil
 }
 
-var _ = Describe("a hand-in to a queue that was moved", func() {
+var _ = Describe("a submission to a queue that was moved", func() {
 	DescribeTable("is taken only where the former pool will not take it any more", func(known map[string]int, status int, asked ...string) {
 		var verbs []string
 		mux := http.NewServeMux()
--- a/internal/gate/headerrules/headerrules.go
+++ b/internal/gate/headerrules/headerrules.go
@@ -44,14 +44,14 @@
 }
 
 // TimeLeft is how long the client still waits; isSane is false for what is no count.
-func TimeLeft(headers http.Header, most time.Duration) (left time.Duration, isSane bool) {
+func TimeLeft(headers http.Header, limit time.Duration) (left time.Duration, isSane bool) {
 	text := headers.Get("X-Time-Remaining")
 	if text == "" {
-		return most, true
+		return limit, true
 	}
 	count, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || count < 0 {
 		return 0, false
 	}
-	return min(most, time.Duration(min(count, 1<<31))*time.Millisecond), true
+	return min(limit, time.Duration(min(count, 1<<31))*time.Millisecond), true
 }
--- a/internal/node/executorapi/server.go
+++ b/internal/node/executorapi/server.go
@@ -47,11 +47,11 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(request.Body, maxHeartbeatBytes+1))
 	if err != nil || len(text) > maxHeartbeatBytes {
-		return Command{}, response.Text(http.StatusRequestEntityTooLarge, "the beat is too large")
+		return Command{}, response.Text(http.StatusRequestEntityTooLarge, "the heartbeat is too large")
 	}
 	heartbeat := &Heartbeat{}
 	if err := easyjson.Unmarshal(text, heartbeat); err != nil {
-		return Command{}, response.Text(http.StatusBadRequest, "the beat can't be read: "+err.Error())
+		return Command{}, response.Text(http.StatusBadRequest, "the heartbeat can't be read: "+err.Error())
 	}
 	if problem := heartbeat.check(); problem != "" {
 		return Command{}, response.Text(http.StatusBadRequest, problem)
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -53,7 +53,7 @@
 }
 
 // Hold extends all runs of the executor until ExpiryMs on its clock, acknowledges its ends up to LastSeen, and waits
-// up to WaitMs for news.
+// up to WaitMs for an end.
 //
 //easyjson:json
 type Hold struct {
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// waitForMore lets news that can wait share the report of what follows; it tells whether a report is due.
+// waitForMore lets changes that can wait share the report of what follows; it tells whether a report is due.
 func (p *Proxy) waitForMore(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -54,7 +54,7 @@
 	return hasUnsent
 }
 
-// exchange talks to the owner once; it tells whether the owner answered.
+// exchange talks to the leader once; it tells whether the leader answered.
 func (p *Proxy) exchange(ctx context.Context, waitMs int64) bool {
 	call, isOpen := ask(ctx, p, func() *wire.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
--- a/internal/node/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// neverRenewed stands for the age of the last hold while there is none.
+	// neverRenewed stands for the age of the last renewal while there is none.
 	neverRenewed = time.Hour
 	// idleAfter is how long after its last run an executor counts as idle.
 	idleAfter = 2 * time.Second
-	// runningEvery lies between two lists of running runs to a leader that holds no numbered news.
-	runningEvery = time.Second
+	// runningListPause lies between two lists of running runs to a leader that has no numbered changes.
+	runningListPause = time.Second
 )
 
 // givenAnswer is the executor's answer to an order, until the leader has it.
@@ -47,7 +47,7 @@
 		isDraining: executor.isDraining, gone: slices.Clone(t.gone)}
 }
 
-// holdAge is the time since the executor answered a hold; an unresponsive one counts as never held.
+// holdAge is the time since the executor answered a hold; an unresponsive one counts as never renewed.
 func (t *Table) holdAge(executor *executorState) time.Duration {
 	if !executor.hasRenewed || t.isUnresponsive(executor) {
 		return neverRenewed
@@ -63,12 +63,12 @@
 	}
 }
 
-// writeRuns adds the complete list of runs that the leader waits for, or now and then the running ones where it holds
-// no numbered news.
+// writeRuns adds the complete list of runs that the leader waits for, or now and then the running ones where it has
+// no numbered changes.
 func (e *executorState) writeRuns(call *wire.ExchangeCall, now time.Duration) {
 	if e.listTaken > e.listReported {
 		call.ListNumber, call.Running = e.listTaken, e.listedRuns
-	} else if e.feed.acknowledged == 0 && now-e.runningSentAt > runningEvery {
+	} else if e.feed.acknowledged == 0 && now-e.runningSentAt > runningListPause {
 		call.Running = slices.Clone(e.running)
 	}
 }
@@ -82,7 +82,7 @@
 }
 
 // HandleAnswer takes the leader's answer and gives the orders that are to be carried out. askedAt is when the exchange was
-// sent, on the steady clock: a grant counts from then.
+// sent, on the monotonic clock: a grant counts from then.
 func (t *Table) HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
 	current := t.currentIs(call.Executor)
 	if current == nil || answer.Fence < current.fence {
--- a/internal/node/localproxy/executorclock.go
+++ b/internal/node/localproxy/executorclock.go
@@ -19,11 +19,11 @@
 
 // clockAt is the least that the executor's clock can have shown at a moment, in milliseconds.
 func (s clockSample) clockAt(moment time.Duration) int64 {
-	apart := moment - s.readAt
-	if apart >= 0 {
-		return s.executorMs + (apart * slowestClock / 100).Milliseconds()
+	elapsed := moment - s.readAt
+	if elapsed >= 0 {
+		return s.executorMs + (elapsed * slowestClock / 100).Milliseconds()
 	}
-	return s.executorMs + (apart * fastestClock / 100).Milliseconds()
+	return s.executorMs + (elapsed * fastestClock / 100).Milliseconds()
 }
 
 func (t *Table) sample(from *executorState, executorMs int64) {
--- a/internal/node/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -32,7 +32,7 @@
 		f.isDraining == other.isDraining && slices.Equal(f.gone, other.gone)
 }
 
-// runChange is what the leader is told of a run: its checkpoint, and whether it stands still.
+// runChange is what the leader gets to know of a run: its checkpoint, and whether it stands still.
 type runChange struct {
 	report    wire.RunReport
 	changedAt uint64
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -60,7 +60,7 @@
 		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: third.Number}).Proxy).To(BeEmpty())
 	})
 
-	It("tells a checkpoint until the owner holds it, and a run without one not at all", func() {
+	It("tells a checkpoint until the leader holds it, and a run without one not at all", func() {
 		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, row(1, ""), row(2, "c1"))
 		lost, _ := table.Compose(0)
@@ -110,7 +110,7 @@
 		Expect(call.Changed).To(ConsistOf(HaveField("Stuck", false)))
 	})
 
-	It("gives a look whole, whatever the owner holds", func() {
+	It("gives a look whole, whatever the leader holds", func() {
 		hold(false, row(1, ""), row(2, "c1"))
 		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1})
 		hold(true, row(1, ""), row(2, "c1"))
@@ -119,7 +119,7 @@
 		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1}).Running).To(BeEmpty())
 	})
 
-	It("keeps what was told in an exchange that the owner did not take, and tells it with the whole at once", func() {
+	It("keeps what was told in an exchange that the leader did not take, and tells it with the whole at once", func() {
 		told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1, GrantMs: 4000, WantedList: 1})
 		hold(true)
 		order := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
@@ -136,12 +136,12 @@
 		Expect(told(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1}).Answers).To(BeEmpty())
 	})
 
-	It("begins a later session where the owner knows one already", func() {
+	It("begins a later session where the leader knows one already", func() {
 		told(wire.ExchangeAnswer{Fence: 3, NeedsFullState: true, Session: 90})
 		Expect(told(wire.ExchangeAnswer{Fence: 3}).Session).To(Equal(uint64(91)))
 	})
 
-	It("tells an owner of the older form the whole each time, and what runs once a second", func() {
+	It("tells a leader of an earlier version the whole each time, and what runs once a second", func() {
 		fakeClock.Advance(2 * time.Second)
 		hold(false, row(1, ""), row(2, "c1"))
 		for range 3 {
@@ -191,7 +191,7 @@
 		Expect(wait()).To(Equal(int64(300)))
 	})
 
-	It("says little once the owner holds all", func() {
+	It("says little once the leader holds all", func() {
 		var rows []executorapi.RunningRow
 		for number := range 12 {
 			rows = append(rows, row(number, ""))
--- a/internal/node/localproxy/holdloop.go
+++ b/internal/node/localproxy/holdloop.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// PauseAfterMiss is longer where a hold was cut or refused at once: each try is then a new connection.
+// PauseAfterMiss is longer where a hold was cut or refused at once: each attempt is then a new connection.
 func PauseAfterMiss(took time.Duration) time.Duration {
 	return max(holdPause, unansweredHoldPause-took)
 }
@@ -69,18 +69,18 @@
 func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
 	limit := HoldLimit(work.Hold)
 	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, limit, work.Hold)
-	isHeld := err == nil && status == http.StatusOK
+	hasRenewed := err == nil && status == http.StatusOK
 	p.mailbox.Post(func() {
-		if isHeld {
+		if hasRenewed {
 			p.table.HandleHold(work, answer)
 			return
 		}
 		p.table.HandleHoldFailure(work, err == nil && status == http.StatusMisdirectedRequest)
 	})
-	if !isHeld {
+	if !hasRenewed {
 		p.log.V(1).Info("lease renewal failed", "executor", work.Executor, "status", status, "reason", errorText(err))
 	}
-	return isHeld
+	return hasRenewed
 }
 
 func errorText(err error) string {
--- a/internal/node/localproxy/holds.go
+++ b/internal/node/localproxy/holds.go
@@ -31,7 +31,7 @@
 	Executor   string
 	Hold       executorapi.Hold
 	ListNumber uint64
-	// BegunAt is when the hold was made up, on the steady clock.
+	// BegunAt is when the hold was composed, on the monotonic clock.
 	BegunAt time.Duration
 }
 
@@ -124,7 +124,7 @@
 	return true
 }
 
-// HandleHoldFailure takes note of a hold without an answer; isOtherLife says that the address answers for another incarnation,
+// HandleHoldFailure takes note of a hold without an answer; isOtherExecutor says that the address answers for another incarnation,
 // so that this one is over for certain.
 func (t *Table) HandleHoldFailure(work HoldWork, isOtherExecutor bool) {
 	current := t.currentIs(work.Executor)
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -12,7 +12,7 @@
 const (
 	// maxGone is how many former incarnations are remembered, so that late heartbeats of them are refused.
 	maxGone = 4
-	// defaultDrainTime is how long an executor serves on after its farewell where the settings name no other time.
+	// defaultDrainTime is how long an executor serves on after its deregistration where the settings name no other time.
 	defaultDrainTime = 2 * time.Second
 )
 
@@ -135,7 +135,7 @@
 	t.gone = t.gone[max(0, len(t.gone)-maxGone):]
 }
 
-// Deregister takes an executor's farewell. One that said before that it drains ends with it; any other serves on, so that what
+// Deregister takes an executor's deregistration. One that said before that it drains ends with it; any other serves on, so that what
 // it runs is moved as if it had said so.
 func (t *Table) Deregister(id string) {
 	sender := t.find(id)
@@ -160,7 +160,7 @@
 }
 
 // hasEnded tells whether an executor that no longer answers has ended by its own word. One that serves on for a time that
-// nobody knows may only be deaf for the moment: its runs are over when their hold is, or when another answers.
+// nobody knows may only be unreachable for the moment: its runs are over when their lease is, or when another answers.
 func (t *Table) hasEnded(sender *executorState) bool {
 	return sender.isLeaving && !sender.isServingOn && t.now()-sender.leftAt > leavingAfter
 }
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -122,13 +122,13 @@
 		Expect(call.Answers).To(ConsistOf(wire.OrderAnswer{Task: "t.0.0.0", Run: 1, Kind: "launch", Result: "not-run"}))
 	})
 
-	It("heeds no owner of an older epoch", func() {
+	It("heeds no leader of an older epoch", func() {
 		told(wire.ExchangeAnswer{Fence: 5})
 		Expect(told(wire.ExchangeAnswer{Fence: 4, Orders: []wire.Order{launch}})).To(BeEmpty())
 		Expect(told(wire.ExchangeAnswer{Fence: 5, Orders: []wire.Order{launch, launch}})).To(HaveLen(1))
 	})
 
-	It("carries out no order of an owner before the present one, unless that gave it as well", func() {
+	It("carries out no order of a leader before the present one, unless that gave it as well", func() {
 		told(wire.ExchangeAnswer{Fence: 5, GrantMs: 4000, Orders: []wire.Order{launch}})
 		told(wire.ExchangeAnswer{Fence: 6, GrantMs: 4000})
 		_, isDue := table.Ready("i-1", launch)
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// maxUncertainRuns is how many runs in doubt are remembered by name.
+	// maxUncertainRuns is how many uncertain runs are remembered by name.
 	maxUncertainRuns = 10000
 	// startMargin is how much longer than now a start must be held, in milliseconds, to be carried out.
 	startMargin = 400
@@ -92,7 +92,7 @@
 	return true
 }
 
-// isStartReady tells whether a start may be sent; if not, the leader is told why, or gives it again.
+// isStartReady tells whether a start may be sent; if not, the leader gets the reason, or gives it again.
 func (t *Table) isStartReady(current *executorState, work OrderWork) bool {
 	switch {
 	case current.isDraining:
@@ -124,7 +124,7 @@
 	return wire.ResultUnhealthy
 }
 
-// isUncertain tells whether a start of the run may yet be carried out. A stop that was answered ends the doubt, as the
+// isUncertain tells whether a start of the run may yet be carried out. A stop that was answered ends the uncertainty, as the
 // executor turns the run away from then on.
 func (e *executorState) isUncertain(run runKey) bool {
 	return e.uncertainRuns[run] || e.areAllUncertain
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -1,5 +1,5 @@
 // Package localproxy stands between the leader of a pool and the executor on its own machine: it carries orders,
-// extends holds by what it was granted, and reports what the executor says.
+// renews the lease of its runs by what it was granted, and reports what the executor says.
 package localproxy
 
 import (
@@ -23,7 +23,7 @@
 	others []*executorState
 	// gone are the IDs of the last incarnations that are over.
 	gone []string
-	// deregistered are those of incarnations that this process has not heard of; a heartbeat of theirs may still come.
+	// deregistered are those of incarnations that this process does not know; a heartbeat of theirs may still come.
 	deregistered []string
 	drainTime    time.Duration
 	onReportDue  func()
@@ -42,15 +42,15 @@
 // WithDrainTime says how long an executor serves on at least once it has said that it leaves.
 func WithDrainTime(length time.Duration) TableOption { return func(t *Table) { t.drainTime = length } }
 
-// WithStartSignal is rung, instead of the one for work, by news that can wait for a moment: that a run was started.
+// WithStartSignal is called, instead of the signal for a report, for a change that can wait for a moment: that a run was started.
 func WithStartSignal(onStart func()) TableOption { return func(t *Table) { t.onRunStarted = onStart } }
 
-// NewTable makes a table without an executor. The functions ring when there is something to do: onReportDue when the
-// executor should be held or the leader told, onListDue when the runs should be listed anew, onAckDue when an end is to be
+// NewTable makes a table without an executor. The functions signal that there is something to do: onReportDue when the
+// lease should be renewed or a report sent, onListDue when the runs should be listed anew, onAckDue when an end is to be
 // acknowledged. They must not block.
-func NewTable(clock clock.Clock, log logging.Logger, service, domain, name string, onWork, onLook, onAck func(), options ...TableOption) *Table {
-	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onReportDue: onWork, onListDue: onLook, onAckDue: onAck,
-		onRunStarted: onWork, drainTime: defaultDrainTime}
+func NewTable(clock clock.Clock, log logging.Logger, service, domain, name string, onReportDue, onListDue, onAckDue func(), options ...TableOption) *Table {
+	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onReportDue: onReportDue, onListDue: onListDue, onAckDue: onAckDue,
+		onRunStarted: onReportDue, drainTime: defaultDrainTime}
 	for _, option := range options {
 		option(table)
 	}
--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -192,7 +192,7 @@
 		caller.answer()
 		Eventually(one.server.tracker.unanswered.Load).Should(BeZero())
 		one.leave()
-		Expect(one.clock.pass(times.Notice+times.Quiet+lookEvery, one.left)).To(BeTrue())
+		Expect(one.clock.pass(times.Notice+times.Quiet+checkInterval, one.left)).To(BeTrue())
 		_, err := caller.answers.ReadByte()
 		Expect(err).To(MatchError(io.EOF))
 	})
@@ -204,7 +204,7 @@
 		Eventually(one.server.tracker.unanswered.Load).Should(Equal(int64(1)))
 		one.leave()
 		Expect(one.clock.pass(times.Close-time.Millisecond, one.left)).To(BeFalse())
-		Expect(one.clock.pass(times.Close+lookEvery, one.left)).To(BeTrue())
+		Expect(one.clock.pass(times.Close+checkInterval, one.left)).To(BeTrue())
 	})
 })
 
@@ -244,7 +244,7 @@
 	})
 
 	It("keeps no idle connection while it has many, and lets the rest wait", func() {
-		one := serve(ok, WithMostConnections(4))
+		one := serve(ok, WithMaxConnections(4))
 		var kept []*client
 		for range 3 {
 			caller := one.connect()
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -23,34 +23,34 @@
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
-	mostHeaderSize = 64 << 10
-	lookEvery      = 50 * time.Millisecond
+	maxHeaderBytes = 64 << 10
+	checkInterval  = 50 * time.Millisecond
 	retryAfterS    = 1
 )
 
 // Server answers the requests that come through one listener.
 type Server struct {
-	inner    *http.Server
-	handler  http.Handler
-	listener *trackingListener
-	clock    clock.Clock
-	log      logging.Logger
-	isEnding atomic.Bool
-	endCalls func()
-	calls    context.Context
-	tracker  tracker
-	mostKept int64
+	inner        *http.Server
+	handler      http.Handler
+	listener     *trackingListener
+	clock        clock.Clock
+	log          logging.Logger
+	isEnding     atomic.Bool
+	endCalls     func()
+	calls        context.Context
+	tracker      tracker
+	maxKeptBytes int64
 }
 
 // Option changes how a server is made.
 type Option func(*Server)
 
-// WithMostConnections bounds the connections that are open at once; more wait to be accepted. Beyond three quarters of
+// WithMaxConnections bounds the connections that are open at once; more wait to be accepted. Beyond three quarters of
 // them an answer ends its connection, so that idle ones leave room for new ones.
-func WithMostConnections(most int) Option {
+func WithMaxConnections(limit int) Option {
 	return func(s *Server) {
-		s.listener.slots = make(chan struct{}, most)
-		s.mostKept = int64(most) * 3 / 4
+		s.listener.slots = make(chan struct{}, limit)
+		s.maxKeptBytes = int64(limit) * 3 / 4
 	}
 }
 
@@ -61,10 +61,10 @@
 	server.listener = newTrackingListener(listener, &server.tracker)
 	server.calls, server.endCalls = context.WithCancel(context.Background())
 	server.inner = &http.Server{
-		Handler:           http.HandlerFunc(server.serveOne),
+		Handler:           http.HandlerFunc(server.serveRequest),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    mostHeaderSize,
+		MaxHeaderBytes:    maxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return server.calls },
 		ConnContext:       withConnection,
 		ConnState:         noteState,
@@ -109,7 +109,7 @@
 		<-s.clock.After(times.Notice)
 	}
 	for !s.hasLeft(times, s.clock.Monotonic()-begun) {
-		<-s.clock.After(lookEvery)
+		<-s.clock.After(checkInterval)
 	}
 }
 
@@ -129,8 +129,8 @@
 	return s.listener.isClosed.Load() && s.tracker.unanswered.Load() == 0 && s.tracker.sinceRead() >= times.Quiet
 }
 
-// serveOne answers one request, also if its handler panics or the calls have been ended.
-func (s *Server) serveOne(to http.ResponseWriter, request *http.Request) {
+// serveRequest answers one request, also if its handler panics or the calls have been ended.
+func (s *Server) serveRequest(to http.ResponseWriter, request *http.Request) {
 	answer := &answerWriter{ResponseWriter: to, server: s}
 	defer s.finish(answer, request)
 	defer s.recoverPanic(answer)
@@ -172,7 +172,7 @@
 
 // endsConnection tells whether an answer that begins now must be the last of its connection.
 func (s *Server) endsConnection() bool {
-	return s.tracker.isLeaving.Load() || s.mostKept > 0 && s.tracker.open.Load() > s.mostKept
+	return s.tracker.isLeaving.Load() || s.maxKeptBytes > 0 && s.tracker.open.Load() > s.maxKeptBytes
 }
 
 // answerWriter adds the header that ends the connection, at the moment when the answer begins.
--- a/internal/platform/logging/logging.go
+++ b/internal/platform/logging/logging.go
@@ -12,7 +12,7 @@
 // Logger writes structured lines; a debug level above the configured one writes nothing.
 type Logger = logr.Logger
 
-// New makes a logger that writes one JSON object a line, with a time stamp in milliseconds. Errors are always
+// New makes a logger that writes one JSON object a line, with a time position in milliseconds. Errors are always
 // written; information is, up to the given verbosity.
 func New(to io.Writer, level int) Logger {
 	return funcr.NewJSON(func(line string) { fmt.Fprintln(to, line) },
--- a/internal/platform/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -19,17 +19,17 @@
 }
 
 // New makes a mailbox in which so many functions may wait.
-func New(room int) *Mailbox {
-	return &Mailbox{messages: make(chan func(), room), first: make(chan func(), room)}
+func New(size int) *Mailbox {
+	return &Mailbox{messages: make(chan func(), size), first: make(chan func(), size)}
 }
 
 // Post queues a function; it blocks while the mailbox is full, so the owner itself must not call it.
-func (m *Mailbox) Post(letter func()) { m.messages <- letter }
+func (m *Mailbox) Post(message func()) { m.messages <- message }
 
 // TryPost queues a function unless the mailbox is full, and says whether it did. It never blocks.
-func (m *Mailbox) TryPost(letter func()) bool {
+func (m *Mailbox) TryPost(message func()) bool {
 	select {
-	case m.messages <- letter:
+	case m.messages <- message:
 		return true
 	default:
 		return false
@@ -51,24 +51,24 @@
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 	}
-	ring := clock.After(owner.Every)
+	ticks := clock.After(owner.Every)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case letter := <-m.first:
-			letter()
+		case message := <-m.first:
+			message()
 			m.Drain()
-		case letter := <-m.messages:
+		case message := <-m.messages:
 			m.drainFirst()
-			letter()
+			message()
 			m.Drain()
-		case <-ring:
+		case <-ticks:
 			m.drainFirst()
 			if owner.Tick != nil {
 				owner.Tick()
 			}
-			ring = clock.After(owner.Every)
+			ticks = clock.After(owner.Every)
 		}
 		if owner.Settle != nil {
 			owner.Settle()
@@ -80,8 +80,8 @@
 func (m *Mailbox) drainFirst() {
 	for {
 		select {
-		case letter := <-m.first:
-			letter()
+		case message := <-m.first:
+			message()
 		default:
 			return
 		}
@@ -100,14 +100,14 @@
 // Step runs the next function that waits, and says whether there was one.
 func (m *Mailbox) Step() bool {
 	select {
-	case letter := <-m.first:
-		letter()
+	case message := <-m.first:
+		message()
 		return true
 	default:
 	}
 	select {
-	case letter := <-m.messages:
-		letter()
+	case message := <-m.messages:
+		message()
 		return true
 	default:
 		return false
@@ -125,13 +125,13 @@
 		}
 	}
 	var none T
-	letter := func() {
+	message := func() {
 		if ctx.Err() == nil {
 			question(answer)
 		}
 	}
 	select {
-	case m.messages <- letter:
+	case m.messages <- message:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
--- a/internal/platform/mailbox/outbox.go
+++ b/internal/platform/mailbox/outbox.go
@@ -11,8 +11,8 @@
 func NewOutbox(to *Mailbox) *Outbox { return &Outbox{to: to} }
 
 // Send queues a function for the receiver's goroutine.
-func (o *Outbox) Send(letter func()) {
-	o.waiting = append(o.waiting, letter)
+func (o *Outbox) Send(message func()) {
+	o.waiting = append(o.waiting, message)
 	o.Flush()
 }
 
--- a/internal/platform/metrics/log.go
+++ b/internal/platform/metrics/log.go
@@ -11,14 +11,14 @@
 	"gannetline/internal/platform/logging"
 )
 
-// mostInLine keeps lines short enough for collectors that cut long ones.
-const mostInLine = 50
+// maxPerLine keeps lines short enough for collectors that cut long ones.
+const maxPerLine = 50
 
 // Log writes all that was counted so far, zeros and buckets left out, as few lines.
 func Log(log logging.Logger) {
 	own := Own()
 	maps.DeleteFunc(own, func(name string, _ float64) bool { return strings.Contains(name, "_bucket{") })
-	for names := range slices.Chunk(slices.Sorted(maps.Keys(own)), mostInLine) {
+	for names := range slices.Chunk(slices.Sorted(maps.Keys(own)), maxPerLine) {
 		line := map[string]float64{}
 		for _, name := range names {
 			line[name] = own[name]
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	mostLabels = 2
-	mostSeries = 256
+	maxLabels = 2
+	maxSeries = 256
 	// Path is where a process shows its metrics, at its internal address.
 	Path = "/metrics"
 )
@@ -53,7 +53,7 @@
 	return Histogram{registry.GetOrCreatePrometheusHistogramExt(name, bounds)}
 }
 
-type labelValues [mostLabels]string
+type labelValues [maxLabels]string
 
 // Vector is the series of one name, told apart by the values of at most two labels.
 type Vector[T any] struct {
@@ -88,26 +88,26 @@
 func (v *Vector[T]) With(values ...string) T {
 	var key labelValues
 	copy(key[:], values)
-	if one, isThere := (*v.held.Load())[key]; isThere {
-		return one
+	if metric, isThere := (*v.held.Load())[key]; isThere {
+		return metric
 	}
 	return v.add(key)
 }
 
 func (v *Vector[T]) add(key labelValues) T {
 	for {
-		held := v.held.Load()
-		if len(*held) >= mostSeries {
+		current := v.held.Load()
+		if len(*current) >= maxSeries {
 			key = labelValues{"other", "other"}
 		}
-		if one, isThere := (*held)[key]; isThere {
-			return one
+		if metric, isThere := (*current)[key]; isThere {
+			return metric
 		}
-		one := v.create(v.seriesName(key))
-		grown := maps.Clone(*held)
-		grown[key] = one
-		if v.held.CompareAndSwap(held, &grown) {
-			return one
+		metric := v.create(v.seriesName(key))
+		grown := maps.Clone(*current)
+		grown[key] = metric
+		if v.held.CompareAndSwap(current, &grown) {
+			return metric
 		}
 	}
 }
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -145,9 +145,9 @@
 }
 
 func BenchmarkObserving(b *testing.B) {
-	one := waits.With("a")
+	metric := waits.With("a")
 	for b.Loop() {
-		one.Observe(time.Millisecond)
+		metric.Observe(time.Millisecond)
 	}
 }
 
--- a/internal/platform/metrics/process.go
+++ b/internal/platform/metrics/process.go
@@ -14,11 +14,11 @@
 	for name, read := range map[string]func() float64{
 		"process_cpu_seconds_total":                processorSeconds,
 		"process_resident_memory_bytes":            residentBytes,
-		"process_resident_memory_peak_bytes":       func() float64 { return float64(usage().Maxrss) * 1024 },
+		"process_resident_memory_peak_bytes":       func() float64 { return float64(processUsage().Maxrss) * 1024 },
 		"process_open_fds":                         openDescriptors,
-		"process_voluntary_context_switches_total": func() float64 { return float64(usage().Nvcsw) },
-		"process_preempted_context_switches_total": func() float64 { return float64(usage().Nivcsw) },
-		"process_written_blocks_total":             func() float64 { return float64(usage().Oublock) },
+		"process_voluntary_context_switches_total": func() float64 { return float64(processUsage().Nvcsw) },
+		"process_preempted_context_switches_total": func() float64 { return float64(processUsage().Nivcsw) },
+		"process_written_blocks_total":             func() float64 { return float64(processUsage().Oublock) },
 		"go_goroutines":                            func() float64 { return float64(runtime.NumGoroutine()) },
 		"go_heap_alloc_bytes":                      func() float64 { return runtimeValue("/memory/classes/heap/objects:bytes") },
 		"go_allocated_bytes_total":                 func() float64 { return runtimeValue("/gc/heap/allocs:bytes") },
@@ -28,8 +28,8 @@
 	}
 }
 
-// usage is all zeros where the system does not tell.
-func usage() syscall.Rusage {
+// processUsage is all zeros where the system does not tell.
+func processUsage() syscall.Rusage {
 	var all syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &all); err != nil {
 		return syscall.Rusage{}
@@ -38,7 +38,7 @@
 }
 
 func processorSeconds() float64 {
-	all := usage()
+	all := processUsage()
 	return time.Duration(all.Utime.Nano() + all.Stime.Nano()).Seconds()
 }
 
--- a/internal/platform/metrics/samples.go
+++ b/internal/platform/metrics/samples.go
@@ -13,15 +13,15 @@
 	"github.com/juju/errors"
 )
 
-const mostPage = 4 << 20
+const maxPageBytes = 4 << 20
 
 // Samples are the values of one process, by series.
 type Samples map[string]float64
 
 // Parse reads the exposition format; it says which line it can't read.
-func Parse(page io.Reader) (Samples, error) {
+func Parse(body io.Reader) (Samples, error) {
 	all := Samples{}
-	lines := bufio.NewScanner(page)
+	lines := bufio.NewScanner(body)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || line[0] == '#' {
@@ -42,9 +42,9 @@
 
 // Own gives what this process counted so far, without the zeros.
 func Own() Samples {
-	var page bytes.Buffer
-	Write(&page)
-	all, err := Parse(&page)
+	var body bytes.Buffer
+	Write(&body)
+	all, err := Parse(&body)
 	if err != nil {
 		return Samples{}
 	}
@@ -72,6 +72,6 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("metrics of %s: status %d; is that a process's internal address?", address, response.StatusCode)
 	}
-	all, err := Parse(io.LimitReader(response.Body, mostPage))
+	all, err := Parse(io.LimitReader(response.Body, maxPageBytes))
 	return all, errors.Annotatef(err, "metrics of %s", address)
 }
--- a/internal/platform/metrics/table.go
+++ b/internal/platform/metrics/table.go
@@ -82,13 +82,13 @@
 	}
 	all := []shown{}
 	for _, name := range t.names {
-		one := shown{Metric: name, Values: map[string]float64{}, Sum: t.sum[name]}
+		metric := shown{Metric: name, Values: map[string]float64{}, Sum: t.sum[name]}
 		for _, column := range t.columns {
 			if value, isThere := column.Samples[name]; isThere {
-				one.Values[column.Name] = value
+				metric.Values[column.Name] = value
 			}
 		}
-		all = append(all, one)
+		all = append(all, metric)
 	}
 	return json.NewEncoder(to).Encode(map[string]any{"metrics": all})
 }
--- a/internal/platform/queuerules/queuerules.go
+++ b/internal/platform/queuerules/queuerules.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	mostLength = 500
-	mostNodes  = 100
+	maxLength = 500
+	maxNodes  = 100
 )
 
 // Text is the rules of one queue as they are written.
@@ -69,11 +69,11 @@
 	if text == "" {
 		return nil, nil
 	}
-	if len(text) > mostLength {
-		return nil, errors.Errorf("is longer than %d letters", mostLength)
+	if len(text) > maxLength {
+		return nil, errors.Errorf("is longer than %d letters", maxLength)
 	}
 	finder := &callFinder{}
-	program, err := expr.Compile(text, env, result, expr.DisableAllBuiltins(), expr.MaxNodes(mostNodes), expr.Patch(finder))
+	program, err := expr.Compile(text, env, result, expr.DisableAllBuiltins(), expr.MaxNodes(maxNodes), expr.Patch(finder))
 	if err == nil && finder.isFound {
 		err = errors.New("calls a function or loops")
 	}
@@ -110,8 +110,8 @@
 		return int64(step.Due)
 	}
 	answer, err := expr.Run(r.queues[queue].order, step)
-	order, isWhole := answer.(int64)
-	if err != nil || !isWhole {
+	order, isInteger := answer.(int64)
+	if err != nil || !isInteger {
 		return int64(step.Due)
 	}
 	return order
--- a/internal/platform/response/response.go
+++ b/internal/platform/response/response.go
@@ -14,8 +14,8 @@
 
 // A final answer has a status of three digits; those below 200 are interim and can't end an answer.
 const (
-	leastFinalStatus = 200
-	mostFinalStatus  = 999
+	minFinalStatus = 200
+	maxFinalStatus = 999
 )
 
 // processLog takes the errors of Write; the daemons log to standard error.
@@ -59,7 +59,7 @@
 
 // WriteLogged is Write with a logger for the fault of an answer without a final status.
 func (r Reply) WriteLogged(to http.ResponseWriter, log logging.Logger) {
-	if r.Status < leastFinalStatus || r.Status > mostFinalStatus {
+	if r.Status < minFinalStatus || r.Status > maxFinalStatus {
 		err := errors.Errorf("an answer has the status %d, which is not a final one", r.Status)
 		log.Error(err, "response not written", "status", r.Status, "body_bytes", len(r.Body))
 		r = Text(http.StatusBadGateway, "no answer with a status came")
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -18,8 +18,8 @@
 const PathVariable = "GANNETLINE_BOOT"
 
 const (
-	leastMetricsLogS = 1
-	mostMetricsLogS  = 86400
+	minMetricsLogS = 1
+	maxMetricsLogS = 86400
 )
 
 // Limits are what the process may use of its machine. CPUFraction is the share of a core, CoreCount the speed of
@@ -163,9 +163,9 @@
 }
 
 func (s *Settings) check() error {
-	var found error
+	var problems error
 	complain := func(field, why string) {
-		found = multierr.Append(found, errors.Errorf("field %q %s", field, why))
+		problems = multierr.Append(problems, errors.Errorf("field %q %s", field, why))
 	}
 	if s.NodeName == "" {
 		complain("node-name", "is missing")
@@ -200,7 +200,7 @@
 			complain(field, "is negative")
 		}
 	}
-	if !(s.MetricsLogS == 0 || s.MetricsLogS >= leastMetricsLogS && s.MetricsLogS <= mostMetricsLogS) {
+	if !(s.MetricsLogS == 0 || s.MetricsLogS >= minMetricsLogS && s.MetricsLogS <= maxMetricsLogS) {
 		complain("metrics-log-s", "is neither 0 nor from 1 to 86400 seconds")
 	}
 	if s.Bounds.RemoteFactor < 1 {
@@ -212,7 +212,7 @@
 	if s.OrderList != "invocation" && s.OrderList != "heartbeat" {
 		complain("order-list", "is neither invocation nor heartbeat")
 	}
-	return found
+	return problems
 }
 
 // Require adds what one role needs beyond the rest.
--- a/internal/platform/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -19,12 +19,12 @@
 
 // Tree runs parts side by side and starts each again that fails or panics, until one fails too often.
 type Tree struct {
-	clock  clock.Clock
-	log    logging.Logger
-	most   int
-	within time.Duration
-	pause  time.Duration
-	parts  []named
+	clock       clock.Clock
+	log         logging.Logger
+	maxFailures int
+	within      time.Duration
+	pause       time.Duration
+	parts       []named
 }
 
 type named struct {
@@ -36,13 +36,13 @@
 type Option func(*Tree)
 
 // WithLimit ends the tree once a part failed more often than that within the time.
-func WithLimit(most int, within time.Duration) Option {
-	return func(t *Tree) { t.most, t.within = most, within }
+func WithLimit(maxFailures int, within time.Duration) Option {
+	return func(t *Tree) { t.maxFailures, t.within = maxFailures, within }
 }
 
 // New makes an empty tree. Without options a part may fail five times a minute and starts again after 100 ms.
 func New(clock clock.Clock, log logging.Logger, options ...Option) *Tree {
-	tree := &Tree{clock: clock, log: log, most: 5, within: time.Minute, pause: 100 * time.Millisecond}
+	tree := &Tree{clock: clock, log: log, maxFailures: 5, within: time.Minute, pause: 100 * time.Millisecond}
 	for _, option := range options {
 		option(tree)
 	}
@@ -57,8 +57,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan error, len(t.parts))
-	for _, one := range t.parts {
-		go func() { results <- t.keep(ctx, one) }()
+	for _, part := range t.parts {
+		go func() { results <- t.keep(ctx, part) }()
 	}
 	for range t.parts {
 		if err := <-results; err != nil {
@@ -68,10 +68,10 @@
 	return nil
 }
 
-func (t *Tree) keep(ctx context.Context, one named) error {
+func (t *Tree) keep(ctx context.Context, part named) error {
 	var failures []time.Duration
 	for {
-		err := guarded(ctx, one.part)
+		err := guarded(ctx, part.part)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -83,9 +83,9 @@
 		for len(failures) > 0 && now-failures[0] > t.within {
 			failures = failures[1:]
 		}
-		t.log.Error(err, "part failed", "part", one.name, "times", len(failures))
-		if len(failures) > t.most {
-			return errors.Annotatef(err, "part %s failed too often", one.name)
+		t.log.Error(err, "part failed", "part", part.name, "times", len(failures))
+		if len(failures) > t.maxFailures {
+			return errors.Annotatef(err, "part %s failed too often", part.name)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/platform/transportmetrics/transportmetrics.go
+++ b/internal/platform/transportmetrics/transportmetrics.go
@@ -34,8 +34,8 @@
 	meter *Meter
 }
 
-func (c countedConn) Read(room []byte) (int, error) {
-	count, err := c.Conn.Read(room)
+func (c countedConn) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer)
 	c.meter.bytesIn.Add(int64(count))
 	return count, err
 }
@@ -76,8 +76,8 @@
 }
 
 // ReadFrom counts a datagram and the bytes of its payload unless the reading failed.
-func (p countedPackets) ReadFrom(room []byte) (int, net.Addr, error) {
-	count, from, err := p.PacketConn.ReadFrom(room)
+func (p countedPackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+	count, from, err := p.PacketConn.ReadFrom(buffer)
 	if err == nil {
 		p.meter.datagramsIn.Add(1)
 		p.meter.bytesIn.Add(int64(count))
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	silence      = 2 * time.Second
-	settingsLook = 5 * time.Second
+	peerTimeout           = 2 * time.Second
+	settingsCheckInterval = 5 * time.Second
 )
 
 // base is what every role has: settings, log, clock, peers and a tree of parts.
@@ -53,8 +53,8 @@
 func WithMeter(meter *transportmetrics.Meter) Option { return func(b *base) { b.meter = meter } }
 
 // WithPage serves one more page at the internal address.
-func WithPage(path string, page http.Handler) Option {
-	return func(b *base) { b.inner.Handle(path, page) }
+func WithPage(path string, snapshot http.Handler) Option {
+	return func(b *base) { b.inner.Handle(path, snapshot) }
 }
 
 func newBase(path, role string, options ...Option) (*base, error) {
@@ -87,7 +87,7 @@
 		return nil, errors.Annotate(err, "field internal-port-range")
 	}
 	b.calls, b.packets = b.meter.Listener(calls), b.meter.Packets(packets)
-	b.caller = peerapi.NewCaller(b.meter.Client(peerapi.Client(silence, 4)))
+	b.caller = peerapi.NewCaller(b.meter.Client(peerapi.Client(peerTimeout, 4)))
 	return b, nil
 }
 
@@ -154,7 +154,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-b.hangups:
-		case <-b.clock.After(settingsLook):
+		case <-b.clock.After(settingsCheckInterval):
 			if modified(b.path) == last {
 				continue
 			}
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -39,14 +39,14 @@
 	if err != nil {
 		return err
 	}
-	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsConfiguration(page.Committed.Version) })
+	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.HoldsConfiguration(snapshot.Committed.Version) })
 	configurations.Handle(b.inner)
 	b.join(wire.Member{Role: "gate"}, membership.OnConfigurationAhead(configurations.FetchFrom))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current})
 	var isLeaving atomic.Bool
 	asker := leaderclient.New(b.caller, b.clock, b.node.View)
 	server := httpserver.New(front, b.meter.Handler(clientapi.New(configurations.Current, asker, b.clock)), b.clock, b.log,
-		httpserver.WithMostConnections(mostClientConnections(b.settings.Limits.FileDescriptors)))
+		httpserver.WithMaxConnections(maxClientConnections(b.settings.Limits.FileDescriptors)))
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
 	b.tree.Add("readiness", b.serving(ready, readiness(func() bool {
@@ -69,8 +69,8 @@
 	}
 }
 
-// mostClientConnections leaves half of the descriptors to the calls that a gate makes for its clients.
-func mostClientConnections(descriptors int) int {
+// maxClientConnections leaves half of the descriptors to the calls that a gate makes for its clients.
+func maxClientConnections(descriptors int) int {
 	return max(1, (descriptors-reservedDescriptors)/2)
 }
 
--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -11,7 +11,7 @@
 
 const (
 	peersSaveEvery = 10 * time.Second
-	mostKnownPeers = 16
+	maxKnownPeers  = 16
 )
 
 // peerStore keeps addresses of peers on disk.
@@ -30,8 +30,8 @@
 				return nil
 			case <-b.clock.After(peersSaveEvery):
 			}
-			next, isNews := withPeers(saved, b.node.View())
-			if !isNews {
+			next, hasChanged := withPeers(saved, b.node.View())
+			if !hasChanged {
 				continue
 			}
 			if err := store.SavePeers(next); err != nil {
@@ -45,19 +45,19 @@
 
 // withPeers puts the live stewards of a view before the addresses that were saved; it tells whether any is new.
 // Addresses are dropped, the oldest first, only for new ones, so that a member that flaps costs no writes.
-func withPeers(saved []string, view *membership.View) (next []string, isNews bool) {
+func withPeers(saved []string, view *membership.View) (next []string, hasChanged bool) {
 	for _, member := range view.Stewards {
 		isOther := membership.Name(member) != membership.Name(view.Self)
 		if !isOther || !member.MayLead() || member.State != wire.StateAlive || member.Control == "" {
 			continue
 		}
 		next = append(next, member.Control)
-		isNews = isNews || !slices.Contains(saved, member.Control)
+		hasChanged = hasChanged || !slices.Contains(saved, member.Control)
 	}
 	for _, address := range saved {
 		if !slices.Contains(next, address) {
 			next = append(next, address)
 		}
 	}
-	return next[:min(len(next), mostKnownPeers)], isNews
+	return next[:min(len(next), maxKnownPeers)], hasChanged
 }
--- a/internal/roles/knownpeers_test.go
+++ b/internal/roles/knownpeers_test.go
@@ -21,14 +21,14 @@
 		diskless.Disk = ""
 		view := &membership.View{Self: self, Stewards: []wire.Member{self, diskless, steward("gone", wire.StateGone),
 			steward("new", wire.StateAlive)}}
-		next, isNews := withPeers([]string{"old:1"}, view)
+		next, hasChanged := withPeers([]string{"old:1"}, view)
 		Expect(next).To(Equal([]string{"new:1", "old:1"}))
-		Expect(isNews).To(BeTrue())
+		Expect(hasChanged).To(BeTrue())
 	})
 
 	It("are not written again when a known one is missing", func() {
-		_, isNews := withPeers([]string{"a:1", "b:1"}, &membership.View{Self: self, Stewards: []wire.Member{self, steward("a", wire.StateAlive)}})
-		Expect(isNews).To(BeFalse())
+		_, hasChanged := withPeers([]string{"a:1", "b:1"}, &membership.View{Self: self, Stewards: []wire.Member{self, steward("a", wire.StateAlive)}})
+		Expect(hasChanged).To(BeFalse())
 	})
 
 	It("stay bounded, and the oldest go", func() {
@@ -37,7 +37,7 @@
 			view := &membership.View{Self: self, Stewards: []wire.Member{steward(fmt.Sprint("s", number), wire.StateAlive)}}
 			saved, _ = withPeers(saved, view)
 		}
-		Expect(saved).To(HaveLen(mostKnownPeers))
+		Expect(saved).To(HaveLen(maxKnownPeers))
 		Expect(saved[0]).To(Equal("s39:1"))
 	})
 })
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -116,7 +116,7 @@
 })
 
 var _ = DescribeTable("the connections of clients leave descriptors for calls", func(descriptors, most int) {
-	Expect(mostClientConnections(descriptors)).To(Equal(most))
+	Expect(maxClientConnections(descriptors)).To(Equal(most))
 },
 	Entry("many descriptors", 4100, 1950),
 	Entry("hardly any", 150, 1),
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -48,7 +48,7 @@
 	}
 	b.join(wire.Member{Role: "local-proxy"})
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View})
-	executor := executorapi.NewClient(b.meter.Client(peerapi.Client(silence, 8)), b.settings.App)
+	executor := executorapi.NewClient(b.meter.Client(peerapi.Client(peerTimeout, 8)), b.settings.App)
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View,
 		localproxy.WithDrainTime(clock.Milliseconds(b.settings.Bounds.DrainTimeoutMs)))
 	b.tree.Add("proxy", proxy.Run)
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -21,8 +21,8 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// partOfGrace is how much of the grace period a steward may take until its voters are replaced.
-const partOfGrace = 3
+// leaveShareOfGrace is how much of the grace period a steward may take until its voters are replaced.
+const leaveShareOfGrace = 3
 
 // Steward keeps control keys and schedules the pools it leads, until SIGTERM.
 func Steward(path string, options ...Option) error {
@@ -39,7 +39,7 @@
 		return err
 	}
 	defer kept.close()
-	configurations := configcache.New(b.caller, b.clock, b.log, func(page *configcache.Snapshot) { b.node.HoldsConfiguration(page.Committed.Version) })
+	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.HoldsConfiguration(snapshot.Committed.Version) })
 	configurations.Handle(b.inner)
 	knownPeers := kept.peers(b.log)
 	b.join(kept.member(b.settings.Listen.Control), membership.OnConfigurationAhead(configurations.FetchFrom), membership.WithKnownPeers(knownPeers))
@@ -74,5 +74,5 @@
 	if b.settings.InitialStart && kept.store != nil && kept.store.IsNew() {
 		b.tree.Add("first-voters", func(ctx context.Context) error { manager.BootstrapFromSeeds(ctx, b.settings.Seeds); return nil })
 	}
-	return b.run(func() { manager.Leave(b.settings.GracePeriod() / partOfGrace) })
+	return b.run(func() { manager.Leave(b.settings.GracePeriod() / leaveShareOfGrace) })
 }
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-var _ = Describe("an leader that lacks the base of what a proxy tells", func() {
+var _ = Describe("a leader that lacks the base of what a proxy tells", func() {
 	var o *postOffice
 	answered := func() wire.ExchangeAnswer {
 		o.compose()
