--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -129,7 +129,7 @@
 }
 
 func checkBudget(model modelcheck.Model, budget modelcheck.Budget) error {
-	isPlant := func(plant modelcheck.Plant) bool { return plant.Name == budget.Plant }
+	isPlant := func(plant modelcheck.InjectedFault) bool { return plant.Name == budget.Plant }
 	switch {
 	case budget.Losses != 1 && budget.Losses != 2:
 		return cli.Exit("--losses must be 1 or 2", exitUsage)
--- a/internal/control/replication/history_test.go
+++ b/internal/control/replication/history_test.go
@@ -108,7 +108,7 @@
 		old.isFrozen = true
 		c.runUntil(func() bool { return c.leader() != nil })
 		c.runWithWrites(500 * time.Millisecond)
-		Expect(c.leader().disk.Shelf.Heads[key].Last.Index).To(BeNumerically(">", old.disk.Shelf.Heads[key].Last.Index))
+		Expect(c.leader().disk.DiskModel.Heads[key].Last.Index).To(BeNumerically(">", old.disk.DiskModel.Heads[key].Last.Index))
 		delete(c.isolated, old.name)
 		old.isFrozen, c.snapshotsSent = false, 0
 		c.runWithWrites(3 * time.Second)
@@ -146,7 +146,7 @@
 
 	It("forgets its history on a restart, and starts it where its disk stands", func() {
 		disk := newDisk("disk-a")
-		disk.Shelf.Apply(storage.Write{Key: key, Epoch: 1, Changes: []wire.Change{{Position: wire.LogPosition{Epoch: 1, Index: 1}}}})
+		disk.DiskModel.Apply(storage.Write{Key: key, Epoch: 1, Changes: []wire.Change{{Position: wire.LogPosition{Epoch: 1, Index: 1}}}})
 		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 2}}
--- a/internal/control/replication/learner_test.go
+++ b/internal/control/replication/learner_test.go
@@ -41,7 +41,7 @@
 			took := c.runUntilVoter("disk-fresh", 6*time.Second)
 			Expect(took).To(BeNumerically("<", 4*time.Second), late.String())
 			c.writeBurst(6*time.Second - took)
-			Expect(c.leader().disk.Shelf.Heads[key].Voters.Old).To(BeEmpty())
+			Expect(c.leader().disk.DiskModel.Heads[key].Voters.Old).To(BeEmpty())
 			Expect(c.violations).To(BeEmpty())
 			for index, node := range c.nodesHolding(2) {
 				node.wipe([]string{"disk-second", "disk-third"}[index])
--- a/internal/control/replication/replication_test.go
+++ b/internal/control/replication/replication_test.go
@@ -87,7 +87,7 @@
 		c.nodes[0].wipe("disk-a2")
 		c.run(6 * time.Second)
 		Expect(c.leader()).NotTo(BeNil())
-		Expect(c.nodes[0].disk.Shelf.Heads[key].Voters.Current).To(ContainElement("disk-a2"))
+		Expect(c.nodes[0].disk.DiskModel.Heads[key].Voters.Current).To(ContainElement("disk-a2"))
 		c.write()
 		c.run(100 * time.Millisecond)
 		c.nodes[1].kill()
@@ -104,7 +104,7 @@
 		c.add("d").start()
 		c.run(4 * time.Second)
 		Expect(c.leader()).NotTo(BeNil())
-		Expect(c.leader().disk.Shelf.Heads[key].Voters.Current).To(ConsistOf("disk-a", "disk-b", "disk-d"))
+		Expect(c.leader().disk.DiskModel.Heads[key].Voters.Current).To(ConsistOf("disk-a", "disk-b", "disk-d"))
 		Expect(c.violations).To(BeEmpty())
 	})
 
@@ -200,10 +200,10 @@
 	if leader == nil {
 		return false
 	}
-	state := leader.disk.Shelf.Heads[key]
+	state := leader.disk.DiskModel.Heads[key]
 	for _, node := range c.nodes {
 		isVoter := slices.Contains(state.Voters.Current, node.disk.name)
-		if !isVoter || node.disk.Shelf.Heads[key].Last.Epoch != state.Last.Epoch || len(state.Voters.Old) > 0 {
+		if !isVoter || node.disk.DiskModel.Heads[key].Last.Epoch != state.Last.Epoch || len(state.Voters.Old) > 0 {
 			return false
 		}
 	}
--- a/internal/control/replication/snapshots_test.go
+++ b/internal/control/replication/snapshots_test.go
@@ -54,7 +54,7 @@
 		node.wipe("disk-fresh")
 		c.runWithWrites(800 * time.Millisecond)
 		Expect(hasEaten).To(BeTrue())
-		Expect(node.disk.Shelf.Heads[key].Last).To(Equal(wire.LogPosition{}))
+		Expect(node.disk.DiskModel.Heads[key].Last).To(Equal(wire.LogPosition{}))
 		c.runWithWrites(3 * time.Second)
 		c.run(time.Second)
 		Expect(slices.Index(c.chunksSent, 5)).To(BeNumerically(">", 0))
--- a/internal/control/replication/takeover_test.go
+++ b/internal/control/replication/takeover_test.go
@@ -36,7 +36,7 @@
 // highestPromise is the highest epoch that any disk has promised.
 func (c *testCluster) highestPromise() (highest uint64) {
 	for _, node := range c.nodes {
-		highest = max(highest, node.disk.Shelf.Heads[key].Promised)
+		highest = max(highest, node.disk.DiskModel.Heads[key].Promised)
 	}
 	return highest
 }
@@ -111,8 +111,8 @@
 		}
 		c.write()
 		c.run(30 * time.Millisecond)
-		Expect(behind.disk.Shelf.Heads[key].Last.Below(others[2].disk.Shelf.Heads[key].Last)).To(BeTrue())
-		Expect(others[2].disk.Shelf.Heads[key].Last.Below(ahead.disk.Shelf.Heads[key].Last)).To(BeTrue())
+		Expect(behind.disk.DiskModel.Heads[key].Last.Below(others[2].disk.DiskModel.Heads[key].Last)).To(BeTrue())
+		Expect(others[2].disk.DiskModel.Heads[key].Last.Below(ahead.disk.DiskModel.Heads[key].Last)).To(BeTrue())
 		c.drops = nil
 		c.slowDownReading(4 * time.Second)
 		c.restartAll()
--- a/internal/control/replication/testcluster_test.go
+++ b/internal/control/replication/testcluster_test.go
@@ -21,7 +21,7 @@
 
 // fakeDisk keeps what was synced; a write waits in the line until the simulated cluster syncs it.
 type fakeDisk struct {
-	*simcluster.Shelf
+	*simcluster.DiskModel
 	name          string
 	isNew         bool
 	pendingWrites []func()
@@ -39,14 +39,14 @@
 var errDiskFull = errors.New("the disk refuses")
 
 func newDisk(name string) *fakeDisk {
-	return &fakeDisk{Shelf: simcluster.NewShelf(), name: name, isNew: true, pairNames: map[string]bool{}}
+	return &fakeDisk{DiskModel: simcluster.NewDiskModel(), name: name, isNew: true, pairNames: map[string]bool{}}
 }
 
 func (d *fakeDisk) Disk() string { return d.name }
 func (d *fakeDisk) IsNew() bool  { return d.isNew }
 
 func (d *fakeDisk) ReplicaStates() (map[string]storage.ReplicaState, error) {
-	return maps.Clone(d.Shelf.Heads), nil
+	return maps.Clone(d.DiskModel.Heads), nil
 }
 
 func (d *fakeDisk) Submit(write storage.Write, done func(storage.Outcome)) {
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -24,7 +24,7 @@
 	if leader == nil {
 		return nil
 	}
-	return leader.disk.Shelf.Heads[key].Voters.Current
+	return leader.disk.DiskModel.Heads[key].Voters.Current
 }
 
 // nodesHolding are up to count nodes whose disks hold all that was acknowledged, the leader the first.
@@ -60,7 +60,7 @@
 			Expect(c.clock.Monotonic() - began).To(BeNumerically("<", 600*time.Millisecond))
 		}
 		c.run(200 * time.Millisecond)
-		Expect(c.leader().disk.Shelf.Heads[key].Voters.Old).To(BeEmpty())
+		Expect(c.leader().disk.DiskModel.Heads[key].Voters.Old).To(BeEmpty())
 		Expect(len(c.acknowledged)).To(BeNumerically(">", 5))
 		Expect(c.violations).To(BeEmpty())
 	})
@@ -299,7 +299,7 @@
 				c.write()
 				c.run(5 * time.Millisecond)
 			}
-			last[index] = victim.disk.Shelf.Heads[key].Last
+			last[index] = victim.disk.DiskModel.Heads[key].Last
 		}
 		Expect(last[1]).To(Equal(last[0]))
 	})
@@ -317,7 +317,7 @@
 		c.write()
 		c.run(500 * time.Millisecond)
 		Expect(isVoter(victim)).To(BeTrue())
-		Expect(replacement.disk.Shelf.Heads[key].Last).To(Equal(wire.LogPosition{}))
+		Expect(replacement.disk.DiskModel.Heads[key].Last).To(Equal(wire.LogPosition{}))
 	})
 
 	It("keep a lost one while there is none to take its place", func() {
@@ -432,10 +432,10 @@
 	if leader == nil {
 		return false
 	}
-	state := leader.disk.Shelf.Heads[key]
+	state := leader.disk.DiskModel.Heads[key]
 	isBehind := func(disk string) bool {
 		node := c.byDisk(disk)
-		return node == nil || node.disk.Shelf.Heads[key].Last.Epoch != state.Last.Epoch
+		return node == nil || node.disk.DiskModel.Heads[key].Last.Epoch != state.Last.Epoch
 	}
 	return len(state.Voters.Current) == 5 && len(state.Voters.Old) == 0 && !slices.ContainsFunc(state.Voters.Current, isBehind)
 }
--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -96,8 +96,8 @@
 	Pace float64
 }
 
-// Executor is a stand-in that keeps to the protocol of executors. It has no goroutine of its own: its owner calls it, and
-// later calls functions back on that owner.
+// Executor is a stand-in that keeps to the protocol of executors. It has no goroutine of its own: its leader calls it, and
+// later calls functions back on that leader.
 type Executor struct {
 	shape    Shape
 	clock    clock.Clock
@@ -118,7 +118,7 @@
 }
 
 // NewExecutor makes an executor that only pretends to work: a run ends after the length that its descriptor names.
-// The clock gives its time, and later calls a function after a wait, on the goroutine that owns the executor.
+// The clock gives its time, and later calls a function after a wait, on the goroutine that leads the executor.
 func NewExecutor(shape Shape, clock clock.Clock, later func(time.Duration, func())) *Executor {
 	return &Executor{shape: shape, clock: clock, later: later, begunAt: clock.Monotonic(), highest: map[string]int64{}}
 }
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -43,7 +43,7 @@
 	retryShare = 5
 )
 
-// node is one stand-in executor with the goroutine that owns it.
+// node is one stand-in executor with the goroutine that leads it.
 type node struct {
 	mailbox  *mailbox.Mailbox
 	executor *Executor
@@ -60,7 +60,7 @@
 	return started
 }
 
-// later runs a function on the goroutine that owns the executor, once the wait is over.
+// later runs a function on the goroutine that leads the executor, once the wait is over.
 func (n *node) later(wait time.Duration, run func()) {
 	go func() {
 		select {
@@ -77,7 +77,7 @@
 	answer executorapi.Answer
 }
 
-// command carries out a call on the goroutine that owns the executor, and gives its result at once or later.
+// command carries out a call on the goroutine that leads the executor, and gives its result at once or later.
 type command = func(answer func(result))
 
 // ServeHTTP answers the calls that a local proxy makes to its executor.
@@ -248,7 +248,7 @@
 	return mux
 }
 
-// gather asks each executor on the goroutine that owns it, and gives up at the first that does not answer.
+// gather asks each executor on the goroutine that leads it, and gives up at the first that does not answer.
 func gather[T any](ctx context.Context, nodes []*node, question func(*Executor) T, take func(T)) {
 	for _, asked := range nodes {
 		value, err := mailbox.Ask(ctx, asked.mailbox, func(answer func(T)) { answer(question(asked.executor)) })
--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -13,7 +13,7 @@
 // large one, so that whole states are sent in several chunks, and replicas keep only the last few changes.
 const (
 	bulkPairs    = 5
-	mostPairs    = 40
+	maxPairs     = 40
 	bulkSize     = 90 << 10
 	bulkVariants = 32
 )
@@ -30,30 +30,30 @@
 }
 
 // bulkState is the variant of each large pair; 0 where there is none.
-type bulkState [mostPairs]byte
+type bulkState [maxPairs]byte
 
-func bulkName(place int) string { return fmt.Sprintf("bulk-%d", place) }
+func bulkName(index int) string { return fmt.Sprintf("bulk-%d", index) }
 
 func bulkOf(pairs []wire.Op) bulkState {
-	var held bulkState
-	for place := range held {
-		at := slices.IndexFunc(pairs, func(pair wire.Op) bool { return pair.Name == bulkName(place) })
+	var state bulkState
+	for index := range state {
+		at := slices.IndexFunc(pairs, func(pair wire.Op) bool { return pair.Name == bulkName(index) })
 		if at >= 0 {
-			held[place] = pairs[at].Value[0]
+			state[index] = pairs[at].Value[0]
 		}
 	}
-	return held
+	return state
 }
 
-// bulkTenure adds a large pair to each change, and notes what the whole state is then.
-type bulkTenure struct {
+// bulkLeadership adds a large pair to each change, and notes what the snapshot is then.
+type bulkLeadership struct {
 	configleader.Leadership
-	world *world
-	held  bulkState
+	cluster *simCluster
+	state   bulkState
 }
 
 // Commit proposes the change with the large pair that belongs to it.
-func (t *bulkTenure) Commit(ops []wire.Op, done func(error)) {
+func (t *bulkLeadership) Commit(ops []wire.Op, done func(error)) {
 	fact := factOf(ops)
 	if fact == nil {
 		t.Leadership.Commit(ops, done)
@@ -61,25 +61,25 @@
 	}
 	// The pair follows from the body, so that a change proposed again by another leader leads to the same state.
 	digest := digestOf(fact.Body)
-	place, value := int(digest[0])%t.world.bulkPairs, bulkValues[int(digest[1])%bulkVariants]
-	next := t.held
-	next[place] = value[0]
-	t.world.record.bulk[digest] = next
-	ops = append(slices.Clone(ops), wire.Op{Name: bulkName(place), Value: value})
+	index, value := int(digest[0])%t.cluster.bulkPairs, bulkValues[int(digest[1])%bulkVariants]
+	next := t.state
+	next[index] = value[0]
+	t.cluster.record.bulk[digest] = next
+	ops = append(slices.Clone(ops), wire.Op{Name: bulkName(index), Value: value})
 	t.Leadership.Commit(ops, func(err error) {
 		if err == nil {
-			t.held = next
+			t.state = next
 		}
 		done(err)
 	})
 }
 
 // checkBulk looks whether the large pairs are those that the newest change left behind.
-func (w *world) checkBulk(n *node, pairs []wire.Op, fact *wire.Configuration) {
+func (w *simCluster) checkBulk(n *simNode, pairs []wire.Op, fact *wire.Configuration) {
 	if !w.isBulk || fact == nil {
 		return
 	}
-	if want, held := w.record.bulk[digestOf(fact.Body)], bulkOf(pairs); want != held {
-		w.violated("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, fact.Version, held, want)
+	if want, state := w.record.bulk[digestOf(fact.Body)], bulkOf(pairs); want != state {
+		w.violated("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, fact.Version, state, want)
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
@@ -17,8 +17,8 @@
 	soundSchedules = 600
 	// soundLarge are run with the large profile, for a sound system and for planted faults.
 	soundLarge = 400
-	// plantSchedules is within how many each planted fault must be found, with one loss or with two.
-	plantSchedules = 6000
+	// faultSchedules is within how many each planted fault must be found, with one loss or with two.
+	faultSchedules = 6000
 	workers        = 2
 )
 
@@ -48,18 +48,18 @@
 		Expect(finding).To(BeNil(), "%s", describe(finding))
 	})
 
-	for _, plant := range []string{"learner-counted-early", "learner-counted-between-chunks"} {
-		It("finds the planted fault "+plant+" at the size of a large fleet", func() {
-			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge, Plant: plant})
+	for _, fault := range []string{"learner-counted-early", "learner-counted-between-chunks"} {
+		It("finds the planted fault "+fault+" at the size of a large fleet", func() {
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge, Plant: fault})
 			Expect(finding).NotTo(BeNil())
 		})
 	}
 
-	for _, plant := range controlmodel.New().Plants() {
-		It("finds the planted fault "+plant.Name, func() {
-			finding := run(modelcheck.Budget{Seed: seed, Schedules: plantSchedules, Losses: 1, Plant: plant.Name})
+	for _, fault := range controlmodel.New().Plants() {
+		It("finds the planted fault "+fault.Name, func() {
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 1, Plant: fault.Name})
 			if finding == nil {
-				finding = run(modelcheck.Budget{Seed: seed, Schedules: plantSchedules, Losses: 2, Plant: plant.Name})
+				finding = run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 2, Plant: fault.Name})
 			}
 			Expect(finding).NotTo(BeNil())
 		})
@@ -87,10 +87,10 @@
 			Expect(model.Run(schedule)).To(Equal(model.Run(schedule)))
 		}
 		budget := modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Plant: "commit-before-majority", Workers: 1}
-		one, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
+		finding, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
 		budget.Workers = 4
 		four, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
-		Expect(one.Number).To(Equal(four.Number))
+		Expect(finding.Number).To(Equal(four.Number))
 	})
 
 	It("cuts a failing schedule down to fewer steps that break the same invariant", func() {
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -17,7 +17,7 @@
 	shortestSync = 2 * time.Millisecond
 	longestSync  = 12 * time.Millisecond
 	slowedSync   = 150 * time.Millisecond
-	mostPerSync  = 64
+	maxPerSync   = 64
 )
 
 var errFull = errors.New("no space left on the disk")
@@ -29,25 +29,25 @@
 
 // disk is the disk of a machine: what was synced stays, what was not is kept or lost as the seed decides.
 type disk struct {
-	world     *world
+	cluster   *simCluster
 	name      string
-	shelf     *simcluster.Shelf
+	model     *simcluster.DiskModel
 	isBare    bool
 	isStalled bool
 	isSlow    bool
 	isFull    bool
 	// isFileSafe tells whether the file and its folders have been synced; the real store does so before it answers.
-	isFileSafe bool
-	waiting    []pendingWrite
-	syncing    []pendingWrite
-	life       int
-	// told is called after each transaction, so that the process takes note.
-	told func()
+	isFileSafe  bool
+	waiting     []pendingWrite
+	syncing     []pendingWrite
+	incarnation int
+	// answered is called after each transaction, so that the process takes note.
+	answered func()
 }
 
-func (w *world) newDisk() *disk {
+func (w *simCluster) newDisk() *disk {
 	w.disks++
-	return &disk{world: w, name: fmt.Sprintf("disk-%d", w.disks), shelf: simcluster.NewShelf(), isBare: true, isFileSafe: !w.plant.isFileUnsafe}
+	return &disk{cluster: w, name: fmt.Sprintf("disk-%d", w.disks), model: simcluster.NewDiskModel(), isBare: true, isFileSafe: !w.fault.isFileUnsafe}
 }
 
 // Disk is the name that an empty disk gave itself.
@@ -58,11 +58,11 @@
 
 // ReplicaStates are the states of the replicas that were synced.
 func (d *disk) ReplicaStates() (map[string]storage.ReplicaState, error) {
-	return maps.Clone(d.shelf.Heads), nil
+	return maps.Clone(d.model.Heads), nil
 }
 
 // Read gives the synced state of a key.
-func (d *disk) Read(key string) (wire.Snapshot, error) { return d.shelf.Read(key) }
+func (d *disk) Read(key string) (wire.Snapshot, error) { return d.model.Read(key) }
 
 // Submit queues a write; done is told what became of it once it was synced.
 func (d *disk) Submit(write storage.Write, done func(storage.Outcome)) {
@@ -71,7 +71,7 @@
 }
 
 func (d *disk) syncTime() time.Duration {
-	wait := shortestSync + time.Duration(d.world.draw.Int64N(int64(longestSync-shortestSync)))
+	wait := shortestSync + time.Duration(d.cluster.draw.Int64N(int64(longestSync-shortestSync)))
 	if d.isSlow {
 		wait += slowedSync
 	}
@@ -83,26 +83,26 @@
 	if d.syncing != nil || d.isStalled || len(d.waiting) == 0 {
 		return
 	}
-	count := min(mostPerSync, len(d.waiting))
+	count := min(maxPerSync, len(d.waiting))
 	d.syncing, d.waiting = d.waiting[:count:count], d.waiting[count:]
-	life := d.life
-	d.world.after(d.syncTime(), func() { d.endSync(life) })
+	incarnation := d.incarnation
+	d.cluster.after(d.syncTime(), func() { d.endSync(incarnation) })
 }
 
-func (d *disk) endSync(life int) {
-	if d.life != life {
+func (d *disk) endSync(incarnation int) {
+	if d.incarnation != incarnation {
 		return
 	}
 	if d.isStalled {
-		d.world.after(20*time.Millisecond, func() { d.endSync(life) })
+		d.cluster.after(20*time.Millisecond, func() { d.endSync(incarnation) })
 		return
 	}
 	batch := d.syncing
 	d.syncing = nil
-	for _, one := range batch {
-		one.done(d.commit(one.write))
+	for _, write := range batch {
+		write.done(d.commit(write.write))
 	}
-	d.told()
+	d.answered()
 	d.sync()
 }
 
@@ -110,16 +110,16 @@
 	if d.isFull {
 		return storage.Outcome{Err: errFull}
 	}
-	return d.shelf.Apply(write)
+	return d.model.Apply(write)
 }
 
 // stop ends what the process had under way: a transaction counts as a whole or not at all.
 func (d *disk) stop(draw *rand.Rand) {
-	d.life++
+	d.incarnation++
 	if len(d.syncing) > 0 && !d.isFull && draw.IntN(2) == 0 {
-		d.world.cover("transaction kept without an answer")
-		for _, one := range d.syncing {
-			d.shelf.Apply(one.write)
+		d.cluster.cover("transaction kept without an answer")
+		for _, write := range d.syncing {
+			d.model.Apply(write.write)
 		}
 	}
 	d.syncing, d.waiting = nil, nil
--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -49,7 +49,7 @@
 	if d.draw.IntN(6) == 0 {
 		d.add(modelcheck.Step{Kind: stepBulk})
 	}
-	slices.SortStableFunc(d.steps, func(one, two modelcheck.Step) int { return one.AtMs - two.AtMs })
+	slices.SortStableFunc(d.steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
 	return modelcheck.Schedule{Model: Name, Seed: seed, Losses: losses, Nodes: d.nodes, Steps: d.steps}
 }
 
@@ -97,7 +97,7 @@
 	case 0, 5:
 		d.add(modelcheck.Step{AtMs: at, Kind: stepWeather, ForMs: 300 + d.draw.IntN(3000), Value: d.draw.IntN(2500)})
 	case 1:
-		d.add(modelcheck.Step{AtMs: at, Kind: stepClock, Node: d.place(), Value: d.draw.IntN(20000) - 10000})
+		d.add(modelcheck.Step{AtMs: at, Kind: stepClock, Node: d.position(), Value: d.draw.IntN(20000) - 10000})
 	case 2, 3:
 		d.addEndOfAll(at)
 	case 4:
@@ -123,15 +123,15 @@
 	}
 }
 
-func (d *drawing) place() int {
+func (d *drawing) position() int {
 	if d.draw.IntN(3) == 0 {
-		return leaderPlace
+		return leaderIndex
 	}
 	return d.draw.IntN(d.nodes)
 }
 
 func (d *drawing) addHarm(at int, kind string) {
-	step := modelcheck.Step{AtMs: at, Kind: kind, Node: d.place(), ForMs: d.length(), Value: 20 + d.draw.IntN(800)}
+	step := modelcheck.Step{AtMs: at, Kind: kind, Node: d.position(), ForMs: d.length(), Value: 20 + d.draw.IntN(800)}
 	if kind == stepKill && d.draw.IntN(2) == 0 {
 		step.ForMs = 10 + d.draw.IntN(100)
 	}
@@ -147,7 +147,7 @@
 			span.to = at + step.ForMs
 		}
 	case stepPowerOnAck:
-		step.Node, step.Value = leaderPlace, 0
+		step.Node, step.Value = leaderIndex, 0
 		span.to += int(trapLife.Milliseconds())
 		if d.draw.IntN(3) == 0 {
 			d.addEndOfAll(at)
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -8,13 +8,13 @@
 
 const (
 	// Large schedules last so long after the first fault.
-	leastLargeMs, mostLargeMs = 3000, 20000
+	leastLargeMs, maxLargeMs = 3000, 20000
 	// fillMs is how long a storm of changes at the beginning fills the large pairs.
 	fillMs = 1500
 	// nextAtMost is how soon after a disk counts no longer as lost the next one may be.
 	nextAtMost = 400
-	// mostRow is how many times in a row disks are lost.
-	mostRow = 4
+	// maxRow is how many times in a row disks are lost.
+	maxRow = 4
 )
 
 // largeHarms are the faults of single machines in large schedules, beside the losses of disks in a row.
@@ -25,7 +25,7 @@
 // to spare; a state of several MB; and disks lost as soon as those lost before count as back.
 func (d *drawing) large(seed uint64) modelcheck.Schedule {
 	d.nodes = 2*d.losses + 1
-	d.endMs = growUpMs + leastLargeMs + d.draw.IntN(mostLargeMs-leastLargeMs)
+	d.endMs = growUpMs + leastLargeMs + d.draw.IntN(maxLargeMs-leastLargeMs)
 	d.add(modelcheck.Step{Kind: stepBulk})
 	d.add(modelcheck.Step{AtMs: 1000, Kind: stepStorm, ForMs: fillMs})
 	d.addRow()
@@ -33,14 +33,14 @@
 		d.addLargeFault(at)
 	}
 	d.addTraffic()
-	slices.SortStableFunc(d.steps, func(one, two modelcheck.Step) int { return one.AtMs - two.AtMs })
+	slices.SortStableFunc(d.steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
 	return modelcheck.Schedule{Model: Name, Seed: seed, Losses: d.losses, Nodes: d.nodes, Size: modelcheck.SizeLarge, Steps: d.steps}
 }
 
 // addRow lets disks be lost again and again, each time as soon as those before count as back, at times with all machines down.
 func (d *drawing) addRow() {
 	at := growUpMs + d.draw.IntN(2000)
-	for range 1 + d.draw.IntN(mostRow) {
+	for range 1 + d.draw.IntN(maxRow) {
 		if at > d.endMs {
 			return
 		}
@@ -60,7 +60,7 @@
 	span := lossSpan{at, at + length + catchUpMs}
 	if d.isBearable(span, 1) {
 		d.lost = append(d.lost, span)
-		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.place(), ForMs: length})
+		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.position(), ForMs: length})
 	}
 }
 
--- a/internal/simulation/modelcheck/controlmodel/faults.go
+++ b/internal/simulation/modelcheck/controlmodel/faults.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// The kinds of steps. Node is a place of a machine, or leaderPlace for whoever leads at that moment.
+// The kinds of steps. Node is a place of a machine, or leaderIndex for whoever leads at that moment.
 const (
 	stepOrder        = "order"
 	stepRace         = "race"
@@ -36,7 +36,7 @@
 	stepRestart      = "restart"
 	stepGrow         = "grow"
 	stepBulk         = "bulk"
-	leaderPlace      = -1
+	leaderIndex      = -1
 	stormPause       = 25 * time.Millisecond
 	trapLife         = time.Second
 	longestAfterAck  = 5
@@ -44,7 +44,7 @@
 	weatherHeavyLost = 300
 	weatherDoubled   = 100
 	weatherDelayed   = 150
-	shortestHeldBack = 20 * time.Millisecond
+	minHeldBack      = 20 * time.Millisecond
 )
 
 // trap is a fault that comes within 5 ms of the next acknowledgement.
@@ -54,17 +54,17 @@
 }
 
 // at is the machine that a step means.
-func (w *world) at(place int) *node {
-	if place == leaderPlace {
+func (w *simCluster) at(index int) *simNode {
+	if index == leaderIndex {
 		if leader := w.leader(); leader != nil {
 			return leader
 		}
-		place = 0
+		index = 0
 	}
-	return w.slots[place%len(w.slots)]
+	return w.slots[index%len(w.slots)]
 }
 
-func (w *world) apply(step modelcheck.Step) {
+func (w *simCluster) apply(step modelcheck.Step) {
 	w.cover("step " + step.Kind)
 	length := clock.Milliseconds(int64(step.ForMs))
 	n := w.at(step.Node)
@@ -83,10 +83,10 @@
 		n.wipe()
 		w.after(length, n.start)
 	case stepFreeze:
-		life := n.life
+		incarnation := n.incarnation
 		n.freeze()
 		w.after(length, func() {
-			if n.life == life {
+			if n.incarnation == incarnation {
 				n.wake()
 			}
 		})
@@ -99,7 +99,7 @@
 		w.cutOff(step, n, length)
 	case stepWeather:
 		w.weather = weather{until: w.now + length, lost: weatherLost, doubled: weatherDoubled, delayed: weatherDelayed,
-			longest: shortestHeldBack + clock.Milliseconds(int64(step.Value))}
+			longest: minHeldBack + clock.Milliseconds(int64(step.Value))}
 		if step.Peer == 1 {
 			w.weather.lost = weatherHeavyLost
 		}
@@ -115,15 +115,15 @@
 }
 
 // applyChange is what planned work does to machines.
-func (w *world) applyChange(step modelcheck.Step, n *node, length time.Duration) {
+func (w *simCluster) applyChange(step modelcheck.Step, n *simNode, length time.Duration) {
 	switch step.Kind {
 	case stepReplace:
-		place := step.Node % len(w.slots)
+		index := step.Node % len(w.slots)
 		successor := w.addNode()
 		successor.start()
 		w.after(length, func() {
-			old := w.slots[place]
-			w.slots[place] = successor
+			old := w.slots[index]
+			w.slots[index] = successor
 			old.isRemoved = true
 			old.leave(func() {})
 		})
@@ -142,7 +142,7 @@
 	}
 }
 
-func (w *world) troubleDisk(kind string, d *disk, length time.Duration) {
+func (w *simCluster) troubleDisk(kind string, d *disk, length time.Duration) {
 	switch kind {
 	case stepStall:
 		d.isStalled = true
@@ -165,7 +165,7 @@
 }
 
 // cutOff cuts one machine from all others; Peer is 1 where connections are refused and not silent.
-func (w *world) cutOff(step modelcheck.Step, n *node, length time.Duration) {
+func (w *simCluster) cutOff(step modelcheck.Step, n *simNode, length time.Duration) {
 	now := cut{cutSilent, w.now + length}
 	if step.Peer == 1 {
 		now.kind = cutRefused
@@ -184,31 +184,31 @@
 }
 
 // endAll takes power from all machines, or kills all; Value of them, from Node on, lose their disks as well.
-func (w *world) endAll(step modelcheck.Step) {
-	for place, one := range w.slots {
+func (w *simCluster) endAll(step modelcheck.Step) {
+	for index, node := range w.slots {
 		if step.Kind == stepKillAll {
-			one.kill()
+			node.kill()
 		} else {
-			one.losePower()
+			node.losePower()
 		}
-		if offset := (place - max(0, step.Node) + len(w.slots)) % len(w.slots); offset < step.Value {
+		if offset := (index - max(0, step.Node) + len(w.slots)) % len(w.slots); offset < step.Value {
 			w.cover("disk wiped with all machines down")
-			one.wipe()
+			node.wipe()
 		}
-		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, one.start)
+		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, node.start)
 	}
 }
 
 // springTraps lets what waits for an acknowledgement happen: Peer is 1 for all machines, else it is the leader.
-func (w *world) springTraps() {
+func (w *simCluster) springTraps() {
 	waiting := w.traps
 	w.traps = nil
-	for _, one := range waiting {
-		if one.until < w.now {
+	for _, trap := range waiting {
+		if trap.until < w.now {
 			continue
 		}
 		w.cover("power lost right after an acknowledgement")
-		step := one.step
+		step := trap.step
 		step.Kind = stepPower
 		if step.Peer == 1 {
 			step.Kind = stepPowerAll
@@ -218,19 +218,19 @@
 }
 
 // healAll ends all faults.
-func (w *world) healAll() {
+func (w *simCluster) healAll() {
 	w.traps, w.weather = nil, weather{}
 	clear(w.links)
-	for _, one := range w.nodes {
-		one.slowed = 0
-		one.disk.isStalled, one.disk.isSlow, one.disk.isFull = false, false, false
-		one.wake()
-		one.start()
-		one.disk.sync()
+	for _, node := range w.nodes {
+		node.slowed = 0
+		node.disk.isStalled, node.disk.isSlow, node.disk.isFull = false, false, false
+		node.wake()
+		node.start()
+		node.disk.sync()
 	}
 }
 
-func (w *world) operateStep(step modelcheck.Step) {
+func (w *simCluster) operateStep(step modelcheck.Step) {
 	t := &w.traffic
 	switch step.Kind {
 	case stepRead:
@@ -241,13 +241,13 @@
 		w.send(w.newOrder(t.newest, t.newest+1), step.Node)
 		w.send(w.newOrder(t.newest, t.newest+1), step.Peer)
 	case stepBurst:
-		for place := range mostUnderWay {
-			w.send(w.newOrder(t.newest, t.newest+1+int64(place%3)), step.Node+place)
+		for index := range maxInFlight {
+			w.send(w.newOrder(t.newest, t.newest+1+int64(index%3)), step.Node+index)
 		}
 	case stepResend:
 		if count := len(t.confirmed); count > 0 {
 			again := t.confirmed[max(0, count-1-step.Value)]
-			again.tries = 0
+			again.attempts = 0
 			w.send(again, step.Node)
 		}
 	case stepStorm:
@@ -256,7 +256,7 @@
 }
 
 // storm sends a change as soon as the one before it is confirmed.
-func (w *world) storm(via int, end time.Duration) {
+func (w *simCluster) storm(via int, end time.Duration) {
 	if w.now >= end {
 		return
 	}
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -19,22 +19,22 @@
 )
 
 // stateMachine is the configuration leader of a machine, with the oracles looking on.
-type stateMachine struct{ node *node }
+type stateMachine struct{ node *simNode }
 
 // Open takes the configuration over under a new leadership.
-func (m *stateMachine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
+func (m *stateMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	n := m.node
-	n.tenure = tenure
-	n.world.open++
-	n.world.cover("leader opened")
-	n.world.tell("%s leads epoch %d", n.name, tenure.Epoch())
-	n.world.announce(n, tenure.Epoch())
-	n.world.checkOpened(n, pairs)
-	var held configleader.Leadership = tenure
-	if n.world.isBulk {
-		held = &bulkTenure{Leadership: tenure, world: n.world, held: bulkOf(pairs)}
+	n.leadership = leadership
+	n.cluster.open++
+	n.cluster.cover("leader opened")
+	n.cluster.tell("%s leads epoch %d", n.name, leadership.Epoch())
+	n.cluster.announce(n, leadership.Epoch())
+	n.cluster.checkOpened(n, pairs)
+	var wrapped configleader.Leadership = leadership
+	if n.cluster.isBulk {
+		wrapped = &bulkLeadership{Leadership: wrapped, cluster: n.cluster, state: bulkOf(pairs)}
 	}
-	return n.config.Open(n.world.plant.wrapTenure(n, held), pairs)
+	return n.config.Open(n.cluster.fault.wrapLeadership(n, wrapped), pairs)
 }
 
 // Close gives the configuration up.
@@ -43,62 +43,62 @@
 	m.node.config.Close()
 }
 
-func (n *node) closed() {
-	if n.tenure != nil {
-		n.tenure = nil
-		n.world.open--
+func (n *simNode) closed() {
+	if n.leadership != nil {
+		n.leadership = nil
+		n.cluster.open--
 	}
 }
 
 // announce lets the others hear of a leader, as their membership does.
-func (w *world) announce(leader *node, epoch uint64) {
+func (w *simCluster) announce(leader *simNode, epoch uint64) {
 	for _, other := range w.nodes {
 		w.after(time.Duration(w.draw.IntN(200))*time.Millisecond, func() {
-			if other.isUp && w.isOpen(leader, other) && epoch > other.heard.epoch {
-				other.heard = leaderHint{epoch, leader, w.now}
+			if other.isUp && w.isOpen(leader, other) && epoch > other.hint.epoch {
+				other.hint = leaderHint{epoch, leader, w.now}
 			}
 		})
 	}
 }
 
 // hearsay brings a machine the newest leader that any machine it reaches has known for a while.
-func (n *node) hearsay() {
-	for _, other := range n.world.nodes {
-		if other.isUp && !other.isFrozen && other.heard.epoch > n.heard.epoch && n.world.now-other.heard.at >= gossipDelay &&
-			n.world.isOpen(n, other) && n.world.isOpen(other, n) {
-			n.heard = leaderHint{other.heard.epoch, other.heard.node, n.world.now}
+func (n *simNode) hearsay() {
+	for _, other := range n.cluster.nodes {
+		if other.isUp && !other.isFrozen && other.hint.epoch > n.hint.epoch && n.cluster.now-other.hint.at >= gossipDelay &&
+			n.cluster.isOpen(n, other) && n.cluster.isOpen(other, n) {
+			n.hint = leaderHint{other.hint.epoch, other.hint.node, n.cluster.now}
 		}
 	}
 }
 
 // leader is the machine that holds a lease, if there is one.
-func (w *world) leader() *node {
-	for _, one := range w.nodes {
-		if one.isUp && !one.isFrozen && one.tenure != nil && one.tenure.HasLease() {
-			return one
+func (w *simCluster) leader() *simNode {
+	for _, node := range w.nodes {
+		if node.isUp && !node.isFrozen && node.leadership != nil && node.leadership.HasLease() {
+			return node
 		}
 	}
 	return nil
 }
 
 // obey serves a call of the operator's path, as the ring of control keys does.
-func (n *node) obey(ask *wire.ClientCall, answer func(wire.ClientAnswer)) {
-	told := func(value wire.ClientAnswer) {
-		if change := n.world.plant.answer; change != nil {
+func (n *simNode) obey(ask *wire.ClientCall, answer func(wire.ClientAnswer)) {
+	response := func(value wire.ClientAnswer) {
+		if change := n.cluster.fault.answer; change != nil {
 			value = change(n, ask, value)
 		}
-		if value.NotLeader && n.heard.node != nil && n.heard.node != n {
-			value.Leader = n.heard.node.name
+		if value.NotLeader && n.hint.node != nil && n.hint.node != n {
+			value.Leader = n.hint.node.name
 		}
 		answer(value)
 	}
 	switch {
 	case !n.config.IsOpen():
-		told(wire.ClientAnswer{NotLeader: true})
+		response(wire.ClientAnswer{NotLeader: true})
 	case ask.Verb == verbReplace:
-		n.config.Replace(ask, told)
+		n.config.Replace(ask, response)
 	default:
-		n.config.Retrieve(told)
+		n.config.Retrieve(response)
 	}
 }
 
@@ -118,13 +118,13 @@
 func confirmedOf(pairs []wire.Op) []wire.ConfirmedVersion {
 	var all []wire.ConfirmedVersion
 	for _, pair := range pairs {
-		var one wire.ConfirmedVersion
-		if strings.HasPrefix(pair.Name, confirmedPrefix) && easyjson.Unmarshal(pair.Value, &one) == nil {
-			all = append(all, one)
+		var record wire.ConfirmedVersion
+		if strings.HasPrefix(pair.Name, confirmedPrefix) && easyjson.Unmarshal(pair.Value, &record) == nil {
+			all = append(all, record)
 		}
 	}
 	return all
 }
 
 // headOf is what a disk holds of the key.
-func headOf(d *disk) wire.LogPosition { return d.shelf.Heads[configleader.Key].Last }
+func headOf(d *disk) wire.LogPosition { return d.model.Heads[configleader.Key].Last }
--- a/internal/simulation/modelcheck/controlmodel/model.go
+++ b/internal/simulation/modelcheck/controlmodel/model.go
@@ -20,14 +20,16 @@
 func (model) Name() string { return Name }
 
 // Plants are the planted faults by name.
-func (model) Plants() []modelcheck.Plant { return listPlants() }
+func (model) Plants() []modelcheck.InjectedFault { return listPlants() }
 
 // Run plays a schedule from the beginning.
-func (model) Run(schedule modelcheck.Schedule) modelcheck.Outcome { return newWorld(schedule).play() }
+func (model) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
+	return newSimCluster(schedule).play()
+}
 
 // Trace runs a schedule as Run does, and writes what happens.
 func (model) Trace(schedule modelcheck.Schedule, to io.Writer) modelcheck.Outcome {
-	w := newWorld(schedule)
+	w := newSimCluster(schedule)
 	w.trace = to
 	return w.play()
 }
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -55,16 +55,16 @@
 	longest time.Duration
 }
 
-func (w *world) isOpen(from, to *node) bool {
+func (w *simCluster) isOpen(from, to *simNode) bool {
 	return from == to || w.links[pair{from.index, to.index}].until <= w.now
 }
 
-func (w *world) transit() time.Duration {
+func (w *simCluster) transit() time.Duration {
 	return shortestTransit + time.Duration(w.draw.Int64N(int64(longestTransit-shortestTransit)))
 }
 
 // deliver brings a message from one machine to another, unless a fault eats, doubles or delays it.
-func (w *world) deliver(from, to *node, arrive func(), refused func()) {
+func (w *simCluster) deliver(from, to *simNode, arrive func(), refused func()) {
 	if from == to {
 		w.after(0, arrive)
 		return
@@ -92,7 +92,7 @@
 }
 
 // deliverThroughCut loses a message, or holds it until the cut is over, as a connection does that sends again.
-func (w *world) deliverThroughCut(now cut, arrive func(), refused func()) {
+func (w *simCluster) deliverThroughCut(now cut, arrive func(), refused func()) {
 	if now.kind == cutRefused {
 		if refused != nil {
 			w.after(w.transit(), refused)
@@ -106,12 +106,12 @@
 }
 
 // call asks another machine; its answer, or an error once the limit is over, comes back inside the calling process.
-func call[T any](from, to *node, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
-	w, fromLife, isOver := from.world, from.life, false
+func call[T any](from, to *simNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	w, fromIncarnation, isOver := from.cluster, from.incarnation, false
 	finish := func(value T, err error) {
 		if !isOver {
 			isOver = true
-			from.enter(fromLife, func() { done(value, err) })
+			from.enter(fromIncarnation, func() { done(value, err) })
 		}
 	}
 	var none T
@@ -128,12 +128,12 @@
 			}
 			return
 		}
-		toLife := to.life
-		to.enter(toLife, func() {
+		toIncarnation := to.incarnation
+		to.enter(toIncarnation, func() {
 			serve(func(value T) {
 				// The answer is written a little later, so that a freeze or a loss of power may come in between.
 				w.after(time.Duration(w.draw.IntN(300))*time.Microsecond, func() {
-					to.enter(toLife, func() { w.deliver(to, from, func() { finish(value, nil) }, nil) })
+					to.enter(toIncarnation, func() { w.deliver(to, from, func() { finish(value, nil) }, nil) })
 				})
 			})
 		})
@@ -141,7 +141,7 @@
 }
 
 // links carries the calls of a machine's engine over the simulated network.
-type links struct{ node *node }
+type links struct{ node *simNode }
 
 // Promise asks a disk for a promise of an epoch.
 func (l *links) Promise(disk string, ask wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
@@ -153,11 +153,11 @@
 		return
 	}
 	to := n.byDisk(disk)
-	n.world.tell("%s asks %s: promise epoch %d, pre-vote %v", n.name, disk, ask.Epoch, ask.PreVote)
+	n.cluster.tell("%s asks %s: promise epoch %d, pre-vote %v", n.name, disk, ask.Epoch, ask.PreVote)
 	call(n, to, promiseLimit, func(answer func(wire.PromiseAnswer)) {
-		to.replicas.Promise(ask, func(told wire.PromiseAnswer) {
-			n.world.tell("%s tells %s: granted %v, promised %d, last %v", to.name, n.name, told.Granted, told.Promised, told.Last)
-			answer(told)
+		to.replicas.Promise(ask, func(response wire.PromiseAnswer) {
+			n.cluster.tell("%s tells %s: granted %v, promised %d, last %v", to.name, n.name, response.Granted, response.Promised, response.Last)
+			answer(response)
 		})
 	}, done)
 }
@@ -172,36 +172,36 @@
 	limit := appendLimit
 	if ask.Snapshot != nil {
 		limit = silence
-		n.world.cover("snapshot sent")
+		n.cluster.cover("snapshot sent")
 	}
 	to := n.byDisk(disk)
 	send := func() { l.append(to, ask, limit, done) }
 	if ask.Chunk != nil {
 		limit = silence
-		n.world.cover("snapshot chunk sent")
+		n.cluster.cover("snapshot chunk sent")
 	}
-	if ask.Chunk == nil || n.world.schedule.Size != modelcheck.SizeLarge {
+	if ask.Chunk == nil || n.cluster.schedule.Size != modelcheck.SizeLarge {
 		send()
 		return
 	}
-	life := n.life
-	n.world.after(n.world.chunkTime(), func() { n.enter(life, send) })
+	incarnation := n.incarnation
+	n.cluster.after(n.cluster.chunkTime(), func() { n.enter(incarnation, send) })
 }
 
 // chunkTime is how long a chunk takes on the links and processors of a large system, beside all other traffic.
-func (w *world) chunkTime() time.Duration {
+func (w *simCluster) chunkTime() time.Duration {
 	return shortestChunk + time.Duration(w.draw.Int64N(int64(longestChunk-shortestChunk)))
 }
 
-func (l *links) append(to *node, ask wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
+func (l *links) append(to *simNode, ask wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
 	n := l.node
 	call(n, to, limit, func(answer func(wire.AppendAnswer)) {
-		arrivedAt := n.world.now
-		to.replicas.Append(ask, func(told wire.AppendAnswer) {
-			n.world.tell("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, ask.Epoch,
-				told.Taken, told.Promised, told.Last, len(ask.Changes), ask.Release)
-			told.DelayUs = max(1, (n.world.now - arrivedAt).Microseconds())
-			answer(told)
+		arrivedAt := n.cluster.now
+		to.replicas.Append(ask, func(response wire.AppendAnswer) {
+			n.cluster.tell("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, ask.Epoch,
+				response.Taken, response.Promised, response.Last, len(ask.Changes), ask.Release)
+			response.DelayUs = max(1, (n.cluster.now - arrivedAt).Microseconds())
+			answer(response)
 		})
 	}, done)
 }
@@ -209,7 +209,7 @@
 // InstallLocal appends to the own disk.
 func (l *links) InstallLocal(ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if ask.Snapshot != nil {
-		l.node.world.cover("snapshot installed by a candidate")
+		l.node.cluster.cover("snapshot installed by a candidate")
 	}
 	n := l.node
 	n.post(func() {
@@ -220,11 +220,11 @@
 // Fetch asks a disk for the changes or the state that the own one lacks.
 func (l *links) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	n := l.node
-	n.world.cover("candidate fetched")
+	n.cluster.cover("candidate fetched")
 	to := n.byDisk(disk)
 	call(n, to, silence, func(answer func(wire.FetchAnswer)) {
-		if whole, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
-			answer(whole)
+		if snapshot, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
+			answer(snapshot)
 		}
 	}, done)
 }
@@ -239,7 +239,7 @@
 	done(l.node.replicas.History(key))
 }
 
-// ReadLocal reads the whole state of the machine's own replica from its disk; done is never called within the call.
+// ReadLocal reads the snapshot of the machine's own replica from its disk; done is never called within the call.
 func (l *links) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	snapshot, err := l.node.disk.Read(key)
 	l.node.post(func() { done(snapshot, err) })
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -22,48 +22,49 @@
 	leaveTime   = 400 * time.Millisecond
 	// leaveLimit is how long a machine that leaves waits until another disk has taken its place.
 	leaveLimit = 3 * time.Second
-	mostPast   = 4
+	maxFormer  = 4
 )
 
-// node is one control machine: its disk outlives its process.
-type node struct {
-	world *world
-	index int
-	name  string
-	disk  *disk
-	past  []string
-	clock nodeClock
-
-	life      int
-	isUp      bool
-	isRemoved bool
-	isFrozen  bool
-	slowed    time.Duration
-	busyUntil time.Duration
-	startedAt time.Duration
-	postponed []func()
-
-	replicas *replication.Replicas
-	engine   *replication.Engine
-	config   *configleader.Leader
-	tenure   *replication.Leadership
-	known    []knownMember
-	heard    leaderHint
+// simNode is one control machine: its disk outlives its process.
+type simNode struct {
+	cluster *simCluster
+	index   int
+	name    string
+	disk    *disk
+	past    []string
+	clock   nodeClock
+
+	incarnation int
+	isUp        bool
+	isRemoved   bool
+	isFrozen    bool
+	slowed      time.Duration
+	busyUntil   time.Duration
+	startedAt   time.Duration
+	postponed   []func()
+
+	replicas   *replication.Replicas
+	engine     *replication.Engine
+	config     *configleader.Leader
+	leadership *replication.Leadership
+	known      []knownMember
+	// hint is the newest leader that this machine knows.
+	hint leaderHint
 }
 
 // nodeClock is the clock of a machine; its time of day may jump, its steady time never does.
 type nodeClock struct {
-	world  *world
-	offset time.Duration
-	jump   int64
+	cluster *simCluster
+	offset  time.Duration
+	jump    int64
 }
 
 // Monotonic is the steady time of the machine; it never jumps.
-func (c *nodeClock) Monotonic() time.Duration { return c.world.now + c.offset }
+func (c *nodeClock) Monotonic() time.Duration { return c.cluster.now + c.offset }
 
 // WallMs is the machine's time of day in milliseconds, which a fault may set.
 func (c *nodeClock) WallMs() int64 {
-	return wallAtStart + int64(c.world.now/time.Millisecond) + c.jump
+	return wallAtStart + int64(c.cluster.now/time.Millisecond) + c.jump
 }
 
 // After is not used by what the model runs, and never fires.
@@ -71,88 +72,88 @@
 
 // knownMember is what a machine last heard of another.
 type knownMember struct {
-	member  wire.Member
-	heardAt time.Duration
-	isKnown bool
+	member    wire.Member
+	updatedAt time.Duration
+	isKnown   bool
 }
 
 // leaderHint is who led the key, as far as a machine has heard.
 type leaderHint struct {
 	epoch uint64
-	node  *node
+	node  *simNode
 	at    time.Duration
 }
 
-func (w *world) addNode() *node {
-	one := &node{world: w, index: len(w.nodes), name: fmt.Sprintf("machine-%02d", len(w.nodes)), disk: w.newDisk()}
-	one.clock = nodeClock{world: w, offset: time.Duration(w.draw.IntN(1000)) * time.Millisecond}
-	w.nodes = append(w.nodes, one)
-	return one
+func (w *simCluster) addNode() *simNode {
+	node := &simNode{cluster: w, index: len(w.nodes), name: fmt.Sprintf("machine-%02d", len(w.nodes)), disk: w.newDisk()}
+	node.clock = nodeClock{cluster: w, offset: time.Duration(w.draw.IntN(1000)) * time.Millisecond}
+	w.nodes = append(w.nodes, node)
+	return node
 }
 
 // start begins a new process on the machine's disk.
-func (n *node) start() {
+func (n *simNode) start() {
 	if n.isUp || n.isRemoved {
 		return
 	}
-	n.life++
+	n.incarnation++
 	n.isUp, n.isFrozen, n.postponed, n.busyUntil = true, false, nil, 0
-	n.startedAt = n.world.now
-	disk := n.world.plant.wrapDisk(n)
-	replicas, err := replication.NewReplicas(mailbox.New(1024), disk, &n.clock, n.world.plant.leaseOfReplicas())
+	n.startedAt = n.cluster.now
+	disk := n.cluster.fault.wrapDisk(n)
+	replicas, err := replication.NewReplicas(mailbox.New(1024), disk, &n.clock, n.cluster.fault.leaseOfReplicas())
 	if err != nil {
 		panic(err)
 	}
 	n.disk.isBare = false
 	n.replicas = replicas
-	n.known, n.heard = nil, leaderHint{}
-	n.world.tell("%s starts, disk %s", n.name, n.disk.name)
-	n.config = configleader.New(logging.Silent(), func(fact *wire.Configuration) { n.world.noteInForce(digestOf(fact.Body)) })
-	n.engine = replication.NewEngine(configleader.Key, n.disk.name, n.name, &n.clock, n.world.plant.wrapLinks(n, &links{n}),
-		n.world.plant.wrapMachine(n, &stateMachine{n}), n.members,
-		replication.WithInitialVoters(n.world.voters), replication.WithMachineLosses(n.world.schedule.Losses),
-		replication.WithLog(n.world.logOf(n)))
-	life := n.life
-	n.disk.told = func() { n.enter(life, n.drain) }
-	n.world.after(time.Duration(n.world.draw.Int64N(int64(tickEvery))), func() { n.tick(life) })
+	n.known, n.hint = nil, leaderHint{}
+	n.cluster.tell("%s starts, disk %s", n.name, n.disk.name)
+	n.config = configleader.New(logging.Silent(), func(fact *wire.Configuration) { n.cluster.noteInForce(digestOf(fact.Body)) })
+	n.engine = replication.NewEngine(configleader.Key, n.disk.name, n.name, &n.clock, n.cluster.fault.wrapLinks(n, &links{n}),
+		n.cluster.fault.wrapMachine(n, &stateMachine{n}), n.members,
+		replication.WithInitialVoters(n.cluster.voters), replication.WithMachineLosses(n.cluster.schedule.Losses),
+		replication.WithLog(n.cluster.logOf(n)))
+	incarnation := n.incarnation
+	n.disk.answered = func() { n.enter(incarnation, n.drain) }
+	n.cluster.after(time.Duration(n.cluster.draw.Int64N(int64(tickEvery))), func() { n.tick(incarnation) })
 }
 
-func (n *node) tick(life int) {
-	if n.life != life {
+func (n *simNode) tick(incarnation int) {
+	if n.incarnation != incarnation {
 		return
 	}
-	n.enter(life, func() {
+	n.enter(incarnation, func() {
 		n.engine.Tick()
-		n.world.after(tickEvery, func() { n.tick(life) })
+		n.cluster.after(tickEvery, func() { n.tick(incarnation) })
 	})
 }
 
 // enter runs something inside a process if that still lives: after its wake if it is frozen, later if it is slow.
-func (n *node) enter(life int, run func()) {
+func (n *simNode) enter(incarnation int, run func()) {
 	switch {
-	case n.life != life || !n.isUp:
+	case n.incarnation != incarnation || !n.isUp:
 	case n.isFrozen:
-		n.postponed = append(n.postponed, func() { n.enter(life, run) })
-	case n.slowed > 0 || n.busyUntil > n.world.now:
-		n.busyUntil = max(n.busyUntil, n.world.now) + n.slowed
-		n.world.after(n.busyUntil-n.world.now, func() { n.enterNow(life, run) })
+		n.postponed = append(n.postponed, func() { n.enter(incarnation, run) })
+	case n.slowed > 0 || n.busyUntil > n.cluster.now:
+		n.busyUntil = max(n.busyUntil, n.cluster.now) + n.slowed
+		n.cluster.after(n.busyUntil-n.cluster.now, func() { n.enterNow(incarnation, run) })
 	default:
 		run()
 	}
 }
 
-func (n *node) enterNow(life int, run func()) {
+func (n *simNode) enterNow(incarnation int, run func()) {
 	switch {
-	case n.life != life || !n.isUp:
+	case n.incarnation != incarnation || !n.isUp:
 	case n.isFrozen:
-		n.postponed = append(n.postponed, func() { n.enterNow(life, run) })
+		n.postponed = append(n.postponed, func() { n.enterNow(incarnation, run) })
 	default:
 		run()
 	}
 }
 
 // logOf is the log of a machine, part of the trace.
-func (w *world) logOf(n *node) logging.Logger {
+func (w *simCluster) logOf(n *simNode) logging.Logger {
 	if w.trace == nil {
 		return logging.Silent()
 	}
@@ -160,55 +161,55 @@
 }
 
 // post runs something inside the process a moment later.
-func (n *node) post(run func()) {
-	life := n.life
-	n.world.after(0, func() { n.enter(life, run) })
+func (n *simNode) post(run func()) {
+	incarnation := n.incarnation
+	n.cluster.after(0, func() { n.enter(incarnation, run) })
 }
 
 // drain runs what the disk has told the replicas.
-func (n *node) drain() { n.replicas.Mailbox().Drain() }
+func (n *simNode) drain() { n.replicas.Mailbox().Drain() }
 
 // kill ends the process at once.
-func (n *node) kill() {
+func (n *simNode) kill() {
 	if !n.isUp {
 		return
 	}
-	n.world.tell("%s ends", n.name)
+	n.cluster.tell("%s ends", n.name)
 	n.isUp = false
-	n.life++
+	n.incarnation++
 	n.closed()
-	n.disk.stop(n.world.draw)
+	n.disk.stop(n.cluster.draw)
 }
 
 // losePower ends the process; a file or folder that was not synced may go with it.
-func (n *node) losePower() {
+func (n *simNode) losePower() {
 	n.kill()
-	if !n.disk.isFileSafe && n.world.draw.IntN(2) == 0 {
-		n.world.cover("unsynced file lost")
+	if !n.disk.isFileSafe && n.cluster.draw.IntN(2) == 0 {
+		n.cluster.cover("unsynced file lost")
 		n.wipe()
 	}
 }
 
 // wipe gives the machine an empty disk; it must be down.
-func (n *node) wipe() {
-	if !n.world.plant.keepsDiskName {
+func (n *simNode) wipe() {
+	if !n.cluster.fault.keepsDiskName {
 		n.past = append(n.past, n.disk.name)
-		n.past = n.past[max(0, len(n.past)-mostPast):]
+		n.past = n.past[max(0, len(n.past)-maxFormer):]
 	}
 	old := n.disk.name
-	n.disk = n.world.newDisk()
-	if n.world.plant.keepsDiskName {
+	n.disk = n.cluster.newDisk()
+	if n.cluster.fault.keepsDiskName {
 		n.disk.name = old
 	}
 }
 
-func (n *node) freeze() {
+func (n *simNode) freeze() {
 	if n.isUp {
 		n.isFrozen = true
 	}
 }
 
-func (n *node) wake() {
+func (n *simNode) wake() {
 	if !n.isFrozen {
 		return
 	}
@@ -216,63 +217,63 @@
 	waiting := n.postponed
 	n.postponed = nil
 	for _, one := range waiting {
-		n.world.after(time.Duration(n.world.draw.IntN(2000))*time.Microsecond, one)
+		n.cluster.after(time.Duration(n.cluster.draw.IntN(2000))*time.Microsecond, one)
 	}
 }
 
 // leave is a planned end, as after SIGTERM: the disk's voters are replaced first if another disk can take their place.
-func (n *node) leave(gone func()) {
+func (n *simNode) leave(gone func()) {
 	if !n.isUp {
 		gone()
 		return
 	}
-	life, end := n.life, n.world.now+leaveLimit
-	if n.world.plant.leavesAtOnce {
-		end = n.world.now
+	incarnation, end := n.incarnation, n.cluster.now+leaveLimit
+	if n.cluster.fault.leavesAtOnce {
+		end = n.cluster.now
 	} else {
-		n.enter(life, func() {
+		n.enter(incarnation, func() {
 			n.replicas.Leave()
 			n.engine.Leave()
 		})
 	}
-	n.world.after(leaveTime, func() { n.awaitLeave(life, end, gone) })
+	n.cluster.after(leaveTime, func() { n.awaitLeave(incarnation, end, gone) })
 }
 
-func (n *node) awaitLeave(life int, end time.Duration, gone func()) {
-	isOver := n.world.now >= end || !n.isReplaceable()
-	if n.life == life && !isOver {
-		n.world.after(tickEvery, func() { n.awaitLeave(life, end, gone) })
+func (n *simNode) awaitLeave(incarnation int, end time.Duration, gone func()) {
+	isOver := n.cluster.now >= end || !n.isReplaceable()
+	if n.incarnation == incarnation && !isOver {
+		n.cluster.after(tickEvery, func() { n.awaitLeave(incarnation, end, gone) })
 		return
 	}
-	if n.life == life {
+	if n.incarnation == incarnation {
 		n.kill()
 	}
 	gone()
 }
 
 // isReplaceable tells whether this disk is still a voter and another live one could take its place.
-func (n *node) isReplaceable() bool {
+func (n *simNode) isReplaceable() bool {
 	set, isVoter := n.replicas.VotingKeys()[configleader.Key]
 	return isVoter && controlkeys.IsReplaceable(n.members(), n.disk.name, set)
 }
 
 // members is what this machine knows of the others: news takes a while, and none comes through a cut.
-func (n *node) members() []wire.Member {
-	for len(n.known) < len(n.world.nodes) {
+func (n *simNode) members() []wire.Member {
+	for len(n.known) < len(n.cluster.nodes) {
 		n.known = append(n.known, knownMember{})
 	}
-	now := n.world.now
+	now := n.cluster.now
 	all := make([]wire.Member, 0, len(n.known))
-	for place, other := range n.world.nodes {
-		known := &n.known[place]
-		isHeard := other == n || other.isUp && !other.isFrozen && n.world.isOpen(n, other) && n.world.isOpen(other, n)
+	for index, other := range n.cluster.nodes {
+		known := &n.known[index]
+		isHeard := other == n || other.isUp && !other.isFrozen && n.cluster.isOpen(n, other) && n.cluster.isOpen(other, n)
 		if isHeard && (other == n || now-other.startedAt >= gossipDelay) {
 			*known = knownMember{other.member(), now, true}
 		}
 		if !known.isKnown {
 			continue
 		}
-		if now-known.heardAt > goneAfter {
+		if now-known.updatedAt > goneAfter {
 			known.member.State = wire.StateGone
 		}
 		all = append(all, known.member)
@@ -280,15 +281,15 @@
 	return all
 }
 
-func (n *node) member() wire.Member {
+func (n *simNode) member() wire.Member {
 	return wire.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: wire.StateAlive, FormerDisks: slices.Clone(n.past)}
 }
 
 // byDisk is the machine that holds a disk, as far as this one knows.
-func (n *node) byDisk(disk string) *node {
-	for place := range n.known {
-		if n.known[place].isKnown && n.known[place].member.Disk == disk {
-			return n.world.nodes[place]
+func (n *simNode) byDisk(disk string) *simNode {
+	for index := range n.known {
+		if n.known[index].isKnown && n.known[index].member.Disk == disk {
+			return n.cluster.nodes[index]
 		}
 	}
 	for _, member := range n.members() {
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -27,8 +27,8 @@
 	// patience is how long a machine asks on for an operator.
 	patience      = 900 * time.Millisecond
 	operatorLimit = time.Second
-	mostTries     = 10
-	mostUnderWay  = 8
+	maxAttempts   = 10
+	maxInFlight   = 8
 )
 
 type answerKind int
@@ -39,13 +39,13 @@
 	refused
 )
 
-// order is one change that an operator sends, the same each time it is sent again.
-type order struct {
+// modelOrder is one change that an operator sends, the same each time it is sent again.
+type modelOrder struct {
 	version   int64
 	base      int64
 	body      []byte
 	digest    string
-	tries     int
+	attempts  int
 	isDone    bool
 	isRefused bool
 	// confirmedAfter is how many changes had been confirmed when this one was; 0 while it is not.
@@ -56,19 +56,19 @@
 type traffic struct {
 	drawn     int
 	newest    int64
-	orders    []*order
-	confirmed []*order
+	orders    []*modelOrder
+	confirmed []*modelOrder
 	underWay  int
 }
 
-func (w *world) newOrder(base, version int64) *order {
+func (w *simCluster) newOrder(base, version int64) *modelOrder {
 	t := &w.traffic
 	t.drawn++
 	body := fmt.Appendf(nil, `{"config-version":%d,"route-list":[{"name":"r","host":"h%d","path-prefix":"/","timeout-ms":1,"service":"s"}],"service-list":[{"name":"s"}]}`, version, t.drawn)
-	one := &order{version: version, base: base, body: body, digest: digestOf(body)}
-	t.orders = append(t.orders, one)
-	w.record.byDigest[one.digest] = one
-	return one
+	order := &modelOrder{version: version, base: base, body: body, digest: digestOf(body)}
+	t.orders = append(t.orders, order)
+	w.record.byDigest[order.digest] = order
+	return order
 }
 
 func digestOf(body []byte) string {
@@ -77,22 +77,22 @@
 }
 
 // send brings an order to a machine, and sends it again elsewhere until there is a clear answer.
-func (w *world) send(one *order, via int) {
-	if one.tries >= mostTries || w.traffic.underWay >= mostUnderWay {
+func (w *simCluster) send(order *modelOrder, via int) {
+	if order.attempts >= maxAttempts || w.traffic.underWay >= maxInFlight {
 		return
 	}
-	one.tries++
+	order.attempts++
 	w.traffic.underWay++
-	call := &wire.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: one.base, Body: one.body}
-	begun := w.begin(one)
+	call := &wire.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: order.base, Body: order.body}
+	begun := w.begin(order)
 	w.operate(via, call, func(answer *response.Reply) {
 		w.traffic.underWay--
 		kind := kindOf(answer)
 		w.end(begun, kind)
-		w.noteOrder(one, kind, answer)
-		if kind == unclear && !one.isDone {
+		w.noteOrder(order, kind, answer)
+		if kind == unclear && !order.isDone {
 			w.cover("order sent again")
-			w.after(time.Duration(50+w.draw.IntN(250))*time.Millisecond, func() { w.send(one, via+1) })
+			w.after(time.Duration(50+w.draw.IntN(250))*time.Millisecond, func() { w.send(order, via+1) })
 		}
 	})
 }
@@ -107,30 +107,30 @@
 	return refused
 }
 
-func (w *world) noteOrder(one *order, kind answerKind, answer *response.Reply) {
+func (w *simCluster) noteOrder(order *modelOrder, kind answerKind, answer *response.Reply) {
 	t := &w.traffic
 	switch kind {
 	case confirmed:
 		w.cover("order confirmed")
-		w.checkConfirmed(one)
-		if one.confirmedAfter == 0 {
-			t.confirmed = append(t.confirmed, one)
-			one.confirmedAfter = len(t.confirmed)
+		w.checkConfirmed(order)
+		if order.confirmedAfter == 0 {
+			t.confirmed = append(t.confirmed, order)
+			order.confirmedAfter = len(t.confirmed)
 		}
-		one.isDone = true
-		t.newest = max(t.newest, one.version)
+		order.isDone = true
+		t.newest = max(t.newest, order.version)
 		w.springTraps()
 	case refused:
 		w.cover("order refused")
-		w.checkRefused(one, answer)
-		one.isDone, one.isRefused = true, true
+		w.checkRefused(order, answer)
+		order.isDone, order.isRefused = true, true
 	default:
 		w.cover("order without a clear answer")
 	}
 }
 
 // read retrieves the configuration through a machine.
-func (w *world) read(via int, done func(isRead bool)) {
+func (w *simCluster) read(via int, done func(isRead bool)) {
 	begun, floor := w.begin(nil), w.record.top
 	call := &wire.ClientCall{Key: configleader.Key, Verb: verbRetrieve}
 	w.operate(via, call, func(answer *response.Reply) {
@@ -146,7 +146,7 @@
 func ignore(bool) {}
 
 // operate brings a call of an operator to a machine's control address; no answer comes back as nil.
-func (w *world) operate(via int, ask *wire.ClientCall, done func(*response.Reply)) {
+func (w *simCluster) operate(via int, ask *wire.ClientCall, done func(*response.Reply)) {
 	to := w.slots[via%len(w.slots)]
 	isOver := false
 	finish := func(answer *response.Reply) {
@@ -157,14 +157,14 @@
 	}
 	w.after(operatorLimit, func() { finish(nil) })
 	w.after(w.transit(), func() {
-		life := to.life
+		incarnation := to.incarnation
 		if !to.isUp {
 			return
 		}
-		to.enter(life, func() {
-			tries := leaderclient.NewAttempts(ask.Key, w.now+patience, w.draw.IntN)
-			search := &attempt{from: to, ask: ask, tries: tries, done: func(answer response.Reply) {
-				to.enter(life, func() {
+		to.enter(incarnation, func() {
+			attempts := leaderclient.NewAttempts(ask.Key, w.now+patience, w.draw.IntN)
+			search := &attempt{from: to, ask: ask, attempts: attempts, done: func(answer response.Reply) {
+				to.enter(incarnation, func() {
 					if w.weather.until > w.now && w.draw.IntN(4) == 0 {
 						w.cover("acknowledgement lost")
 						return
@@ -179,29 +179,29 @@
 
 // attempt is a machine's search for the key's leader: the tries are the daemon's own, the waits are the model's.
 type attempt struct {
-	from  *node
-	ask   *wire.ClientCall
-	tries *leaderclient.Attempts
-	done  func(response.Reply)
+	from     *simNode
+	ask      *wire.ClientCall
+	attempts *leaderclient.Attempts
+	done     func(response.Reply)
 }
 
 func (a *attempt) next() {
-	w := a.from.world
-	try, isLeft := a.tries.Next(a.from.view(), w.now)
+	w := a.from.cluster
+	attempt, isLeft := a.attempts.Next(a.from.view(), w.now)
 	if !isLeft {
 		a.end()
 		return
 	}
-	to := w.byName(try.Address)
+	to := w.byName(attempt.Address)
 	if to == nil {
 		a.pause()
 		return
 	}
-	call(a.from, to, try.Limit, func(answer func(wire.ClientAnswer)) { to.obey(a.ask, answer) },
+	call(a.from, to, attempt.Limit, func(answer func(wire.ClientAnswer)) { to.obey(a.ask, answer) },
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
-				a.tries.HandleFailure(errors.Is(err, errRefused))
-			} else if a.tries.HandleAnswer(&answer) {
+				a.attempts.HandleFailure(errors.Is(err, errRefused))
+			} else if a.attempts.HandleAnswer(&answer) {
 				a.end()
 				return
 			}
@@ -209,44 +209,44 @@
 		})
 }
 
-func (a *attempt) end() { a.done(controlapi.Reply(a.ask, a.tries.Outcome())) }
+func (a *attempt) end() { a.done(controlapi.Reply(a.ask, a.attempts.Outcome())) }
 
 func (a *attempt) pause() {
-	life := a.from.life
-	a.from.world.after(a.tries.Pause(a.from.world.now), func() { a.from.enter(life, a.next) })
+	incarnation := a.from.incarnation
+	a.from.cluster.after(a.attempts.Pause(a.from.cluster.now), func() { a.from.enter(incarnation, a.next) })
 }
 
 // view is what a machine's membership tells its operator's path.
-func (n *node) view() *membership.View {
+func (n *simNode) view() *membership.View {
 	n.hearsay()
 	view := &membership.View{Stewards: n.members(), Leaders: map[string]wire.KeyLeader{}}
-	if n.heard.node != nil {
-		view.Leaders[configleader.Key] = wire.KeyLeader{Key: configleader.Key, Epoch: n.heard.epoch, Name: n.heard.node.name}
+	if n.hint.node != nil {
+		view.Leaders[configleader.Key] = wire.KeyLeader{Key: configleader.Key, Epoch: n.hint.epoch, Name: n.hint.node.name}
 	}
 	return view
 }
 
-func (w *world) byName(name string) *node {
-	for _, one := range w.nodes {
-		if one.name == name {
-			return one
+func (w *simCluster) byName(name string) *simNode {
+	for _, node := range w.nodes {
+		if node.name == name {
+			return node
 		}
 	}
 	return nil
 }
 
 // finalReads reads through every machine, and sends the newest confirmed order once more.
-func (t *traffic) finalReads(w *world) {
-	for place := range w.slots {
-		w.read(place, func(isRead bool) {
+func (t *traffic) finalReads(w *simCluster) {
+	for index := range w.slots {
+		w.read(index, func(isRead bool) {
 			if !isRead && len(t.confirmed) > 0 {
-				w.violated("settled", "machine %d does not answer a read once all is settled", place)
+				w.violated("settled", "machine %d does not answer a read once all is settled", index)
 			}
 		})
 	}
 	if len(t.confirmed) > 0 {
 		last := t.confirmed[len(t.confirmed)-1]
-		last.tries = 0
+		last.attempts = 0
 		w.send(last, 0)
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/oracles.go
+++ b/internal/simulation/modelcheck/controlmodel/oracles.go
@@ -13,16 +13,16 @@
 	"gannetline/internal/platform/response"
 )
 
-// mostConfirmed is how many changes the leader remembers as confirmed. An order older than that may be refused:
+// maxConfirmed is how many changes the leader remembers as confirmed. An order older than that may be refused:
 // the pages forbid only that one is refused with no other change made since.
-const mostConfirmed = 2048
+const maxConfirmed = 2048
 
-// mostOperations is how many calls a history may have to be checked as a whole; what an order costs rises steeply.
-const mostOperations = 64
+// maxOperations is how many calls a history may have to be checked as a whole; what an order costs rises steeply.
+const maxOperations = 64
 
 // observation is a call of an operator and its answer.
 type observation struct {
-	order   *order
+	order   *modelOrder
 	version int64
 	digest  string
 	kind    answerKind
@@ -32,7 +32,7 @@
 
 // record is what the oracles know of the run so far.
 type record struct {
-	byDigest map[string]*order
+	byDigest map[string]*modelOrder
 	// confirmed is the body under each confirmed number.
 	confirmed map[int64]string
 	top       int64
@@ -45,15 +45,15 @@
 }
 
 func newRecord() record {
-	return record{byDigest: map[string]*order{}, confirmed: map[int64]string{}, inForce: map[string]bool{}, epochs: map[uint64]string{},
+	return record{byDigest: map[string]*modelOrder{}, confirmed: map[int64]string{}, inForce: map[string]bool{}, epochs: map[uint64]string{},
 		bulk: map[string]bulkState{}}
 }
 
-func (w *world) checkLeases() {
+func (w *simCluster) checkLeases() {
 	var holders []string
-	for _, one := range w.nodes {
-		if one.isUp && one.tenure != nil && one.tenure.HasLease() {
-			holders = append(holders, one.name)
+	for _, node := range w.nodes {
+		if node.isUp && node.leadership != nil && node.leadership.HasLease() {
+			holders = append(holders, node.name)
 		}
 	}
 	if len(holders) > 1 {
@@ -62,18 +62,18 @@
 }
 
 // checkOpened looks at what a new leader begins with.
-func (w *world) checkOpened(n *node, pairs []wire.Op) {
-	epoch := n.tenure.Epoch()
+func (w *simCluster) checkOpened(n *simNode, pairs []wire.Op) {
+	epoch := n.leadership.Epoch()
 	if other, isThere := w.record.epochs[epoch]; isThere {
 		w.violated("one leader", "epoch %d belongs to %s and to %s", epoch, other, n.name)
 	}
 	w.record.epochs[epoch] = n.name
 	fact, confirmed := factOf(pairs), confirmedOf(pairs)
-	for _, one := range confirmed {
-		w.noteInForce(one.Digest)
+	for _, record := range confirmed {
+		w.noteInForce(record.Digest)
 	}
 	w.checkBulk(n, pairs, fact)
-	if !n.tenure.HasLease() || w.record.top == 0 {
+	if !n.leadership.HasLease() || w.record.top == 0 {
 		return
 	}
 	want := wire.ConfirmedVersion{Version: w.record.top, Digest: w.record.confirmed[w.record.top]}
@@ -86,48 +86,48 @@
 	}
 }
 
-func (w *world) noteInForce(digest string) {
+func (w *simCluster) noteInForce(digest string) {
 	if w.record.inForce[digest] {
 		return
 	}
 	w.record.inForce[digest] = true
-	if one := w.record.byDigest[digest]; one != nil && one.isRefused {
-		w.violated("refused is never in force", "version %d on base %d was refused and is in force", one.version, one.base)
+	if order := w.record.byDigest[digest]; order != nil && order.isRefused {
+		w.violated("refused is never in force", "version %d on base %d was refused and is in force", order.version, order.base)
 	}
 }
 
-func (w *world) checkConfirmed(one *order) {
-	w.noteInForce(one.digest)
-	if other, isThere := w.record.confirmed[one.version]; isThere && other != one.digest {
-		w.violated("one body under a number", "version %d is confirmed for %s and for %s", one.version, other, one.digest)
+func (w *simCluster) checkConfirmed(order *modelOrder) {
+	w.noteInForce(order.digest)
+	if other, isThere := w.record.confirmed[order.version]; isThere && other != order.digest {
+		w.violated("one body under a number", "version %d is confirmed for %s and for %s", order.version, other, order.digest)
 	}
-	w.record.confirmed[one.version] = one.digest
-	w.record.top = max(w.record.top, one.version)
+	w.record.confirmed[order.version] = order.digest
+	w.record.top = max(w.record.top, order.version)
 }
 
-func (w *world) checkRefused(one *order, answer *response.Reply) {
-	if one.confirmedAfter > 0 && len(w.traffic.confirmed)-one.confirmedAfter < mostConfirmed/2 {
-		w.violated("confirmed is confirmed again", "version %d was confirmed and is refused with %d: %s", one.version, answer.Status, answer.Body)
+func (w *simCluster) checkRefused(order *modelOrder, answer *response.Reply) {
+	if order.confirmedAfter > 0 && len(w.traffic.confirmed)-order.confirmedAfter < maxConfirmed/2 {
+		w.violated("confirmed is confirmed again", "version %d was confirmed and is refused with %d: %s", order.version, answer.Status, answer.Body)
 	}
-	if w.record.inForce[one.digest] && one.confirmedAfter == 0 && len(w.record.inForce) < mostConfirmed {
-		w.violated("refused is never in force", "version %d is in force and is refused with %d: %s", one.version, answer.Status, answer.Body)
+	if w.record.inForce[order.digest] && order.confirmedAfter == 0 && len(w.record.inForce) < maxConfirmed {
+		w.violated("refused is never in force", "version %d is in force and is refused with %d: %s", order.version, answer.Status, answer.Body)
 	}
 }
 
 // begin notes a call; an order is nil for a read. Until its answer comes it may take effect at any time.
-func (w *world) begin(one *order) *observation {
-	seen := &observation{order: one, begun: w.now, ended: math.MaxInt64}
+func (w *simCluster) begin(order *modelOrder) *observation {
+	seen := &observation{order: order, begun: w.now, ended: math.MaxInt64}
 	w.record.history = append(w.record.history, seen)
 	return seen
 }
 
-func (w *world) end(seen *observation, kind answerKind) {
+func (w *simCluster) end(seen *observation, kind answerKind) {
 	if kind != unclear {
 		seen.kind, seen.ended = kind, w.now
 	}
 }
 
-func (w *world) checkRead(seen *observation, floor int64, body []byte) {
+func (w *simCluster) checkRead(seen *observation, floor int64, body []byte) {
 	seen.version, seen.digest = versionOf(body)
 	w.end(seen, confirmed)
 	w.noteInForce(seen.digest)
@@ -140,19 +140,19 @@
 }
 
 // unsettled names what does not hold yet of all that must hold in a calm system.
-func (w *world) unsettled() string {
+func (w *simCluster) unsettled() string {
 	leader := w.leader()
 	if leader == nil {
 		return "no machine holds a lease"
 	}
-	state := leader.disk.shelf.Heads[configleader.Key]
+	state := leader.disk.model.Heads[configleader.Key]
 	belief := leader.engine.Belief()
 	if len(belief.Voters.Old) > 0 {
 		return "a change of voters is under way"
 	}
 	held := 0
-	for _, one := range w.slots {
-		if one.isUp && headOf(one.disk) == belief.Last {
+	for _, node := range w.slots {
+		if node.isUp && headOf(node.disk) == belief.Last {
 			held++
 		}
 	}
@@ -163,11 +163,11 @@
 		return "there are fewer voters than the losses ask for"
 	}
 	for _, disk := range belief.Voters.Current {
-		place := slices.IndexFunc(w.slots, func(one *node) bool { return one.isUp && one.disk.name == disk })
-		if place < 0 {
+		index := slices.IndexFunc(w.slots, func(node *simNode) bool { return node.isUp && node.disk.name == disk })
+		if index < 0 {
 			return "a voter is gone and was not replaced"
 		}
-		if headOf(w.slots[place].disk) != state.Last || state.Last != belief.Last {
+		if headOf(w.slots[index].disk) != state.Last || state.Last != belief.Last {
 			return "a voter does not hold the newest state"
 		}
 	}
@@ -175,32 +175,32 @@
 }
 
 // checkReplicas compares the replicas of a settled system pair by pair: at the same log position they must be alike.
-func (w *world) checkReplicas() {
+func (w *simCluster) checkReplicas() {
 	leader := w.leader()
 	if leader == nil {
 		return
 	}
 	want, _ := leader.disk.Read(configleader.Key)
-	for _, one := range w.slots {
-		held, _ := one.disk.Read(configleader.Key)
+	for _, node := range w.slots {
+		held, _ := node.disk.Read(configleader.Key)
 		if held.Last == want.Last && !slices.EqualFunc(held.Pairs, want.Pairs, isSamePair) {
-			w.violated("same place, same state", "%s and %s differ at %v", one.name, leader.name, held.Last)
+			w.violated("same place, same state", "%s and %s differ at %v", node.name, leader.name, held.Last)
 		}
 	}
 }
 
-func isSamePair(one, two wire.Op) bool {
-	return one.Name == two.Name && bytes.Equal(one.Value, two.Value)
+func isSamePair(a, b wire.Op) bool {
+	return a.Name == b.Name && bytes.Equal(a.Value, b.Value)
 }
 
-// chain is the state of the sequential model: the configurations in force, the newest first.
-type chain struct {
+// modelChain is the state of the sequential model: the configurations in force, the newest first.
+type modelChain struct {
 	version int64
 	digest  string
-	before  *chain
+	before  *modelChain
 }
 
-func (c *chain) has(digest string) bool {
+func (c *modelChain) has(digest string) bool {
 	for ; c != nil; c = c.before {
 		if c.digest == digest {
 			return true
@@ -209,7 +209,7 @@
 	return false
 }
 
-func (c *chain) top() int64 {
+func (c *modelChain) top() int64 {
 	if c == nil {
 		return 0
 	}
@@ -217,16 +217,16 @@
 }
 
 var sequential = porcupine.Model{
-	Init: func() any { return (*chain)(nil) },
+	Init: func() any { return (*modelChain)(nil) },
 	Step: func(state, _, output any) (bool, any) {
-		held, seen := state.(*chain), output.(*observation)
+		chain, seen := state.(*modelChain), output.(*observation)
 		if seen.order == nil {
-			return held.top() == seen.version && (held == nil || held.digest == seen.digest), held
+			return chain.top() == seen.version && (chain == nil || chain.digest == seen.digest), chain
 		}
-		return orderStep(held, seen)
+		return orderStep(chain, seen)
 	},
 	Equal: func(one, two any) bool {
-		first, second := one.(*chain), two.(*chain)
+		first, second := one.(*modelChain), two.(*modelChain)
 		for first != second {
 			if first == nil || second == nil || first.digest != second.digest {
 				return false
@@ -237,20 +237,20 @@
 	},
 }
 
-func orderStep(held *chain, seen *observation) (bool, any) {
-	isTaken := held.has(seen.order.digest)
-	fits := seen.order.base == held.top() && seen.order.version > held.top()
+func orderStep(chain *modelChain, seen *observation) (bool, any) {
+	isTaken := chain.has(seen.order.digest)
+	fits := seen.order.base == chain.top() && seen.order.version > chain.top()
 	switch {
 	case isTaken:
-		return seen.kind != refused, held
+		return seen.kind != refused, chain
 	case fits:
-		return seen.kind != refused, &chain{seen.order.version, seen.order.digest, held}
+		return seen.kind != refused, &modelChain{seen.order.version, seen.order.digest, chain}
 	}
-	return seen.kind != confirmed, held
+	return seen.kind != confirmed, chain
 }
 
 // checkHistory checks that the operators' calls are linearizable; an unclear call may take effect at any later time, or never.
-func (w *world) checkHistory() {
+func (w *simCluster) checkHistory() {
 	var operations []porcupine.Operation
 	for _, seen := range w.record.history {
 		if seen.kind == unclear && (seen.order == nil || !w.record.inForce[seen.order.digest]) {
@@ -258,7 +258,7 @@
 		}
 		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: nil, Output: seen, Call: int64(seen.begun), Return: int64(seen.ended)})
 	}
-	if len(operations) > mostOperations {
+	if len(operations) > maxOperations {
 		operations = operations[:0]
 		w.cover("history too long for porcupine")
 	}
@@ -274,7 +274,7 @@
 }
 
 // tellHistory writes the operators' calls into the trace.
-func (w *world) tellHistory() {
+func (w *simCluster) tellHistory() {
 	names := map[answerKind]string{unclear: "unclear", confirmed: "ok", refused: "refused"}
 	for _, seen := range w.record.history {
 		if seen.order == nil {
--- a/internal/simulation/modelcheck/controlmodel/plantlist.go
+++ b/internal/simulation/modelcheck/controlmodel/plantlist.go
@@ -15,67 +15,71 @@
 )
 
 // plants are the planted faults by name.
-var plants = map[string]plant{
+var plants = map[string]injectedFault{
 	"promise-before-sync": {about: "A replica answers a promise or a change before its disk has synced it.",
-		disk: func(_ *node, inner *disk) replication.Disk { return &hastyDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &hastyDisk{inner} }},
 	"lease-forgotten": {about: "A voter that is restarted does not wait out the lease it may have granted.",
-		disk: func(_ *node, inner *disk) replication.Disk { return &bareDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &bareDisk{inner} }},
 	"lease-too-long": {about: "A leader counts its lease longer than its replicas do, as if from the answer and not from the call.",
 		lease: 500 * time.Millisecond},
 	"lease-of-another-call": {about: "A leader takes the answer to an earlier heartbeat for that to a later one.",
-		links: func(_ *node, inner *links) replication.Transport {
+		links: func(_ *simNode, inner *links) replication.Transport {
 			return &repeatingLinks{inner, map[string]wire.AppendAnswer{}}
 		}},
 	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
-		tenure: func(_ *node, inner configleader.Leadership) configleader.Leadership { return carelessTenure{inner} }},
+		leadership: func(_ *simNode, inner configleader.Leadership) configleader.Leadership {
+			return carelessLeadership{inner}
+		}},
 	"commit-before-majority": {about: "A leader acknowledges a change before a majority holds it.",
-		tenure: func(_ *node, inner configleader.Leadership) configleader.Leadership { return hastyTenure{inner} }},
+		leadership: func(_ *simNode, inner configleader.Leadership) configleader.Leadership { return hastyLeadership{inner} }},
 	"commit-in-new-voters-only": {about: "While voters change, a change is committed once a majority of the new ones holds it.",
-		links: func(_ *node, inner *links) replication.Transport {
+		links: func(_ *simNode, inner *links) replication.Transport {
 			return &newVotersLinks{links: inner}
 		}},
 	"voter-change-forgotten": {about: "A replica forgets that a change of voters is under way, so that the next leader begins another.",
-		disk: func(_ *node, inner *disk) replication.Disk { return &simpleSetDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &simpleSetDisk{inner} }},
 	"learner-counted-early": {about: "A learner that holds nothing says that it has caught up.",
-		links: func(_ *node, inner *links) replication.Transport { return &earlyLearnerLinks{inner} }},
+		links: func(_ *simNode, inner *links) replication.Transport { return &earlyLearnerLinks{inner} }},
 	"learner-counted-between-chunks": {about: "A learner that has some chunks of a state is counted as if it held the state, and what follows it.",
-		links: func(_ *node, inner *links) replication.Transport {
+		links: func(_ *simNode, inner *links) replication.Transport {
 			return &unfinishedLearnerLinks{inner, map[string]bool{}}
 		}},
 	"old-snapshot-installed": {about: "A replica installs the pairs of an older snapshot at the place of a newer one.",
-		disk: func(_ *node, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &oldSnapshotDisk{disk: inner} }},
 	"chunk-of-another-snapshot": {about: "A chunk of an earlier snapshot is taken in with those of a newer one.",
-		links: func(_ *node, inner *links) replication.Transport { return &mixedChunkLinks{inner, map[int][]wire.Op{}} }},
+		links: func(_ *simNode, inner *links) replication.Transport {
+			return &mixedChunkLinks{inner, map[int][]wire.Op{}}
+		}},
 	"folder-not-synced":        {about: "A folder is not synced after the replica's file was made in it.", isFileUnsafe: true},
 	"replaced-disk-keeps-name": {about: "An empty disk answers under the name of the disk it replaces.", keepsDiskName: true},
 	"leaves-at-once":           {about: "A machine that is replaced goes before its successor holds all that it held.", leavesAtOnce: true},
 	"confirmed-list-lost": {about: "A new leader forgets which changes were confirmed.",
-		machine: func(_ *node, inner replication.StateMachine) replication.StateMachine {
+		machine: func(_ *simNode, inner replication.StateMachine) replication.StateMachine {
 			return forgetfulMachine{inner}
 		}},
 	"two-bodies-under-a-number": {about: "A leader confirms a change whose number is the current one, whatever its body.", answer: confirmNumber},
 	"confirmed-called-refused":  {about: "A leader refuses a change that it has just committed.", answer: refuseCommitted},
 }
 
-func plantNames() []string { return slices.Sorted(maps.Keys(plants)) }
+func faultNames() []string { return slices.Sorted(maps.Keys(plants)) }
 
 // hastyDisk answers at once, and writes later.
 type hastyDisk struct{ *disk }
 
 // Submit answers at once with what the write will come to.
 func (d *hastyDisk) Submit(write storage.Write, done func(storage.Outcome)) {
-	head := d.shelf.Heads[write.Key]
-	for _, one := range append(slices.Clone(d.syncing), d.waiting...) {
-		outcome, _ := storage.Decide(head, one.write)
+	head := d.model.Heads[write.Key]
+	for _, write := range append(slices.Clone(d.syncing), d.waiting...) {
+		outcome, _ := storage.Decide(head, write.write)
 		head = outcome.State
 	}
 	outcome, _ := storage.Decide(head, write)
 	d.disk.Submit(write, func(storage.Outcome) {})
-	life := d.life
-	d.world.after(0, func() {
-		if d.life == life {
+	incarnation := d.incarnation
+	d.cluster.after(0, func() {
+		if d.incarnation == incarnation {
 			done(outcome)
-			d.told()
+			d.answered()
 		}
 	})
 }
@@ -92,9 +96,9 @@
 // Submit writes each set of voters without the one that it replaces.
 func (d *simpleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	write.Changes = slices.Clone(write.Changes)
-	for place, change := range write.Changes {
+	for index, change := range write.Changes {
 		if change.Voters != nil {
-			write.Changes[place].Voters = &wire.VoterSet{Current: change.Voters.Current}
+			write.Changes[index].Voters = &wire.VoterSet{Current: change.Voters.Current}
 		}
 	}
 	d.disk.Submit(write, done)
@@ -110,7 +114,7 @@
 func (d *oldSnapshotDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	if write.Snapshot != nil {
 		newest := write.Snapshot
-		old, _ := d.shelf.Read(write.Key)
+		old, _ := d.model.Read(write.Key)
 		if d.before == nil && len(old.Pairs) > 0 {
 			d.before = &old
 		}
@@ -222,16 +226,16 @@
 	l.links.Append(disk, ask, done)
 }
 
-type carelessTenure struct{ configleader.Leadership }
+type carelessLeadership struct{ configleader.Leadership }
 
 // HasLease is always true.
-func (carelessTenure) HasLease() bool { return true }
+func (carelessLeadership) HasLease() bool { return true }
 
-// hastyTenure says that a change is committed as soon as it is proposed.
-type hastyTenure struct{ configleader.Leadership }
+// hastyLeadership says that a change is committed as soon as it is proposed.
+type hastyLeadership struct{ configleader.Leadership }
 
 // Commit reports success before the change is committed.
-func (t hastyTenure) Commit(ops []wire.Op, done func(error)) {
+func (t hastyLeadership) Commit(ops []wire.Op, done func(error)) {
 	t.Leadership.Commit(ops, func(error) {})
 	done(nil)
 }
@@ -240,22 +244,22 @@
 type forgetfulMachine struct{ replication.StateMachine }
 
 // Open leaves the records of confirmed changes out.
-func (m forgetfulMachine) Open(tenure *replication.Leadership, pairs []wire.Op) error {
+func (m forgetfulMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	isRecord := func(pair wire.Op) bool { return strings.HasPrefix(pair.Name, confirmedPrefix) }
 	pairs = slices.DeleteFunc(slices.Clone(pairs), isRecord)
-	return m.StateMachine.Open(tenure, pairs)
+	return m.StateMachine.Open(leadership, pairs)
 }
 
-func confirmNumber(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
+func confirmNumber(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	plan, err := configuration.Read(ask.Body)
-	if ask.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.world.record.top {
+	if ask.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.cluster.record.top {
 		return wire.ClientAnswer{Status: http.StatusOK}
 	}
 	return answer
 }
 
-func refuseCommitted(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
-	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.world.draw.IntN(50) == 0 {
+func refuseCommitted(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
+	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.draw.IntN(50) == 0 {
 		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "planted"}
 	}
 	return answer
--- a/internal/simulation/modelcheck/controlmodel/plants.go
+++ b/internal/simulation/modelcheck/controlmodel/plants.go
@@ -9,8 +9,8 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// plant is a fault put into the model by wrapping what the real code stands on; a field that is not set wraps nothing.
-type plant struct {
+// injectedFault is a fault put into the model by wrapping what the real code stands on; a field that is not set wraps nothing.
+type injectedFault struct {
 	about string
 	// keepsDiskName lets an empty disk answer under the name of the one before it.
 	keepsDiskName bool
@@ -19,54 +19,54 @@
 	// leavesAtOnce lets a machine that is replaced go without leaving the voters.
 	leavesAtOnce bool
 	// lease is what replicas grant, if it is not the engines' own.
-	lease   time.Duration
-	disk    func(n *node, inner *disk) replication.Disk
-	links   func(n *node, inner *links) replication.Transport
-	machine func(n *node, inner replication.StateMachine) replication.StateMachine
-	tenure  func(n *node, inner configleader.Leadership) configleader.Leadership
+	lease      time.Duration
+	disk       func(n *simNode, inner *disk) replication.Disk
+	links      func(n *simNode, inner *links) replication.Transport
+	machine    func(n *simNode, inner replication.StateMachine) replication.StateMachine
+	leadership func(n *simNode, inner configleader.Leadership) configleader.Leadership
 	// answer changes what a leader tells an operator.
-	answer func(n *node, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer
+	answer func(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer
 }
 
-func (p plant) wrapDisk(n *node) replication.Disk {
+func (p injectedFault) wrapDisk(n *simNode) replication.Disk {
 	if p.disk == nil {
 		return n.disk
 	}
 	return p.disk(n, n.disk)
 }
 
-func (p plant) wrapLinks(n *node, inner *links) replication.Transport {
+func (p injectedFault) wrapLinks(n *simNode, inner *links) replication.Transport {
 	if p.links == nil {
 		return inner
 	}
 	return p.links(n, inner)
 }
 
-func (p plant) wrapMachine(n *node, inner replication.StateMachine) replication.StateMachine {
+func (p injectedFault) wrapMachine(n *simNode, inner replication.StateMachine) replication.StateMachine {
 	if p.machine == nil {
 		return inner
 	}
 	return p.machine(n, inner)
 }
 
-func (p plant) wrapTenure(n *node, inner configleader.Leadership) configleader.Leadership {
-	if p.tenure == nil {
+func (p injectedFault) wrapLeadership(n *simNode, inner configleader.Leadership) configleader.Leadership {
+	if p.leadership == nil {
 		return inner
 	}
-	return p.tenure(n, inner)
+	return p.leadership(n, inner)
 }
 
-func (p plant) leaseOfReplicas() time.Duration {
+func (p injectedFault) leaseOfReplicas() time.Duration {
 	if p.lease > 0 {
 		return p.lease
 	}
 	return replication.DefaultTiming.Lease
 }
 
-func listPlants() []modelcheck.Plant {
-	var all []modelcheck.Plant
-	for _, name := range plantNames() {
-		all = append(all, modelcheck.Plant{Name: name, About: plants[name].about})
+func listPlants() []modelcheck.InjectedFault {
+	var all []modelcheck.InjectedFault
+	for _, name := range faultNames() {
+		all = append(all, modelcheck.InjectedFault{Name: name, About: plants[name].about})
 	}
 	return all
 }
--- a/internal/simulation/modelcheck/controlmodel/timeline.go
+++ b/internal/simulation/modelcheck/controlmodel/timeline.go
@@ -42,30 +42,30 @@
 	return t.heap[one].due < t.heap[two].due || t.heap[one].due == t.heap[two].due && t.heap[one].order < t.heap[two].order
 }
 
-func (t *timeline) up(place int) {
-	for place > 0 {
-		parent := (place - 1) / 2
-		if !t.before(place, parent) {
+func (t *timeline) up(index int) {
+	for index > 0 {
+		parent := (index - 1) / 2
+		if !t.before(index, parent) {
 			return
 		}
-		t.heap[place], t.heap[parent] = t.heap[parent], t.heap[place]
-		place = parent
+		t.heap[index], t.heap[parent] = t.heap[parent], t.heap[index]
+		index = parent
 	}
 }
 
-func (t *timeline) down(place int) {
+func (t *timeline) down(index int) {
 	for {
-		child := 2*place + 1
+		child := 2*index + 1
 		if child >= len(t.heap) {
 			return
 		}
 		if child+1 < len(t.heap) && t.before(child+1, child) {
 			child++
 		}
-		if !t.before(child, place) {
+		if !t.before(child, index) {
 			return
 		}
-		t.heap[place], t.heap[child] = t.heap[child], t.heap[place]
-		place = child
+		t.heap[index], t.heap[child] = t.heap[child], t.heap[index]
+		index = child
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/world.go
+++ b/internal/simulation/modelcheck/controlmodel/world.go
@@ -14,26 +14,26 @@
 const (
 	initialVoters = 3
 	// settleLimit is how long after the last fault the system may take until all oracles of a settled system hold.
-	settleLimit = 12 * time.Second
-	mostAtOnce  = 20000
-	settleLook  = 200 * time.Millisecond
-	wallAtStart = 1_000_000
+	settleLimit   = 12 * time.Second
+	maxConcurrent = 20000
+	settleCheck   = 200 * time.Millisecond
+	wallAtStart   = 1_000_000
 )
 
-// world is a whole simulated system: machines, network, operators, and what the oracles know.
-type world struct {
+// simCluster is a whole simulated system: machines, network, operators, and what the oracles know.
+type simCluster struct {
 	timeline
 	schedule modelcheck.Schedule
 	draw     *rand.Rand
-	nodes    []*node
+	nodes    []*simNode
 	// slots are the places of machines: a replaced machine's successor takes its slot.
-	slots    []*node
+	slots    []*simNode
 	traps    []trap
 	disks    int
 	voters   []string
 	links    map[pair]cut
 	weather  weather
-	plant    plant
+	fault    injectedFault
 	record   record
 	traffic  traffic
 	coverage modelcheck.Coverage
@@ -49,44 +49,44 @@
 	trace io.Writer
 }
 
-func newWorld(schedule modelcheck.Schedule) *world {
-	w := &world{schedule: schedule, draw: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
+func newSimCluster(schedule modelcheck.Schedule) *simCluster {
+	w := &simCluster{schedule: schedule, draw: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
 		coverage: modelcheck.Coverage{}}
-	w.plant = plants[schedule.Plant]
+	w.fault = plants[schedule.Plant]
 	w.record = newRecord()
 	w.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
 	w.bulkPairs = bulkPairs
 	if schedule.Size == modelcheck.SizeLarge {
-		w.bulkPairs = mostPairs
+		w.bulkPairs = maxPairs
 	}
 	for range schedule.Nodes {
 		w.slots = append(w.slots, w.addNode())
 	}
-	for _, one := range w.nodes[:initialVoters] {
-		w.voters = append(w.voters, one.disk.name)
+	for _, node := range w.nodes[:initialVoters] {
+		w.voters = append(w.voters, node.disk.name)
 	}
-	for _, one := range w.nodes {
-		w.after(time.Duration(w.draw.IntN(60))*time.Millisecond, one.start)
+	for _, node := range w.nodes {
+		w.after(time.Duration(w.draw.IntN(60))*time.Millisecond, node.start)
 	}
 	return w
 }
 
 // tell writes a line of the trace.
-func (w *world) tell(format string, values ...any) {
+func (w *simCluster) tell(format string, values ...any) {
 	if w.trace != nil {
 		fmt.Fprintf(w.trace, "%9.3f ms  "+format+"\n", append([]any{float64(w.now) / float64(time.Millisecond)}, values...)...)
 	}
 }
 
-func (w *world) cover(name string) { w.coverage[name]++ }
+func (w *simCluster) cover(name string) { w.coverage[name]++ }
 
 // violated notes that an oracle does not hold; the first violation ends the run.
-func (w *world) violated(oracle, format string, values ...any) {
+func (w *simCluster) violated(oracle, format string, values ...any) {
 	w.problems = append(w.problems, modelcheck.Violation{Oracle: oracle, AtMs: int(w.now.Milliseconds()), Detail: fmt.Sprintf(format, values...)})
 }
 
 // play runs a schedule to its end, and then on until the system has settled.
-func (w *world) play() modelcheck.Outcome {
+func (w *simCluster) play() modelcheck.Outcome {
 	var last time.Duration
 	for _, step := range w.schedule.Steps {
 		w.after(clock.Milliseconds(int64(step.AtMs)), func() { w.apply(step) })
@@ -112,7 +112,7 @@
 	return end
 }
 
-func (w *world) runUntil(end time.Duration) bool {
+func (w *simCluster) runUntil(end time.Duration) bool {
 	for len(w.problems) == 0 {
 		before := w.now
 		run, isThere := w.next(end)
@@ -129,23 +129,23 @@
 }
 
 // checkProgress looks for work that goes round without end and without time.
-func (w *world) checkProgress(before time.Duration) {
+func (w *simCluster) checkProgress(before time.Duration) {
 	if w.now > before {
 		w.atOnce = 0
 		return
 	}
 	w.atOnce++
-	if w.atOnce > mostAtOnce {
-		w.violated("time goes on", "more than %d events at one moment", mostAtOnce)
+	if w.atOnce > maxConcurrent {
+		w.violated("time goes on", "more than %d events at one moment", maxConcurrent)
 	}
 }
 
 // settle waits until all that must hold in a calm system holds; what does not within the limit is a violation.
-func (w *world) settle() {
+func (w *simCluster) settle() {
 	end := w.now + settleLimit
 	var open string
 	for w.now < end {
-		if !w.runUntil(w.now + settleLook) {
+		if !w.runUntil(w.now + settleCheck) {
 			return
 		}
 		if open = w.unsettled(); open == "" {
@@ -158,7 +158,7 @@
 	w.violated("settled", "%s, %v after the last fault", open, settleLimit)
 }
 
-func (w *world) outcome() modelcheck.Outcome {
+func (w *simCluster) outcome() modelcheck.Outcome {
 	w.coverage["simulated seconds"] = int(w.now / time.Second)
 	return modelcheck.Outcome{Violations: w.problems, Coverage: w.coverage}
 }
--- a/internal/simulation/modelcheck/modelcheck.go
+++ b/internal/simulation/modelcheck/modelcheck.go
@@ -66,8 +66,8 @@
 	Coverage   Coverage
 }
 
-// Plant is a fault that can be put into a model to prove that an oracle finds it.
-type Plant struct {
+// InjectedFault is a fault that can be put into a model to prove that an oracle finds it.
+type InjectedFault struct {
 	Name string
 	// About says in one sentence what goes wrong.
 	About string
@@ -78,7 +78,7 @@
 	// Name is unique among the models, without spaces.
 	Name() string
 	// Plants are the faults that can be put into this model.
-	Plants() []Plant
+	Plants() []InjectedFault
 	// Draw makes the schedule of a seed, for a system of a size that must bear so many losses of disks at once.
 	Draw(seed uint64, losses int, size Size) Schedule
 	// Run plays a schedule from the beginning; it keeps nothing from one call to the next.
--- a/internal/simulation/modelcheck/ordermodel/clientoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/clientoracles.go
@@ -7,59 +7,59 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-func (o *oracles) handedIn(one *job, reply clientReply) {
-	one.openTries--
+func (o *oracles) handedIn(job *modelJob, reply clientReply) {
+	job.openAttempts--
 	switch reply.status {
 	case http.StatusOK:
-		if !one.isAccepted {
-			o.world.count("accepted")
+		if !job.isAccepted {
+			o.cluster.count("accepted")
 		}
-		one.isAccepted = true
+		job.isAccepted = true
 	case 0, http.StatusBadGateway, http.StatusGatewayTimeout:
-		one.isUnclear = true
-		o.world.count("hand_in_unclear")
+		job.isUnclear = true
+		o.cluster.count("hand_in_unclear")
 	default:
-		one.isRefused = true
-		o.world.count("hand_in_refused")
-		if one.isRefusedForGood() && one.startedRuns > 0 {
-			o.world.violate("REFUSED", "%s was started and its hand-in is refused now with %d", one.id, reply.status)
+		job.isRefused = true
+		o.cluster.count("hand_in_refused")
+		if job.isRefusedForGood() && job.startedRuns > 0 {
+			o.cluster.violate("REFUSED", "%s was started and its hand-in is refused now with %d", job.id, reply.status)
 		}
 	}
 }
 
-func (o *oracles) cancelled(one *job) {
-	if !one.isCancelled {
-		o.world.count("cancelled")
-		one.isCancelled, one.cancelledAt = true, o.world.queue.now()
+func (o *oracles) cancelled(job *modelJob) {
+	if !job.isCancelled {
+		o.cluster.count("cancelled")
+		job.isCancelled, job.cancelledAt = true, o.cluster.queue.now()
 	}
 }
 
 // shown checks the state that a client is told.
-func (o *oracles) shown(one *job, reply clientReply, wasAccepted, wasCancelled bool) {
+func (o *oracles) shown(job *modelJob, reply clientReply, wasAccepted, wasCancelled bool) {
 	switch reply.status {
 	case http.StatusGone:
 		if wasAccepted {
-			o.world.violate("LOST", "%s was accepted and is not known", one.id)
+			o.cluster.violate("LOST", "%s was accepted and is not known", job.id)
 		}
 		return
 	case http.StatusOK:
 	default:
 		return
 	}
-	one.isAnswered = true
-	was := one.state
-	one.state = stateIn(reply.body)
+	job.isAnswered = true
+	was := job.state
+	job.state = stateIn(reply.body)
 	switch {
-	case was != "" && one.isOverAs(was) && one.state != was:
-		o.world.violate("LOST", "%s was shown as %s and is shown as %s now", one.id, was, one.state)
-	case one.state == "completed":
-		o.checkCompleted(one)
-	case one.state == "failed" && !o.mayHaveFailed(one):
-		o.world.violate("LOST", "%s is shown as failed without cause", one.id)
-	case one.state == "cancelled" && !one.isCancelSent:
-		o.world.violate("LOST", "%s is shown as cancelled and nobody has cancelled it", one.id)
-	case wasCancelled && !one.isOver():
-		o.world.violate("UNASKED", "%s was cancelled and is shown as %s", one.id, one.state)
+	case was != "" && job.isOverAs(was) && job.state != was:
+		o.cluster.violate("LOST", "%s was shown as %s and is shown as %s now", job.id, was, job.state)
+	case job.state == "completed":
+		o.checkCompleted(job)
+	case job.state == "failed" && !o.mayHaveFailed(job):
+		o.cluster.violate("LOST", "%s is shown as failed without cause", job.id)
+	case job.state == "cancelled" && !job.isCancelSent:
+		o.cluster.violate("LOST", "%s is shown as cancelled and nobody has cancelled it", job.id)
+	case wasCancelled && !job.isOver():
+		o.cluster.violate("UNASKED", "%s was cancelled and is shown as %s", job.id, job.state)
 	}
 }
 
@@ -69,19 +69,19 @@
 	return state
 }
 
-func (o *oracles) checkCompleted(one *job) {
-	one.eachTask(func(name string, _ *jobs.Step) {
+func (o *oracles) checkCompleted(job *modelJob) {
+	job.eachTask(func(name string, _ *jobs.Step) {
 		if !o.task(name).isDone {
-			o.world.violate("MIXED", "%s is shown as completed and %s is not done", one.id, name)
+			o.cluster.violate("MIXED", "%s is shown as completed and %s is not done", job.id, name)
 		}
 	})
 }
 
 // mayHaveFailed tells whether a task or a gang of the job has failed as often as it may.
-func (o *oracles) mayHaveFailed(one *job) (mayHave bool) {
+func (o *oracles) mayHaveFailed(job *modelJob) (mayHave bool) {
 	gangs := map[string]map[int64]bool{}
-	one.eachTask(func(name string, step *jobs.Step) {
-		mayHave = mayHave || len(o.task(name).failures) >= one.terms.MaxAttempts
+	job.eachTask(func(name string, step *jobs.Step) {
+		mayHave = mayHave || len(o.task(name).failures) >= job.terms.MaxAttempts
 		if !step.Gang {
 			return
 		}
@@ -92,14 +92,14 @@
 		for _, failed := range o.task(name).failures {
 			gangs[gang][failed.run] = true
 		}
-		mayHave = mayHave || len(gangs[gang]) >= one.terms.MaxAttempts
+		mayHave = mayHave || len(gangs[gang]) >= job.terms.MaxAttempts
 	})
 	return mayHave
 }
 
 // isAtWork tells whether all tasks of a lasting job run.
-func (o *oracles) isAtWork(one *job) bool {
-	isAtWork := one.spec.Steps[0].LongRunning
-	one.eachTask(func(name string, _ *jobs.Step) { isAtWork = isAtWork && len(o.task(name).active) > 0 })
+func (o *oracles) isAtWork(job *modelJob) bool {
+	isAtWork := job.spec.Steps[0].LongRunning
+	job.eachTask(func(name string, _ *jobs.Step) { isAtWork = isAtWork && len(o.task(name).active) > 0 })
 	return isAtWork
 }
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -9,90 +9,90 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// execution is a run that an executor has begun.
-type execution struct {
+// modelExecution is a run that an executor has begun.
+type modelExecution struct {
 	task     string
 	run      int64
 	step     *jobs.Step
-	place    jobs.Place
+	position jobs.Place
 	begunAt  time.Duration
 	length   time.Duration
 	how      string
 	saved    string
 	isStuck  bool
 	isGoing  bool
-	executor *executor
+	executor *modelExecutor
 }
 
-func (e *executor) find(task string, run int64) *execution {
-	place := slices.IndexFunc(e.active, func(one *execution) bool { return one.task == task && one.run == run })
-	if place < 0 {
+func (e *modelExecutor) find(task string, run int64) *modelExecution {
+	index := slices.IndexFunc(e.active, func(execution *modelExecution) bool { return execution.task == task && execution.run == run })
+	if index < 0 {
 		return nil
 	}
-	return e.active[place]
+	return e.active[index]
 }
 
-func (e *executor) begin(order executorapi.RunStart, isLate bool) {
-	one := &execution{task: order.Task, run: order.Run, executor: e, begunAt: e.world.queue.now(), saved: order.Checkpoint, isStuck: e.isStuck}
-	one.place, _ = jobs.ParseTask(order.Task)
-	one.step = e.world.oracles.stepOf(one.place)
-	one.length, one.how = e.world.profile.work(one)
-	e.active = append(e.active, one)
-	e.world.oracles.started(e, one, order, isLate)
+func (e *modelExecutor) begin(order executorapi.RunStart, isLate bool) {
+	execution := &modelExecution{task: order.Task, run: order.Run, executor: e, begunAt: e.cluster.queue.now(), saved: order.Checkpoint, isStuck: e.isStuck}
+	execution.position, _ = jobs.ParseTask(order.Task)
+	execution.step = e.cluster.oracles.stepOf(execution.position)
+	execution.length, execution.how = e.cluster.profile.work(execution)
+	e.active = append(e.active, execution)
+	e.cluster.oracles.started(e, execution, order, isLate)
 	switch {
-	case one.step.Gang:
-		e.joinGang(one)
+	case execution.step.Gang:
+		e.joinGang(execution)
 	default:
-		e.goOn(one)
+		e.goOn(execution)
 	}
 }
 
 // goOn lets a run work until its end; one that makes no progress waits for ever.
-func (e *executor) goOn(one *execution) {
-	one.isGoing, one.begunAt = true, e.world.queue.now()
-	if one.step.Checkpointing {
-		e.checkpoint(one)
+func (e *modelExecutor) goOn(execution *modelExecution) {
+	execution.isGoing, execution.begunAt = true, e.cluster.queue.now()
+	if execution.step.Checkpointing {
+		e.checkpoint(execution)
 	}
-	if one.isStuck || one.step.LongRunning && one.how == howDone {
+	if execution.isStuck || execution.step.LongRunning && execution.how == outcomeDone {
 		return
 	}
-	e.later(one.length, func() { e.end(one, one.how) })
+	e.later(execution.length, func() { e.end(execution, execution.how) })
 }
 
-func (e *executor) checkpoint(one *execution) {
+func (e *modelExecutor) checkpoint(execution *modelExecution) {
 	e.later(checkpointTime, func() {
-		if slices.Contains(e.active, one) {
-			one.saved = e.world.oracles.save(one.task, one.run)
-			e.checkpoint(one)
+		if slices.Contains(e.active, execution) {
+			execution.saved = e.cluster.oracles.save(execution.task, execution.run)
+			e.checkpoint(execution)
 		}
 	})
 }
 
 // joinGang starts the work of a gang once all of its members are there; one that waits too long ends alone.
-func (e *executor) joinGang(one *execution) {
-	members := e.world.gang(one)
-	if len(members) == one.step.Tasks {
+func (e *modelExecutor) joinGang(execution *modelExecution) {
+	members := e.cluster.gang(execution)
+	if len(members) == execution.step.Tasks {
 		for _, member := range members {
 			member.executor.goOn(member)
 		}
 		return
 	}
-	e.later(e.world.profile.gangWait, func() {
-		if !one.isGoing {
-			e.end(one, howAlone)
+	e.later(e.cluster.profile.gangWait, func() {
+		if !execution.isGoing {
+			e.end(execution, howAlone)
 		}
 	})
 }
 
 // gang gives the members of a run that are there.
-func (w *world) gang(one *execution) []*execution {
-	var members []*execution
+func (w *simCluster) gang(execution *modelExecution) []*modelExecution {
+	var members []*modelExecution
 	for _, executor := range w.executors {
 		if !executor.isUp {
 			continue
 		}
 		for _, other := range executor.active {
-			if other.run == one.run && other.place.ID == one.place.ID && other.place.Time == one.place.Time && other.place.Step == one.place.Step {
+			if other.run == execution.run && other.position.ID == execution.position.ID && other.position.Time == execution.position.Time && other.position.Step == execution.position.Step {
 				members = append(members, other)
 			}
 		}
@@ -100,38 +100,38 @@
 	return members
 }
 
-func (e *executor) end(one *execution, how string) {
-	place := slices.Index(e.active, one)
-	if place < 0 {
+func (e *modelExecutor) end(execution *modelExecution, how string) {
+	index := slices.Index(e.active, execution)
+	if index < 0 {
 		return
 	}
-	members := e.world.gang(one)
-	e.active = slices.Delete(e.active, place, place+1)
-	delete(e.stopping, one)
-	e.highest[one.task] = max(e.highest[one.task], one.run)
+	members := e.cluster.gang(execution)
+	e.active = slices.Delete(e.active, index, index+1)
+	delete(e.stopping, execution)
+	e.highest[execution.task] = max(e.highest[execution.task], execution.run)
 	e.lastEnd++
 	e.endedAt[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.run, Outcome: wire.RunOutcome(how), Checkpoint: one.saved})
-	e.world.oracles.ended(e, one, how)
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: execution.task, Run: execution.run, Outcome: wire.RunOutcome(how), Checkpoint: execution.saved})
+	e.cluster.oracles.ended(e, execution, how)
 	pollers := e.pollers
 	e.pollers = nil
 	for _, wake := range pollers {
 		wake()
 	}
-	if one.step.Gang && how != howBroken {
-		e.world.endGang(members, one, how)
+	if execution.step.Gang && how != outcomeBroken {
+		e.cluster.endGang(members, execution, how)
 	}
 }
 
 // endGang ends the other members of a gang: as done together with the first, or as broken soon after.
-func (w *world) endGang(members []*execution, first *execution, how string) {
+func (w *simCluster) endGang(members []*modelExecution, first *modelExecution, how string) {
 	for _, member := range members {
 		if member == first || !member.isGoing {
 			continue
 		}
-		with := howBroken
-		if how == howDone {
-			with = howDone
+		with := outcomeBroken
+		if how == outcomeDone {
+			with = outcomeDone
 		}
 		member.executor.later(2*time.Millisecond, func() { member.executor.end(member, with) })
 	}
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	localHop      = 500 * time.Microsecond
-	leastLate     = 2 * time.Second
-	mostLate      = 12 * time.Second
-	drainMs       = 2000
-	beatEvery     = 1500 * time.Millisecond
-	firstBeatTime = 300 * time.Millisecond
-	mostBeatTime  = 3 * time.Second
+	localHop           = 500 * time.Microsecond
+	leastLate          = 2 * time.Second
+	mostLate           = 12 * time.Second
+	drainMs            = 2000
+	heartbeatInterval  = 1500 * time.Millisecond
+	firstHeartbeatTime = 300 * time.Millisecond
+	mostBeatTime       = 3 * time.Second
 
 	percentLateBeats = 60
 	checkpointTime   = 700 * time.Millisecond
@@ -26,15 +26,15 @@
 	percentBusy      = 60
 )
 
-// executor keeps to the protocol: fence, highest run, holds on its own clock, numbered ends; its calls may be late,
+// modelExecutor keeps to the protocol: fence, highest run, holds on its own clock, numbered ends; its calls may be late,
 // lost or refused.
-type executor struct {
-	world       *world
+type modelExecutor struct {
+	cluster     *simCluster
 	machine     string
 	number      int
-	room        wire.Capacity
+	capacity    wire.Capacity
 	labels      []string
-	proxy       *proxy
+	proxy       *modelProxy
 	id          string
 	incarnation int
 	isUp        bool
@@ -48,11 +48,11 @@
 	isFrozen  bool
 	departsAt time.Duration
 	begunAt   time.Duration
-	// slowPercent is how much slower than the world's clock its own is, in hundredths of a percent.
+	// slowPercent is how much slower than the simulated cluster's clock its own is, in hundredths of a percent.
 	slowness int64
 	sequence int64
 
-	isLate, isMute, isBusy, isRefusing, isStuck, isBeatLate, isSlow bool
+	isLate, isMute, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
 
 	// troubledFrom and troubledUntil are the last span in which anything was wrong with this machine.
 	troubledFrom, troubledUntil time.Duration
@@ -61,41 +61,41 @@
 	fence    uint64
 	expiryMs int64
 	lapses   int
-	active   []*execution
+	active   []*modelExecution
 	ends     []executorapi.EndRow
 	endedAt  map[int64]int
 	lastEnd  int64
 	highest  map[string]int64
 	pollers  []func()
-	stopping map[*execution]bool
+	stopping map[*modelExecution]bool
 }
 
-func (e *executor) start() {
+func (e *modelExecutor) start() {
 	e.incarnation++
 	e.id = e.machine + "-" + strconv.Itoa(e.incarnation)
-	e.isUp, e.isFrozen, e.begunAt = true, false, e.world.queue.now()
+	e.isUp, e.isFrozen, e.begunAt = true, false, e.cluster.queue.now()
 	e.isDraining, e.isLeaving, e.isSilent = false, false, false
-	e.slowness = e.world.queue.random.Int64N(201)
+	e.slowness = e.cluster.queue.random.Int64N(201)
 	e.sequence, e.fence, e.expiryMs, e.lapses, e.lastEnd = 0, 0, 0, 0, 0
 	e.active, e.ends, e.endedAt, e.pollers, e.waiting = nil, nil, map[int64]int{}, nil, nil
-	e.highest, e.stopping = map[string]int64{}, map[*execution]bool{}
-	e.later(e.world.queue.between(0, firstBeatTime), e.beat)
+	e.highest, e.stopping = map[string]int64{}, map[*modelExecution]bool{}
+	e.later(e.cluster.queue.between(0, firstHeartbeatTime), e.sendHeartbeat)
 }
 
-func (e *executor) crash() {
+func (e *modelExecutor) crash() {
 	e.disturb(0)
 	e.isUp = false
 	e.incarnation++
-	e.world.oracles.crashed(e)
+	e.cluster.oracles.crashed(e)
 }
 
 // later runs something in this life of the executor; a frozen one does it once it wakes.
-func (e *executor) later(wait time.Duration, run func()) {
+func (e *modelExecutor) later(wait time.Duration, run func()) {
 	incarnation := e.incarnation
-	e.world.queue.after(wait, func() { e.enter(incarnation, run) })
+	e.cluster.queue.after(wait, func() { e.enter(incarnation, run) })
 }
 
-func (e *executor) enter(incarnation int, run func()) {
+func (e *modelExecutor) enter(incarnation int, run func()) {
 	switch {
 	case !e.isUp || e.incarnation != incarnation:
 	case e.isFrozen:
@@ -105,46 +105,46 @@
 	}
 }
 
-func (e *executor) wake() {
+func (e *modelExecutor) wake() {
 	waiting := e.waiting
 	e.isFrozen, e.waiting = false, nil
 	for _, run := range waiting {
-		e.world.queue.after(0, run)
+		e.cluster.queue.after(0, run)
 	}
 }
 
-func (e *executor) clockMs() int64 {
-	return 100_000 + ((e.world.queue.now() - e.begunAt) * time.Duration(10000-e.slowness) / 10000).Milliseconds()
+func (e *modelExecutor) clockMs() int64 {
+	return 100_000 + ((e.cluster.queue.now() - e.begunAt) * time.Duration(10000-e.slowness) / 10000).Milliseconds()
 }
 
-// beat tells the proxy of the machine that the executor is there.
-func (e *executor) beat() {
+// sendHeartbeat tells the proxy of the machine that the executor is there.
+func (e *modelExecutor) sendHeartbeat() {
 	if e.isSilent {
 		return
 	}
 	e.sequence++
-	beat := &executorapi.Heartbeat{Service: service, State: "ready", Capacity: e.room, Labels: e.labels,
+	heartbeat := &executorapi.Heartbeat{Service: service, State: "ready", Capacity: e.capacity, Labels: e.labels,
 		ClockMs: e.clockMs(), Sequence: e.sequence}
 	if e.isDraining {
-		beat.State, beat.DepartureMs = "draining", max(1, (e.departsAt-e.world.queue.now()).Milliseconds())
+		heartbeat.State, heartbeat.DepartureMs = "draining", max(1, (e.departsAt-e.cluster.queue.now()).Milliseconds())
 	}
 	id, proxy, wait := e.id, e.proxy, localHop
-	if e.isBeatLate && e.world.queue.chance(percentLateBeats) {
-		e.world.count("beat_late")
-		wait = e.world.queue.between(localHop, mostBeatTime)
+	if e.isHeartbeatLate && e.cluster.queue.chance(percentLateBeats) {
+		e.cluster.count("beat_late")
+		wait = e.cluster.queue.between(localHop, mostBeatTime)
 	}
-	e.world.queue.after(wait, func() {
-		proxy.enter(proxy.incarnation, func() { proxy.table.Heartbeat(id, beat) })
+	e.cluster.queue.after(wait, func() {
+		proxy.enter(proxy.incarnation, func() { proxy.table.Heartbeat(id, heartbeat) })
 	})
-	e.later(beatEvery, e.beat)
+	e.later(heartbeatInterval, e.sendHeartbeat)
 }
 
 // drain announces the end of this life, ends it some time after, and begins another.
-func (e *executor) drain() {
+func (e *modelExecutor) drain() {
 	if !e.isUp || e.isDraining {
 		return
 	}
-	e.isDraining, e.departsAt = true, e.world.queue.now()+clock.Milliseconds(drainMs)
+	e.isDraining, e.departsAt = true, e.cluster.queue.now()+clock.Milliseconds(drainMs)
 	e.later(clock.Milliseconds(drainMs), func() {
 		e.sayFarewell()
 		e.later(100*time.Millisecond, e.replace)
@@ -153,26 +153,26 @@
 
 // deregister is an end in order that begins with the farewell: the executor serves on for as long as in a drain, and some
 // more.
-func (e *executor) deregister(servesOn time.Duration) {
+func (e *modelExecutor) deregister(servesOn time.Duration) {
 	if !e.isUp || e.isDraining {
 		return
 	}
-	e.world.count("farewell_unannounced")
+	e.cluster.count("farewell_unannounced")
 	e.isLeaving = true
 	e.sayFarewell()
 	e.later(clock.Milliseconds(drainMs)+servesOn, e.replace)
 }
 
-func (e *executor) sayFarewell() {
+func (e *modelExecutor) sayFarewell() {
 	id, proxy := e.id, e.proxy
 	e.isSilent = true
 	proxy.enter(proxy.incarnation, func() { proxy.table.Deregister(id) })
 }
 
 // replace ends this life, and begins another after a while.
-func (e *executor) replace() {
+func (e *modelExecutor) replace() {
 	e.crash()
-	e.world.queue.after(e.world.queue.between(200*time.Millisecond, 2*time.Second), func() {
+	e.cluster.queue.after(e.cluster.queue.between(200*time.Millisecond, 2*time.Second), func() {
 		if !e.isUp {
 			e.start()
 		}
@@ -180,8 +180,8 @@
 }
 
 // disturb notes that something is wrong with this machine from now on for a while.
-func (e *executor) disturb(length time.Duration) {
-	now := e.world.queue.now()
+func (e *modelExecutor) disturb(length time.Duration) {
+	now := e.cluster.queue.now()
 	if now > e.troubledUntil {
 		e.troubledFrom = now
 	}
--- a/internal/simulation/modelcheck/ordermodel/facts.go
+++ b/internal/simulation/modelcheck/ordermodel/facts.go
@@ -7,8 +7,8 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// job is what a client handed in, and what it was told of it.
-type job struct {
+// modelJob is what a client submitted, and what it was told of it.
+type modelJob struct {
 	id           string
 	spec         *jobs.Spec
 	terms        wire.RouteTerms
@@ -28,28 +28,28 @@
 	// stalledSince is when the job began to wait without cause; 0 while it doesn't.
 	stalledSince time.Duration
 	// isAnswered is set once the last question for the job's state was answered.
-	isAnswered bool
-	openTries  int
-	handedInAt time.Duration
+	isAnswered   bool
+	openAttempts int
+	handedInAt   time.Duration
 	// progressAt is when a run of the job last ended as done.
 	progressAt time.Duration
 }
 
 // isRefusedForGood tells whether every try to hand the job in was turned away.
-func (j *job) isRefusedForGood() bool {
-	return j.isRefused && !j.isUnclear && !j.isAccepted && j.openTries == 0
+func (j *modelJob) isRefusedForGood() bool {
+	return j.isRefused && !j.isUnclear && !j.isAccepted && j.openAttempts == 0
 }
 
-func (j *job) isOver() bool {
+func (j *modelJob) isOver() bool {
 	return j.state == "completed" || j.state == "failed" || j.state == "cancelled"
 }
 
-func (j *job) isOverAs(state string) bool {
+func (j *modelJob) isOverAs(state string) bool {
 	return state == "completed" || state == "failed" || state == "cancelled"
 }
 
 // eachTask visits the tasks of all the times of a job.
-func (j *job) eachTask(visit func(name string, step *jobs.Step)) {
+func (j *modelJob) eachTask(visit func(name string, step *jobs.Step)) {
 	for time := range max(1, j.spec.RepeatCount) {
 		for number := range j.spec.Steps {
 			for index := range j.spec.Steps[number].Tasks {
@@ -59,9 +59,9 @@
 	}
 }
 
-// task is what executors truly did with one.
-type task struct {
-	active     []*execution
+// modelTask is what executors truly did with one.
+type modelTask struct {
+	active     []*modelExecution
 	isDone     bool
 	doneAt     time.Duration
 	notedDone  bool
@@ -84,8 +84,8 @@
 	isNoted bool
 }
 
-type lifeRun struct {
-	life string
-	task string
-	run  int64
+type incarnationRun struct {
+	executor string
+	task     string
+	run      int64
 }
--- a/internal/simulation/modelcheck/ordermodel/leadership.go
+++ b/internal/simulation/modelcheck/ordermodel/leadership.go
@@ -24,15 +24,15 @@
 // replicatedKey stands for the replication of the scheduler's key: what a majority has is durable, one leader at a time
 // has the lease, and a change that was under way when its leader went may or may not last.
 type replicatedKey struct {
-	world     *world
+	cluster   *simCluster
 	pairs     map[string][]byte
 	epoch     uint64
 	leader    *leadership
-	proposals []*proposal
+	proposals []*modelProposal
 	isOpening bool
 }
 
-type proposal struct {
+type modelProposal struct {
 	leadership *leadership
 	ops        []wire.Op
 	done       func(error)
@@ -41,7 +41,7 @@
 // leadership is a steward's right to change the key under one epoch; it is a scheduler.Leadership.
 type leadership struct {
 	key         *replicatedKey
-	steward     *steward
+	steward     *modelSteward
 	incarnation int
 	epoch       uint64
 	isOpen      bool
@@ -55,14 +55,14 @@
 
 // HasLease is true for a while after a majority was last reached.
 func (l *leadership) HasLease() bool {
-	return l.isOpen && l.key.world.queue.now() < l.contactAt+leaseLength-leaseMargin
+	return l.isOpen && l.key.cluster.queue.now() < l.contactAt+leaseLength-leaseMargin
 }
 
 // WallMs is the median of the stewards' clocks.
 func (l *leadership) WallMs() int64 {
 	var walls []int64
-	for _, one := range l.key.world.stewards {
-		walls = append(walls, l.key.world.queue.clock.WallMs()+one.wallJumpMs)
+	for _, steward := range l.key.cluster.stewards {
+		walls = append(walls, l.key.cluster.queue.clock.WallMs()+steward.wallJumpMs)
 	}
 	slices.Sort(walls)
 	return walls[len(walls)/2]
@@ -79,28 +79,28 @@
 		l.dropped = append(l.dropped, done)
 		return
 	}
-	key.proposals = append(key.proposals, &proposal{l, ops, done})
+	key.proposals = append(key.proposals, &modelProposal{l, ops, done})
 	if len(key.proposals) == 1 {
 		key.replicateLater()
 	}
 }
 
 // hasMajority tells whether a steward reaches more than half of them, itself included.
-func (k *replicatedKey) hasMajority(one *steward) bool {
-	if !one.isReachable() {
+func (k *replicatedKey) hasMajority(steward *modelSteward) bool {
+	if !steward.isReachable() {
 		return false
 	}
 	count := 0
-	for _, other := range k.world.stewards {
-		if other.isReachable() && other.group == one.group {
+	for _, other := range k.cluster.stewards {
+		if other.isReachable() && other.group == steward.group {
 			count++
 		}
 	}
-	return 2*count > len(k.world.stewards)
+	return 2*count > len(k.cluster.stewards)
 }
 
 func (k *replicatedKey) replicateLater() {
-	k.world.queue.after(k.world.queue.between(2*time.Millisecond, 6*time.Millisecond)+k.world.slowSync, k.replicate)
+	k.cluster.queue.after(k.cluster.queue.between(2*time.Millisecond, 6*time.Millisecond)+k.cluster.slowSync, k.replicate)
 }
 
 // replicate makes all that was proposed durable together, as one sync does.
@@ -110,15 +110,15 @@
 	}
 	leader := k.leader
 	if leader == nil || !k.hasMajority(leader.steward) {
-		k.world.queue.after(retryCommit, k.replicate)
+		k.cluster.queue.after(retryCommit, k.replicate)
 		return
 	}
 	batch := k.proposals
 	k.proposals = nil
-	for _, one := range batch {
-		k.apply(one.ops)
+	for _, proposal := range batch {
+		k.apply(proposal.ops)
 	}
-	k.world.count("commit")
+	k.cluster.count("commit")
 	leader.acknowledge(batch)
 }
 
@@ -133,39 +133,39 @@
 }
 
 // acknowledge tells the leader of its commits, in their order.
-func (l *leadership) acknowledge(batch []*proposal) {
-	queue := l.key.world.queue
+func (l *leadership) acknowledge(batch []*modelProposal) {
+	queue := l.key.cluster.queue
 	if l.steward.incarnation != l.incarnation {
 		return
 	}
 	l.acksAt = max(l.acksAt, queue.now()+queue.between(300*time.Microsecond, 3*time.Millisecond))
 	l.steward.later(l.acksAt-queue.now(), func() {
-		for _, one := range batch {
+		for _, proposal := range batch {
 			if !l.isOpen {
-				one.done(errLost)
+				proposal.done(errLost)
 				continue
 			}
-			one.done(nil)
+			proposal.done(nil)
 		}
 		l.steward.settle()
-		l.key.world.committed()
+		l.key.cluster.committed()
 	})
 }
 
 // watch looks after the lease and finds a new leader where there is none.
 func (k *replicatedKey) watch() {
-	k.world.queue.after(watchEvery, k.watch)
-	now := k.world.queue.now()
-	if one := k.leader; one != nil {
-		isThere := one.isOpen && one.steward.isUp && one.steward.incarnation == one.incarnation
+	k.cluster.queue.after(watchEvery, k.watch)
+	now := k.cluster.queue.now()
+	if leadership := k.leader; leadership != nil {
+		isThere := leadership.isOpen && leadership.steward.isUp && leadership.steward.incarnation == leadership.incarnation
 		switch {
-		case isThere && k.hasMajority(one.steward):
-			one.contactAt = now
+		case isThere && k.hasMajority(leadership.steward):
+			leadership.contactAt = now
 			return
-		case isThere && now-one.contactAt > stepsDownIn && !one.steward.isFrozen:
-			one.close()
+		case isThere && now-leadership.contactAt > stepsDownIn && !leadership.steward.isFrozen:
+			leadership.close()
 		}
-		if now <= one.contactAt+leaseLength {
+		if now <= leadership.contactAt+leaseLength {
 			return
 		}
 	}
@@ -176,51 +176,51 @@
 
 // elect lets one of the stewards that reach a majority take the key over.
 func (k *replicatedKey) elect() {
-	var able []*steward
-	for _, one := range k.world.stewards {
-		if k.hasMajority(one) && !one.isLeaving {
-			able = append(able, one)
+	var able []*modelSteward
+	for _, steward := range k.cluster.stewards {
+		if k.hasMajority(steward) && !steward.isLeaving {
+			able = append(able, steward)
 		}
 	}
 	if len(able) == 0 {
 		return
 	}
-	next := able[k.world.queue.random.IntN(len(able))]
+	next := able[k.cluster.queue.random.IntN(len(able))]
 	k.isOpening = true
 	incarnation := next.incarnation
-	k.world.queue.after(k.world.queue.between(20*time.Millisecond, 250*time.Millisecond), func() {
+	k.cluster.queue.after(k.cluster.queue.between(20*time.Millisecond, 250*time.Millisecond), func() {
 		k.isOpening = false
-		if next.incarnation == incarnation && k.hasMajority(next) && (k.leader == nil || k.world.queue.now() > k.leader.contactAt+leaseLength) {
+		if next.incarnation == incarnation && k.hasMajority(next) && (k.leader == nil || k.cluster.queue.now() > k.leader.contactAt+leaseLength) {
 			k.open(next)
 		}
 	})
 }
 
 // open gives the key to a steward. A part of what the former leader had proposed may have reached enough disks.
-func (k *replicatedKey) open(next *steward) {
+func (k *replicatedKey) open(next *modelSteward) {
 	former, left := k.leader, k.proposals
 	k.proposals = nil
 	if len(left) > 0 {
-		lasting := k.world.queue.random.IntN(len(left) + 1)
-		for _, one := range left[:lasting] {
-			k.world.count("commit_unknown_to_leader")
-			k.apply(one.ops)
+		lasting := k.cluster.queue.random.IntN(len(left) + 1)
+		for _, proposal := range left[:lasting] {
+			k.cluster.count("commit_unknown_to_leader")
+			k.apply(proposal.ops)
 		}
-		for _, one := range left {
-			one.leadership.dropped = append(one.leadership.dropped, one.done)
+		for _, proposal := range left {
+			proposal.leadership.dropped = append(proposal.leadership.dropped, proposal.done)
 		}
 	}
 	if former != nil {
-		k.world.tell(former)
+		k.cluster.tell(former)
 	}
 	k.epoch++
-	k.world.count("election")
-	k.world.oracles.elected()
-	k.world.note("%s leads under epoch %d", next.name, k.epoch)
-	fresh := &leadership{key: k, steward: next, incarnation: next.incarnation, epoch: k.epoch, isOpen: true, contactAt: k.world.queue.now()}
+	k.cluster.count("election")
+	k.cluster.oracles.elected()
+	k.cluster.note("%s leads under epoch %d", next.name, k.epoch)
+	fresh := &leadership{key: k, steward: next, incarnation: next.incarnation, epoch: k.epoch, isOpen: true, contactAt: k.cluster.queue.now()}
 	k.leader = fresh
 	next.lead(fresh, k.snapshot())
-	k.world.announce(fresh)
+	k.cluster.announce(fresh)
 }
 
 func (k *replicatedKey) snapshot() []wire.Op {
@@ -232,13 +232,13 @@
 }
 
 // tell lets a deposed leader hear of its successor, as soon as it can.
-func (w *world) tell(former *leadership) {
+func (w *simCluster) tell(former *leadership) {
 	w.queue.after(w.queue.between(time.Millisecond, mostNewsTime), func() {
-		one := former.steward
-		if !former.isOpen || !one.isUp || one.incarnation != former.incarnation {
+		steward := former.steward
+		if !former.isOpen || !steward.isUp || steward.incarnation != former.incarnation {
 			return
 		}
-		if !one.isReachable() || one.group != w.key.leader.steward.group {
+		if !steward.isReachable() || steward.group != w.key.leader.steward.group {
 			w.tell(former)
 			return
 		}
@@ -265,15 +265,15 @@
 
 // handOver gives the lease back at once.
 func (k *replicatedKey) handOver() {
-	if one := k.leader; one != nil && one.isOpen && one.steward.isReachable() {
-		k.world.count("hand_over")
-		one.close()
-		one.contactAt = -leaseLength
+	if leadership := k.leader; leadership != nil && leadership.isOpen && leadership.steward.isReachable() {
+		k.cluster.count("hand_over")
+		leadership.close()
+		leadership.contactAt = -leaseLength
 	}
 }
 
 // committed tells who waits for it that a leader has heard of a commit.
-func (w *world) committed() {
+func (w *simCluster) committed() {
 	if run := w.onCommit; run != nil {
 		w.onCommit = nil
 		run()
--- a/internal/simulation/modelcheck/ordermodel/model.go
+++ b/internal/simulation/modelcheck/ordermodel/model.go
@@ -29,7 +29,7 @@
 func (model) Name() string { return modelName }
 
 // Plants are the planted faults in the order of their list.
-func (model) Plants() []modelcheck.Plant { return slices.Clone(plants) }
+func (model) Plants() []modelcheck.InjectedFault { return slices.Clone(plants) }
 
 // Draw makes the schedule of a seed.
 func (model) Draw(seed uint64, losses int, size modelcheck.Size) modelcheck.Schedule {
@@ -41,23 +41,23 @@
 
 // Run plays a schedule until all jobs are over and late calls can't come any more, or until the time for that is over.
 func (model) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
-	return newWorld(schedule).run(schedule)
+	return newSimCluster(schedule).run(schedule)
 }
 
 // Trace plays a schedule and writes down what executors and leaders do.
 func (model) Trace(schedule modelcheck.Schedule, to io.Writer) modelcheck.Outcome {
-	w := newWorld(schedule)
+	w := newSimCluster(schedule)
 	w.trace = to
 	return w.run(schedule)
 }
 
-func (w *world) note(format string, values ...any) {
+func (w *simCluster) note(format string, values ...any) {
 	if w.trace != nil {
 		fmt.Fprintf(w.trace, "%8d ms  "+format+"\n", append([]any{w.queue.now().Milliseconds()}, values...)...)
 	}
 }
 
-func (w *world) run(schedule modelcheck.Schedule) modelcheck.Outcome {
+func (w *simCluster) run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	lastMs, quiet := 0, holdsOver
 	for _, step := range schedule.Steps {
 		w.queue.after(clock.Milliseconds(int64(step.AtMs)), func() { w.play(step) })
@@ -67,7 +67,7 @@
 		}
 	}
 	last := clock.Milliseconds(int64(lastMs))
-	w.queue.after(clock.Milliseconds(firstStepMs), func() { w.lookRound(0) })
+	w.queue.after(clock.Milliseconds(firstStepMs), func() { w.inspectRound(0) })
 	w.queue.after(last+quiet, w.watchEnd)
 	w.queue.runUntil(last+w.profile.settleTime, func() bool { return len(w.oracles.violations) > 0 || w.isDone })
 	if len(w.oracles.violations) == 0 {
@@ -80,7 +80,7 @@
 }
 
 // watchEnd looks again and again whether all jobs are over.
-func (w *world) watchEnd() {
+func (w *simCluster) watchEnd() {
 	if w.isAllOver() {
 		w.isDone = true
 		return
@@ -88,21 +88,21 @@
 	w.queue.after(overEvery, w.watchEnd)
 }
 
-// lookRound asks for the states of all jobs again and again, one job at a time.
-func (w *world) lookRound(number int) {
-	next := func() { w.queue.after(w.profile.lookEvery, func() { w.lookRound(number + 1) }) }
+// inspectRound asks for the states of all jobs again and again, one job at a time.
+func (w *simCluster) inspectRound(number int) {
+	next := func() { w.queue.after(w.profile.inspectInterval, func() { w.inspectRound(number + 1) }) }
 	if len(w.oracles.order) == 0 {
 		next()
 		return
 	}
-	w.look(w.oracles.nextToAsk(number), number, next)
+	w.inspect(w.oracles.nextToAsk(number), number, next)
 }
 
 // nextToAsk is a job that is not over, mostly, and at times any one.
-func (o *oracles) nextToAsk(number int) *job {
-	place := number % len(o.order)
+func (o *oracles) nextToAsk(number int) *modelJob {
+	index := number % len(o.order)
 	if number%oneInAny == 0 {
-		return o.order[place]
+		return o.order[index]
 	}
 	for range o.order {
 		o.asked = (o.asked + 1) % len(o.order)
@@ -110,42 +110,42 @@
 			return o.order[o.asked]
 		}
 	}
-	return o.order[place]
+	return o.order[index]
 }
 
 // oneInAny questions of clients is for any job, also one that is over.
 const oneInAny = 3
 
 // askForAll asks for each accepted job once all faults are over, again and again until it is answered in time.
-func (w *world) askForAll() {
-	for place, one := range w.oracles.order {
-		one.isAnswered = false
-		if one.isAccepted {
-			w.askUntilAnswered(one, place)
+func (w *simCluster) askForAll() {
+	for index, job := range w.oracles.order {
+		job.isAnswered = false
+		if job.isAccepted {
+			w.askUntilAnswered(job, index)
 		}
 	}
 	w.queue.runUntil(w.queue.now()+answerTime, func() bool { return len(w.oracles.violations) > 0 })
-	for _, one := range w.oracles.order {
-		if one.isAccepted && !one.isAnswered {
-			w.violate("UNANSWERED", "%s was accepted, and nobody tells its state in time after all faults", one.id)
+	for _, job := range w.oracles.order {
+		if job.isAccepted && !job.isAnswered {
+			w.violate("UNANSWERED", "%s was accepted, and nobody tells its state in time after all faults", job.id)
 		}
 	}
 }
 
-func (w *world) askUntilAnswered(one *job, through int) {
-	w.look(one, through, func() {
-		if !one.isAnswered {
-			w.queue.after(clientPause, func() { w.askUntilAnswered(one, through+1) })
+func (w *simCluster) askUntilAnswered(job *modelJob, through int) {
+	w.inspect(job, through, func() {
+		if !job.isAnswered {
+			w.queue.after(clientPause, func() { w.askUntilAnswered(job, through+1) })
 		}
 	})
 }
 
-func (w *world) isAllOver() bool {
-	for _, one := range w.oracles.jobs {
-		if one.isAccepted && !one.isOver() && !w.oracles.isAtWork(one) {
+func (w *simCluster) isAllOver() bool {
+	for _, job := range w.oracles.jobs {
+		if job.isAccepted && !job.isOver() && !w.oracles.isAtWork(job) {
 			return false
 		}
-		if one.isCancelled && !one.isOver() {
+		if job.isCancelled && !job.isOver() {
 			return false
 		}
 	}
@@ -154,15 +154,15 @@
 
 // isUnderWay tells whether a job may still have work left: only in the large profile, whose waves may leave too few machines
 // for all of it, and only if it goes forward.
-func (w *world) isUnderWay(one *job) bool {
-	return w.profile.progressWithin > 0 && one.progressAt > w.queue.now()-w.profile.progressWithin
+func (w *simCluster) isUnderWay(job *modelJob) bool {
+	return w.profile.progressWithin > 0 && job.progressAt > w.queue.now()-w.profile.progressWithin
 }
 
 // checkProgress looks for accepted jobs that came to nothing though all faults are long over.
-func (w *world) checkProgress() {
-	for _, one := range w.oracles.order {
-		if one.isAccepted && !one.isOver() && !w.oracles.isAtWork(one) && !w.isUnderWay(one) {
-			w.violate("LOST", "%s was accepted and is %q long after the last fault", one.id, one.state)
+func (w *simCluster) checkProgress() {
+	for _, job := range w.oracles.order {
+		if job.isAccepted && !job.isOver() && !w.oracles.isAtWork(job) && !w.isUnderWay(job) {
+			w.violate("LOST", "%s was accepted and is %q long after the last fault", job.id, job.state)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/network.go
+++ b/internal/simulation/modelcheck/ordermodel/network.go
@@ -10,9 +10,9 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-// process is one that may be killed, frozen and cut off; what arrives while it is frozen runs once it wakes.
-type process struct {
-	world       *world
+// modelProcess is one that may be killed, frozen and cut off; what arrives while it is frozen runs once it wakes.
+type modelProcess struct {
+	cluster     *simCluster
 	name        string
 	isUp        bool
 	isFrozen    bool
@@ -32,15 +32,15 @@
 }
 
 // untilMoved gives a call up once this process hears of another leader; the result ends that.
-func (p *process) untilMoved(giveUp func()) (release func()) {
-	p.world.calls++
-	number := p.world.calls
+func (p *modelProcess) untilMoved(giveUp func()) (release func()) {
+	p.cluster.calls++
+	number := p.cluster.calls
 	p.patience[number] = giveUp
 	return func() { delete(p.patience, number) }
 }
 
 // hear takes note of a leader.
-func (p *process) hear(leader int) {
+func (p *modelProcess) hear(leader int) {
 	if p.leaderHint == leader {
 		return
 	}
@@ -52,27 +52,27 @@
 	}
 }
 
-func (p *process) kill() {
+func (p *modelProcess) kill() {
 	p.isUp, p.isFrozen, p.waiting = false, false, nil
 	p.incarnation++
 }
 
-func (p *process) boot() {
+func (p *modelProcess) boot() {
 	p.isUp, p.isFrozen, p.waiting, p.patience = true, false, nil, map[uint64]func(){}
 	p.incarnation++
 }
 
-func (p *process) wake() {
+func (p *modelProcess) wake() {
 	waiting := p.waiting
 	p.isFrozen, p.waiting = false, nil
-	p.world.queue.random.Shuffle(len(waiting), func(one, two int) { waiting[one], waiting[two] = waiting[two], waiting[one] })
+	p.cluster.queue.random.Shuffle(len(waiting), func(one, two int) { waiting[one], waiting[two] = waiting[two], waiting[one] })
 	for _, run := range waiting {
-		p.world.queue.after(0, run)
+		p.cluster.queue.after(0, run)
 	}
 }
 
 // enter runs something inside the process, if the same incarnation of it is still there.
-func (p *process) enter(incarnation int, run func()) {
+func (p *modelProcess) enter(incarnation int, run func()) {
 	switch {
 	case !p.isUp || p.incarnation != incarnation:
 	case p.isFrozen:
@@ -83,18 +83,18 @@
 }
 
 // later runs something inside the process after a while.
-func (p *process) later(wait time.Duration, run func()) {
+func (p *modelProcess) later(wait time.Duration, run func()) {
 	incarnation := p.incarnation
-	p.world.queue.after(wait, func() { p.enter(incarnation, run) })
+	p.cluster.queue.after(wait, func() { p.enter(incarnation, run) })
 }
 
 // reaches tells whether a message gets from one process to another at present; clients stand on both sides.
-func (p *process) reaches(to *process) bool {
-	isOneSide := p.group == to.group || p == p.world.outside || to == p.world.outside
+func (p *modelProcess) reaches(to *modelProcess) bool {
+	isOneSide := p.group == to.group || p == p.cluster.outside || to == p.cluster.outside
 	return p == to || !p.isMute && !to.isDeaf && isOneSide
 }
 
-func (p *process) isReachable() bool { return p.isUp && !p.isFrozen && !p.isDeaf && !p.isMute }
+func (p *modelProcess) isReachable() bool { return p.isUp && !p.isFrozen && !p.isDeaf && !p.isMute }
 
 // hop is how messages fare on their way at present, in percent and milliseconds.
 type hop struct {
@@ -105,7 +105,7 @@
 }
 
 // transit is how long a message is on its way.
-func (w *world) transit() time.Duration {
+func (w *simCluster) transit() time.Duration {
 	wait := w.queue.between(300*time.Microsecond, 2*time.Millisecond)
 	if w.queue.chance(w.hop.late) {
 		w.count("message_late")
@@ -115,7 +115,7 @@
 }
 
 // send brings a message from one process to another, unless a fault eats it; a fault may double it.
-func (w *world) send(from, to *process, arrive func()) {
+func (w *simCluster) send(from, to *modelProcess, arrive func()) {
 	copies := 1
 	switch {
 	case w.queue.chance(w.hop.lost):
@@ -135,7 +135,7 @@
 }
 
 // callLeader is a call that is given up early if the caller hears of another leader.
-func callLeader[T any](w *world, from, to *process, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func callLeader[T any](w *simCluster, from, to *modelProcess, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver := false
 	var release func()
 	finish := func(value T, err error) {
@@ -153,7 +153,7 @@
 }
 
 // call asks another process and gives back its first answer, or an error once the limit is over.
-func call[T any](w *world, from, to *process, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func call[T any](w *simCluster, from, to *modelProcess, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver, incarnation := false, from.incarnation
 	finish := func(value T, err error) {
 		if !isOver {
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -12,12 +12,12 @@
 
 // How runs end.
 const (
-	howDone    = "done"
-	howFailed  = "failed"
-	howStopped = "stopped"
-	howLapsed  = "lapsed"
-	howBroken  = "broken"
-	howAlone   = "alone"
+	outcomeDone    = "done"
+	outcomeFailed  = "failed"
+	outcomeStopped = "stopped"
+	outcomeLapsed  = "lapsed"
+	outcomeBroken  = "broken"
+	howAlone       = "alone"
 )
 
 const (
@@ -28,77 +28,77 @@
 
 // oracles see what executors and clients truly saw, and say where an invariant does not hold.
 type oracles struct {
-	world *world
-	jobs  map[string]*job
-	// order is the jobs in the order in which they were handed in.
-	order []*job
+	cluster *simCluster
+	jobs    map[string]*modelJob
+	// order is the jobs in the order in which they were submitted.
+	order []*modelJob
 	// asked is the place in order of the job that was asked for last.
 	asked      int
-	tasks      map[string]*task
-	begun      map[lifeRun]bool
-	stops      map[lifeRun]bool
+	tasks      map[string]*modelTask
+	begun      map[incarnationRun]bool
+	stops      map[incarnationRun]bool
 	violations []modelcheck.Violation
 	isTimeOdd  bool
-	// Jobs handed in until electedAt are excused until inheritedUntil; see elected.
+	// Jobs submitted until electedAt are excused until inheritedUntil; see elected.
 	electedAt, inheritedUntil time.Duration
 }
 
-func newOracles(w *world) *oracles {
-	return &oracles{world: w, jobs: map[string]*job{}, tasks: map[string]*task{}, begun: map[lifeRun]bool{}, stops: map[lifeRun]bool{}}
+func newOracles(w *simCluster) *oracles {
+	return &oracles{cluster: w, jobs: map[string]*modelJob{}, tasks: map[string]*modelTask{}, begun: map[incarnationRun]bool{}, stops: map[incarnationRun]bool{}}
 }
 
-func (w *world) violate(oracle, format string, values ...any) {
+func (w *simCluster) violate(oracle, format string, values ...any) {
 	if len(w.oracles.violations) < mostProblems {
 		w.oracles.violations = append(w.oracles.violations, modelcheck.Violation{Oracle: oracle,
 			AtMs: int(w.queue.now() / time.Millisecond), Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
-func (o *oracles) task(name string) *task {
-	one := o.tasks[name]
-	if one == nil {
-		one = &task{saved: map[string]bool{}}
-		o.tasks[name] = one
+func (o *oracles) task(name string) *modelTask {
+	task := o.tasks[name]
+	if task == nil {
+		task = &modelTask{saved: map[string]bool{}}
+		o.tasks[name] = task
 	}
-	return one
+	return task
 }
 
-func (o *oracles) stepOf(place jobs.Place) *jobs.Step {
-	if one := o.jobs[place.ID]; one != nil && place.Step < len(one.spec.Steps) {
-		return &one.spec.Steps[place.Step]
+func (o *oracles) stepOf(position jobs.Place) *jobs.Step {
+	if job := o.jobs[position.ID]; job != nil && position.Step < len(job.spec.Steps) {
+		return &job.spec.Steps[position.Step]
 	}
 	return &jobs.Step{}
 }
 
 // isCalm tells whether nothing has been wrong anywhere for a time, so that bounds of time hold.
 func (o *oracles) isCalm() bool {
-	return o.world.queue.now()-o.world.troubledAt > o.world.profile.contactTime
+	return o.cluster.queue.now()-o.cluster.troubledAt > o.cluster.profile.contactTime
 }
 
-func (o *oracles) crashed(executor *executor) {
-	for _, one := range executor.active {
-		o.jobs[one.place.ID].running--
-		facts := o.task(one.task)
-		facts.active = slices.DeleteFunc(facts.active, func(other *execution) bool { return other == one })
+func (o *oracles) crashed(executor *modelExecutor) {
+	for _, execution := range executor.active {
+		o.jobs[execution.position.ID].running--
+		facts := o.task(execution.task)
+		facts.active = slices.DeleteFunc(facts.active, func(other *modelExecution) bool { return other == execution })
 	}
 }
 
-func (o *oracles) stopTaken(executor *executor, task string, run int64) {
-	o.stops[lifeRun{executor.id, task, run}] = true
+func (o *oracles) stopTaken(executor *modelExecutor, task string, run int64) {
+	o.stops[incarnationRun{executor.id, task, run}] = true
 }
 
 // reported checks that what a proxy tells of orders is what the executor did with these, and not with others.
-func (o *oracles) reported(proxy *proxy, call *wire.ExchangeCall) {
-	for _, one := range call.Answers {
-		which := lifeRun{call.Executor, one.Task, one.Run}
-		if one.Result != "ok" {
+func (o *oracles) reported(proxy *modelProxy, call *wire.ExchangeCall) {
+	for _, answer := range call.Answers {
+		run := incarnationRun{call.Executor, answer.Task, answer.Run}
+		if answer.Result != "ok" {
 			continue
 		}
-		if one.Kind == "launch" && !o.begun[which] {
-			o.world.violate("ANSWER", "%s reports %s run %d as started on %s, which never began it", proxy.name, one.Task, one.Run, call.Executor)
+		if answer.Kind == "launch" && !o.begun[run] {
+			o.cluster.violate("ANSWER", "%s reports %s run %d as started on %s, which never began it", proxy.name, answer.Task, answer.Run, call.Executor)
 		}
-		if one.Kind == "stop" && !o.stops[which] {
-			o.world.violate("ANSWER", "%s reports %s run %d as stopped on %s, which was never told so", proxy.name, one.Task, one.Run, call.Executor)
+		if answer.Kind == "stop" && !o.stops[run] {
+			o.cluster.violate("ANSWER", "%s reports %s run %d as stopped on %s, which was never told so", proxy.name, answer.Task, answer.Run, call.Executor)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/ordermodel_test.go
+++ b/internal/simulation/modelcheck/ordermodel/ordermodel_test.go
@@ -33,12 +33,12 @@
 var largeOnly = []string{"room-reserved-for-ever"}
 
 // expectFound plays schedules with a planted fault until one shows it that shows nothing without the fault.
-func expectFound(model modelcheck.Model, plant string, size modelcheck.Size, first, count uint64) {
+func expectFound(model modelcheck.Model, fault string, size modelcheck.Size, first, count uint64) {
 	GinkgoHelper()
 	for seed := first; seed < first+count; seed++ {
 		schedule := model.Draw(seed, 1, size)
 		sound := schedule
-		schedule.Plant = plant
+		schedule.Plant = fault
 		if outcome := model.Run(schedule); len(outcome.Violations) > 0 && len(model.Run(sound).Violations) == 0 {
 			fmt.Fprintln(GinkgoWriter, "seed", seed, outcome.Violations[0])
 			return
@@ -113,12 +113,12 @@
 		Expect(model.Run(schedule).Violations).To(ContainElement(HaveField("Oracle", "STALLED")))
 	})
 
-	for _, plant := range model.Plants() {
-		if slices.Contains(largeOnly, plant.Name) {
+	for _, fault := range model.Plants() {
+		if slices.Contains(largeOnly, fault.Name) {
 			continue
 		}
-		It("finds a planted fault: "+plant.Name, func() {
-			expectFound(model, plant.Name, modelcheck.SizeSmall, firstSeeds[plant.Name], most)
+		It("finds a planted fault: "+fault.Name, func() {
+			expectFound(model, fault.Name, modelcheck.SizeSmall, firstSeeds[fault.Name], most)
 		})
 	}
 })
--- a/internal/simulation/modelcheck/ordermodel/plantedleaders.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedleaders.go
@@ -6,18 +6,18 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// forgetfulTenure leaves out the end of cancelled jobs from what it commits, so that the next leader goes on with them.
-type forgetfulTenure struct{ *leadership }
+// forgetfulLeadership leaves out the end of cancelled jobs from what it commits, so that the next leader goes on with them.
+type forgetfulLeadership struct{ *leadership }
 
 // Commit leaves out the ends of cancelled jobs.
-func (t forgetfulTenure) Commit(ops []wire.Op, done func(error)) {
+func (t forgetfulLeadership) Commit(ops []wire.Op, done func(error)) {
 	var kept []wire.Op
 	for _, op := range ops {
 		isEnd := op.Name[0] == 's' && bytes.Contains(op.Value, []byte(`"cancelled"`))
 		if isEnd {
-			t.key.world.forgotten["j/"+op.Name[2:]] = true
+			t.key.cluster.forgotten["j/"+op.Name[2:]] = true
 		}
-		isForgetting := len(op.Value) == 0 && t.key.world.forgotten[op.Name]
+		isForgetting := len(op.Value) == 0 && t.key.cluster.forgotten[op.Name]
 		if !isEnd && !isForgetting {
 			kept = append(kept, op)
 		}
@@ -25,10 +25,10 @@
 	t.leadership.Commit(kept, done)
 }
 
-type hastyTenure struct{ *leadership }
+type hastyLeadership struct{ *leadership }
 
 // Commit reports success before the change is durable.
-func (t hastyTenure) Commit(ops []wire.Op, done func(error)) {
+func (t hastyLeadership) Commit(ops []wire.Op, done func(error)) {
 	t.leadership.Commit(ops, func(error) {})
 	t.steward.later(0, func() {
 		done(nil)
@@ -36,10 +36,10 @@
 	})
 }
 
-type boldTenure struct{ *leadership }
+type boldLeadership struct{ *leadership }
 
 // HasLease is true for as long as the leader believes in itself.
-func (t boldTenure) HasLease() bool { return t.isOpen }
+func (t boldLeadership) HasLease() bool { return t.isOpen }
 
 // hastyScheduler acknowledges whatever ends a call brings.
 type hastyScheduler struct{ poolLeader }
@@ -50,11 +50,11 @@
 	if len(call.Ends) > 0 {
 		seen = call.Ends[len(call.Ends)-1].Number
 	}
-	s.poolLeader.Exchange(call, func(told wire.ExchangeAnswer) {
-		if told.Fence > 0 && !told.NotLeader {
-			told.LastSeen = max(told.LastSeen, seen)
+	s.poolLeader.Exchange(call, func(response wire.ExchangeAnswer) {
+		if response.Fence > 0 && !response.NotLeader {
+			response.LastSeen = max(response.LastSeen, seen)
 		}
-		answer(told)
+		answer(response)
 	})
 	if seen > 0 {
 		answer(wire.ExchangeAnswer{Fence: call.Fence, LastSeen: seen, HeldNumber: call.Base})
--- a/internal/simulation/modelcheck/ordermodel/plantedstalls.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedstalls.go
@@ -35,19 +35,19 @@
 	hasFailed bool
 }
 
-const neverHeld = time.Hour
+const neverRenewed = time.Hour
 
 // HandleHoldFailure remembers the failure for ever.
-func (t *grudgingTable) HandleHoldFailure(work localproxy.HoldWork, isOtherLife bool) {
+func (t *grudgingTable) HandleHoldFailure(work localproxy.HoldWork, isOtherExecutor bool) {
 	t.hasFailed = true
-	t.Table.HandleHoldFailure(work, isOtherLife)
+	t.Table.HandleHoldFailure(work, isOtherExecutor)
 }
 
 // Compose reports no hold once one has failed.
 func (t *grudgingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue && t.hasFailed {
-		call.HoldAgeMs = neverHeld.Milliseconds()
+		call.HoldAgeMs = neverRenewed.Milliseconds()
 	}
 	return call, isDue
 }
--- a/internal/simulation/modelcheck/ordermodel/plantedtables.go
+++ b/internal/simulation/modelcheck/ordermodel/plantedtables.go
@@ -12,36 +12,36 @@
 
 type plantedTable struct {
 	*localproxy.Table
-	proxy *proxy
+	proxy *modelProxy
 }
 
 type renumberingTable struct {
 	plantedTable
-	tries map[string]int64
+	attempts map[string]int64
 }
 
 // Ready gives a start that was tried before the next run-id.
-func (t *renumberingTable) Ready(life string, order wire.Order) (localproxy.OrderWork, bool) {
-	work, isDue := t.Table.Ready(life, order)
+func (t *renumberingTable) Ready(executorID string, order wire.Order) (localproxy.OrderWork, bool) {
+	work, isDue := t.Table.Ready(executorID, order)
 	if isDue && order.Kind == "launch" {
-		work.Order.Run += t.tries[order.Task]
+		work.Order.Run += t.attempts[order.Task]
 	}
 	return work, isDue
 }
 
 // HandleOrderTimeout counts the try.
 func (t *renumberingTable) HandleOrderTimeout(work localproxy.OrderWork) {
-	t.tries[work.Order.Task]++
+	t.attempts[work.Order.Task]++
 	t.Table.HandleOrderTimeout(work)
 }
 
 type ungrantedTable struct{ plantedTable }
 
 // NextHold extends the hold further than was granted.
-func (t *ungrantedTable) NextHold(isLook bool) (localproxy.HoldWork, bool) {
-	work, isDue := t.Table.NextHold(isLook)
+func (t *ungrantedTable) NextHold(isForList bool) (localproxy.HoldWork, bool) {
+	work, isDue := t.Table.NextHold(isForList)
 	if work.Hold.ExpiryMs > 0 {
-		work.Hold.ExpiryMs += int64(t.proxy.world.timing.MaxHold / time.Millisecond)
+		work.Hold.ExpiryMs += int64(t.proxy.cluster.timing.MaxHold / time.Millisecond)
 	}
 	return work, isDue
 }
@@ -50,7 +50,7 @@
 
 // HandleAnswer counts a grant from now.
 func (t *lateGrantTable) HandleAnswer(call *wire.ExchangeCall, _ time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
-	return t.Table.HandleAnswer(call, t.proxy.world.queue.now(), answer)
+	return t.Table.HandleAnswer(call, t.proxy.cluster.queue.now(), answer)
 }
 
 // unfencedTable carries out, under the fence of a new leader, what the former one ordered last.
@@ -105,10 +105,10 @@
 type trustingTable struct{ plantedTable }
 
 // Heartbeat takes the heartbeat for the answer to a hold.
-func (t *trustingTable) Heartbeat(id string, beat *executorapi.Heartbeat) (int, string) {
-	status, why := t.Table.Heartbeat(id, beat)
+func (t *trustingTable) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (int, string) {
+	status, why := t.Table.Heartbeat(id, heartbeat)
 	if status == http.StatusOK {
-		t.Table.HandleHold(localproxy.HoldWork{Executor: id, BegunAt: t.proxy.world.queue.now()}, executorapi.Answer{ClockMs: beat.ClockMs})
+		t.Table.HandleHold(localproxy.HoldWork{Executor: id, BegunAt: t.proxy.cluster.queue.now()}, executorapi.Answer{ClockMs: heartbeat.ClockMs})
 	}
 	return status, why
 }
@@ -120,8 +120,8 @@
 }
 
 // Ready puts the checkpoint of the order before into a start.
-func (t *mixingTable) Ready(life string, order wire.Order) (localproxy.OrderWork, bool) {
-	work, isDue := t.Table.Ready(life, order)
+func (t *mixingTable) Ready(executorID string, order wire.Order) (localproxy.OrderWork, bool) {
+	work, isDue := t.Table.Ready(executorID, order)
 	saved := t.saved
 	if work.Order.Checkpoint != "" {
 		t.saved = work.Order.Checkpoint
@@ -146,28 +146,28 @@
 // lyingTable tells of runs that ended in some ways that they ended in another.
 type lyingTable struct {
 	plantedTable
-	hows []wire.RunOutcome
-	told wire.RunOutcome
+	outcomes []wire.RunOutcome
+	reported wire.RunOutcome
 }
 
 // HandleHold changes how runs ended.
 func (t *lyingTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
-	for place := range answer.Ends {
-		if slices.Contains(t.hows, answer.Ends[place].Outcome) {
-			answer.Ends[place].Outcome = t.told
+	for index := range answer.Ends {
+		if slices.Contains(t.outcomes, answer.Ends[index].Outcome) {
+			answer.Ends[index].Outcome = t.reported
 		}
 	}
 	t.Table.HandleHold(work, answer)
 }
 
-// oldLookTable answers a hold with the list that the hold before it brought.
-type oldLookTable struct {
+// oldListTable answers a hold with the list that the hold before it brought.
+type oldListTable struct {
 	plantedTable
 	running []executorapi.RunningRow
 }
 
 // HandleHold replaces the list of runs by the one before.
-func (t *oldLookTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
+func (t *oldListTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
 	answer.Running, t.running = t.running, answer.Running
 	t.Table.HandleHold(work, answer)
 }
--- a/internal/simulation/modelcheck/ordermodel/plants.go
+++ b/internal/simulation/modelcheck/ordermodel/plants.go
@@ -10,8 +10,8 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// plant puts one fault into the system by wrapping what the model drives; the zero plant changes nothing.
-type plant struct {
+// injectedFault puts one fault into the system by wrapping what the model drives; the zero plant changes nothing.
+type injectedFault struct {
 	name string
 }
 
@@ -45,7 +45,7 @@
 	plantStateUnanswered = "state-not-told"
 )
 
-var plants = []modelcheck.Plant{
+var plants = []modelcheck.InjectedFault{
 	{Name: plantAnswerByPlace, About: "A proxy takes an executor's answer for the oldest call that waits, not for the call it answers."},
 	{Name: plantNewRunID, About: "A proxy sends a start that was not answered again under the next run-id."},
 	{Name: plantHoldUngranted, About: "A proxy extends holds without a grant of the leader."},
@@ -75,7 +75,7 @@
 }
 
 // timing is that of the pool, which some plants change.
-func (p plant) timing(timing scheduler.Timing) scheduler.Timing {
+func (p injectedFault) timing(timing scheduler.Timing) scheduler.Timing {
 	switch p.name {
 	case plantForgottenEarly:
 		timing.KeepEnded = forgottenAfter
@@ -85,28 +85,28 @@
 	return timing
 }
 
-func (p plant) ignoresLife() bool { return p.name == plantWrongLife }
+func (p injectedFault) ignoresIncarnation() bool { return p.name == plantWrongLife }
 
-func (p plant) outcome(outcome leaderclient.Outcome) leaderclient.Outcome {
+func (p injectedFault) outcome(outcome leaderclient.Outcome) leaderclient.Outcome {
 	if p.name == plantRefusedUnclear {
 		outcome.MayHaveRun = false
 	}
 	return outcome
 }
 
-func (p plant) tenure(fresh *leadership) scheduler.Leadership {
+func (p injectedFault) leadership(fresh *leadership) scheduler.Leadership {
 	switch p.name {
 	case plantCancelForgotten:
-		return forgetfulTenure{fresh}
+		return forgetfulLeadership{fresh}
 	case plantAckEarly:
-		return hastyTenure{fresh}
+		return hastyLeadership{fresh}
 	case plantLeaseIgnored:
-		return boldTenure{fresh}
+		return boldLeadership{fresh}
 	}
 	return fresh
 }
 
-func (p plant) scheduler(pool poolLeader) poolLeader {
+func (p injectedFault) scheduler(pool poolLeader) poolLeader {
 	switch p.name {
 	case plantLastSeenEarly:
 		return hastyScheduler{pool}
@@ -118,58 +118,58 @@
 	return pool
 }
 
-func (p plant) table(owner *proxy, table *localproxy.Table) proxyTable {
-	one := plantedTable{Table: table, proxy: owner}
+func (p injectedFault) table(proxy *modelProxy, table *localproxy.Table) proxyTable {
+	faulty := plantedTable{Table: table, proxy: proxy}
 	switch p.name {
 	case plantNewRunID:
-		return &renumberingTable{one, map[string]int64{}}
+		return &renumberingTable{faulty, map[string]int64{}}
 	case plantHoldUngranted:
-		return &ungrantedTable{one}
+		return &ungrantedTable{faulty}
 	case plantGrantOnArrival:
-		return &lateGrantTable{one}
+		return &lateGrantTable{faulty}
 	case plantFenceIgnored:
-		return &unfencedTable{plantedTable: one}
+		return &unfencedTable{plantedTable: faulty}
 	case plantStopUnanswered:
-		return &stoppingTable{one}
+		return &stoppingTable{faulty}
 	case plantUnsureForgotten:
-		return &forgetfulTable{one}
+		return &forgetfulTable{faulty}
 	case plantBeatEndsLife:
-		return &trustingTable{one}
+		return &trustingTable{faulty}
 	case plantOtherCheckpoint:
-		return &mixingTable{plantedTable: one}
+		return &mixingTable{plantedTable: faulty}
 	case plantRoomOverstated:
-		return &boastingTable{one}
+		return &boastingTable{faulty}
 	case plantFailureDone:
-		return &lyingTable{one, []wire.RunOutcome{howFailed}, howDone}
+		return &lyingTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeDone}
 	case plantFailureStopped:
-		return &lyingTable{one, []wire.RunOutcome{howFailed}, howStopped}
+		return &lyingTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeStopped}
 	case plantStopCounted:
-		return &lyingTable{one, []wire.RunOutcome{howStopped, howLapsed, howBroken}, howFailed}
+		return &lyingTable{faulty, []wire.RunOutcome{outcomeStopped, outcomeLapsed, outcomeBroken}, outcomeFailed}
 	case plantEndSkipped:
-		return &skippingTable{one}
+		return &skippingTable{faulty}
 	case plantAvoided:
-		return &grudgingTable{plantedTable: one}
+		return &grudgingTable{plantedTable: faulty}
 	case plantLookForgotten:
-		return &oldLookTable{plantedTable: one}
+		return &oldListTable{plantedTable: faulty}
 	}
 	return table
 }
 
 // answers lets a proxy take an executor's answers in the order of its calls, whichever call they belong to.
-func (p plant) answers(owner *proxy, request executorRequest, finish func(executorReply)) func(executorReply) {
+func (p injectedFault) answers(proxy *modelProxy, request executorRequest, finish func(executorReply)) func(executorReply) {
 	if p.name != plantAnswerByPlace || request.hold != nil {
 		return finish
 	}
 	waiting := &pendingCall{finish: finish}
-	owner.pending = append(owner.pending, waiting)
+	proxy.pending = append(proxy.pending, waiting)
 	return func(reply executorReply) {
 		if reply.status != http.StatusOK {
 			waiting.end(reply)
 			return
 		}
-		for _, one := range owner.pending {
-			if !one.isOver {
-				one.end(reply)
+		for _, call := range proxy.pending {
+			if !call.isOver {
+				call.end(reply)
 				return
 			}
 		}
--- a/internal/simulation/modelcheck/ordermodel/play.go
+++ b/internal/simulation/modelcheck/ordermodel/play.go
@@ -8,7 +8,7 @@
 )
 
 // play carries out one step.
-func (w *world) play(step modelcheck.Step) {
+func (w *simCluster) play(step modelcheck.Step) {
 	w.count("step_" + step.Kind)
 	w.note("step %s of %d for %d ms, value %d", step.Kind, step.Node, step.ForMs, step.Value)
 	if w.playJob(step) {
@@ -27,7 +27,7 @@
 		w.hop.late, w.hop.lateMs = 25, max(1, step.Value)
 		w.queue.after(length, func() { w.hop.late = 0 })
 	case kindCutGate:
-		w.cut(&w.gates[step.Node%len(w.gates)].process, step.Value, length)
+		w.cut(&w.gates[step.Node%len(w.gates)].modelProcess, step.Value, length)
 	case kindPartition:
 		w.partition(step, length)
 	case kindHandOver:
@@ -44,11 +44,11 @@
 	w.coreTrouble(length)
 }
 
-func (w *world) playJob(step modelcheck.Step) bool {
-	one := w.oracles.jobs[jobID(step.Node)]
+func (w *simCluster) playJob(step modelcheck.Step) bool {
+	job := w.oracles.jobs[jobID(step.Node)]
 	switch step.Kind {
 	case kindHandIn:
-		if one == nil {
+		if job == nil {
 			w.handInFirst(step.Node, step.Value, step.Peer)
 		}
 		return true
@@ -59,36 +59,36 @@
 		w.giveUp(step)
 		return true
 	case kindHandInAgain:
-		if one != nil {
-			w.handIn(one, step.Peer, clientTries)
+		if job != nil {
+			w.handIn(job, step.Peer, clientAttempts)
 		}
 		return true
 	case kindCancel:
-		if one != nil {
-			w.cancel(one, step.Peer, 0)
+		if job != nil {
+			w.cancel(job, step.Peer, 0)
 		}
 		return true
 	}
 	return false
 }
 
-func (w *world) playNode(step modelcheck.Step, length time.Duration) {
-	one, machine := w.stewards[step.Node%len(w.stewards)], w.executors[step.Node%len(w.executors)]
+func (w *simCluster) playNode(step modelcheck.Step, length time.Duration) {
+	steward, machine := w.stewards[step.Node%len(w.stewards)], w.executors[step.Node%len(w.executors)]
 	switch step.Kind {
 	case kindKillSteward, kindFreezeSteward, kindCutSteward, kindClockJump:
 		w.coreTrouble(length)
 	}
 	switch step.Kind {
 	case kindKillSteward:
-		w.killSteward(one, length)
+		w.killSteward(steward, length)
 	case kindFreezeSteward:
-		w.freeze(&one.process, length)
+		w.freeze(&steward.modelProcess, length)
 	case kindCutSteward:
-		w.cut(&one.process, step.Value, length)
+		w.cut(&steward.modelProcess, step.Value, length)
 	case kindClockJump:
 		w.oracles.isTimeOdd = true
-		one.wallJumpMs = int64(step.Value) - 2000
-		w.queue.after(length, func() { one.wallJumpMs = 0 })
+		steward.wallJumpMs = int64(step.Value) - 2000
+		w.queue.after(length, func() { steward.wallJumpMs = 0 })
 	case kindKillProxy:
 		machine.disturb(length)
 		machine.proxy.kill()
@@ -99,124 +99,124 @@
 		})
 	case kindFreezeProxy:
 		machine.disturb(length)
-		w.freeze(&machine.proxy.process, length)
+		w.freeze(&machine.proxy.modelProcess, length)
 	case kindCutProxy:
 		machine.disturb(length)
-		w.cut(&machine.proxy.process, step.Value, length)
+		w.cut(&machine.proxy.modelProcess, step.Value, length)
 	default:
 		w.playExecutor(step, machine, length)
 	}
 }
 
-func (w *world) playExecutor(step modelcheck.Step, one *executor, length time.Duration) {
+func (w *simCluster) playExecutor(step modelcheck.Step, executor *modelExecutor, length time.Duration) {
 	kind := step.Kind
-	one.disturb(length)
-	flags := map[string]*bool{kindSlowExecutor: &one.isSlow, kindLateExecutor: &one.isLate, kindMuteExecutor: &one.isMute, kindBusyExecutor: &one.isBusy,
-		kindRefuseExecutor: &one.isRefusing, kindStuckExecutor: &one.isStuck, kindLateBeats: &one.isBeatLate}
+	executor.disturb(length)
+	flags := map[string]*bool{kindSlowExecutor: &executor.isSlow, kindLateExecutor: &executor.isLate, kindMuteExecutor: &executor.isMute, kindBusyExecutor: &executor.isBusy,
+		kindRefuseExecutor: &executor.isRefusing, kindStuckExecutor: &executor.isStuck, kindLateBeats: &executor.isHeartbeatLate}
 	switch flag := flags[kind]; {
 	case flag != nil:
 		*flag = true
 		w.queue.after(length, func() { *flag = false })
 	case kind == kindDrainExecutor && step.Value == drainUnannounced:
-		one.deregister(length)
+		executor.deregister(length)
 	case kind == kindDrainExecutor:
-		one.drain()
+		executor.drain()
 	case kind == kindDeregister:
-		one.deregister(0)
-	case kind == kindFreezeExecutor && one.isUp && !one.isFrozen:
-		one.isFrozen = true
-		incarnation := one.incarnation
+		executor.deregister(0)
+	case kind == kindFreezeExecutor && executor.isUp && !executor.isFrozen:
+		executor.isFrozen = true
+		incarnation := executor.incarnation
 		w.queue.after(length, func() {
-			if one.incarnation == incarnation {
-				one.wake()
+			if executor.incarnation == incarnation {
+				executor.wake()
 			}
 		})
-	case kind == kindCrashExecutor && one.isUp:
-		one.crash()
-		if step.Value == staysAway && one.number%2 == 1 {
+	case kind == kindCrashExecutor && executor.isUp:
+		executor.crash()
+		if step.Value == staysAway && executor.number%2 == 1 {
 			return
 		}
 		w.queue.after(length, func() {
-			if !one.isUp {
-				one.start()
+			if !executor.isUp {
+				executor.start()
 			}
 		})
 	}
 }
 
 // trouble notes that something is wrong from now on for a while.
-func (w *world) trouble(forMs int) {
+func (w *simCluster) trouble(forMs int) {
 	until := w.queue.now() + clock.Milliseconds(int64(forMs))
 	w.troubledAt = max(w.troubledAt, until)
 }
 
 // coreTrouble notes that something is wrong with stewards, gates or the network from now on for a while.
-func (w *world) coreTrouble(length time.Duration) {
+func (w *simCluster) coreTrouble(length time.Duration) {
 	w.coreTroubledAt = max(w.coreTroubledAt, w.queue.now()+length)
 }
 
-func (w *world) killSteward(one *steward, length time.Duration) {
-	one.kill()
+func (w *simCluster) killSteward(steward *modelSteward, length time.Duration) {
+	steward.kill()
 	w.queue.after(length, func() {
-		if !one.isUp {
-			one.start()
+		if !steward.isUp {
+			steward.start()
 		}
 	})
 }
 
-func (w *world) freeze(one *process, length time.Duration) {
-	if !one.isUp || one.isFrozen {
+func (w *simCluster) freeze(process *modelProcess, length time.Duration) {
+	if !process.isUp || process.isFrozen {
 		return
 	}
-	one.isFrozen = true
-	incarnation := one.incarnation
+	process.isFrozen = true
+	incarnation := process.incarnation
 	w.queue.after(length, func() {
-		if one.incarnation == incarnation && one.isFrozen {
-			one.wake()
+		if process.incarnation == incarnation && process.isFrozen {
+			process.wake()
 		}
 	})
 }
 
 // cut takes both directions away from a process, or one of them.
-func (w *world) cut(one *process, direction int, length time.Duration) {
-	one.isDeaf, one.isMute = direction != 1, direction != 2
-	w.queue.after(length, func() { one.isDeaf, one.isMute = false, false })
+func (w *simCluster) cut(process *modelProcess, direction int, length time.Duration) {
+	process.isDeaf, process.isMute = direction != 1, direction != 2
+	w.queue.after(length, func() { process.isDeaf, process.isMute = false, false })
 }
 
 // partition sets one steward apart with the machines and gates that the value names bit by bit.
-func (w *world) partition(step modelcheck.Step, length time.Duration) {
-	apart := []*process{&w.stewards[step.Node%len(w.stewards)].process}
+func (w *simCluster) partition(step modelcheck.Step, length time.Duration) {
+	apart := []*modelProcess{&w.stewards[step.Node%len(w.stewards)].modelProcess}
 	isApart := func(bit int) bool { return step.Value>>bit&1 == 1 }
-	for number, one := range w.proxies {
+	for number, proxy := range w.proxies {
 		if isApart(number % w.profile.partitionBits) {
-			apart = append(apart, &one.process)
-			one.executor.disturb(length)
+			apart = append(apart, &proxy.modelProcess)
+			proxy.executor.disturb(length)
 		}
 	}
-	for number, one := range w.gates {
+	for number, gate := range w.gates {
 		if isApart(w.profile.partitionBits + number) {
-			apart = append(apart, &one.process)
+			apart = append(apart, &gate.modelProcess)
 		}
 	}
-	for _, one := range apart {
-		one.group = 1
+	for _, process := range apart {
+		process.group = 1
 	}
 	w.queue.after(length, func() {
-		for _, one := range apart {
-			one.group = 0
+		for _, process := range apart {
+			process.group = 0
 		}
 	})
 }
 
 // losePower kills all stewards within a few milliseconds of the next acknowledgement of a commit.
-func (w *world) losePower(withinMs int, length time.Duration) {
+func (w *simCluster) losePower(withinMs int, length time.Duration) {
 	w.onCommit = func() {
 		w.queue.after(clock.Milliseconds(int64(withinMs)), func() {
 			w.count("power_lost")
 			w.trouble(int(length / time.Millisecond))
 			w.coreTrouble(length)
-			for _, one := range w.stewards {
-				w.killSteward(one, length)
+			for _, steward := range w.stewards {
+				w.killSteward(steward, length)
 			}
 		})
 	}
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -13,52 +13,52 @@
 
 // The loops of localproxy.Proxy wait on sockets; these are their pauses and limits.
 const (
-	holdGap      = 15 * time.Millisecond
-	pollWaitMs   = 300
-	startPause   = 80 * time.Millisecond
-	orderLimit   = 150 * time.Millisecond
-	orderTries   = 2
-	ordersAtOnce = 6
-	leaderPause  = 60 * time.Millisecond
-	failedPause  = 300 * time.Millisecond
-	exchangeSlow = 1500 * time.Millisecond
-	shortWaitMs  = 150
+	holdGap       = 15 * time.Millisecond
+	pollWaitMs    = 300
+	startPause    = 80 * time.Millisecond
+	orderLimit    = 150 * time.Millisecond
+	orderAttempts = 2
+	ordersAtOnce  = 6
+	leaderPause   = 60 * time.Millisecond
+	failedPause   = 300 * time.Millisecond
+	exchangeSlow  = 1500 * time.Millisecond
+	shortWaitMs   = 150
 )
 
 // proxyTable is what the model drives of a local-proxy; plants wrap it.
 type proxyTable interface {
-	Heartbeat(id string, beat *executorapi.Heartbeat) (status int, why string)
+	Heartbeat(id string, heartbeat *executorapi.Heartbeat) (status int, why string)
 	Deregister(id string)
-	NextHold(isLook bool) (localproxy.HoldWork, bool)
+	NextHold(isForList bool) (localproxy.HoldWork, bool)
 	HandleHold(work localproxy.HoldWork, answer executorapi.Answer)
-	HandleHoldFailure(work localproxy.HoldWork, isOtherLife bool)
+	HandleHoldFailure(work localproxy.HoldWork, isOtherExecutor bool)
 	Compose(waitMs int64) (*wire.ExchangeCall, bool)
 	HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order
 	HasUnsent() bool
-	Ready(life string, order wire.Order) (localproxy.OrderWork, bool)
+	Ready(executorID string, order wire.Order) (localproxy.OrderWork, bool)
 	HandleOrderRefusal(work localproxy.OrderWork)
 	HandleOrderTimeout(work localproxy.OrderWork)
-	ReadClock(life string, executorMs int64)
+	ReadClock(executorID string, executorMs int64)
 	HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult)
 }
 
-// bell is a channel of one place: it rings once, however often it was struck.
-type bell struct {
+// timerSignal is a channel of one place: it rings once, however often it was struck.
+type timerSignal struct {
 	isStruck bool
 	waiter   func()
 }
 
-func (b *bell) strike() {
+func (b *timerSignal) strike() {
 	b.isStruck = true
 	b.answer()
 }
 
-func (b *bell) wait(run func()) {
+func (b *timerSignal) wait(run func()) {
 	b.waiter = run
 	b.answer()
 }
 
-func (b *bell) answer() {
+func (b *timerSignal) answer() {
 	if b.isStruck && b.waiter != nil {
 		run := b.waiter
 		b.isStruck, b.waiter = false, nil
@@ -66,38 +66,38 @@
 	}
 }
 
-// proxy plays the loops of a local-proxy, as events, round its real table.
-type proxy struct {
-	process
-	executor *executor
+// modelProxy plays the loops of a local-proxy, as events, round its real table.
+type modelProxy struct {
+	modelProcess
+	executor *modelExecutor
 	table    proxyTable
 	carrying int
 	queued   []func()
 	pending  []*pendingCall
-	work     bell
-	starts   bell
-	looks    bell
-	acks     bell
+	work     timerSignal
+	starts   timerSignal
+	looks    timerSignal
+	acks     timerSignal
 }
 
-func (p *proxy) start() {
+func (p *modelProxy) start() {
 	p.boot()
 	p.carrying, p.queued, p.pending = 0, nil, nil
-	p.work, p.starts, p.looks, p.acks = bell{}, bell{}, bell{}, bell{}
-	ring := func(which *bell) func() { return func() { p.later(0, which.strike) } }
+	p.work, p.starts, p.looks, p.acks = timerSignal{}, timerSignal{}, timerSignal{}, timerSignal{}
+	ring := func(signal *timerSignal) func() { return func() { p.later(0, signal.strike) } }
 	// A session is the time of day at which the process began.
-	session := uint64(p.world.queue.clock.WallMs())
-	p.table = p.world.plant.table(p, localproxy.NewTable(p.world.queue.clock, logging.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
+	session := uint64(p.cluster.queue.clock.WallMs())
+	p.table = p.cluster.fault.table(p, localproxy.NewTable(p.cluster.queue.clock, logging.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
 		ring(&p.acks), localproxy.WithSession(session), localproxy.WithStartSignal(ring(&p.starts))))
 	p.holdLoop()
-	p.lookLoop()
+	p.listLoop()
 	p.pollLoop()
 	p.reportLoop()
 }
 
-func (p *proxy) holdLoop() {
+func (p *modelProxy) holdLoop() {
 	work, isDue := p.table.NextHold(false)
-	begunAt := p.world.queue.now()
+	begunAt := p.cluster.queue.now()
 	if !isDue {
 		p.awaitAck()
 		return
@@ -107,7 +107,7 @@
 		case isHeld:
 			p.later(holdGap, p.holdLoop)
 		case work.Hold.WaitMs == shortWaitMs:
-			p.later(localproxy.PauseAfterMiss(p.world.queue.now()-begunAt), p.holdLoop)
+			p.later(localproxy.PauseAfterMiss(p.cluster.queue.now()-begunAt), p.holdLoop)
 		default:
 			p.awaitAck()
 		}
@@ -115,7 +115,7 @@
 }
 
 // awaitAck goes on with the next hold after a pause, or as soon as the leader has taken note of all ends.
-func (p *proxy) awaitAck() {
+func (p *modelProxy) awaitAck() {
 	isOver := false
 	resume := func() {
 		if !isOver {
@@ -128,27 +128,27 @@
 	p.later(failedPause, resume)
 }
 
-func (p *proxy) lookLoop() {
+func (p *modelProxy) listLoop() {
 	p.looks.wait(func() {
 		work, isDue := p.table.NextHold(true)
 		if !isDue {
-			p.lookLoop()
+			p.listLoop()
 			return
 		}
 		p.hold(work, func(isHeld bool) {
 			if isHeld {
-				p.lookLoop()
+				p.listLoop()
 				return
 			}
 			p.later(failedPause, func() {
 				p.looks.isStruck = true
-				p.lookLoop()
+				p.listLoop()
 			})
 		})
 	})
 }
 
-func (p *proxy) hold(work localproxy.HoldWork, done func(isHeld bool)) {
+func (p *modelProxy) hold(work localproxy.HoldWork, done func(isHeld bool)) {
 	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
 		isHeld := reply.err == nil && reply.status == http.StatusOK
 		if isHeld {
@@ -160,7 +160,7 @@
 	})
 }
 
-func (p *proxy) pollLoop() {
+func (p *modelProxy) pollLoop() {
 	p.exchange(pollWaitMs, func(isAnswered bool) {
 		wait := time.Duration(0)
 		if !isAnswered {
@@ -171,7 +171,7 @@
 }
 
 // reportLoop waits for news; news of starts waits a moment for more.
-func (p *proxy) reportLoop() {
+func (p *modelProxy) reportLoop() {
 	report := func() {
 		p.work.waiter, p.starts.waiter = nil, nil
 		p.report()
@@ -186,7 +186,7 @@
 	})
 }
 
-func (p *proxy) awaitMore() {
+func (p *modelProxy) awaitMore() {
 	isOver := false
 	p.work.wait(func() {
 		isOver = true
@@ -205,7 +205,7 @@
 	})
 }
 
-func (p *proxy) report() {
+func (p *modelProxy) report() {
 	p.exchange(0, func(isAnswered bool) {
 		if isAnswered {
 			p.reportLoop()
@@ -218,7 +218,7 @@
 	})
 }
 
-func (p *proxy) exchange(waitMs int64, done func(isAnswered bool)) {
+func (p *modelProxy) exchange(waitMs int64, done func(isAnswered bool)) {
 	request, _ := p.table.Compose(waitMs)
 	if request == nil {
 		if waitMs > 0 {
@@ -228,11 +228,11 @@
 		done(true)
 		return
 	}
-	p.world.oracles.reported(p, request)
-	askedAt := p.world.queue.now()
-	leader := p.world.stewards[p.leaderHint]
+	p.cluster.oracles.reported(p, request)
+	askedAt := p.cluster.queue.now()
+	leader := p.cluster.stewards[p.leaderHint]
 	limit := clock.Milliseconds(request.WaitMs) + exchangeSlow
-	callLeader(p.world, &p.process, &leader.process, limit, func(answer func(wire.ExchangeAnswer)) {
+	callLeader(p.cluster, &p.modelProcess, &leader.modelProcess, limit, func(answer func(wire.ExchangeAnswer)) {
 		leader.exchange(request, answer)
 	}, func(answer wire.ExchangeAnswer, err error) {
 		if err != nil || answer.NotLeader {
@@ -249,16 +249,16 @@
 }
 
 // carryInTurn lets few orders be on their way to the executor at once.
-func (p *proxy) carryInTurn(life string, order wire.Order) {
+func (p *modelProxy) carryInTurn(executorID string, order wire.Order) {
 	if p.carrying >= ordersAtOnce {
-		p.queued = append(p.queued, func() { p.carry(life, order, 0) })
+		p.queued = append(p.queued, func() { p.carry(executorID, order, 0) })
 		return
 	}
 	p.carrying++
-	p.carry(life, order, 0)
+	p.carry(executorID, order, 0)
 }
 
-func (p *proxy) carried() {
+func (p *modelProxy) carried() {
 	p.carrying--
 	if len(p.queued) > 0 {
 		next := p.queued[0]
@@ -269,8 +269,8 @@
 }
 
 // carry brings one order to the executor, again if it is not answered.
-func (p *proxy) carry(life string, order wire.Order, try int) {
-	work, isDue := p.table.Ready(life, order)
+func (p *modelProxy) carry(executorID string, order wire.Order, attempt int) {
+	work, isDue := p.table.Ready(executorID, order)
 	if !isDue {
 		p.carried()
 		return
@@ -278,7 +278,7 @@
 	p.ask(work.Executor, orderLimit, requestOf(work), func(reply executorReply) {
 		switch {
 		case reply.err == nil:
-			p.table.ReadClock(life, reply.answer.ClockMs)
+			p.table.ReadClock(executorID, reply.answer.ClockMs)
 			p.table.HandleOrderResult(work, localproxy.ResultOf(reply.status, reply.answer.Reason))
 		case order.Kind == "launch" && reply.isRefused:
 			p.table.HandleOrderRefusal(work)
@@ -286,8 +286,8 @@
 			if !reply.isRefused {
 				p.table.HandleOrderTimeout(work)
 			}
-			if try+1 < orderTries {
-				p.carry(life, order, try+1)
+			if attempt+1 < orderAttempts {
+				p.carry(executorID, order, attempt+1)
 				return
 			}
 			p.table.HandleOrderResult(work, "timeout")
@@ -320,7 +320,7 @@
 }
 
 // ask calls the executor; an answer that comes after the limit is lost.
-func (p *proxy) ask(life string, limit time.Duration, request executorRequest, done func(executorReply)) {
+func (p *modelProxy) ask(executorID string, limit time.Duration, request executorRequest, done func(executorReply)) {
 	isOver := false
 	finish := func(reply executorReply) {
 		if !isOver {
@@ -328,10 +328,10 @@
 			done(reply)
 		}
 	}
-	finish = p.world.plant.answers(p, request, finish)
+	finish = p.cluster.fault.answers(p, request, finish)
 	p.later(limit, func() { finish(executorReply{err: errNoAnswer}) })
 	incarnation := p.incarnation
-	p.executor.receive(life, request, p.world.plant, func(wait time.Duration, reply executorReply) {
-		p.world.queue.after(wait, func() { p.enter(incarnation, func() { finish(reply) }) })
+	p.executor.receive(executorID, request, p.cluster.fault, func(wait time.Duration, reply executorReply) {
+		p.cluster.queue.after(wait, func() { p.enter(incarnation, func() { finish(reply) }) })
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -9,88 +9,88 @@
 )
 
 // started is told of each run that an executor begins.
-func (o *oracles) started(executor *executor, one *execution, order executorapi.RunStart, isLate bool) {
-	o.world.count("start")
-	o.world.note("%s: %s run %d begins under fence %d, late %t", executor.id, one.task, one.run, order.Fence, isLate)
-	owner, facts := o.jobs[one.place.ID], o.task(one.task)
-	if owner == nil || !owner.isHandedIn {
-		o.world.violate("UNASKED", "%s was started and never handed in", one.task)
+func (o *oracles) started(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, isLate bool) {
+	o.cluster.count("start")
+	o.cluster.note("%s: %s run %d begins under fence %d, late %t", executor.id, execution.task, execution.run, order.Fence, isLate)
+	job, facts := o.jobs[execution.position.ID], o.task(execution.task)
+	if job == nil || !job.isHandedIn {
+		o.cluster.violate("UNASKED", "%s was started and never handed in", execution.task)
 		return
 	}
 	if isLate {
-		o.world.count("start_late")
-	}
-	owner.startedRuns++
-	if owner.isRefusedForGood() {
-		o.world.violate("REFUSED", "%s started, though every try to hand its job in was turned away", one.task)
-	}
-	o.checkOrder(executor, one, order, owner, facts)
-	o.checkTwice(executor, one, facts, isLate)
-	o.checkBudget(one, owner, facts)
-	o.checkDepends(one, owner)
-	o.checkRoute(executor, one)
-	if used := executor.used(); used.CPU > executor.room.CPU || used.Memory > executor.room.Memory {
-		o.world.violate("LIMIT", "%s run %d takes %s to %d cpu-units", one.task, one.run, executor.id, used.CPU)
-	}
-	if owner.isCancelled && o.world.queue.now()-owner.cancelledAt > o.world.profile.cancelTime && o.isCalm() && !isLate {
-		o.world.violate("UNASKED", "%s run %d started long after its job was cancelled", one.task, one.run)
-	}
-	owner.running++
-	facts.active = append(facts.active, one)
-	facts.starts = append(facts.starts, start{o.world.queue.now(), one.run})
-	o.begun[lifeRun{executor.id, one.task, one.run}] = true
+		o.cluster.count("start_late")
+	}
+	job.startedRuns++
+	if job.isRefusedForGood() {
+		o.cluster.violate("REFUSED", "%s started, though every try to hand its job in was turned away", execution.task)
+	}
+	o.checkOrder(executor, execution, order, job, facts)
+	o.checkTwice(executor, execution, facts, isLate)
+	o.checkBudget(execution, job, facts)
+	o.checkDepends(execution, job)
+	o.checkRoute(executor, execution)
+	if used := executor.used(); used.CPU > executor.capacity.CPU || used.Memory > executor.capacity.Memory {
+		o.cluster.violate("LIMIT", "%s run %d takes %s to %d cpu-units", execution.task, execution.run, executor.id, used.CPU)
+	}
+	if job.isCancelled && o.cluster.queue.now()-job.cancelledAt > o.cluster.profile.cancelTime && o.isCalm() && !isLate {
+		o.cluster.violate("UNASKED", "%s run %d started long after its job was cancelled", execution.task, execution.run)
+	}
+	job.running++
+	facts.active = append(facts.active, execution)
+	facts.starts = append(facts.starts, start{o.cluster.queue.now(), execution.run})
+	o.begun[incarnationRun{executor.id, execution.task, execution.run}] = true
 }
 
-func (o *oracles) checkOrder(executor *executor, one *execution, order executorapi.RunStart, owner *job, facts *task) {
-	if order.Descriptor != owner.spec.Descriptor {
-		o.world.violate("UNASKED", "%s started with another descriptor", one.task)
+func (o *oracles) checkOrder(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, job *modelJob, facts *modelTask) {
+	if order.Descriptor != job.spec.Descriptor {
+		o.cluster.violate("UNASKED", "%s started with another descriptor", execution.task)
 	}
-	if order.Checkpoint != "" && !o.isSavedBy(one, order.Checkpoint) {
-		o.world.violate("UNASKED", "%s started from %s, which is no checkpoint of it", one.task, order.Checkpoint)
+	if order.Checkpoint != "" && !o.isSavedBy(execution, order.Checkpoint) {
+		o.cluster.violate("UNASKED", "%s started from %s, which is no checkpoint of it", execution.task, order.Checkpoint)
 	}
-	if one.step.Redundant {
+	if execution.step.Redundant {
 		return
 	}
-	if one.run < facts.highestRun && executor.id != facts.highestAt {
-		o.world.violate("STALE", "%s run %d started on %s under fence %d after run %d was given to %s under fence %d", one.task, one.run,
+	if execution.run < facts.highestRun && executor.id != facts.highestAt {
+		o.cluster.violate("STALE", "%s run %d started on %s under fence %d after run %d was given to %s under fence %d", execution.task, execution.run,
 			executor.id, order.Fence, facts.highestRun, facts.highestAt, facts.fence)
 	}
-	if one.run >= facts.highestRun {
-		facts.highestRun, facts.highestAt, facts.fence = one.run, executor.id, order.Fence
+	if execution.run >= facts.highestRun {
+		facts.highestRun, facts.highestAt, facts.fence = execution.run, executor.id, order.Fence
 	}
 }
 
-func (o *oracles) isSavedBy(one *execution, saved string) bool {
-	if !one.step.Gang {
-		return o.task(one.task).saved[saved]
+func (o *oracles) isSavedBy(execution *modelExecution, saved string) bool {
+	if !execution.step.Gang {
+		return o.task(execution.task).saved[saved]
 	}
-	for index := range one.step.Tasks {
-		if o.task(jobs.TaskName(one.place.ID, one.place.Time, one.place.Step, index)).saved[saved] {
+	for index := range execution.step.Tasks {
+		if o.task(jobs.TaskName(execution.position.ID, execution.position.Time, execution.position.Step, index)).saved[saved] {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *oracles) checkTwice(executor *executor, one *execution, facts *task, isLate bool) {
-	if !one.step.Redundant {
+func (o *oracles) checkTwice(executor *modelExecutor, execution *modelExecution, facts *modelTask, isLate bool) {
+	if !execution.step.Redundant {
 		for _, other := range facts.active {
-			o.world.violate("TWICE", "%s: run %d began on %s while run %d runs on %s", one.task, one.run, executor.id, other.run, other.executor.id)
+			o.cluster.violate("TWICE", "%s: run %d began on %s while run %d runs on %s", execution.task, execution.run, executor.id, other.run, other.executor.id)
 		}
 		if facts.notedDone {
-			o.world.violate("TWICE", "%s: run %d began on %s after a run had done it and its end was noted", one.task, one.run, executor.id)
+			o.cluster.violate("TWICE", "%s: run %d began on %s after a run had done it and its end was noted", execution.task, execution.run, executor.id)
 		}
 	}
-	if one.step.Redundant && facts.notedDone && o.world.queue.now()-facts.doneAt > time.Second+o.world.profile.contactTime && o.isCalm() && !isLate {
-		o.world.violate("TWICE", "%s: run %d of a redundant task began long after its end was noted", one.task, one.run)
+	if execution.step.Redundant && facts.notedDone && o.cluster.queue.now()-facts.doneAt > time.Second+o.cluster.profile.contactTime && o.isCalm() && !isLate {
+		o.cluster.violate("TWICE", "%s: run %d of a redundant task began long after its end was noted", execution.task, execution.run)
 	}
-	if owner := o.jobs[one.place.ID]; owner.state == "completed" && !one.step.Redundant {
-		o.world.violate("TWICE", "%s: run %d began after its job was shown as completed", one.task, one.run)
+	if job := o.jobs[execution.position.ID]; job.state == "completed" && !execution.step.Redundant {
+		o.cluster.violate("TWICE", "%s: run %d began after its job was shown as completed", execution.task, execution.run)
 	}
 }
 
-func (o *oracles) checkBudget(one *execution, owner *job, facts *task) {
-	if one.step.LongRunning || one.step.Redundant {
+func (o *oracles) checkBudget(execution *modelExecution, job *modelJob, facts *modelTask) {
+	if execution.step.LongRunning || execution.step.Redundant {
 		return
 	}
 	noted := 0
@@ -99,120 +99,120 @@
 			noted++
 		}
 	}
-	if noted >= owner.terms.MaxAttempts {
-		o.world.violate("BUDGET", "%s run %d began after %d failures were noted", one.task, one.run, noted)
+	if noted >= job.terms.MaxAttempts {
+		o.cluster.violate("BUDGET", "%s run %d began after %d failures were noted", execution.task, execution.run, noted)
 	}
 }
 
-func (o *oracles) checkDepends(one *execution, owner *job) {
-	for _, earlier := range one.step.DependsOn {
-		for index := range owner.spec.Steps[earlier].Tasks {
-			name := jobs.TaskName(one.place.ID, one.place.Time, earlier, index)
+func (o *oracles) checkDepends(execution *modelExecution, job *modelJob) {
+	for _, earlier := range execution.step.DependsOn {
+		for index := range job.spec.Steps[earlier].Tasks {
+			name := jobs.TaskName(execution.position.ID, execution.position.Time, earlier, index)
 			if !o.task(name).isDone {
-				o.world.violate("ORDER", "%s started before %s was done", one.task, name)
+				o.cluster.violate("ORDER", "%s started before %s was done", execution.task, name)
 			}
 		}
 	}
-	if owner.spec.RepeatCount == 0 {
+	if job.spec.RepeatCount == 0 {
 		return
 	}
 	slack := int64(earlyMs)
 	if o.isTimeOdd {
 		slack += jumpSlackMs
 	}
-	due := owner.spec.FirstRunMs + int64(one.place.Time)*owner.spec.PeriodMs
-	if o.world.queue.clock.WallMs() < due-slack {
-		o.world.violate("ORDER", "%s started %d ms ahead of its time", one.task, due-o.world.queue.clock.WallMs())
+	due := job.spec.FirstRunMs + int64(execution.position.Time)*job.spec.PeriodMs
+	if o.cluster.queue.clock.WallMs() < due-slack {
+		o.cluster.violate("ORDER", "%s started %d ms ahead of its time", execution.task, due-o.cluster.queue.clock.WallMs())
 	}
 }
 
 // checkRoute looks for starts where a label is missing, or beyond anti-affinity.
-func (o *oracles) checkRoute(executor *executor, one *execution) {
-	for _, label := range one.step.Labels {
+func (o *oracles) checkRoute(executor *modelExecutor, execution *modelExecution) {
+	for _, label := range execution.step.Labels {
 		if !slices.Contains(executor.labels, label) {
-			o.world.violate("ROUTE", "%s run %d began on %s, which lacks %s", one.task, one.run, executor.id, label)
+			o.cluster.violate("ROUTE", "%s run %d began on %s, which lacks %s", execution.task, execution.run, executor.id, label)
 		}
 	}
 	together := 0
 	for _, other := range executor.active {
-		if other.place.ID == one.place.ID && other.place.Time == one.place.Time && other.place.Step == one.place.Step {
+		if other.position.ID == execution.position.ID && other.position.Time == execution.position.Time && other.position.Step == execution.position.Step {
 			together++
 		}
 	}
-	if one.step.AntiAffinity > 0 && together > one.step.AntiAffinity {
-		o.world.violate("ROUTE", "%s run %d is one of %d tasks of its step on %s", one.task, one.run, together, executor.id)
+	if execution.step.AntiAffinity > 0 && together > execution.step.AntiAffinity {
+		o.cluster.violate("ROUTE", "%s run %d is one of %d tasks of its step on %s", execution.task, execution.run, together, executor.id)
 	}
 }
 
-func (o *oracles) ended(executor *executor, one *execution, how string) {
-	o.world.count("end_" + how)
-	o.world.note("%s: %s run %d ends %s", executor.id, one.task, one.run, how)
-	facts := o.task(one.task)
-	if owner := o.jobs[one.place.ID]; owner != nil {
-		owner.running--
-	}
-	facts.active = slices.DeleteFunc(facts.active, func(other *execution) bool { return other == one })
+func (o *oracles) ended(executor *modelExecutor, execution *modelExecution, how string) {
+	o.cluster.count("end_" + how)
+	o.cluster.note("%s: %s run %d ends %s", executor.id, execution.task, execution.run, how)
+	facts := o.task(execution.task)
+	if job := o.jobs[execution.position.ID]; job != nil {
+		job.running--
+	}
+	facts.active = slices.DeleteFunc(facts.active, func(other *modelExecution) bool { return other == execution })
 	switch how {
-	case howDone:
+	case outcomeDone:
 		facts.isDone = true
-		if owner := o.jobs[one.place.ID]; owner != nil {
-			owner.progressAt = o.world.queue.now()
+		if job := o.jobs[execution.position.ID]; job != nil {
+			job.progressAt = o.cluster.queue.now()
 		}
-		if one.step.Gang {
-			for index := range one.step.Tasks {
-				o.task(jobs.TaskName(one.place.ID, one.place.Time, one.place.Step, index)).isDone = true
+		if execution.step.Gang {
+			for index := range execution.step.Tasks {
+				o.task(jobs.TaskName(execution.position.ID, execution.position.Time, execution.position.Step, index)).isDone = true
 			}
 		}
-	case howFailed:
-		facts.failures = append(facts.failures, failure{run: one.run, at: o.world.queue.now()})
+	case outcomeFailed:
+		facts.failures = append(facts.failures, failure{run: execution.run, at: o.cluster.queue.now()})
 	case howAlone:
-		owner := o.jobs[one.place.ID]
-		wasCalm := one.begunAt-o.world.troubledAt > o.world.profile.contactTime
-		if wasCalm && !owner.isCancelSent && !executor.isDraining {
-			o.world.violate("GANG", "%s run %d ended alone", one.task, one.run)
+		job := o.jobs[execution.position.ID]
+		wasCalm := execution.begunAt-o.cluster.troubledAt > o.cluster.profile.contactTime
+		if wasCalm && !job.isCancelSent && !executor.isDraining {
+			o.cluster.violate("GANG", "%s run %d ended alone", execution.task, execution.run)
 		}
 	}
 }
 
 // noted is told once last-seen reaches an end, unless the hold lapsed in between; starts made since then count against it.
-func (o *oracles) noted(executor *executor, end executorapi.EndRow) {
+func (o *oracles) noted(executor *modelExecutor, end executorapi.EndRow) {
 	facts := o.task(end.Task)
-	place, _ := jobs.ParseTask(end.Task)
-	step := o.stepOf(place)
+	position, _ := jobs.ParseTask(end.Task)
+	step := o.stepOf(position)
 	switch end.Outcome {
-	case howDone:
+	case outcomeDone:
 		if !facts.notedDone {
-			facts.notedDone, facts.doneAt = true, o.world.queue.now()
+			facts.notedDone, facts.doneAt = true, o.cluster.queue.now()
 		}
 		if !step.Redundant {
 			for _, begun := range facts.starts {
 				if begun.run > end.Run {
-					o.world.violate("TWICE", "%s: run %d had begun after run %d did it on %s, whose end is noted now", end.Task, begun.run, end.Run, executor.id)
+					o.cluster.violate("TWICE", "%s: run %d had begun after run %d did it on %s, whose end is noted now", end.Task, begun.run, end.Run, executor.id)
 				}
 			}
 		}
-	case howFailed:
-		o.notedFailure(facts, end, step, o.jobs[place.ID])
+	case outcomeFailed:
+		o.notedFailure(facts, end, step, o.jobs[position.ID])
 	}
 }
 
-func (o *oracles) notedFailure(facts *task, end executorapi.EndRow, step *jobs.Step, owner *job) {
+func (o *oracles) notedFailure(facts *modelTask, end executorapi.EndRow, step *jobs.Step, job *modelJob) {
 	noted, lastAt := 0, time.Duration(0)
-	for place := range facts.failures {
-		if facts.failures[place].run == end.Run {
-			facts.failures[place].isNoted = true
+	for index := range facts.failures {
+		if facts.failures[index].run == end.Run {
+			facts.failures[index].isNoted = true
 		}
-		if facts.failures[place].isNoted {
+		if facts.failures[index].isNoted {
 			noted++
-			lastAt = max(lastAt, facts.failures[place].at)
+			lastAt = max(lastAt, facts.failures[index].at)
 		}
 	}
-	if step.LongRunning || step.Redundant || owner == nil || noted < owner.terms.MaxAttempts {
+	if step.LongRunning || step.Redundant || job == nil || noted < job.terms.MaxAttempts {
 		return
 	}
 	for _, begun := range facts.starts {
 		if begun.at > lastAt {
-			o.world.violate("BUDGET", "%s run %d had begun after %d failures, which are noted now", end.Task, begun.run, noted)
+			o.cluster.violate("BUDGET", "%s run %d had begun after %d failures, which are noted now", end.Task, begun.run, noted)
 		}
 	}
 }
