--- a/internal/simulation/modelcheck/ordermodel/schedule.go
+++ b/internal/simulation/modelcheck/ordermodel/schedule.go
@@ -60,40 +60,40 @@
 // beyond the time of a drain.
 const drainUnannounced = 1
 
-// fault is a kind of trouble with the bounds of its length; those with more weight come more often.
-type fault struct {
+// scheduledFault is a kind of trouble with the bounds of its length; those with more weight come more often.
+type scheduledFault struct {
 	kind          string
 	weight        int
-	least, most   int
-	mostValue     int
+	least, limit  int
+	maxValue      int
 	isOfExecutors bool
 }
 
-var faults = []fault{
-	{kind: kindKillSteward, weight: 3, least: 100, most: 3000},
-	{kind: kindFreezeSteward, weight: 3, least: 200, most: 9000},
-	{kind: kindCutSteward, weight: 4, least: 200, most: 12000, mostValue: 2},
-	{kind: kindPartition, weight: 4, least: 500, most: 14000, mostValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
-	{kind: kindHandOver, weight: 2, least: 1, most: 1},
-	{kind: kindSlowSync, weight: 2, least: 200, most: 3000, mostValue: 400},
-	{kind: kindLosePower, weight: 3, least: 100, most: 1500, mostValue: 5},
-	{kind: kindClockJump, weight: 1, least: 500, most: 8000, mostValue: 4000},
-	{kind: kindCutGate, weight: 1, least: 200, most: 4000, mostValue: 2},
-	{kind: kindKillProxy, weight: 4, least: 50, most: 3000, isOfExecutors: true},
-	{kind: kindFreezeProxy, weight: 3, least: 200, most: 9000, isOfExecutors: true},
-	{kind: kindCutProxy, weight: 4, least: 200, most: 12000, mostValue: 2, isOfExecutors: true},
-	{kind: kindCrashExecutor, weight: 3, least: 50, most: 4000, isOfExecutors: true},
-	{kind: kindFreezeExecutor, weight: 2, least: 200, most: 9000, isOfExecutors: true},
-	{kind: kindDrainExecutor, weight: 2, least: 1, most: 10000, mostValue: drainUnannounced, isOfExecutors: true},
-	{kind: kindLateExecutor, weight: 5, least: 500, most: 6000, isOfExecutors: true},
-	{kind: kindMuteExecutor, weight: 4, least: 300, most: 5000, isOfExecutors: true},
-	{kind: kindBusyExecutor, weight: 3, least: 200, most: 4000, isOfExecutors: true},
-	{kind: kindRefuseExecutor, weight: 2, least: 100, most: 4000, isOfExecutors: true},
-	{kind: kindStuckExecutor, weight: 1, least: 300, most: 2000, isOfExecutors: true},
-	{kind: kindLateBeats, weight: 2, least: 500, most: 5000, isOfExecutors: true},
-	{kind: kindLoseMessages, weight: 3, least: 300, most: 5000, mostValue: 40},
-	{kind: kindDoubleMessages, weight: 3, least: 300, most: 5000, mostValue: 40},
-	{kind: kindDelayMessages, weight: 3, least: 300, most: 5000, mostValue: 3000},
+var faults = []scheduledFault{
+	{kind: kindKillSteward, weight: 3, least: 100, limit: 3000},
+	{kind: kindFreezeSteward, weight: 3, least: 200, limit: 9000},
+	{kind: kindCutSteward, weight: 4, least: 200, limit: 12000, maxValue: 2},
+	{kind: kindPartition, weight: 4, least: 500, limit: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
+	{kind: kindHandOver, weight: 2, least: 1, limit: 1},
+	{kind: kindSlowSync, weight: 2, least: 200, limit: 3000, maxValue: 400},
+	{kind: kindLosePower, weight: 3, least: 100, limit: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, least: 500, limit: 8000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, least: 200, limit: 4000, maxValue: 2},
+	{kind: kindKillProxy, weight: 4, least: 50, limit: 3000, isOfExecutors: true},
+	{kind: kindFreezeProxy, weight: 3, least: 200, limit: 9000, isOfExecutors: true},
+	{kind: kindCutProxy, weight: 4, least: 200, limit: 12000, maxValue: 2, isOfExecutors: true},
+	{kind: kindCrashExecutor, weight: 3, least: 50, limit: 4000, isOfExecutors: true},
+	{kind: kindFreezeExecutor, weight: 2, least: 200, limit: 9000, isOfExecutors: true},
+	{kind: kindDrainExecutor, weight: 2, least: 1, limit: 10000, maxValue: drainUnannounced, isOfExecutors: true},
+	{kind: kindLateExecutor, weight: 5, least: 500, limit: 6000, isOfExecutors: true},
+	{kind: kindMuteExecutor, weight: 4, least: 300, limit: 5000, isOfExecutors: true},
+	{kind: kindBusyExecutor, weight: 3, least: 200, limit: 4000, isOfExecutors: true},
+	{kind: kindRefuseExecutor, weight: 2, least: 100, limit: 4000, isOfExecutors: true},
+	{kind: kindStuckExecutor, weight: 1, least: 300, limit: 2000, isOfExecutors: true},
+	{kind: kindLateBeats, weight: 2, least: 500, limit: 5000, isOfExecutors: true},
+	{kind: kindLoseMessages, weight: 3, least: 300, limit: 5000, maxValue: 40},
+	{kind: kindDoubleMessages, weight: 3, least: 300, limit: 5000, maxValue: 40},
+	{kind: kindDelayMessages, weight: 3, least: 300, limit: 5000, maxValue: 3000},
 }
 
 // themes are kinds that bring about more together than each alone.
@@ -113,24 +113,24 @@
 const percentOfTheme = 75
 
 // drawFault draws from the theme, if there is one, and at times from all kinds.
-func drawFault(random *rand.Rand, theme []string) fault {
+func drawFault(random *rand.Rand, theme []string) scheduledFault {
 	if len(theme) > 0 && random.IntN(100) < percentOfTheme {
 		kind := theme[random.IntN(len(theme))]
-		return faults[slices.IndexFunc(faults, func(one fault) bool { return one.kind == kind })]
+		return faults[slices.IndexFunc(faults, func(fault scheduledFault) bool { return fault.kind == kind })]
 	}
 	return drawWeighted(random, faults)
 }
 
 // drawWeighted draws a fault by its weight.
-func drawWeighted(random *rand.Rand, all []fault) fault {
+func drawWeighted(random *rand.Rand, all []scheduledFault) scheduledFault {
 	total := 0
-	for _, one := range all {
-		total += one.weight
+	for _, fault := range all {
+		total += fault.weight
 	}
 	left := random.IntN(total)
-	for _, one := range all {
-		if left -= one.weight; left < 0 {
-			return one
+	for _, fault := range all {
+		if left -= fault.weight; left < 0 {
+			return fault
 		}
 	}
 	return all[0]
@@ -153,7 +153,7 @@
 	for range between(random, leastFaults, mostFaults) {
 		plan.addFault()
 	}
-	slices.SortStableFunc(schedule.Steps, func(one, two modelcheck.Step) int { return one.AtMs - two.AtMs })
+	slices.SortStableFunc(schedule.Steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
 	return schedule
 }
 
@@ -185,13 +185,13 @@
 }
 
 func (p *plan) addFault() {
-	random, one, spread := p.random, drawFault(p.random, p.theme), 3000
+	random, fault, spread := p.random, drawFault(p.random, p.theme), 3000
 	if p.isFocused {
 		spread = 800
 	}
-	step := modelcheck.Step{AtMs: max(firstStepMs, p.centre+between(random, -spread, spread)), Kind: one.kind, Node: random.IntN(p.Nodes),
-		ForMs: between(random, one.least, one.most), Value: random.IntN(one.mostValue + 1)}
-	if one.isOfExecutors {
+	step := modelcheck.Step{AtMs: max(firstStepMs, p.centre+between(random, -spread, spread)), Kind: fault.kind, Node: random.IntN(p.Nodes),
+		ForMs: between(random, fault.least, fault.limit), Value: random.IntN(fault.maxValue + 1)}
+	if fault.isOfExecutors {
 		step.Node = p.machine
 		if random.IntN(4) == 0 {
 			step.Node = random.IntN(smallProfile.executors)
--- a/internal/simulation/modelcheck/ordermodel/schedulelarge.go
+++ b/internal/simulation/modelcheck/ordermodel/schedulelarge.go
@@ -28,48 +28,48 @@
 
 // wave is one trouble of many machines, one after the other or all at once; machines are a share in percent.
 type wave struct {
-	kind        string
-	least, most int
-	share       int
-	mostGapMs   int
-	mostValue   int
+	kind         string
+	least, limit int
+	share        int
+	maxGapMs     int
+	maxValue     int
 }
 
 // waves are the troubles that large deployments have with a part of their machines.
 var waves = []wave{
-	{kind: kindCutProxy, least: 1000, most: 6000, share: 18, mostValue: 2},
-	{kind: kindCutProxy, least: 4000, most: 5500, share: 18},
-	{kind: kindKillProxy, least: 100, most: 1500, share: 30, mostGapMs: 150},
-	{kind: kindKillProxy, least: 100, most: 1500, share: 100},
-	{kind: kindFreezeProxy, least: 500, most: 4000, share: 12},
-	{kind: kindCrashExecutor, least: 500, most: 5000, share: 14, mostValue: staysAway},
-	{kind: kindCrashExecutor, least: 500, most: 3000, share: 100},
-	{kind: kindFreezeExecutor, least: 500, most: 4000, share: 12},
-	{kind: kindMuteExecutor, least: 1000, most: 5500, share: 45},
-	{kind: kindLateExecutor, least: 1000, most: 5500, share: 20},
-	{kind: kindBusyExecutor, least: 500, most: 4000, share: 30},
-	{kind: kindRefuseExecutor, least: 500, most: 4000, share: 15},
-	{kind: kindSlowExecutor, least: 3000, most: 7000, share: 18},
-	{kind: kindStuckExecutor, least: 300, most: 2000, share: 8},
-	{kind: kindLateBeats, least: 1000, most: 5000, share: 50},
-	{kind: kindDrainExecutor, least: 1, most: 1, share: 8, mostGapMs: 100},
-	{kind: kindDeregister, least: 1, most: 1, share: 8, mostGapMs: 100},
+	{kind: kindCutProxy, least: 1000, limit: 6000, share: 18, maxValue: 2},
+	{kind: kindCutProxy, least: 4000, limit: 5500, share: 18},
+	{kind: kindKillProxy, least: 100, limit: 1500, share: 30, maxGapMs: 150},
+	{kind: kindKillProxy, least: 100, limit: 1500, share: 100},
+	{kind: kindFreezeProxy, least: 500, limit: 4000, share: 12},
+	{kind: kindCrashExecutor, least: 500, limit: 5000, share: 14, maxValue: staysAway},
+	{kind: kindCrashExecutor, least: 500, limit: 3000, share: 100},
+	{kind: kindFreezeExecutor, least: 500, limit: 4000, share: 12},
+	{kind: kindMuteExecutor, least: 1000, limit: 5500, share: 45},
+	{kind: kindLateExecutor, least: 1000, limit: 5500, share: 20},
+	{kind: kindBusyExecutor, least: 500, limit: 4000, share: 30},
+	{kind: kindRefuseExecutor, least: 500, limit: 4000, share: 15},
+	{kind: kindSlowExecutor, least: 3000, limit: 7000, share: 18},
+	{kind: kindStuckExecutor, least: 300, limit: 2000, share: 8},
+	{kind: kindLateBeats, least: 1000, limit: 5000, share: 50},
+	{kind: kindDrainExecutor, least: 1, limit: 1, share: 8, maxGapMs: 100},
+	{kind: kindDeregister, least: 1, limit: 1, share: 8, maxGapMs: 100},
 }
 
 // coreFaults are the troubles of stewards, gates and the network in large schedules.
-var coreFaults = []fault{
-	{kind: kindKillSteward, weight: 3, least: 100, most: 4000},
-	{kind: kindFreezeSteward, weight: 2, least: 200, most: 5000},
-	{kind: kindCutSteward, weight: 3, least: 500, most: 7000, mostValue: 2},
-	{kind: kindPartition, weight: 2, least: 500, most: 6000, mostValue: 1<<16 - 1},
-	{kind: kindHandOver, weight: 4, least: 1, most: 1},
-	{kind: kindSlowSync, weight: 2, least: 200, most: 3500, mostValue: 400},
-	{kind: kindLosePower, weight: 3, least: 100, most: 1500, mostValue: 5},
-	{kind: kindClockJump, weight: 1, least: 500, most: 6000, mostValue: 4000},
-	{kind: kindCutGate, weight: 1, least: 200, most: 4000, mostValue: 2},
-	{kind: kindLoseMessages, weight: 1, least: 300, most: 3000, mostValue: 20},
-	{kind: kindDoubleMessages, weight: 1, least: 300, most: 3000, mostValue: 20},
-	{kind: kindDelayMessages, weight: 1, least: 300, most: 3000, mostValue: 2000},
+var coreFaults = []scheduledFault{
+	{kind: kindKillSteward, weight: 3, least: 100, limit: 4000},
+	{kind: kindFreezeSteward, weight: 2, least: 200, limit: 5000},
+	{kind: kindCutSteward, weight: 3, least: 500, limit: 7000, maxValue: 2},
+	{kind: kindPartition, weight: 2, least: 500, limit: 6000, maxValue: 1<<16 - 1},
+	{kind: kindHandOver, weight: 4, least: 1, limit: 1},
+	{kind: kindSlowSync, weight: 2, least: 200, limit: 3500, maxValue: 400},
+	{kind: kindLosePower, weight: 3, least: 100, limit: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, least: 500, limit: 6000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, least: 200, limit: 4000, maxValue: 2},
+	{kind: kindLoseMessages, weight: 1, least: 300, limit: 3000, maxValue: 20},
+	{kind: kindDoubleMessages, weight: 1, least: 300, limit: 3000, maxValue: 20},
+	{kind: kindDelayMessages, weight: 1, least: 300, limit: 3000, maxValue: 2000},
 }
 
 // drawLarge makes the schedule of a seed for the large profile: streams of jobs, waves of trouble among the machines, and
@@ -85,7 +85,7 @@
 	for range between(random, 0, mostCoreFaults) {
 		plan.addCoreFault()
 	}
-	slices.SortStableFunc(schedule.Steps, func(one, two modelcheck.Step) int { return one.AtMs - two.AtMs })
+	slices.SortStableFunc(schedule.Steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
 	return schedule
 }
 
@@ -135,21 +135,21 @@
 
 // addWave lets trouble come to a part of the machines: neighbours, or any.
 func (p *largePlan) addWave() {
-	one := waves[p.random.IntN(len(waves))]
-	count := max(1, largeProfile.executors*between(p.random, 1, one.share)/100)
-	at, length, gap := p.somewhere(), between(p.random, one.least, one.most), p.random.IntN(one.mostGapMs+1)
-	value, areNeighbours, first := p.random.IntN(one.mostValue+1), p.chance(50), p.random.IntN(largeProfile.executors)
+	wave := waves[p.random.IntN(len(waves))]
+	count := max(1, largeProfile.executors*between(p.random, 1, wave.share)/100)
+	at, length, gap := p.somewhere(), between(p.random, wave.least, wave.limit), p.random.IntN(wave.maxGapMs+1)
+	value, areNeighbours, first := p.random.IntN(wave.maxValue+1), p.chance(50), p.random.IntN(largeProfile.executors)
 	for number := range count {
 		machine := (first + number) % largeProfile.executors
 		if !areNeighbours {
 			machine = p.random.IntN(largeProfile.executors)
 		}
-		p.Steps = append(p.Steps, modelcheck.Step{AtMs: at + number*gap, Kind: one.kind, Node: machine, ForMs: length, Value: value})
+		p.Steps = append(p.Steps, modelcheck.Step{AtMs: at + number*gap, Kind: wave.kind, Node: machine, ForMs: length, Value: value})
 	}
 }
 
 func (p *largePlan) addCoreFault() {
-	one := drawWeighted(p.random, coreFaults)
-	p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: one.kind, Node: p.random.IntN(p.Nodes),
-		ForMs: between(p.random, one.least, one.most), Value: p.random.IntN(one.mostValue + 1)})
+	fault := drawWeighted(p.random, coreFaults)
+	p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: fault.kind, Node: p.random.IntN(p.Nodes),
+		ForMs: between(p.random, fault.least, fault.limit), Value: p.random.IntN(fault.maxValue + 1)})
 }
--- a/internal/simulation/modelcheck/ordermodel/shapes.go
+++ b/internal/simulation/modelcheck/ordermodel/shapes.go
@@ -8,12 +8,12 @@
 )
 
 // shape is a kind of job that clients hand in: it fills in the steps and the terms of its queue.
-type shape func(one *job)
+type shape func(job *modelJob)
 
 // defaultAttempts are the attempts of a queue, where a shape says nothing else.
 const defaultAttempts = 4
 
-// firstRunDelayMs is how long after it was handed in the first time of a repeated job is due.
+// firstRunDelayMs is how long after it was submitted the first time of a repeated job is due.
 const firstRunDelayMs = 800
 
 // smallShapes are the jobs of the small profile.
@@ -85,7 +85,7 @@
 }
 
 func steps(all ...jobs.Step) shape {
-	return func(one *job) { one.spec.Steps = all }
+	return func(job *modelJob) { job.spec.Steps = all }
 }
 
 func repeated(count int, periodMs int64, all ...jobs.Step) shape {
@@ -93,15 +93,15 @@
 }
 
 func timed(inner shape, count int, periodMs int64) shape {
-	return func(one *job) {
-		inner(one)
-		one.spec.RepeatCount, one.spec.PeriodMs = count, periodMs
+	return func(job *modelJob) {
+		inner(job)
+		job.spec.RepeatCount, job.spec.PeriodMs = count, periodMs
 	}
 }
 
 func under(terms wire.RouteTerms, all ...jobs.Step) shape {
-	return func(one *job) {
-		one.spec.Steps, one.terms = all, terms
+	return func(job *modelJob) {
+		job.spec.Steps, job.terms = all, terms
 	}
 }
 
@@ -110,13 +110,13 @@
 
 func jobID(number int) string { return fmt.Sprintf("%016x", number+1) }
 
-// makeJob gives job number of a schedule its shape; a timed one is due a little after it was handed in.
-func (p *profile) makeJob(number, shape int, atMs int64) *job {
-	one := &job{id: jobID(number), spec: &jobs.Spec{Descriptor: fmt.Sprintf("descriptor-%d", number)},
+// makeJob gives job number of a schedule its shape; a timed one is due a little after it was submitted.
+func (p *profile) makeJob(number, shape int, atMs int64) *modelJob {
+	job := &modelJob{id: jobID(number), spec: &jobs.Spec{Descriptor: fmt.Sprintf("descriptor-%d", number)},
 		terms: wire.RouteTerms{MaxAttempts: defaultAttempts, Stretch: 1.5, TargetMs: 250, Priority: number % 2}}
-	p.shapes[shape%len(p.shapes)](one)
-	if one.spec.RepeatCount > 0 {
-		one.spec.FirstRunMs = beginWallMs + atMs + firstRunDelayMs
+	p.shapes[shape%len(p.shapes)](job)
+	if job.spec.RepeatCount > 0 {
+		job.spec.FirstRunMs = beginWallMs + atMs + firstRunDelayMs
 	}
-	return one
+	return job
 }
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -20,21 +20,21 @@
 	stallLimit = 3 * time.Second
 	// orderedLately bounds how long an order to a machine may excuse its job.
 	orderedLately = 15 * time.Second
-	// roomTwice is how often a task must have room.
-	roomTwice = 2
+	// capacityTwice is how often a task must have room.
+	capacityTwice = 2
 )
 
 // watchStalls looks again and again.
-func (w *world) watchStalls() {
+func (w *simCluster) watchStalls() {
 	w.queue.after(w.profile.stallEvery, func() {
 		w.oracles.checkStalls()
 		w.watchStalls()
 	})
 }
 
-// offeredRoom is what sound executors have free now.
-type offeredRoom struct {
-	executors []*executor
+// offeredCapacity is what sound executors have free now.
+type offeredCapacity struct {
+	executors []*modelExecutor
 	free      []wire.Capacity
 	// isHalfUsed tells whether half of the service's room or more is in use: of all executors that are up, or of the sound
 	// ones alone, as the room of the others is out of reach.
@@ -53,18 +53,18 @@
 	return 2*s.used.CPU >= s.total.CPU || 2*s.used.Memory >= s.total.Memory
 }
 
-func (o *oracles) offeredRoom() *offeredRoom {
-	offered, sound, all := &offeredRoom{}, share{}, share{}
-	for _, one := range o.world.executors {
-		if !one.isUp {
+func (o *oracles) offeredCapacity() *offeredCapacity {
+	offered, sound, all := &offeredCapacity{}, share{}, share{}
+	for _, executor := range o.cluster.executors {
+		if !executor.isUp {
 			continue
 		}
-		used := one.used()
-		all.add(used, one.room)
-		if o.isSound(one) {
-			sound.add(used, one.room)
-			offered.executors = append(offered.executors, one)
-			offered.free = append(offered.free, wire.Capacity{CPU: one.room.CPU - used.CPU, Memory: one.room.Memory - used.Memory})
+		used := executor.used()
+		all.add(used, executor.capacity)
+		if o.isSound(executor) {
+			sound.add(used, executor.capacity)
+			offered.executors = append(offered.executors, executor)
+			offered.free = append(offered.free, wire.Capacity{CPU: executor.capacity.CPU - used.CPU, Memory: executor.capacity.Memory - used.Memory})
 		}
 	}
 	offered.isHalfUsed = all.isHalfUsed() || sound.isHalfUsed()
@@ -72,22 +72,22 @@
 }
 
 // isSound tells whether an executor has been there, and nothing has been wrong with its machine, for the contact time.
-func (o *oracles) isSound(one *executor) bool {
-	now, contact := o.world.queue.now(), o.world.profile.contactTime
-	return one.isUp && !one.isFrozen && !one.isDraining && !one.isLeaving && one.proxy.isReachable() && one.proxy.group == 0 &&
-		now-one.begunAt > contact && now-one.troubledUntil > contact
+func (o *oracles) isSound(executor *modelExecutor) bool {
+	now, contact := o.cluster.queue.now(), o.cluster.profile.contactTime
+	return executor.isUp && !executor.isFrozen && !executor.isDraining && !executor.isLeaving && executor.proxy.isReachable() && executor.proxy.group == 0 &&
+		now-executor.begunAt > contact && now-executor.troubledUntil > contact
 }
 
 // fits tells whether so many tasks of a step have room on sound executors now.
-func (r *offeredRoom) fits(step *jobs.Step, held func(*executor) int, count int64) bool {
+func (r *offeredCapacity) fits(step *jobs.Step, held func(*modelExecutor) int, count int64) bool {
 	found := int64(0)
-	for place, one := range r.executors {
-		if !hasLabels(one, step) {
+	for index, executor := range r.executors {
+		if !hasLabels(executor, step) {
 			continue
 		}
-		slots := slotsIn(r.free[place], step)
+		slots := slotsIn(r.free[index], step)
 		if step.AntiAffinity > 0 {
-			slots = min(slots, int64(max(0, step.AntiAffinity-held(one))))
+			slots = min(slots, int64(max(0, step.AntiAffinity-held(executor))))
 		}
 		if found += slots; found >= count {
 			return true
@@ -109,80 +109,80 @@
 }
 
 func (o *oracles) checkStalls() {
-	w, now := o.world, o.world.queue.now()
+	w, now := o.cluster, o.cluster.queue.now()
 	if now-w.coreTroubledAt <= w.profile.contactTime {
 		o.forgetStalls()
 		return
 	}
-	offered := o.offeredRoom()
+	offered := o.offeredCapacity()
 	if offered.isHalfUsed {
 		o.forgetStalls()
 		return
 	}
-	for _, one := range o.order {
-		name, isWaiting := o.waitsWithoutCause(one, offered)
+	for _, job := range o.order {
+		name, isWaiting := o.waitsWithoutCause(job, offered)
 		switch {
 		case !isWaiting:
-			one.stalledSince = 0
-		case one.stalledSince == 0:
-			one.stalledSince = now
-		case now-one.stalledSince >= stallLimit:
-			w.violate("STALLED", "nothing of %s has run since %d ms, though the turn of %s has come and there is room", one.id,
-				one.stalledSince.Milliseconds(), name)
+			job.stalledSince = 0
+		case job.stalledSince == 0:
+			job.stalledSince = now
+		case now-job.stalledSince >= stallLimit:
+			w.violate("STALLED", "nothing of %s has run since %d ms, though the turn of %s has come and there is room", job.id,
+				job.stalledSince.Milliseconds(), name)
 			return
 		}
 	}
 }
 
 func (o *oracles) forgetStalls() {
-	for _, one := range o.order {
-		one.stalledSince = 0
+	for _, job := range o.order {
+		job.stalledSince = 0
 	}
 }
 
 // waitsWithoutCause names a task of a job that could run, if nothing of the job does.
-func (o *oracles) waitsWithoutCause(one *job, offered *offeredRoom) (name string, isWaiting bool) {
-	if !one.isAccepted || one.isCancelSent || one.isOver() || one.running > 0 || o.isExcused(one) || o.mayHaveFailed(one) {
+func (o *oracles) waitsWithoutCause(job *modelJob, offered *offeredCapacity) (name string, isWaiting bool) {
+	if !job.isAccepted || job.isCancelSent || job.isOver() || job.running > 0 || o.isExcused(job) || o.mayHaveFailed(job) {
 		return "", false
 	}
-	for time := range max(1, one.spec.RepeatCount) {
-		if !o.isDue(one, time) {
+	for time := range max(1, job.spec.RepeatCount) {
+		if !o.isDue(job, time) {
 			break
 		}
-		for number := range one.spec.Steps {
-			step := &one.spec.Steps[number]
-			index, isLeft := o.firstLeft(one, time, number)
-			if !isLeft || !o.isTurn(one, time, step) {
+		for number := range job.spec.Steps {
+			step := &job.spec.Steps[number]
+			index, isLeft := o.firstLeft(job, time, number)
+			if !isLeft || !o.isTurn(job, time, step) {
 				continue
 			}
-			count := int64(roomTwice)
+			count := int64(capacityTwice)
 			if step.Gang {
 				count *= int64(step.Tasks)
 			}
-			held := func(where *executor) int { return where.tasksOf(one.id, time, number) }
+			held := func(where *modelExecutor) int { return where.tasksOf(job.id, time, number) }
 			if offered.fits(step, held, count) {
-				return jobs.TaskName(one.id, time, number, index), true
+				return jobs.TaskName(job.id, time, number, index), true
 			}
 		}
 	}
 	return "", false
 }
 
-func (o *oracles) isDue(one *job, time int) bool {
-	if one.spec.RepeatCount == 0 {
+func (o *oracles) isDue(job *modelJob, time int) bool {
+	if job.spec.RepeatCount == 0 {
 		return true
 	}
 	slack := int64(earlyMs)
 	if o.isTimeOdd {
 		slack += jumpSlackMs
 	}
-	return o.world.queue.clock.WallMs() >= one.spec.FirstRunMs+int64(time)*one.spec.PeriodMs+slack
+	return o.cluster.queue.clock.WallMs() >= job.spec.FirstRunMs+int64(time)*job.spec.PeriodMs+slack
 }
 
 // firstLeft is the first task of a step that no run has done.
-func (o *oracles) firstLeft(one *job, time, number int) (index int, isLeft bool) {
-	for index := range one.spec.Steps[number].Tasks {
-		if !o.isDone(jobs.TaskName(one.id, time, number, index)) {
+func (o *oracles) firstLeft(job *modelJob, time, number int) (index int, isLeft bool) {
+	for index := range job.spec.Steps[number].Tasks {
+		if !o.isDone(jobs.TaskName(job.id, time, number, index)) {
 			return index, true
 		}
 	}
@@ -195,9 +195,9 @@
 }
 
 // isTurn tells whether all tasks of the steps before this one are done.
-func (o *oracles) isTurn(one *job, time int, step *jobs.Step) bool {
+func (o *oracles) isTurn(job *modelJob, time int, step *jobs.Step) bool {
 	for _, earlier := range step.DependsOn {
-		if _, isLeft := o.firstLeft(one, time, earlier); isLeft {
+		if _, isLeft := o.firstLeft(job, time, earlier); isLeft {
 			return false
 		}
 	}
@@ -211,28 +211,28 @@
 		if machine < 0 {
 			machine = o.machineOf(call.Executor)
 		}
-		place, _ := jobs.ParseTask(order.Task)
-		if one := o.jobs[place.ID]; one != nil {
-			if one.orderedAt == nil {
-				one.orderedAt = map[int]time.Duration{}
+		position, _ := jobs.ParseTask(order.Task)
+		if job := o.jobs[position.ID]; job != nil {
+			if job.orderedAt == nil {
+				job.orderedAt = map[int]time.Duration{}
 			}
-			one.orderedAt[machine] = o.world.queue.now()
+			job.orderedAt[machine] = o.cluster.queue.now()
 		}
 	}
 }
 
 // machineOf is the number of the machine that a life stands on; its name ends with the number of the life.
-func (o *oracles) machineOf(life string) int {
-	name := life[:strings.LastIndexByte(life, '-')]
-	return slices.IndexFunc(o.world.executors, func(one *executor) bool { return one.machine == name })
+func (o *oracles) machineOf(executorID string) int {
+	name := executorID[:strings.LastIndexByte(executorID, '-')]
+	return slices.IndexFunc(o.cluster.executors, func(executor *modelExecutor) bool { return executor.machine == name })
 }
 
 // elected notes that a new leader took over. Where a machine was in trouble, nobody can tell it what the former leader had
-// given to that machine, and it waits until that has lapsed: a job that had been handed in before is excused for so long.
+// given to that machine, and it waits until that has lapsed: a job that had been submitted before is excused for so long.
 func (o *oracles) elected() {
-	for _, one := range o.world.executors {
-		if !o.isSound(one) {
-			o.electedAt, o.inheritedUntil = o.world.queue.now(), o.world.queue.now()+o.lapse()+o.world.profile.contactTime
+	for _, executor := range o.cluster.executors {
+		if !o.isSound(executor) {
+			o.electedAt, o.inheritedUntil = o.cluster.queue.now(), o.cluster.queue.now()+o.lapse()+o.cluster.profile.contactTime
 			return
 		}
 	}
@@ -240,18 +240,18 @@
 
 // lapse is how long a leader waits until it takes a hold for lapsed.
 func (o *oracles) lapse() time.Duration {
-	hold := o.world.timing.MaxHold
+	hold := o.cluster.timing.MaxHold
 	return hold + hold/40 + lapseSlack
 }
 
 // isExcused tells whether a job may wait for runs on machines in trouble.
-func (o *oracles) isExcused(one *job) bool {
-	now := o.world.queue.now()
-	if one.handedInAt <= o.electedAt && now < o.inheritedUntil {
+func (o *oracles) isExcused(job *modelJob) bool {
+	now := o.cluster.queue.now()
+	if job.handedInAt <= o.electedAt && now < o.inheritedUntil {
 		return true
 	}
-	for machine, at := range one.orderedAt {
-		if now-at < orderedLately && now < o.lapsedAt(o.world.executors[machine]) {
+	for machine, at := range job.orderedAt {
+		if now-at < orderedLately && now < o.lapsedAt(o.cluster.executors[machine]) {
 			return true
 		}
 	}
@@ -260,34 +260,34 @@
 
 // lapsedAt is when all is settled that a machine was told to run before its last trouble, or before the last trouble of
 // the core if a leader may have come too late to know.
-func (o *oracles) lapsedAt(one *executor) time.Duration {
-	if one.troubledUntil == 0 {
+func (o *oracles) lapsedAt(executor *modelExecutor) time.Duration {
+	if executor.troubledUntil == 0 {
 		return 0
 	}
-	from := one.troubledFrom + time.Second
-	if core := o.world.coreTroubledAt; core > one.troubledFrom && core < one.troubledUntil+orderedLately {
+	from := executor.troubledFrom + time.Second
+	if core := o.cluster.coreTroubledAt; core > executor.troubledFrom && core < executor.troubledUntil+orderedLately {
 		from = max(from, core)
 	}
-	return max(from+o.lapse(), one.troubledUntil) + o.world.profile.contactTime
+	return max(from+o.lapse(), executor.troubledUntil) + o.cluster.profile.contactTime
 }
 
 // lapseSlack is what a leader adds to the time after which it takes a hold for lapsed.
 const lapseSlack = 250 * time.Millisecond
 
 // tasksOf counts the runs of a step that are on an executor.
-func (e *executor) tasksOf(id string, time, step int) int {
+func (e *modelExecutor) tasksOf(id string, time, step int) int {
 	count := 0
-	for _, one := range e.active {
-		if one.place.ID == id && one.place.Time == time && one.place.Step == step {
+	for _, execution := range e.active {
+		if execution.position.ID == id && execution.position.Time == time && execution.position.Step == step {
 			count++
 		}
 	}
 	return count
 }
 
-func hasLabels(one *executor, step *jobs.Step) bool {
+func hasLabels(executor *modelExecutor, step *jobs.Step) bool {
 	for _, label := range step.Labels {
-		if !slices.Contains(one.labels, label) {
+		if !slices.Contains(executor.labels, label) {
 			return false
 		}
 	}
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -13,7 +13,7 @@
 
 // poolLeader is what the model drives of a pool; plants wrap it.
 type poolLeader interface {
-	Open(tenure scheduler.Leadership, pairs []wire.Op)
+	Open(leadership scheduler.Leadership, pairs []wire.Op)
 	Unreadable() []string
 	Close()
 	IsOpen() bool
@@ -25,32 +25,32 @@
 	Cancel(call *wire.ClientCall, answer func(wire.ClientAnswer))
 }
 
-// jumpingClock is the world's clock with a time of day that may jump.
+// jumpingClock is the simulated cluster's clock with a time of day that may jump.
 type jumpingClock struct {
 	*clock.Fake
-	steward *steward
+	steward *modelSteward
 }
 
 // WallMs is the steward's time of day in milliseconds.
 func (c jumpingClock) WallMs() int64 { return c.Fake.WallMs() + c.steward.wallJumpMs }
 
-// steward runs the real pool while it leads the key.
-type steward struct {
-	process
+// modelSteward runs the real pool while it leads the key.
+type modelSteward struct {
+	modelProcess
 	pool       poolLeader
 	leads      *leadership
 	wallJumpMs int64
 	isLeaving  bool
 }
 
-func (s *steward) start() {
+func (s *modelSteward) start() {
 	s.boot()
 	s.leads = nil
-	s.pool = s.world.plant.scheduler(scheduler.New(poolKey, jumpingClock{s.world.queue.clock, s}, s.world.timing, logging.Silent()))
+	s.pool = s.cluster.fault.scheduler(scheduler.New(poolKey, jumpingClock{s.cluster.queue.clock, s}, s.cluster.timing, logging.Silent()))
 	s.tick()
 }
 
-func (s *steward) tick() {
+func (s *modelSteward) tick() {
 	if s.pool.IsOpen() {
 		s.pool.Tick()
 		s.settle()
@@ -58,38 +58,38 @@
 	s.later(tickEvery, s.tick)
 }
 
-func (s *steward) settle() {
+func (s *modelSteward) settle() {
 	if s.isUp && !s.isFrozen {
 		s.pool.Flush()
 	}
 }
 
 // lead opens the pool under a new leadership.
-func (s *steward) lead(fresh *leadership, pairs []wire.Op) {
+func (s *modelSteward) lead(fresh *leadership, pairs []wire.Op) {
 	if s.leads != nil {
 		s.leads.close()
 	}
 	s.leads = fresh
-	s.pool.Open(s.world.plant.tenure(fresh), pairs)
+	s.pool.Open(s.cluster.fault.leadership(fresh), pairs)
 	if unreadable := s.pool.Unreadable(); len(unreadable) > 0 {
-		s.world.violate("READ", "the state of the key can't be taken over: %v", unreadable)
+		s.cluster.violate("READ", "the state of the key can't be taken over: %v", unreadable)
 	}
 }
 
-func (s *steward) exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
+func (s *modelSteward) exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	if !s.pool.IsOpen() {
 		answer(wire.ExchangeAnswer{NotLeader: true})
 		return
 	}
-	s.pool.Exchange(call, func(told wire.ExchangeAnswer) {
-		s.world.oracles.orderedTo(call, told.Orders)
-		answer(told)
+	s.pool.Exchange(call, func(response wire.ExchangeAnswer) {
+		s.cluster.oracles.orderedTo(call, response.Orders)
+		answer(response)
 	})
 	s.settle()
 }
 
 // serve runs a client's command, as the steward's own table of commands does.
-func (s *steward) serve(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
+func (s *modelSteward) serve(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if !s.pool.IsOpen() {
 		answer(wire.ClientAnswer{NotLeader: true})
 		return
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// Of the jobs of a stream so many percent are handed in again or cancelled by their clients.
+// Of the jobs of a stream so many percent are submitted again or cancelled by their clients.
 const (
 	percentHandedInAgain = 5
 	percentCancelled     = 3
@@ -16,40 +16,40 @@
 )
 
 // handInFirst makes a job and hands it in by way of a gate.
-func (w *world) handInFirst(number, shape, through int) *job {
-	one := w.profile.makeJob(number, shape, w.queue.now().Milliseconds())
-	one.isHandedIn, one.handedInAt = true, w.queue.now()
-	w.oracles.jobs[one.id] = one
-	w.oracles.order = append(w.oracles.order, one)
-	w.handIn(one, through, 0)
-	return one
+func (w *simCluster) handInFirst(number, shape, through int) *modelJob {
+	job := w.profile.makeJob(number, shape, w.queue.now().Milliseconds())
+	job.isHandedIn, job.handedInAt = true, w.queue.now()
+	w.oracles.jobs[job.id] = job
+	w.oracles.order = append(w.oracles.order, job)
+	w.handIn(job, through, 0)
+	return job
 }
 
 // stream hands Peer jobs of the shape Value in, evenly spread over the step's time; their numbers begin with Node.
-func (w *world) stream(step modelcheck.Step) {
+func (w *simCluster) stream(step modelcheck.Step) {
 	for count := range step.Peer {
 		at := clock.Milliseconds(int64(step.ForMs)) * time.Duration(count) / time.Duration(step.Peer)
 		w.queue.after(at, func() { w.handInOfStream(step.Node+count, step.Value) })
 	}
 }
 
-func (w *world) handInOfStream(number, shape int) {
+func (w *simCluster) handInOfStream(number, shape int) {
 	random := w.queue.random
-	one := w.handInFirst(number, shape, random.IntN(len(w.gates)))
+	job := w.handInFirst(number, shape, random.IntN(len(w.gates)))
 	if w.queue.chance(percentHandedInAgain) {
-		w.queue.after(w.queue.between(time.Millisecond, mostResendTime), func() { w.handIn(one, random.IntN(len(w.gates)), clientTries) })
+		w.queue.after(w.queue.between(time.Millisecond, mostResendTime), func() { w.handIn(job, random.IntN(len(w.gates)), clientAttempts) })
 	}
 	if w.queue.chance(percentCancelled) {
-		w.queue.after(w.queue.between(time.Millisecond, mostCancelTime), func() { w.cancel(one, random.IntN(len(w.gates)), 0) })
+		w.queue.after(w.queue.between(time.Millisecond, mostCancelTime), func() { w.cancel(job, random.IntN(len(w.gates)), 0) })
 	}
 }
 
 // giveUp cancels Value percent of the jobs that are not over.
-func (w *world) giveUp(step modelcheck.Step) {
-	for _, one := range w.oracles.order {
-		if !one.isOver() && !one.isCancelSent && w.queue.chance(step.Value) {
+func (w *simCluster) giveUp(step modelcheck.Step) {
+	for _, job := range w.oracles.order {
+		if !job.isOver() && !job.isCancelSent && w.queue.chance(step.Value) {
 			wait := w.queue.between(0, clock.Milliseconds(int64(step.ForMs)))
-			w.queue.after(wait, func() { w.cancel(one, w.queue.random.IntN(len(w.gates)), 0) })
+			w.queue.after(wait, func() { w.cancel(job, w.queue.random.IntN(len(w.gates)), 0) })
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -25,23 +25,23 @@
 )
 
 // hashOf spreads the names of runs evenly.
-func hashOf(one *execution) uint64 {
+func hashOf(execution *modelExecution) uint64 {
 	hash := uint64(14695981039346656037)
-	for _, letter := range []byte(fmt.Sprint(one.task, "/", one.run)) {
-		hash = (hash ^ uint64(letter)) * 1099511628211
+	for _, digit := range []byte(fmt.Sprint(execution.task, "/", execution.run)) {
+		hash = (hash ^ uint64(digit)) * 1099511628211
 	}
 	return hash ^ hash>>29
 }
 
 // smallWork is the work of the small profile, whatever a step's estimate says.
-func smallWork(one *execution) (time.Duration, string) {
-	hash, how := hashOf(one), howDone
-	if hash%100 < percentFailing || one.step.EstimatedMs == hopelessMs {
-		how = howFailed
+func smallWork(execution *modelExecution) (time.Duration, string) {
+	hash, how := hashOf(execution), outcomeDone
+	if hash%100 < percentFailing || execution.step.EstimatedMs == hopelessMs {
+		how = outcomeFailed
 	}
 	length := 50 + (hash/100)%700
 	switch {
-	case one.step.EstimatedMs >= longMs:
+	case execution.step.EstimatedMs >= longMs:
 		length += longMs
 	case (hash/70000)%8 == 0:
 		length += 2500
@@ -50,25 +50,25 @@
 }
 
 // largeWork is from half to one and a half of the estimate, longer away from a step's data and on a slow executor.
-func largeWork(one *execution) (time.Duration, string) {
-	hash, how := hashOf(one), howDone
+func largeWork(execution *modelExecution) (time.Duration, string) {
+	hash, how := hashOf(execution), outcomeDone
 	if hash%100 < percentFailingLarge {
-		how = howFailed
+		how = outcomeFailed
 	}
-	length := one.step.EstimatedMs * int64(50+(hash/100)%100) / 100
+	length := execution.step.EstimatedMs * int64(50+(hash/100)%100) / 100
 	if (hash/70000)%oneInLong == 0 {
 		length *= longFactor
 	}
-	if one.executor.isSlow {
+	if execution.executor.isSlow {
 		length *= slowFactor
 	}
-	if isRemote(one.step, one.executor) {
-		length = int64(float64(length) * one.executor.world.timing.RemoteFactor)
+	if isRemote(execution.step, execution.executor) {
+		length = int64(float64(length) * execution.executor.cluster.timing.RemoteFactor)
 	}
 	return min(clock.Milliseconds(length), mostLargeWork), how
 }
 
-func isRemote(step *jobs.Step, where *executor) bool {
+func isRemote(step *jobs.Step, where *modelExecutor) bool {
 	isThere := func(label string) bool { return slices.Contains(where.labels, label) }
 	return len(step.Affinity) > 0 && !slices.ContainsFunc(step.Affinity, isThere)
 }
--- a/internal/simulation/modelcheck/ordermodel/world.go
+++ b/internal/simulation/modelcheck/ordermodel/world.go
@@ -20,19 +20,19 @@
 	poolKey = "pool/" + service
 )
 
-// world is a whole system: stewards, gates, local-proxies and executors.
-type world struct {
+// simCluster is a whole system: stewards, gates, local-proxies and executors.
+type simCluster struct {
 	queue     *eventQueue
 	profile   *profile
 	timing    scheduler.Timing
 	key       *replicatedKey
-	stewards  []*steward
-	gates     []*gate
-	proxies   []*proxy
-	executors []*executor
-	outside   *process
+	stewards  []*modelSteward
+	gates     []*modelGate
+	proxies   []*modelProxy
+	executors []*modelExecutor
+	outside   *modelProcess
 	oracles   *oracles
-	plant     plant
+	fault     injectedFault
 	coverage  modelcheck.Coverage
 	views     []*membership.View
 	hop       hop
@@ -51,62 +51,62 @@
 	trace     io.Writer
 }
 
-func newWorld(schedule modelcheck.Schedule) *world {
+func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	profile := profileOf(schedule.Size)
-	w := &world{queue: newEventQueue(schedule.Seed), profile: profile, plant: plant{schedule.Plant}, coverage: modelcheck.Coverage{},
+	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.Plant}, coverage: modelcheck.Coverage{},
 		forgotten: map[string]bool{}}
-	w.timing = w.plant.timing(profile.timing)
+	w.timing = w.fault.timing(profile.timing)
 	w.oracles = newOracles(w)
-	w.outside = &process{world: w, name: "outside", isUp: true, isOnce: true}
-	w.key = &replicatedKey{world: w, pairs: map[string][]byte{}}
+	w.outside = &modelProcess{cluster: w, name: "outside", isUp: true, isOnce: true}
+	w.key = &replicatedKey{cluster: w, pairs: map[string][]byte{}}
 	w.views = make([]*membership.View, schedule.Nodes)
 	for number := range schedule.Nodes {
-		w.stewards = append(w.stewards, &steward{process: process{world: w, name: fmt.Sprintf("steward-%d", number)}})
+		w.stewards = append(w.stewards, &modelSteward{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("steward-%d", number)}})
 	}
 	for number := range profile.gates {
-		w.gates = append(w.gates, &gate{process: process{world: w, name: fmt.Sprintf("gate-%d", number), isOnce: true}})
+		w.gates = append(w.gates, &modelGate{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("gate-%d", number), isOnce: true}})
 	}
 	for number := range profile.executors {
 		machine := fmt.Sprintf("side-%d", number)
-		one := &executor{world: w, machine: machine, number: number, room: profile.room(number),
+		executor := &modelExecutor{cluster: w, machine: machine, number: number, capacity: profile.capacity(number),
 			labels: []string{"zone", rackOf(number / profile.rackSize)}, isGuarding: profile.isGuarding(number)}
-		one.proxy = &proxy{process: process{world: w, name: machine}, executor: one}
-		w.executors, w.proxies = append(w.executors, one), append(w.proxies, one.proxy)
+		executor.proxy = &modelProxy{modelProcess: modelProcess{cluster: w, name: machine}, executor: executor}
+		w.executors, w.proxies = append(w.executors, executor), append(w.proxies, executor.proxy)
 	}
 	w.start()
 	return w
 }
 
-func (w *world) start() {
-	for _, one := range w.stewards {
-		one.start()
+func (w *simCluster) start() {
+	for _, steward := range w.stewards {
+		steward.start()
 	}
-	for _, one := range w.gates {
-		one.start()
+	for _, gate := range w.gates {
+		gate.start()
 	}
-	for _, one := range w.proxies {
-		one.start()
+	for _, proxy := range w.proxies {
+		proxy.start()
 	}
-	for _, one := range w.executors {
-		one.start()
+	for _, executor := range w.executors {
+		executor.start()
 	}
 	w.key.watch()
 	w.watchStalls()
 }
 
-func (w *world) count(what string) { w.coverage[what]++ }
+func (w *simCluster) count(description string) { w.coverage[description]++ }
 
 // announce lets processes hear of a new leader, each in its time; one that is cut off hears later.
-func (w *world) announce(fresh *leadership) {
-	for _, one := range w.gates {
-		w.tellLeader(&one.process, fresh)
+func (w *simCluster) announce(fresh *leadership) {
+	for _, gate := range w.gates {
+		w.tellLeader(&gate.modelProcess, fresh)
 	}
-	for _, one := range w.proxies {
-		w.tellLeader(&one.process, fresh)
+	for _, proxy := range w.proxies {
+		w.tellLeader(&proxy.modelProcess, fresh)
 	}
 }
 
-func (w *world) tellLeader(to *process, fresh *leadership) {
+func (w *simCluster) tellLeader(to *modelProcess, fresh *leadership) {
 	w.queue.after(w.queue.between(time.Millisecond, mostNewsTime), func() {
 		if w.key.leader != fresh {
 			return
@@ -115,9 +115,9 @@
 			w.tellLeader(to, fresh)
 			return
 		}
-		for place, one := range w.stewards {
-			if one == fresh.steward {
-				to.hear(place)
+		for index, steward := range w.stewards {
+			if steward == fresh.steward {
+				to.hear(index)
 			}
 		}
 	})
--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -129,7 +129,7 @@
 	return timing
 }
 
-// terms gives what a job is handed in with; its aim is judged by what was recorded.
+// terms gives what a job is submitted with; its aim is judged by what was recorded.
 func (c *Change) terms(queue string, terms wire.RouteTerms) wire.RouteTerms {
 	change := c.Queues[queue]
 	set(&terms.Priority, change.Priority)
--- a/internal/simulation/rehearsal/fault.go
+++ b/internal/simulation/rehearsal/fault.go
@@ -57,7 +57,7 @@
 }
 
 // strike sets the fault going; it tells whether the stage has such a target.
-func (f Fault) strike(s *simcluster.Stage) bool {
+func (f Fault) strike(s *simcluster.Cluster) bool {
 	for _, node := range s.Nodes {
 		if node.Name == f.Target {
 			return f.strikeNode(s, node)
@@ -71,16 +71,16 @@
 	return false
 }
 
-func (f Fault) strikeNode(s *simcluster.Stage, node *simcluster.Node) bool {
+func (f Fault) strikeNode(s *simcluster.Cluster, node *simcluster.Node) bool {
 	switch f.Kind {
 	case faultKill:
-		s.Line.After(f.At, func() { s.Kill(node) })
-		s.Line.After(f.At+f.Length, func() { s.Start(node) })
+		s.Events.After(f.At, func() { s.Kill(node) })
+		s.Events.After(f.At+f.Length, func() { s.Start(node) })
 	case faultFreeze:
-		s.Line.After(f.At, func() { s.Freeze(node, true) })
-		s.Line.After(f.At+f.Length, func() { s.Freeze(node, false) })
+		s.Events.After(f.At, func() { s.Freeze(node, true) })
+		s.Events.After(f.At+f.Length, func() { s.Freeze(node, false) })
 	case faultWipe:
-		s.Line.After(f.At, func() { s.Wipe(node) })
+		s.Events.After(f.At, func() { s.Wipe(node) })
 	case faultCut:
 		f.cut(s)
 	default:
@@ -89,15 +89,15 @@
 	return true
 }
 
-func (f Fault) strikeExecutor(s *simcluster.Stage, executor *simcluster.Executor) bool {
+func (f Fault) strikeExecutor(s *simcluster.Cluster, executor *simcluster.Executor) bool {
 	switch f.Kind {
 	case faultKill:
-		s.Line.After(f.At, func() { s.Crash(executor, f.Length) })
+		s.Events.After(f.At, func() { s.Crash(executor, f.Length) })
 	case faultDrain:
-		s.Line.After(f.At, func() { s.Drain(executor) })
+		s.Events.After(f.At, func() { s.Drain(executor) })
 	case faultSlow:
-		s.Line.After(f.At, func() { s.Slow(executor, slowFactor) })
-		s.Line.After(f.At+f.Length, func() { s.Slow(executor, 1) })
+		s.Events.After(f.At, func() { s.Slow(executor, slowFactor) })
+		s.Events.After(f.At+f.Length, func() { s.Slow(executor, 1) })
 	case faultCut:
 		f.cut(s)
 	default:
@@ -106,7 +106,7 @@
 	return true
 }
 
-func (f Fault) cut(s *simcluster.Stage) {
-	s.Line.After(f.At, func() { s.Cut(f.Target, true) })
-	s.Line.After(f.At+f.Length, func() { s.Cut(f.Target, false) })
+func (f Fault) cut(s *simcluster.Cluster) {
+	s.Events.After(f.At, func() { s.Cut(f.Target, true) })
+	s.Events.After(f.At+f.Length, func() { s.Cut(f.Target, false) })
 }
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -52,7 +52,7 @@
 	Stage   []simcluster.Option
 }
 
-// Outcome is what became of one job in one play. TookMs counts from its hand-in to the moment it was seen to have ended, 0
+// Outcome is what became of one job in one play. TookMs counts from its submission to the moment it was seen to have ended, 0
 // if it has not; AimMs is the time after which it is late; Twice says that a task ran twice at once.
 type Outcome struct {
 	ID      string `json:"id"`
@@ -79,7 +79,7 @@
 // play is one play of a day.
 type play struct {
 	setup Setup
-	stage *simcluster.Stage
+	stage *simcluster.Cluster
 	// lengths and ends are those that were recorded, by run and by task.
 	lengths map[string]time.Duration
 	ends    map[string]string
@@ -122,7 +122,7 @@
 }
 
 // options gives those of the stage: executors, work, timing and rules as the change has them.
-func (p *play) options(places []simcluster.Place) ([]simcluster.Option, error) {
+func (p *play) options(places []simcluster.Site) ([]simcluster.Option, error) {
 	timing := p.setup.Change.timing(simcluster.DefaultTiming)
 	options := append([]simcluster.Option{simcluster.WithPlaces(places), simcluster.WithWork(p.work), simcluster.WithTiming(timing)}, p.setup.Stage...)
 	rules, err := p.setup.Change.rules()
@@ -169,16 +169,16 @@
 }
 
 // places gives the executors that were recorded, by machine.
-func (p *play) places() []simcluster.Place {
-	known := map[string]simcluster.Place{}
+func (p *play) places() []simcluster.Site {
+	known := map[string]simcluster.Site{}
 	for _, event := range p.setup.Day.Events {
 		if event.Kind == recording.KindExecutor {
 			if _, isThere := known[event.Machine]; !isThere {
-				known[event.Machine] = simcluster.Place{Machine: event.Machine, Room: event.Capacity, Labels: event.Labels}
+				known[event.Machine] = simcluster.Site{Machine: event.Machine, Capacity: event.Capacity, Labels: event.Labels}
 			}
 		}
 	}
-	var places []simcluster.Place
+	var places []simcluster.Site
 	for _, machine := range slices.Sorted(maps.Keys(known)) {
 		places = append(places, known[machine])
 	}
@@ -197,12 +197,12 @@
 			}
 			job := &playedJob{event: event, spec: spec}
 			p.jobs[event.ID] = job
-			p.stage.Line.After(wait, func() { p.handIn(job) })
+			p.stage.Events.After(wait, func() { p.handIn(job) })
 		case recording.KindCancel:
-			p.stage.Line.After(wait, func() { p.cancel(event.ID) })
+			p.stage.Events.After(wait, func() { p.cancel(event.ID) })
 		case recording.KindExecutor:
 			if event.IsDraining {
-				p.stage.Line.After(wait, func() { p.drain(event.Machine) })
+				p.stage.Events.After(wait, func() { p.drain(event.Machine) })
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 }
 
 func (p *play) handIn(job *playedJob) {
-	job.askedAt = p.stage.Line.Now()
+	job.askedAt = p.stage.Events.Now()
 	terms := p.setup.Change.terms(job.event.Queue, job.event.Terms)
 	p.stage.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
 		job.isTaken = job.isTaken || answer.Status == http.StatusOK
@@ -234,16 +234,16 @@
 
 // watch notes when each job is first seen to have ended.
 func (p *play) watch(until time.Duration) {
-	if p.stage.Line.Now() > until {
+	if p.stage.Events.Now() > until {
 		return
 	}
 	for id, state := range p.stage.States() {
 		job := p.jobs[id]
 		if job != nil && job.endedAt == 0 && isEnd(state) {
-			job.endedAt, job.state = p.stage.Line.Now(), state
+			job.endedAt, job.state = p.stage.Events.Now(), state
 		}
 	}
-	p.stage.Line.After(watchEvery, func() { p.watch(until) })
+	p.stage.Events.After(watchEvery, func() { p.watch(until) })
 }
 
 func isEnd(state string) bool {
@@ -277,7 +277,7 @@
 	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.LongRunning })
 }
 
-// aimMs counts from the hand-in: the queue's recorded stretch times the longest chain of work, and its target.
+// aimMs counts from the submission: the queue's recorded stretch times the longest chain of work, and its target.
 func (p *play) aimMs(job *playedJob) int64 {
 	chain := make([]time.Duration, len(job.spec.Steps))
 	var longest time.Duration
--- a/internal/simulation/rehearsal/rehearsal_test.go
+++ b/internal/simulation/rehearsal/rehearsal_test.go
@@ -186,7 +186,7 @@
 		Expect(twice()).To(BeNumerically(">", 0))
 	})
 
-	It("rehearses what the system recorded itself, a retried hand-in once", func() {
+	It("rehearses what the system recorded itself, a retried submission once", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "own.jsonl")
 		writer := recording.NewWriter(path, "steward-1", false)
 		day, err := recording.ReadFiles([]string{example}, false)
--- a/internal/simulation/scalerun/costs.go
+++ b/internal/simulation/scalerun/costs.go
@@ -30,7 +30,7 @@
 	// Pressure is the share of the window in which something on the machine waited for a processor.
 	Pressure float64 `json:"processor-pressure"`
 	Owner    string  `json:"owner"`
-	// Epochs is by how much the pool's epoch rose within the window; 0 means that the owner stayed.
+	// Epochs is by how much the pool's epoch rose within the window; 0 means that the leader stayed.
 	Epochs uint64 `json:"epochs"`
 	Costs  []Cost `json:"costs"`
 }
--- a/internal/simulation/scalerun/disturb.go
+++ b/internal/simulation/scalerun/disturb.go
@@ -17,13 +17,13 @@
 const (
 	// configurationChanges is how often the configuration changes under load.
 	configurationChanges = 3
-	// restartAfter lies between the owner's end and its restart.
+	// restartAfter lies between the leader's end and its restart.
 	restartAfter = 2 * time.Second
 	// profileSeconds is how long a processor profile takes.
 	profileSeconds = 10
 )
 
-// disturb changes the configuration now and then, and kills the owner if that is asked for.
+// disturb changes the configuration now and then, and kills the leader if that is asked for.
 func (r *run) disturb(size *Size) error {
 	profiled := make(chan error, 1)
 	go func() { profiled <- r.profile() }()
@@ -82,7 +82,7 @@
 	return r.start(former.name, former.role, former.figures, coresOfRole, "--settings", steward.settings, "measured", former.role)
 }
 
-// profile keeps the owner's processor profile beside the report, if that is asked for.
+// profile keeps the leader's processor profile beside the report, if that is asked for.
 func (r *run) profile() error {
 	place := r.owner()
 	if !r.setup.IsProfiled || place < 0 {
--- a/internal/simulation/scalerun/roles.go
+++ b/internal/simulation/scalerun/roles.go
@@ -45,7 +45,7 @@
 	return all
 }
 
-// poolRoles gives the part of each voter in the pool, owner or voter, by the name of its steward, and the pool's epoch.
+// poolRoles gives the part of each voter in the pool, leader or voter, by the name of its steward, and the pool's epoch.
 func (r *run) poolRoles() (map[string]string, uint64) {
 	roles, epoch, owner := map[string]string{}, uint64(0), ""
 	for _, answer := range r.beliefs() {
@@ -76,7 +76,7 @@
 	}
 }
 
-// owner gives the place of the pool's leader among the children, or -1.
+// leader gives the place of the pool's leader among the children, or -1.
 func (r *run) owner() int {
 	roles, _ := r.poolRoles()
 	return slices.IndexFunc(r.all(), func(process *child) bool { return roles[process.name] == roleOwner })
--- a/internal/simulation/simcluster/apart_test.go
+++ b/internal/simulation/simcluster/apart_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("spare runs of a step with anti-affinity", func() {
 	It("never share an executor, with one another or with the step's other runs", func() {
-		c := newCrowd(61, simcluster.WithWork(func(_ string, run int64, _ *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(61, simcluster.WithWork(func(_ string, run int64, _ *simcluster.Executor) (time.Duration, string) {
 			if run == 1 {
 				return 3 * time.Second, "done"
 			}
--- a/internal/simulation/simcluster/chances_test.go
+++ b/internal/simulation/simcluster/chances_test.go
@@ -13,9 +13,9 @@
 	steady := func(string, int64, *simcluster.Executor) (time.Duration, string) {
 		return 200 * time.Millisecond, "done"
 	}
-	var c *crowd
+	var c *jobCrowd
 	BeforeEach(func() {
-		c = newCrowd(31, simcluster.WithWork(steady))
+		c = newJobCrowd(31, simcluster.WithWork(steady))
 		for number := range 120 {
 			c.handIn(number, plain(40, 4000))
 		}
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -9,28 +9,28 @@
 	"gannetline/internal/control/storage"
 )
 
-// Shelf is what lies on a disk; it takes writes as the real store does.
-type Shelf struct {
+// DiskModel is what lies on a disk; it takes writes as the real store does.
+type DiskModel struct {
 	Heads map[string]storage.ReplicaState
 	pairs map[string]map[string][]byte
 }
 
-// NewShelf makes an empty disk content.
-func NewShelf() *Shelf {
-	return &Shelf{Heads: map[string]storage.ReplicaState{}, pairs: map[string]map[string][]byte{}}
+// NewDiskModel makes an empty disk content.
+func NewDiskModel() *DiskModel {
+	return &DiskModel{Heads: map[string]storage.ReplicaState{}, pairs: map[string]map[string][]byte{}}
 }
 
-// Read gives back the whole state of a key.
-func (s *Shelf) Read(key string) (wire.Snapshot, error) {
-	whole := wire.Snapshot{Last: s.Heads[key].Last, Voters: s.Heads[key].Voters}
+// Read gives back the snapshot of a key.
+func (s *DiskModel) Read(key string) (wire.Snapshot, error) {
+	snapshot := wire.Snapshot{Last: s.Heads[key].Last, Voters: s.Heads[key].Voters}
 	for _, name := range slices.Sorted(maps.Keys(s.pairs[key])) {
-		whole.Pairs = append(whole.Pairs, wire.Op{Name: name, Value: s.pairs[key][name]})
+		snapshot.Pairs = append(snapshot.Pairs, wire.Op{Name: name, Value: s.pairs[key][name]})
 	}
-	return whole, nil
+	return snapshot, nil
 }
 
 // Apply carries out what the store decides on a write.
-func (s *Shelf) Apply(write storage.Write) storage.Outcome {
+func (s *DiskModel) Apply(write storage.Write) storage.Outcome {
 	outcome, update := storage.Decide(s.Heads[write.Key], write)
 	if !outcome.Taken {
 		return outcome
@@ -45,7 +45,7 @@
 	return outcome
 }
 
-func (s *Shelf) put(key string, ops []wire.Op) {
+func (s *DiskModel) put(key string, ops []wire.Op) {
 	if s.pairs[key] == nil {
 		s.pairs[key] = map[string][]byte{}
 	}
@@ -60,21 +60,21 @@
 
 // Disk keeps what was synced; a loss of power takes away what was not.
 type Disk struct {
-	*Shelf
-	line     *Line
-	name     string
-	isBare   bool
-	waiting  []func()
-	life     int
-	isBusy   bool
-	SyncTime time.Duration
-	Stalled  bool
-	settled  func()
+	*DiskModel
+	pendingWrites *EventLine
+	name          string
+	isBare        bool
+	waiting       []func()
+	incarnation   int
+	isBusy        bool
+	SyncTime      time.Duration
+	Stalled       bool
+	settled       func()
 }
 
 // NewDisk makes an empty disk whose syncs take so long.
-func NewDisk(line *Line, name string, syncTime time.Duration) *Disk {
-	return &Disk{Shelf: NewShelf(), line: line, name: name, isBare: true, SyncTime: syncTime}
+func NewDisk(events *EventLine, name string, syncTime time.Duration) *Disk {
+	return &Disk{DiskModel: NewDiskModel(), pendingWrites: events, name: name, isBare: true, SyncTime: syncTime}
 }
 
 // Disk is the name of the disk.
@@ -85,7 +85,7 @@
 
 // ReplicaStates are copies of the states of all replicas on the disk.
 func (d *Disk) ReplicaStates() (map[string]storage.ReplicaState, error) {
-	return maps.Clone(d.Shelf.Heads), nil
+	return maps.Clone(d.DiskModel.Heads), nil
 }
 
 // Submit queues a write; done is called with its outcome once it has been synced, and never if the power goes first.
@@ -100,15 +100,15 @@
 		return
 	}
 	d.isBusy = true
-	life, batch := d.life, d.waiting
+	incarnation, batch := d.incarnation, d.waiting
 	d.waiting = nil
-	d.line.After(d.SyncTime, func() {
-		if d.life != life {
+	d.pendingWrites.After(d.SyncTime, func() {
+		if d.incarnation != incarnation {
 			return
 		}
 		d.isBusy = false
-		for _, one := range batch {
-			one()
+		for _, task := range batch {
+			task()
 		}
 		d.settled()
 		d.sync()
@@ -122,6 +122,6 @@
 }
 
 func (d *Disk) losePower() {
-	d.life++
+	d.incarnation++
 	d.isBusy, d.waiting, d.isBare = false, nil, false
 }
--- a/internal/simulation/simcluster/exchange_test.go
+++ b/internal/simulation/simcluster/exchange_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("how often proxies and owner talk", func() {
+var _ = Describe("how often proxies and leader talk", func() {
 	It("asks less often while nothing is to be done, and lets starts share a report", func() {
-		c := newCrowd(31)
+		c := newJobCrowd(31)
 		c.Run(5 * time.Second)
 		proxies, span := float64(len(c.Proxies)), 10.0
 		polls, reports := c.Polls, c.Reports
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -24,12 +24,12 @@
 
 // Executor is a model of one: it keeps to the protocol, guards its room and forgets all when it crashes.
 type Executor struct {
-	stage      *Stage
+	cluster    *Cluster
 	Machine    string
 	Domain     string
 	Labels     []string
 	ID         string
-	Room       wire.Capacity
+	Capacity   wire.Capacity
 	Speed      float64
 	Starts     int
 	isUp       bool
@@ -51,16 +51,16 @@
 }
 
 func (e *Executor) restart() {
-	e.stage.Judge.crashed(e)
+	e.cluster.Judge.crashed(e)
 	e.birth++
 	e.ID = e.Machine + "-life-" + string(rune('a'+(e.birth-1)%26))
-	e.isUp, e.begunAt, e.fence, e.expiry, e.active, e.ends, e.lastEnd = true, e.stage.Line.Now(), 0, 0, nil, nil, 0
+	e.isUp, e.begunAt, e.fence, e.expiry, e.active, e.ends, e.lastEnd = true, e.cluster.Events.Now(), 0, 0, nil, nil, 0
 	e.highest, e.waiting, e.isDrain, e.endedIn = map[string]int64{}, nil, false, map[int64]int{}
 }
 
 // ClockMs is the executor's own clock, 1% slow.
 func (e *Executor) ClockMs() int64 {
-	return 100_000 + ((e.stage.Line.Now() - e.begunAt) * 99 / 100).Milliseconds()
+	return 100_000 + ((e.cluster.Events.Now() - e.begunAt) * 99 / 100).Milliseconds()
 }
 
 func (e *Executor) raise(fence uint64) bool {
@@ -72,9 +72,9 @@
 }
 
 func (e *Executor) extend(expiryMs int64) {
-	e.expiry = max(e.expiry, min(expiryMs, e.ClockMs()+e.stage.timing.MaxHold.Milliseconds()))
+	e.expiry = max(e.expiry, min(expiryMs, e.ClockMs()+e.cluster.timing.MaxHold.Milliseconds()))
 	birth := e.birth
-	e.stage.Line.After(clock.Milliseconds((e.expiry-e.ClockMs())*102/100+2), func() {
+	e.cluster.Events.After(clock.Milliseconds((e.expiry-e.ClockMs())*102/100+2), func() {
 		if e.birth == birth && e.ClockMs() >= e.expiry {
 			e.lapse()
 		}
@@ -83,15 +83,15 @@
 
 func (e *Executor) lapse() {
 	e.lapses++
-	for _, one := range slices.Clone(e.active) {
-		e.end(one, "lapsed")
+	for _, active := range slices.Clone(e.active) {
+		e.end(active, "lapsed")
 	}
 }
 
 func (e *Executor) used() wire.Capacity {
 	var used wire.Capacity
-	for _, one := range e.active {
-		need := e.stage.Judge.need(one.task)
+	for _, active := range e.active {
+		need := e.cluster.Judge.need(active.task)
 		used.CPU, used.Memory = used.CPU+need.CPU, used.Memory+need.Memory
 	}
 	return used
@@ -104,8 +104,8 @@
 	if !e.raise(order.Fence) {
 		return refuse("fence")
 	}
-	for _, one := range e.active {
-		if one.task == order.Task && one.number == order.Run {
+	for _, active := range e.active {
+		if active.task == order.Task && active.number == order.Run {
 			e.extend(order.ExpiryMs)
 			return 200, answer
 		}
@@ -117,8 +117,8 @@
 		return refuse("late")
 	}
 	e.extend(order.ExpiryMs)
-	need, used := e.stage.Judge.need(order.Task), e.used()
-	if used.CPU+need.CPU > e.Room.CPU || used.Memory+need.Memory > e.Room.Memory {
+	need, used := e.cluster.Judge.need(order.Task), e.used()
+	if used.CPU+need.CPU > e.Capacity.CPU || used.Memory+need.Memory > e.Capacity.Memory {
 		return refuse("room")
 	}
 	e.begin(order)
@@ -126,34 +126,34 @@
 }
 
 func (e *Executor) begin(order executorapi.RunStart) {
-	length, how := e.stage.Work(order.Task, order.Run, e)
+	length, how := e.cluster.Work(order.Task, order.Run, e)
 	length = time.Duration(float64(length) * e.Speed)
-	one := &activeRun{task: order.Task, number: order.Run, ends: e.stage.Line.Now() + length, length: length, how: how}
-	e.active = append(e.active, one)
+	active := &activeRun{task: order.Task, number: order.Run, ends: e.cluster.Events.Now() + length, length: length, how: how}
+	e.active = append(e.active, active)
 	e.Starts++
-	e.stage.Judge.started(e, order.Task, order.Run)
+	e.cluster.Judge.started(e, order.Task, order.Run)
 	birth := e.birth
-	e.stage.Line.After(length, func() {
-		if e.birth == birth && e.isUp && slices.Contains(e.active, one) && !one.isStuck {
-			e.end(one, one.how)
+	e.cluster.Events.After(length, func() {
+		if e.birth == birth && e.isUp && slices.Contains(e.active, active) && !active.isStuck {
+			e.end(active, active.how)
 		}
 	})
 }
 
-func (e *Executor) end(one *activeRun, how string) {
-	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == one })
-	e.highest[one.task] = max(e.highest[one.task], one.number)
+func (e *Executor) end(active *activeRun, how string) {
+	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == active })
+	e.highest[active.task] = max(e.highest[active.task], active.number)
 	e.lastEnd++
 	e.endedIn[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: one.task, Run: one.number, Outcome: wire.RunOutcome(how)})
-	e.stage.Judge.ended(e, one.task, one.number, how)
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: active.task, Run: active.number, Outcome: wire.RunOutcome(how)})
+	e.cluster.Judge.ended(e, active.task, active.number, how)
 	waiting := e.waiting
 	e.waiting = nil
 	for _, wake := range waiting {
 		wake()
 	}
-	if how != "done" && how != "broken" && e.stage.Judge.isGang(one.task) {
-		e.stage.breakGang(one.task, one.number)
+	if how != "done" && how != "broken" && e.cluster.Judge.isGang(active.task) {
+		e.cluster.breakGang(active.task, active.number)
 	}
 }
 
@@ -166,11 +166,11 @@
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Run)
 	birth := e.birth
-	for _, one := range e.active {
-		if one.task == order.Task && one.number == order.Run {
-			e.stage.Line.After(e.stage.timing.StopTimeout/2, func() {
-				if e.birth == birth && slices.Contains(e.active, one) {
-					e.end(one, "stopped")
+	for _, active := range e.active {
+		if active.task == order.Task && active.number == order.Run {
+			e.cluster.Events.After(e.cluster.timing.StopTimeout/2, func() {
+				if e.birth == birth && slices.Contains(e.active, active) {
+					e.end(active, "stopped")
 				}
 			})
 		}
@@ -186,7 +186,7 @@
 	}
 	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool {
 		if end.Number <= hold.LastSeen && e.endedIn[end.Number] == e.lapses {
-			e.stage.Judge.noted(end)
+			e.cluster.Judge.noted(end)
 		}
 		return end.Number <= hold.LastSeen
 	})
@@ -205,25 +205,25 @@
 		}
 	}
 	e.waiting = append(e.waiting, reply)
-	e.stage.Line.After(clock.Milliseconds(hold.WaitMs), reply)
+	e.cluster.Events.After(clock.Milliseconds(hold.WaitMs), reply)
 }
 
 func (e *Executor) lists() executorapi.Answer {
 	answer := executorapi.Answer{ClockMs: e.ClockMs(), Ends: slices.Clone(e.ends)}
-	for _, one := range e.active {
+	for _, active := range e.active {
 		percent := 0
-		if one.length > 0 && !one.isStuck {
-			percent = int(100 - 100*(one.ends-e.stage.Line.Now())/one.length)
+		if active.length > 0 && !active.isStuck {
+			percent = int(100 - 100*(active.ends-e.cluster.Events.Now())/active.length)
 		}
-		answer.Running = append(answer.Running, executorapi.RunningRow{Task: one.task, Run: one.number, Percent: percent})
+		answer.Running = append(answer.Running, executorapi.RunningRow{Task: active.task, Run: active.number, Percent: percent})
 	}
 	return answer
 }
 
 // runsOf counts the runs of one step.
 func (e *Executor) runsOf(step jobs.Place) (count int) {
-	for _, one := range e.active {
-		if _, place := e.stage.Judge.step(one.task); place.ID == step.ID && place.Time == step.Time && place.Step == step.Step {
+	for _, active := range e.active {
+		if _, position := e.cluster.Judge.step(active.task); position.ID == step.ID && position.Time == step.Time && position.Step == step.Step {
 			count++
 		}
 	}
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -28,7 +28,7 @@
 
 // Judge sees what executors really do, and says where a rule was broken.
 type Judge struct {
-	line     *Line
+	events   *EventLine
 	jobs     map[string]*jobFacts
 	tasks    map[string]*taskFacts
 	Problems []string
@@ -38,12 +38,12 @@
 	OnNoted func(task string)
 }
 
-func newJudge(line *Line) *Judge {
-	return &Judge{line: line, jobs: map[string]*jobFacts{}, tasks: map[string]*taskFacts{}, Doubled: map[string]int{}}
+func newJudge(events *EventLine) *Judge {
+	return &Judge{events: events, jobs: map[string]*jobFacts{}, tasks: map[string]*taskFacts{}, Doubled: map[string]int{}}
 }
 
 func (j *Judge) problem(format string, values ...any) {
-	j.Problems = append(j.Problems, fmt.Sprintf("%v: ", j.line.Now())+fmt.Sprintf(format, values...))
+	j.Problems = append(j.Problems, fmt.Sprintf("%v: ", j.events.Now())+fmt.Sprintf(format, values...))
 }
 
 func (j *Judge) expect(id string, spec *jobs.Spec, maxAttempts int) {
@@ -53,11 +53,11 @@
 }
 
 func (j *Judge) step(task string) (*jobs.Step, jobs.Place) {
-	place, isTask := jobs.ParseTask(task)
-	if facts := j.jobs[place.ID]; isTask && facts != nil && place.Step < len(facts.spec.Steps) {
-		return &facts.spec.Steps[place.Step], place
+	position, isTask := jobs.ParseTask(task)
+	if facts := j.jobs[position.ID]; isTask && facts != nil && position.Step < len(facts.spec.Steps) {
+		return &facts.spec.Steps[position.Step], position
 	}
-	return &jobs.Step{}, place
+	return &jobs.Step{}, position
 }
 
 func (j *Judge) need(task string) *jobs.Step {
@@ -84,30 +84,30 @@
 
 func (j *Judge) started(executor *Executor, task string, run int64) {
 	j.Starts++
-	step, place := j.step(task)
-	facts, owner := j.of(task), j.jobs[place.ID]
-	if owner == nil {
+	step, position := j.step(task)
+	facts, job := j.of(task), j.jobs[position.ID]
+	if job == nil {
 		j.problem("%s was started and never handed in", task)
 		return
 	}
 	if !step.Redundant {
 		for other, number := range facts.running {
 			if other.isUp && other != executor {
-				j.Doubled[place.ID]++
+				j.Doubled[position.ID]++
 				j.problem("%s runs twice: run %d on %s and run %d on %s", task, number, other.ID, run, executor.ID)
 			}
 		}
 		if facts.isNoted {
-			j.Doubled[place.ID]++
+			j.Doubled[position.ID]++
 			j.problem("%s run %d started on %s after it was done", task, run, executor.ID)
 		}
 	}
-	if !step.LongRunning && !step.Gang && facts.failed >= max(1, owner.maxAttempts) {
+	if !step.LongRunning && !step.Gang && facts.failed >= max(1, job.maxAttempts) {
 		j.problem("%s run %d started after %d failures", task, run, facts.failed)
 	}
 	for _, earlier := range step.DependsOn {
-		for index := range owner.spec.Steps[earlier].Tasks {
-			name := jobs.TaskName(place.ID, place.Time, earlier, index)
+		for index := range job.spec.Steps[earlier].Tasks {
+			name := jobs.TaskName(position.ID, position.Time, earlier, index)
 			if !j.of(name).isDone {
 				j.problem("%s started before %s was done", task, name)
 			}
@@ -115,7 +115,7 @@
 	}
 	facts.starts++
 	facts.running[executor] = run
-	if here := executor.runsOf(place); step.AntiAffinity > 0 && here > step.AntiAffinity {
+	if here := executor.runsOf(position); step.AntiAffinity > 0 && here > step.AntiAffinity {
 		j.problem("%s run %d is one of %d of its step on %s", task, run, here, executor.ID)
 	}
 }
@@ -128,9 +128,9 @@
 	}
 	if how == "done" {
 		facts.isDone = true
-		if step, place := j.step(task); step.Gang {
+		if step, position := j.step(task); step.Gang {
 			for index := range step.Tasks {
-				j.of(jobs.TaskName(place.ID, place.Time, place.Step, index)).isDone = true
+				j.of(jobs.TaskName(position.ID, position.Time, position.Step, index)).isDone = true
 			}
 		}
 	}
@@ -138,17 +138,17 @@
 
 // HasFailed tells whether a task of the job, or a gang, failed as often as it may.
 func (j *Judge) HasFailed(id string) bool {
-	owner := j.jobs[id]
+	job := j.jobs[id]
 	for name, facts := range j.tasks {
-		step, place := j.step(name)
-		if place.ID != id || step.LongRunning {
+		step, position := j.step(name)
+		if position.ID != id || step.LongRunning {
 			continue
 		}
 		failed := len(facts.failedRuns)
 		if step.Gang {
-			failed = j.failedGangs(place, step)
+			failed = j.failedGangs(position, step)
 		}
-		if failed >= max(1, owner.maxAttempts) {
+		if failed >= max(1, job.maxAttempts) {
 			return true
 		}
 	}
@@ -156,10 +156,10 @@
 }
 
 // failedGangs counts the runs of a gang in which any member failed.
-func (j *Judge) failedGangs(place jobs.Place, step *jobs.Step) int {
+func (j *Judge) failedGangs(position jobs.Place, step *jobs.Step) int {
 	runs := map[int64]bool{}
 	for index := range step.Tasks {
-		if facts := j.tasks[jobs.TaskName(place.ID, place.Time, place.Step, index)]; facts != nil {
+		if facts := j.tasks[jobs.TaskName(position.ID, position.Time, position.Step, index)]; facts != nil {
 			maps.Copy(runs, facts.failedRuns)
 		}
 	}
@@ -185,11 +185,11 @@
 	}
 }
 
-// MostStarts is how often the task that was started most often was started.
-func (j *Judge) MostStarts() int {
-	most := 0
+// MaxStarts is how often the task that was started most often was started.
+func (j *Judge) MaxStarts() int {
+	limit := 0
 	for _, facts := range j.tasks {
-		most = max(most, facts.starts)
+		limit = max(limit, facts.starts)
 	}
-	return most
+	return limit
 }
--- a/internal/simulation/simcluster/line.go
+++ b/internal/simulation/simcluster/line.go
@@ -12,9 +12,9 @@
 
 // event is a function that falls due at a moment; place is its number, which decides among those of one moment.
 type event struct {
-	due   time.Duration
-	place uint64
-	run   func()
+	due     time.Duration
+	address uint64
+	run     func()
 }
 
 // events is a heap (container/heap) with the event that falls due first on top.
@@ -25,7 +25,7 @@
 
 // Less tells whether an event falls due before another one.
 func (e events) Less(i, j int) bool {
-	return e[i].due < e[j].due || e[i].due == e[j].due && e[i].place < e[j].place
+	return e[i].due < e[j].due || e[i].due == e[j].due && e[i].address < e[j].address
 }
 
 // Swap exchanges two events.
@@ -41,30 +41,30 @@
 	return last
 }
 
-// Line is what happens, in order of time.
-type Line struct {
+// EventLine is what happens, in order of time.
+type EventLine struct {
 	Clock *clock.Fake
 	Draw  *rand.Rand
 	queue events
 	count uint64
 }
 
-// NewLine makes an empty line whose time of day begins at so many milliseconds; all chance comes from the seed.
-func NewLine(wallMs int64, seed uint64) *Line {
-	return &Line{Clock: clock.NewFake(wallMs), Draw: rand.New(rand.NewPCG(seed, 42))}
+// NewEventLine makes an empty line whose time of day begins at so many milliseconds; all chance comes from the seed.
+func NewEventLine(wallMs int64, seed uint64) *EventLine {
+	return &EventLine{Clock: clock.NewFake(wallMs), Draw: rand.New(rand.NewPCG(seed, 42))}
 }
 
 // Now is the steady time of the simulation.
-func (l *Line) Now() time.Duration { return l.Clock.Monotonic() }
+func (l *EventLine) Now() time.Duration { return l.Clock.Monotonic() }
 
 // After runs the function once the wait is over; what falls due at one moment runs in the order of the calls.
-func (l *Line) After(wait time.Duration, run func()) {
+func (l *EventLine) After(wait time.Duration, run func()) {
 	l.count++
 	heap.Push(&l.queue, event{l.Now() + max(0, wait), l.count, run})
 }
 
 // RunUntil plays all that falls due up to a moment.
-func (l *Line) RunUntil(end time.Duration) {
+func (l *EventLine) RunUntil(end time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].due <= end {
 		next := heap.Pop(&l.queue).(event)
 		if next.due > l.Now() {
--- a/internal/simulation/simcluster/near_test.go
+++ b/internal/simulation/simcluster/near_test.go
@@ -14,14 +14,14 @@
 	near := func(label string, estimate int) string {
 		return fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":2,"cpu-units":8000,"estimated-ms":%d,"affinity-labels":"%s"}]}`, estimate, label)
 	}
-	var c *crowd
+	var c *jobCrowd
 	var rack string
 	var away int
 	BeforeEach(func() {
 		away = 0
 		timing := simcluster.DefaultTiming
 		timing.RemoteFactor = 3
-		c = newCrowd(33, simcluster.WithTiming(timing), simcluster.WithWork(func(task string, _ int64, executor *simcluster.Executor) (time.Duration, string) {
+		c = newJobCrowd(33, simcluster.WithTiming(timing), simcluster.WithWork(func(task string, _ int64, executor *simcluster.Executor) (time.Duration, string) {
 			if task[:16] != id(50) {
 				return 400 * time.Millisecond, "done"
 			}
@@ -32,8 +32,8 @@
 		}))
 		rack = c.Executors[0].Labels[len(c.Executors[0].Labels)-1]
 		places := 0
-		for _, one := range c.Executors {
-			if one.Labels[len(one.Labels)-1] == rack {
+		for _, executor := range c.Executors {
+			if executor.Labels[len(executor.Labels)-1] == rack {
 				places += 4
 			}
 		}
--- a/internal/simulation/simcluster/power_test.go
+++ b/internal/simulation/simcluster/power_test.go
@@ -11,7 +11,7 @@
 )
 
 // swapVoter takes a voter away for long enough to be replaced by a steward that is none, and brings it back.
-func (c *crowd) swapVoter(number int) {
+func (c *jobCrowd) swapVoter(number int) {
 	c.Cut(c.Nodes[number].Name, true)
 	c.Run(3 * time.Second)
 	c.Cut(c.Nodes[number].Name, false)
@@ -19,15 +19,15 @@
 }
 
 // losePowerAfterNoted kills all stewards, each at its own moment, within milliseconds of the next end that is noted.
-func (c *crowd) losePowerAfterNoted(within time.Duration) {
+func (c *jobCrowd) losePowerAfterNoted(within time.Duration) {
 	isStruck := false
 	c.Judge.OnNoted = func(string) {
 		if isStruck {
 			return
 		}
 		isStruck = true
-		for _, one := range c.Nodes {
-			c.Line.After(time.Duration(c.Line.Draw.Int64N(int64(within))), func() { c.Kill(one) })
+		for _, node := range c.Nodes {
+			c.Events.After(time.Duration(c.Events.Draw.Int64N(int64(within))), func() { c.Kill(node) })
 		}
 	}
 	for round := 0; round < 3000 && !isStruck; round++ {
@@ -36,18 +36,18 @@
 	c.Run(within)
 	Expect(isStruck).To(BeTrue())
 	c.Judge.OnNoted = nil
-	c.Run(time.Duration(c.Line.Draw.IntN(2000)) * time.Millisecond)
-	for _, one := range c.Nodes {
-		c.Start(one)
+	c.Run(time.Duration(c.Events.Draw.IntN(2000)) * time.Millisecond)
+	for _, node := range c.Nodes {
+		c.Start(node)
 	}
 }
 
 var _ = Describe("the loss of all power right after an end was acknowledged", func() {
 	for seed := range uint64(powerSeeds) {
 		It(fmt.Sprintf("starts no task again, after two swaps of voters, seed %d", seed), func() {
-			c := &crowd{Stage: simcluster.New(700+seed, 5, 6, room, wall, simcluster.WithWork(mixedWork)), accepted: map[string]bool{}}
+			c := &jobCrowd{Cluster: simcluster.New(700+seed, 5, 6, capacityOf, wall, simcluster.WithWork(mixedWork)), accepted: map[string]bool{}}
 			c.Run(3 * time.Second)
-			Expect(c.Owner()).NotTo(BeNil())
+			Expect(c.Leader()).NotTo(BeNil())
 			for number := range 3 {
 				c.handIn(number, plain(14, 1500))
 			}
@@ -57,7 +57,7 @@
 			}
 			for number := range 6 {
 				c.handIn(20+number, chain)
-				c.Run(time.Duration(c.Line.Draw.IntN(120)) * time.Millisecond)
+				c.Run(time.Duration(c.Events.Draw.IntN(120)) * time.Millisecond)
 			}
 			c.losePowerAfterNoted(5 * time.Millisecond)
 			c.Run(25 * time.Second)
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -16,105 +16,105 @@
 
 // Proxy drives the real table of a local-proxy beside a modelled executor.
 type Proxy struct {
-	stage     *Stage
-	executor  *Executor
-	table     *localproxy.Table
-	life      int
-	isUp      bool
-	sequence  int64
-	reporting bool
-	isDirty   bool
+	cluster     *Cluster
+	executor    *Executor
+	table       *localproxy.Table
+	incarnation int
+	isUp        bool
+	sequence    int64
+	reporting   bool
+	isDirty     bool
 	// guess is the steward that is tried after misses, where the one that was said to lead did not answer as the leader.
 	guess  int
 	misses int
 }
 
 func (p *Proxy) start() {
-	p.life++
+	p.incarnation++
 	p.isUp, p.reporting, p.isDirty = true, false, false
-	life := p.life
+	incarnation := p.incarnation
 	later := func(run func()) func() {
-		return func() { p.stage.Line.After(0, func() { p.enter(life, run) }) }
+		return func() { p.cluster.Events.After(0, func() { p.enter(incarnation, run) }) }
 	}
-	p.table = localproxy.NewTable(p.stage.Line.Clock, p.stage.log, p.stage.service, p.executor.Domain, p.executor.Machine,
-		later(p.report), later(func() { p.hold(life, true) }), later(func() { p.hold(life, false) }), localproxy.WithSession(uint64(life)),
-		localproxy.WithStartSignal(func() { p.stage.Line.After(startPause, func() { p.enter(life, p.reportStarts) }) }))
-	p.beat(life)
-	p.holdLoop(life)
-	p.poll(life)
+	p.table = localproxy.NewTable(p.cluster.Events.Clock, p.cluster.log, p.cluster.service, p.executor.Domain, p.executor.Machine,
+		later(p.report), later(func() { p.hold(incarnation, true) }), later(func() { p.hold(incarnation, false) }), localproxy.WithSession(uint64(incarnation)),
+		localproxy.WithStartSignal(func() { p.cluster.Events.After(startPause, func() { p.enter(incarnation, p.reportStarts) }) }))
+	p.sendHeartbeat(incarnation)
+	p.holdLoop(incarnation)
+	p.poll(incarnation)
 }
 
-func (p *Proxy) enter(life int, run func()) {
-	if p.isUp && p.life == life {
+func (p *Proxy) enter(incarnation int, run func()) {
+	if p.isUp && p.incarnation == incarnation {
 		run()
 	}
 }
 
-func (p *Proxy) place() *place {
-	life := p.life
-	return &place{p.executor.Machine, func(run func()) { p.enter(life, run) }}
+func (p *Proxy) address() *addressOnLine {
+	incarnation := p.incarnation
+	return &addressOnLine{p.executor.Machine, func(run func()) { p.enter(incarnation, run) }}
 }
 
-func (p *Proxy) beat(life int) {
-	p.enter(life, func() {
+func (p *Proxy) sendHeartbeat(incarnation int) {
+	p.enter(incarnation, func() {
 		if p.executor.isUp {
 			p.sequence++
 			state := "ready"
 			if p.executor.isDrain {
 				state = "draining"
 			}
-			p.table.Heartbeat(p.executor.ID, &executorapi.Heartbeat{Service: p.stage.service, State: state, Capacity: p.executor.Room,
+			p.table.Heartbeat(p.executor.ID, &executorapi.Heartbeat{Service: p.cluster.service, State: state, Capacity: p.executor.Capacity,
 				Labels: p.executor.Labels, ClockMs: p.executor.ClockMs(), Sequence: p.sequence})
 		}
-		p.stage.Line.After(1500*time.Millisecond, func() { p.beat(life) })
+		p.cluster.Events.After(1500*time.Millisecond, func() { p.sendHeartbeat(incarnation) })
 	})
 }
 
-func (p *Proxy) holdLoop(life int) {
-	p.enter(life, func() { p.hold(life, false) })
-	if p.isUp && p.life == life {
-		p.stage.Line.After(500*time.Millisecond, func() { p.holdLoop(life) })
+func (p *Proxy) holdLoop(incarnation int) {
+	p.enter(incarnation, func() { p.hold(incarnation, false) })
+	if p.isUp && p.incarnation == incarnation {
+		p.cluster.Events.After(500*time.Millisecond, func() { p.holdLoop(incarnation) })
 	}
 }
 
 // ask brings a call to the executor; a late one is carried out seconds after it was given up.
 func (p *Proxy) ask(executor string, limit time.Duration, serve func(answer func(int, executorapi.Answer)), done func(int, executorapi.Answer, bool)) {
-	life, isOver := p.life, false
+	incarnation, isOver := p.incarnation, false
 	finish := func(status int, answer executorapi.Answer, isAnswered bool) {
-		p.enter(life, func() {
+		p.enter(incarnation, func() {
 			if !isOver {
 				isOver = true
 				done(status, answer, isAnswered)
 			}
 		})
 	}
-	p.stage.Line.After(limit, func() { finish(0, executorapi.Answer{}, false) })
+	p.cluster.Events.After(limit, func() { finish(0, executorapi.Answer{}, false) })
 	birth, wait := p.executor.birth, time.Millisecond
-	isMute := p.executor.isLate && p.stage.Line.Draw.IntN(2) == 0
+	isMute := p.executor.isLate && p.cluster.Events.Draw.IntN(2) == 0
 	if isMute {
-		wait = time.Duration(2+p.stage.Line.Draw.IntN(10)) * time.Second
+		wait = time.Duration(2+p.cluster.Events.Draw.IntN(10)) * time.Second
 	}
-	p.stage.Line.After(wait, func() {
+	p.cluster.Events.After(wait, func() {
 		switch {
 		case !p.executor.isUp:
 		case p.executor.isRefusing:
-			p.stage.Refusals++
+			p.cluster.Refusals++
 			finish(refused, executorapi.Answer{}, false)
 		case p.executor.birth != birth || p.executor.ID != executor:
 			finish(421, executorapi.Answer{}, true)
 		default:
 			serve(func(status int, answer executorapi.Answer) {
 				if !isMute {
-					p.stage.Line.After(time.Millisecond, func() { finish(status, answer, true) })
+					p.cluster.Events.After(time.Millisecond, func() { finish(status, answer, true) })
 				}
 			})
 		}
 	})
 }
 
-func (p *Proxy) hold(life int, isLook bool) {
-	work, isDue := p.table.NextHold(isLook)
-	if !isDue || p.life != life {
+func (p *Proxy) hold(incarnation int, isForList bool) {
+	work, isDue := p.table.NextHold(isForList)
+	if !isDue || p.incarnation != incarnation {
 		return
 	}
 	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), func(answer func(int, executorapi.Answer)) { p.executor.Hold(work.Hold, answer) },
@@ -139,49 +139,49 @@
 		return
 	}
 	p.reporting = true
-	p.stage.Reports++
-	life := p.life
-	p.exchange(0, func(isTold bool) {
+	p.cluster.Reports++
+	incarnation := p.incarnation
+	p.exchange(0, func(isAnswered bool) {
 		p.reporting = false
-		if !isTold || p.isDirty {
+		if !isAnswered || p.isDirty {
 			p.isDirty = false
 			wait := time.Duration(0)
-			if !isTold {
+			if !isAnswered {
 				wait = 60 * time.Millisecond
 			}
-			p.stage.Line.After(wait, func() { p.enter(life, p.report) })
+			p.cluster.Events.After(wait, func() { p.enter(incarnation, p.report) })
 		}
 	})
 }
 
-func (p *Proxy) poll(life int) {
-	p.enter(life, func() {
-		p.stage.Polls++
-		p.exchange(300, func(isTold bool) {
+func (p *Proxy) poll(incarnation int) {
+	p.enter(incarnation, func() {
+		p.cluster.Polls++
+		p.exchange(300, func(isAnswered bool) {
 			wait := time.Millisecond
-			if !isTold {
+			if !isAnswered {
 				wait = 60 * time.Millisecond
 			}
-			p.stage.Line.After(wait, func() { p.poll(life) })
+			p.cluster.Events.After(wait, func() { p.poll(incarnation) })
 		})
 	})
 }
 
-func (p *Proxy) exchange(waitMs int64, done func(isTold bool)) {
+func (p *Proxy) exchange(waitMs int64, done func(isAnswered bool)) {
 	ask, isDue := p.table.Compose(waitMs)
 	if !isDue {
-		life := p.life
-		p.stage.Line.After(300*time.Millisecond, func() { p.enter(life, func() { done(true) }) })
+		incarnation := p.incarnation
+		p.cluster.Events.After(300*time.Millisecond, func() { p.enter(incarnation, func() { done(true) }) })
 		return
 	}
 	guess := p.guess
-	owner := p.stage.heardOwner
-	if owner == nil || p.misses > 0 {
-		owner = p.stage.Nodes[guess%len(p.stage.Nodes)]
+	leader := p.cluster.leaderKnown
+	if leader == nil || p.misses > 0 {
+		leader = p.cluster.Nodes[guess%len(p.cluster.Nodes)]
 	}
-	askedAt := p.stage.Line.Now()
-	call(p.stage, p.place(), owner.place(), clock.Milliseconds(ask.WaitMs)+1500*time.Millisecond, func(answer func(wire.ExchangeAnswer)) {
-		pool := owner.pools[ask.Key]
+	askedAt := p.cluster.Events.Now()
+	call(p.cluster, p.address(), leader.address(), clock.Milliseconds(ask.WaitMs)+1500*time.Millisecond, func(answer func(wire.ExchangeAnswer)) {
+		pool := leader.pools[ask.Key]
 		if pool == nil || !pool.IsOpen() {
 			answer(wire.ExchangeAnswer{NotLeader: true})
 			return
@@ -189,15 +189,15 @@
 		pool.Exchange(ask, answer)
 	}, func(answer wire.ExchangeAnswer, err error) {
 		if err != nil || answer.NotLeader {
-			if p.guess == guess || !p.stage.hasGossip {
+			if p.guess == guess || !p.cluster.hasGossip {
 				p.guess++
 			}
-			p.misses = (p.misses + 1) % len(p.stage.Nodes)
+			p.misses = (p.misses + 1) % len(p.cluster.Nodes)
 			done(false)
 			return
 		}
 		p.misses = 0
-		answer.GrantMs *= p.stage.grantBy
+		answer.GrantMs *= p.cluster.grantBy
 		if answer.Fence > 0 {
 			for _, order := range p.table.HandleAnswer(ask, askedAt, &answer) {
 				p.carry(ask.Executor, order, 0)
@@ -207,14 +207,14 @@
 	})
 }
 
-func (p *Proxy) carry(executor string, order wire.Order, try int) {
+func (p *Proxy) carry(executor string, order wire.Order, attempt int) {
 	work, isDue := p.table.Ready(executor, order)
 	if !isDue {
 		return
 	}
 	p.ask(executor, 150*time.Millisecond, func(answer func(int, executorapi.Answer)) {
 		status, reply := p.deliver(work)
-		if isLost := p.executor.isLossy && order.Kind == "launch" && p.stage.Line.Draw.IntN(5) == 0; !isLost {
+		if isLost := p.executor.isLossy && order.Kind == "launch" && p.cluster.Events.Draw.IntN(5) == 0; !isLost {
 			answer(status, reply)
 		}
 	},
@@ -229,7 +229,7 @@
 				return
 			}
 			p.table.HandleOrderTimeout(work)
-			if try == 0 {
+			if attempt == 0 {
 				p.carry(executor, order, 1)
 				return
 			}
--- a/internal/simulation/simcluster/simcluster_suite_test.go
+++ b/internal/simulation/simcluster/simcluster_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStage(t *testing.T) {
+func TestSimcluster(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "stage")
 }
--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -16,7 +16,7 @@
 
 const wall = 1_800_000_000_000
 
-var room = wire.Capacity{CPU: 16000, Memory: 32768}
+var capacityOf = wire.Capacity{CPU: 16000, Memory: 32768}
 
 func id(number int) string { return fmt.Sprintf("%016x", number) }
 
@@ -31,20 +31,20 @@
 
 const gang = `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":6000,"estimated-ms":300,"gang-scheduled":true}]}`
 
-// crowd hands jobs in and keeps what became of them.
-type crowd struct {
-	*simcluster.Stage
+// jobCrowd hands jobs in and keeps what became of them.
+type jobCrowd struct {
+	*simcluster.Cluster
 	accepted map[string]bool
 }
 
-func newCrowd(seed uint64, options ...simcluster.Option) *crowd {
-	c := &crowd{Stage: simcluster.New(seed, 3, 6, room, wall, options...), accepted: map[string]bool{}}
+func newJobCrowd(seed uint64, options ...simcluster.Option) *jobCrowd {
+	c := &jobCrowd{Cluster: simcluster.New(seed, 3, 6, capacityOf, wall, options...), accepted: map[string]bool{}}
 	c.Run(3 * time.Second)
-	Expect(c.Owner()).NotTo(BeNil())
+	Expect(c.Leader()).NotTo(BeNil())
 	return c
 }
 
-func (c *crowd) handIn(number int, body string) {
+func (c *jobCrowd) handIn(number int, body string) {
 	terms := wire.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}
 	Expect(c.HandIn(id(number), "cover", []byte(body), terms, func(answer wire.ClientAnswer) {
 		if answer.Status == 200 {
@@ -53,7 +53,7 @@
 	})).To(Succeed())
 }
 
-func (c *crowd) state(number int) string {
+func (c *jobCrowd) state(number int) string {
 	var state string
 	c.Ask(wire.ClientCall{Verb: "state", Route: "cover", ID: id(number)}, func(answer wire.ClientAnswer) {
 		state = fmt.Sprintf("%d%s", answer.Status, answer.Body)
@@ -64,23 +64,23 @@
 
 const completed = `200{"executor-state":"completed"}`
 
-func (c *crowd) expectAllCompleted() { c.expectAll(ContainSubstring("completed")) }
+func (c *jobCrowd) expectAllCompleted() { c.expectAll(ContainSubstring("completed")) }
 
 // expectAll asks for every accepted job's state.
-func (c *crowd) expectAll(isRight types.GomegaMatcher) {
-	for one := range c.accepted {
+func (c *jobCrowd) expectAll(isRight types.GomegaMatcher) {
+	for a := range c.accepted {
 		var state string
-		c.Ask(wire.ClientCall{Verb: "state", Route: "cover", ID: one}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
+		c.Ask(wire.ClientCall{Verb: "state", Route: "cover", ID: a}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		for round := 0; round < 100 && state == ""; round++ {
 			c.Run(50 * time.Millisecond)
 		}
-		Expect(state).To(isRight, "job %s", one)
+		Expect(state).To(isRight, "job %s", a)
 	}
 }
 
 var _ = Describe("a pool, its proxies and its executors", func() {
-	It("completes what is handed in, in the order of its steps", func() {
-		c := newCrowd(1)
+	It("completes what is submitted, in the order of its steps", func() {
+		c := newJobCrowd(1)
 		for number := range 10 {
 			c.handIn(number, chain)
 		}
@@ -91,7 +91,7 @@
 	})
 
 	It("takes the same ID for the same job", func() {
-		c := newCrowd(2)
+		c := newJobCrowd(2)
 		for range 3 {
 			c.handIn(7, plain(4, 500))
 		}
@@ -101,12 +101,12 @@
 	})
 
 	It("answers 410 for what it never took", func() {
-		Expect(newCrowd(3).state(99)).To(HavePrefix("410"))
+		Expect(newJobCrowd(3).state(99)).To(HavePrefix("410"))
 	})
 
 	It("starts a gang whole, and again after a member failed", func() {
 		failed := false
-		c := newCrowd(4, simcluster.WithWork(func(_ string, run int64, _ *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(4, simcluster.WithWork(func(_ string, run int64, _ *simcluster.Executor) (time.Duration, string) {
 			if run == 1 && !failed {
 				failed = true
 				return 100 * time.Millisecond, "failed"
@@ -121,7 +121,7 @@
 	})
 
 	It("gives up a job whose task fails every time, after its attempts and no more", func() {
-		c := newCrowd(5, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(5, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
 			return 50 * time.Millisecond, "failed"
 		}))
 		c.handIn(1, plain(1, 500))
@@ -132,7 +132,7 @@
 	})
 
 	It("stops what a client cancels, and never starts it again", func() {
-		c := newCrowd(6, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return time.Minute, "done" }))
+		c := newJobCrowd(6, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return time.Minute, "done" }))
 		c.handIn(1, plain(40, 4000))
 		c.Run(time.Second)
 		c.Ask(wire.ClientCall{Verb: "cancel", Route: "cover", ID: id(1)}, func(wire.ClientAnswer) {})
@@ -147,8 +147,8 @@
 	})
 
 	It("starts a timed job's times when they are due, not before", func() {
-		c := newCrowd(7)
-		first := c.Line.Clock.WallMs() + 2000
+		c := newJobCrowd(7)
+		first := c.Events.Clock.WallMs() + 2000
 		c.handIn(1, fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":2,"cpu-units":500,"estimated-ms":100}],"first-run-ms":%d,"period-ms":1500,"repeat-count":3}`, first))
 		c.Run(1900 * time.Millisecond)
 		Expect(c.Judge.Starts).To(BeZero())
@@ -160,7 +160,7 @@
 	})
 
 	It("runs a job again elsewhere when its executor crashed, at once if a new life shows it", func() {
-		c := newCrowd(8, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return 2 * time.Second, "done" }))
+		c := newJobCrowd(8, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return 2 * time.Second, "done" }))
 		c.handIn(1, plain(12, 4000))
 		c.Run(time.Second)
 		c.Crash(c.Executors[0], 300*time.Millisecond)
@@ -170,7 +170,7 @@
 	})
 
 	It("places a task elsewhere only after the hold of a cut-off executor has lapsed", func() {
-		c := newCrowd(9, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return 3 * time.Second, "done" }))
+		c := newJobCrowd(9, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return 3 * time.Second, "done" }))
 		c.handIn(1, plain(24, 4000))
 		c.Run(time.Second)
 		c.Cut("side-01", true)
@@ -184,19 +184,19 @@
 	})
 
 	It("is not fooled by orders that are carried out long after they were given up", func() {
-		c := newCrowd(10, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(10, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
 			return 700 * time.Millisecond, "done"
 		}))
-		for _, one := range c.Executors[:3] {
-			c.Late(one, true)
+		for _, executor := range c.Executors[:3] {
+			c.Late(executor, true)
 		}
 		for number := range 12 {
 			c.handIn(number, chain)
 			c.Run(300 * time.Millisecond)
 		}
 		c.Run(8 * time.Second)
-		for _, one := range c.Executors {
-			c.Late(one, false)
+		for _, executor := range c.Executors {
+			c.Late(executor, false)
 		}
 		c.Run(30 * time.Second)
 		c.expectAllCompleted()
@@ -204,7 +204,7 @@
 	})
 
 	It("hears of each end soon, however many ends follow one another on an executor", func() {
-		c := newCrowd(16, simcluster.WithWork(func(task string, _ int64, _ *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(16, simcluster.WithWork(func(task string, _ int64, _ *simcluster.Executor) (time.Duration, string) {
 			return time.Duration(100+30*int(task[len(task)-1]-'0')) * time.Millisecond, "done"
 		}))
 		c.handIn(1, plain(9, 1500))
@@ -216,14 +216,14 @@
 	})
 
 	It("gives a redundant task a second run when nothing is heard of the first, and waits for no hold to lapse", func() {
-		c := newCrowd(17, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(17, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
 			return 300 * time.Millisecond, "done"
 		}))
 		c.handIn(1, redundant)
 		c.Run(100 * time.Millisecond)
-		for _, one := range c.Executors {
-			if one.Active() > 0 {
-				c.Cut(one.Machine, true)
+		for _, executor := range c.Executors {
+			if executor.Active() > 0 {
+				c.Cut(executor.Machine, true)
 			}
 		}
 		c.Run(2 * time.Second)
@@ -231,7 +231,7 @@
 	})
 
 	It("runs redundant tasks once each while all is well", func() {
-		c := newCrowd(19)
+		c := newJobCrowd(19)
 		for number := range 6 {
 			c.handIn(number, redundant)
 			c.handIn(100+number, `{"task-descriptor":"d","step-list":[{"task-count":20,"cpu-units":4000,"estimated-ms":200,"redundant":true}]}`)
@@ -244,7 +244,7 @@
 	It("learns how uneven a queue's tasks are, and gives few of them second runs for that alone", func() {
 		uneven := rand.New(rand.NewPCG(21, 21))
 		lengths := map[string]time.Duration{}
-		c := newCrowd(21, simcluster.WithWork(func(task string, _ int64, _ *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(21, simcluster.WithWork(func(task string, _ int64, _ *simcluster.Executor) (time.Duration, string) {
 			if lengths[task] == 0 {
 				lengths[task] = time.Duration(50+300*uneven.ExpFloat64()) * time.Millisecond
 			}
@@ -263,7 +263,7 @@
 	})
 
 	It("gives a redundant task a second run when the first takes far longer than the others", func() {
-		c := newCrowd(18, simcluster.WithWork(func(task string, run int64, executor *simcluster.Executor) (time.Duration, string) {
+		c := newJobCrowd(18, simcluster.WithWork(func(task string, run int64, executor *simcluster.Executor) (time.Duration, string) {
 			if !strings.HasPrefix(task, id(1)) {
 				return 1500 * time.Millisecond, "done"
 			}
@@ -278,11 +278,11 @@
 		c.handIn(1, `{"task-descriptor":"d","step-list":[{"task-count":20,"cpu-units":4000,"estimated-ms":200,"redundant":true}]}`)
 		c.Run(3 * time.Second)
 		Expect(c.StateNow(id(1))).To(Equal("completed"))
-		Expect(c.Judge.MostStarts()).To(Equal(2))
+		Expect(c.Judge.MaxStarts()).To(Equal(2))
 	})
 
 	It("starts nothing on a draining executor", func() {
-		c := newCrowd(11)
+		c := newJobCrowd(11)
 		c.Drain(c.Executors[0])
 		c.Run(2 * time.Second)
 		for number := range 10 {
@@ -295,15 +295,15 @@
 	})
 
 	It("goes on after a proxy was killed and came back knowing nothing", func() {
-		c := newCrowd(12, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return time.Second, "done" }))
+		c := newJobCrowd(12, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return time.Second, "done" }))
 		c.handIn(1, plain(24, 4000))
 		c.Run(500 * time.Millisecond)
-		for _, one := range c.Proxies {
-			c.KillProxy(one)
+		for _, proxy := range c.Proxies {
+			c.KillProxy(proxy)
 		}
 		c.Run(time.Second)
-		for _, one := range c.Proxies {
-			c.StartProxy(one)
+		for _, proxy := range c.Proxies {
+			c.StartProxy(proxy)
 		}
 		c.Run(8 * time.Second)
 		Expect(c.state(1)).To(Equal(completed))
@@ -311,23 +311,23 @@
 	})
 
 	It("loses no accepted job when every process dies at once", func() {
-		c := newCrowd(13)
+		c := newJobCrowd(13)
 		for number := range 20 {
 			c.handIn(number, chain)
 			c.Run(40 * time.Millisecond)
 		}
-		for _, one := range c.Nodes {
-			c.Kill(one)
+		for _, node := range c.Nodes {
+			c.Kill(node)
 		}
-		for _, one := range c.Proxies {
-			c.KillProxy(one)
+		for _, proxy := range c.Proxies {
+			c.KillProxy(proxy)
 		}
 		c.Run(time.Second)
-		for _, one := range c.Nodes {
-			c.Start(one)
+		for _, node := range c.Nodes {
+			c.Start(node)
 		}
-		for _, one := range c.Proxies {
-			c.StartProxy(one)
+		for _, proxy := range c.Proxies {
+			c.StartProxy(proxy)
 		}
 		c.Run(20 * time.Second)
 		Expect(len(c.accepted)).To(Equal(20))
@@ -335,20 +335,20 @@
 		Expect(c.Judge.Problems).To(BeEmpty())
 	})
 
-	It("loses no accepted job when the owner loses its disk right after the acknowledgement", func() {
-		c := newCrowd(14)
+	It("loses no accepted job when the leader loses its disk right after the acknowledgement", func() {
+		c := newJobCrowd(14)
 		c.handIn(1, chain)
 		for round := 0; round < 1000 && len(c.accepted) == 0; round++ {
 			c.Run(time.Millisecond)
 		}
-		c.Wipe(c.Owner())
+		c.Wipe(c.Leader())
 		c.Run(12 * time.Second)
 		Expect(c.state(1)).To(Equal(completed))
 		Expect(c.Judge.Problems).To(BeEmpty())
 	})
 
 	It("keeps its tables bounded over a long time", func() {
-		c := newCrowd(15)
+		c := newJobCrowd(15)
 		for number := range 400 {
 			c.handIn(number, plain(2, 500))
 			c.Run(time.Second)
@@ -361,13 +361,13 @@
 
 	for seed := range uint64(60) {
 		It(fmt.Sprintf("breaks no rule under a random schedule of faults, seed %d", seed), func() {
-			c := newCrowd(200+seed, simcluster.WithWork(mixedWork))
+			c := newJobCrowd(200+seed, simcluster.WithWork(mixedWork))
 			c.Loss = 0.05
 			bodies := []string{chain, plain(14, 1500), gang, plain(3, 9000)}
 			for number := range 40 {
 				c.handIn(number, bodies[number%len(bodies)])
 				c.misfortune()
-				c.Run(time.Duration(100+c.Line.Draw.IntN(500)) * time.Millisecond)
+				c.Run(time.Duration(100+c.Events.Draw.IntN(500)) * time.Millisecond)
 				Expect(c.Judge.Problems).To(BeEmpty())
 			}
 			c.Mend()
@@ -382,8 +382,8 @@
 
 func mixedWork(task string, run int64, _ *simcluster.Executor) (time.Duration, string) {
 	weight := 0
-	for _, letter := range task {
-		weight = weight*31 + int(letter)
+	for _, digit := range task {
+		weight = weight*31 + int(digit)
 	}
 	weight = (weight + int(run)*77) & 0xffff
 	how := "done"
@@ -393,15 +393,15 @@
 	return time.Duration(50+weight%900) * time.Millisecond, how
 }
 
-func (c *crowd) misfortune() {
-	if c.Line.Draw.IntN(3) > 0 {
+func (c *jobCrowd) misfortune() {
+	if c.Events.Draw.IntN(3) > 0 {
 		return
 	}
 	c.Mend()
-	node := c.Nodes[c.Line.Draw.IntN(len(c.Nodes))]
-	place := c.Line.Draw.IntN(len(c.Executors))
-	executor, proxy := c.Executors[place], c.Proxies[place]
-	switch c.Line.Draw.IntN(10) {
+	node := c.Nodes[c.Events.Draw.IntN(len(c.Nodes))]
+	index := c.Events.Draw.IntN(len(c.Executors))
+	executor, proxy := c.Executors[index], c.Proxies[index]
+	switch c.Events.Draw.IntN(10) {
 	case 0:
 		c.Kill(node)
 	case 1:
@@ -413,7 +413,7 @@
 	case 4:
 		c.Cut(executor.Machine, true)
 	case 5:
-		c.Crash(executor, time.Duration(100+c.Line.Draw.IntN(3000))*time.Millisecond)
+		c.Crash(executor, time.Duration(100+c.Events.Draw.IntN(3000))*time.Millisecond)
 	case 6:
 		c.KillProxy(proxy)
 	case 7:
--- a/internal/simulation/simcluster/stalls_test.go
+++ b/internal/simulation/simcluster/stalls_test.go
@@ -30,7 +30,7 @@
 
 // largeDay plays such jobs on many executors, with troubles drawn from the seed.
 type largeDay struct {
-	*crowd
+	*jobCrowd
 	watch *simcluster.StallWatch
 	// width is how many executors a trouble strikes, gap the least time between two jobs.
 	width    int
@@ -41,17 +41,17 @@
 }
 
 func newLargeDay(seed uint64, executors int) *largeDay {
-	var places []simcluster.Place
+	var places []simcluster.Site
 	for number := range executors {
-		places = append(places, simcluster.Place{Machine: fmt.Sprintf("side-%03d", number+1), Room: wire.Capacity{CPU: 64000, Memory: 128000},
+		places = append(places, simcluster.Site{Machine: fmt.Sprintf("side-%03d", number+1), Capacity: wire.Capacity{CPU: 64000, Memory: 128000},
 			Labels: []string{"a", fmt.Sprintf("r%d", number/20)}})
 	}
 	day := &largeDay{isLoose: map[string]bool{}}
 	timing := simcluster.DefaultTiming
 	timing.RemoteFactor = 1.5
-	day.crowd = newCrowd(seed, simcluster.WithPlaces(places), simcluster.WithGossip(), simcluster.WithTiming(timing), simcluster.WithWork(day.work))
+	day.jobCrowd = newJobCrowd(seed, simcluster.WithPlaces(places), simcluster.WithGossip(), simcluster.WithTiming(timing), simcluster.WithWork(day.work))
 	day.watch = day.WatchStalls()
-	day.width, day.gap = 4+day.Line.Draw.IntN(50), time.Duration(15+day.Line.Draw.IntN(70))*time.Millisecond
+	day.width, day.gap = 4+day.Events.Draw.IntN(50), time.Duration(15+day.Events.Draw.IntN(70))*time.Millisecond
 	return day
 }
 
@@ -61,14 +61,14 @@
 	if isLasting {
 		return time.Hour, "done"
 	}
-	if d.Line.Draw.IntN(60) == 0 {
+	if d.Events.Draw.IntN(60) == 0 {
 		return estimate / 2, "failed"
 	}
-	return estimate * time.Duration(80+d.Line.Draw.IntN(60)) / 100, "done"
+	return estimate * time.Duration(80+d.Events.Draw.IntN(60)) / 100, "done"
 }
 
 func (d *largeDay) handInOne() {
-	draw := d.Line.Draw
+	draw := d.Events.Draw
 	total := 0
 	for _, kind := range largeKinds {
 		total += kind.weight
@@ -82,7 +82,7 @@
 	}
 	repeat := ""
 	if name == "redundant" && draw.IntN(2) == 0 {
-		repeat = fmt.Sprintf(`,"repeat-count":3,"period-ms":3000,"first-run-ms":%d`, d.Line.Clock.WallMs()+int64(draw.IntN(4000)))
+		repeat = fmt.Sprintf(`,"repeat-count":3,"period-ms":3000,"first-run-ms":%d`, d.Events.Clock.WallMs()+int64(draw.IntN(4000)))
 	}
 	d.handedIn++
 	number := d.handedIn
@@ -95,7 +95,7 @@
 	d.isLoose[id(number)] = name == "lasting"
 	if draw.IntN(4) == 0 {
 		d.isLoose[id(number)] = true
-		d.Line.After(time.Duration(draw.IntN(4000))*time.Millisecond, func() {
+		d.Events.After(time.Duration(draw.IntN(4000))*time.Millisecond, func() {
 			d.watch.End(id(number))
 			d.Ask(wire.ClientCall{Verb: "cancel", Route: "cover", ID: id(number)}, func(wire.ClientAnswer) {})
 		})
@@ -104,7 +104,7 @@
 
 // trouble brings one trouble about and ends it again some seconds later.
 func (d *largeDay) trouble() {
-	draw := d.Line.Draw
+	draw := d.Events.Draw
 	length := time.Duration(2000+draw.IntN(5000)) * time.Millisecond
 	kind := draw.IntN(10)
 	if kind == 0 {
@@ -113,9 +113,9 @@
 	}
 	from := draw.IntN(len(d.Executors))
 	for number := range d.width {
-		place := (from + number) % len(d.Executors)
-		executor, proxy := d.Executors[place], d.Proxies[place]
-		lasts := func(begin, end func()) { begin(); d.Line.After(length, end) }
+		index := (from + number) % len(d.Executors)
+		executor, proxy := d.Executors[index], d.Proxies[index]
+		lasts := func(begin, end func()) { begin(); d.Events.After(length, end) }
 		switch kind {
 		case 1:
 			d.Crash(executor, length)
@@ -123,12 +123,12 @@
 			lasts(func() { d.Cut(executor.Machine, true) }, func() { d.Cut(executor.Machine, false) })
 		case 3, 4:
 			d.KillProxy(proxy)
-			d.Line.After(length/4, func() { d.StartProxy(proxy) })
+			d.Events.After(length/4, func() { d.StartProxy(proxy) })
 		case 5, 6:
 			lasts(func() { d.LoseStarts(executor, true) }, func() { d.LoseStarts(executor, false) })
 		case 7:
 			d.Drain(executor)
-			d.Line.After(length, func() { d.Crash(executor, time.Second) })
+			d.Events.After(length, func() { d.Crash(executor, time.Second) })
 		case 8:
 			lasts(func() { d.Slow(executor, 6) }, func() { d.Slow(executor, 1) })
 		default:
@@ -138,17 +138,17 @@
 }
 
 func (d *largeDay) leaderChange(length time.Duration) {
-	owner := d.Owner()
-	if owner == nil {
+	leader := d.Leader()
+	if leader == nil {
 		return
 	}
-	if d.Line.Draw.IntN(2) == 0 {
-		d.Freeze(owner, true)
-		d.Line.After(length, func() { d.Freeze(owner, false) })
+	if d.Events.Draw.IntN(2) == 0 {
+		d.Freeze(leader, true)
+		d.Events.After(length, func() { d.Freeze(leader, false) })
 		return
 	}
-	d.Kill(owner)
-	d.Line.After(length, func() { d.Start(owner) })
+	d.Kill(leader)
+	d.Events.After(length, func() { d.Start(leader) })
 }
 
 // burst hands many jobs in at once.
@@ -160,18 +160,18 @@
 
 // play hands jobs in and makes trouble, then lets all come to an end.
 func (d *largeDay) play(length time.Duration) {
-	draw := d.Line.Draw
-	nextTrouble := d.Line.Now() + time.Second
-	for end := d.Line.Now() + length; d.Line.Now() < end; {
+	draw := d.Events.Draw
+	nextTrouble := d.Events.Now() + time.Second
+	for end := d.Events.Now() + length; d.Events.Now() < end; {
 		d.handInOne()
 		if draw.IntN(100) > 0 {
 			d.Run(d.gap + time.Duration(draw.IntN(int(d.gap))))
 		} else {
 			d.burst()
 		}
-		if d.Line.Now() >= nextTrouble {
+		if d.Events.Now() >= nextTrouble {
 			d.trouble()
-			nextTrouble = d.Line.Now() + time.Duration(500+draw.IntN(1500))*time.Millisecond
+			nextTrouble = d.Events.Now() + time.Duration(500+draw.IntN(1500))*time.Millisecond
 		}
 	}
 	d.Run(8 * time.Second)
@@ -184,8 +184,8 @@
 // left counts the accepted jobs that are yet to come to an end.
 func (d *largeDay) left() (count int) {
 	states := d.States()
-	for one := range d.accepted {
-		if !d.isLoose[one] && states[one] != "completed" && states[one] != "failed" {
+	for a := range d.accepted {
+		if !d.isLoose[a] && states[a] != "completed" && states[a] != "failed" {
 			count++
 		}
 	}
@@ -196,15 +196,15 @@
 func (d *largeDay) expectEnds() {
 	Expect(d.accepted).NotTo(BeEmpty())
 	states := d.States()
-	for one := range d.accepted {
-		if d.isLoose[one] {
+	for a := range d.accepted {
+		if d.isLoose[a] {
 			continue
 		}
-		if d.Judge.HasFailed(one) {
-			Expect(states[one]).To(BeElementOf("completed", "failed"), one)
+		if d.Judge.HasFailed(a) {
+			Expect(states[a]).To(BeElementOf("completed", "failed"), a)
 			continue
 		}
-		Expect(states[one]).To(Equal("completed"), one)
+		Expect(states[a]).To(Equal("completed"), a)
 	}
 }
 
--- a/internal/simulation/simcluster/trust_test.go
+++ b/internal/simulation/simcluster/trust_test.go
@@ -11,16 +11,16 @@
 )
 
 var _ = Describe("executors that mislead", func() {
-	var c *crowd
+	var c *jobCrowd
 	number := 0
 	load := func(span time.Duration, body string) {
-		for until := c.Line.Now() + span; c.Line.Now() < until; number++ {
+		for until := c.Events.Now() + span; c.Events.Now() < until; number++ {
 			c.handIn(number, body)
 			c.Run(100 * time.Millisecond)
 		}
 	}
 	starts := func(executor *simcluster.Executor) int { return executor.Starts }
-	BeforeEach(func() { c, number = newCrowd(51), 0 })
+	BeforeEach(func() { c, number = newJobCrowd(51), 0 })
 
 	It("lets one that refuses by turns cost little, and gives it work again by degrees", func() {
 		flapping := c.Executors[0]
@@ -62,8 +62,8 @@
 	})
 
 	It("places a refused start elsewhere at once", func() {
-		for _, one := range c.Executors[:5] {
-			c.Refuse(one, true)
+		for _, executor := range c.Executors[:5] {
+			c.Refuse(executor, true)
 		}
 		c.handIn(1, plain(6, 1500))
 		c.Run(700 * time.Millisecond)
@@ -91,8 +91,8 @@
 
 	hangsOn := func(places ...int) func(string, int64, *simcluster.Executor) (time.Duration, string) {
 		return func(_ string, _ int64, executor *simcluster.Executor) (time.Duration, string) {
-			for _, place := range places {
-				if executor == c.Executors[place] {
+			for _, index := range places {
+				if executor == c.Executors[index] {
 					return time.Hour, "done"
 				}
 			}
