--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	budget := modelcheck.Budget{Size: size, Seed: flags.Uint64("seed"), Schedules: flags.Int("schedules"), Losses: flags.Int("losses"),
-		Plant: flags.String("plant"), Workers: flags.Int("workers")}
+		Fault: flags.String("plant"), Workers: flags.Int("workers")}
 	if err := checkBudget(model, budget); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 }
 
 func checkBudget(model modelcheck.Model, budget modelcheck.Budget) error {
-	isPlant := func(plant modelcheck.InjectedFault) bool { return plant.Name == budget.Plant }
+	isPlant := func(plant modelcheck.InjectedFault) bool { return plant.Name == budget.Fault }
 	switch {
 	case budget.Losses != 1 && budget.Losses != 2:
 		return cli.Exit("--losses must be 1 or 2", exitUsage)
@@ -137,8 +137,8 @@
 		return cli.Exit("--schedules must be at least 1", exitUsage)
 	case budget.Workers < 0:
 		return cli.Exit("--workers must not be negative", exitUsage)
-	case budget.Plant != "" && !slices.ContainsFunc(model.Plants(), isPlant):
-		return cli.Exit(fmt.Sprintf("--plant: there is no %q; see --list-plants", budget.Plant), exitUsage)
+	case budget.Fault != "" && !slices.ContainsFunc(model.Plants(), isPlant):
+		return cli.Exit(fmt.Sprintf("--plant: there is no %q; see --list-plants", budget.Fault), exitUsage)
 	}
 	return nil
 }
@@ -171,8 +171,8 @@
 	if budget.Size != modelcheck.SizeSmall {
 		fmt.Printf(", size %s", budget.Size)
 	}
-	if budget.Plant != "" {
-		fmt.Printf(", planted: %s", budget.Plant)
+	if budget.Fault != "" {
+		fmt.Printf(", planted: %s", budget.Fault)
 	}
 	fmt.Println()
 	var reported time.Duration
--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// mostEnds is how many ends one answer lists.
-	mostEnds = 500
-	// mostWaitMs is how long a hold may wait for an end, in milliseconds.
-	mostWaitMs = 2000
+	// maxEnds is how many ends one answer lists.
+	maxEnds = 500
+	// maxWaitMs is how long a hold may wait for an end, in milliseconds.
+	maxWaitMs = 2000
 	// firstClockMs is what the clock of an executor shows at its start.
 	firstClockMs = 100_000
-	// mostPercent is the progress that a running task shows at most.
-	mostPercent = 99
+	// maxPercent is the progress that a running task shows at most.
+	maxPercent = 99
 )
 
 // How a run ended, on the wire.
@@ -32,10 +32,10 @@
 
 // Why an order was refused, on the wire.
 const (
-	reasonFence = "fence"
-	reasonOld   = "old"
-	reasonLate  = "late"
-	reasonRoom  = "room"
+	reasonFence      = "fence"
+	reasonOld        = "old"
+	reasonLate       = "late"
+	reasonNoCapacity = "room"
 )
 
 // Load is what a task of the scale run asks for; it travels as the task's descriptor. CPU is in
@@ -168,7 +168,7 @@
 	})
 }
 
-func (e *Executor) hasRoomFor(load Load) bool {
+func (e *Executor) hasCapacityFor(load Load) bool {
 	cpu, memory := load.CPU, load.MemoryMB
 	for _, active := range e.active {
 		cpu, memory = cpu+active.load.CPU, memory+active.load.MemoryMB
@@ -203,8 +203,8 @@
 		return 409, e.answer(reasonLate)
 	}
 	e.extend(order.ExpiryMs)
-	if !e.hasRoomFor(load) {
-		return 409, e.answer(reasonRoom)
+	if !e.hasCapacityFor(load) {
+		return 409, e.answer(reasonNoCapacity)
 	}
 	e.begin(order, load)
 	return 200, e.answer("")
@@ -271,7 +271,7 @@
 	}
 	waiting := &waitingHold{answer: answer}
 	e.waiting = append(e.waiting, waiting)
-	e.later(clock.Milliseconds(min(hold.WaitMs, mostWaitMs)), func() {
+	e.later(clock.Milliseconds(min(hold.WaitMs, maxWaitMs)), func() {
 		if place := slices.Index(e.waiting, waiting); place >= 0 {
 			e.waiting = slices.Delete(e.waiting, place, place+1)
 			waiting.answer(200, e.lists())
@@ -282,11 +282,11 @@
 // lists is an answer with the ends that are not acknowledged and the runs that go on.
 func (e *Executor) lists() executorapi.Answer {
 	answer := e.answer("")
-	answer.Ends = slices.Clone(e.ends[:min(len(e.ends), mostEnds)])
+	answer.Ends = slices.Clone(e.ends[:min(len(e.ends), maxEnds)])
 	for _, active := range e.active {
 		percent := int(100 * (e.clock.Monotonic() - active.began) / max(active.load.Length, 1))
 		answer.Running = append(answer.Running,
-			executorapi.RunningRow{Task: active.record.Task, Run: active.record.Run, Percent: min(percent, mostPercent)})
+			executorapi.RunningRow{Task: active.record.Task, Run: active.record.Run, Percent: min(percent, maxPercent)})
 	}
 	return answer
 }
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -33,7 +33,7 @@
 	// PathProfile gives the processor profile of the next so many seconds.
 	PathProfile = "/hollow/profile"
 
-	mailboxRoom = 256
+	mailboxSize = 256
 	// longestCall is in bytes.
 	longestCall      = 64 << 10
 	heartbeatTimeout = time.Second
@@ -53,7 +53,7 @@
 }
 
 func newNode(ctx context.Context, worker Worker, nodeSettings *settings.Settings, timeSource clock.Clock) *node {
-	started := &node{mailbox: mailbox.New(mailboxRoom), settings: nodeSettings, clock: timeSource, ctx: ctx}
+	started := &node{mailbox: mailbox.New(mailboxSize), settings: nodeSettings, clock: timeSource, ctx: ctx}
 	shape := Shape{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Room: worker.Room, Labels: worker.Labels,
 		MaxHold: nodeSettings.MaxHold(), StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), Pace: worker.Pace}
 	started.executor = NewExecutor(shape, timeSource, started.later)
--- a/internal/simulation/hollow/spec.go
+++ b/internal/simulation/hollow/spec.go
@@ -76,25 +76,25 @@
 }
 
 func (s *Spec) check() error {
-	var found error
+	var problems error
 	if len(s.Workers) < 1 || len(s.Workers) > MostWorkers {
-		found = multierr.Append(found, errors.Errorf("field workers must hold 1 to %d, and holds %d", MostWorkers, len(s.Workers)))
+		problems = multierr.Append(problems, errors.Errorf("field workers must hold 1 to %d, and holds %d", MostWorkers, len(s.Workers)))
 	}
 	if !IsLoopback(s.Report) {
-		found = multierr.Append(found, errors.Errorf("field report: %q is no loopback address", s.Report))
+		problems = multierr.Append(problems, errors.Errorf("field report: %q is no loopback address", s.Report))
 	}
 	if s.ForMs < 1 || s.ForMs > LongestRun.Milliseconds() {
-		found = multierr.Append(found, errors.Errorf("field for-ms must be 1 to %d", LongestRun.Milliseconds()))
+		problems = multierr.Append(problems, errors.Errorf("field for-ms must be 1 to %d", LongestRun.Milliseconds()))
 	}
 	for place, worker := range s.Workers {
 		if worker.Pace < 0.98 || worker.Pace > 1 {
-			found = multierr.Append(found, errors.Errorf("worker %d: field pace must be 0.98 to 1", place))
+			problems = multierr.Append(problems, errors.Errorf("worker %d: field pace must be 0.98 to 1", place))
 		}
 		if worker.Room.CPU < 1 || worker.Room.Memory < 1 {
-			found = multierr.Append(found, errors.Errorf("worker %d: field capacity is empty", place))
+			problems = multierr.Append(problems, errors.Errorf("worker %d: field capacity is empty", place))
 		}
 	}
-	return found
+	return problems
 }
 
 func checkAddresses(nodeSettings *settings.Settings) error {
--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -54,13 +54,13 @@
 
 // Commit proposes the change with the large pair that belongs to it.
 func (t *bulkLeadership) Commit(ops []wire.Op, done func(error)) {
-	fact := factOf(ops)
-	if fact == nil {
+	committed := configurationOf(ops)
+	if committed == nil {
 		t.Leadership.Commit(ops, done)
 		return
 	}
 	// The pair follows from the body, so that a change proposed again by another leader leads to the same state.
-	digest := digestOf(fact.Body)
+	digest := digestOf(committed.Body)
 	index, value := int(digest[0])%t.cluster.bulkPairs, bulkValues[int(digest[1])%bulkVariants]
 	next := t.state
 	next[index] = value[0]
@@ -75,11 +75,11 @@
 }
 
 // checkBulk looks whether the large pairs are those that the newest change left behind.
-func (w *simCluster) checkBulk(n *simNode, pairs []wire.Op, fact *wire.Configuration) {
-	if !w.isBulk || fact == nil {
+func (w *simCluster) checkBulk(n *simNode, pairs []wire.Op, committed *wire.Configuration) {
+	if !w.isBulk || committed == nil {
 		return
 	}
-	if want, state := w.record.bulk[digestOf(fact.Body)], bulkOf(pairs); want != state {
-		w.violated("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, fact.Version, state, want)
+	if want, state := w.record.bulk[digestOf(committed.Body)], bulkOf(pairs); want != state {
+		w.violated("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, committed.Version, state, want)
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
@@ -50,16 +50,16 @@
 
 	for _, fault := range []string{"learner-counted-early", "learner-counted-between-chunks"} {
 		It("finds the planted fault "+fault+" at the size of a large fleet", func() {
-			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge, Plant: fault})
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge, Fault: fault})
 			Expect(finding).NotTo(BeNil())
 		})
 	}
 
 	for _, fault := range controlmodel.New().Plants() {
 		It("finds the planted fault "+fault.Name, func() {
-			finding := run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 1, Plant: fault.Name})
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 1, Fault: fault.Name})
 			if finding == nil {
-				finding = run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 2, Plant: fault.Name})
+				finding = run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 2, Fault: fault.Name})
 			}
 			Expect(finding).NotTo(BeNil())
 		})
@@ -86,7 +86,7 @@
 			schedule := model.Draw(number, 1, modelcheck.SizeSmall)
 			Expect(model.Run(schedule)).To(Equal(model.Run(schedule)))
 		}
-		budget := modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Plant: "commit-before-majority", Workers: 1}
+		budget := modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Fault: "commit-before-majority", Workers: 1}
 		finding, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
 		budget.Workers = 4
 		four, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
@@ -94,7 +94,7 @@
 	})
 
 	It("cuts a failing schedule down to fewer steps that break the same invariant", func() {
-		finding := run(modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Plant: "confirmed-list-lost"})
+		finding := run(modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Fault: "confirmed-list-lost"})
 		shortest, outcome := modelcheck.Shrink(controlmodel.New(), finding.Schedule)
 		Expect(len(shortest.Steps)).To(BeNumerically("<", len(finding.Schedule.Steps)))
 		Expect(outcome.Violations[0].Oracle).To(Equal(finding.Outcome.Violations[0].Oracle))
--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -148,7 +148,7 @@
 		}
 	case stepPowerOnAck:
 		step.Node, step.Value = leaderIndex, 0
-		span.to += int(trapLife.Milliseconds())
+		span.to += int(trapDuration.Milliseconds())
 		if d.draw.IntN(3) == 0 {
 			d.addEndOfAll(at)
 			return
@@ -184,7 +184,7 @@
 	}
 	span := lossSpan{at, at + step.ForMs + catchUpMs}
 	if step.Kind == stepPowerOnAck {
-		span.to += int(trapLife.Milliseconds())
+		span.to += int(trapDuration.Milliseconds())
 	}
 	if d.draw.IntN(2) == 0 && d.isBearable(span, d.losses) {
 		step.Value = d.losses
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -8,11 +8,11 @@
 
 const (
 	// Large schedules last so long after the first fault.
-	leastLargeMs, maxLargeMs = 3000, 20000
+	minLargeMs, maxLargeMs = 3000, 20000
 	// fillMs is how long a storm of changes at the beginning fills the large pairs.
 	fillMs = 1500
-	// nextAtMost is how soon after a disk counts no longer as lost the next one may be.
-	nextAtMost = 400
+	// nextWithin is how soon after a disk counts no longer as lost the next one may be.
+	nextWithin = 400
 	// maxRow is how many times in a row disks are lost.
 	maxRow = 4
 )
@@ -25,7 +25,7 @@
 // to spare; a state of several MB; and disks lost as soon as those lost before count as back.
 func (d *drawing) large(seed uint64) modelcheck.Schedule {
 	d.nodes = 2*d.losses + 1
-	d.endMs = growUpMs + leastLargeMs + d.draw.IntN(maxLargeMs-leastLargeMs)
+	d.endMs = growUpMs + minLargeMs + d.draw.IntN(maxLargeMs-minLargeMs)
 	d.add(modelcheck.Step{Kind: stepBulk})
 	d.add(modelcheck.Step{AtMs: 1000, Kind: stepStorm, ForMs: fillMs})
 	d.addRow()
@@ -52,7 +52,7 @@
 				d.addWipe(at+d.draw.IntN(100), length)
 			}
 		}
-		at = d.lastLostUntil() + d.draw.IntN(nextAtMost)
+		at = d.lastLostUntil() + d.draw.IntN(nextWithin)
 	}
 }
 
--- a/internal/simulation/modelcheck/controlmodel/faults.go
+++ b/internal/simulation/modelcheck/controlmodel/faults.go
@@ -38,7 +38,7 @@
 	stepBulk         = "bulk"
 	leaderIndex      = -1
 	stormPause       = 25 * time.Millisecond
-	trapLife         = time.Second
+	trapDuration     = time.Second
 	longestAfterAck  = 5
 	weatherLost      = 80
 	weatherHeavyLost = 300
@@ -108,7 +108,7 @@
 	case stepPowerAll, stepKillAll:
 		w.endAll(step)
 	case stepPowerOnAck:
-		w.traps = append(w.traps, trap{step, w.now + trapLife})
+		w.traps = append(w.traps, trap{step, w.now + trapDuration})
 	default:
 		w.applyChange(step, n, length)
 	}
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -14,8 +14,8 @@
 
 // The names of the configuration leader's pairs.
 const (
-	factName        = "fact"
-	confirmedPrefix = "confirmed/"
+	recordConfiguration = "fact"
+	confirmedPrefix     = "confirmed/"
 )
 
 // stateMachine is the configuration leader of a machine, with the oracles looking on.
@@ -102,12 +102,12 @@
 	}
 }
 
-func factOf(pairs []wire.Op) *wire.Configuration {
+func configurationOf(pairs []wire.Op) *wire.Configuration {
 	for _, pair := range pairs {
-		if pair.Name == factName {
-			fact := &wire.Configuration{}
-			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), fact); err == nil {
-				return fact
+		if pair.Name == recordConfiguration {
+			committed := &wire.Configuration{}
+			if err := easyjson.Unmarshal(bytes.Clone(pair.Value), committed); err == nil {
+				return committed
 			}
 		}
 	}
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -108,7 +108,7 @@
 	n.replicas = replicas
 	n.known, n.hint = nil, leaderHint{}
 	n.cluster.tell("%s starts, disk %s", n.name, n.disk.name)
-	n.config = configleader.New(logging.Silent(), func(fact *wire.Configuration) { n.cluster.noteInForce(digestOf(fact.Body)) })
+	n.config = configleader.New(logging.Silent(), func(committed *wire.Configuration) { n.cluster.noteInForce(digestOf(committed.Body)) })
 	n.engine = replication.NewEngine(configleader.Key, n.disk.name, n.name, &n.clock, n.cluster.fault.wrapLinks(n, &links{n}),
 		n.cluster.fault.wrapMachine(n, &stateMachine{n}), n.members,
 		replication.WithInitialVoters(n.cluster.voters), replication.WithMachineLosses(n.cluster.schedule.Losses),
@@ -157,7 +157,7 @@
 	if w.trace == nil {
 		return logging.Silent()
 	}
-	return funcr.New(func(_, line string) { w.tell("%s: %s", n.name, line) }, funcr.Options{})
+	return funcr.New(func(_, text string) { w.tell("%s: %s", n.name, text) }, funcr.Options{})
 }
 
 // post runs something inside the process a moment later.
@@ -266,8 +266,8 @@
 	all := make([]wire.Member, 0, len(n.known))
 	for index, other := range n.cluster.nodes {
 		known := &n.known[index]
-		isHeard := other == n || other.isUp && !other.isFrozen && n.cluster.isOpen(n, other) && n.cluster.isOpen(other, n)
-		if isHeard && (other == n || now-other.startedAt >= gossipDelay) {
+		isKnown := other == n || other.isUp && !other.isFrozen && n.cluster.isOpen(n, other) && n.cluster.isOpen(other, n)
+		if isKnown && (other == n || now-other.startedAt >= gossipDelay) {
 			*known = knownMember{other.member(), now, true}
 		}
 		if !known.isKnown {
--- a/internal/simulation/modelcheck/controlmodel/oracles.go
+++ b/internal/simulation/modelcheck/controlmodel/oracles.go
@@ -68,21 +68,21 @@
 		w.violated("one leader", "epoch %d belongs to %s and to %s", epoch, other, n.name)
 	}
 	w.record.epochs[epoch] = n.name
-	fact, confirmed := factOf(pairs), confirmedOf(pairs)
+	committed, confirmed := configurationOf(pairs), confirmedOf(pairs)
 	for _, record := range confirmed {
 		w.noteInForce(record.Digest)
 	}
-	w.checkBulk(n, pairs, fact)
+	w.checkBulk(n, pairs, committed)
 	if !n.leadership.HasLease() || w.record.top == 0 {
 		return
 	}
 	want := wire.ConfirmedVersion{Version: w.record.top, Digest: w.record.confirmed[w.record.top]}
 	switch {
-	case fact == nil:
+	case committed == nil:
 		w.violated("acknowledged is kept", "%s leads epoch %d with no configuration, version %d was confirmed", n.name, epoch, w.record.top)
-	case fact.Version < w.record.top || !slices.Contains(confirmed, want):
+	case committed.Version < w.record.top || !slices.Contains(confirmed, want):
 		w.violated("acknowledged is kept", "%s leads epoch %d with version %d, version %d was confirmed and is not in it",
-			n.name, epoch, fact.Version, w.record.top)
+			n.name, epoch, committed.Version, w.record.top)
 	}
 }
 
@@ -150,13 +150,13 @@
 	if len(belief.Voters.Old) > 0 {
 		return "a change of voters is under way"
 	}
-	held := 0
+	count := 0
 	for _, node := range w.slots {
 		if node.isUp && headOf(node.disk) == belief.Last {
-			held++
+			count++
 		}
 	}
-	if held <= w.schedule.Losses {
+	if count <= w.schedule.Losses {
 		return "the newest change is on too few disks"
 	}
 	if wanted := min(2*w.schedule.Losses+1, len(w.slots)-1+len(w.slots)%2); len(belief.Voters.Current) < wanted {
@@ -182,9 +182,9 @@
 	}
 	want, _ := leader.disk.Read(configleader.Key)
 	for _, node := range w.slots {
-		held, _ := node.disk.Read(configleader.Key)
-		if held.Last == want.Last && !slices.EqualFunc(held.Pairs, want.Pairs, isSamePair) {
-			w.violated("same place, same state", "%s and %s differ at %v", node.name, leader.name, held.Last)
+		state, _ := node.disk.Read(configleader.Key)
+		if state.Last == want.Last && !slices.EqualFunc(state.Pairs, want.Pairs, isSamePair) {
+			w.violated("same place, same state", "%s and %s differ at %v", node.name, leader.name, state.Last)
 		}
 	}
 }
@@ -225,8 +225,8 @@
 		}
 		return orderStep(chain, seen)
 	},
-	Equal: func(one, two any) bool {
-		first, second := one.(*modelChain), two.(*modelChain)
+	Equal: func(element, two any) bool {
+		first, second := element.(*modelChain), two.(*modelChain)
 		for first != second {
 			if first == nil || second == nil || first.digest != second.digest {
 				return false
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -19,8 +19,8 @@
 	route      = "route"
 
 	clientPatience = 1500 * time.Millisecond
-	leastPatience  = 100 * time.Millisecond
-	mostPatience   = 1400 * time.Millisecond
+	minPatience    = 100 * time.Millisecond
+	maxPatience    = 1400 * time.Millisecond
 	clientPause    = 150 * time.Millisecond
 	clientAttempts = 40
 )
@@ -38,7 +38,7 @@
 
 // serve asks the key's leader until there is an answer or no time left.
 func (g *modelGate) serve(request wire.ClientCall, answer func(clientReply)) {
-	attempts := leaderclient.NewAttempts(poolKey, g.cluster.queue.now()+g.cluster.queue.between(leastPatience, mostPatience), g.cluster.queue.random.IntN)
+	attempts := leaderclient.NewAttempts(poolKey, g.cluster.queue.now()+g.cluster.queue.between(minPatience, maxPatience), g.cluster.queue.random.IntN)
 	var next func()
 	pause := func() { g.later(attempts.Pause(g.cluster.queue.now()), next) }
 	next = func() {
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -12,16 +12,16 @@
 
 const (
 	localHop           = 500 * time.Microsecond
-	leastLate          = 2 * time.Second
-	mostLate           = 12 * time.Second
+	minLate            = 2 * time.Second
+	maxLate            = 12 * time.Second
 	drainMs            = 2000
 	heartbeatInterval  = 1500 * time.Millisecond
 	firstHeartbeatTime = 300 * time.Millisecond
-	mostBeatTime       = 3 * time.Second
+	maxBeatTime        = 3 * time.Second
 
 	percentLateBeats = 60
 	checkpointTime   = 700 * time.Millisecond
-	mostEndsTold     = 500
+	maxEndsTold      = 500
 	percentLate      = 50
 	percentBusy      = 60
 )
@@ -131,7 +131,7 @@
 	id, proxy, wait := e.id, e.proxy, localHop
 	if e.isHeartbeatLate && e.cluster.queue.chance(percentLateBeats) {
 		e.cluster.count("beat_late")
-		wait = e.cluster.queue.between(localHop, mostBeatTime)
+		wait = e.cluster.queue.between(localHop, maxBeatTime)
 	}
 	e.cluster.queue.after(wait, func() {
 		proxy.enter(proxy.incarnation, func() { proxy.table.Heartbeat(id, heartbeat) })
@@ -146,12 +146,12 @@
 	}
 	e.isDraining, e.departsAt = true, e.cluster.queue.now()+clock.Milliseconds(drainMs)
 	e.later(clock.Milliseconds(drainMs), func() {
-		e.sayFarewell()
+		e.sendDeregistration()
 		e.later(100*time.Millisecond, e.replace)
 	})
 }
 
-// deregister is an end in order that begins with the farewell: the executor serves on for as long as in a drain, and some
+// deregister is an end in order that begins with the deregistration: the executor serves on for as long as in a drain, and some
 // more.
 func (e *modelExecutor) deregister(servesOn time.Duration) {
 	if !e.isUp || e.isDraining {
@@ -159,11 +159,12 @@
 	}
 	e.cluster.count("farewell_unannounced")
 	e.isLeaving = true
-	e.sayFarewell()
+	e.sendDeregistration()
 	e.later(clock.Milliseconds(drainMs)+servesOn, e.replace)
 }
 
-func (e *modelExecutor) sayFarewell() {
+// sendDeregistration tells the proxy that this executor leaves.
+func (e *modelExecutor) sendDeregistration() {
 	id, proxy := e.id, e.proxy
 	e.isSilent = true
 	proxy.enter(proxy.incarnation, func() { proxy.table.Deregister(id) })
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -20,7 +20,7 @@
 	wait, isMute := localHop, e.isMute && e.cluster.queue.chance(percentLate)
 	if e.isLate && e.cluster.queue.chance(percentLate) {
 		e.cluster.count("executor_late")
-		wait, isMute = e.cluster.queue.between(leastLate, mostLate), true
+		wait, isMute = e.cluster.queue.between(minLate, maxLate), true
 	}
 	isFresh := !isMute || wait == localHop
 	isBusy := e.isBusy && isFresh && e.cluster.queue.chance(percentBusy)
@@ -156,7 +156,7 @@
 
 func (e *modelExecutor) lists() executorReply {
 	reply := e.reported(http.StatusOK, "")
-	reply.answer.Ends = slices.Clone(e.ends[:min(mostEndsTold, len(e.ends))])
+	reply.answer.Ends = slices.Clone(e.ends[:min(maxEndsTold, len(e.ends))])
 	for _, execution := range e.active {
 		percent := 0
 		if execution.isGoing && !execution.isStuck && execution.length > 0 {
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	earlyMs      = 250
-	jumpSlackMs  = 5000
-	mostProblems = 8
+	earlyMs     = 250
+	jumpSlackMs = 5000
+	maxProblems = 8
 )
 
 // oracles see what executors and clients truly saw, and say where an invariant does not hold.
@@ -48,7 +48,7 @@
 }
 
 func (w *simCluster) violate(oracle, format string, values ...any) {
-	if len(w.oracles.violations) < mostProblems {
+	if len(w.oracles.violations) < maxProblems {
 		w.oracles.violations = append(w.oracles.violations, modelcheck.Violation{Oracle: oracle,
 			AtMs: int(w.queue.now() / time.Millisecond), Detail: fmt.Sprintf(format, values...)})
 	}
--- a/internal/simulation/modelcheck/ordermodel/ordermodel_test.go
+++ b/internal/simulation/modelcheck/ordermodel/ordermodel_test.go
@@ -19,8 +19,8 @@
 	soundLarge = 9
 	// firstLarge is the first of their seeds.
 	firstLarge = uint64(0)
-	// mostLarge is how many schedules of the large profile a planted fault may stay hidden.
-	mostLarge = 12
+	// maxLarge is how many schedules of the large profile a planted fault may stay hidden.
+	maxLarge = 12
 	// most is how many schedules a planted fault may stay hidden.
 	most = 1500
 )
@@ -98,7 +98,7 @@
 	for name, first := range map[string]uint64{"ended-run-still-counted": firstLarge, "executor-avoided-for-ever": firstLarge,
 		"placement-put-off": firstLarge, "state-not-told": firstLarge} {
 		It("finds a planted fault at the size of a large fleet: "+name, func() {
-			expectFound(model, name, modelcheck.SizeLarge, first, mostLarge)
+			expectFound(model, name, modelcheck.SizeLarge, first, maxLarge)
 		})
 	}
 
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -84,11 +84,11 @@
 	p.boot()
 	p.carrying, p.queued, p.pending = 0, nil, nil
 	p.work, p.starts, p.looks, p.acks = timerSignal{}, timerSignal{}, timerSignal{}, timerSignal{}
-	ring := func(signal *timerSignal) func() { return func() { p.later(0, signal.strike) } }
+	notify := func(signal *timerSignal) func() { return func() { p.later(0, signal.strike) } }
 	// A session is the time of day at which the process began.
 	session := uint64(p.cluster.queue.clock.WallMs())
-	p.table = p.cluster.fault.table(p, localproxy.NewTable(p.cluster.queue.clock, logging.Silent(), service, "zone", p.name, ring(&p.work), ring(&p.looks),
-		ring(&p.acks), localproxy.WithSession(session), localproxy.WithStartSignal(ring(&p.starts))))
+	p.table = p.cluster.fault.table(p, localproxy.NewTable(p.cluster.queue.clock, logging.Silent(), service, "zone", p.name, notify(&p.work), notify(&p.looks),
+		notify(&p.acks), localproxy.WithSession(session), localproxy.WithStartSignal(notify(&p.starts))))
 	p.holdLoop()
 	p.listLoop()
 	p.pollLoop()
@@ -102,9 +102,9 @@
 		p.awaitAck()
 		return
 	}
-	p.hold(work, func(isHeld bool) {
+	p.hold(work, func(isWaiting bool) {
 		switch {
-		case isHeld:
+		case isWaiting:
 			p.later(holdGap, p.holdLoop)
 		case work.Hold.WaitMs == shortWaitMs:
 			p.later(localproxy.PauseAfterMiss(p.cluster.queue.now()-begunAt), p.holdLoop)
@@ -135,8 +135,8 @@
 			p.listLoop()
 			return
 		}
-		p.hold(work, func(isHeld bool) {
-			if isHeld {
+		p.hold(work, func(isWaiting bool) {
+			if isWaiting {
 				p.listLoop()
 				return
 			}
@@ -148,15 +148,15 @@
 	})
 }
 
-func (p *modelProxy) hold(work localproxy.HoldWork, done func(isHeld bool)) {
+func (p *modelProxy) hold(work localproxy.HoldWork, done func(isWaiting bool)) {
 	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
-		isHeld := reply.err == nil && reply.status == http.StatusOK
-		if isHeld {
+		isWaiting := reply.err == nil && reply.status == http.StatusOK
+		if isWaiting {
 			p.table.HandleHold(work, reply.answer)
 		} else {
 			p.table.HandleHoldFailure(work, reply.err == nil && reply.status == http.StatusMisdirectedRequest)
 		}
-		done(isHeld)
+		done(isWaiting)
 	})
 }
 
--- a/internal/simulation/modelcheck/ordermodel/schedule.go
+++ b/internal/simulation/modelcheck/ordermodel/schedule.go
@@ -10,11 +10,11 @@
 const drawStream = 7
 
 const (
-	leastJobs, mostJobs     = 2, 6
-	leastFaults, mostFaults = 1, 6
-	firstStepMs             = 1200
-	lastStepMs              = 12000
-	cancelPercent           = 35
+	minJobs, maxJobs     = 2, 6
+	minFaults, maxFaults = 1, 6
+	firstStepMs          = 1200
+	lastStepMs           = 12000
+	cancelPercent        = 35
 )
 
 // Kinds of steps. Node is a steward, a gate, a machine or a job, as the kind says; ForMs is how long the fault lasts.
@@ -62,38 +62,38 @@
 
 // scheduledFault is a kind of trouble with the bounds of its length; those with more weight come more often.
 type scheduledFault struct {
-	kind          string
-	weight        int
-	least, limit  int
-	maxValue      int
-	isOfExecutors bool
+	kind           string
+	weight         int
+	minimum, limit int
+	maxValue       int
+	isOfExecutors  bool
 }
 
 var faults = []scheduledFault{
-	{kind: kindKillSteward, weight: 3, least: 100, limit: 3000},
-	{kind: kindFreezeSteward, weight: 3, least: 200, limit: 9000},
-	{kind: kindCutSteward, weight: 4, least: 200, limit: 12000, maxValue: 2},
-	{kind: kindPartition, weight: 4, least: 500, limit: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
-	{kind: kindHandOver, weight: 2, least: 1, limit: 1},
-	{kind: kindSlowSync, weight: 2, least: 200, limit: 3000, maxValue: 400},
-	{kind: kindLosePower, weight: 3, least: 100, limit: 1500, maxValue: 5},
-	{kind: kindClockJump, weight: 1, least: 500, limit: 8000, maxValue: 4000},
-	{kind: kindCutGate, weight: 1, least: 200, limit: 4000, maxValue: 2},
-	{kind: kindKillProxy, weight: 4, least: 50, limit: 3000, isOfExecutors: true},
-	{kind: kindFreezeProxy, weight: 3, least: 200, limit: 9000, isOfExecutors: true},
-	{kind: kindCutProxy, weight: 4, least: 200, limit: 12000, maxValue: 2, isOfExecutors: true},
-	{kind: kindCrashExecutor, weight: 3, least: 50, limit: 4000, isOfExecutors: true},
-	{kind: kindFreezeExecutor, weight: 2, least: 200, limit: 9000, isOfExecutors: true},
-	{kind: kindDrainExecutor, weight: 2, least: 1, limit: 10000, maxValue: drainUnannounced, isOfExecutors: true},
-	{kind: kindLateExecutor, weight: 5, least: 500, limit: 6000, isOfExecutors: true},
-	{kind: kindMuteExecutor, weight: 4, least: 300, limit: 5000, isOfExecutors: true},
-	{kind: kindBusyExecutor, weight: 3, least: 200, limit: 4000, isOfExecutors: true},
-	{kind: kindRefuseExecutor, weight: 2, least: 100, limit: 4000, isOfExecutors: true},
-	{kind: kindStuckExecutor, weight: 1, least: 300, limit: 2000, isOfExecutors: true},
-	{kind: kindLateBeats, weight: 2, least: 500, limit: 5000, isOfExecutors: true},
-	{kind: kindLoseMessages, weight: 3, least: 300, limit: 5000, maxValue: 40},
-	{kind: kindDoubleMessages, weight: 3, least: 300, limit: 5000, maxValue: 40},
-	{kind: kindDelayMessages, weight: 3, least: 300, limit: 5000, maxValue: 3000},
+	{kind: kindKillSteward, weight: 3, minimum: 100, limit: 3000},
+	{kind: kindFreezeSteward, weight: 3, minimum: 200, limit: 9000},
+	{kind: kindCutSteward, weight: 4, minimum: 200, limit: 12000, maxValue: 2},
+	{kind: kindPartition, weight: 4, minimum: 500, limit: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
+	{kind: kindHandOver, weight: 2, minimum: 1, limit: 1},
+	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3000, maxValue: 400},
+	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, minimum: 500, limit: 8000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, minimum: 200, limit: 4000, maxValue: 2},
+	{kind: kindKillProxy, weight: 4, minimum: 50, limit: 3000, isOfExecutors: true},
+	{kind: kindFreezeProxy, weight: 3, minimum: 200, limit: 9000, isOfExecutors: true},
+	{kind: kindCutProxy, weight: 4, minimum: 200, limit: 12000, maxValue: 2, isOfExecutors: true},
+	{kind: kindCrashExecutor, weight: 3, minimum: 50, limit: 4000, isOfExecutors: true},
+	{kind: kindFreezeExecutor, weight: 2, minimum: 200, limit: 9000, isOfExecutors: true},
+	{kind: kindDrainExecutor, weight: 2, minimum: 1, limit: 10000, maxValue: drainUnannounced, isOfExecutors: true},
+	{kind: kindLateExecutor, weight: 5, minimum: 500, limit: 6000, isOfExecutors: true},
+	{kind: kindMuteExecutor, weight: 4, minimum: 300, limit: 5000, isOfExecutors: true},
+	{kind: kindBusyExecutor, weight: 3, minimum: 200, limit: 4000, isOfExecutors: true},
+	{kind: kindRefuseExecutor, weight: 2, minimum: 100, limit: 4000, isOfExecutors: true},
+	{kind: kindStuckExecutor, weight: 1, minimum: 300, limit: 2000, isOfExecutors: true},
+	{kind: kindLateBeats, weight: 2, minimum: 500, limit: 5000, isOfExecutors: true},
+	{kind: kindLoseMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 40},
+	{kind: kindDoubleMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 40},
+	{kind: kindDelayMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 3000},
 }
 
 // themes are kinds that bring about more together than each alone.
@@ -147,10 +147,10 @@
 	if which := random.IntN(len(themes) + 2); which < len(themes) {
 		plan.theme = themes[which]
 	}
-	for number := range between(random, leastJobs, mostJobs) {
+	for number := range between(random, minJobs, maxJobs) {
 		plan.addJob(number)
 	}
-	for range between(random, leastFaults, mostFaults) {
+	for range between(random, minFaults, maxFaults) {
 		plan.addFault()
 	}
 	slices.SortStableFunc(schedule.Steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
@@ -190,7 +190,7 @@
 		spread = 800
 	}
 	step := modelcheck.Step{AtMs: max(firstStepMs, p.centre+between(random, -spread, spread)), Kind: fault.kind, Node: random.IntN(p.Nodes),
-		ForMs: between(random, fault.least, fault.limit), Value: random.IntN(fault.maxValue + 1)}
+		ForMs: between(random, fault.minimum, fault.limit), Value: random.IntN(fault.maxValue + 1)}
 	if fault.isOfExecutors {
 		step.Node = p.machine
 		if random.IntN(4) == 0 {
--- a/internal/simulation/modelcheck/ordermodel/schedulelarge.go
+++ b/internal/simulation/modelcheck/ordermodel/schedulelarge.go
@@ -9,67 +9,67 @@
 
 // The traffic of a large schedule, in milliseconds, jobs a second and jobs.
 const (
-	leastTrafficMs, mostTrafficMs = 4000, 9000
-	leastUrgentPerS               = 4
-	mostUrgentPerS                = 30
-	mostPlainPerS                 = 5
-	mostPatient                   = 4
-	mostBurst                     = 60
-	mostNarrow                    = 1500
-	numbersOfStream               = 10000
-	leastWaves, mostWaves         = 1, 4
-	mostCoreFaults                = 3
-	percentBurst                  = 50
-	percentNarrow                 = 20
-	percentGiveUp                 = 15
-	mostGiveUpPercent             = 25
-	mostGiveUpMs                  = 5000
+	minTrafficMs, maxTrafficMs = 4000, 9000
+	minUrgentPerS              = 4
+	maxUrgentPerS              = 30
+	maxPlainPerS               = 5
+	maxPatient                 = 4
+	maxBurst                   = 60
+	maxNarrow                  = 1500
+	numbersOfStream            = 10000
+	minWaves, maxWaves         = 1, 4
+	maxCoreFaults              = 3
+	percentBurst               = 50
+	percentNarrow              = 20
+	percentGiveUp              = 15
+	maxGiveUpPercent           = 25
+	maxGiveUpMs                = 5000
 )
 
 // wave is one trouble of many machines, one after the other or all at once; machines are a share in percent.
 type wave struct {
-	kind         string
-	least, limit int
-	share        int
-	maxGapMs     int
-	maxValue     int
+	kind           string
+	minimum, limit int
+	share          int
+	maxGapMs       int
+	maxValue       int
 }
 
 // waves are the troubles that large deployments have with a part of their machines.
 var waves = []wave{
-	{kind: kindCutProxy, least: 1000, limit: 6000, share: 18, maxValue: 2},
-	{kind: kindCutProxy, least: 4000, limit: 5500, share: 18},
-	{kind: kindKillProxy, least: 100, limit: 1500, share: 30, maxGapMs: 150},
-	{kind: kindKillProxy, least: 100, limit: 1500, share: 100},
-	{kind: kindFreezeProxy, least: 500, limit: 4000, share: 12},
-	{kind: kindCrashExecutor, least: 500, limit: 5000, share: 14, maxValue: staysAway},
-	{kind: kindCrashExecutor, least: 500, limit: 3000, share: 100},
-	{kind: kindFreezeExecutor, least: 500, limit: 4000, share: 12},
-	{kind: kindMuteExecutor, least: 1000, limit: 5500, share: 45},
-	{kind: kindLateExecutor, least: 1000, limit: 5500, share: 20},
-	{kind: kindBusyExecutor, least: 500, limit: 4000, share: 30},
-	{kind: kindRefuseExecutor, least: 500, limit: 4000, share: 15},
-	{kind: kindSlowExecutor, least: 3000, limit: 7000, share: 18},
-	{kind: kindStuckExecutor, least: 300, limit: 2000, share: 8},
-	{kind: kindLateBeats, least: 1000, limit: 5000, share: 50},
-	{kind: kindDrainExecutor, least: 1, limit: 1, share: 8, maxGapMs: 100},
-	{kind: kindDeregister, least: 1, limit: 1, share: 8, maxGapMs: 100},
+	{kind: kindCutProxy, minimum: 1000, limit: 6000, share: 18, maxValue: 2},
+	{kind: kindCutProxy, minimum: 4000, limit: 5500, share: 18},
+	{kind: kindKillProxy, minimum: 100, limit: 1500, share: 30, maxGapMs: 150},
+	{kind: kindKillProxy, minimum: 100, limit: 1500, share: 100},
+	{kind: kindFreezeProxy, minimum: 500, limit: 4000, share: 12},
+	{kind: kindCrashExecutor, minimum: 500, limit: 5000, share: 14, maxValue: staysAway},
+	{kind: kindCrashExecutor, minimum: 500, limit: 3000, share: 100},
+	{kind: kindFreezeExecutor, minimum: 500, limit: 4000, share: 12},
+	{kind: kindMuteExecutor, minimum: 1000, limit: 5500, share: 45},
+	{kind: kindLateExecutor, minimum: 1000, limit: 5500, share: 20},
+	{kind: kindBusyExecutor, minimum: 500, limit: 4000, share: 30},
+	{kind: kindRefuseExecutor, minimum: 500, limit: 4000, share: 15},
+	{kind: kindSlowExecutor, minimum: 3000, limit: 7000, share: 18},
+	{kind: kindStuckExecutor, minimum: 300, limit: 2000, share: 8},
+	{kind: kindLateBeats, minimum: 1000, limit: 5000, share: 50},
+	{kind: kindDrainExecutor, minimum: 1, limit: 1, share: 8, maxGapMs: 100},
+	{kind: kindDeregister, minimum: 1, limit: 1, share: 8, maxGapMs: 100},
 }
 
 // coreFaults are the troubles of stewards, gates and the network in large schedules.
 var coreFaults = []scheduledFault{
-	{kind: kindKillSteward, weight: 3, least: 100, limit: 4000},
-	{kind: kindFreezeSteward, weight: 2, least: 200, limit: 5000},
-	{kind: kindCutSteward, weight: 3, least: 500, limit: 7000, maxValue: 2},
-	{kind: kindPartition, weight: 2, least: 500, limit: 6000, maxValue: 1<<16 - 1},
-	{kind: kindHandOver, weight: 4, least: 1, limit: 1},
-	{kind: kindSlowSync, weight: 2, least: 200, limit: 3500, maxValue: 400},
-	{kind: kindLosePower, weight: 3, least: 100, limit: 1500, maxValue: 5},
-	{kind: kindClockJump, weight: 1, least: 500, limit: 6000, maxValue: 4000},
-	{kind: kindCutGate, weight: 1, least: 200, limit: 4000, maxValue: 2},
-	{kind: kindLoseMessages, weight: 1, least: 300, limit: 3000, maxValue: 20},
-	{kind: kindDoubleMessages, weight: 1, least: 300, limit: 3000, maxValue: 20},
-	{kind: kindDelayMessages, weight: 1, least: 300, limit: 3000, maxValue: 2000},
+	{kind: kindKillSteward, weight: 3, minimum: 100, limit: 4000},
+	{kind: kindFreezeSteward, weight: 2, minimum: 200, limit: 5000},
+	{kind: kindCutSteward, weight: 3, minimum: 500, limit: 7000, maxValue: 2},
+	{kind: kindPartition, weight: 2, minimum: 500, limit: 6000, maxValue: 1<<16 - 1},
+	{kind: kindHandOver, weight: 4, minimum: 1, limit: 1},
+	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3500, maxValue: 400},
+	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, minimum: 500, limit: 6000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, minimum: 200, limit: 4000, maxValue: 2},
+	{kind: kindLoseMessages, weight: 1, minimum: 300, limit: 3000, maxValue: 20},
+	{kind: kindDoubleMessages, weight: 1, minimum: 300, limit: 3000, maxValue: 20},
+	{kind: kindDelayMessages, weight: 1, minimum: 300, limit: 3000, maxValue: 2000},
 }
 
 // drawLarge makes the schedule of a seed for the large profile: streams of jobs, waves of trouble among the machines, and
@@ -77,12 +77,12 @@
 func drawLarge(seed uint64, losses int) modelcheck.Schedule {
 	random := rand.New(rand.NewPCG(seed, drawStream))
 	schedule := modelcheck.Schedule{Model: modelName, Seed: seed, Losses: losses, Nodes: 2*max(1, losses) + 1, Size: modelcheck.SizeLarge}
-	plan := largePlan{Schedule: &schedule, random: random, trafficMs: between(random, leastTrafficMs, mostTrafficMs)}
+	plan := largePlan{Schedule: &schedule, random: random, trafficMs: between(random, minTrafficMs, maxTrafficMs)}
 	plan.addTraffic()
-	for range between(random, leastWaves, mostWaves) {
+	for range between(random, minWaves, maxWaves) {
 		plan.addWave()
 	}
-	for range between(random, 0, mostCoreFaults) {
+	for range between(random, 0, maxCoreFaults) {
 		plan.addCoreFault()
 	}
 	slices.SortStableFunc(schedule.Steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
@@ -111,25 +111,25 @@
 }
 
 func (p *largePlan) addTraffic() {
-	urgent, plain := between(p.random, leastUrgentPerS, mostUrgentPerS), p.random.IntN(mostPlainPerS+1)
+	urgent, plain := between(p.random, minUrgentPerS, maxUrgentPerS), p.random.IntN(maxPlainPerS+1)
 	for _, shape := range []int{shapeWide, shapeWideChain} {
 		p.addStream(firstStepMs, p.trafficMs, shape, urgent*p.trafficMs/2000)
 	}
 	for _, shape := range []int{shapePlain, shapePlainNear} {
 		p.addStream(firstStepMs, p.trafficMs, shape, plain*p.trafficMs/2000)
 	}
-	for range p.random.IntN(mostPatient + 1) {
+	for range p.random.IntN(maxPatient + 1) {
 		p.addStream(p.somewhere(), between(p.random, 1, 2000), between(p.random, shapeLong, shapeGang), between(p.random, 1, 3))
 	}
 	p.addStream(p.somewhere(), between(p.random, 1, 2000), between(p.random, shapePlainApart, shapeRepeated), between(p.random, 1, 4))
 	if p.chance(percentBurst) {
-		p.addStream(p.somewhere(), between(p.random, 1, 1500), between(p.random, shapeWide, shapePlain), between(p.random, 1, mostBurst))
+		p.addStream(p.somewhere(), between(p.random, 1, 1500), between(p.random, shapeWide, shapePlain), between(p.random, 1, maxBurst))
 	}
 	if p.chance(percentNarrow) {
-		p.addStream(p.somewhere(), between(p.random, 1000, 5000), shapeNarrow, between(p.random, 100, mostNarrow))
+		p.addStream(p.somewhere(), between(p.random, 1000, 5000), shapeNarrow, between(p.random, 100, maxNarrow))
 	}
 	if p.chance(percentGiveUp) {
-		p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: kindGiveUp, ForMs: p.random.IntN(mostGiveUpMs), Value: 1 + p.random.IntN(mostGiveUpPercent)})
+		p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: kindGiveUp, ForMs: p.random.IntN(maxGiveUpMs), Value: 1 + p.random.IntN(maxGiveUpPercent)})
 	}
 }
 
@@ -137,7 +137,7 @@
 func (p *largePlan) addWave() {
 	wave := waves[p.random.IntN(len(waves))]
 	count := max(1, largeProfile.executors*between(p.random, 1, wave.share)/100)
-	at, length, gap := p.somewhere(), between(p.random, wave.least, wave.limit), p.random.IntN(wave.maxGapMs+1)
+	at, length, gap := p.somewhere(), between(p.random, wave.minimum, wave.limit), p.random.IntN(wave.maxGapMs+1)
 	value, areNeighbours, first := p.random.IntN(wave.maxValue+1), p.chance(50), p.random.IntN(largeProfile.executors)
 	for number := range count {
 		machine := (first + number) % largeProfile.executors
@@ -151,5 +151,5 @@
 func (p *largePlan) addCoreFault() {
 	fault := drawWeighted(p.random, coreFaults)
 	p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: fault.kind, Node: p.random.IntN(p.Nodes),
-		ForMs: between(p.random, fault.least, fault.limit), Value: p.random.IntN(fault.maxValue + 1)})
+		ForMs: between(p.random, fault.minimum, fault.limit), Value: p.random.IntN(fault.maxValue + 1)})
 }
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -79,17 +79,17 @@
 }
 
 // fits tells whether so many tasks of a step have room on sound executors now.
-func (r *offeredCapacity) fits(step *jobs.Step, held func(*modelExecutor) int, count int64) bool {
-	found := int64(0)
+func (r *offeredCapacity) fits(step *jobs.Step, visit func(*modelExecutor) int, count int64) bool {
+	number := int64(0)
 	for index, executor := range r.executors {
 		if !hasLabels(executor, step) {
 			continue
 		}
 		slots := slotsIn(r.free[index], step)
 		if step.AntiAffinity > 0 {
-			slots = min(slots, int64(max(0, step.AntiAffinity-held(executor))))
+			slots = min(slots, int64(max(0, step.AntiAffinity-visit(executor))))
 		}
-		if found += slots; found >= count {
+		if number += slots; number >= count {
 			return true
 		}
 	}
@@ -159,8 +159,8 @@
 			if step.Gang {
 				count *= int64(step.Tasks)
 			}
-			held := func(where *modelExecutor) int { return where.tasksOf(job.id, time, number) }
-			if offered.fits(step, held, count) {
+			visit := func(where *modelExecutor) int { return where.tasksOf(job.id, time, number) }
+			if offered.fits(step, visit, count) {
 				return jobs.TaskName(job.id, time, number, index), true
 			}
 		}
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -11,8 +11,8 @@
 const (
 	percentHandedInAgain = 5
 	percentCancelled     = 3
-	mostResendTime       = 1500 * time.Millisecond
-	mostCancelTime       = 6 * time.Second
+	maxResendTime        = 1500 * time.Millisecond
+	maxCancelTime        = 6 * time.Second
 )
 
 // handInFirst makes a job and hands it in by way of a gate.
@@ -37,10 +37,10 @@
 	random := w.queue.random
 	job := w.handInFirst(number, shape, random.IntN(len(w.gates)))
 	if w.queue.chance(percentHandedInAgain) {
-		w.queue.after(w.queue.between(time.Millisecond, mostResendTime), func() { w.handIn(job, random.IntN(len(w.gates)), clientAttempts) })
+		w.queue.after(w.queue.between(time.Millisecond, maxResendTime), func() { w.handIn(job, random.IntN(len(w.gates)), clientAttempts) })
 	}
 	if w.queue.chance(percentCancelled) {
-		w.queue.after(w.queue.between(time.Millisecond, mostCancelTime), func() { w.cancel(job, random.IntN(len(w.gates)), 0) })
+		w.queue.after(w.queue.between(time.Millisecond, maxCancelTime), func() { w.cancel(job, random.IntN(len(w.gates)), 0) })
 	}
 }
 
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -20,8 +20,8 @@
 	oneInLong  = 32
 	longFactor = 3
 	slowFactor = 6
-	// mostLargeWork bounds the runs of the large profile, so that all can be over at the end.
-	mostLargeWork = 15 * time.Second
+	// maxLargeWork bounds the runs of the large profile, so that all can be over at the end.
+	maxLargeWork = 15 * time.Second
 )
 
 // hashOf spreads the names of runs evenly.
@@ -65,7 +65,7 @@
 	if isRemote(execution.step, execution.executor) {
 		length = int64(float64(length) * execution.executor.cluster.timing.RemoteFactor)
 	}
-	return min(clock.Milliseconds(length), mostLargeWork), how
+	return min(clock.Milliseconds(length), maxLargeWork), how
 }
 
 func isRemote(step *jobs.Step, where *modelExecutor) bool {
--- a/internal/simulation/modelcheck/ordermodel/world.go
+++ b/internal/simulation/modelcheck/ordermodel/world.go
@@ -107,7 +107,7 @@
 }
 
 func (w *simCluster) tellLeader(to *modelProcess, fresh *leadership) {
-	w.queue.after(w.queue.between(time.Millisecond, mostNewsTime), func() {
+	w.queue.after(w.queue.between(time.Millisecond, maxNewsTime), func() {
 		if w.key.leader != fresh {
 			return
 		}
--- a/internal/simulation/modelcheck/run.go
+++ b/internal/simulation/modelcheck/run.go
@@ -15,8 +15,8 @@
 	Schedules int
 	Losses    int
 	Size      Size
-	// Plant names the planted fault of all schedules, or is empty.
-	Plant string
+	// Fault names the planted fault of all schedules, or is empty.
+	Fault string
 	// Workers is how many schedules run at once; the result doesn't depend on it.
 	Workers int
 }
@@ -109,10 +109,10 @@
 	return outcomes
 }
 
-func lowerTo(held *atomic.Int64, value int64) {
+func lowerTo(counter *atomic.Int64, value int64) {
 	for {
-		old := held.Load()
-		if old <= value || held.CompareAndSwap(old, value) {
+		old := counter.Load()
+		if old <= value || counter.CompareAndSwap(old, value) {
 			return
 		}
 	}
@@ -120,7 +120,7 @@
 
 func (b Budget) schedule(model Model, number int) Schedule {
 	schedule := model.Draw(mix(b.Seed, uint64(number)), b.Losses, b.Size)
-	schedule.Plant = b.Plant
+	schedule.Plant = b.Fault
 	return schedule
 }
 
--- a/internal/simulation/modelcheck/shrink.go
+++ b/internal/simulation/modelcheck/shrink.go
@@ -4,28 +4,28 @@
 
 // How often a schedule is run again at most while it is cut down.
 const (
-	mostShrinkRuns      = 3000
-	mostShrinkRunsLarge = 150
+	maxShrinkRuns      = 3000
+	maxShrinkRunsLarge = 150
 )
 
-func mostShrinkRunsOf(schedule Schedule) int {
+func maxShrinkRunsOf(schedule Schedule) int {
 	if schedule.Size == SizeLarge {
-		return mostShrinkRunsLarge
+		return maxShrinkRunsLarge
 	}
-	return mostShrinkRuns
+	return maxShrinkRuns
 }
 
 // Shrink removes steps from a failing schedule as long as it goes on breaking the same invariant (delta debugging):
 // first large parts, then ever smaller ones, at last single steps.
 func Shrink(model Model, failing Schedule) (Schedule, Outcome) {
-	best, outcome, most := failing, model.Run(failing), mostShrinkRunsOf(failing)
+	best, outcome, limit := failing, model.Run(failing), maxShrinkRunsOf(failing)
 	if len(outcome.Violations) == 0 {
 		return best, outcome
 	}
 	oracle, runs := outcome.Violations[0].Oracle, 0
-	for size := max(1, len(best.Steps)/2); size >= 1 && runs < most; {
+	for size := max(1, len(best.Steps)/2); size >= 1 && runs < limit; {
 		isSmaller := false
-		for start := 0; start < len(best.Steps) && runs < most; {
+		for start := 0; start < len(best.Steps) && runs < limit; {
 			candidate := best
 			candidate.Steps = slices.Delete(slices.Clone(best.Steps), start, min(start+size, len(best.Steps)))
 			runs++
--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -90,9 +90,9 @@
 }
 
 // inRange fails if a value that the change names is out of its range.
-func inRange(field string, value *float64, least, most float64) error {
-	if value != nil && (*value < least || *value > most) {
-		return errors.Errorf("field %s: %g is not from %g to %g", field, *value, least, most)
+func inRange(field string, value *float64, minimum, maximum float64) error {
+	if value != nil && (*value < minimum || *value > maximum) {
+		return errors.Errorf("field %s: %g is not from %g to %g", field, *value, minimum, maximum)
 	}
 	return nil
 }
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -78,8 +78,8 @@
 
 // play is one play of a day.
 type play struct {
-	setup Setup
-	stage *simcluster.Cluster
+	setup   Setup
+	cluster *simcluster.Cluster
 	// lengths and ends are those that were recorded, by run and by task.
 	lengths map[string]time.Duration
 	ends    map[string]string
@@ -104,11 +104,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p.stage = simcluster.New(setup.Seed, stewards, 0, wire.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
+	p.cluster = simcluster.New(setup.Seed, stewards, 0, wire.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
 	for _, fault := range setup.Faults {
 		late := fault
 		late.At += warmUp
-		if !late.strike(p.stage) {
+		if !late.strike(p.cluster) {
 			return nil, errors.Errorf("fault %s: there is no such target for it as %q", fault.Kind, fault.Target)
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	last := time.Duration(setup.Day.Events[len(setup.Day.Events)-1].AtMs-p.firstMs) * time.Millisecond
 	p.watch(warmUp + last + setup.Horizon)
-	p.stage.Run(warmUp + last + setup.Horizon)
+	p.cluster.Run(warmUp + last + setup.Horizon)
 	return p.outcomes(), nil
 }
 
@@ -197,12 +197,12 @@
 			}
 			job := &playedJob{event: event, spec: spec}
 			p.jobs[event.ID] = job
-			p.stage.Events.After(wait, func() { p.handIn(job) })
+			p.cluster.Events.After(wait, func() { p.handIn(job) })
 		case recording.KindCancel:
-			p.stage.Events.After(wait, func() { p.cancel(event.ID) })
+			p.cluster.Events.After(wait, func() { p.cancel(event.ID) })
 		case recording.KindExecutor:
 			if event.IsDraining {
-				p.stage.Events.After(wait, func() { p.drain(event.Machine) })
+				p.cluster.Events.After(wait, func() { p.drain(event.Machine) })
 			}
 		}
 	}
@@ -210,9 +210,9 @@
 }
 
 func (p *play) handIn(job *playedJob) {
-	job.askedAt = p.stage.Events.Now()
+	job.askedAt = p.cluster.Events.Now()
 	terms := p.setup.Change.terms(job.event.Queue, job.event.Terms)
-	p.stage.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
+	p.cluster.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
 		job.isTaken = job.isTaken || answer.Status == http.StatusOK
 	})
 }
@@ -220,30 +220,30 @@
 func (p *play) cancel(id string) {
 	if job := p.jobs[id]; job != nil {
 		job.isCancelled = true
-		p.stage.Ask(wire.ClientCall{Verb: "cancel", Route: job.event.Queue, ID: id}, func(wire.ClientAnswer) {})
+		p.cluster.Ask(wire.ClientCall{Verb: "cancel", Route: job.event.Queue, ID: id}, func(wire.ClientAnswer) {})
 	}
 }
 
 func (p *play) drain(machine string) {
-	for _, executor := range p.stage.Executors {
+	for _, executor := range p.cluster.Executors {
 		if executor.Machine == machine {
-			p.stage.Drain(executor)
+			p.cluster.Drain(executor)
 		}
 	}
 }
 
 // watch notes when each job is first seen to have ended.
 func (p *play) watch(until time.Duration) {
-	if p.stage.Events.Now() > until {
+	if p.cluster.Events.Now() > until {
 		return
 	}
-	for id, state := range p.stage.States() {
+	for id, state := range p.cluster.States() {
 		job := p.jobs[id]
 		if job != nil && job.endedAt == 0 && isEnd(state) {
-			job.endedAt, job.state = p.stage.Events.Now(), state
+			job.endedAt, job.state = p.cluster.Events.Now(), state
 		}
 	}
-	p.stage.Events.After(watchEvery, func() { p.watch(until) })
+	p.cluster.Events.After(watchEvery, func() { p.watch(until) })
 }
 
 func isEnd(state string) bool {
@@ -259,7 +259,7 @@
 }
 
 func (p *play) outcomeOf(id string, job *playedJob) Outcome {
-	outcome := Outcome{ID: id, Queue: job.event.Queue, State: job.state, AimMs: p.aimMs(job), Twice: p.stage.Judge.Doubled[id] > 0}
+	outcome := Outcome{ID: id, Queue: job.event.Queue, State: job.state, AimMs: p.targetMs(job), Twice: p.cluster.Judge.Doubled[id] > 0}
 	if outcome.State == "" {
 		outcome.State = stateOpen
 	}
@@ -277,26 +277,26 @@
 	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.LongRunning })
 }
 
-// aimMs counts from the submission: the queue's recorded stretch times the longest chain of work, and its target.
-func (p *play) aimMs(job *playedJob) int64 {
+// targetMs counts from the submission: the queue's recorded stretch times the longest chain of work, and its target.
+func (p *play) targetMs(job *playedJob) int64 {
 	chain := make([]time.Duration, len(job.spec.Steps))
 	var longest time.Duration
 	times := max(1, job.spec.RepeatCount)
 	for number, step := range job.spec.Steps {
-		var before, most time.Duration
+		var before, maximum time.Duration
 		for _, earlier := range step.DependsOn {
 			before = max(before, chain[earlier])
 		}
 		for index := range step.Tasks {
 			length, _ := p.work(jobs.TaskName(job.event.ID, times-1, number, index), 1, nil)
-			most = max(most, length)
+			maximum = max(maximum, length)
 		}
-		chain[number] = before + most
+		chain[number] = before + maximum
 		longest = max(longest, chain[number])
 	}
-	aim := int64(max(1, job.event.Terms.Stretch)*float64(longest.Milliseconds())) + job.event.Terms.TargetMs
+	target := int64(max(1, job.event.Terms.Stretch)*float64(longest.Milliseconds())) + job.event.Terms.TargetMs
 	if job.spec.RepeatCount > 0 {
-		aim += max(0, job.spec.FirstRunMs+int64(times-1)*job.spec.PeriodMs-job.event.AtMs)
+		target += max(0, job.spec.FirstRunMs+int64(times-1)*job.spec.PeriodMs-job.event.AtMs)
 	}
-	return aim
+	return target
 }
--- a/internal/simulation/rehearsal/report.go
+++ b/internal/simulation/rehearsal/report.go
@@ -130,23 +130,23 @@
 		return lines.Encode(r)
 	}
 	out := &printer{to: to}
-	out.line("recording: %d lines, %d lost, %d skipped; seed %d", r.Lines, r.Lost, r.Skipped, r.Seed)
+	out.writeLine("recording: %d lines, %d lost, %d skipped; seed %d", r.Lines, r.Lost, r.Skipped, r.Seed)
 	if r.Lost > 0 {
-		out.line("the recording lost lines: jobs may be missing from both plays")
+		out.writeLine("the recording lost lines: jobs may be missing from both plays")
 	}
-	out.line("executors are a model: %d tasks run as long as recorded, the others as long as estimated", r.Recorded)
-	out.line("%-24s %-8s %6s %6s %8s %6s %7s %9s %9s", "queue", "", "jobs", "late", "missing", "twice", "failed", "half ms", "95% ms")
+	out.writeLine("executors are a model: %d tasks run as long as recorded, the others as long as estimated", r.Recorded)
+	out.writeLine("%-24s %-8s %6s %6s %8s %6s %7s %9s %9s", "queue", "", "jobs", "late", "missing", "twice", "failed", "half ms", "95% ms")
 	for _, queue := range slices.Sorted(maps.Keys(r.Queues)) {
 		out.sum(queue, "as is", r.Queues[queue].AsIs)
 		out.sum("", "changed", r.Queues[queue].Changed)
 	}
 	for _, pair := range r.Differences {
-		out.line("job %s of %s: %s -> %s", pair.AsIs.ID, pair.AsIs.Queue, pair.AsIs.words(), pair.Changed.words())
+		out.writeLine("job %s of %s: %s -> %s", pair.AsIs.ID, pair.AsIs.Queue, pair.AsIs.words(), pair.Changed.words())
 	}
 	if len(r.Worse) == 0 {
-		out.line("nothing is worse under the change")
+		out.writeLine("nothing is worse under the change")
 	} else {
-		out.line("%d jobs are worse under the change", len(r.Worse))
+		out.writeLine("%d jobs are worse under the change", len(r.Worse))
 	}
 	return out.err
 }
@@ -170,12 +170,12 @@
 	err error
 }
 
-func (p *printer) line(format string, values ...any) {
+func (p *printer) writeLine(format string, values ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.to, format+"\n", values...)
 	}
 }
 
-func (p *printer) sum(queue, which string, sum QueueSum) {
-	p.line("%-24s %-8s %6d %6d %8d %6d %7d %9d %9d", queue, which, sum.Jobs, sum.Late, sum.Missing, sum.Twice, sum.Failed, sum.HalfMs, sum.MostMs)
+func (p *printer) sum(queue, name string, sum QueueSum) {
+	p.writeLine("%-24s %-8s %6d %6d %8d %6d %7d %9d %9d", queue, name, sum.Jobs, sum.Late, sum.Missing, sum.Twice, sum.Failed, sum.HalfMs, sum.MostMs)
 }
--- a/internal/simulation/scalerun/costs.go
+++ b/internal/simulation/scalerun/costs.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		window.Costs = append(window.Costs, costOf(process, before[place], after[place], roles))
-		if roles[process.name] == roleOwner {
+		if roles[process.name] == roleLeader {
 			window.Owner = process.name
 		}
 	}
--- a/internal/simulation/scalerun/disturb.go
+++ b/internal/simulation/scalerun/disturb.go
@@ -39,7 +39,7 @@
 			size.PlanMs = append(size.PlanMs, float64(wait.Milliseconds()))
 		}
 		if turn == 0 && r.setup.KillsOwner {
-			if err := r.killOwner(); err != nil {
+			if err := r.killLeader(); err != nil {
 				return err
 			}
 		}
@@ -47,9 +47,9 @@
 	return <-profiled
 }
 
-// killOwner ends the steward that leads the pool, and starts it again on its disk.
-func (r *run) killOwner() error {
-	place := r.owner()
+// killLeader ends the steward that leads the pool, and starts it again on its disk.
+func (r *run) killLeader() error {
+	place := r.leader()
 	if place < 0 {
 		return errors.New("nobody owns the pool")
 	}
@@ -84,7 +84,7 @@
 
 // profile keeps the leader's processor profile beside the report, if that is asked for.
 func (r *run) profile() error {
-	place := r.owner()
+	place := r.leader()
 	if !r.setup.IsProfiled || place < 0 {
 		return nil
 	}
--- a/internal/simulation/scalerun/layout.go
+++ b/internal/simulation/scalerun/layout.go
@@ -120,7 +120,7 @@
 	case membership.RoleSteward:
 		nodeSettings.Listen.Control = of.at(controlPort)
 		nodeSettings.DataDirectory = filepath.Join(l.folder, of.name)
-		nodeSettings.FaultTolerance.MachineLosses = min(mostLosses, (len(l.stewards)-1)/2)
+		nodeSettings.FaultTolerance.MachineLosses = min(maxLosses, (len(l.stewards)-1)/2)
 		nodeSettings.Limits.MemoryMB = 1024
 		if err := os.Mkdir(nodeSettings.DataDirectory, 0o700); err != nil {
 			return errors.Annotate(err, "making a data directory")
--- a/internal/simulation/scalerun/load.go
+++ b/internal/simulation/scalerun/load.go
@@ -217,7 +217,7 @@
 }
 
 // offer hands in jobs at an even rate and gives back what became of them; each is followed to its end if it should end.
-func (r *run) offer(count int, perSecond float64, handInOne func(number int) (*Job, error)) ([]*Job, error) {
+func (r *run) offer(count int, perSecond float64, submitOne func(number int) (*Job, error)) ([]*Job, error) {
 	results := make(chan outcome, count)
 	began := time.Now()
 	for number := range count {
@@ -226,7 +226,7 @@
 			return nil, r.ctx.Err()
 		}
 		go func() {
-			job, err := handInOne(number)
+			job, err := submitOne(number)
 			results <- outcome{job, err}
 		}()
 	}
--- a/internal/simulation/scalerun/roles.go
+++ b/internal/simulation/scalerun/roles.go
@@ -16,22 +16,22 @@
 
 // The roles of which costs are told apart: a steward by its part in the pool, all other processes by their own.
 const (
-	roleOwner     = "owner"
+	roleLeader    = "owner"
 	roleVoter     = "voter"
 	roleBystander = "bystander"
 	roleHost      = "hollow-host"
 )
 
 // Roles are the parts of which slopes are worked out; all but the processes of hollow workers.
-var Roles = []string{roleOwner, roleVoter, roleBystander, roleGate, membership.RoleLocalProxy}
+var Roles = []string{roleLeader, roleVoter, roleBystander, roleGate, membership.RoleLocalProxy}
 
 // executorsSeen is how many executors the steward knows that knows most of them.
 func (r *run) executorsSeen() int {
-	most := 0
+	limit := 0
 	for _, answer := range r.beliefs() {
-		most = max(most, len(answer.Executors))
+		limit = max(limit, len(answer.Executors))
 	}
-	return most
+	return limit
 }
 
 // beliefs asks every steward what it believes; those that don't answer are left out.
@@ -47,17 +47,17 @@
 
 // poolRoles gives the part of each voter in the pool, leader or voter, by the name of its steward, and the pool's epoch.
 func (r *run) poolRoles() (map[string]string, uint64) {
-	roles, epoch, owner := map[string]string{}, uint64(0), ""
+	roles, epoch, leader := map[string]string{}, uint64(0), ""
 	for _, answer := range r.beliefs() {
 		addVoters(roles, answer)
-		for _, fact := range answer.Leaders {
-			if fact.Key == poolKey && fact.Epoch > epoch {
-				epoch, owner = fact.Epoch, fact.Name
+		for _, known := range answer.Leaders {
+			if known.Key == poolKey && known.Epoch > epoch {
+				epoch, leader = known.Epoch, known.Name
 			}
 		}
 	}
-	if owner != "" {
-		roles[owner] = roleOwner
+	if leader != "" {
+		roles[leader] = roleLeader
 	}
 	return roles, epoch
 }
@@ -77,7 +77,7 @@
 }
 
 // leader gives the place of the pool's leader among the children, or -1.
-func (r *run) owner() int {
+func (r *run) leader() int {
 	roles, _ := r.poolRoles()
-	return slices.IndexFunc(r.all(), func(process *child) bool { return roles[process.name] == roleOwner })
+	return slices.IndexFunc(r.all(), func(process *child) bool { return roles[process.name] == roleLeader })
 }
--- a/internal/simulation/scalerun/run.go
+++ b/internal/simulation/scalerun/run.go
@@ -89,10 +89,10 @@
 	go func() { peaks <- r.watchMemory(memoryLimit, end) }()
 	err = r.playPhases(size)
 	end()
-	peak := <-peaks
-	size.PeakMB = float64(peak) / bytesPerMB
-	if uint64(peak) > memoryLimit {
-		return errors.Errorf("all processes took %d MB, over half of the machine's memory", peak>>20)
+	maximum := <-peaks
+	size.PeakMB = float64(maximum) / bytesPerMB
+	if uint64(maximum) > memoryLimit {
+		return errors.Errorf("all processes took %d MB, over half of the machine's memory", maximum>>20)
 	}
 	return err
 }
@@ -125,12 +125,12 @@
 
 // watchMemory gives the most that all children held, in bytes; over the limit, it ends the run.
 func (r *run) watchMemory(limit uint64, end func()) int {
-	peak := 0
+	maximum := 0
 	for r.pause(checkEvery) {
-		peak = max(peak, r.resident())
-		if uint64(peak) > limit {
+		maximum = max(maximum, r.resident())
+		if uint64(maximum) > limit {
 			end()
 		}
 	}
-	return peak
+	return maximum
 }
--- a/internal/simulation/scalerun/setup.go
+++ b/internal/simulation/scalerun/setup.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	mostWorkers    = 2000
-	mostStewards   = 7
-	mostLosses     = 2
-	mostGates      = 16
-	mostProcesses  = 100
-	mostRate       = 2000
+	maxWorkers     = 2000
+	maxStewards    = 7
+	maxLosses      = 2
+	maxGates       = 16
+	maxProcesses   = 100
+	maxRate        = 2000
 	longestPhase   = 5 * time.Minute
 	perHost        = 100
 	realProxies    = 3
@@ -46,23 +46,25 @@
 
 // Check names each field that can't be run.
 func (s *Setup) Check() error {
-	var found error
-	complain := func(field, why string) { found = multierr.Append(found, errors.Errorf("option --%s %s", field, why)) }
+	var problems error
+	complain := func(field, why string) {
+		problems = multierr.Append(problems, errors.Errorf("option --%s %s", field, why))
+	}
 	if len(s.Sizes) == 0 {
 		complain("sizes", "is empty")
 	}
 	for _, size := range s.Sizes {
-		if size < 1 || size > mostWorkers {
+		if size < 1 || size > maxWorkers {
 			complain("sizes", "must be 1 to 2000 workers each")
 		}
-		if float64(size)*s.StartsPerWorker > mostRate {
+		if float64(size)*s.StartsPerWorker > maxRate {
 			complain("starts-per-worker", "makes more than 2000 task starts a second")
 		}
 	}
-	if s.Stewards < 1 || s.Stewards > mostStewards {
+	if s.Stewards < 1 || s.Stewards > maxStewards {
 		complain("stewards", "must be 1 to 7")
 	}
-	if s.Gates < 1 || s.Gates > mostGates {
+	if s.Gates < 1 || s.Gates > maxGates {
 		complain("gates", "must be 1 to 16")
 	}
 	if s.LoadTime < time.Second || s.LoadTime > longestPhase {
@@ -83,7 +85,7 @@
 	if _, err := blockOf(s.Addresses); err != nil {
 		complain("addresses", err.Error())
 	}
-	return found
+	return problems
 }
 
 // blockOf reads a /16 of the loopback network.
@@ -103,8 +105,8 @@
 // CheckMemory refuses a size that may take more than half of the machine's memory, given in bytes.
 func (s *Setup) CheckMemory(workers int, total uint64) error {
 	processes := s.Stewards + s.Gates + realProxies + hostCount(workers)
-	if processes > mostProcesses {
-		return errors.Errorf("%d workers need %d processes, and %d are the most", workers, processes, mostProcesses)
+	if processes > maxProcesses {
+		return errors.Errorf("%d workers need %d processes, and %d are the most", workers, processes, maxProcesses)
 	}
 	needed := uint64(processes)*memoryPerChild + uint64(workers)*memoryPerNode
 	if needed > total/2 {
--- a/internal/simulation/scalerun/slopes.go
+++ b/internal/simulation/scalerun/slopes.go
@@ -31,11 +31,11 @@
 		known.SetRow(row, []float64{1, point.Workers, point.Running, point.Starts})
 		seen.SetVec(row, point.Value)
 	}
-	var found mat.VecDense
-	if err := found.SolveVec(known, seen); err != nil {
+	var problems mat.VecDense
+	if err := problems.SolveVec(known, seen); err != nil {
 		return Slope{}, errors.Annotate(err, "the windows do not tell workers, running tasks and starts apart")
 	}
-	slope := Slope{Base: found.AtVec(0), PerWorker: found.AtVec(1), PerRunning: found.AtVec(2), PerStart: found.AtVec(3)}
+	slope := Slope{Base: problems.AtVec(0), PerWorker: problems.AtVec(1), PerRunning: problems.AtVec(2), PerStart: problems.AtVec(3)}
 	var fitted, values []float64
 	for _, point := range points {
 		fitted, values = append(fitted, slope.At(point)), append(values, point.Value)
