--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -30,7 +30,7 @@
 type Actions struct {
 	// Ask calls a peer that may be silent for the patience; HandleAnswer gets the outcome.
 	Ask func(address string, call *wire.ConfigurationCall, patience time.Duration)
-	// ResumeAfter calls the fetcher's Wake after a while.
+	// ResumeAfter calls the fetcher's Resume after a while.
 	ResumeAfter func(after time.Duration)
 	// Use brings a version into force; an error says that it can't be read.
 	Use func(*Version) error
@@ -145,7 +145,7 @@
 
 // apply uses an answer, and goes on with the rest of an image or with what is next.
 func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
-	transfer, before := f.clock.Monotonic(), f.current
+	begunAt, before := f.clock.Monotonic(), f.current
 	next, isComplete, err := f.read(address, answer)
 	switch {
 	case err != nil && call.AcceptsChanges && len(answer.Changes) > 0:
@@ -174,7 +174,7 @@
 		return
 	}
 	f.peers.answered(address)
-	f.pause(min(pauseFactor*(f.clock.Monotonic()-transfer), maxPause))
+	f.pause(min(pauseFactor*(f.clock.Monotonic()-begunAt), maxPause))
 }
 
 // read makes a version of an answer; it is not complete while chunks of its image are missing.
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -10,6 +10,9 @@
 	"gannetline/internal/scheduling/recording"
 )
 
+// restartPause is how long a long-running task that ended waits before it is started again.
+const restartPause = 100 * time.Millisecond
+
 // handleEnd is the second transaction of an order: what became of the run.
 func (p *Pool) handleEnd(executor *executorState, end wire.EndReport) {
 	run := executor.runs[runKey{end.Task, end.Run}]
@@ -52,6 +55,7 @@
 	p.completeTask(task)
 }
 
+// find looks up a task by its name; it is nil when the pool doesn't hold its occurrence.
 func (p *Pool) find(name string) *taskState {
 	place, isTask := jobs.ParseTask(name)
 	job := p.jobs[place.ID]
@@ -65,6 +69,7 @@
 	return occurrence.steps[place.Step].tasks[place.Index]
 }
 
+// recordCheckpoint keeps the newest checkpoint of a task; a gang has one, kept with its first task.
 func (p *Pool) recordCheckpoint(task *taskState, checkpoint string) {
 	if task.checkpoint == checkpoint || task.owner().spec == nil {
 		return
@@ -86,10 +91,13 @@
 	return t.checkpoint
 }
 
+// countFailure counts a failed run against the attempts of its task, and ends the job when they are used up. A gang
+// counts once for all members that failed in one run; a long-running task has no limit and is started again after a
+// pause.
 func (p *Pool) countFailure(task *taskState, number int64) {
 	step, job := task.step, task.owner()
 	if step.spec.LongRunning || !job.isOpen() || task.isDone {
-		task.notBefore = p.clock.Monotonic() + 100*time.Millisecond
+		task.notBefore = p.clock.Monotonic() + restartPause
 		step.notBefore = max(step.notBefore, task.notBefore)
 		return
 	}
@@ -108,6 +116,7 @@
 	}
 }
 
+// completeTask marks a task as done, and with it all members of its gang; other runs of a task are stopped.
 func (p *Pool) completeTask(task *taskState) {
 	step, job := task.step, task.owner()
 	if task.isDone || !job.isOpen() {
@@ -137,6 +146,7 @@
 	}
 }
 
+// completeStep opens the steps that waited for this one, or ends the occurrence, and with the last occurrence the job.
 func (p *Pool) completeStep(step *stepState) {
 	occurrence, job := step.occurrence, step.occurrence.job
 	p.open.remove(step)
--- a/internal/scheduling/scheduler/deadline.go
+++ b/internal/scheduling/scheduler/deadline.go
@@ -31,6 +31,7 @@
 	return [4]int64{s.occurrence.targetMs - s.remainingPathMs, last, last + lateAgainMs, last + firstAgainMs}
 }
 
+// deadlineClass tells how near a step is to its deadline; a long-running step has none.
 func (p *Pool) deadlineClass(step *stepState) placement.DeadlineClass {
 	if step.spec.LongRunning {
 		return placement.OnTime
--- a/internal/scheduling/scheduler/drain.go
+++ b/internal/scheduling/scheduler/drain.go
@@ -11,6 +11,7 @@
 	}
 }
 
+// evacuateRun stops a run on a draining executor when it can't finish before the executor departs.
 func (p *Pool) evacuateRun(run *runState) {
 	executor, step, now := run.executor, run.task.step.spec, p.clock.Monotonic()
 	if run.phase != runRunning || !executor.isDraining {
--- a/internal/scheduling/scheduler/endedjobs.go
+++ b/internal/scheduling/scheduler/endedjobs.go
@@ -45,6 +45,7 @@
 	p.insertEnded(job)
 }
 
+// forgetEnded drops ended jobs after the retention period; endedJobs is sorted by the time of the end.
 func (p *Pool) forgetEnded() {
 	nowMs := p.leadership.WallMs()
 	for len(p.endedJobs) > 0 && nowMs-p.endedJobs[0].endedMs > p.timing.KeepEnded.Milliseconds() {
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -64,19 +64,20 @@
 // updateContact takes what every exchange reports, also one whose base is not known here.
 func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	p.table.markChanged(executor)
-	isBlocked := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
-	if executor.isUnschedulable && !isBlocked {
+	isUnschedulable := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
+	if executor.isUnschedulable && !isUnschedulable {
 		p.needsPlacing = true
 	}
-	if isBlocked != executor.isUnschedulable || now-executor.contactAt > silenceBeforeSpeculation {
+	if isUnschedulable != executor.isUnschedulable || now-executor.contactAt > silenceBeforeSpeculation {
 		p.refreshSpeculation(executor)
 	}
-	executor.isUnschedulable, executor.contactAt = isBlocked, now
-	if !isBlocked && p.leadership.HasLease() {
+	executor.isUnschedulable, executor.contactAt = isUnschedulable, now
+	if !isUnschedulable && p.leadership.HasLease() {
 		executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
 	}
 }
 
+// updateFacts takes over what an executor says of itself: capacity, labels, failure domain, draining and fence.
 func (p *Pool) updateFacts(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	if !executor.isKnown || executor.isDraining != call.Draining {
 		p.needsPlacing = true
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -100,12 +100,13 @@
 // sortedRuns gives the runs in an order that is the same at every replay.
 func (e *executorState) sortedRuns() []*runState {
 	runs := slices.Collect(maps.Values(e.runs))
-	slices.SortFunc(runs, func(run, b *runState) int {
-		return cmp.Or(cmp.Compare(run.task.name, b.task.name), cmp.Compare(run.number, b.number))
+	slices.SortFunc(runs, func(a, b *runState) int {
+		return cmp.Or(cmp.Compare(a.task.name, b.task.name), cmp.Compare(a.number, b.number))
 	})
 	return runs
 }
 
+// rack is the last label of an executor, as labels go from the widest failure domain to the narrowest.
 func (e *executorState) rack() string {
 	if len(e.labels) == 0 {
 		return ""
@@ -113,6 +114,8 @@
 	return e.labels[len(e.labels)-1]
 }
 
+// penaltyScore is the executor's rate of failures, with priorSuccesses assumed before the first, and the penalty of its
+// machine.
 func (e *executorState) penaltyScore() float64 {
-	return e.failures/(e.failures+e.successes+4) + 0.3*e.penalty
+	return e.failures/(e.failures+e.successes+priorSuccesses) + machinePenaltyWeight*e.penalty
 }
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -20,6 +20,14 @@
 	// not is chosen last among equals, as an order may wait there in vain until it counts as silent.
 	heartbeatOverdue = 450 * time.Millisecond
 	overdueWeight    = 0.4
+	// priorSuccesses are counted for an executor that nothing is known of yet, so that one failure is no rate of 100%.
+	priorSuccesses = 4
+	// machinePenaltyWeight weighs a machine's penalty beside its executor's rate of failures.
+	machinePenaltyWeight = 0.3
+	// timeoutWeight weighs an order that the executor didn't answer in time, beside a failure.
+	timeoutWeight = 0.3
+	// countDecay is by how much failures and successes decay each tick.
+	countDecay = 0.99
 	// sharedFailureWeight weighs a failure of a task that failed on another executor as well.
 	sharedFailureWeight = 0.2
 )
@@ -52,6 +60,8 @@
 	executor.runLimit = 1
 }
 
+// penalize raises the penalty of an executor's machine. Machines whose penalty has decayed are dropped first, so that
+// the table is bounded by the machines with recent failures.
 func (p *Pool) penalize(executor *executorState) {
 	now := p.clock.Monotonic()
 	health := p.health[executor.proxy]
--- a/internal/scheduling/scheduler/executortable.go
+++ b/internal/scheduling/scheduler/executortable.go
@@ -81,6 +81,8 @@
 	return r.view
 }
 
+// updateView computes what placement sees of an executor, keeps the sums over all executors in step, and notes the
+// earliest moment at which the view changes by the passing of time alone.
 func (p *Pool) updateView(executor *executorState, now time.Duration) {
 	r := &p.table
 	former, current := &r.view[executor.index], p.viewOf(executor, now)
--- a/internal/scheduling/scheduler/gangs.go
+++ b/internal/scheduling/scheduler/gangs.go
@@ -21,6 +21,7 @@
 	delete(p.brokenGangs, step)
 }
 
+// tickBrokenGangs goes through the gangs that lost a member, in the order of their names.
 func (p *Pool) tickBrokenGangs(now time.Duration) {
 	steps := slices.SortedFunc(maps.Keys(p.brokenGangs), func(a, b *stepState) int { return cmp.Compare(a.tasks[0].name, b.tasks[0].name) })
 	for _, step := range steps {
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -76,6 +76,7 @@
 	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: begin, targetMs: targetMs, expiryMs: begin + lateFactor*(targetMs-begin)}
 }
 
+// computeCriticalPath returns the length in milliseconds of the longest chain of dependent steps, by their estimates.
 func (j *jobState) computeCriticalPath() int64 {
 	longest := make([]int64, len(j.spec.Steps))
 	var limit int64
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -68,6 +68,7 @@
 // Unreadable names the records that could not be read when the key was taken over.
 func (p *Pool) Unreadable() []string { return p.unreadable }
 
+// loadJob reads the stored record of a submitted job. A record that can't be read is set aside, not dropped.
 func (p *Pool) loadJob(id string, value []byte) error {
 	job := &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
 	p.jobs[id], p.awaitingRelease[id] = job, job
@@ -92,6 +93,8 @@
 	delete(p.awaitingRelease, job.id)
 }
 
+// loadState reads the stored state of a job that has ended or was returned to its queue. The state of a job whose own
+// record is gone is kept for those who ask for its result.
 func (p *Pool) loadState(id string, value []byte) error {
 	job, isKnown := p.jobs[id]
 	if !isKnown {
@@ -110,6 +113,7 @@
 	return nil
 }
 
+// loadOccurrence reads a record named ID/K: the occurrence K of the job ID is complete.
 func (p *Pool) loadOccurrence(name string, _ []byte) error {
 	id, number, isPair := strings.Cut(name, "/")
 	count, err := strconv.Atoi(number)
@@ -163,6 +167,8 @@
 	return j.spec != nil && place.Time < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
 }
 
+// loadTask restores a task from its record and adopts the runs it had; the record of a complete occurrence without runs
+// is dropped.
 func (p *Pool) loadTask(loaded loadedTask) {
 	isOver, record := loaded.job.completedOccurrences[loaded.place.Time], loaded.record
 	if isOver && len(record.Runs) == 0 {
--- a/internal/scheduling/scheduler/locality.go
+++ b/internal/scheduling/scheduler/locality.go
@@ -19,7 +19,7 @@
 	return step.openedAt + min(loss/2, maxLocalityWait)
 }
 
-// hasLocalExecutor tells whether any executor in the roster is near the step's data.
+// hasLocalExecutor tells whether any executor in the table is near the step's data.
 func (p *Pool) hasLocalExecutor(step *stepState) bool {
 	return slices.ContainsFunc(p.table.sorted, func(executor *executorState) bool {
 		return slices.ContainsFunc(step.spec.Affinity, func(label string) bool { return slices.Contains(executor.labels, label) })
--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -48,6 +48,7 @@
 		tickSeconds: tickSeconds.With(key), placeSeconds: placeSeconds.With(key)}
 }
 
+// sent counts an order as sent, and as sent again from the second time on.
 func (m *poolMetrics) sent(run *runState) {
 	kind := wire.OrderStop
 	if run.phase == runLaunching {
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -4,6 +4,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
+// answerFor makes the answer to an exchange: the lease, the list of runs that is wanted, and the orders of the outbox.
+// An executor gets orders only after it has taken the epoch as its fence, so that an older leader's orders can't reach
+// it after this leader's.
 func (p *Pool) answerFor(executor *executorState) wire.ExchangeAnswer {
 	now := p.clock.Monotonic()
 	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: executor.lastSeen, WantedList: executor.listWanted, HeldNumber: executor.exchange.number}
--- a/internal/scheduling/scheduler/place.go
+++ b/internal/scheduling/scheduler/place.go
@@ -6,6 +6,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
+// place starts what fits, when something has changed since it last did.
 func (p *Pool) place() {
 	if !p.needsPlacing {
 		return
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -169,6 +169,8 @@
 // IsOpen tells whether the key is led here.
 func (p *Pool) IsOpen() bool { return p.leadership != nil }
 
+// executorOf returns the state of an executor, and makes it at the first contact. An executor new to this leader may
+// hold a lease of the leader before, so its lease is taken to run for the longest time one is granted.
 func (p *Pool) executorOf(id string) *executorState {
 	executor := p.executors[id]
 	if executor == nil {
@@ -182,9 +184,15 @@
 	return executor
 }
 
+// An executor counts a lease by its own clock, which may be up to 2% slow, and is given a little more to stop in.
+const (
+	leaseDriftDivisor = 40
+	leaseMargin       = 250 * time.Millisecond
+)
+
 // leaseWithMargin is how long after a grant the lease of an executor may still last, with its clock up to 2% slow.
 func (p *Pool) leaseWithMargin(grant time.Duration) time.Duration {
-	return grant + grant/40 + 250*time.Millisecond
+	return grant + grant/leaseDriftDivisor + leaseMargin
 }
 
 func resourcesOf(capacity wire.Capacity) placement.Resources {
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// remove takes a step out of the queue, with its requests for first and for speculative runs.
 func (o *openSteps) remove(step *stepState) {
 	if !o.steps[step] {
 		return
@@ -86,6 +87,7 @@
 	return last
 }
 
+// set changes the moment at which a step is refreshed; never takes it out of the heap.
 func (t *stepTimes) set(step *stepState, at time.Duration) {
 	index := step.requests.heapIndex
 	step.requests.refreshAt = at
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -121,6 +121,7 @@
 	return ready, next
 }
 
+// group describes the ready tasks of a step for placement: need, constraints, preferences and order.
 func (p *Pool) group(step *stepState, ready []*taskState) placement.Group {
 	job := step.occurrence.job
 	group := placement.Group{Excluded: p.excludedByRule(step), Need: step.need(), Count: len(ready), IsGang: step.spec.Gang, IsIdle: p.clock.Monotonic() >= p.idleFrom(step),
--- a/internal/scheduling/scheduler/release.go
+++ b/internal/scheduling/scheduler/release.go
@@ -8,6 +8,7 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
+// occurrenceOf returns an occurrence of a job, and makes it with its steps and tasks when it is first needed.
 func (p *Pool) occurrenceOf(job *jobState, number int) *occurrence {
 	if occurrence := job.occurrences[number]; occurrence != nil {
 		return occurrence
@@ -41,6 +42,7 @@
 	}
 }
 
+// releaseDueOf opens the occurrences of a job that are due, and notes when the next one is.
 func (p *Pool) releaseDueOf(job *jobState, nowMs int64) {
 	for job.isOpen() && job.nextOccurrence < job.occurrenceCount() && job.releaseMs(job.nextOccurrence) <= nowMs {
 		if number := job.nextOccurrence; !job.completedOccurrences[number] {
@@ -55,6 +57,7 @@
 	p.nextReleaseMs = min(p.nextReleaseMs, job.releaseMs(job.nextOccurrence))
 }
 
+// openReadySteps opens the steps of an occurrence whose dependencies are complete.
 func (p *Pool) openReadySteps(occurrence *occurrence) {
 	for _, step := range occurrence.steps {
 		if step.isOpen || step.remaining == 0 {
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -50,6 +50,8 @@
 	})
 }
 
+// loadRenounced reads the record of a renounced job. If it can't be read, the time of reading stands for the time it
+// was renounced, so that the record is kept for the full retention period.
 func (p *Pool) loadRenounced(id string, value []byte) error {
 	var record renouncedRecord
 	err := easyjson.Unmarshal(value, &record)
--- a/internal/scheduling/scheduler/replacedexecutors.go
+++ b/internal/scheduling/scheduler/replacedexecutors.go
@@ -21,6 +21,7 @@
 	}
 }
 
+// loadExecutor reads the record of an executor; that of an executor without runs is dropped.
 func (p *Pool) loadExecutor(id string, value []byte) error {
 	executor := p.executors[id]
 	if executor == nil {
@@ -35,6 +36,7 @@
 	return nil
 }
 
+// forgetExecutor removes an executor from all tables, and its record.
 func (p *Pool) forgetExecutor(executor *executorState) {
 	p.removeExecutor(executor)
 	if p.newestOnMachine[executor.proxy] == executor {
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -7,6 +7,8 @@
 	"gannetline/internal/platform/clock"
 )
 
+// handleOrderAnswer takes what an executor answered to an order. A refused launch is closed at once only if it was sent
+// once at most: of a launch sent twice the first may still start, so that one is stopped.
 func (p *Pool) handleOrderAnswer(executor *executorState, answer wire.OrderAnswer) {
 	run := executor.runs[runKey{answer.Task, answer.Run}]
 	if run == nil {
@@ -46,10 +48,12 @@
 	case wire.ResultUncertain:
 		p.stopRun(run)
 	case wire.ResultTimeout:
-		executor.failures += 0.3
+		executor.failures += timeoutWeight
 	}
 }
 
+// handleEnds takes the reports of ended runs that are new, in the order of their numbers. They are acknowledged to the
+// executor, by lastSeen, only after what follows from them is committed.
 func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNewEnds bool) {
 	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
 		return false
@@ -69,6 +73,7 @@
 	return true
 }
 
+// handleChangedRuns takes checkpoints, and whether runs are stuck.
 func (p *Pool) handleChangedRuns(executor *executorState, changed []wire.RunReport) {
 	for _, report := range changed {
 		run := executor.runs[runKey{report.Task, report.Run}]
@@ -90,6 +95,8 @@
 	p.answerPoll(executor)
 }
 
+// handleRunList compares an executor's full list of runs with the pool's: runs the pool doesn't hold are stopped, and
+// runs that waited for this list are resolved by it.
 func (p *Pool) handleRunList(executor *executorState, call *wire.ExchangeCall) {
 	if call.ListNumber == 0 || !executor.isFenced {
 		return
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -65,6 +65,7 @@
 	r.count(&group, 1)
 }
 
+// count adds a group's demand to that of its priority, or takes it out with a negative count.
 func (r *requests) count(group *placement.Group, count int) {
 	if group.Count == 0 {
 		return
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -113,6 +113,7 @@
 	}
 }
 
+// demands returns by priority what runs hold and what they and the open requests want together.
 func (p *Pool) demands() map[int]demand {
 	demands := map[int]demand{}
 	for priority, allocation := range p.allocations {
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -110,6 +110,7 @@
 	}
 }
 
+// runStarted notes that a launched run runs.
 func (p *Pool) runStarted(run *runState) {
 	if run.phase != runLaunching {
 		return
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -14,6 +14,16 @@
 	minOverdue                  = 250 * time.Millisecond
 	minSamples                  = 3
 	maxDurations                = 64
+	// maxRatio bounds a ratio to the median, so that one very long run doesn't outweigh all others.
+	maxRatio = 10
+	// slowFactorSamples is over about how many runs an executor's slow factor is averaged.
+	slowFactorSamples = 6
+	// minOverdueFactor is how many times the median a run takes at least before it counts as overdue.
+	minOverdueFactor = 2
+	// toleratedSlowFactor is how many times as long as elsewhere runs may take on an executor without a penalty;
+	// what is above it counts by slownessWeight.
+	toleratedSlowFactor = 1.6
+	slownessWeight      = 0.4
 )
 
 // medianDuration is how long runs of this step take, once some have ended; the estimate is only a guess.
@@ -24,50 +34,57 @@
 	return s.durations[len(s.durations)/2], true
 }
 
+// recordDuration learns from the length of a finished run: how slow its executor is, how far lengths spread in its
+// queue, and after what time a run of its step is overdue.
 func (p *Pool) recordDuration(step *stepState, executor *executorState, length time.Duration) {
 	if ratio, isKnown := step.ratio(length); isKnown {
 		spread := p.spreadOf(step)
-		executor.slowFactor += (min(10, ratio*evenSpread/max(evenSpread, spread.ninth)) - executor.slowFactor) / 6
+		executor.slowFactor += (min(maxRatio, ratio*evenSpread/max(evenSpread, spread.ninthDecile)) - executor.slowFactor) / slowFactorSamples
 		spread.note(ratio)
 	}
 	if len(step.durations) < maxDurations {
 		index, _ := slices.BinarySearch(step.durations, length)
 		step.durations = slices.Insert(step.durations, index, length)
 	}
-	step.overdueFactor = max(2, pastSpread*p.spreadOf(step).ninth)
+	step.overdueFactor = max(minOverdueFactor, overdueSpreads*p.spreadOf(step).ninthDecile)
 }
 
+// ratio returns the length of a run as a multiple of its step's median, once there is one.
 func (s *stepState) ratio(length time.Duration) (float64, bool) {
 	typical, isKnown := s.medianDuration()
 	if !isKnown || typical <= 0 {
 		return 0, false
 	}
-	return min(10, float64(length)/float64(typical)), true
+	return min(maxRatio, float64(length)/float64(typical)), true
 }
 
 // durationSpread is how uneven the runs of a queue's steps are: the ratio to the step's median that nine of ten stay below.
-type durationSpread struct{ ninth float64 }
+type durationSpread struct{ ninthDecile float64 }
 
 const (
+	// evenSpread is the spread of a queue that nothing is known of yet.
 	evenSpread = 4.0 / 3
+	// spreadStep is by how much one run moves the estimate.
 	spreadStep = 0.05
-	pastSpread = 1.5
+	// overdueSpreads is how many times the spread of its queue a run takes before it is overdue.
+	overdueSpreads = 1.5
 )
 
 // note moves the estimate up by nine parts or down by one, so that it rests where nine of ten are below it.
 func (s *durationSpread) note(ratio float64) {
-	if ratio > s.ninth {
-		s.ninth += 0.9 * spreadStep
+	if ratio > s.ninthDecile {
+		s.ninthDecile += 0.9 * spreadStep
 		return
 	}
-	s.ninth = max(1, s.ninth-0.1*spreadStep)
+	s.ninthDecile = max(1, s.ninthDecile-0.1*spreadStep)
 }
 
+// spreadOf returns the spread of durations of a step's queue.
 func (p *Pool) spreadOf(step *stepState) *durationSpread {
 	queue := step.occurrence.job.record.Route
 	spread := p.spreads[queue]
 	if spread == nil {
-		spread = &durationSpread{ninth: evenSpread}
+		spread = &durationSpread{ninthDecile: evenSpread}
 		p.spreads[queue] = spread
 	}
 	return spread
@@ -84,7 +101,9 @@
 }
 
 // slownessPenalty is 0 for an executor that keeps up with the others.
-func (e *executorState) slownessPenalty() float64 { return max(0, e.slowFactor-1.6) * 0.4 }
+func (e *executorState) slownessPenalty() float64 {
+	return max(0, e.slowFactor-toleratedSlowFactor) * slownessWeight
+}
 
 // overdueAfter is when a run takes so long that something is wrong with its executor.
 func (s *stepState) overdueAfter() time.Duration {
@@ -144,6 +163,8 @@
 	return tasks[:1]
 }
 
+// needsSpeculation tells whether a second run should be started beside this one: its executor is silent or
+// unschedulable, its launch is unanswered, or it takes far longer than others of its step.
 func (p *Pool) needsSpeculation(run *runState, now time.Duration) bool {
 	switch executor := run.executor; {
 	case run.phase == runStopping:
--- a/internal/scheduling/scheduler/step.go
+++ b/internal/scheduling/scheduler/step.go
@@ -52,6 +52,7 @@
 	s.idle = withMembership(s.idle, task, len(task.runs) == 0 && !task.isDone)
 }
 
+// withMembership returns the list, sorted by index, with the task in it or without it.
 func withMembership(list []*taskState, task *taskState, belongs bool) []*taskState {
 	index, exists := slices.BinarySearchFunc(list, task, func(member, b *taskState) int { return cmp.Compare(member.index, b.index) })
 	switch {
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -7,6 +7,13 @@
 	"time"
 )
 
+const (
+	// maxResendDoublings bounds the exponent of the backoff, so that the shift can't overflow.
+	maxResendDoublings = 4
+	// stopReportTime is how long the end of a stopped run may take to be reported, beyond the stop itself.
+	stopReportTime = 300 * time.Millisecond
+)
+
 // Tick does all that falls due; Settle follows it.
 func (p *Pool) Tick() {
 	if p.leadership == nil {
@@ -32,8 +39,8 @@
 
 // tickPending attends to the runs that an order is under way for, in an order that is the same at every replay.
 func (p *Pool) tickPending(now time.Duration) {
-	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(run, b *runState) int {
-		return cmp.Or(cmp.Compare(run.executor.id, b.executor.id), cmp.Compare(run.task.name, b.task.name), cmp.Compare(run.number, b.number))
+	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(a, b *runState) int {
+		return cmp.Or(cmp.Compare(a.executor.id, b.executor.id), cmp.Compare(a.task.name, b.task.name), cmp.Compare(a.number, b.number))
 	})
 	for _, run := range runs {
 		if p.pendingRuns[run] {
@@ -42,8 +49,10 @@
 	}
 }
 
+// tickExecutor does what is due for an executor: it lets its failures decay, expires its lease, and answers a poll that
+// has waited long enough.
 func (p *Pool) tickExecutor(executor *executorState, now time.Duration) {
-	executor.failures, executor.successes = executor.failures*0.99, executor.successes*0.99
+	executor.failures, executor.successes = executor.failures*countDecay, executor.successes*countDecay
 	if p.isReplaced(executor, now) {
 		p.log.Info("executor replaced on its machine", "executor", executor.id, "machine", executor.proxy, "runs", len(executor.runs))
 		p.executorGone(executor)
@@ -72,6 +81,8 @@
 	}
 }
 
+// tickRun sends an order again that is not answered, gives up a launch that is never answered, and asks for the
+// executor's list of runs when a stop is confirmed but the end isn't reported.
 func (p *Pool) tickRun(executor *executorState, run *runState, now time.Duration) {
 	isSilent := now-executor.contactAt > p.timing.SilentAfter
 	switch {
@@ -81,10 +92,10 @@
 	case run.phase == runLaunching && run.sendCount > 0 && !isSilent && now-run.orderedAt > p.timing.StuckAfter:
 		p.stopRun(run)
 	case run.phase != runRunning && !run.isAnswered && run.sendCount > 0:
-		if wait := min(p.timing.Resend<<min(run.sendCount-1, 4), p.timing.MaxResend); now-run.sentAt > wait {
+		if wait := min(p.timing.Resend<<min(run.sendCount-1, maxResendDoublings), p.timing.MaxResend); now-run.sentAt > wait {
 			p.queueOrder(run)
 		}
-	case run.phase == runStopping && run.isAnswered && now-run.answeredAt > p.timing.StopTimeout+300*time.Millisecond:
+	case run.phase == runStopping && run.isAnswered && now-run.answeredAt > p.timing.StopTimeout+stopReportTime:
 		run.answeredAt = now
 		p.requestRunList(executor, run)
 	}
