--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -51,6 +51,7 @@
 	return all
 }
 
+// namesOf lists the names that are in either map, sorted.
 func namesOf(first, second map[string]string) []string {
 	var names []string
 	for name := range first {
@@ -72,6 +73,7 @@
 	return unknown
 }
 
+// members describes the listed members by their state, address and disk.
 func members(answer *wire.BeliefsAnswer, isListed func(wire.Member) bool) map[string]string {
 	states := map[int]string{wire.StateAlive: "alive", wire.StateSuspect: "suspect", wire.StateGone: "gone"}
 	beliefs := map[string]string{}
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -128,6 +128,7 @@
 	return net
 }
 
+// join copies segments into one text.
 func join(segments []segment) []byte {
 	length := 0
 	for _, segment := range segments {
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -221,6 +221,7 @@
 	t.keep(func(transfer *imageTransfer) bool { return transfer.image.Version > version })
 }
 
+// keep drops the transfers that isKept is false for.
 func (t *imageTransfers) keep(isKept func(*imageTransfer) bool) {
 	var kept []*imageTransfer
 	for _, transfer := range t.underway {
--- a/internal/cluster/configuration/check.go
+++ b/internal/cluster/configuration/check.go
@@ -67,6 +67,7 @@
 	return services
 }
 
+// checkRoutes checks each route's fields, and that no two routes have the same host and path prefix.
 func (c *Configuration) checkRoutes(problems *problems, services map[string]bool) {
 	takenBy := map[string]string{}
 	for _, route := range c.Routes {
--- a/internal/cluster/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -37,6 +37,7 @@
 
 func (t *Table) allLeaders() []wire.KeyLeader { return slices.Collect(maps.Values(t.leaders)) }
 
+// newLeaders lists the leaders that were learned lately, at most maxLeaders of them, to be sent on.
 func (t *Table) newLeaders() []wire.KeyLeader {
 	var leaders []wire.KeyLeader
 	for key := range t.recentLeaders {
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -109,6 +109,7 @@
 // View is the newest view of the members, which is never changed; it may be read from any goroutine.
 func (n *Node) View() *View { return n.view.Load() }
 
+// send writes a datagram. A lost one is not an error here: what it said is repeated by the protocol.
 func (n *Node) send(address string, datagram wire.Datagram) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -67,6 +67,7 @@
 	return true
 }
 
+// mergeKnown takes what was heard of a member if it is newer than what is known.
 func (t *Table) mergeKnown(known *record, member Member) bool {
 	if !isNewer(member, known.member) {
 		return false
@@ -111,6 +112,7 @@
 	}
 }
 
+// forget removes a member from the table and from all that is derived from it.
 func (t *Table) forget(name string) {
 	known := t.records[name]
 	if known == nil {
--- a/internal/cluster/membership/sortedlist.go
+++ b/internal/cluster/membership/sortedlist.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// put inserts a member, or replaces the one of the same name.
 func (r *sortedList) put(member Member) {
 	r.makeWritable()
 	index, exists := slices.BinarySearchFunc(r.members, member, byName)
--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -98,6 +98,7 @@
 	return callThrough[Request, Answer](ctx, caller.client, address, procedure, request)
 }
 
+// callThrough calls a procedure of a peer and checks its answer; an error names the procedure and the peer.
 func callThrough[Request, Answer any](ctx context.Context, client connect.HTTPClient, address, procedure string, request *Request) (*Answer, error) {
 	name := procedure[len(Prefix):]
 	calls.With(name, sideMade).Inc()
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -36,6 +36,7 @@
 	return nil, response.Text(http.StatusNotFound, "there is no such call")
 }
 
+// decodeReplace reads a replacement of the configuration, or returns the reply that refuses it.
 func decodeReplace(request *http.Request) (*wire.ClientCall, response.Reply) {
 	if request.Method != http.MethodPost {
 		return nil, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
--- a/internal/control/controlkeys/serve.go
+++ b/internal/control/controlkeys/serve.go
@@ -32,6 +32,7 @@
 	return &wire.IdentifyAnswer{Disk: m.disk, IsNew: m.Store.IsNew()}
 }
 
+// serveReplicas serves the calls of the replication protocol to the other stewards.
 func (m *Manager) serveReplicas(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedurePromise, func(ctx context.Context, call *wire.PromiseCall) (*wire.PromiseAnswer, error) {
 		answer, err := m.Replicas.AskPromise(ctx, *call)
--- a/internal/control/replication/quorum/quorum.go
+++ b/internal/control/replication/quorum/quorum.go
@@ -44,6 +44,7 @@
 	return end
 }
 
+// isMajority tells whether more than half of the voters have what is asked of them.
 func isMajority(voters []string, has func(disk string) bool) bool {
 	count := 0
 	for _, disk := range voters {
--- a/internal/control/replication/servefetch.go
+++ b/internal/control/replication/servefetch.go
@@ -37,6 +37,7 @@
 	return answer, err
 }
 
+// fetchChunk answers with a chunk of a snapshot, which is read from the disk at the first call for it.
 func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call wire.FetchCall, answer wire.FetchAnswer) (wire.FetchAnswer, error) {
 	if outgoing == nil {
 		snapshot, err := r.disk.Read(call.Key)
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -78,6 +78,8 @@
 	return store, nil
 }
 
+// openFile opens the data file, makes it if there is none, and syncs the folder, as a new file may else be lost with a
+// power failure.
 func (s *Store) openFile(folder string) error {
 	folder, err := filepath.Abs(folder)
 	if err != nil {
--- a/internal/control/storage/write.go
+++ b/internal/control/storage/write.go
@@ -107,6 +107,7 @@
 	})
 }
 
+// applyAll applies the writes of a batch in one transaction; an error undoes them all.
 func applyAll(tx *bolt.Tx, batch []queuedWrite, outcomes []Outcome) error {
 	for index, queued := range batch {
 		outcome, err := apply(tx, queued.write)
@@ -139,6 +140,7 @@
 	return outcome, states.Put([]byte(write.Key), text)
 }
 
+// updatePairs changes the pairs of a key, which are cleared first if the update says so.
 func updatePairs(tx *bolt.Tx, key string, update PairUpdate) error {
 	if !update.Clear && len(update.Ops) == 0 {
 		return nil
@@ -156,6 +158,7 @@
 	return putPairs(pairs, update.Ops)
 }
 
+// putPairs writes pairs; one with an empty value is deleted.
 func putPairs(pairs *bolt.Bucket, ops []wire.Op) error {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -66,6 +66,7 @@
 	return decideJob(decision, route, request, body)
 }
 
+// decideJob decides a request for a job by its method: to submit, ask for or cancel it.
 func decideJob(decision Decision, route *configuration.Route, request *http.Request, body []byte) Decision {
 	call := decision.Call
 	switch request.Method {
--- a/internal/node/executorapi/client.go
+++ b/internal/node/executorapi/client.go
@@ -39,6 +39,8 @@
 	return status, answer, err
 }
 
+// call posts a message to the executor and returns the status with the answer. An answer that can't be read is an error
+// only with status 200, as others may come with a plain text.
 func (c *Client) call(ctx context.Context, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
 	var answer Answer
 	body, err := easyjson.Marshal(message)
--- a/internal/node/localproxy/delivery.go
+++ b/internal/node/localproxy/delivery.go
@@ -57,6 +57,7 @@
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
+// send calls the executor with an order to start or to stop a run.
 func (p *Proxy) send(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
 	order := work.Order
 	if order.Kind == wire.OrderLaunch {
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -10,6 +10,7 @@
 	"gannetline/internal/platform/clock"
 )
 
+// pollLoop keeps one exchange open at the leader, which answers it when there are orders.
 func (p *Proxy) pollLoop(ctx context.Context) {
 	for {
 		if !p.exchange(ctx, pollWaitMs) && !p.pause(ctx, leaderPause) {
@@ -21,6 +22,8 @@
 	}
 }
 
+// reportLoop reports at once what can't wait for the next poll; starts are gathered for a moment, so that a gang's go
+// in one exchange. A report that failed is sent again after a pause.
 func (p *Proxy) reportLoop(ctx context.Context) {
 	for {
 		select {
@@ -96,6 +99,8 @@
 	return true
 }
 
+// leaderAddress returns where the leader of a key is reached. While none is known, any steward that may lead is asked,
+// as it tells who leads or stands for election itself; it is empty when there is none.
 func leaderAddress(view *membership.View, key string) string {
 	if leader, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
 		return leader.Address
--- a/internal/node/localproxy/holdloop.go
+++ b/internal/node/localproxy/holdloop.go
@@ -11,6 +11,8 @@
 	isDue bool
 }
 
+// holdLoop renews the executor's lease, and with it acknowledges ends. After a miss it pauses the longer, the sooner
+// the executor answered.
 func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
 		turn, isOpen := ask(ctx, p, func() nextHold {
@@ -43,6 +45,7 @@
 	return max(holdPause, unansweredHoldPause-took)
 }
 
+// listLoop renews the lease at once, and with it fetches the full list of runs, when the leader wants that list.
 func (p *Proxy) listLoop(ctx context.Context) {
 	for {
 		select {
@@ -66,6 +69,8 @@
 	}
 }
 
+// hold calls the executor to renew its lease and gives the table what it answers; it tells whether the lease was
+// renewed.
 func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
 	limit := HoldLimit(work.Hold)
 	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, limit, work.Hold)
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -35,6 +35,7 @@
 	return http.StatusOK, ""
 }
 
+// takeHeartbeat takes over what an executor says of itself, and reports at once that it drains.
 func (t *Table) takeHeartbeat(sender *executorState, heartbeat *executorapi.Heartbeat) {
 	sender.sequence, sender.heartbeat = heartbeat.Sequence, *heartbeat
 	if heartbeat.ClockMs > 0 {
@@ -147,6 +148,7 @@
 	t.deregister(sender)
 }
 
+// deregister notes that an executor leaves. One that hadn't drained before serves on for the drain time.
 func (t *Table) deregister(sender *executorState) {
 	if sender.isLeaving {
 		return
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -101,6 +101,7 @@
 	answer.Write(to)
 }
 
+// execute carries out an executor's call on the table and makes the reply.
 func (p *Proxy) execute(command executorapi.Command) response.Reply {
 	if command.IsDeregistration {
 		p.table.Deregister(command.Executor)
--- a/internal/platform/httpserver/tracking.go
+++ b/internal/platform/httpserver/tracking.go
@@ -61,6 +61,7 @@
 	return &connection{Conn: conn, listener: l}, nil
 }
 
+// takeSlot waits for a free slot among the connections allowed at once; it is false when the listener was closed.
 func (l *trackingListener) takeSlot() bool {
 	if l.slots == nil {
 		return true
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -94,6 +94,8 @@
 	return v.add(key)
 }
 
+// add returns the metric of a key, which it creates at first use. Two goroutines may race for it: only one swap
+// succeeds, and the other finds the winner's metric at its next turn. Beyond maxSeries all keys share one.
 func (v *Vector[T]) add(key labelValues) T {
 	for {
 		current := v.held.Load()
--- a/internal/platform/metrics/process.go
+++ b/internal/platform/metrics/process.go
@@ -42,6 +42,7 @@
 	return time.Duration(all.Utime.Nano() + all.Stime.Nano()).Seconds()
 }
 
+// residentBytes reads the resident memory of this process from /proc; it is 0 where there is no /proc.
 func residentBytes() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	fields := bytes.Fields(text)
--- a/internal/platform/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -68,6 +68,8 @@
 	return nil
 }
 
+// keep runs a part and starts it again after a pause when it fails. It gives up, and with it the tree, when the part
+// failed more than maxFailures times within a while.
 func (t *Tree) keep(ctx context.Context, part named) error {
 	var failures []time.Duration
 	for {
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -57,6 +57,7 @@
 	return func(b *base) { b.inner.Handle(path, snapshot) }
 }
 
+// newBase loads the settings, checks that they suit the role, and assembles what all roles have.
 func newBase(path, role string, options ...Option) (*base, error) {
 	hangups := noticeHangups()
 	nodeSettings, err := settings.Load(path)
@@ -76,6 +77,7 @@
 	return b, nil
 }
 
+// assemble binds the internal ports and makes the client for peers.
 func assemble(nodeSettings *settings.Settings, log logging.Logger, options ...Option) (*base, error) {
 	clock := clock.System()
 	b := &base{settings: nodeSettings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
@@ -96,6 +98,7 @@
 	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
+// join adds the parts that make the process a member of the cluster: membership, calls of peers, metrics.
 func (b *base) join(self wire.Member, options ...membership.Option) {
 	self.Name, self.Domain = b.settings.NodeName, b.settings.Domain
 	b.node = membership.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -74,6 +74,7 @@
 	return max(1, (descriptors-reservedDescriptors)/2)
 }
 
+// readiness answers 200 while the process is ready and 503 otherwise.
 func readiness(isReady func() bool) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 		if isReady() {
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -41,6 +41,7 @@
 	return b.tree.Run(ctx)
 }
 
+// standBeforeExecutor adds the parts of a local proxy.
 func (b *base) standBeforeExecutor() error {
 	control, err := b.listen("control-plane", b.settings.Listen.Control)
 	if err != nil {
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -21,6 +21,8 @@
 	replicas    *replication.Replicas
 }
 
+// openStorage opens the data directory of a steward. Without one a seed gets a temporary folder, and any other steward
+// has no replicas.
 func openStorage(b *base) (*durableState, error) {
 	kept := &durableState{folder: b.settings.DataDirectory}
 	if kept.folder == "" {
@@ -56,6 +58,7 @@
 	s.folder, s.isTemporary = folder, true
 }
 
+// member describes the steward for membership, with its disk if it has one.
 func (s *durableState) member(control string) wire.Member {
 	self := wire.Member{Role: "steward", Control: control}
 	switch {
--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -127,6 +127,7 @@
 	return nil
 }
 
+// check checks the fields of the step with this number; steps may depend on earlier ones only.
 func (s *Step) check(number int) error {
 	if s.Tasks < 1 {
 		return errors.New("field task-count must be at least 1")
--- a/internal/scheduling/placement/gang.go
+++ b/internal/scheduling/placement/gang.go
@@ -6,6 +6,7 @@
 	"slices"
 )
 
+// placeGang places all members of a gang or none of them.
 func (t *turn) placeGang(group *Group, number int, allowance allowance) {
 	gang, mayExceedLimits := group.Need.Times(float64(group.Count)), t.mayExceedLimits(group)
 	if !mayExceedLimits && !allowance.covers(gang) {
@@ -36,6 +37,7 @@
 	return t.fillGang(group, "", limits)
 }
 
+// racksByFree lists the racks, those with the most free processor units first.
 func (t *turn) racksByFree() []string {
 	total := map[string]int64{}
 	for index := range t.executors {
@@ -55,6 +57,8 @@
 	return racks
 }
 
+// fillGang chooses an executor for each member, on one rack if one is given. When a member finds none, what was taken
+// for the others is given back and the result is nil.
 func (t *turn) fillGang(group *Group, rack string, limits limitMode) []*candidateState {
 	if !t.hasSlots(group, rack) {
 		return nil
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -16,6 +16,7 @@
 	return turn.placed
 }
 
+// placeAll places groups of the same priority in their order, within what their limits still allow.
 func (t *turn) placeAll(groups []*Group, number int, remaining map[int]Resources) {
 	for index, group := range groups {
 		if t.isOver {
@@ -88,6 +89,7 @@
 	added      int
 }
 
+// newTurn gathers the executors that can still take a run.
 func newTurn(executors []Executor, minNeed Resources, firstRunCPU int64) *turn {
 	t := &turn{executors: executors, minNeed: minNeed, firstRunCPU: firstRunCPU}
 	for index := range executors {
@@ -147,6 +149,7 @@
 	}
 }
 
+// placeSingles places a group's tasks one by one until one finds no executor.
 func (t *turn) placeSingles(group *Group, number int, allowance allowance) {
 	runs := group.RunsByExecutor
 	if group.AntiAffinity > 0 {
@@ -203,6 +206,7 @@
 	return runs
 }
 
+// take counts a run of the group on an executor.
 func (t *turn) take(group *Group, runs map[int]int, candidate *candidateState) {
 	candidate.free = candidate.free.Minus(group.Need)
 	candidate.added++
--- a/internal/scheduling/placement/reserve.go
+++ b/internal/scheduling/placement/reserve.go
@@ -109,6 +109,7 @@
 	t.isLargestFreeStale = true
 }
 
+// bySizeClass groups the executors by their total capacity, each class as a heap ordered by free capacity.
 func (t *turn) bySizeClass() []*sizeClass {
 	sizes := []*sizeClass{}
 	known := map[Resources]*sizeClass{}
--- a/internal/scheduling/recording/read.go
+++ b/internal/scheduling/recording/read.go
@@ -45,6 +45,8 @@
 	return day, nil
 }
 
+// read appends the events of one file. A lenient reader skips lines that can't be read, and counts them; a strict one
+// refuses the file and names the line.
 func (d *Day) read(from io.Reader, path string, isLenient bool) error {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
--- a/internal/scheduling/recording/write.go
+++ b/internal/scheduling/recording/write.go
@@ -123,6 +123,7 @@
 	w.size += int64(count)
 }
 
+// withoutDescriptor removes the descriptor from a job's body; a body that can't be read is recorded as it is.
 func withoutDescriptor(body []byte) []byte {
 	spec, err := jobs.Read(body)
 	if err != nil {
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -106,7 +106,7 @@
 	return runs
 }
 
-// rack is the last label of an executor, as labels go from the widest failure domain to the narrowest.
+// rack is the executor's rack, which its last label names; it is empty without labels.
 func (e *executorState) rack() string {
 	if len(e.labels) == 0 {
 		return ""
