--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -20,6 +20,7 @@
 const (
 	minMetricsLogS = 1
 	maxMetricsLogS = 86400
+	maxPort        = 65535
 )
 
 // Limits are what the process may use of its machine. CPUFraction is the share of a core, CoreCount the speed of
@@ -162,57 +163,77 @@
 	setDefault(&s.Limits.FileDescriptors, 1024)
 }
 
+// check returns all that is wrong with the settings, a line a field.
 func (s *Settings) check() error {
-	var problems error
-	complain := func(field, why string) {
-		problems = multierr.Append(problems, errors.Errorf("field %q %s", field, why))
+	found := &fieldProblems{}
+	s.checkNode(found)
+	s.checkAddresses(found)
+	s.checkRanges(found)
+	if _, err := queuerules.Compile(s.QueueRules); err != nil {
+		found.add("queue-rules", err.Error())
+	}
+	if s.OrderList != "invocation" && s.OrderList != "heartbeat" {
+		found.add("order-list", "is neither invocation nor heartbeat")
 	}
+	return found.all
+}
+
+// fieldProblems gathers what is wrong, each with the name of its field.
+type fieldProblems struct{ all error }
+
+func (p *fieldProblems) add(field, why string) {
+	p.all = multierr.Append(p.all, errors.Errorf("field %q %s", field, why))
+}
+
+// checkNode checks the fields that tell what and where this machine is.
+func (s *Settings) checkNode(found *fieldProblems) {
 	if s.NodeName == "" {
-		complain("node-name", "is missing")
+		found.add("node-name", "is missing")
 	}
 	if net.ParseIP(s.IPAddress) == nil {
-		complain("ip-address", "is not an IP number")
+		found.add("ip-address", "is not an IP number")
 	}
 	if s.Domain == "" {
-		complain("zone", "is missing")
+		found.add("zone", "is missing")
 	}
-	if len(s.InternalPorts) != 2 || s.InternalPorts[0] < 1 || s.InternalPorts[1] > 65535 || s.InternalPorts[0] > s.InternalPorts[1] {
-		complain("internal-port-range", "must be two rising port numbers")
+	if len(s.InternalPorts) != 2 || s.InternalPorts[0] < 1 || s.InternalPorts[1] > maxPort || s.InternalPorts[0] > s.InternalPorts[1] {
+		found.add("internal-port-range", "must be two rising port numbers")
 	}
+}
+
+// checkAddresses checks the seeds and the addresses that may be left empty.
+func (s *Settings) checkAddresses(found *fieldProblems) {
 	if len(s.Seeds) == 0 {
-		complain("seed-nodes", "is empty")
+		found.add("seed-nodes", "is empty")
 	}
 	for _, seed := range s.Seeds {
 		if !isAddress(seed) {
-			complain("seed-nodes", "holds "+seed+", which is not ip:port")
+			found.add("seed-nodes", "holds "+seed+", which is not ip:port")
 		}
 	}
 	for field, address := range map[string]string{"listen-addresses.front-plain": s.Listen.Front,
 		"listen-addresses.readiness": s.Listen.Readiness, "listen-addresses.control-plane": s.Listen.Control, "app": s.App} {
 		if address != "" && !isAddress(address) {
-			complain(field, "is not ip:port")
+			found.add(field, "is not ip:port")
 		}
 	}
+}
+
+// checkRanges checks the fields that are numbers.
+func (s *Settings) checkRanges(found *fieldProblems) {
 	for field, value := range map[string]int64{"max-hold-ms": s.Bounds.MaxHoldMs, "contact-window-ms": s.Bounds.ContactWindowMs,
 		"stop-timeout-ms": s.Bounds.StopTimeoutMs, "gang-wait-ms": s.Bounds.GangWaitMs, "early_ms": s.Bounds.EarlyMs,
 		"drain-timeout-ms": s.Bounds.DrainTimeoutMs, "heartbeat-interval-ms": s.HeartbeatMs, "limits.memory-mb": s.Limits.MemoryMB} {
 		if value < 0 {
-			complain(field, "is negative")
+			found.add(field, "is negative")
 		}
 	}
 	if !(s.MetricsLogS == 0 || s.MetricsLogS >= minMetricsLogS && s.MetricsLogS <= maxMetricsLogS) {
-		complain("metrics-log-s", "is neither 0 nor from 1 to 86400 seconds")
+		found.add("metrics-log-s", "is neither 0 nor from 1 to 86400 seconds")
 	}
 	if s.Bounds.RemoteFactor < 1 {
-		complain("remote-factor", "is below 1")
-	}
-	if _, err := queuerules.Compile(s.QueueRules); err != nil {
-		complain("queue-rules", err.Error())
-	}
-	if s.OrderList != "invocation" && s.OrderList != "heartbeat" {
-		complain("order-list", "is neither invocation nor heartbeat")
+		found.add("remote-factor", "is below 1")
 	}
-	return problems
 }
 
 // Require adds what one role needs beyond the rest.
