--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -56,8 +56,8 @@
 			&cli.StringFlag{Name: "size", Usage: "small or large: how many machines and jobs", Value: sizeSmall},
 			&cli.StringFlag{Name: "model", Usage: "one of " + strings.Join(modelNames(), ", "), Value: models[0].Name()},
 			&cli.IntFlag{Name: "workers", Usage: "schedules at once; one a core if 0"},
-			&cli.StringFlag{Name: "plant", Usage: "put in a planted fault"},
-			&cli.BoolFlag{Name: "list-plants", Usage: "list the planted faults of the model"},
+			&cli.StringFlag{Name: "plant", Usage: "inject a fault"},
+			&cli.BoolFlag{Name: "list-plants", Usage: "list the injected faults of the model"},
 			&cli.StringFlag{Name: "replay", Usage: "run the schedule in `FILE` once"},
 			&cli.BoolFlag{Name: "trace", Usage: "with --replay: print what happens, if the model can say it"},
 			&cli.StringFlag{Name: "out", Usage: "`FOLDER` for the schedule to replay", Value: "."},
@@ -111,8 +111,8 @@
 		return err
 	}
 	if flags.Bool("list-plants") {
-		for _, plant := range model.Plants() {
-			fmt.Printf("%-34s %s\n", plant.Name, plant.About)
+		for _, fault := range model.InjectedFaults() {
+			fmt.Printf("%-34s %s\n", fault.Name, fault.About)
 		}
 		return nil
 	}
@@ -129,7 +129,7 @@
 }
 
 func checkBudget(model modelcheck.Model, budget modelcheck.Budget) error {
-	isPlant := func(plant modelcheck.InjectedFault) bool { return plant.Name == budget.Fault }
+	isFault := func(fault modelcheck.InjectedFault) bool { return fault.Name == budget.Fault }
 	switch {
 	case budget.Losses != 1 && budget.Losses != 2:
 		return cli.Exit("--losses must be 1 or 2", exitUsage)
@@ -137,7 +137,7 @@
 		return cli.Exit("--schedules must be at least 1", exitUsage)
 	case budget.Workers < 0:
 		return cli.Exit("--workers must not be negative", exitUsage)
-	case budget.Fault != "" && !slices.ContainsFunc(model.Plants(), isPlant):
+	case budget.Fault != "" && !slices.ContainsFunc(model.InjectedFaults(), isFault):
 		return cli.Exit(fmt.Sprintf("--plant: there is no %q; see --list-plants", budget.Fault), exitUsage)
 	}
 	return nil
@@ -226,7 +226,7 @@
 }
 
 func printSchedule(schedule modelcheck.Schedule) {
-	fmt.Printf("model %s, seed %d, %d nodes, %d losses, plant %q\n", schedule.Model, schedule.Seed, schedule.Nodes, schedule.Losses, schedule.Plant)
+	fmt.Printf("model %s, seed %d, %d nodes, %d losses, plant %q\n", schedule.Model, schedule.Seed, schedule.Nodes, schedule.Losses, schedule.InjectedFault)
 	for _, step := range schedule.Steps {
 		fmt.Printf("  %6d ms %-16s node %2d peer %d for %d ms, value %d\n", step.AtMs, step.Kind, step.Node, step.Peer, step.ForMs, step.Value)
 	}
--- a/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
@@ -13,11 +13,11 @@
 
 const (
 	seed = 1
-	// soundSchedules are run for each number of losses without any planted fault.
+	// soundSchedules are run for each number of losses without any injected fault.
 	soundSchedules = 600
-	// soundLarge are run with the large profile, for a sound system and for planted faults.
+	// soundLarge are run with the large profile, for a sound system and for injected faults.
 	soundLarge = 400
-	// faultSchedules is within how many each planted fault must be found, with one loss or with two.
+	// faultSchedules is within how many each injected fault must be found, with one loss or with two.
 	faultSchedules = 6000
 	workers        = 2
 )
@@ -49,14 +49,14 @@
 	})
 
 	for _, fault := range []string{"learner-counted-early", "learner-counted-between-chunks"} {
-		It("finds the planted fault "+fault+" at the size of a large fleet", func() {
+		It("finds the injected fault "+fault+" at the size of a large fleet", func() {
 			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge, Fault: fault})
 			Expect(finding).NotTo(BeNil())
 		})
 	}
 
-	for _, fault := range controlmodel.New().Plants() {
-		It("finds the planted fault "+fault.Name, func() {
+	for _, fault := range controlmodel.New().InjectedFaults() {
+		It("finds the injected fault "+fault.Name, func() {
 			finding := run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 1, Fault: fault.Name})
 			if finding == nil {
 				finding = run(modelcheck.Budget{Seed: seed, Schedules: faultSchedules, Losses: 2, Fault: fault.Name})
--- a/internal/simulation/modelcheck/controlmodel/plantlist.go
+++ b/internal/simulation/modelcheck/controlmodel/faultlist.go
@@ -14,8 +14,8 @@
 	"gannetline/internal/control/storage"
 )
 
-// plants are the planted faults by name.
-var plants = map[string]injectedFault{
+// injectedFaults are the faults that can be injected by name.
+var injectedFaults = map[string]injectedFault{
 	"promise-before-sync": {about: "A replica answers a promise or a change before its disk has synced it.",
 		disk: func(_ *simNode, inner *disk) replication.Disk { return &hastyDisk{inner} }},
 	"lease-forgotten": {about: "A voter that is restarted does not wait out the lease it may have granted.",
@@ -61,7 +61,7 @@
 	"confirmed-called-refused":  {about: "A leader refuses a change that it has just committed.", answer: refuseCommitted},
 }
 
-func faultNames() []string { return slices.Sorted(maps.Keys(plants)) }
+func faultNames() []string { return slices.Sorted(maps.Keys(injectedFaults)) }
 
 // hastyDisk answers at once, and writes later.
 type hastyDisk struct{ *disk }
@@ -260,7 +260,7 @@
 
 func refuseCommitted(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.draw.IntN(50) == 0 {
-		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "planted"}
+		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "injected"}
 	}
 	return answer
 }
--- a/internal/simulation/modelcheck/controlmodel/plants.go
+++ b/internal/simulation/modelcheck/controlmodel/injectedfaults.go
@@ -63,10 +63,10 @@
 	return replication.DefaultTiming.Lease
 }
 
-func listPlants() []modelcheck.InjectedFault {
+func listFaults() []modelcheck.InjectedFault {
 	var all []modelcheck.InjectedFault
 	for _, name := range faultNames() {
-		all = append(all, modelcheck.InjectedFault{Name: name, About: plants[name].about})
+		all = append(all, modelcheck.InjectedFault{Name: name, About: injectedFaults[name].about})
 	}
 	return all
 }
--- a/internal/simulation/modelcheck/controlmodel/model.go
+++ b/internal/simulation/modelcheck/controlmodel/model.go
@@ -19,8 +19,8 @@
 // Name is that of the model in schedules and on the command line.
 func (model) Name() string { return Name }
 
-// Plants are the planted faults by name.
-func (model) Plants() []modelcheck.InjectedFault { return listPlants() }
+// InjectedFaults are the faults that can be injected by name.
+func (model) InjectedFaults() []modelcheck.InjectedFault { return listFaults() }
 
 // Run plays a schedule from the beginning.
 func (model) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
--- a/internal/simulation/modelcheck/controlmodel/world.go
+++ b/internal/simulation/modelcheck/controlmodel/simcluster.go
@@ -52,7 +52,7 @@
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	w := &simCluster{schedule: schedule, draw: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
 		coverage: modelcheck.Coverage{}}
-	w.fault = plants[schedule.Plant]
+	w.fault = injectedFaults[schedule.InjectedFault]
 	w.record = newRecord()
 	w.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
 	w.bulkPairs = bulkPairs
--- a/internal/simulation/modelcheck/modelcheck.go
+++ b/internal/simulation/modelcheck/modelcheck.go
@@ -36,9 +36,9 @@
 	Nodes  int `json:"nodes"`
 	// Size is that of the system; the empty one is small.
 	Size Size `json:"size,omitempty"`
-	// Plant names a planted fault, or is empty.
-	Plant string `json:"plant,omitempty"`
-	Steps []Step `json:"steps"`
+	// InjectedFault names an injected fault, or is empty.
+	InjectedFault string `json:"plant,omitempty"`
+	Steps         []Step `json:"steps"`
 }
 
 // Violation is an invariant that did not hold.
@@ -77,8 +77,8 @@
 type Model interface {
 	// Name is unique among the models, without spaces.
 	Name() string
-	// Plants are the faults that can be put into this model.
-	Plants() []InjectedFault
+	// InjectedFaults are the faults that can be put into this model.
+	InjectedFaults() []InjectedFault
 	// Draw makes the schedule of a seed, for a system of a size that must bear so many losses of disks at once.
 	Draw(seed uint64, losses int, size Size) Schedule
 	// Run plays a schedule from the beginning; it keeps nothing from one call to the next.
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -29,44 +29,65 @@
 // modelExecutor keeps to the protocol: fence, highest run, holds on its own clock, numbered ends; its calls may be late,
 // lost or refused.
 type modelExecutor struct {
-	cluster     *simCluster
-	machine     string
-	number      int
-	capacity    wire.Capacity
-	labels      []string
-	proxy       *modelProxy
+	cluster  *simCluster
+	proxy    *modelProxy
+	machine  string
+	number   int
+	capacity wire.Capacity
+	labels   []string
+	// isGuarding is set where starts beyond the capacity are refused.
+	isGuarding bool
+	// pollers are woken when a waiting hold may have something to answer.
+	pollers []func()
+	executorLife
+	executorFaults
+	executorLease
+	executorRuns
+}
+
+// executorLife is the process that runs on the machine now; each restart is a new incarnation with another ID.
+type executorLife struct {
 	id          string
 	incarnation int
 	isUp        bool
-	// isGuarding is set where starts beyond the room are turned away.
-	isGuarding bool
-	isDraining bool
-	// isLeaving is set once this life has said farewell without a drain.
+	isDraining  bool
+	// isLeaving is set once this incarnation has deregistered without a drain.
 	isLeaving bool
-	// isSilent is set once the executor has said farewell; it sends no heartbeats any more.
+	// isSilent is set once the executor has deregistered; it sends no heartbeats any more.
 	isSilent  bool
-	isFrozen  bool
 	departsAt time.Duration
 	begunAt   time.Duration
-	// slowPercent is how much slower than the simulated cluster's clock its own is, in hundredths of a percent.
-	slowness int64
-	sequence int64
-
-	isLate, isMute, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
+	// slowPermyriad is how much slower than the cluster's clock its own is, in hundredths of a percent.
+	slowPermyriad int64
+	sequence      int64
+}
 
+// executorFaults are the faults that the machine has now.
+type executorFaults struct {
+	isFrozen, isLate, isMute, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
 	// troubledFrom and troubledUntil are the last span in which anything was wrong with this machine.
 	troubledFrom, troubledUntil time.Duration
+	// waiting is what a frozen process does once it goes on.
+	waiting []func()
+}
 
-	waiting  []func()
+// executorLease is until when runs may go on, by the executor's own clock, and for which leader's fence.
+type executorLease struct {
 	fence    uint64
 	expiryMs int64
-	lapses   int
-	active   []*modelExecution
-	ends     []executorapi.EndRow
-	endedAt  map[int64]int
-	lastEnd  int64
+	// lapses counts how often the lease has expired.
+	lapses int
+}
+
+// executorRuns are the runs of this incarnation and their ends, which are numbered and told until acknowledged.
+type executorRuns struct {
+	active []*modelExecution
+	ends   []executorapi.EndRow
+	// endedAt is the number of lapses at the time of an end, by the end's number.
+	endedAt map[int64]int
+	lastEnd int64
+	// highest is the highest run of each task that was started or stopped here; an order to start one not above it is refused.
 	highest  map[string]int64
-	pollers  []func()
 	stopping map[*modelExecution]bool
 }
 
@@ -75,7 +96,7 @@
 	e.id = e.machine + "-" + strconv.Itoa(e.incarnation)
 	e.isUp, e.isFrozen, e.begunAt = true, false, e.cluster.queue.now()
 	e.isDraining, e.isLeaving, e.isSilent = false, false, false
-	e.slowness = e.cluster.queue.random.Int64N(201)
+	e.slowPermyriad = e.cluster.queue.random.Int64N(201)
 	e.sequence, e.fence, e.expiryMs, e.lapses, e.lastEnd = 0, 0, 0, 0, 0
 	e.active, e.ends, e.endedAt, e.pollers, e.waiting = nil, nil, map[int64]int{}, nil, nil
 	e.highest, e.stopping = map[string]int64{}, map[*modelExecution]bool{}
@@ -114,7 +135,7 @@
 }
 
 func (e *modelExecutor) clockMs() int64 {
-	return 100_000 + ((e.cluster.queue.now() - e.begunAt) * time.Duration(10000-e.slowness) / 10000).Milliseconds()
+	return 100_000 + ((e.cluster.queue.now() - e.begunAt) * time.Duration(10000-e.slowPermyriad) / 10000).Milliseconds()
 }
 
 // sendHeartbeat tells the proxy of the machine that the executor is there.
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -12,7 +12,7 @@
 )
 
 // receive takes a call of the proxy; reply may never be called.
-func (e *modelExecutor) receive(executorID string, request executorRequest, planted injectedFault, reply func(wait time.Duration, reply executorReply)) {
+func (e *modelExecutor) receive(executorID string, request executorRequest, fault injectedFault, reply func(wait time.Duration, reply executorReply)) {
 	if !e.isUp || e.isRefusing {
 		reply(localHop, executorReply{err: errNoAnswer, isRefused: true})
 		return
@@ -33,7 +33,7 @@
 	}
 	e.later(wait, func() {
 		switch {
-		case executorID != e.id && !planted.ignoresIncarnation():
+		case executorID != e.id && !fault.ignoresIncarnation():
 			answer(executorReply{status: http.StatusMisdirectedRequest})
 		case isBusy:
 			e.cluster.count("executor_busy")
@@ -177,7 +177,7 @@
 		return
 	}
 	e.expiryMs = expiryMs
-	wait := clock.Milliseconds(expiryMs-e.clockMs())*10000/time.Duration(10000-e.slowness) + time.Millisecond
+	wait := clock.Milliseconds(expiryMs-e.clockMs())*10000/time.Duration(10000-e.slowPermyriad) + time.Millisecond
 	// A run lapses by itself, also on an executor that answers nobody.
 	incarnation := e.incarnation
 	e.cluster.queue.after(wait, func() {
--- a/internal/simulation/modelcheck/ordermodel/plantedstalls.go
+++ b/internal/simulation/modelcheck/ordermodel/faultystalls.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/node/localproxy"
 )
 
-// The plants of this file let jobs wait, or be forgotten, without cause.
+// The injected faults of this file let jobs wait, or be forgotten, without cause.
 const (
 	forgottenAfter = 2 * time.Second
 	// oneInSkipped ends is left out.
@@ -18,7 +18,7 @@
 )
 
 // skippingTable leaves out some ends, and tells the later ones.
-type skippingTable struct{ plantedTable }
+type skippingTable struct{ faultyTable }
 
 // Compose leaves out each fifth end.
 func (t *skippingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
@@ -31,7 +31,7 @@
 
 // grudgingTable reports, from the first hold that fails on, that its executor has not been held for long.
 type grudgingTable struct {
-	plantedTable
+	faultyTable
 	hasFailed bool
 }
 
--- a/internal/simulation/modelcheck/ordermodel/plantedtables.go
+++ b/internal/simulation/modelcheck/ordermodel/faultytables.go
@@ -10,13 +10,13 @@
 	"gannetline/internal/node/localproxy"
 )
 
-type plantedTable struct {
+type faultyTable struct {
 	*localproxy.Table
 	proxy *modelProxy
 }
 
 type renumberingTable struct {
-	plantedTable
+	faultyTable
 	attempts map[string]int64
 }
 
@@ -35,7 +35,7 @@
 	t.Table.HandleOrderTimeout(work)
 }
 
-type ungrantedTable struct{ plantedTable }
+type ungrantedTable struct{ faultyTable }
 
 // NextHold extends the hold further than was granted.
 func (t *ungrantedTable) NextHold(isForList bool) (localproxy.HoldWork, bool) {
@@ -46,7 +46,7 @@
 	return work, isDue
 }
 
-type lateGrantTable struct{ plantedTable }
+type lateGrantTable struct{ faultyTable }
 
 // HandleAnswer counts a grant from now.
 func (t *lateGrantTable) HandleAnswer(call *wire.ExchangeCall, _ time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
@@ -55,7 +55,7 @@
 
 // unfencedTable carries out, under the fence of a new leader, what the former one ordered last.
 type unfencedTable struct {
-	plantedTable
+	faultyTable
 	fence  uint64
 	former []wire.Order
 }
@@ -78,7 +78,7 @@
 	return orders
 }
 
-type stoppingTable struct{ plantedTable }
+type stoppingTable struct{ faultyTable }
 
 // HandleOrderResult reports a stop without an answer as done.
 func (t *stoppingTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
@@ -88,7 +88,7 @@
 	t.Table.HandleOrderResult(work, result)
 }
 
-type forgetfulTable struct{ plantedTable }
+type forgetfulTable struct{ faultyTable }
 
 // HandleOrderTimeout forgets that the start may yet be carried out.
 func (t *forgetfulTable) HandleOrderTimeout(localproxy.OrderWork) {}
@@ -102,7 +102,7 @@
 }
 
 // trustingTable takes each heartbeat for an answer of the life that it names.
-type trustingTable struct{ plantedTable }
+type trustingTable struct{ faultyTable }
 
 // Heartbeat takes the heartbeat for the answer to a hold.
 func (t *trustingTable) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (int, string) {
@@ -115,7 +115,7 @@
 
 // mixingTable starts each task from the checkpoint that came last.
 type mixingTable struct {
-	plantedTable
+	faultyTable
 	saved string
 }
 
@@ -132,7 +132,7 @@
 	return work, isDue
 }
 
-type boastingTable struct{ plantedTable }
+type boastingTable struct{ faultyTable }
 
 // Compose doubles the room.
 func (t *boastingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
@@ -145,7 +145,7 @@
 
 // lyingTable tells of runs that ended in some ways that they ended in another.
 type lyingTable struct {
-	plantedTable
+	faultyTable
 	outcomes []wire.RunOutcome
 	reported wire.RunOutcome
 }
@@ -162,7 +162,7 @@
 
 // oldListTable answers a hold with the list that the hold before it brought.
 type oldListTable struct {
-	plantedTable
+	faultyTable
 	running []executorapi.RunningRow
 }
 
--- a/internal/simulation/modelcheck/ordermodel/plants.go
+++ b/internal/simulation/modelcheck/ordermodel/injectedfaults.go
@@ -10,12 +10,12 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// injectedFault puts one fault into the system by wrapping what the model drives; the zero plant changes nothing.
+// injectedFault puts one fault into the system by wrapping what the model drives; the zero value changes nothing.
 type injectedFault struct {
 	name string
 }
 
-// Names of the plants.
+// Names of the injected faults.
 const (
 	faultAnswerByPlace   = "answer-by-place"
 	faultNewRunID        = "resend-under-new-run"
@@ -45,7 +45,7 @@
 	faultStateUnanswered = "state-not-told"
 )
 
-var plants = []modelcheck.InjectedFault{
+var injectedFaults = []modelcheck.InjectedFault{
 	{Name: faultAnswerByPlace, About: "A proxy takes an executor's answer for the oldest call that waits, not for the call it answers."},
 	{Name: faultNewRunID, About: "A proxy sends a start that was not answered again under the next run-id."},
 	{Name: faultHoldUngranted, About: "A proxy extends holds without a grant of the leader."},
@@ -119,7 +119,7 @@
 }
 
 func (p injectedFault) table(proxy *modelProxy, table *localproxy.Table) proxyTable {
-	faulty := plantedTable{Table: table, proxy: proxy}
+	faulty := faultyTable{Table: table, proxy: proxy}
 	switch p.name {
 	case faultNewRunID:
 		return &renumberingTable{faulty, map[string]int64{}}
@@ -128,7 +128,7 @@
 	case faultGrantOnArrival:
 		return &lateGrantTable{faulty}
 	case faultFenceIgnored:
-		return &unfencedTable{plantedTable: faulty}
+		return &unfencedTable{faultyTable: faulty}
 	case faultStopUnanswered:
 		return &stoppingTable{faulty}
 	case faultUnsureForgotten:
@@ -136,7 +136,7 @@
 	case faultBeatEndsLife:
 		return &trustingTable{faulty}
 	case faultOtherCheckpoint:
-		return &mixingTable{plantedTable: faulty}
+		return &mixingTable{faultyTable: faulty}
 	case faultRoomOverstated:
 		return &boastingTable{faulty}
 	case faultFailureDone:
@@ -148,9 +148,9 @@
 	case faultEndSkipped:
 		return &skippingTable{faulty}
 	case faultAvoided:
-		return &grudgingTable{plantedTable: faulty}
+		return &grudgingTable{faultyTable: faulty}
 	case faultLookForgotten:
-		return &oldListTable{plantedTable: faulty}
+		return &oldListTable{faultyTable: faulty}
 	}
 	return table
 }
--- a/internal/simulation/modelcheck/ordermodel/model.go
+++ b/internal/simulation/modelcheck/ordermodel/model.go
@@ -28,8 +28,8 @@
 // Name is that of the model in schedules and on the command line.
 func (model) Name() string { return modelName }
 
-// Plants are the planted faults in the order of their list.
-func (model) Plants() []modelcheck.InjectedFault { return slices.Clone(plants) }
+// InjectedFaults are the faults that can be injected in the order of their list.
+func (model) InjectedFaults() []modelcheck.InjectedFault { return slices.Clone(injectedFaults) }
 
 // Draw makes the schedule of a seed.
 func (model) Draw(seed uint64, losses int, size modelcheck.Size) modelcheck.Schedule {
--- a/internal/simulation/modelcheck/ordermodel/ordermodel_test.go
+++ b/internal/simulation/modelcheck/ordermodel/ordermodel_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// sound is how many schedules are played without a planted fault.
+	// sound is how many schedules are played without an injected fault.
 	sound = 300
-	// soundLarge is how many schedules of the large profile are played without a planted fault.
+	// soundLarge is how many schedules of the large profile are played without an injected fault.
 	soundLarge = 9
 	// firstLarge is the first of their seeds.
 	firstLarge = uint64(0)
-	// maxLarge is how many schedules of the large profile a planted fault may stay hidden.
+	// maxLarge is how many schedules of the large profile an injected fault may stay hidden.
 	maxLarge = 12
-	// most is how many schedules a planted fault may stay hidden.
+	// most is how many schedules an injected fault may stay hidden.
 	most = 1500
 )
 
@@ -29,16 +29,16 @@
 var firstSeeds = map[string]uint64{"grant-from-arrival": 450, "life-ended-by-beat": 1750, "unclear-start-called-not-run": 1400,
 	"stop-without-answer": 300, "checkpoint-of-another-task": 250}
 
-// largeOnly are planted faults that show in too few of the small schedules; they have a test of their own.
+// largeOnly are injected faults that show in too few of the small schedules; they have a test of their own.
 var largeOnly = []string{"room-reserved-for-ever"}
 
-// expectFound plays schedules with a planted fault until one shows it that shows nothing without the fault.
+// expectFound plays schedules with an injected fault until one shows it that shows nothing without the fault.
 func expectFound(model modelcheck.Model, fault string, size modelcheck.Size, first, count uint64) {
 	GinkgoHelper()
 	for seed := first; seed < first+count; seed++ {
 		schedule := model.Draw(seed, 1, size)
 		sound := schedule
-		schedule.Plant = fault
+		schedule.InjectedFault = fault
 		if outcome := model.Run(schedule); len(outcome.Violations) > 0 && len(model.Run(sound).Violations) == 0 {
 			fmt.Fprintln(GinkgoWriter, "seed", seed, outcome.Violations[0])
 			return
@@ -97,27 +97,27 @@
 
 	for name, first := range map[string]uint64{"ended-run-still-counted": firstLarge, "executor-avoided-for-ever": firstLarge,
 		"placement-put-off": firstLarge, "state-not-told": firstLarge} {
-		It("finds a planted fault at the size of a large fleet: "+name, func() {
+		It("finds an injected fault at the size of a large fleet: "+name, func() {
 			expectFound(model, name, modelcheck.SizeLarge, first, maxLarge)
 		})
 	}
 
-	It("finds a planted fault by a burst of urgent jobs before a long one: room-reserved-for-ever", func() {
+	It("finds an injected fault by a burst of urgent jobs before a long one: room-reserved-for-ever", func() {
 		const wide, narrow, long = 0, 2, 7
 		schedule := modelcheck.Schedule{Model: model.Name(), Seed: 1, Losses: 2, Nodes: 5, Size: modelcheck.SizeLarge, Steps: []modelcheck.Step{
 			{AtMs: 2000, Kind: "job-stream", Peer: 300, ForMs: 100, Value: wide},
 			{AtMs: 2000, Kind: "job-stream", Node: 20000, Peer: 600, ForMs: 13000, Value: narrow},
 			{AtMs: 9000, Kind: "job-stream", Node: 10000, Peer: 1, ForMs: 1, Value: long}}}
 		Expect(model.Run(schedule).Violations).To(BeEmpty())
-		schedule.Plant = "room-reserved-for-ever"
+		schedule.InjectedFault = "room-reserved-for-ever"
 		Expect(model.Run(schedule).Violations).To(ContainElement(HaveField("Oracle", "STALLED")))
 	})
 
-	for _, fault := range model.Plants() {
+	for _, fault := range model.InjectedFaults() {
 		if slices.Contains(largeOnly, fault.Name) {
 			continue
 		}
-		It("finds a planted fault: "+fault.Name, func() {
+		It("finds an injected fault: "+fault.Name, func() {
 			expectFound(model, fault.Name, modelcheck.SizeSmall, firstSeeds[fault.Name], most)
 		})
 	}
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -25,7 +25,7 @@
 	shortWaitMs   = 150
 )
 
-// proxyTable is what the model drives of a local-proxy; plants wrap it.
+// proxyTable is what the model drives of a local-proxy; injected faults wrap it.
 type proxyTable interface {
 	Heartbeat(id string, heartbeat *executorapi.Heartbeat) (status int, why string)
 	Deregister(id string)
--- a/internal/simulation/modelcheck/ordermodel/world.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -46,14 +46,14 @@
 	isDone bool
 	// onCommit is called once, when a leader hears of a commit.
 	onCommit func()
-	// forgotten are records that a plant keeps out of commits.
+	// forgotten are records that an injected fault keeps out of commits.
 	forgotten map[string]bool
 	trace     io.Writer
 }
 
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	profile := profileOf(schedule.Size)
-	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.Plant}, coverage: modelcheck.Coverage{},
+	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
 		forgotten: map[string]bool{}}
 	w.timing = w.fault.timing(profile.timing)
 	w.oracles = newOracles(w)
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -11,7 +11,7 @@
 
 const tickEvery = 50 * time.Millisecond
 
-// poolLeader is what the model drives of a pool; plants wrap it.
+// poolLeader is what the model drives of a pool; injected faults wrap it.
 type poolLeader interface {
 	Open(leadership scheduler.Leadership, pairs []wire.Op)
 	Unreadable() []string
--- a/internal/simulation/modelcheck/run.go
+++ b/internal/simulation/modelcheck/run.go
@@ -15,7 +15,7 @@
 	Schedules int
 	Losses    int
 	Size      Size
-	// Fault names the planted fault of all schedules, or is empty.
+	// Fault names the injected fault of all schedules, or is empty.
 	Fault string
 	// Workers is how many schedules run at once; the result doesn't depend on it.
 	Workers int
@@ -120,7 +120,7 @@
 
 func (b Budget) schedule(model Model, number int) Schedule {
 	schedule := model.Draw(mix(b.Seed, uint64(number)), b.Losses, b.Size)
-	schedule.Plant = b.Fault
+	schedule.InjectedFault = b.Fault
 	return schedule
 }
 
