--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -110,7 +110,7 @@
 	delete(e.stopping, execution)
 	e.highest[execution.task] = max(e.highest[execution.task], execution.run)
 	e.lastEnd++
-	e.endedAt[e.lastEnd] = e.lapses
+	e.lapsesAtEnd[e.lastEnd] = e.lapses
 	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: execution.task, Run: execution.run, Outcome: wire.RunOutcome(how), Checkpoint: execution.saved})
 	e.cluster.oracles.ended(e, execution, how)
 	pollers := e.pollers
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -83,9 +83,9 @@
 type executorRuns struct {
 	active []*modelExecution
 	ends   []executorapi.EndRow
-	// endedAt is the number of lapses at the time of an end, by the end's number.
-	endedAt map[int64]int
-	lastEnd int64
+	// lapsesAtEnd is the number of lapses at the time of an end, by the end's number.
+	lapsesAtEnd map[int64]int
+	lastEnd     int64
 	// highest is the highest run of each task that was started or stopped here; an order to start one not above it is refused.
 	highest  map[string]int64
 	stopping map[*modelExecution]bool
@@ -98,7 +98,7 @@
 	e.isDraining, e.isLeaving, e.isSilent = false, false, false
 	e.slowPermyriad = e.cluster.queue.random.Int64N(201)
 	e.sequence, e.fence, e.expiryMs, e.lapses, e.lastEnd = 0, 0, 0, 0, 0
-	e.active, e.ends, e.endedAt, e.pollers, e.waiting = nil, nil, map[int64]int{}, nil, nil
+	e.active, e.ends, e.lapsesAtEnd, e.pollers, e.waiting = nil, nil, map[int64]int{}, nil, nil
 	e.highest, e.stopping = map[string]int64{}, map[*modelExecution]bool{}
 	e.later(e.cluster.queue.between(0, firstHeartbeatTime), e.sendHeartbeat)
 }
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -147,7 +147,7 @@
 		if end.Number > lastSeen {
 			return false
 		}
-		if e.endedAt[end.Number] == e.lapses {
+		if e.lapsesAtEnd[end.Number] == e.lapses {
 			e.cluster.oracles.noted(e, end)
 		}
 		return true
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -16,46 +16,67 @@
 type activeRun struct {
 	task    string
 	number  int64
-	ends    time.Duration
+	endsAt  time.Duration
 	length  time.Duration
-	how     string
+	outcome string
 	isStuck bool
 }
 
-// Executor is a model of one: it keeps to the protocol, guards its room and forgets all when it crashes.
+// Executor is a model of an executor: it keeps to the protocol, refuses runs beyond its capacity, and forgets all when it
+// crashes.
 type Executor struct {
-	cluster    *Cluster
-	Machine    string
-	Domain     string
-	Labels     []string
-	ID         string
-	Capacity   wire.Capacity
-	Speed      float64
-	Starts     int
+	cluster  *Cluster
+	Machine  string
+	Domain   string
+	Labels   []string
+	Capacity wire.Capacity
+	Speed    float64
+	Starts   int
+	// ID names the present incarnation.
+	ID          string
+	incarnation int
+	begunAt     time.Duration
+	executorState
+	executorLease
+	executorRuns
+}
+
+// executorState is what the executor is able to do now.
+type executorState struct {
 	isUp       bool
 	isLate     bool
 	isRefusing bool
-	isDrain    bool
+	isDraining bool
 	isLossy    bool
-	birth      int
-	begunAt    time.Duration
-	fence      uint64
-	expiry     int64
-	active     []*activeRun
-	ends       []executorapi.EndRow
-	lastEnd    int64
-	highest    map[string]int64
-	waiting    []func()
-	lapses     int
-	endedIn    map[int64]int
+}
+
+// executorLease is until when runs may go on, by the executor's own clock, and for which leader's fence.
+type executorLease struct {
+	fence    uint64
+	expiryMs int64
+	// lapses counts how often the lease has expired.
+	lapses int
+	// pollers are woken when there are ends to report.
+	pollers []func()
+}
+
+// executorRuns are the runs of this incarnation and their ends, which are numbered and reported until acknowledged.
+type executorRuns struct {
+	active  []*activeRun
+	ends    []executorapi.EndRow
+	lastEnd int64
+	// highest is the highest run of each task that was started or stopped here.
+	highest map[string]int64
+	// lapsesAtEnd is the number of lapses at the time of an end, by the end's number.
+	lapsesAtEnd map[int64]int
 }
 
 func (e *Executor) restart() {
 	e.cluster.Judge.crashed(e)
-	e.birth++
-	e.ID = e.Machine + "-life-" + string(rune('a'+(e.birth-1)%26))
-	e.isUp, e.begunAt, e.fence, e.expiry, e.active, e.ends, e.lastEnd = true, e.cluster.Events.Now(), 0, 0, nil, nil, 0
-	e.highest, e.waiting, e.isDrain, e.endedIn = map[string]int64{}, nil, false, map[int64]int{}
+	e.incarnation++
+	e.ID = e.Machine + "-life-" + string(rune('a'+(e.incarnation-1)%26))
+	e.isUp, e.begunAt, e.fence, e.expiryMs, e.active, e.ends, e.lastEnd = true, e.cluster.Events.Now(), 0, 0, nil, nil, 0
+	e.highest, e.pollers, e.isDraining, e.lapsesAtEnd = map[string]int64{}, nil, false, map[int64]int{}
 }
 
 // ClockMs is the executor's own clock, 1% slow.
@@ -72,10 +93,10 @@
 }
 
 func (e *Executor) extend(expiryMs int64) {
-	e.expiry = max(e.expiry, min(expiryMs, e.ClockMs()+e.cluster.timing.MaxHold.Milliseconds()))
-	birth := e.birth
-	e.cluster.Events.After(clock.Milliseconds((e.expiry-e.ClockMs())*102/100+2), func() {
-		if e.birth == birth && e.ClockMs() >= e.expiry {
+	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.cluster.timing.MaxHold.Milliseconds()))
+	incarnation := e.incarnation
+	e.cluster.Events.After(clock.Milliseconds((e.expiryMs-e.ClockMs())*102/100+2), func() {
+		if e.incarnation == incarnation && e.ClockMs() >= e.expiryMs {
 			e.lapse()
 		}
 	})
@@ -126,33 +147,33 @@
 }
 
 func (e *Executor) begin(order executorapi.RunStart) {
-	length, how := e.cluster.Work(order.Task, order.Run, e)
+	length, outcome := e.cluster.Work(order.Task, order.Run, e)
 	length = time.Duration(float64(length) * e.Speed)
-	active := &activeRun{task: order.Task, number: order.Run, ends: e.cluster.Events.Now() + length, length: length, how: how}
+	active := &activeRun{task: order.Task, number: order.Run, endsAt: e.cluster.Events.Now() + length, length: length, outcome: outcome}
 	e.active = append(e.active, active)
 	e.Starts++
 	e.cluster.Judge.started(e, order.Task, order.Run)
-	birth := e.birth
+	incarnation := e.incarnation
 	e.cluster.Events.After(length, func() {
-		if e.birth == birth && e.isUp && slices.Contains(e.active, active) && !active.isStuck {
-			e.end(active, active.how)
+		if e.incarnation == incarnation && e.isUp && slices.Contains(e.active, active) && !active.isStuck {
+			e.end(active, active.outcome)
 		}
 	})
 }
 
-func (e *Executor) end(active *activeRun, how string) {
+func (e *Executor) end(active *activeRun, outcome string) {
 	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == active })
 	e.highest[active.task] = max(e.highest[active.task], active.number)
 	e.lastEnd++
-	e.endedIn[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: active.task, Run: active.number, Outcome: wire.RunOutcome(how)})
-	e.cluster.Judge.ended(e, active.task, active.number, how)
-	waiting := e.waiting
-	e.waiting = nil
-	for _, wake := range waiting {
+	e.lapsesAtEnd[e.lastEnd] = e.lapses
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: active.task, Run: active.number, Outcome: wire.RunOutcome(outcome)})
+	e.cluster.Judge.ended(e, active.task, active.number, outcome)
+	pollers := e.pollers
+	e.pollers = nil
+	for _, wake := range pollers {
 		wake()
 	}
-	if how != "done" && how != "broken" && e.cluster.Judge.isGang(active.task) {
+	if outcome != "done" && outcome != "broken" && e.cluster.Judge.isGang(active.task) {
 		e.cluster.breakGang(active.task, active.number)
 	}
 }
@@ -165,11 +186,11 @@
 		return 409, answer
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Run)
-	birth := e.birth
+	incarnation := e.incarnation
 	for _, active := range e.active {
 		if active.task == order.Task && active.number == order.Run {
 			e.cluster.Events.After(e.cluster.timing.StopTimeout/2, func() {
-				if e.birth == birth && slices.Contains(e.active, active) {
+				if e.incarnation == incarnation && slices.Contains(e.active, active) {
 					e.end(active, "stopped")
 				}
 			})
@@ -185,7 +206,7 @@
 		return
 	}
 	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool {
-		if end.Number <= hold.LastSeen && e.endedIn[end.Number] == e.lapses {
+		if end.Number <= hold.LastSeen && e.lapsesAtEnd[end.Number] == e.lapses {
 			e.cluster.Judge.noted(end)
 		}
 		return end.Number <= hold.LastSeen
@@ -197,14 +218,14 @@
 		answer(200, e.lists())
 		return
 	}
-	isOver, birth := false, e.birth
+	isOver, incarnation := false, e.incarnation
 	reply := func() {
-		if !isOver && e.birth == birth && e.isUp {
+		if !isOver && e.incarnation == incarnation && e.isUp {
 			isOver = true
 			answer(200, e.lists())
 		}
 	}
-	e.waiting = append(e.waiting, reply)
+	e.pollers = append(e.pollers, reply)
 	e.cluster.Events.After(clock.Milliseconds(hold.WaitMs), reply)
 }
 
@@ -213,7 +234,7 @@
 	for _, active := range e.active {
 		percent := 0
 		if active.length > 0 && !active.isStuck {
-			percent = int(100 - 100*(active.ends-e.cluster.Events.Now())/active.length)
+			percent = int(100 - 100*(active.endsAt-e.cluster.Events.Now())/active.length)
 		}
 		answer.Running = append(answer.Running, executorapi.RunningRow{Task: active.task, Run: active.number, Percent: percent})
 	}
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -60,7 +60,7 @@
 		if p.executor.isUp {
 			p.sequence++
 			state := "ready"
-			if p.executor.isDrain {
+			if p.executor.isDraining {
 				state = "draining"
 			}
 			p.table.Heartbeat(p.executor.ID, &executorapi.Heartbeat{Service: p.cluster.service, State: state, Capacity: p.executor.Capacity,
@@ -89,7 +89,7 @@
 		})
 	}
 	p.cluster.Events.After(limit, func() { finish(0, executorapi.Answer{}, false) })
-	birth, wait := p.executor.birth, time.Millisecond
+	birth, wait := p.executor.incarnation, time.Millisecond
 	isMute := p.executor.isLate && p.cluster.Events.Draw.IntN(2) == 0
 	if isMute {
 		wait = time.Duration(2+p.cluster.Events.Draw.IntN(10)) * time.Second
@@ -100,7 +100,7 @@
 		case p.executor.isRefusing:
 			p.cluster.Refusals++
 			finish(refused, executorapi.Answer{}, false)
-		case p.executor.birth != birth || p.executor.ID != executor:
+		case p.executor.incarnation != birth || p.executor.ID != executor:
 			finish(421, executorapi.Answer{}, true)
 		default:
 			serve(func(status int, answer executorapi.Answer) {
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -215,7 +215,7 @@
 }
 
 // Drain makes an executor announce that it is leaving.
-func (s *Cluster) Drain(executor *Executor) { executor.isDrain = true }
+func (s *Cluster) Drain(executor *Executor) { executor.isDraining = true }
 
 // Slow multiplies the length of each new run on an executor; 1 is the normal length.
 func (s *Cluster) Slow(executor *Executor, factor float64) { executor.Speed = factor }
--- a/internal/simulation/simcluster/stalls.go
+++ b/internal/simulation/simcluster/stalls.go
@@ -148,7 +148,7 @@
 }
 
 func (e *Executor) isSound() bool {
-	return e.isReached() && !e.isDrain && !e.isLossy && e.Speed == 1
+	return e.isReached() && !e.isDraining && !e.isLossy && e.Speed == 1
 }
 
 func (s *Cluster) proxyOf(executor *Executor) *Proxy {
