--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -34,6 +34,7 @@
 
 func bulkName(index int) string { return fmt.Sprintf("bulk-%d", index) }
 
+// bulkOf reads the first byte of each bulk pair.
 func bulkOf(pairs []wire.Op) bulkState {
 	var state bulkState
 	for index := range state {
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -89,6 +89,7 @@
 	d.cluster.after(d.syncTime(), func() { d.endSync(incarnation) })
 }
 
+// endSync commits what was being synced and begins the next batch; a stalled disk tries again later.
 func (d *disk) endSync(incarnation int) {
 	if d.incarnation != incarnation {
 		return
--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -73,6 +73,7 @@
 	return 1500
 }
 
+// addFaults draws a few moments of faults, some far enough apart for replicas to catch up between them.
 func (d *drawing) addFaults() {
 	count := 1 + d.draw.IntN(5)
 	at := d.firstFault() + d.draw.IntN(1000)
@@ -92,6 +93,8 @@
 var harms = []string{stepKill, stepPower, stepWipe, stepFreeze, stepSlow, stepStall, stepSlowDisk, stepFullDisk, stepCut, stepCut, stepCutOut,
 	stepCutIn, stepReplace, stepReplaceLost, stepRestart, stepPowerOnAck}
 
+// addFault draws what happens at one moment: network trouble, a jump of a clock, a power cut of all, growth, and losses
+// of single machines.
 func (d *drawing) addFault(at int) {
 	switch d.draw.IntN(10) {
 	case 0, 5:
@@ -130,6 +133,7 @@
 	return d.draw.IntN(d.nodes)
 }
 
+// addHarm adds a loss of one machine, unless more would be lost at once with it than the system has to bear.
 func (d *drawing) addHarm(at int, kind string) {
 	step := modelcheck.Step{AtMs: at, Kind: kind, Node: d.position(), ForMs: d.length(), Value: 20 + d.draw.IntN(800)}
 	if kind == stepKill && d.draw.IntN(2) == 0 {
@@ -198,6 +202,7 @@
 	d.add(step)
 }
 
+// addTraffic draws the calls of operators: changes, reads, races, repeated changes, bursts and storms.
 func (d *drawing) addTraffic() {
 	d.add(modelcheck.Step{AtMs: 700, Kind: stepOrder, Node: 0})
 	pause := 60 + d.draw.IntN(500)
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -72,6 +72,7 @@
 	return last
 }
 
+// addLargeFault draws a fault of a large system.
 func (d *drawing) addLargeFault(at int) {
 	switch d.draw.IntN(6) {
 	case 0:
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -102,6 +102,7 @@
 	}
 }
 
+// configurationOf reads the configuration from the pairs of its key; it is nil where there is none.
 func configurationOf(pairs []wire.Op) *wire.Configuration {
 	for _, pair := range pairs {
 		if pair.Name == recordConfiguration {
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -193,6 +193,7 @@
 	return shortestChunk + time.Duration(w.draw.Int64N(int64(longestChunk-shortestChunk)))
 }
 
+// append sends changes to a replica and tells how long the answer took there.
 func (l *links) append(to *simNode, ask wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
 	n := l.node
 	call(n, to, limit, func(answer func(wire.AppendAnswer)) {
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -118,6 +118,7 @@
 	n.cluster.after(time.Duration(n.cluster.draw.Int64N(int64(tickEvery))), func() { n.tick(incarnation) })
 }
 
+// tick drives the engine until the process ends; a later incarnation has its own ticks.
 func (n *simNode) tick(incarnation int) {
 	if n.incarnation != incarnation {
 		return
@@ -142,6 +143,8 @@
 	}
 }
 
+// enterNow runs a call in the process it was meant for: a frozen process runs it once it goes on, and one that was
+// restarted never does.
 func (n *simNode) enterNow(incarnation int, run func()) {
 	switch {
 	case n.incarnation != incarnation || !n.isUp:
@@ -209,6 +212,7 @@
 	}
 }
 
+// wake lets a frozen process go on with what was postponed.
 func (n *simNode) wake() {
 	if !n.isFrozen {
 		return
@@ -239,6 +243,7 @@
 	n.cluster.after(leaveTime, func() { n.awaitLeave(incarnation, end, gone) })
 }
 
+// awaitLeave ends the process once it can be replaced without a loss, or at the latest at end.
 func (n *simNode) awaitLeave(incarnation int, end time.Duration, gone func()) {
 	isOver := n.cluster.now >= end || !n.isReplaceable()
 	if n.incarnation == incarnation && !isOver {
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -61,6 +61,7 @@
 	underWay  int
 }
 
+// newOrder makes a change of the configuration with a body unlike all others.
 func (w *simCluster) newOrder(base, version int64) *modelOrder {
 	t := &w.traffic
 	t.drawn++
@@ -97,6 +98,7 @@
 	})
 }
 
+// kindOf sorts an answer to an operator: an error of the server leaves open what came of the change.
 func kindOf(answer *response.Reply) answerKind {
 	switch {
 	case answer == nil || answer.Status >= http.StatusInternalServerError:
@@ -107,6 +109,7 @@
 	return refused
 }
 
+// noteOrder records what an operator was told of a change, and checks it.
 func (w *simCluster) noteOrder(order *modelOrder, kind answerKind, answer *response.Reply) {
 	t := &w.traffic
 	switch kind {
@@ -185,6 +188,7 @@
 	done     func(response.Reply)
 }
 
+// next makes the next attempt at a call, as the real client's policy says.
 func (a *attempt) next() {
 	w := a.from.cluster
 	attempt, isLeft := a.attempts.Next(a.from.view(), w.now)
--- a/internal/simulation/modelcheck/controlmodel/oracles.go
+++ b/internal/simulation/modelcheck/controlmodel/oracles.go
@@ -49,6 +49,7 @@
 		bulk: map[string]bulkState{}}
 }
 
+// checkLeases is an oracle: at most one node holds a lease at any moment.
 func (w *simCluster) checkLeases() {
 	var holders []string
 	for _, node := range w.nodes {
@@ -86,6 +87,7 @@
 	}
 }
 
+// noteInForce is an oracle: a change that was refused never comes into force.
 func (w *simCluster) noteInForce(digest string) {
 	if w.record.inForce[digest] {
 		return
@@ -127,6 +129,8 @@
 	}
 }
 
+// checkRead is an oracle: a read returns no version below one confirmed before the read began, and the body that was
+// confirmed.
 func (w *simCluster) checkRead(seen *observation, floor int64, body []byte) {
 	seen.version, seen.digest = versionOf(body)
 	w.end(seen, confirmed)
@@ -237,6 +241,8 @@
 	},
 }
 
+// orderStep is the step of a change in the linearizability check: whether its answer fits the chain of versions, and
+// the chain after it.
 func orderStep(chain *modelChain, seen *observation) (bool, any) {
 	isTaken := chain.has(seen.order.digest)
 	fits := seen.order.base == chain.top() && seen.order.version > chain.top()
--- a/internal/simulation/modelcheck/controlmodel/simcluster.go
+++ b/internal/simulation/modelcheck/controlmodel/simcluster.go
@@ -49,6 +49,7 @@
 	trace io.Writer
 }
 
+// newSimCluster sets up the nodes of a schedule; they start one after another.
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	w := &simCluster{schedule: schedule, draw: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
 		coverage: modelcheck.Coverage{}}
@@ -112,6 +113,7 @@
 	return end
 }
 
+// runUntil plays events up to a time; it is false when an invariant was violated.
 func (w *simCluster) runUntil(end time.Duration) bool {
 	for len(w.problems) == 0 {
 		before := w.now
--- a/internal/simulation/modelcheck/controlmodel/steps.go
+++ b/internal/simulation/modelcheck/controlmodel/steps.go
@@ -64,6 +64,7 @@
 	return w.slots[index%len(w.slots)]
 }
 
+// apply begins a step of the schedule, and plans its end.
 func (w *simCluster) apply(step modelcheck.Step) {
 	w.cover("step " + step.Kind)
 	length := clock.Milliseconds(int64(step.ForMs))
@@ -142,6 +143,7 @@
 	}
 }
 
+// troubleDisk lets a disk stall, be slow or be full for a while.
 func (w *simCluster) troubleDisk(kind string, d *disk, length time.Duration) {
 	switch kind {
 	case stepStall:
@@ -230,6 +232,7 @@
 	}
 }
 
+// operateStep plays a step of operators.
 func (w *simCluster) operateStep(step modelcheck.Step) {
 	t := &w.traffic
 	switch step.Kind {
--- a/internal/simulation/modelcheck/controlmodel/timeline.go
+++ b/internal/simulation/modelcheck/controlmodel/timeline.go
@@ -42,6 +42,7 @@
 	return t.heap[one].due < t.heap[two].due || t.heap[one].due == t.heap[two].due && t.heap[one].order < t.heap[two].order
 }
 
+// up moves an event towards the root of the heap until its parent is not later.
 func (t *timeline) up(index int) {
 	for index > 0 {
 		parent := (index - 1) / 2
@@ -53,6 +54,7 @@
 	}
 }
 
+// down moves an event away from the root of the heap until none of its children is earlier.
 func (t *timeline) down(index int) {
 	for {
 		child := 2*index + 1
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -122,6 +122,7 @@
 	})
 }
 
+// cancel cancels a job through one gate after another until the answer is clear.
 func (w *simCluster) cancel(job *modelJob, through, attempt int) {
 	job.isCancelSent = true
 	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -142,6 +142,7 @@
 	e.later(clock.Milliseconds(request.WaitMs), tell)
 }
 
+// forgetEnds drops the ends that are acknowledged.
 func (e *modelExecutor) forgetEnds(lastSeen int64) {
 	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool {
 		if end.Number > lastSeen {
@@ -154,6 +155,7 @@
 	})
 }
 
+// lists returns all runs and the first of the ends that are not acknowledged.
 func (e *modelExecutor) lists() executorReply {
 	reply := e.reported(http.StatusOK, "")
 	reply.answer.Ends = slices.Clone(e.ends[:min(maxEndsTold, len(e.ends))])
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -186,6 +186,7 @@
 	})
 }
 
+// awaitMore lets a start wait a moment for what can share its report.
 func (p *modelProxy) awaitMore() {
 	isOver := false
 	p.work.wait(func() {
@@ -205,6 +206,7 @@
 	})
 }
 
+// report makes one exchange at once, again after a pause if it fails.
 func (p *modelProxy) report() {
 	p.exchange(0, func(isAnswered bool) {
 		if isAnswered {
@@ -218,6 +220,7 @@
 	})
 }
 
+// exchange composes a call to the leader, sends it, and carries the orders of the answer.
 func (p *modelProxy) exchange(waitMs int64, done func(isAnswered bool)) {
 	request, _ := p.table.Compose(waitMs)
 	if request == nil {
@@ -258,6 +261,7 @@
 	p.carry(executorID, order, 0)
 }
 
+// carried frees the place of an order that was delivered, for the next one in the queue.
 func (p *modelProxy) carried() {
 	p.carrying--
 	if len(p.queued) > 0 {
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -41,6 +41,8 @@
 	o.begun[incarnationRun{executor.id, execution.task, execution.run}] = true
 }
 
+// checkOrder checks that a start has the job's descriptor, a checkpoint that was saved, and no run number below that of
+// a start elsewhere.
 func (o *oracles) checkOrder(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, job *modelJob, facts *modelTask) {
 	if order.Descriptor != job.spec.Descriptor {
 		o.cluster.violate("UNASKED", "%s started with another descriptor", execution.task)
@@ -60,6 +62,7 @@
 	}
 }
 
+// isSavedBy tells whether the task, or a member of its gang, saved the checkpoint.
 func (o *oracles) isSavedBy(execution *modelExecution, saved string) bool {
 	if !execution.step.Gang {
 		return o.task(execution.task).saved[saved]
@@ -72,6 +75,8 @@
 	return false
 }
 
+// checkTwice checks that a task doesn't run twice at once or after its end was noted; redundant tasks may run twice for
+// a while.
 func (o *oracles) checkTwice(executor *modelExecutor, execution *modelExecution, facts *modelTask, isLate bool) {
 	if !execution.step.Redundant {
 		for _, other := range facts.active {
@@ -89,6 +94,7 @@
 	}
 }
 
+// checkBudget checks that no run starts after as many noted failures as the job allows.
 func (o *oracles) checkBudget(execution *modelExecution, job *modelJob, facts *modelTask) {
 	if execution.step.LongRunning || execution.step.Redundant {
 		return
@@ -104,6 +110,7 @@
 	}
 }
 
+// checkDepends checks that a run starts after what it depends on, and not before its occurrence is due.
 func (o *oracles) checkDepends(execution *modelExecution, job *modelJob) {
 	for _, earlier := range execution.step.DependsOn {
 		for index := range job.spec.Steps[earlier].Tasks {
@@ -144,6 +151,7 @@
 	}
 }
 
+// ended records the end of a run; a member of a gang must not end alone in calm times.
 func (o *oracles) ended(executor *modelExecutor, execution *modelExecution, how string) {
 	o.cluster.count("end_" + how)
 	o.cluster.note("%s: %s run %d ends %s", executor.id, execution.task, execution.run, how)
@@ -196,6 +204,7 @@
 	}
 }
 
+// notedFailure checks that no run began after the failures that used up a task's attempts.
 func (o *oracles) notedFailure(facts *modelTask, end executorapi.EndRow, step *jobs.Step, job *modelJob) {
 	noted, lastAt := 0, time.Duration(0)
 	for index := range facts.failures {
--- a/internal/simulation/modelcheck/ordermodel/schedule.go
+++ b/internal/simulation/modelcheck/ordermodel/schedule.go
@@ -169,6 +169,7 @@
 
 func (p *plan) add(step modelcheck.Step) { p.Steps = append(p.Steps, step) }
 
+// addJob draws a job, and sometimes that it is cancelled or handed in again.
 func (p *plan) addJob(number int) {
 	random := p.random
 	at := between(random, firstStepMs, lastStepMs)
@@ -184,6 +185,7 @@
 	}
 }
 
+// addFault draws a fault near the moment that the schedule is about.
 func (p *plan) addFault() {
 	random, fault, spread := p.random, drawFault(p.random, p.theme), 3000
 	if p.isFocused {
--- a/internal/simulation/modelcheck/ordermodel/schedulelarge.go
+++ b/internal/simulation/modelcheck/ordermodel/schedulelarge.go
@@ -110,6 +110,7 @@
 	}
 }
 
+// addTraffic draws the streams of jobs of a large system.
 func (p *largePlan) addTraffic() {
 	urgent, plain := between(p.random, minUrgentPerS, maxUrgentPerS), p.random.IntN(maxPlainPerS+1)
 	for _, shape := range []int{shapeWide, shapeWideChain} {
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -22,35 +22,49 @@
 
 // simCluster is a whole system: stewards, gates, local-proxies and executors.
 type simCluster struct {
-	queue     *eventQueue
-	profile   *profile
-	timing    scheduler.Timing
-	key       *replicatedKey
+	queue    *eventQueue
+	profile  *profile
+	timing   scheduler.Timing
+	key      *replicatedKey
+	oracles  *oracles
+	fault    injectedFault
+	coverage modelcheck.Coverage
+	trace    io.Writer
+	processes
+	conditions
+	// calls counts the calls between processes, which number them.
+	calls uint64
+	// isDone ends the run: all jobs are over, and late calls can't come any more.
+	isDone bool
+	// onCommit is called once, when a leader hears of a commit.
+	onCommit func()
+	// forgotten are records that an injected fault keeps out of commits.
+	forgotten map[string]bool
+}
+
+// processes are all processes of the system.
+type processes struct {
 	stewards  []*modelSteward
 	gates     []*modelGate
 	proxies   []*modelProxy
 	executors []*modelExecutor
-	outside   *modelProcess
-	oracles   *oracles
-	fault     injectedFault
-	coverage  modelcheck.Coverage
-	views     []*membership.View
-	hop       hop
-	calls     uint64
-	slowSync  time.Duration
+	// views are what failure detection shows, by the index of the steward that leads; they are made when needed.
+	views []*membership.View
+	// outside stands for what calls from outside of the system.
+	outside *modelProcess
+}
+
+// conditions are how network and disks behave now, and when anything was wrong last.
+type conditions struct {
+	hop      hop
+	slowSync time.Duration
 	// troubledAt is the last time at which anything was wrong.
 	troubledAt time.Duration
 	// coreTroubledAt is the last time at which anything was wrong with stewards, gates or the network as a whole.
 	coreTroubledAt time.Duration
-	// isDone ends the run: all jobs are over, and late calls can't come any more.
-	isDone bool
-	// onCommit is called once, when a leader hears of a commit.
-	onCommit func()
-	// forgotten are records that an injected fault keeps out of commits.
-	forgotten map[string]bool
-	trace     io.Writer
 }
 
+// newSimCluster sets up and starts all processes of a schedule.
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	profile := profileOf(schedule.Size)
 	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
@@ -77,6 +91,7 @@
 	return w
 }
 
+// start starts all processes, and the checks that run throughout.
 func (w *simCluster) start() {
 	for _, steward := range w.stewards {
 		steward.start()
@@ -106,6 +121,7 @@
 	}
 }
 
+// tellLeader lets a process learn of a new leader after a while, once it is reachable.
 func (w *simCluster) tellLeader(to *modelProcess, fresh *leadership) {
 	w.queue.after(w.queue.between(time.Millisecond, maxNewsTime), func() {
 		if w.key.leader != fresh {
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -53,6 +53,7 @@
 	return 2*s.used.CPU >= s.total.CPU || 2*s.used.Memory >= s.total.Memory
 }
 
+// offeredCapacity sums what sound executors have free, and tells whether half of all is used.
 func (o *oracles) offeredCapacity() *offeredCapacity {
 	offered, sound, all := &offeredCapacity{}, share{}, share{}
 	for _, executor := range o.cluster.executors {
@@ -108,6 +109,7 @@
 	return slots
 }
 
+// checkStalls checks in calm times that a job which could run doesn't wait longer than stallLimit.
 func (o *oracles) checkStalls() {
 	w, now := o.cluster, o.cluster.queue.now()
 	if now-w.coreTroubledAt <= w.profile.contactTime {
@@ -168,6 +170,7 @@
 	return "", false
 }
 
+// isDue tells whether an occurrence of a job may start by now, whatever the clocks did.
 func (o *oracles) isDue(job *modelJob, time int) bool {
 	if job.spec.RepeatCount == 0 {
 		return true
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// exchange answers a proxy's call if this steward leads.
 func (s *modelSteward) exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	if !s.pool.IsOpen() {
 		answer(wire.ExchangeAnswer{NotLeader: true})
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// handInOfStream hands in a job of a stream, and sometimes again, or cancels it.
 func (w *simCluster) handInOfStream(number, shape int) {
 	random := w.queue.random
 	job := w.handInFirst(number, shape, random.IntN(len(w.gates)))
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -45,6 +45,7 @@
 	return outcome
 }
 
+// put writes pairs; one with an empty value is deleted.
 func (s *DiskModel) put(key string, ops []wire.Op) {
 	if s.pairs[key] == nil {
 		s.pairs[key] = map[string][]byte{}
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -92,6 +92,7 @@
 	return true
 }
 
+// extend renews the lease, at most for the longest time that one is granted, and plans its expiry.
 func (e *Executor) extend(expiryMs int64) {
 	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.cluster.timing.MaxHold.Milliseconds()))
 	incarnation := e.incarnation
@@ -146,6 +147,7 @@
 	return 200, answer
 }
 
+// begin starts a run and plans its end.
 func (e *Executor) begin(order executorapi.RunStart) {
 	length, outcome := e.cluster.Work(order.Task, order.Run, e)
 	length = time.Duration(float64(length) * e.Speed)
@@ -161,6 +163,7 @@
 	})
 }
 
+// end ends a run, reports it, and breaks the other runs of its gang.
 func (e *Executor) end(active *activeRun, outcome string) {
 	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == active })
 	e.highest[active.task] = max(e.highest[active.task], active.number)
@@ -229,6 +232,7 @@
 	e.cluster.Events.After(clock.Milliseconds(hold.WaitMs), reply)
 }
 
+// lists returns all runs and all ends that are not acknowledged.
 func (e *Executor) lists() executorapi.Answer {
 	answer := executorapi.Answer{ClockMs: e.ClockMs(), Ends: slices.Clone(e.ends)}
 	for _, active := range e.active {
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -82,6 +82,8 @@
 	return facts
 }
 
+// started checks a start: no task runs twice or after its end was noted, none beyond its attempts or before what it
+// depends on, and no more of a step on one executor than it allows.
 func (j *Judge) started(executor *Executor, task string, run int64) {
 	j.Starts++
 	step, position := j.step(task)
@@ -120,6 +122,7 @@
 	}
 }
 
+// ended records the end of a run; one member's end completes a gang.
 func (j *Judge) ended(executor *Executor, task string, run int64, how string) {
 	facts := j.of(task)
 	delete(facts.running, executor)
@@ -166,6 +169,7 @@
 	return len(runs)
 }
 
+// noted records that the leader has acknowledged an end.
 func (j *Judge) noted(end executorapi.EndRow) {
 	facts := j.of(end.Task)
 	if j.OnNoted != nil {
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -37,6 +37,7 @@
 	pools       map[string]*scheduler.Pool
 }
 
+// start starts the node's process on its disk, with an engine and a pool for each key.
 func (n *Node) start() {
 	n.isUp, n.isFrozen = true, false
 	n.incarnation++
@@ -59,6 +60,7 @@
 	n.tick(n.incarnation)
 }
 
+// tick drives engines and pools until the process ends.
 func (n *Node) tick(incarnation int) {
 	if !n.isUp || n.incarnation != incarnation {
 		return
@@ -84,6 +86,7 @@
 	}
 }
 
+// settle runs what waits in the mailboxes until nothing is left.
 func (n *Node) settle() {
 	if !n.isUp || n.isFrozen {
 		return
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -29,6 +29,7 @@
 	misses int
 }
 
+// start starts the proxy's process with an empty table.
 func (p *Proxy) start() {
 	p.incarnation++
 	p.isUp, p.reporting, p.isDirty = true, false, false
@@ -55,6 +56,7 @@
 	return &addressOnLine{p.executor.Machine, func(run func()) { p.enter(incarnation, run) }}
 }
 
+// sendHeartbeat gives the executor's heartbeat to the proxy, and plans the next one.
 func (p *Proxy) sendHeartbeat(incarnation int) {
 	p.enter(incarnation, func() {
 		if p.executor.isUp {
@@ -112,6 +114,7 @@
 	})
 }
 
+// hold calls the executor once to renew its lease, and with it to list its runs if that is asked for.
 func (p *Proxy) hold(incarnation int, isForList bool) {
 	work, isDue := p.table.NextHold(isForList)
 	if !isDue || p.incarnation != incarnation {
@@ -133,6 +136,7 @@
 	}
 }
 
+// report sends one report at a time; what changes meanwhile goes in the next.
 func (p *Proxy) report() {
 	if p.reporting {
 		p.isDirty = true
@@ -154,6 +158,7 @@
 	})
 }
 
+// poll keeps an exchange open at the leader.
 func (p *Proxy) poll(incarnation int) {
 	p.enter(incarnation, func() {
 		p.cluster.Polls++
@@ -167,6 +172,7 @@
 	})
 }
 
+// exchange talks to the node that is thought to lead, and to the next one after a failure.
 func (p *Proxy) exchange(waitMs int64, done func(isAnswered bool)) {
 	ask, isDue := p.table.Compose(waitMs)
 	if !isDue {
@@ -207,6 +213,7 @@
 	})
 }
 
+// carry brings an order to the executor; one that isn't answered is tried a second time.
 func (p *Proxy) carry(executor string, order wire.Order, attempt int) {
 	work, isDue := p.table.Ready(executor, order)
 	if !isDue {
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -139,6 +139,7 @@
 	return disks
 }
 
+// members lists the nodes as failure detection would.
 func (s *Cluster) members() []wire.Member {
 	var all []wire.Member
 	for _, node := range s.Nodes {
@@ -229,6 +230,7 @@
 // LoseStarts loses a fifth of the answers to starts on an executor, which has begun the runs.
 func (s *Cluster) LoseStarts(executor *Executor, isLossy bool) { executor.isLossy = isLossy }
 
+// breakGang ends the other runs of a gang soon after one of them has ended.
 func (s *Cluster) breakGang(task string, run int64) {
 	_, position := s.Judge.step(task)
 	s.Events.After(10*time.Millisecond, func() {
@@ -249,6 +251,7 @@
 	s.ask(&ask, s.Events.Draw.IntN(len(s.Nodes)), 0, answer)
 }
 
+// ask makes a client's call at one node after another until a leader answers.
 func (s *Cluster) ask(ask *wire.ClientCall, number, attempt int, answer func(wire.ClientAnswer)) {
 	node := s.Nodes[number%len(s.Nodes)]
 	client := &addressOnLine{"client", func(run func()) { run() }}
--- a/internal/simulation/simcluster/stalls.go
+++ b/internal/simulation/simcluster/stalls.go
@@ -43,6 +43,7 @@
 // End tells that a job is no longer to be run, as its client cancelled it or it failed with cause.
 func (w *StallWatch) End(id string) { w.ended[id] = true }
 
+// check looks at all jobs, and plans the next look; after a change of leader it starts anew.
 func (w *StallWatch) check() {
 	w.cluster.Events.After(stallLooks, w.check)
 	leader := w.cluster.Leader()
@@ -60,6 +61,7 @@
 	}
 }
 
+// checkAt records a stall when a job has waited too long while it could have run.
 func (w *StallWatch) checkAt(id string, isRunning, isBusy bool) {
 	now := w.cluster.Events.Now()
 	if isRunning || isBusy || w.ended[id] || now < w.excused[id] || !w.hasTurn(id) {
@@ -155,6 +157,7 @@
 	return s.Proxies[slices.IndexFunc(s.Proxies, func(proxy *Proxy) bool { return proxy.executor == executor })]
 }
 
+// slots is how many tasks of a step fit on the executor now, at most limit.
 func (e *Executor) slots(step *jobs.Step, limit int) int {
 	if step.AntiAffinity > 0 {
 		limit = min(limit, step.AntiAffinity)
