--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -25,9 +25,9 @@
 
 // How a run ended, on the wire.
 const (
-	howDone    = "done"
-	howLapsed  = "lapsed"
-	howStopped = "stopped"
+	outcomeDone    = "done"
+	outcomeLapsed  = "lapsed"
+	outcomeStopped = "stopped"
 )
 
 // Why an order was refused, on the wire.
@@ -69,14 +69,14 @@
 	Node    string `json:"node"`
 	StartMs int64  `json:"start"`
 	EndMs   int64  `json:"end,omitempty"`
-	How     string `json:"how,omitempty"`
+	Outcome string `json:"how,omitempty"`
 }
 
-// activeRun is a run that goes on; began is by the steady clock.
+// activeRun is a run that goes on; begunAt is by the monotonic clock.
 type activeRun struct {
-	record RunRecord
-	load   Load
-	began  time.Duration
+	record  RunRecord
+	load    Load
+	begunAt time.Duration
 }
 
 // waitingHold is a hold that is answered at the next end, or when its wait is over.
@@ -84,22 +84,22 @@
 	answer func(int, executorapi.Answer)
 }
 
-// Shape is what an executor is: its name, room, labels, and how it keeps time.
-type Shape struct {
+// ExecutorConfig describes an executor: its name, capacity, labels and timing.
+type ExecutorConfig struct {
 	Node        string
 	ID          string
-	Room        wire.Capacity
+	Capacity    wire.Capacity
 	Labels      []string
 	MaxHold     time.Duration
 	StopTimeout time.Duration
-	// Pace is how fast its clock goes, 0.98 to 1.
-	Pace float64
+	// ClockRate is how fast its clock goes, 0.98 to 1.
+	ClockRate float64
 }
 
-// Executor is a stand-in that keeps to the protocol of executors. It has no goroutine of its own: its leader calls it, and
-// later calls functions back on that leader.
+// Executor is a stand-in that keeps to the protocol of executors. It has no goroutine of its own: all calls come on
+// one goroutine, and later runs functions on the same one.
 type Executor struct {
-	shape    Shape
+	config   ExecutorConfig
 	clock    clock.Clock
 	later    func(wait time.Duration, run func())
 	begunAt  time.Duration
@@ -111,21 +111,21 @@
 	ends      []executorapi.EndRow
 	lastEnd   int64
 	// highest is, by task, the highest run that was ended or stopped here.
-	highest  map[string]int64
-	waiting  []*waitingHold
-	ended    []RunRecord
-	sequence int64
+	highest      map[string]int64
+	waitingHolds []*waitingHold
+	ended        []RunRecord
+	sequence     int64
 }
 
 // NewExecutor makes an executor that only pretends to work: a run ends after the length that its descriptor names.
-// The clock gives its time, and later calls a function after a wait, on the goroutine that leads the executor.
-func NewExecutor(shape Shape, clock clock.Clock, later func(time.Duration, func())) *Executor {
-	return &Executor{shape: shape, clock: clock, later: later, begunAt: clock.Monotonic(), highest: map[string]int64{}}
+// The clock gives its time, and later runs a function after a wait, on the goroutine that calls the executor.
+func NewExecutor(shape ExecutorConfig, clock clock.Clock, later func(time.Duration, func())) *Executor {
+	return &Executor{config: shape, clock: clock, later: later, begunAt: clock.Monotonic(), highest: map[string]int64{}}
 }
 
 // ClockMs is the executor's own steady clock.
 func (e *Executor) ClockMs() int64 {
-	return firstClockMs + int64(float64((e.clock.Monotonic()-e.begunAt).Milliseconds())*e.shape.Pace)
+	return firstClockMs + int64(float64((e.clock.Monotonic()-e.begunAt).Milliseconds())*e.config.ClockRate)
 }
 
 func (e *Executor) answer(reason string) executorapi.Answer {
@@ -143,7 +143,7 @@
 
 // extend lengthens the hold to a time of the executor's clock, and by the longest hold at most.
 func (e *Executor) extend(expiryMs int64) {
-	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.shape.MaxHold.Milliseconds()))
+	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.config.MaxHold.Milliseconds()))
 	if !e.isWatched {
 		e.watchExpiry()
 	}
@@ -151,7 +151,7 @@
 
 // watchExpiry ends all runs once the hold is over.
 func (e *Executor) watchExpiry() {
-	left := clock.Milliseconds(int64(float64(e.expiryMs-e.ClockMs())/e.shape.Pace) + 1)
+	left := clock.Milliseconds(int64(float64(e.expiryMs-e.ClockMs())/e.config.ClockRate) + 1)
 	e.isWatched = true
 	e.later(left, func() {
 		e.isWatched = false
@@ -163,7 +163,7 @@
 			return
 		}
 		for _, lapsed := range slices.Clone(e.active) {
-			e.end(lapsed, howLapsed)
+			e.end(lapsed, outcomeLapsed)
 		}
 	})
 }
@@ -173,7 +173,7 @@
 	for _, active := range e.active {
 		cpu, memory = cpu+active.load.CPU, memory+active.load.MemoryMB
 	}
-	return cpu <= e.shape.Room.CPU && memory <= e.shape.Room.Memory
+	return cpu <= e.config.Capacity.CPU && memory <= e.config.Capacity.Memory
 }
 
 func (e *Executor) find(task string, run int64) *activeRun {
@@ -211,15 +211,15 @@
 }
 
 func (e *Executor) begin(order executorapi.RunStart, load Load) {
-	started := &activeRun{load: load, began: e.clock.Monotonic(),
-		record: RunRecord{Task: order.Task, Run: order.Run, Node: e.shape.Node, StartMs: e.clock.WallMs()}}
+	started := &activeRun{load: load, begunAt: e.clock.Monotonic(),
+		record: RunRecord{Task: order.Task, Run: order.Run, Node: e.config.Node, StartMs: e.clock.WallMs()}}
 	e.active = append(e.active, started)
 	if !e.isWatched {
 		e.watchExpiry()
 	}
 	e.later(load.Length, func() {
 		if slices.Contains(e.active, started) {
-			e.end(started, howDone)
+			e.end(started, outcomeDone)
 		}
 	})
 }
@@ -227,13 +227,13 @@
 // end ends a run and answers the holds that wait for it.
 func (e *Executor) end(run *activeRun, how string) {
 	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == run })
-	run.record.EndMs, run.record.How = e.clock.WallMs(), how
+	run.record.EndMs, run.record.Outcome = e.clock.WallMs(), how
 	e.ended = append(e.ended, run.record)
 	e.highest[run.record.Task] = max(e.highest[run.record.Task], run.record.Run)
 	e.lastEnd++
 	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: run.record.Task, Run: run.record.Run, Outcome: wire.RunOutcome(how)})
-	waiting := e.waiting
-	e.waiting = nil
+	waiting := e.waitingHolds
+	e.waitingHolds = nil
 	for _, hold := range waiting {
 		hold.answer(200, e.lists())
 	}
@@ -246,9 +246,9 @@
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Run)
 	if stopping := e.find(order.Task, order.Run); stopping != nil {
-		e.later(e.shape.StopTimeout/2, func() {
+		e.later(e.config.StopTimeout/2, func() {
 			if slices.Contains(e.active, stopping) {
-				e.end(stopping, howStopped)
+				e.end(stopping, outcomeStopped)
 			}
 		})
 	}
@@ -270,10 +270,10 @@
 		return
 	}
 	waiting := &waitingHold{answer: answer}
-	e.waiting = append(e.waiting, waiting)
+	e.waitingHolds = append(e.waitingHolds, waiting)
 	e.later(clock.Milliseconds(min(hold.WaitMs, maxWaitMs)), func() {
-		if place := slices.Index(e.waiting, waiting); place >= 0 {
-			e.waiting = slices.Delete(e.waiting, place, place+1)
+		if index := slices.Index(e.waitingHolds, waiting); index >= 0 {
+			e.waitingHolds = slices.Delete(e.waitingHolds, index, index+1)
 			waiting.answer(200, e.lists())
 		}
 	})
@@ -284,18 +284,18 @@
 	answer := e.answer("")
 	answer.Ends = slices.Clone(e.ends[:min(len(e.ends), maxEnds)])
 	for _, active := range e.active {
-		percent := int(100 * (e.clock.Monotonic() - active.began) / max(active.load.Length, 1))
+		percent := int(100 * (e.clock.Monotonic() - active.begunAt) / max(active.load.Length, 1))
 		answer.Running = append(answer.Running,
 			executorapi.RunningRow{Task: active.record.Task, Run: active.record.Run, Percent: min(percent, maxPercent)})
 	}
 	return answer
 }
 
-// Beat is the executor's next heartbeat.
-func (e *Executor) Beat(service, address, domain string) executorapi.Heartbeat {
+// NextHeartbeat is the executor's next heartbeat.
+func (e *Executor) NextHeartbeat(service, address, domain string) executorapi.Heartbeat {
 	e.sequence++
 	return executorapi.Heartbeat{Service: service, Address: address, Domain: domain, Version: "v1", Slots: 8, State: "ready",
-		Capacity: e.shape.Room, Labels: e.shape.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
+		Capacity: e.config.Capacity, Labels: e.config.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
 }
 
 // Counts are how many tasks run now and how many were started in all.
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -26,8 +26,8 @@
 
 func newWorld() *world {
 	w := &world{clock: clock.NewFake(0)}
-	w.executor = hollow.NewExecutor(hollow.Shape{Node: "w", ID: "i-w", Room: wire.Capacity{CPU: 1000, Memory: 1000},
-		MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, Pace: 1}, w.clock,
+	w.executor = hollow.NewExecutor(hollow.ExecutorConfig{Node: "w", ID: "i-w", Capacity: wire.Capacity{CPU: 1000, Memory: 1000},
+		MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, ClockRate: 1}, w.clock,
 		func(wait time.Duration, run func()) {
 			w.delayed = append(w.delayed, delayedCall{w.clock.Monotonic() + wait, run})
 		})
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -54,8 +54,8 @@
 
 func newNode(ctx context.Context, worker Worker, nodeSettings *settings.Settings, timeSource clock.Clock) *node {
 	started := &node{mailbox: mailbox.New(mailboxSize), settings: nodeSettings, clock: timeSource, ctx: ctx}
-	shape := Shape{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Room: worker.Room, Labels: worker.Labels,
-		MaxHold: nodeSettings.MaxHold(), StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), Pace: worker.Pace}
+	shape := ExecutorConfig{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Capacity: worker.Capacity, Labels: worker.Labels,
+		MaxHold: nodeSettings.MaxHold(), StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), ClockRate: worker.ClockRate}
 	started.executor = NewExecutor(shape, timeSource, started.later)
 	return started
 }
@@ -82,7 +82,7 @@
 
 // ServeHTTP answers the calls that a local proxy makes to its executor.
 func (n *node) ServeHTTP(to http.ResponseWriter, request *http.Request) {
-	if expected := request.Header.Get("X-Expected-Executor"); expected != "" && expected != n.executor.shape.ID {
+	if expected := request.Header.Get("X-Expected-Executor"); expected != "" && expected != n.executor.config.ID {
 		response.Empty(http.StatusMisdirectedRequest).Write(to)
 		return
 	}
@@ -148,7 +148,7 @@
 		}
 		wait = clock.Milliseconds(n.settings.HeartbeatMs)
 		heartbeat, err := mailbox.Ask(n.ctx, n.mailbox, func(answer func(executorapi.Heartbeat)) {
-			answer(n.executor.Beat(n.settings.Service, n.settings.App, n.settings.Domain))
+			answer(n.executor.NextHeartbeat(n.settings.Service, n.settings.App, n.settings.Domain))
 		})
 		if err != nil || n.send(client, heartbeat) != nil {
 			wait /= retryShare
@@ -163,7 +163,7 @@
 	}
 	ctx, release := context.WithTimeout(n.ctx, heartbeatTimeout)
 	defer release()
-	url := "http://" + n.settings.Listen.Control + "/v1/executors/" + n.executor.shape.ID + "/heartbeat"
+	url := "http://" + n.settings.Listen.Control + "/v1/executors/" + n.executor.config.ID + "/heartbeat"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/simulation/hollow/spec.go
+++ b/internal/simulation/hollow/spec.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// MostWorkers is how many hollow workers one process takes.
-	MostWorkers = 200
-	// LongestRun is how long hollow workers go on at most.
-	LongestRun = time.Hour
+	// MaxWorkers is how many hollow workers one process runs at most.
+	MaxWorkers = 200
+	// MaxRunTime is how long hollow workers go on at most.
+	MaxRunTime = time.Hour
 )
 
 // Worker is one hollow node: the settings file of its local-proxy and the executor behind it.
 type Worker struct {
-	Settings string        `json:"settings"`
-	Room     wire.Capacity `json:"capacity"`
-	Labels   []string      `json:"labels"`
-	Pace     float64       `json:"pace"`
+	Settings  string        `json:"settings"`
+	Capacity  wire.Capacity `json:"capacity"`
+	Labels    []string      `json:"labels"`
+	ClockRate float64       `json:"pace"`
 	// IsExecutorOnly leaves the local-proxy to another process.
 	IsExecutorOnly bool `json:"executor-only,omitempty"`
 }
 
-// Spec is what one process of hollow workers is told: the workers, the address of its pages, and after how many
-// milliseconds it ends.
+// Spec describes one process of hollow workers: the workers, the address of its report, and after how many milliseconds
+// it ends.
 type Spec struct {
 	Workers []Worker `json:"workers"`
 	Report  string   `json:"report"`
@@ -77,20 +77,20 @@
 
 func (s *Spec) check() error {
 	var problems error
-	if len(s.Workers) < 1 || len(s.Workers) > MostWorkers {
-		problems = multierr.Append(problems, errors.Errorf("field workers must hold 1 to %d, and holds %d", MostWorkers, len(s.Workers)))
+	if len(s.Workers) < 1 || len(s.Workers) > MaxWorkers {
+		problems = multierr.Append(problems, errors.Errorf("field workers must hold 1 to %d, and holds %d", MaxWorkers, len(s.Workers)))
 	}
 	if !IsLoopback(s.Report) {
 		problems = multierr.Append(problems, errors.Errorf("field report: %q is no loopback address", s.Report))
 	}
-	if s.ForMs < 1 || s.ForMs > LongestRun.Milliseconds() {
-		problems = multierr.Append(problems, errors.Errorf("field for-ms must be 1 to %d", LongestRun.Milliseconds()))
+	if s.ForMs < 1 || s.ForMs > MaxRunTime.Milliseconds() {
+		problems = multierr.Append(problems, errors.Errorf("field for-ms must be 1 to %d", MaxRunTime.Milliseconds()))
 	}
 	for place, worker := range s.Workers {
-		if worker.Pace < 0.98 || worker.Pace > 1 {
+		if worker.ClockRate < 0.98 || worker.ClockRate > 1 {
 			problems = multierr.Append(problems, errors.Errorf("worker %d: field pace must be 0.98 to 1", place))
 		}
-		if worker.Room.CPU < 1 || worker.Room.Memory < 1 {
+		if worker.Capacity.CPU < 1 || worker.Capacity.Memory < 1 {
 			problems = multierr.Append(problems, errors.Errorf("worker %d: field capacity is empty", place))
 		}
 	}
--- a/internal/simulation/rehearsal/fault.go
+++ b/internal/simulation/rehearsal/fault.go
@@ -30,7 +30,7 @@
 var faultKinds = []string{faultKill, faultCut, faultFreeze, faultWipe, faultDrain, faultSlow}
 
 const (
-	usualLength = 5 * time.Second
+	defaultLength = 5 * time.Second
 	// slowFactor is by how much a slow executor's work takes longer.
 	slowFactor = 5
 )
@@ -42,36 +42,36 @@
 	if len(parts) < 3 || len(parts) > 4 || !slices.Contains(faultKinds, parts[0]) {
 		return Fault{}, errors.Errorf("fault %q: not KIND:TARGET:AT-MS[:FOR-MS] with a kind of %s", text, strings.Join(faultKinds, ", "))
 	}
-	fault := Fault{Kind: parts[0], Target: parts[1], Length: usualLength}
-	for place, field := range []*time.Duration{&fault.At, &fault.Length} {
-		if len(parts) <= 2+place {
+	fault := Fault{Kind: parts[0], Target: parts[1], Length: defaultLength}
+	for index, field := range []*time.Duration{&fault.At, &fault.Length} {
+		if len(parts) <= 2+index {
 			break
 		}
-		count, err := strconv.ParseInt(parts[2+place], 10, 64)
+		count, err := strconv.ParseInt(parts[2+index], 10, 64)
 		if err != nil || count < 0 {
-			return Fault{}, errors.Errorf("fault %q: %q is no count of milliseconds", text, parts[2+place])
+			return Fault{}, errors.Errorf("fault %q: %q is no count of milliseconds", text, parts[2+index])
 		}
 		*field = time.Duration(count) * time.Millisecond
 	}
 	return fault, nil
 }
 
-// strike sets the fault going; it tells whether the stage has such a target.
-func (f Fault) strike(s *simcluster.Cluster) bool {
+// inject plans the fault; it is false when the cluster has no such target.
+func (f Fault) inject(s *simcluster.Cluster) bool {
 	for _, node := range s.Nodes {
 		if node.Name == f.Target {
-			return f.strikeNode(s, node)
+			return f.injectIntoNode(s, node)
 		}
 	}
 	for _, executor := range s.Executors {
 		if executor.Machine == f.Target {
-			return f.strikeExecutor(s, executor)
+			return f.injectIntoExecutor(s, executor)
 		}
 	}
 	return false
 }
 
-func (f Fault) strikeNode(s *simcluster.Cluster, node *simcluster.Node) bool {
+func (f Fault) injectIntoNode(s *simcluster.Cluster, node *simcluster.Node) bool {
 	switch f.Kind {
 	case faultKill:
 		s.Events.After(f.At, func() { s.Kill(node) })
@@ -89,7 +89,7 @@
 	return true
 }
 
-func (f Fault) strikeExecutor(s *simcluster.Cluster, executor *simcluster.Executor) bool {
+func (f Fault) injectIntoExecutor(s *simcluster.Cluster, executor *simcluster.Executor) bool {
 	switch f.Kind {
 	case faultKill:
 		s.Events.After(f.At, func() { s.Crash(executor, f.Length) })
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -21,15 +21,15 @@
 	warmUp = 5 * time.Second
 	// watchEvery lies between two looks at the states of jobs.
 	watchEvery = 20 * time.Millisecond
-	// guessedLength is that of a task of which nothing was recorded or estimated.
-	guessedLength = 500 * time.Millisecond
+	// assumedLength is that of a task of which nothing was recorded or estimated.
+	assumedLength = 500 * time.Millisecond
 	stewards      = 3
 )
 
 // How a run ended, as recordings say it.
 const (
-	howDone   = "done"
-	howFailed = "failed"
+	outcomeDone   = "done"
+	outcomeFailed = "failed"
 )
 
 // The states of a job.
@@ -43,34 +43,34 @@
 // Setup is everything a rehearsal depends on. Horizon is how long it goes on after the last event; Record, if there is one,
 // is given what the simulated pools record.
 type Setup struct {
-	Day     *recording.Day
-	Change  *Change
-	Faults  []Fault
-	Seed    uint64
-	Horizon time.Duration
-	Record  scheduler.Recorder
-	Stage   []simcluster.Option
+	Day            *recording.Day
+	Change         *Change
+	Faults         []Fault
+	Seed           uint64
+	Horizon        time.Duration
+	Record         scheduler.Recorder
+	ClusterOptions []simcluster.Option
 }
 
-// Outcome is what became of one job in one play. TookMs counts from its submission to the moment it was seen to have ended, 0
-// if it has not; AimMs is the time after which it is late; Twice says that a task ran twice at once.
+// Outcome is what became of one job in one play. DurationMs counts from its submission to the moment it was seen to have ended, 0
+// if it has not; TargetMs is the time after which it is late; RanTwice says that a task ran twice at once.
 type Outcome struct {
-	ID      string `json:"id"`
-	Queue   string `json:"queue"`
-	State   string `json:"state"`
-	TookMs  int64  `json:"took-ms"`
-	AimMs   int64  `json:"aim-ms"`
-	Late    bool   `json:"late,omitempty"`
-	Missing bool   `json:"missing,omitempty"`
-	Twice   bool   `json:"twice,omitempty"`
+	ID         string `json:"id"`
+	Queue      string `json:"queue"`
+	State      string `json:"state"`
+	DurationMs int64  `json:"took-ms"`
+	TargetMs   int64  `json:"aim-ms"`
+	Late       bool   `json:"late,omitempty"`
+	Missing    bool   `json:"missing,omitempty"`
+	RanTwice   bool   `json:"twice,omitempty"`
 }
 
 // playedJob is a recorded job; times are those of the simulation.
 type playedJob struct {
 	event       recording.Event
 	spec        *jobs.Spec
-	isTaken     bool
-	askedAt     time.Duration
+	isAccepted  bool
+	submittedAt time.Duration
 	endedAt     time.Duration
 	state       string
 	isCancelled bool
@@ -96,11 +96,11 @@
 	p := &play{setup: setup, lengths: map[string]time.Duration{}, ends: map[string]string{}, jobs: map[string]*playedJob{},
 		firstMs: setup.Day.Events[0].AtMs}
 	p.learnLengths()
-	places := p.places()
-	if len(places) == 0 {
+	sites := p.sites()
+	if len(sites) == 0 {
 		return nil, errors.New("the recording names no executors")
 	}
-	options, err := p.options(places)
+	options, err := p.options(sites)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	for _, fault := range setup.Faults {
 		late := fault
 		late.At += warmUp
-		if !late.strike(p.cluster) {
+		if !late.inject(p.cluster) {
 			return nil, errors.Errorf("fault %s: there is no such target for it as %q", fault.Kind, fault.Target)
 		}
 	}
@@ -121,10 +121,10 @@
 	return p.outcomes(), nil
 }
 
-// options gives those of the stage: executors, work, timing and rules as the change has them.
-func (p *play) options(places []simcluster.Site) ([]simcluster.Option, error) {
+// options returns those of the simulated cluster: executors, work, timing and rules as the change has them.
+func (p *play) options(sites []simcluster.Site) ([]simcluster.Option, error) {
 	timing := p.setup.Change.timing(simcluster.DefaultTiming)
-	options := append([]simcluster.Option{simcluster.WithPlaces(places), simcluster.WithWork(p.work), simcluster.WithTiming(timing)}, p.setup.Stage...)
+	options := append([]simcluster.Option{simcluster.WithPlaces(sites), simcluster.WithWork(p.work), simcluster.WithTiming(timing)}, p.setup.ClusterOptions...)
 	rules, err := p.setup.Change.rules()
 	if err != nil {
 		return nil, err
@@ -142,11 +142,11 @@
 		if event.Kind != recording.KindEnd {
 			continue
 		}
-		if event.How == howDone || event.How == howFailed {
+		if event.How == outcomeDone || event.How == outcomeFailed {
 			name := event.Task + "/" + strconv.FormatInt(event.Run, 10)
 			p.lengths[name], p.ends[name] = time.Duration(event.LengthMs)*time.Millisecond, event.How
 		}
-		if event.How == howDone {
+		if event.How == outcomeDone {
 			p.lengths[event.Task] = time.Duration(event.LengthMs) * time.Millisecond
 		}
 	}
@@ -159,17 +159,17 @@
 		return length, p.ends[name]
 	}
 	if length, isKnown := p.lengths[task]; isKnown {
-		return length, howDone
+		return length, outcomeDone
 	}
 	place, _ := jobs.ParseTask(task)
 	if job := p.jobs[place.ID]; job != nil && job.spec.Steps[place.Step].EstimatedMs > 0 {
-		return time.Duration(job.spec.Steps[place.Step].EstimatedMs) * time.Millisecond, howDone
+		return time.Duration(job.spec.Steps[place.Step].EstimatedMs) * time.Millisecond, outcomeDone
 	}
-	return guessedLength, howDone
+	return assumedLength, outcomeDone
 }
 
-// places gives the executors that were recorded, by machine.
-func (p *play) places() []simcluster.Site {
+// sites lists the executors that were recorded, by machine.
+func (p *play) sites() []simcluster.Site {
 	known := map[string]simcluster.Site{}
 	for _, event := range p.setup.Day.Events {
 		if event.Kind == recording.KindExecutor {
@@ -178,11 +178,11 @@
 			}
 		}
 	}
-	var places []simcluster.Site
+	var sites []simcluster.Site
 	for _, machine := range slices.Sorted(maps.Keys(known)) {
-		places = append(places, known[machine])
+		sites = append(sites, known[machine])
 	}
-	return places
+	return sites
 }
 
 // schedule lets what was recorded happen at its time.
@@ -210,10 +210,10 @@
 }
 
 func (p *play) handIn(job *playedJob) {
-	job.askedAt = p.cluster.Events.Now()
+	job.submittedAt = p.cluster.Events.Now()
 	terms := p.setup.Change.terms(job.event.Queue, job.event.Terms)
 	p.cluster.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
-		job.isTaken = job.isTaken || answer.Status == http.StatusOK
+		job.isAccepted = job.isAccepted || answer.Status == http.StatusOK
 	})
 }
 
@@ -259,21 +259,21 @@
 }
 
 func (p *play) outcomeOf(id string, job *playedJob) Outcome {
-	outcome := Outcome{ID: id, Queue: job.event.Queue, State: job.state, AimMs: p.targetMs(job), Twice: p.cluster.Judge.Doubled[id] > 0}
+	outcome := Outcome{ID: id, Queue: job.event.Queue, State: job.state, TargetMs: p.targetMs(job), RanTwice: p.cluster.Judge.Doubled[id] > 0}
 	if outcome.State == "" {
 		outcome.State = stateOpen
 	}
 	if job.endedAt > 0 {
-		outcome.TookMs = (job.endedAt - job.askedAt).Milliseconds()
+		outcome.DurationMs = (job.endedAt - job.submittedAt).Milliseconds()
 	}
-	isOwed := job.isTaken && !job.isCancelled && !job.isLasting()
+	isOwed := job.isAccepted && !job.isCancelled && !job.isLongRunning()
 	outcome.Missing = isOwed && job.state == ""
-	outcome.Late = isOwed && job.state == stateCompleted && outcome.TookMs > outcome.AimMs
+	outcome.Late = isOwed && job.state == stateCompleted && outcome.DurationMs > outcome.TargetMs
 	return outcome
 }
 
-// isLasting tells whether a job goes on until it is cancelled.
-func (j *playedJob) isLasting() bool {
+// isLongRunning tells whether a job goes on until it is cancelled.
+func (j *playedJob) isLongRunning() bool {
 	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.LongRunning })
 }
 
--- a/internal/simulation/rehearsal/rehearsal_test.go
+++ b/internal/simulation/rehearsal/rehearsal_test.go
@@ -175,14 +175,14 @@
 			outcomes, err := rehearsal.Play(setup)
 			Expect(err).NotTo(HaveOccurred())
 			for _, one := range outcomes {
-				if one.Twice {
+				if one.RanTwice {
 					count++
 				}
 			}
 			return count
 		}
 		Expect(twice()).To(BeZero())
-		setup.Stage = []simcluster.Option{simcluster.WithGrantsBroken(5)}
+		setup.ClusterOptions = []simcluster.Option{simcluster.WithGrantsBroken(5)}
 		Expect(twice()).To(BeNumerically(">", 0))
 	})
 
--- a/internal/simulation/rehearsal/report.go
+++ b/internal/simulation/rehearsal/report.go
@@ -68,7 +68,7 @@
 	report := &Report{Lines: setup.Day.Lines, Lost: setup.Day.Lost, Skipped: setup.Day.Skipped, Seed: setup.Seed,
 		Queues: map[string]Pair{}, Differences: []JobPair{}, Worse: []string{}}
 	for _, event := range setup.Day.Events {
-		if event.Kind == recording.KindEnd && event.How == howDone {
+		if event.Kind == recording.KindEnd && event.How == outcomeDone {
 			report.Recorded++
 		}
 	}
@@ -78,10 +78,10 @@
 	}
 	for place, was := range before {
 		is := after[place]
-		if was.Late != is.Late || was.Missing != is.Missing || was.Twice != is.Twice || was.State != is.State {
+		if was.Late != is.Late || was.Missing != is.Missing || was.RanTwice != is.RanTwice || was.State != is.State {
 			report.Differences = append(report.Differences, JobPair{was, is})
 		}
-		if is.Late && !was.Late || is.Missing && !was.Missing || is.Twice && !was.Twice {
+		if is.Late && !was.Late || is.Missing && !was.Missing || is.RanTwice && !was.RanTwice {
 			report.Worse = append(report.Worse, is.ID)
 		}
 	}
@@ -96,7 +96,7 @@
 		sum.add(outcome)
 		all[outcome.Queue] = sum
 		if outcome.State == stateCompleted {
-			took[outcome.Queue] = append(took[outcome.Queue], outcome.TookMs)
+			took[outcome.Queue] = append(took[outcome.Queue], outcome.DurationMs)
 		}
 	}
 	for queue, lengths := range took {
@@ -112,7 +112,7 @@
 	s.Jobs++
 	countIf(outcome.Late, &s.Late)
 	countIf(outcome.Missing, &s.Missing)
-	countIf(outcome.Twice, &s.Twice)
+	countIf(outcome.RanTwice, &s.Twice)
 	countIf(outcome.State == stateFailed, &s.Failed)
 }
 
@@ -141,7 +141,7 @@
 		out.sum("", "changed", r.Queues[queue].Changed)
 	}
 	for _, pair := range r.Differences {
-		out.writeLine("job %s of %s: %s -> %s", pair.AsIs.ID, pair.AsIs.Queue, pair.AsIs.words(), pair.Changed.words())
+		out.writeLine("job %s of %s: %s -> %s", pair.AsIs.ID, pair.AsIs.Queue, pair.AsIs.text(), pair.Changed.text())
 	}
 	if len(r.Worse) == 0 {
 		out.writeLine("nothing is worse under the change")
@@ -151,12 +151,12 @@
 	return out.err
 }
 
-func (o Outcome) words() string {
-	words := fmt.Sprintf("%s after %d ms (aim %d ms)", o.State, o.TookMs, o.AimMs)
+func (o Outcome) text() string {
+	words := fmt.Sprintf("%s after %d ms (aim %d ms)", o.State, o.DurationMs, o.TargetMs)
 	for _, mark := range []struct {
 		isSo bool
 		word string
-	}{{o.Late, ", late"}, {o.Missing, ", missing"}, {o.Twice, ", twice"}} {
+	}{{o.Late, ", late"}, {o.Missing, ", missing"}, {o.RanTwice, ", twice"}} {
 		if mark.isSo {
 			words += mark.word
 		}
--- a/internal/simulation/scalerun/layout.go
+++ b/internal/simulation/scalerun/layout.go
@@ -144,11 +144,11 @@
 func (l *layout) writeSpecs(workers int) error {
 	for first := 0; first < workers; first += perHost {
 		spec := hollow.Spec{Report: fmt.Sprintf("%s:%d", l.address(rowReports, first/perHost), reportPort),
-			ForMs: hollow.LongestRun.Milliseconds()}
+			ForMs: hollow.MaxRunTime.Milliseconds()}
 		for number := first; number < min(first+perHost, workers); number++ {
 			spec.Workers = append(spec.Workers, hollow.Worker{Settings: l.workers[number].settings,
-				Room:   wire.Capacity{CPU: workerCPU, Memory: workerMemory, GPU: 2},
-				Labels: []string{"a", fmt.Sprintf("r%d", number/perRack)}, Pace: 1 - float64(number%21)/1000,
+				Capacity: wire.Capacity{CPU: workerCPU, Memory: workerMemory, GPU: 2},
+				Labels:   []string{"a", fmt.Sprintf("r%d", number/perRack)}, ClockRate: 1 - float64(number%21)/1000,
 				IsExecutorOnly: number < len(l.realProxyNodes())})
 		}
 		path := filepath.Join(l.folder, fmt.Sprintf("host-%d.json", first/perHost+1))
--- a/internal/simulation/scalerun/load.go
+++ b/internal/simulation/scalerun/load.go
@@ -35,7 +35,7 @@
 	AcceptedMs int64  `json:"accepted,omitempty"`
 	ShownMs    int64  `json:"shown,omitempty"`
 	State      string `json:"state,omitempty"`
-	Tries      int    `json:"tries"`
+	Attempts   int    `json:"tries"`
 }
 
 // configuration is the version of this number: the routes of the load, idle ones, and one more for each version.
@@ -160,8 +160,8 @@
 	job.SentMs = time.Now().UnixMilli()
 	until := time.Now().Add(retryLimit)
 	for {
-		job.Tries++
-		status, text, err := r.call(http.MethodPost, r.gate(number+job.Tries-1)+queue+job.ID, -1, body)
+		job.Attempts++
+		status, text, err := r.call(http.MethodPost, r.gate(number+job.Attempts-1)+queue+job.ID, -1, body)
 		switch {
 		case err == nil && status < 300:
 			job.AcceptedMs = time.Now().UnixMilli()
--- a/internal/simulation/scalerun/phases.go
+++ b/internal/simulation/scalerun/phases.go
@@ -64,7 +64,7 @@
 	}
 	size.Verdict = Judge(append(jobs, standing...), records)
 	r.printf("over: %d starts, %d lost, %d doubled, %d again, %d left", size.Verdict.Starts, size.Verdict.Lost, size.Verdict.Doubled,
-		size.Verdict.Again, size.Verdict.Left)
+		size.Verdict.StartedAgain, size.Verdict.StillRunning)
 	return nil
 }
 
--- a/internal/simulation/scalerun/report.go
+++ b/internal/simulation/scalerun/report.go
@@ -122,7 +122,7 @@
 	for _, size := range r.Sizes {
 		v, plan := size.Verdict, SpreadOf(size.PlanMs)
 		fmt.Fprintf(table, "%d\t%.1f\t%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", size.Workers, size.JoinSeconds,
-			size.PeakMB, v.Jobs, v.Starts, v.Lost, v.Doubled, v.Again, v.Left, v.Lapsed, v.ToStart.Half, v.ToStart.Most, v.ToStart.Rare,
+			size.PeakMB, v.Jobs, v.Starts, v.Lost, v.Doubled, v.StartedAgain, v.StillRunning, v.Lapsed, v.ToStart.Half, v.ToStart.Most, v.ToStart.Rare,
 			v.ToShown.Half, v.ToShown.Rare, plan.Worst)
 	}
 	fmt.Fprintln(table)
--- a/internal/simulation/scalerun/scalerun_test.go
+++ b/internal/simulation/scalerun/scalerun_test.go
@@ -82,7 +82,7 @@
 		return &scalerun.Job{ID: "a", Tasks: 2, SentMs: 100, AcceptedMs: 110, ShownMs: 900, State: "completed"}
 	}
 	run := func(task string, number, start, end int64, how string) hollow.RunRecord {
-		return hollow.RunRecord{Task: task, Run: number, Node: "w", StartMs: start, EndMs: end, How: how}
+		return hollow.RunRecord{Task: task, Run: number, Node: "w", StartMs: start, EndMs: end, Outcome: how}
 	}
 
 	It("finds nothing where all went well, and measures", func() {
@@ -107,9 +107,9 @@
 		Entry("a job that never completed", "active", func(v scalerun.Verdict) int { return v.Lost }, run("a.0.0.0", 1, 130, 300, "done")),
 		Entry("two runs at once", "completed", func(v scalerun.Verdict) int { return v.Doubled },
 			run("a.0.0.0", 1, 130, 300, "stopped"), run("a.0.0.0", 2, 299, 400, "done")),
-		Entry("a start after the end", "completed", func(v scalerun.Verdict) int { return v.Again },
+		Entry("a start after the end", "completed", func(v scalerun.Verdict) int { return v.StartedAgain },
 			run("a.0.0.0", 1, 130, 300, "done"), run("a.0.0.0", 2, 400, 500, "stopped")),
-		Entry("a task that still runs", "cancelled", func(v scalerun.Verdict) int { return v.Left }, run("a.0.0.0", 1, 130, 0, "")),
+		Entry("a task that still runs", "cancelled", func(v scalerun.Verdict) int { return v.StillRunning }, run("a.0.0.0", 1, 130, 0, "")),
 	)
 
 	It("gives the points of a distribution", func() {
--- a/internal/simulation/scalerun/verdict.go
+++ b/internal/simulation/scalerun/verdict.go
@@ -36,14 +36,14 @@
 	// Lost are tasks of accepted jobs without an end that is done, and jobs not shown as completed.
 	Lost int `json:"lost"`
 	// Doubled are runs of a task that overlap another; Again are starts after an end that was done.
-	Doubled int `json:"doubled"`
-	Again   int `json:"again"`
-	// Left are tasks that still ran once all was over.
-	Left     int `json:"left"`
-	Lapsed   int `json:"lapsed"`
-	Stopped  int `json:"stopped"`
-	Starts   int `json:"starts"`
-	Examples []string
+	Doubled      int `json:"doubled"`
+	StartedAgain int `json:"again"`
+	// StillRunning are tasks that still ran once all was over.
+	StillRunning int `json:"left"`
+	Lapsed       int `json:"lapsed"`
+	Stopped      int `json:"stopped"`
+	Starts       int `json:"starts"`
+	Examples     []string
 	// ToStart and ToLast count from the first send to the first start and to the last end; ToShown to the answer that says so.
 	ToStart Spread `json:"to-first-start-ms"`
 	ToLast  Spread `json:"to-last-end-ms"`
@@ -51,7 +51,7 @@
 }
 
 // IsSound tells whether nothing was lost, doubled or left.
-func (v *Verdict) IsSound() bool { return v.Lost+v.Doubled+v.Again+v.Left == 0 }
+func (v *Verdict) IsSound() bool { return v.Lost+v.Doubled+v.StartedAgain+v.StillRunning == 0 }
 
 func (v *Verdict) note(count *int, format string, values ...any) {
 	*count++
@@ -74,7 +74,7 @@
 		verdict.countEnd(record)
 	}
 	for task, runs := range byTask {
-		verdict.judgeTask(task, runs)
+		verdict.checkTask(task, runs)
 		id, _, _ := strings.Cut(task, ".")
 		byJob[id][task] = byTask[task]
 	}
@@ -87,7 +87,7 @@
 			verdict.note(&verdict.Lost, "job %s is shown as %q", job.ID, job.State)
 			continue
 		}
-		first, last := verdict.judgeJob(job, byJob[job.ID])
+		first, last := verdict.checkJob(job, byJob[job.ID])
 		toStart, toLast = append(toStart, float64(first-job.SentMs)), append(toLast, float64(last-job.SentMs))
 		toShown = append(toShown, float64(job.ShownMs-job.SentMs))
 	}
@@ -96,9 +96,9 @@
 }
 
 func (v *Verdict) countEnd(record hollow.RunRecord) {
-	switch record.How {
+	switch record.Outcome {
 	case "":
-		v.note(&v.Left, "task %s still runs on %s", record.Task, record.Node)
+		v.note(&v.StillRunning, "task %s still runs on %s", record.Task, record.Node)
 	case "lapsed":
 		v.Lapsed++
 	case "stopped":
@@ -106,7 +106,7 @@
 	}
 }
 
-func (v *Verdict) judgeTask(task string, runs []hollow.RunRecord) {
+func (v *Verdict) checkTask(task string, runs []hollow.RunRecord) {
 	slices.SortFunc(runs, func(a, b hollow.RunRecord) int {
 		return cmp.Or(cmp.Compare(a.StartMs, b.StartMs), cmp.Compare(a.Run, b.Run))
 	})
@@ -115,20 +115,20 @@
 		switch {
 		case before.EndMs == 0 || after.StartMs < before.EndMs:
 			v.note(&v.Doubled, "task %s ran on %s and on %s at once", task, before.Node, after.Node)
-		case before.How == "done":
-			v.note(&v.Again, "task %s was started on %s after it was done", task, after.Node)
+		case before.Outcome == "done":
+			v.note(&v.StartedAgain, "task %s was started on %s after it was done", task, after.Node)
 		}
 	}
 }
 
-func (v *Verdict) judgeJob(job *Job, tasks map[string][]hollow.RunRecord) (first, last int64) {
+func (v *Verdict) checkJob(job *Job, tasks map[string][]hollow.RunRecord) (first, last int64) {
 	done := 0
 	for _, runs := range tasks {
 		if first == 0 || runs[0].StartMs < first {
 			first = runs[0].StartMs
 		}
 		for _, ended := range runs {
-			if ended.How == "done" {
+			if ended.Outcome == "done" {
 				done++
 				last = max(last, ended.EndMs)
 			}
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -66,7 +66,7 @@
 }
 
 // Estimate is how long the task's step is said to take, and whether it lasts.
-func (j *Judge) Estimate(task string) (length time.Duration, isLasting bool) {
+func (j *Judge) Estimate(task string) (length time.Duration, isLongRunning bool) {
 	step := j.need(task)
 	return clock.Milliseconds(step.EstimatedMs), step.LongRunning
 }
