--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -26,7 +26,7 @@
 func openStorage(b *base) (*durableState, error) {
 	kept := &durableState{folder: b.settings.DataDirectory}
 	if kept.folder == "" {
-		kept.openMakeshift(b)
+		kept.openTemporary(b)
 	} else {
 		var err error
 		if kept.store, err = storage.Open(kept.folder); err != nil {
@@ -41,9 +41,9 @@
 	return kept, err
 }
 
-// openMakeshift gives a seed without a disk a folder that does not outlive it; where none can be had, the steward
+// openTemporary gives a seed without a disk a folder that does not outlive it; where none can be had, the steward
 // goes on without, as any other that has no disk.
-func (s *durableState) openMakeshift(b *base) {
+func (s *durableState) openTemporary(b *base) {
 	if !slices.Contains(b.settings.Seeds, b.settings.Listen.Control) {
 		return
 	}
--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -17,14 +17,14 @@
 	longMs  = 10000
 )
 
-// lossSpan is the time for which a machine counts as lost.
-type lossSpan struct{ from, to int }
+// lossInterval is the time for which a machine counts as lost.
+type lossInterval struct{ from, to int }
 
 // drawing makes one schedule, and keeps within what the system must be able to lose.
 type drawing struct {
 	draw   *rand.Rand
 	steps  []modelcheck.Step
-	lost   []lossSpan
+	lost   []lossInterval
 	nodes  int
 	losses int
 	endMs  int
@@ -56,7 +56,7 @@
 func (d *drawing) add(step modelcheck.Step) { d.steps = append(d.steps, step) }
 
 // isBearable tells whether so many more may be lost for a time.
-func (d *drawing) isBearable(span lossSpan, count int) bool {
+func (d *drawing) isBearable(span lossInterval, count int) bool {
 	for _, other := range d.lost {
 		if other.from < span.to && span.from < other.to {
 			count++
@@ -98,7 +98,7 @@
 func (d *drawing) addFault(at int) {
 	switch d.draw.IntN(10) {
 	case 0, 5:
-		d.add(modelcheck.Step{AtMs: at, Kind: stepWeather, ForMs: 300 + d.draw.IntN(3000), Value: d.draw.IntN(2500)})
+		d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, ForMs: 300 + d.draw.IntN(3000), Value: d.draw.IntN(2500)})
 	case 1:
 		d.add(modelcheck.Step{AtMs: at, Kind: stepClock, Node: d.position(), Value: d.draw.IntN(20000) - 10000})
 	case 2, 3:
@@ -109,18 +109,18 @@
 		}
 	}
 	if d.draw.IntN(10) == 0 {
-		d.addRestartInWeather(at)
+		d.addRestartInNetworkTrouble(at)
 	}
 	for range 1 + d.draw.IntN(d.losses+1) {
 		d.addHarm(at+d.draw.IntN(400), harms[d.draw.IntN(len(harms))])
 	}
 }
 
-// addRestartInWeather lets many messages be lost while a machine is killed and back within a lease.
-func (d *drawing) addRestartInWeather(at int) {
-	d.add(modelcheck.Step{AtMs: at, Kind: stepWeather, Peer: 1, ForMs: 1000 + d.draw.IntN(1500), Value: d.draw.IntN(300)})
+// addRestartInNetworkTrouble lets many messages be lost while a machine is killed and back within a lease.
+func (d *drawing) addRestartInNetworkTrouble(at int) {
+	d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, Peer: 1, ForMs: 1000 + d.draw.IntN(1500), Value: d.draw.IntN(300)})
 	step := modelcheck.Step{AtMs: at + 300 + d.draw.IntN(900), Kind: stepKill, Node: d.draw.IntN(d.nodes), ForMs: 5 + d.draw.IntN(60)}
-	if span := (lossSpan{step.AtMs, step.AtMs + step.ForMs + catchUpMs}); d.isBearable(span, 1) {
+	if span := (lossInterval{step.AtMs, step.AtMs + step.ForMs + catchUpMs}); d.isBearable(span, 1) {
 		d.lost = append(d.lost, span)
 		d.add(step)
 	}
@@ -139,7 +139,7 @@
 	if kind == stepKill && d.draw.IntN(2) == 0 {
 		step.ForMs = 10 + d.draw.IntN(100)
 	}
-	span := lossSpan{at, at + step.ForMs + catchUpMs}
+	span := lossInterval{at, at + step.ForMs + catchUpMs}
 	switch kind {
 	case stepCut, stepCutOut, stepCutIn:
 		step.Peer = d.draw.IntN(2)
@@ -152,7 +152,7 @@
 		}
 	case stepPowerOnAck:
 		step.Node, step.Value = leaderIndex, 0
-		span.to += int(trapDuration.Milliseconds())
+		span.to += int(triggerDuration.Milliseconds())
 		if d.draw.IntN(3) == 0 {
 			d.addEndOfAll(at)
 			return
@@ -186,9 +186,9 @@
 	case 1, 2:
 		step.Kind = stepPowerOnAck
 	}
-	span := lossSpan{at, at + step.ForMs + catchUpMs}
+	span := lossInterval{at, at + step.ForMs + catchUpMs}
 	if step.Kind == stepPowerOnAck {
-		span.to += int(trapDuration.Milliseconds())
+		span.to += int(triggerDuration.Milliseconds())
 	}
 	if d.draw.IntN(2) == 0 && d.isBearable(span, d.losses) {
 		step.Value = d.losses
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -57,7 +57,7 @@
 }
 
 func (d *drawing) addWipe(at, length int) {
-	span := lossSpan{at, at + length + catchUpMs}
+	span := lossInterval{at, at + length + catchUpMs}
 	if d.isBearable(span, 1) {
 		d.lost = append(d.lost, span)
 		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.position(), ForMs: length})
@@ -76,7 +76,7 @@
 func (d *drawing) addLargeFault(at int) {
 	switch d.draw.IntN(6) {
 	case 0:
-		d.add(modelcheck.Step{AtMs: at, Kind: stepWeather, ForMs: 300 + d.draw.IntN(2000), Value: d.draw.IntN(1500)})
+		d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, ForMs: 300 + d.draw.IntN(2000), Value: d.draw.IntN(1500)})
 	case 1:
 		d.addEndOfAll(at)
 	default:
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -13,9 +13,9 @@
 const (
 	promiseLimit = 500 * time.Millisecond
 	appendLimit  = 1500 * time.Millisecond
-	// silence is after how long the daemon gives up a connection whose other side acknowledges nothing, which is sooner than
+	// stalledConnectionTimeout is after how long the daemon gives up a connection whose other side acknowledges nothing, which is sooner than
 	// the limits of its calls with chunks and snapshots.
-	silence = 2 * time.Second
+	stalledConnectionTimeout = 2 * time.Second
 
 	shortestTransit = 300 * time.Microsecond
 	longestTransit  = 4 * time.Millisecond
@@ -25,9 +25,9 @@
 )
 
 var (
-	errSilence = errors.New("no answer in time")
-	errRefused = errors.New("connection refused")
-	errUnknown = errors.New("no peer is known with that disk")
+	errNoAnswer = errors.New("no answer in time")
+	errRefused  = errors.New("connection refused")
+	errUnknown  = errors.New("no peer is known with that disk")
 )
 
 // pair is one direction between two machines, by index.
@@ -46,8 +46,8 @@
 	until time.Duration
 }
 
-// weather is what happens to messages anywhere; shares are in thousandths.
-type weather struct {
+// networkTrouble is what happens to messages anywhere; shares are in thousandths.
+type networkTrouble struct {
 	until   time.Duration
 	lost    int
 	doubled int
@@ -74,18 +74,18 @@
 		return
 	}
 	wait := w.transit()
-	if w.weather.until > w.now {
+	if w.trouble.until > w.now {
 		luck := w.draw.IntN(1000)
 		switch {
-		case luck < w.weather.lost:
+		case luck < w.trouble.lost:
 			w.cover("message lost")
 			return
-		case luck < w.weather.lost+w.weather.doubled:
+		case luck < w.trouble.lost+w.trouble.doubled:
 			w.cover("message doubled")
-			w.after(wait+time.Duration(w.draw.Int64N(int64(w.weather.longest))), arrive)
-		case luck < w.weather.lost+w.weather.doubled+w.weather.delayed:
+			w.after(wait+time.Duration(w.draw.Int64N(int64(w.trouble.longest))), arrive)
+		case luck < w.trouble.lost+w.trouble.doubled+w.trouble.delayed:
 			w.cover("message delayed")
-			wait += time.Duration(w.draw.Int64N(int64(w.weather.longest)))
+			wait += time.Duration(w.draw.Int64N(int64(w.trouble.longest)))
 		}
 	}
 	w.after(wait, arrive)
@@ -119,7 +119,7 @@
 		w.after(0, func() { finish(none, errUnknown) })
 		return
 	}
-	w.after(limit, func() { finish(none, errSilence) })
+	w.after(limit, func() { finish(none, errNoAnswer) })
 	refuse := func() { finish(none, errRefused) }
 	w.deliver(from, to, func() {
 		if !to.isUp {
@@ -171,13 +171,13 @@
 	}
 	limit := appendLimit
 	if ask.Snapshot != nil {
-		limit = silence
+		limit = stalledConnectionTimeout
 		n.cluster.cover("snapshot sent")
 	}
 	to := n.byDisk(disk)
 	send := func() { l.append(to, ask, limit, done) }
 	if ask.Chunk != nil {
-		limit = silence
+		limit = stalledConnectionTimeout
 		n.cluster.cover("snapshot chunk sent")
 	}
 	if ask.Chunk == nil || n.cluster.schedule.Size != modelcheck.SizeLarge {
@@ -223,7 +223,7 @@
 	n := l.node
 	n.cluster.cover("candidate fetched")
 	to := n.byDisk(disk)
-	call(n, to, silence, func(answer func(wire.FetchAnswer)) {
+	call(n, to, stalledConnectionTimeout, func(answer func(wire.FetchAnswer)) {
 		if snapshot, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
 			answer(snapshot)
 		}
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -168,7 +168,7 @@
 			attempts := leaderclient.NewAttempts(ask.Key, w.now+patience, w.draw.IntN)
 			search := &attempt{from: to, ask: ask, attempts: attempts, done: func(answer response.Reply) {
 				to.enter(incarnation, func() {
-					if w.weather.until > w.now && w.draw.IntN(4) == 0 {
+					if w.trouble.until > w.now && w.draw.IntN(4) == 0 {
 						w.cover("acknowledgement lost")
 						return
 					}
--- a/internal/simulation/modelcheck/controlmodel/simcluster.go
+++ b/internal/simulation/modelcheck/controlmodel/simcluster.go
@@ -28,11 +28,11 @@
 	nodes    []*simNode
 	// slots are the places of machines: a replaced machine's successor takes its slot.
 	slots    []*simNode
-	traps    []trap
+	triggers []powerTrigger
 	disks    int
 	voters   []string
 	links    map[pair]cut
-	weather  weather
+	trouble  networkTrouble
 	fault    injectedFault
 	record   record
 	traffic  traffic
--- a/internal/simulation/modelcheck/controlmodel/steps.go
+++ b/internal/simulation/modelcheck/controlmodel/steps.go
@@ -9,46 +9,46 @@
 
 // The kinds of steps. Node is a place of a machine, or leaderIndex for whoever leads at that moment.
 const (
-	stepOrder        = "order"
-	stepRace         = "race"
-	stepResend       = "resend"
-	stepBurst        = "burst"
-	stepStorm        = "storm"
-	stepRead         = "read"
-	stepKill         = "kill"
-	stepPower        = "power"
-	stepWipe         = "wipe"
-	stepFreeze       = "freeze"
-	stepSlow         = "slow"
-	stepStall        = "disk-stall"
-	stepSlowDisk     = "disk-slow"
-	stepFullDisk     = "disk-full"
-	stepCut          = "cut"
-	stepCutOut       = "cut-outgoing"
-	stepCutIn        = "cut-incoming"
-	stepWeather      = "weather"
-	stepClock        = "clock-jump"
-	stepPowerAll     = "power-all"
-	stepKillAll      = "kill-all"
-	stepPowerOnAck   = "power-after-ack"
-	stepReplace      = "replace"
-	stepReplaceLost  = "replace-lost"
-	stepRestart      = "restart"
-	stepGrow         = "grow"
-	stepBulk         = "bulk"
-	leaderIndex      = -1
-	stormPause       = 25 * time.Millisecond
-	trapDuration     = time.Second
-	longestAfterAck  = 5
-	weatherLost      = 80
-	weatherHeavyLost = 300
-	weatherDoubled   = 100
-	weatherDelayed   = 150
-	minHeldBack      = 20 * time.Millisecond
+	stepOrder          = "order"
+	stepRace           = "race"
+	stepResend         = "resend"
+	stepBurst          = "burst"
+	stepStorm          = "storm"
+	stepRead           = "read"
+	stepKill           = "kill"
+	stepPower          = "power"
+	stepWipe           = "wipe"
+	stepFreeze         = "freeze"
+	stepSlow           = "slow"
+	stepStall          = "disk-stall"
+	stepSlowDisk       = "disk-slow"
+	stepFullDisk       = "disk-full"
+	stepCut            = "cut"
+	stepCutOut         = "cut-outgoing"
+	stepCutIn          = "cut-incoming"
+	stepNetwork        = "weather"
+	stepClock          = "clock-jump"
+	stepPowerAll       = "power-all"
+	stepKillAll        = "kill-all"
+	stepPowerOnAck     = "power-after-ack"
+	stepReplace        = "replace"
+	stepReplaceLost    = "replace-lost"
+	stepRestart        = "restart"
+	stepGrow           = "grow"
+	stepBulk           = "bulk"
+	leaderIndex        = -1
+	stormPause         = 25 * time.Millisecond
+	triggerDuration    = time.Second
+	longestAfterAck    = 5
+	percentLost        = 80
+	percentHeavilyLost = 300
+	percentDuplicated  = 100
+	percentDelayed     = 150
+	minHeldBack        = 20 * time.Millisecond
 )
 
-// trap is a fault that comes within 5 ms of the next acknowledgement.
-type trap struct {
+// powerTrigger is a fault that comes within 5 ms of the next acknowledgement.
+type powerTrigger struct {
 	step  modelcheck.Step
 	until time.Duration
 }
@@ -98,18 +98,18 @@
 		w.troubleDisk(step.Kind, n.disk, length)
 	case stepCut, stepCutOut, stepCutIn:
 		w.cutOff(step, n, length)
-	case stepWeather:
-		w.weather = weather{until: w.now + length, lost: weatherLost, doubled: weatherDoubled, delayed: weatherDelayed,
+	case stepNetwork:
+		w.trouble = networkTrouble{until: w.now + length, lost: percentLost, doubled: percentDuplicated, delayed: percentDelayed,
 			longest: minHeldBack + clock.Milliseconds(int64(step.Value))}
 		if step.Peer == 1 {
-			w.weather.lost = weatherHeavyLost
+			w.trouble.lost = percentHeavilyLost
 		}
 	case stepClock:
 		n.clock.jump += int64(step.Value)
 	case stepPowerAll, stepKillAll:
 		w.endAll(step)
 	case stepPowerOnAck:
-		w.traps = append(w.traps, trap{step, w.now + trapDuration})
+		w.triggers = append(w.triggers, powerTrigger{step, w.now + triggerDuration})
 	default:
 		w.applyChange(step, n, length)
 	}
@@ -203,8 +203,8 @@
 
 // springTraps lets what waits for an acknowledgement happen: Peer is 1 for all machines, else it is the leader.
 func (w *simCluster) springTraps() {
-	waiting := w.traps
-	w.traps = nil
+	waiting := w.triggers
+	w.triggers = nil
 	for _, trap := range waiting {
 		if trap.until < w.now {
 			continue
@@ -221,7 +221,7 @@
 
 // healAll ends all faults.
 func (w *simCluster) healAll() {
-	w.traps, w.weather = nil, weather{}
+	w.triggers, w.trouble = nil, networkTrouble{}
 	clear(w.links)
 	for _, node := range w.nodes {
 		node.slowed = 0
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	verbHandIn = "hand-in"
+	verbSubmit = "hand-in"
 	verbState  = "state"
 	verbCancel = "cancel"
 	route      = "route"
@@ -30,7 +30,7 @@
 
 func (g *modelGate) start() { g.boot() }
 
-// clientReply is what a client hears; status 0 stands for silence.
+// clientReply is what a client hears; status 0 stands for no answer.
 type clientReply struct {
 	status int
 	body   string
@@ -104,20 +104,20 @@
 		})
 }
 
-// handIn sends a job until there is a clear answer, each time to another gate.
-func (w *simCluster) handIn(job *modelJob, through, attempt int) {
+// submit sends a job until there is a clear answer, each time to another gate.
+func (w *simCluster) submit(job *modelJob, through, attempt int) {
 	body, err := easyjson.Marshal(job.spec)
 	if err != nil {
 		w.violate("MODEL", "a job could not be written: %v", err)
 		return
 	}
 	terms := job.terms
-	request := wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbHandIn, Body: body, Terms: &terms}
+	request := wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbSubmit, Body: body, Terms: &terms}
 	job.openAttempts++
 	w.request(through, request, func(reply clientReply) {
-		w.oracles.handedIn(job, reply)
+		w.oracles.submitted(job, reply)
 		if (reply.status == 0 || reply.status == http.StatusGatewayTimeout) && attempt < clientAttempts {
-			w.queue.after(clientPause, func() { w.handIn(job, through+1, attempt+1) })
+			w.queue.after(clientPause, func() { w.submit(job, through+1, attempt+1) })
 		}
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/clientoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/clientoracles.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-func (o *oracles) handedIn(job *modelJob, reply clientReply) {
+func (o *oracles) submitted(job *modelJob, reply clientReply) {
 	job.openAttempts--
 	switch reply.status {
 	case http.StatusOK:
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -17,11 +17,11 @@
 	drainMs            = 2000
 	heartbeatInterval  = 1500 * time.Millisecond
 	firstHeartbeatTime = 300 * time.Millisecond
-	maxBeatTime        = 3 * time.Second
+	maxHeartbeatTime   = 3 * time.Second
 
 	percentLateBeats = 60
 	checkpointTime   = 700 * time.Millisecond
-	maxEndsTold      = 500
+	maxEndsReported  = 500
 	percentLate      = 50
 	percentBusy      = 60
 )
@@ -39,14 +39,14 @@
 	isGuarding bool
 	// pollers are woken when a waiting hold may have something to answer.
 	pollers []func()
-	executorLife
+	executorIncarnation
 	executorFaults
 	executorLease
 	executorRuns
 }
 
-// executorLife is the process that runs on the machine now; each restart is a new incarnation with another ID.
-type executorLife struct {
+// executorIncarnation is the process that runs on the machine now; each restart is a new incarnation with another ID.
+type executorIncarnation struct {
 	id          string
 	incarnation int
 	isUp        bool
@@ -152,7 +152,7 @@
 	id, proxy, wait := e.id, e.proxy, localHop
 	if e.isHeartbeatLate && e.cluster.queue.chance(percentLateBeats) {
 		e.cluster.count("beat_late")
-		wait = e.cluster.queue.between(localHop, maxBeatTime)
+		wait = e.cluster.queue.between(localHop, maxHeartbeatTime)
 	}
 	e.cluster.queue.after(wait, func() {
 		proxy.enter(proxy.incarnation, func() { proxy.table.Heartbeat(id, heartbeat) })
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -158,7 +158,7 @@
 // lists returns all runs and the first of the ends that are not acknowledged.
 func (e *modelExecutor) lists() executorReply {
 	reply := e.reported(http.StatusOK, "")
-	reply.answer.Ends = slices.Clone(e.ends[:min(maxEndsTold, len(e.ends))])
+	reply.answer.Ends = slices.Clone(e.ends[:min(maxEndsReported, len(e.ends))])
 	for _, execution := range e.active {
 		percent := 0
 		if execution.isGoing && !execution.isStuck && execution.length > 0 {
--- a/internal/simulation/modelcheck/ordermodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/ordermodel/injectedfaults.go
@@ -17,32 +17,32 @@
 
 // Names of the injected faults.
 const (
-	faultAnswerByPlace   = "answer-by-place"
-	faultNewRunID        = "resend-under-new-run"
-	faultHoldUngranted   = "hold-without-grant"
-	faultGrantOnArrival  = "grant-from-arrival"
-	faultFenceIgnored    = "old-fence-carried-out"
-	faultLastSeenEarly   = "last-seen-before-commit"
-	faultCancelForgotten = "cancelled-job-started"
-	faultStopUnanswered  = "stop-without-answer"
-	faultRefusedUnclear  = "unclear-hand-in-refused"
-	faultAckEarly        = "acknowledged-before-commit"
-	faultLeaseIgnored    = "lease-not-checked"
-	faultWrongLife       = "other-life-not-refused"
-	faultUnsureForgotten = "unclear-start-called-not-run"
-	faultBeatEndsLife    = "life-ended-by-beat"
-	faultOtherCheckpoint = "checkpoint-of-another-task"
-	faultRoomOverstated  = "capacity-overstated"
-	faultFailureDone     = "failure-told-as-done"
-	faultFailureStopped  = "failure-not-counted"
-	faultLookForgotten   = "look-of-an-old-hold"
-	faultEndSkipped      = "ended-run-still-counted"
-	faultAvoided         = "executor-avoided-for-ever"
-	faultStopCounted     = "stop-counted-as-failure"
-	faultForgottenEarly  = "ended-jobs-forgotten-early"
-	faultTicksForgotten  = "placement-put-off"
-	faultRoomReserved    = "room-reserved-for-ever"
-	faultStateUnanswered = "state-not-told"
+	faultAnswerByPlace            = "answer-by-place"
+	faultNewRunID                 = "resend-under-new-run"
+	faultHoldUngranted            = "hold-without-grant"
+	faultGrantOnArrival           = "grant-from-arrival"
+	faultFenceIgnored             = "old-fence-carried-out"
+	faultLastSeenEarly            = "last-seen-before-commit"
+	faultCancelForgotten          = "cancelled-job-started"
+	faultStopUnanswered           = "stop-without-answer"
+	faultRefusedUnclear           = "unclear-hand-in-refused"
+	faultAckEarly                 = "acknowledged-before-commit"
+	faultLeaseIgnored             = "lease-not-checked"
+	faultWrongIncarnation         = "other-life-not-refused"
+	faultUnsureForgotten          = "unclear-start-called-not-run"
+	faultHeartbeatEndsIncarnation = "life-ended-by-beat"
+	faultOtherCheckpoint          = "checkpoint-of-another-task"
+	faultCapacityOverstated       = "capacity-overstated"
+	faultFailureDone              = "failure-told-as-done"
+	faultFailureStopped           = "failure-not-counted"
+	faultListForgotten            = "look-of-an-old-hold"
+	faultEndSkipped               = "ended-run-still-counted"
+	faultAvoided                  = "executor-avoided-for-ever"
+	faultStopCounted              = "stop-counted-as-failure"
+	faultForgottenEarly           = "ended-jobs-forgotten-early"
+	faultTicksForgotten           = "placement-put-off"
+	faultCapacityReserved         = "room-reserved-for-ever"
+	faultStateUnanswered          = "state-not-told"
 )
 
 var injectedFaults = []modelcheck.InjectedFault{
@@ -57,20 +57,20 @@
 	{Name: faultRefusedUnclear, About: "A gate refuses a hand-in though an earlier try of it may have been taken."},
 	{Name: faultAckEarly, About: "A leader takes a change for committed as soon as it is proposed."},
 	{Name: faultLeaseIgnored, About: "A leader grants holds and answers without a lease."},
-	{Name: faultWrongLife, About: "A new executor carries out what was meant for the one before it."},
+	{Name: faultWrongIncarnation, About: "A new executor carries out what was meant for the one before it."},
 	{Name: faultUnsureForgotten, About: "A proxy reports a start that was not answered as certainly not carried out."},
-	{Name: faultBeatEndsLife, About: "A proxy takes a life for over as soon as another one's heartbeat comes, however late that is."},
+	{Name: faultHeartbeatEndsIncarnation, About: "A proxy takes a life for over as soon as another one's heartbeat comes, however late that is."},
 	{Name: faultOtherCheckpoint, About: "A proxy starts a task from the checkpoint of another."},
-	{Name: faultRoomOverstated, About: "A proxy tells the leader of twice the room that its executor has."},
+	{Name: faultCapacityOverstated, About: "A proxy tells the leader of twice the room that its executor has."},
 	{Name: faultFailureDone, About: "A proxy tells the leader that a failed run is done."},
 	{Name: faultFailureStopped, About: "A proxy tells the leader that a failed run was stopped."},
-	{Name: faultLookForgotten, About: "A proxy tells the leader what ran at the hold before the one that was asked for."},
+	{Name: faultListForgotten, About: "A proxy tells the leader what ran at the hold before the one that was asked for."},
 	{Name: faultEndSkipped, About: "A proxy leaves out some ends, so that the leader counts the room of runs that are over."},
 	{Name: faultAvoided, About: "An executor that once left a hold unanswered is given no more runs."},
 	{Name: faultStopCounted, About: "A proxy tells the leader of runs that were stopped, lapsed or broken that they failed, which counts as attempts."},
 	{Name: faultForgottenEarly, About: "A leader forgets ended jobs after two seconds."},
 	{Name: faultTicksForgotten, About: "A leader looks only every eight seconds for what waits for a time or was not placed at once."},
-	{Name: faultRoomReserved, About: "All room is reserved for urgent work for as long as any is remembered, also from first runs."},
+	{Name: faultCapacityReserved, About: "All room is reserved for urgent work for as long as any is remembered, also from first runs."},
 	{Name: faultStateUnanswered, About: "A leader does not answer questions for the state of some jobs."},
 }
 
@@ -79,13 +79,13 @@
 	switch p.name {
 	case faultForgottenEarly:
 		timing.KeepEnded = forgottenAfter
-	case faultRoomReserved:
+	case faultCapacityReserved:
 		timing.ReservedCapacity.MaxReserved, timing.ReservedCapacity.AlwaysAllowed, timing.ReservedCapacity.FirstRunShare = 1, 0, 0
 	}
 	return timing
 }
 
-func (p injectedFault) ignoresIncarnation() bool { return p.name == faultWrongLife }
+func (p injectedFault) ignoresIncarnation() bool { return p.name == faultWrongIncarnation }
 
 func (p injectedFault) outcome(outcome leaderclient.Outcome) leaderclient.Outcome {
 	if p.name == faultRefusedUnclear {
@@ -133,11 +133,11 @@
 		return &stoppingTable{faulty}
 	case faultUnsureForgotten:
 		return &forgetfulTable{faulty}
-	case faultBeatEndsLife:
+	case faultHeartbeatEndsIncarnation:
 		return &trustingTable{faulty}
 	case faultOtherCheckpoint:
 		return &mixingTable{faultyTable: faulty}
-	case faultRoomOverstated:
+	case faultCapacityOverstated:
 		return &boastingTable{faulty}
 	case faultFailureDone:
 		return &lyingTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeDone}
@@ -149,7 +149,7 @@
 		return &skippingTable{faulty}
 	case faultAvoided:
 		return &grudgingTable{faultyTable: faulty}
-	case faultLookForgotten:
+	case faultListForgotten:
 		return &oldListTable{faultyTable: faulty}
 	}
 	return table
--- a/internal/simulation/modelcheck/ordermodel/leadership.go
+++ b/internal/simulation/modelcheck/ordermodel/leadership.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	leaseLength = 700 * time.Millisecond
-	leaseMargin = 30 * time.Millisecond
-	watchEvery  = 50 * time.Millisecond
-	stepsDownIn = 2800 * time.Millisecond
-	retryCommit = 20 * time.Millisecond
-	maxNewsTime = 200 * time.Millisecond
+	leaseLength         = 700 * time.Millisecond
+	leaseMargin         = 30 * time.Millisecond
+	watchEvery          = 50 * time.Millisecond
+	stepsDownIn         = 2800 * time.Millisecond
+	retryCommit         = 20 * time.Millisecond
+	maxAnnouncementTime = 200 * time.Millisecond
 )
 
 var errLost = errors.New("the key has another leader now")
@@ -233,7 +233,7 @@
 
 // tell lets a deposed leader hear of its successor, as soon as it can.
 func (w *simCluster) tell(former *leadership) {
-	w.queue.after(w.queue.between(time.Millisecond, maxNewsTime), func() {
+	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
 		steward := former.steward
 		if !former.isOpen || !steward.isUp || steward.incarnation != former.incarnation {
 			return
--- a/internal/simulation/modelcheck/ordermodel/play.go
+++ b/internal/simulation/modelcheck/ordermodel/play.go
@@ -30,7 +30,7 @@
 		w.cut(&w.gates[step.Node%len(w.gates)].modelProcess, step.Value, length)
 	case kindPartition:
 		w.partition(step, length)
-	case kindHandOver:
+	case kindTransferLeadership:
 		w.key.handOver()
 	case kindSlowSync:
 		w.slowSync = clock.Milliseconds(int64(step.Value))
@@ -47,9 +47,9 @@
 func (w *simCluster) playJob(step modelcheck.Step) bool {
 	job := w.oracles.jobs[jobID(step.Node)]
 	switch step.Kind {
-	case kindHandIn:
+	case kindSubmit:
 		if job == nil {
-			w.handInFirst(step.Node, step.Value, step.Peer)
+			w.submitFirst(step.Node, step.Value, step.Peer)
 		}
 		return true
 	case kindStream:
@@ -58,9 +58,9 @@
 	case kindGiveUp:
 		w.giveUp(step)
 		return true
-	case kindHandInAgain:
+	case kindSubmitAgain:
 		if job != nil {
-			w.handIn(job, step.Peer, clientAttempts)
+			w.submit(job, step.Peer, clientAttempts)
 		}
 		return true
 	case kindCancel:
--- a/internal/simulation/modelcheck/ordermodel/schedule.go
+++ b/internal/simulation/modelcheck/ordermodel/schedule.go
@@ -19,37 +19,37 @@
 
 // Kinds of steps. Node is a steward, a gate, a machine or a job, as the kind says; ForMs is how long the fault lasts.
 const (
-	kindHandIn         = "hand-in"
-	kindHandInAgain    = "hand-in-again"
-	kindCancel         = "cancel"
-	kindStream         = "job-stream"
-	kindGiveUp         = "give-up"
-	kindKillSteward    = "kill-steward"
-	kindFreezeSteward  = "freeze-steward"
-	kindCutSteward     = "cut-steward"
-	kindPartition      = "partition"
-	kindHandOver       = "hand-over"
-	kindSlowSync       = "slow-sync"
-	kindLosePower      = "lose-power"
-	kindClockJump      = "clock-jump"
-	kindCutGate        = "cut-gate"
-	kindKillProxy      = "kill-proxy"
-	kindFreezeProxy    = "freeze-proxy"
-	kindCutProxy       = "cut-proxy"
-	kindCrashExecutor  = "crash-executor"
-	kindFreezeExecutor = "freeze-executor"
-	kindDrainExecutor  = "drain-executor"
-	kindLateExecutor   = "late-executor"
-	kindMuteExecutor   = "mute-executor"
-	kindBusyExecutor   = "busy-executor"
-	kindRefuseExecutor = "refuse-executor"
-	kindStuckExecutor  = "stuck-executor"
-	kindLateBeats      = "late-beats"
-	kindSlowExecutor   = "slow-executor"
-	kindDeregister     = "deregister-executor"
-	kindLoseMessages   = "lose-messages"
-	kindDoubleMessages = "double-messages"
-	kindDelayMessages  = "delay-messages"
+	kindSubmit             = "hand-in"
+	kindSubmitAgain        = "hand-in-again"
+	kindCancel             = "cancel"
+	kindStream             = "job-stream"
+	kindGiveUp             = "give-up"
+	kindKillSteward        = "kill-steward"
+	kindFreezeSteward      = "freeze-steward"
+	kindCutSteward         = "cut-steward"
+	kindPartition          = "partition"
+	kindTransferLeadership = "hand-over"
+	kindSlowSync           = "slow-sync"
+	kindLosePower          = "lose-power"
+	kindClockJump          = "clock-jump"
+	kindCutGate            = "cut-gate"
+	kindKillProxy          = "kill-proxy"
+	kindFreezeProxy        = "freeze-proxy"
+	kindCutProxy           = "cut-proxy"
+	kindCrashExecutor      = "crash-executor"
+	kindFreezeExecutor     = "freeze-executor"
+	kindDrainExecutor      = "drain-executor"
+	kindLateExecutor       = "late-executor"
+	kindMuteExecutor       = "mute-executor"
+	kindBusyExecutor       = "busy-executor"
+	kindRefuseExecutor     = "refuse-executor"
+	kindStuckExecutor      = "stuck-executor"
+	kindLateBeats          = "late-beats"
+	kindSlowExecutor       = "slow-executor"
+	kindDeregister         = "deregister-executor"
+	kindLoseMessages       = "lose-messages"
+	kindDoubleMessages     = "double-messages"
+	kindDelayMessages      = "delay-messages"
 )
 
 // staysAway is the value of a crash after which no executor comes back to the machine, if its number is odd: the others do, so
@@ -74,7 +74,7 @@
 	{kind: kindFreezeSteward, weight: 3, minimum: 200, limit: 9000},
 	{kind: kindCutSteward, weight: 4, minimum: 200, limit: 12000, maxValue: 2},
 	{kind: kindPartition, weight: 4, minimum: 500, limit: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
-	{kind: kindHandOver, weight: 2, minimum: 1, limit: 1},
+	{kind: kindTransferLeadership, weight: 2, minimum: 1, limit: 1},
 	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3000, maxValue: 400},
 	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
 	{kind: kindClockJump, weight: 1, minimum: 500, limit: 8000, maxValue: 4000},
@@ -98,14 +98,14 @@
 
 // themes are kinds that bring about more together than each alone.
 var themes = [][]string{
-	{kindLateExecutor, kindBusyExecutor, kindHandOver, kindKillSteward, kindPartition, kindLateExecutor, kindHandOver},
-	{kindLateExecutor, kindHandOver, kindBusyExecutor},
+	{kindLateExecutor, kindBusyExecutor, kindTransferLeadership, kindKillSteward, kindPartition, kindLateExecutor, kindTransferLeadership},
+	{kindLateExecutor, kindTransferLeadership, kindBusyExecutor},
 	{kindPartition, kindCutProxy, kindDelayMessages, kindFreezeProxy},
 	{kindCutProxy, kindFreezeProxy},
 	{kindKillProxy, kindCrashExecutor, kindMuteExecutor, kindLateExecutor, kindFreezeProxy, kindRefuseExecutor},
 	{kindLosePower, kindSlowSync, kindKillSteward, kindLoseMessages, kindCutSteward},
 	{kindLateExecutor, kindMuteExecutor, kindKillProxy, kindCutProxy, kindBusyExecutor},
-	{kindFreezeSteward, kindCutSteward, kindHandOver, kindSlowSync, kindCutGate},
+	{kindFreezeSteward, kindCutSteward, kindTransferLeadership, kindSlowSync, kindCutGate},
 	{kindLateBeats, kindCrashExecutor, kindKillProxy, kindFreezeProxy},
 	{kindDrainExecutor, kindCrashExecutor, kindFreezeExecutor, kindCutProxy, kindKillProxy},
 }
@@ -176,12 +176,12 @@
 	if p.isFocused && random.IntN(2) == 0 {
 		at = max(firstStepMs, p.centre+between(random, -1500, 700))
 	}
-	p.add(modelcheck.Step{AtMs: at, Kind: kindHandIn, Node: number, Peer: random.IntN(smallProfile.gates), Value: random.IntN(len(smallShapes))})
+	p.add(modelcheck.Step{AtMs: at, Kind: kindSubmit, Node: number, Peer: random.IntN(smallProfile.gates), Value: random.IntN(len(smallShapes))})
 	if random.IntN(100) < cancelPercent {
 		p.add(modelcheck.Step{AtMs: at + between(random, 20, 9000), Kind: kindCancel, Node: number, Peer: random.IntN(smallProfile.gates)})
 	}
 	if random.IntN(100) < cancelPercent {
-		p.add(modelcheck.Step{AtMs: at + between(random, 1, 1500), Kind: kindHandInAgain, Node: number, Peer: random.IntN(smallProfile.gates)})
+		p.add(modelcheck.Step{AtMs: at + between(random, 1, 1500), Kind: kindSubmitAgain, Node: number, Peer: random.IntN(smallProfile.gates)})
 	}
 }
 
--- a/internal/simulation/modelcheck/ordermodel/schedulelarge.go
+++ b/internal/simulation/modelcheck/ordermodel/schedulelarge.go
@@ -62,7 +62,7 @@
 	{kind: kindFreezeSteward, weight: 2, minimum: 200, limit: 5000},
 	{kind: kindCutSteward, weight: 3, minimum: 500, limit: 7000, maxValue: 2},
 	{kind: kindPartition, weight: 2, minimum: 500, limit: 6000, maxValue: 1<<16 - 1},
-	{kind: kindHandOver, weight: 4, minimum: 1, limit: 1},
+	{kind: kindTransferLeadership, weight: 4, minimum: 1, limit: 1},
 	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3500, maxValue: 400},
 	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
 	{kind: kindClockJump, weight: 1, minimum: 500, limit: 6000, maxValue: 4000},
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -123,7 +123,7 @@
 
 // tellLeader lets a process learn of a new leader after a while, once it is reachable.
 func (w *simCluster) tellLeader(to *modelProcess, fresh *leadership) {
-	w.queue.after(w.queue.between(time.Millisecond, maxNewsTime), func() {
+	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
 		if w.key.leader != fresh {
 			return
 		}
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -96,7 +96,7 @@
 		return
 	}
 	switch call.Verb {
-	case verbHandIn:
+	case verbSubmit:
 		s.pool.Submit(call, answer)
 	case verbState:
 		s.pool.State(call, answer)
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -15,13 +15,13 @@
 	maxCancelTime        = 6 * time.Second
 )
 
-// handInFirst makes a job and hands it in by way of a gate.
-func (w *simCluster) handInFirst(number, shape, through int) *modelJob {
+// submitFirst makes a job and hands it in by way of a gate.
+func (w *simCluster) submitFirst(number, shape, through int) *modelJob {
 	job := w.profile.makeJob(number, shape, w.queue.now().Milliseconds())
 	job.isHandedIn, job.handedInAt = true, w.queue.now()
 	w.oracles.jobs[job.id] = job
 	w.oracles.order = append(w.oracles.order, job)
-	w.handIn(job, through, 0)
+	w.submit(job, through, 0)
 	return job
 }
 
@@ -29,16 +29,16 @@
 func (w *simCluster) stream(step modelcheck.Step) {
 	for count := range step.Peer {
 		at := clock.Milliseconds(int64(step.ForMs)) * time.Duration(count) / time.Duration(step.Peer)
-		w.queue.after(at, func() { w.handInOfStream(step.Node+count, step.Value) })
+		w.queue.after(at, func() { w.submitOfStream(step.Node+count, step.Value) })
 	}
 }
 
-// handInOfStream hands in a job of a stream, and sometimes again, or cancels it.
-func (w *simCluster) handInOfStream(number, shape int) {
+// submitOfStream hands in a job of a stream, and sometimes again, or cancels it.
+func (w *simCluster) submitOfStream(number, shape int) {
 	random := w.queue.random
-	job := w.handInFirst(number, shape, random.IntN(len(w.gates)))
+	job := w.submitFirst(number, shape, random.IntN(len(w.gates)))
 	if w.queue.chance(percentHandedInAgain) {
-		w.queue.after(w.queue.between(time.Millisecond, maxResendTime), func() { w.handIn(job, random.IntN(len(w.gates)), clientAttempts) })
+		w.queue.after(w.queue.between(time.Millisecond, maxResendTime), func() { w.submit(job, random.IntN(len(w.gates)), clientAttempts) })
 	}
 	if w.queue.chance(percentCancelled) {
 		w.queue.after(w.queue.between(time.Millisecond, maxCancelTime), func() { w.cancel(job, random.IntN(len(w.gates)), 0) })
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -197,7 +197,7 @@
 			}
 			job := &playedJob{event: event, spec: spec}
 			p.jobs[event.ID] = job
-			p.cluster.Events.After(wait, func() { p.handIn(job) })
+			p.cluster.Events.After(wait, func() { p.submit(job) })
 		case recording.KindCancel:
 			p.cluster.Events.After(wait, func() { p.cancel(event.ID) })
 		case recording.KindExecutor:
@@ -209,10 +209,10 @@
 	return nil
 }
 
-func (p *play) handIn(job *playedJob) {
+func (p *play) submit(job *playedJob) {
 	job.submittedAt = p.cluster.Events.Now()
 	terms := p.setup.Change.terms(job.event.Queue, job.event.Terms)
-	p.cluster.HandIn(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
+	p.cluster.Submit(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
 		job.isAccepted = job.isAccepted || answer.Status == http.StatusOK
 	})
 }
--- a/internal/simulation/scalerun/load.go
+++ b/internal/simulation/scalerun/load.go
@@ -150,8 +150,8 @@
 
 func jobID(size int, kind, number int) string { return fmt.Sprintf("%04x%04x%08x", size, kind, number) }
 
-// handIn sends a job until it is accepted, refused for good, or retryLimit is over.
-func (r *run) handIn(job *Job, queue string, number int, load hollow.Load) error {
+// submit sends a job until it is accepted, refused for good, or retryLimit is over.
+func (r *run) submit(job *Job, queue string, number int, load hollow.Load) error {
 	body, err := json.Marshal(jobs.Spec{Descriptor: load.Descriptor(),
 		Steps: []jobs.Step{{Tasks: job.Tasks, CPU: load.CPU, Memory: load.MemoryMB, EstimatedMs: load.Length.Milliseconds()}}})
 	if err != nil {
--- a/internal/simulation/scalerun/phases.go
+++ b/internal/simulation/scalerun/phases.go
@@ -117,7 +117,7 @@
 	load := hollow.Load{Length: standingFor, CPU: 250, MemoryMB: 200}
 	jobs, err := r.offer(count, r.startRate()/standingPerJob, func(number int) (*Job, error) {
 		job := &Job{ID: jobID(r.workers, kindStanding, number), Tasks: min(standingPerJob, total-number*standingPerJob)}
-		return job, r.handIn(job, queueStanding, number, load)
+		return job, r.submit(job, queueStanding, number, load)
 	})
 	if err != nil {
 		return jobs, err
@@ -158,7 +158,7 @@
 	load := hollow.Load{Length: r.setup.TaskLength, CPU: 500, MemoryMB: 100}
 	return r.offer(count, perSecond, func(number int) (*Job, error) {
 		job := &Job{ID: jobID(r.workers, kindLoad, number), Tasks: tasksPerJob}
-		if err := r.handIn(job, queueLoad, number, load); err != nil {
+		if err := r.submit(job, queueLoad, number, load); err != nil {
 			return job, err
 		}
 		r.pause(load.Length)
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -62,7 +62,7 @@
 // Disk keeps what was synced; a loss of power takes away what was not.
 type Disk struct {
 	*DiskModel
-	pendingWrites *EventLine
+	pendingWrites *EventQueue
 	name          string
 	isBare        bool
 	waiting       []func()
@@ -74,7 +74,7 @@
 }
 
 // NewDisk makes an empty disk whose syncs take so long.
-func NewDisk(events *EventLine, name string, syncTime time.Duration) *Disk {
+func NewDisk(events *EventQueue, name string, syncTime time.Duration) *Disk {
 	return &Disk{DiskModel: NewDiskModel(), pendingWrites: events, name: name, isBare: true, SyncTime: syncTime}
 }
 
--- a/internal/simulation/simcluster/line.go
+++ b/internal/simulation/simcluster/eventqueue.go
@@ -41,30 +41,30 @@
 	return last
 }
 
-// EventLine is what happens, in order of time.
-type EventLine struct {
+// EventQueue is what happens, in order of time.
+type EventQueue struct {
 	Clock *clock.Fake
 	Draw  *rand.Rand
 	queue events
 	count uint64
 }
 
-// NewEventLine makes an empty line whose time of day begins at so many milliseconds; all chance comes from the seed.
-func NewEventLine(wallMs int64, seed uint64) *EventLine {
-	return &EventLine{Clock: clock.NewFake(wallMs), Draw: rand.New(rand.NewPCG(seed, 42))}
+// NewEventQueue makes an empty line whose time of day begins at so many milliseconds; all chance comes from the seed.
+func NewEventQueue(wallMs int64, seed uint64) *EventQueue {
+	return &EventQueue{Clock: clock.NewFake(wallMs), Draw: rand.New(rand.NewPCG(seed, 42))}
 }
 
 // Now is the steady time of the simulation.
-func (l *EventLine) Now() time.Duration { return l.Clock.Monotonic() }
+func (l *EventQueue) Now() time.Duration { return l.Clock.Monotonic() }
 
 // After runs the function once the wait is over; what falls due at one moment runs in the order of the calls.
-func (l *EventLine) After(wait time.Duration, run func()) {
+func (l *EventQueue) After(wait time.Duration, run func()) {
 	l.count++
 	heap.Push(&l.queue, event{l.Now() + max(0, wait), l.count, run})
 }
 
 // RunUntil plays all that falls due up to a moment.
-func (l *EventLine) RunUntil(end time.Duration) {
+func (l *EventQueue) RunUntil(end time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].due <= end {
 		next := heap.Pop(&l.queue).(event)
 		if next.due > l.Now() {
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -28,7 +28,7 @@
 
 // Judge sees what executors really do, and says where a rule was broken.
 type Judge struct {
-	events   *EventLine
+	events   *EventQueue
 	jobs     map[string]*jobFacts
 	tasks    map[string]*taskFacts
 	Problems []string
@@ -38,7 +38,7 @@
 	OnNoted func(task string)
 }
 
-func newJudge(events *EventLine) *Judge {
+func newJudge(events *EventQueue) *Judge {
 	return &Judge{events: events, jobs: map[string]*jobFacts{}, tasks: map[string]*taskFacts{}, Doubled: map[string]int{}}
 }
 
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -19,7 +19,7 @@
 	appendLimit  = 1500 * time.Millisecond
 )
 
-var errSilence = errors.New("no answer in time")
+var errNoAnswer = errors.New("no answer in time")
 
 // Node is one steward: the disk lasts while the rest may die.
 type Node struct {
@@ -55,7 +55,7 @@
 		n.boxes[key] = mailbox.New(4096)
 		n.hosts[key] = poolhost.New(pool, n.boxes[key])
 		n.engines[key] = replication.NewEngine(key, n.disk.name, n.Name, n.cluster.Events.Clock, &transport{n, n.incarnation}, n.hosts[key],
-			n.cluster.members, replication.WithInitialVoters(n.cluster.birth()), replication.WithLog(n.cluster.log))
+			n.cluster.members, replication.WithInitialVoters(n.cluster.initialVoters()), replication.WithLog(n.cluster.log))
 	}
 	n.tick(n.incarnation)
 }
@@ -126,7 +126,7 @@
 		}
 	}
 	var none T
-	s.Events.After(limit, func() { finish(none, errSilence) })
+	s.Events.After(limit, func() { finish(none, errNoAnswer) })
 	if to == nil {
 		return
 	}
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -14,7 +14,7 @@
 
 // Cluster is a whole small system: stewards, proxies, executors and clients.
 type Cluster struct {
-	Events    *EventLine
+	Events    *EventQueue
 	Nodes     []*Node
 	Proxies   []*Proxy
 	Executors []*Executor
@@ -81,7 +81,7 @@
 
 // New sets up stewards and executors and starts them all.
 func New(seed uint64, stewards, executors int, capacity wire.Capacity, wallMs int64, options ...Option) *Cluster {
-	events := NewEventLine(wallMs, seed)
+	events := NewEventQueue(wallMs, seed)
 	s := &Cluster{Events: events, Judge: newJudge(events), service: "board", keys: []string{"pool/board"}, timing: DefaultTiming,
 		log: logging.Silent(), cut: map[string]bool{}, Work: evenWork, grantBy: 1}
 	for _, option := range options {
@@ -131,7 +131,7 @@
 	return places
 }
 
-func (s *Cluster) birth() []string {
+func (s *Cluster) initialVoters() []string {
 	var disks []string
 	for number := range min(3, len(s.Nodes)) {
 		disks = append(disks, fmt.Sprintf("disk-steward-%d", number+1))
@@ -275,8 +275,8 @@
 	})
 }
 
-// HandIn gives a job to the system, and tells the judge what was given.
-func (s *Cluster) HandIn(id, entry string, body []byte, terms wire.RouteTerms, answer func(wire.ClientAnswer)) error {
+// Submit gives a job to the system, and tells the judge what was given.
+func (s *Cluster) Submit(id, entry string, body []byte, terms wire.RouteTerms, answer func(wire.ClientAnswer)) error {
 	spec, err := jobs.Read(body)
 	if err != nil {
 		return err
@@ -291,8 +291,8 @@
 	return nil
 }
 
-// Mend ends every fault that lasts.
-func (s *Cluster) Mend() {
+// Heal ends every fault that lasts.
+func (s *Cluster) Heal() {
 	clear(s.cut)
 	for _, node := range s.Nodes {
 		s.Freeze(node, false)
--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -46,7 +46,7 @@
 
 func (c *jobCrowd) handIn(number int, body string) {
 	terms := wire.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 250}
-	Expect(c.HandIn(id(number), "cover", []byte(body), terms, func(answer wire.ClientAnswer) {
+	Expect(c.Submit(id(number), "cover", []byte(body), terms, func(answer wire.ClientAnswer) {
 		if answer.Status == 200 {
 			c.accepted[id(number)] = true
 		}
@@ -370,7 +370,7 @@
 				c.Run(time.Duration(100+c.Events.Draw.IntN(500)) * time.Millisecond)
 				Expect(c.Judge.Problems).To(BeEmpty())
 			}
-			c.Mend()
+			c.Heal()
 			c.Loss = 0
 			c.Run(60 * time.Second)
 			Expect(c.accepted).NotTo(BeEmpty())
@@ -397,7 +397,7 @@
 	if c.Events.Draw.IntN(3) > 0 {
 		return
 	}
-	c.Mend()
+	c.Heal()
 	node := c.Nodes[c.Events.Draw.IntN(len(c.Nodes))]
 	index := c.Events.Draw.IntN(len(c.Executors))
 	executor, proxy := c.Executors[index], c.Proxies[index]
--- a/internal/simulation/simcluster/stalls_test.go
+++ b/internal/simulation/simcluster/stalls_test.go
@@ -87,7 +87,7 @@
 	d.handedIn++
 	number := d.handedIn
 	terms := wire.RouteTerms{MaxAttempts: 4, Stretch: 1.5, TargetMs: 500, Priority: draw.IntN(3)}
-	Expect(d.HandIn(id(number), "cover", []byte(`{"task-descriptor":"d","step-list":[`+steps+`]`+repeat+`}`), terms, func(answer wire.ClientAnswer) {
+	Expect(d.Submit(id(number), "cover", []byte(`{"task-descriptor":"d","step-list":[`+steps+`]`+repeat+`}`), terms, func(answer wire.ClientAnswer) {
 		if answer.Status == 200 {
 			d.accepted[id(number)] = true
 		}
@@ -175,7 +175,7 @@
 		}
 	}
 	d.Run(8 * time.Second)
-	d.Mend()
+	d.Heal()
 	for round := 0; round < 20 && d.left() > 0; round++ {
 		d.Run(5 * time.Second)
 	}
