--- a/internal/checktests/checktests_test.go
+++ b/internal/checktests/checktests_test.go
@@ -38,7 +38,7 @@
 	return all
 }
 
-func read(events string, left *types.Report) []*outcome {
+func read(events string, left *types.Report) []*packageOutcome {
 	var shown bytes.Buffer
 	outcomes, err := takeEvents(strings.NewReader(events), &shown)
 	Expect(err).NotTo(HaveOccurred())
@@ -48,7 +48,7 @@
 	return outcomes
 }
 
-func listOf(lines string) []known {
+func listOf(lines string) []knownFailure {
 	list, err := parseList(lines)
 	Expect(err).NotTo(HaveOccurred())
 	return list
@@ -61,7 +61,7 @@
 
 var _ = Describe("the list of known red tests", func() {
 	It("holds up to three lines of test, cause and issue", func() {
-		Expect(listOf(redLine + "\n")).To(Equal([]known{{pkg: pkg, spec: "a sum is wrong", cause: "the sum is wrong", issue: "issue 8"}}))
+		Expect(listOf(redLine + "\n")).To(Equal([]knownFailure{{pkg: pkg, spec: "a sum is wrong", cause: "the sum is wrong", issue: "issue 8"}}))
 		Expect(listOf("")).To(BeEmpty())
 		Expect(readList(filepath.Join(GinkgoT().TempDir(), listName))).To(BeEmpty())
 	})
--- a/internal/checktests/main.go
+++ b/internal/checktests/main.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range outcomes {
-		if one.report, err = readReport(folders[one.pkg], reportName); err != nil {
+	for _, outcome := range outcomes {
+		if outcome.report, err = readReport(folders[outcome.pkg], reportName); err != nil {
 			return err
 		}
 	}
@@ -53,12 +53,12 @@
 }
 
 // conclude fails also when go test failed and no package did.
-func conclude(all verdict, outcomes []*outcome, ended error, to io.Writer) error {
+func conclude(all verdict, outcomes []*packageOutcome, ended error, to io.Writer) error {
 	hasFailed := false
-	for _, one := range outcomes {
-		hasFailed = hasFailed || one.hasFailed()
-		if one.ended == "" {
-			all.fail("%s did not end", one.pkg)
+	for _, outcome := range outcomes {
+		hasFailed = hasFailed || outcome.hasFailed()
+		if outcome.ended == "" {
+			all.fail("%s did not end", outcome.pkg)
 		}
 	}
 	if hasFailed != (ended != nil) {
@@ -67,8 +67,8 @@
 	if len(all.passedOver) == 0 {
 		fmt.Fprintln(to, "no failure was passed over")
 	}
-	for _, one := range all.passedOver {
-		fmt.Fprintln(to, "known red, passed over:", one)
+	for _, listed := range all.passedOver {
+		fmt.Fprintln(to, "known red, passed over:", listed)
 	}
 	if len(all.failures) > 0 {
 		return errors.New(strings.Join(all.failures, "\nchecktests: "))
@@ -79,9 +79,9 @@
 // foldersOf lists the packages among the arguments; without any, the one of this folder.
 func foldersOf(arguments []string) (map[string]string, error) {
 	list := []string{"list", "-e", "-f", "{{.ImportPath}} {{.Dir}}"}
-	for _, one := range arguments {
-		if strings.HasPrefix(one, ".") || strings.HasPrefix(one, "gannetline/") {
-			list = append(list, one)
+	for _, argument := range arguments {
+		if strings.HasPrefix(argument, ".") || strings.HasPrefix(argument, "gannetline/") {
+			list = append(list, argument)
 		}
 	}
 	text, err := exec.Command("go", list...).Output()
@@ -106,7 +106,7 @@
 }
 
 // runTests gives how go test ended beside what became of the packages.
-func runTests(arguments []string, to, errorsTo io.Writer) (outcomes []*outcome, ended, err error) {
+func runTests(arguments []string, to, errorsTo io.Writer) (outcomes []*packageOutcome, ended, err error) {
 	command := exec.Command("go", append(append([]string{"test", "-json"}, arguments...), "-ginkgo.json-report="+reportName)...)
 	command.Stderr = errorsTo
 	events, err := command.StdoutPipe()
--- a/internal/checktests/outcome.go
+++ b/internal/checktests/outcome.go
@@ -23,8 +23,8 @@
 	ImportPath  string
 }
 
-// outcome is what became of one package.
-type outcome struct {
+// packageOutcome is what became of the tests of one package.
+type packageOutcome struct {
 	pkg         string
 	ended       string
 	failedBuild string
@@ -33,58 +33,59 @@
 	report      *types.Report
 }
 
-func (o *outcome) hasFailed() bool { return o.ended == "fail" }
+func (o *packageOutcome) hasFailed() bool { return o.ended == "fail" }
 
 const raceWarning = "WARNING: DATA RACE"
 
 // deathForm is what go test says of a process that did not end by itself with failed tests.
 var deathForm = regexp.MustCompile(`(?m)^(exit status |signal: |panic: |fatal error: )`)
 
-func (o *outcome) hasDied() bool { return deathForm.MatchString(o.output.String()) }
+func (o *packageOutcome) hasDied() bool { return deathForm.MatchString(o.output.String()) }
 
 // takeEvents reads them to the end; a package's closing line is printed at once, and all it said if it failed.
-func takeEvents(from io.Reader, to io.Writer) ([]*outcome, error) {
-	var order []*outcome
-	held := map[string]*outcome{}
+func takeEvents(from io.Reader, to io.Writer) ([]*packageOutcome, error) {
+	var order []*packageOutcome
+	byPackage := map[string]*packageOutcome{}
 	builds := map[string]string{}
 	events := json.NewDecoder(from)
 	for {
-		var one event
-		if err := events.Decode(&one); err == io.EOF {
+		var testEvent event
+		if err := events.Decode(&testEvent); err == io.EOF {
 			return order, nil
 		} else if err != nil {
 			return order, errors.Annotate(err, "reading what go test says")
 		}
-		if one.Action == "build-output" {
-			builds[one.ImportPath] += one.Output
+		if testEvent.Action == "build-output" {
+			builds[testEvent.ImportPath] += testEvent.Output
 		}
-		if one.Package == "" {
+		if testEvent.Package == "" {
 			continue
 		}
-		all := held[one.Package]
+		all := byPackage[testEvent.Package]
 		if all == nil {
-			all = &outcome{pkg: one.Package}
-			held[one.Package] = all
+			all = &packageOutcome{pkg: testEvent.Package}
+			byPackage[testEvent.Package] = all
 			order = append(order, all)
 		}
-		all.take(one)
+		all.take(testEvent)
 		if all.ended != "" {
 			all.print(to, builds[all.failedBuild])
 		}
 	}
 }
 
-func (o *outcome) take(one event) {
-	o.output.WriteString(one.Output)
+// take takes an event of the package into account.
+func (o *packageOutcome) take(testEvent event) {
+	o.output.WriteString(testEvent.Output)
 	switch {
-	case one.Test != "" && one.Action == "fail":
-		o.failedTests = append(o.failedTests, one.Test)
-	case one.Test == "" && slices.Contains([]string{"pass", "fail", "skip"}, one.Action):
-		o.ended, o.failedBuild = one.Action, one.FailedBuild
+	case testEvent.Test != "" && testEvent.Action == "fail":
+		o.failedTests = append(o.failedTests, testEvent.Test)
+	case testEvent.Test == "" && slices.Contains([]string{"pass", "fail", "skip"}, testEvent.Action):
+		o.ended, o.failedBuild = testEvent.Action, testEvent.FailedBuild
 	}
 }
 
-func (o *outcome) print(to io.Writer, build string) {
+func (o *packageOutcome) print(to io.Writer, build string) {
 	said := strings.TrimSpace(o.output.String())
 	if !o.hasFailed() {
 		said = said[strings.LastIndexByte(said, '\n')+1:]
