--- a/internal/scheduling/placement/filter.go
+++ b/internal/scheduling/placement/filter.go
@@ -80,7 +80,7 @@
 		return ExcludedExecutor
 	case group.AntiAffinity > 0 && search.runs[index] >= group.AntiAffinity:
 		return AntiAffinityReached
-	case group.IsLocalityRequired && !isLocal(executor, group):
+	case group.IsLocalityRequired && !IsLocal(executor.Labels, group.Locality):
 		return NotLocal
 	case !hasAll(executor.Labels, group.Labels):
 		return LabelMissing
@@ -94,7 +94,7 @@
 	return limit != 0 && candidate.added >= max(0, limit)
 }
 
-// isLocal tells whether an executor is near the group's data.
-func isLocal(executor *Executor, group *Group) bool {
-	return slices.ContainsFunc(group.Locality, func(label string) bool { return slices.Contains(executor.Labels, label) })
+// IsLocal tells whether an executor with these labels is near data at a locality: it has any of the locality's labels.
+func IsLocal(labels, locality []string) bool {
+	return slices.ContainsFunc(locality, func(label string) bool { return slices.Contains(labels, label) })
 }
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -65,7 +65,7 @@
 type Placement struct{ Group, Executor int }
 
 // Queue is groups in the order of CompareGroups, the speculative ones after them, and resources that none needs less than.
-// Spares are numbered on from the groups.
+// The speculative groups are numbered on from the others.
 type Queue struct {
 	Groups      []*Group
 	Speculative []*Group
--- a/internal/scheduling/placement/oracle_test.go
+++ b/internal/scheduling/placement/oracle_test.go
@@ -104,7 +104,7 @@
 
 func allowed(executor *Executor, group *denseGroup, runs []int, index int) bool {
 	isExcluded := len(group.barred) > index && group.barred[index]
-	if executor.IsUnschedulable || isExcluded || group.AntiAffinity > 0 && runs[index] >= group.AntiAffinity || group.IsLocalityRequired && !isLocal(executor, group.Group) {
+	if executor.IsUnschedulable || isExcluded || group.AntiAffinity > 0 && runs[index] >= group.AntiAffinity || group.IsLocalityRequired && !IsLocal(executor.Labels, group.Locality) {
 		return false
 	}
 	for _, label := range group.Labels {
--- a/internal/scheduling/placement/score.go
+++ b/internal/scheduling/placement/score.go
@@ -22,7 +22,7 @@
 // fitScore is lower for executors that suit a group better: sound ones first, then near the data, then tightly filled.
 func fitScore(executor *Executor, free Resources, group *Group) float64 {
 	score := executor.Penalty * penaltyWeight
-	if len(group.Locality) > 0 && !isLocal(executor, group) {
+	if len(group.Locality) > 0 && !IsLocal(executor.Labels, group.Locality) {
 		score += remoteScore
 	}
 	remaining := free.Minus(group.Need)
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -18,6 +18,10 @@
 	return wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}
 }
 
+func unknownJobAnswer() wire.ClientAnswer {
+	return wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"}
+}
+
 // Submit accepts a job once it is committed; the same ID again is the same job.
 func (p *Pool) Submit(call *wire.ClientCall, answer answerClient) {
 	accepted := func(err error) {
@@ -45,7 +49,8 @@
 		return
 	}
 	p.metrics.submissions.Inc()
-	job := &jobState{id: call.ID, spec: spec, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+	job := newJobState(call.ID)
+	job.spec = spec
 	job.record = jobRecord{Route: call.Route, AcceptedMs: p.leadership.WallMs(), Spec: call.Body}
 	if call.Terms != nil {
 		job.record.Terms = *call.Terms
@@ -60,21 +65,29 @@
 	p.afterCommit(accepted)
 }
 
-// State answers with the state of a job. Like Count and Cancel it answers only under a lease, which is checked again at
-// the moment of the answer.
+// answerUnderLease answers once all that was decided so far is committed, with what is true at that moment, and only under a
+// lease, which is checked then.
+func (p *Pool) answerUnderLease(answer answerClient, response func() wire.ClientAnswer) {
+	p.afterCommit(func(err error) {
+		if err != nil || p.leadership == nil || !p.leadership.HasLease() {
+			answer(notLeaderAnswer())
+			return
+		}
+		answer(response())
+	})
+}
+
+// State answers with the state of a job.
 func (p *Pool) State(call *wire.ClientCall, answer answerClient) {
 	job := p.jobs[call.ID]
-	p.afterCommit(func(err error) {
+	p.answerUnderLease(answer, func() wire.ClientAnswer {
 		switch {
-		case err != nil || p.leadership == nil || !p.leadership.HasLease():
-			answer(notLeaderAnswer())
 		case job == nil:
-			answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"})
+			return unknownJobAnswer()
 		case job.isUnreadable && job.isOpen():
-			answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's record can't be read by this version"})
-		default:
-			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + string(job.shownState()) + `"}`)})
+			return wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's record can't be read by this version"}
 		}
+		return wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"executor-state":"` + string(job.shownState()) + `"}`)}
 	})
 }
 
@@ -87,13 +100,9 @@
 
 // Count answers with the number of jobs that wait in a queue.
 func (p *Pool) Count(call *wire.ClientCall, answer answerClient) {
-	p.afterCommit(func(err error) {
-		if err != nil || p.leadership == nil || !p.leadership.HasLease() {
-			answer(notLeaderAnswer())
-			return
-		}
+	p.answerUnderLease(answer, func() wire.ClientAnswer {
 		count := strconv.Itoa(max(0, p.queued[call.Route]))
-		answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)})
+		return wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":` + count + `}`)}
 	})
 }
 
@@ -104,14 +113,10 @@
 		p.recorder.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.leadership.WallMs(), ID: call.ID})
 		p.end(job, jobCancelled, "cancelled by its client")
 	}
-	p.afterCommit(func(err error) {
-		switch {
-		case err != nil || p.leadership == nil || !p.leadership.HasLease():
-			answer(notLeaderAnswer())
-		case job == nil:
-			answer(wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"})
-		default:
-			answer(wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)})
+	p.answerUnderLease(answer, func() wire.ClientAnswer {
+		if job == nil {
+			return unknownJobAnswer()
 		}
+		return wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)}
 	})
 }
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -74,21 +74,20 @@
 	if task.checkpoint == checkpoint || task.owner().spec == nil {
 		return
 	}
-	holder := task
-	if task.step.spec.Gang {
-		holder = task.step.tasks[0]
-	}
+	holder := task.sharedState()
 	if holder.checkpoint != checkpoint && task.owner().isOpen() {
 		holder.checkpoint = checkpoint
 		p.putTask(holder)
 	}
 }
 
-func (t *taskState) latestCheckpoint() string {
+// sharedState is the task that keeps what a whole gang shares, its checkpoint and failures: the first of a gang, and of
+// any other step the task itself.
+func (t *taskState) sharedState() *taskState {
 	if t.step.spec.Gang {
-		return t.step.tasks[0].checkpoint
+		return t.step.tasks[0]
 	}
-	return t.checkpoint
+	return t
 }
 
 // countFailure counts a failed run against the attempts of its task, and ends the job when they are used up. A gang
@@ -101,14 +100,13 @@
 		step.notBefore = max(step.notBefore, task.notBefore)
 		return
 	}
-	counter := task
 	if step.spec.Gang {
-		counter = step.tasks[0]
 		if step.failedRun == number {
 			return
 		}
 		step.failedRun = number
 	}
+	counter := task.sharedState()
 	counter.failed++
 	p.putTask(counter)
 	if counter.failed >= max(1, job.record.Terms.MaxAttempts) {
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -72,9 +72,7 @@
 		p.refreshSpeculation(executor)
 	}
 	executor.isUnschedulable, executor.contactAt = isUnschedulable, now
-	if !isUnschedulable && p.leadership.HasLease() {
-		executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
-	}
+	p.extendLease(executor, now)
 }
 
 // updateFacts takes over what an executor says of itself: capacity, labels, failure domain, draining and fence.
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -100,9 +99,7 @@
 // sortedRuns gives the runs in an order that is the same at every replay.
 func (e *executorState) sortedRuns() []*runState {
 	runs := slices.Collect(maps.Values(e.runs))
-	slices.SortFunc(runs, func(a, b *runState) int {
-		return cmp.Or(cmp.Compare(a.task.name, b.task.name), cmp.Compare(a.number, b.number))
-	})
+	slices.SortFunc(runs, compareRuns)
 	return runs
 }
 
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -36,6 +36,11 @@
 	criticalPathMs int64
 }
 
+// newJobState makes a queued job of which nothing has been released yet.
+func newJobState(id string) *jobState {
+	return &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+}
+
 func (j *jobState) isOpen() bool { return j.phase == jobQueued || j.phase == jobActive }
 
 func (j *jobState) occurrenceCount() int { return max(1, j.spec.RepeatCount) }
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -70,7 +70,7 @@
 
 // loadJob reads the stored record of a submitted job. A record that can't be read is set aside, not dropped.
 func (p *Pool) loadJob(id string, value []byte) error {
-	job := &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+	job := newJobState(id)
 	p.jobs[id], p.awaitingRelease[id] = job, job
 	if err := easyjson.Unmarshal(value, &job.record); err != nil {
 		p.setAside(job)
@@ -98,7 +98,7 @@
 func (p *Pool) loadState(id string, value []byte) error {
 	job, isKnown := p.jobs[id]
 	if !isKnown {
-		job = &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
+		job = newJobState(id)
 		p.jobs[id] = job
 	}
 	var record stateRecord
--- a/internal/scheduling/scheduler/locality.go
+++ b/internal/scheduling/scheduler/locality.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gannetline/internal/platform/clock"
+	"gannetline/internal/scheduling/placement"
 )
 
 // maxLocalityWait bounds the wait for capacity near a step's data.
@@ -22,6 +23,6 @@
 // hasLocalExecutor tells whether any executor in the table is near the step's data.
 func (p *Pool) hasLocalExecutor(step *stepState) bool {
 	return slices.ContainsFunc(p.table.sorted, func(executor *executorState) bool {
-		return slices.ContainsFunc(step.spec.Affinity, func(label string) bool { return slices.Contains(executor.labels, label) })
+		return placement.IsLocal(executor.labels, step.spec.Affinity)
 	})
 }
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -10,9 +10,8 @@
 func (p *Pool) answerFor(executor *executorState) wire.ExchangeAnswer {
 	now := p.clock.Monotonic()
 	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: executor.lastSeen, WantedList: executor.listWanted, HeldNumber: executor.exchange.number}
-	if !executor.isUnschedulable && p.leadership.HasLease() {
+	if p.extendLease(executor, now) {
 		answer.GrantMs = p.timing.Grant.Milliseconds()
-		executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
 	}
 	answer.Orders = executor.orphanStops
 	executor.orphanStops = nil
@@ -37,7 +36,7 @@
 func (p *Pool) order(run *runState) wire.Order {
 	order := wire.Order{Kind: wire.OrderStop, Task: run.task.name, Run: run.number}
 	if run.phase == runLaunching {
-		order.Kind, order.Descriptor, order.Checkpoint = wire.OrderLaunch, run.task.owner().spec.Descriptor, run.task.latestCheckpoint()
+		order.Kind, order.Descriptor, order.Checkpoint = wire.OrderLaunch, run.task.owner().spec.Descriptor, run.task.sharedState().checkpoint
 	}
 	return order
 }
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -190,6 +190,16 @@
 	leaseMargin       = 250 * time.Millisecond
 )
 
+// extendLease counts on a grant to the executor from now on; it is false if there is none, as for one that its proxy doesn't
+// reach.
+func (p *Pool) extendLease(executor *executorState, now time.Duration) bool {
+	if executor.isUnschedulable || !p.leadership.HasLease() {
+		return false
+	}
+	executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
+	return true
+}
+
 // leaseWithMargin is how long after a grant the lease of an executor may still last, with its clock up to 2% slow.
 func (p *Pool) leaseWithMargin(grant time.Duration) time.Duration {
 	return grant + grant/leaseDriftDivisor + leaseMargin
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -49,7 +49,7 @@
 func (p *Pool) dependsOnExecutors(step *stepState) bool {
 	ready := step.requests.first.tasks
 	return p.clock.Monotonic() < p.localityWaitUntil(step) || step.spec.AntiAffinity > 0 || len(step.requests.speculative) > 0 || len(ready) > 0 && ready[0].avoid != "" ||
-		p.rules.HasUse(step.occurrence.job.record.Route)
+		p.rules.HasUse(step.queue())
 }
 
 // refresh works out anew what a step asks for, and until when that holds.
@@ -66,7 +66,7 @@
 	if len(ready)+len(candidates) > 0 {
 		next = min(next, p.nextDeadlineChange(step, now))
 	}
-	if frees := step.openedAt + ruleHoldTime + 1; now < frees && p.rules.HasUse(step.occurrence.job.record.Route) {
+	if frees := step.openedAt + ruleHoldTime + 1; now < frees && p.rules.HasUse(step.queue()) {
 		next = min(next, frees)
 	}
 	if until := p.localityWaitUntil(step); now < until {
@@ -147,7 +147,7 @@
 }
 
 func (p *Pool) orderKey(step *stepState, tasks int) int64 {
-	return p.rules.Order(step.occurrence.job.record.Route, queuerules.Step{Due: int(step.occurrence.targetMs), Tasks: tasks,
+	return p.rules.Order(step.queue(), queuerules.Step{Due: int(step.occurrence.targetMs), Tasks: tasks,
 		CPU: int(step.spec.CPU), Memory: int(step.spec.Memory), Estimate: int(step.spec.EstimatedMs)})
 }
 
@@ -165,7 +165,7 @@
 // excludedByRule keeps a queue to the executors of its rule for a moment; a task that waits longer may go anywhere,
 // so that no rule of a queue leaves work undone while there is capacity.
 func (p *Pool) excludedByRule(step *stepState) []bool {
-	queue := step.occurrence.job.record.Route
+	queue := step.queue()
 	if !p.rules.HasUse(queue) || p.clock.Monotonic()-step.openedAt > ruleHoldTime {
 		return nil
 	}
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -81,7 +81,7 @@
 
 // spreadOf returns the spread of durations of a step's queue.
 func (p *Pool) spreadOf(step *stepState) *durationSpread {
-	queue := step.occurrence.job.record.Route
+	queue := step.queue()
 	spread := p.spreads[queue]
 	if spread == nil {
 		spread = &durationSpread{ninthDecile: evenSpread}
--- a/internal/scheduling/scheduler/step.go
+++ b/internal/scheduling/scheduler/step.go
@@ -30,6 +30,9 @@
 	requests        stepRequests
 }
 
+// queue is the queue that the step's job was submitted to.
+func (s *stepState) queue() string { return s.occurrence.job.record.Route }
+
 func (s *stepState) priority() int { return s.occurrence.job.record.Terms.Priority }
 
 func (s *stepState) need() placement.Resources {
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"cmp"
 	"time"
 )
 
@@ -51,6 +52,11 @@
 
 func (r *runState) key() runKey { return runKey{r.task.name, r.number} }
 
+// compareRuns orders runs by the names of their tasks, and those of one task by their numbers.
+func compareRuns(a, b *runState) int {
+	return cmp.Or(cmp.Compare(a.task.name, b.task.name), cmp.Compare(a.number, b.number))
+}
+
 type runKey struct {
 	task   string
 	number int64
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -14,7 +14,7 @@
 	stopReportTime = 300 * time.Millisecond
 )
 
-// Tick does all that falls due; Settle follows it.
+// Tick does all that falls due; Flush follows it.
 func (p *Pool) Tick() {
 	if p.leadership == nil {
 		return
@@ -40,7 +40,7 @@
 // tickPending attends to the runs that an order is under way for, in an order that is the same at every replay.
 func (p *Pool) tickPending(now time.Duration) {
 	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(a, b *runState) int {
-		return cmp.Or(cmp.Compare(a.executor.id, b.executor.id), cmp.Compare(a.task.name, b.task.name), cmp.Compare(a.number, b.number))
+		return cmp.Or(cmp.Compare(a.executor.id, b.executor.id), compareRuns(a, b))
 	})
 	for _, run := range runs {
 		if p.pendingRuns[run] {
