--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -47,10 +47,9 @@
 
 // executorIncarnation is the process that runs on the machine now; each restart is a new incarnation with another ID.
 type executorIncarnation struct {
-	id          string
-	incarnation int
-	isUp        bool
-	isDraining  bool
+	lifecycle
+	id         string
+	isDraining bool
 	// isLeaving is set once this incarnation has deregistered without a drain.
 	isLeaving bool
 	// isSilent is set once the executor has deregistered; it sends no heartbeats any more.
@@ -64,11 +63,9 @@
 
 // executorFaults are the faults that the machine has now.
 type executorFaults struct {
-	isFrozen, isLate, isMute, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
+	isLate, isMute, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
 	// troubledFrom and troubledUntil are the last span in which anything was wrong with this machine.
 	troubledFrom, troubledUntil time.Duration
-	// waiting is what a frozen process does once it goes on.
-	waiting []func()
 }
 
 // executorLease is until when runs may go on, by the executor's own clock, and for which leader's fence.
@@ -110,26 +107,14 @@
 	e.cluster.oracles.crashed(e)
 }
 
-// later runs something in this life of the executor; a frozen one does it once it wakes.
+// later runs something in this incarnation of the executor; a frozen one does it once it wakes.
 func (e *modelExecutor) later(wait time.Duration, run func()) {
 	incarnation := e.incarnation
 	e.cluster.queue.after(wait, func() { e.enter(incarnation, run) })
 }
 
-func (e *modelExecutor) enter(incarnation int, run func()) {
-	switch {
-	case !e.isUp || e.incarnation != incarnation:
-	case e.isFrozen:
-		e.waiting = append(e.waiting, func() { e.enter(incarnation, run) })
-	default:
-		run()
-	}
-}
-
 func (e *modelExecutor) wake() {
-	waiting := e.waiting
-	e.isFrozen, e.waiting = false, nil
-	for _, run := range waiting {
+	for _, run := range e.thaw() {
 		e.cluster.queue.after(0, run)
 	}
 }
@@ -160,7 +145,7 @@
 	e.later(heartbeatInterval, e.sendHeartbeat)
 }
 
-// drain announces the end of this life, ends it some time after, and begins another.
+// drain announces the end of this incarnation, ends it some time after, and begins another.
 func (e *modelExecutor) drain() {
 	if !e.isUp || e.isDraining {
 		return
@@ -191,7 +176,7 @@
 	proxy.enter(proxy.incarnation, func() { proxy.table.Deregister(id) })
 }
 
-// replace ends this life, and begins another after a while.
+// replace ends this incarnation, and begins another after a while.
 func (e *modelExecutor) replace() {
 	e.crash()
 	e.cluster.queue.after(e.cluster.queue.between(200*time.Millisecond, 2*time.Second), func() {
--- a/internal/simulation/modelcheck/ordermodel/network.go
+++ b/internal/simulation/modelcheck/ordermodel/network.go
@@ -10,21 +10,45 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-// modelProcess is one that may be killed, frozen and cut off; what arrives while it is frozen runs once it wakes.
-type modelProcess struct {
-	cluster     *simCluster
-	name        string
+// lifecycle is whether a process is up or frozen, and which incarnation of it that is.
+type lifecycle struct {
 	isUp        bool
 	isFrozen    bool
 	incarnation int
+	// waiting is what a frozen process does once it wakes.
+	waiting []func()
+}
+
+// enter runs something inside the process, if the same incarnation of it is still there; a frozen one does it once it wakes.
+func (l *lifecycle) enter(incarnation int, run func()) {
+	switch {
+	case !l.isUp || l.incarnation != incarnation:
+	case l.isFrozen:
+		l.waiting = append(l.waiting, func() { l.enter(incarnation, run) })
+	default:
+		run()
+	}
+}
+
+// thaw ends a freeze and returns what waited for that.
+func (l *lifecycle) thaw() []func() {
+	waiting := l.waiting
+	l.isFrozen, l.waiting = false, nil
+	return waiting
+}
+
+// modelProcess is one that may be killed, frozen and cut off; what arrives while it is frozen runs once it wakes.
+type modelProcess struct {
+	cluster *simCluster
+	name    string
+	lifecycle
 	// isOnce is set where a call is never doubled: nothing sends a client's call a second time but the client.
 	isOnce bool
 	// isDeaf and isMute are the two directions of a cut.
 	isDeaf bool
 	isMute bool
 	// group is the side of a partition; only processes of one group reach each other.
-	group   int
-	waiting []func()
+	group int
 	// leaderHint is the steward that this process last heard of as the key's leader; patience is what gives calls to
 	// another one up once it hears of a new leader.
 	leaderHint int
@@ -63,25 +87,13 @@
 }
 
 func (p *modelProcess) wake() {
-	waiting := p.waiting
-	p.isFrozen, p.waiting = false, nil
-	p.cluster.queue.random.Shuffle(len(waiting), func(one, two int) { waiting[one], waiting[two] = waiting[two], waiting[one] })
+	waiting := p.thaw()
+	p.cluster.queue.random.Shuffle(len(waiting), func(a, b int) { waiting[a], waiting[b] = waiting[b], waiting[a] })
 	for _, run := range waiting {
 		p.cluster.queue.after(0, run)
 	}
 }
 
-// enter runs something inside the process, if the same incarnation of it is still there.
-func (p *modelProcess) enter(incarnation int, run func()) {
-	switch {
-	case !p.isUp || p.incarnation != incarnation:
-	case p.isFrozen:
-		p.waiting = append(p.waiting, func() { p.enter(incarnation, run) })
-	default:
-		run()
-	}
-}
-
 // later runs something inside the process after a while.
 func (p *modelProcess) later(wait time.Duration, run func()) {
 	incarnation := p.incarnation
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -71,7 +71,7 @@
 		forgotten: map[string]bool{}}
 	w.timing = w.fault.timing(profile.timing)
 	w.oracles = newOracles(w)
-	w.outside = &modelProcess{cluster: w, name: "outside", isUp: true, isOnce: true}
+	w.outside = &modelProcess{cluster: w, name: "outside", lifecycle: lifecycle{isUp: true}, isOnce: true}
 	w.key = &replicatedKey{cluster: w, pairs: map[string][]byte{}}
 	w.views = make([]*membership.View, schedule.Nodes)
 	for number := range schedule.Nodes {
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -37,7 +37,7 @@
 	leaderKnown *Node
 }
 
-// Option changes how a stage is set up.
+// Option changes how a cluster is set up.
 type Option func(*Cluster)
 
 // WithTiming replaces DefaultTiming.
@@ -46,7 +46,7 @@
 // WithWork decides how long each run takes and how it ends.
 func WithWork(work Work) Option { return func(s *Cluster) { s.Work = work } }
 
-// Site is one executor as it should stand on the stage.
+// Site is one executor as it should be in the cluster.
 type Site struct {
 	Machine  string
 	Capacity wire.Capacity
