--- a/internal/cluster/peerapi/wire/golden_test.go
+++ b/internal/cluster/peerapi/wire/golden_test.go
@@ -1,8 +1,6 @@
 package wire_test
 
 import (
-	"path/filepath"
-
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
@@ -61,7 +59,7 @@
 var _ = Describe("the form of messages between peers", func() {
 	for name, message := range goldenMessages {
 		It("is kept for "+name, func() {
-			Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), message)).To(Succeed())
+			Expect(golden.CheckMessage(name, message)).To(Succeed())
 		})
 	}
 })
--- a/internal/node/executorapi/golden_test.go
+++ b/internal/node/executorapi/golden_test.go
@@ -1,8 +1,6 @@
 package executorapi_test
 
 import (
-	"path/filepath"
-
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
@@ -12,7 +10,7 @@
 
 var _ = DescribeTable("the form of calls to and from executors is kept",
 	func(name string, empty golden.Message) {
-		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
+		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
 	Entry("beat", "beat", &executorapi.Heartbeat{}),
 	Entry("run-start", "run-start", &executorapi.RunStart{}),
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -165,74 +165,74 @@
 
 // check returns all that is wrong with the settings, a line a field.
 func (s *Settings) check() error {
-	found := &fieldProblems{}
-	s.checkNode(found)
-	s.checkAddresses(found)
-	s.checkRanges(found)
+	problems := &fieldProblems{}
+	s.checkNode(problems)
+	s.checkAddresses(problems)
+	s.checkRanges(problems)
 	if _, err := queuerules.Compile(s.QueueRules); err != nil {
-		found.add("queue-rules", err.Error())
+		problems.add("queue-rules", err.Error())
 	}
 	if s.OrderList != "invocation" && s.OrderList != "heartbeat" {
-		found.add("order-list", "is neither invocation nor heartbeat")
+		problems.add("order-list", "is neither invocation nor heartbeat")
 	}
-	return found.all
+	return problems.err
 }
 
 // fieldProblems gathers what is wrong, each with the name of its field.
-type fieldProblems struct{ all error }
+type fieldProblems struct{ err error }
 
 func (p *fieldProblems) add(field, why string) {
-	p.all = multierr.Append(p.all, errors.Errorf("field %q %s", field, why))
+	p.err = multierr.Append(p.err, errors.Errorf("field %q %s", field, why))
 }
 
 // checkNode checks the fields that tell what and where this machine is.
-func (s *Settings) checkNode(found *fieldProblems) {
+func (s *Settings) checkNode(problems *fieldProblems) {
 	if s.NodeName == "" {
-		found.add("node-name", "is missing")
+		problems.add("node-name", "is missing")
 	}
 	if net.ParseIP(s.IPAddress) == nil {
-		found.add("ip-address", "is not an IP number")
+		problems.add("ip-address", "is not an IP number")
 	}
 	if s.Domain == "" {
-		found.add("zone", "is missing")
+		problems.add("zone", "is missing")
 	}
 	if len(s.InternalPorts) != 2 || s.InternalPorts[0] < 1 || s.InternalPorts[1] > maxPort || s.InternalPorts[0] > s.InternalPorts[1] {
-		found.add("internal-port-range", "must be two rising port numbers")
+		problems.add("internal-port-range", "must be two rising port numbers")
 	}
 }
 
 // checkAddresses checks the seeds and the addresses that may be left empty.
-func (s *Settings) checkAddresses(found *fieldProblems) {
+func (s *Settings) checkAddresses(problems *fieldProblems) {
 	if len(s.Seeds) == 0 {
-		found.add("seed-nodes", "is empty")
+		problems.add("seed-nodes", "is empty")
 	}
 	for _, seed := range s.Seeds {
 		if !isAddress(seed) {
-			found.add("seed-nodes", "holds "+seed+", which is not ip:port")
+			problems.add("seed-nodes", "holds "+seed+", which is not ip:port")
 		}
 	}
 	for field, address := range map[string]string{"listen-addresses.front-plain": s.Listen.Front,
 		"listen-addresses.readiness": s.Listen.Readiness, "listen-addresses.control-plane": s.Listen.Control, "app": s.App} {
 		if address != "" && !isAddress(address) {
-			found.add(field, "is not ip:port")
+			problems.add(field, "is not ip:port")
 		}
 	}
 }
 
 // checkRanges checks the fields that are numbers.
-func (s *Settings) checkRanges(found *fieldProblems) {
+func (s *Settings) checkRanges(problems *fieldProblems) {
 	for field, value := range map[string]int64{"max-hold-ms": s.Bounds.MaxHoldMs, "contact-window-ms": s.Bounds.ContactWindowMs,
 		"stop-timeout-ms": s.Bounds.StopTimeoutMs, "gang-wait-ms": s.Bounds.GangWaitMs, "early_ms": s.Bounds.EarlyMs,
 		"drain-timeout-ms": s.Bounds.DrainTimeoutMs, "heartbeat-interval-ms": s.HeartbeatMs, "limits.memory-mb": s.Limits.MemoryMB} {
 		if value < 0 {
-			found.add(field, "is negative")
+			problems.add(field, "is negative")
 		}
 	}
 	if !(s.MetricsLogS == 0 || s.MetricsLogS >= minMetricsLogS && s.MetricsLogS <= maxMetricsLogS) {
-		found.add("metrics-log-s", "is neither 0 nor from 1 to 86400 seconds")
+		problems.add("metrics-log-s", "is neither 0 nor from 1 to 86400 seconds")
 	}
 	if s.Bounds.RemoteFactor < 1 {
-		found.add("remote-factor", "is below 1")
+		problems.add("remote-factor", "is below 1")
 	}
 }
 
--- a/internal/scheduling/scheduler/golden_test.go
+++ b/internal/scheduling/scheduler/golden_test.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"path/filepath"
-
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
@@ -11,7 +9,7 @@
 
 var _ = DescribeTable("the form of a pool's records is kept",
 	func(name string, empty golden.Message) {
-		Expect(golden.CheckMessage(filepath.Join("testdata", "messages", name+".json"), empty)).To(Succeed())
+		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
 	Entry("job-record", "job-record", &jobRecord{}),
 	Entry("state-record", "state-record", &stateRecord{}),
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -18,6 +18,9 @@
 // UpdateVariable is the environment variable with which golden files are written in place of being compared.
 const UpdateVariable = "GANNETLINE_UPDATE_GOLDEN"
 
+// messageFolder holds the golden files of messages in the folder of each package.
+const messageFolder = "testdata/messages"
+
 // Message is a pointer to a value with generated JSON code.
 type Message interface {
 	easyjson.Marshaler
@@ -35,9 +38,11 @@
 	return fmt.Sprintf("%s holds\n%s\nbut the sources make\n%s", e.Path, e.Want, e.Got)
 }
 
-// CheckMessage fills every field of an empty message, and compares its encoding with the golden file; then it decodes
+// CheckMessage fills every field of an empty message, and compares its encoding with the golden file of that name in the
+// package's messageFolder; then it decodes
 // the golden file and compares the encoding of that. The error is a *MismatchError, or says what can't be read.
-func CheckMessage(path string, empty Message) error {
+func CheckMessage(name string, empty Message) error {
+	path := filepath.Join(messageFolder, name+".json")
 	kind := reflect.TypeOf(empty).Elem()
 	filled := reflect.New(kind)
 	fill(filled.Elem(), &sequence{})
