--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -37,10 +37,12 @@
 	shareAccounts shareAccounts
 	// longWorkRemaining is what long work of a priority could still take at the last placement.
 	longWorkRemaining map[int]placement.Resources
+	// underusedSince is when less came into use than first runs may fill up; it is never while more is.
+	underusedSince time.Duration
 }
 
 func newCapacityUse() capacityUse {
-	return capacityUse{allocations: map[int]allocation{}, recentDemands: map[int]*recentDemand{}, shareAccounts: shareAccounts{}}
+	return capacityUse{allocations: map[int]allocation{}, recentDemands: map[int]*recentDemand{}, shareAccounts: shareAccounts{}, underusedSince: never}
 }
 
 // recentDemand is the most that a priority asked for lately, of what there is; it fades.
@@ -57,44 +59,75 @@
 	k.cpu, k.memory, k.at = max(cpu, k.cpu*fade), max(memory, k.memory*fade), now
 }
 
+// hasFaded tells whether less than a unit of each resource is left.
+func (k *recentDemand) hasFaded() bool { return k.cpu < 1 && k.memory < 1 }
+
 type demand struct{ wanted, allocated placement.Resources }
 
-// limits are the soft limits of a placement now. The share is that of all known executors, but of what runs take only
-// that on those in order counts: on a lost or leaving one it may be over already, and its capacity then stands empty.
+// limits are the soft limits of a placement now.
 func (p *Pool) limits(now time.Duration) placement.Limits {
-	firstRuns := int64(p.timing.ReservedCapacity.FirstRunShare*float64(p.table.totalCapacity.CPU)) - p.table.usedCPU
 	p.longWorkRemaining = p.remainingByPriority(p.table.openCapacity, now)
-	return placement.Limits{Remaining: maps.Clone(p.longWorkRemaining), FirstRunCPU: firstRuns, Shares: p.shares(now)}
+	return placement.Limits{Remaining: maps.Clone(p.longWorkRemaining), FirstRunCPU: p.firstRunCPU(now), Shares: p.shares(now)}
+}
+
+// firstRunCPU is how much CPU first runs may take past soft limits: up to their share of all known executors, once less than that has
+// been in use for a while. In a short lull of urgent work the first runs of a backlog would fill the fleet for as long as they last.
+// Of what runs take only that on executors in order counts: on a lost or leaving one it may be over already, and its capacity then
+// stands empty.
+func (p *Pool) firstRunCPU(now time.Duration) int64 {
+	unused := int64(p.timing.ReservedCapacity.FirstRunShare*float64(p.table.totalCapacity.CPU)) - p.table.usedCPU
+	if unused <= 0 {
+		p.underusedSince = never
+		return 0
+	}
+	p.underusedSince = min(p.underusedSince, now)
+	if now-p.underusedSince < maxIdleWait {
+		return 0
+	}
+	return unused
 }
 
-// remainingByPriority gives each priority what it may still take, so that urgent jobs find capacity when they come.
+// remainingByPriority gives each priority what it may still take, so that urgent jobs find capacity when they come: also in a moment
+// in which none of them runs or waits.
 func (p *Pool) remainingByPriority(total placement.Resources, now time.Duration) map[int]placement.Resources {
 	demands := p.demands()
+	p.updateRecentDemands(demands, total, now)
 	remaining := map[int]placement.Resources{}
-	priorities := slices.Sorted(maps.Keys(demands))
 	var used placement.Resources
 	for _, demand := range demands {
 		used = used.Plus(demand.allocated)
 	}
 	var kept, above placement.Resources
-	for index, priority := range priorities {
-		demand := demands[priority]
-		if p.recentDemands[priority] == nil {
-			p.recentDemands[priority] = &recentDemand{}
-		}
-		wanted := demand.wanted.Min(total)
-		p.recentDemands[priority].raise(float64(wanted.CPU), float64(wanted.Memory), now, p.timing.ReservedCapacity.DemandHalfLife)
+	for index, priority := range slices.Sorted(maps.Keys(p.recentDemands)) {
+		allocated := demands[priority].allocated
 		if index > 0 {
 			free := total.Minus(used).Minus(kept)
 			minimum := total.Times(p.alwaysAllowed(priority)).Minus(used.Minus(above))
 			remaining[priority] = free.Max(minimum)
 		}
-		kept = kept.Plus(p.recentDemands[priority].unused(demand.allocated, total.Times(p.timing.ReservedCapacity.MaxReserved)))
-		above = above.Plus(demand.allocated)
+		kept = kept.Plus(p.recentDemands[priority].unused(allocated, total.Times(p.timing.ReservedCapacity.MaxReserved)))
+		above = above.Plus(allocated)
 	}
 	return remaining
 }
 
+// updateRecentDemands takes the demands of now, of no more than there is, and lets the others fade until nothing is left of them.
+func (p *Pool) updateRecentDemands(demands map[int]demand, total placement.Resources, now time.Duration) {
+	for priority := range demands {
+		if p.recentDemands[priority] == nil {
+			p.recentDemands[priority] = &recentDemand{}
+		}
+	}
+	for priority, recent := range p.recentDemands {
+		demand, exists := demands[priority]
+		wanted := demand.wanted.Min(total)
+		recent.raise(float64(wanted.CPU), float64(wanted.Memory), now, p.timing.ReservedCapacity.DemandHalfLife)
+		if !exists && recent.hasFaded() {
+			delete(p.recentDemands, priority)
+		}
+	}
+}
+
 // alwaysAllowed is the part of the capacity that long work of a priority and all below it may take whatever is reserved. While a more
 // urgent priority is overloaded it is no more than the share of one priority.
 func (p *Pool) alwaysAllowed(priority int) float64 {
