--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -17,6 +17,7 @@
 	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/cluster/peerapi/wire"
 	"gannetline/internal/platform/clock"
+	"gannetline/internal/platform/gcpacing"
 	"gannetline/internal/platform/httpserver"
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/metrics"
@@ -94,7 +95,7 @@
 }
 
 func tameMemory(nodeSettings *settings.Settings) {
-	debug.SetGCPercent(50)
+	debug.SetGCPercent(gcpacing.QuietPercent)
 	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -15,6 +15,7 @@
 	"gannetline/internal/cluster/peerapi"
 	"gannetline/internal/control/controlapi"
 	"gannetline/internal/control/controlkeys"
+	"gannetline/internal/platform/gcpacing"
 	"gannetline/internal/platform/mailbox"
 	"gannetline/internal/platform/queuerules"
 	"gannetline/internal/scheduling/recording"
@@ -68,6 +69,7 @@
 			return nil
 		})
 	}
+	b.tree.Add("garbage-collector", func(ctx context.Context) error { return gcpacing.Run(ctx, b.clock) })
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("keys", manager.Run)
 	b.tree.Add("control-calls", b.serving(control, outer, operatorLeave))
