--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -42,7 +42,6 @@
 			rehearseCommand(),
 			metricsCommand(),
 			hollowCommand(),
-			measuredCommand(),
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() > 0 {
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -53,11 +53,6 @@
 // WithMeter counts what the role sends and receives.
 func WithMeter(meter *transportmetrics.Meter) Option { return func(b *base) { b.meter = meter } }
 
-// WithPage serves one more page at the internal address.
-func WithPage(path string, snapshot http.Handler) Option {
-	return func(b *base) { b.inner.Handle(path, snapshot) }
-}
-
 // newBase loads the settings, checks that they suit the role, and assembles what all roles have.
 func newBase(path, role string, options ...Option) (*base, error) {
 	hangups := noticeHangups()
--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -38,7 +38,7 @@
 	reasonNoCapacity = "room"
 )
 
-// Load is what a task of the scale run asks for; it travels as the task's descriptor. CPU is in
+// Load is what a task asks a stand-in executor for; it travels as the task's descriptor. CPU is in
 // thousandths of a core.
 type Load struct {
 	Length   time.Duration
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -173,7 +173,7 @@
 		Expect(answers).To(HaveLen(2))
 	})
 
-	It("refuses a descriptor that is not of the scale run", func() {
+	It("refuses a descriptor that is not a load", func() {
 		order := w.order("a.0.0.0", 1, 1)
 		order.Descriptor = "something else"
 		status, _ := w.executor.Start(order)
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -30,8 +30,6 @@
 	PathCounts = "/hollow/counts"
 	// PathFigures answers with what the process has sent and received and what it costs.
 	PathFigures = "/hollow/figures"
-	// PathProfile gives the processor profile of the next so many seconds.
-	PathProfile = "/hollow/profile"
 
 	mailboxSize = 256
 	// longestCall is in bytes.
@@ -229,7 +227,7 @@
 	server.Serve(listener)
 }
 
-// reports serves the pages that scale-run reads.
+// reports serves the pages that tell what the workers did.
 func reports(nodes []*node, meter *transportmetrics.Meter) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(PathRecords, func(to http.ResponseWriter, request *http.Request) {
@@ -259,7 +257,7 @@
 	}
 }
 
-// WriteJSON answers with a value of the scale run's own pages.
+// WriteJSON answers with a value as JSON.
 func WriteJSON(to http.ResponseWriter, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
