--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -17,7 +17,7 @@
 
 // poolPause is the least time between two commits of a busy pool. Reports that come meanwhile share a placement, a change, a sync and
 // a call to each follower; each start waits for it about twice, which is little against the shortest tasks.
-const poolPause = 4 * time.Millisecond
+const poolPause = 8 * time.Millisecond
 
 // keyRunner is one key: its engine with its goroutine, and the state machine that lives on the key, either a pool or the
 // configuration. The configuration lives on the engine's goroutine, a pool on one of its own.
