--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -18,18 +18,18 @@
 		otherBody = `{"task-descriptor":"other","step-list":[{"task-count":3,"cpu-units":1000}]}`
 	)
 	var fakeClock *clock.Fake
-	var tenure *scripted
+	var leadership *scriptedLeadership
 	var pool *scheduler.Pool
 	open := func(epoch uint64) {
-		tenure.epoch = epoch
+		leadership.epoch = epoch
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
-		pool.Open(tenure, tenure.pairs())
+		pool.Open(leadership, leadership.pairs())
 	}
 	// ask sends a client's call and settles its commit.
 	ask := func(verb wire.Verb, text string) wire.ClientAnswer {
-		var told wire.ClientAnswer
+		var reported wire.ClientAnswer
 		call := &wire.ClientCall{Verb: verb, Route: "e", ID: id, Body: []byte(text), Terms: &wire.RouteTerms{MaxAttempts: 2}}
-		answer := func(one wire.ClientAnswer) { told = one }
+		answer := func(one wire.ClientAnswer) { reported = one }
 		switch verb {
 		case "hand-in":
 			pool.Submit(call, answer)
@@ -39,25 +39,25 @@
 			pool.State(call, answer)
 		}
 		pool.Flush()
-		tenure.settle(nil)
-		return told
+		leadership.settle(nil)
+		return reported
 	}
 	state := func() string { return string(ask("state", "").Body) }
 	exchange := func(change func(*wire.ExchangeCall)) wire.ExchangeAnswer {
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Proxy: "side-1", Capacity: wire.Capacity{CPU: 4000, Memory: 4000},
-			Labels: []string{"a", "r1"}, Fence: tenure.epoch, ListNumber: 1 << 40}
+			Labels: []string{"a", "r1"}, Fence: leadership.epoch, ListNumber: 1 << 40}
 		change(call)
-		var told wire.ExchangeAnswer
-		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = answer })
+		var reported wire.ExchangeAnswer
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { reported = answer })
 		pool.Flush()
-		tenure.settle(nil)
-		return told
+		leadership.settle(nil)
+		return reported
 	}
 	nothing := func(*wire.ExchangeCall) {}
 	start := func() {
 		exchange(nothing)
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(nothing).Orders).To(HaveLen(1))
 		exchange(func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
@@ -70,7 +70,7 @@
 	}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(1_000_000)
-		tenure = &scripted{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
 		open(3)
 		Expect(ask("hand-in", body).Status).To(Equal(http.StatusOK))
 	})
@@ -113,8 +113,8 @@
 		pool.Flush()
 		pool.Cancel(other, func(answer wire.ClientAnswer) { cancelled = answer.Status })
 		pool.Flush()
-		tenure.settle(nil)
-		tenure.settle(nil)
+		leadership.settle(nil)
+		leadership.settle(nil)
 		Expect(handedIn).To(Equal(http.StatusOK))
 		Expect(cancelled).To(Equal(http.StatusOK))
 	})
@@ -129,7 +129,7 @@
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
 		exchange(nothing)
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(nothing).Orders).To(BeEmpty())
 	})
 })
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -14,19 +14,19 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// prompt is a leadership whose commits succeed at once; it counts what they would write.
-type prompt struct {
+// instantLeadership is a leadership whose commits succeed at once; it counts what they would write.
+type instantLeadership struct {
 	clock *clock.Fake
 	ops   int
 	bytes int
 	kept  map[string][]byte
 }
 
-func (t *prompt) Epoch() uint64  { return 1 }
-func (t *prompt) HasLease() bool { return true }
-func (t *prompt) WallMs() int64  { return t.clock.WallMs() }
+func (t *instantLeadership) Epoch() uint64  { return 1 }
+func (t *instantLeadership) HasLease() bool { return true }
+func (t *instantLeadership) WallMs() int64  { return t.clock.WallMs() }
 
-func (t *prompt) Commit(ops []wire.Op, done func(error)) {
+func (t *instantLeadership) Commit(ops []wire.Op, done func(error)) {
 	t.ops += len(ops)
 	for _, op := range ops {
 		t.bytes += len(op.Name) + len(op.Value)
@@ -37,7 +37,7 @@
 	done(nil)
 }
 
-func (t *prompt) keep(ops []wire.Op) {
+func (t *instantLeadership) keep(ops []wire.Op) {
 	for _, op := range ops {
 		t.kept[op.Name] = op.Value
 		if len(op.Value) == 0 {
@@ -48,41 +48,43 @@
 
 const slotsEach = 15
 
-type hand struct {
-	life    string
-	labels  []string
-	ends    int64
-	look    uint64
-	running []wire.Order
-	answers []wire.OrderAnswer
+type benchExecutor struct {
+	id         string
+	labels     []string
+	ends       int64
+	listNumber uint64
+	running    []wire.Order
+	answers    []wire.OrderAnswer
 }
 
-// crowd is a pool with full executors and a backlog of open steps.
-type crowd struct {
-	clock  *clock.Fake
-	tenure *prompt
-	pool   *scheduler.Pool
-	hands  []*hand
-	jobs   int
-	starts int
+// fullPool is a pool with full executors and a backlog of open steps.
+type fullPool struct {
+	clock      *clock.Fake
+	leadership *instantLeadership
+	pool       *scheduler.Pool
+	executors  []*benchExecutor
+	jobs       int
+	starts     int
 }
 
-func newCrowd(executors, backlog int) *crowd { return newCrowdKept(executors, backlog, nil) }
+func newFullPool(executorCount, backlog int) *fullPool {
+	return newFullPoolKept(executorCount, backlog, nil)
+}
 
-func newCrowdKept(executors, backlog int, kept map[string][]byte) *crowd {
+func newFullPoolKept(executorCount, backlog int, kept map[string][]byte) *fullPool {
 	clock := clock.NewFake(1_000_000)
-	c := &crowd{clock: clock, tenure: &prompt{clock: clock, kept: kept}}
+	c := &fullPool{clock: clock, leadership: &instantLeadership{clock: clock, kept: kept}}
 	timing := timing
 	timing.ReservedCapacity = scheduler.DefaultReservedCapacity
 	c.pool = scheduler.New("pool/s", clock, timing, logging.Silent())
-	c.pool.Open(c.tenure, nil)
-	for number := range executors {
-		c.hands = append(c.hands, &hand{life: fmt.Sprintf("i-%04d", number), look: 1 << 40, labels: []string{"a", "r" + strconv.Itoa(number/7)}})
+	c.pool.Open(c.leadership, nil)
+	for number := range executorCount {
+		c.executors = append(c.executors, &benchExecutor{id: fmt.Sprintf("i-%04d", number), listNumber: 1 << 40, labels: []string{"a", "r" + strconv.Itoa(number/7)}})
 	}
 	for range 2 {
 		c.beatAll()
 	}
-	for range executors*slotsEach/22 + 1 {
+	for range executorCount*slotsEach/22 + 1 {
 		c.handIn(0)
 	}
 	c.beatAll()
@@ -93,15 +95,15 @@
 	return c
 }
 
-func (c *crowd) beatAll() {
-	for _, one := range c.hands {
-		c.exchange(one, nil)
+func (c *fullPool) beatAll() {
+	for _, executor := range c.executors {
+		c.exchange(executor, nil)
 		c.pool.Flush()
 	}
 }
 
 // handIn gives one job in the mix of a board: most are short and urgent, some long, some spread out.
-func (c *crowd) handIn(number int) {
+func (c *fullPool) handIn(number int) {
 	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, wire.RouteTerms{Stretch: 1.5, TargetMs: 250}
 	switch number % 10 {
 	case 8:
@@ -115,30 +117,30 @@
 	c.pool.Flush()
 }
 
-func (c *crowd) exchange(one *hand, ends []wire.EndReport) {
-	call := &wire.ExchangeCall{Key: "pool/s", Executor: one.life, Proxy: one.life, Domain: "d", Labels: one.labels,
-		Capacity: wire.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, ListNumber: one.look, WaitMs: 1000, Ends: ends, Answers: one.answers}
-	one.answers, one.look = nil, 0
+func (c *fullPool) exchange(executor *benchExecutor, ends []wire.EndReport) {
+	call := &wire.ExchangeCall{Key: "pool/s", Executor: executor.id, Proxy: executor.id, Domain: "d", Labels: executor.labels,
+		Capacity: wire.Capacity{CPU: 16000, Memory: 32768}, Fence: 1, ListNumber: executor.listNumber, WaitMs: 1000, Ends: ends, Answers: executor.answers}
+	executor.answers, executor.listNumber = nil, 0
 	c.pool.Exchange(call, func(answer wire.ExchangeAnswer) {
 		for _, order := range answer.Orders {
-			one.running = append(one.running, order)
-			one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.ResultOK})
+			executor.running = append(executor.running, order)
+			executor.answers = append(executor.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.ResultOK})
 			c.starts++
 		}
 	})
 }
 
 // turn ends one run of an executor and answers the start that follows.
-func (c *crowd) turn(one *hand) {
-	if len(one.running) == 0 {
+func (c *fullPool) turn(executor *benchExecutor) {
+	if len(executor.running) == 0 {
 		return
 	}
-	gone := one.running[0]
-	one.running = one.running[1:]
-	one.ends++
-	c.exchange(one, []wire.EndReport{{Number: one.ends, Task: gone.Task, Run: gone.Run, Outcome: "done"}})
+	gone := executor.running[0]
+	executor.running = executor.running[1:]
+	executor.ends++
+	c.exchange(executor, []wire.EndReport{{Number: executor.ends, Task: gone.Task, Run: gone.Run, Outcome: "done"}})
 	c.pool.Flush()
-	c.exchange(one, nil)
+	c.exchange(executor, nil)
 	c.pool.Flush()
 }
 
@@ -151,11 +153,11 @@
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
-func eachSize(b *testing.B, run func(b *testing.B, c *crowd)) {
-	for _, executors := range []int{62, 250, 1000} {
+func eachSize(b *testing.B, run func(b *testing.B, c *fullPool)) {
+	for _, executorCount := range []int{62, 250, 1000} {
 		for _, backlog := range []int{0, 300, 1000} {
-			b.Run(fmt.Sprintf("executors=%d/backlog=%d", executors, backlog), func(b *testing.B) {
-				c := newCrowd(executors, backlog)
+			b.Run(fmt.Sprintf("executors=%d/backlog=%d", executorCount, backlog), func(b *testing.B) {
+				c := newFullPool(executorCount, backlog)
 				b.ReportAllocs()
 				began := processorTime()
 				b.ResetTimer()
@@ -168,17 +170,17 @@
 
 // BenchmarkTurn is one end, the start that follows, its answer, and the 22nd part of a submission.
 func BenchmarkTurn(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *crowd) {
-		c.tenure.bytes, c.tenure.ops, c.starts = 0, 0, 0
+	eachSize(b, func(b *testing.B, c *fullPool) {
+		c.leadership.bytes, c.leadership.ops, c.starts = 0, 0, 0
 		for turn := range b.N {
 			if turn%22 == 0 {
 				c.handIn(0)
 			}
-			c.turn(c.hands[turn%len(c.hands)])
+			c.turn(c.executors[turn%len(c.executors)])
 		}
 		b.ReportMetric(float64(c.starts)/float64(b.N), "starts/op")
-		b.ReportMetric(float64(c.tenure.bytes)/float64(b.N), "written-B/op")
-		b.ReportMetric(float64(c.tenure.ops)/float64(b.N), "written-ops/op")
+		b.ReportMetric(float64(c.leadership.bytes)/float64(b.N), "written-B/op")
+		b.ReportMetric(float64(c.leadership.ops)/float64(b.N), "written-ops/op")
 	})
 }
 
@@ -189,7 +191,7 @@
 func BenchmarkTickOverdue(b *testing.B) { benchmarkTick(b, 50*time.Millisecond) }
 
 func benchmarkTick(b *testing.B, between time.Duration) {
-	eachSize(b, func(b *testing.B, c *crowd) {
+	eachSize(b, func(b *testing.B, c *fullPool) {
 		for turn := range b.N {
 			c.clock.Advance(between)
 			if turn%10 == 9 {
@@ -205,9 +207,9 @@
 
 // BenchmarkBeat is one exchange of an executor that has nothing new.
 func BenchmarkBeat(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *crowd) {
+	eachSize(b, func(b *testing.B, c *fullPool) {
 		for turn := range b.N {
-			c.exchange(c.hands[turn%len(c.hands)], nil)
+			c.exchange(c.executors[turn%len(c.executors)], nil)
 			c.pool.Flush()
 		}
 	})
@@ -215,7 +217,7 @@
 
 // BenchmarkHandIn is one job of 22 tasks that finds no room, and its cancel.
 func BenchmarkHandIn(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *crowd) {
+	eachSize(b, func(b *testing.B, c *fullPool) {
 		for range b.N {
 			c.handIn(0)
 			c.pool.Cancel(&wire.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(wire.ClientAnswer) {})
@@ -226,11 +228,11 @@
 
 // BenchmarkTakeOver opens a pool from its records, and takes the first look at each executor.
 func BenchmarkTakeOver(b *testing.B) {
-	for _, executors := range []int{62, 1000} {
-		b.Run(fmt.Sprintf("executors=%d/backlog=300", executors), func(b *testing.B) {
+	for _, executorCount := range []int{62, 1000} {
+		b.Run(fmt.Sprintf("executors=%d/backlog=300", executorCount), func(b *testing.B) {
 			kept := map[string][]byte{}
-			c := newCrowdKept(executors, 300, kept)
-			c.tenure.kept = nil
+			c := newFullPoolKept(executorCount, 300, kept)
+			c.leadership.kept = nil
 			var pairs []wire.Op
 			for name, value := range kept {
 				pairs = append(pairs, wire.Op{Name: name, Value: value})
@@ -239,10 +241,10 @@
 			b.ResetTimer()
 			for range b.N {
 				pool := scheduler.New("pool/s", c.clock, timing, logging.Silent())
-				pool.Open(c.tenure, pairs)
+				pool.Open(c.leadership, pairs)
 				c.pool = pool
-				for _, one := range c.hands {
-					one.look = 1 << 40
+				for _, executor := range c.executors {
+					executor.listNumber = 1 << 40
 				}
 				c.beatAll()
 			}
@@ -252,14 +254,14 @@
 
 // BenchmarkMemory is what a pool with full executors keeps, by task that runs, with descriptors of 200 bytes a job.
 func BenchmarkMemory(b *testing.B) {
-	for _, executors := range []int{62, 1000} {
-		b.Run(fmt.Sprintf("executors=%d", executors), func(b *testing.B) {
+	for _, executorCount := range []int{62, 1000} {
+		b.Run(fmt.Sprintf("executors=%d", executorCount), func(b *testing.B) {
 			before := heapInUse()
-			c := newCrowd(executors, 0)
-			c.hands, c.tenure = nil, nil
+			c := newFullPool(executorCount, 0)
+			c.executors, c.leadership = nil, nil
 			kept := heapInUse() - before
 			b.ReportMetric(float64(kept)/1e6, "MB")
-			b.ReportMetric(float64(kept)/float64(executors*slotsEach), "B/run")
+			b.ReportMetric(float64(kept)/float64(executorCount*slotsEach), "B/run")
 			runtime.KeepAlive(c)
 		})
 	}
--- a/internal/scheduling/scheduler/drains_test.go
+++ b/internal/scheduling/scheduler/drains_test.go
@@ -20,9 +20,9 @@
 		f = newFleet(timing)
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, body)
-		for _, one := range f.executors {
-			if f.hear(one); len(one.running) > 0 {
-				leaving = one
+		for _, executor := range f.executors {
+			if f.exchangeOnce(executor); len(executor.running) > 0 {
+				leaving = executor
 				break
 			}
 		}
--- a/internal/scheduling/scheduler/executorhealth_test.go
+++ b/internal/scheduling/scheduler/executorhealth_test.go
@@ -15,23 +15,23 @@
 
 var _ = Describe("trust in executors", func() {
 	var fakeClock *clock.Fake
-	var tenure *scripted
+	var leadership *scriptedLeadership
 	var pool *scheduler.Pool
 	numbers := map[string]int64{}
 	settle := func() {
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		pool.Flush()
 	}
-	exchange := func(life, machine string, change func(*wire.ExchangeCall)) (told wire.ExchangeAnswer) {
+	exchange := func(life, machine string, change func(*wire.ExchangeCall)) (reported wire.ExchangeAnswer) {
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: life, Proxy: machine, Fence: 3, ListNumber: 1 << 40,
 			Capacity: wire.Capacity{CPU: 4000, Memory: 4000}}
 		if change != nil {
 			change(call)
 		}
-		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = answer })
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { reported = answer })
 		settle()
-		return told
+		return reported
 	}
 	// orderOf gives the next start that one of the executors is told.
 	orderOf := func() (life string, order wire.Order) {
@@ -70,9 +70,9 @@
 	}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(1_000_000)
-		tenure = &scripted{clock: fakeClock, hasLease: true, kept: map[string][]byte{}, epoch: 3}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}, epoch: 3}
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
-		pool.Open(tenure, nil)
+		pool.Open(leadership, nil)
 		clear(numbers)
 		exchange("i-1", "side-i-1", nil)
 		exchange("i-2", "side-i-2", nil)
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -8,10 +8,10 @@
 )
 
 // Heard is what the leader believes of an executor, and of which session and number it is.
-func (p *Pool) Heard(id string) (told wire.ExchangeCall, checkpoint map[string]string) {
+func (p *Pool) Heard(id string) (reported wire.ExchangeCall, checkpoint map[string]string) {
 	executor := p.executors[id]
 	if executor == nil || !executor.isKnown {
-		return told, nil
+		return reported, nil
 	}
 	checkpoint = map[string]string{}
 	for _, key := range slices.Collect(maps.Keys(executor.runs)) {
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -34,26 +34,26 @@
 
 // postOffice carries exchanges between a real proxy's table and a real pool, and may lose, double and reorder them.
 type postOffice struct {
-	draw      *rand.Rand
-	clock     *clock.Fake
-	tenure    *scripted
-	pool      *scheduler.Pool
-	table     *localproxy.Table
-	session   uint64
-	sequence  int64
-	beat      executorapi.Heartbeat
-	saved     map[string]string
-	calls     []letter
-	answers   []returned
-	truth     map[[2]uint64]picture
-	lastTruth [3]uint64
+	draw       *rand.Rand
+	clock      *clock.Fake
+	leadership *scriptedLeadership
+	pool       *scheduler.Pool
+	table      *localproxy.Table
+	session    uint64
+	sequence   int64
+	beat       executorapi.Heartbeat
+	saved      map[string]string
+	calls      []letter
+	answers    []returned
+	truth      map[[2]uint64]picture
+	lastTruth  [3]uint64
 }
 
 func newPostOffice(seed uint64) *postOffice {
 	clock := clock.NewFake(1_000_000)
 	o := &postOffice{draw: rand.New(rand.NewPCG(seed, 7)), clock: clock, saved: map[string]string{}, truth: map[[2]uint64]picture{},
-		tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}},
-		beat:   executorapi.Heartbeat{Service: "s", State: "ready", Capacity: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
+		leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}},
+		beat:       executorapi.Heartbeat{Service: "s", State: "ready", Capacity: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	o.newProxy(1)
 	o.newOwner()
 	o.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
@@ -70,16 +70,16 @@
 
 func (o *postOffice) settle() {
 	o.pool.Flush()
-	for len(o.tenure.waiting) > 0 {
-		o.tenure.settle(nil)
+	for len(o.leadership.waiting) > 0 {
+		o.leadership.settle(nil)
 		o.pool.Flush()
 	}
 }
 
 func (o *postOffice) newOwner() {
-	o.tenure.epoch++
+	o.leadership.epoch++
 	o.pool = scheduler.New("pool/s", o.clock, timing, logging.Silent())
-	o.pool.Open(o.tenure, o.tenure.pairs())
+	o.pool.Open(o.leadership, o.leadership.pairs())
 	o.settle()
 }
 
@@ -153,8 +153,8 @@
 }
 
 func (o *postOffice) believed() (uint64, uint64, picture) {
-	told, checkpoint := o.pool.Heard("i-1")
-	return told.Session, told.Number, pictureOf(told, checkpoint)
+	reported, checkpoint := o.pool.Heard("i-1")
+	return reported.Session, reported.Number, pictureOf(reported, checkpoint)
 }
 
 func (o *postOffice) change() {
@@ -194,7 +194,7 @@
 			Expect(seen.saved[task]).To(Equal(checkpoint), "%s at session %d number %d", task, session, number)
 		}
 	}
-	now := [3]uint64{o.tenure.epoch, session, number}
+	now := [3]uint64{o.leadership.epoch, session, number}
 	Expect(slices.Compare(now[:], o.lastTruth[:])).To(BeNumerically(">=", 0), "from %v back to %v", o.lastTruth, now)
 	o.lastTruth = now
 }
@@ -270,14 +270,14 @@
 		o.newOwner()
 		refused := answered()
 		Expect(refused.NeedsFullState).To(BeTrue())
-		Expect(refused.Fence).To(Equal(o.tenure.epoch))
+		Expect(refused.Fence).To(Equal(o.leadership.epoch))
 		Expect(refused.WantedList).NotTo(BeZero())
 		Expect(refused.GrantMs).NotTo(BeZero())
-		told, _ := o.pool.Heard("i-1")
-		Expect(told.Proxy).To(BeEmpty())
+		reported, _ := o.pool.Heard("i-1")
+		Expect(reported.Proxy).To(BeEmpty())
 		Expect(answered().NeedsFullState).To(BeFalse())
-		told, _ = o.pool.Heard("i-1")
-		Expect(told.Labels).To(Equal([]string{"a", "r1"}))
+		reported, _ = o.pool.Heard("i-1")
+		Expect(reported.Labels).To(Equal([]string{"a", "r1"}))
 	})
 
 	It("takes a proxy whose clock was set back, with its second exchange", func() {
@@ -290,8 +290,8 @@
 		o.newProxy(4)
 		Expect(answered().NeedsFullState).To(BeTrue())
 		Expect(answered().NeedsFullState).To(BeFalse())
-		told, _ := o.pool.Heard("i-1")
-		Expect(told.Session).To(Equal(uint64(10)))
+		reported, _ := o.pool.Heard("i-1")
+		Expect(reported.Session).To(Equal(uint64(10)))
 	})
 
 	It("takes a proxy of an earlier version as whole each time", func() {
@@ -300,7 +300,7 @@
 		o.beat.Labels = []string{"b"}
 		o.say()
 		Expect(answered().NeedsFullState).To(BeFalse())
-		told, _ := o.pool.Heard("i-1")
-		Expect(told.Labels).To(Equal([]string{"b"}))
+		reported, _ := o.pool.Heard("i-1")
+		Expect(reported.Labels).To(Equal([]string{"b"}))
 	})
 })
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -16,7 +16,7 @@
 // fleetTick is how often a fleet's pool ticks and its executors are heard.
 const fleetTick = 50 * time.Millisecond
 
-// fleetExecutor is an executor and its local proxy, which obey every order at once unless they are told otherwise.
+// fleetExecutor is an executor and its local proxy, which carry out every order at once unless a test says otherwise.
 type fleetExecutor struct {
 	wire.ExchangeCall
 	running  []wire.Order
@@ -29,25 +29,25 @@
 
 // fleet is a pool, the executors that report to it, and a leadership whose commits succeed at once.
 type fleet struct {
-	clock     *clock.Fake
-	tenure    *scripted
-	pool      *scheduler.Pool
-	timing    scheduler.Timing
-	executors []*fleetExecutor
+	clock      *clock.Fake
+	leadership *scriptedLeadership
+	pool       *scheduler.Pool
+	timing     scheduler.Timing
+	executors  []*fleetExecutor
 }
 
 func newFleet(timing scheduler.Timing) *fleet {
 	clock := clock.NewFake(1_000_000)
-	f := &fleet{clock: clock, timing: timing, tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}}}
+	f := &fleet{clock: clock, timing: timing, leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}}}
 	f.takeOver()
 	return f
 }
 
 // takeOver gives the pool to another leader, which knows only what is committed.
 func (f *fleet) takeOver() {
-	f.tenure.epoch++
+	f.leadership.epoch++
 	f.pool = scheduler.New("pool/s", f.clock, f.timing, logging.Silent())
-	f.pool.Open(f.tenure, f.tenure.pairs())
+	f.pool.Open(f.leadership, f.leadership.pairs())
 	f.settle()
 }
 
@@ -56,68 +56,68 @@
 	var added []*fleetExecutor
 	for range count {
 		name := fmt.Sprintf("%03d", len(f.executors))
-		one := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Executor: "i-" + name, Proxy: "side-" + name, Capacity: resources, Labels: labels}}
-		f.executors = append(f.executors, one)
-		added = append(added, one)
+		executor := &fleetExecutor{ExchangeCall: wire.ExchangeCall{Key: "pool/s", Executor: "i-" + name, Proxy: "side-" + name, Capacity: resources, Labels: labels}}
+		f.executors = append(f.executors, executor)
+		added = append(added, executor)
 	}
 	f.pass(2 * fleetTick)
 	return added
 }
 
 func (f *fleet) settle() {
-	for f.pool.Flush(); len(f.tenure.waiting) > 0; f.pool.Flush() {
-		f.tenure.settle(nil)
+	for f.pool.Flush(); len(f.leadership.waiting) > 0; f.pool.Flush() {
+		f.leadership.settle(nil)
 	}
 }
 
-// hear exchanges once for an executor and has it obey what it is told.
-func (f *fleet) hear(one *fleetExecutor) {
-	call := one.ExchangeCall
-	call.Fence, call.ListNumber = f.tenure.epoch, 1<<40
-	for _, order := range one.running {
+// exchangeOnce exchanges once for an executor and has it carry out its orders.
+func (f *fleet) exchangeOnce(executor *fleetExecutor) {
+	call := executor.ExchangeCall
+	call.Fence, call.ListNumber = f.leadership.epoch, 1<<40
+	for _, order := range executor.running {
 		call.Running = append(call.Running, wire.RunReport{Task: order.Task, Run: order.Run})
 	}
-	one.Answers = nil
+	executor.Answers = nil
 	f.pool.Exchange(&call, func(answer wire.ExchangeAnswer) {
-		one.Ends = slices.DeleteFunc(one.Ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
+		executor.Ends = slices.DeleteFunc(executor.Ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
 		for _, order := range answer.Orders {
-			one.obey(order)
+			executor.carryOut(order)
 		}
 	})
 	f.settle()
 }
 
-func (one *fleetExecutor) obey(order wire.Order) {
+func (executor *fleetExecutor) carryOut(order wire.Order) {
 	result := "ok"
 	switch {
 	case order.Kind == "stop":
-		one.end(order.Task, "stopped")
-	case one.refusal != "":
-		result = one.refusal
+		executor.end(order.Task, "stopped")
+	case executor.refusal != "":
+		result = executor.refusal
 	default:
-		one.starts++
-		one.running = append(one.running, order)
+		executor.starts++
+		executor.running = append(executor.running, order)
 	}
-	one.Answers = append(one.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
+	executor.Answers = append(executor.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
 }
 
 // end ends the run of a task here, if there is one.
-func (one *fleetExecutor) end(task, how string) {
-	one.running = slices.DeleteFunc(one.running, func(order wire.Order) bool {
+func (executor *fleetExecutor) end(task, how string) {
+	executor.running = slices.DeleteFunc(executor.running, func(order wire.Order) bool {
 		if order.Task != task {
 			return false
 		}
-		one.lastEnd++
-		one.Ends = append(one.Ends, wire.EndReport{Number: one.lastEnd, Task: task, Run: order.Run, Outcome: wire.RunOutcome(how)})
+		executor.lastEnd++
+		executor.Ends = append(executor.Ends, wire.EndReport{Number: executor.lastEnd, Task: task, Run: order.Run, Outcome: wire.RunOutcome(how)})
 		return true
 	})
 }
 
 // endAll ends all that runs anywhere.
 func (f *fleet) endAll(how string) {
-	for _, one := range f.executors {
-		for _, order := range slices.Clone(one.running) {
-			one.end(order.Task, how)
+	for _, executor := range f.executors {
+		for _, order := range slices.Clone(executor.running) {
+			executor.end(order.Task, how)
 		}
 	}
 }
@@ -127,9 +127,9 @@
 	for end := f.clock.Monotonic() + length; f.clock.Monotonic() < end; f.clock.Advance(fleetTick) {
 		f.pool.Tick()
 		f.settle()
-		for _, one := range f.executors {
-			if !one.isSilent {
-				f.hear(one)
+		for _, executor := range f.executors {
+			if !executor.isSilent {
+				f.exchangeOnce(executor)
 			}
 		}
 	}
@@ -142,17 +142,17 @@
 	f.settle()
 }
 
-func (f *fleet) state(id string) (told string) {
-	f.pool.State(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { told = fmt.Sprint(answer.Status, string(answer.Body)) })
+func (f *fleet) state(id string) (reported string) {
+	f.pool.State(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { reported = fmt.Sprint(answer.Status, string(answer.Body)) })
 	f.settle()
-	return told
+	return reported
 }
 
 // tasks names what runs now, and on how many executors.
 func (f *fleet) tasks() []string {
 	var names []string
-	for _, one := range f.executors {
-		for _, order := range one.running {
+	for _, executor := range f.executors {
+		for _, order := range executor.running {
 			names = append(names, order.Task)
 		}
 	}
@@ -160,8 +160,8 @@
 }
 
 func (f *fleet) starts() (count int) {
-	for _, one := range f.executors {
-		count += one.starts
+	for _, executor := range f.executors {
+		count += executor.starts
 	}
 	return count
 }
--- a/internal/scheduling/scheduler/gangs_test.go
+++ b/internal/scheduling/scheduler/gangs_test.go
@@ -22,9 +22,9 @@
 	})
 
 	It("starts again once, and is then left to its work", func() {
-		for _, one := range f.executors {
-			if len(one.running) > 0 {
-				one.isSilent = true
+		for _, executor := range f.executors {
+			if len(executor.running) > 0 {
+				executor.isSilent = true
 				break
 			}
 		}
@@ -37,11 +37,11 @@
 
 	It("counts two members that failed in one run once, also where the leader changes between them", func() {
 		var failed int
-		for _, one := range f.executors {
-			if len(one.running) > 0 {
-				one.end(one.running[0].Task, "failed")
+		for _, executor := range f.executors {
+			if len(executor.running) > 0 {
+				executor.end(executor.running[0].Task, "failed")
 				if failed++; failed == 1 {
-					f.hear(one)
+					f.exchangeOnce(executor)
 					f.takeOver()
 					continue
 				}
@@ -54,14 +54,14 @@
 
 	It("is not left waiting by a member that was refused", func() {
 		f.endAll("lapsed")
-		for _, one := range f.executors {
-			if one.refusal = "room"; one.Executor == "i-005" {
-				one.refusal = ""
+		for _, executor := range f.executors {
+			if executor.refusal = "room"; executor.Executor == "i-005" {
+				executor.refusal = ""
 			}
 		}
 		f.pass(1500 * time.Millisecond)
-		for _, one := range f.executors {
-			one.refusal = ""
+		for _, executor := range f.executors {
+			executor.refusal = ""
 		}
 		f.pass(2500 * time.Millisecond)
 		Expect(f.tasks()).To(HaveLen(3))
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -17,7 +17,7 @@
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
 	kept := func(prefix string) []string {
-		return slices.DeleteFunc(slices.Sorted(maps.Keys(f.tenure.kept)), func(name string) bool { return !strings.HasPrefix(name, prefix) })
+		return slices.DeleteFunc(slices.Sorted(maps.Keys(f.leadership.kept)), func(name string) bool { return !strings.HasPrefix(name, prefix) })
 	}
 	BeforeEach(func() {
 		f = newFleet(timing)
@@ -27,7 +27,7 @@
 	DescribeTable("goes on with all other jobs where a record of one can't be read", func(record, text string) {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
-		f.tenure.kept[record] = []byte(text)
+		f.leadership.kept[record] = []byte(text)
 		f.takeOver()
 		f.handIn(otherID, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
@@ -36,7 +36,7 @@
 		Expect(f.state(otherID)).To(ContainSubstring("completed"))
 		Expect(f.state(id)).To(HavePrefix("503"))
 		Expect(f.pool.Unreadable()).To(ConsistOf(record))
-		Expect(string(f.tenure.kept[record])).To(Equal(text))
+		Expect(string(f.leadership.kept[record])).To(Equal(text))
 	},
 		Entry("the job's own", "j/"+id, `{"entry":`),
 		Entry("the job's steps", "j/"+id, `{"entry":"e","spec":{"step-list":[{"task-count":1,"depends-on":[7]}]}}`),
@@ -48,7 +48,7 @@
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		Expect(kept("e/")).To(HaveLen(1))
-		f.tenure.kept[kept("e/")[0]] = []byte("{")
+		f.leadership.kept[kept("e/")[0]] = []byte("{")
 		f.takeOver()
 		f.pass(200 * time.Millisecond)
 		f.endAll("done")
@@ -58,15 +58,15 @@
 
 	It("runs a job that is larger than what may be submitted today", func() {
 		steps := strings.Repeat(`{"task-count":1,"cpu-units":1},`, 300)
-		f.tenure.kept["j/"+id] = []byte(`{"entry":"e","spec":{"task-descriptor":"d","step-list":[` + strings.TrimSuffix(steps, ",") + `]}}`)
+		f.leadership.kept["j/"+id] = []byte(`{"entry":"e","spec":{"task-descriptor":"d","step-list":[` + strings.TrimSuffix(steps, ",") + `]}}`)
 		f.takeOver()
 		f.pass(200 * time.Millisecond)
 		Expect(f.tasks()).To(HaveLen(300))
 	})
 
 	It("drops the record of a task that the job under this ID doesn't have", func() {
-		f.tenure.kept["t/"+id+".0.0.5"] = []byte(`{"d":true,"r":1}`)
-		f.tenure.kept["t/"+otherID+".0.0.0"] = []byte(`{"d":true,"r":1}`)
+		f.leadership.kept["t/"+id+".0.0.5"] = []byte(`{"d":true,"r":1}`)
+		f.leadership.kept["t/"+otherID+".0.0.0"] = []byte(`{"d":true,"r":1}`)
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.takeOver()
 		Expect(f.pool.Unreadable()).To(BeEmpty())
--- a/internal/scheduling/scheduler/loadreport_test.go
+++ b/internal/scheduling/scheduler/loadreport_test.go
@@ -32,8 +32,8 @@
 		lines.Reset()
 		f = newFleet(timing)
 		f.pool = scheduler.New("pool/report", f.clock, f.timing, logging.New(&lines, 0))
-		f.tenure.epoch++
-		f.pool.Open(f.tenure, nil)
+		f.leadership.epoch++
+		f.pool.Open(f.leadership, nil)
 		f.add(1, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
--- a/internal/scheduling/scheduler/renounce_test.go
+++ b/internal/scheduling/scheduler/renounce_test.go
@@ -12,11 +12,11 @@
 var _ = Describe("a pool whose queue has moved to another service", func() {
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
-	ask := func(verb func(*wire.ClientCall, func(wire.ClientAnswer))) (told wire.ClientAnswer) {
+	ask := func(verb func(*wire.ClientCall, func(wire.ClientAnswer))) (reported wire.ClientAnswer) {
 		verb(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: []byte(single)},
-			func(answer wire.ClientAnswer) { told = answer })
+			func(answer wire.ClientAnswer) { reported = answer })
 		f.settle()
-		return told
+		return reported
 	}
 	BeforeEach(func() {
 		f = newFleet(timing)
@@ -33,12 +33,12 @@
 	})
 
 	It("promises nothing before that is committed", func() {
-		var told []wire.ClientAnswer
-		f.pool.Renounce(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { told = append(told, answer) })
+		var reported []wire.ClientAnswer
+		f.pool.Renounce(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { reported = append(reported, answer) })
 		f.pool.Flush()
-		Expect(told).To(BeEmpty())
+		Expect(reported).To(BeEmpty())
 		f.pool.Close()
-		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true}}))
+		Expect(reported).To(Equal([]wire.ClientAnswer{{NotLeader: true}}))
 	})
 
 	It("has the job if the submission came first", func() {
@@ -50,7 +50,7 @@
 		Expect(ask(f.pool.Renounce).Status).To(Equal(410))
 		f.clock.Advance(timing.KeepEnded + time.Second)
 		f.pass(100 * time.Millisecond)
-		Expect(f.tenure.has("m/")).To(BeFalse())
+		Expect(f.leadership.has("m/")).To(BeFalse())
 		Expect(ask(f.pool.Submit).Status).To(Equal(200))
 	})
 })
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -34,19 +34,19 @@
 
 // schedule is a random history of one pool.
 type schedule struct {
-	draw    *rand.Rand
-	clock   *clock.Fake
-	tenure  *scripted
-	pool    *scheduler.Pool
-	players []*player
-	lives   int
-	jobs    []string
-	starts  int
+	draw       *rand.Rand
+	clock      *clock.Fake
+	leadership *scriptedLeadership
+	pool       *scheduler.Pool
+	players    []*player
+	lives      int
+	jobs       []string
+	starts     int
 }
 
 func newSchedule(seed uint64) *schedule {
 	clock := clock.NewFake(1_000_000)
-	s := &schedule{draw: rand.New(rand.NewPCG(seed, 1)), clock: clock, tenure: &scripted{clock: clock, hasLease: true, kept: map[string][]byte{}}}
+	s := &schedule{draw: rand.New(rand.NewPCG(seed, 1)), clock: clock, leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}}}
 	for range 4 + s.draw.IntN(4) {
 		s.players = append(s.players, s.newPlayer())
 	}
@@ -60,14 +60,14 @@
 }
 
 func (s *schedule) open() {
-	s.tenure.waiting = nil
-	s.tenure.epoch++
+	s.leadership.waiting = nil
+	s.leadership.epoch++
 	timing := timing
 	timing.ReservedCapacity, timing.KeepEnded, timing.RemoteFactor = scheduler.DefaultReservedCapacity, 3*time.Second, 2
 	rules, err := queuerules.Compile(map[string]queuerules.Text{"ruled": {Use: `"r1" in labels || cpu > 4000`, Order: "due - 40 * tasks"}})
 	Expect(err).NotTo(HaveOccurred())
 	s.pool = scheduler.New("pool/s", s.clock, timing, logging.Silent(), scheduler.WithRules(rules))
-	s.pool.Open(s.tenure, s.tenure.pairs())
+	s.pool.Open(s.leadership, s.leadership.pairs())
 }
 
 func (s *schedule) step() {
@@ -94,7 +94,7 @@
 func (s *schedule) settle() {
 	s.pool.Flush()
 	if s.draw.IntN(4) > 0 {
-		s.tenure.settle(nil)
+		s.leadership.settle(nil)
 	}
 }
 
@@ -135,86 +135,86 @@
 	}
 }
 
-func (s *schedule) beat(one *player) {
+func (s *schedule) beat(executor *player) {
 	switch s.draw.IntN(60) {
 	case 0:
-		one.isSilent = !one.isSilent
+		executor.isSilent = !executor.isSilent
 	case 1:
-		one.isStale = !one.isStale
+		executor.isStale = !executor.isStale
 	case 2:
-		one.isLeaving = true
+		executor.isLeaving = true
 	case 3:
-		one.number++
+		executor.number++
 	}
-	if one.isSilent && s.draw.IntN(10) > 0 {
+	if executor.isSilent && s.draw.IntN(10) > 0 {
 		return
 	}
-	s.work(one)
-	call := &wire.ExchangeCall{Executor: one.life, Proxy: one.life, Labels: []string{"a", fmt.Sprintf("r%d", one.number%3)}, Draining: one.isLeaving,
-		Capacity: wire.Capacity{CPU: 4000 + 2000*int64(one.number%2), Memory: 4000}, Fence: one.fence, ListNumber: one.look, Ends: slices.Clone(one.ends), Answers: one.answers}
-	if one.isStale {
+	s.work(executor)
+	call := &wire.ExchangeCall{Executor: executor.life, Proxy: executor.life, Labels: []string{"a", fmt.Sprintf("r%d", executor.number%3)}, Draining: executor.isLeaving,
+		Capacity: wire.Capacity{CPU: 4000 + 2000*int64(executor.number%2), Memory: 4000}, Fence: executor.fence, ListNumber: executor.look, Ends: slices.Clone(executor.ends), Answers: executor.answers}
+	if executor.isStale {
 		call.HoldAgeMs = 4000
 	}
-	if one.look > 0 || s.draw.IntN(5) == 0 {
-		for _, order := range one.running {
+	if executor.look > 0 || s.draw.IntN(5) == 0 {
+		for _, order := range executor.running {
 			call.Running = append(call.Running, wire.RunReport{Task: order.Task, Run: order.Run})
 		}
 	}
 	if s.draw.IntN(3) == 0 {
 		call.WaitMs = 100
 	}
-	one.answers, one.look = nil, 0
-	s.pool.Exchange(call, func(answer wire.ExchangeAnswer) { s.take(one, answer) })
+	executor.answers, executor.look = nil, 0
+	s.pool.Exchange(call, func(answer wire.ExchangeAnswer) { s.take(executor, answer) })
 }
 
 // work ends some of what runs.
-func (s *schedule) work(one *player) {
-	one.running = slices.DeleteFunc(one.running, func(order wire.Order) bool {
+func (s *schedule) work(executor *player) {
+	executor.running = slices.DeleteFunc(executor.running, func(order wire.Order) bool {
 		if s.draw.IntN(6) > 0 {
 			return false
 		}
 		how := []string{"done", "done", "done", "failed", "stopped"}[s.draw.IntN(5)]
-		one.lastEnd++
-		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(how)})
+		executor.lastEnd++
+		executor.ends = append(executor.ends, wire.EndReport{Number: executor.lastEnd, Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(how)})
 		return true
 	})
 }
 
-func (s *schedule) take(one *player, answer wire.ExchangeAnswer) {
-	if answer.NotLeader || answer.Fence < one.fence {
+func (s *schedule) take(executor *player, answer wire.ExchangeAnswer) {
+	if answer.NotLeader || answer.Fence < executor.fence {
 		return
 	}
-	if answer.Fence > one.fence {
-		one.fence, one.look = answer.Fence, 0
+	if answer.Fence > executor.fence {
+		executor.fence, executor.look = answer.Fence, 0
 	}
-	one.look = answer.WantedList
-	one.ends = slices.DeleteFunc(one.ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
+	executor.look = answer.WantedList
+	executor.ends = slices.DeleteFunc(executor.ends, func(end wire.EndReport) bool { return end.Number <= answer.LastSeen })
 	for _, order := range answer.Orders {
-		s.obey(one, order)
+		s.carryOut(executor, order)
 	}
 }
 
-func (s *schedule) obey(one *player, order wire.Order) {
+func (s *schedule) carryOut(executor *player, order wire.Order) {
 	same := func(other wire.Order) bool { return other.Task == order.Task && other.Run == order.Run }
 	result := []string{"ok", "ok", "ok", "ok", "ok", "ok", "room", "sick", "unsure", "not-run", "timeout", ""}[s.draw.IntN(12)]
 	switch {
 	case order.Kind == "stop":
 		result = "ok"
-		one.running = slices.DeleteFunc(one.running, same)
-		one.lastEnd++
-		one.ends = append(one.ends, wire.EndReport{Number: one.lastEnd, Task: order.Task, Run: order.Run, Outcome: "stopped"})
-	case (result == "ok" || result == "unsure") && !slices.ContainsFunc(one.running, same):
-		one.running = append(one.running, order)
+		executor.running = slices.DeleteFunc(executor.running, same)
+		executor.lastEnd++
+		executor.ends = append(executor.ends, wire.EndReport{Number: executor.lastEnd, Task: order.Task, Run: order.Run, Outcome: "stopped"})
+	case (result == "ok" || result == "unsure") && !slices.ContainsFunc(executor.running, same):
+		executor.running = append(executor.running, order)
 		s.starts++
 	}
 	if result != "" {
-		one.answers = append(one.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
+		executor.answers = append(executor.answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
 	}
 }
 
 func (s *schedule) orders() []string {
 	names := []string{}
-	for name := range s.tenure.kept {
+	for name := range s.leadership.kept {
 		if strings.HasPrefix(name, "o/") {
 			names = append(names, name)
 		}
@@ -232,7 +232,7 @@
 				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, turn %d, before placing", seed, turn)
 				s.settle()
 				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, turn %d", seed, turn)
-				if len(s.tenure.waiting) == 0 {
+				if len(s.leadership.waiting) == 0 {
 					Expect(s.pool.Orders()).To(ContainElements(s.orders()), "seed %d, turn %d", seed, turn)
 				}
 			}
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -16,8 +16,8 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// scripted is a leadership whose commits the test finishes.
-type scripted struct {
+// scriptedLeadership is a leadership whose commits the test finishes.
+type scriptedLeadership struct {
 	clock    *clock.Fake
 	epoch    uint64
 	hasLease bool
@@ -25,11 +25,11 @@
 	waiting  []func(error)
 }
 
-func (s *scripted) Epoch() uint64  { return s.epoch }
-func (s *scripted) HasLease() bool { return s.hasLease }
-func (s *scripted) WallMs() int64  { return s.clock.WallMs() }
+func (s *scriptedLeadership) Epoch() uint64  { return s.epoch }
+func (s *scriptedLeadership) HasLease() bool { return s.hasLease }
+func (s *scriptedLeadership) WallMs() int64  { return s.clock.WallMs() }
 
-func (s *scripted) Commit(ops []wire.Op, done func(error)) {
+func (s *scriptedLeadership) Commit(ops []wire.Op, done func(error)) {
 	s.waiting = append(s.waiting, func(err error) {
 		if err == nil {
 			for _, op := range ops {
@@ -43,7 +43,7 @@
 	})
 }
 
-func (s *scripted) settle(err error) {
+func (s *scriptedLeadership) settle(err error) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, done := range waiting {
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *scripted) pairs() []wire.Op {
+func (s *scriptedLeadership) pairs() []wire.Op {
 	var all []wire.Op
 	for name, value := range s.kept {
 		all = append(all, wire.Op{Name: name, Value: value})
@@ -59,7 +59,7 @@
 	return all
 }
 
-func (s *scripted) has(prefix string) bool {
+func (s *scriptedLeadership) has(prefix string) bool {
 	for name := range s.kept {
 		if strings.HasPrefix(name, prefix) {
 			return true
@@ -68,10 +68,10 @@
 	return false
 }
 
-// diary keeps how long the runs were that ended.
-type diary struct{ lengths []int64 }
+// durationRecorder keeps how long the runs were that ended.
+type durationRecorder struct{ lengths []int64 }
 
-func (d *diary) Record(event recording.Event) {
+func (d *durationRecorder) Record(event recording.Event) {
 	if event.Kind == recording.KindEnd {
 		d.lengths = append(d.lengths, event.LengthMs)
 	}
@@ -88,24 +88,24 @@
 
 var _ = Describe("orders as persistent messages", func() {
 	var fakeClock *clock.Fake
-	var tenure *scripted
+	var leadership *scriptedLeadership
 	var pool *scheduler.Pool
 	var accepted []int
 	open := func(epoch uint64, pairs []wire.Op) {
-		tenure.epoch = epoch
+		leadership.epoch = epoch
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
-		pool.Open(tenure, pairs)
+		pool.Open(leadership, pairs)
 	}
 	exchange := func(change func(*wire.ExchangeCall)) *wire.ExchangeAnswer {
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Proxy: "side-1", Capacity: wire.Capacity{CPU: 4000, Memory: 4000},
-			Labels: []string{"a", "r1"}, Fence: tenure.epoch, ListNumber: 1 << 40}
+			Labels: []string{"a", "r1"}, Fence: leadership.epoch, ListNumber: 1 << 40}
 		if change != nil {
 			change(call)
 		}
-		var told *wire.ExchangeAnswer
-		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
+		var reported *wire.ExchangeAnswer
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { reported = &answer })
 		pool.Flush()
-		return told
+		return reported
 	}
 	handIn := func() {
 		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
@@ -123,7 +123,7 @@
 	}
 	BeforeEach(func() {
 		fakeClock, accepted = clock.NewFake(1_000_000), nil
-		tenure = &scripted{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
 		open(3, nil)
 		exchange(nil)
 	})
@@ -132,16 +132,16 @@
 		handIn()
 		Expect(accepted).To(BeEmpty())
 		Expect(exchange(nil).Orders).To(BeEmpty())
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(accepted).To(Equal([]int{200}))
 		Expect(exchange(nil).Orders).To(HaveLen(1))
-		Expect(tenure.has("o/" + taskState + "/1/launch")).To(BeTrue())
+		Expect(leadership.has("o/" + taskState + "/1/launch")).To(BeTrue())
 	})
 
 	It("counts hand-ins, placements, orders, starts, ends, stops and commits, and shows what is open", func() {
 		before := metrics.Own()
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		fakeClock.Advance(250 * time.Millisecond)
 		pool.Tick()
@@ -155,14 +155,14 @@
 		Expect(running).To(HaveKeyWithValue(`gannetline_pool_open_steps{key="pool/s"}`, 1.0))
 		Expect(running).To(HaveKeyWithValue(`gannetline_pool_executors{key="pool/s",state="ready"}`, 1.0))
 		exchange(ended("failed"))
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 2, Kind: "launch", Result: "ok"}}
 		})
 		pool.Cancel(&wire.ClientCall{ID: id}, func(wire.ClientAnswer) {})
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		own := metrics.Own()
 		for name, count := range map[string]float64{"hand_ins_total": 1, "placements_total": 2, "starts_total": 2, "stops_total": 1, "spares_total": 0} {
@@ -187,7 +187,7 @@
 		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id,
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(wire.ClientAnswer) {})
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
 		Expect(metrics.Own()[spares]).To(Equal(before))
@@ -200,23 +200,23 @@
 
 	It("sends nothing, and promises nothing, when the commit is lost", func() {
 		handIn()
-		tenure.settle(errors.New("lost"))
+		leadership.settle(errors.New("lost"))
 		Expect(accepted).To(Equal([]int{0}))
 		Expect(exchange(nil).Orders).To(BeEmpty())
 	})
 
 	It("says that a job may have been taken when its leadership ends before the commit", func() {
-		var told []wire.ClientAnswer
+		var reported []wire.ClientAnswer
 		pool.Submit(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
-			func(answer wire.ClientAnswer) { told = append(told, answer) })
+			func(answer wire.ClientAnswer) { reported = append(reported, answer) })
 		pool.Flush()
 		pool.Close()
-		Expect(told).To(Equal([]wire.ClientAnswer{{NotLeader: true, OutcomeUnknown: true}}))
+		Expect(reported).To(Equal([]wire.ClientAnswer{{NotLeader: true, OutcomeUnknown: true}}))
 	})
 
 	It("sends an unanswered order again after 200 ms, then less often", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(nil).Orders).To(HaveLen(1))
 		fakeClock.Advance(150 * time.Millisecond)
 		pool.Tick()
@@ -231,38 +231,38 @@
 
 	It("takes the answer in a second transaction, which ends PENDING", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		Expect(tenure.has("o/")).To(BeTrue())
-		tenure.settle(nil)
-		Expect(tenure.has("o/")).To(BeFalse())
+		Expect(leadership.has("o/")).To(BeTrue())
+		leadership.settle(nil)
+		Expect(leadership.has("o/")).To(BeFalse())
 	})
 
 	It("acks an end with its commit, not before and not later", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		tenure.settle(nil)
-		var told *wire.ExchangeAnswer
+		leadership.settle(nil)
+		var reported *wire.ExchangeAnswer
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Fence: 3}
 		ended("done")(call)
-		pool.Exchange(call, func(answer wire.ExchangeAnswer) { told = &answer })
+		pool.Exchange(call, func(answer wire.ExchangeAnswer) { reported = &answer })
 		pool.Flush()
-		Expect(told).To(BeNil())
-		tenure.settle(nil)
-		Expect(told.LastSeen).To(Equal(int64(1)))
+		Expect(reported).To(BeNil())
+		leadership.settle(nil)
+		Expect(reported.LastSeen).To(Equal(int64(1)))
 	})
 
 	It("sends a PENDING order again after a take-over, once the fence stands", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
-		open(4, tenure.pairs())
+		open(4, leadership.pairs())
 		Expect(exchange(func(call *wire.ExchangeCall) { call.Fence, call.ListNumber = 3, 0 }).Orders).To(BeEmpty())
 		answer := exchange(nil)
-		tenure.settle(nil)
+		leadership.settle(nil)
 		if len(answer.Orders) == 0 {
 			answer = exchange(nil)
 		}
@@ -272,15 +272,15 @@
 
 	It("adopts after a take-over what the executor shows", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
-		open(4, tenure.pairs())
+		open(4, leadership.pairs())
 		exchange(func(call *wire.ExchangeCall) { call.Running = []wire.RunReport{{Task: taskState, Run: 1}} })
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(nil).Orders).To(BeEmpty())
-		Expect(tenure.has("o/")).To(BeFalse())
+		Expect(leadership.has("o/")).To(BeFalse())
 		exchange(ended("done"))
-		tenure.settle(nil)
+		leadership.settle(nil)
 		var state string
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		pool.Flush()
@@ -289,95 +289,95 @@
 
 	It("places nothing elsewhere before the longest hold that may stand has passed, and does so then", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		tenure.settle(nil)
+		leadership.settle(nil)
 		other := func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }
 		for waited := time.Duration(0); waited < 6300*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			pool.Tick()
 			pool.Flush()
-			tenure.settle(nil)
+			leadership.settle(nil)
 			Expect(exchange(other).Orders).To(BeEmpty(), waited.String())
 		}
 		fakeClock.Advance(500 * time.Millisecond)
 		exchange(other)
 		pool.Tick()
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(other).Orders).To(HaveLen(1))
 	})
 
 	It("ends at once, after a take-over, a life whose machine shows another one under the new fence", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		tenure.settle(nil)
-		open(4, tenure.pairs())
+		leadership.settle(nil)
+		open(4, leadership.pairs())
 		next := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
 		unfenced := func(call *wire.ExchangeCall) { call.Executor, call.Fence, call.ListNumber = "i-2", 3, 0 }
 		exchange(unfenced)
 		pool.Tick()
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(unfenced).Orders).To(BeEmpty())
 		exchange(next)
 		pool.Tick()
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		Expect(exchange(next).Orders).To(ConsistOf(HaveField("Run", int64(2))))
-		Expect(tenure.has("e/i-1")).To(BeFalse())
+		Expect(leadership.has("e/i-1")).To(BeFalse())
 	})
 
 	It("ends a known life only once it was silent for longer than an exchange takes", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		tenure.settle(nil)
+		leadership.settle(nil)
 		next := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
 		for waited := time.Duration(0); waited < 2500*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
 			exchange(next)
 			pool.Tick()
 			pool.Flush()
-			tenure.settle(nil)
-			Expect(tenure.has("e/i-1")).To(BeTrue(), waited.String())
+			leadership.settle(nil)
+			Expect(leadership.has("e/i-1")).To(BeTrue(), waited.String())
 		}
 		fakeClock.Advance(50 * time.Millisecond)
 		exchange(next)
 		pool.Tick()
 		pool.Flush()
-		tenure.settle(nil)
-		Expect(tenure.has("e/i-1")).To(BeFalse())
+		leadership.settle(nil)
+		Expect(leadership.has("e/i-1")).To(BeFalse())
 		Expect(exchange(next).Orders).To(HaveLen(1))
 	})
 
 	It("does not end a life by word of another one that it has outlived", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(func(call *wire.ExchangeCall) { call.Executor = "i-0" })
 		exchange(started)
-		tenure.settle(nil)
+		leadership.settle(nil)
 		fakeClock.Advance(100 * time.Millisecond)
 		exchange(nil)
 		fakeClock.Advance(3 * time.Second)
 		pool.Tick()
 		pool.Flush()
-		tenure.settle(nil)
-		Expect(tenure.has("e/i-1")).To(BeTrue())
+		leadership.settle(nil)
+		Expect(leadership.has("e/i-1")).To(BeTrue())
 	})
 
 	It("counts a run's length from when it was started, however late that was told", func() {
-		day := &diary{}
+		day := &durationRecorder{}
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent(), scheduler.WithRecorder(day))
-		pool.Open(tenure, nil)
+		pool.Open(leadership, nil)
 		exchange(nil)
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		fakeClock.Advance(90 * time.Millisecond)
 		exchange(func(call *wire.ExchangeCall) {
@@ -392,15 +392,15 @@
 		pool.Submit(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
 			func(wire.ClientAnswer) {})
 		pool.Flush()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		tenure.settle(nil)
+		leadership.settle(nil)
 		fakeClock.Advance(time.Second)
-		open(4, tenure.pairs())
+		open(4, leadership.pairs())
 		orders := func() []wire.Order {
 			exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" })
-			tenure.settle(nil)
+			leadership.settle(nil)
 			return exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }).Orders
 		}
 		Expect(orders()).To(BeEmpty())
@@ -411,16 +411,16 @@
 
 	It("starts no task again whose run was given up and came to its end all the same", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(nil)
 		exchange(started)
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(func(call *wire.ExchangeCall) {
 			call.Gone, call.Executor, call.Proxy = []string{"i-1"}, "i-2", "side-2"
 		})
-		tenure.settle(nil)
+		leadership.settle(nil)
 		exchange(ended("done"))
-		tenure.settle(nil)
+		leadership.settle(nil)
 		var state string
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
 		pool.Flush()
@@ -429,20 +429,20 @@
 	})
 
 	It("grants nothing without a lease", func() {
-		tenure.hasLease = false
+		leadership.hasLease = false
 		Expect(exchange(nil).GrantMs).To(BeZero())
-		tenure.hasLease = true
+		leadership.hasLease = true
 		Expect(exchange(nil).GrantMs).To(Equal(int64(4000)))
 	})
 
 	It("says 410 only under a lease", func() {
-		ask := func() (told wire.ClientAnswer) {
-			pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { told = answer })
+		ask := func() (reported wire.ClientAnswer) {
+			pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { reported = answer })
 			pool.Flush()
-			return told
+			return reported
 		}
 		Expect(ask().Status).To(Equal(410))
-		tenure.hasLease = false
+		leadership.hasLease = false
 		Expect(ask().NotLeader).To(BeTrue())
 	})
 
@@ -455,7 +455,7 @@
 
 	It("refuses a job of a queue whose ID is another queue's", func() {
 		handIn()
-		tenure.settle(nil)
+		leadership.settle(nil)
 		var status int
 		pool.Submit(&wire.ClientCall{Route: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
 		Expect(status).To(Equal(409))
--- a/internal/scheduling/scheduler/stalls_test.go
+++ b/internal/scheduling/scheduler/stalls_test.go
@@ -78,8 +78,8 @@
 	})
 
 	It("starts though all executors died a moment ago and have yet to earn trust", func() {
-		for _, one := range f.executors {
-			one.Gone, one.Executor = []string{one.Executor}, one.Executor+"-next"
+		for _, executor := range f.executors {
+			executor.Gone, executor.Executor = []string{executor.Executor}, executor.Executor+"-next"
 		}
 		f.pass(time.Second)
 		for number := range 14 {
@@ -92,8 +92,8 @@
 	It("starts though lost executors, whose holds have yet to lapse, count as full", func() {
 		f.handIn(name(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":4000,"long-running":true}]}`)
 		f.pass(200 * time.Millisecond)
-		for _, one := range f.executors {
-			one.isSilent = len(one.running) > 0
+		for _, executor := range f.executors {
+			executor.isSilent = len(executor.running) > 0
 		}
 		f.handIn(name(1), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":5,"cpu-units":1100,"long-running":true,"anti-affinity":1}]}`)
 		f.pass(200 * time.Millisecond)
@@ -111,10 +111,10 @@
 		f.handIn(name(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":4000,"long-running":true}]}`)
 		f.pass(200 * time.Millisecond)
 		leaving := 0
-		for _, one := range f.executors {
-			one.isSilent = len(one.running) > 0
-			if !one.isSilent && leaving < 2 {
-				one.Draining = true
+		for _, executor := range f.executors {
+			executor.isSilent = len(executor.running) > 0
+			if !executor.isSilent && leaving < 2 {
+				executor.Draining = true
 				leaving++
 			}
 		}
