--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -43,9 +43,11 @@
 	IsSpeculative      bool
 	IsLong             bool
 	// IsIdle tells that none of the step's tasks runs, so that its first run, or its gang, may go past soft limits.
-	IsIdle   bool
-	Priority int
-	Deadline DeadlineClass
+	IsIdle bool
+	// IsLasting tells that the tasks are to run at every moment: their first run in a turn may go past soft limits however much is in use.
+	IsLasting bool
+	Priority  int
+	Deadline  DeadlineClass
 	// CanWait tells that the group may still be started a good while later and be on time; shares pass it over.
 	CanWait bool
 	// RemainingTenths is how much of the job is yet to be started, in tenths of its work: what has been begun is finished first.
@@ -88,7 +90,7 @@
 
 // Limits are the soft limits of a placement. Remaining is what long work of a priority, and expired work as Background, may still
 // take of all capacity together; a priority without an entry may take all there is. As long as less CPU than FirstRunCPU has been given out,
-// Remaining, reservations and the run limits of executors keep no step from its first run. Shares go first.
+// Remaining, reservations and the run limits of executors keep no step from its first run; tasks that last they never keep from it. Shares go first.
 type Limits struct {
 	Remaining   map[int]Resources
 	FirstRunCPU int64
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -10,7 +10,7 @@
 	if len(queue.Groups)+len(queue.Speculative) == 0 {
 		return nil
 	}
-	turn := newTurn(executors, queue.MinNeed, limits.FirstRunCPU)
+	turn := newTurn(executors, queue, limits.FirstRunCPU)
 	turn.placeShares(queue.Groups, limits)
 	turn.placeAll(queue.Groups, 0, limits.Remaining)
 	turn.placeAll(queue.Speculative, len(queue.Groups), limits.Remaining)
--- a/internal/scheduling/placement/placement_test.go
+++ b/internal/scheduling/placement/placement_test.go
@@ -160,6 +160,9 @@
 		starts := 0
 		for range 4000 {
 			all, groups, remaining := drawPlacement(draw)
+			for _, group := range groups {
+				group.IsLasting = draw.IntN(6) == 0
+			}
 			other, firstRunCPU, shares := maps.Clone(remaining), max(0, int64(draw.IntN(400))-200), drawShares(draw)
 			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Remaining: remaining, FirstRunCPU: firstRunCPU, Shares: shares})
 			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRunCPU, Shares: shares})))
--- a/internal/scheduling/placement/turn.go
+++ b/internal/scheduling/placement/turn.go
@@ -1,5 +1,7 @@
 package placement
 
+import "slices"
+
 // turn is one placement under way. Capacity only shrinks while it lasts, so what found none once finds none later,
 // and only executors with capacity for the least need of all can be chosen. Gangs may use reserved executors, others not.
 type turn struct {
@@ -14,6 +16,7 @@
 	misses             misses
 	missesPastLimits   misses
 	firstRunCPU        int64
+	hasLasting         bool
 	smallestTotal      Resources
 	placed             []Placement
 	// placedOf counts what was placed of the groups that have had part of a share, by their number.
@@ -29,8 +32,9 @@
 }
 
 // newTurn gathers the executors that can still take a run.
-func newTurn(executors []Executor, minNeed Resources, firstRunCPU int64) *turn {
-	t := &turn{executors: executors, minNeed: minNeed, firstRunCPU: firstRunCPU}
+func newTurn(executors []Executor, queue Queue, firstRunCPU int64) *turn {
+	t := &turn{executors: executors, minNeed: queue.MinNeed, firstRunCPU: firstRunCPU}
+	t.hasLasting = slices.ContainsFunc(queue.Groups, func(group *Group) bool { return group.IsLasting })
 	for index := range executors {
 		executor := &executors[index]
 		if executor.IsUnschedulable {
@@ -58,7 +62,7 @@
 	for index := range t.candidates {
 		candidate := &t.candidates[index]
 		isAtLimit := t.isAtRunLimit(candidate)
-		if isAtLimit && t.firstRunCPU <= 0 {
+		if isAtLimit && t.firstRunCPU <= 0 && !t.hasLasting {
 			continue
 		}
 		t.isOver = t.isOver && !candidate.free.Fits(t.minNeed)
@@ -68,9 +72,9 @@
 	}
 }
 
-// mayExceedLimits tells whether soft limits give way to a group, as far as nothing of its step runs.
+// mayExceedLimits tells whether soft limits give way to a group, as far as nothing of its step runs, or its tasks last.
 func (t *turn) mayExceedLimits(group *Group) bool {
-	return group.IsIdle && !group.IsSpeculative && t.firstRunCPU > 0
+	return group.IsIdle && !group.IsSpeculative && (group.IsLasting || t.firstRunCPU > 0)
 }
 
 // fitsNowhere rejects at once a single task that certainly fits nowhere.
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -130,7 +130,7 @@
 // group describes the ready tasks of a step for placement: need, constraints, preferences and order.
 func (p *Pool) group(step *stepState, ready []*taskState) placement.Group {
 	job := step.occurrence.job
-	group := placement.Group{Excluded: p.excludedByRule(step), Need: step.need(), Count: len(ready), IsGang: step.spec.Gang, IsIdle: p.clock.Monotonic() >= p.idleFrom(step),
+	group := placement.Group{Excluded: p.excludedByRule(step), Need: step.need(), Count: len(ready), IsGang: step.spec.Gang, IsIdle: p.clock.Monotonic() >= p.idleFrom(step), IsLasting: step.spec.LongRunning,
 		SameRack: step.spec.SameRack, Labels: step.spec.Labels, Locality: step.spec.Affinity, AntiAffinity: step.spec.AntiAffinity,
 		IsLong:   step.spec.LongRunning || clock.Milliseconds(step.spec.EstimatedMs) > p.timing.ReservedCapacity.LongWork,
 		Priority: job.record.Terms.Priority, Deadline: p.deadlineClass(step), CanWait: p.canWait(step), RemainingTenths: p.remainingTenths(step), Due: p.orderKey(step, len(ready))}
@@ -144,9 +144,13 @@
 	return group
 }
 
-// idleFrom is when a step that runs nothing goes past soft limits.
+// idleFrom is when a step that runs nothing goes past soft limits. One whose tasks last does so at once, whatever of it runs: each of
+// them is to run at every moment.
 func (p *Pool) idleFrom(step *stepState) time.Duration {
-	if step.hasRuns() {
+	switch {
+	case step.spec.LongRunning:
+		return 0
+	case step.hasRuns():
 		return never
 	}
 	return step.lastProgressAt + maxIdleWait
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -11,13 +11,15 @@
 
 // ReservedCapacity is what long work of lower priority leaves to the urgent: at most MaxReserved of all capacity, and always
 // AlwaysAllowed of it to long work, which is work over LongWork. FirstRunShare is the part of all CPU up to which no soft
-// limit keeps a step from its first run. DemandHalfLife is how fast it is forgotten what the urgent asked for; 0 forgets it at once.
+// limit keeps a step from its first run. DemandHalfLife is how fast it is forgotten what the urgent asked for, and LullHalfLife how fast
+// while none of it runs or waits; 0 forgets it at once.
 type ReservedCapacity struct {
 	MaxReserved    float64
 	AlwaysAllowed  float64
 	LongWork       time.Duration
 	FirstRunShare  float64
 	DemandHalfLife time.Duration
+	LullHalfLife   time.Duration
 	// LowerShare is kept for what is on time of the second priority, and half as much for each one after the one before it;
 	// ExpiredShare is kept for what is of no use any more.
 	LowerShare   float64
@@ -27,7 +29,7 @@
 // DefaultReservedCapacity keeps at most 60% of the capacity free for the urgent and always lets long work have 30%; long is over
 // 1.5 s. First runs go past soft limits up to 60%: over half, as runs that have ended count as running until that is reported.
 var DefaultReservedCapacity = ReservedCapacity{MaxReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond, FirstRunShare: 0.6,
-	DemandHalfLife: 15 * time.Second, LowerShare: 0.15, ExpiredShare: 0.05}
+	DemandHalfLife: 15 * time.Second, LullHalfLife: 2 * time.Second, LowerShare: 0.15, ExpiredShare: 0.05}
 
 // capacityUse is what the runs of each priority take, and what each priority asked for at its peak.
 type capacityUse struct {
@@ -120,8 +122,11 @@
 	}
 	for priority, recent := range p.recentDemands {
 		demand, exists := demands[priority]
-		wanted := demand.wanted.Min(total)
-		recent.raise(float64(wanted.CPU), float64(wanted.Memory), now, p.timing.ReservedCapacity.DemandHalfLife)
+		wanted, halfLife := demand.wanted.Min(total), p.timing.ReservedCapacity.DemandHalfLife
+		if !exists {
+			halfLife = p.timing.ReservedCapacity.LullHalfLife
+		}
+		recent.raise(float64(wanted.CPU), float64(wanted.Memory), now, halfLife)
 		if !exists && recent.hasFaded() {
 			delete(p.recentDemands, priority)
 		}
