--- a/internal/simulation/soak/client.go
+++ b/internal/simulation/soak/client.go
@@ -16,6 +16,9 @@
 	clientsPerGate = 4
 	// idleClient of clientsPerGate pauses for long between its calls, so that its connection is idle when its gate leaves.
 	idleClient = 3
+	// meanPause lies between two calls of a client, and meanIdlePause between those of an idle one.
+	meanPause     = 150 * time.Millisecond
+	meanIdlePause = 4 * time.Second
 	// callLimit is how long a client waits for an answer.
 	callLimit = 3 * time.Second
 	// mostTries is how often a client submits a job after unclear answers.
@@ -68,34 +71,59 @@
 	return running
 }
 
+// action is something that a client does; it does each as often as its weight says.
+type action struct {
+	weight int
+	do     func(*client, context.Context)
+}
+
+// actions are those of a client that has jobs; one without submits.
+var actions = []action{
+	{45, func(c *client, ctx context.Context) { c.submit(ctx, newJob(c.draw)) }},
+	{35, func(c *client, ctx context.Context) { c.call(ctx, verbState, c.anyJob(), "") }},
+	{8, func(c *client, ctx context.Context) { c.call(ctx, verbCount, "", "") }},
+	{5, func(c *client, ctx context.Context) { c.call(ctx, verbCancel, c.anyJob(), "") }},
+	{4, (*client).submitAgain},
+	{3, (*client).abandon},
+}
+
 // run makes calls until ctx is done.
 func (c *client) run(ctx context.Context, isIdle bool) {
 	defer c.hangUp()
 	for c.pause(ctx, isIdle) {
-		switch kind := c.draw.IntN(100); {
-		case kind < 45 || len(c.jobs) == 0:
-			c.submit(ctx, newJob(c.draw))
-		case kind < 80:
-			c.call(ctx, verbState, c.anyJob(), "")
-		case kind < 88:
-			c.call(ctx, verbCount, "", "")
-		case kind < 93:
-			c.call(ctx, verbCancel, c.anyJob(), "")
-		case kind < 97:
-			// The same job again, seconds after its acceptance.
-			id := c.anyJob()
-			c.call(ctx, verbSubmit, id, shapeOf(id).body())
-		default:
-			c.abandon(ctx)
+		c.drawAction().do(c, ctx)
+	}
+}
+
+// drawAction draws by the weights.
+func (c *client) drawAction() action {
+	if len(c.jobs) == 0 {
+		return actions[0]
+	}
+	total := 0
+	for _, action := range actions {
+		total += action.weight
+	}
+	drawn := c.draw.IntN(total)
+	for _, action := range actions {
+		if drawn -= action.weight; drawn < 0 {
+			return action
 		}
 	}
+	return actions[0]
+}
+
+// submitAgain submits a job that was accepted some time ago.
+func (c *client) submitAgain(ctx context.Context) {
+	id := c.anyJob()
+	c.call(ctx, verbSubmit, id, shapeOf(id).body())
 }
 
 // pause waits before the next call; it is false once ctx is done.
 func (c *client) pause(ctx context.Context, isIdle bool) bool {
-	mean := 150 * time.Millisecond
+	mean := meanPause
 	if isIdle {
-		mean = 4 * time.Second
+		mean = meanIdlePause
 	}
 	select {
 	case <-ctx.Done():
--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -92,7 +92,7 @@
 	return c.launch(p)
 }
 
-// launch begins the next life of a node.
+// launch begins the next incarnation of a node.
 func (c *cluster) launch(p *process) error {
 	if c.isEnding {
 		return nil
@@ -153,7 +153,7 @@
 	return c.launch(p)
 }
 
-// noteExit records how a life ended, and has the next one begin.
+// noteExit records how an incarnation ended, and has the next one begin.
 func (c *cluster) noteExit(p *process, incarnation int, state *os.ProcessState) {
 	if p.incarnation != incarnation {
 		return
@@ -234,7 +234,7 @@
 	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + lasts}) })
 }
 
-// end ends a life by the signal of a fault. What comes afterwards is its next life, unless next is given.
+// end ends an incarnation by the signal of a fault. What comes afterwards is the next one, unless next is given.
 func (c *cluster) end(name string, kind FaultKind, next func()) {
 	p := c.processes[name]
 	if p == nil || p.phase != phaseRunning || p.isSpared {
@@ -255,7 +255,7 @@
 	})
 }
 
-// freeze stops a life for a while.
+// freeze stops a process for a while.
 func (c *cluster) freeze(p *process, lasts time.Duration) {
 	c.noteTrouble(p.node.Name, FaultFreeze, lasts)
 	p.phase = phaseFrozen
@@ -300,19 +300,19 @@
 	return running
 }
 
-// life is a process that runs now.
-type life struct {
+// runningProcess is a process that runs now.
+type runningProcess struct {
 	node        Node
 	incarnation int
 }
 
-// lives are all processes of gannetline that run now.
-func (c *cluster) lives() []life {
-	running, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]life)) {
-		var running []life
+// runningProcesses are all processes of gannetline that run now.
+func (c *cluster) runningProcesses() []runningProcess {
+	running, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
+		var running []runningProcess
 		for _, name := range c.order {
 			if p := c.processes[name]; !p.isSpared && p.phase == phaseRunning {
-				running = append(running, life{p.node, p.incarnation})
+				running = append(running, runningProcess{p.node, p.incarnation})
 			}
 		}
 		answer(running)
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -33,7 +33,7 @@
 	{"disk, bytes", 64 << 20, func(s *Sample) float64 { return s.Disk }},
 }
 
-// Slope is how a figure of one life of a process changes with time, with its standard error, both a second.
+// Slope is how a figure of one incarnation of a process changes with time, with its standard error, both a second.
 type Slope struct {
 	Process  string  `json:"process"`
 	Resource string  `json:"resource"`
@@ -45,24 +45,24 @@
 	isGrowth bool
 }
 
-// slopes works out how each figure of each life changes that was long enough.
+// slopes works out how each figure of each incarnation changes that was long enough.
 func slopes(h *History) []Slope {
-	type life struct {
-		process     string
-		incarnation int
+	type incarnation struct {
+		process string
+		number  int
 	}
-	lives, order := map[life][]Sample{}, []life{}
+	byIncarnation, order := map[incarnation][]Sample{}, []incarnation{}
 	for _, sample := range h.Samples {
-		key := life{sample.Process, sample.Incarnation}
-		if lives[key] == nil {
+		key := incarnation{sample.Process, sample.Incarnation}
+		if byIncarnation[key] == nil {
 			order = append(order, key)
 		}
-		lives[key] = append(lives[key], sample)
+		byIncarnation[key] = append(byIncarnation[key], sample)
 	}
 	var all []Slope
 	for _, key := range order {
-		samples := lives[key]
-		for len(samples) > 0 && samples[0].At < lives[key][0].At+warmUp {
+		samples := byIncarnation[key]
+		for len(samples) > 0 && samples[0].At < byIncarnation[key][0].At+warmUp {
 			samples = samples[1:]
 		}
 		if len(samples) < leastSamples {
--- a/internal/simulation/soak/history.go
+++ b/internal/simulation/soak/history.go
@@ -98,7 +98,7 @@
 	Version int64
 }
 
-// Sample is what one life of a process uses at a moment. Disk is in bytes, for those that have one.
+// Sample is what one incarnation of a process uses at a moment. Disk is in bytes, for those that have one.
 type Sample struct {
 	Process     string
 	Incarnation int
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -145,7 +145,7 @@
 func (s *soak) sample(ctx context.Context) {
 	client := &http.Client{Timeout: sampleLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
-		for _, running := range s.cluster.lives() {
+		for _, running := range s.cluster.runningProcesses() {
 			at := s.recorder.now()
 			read, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleLimit)
 			if err != nil {
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -20,7 +20,7 @@
 	phaseEnding
 )
 
-// process is one life after another of a node. The cluster's goroutine alone uses it.
+// process is one incarnation after another of a node. The cluster's goroutine alone uses it.
 type process struct {
 	node        Node
 	arguments   []string
@@ -28,7 +28,7 @@
 	input       *os.File
 	phase       processPhase
 	incarnation int
-	// asked is the fault that ends the present life, and askedAt when it came; afterwards starts the next one, if any.
+	// asked is the fault that ends the present incarnation, and askedAt when it came; afterwards starts the next one, if any.
 	asked      FaultKind
 	askedAt    time.Duration
 	afterwards func()
@@ -36,7 +36,7 @@
 	isSpared bool
 }
 
-// start begins a life. Its output goes into a log file of its node; onExit gets its end on a goroutine of its own.
+// start begins an incarnation. Its output goes into a log file of its node; onExit gets its end on a goroutine of its own.
 func (p *process) start(program, folder string, onExit func(*os.ProcessState)) error {
 	log, err := os.OpenFile(filepath.Join(folder, p.node.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// signal sends a signal to the present life, by its process ID.
+// signal sends a signal to the present incarnation, by its process ID.
 func (p *process) signal(signal syscall.Signal) {
 	if p.phase != phaseDown {
 		// A process that has just ended can't be signalled, and need not.
@@ -73,7 +73,7 @@
 	}
 }
 
-// exitOf describes how a life ended.
+// exitOf describes how an incarnation ended.
 func exitOf(p *process, state *os.ProcessState, now time.Duration) Exit {
 	exit := Exit{Process: p.node.Name, Asked: p.asked, At: now, Code: state.ExitCode()}
 	if p.asked != "" {
