--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -103,7 +103,7 @@
 		}
 	}
 	incarnation := p.incarnation + 1
-	return p.start(c.options.Program, c.folder, func(state *os.ProcessState) {
+	return p.start(c.options.Program, c.folder, c.recorder.now(), func(state *os.ProcessState) {
 		if c.ctx.Err() == nil {
 			c.mailbox.Post(func() { c.noteExit(p, incarnation, state) })
 		}
--- a/internal/simulation/soak/history.go
+++ b/internal/simulation/soak/history.go
@@ -67,11 +67,13 @@
 	From, To time.Duration
 }
 
-// Exit is how a process ended. Asked is the fault that ended it; empty if none did.
+// Exit is how a process ended. Asked is the fault that ended it, empty if none did; Age is how long it had run by then, and Took how
+// long it took to end.
 type Exit struct {
 	Process string
 	Asked   FaultKind
 	At      time.Duration
+	Age     time.Duration
 	Took    time.Duration
 	Code    int
 	Signal  string
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"slices"
 	"strings"
+	"syscall"
 	"time"
 
 	"gannetline/internal/simulation/hollow"
@@ -70,6 +71,9 @@
 	cancelBound = 5 * time.Second
 	// configurationMargin is added to the time in which a configuration must be in force, as all share one machine.
 	configurationMargin = 2 * time.Second
+	// startUp is how long a process may take until it reads signals; one that is told to end before ends by the signal, and has
+	// served nobody.
+	startUp = 3 * time.Second
 	// exitBound is how long a process may take to end after SIGTERM.
 	exitBound = graceSeconds*time.Second + 2*time.Second
 )
@@ -312,6 +316,9 @@
 	case FaultKill, FaultWipe:
 		return ""
 	}
+	if e.Age < startUp && e.Signal == syscall.SIGTERM.String() {
+		return ""
+	}
 	if e.Code != 0 {
 		return fmt.Sprintf("ended with code %d %s after SIGTERM", e.Code, e.Signal)
 	}
