--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -99,16 +99,25 @@
 	for _, demand := range demands {
 		used = used.Plus(demand.allocated)
 	}
-	var kept, above placement.Resources
+	// keptNow is what is kept for priorities that have demand now: expired work is soon over, and may use a lull of the others.
+	var kept, keptNow, above placement.Resources
 	for index, priority := range slices.Sorted(maps.Keys(p.recentDemands)) {
-		allocated := demands[priority].allocated
+		demand, hasDemand := demands[priority]
+		leaves := kept
+		if priority == placement.Background {
+			leaves = keptNow
+		}
 		if index > 0 {
-			free := total.Minus(used).Minus(kept)
+			free := total.Minus(used).Minus(leaves)
 			minimum := total.Times(p.alwaysAllowed(priority)).Minus(used.Minus(above))
 			remaining[priority] = free.Max(minimum)
 		}
-		kept = kept.Plus(p.recentDemands[priority].unused(allocated, total.Times(p.timing.ReservedCapacity.MaxReserved)))
-		above = above.Plus(allocated)
+		unused := p.recentDemands[priority].unused(demand.allocated, total.Times(p.timing.ReservedCapacity.MaxReserved))
+		kept = kept.Plus(unused)
+		if hasDemand {
+			keptNow = keptNow.Plus(unused)
+		}
+		above = above.Plus(demand.allocated)
 	}
 	return remaining
 }
