--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -5,6 +5,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,6 +13,7 @@
 
 	"github.com/juju/errors"
 	"github.com/urfave/cli/v3"
+	"go.uber.org/multierr"
 
 	"gannetline/internal/platform/logging"
 	"gannetline/internal/platform/supervise"
@@ -59,7 +61,7 @@
 			&cli.StringFlag{Name: "schedule", Usage: "play the schedule in `FILE`, as --print-schedule or a report gives it"},
 			&cli.BoolFlag{Name: "print-schedule", Usage: "print the schedule and play nothing"},
 			&cli.BoolFlag{Name: "shrink", Usage: "if something is found, look for a shorter schedule that finds it too, and print that"},
-			&cli.StringFlag{Name: "plant", Usage: "put a fault into what is observed: " + joined(soak.AllPlants)},
+			&cli.StringFlag{Name: "plant", Usage: "put a fault into what is observed: " + joined(soak.AllInjectedFaults)},
 			&cli.StringFlag{Name: "network", Usage: "first two octets of the loopback addresses", Value: "127.92"},
 			&cli.StringFlag{Name: "program", Usage: "the gannetline `PROGRAM`; beside this one if left out"},
 			&cli.IntFlag{Name: "log-level", Usage: "0 shows progress, 1 each fault as well"},
@@ -84,7 +86,7 @@
 func optionsOf(command *cli.Command) (soak.Options, error) {
 	options := soak.Options{Seed: command.Uint64("seed"), Length: time.Duration(command.Float("seconds") * float64(time.Second)),
 		Processes: command.Int("processes"), Keep: command.String("keep"), Program: command.String("program"), Network: command.String("network"),
-		Plant: soak.Plant(command.String("plant"))}
+		InjectedFault: soak.InjectedFault(command.String("plant"))}
 	if command.Args().Len() > 0 {
 		return options, errors.Errorf("%q is no option", command.Args().First())
 	}
@@ -124,7 +126,7 @@
 	}
 	report.Write(os.Stdout)
 	if path := command.String("json"); path != "" {
-		if err := write(path, report); err != nil {
+		if err := writeFile(path, report); err != nil {
 			return err
 		}
 	}
@@ -151,20 +153,21 @@
 }
 
 // printJSON prints a value as JSON.
-func printJSON(value any) error {
-	text, err := json.MarshalIndent(value, "", "  ")
+func printJSON(value any) error { return writeJSON(os.Stdout, value) }
+
+// writeFile writes a value as JSON into a file.
+func writeFile(path string, value any) error {
+	file, err := os.Create(path)
 	if err != nil {
-		return err
+		return errors.Annotate(err, "--json")
 	}
-	fmt.Println(string(text))
-	return nil
+	err = writeJSON(file, value)
+	return errors.Annotate(multierr.Append(err, file.Close()), "--json")
 }
 
-// write writes a value as JSON into a file.
-func write(path string, value any) error {
-	text, err := json.MarshalIndent(value, "", "  ")
-	if err != nil {
-		return err
-	}
-	return errors.Annotate(os.WriteFile(path, append(text, '\n'), 0o644), "--json")
+// writeJSON writes a value as indented JSON.
+func writeJSON(to io.Writer, value any) error {
+	encoder := json.NewEncoder(to)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
--- a/internal/simulation/soak/client.go
+++ b/internal/simulation/soak/client.go
@@ -21,8 +21,8 @@
 	meanIdlePause = 4 * time.Second
 	// callLimit is how long a client waits for an answer.
 	callLimit = 3 * time.Second
-	// mostTries is how often a client submits a job after unclear answers.
-	mostTries = 6
+	// maxTries is how often a client submits a job after unclear answers.
+	maxTries = 6
 
 	frontHost  = "soak.example"
 	jobsPrefix = "/jobs/"
@@ -41,33 +41,20 @@
 	calls int
 }
 
-// group is goroutines that are waited for together.
-type group struct{ running sync.WaitGroup }
-
-func (g *group) start(work func()) {
-	g.running.Add(1)
-	go func() {
-		defer g.running.Done()
-		work()
-	}()
-}
-
-func (g *group) wait() { g.running.Wait() }
-
 // startClients starts the clients, the operator, and those who look at the processes, until ctx is done.
-func (s *soak) startClients(ctx context.Context) *group {
-	running := &group{}
+func (s *soak) startClients(ctx context.Context) *sync.WaitGroup {
+	running := &sync.WaitGroup{}
 	for gateNumber, gate := range s.layout.Gates {
 		for place := range clientsPerGate {
 			number := gateNumber*clientsPerGate + place
 			c := &client{soak: s, number: number, gate: gate, address: s.layout.relayAddress(gateNumber),
 				draw: rand.New(rand.NewPCG(s.options.Seed, uint64(clientStream+number)))}
-			running.start(func() { c.run(ctx, place == idleClient) })
+			running.Go(func() { c.run(ctx, place == idleClient) })
 		}
 	}
-	running.start(func() { newOperator(s).run(ctx) })
-	running.start(func() { s.sample(ctx) })
-	running.start(func() { s.recorder.watchStalls(ctx) })
+	running.Go(func() { newOperator(s).run(ctx) })
+	running.Go(func() { s.sample(ctx) })
+	running.Go(func() { s.recorder.watchStalls(ctx) })
 	return running
 }
 
@@ -125,19 +112,14 @@
 	if isIdle {
 		mean = meanIdlePause
 	}
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(time.Duration(c.draw.ExpFloat64() * float64(mean))):
-		return ctx.Err() == nil
-	}
+	return pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(mean)))
 }
 
 func (c *client) anyJob() string { return c.jobs[c.draw.IntN(len(c.jobs))] }
 
 // submit hands a job in, again after each unclear answer.
 func (c *client) submit(ctx context.Context, id string) {
-	for range mostTries {
+	for range maxTries {
 		call := c.call(ctx, verbSubmit, id, shapeOf(id).body())
 		if call.isAccepted() {
 			c.jobs = append(c.jobs, id)
@@ -183,15 +165,25 @@
 // call asks once and records what came of it.
 func (c *client) call(ctx context.Context, asked verb, id, body string) *Call {
 	q := c.request(asked, id, body)
-	call := &Call{Client: c.number, Gate: c.gate.Name, Verb: asked, Job: id, RequestID: q.id, SentAt: c.recorder.now(), Outcome: notSent}
+	call := c.newCall(asked, id, q, notSent)
 	if link := c.connect(ctx); link != nil {
 		call.IsKept = link.answered > 0
 		c.exchange(link, q, call)
 	}
+	c.record(call)
+	return call
+}
+
+// newCall begins the record of a call that sends a request now.
+func (c *client) newCall(asked verb, id string, q *request, ended outcome) *Call {
+	return &Call{Client: c.number, Gate: c.gate.Name, Verb: asked, Job: id, RequestID: q.id, SentAt: c.recorder.now(), Outcome: ended}
+}
+
+// record writes a call that has ended into the history.
+func (c *client) record(call *Call) {
 	call.EndedAt = c.recorder.now()
 	done := *call
 	c.recorder.write(func(h *History) { h.Calls = append(h.Calls, done) })
-	return call
 }
 
 // exchange sends a request and reads its answer on a connection, which is given up if anything is wrong with it.
@@ -227,11 +219,10 @@
 	}
 	id := newJob(c.draw)
 	q := c.request(verbSubmit, id, shapeOf(id).body())
-	call := Call{Client: c.number, Gate: c.gate.Name, Verb: verbSubmit, Job: id, RequestID: q.id, SentAt: c.recorder.now(), Outcome: abandoned}
+	call := c.newCall(verbSubmit, id, q, abandoned)
 	text := q.text()
 	// Whatever becomes of it, the connection is closed.
 	_, _ = link.raw.Write([]byte(text[:1+c.draw.IntN(len(text))]))
 	c.hangUp()
-	call.EndedAt = c.recorder.now()
-	c.recorder.write(func(h *History) { h.Calls = append(h.Calls, call) })
+	c.record(call)
 }
--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// restartPause lies between the end of a process and its next life.
+	// restartPause lies between the end of a process and its next start.
 	restartPause = 500 * time.Millisecond
 	// waveGap lies between two gates of a wave.
 	waveGap = 700 * time.Millisecond
@@ -286,38 +286,39 @@
 	}
 }
 
-// stewards are the addresses of the stewards that run now.
-func (c *cluster) stewards() []Node {
-	running, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]Node)) {
-		var running []Node
+// runningProcess is a process of gannetline that was chosen, in one of its incarnations.
+type runningProcess struct {
+	node        Node
+	incarnation int
+}
+
+// choose gives the processes of gannetline that satisfy a condition, in the order of their first starts.
+func (c *cluster) choose(isChosen func(*process) bool) []runningProcess {
+	chosen, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
+		var chosen []runningProcess
 		for _, name := range c.order {
-			if p := c.processes[name]; p.node.Role == RoleSteward && p.phase != phaseDown {
-				running = append(running, p.node)
+			if p := c.processes[name]; !p.isSpared && isChosen(p) {
+				chosen = append(chosen, runningProcess{p.node, p.incarnation})
 			}
 		}
-		answer(running)
+		answer(chosen)
 	})
-	return running
+	return chosen
 }
 
-// runningProcess is a process that runs now.
-type runningProcess struct {
-	node        Node
-	incarnation int
+// stewards are the stewards that have not ended.
+func (c *cluster) stewards() []runningProcess {
+	return c.choose(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseDown })
 }
 
 // runningProcesses are all processes of gannetline that run now.
 func (c *cluster) runningProcesses() []runningProcess {
-	running, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
-		var running []runningProcess
-		for _, name := range c.order {
-			if p := c.processes[name]; !p.isSpared && p.phase == phaseRunning {
-				running = append(running, runningProcess{p.node, p.incarnation})
-			}
-		}
-		answer(running)
-	})
-	return running
+	return c.choose(func(p *process) bool { return p.phase == phaseRunning })
+}
+
+// notDown are the processes of gannetline that have not ended.
+func (c *cluster) notDown() []runningProcess {
+	return c.choose(func(p *process) bool { return p.phase != phaseDown })
 }
 
 // shutDown ends all processes in order, the executors last, and records how each ended.
@@ -340,20 +341,6 @@
 	}
 }
 
-// notDown names the processes of gannetline that have not ended.
-func (c *cluster) notDown() []string {
-	names, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]string)) {
-		var names []string
-		for _, name := range c.order {
-			if p := c.processes[name]; !p.isSpared && p.phase != phaseDown {
-				names = append(names, name)
-			}
-		}
-		answer(names)
-	})
-	return names
-}
-
 // killAll ends whatever is left, by process ID, and waits until that is done.
 func (c *cluster) killAll() {
 	_ = c.do(func() error {
--- a/internal/simulation/soak/fault.go
+++ b/internal/simulation/soak/fault.go
@@ -58,7 +58,7 @@
 }
 
 // lasts is between what times a fault lasts; 0 where it has no length of its own.
-func (k FaultKind) lasts() (least, most time.Duration) {
+func (k FaultKind) lasts() (shortest, longest time.Duration) {
 	switch k {
 	case FaultFreeze:
 		return 800 * time.Millisecond, 4 * time.Second
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -11,12 +11,12 @@
 const (
 	// warmUp is how long after its start a process may grow.
 	warmUp = 15 * time.Second
-	// leastSamples is how many samples a slope needs.
-	leastSamples = 20
-	// leastFit is how much of the change the slope must explain (r squared).
-	leastFit = 0.8
-	// mostGrowth is by how much of its mean a figure may grow over the time it was looked at.
-	mostGrowth = 0.5
+	// minSamples is how many samples a slope needs.
+	minSamples = 20
+	// minFit is how much of the change the slope must explain (r squared).
+	minFit = 0.8
+	// maxGrowth is by how much of its mean a figure may grow over the time it was looked at.
+	maxGrowth = 0.5
 )
 
 // resource is something that a process uses, and how much more of it is nothing to worry about.
@@ -65,7 +65,7 @@
 		for len(samples) > 0 && samples[0].At < byIncarnation[key][0].At+warmUp {
 			samples = samples[1:]
 		}
-		if len(samples) < leastSamples {
+		if len(samples) < minSamples {
 			continue
 		}
 		for _, resource := range resources {
@@ -93,17 +93,17 @@
 	}
 	result.Error = math.Sqrt(residual / float64(len(values)-2) / (stat.Variance(seconds, nil) * float64(len(values)-1)))
 	growth := slope * result.Seconds
-	result.isGrowth = result.Fit >= leastFit && growth > resource.tolerated && growth > mostGrowth*result.Mean
+	result.isGrowth = result.Fit >= minFit && growth > resource.tolerated && growth > maxGrowth*result.Mean
 	return result
 }
 
 func growth(h *History) []Violation {
-	var found []Violation
+	var violations []Violation
 	for _, slope := range slopes(h) {
 		if slope.isGrowth {
-			found = append(found, Violation{OracleGrowth, 0, fmt.Sprintf("%s: %s grow by %.3g a second (error %.2g) over %.0f s, mean %.3g", slope.Process,
+			violations = append(violations, Violation{OracleGrowth, 0, fmt.Sprintf("%s: %s grow by %.3g a second (error %.2g) over %.0f s, mean %.3g", slope.Process,
 				slope.Resource, slope.Slope, slope.Error, slope.Seconds, slope.Mean)})
 		}
 	}
-	return found
+	return violations
 }
--- /dev/null
+++ b/internal/simulation/soak/injectedfaults.go
@@ -0,0 +1,100 @@
+package soak
+
+import (
+	"bytes"
+	"slices"
+	"time"
+
+	"gannetline/internal/scheduling/jobs"
+	"gannetline/internal/simulation/hollow"
+)
+
+// InjectedFault is a fault that is put into what is observed, to see that an oracle finds it. It is named for that oracle.
+type InjectedFault string
+
+// The injected faults; InjectNothing is none.
+const (
+	InjectNothing       InjectedFault = ""
+	InjectLost          InjectedFault = "lost"
+	InjectTwice         InjectedFault = "twice"
+	InjectWrong         InjectedFault = "wrong-answer"
+	InjectShown         InjectedFault = "shown"
+	InjectCut           InjectedFault = "cut"
+	InjectCancelled     InjectedFault = "cancelled"
+	InjectFence         InjectedFault = "fence"
+	InjectConfiguration InjectedFault = "configuration"
+	InjectExit          InjectedFault = "exit"
+	InjectGrowth        InjectedFault = "growth"
+)
+
+// AllInjectedFaults are all that can be injected.
+var AllInjectedFaults = []InjectedFault{InjectLost, InjectTwice, InjectWrong, InjectShown, InjectCut, InjectCancelled, InjectFence, InjectConfiguration, InjectExit, InjectGrowth}
+
+func (p InjectedFault) isKnown() bool {
+	return p == InjectNothing || slices.Contains(AllInjectedFaults, p)
+}
+
+// injectEvery is how many chunks a relay passes between two injected faults.
+const injectEvery = 40
+
+// altered gives the chunk that a relay passes in place of another: nil closes the connection. It is called on the relay's goroutine.
+func (r *relay) altered(chunk []byte, isAnswer bool) []byte {
+	if !isAnswer {
+		return chunk
+	}
+	r.answers++
+	former := r.last
+	r.last = bytes.Clone(chunk)
+	if r.answers%injectEvery != 0 {
+		return chunk
+	}
+	switch {
+	case r.injected == InjectCut:
+		// The gate has answered, and the client gets nothing, well after its request.
+		time.Sleep(2 * lossSlack)
+		return nil
+	case r.injected == InjectWrong && former != nil:
+		return former
+	}
+	return chunk
+}
+
+// disturb puts a fault into a history. Those of connections were injected while it was played (altered).
+func (p InjectedFault) disturb(h *History) {
+	last := func() time.Duration { return h.Calls[len(h.Calls)-1].EndedAt }
+	switch p {
+	case InjectLost:
+		h.Calls = append(h.Calls, Call{Verb: verbSubmit, Job: "fffffffffffff111", Outcome: answered, Status: 200, EndedAt: last()})
+	case InjectTwice:
+		again := h.Runs[0]
+		again.Run++
+		h.Runs = append(h.Runs, again)
+	case InjectShown:
+		h.Calls = append(h.Calls, Call{Verb: verbState, Job: "0000000000000991", Outcome: answered, Status: 200, State: "completed"})
+	case InjectCancelled:
+		for index := range h.Calls {
+			if h.Calls[index].isAccepted() {
+				h.injectCancelled(h.Calls[index].Job)
+				return
+			}
+		}
+	case InjectFence:
+		h.RepeatedFences = maxRepeatedFences + 1
+	case InjectConfiguration:
+		version := h.Acknowledgements[len(h.Acknowledgements)-1].Version
+		h.ReadBacks = append(h.ReadBacks, ReadBack{Steward: "planted", SentAt: last(), Version: version - 1})
+	case InjectExit:
+		h.Exits = append(h.Exits, Exit{Process: "planted", At: last(), Code: 2})
+	case InjectGrowth:
+		for at := range 2 * minSamples {
+			h.Samples = append(h.Samples, Sample{Process: "planted", At: warmUp + time.Duration(at)*sampleEvery, Memory: float64((20 + 4*at) << 20)})
+		}
+	}
+}
+
+// injectCancelled cancels a job long before one of its tasks starts.
+func (h *History) injectCancelled(id string) {
+	h.Calls = append(h.Calls, Call{Verb: verbCancel, Job: id, Outcome: answered, Status: 200})
+	startMs := h.StartMs + (2 * cancelBound).Milliseconds()
+	h.Runs = append(h.Runs, hollow.RunRecord{Task: jobs.TaskName(id, 0, 0, shapeOf(id).tasks()), Run: 1, Node: "planted", StartMs: startMs, EndMs: startMs + 1})
+}
--- a/internal/simulation/soak/job.go
+++ b/internal/simulation/soak/job.go
@@ -19,8 +19,8 @@
 // The last three digits of an ID are the tasks of the first step, those of the second, and the length of each in shapeUnit.
 const (
 	idDigits   = 16
-	mostTasks  = 6
-	mostUnits  = 8
+	maxTasks   = 6
+	maxUnits   = 8
 	shapeUnit  = 50 * time.Millisecond
 	taskCPU    = 400
 	taskMemory = 100
@@ -28,7 +28,7 @@
 
 // newJob draws an ID.
 func newJob(draw *rand.Rand) string {
-	return fmt.Sprintf("%013x%x%x%x", draw.Uint64()>>12, 1+draw.IntN(mostTasks), draw.IntN(mostTasks), 1+draw.IntN(mostUnits))
+	return fmt.Sprintf("%013x%x%x%x", draw.Uint64()>>12, 1+draw.IntN(maxTasks), draw.IntN(maxTasks), 1+draw.IntN(maxUnits))
 }
 
 func shapeOf(id string) shape {
--- a/internal/simulation/soak/operator.go
+++ b/internal/simulation/soak/operator.go
@@ -50,10 +50,7 @@
 		}
 		o.probe(ctx)
 		o.readBack(ctx)
-		select {
-		case <-ctx.Done():
-		case <-time.After(probeEvery):
-		}
+		pause(ctx, probeEvery)
 	}
 }
 
@@ -67,10 +64,7 @@
 			o.recorder.write(func(h *History) { h.Acknowledgements = append(h.Acknowledgements, Acknowledgement{next, at}) })
 			return
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(probeEvery):
-		}
+		pause(ctx, probeEvery)
 	}
 }
 
@@ -96,11 +90,14 @@
 
 // stewardURL names a steward that runs now; all of them serve the operator.
 func (o *operator) stewardURL(path string) string {
-	running := o.cluster.stewards()
-	if len(running) == 0 {
-		running = o.layout.Stewards
+	var stewards []Node
+	for _, running := range o.cluster.stewards() {
+		stewards = append(stewards, running.node)
+	}
+	if len(stewards) == 0 {
+		stewards = o.layout.Stewards
 	}
-	return "http://" + endpoint(running[o.draw.IntN(len(running))].IP, controlPort) + path
+	return "http://" + endpoint(stewards[o.draw.IntN(len(stewards))].IP, controlPort) + path
 }
 
 // probe asks a gate for the queue of the newest version that must be in force.
@@ -127,9 +124,9 @@
 func (o *operator) readBack(ctx context.Context) {
 	url := o.stewardURL("/v1/configuration/retrieve")
 	sentAt := o.recorder.now()
-	var held configuration.Configuration
-	if o.ask(ctx, sling.New().Get(url), &held) == http.StatusOK {
-		read := ReadBack{Steward: url, SentAt: sentAt, Version: held.Version}
+	var newest configuration.Configuration
+	if o.ask(ctx, sling.New().Get(url), &newest) == http.StatusOK {
+		read := ReadBack{Steward: url, SentAt: sentAt, Version: newest.Version}
 		o.recorder.write(func(h *History) { h.ReadBacks = append(h.ReadBacks, read) })
 	}
 }
--- a/internal/simulation/soak/options.go
+++ b/internal/simulation/soak/options.go
@@ -33,8 +33,8 @@
 	Program string
 	// Network is the first two octets of the loopback addresses, such as 127.92.
 	Network string
-	// Plant is a fault in what is observed, to see that an oracle finds it.
-	Plant Plant
+	// InjectedFault is put into what is observed, to see that an oracle finds it.
+	InjectedFault InjectedFault
 	// Schedule is played in place of a drawn one.
 	Schedule *Schedule
 }
@@ -56,8 +56,8 @@
 			refuse("--faults: there is no fault %q; there are %v", kind, AllFaults)
 		}
 	}
-	if !o.Plant.isKnown() {
-		refuse("--plant: there is no planted fault %q; there are %v", o.Plant, AllPlants)
+	if !o.InjectedFault.isKnown() {
+		refuse("--plant: there is no injected fault %q; there are %v", o.InjectedFault, AllInjectedFaults)
 	}
 	if ip := net.ParseIP(o.Network + ".0.1").To4(); ip == nil || !ip.IsLoopback() {
 		refuse("--network: %q is not the first two octets of loopback addresses", o.Network)
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -6,10 +6,11 @@
 	"maps"
 	"net/http"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
+	"gannetline/internal/cluster/peerapi/wire"
+	"gannetline/internal/scheduling/jobs"
 	"gannetline/internal/simulation/hollow"
 )
 
@@ -53,12 +54,12 @@
 
 // Judge has all oracles read a history, and gives what they find by time.
 func Judge(history *History) []Violation {
-	var found []Violation
+	var violations []Violation
 	for _, oracle := range oracles {
-		found = append(found, oracle(history)...)
+		violations = append(violations, oracle(history)...)
 	}
-	slices.SortStableFunc(found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return found
+	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return violations
 }
 
 // The bounds of the oracles, beyond those of the settings.
@@ -86,16 +87,16 @@
 
 // acceptedJobs gives the jobs that were accepted, by ID.
 func acceptedJobs(h *History) map[string]*jobView {
-	jobs := map[string]*jobView{}
+	accepted := map[string]*jobView{}
 	for index := range h.Calls {
 		call := &h.Calls[index]
-		if call.isAccepted() && jobs[call.Job] == nil {
-			jobs[call.Job] = &jobView{acceptedAt: call.EndedAt}
+		if call.isAccepted() && accepted[call.Job] == nil {
+			accepted[call.Job] = &jobView{acceptedAt: call.EndedAt}
 		}
 	}
 	for index := range h.Calls {
 		call := &h.Calls[index]
-		job := jobs[call.Job]
+		job := accepted[call.Job]
 		if call.Verb != verbCancel || job == nil {
 			continue
 		}
@@ -104,30 +105,30 @@
 			job.isCancelled, job.cancelledAt = true, call.EndedAt
 		}
 	}
-	return jobs
+	return accepted
 }
 
 func lostJobs(h *History) []Violation {
-	var found []Violation
-	jobs := acceptedJobs(h)
-	for _, id := range slices.Sorted(maps.Keys(jobs)) {
+	var violations []Violation
+	accepted := acceptedJobs(h)
+	for _, id := range slices.Sorted(maps.Keys(accepted)) {
 		state, isOver := h.FinalStates[id], false
 		switch state {
 		case "completed":
 			isOver = true
 		case "cancelled":
-			isOver = jobs[id].isCancelSent
+			isOver = accepted[id].isCancelSent
 		}
 		if !isOver {
-			found = append(found, Violation{OracleLost, jobs[id].acceptedAt, fmt.Sprintf("job %s was accepted, and is %q at last", id, state)})
+			violations = append(violations, Violation{OracleLost, accepted[id].acceptedAt, fmt.Sprintf("job %s was accepted, and is %q at last", id, state)})
 		}
 	}
-	return found
+	return violations
 }
 
 // repeatedRuns looks at the runs of each task in the order of their starts.
 func repeatedRuns(h *History) []Violation {
-	var found []Violation
+	var violations []Violation
 	byTask := map[string][]hollow.RunRecord{}
 	for _, run := range h.Runs {
 		byTask[run.Task] = append(byTask[run.Task], run)
@@ -138,12 +139,12 @@
 		for index := 1; index < len(runs); index++ {
 			for _, earlier := range runs[:index] {
 				if text := conflict(earlier, runs[index]); text != "" {
-					found = append(found, Violation{OracleTwice, h.sinceStart(runs[index].StartMs), text})
+					violations = append(violations, Violation{OracleTwice, h.sinceStart(runs[index].StartMs), text})
 				}
 			}
 		}
 	}
-	return found
+	return violations
 }
 
 // conflict tells why a run may not have started after an earlier one of its task; it is empty if it may.
@@ -160,7 +161,7 @@
 }
 
 // outcomeDone is how executors tell of a run that did its task.
-const outcomeDone = "done"
+const outcomeDone = string(wire.OutcomeDone)
 
 // sinceStart turns the time of day into a time since the start.
 func (h *History) sinceStart(ms int64) time.Duration {
@@ -170,16 +171,16 @@
 // wrongAnswers compares the request's ID with the one in its answer. A gate that leaves refuses without reading the request, so that a
 // 5xx may have none.
 func wrongAnswers(h *History) []Violation {
-	var found []Violation
+	var violations []Violation
 	for index := range h.Calls {
 		call := &h.Calls[index]
 		isRefusal := call.EchoedID == "" && call.Status/100 == 5
 		if call.Outcome == answered && call.EchoedID != call.RequestID && !isRefusal {
-			found = append(found, Violation{OracleWrong, call.EndedAt, fmt.Sprintf("%s of client %d at %s: request %s got the answer %d to %q", call.Verb,
+			violations = append(violations, Violation{OracleWrong, call.EndedAt, fmt.Sprintf("%s of client %d at %s: request %s got the answer %d to %q", call.Verb,
 				call.Client, call.Gate, call.RequestID, call.Status, call.EchoedID)})
 		}
 	}
-	return found
+	return violations
 }
 
 // clockSlack is by how much the times of executors and clients, in whole milliseconds, may differ.
@@ -200,22 +201,23 @@
 		}
 		done[job][run.Task] = true
 	}
-	var found []Violation
+	var violations []Violation
 	for index := range h.Calls {
 		call := &h.Calls[index]
 		tasks := shapeOf(call.Job).tasks()
 		if call.State == "completed" && (len(done[call.Job]) < tasks || call.EndedAt+clockSlack < lastDone[call.Job]) {
-			found = append(found, Violation{OracleShown, call.EndedAt, fmt.Sprintf("job %s is shown as completed, with %d of %d tasks done, the last at %v",
+			violations = append(violations, Violation{OracleShown, call.EndedAt, fmt.Sprintf("job %s is shown as completed, with %d of %d tasks done, the last at %v",
 				call.Job, len(done[call.Job]), tasks, lastDone[call.Job])})
 		}
 	}
-	return found
+	return violations
 }
 
 // jobOf gives the ID of the job that a task belongs to.
 func jobOf(task string) string {
-	job, _, _ := strings.Cut(task, ".")
-	return job
+	// Executors record tasks by the names that the pool gave them.
+	place, _ := jobs.ParseTask(task)
+	return place.ID
 }
 
 // isTroubled tells whether anything was done to a process, or to the connections of its clients, within a time.
@@ -233,7 +235,7 @@
 // cutRequests looks for requests that a gate left without an answer though it was not killed, nor its connections cut: a gate that
 // leaves in order answers what it has read. A request that crosses the close was not read.
 func cutRequests(h *History) []Violation {
-	var found []Violation
+	var violations []Violation
 	for index := range h.Calls {
 		call := &h.Calls[index]
 		if call.Outcome != closed || call.EndedAt-call.SentAt < lossSlack {
@@ -243,30 +245,30 @@
 			h.isStalled(call.SentAt, call.EndedAt) {
 			continue
 		}
-		found = append(found, Violation{OracleCut, call.EndedAt, fmt.Sprintf("%s of client %d at %s, sent at %v, was left without an answer", call.Verb,
+		violations = append(violations, Violation{OracleCut, call.EndedAt, fmt.Sprintf("%s of client %d at %s, sent at %v, was left without an answer", call.Verb,
 			call.Client, call.Gate, call.SentAt)})
 	}
-	return found
+	return violations
 }
 
 func lateStarts(h *History) []Violation {
-	var found []Violation
-	jobs := acceptedJobs(h)
+	var violations []Violation
+	accepted := acceptedJobs(h)
 	for _, run := range h.Runs {
-		job, startedAt := jobs[jobOf(run.Task)], h.sinceStart(run.StartMs)
+		job, startedAt := accepted[jobOf(run.Task)], h.sinceStart(run.StartMs)
 		if job != nil && job.isCancelled && startedAt > job.cancelledAt+cancelBound {
-			found = append(found, Violation{OracleCancelled, startedAt, fmt.Sprintf("task %s started %v after its job's cancel was acknowledged", run.Task,
+			violations = append(violations, Violation{OracleCancelled, startedAt, fmt.Sprintf("task %s started %v after its job's cancel was acknowledged", run.Task,
 				startedAt-job.cancelledAt)})
 		}
 	}
-	return found
+	return violations
 }
 
-// mostRepeatedFences is how many orders under a refused fence pass, of all processes together.
-const mostRepeatedFences = 3
+// maxRepeatedFences is how many orders under a refused fence pass, of all processes together.
+const maxRepeatedFences = 3
 
 func repeatedFences(h *History) []Violation {
-	if h.RepeatedFences <= mostRepeatedFences {
+	if h.RepeatedFences <= maxRepeatedFences {
 		return nil
 	}
 	return []Violation{{OracleFence, 0, fmt.Sprintf("%d calls came under a fence well after it was refused", h.RepeatedFences)}}
@@ -276,37 +278,37 @@
 // and of each steward that what it reads back is not older.
 func staleConfigurations(h *History) []Violation {
 	const inForce = configApplyMs*time.Millisecond + configurationMargin
-	var found []Violation
+	var violations []Violation
 	for _, probe := range h.Probes {
 		isDue := slices.ContainsFunc(h.Acknowledgements, func(a Acknowledgement) bool {
 			return a.Version == probe.Version && a.At+inForce <= probe.SentAt
 		})
 		isCalm := !h.isTroubled(probe.Gate, probe.SentAt-contactWindow, probe.SentAt) && !h.isStalled(probe.SentAt-contactWindow, probe.SentAt)
 		if isDue && isCalm && probe.Status == http.StatusNotFound {
-			found = append(found, Violation{OracleConfiguration, probe.SentAt, fmt.Sprintf("%s does not know version %d yet", probe.Gate, probe.Version)})
+			violations = append(violations, Violation{OracleConfiguration, probe.SentAt, fmt.Sprintf("%s does not know version %d yet", probe.Gate, probe.Version)})
 		}
 	}
 	for _, read := range h.ReadBacks {
 		for _, acknowledged := range h.Acknowledgements {
 			if acknowledged.At <= read.SentAt && read.Version < acknowledged.Version {
-				found = append(found, Violation{OracleConfiguration, read.SentAt, fmt.Sprintf("%s reads back version %d, and %d was acknowledged at %v",
+				violations = append(violations, Violation{OracleConfiguration, read.SentAt, fmt.Sprintf("%s reads back version %d, and %d was acknowledged at %v",
 					read.Steward, read.Version, acknowledged.Version, acknowledged.At)})
 				break
 			}
 		}
 	}
-	return found
+	return violations
 }
 
 // badExits looks at each end of a process: by the signal that was sent, or in order after SIGTERM, in time.
 func badExits(h *History) []Violation {
-	var found []Violation
+	var violations []Violation
 	for _, exit := range h.Exits {
 		if text := exit.problem(h); text != "" {
-			found = append(found, Violation{OracleExit, exit.At, exit.Process + " " + text})
+			violations = append(violations, Violation{OracleExit, exit.At, exit.Process + " " + text})
 		}
 	}
-	return found
+	return violations
 }
 
 func (e *Exit) problem(h *History) string {
--- a/internal/simulation/soak/oracles_test.go
+++ b/internal/simulation/soak/oracles_test.go
@@ -30,7 +30,7 @@
 	h.Acknowledgements = []Acknowledgement{{Version: 2, At: 3 * time.Second}, {Version: 3, At: 5 * time.Second}}
 	h.Probes = []Probe{{Gate: "gate-1", Version: 3, SentAt: 6 * time.Second, Status: 404}, {Gate: "gate-1", Version: 2, SentAt: 12 * time.Second, Status: 200}}
 	h.ReadBacks = []ReadBack{{Steward: "steward-1", SentAt: 4 * time.Second, Version: 2}, {Steward: "steward-1", SentAt: 6 * time.Second, Version: 3}}
-	for at := range 2 * leastSamples {
+	for at := range 2 * minSamples {
 		h.Samples = append(h.Samples, Sample{Process: "steward-1", At: time.Duration(at) * sampleEvery, Memory: float64((30 + at%3) << 20), Goroutines: 100})
 	}
 	return h
@@ -52,13 +52,13 @@
 		Expect(Judge(sound())).To(BeEmpty())
 	})
 
-	DescribeTable("find what is planted into a history, and nothing else", func(plant Plant) {
+	DescribeTable("find what is planted into a history, and nothing else", func(plant InjectedFault) {
 		h := sound()
 		plant.disturb(h)
 		Expect(oraclesOf(h)).To(Equal([]Oracle{Oracle(plant)}))
-	}, Entry("a lost job", PlantLost), Entry("a task run twice", PlantTwice), Entry("a job shown as completed too early", PlantShown),
-		Entry("a start after a cancel", PlantCancelled), Entry("a refused fence that is used on", PlantFence),
-		Entry("an older configuration", PlantConfiguration), Entry("an end that nobody asked for", PlantExit), Entry("memory that grows", PlantGrowth))
+	}, Entry("a lost job", InjectLost), Entry("a task run twice", InjectTwice), Entry("a job shown as completed too early", InjectShown),
+		Entry("a start after a cancel", InjectCancelled), Entry("a refused fence that is used on", InjectFence),
+		Entry("an older configuration", InjectConfiguration), Entry("an end that nobody asked for", InjectExit), Entry("memory that grows", InjectGrowth))
 
 	DescribeTable("find one thing each", func(oracle Oracle, change func(*History)) {
 		h := sound()
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"sync"
 	"time"
 
 	"github.com/juju/errors"
@@ -29,7 +30,7 @@
 func (s *soak) start(ctx context.Context) error {
 	s.relays = map[string]*relay{}
 	for number, gate := range s.layout.Gates {
-		r, err := newRelay(s.recorder.ctx, s.layout.relayAddress(number), endpoint(gate.IP, frontPort), s.options.Plant)
+		r, err := newRelay(s.recorder.ctx, s.layout.relayAddress(number), endpoint(gate.IP, frontPort), s.options.InjectedFault)
 		if err != nil {
 			return err
 		}
@@ -68,15 +69,23 @@
 // until tries something again until it succeeds; the error says what did not come about in time.
 func until(ctx context.Context, problem string, try func() bool) error {
 	for !try() {
-		select {
-		case <-ctx.Done():
+		if !pause(ctx, retryPause) {
 			return errors.Annotate(ctx.Err(), problem)
-		case <-time.After(retryPause):
 		}
 	}
 	return nil
 }
 
+// pause waits; it is false if ctx was done first.
+func pause(ctx context.Context, wait time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(wait):
+		return ctx.Err() == nil
+	}
+}
+
 // settle asks for all accepted jobs until each is over, for so long at most, and records their last states. All gates are asked at
 // once, each for a part of the jobs, and each part at the next gate in the next round.
 func (s *soak) settle(ctx context.Context) {
@@ -91,11 +100,11 @@
 		parts[next%len(parts)][id] = true
 		next++
 	}
-	asking := &group{}
+	var asking sync.WaitGroup
 	for index, part := range parts {
-		asking.start(func() { s.settlePart(limited, index, part) })
+		asking.Go(func() { s.settlePart(limited, index, part) })
 	}
-	asking.wait()
+	asking.Wait()
 }
 
 // settlePart asks for some jobs until each is over, first at one gate and then at the next.
@@ -108,8 +117,7 @@
 			}
 		}
 		c.hangUp()
-		// All is over or cut short; the wait is as short as the limit.
-		_ = until(ctx, "", pausedOnce())
+		pause(ctx, retryPause)
 	}
 }
 
@@ -130,15 +138,6 @@
 	return true
 }
 
-// pausedOnce is true from its second call on, so that until pauses once.
-func pausedOnce() func() bool {
-	calls := 0
-	return func() bool {
-		calls++
-		return calls > 1
-	}
-}
-
 // readRecords reads what the executors have run.
 func (s *soak) readRecords(ctx context.Context) {
 	client := &http.Client{Timeout: reportLimit}
@@ -178,10 +177,7 @@
 				Goroutines: read["go_goroutines"], Descriptors: read["process_open_fds"], Disk: s.diskUse(running.node)}
 			s.recorder.write(func(h *History) { h.Samples = append(h.Samples, sample) })
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(sampleEvery):
-		}
+		pause(ctx, sampleEvery)
 	}
 }
 
--- a/internal/simulation/soak/relay.go
+++ b/internal/simulation/soak/relay.go
@@ -24,23 +24,23 @@
 	ctx      context.Context
 	listener net.Listener
 	gate     string
-	plant    Plant
+	injected InjectedFault
 
 	connections map[net.Conn]net.Conn
 	isCut       bool
 	isStalled   bool
-	held        []func()
-	// answers counts the chunks that went to clients, and last is the newest of them, for the planted faults.
+	waiting     []func()
+	// answers counts the chunks that went to clients, and last is the newest of them, for the injected faults.
 	answers int
 	last    []byte
 }
 
-func newRelay(ctx context.Context, address, gate string, plant Plant) (*relay, error) {
+func newRelay(ctx context.Context, address, gate string, injected InjectedFault) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Annotate(err, "relay")
 	}
-	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gate: gate, plant: plant, connections: map[net.Conn]net.Conn{}}
+	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gate: gate, injected: injected, connections: map[net.Conn]net.Conn{}}
 	go r.mailbox.Run(ctx, clock.System(), mailbox.Owner{Every: time.Minute})
 	go r.accept()
 	return r, nil
@@ -111,7 +111,7 @@
 	r.post(func() {
 		give := func() { leave <- r.altered(chunk, isAnswer) }
 		if r.isStalled {
-			r.held = append(r.held, give)
+			r.waiting = append(r.waiting, give)
 			return
 		}
 		give()
@@ -148,9 +148,9 @@
 // recover ends what disturb did.
 func (r *relay) recover() {
 	r.isCut, r.isStalled = false, false
-	held := r.held
-	r.held = nil
-	for _, give := range held {
+	waiting := r.waiting
+	r.waiting = nil
+	for _, give := range waiting {
 		give()
 	}
 }
--- a/internal/simulation/soak/schedule.go
+++ b/internal/simulation/soak/schedule.go
@@ -91,9 +91,9 @@
 // event draws a target and a length; it is not possible where one steward more would be lost than may be.
 func (d *drawer) event(kind FaultKind, at time.Duration) (Event, bool) {
 	event := Event{AtMs: at.Milliseconds(), Kind: kind}
-	least, most := kind.lasts()
-	if most > 0 {
-		event.ForMs = (least + time.Duration(d.draw.Int64N(int64(most-least)))).Milliseconds()
+	shortest, longest := kind.lasts()
+	if longest > 0 {
+		event.ForMs = (shortest + time.Duration(d.draw.Int64N(int64(longest-shortest)))).Milliseconds()
 	}
 	if kind == FaultWave {
 		return event, true
--- a/internal/simulation/soak/schedule_test.go
+++ b/internal/simulation/soak/schedule_test.go
@@ -95,18 +95,18 @@
 }
 
 func containsAll(events, wanted []Event) bool {
-	found := 0
+	violations := 0
 	for _, event := range events {
-		if found < len(wanted) && event == wanted[found] {
-			found++
+		if violations < len(wanted) && event == wanted[violations] {
+			violations++
 		}
 	}
-	return found == len(wanted)
+	return violations == len(wanted)
 }
 
 var _ = Describe("options", func() {
 	It("are refused by the names of their flags", func() {
-		bad := Options{Length: time.Second, Processes: 4000, Kinds: []FaultKind{"quake"}, Plant: "weed", Network: "10.0", Program: "/nowhere/gannetline"}
+		bad := Options{Length: time.Second, Processes: 4000, Kinds: []FaultKind{"quake"}, InjectedFault: "weed", Network: "10.0", Program: "/nowhere/gannetline"}
 		err := bad.Check()
 		for _, flag := range []string{"--seconds", "--processes", "--faults", "--plant", "--network", "--program"} {
 			Expect(err).To(MatchError(ContainSubstring(flag)))
--- a/internal/simulation/soak/soak.go
+++ b/internal/simulation/soak/soak.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options.Plant.disturb(history)
+	options.InjectedFault.disturb(history)
 	return newSummary(options, schedule, history, Judge(history)), nil
 }
 
@@ -90,7 +90,7 @@
 	s.cluster.obey(s.schedule)
 	s.reportProgress(clientsCtx)
 	endClients()
-	clients.wait()
+	clients.Wait()
 	if ctx.Err() != nil {
 		return nil, errors.Annotate(ctx.Err(), "stopped before its end")
 	}
--- a/internal/simulation/soak/summary.go
+++ b/internal/simulation/soak/summary.go
@@ -11,41 +11,41 @@
 
 // Latency is how long answers took, in milliseconds, of those that came.
 type Latency struct {
-	Half   int64 `json:"half"`
-	Most95 int64 `json:"of-100-95"`
-	Most99 int64 `json:"of-100-99"`
-	Worst  int64 `json:"worst"`
+	P50   int64 `json:"half"`
+	P95   int64 `json:"of-100-95"`
+	P99   int64 `json:"of-100-99"`
+	Worst int64 `json:"worst"`
 }
 
 // Summary is what a soak did and found.
 type Summary struct {
-	Schedule   *Schedule         `json:"schedule"`
-	Plant      Plant             `json:"plant,omitempty"`
-	Struck     map[FaultKind]int `json:"struck"`
-	Calls      map[string]int    `json:"calls"`
-	Latency    Latency           `json:"latency-ms"`
-	Jobs       int               `json:"jobs"`
-	States     map[string]int    `json:"states"`
-	Runs       int               `json:"runs"`
-	Versions   int               `json:"versions"`
-	Exits      int               `json:"exits"`
-	Stalls     int               `json:"stalls"`
-	Slopes     []Slope           `json:"slopes,omitempty"`
-	Violations []Violation       `json:"violations"`
-	ByOracle   map[Oracle]int    `json:"by-oracle"`
+	Schedule      *Schedule         `json:"schedule"`
+	InjectedFault InjectedFault     `json:"plant,omitempty"`
+	Struck        map[FaultKind]int `json:"struck"`
+	Calls         map[string]int    `json:"calls"`
+	Latency       Latency           `json:"latency-ms"`
+	Jobs          int               `json:"jobs"`
+	States        map[string]int    `json:"states"`
+	Runs          int               `json:"runs"`
+	Versions      int               `json:"versions"`
+	Exits         int               `json:"exits"`
+	Stalls        int               `json:"stalls"`
+	Slopes        []Slope           `json:"slopes,omitempty"`
+	Violations    []Violation       `json:"violations"`
+	ByOracle      map[Oracle]int    `json:"by-oracle"`
 }
 
 const (
-	// mostLatencyMs is the longest that the histogram can tell, and latencyDigits how exactly.
-	mostLatencyMs = 60_000
+	// maxLatencyMs is the longest that the histogram can tell, and latencyDigits how exactly.
+	maxLatencyMs  = 60_000
 	latencyDigits = 2
 )
 
 func newSummary(options Options, schedule *Schedule, h *History, violations []Violation) *Summary {
-	report := &Summary{Schedule: schedule, Plant: options.Plant, Struck: map[FaultKind]int{}, Calls: map[string]int{}, States: map[string]int{},
+	report := &Summary{Schedule: schedule, InjectedFault: options.InjectedFault, Struck: map[FaultKind]int{}, Calls: map[string]int{}, States: map[string]int{},
 		ByOracle: map[Oracle]int{}, Runs: len(h.Runs), Versions: len(h.Acknowledgements), Exits: len(h.Exits), Stalls: len(h.Stalls),
 		Slopes: slopes(h), Violations: violations, Jobs: len(acceptedJobs(h))}
-	latency := hdrhistogram.New(1, mostLatencyMs, latencyDigits)
+	latency := hdrhistogram.New(1, maxLatencyMs, latencyDigits)
 	for index := range h.Calls {
 		call := &h.Calls[index]
 		report.Calls[string(call.Outcome)]++
@@ -67,17 +67,17 @@
 	return report
 }
 
-// mostShown is how many violations the table shows.
-const mostShown = 12
+// maxShown is how many violations the table shows.
+const maxShown = 12
 
 // Write prints the report as a short table.
 func (r *Summary) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d processes, %v: %d jobs, %d runs, %d versions, calls %v\n", r.Schedule.Seed, r.Schedule.Processes,
 		r.Schedule.length(), r.Jobs, r.Runs, r.Versions, r.Calls)
 	fmt.Fprintf(to, "  struck %v, exits %d, stalls of this machine %d\n", r.Struck, r.Exits, r.Stalls)
-	fmt.Fprintf(to, "  answers, ms: half %d, 95 of 100 %d, 99 of 100 %d, worst %d; jobs at last %v\n", r.Latency.Half, r.Latency.Most95, r.Latency.Most99,
+	fmt.Fprintf(to, "  answers, ms: half %d, 95 of 100 %d, 99 of 100 %d, worst %d; jobs at last %v\n", r.Latency.P50, r.Latency.P95, r.Latency.P99,
 		r.Latency.Worst, r.States)
-	for _, violation := range r.Violations[:min(mostShown, len(r.Violations))] {
+	for _, violation := range r.Violations[:min(maxShown, len(r.Violations))] {
 		fmt.Fprintf(to, "  %s at %v: %s\n", violation.Oracle, violation.At.Round(time.Millisecond), violation.Text)
 	}
 	if len(r.Violations) == 0 {
