--- a/internal/control/replication/append.go
+++ b/internal/control/replication/append.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// maxConcurrentHeartbeats is how many heartbeats may be under way to a follower beside a call. Some are needed where an
-	// answer takes longer than the pause between two heartbeats; with one alone the lease would end before it can be renewed.
+	// maxConcurrentHeartbeats limits the heartbeats in flight to a follower beside a call. One is not enough where an answer takes
+	// longer than the heartbeat interval: the lease would end before it is renewed.
 	maxConcurrentHeartbeats = 3
-	// failuresBeforePause is how many calls in a row a follower may leave without effect before the leader pauses.
+	// failuresBeforePause is the number of consecutive calls without effect after which the leader pauses calls to a follower.
 	failuresBeforePause = 2
 )
 
-// replicate sends every follower what it lacks.
+// replicate sends each follower the changes or the snapshot that it lacks.
 func (e *Engine) replicate() {
 	for _, follower := range e.sortedFollowers() {
 		e.sendAppend(follower, false)
 	}
 }
 
-// sendAppend gives a follower the changes or the snapshot that it lacks; a heartbeat goes out even if it lacks nothing.
+// sendAppend sends a follower the changes or the snapshot that it lacks, unless a call to it is in flight. A heartbeat is sent even
+// if the follower lacks nothing or is paused.
 func (e *Engine) sendAppend(follower *followerProgress, isHeartbeat bool) {
-	if follower.isBusy || !isHeartbeat && e.clock.Monotonic() < follower.pausedUntil {
+	if follower.hasCallInFlight || !isHeartbeat && e.clock.Monotonic() < follower.pausedUntil {
 		return
 	}
 	if follower.needsSnapshot && e.isInContact(follower) {
 		e.sendSnapshot(follower, isHeartbeat)
 		return
 	}
-	call := e.appendCall(follower.acked)
+	call := e.newAppendCall(follower.acked)
 	if !follower.isPositionKnown {
-		// The answer to a call without changes tells the position.
-		e.callAppend(follower, call)
+		// The answer to a call without changes contains the follower's position.
+		e.startAppendCall(follower, call)
 		return
 	}
 	if e.addChanges(follower, &call) && (len(call.Changes) > 0 || isHeartbeat) {
-		e.callAppend(follower, call)
+		e.startAppendCall(follower, call)
 	}
 }
 
-// addChanges adds to a call the changes that follow on its Prev. It is false if the log no longer has them, and the follower
-// needs a snapshot then.
+// addChanges adds the changes that follow call.Prev to a call. If the log no longer has them, it returns false and marks the
+// follower as needing a snapshot.
 func (e *Engine) addChanges(follower *followerProgress, call *wire.AppendCall) bool {
 	changes, isKept := e.changes.after(call.Prev)
 	if !isKept {
@@ -53,73 +54,73 @@
 	return true
 }
 
-// sendSnapshot sends a follower the next chunk of the key's state, or all of it and the changes that follow on it if one call
-// can carry the state. While the state is still being read, only a heartbeat goes out.
+// sendSnapshot sends a follower the next chunk of a snapshot. A snapshot of a single chunk is sent whole, together with the
+// changes that follow it. While the snapshot is still being read, only heartbeats are sent.
 func (e *Engine) sendSnapshot(follower *followerProgress, isHeartbeat bool) {
 	transfer := e.transferFor(follower)
 	if transfer == nil {
 		if isHeartbeat {
-			e.callAppend(follower, e.appendCall(follower.acked))
+			e.startAppendCall(follower, e.newAppendCall(follower.acked))
 		}
 		return
 	}
-	call := e.appendCall(transfer.snapshot.Last)
+	call := e.newAppendCall(transfer.snapshot.Last)
 	if transfer.count() > 1 && !follower.lacksChunkSupport {
 		call.Chunk = transfer.chunk(follower.nextChunk)
-		e.callAppend(follower, call)
+		e.startAppendCall(follower, call)
 		return
 	}
 	if !e.addChanges(follower, &call) {
 		return
 	}
 	call.Snapshot = &transfer.snapshot
-	e.callAppend(follower, call)
+	e.startAppendCall(follower, call)
 }
 
-// appendCall is a call of this leadership without changes.
-func (e *Engine) appendCall(prev wire.LogPosition) wire.AppendCall {
+// newAppendCall returns a call of this leadership without changes.
+func (e *Engine) newAppendCall(prev wire.LogPosition) wire.AppendCall {
 	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Leader: e.name, Disk: e.disk, Prev: prev}
 }
 
-// callAppend makes the one call at a time that may bring a follower further.
-func (e *Engine) callAppend(follower *followerProgress, call wire.AppendCall) {
-	follower.isBusy, follower.sentAt = true, e.clock.Monotonic()
+// startAppendCall makes the one call to a follower that may be in flight at a time, apart from concurrent heartbeats.
+func (e *Engine) startAppendCall(follower *followerProgress, call wire.AppendCall) {
+	follower.hasCallInFlight, follower.sentAt = true, e.clock.Monotonic()
 	follower.call = outstandingCall{number: follower.call.number + 1, isResendable: call.Snapshot == nil && call.Chunk == nil}
 	generation, sentAt, number := e.generation, follower.sentAt, follower.call.number
 	e.transport.Append(follower.disk, call, func(answer wire.AppendAnswer, err error) {
 		if e.generation != generation {
 			return
 		}
-		if follower.call.number != number || !follower.isBusy {
-			e.handleOvertakenAnswer(follower, call, answer, err, sentAt)
+		if follower.call.number != number || !follower.hasCallInFlight {
+			e.handleLateAnswer(follower, call, answer, err, sentAt)
 			return
 		}
-		follower.isBusy = false
+		follower.hasCallInFlight = false
 		if err != nil {
-			e.noteFailure(follower)
+			e.recordFailure(follower)
 			return
 		}
 		e.handleAppendAnswer(follower, call, answer, sentAt)
 	})
 }
 
-// handleOvertakenAnswer takes the answer to a call that giveUpStuckCall no longer waits for.
-func (e *Engine) handleOvertakenAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer, err error, sentAt time.Duration) {
-	follower.overtakenCalls--
+// handleLateAnswer processes the answer to a call that abandonStuckCall no longer waits for.
+func (e *Engine) handleLateAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer, err error, sentAt time.Duration) {
+	follower.abandonedCalls--
 	if err == nil && answer.Taken && follower.isPositionKnown && answer.Last.Index > follower.acked.Index {
 		e.handleAppendAnswer(follower, call, answer, sentAt)
 	}
 }
 
-// renewLease sends a follower a heartbeat beside a call that takes long, as a large one on a slow link or one that waits
-// for a slow disk. Its answer renews a voter's lease; of the call it says only that the network carries what is sent now.
+// renewLease sends a follower a heartbeat while a long call is in flight, such as a large call on a slow link or one that waits
+// for a slow disk. The answer renews the voter's lease. About the call it shows only that the network delivers new messages.
 func (e *Engine) renewLease(follower *followerProgress) {
 	if follower.concurrentHeartbeats >= maxConcurrentHeartbeats {
 		return
 	}
 	follower.concurrentHeartbeats++
 	follower.sentAt = e.clock.Monotonic()
-	call := e.appendCall(follower.acked)
+	call := e.newAppendCall(follower.acked)
 	generation, sentAt, number := e.generation, follower.sentAt, follower.call.number
 	e.transport.Append(follower.disk, call, func(answer wire.AppendAnswer, err error) {
 		if e.generation != generation {
@@ -127,27 +128,27 @@
 		}
 		follower.concurrentHeartbeats--
 		if err == nil && e.isAnswerOf(follower, answer) {
-			follower.call.noteAnsweredHeartbeat(number, e.clock.Monotonic())
-			e.noteLease(follower, sentAt)
+			follower.call.recordAnsweredHeartbeat(number, e.clock.Monotonic())
+			e.extendLease(follower, sentAt)
 		}
 	})
 }
 
-// isAnswerOf tells whether an answer comes from the follower's disk and the leader may go on; it steps down if a
-// higher epoch was promised.
+// isAnswerOf reports whether an answer comes from the follower's disk and this leader still tracks the follower. If the disk has
+// promised a higher epoch, the leader steps down.
 func (e *Engine) isAnswerOf(follower *followerProgress, answer wire.AppendAnswer) bool {
 	if answer.Disk != follower.disk {
 		return false
 	}
 	if answer.Promised > e.epoch {
-		e.campaignState.noteEpoch(answer.Promised)
+		e.campaignState.recordEpoch(answer.Promised)
 		e.stepDown("a higher epoch was promised")
 		return false
 	}
 	return e.followers[follower.disk] == follower
 }
 
-// handleAppendAnswer takes the answer to a call of callAppend that was sent at that moment, and sends what comes next.
+// handleAppendAnswer processes the answer to a call of startAppendCall that was sent at sentAt, and sends the next call.
 func (e *Engine) handleAppendAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer, sentAt time.Duration) {
 	if !e.isAnswerOf(follower, answer) {
 		return
@@ -155,16 +156,16 @@
 	now := e.clock.Monotonic()
 	follower.lastContact, follower.isLeaving = now, answer.Leaving
 	follower.wallOffsetMs, follower.hasWallOffset = answer.WallMs-(sentAt+(now-sentAt)/2).Milliseconds(), true
-	e.noteLease(follower, sentAt)
+	e.extendLease(follower, sentAt)
 	if len(call.Changes) > 0 && answer.Taken {
-		e.noteSyncDelay(follower, answer, now-sentAt)
+		e.recordSyncDelay(follower, answer, now-sentAt)
 	}
 	before := *follower
-	e.notePosition(follower, call, answer)
-	if answer.Taken || hasMoved(&before, follower) {
+	e.updatePosition(follower, call, answer)
+	if answer.Taken || hasNextSendChanged(&before, follower) {
 		follower.failures, follower.pausedUntil = 0, 0
 	} else {
-		e.noteFailure(follower)
+		e.recordFailure(follower)
 	}
 	e.advanceCommit()
 	e.maybeMoveToPreferred()
@@ -173,14 +174,14 @@
 	}
 }
 
-// hasMoved tells whether an answer has changed what the follower is to be sent next.
-func hasMoved(before, after *followerProgress) bool {
+// hasNextSendChanged reports whether an answer has changed what the leader sends next to the follower.
+func hasNextSendChanged(before, after *followerProgress) bool {
 	return before.isPositionKnown != after.isPositionKnown || before.needsSnapshot != after.needsSnapshot ||
 		before.acked != after.acked || before.nextChunk != after.nextChunk
 }
 
-// notePosition takes from an answer where the follower stands, and so what it is to be sent next.
-func (e *Engine) notePosition(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
+// updatePosition updates the follower's position from an answer, which determines what the leader sends next.
+func (e *Engine) updatePosition(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
 	_, isKept := e.changes.after(answer.Last)
 	switch {
 	case answer.Taken || isKept:
@@ -189,15 +190,15 @@
 			follower.retention = retention{}
 		}
 	case call.Chunk != nil:
-		e.noteChunkAnswer(follower, call, answer)
+		e.updateNextChunk(follower, call, answer)
 	default:
 		follower.isPositionKnown, follower.needsSnapshot, follower.acked = false, true, answer.Last
 	}
 }
 
-// noteFailure counts a call that brought the follower no further, and pauses after a few, so that a disk that refuses
-// or a machine that resets each connection is not called without end.
-func (e *Engine) noteFailure(follower *followerProgress) {
+// recordFailure counts a call without effect and pauses after failuresBeforePause of them. A disk that refuses writes or a machine
+// that resets each connection is thus not called in a tight loop.
+func (e *Engine) recordFailure(follower *followerProgress) {
 	follower.failures++
 	if follower.failures >= failuresBeforePause {
 		follower.pausedUntil = e.clock.Monotonic() + e.timing.Heartbeat
--- a/internal/control/replication/changelog.go
+++ b/internal/control/replication/changelog.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// maxTailCount and maxTailBytes are how much a leader keeps at most for followers in contact.
+	// maxTailCount and maxTailBytes limit the log tail that a leader keeps for followers in contact.
 	maxTailCount = 20000
 	maxTailBytes = 6 << 20
-	// maxChangesPerCall and maxBytesPerCall are how much one call carries.
+	// maxChangesPerCall and maxBytesPerCall limit the changes in one call.
 	maxChangesPerCall = 2000
 	maxBytesPerCall   = 256 << 10
-	// changeOverhead and pairOverhead are what a change and a pair are taken to weigh beyond names and values, in bytes.
+	// changeOverhead and pairOverhead are the estimated sizes in bytes of a change and of a pair, without names and values.
 	changeOverhead = 64
 	pairOverhead   = 16
 )
 
-// changeLog is the tail of a key's log as its leader keeps it in memory, for followers that are a little behind. The entries
-// follow on base without a gap, and last is the position of the newest of them, or base.
+// changeLog is the tail of a key's log that the leader keeps in memory for followers that lag a little. The entries follow
+// base without a gap. last is the position of the newest entry, or base if there is none.
 type changeLog struct {
 	base    wire.LogPosition
 	entries []wire.Change
-	// size is that of the entries in bytes.
+	// size is the total of the entries in bytes.
 	size int
 	last wire.LogPosition
 }
 
-// retention is how many changes, and of which size in bytes, are kept for a follower.
+// retention limits the changes that are kept for a follower: their number and their total size in bytes.
 type retention struct {
 	count int
 	size  int
 }
 
-// restore begins with what a replica took before, so that a follower that is a little behind is sent no snapshot.
+// restore resets the log to the history of the local replica, so that a follower that lags a little needs no snapshot. A
+// history that does not end with last is discarded.
 func (l *changeLog) restore(last wire.LogPosition, recent History) {
 	if recent.last() != last {
 		recent = History{Base: last}
@@ -45,10 +46,10 @@
 	}
 }
 
-// clear drops the entries; the positions stay, for operators to read.
+// clear drops the entries. The positions stay for diagnostics.
 func (l *changeLog) clear() { l.entries, l.size = nil, 0 }
 
-// append adds a change of the epoch behind the last one.
+// append adds a change under an epoch at the next index and returns it.
 func (l *changeLog) append(epoch uint64, ops []wire.Op, voters *wire.VoterSet) wire.Change {
 	l.last = wire.LogPosition{Epoch: epoch, Index: l.last.Index + 1}
 	change := wire.Change{Position: l.last, Ops: ops, Voters: voters}
@@ -57,8 +58,8 @@
 	return change
 }
 
-// after gives the changes that follow on a position, as far as one call may carry them; isKept is false if the tail does
-// not lead on from there.
+// after returns the changes that follow a position, up to the limits of one call. isKept is false if the tail does not contain
+// the position.
 func (l *changeLog) after(position wire.LogPosition) (changes []wire.Change, isKept bool) {
 	if position.Index < l.base.Index || position.Index > l.last.Index {
 		return nil, false
@@ -71,7 +72,7 @@
 	return rest[:prefixForCall(rest)], true
 }
 
-// positionAfter is the position that so many of the entries lead to.
+// positionAfter returns the position after the first count entries.
 func (l *changeLog) positionAfter(count int) wire.LogPosition {
 	if count == 0 {
 		return l.base
@@ -79,8 +80,8 @@
 	return l.entries[count-1].Position
 }
 
-// trim drops the oldest entries: those up to the needed index beyond what a replica's history keeps anyway, and whatever
-// exceeds the limit.
+// trim drops the oldest entries: those that exceed the limit, and those up to the needed index that exceed what a replica's
+// history keeps.
 func (l *changeLog) trim(needed uint64, limit retention) {
 	dropped := 0
 	for dropped < len(l.entries) {
@@ -99,12 +100,12 @@
 	}
 }
 
-// isSmall tells whether there is no more than a replica's history keeps, so that nothing need be trimmed.
+// isSmall reports whether the log is within the size that a replica's history keeps, so that nothing has to be trimmed.
 func (l *changeLog) isSmall() bool {
 	return len(l.entries) <= maxHistoryCount && l.size <= maxHistoryBytes
 }
 
-// sizeOf is what a change weighs in bytes.
+// sizeOf estimates the size of a change in bytes.
 func sizeOf(change wire.Change) int {
 	size := changeOverhead
 	for _, pair := range change.Ops {
@@ -115,7 +116,7 @@
 
 func sizeOfPair(pair wire.Op) int { return len(pair.Name) + len(pair.Value) + pairOverhead }
 
-// prefixForCall is how many of the changes, from the first on, one call should carry.
+// prefixForCall returns how many of the first changes fit into one call. A single change always fits.
 func prefixForCall(changes []wire.Change) int {
 	count, size := 0, 0
 	for count < len(changes) && count < maxChangesPerCall && (count == 0 || size+sizeOf(changes[count]) <= maxBytesPerCall) {
@@ -125,8 +126,8 @@
 	return count
 }
 
-// trimLog drops changes that all live followers hold, beyond as many as a replica's history keeps for those that come back,
-// and any beyond the most that a leader keeps.
+// trimLog drops changes that all followers in contact hold, except as many as a replica's history keeps for followers that
+// return. It also drops changes beyond the leader's limit.
 func (e *Engine) trimLog() {
 	if e.changes.isSmall() {
 		return
@@ -134,7 +135,7 @@
 	e.changes.trim(min(e.neededIndex(), e.commits.index), e.retentionLimit())
 }
 
-// retentionLimit is what a leader keeps at most for followers in contact.
+// retentionLimit returns the limit of the log tail. Followers in contact that are sent a snapshot raise it.
 func (e *Engine) retentionLimit() retention {
 	limit := retention{count: maxTailCount, size: maxTailBytes}
 	for _, follower := range e.followers {
@@ -146,8 +147,8 @@
 	return limit
 }
 
-// neededIndex is the index up to which all followers in contact, and the own disk, hold the changes or are being sent the
-// snapshot.
+// neededIndex returns the index up to which the changes may be dropped: all followers in contact and the leader's own disk hold
+// them or are being sent a snapshot that contains them, and a snapshot that is being read does not need them.
 func (e *Engine) neededIndex() uint64 {
 	needed := e.snapshots.neededIndex(e.changes.last.Index)
 	for _, follower := range e.followers {
--- a/internal/control/replication/commit.go
+++ b/internal/control/replication/commit.go
@@ -7,20 +7,19 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// pendingCommit is a proposed change whose proposer waits for the quorum.
+// pendingCommit is a proposed change that is not committed yet. done is called with the outcome.
 type pendingCommit struct {
 	index uint64
 	done  func(error)
 }
 
-// commitQueue knows how far the log is committed, and who waits for more. The pending commits are in the order of their
-// indices, all of them above index.
+// commitQueue holds the commit index and the pending commits. These are in the order of their indices, all above the commit index.
 type commitQueue struct {
 	index   uint64
 	pending []pendingCommit
 }
 
-// takeUpTo removes the pending commits up to an index and gives them.
+// takeUpTo removes and returns the pending commits up to an index.
 func (q *commitQueue) takeUpTo(index uint64) []pendingCommit {
 	count := 0
 	for count < len(q.pending) && q.pending[count].index <= index {
@@ -31,15 +30,15 @@
 	return taken
 }
 
-// takeAll removes all pending commits and gives them.
+// takeAll removes and returns all pending commits.
 func (q *commitQueue) takeAll() []pendingCommit {
 	taken := q.pending
 	q.pending = nil
 	return taken
 }
 
-// propose appends a change to the log and sends it to all followers; done is called once it is committed, or with
-// ErrLeadershipLost. A voter set counts from the moment of its proposal, as in Raft.
+// propose appends a change to the log and sends it to all followers. done is called with nil once the change is committed, or with
+// ErrLeadershipLost. A voter set takes effect when it is proposed, as in Raft.
 func (e *Engine) propose(ops []wire.Op, voters *wire.VoterSet, done func(error)) {
 	change := e.changes.append(e.epoch, ops, voters)
 	if voters != nil {
@@ -51,7 +50,7 @@
 	e.replicate()
 }
 
-// advanceCommit commits the changes that a quorum holds by now, and answers those who wait for them.
+// advanceCommit raises the commit index to the highest index that a quorum holds, and completes the pending commits up to it.
 func (e *Engine) advanceCommit() {
 	index := e.quorumIndex()
 	if index <= e.commits.index {
@@ -61,7 +60,7 @@
 	e.commits.index = index
 	generation := e.generation
 	for _, commit := range e.commits.takeUpTo(index) {
-		// The one before may have made this engine step down.
+		// The callback of an earlier commit may have made this engine step down.
 		if e.generation != generation {
 			commit.done(ErrLeadershipLost)
 			continue
@@ -75,8 +74,8 @@
 	}
 }
 
-// quorumIndex is the highest index that a quorum holds under this epoch, or the commit index if none is above it. A change of an
-// earlier epoch is only ever committed by one of this epoch that follows it.
+// quorumIndex returns the highest index that a quorum holds under this epoch, but at least the commit index. A change of an earlier
+// epoch is committed only together with a later change of this epoch, as in Raft.
 func (e *Engine) quorumIndex() uint64 {
 	for index := e.changes.last.Index; index > e.commits.index; index-- {
 		holds := func(disk string) bool {
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -12,28 +12,31 @@
 	"gannetline/internal/control/storage"
 )
 
-// maxBackOffJitter is how much longer than the stagger a candidate that failed waits at most.
+// maxBackOffJitter limits the time that a failed candidate waits in addition to Timing.Stagger.
 const maxBackOffJitter = 200 * time.Millisecond
 
-// campaignState is what an engine that does not lead knows of the key.
+// campaignState is the state that an engine keeps for its campaigns.
 type campaignState struct {
-	// isStatusPending tells that the own replica is being asked; nextAt is when the engine may ask it again.
+	// isStatusPending is set while a status call to the local replica is in flight. nextAt is the earliest time of the next one.
 	isStatusPending bool
 	nextAt          time.Duration
-	// highestEpochSeen is the highest epoch that this engine knows to be promised to anyone.
+	// highestEpochSeen is the highest promised epoch that this engine has seen, whoever the candidate was.
 	highestEpochSeen uint64
-	// ownState is that of the own replica as the campaign began.
+	// ownState is the state of the local replica at the start of the campaign.
 	ownState storage.ReplicaState
-	// fetchedChunks are the chunks of the furthest state that have come so far, also across campaigns.
+	// fetchedChunks holds the chunks of the most up-to-date state that have been received. They are kept across campaigns.
 	fetchedChunks chunkBuffer
-	// hasYielded tells that this candidate once gave way to a voter that needs no transfer.
+	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which needs no transfer.
 	hasYielded bool
 }
 
-// noteEpoch keeps the highest epoch that was seen.
-func (c *campaignState) noteEpoch(epoch uint64) { c.highestEpochSeen = max(c.highestEpochSeen, epoch) }
+// recordEpoch raises highestEpochSeen to an epoch that was seen.
+func (c *campaignState) recordEpoch(epoch uint64) {
+	c.highestEpochSeen = max(c.highestEpochSeen, epoch)
+}
 
-// maybeCampaign starts a campaign if the key seems to be without a leader and it is this voter's turn.
+// maybeCampaign asks for the status of the local replica, and starts a campaign if the key has no known leader and it is this
+// voter's turn.
 func (e *Engine) maybeCampaign() {
 	if e.campaignState.isStatusPending || e.leaving.isRequested || e.clock.Monotonic() < e.campaignState.nextAt {
 		return
@@ -41,14 +44,14 @@
 	e.campaignState.isStatusPending = true
 	e.transport.Status(e.key, func(status ReplicaStatus) {
 		e.campaignState.isStatusPending = false
-		e.considerStatus(status)
+		e.campaignIfDue(status)
 	})
 }
 
-// considerStatus decides by the state of the own replica whether to campaign now, or when to look again.
-func (e *Engine) considerStatus(status ReplicaStatus) {
+// campaignIfDue starts a campaign, or sets the time of the next check, from the status of the local replica.
+func (e *Engine) campaignIfDue(status ReplicaStatus) {
 	now := e.clock.Monotonic()
-	e.campaignState.noteEpoch(status.Promised)
+	e.campaignState.recordEpoch(status.Promised)
 	if status.LeaseHolderDisk != e.disk && now < status.LeaseUntil {
 		e.campaignState.hasYielded, e.campaignState.fetchedChunks = false, chunkBuffer{}
 	}
@@ -56,7 +59,7 @@
 	if len(voters) == 0 {
 		voters = e.initialVoters
 	}
-	rank := slices.Index(e.ranked(voters), e.disk)
+	rank := slices.Index(e.rankDisks(voters), e.disk)
 	if rank < 0 {
 		e.campaignState.nextAt = now + e.timing.Lease/4
 		return
@@ -64,7 +67,7 @@
 	if e.phase != phaseIdle || e.leaving.isRequested {
 		return
 	}
-	if due := e.campaignDue(status, rank, len(voters)); now < due {
+	if due := e.earliestCampaignTime(status, rank, len(voters)); now < due {
 		e.campaignState.nextAt = min(due, now+e.timing.Lease/4)
 		return
 	}
@@ -72,27 +75,29 @@
 	e.campaign(voters)
 }
 
-// campaignDue is when the candidate of a rank may campaign: at once under a lease of its own, after the release of a
-// leader that gave the key back, and else when the lease that its replica has granted is over.
-func (e *Engine) campaignDue(status ReplicaStatus, rank, voters int) time.Duration {
+// earliestCampaignTime returns when the candidate of a rank may campaign: at once if it holds the lease itself, a delay after
+// the leader released the key, and otherwise a delay after the end of the lease that the local replica granted.
+func (e *Engine) earliestCampaignTime(status ReplicaStatus, rank, voters int) time.Duration {
 	switch {
 	case status.LeaseHolderDisk == e.disk:
 		return 0
 	case status.Released:
 		return status.ReleasedAt + e.delayAfterRelease(rank, voters, status.Successor)
 	}
-	return status.LeaseUntil + e.stagger(rank, voters)
+	return status.LeaseUntil + e.staggerDelay(rank, voters)
 }
 
-// stagger is how long a candidate lets those before it campaign; the last of any set waits as long as the last of three.
-func (e *Engine) stagger(rank, voters int) time.Duration {
+// staggerDelay returns how long the candidate of a rank waits for those ranked before it. The delays shrink in larger sets, so
+// that the last candidate never waits longer than the last of three.
+func (e *Engine) staggerDelay(rank, voters int) time.Duration {
 	return time.Duration(rank) * e.timing.Stagger * 2 / time.Duration(max(2, voters-1))
 }
 
-// delayAfterRelease lets the successor go first, if the leader has named one; it may look for a release as late as a
-// quarter of a lease after.
+// delayAfterRelease returns how long the candidate of a rank waits after a release. A successor that the leader named goes first.
+// The others wait a quarter of a lease and Timing.Stagger longer, since the successor may notice the release only a quarter of a
+// lease after it.
 func (e *Engine) delayAfterRelease(rank, voters int, successor string) time.Duration {
-	delay := e.stagger(rank, voters) / 4
+	delay := e.staggerDelay(rank, voters) / 4
 	switch successor {
 	case "":
 		return delay
@@ -102,8 +107,9 @@
 	return e.timing.Lease/4 + e.timing.Stagger + delay
 }
 
-// ranked orders disks by rendezvous hash, so that the leaders of many keys spread over stewards.
-func (e *Engine) ranked(disks []string) []string {
+// rankDisks orders disks by rendezvous hash with the key, so that the leaders of many keys spread over the stewards. This order is
+// the key's ranking.
+func (e *Engine) rankDisks(disks []string) []string {
 	weight := func(disk string) uint64 {
 		sum := fnv.New64a()
 		sum.Write([]byte(e.key + "/" + disk))
@@ -114,14 +120,14 @@
 	return order
 }
 
-// campaign first asks by a pre-vote whether a quorum would promise, so that a steward that was cut off disturbs nobody, and
-// then for the promises.
+// campaign collects pre-votes, and then promises once a quorum has granted the pre-vote. A steward that comes back from a
+// partition thus does not disrupt the leader.
 func (e *Engine) campaign(voters []string) {
 	e.phase = phaseCandidate
 	e.generation++
 	epoch := e.campaignState.highestEpochSeen + 1
 	e.collectPromises(voters, epoch, true, func(granted map[string]wire.PromiseAnswer) bool {
-		if _, isQuorum := e.furthestGranted(granted); !isQuorum {
+		if _, isQuorum := e.latestGranted(granted); !isQuorum {
 			return false
 		}
 		e.generation++
@@ -132,8 +138,8 @@
 	})
 }
 
-// collectPromises asks all voters at once; isEnough is tried at each grant until it is satisfied. If it never is, the
-// candidate backs off.
+// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. If all voters
+// have answered before that, the candidate backs off.
 func (e *Engine) collectPromises(voters []string, epoch uint64, isPreVote bool, isEnough func(map[string]wire.PromiseAnswer) bool) {
 	step, answered := e.step(), 0
 	granted := map[string]wire.PromiseAnswer{}
@@ -145,7 +151,7 @@
 				return
 			}
 			if err == nil {
-				e.campaignState.noteEpoch(answer.Promised)
+				e.campaignState.recordEpoch(answer.Promised)
 				if e.isSupersededBy(answer) {
 					e.backOff()
 					e.campaignState.nextAt = e.clock.Monotonic() + e.timing.LostAfter
@@ -165,12 +171,12 @@
 	}
 }
 
-// isSupersededBy tells whether a peer has a later state in which this disk is no voter, so that this steward need not ask.
+// isSupersededBy reports whether a peer has a later state in which this disk is no voter, so that this candidate can't win.
 func (e *Engine) isSupersededBy(answer wire.PromiseAnswer) bool {
 	return e.campaignState.ownState.Last.Below(answer.Last) && !quorum.Contains(answer.Voters, e.disk)
 }
 
-// backOff ends a campaign; the next comes after a pause that differs from disk to disk.
+// backOff ends a campaign. The next one starts after Timing.Stagger plus a jitter that differs from disk to disk.
 func (e *Engine) backOff() {
 	e.phase = phaseIdle
 	jitter := fnv.New32a()
@@ -180,38 +186,39 @@
 	e.campaignState.nextAt = e.clock.Monotonic() + e.timing.Stagger + pause
 }
 
-// furthestGranted is the furthest state among those who grant, the own one where several are equal; isQuorum tells whether
-// they are a quorum of its voters. Any change that was ever acknowledged is in it then, as two quorums share a disk.
-func (e *Engine) furthestGranted(granted map[string]wire.PromiseAnswer) (furthest wire.PromiseAnswer, isQuorum bool) {
+// latestGranted returns the most up-to-date state among the granted promises, and prefers the local disk if several are equal.
+// isQuorum reports whether the granting disks are a quorum of that state's voters and include the local disk. The state then
+// contains every acknowledged change, since any two quorums share a disk.
+func (e *Engine) latestGranted(granted map[string]wire.PromiseAnswer) (latest wire.PromiseAnswer, isQuorum bool) {
 	for _, disk := range slices.Sorted(maps.Keys(granted)) {
 		answer := granted[disk]
-		if furthest.Disk == "" || furthest.Last.Below(answer.Last) || furthest.Last == answer.Last && answer.Disk == e.disk {
-			furthest = answer
+		if latest.Disk == "" || latest.Last.Below(answer.Last) || latest.Last == answer.Last && answer.Disk == e.disk {
+			latest = answer
 		}
 	}
-	if len(furthest.Voters.Current) == 0 {
-		furthest.Voters = wire.VoterSet{Current: e.initialVoters}
+	if len(latest.Voters.Current) == 0 {
+		latest.Voters = wire.VoterSet{Current: e.initialVoters}
 	}
 	hasGranted := func(disk string) bool {
 		_, isGranted := granted[disk]
 		return isGranted
 	}
-	return furthest, hasGranted(e.disk) && quorum.Reached(furthest.Voters, hasGranted)
+	return latest, hasGranted(e.disk) && quorum.Reached(latest.Voters, hasGranted)
 }
 
-// winCampaign takes the epoch once a quorum of the voters of the furthest state has promised it: as soon as the own disk
-// holds that state, the leader may open it.
+// winCampaign takes the epoch once a quorum of the voters of the most up-to-date state has promised it. It then opens that state,
+// after fetching it if the local disk lacks changes. It returns false if there is no quorum yet.
 func (e *Engine) winCampaign(epoch uint64, granted map[string]wire.PromiseAnswer) bool {
-	furthest, isQuorum := e.furthestGranted(granted)
+	latest, isQuorum := e.latestGranted(granted)
 	if !isQuorum {
 		return false
 	}
-	e.phase, e.epoch, e.voters.set = phaseFetching, epoch, furthest.Voters
+	e.phase, e.epoch, e.voters.set = phaseFetching, epoch, latest.Voters
 	e.followers, e.lastLeaseAt = map[string]*followerProgress{}, e.clock.Monotonic()
-	if furthest.Disk == e.disk {
-		e.openWithHistory(furthest.Last)
+	if latest.Disk == e.disk {
+		e.openWithHistory(latest.Last)
 	} else {
-		e.fetchFrom(furthest, granted[e.disk].Last)
+		e.fetchFrom(latest, granted[e.disk].Last)
 	}
 	return true
 }
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -1,15 +1,15 @@
-// Package replication elects one leader at a time for each key and keeps the key's changes on a majority of disks. It is
-// close to Raft, with these differences:
+// Package replication elects one leader at a time for each key and replicates the key's changes to a majority of its voters.
+// The protocol is close to Raft, with these differences:
 //
-//   - A voter is a disk with a random name, not an address, so that a wiped disk is a new one and can't vote on what the old one knew.
-//   - An epoch is what Raft calls a term. A vote is a promise, synced before it is given, to follow nobody of a lower epoch.
-//   - A candidate that is elected without holding the furthest state fetches it from the voter that does, and then leads.
-//   - A leader serves reads under a lease: voters that have answered it promise nobody else for Timing.Lease.
-//   - Followers that are too far behind get a snapshot in chunks, and new disks are learners until they follow closely.
+//   - A voter is a disk with a random name, not an address. A wiped disk gets a new name, so it can't vote in place of the old one.
+//   - An epoch is what Raft calls a term. A vote is a promise, synced before it is sent, to follow no leader of a lower epoch.
+//   - A candidate may win without the most up-to-date state. It then fetches that state from the voter that holds it before it leads.
+//   - A leader serves reads under a lease: voters that have answered it grant no other disk a promise for Timing.Lease.
+//   - Followers that lag too far behind get a snapshot in chunks. New disks are learners until they have caught up.
 //
-// Engine decides for one key; it has no goroutine, no socket and no clock of its own. Replicas is the table of what one disk
-// holds, has promised and leases out. Package quorum counts majorities. Time comes through clock.Clock, calls go through
-// Transport, and a StateMachine lives on the key while it is led here.
+// Engine runs the protocol for one key; it has no goroutine, socket or clock of its own. Replicas is the table of one disk's
+// replicas: their state, promises and granted leases. Package quorum evaluates majorities. Time comes from clock.Clock, calls
+// go through Transport, and a StateMachine is open on the key while this engine leads it.
 package replication
 
 import (
@@ -19,30 +19,30 @@
 	"gannetline/internal/platform/clock"
 )
 
-// phase is how far an engine has come towards leading its key.
+// phase is the stage of an engine on the way to leading its key.
 type phase int
 
 const (
-	// phaseIdle: another disk leads, or nobody.
+	// phaseIdle: another disk leads, or there is no leader.
 	phaseIdle phase = iota
 	// phaseCandidate: promises are being collected.
 	phaseCandidate
-	// phaseFetching: a majority has promised, but the own disk lacks changes.
+	// phaseFetching: a quorum has promised, but the local disk lacks changes.
 	phaseFetching
-	// phaseOpening: the own disk holds the furthest state, which the state machine does not have yet.
+	// phaseOpening: the local disk holds the most up-to-date state, but the state machine is not open yet.
 	phaseOpening
 	// phaseLeading: the state machine is open.
 	phaseLeading
 )
 
-// identity names the key, the disk on which the engine votes for it, and the process.
+// identity holds the key, the disk of the local replica, and the name of this process.
 type identity struct {
 	key  string
 	disk string
 	name string
 }
 
-// environment is all that an engine reaches beyond itself.
+// environment holds the external dependencies of an engine.
 type environment struct {
 	clock     clock.Clock
 	transport Transport
@@ -50,40 +50,40 @@
 	members   MemberSource
 }
 
-// Engine leads or seeks to lead one key. All methods belong to one goroutine, on which the answers of its calls come back too.
+// Engine campaigns for and leads one key. All methods and all callbacks of its calls run on one goroutine.
 type Engine struct {
 	identity
 	environment
 	options
 
 	phase phase
-	// generation rises whenever the engine begins a campaign, moves from pre-vote to vote, or steps down. An answer to a call
-	// of an earlier generation is dropped, so that nothing of an ended leadership touches the next.
+	// generation increases when the engine starts a campaign, moves from pre-vote to vote, or steps down. Answers to calls of an
+	// earlier generation are dropped, so that an ended leadership can't affect the next one.
 	generation uint64
-	// epoch is that of the leadership, or of the last one. No other disk ever leads under the same.
+	// epoch is the epoch of the current leadership, or of the last one. No other disk ever leads under the same epoch.
 	epoch         uint64
 	campaignState campaignState
 
-	// The fields from here on belong to a leadership, and begin anew with each in openLeadership.
+	// The fields below belong to one leadership. openLeadership resets them.
 	leadership *Leadership
-	// changes ends with the last change that this leader has proposed; a follower's position is compared with it.
+	// changes ends with the last change that this leader proposed. Followers' positions are compared with it.
 	changes changeLog
 	commits commitQueue
 	voters  voterState
-	// followers are those the leader sends to, by disk: voters, learners and its own disk.
+	// followers holds the voters and learners by disk, including the leader's own disk.
 	followers map[string]*followerProgress
-	// lastLeaseAt is when a quorum last vouched for this leader.
+	// lastLeaseAt is when this leader last held a lease from a quorum.
 	lastLeaseAt time.Duration
 	snapshots   snapshotReader
 	progress    progressHistory
-	slowness    slownessWatch
-	shortage    shortageWatch
-	preferred   preferredWatch
+	slowness    slownessDetector
+	shortage    voterShortage
+	preferred   preferredVoter
 
 	leaving leaveRequest
 }
 
-// NewEngine makes an engine for one key on the replica of one disk; it does nothing before the first Tick.
+// NewEngine returns an engine for one key and the local replica of it on disk. It does nothing before the first Tick.
 func NewEngine(key, disk, name string, clock clock.Clock, transport Transport, machine StateMachine, members MemberSource, opts ...Option) *Engine {
 	engine := &Engine{identity: identity{key: key, disk: disk, name: name}, options: defaultOptions(),
 		environment: environment{clock: clock, transport: transport, machine: machine, members: members}}
@@ -93,18 +93,18 @@
 	return engine
 }
 
-// IsLeader tells whether the engine leads the key; whether it may answer for it is up to the lease.
+// IsLeader reports whether the engine leads the key. Reads also need a lease: see Leadership.HasLease.
 func (e *Engine) IsLeader() bool { return e.phase == phaseLeading }
 
-// Epoch is the epoch under which the engine leads the key, or last did.
+// Epoch returns the epoch of the engine's current leadership, or of its last one.
 func (e *Engine) Epoch() uint64 { return e.epoch }
 
-// Belief is what the engine would tell an operator of its key.
+// Belief returns the engine's view of the key, for diagnostics.
 func (e *Engine) Belief() wire.KeyBelief {
 	return wire.KeyBelief{Key: e.key, Epoch: e.epoch, Last: e.changes.last, Voters: e.voters.set}
 }
 
-// Tick does all that falls due; it is called often.
+// Tick does the periodic work: campaigns, fetch timeouts and heartbeats. The owner calls it several times per heartbeat interval.
 func (e *Engine) Tick() {
 	switch e.phase {
 	case phaseIdle:
@@ -116,8 +116,7 @@
 	}
 }
 
-// step is a phase within a generation. What is done after a call came back is only right if the engine is still in the step in
-// which it made the call.
+// step identifies one phase of one generation. A callback ignores its answer if the engine has left the step in which it made the call.
 type step struct {
 	generation uint64
 	phase      phase
@@ -125,7 +124,7 @@
 
 func (e *Engine) step() step { return step{e.generation, e.phase} }
 
-// stepDown ends a candidacy or a leadership; changes that are not yet committed end with ErrLeadershipLost.
+// stepDown ends a campaign or a leadership. Pending commits fail with ErrLeadershipLost.
 func (e *Engine) stepDown(reason string) {
 	if e.phase == phaseIdle {
 		return
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -7,52 +7,54 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// fetchTask is how a candidate gets the state of the voter that is furthest.
+// fetchTask is a candidate's transfer of the most up-to-date state from the voter that holds it.
 type fetchTask struct {
-	furthest wire.PromiseAnswer
-	// from is where the own disk stands.
+	// source is the promise of the voter that holds the most up-to-date state.
+	source wire.PromiseAnswer
+	// from is the position of the local disk.
 	from wire.LogPosition
-	// failures counts the calls in a row that brought nothing.
+	// failures counts consecutive calls that returned nothing new.
 	failures int
 }
 
 const (
-	// maxFetchFailures is how many calls in a row may bring nothing before the candidate gives up.
+	// maxFetchFailures is the number of consecutive failures after which the candidate gives up.
 	maxFetchFailures = 3
-	// fetchTimeout is how long it waits for any state before it campaigns anew; chunks that have come are kept.
+	// fetchTimeout is how long a candidate waits for changes before it ends the campaign. Chunks that it has received are kept.
 	fetchTimeout = 2800 * time.Millisecond
 )
 
-// fetchFrom brings the local disk to the furthest state, and opens it. The changes come in calls of limited size, a state
-// that the changes no longer lead to in chunks; chunks are kept across campaigns, and whoever holds that very position
-// may send the next.
-func (e *Engine) fetchFrom(furthest wire.PromiseAnswer, from wire.LogPosition) {
+// fetchFrom copies the most up-to-date state to the local disk and opens it. The missing changes are fetched in calls of limited
+// size. If the source no longer has them, a snapshot is fetched in chunks. Chunks are kept across campaigns, and any voter at the
+// same position can send the next one.
+func (e *Engine) fetchFrom(source wire.PromiseAnswer, from wire.LogPosition) {
 	e.renewCandidateLease()
-	e.fetchNext(&fetchTask{furthest: furthest, from: from})
+	e.fetchNext(&fetchTask{source: source, from: from})
 }
 
-// renewCandidateLease renews the lease that the candidate has by its promises, for the few calls that the changes it lacks take.
-// It is asked for once at first, and again only as changes come: a voter that does not send what it has, or a transfer of a
-// snapshot, keeps nobody out for longer than one lease.
+// renewCandidateLease asks all voters for a lease while the candidate fetches the few changes that it lacks. It is called at the
+// start of the fetch and whenever changes arrive. A source that sends nothing, or the transfer of a snapshot, thus blocks other
+// candidates for at most one lease.
 func (e *Engine) renewCandidateLease() {
 	for _, disk := range quorum.Disks(e.voters.set) {
 		e.renewLease(e.followerOf(disk))
 	}
 }
 
-// checkFetchTimeout ends a campaign for which no state comes.
+// checkFetchTimeout ends a campaign whose fetch has timed out.
 func (e *Engine) checkFetchTimeout() {
 	if e.clock.Monotonic()-e.lastLeaseAt > fetchTimeout {
-		e.release("the furthest state does not come", "")
+		e.release("fetching the most up-to-date state timed out", "")
 	}
 }
 
-// fetchNext asks for the changes that the own disk lacks, or for the next chunk of the state where changes don't lead to it.
+// fetchNext asks the source for the changes that the local disk lacks, or for the next chunk of a snapshot if the source no longer
+// has those changes.
 func (e *Engine) fetchNext(fetch *fetchTask) {
-	e.campaignState.fetchedChunks.start(fetch.furthest.Last)
+	e.campaignState.fetchedChunks.start(fetch.source.Last)
 	from, step := fetch.from, e.step()
 	call := wire.FetchCall{Key: e.key, From: &from, Chunked: true, Number: e.campaignState.fetchedChunks.count}
-	e.transport.Fetch(fetch.furthest.Disk, call, func(answer wire.FetchAnswer, err error) {
+	e.transport.Fetch(fetch.source.Disk, call, func(answer wire.FetchAnswer, err error) {
 		switch {
 		case e.step() != step:
 		case err != nil:
@@ -61,7 +63,7 @@
 			e.handleChunk(fetch, answer.Chunk)
 		case len(answer.Changes) > 0:
 			e.renewCandidateLease()
-			call := e.appendCall(fetch.from)
+			call := e.newAppendCall(fetch.from)
 			call.Changes = answer.Changes
 			e.installFetched(fetch, call, answer.Changes[len(answer.Changes)-1].Position)
 		default:
@@ -70,16 +72,16 @@
 	})
 }
 
-// retryFetch asks again after a call that brought nothing, unless the epoch is lost by now.
+// retryFetch repeats a fetch that returned nothing new, up to maxFetchFailures times.
 func (e *Engine) retryFetch(fetch *fetchTask) {
 	if fetch.failures++; fetch.failures >= maxFetchFailures {
-		e.release("the furthest state does not come", "")
+		e.release("fetching the most up-to-date state failed repeatedly", "")
 		return
 	}
 	e.continueFetch(fetch)
 }
 
-// continueFetch goes on if no other candidate has a higher epoch here.
+// continueFetch fetches the next part unless the local replica has promised a higher epoch.
 func (e *Engine) continueFetch(fetch *fetchTask) {
 	step := e.step()
 	e.transport.Status(e.key, func(status ReplicaStatus) {
@@ -93,20 +95,20 @@
 	})
 }
 
-// handleChunk keeps a chunk of the furthest state, and installs the state once it is complete.
+// handleChunk stores a chunk of the fetched snapshot, and installs the snapshot once it is complete.
 func (e *Engine) handleChunk(fetch *fetchTask, chunk *wire.SnapshotChunk) {
-	if chunk.At != fetch.furthest.Last {
-		e.release("the furthest state is another by now", "")
+	if chunk.At != fetch.source.Last {
+		e.release("the fetched chunk is not of the expected position", "")
 		return
 	}
 	chunks := &e.campaignState.fetchedChunks
 	countBefore := chunks.count
-	chunks.take(chunk)
+	chunks.add(chunk)
 	switch {
 	case chunks.isComplete(chunk):
 		e.installSnapshot(fetch, wire.Snapshot{Last: chunk.At, Pairs: chunks.pairs})
 	case !e.campaignState.hasYielded:
-		e.yieldToFurthest(fetch)
+		e.yieldToSource(fetch)
 	case chunks.count == countBefore:
 		e.retryFetch(fetch)
 	default:
@@ -115,27 +117,28 @@
 	}
 }
 
-// yieldToFurthest lets the voter with the furthest state lead, as it needs no transfer; the candidate asks again a lease later,
-// and fetches the state then if nobody leads.
-func (e *Engine) yieldToFurthest(fetch *fetchTask) {
+// yieldToSource lets the voter with the most up-to-date state lead, as it needs no transfer. The candidate campaigns again a lease
+// later, and then fetches the state if there is still no leader.
+func (e *Engine) yieldToSource(fetch *fetchTask) {
 	e.campaignState.hasYielded = true
-	e.release("standing aside for a voter that is ahead", fetch.furthest.Disk)
+	e.release("yielding to a more up-to-date voter", fetch.source.Disk)
 	e.campaignState.nextAt = e.clock.Monotonic() + e.timing.Lease
 }
 
-// installSnapshot writes a snapshot to the local disk, under the voters that were promised.
+// installSnapshot writes a fetched snapshot to the local disk, with the voter set from the source's promise.
 func (e *Engine) installSnapshot(fetch *fetchTask, snapshot wire.Snapshot) {
 	e.campaignState.fetchedChunks = chunkBuffer{}
-	snapshot.Voters = fetch.furthest.Voters
-	call := e.appendCall(wire.LogPosition{})
+	snapshot.Voters = fetch.source.Voters
+	call := e.newAppendCall(wire.LogPosition{})
 	call.Snapshot = &snapshot
 	e.installFetched(fetch, call, snapshot.Last)
 }
 
-// installFetched writes what was fetched to the local disk, and opens the state or fetches what is still missing.
+// installFetched writes fetched changes or a fetched snapshot to the local disk. It then opens the state, or fetches the changes
+// that are still missing. reached is the position after the write.
 func (e *Engine) installFetched(fetch *fetchTask, call wire.AppendCall, reached wire.LogPosition) {
-	if fetch.furthest.Last.Below(reached) || !fetch.from.Below(reached) {
-		e.release("what was fetched is not what was asked for", "")
+	if fetch.source.Last.Below(reached) || !fetch.from.Below(reached) {
+		e.release("the fetched state is not within the requested range", "")
 		return
 	}
 	step := e.step()
@@ -143,11 +146,11 @@
 		switch {
 		case e.step() != step:
 		case err != nil || !answer.Taken:
-			e.release("its own disk does not take what was fetched", "")
-		case reached == fetch.furthest.Last:
+			e.release("the local disk did not accept the fetched state", "")
+		case reached == fetch.source.Last:
 			e.openWithHistory(reached)
 		case call.Snapshot != nil:
-			e.release("the furthest state is another by now", "")
+			e.release("the fetched snapshot is not at the expected position", "")
 		default:
 			fetch.from, fetch.failures = reached, 0
 			e.continueFetch(fetch)
--- a/internal/control/replication/follower.go
+++ b/internal/control/replication/follower.go
@@ -8,50 +8,52 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// followerProgress is what the leader knows of a disk that it sends changes to: a voter or a learner, its own disk too.
+// followerProgress is the leader's view of a disk that it replicates to: a voter or a learner, including its own disk.
 type followerProgress struct {
 	disk string
-	// acked is the position that the disk has said it holds; it counts only while isPositionKnown.
+	// acked is the last position that the disk acknowledged. It is valid only while isPositionKnown is set.
 	acked           wire.LogPosition
 	isPositionKnown bool
-	// needsSnapshot tells that the log no longer leads on from where the disk stands.
+	// needsSnapshot is set if the leader's log no longer contains the disk's position.
 	needsSnapshot bool
 
-	// isBusy tells that a call is under way, concurrentHeartbeats how many heartbeats are under way beside it.
-	isBusy               bool
+	// isBusy is set while a call is in flight. concurrentHeartbeats is the number of heartbeats in flight beside it.
+	hasCallInFlight      bool
 	concurrentHeartbeats int
-	// call is the call under way, overtakenCalls how many before it are no longer waited for and have not ended.
+	// call is the latest call. abandonedCalls counts earlier calls that are still in flight but no longer waited for.
 	call           outstandingCall
-	overtakenCalls int
-	sentAt         time.Duration
-	// failures counts calls in a row that brought the follower no further; before pausedUntil it gets heartbeats only.
+	abandonedCalls int
+	// sentAt is when the latest call or heartbeat was sent.
+	sentAt time.Duration
+	// failures counts consecutive calls without effect. Until pausedUntil the follower gets heartbeats only.
 	failures    int
 	pausedUntil time.Duration
 
-	// lastContact is the last answer other than to a heartbeat beside a call, so that a disk that hangs counts as silent.
+	// lastContact is the time of the last answer. Answers to concurrent heartbeats don't count, so that a disk that hangs counts as
+	// silent.
 	lastContact time.Duration
-	// leaseUntil is until when the disk vouches for this leader, counted from before the call that it answered was sent.
+	// leaseUntil is when the lease that the disk granted ends. It is counted from the moment at which the answered call was sent.
 	leaseUntil time.Duration
-	// wallOffsetMs is the follower's time of day less this process's monotonic clock; it counts only if hasWallOffset.
+	// wallOffsetMs is the follower's time of day minus this process's monotonic clock. It is valid only if hasWallOffset is set.
 	wallOffsetMs  int64
 	hasWallOffset bool
-	// syncDelay is how long a change takes there until it is synced, on average; it counts only if hasSyncDelay.
+	// syncDelay is the average time that the follower takes to sync a change. It is valid only if hasSyncDelay is set.
 	syncDelay    time.Duration
 	hasSyncDelay bool
 
-	// transfer is the snapshot under way to the follower, nextChunk the number of the chunk that it lacks next.
+	// transfer is the snapshot that the follower is being sent, nextChunk the number of the next chunk that it lacks.
 	transfer  *snapshotTransfer
 	nextChunk int
-	// retention is what is kept for it beyond the usual, from the begin of a transfer until it has caught up.
+	// retention is the additional log tail that is kept for the follower, from the start of a transfer until it has caught up.
 	retention retention
-	// lacksChunkSupport tells that it is of a version that takes a snapshot in one call only.
+	// lacksChunkSupport is set if the follower's version accepts a snapshot only in a single call.
 	lacksChunkSupport bool
 
-	// isLeaving tells that its process is about to end.
+	// isLeaving is set if the follower's process is shutting down.
 	isLeaving bool
 }
 
-// followerOf gives the follower of a disk, from now on if there is none yet.
+// followerOf returns the follower of a disk. It adds one if there is none yet.
 func (e *Engine) followerOf(disk string) *followerProgress {
 	follower := e.followers[disk]
 	if follower == nil {
@@ -61,7 +63,7 @@
 	return follower
 }
 
-// sortedFollowers gives the followers in the order of their disks' names, so that a run can be repeated.
+// sortedFollowers returns the followers ordered by disk name, so that simulations are reproducible.
 func (e *Engine) sortedFollowers() []*followerProgress {
 	followers := make([]*followerProgress, 0, len(e.followers))
 	for _, disk := range slices.Sorted(maps.Keys(e.followers)) {
@@ -70,12 +72,12 @@
 	return followers
 }
 
-// isInContact tells whether the follower has answered within the time after which a voter counts as lost.
+// isInContact reports whether the follower has answered within Timing.LostAfter.
 func (e *Engine) isInContact(follower *followerProgress) bool {
 	return e.clock.Monotonic()-follower.lastContact < e.timing.LostAfter
 }
 
-// isWithinLag tells whether a follower lacks few changes, or none that is older than the given age.
+// isWithinLag reports whether a follower lacks at most maxLag changes, or only changes that are younger than age.
 func (e *Engine) isWithinLag(follower *followerProgress, age time.Duration) bool {
 	if !follower.isPositionKnown || follower.acked.Epoch != e.epoch {
 		return false
--- a/internal/control/replication/history.go
+++ b/internal/control/replication/history.go
@@ -6,24 +6,24 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// maxHistoryCount and maxHistoryBytes bound the history of a replica, in changes and in bytes.
+// maxHistoryCount and maxHistoryBytes limit the history of a replica, in changes and in bytes.
 const (
 	maxHistoryCount = 4000
 	maxHistoryBytes = 1 << 20
 )
 
-// History holds the last changes that a replica took. They follow on Base, each on the one before. A state whose position is
-// among theirs shares all that came before, since an epoch has one leader, and a disk takes a change only on top of the
-// position before it (Raft's log matching property).
+// History holds the most recent changes that a replica accepted. The first follows Base, each other one its predecessor. A state
+// at the position of one of them includes all earlier changes: an epoch has one leader, and a disk accepts a change only if it
+// holds the position before it (Raft's log matching property).
 type History struct {
 	Base    wire.LogPosition
 	Changes []wire.Change
 
-	// outgoing is the snapshot that the replica is sending in chunks, if any.
+	// outgoing is the snapshot that the replica sends in chunks; nil if there is none.
 	outgoing *snapshotTransfer
 }
 
-// last is the position that the history leads to.
+// last returns the position of the newest change, or Base if there is none.
 func (h History) last() wire.LogPosition {
 	if len(h.Changes) == 0 {
 		return h.Base
@@ -31,7 +31,7 @@
 	return h.Changes[len(h.Changes)-1].Position
 }
 
-// after gives the changes that follow on a position; there are none if it is not one of the history's, or the last.
+// after returns the changes that follow a position. It returns false if the history does not contain the position or ends with it.
 func (h History) after(position wire.LogPosition) ([]wire.Change, bool) {
 	if position == h.Base {
 		return h.Changes, len(h.Changes) > 0
@@ -44,15 +44,16 @@
 	return nil, false
 }
 
-// history is the bounded one that a replica keeps in memory; a restart begins it anew.
+// history is the bounded history that a replica keeps in memory. It is empty after a restart.
 type history struct {
 	base    wire.LogPosition
 	changes []wire.Change
-	size    int
+	// size is the total of the changes in bytes.
+	size int
 }
 
-// take adds what a call has brought to the disk; a gap begins the history anew.
-func (h *history) take(call wire.AppendCall) {
+// add appends the changes of a call that the disk accepted. A snapshot or a gap resets the history.
+func (h *history) add(call wire.AppendCall) {
 	if call.Snapshot != nil {
 		*h = history{base: call.Snapshot.Last}
 	} else if (History{Base: h.base, Changes: h.changes}).last() != call.Prev {
@@ -65,7 +66,7 @@
 	h.trim()
 }
 
-// trim drops the older half at once, so that little is copied.
+// trim drops the older half of a history that exceeds a limit. Dropping many changes at once keeps copying rare.
 func (h *history) trim() {
 	if len(h.changes) <= maxHistoryCount && h.size <= maxHistoryBytes {
 		return
--- a/internal/control/replication/leadership.go
+++ b/internal/control/replication/leadership.go
@@ -11,20 +11,20 @@
 	"gannetline/internal/platform/clock"
 )
 
-// ErrLeadershipLost ends a commit whose leadership is over. The change may still be committed by a later leader, or may not.
+// ErrLeadershipLost is the error of a commit that was pending when its leadership ended. A later leader may still commit the change.
 const ErrLeadershipLost = errors.ConstError("the leadership of the key is lost")
 
-// Leadership is the right to change a key under one epoch. Its methods belong to the engine's goroutine, but for those that
-// say otherwise.
+// Leadership is the right to change a key under one epoch. Its methods run on the engine's goroutine unless they say otherwise.
 type Leadership struct {
 	engine *Engine
 	epoch  uint64
 	clock  clock.Clock
 
 	isOver atomic.Bool
-	// leaseUntil is when the lease ends on the monotonic clock, in nanoseconds, as far as answers have come.
+	// leaseUntil is the end of the lease on the monotonic clock, in nanoseconds.
 	leaseUntil atomic.Int64
-	// wallOffsets are the times of day of the other voters less the monotonic clock, in milliseconds; the values never change.
+	// wallOffsets holds each other follower's time of day minus the monotonic clock, in milliseconds. The slice is replaced, never
+	// modified.
 	wallOffsets atomic.Pointer[[]int64]
 }
 
@@ -34,7 +34,7 @@
 	return leadership
 }
 
-// publish lets all goroutines know what the engine has learnt of the lease and of the voters' clocks.
+// publish makes the current lease and the wall offsets available to other goroutines.
 func (l *Leadership) publish() {
 	l.leaseUntil.Store(int64(l.engine.leaseUntil()))
 	var offsets []int64
@@ -46,13 +46,13 @@
 	l.wallOffsets.Store(&offsets)
 }
 
-// Epoch is the epoch of this leadership; no other leadership of the key has the same. Any goroutine may ask.
+// Epoch returns the epoch of this leadership. No other leadership of the key has the same one. It may run on any goroutine.
 func (l *Leadership) Epoch() uint64 { return l.epoch }
 
-// IsOpen tells whether the leadership has not ended yet. Any goroutine may ask.
+// IsOpen reports whether the leadership has not ended yet. It may run on any goroutine.
 func (l *Leadership) IsOpen() bool { return !l.isOver.Load() }
 
-// Commit makes a change durable on a quorum; done gets ErrLeadershipLost if the leadership ends first.
+// Commit makes a change durable on a quorum. done gets nil after that, or ErrLeadershipLost if the leadership ends first.
 func (l *Leadership) Commit(ops []wire.Op, done func(error)) {
 	if !l.IsOpen() {
 		done(ErrLeadershipLost)
@@ -61,16 +61,17 @@
 	l.engine.propose(ops, nil, done)
 }
 
-// HasLease tells whether a quorum vouches, now, that there is no other leader. Any goroutine may ask.
+// HasLease reports whether the leadership now holds a lease from a quorum, so that there is no other leader. It may run on any
+// goroutine.
 func (l *Leadership) HasLease() bool {
 	return l.IsOpen() && l.clock.Monotonic() < time.Duration(l.leaseUntil.Load())
 }
 
-// Voters are the disks that vote on the key now.
+// Voters returns the disks of the current voter set, without the old voters of a joint set.
 func (l *Leadership) Voters() []string { return slices.Clone(l.engine.voters.set.Current) }
 
-// WallMs is the time of day in milliseconds since 1970: the median of the voters' clocks, carried on the monotonic clock, so
-// that a single clock that jumps changes nothing. Any goroutine may ask.
+// WallMs returns the time of day in milliseconds since 1970. It is the median of the followers' and this process's clocks, advanced
+// with the monotonic clock, so that a jump of a single clock has no effect. It may run on any goroutine.
 func (l *Leadership) WallMs() int64 {
 	monotonicMs := l.clock.Monotonic().Milliseconds()
 	offsets := append([]int64{l.clock.WallMs() - monotonicMs}, *l.wallOffsets.Load()...)
--- a/internal/control/replication/leadershiptransfer.go
+++ b/internal/control/replication/leadershiptransfer.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// A leader counts as slow while its own disk takes at least slowDelay, and slowFactor times as long as that of the quickest
-	// follower; after slowDuration of that it hands the key on.
+	// A leader counts as slow while its own sync delay is at least slowDelay, and at least slowFactor times that of the fastest
+	// follower. After slowDuration of that it transfers the leadership.
 	slowDelay    = 30 * time.Millisecond
 	slowFactor   = 3
 	slowDuration = time.Second
-	// healthyDuration is how long a leader must not have been slow to count as healthy before.
+	// healthyDuration is how long a leader must not have been slow to count as having been healthy.
 	healthyDuration = 5 * time.Second
 	// minLeadershipWhenSlow is how long a leader that was never healthy keeps the key.
 	minLeadershipWhenSlow = 30 * time.Second
-	// campaignPause is how long a steward that gave a key up leaves it to others.
+	// campaignPause is how long a steward that released a key does not campaign for it.
 	campaignPause = 6 * time.Second
-	// averageWeight is the divisor by which a sample moves a running average.
+	// averageWeight is the inverse of the weight of a new sample in an exponential moving average.
 	averageWeight = 4
 )
 
-// slownessWatch tells a leader that became slow from one that is slowed by the key itself: one that has never been healthy
-// since it took the key over would only pass the trouble on.
-type slownessWatch struct {
+// slownessDetector distinguishes a leader that became slow from one that is slowed down by the load of the key itself. The load
+// would move with the key, so a leader that was never healthy since it took over keeps the key for minLeadershipWhenSlow.
+type slownessDetector struct {
 	openedAt     time.Duration
 	healthySince time.Duration
 	slowSince    time.Duration
 	wasHealthy   bool
 }
 
-func newSlownessWatch(now time.Duration) slownessWatch {
-	return slownessWatch{openedAt: now, healthySince: now, slowSince: now}
+func newSlownessDetector(now time.Duration) slownessDetector {
+	return slownessDetector{openedAt: now, healthySince: now, slowSince: now}
 }
 
-// observe takes whether the leader is slow at this moment, and tells whether it has been so for long enough to go.
-func (w *slownessWatch) observe(now time.Duration, isSlow bool) (shouldTransfer bool) {
+// observe records whether the leader is slow now, and reports whether it has been slow for long enough to transfer the leadership.
+func (w *slownessDetector) observe(now time.Duration, isSlow bool) (shouldTransfer bool) {
 	if !isSlow {
 		w.slowSince = now
 		w.wasHealthy = w.wasHealthy || now-w.healthySince >= healthyDuration
@@ -50,9 +50,9 @@
 	*average += (sample - *average) / averageWeight
 }
 
-// noteSyncDelay takes how long a change took from its arrival to its sync: as a peer says, or for the leader's own disk as
-// the leader finds it, with the waits for its own goroutines.
-func (e *Engine) noteSyncDelay(follower *followerProgress, answer wire.AppendAnswer, roundTrip time.Duration) {
+// recordSyncDelay updates the average time from the arrival of a change to its sync. A peer reports this time in its answer. For
+// the leader's own disk it is the round trip, which includes the waits for its own goroutines.
+func (e *Engine) recordSyncDelay(follower *followerProgress, answer wire.AppendAnswer, roundTrip time.Duration) {
 	delay := time.Duration(answer.DelayUs) * time.Microsecond
 	if follower.disk == e.disk {
 		delay = roundTrip
@@ -61,9 +61,9 @@
 	updateAverage(&follower.syncDelay, delay)
 }
 
-// maybeTransferLeadership gives the key to a follower if this steward has long been clearly slower than it.
+// maybeTransferLeadership transfers the leadership to the fastest follower if this leader has been slow for slowDuration.
 func (e *Engine) maybeTransferLeadership() {
-	own, successor := e.followerOf(e.disk), e.quickestFollower()
+	own, successor := e.followerOf(e.disk), e.fastestFollower()
 	if successor == nil {
 		return
 	}
@@ -73,29 +73,30 @@
 	}
 }
 
-// quickestFollower is the live follower with the shortest sync delay, as far as it says and has caught up.
-func (e *Engine) quickestFollower() *followerProgress {
-	var quickest *followerProgress
+// fastestFollower returns the eligible voter with the shortest known sync delay that has caught up; nil if there is none.
+func (e *Engine) fastestFollower() *followerProgress {
+	var fastest *followerProgress
 	for _, disk := range e.voters.set.Current {
 		voter := e.followers[disk]
-		if !e.maySucceed(voter) || !voter.hasSyncDelay || !e.isWithinLag(voter, e.timing.Lease/2) {
+		if !e.isEligibleSuccessor(voter) || !voter.hasSyncDelay || !e.isWithinLag(voter, e.timing.Lease/2) {
 			continue
 		}
-		if quickest == nil || voter.syncDelay < quickest.syncDelay {
-			quickest = voter
+		if fastest == nil || voter.syncDelay < fastest.syncDelay {
+			fastest = voter
 		}
 	}
-	return quickest
+	return fastest
 }
 
-// maySucceed tells whether a follower is another steward's that answers and stays.
-func (e *Engine) maySucceed(voter *followerProgress) bool {
+// isEligibleSuccessor reports whether a voter belongs to another steward, is not shutting down and has answered within half of
+// Timing.LostAfter.
+func (e *Engine) isEligibleSuccessor(voter *followerProgress) bool {
 	return voter != nil && voter.disk != e.disk && !voter.isLeaving && e.clock.Monotonic()-voter.lastContact <= e.timing.LostAfter/2
 }
 
 func (e *Engine) transferLeadership(own, successor *followerProgress) {
 	e.log.Info("handing the key over to a quicker peer", "key", e.key, "delay_ms", own.syncDelay.Milliseconds(),
 		"successor", successor.disk, "successor_delay_ms", successor.syncDelay.Milliseconds())
-	e.release("slower than its followers", successor.disk)
+	e.release("its disk is slower than the followers' disks", successor.disk)
 	e.campaignState.nextAt = e.clock.Monotonic() + campaignPause
 }
--- a/internal/control/replication/lease.go
+++ b/internal/control/replication/lease.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// leaseMargin is taken off each lease, so that clocks that run at slightly different rates don't let the leader's last
-	// longer than the voter's.
+	// leaseMargin is subtracted from each lease, so that the leader's lease ends before the voter's even if their clocks run at
+	// slightly different rates.
 	leaseMargin = 30 * time.Millisecond
-	// leaseLossLimit is how many lengths of a lease a leader may be without one before it steps down.
+	// leaseLossLimit is the number of lease durations without a lease after which a leader steps down.
 	leaseLossLimit = 4
-	// snapshotReadTimeout is how long a leader may read the state of its own disk, lease in hand, before another should try:
-	// long enough for slow processors, while a disk that hangs would give nothing for ever.
+	// snapshotReadTimeout is how long a leader may read the state from its own disk while it holds the lease. It is long enough for
+	// slow processors. After it another voter should lead, since a disk that hangs would never return the state.
 	snapshotReadTimeout = 10 * time.Second
 )
 
-// hasLease tells whether a quorum of the voters vouches, now, that there is no other leader.
+// hasLease reports whether the leader now holds a lease from a quorum of the voters.
 func (e *Engine) hasLease() bool { return e.clock.Monotonic() < e.leaseUntil() }
 
-// leaseUntil is until when a quorum of the voters vouches that there is no other leader.
+// leaseUntil returns the end of the lease that a quorum of the voters has granted. There is no other leader before it.
 func (e *Engine) leaseUntil() time.Duration {
 	return quorum.LeaseEnd(e.voters.set, func(disk string) time.Duration {
 		if voter := e.followers[disk]; voter != nil {
@@ -30,21 +30,22 @@
 	})
 }
 
-// noteLease notes the lease that a follower has granted by its answer to a call that was sent at that moment. It counts from
-// the sending, as the voter counts from the arrival, which is later.
-func (e *Engine) noteLease(follower *followerProgress, sentAt time.Duration) {
+// extendLease records the lease that a follower granted by its answer to a call sent at sentAt. The leader counts the lease from
+// sentAt; the voter counts it from the arrival of the call, which is later.
+func (e *Engine) extendLease(follower *followerProgress, sentAt time.Duration) {
 	follower.leaseUntil = max(follower.leaseUntil, sentAt+e.timing.Lease-leaseMargin)
 	e.publishLease()
 }
 
-// publishLease lets other goroutines know, if there is a leadership, what has changed of its lease.
+// publishLease publishes the current lease to other goroutines while there is a leadership.
 func (e *Engine) publishLease() {
 	if e.leadership != nil {
 		e.leadership.publish()
 	}
 }
 
-// heartbeat renews the leases, and does what a leader does from time to time.
+// heartbeat renews the leases and does the leader's periodic checks: step down without a quorum, leave, change voters, and transfer
+// the leadership.
 func (e *Engine) heartbeat() {
 	if e.releaseIfUnfit() {
 		return
@@ -57,7 +58,7 @@
 		e.stepDown("no majority answers")
 		return
 	}
-	e.snapshots.keepOnlyIf(e.isSnapshotNeeded())
+	e.snapshots.dropUnlessNeeded(e.isSnapshotNeeded())
 	e.progress.record(now, e.changes.last.Index, e.timing.LostAfter)
 	if e.maybeLeave(); e.phase == phaseLeading {
 		e.maybeChangeVoters()
@@ -66,30 +67,30 @@
 	e.maybeMoveToPreferred()
 }
 
-// releaseIfUnfit gives the key up if this process can't go on leading it for reasons of its own.
+// releaseIfUnfit releases the key and returns true if this process can't continue to lead because of its own disk.
 func (e *Engine) releaseIfUnfit() bool {
 	switch {
 	case e.isOwnReplicaBehind():
-		e.release("its own replica is behind the changes it keeps", "")
+		e.release("its own replica lacks changes that the log no longer has", "")
 	case e.isSnapshotReadOverdue():
-		e.release("its own disk does not give the state", "")
+		e.release("reading the state from its own disk timed out", "")
 		e.campaignState.nextAt = e.clock.Monotonic() + campaignPause
 	case e.isRemoved():
-		e.releaseToFurthest("its disk is no longer a voter")
+		e.releaseToMostUpToDate("its disk is no longer a voter")
 	default:
 		return false
 	}
 	return true
 }
 
-// sendHeartbeats sends to each follower that was sent nothing for the pause between two heartbeats, and to each that needs a
-// snapshot.
+// sendHeartbeats sends a heartbeat to each follower that was sent nothing for a heartbeat interval, and continues the transfer to
+// each follower that needs a snapshot.
 func (e *Engine) sendHeartbeats(now time.Duration) {
 	for _, follower := range e.sortedFollowers() {
-		e.giveUpStuckCall(follower, now)
+		e.abandonStuckCall(follower, now)
 		isDue := now-follower.sentAt >= e.timing.Heartbeat
 		switch {
-		case isDue && follower.isBusy:
+		case isDue && follower.hasCallInFlight:
 			e.renewLease(follower)
 		case isDue || follower.needsSnapshot:
 			e.sendAppend(follower, isDue)
@@ -97,13 +98,13 @@
 	}
 }
 
-// isSnapshotReadOverdue tells whether the leader has waited too long for the state on its own disk.
+// isSnapshotReadOverdue reports whether reading the state from the leader's own disk has exceeded snapshotReadTimeout.
 func (e *Engine) isSnapshotReadOverdue() bool {
 	return e.snapshots.isReading && e.clock.Monotonic()-e.snapshots.startedAt > snapshotReadTimeout
 }
 
-// isOwnReplicaBehind tells whether the own disk was stalled or full for so long that the changes it lacks are no longer
-// kept. Nobody can send them to it, and it has no snapshot for others; the next leader has both.
+// isOwnReplicaBehind reports whether the leader's own disk was stalled or full for so long that the log no longer has the changes
+// it lacks. This leader can neither bring its disk up to date nor read a snapshot for others. The next leader can do both.
 func (e *Engine) isOwnReplicaBehind() bool {
 	own := e.followers[e.disk]
 	return own != nil && own.needsSnapshot
--- a/internal/control/replication/leaving.go
+++ b/internal/control/replication/leaving.go
@@ -8,17 +8,17 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// maxLeaveWait is how long a leader that leaves waits for the changes that are under way.
+// maxLeaveWait is how long a leader that shuts down waits for its pending commits.
 const maxLeaveWait = 200 * time.Millisecond
 
-// leaveRequest tells that this process is about to end, and until when its leader may wait for pending commits.
+// leaveRequest records that this process is shutting down, and the deadline for pending commits.
 type leaveRequest struct {
 	isRequested bool
 	deadline    time.Duration
 }
 
-// Leave hands the key over to the follower that holds most, once no change is under way or a moment has passed; no
-// campaign begins after it.
+// Leave prepares the shutdown of this process: the leader transfers the key to the most up-to-date follower once no commit is
+// pending, or after maxLeaveWait. The engine starts no campaign afterwards.
 func (e *Engine) Leave() {
 	e.leaving = leaveRequest{isRequested: true, deadline: e.clock.Monotonic() + maxLeaveWait}
 	if e.phase == phaseCandidate {
@@ -27,50 +27,50 @@
 	e.maybeLeave()
 }
 
-// maybeLeave gives the key back if this steward is leaving and has no change under way, or has waited long enough.
+// maybeLeave releases the key if a leave was requested and no commit is pending or the deadline has passed.
 func (e *Engine) maybeLeave() {
 	isLeading := e.phase >= phaseFetching
 	if !e.leaving.isRequested || !isLeading || len(e.commits.pending) > 0 && e.clock.Monotonic() < e.leaving.deadline {
 		return
 	}
-	e.releaseToFurthest("leaving in order")
+	e.releaseToMostUpToDate("this process is shutting down")
 }
 
-// releaseToFurthest gives the key back and names the voter that holds most as successor, if any may succeed.
-func (e *Engine) releaseToFurthest(reason string) {
+// releaseToMostUpToDate releases the key and names the most up-to-date eligible voter as successor, if there is one.
+func (e *Engine) releaseToMostUpToDate(reason string) {
 	successor := ""
-	if furthest := e.furthestFollower(); furthest != nil {
-		successor = furthest.disk
+	if mostUpToDate := e.mostUpToDateFollower(); mostUpToDate != nil {
+		successor = mostUpToDate.disk
 	} else {
-		e.log.Info("no follower has caught up to succeed", "key", e.key, "epoch", e.epoch)
+		e.log.Info("no eligible successor for the key", "key", e.key, "epoch", e.epoch)
 	}
 	e.release(reason, successor)
 }
 
-// isRemoved tells whether the committed voters are without this leader's own disk, as when it was elected by those of a
-// change that was replacing it. It sends its own disk nothing any more, and so has no snapshot for others.
+// isRemoved reports whether the committed voter set lacks this leader's own disk. This happens if the leader was elected during a
+// voter change that replaces its disk. It no longer replicates to its own disk, and so can't read a snapshot for others.
 func (e *Engine) isRemoved() bool {
 	isSettled := !quorum.IsJoint(e.voters.set) && e.voters.isCommitted(e.commits.index)
 	return e.phase == phaseLeading && isSettled && !slices.Contains(e.voters.set.Current, e.disk)
 }
 
-// furthestFollower is the follower among the voters that holds most of what this leader has proposed, if any may succeed it.
-func (e *Engine) furthestFollower() *followerProgress {
-	var furthest *followerProgress
+// mostUpToDateFollower returns the eligible voter that holds the most changes of this epoch; nil if there is none.
+func (e *Engine) mostUpToDateFollower() *followerProgress {
+	var mostUpToDate *followerProgress
 	for _, disk := range e.voters.set.Current {
 		voter := e.followers[disk]
-		if !e.maySucceed(voter) || !voter.isPositionKnown || voter.acked.Epoch != e.epoch {
+		if !e.isEligibleSuccessor(voter) || !voter.isPositionKnown || voter.acked.Epoch != e.epoch {
 			continue
 		}
-		if furthest == nil || furthest.acked.Below(voter.acked) {
-			furthest = voter
+		if mostUpToDate == nil || mostUpToDate.acked.Below(voter.acked) {
+			mostUpToDate = voter
 		}
 	}
-	return furthest
+	return mostUpToDate
 }
 
-// release steps down and gives the lease back, so that a peer may ask at once; the successor is the disk whose steward should
-// ask first, or empty.
+// release steps down and releases the lease at the voters, so that another candidate can campaign at once. successor is the disk
+// that should campaign first, or empty.
 func (e *Engine) release(reason, successor string) {
 	call := wire.AppendCall{Key: e.key, Epoch: e.epoch, Leader: e.name, Disk: e.disk, Release: true, Successor: successor}
 	disks := quorum.Disks(e.voters.set)
--- a/internal/control/replication/options.go
+++ b/internal/control/replication/options.go
@@ -8,34 +8,34 @@
 	"gannetline/internal/platform/logging"
 )
 
-// Timing of the replication.
+// Timing holds the intervals and timeouts of the replication protocol.
 type Timing struct {
-	// Lease is how long a voter that has answered a leader promises nobody else.
+	// Lease is how long a voter that has answered a leader grants no promise to another disk.
 	Lease time.Duration
-	// Heartbeat is the pause between two heartbeats to a follower.
+	// Heartbeat is the interval between two heartbeats to a follower.
 	Heartbeat time.Duration
-	// Stagger is the pause by which candidates keep out of each other's way.
+	// Stagger is the base delay between the campaigns of consecutive candidates in a key's ranking. It avoids split votes.
 	Stagger time.Duration
-	// LostAfter is the silence after which a voter counts as lost.
+	// LostAfter is the time without an answer after which a voter counts as lost.
 	LostAfter time.Duration
 }
 
-// DefaultTiming finds a new leader about a second after the old one has gone.
+// DefaultTiming elects a new leader about one second after the old one has failed.
 var DefaultTiming = Timing{Lease: 700 * time.Millisecond, Heartbeat: 175 * time.Millisecond,
 	Stagger: 100 * time.Millisecond, LostAfter: 1500 * time.Millisecond}
 
-// defaultVoterGoal bears the loss of one disk.
+// defaultVoterGoal tolerates the loss of one disk.
 const defaultVoterGoal = 3
 
-// options are what an engine may be made with beyond what it can't do without.
+// options holds the optional settings of an engine.
 type options struct {
 	initialVoters []string
-	// voterGoal is how many voters the key should have, 2f+1 for f losses.
+	// voterGoal is the number of voters that the key should have: 2f+1 to tolerate f losses.
 	voterGoal int
 	timing    Timing
 	log       logging.Logger
 	announce  func(wire.KeyLeader)
-	// hasPreferredLeader has the first voter in the key's own order lead, whenever it is fit to.
+	// hasPreferredLeader makes the leader transfer the key to the first voter in the key's ranking once that voter is eligible.
 	hasPreferredLeader bool
 }
 
@@ -43,25 +43,25 @@
 	return options{voterGoal: defaultVoterGoal, timing: DefaultTiming, log: logging.Silent(), announce: func(wire.KeyLeader) {}}
 }
 
-// Option changes how an engine is made.
+// Option changes an optional setting of an engine.
 type Option func(*options)
 
-// WithInitialVoters names the disks that may bootstrap the key where none of them holds it yet.
+// WithInitialVoters sets the disks that may bootstrap the key while none of them holds a replica of it.
 func WithInitialVoters(voters []string) Option { return func(o *options) { o.initialVoters = voters } }
 
-// WithMachineLosses sets how many disks a key must be able to lose at once; its voters grow to twice that and one.
+// WithMachineLosses sets how many disks a key may lose at once without losing data. The key gets twice that number of voters, plus one.
 func WithMachineLosses(losses int) Option {
 	return func(o *options) { o.voterGoal = quorum.VotersFor(losses) }
 }
 
-// WithPreferredLeader has the key move to the first voter in the key's own order once that has been fit to lead for a while. It suits keys
-// of which there are many, and whose state is soon read.
+// WithPreferredLeader transfers the key to the first voter in the key's ranking once that voter has been eligible for a while. It suits
+// keys that are numerous and whose state is quick to read.
 func WithPreferredLeader() Option { return func(o *options) { o.hasPreferredLeader = true } }
 
-// WithLog gives the engine a logger; without it, it logs nothing.
+// WithLog sets the engine's logger. Without it the engine logs nothing.
 func WithLog(log logging.Logger) Option { return func(o *options) { o.log = log } }
 
-// WithAnnounce names the function that gets each new leadership of this engine.
+// WithAnnounce sets the function that is called with each new leadership of this engine.
 func WithAnnounce(announce func(wire.KeyLeader)) Option {
 	return func(o *options) { o.announce = announce }
 }
--- a/internal/control/replication/progress.go
+++ b/internal/control/replication/progress.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// progressPoint is the index that a leader had reached by some moment.
+// progressPoint is the last index of a leader's log at one moment.
 type progressPoint struct {
 	at    time.Duration
 	index uint64
 }
 
-// progressHistory tells how far a leader had come at each of its recent heartbeats, in the order of time.
+// progressHistory holds the last index of a leader's log at each recent heartbeat, oldest first.
 type progressHistory []progressPoint
 
-// record adds where the leader stands now, and drops what is older than the given age, but for the newest such point.
+// record adds the leader's current index. It drops the points that are older than age, except the newest of them.
 func (h *progressHistory) record(now time.Duration, index uint64, age time.Duration) {
 	*h = append(*h, progressPoint{now, index})
 	dropped := 0
@@ -24,7 +24,7 @@
 	*h = slices.Delete(*h, 0, dropped)
 }
 
-// hadReached tells whether an index is at least as far as the leader was at that moment; it is false for a moment before the
+// hadReached reports whether index is at least the leader's last index at that moment. It is false for a moment before the
 // first point.
 func (h progressHistory) hadReached(index uint64, moment time.Duration) bool {
 	for _, point := range slices.Backward(h) {
--- a/internal/control/replication/quorum/quorum.go
+++ b/internal/control/replication/quorum/quorum.go
@@ -1,6 +1,6 @@
-// Package quorum knows which disks of a key must agree. A voter set is either simple, a list of disks of which a majority
-// decides, or joint: while voters are being changed, a majority of the old list and one of the new list are both needed, as in
-// Raft's joint consensus. Everything here is a pure function of its arguments.
+// Package quorum evaluates quorums of a key's voters. A voter set is either simple or joint. In a simple set a majority of the
+// disks is a quorum. During a voter change the set is joint, and a quorum needs a majority of the old and a majority of the new
+// voters, as in Raft's joint consensus. All functions are pure.
 package quorum
 
 import (
@@ -10,18 +10,18 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// VotersFor is how many voters a key needs to bear the loss of so many disks at once. At least one loss is always borne.
+// VotersFor returns the number of voters that a key needs to tolerate the loss of that many disks at once, at least of one.
 func VotersFor(losses int) int { return 2*max(1, losses) + 1 }
 
-// Reached tells whether the disks for which has is true are a quorum of the set. An empty set has no quorum.
+// Reached reports whether the disks for which has is true are a quorum of the set. An empty set has no quorum.
 func Reached(set wire.VoterSet, has func(disk string) bool) bool {
 	return len(set.Current) > 0 && isMajority(set.Current, has) && (!IsJoint(set) || isMajority(set.Old, has))
 }
 
-// IsJoint tells whether the old voters still count beside the new ones.
+// IsJoint reports whether the set is joint, so that the old voters still vote.
 func IsJoint(set wire.VoterSet) bool { return len(set.Old) > 0 }
 
-// Disks lists the disks that vote, those of the new list first, each once.
+// Disks returns the disks that vote, each once, those of the current list first.
 func Disks(set wire.VoterSet) []string {
 	disks := slices.Clone(set.Current)
 	for _, disk := range set.Old {
@@ -32,13 +32,13 @@
 	return disks
 }
 
-// Contains tells whether a disk votes.
+// Contains reports whether a disk votes, as a current or an old voter.
 func Contains(set wire.VoterSet, disk string) bool {
 	return slices.Contains(set.Current, disk) || slices.Contains(set.Old, disk)
 }
 
-// LeaseEnd is the latest moment at which a quorum of the set still vouches for its leader; leaseOf tells until when one
-// disk does, as a time on the leader's monotonic clock. It is 0 for an empty set.
+// LeaseEnd returns the end of the lease that a quorum of the set grants its leader. leaseOf returns the end of one disk's lease on
+// the leader's monotonic clock. The result is 0 for an empty set.
 func LeaseEnd(set wire.VoterSet, leaseOf func(disk string) time.Duration) time.Duration {
 	end := majorityLease(set.Current, leaseOf)
 	if IsJoint(set) {
@@ -47,7 +47,7 @@
 	return end
 }
 
-// isMajority tells whether more than half of the voters have what is asked of them.
+// isMajority reports whether has is true for more than half of the voters.
 func isMajority(voters []string, has func(disk string) bool) bool {
 	count := 0
 	for _, disk := range voters {
@@ -58,7 +58,7 @@
 	return 2*count > len(voters)
 }
 
-// majorityLease is the median of the leases, the lower one of two: more than half of the voters vouch until then.
+// majorityLease returns the median of the lease ends, the lower one of two. More than half of the leases last until then.
 func majorityLease(voters []string, leaseOf func(disk string) time.Duration) time.Duration {
 	if len(voters) == 0 {
 		return 0
--- a/internal/control/replication/quorum/selection.go
+++ b/internal/control/replication/quorum/selection.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Selection works out which voters a key should have.
+// Selection selects the voters that a key should have.
 type Selection struct {
-	// Current are the voters that the key has now.
+	// Current holds the current voters of the key.
 	Current []string
-	// Goal is how many voters the key should have; it is odd.
+	// Goal is the number of voters that the key should have; it is odd.
 	Goal int
-	// IsLost tells whether a current voter should be replaced.
+	// IsLost reports whether a current voter should be replaced.
 	IsLost func(disk string) bool
-	// DomainOf names the failure domain of a disk.
+	// DomainOf returns the failure domain of a disk.
 	DomainOf func(disk string) string
 }
 
-// Kept are the current voters that stay.
+// Kept returns the current voters that are not lost.
 func (s Selection) Kept() []string {
 	return slices.DeleteFunc(slices.Clone(s.Current), s.IsLost)
 }
 
-// Next gives the voters that the key should have if the candidates may become voters, the earlier the better. Candidates take
-// the places of lost voters and fill up to the goal, spread over failure domains. The number of voters stays odd, a voter
-// that is not lost never goes, and a lost one stays while nobody takes its place. The result is sorted.
+// Next returns the sorted voters that the key should have, given candidates in order of preference. Candidates replace lost voters
+// and fill the set up to the goal, spread over failure domains. The number of voters stays odd. A voter that is not lost is never
+// removed, and a lost voter stays until a candidate replaces it or the set shrinks to the goal.
 func (s Selection) Next(candidates []string) []string {
 	next := s.Kept()
 	goal := max(len(s.Current), largestOdd(min(s.Goal, len(next)+len(candidates))))
@@ -43,7 +43,7 @@
 	return next
 }
 
-// inRarestDomain is the index of the candidate whose failure domain holds the fewest of the voters.
+// inRarestDomain returns the index of the first candidate whose failure domain holds the fewest voters.
 func (s Selection) inRarestDomain(voters, candidates []string) int {
 	votersByDomain := map[string]int{}
 	for _, disk := range voters {
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -13,44 +13,45 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// Disk is where replicas are kept; storage.Store is the real one.
+// Disk stores replicas. The production implementation is storage.Store.
 type Disk interface {
-	// Disk is the name of the disk.
+	// Disk returns the name of the disk.
 	Disk() string
-	// IsNew tells whether the disk was empty when it was opened.
+	// IsNew reports whether the disk was empty when it was opened.
 	IsNew() bool
-	// Submit queues a write; done gets its outcome after the sync.
+	// Submit queues a write. done gets the outcome after the sync.
 	Submit(write storage.Write, done func(storage.Outcome))
-	// ReplicaStates are the states of all replicas on the disk, by key.
+	// ReplicaStates returns the states of all replicas on the disk, by key.
 	ReplicaStates() (map[string]storage.ReplicaState, error)
-	// Read gives the snapshot of a replica.
+	// Read returns the snapshot of a replica.
 	Read(key string) (wire.Snapshot, error)
 }
 
-// localReplica is what this process knows of one replica of its disk.
+// localReplica is the in-memory state of one replica on the local disk.
 type localReplica struct {
-	// state is what is synced; promised is the highest epoch that is promised or being promised, never below state.Promised.
+	// state is the synced state. promised is the highest epoch that is promised, or whose promise is being synced; it is never below
+	// state.Promised.
 	state    storage.ReplicaState
 	promised uint64
 	lease    grantedLease
 	release  releasedLease
 	history  history
-	// incomingChunks are those of a snapshot that a leader sends.
+	// incomingChunks holds the chunks of a snapshot that a leader is sending.
 	incomingChunks chunkBuffer
-	// isVotedOut tells that the leader has committed a voter set without this disk, which was leaving.
+	// isVotedOut is set once the leader has committed a voter set without this disk while the process is shutting down.
 	isVotedOut bool
-	// outgoing is the state as it was last read for a candidate that fetches it in chunks.
+	// outgoing is the snapshot that was last read for a candidate that fetches it in chunks; nil if there is none.
 	outgoing *snapshotTransfer
 }
 
-// grantedLease is the promise of a replica to a leader that no other disk is promised an epoch before the end.
+// grantedLease is a replica's lease to a leader. Until its end the replica grants no promise to another disk.
 type grantedLease struct {
 	until      time.Duration
 	holderDisk string
 	holder     string
 }
 
-// releasedLease tells that the leader of an epoch gave the key back, and which disk should ask first.
+// releasedLease records that the leader of an epoch released the key, and the disk that should campaign first.
 type releasedLease struct {
 	isReleased bool
 	at         time.Duration
@@ -58,29 +59,30 @@
 	successor  string
 }
 
-// Replicas is the table of this disk's replicas: what each promised, holds and leases out. It belongs to the goroutine of its
-// mailbox.
+// Replicas is the table of the local disk's replicas with their states, promises and granted leases. It belongs to the goroutine of
+// its mailbox.
 type Replicas struct {
 	mailbox *mailbox.Mailbox
 	disk    Disk
 	clock   clock.Clock
-	// lease is the length of the leases that it grants.
+	// lease is the duration of the leases that the replicas grant.
 	lease time.Duration
-	// promisesBlockedUntil ends the first lease after a restart: this process doesn't know what the one before it granted.
+	// promisesBlockedUntil is one lease after a restart. Until then no promise is granted, since the leases that the previous process
+	// granted are unknown.
 	promisesBlockedUntil time.Duration
 	keys                 map[string]*localReplica
 	isLeaving            bool
 	log                  logging.Logger
 }
 
-// ReplicasOption changes how a table of replicas is made.
+// ReplicasOption changes an optional setting of a table of replicas.
 type ReplicasOption func(*Replicas)
 
-// WithReplicasLog gives the table a logger; without it, it logs nothing.
+// WithReplicasLog sets the table's logger. Without it the table logs nothing.
 func WithReplicasLog(log logging.Logger) ReplicasOption { return func(r *Replicas) { r.log = log } }
 
-// NewReplicas makes the table of a disk's replicas; a disk that was used before promises nothing for a lease. The error is
-// that of reading the disk.
+// NewReplicas returns the table of a disk's replicas. If the disk is not new, it grants no promise for one lease. It returns an error
+// if the disk can't be read.
 func NewReplicas(inbox *mailbox.Mailbox, disk Disk, clock clock.Clock, lease time.Duration, options ...ReplicasOption) (*Replicas, error) {
 	states, err := disk.ReplicaStates()
 	if err != nil {
@@ -100,10 +102,10 @@
 	return table, nil
 }
 
-// Mailbox is that of the goroutine that owns the table.
+// Mailbox returns the mailbox of the goroutine that owns the table.
 func (r *Replicas) Mailbox() *mailbox.Mailbox { return r.mailbox }
 
-// replicaOf gives the replica of a key, an empty one if the disk has none yet.
+// replicaOf returns the replica of a key. It adds an empty one if there is none yet.
 func (r *Replicas) replicaOf(key string) *localReplica {
 	replica := r.keys[key]
 	if replica == nil {
@@ -113,17 +115,17 @@
 	return replica
 }
 
-// Promise answers a candidate. It refuses while another disk holds the lease, and an epoch that is not above all that were
-// promised; a promise is synced before it is given. It must run on the table's goroutine.
+// Promise answers a candidate's request for a promise or a pre-vote. It refuses while another disk holds the lease, and refuses an
+// epoch that is not above all promised ones. A promise is synced before it is sent. Promise must run on the table's goroutine.
 func (r *Replicas) Promise(call wire.PromiseCall, answer func(wire.PromiseAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
 	isLeased := now < replica.lease.until && replica.lease.holderDisk != call.Disk
 	if isLeased || now < r.promisesBlockedUntil || call.Epoch <= replica.promised {
-		answer(r.promiseAnswer(replica.state, max(replica.promised, replica.state.Promised), false))
+		answer(r.newPromiseAnswer(replica.state, max(replica.promised, replica.state.Promised), false))
 		return
 	}
 	if call.PreVote {
-		answer(r.promiseAnswer(replica.state, replica.promised, true))
+		answer(r.newPromiseAnswer(replica.state, replica.promised, true))
 		return
 	}
 	replica.promised = call.Epoch
@@ -132,16 +134,16 @@
 		r.mailbox.Post(func() {
 			replica.applyOutcome(outcome)
 			r.logPromise(call, outcome)
-			answer(r.promiseAnswer(outcome.State, call.Epoch, outcome.Taken))
+			answer(r.newPromiseAnswer(outcome.State, call.Epoch, outcome.Taken))
 		})
 	})
 }
 
-func (r *Replicas) promiseAnswer(state storage.ReplicaState, promised uint64, isGranted bool) wire.PromiseAnswer {
+func (r *Replicas) newPromiseAnswer(state storage.ReplicaState, promised uint64, isGranted bool) wire.PromiseAnswer {
 	return wire.PromiseAnswer{Granted: isGranted, Promised: promised, Last: state.Last, Voters: state.Voters, Disk: r.disk.Disk()}
 }
 
-// applyOutcome takes what a write has left on the disk; one that failed tells nothing.
+// applyOutcome updates the replica from the outcome of a write. The outcome of a failed write is ignored, as its effect is unknown.
 func (replica *localReplica) applyOutcome(outcome storage.Outcome) {
 	if outcome.Err != nil {
 		return
@@ -153,19 +155,19 @@
 	replica.promised = max(replica.promised, outcome.State.Promised)
 }
 
-// Append takes a leader's changes, snapshot, chunk, heartbeat or release, and grants it a lease; it refuses a leader whose
-// epoch is below what was promised. The answer comes after the sync. It must run on the table's goroutine.
+// Append processes a leader's changes, snapshot, chunk, heartbeat or release, and grants the leader a lease. It refuses a leader whose
+// epoch is below the promised one. The answer follows the sync. Append must run on the table's goroutine.
 func (r *Replicas) Append(call wire.AppendCall, answer func(wire.AppendAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
 	if call.Epoch < replica.promised {
-		answer(r.appendAnswer(replica, false))
+		answer(r.newAppendAnswer(replica, false))
 		return
 	}
-	// Also a call without changes ends all older epochs here; else an old leader could take the lease of this one.
+	// A call without changes also ends all older epochs. Otherwise an old leader could take the lease of this one.
 	replica.promised = call.Epoch
 	if call.Release {
-		replica.noteRelease(now, call.Epoch, call.Successor)
-		answer(r.appendAnswer(replica, true))
+		replica.recordRelease(now, call.Epoch, call.Successor)
+		answer(r.newAppendAnswer(replica, true))
 		return
 	}
 	if call.VotedOut {
@@ -173,34 +175,34 @@
 	}
 	replica.grantLease(call, now+r.lease)
 	if call.Chunk != nil && !replica.completeSnapshot(&call) {
-		response := r.appendAnswer(replica, false)
+		response := r.newAppendAnswer(replica, false)
 		response.Chunks = replica.incomingChunks.count
 		answer(response)
 		return
 	}
 	if len(call.Changes) == 0 && call.Snapshot == nil {
-		answer(r.appendAnswer(replica, call.Epoch == replica.state.Promised && replica.state.Last == call.Prev))
+		answer(r.newAppendAnswer(replica, call.Epoch == replica.state.Promised && replica.state.Last == call.Prev))
 		return
 	}
 	r.write(replica, call, answer)
 }
 
-// write brings the changes or the snapshot of a call to the disk.
+// write submits the changes or the snapshot of a call to the disk, and answers after the sync.
 func (r *Replicas) write(replica *localReplica, call wire.AppendCall, answer func(wire.AppendAnswer)) {
 	write := storage.Write{Key: call.Key, Epoch: call.Epoch, Prev: call.Prev, Changes: call.Changes, Snapshot: call.Snapshot}
 	r.disk.Submit(write, func(outcome storage.Outcome) {
 		r.mailbox.Post(func() {
 			replica.applyOutcome(outcome)
 			if outcome.Taken {
-				replica.history.take(call)
+				replica.history.add(call)
 			}
-			answer(r.appendAnswer(replica, outcome.Taken))
+			answer(r.newAppendAnswer(replica, outcome.Taken))
 		})
 	})
 }
 
-// grantLease lets the leader of the call keep others out until that moment, unless it has released its epoch before: a call
-// that it sent earlier and that comes later brings no new lease.
+// grantLease grants the leader of a call the lease until that moment, unless this epoch has been released. A call that the leader
+// sent before its release but that arrives after it renews no lease.
 func (replica *localReplica) grantLease(call wire.AppendCall, until time.Duration) {
 	if call.Epoch > replica.release.epoch {
 		replica.lease = grantedLease{until: until, holderDisk: call.Disk, holder: call.Leader}
@@ -208,15 +210,16 @@
 	}
 }
 
-// noteRelease ends the lease of an epoch.
-func (replica *localReplica) noteRelease(now time.Duration, epoch uint64, successor string) {
+// recordRelease ends the lease of an epoch and records the release.
+func (replica *localReplica) recordRelease(now time.Duration, epoch uint64, successor string) {
 	replica.lease.until = 0
 	replica.release = releasedLease{isReleased: true, at: now, epoch: epoch, successor: successor}
 }
 
-// completeSnapshot keeps the chunk of a call; once all chunks are here, the call carries the snapshot in its place.
+// completeSnapshot stores the chunk of a call. Once all chunks have been received, it puts the whole snapshot into the call and
+// returns true.
 func (replica *localReplica) completeSnapshot(call *wire.AppendCall) bool {
-	replica.incomingChunks.take(call.Chunk)
+	replica.incomingChunks.add(call.Chunk)
 	if !replica.incomingChunks.isComplete(call.Chunk) {
 		return false
 	}
@@ -225,16 +228,16 @@
 	return true
 }
 
-func (r *Replicas) appendAnswer(replica *localReplica, isTaken bool) wire.AppendAnswer {
+func (r *Replicas) newAppendAnswer(replica *localReplica, isTaken bool) wire.AppendAnswer {
 	return wire.AppendAnswer{Taken: isTaken, Promised: replica.promised, Last: replica.state.Last, Disk: r.disk.Disk(),
 		WallMs: r.clock.WallMs(), Leaving: r.isLeaving}
 }
 
-// Leave lets each answer say that the process is about to end, so that leaders replace this disk as a voter. It must run
-// on the table's goroutine.
+// Leave marks all further answers with the process's shutdown, so that leaders replace this disk as a voter. It must run on the
+// table's goroutine.
 func (r *Replicas) Leave() { r.isLeaving = true }
 
-// VotingKeys gives the voter sets of the keys in which this disk votes, as far as it knows. It must run on the table's
+// VotingKeys returns the voter sets, by key, in which this disk votes according to its own replicas. It must run on the table's
 // goroutine.
 func (r *Replicas) VotingKeys() map[string]wire.VoterSet {
 	sets := map[string]wire.VoterSet{}
@@ -246,29 +249,29 @@
 	return sets
 }
 
-// History gives the last changes that this disk took, one after the other, up to what it holds.
+// History returns the most recent changes that this disk accepted for a key. It must run on the table's goroutine.
 func (r *Replicas) History(key string) History {
 	replica := r.replicaOf(key)
 	return History{Base: replica.history.base, Changes: slices.Clone(replica.history.changes), outgoing: replica.outgoing}
 }
 
-// ReplicaStatus is what an engine asks before it seeks an epoch.
+// ReplicaStatus is the state of a replica that an engine needs before it campaigns.
 type ReplicaStatus struct {
 	State storage.ReplicaState
-	// Promised is the highest epoch that the replica has promised or is promising.
+	// Promised is the highest epoch that the replica has promised, or whose promise is being synced.
 	Promised uint64
-	// LeaseUntil is when the replica may promise again, on this process's monotonic clock; the holder is the leader it last
-	// granted a lease.
+	// LeaseUntil is the end of the granted lease, on this process's monotonic clock. LeaseHolderDisk and LeaseHolder are the disk and
+	// the name of the leader that was last granted a lease.
 	LeaseUntil      time.Duration
 	LeaseHolderDisk string
 	LeaseHolder     string
-	// Released tells that the lease holder gave the key back, at ReleasedAt; Successor should ask first, if it is not empty.
+	// Released is set if the lease holder released the key, at ReleasedAt. Successor is the disk that should campaign first, or empty.
 	Released   bool
 	ReleasedAt time.Duration
 	Successor  string
 }
 
-// Status is what an engine has to know of a replica before it seeks an epoch.
+// Status returns the status of the replica of a key. It must run on the table's goroutine.
 func (r *Replicas) Status(key string) ReplicaStatus {
 	replica := r.replicaOf(key)
 	lease, release := replica.lease, replica.release
@@ -277,7 +280,7 @@
 		Successor: release.successor}
 }
 
-// Keys are the names of all replicas, in no order.
+// Keys returns the keys of all replicas, in no particular order.
 func (r *Replicas) Keys() []string {
 	names := make([]string, 0, len(r.keys))
 	for name := range r.keys {
@@ -286,12 +289,12 @@
 	return names
 }
 
-// AskPromise is Promise for other goroutines; the error says that ctx was done first.
+// AskPromise is Promise for other goroutines. It returns an error if ctx is done before the answer.
 func (r *Replicas) AskPromise(ctx context.Context, call wire.PromiseCall) (wire.PromiseAnswer, error) {
 	return mailbox.Ask(ctx, r.mailbox, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
-// AskAppend is Append for other goroutines; the answer carries the time that it took.
+// AskAppend is Append for other goroutines. The answer contains the time since the arrival of the call.
 func (r *Replicas) AskAppend(ctx context.Context, call wire.AppendCall) (wire.AppendAnswer, error) {
 	arrivedAt := r.clock.Monotonic()
 	return mailbox.Ask(ctx, r.mailbox, func(answer func(wire.AppendAnswer)) {
--- a/internal/control/replication/resend.go
+++ b/internal/control/replication/resend.go
@@ -3,48 +3,48 @@
 import "time"
 
 const (
-	// resendDelay is how long after an answered heartbeat the call that it overtook is still waited for. It is longer than a
-	// sync on a slow disk usually takes, and far shorter than the limit of a call.
+	// resendDelay is how long the leader still waits for a call after a later heartbeat was answered. It is longer than a sync on
+	// a slow disk usually takes, and far shorter than the timeout of a call.
 	resendDelay = 250 * time.Millisecond
-	// maxOvertakenCalls is how many calls to a follower may be under way that are no longer waited for, so that a disk that is
-	// slower than resendDelay is not given the same changes without end.
-	maxOvertakenCalls = 1
+	// maxAbandonedCalls limits the calls in flight to a follower that the leader no longer waits for, so that a disk slower than
+	// resendDelay is not sent the same changes again and again.
+	maxAbandonedCalls = 1
 )
 
-// outstandingCall is the one call to a follower that the leader waits for; it counts only while the follower is busy.
+// outstandingCall is the latest call to a follower. The leader waits for it while the follower's hasCallInFlight is set.
 //
-// A network that lost the call may carry what is sent after it, on another connection: retransmissions of the first are then
-// seconds away, as their pauses have grown while nothing came through. So once a heartbeat that was sent after the call has
-// been answered, the call is soon sent again.
+// If the network lost the call, it may still deliver later messages on another connection, while the retransmissions of the call
+// have backed off to intervals of seconds. So the leader resends the call soon after a heartbeat that it sent later was answered.
 type outstandingCall struct {
-	// number tells the calls to a follower apart; it rises with each.
+	// number identifies the call. It increases with each call to the follower.
 	number uint64
-	// isResendable tells that the call carries no snapshot and no chunk of one. Those may simply take long, and sending them
-	// again would take what is left of a slow link.
+	// isResendable is set if the call carries neither a snapshot nor a chunk of one. Those may just take long, and sending them
+	// again would use up the rest of a slow link.
 	isResendable bool
-	// overtakenAt is when the first heartbeat that was sent after the call was answered; it counts only if isOvertaken.
-	isOvertaken bool
-	overtakenAt time.Duration
+	// heartbeatAnsweredAt is when the first heartbeat sent after the call was answered. It is valid only if isHeartbeatAnswered is
+	// set.
+	isHeartbeatAnswered bool
+	heartbeatAnsweredAt time.Duration
 }
 
-// noteAnsweredHeartbeat notes that a heartbeat has been answered that was sent beside the call of that number.
-func (c *outstandingCall) noteAnsweredHeartbeat(number uint64, now time.Duration) {
-	if number == c.number && !c.isOvertaken {
-		c.isOvertaken, c.overtakenAt = true, now
+// recordAnsweredHeartbeat records the answer to a heartbeat that was sent while the call of that number was in flight.
+func (c *outstandingCall) recordAnsweredHeartbeat(number uint64, now time.Duration) {
+	if number == c.number && !c.isHeartbeatAnswered {
+		c.isHeartbeatAnswered, c.heartbeatAnsweredAt = true, now
 	}
 }
 
-// isStuck tells whether the call should be sent again.
+// isStuck reports whether the call should be sent again.
 func (c *outstandingCall) isStuck(now time.Duration) bool {
-	return c.isResendable && c.isOvertaken && now-c.overtakenAt >= resendDelay
+	return c.isResendable && c.isHeartbeatAnswered && now-c.heartbeatAnsweredAt >= resendDelay
 }
 
-// giveUpStuckCall no longer waits for a call that heartbeats have overtaken, so that what the follower lacks is sent again. Its
-// answer still counts if it comes and tells of more than is known, as a disk's position in the log of one leader only rises.
-func (e *Engine) giveUpStuckCall(follower *followerProgress, now time.Duration) {
-	if !follower.isBusy || follower.overtakenCalls >= maxOvertakenCalls || !follower.call.isStuck(now) {
+// abandonStuckCall stops waiting for a stuck call, so that the changes are sent again. A late answer is still used if its position
+// is beyond the known one, since a disk's position in the log of one leader only increases.
+func (e *Engine) abandonStuckCall(follower *followerProgress, now time.Duration) {
+	if !follower.hasCallInFlight || follower.abandonedCalls >= maxAbandonedCalls || !follower.call.isStuck(now) {
 		return
 	}
-	follower.isBusy = false
-	follower.overtakenCalls++
+	follower.hasCallInFlight = false
+	follower.abandonedCalls++
 }
--- a/internal/control/replication/servefetch.go
+++ b/internal/control/replication/servefetch.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// AskFetch is Fetch for any goroutine, with the history as the table has it now; it reads the disk on the caller's goroutine.
+// AskFetch answers a fetch from any goroutine. It asks the table's goroutine for the history, and reads the disk on the caller's.
 func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
 	recent, err := mailbox.Ask(ctx, r.mailbox, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
@@ -16,8 +16,8 @@
 	return r.Fetch(recent, call)
 }
 
-// Fetch gives a candidate the changes after a position if the history has them, else the state as the disk has it, or a
-// chunk of it. It may run on any goroutine; the error is that of reading the disk.
+// Fetch returns the changes after a position if the history has them, else the snapshot on the disk or a chunk of it. It may run
+// on any goroutine. It returns an error if the disk can't be read.
 func (r *Replicas) Fetch(recent History, call wire.FetchCall) (wire.FetchAnswer, error) {
 	answer := wire.FetchAnswer{Disk: r.disk.Disk()}
 	if call.From != nil {
@@ -37,7 +37,7 @@
 	return answer, err
 }
 
-// fetchChunk answers with a chunk of a snapshot, which is read from the disk at the first call for it.
+// fetchChunk answers with a chunk of a snapshot. The first call reads the snapshot from the disk; outgoing is nil then.
 func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call wire.FetchCall, answer wire.FetchAnswer) (wire.FetchAnswer, error) {
 	if outgoing == nil {
 		snapshot, err := r.disk.Read(call.Key)
@@ -45,15 +45,16 @@
 			return answer, err
 		}
 		outgoing = newSnapshotTransfer(snapshot)
-		r.keepOutgoing(call.Key, outgoing)
+		r.cacheOutgoing(call.Key, outgoing)
 	}
 	answer.HasReplica = outgoing.snapshot.Last != wire.LogPosition{}
 	answer.Chunk = outgoing.chunk(min(call.Number, outgoing.count()-1))
 	return answer, nil
 }
 
-// keepOutgoing spares the next call the reading, as long as the replica stays at that position.
-func (r *Replicas) keepOutgoing(key string, outgoing *snapshotTransfer) {
+// cacheOutgoing keeps a snapshot for the next calls, so that they don't read the disk again. The replica drops it when its
+// position changes.
+func (r *Replicas) cacheOutgoing(key string, outgoing *snapshotTransfer) {
 	r.mailbox.TryPost(func() {
 		if replica := r.replicaOf(key); replica.state.Last == outgoing.snapshot.Last {
 			replica.outgoing = outgoing
--- a/internal/control/replication/snapshots.go
+++ b/internal/control/replication/snapshots.go
@@ -7,22 +7,22 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// snapshotRetentionFactor is how many times the size of a state may be kept as changes for a follower that is sent that state.
-// A state takes a time on its way that grows with its size, and so do the changes made meanwhile; with a fixed limit a large
-// one would be too old whenever it arrived, and another would be sent, without end.
+// snapshotRetentionFactor limits the changes that are kept for a follower during a snapshot transfer, as a multiple of the
+// snapshot's size. The duration of a transfer and the changes made meanwhile grow with that size. With a fixed limit a large
+// snapshot would always be too old on arrival, and another would be sent again and again.
 const snapshotRetentionFactor = 2
 
-// snapshotReader reads the state of the own disk for the followers that need all of it, once for all of them.
+// snapshotReader reads the state from the leader's own disk once for all followers that need a snapshot.
 type snapshotReader struct {
 	isReading bool
 	startedAt time.Duration
-	// fromIndex is the index from which on the changes must be kept, so that they lead on from the state that is being read.
+	// fromIndex is the index after which changes must be kept, so that they follow the state that is being read.
 	fromIndex uint64
-	// unsent is a state that was read and is not yet under way to anyone.
+	// unsent is a snapshot that was read but is not being sent to any follower yet; nil if there is none.
 	unsent *snapshotTransfer
 }
 
-// neededIndex is the lowest index that the reader asks to be kept, or the given one if that is lower.
+// neededIndex returns the lower of index and the index after which the reader needs the changes, if it needs any.
 func (r *snapshotReader) neededIndex(index uint64) uint64 {
 	switch {
 	case r.unsent != nil:
@@ -33,15 +33,15 @@
 	return index
 }
 
-// keepOnlyIf drops a state that was read but that no follower wants any more.
-func (r *snapshotReader) keepOnlyIf(isWanted bool) {
-	if !isWanted {
+// dropUnlessNeeded drops an unsent snapshot that no follower needs any more.
+func (r *snapshotReader) dropUnlessNeeded(isNeeded bool) {
+	if !isNeeded {
 		r.unsent = nil
 	}
 }
 
-// transferFor gives the state that is under way to the follower, or to another, as long as the tail leads on from it.
-// There is none while the state is still being read.
+// transferFor returns the transfer to the follower, or shares one that is in progress to another follower. If there is none that
+// the log tail still follows, it starts reading the state and returns nil.
 func (e *Engine) transferFor(follower *followerProgress) *snapshotTransfer {
 	if e.canSend(follower.transfer, follower) {
 		return follower.transfer
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// startTransfer notes a state as under way to the follower.
+// startTransfer starts the transfer of a snapshot to the follower, and sets the changes to be kept meanwhile.
 func (f *followerProgress) startTransfer(transfer *snapshotTransfer) *snapshotTransfer {
 	f.transfer = transfer
 	f.retention = retention{count: snapshotRetentionFactor * len(transfer.snapshot.Pairs), size: snapshotRetentionFactor * transfer.size}
 	return transfer
 }
 
-// readSnapshot begins to read the state, unless that is under way or the own disk has no change of this epoch yet.
+// readSnapshot starts reading the state, unless a read is in progress or the leader's own disk has no change of this epoch yet.
 func (e *Engine) readSnapshot() {
 	own := e.followers[e.disk]
 	if e.snapshots.isReading || own == nil || !own.isPositionKnown || own.acked.Epoch != e.epoch {
@@ -87,7 +87,7 @@
 	})
 }
 
-// distributeSnapshot begins to send a state that was read to the followers that need it.
+// distributeSnapshot starts sending a snapshot to the followers that need one.
 func (e *Engine) distributeSnapshot(snapshot wire.Snapshot) {
 	if !e.isSnapshotNeeded() {
 		return
@@ -100,12 +100,13 @@
 	}
 }
 
-// isSnapshotNeeded tells whether any follower lacks more than the changes that are kept.
+// isSnapshotNeeded reports whether any follower lacks changes that the log no longer has.
 func (e *Engine) isSnapshotNeeded() bool {
 	return slices.ContainsFunc(e.sortedFollowers(), func(follower *followerProgress) bool { return follower.needsSnapshot })
 }
 
-// canSend tells whether a transfer may go to a follower: the changes lead on from it, and it is no step back for the disk.
+// canSend reports whether a snapshot can be sent to a follower: the log contains the changes that follow it, and it is not older
+// than the follower's position.
 func (e *Engine) canSend(transfer *snapshotTransfer, follower *followerProgress) bool {
 	if transfer == nil || transfer.snapshot.Last.Below(follower.acked) {
 		return false
@@ -114,8 +115,9 @@
 	return isKept
 }
 
-// noteChunkAnswer notes how far the follower has come; one that knows no chunks is sent the state in one call.
-func (e *Engine) noteChunkAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
+// updateNextChunk sets the next chunk from the follower's answer. A follower that accepted no first chunk is marked as lacking
+// chunk support and is sent the snapshot in one call.
+func (e *Engine) updateNextChunk(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
 	follower.isPositionKnown, follower.needsSnapshot = false, true
 	follower.lacksChunkSupport = follower.lacksChunkSupport || call.Chunk.Number == 0 && answer.Chunks == 0
 	follower.nextChunk = min(answer.Chunks, call.Chunk.Count-1)
--- a/internal/control/replication/takeover.go
+++ b/internal/control/replication/takeover.go
@@ -5,7 +5,7 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// openWithHistory begins to lead from the state of the own disk, which is at that position.
+// openWithHistory opens the leadership from the state of the local disk, whose position is last, and its recent changes.
 func (e *Engine) openWithHistory(last wire.LogPosition) {
 	e.phase = phaseOpening
 	step := e.step()
@@ -16,8 +16,8 @@
 	})
 }
 
-// openLeadership takes the leadership over. It asks for the lease at once and keeps it while the state is being read, however
-// long that takes; else another candidate would be promised the next epoch meanwhile, and fare no better.
+// openLeadership opens the leadership. It asks for the lease at once and keeps it while the state is being read. Otherwise another
+// candidate would be promised the next epoch during the read, and its own read would take as long.
 func (e *Engine) openLeadership(last wire.LogPosition, recent History) {
 	e.resetLeadership(last, recent)
 	for _, disk := range quorum.Disks(e.voters.set) {
@@ -30,15 +30,15 @@
 		}
 		e.snapshots = snapshotReader{}
 		if err != nil || snapshot.Last != last {
-			e.release("the state on its own disk could not be read", "")
+			e.release("reading the state from its own disk failed", "")
 			return
 		}
 		e.distributeSnapshot(snapshot)
-		e.commitOpening(snapshot)
+		e.commitFirstChange(snapshot)
 	})
 }
 
-// resetLeadership begins all that belongs to one leadership anew, from the position that the own disk holds.
+// resetLeadership resets all state that belongs to one leadership, starting at the position of the local disk.
 func (e *Engine) resetLeadership(last wire.LogPosition, recent History) {
 	now := e.clock.Monotonic()
 	e.changes.restore(last, recent)
@@ -48,14 +48,14 @@
 	e.lastLeaseAt = now
 	e.snapshots = snapshotReader{isReading: true, startedAt: now, fromIndex: last.Index}
 	e.progress = nil
-	e.slowness = newSlownessWatch(now)
-	e.shortage = shortageWatch{since: now}
-	e.preferred = preferredWatch{}
+	e.slowness = newSlownessDetector(now)
+	e.shortage = voterShortage{since: now}
+	e.preferred = preferredVoter{}
 }
 
-// commitOpening commits a first change under the new epoch, and then hands the state to the machine. With that change all
-// before it are committed too, also those of earlier epochs.
-func (e *Engine) commitOpening(snapshot wire.Snapshot) {
+// commitFirstChange commits a change without operations under the new epoch, like Raft's no-op entry, and then opens the state
+// machine. This commits all earlier changes too, including those of earlier epochs.
+func (e *Engine) commitFirstChange(snapshot wire.Snapshot) {
 	voters := e.voters.set
 	step := e.step()
 	e.propose(nil, &voters, func(err error) {
@@ -66,8 +66,8 @@
 		e.leadership = newLeadership(e)
 		e.log.Info("became leader", "key", e.key, "epoch", e.epoch, "index", snapshot.Last.Index)
 		if err := e.machine.Open(e.leadership, snapshot.Pairs); err != nil {
-			e.log.Error(err, "the state of the key can't be read", "key", e.key)
-			e.stepDown("unreadable state")
+			e.log.Error(err, "opening the state machine of the key failed", "key", e.key)
+			e.stepDown("the state machine could not open the key's state")
 			return
 		}
 		e.announce(wire.KeyLeader{Key: e.key, Epoch: e.epoch, Name: e.name})
--- a/internal/control/replication/tracelog.go
+++ b/internal/control/replication/tracelog.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/platform/logging"
 )
 
-// logCommit tells which changes are being committed, beyond one index and up to another, and which disks hold the last of them.
+// logCommit logs the records of the changes that are being committed, above one index up to another, and the disks that hold them all.
 func (e *Engine) logCommit(above, upTo uint64) {
 	log := e.log.V(logging.TraceVerbosity)
 	if !log.Enabled() {
@@ -24,7 +24,7 @@
 		"records", recordNames(e.changes.entries, above, upTo))
 }
 
-// recordNames are the names of the records that the changes write, above one index and up to another.
+// recordNames returns the names of the records that the changes write, above one index up to another.
 func recordNames(changes []wire.Change, above, upTo uint64) []string {
 	var names []string
 	for _, change := range changes {
@@ -38,12 +38,12 @@
 	return slices.Compact(names)
 }
 
-// logOpened tells what a replica held when the process started.
+// logOpened logs the state of a replica at the start of the process.
 func (r *Replicas) logOpened(key string, state storage.ReplicaState) {
 	logState(r.log, "replica opened", key, state, "disk", r.disk.Disk())
 }
 
-// logPromise tells what a candidate was answered, and by which state.
+// logPromise logs the answer to a candidate and the state of the replica.
 func (r *Replicas) logPromise(call wire.PromiseCall, outcome storage.Outcome) {
 	logState(r.log, "promise answered", call.Key, outcome.State, "disk", r.disk.Disk(), "candidate", call.Disk, "granted", outcome.Taken)
 }
--- a/internal/control/replication/transport.go
+++ b/internal/control/replication/transport.go
@@ -4,33 +4,33 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Transport makes an engine's calls; each answer comes back on the engine's own goroutine. A call that gets no answer ends
-// with an error after a limit that the transport sets.
+// Transport makes an engine's calls. Each callback runs on the engine's goroutine. A call without an answer fails after the
+// transport's timeout.
 type Transport interface {
-	// Promise asks the disk's replica for a promise.
+	// Promise asks the replica on a disk for a promise or a pre-vote.
 	Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error))
-	// Append sends changes, a snapshot or a heartbeat to the disk's replica.
+	// Append sends changes, a snapshot, a snapshot chunk, a heartbeat or a release to the replica on a disk.
 	Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error))
-	// Fetch asks the disk's replica for what it holds beyond a position.
+	// Fetch asks the replica on a disk for the changes after a position, or for its snapshot.
 	Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error))
-	// Status reads the state of the local replica.
+	// Status reads the status of the local replica.
 	Status(key string, done func(ReplicaStatus))
-	// History reads the changes that the local replica still has one by one.
+	// History reads the recent changes of the local replica.
 	History(key string, done func(History))
-	// ReadLocal reads the snapshot of the local replica from its disk. The reading must not hold up the engine's
-	// goroutine, which has leases to renew meanwhile; done is never called within the call.
+	// ReadLocal reads the snapshot of the local replica from its disk. It must not block the engine's goroutine, which renews
+	// leases meanwhile. It never calls done before it returns.
 	ReadLocal(key string, done func(wire.Snapshot, error))
-	// InstallLocal brings the local replica to a fetched state.
+	// InstallLocal writes fetched changes or a fetched snapshot to the local replica.
 	InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error))
 }
 
-// StateMachine is what lives on a key while this steward leads it. It is called on the engine's goroutine.
+// StateMachine serves a key while this steward leads it. It is called on the engine's goroutine.
 type StateMachine interface {
-	// Open hands the key over with all its values; an error gives the leadership up.
+	// Open starts serving the key from all of its pairs. If it returns an error, the engine steps down.
 	Open(leadership *Leadership, pairs []wire.Op) error
-	// Close ends the leadership; commits that were pending have failed by then.
+	// Close ends the leadership. Pending commits have failed before it is called.
 	Close()
 }
 
-// MemberSource tells where disks are now: the members of the cluster, alive or not.
+// MemberSource returns the members of the cluster with their disks, alive or not.
 type MemberSource func() []wire.Member
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maxLag is how many changes a follower may lack and still count as caught up, however old they are.
+	// maxLag is the number of changes that a follower may lack and still count as caught up, however old they are.
 	maxLag = 200
-	// shortageLogDelay is how long there must be too few disks before that is logged.
+	// shortageLogDelay is how long a shortage of disks lasts before it is logged.
 	shortageLogDelay = 5 * time.Second
 )
 
-// voterState is the voter set that counts now, and the index of the change that brought it. The set counts from its proposal
-// on, so it may not be committed yet; while it is joint or not committed, no other change of voters is proposed.
+// voterState is the current voter set and the index of the change that set it. A set takes effect when it is proposed, so it may not
+// be committed yet. No other voter change is proposed while the set is joint or not committed.
 type voterState struct {
 	set   wire.VoterSet
 	index uint64
@@ -24,14 +24,14 @@
 
 func (v *voterState) isCommitted(commitIndex uint64) bool { return v.index <= commitIndex }
 
-// shortageWatch knows since when there are too few disks, and whether that was logged.
-type shortageWatch struct {
+// voterShortage holds since when there have been too few disks, and whether this was logged.
+type voterShortage struct {
 	since    time.Duration
 	isLogged bool
 }
 
-// maybeChangeVoters brings the voter set nearer to what is wanted: lost voters replaced, 2f+1 of them, spread over failure
-// domains. A change goes by way of a joint set, so that no moment has two majorities that share no disk.
+// maybeChangeVoters proposes a change towards the wanted voter set: lost voters are replaced, and 2f+1 voters are spread over failure
+// domains. A change goes through a joint configuration, so that any two majorities share a disk at all times.
 func (e *Engine) maybeChangeVoters() {
 	if quorum.IsJoint(e.voters.set) || !e.voters.isCommitted(e.commits.index) {
 		return
@@ -42,7 +42,7 @@
 		IsLost:   func(disk string) bool { return e.isLost(members, disk) },
 		DomainOf: func(disk string) string { return domainOf(members, disk) }}
 	candidates := e.voterCandidates(members)
-	e.noteShortage(len(selection.Kept()) + len(candidates))
+	e.trackVoterShortage(len(selection.Kept()) + len(candidates))
 	wanted := selection.Next(candidates)
 	if slices.Equal(wanted, current) {
 		e.dropNonVoters()
@@ -56,7 +56,7 @@
 	e.propose(nil, &wire.VoterSet{Old: current, Current: next}, func(error) {})
 }
 
-// caughtUp gives those of the wanted candidates that may become voters now, and sends the others what they lack.
+// caughtUp returns the wanted candidates that have caught up, and replicates to the others as learners.
 func (e *Engine) caughtUp(candidates, wanted []string) []string {
 	var ready []string
 	for _, disk := range candidates {
@@ -72,14 +72,14 @@
 	return ready
 }
 
-// hasCaughtUp tells whether a learner may become a voter: it lacks little, or follows within the time after which a voter
-// would count as lost, however many changes that is. What it still lacks can only make the change of voters wait, as that
-// counts once a majority of the old voters and one of the new hold it, and with it all changes before it.
+// hasCaughtUp reports whether a learner may become a voter: it lacks at most maxLag changes, or lags by at most Timing.LostAfter,
+// however many changes that is. Changes that it still lacks can only delay the voter change. That change is committed once a
+// majority of the old voters and a majority of the new ones hold it, and with it all changes before it.
 func (e *Engine) hasCaughtUp(learner *followerProgress) bool {
 	return e.isWithinLag(learner, e.timing.LostAfter)
 }
 
-// leaveJoint proposes the new voters alone, once the joint set is committed.
+// leaveJoint proposes the new voters alone once the joint voter set is committed.
 func (e *Engine) leaveJoint() {
 	if e.phase != phaseLeading || !quorum.IsJoint(e.voters.set) || !e.voters.isCommitted(e.commits.index) {
 		return
@@ -88,8 +88,8 @@
 	e.propose(nil, &final, func(error) {})
 }
 
-// dropNonVoters ends the following of disks that are no voters; it runs once the voter set is committed. One that is leaving
-// learns by it that it may go.
+// dropNonVoters stops replicating to disks that are not voters. It is called when the voter set is committed. A disk whose process is
+// shutting down is notified that it has been removed, so that the process can exit.
 func (e *Engine) dropNonVoters() {
 	for _, follower := range e.sortedFollowers() {
 		if quorum.Contains(e.voters.set, follower.disk) {
@@ -98,15 +98,15 @@
 		delete(e.followers, follower.disk)
 		e.publishLease()
 		if follower.isLeaving {
-			call := e.appendCall(follower.acked)
+			call := e.newAppendCall(follower.acked)
 			call.VotedOut = true
 			e.transport.Append(follower.disk, call, func(wire.AppendAnswer, error) {})
 		}
 	}
 }
 
-// isLost tells whether a voter's machine came back with another disk, is leaving, or has not answered for long.
-// It only matters once there is a learner to take its place, so a voter that is merely slow is kept elsewhere.
+// isLost reports whether a voter should be replaced: its machine has another disk now, its process is shutting down, or it has not
+// answered for Timing.LostAfter. A lost voter stays until a learner can replace it, so a voter that is merely slow is kept meanwhile.
 func (e *Engine) isLost(members []wire.Member, disk string) bool {
 	if disk == e.disk {
 		return false
@@ -115,19 +115,19 @@
 	return isReplaced(members, disk) || e.isUnavailable(voter)
 }
 
-// isUnavailable tells whether a follower is leaving, or has not answered for so long that it counts as lost.
+// isUnavailable reports whether a follower's process is shutting down or has not answered for Timing.LostAfter.
 func (e *Engine) isUnavailable(follower *followerProgress) bool {
 	return follower.isLeaving || e.clock.Monotonic()-follower.lastContact > e.timing.LostAfter
 }
 
-// isReplaced tells whether a member says that it once had the disk and now has another.
+// isReplaced reports whether a member lists the disk among its former disks and now has another one.
 func isReplaced(members []wire.Member, disk string) bool {
 	return slices.ContainsFunc(members, func(member wire.Member) bool {
 		return member.Disk != disk && slices.Contains(member.FormerDisks, disk)
 	})
 }
 
-// domainOf is the failure domain of a disk, or empty if no member has it.
+// domainOf returns the failure domain of a disk, or an empty string if no member has the disk.
 func domainOf(members []wire.Member, disk string) string {
 	for _, member := range members {
 		if member.Disk == disk {
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// voterCandidates lists live disks that are no voters, in the key's own order; a learner that stays silent is left out.
+// voterCandidates returns the disks of live members that are not voters, in the key's ranking. Unavailable learners are left out.
 func (e *Engine) voterCandidates(members []wire.Member) []string {
 	var candidates []string
 	for _, member := range members {
@@ -150,11 +150,11 @@
 		}
 		candidates = append(candidates, member.Disk)
 	}
-	return e.ranked(candidates)
+	return e.rankDisks(candidates)
 }
 
-// noteShortage logs once an epoch that the losses to be borne ask for more disks than there are.
-func (e *Engine) noteShortage(disks int) {
+// trackVoterShortage logs, once per leadership, that there are fewer usable disks than voterGoal.
+func (e *Engine) trackVoterShortage(disks int) {
 	now := e.clock.Monotonic()
 	if disks >= e.voterGoal {
 		e.shortage.since = now
