--- a/internal/control/replication/append.go
+++ b/internal/control/replication/append.go
@@ -54,8 +54,8 @@
 	return true
 }
 
-// sendSnapshot sends a follower the next chunk of a snapshot. A snapshot of a single chunk is sent whole, together with the
-// changes that follow it. While the snapshot is still being read, only heartbeats are sent.
+// sendSnapshot sends a follower the next chunk of a snapshot. A snapshot of a single chunk, or one for a follower without chunk
+// support, is sent whole, together with the changes that follow it. While the snapshot is still being read, only heartbeats are sent.
 func (e *Engine) sendSnapshot(follower *followerProgress, isHeartbeat bool) {
 	transfer := e.transferFor(follower)
 	if transfer == nil {
--- a/internal/control/replication/availability_test.go
+++ b/internal/control/replication/availability_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("a leader", func() {
-	It("keeps its leadership while syncs take longer than a lease", func() {
+	It("keeps its lease while syncs take longer than a lease", func() {
 		c := newTestCluster(910, "a", "b", "c")
 		c.run(2 * time.Second)
 		leader := c.leader()
@@ -17,33 +17,33 @@
 		for _, node := range c.nodes {
 			node.disk.syncTime = 900 * time.Millisecond
 		}
-		without := 0
+		leaderless := 0
 		for range 10000 {
 			c.runWithWrites(time.Millisecond)
 			if c.leader() == nil {
-				without++
+				leaderless++
 			}
 		}
 		Expect(c.leader()).To(Equal(leader))
 		Expect(leader.machine.leadership.Epoch()).To(Equal(epoch))
-		Expect(without).To(BeZero())
+		Expect(leaderless).To(BeZero())
 		Expect(len(c.acknowledged)).To(BeNumerically(">", 100))
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("does not call without end a disk that refuses, its own or a follower's, and goes on with it afterwards", func() {
+	It("limits the calls to a disk that fails writes, its own or a follower's, and resumes replication afterwards", func() {
 		for _, isUnclear := range []bool{false, true} {
 			for index := range 2 {
 				c := newTestCluster(920, "a", "b", "c")
 				c.run(2 * time.Second)
-				struck := append([]*testNode{c.leader()}, c.others()...)[index]
-				struck.disk.failsWrites, struck.disk.isOutcomeUnclear = true, isUnclear
+				affected := append([]*testNode{c.leader()}, c.others()...)[index]
+				affected.disk.failsWrites, affected.disk.isOutcomeUnclear = true, isUnclear
 				c.write()
 				c.run(time.Second)
 				c.appendCount = 0
 				c.run(time.Second)
 				Expect(c.appendCount).To(BeNumerically("<", 40))
-				struck.disk.failsWrites, struck.disk.isOutcomeUnclear = false, false
+				affected.disk.failsWrites, affected.disk.isOutcomeUnclear = false, false
 				c.runWithWrites(time.Second)
 				c.run(500 * time.Millisecond)
 				c.expectSameState()
@@ -66,9 +66,9 @@
 		Expect(c.voters()).NotTo(ContainElement(stalled.disk.name))
 	})
 
-	It("is found within two seconds of a restart of all, though the first candidate can't fetch the large state", func() {
+	It("is elected within two seconds of a restart of all nodes though the first candidate can't fetch the large state in time", func() {
 		for seed := range uint64(6) {
-			c, _ := restartedBehind(940 + seed)
+			c, _ := newClusterRestartedBehind(940 + seed)
 			c.bytesPerMs = 50
 			c.run(2 * time.Second)
 			Expect(c.leader()).NotTo(BeNil())
@@ -77,21 +77,22 @@
 	})
 })
 
-// restartedBehind is a simulated cluster in which the voter that asks first lacks a change, and all have forgotten their history.
-func restartedBehind(seed uint64) (c *testCluster, late *testNode) {
+// newClusterRestartedBehind returns a simulated cluster that has just restarted, so that no replica has a history. The first candidate,
+// lagging, lacks a change.
+func newClusterRestartedBehind(seed uint64) (c *testCluster, lagging *testNode) {
 	c, _ = newLoadedCluster(seed)
-	late = c.leader()
-	late.kill()
+	lagging = c.leader()
+	lagging.kill()
 	c.run(3 * time.Second)
-	late.start()
+	lagging.start()
 	c.run(time.Second)
-	Expect(c.leader()).NotTo(Equal(late))
-	c.isolated[late.name] = true
+	Expect(c.leader()).NotTo(Equal(lagging))
+	c.isolated[lagging.name] = true
 	c.write()
 	c.run(200 * time.Millisecond)
 	c.restartAll()
 	c.heal()
-	return c, late
+	return c, lagging
 }
 
 func (c *testCluster) restartAll() {
@@ -104,9 +105,9 @@
 }
 
 var _ = Describe("a candidate whose state is far behind", func() {
-	It("lets the voter lead that is furthest, and fetches nothing", func() {
+	It("yields to the most up-to-date voter without fetching a snapshot", func() {
 		for seed := range uint64(6) {
-			c, _ := restartedBehind(950 + seed)
+			c, _ := newClusterRestartedBehind(950 + seed)
 			c.run(2 * time.Second)
 			Expect(c.leader()).NotTo(BeNil())
 			Expect(c.snapshotsInstalled).To(BeZero())
@@ -114,38 +115,38 @@
 		}
 	})
 
-	It("fetches the state in chunks if nobody else asks, and goes on where a broken call stopped", func() {
+	It("fetches the state in chunks if there is no other candidate, and resumes after an interruption", func() {
 		for seed := range uint64(6) {
-			c, late := restartedBehind(960 + seed)
+			c, lagging := newClusterRestartedBehind(960 + seed)
 			c.bytesPerMs, c.chunksFetched = 400, nil
 			for _, node := range c.nodes {
-				if node != late {
+				if node != lagging {
 					node.engine.Leave()
 				}
 			}
 			c.runUntil(func() bool { return slices.Contains(c.chunksFetched, 3) })
-			c.isolated[late.name] = true
+			c.isolated[lagging.name] = true
 			c.run(4 * time.Second)
 			c.heal()
 			c.run(12 * time.Second)
-			Expect(c.leader()).To(Equal(late))
+			Expect(c.leader()).To(Equal(lagging))
 			Expect(c.snapshotsInstalled).To(Equal(1))
 			Expect(slices.IndexFunc(c.chunksFetched[slices.Index(c.chunksFetched, 3):], func(number int) bool { return number == 0 })).To(Equal(-1))
 			Expect(c.violations).To(BeEmpty())
 		}
 	})
 
-	It("gives up at once when another leads meanwhile", func() {
-		c, late := restartedBehind(970)
+	It("stops fetching when another voter leads", func() {
+		c, lagging := newClusterRestartedBehind(970)
 		c.bytesPerMs = 400
 		for _, node := range c.nodes {
-			if node != late {
+			if node != lagging {
 				node.engine.Leave()
 			}
 		}
 		c.runUntil(func() bool { return slices.Contains(c.chunksFetched, 3) })
 		for _, node := range c.others() {
-			if node != late {
+			if node != lagging {
 				node.kill()
 				node.start()
 			}
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -98,7 +98,7 @@
 // handleChunk stores a chunk of the fetched snapshot, and installs the snapshot once it is complete.
 func (e *Engine) handleChunk(fetch *fetchTask, chunk *wire.SnapshotChunk) {
 	if chunk.At != fetch.source.Last {
-		e.release("the fetched chunk is not of the expected position", "")
+		e.release("the source is at another position now", "")
 		return
 	}
 	chunks := &e.campaignState.fetchedChunks
@@ -150,7 +150,7 @@
 		case reached == fetch.source.Last:
 			e.openWithHistory(reached)
 		case call.Snapshot != nil:
-			e.release("the fetched snapshot is not at the expected position", "")
+			e.release("the source is at another position now", "")
 		default:
 			fetch.from, fetch.failures = reached, 0
 			e.continueFetch(fetch)
--- a/internal/control/replication/history_test.go
+++ b/internal/control/replication/history_test.go
@@ -15,7 +15,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// others are all nodes but the leader.
+// others returns all nodes except the leader.
 func (c *testCluster) others() []*testNode {
 	leader := c.leader()
 	return slices.DeleteFunc(slices.Clone(c.nodes), func(node *testNode) bool { return node == leader })
@@ -25,34 +25,34 @@
 	GinkgoHelper()
 	snapshot, _ := c.leader().disk.Read(key)
 	for _, node := range c.nodes {
-		count, _ := node.disk.Read(key)
-		Expect(count.Pairs).To(Equal(snapshot.Pairs))
+		other, _ := node.disk.Read(key)
+		Expect(other.Pairs).To(Equal(snapshot.Pairs))
 	}
 }
 
-// takeOverBy is a cluster whose leader dies while one follower is some changes behind the other.
-func takeOverBy(seed uint64) (c *testCluster, dead *testNode) {
+// newFailoverCluster returns a cluster whose leader was killed while one follower lacked some changes that the other held.
+func newFailoverCluster(seed uint64) (c *testCluster, oldLeader *testNode) {
 	c = newTestCluster(seed, "a", "b", "c")
 	c.run(2 * time.Second)
 	c.runWithWrites(500 * time.Millisecond)
-	dead = c.leader()
-	late := c.others()[0]
-	c.isolated[late.name] = true
+	oldLeader = c.leader()
+	lagging := c.others()[0]
+	c.isolated[lagging.name] = true
 	c.runWithWrites(100 * time.Millisecond)
 	c.snapshotsSent, c.snapshotsInstalled = 0, 0
-	dead.kill()
-	delete(c.isolated, late.name)
+	oldLeader.kill()
+	delete(c.isolated, lagging.name)
 	c.runWithWrites(3 * time.Second)
 	Expect(c.leader()).NotTo(BeNil())
-	return c, dead
+	return c, oldLeader
 }
 
 var _ = Describe("a follower that is behind", func() {
-	It("is sent what it misses and no snapshot, though the leader is another", func() {
+	It("is sent the missing changes and no snapshot by a new leader", func() {
 		for seed := range uint64(6) {
-			c, dead := takeOverBy(400 + seed)
+			c, oldLeader := newFailoverCluster(400 + seed)
 			Expect(c.snapshotsSent + c.snapshotsInstalled).To(BeZero())
-			dead.start()
+			oldLeader.start()
 			c.runWithWrites(3 * time.Second)
 			c.run(time.Second)
 			Expect(c.violations).To(BeEmpty())
@@ -60,15 +60,15 @@
 		}
 	})
 
-	It("is sent what it misses and no snapshot when it comes back after hundreds of changes", func() {
+	It("is sent the missing changes and no snapshot when it returns after hundreds of changes", func() {
 		c := newTestCluster(405, "a", "b", "c")
 		c.run(2 * time.Second)
-		away := c.others()[0]
-		away.kill()
+		follower := c.others()[0]
+		follower.kill()
 		c.runWithWrites(8 * time.Second)
 		Expect(len(c.acknowledged)).To(BeNumerically(">", 500))
 		c.snapshotsSent, c.chunksSent = 0, nil
-		away.start()
+		follower.start()
 		c.run(time.Second)
 		Expect(c.snapshotsSent).To(BeZero())
 		Expect(c.chunksSent).To(BeEmpty())
@@ -76,29 +76,29 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("fetches what it misses and no snapshot when it takes over itself, unless its peer is of an earlier version", func() {
-		for _, isOld := range []bool{false, true} {
+	It("fetches the missing changes and no snapshot when it becomes leader, unless its peer is of an earlier version", func() {
+		for _, isEarlierVersion := range []bool{false, true} {
 			c := newTestCluster(420, "a", "b", "c")
 			c.run(2 * time.Second)
 			c.runWithWrites(500 * time.Millisecond)
 			for _, node := range c.others() {
-				node.lacksChunkSupport = isOld
+				node.lacksChunkSupport = isEarlierVersion
 			}
-			dead, late := c.leader(), c.others()[0]
-			c.isolated[late.name] = true
+			oldLeader, lagging := c.leader(), c.others()[0]
+			c.isolated[lagging.name] = true
 			c.runWithWrites(100 * time.Millisecond)
 			c.others()[1].engine.Leave()
 			c.snapshotsInstalled = 0
-			dead.kill()
-			delete(c.isolated, late.name)
+			oldLeader.kill()
+			delete(c.isolated, lagging.name)
 			c.runWithWrites(3 * time.Second)
-			Expect(c.leader()).To(Equal(late))
-			Expect(c.snapshotsInstalled > 0).To(Equal(isOld))
+			Expect(c.leader()).To(Equal(lagging))
+			Expect(c.snapshotsInstalled > 0).To(Equal(isEarlierVersion))
 			Expect(c.violations).To(BeEmpty())
 		}
 	})
 
-	It("is sent the snapshot if it holds changes that were never agreed to", func() {
+	It("is sent a snapshot if it holds changes that were never committed", func() {
 		c := newTestCluster(410, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.runWithWrites(500 * time.Millisecond)
@@ -118,7 +118,7 @@
 		c.expectSameState()
 	})
 
-	It("finds the last changes there, one after the other and not without bound", func() {
+	It("has a bounded history of consecutive changes, which a snapshot resets", func() {
 		disk := newDisk("disk-a")
 		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
@@ -133,18 +133,18 @@
 			table.Mailbox().Drain()
 			prev = next
 		}
-		count := table.History(key)
-		Expect(len(count.Changes)).To(BeNumerically(">", 1000))
-		Expect(len(count.Changes)).To(BeNumerically("<=", 4000))
-		Expect(count.Changes[0].Position.Index).To(Equal(count.Base.Index + 1))
-		Expect(count.Changes[len(count.Changes)-1].Position).To(Equal(prev))
+		history := table.History(key)
+		Expect(len(history.Changes)).To(BeNumerically(">", 1000))
+		Expect(len(history.Changes)).To(BeNumerically("<=", 4000))
+		Expect(history.Changes[0].Position.Index).To(Equal(history.Base.Index + 1))
+		Expect(history.Changes[len(history.Changes)-1].Position).To(Equal(prev))
 		table.Append(wire.AppendCall{Key: key, Epoch: 3, Snapshot: &wire.Snapshot{Last: prev}}, func(wire.AppendAnswer) {})
 		disk.pendingWrites[0]()
 		table.Mailbox().Drain()
 		Expect(table.History(key)).To(Equal(replication.History{Base: prev}))
 	})
 
-	It("forgets its history on a restart, and starts it where its disk stands", func() {
+	It("starts a new history at the position of its disk after a restart, without rejected changes", func() {
 		disk := newDisk("disk-a")
 		disk.DiskModel.Apply(storage.Write{Key: key, Epoch: 1, Changes: []wire.Change{{Position: wire.LogPosition{Epoch: 1, Index: 1}}}})
 		table, err := replication.NewReplicas(mailbox.New(64), disk, clock.NewFake(1), time.Second)
@@ -154,14 +154,14 @@
 			func(wire.AppendAnswer) {})
 		disk.pendingWrites[0]()
 		table.Mailbox().Drain()
-		count := replication.History{Base: wire.LogPosition{Epoch: 1, Index: 1}, Changes: []wire.Change{change}}
-		Expect(table.History(key)).To(Equal(count))
+		history := replication.History{Base: wire.LogPosition{Epoch: 1, Index: 1}, Changes: []wire.Change{change}}
+		Expect(table.History(key)).To(Equal(history))
 		disk.pendingWrites = nil
 		refused := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 9}}
 		table.Append(wire.AppendCall{Key: key, Epoch: 1, Prev: wire.LogPosition{Epoch: 1, Index: 8}, Changes: []wire.Change{refused}},
 			func(wire.AppendAnswer) {})
 		disk.pendingWrites[0]()
 		table.Mailbox().Drain()
-		Expect(table.History(key)).To(Equal(count))
+		Expect(table.History(key)).To(Equal(history))
 	})
 })
--- a/internal/control/replication/leadershiptransfer_test.go
+++ b/internal/control/replication/leadershiptransfer_test.go
@@ -14,8 +14,8 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// slowLeader is a cluster whose leader is slow, while one follower is the quickest of the others.
-func slowLeader(seed uint64) (c *testCluster, leader, quickest *testNode) {
+// newSlowLeaderCluster returns a cluster whose leader is slow, and the follower with the shortest delay.
+func newSlowLeaderCluster(seed uint64) (c *testCluster, leader, fastest *testNode) {
 	c = newGrownCluster(seed)
 	c.runWithWrites(5 * time.Second)
 	leader = c.leader()
@@ -26,14 +26,14 @@
 		}
 		node.delay = 20 * time.Millisecond
 		if slices.Contains(c.voters(), node.disk.name) {
-			quickest = node
+			fastest = node
 		}
 	}
-	quickest.delay = time.Millisecond
-	return c, leader, quickest
+	fastest.delay = time.Millisecond
+	return c, leader, fastest
 }
 
-// runWithWrites lets time pass with a change each ten milliseconds.
+// runWithWrites runs the simulation with a write every ten milliseconds.
 func (c *testCluster) runWithWrites(length time.Duration) {
 	for range length / time.Millisecond {
 		if c.clock.Monotonic()%(10*time.Millisecond) == 0 {
@@ -44,25 +44,25 @@
 }
 
 var _ = Describe("a leader that is slow", func() {
-	It("hands its key on to the quickest follower, without a gap that matters", func() {
-		c, _, quickest := slowLeader(300)
+	It("transfers its key to the fastest follower, with less than 250 ms without a leader", func() {
+		c, _, fastest := newSlowLeaderCluster(300)
 		c.runWithWrites(time.Second)
-		without := 0
+		leaderless := 0
 		for range 1500 {
 			c.runWithWrites(time.Millisecond)
 			if c.leader() == nil {
-				without++
+				leaderless++
 			}
 		}
-		Expect(c.leader()).To(Equal(quickest))
-		Expect(without).To(BeNumerically("<", 250))
+		Expect(c.leader()).To(Equal(fastest))
+		Expect(leaderless).To(BeNumerically("<", 250))
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("stands back for a while, and then asks if nobody else does", func() {
-		c, leader, quickest := slowLeader(301)
+	It("does not campaign for a while after the transfer, and then does if there is no leader", func() {
+		c, leader, fastest := newSlowLeaderCluster(301)
 		c.runWithWrites(2500 * time.Millisecond)
-		Expect(c.leader()).To(Equal(quickest))
+		Expect(c.leader()).To(Equal(fastest))
 		leader.delay = 0
 		for _, node := range c.nodes {
 			if node != leader && slices.Contains(c.voters(), node.disk.name) {
@@ -76,16 +76,16 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("keeps the key if it is slow for a moment only", func() {
-		c, leader, _ := slowLeader(302)
+	It("keeps the key if it is slow for less than a second", func() {
+		c, leader, _ := newSlowLeaderCluster(302)
 		c.runWithWrites(700 * time.Millisecond)
 		leader.delay = 0
 		c.runWithWrites(3 * time.Second)
 		Expect(c.leader()).To(Equal(leader))
 	})
 
-	It("keeps the key while all are slow alike", func() {
-		c, leader, _ := slowLeader(303)
+	It("keeps the key if all nodes are equally slow", func() {
+		c, leader, _ := newSlowLeaderCluster(303)
 		for _, node := range c.nodes {
 			node.delay = 200 * time.Millisecond
 		}
@@ -94,14 +94,14 @@
 	})
 
 	It("keeps the key if it is only a little slow", func() {
-		c, leader, _ := slowLeader(304)
+		c, leader, _ := newSlowLeaderCluster(304)
 		leader.delay = 8 * time.Millisecond
 		c.runWithWrites(5 * time.Second)
 		Expect(c.leader()).To(Equal(leader))
 	})
 
-	It("keeps the key among peers of an earlier version, which say nothing of theirs", func() {
-		c, leader, _ := slowLeader(305)
+	It("keeps the key among peers of an earlier version, which report no sync delay", func() {
+		c, leader, _ := newSlowLeaderCluster(305)
 		for _, node := range c.nodes {
 			node.lacksChunkSupport = true
 		}
@@ -109,10 +109,10 @@
 		Expect(c.leader()).To(Equal(leader))
 	})
 
-	It("keeps the key for long if it is the key that makes its leader slow", func() {
+	It("rarely transfers a key whose load makes any leader slow", func() {
 		c := newGrownCluster(306)
 		c.runWithWrites(5 * time.Second)
-		hands, last := 0, c.leader()
+		transfers, last := 0, c.leader()
 		for turn := range 60 * 20 {
 			for _, node := range c.nodes {
 				node.delay = 0
@@ -122,21 +122,21 @@
 					leader.delay = 200 * time.Millisecond
 				}
 				if leader != last {
-					hands, last = hands+1, leader
+					transfers, last = transfers+1, leader
 				}
 			}
 			c.runWithWrites(50 * time.Millisecond)
 		}
-		Expect(hands).To(BeNumerically(">=", 2))
-		Expect(hands).To(BeNumerically("<=", 3))
+		Expect(transfers).To(BeNumerically(">=", 2))
+		Expect(transfers).To(BeNumerically("<=", 3))
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("hears from each voter how long its call has taken there", func() {
+	It("gets the processing time of a call from the voter's answer", func() {
 		table, err := replication.NewReplicas(mailbox.New(4), newDisk("disk-a"), clock.NewFake(1), time.Second)
 		Expect(err).NotTo(HaveOccurred())
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		go table.Mailbox().Run(ctx, clock.NewFake(1), mailbox.Owner{Every: time.Minute})
 		response, err := table.AskAppend(ctx, wire.AppendCall{Key: key, Epoch: 1})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/control/replication/learner_test.go
+++ b/internal/control/replication/learner_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// writeBurst lets time pass with two changes each millisecond.
+// writeBurst runs the simulation with two writes every millisecond.
 func (c *testCluster) writeBurst(length time.Duration) {
 	for range length / time.Millisecond {
 		c.write()
@@ -17,29 +17,29 @@
 	}
 }
 
-// runUntilVoter rushes on until a disk is a voter, and gives the time that it took, or the limit.
+// runUntilVoter runs the simulation with bursts of writes until a disk is a voter. It returns the elapsed time, at most the limit.
 func (c *testCluster) runUntilVoter(disk string, limit time.Duration) time.Duration {
-	began := c.clock.Monotonic()
-	for c.clock.Monotonic()-began < limit {
+	startedAt := c.clock.Monotonic()
+	for c.clock.Monotonic()-startedAt < limit {
 		c.writeBurst(10 * time.Millisecond)
 		if slices.Contains(c.voters(), disk) {
 			break
 		}
 	}
-	return c.clock.Monotonic() - began
+	return c.clock.Monotonic() - startedAt
 }
 
-var _ = Describe("a new disk, with no other to spare", func() {
-	It("becomes a voter although its answers take as long as hundreds of changes", func() {
-		for _, late := range []time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond} {
-			c := newTestClusterBearing(2, 1700, "a", "b", "c", "d", "e")
+var _ = Describe("a new disk without alternatives", func() {
+	It("becomes a voter though hundreds of changes are made while it answers", func() {
+		for _, answerDelay := range []time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond} {
+			c := newTestClusterTolerating(2, 1700, "a", "b", "c", "d", "e")
 			c.run(3 * time.Second)
 			wiped := c.others()[1]
-			wiped.delay = late
+			wiped.delay = answerDelay
 			c.writeBurst(500 * time.Millisecond)
 			wiped.wipe("disk-fresh")
 			took := c.runUntilVoter("disk-fresh", 6*time.Second)
-			Expect(took).To(BeNumerically("<", 4*time.Second), late.String())
+			Expect(took).To(BeNumerically("<", 4*time.Second), answerDelay.String())
 			c.writeBurst(6*time.Second - took)
 			Expect(c.leader().disk.DiskModel.Heads[key].Voters.Old).To(BeEmpty())
 			Expect(c.violations).To(BeEmpty())
@@ -52,8 +52,8 @@
 		}
 	})
 
-	It("does not become one while it falls ever further behind", func() {
-		c := newTestClusterBearing(2, 1710, "a", "b", "c", "d", "e")
+	It("does not become a voter while its lag grows", func() {
+		c := newTestClusterTolerating(2, 1710, "a", "b", "c", "d", "e")
 		c.run(3 * time.Second)
 		wiped := c.others()[1]
 		c.writeBurst(500 * time.Millisecond)
@@ -63,8 +63,8 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("gets a state of 20 MB although the changes made meanwhile are more than a leader keeps otherwise", func() {
-		c := newTestClusterBearing(2, 1720, "a", "b", "c", "d", "e")
+	It("gets a snapshot of 20 MB though the changes made meanwhile exceed the leader's usual retention", func() {
+		c := newTestClusterTolerating(2, 1720, "a", "b", "c", "d", "e")
 		c.run(3 * time.Second)
 		c.valueBytes = 100 << 10
 		for range 200 {
@@ -73,12 +73,12 @@
 		}
 		c.valueBytes, c.bytesPerMs = 10<<10, 5000
 		c.others()[1].wipe("disk-fresh")
-		began := c.clock.Monotonic()
-		for c.clock.Monotonic()-began < 40*time.Second && !slices.Contains(c.voters(), "disk-fresh") {
+		startedAt := c.clock.Monotonic()
+		for c.clock.Monotonic()-startedAt < 40*time.Second && !slices.Contains(c.voters(), "disk-fresh") {
 			c.runWithWrites(50 * time.Millisecond)
 		}
-		AddReportEntry("a voter after", (c.clock.Monotonic() - began).String())
-		Expect(c.clock.Monotonic() - began).To(BeNumerically("<", 40*time.Second))
+		AddReportEntry("became a voter after", (c.clock.Monotonic() - startedAt).String())
+		Expect(c.clock.Monotonic() - startedAt).To(BeNumerically("<", 40*time.Second))
 		Expect(c.violations).To(BeEmpty())
 	})
 })
--- a/internal/control/replication/lease_test.go
+++ b/internal/control/replication/lease_test.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// newTable is a voter's table on a fake clock, with an empty disk.
+// newTable returns a voter's table of replicas on a fake clock, with an empty disk.
 func newTable(clock *clock.Fake) *replication.Replicas {
 	disk := newDisk("disk-a")
 	table, err := replication.NewReplicas(mailbox.New(64), disk, clock, 700*time.Millisecond)
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("a voter's lease", func() {
-	It("is not ended by a late release of a leader before", func() {
+	It("is not ended by a late release of an earlier leader", func() {
 		table := newTable(clock.NewFake(1))
 		ignore := func(wire.AppendAnswer) {}
 		table.Append(wire.AppendCall{Key: key, Epoch: 2, Disk: "disk-b", Leader: "b"}, ignore)
@@ -34,13 +34,13 @@
 		Expect(isGranted).To(BeFalse())
 	})
 
-	It("is not taken over by a heartbeat of a leader before, nor is its disk promised anything meanwhile", func() {
+	It("is not taken over by a late heartbeat of an earlier leader, whose disk gets no promise meanwhile", func() {
 		table := newTable(clock.NewFake(1))
 		table.Append(wire.AppendCall{Key: key, Epoch: 3, Disk: "disk-c", Leader: "c"}, func(wire.AppendAnswer) {})
-		var late wire.AppendAnswer
-		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Leader: "a"}, func(answer wire.AppendAnswer) { late = answer })
-		Expect(late.Taken).To(BeFalse())
-		Expect(late.Promised).To(Equal(uint64(3)))
+		var lateAnswer wire.AppendAnswer
+		table.Append(wire.AppendCall{Key: key, Epoch: 1, Disk: "disk-a", Leader: "a"}, func(answer wire.AppendAnswer) { lateAnswer = answer })
+		Expect(lateAnswer.Taken).To(BeFalse())
+		Expect(lateAnswer.Promised).To(Equal(uint64(3)))
 		isGranted := true
 		table.Promise(wire.PromiseCall{Key: key, Epoch: 4, Disk: "disk-a", PreVote: true}, func(answer wire.PromiseAnswer) {
 			isGranted = answer.Granted
@@ -49,11 +49,11 @@
 	})
 
 	for _, rates := range [][]int64{{-10, 10, 10}, {10, -10, -10}} {
-		It(fmt.Sprintf("is over for its leader before it is over for the voter, at clock rates of %v per mille", rates), func() {
+		It(fmt.Sprintf("ends at the leader before it ends at the voter, with clock drifts of %v per mille", rates), func() {
 			for seed := range uint64(12) {
 				c := newTestCluster(900+seed, "a", "b", "c")
 				for index, node := range c.nodes {
-					node.clock.perMille = rates[index]
+					node.clock.driftPerMille = rates[index]
 				}
 				for range 4 {
 					c.runUntil(func() bool { return c.leader() != nil })
@@ -69,7 +69,7 @@
 		})
 	}
 
-	It("is counted from before the call was sent, however late the answer comes", func() {
+	It("is counted by the leader from the sending of the call, however late the answer arrives", func() {
 		for seed := range uint64(12) {
 			c := newTestCluster(980+seed, "a", "b", "c")
 			c.run(2 * time.Second)
--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -8,13 +8,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// leave is what a steward does at SIGTERM.
+// leave starts a graceful shutdown, as a steward does on SIGTERM.
 func (n *testNode) leave() {
 	n.replicas.Leave()
 	n.engine.Leave()
 }
 
-// runUntilRemoved lets work go on until a leaving node has nothing left to vote on, or the limit has passed.
+// runUntilRemoved runs the simulation with writes until a leaving node votes on no key. It returns false if the limit passes first.
 func (c *testCluster) runUntilRemoved(leaving *testNode, limit time.Duration) bool {
 	for end := c.clock.Monotonic() + limit; c.clock.Monotonic() < end; c.runWithWrites(10 * time.Millisecond) {
 		if len(leaving.replicas.VotingKeys()) == 0 {
@@ -24,7 +24,7 @@
 	return false
 }
 
-// anyVoter is a voter that does not lead.
+// anyVoter returns a voter that is not the leader.
 func (c *testCluster) anyVoter() *testNode {
 	for _, node := range c.others() {
 		if slices.Contains(c.voters(), node.disk.name) {
@@ -34,9 +34,9 @@
 	return nil
 }
 
-var _ = Describe("a steward that leaves in order", func() {
+var _ = Describe("a steward that shuts down gracefully", func() {
 	for index, role := range []string{"the leader", "a follower"} {
-		It("is replaced as a voter before it goes, "+role+", so that the next disk may be lost at once", func() {
+		It("is replaced as a voter before it exits, "+role+", so that another disk can be lost at once", func() {
 			for seed := range uint64(8) {
 				c := newTestCluster(1000+seed, "a", "b", "c", "d")
 				c.run(2 * time.Second)
@@ -57,7 +57,7 @@
 		})
 	}
 
-	It("hands its key to the follower that holds most if no disk is left to replace its own", func() {
+	It("transfers its key to the most up-to-date follower if there is no replacement for its disk", func() {
 		for seed := range uint64(8) {
 			c := newTestCluster(1020+seed, "a", "b", "c")
 			c.run(2 * time.Second)
@@ -79,7 +79,7 @@
 		}
 	})
 
-	It("waits for the changes that are under way, but not long", func() {
+	It("waits for pending commits for a short time only", func() {
 		c := newTestCluster(1040, "a", "b", "c")
 		c.run(2 * time.Second)
 		leaving := c.leader()
@@ -99,7 +99,7 @@
 		Expect(leaving.engine.IsLeader()).To(BeFalse())
 	})
 
-	It("does not go on as a candidate", func() {
+	It("ends its campaign", func() {
 		c := newTestCluster(1050, "a", "b", "c")
 		for _, node := range c.nodes {
 			node.disk.isStalled = true
@@ -114,13 +114,13 @@
 		Expect(c.leader()).To(BeNil())
 	})
 
-	It("does not learn that it may go while the new voters lack what was acknowledged", func() {
+	It("stays a voter until two other nodes hold all acknowledged changes", func() {
 		for seed := range uint64(8) {
 			c := newTestCluster(1060+seed, "a", "b", "c", "d")
 			c.run(2 * time.Second)
 			c.runWithWrites(500 * time.Millisecond)
-			leaving, hung := c.leader(), c.anyVoter()
-			hung.disk.isStalled = true
+			leaving, stalled := c.leader(), c.anyVoter()
+			stalled.disk.isStalled = true
 			leaving.leave()
 			Expect(c.runUntilRemoved(leaving, 4*time.Second)).To(BeTrue())
 			holders := 0
@@ -134,11 +134,11 @@
 		}
 	})
 
-	It("costs no snapshot but the first when all restart in turn, and no more than moments without a leader", func() {
+	It("needs no snapshot but the first in a rolling restart, with less than 1.5 s without a leader", func() {
 		c := newTestCluster(1080, "a", "b", "c", "d")
 		c.run(2 * time.Second)
 		c.runWithWrites(500 * time.Millisecond)
-		without := 0
+		leaderless := 0
 		for turn, node := range c.nodes {
 			if turn == 1 {
 				c.snapshotsSent, c.chunksSent = 0, nil
@@ -146,14 +146,14 @@
 			node.leave()
 			for end := c.clock.Monotonic() + 2*time.Second; c.clock.Monotonic() < end && len(node.replicas.VotingKeys()) > 0; c.runWithWrites(time.Millisecond) {
 				if c.leader() == nil {
-					without++
+					leaderless++
 				}
 			}
 			node.kill()
 			for range 3000 {
 				c.runWithWrites(time.Millisecond)
 				if c.leader() == nil {
-					without++
+					leaderless++
 				}
 			}
 			node.start()
@@ -162,12 +162,12 @@
 		c.run(time.Second)
 		Expect(c.snapshotsSent).To(BeZero())
 		Expect(c.chunksSent).To(BeEmpty())
-		Expect(without).To(BeNumerically("<", 1500))
+		Expect(leaderless).To(BeNumerically("<", 1500))
 		Expect(c.voters()).To(HaveLen(3))
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("is a voter like others once it is back", func() {
+	It("is a normal voter after its return", func() {
 		c := newTestCluster(1090, "a", "b", "c")
 		c.run(2 * time.Second)
 		leaving := c.leader()
--- a/internal/control/replication/replication_test.go
+++ b/internal/control/replication/replication_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("a key and its leader", func() {
-	It("finds one leader, and commits on a majority", func() {
+	It("elects one leader and commits changes", func() {
 		c := newTestCluster(1, "a", "b", "c")
 		c.run(2 * time.Second)
 		Expect(c.leader()).NotTo(BeNil())
@@ -20,7 +20,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("does not commit while the leader is alone", func() {
+	It("does not commit while the leader is isolated, and elects another leader", func() {
 		c := newTestCluster(2, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.isolated[c.leader().name] = true
@@ -35,7 +35,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("is not deposed by a steward that comes back from a cut", func() {
+	It("keeps its leader when a steward returns from a partition", func() {
 		c := newTestCluster(3, "a", "b", "c")
 		c.run(2 * time.Second)
 		leader := c.leader()
@@ -49,7 +49,7 @@
 		Expect(leader.machine.leadership.Epoch()).To(Equal(epoch))
 	})
 
-	It("changes hands soon when the leader leaves in order", func() {
+	It("has another leader within 700 ms after the leader leaves", func() {
 		c := newTestCluster(4, "a", "b", "c")
 		c.run(2 * time.Second)
 		old := c.leader()
@@ -60,7 +60,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("keeps what it acknowledged when all lose power at once", func() {
+	It("keeps acknowledged changes when all nodes lose power at once", func() {
 		c := newTestCluster(5, "a", "b", "c")
 		c.run(2 * time.Second)
 		for range 20 {
@@ -79,7 +79,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("takes a wiped disk for a new voter, and then survives the next loss", func() {
+	It("adds a wiped disk as a new voter, and survives the next loss", func() {
 		c := newTestCluster(6, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.write()
@@ -96,7 +96,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("replaces a machine that is gone for good, before the next one may be lost", func() {
+	It("replaces a voter whose machine is gone", func() {
 		c := newTestCluster(7, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.nodes[2].kill()
@@ -108,7 +108,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("goes on while one disk hangs, the leader's too", func() {
+	It("commits while the leader's disk hangs", func() {
 		c := newTestCluster(8, "a", "b", "c")
 		c.run(2 * time.Second)
 		c.leader().disk.isStalled = true
@@ -118,22 +118,22 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("carries the time of day as the median of the voters', whichever clock jumps", func() {
+	It("has a time of day that is unaffected by a jump of any single clock", func() {
 		c := newTestCluster(9, "a", "b", "c")
 		c.run(2 * time.Second)
 		for _, node := range c.nodes {
-			for _, jump := range []int64{5000, -5000} {
-				node.clock.jump = jump
+			for _, wallJumpMs := range []int64{5000, -5000} {
+				node.clock.wallJumpMs = wallJumpMs
 				c.run(time.Second)
 				Expect(c.leader().machine.leadership.WallMs()).To(BeNumerically("~", c.clock.WallMs(), 20))
 			}
-			node.clock.jump = 0
+			node.clock.wallJumpMs = 0
 			c.run(time.Second)
 		}
 	})
 
 	for seed := range uint64(24) {
-		It(fmt.Sprintf("keeps its promises through a random schedule of faults, seed %d", seed), func() {
+		It(fmt.Sprintf("keeps the invariants under random faults, seed %d", seed), func() {
 			c := newTestCluster(100+seed, "a", "b", "c")
 			c.lossRate = 0.1
 			wipes := 0
@@ -161,7 +161,8 @@
 	}
 })
 
-// injectFault strikes one node at a time, as much as may be lost at once.
+// injectFault ends all faults and injects one into a single node, the most that the cluster must tolerate, or makes all nodes lose
+// power.
 func (c *testCluster) injectFault(wipes *int) {
 	for _, node := range c.nodes {
 		if !node.isUp {
@@ -186,7 +187,7 @@
 			node.start()
 		}
 	case 5:
-		if *wipes < 6 && c.healthyNodes() {
+		if *wipes < 6 && c.areAllNodesHealthy() {
 			*wipes++
 			victim.wipe(fmt.Sprintf("disk-%s-%d", victim.name, *wipes))
 			c.run(7 * time.Second)
@@ -194,8 +195,8 @@
 	}
 }
 
-// healthyNodes tells whether every disk is a voter that has caught up, so that one more may be lost.
-func (c *testCluster) healthyNodes() bool {
+// areAllNodesHealthy reports whether every node is a voter that holds changes of the leader's epoch, so that one more can be lost.
+func (c *testCluster) areAllNodesHealthy() bool {
 	leader := c.leader()
 	if leader == nil {
 		return false
--- a/internal/control/replication/resend_test.go
+++ b/internal/control/replication/resend_test.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-var _ = Describe("a call to a follower that was lost", func() {
+var _ = Describe("a lost call to a follower", func() {
 	var c *testCluster
 	var leader, follower *testNode
 	BeforeEach(func() {
@@ -23,7 +23,7 @@
 			}
 		}
 	})
-	// catchUpTime plays on until the follower holds what the leader held at the call.
+	// catchUpTime runs the simulation until the follower holds the changes that the leader holds now, and returns the elapsed time.
 	catchUpTime := func(limit time.Duration) time.Duration {
 		GinkgoHelper()
 		goal := leader.disk.Heads[key].Last.Index
@@ -33,16 +33,16 @@
 			}
 			c.run(5 * time.Millisecond)
 		}
-		Fail("it did not catch up")
+		Fail("the follower did not catch up within the limit")
 		return limit
 	}
 	write := func() {
 		c.runWithWrites(30 * time.Millisecond)
 	}
 
-	It("is sent again soon, as heartbeats are answered, and not after the limit of a call only", func() {
+	It("is sent again before its timeout if later heartbeats are answered", func() {
 		isLost := false
-		c.drops = func(to *testNode, call wire.AppendCall) bool {
+		c.dropsCall = func(to *testNode, call wire.AppendCall) bool {
 			if to != follower || isLost || len(call.Changes) == 0 {
 				return false
 			}
@@ -56,18 +56,18 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("is waited for while nothing else is answered", func() {
-		c.drops = func(to *testNode, _ wire.AppendCall) bool { return to == follower }
+	It("is not sent again while heartbeats are not answered", func() {
+		c.dropsCall = func(to *testNode, _ wire.AppendCall) bool { return to == follower }
 		write()
 		before := c.appendCount
 		c.run(900 * time.Millisecond)
-		// Five heartbeats to each of the two followers and to the leader's own disk, with some to spare.
+		// Five heartbeats to each of the two followers and to the leader's own disk make 15 calls. The limit leaves some to spare.
 		Expect(c.appendCount - before).To(BeNumerically("<", 20))
 	})
 
-	It("makes no disk that is slow be given the same changes without end", func() {
+	It("is not sent again more than once per timeout to a slow disk", func() {
 		changesSent := 0
-		c.drops = func(to *testNode, call wire.AppendCall) bool {
+		c.dropsCall = func(to *testNode, call wire.AppendCall) bool {
 			if to == follower && len(call.Changes) > 0 {
 				changesSent++
 			}
@@ -75,7 +75,7 @@
 		}
 		follower.disk.syncTime = 3 * time.Second
 		c.runWithWrites(8 * time.Second)
-		Expect(changesSent).To(BeNumerically("<=", 2*8), "two calls at most within the limit of a call, which is 1 s")
+		Expect(changesSent).To(BeNumerically("<=", 2*8), "at most two calls within the timeout of a call, which is 1 s")
 		follower.disk.syncTime = 0
 		catchUpTime(2 * time.Second)
 		Expect(c.violations).To(BeEmpty())
--- a/internal/control/replication/schedule_test.go
+++ b/internal/control/replication/schedule_test.go
@@ -12,28 +12,32 @@
 )
 
 const (
-	// catchUp is how long a node counts as lost after its return, and a new one after its start.
-	catchUp = 4 * time.Second
-	// seedsVariable names how many seeds of each schedule to run instead of the usual number.
+	// recoveryTime is how long a node still counts as lost after its return, and a new node after its start.
+	recoveryTime = 4 * time.Second
+	// seedsVariable is the environment variable for the number of seeds to run of each schedule.
 	seedsVariable = "REPLICATION_SEEDS"
 )
 
-// faultSchedule strikes a simulated cluster with as many losses at once as it must bear, and counts them as the deployment does.
+// faultSchedule injects random faults into a simulated cluster: at most as many losses at once as it must tolerate. It counts losses
+// as the deployment does.
 type faultSchedule struct {
 	*testCluster
-	// endsAt is when a node's trouble ends, lostUntil when it no longer counts as lost.
-	endsAt    map[*testNode]time.Duration
-	lostUntil map[*testNode]time.Duration
-	madeAt    int
-	injected  map[string]int
-	isPlanned map[*testNode]bool
+	// faultEndsAt is when a node's fault ends, lostUntil when the node no longer counts as lost.
+	faultEndsAt map[*testNode]time.Duration
+	lostUntil   map[*testNode]time.Duration
+	// replacementCount numbers the new nodes and new disks.
+	replacementCount int
+	// injected counts the injected faults by name.
+	injected map[string]int
+	// isShuttingDown holds the nodes that leave and are restarted at the end of the fault.
+	isShuttingDown map[*testNode]bool
 }
 
 func newFaultSchedule(losses int, seed uint64, names ...string) *faultSchedule {
-	s := &faultSchedule{testCluster: newTestClusterBearing(losses, seed, names...), endsAt: map[*testNode]time.Duration{},
-		lostUntil: map[*testNode]time.Duration{}, injected: map[string]int{}, isPlanned: map[*testNode]bool{}}
+	s := &faultSchedule{testCluster: newTestClusterTolerating(losses, seed, names...), faultEndsAt: map[*testNode]time.Duration{},
+		lostUntil: map[*testNode]time.Duration{}, injected: map[string]int{}, isShuttingDown: map[*testNode]bool{}}
 	for _, node := range s.nodes {
-		node.clock.perMille = int64(s.random.IntN(21) - 10)
+		node.clock.driftPerMille = int64(s.random.IntN(21) - 10)
 	}
 	return s
 }
@@ -48,42 +52,43 @@
 	return count
 }
 
-// endFaults ends those that are over, or all of them.
+// endFaults ends the faults whose time has passed, or all faults.
 func (s *faultSchedule) endFaults(isAll bool) {
 	for _, node := range slices.Clone(s.nodes) {
-		if until, isInjected := s.endsAt[node]; isInjected && (isAll || s.clock.Monotonic() >= until) {
-			delete(s.endsAt, node)
+		if until, isInjected := s.faultEndsAt[node]; isInjected && (isAll || s.clock.Monotonic() >= until) {
+			delete(s.faultEndsAt, node)
 			s.restore(node)
-			s.lostUntil[node] = s.clock.Monotonic() + catchUp
+			s.lostUntil[node] = s.clock.Monotonic() + recoveryTime
 		}
 	}
 }
 
 func (s *faultSchedule) restore(node *testNode) {
 	delete(s.isolated, node.name)
-	delete(s.lateNodes, node.name)
+	delete(s.delayedNodes, node.name)
 	for _, other := range s.nodes {
 		delete(s.blockedLinks, node.name+">"+other.name)
 		delete(s.blockedLinks, other.name+">"+node.name)
 	}
 	node.isFrozen = false
 	node.disk.isStalled, node.disk.failsWrites, node.disk.isOutcomeUnclear, node.disk.syncTime = false, false, false, 0
-	if !node.isUp || s.isPlanned[node] {
+	if !node.isUp || s.isShuttingDown[node] {
 		node.kill()
 		node.start()
 	}
-	delete(s.isPlanned, node)
+	delete(s.isShuttingDown, node)
 }
 
-// injectNext gives a node that is not lost a fault of some length.
+// injectNext injects a fault of random kind and duration into a random node, unless the node counts as lost or the tolerated number
+// of losses is reached.
 func (s *faultSchedule) injectNext() {
 	node := s.nodes[s.random.IntN(len(s.nodes))]
 	if s.lostNodes() >= s.machineLosses || s.clock.Monotonic() < s.lostUntil[node] {
 		return
 	}
 	length := time.Duration(50+s.random.IntN(6000)) * time.Millisecond
-	s.endsAt[node] = s.clock.Monotonic() + length
-	s.lostUntil[node] = s.endsAt[node] + catchUp
+	s.faultEndsAt[node] = s.clock.Monotonic() + length
+	s.lostUntil[node] = s.faultEndsAt[node] + recoveryTime
 	faults := []string{"kill", "restart", "cut", "cut one way", "late", "freeze", "stall", "refuse", "unclear", "slow disk", "leave",
 		"replace", "replace in order", "wipe", "wipe, all others lose power"}
 	fault := faults[s.random.IntN(len(faults))]
@@ -101,7 +106,7 @@
 	case "freeze":
 		node.isFrozen = true
 	case "leave":
-		s.isPlanned[node] = true
+		s.isShuttingDown[node] = true
 		node.leave()
 	case "replace":
 		s.replace(node)
@@ -124,7 +129,7 @@
 	case "cut":
 		s.isolated[node.name] = true
 	case "late":
-		s.lateNodes[node.name] = true
+		s.delayedNodes[node.name] = true
 	case "cut one way":
 		for _, other := range s.nodes {
 			link := []string{node.name + ">" + other.name, other.name + ">" + node.name}[int(length/time.Millisecond)%2]
@@ -143,26 +148,26 @@
 	}
 }
 
-// replace removes a node for good, and adds another at another address at once.
+// replace removes a node permanently, and at once adds a new node at another address.
 func (s *faultSchedule) replace(node *testNode) {
 	node.kill()
 	s.lastWipeAt = s.clock.Monotonic()
 	s.nodes = slices.DeleteFunc(s.nodes, func(other *testNode) bool { return other == node })
-	delete(s.endsAt, node)
-	s.madeAt++
-	fresh := s.add(fmt.Sprintf("new%d", s.madeAt))
-	fresh.start()
-	s.lostUntil[fresh] = s.clock.Monotonic() + catchUp
+	delete(s.faultEndsAt, node)
+	s.replacementCount++
+	newNode := s.add(fmt.Sprintf("new%d", s.replacementCount))
+	newNode.start()
+	s.lostUntil[newNode] = s.clock.Monotonic() + recoveryTime
 }
 
 func (s *faultSchedule) wipe(node *testNode) {
-	s.madeAt++
-	node.wipe(fmt.Sprintf("disk-%s-%d", node.name, s.madeAt))
-	delete(s.endsAt, node)
-	s.lostUntil[node] = s.clock.Monotonic() + catchUp
+	s.replacementCount++
+	node.wipe(fmt.Sprintf("disk-%s-%d", node.name, s.replacementCount))
+	delete(s.faultEndsAt, node)
+	s.lostUntil[node] = s.clock.Monotonic() + recoveryTime
 }
 
-// losePower takes away from all nodes, or all but one, what they have not synced; it ends all other troubles.
+// losePower ends all faults and restarts all nodes, or all but one, so that they lose what they have not synced.
 func (s *faultSchedule) losePower(except *testNode) {
 	s.endFaults(true)
 	for _, node := range s.nodes {
@@ -173,13 +178,13 @@
 	for _, node := range s.nodes {
 		if node != except {
 			node.start()
-			s.lostUntil[node] = s.clock.Monotonic() + catchUp
+			s.lostUntil[node] = s.clock.Monotonic() + recoveryTime
 		}
 	}
 }
 
-// play lets a simulated cluster go through its troubles, and then come to rest.
-func (s *faultSchedule) play(steps int) {
+// runFaults injects faults during writes for a number of steps. It then ends all faults and lets the cluster settle.
+func (s *faultSchedule) runFaults(steps int) {
 	s.lossRate = 0.02
 	for range steps {
 		s.endFaults(false)
@@ -222,7 +227,7 @@
 	return usual
 }
 
-var _ = Describe("all that was acknowledged is kept", func() {
+var _ = Describe("acknowledged changes are kept", func() {
 	for _, shape := range []struct {
 		losses int
 		names  []string
@@ -233,12 +238,12 @@
 		{2, []string{"a", "b", "c", "d", "e", "f"}},
 		{2, []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}},
 	} {
-		It(fmt.Sprintf("by %d disks through %d losses at once, cuts, disk errors, replacements and losses of all power", len(shape.names), shape.losses), func() {
+		It(fmt.Sprintf("by %d disks under %d losses at once, partitions, disk errors, replacements and power losses", len(shape.names), shape.losses), func() {
 			for seed := range seeds(6) {
 				s := newFaultSchedule(shape.losses, 2000+seed, shape.names...)
 				s.run(3 * time.Second)
-				s.play(150)
-				By(fmt.Sprintf("seed %d, troubles %v", seed, s.injected))
+				s.runFaults(150)
+				By(fmt.Sprintf("seed %d, injected faults %v", seed, s.injected))
 				s.expectSettled()
 			}
 		})
--- a/internal/control/replication/second_loss_test.go
+++ b/internal/control/replication/second_loss_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// remove takes a node away for good, with its disk.
+// remove removes a node and its disk permanently.
 func (c *testCluster) remove(lost *testNode) {
 	lost.kill()
 	c.lastWipeAt = c.clock.Monotonic()
@@ -17,18 +17,18 @@
 }
 
 var _ = Describe("a second loss", func() {
-	It("at the moment of the swap that a cut of 20 s brought about, or just after its end, costs nothing acknowledged", func() {
+	It("during or after the voter change that a partition of 20 s causes loses no acknowledged change", func() {
 		for moment := range 5 {
-			c := newTestClusterBearing(2, 1100+uint64(moment), "a", "b", "c", "d", "e", "f")
+			c := newTestClusterTolerating(2, 1100+uint64(moment), "a", "b", "c", "d", "e", "f")
 			c.run(3 * time.Second)
 			c.runWithWrites(500 * time.Millisecond)
-			cutOff := c.leader()
-			c.isolated[cutOff.name] = true
+			isolatedNode := c.leader()
+			c.isolated[isolatedNode.name] = true
 			c.runWithWrites(1400*time.Millisecond + time.Duration(moment)*160*time.Millisecond)
-			second := c.nodes[(slices.Index(c.nodes, cutOff)+1+moment%5)%6]
+			second := c.nodes[(slices.Index(c.nodes, isolatedNode)+1+moment%5)%6]
 			second.wipe(fmt.Sprintf("disk-second-%d", moment))
 			c.runWithWrites(17 * time.Second)
-			delete(c.isolated, cutOff.name)
+			delete(c.isolated, isolatedNode.name)
 			c.runWithWrites(4 * time.Second)
 			Expect(c.violations).To(BeEmpty())
 			Expect(c.voters()).To(HaveLen(5))
@@ -41,14 +41,14 @@
 		}
 	})
 
-	It("four seconds after a cut of 20 s finds all on the two others of three disks, with no fourth", func() {
+	It("four seconds after a partition of 20 s loses nothing in a cluster of just three disks", func() {
 		for seed := range uint64(2) {
 			c := newTestCluster(1200+seed, "a", "b", "c")
 			c.run(2 * time.Second)
-			cutOff := c.nodes[seed%3]
-			c.isolated[cutOff.name] = true
+			isolatedNode := c.nodes[seed%3]
+			c.isolated[isolatedNode.name] = true
 			c.runWithWrites(20 * time.Second)
-			delete(c.isolated, cutOff.name)
+			delete(c.isolated, isolatedNode.name)
 			c.runWithWrites(4 * time.Second)
 			Expect(c.voters()).To(HaveLen(3))
 			lost := c.nodesHolding(1)[0]
@@ -60,9 +60,9 @@
 		}
 	})
 
-	It("while the successor of a replaced machine is still a learner leaves a leader and all that was acknowledged", func() {
+	It("while the replacement of the first loss is still a learner loses no acknowledged change and leaves a leader", func() {
 		for moment := range 15 {
-			c := newTestClusterBearing(2, 1300+uint64(moment), "a", "b", "c", "d", "e")
+			c := newTestClusterTolerating(2, 1300+uint64(moment), "a", "b", "c", "d", "e")
 			c.run(2 * time.Second)
 			c.runWithWrites(500 * time.Millisecond)
 			first := c.others()[moment%4]
@@ -80,19 +80,19 @@
 		}
 	})
 
-	It("four seconds after a replacement finds a large state on the new disk, over links of 2 MB/s", func() {
+	It("four seconds after a replacement loses nothing of a large state, over links of 2 MB/s", func() {
 		for seed := range uint64(4) {
 			c, node := newLoadedCluster(1400 + seed)
 			c.bytesPerMs = 2000
 			c.remove(node)
 			c.add("fresh").start()
-			began := c.clock.Monotonic()
+			startedAt := c.clock.Monotonic()
 			c.runUntil(func() bool {
 				return slices.Contains(c.voters(), "disk-fresh") && c.holdsAllAcknowledged(c.byDisk("disk-fresh"))
 			})
-			Expect(c.clock.Monotonic() - began).To(BeNumerically("<", 4*time.Second))
-			AddReportEntry("replaced after", (c.clock.Monotonic() - began).String())
-			c.runWithWrites(began + 4*time.Second - c.clock.Monotonic())
+			Expect(c.clock.Monotonic() - startedAt).To(BeNumerically("<", 4*time.Second))
+			AddReportEntry("replaced after", (c.clock.Monotonic() - startedAt).String())
+			c.runWithWrites(startedAt + 4*time.Second - c.clock.Monotonic())
 			c.remove(c.leader())
 			c.add("fresher").start()
 			c.runWithWrites(4 * time.Second)
--- a/internal/control/replication/snapshots_test.go
+++ b/internal/control/replication/snapshots_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// newLoadedCluster is a cluster whose state takes some ten chunks, and a follower that is not the leader.
+// newLoadedCluster returns a cluster whose state takes about ten chunks, and one of its followers.
 func newLoadedCluster(seed uint64) (c *testCluster, node *testNode) {
 	c = newTestCluster(seed, "a", "b", "c")
 	c.run(2 * time.Second)
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("a snapshot", func() {
-	It("travels in chunks, through loss, doubling and another order", func() {
+	It("is sent in chunks, despite loss, duplication and reordering", func() {
 		for seed := range uint64(5) {
 			c, node := newLoadedCluster(500 + seed)
 			c.lossRate = 0.4
@@ -43,17 +43,17 @@
 		}
 	})
 
-	It("goes on with the chunk that is missing once the way is open again, and is installed at the last", func() {
+	It("is resumed at a lost chunk, and installed only after the last chunk", func() {
 		c, node := newLoadedCluster(510)
-		hasEaten := false
-		c.drops = func(_ *testNode, call wire.AppendCall) bool {
-			isNext := !hasEaten && call.Chunk != nil && call.Chunk.Number == 4
-			hasEaten = hasEaten || isNext
+		hasDropped := false
+		c.dropsCall = func(_ *testNode, call wire.AppendCall) bool {
+			isNext := !hasDropped && call.Chunk != nil && call.Chunk.Number == 4
+			hasDropped = hasDropped || isNext
 			return isNext
 		}
 		node.wipe("disk-fresh")
 		c.runWithWrites(800 * time.Millisecond)
-		Expect(hasEaten).To(BeTrue())
+		Expect(hasDropped).To(BeTrue())
 		Expect(node.disk.DiskModel.Heads[key].Last).To(Equal(wire.LogPosition{}))
 		c.runWithWrites(3 * time.Second)
 		c.run(time.Second)
@@ -63,7 +63,7 @@
 		c.expectSameState()
 	})
 
-	It("arrives while changes flow, and they lead on from it", func() {
+	It("is sent once during writes, and the changes after it follow", func() {
 		c, node := newLoadedCluster(550)
 		node.kill()
 		c.runWithWrites(2 * time.Second)
@@ -73,7 +73,7 @@
 		Expect(slices.Index(c.chunksSent[1:], 0)).To(Equal(-1))
 	})
 
-	It("is not sent into silence, but as soon as the silent one speaks", func() {
+	It("is not sent to a follower that does not answer, but as soon as it answers", func() {
 		c, node := newLoadedCluster(560)
 		c.isolated[node.name] = true
 		c.valueBytes = 10 << 10
@@ -88,12 +88,12 @@
 		c.expectSameState()
 	})
 
-	It("starts again with a newer one once the changes no longer lead on from it", func() {
+	It("is replaced by a newer one once the log no longer contains the changes that follow it", func() {
 		c, node := newLoadedCluster(540)
-		c.drops = func(_ *testNode, call wire.AppendCall) bool { return call.Chunk != nil && call.Chunk.Number == 4 }
+		c.dropsCall = func(_ *testNode, call wire.AppendCall) bool { return call.Chunk != nil && call.Chunk.Number == 4 }
 		node.wipe("disk-fresh")
 		c.runWithWrites(3 * time.Second)
-		c.drops = nil
+		c.dropsCall = nil
 		c.runWithWrites(3 * time.Second)
 		c.run(time.Second)
 		again := slices.Index(c.chunksSent[1:], 0) + 1
@@ -103,8 +103,8 @@
 		c.expectSameState()
 	})
 
-	It("starts again under another leader, and when the disk it was for is wiped", func() {
-		for index, strike := range []func(c *testCluster, node *testNode){
+	It("is sent again by a new leader, and after the follower is wiped or restarted", func() {
+		for index, disrupt := range []func(c *testCluster, node *testNode){
 			func(c *testCluster, _ *testNode) { c.leader().engine.Leave() },
 			func(_ *testCluster, node *testNode) { node.wipe("disk-fresher") },
 			func(_ *testCluster, node *testNode) { node.kill(); node.start() },
@@ -112,7 +112,7 @@
 			c, node := newLoadedCluster(520 + uint64(index))
 			node.wipe("disk-fresh")
 			c.runUntil(func() bool { return slices.Contains(c.chunksSent, 3) })
-			strike(c, node)
+			disrupt(c, node)
 			c.runWithWrites(5 * time.Second)
 			c.run(time.Second)
 			Expect(c.voters()).To(ContainElement(node.disk.name), fmt.Sprint(index))
--- a/internal/control/replication/takeover_test.go
+++ b/internal/control/replication/takeover_test.go
@@ -10,30 +10,30 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// slowDownReading gives all nodes processors that need so long to read the state.
+// slowDownReading sets how long all nodes take to read the state.
 func (c *testCluster) slowDownReading(readTime time.Duration) {
 	for _, node := range c.nodes {
 		node.snapshotReadTime = readTime
 	}
 }
 
-// timeToSettle is how long it takes until one leader has held its lease for two seconds on end; a limit ends the wait.
+// timeToSettle returns how long it takes until one node starts to hold the lease for two seconds without interruption, at most limit.
 func (c *testCluster) timeToSettle(limit time.Duration) time.Duration {
-	began, since := c.clock.Monotonic(), c.clock.Monotonic()
+	startedAt, since := c.clock.Monotonic(), c.clock.Monotonic()
 	var leader *testNode
-	for c.clock.Monotonic()-began < limit {
+	for c.clock.Monotonic()-startedAt < limit {
 		c.runWithWrites(time.Millisecond)
-		if now := c.leader(); now == nil || now != leader {
-			leader, since = now, c.clock.Monotonic()
+		if current := c.leader(); current == nil || current != leader {
+			leader, since = current, c.clock.Monotonic()
 		}
 		if leader != nil && c.clock.Monotonic()-since >= 2*time.Second {
-			return since - began
+			return since - startedAt
 		}
 	}
 	return limit
 }
 
-// highestPromise is the highest epoch that any disk has promised.
+// highestPromise returns the highest epoch that any disk has promised.
 func (c *testCluster) highestPromise() (highest uint64) {
 	for _, node := range c.nodes {
 		highest = max(highest, node.disk.DiskModel.Heads[key].Promised)
@@ -41,8 +41,8 @@
 	return highest
 }
 
-// leaderWhile prepares each node, and gives the first that has taken the lease over; the others are as before then.
-func (c *testCluster) leaderWhile(prepare func(node *testNode)) *testNode {
+// firstLeaseHolder prepares each node and returns the first that obtains a lease. It then resets the read time of the others.
+func (c *testCluster) firstLeaseHolder(prepare func(node *testNode)) *testNode {
 	for _, node := range c.nodes {
 		prepare(node)
 	}
@@ -63,8 +63,8 @@
 	return first
 }
 
-var _ = Describe("a take-over on slow processors", func() {
-	It("after a restart of all settles once one of them has read the state", func() {
+var _ = Describe("a takeover on slow processors", func() {
+	It("after a restart of all nodes settles with one leadership once a node has read the state", func() {
 		for seed := range uint64(5) {
 			for _, readTime := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 				c := newGrownCluster(1500 + seed)
@@ -81,11 +81,11 @@
 		}
 	})
 
-	It("is left to another steward where the disk gives no state to begin with", func() {
+	It("is left to another steward if reading the state from the disk hangs", func() {
 		c := newGrownCluster(1520)
 		c.run(time.Second)
 		c.restartAll()
-		stuck := c.leaderWhile(func(node *testNode) { node.snapshotReadTime = time.Hour })
+		stuck := c.firstLeaseHolder(func(node *testNode) { node.snapshotReadTime = time.Hour })
 		c.run(8 * time.Second)
 		Expect(c.leader()).To(BeNil())
 		c.run(4 * time.Second)
@@ -94,8 +94,8 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("sends nobody the state it began with where that would take back what a disk holds", func() {
-		c := newTestClusterBearing(2, 1530, "a", "b", "c", "d", "e")
+	It("sends no follower a snapshot that is older than the follower's state", func() {
+		c := newTestClusterTolerating(2, 1530, "a", "b", "c", "d", "e")
 		c.run(2 * time.Second)
 		c.valueBytes = 100 << 10
 		c.runWithWrites(500 * time.Millisecond)
@@ -103,17 +103,17 @@
 		c.run(100 * time.Millisecond)
 		leader, others := c.leader(), c.others()
 		behind, ahead := others[0], others[1]
-		c.drops = func(to *testNode, call wire.AppendCall) bool { return to == behind && len(call.Changes) > 0 }
+		c.dropsCall = func(to *testNode, call wire.AppendCall) bool { return to == behind && len(call.Changes) > 0 }
 		c.write()
 		c.run(200 * time.Millisecond)
-		c.drops = func(to *testNode, call wire.AppendCall) bool {
+		c.dropsCall = func(to *testNode, call wire.AppendCall) bool {
 			return to != ahead && to != leader && len(call.Changes) > 0
 		}
 		c.write()
 		c.run(30 * time.Millisecond)
 		Expect(behind.disk.DiskModel.Heads[key].Last.Below(others[2].disk.DiskModel.Heads[key].Last)).To(BeTrue())
 		Expect(others[2].disk.DiskModel.Heads[key].Last.Below(ahead.disk.DiskModel.Heads[key].Last)).To(BeTrue())
-		c.drops = nil
+		c.dropsCall = nil
 		c.slowDownReading(4 * time.Second)
 		c.restartAll()
 		c.bytesPerMs = 4000
@@ -128,59 +128,59 @@
 		c.expectSameState()
 	})
 
-	It("after a restart of all takes one epoch, also where the first candidate lacks changes and each call takes long", func() {
+	It("after a restart of all nodes takes one epoch, even if the first candidate lacks changes and calls are slow", func() {
 		for seed := range uint64(8) {
-			for _, slowness := range []time.Duration{0, 100 * time.Millisecond, 150 * time.Millisecond} {
+			for _, extraDelay := range []time.Duration{0, 100 * time.Millisecond, 150 * time.Millisecond} {
 				c := newGrownCluster(1800 + seed)
 				c.runWithWrites(500 * time.Millisecond)
 				before := c.highestPromise()
-				c.slowness = slowness
+				c.extraDelay = extraDelay
 				c.restartAll()
 				c.runUntil(func() bool { return c.leader() != nil })
-				Expect(c.highestPromise()-before).To(Equal(uint64(1)), "seed %d, slowness %v", seed, slowness)
+				Expect(c.highestPromise()-before).To(Equal(uint64(1)), "seed %d, extra delay %v", seed, extraDelay)
 				c.runWithWrites(5 * time.Second)
-				Expect(c.highestPromise()-before).To(Equal(uint64(1)), "seed %d, slowness %v", seed, slowness)
+				Expect(c.highestPromise()-before).To(Equal(uint64(1)), "seed %d, extra delay %v", seed, extraDelay)
 				Expect(c.violations).To(BeEmpty())
 			}
 		}
 	})
 
-	It("is left to others where the furthest voter does not send what it has", func() {
-		c, late := restartedBehind(1540)
-		c.silentFetches = true
+	It("is left to other voters if the most up-to-date voter does not answer fetches", func() {
+		c, lagging := newClusterRestartedBehind(1540)
+		c.dropsFetches = true
 		for _, node := range c.nodes {
-			if node != late {
+			if node != lagging {
 				node.engine.Leave()
 			}
 		}
-		holds := func() bool {
+		holdsLease := func() bool {
 			return slices.ContainsFunc(c.nodes, func(node *testNode) bool {
 				status := node.replicas.Status(key)
-				return status.LeaseHolderDisk == late.disk.name && c.clock.Monotonic() < status.LeaseUntil
+				return status.LeaseHolderDisk == lagging.disk.name && c.clock.Monotonic() < status.LeaseUntil
 			})
 		}
-		c.runUntil(holds)
+		c.runUntil(holdsLease)
 		c.run(400 * time.Millisecond)
-		Expect(holds()).To(BeTrue())
+		Expect(holdsLease()).To(BeTrue())
 		c.run(400 * time.Millisecond)
-		Expect(holds()).To(BeFalse())
+		Expect(holdsLease()).To(BeFalse())
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("holds its lease most of the time, where each answer takes longer than the pause between two heartbeats", func() {
+	It("holds its lease most of the time if each answer takes longer than the heartbeat interval", func() {
 		for seed := range uint64(5) {
 			c := newGrownCluster(1800 + seed)
-			c.slowness = 330 * time.Millisecond
+			c.extraDelay = 330 * time.Millisecond
 			c.runWithWrites(5 * time.Second)
-			led := time.Duration(0)
+			leaderTime := time.Duration(0)
 			for range 30000 {
 				c.runWithWrites(time.Millisecond)
 				if c.leader() != nil {
-					led += time.Millisecond
+					leaderTime += time.Millisecond
 				}
 			}
-			AddReportEntry("of 30 s, with calls of 330 to 660 ms", led.String())
-			Expect(led).To(BeNumerically(">", 20*time.Second), "seed %d", seed)
+			AddReportEntry("time with a lease, of 30 s with calls of 330 to 660 ms", leaderTime.String())
+			Expect(leaderTime).To(BeNumerically(">", 20*time.Second), "seed %d", seed)
 			Expect(c.violations).To(BeEmpty())
 		}
 	})
--- a/internal/control/replication/testcluster_test.go
+++ b/internal/control/replication/testcluster_test.go
@@ -19,24 +19,24 @@
 	"gannetline/internal/simulation/simcluster"
 )
 
-// fakeDisk keeps what was synced; a write waits in the line until the simulated cluster syncs it.
+// fakeDisk is a disk in memory. A write is pending until the simulated cluster syncs it.
 type fakeDisk struct {
 	*simcluster.DiskModel
 	name          string
 	isNew         bool
 	pendingWrites []func()
 	isStalled     bool
-	// failsWrites makes each write fail; unclear lets it reach the disk all the same.
+	// failsWrites makes each write fail without effect. isOutcomeUnclear makes each write report a failure though it was applied.
 	failsWrites      bool
 	isOutcomeUnclear bool
-	// syncTime is how long a sync takes; without one it takes a few milliseconds.
+	// syncTime is how long a sync takes; 0 is a few random milliseconds.
 	syncTime    time.Duration
 	syncBegunAt time.Duration
-	// pairNames are those of all pairs on the disk.
+	// pairNames holds the names of all pairs on the disk.
 	pairNames map[string]bool
 }
 
-var errDiskFull = errors.New("the disk refuses")
+var errDiskFull = errors.New("write failed: the disk is full")
 
 func newDisk(name string) *fakeDisk {
 	return &fakeDisk{DiskModel: simcluster.NewDiskModel(), name: name, isNew: true, pairNames: map[string]bool{}}
@@ -81,8 +81,8 @@
 	}
 }
 
-// maySync tells whether the sync of what waits may end now.
-func (d *fakeDisk) maySync(now time.Duration, random *rand.Rand) bool {
+// canSync reports whether the sync of the pending writes ends now.
+func (d *fakeDisk) canSync(now time.Duration, random *rand.Rand) bool {
 	if d.isStalled || len(d.pendingWrites) == 0 {
 		d.syncBegunAt = now
 		return false
@@ -93,6 +93,7 @@
 	return random.IntN(4) == 0
 }
 
+// recordingMachine is a state machine that checks the invariants of the cluster when it is opened.
 type recordingMachine struct {
 	cluster    *testCluster
 	node       *testNode
@@ -111,21 +112,22 @@
 
 func (m *recordingMachine) Close() { m.leadership = nil }
 
-// nodeClock is the simulated cluster's clock with a time of day that may jump, and a steady clock that may run fast or slow.
+// nodeClock is the clock of one node. Its time of day can jump, and its monotonic clock can run fast or slow.
 type nodeClock struct {
 	*clock.Fake
-	jump int64
-	// perMille is how many milliseconds it gains in a second.
-	perMille int64
+	// wallJumpMs is the offset of the time of day in milliseconds.
+	wallJumpMs int64
+	// driftPerMille is how many milliseconds the monotonic clock gains in a second.
+	driftPerMille int64
 }
 
 func (c *nodeClock) Monotonic() time.Duration {
-	return c.Fake.Monotonic() * time.Duration(1000+c.perMille) / 1000
+	return c.Fake.Monotonic() * time.Duration(1000+c.driftPerMille) / 1000
 }
 
-func (c *nodeClock) WallMs() int64 { return c.Fake.WallMs() + c.jump }
+func (c *nodeClock) WallMs() int64 { return c.Fake.WallMs() + c.wallJumpMs }
 
-// testNode is one steward: its disk stays while the rest of it may die.
+// testNode is one steward. Its disk survives a crash of its process.
 type testNode struct {
 	cluster           *testCluster
 	name              string
@@ -137,7 +139,7 @@
 	lacksChunkSupport bool
 	delay             time.Duration
 	incarnation       int
-	// snapshotReadTime is how long its processor needs to read the snapshot; busyUntil is when its engine's goroutine is free.
+	// snapshotReadTime is how long reading the snapshot takes. Until busyUntil the goroutine of the engine is busy.
 	snapshotReadTime time.Duration
 	busyUntil        time.Duration
 	clock            *nodeClock
@@ -151,33 +153,33 @@
 	run func()
 }
 
-// networkFaults are what the network does to messages. Links are named "from>to".
+// networkFaults are the faults that the simulated network injects. Links are named "from>to".
 type networkFaults struct {
-	// isolated holds the nodes that reach nobody, blockedLinks the links that carry nothing.
+	// isolated holds the nodes that are cut off from all others. blockedLinks holds the links that drop all messages.
 	isolated     map[string]bool
 	blockedLinks map[string]bool
-	// lateNodes holds the nodes whose calls, there and from there, may come seconds late.
-	lateNodes map[string]bool
-	// lossRate is the share of messages that are lost or doubled.
+	// delayedNodes holds the nodes whose incoming and outgoing calls may arrive seconds late.
+	delayedNodes map[string]bool
+	// lossRate is the share of messages that are lost or duplicated.
 	lossRate float64
-	// drops tells whether a call is lost.
-	drops func(to *testNode, call wire.AppendCall) bool
-	// silentFetches lets no call for a state arrive.
-	silentFetches bool
-	// bytesPerMs limits what a node sends; 0 is no limit. linkBusyUntil is when a node's link is free again.
+	// dropsCall reports whether a call is lost; nil drops none.
+	dropsCall func(to *testNode, call wire.AppendCall) bool
+	// dropsFetches drops all fetch calls.
+	dropsFetches bool
+	// bytesPerMs limits the bandwidth of each node; 0 is no limit. linkBusyUntil is when a node's link is free again.
 	bytesPerMs    int
 	linkBusyUntil map[string]time.Duration
-	// slowness is how long each message takes at most beyond the usual, and half of it at least, as on machines short of
+	// extraDelay is the maximum additional delay of each message; the minimum is half of it. It simulates machines with too few
 	// processors.
-	slowness time.Duration
+	extraDelay time.Duration
 }
 
 func noNetworkFaults() networkFaults {
-	return networkFaults{isolated: map[string]bool{}, blockedLinks: map[string]bool{}, lateNodes: map[string]bool{},
+	return networkFaults{isolated: map[string]bool{}, blockedLinks: map[string]bool{}, delayedNodes: map[string]bool{},
 		linkBusyUntil: map[string]time.Duration{}}
 }
 
-// callCounts are the calls that were made so far, and the numbers of the chunks that were sent and fetched.
+// callCounts counts the calls made so far, and lists the numbers of the chunks that were sent and fetched.
 type callCounts struct {
 	appendCount        int
 	preVotes           int
@@ -187,7 +189,7 @@
 	chunksFetched      []int
 }
 
-// testCluster is a network and a clock of which the test is master.
+// testCluster is a simulated cluster whose network and clock the test controls.
 type testCluster struct {
 	networkFaults
 	callCounts
@@ -195,17 +197,18 @@
 	random   *rand.Rand
 	nodes    []*testNode
 	messages []message
-	// diskless are members without a disk, beside the nodes.
+	// diskless holds members without a disk, in addition to the nodes.
 	diskless []wire.Member
-	// machineLosses is how many disks must be able to be lost at once.
+	// machineLosses is the number of disks that the cluster must tolerate losing at once.
 	machineLosses int
 	lastWipeAt    time.Duration
-	// options are further ones of all engines.
+	// options holds additional options for all engines.
 	options []replication.Option
-	// valueBytes is how much longer each value is made; writeCount numbers the writes.
+	// valueBytes is the number of bytes that are added to each value. writeCount numbers the writes.
 	valueBytes int
 	writeCount int
-	// acknowledged holds the values by name, leaders the node that led each epoch, violations what broke the invariants.
+	// acknowledged holds the acknowledged values by name, leaders the name of the leader by epoch, and violations the broken
+	// invariants.
 	acknowledged map[string]string
 	leaders      map[uint64]string
 	violations   []string
@@ -214,11 +217,11 @@
 const key = "pool/wards"
 
 func newTestCluster(seed uint64, names ...string) *testCluster {
-	return newTestClusterBearing(1, seed, names...)
+	return newTestClusterTolerating(1, seed, names...)
 }
 
-// newTestClusterBearing has keys that must survive the loss of so many disks at once.
-func newTestClusterBearing(losses int, seed uint64, names ...string) *testCluster {
+// newTestClusterTolerating returns a cluster whose keys must survive the loss of that many disks at once.
+func newTestClusterTolerating(losses int, seed uint64, names ...string) *testCluster {
 	c := &testCluster{networkFaults: noNetworkFaults(), machineLosses: losses, clock: clock.NewFake(1_000_000),
 		random: rand.New(rand.NewPCG(seed, 1)), lastWipeAt: -time.Hour, acknowledged: map[string]string{}, leaders: map[uint64]string{}}
 	for _, name := range names {
@@ -285,7 +288,7 @@
 	return nil
 }
 
-// nodeFor is where a call to a disk goes: to its node, also when that came back with another disk at the same address.
+// nodeFor returns the node that receives the calls to a disk: the node that has the disk or, at the same address, had it before.
 func (c *testCluster) nodeFor(disk string) *testNode {
 	if node := c.byDisk(disk); node != nil {
 		return node
@@ -302,18 +305,18 @@
 	c.messages = append(c.messages, message{c.clock.Monotonic() + wait, run})
 }
 
-func (c *testCluster) transit() time.Duration {
-	return time.Duration(1+c.random.IntN(9))*time.Millisecond + c.slowness/2 + time.Duration(c.random.Int64N(int64(c.slowness)/2+1))
+func (c *testCluster) transitTime() time.Duration {
+	return time.Duration(1+c.random.IntN(9))*time.Millisecond + c.extraDelay/2 + time.Duration(c.random.Int64N(int64(c.extraDelay)/2+1))
 }
 
 func (c *testCluster) isCut(a, b *testNode) bool {
 	return a != b && (c.isolated[a.name] || c.isolated[b.name] || c.blockedLinks[a.name+">"+b.name])
 }
 
-// smallMessage is one that passes by the large ones on a link, as windows are small there.
+// smallMessage is the size in bytes below which a message is not queued behind large ones on a link, since windows are small.
 const smallMessage = 4 << 10
 
-// sendTime is how long a message of some bytes takes to leave a node, a large one behind those before it.
+// sendTime returns how long a node takes to send a message. A large message waits for earlier large ones.
 func (c *testCluster) sendTime(from, to *testNode, bytes int) time.Duration {
 	if c.bytesPerMs == 0 || from == to {
 		return 0
@@ -322,9 +325,9 @@
 		return time.Duration(bytes/c.bytesPerMs) * time.Millisecond
 	}
 	now := c.clock.Monotonic()
-	free := max(now, c.linkBusyUntil[from.name]) + time.Duration(bytes/c.bytesPerMs)*time.Millisecond
-	c.linkBusyUntil[from.name] = free
-	return free - now
+	freeAt := max(now, c.linkBusyUntil[from.name]) + time.Duration(bytes/c.bytesPerMs)*time.Millisecond
+	c.linkBusyUntil[from.name] = freeAt
+	return freeAt - now
 }
 
 func sizeOfChanges(changes []wire.Change) (size int) {
@@ -360,50 +363,50 @@
 	return size
 }
 
-// carry brings a call to another node and its answer back, unless a fault eats one of them.
-func carry[T any](c *testCluster, from, to *testNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
-	carrySized(c, from, to, 0, func(T) int { return 0 }, limit, serve, done)
+// roundTrip delivers a call to another node and its answer back, unless a fault drops one of them.
+func roundTrip[T any](c *testCluster, from, to *testNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	roundTripSized(c, from, to, 0, func(T) int { return 0 }, limit, serve, done)
 }
 
-// carrySized is carry for a call and an answer that take the link some time.
-func carrySized[T any](c *testCluster, from, to *testNode, bytes int, bytesBack func(T) int, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
-	incarnation, isOver := from.incarnation, false
+// roundTripSized is roundTrip for a call and an answer whose sizes delay them on a link of limited bandwidth.
+func roundTripSized[T any](c *testCluster, from, to *testNode, bytes int, bytesBack func(T) int, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+	incarnation, isDone := from.incarnation, false
 	finish := func(value T, err error) {
-		from.onEngine(func() {
-			if !isOver && from.isUp && from.incarnation == incarnation {
-				isOver = true
+		from.runOnEngine(func() {
+			if !isDone && from.isUp && from.incarnation == incarnation {
+				isDone = true
 				done(value, err)
 			}
 		})
 	}
-	var none T
-	c.schedule(limit, func() { finish(none, errors.New("no answer in time")) })
+	var zero T
+	c.schedule(limit, func() { finish(zero, errors.New("the call timed out")) })
 	if to == nil {
 		return
 	}
-	times := 1
+	copies := 1
 	if c.random.Float64() < c.lossRate {
-		times = c.random.IntN(3)
+		copies = c.random.IntN(3)
 	}
-	for range times {
-		late := time.Duration(c.random.IntN(times)) * 20 * time.Millisecond
-		if (c.lateNodes[from.name] || c.lateNodes[to.name]) && c.random.IntN(2) == 0 {
-			late = time.Duration(c.random.IntN(2500)) * time.Millisecond
+	for range copies {
+		lateness := time.Duration(c.random.IntN(copies)) * 20 * time.Millisecond
+		if (c.delayedNodes[from.name] || c.delayedNodes[to.name]) && c.random.IntN(2) == 0 {
+			lateness = time.Duration(c.random.IntN(2500)) * time.Millisecond
 		}
-		c.schedule(c.transit()+c.sendTime(from, to, bytes)+late, func() {
+		c.schedule(c.transitTime()+c.sendTime(from, to, bytes)+lateness, func() {
 			c.arrive(from, to, func() {
 				serve(func(value T) {
-					c.schedule(c.transit()+c.sendTime(to, from, bytesBack(value)), func() { c.arrive(to, from, func() { finish(value, nil) }) })
+					c.schedule(c.transitTime()+c.sendTime(to, from, bytesBack(value)), func() { c.arrive(to, from, func() { finish(value, nil) }) })
 				})
 			})
 		})
 	}
 }
 
-// onEngine runs something on the goroutine of the node's engine, once that is free.
-func (n *testNode) onEngine(run func()) {
+// runOnEngine runs a function on the goroutine of the node's engine once that is free.
+func (n *testNode) runOnEngine(run func()) {
 	if wait := n.busyUntil - n.cluster.clock.Monotonic(); wait > 0 {
-		n.cluster.schedule(wait, func() { n.onEngine(run) })
+		n.cluster.schedule(wait, func() { n.runOnEngine(run) })
 		return
 	}
 	run()
@@ -429,7 +432,7 @@
 		r.node.cluster.preVotes++
 	}
 	to := r.node.cluster.nodeFor(disk)
-	carry(r.node.cluster, r.node, to, 500*time.Millisecond, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
+	roundTrip(r.node.cluster, r.node, to, 500*time.Millisecond, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(call, answer) }, done)
 }
 
 func (r *testTransport) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
@@ -440,7 +443,7 @@
 	if call.Chunk != nil {
 		r.node.cluster.chunksSent = append(r.node.cluster.chunksSent, call.Chunk.Number)
 	}
-	if to != nil && r.node.cluster.drops != nil && r.node.cluster.drops(to, call) {
+	if to != nil && r.node.cluster.dropsCall != nil && r.node.cluster.dropsCall(to, call) {
 		to = nil
 	}
 	if to != nil && to.lacksChunkSupport {
@@ -448,7 +451,7 @@
 	}
 	r.node.cluster.appendCount++
 	sizeBack := func(wire.AppendAnswer) int { return 128 }
-	carrySized(r.node.cluster, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(wire.AppendAnswer)) {
+	roundTripSized(r.node.cluster, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(wire.AppendAnswer)) {
 		to.replicas.Append(call, func(response wire.AppendAnswer) {
 			if !to.lacksChunkSupport && to != r.node {
 				response.DelayUs = max(1, to.delay.Microseconds())
@@ -465,20 +468,20 @@
 	r.Append(r.node.disk.name, call, done)
 }
 
-func (r *testTransport) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
+func (r *testTransport) Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	to := r.node.cluster.nodeFor(disk)
-	if r.node.cluster.silentFetches {
+	if r.node.cluster.dropsFetches {
 		to = nil
 	}
-	carrySized(r.node.cluster, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(wire.FetchAnswer)) {
-		if snapshot, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
+	roundTripSized(r.node.cluster, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(wire.FetchAnswer)) {
+		if response, err := to.replicas.Fetch(to.replicas.History(call.Key), call); err == nil {
 			if to.lacksChunkSupport {
-				snapshot, _ = to.replicas.Fetch(replication.History{}, wire.FetchCall{Key: ask.Key})
+				response, _ = to.replicas.Fetch(replication.History{}, wire.FetchCall{Key: call.Key})
 			}
-			if snapshot.Chunk != nil {
-				r.node.cluster.chunksFetched = append(r.node.cluster.chunksFetched, snapshot.Chunk.Number)
+			if response.Chunk != nil {
+				r.node.cluster.chunksFetched = append(r.node.cluster.chunksFetched, response.Chunk.Number)
 			}
-			answer(snapshot)
+			answer(response)
 		}
 	}, done)
 }
@@ -495,7 +498,7 @@
 	incarnation := r.node.incarnation
 	snapshot, err := r.node.disk.Read(key)
 	r.node.cluster.schedule(r.node.snapshotReadTime, func() {
-		r.node.onEngine(func() {
+		r.node.runOnEngine(func() {
 			if r.node.isUp && r.node.incarnation == incarnation {
 				done(snapshot, err)
 			}
@@ -506,12 +509,12 @@
 func (c *testCluster) onOpen(m *recordingMachine) {
 	epoch := m.leadership.Epoch()
 	if other, isTaken := c.leaders[epoch]; isTaken {
-		c.recordViolation("epoch %d is led by %s and %s", epoch, other, m.node.name)
+		c.recordViolation("epoch %d has two leaders, %s and %s", epoch, other, m.node.name)
 	}
 	c.leaders[epoch] = m.node.name
 	for name, value := range c.acknowledged {
 		if m.values[name] != value {
-			c.recordViolation("%s leads epoch %d without %s, which was acknowledged", m.node.name, epoch, name)
+			c.recordViolation("%s leads epoch %d but lacks the acknowledged change %s", m.node.name, epoch, name)
 		}
 	}
 }
@@ -520,7 +523,7 @@
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.clock.Monotonic())+fmt.Sprintf(format, values...))
 }
 
-// step lets one millisecond pass.
+// step advances the simulation by one millisecond.
 func (c *testCluster) step() {
 	c.clock.Advance(time.Millisecond)
 	now := c.clock.Monotonic()
@@ -542,7 +545,7 @@
 }
 
 func (n *testNode) runOnce(now time.Duration) {
-	if n.disk.maySync(now, n.cluster.random) {
+	if n.disk.canSync(now, n.cluster.random) {
 		writes := n.disk.pendingWrites
 		n.disk.pendingWrites, n.disk.syncBegunAt = nil, now
 		for _, sync := range writes {
@@ -564,18 +567,19 @@
 		}
 	}
 	if len(holders) > 1 {
-		c.recordViolation("two leases at once: %v", holders)
+		c.recordViolation("several nodes hold a lease at the same time: %v", holders)
 	}
 }
 
-// checkLeaseGranted looks whether a majority of a leader's voters would refuse any other now; those that are down or gone do.
+// checkLeaseGranted checks that a quorum of a leader's voters would now refuse any other candidate. Voters that are down or gone
+// count as refusing.
 func (c *testCluster) checkLeaseGranted(leader *testNode) {
 	refuses := func(disk string) bool {
 		voter := c.byDisk(disk)
 		return voter == nil || !voter.isUp || voter.clock.Monotonic() < voter.replicas.Status(key).LeaseUntil
 	}
 	if set := leader.engine.Belief().Voters; !quorum.Reached(set, refuses) {
-		c.recordViolation("%s counts on a lease that no majority of %v has granted", leader.name, set)
+		c.recordViolation("%s holds a lease that no quorum of %v has granted", leader.name, set)
 	}
 }
 
@@ -595,7 +599,7 @@
 	return c.nodes[index]
 }
 
-// write hands a change to whoever holds the key, and notes it once it is acknowledged.
+// write commits a change through each node that considers itself leader, and records it once it is acknowledged.
 func (c *testCluster) write() {
 	for _, node := range c.nodes {
 		if !node.isUp || node.isFrozen || node.machine.leadership == nil {
@@ -613,18 +617,18 @@
 	}
 }
 
-// checkAcknowledged looks at a change at the moment of its acknowledgement: a majority of its leader's voters must hold
-// it, and each leader of a later epoch.
+// checkAcknowledged checks a change at the moment of its acknowledgement: a quorum of its leader's voters must hold it, and so must
+// each leader of a later epoch. The quorum is not checked within two seconds of a wipe.
 func (c *testCluster) checkAcknowledged(leader *testNode, name string) {
 	set := leader.engine.Belief().Voters
 	holds := func(disk string) bool { node := c.byDisk(disk); return node != nil && node.holds(name) }
 	if c.clock.Monotonic()-c.lastWipeAt > 2*time.Second && !quorum.Reached(set, holds) {
-		c.recordViolation("%s was acknowledged by %s while no majority of %v holds it", name, leader.name, set)
+		c.recordViolation("%s was acknowledged by %s but no quorum of %v holds it", name, leader.name, set)
 	}
 	for _, node := range c.nodes {
 		isLater := node.isUp && node.machine.leadership != nil && node.engine.Epoch() > leader.engine.Epoch()
 		if _, holds := node.machine.values[name]; isLater && !holds {
-			c.recordViolation("%s was acknowledged by %s while %s leads a later epoch without it", name, leader.name, node.name)
+			c.recordViolation("%s was acknowledged by %s but %s leads a later epoch and lacks it", name, leader.name, node.name)
 		}
 	}
 }
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -11,9 +11,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// newGrownCluster is a simulated cluster of five voters out of six stewards, whose first voters are a, b and c.
+// newGrownCluster returns a simulated cluster of six stewards whose voters have grown from a, b and c to five.
 func newGrownCluster(seed uint64) *testCluster {
-	c := newTestClusterBearing(2, seed, "a", "b", "c", "d", "e", "f")
+	c := newTestClusterTolerating(2, seed, "a", "b", "c", "d", "e", "f")
 	c.run(3 * time.Second)
 	Expect(c.voters()).To(HaveLen(5))
 	return c
@@ -27,7 +27,7 @@
 	return leader.disk.DiskModel.Heads[key].Voters.Current
 }
 
-// nodesHolding are up to count nodes whose disks hold all that was acknowledged, the leader the first.
+// nodesHolding returns up to count nodes whose disks hold all acknowledged changes, the leader first.
 func (c *testCluster) nodesHolding(count int) []*testNode {
 	var all []*testNode
 	for _, node := range append([]*testNode{c.leader()}, c.nodes...) {
@@ -49,15 +49,15 @@
 }
 
 var _ = Describe("the voters of a key", func() {
-	It("grow from three to five in one change and well under a second, while commits flow", func() {
-		c := newTestClusterBearing(2, 1, "a", "b", "c", "d", "e")
+	It("grow from three to five in one change within 600 ms during writes", func() {
+		c := newTestClusterTolerating(2, 1, "a", "b", "c", "d", "e")
 		c.runUntil(func() bool { return c.leader() != nil })
-		began := c.clock.Monotonic()
+		startedAt := c.clock.Monotonic()
 		for len(c.voters()) < 5 {
 			c.write()
 			c.run(5 * time.Millisecond)
 			Expect(c.voters()).NotTo(HaveLen(4))
-			Expect(c.clock.Monotonic() - began).To(BeNumerically("<", 600*time.Millisecond))
+			Expect(c.clock.Monotonic() - startedAt).To(BeNumerically("<", 600*time.Millisecond))
 		}
 		c.run(200 * time.Millisecond)
 		Expect(c.leader().disk.DiskModel.Heads[key].Voters.Old).To(BeEmpty())
@@ -65,7 +65,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("need three disks of five for a commit", func() {
+	It("commit a change with three of five disks, not with two", func() {
 		c := newGrownCluster(2)
 		for _, node := range c.nodes {
 			if node != c.leader() && (slices.Contains(c.voters(), node.disk.name)) && len(c.stalledNodes()) < 3 {
@@ -81,7 +81,7 @@
 	})
 
 	for seed := range uint64(6) {
-		It(fmt.Sprintf("keep what was acknowledged when two disks that hold it are wiped and all others lose power, seed %d", seed), func() {
+		It(fmt.Sprintf("keep acknowledged changes when two disks that hold them are wiped and all other nodes lose power, seed %d", seed), func() {
 			c := newGrownCluster(10 + seed)
 			before := len(c.acknowledged)
 			c.runUntil(func() bool {
@@ -89,13 +89,13 @@
 				c.run(6 * time.Millisecond)
 				return len(c.acknowledged) > before
 			})
-			struck := c.nodesHolding(2)
-			Expect(struck).To(HaveLen(2))
-			for index, node := range struck {
+			affected := c.nodesHolding(2)
+			Expect(affected).To(HaveLen(2))
+			for index, node := range affected {
 				node.wipe(fmt.Sprintf("disk-%s-%d", node.name, index))
 			}
 			for _, node := range c.nodes {
-				if !slices.Contains(struck, node) {
+				if !slices.Contains(affected, node) {
 					node.kill()
 					node.start()
 				}
@@ -104,15 +104,15 @@
 			Expect(c.leader()).NotTo(BeNil())
 			Expect(c.violations).To(BeEmpty())
 			Expect(c.voters()).To(HaveLen(5))
-			for _, node := range struck {
-				for _, past := range node.formerDisks {
-					Expect(c.voters()).NotTo(ContainElement(past))
+			for _, node := range affected {
+				for _, formerDisk := range node.formerDisks {
+					Expect(c.voters()).NotTo(ContainElement(formerDisk))
 				}
 			}
 		})
 	}
 
-	It("are completed after two are lost, so that the next two may be lost", func() {
+	It("are replaced after the loss of two, so that two more can be lost", func() {
 		c := newGrownCluster(20)
 		c.write()
 		c.run(100 * time.Millisecond)
@@ -127,11 +127,11 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("grow during a loss of all power", func() {
-		for cut := range 40 {
-			c := newTestClusterBearing(2, uint64(30+cut), "a", "b", "c", "d", "e")
+	It("grow to five if all nodes lose power during the voter change", func() {
+		for writes := range 40 {
+			c := newTestClusterTolerating(2, uint64(30+writes), "a", "b", "c", "d", "e")
 			c.runUntil(func() bool { return c.leader() != nil })
-			for range cut {
+			for range writes {
 				c.write()
 				c.run(8 * time.Millisecond)
 			}
@@ -145,7 +145,7 @@
 		}
 	})
 
-	It("are swapped while a cut lasts, and the one that comes back disturbs nobody", func() {
+	It("are replaced during a partition, and the replaced leader doesn't disrupt the new one on its return", func() {
 		c := newGrownCluster(3)
 		leader := c.leader()
 		c.isolated[leader.name] = true
@@ -156,18 +156,18 @@
 		Expect(c.leader()).NotTo(BeNil())
 		Expect(c.voters()).To(HaveLen(5))
 		Expect(c.voters()).NotTo(ContainElement(leader.disk.name))
-		now, epoch := c.leader(), c.leader().machine.leadership.Epoch()
+		newLeader, epoch := c.leader(), c.leader().machine.leadership.Epoch()
 		delete(c.isolated, leader.name)
 		c.preVotes = 0
 		c.run(4 * time.Second)
-		Expect(c.leader()).To(Equal(now))
-		Expect(now.machine.leadership.Epoch()).To(Equal(epoch))
+		Expect(c.leader()).To(Equal(newLeader))
+		Expect(newLeader.machine.leadership.Epoch()).To(Equal(epoch))
 		Expect(c.preVotes).To(BeNumerically("<=", 3*5))
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("change once at a time: a change that the old voters have not agreed to is not followed by another", func() {
-		c := newTestClusterBearing(2, 9, "a", "b", "c", "d", "e", "f")
+	It("don't change again before the old voters have committed the previous change", func() {
+		c := newTestClusterTolerating(2, 9, "a", "b", "c", "d", "e", "f")
 		c.runUntil(func() bool { return c.leader() != nil && len(c.leader().engine.Belief().Voters.Old) > 0 })
 		leader := c.leader()
 		for _, node := range c.nodes[:3] {
@@ -185,9 +185,9 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("are not the new ones alone before the old ones have agreed", func() {
-		c := newTestClusterBearing(2, 40, "a", "b", "c", "d", "e")
-		c.drops = func(to *testNode, call wire.AppendCall) bool {
+	It("stay joint until a majority of the old voters holds the change", func() {
+		c := newTestClusterTolerating(2, 40, "a", "b", "c", "d", "e")
+		c.dropsCall = func(to *testNode, call wire.AppendCall) bool {
 			isJoint := func(change wire.Change) bool { return change.Voters != nil && len(change.Voters.Old) > 0 }
 			return slices.Contains(c.nodes[:3], to) && to.disk.name != call.Disk && slices.ContainsFunc(call.Changes, isJoint)
 		}
@@ -197,14 +197,14 @@
 		}
 		Expect(c.acknowledged).NotTo(BeEmpty())
 		Expect(c.violations).To(BeEmpty())
-		c.drops = nil
+		c.dropsCall = nil
 		c.run(4 * time.Second)
 		Expect(c.voters()).To(HaveLen(5))
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("are spread so that a domain holds as few as can be", func() {
-		c := newTestClusterBearing(2, 4, "a", "b", "c")
+	It("are spread evenly over failure domains", func() {
+		c := newTestClusterTolerating(2, 4, "a", "b", "c")
 		for index, name := range []string{"d", "e", "f", "g", "h"} {
 			c.add(name).domain = []string{"one", "one", "two", "two", "four"}[index]
 		}
@@ -224,8 +224,8 @@
 		Expect(count).To(HaveLen(4))
 	})
 
-	It("stay an odd number while there are too few disks", func() {
-		c := newTestClusterBearing(2, 5, "a", "b", "c", "d")
+	It("stay odd in number while there are too few disks", func() {
+		c := newTestClusterTolerating(2, 5, "a", "b", "c", "d")
 		c.run(3 * time.Second)
 		Expect(c.voters()).To(HaveLen(3))
 		c.add("e").start()
@@ -233,7 +233,7 @@
 		Expect(c.voters()).To(HaveLen(5))
 	})
 
-	It("shrink by those that are lost, and by no live one", func() {
+	It("shrink by lost voters only, not by live ones", func() {
 		c := newGrownCluster(6)
 		for _, node := range c.nodes {
 			node.kill()
@@ -252,16 +252,16 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("never count a steward without a disk", func() {
-		c := newTestClusterBearing(2, 7, "a", "b", "c", "d", "e")
+	It("never include a steward without a disk", func() {
+		c := newTestClusterTolerating(2, 7, "a", "b", "c", "d", "e")
 		c.diskless = []wire.Member{{Name: "x", Role: "steward", Domain: "far"}, {Name: "y", Role: "steward", Domain: "off"}}
 		c.runUntil(func() bool { return c.leader() != nil })
 		c.run(600 * time.Millisecond)
 		Expect(c.voters()).To(ConsistOf("disk-a", "disk-b", "disk-c", "disk-d", "disk-e"))
 	})
 
-	It("never wait for a machine that is known to be gone", func() {
-		c := newTestClusterBearing(2, 11, "a", "b", "c", "d", "e")
+	It("grow without waiting for machines that are known to be gone", func() {
+		c := newTestClusterTolerating(2, 11, "a", "b", "c", "d", "e")
 		for _, name := range []string{"g", "h", "i", "j", "k", "l"} {
 			c.add(name)
 		}
@@ -270,8 +270,8 @@
 		Expect(c.voters()).To(ConsistOf("disk-a", "disk-b", "disk-c", "disk-d", "disk-e"))
 	})
 
-	It("take a machine's new disk for its old one as soon as that is known", func() {
-		c := newTestClusterBearing(2, 13, "a", "b", "c", "d", "e")
+	It("include a machine's new disk instead of its old one as soon as the replacement is known", func() {
+		c := newTestClusterTolerating(2, 13, "a", "b", "c", "d", "e")
 		c.run(2 * time.Second)
 		leader := c.leader()
 		victim := c.nodes[(slices.Index(c.nodes, leader)+1)%5]
@@ -281,7 +281,7 @@
 		Expect(c.voters()).To(ContainElement("disk-fresh"))
 	})
 
-	It("are sent nothing once they are voted out", func() {
+	It("are sent no changes after they are removed", func() {
 		c := newGrownCluster(14)
 		victim := c.nodes[slices.IndexFunc(c.nodes, func(node *testNode) bool {
 			return node != c.leader() && slices.Contains(c.voters(), node.disk.name)
@@ -304,7 +304,7 @@
 		Expect(last[1]).To(Equal(last[0]))
 	})
 
-	It("leave alone a newcomer that is no longer needed", func() {
+	It("send nothing to a replacement that is no longer needed", func() {
 		c := newGrownCluster(15)
 		isVoter := func(node *testNode) bool { return slices.Contains(c.voters(), node.disk.name) }
 		replacement := c.nodes[slices.IndexFunc(c.nodes, func(node *testNode) bool { return !isVoter(node) })]
@@ -320,8 +320,8 @@
 		Expect(replacement.disk.DiskModel.Heads[key].Last).To(Equal(wire.LogPosition{}))
 	})
 
-	It("keep a lost one while there is none to take its place", func() {
-		c := newTestClusterBearing(2, 12, "a", "b", "c", "d", "e")
+	It("keep a lost voter while there is no replacement", func() {
+		c := newTestClusterTolerating(2, 12, "a", "b", "c", "d", "e")
 		c.run(2 * time.Second)
 		for _, node := range c.nodes {
 			if node != c.leader() {
@@ -333,9 +333,9 @@
 		Expect(c.voters()).To(ConsistOf("disk-a", "disk-b", "disk-c", "disk-d", "disk-e"))
 	})
 
-	It("pass over a newcomer that does not answer", func() {
+	It("don't include a new disk that does not answer", func() {
 		for index := range 3 {
-			c := newTestClusterBearing(2, 8, "a", "b", "c", "d", "e", "f")
+			c := newTestClusterTolerating(2, 8, "a", "b", "c", "d", "e", "f")
 			silent := c.nodes[3+index]
 			c.isolated[silent.name] = true
 			c.run(5 * time.Second)
@@ -345,8 +345,8 @@
 	})
 
 	for seed := range uint64(24) {
-		It(fmt.Sprintf("keep their promises through a random schedule of faults on two at once, seed %d", seed), func() {
-			c := newTestClusterBearing(2, 200+seed, "a", "b", "c", "d", "e", "f")
+		It(fmt.Sprintf("keep the invariants under random faults on two nodes at once, seed %d", seed), func() {
+			c := newTestClusterTolerating(2, 200+seed, "a", "b", "c", "d", "e", "f")
 			c.lossRate = 0.1
 			wipes := 0
 			for range 40 {
@@ -367,9 +367,9 @@
 	}
 })
 
-// runUntil lets time pass until something is so.
-func (c *testCluster) runUntil(isSo func() bool) {
-	for end := c.clock.Monotonic() + 5*time.Second; !isSo(); c.step() {
+// runUntil runs the simulation until a condition holds, for at most five seconds.
+func (c *testCluster) runUntil(condition func() bool) {
+	for end := c.clock.Monotonic() + 5*time.Second; !condition(); c.step() {
 		Expect(c.clock.Monotonic()).To(BeNumerically("<", end))
 	}
 }
@@ -388,19 +388,19 @@
 	}
 }
 
-// injectFaults strikes two nodes at once, and at times all others with them.
+// injectFaults injects a fault into two nodes at once. Sometimes it wipes both, and lets all other nodes lose power.
 func (c *testCluster) injectFaults(wipes *int) {
 	c.heal()
 	index := c.random.IntN(len(c.nodes))
-	struck := []*testNode{c.nodes[index], c.nodes[(index+1+c.random.IntN(len(c.nodes)-1))%len(c.nodes)]}
+	affected := []*testNode{c.nodes[index], c.nodes[(index+1+c.random.IntN(len(c.nodes)-1))%len(c.nodes)]}
 	if *wipes < 8 && c.random.IntN(4) == 0 && c.haveAllVotersCaughtUp() {
-		for _, node := range struck {
+		for _, node := range affected {
 			*wipes++
 			node.wipe(fmt.Sprintf("disk-%s-%d", node.name, *wipes))
 		}
 		if c.random.IntN(2) == 0 {
 			for _, node := range c.nodes {
-				if !slices.Contains(struck, node) {
+				if !slices.Contains(affected, node) {
 					node.kill()
 					node.start()
 				}
@@ -409,7 +409,7 @@
 		c.run(7 * time.Second)
 		return
 	}
-	for _, node := range struck {
+	for _, node := range affected {
 		switch c.random.IntN(5) {
 		case 0:
 			node.kill()
@@ -426,7 +426,7 @@
 	}
 }
 
-// haveAllVotersCaughtUp tells whether five live voters stand by what the leader holds, so that two more may be lost.
+// haveAllVotersCaughtUp reports whether there are five voters that hold changes of the leader's epoch, so that two more can be lost.
 func (c *testCluster) haveAllVotersCaughtUp() bool {
 	leader := c.leader()
 	if leader == nil {
