--- a/internal/control/replication/availability_test.go
+++ b/internal/control/replication/availability_test.go
@@ -77,8 +77,8 @@
 	})
 })
 
-// newClusterRestartedBehind returns a simulated cluster that has just restarted, so that no replica has a history. The first candidate,
-// lagging, lacks a change.
+// newClusterRestartedBehind returns a simulated cluster that has just restarted, so that no replica has a history, and its lagging
+// node: the voter that campaigns first and lacks a change.
 func newClusterRestartedBehind(seed uint64) (c *testCluster, lagging *testNode) {
 	c, _ = newLoadedCluster(seed)
 	lagging = c.leader()
--- a/internal/control/replication/leadershiptransfer.go
+++ b/internal/control/replication/leadershiptransfer.go
@@ -97,6 +97,6 @@
 func (e *Engine) transferLeadership(own, successor *followerProgress) {
 	e.log.Info("handing the key over to a quicker peer", "key", e.key, "delay_ms", own.syncDelay.Milliseconds(),
 		"successor", successor.disk, "successor_delay_ms", successor.syncDelay.Milliseconds())
-	e.release("its disk is slower than the followers' disks", successor.disk)
+	e.release("slower than its followers", successor.disk)
 	e.campaignState.nextAt = e.clock.Monotonic() + campaignPause
 }
--- a/internal/control/replication/preferredleader.go
+++ b/internal/control/replication/preferredleader.go
@@ -29,7 +29,8 @@
 }
 
 // maybeMoveToPreferred transfers the key to the first voter in the key's ranking, so that the leaders of many keys spread over the
-// stewards. There is no leader while the successor campaigns.
+// stewards, regardless of which voters led them first. This is a planned transfer: there is no leader only while the successor
+// campaigns.
 func (e *Engine) maybeMoveToPreferred() {
 	if !e.hasPreferredLeader || e.phase != phaseLeading {
 		return
--- a/internal/control/replication/snapshots.go
+++ b/internal/control/replication/snapshots.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// transferFor returns the transfer to the follower, or shares one that is in progress to another follower. If there is none that
-// the log tail still follows, it starts reading the state and returns nil.
+// transferFor returns the transfer to the follower. If there is none, it shares one that is in progress to another follower, or
+// starts one of the unsent snapshot. If the log no longer has the changes that follow any of them, it starts reading the state and
+// returns nil.
 func (e *Engine) transferFor(follower *followerProgress) *snapshotTransfer {
 	if e.canSend(follower.transfer, follower) {
 		return follower.transfer
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -153,7 +153,7 @@
 	return e.rankDisks(candidates)
 }
 
-// trackVoterShortage logs, once per leadership, that there are fewer usable disks than voterGoal.
+// trackVoterShortage logs, once per leadership, that there have been fewer usable disks than voterGoal for shortageLogDelay.
 func (e *Engine) trackVoterShortage(disks int) {
 	now := e.clock.Monotonic()
 	if disks >= e.voterGoal {
