--- a/internal/scheduling/scheduler/beliefs.go
+++ b/internal/scheduling/scheduler/beliefs.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Beliefs shows jobs and executors to a comparison.
+// Beliefs returns the states of all jobs and executors as this leader knows them. Operators compare them between nodes.
 func (p *Pool) Beliefs() ([]wire.JobBelief, []wire.ExecutorBelief) {
 	var jobs []wire.JobBelief
 	var executors []wire.ExecutorBelief
@@ -23,7 +23,7 @@
 	return jobs, executors
 }
 
-// ZoneLoads tells what runs in each zone, in the order of the zones' names.
+// ZoneLoads returns the number of executors and runs in each zone, sorted by zone name.
 func (p *Pool) ZoneLoads() []wire.ZoneLoad {
 	loads := map[string]*wire.ZoneLoad{}
 	for _, executor := range p.executors {
@@ -42,7 +42,7 @@
 	return sorted
 }
 
-// JobsOn names the jobs with runs, as this leader knows, on the executors of a machine.
+// JobsOn returns the sorted IDs of the jobs that have runs on the executors of a machine, as this leader knows them.
 func (p *Pool) JobsOn(machine string) []string {
 	jobIDs := map[string]bool{}
 	for _, executor := range p.executors {
@@ -55,7 +55,7 @@
 	return slices.Sorted(maps.Keys(jobIDs))
 }
 
-// JobsOf reads what a replica of the pool says of its jobs.
+// JobsOf reads the states of the jobs from the records of a replica of the pool. A job without a final state is open.
 func JobsOf(key string, pairs []wire.Op) []wire.JobBelief {
 	states := map[string]string{}
 	for _, pair := range pairs {
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -15,7 +15,7 @@
 
 func notLeaderAnswer() wire.ClientAnswer { return wire.ClientAnswer{NotLeader: true} }
 
-// outcomeUnknownAnswer is the answer once a change was proposed and the leadership ended before its commit.
+// outcomeUnknownAnswer is the answer if the leadership ended after a change was proposed and before it was committed.
 func outcomeUnknownAnswer() wire.ClientAnswer {
 	return wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}
 }
@@ -24,13 +24,13 @@
 	return wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"}
 }
 
-// movedJobAnswer says that another pool has the job.
+// movedJobAnswer tells the client which service's pool has the job now.
 func movedJobAnswer(job *jobState) wire.ClientAnswer {
 	return wire.ClientAnswer{Status: http.StatusGone, Reason: "the job was moved to another pool", MovedTo: job.movedTo}
 }
 
-// acceptance gives what answers for a job once it is committed, or can't be known to be.
-func acceptance(answer answerClient) func(error) {
+// answerOnCommit returns a commit callback that acknowledges a job, or answers that the outcome is unknown.
+func answerOnCommit(answer answerClient) func(error) {
 	return func(err error) {
 		if err != nil {
 			answer(outcomeUnknownAnswer())
@@ -40,9 +40,10 @@
 	}
 }
 
-// Submit accepts a job once it is committed; the same ID again is the same job.
+// Submit stores a job and acknowledges it once it is committed. A repeated submission under the same ID is acknowledged without a
+// second job.
 func (p *Pool) Submit(call *wire.ClientCall, answer answerClient) {
-	accepted := acceptance(answer)
+	accepted := answerOnCommit(answer)
 	if known := p.jobs[call.ID]; known != nil {
 		if known.record.Route != call.Route || !known.isVisibleTo(call.Tenant) {
 			answer(wire.ClientAnswer{Status: http.StatusConflict, Reason: "the ID belongs to a job of another queue"})
@@ -51,7 +52,7 @@
 		p.afterCommit(accepted)
 		return
 	}
-	if p.renounced.binds(call.ID, call.Version) {
+	if p.renounced.forbids(call.ID, call.Version) {
 		answer(wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "the job's queue has moved to another service"})
 		return
 	}
@@ -61,8 +62,8 @@
 		return
 	}
 	tenant := p.tenantOf(call.Tenant)
-	isSurplus := !p.isWithinRate(tenant)
-	if isSurplus && tenant.isFlooding() {
+	isSurplus := !p.takeRateToken(tenant)
+	if isSurplus && tenant.exceedsSurplusLimit() {
 		p.metrics.refusals.Inc()
 		answer(wire.ClientAnswer{Status: http.StatusTooManyRequests, RetryAfterS: 1, Reason: "the tenant has too many jobs under way beyond its rate"})
 		return
@@ -74,7 +75,7 @@
 		record.Terms = *call.Terms
 	}
 	job := p.addJob(call.ID, record, spec)
-	// A gate that doesn't know yet that this version was turned back may still send jobs here.
+	// The rollout of this version may have been rolled back. A gate with an older configuration still submits jobs here.
 	job.holdsReleases = p.isReturning(call.Route)
 	job.isWithheld = job.holdsReleases
 	p.releaseDueOf(job, p.leadership.WallMs())
@@ -83,7 +84,7 @@
 	p.afterCommit(accepted)
 }
 
-// addJob takes a job into the tables, and records it.
+// addJob adds a job to the tables and writes its record. The spec's text is stored only in the record, not kept in memory.
 func (p *Pool) addJob(id string, record jobRecord, spec *jobs.Spec) *jobState {
 	job := newJobState(id)
 	job.spec, job.tenant, job.record = spec, p.tenantOf(record.Tenant), record
@@ -97,7 +98,7 @@
 	return job
 }
 
-// answerWith is answerUnderLease with a report as the body.
+// answerWith works like answerUnderLease. The body is the encoded report.
 func (p *Pool) answerWith(answer answerClient, report func() easyjson.Marshaler) {
 	p.answerUnderLease(answer, func() wire.ClientAnswer {
 		body, err := easyjson.Marshal(report())
@@ -109,8 +110,8 @@
 	})
 }
 
-// answerUnderLease answers once all that was decided so far is committed, with what is true at that moment, and only under a
-// lease, which is checked then.
+// answerUnderLease computes and sends a response once all changes up to now are committed. It then checks the leader lease, and without
+// a valid lease it answers that this process isn't the leader.
 func (p *Pool) answerUnderLease(answer answerClient, response func() wire.ClientAnswer) {
 	p.afterCommit(func(err error) {
 		if err != nil || p.leadership == nil || !p.leadership.HasLease() {
@@ -121,7 +122,7 @@
 	})
 }
 
-// jobFor gives the job that a call asks about, nil if there is none that its tenant may know of.
+// jobFor returns the job named by a call, or nil if there is no such job or the call's tenant may not see it.
 func (p *Pool) jobFor(call *wire.ClientCall) *jobState {
 	if job := p.jobs[call.ID]; job != nil && job.isVisibleTo(call.Tenant) {
 		return job
@@ -129,12 +130,13 @@
 	return nil
 }
 
-// isVisibleTo tells whether a tenant may know of the job: its own one, and everybody if the job belongs to none or the call needs no key.
+// isVisibleTo tells whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call without
+// a tenant (its service needs no API key) sees all jobs.
 func (j *jobState) isVisibleTo(tenant string) bool {
 	return j.record.Tenant == "" || tenant == "" || j.record.Tenant == tenant
 }
 
-// State answers with the state of a job.
+// State answers a client with the state of a job.
 func (p *Pool) State(call *wire.ClientCall, answer answerClient) {
 	job := p.jobFor(call)
 	p.answerUnderLease(answer, func() wire.ClientAnswer {
@@ -150,6 +152,7 @@
 	})
 }
 
+// shownState is the phase reported to clients and operators. A queued job of which a run has started is reported as active.
 func (j *jobState) shownState() jobPhase {
 	if j.phase == jobQueued && j.hasStarted {
 		return jobActive
@@ -157,7 +160,7 @@
 	return j.phase
 }
 
-// Count answers with the number of jobs that wait in a queue.
+// Count answers a client with the number of jobs of a queue that have not started.
 func (p *Pool) Count(call *wire.ClientCall, answer answerClient) {
 	p.answerUnderLease(answer, func() wire.ClientAnswer {
 		count := strconv.Itoa(max(0, p.queued[call.Route]))
@@ -165,7 +168,8 @@
 	})
 }
 
-// Cancel ends a job and answers once that is committed; a job that has ended stays as it is.
+// Cancel ends a job as cancelled and answers once that is committed. The state of a job that has ended doesn't change, and a job in
+// transfer to another pool can't be cancelled: the client is told to retry.
 func (p *Pool) Cancel(call *wire.ClientCall, answer answerClient) {
 	job := p.jobFor(call)
 	if job != nil && job.transfer != nil {
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -16,14 +16,14 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// prefixLength is that of all prefixes of records' names.
+// prefixLength is the length in bytes of each record name prefix.
 const prefixLength = 2
 
-// errBadName refuses a record whose name is none of its kind.
-const errBadName = errors.ConstError("the record's name can't be read")
+// errBadName is the error for a record whose name doesn't have the form of its kind.
+const errBadName = errors.ConstError("malformed record name")
 
-// load rebuilds the tables from the committed records. No record keeps the key from being taken over, as the next
-// leader would find the same one: a job with a record that can't be read is set aside, and all others go on.
+// load rebuilds the tables from the committed records. An unreadable record doesn't stop the takeover, since the next leader would
+// read the same record. Only the job that it belongs to is set aside, and all other jobs go on.
 func (p *Pool) load(leadership Leadership, pairs []wire.Op) {
 	records := map[string][]wire.Op{}
 	for _, pair := range pairs {
@@ -61,7 +61,7 @@
 	p.dropOrphanedOrders(records[prefixOrder])
 }
 
-// loadEach takes the records of one kind, without the prefix of their names.
+// loadEach calls take for each record of one kind, with the name without its prefix, and notes the records that can't be read.
 func (p *Pool) loadEach(pairs []wire.Op, take func(name string, value []byte) error) {
 	for _, pair := range pairs {
 		if err := take(pair.Name[prefixLength:], pair.Value); err != nil {
@@ -75,10 +75,10 @@
 	p.unreadable = append(p.unreadable, record)
 }
 
-// Unreadable names the records that could not be read when the key was taken over.
+// Unreadable returns the names of the records that could not be read when this leader took over.
 func (p *Pool) Unreadable() []string { return p.unreadable }
 
-// loadJob reads the stored record of a submitted job. A record that can't be read is set aside, not dropped.
+// loadJob reads the record of a submitted job. A job whose record can't be read is set aside, and its record is kept.
 func (p *Pool) loadJob(id string, value []byte) error {
 	job := newJobState(id)
 	p.jobs[id], p.awaitingRelease[id], job.tenant = job, job, p.tenantOf("")
@@ -97,15 +97,15 @@
 	return nil
 }
 
-// setAside keeps a job known that can't be run here, and its records as they are, for a program that can read them.
+// setAside marks a job as unreadable: it is known but not run. Its records are kept unchanged for a program version that can read them.
 func (p *Pool) setAside(job *jobState) {
 	job.isUnreadable = true
 	job.spec, job.record.Spec = &jobs.Spec{}, nil
 	delete(p.awaitingRelease, job.id)
 }
 
-// loadState reads the stored state of a job that has ended or was returned to its queue. The state of a job whose own
-// record is gone is kept for those who ask for its result.
+// loadState reads the stored state of a job that has ended or was requeued. A job whose job record is already deleted is added with its
+// state only, so that clients can still ask for the result.
 func (p *Pool) loadState(id string, value []byte) error {
 	job, isKnown := p.jobs[id]
 	if !isKnown {
@@ -125,12 +125,12 @@
 	return nil
 }
 
-// loadOccurrence reads a record named ID/K: the occurrence K of the job ID is complete.
+// loadOccurrence reads a record named ID/K, which says that occurrence K of job ID is complete.
 func (p *Pool) loadOccurrence(name string, _ []byte) error {
 	id, number, isPair := strings.Cut(name, "/")
 	count, err := strconv.Atoi(number)
 	if !isPair || err != nil {
-		return errors.Annotate(errBadName, "not ID/K")
+		return errors.Annotate(errBadName, "expected ID/K")
 	}
 	if job := p.jobs[id]; job != nil {
 		job.completedOccurrences[count] = true
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// loadedTask is the record of a task that belongs to a job under way.
+// loadedTask is a task's record together with the job and the position that its name refers to.
 type loadedTask struct {
 	name   string
 	job    *jobState
@@ -146,15 +146,15 @@
 	record taskRecord
 }
 
-// readTasks reads the records of tasks before any step of their jobs opens. What a job that is over, or another job
-// under the same ID, has left behind is dropped.
+// readTasks reads the task records. It must run before any step opens. It deletes leftover records: those of jobs that
+// have ended, and those of an earlier job under the same ID, if the present job has no such task.
 func (p *Pool) readTasks(pairs []wire.Op) []loadedTask {
 	tasks := make([]loadedTask, 0, len(pairs))
 	for _, pair := range pairs {
 		loaded := loadedTask{name: pair.Name}
 		var isTask bool
 		if loaded.place, isTask = jobs.ParseTask(pair.Name[prefixLength:]); !isTask {
-			p.noteUnreadable(pair.Name, errors.Annotate(errBadName, "not ID.K.STEP.INDEX"))
+			p.noteUnreadable(pair.Name, errors.Annotate(errBadName, "expected ID.K.STEP.INDEX"))
 			continue
 		}
 		loaded.job = p.jobs[loaded.place.ID]
@@ -179,8 +179,7 @@
 	return j.spec != nil && place.Time < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
 }
 
-// loadTask restores a task from its record and adopts the runs it had; the record of a complete occurrence without runs
-// is dropped.
+// loadTask restores a task and its runs from its record. The record is deleted if the occurrence is complete and the task has no runs.
 func (p *Pool) loadTask(loaded loadedTask) {
 	isOver, record := loaded.job.completedOccurrences[loaded.place.Time], loaded.record
 	if isOver && len(record.Runs) == 0 {
@@ -198,22 +197,23 @@
 	if record.LastRun > 0 {
 		loaded.job.hasStarted = true
 	}
-	for _, former := range record.Runs {
-		p.adopt(task, former)
+	for _, stored := range record.Runs {
+		p.restoreRun(task, stored)
 	}
 	if log := p.log.V(logging.TraceVerbosity); log.Enabled() {
 		log.Info("task loaded", "task", loaded.name, "done", task.isDone, "run", record.LastRun, "runs", record.Runs)
 	}
 }
 
-func (p *Pool) adopt(task *taskState, former runRecord) {
-	executor := p.executorOf(former.Executor)
-	run := &runState{task: task, number: former.Number, executor: executor, phase: runPhase(former.State), isCommitted: true, startedAt: p.openedAt, orderedAt: p.openedAt}
+// restoreRun adds a recorded run to its task and executor. The run stays uncertain until the executor reports a list of its runs.
+func (p *Pool) restoreRun(task *taskState, stored runRecord) {
+	executor := p.executorOf(stored.Executor)
+	run := &runState{task: task, number: stored.Number, executor: executor, phase: runPhase(stored.State), isCommitted: true, startedAt: p.openedAt, orderedAt: p.openedAt}
 	p.addRun(run)
 	run.awaitedList = executor.listWanted
 }
 
-// reopen works out what was under way when the state was written.
+// reopen opens the steps of a loaded job that are ready. It stops the runs of ended jobs and of complete occurrences.
 func (p *Pool) reopen(job *jobState) {
 	if !job.isOpen() {
 		for _, occurrence := range job.sortedOccurrences() {
@@ -242,14 +242,14 @@
 	}
 }
 
-// stopOccurrence stops what still runs of a time that is over.
+// stopOccurrence stops all runs of an occurrence that is complete or whose job has ended.
 func (p *Pool) stopOccurrence(occurrence *occurrence) {
 	for _, step := range occurrence.steps {
 		p.stopStep(step)
 	}
 }
 
-// dropOrphanedOrders drops the orders that no run waits for.
+// dropOrphanedOrders deletes the order records that belong to no pending run.
 func (p *Pool) dropOrphanedOrders(pairs []wire.Op) {
 	if len(pairs) == 0 {
 		return
--- a/internal/scheduling/scheduler/loadreport.go
+++ b/internal/scheduling/scheduler/loadreport.go
@@ -9,39 +9,39 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// lateWorkLogInterval is the least time between two reports of late work in the log.
+// lateWorkLogInterval is the minimum time between two log reports of late work.
 const lateWorkLogInterval = 5 * time.Second
 
-// The states of capacity in metrics: open takes new runs, known is that of all executors.
+// Values of the state label of capacityCPU. Open capacity takes new runs, known capacity is the total of all executors.
 const (
 	capacityOpen  = "open"
 	capacityKnown = "known"
 )
 
-// load is what runs and waits now, in CPU units.
+// load is the capacity of the fleet and the demand of each priority, in CPU units.
 type load struct {
 	open, known int64
 	priorities  map[int]*priorityLoad
 }
 
-// priorityLoad is what one priority has and asks for, in CPU units. allowance is what its long work may still take; it counts
-// only if isBound.
+// priorityLoad holds what the runs of one priority take and what its pending tasks ask for, in CPU units. allowance is how much more its
+// long work may take; it is meaningful only if isLimited is set.
 type priorityLoad struct {
 	allocated int64
 	waiting   map[placement.DeadlineClass]int64
 	allowance int64
-	isBound   bool
+	isLimited bool
 }
 
-// of gives the load of a priority, which it makes at first use.
-func (l *load) of(priority int) *priorityLoad {
+// forPriority returns the load of a priority and creates it on first use.
+func (l *load) forPriority(priority int) *priorityLoad {
 	if l.priorities[priority] == nil {
 		l.priorities[priority] = &priorityLoad{waiting: map[placement.DeadlineClass]int64{}}
 	}
 	return l.priorities[priority]
 }
 
-// hasLateWork tells whether work waits that can't be on time any more.
+// hasLateWork tells whether any pending work has missed its target, including expired work.
 func (l *load) hasLateWork() bool {
 	for _, priority := range l.priorities {
 		if priority.waiting[placement.Late]+priority.waiting[placement.Expired] > 0 {
@@ -51,24 +51,25 @@
 	return false
 }
 
-// loadByPriority sums up what runs and what waits, without speculative runs, and what the last placement allowed long work.
+// loadByPriority sums up running and pending work by priority, and how much long work may still start according to the last placement.
+// Pending speculative runs are left out.
 func (p *Pool) loadByPriority() load {
 	result := load{open: p.table.openCapacity.CPU, known: p.table.totalCapacity.CPU, priorities: map[int]*priorityLoad{}}
 	for priority, allocation := range p.allocations {
-		result.of(priority).allocated = allocation.resources.CPU
+		result.forPriority(priority).allocated = allocation.resources.CPU
 	}
 	for _, group := range p.open.first.groups {
-		result.of(group.Priority).waiting[group.Deadline] += asks(group).CPU
+		result.forPriority(group.Priority).waiting[group.Deadline] += asks(group).CPU
 	}
 	for priority, current := range result.priorities {
-		if remaining, isBound := p.longWorkRemaining[priority]; isBound {
-			current.allowance, current.isBound = remaining.CPU, true
+		if remaining, isLimited := p.longWorkRemaining[priority]; isLimited {
+			current.allowance, current.isLimited = remaining.CPU, true
 		}
 	}
 	return result
 }
 
-// showLoad sets the gauges of all priorities that were ever shown.
+// showLoad sets the capacity gauges and the gauges of each priority. A priority that was shown before and has no load now is set to 0.
 func (m *poolMetrics) showLoad(l load) {
 	capacityCPU.With(m.key, capacityOpen).Set(float64(l.open))
 	capacityCPU.With(m.key, capacityKnown).Set(float64(l.known))
@@ -88,7 +89,7 @@
 	}
 }
 
-// priorityName is a priority as operators see it.
+// priorityName is the name of a priority in metrics and logs.
 func priorityName(priority int) string {
 	if priority == placement.Background {
 		return "background"
@@ -96,7 +97,7 @@
 	return strconv.Itoa(priority)
 }
 
-// reportLateWork logs, now and then, what each priority has and waits for, as long as anything waits that is late already.
+// reportLateWork logs the load of each priority while late work is pending, at most once per lateWorkLogInterval.
 func (p *Pool) reportLateWork(current load, now time.Duration) {
 	if now < p.nextLateWorkReport || !current.hasLateWork() {
 		return
@@ -107,18 +108,18 @@
 	}
 }
 
-// logPriority writes what one priority has and waits for.
-func (p *Pool) logPriority(current load, priority int) {
-	of := current.priorities[priority]
-	values := []any{"key", p.key, "priority", priorityName(priority), "allocated_cpu", of.allocated, "open_cpu", current.open,
-		"on_time_cpu", of.waiting[placement.OnTime], "late_cpu", of.waiting[placement.Late], "expired_cpu", of.waiting[placement.Expired]}
-	if of.isBound {
-		values = append(values, "long_work_allowance_cpu", of.allowance)
+// logPriority logs the load of one priority.
+func (p *Pool) logPriority(total load, priority int) {
+	current := total.priorities[priority]
+	values := []any{"key", p.key, "priority", priorityName(priority), "allocated_cpu", current.allocated, "open_cpu", total.open,
+		"on_time_cpu", current.waiting[placement.OnTime], "late_cpu", current.waiting[placement.Late], "expired_cpu", current.waiting[placement.Expired]}
+	if current.isLimited {
+		values = append(values, "long_work_allowance_cpu", current.allowance)
 	}
 	p.log.Info("late work waits", values...)
 }
 
-// countOccurrence counts a completed occurrence by whether it was in time.
+// countOccurrence counts a completed occurrence under the deadline class that it ended in.
 func (p *Pool) countOccurrence(occurrence *occurrence) {
 	class, nowMs := placement.OnTime, p.leadership.WallMs()
 	switch {
--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -7,8 +7,10 @@
 	"gannetline/internal/platform/metrics"
 )
 
+// metricsInterval is the minimum time between two updates of the gauges.
 const metricsInterval = time.Second
 
+// Executor states in metrics and reports.
 const (
 	stateReady    = "ready"
 	stateUnfenced = "unfenced"
@@ -40,13 +42,13 @@
 	occurrences     = metrics.NewCounters("gannetline_pool_occurrences_total", "key", "queue", "deadline")
 )
 
-// poolMetrics are the series of one pool, found once.
+// poolMetrics holds the metric series of one pool, which are looked up once.
 type poolMetrics struct {
 	key                                                                                 string
 	submissions, refusals, placements, starts, stops, speculativeRuns, commits, changes *metrics.Counter
 	tickSeconds, placeSeconds                                                           metrics.Histogram
 	shownAt                                                                             time.Duration
-	// shownPriorities have series of their own, which show 0 once nothing of them is left.
+	// shownPriorities and shownTenants hold the labels that have series. A series without a load is set to 0.
 	shownPriorities map[int]bool
 	shownTenants    map[string]bool
 }
@@ -57,7 +59,7 @@
 		tickSeconds: tickSeconds.With(key), placeSeconds: placeSeconds.With(key), shownPriorities: map[int]bool{}, shownTenants: map[string]bool{}}
 }
 
-// sent counts an order as sent, and as sent again from the second time on.
+// sent counts an order that is being sent, also as resent from the second time on.
 func (m *poolMetrics) sent(run *runState) {
 	kind := wire.OrderStop
 	if run.phase == runLaunching {
@@ -69,7 +71,7 @@
 	}
 }
 
-// show sets what is there now, once a second, and has late work logged.
+// show updates the gauges at most once per metricsInterval, and logs late work.
 func (m *poolMetrics) show(p *Pool, now time.Duration) {
 	if now-m.shownAt < metricsInterval {
 		return
@@ -88,13 +90,14 @@
 	p.reportLateWork(current, now)
 }
 
-// clear shows nothing any more, as the key is led elsewhere.
+// clear sets all gauges to 0 when another process leads the key.
 func (m *poolMetrics) clear() {
 	m.set(0, 0, nil)
 	m.showLoad(load{})
 	m.showTenants(nil)
 }
 
+// set updates the gauges of open steps, runs, and executors by state.
 func (m *poolMetrics) set(open, running int, counts map[string]int) {
 	stepsOpen.With(m.key).Set(float64(open))
 	runGauge.With(m.key).Set(float64(running))
@@ -103,7 +106,7 @@
 	}
 }
 
-// shownState is the executor's state as operators see it.
+// shownState is the executor's state in metrics and reports.
 func (e *executorState) shownState() string {
 	switch {
 	case !e.isFenced:
--- a/internal/scheduling/scheduler/overload.go
+++ b/internal/scheduling/scheduler/overload.go
@@ -6,57 +6,61 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// overloadMemory is how long a priority counts as overloaded after a job of it last turned late before any of it was done.
-const overloadMemory = 3 * time.Second
+// overloadHoldTime is how long a priority counts as overloaded after one of its jobs last became late before any part of it was started.
+const overloadHoldTime = 3 * time.Second
 
-// overloadWatch knows the priorities that have more work than can be on time, and until when they count as such. As long as all can
-// be on time, what is due first goes first. Under overload that order would have each job wait until it can only just be on time, and
-// then keep the next one waiting, so that nearly all come late: the newest goes first instead, and those it passes are late anyway.
-// A tenant that is at its limit is overloaded by itself, and the others go on as usual.
-type overloadWatch struct{ until map[overloaded]time.Duration }
+// overloadWatch holds the overloaded priorities, those with more work than can be on time, and until when each counts as overloaded.
+//
+// Without overload, the work with the earliest target goes first. Under overload that order would start each job only when it can barely
+// be on time, and meanwhile delay the next one, so that nearly all jobs are late. So the newest work goes first under overload; the older
+// work that it passes would be late anyway.
+//
+// A tenant at its limit is overloaded separately. The order of the other tenants' work doesn't change.
+type overloadWatch struct{ until map[overloadKey]time.Duration }
 
-// overloaded is one priority, of one tenant that is at its limit, or of all with the index 0.
-type overloaded struct{ priority, tenant int }
+// overloadKey is a priority, either of one tenant at its limit or, with tenant index 0, of the whole pool.
+type overloadKey struct{ priority, tenant int }
 
-func newOverloadWatch() overloadWatch { return overloadWatch{until: map[overloaded]time.Duration{}} }
+func newOverloadWatch() overloadWatch { return overloadWatch{until: map[overloadKey]time.Duration{}} }
 
-// isOverloaded tells whether a priority is overloaded for a tenant, by all together or by itself.
+// isOverloaded tells whether a priority is overloaded for a tenant, either in the whole pool or for this tenant alone.
 func (o *overloadWatch) isOverloaded(priority, tenant int) bool {
-	_, isOverloaded := o.until[overloaded{priority, 0}]
+	_, isOverloaded := o.until[overloadKey{priority, 0}]
 	if !isOverloaded && tenant > 0 {
-		_, isOverloaded = o.until[overloaded{priority, tenant}]
+		_, isOverloaded = o.until[overloadKey{priority, tenant}]
 	}
 	return isOverloaded
 }
 
-// isAnyOverloaded tells whether any priority more urgent than this one is overloaded by all together.
-func (o *overloadWatch) isAnyOverloaded(than int) bool {
-	for overloaded := range o.until {
-		if overloaded.tenant == 0 && overloaded.priority < than {
+// isMoreUrgentOverloaded tells whether a priority more urgent than this one is overloaded in the whole pool.
+func (o *overloadWatch) isMoreUrgentOverloaded(priority int) bool {
+	for key := range o.until {
+		if key.tenant == 0 && key.priority < priority {
 			return true
 		}
 	}
 	return false
 }
 
-// noteChange takes what a step asked for before and asks for now.
+// noteChange compares a step's former and current requests. If the step became late before any part of its job was started, its
+// priority counts as overloaded for overloadHoldTime.
 func (p *Pool) noteChange(former, current *placement.Group, now time.Duration) {
 	isMissed := former.Count > 0 && former.Deadline == placement.OnTime && current.Count > 0 && current.Deadline == placement.Late
 	if !isMissed || current.RemainingTenths < wholeJob {
 		return
 	}
-	missed := overloaded{priority: current.Priority}
+	missed := overloadKey{priority: current.Priority}
 	if p.tenants.isAtLimit(current.Tenant) {
 		missed.tenant = current.Tenant
 	}
 	_, wasOverloaded := p.overload.until[missed]
-	p.overload.until[missed] = now + overloadMemory
+	p.overload.until[missed] = now + overloadHoldTime
 	if !wasOverloaded {
 		p.reorder(missed)
 	}
 }
 
-// endOverloads goes back to the usual order for the priorities that have missed no target for a while.
+// endOverloads restores the usual order of priorities that have missed no target for overloadHoldTime.
 func (p *Pool) endOverloads(now time.Duration) {
 	for ended, until := range p.overload.until {
 		if now > until {
@@ -66,17 +70,18 @@
 	}
 }
 
-// reorder has all steps of an overload put in their places anew.
-func (p *Pool) reorder(changed overloaded) {
+// reorder marks all steps of an overload as stale, so that their order keys are computed again.
+func (p *Pool) reorder(changed overloadKey) {
 	for step := range p.open.steps {
-		isMeant := changed.tenant == 0 || changed.tenant == step.tenant().index
-		if isMeant && step.priority() == changed.priority {
+		isTenantAffected := changed.tenant == 0 || changed.tenant == step.tenant().index
+		if isTenantAffected && step.priority() == changed.priority {
 			p.open.markStale(step)
 		}
 	}
 }
 
-// dueKey is the place of a step among those of its section, lower first.
+// dueKey is the sort key of a step within its section of the queue, lower first: normally its target time, and under overload its
+// negated release time, so that the newest comes first.
 func (p *Pool) dueKey(step *stepState) int64 {
 	if p.overload.isOverloaded(step.priority(), step.tenant().index) && p.deadlineClass(step) != placement.Expired {
 		return -step.occurrence.releaseMs
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -7,14 +7,17 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// openReadySteps keeps the steps that are under way, what they ask for, and when they have to be looked at again.
+// openSteps is the queue of a pool: the open steps, their placement requests, and when each step must be refreshed.
+// A step is stale if its requests have to be computed again before the next placement.
 type openSteps struct {
-	steps        map[*stepState]bool
+	steps map[*stepState]bool
+	// first holds requests for tasks without a run, speculative those for a second run beside a slow one.
 	first        requests
 	speculative  requests
 	stale        []*stepState
 	refreshTimes stepTimes
-	version      uint64
+	// version is the version of the executor table for which the requests were computed.
+	version uint64
 }
 
 func newOpenSteps() openSteps {
@@ -30,7 +33,7 @@
 	}
 }
 
-// remove takes a step out of the queue, with its requests for first and for speculative runs.
+// remove deletes a step and its requests from the queue.
 func (o *openSteps) remove(step *stepState) {
 	if !o.steps[step] {
 		return
@@ -52,7 +55,7 @@
 	}
 }
 
-// request gives the request of a group by its number in the queue.
+// request returns the request of a group by the group's index in queue(): first the groups of first, then the speculative ones.
 func (o *openSteps) request(number int) *placementRequest {
 	if number < len(o.first.requests) {
 		return o.first.requests[number]
@@ -64,7 +67,7 @@
 	return placement.Queue{Groups: o.first.groups, Speculative: o.speculative.groups, MinNeed: o.first.minNeed.Min(o.speculative.minNeed)}
 }
 
-// stepTimes is a heap of the steps that have to be looked at again at a time.
+// stepTimes is a min-heap of steps by the time of their next refresh.
 type stepTimes struct{ steps []*stepState }
 
 func (t *stepTimes) Len() int { return len(t.steps) }
@@ -76,20 +79,20 @@
 	t.steps[a].requests.heapIndex, t.steps[b].requests.heapIndex = a+1, b+1
 }
 
-// Push appends a *stepState for package heap, and notes its index plus one in the step; heap.Push calls it.
+// Push implements heap.Interface. It appends a *stepState and stores the step's index plus one in heapIndex.
 func (t *stepTimes) Push(step any) {
 	t.steps = append(t.steps, step.(*stepState))
 	t.steps[len(t.steps)-1].requests.heapIndex = len(t.steps)
 }
 
-// Pop removes the last step for package heap and notes in it that it is in no heap; heap.Remove calls it.
+// Pop implements heap.Interface. It removes the last step and sets its heapIndex to 0, which means that the step isn't in the heap.
 func (t *stepTimes) Pop() any {
 	last := t.steps[len(t.steps)-1]
 	t.steps, last.requests.heapIndex = t.steps[:len(t.steps)-1], 0
 	return last
 }
 
-// set changes the moment at which a step is refreshed; never takes it out of the heap.
+// set changes the time of a step's next refresh. The time never removes the step from the heap.
 func (t *stepTimes) set(step *stepState, at time.Duration) {
 	index := step.requests.heapIndex
 	step.requests.refreshAt = at
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -9,17 +9,18 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// renounced are the IDs that the pool has promised not to take a job under, in the order of the promises. Before a queue's jobs go to one
-// service, all others that they may have gone to are asked for the promise, as a submission may still be on its way there. Promises are
-// kept as long as ended jobs, by when no submission is under way any more.
+// renounced holds the renounced job IDs: those under which the pool has promised to refuse submissions. Before a gate submits a job to one
+// service, it asks the pools of all other services that the queue's jobs may have gone to for this promise, since a submission may still
+// be in flight there. Promises are kept as long as ended jobs; by then no submission is in flight any more.
 //
-// A promise holds for all submissions of gates that know no newer configuration than the one who asked for it. One that knows a newer
-// configuration has itself asked all other pools, so that none of them has the job or will take it by an older configuration: a queue that
-// comes back takes its jobs again.
+// A promise binds submissions from gates with the same or an older configuration version than that of the gate that asked for it. A gate
+// with a newer configuration has asked all other pools itself, so none of them has the job or will accept it under an older
+// configuration. So a pool whose queue returns to its service accepts the queue's jobs again.
 type renounced struct {
-	// versions are the newest versions of the configuration for which an ID was renounced.
+	// versions maps each renounced ID to the newest configuration version of the gates that asked.
 	versions map[string]int64
-	order    []renouncedID
+	// order is sorted by the time of the promise.
+	order []renouncedID
 }
 
 type renouncedID struct {
@@ -29,7 +30,7 @@
 
 func newRenounced() renounced { return renounced{versions: map[string]int64{}} }
 
-// add keeps a promise; it is false if it was kept already.
+// add stores a promise. It returns false if the ID was already renounced for this version or a newer one.
 func (r *renounced) add(id string, version, atMs int64) bool {
 	known, isKnown := r.versions[id]
 	if isKnown && known >= version {
@@ -42,13 +43,13 @@
 	return true
 }
 
-// binds tells whether a promise forbids a submission by a gate that knows a version of the configuration.
-func (r *renounced) binds(id string, version int64) bool {
+// forbids tells whether a promise forbids a submission by a gate with this configuration version.
+func (r *renounced) forbids(id string, version int64) bool {
 	known, isKnown := r.versions[id]
 	return isKnown && version <= known
 }
 
-// release forgets the promise about a job that the pool takes after all.
+// releaseRenounced deletes the promise for an ID when the pool accepts a job under it after all.
 func (p *Pool) releaseRenounced(id string) {
 	if _, isKnown := p.renounced.versions[id]; !isKnown {
 		return
@@ -58,8 +59,8 @@
 	p.dropRecord(prefixRenounced + id)
 }
 
-// Renounce answers with the state of a job if the pool has it, and otherwise with 410 once it is committed that the pool
-// will not take it any more.
+// Renounce answers with the state of a job if the pool has it. Otherwise the pool promises to refuse the job, and answers 410 once the
+// promise is committed.
 func (p *Pool) Renounce(call *wire.ClientCall, answer answerClient) {
 	if p.jobs[call.ID] != nil {
 		p.State(call, answer)
@@ -77,8 +78,7 @@
 	})
 }
 
-// loadRenounced reads the record of a renounced job. If it can't be read, the time of reading stands for the time it
-// was renounced, so that the record is kept for the full retention period.
+// loadRenounced reads the record of a promise. An unreadable record counts as made now, so that it is kept for the full retention period.
 func (p *Pool) loadRenounced(id string, value []byte) error {
 	var record renouncedRecord
 	err := easyjson.Unmarshal(value, &record)
@@ -89,6 +89,7 @@
 	return err
 }
 
+// forgetRenounced deletes promises older than the retention period of ended jobs.
 func (p *Pool) forgetRenounced(nowMs int64) {
 	r := &p.renounced
 	for len(r.order) > 0 && nowMs-r.order[0].atMs > p.timing.KeepEnded.Milliseconds() {
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -8,8 +8,8 @@
 	"gannetline/internal/platform/logging"
 )
 
-// handleOrderAnswer takes what an executor answered to an order. A refused launch is closed at once only if it was sent
-// once at most: of a launch sent twice the first may still start, so that one is stopped.
+// handleOrderAnswer handles an executor's answer to an order. A run whose launch was refused is closed at once only if the launch was sent
+// at most once. If it was sent twice, the other copy may still start the run, so the run is stopped instead.
 func (p *Pool) handleOrderAnswer(executor *executorState, answer wire.OrderAnswer) {
 	run := executor.runs[runKey{answer.Task, answer.Run}]
 	if run == nil {
@@ -27,7 +27,7 @@
 	if run.phase != runLaunching {
 		return
 	}
-	isCertain := run.sendCount <= 1 && run.awaitedList == 0
+	cannotStart := run.sendCount <= 1 && run.awaitedList == 0
 	switch answer.Result {
 	case wire.ResultOK:
 		p.runStarted(run)
@@ -41,7 +41,7 @@
 			executor.ejectedUntil = now + ejectionPause
 		}
 		run.task.avoid = executor.id
-		if isCertain {
+		if cannotStart {
 			p.closeRun(run)
 			return
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// handleEnds takes the reports of ended runs that are new, in the order of their numbers. They are acknowledged to the
-// executor, by lastSeen, only after what follows from them is committed.
+// handleEnds handles the new reports of ended runs in the order of their numbers, and tells whether there were any. They are acknowledged
+// to the executor, through lastSeen, only after their effects are committed.
 func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNewEnds bool) {
 	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
 		return false
@@ -75,7 +75,7 @@
 	return true
 }
 
-// logAcknowledged tells which ends are about to be acknowledged to an executor, those above its lastSeen and up to the taken one.
+// logAcknowledged logs the end reports that are about to be acknowledged: those numbered above the executor's lastSeen, up to taken.
 func (p *Pool) logAcknowledged(executor *executorState, ends []wire.EndReport, taken int64) {
 	log := p.log.V(logging.TraceVerbosity)
 	if !log.Enabled() {
@@ -89,7 +89,7 @@
 	}
 }
 
-// handleChangedRuns takes checkpoints, and whether runs are stuck.
+// handleChangedRuns stores reported checkpoints and whether runs are stuck.
 func (p *Pool) handleChangedRuns(executor *executorState, changed []wire.RunReport) {
 	for _, report := range changed {
 		run := executor.runs[runKey{report.Task, report.Run}]
@@ -104,6 +104,7 @@
 	}
 }
 
+// requestRunList asks an executor for a new list of its runs, which will resolve this run's state.
 func (p *Pool) requestRunList(executor *executorState, run *runState) {
 	p.lastListNumber++
 	executor.listWanted, executor.listWantedAt = p.lastListNumber, p.clock.Monotonic()
@@ -111,8 +112,8 @@
 	p.answerPoll(executor)
 }
 
-// handleRunList compares an executor's full list of runs with the pool's: runs the pool doesn't hold are stopped, and
-// runs that waited for this list are resolved by it.
+// handleRunList compares an executor's full list of runs with the pool's own. It stops runs that the pool doesn't have, and resolves the
+// runs that waited for this list.
 func (p *Pool) handleRunList(executor *executorState, call *wire.ExchangeCall) {
 	if call.ListNumber == 0 || !executor.isFenced {
 		return
@@ -131,12 +132,12 @@
 			continue
 		}
 		run.awaitedList = 0
-		p.resolve(run, running[run.key()])
+		p.resolveRun(run, running[run.key()])
 	}
 }
 
-// resolve decides on an uncertain run by a list that was taken after it became uncertain.
-func (p *Pool) resolve(run *runState, isRunning bool) {
+// resolveRun decides the state of an uncertain run. The list that isRunning comes from was made after the run became uncertain.
+func (p *Pool) resolveRun(run *runState, isRunning bool) {
 	switch {
 	case run.phase == runLaunching && isRunning:
 		p.runStarted(run)
@@ -152,7 +153,7 @@
 	}
 }
 
-// stopOrphan stops a run that no record knows, such as one carried out long after its order was given up.
+// stopOrphan stops a run that the pool has no record of, for example one that started long after its order was given up.
 func (p *Pool) stopOrphan(executor *executorState, report wire.RunReport) {
 	order := wire.Order{Kind: wire.OrderStop, Task: report.Task, Run: report.Run}
 	if !slices.Contains(executor.orphanStops, order) {
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -9,37 +9,40 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// ReservedCapacity is what long work of lower priority leaves to the urgent: at most MaxReserved of all capacity, and always
-// AlwaysAllowed of it to long work, which is work over LongWork. FirstRunShare is the part of all CPU up to which no soft
-// limit keeps a step from its first run. DemandHalfLife is how fast it is forgotten what the urgent asked for, and LullHalfLife how fast
-// while none of it runs or waits; 0 forgets it at once.
+// ReservedCapacity says how much capacity long work of a lower priority leaves free for more urgent work. Shares are fractions of the
+// total capacity.
 type ReservedCapacity struct {
-	MaxReserved    float64
-	AlwaysAllowed  float64
-	LongWork       time.Duration
-	FirstRunShare  float64
+	// MaxReserved is the most that is reserved. AlwaysAllowed is the least that long work may use in any case.
+	MaxReserved   float64
+	AlwaysAllowed float64
+	// LongWork is the estimated run time above which work counts as long.
+	LongWork time.Duration
+	// FirstRunShare is a fraction of all CPU. While less is in use, the first run of a step ignores soft limits.
+	FirstRunShare float64
+	// DemandHalfLife is the half-life of the remembered peak demand of urgent work. LullHalfLife applies instead while no such work runs or
+	// is pending. With 0 the peak is dropped at once.
 	DemandHalfLife time.Duration
 	LullHalfLife   time.Duration
-	// LowerShare is kept for what is on time of the second priority, and half as much for each one after the one before it;
-	// ExpiredShare is kept for what is of no use any more.
-	LowerShare   float64
+	// LowerShare is reserved for on-time work of the second priority. Each further priority gets half the share of the one before it.
+	LowerShare float64
+	// ExpiredShare is reserved for expired work, which can't be of use to its client any more.
 	ExpiredShare float64
 }
 
-// DefaultReservedCapacity keeps at most 60% of the capacity free for the urgent and always lets long work have 30%; long is over
-// 1.5 s. First runs go past soft limits up to 60%: over half, as runs that have ended count as running until that is reported.
+// DefaultReservedCapacity reserves at most 60% of the capacity for urgent work and always leaves 30% to long work, which is work over 1.5 s.
+// First runs ignore soft limits up to 60%. This is above one half, since a run that has ended counts as running until its end is reported.
 var DefaultReservedCapacity = ReservedCapacity{MaxReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond, FirstRunShare: 0.6,
 	DemandHalfLife: 15 * time.Second, LullHalfLife: 2 * time.Second, LowerShare: 0.15, ExpiredShare: 0.05}
 
-// capacityUse is what the runs of each priority take, and what each priority asked for at its peak.
+// capacityUse holds the allocations and the recent peak demand of each priority.
 type capacityUse struct {
-	// allocations are of all runs that are not closed, by the priority that they count as; a priority without runs has no entry.
+	// allocations sums up all runs that are not closed, by their counted priority. A priority without runs has no entry.
 	allocations   map[int]allocation
 	recentDemands map[int]*recentDemand
 	shareAccounts shareAccounts
-	// longWorkRemaining is what long work of a priority could still take at the last placement.
+	// longWorkRemaining is how much more long work of each priority could start at the last placement.
 	longWorkRemaining map[int]placement.Resources
-	// underusedSince is when less came into use than first runs may fill up; it is never while more is.
+	// underusedSince is when the CPU in use fell below FirstRunShare, or the value never while it is not below.
 	underusedSince time.Duration
 }
 
@@ -47,35 +50,37 @@
 	return capacityUse{allocations: map[int]allocation{}, recentDemands: map[int]*recentDemand{}, shareAccounts: shareAccounts{}, underusedSince: never}
 }
 
-// recentDemand is the most that a priority asked for lately, of what there is; it fades.
+// recentDemand is the recent peak demand of a priority or tenant. It decays exponentially from time at.
 type recentDemand struct {
 	cpu, memory float64
 	at          time.Duration
 }
 
-func (k *recentDemand) raise(cpu, memory float64, now, halfLife time.Duration) {
-	fade := 0.0
+// raise decays the peak up to now, and raises it to the present demand if that is higher. With a half-life of 0 nothing of the peak is left.
+func (d *recentDemand) raise(cpu, memory float64, now, halfLife time.Duration) {
+	decay := 0.0
 	if halfLife > 0 {
-		fade = math.Exp2(-float64(now-k.at) / float64(halfLife))
+		decay = math.Exp2(-float64(now-d.at) / float64(halfLife))
 	}
-	k.cpu, k.memory, k.at = max(cpu, k.cpu*fade), max(memory, k.memory*fade), now
+	d.cpu, d.memory, d.at = max(cpu, d.cpu*decay), max(memory, d.memory*decay), now
 }
 
-// hasFaded tells whether less than a unit of each resource is left.
-func (k *recentDemand) hasFaded() bool { return k.cpu < 1 && k.memory < 1 }
+// isNegligible tells whether less than one unit of each resource is left.
+func (d *recentDemand) isNegligible() bool { return d.cpu < 1 && d.memory < 1 }
 
+// demand is what a priority's runs and pending requests want together, and the part of it that the runs are allocated.
 type demand struct{ wanted, allocated placement.Resources }
 
-// limits are the soft limits of a placement now.
+// limits returns the limits for a placement now.
 func (p *Pool) limits(now time.Duration) placement.Limits {
 	p.longWorkRemaining = p.remainingByPriority(p.table.openCapacity, now)
 	return placement.Limits{Remaining: maps.Clone(p.longWorkRemaining), FirstRunCPU: p.firstRunCPU(now), Shares: p.shares(now), Tenants: p.tenantLimits(now)}
 }
 
-// firstRunCPU is how much CPU first runs may take past soft limits: up to their share of all known executors, once less than that has
-// been in use for a while. In a short lull of urgent work the first runs of a backlog would fill the fleet for as long as they last.
-// Of what runs take only that on executors in order counts: on a lost or leaving one it may be over already, and its capacity then
-// stands empty.
+// firstRunCPU is how much CPU first runs may take beyond soft limits: up to FirstRunShare of all known executors, once the CPU in use has
+// been below that for maxIdleWait. Without the wait, the first runs of a backlog would fill the fleet in a short lull of urgent work and
+// hold it until they end. Only runs on healthy executors count as using CPU. A run on a lost or draining executor may have ended already,
+// and the executor's capacity then stays unused.
 func (p *Pool) firstRunCPU(now time.Duration) int64 {
 	unused := int64(p.timing.ReservedCapacity.FirstRunShare*float64(p.table.totalCapacity.CPU)) - p.table.usedCPU
 	if unused <= 0 {
@@ -89,8 +94,8 @@
 	return unused
 }
 
-// remainingByPriority gives each priority what it may still take, so that urgent jobs find capacity when they come: also in a moment
-// in which none of them runs or waits.
+// remainingByPriority returns how much more the long work of each priority may take. It reserves capacity for more urgent jobs, also while
+// none of them runs or is pending, so that they find capacity when they arrive. The most urgent priority has no limit and no entry.
 func (p *Pool) remainingByPriority(total placement.Resources, now time.Duration) map[int]placement.Resources {
 	demands := p.demands()
 	p.updateRecentDemands(demands, total, now)
@@ -99,30 +104,32 @@
 	for _, demand := range demands {
 		used = used.Plus(demand.allocated)
 	}
-	// keptNow is what is kept for priorities that have demand now: expired work is soon over, and may use a lull of the others.
-	var kept, keptNow, above placement.Resources
+	// reservedNow counts only priorities that have demand now. It is the limit for expired work, which may use capacity that the other
+	// priorities don't ask for at the moment, as it ends soon.
+	var reserved, reservedNow, moreUrgent placement.Resources
 	for index, priority := range slices.Sorted(maps.Keys(p.recentDemands)) {
 		demand, hasDemand := demands[priority]
-		leaves := kept
+		reservedForOthers := reserved
 		if priority == placement.Background {
-			leaves = keptNow
+			reservedForOthers = reservedNow
 		}
 		if index > 0 {
-			free := total.Minus(used).Minus(leaves)
-			minimum := total.Times(p.alwaysAllowed(priority)).Minus(used.Minus(above))
+			free := total.Minus(used).Minus(reservedForOthers)
+			minimum := total.Times(p.alwaysAllowed(priority)).Minus(used.Minus(moreUrgent))
 			remaining[priority] = free.Max(minimum)
 		}
 		unused := p.recentDemands[priority].unused(demand.allocated, total.Times(p.timing.ReservedCapacity.MaxReserved))
-		kept = kept.Plus(unused)
+		reserved = reserved.Plus(unused)
 		if hasDemand {
-			keptNow = keptNow.Plus(unused)
+			reservedNow = reservedNow.Plus(unused)
 		}
-		above = above.Plus(demand.allocated)
+		moreUrgent = moreUrgent.Plus(demand.allocated)
 	}
 	return remaining
 }
 
-// updateRecentDemands takes the demands of now, of no more than there is, and lets the others fade until nothing is left of them.
+// updateRecentDemands raises the recent peaks to the present demands, at most to the total capacity. The peak of a priority without demand
+// decays, and is deleted once it is negligible.
 func (p *Pool) updateRecentDemands(demands map[int]demand, total placement.Resources, now time.Duration) {
 	for priority := range demands {
 		if p.recentDemands[priority] == nil {
@@ -136,46 +143,48 @@
 			halfLife = p.timing.ReservedCapacity.LullHalfLife
 		}
 		recent.raise(float64(wanted.CPU), float64(wanted.Memory), now, halfLife)
-		if !exists && recent.hasFaded() {
+		if !exists && recent.isNegligible() {
 			delete(p.recentDemands, priority)
 		}
 	}
 }
 
-// alwaysAllowed is the part of the capacity that long work of a priority and all below it may take whatever is reserved. While a more
-// urgent priority is overloaded it is no more than the share of one priority.
+// alwaysAllowed is the fraction of the capacity that long work of a priority and of all less urgent ones may take regardless of
+// reservations. It is at most LowerShare while a more urgent priority is overloaded, and at most ExpiredShare for background work.
 func (p *Pool) alwaysAllowed(priority int) float64 {
 	reserved := &p.timing.ReservedCapacity
 	switch {
 	case priority == placement.Background:
 		return min(reserved.AlwaysAllowed, reserved.ExpiredShare)
-	case p.overload.isAnyOverloaded(priority):
+	case p.overload.isMoreUrgentOverloaded(priority):
 		return min(reserved.AlwaysAllowed, reserved.LowerShare)
 	}
 	return reserved.AlwaysAllowed
 }
 
-func (k *recentDemand) unused(used, limit placement.Resources) placement.Resources {
-	return placement.Resources{CPU: max(0, min(int64(k.cpu), limit.CPU)-used.CPU), Memory: max(0, min(int64(k.memory), limit.Memory)-used.Memory)}
+// unused is the part of the recent peak, up to a limit, that is not in use now.
+func (d *recentDemand) unused(used, limit placement.Resources) placement.Resources {
+	return placement.Resources{CPU: max(0, min(int64(d.cpu), limit.CPU)-used.CPU), Memory: max(0, min(int64(d.memory), limit.Memory)-used.Memory)}
 }
 
-// allocation is what so many runs, or groups, of one priority take.
+// allocation is the total resources of a number of runs or groups.
 type allocation struct {
 	resources placement.Resources
 	count     int
 }
 
-func (u allocation) with(resources placement.Resources, count int) allocation {
+// with returns the allocation with resources added, or subtracted if count is negative.
+func (a allocation) with(resources placement.Resources, count int) allocation {
 	if count < 0 {
-		return allocation{u.resources.Minus(resources), u.count + count}
+		return allocation{a.resources.Minus(resources), a.count + count}
 	}
-	return allocation{u.resources.Plus(resources), u.count + count}
+	return allocation{a.resources.Plus(resources), a.count + count}
 }
 
-// allocate counts a run that takes resources.
+// allocate adds a run's resources to the allocation of its counted priority.
 func (c *capacityUse) allocate(run *runState) { c.countRun(run, 1) }
 
-// deallocate is the end of what allocate counted.
+// deallocate reverts allocate.
 func (c *capacityUse) deallocate(run *runState) { c.countRun(run, -1) }
 
 func (c *capacityUse) countRun(run *runState, count int) {
@@ -187,7 +196,7 @@
 	c.shareAccounts.countRun(run, int64(count))
 }
 
-// countedPriority is the priority that a run's allocation counts as: what had expired when it was placed is background work.
+// countedPriority is the priority under which a run's allocation is counted. A run that had expired when it was placed is background work.
 func (r *runState) countedPriority() int {
 	if r.isExpired {
 		return placement.Background
@@ -195,8 +204,8 @@
 	return r.task.step.priority()
 }
 
-// demands returns by priority what runs hold and what they and the open requests want together. Background work, which wants nothing
-// more, is always among them, so that it is limited from its first run on.
+// demands returns the demand of each priority. Background work always has an entry, though no request counts as its demand, so that it is
+// limited from its first run on.
 func (p *Pool) demands() map[int]demand {
 	demands := map[int]demand{placement.Background: {}}
 	for priority, allocation := range p.allocations {
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -10,47 +10,50 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// RolloutPolicy is what a version of the configuration says of the rollouts in which the pool's service runs one of the two versions; it is
-// never changed after it was made.
+// RolloutPolicy holds the rollouts of one configuration version in which the pool's service runs the old or the new version. It is
+// immutable.
 type RolloutPolicy struct {
-	// Version is that of the configuration.
+	// Version is the configuration version.
 	Version  int64
 	Rollouts []RolloutTerms
 }
 
-// RolloutTerms are those of one rollout.
+// RolloutTerms are the settings of one rollout.
 type RolloutTerms struct {
 	Name string
-	// BegunMs is when it began, in milliseconds since 1970; what is counted under another one of the same name is dropped.
+	// BegunMs is when the rollout began, in milliseconds since 1970. Counts of another rollout of the same name, with another BegunMs, are
+	// dropped.
 	BegunMs int64
-	// Route is the name of the queue whose jobs it divides.
+	// Route is the name of the queue whose jobs are split between the two versions.
 	Route string
-	// ReturnTo is the service of the old version, to whose pool jobs go back; it is empty unless this pool runs the new version and that was
-	// turned back.
+	// ReturnTo is the service of the old version, to whose pool jobs are returned. It is set only if this pool runs the new version and the
+	// rollout was rolled back.
 	ReturnTo string
-	// StopsRuns tells that runs are stopped so that their jobs can go back; IsRepeatable that even tasks that are done may run again there.
+	// StopsRuns allows runs to be stopped so that their jobs can be returned. IsRepeatable tells that tasks may run again, even those that are
+	// done.
 	StopsRuns    bool
 	IsRepeatable bool
 }
 
-// WithRollouts gives a pool what the configuration in force says of rollouts. Without it there are none.
+// WithRollouts sets the source of the rollouts of the current configuration. A pool without it has no rollouts.
 func WithRollouts(policy func() RolloutPolicy) Option {
 	return func(p *Pool) { p.rolloutPolicy = policy }
 }
 
 func noRolloutPolicy() RolloutPolicy { return RolloutPolicy{} }
 
-// rolloutTable holds what the pool counts for rollouts. It is made anew with each leadership, from the records.
+// rolloutTable holds the pool's counts for rollouts and its jobs in transfer. Each new leader rebuilds it from the records.
 type rolloutTable struct {
-	// version is that of the configuration whose rollouts these are.
+	// version is the configuration version that the rollouts come from.
 	version int64
-	// byName are the counts of each rollout, byRoute those that a queue's jobs count for, returning the rollouts that were turned back.
+	// byName holds the counts of each rollout by its name, and byRoute the same counts by the rollout's queue. returning holds the rollouts
+	// that were rolled back.
 	byName    map[string]*versionCounts
 	byRoute   map[string]*versionCounts
 	returning []RolloutTerms
-	// inTransfer are the jobs on their way to another pool, by their IDs.
+	// inTransfer holds the jobs in transfer to another pool, by ID.
 	inTransfer map[string]*jobState
-	// nextReturnAt is when jobs to be returned are looked for again.
+	// nextReturnAt is when the pool next checks for jobs to return.
 	nextReturnAt time.Duration
 }
 
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// updateRollouts takes the rollouts of the configuration in force, if it is another one than before.
+// updateRollouts applies the rollouts of the current configuration if its version has changed.
 func (p *Pool) updateRollouts() {
 	policy := p.rolloutPolicy()
 	if policy.Version == p.rollouts.version {
@@ -100,12 +103,13 @@
 	}
 }
 
-// isReturning tells whether the jobs of a queue go back to the pool of an older version.
+// isReturning tells whether the jobs of a queue are being returned to the pool of the old version.
 func (p *Pool) isReturning(route string) bool {
 	return slices.ContainsFunc(p.rollouts.returning, func(terms RolloutTerms) bool { return terms.Route == route })
 }
 
-// releaseReturning lets all jobs go on that wait for their return; the rollouts in force decide again which of them do.
+// releaseReturning lets all withheld jobs whose transfer has not begun start again. The new configuration then decides which of them are
+// returned.
 func (p *Pool) releaseReturning() {
 	for _, job := range p.jobs {
 		if job.transfer != nil || job.spec == nil || !job.holdsReleases {
@@ -116,7 +120,7 @@
 	}
 }
 
-// writeRollouts records the counts that have changed, so that they are committed together with the ends that they count.
+// writeRollouts writes the counts that have changed, so that they are committed together with the ends that they count.
 func (p *Pool) writeRollouts() {
 	for name, counts := range p.rollouts.byName {
 		if counts.isChanged {
@@ -126,7 +130,8 @@
 	}
 }
 
-// countOccurrenceEnd counts an occurrence that is complete, for the rollout that its queue is in.
+// countOccurrenceEnd counts a complete occurrence for the rollout of its queue, if there is one. An occurrence that lost runs isn't
+// counted as late.
 func (p *Pool) countOccurrenceEnd(occurrence *occurrence) {
 	if counts := p.rollouts.byRoute[occurrence.job.record.Route]; counts != nil {
 		isLate := p.leadership.WallMs() > occurrence.targetMs && !occurrence.hasLostRuns()
@@ -134,14 +139,15 @@
 	}
 }
 
-// countJobFailure counts a job that has failed.
+// countJobFailure counts a failed job for the rollout of its queue, if there is one.
 func (p *Pool) countJobFailure(job *jobState) {
 	if counts := p.rollouts.byRoute[job.record.Route]; counts != nil {
 		counts.addFailed(job.work())
 	}
 }
 
-// countRunEnd counts a run that ended by itself. The time of a run that an earlier leader started isn't known.
+// countRunEnd counts a run that ended by itself, for the rollout of its queue. The run time is counted only if the run is done and started
+// under this leader, since the start time of other runs is unknown.
 func (p *Pool) countRunEnd(run *runState, outcome wire.RunOutcome, now time.Duration) {
 	counts := p.rollouts.byRoute[run.task.owner().record.Route]
 	if counts == nil {
@@ -153,8 +159,8 @@
 	}
 }
 
-// hasLostRuns tells whether any task of the occurrence was started more often than it failed and ended: a run was stopped, or lost with its
-// executor, or was one of several at once.
+// hasLostRuns tells whether any task of the occurrence was started more often than its failures and its last run explain. A run was then
+// stopped, lost with its executor, or run speculatively beside another one.
 func (t *occurrence) hasLostRuns() bool {
 	for _, step := range t.steps {
 		for _, task := range step.tasks {
@@ -166,7 +172,7 @@
 	return false
 }
 
-// work is how much the job takes by its estimates, in core milliseconds.
+// work is the estimated size of the job in core milliseconds, at least 1.
 func (j *jobState) work() int64 {
 	var work int64
 	for _, step := range j.spec.Steps {
@@ -175,7 +181,7 @@
 	return max(1, work)
 }
 
-// Rollouts answers the leader of the configuration with what this pool has counted.
+// Rollouts answers the leader of the configuration with this pool's counts for each rollout.
 func (p *Pool) Rollouts(_ *wire.ClientCall, answer answerClient) {
 	p.answerWith(answer, func() easyjson.Marshaler { return p.rolloutReport() })
 }
@@ -199,7 +205,8 @@
 	return report
 }
 
-// openByRoute counts the occurrences under way of each queue in a rollout, and those of them that have missed their target.
+// openByRoute counts the open occurrences of each queue in a rollout, and those of them that are past their target. Occurrences with a
+// long-running step are left out, and those that lost runs don't count as overdue.
 func (p *Pool) openByRoute() (open, overdue map[string]int64) {
 	open, overdue = map[string]int64{}, map[string]int64{}
 	nowMs := p.leadership.WallMs()
@@ -220,7 +227,7 @@
 	return open, overdue
 }
 
-// isLasting tells whether the occurrence has a step that ends only with the job.
+// isLasting tells whether the occurrence has a long-running step, which ends only with the job.
 func (t *occurrence) isLasting() bool {
 	return slices.ContainsFunc(t.steps, func(step *stepState) bool { return step.spec.LongRunning })
 }
--- a/internal/scheduling/scheduler/tenantcount.go
+++ b/internal/scheduling/scheduler/tenantcount.go
@@ -10,17 +10,17 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// Counter carries a pool's calls to the leaders of the parts of the tenants' count. The answer runs on the pool's goroutine, with nil
-// if nobody decided.
+// Counter sends a pool's calls to the leaders of the partitions of the tenant count. The answer callback runs on the pool's goroutine. Its
+// argument is nil if no leader decided.
 type Counter interface {
 	Ask(part int, call *wire.GrantCall, answer func(*wire.GrantAnswer))
 }
 
-// WithCounter has a pool start runs only within what it was granted of tenants' limits, so that the limits hold over all pools. Without
-// it the pool is taken to be the only one.
+// WithCounter makes a pool start runs only within its grants from tenants' limits, so that the limits hold over all pools. A pool without a
+// counter assumes that it is the only one.
 func WithCounter(counter Counter) Option { return func(p *Pool) { p.counter = counter } }
 
-// openAccounts reads the accounts of the pool, if it counts with others.
+// openAccounts reads the pool's accounts of granted limits. Without a counter there are none.
 func (p *Pool) openAccounts(leadership Leadership, pairs []wire.Op) {
 	p.accounts = nil
 	if p.counter == nil {
@@ -32,13 +32,13 @@
 	}
 	p.accounts = accounts
 	for _, name := range accounts.Tenants() {
-		p.tenantOf(name).terms.Limit = limitByAccount(accounts.Balance(name))
+		p.tenantOf(name).terms.Limit = limitFromBalance(accounts.Balance(name))
 	}
 }
 
-// limitByAccount is the limit of a tenant that the configuration has no more: what the pool was granted while it had it. Of a resource
-// that nothing was granted of, nothing was counted.
-func limitByAccount(allowance placement.Resources) placement.Resources {
+// limitFromBalance is the limit of a tenant that is no longer in the configuration: what the pool was granted while it was. A resource
+// without a grant was not counted and is unlimited.
+func limitFromBalance(allowance placement.Resources) placement.Resources {
 	for _, field := range []*int64{&allowance.CPU, &allowance.Memory, &allowance.GPU} {
 		if *field == 0 {
 			*field = placement.Unlimited
@@ -47,7 +47,7 @@
 	return allowance
 }
 
-// tickCount gives back what of its accounts the pool should not keep, and asks for what it needs.
+// tickCount returns grants that the pool should not keep, and asks for those that it needs.
 func (p *Pool) tickCount(now time.Duration) {
 	p.updateTerms()
 	if p.accounts == nil {
@@ -67,12 +67,12 @@
 	}
 }
 
-// countPolicy is what the configuration whose terms the tenants have says to the accounts.
+// countPolicy is the policy of the accounts under the configuration that the tenants' terms come from.
 func (p *Pool) countPolicy() tenantcount.Policy {
 	return tenantcount.Policy{Version: p.tenants.version, IsShared: p.tenants.hasOtherPools}
 }
 
-// tenantDemands is what each tenant uses and wants that has a limit or an account.
+// tenantDemands returns the use and the demand of each tenant that has a limit or granted capacity.
 func (p *Pool) tenantDemands() map[string]tenantcount.Demand {
 	demands := make(map[string]tenantcount.Demand, len(p.tenants.sorted))
 	for _, tenant := range p.tenants.sorted[1:] {
@@ -86,7 +86,7 @@
 	return demands
 }
 
-// askPart calls a part. Its answer counts only in this leadership: the next one has a accounts of its own.
+// askPart calls the leader of a partition. The answer counts only under this leadership, since the next leader has accounts of its own.
 func (p *Pool) askPart(part int, call *wire.GrantCall) {
 	accounts := p.accounts
 	p.counter.Ask(part, call, func(answer *wire.GrantAnswer) {
@@ -96,7 +96,7 @@
 	})
 }
 
-// commitAccounts writes changed accounts; what they allow more may be used once that is committed.
+// commitAccounts writes changed accounts. Additional grants may be used once this is committed.
 func (p *Pool) commitAccounts(changes ...tenantcount.Change) {
 	if len(changes) == 0 {
 		return
@@ -116,14 +116,14 @@
 	})
 }
 
-// Tenants answers an operator with what each tenant has, may have and waits for in this pool.
+// Tenants answers an operator with the running, allowed and pending resources of each tenant in this pool.
 func (p *Pool) Tenants(_ *wire.ClientCall, answer answerClient) {
 	p.answerWith(answer, func() easyjson.Marshaler {
 		return &wire.TenantCountReport{Key: p.key, Version: p.tenants.version, Tenants: p.tenantUsage()}
 	})
 }
 
-// tenantUsage has a row for each tenant, in the order in which the pool came to know them.
+// tenantUsage returns a row for each tenant, in the order in which the pool first saw them.
 func (p *Pool) tenantUsage() []wire.TenantUsage {
 	waitingJobs := map[*tenantState]int{}
 	for _, job := range p.jobs {
@@ -131,7 +131,7 @@
 			waitingJobs[job.tenant]++
 		}
 	}
-	weights := p.weightsOfWork()
+	totalWeight := p.activeWeight()
 	rows := make([]wire.TenantUsage, 0, len(p.tenants.sorted))
 	for _, tenant := range p.tenants.sorted[1:] {
 		running, waiting := tenantcount.CapacityOf(tenant.allocated.resources), tenantcount.CapacityOf(p.open.first.tenantDemand[tenant.index].resources)
@@ -140,7 +140,7 @@
 		row := wire.TenantUsage{Tenant: tenant.name, Weight: tenant.terms.Weight, Running: &running, Runs: tenant.allocated.count, Waiting: &waiting,
 			WaitingJobs: waitingJobs[tenant], Surplus: tenant.surplusJobs, Allowance: &shown}
 		if tenant.hasWork() {
-			row.Share = tenant.terms.Weight / weights
+			row.Share = tenant.terms.Weight / totalWeight
 		}
 		rows = append(rows, row)
 	}
--- a/internal/scheduling/scheduler/tenantmetrics.go
+++ b/internal/scheduling/scheduler/tenantmetrics.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxShownTenants have series of their own; all others together are shown as otherTenants.
+	// maxShownTenants is how many tenants have their own series. All others are summed up under otherTenants.
 	maxShownTenants = 20
 	otherTenants    = "(others)"
 )
@@ -20,13 +20,13 @@
 	tenantAllowanceCPU = metrics.NewGauges("gannetline_pool_tenant_allowance_cpu", "key", "tenant")
 )
 
-// tenantLoad is what the metrics show of one tenant, in thousandths of a core; allowance is 0 where nothing is limited.
+// tenantLoad holds the metrics of one tenant, in CPU units (thousandths of a core). The allowance of a tenant without a limit is 0.
 type tenantLoad struct {
 	name                        string
 	running, waiting, allowance int64
 }
 
-// tenantLoads has the largest tenants by what they have and wait for, and the rest in one row.
+// tenantLoads returns the largest tenants by running and pending CPU, and the sum of all others as one entry.
 func (p *Pool) tenantLoads() []tenantLoad {
 	loads := make([]tenantLoad, 0, len(p.tenants.sorted))
 	for _, tenant := range p.tenants.sorted[1:] {
@@ -46,8 +46,8 @@
 	return append(loads[:maxShownTenants], others)
 }
 
-// showTenants sets the gauges of tenants. The series of a tenant that is no longer among the largest show 0; there are never more than
-// there have been tenants.
+// showTenants sets the gauges of tenants. The series of a tenant that is no longer among the largest are set to 0. There are never more
+// series than there have been tenants.
 func (m *poolMetrics) showTenants(loads []tenantLoad) {
 	shown := map[string]tenantLoad{}
 	for _, load := range loads {
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -8,68 +8,70 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// TenantPolicy is what a version of the configuration says of tenants; it is never changed after it was made.
+// TenantPolicy holds the tenants of one configuration version. It is immutable.
 type TenantPolicy struct {
 	Version int64
-	// Terms are those of each tenant, by its name.
+	// Terms holds the terms of each tenant by its name.
 	Terms map[string]TenantTerms
 	// HasOtherPools tells that other pools may run work of the same tenants.
 	HasOtherPools bool
 }
 
-// TenantTerms are what a configuration grants a tenant.
+// TenantTerms are a tenant's weight and limit in a configuration.
 type TenantTerms struct {
-	// Weight is the tenant's share once everything is full, and the jobs a second that it may expect to be done; 0 counts as 1.
+	// Weight is the tenant's relative share of the capacity when it is scarce, and its rate in jobs per second. Jobs above this rate are
+	// surplus. 0 counts as 1.
 	Weight float64
-	// Limit is what the tenant may have running over all pools; placement.Unlimited where there is no limit.
+	// Limit is the most that the tenant's runs may take in all pools together. A resource without a limit is placement.Unlimited.
 	Limit placement.Resources
 }
 
-// WithTenants gives a pool what the configuration in force says of tenants. Without it no tenant is limited.
+// WithTenants sets the source of the tenants of the current configuration. Without it no tenant is limited.
 func WithTenants(policy func() TenantPolicy) Option {
 	return func(p *Pool) { p.policyInForce = policy }
 }
 
 func noTenantPolicy() TenantPolicy { return TenantPolicy{} }
 
-// tenantTable holds what the pool knows of each tenant. It is made anew with each leadership.
+// tenantTable holds the state of each tenant. Each new leader creates its own.
 type tenantTable struct {
 	byName map[string]*tenantState
-	// sorted has them by their index, which a tenant keeps; the first stands for jobs without a tenant.
+	// sorted holds the tenants by index. A tenant's index never changes, and index 0 stands for jobs without a tenant.
 	sorted []*tenantState
-	// version is that of the configuration whose terms the tenants have.
+	// version is the configuration version that the terms come from.
 	version       int64
 	hasOtherPools bool
 }
 
-// tenantState is what one tenant has in this pool.
+// tenantState is the state of one tenant in this pool.
 type tenantState struct {
 	name  string
 	index int
-	// terms are the last that a configuration had for it; a tenant that was taken out keeps them until its jobs are over.
+	// terms come from the last configuration that has the tenant. A tenant that was removed from the configuration keeps them until its jobs
+	// have ended.
 	terms TenantTerms
-	// allocated is what its runs take, until each has certainly ended or can't start any more.
+	// allocated is the total of the tenant's runs. A run counts until it has certainly ended or can't start any more.
 	allocated allocation
-	// longAllocated is the part of it that long work takes which has to leave room for urgent work.
+	// longAllocated is the part of allocated that is taken by long work which must leave room for urgent work.
 	longAllocated allocation
-	// urgentDemand is what its other work asked for at its peak; it fades.
+	// urgentDemand is the recent peak demand of the tenant's other work.
 	urgentDemand recentDemand
-	// openSteps counts its steps in the queue, so that shares are divided among those who have work.
+	// openSteps counts the tenant's steps in the queue. Shares are divided among the tenants that have work.
 	openSteps int
 	rate      submissionRate
-	// surplusJobs counts its jobs under way that are beyond its rate.
+	// surplusJobs counts the tenant's open jobs that were submitted above its rate.
 	surplusJobs int
 }
 
 func newTenantTable() tenantTable {
-	none := &tenantState{terms: unlimitedTerms}
-	return tenantTable{byName: map[string]*tenantState{"": none}, sorted: []*tenantState{none}}
+	noTenant := &tenantState{terms: unlimitedTerms}
+	return tenantTable{byName: map[string]*tenantState{"": noTenant}, sorted: []*tenantState{noTenant}}
 }
 
-// unlimitedTerms are those of a tenant of which nothing is known.
+// unlimitedTerms are the terms of a tenant that no configuration had so far.
 var unlimitedTerms = TenantTerms{Weight: 1, Limit: placement.NoLimit}
 
-// tenantOf gives the state of a tenant, and makes it at its first job or with the first configuration that has it.
+// tenantOf returns the state of a tenant. It creates the state at the tenant's first job or the first configuration that has the tenant.
 func (p *Pool) tenantOf(name string) *tenantState {
 	tenant := p.tenants.byName[name]
 	if tenant == nil {
@@ -80,8 +82,8 @@
 	return tenant
 }
 
-// updateTerms takes the terms of the configuration in force, if it is another one than before. A tenant that no configuration had
-// since this leader took over may use what the pool was granted for it, and no more.
+// updateTerms applies the terms of the current configuration if its version has changed. If no configuration has had a tenant since this
+// leader took over, the tenant may use what the pool was granted for it and no more.
 func (p *Pool) updateTerms() {
 	policy := p.policyInForce()
 	if policy.Version == p.tenants.version {
@@ -98,17 +100,17 @@
 	p.needsPlacing = true
 }
 
-// atLimitPart is the part of its limit from which on a tenant counts as being at it: most tasks need less than the rest.
-const atLimitPart = 0.9
+// atLimitFraction is the fraction of its limit from which on a tenant counts as at its limit. Most tasks need less than the remaining 10%.
+const atLimitFraction = 0.9
 
-// isAtLimit tells whether a tenant has, as good as, all that it may have, so that it waits for itself and not for the fleet.
+// isAtLimit tells whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
 func (t *tenantTable) isAtLimit(index int) bool {
 	tenant := t.sorted[index]
-	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.PartOf(tenant.terms.Limit) >= atLimitPart
+	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.PartOf(tenant.terms.Limit) >= atLimitFraction
 }
 
-// countTenantRun adds a run to what its tenant has, or takes it out with a negative count. A run counts from before its order leaves
-// until it has certainly ended or can't start any more, so that what executors run is never more than what is counted.
+// countTenantRun adds a run to its tenant's allocation. A negative count removes it. A run counts from before its launch order is sent
+// until it has certainly ended or can't start any more, so executors never run more than is counted.
 func (p *Pool) countTenantRun(run *runState, count int) {
 	tenant := run.task.step.tenant()
 	tenant.allocated = tenant.allocated.with(run.task.step.need(), count)
@@ -117,42 +119,42 @@
 	}
 }
 
-// leavesRoom tells whether a step is long work that has to leave room for what is more urgent.
+// leavesRoom tells whether a step is long work that must leave room for more urgent work.
 func (p *Pool) leavesRoom(step *stepState) bool {
 	group := placement.Group{IsLong: p.isLong(step), IsLasting: step.spec.LongRunning, Priority: step.priority()}
 	return group.LeavesRoom()
 }
 
-// maxUrgentRoom is the part of a tenant's limit that its long work leaves to its other work at the most.
-const maxUrgentRoom = 0.4
+// maxUrgentFraction is the largest fraction of a tenant's limit that is reserved for its urgent work.
+const maxUrgentFraction = 0.4
 
-// longLimit is what long work of a tenant may take: its limit less what its other work has lately asked for.
+// longLimit is the limit of a tenant's long work: the tenant's limit minus the recent peak demand of its other work. It updates this peak.
 func (p *Pool) longLimit(tenant *tenantState, limit placement.Resources, now time.Duration) placement.Resources {
-	asked := p.open.first.urgentDemand[tenant.index].resources.Plus(tenant.allocated.resources).Minus(tenant.longAllocated.resources)
-	tenant.urgentDemand.raise(float64(asked.CPU), float64(asked.Memory), now, p.timing.ReservedCapacity.DemandHalfLife)
-	most := limit.Times(maxUrgentRoom)
-	return limit.Minus(placement.Resources{CPU: min(most.CPU, int64(tenant.urgentDemand.cpu)), Memory: min(most.Memory, int64(tenant.urgentDemand.memory))})
+	present := p.open.first.urgentDemand[tenant.index].resources.Plus(tenant.allocated.resources).Minus(tenant.longAllocated.resources)
+	tenant.urgentDemand.raise(float64(present.CPU), float64(present.Memory), now, p.timing.ReservedCapacity.DemandHalfLife)
+	maxReserved := limit.Times(maxUrgentFraction)
+	return limit.Minus(placement.Resources{CPU: min(maxReserved.CPU, int64(tenant.urgentDemand.cpu)), Memory: min(maxReserved.Memory, int64(tenant.urgentDemand.memory))})
 }
 
-// tenantLimits gives what each tenant has and may have, by its index.
+// tenantLimits returns the allocation and the limits of each tenant, by index.
 func (p *Pool) tenantLimits(now time.Duration) []placement.Tenant {
 	p.updateTerms()
 	limits := make([]placement.Tenant, len(p.tenants.sorted))
-	weights := p.weightsOfWork()
+	totalWeight := p.activeWeight()
 	for index, tenant := range p.tenants.sorted {
 		limit, mayOverhang := p.limitOf(tenant)
 		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOverhang: mayOverhang,
 			LongAllocated: tenant.longAllocated.resources, LongLimit: p.longLimit(tenant, limit, now), Share: placement.NoLimit}
 		if index > 0 && tenant.hasWork() {
-			limits[index].Share = p.table.openCapacity.Times(tenant.terms.Weight / weights)
+			limits[index].Share = p.table.openCapacity.Times(tenant.terms.Weight / totalWeight)
 			limits[index].IsAboveShare = !limits[index].Share.Fits(limits[index].Allocated)
 		}
 	}
 	return limits
 }
 
-// limitOf is what a tenant may have running here, and whether its last run may reach beyond that: only where no other pool starts
-// anything under the same limit.
+// limitOf returns how much a tenant's runs may take in this pool. mayOverhang tells whether the last run may exceed this, which is allowed
+// only if no other pool starts runs under the same limit.
 func (p *Pool) limitOf(tenant *tenantState) (limit placement.Resources, mayOverhang bool) {
 	if p.accounts == nil || tenant.index == 0 {
 		return tenant.terms.Limit, true
@@ -161,7 +163,7 @@
 	return allowedOf(tenant.terms.Limit, allowance), hasWholeLimit
 }
 
-// allowedOf is what is allowed of a limit: nothing is counted, and all is allowed, of a resource without one.
+// allowedOf reduces a limit to the allowance granted to this pool. A resource without a limit isn't counted and stays unlimited.
 func allowedOf(limit, allowance placement.Resources) placement.Resources {
 	if limit.CPU != placement.Unlimited {
 		limit.CPU = min(limit.CPU, allowance.CPU)
@@ -175,45 +177,45 @@
 	return limit
 }
 
-// weightsOfWork is the sum of the weights of all tenants that have work.
-func (p *Pool) weightsOfWork() float64 {
-	weights := 0.0
+// activeWeight is the sum of the weights of all tenants that have work.
+func (p *Pool) activeWeight() float64 {
+	sum := 0.0
 	for _, tenant := range p.tenants.sorted[1:] {
 		if tenant.hasWork() {
-			weights += tenant.terms.Weight
+			sum += tenant.terms.Weight
 		}
 	}
-	return weights
+	return sum
 }
 
-// hasWork tells whether the tenant has anything that runs or waits.
+// hasWork tells whether the tenant has runs or steps in the queue.
 func (t *tenantState) hasWork() bool { return t.openSteps > 0 || t.allocated.count > 0 }
 
-// isWithinRate counts a job that a tenant hands in, and tells whether it is among those that the tenant may expect to be done.
-func (p *Pool) isWithinRate(tenant *tenantState) bool {
+// takeRateToken counts a submitted job against its tenant's rate and tells whether it is within the rate. Jobs without a tenant always are.
+func (p *Pool) takeRateToken(tenant *tenantState) bool {
 	return tenant.index == 0 || tenant.rate.take(tenant.terms.Weight, p.timing.RateWindow, p.clock.Monotonic())
 }
 
-// A tenant may have surplusSeconds' worth of jobs under way that are beyond its rate, and minSurplusJobs at least.
+// A tenant may have as many open surplus jobs as its rate gives in surplusSeconds, and at least minSurplusJobs.
 const (
 	surplusSeconds = 10
 	minSurplusJobs = 20
 )
 
-// isFlooding tells whether a tenant has so many jobs beyond its rate that no more of them are taken.
-func (t *tenantState) isFlooding() bool {
+// exceedsSurplusLimit tells whether a tenant has so many open surplus jobs that the pool refuses more of them.
+func (t *tenantState) exceedsSurplusLimit() bool {
 	return t.index > 0 && t.surplusJobs >= max(minSurplusJobs, int(surplusSeconds*t.terms.Weight))
 }
 
-// submissionRate tells which of a tenant's jobs are beyond its weight a second: a token bucket that holds what it may send in
-// a window of time.
+// submissionRate is a token bucket that tells which of a tenant's jobs are within its rate, which is its weight in jobs per second. The
+// bucket holds the jobs of one time window.
 type submissionRate struct {
 	tokens float64
 	at     time.Duration
 	isSeen bool
 }
 
-// take counts a job that comes now, and tells whether it is within the rate, in jobs a second over a window.
+// take counts a job submitted now and tells whether it is within the rate. The first call fills the bucket.
 func (r *submissionRate) take(perSecond float64, window, now time.Duration) bool {
 	burst := max(1, perSecond*window.Seconds())
 	if !r.isSeen {
--- a/internal/scheduling/scheduler/timing.go
+++ b/internal/scheduling/scheduler/timing.go
@@ -7,29 +7,33 @@
 	"gannetline/internal/platform/settings"
 )
 
-// Timing is how long the pool waits for what. Grant is how long an exchange lets an executor's runs go on, MaxHold
-// the longest that they can go on without one. An order without an answer is sent again after Resend, then ever
-// later up to MaxResend. An executor is left out of placement after SilentAfter without an exchange, and after a
-// lease renewal older than HoldStale. A stopped run may take StopTimeout, a launch that has not begun by StuckAfter is
-// stopped, and an ended job is kept for KeepEnded.
+// Timing holds the timeouts and intervals of a pool, and its scheduling parameters.
 type Timing struct {
-	Grant       time.Duration
-	MaxHold     time.Duration
-	Resend      time.Duration
-	MaxResend   time.Duration
-	HoldStale   time.Duration
+	// Grant is the duration of the lease that each exchange grants an executor. Its runs stop when the lease expires.
+	Grant time.Duration
+	// MaxHold is the longest time that an executor's runs can go on without an exchange.
+	MaxHold time.Duration
+	// Resend is the first backoff before an unanswered order is sent again, and MaxResend the longest.
+	Resend    time.Duration
+	MaxResend time.Duration
+	// HoldStale is the age of an executor's last lease renewal above which placement leaves the executor out.
+	HoldStale time.Duration
+	// SilentAfter is the time without an exchange after which placement leaves an executor out.
 	SilentAfter time.Duration
+	// StopTimeout is how long a stopped run may take to end.
 	StopTimeout time.Duration
-	StuckAfter  time.Duration
-	KeepEnded   time.Duration
-	// RateWindow is the time over which it is counted what a tenant sends.
+	// StuckAfter is the time after which a launch that has not started is stopped.
+	StuckAfter time.Duration
+	// KeepEnded is the retention period of ended jobs.
+	KeepEnded time.Duration
+	// RateWindow is the time window over which tenants' submission rates are measured.
 	RateWindow time.Duration
-	// RemoteFactor is how many times as long a task takes away from its data.
+	// RemoteFactor is how many times longer a task runs on an executor that doesn't have the task's data.
 	RemoteFactor     float64
 	ReservedCapacity ReservedCapacity
 }
 
-// TimingFrom is the timing that the bounds of a deployment ask for.
+// TimingFrom derives the timing from the protocol bounds of a deployment.
 func TimingFrom(nodeSettings *settings.Settings) Timing {
 	hold := nodeSettings.MaxHold()
 	return Timing{Grant: min(hold*8/10, 5*time.Second), MaxHold: hold, Resend: 200 * time.Millisecond,
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -14,34 +14,37 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// jobMoved is the final phase of a job that the pool of another service has taken over.
+// jobMoved is the final phase of a job whose transfer to the pool of another service is complete.
 const jobMoved jobPhase = "moved"
 
 const (
-	// returnInterval is how often jobs that may go back to the old version are looked for.
+	// returnInterval is the time between two checks for jobs that can be returned to the old version.
 	returnInterval = 200 * time.Millisecond
-	// transferResend is after how long a transfer without an answer is sent again.
+	// transferResend is the time after which an unanswered transfer is sent again.
 	transferResend = 500 * time.Millisecond
 )
 
-// TransferSender carries jobs to the pools of other services. The answer runs on the pool's goroutine, with nil if nobody decided.
+// TransferSender sends jobs to the pools of other services. The answer callback runs on the pool's goroutine. Its argument is nil if no pool
+// leader decided.
 type TransferSender interface {
 	Send(service string, call *wire.ClientCall, answer func(*wire.ClientAnswer))
 }
 
-// WithTransfers lets jobs of a version that was turned back go to the pool of the old one.
+// WithTransfers sets the sender for returning jobs to the pool of the old version after a rollback. Without it no job is returned.
 func WithTransfers(sender TransferSender) Option { return func(p *Pool) { p.transfers = sender } }
 
-// transfer is a job's way to the pool of another service. It is committed before it is sent for the first time: from then on nothing of the
-// job starts here, also under a later leader, so that the other pool may start it.
+// transfer is a pending transfer of a job to the pool of another service. It is committed before it is sent for the first time. After the
+// commit no run of the job starts here, also under a later leader, so that the other pool may start it.
 type transfer struct {
+	// to is the service that the job goes to.
 	to          string
 	isCommitted bool
 	isSent      bool
 	sentAt      time.Duration
 }
 
-// tickReturns moves the jobs that go back to the old version of a rollout that was turned back, as far as they can now.
+// tickReturns returns jobs to the old version of a rollout that was rolled back. It begins transfers where possible, and sends unanswered
+// ones again.
 func (p *Pool) tickReturns(now time.Duration) {
 	p.updateRollouts()
 	if p.transfers == nil || now < p.rollouts.nextReturnAt {
@@ -52,14 +55,15 @@
 		p.sendTransfer(p.rollouts.inTransfer[id], now)
 	}
 	for _, terms := range p.rollouts.returning {
-		for _, job := range p.openJobsOf(terms.Route) {
+		for _, job := range p.returnableJobs(terms.Route) {
 			p.returnJob(job, terms)
 		}
 	}
 }
 
-// openJobsOf gives the jobs of a queue that are under way and not on their way to another pool, by their IDs.
-func (p *Pool) openJobsOf(route string) []*jobState {
+// returnableJobs returns the open jobs of a queue that can be read, are not in transfer, and were not rejected by the other pool, sorted by
+// ID.
+func (p *Pool) returnableJobs(route string) []*jobState {
 	var open []*jobState
 	for _, job := range p.jobs {
 		if job.record.Route == route && job.isOpen() && job.spec != nil && !job.isUnreadable && job.transfer == nil && !job.isKept {
@@ -70,9 +74,9 @@
 	return open
 }
 
-// returnJob lets nothing of a job start here any more, and begins its transfer once nothing of it runs. Runs that have begun are let end, or
-// stopped where that was agreed and their tasks may run again; lasting ones, which never end, and those whose start was not answered yet are
-// stopped in any case. What is done stays done.
+// returnJob lets no run of a job start any more, and begins the job's transfer once it has no runs. Started runs end by themselves, unless
+// the rollout allows stopping them and their tasks may run again. Runs of long-running jobs, which never end, and runs whose launch has
+// no answer yet are stopped in any case. Completed tasks stay complete.
 func (p *Pool) returnJob(job *jobState, terms RolloutTerms) {
 	job.holdsReleases = true
 	p.withhold(job)
@@ -84,7 +88,7 @@
 	}
 }
 
-// stopRunsOf stops the runs of a job: all of them, or only those that have not begun as far as is known here.
+// stopRunsOf stops all runs of a job, or only those whose launch has no answer yet.
 func (p *Pool) stopRunsOf(job *jobState, all bool) {
 	for _, occurrence := range job.sortedOccurrences() {
 		for _, step := range occurrence.steps {
@@ -99,12 +103,12 @@
 	}
 }
 
-// isLasting tells whether all steps of the job end only with it.
+// isLasting tells whether all steps of the job are long-running, so that they end only with the job.
 func (j *jobState) isLasting() bool {
 	return !slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return !step.LongRunning })
 }
 
-// withhold keeps everything of a job from starting.
+// withhold removes all steps of a job from the queue, so that no run of it starts.
 func (p *Pool) withhold(job *jobState) {
 	job.isWithheld = true
 	for _, occurrence := range job.occurrences {
@@ -114,7 +118,7 @@
 	}
 }
 
-// releaseWithheld lets a job start again.
+// releaseWithheld reverts withhold: it puts the open steps of a job back into the queue.
 func (p *Pool) releaseWithheld(job *jobState) {
 	if !job.isWithheld {
 		return
@@ -130,21 +134,21 @@
 	p.needsPlacing = true
 }
 
-// beginTransfer commits that nothing of a job starts here any more, and sends it once that is done.
+// beginTransfer withholds a job, commits the transfer, and then sends the job.
 func (p *Pool) beginTransfer(job *jobState, to string) {
 	p.withhold(job)
-	begun := &transfer{to: to}
-	job.transfer, p.rollouts.inTransfer[job.id] = begun, job
+	pending := &transfer{to: to}
+	job.transfer, p.rollouts.inTransfer[job.id] = pending, job
 	p.putRecord(prefixTransfer+job.id, transferRecord{To: to})
 	p.afterCommit(func(err error) {
-		if err == nil && job.transfer == begun {
-			begun.isCommitted = true
+		if err == nil && job.transfer == pending {
+			pending.isCommitted = true
 			p.sendTransfer(job, p.clock.Monotonic())
 		}
 	})
 }
 
-// loadTransfer reads that a job is on its way. It must be loaded before its steps are opened.
+// loadTransfer reads the record of a job in transfer. It must run before any step of the job opens.
 func (p *Pool) loadTransfer(id string, value []byte) error {
 	var record transferRecord
 	if err := easyjson.Unmarshal(value, &record); err != nil {
@@ -159,27 +163,28 @@
 	return nil
 }
 
-// sendTransfer sends a job to the other pool, again until there is an answer.
+// sendTransfer sends a job to the other pool if its transfer is committed and was not sent within transferResend.
 func (p *Pool) sendTransfer(job *jobState, now time.Duration) {
-	way := job.transfer
-	if p.transfers == nil || !way.isCommitted || way.isSent && now < way.sentAt+transferResend {
+	pending := job.transfer
+	if p.transfers == nil || !pending.isCommitted || pending.isSent && now < pending.sentAt+transferResend {
 		return
 	}
 	call, err := transferCall(job, p.key)
 	if err != nil {
-		p.log.Error(err, "transfer not written", "job", job.id)
+		p.log.Error(err, "transfer not encoded", "job", job.id)
 		return
 	}
-	way.isSent, way.sentAt = true, now
+	pending.isSent, pending.sentAt = true, now
 	leadership := p.leadership
-	p.transfers.Send(way.to, call, func(answer *wire.ClientAnswer) {
-		if p.leadership == leadership && job.transfer == way {
+	p.transfers.Send(pending.to, call, func(answer *wire.ClientAnswer) {
+		if p.leadership == leadership && job.transfer == pending {
 			p.handleTransferAnswer(job, answer)
 		}
 	})
 }
 
-// transferCall says a job for the pool that takes it over.
+// transferCall encodes a job for the pool that takes it over: the job's spec, its completed occurrences, and its tasks that are done or have
+// failed attempts.
 func transferCall(job *jobState, key string) (*wire.ClientCall, error) {
 	spec, err := easyjson.Marshal(job.spec)
 	if err != nil {
@@ -211,7 +216,7 @@
 	return &wire.ClientCall{Verb: wire.VerbTransfer, Route: job.record.Route, ID: job.id, Tenant: job.record.Tenant, Terms: &terms, Body: body}, nil
 }
 
-// handleTransferAnswer ends the job here once the other pool has it. A pool that can never take it leaves it here.
+// handleTransferAnswer ends the job here once the other pool has accepted it. If that pool rejects it for good, the job stays and runs here.
 func (p *Pool) handleTransferAnswer(job *jobState, answer *wire.ClientAnswer) {
 	switch {
 	case answer == nil || answer.NotLeader || answer.Status >= http.StatusInternalServerError:
@@ -225,17 +230,17 @@
 	}
 }
 
-// endTransfer takes a job off its way to another pool.
+// endTransfer deletes a job's transfer and the transfer's record.
 func (p *Pool) endTransfer(job *jobState) {
 	job.transfer = nil
 	delete(p.rollouts.inTransfer, job.id)
 	p.dropRecord(prefixTransfer + job.id)
 }
 
-// Transfer takes over a job that another pool had accepted, and answers once that is committed. It is never refused for load, as its client
-// was told that it is accepted; a promise not to take it is void, since the other pool has it no more.
+// Transfer takes over a job from another pool, and answers once that is committed. It never refuses a job because of load, since the job's
+// client has an acknowledgement. A promise to refuse the job is void, since the other pool doesn't have it any more.
 func (p *Pool) Transfer(call *wire.ClientCall, answer answerClient) {
-	accepted := acceptance(answer)
+	accepted := answerOnCommit(answer)
 	if known := p.jobs[call.ID]; known != nil {
 		if known.record.Route != call.Route {
 			answer(wire.ClientAnswer{Status: http.StatusConflict, Reason: "the ID belongs to a job of another queue"})
@@ -264,14 +269,14 @@
 		job.completedOccurrences[number] = true
 		p.putRecord(prefixOccurrence+job.id+"/"+strconv.Itoa(number), timeRecord{Done: true})
 	}
-	p.takeTasks(job, moved.Tasks)
+	p.restoreTasks(job, moved.Tasks)
 	p.releaseDueOf(job, p.leadership.WallMs())
 	p.afterCommit(accepted)
 }
 
-// takeTasks takes over what has become of a job's tasks elsewhere: which are done, and the attempts that others have used up. It comes
-// before any step of the job opens.
-func (p *Pool) takeTasks(job *jobState, tasks []wire.TransferredTask) {
+// restoreTasks restores the tasks of a transferred job: those that are done, and the failed attempts of the others. It must run before any
+// step of the job opens.
+func (p *Pool) restoreTasks(job *jobState, tasks []wire.TransferredTask) {
 	for _, moved := range tasks {
 		if !job.hasTask(jobs.Place{ID: job.id, Time: moved.Occurrence, Step: moved.Step, Index: moved.Index}) {
 			continue
--- a/internal/scheduling/scheduler/versioncounts.go
+++ b/internal/scheduling/scheduler/versioncounts.go
@@ -9,29 +9,29 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// thousandths is how many units make one whole, of a core and of an estimate.
+// thousandths is the number of units per whole: CPU units per core, and run time units per estimated run time.
 const thousandths = 1000
 
-// The histograms of run times and of jobs' sizes hold values from 1 to maxHistogramValue, with so many significant digits.
+// The histograms of run times and of job sizes hold values from 1 to maxHistogramValue, with histogramDigits significant digits.
 const (
 	maxHistogramValue = 1 << 40
 	histogramDigits   = 1
-	// largestTenth is the quantile from which on a job counts among the largest, once minWorks sizes are known.
-	largestTenth = 90
-	minWorks     = 20
+	// largeQuantile is the percentile of job sizes from which on a job counts as large, once minSizeSamples sizes are known.
+	largeQuantile  = 90
+	minSizeSamples = 20
 )
 
-// versionCounts is what one version has done since a rollout began.
+// versionCounts holds the results of jobs and runs under one version since a rollout began.
 type versionCounts struct {
 	name    string
 	begunMs int64
 	jobs    wire.JobCounts
 	large   wire.JobCounts
 	zones   map[string]*wire.ZoneRuns
-	// runTimes are in thousandths of the estimates, works in core milliseconds.
+	// runTimes holds run times in thousandths of their estimates, works holds job sizes in core milliseconds.
 	runTimes *hdrhistogram.Histogram
 	works    *hdrhistogram.Histogram
-	// isChanged tells that the record on disk is older.
+	// isChanged is set while the stored record is out of date.
 	isChanged bool
 }
 
@@ -53,15 +53,16 @@
 func newHistogram(buckets []wire.Bucket) *hdrhistogram.Histogram {
 	histogram := hdrhistogram.New(1, maxHistogramValue, histogramDigits)
 	for _, bucket := range buckets {
-		// The error says that a value is out of range, which bounded never is.
-		_ = histogram.RecordValues(bounded(bucket.Value), bucket.Count)
+		// RecordValues fails only for a value out of range, which clamp prevents.
+		_ = histogram.RecordValues(clamp(bucket.Value), bucket.Count)
 	}
 	return histogram
 }
 
-func bounded(value int64) int64 { return min(max(1, value), maxHistogramValue) }
+// clamp limits a value to the range of the histograms.
+func clamp(value int64) int64 { return min(max(1, value), maxHistogramValue) }
 
-// addCompleted counts a job of a size that is complete.
+// addCompleted counts a completed job of a size in core milliseconds.
 func (c *versionCounts) addCompleted(work int64, isLate bool) {
 	c.addJob(work, func(counts *wire.JobCounts) {
 		counts.Completed++
@@ -71,21 +72,22 @@
 	})
 }
 
-// addFailed counts a job of a size that has failed.
+// addFailed counts a failed job of a size in core milliseconds.
 func (c *versionCounts) addFailed(work int64) {
 	c.addJob(work, func(counts *wire.JobCounts) { counts.Failed++ })
 }
 
+// addJob applies add to the counts of all jobs, and also to those of large jobs if the job is among the largest tenth.
 func (c *versionCounts) addJob(work int64, add func(*wire.JobCounts)) {
 	c.isChanged = true
-	if c.works.TotalCount() >= minWorks && work >= c.works.ValueAtQuantile(largestTenth) {
+	if c.works.TotalCount() >= minSizeSamples && work >= c.works.ValueAtQuantile(largeQuantile) {
 		add(&c.large)
 	}
-	_ = c.works.RecordValue(bounded(work))
+	_ = c.works.RecordValue(clamp(work))
 	add(&c.jobs)
 }
 
-// addRun counts a run that ended by itself in a zone.
+// addRun counts a run in a zone that ended by itself.
 func (c *versionCounts) addRun(zone string, isDone bool) {
 	c.isChanged = true
 	runs := c.zones[zone]
@@ -100,10 +102,10 @@
 	runs.Failed++
 }
 
-// addRunTime counts how long a run took, in thousandths of its estimate.
-func (c *versionCounts) addRunTime(permille int64) { _ = c.runTimes.RecordValue(bounded(permille)) }
+// addRunTime counts a run time, in thousandths of its estimate.
+func (c *versionCounts) addRunTime(permille int64) { _ = c.runTimes.RecordValue(clamp(permille)) }
 
-// report is what peers and records get.
+// report returns the counts in the form that is stored and sent to peers.
 func (c *versionCounts) report() wire.RolloutCounts {
 	counts := wire.RolloutCounts{Rollout: c.name, BegunMs: c.begunMs, Jobs: c.jobs, Large: c.large, RunTimes: bucketsOf(c.runTimes), Works: bucketsOf(c.works)}
 	for _, zone := range slices.Sorted(maps.Keys(c.zones)) {
@@ -114,9 +116,9 @@
 
 func bucketsOf(histogram *hdrhistogram.Histogram) []wire.Bucket {
 	var buckets []wire.Bucket
-	for _, bar := range histogram.Distribution() {
-		if bar.Count > 0 {
-			buckets = append(buckets, wire.Bucket{Value: bar.From, Count: bar.Count})
+	for _, bucket := range histogram.Distribution() {
+		if bucket.Count > 0 {
+			buckets = append(buckets, wire.Bucket{Value: bucket.From, Count: bucket.Count})
 		}
 	}
 	return buckets
