--- a/internal/scheduling/scheduler/overload.go
+++ b/internal/scheduling/scheduler/overload.go
@@ -42,9 +42,9 @@
 	return false
 }
 
-// noteChange compares a step's former and current requests. If the step became late before any part of its job was started, its
+// noteTargetMiss compares a step's former and current requests. If the step became late before any part of its job was started, its
 // priority counts as overloaded for overloadHoldTime.
-func (p *Pool) noteChange(former, current *placement.Group, now time.Duration) {
+func (p *Pool) noteTargetMiss(former, current *placement.Group, now time.Duration) {
 	isMissed := former.Count > 0 && former.Deadline == placement.OnTime && current.Count > 0 && current.Deadline == placement.Late
 	if !isMissed || current.RemainingTenths < wholeJob {
 		return
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -64,7 +64,7 @@
 	if len(ready) > 0 {
 		group = p.group(step, ready)
 	}
-	p.noteChange(&step.requests.group, &group, now)
+	p.noteTargetMiss(&step.requests.group, &group, now)
 	p.open.first.change(&step.requests.first, ready, group)
 	candidates, candidatesNext := p.tasksToSpeculate(step, now)
 	p.refreshSpeculative(step, candidates)
