--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -59,8 +59,8 @@
 		tickSeconds: tickSeconds.With(key), placeSeconds: placeSeconds.With(key), shownPriorities: map[int]bool{}, shownTenants: map[string]bool{}}
 }
 
-// sent counts an order that is being sent, also as resent from the second time on.
-func (m *poolMetrics) sent(run *runState) {
+// countSentOrder counts an order that is being countSentOrder, also as resent from the second time on.
+func (m *poolMetrics) countSentOrder(run *runState) {
 	kind := wire.OrderStop
 	if run.phase == runLaunching {
 		kind = wire.OrderLaunch
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -23,7 +23,7 @@
 		if executor.runs[run.key()] != run || run.phase == runRunning {
 			continue
 		}
-		p.metrics.sent(run)
+		p.metrics.countSentOrder(run)
 		run.sendCount++
 		run.sentAt = now
 		p.markChanged(run.task)
