--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// show updates the gauges at most once per metricsInterval, and logs late work.
-func (m *poolMetrics) show(p *Pool, now time.Duration) {
+// updateGauges updates the gauges at most once per metricsInterval, and logs late work.
+func (m *poolMetrics) updateGauges(p *Pool, now time.Duration) {
 	if now-m.shownAt < metricsInterval {
 		return
 	}
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -36,7 +36,7 @@
 	if len(p.open.steps) > 0 {
 		p.needsPlacing = true
 	}
-	p.metrics.show(p, now)
+	p.metrics.updateGauges(p, now)
 }
 
 // tickPending attends to the runs that an order is under way for, in an order that is the same at every replay.
