--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -90,8 +90,8 @@
 	p.reportLateWork(current, now)
 }
 
-// clear sets all gauges to 0 when another process leads the key.
-func (m *poolMetrics) clear() {
+// clearGauges sets all gauges to 0 when another process leads the key.
+func (m *poolMetrics) clearGauges() {
 	m.set(0, 0, nil)
 	m.showLoad(load{})
 	m.showTenants(nil)
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -173,7 +173,7 @@
 	for _, executor := range p.table.sorted {
 		p.endPoll(executor, wire.ExchangeAnswer{NotLeader: true})
 	}
-	p.metrics.clear()
+	p.metrics.clearGauges()
 	uncommitted := p.takeCallbacks()
 	p.jobTable, p.changeSet, p.orderWatch, p.capacityUse = jobTable{}, changeSet{}, orderWatch{}, capacityUse{}
 	p.executors, p.table, p.open = nil, executorTable{}, openSteps{}
