--- a/internal/scheduling/scheduler/tenantcount.go
+++ b/internal/scheduling/scheduler/tenantcount.go
@@ -47,8 +47,8 @@
 	return allowance
 }
 
-// tickCount returns grants that the pool should not keep, and asks for those that it needs.
-func (p *Pool) tickCount(now time.Duration) {
+// tickTenantGrants returns grants that the pool should not keep, and asks for those that it needs.
+func (p *Pool) tickTenantGrants(now time.Duration) {
 	p.updateTerms()
 	if p.accounts == nil {
 		return
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -22,7 +22,7 @@
 	now := p.clock.Monotonic()
 	defer func() { p.metrics.tickSeconds.Observe(p.clock.Monotonic() - now) }()
 	p.releaseDue()
-	p.tickCount(now)
+	p.tickTenantGrants(now)
 	p.tickReturns(now)
 	for _, executor := range slices.Clone(p.table.sorted) {
 		p.tickExecutor(executor, now)
