--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -7,8 +7,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Heard is what the leader believes of an executor, and of which session and number it is.
-func (p *Pool) Heard(id string) (reported wire.ExchangeCall, checkpoint map[string]string) {
+// ReportedState is what the leader believes of an executor, and of which session and number it is.
+func (p *Pool) ReportedState(id string) (reported wire.ExchangeCall, checkpoint map[string]string) {
 	executor := p.executors[id]
 	if executor == nil || !executor.isKnown {
 		return reported, nil
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -153,7 +153,7 @@
 }
 
 func (o *postOffice) believed() (uint64, uint64, picture) {
-	reported, checkpoint := o.pool.Heard("i-1")
+	reported, checkpoint := o.pool.ReportedState("i-1")
 	return reported.Session, reported.Number, pictureOf(reported, checkpoint)
 }
 
@@ -273,10 +273,10 @@
 		Expect(refused.Fence).To(Equal(o.leadership.epoch))
 		Expect(refused.WantedList).NotTo(BeZero())
 		Expect(refused.GrantMs).NotTo(BeZero())
-		reported, _ := o.pool.Heard("i-1")
+		reported, _ := o.pool.ReportedState("i-1")
 		Expect(reported.Proxy).To(BeEmpty())
 		Expect(answered().NeedsFullState).To(BeFalse())
-		reported, _ = o.pool.Heard("i-1")
+		reported, _ = o.pool.ReportedState("i-1")
 		Expect(reported.Labels).To(Equal([]string{"a", "r1"}))
 	})
 
@@ -290,7 +290,7 @@
 		o.newProxy(4)
 		Expect(answered().NeedsFullState).To(BeTrue())
 		Expect(answered().NeedsFullState).To(BeFalse())
-		reported, _ := o.pool.Heard("i-1")
+		reported, _ := o.pool.ReportedState("i-1")
 		Expect(reported.Session).To(Equal(uint64(10)))
 	})
 
@@ -300,7 +300,7 @@
 		o.beat.Labels = []string{"b"}
 		o.say()
 		Expect(answered().NeedsFullState).To(BeFalse())
-		reported, _ := o.pool.Heard("i-1")
+		reported, _ := o.pool.ReportedState("i-1")
 		Expect(reported.Labels).To(Equal([]string{"b"}))
 	})
 })
