--- a/internal/scheduling/scheduler/executorhealth_test.go
+++ b/internal/scheduling/scheduler/executorhealth_test.go
@@ -82,13 +82,13 @@
 		handIn(1)
 		first, order := orderOf()
 		end(first, order, "failed")
-		blamed := pool.Doubt(first)
+		blamed := pool.PenaltyScore(first)
 		Expect(blamed).To(BeNumerically("~", 0.2, 0.01))
 		second, order := orderOf()
 		Expect(second).NotTo(Equal(first))
 		end(second, order, "failed")
-		Expect(pool.Doubt(second)).To(BeNumerically("<", 0.06))
-		Expect(pool.Doubt(first)).To(BeNumerically("<", 0.06))
+		Expect(pool.PenaltyScore(second)).To(BeNumerically("<", 0.06))
+		Expect(pool.PenaltyScore(first)).To(BeNumerically("<", 0.06))
 	})
 
 	It("keeps the blame on one whose tasks get done elsewhere", func() {
@@ -97,24 +97,24 @@
 		end(first, order, "failed")
 		second, order := orderOf()
 		end(second, order, "done")
-		Expect(pool.Doubt(first)).To(BeNumerically(">", 0.15))
-		Expect(pool.Doubt(second)).To(BeZero())
+		Expect(pool.PenaltyScore(first)).To(BeNumerically(">", 0.15))
+		Expect(pool.PenaltyScore(second)).To(BeZero())
 	})
 
 	It("mistrusts a machine whose executor died, in its next life, for a while", func() {
 		exchange("i-9", "side-i-1", func(call *wire.ExchangeCall) { call.Gone = []string{"i-1"} })
-		died := pool.Doubt("i-9")
+		died := pool.PenaltyScore("i-9")
 		Expect(died).To(BeNumerically("~", 0.3, 0.01))
 		fakeClock.Advance(8 * time.Second)
 		exchange("i-9", "side-i-1", nil)
-		Expect(pool.Doubt("i-9")).To(BeNumerically("~", died/2, 0.01))
-		Expect(pool.Doubt("i-2")).To(BeZero())
+		Expect(pool.PenaltyScore("i-9")).To(BeNumerically("~", died/2, 0.01))
+		Expect(pool.PenaltyScore("i-2")).To(BeZero())
 	})
 
 	It("holds nothing against a machine whose executor left in order", func() {
 		exchange("i-1", "side-i-1", func(call *wire.ExchangeCall) { call.Draining = true })
 		exchange("i-9", "side-i-1", func(call *wire.ExchangeCall) { call.Gone = []string{"i-1"} })
-		Expect(pool.Doubt("i-9")).To(BeZero())
+		Expect(pool.PenaltyScore("i-9")).To(BeZero())
 	})
 
 	for result, limit := range map[string]float64{"room": 0, "sick": 0.3} {
@@ -130,7 +130,7 @@
 				refuse("i-1", order, result)
 			}
 			exchange("i-9", "side-i-1", nil)
-			Expect(pool.Doubt("i-9")).To(BeNumerically("~", limit, 0.02))
+			Expect(pool.PenaltyScore("i-9")).To(BeNumerically("~", limit, 0.02))
 		})
 	}
 
@@ -163,7 +163,7 @@
 		}
 		refuse("i-1", orders[0], "sick")
 		Expect(pool.AtOnce("i-1")).To(BeZero())
-		Expect(pool.Doubt("i-1")).To(BeNumerically(">", 0.3))
+		Expect(pool.PenaltyScore("i-1")).To(BeNumerically(">", 0.3))
 	})
 
 	It("moves a run that hangs, even when its start is only known of later, and where it hung gets the task last", func() {
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -22,8 +22,8 @@
 		Draining: executor.isDraining}, checkpoint
 }
 
-// Doubt is how little the leader trusts an executor.
-func (p *Pool) Doubt(id string) float64 { return p.executors[id].penaltyScore() }
+// PenaltyScore is how little the leader trusts an executor.
+func (p *Pool) PenaltyScore(id string) float64 { return p.executors[id].penaltyScore() }
 
 // AtOnce is how many runs an executor may have at once; 0 sets no bound.
 func (p *Pool) AtOnce(id string) int { return p.executors[id].runLimit }
