--- a/internal/scheduling/scheduler/executorhealth_test.go
+++ b/internal/scheduling/scheduler/executorhealth_test.go
@@ -162,7 +162,7 @@
 			orders = append(orders, order)
 		}
 		refuse("i-1", orders[0], "sick")
-		Expect(pool.AtOnce("i-1")).To(BeZero())
+		Expect(pool.RunLimit("i-1")).To(BeZero())
 		Expect(pool.PenaltyScore("i-1")).To(BeNumerically(">", 0.3))
 	})
 
@@ -176,7 +176,7 @@
 		Expect(exchange(first, "side-"+first, stuck).Orders).To(BeEmpty())
 		refuse(first, order, "ok")
 		Expect(exchange(first, "side-"+first, nil).Orders).To(ConsistOf(HaveField("Kind", wire.OrderStop)))
-		Expect(pool.AtOnce(first)).To(Equal(1))
+		Expect(pool.RunLimit(first)).To(Equal(1))
 		end(first, order, "stopped")
 		second, order := orderOf()
 		Expect(second).NotTo(Equal(first))
@@ -185,10 +185,10 @@
 
 	It("is forgiven with time", func() {
 		exchange("i-9", "side-i-2", func(call *wire.ExchangeCall) { call.Gone = []string{"i-2"} })
-		Expect(pool.AtOnce("i-9")).To(Equal(1))
+		Expect(pool.RunLimit("i-9")).To(Equal(1))
 		fakeClock.Advance(9 * time.Second)
 		exchange("i-9", "side-i-2", nil)
-		Expect(pool.AtOnce("i-9")).To(BeZero())
+		Expect(pool.RunLimit("i-9")).To(BeZero())
 	})
 
 	It("chooses an executor last, among equals, that should have been heard again", func() {
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -25,5 +25,5 @@
 // PenaltyScore is how little the leader trusts an executor.
 func (p *Pool) PenaltyScore(id string) float64 { return p.executors[id].penaltyScore() }
 
-// AtOnce is how many runs an executor may have at once; 0 sets no bound.
-func (p *Pool) AtOnce(id string) int { return p.executors[id].runLimit }
+// RunLimit is how many runs an executor may have at once; 0 sets no bound.
+func (p *Pool) RunLimit(id string) int { return p.executors[id].runLimit }
