--- a/internal/scheduling/scheduler/consistency_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -12,73 +12,74 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// Differences names what the pool keeps and what is not what comes out when it is worked out from nothing.
+// Differences recomputes the tables that the pool updates incrementally and returns a description of each difference.
 func (p *Pool) Differences() []string {
-	var jobIDs []string
-	compare := func(what string, kept, current any) {
-		if !reflect.DeepEqual(kept, current) {
-			jobIDs = append(jobIDs, fmt.Sprintf("%s: kept %+v, worked out %+v", what, kept, current))
+	var differences []string
+	compare := func(table string, kept, recomputed any) {
+		if !reflect.DeepEqual(kept, recomputed) {
+			differences = append(differences, fmt.Sprintf("%s: kept %+v, recomputed %+v", table, kept, recomputed))
 		}
 	}
 	now := p.clock.Monotonic()
-	lives := slices.SortedFunc(maps.Values(p.executors), func(executor, b *executorState) int { return cmp.Compare(executor.id, b.id) })
-	compare("lives", plain(p.table.sorted), plain(lives))
-	executors := slices.Clone(p.placementView(now))
-	var open, all placement.Resources
-	var taken int64
-	for index, executor := range lives {
+	sortedExecutors := slices.SortedFunc(maps.Values(p.executors), func(a, b *executorState) int { return cmp.Compare(a.id, b.id) })
+	compare("sorted executors", nilIfEmpty(p.table.sorted), nilIfEmpty(sortedExecutors))
+	views := slices.Clone(p.placementView(now))
+	var open, total placement.Resources
+	var usedCPU int64
+	for index, executor := range sortedExecutors {
 		view := p.viewOf(executor, now)
-		if all = all.Plus(view.Total); !view.IsUnschedulable && view.RunLimit != placement.NoRuns {
+		if total = total.Plus(view.Total); !view.IsUnschedulable && view.RunLimit != placement.NoRuns {
 			open = open.Plus(view.Total)
 		}
-		taken += takenCPU(&view)
-		compare("place", executor.index, index)
-		compare("executor "+executor.id, executors[index], p.viewOf(executor, now))
+		usedCPU += takenCPU(&view)
+		compare("executor index", executor.index, index)
+		compare("executor "+executor.id, views[index], p.viewOf(executor, now))
 	}
-	compare("open room", p.table.openCapacity, open)
-	compare("all room", p.table.totalCapacity, all)
-	compare("taken CPU", p.table.usedCPU, taken)
-	p.compareRuns(compare, lives)
-	compare("ended", plain(p.endedJobs), p.endedFromNothing())
-	compare("broken", p.brokenAndOpen(), p.brokenFromNothing())
+	compare("open capacity", p.table.openCapacity, open)
+	compare("total capacity", p.table.totalCapacity, total)
+	compare("used CPU", p.table.usedCPU, usedCPU)
+	p.compareRuns(compare, sortedExecutors)
+	compare("ended jobs", nilIfEmpty(p.endedJobs), p.recomputeEnded())
+	compare("broken gangs", p.openBrokenGangs(), p.recomputeBrokenGangs())
 	for id, job := range p.awaitingRelease {
-		compare("due before it is looked at, "+id, job.releaseMs(job.nextOccurrence) < p.nextReleaseMs, false)
+		compare("release before nextReleaseMs of job "+id, job.releaseMs(job.nextOccurrence) < p.nextReleaseMs, false)
 	}
 	for _, step := range p.open.refreshTimes.steps {
-		compare("open while its time is kept", p.open.steps[step], true)
+		compare("step in the refresh heap is open", p.open.steps[step], true)
 	}
-	steps := p.openFromNothing()
+	steps := p.recomputeOpenSteps()
 	for _, step := range steps {
 		name := step.tasks[0].name
-		compare("idle of "+name, plain(step.idle), where(step, func(task *taskState) bool { return !task.isDone && len(task.runs) == 0 }))
-		compare("busy of "+name, plain(step.busy), where(step, func(task *taskState) bool { return len(task.runs) > 0 }))
+		compare("idle tasks of "+name, nilIfEmpty(step.idle), filterTasks(step, func(task *taskState) bool { return !task.isDone && len(task.runs) == 0 }))
+		compare("busy tasks of "+name, nilIfEmpty(step.busy), filterTasks(step, func(task *taskState) bool { return len(task.runs) > 0 }))
 	}
 	p.refreshAll(now)
-	kept, current := append(slices.Clone(p.open.first.requests), p.open.speculative.requests...), p.requestsFromNothing(steps, now)
-	compare("requests", len(kept), len(current))
-	for index := range min(len(kept), len(current)) {
-		compare("step", kept[index].step.tasks[0].name, current[index].step.tasks[0].name)
-		compare("tasks", plain(kept[index].tasks), current[index].tasks)
-		compare("group", *kept[index].group, *current[index].group)
+	kept, recomputed := append(slices.Clone(p.open.first.requests), p.open.speculative.requests...), p.recomputeRequests(steps, now)
+	compare("number of requests", len(kept), len(recomputed))
+	for index := range min(len(kept), len(recomputed)) {
+		compare("step of request", kept[index].step.tasks[0].name, recomputed[index].step.tasks[0].name)
+		compare("tasks of request", nilIfEmpty(kept[index].tasks), recomputed[index].tasks)
+		compare("group of request", *kept[index].group, *recomputed[index].group)
 	}
 	for _, list := range []*requests{&p.open.first, &p.open.speculative} {
-		asked := map[int]allocation{}
+		demands := map[int]allocation{}
 		for index, request := range list.requests {
-			compare("group in its place", list.groups[index] == request.group, true)
-			compare("least need", request.group.Need.Fits(list.minNeed), true)
+			compare("group at the index of its request", list.groups[index] == request.group, true)
+			compare("minimum need", request.group.Need.Fits(list.minNeed), true)
 			if request.group.Deadline == placement.OnTime {
-				asked[request.group.Priority] = asked[request.group.Priority].with(asks(request.group), 1)
+				demands[request.group.Priority] = demands[request.group.Priority].with(asks(request.group), 1)
 			}
 		}
-		compare("asked", list.demand, asked)
+		compare("demand by priority", list.demand, demands)
 	}
-	return jobIDs
+	return differences
 }
 
-// plain makes no difference between a list that is empty and one that is not there.
-func plain[T any](list []T) []T { return append([]T(nil), list...) }
+// nilIfEmpty copies a list. The copy of an empty list is nil, so that empty and nil lists compare as equal.
+func nilIfEmpty[T any](list []T) []T { return append([]T(nil), list...) }
 
-func where(step *stepState, holds func(*taskState) bool) []*taskState {
+// filterTasks returns the tasks of a step that meet a condition.
+func filterTasks(step *stepState, holds func(*taskState) bool) []*taskState {
 	var tasks []*taskState
 	for _, task := range step.tasks {
 		if holds(task) {
@@ -88,9 +89,10 @@
 	return tasks
 }
 
-func (p *Pool) compareRuns(compare func(string, any, any), lives []*executorState) {
-	pending, taken := map[*runState]bool{}, map[int]allocation{}
-	for _, executor := range lives {
+// compareRuns recomputes the tables of allocations and pending runs.
+func (p *Pool) compareRuns(compare func(string, any, any), sortedExecutors []*executorState) {
+	pending, allocations := map[*runState]bool{}, map[int]allocation{}
+	for _, executor := range sortedExecutors {
 		var used placement.Resources
 		for _, run := range executor.runs {
 			need, priority := run.task.step.need(), run.task.step.priority()
@@ -98,18 +100,18 @@
 				priority = placement.Background
 			}
 			used = used.Plus(need)
-			taken[priority] = taken[priority].with(need, 1)
+			allocations[priority] = allocations[priority].with(need, 1)
 			if run.phase != runRunning {
 				pending[run] = true
 			}
 		}
-		compare("used of "+executor.id, executor.allocated, used)
+		compare("allocation of executor "+executor.id, executor.allocated, used)
 	}
-	compare("pending", p.pendingRuns, pending)
-	compare("usage", p.allocations, taken)
+	compare("pending runs", p.pendingRuns, pending)
+	compare("allocations by priority", p.allocations, allocations)
 }
 
-// Orders names the orders that may be under way.
+// Orders returns the record names of the orders of all pending runs.
 func (p *Pool) Orders() []string {
 	var names []string
 	for _, executor := range p.executors {
@@ -125,20 +127,20 @@
 	return names
 }
 
-func (p *Pool) endedFromNothing() []*jobState {
+func (p *Pool) recomputeEnded() []*jobState {
 	var ended []*jobState
 	for _, job := range p.jobs {
 		if !job.isOpen() && job.spec == nil {
 			ended = append(ended, job)
 		}
 	}
-	slices.SortFunc(ended, func(job, b *jobState) int {
-		return cmp.Or(cmp.Compare(job.endedMs, b.endedMs), cmp.Compare(job.id, b.id))
+	slices.SortFunc(ended, func(a, b *jobState) int {
+		return cmp.Or(cmp.Compare(a.endedMs, b.endedMs), cmp.Compare(a.id, b.id))
 	})
 	return ended
 }
 
-func (p *Pool) openFromNothing() []*stepState {
+func (p *Pool) recomputeOpenSteps() []*stepState {
 	var steps []*stepState
 	for _, job := range p.jobs {
 		for _, occurrence := range job.occurrences {
@@ -149,41 +151,42 @@
 			}
 		}
 	}
-	slices.SortFunc(steps, func(one, two *stepState) int { return cmp.Compare(one.tasks[0].name, two.tasks[0].name) })
+	slices.SortFunc(steps, func(a, b *stepState) int { return cmp.Compare(a.tasks[0].name, b.tasks[0].name) })
 	return steps
 }
 
-func (p *Pool) brokenAndOpen() map[string]bool {
-	jobIDs := map[string]bool{}
+// openBrokenGangs returns the kept broken gangs that are still open, by the name of their first task.
+func (p *Pool) openBrokenGangs() map[string]bool {
+	names := map[string]bool{}
 	for step := range p.brokenGangs {
 		if step.remaining > 0 && step.occurrence.job.isOpen() {
-			jobIDs[step.tasks[0].name] = true
+			names[step.tasks[0].name] = true
 		}
 	}
-	return jobIDs
+	return names
 }
 
-func (p *Pool) brokenFromNothing() map[string]bool {
-	jobIDs := map[string]bool{}
-	for _, step := range p.openFromNothing() {
+func (p *Pool) recomputeBrokenGangs() map[string]bool {
+	names := map[string]bool{}
+	for _, step := range p.recomputeOpenSteps() {
 		if step.brokenAt > 0 {
-			jobIDs[step.tasks[0].name] = true
+			names[step.tasks[0].name] = true
 		}
 	}
-	return jobIDs
+	return names
 }
 
-func (p *Pool) requestsFromNothing(steps []*stepState, now time.Duration) []*placementRequest {
-	var jobIDs []*placementRequest
+func (p *Pool) recomputeRequests(steps []*stepState, now time.Duration) []*placementRequest {
+	var expected []*placementRequest
 	for _, step := range steps {
-		ready := where(step, func(task *taskState) bool {
+		ready := filterTasks(step, func(task *taskState) bool {
 			return !task.isDone && len(task.runs) == 0 && task.notBefore <= now && !(step.spec.Gang && step.hasRuns())
 		})
 		if len(ready) > 0 {
 			group := p.group(step, ready)
-			jobIDs = append(jobIDs, &placementRequest{step, ready, &group})
+			expected = append(expected, &placementRequest{step, ready, &group})
 		}
-		candidates := where(step, func(task *taskState) bool {
+		candidates := filterTasks(step, func(task *taskState) bool {
 			return step.spec.Redundant && !step.spec.Gang && !task.isDone && len(task.runs) == 1 && p.needsSpeculation(task.runs[0], now)
 		})
 		if step.spec.AntiAffinity > 0 && len(ready) > 0 {
@@ -194,14 +197,14 @@
 		}
 		for _, task := range candidates {
 			group := p.speculativeGroup(task)
-			jobIDs = append(jobIDs, &placementRequest{step, []*taskState{task}, &group})
+			expected = append(expected, &placementRequest{step, []*taskState{task}, &group})
 		}
 	}
-	slices.SortStableFunc(jobIDs, func(request, b *placementRequest) int {
-		if request.group.IsSpeculative != b.group.IsSpeculative {
-			return map[bool]int{true: 1, false: -1}[request.group.IsSpeculative]
+	slices.SortStableFunc(expected, func(a, b *placementRequest) int {
+		if a.group.IsSpeculative != b.group.IsSpeculative {
+			return map[bool]int{true: 1, false: -1}[a.group.IsSpeculative]
 		}
-		return placement.CompareGroups(request.group, b.group)
+		return placement.CompareGroups(a.group, b.group)
 	})
-	return jobIDs
+	return expected
 }
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -14,7 +14,8 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// instantLeadership is a leadership whose commits succeed at once; it counts what they would write.
+// instantLeadership is a leadership whose commits succeed at once. It counts the operations and bytes that they would write, and keeps the
+// records if kept is set.
 type instantLeadership struct {
 	clock *clock.Fake
 	ops   int
@@ -46,8 +47,10 @@
 	}
 }
 
-const slotsEach = 15
+// runsPerExecutor is how many runs of the default job fit on one executor.
+const runsPerExecutor = 15
 
+// benchExecutor is an executor that starts every run it is ordered to.
 type benchExecutor struct {
 	id         string
 	labels     []string
@@ -68,10 +71,10 @@
 }
 
 func newFullPool(executorCount, backlog int) *fullPool {
-	return newFullPoolKept(executorCount, backlog, nil)
+	return newRecordedFullPool(executorCount, backlog, nil)
 }
 
-func newFullPoolKept(executorCount, backlog int, kept map[string][]byte) *fullPool {
+func newRecordedFullPool(executorCount, backlog int, kept map[string][]byte) *fullPool {
 	clock := clock.NewFake(1_000_000)
 	c := &fullPool{clock: clock, leadership: &instantLeadership{clock: clock, kept: kept}}
 	timing := timing
@@ -82,28 +85,28 @@
 		c.executors = append(c.executors, &benchExecutor{id: fmt.Sprintf("i-%04d", number), listNumber: 1 << 40, labels: []string{"a", "r" + strconv.Itoa(number/7)}})
 	}
 	for range 2 {
-		c.beatAll()
+		c.exchangeAll()
 	}
-	for range executorCount*slotsEach/22 + 1 {
-		c.handIn(0)
+	for range executorCount*runsPerExecutor/22 + 1 {
+		c.submitJob(0)
 	}
-	c.beatAll()
+	c.exchangeAll()
 	for number := range backlog {
-		c.handIn(number)
+		c.submitJob(number)
 	}
-	c.beatAll()
+	c.exchangeAll()
 	return c
 }
 
-func (c *fullPool) beatAll() {
+func (c *fullPool) exchangeAll() {
 	for _, executor := range c.executors {
 		c.exchange(executor, nil)
 		c.pool.Flush()
 	}
 }
 
-// handIn gives one job in the mix of a board: most are short and urgent, some long, some spread out.
-func (c *fullPool) handIn(number int) {
+// submitJob submits one job. Of ten jobs eight are short and urgent, one is long, and one has tasks with anti-affinity.
+func (c *fullPool) submitJob(number int) {
 	step, terms := `{"task-count":22,"cpu-units":1066,"memory-req-mb":1600,"estimated-ms":240,"redundant":true}`, wire.RouteTerms{Stretch: 1.5, TargetMs: 250}
 	switch number % 10 {
 	case 8:
@@ -130,21 +133,22 @@
 	})
 }
 
-// turn ends one run of an executor and answers the start that follows.
-func (c *fullPool) turn(executor *benchExecutor) {
+// replaceRun ends one run of an executor and answers the launch that follows.
+func (c *fullPool) replaceRun(executor *benchExecutor) {
 	if len(executor.running) == 0 {
 		return
 	}
-	gone := executor.running[0]
+	ended := executor.running[0]
 	executor.running = executor.running[1:]
 	executor.ends++
-	c.exchange(executor, []wire.EndReport{{Number: executor.ends, Task: gone.Task, Run: gone.Run, Outcome: "done"}})
+	c.exchange(executor, []wire.EndReport{{Number: executor.ends, Task: ended.Task, Run: ended.Run, Outcome: "done"}})
 	c.pool.Flush()
 	c.exchange(executor, nil)
 	c.pool.Flush()
 }
 
-// processorTime is what this process has used, also for collecting garbage; it says more than the clock on a busy machine.
+// processorTime is the CPU time of this process in nanoseconds, including garbage collection. On a busy machine it is more reliable than
+// elapsed time.
 func processorTime() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -153,30 +157,31 @@
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
+// eachSize runs a benchmark for each combination of fleet size and backlog.
 func eachSize(b *testing.B, run func(b *testing.B, c *fullPool)) {
 	for _, executorCount := range []int{62, 250, 1000} {
 		for _, backlog := range []int{0, 300, 1000} {
 			b.Run(fmt.Sprintf("executors=%d/backlog=%d", executorCount, backlog), func(b *testing.B) {
 				c := newFullPool(executorCount, backlog)
 				b.ReportAllocs()
-				began := processorTime()
+				start := processorTime()
 				b.ResetTimer()
 				run(b, c)
-				b.ReportMetric(float64(processorTime()-began)/float64(b.N), "cpu-ns/op")
+				b.ReportMetric(float64(processorTime()-start)/float64(b.N), "cpu-ns/op")
 			})
 		}
 	}
 }
 
-// BenchmarkTurn is one end, the start that follows, its answer, and the 22nd part of a submission.
+// BenchmarkTurn measures the end of one run, the launch that follows, its answer, and 1/22 of a submission, as a job has 22 tasks.
 func BenchmarkTurn(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
 		c.leadership.bytes, c.leadership.ops, c.starts = 0, 0, 0
 		for turn := range b.N {
 			if turn%22 == 0 {
-				c.handIn(0)
+				c.submitJob(0)
 			}
-			c.turn(c.executors[turn%len(c.executors)])
+			c.replaceRun(c.executors[turn%len(c.executors)])
 		}
 		b.ReportMetric(float64(c.starts)/float64(b.N), "starts/op")
 		b.ReportMetric(float64(c.leadership.bytes)/float64(b.N), "written-B/op")
@@ -184,10 +189,10 @@
 	})
 }
 
-// BenchmarkTick is one tick and the placement that follows it.
+// BenchmarkTick measures one tick and the placement that follows it.
 func BenchmarkTick(b *testing.B) { benchmarkTick(b, time.Microsecond) }
 
-// BenchmarkTickOverdue is the same while nearly all runs of redundant steps take too long, so that spares are wanted.
+// BenchmarkTickOverdue measures the same while nearly all runs of redundant steps are overdue, so that speculative runs are requested.
 func BenchmarkTickOverdue(b *testing.B) { benchmarkTick(b, 50*time.Millisecond) }
 
 func benchmarkTick(b *testing.B, between time.Duration) {
@@ -196,7 +201,7 @@
 			c.clock.Advance(between)
 			if turn%10 == 9 {
 				b.StopTimer()
-				c.beatAll()
+				c.exchangeAll()
 				b.StartTimer()
 			}
 			c.pool.Tick()
@@ -205,7 +210,7 @@
 	})
 }
 
-// BenchmarkBeat is one exchange of an executor that has nothing new.
+// BenchmarkBeat measures one exchange of an executor that has nothing new to report.
 func BenchmarkBeat(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
 		for turn := range b.N {
@@ -215,23 +220,23 @@
 	})
 }
 
-// BenchmarkHandIn is one job of 22 tasks that finds no room, and its cancel.
+// BenchmarkHandIn measures the submission and the cancellation of a job of 22 tasks for which there is no capacity.
 func BenchmarkHandIn(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
 		for range b.N {
-			c.handIn(0)
+			c.submitJob(0)
 			c.pool.Cancel(&wire.ClientCall{ID: fmt.Sprintf("%016x", c.jobs)}, func(wire.ClientAnswer) {})
 			c.pool.Flush()
 		}
 	})
 }
 
-// BenchmarkTakeOver opens a pool from its records, and takes the first look at each executor.
+// BenchmarkTakeOver measures how a new leader loads a pool's records and handles the first exchange of each executor.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, executorCount := range []int{62, 1000} {
 		b.Run(fmt.Sprintf("executors=%d/backlog=300", executorCount), func(b *testing.B) {
 			kept := map[string][]byte{}
-			c := newFullPoolKept(executorCount, 300, kept)
+			c := newRecordedFullPool(executorCount, 300, kept)
 			c.leadership.kept = nil
 			var pairs []wire.Op
 			for name, value := range kept {
@@ -246,13 +251,13 @@
 				for _, executor := range c.executors {
 					executor.listNumber = 1 << 40
 				}
-				c.beatAll()
+				c.exchangeAll()
 			}
 		})
 	}
 }
 
-// BenchmarkMemory is what a pool with full executors keeps, by task that runs, with descriptors of 200 bytes a job.
+// BenchmarkMemory measures the heap of a pool with full executors, in total and per run. Each job has a descriptor of 200 bytes.
 func BenchmarkMemory(b *testing.B) {
 	for _, executorCount := range []int{62, 1000} {
 		b.Run(fmt.Sprintf("executors=%d", executorCount), func(b *testing.B) {
@@ -261,7 +266,7 @@
 			c.executors, c.leadership = nil, nil
 			kept := heapInUse() - before
 			b.ReportMetric(float64(kept)/1e6, "MB")
-			b.ReportMetric(float64(kept)/float64(executorCount*slotsEach), "B/run")
+			b.ReportMetric(float64(kept)/float64(executorCount*runsPerExecutor), "B/run")
 			runtime.KeepAlive(c)
 		})
 	}
--- a/internal/scheduling/scheduler/count_test.go
+++ b/internal/scheduling/scheduler/count_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// waitingCount is what the pool says of a queue.
+// waitingCount asks the pool for the number of waiting jobs of a queue.
 func (f *fleet) waitingCount(route string) int {
 	var answer wire.ClientAnswer
 	f.pool.Count(&wire.ClientCall{Route: route}, func(counted wire.ClientAnswer) { answer = counted })
@@ -29,8 +29,8 @@
 	terms := wire.RouteTerms{MaxAttempts: 3, Stretch: 2, TargetMs: 1000}
 	id := func(number int) string { return fmt.Sprintf("%016x", number) }
 
-	// Rule MIXED: a machine in touch gives no less than half of the accepted jobs that have not begun.
-	It("is that of the accepted jobs of which no task has begun, also at the next leader", func() {
+	// Rule MIXED: the count of a machine that is connected to its peers is at least half of the accepted jobs that have not started.
+	It("counts accepted jobs without a started task, also under the next leader", func() {
 		f := newFleet(timing)
 		for number := range 5 {
 			f.handIn(id(number), terms, body)
@@ -46,7 +46,7 @@
 		Expect(f.waitingCount("e")).To(Equal(4))
 	})
 
-	It("leaves out what was cancelled", func() {
+	It("leaves out cancelled jobs", func() {
 		f := newFleet(timing)
 		f.handIn(id(1), terms, body)
 		f.handIn(id(2), terms, body)
--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -7,7 +7,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// ReportedState is what the leader believes of an executor, and of which session and number it is.
+// ReportedState returns what an executor has reported, with the session and number of the last exchange, and the checkpoints of the tasks
+// that run on it.
 func (p *Pool) ReportedState(id string) (reported wire.ExchangeCall, checkpoint map[string]string) {
 	executor := p.executors[id]
 	if executor == nil || !executor.isKnown {
@@ -22,8 +23,8 @@
 		Draining: executor.isDraining}, checkpoint
 }
 
-// PenaltyScore is how little the leader trusts an executor.
+// PenaltyScore is the penalty of an executor in placement. It is higher the less healthy the executor is.
 func (p *Pool) PenaltyScore(id string) float64 { return p.executors[id].penaltyScore() }
 
-// RunLimit is how many runs an executor may have at once; 0 sets no bound.
+// RunLimit is how many runs an executor may have at once. 0 means no limit.
 func (p *Pool) RunLimit(id string) int { return p.executors[id].runLimit }
--- a/internal/scheduling/scheduler/golden_test.go
+++ b/internal/scheduling/scheduler/golden_test.go
@@ -7,7 +7,8 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the form of a pool's records is kept",
+// Records of earlier versions must stay readable, so the encoding of each record is compared with a golden file.
+var _ = DescribeTable("the encoding of a pool's records is unchanged",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -12,7 +12,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-var _ = Describe("a pool taken over", func() {
+// The records in these tests can't be read, belong to no present job or task, or would not be accepted as a new submission.
+var _ = Describe("a pool taken over by a new leader", func() {
 	const otherID = "5c0e7a21d94b36f9"
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
@@ -24,7 +25,7 @@
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
-	DescribeTable("goes on with all other jobs where a record of one can't be read", func(record, text string) {
+	DescribeTable("runs all other jobs if a record of one job is unreadable", func(record, text string) {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		f.leadership.kept[record] = []byte(text)
@@ -38,13 +39,13 @@
 		Expect(f.pool.Unreadable()).To(ConsistOf(record))
 		Expect(string(f.leadership.kept[record])).To(Equal(text))
 	},
-		Entry("the job's own", "j/"+id, `{"entry":`),
-		Entry("the job's steps", "j/"+id, `{"entry":"e","spec":{"step-list":[{"task-count":1,"depends-on":[7]}]}}`),
-		Entry("its end", "s/"+id, `{"state":`),
-		Entry("a task's", "t/"+taskState, `{"d":`),
+		Entry("the job record", "j/"+id, `{"entry":`),
+		Entry("the steps in the job record", "j/"+id, `{"entry":"e","spec":{"step-list":[{"task-count":1,"depends-on":[7]}]}}`),
+		Entry("the state record", "s/"+id, `{"state":`),
+		Entry("a task record", "t/"+taskState, `{"d":`),
 	)
 
-	It("goes on without the records of executors that can't be read", func() {
+	It("works without unreadable executor records", func() {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		Expect(kept("e/")).To(HaveLen(1))
@@ -56,7 +57,7 @@
 		Expect(f.state(id)).To(ContainSubstring("completed"))
 	})
 
-	It("runs a job that is larger than what may be submitted today", func() {
+	It("runs a stored job that exceeds the present size limit for submissions", func() {
 		steps := strings.Repeat(`{"task-count":1,"cpu-units":1},`, 300)
 		f.leadership.kept["j/"+id] = []byte(`{"entry":"e","spec":{"task-descriptor":"d","step-list":[` + strings.TrimSuffix(steps, ",") + `]}}`)
 		f.takeOver()
@@ -64,7 +65,7 @@
 		Expect(f.tasks()).To(HaveLen(300))
 	})
 
-	It("drops the record of a task that the job under this ID doesn't have", func() {
+	It("deletes task records that match no task of the present jobs", func() {
 		f.leadership.kept["t/"+id+".0.0.5"] = []byte(`{"d":true,"r":1}`)
 		f.leadership.kept["t/"+otherID+".0.0.0"] = []byte(`{"d":true,"r":1}`)
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
@@ -74,7 +75,7 @@
 		Expect(kept("t/" + otherID)).To(BeEmpty())
 	})
 
-	It("stops the runs of a time that was done before, and keeps no records of them", func() {
+	It("stops the runs of a completed occurrence and deletes their records", func() {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","repeat-count":2,"period-ms":60000,"first-run-ms":1000000,`+
 			`"step-list":[{"task-count":2,"cpu-units":3000,"gang-scheduled":true}]}`)
 		f.pass(200 * time.Millisecond)
--- a/internal/scheduling/scheduler/overload_test.go
+++ b/internal/scheduling/scheduler/overload_test.go
@@ -16,7 +16,8 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// pressedQueue is a queue of a pressed fleet: each job is so many steps, one after another, of equal tasks.
+// pressedQueue is a queue of a pressedFleet. Each job has a chain of equal steps, each step has equal tasks, and length is the estimated run
+// time of a task.
 type pressedQueue struct {
 	name      string
 	terms     wire.RouteTerms
@@ -27,8 +28,8 @@
 	length    time.Duration
 }
 
-// The queues of a pressed fleet, which usually ask for about two thirds of its capacity together: much urgent work, a little that is
-// less urgent, and long work that can wait. Runs are long against the two or three ticks that an order and an end take here.
+// The queues of a pressedFleet. At their usual rates they ask for about two thirds of its capacity together: much urgent work, some less
+// urgent work, and some long work that can wait. An order and an end take two or three ticks here, which is short compared with the runs.
 var (
 	urgentQueue = pressedQueue{name: "urgent", terms: wire.RouteTerms{MaxAttempts: 3, Priority: 0, Stretch: 1.5, TargetMs: 500}, perSecond: 3.35, steps: 2, tasks: 20, cpu: 2000, length: 500 * time.Millisecond}
 	usualQueue  = pressedQueue{name: "usual", terms: wire.RouteTerms{MaxAttempts: 3, Priority: 1, Stretch: 2.2, TargetMs: 1000}, perSecond: 1.1, steps: 1, tasks: 6, cpu: 4000, length: 1400 * time.Millisecond}
@@ -40,7 +41,7 @@
 	pressedCPU       = 16000
 )
 
-// pressedJob is a job and when it was submitted and completed.
+// pressedJob is a submitted job. completedAt is 0 until all its tasks are done, and remaining counts the tasks that are not done.
 type pressedJob struct {
 	queue       *pressedQueue
 	submittedAt time.Duration
@@ -48,24 +49,26 @@
 	remaining   int
 }
 
-// target is how long the job may take to be on time.
+// target is the longest time from submission to completion for which the job is on time.
 func (j *pressedJob) target() time.Duration {
-	chain := time.Duration(j.queue.steps) * j.queue.length
-	return time.Duration(j.queue.terms.Stretch*float64(chain)) + time.Duration(j.queue.terms.TargetMs)*time.Millisecond
+	criticalPath := time.Duration(j.queue.steps) * j.queue.length
+	return time.Duration(j.queue.terms.Stretch*float64(criticalPath)) + time.Duration(j.queue.terms.TargetMs)*time.Millisecond
 }
 
 func (j *pressedJob) isOnTime() bool {
 	return j.completedAt > 0 && j.completedAt-j.submittedAt <= j.target()
 }
 
-// pressedFleet submits jobs of several queues to a fleet, and plays the runs.
+// pressedFleet is a fleet under load. It submits random jobs of several queues and simulates their runs.
 type pressedFleet struct {
 	*fleet
 	draw *rand.Rand
 	jobs map[string]*pressedJob
+	// next holds by queue how many jobs are due; a job is submitted once it is at least 1.
 	next map[string]float64
+	// ends holds when each run ends, by task and run number.
 	ends map[string]time.Duration
-	// submitted numbers the jobs.
+	// submitted is the number of jobs submitted so far, and the ID of the last one.
 	submitted int
 }
 
@@ -79,7 +82,7 @@
 	return c
 }
 
-// submit brings one job of a queue.
+// submit submits one job of a queue and returns its ID.
 func (c *pressedFleet) submit(queue *pressedQueue) string {
 	c.submitted++
 	name := fmt.Sprintf("%016x", c.submitted)
@@ -96,14 +99,14 @@
 	return name
 }
 
-// lengthOf is how long a task runs: within a third of its queue's length, and the same in every play of a seed.
+// lengthOf is the run time of a task: its queue's length within a third, and the same in each simulation with the same seed.
 func (c *pressedFleet) lengthOf(task string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(task))
 	return c.jobs[task[:16]].queue.length * time.Duration(67+hash.Sum64()%66) / 100
 }
 
-// work ends the runs that are due.
+// work ends the runs whose run time is over.
 func (c *pressedFleet) work() {
 	now := c.clock.Monotonic()
 	for _, executor := range c.executors {
@@ -125,7 +128,7 @@
 	}
 }
 
-// submitDue submits the jobs of a queue that come in a tick at a multiple of its usual rate.
+// submitDue submits the jobs of a queue that arrive within one tick. factor multiplies the queue's usual rate.
 func (c *pressedFleet) submitDue(queue *pressedQueue, factor float64) {
 	for c.next[queue.name] += queue.perSecond * factor * fleetTick.Seconds(); c.next[queue.name] >= 1; {
 		c.next[queue.name] -= c.draw.ExpFloat64()
@@ -133,7 +136,7 @@
 	}
 }
 
-// play submits jobs at a multiple of the usual rate of each queue for so long.
+// play simulates the fleet for a length of time, with each queue at factor times its usual rate.
 func (c *pressedFleet) play(length time.Duration, factor float64, queues ...*pressedQueue) {
 	for end := c.clock.Monotonic() + length; c.clock.Monotonic() < end; {
 		for _, queue := range queues {
@@ -144,32 +147,34 @@
 	}
 }
 
-// onTime is the share of a queue's jobs that were on time, of those submitted between two moments; there must be some.
+// onTime is the fraction of on-time jobs among those of a queue that were submitted within a period. It fails if there are none.
 func (c *pressedFleet) onTime(queue *pressedQueue, from, to time.Duration) float64 {
 	part := c.partOnTime(queue, from, to)
 	Expect(math.IsNaN(part)).To(BeFalse())
 	return part
 }
 
-// partOnTime is the same, and not a number if there are none.
+// partOnTime is like onTime, but returns NaN if there are no such jobs.
 func (c *pressedFleet) partOnTime(queue *pressedQueue, from, to time.Duration) float64 {
-	var all, inTime float64
+	var total, onTime float64
 	for _, job := range c.jobs {
 		if job.queue != queue || job.submittedAt < from || job.submittedAt >= to {
 			continue
 		}
-		all++
+		total++
 		if job.isOnTime() {
-			inTime++
+			onTime++
 		}
 	}
-	return inTime / all
+	return onTime / total
 }
 
-var _ = Describe("more work than there is capacity for", func() {
+// Without measures against overload, nearly all jobs would be late while more work arrives than the fleet can do, since each job would wait
+// until it can barely be on time. Less urgent queues would get no capacity at all.
+var _ = Describe("a pool under overload", func() {
 	all := []*pressedQueue{&urgentQueue, &usualQueue, &longQueue}
 
-	It("is not what a usual day brings: nearly all jobs are on time", func() {
+	It("completes nearly all jobs on time under the usual load", func() {
 		c := newPressedFleet(1)
 		c.play(30*time.Second, 1, all...)
 		end := c.clock.Monotonic()
@@ -178,7 +183,7 @@
 		Expect(c.onTime(&usualQueue, 0, end)).To(BeNumerically(">", 0.95))
 	})
 
-	It("lets each queue have part of its jobs on time, while all ask for two and a half times as much as usual", func() {
+	It("completes part of each queue's jobs on time under 2.5 times the usual load", func() {
 		var urgent, usual float64
 		const days = 4
 		for seed := range uint64(days) {
@@ -196,7 +201,7 @@
 		Expect(usual).To(BeNumerically(">", 0.5))
 	})
 
-	It("serves what comes after it as on any other day", func() {
+	It("completes most jobs on time again after the overload", func() {
 		c := newPressedFleet(2)
 		c.play(8*time.Second, 1, all...)
 		c.play(50*time.Second, 2.5, all...)
@@ -210,7 +215,7 @@
 		Expect(c.onTime(&usualQueue, begin, end)).To(BeNumerically(">", 0.9))
 	})
 
-	It("keeps some capacity for less urgent work that is on time, though the urgent alone could take all", func() {
+	It("keeps capacity for on-time work of lower priority while urgent work alone exceeds the capacity", func() {
 		c := newPressedFleet(3)
 		c.play(4*time.Second, 1, all...)
 		begin := c.clock.Monotonic()
@@ -220,7 +225,7 @@
 		}
 		end := c.clock.Monotonic()
 		c.play(4*time.Second, 1, &usualQueue)
-		fmt.Fprintln(GinkgoWriter, "on time beside a flood:", c.onTime(&urgentQueue, begin, end), c.onTime(&usualQueue, begin, end))
+		fmt.Fprintln(GinkgoWriter, "on time during urgent overload:", c.onTime(&urgentQueue, begin, end), c.onTime(&usualQueue, begin, end))
 		Expect(c.onTime(&usualQueue, begin, end)).To(BeNumerically(">", 0.6))
 		Expect(c.onTime(&urgentQueue, begin, end)).To(BeNumerically(">", 0.2))
 	})
--- a/internal/scheduling/scheduler/overloadshapes_test.go
+++ b/internal/scheduling/scheduler/overloadshapes_test.go
@@ -9,26 +9,26 @@
 	. "github.com/onsi/gomega"
 )
 
-// lossAmid is what a fleet loses in the midst of an overload.
-type lossAmid string
+// overloadLoss is what the fleet loses during an overload.
+type overloadLoss string
 
 const (
-	lossNone   lossAmid = "nothing lost"
-	lossRack   lossAmid = "a rack of executors lost"
-	lossLeader lossAmid = "the leader lost"
+	lossNone   overloadLoss = "nothing lost"
+	lossRack   overloadLoss = "one rack lost"
+	lossLeader overloadLoss = "leader lost"
 )
 
-// rackReturn is how long a lost rack stays away, and racksSize how many executors it has.
+// rackReturn is how long after the overload a lost rack comes back, and rackSize the number of its executors.
 const (
 	rackReturn = 6 * time.Second
 	rackSize   = 6
 )
 
-// overloadShape is an overload: the queues that ask for more than usual, for how long, and what is lost meanwhile.
+// overloadShape describes an overload: the queues with more than the usual load, its duration, and the loss in the middle of it.
 type overloadShape struct {
 	queues []*pressedQueue
 	length time.Duration
-	loss   lossAmid
+	loss   overloadLoss
 }
 
 func (s overloadShape) String() string {
@@ -39,12 +39,12 @@
 	return fmt.Sprintf("%sfor %v, %s", names, s.length, s.loss)
 }
 
-// overloadShapes are all combinations of queues, lengths and losses.
+// overloadShapes returns all combinations of queues, lengths and losses.
 func overloadShapes() []overloadShape {
 	var shapes []overloadShape
 	for _, queues := range [][]*pressedQueue{{&urgentQueue}, {&usualQueue}, {&longQueue}, {&urgentQueue, &usualQueue}, {&urgentQueue, &usualQueue, &longQueue}} {
 		for _, length := range []time.Duration{4 * time.Second, 26 * time.Second} {
-			for _, loss := range []lossAmid{lossNone, lossRack, lossLeader} {
+			for _, loss := range []overloadLoss{lossNone, lossRack, lossLeader} {
 				shapes = append(shapes, overloadShape{queues, length, loss})
 			}
 		}
@@ -52,12 +52,12 @@
 	return shapes
 }
 
-// usualDemand is what a queue usually asks for, in cores.
+// usualDemand is the demand of a queue at its usual rate, in cores.
 func (q *pressedQueue) usualDemand() float64 {
 	return q.perSecond * float64(q.steps*q.tasks) * float64(q.cpu) / 1000 * q.length.Seconds()
 }
 
-// overloadFactor is how much more than usual the queues of a shape have to ask for, so that the fleet is asked for a multiple of what it has.
+// overloadFactor is the factor on the usual rate of some queues for which the demand of all queues is a multiple of the fleet's capacity.
 func overloadFactor(queues []*pressedQueue, multiple float64) float64 {
 	var pressed, others float64
 	for _, queue := range usualQueues() {
@@ -71,31 +71,31 @@
 
 func usualQueues() []*pressedQueue { return []*pressedQueue{&urgentQueue, &usualQueue, &longQueue} }
 
-// playFactors plays the usual load, with some queues multiplied.
+// playFactors simulates the usual load for a length of time, with the rate of the pressed queues multiplied by a factor.
 func (c *pressedFleet) playFactors(length time.Duration, factor float64, pressed []*pressedQueue) {
 	for end := c.clock.Monotonic() + length; c.clock.Monotonic() < end; {
 		for _, queue := range usualQueues() {
-			times := 1.0
+			queueFactor := 1.0
 			for _, other := range pressed {
 				if other == queue {
-					times = factor
+					queueFactor = factor
 				}
 			}
-			c.submitDue(queue, times)
+			c.submitDue(queue, queueFactor)
 		}
 		c.work()
 		c.pass(fleetTick)
 	}
 }
 
-// loseRack has the first rack's executors silent, with all they run.
+// loseRack makes the first rack's executors silent or brings them back.
 func (c *pressedFleet) loseRack(isLost bool) {
 	for _, executor := range c.executors[:rackSize] {
 		executor.isSilent = isLost
 	}
 }
 
-// playOverload plays the overload of a shape, with its loss halfway; the usual load where no queue is pressed.
+// playOverload simulates an overload with the loss in the middle of it. A shape without queues is the usual load.
 func (c *pressedFleet) playOverload(shape overloadShape) {
 	const multiple = 2
 	factor := 1.0
@@ -112,19 +112,20 @@
 	c.playFactors(shape.length/2, factor, shape.queues)
 }
 
-// beginPhase has what follows drawn alike, whatever came before.
+// beginPhase resets the random numbers and job IDs, so that the next phase gets the same jobs regardless of what came before.
 func (c *pressedFleet) beginPhase(number uint64) {
-	const jobsOfPhase = 1 << 20
-	c.draw, c.next, c.submitted = rand.New(rand.NewPCG(number, 5)), map[string]float64{}, int(number)*jobsOfPhase
+	const maxJobsPerPhase = 1 << 20
+	c.draw, c.next, c.submitted = rand.New(rand.NewPCG(number, 5)), map[string]float64{}, int(number)*maxJobsPerPhase
 }
 
-// The time after an overload is looked at in windows: so many, of this length.
+// The time after an overload is measured in recoveryWindows windows of length recoveryWindow.
 const (
-	afterWindow  = 4 * time.Second
-	afterWindows = 8
+	recoveryWindow  = 4 * time.Second
+	recoveryWindows = 8
 )
 
-// playAfter plays a shape and then the usual load, the same after each overload, and gives the windows' parts on time by queue.
+// playAfter simulates an overload and then the usual load, with the same jobs after each overload. It returns for each queue the fraction
+// of on-time jobs in each window after the overload.
 func playAfter(shape overloadShape, seed uint64) map[string][]float64 {
 	c := newPressedFleet(seed)
 	c.beginPhase(10*seed + 1)
@@ -134,35 +135,36 @@
 	c.beginPhase(10*seed + 2)
 	c.playFactors(rackReturn, 1, nil)
 	c.loseRack(false)
-	c.playFactors(afterWindows*afterWindow, 1, nil)
+	c.playFactors(recoveryWindows*recoveryWindow, 1, nil)
 	parts := map[string][]float64{}
 	for _, queue := range []*pressedQueue{&urgentQueue, &usualQueue} {
-		for window := range afterWindows {
-			from := end + time.Duration(window)*afterWindow
-			parts[queue.name] = append(parts[queue.name], c.partOnTime(queue, from, from+afterWindow))
+		for window := range recoveryWindows {
+			from := end + time.Duration(window)*recoveryWindow
+			parts[queue.name] = append(parts[queue.name], c.partOnTime(queue, from, from+recoveryWindow))
 		}
 	}
 	return parts
 }
 
-// recoveryTime is how long after an overload a queue was served worse than on a day without one, by more than chance brings.
+// recoveryTime is how long after an overload the on-time fraction of a queue was lower than without an overload, beyond random variation.
 func recoveryTime(parts, undisturbed []float64) time.Duration {
-	const chance = 0.3
-	for window := afterWindows; window > 0; window-- {
-		if parts[window-1] < undisturbed[window-1]-chance {
-			return time.Duration(window) * afterWindow
+	const randomVariation = 0.3
+	for window := recoveryWindows; window > 0; window-- {
+		if parts[window-1] < undisturbed[window-1]-randomVariation {
+			return time.Duration(window) * recoveryWindow
 		}
 	}
 	return 0
 }
 
-var _ = Describe("overloads of every shape", func() {
+// An overload may have effects after its end, such as an order of work, reservations or a backlog that still make new jobs late.
+var _ = Describe("a pool after an overload", func() {
 	const (
-		seeds       = 3
-		mostSeconds = 12
+		seeds              = 3
+		maxRecoverySeconds = 12
 	)
 
-	It("are over for each queue soon after their end", func() {
+	It("recovers soon for each queue, whatever the shape of the overload", func() {
 		undisturbed := map[uint64]map[string][]float64{}
 		for seed := range uint64(seeds) {
 			undisturbed[seed] = playAfter(overloadShape{length: 4 * time.Second, loss: lossNone}, seed)
@@ -171,8 +173,8 @@
 		for number, shape := range overloadShapes() {
 			seed := uint64(number/3) % seeds
 			for queue, parts := range playAfter(shape, seed) {
-				if took := recoveryTime(parts, undisturbed[seed][queue]); took > mostSeconds*time.Second {
-					slow = append(slow, fmt.Sprintf("%s: %s %v %.2f, else %.2f", shape, queue, took, parts, undisturbed[seed][queue]))
+				if took := recoveryTime(parts, undisturbed[seed][queue]); took > maxRecoverySeconds*time.Second {
+					slow = append(slow, fmt.Sprintf("%s: %s %v %.2f, without overload %.2f", shape, queue, took, parts, undisturbed[seed][queue]))
 				}
 			}
 		}
--- a/internal/scheduling/scheduler/renounce_test.go
+++ b/internal/scheduling/scheduler/renounce_test.go
@@ -9,6 +9,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
+// A submission may be delayed on its way to a pool while its job goes to the pool of another service. Without the promise the job would
+// then run in both pools.
 var _ = Describe("a pool whose queue has moved to another service", func() {
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
@@ -23,7 +25,7 @@
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
-	It("turns away a submission that comes after it promised not to take the job, also under another leader", func() {
+	It("refuses the submission of a renounced job, also under the next leader", func() {
 		Expect(ask(f.pool.Renounce).Status).To(Equal(410))
 		Expect(ask(f.pool.Submit).Status).To(Equal(503))
 		f.takeOver()
@@ -32,25 +34,25 @@
 		Expect(f.tasks()).To(BeEmpty())
 	})
 
-	It("takes a job again by a newer configuration than that of the promise, and none by an older one", func() {
-		by := func(version int64, verb func(*wire.ClientCall, func(wire.ClientAnswer))) (reported wire.ClientAnswer) {
+	It("accepts a renounced job only under a newer configuration than that of the promise", func() {
+		askWithVersion := func(version int64, verb func(*wire.ClientCall, func(wire.ClientAnswer))) (reported wire.ClientAnswer) {
 			verb(&wire.ClientCall{Route: "e", ID: id, Version: version, Body: []byte(single)}, func(answer wire.ClientAnswer) { reported = answer })
 			f.settle()
 			return reported
 		}
-		Expect(by(5, f.pool.Renounce).Status).To(Equal(410))
-		Expect(by(4, f.pool.Renounce).Status).To(Equal(410))
+		Expect(askWithVersion(5, f.pool.Renounce).Status).To(Equal(410))
+		Expect(askWithVersion(4, f.pool.Renounce).Status).To(Equal(410))
 		for _, version := range []int64{0, 4, 5} {
-			Expect(by(version, f.pool.Submit).Status).To(Equal(503), "version %d", version)
+			Expect(askWithVersion(version, f.pool.Submit).Status).To(Equal(503), "version %d", version)
 		}
 		f.takeOver()
-		Expect(by(5, f.pool.Submit).Status).To(Equal(503))
-		Expect(by(6, f.pool.Submit).Status).To(Equal(200))
+		Expect(askWithVersion(5, f.pool.Submit).Status).To(Equal(503))
+		Expect(askWithVersion(6, f.pool.Submit).Status).To(Equal(200))
 		Expect(f.leadership.has("m/")).To(BeFalse())
-		Expect(by(7, f.pool.Renounce).Status).To(Equal(200), "it has the job now")
+		Expect(askWithVersion(7, f.pool.Renounce).Status).To(Equal(200), "the pool has the job now")
 	})
 
-	It("promises nothing before that is committed", func() {
+	It("answers a renounce call only after the commit", func() {
 		var reported []wire.ClientAnswer
 		f.pool.Renounce(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { reported = append(reported, answer) })
 		f.pool.Flush()
@@ -59,12 +61,12 @@
 		Expect(reported).To(Equal([]wire.ClientAnswer{{NotLeader: true}}))
 	})
 
-	It("has the job if the submission came first", func() {
+	It("keeps a job that was submitted before the renounce call", func() {
 		Expect(ask(f.pool.Submit).Status).To(Equal(200))
 		Expect(ask(f.pool.Renounce).Status).To(Equal(200))
 	})
 
-	It("forgets the promise when no submission can be under way any more", func() {
+	It("deletes the promise once no submission can be in flight any more", func() {
 		Expect(ask(f.pool.Renounce).Status).To(Equal(410))
 		f.clock.Advance(timing.KeepEnded + time.Second)
 		f.pass(100 * time.Millisecond)
--- a/internal/scheduling/scheduler/reservedcapacity_test.go
+++ b/internal/scheduling/scheduler/reservedcapacity_test.go
@@ -7,10 +7,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// mostLongPart is the part of the fleet's CPU that the long queue takes where it has all executors: two runs fit on each.
-const mostLongPart = 0.75
+// maxLongPart is the fraction of the fleet's CPU that long work takes if it has all executors, as two of its runs fit on each.
+const maxLongPart = 0.75
 
-// usedPart is the part of the fleet's CPU that the runs of a queue take.
+// usedPart is the fraction of the fleet's CPU that the runs of a queue take.
 func (c *pressedFleet) usedPart(queue *pressedQueue) float64 {
 	var used int
 	for _, executor := range c.executors {
@@ -23,7 +23,7 @@
 	return float64(used) / (pressedExecutors * pressedCPU)
 }
 
-// newLull gives a fleet with a backlog of long work, on which so many urgent jobs have just ended and none waits.
+// newLull returns a fleet with a backlog of long work on which urgentJobs urgent jobs have just completed and none is pending.
 func newLull(urgentJobs int) *pressedFleet {
 	const backlog = 60
 	c := newPressedFleet(1)
@@ -48,14 +48,15 @@
 	return false
 }
 
-var _ = Describe("a lull of urgent work beside a backlog of long work", func() {
-	It("leaves what the urgent took lately free for them", func() {
+// In a short lull of urgent work a backlog of long work could take the whole fleet, and the next urgent jobs would find no capacity.
+var _ = Describe("a lull of urgent work with a backlog of long work", func() {
+	It("keeps the recent demand of urgent work reserved", func() {
 		c := newLull(4)
 		c.play(500*time.Millisecond, 0)
 		Expect(c.usedPart(&longQueue)).To(BeNumerically("<", 0.7))
 	})
 
-	It("does not have first runs fill the fleet at once, but does after a while", func() {
+	It("lets first runs exceed soft limits only after a while", func() {
 		c := newLull(6)
 		c.play(200*time.Millisecond, 0)
 		Expect(c.usedPart(&longQueue)).To(BeNumerically("<", 0.47))
@@ -63,9 +64,9 @@
 		Expect(c.usedPart(&longQueue)).To(BeNumerically(">", 0.55))
 	})
 
-	It("forgets in time what was asked for, so that the backlog has all of the fleet", func() {
+	It("lets the reservation decay until the backlog can use the whole fleet", func() {
 		c := newLull(4)
 		c.play(20*time.Second, 0)
-		Expect(c.usedPart(&longQueue)).To(BeNumerically(">", 0.9*mostLongPart))
+		Expect(c.usedPart(&longQueue)).To(BeNumerically(">", 0.9*maxLongPart))
 	})
 })
--- a/internal/scheduling/scheduler/rollouts_test.go
+++ b/internal/scheduling/scheduler/rollouts_test.go
@@ -12,29 +12,29 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// transferSent is a job on its way to another pool; the test answers it.
-type transferSent struct {
+// sentTransfer is a transfer that the test answers.
+type sentTransfer struct {
 	service string
 	call    *wire.ClientCall
 	answer  func(*wire.ClientAnswer)
 }
 
-// scriptedSender keeps what a pool sends to others.
-type scriptedSender struct{ sent []transferSent }
+// scriptedSender collects the transfers that a pool sends.
+type scriptedSender struct{ sent []sentTransfer }
 
 func (s *scriptedSender) Send(service string, call *wire.ClientCall, answer func(*wire.ClientAnswer)) {
 	call.Key = "pool/" + service
-	s.sent = append(s.sent, transferSent{service, call, answer})
+	s.sent = append(s.sent, sentTransfer{service, call, answer})
 }
 
 const (
-	singleTask = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":1000}]}`
-	twoTasks   = `{"task-descriptor":"d","step-list":[{"task-count":2,"cpu-units":1000,"estimated-ms":1000}]}`
-	twoSteps   = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000},{"task-count":1,"cpu-units":1000,"depends-on":[0]}]}`
-	lasting    = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"long-running":true}]}`
+	singleTask      = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":1000}]}`
+	twoTasks        = `{"task-descriptor":"d","step-list":[{"task-count":2,"cpu-units":1000,"estimated-ms":1000}]}`
+	twoSteps        = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000},{"task-count":1,"cpu-units":1000,"depends-on":[0]}]}`
+	longRunningTask = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"long-running":true}]}`
 )
 
-// movedTasks reads what the first transfer says of the job's tasks.
+// movedTasks returns the tasks in the first transfer.
 func movedTasks(sender *scriptedSender) []wire.TransferredTask {
 	GinkgoHelper()
 	Expect(sender.sent).NotTo(BeEmpty())
@@ -45,18 +45,20 @@
 
 func jobID(number int) string { return fmt.Sprintf("%016x", number+1) }
 
+// When a rollout is rolled back, the new version's pool returns its jobs to the old version's pool. The tests guard against jobs that run
+// in both pools, jobs that are lost, and wrong counts.
 var _ = Describe("a pool that runs a version of a rollout", func() {
 	var f *fleet
 	var policy scheduler.RolloutPolicy
 	var sender *scriptedSender
 	terms := wire.RouteTerms{MaxAttempts: 2, TargetMs: 500}
-	// turnBack lets the new version be turned back, by a newer configuration.
-	turnBack := func(change func(*scheduler.RolloutTerms)) {
-		turned := scheduler.RolloutTerms{Name: "r", BegunMs: 7, Route: "e", ReturnTo: "old"}
+	// rollBack sets a newer configuration in which the rollout is rolled back.
+	rollBack := func(change func(*scheduler.RolloutTerms)) {
+		rolledBack := scheduler.RolloutTerms{Name: "r", BegunMs: 7, Route: "e", ReturnTo: "old"}
 		if change != nil {
-			change(&turned)
+			change(&rolledBack)
 		}
-		policy = scheduler.RolloutPolicy{Version: policy.Version + 1, Rollouts: []scheduler.RolloutTerms{turned}}
+		policy = scheduler.RolloutPolicy{Version: policy.Version + 1, Rollouts: []scheduler.RolloutTerms{rolledBack}}
 	}
 	report := func() wire.RolloutReport {
 		var reported wire.RolloutReport
@@ -77,7 +79,7 @@
 	})
 
 	Describe("counts", func() {
-		It("jobs by their end and runs by their zone, exactly, also under the next leader", func() {
+		It("jobs by outcome and runs by zone, and keeps the counts under the next leader", func() {
 			for number := range 6 {
 				f.handIn(jobID(number), terms, singleTask)
 			}
@@ -106,7 +108,7 @@
 			Expect(report().Rollouts[0].Zones).To(Equal(counted.Zones))
 		})
 
-		It("what lost an executor not as late, and what waits beyond its target as overdue", func() {
+		It("no job as late or overdue that lost a run, and pending jobs past their target as overdue", func() {
 			f.handIn(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			for _, executor := range f.executors {
@@ -115,7 +117,7 @@
 				}
 			}
 			f.pass(9 * time.Second)
-			Expect(report().Rollouts[0].Overdue).To(BeZero(), "its run was lost")
+			Expect(report().Rollouts[0].Overdue).To(BeZero(), "the job lost its run")
 			f.endAll("done")
 			f.pass(200 * time.Millisecond)
 			Expect(report().Rollouts[0].Jobs).To(Equal(wire.JobCounts{Completed: 1}))
@@ -130,7 +132,7 @@
 			Expect(report().Executors).To(BeZero())
 		})
 
-		It("nothing of a rollout that is gone, nor of an earlier one of the same name", func() {
+		It("only present rollouts, not removed ones or an earlier one of the same name", func() {
 			f.handIn(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			f.endAll("done")
@@ -146,12 +148,12 @@
 		})
 	})
 
-	Describe("that was turned back", func() {
-		It("returns what has not begun, and starts nothing of it any more, also under another leader", func() {
+	Describe("whose rollout was rolled back", func() {
+		It("returns jobs that have not started, and doesn't start them, also under the next leader", func() {
 			f.executors[0].isSilent, f.executors[1].isSilent = true, true
 			f.pass(9 * time.Second)
 			f.handIn(jobID(0), terms, singleTask)
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			Expect(sender.sent).To(HaveLen(1))
 			Expect(sender.sent[0].service).To(Equal("old"))
@@ -160,7 +162,7 @@
 			f.takeOver()
 			f.pass(time.Second)
 			Expect(f.tasks()).To(BeEmpty())
-			Expect(f.state(jobID(0))).To(ContainSubstring("queued"), "nobody has said yet that the other pool has it")
+			Expect(f.state(jobID(0))).To(ContainSubstring("queued"), "the other pool has not accepted it yet")
 			sender.sent[len(sender.sent)-1].answer(&wire.ClientAnswer{Status: 200})
 			f.settle()
 			Expect(f.state(jobID(0))).To(HavePrefix("410"))
@@ -173,8 +175,8 @@
 			Expect(f.leadership.has("v/")).To(BeFalse())
 		})
 
-		It("starts nothing of a job that a gate sends here which doesn't know of it yet", func() {
-			turnBack(nil)
+		It("doesn't start a job from a gate with an older configuration", func() {
+			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			f.handIn(jobID(0), terms, singleTask)
 			Expect(f.starts()).To(BeZero())
@@ -183,11 +185,11 @@
 			Expect(sender.sent).NotTo(BeEmpty())
 		})
 
-		It("stops a run whose start was not answered yet", func() {
+		It("stops a run whose launch has no answer yet", func() {
 			f.executors[0].isSilent, f.executors[1].isSilent = true, true
 			f.handIn(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			f.executors[0].isSilent, f.executors[1].isSilent = false, false
 			f.pass(time.Second)
@@ -195,11 +197,11 @@
 			Expect(sender.sent).NotTo(BeEmpty())
 		})
 
-		It("sends nothing before it is committed that nothing starts here", func() {
+		It("sends a transfer only after its commit", func() {
 			f.executors[0].isSilent, f.executors[1].isSilent = true, true
 			f.pass(9 * time.Second)
 			f.handIn(jobID(0), terms, singleTask)
-			turnBack(nil)
+			rollBack(nil)
 			f.clock.Advance(time.Second)
 			f.pool.Tick()
 			f.pool.Flush()
@@ -208,8 +210,8 @@
 			Expect(sender.sent).To(HaveLen(1))
 		})
 
-		It("sends a job again until there is an answer, and keeps one that the other pool can't take", func() {
-			turnBack(nil)
+		It("resends a transfer until it is answered, and runs a job that the other pool rejects", func() {
+			rollBack(nil)
 			f.pass(100 * time.Millisecond)
 			f.handIn(jobID(0), terms, singleTask)
 			f.pass(3 * time.Second)
@@ -221,10 +223,10 @@
 			Expect(f.tasks()).To(HaveLen(1))
 		})
 
-		It("lets what runs end, and returns the rest with what is done", func() {
+		It("lets runs end, and returns the job with its completed tasks", func() {
 			f.handIn(jobID(0), terms, twoSteps)
 			f.pass(200 * time.Millisecond)
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(500 * time.Millisecond)
 			Expect(sender.sent).To(BeEmpty())
 			Expect(f.tasks()).To(HaveLen(1))
@@ -234,10 +236,10 @@
 			Expect(movedTasks(sender)).To(Equal([]wire.TransferredTask{{IsDone: true}}))
 		})
 
-		It("lets a job be complete here whose last task ends", func() {
+		It("completes a job here whose last task ends", func() {
 			f.handIn(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			f.endAll("done")
 			f.pass(300 * time.Millisecond)
@@ -245,26 +247,28 @@
 			Expect(sender.sent).To(BeEmpty())
 		})
 
-		It("returns a job between two attempts, with those that it has used up", func() {
+		It("returns a job between two attempts with its number of failed attempts", func() {
 			f.handIn(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			f.endAll("failed")
 			f.pass(300 * time.Millisecond)
 			Expect(movedTasks(sender)).To(Equal([]wire.TransferredTask{{Failed: 1}}))
 		})
 
-		DescribeTable("stops what runs where that was agreed and tasks may run again", func(stops, isRepeatable, returns bool) {
+		DescribeTable("stops runs only if the rollout allows it and tasks are repeatable", func(stopsRuns, isRepeatable, isReturned bool) {
 			f.handIn(jobID(0), terms, twoTasks)
 			f.pass(200 * time.Millisecond)
 			for _, executor := range f.executors {
 				executor.end(jobID(0)+".0.0.0", "done")
 			}
 			f.pass(200 * time.Millisecond)
-			turnBack(func(turned *scheduler.RolloutTerms) { turned.StopsRuns, turned.IsRepeatable = stops, isRepeatable })
+			rollBack(func(rolledBack *scheduler.RolloutTerms) {
+				rolledBack.StopsRuns, rolledBack.IsRepeatable = stopsRuns, isRepeatable
+			})
 			f.pass(time.Second)
-			if !returns {
+			if !isReturned {
 				Expect(f.tasks()).To(HaveLen(1))
 				Expect(sender.sent).To(BeEmpty())
 				return
@@ -272,28 +276,28 @@
 			Expect(f.tasks()).To(BeEmpty())
 			Expect(movedTasks(sender)).To(Equal([]wire.TransferredTask{{IsDone: true}}))
 		},
-			Entry("both", true, true, true),
-			Entry("not agreed", false, true, false),
-			Entry("not to be run again", true, false, false),
+			Entry("allowed and repeatable", true, true, true),
+			Entry("not allowed", false, true, false),
+			Entry("not repeatable", true, false, false),
 		)
 
-		It("stops lasting tasks in any case, as they never end", func() {
-			f.handIn(jobID(0), terms, lasting)
+		It("always stops long-running tasks, which never end", func() {
+			f.handIn(jobID(0), terms, longRunningTask)
 			f.pass(200 * time.Millisecond)
 			Expect(f.tasks()).To(HaveLen(1))
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(time.Second)
 			Expect(f.tasks()).To(BeEmpty())
 			Expect(sender.sent).NotTo(BeEmpty())
 		})
 
-		It("refuses to cancel a job on its way, and goes on with all jobs if the rollout is taken out of the configuration", func() {
+		It("refuses to cancel a job in transfer, and runs other jobs once the rollout is removed from the configuration", func() {
 			for _, executor := range f.executors {
 				executor.isSilent = true
 			}
 			f.pass(9 * time.Second)
 			f.handIn(jobID(0), terms, singleTask)
-			turnBack(nil)
+			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			var cancelled wire.ClientAnswer
 			f.pool.Cancel(&wire.ClientCall{Route: "e", ID: jobID(0)}, func(answer wire.ClientAnswer) { cancelled = answer })
@@ -309,8 +313,8 @@
 		})
 	})
 
-	Describe("that jobs come back to", func() {
-		transferred := func(change func(*wire.TransferCall)) wire.ClientAnswer {
+	Describe("to which jobs are returned", func() {
+		transfer := func(change func(*wire.TransferCall)) wire.ClientAnswer {
 			moved := &wire.TransferCall{From: "pool/new", AcceptedMs: 1, Body: []byte(singleTask)}
 			if change != nil {
 				change(moved)
@@ -323,11 +327,11 @@
 			return reported
 		}
 
-		It("takes a job once, although it had promised not to", func() {
+		It("accepts a renounced job, and only once", func() {
 			f.pool.Renounce(&wire.ClientCall{Route: "e", ID: jobID(0), Version: 9}, func(wire.ClientAnswer) {})
 			f.settle()
-			Expect(transferred(nil).Status).To(Equal(200))
-			Expect(transferred(nil).Status).To(Equal(200))
+			Expect(transfer(nil).Status).To(Equal(200))
+			Expect(transfer(nil).Status).To(Equal(200))
 			f.pass(300 * time.Millisecond)
 			Expect(f.tasks()).To(Equal([]string{jobID(0) + ".0.0.0"}))
 			f.takeOver()
@@ -335,8 +339,8 @@
 			Expect(f.starts()).To(Equal(1))
 		})
 
-		It("counts the attempts that were used up before", func() {
-			Expect(transferred(func(moved *wire.TransferCall) {
+		It("counts earlier failed attempts", func() {
+			Expect(transfer(func(moved *wire.TransferCall) {
 				moved.Tasks = []wire.TransferredTask{{Failed: 1}, {Step: 7, Failed: 1}}
 			}).Status).To(Equal(200))
 			f.takeOver()
@@ -346,8 +350,8 @@
 			Expect(f.state(jobID(0))).To(ContainSubstring("failed"))
 		})
 
-		It("does not run again what is done", func() {
-			Expect(transferred(func(moved *wire.TransferCall) {
+		It("doesn't run completed tasks again", func() {
+			Expect(transfer(func(moved *wire.TransferCall) {
 				moved.Body, moved.Tasks = []byte(twoSteps), []wire.TransferredTask{{IsDone: true}}
 			}).Status).To(Equal(200))
 			f.pass(200 * time.Millisecond)
@@ -360,9 +364,9 @@
 			Expect(f.starts()).To(Equal(1))
 		})
 
-		It("does not run the times of a repeated job again that are over", func() {
+		It("doesn't run completed occurrences of a repeated job again", func() {
 			repeated := `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}],"first-run-ms":1,"period-ms":1,"repeat-count":3}`
-			Expect(transferred(func(moved *wire.TransferCall) {
+			Expect(transfer(func(moved *wire.TransferCall) {
 				moved.Body, moved.CompletedOccurrences = []byte(repeated), []int{0, 2}
 			}).Status).To(Equal(200))
 			f.takeOver()
@@ -373,11 +377,11 @@
 			Expect(f.state(jobID(0))).To(ContainSubstring("completed"))
 		})
 
-		It("refuses what it can't read, and an ID of another queue", func() {
-			Expect(transferred(func(moved *wire.TransferCall) { moved.Body = []byte(`{"step-list":7}`) }).Status).To(Equal(400))
+		It("refuses an unreadable job, and an ID that another queue uses", func() {
+			Expect(transfer(func(moved *wire.TransferCall) { moved.Body = []byte(`{"step-list":7}`) }).Status).To(Equal(400))
 			f.pool.Submit(&wire.ClientCall{Route: "other", ID: jobID(0), Body: []byte(singleTask)}, func(wire.ClientAnswer) {})
 			f.settle()
-			Expect(transferred(nil).Status).To(Equal(409))
+			Expect(transfer(nil).Status).To(Equal(409))
 		})
 	})
 })
--- a/internal/scheduling/scheduler/shares_test.go
+++ b/internal/scheduling/scheduler/shares_test.go
@@ -12,18 +12,19 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-var _ = Describe("shares on a fleet of one executor, of which each run takes all", func() {
+// On a small fleet a run is much larger than a share. Without accounts over time, a share would then get either nothing or far too much.
+var _ = Describe("shares on a single executor that each run fills", func() {
 	const runTime = 200 * time.Millisecond
 	var f *fleet
-	var handedIn int
+	var submitted int
 	terms := func(priority int, targetMs int64) wire.RouteTerms {
 		return wire.RouteTerms{MaxAttempts: 2, Priority: priority, Stretch: 1, TargetMs: targetMs}
 	}
 	submit := func(prefix string, terms wire.RouteTerms) {
-		handedIn++
-		f.handIn(fmt.Sprintf("%s%015x", prefix, handedIn), terms, fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":4000,"estimated-ms":%d}]}`, runTime.Milliseconds()))
+		submitted++
+		f.handIn(fmt.Sprintf("%s%015x", prefix, submitted), terms, fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":4000,"estimated-ms":%d}]}`, runTime.Milliseconds()))
 	}
-	// play keeps the queue of the most urgent full, and ends each run after runTime; it counts starts by the first letter of their job.
+	// play keeps the most urgent queue full, ends each run after runTime, and counts starts by the first letter of the job ID.
 	play := func(length time.Duration) map[string]int {
 		counts, startedAt := map[string]int{}, map[string]time.Duration{}
 		for end := f.clock.Monotonic() + length; f.clock.Monotonic() < end; {
@@ -42,14 +43,14 @@
 		return counts
 	}
 	BeforeEach(func() {
-		handedIn = 0
+		submitted = 0
 		timing := timing
 		timing.ReservedCapacity = scheduler.DefaultReservedCapacity
 		f = newFleet(timing)
 		f.add(1, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
-	It("let a lower priority run about as much as its share once it can't wait, though a run is larger by far", func() {
+	It("give a lower priority about its share once its work can't wait, although a run exceeds the share", func() {
 		play(time.Second)
 		for range 40 {
 			submit("b", terms(1, 60000))
@@ -62,7 +63,7 @@
 		Expect(part).To(BeNumerically("~", 0.15, 0.05), "%v", counts)
 	})
 
-	It("let expired work run a little, the oldest first", func() {
+	It("give expired work a small share, oldest first", func() {
 		for range 40 {
 			submit("c", terms(1, 1))
 		}
@@ -75,7 +76,8 @@
 	})
 })
 
-var _ = Describe("jobs of one queue of which not all can be on time", func() {
+// Under overload, the order by target would let nearly all jobs become late.
+var _ = Describe("the order of jobs of one queue", func() {
 	var f *fleet
 	submit := func(number int) {
 		f.handIn(fmt.Sprintf("%016x", number), wire.RouteTerms{MaxAttempts: 2, Stretch: 1, TargetMs: 1000},
@@ -87,7 +89,7 @@
 		f.add(1, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
-	It("begin with the one that is due first as long as none has missed its target", func() {
+	It("is by target while no job has missed its target", func() {
 		for number := range 3 {
 			submit(number + 1)
 			f.pass(100 * time.Millisecond)
@@ -98,7 +100,7 @@
 		Expect(running()).To(HavePrefix("2."))
 	})
 
-	It("begin with the newest once one has, and with the first again some time after", func() {
+	It("is newest first after a missed target, and by target again some time later", func() {
 		for number := range 4 {
 			submit(number + 1)
 			f.pass(100 * time.Millisecond)
@@ -124,14 +126,15 @@
 	})
 })
 
-var _ = Describe("what long work leaves to the urgent", func() {
+// Reservations for urgent work must neither keep long work from unused capacity for ever nor vanish under overload.
+var _ = Describe("the capacity reserved for urgent work", func() {
 	var f *fleet
 	name := func(number int) string { return fmt.Sprintf("%016x", number) }
-	submit := func(number, priority, tasks int, targetMs int64, more string) {
+	submit := func(number, priority, tasks int, targetMs int64, fields string) {
 		f.handIn(name(number), wire.RouteTerms{MaxAttempts: 2, Priority: priority, Stretch: 1, TargetMs: targetMs},
-			fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000%s}]}`, tasks, more))
+			fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000%s}]}`, tasks, fields))
 	}
-	const short, long, lasting = `,"estimated-ms":100`, `,"estimated-ms":60000`, `,"long-running":true`
+	const short, long, longRunning = `,"estimated-ms":100`, `,"estimated-ms":60000`, `,"long-running":true`
 	started := func(number int) (count int) {
 		for _, task := range f.tasks() {
 			if task[:16] == name(number) {
@@ -140,7 +143,7 @@
 		}
 		return count
 	}
-	// finish ends all runs of a job until it is completed.
+	// finish ends all runs of a job until the job is completed.
 	finish := func(number int) {
 		for range 100 {
 			for _, executor := range f.executors {
@@ -162,10 +165,10 @@
 		timing.ReservedCapacity = scheduler.DefaultReservedCapacity
 		f = newFleet(timing)
 		f.add(10, wire.Capacity{CPU: 4000, Memory: 64000}, "a", "r1")
-		submit(1, 0, 1, 0, lasting)
+		submit(1, 0, 1, 0, longRunning)
 	})
 
-	It("is no more than there is, however much they asked for at once", func() {
+	It("is at most the fleet's capacity, however large the urgent demand was", func() {
 		submit(2, 0, 800, 60000, short)
 		finish(2)
 		f.pass(20 * time.Second)
@@ -174,14 +177,14 @@
 		Expect(started(3)).To(BeNumerically(">=", 20))
 	})
 
-	It("is more while they miss their targets, and as usual some time after", func() {
+	It("is larger after urgent jobs missed their targets, and as usual some time later", func() {
 		submit(2, 0, 39, 200, short)
 		f.pass(100 * time.Millisecond)
 		submit(3, 0, 39, 200, short)
 		f.pass(500 * time.Millisecond)
 		finish(2)
 		finish(3)
-		submit(4, 1, 1, 0, lasting)
+		submit(4, 1, 1, 0, longRunning)
 		submit(5, 1, 38, 60000, short)
 		finish(5)
 		submit(6, 2, 40, 60000, long)
--- a/internal/scheduling/scheduler/stored_data_test.go
+++ b/internal/scheduling/scheduler/stored_data_test.go
@@ -17,7 +17,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-// storedRecords reads records as a pool of an earlier version kept them: a name, a tab and the value on each line.
+// storedRecords reads a file with the records of a pool of an earlier version. Each line holds a name, a tab and the value.
 func storedRecords(path string) []wire.Op {
 	text, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
@@ -30,8 +30,9 @@
 	return records
 }
 
-var _ = Describe("a pool that an earlier version kept", func() {
-	It("is taken over with all jobs and runs", func() {
+// A changed record format would lose the jobs and runs that were stored before an upgrade.
+var _ = Describe("a pool stored by an earlier version", func() {
+	It("is loaded with all jobs and runs", func() {
 		clock := clock.NewFake(1796206542000)
 		leadership := &scriptedLeadership{clock: clock, epoch: 1 << 40, hasLease: true, kept: map[string][]byte{}}
 		pool := scheduler.New("pool/demo", clock, timing, logging.Silent())
--- a/internal/scheduling/scheduler/tenantcount_test.go
+++ b/internal/scheduling/scheduler/tenantcount_test.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// scriptedCounter is the parts of the count, whose answers the test lets through.
+// scriptedCounter stands for the leaders of all partitions of the tenant count. No partition answers while isAway is set.
 type scriptedCounter struct {
 	parts   []*tenantcount.Part
 	limits  tenantcount.Limits
@@ -44,7 +44,9 @@
 	answer(&given)
 }
 
-var _ = Describe("a pool that counts with others", func() {
+// Several pools start runs under the same tenant limits. Together they must not exceed a limit, so each one starts runs only within its
+// committed grants.
+var _ = Describe("a pool with a tenant counter", func() {
 	var f *tenantFleet
 	var counter *scriptedCounter
 	var hasOtherPools bool
@@ -56,7 +58,8 @@
 		f.pool.Open(f.leadership, f.leadership.pairs())
 		f.settle()
 	}
-	other := func(has, wants int64) (granted int64) {
+	// askAsOther asks for a grant as another pool and returns what that pool holds then.
+	askAsOther := func(has, wants int64) (granted int64) {
 		counter.parts[tenantcount.PartOf("a")].Ask(&wire.GrantCall{Asker: "pool/other", Epoch: 1, Number: uint64(f.clock.Monotonic()),
 			Tenants: []wire.TenantDemand{{Tenant: "a", Has: wire.Capacity{CPU: has}, Wants: wire.Capacity{CPU: wants}}}}, counter.limits, 0)
 		for _, row := range counter.parts[tenantcount.PartOf("a")].Report(counter.limits) {
@@ -77,7 +80,7 @@
 		})
 	})
 
-	It("starts nothing of a limited tenant before it was granted, and all else at once", func() {
+	It("starts runs of a limited tenant only after a grant, and all others at once", func() {
 		counter.isAway = true
 		takeOver()
 		f.add(4, wire.Capacity{CPU: 4000, Memory: 64000}, "x", "r1")
@@ -91,7 +94,7 @@
 		Expect(f.running(limited)).To(Equal(4))
 	})
 
-	It("goes on with its account under the next leader, also while no part answers", func() {
+	It("keeps its account under the next leader, also while no partition answers", func() {
 		takeOver()
 		f.add(4, wire.Capacity{CPU: 4000, Memory: 64000}, "x", "r1")
 		counter.isAway = true
@@ -102,7 +105,7 @@
 		Expect(f.running(id)).To(Equal(4))
 	})
 
-	It("asks next to nothing as long as it is the only pool", func() {
+	It("makes few calls while it is the only pool", func() {
 		takeOver()
 		f.add(4, wire.Capacity{CPU: 4000, Memory: 64000}, "x", "r1")
 		f.submitFor("a", 0, 40, "")
@@ -110,23 +113,23 @@
 		Expect(counter.calls).To(BeNumerically("<=", 3))
 	})
 
-	It("gives back what another pool wants, and never uses more than it holds", func() {
+	It("returns grants that another pool wants, and never uses more than its grants", func() {
 		hasOtherPools = true
 		takeOver()
 		f.add(4, wire.Capacity{CPU: 4000, Memory: 64000}, "x", "r1")
 		id, _ := f.submitFor("a", 0, 40, "")
 		f.pass(time.Second)
 		Expect(f.running(id)).To(Equal(4))
-		Expect(other(0, 9000)).To(BeZero())
+		Expect(askAsOther(0, 9000)).To(BeZero())
 		f.pass(2 * time.Second)
-		Expect(other(0, 9000)).To(BeZero(), "all of it is in use")
+		Expect(askAsOther(0, 9000)).To(BeZero(), "the whole limit is in use")
 		f.endAll("done")
 		f.pass(2 * time.Second)
 		Expect(f.running(id)).To(Equal(2))
-		Expect(other(0, 9000)).To(Equal(int64(2000)))
+		Expect(askAsOther(0, 9000)).To(Equal(int64(2000)))
 	})
 
-	It("tells operators what each tenant has", func() {
+	It("reports the use of each tenant to operators", func() {
 		takeOver()
 		f.add(4, wire.Capacity{CPU: 4000, Memory: 64000}, "x", "r1")
 		f.submitFor("a", 0, 6, "")
--- a/internal/scheduling/scheduler/tenants_test.go
+++ b/internal/scheduling/scheduler/tenants_test.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// tenantFleet is a fleet whose pool knows the terms of tenants, which a test changes as it likes.
+// tenantFleet is a fleet with tenants whose terms a test can change. last is the number of the last submitted job.
 type tenantFleet struct {
 	*fleet
 	terms   map[string]scheduler.TenantTerms
@@ -31,7 +31,7 @@
 	return f
 }
 
-// takeOverWithTenants gives the pool to another leader, which knows the terms and what is committed.
+// takeOverWithTenants replaces the leader. The new one has the tenants' terms and the committed records.
 func (f *tenantFleet) takeOverWithTenants() {
 	f.leadership.epoch++
 	f.pool = scheduler.New("pool/s", f.clock, f.timing, logging.Silent(), scheduler.WithTenants(func() scheduler.TenantPolicy {
@@ -41,18 +41,19 @@
 	f.settle()
 }
 
-// configure brings a configuration into force with other terms of a tenant.
+// configure applies a configuration with new terms of a tenant.
 func (f *tenantFleet) configure(tenant string, terms scheduler.TenantTerms) {
 	f.version++
 	f.terms[tenant] = terms
 }
 
-// submitFor hands a job of one step in for a tenant, and gives its ID and the answer's status.
-func (f *tenantFleet) submitFor(tenant string, priority, tasks int, more string) (id string, status int) {
+// submitFor submits a job of one step for a tenant. fields are further JSON fields of the step. It returns the job's ID and the status of
+// the answer.
+func (f *tenantFleet) submitFor(tenant string, priority, tasks int, fields string) (id string, status int) {
 	f.last++
 	id = fmt.Sprintf("%016x", f.last)
 	terms := wire.RouteTerms{MaxAttempts: 2, Stretch: 1, TargetMs: 60000, Priority: priority}
-	body := fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000%s}]}`, tasks, more)
+	body := fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000%s}]}`, tasks, fields)
 	f.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Tenant: tenant, Terms: &terms, Body: []byte(body)},
 		func(answer wire.ClientAnswer) { status = answer.Status })
 	f.settle()
@@ -69,6 +70,7 @@
 	return count
 }
 
+// cpuLimit returns terms that limit only CPU.
 func cpuLimit(units int64) scheduler.TenantTerms {
 	return scheduler.TenantTerms{Weight: 100, Limit: placement.Resources{CPU: units, Memory: placement.Unlimited, GPU: placement.Unlimited}}
 }
@@ -80,7 +82,7 @@
 		f.add(4, wire.Capacity{CPU: 4000, Memory: 64000}, "x", "r1")
 	})
 
-	It("run no more than their limit, also under the next leader, and go on when the limit is raised", func() {
+	It("run no more than their limit, also under the next leader, and follow changes of the limit", func() {
 		first, _ := f.submitFor("a", 0, 6, "")
 		f.pass(time.Second)
 		Expect(f.running(first)).To(Equal(3))
@@ -96,7 +98,7 @@
 		Expect(f.running(first)).To(Equal(1))
 	})
 
-	It("count a run until it has certainly ended", func() {
+	It("use their limit for a run until it has certainly ended", func() {
 		first, _ := f.submitFor("a", 0, 6, "")
 		f.pass(time.Second)
 		for _, executor := range f.executors {
@@ -112,7 +114,7 @@
 		Expect(first).NotTo(BeEmpty())
 	})
 
-	It("go on under their last terms when the configuration no longer has them", func() {
+	It("keep their last terms after their removal from the configuration", func() {
 		first, _ := f.submitFor("a", 0, 6, "")
 		f.version++
 		delete(f.terms, "a")
@@ -120,7 +122,7 @@
 		Expect(f.running(first)).To(Equal(3))
 	})
 
-	It("see nothing of one another's jobs", func() {
+	It("see only their own jobs", func() {
 		id, _ := f.submitFor("a", 0, 1, "")
 		ask := func(verb func(*wire.ClientCall, func(wire.ClientAnswer)), tenant string) (status int) {
 			verb(&wire.ClientCall{Route: "e", ID: id, Tenant: tenant}, func(answer wire.ClientAnswer) { status = answer.Status })
@@ -138,7 +140,7 @@
 		Expect(ask(f.pool.State, "a")).To(Equal(200))
 	})
 
-	It("leave room within their limit for their urgent work once they have had some", func() {
+	It("leave room within their limit for urgent work once they had urgent work", func() {
 		urgent, _ := f.submitFor("b", 0, 4, `,"estimated-ms":100`)
 		f.pass(200 * time.Millisecond)
 		Expect(f.running(urgent)).To(Equal(4))
@@ -152,24 +154,24 @@
 		Expect(f.running(later)).To(Equal(2))
 	})
 
-	It("that flood the pool delay nobody else: what is beyond their rate comes last", func() {
+	It("don't delay others with jobs above their rate, which come last", func() {
 		f.configure("free", scheduler.TenantTerms{Weight: 2, Limit: placement.NoLimit})
 		f.pass(fleetTick)
-		var flood []string
+		var accepted []string
 		for range 40 {
 			if id, status := f.submitFor("free", 0, 4, `,"estimated-ms":500`); status == 200 {
-				flood = append(flood, id)
+				accepted = append(accepted, id)
 			}
 		}
 		f.pass(200 * time.Millisecond)
-		quiet, _ := f.submitFor("b", 0, 4, `,"estimated-ms":500`)
+		other, _ := f.submitFor("b", 0, 4, `,"estimated-ms":500`)
 		f.endAll("done")
 		f.pass(200 * time.Millisecond)
-		Expect(f.running(quiet)).To(Equal(4))
-		Expect(flood).To(HaveLen(22))
+		Expect(f.running(other)).To(Equal(4))
+		Expect(accepted).To(HaveLen(22))
 	})
 
-	It("that flood the pool are refused once much more than their rate is under way, and taken again when it is done", func() {
+	It("are refused above the surplus limit, and accepted again once their jobs have ended", func() {
 		f.configure("free", scheduler.TenantTerms{Weight: 2, Limit: placement.NoLimit})
 		f.pass(fleetTick)
 		count := map[int]int{}
@@ -183,7 +185,7 @@
 		f.submitFor("free", 0, 4, "")
 		f.submitFor("free", 0, 4, "")
 		_, status := f.submitFor("free", 0, 4, "")
-		Expect(status).To(Equal(429), "the next leader counts them too")
+		Expect(status).To(Equal(429), "the next leader counts surplus jobs, too")
 		for range 40 {
 			f.endAll("done")
 			f.pass(200 * time.Millisecond)
@@ -196,7 +198,7 @@
 		Expect(status).To(Equal(200))
 	})
 
-	It("are overloaded by themselves when they are at their limit, and the others keep their order", func() {
+	It("are overloaded separately at their limit, while the others keep their order", func() {
 		for range 3 {
 			f.submitFor("a", 0, 3, `,"estimated-ms":1000`)
 			f.pass(100 * time.Millisecond)
