--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// isVisibleTo tells whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call without
-// a tenant (its service needs no API key) sees all jobs.
+// isVisibleTo tells whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call that
+// needs no API key has no tenant and may see all jobs.
 func (j *jobState) isVisibleTo(tenant string) bool {
 	return j.record.Tenant == "" || tenant == "" || j.record.Tenant == tenant
 }
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -15,12 +15,12 @@
 )
 
 // instantLeadership is a leadership whose commits succeed at once. It counts the operations and bytes that they would write, and keeps the
-// records if kept is set.
+// records if records is not nil.
 type instantLeadership struct {
-	clock *clock.Fake
-	ops   int
-	bytes int
-	kept  map[string][]byte
+	clock   *clock.Fake
+	ops     int
+	bytes   int
+	records map[string][]byte
 }
 
 func (t *instantLeadership) Epoch() uint64  { return 1 }
@@ -32,17 +32,17 @@
 	for _, op := range ops {
 		t.bytes += len(op.Name) + len(op.Value)
 	}
-	if t.kept != nil {
-		t.keep(ops)
+	if t.records != nil {
+		t.store(ops)
 	}
 	done(nil)
 }
 
-func (t *instantLeadership) keep(ops []wire.Op) {
+func (t *instantLeadership) store(ops []wire.Op) {
 	for _, op := range ops {
-		t.kept[op.Name] = op.Value
+		t.records[op.Name] = op.Value
 		if len(op.Value) == 0 {
-			delete(t.kept, op.Name)
+			delete(t.records, op.Name)
 		}
 	}
 }
@@ -74,9 +74,9 @@
 	return newRecordedFullPool(executorCount, backlog, nil)
 }
 
-func newRecordedFullPool(executorCount, backlog int, kept map[string][]byte) *fullPool {
+func newRecordedFullPool(executorCount, backlog int, records map[string][]byte) *fullPool {
 	clock := clock.NewFake(1_000_000)
-	c := &fullPool{clock: clock, leadership: &instantLeadership{clock: clock, kept: kept}}
+	c := &fullPool{clock: clock, leadership: &instantLeadership{clock: clock, records: records}}
 	timing := timing
 	timing.ReservedCapacity = scheduler.DefaultReservedCapacity
 	c.pool = scheduler.New("pool/s", clock, timing, logging.Silent())
@@ -235,11 +235,11 @@
 func BenchmarkTakeOver(b *testing.B) {
 	for _, executorCount := range []int{62, 1000} {
 		b.Run(fmt.Sprintf("executors=%d/backlog=300", executorCount), func(b *testing.B) {
-			kept := map[string][]byte{}
-			c := newRecordedFullPool(executorCount, 300, kept)
-			c.leadership.kept = nil
+			records := map[string][]byte{}
+			c := newRecordedFullPool(executorCount, 300, records)
+			c.leadership.records = nil
 			var pairs []wire.Op
-			for name, value := range kept {
+			for name, value := range records {
 				pairs = append(pairs, wire.Op{Name: name, Value: value})
 			}
 			b.ReportAllocs()
@@ -264,9 +264,9 @@
 			before := heapInUse()
 			c := newFullPool(executorCount, 0)
 			c.executors, c.leadership = nil, nil
-			kept := heapInUse() - before
-			b.ReportMetric(float64(kept)/1e6, "MB")
-			b.ReportMetric(float64(kept)/float64(executorCount*runsPerExecutor), "B/run")
+			heapGrowth := heapInUse() - before
+			b.ReportMetric(float64(heapGrowth)/1e6, "MB")
+			b.ReportMetric(float64(heapGrowth)/float64(executorCount*runsPerExecutor), "B/run")
 			runtime.KeepAlive(c)
 		})
 	}
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -17,7 +17,7 @@
 	const otherID = "5c0e7a21d94b36f9"
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
-	kept := func(prefix string) []string {
+	recordNames := func(prefix string) []string {
 		return slices.DeleteFunc(slices.Sorted(maps.Keys(f.leadership.kept)), func(name string) bool { return !strings.HasPrefix(name, prefix) })
 	}
 	BeforeEach(func() {
@@ -48,8 +48,8 @@
 	It("works without unreadable executor records", func() {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
-		Expect(kept("e/")).To(HaveLen(1))
-		f.leadership.kept[kept("e/")[0]] = []byte("{")
+		Expect(recordNames("e/")).To(HaveLen(1))
+		f.leadership.kept[recordNames("e/")[0]] = []byte("{")
 		f.takeOver()
 		f.pass(200 * time.Millisecond)
 		f.endAll("done")
@@ -71,8 +71,8 @@
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.takeOver()
 		Expect(f.pool.Unreadable()).To(BeEmpty())
-		Expect(kept("t/")).NotTo(ContainElement("t/" + id + ".0.0.5"))
-		Expect(kept("t/" + otherID)).To(BeEmpty())
+		Expect(recordNames("t/")).NotTo(ContainElement("t/" + id + ".0.0.5"))
+		Expect(recordNames("t/" + otherID)).To(BeEmpty())
 	})
 
 	It("stops the runs of a completed occurrence and deletes their records", func() {
@@ -83,11 +83,11 @@
 		f.executors[0].end(f.executors[0].running[0].Task, "done")
 		f.executors[1].isSilent = true
 		f.pass(fleetTick)
-		Expect(kept("k/")).To(HaveLen(1))
+		Expect(recordNames("k/")).To(HaveLen(1))
 		f.takeOver()
 		f.executors[1].isSilent = false
 		f.pass(time.Second)
 		Expect(f.tasks()).To(BeEmpty())
-		Expect(slices.Concat(kept("t/"), kept("o/"))).To(BeEmpty())
+		Expect(slices.Concat(recordNames("t/"), recordNames("o/"))).To(BeEmpty())
 	})
 })
--- a/internal/scheduling/scheduler/overload_test.go
+++ b/internal/scheduling/scheduler/overload_test.go
@@ -62,12 +62,12 @@
 // pressedFleet is a fleet under load. It submits random jobs of several queues and simulates their runs.
 type pressedFleet struct {
 	*fleet
-	draw *rand.Rand
-	jobs map[string]*pressedJob
-	// next holds by queue how many jobs are due; a job is submitted once it is at least 1.
-	next map[string]float64
-	// ends holds when each run ends, by task and run number.
-	ends map[string]time.Duration
+	random *rand.Rand
+	jobs   map[string]*pressedJob
+	// dueJobs holds by queue how many jobs are due. A job is submitted once it is at least 1.
+	dueJobs map[string]float64
+	// endTimes holds when each run ends, by task and run number.
+	endTimes map[string]time.Duration
 	// submitted is the number of jobs submitted so far, and the ID of the last one.
 	submitted int
 }
@@ -75,7 +75,7 @@
 func newPressedFleet(seed uint64) *pressedFleet {
 	timing := timing
 	timing.ReservedCapacity = scheduler.DefaultReservedCapacity
-	c := &pressedFleet{fleet: newFleet(timing), draw: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*pressedJob{}, next: map[string]float64{}, ends: map[string]time.Duration{}}
+	c := &pressedFleet{fleet: newFleet(timing), random: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*pressedJob{}, dueJobs: map[string]float64{}, endTimes: map[string]time.Duration{}}
 	for number := range pressedExecutors {
 		c.add(1, wire.Capacity{CPU: pressedCPU, Memory: 64000}, "a", fmt.Sprintf("r%d", number/6))
 	}
@@ -106,16 +106,16 @@
 	return c.jobs[task[:16]].queue.length * time.Duration(67+hash.Sum64()%66) / 100
 }
 
-// work ends the runs whose run time is over.
-func (c *pressedFleet) work() {
+// endDueRuns ends the runs whose run time is over.
+func (c *pressedFleet) endDueRuns() {
 	now := c.clock.Monotonic()
 	for _, executor := range c.executors {
 		for _, order := range slices.Clone(executor.running) {
 			run := fmt.Sprint(order.Task, "/", order.Run)
-			if c.ends[run] == 0 {
-				c.ends[run] = now + c.lengthOf(order.Task)
+			if c.endTimes[run] == 0 {
+				c.endTimes[run] = now + c.lengthOf(order.Task)
 			}
-			if now < c.ends[run] {
+			if now < c.endTimes[run] {
 				continue
 			}
 			executor.end(order.Task, "done")
@@ -130,8 +130,8 @@
 
 // submitDue submits the jobs of a queue that arrive within one tick. factor multiplies the queue's usual rate.
 func (c *pressedFleet) submitDue(queue *pressedQueue, factor float64) {
-	for c.next[queue.name] += queue.perSecond * factor * fleetTick.Seconds(); c.next[queue.name] >= 1; {
-		c.next[queue.name] -= c.draw.ExpFloat64()
+	for c.dueJobs[queue.name] += queue.perSecond * factor * fleetTick.Seconds(); c.dueJobs[queue.name] >= 1; {
+		c.dueJobs[queue.name] -= c.random.ExpFloat64()
 		c.submit(queue)
 	}
 }
@@ -142,20 +142,20 @@
 		for _, queue := range queues {
 			c.submitDue(queue, factor)
 		}
-		c.work()
+		c.endDueRuns()
 		c.pass(fleetTick)
 	}
 }
 
-// onTime is the fraction of on-time jobs among those of a queue that were submitted within a period. It fails if there are none.
-func (c *pressedFleet) onTime(queue *pressedQueue, from, to time.Duration) float64 {
-	part := c.partOnTime(queue, from, to)
-	Expect(math.IsNaN(part)).To(BeFalse())
-	return part
+// onTimeFraction is the fraction of on-time jobs among those of a queue that were submitted within a period. It fails if there are none.
+func (c *pressedFleet) onTimeFraction(queue *pressedQueue, from, to time.Duration) float64 {
+	fraction := c.onTimeFractionOrNaN(queue, from, to)
+	Expect(math.IsNaN(fraction)).To(BeFalse())
+	return fraction
 }
 
-// partOnTime is like onTime, but returns NaN if there are no such jobs.
-func (c *pressedFleet) partOnTime(queue *pressedQueue, from, to time.Duration) float64 {
+// onTimeFractionOrNaN is like onTimeFraction, but returns NaN if there are no such jobs.
+func (c *pressedFleet) onTimeFractionOrNaN(queue *pressedQueue, from, to time.Duration) float64 {
 	var total, onTime float64
 	for _, job := range c.jobs {
 		if job.queue != queue || job.submittedAt < from || job.submittedAt >= to {
@@ -179,8 +179,8 @@
 		c.play(30*time.Second, 1, all...)
 		end := c.clock.Monotonic()
 		c.play(10*time.Second, 1, all...)
-		Expect(c.onTime(&urgentQueue, 0, end)).To(BeNumerically(">", 0.95))
-		Expect(c.onTime(&usualQueue, 0, end)).To(BeNumerically(">", 0.95))
+		Expect(c.onTimeFraction(&urgentQueue, 0, end)).To(BeNumerically(">", 0.95))
+		Expect(c.onTimeFraction(&usualQueue, 0, end)).To(BeNumerically(">", 0.95))
 	})
 
 	It("completes part of each queue's jobs on time under 2.5 times the usual load", func() {
@@ -193,8 +193,8 @@
 			c.play(50*time.Second, 2.5, all...)
 			end := c.clock.Monotonic()
 			c.play(8*time.Second, 1, all...)
-			urgent += c.onTime(&urgentQueue, begin, end) / days
-			usual += c.onTime(&usualQueue, begin, end) / days
+			urgent += c.onTimeFraction(&urgentQueue, begin, end) / days
+			usual += c.onTimeFraction(&usualQueue, begin, end) / days
 		}
 		fmt.Fprintln(GinkgoWriter, "on time under overload:", urgent, usual)
 		Expect(urgent).To(BeNumerically(">", 0.45))
@@ -210,9 +210,9 @@
 		c.play(40*time.Second, 1, all...)
 		end := c.clock.Monotonic()
 		c.play(6*time.Second, 1, all...)
-		fmt.Fprintln(GinkgoWriter, "on time after overload:", c.onTime(&urgentQueue, begin, end), c.onTime(&usualQueue, begin, end))
-		Expect(c.onTime(&urgentQueue, begin, end)).To(BeNumerically(">", 0.85))
-		Expect(c.onTime(&usualQueue, begin, end)).To(BeNumerically(">", 0.9))
+		fmt.Fprintln(GinkgoWriter, "on time after overload:", c.onTimeFraction(&urgentQueue, begin, end), c.onTimeFraction(&usualQueue, begin, end))
+		Expect(c.onTimeFraction(&urgentQueue, begin, end)).To(BeNumerically(">", 0.85))
+		Expect(c.onTimeFraction(&usualQueue, begin, end)).To(BeNumerically(">", 0.9))
 	})
 
 	It("keeps capacity for on-time work of lower priority while urgent work alone exceeds the capacity", func() {
@@ -225,8 +225,8 @@
 		}
 		end := c.clock.Monotonic()
 		c.play(4*time.Second, 1, &usualQueue)
-		fmt.Fprintln(GinkgoWriter, "on time during urgent overload:", c.onTime(&urgentQueue, begin, end), c.onTime(&usualQueue, begin, end))
-		Expect(c.onTime(&usualQueue, begin, end)).To(BeNumerically(">", 0.6))
-		Expect(c.onTime(&urgentQueue, begin, end)).To(BeNumerically(">", 0.2))
+		fmt.Fprintln(GinkgoWriter, "on time during urgent overload:", c.onTimeFraction(&urgentQueue, begin, end), c.onTimeFraction(&usualQueue, begin, end))
+		Expect(c.onTimeFraction(&usualQueue, begin, end)).To(BeNumerically(">", 0.6))
+		Expect(c.onTimeFraction(&urgentQueue, begin, end)).To(BeNumerically(">", 0.2))
 	})
 })
--- a/internal/scheduling/scheduler/overloadshapes_test.go
+++ b/internal/scheduling/scheduler/overloadshapes_test.go
@@ -83,7 +83,7 @@
 			}
 			c.submitDue(queue, queueFactor)
 		}
-		c.work()
+		c.endDueRuns()
 		c.pass(fleetTick)
 	}
 }
@@ -115,7 +115,7 @@
 // beginPhase resets the random numbers and job IDs, so that the next phase gets the same jobs regardless of what came before.
 func (c *pressedFleet) beginPhase(number uint64) {
 	const maxJobsPerPhase = 1 << 20
-	c.draw, c.next, c.submitted = rand.New(rand.NewPCG(number, 5)), map[string]float64{}, int(number)*maxJobsPerPhase
+	c.random, c.dueJobs, c.submitted = rand.New(rand.NewPCG(number, 5)), map[string]float64{}, int(number)*maxJobsPerPhase
 }
 
 // The time after an overload is measured in recoveryWindows windows of length recoveryWindow.
@@ -140,7 +140,7 @@
 	for _, queue := range []*pressedQueue{&urgentQueue, &usualQueue} {
 		for window := range recoveryWindows {
 			from := end + time.Duration(window)*recoveryWindow
-			parts[queue.name] = append(parts[queue.name], c.partOnTime(queue, from, from+recoveryWindow))
+			parts[queue.name] = append(parts[queue.name], c.onTimeFractionOrNaN(queue, from, from+recoveryWindow))
 		}
 	}
 	return parts
--- a/internal/scheduling/scheduler/reservedcapacity_test.go
+++ b/internal/scheduling/scheduler/reservedcapacity_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// maxLongPart is the fraction of the fleet's CPU that long work takes if it has all executors, as two of its runs fit on each.
-const maxLongPart = 0.75
+// maxLongFraction is the fraction of the fleet's CPU that long work takes if it has all executors, as two of its runs fit on each.
+const maxLongFraction = 0.75
 
-// usedPart is the fraction of the fleet's CPU that the runs of a queue take.
-func (c *pressedFleet) usedPart(queue *pressedQueue) float64 {
+// usedFraction is the fraction of the fleet's CPU that the runs of a queue take.
+func (c *pressedFleet) usedFraction(queue *pressedQueue) float64 {
 	var used int
 	for _, executor := range c.executors {
 		for _, order := range executor.running {
@@ -53,20 +53,20 @@
 	It("keeps the recent demand of urgent work reserved", func() {
 		c := newLull(4)
 		c.play(500*time.Millisecond, 0)
-		Expect(c.usedPart(&longQueue)).To(BeNumerically("<", 0.7))
+		Expect(c.usedFraction(&longQueue)).To(BeNumerically("<", 0.7))
 	})
 
 	It("lets first runs exceed soft limits only after a while", func() {
 		c := newLull(6)
 		c.play(200*time.Millisecond, 0)
-		Expect(c.usedPart(&longQueue)).To(BeNumerically("<", 0.47))
+		Expect(c.usedFraction(&longQueue)).To(BeNumerically("<", 0.47))
 		c.play(time.Second, 0)
-		Expect(c.usedPart(&longQueue)).To(BeNumerically(">", 0.55))
+		Expect(c.usedFraction(&longQueue)).To(BeNumerically(">", 0.55))
 	})
 
 	It("lets the reservation decay until the backlog can use the whole fleet", func() {
 		c := newLull(4)
 		c.play(20*time.Second, 0)
-		Expect(c.usedPart(&longQueue)).To(BeNumerically(">", 0.9*maxLongPart))
+		Expect(c.usedFraction(&longQueue)).To(BeNumerically(">", 0.9*maxLongFraction))
 	})
 })
