--- a/internal/scheduling/scheduler/export_test.go
+++ b/internal/scheduling/scheduler/export_test.go
@@ -7,8 +7,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Heard is what the leader believes of an executor, and of which session and number it is.
-func (p *Pool) Heard(id string) (reported wire.ExchangeCall, checkpoint map[string]string) {
+// ReportedState returns what an executor has reported, with the session and number of the last exchange, and the checkpoints of the tasks
+// that run on it.
+func (p *Pool) ReportedState(id string) (reported wire.ExchangeCall, checkpoint map[string]string) {
 	executor := p.executors[id]
 	if executor == nil || !executor.isKnown {
 		return reported, nil
@@ -22,8 +23,8 @@
 		Draining: executor.isDraining}, checkpoint
 }
 
-// Doubt is how little the leader trusts an executor.
-func (p *Pool) Doubt(id string) float64 { return p.executors[id].penaltyScore() }
+// PenaltyScore is the penalty of an executor in placement. It is higher the less healthy the executor is.
+func (p *Pool) PenaltyScore(id string) float64 { return p.executors[id].penaltyScore() }
 
-// AtOnce is how many runs an executor may have at once; 0 sets no bound.
-func (p *Pool) AtOnce(id string) int { return p.executors[id].runLimit }
+// RunLimit is how many runs an executor may have at once. 0 means no limit.
+func (p *Pool) RunLimit(id string) int { return p.executors[id].runLimit }
--- a/internal/scheduling/scheduler/overload_test.go
+++ b/internal/scheduling/scheduler/overload_test.go
@@ -16,7 +16,8 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// pressedQueue is a queue of a pressed fleet: each job is so many steps, one after another, of equal tasks.
+// pressedQueue is a queue of a pressedFleet. Each job has a chain of equal steps, each step has equal tasks, and length is the estimated run
+// time of a task.
 type pressedQueue struct {
 	name      string
 	terms     wire.RouteTerms
@@ -27,8 +28,8 @@
 	length    time.Duration
 }
 
-// The queues of a pressed fleet, which usually ask for about two thirds of its capacity together: much urgent work, a little that is
-// less urgent, and long work that can wait. Runs are long against the two or three ticks that an order and an end take here.
+// The queues of a pressedFleet. At their usual rates they ask for about two thirds of its capacity together: much urgent work, some less
+// urgent work, and some long work that can wait. An order and an end take two or three ticks here, which is short compared with the runs.
 var (
 	urgentQueue = pressedQueue{name: "urgent", terms: wire.RouteTerms{MaxAttempts: 3, Priority: 0, Stretch: 1.5, TargetMs: 500}, perSecond: 3.35, steps: 2, tasks: 20, cpu: 2000, length: 500 * time.Millisecond}
 	usualQueue  = pressedQueue{name: "usual", terms: wire.RouteTerms{MaxAttempts: 3, Priority: 1, Stretch: 2.2, TargetMs: 1000}, perSecond: 1.1, steps: 1, tasks: 6, cpu: 4000, length: 1400 * time.Millisecond}
@@ -40,7 +41,7 @@
 	pressedCPU       = 16000
 )
 
-// pressedJob is a job and when it was submitted and completed.
+// pressedJob is a submitted job. completedAt is 0 until all its tasks are done, and remaining counts the tasks that are not done.
 type pressedJob struct {
 	queue       *pressedQueue
 	submittedAt time.Duration
@@ -48,38 +49,40 @@
 	remaining   int
 }
 
-// target is how long the job may take to be on time.
+// target is the longest time from submission to completion for which the job is on time.
 func (j *pressedJob) target() time.Duration {
-	chain := time.Duration(j.queue.steps) * j.queue.length
-	return time.Duration(j.queue.terms.Stretch*float64(chain)) + time.Duration(j.queue.terms.TargetMs)*time.Millisecond
+	criticalPath := time.Duration(j.queue.steps) * j.queue.length
+	return time.Duration(j.queue.terms.Stretch*float64(criticalPath)) + time.Duration(j.queue.terms.TargetMs)*time.Millisecond
 }
 
 func (j *pressedJob) isOnTime() bool {
 	return j.completedAt > 0 && j.completedAt-j.submittedAt <= j.target()
 }
 
-// pressedFleet submits jobs of several queues to a fleet, and plays the runs.
+// pressedFleet is a fleet under load. It submits random jobs of several queues and simulates their runs.
 type pressedFleet struct {
 	*fleet
-	draw *rand.Rand
-	jobs map[string]*pressedJob
-	next map[string]float64
-	ends map[string]time.Duration
-	// submitted numbers the jobs.
+	random *rand.Rand
+	jobs   map[string]*pressedJob
+	// dueJobs holds by queue how many jobs are due. A job is submitted once it is at least 1.
+	dueJobs map[string]float64
+	// endTimes holds when each run ends, by task and run number.
+	endTimes map[string]time.Duration
+	// submitted is the number of jobs submitted so far, and the ID of the last one.
 	submitted int
 }
 
 func newPressedFleet(seed uint64) *pressedFleet {
 	timing := timing
 	timing.ReservedCapacity = scheduler.DefaultReservedCapacity
-	c := &pressedFleet{fleet: newFleet(timing), draw: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*pressedJob{}, next: map[string]float64{}, ends: map[string]time.Duration{}}
+	c := &pressedFleet{fleet: newFleet(timing), random: rand.New(rand.NewPCG(seed, 3)), jobs: map[string]*pressedJob{}, dueJobs: map[string]float64{}, endTimes: map[string]time.Duration{}}
 	for number := range pressedExecutors {
 		c.add(1, wire.Capacity{CPU: pressedCPU, Memory: 64000}, "a", fmt.Sprintf("r%d", number/6))
 	}
 	return c
 }
 
-// submit brings one job of a queue.
+// submit submits one job of a queue and returns its ID.
 func (c *pressedFleet) submit(queue *pressedQueue) string {
 	c.submitted++
 	name := fmt.Sprintf("%016x", c.submitted)
@@ -96,23 +99,23 @@
 	return name
 }
 
-// lengthOf is how long a task runs: within a third of its queue's length, and the same in every play of a seed.
+// lengthOf is the run time of a task: its queue's length within a third, and the same in each simulation with the same seed.
 func (c *pressedFleet) lengthOf(task string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(task))
 	return c.jobs[task[:16]].queue.length * time.Duration(67+hash.Sum64()%66) / 100
 }
 
-// work ends the runs that are due.
-func (c *pressedFleet) work() {
+// endDueRuns ends the runs whose run time is over.
+func (c *pressedFleet) endDueRuns() {
 	now := c.clock.Monotonic()
 	for _, executor := range c.executors {
 		for _, order := range slices.Clone(executor.running) {
 			run := fmt.Sprint(order.Task, "/", order.Run)
-			if c.ends[run] == 0 {
-				c.ends[run] = now + c.lengthOf(order.Task)
+			if c.endTimes[run] == 0 {
+				c.endTimes[run] = now + c.lengthOf(order.Task)
 			}
-			if now < c.ends[run] {
+			if now < c.endTimes[run] {
 				continue
 			}
 			executor.end(order.Task, "done")
@@ -125,60 +128,62 @@
 	}
 }
 
-// submitDue submits the jobs of a queue that come in a tick at a multiple of its usual rate.
+// submitDue submits the jobs of a queue that arrive within one tick. factor multiplies the queue's usual rate.
 func (c *pressedFleet) submitDue(queue *pressedQueue, factor float64) {
-	for c.next[queue.name] += queue.perSecond * factor * fleetTick.Seconds(); c.next[queue.name] >= 1; {
-		c.next[queue.name] -= c.draw.ExpFloat64()
+	for c.dueJobs[queue.name] += queue.perSecond * factor * fleetTick.Seconds(); c.dueJobs[queue.name] >= 1; {
+		c.dueJobs[queue.name] -= c.random.ExpFloat64()
 		c.submit(queue)
 	}
 }
 
-// play submits jobs at a multiple of the usual rate of each queue for so long.
+// play simulates the fleet for a length of time, with each queue at factor times its usual rate.
 func (c *pressedFleet) play(length time.Duration, factor float64, queues ...*pressedQueue) {
 	for end := c.clock.Monotonic() + length; c.clock.Monotonic() < end; {
 		for _, queue := range queues {
 			c.submitDue(queue, factor)
 		}
-		c.work()
+		c.endDueRuns()
 		c.pass(fleetTick)
 	}
 }
 
-// onTime is the share of a queue's jobs that were on time, of those submitted between two moments; there must be some.
-func (c *pressedFleet) onTime(queue *pressedQueue, from, to time.Duration) float64 {
-	part := c.partOnTime(queue, from, to)
-	Expect(math.IsNaN(part)).To(BeFalse())
-	return part
+// onTimeFraction is the fraction of on-time jobs among those of a queue that were submitted within a period. It fails if there are none.
+func (c *pressedFleet) onTimeFraction(queue *pressedQueue, from, to time.Duration) float64 {
+	fraction := c.onTimeFractionOrNaN(queue, from, to)
+	Expect(math.IsNaN(fraction)).To(BeFalse())
+	return fraction
 }
 
-// partOnTime is the same, and not a number if there are none.
-func (c *pressedFleet) partOnTime(queue *pressedQueue, from, to time.Duration) float64 {
-	var all, inTime float64
+// onTimeFractionOrNaN is like onTimeFraction, but returns NaN if there are no such jobs.
+func (c *pressedFleet) onTimeFractionOrNaN(queue *pressedQueue, from, to time.Duration) float64 {
+	var total, onTime float64
 	for _, job := range c.jobs {
 		if job.queue != queue || job.submittedAt < from || job.submittedAt >= to {
 			continue
 		}
-		all++
+		total++
 		if job.isOnTime() {
-			inTime++
+			onTime++
 		}
 	}
-	return inTime / all
+	return onTime / total
 }
 
-var _ = Describe("more work than there is capacity for", func() {
+// Without measures against overload, nearly all jobs would be late while more work arrives than the fleet can do, since each job would wait
+// until it can barely be on time. Less urgent queues would get no capacity at all.
+var _ = Describe("a pool under overload", func() {
 	all := []*pressedQueue{&urgentQueue, &usualQueue, &longQueue}
 
-	It("is not what a usual day brings: nearly all jobs are on time", func() {
+	It("completes nearly all jobs on time under the usual load", func() {
 		c := newPressedFleet(1)
 		c.play(30*time.Second, 1, all...)
 		end := c.clock.Monotonic()
 		c.play(10*time.Second, 1, all...)
-		Expect(c.onTime(&urgentQueue, 0, end)).To(BeNumerically(">", 0.95))
-		Expect(c.onTime(&usualQueue, 0, end)).To(BeNumerically(">", 0.95))
+		Expect(c.onTimeFraction(&urgentQueue, 0, end)).To(BeNumerically(">", 0.95))
+		Expect(c.onTimeFraction(&usualQueue, 0, end)).To(BeNumerically(">", 0.95))
 	})
 
-	It("lets each queue have part of its jobs on time, while all ask for two and a half times as much as usual", func() {
+	It("completes part of each queue's jobs on time under 2.5 times the usual load", func() {
 		var urgent, usual float64
 		const days = 4
 		for seed := range uint64(days) {
@@ -188,15 +193,15 @@
 			c.play(50*time.Second, 2.5, all...)
 			end := c.clock.Monotonic()
 			c.play(8*time.Second, 1, all...)
-			urgent += c.onTime(&urgentQueue, begin, end) / days
-			usual += c.onTime(&usualQueue, begin, end) / days
+			urgent += c.onTimeFraction(&urgentQueue, begin, end) / days
+			usual += c.onTimeFraction(&usualQueue, begin, end) / days
 		}
 		fmt.Fprintln(GinkgoWriter, "on time under overload:", urgent, usual)
 		Expect(urgent).To(BeNumerically(">", 0.45))
 		Expect(usual).To(BeNumerically(">", 0.5))
 	})
 
-	It("serves what comes after it as on any other day", func() {
+	It("completes most jobs on time again after the overload", func() {
 		c := newPressedFleet(2)
 		c.play(8*time.Second, 1, all...)
 		c.play(50*time.Second, 2.5, all...)
@@ -205,12 +210,12 @@
 		c.play(40*time.Second, 1, all...)
 		end := c.clock.Monotonic()
 		c.play(6*time.Second, 1, all...)
-		fmt.Fprintln(GinkgoWriter, "on time after overload:", c.onTime(&urgentQueue, begin, end), c.onTime(&usualQueue, begin, end))
-		Expect(c.onTime(&urgentQueue, begin, end)).To(BeNumerically(">", 0.85))
-		Expect(c.onTime(&usualQueue, begin, end)).To(BeNumerically(">", 0.9))
+		fmt.Fprintln(GinkgoWriter, "on time after overload:", c.onTimeFraction(&urgentQueue, begin, end), c.onTimeFraction(&usualQueue, begin, end))
+		Expect(c.onTimeFraction(&urgentQueue, begin, end)).To(BeNumerically(">", 0.85))
+		Expect(c.onTimeFraction(&usualQueue, begin, end)).To(BeNumerically(">", 0.9))
 	})
 
-	It("keeps some capacity for less urgent work that is on time, though the urgent alone could take all", func() {
+	It("keeps capacity for on-time work of lower priority while urgent work alone exceeds the capacity", func() {
 		c := newPressedFleet(3)
 		c.play(4*time.Second, 1, all...)
 		begin := c.clock.Monotonic()
@@ -220,8 +225,8 @@
 		}
 		end := c.clock.Monotonic()
 		c.play(4*time.Second, 1, &usualQueue)
-		fmt.Fprintln(GinkgoWriter, "on time beside a flood:", c.onTime(&urgentQueue, begin, end), c.onTime(&usualQueue, begin, end))
-		Expect(c.onTime(&usualQueue, begin, end)).To(BeNumerically(">", 0.6))
-		Expect(c.onTime(&urgentQueue, begin, end)).To(BeNumerically(">", 0.2))
+		fmt.Fprintln(GinkgoWriter, "on time during urgent overload:", c.onTimeFraction(&urgentQueue, begin, end), c.onTimeFraction(&usualQueue, begin, end))
+		Expect(c.onTimeFraction(&usualQueue, begin, end)).To(BeNumerically(">", 0.6))
+		Expect(c.onTimeFraction(&urgentQueue, begin, end)).To(BeNumerically(">", 0.2))
 	})
 })
