--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -73,8 +73,8 @@
 	return func(l *Leader) { l.storageDisks, l.lotVoters = disks, voters }
 }
 
-// WithStandingKeys names keys that get their first voters with the next configuration, whatever it says.
-func WithStandingKeys(keys []string) Option {
+// WithFixedKeys names keys that get their first voters with the next configuration, whatever it says.
+func WithFixedKeys(keys []string) Option {
 	return func(l *Leader) { l.standingKeys = keys }
 }
 
--- a/internal/control/configleader/configleader_test.go
+++ b/internal/control/configleader/configleader_test.go
@@ -184,7 +184,7 @@
 		leadership := &scriptedLeadership{hasLease: true}
 		var published *wire.Configuration
 		leader := configleader.New(logging.Silent(), func(committed *wire.Configuration) { published = committed },
-			configleader.WithStandingKeys([]string{"coordination/0"}))
+			configleader.WithFixedKeys([]string{"coordination/0"}))
 		Expect(leader.Open(leadership, nil)).To(Succeed())
 		for version := 1; version <= 2; version++ {
 			leader.Replace(&wire.ClientCall{Base: int64(version - 1), Body: fmt.Appendf(nil, `{"config-version":%d}`, version)}, func(wire.ClientAnswer) {})
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -65,7 +65,7 @@
 	switch {
 	case key == configleader.Key:
 		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.Hold(committed) },
-			configleader.WithStorageDisks(m.storageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithStandingKeys(m.standingKeys()),
+			configleader.WithStorageDisks(m.storageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithFixedKeys(m.standingKeys()),
 			configleader.WithEvacuations(m.Node.HoldsEvacuations))
 		machine := configurationMachine{leader, m.rollouts}
 		runner.machine, runner.engine = machine, newEngine(machine)
