--- a/internal/control/controlkeys/askleader.go
+++ b/internal/control/controlkeys/askleader.go
@@ -8,11 +8,11 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// AskLeader asks the leader of a key within the limit; the leader may keep its answer back for a wait. This process is asked first, as
-// that costs no message.
-func (m *Manager) AskLeader(ctx context.Context, call *wire.ClientCall, limit, wait time.Duration) leaderclient.Outcome {
-	deadline := m.Clock.Monotonic() + limit
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// AskLeader sends a call to the leader of its key and returns within the timeout. The leader may hold its answer back for up to wait.
+// AskLeader tries this process first, because that needs no network message.
+func (m *Manager) AskLeader(ctx context.Context, call *wire.ClientCall, timeout, wait time.Duration) leaderclient.Outcome {
+	deadline := m.Clock.Monotonic() + timeout
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answer, err := m.Client(ctx, call)
 	switch {
--- a/internal/control/controlkeys/beliefs.go
+++ b/internal/control/controlkeys/beliefs.go
@@ -11,13 +11,13 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// Beliefs gathers what this steward holds true, for an operator who compares nodes. What can't be had before ctx is done is
-// left out.
+// Beliefs returns this steward's view of keys, jobs and executors, which operators use to compare nodes. It omits everything that it
+// can't collect before ctx is done.
 func (m *Manager) Beliefs(ctx context.Context) ([]wire.KeyBelief, []wire.JobBelief, []wire.ExecutorBelief) {
 	if !m.hasDisk() {
 		return nil, nil, nil
 	}
-	keys, err := mailbox.Ask(ctx, m.Replicas.Mailbox(), func(answer func([]wire.KeyBelief)) { answer(m.replicaBeliefs()) })
+	keys, err := mailbox.Ask(ctx, m.Replicas.Mailbox(), func(answer func([]wire.KeyBelief)) { answer(m.readReplicaBeliefs()) })
 	if err != nil {
 		return nil, nil, nil
 	}
@@ -34,13 +34,13 @@
 		if snapshot, err := m.Store.Read(key); err == nil {
 			jobs = append(jobs, scheduler.JobsOf(key, snapshot.Pairs)...)
 		}
-		executors = append(executors, runner.executorBeliefs(ctx)...)
+		executors = append(executors, runner.readExecutorBeliefs(ctx)...)
 	}
 	return keys, jobs, executors
 }
 
-// executorBeliefs is what the pool believes of its executors, if it is led here.
-func (r *keyRunner) executorBeliefs(ctx context.Context) []wire.ExecutorBelief {
+// readExecutorBeliefs returns the pool's view of its executors, nil if this process does not lead the pool or ctx is done first.
+func (r *keyRunner) readExecutorBeliefs(ctx context.Context) []wire.ExecutorBelief {
 	executors, err := mailbox.Ask(ctx, r.stateMailbox, func(answer func([]wire.ExecutorBelief)) {
 		if !r.pool.IsOpen() {
 			answer(nil)
@@ -55,7 +55,8 @@
 	return executors
 }
 
-// ZoneLoads tells what runs in each zone by the pools that are led here. What can't be had before ctx is done is left out.
+// ZoneLoads returns the load of each zone, according to the pools that this process leads. It omits the pools that do not answer before
+// ctx is done.
 func (m *Manager) ZoneLoads(ctx context.Context) []wire.ZoneLoad {
 	var loads []wire.ZoneLoad
 	runners, err := mailbox.Ask(ctx, m.mailbox, func(answer func(map[string]*keyRunner)) { answer(maps.Clone(m.runners)) })
@@ -67,7 +68,7 @@
 			continue
 		}
 		runner := runners[key]
-		ofPool, err := mailbox.Ask(ctx, runner.stateMailbox, func(answer func([]wire.ZoneLoad)) {
+		poolLoads, err := mailbox.Ask(ctx, runner.stateMailbox, func(answer func([]wire.ZoneLoad)) {
 			if !runner.pool.IsOpen() {
 				answer(nil)
 				return
@@ -75,14 +76,14 @@
 			answer(runner.pool.ZoneLoads())
 		})
 		if err == nil {
-			loads = append(loads, ofPool...)
+			loads = append(loads, poolLoads...)
 		}
 	}
 	return loads
 }
 
-// replicaBeliefs is what the replicas of this disk hold. It must run on their goroutine.
-func (m *Manager) replicaBeliefs() []wire.KeyBelief {
+// readReplicaBeliefs returns the state of each replica on this disk. It must run on the goroutine of the replicas.
+func (m *Manager) readReplicaBeliefs() []wire.KeyBelief {
 	var keys []wire.KeyBelief
 	for _, key := range m.Replicas.Keys() {
 		status := m.Replicas.Status(key)
--- a/internal/control/controlkeys/bootstrap.go
+++ b/internal/control/controlkeys/bootstrap.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// identifyTimeout is how long a seed may take to name its disk, identifyPause the time between two rounds of questions.
+	// identifyTimeout limits one Identify call to a seed.
 	identifyTimeout = 500 * time.Millisecond
-	identifyPause   = 100 * time.Millisecond
+	// identifyRetryInterval is the pause between two rounds of calls to the seeds that have not answered yet.
+	identifyRetryInterval = 100 * time.Millisecond
 )
 
-// BootstrapFromSeeds asks the seeds for their disks until all have answered; they are the initial voters.
+// BootstrapFromSeeds asks the seeds for the names of their disks until all have answered, and makes these disks the initial voters of the
+// configuration's key. It returns without setting voters if ctx is done first.
 func (m *Manager) BootstrapFromSeeds(ctx context.Context, seeds []string) {
 	answers := map[string]wire.IdentifyAnswer{}
 	for {
@@ -30,7 +32,7 @@
 			}
 		}
 		if len(answers) == len(seeds) {
-			voters := initialVotersOf(answers)
+			voters := chooseInitialVoters(answers)
 			m.Log.Info("initial voters", "disks", voters)
 			m.Bootstrap(voters)
 			return
@@ -38,23 +40,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.Clock.After(identifyPause):
+		case <-m.Clock.After(identifyRetryInterval):
 		}
 	}
 }
 
-// initialVotersOf are the seeds' disks; temporary ones count only if no seed has a lasting one.
-func initialVotersOf(answers map[string]wire.IdentifyAnswer) []string {
-	var lasting, temporary []string
+// chooseInitialVoters returns the sorted, distinct disks of the seeds. It uses temporary disks only if no seed has a persistent one.
+func chooseInitialVoters(answers map[string]wire.IdentifyAnswer) []string {
+	var persistent, temporary []string
 	for _, answer := range answers {
 		if answer.Disk != "" {
-			lasting = append(lasting, answer.Disk)
+			persistent = append(persistent, answer.Disk)
 		}
 		if answer.TemporaryDisk != "" {
 			temporary = append(temporary, answer.TemporaryDisk)
 		}
 	}
-	voters := lasting
+	voters := persistent
 	if len(voters) == 0 {
 		voters = temporary
 	}
--- a/internal/control/controlkeys/controlkeys_suite_test.go
+++ b/internal/control/controlkeys/controlkeys_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStewardkeys(t *testing.T) {
+func TestControlkeys(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "controlkeys")
 }
--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -22,13 +22,14 @@
 	"gannetline/internal/platform/mailbox"
 )
 
+// addressOnlyListener has an address but accepts no connections.
 type addressOnlyListener struct{ net.Listener }
 
 func (addressOnlyListener) Addr() net.Addr {
 	return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7000}
 }
 
-// directTransport carries calls into a mux, without a network.
+// directTransport passes HTTP requests to a mux in the same process.
 type directTransport struct{ mux *http.ServeMux }
 
 func (s directTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -54,8 +55,8 @@
 	return manager, caller
 }
 
-func ask[Ask, Tell any](caller *peerapi.Caller, procedure string, call Ask) (*Tell, error) {
-	return peerapi.Call[Ask, Tell](context.Background(), caller, "10.0.0.1:7000", procedure, time.Second, &call)
+func callProcedure[Request, Response any](caller *peerapi.Caller, procedure string, call Request) (*Response, error) {
+	return peerapi.Call[Request, Response](context.Background(), caller, "10.0.0.1:7000", procedure, time.Second, &call)
 }
 
 func openStore() *storage.Store {
@@ -66,22 +67,22 @@
 }
 
 var _ = Describe("a steward without a disk", func() {
-	It("names none, votes on nothing, and tells callers that it leads no key", func() {
+	It("names no disk, rejects replication calls and leads no key", func() {
 		manager, caller := newManager(nil, false)
 		manager.initialVoters = []string{"a", "b", "c"}
 		manager.reconcile()
 		Expect(manager.runners).To(BeEmpty())
-		identity, err := ask[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
+		identity, err := callProcedure[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(*identity).To(Equal(wire.IdentifyAnswer{}))
-		_, err = ask[wire.PromiseCall, wire.PromiseAnswer](caller, peerapi.ProcedurePromise, wire.PromiseCall{Key: "plan", Epoch: 1})
+		_, err = callProcedure[wire.PromiseCall, wire.PromiseAnswer](caller, peerapi.ProcedurePromise, wire.PromiseCall{Key: "plan", Epoch: 1})
 		Expect(err).To(HaveOccurred())
-		_, err = ask[wire.AppendCall, wire.AppendAnswer](caller, peerapi.ProcedureAppend, wire.AppendCall{Key: "plan", Epoch: 1})
+		_, err = callProcedure[wire.AppendCall, wire.AppendAnswer](caller, peerapi.ProcedureAppend, wire.AppendCall{Key: "plan", Epoch: 1})
 		Expect(err).To(HaveOccurred())
-		response, err := ask[wire.ClientCall, wire.ClientAnswer](caller, peerapi.ProcedureClient, wire.ClientCall{Key: "plan"})
+		response, err := callProcedure[wire.ClientCall, wire.ClientAnswer](caller, peerapi.ProcedureClient, wire.ClientCall{Key: "plan"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.NotLeader).To(BeTrue())
-		exchanged, err := ask[wire.ExchangeCall, wire.ExchangeAnswer](caller, peerapi.ProcedureExchange, wire.ExchangeCall{Key: "pool/s"})
+		exchanged, err := callProcedure[wire.ExchangeCall, wire.ExchangeAnswer](caller, peerapi.ProcedureExchange, wire.ExchangeCall{Key: "pool/s"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(exchanged.NotLeader).To(BeTrue())
 		keys, jobs, executors := manager.Beliefs(context.Background())
@@ -90,17 +91,17 @@
 		Expect(executors).To(BeNil())
 	})
 
-	It("ends its part when its context is done", func() {
+	It("returns from Run when its context is done", func() {
 		manager, _ := newManager(nil, false)
-		ctx, end := context.WithCancel(context.Background())
-		end()
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
 		Expect(manager.Run(ctx)).To(Succeed())
 	})
 
-	It("takes part with a temporary disk only if it is one of the initial voters", func() {
+	It("starts keys on a temporary disk only if the disk is an initial voter", func() {
 		store := openStore()
 		manager, caller := newManager(store, true)
-		identity, err := ask[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
+		identity, err := callProcedure[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(identity.Disk).To(BeEmpty())
 		Expect(identity.TemporaryDisk).To(Equal(store.Disk()))
@@ -114,42 +115,42 @@
 })
 
 var _ = Describe("the initial voters", func() {
-	It("are the seeds' lasting disks, each once", func() {
-		Expect(initialVotersOf(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
-		Expect(initialVotersOf(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {TemporaryDisk: "m"}})).To(Equal([]string{"b"}))
+	It("are the distinct persistent disks of the seeds", func() {
+		Expect(chooseInitialVoters(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {Disk: "a"}, "z": {Disk: "a"}})).To(Equal([]string{"a", "b"}))
+		Expect(chooseInitialVoters(map[string]wire.IdentifyAnswer{"x": {Disk: "b"}, "y": {}, "z": {TemporaryDisk: "m"}})).To(Equal([]string{"b"}))
 	})
 
-	It("are temporary ones where no seed has another", func() {
-		Expect(initialVotersOf(map[string]wire.IdentifyAnswer{"x": {TemporaryDisk: "n"}, "y": {}, "z": {TemporaryDisk: "m"}})).To(Equal([]string{"m", "n"}))
+	It("are temporary disks if no seed has a persistent disk", func() {
+		Expect(chooseInitialVoters(map[string]wire.IdentifyAnswer{"x": {TemporaryDisk: "n"}, "y": {}, "z": {TemporaryDisk: "m"}})).To(Equal([]string{"m", "n"}))
 	})
 })
 
-var _ = Describe("the disks that a leader may choose from", func() {
-	It("leave out members without one, and temporary ones beside lasting ones", func() {
-		lasting, temporary, none := wire.Member{Name: "a", Disk: "a"}, wire.Member{Name: "m", TemporaryDisk: "m"}, wire.Member{Name: "n"}
-		Expect(withDisks([]wire.Member{temporary, lasting, none})).To(Equal([]wire.Member{lasting}))
-		usable := withDisks([]wire.Member{temporary, none})
-		Expect(usable).To(HaveLen(1))
-		Expect(usable[0].Disk).To(Equal("m"))
+var _ = Describe("the candidates for voters", func() {
+	It("exclude members without a disk, and temporary disks if there are persistent ones", func() {
+		persistent, temporary, none := wire.Member{Name: "a", Disk: "a"}, wire.Member{Name: "m", TemporaryDisk: "m"}, wire.Member{Name: "n"}
+		Expect(filterWithDisks([]wire.Member{temporary, persistent, none})).To(Equal([]wire.Member{persistent}))
+		selected := filterWithDisks([]wire.Member{temporary, none})
+		Expect(selected).To(HaveLen(1))
+		Expect(selected[0].Disk).To(Equal("m"))
 	})
 })
 
-var _ = Describe("the time that a call to a voter may take", func() {
-	It("grows with the bytes that it carries, and not without bound", func() {
+var _ = Describe("the timeout of an Append call", func() {
+	It("grows with the size of the call up to a maximum", func() {
 		ops := []wire.Op{{Name: "n", Value: make([]byte, 64<<10-1)}}
-		Expect(limitFor(&wire.AppendCall{})).To(Equal(appendLimit))
-		Expect(limitFor(&wire.AppendCall{Changes: []wire.Change{{Ops: ops}}})).To(Equal(appendLimit + time.Second))
-		Expect(limitFor(&wire.AppendCall{Chunk: &wire.SnapshotChunk{Pairs: ops}})).To(Equal(appendLimit + time.Second))
+		Expect(appendTimeout(&wire.AppendCall{})).To(Equal(baseAppendTimeout))
+		Expect(appendTimeout(&wire.AppendCall{Changes: []wire.Change{{Ops: ops}}})).To(Equal(baseAppendTimeout + time.Second))
+		Expect(appendTimeout(&wire.AppendCall{Chunk: &wire.SnapshotChunk{Pairs: ops}})).To(Equal(baseAppendTimeout + time.Second))
 		large := &wire.Snapshot{Pairs: []wire.Op{{Value: make([]byte, 64<<20)}}}
-		Expect(limitFor(&wire.AppendCall{Snapshot: large})).To(Equal(maxCallLimit))
+		Expect(appendTimeout(&wire.AppendCall{Snapshot: large})).To(Equal(maxAppendTimeout))
 	})
 })
 
-var _ = Describe("a steward that leaves", func() {
+var _ = Describe("a leaving steward", func() {
 	set := wire.VoterSet{Current: []string{"a", "b", "c"}}
 	alive := func(disk string) wire.Member { return wire.Member{Name: disk, Role: "steward", Disk: disk} }
 
-	It("waits for a replacement only where a live disk is left that is no voter", func() {
+	It("waits for a replacement only if a live disk is no voter", func() {
 		gone := alive("d")
 		gone.State = wire.StateGone
 		Expect(IsReplaceable([]wire.Member{alive("a"), alive("b"), alive("c")}, "a", set)).To(BeFalse())
@@ -157,70 +158,70 @@
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "d", set)).To(BeFalse())
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", set)).To(BeTrue())
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: []string{"d"}, Current: set.Current})).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change still needs its vote")
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change of voters still needs the setVoters of the leaving disk")
 	})
 
-	It("ends long before its limit where there is nothing to wait for", func() {
+	It("returns from Leave long before the timeout if nothing is left to wait for", func() {
 		for _, hasReplica := range []bool{false, true} {
 			store := openStore()
 			manager, _ := newManager(store, false)
 			clock := clock.System()
 			manager.Clock = clock
 			if hasReplica {
-				taken := make(chan struct{})
+				written := make(chan struct{})
 				change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: 1}, Voters: &wire.VoterSet{Current: []string{store.Disk(), "b", "c"}}}
-				store.Submit(storage.Write{Key: "plan", Epoch: 1, Changes: []wire.Change{change}}, func(storage.Outcome) { close(taken) })
-				Eventually(taken).Should(BeClosed())
+				store.Submit(storage.Write{Key: "plan", Epoch: 1, Changes: []wire.Change{change}}, func(storage.Outcome) { close(written) })
+				Eventually(written).Should(BeClosed())
 				replicas, err := replication.NewReplicas(mailbox.New(64), store, clock, time.Second)
 				Expect(err).NotTo(HaveOccurred())
 				manager.Replicas = replicas
 			}
-			ctx, end := context.WithCancel(context.Background())
-			defer end()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			go manager.Replicas.Mailbox().Run(ctx, clock, mailbox.Owner{Every: time.Minute})
 			go manager.mailbox.Run(ctx, clock, mailbox.Owner{Every: time.Minute})
-			began := clock.Monotonic()
+			start := clock.Monotonic()
 			manager.Leave(time.Minute)
-			took := clock.Monotonic() - began
-			Expect(took).To(BeNumerically(">=", releaseNoticeTime))
-			Expect(took).To(BeNumerically("<", time.Minute))
+			elapsed := clock.Monotonic() - start
+			Expect(elapsed).To(BeNumerically(">=", releaseNoticeTime))
+			Expect(elapsed).To(BeNumerically("<", time.Minute))
 		}
 	})
 })
 
-var _ = Describe("a storage machine that is emptied", func() {
-	It("says so on its disk first, goes on after a restart, and is empty once it votes on nothing", func() {
+var _ = Describe("a retiring storage machine", func() {
+	It("stores that it is retiring, continues after a restart, and is empty once its disk is no voter", func() {
 		store := openStore()
-		vote := func(index uint64, voters ...string) {
-			taken := make(chan struct{})
+		setVoters := func(index uint64, voters ...string) {
+			written := make(chan struct{})
 			change := wire.Change{Position: wire.LogPosition{Epoch: 1, Index: index}, Voters: &wire.VoterSet{Current: voters}}
 			prev := wire.LogPosition{}
 			if index > 1 {
 				prev = wire.LogPosition{Epoch: 1, Index: index - 1}
 			}
-			store.Submit(storage.Write{Key: wire.LotsKey, Epoch: 1, Prev: prev, Changes: []wire.Change{change}}, func(storage.Outcome) { close(taken) })
-			Eventually(taken).Should(BeClosed())
+			store.Submit(storage.Write{Key: wire.LotsKey, Epoch: 1, Prev: prev, Changes: []wire.Change{change}}, func(storage.Outcome) { close(written) })
+			Eventually(written).Should(BeClosed())
 		}
-		retire := func(begins bool) wire.RetireAnswer {
+		restartAndRetire := func(isStart bool) wire.RetireAnswer {
 			manager, _ := newManager(store, false)
 			manager.Clock = clock.System()
 			replicas, err := replication.NewReplicas(mailbox.New(64), store, manager.Clock, time.Second)
 			Expect(err).NotTo(HaveOccurred())
 			manager.Replicas = replicas
-			ctx, end := context.WithCancel(context.Background())
-			defer end()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			go replicas.Mailbox().Run(ctx, manager.Clock, mailbox.Owner{Every: time.Minute})
 			go manager.mailbox.Run(ctx, manager.Clock, mailbox.Owner{Every: time.Minute})
-			answer, err := manager.Retire(ctx, &wire.RetireCall{Begin: begins})
+			answer, err := manager.Retire(ctx, &wire.RetireCall{Begin: isStart})
 			Expect(err).NotTo(HaveOccurred())
 			return *answer
 		}
-		vote(1, store.Disk(), "b", "c")
-		Expect(retire(false)).To(Equal(wire.RetireAnswer{}))
-		Expect(retire(true)).To(Equal(wire.RetireAnswer{IsRetiring: true}))
+		setVoters(1, store.Disk(), "b", "c")
+		Expect(restartAndRetire(false)).To(Equal(wire.RetireAnswer{}))
+		Expect(restartAndRetire(true)).To(Equal(wire.RetireAnswer{IsRetiring: true}))
 		Expect(store.IsRetiring()).To(BeTrue())
-		Expect(retire(false)).To(Equal(wire.RetireAnswer{IsRetiring: true}))
-		vote(2, "b", "c", "d")
-		Expect(retire(false)).To(Equal(wire.RetireAnswer{IsRetiring: true, IsEmpty: true}))
+		Expect(restartAndRetire(false)).To(Equal(wire.RetireAnswer{IsRetiring: true}))
+		setVoters(2, "b", "c", "d")
+		Expect(restartAndRetire(false)).To(Equal(wire.RetireAnswer{IsRetiring: true, IsEmpty: true}))
 	})
 })
--- a/internal/control/controlkeys/coordination.go
+++ b/internal/control/controlkeys/coordination.go
@@ -8,29 +8,29 @@
 	"gannetline/internal/control/coordination"
 )
 
-// historyMargin is how long puts are kept beyond the time for which a revision stays good: a watcher counts that time from when an
-// answer arrives, and the leader the age of the put that follows from when that was durable, which is no earlier than when the answer
-// was worked out.
+// historyMargin is how much longer the leader keeps puts than watchers may use a revision. A watcher measures the validity of a revision
+// from the arrival of the answer. The leader measures the age of the next put from when that put became durable, which is no earlier than
+// when it computed the answer.
 const historyMargin = 10 * time.Second
 
-// standingKeys are the keys that there are with every configuration.
-func (m *Manager) standingKeys() []string {
+// listFixedKeys returns the keys that exist regardless of what the configuration says.
+func (m *Manager) listFixedKeys() []string {
 	if m.Coordination == nil {
 		return nil
 	}
 	return coordination.Keys()
 }
 
-// coordinationSurroundings are what a part with locks, numbers and cells needs beyond its key.
-func (m *Manager) coordinationSurroundings() coordination.Surroundings {
+// newCoordinationSurroundings returns the dependencies of a partition with locks, numbers and cells, apart from its key.
+func (m *Manager) newCoordinationSurroundings() coordination.Surroundings {
 	return coordination.Surroundings{Clock: m.Clock, Log: m.Log, HistoryTime: m.Coordination.History + historyMargin,
 		ReleaseTime: m.Coordination.Release}
 }
 
-// CoordinationReports gathers what the parts that are led here hold.
+// CoordinationReports returns the reports of the coordination partitions that this process leads. IsOff is set if this process keeps none.
 func (m *Manager) CoordinationReports(ctx context.Context, _ *wire.CoordinationCall) (*wire.CoordinationReports, error) {
 	if m.Coordination == nil {
 		return &wire.CoordinationReports{IsOff: true}, nil
 	}
-	return &wire.CoordinationReports{Reports: gatherReports[wire.CoordinationReport](ctx, m, wire.VerbCoordination)}, nil
+	return &wire.CoordinationReports{Reports: collectReports[wire.CoordinationReport](ctx, m, wire.VerbCoordination)}, nil
 }
--- a/internal/control/controlkeys/leave.go
+++ b/internal/control/controlkeys/leave.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// releaseNoticeTime is how long the peers have to learn of a release before the process ends.
+	// releaseNoticeTime is the minimum time between releasing the leases and the end of the process, so that the peers receive the release.
 	releaseNoticeTime = 400 * time.Millisecond
-	// votingKeysTimeout is how long the table of replicas may take to name the keys in which this disk votes.
+	// votingKeysTimeout limits the query for the keys in which this disk votes.
 	votingKeysTimeout = time.Second
 )
 
-// Leave hands over the keys that are led here, and asks the leaders to replace this disk as a voter. It returns once all
-// that can be replaced is, or after the limit; what could not be done is logged. It takes releaseNoticeTime at least.
-func (m *Manager) Leave(limit time.Duration) {
+// Leave hands over the keys that this process leads and asks the leaders to replace this disk as a voter. It returns once this disk is no
+// longer a voter of any key with a possible replacement, or after the timeout, and logs the keys in which the disk still votes. It takes at
+// least releaseNoticeTime.
+func (m *Manager) Leave(timeout time.Duration) {
 	if !m.hasDisk() {
 		<-m.Clock.After(releaseNoticeTime)
 		return
 	}
-	deadline := m.Clock.Monotonic() + limit
-	m.beginLeave()
+	deadline := m.Clock.Monotonic() + timeout
+	m.startLeaving()
 	<-m.Clock.After(releaseNoticeTime)
 	for {
-		replaceable, others := m.votingKeys()
+		replaceable, others := m.listVotingKeys()
 		if len(replaceable) == 0 || m.Clock.Monotonic() >= deadline {
-			m.logStillVoting(replaceable, others)
+			m.logRemainingVotes(replaceable, others)
 			return
 		}
 		<-m.Clock.After(tickInterval)
 	}
 }
 
-// beginLeave hands over the keys that are led here, and has each answer to a leader say that this disk should be replaced.
-func (m *Manager) beginLeave() {
+// startLeaving hands over the keys that this process leads. From then on each answer of the replicas to a leader asks for the replacement
+// of this disk, and reconcile starts no more runners.
+func (m *Manager) startLeaving() {
 	m.Replicas.Mailbox().Post(m.Replicas.Leave)
 	m.mailbox.Post(func() {
 		m.isLeaving = true
@@ -48,16 +50,16 @@
 	})
 }
 
-// votingKeys lists the keys in which this disk is still a voter: those for which another live disk could take its place, and
-// the others.
-func (m *Manager) votingKeys() (replaceable, others []string) {
+// listVotingKeys returns the keys in which this disk is still a voter: those for which another live disk could replace it, and the
+// others. Both lists are sorted. They are nil if the replicas do not answer in time.
+func (m *Manager) listVotingKeys() (replaceable, others []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), votingKeysTimeout)
 	defer cancel()
 	sets, err := mailbox.Ask(ctx, m.Replicas.Mailbox(), func(answer func(map[string]wire.VoterSet)) { answer(m.Replicas.VotingKeys()) })
 	if err != nil {
 		return nil, nil
 	}
-	members := m.disksInCluster()
+	members := m.listVoterCandidates()
 	for key, set := range sets {
 		if IsReplaceable(members, m.disk, set) {
 			replaceable = append(replaceable, key)
@@ -70,16 +72,16 @@
 	return replaceable, others
 }
 
-// votesOnNothing tells whether this disk is a voter of no key, as far as it knows.
-func (m *Manager) votesOnNothing() (bool, error) {
+// hasNoVotes reports whether this disk is a voter of no key, according to its own replicas.
+func (m *Manager) hasNoVotes() (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), votingKeysTimeout)
 	defer cancel()
 	sets, err := mailbox.Ask(ctx, m.Replicas.Mailbox(), func(answer func(map[string]wire.VoterSet)) { answer(m.Replicas.VotingKeys()) })
 	return err == nil && len(sets) == 0, err
 }
 
-// IsReplaceable tells whether a voter that leaves should wait: a live disk could take its place, or one is about to and
-// the change still needs the leaving voter's agreement.
+// IsReplaceable reports whether a leaving voter should wait for its replacement: either a live disk that is no voter could replace it, or
+// a change of voters without it is in progress, which still needs its vote.
 func IsReplaceable(members []wire.Member, leaving string, set wire.VoterSet) bool {
 	if slices.Contains(set.Old, leaving) && !slices.Contains(set.Current, leaving) {
 		return true
@@ -90,7 +92,7 @@
 	})
 }
 
-func (m *Manager) logStillVoting(replaceable, others []string) {
+func (m *Manager) logRemainingVotes(replaceable, others []string) {
 	if len(replaceable) > 0 {
 		m.Log.Info("leaving while still a voter", "keys", replaceable)
 	}
--- a/internal/control/controlkeys/machines.go
+++ b/internal/control/controlkeys/machines.go
@@ -11,13 +11,13 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// configurationMachine is the replication.StateMachine of the configuration.
+// configurationMachine is the replication.StateMachine of the configuration's key.
 type configurationMachine struct {
 	*configleader.Leader
 	rollouts *rollouts.Controller
 }
 
-// Open passes a leadership on as the narrower configleader.Leadership; it runs on the goroutine of the key's engine.
+// Open passes the leadership on as a configleader.Leadership. It runs on the goroutine of the key's engine.
 func (c configurationMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Leader.Open(leadership, pairs)
 }
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// countMachine is the replication.StateMachine of a part of the tenants' count.
+// countMachine is the replication.StateMachine of a partition of the tenant count.
 type countMachine struct{ *countleader.Leader }
 
-// Open passes a leadership on as the narrower countleader.Leadership; it runs on the goroutine of the key's engine.
+// Open passes the leadership on as a countleader.Leadership. It runs on the goroutine of the key's engine.
 func (c countMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Leader.Open(leadership, pairs)
 }
@@ -60,17 +60,17 @@
 	return nil
 }
 
-// coordinationMachine is the replication.StateMachine of a part with locks, numbers and cells.
+// coordinationMachine is the replication.StateMachine of a partition with locks, numbers and cells.
 type coordinationMachine struct{ *coordination.Part }
 
-// Open passes a leadership on as the narrower coordination.Leadership; it runs on the goroutine of the key's engine.
+// Open passes the leadership on as a coordination.Leadership. It runs on the goroutine of the key's engine.
 func (c coordinationMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Part.Open(leadership, pairs)
 }
 
 func (c coordinationMachine) commandFor(verb wire.Verb) command { return c.CommandFor(verb) }
 
-// poolMachine is a pool as callers see it; poolhost.Host is its replication.StateMachine.
+// poolMachine maps verbs to the commands of a pool. The pool's replication.StateMachine is a poolhost.Host.
 type poolMachine struct{ *scheduler.Pool }
 
 func (p poolMachine) commandFor(verb wire.Verb) command {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// lotsMachine is a part with lots as callers see it; poolhost.Host is its replication.StateMachine.
+// lotsMachine maps verbs to the commands of a lots partition. The partition's replication.StateMachine is a poolhost.Host.
 type lotsMachine struct{ *lots.Part }
 
 func (l lotsMachine) commandFor(verb wire.Verb) command { return l.CommandFor(verb) }
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -1,6 +1,8 @@
-// Package controlkeys runs an engine of package replication for each key that this steward may lead: the configuration, a pool for
-// each service, the parts of the tenants' count, and those with locks, numbers and cells of applications. A Manager keeps one keyRunner for each key that the configuration asks for; it serves the calls of
-// other processes to those keys, and hands the keys on when the process leaves.
+// Package controlkeys runs a replication engine for each key that this steward may lead. The keys are the configuration, a pool for each
+// service, the partitions of the tenant count, the coordination partitions (locks, numbers and cells of applications) and the lots.
+//
+// A Manager runs one keyRunner for each key that the configuration lists. It serves the calls of other processes to these keys and hands
+// the keys over when the process leaves the cluster.
 package controlkeys
 
 import (
@@ -29,22 +31,22 @@
 )
 
 const (
-	// tickInterval is how often engines and pools do what falls due.
+	// tickInterval is the interval between the ticks of engines, pools and partitions.
 	tickInterval = 50 * time.Millisecond
-	// reconcileInterval is how often the manager compares the keys there should be with those that run.
+	// reconcileInterval is how often the manager starts the runners that are missing.
 	reconcileInterval  = 200 * time.Millisecond
 	managerMailboxSize = 256
 )
 
-// Config is what a manager needs. It has neither Store nor Replicas on a machine without a disk: such a steward leads no key
-// and is no voter.
+// Config holds the dependencies and settings of a Manager. Store and Replicas are nil on a machine without a disk. A steward without a disk
+// leads no key and is no voter.
 type Config struct {
 	Clock clock.Clock
 	Log   logging.Logger
 	Store *storage.Store
-	// IsDiskTemporary tells that the disk does not outlive the machine's power.
+	// IsDiskTemporary is set if the disk loses its contents with the machine's power.
 	IsDiskTemporary bool
-	// MachineLosses is how many machines may be lost at once.
+	// MachineLosses is how many machines may fail at once without loss of data.
 	MachineLosses  int
 	Name           string
 	Caller         *peerapi.Caller
@@ -53,68 +55,70 @@
 	Timing         scheduler.Timing
 	Replicas       *replication.Replicas
 	PoolOptions    []scheduler.Option
-	// LeaderClient carries the calls of pools to the parts of the tenants' count.
+	// LeaderClient carries calls to leaders in other processes, such as those of pools to the tenant count. If it is nil, AskLeader tries
+	// only this process.
 	LeaderClient *leaderclient.Client
-	// Lots is what the parts with lots need; it is nil on a process that keeps none. A process keeps either lots or all other keys.
+	// Lots holds the dependencies of lots, nil in a process that keeps no lots. A process keeps either the lots or all other keys.
 	Lots *LotSurroundings
-	// Coordination is what locks, numbers and cells of applications need; it is nil where they are not kept.
+	// Coordination holds the time limits of the coordination partitions, nil in a process that keeps none.
 	Coordination *CoordinationTimes
 }
 
-// CoordinationTimes are the bounds of the parts with locks, numbers and cells.
+// CoordinationTimes are the time limits of the partitions with locks, numbers and cells.
 type CoordinationTimes struct {
-	// History is how long a revision that a watcher was given stays good, Release how long after its holder's time a lock may still
-	// be refused to others.
+	// History is how long a watcher may use a revision that it was given. Release is how long after the end of its holder's time a lock may
+	// still be refused to others.
 	History, Release time.Duration
 }
 
-// LotSurroundings are what parts with lots need beyond their keys.
+// LotSurroundings holds the dependencies of lots partitions, apart from their keys.
 type LotSurroundings struct {
-	// Executors gives the executors of a service, Client calls them.
+	// Executors returns the executors of a service.
 	Executors func(service string) []wire.ExecutorRecord
-	Client    *http.Client
+	// Client calls executors.
+	Client *http.Client
 	// Retention is how long a lot is kept after it was accepted.
 	Retention time.Duration
 }
 
-// Manager keeps a runner for each key that is wanted. Its tables belong to the goroutine of Run; all methods may be called from
-// any goroutine.
+// Manager runs the keys that the configuration lists. Its maps and flags belong to the goroutine of Run. Exported methods may be called
+// from any goroutine.
 type Manager struct {
 	Config
 	mailbox *mailbox.Mailbox
-	// disk is the name of the disk, empty on a machine without one; that is also how a manager without keys is known.
+	// disk is the name of the disk. It is empty on a machine without a disk, where the manager runs no keys.
 	disk string
 
-	// ctx ends the runners.
+	// ctx is the context of Run. The runners end with it.
 	ctx     context.Context
 	runners map[string]*keyRunner
-	// initialVoters are those of the configuration's key, once they are known on the first start of the whole system.
+	// initialVoters are the initial voters of the configuration's key. They are set only on the first start of the whole cluster.
 	initialVoters []string
-	// hasConfigurationReplica tells that the disk holds a replica of the configuration's key.
+	// hasConfigurationReplica is set once the disk holds a replica of the configuration's key.
 	hasConfigurationReplica bool
 	isLeaving               bool
 
-	// rollouts carries out the rollouts of the configuration while that is led here.
+	// rollouts drives the rollouts of the configuration while this process leads the configuration's key.
 	rollouts *rollouts.Controller
 
-	// policies holds what the newest configuration says of tenants.
+	// policies caches the tenant policy of the newest configuration.
 	policies atomic.Pointer[cachedPolicy]
 }
 
-// New makes a manager without runners; Run starts them.
+// New creates a manager without runners. Run starts them.
 func New(config Config) *Manager {
 	manager := &Manager{Config: config, mailbox: mailbox.New(managerMailboxSize), runners: map[string]*keyRunner{}}
 	if config.Store != nil {
 		manager.disk = config.Store.Disk()
 	}
-	manager.rollouts = manager.newRollouts()
+	manager.rollouts = manager.newRolloutController()
 	return manager
 }
 
-// hasDisk tells whether this steward may lead keys and vote.
+// hasDisk reports whether this steward may lead keys and vote.
 func (m *Manager) hasDisk() bool { return m.disk != "" }
 
-// Run keeps a runner for each key that the configuration asks for, until ctx is done.
+// Run starts a runner for each key that the configuration lists, until ctx is done.
 func (m *Manager) Run(ctx context.Context) error {
 	if !m.hasDisk() {
 		<-ctx.Done()
@@ -128,7 +132,7 @@
 	return nil
 }
 
-// RunRollouts carries out the rollouts of the configuration until ctx is done. A process that keeps lots or no keys has none to carry out.
+// RunRollouts drives the rollouts of the configuration until ctx is done. It only waits in a process that keeps lots or no keys.
 func (m *Manager) RunRollouts(ctx context.Context) error {
 	if !m.hasDisk() || m.Lots != nil {
 		<-ctx.Done()
@@ -137,7 +141,7 @@
 	return m.rollouts.Run(ctx)
 }
 
-// Bootstrap sets the initial voters of the configuration's key, once the seeds have named their disks.
+// Bootstrap sets the initial voters of the configuration's key. It is called once the seeds have named their disks.
 func (m *Manager) Bootstrap(voters []string) {
 	m.mailbox.Post(func() {
 		m.initialVoters = voters
@@ -145,14 +149,15 @@
 	})
 }
 
-// reconcile starts a runner for each key that should run and does not. No key ever ends but with the process: the pool of a
-// service that no route leads to any more still answers for its jobs.
+// reconcile starts a runner for each key that should run but does not. Runners end only with the process, because the pool of a service
+// without a route still answers calls about its jobs.
 func (m *Manager) reconcile() {
 	if m.isLeaving || !m.hasDisk() {
 		return
 	}
 	m.checkConfigurationReplica()
-	// A temporary disk takes part only if it was there from the beginning, as one that lost its votes must not vote anew.
+	// A temporary disk that lost its contents has lost its votes and must not vote again. So a temporary disk takes part only if it holds a
+	// replica or is one of the initial voters.
 	if m.IsDiskTemporary && !m.hasConfigurationReplica && !slices.Contains(m.initialVoters, m.disk) {
 		return
 	}
@@ -168,21 +173,21 @@
 		if key == "" {
 			key = wire.PoolKey(initial.Service)
 		}
-		if m.keeps(key) {
+		if m.isKeptHere(key) {
 			m.startKey(key, initial.Voters)
 		}
 	}
 }
 
-// keeps tells whether this process keeps keys of that kind.
-func (m *Manager) keeps(key string) bool {
+// isKeptHere reports whether this process keeps keys of that kind.
+func (m *Manager) isKeptHere(key string) bool {
 	if coordination.IsKey(key) && m.Coordination == nil {
 		return false
 	}
 	return lots.IsKey(key) == (m.Lots != nil)
 }
 
-// checkConfigurationReplica notes when this disk holds a replica of the configuration's key.
+// checkConfigurationReplica sets hasConfigurationReplica, asynchronously, once this disk holds a replica of the configuration's key.
 func (m *Manager) checkConfigurationReplica() {
 	if m.hasConfigurationReplica {
 		return
@@ -193,8 +198,8 @@
 	})
 }
 
-// runnerOf gives the runner of a key, or nil if there is none here or ctx is done first.
-func (m *Manager) runnerOf(ctx context.Context, key string) *keyRunner {
+// findRunner returns the runner of a key, nil if this process has none or ctx is done first.
+func (m *Manager) findRunner(ctx context.Context, key string) *keyRunner {
 	if !m.hasDisk() {
 		return nil
 	}
@@ -205,13 +210,14 @@
 	return runner
 }
 
-// disksInCluster are the members that an engine may choose voters from: those that keep the same kind of keys.
-func (m *Manager) disksInCluster() []wire.Member {
-	return withDisks(membersFor(m.Node.View().Stewards, m.Lots != nil))
+// listVoterCandidates returns the members from which an engine may choose voters: those that keep the same kind of keys and have a disk.
+func (m *Manager) listVoterCandidates() []wire.Member {
+	return filterWithDisks(filterByLots(m.Node.View().Stewards, m.Lots != nil))
 }
 
-// membersFor lists the stewards that keep lots, which serve no operators, or those that keep all other keys.
-func membersFor(stewards []wire.Member, keepsLots bool) []wire.Member {
+// filterByLots returns either the stewards that keep lots or those that keep all other keys. Stewards that keep lots serve no operators and
+// have no control address.
+func filterByLots(stewards []wire.Member, keepsLots bool) []wire.Member {
 	var members []wire.Member
 	for _, steward := range stewards {
 		if (steward.Control == "") == keepsLots {
@@ -221,20 +227,20 @@
 	return members
 }
 
-// storageDisks are the disks on which lots may be kept, one of each failure domain in turn.
-func (m *Manager) storageDisks() []string {
+// listStorageDisks returns the disks on which lots may be kept, one of each failure domain in round.
+func (m *Manager) listStorageDisks() []string {
 	byDomain := map[string][]string{}
-	for _, member := range withDisks(membersFor(m.Node.View().Stewards, true)) {
+	for _, member := range filterWithDisks(filterByLots(m.Node.View().Stewards, true)) {
 		if member.State == wire.StateAlive {
 			byDomain[member.Domain] = append(byDomain[member.Domain], member.Disk)
 		}
 	}
 	var disks []string
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		count := len(disks)
 		for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
-			if turn < len(byDomain[domain]) {
-				disks = append(disks, byDomain[domain][turn])
+			if round < len(byDomain[domain]) {
+				disks = append(disks, byDomain[domain][round])
 			}
 		}
 		if len(disks) == count {
@@ -243,26 +249,26 @@
 	}
 }
 
-// withDisks lists the members that have a disk; temporary ones count only if there is no other.
-func withDisks(members []wire.Member) []wire.Member {
-	var lasting, temporary []wire.Member
+// filterWithDisks returns the members with a persistent disk, or if there are none, those with a temporary disk. Disk is set in both cases.
+func filterWithDisks(members []wire.Member) []wire.Member {
+	var persistent, temporary []wire.Member
 	for _, member := range members {
 		if member.Disk != "" {
-			lasting = append(lasting, member)
+			persistent = append(persistent, member)
 		}
 		if member.TemporaryDisk != "" {
 			member.Disk = member.TemporaryDisk
 			temporary = append(temporary, member)
 		}
 	}
-	if len(lasting) == 0 {
+	if len(persistent) == 0 {
 		return temporary
 	}
-	return lasting
+	return persistent
 }
 
-// addressOf is where the steward of a disk is called, or empty if it is not known.
-func (m *Manager) addressOf(disk string) string {
+// findAddress returns the address of the steward that has the disk, empty if no member is known with it.
+func (m *Manager) findAddress(disk string) string {
 	steward, _ := m.Node.View().StewardOf(disk)
 	return steward.Address
 }
--- a/internal/control/controlkeys/reports.go
+++ b/internal/control/controlkeys/reports.go
@@ -12,15 +12,15 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// report is a message that a state machine answers to a verb.
+// report constrains the pointer type of a message that a state machine returns as the body of its answer.
 type report[Message any] interface {
 	*Message
 	easyjson.Unmarshaler
 }
 
-// gatherReports asks the state machines of all keys that are led here, in the order of their names. One that doesn't know the verb is
-// left out, and so is what can't be had before ctx is done.
-func gatherReports[Message any, Pointer report[Message]](ctx context.Context, m *Manager, verb wire.Verb) []Message {
+// collectReports runs a verb on the state machines of all keys that this process leads and returns the reports in the order of the keys. It
+// omits state machines that don't know the verb or don't answer before ctx is done.
+func collectReports[Message any, Pointer report[Message]](ctx context.Context, m *Manager, verb wire.Verb) []Message {
 	if !m.hasDisk() {
 		return nil
 	}
--- a/internal/control/controlkeys/retire.go
+++ b/internal/control/controlkeys/retire.go
@@ -6,9 +6,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Retire has this machine be emptied, if the call says so, and tells how far that is. That it is being emptied is durable before it is
-// answered, so that it goes on after a restart. The machine is empty once its disk votes on no key: the disk that took its place had
-// caught up by then, and the change is committed.
+// Retire starts to empty this machine if call.Begin is set, and returns the progress. The start is durable before the answer, so that the
+// machine goes on emptying itself after a restart. The machine is empty once its disk is a voter of no key. By then the replacement disk has
+// caught up and the change of voters is committed.
 func (m *Manager) Retire(_ context.Context, call *wire.RetireCall) (*wire.RetireAnswer, error) {
 	isRetiring, err := m.Store.IsRetiring()
 	if err != nil {
@@ -18,25 +18,25 @@
 		if err := m.Store.SetRetiring(); err != nil {
 			return nil, err
 		}
-		m.beginLeave()
+		m.startLeaving()
 		isRetiring = true
 	}
 	if !isRetiring {
 		return &wire.RetireAnswer{}, nil
 	}
-	isEmpty, err := m.votesOnNothing()
+	isEmpty, err := m.hasNoVotes()
 	return &wire.RetireAnswer{IsRetiring: true, IsEmpty: isEmpty}, err
 }
 
-// resumeRetiring goes on with what an earlier process began.
+// resumeRetiring continues to empty this machine if an earlier process started that.
 func (m *Manager) resumeRetiring() {
 	isRetiring, err := m.Store.IsRetiring()
 	if err != nil {
-		m.Log.Error(err, "disk not read")
+		m.Log.Error(err, "reading from the disk whether this machine is retiring failed")
 		return
 	}
 	if isRetiring {
 		m.Log.Info("still being emptied")
-		m.beginLeave()
+		m.startLeaving()
 	}
 }
--- a/internal/control/controlkeys/rollouts.go
+++ b/internal/control/controlkeys/rollouts.go
@@ -17,63 +17,64 @@
 )
 
 const (
-	// transferTimeout is how long a pool waits for the answer to a job that it sends to another pool.
+	// transferTimeout limits a call that transfers a job to another pool.
 	transferTimeout = time.Second
-	// reportTimeout is how long a pool may take to tell what it has counted.
+	// reportTimeout limits a call that reads the rollout counts of a pool.
 	reportTimeout = 400 * time.Millisecond
 )
 
-// newRollouts makes the controller of the rollouts, which works while the configuration is led here.
-func (m *Manager) newRollouts() *rollouts.Controller {
-	return rollouts.New(rollouts.Surroundings{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.rolloutReport,
+// newRolloutController creates the controller of the rollouts, which is active while this process leads the configuration's key.
+func (m *Manager) newRolloutController() *rollouts.Controller {
+	return rollouts.New(rollouts.Surroundings{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.fetchRolloutReport,
 		Execute: func(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 			call.Key = configleader.Key
 			return m.Client(ctx, call)
 		}})
 }
 
-// hasRollouts tells whether the newest configuration known here names rollouts.
+// hasRollouts reports whether the newest configuration lastSnapshot to this process has rollouts.
 func (m *Manager) hasRollouts() bool {
 	snapshot := m.Configurations.Current()
 	return snapshot != nil && len(snapshot.Matcher.Configuration().Rollouts) > 0
 }
 
-// rolloutReport asks the pool of a service what it has counted; nil if nobody answers in time.
-func (m *Manager) rolloutReport(ctx context.Context, service string) *wire.RolloutReport {
+// fetchRolloutReport returns the rollout counts of a service's pool, nil if no leader answers within reportTimeout.
+func (m *Manager) fetchRolloutReport(ctx context.Context, service string) *wire.RolloutReport {
 	outcome := m.AskLeader(ctx, &wire.ClientCall{Key: wire.PoolKey(service), Verb: wire.VerbRollouts}, reportTimeout, 0)
 	if outcome.Answer == nil || outcome.Answer.Status != http.StatusOK {
 		return nil
 	}
 	report := &wire.RolloutReport{}
 	if err := easyjson.Unmarshal(outcome.Answer.Body, report); err != nil {
-		m.Log.Error(err, "answer not read", "service", service)
+		m.Log.Error(err, "decoding the rollout report of a pool failed", "service", service)
 		return nil
 	}
 	return report
 }
 
-// rolloutPolicy gives what the configuration in force says of the rollouts in which a pool's service is a version. The function that it
-// returns belongs to the pool's goroutine.
-func (m *Manager) rolloutPolicy(key string) func() scheduler.RolloutPolicy {
+// newRolloutPolicySource returns a function that returns the rollout policy of a pool: what the configuration in force says of the rollouts
+// in which the pool's service is a version. That function must run on the pool's goroutine.
+func (m *Manager) newRolloutPolicySource(key string) func() scheduler.RolloutPolicy {
 	service := strings.TrimPrefix(key, wire.PoolPrefix)
-	var known *configcache.Snapshot
+	var lastSnapshot *configcache.Snapshot
 	var policy scheduler.RolloutPolicy
 	return func() scheduler.RolloutPolicy {
-		if snapshot := m.Configurations.Current(); snapshot != nil && snapshot != known {
-			known, policy = snapshot, rollouts.PolicyFor(snapshot.Committed.Version, snapshot.Matcher, service)
+		if snapshot := m.Configurations.Current(); snapshot != nil && snapshot != lastSnapshot {
+			lastSnapshot, policy = snapshot, rollouts.PolicyFor(snapshot.Committed.Version, snapshot.Matcher, service)
 		}
 		return policy
 	}
 }
 
-// transferSender carries the jobs of a pool to other pools, and the answers to the pool's goroutine.
+// transferSender sends jobs of a pool to other pools and passes the answers to the pool's goroutine.
 type transferSender struct {
 	manager *Manager
 	mailbox *mailbox.Mailbox
 	ctx     context.Context
 }
 
-// Send gives a job to the leader of a service's pool; answer runs later on the sending pool's goroutine.
+// Send sends a job to the leader of a service's pool. The function answer runs later on the goroutine of the sending pool, with nil if no
+// leader has answered.
 func (s *transferSender) Send(service string, call *wire.ClientCall, answer func(*wire.ClientAnswer)) {
 	call.Key = wire.PoolKey(service)
 	go func() {
--- a/internal/control/controlkeys/serve.go
+++ b/internal/control/controlkeys/serve.go
@@ -9,13 +9,13 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// Handle serves what other processes ask of the keys on this machine.
+// Handle registers the handlers for calls of other processes to the keys of this process.
 func (m *Manager) Handle(mux *http.ServeMux) {
 	if m.hasDisk() {
 		m.serveReplicas(mux)
 	}
 	peerapi.Serve(mux, peerapi.ProcedureIdentify, func(context.Context, *wire.IdentifyCall) (*wire.IdentifyAnswer, error) {
-		return m.identity(), nil
+		return m.identifyDisk(), nil
 	})
 	peerapi.Serve(mux, peerapi.ProcedureClient, m.Client)
 	peerapi.Serve(mux, peerapi.ProcedureExchange, m.Exchange)
@@ -26,8 +26,8 @@
 	}
 }
 
-// identity names this steward's disk.
-func (m *Manager) identity() *wire.IdentifyAnswer {
+// identifyDisk returns the name of this steward's disk, and whether the disk is temporary and new. It is empty without a disk.
+func (m *Manager) identifyDisk() *wire.IdentifyAnswer {
 	switch {
 	case !m.hasDisk():
 		return &wire.IdentifyAnswer{}
@@ -37,7 +37,7 @@
 	return &wire.IdentifyAnswer{Disk: m.disk, IsNew: m.Store.IsNew()}
 }
 
-// serveReplicas serves the calls of the replication protocol to the other stewards.
+// serveReplicas registers the handlers for the replication calls of other stewards.
 func (m *Manager) serveReplicas(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedurePromise, func(ctx context.Context, call *wire.PromiseCall) (*wire.PromiseAnswer, error) {
 		answer, err := m.Replicas.AskPromise(ctx, *call)
@@ -53,30 +53,30 @@
 	})
 }
 
-// Client runs a client's or operator's command on the key that it names, if that is led here; else the answer names the leader
-// as far as it is known. The error says that ctx was done first, with the outcome unknown.
+// Client runs a command on the key that the call names if this process leads the key. Otherwise the answer names the leader, if that is
+// known. An error means that ctx was done first and that the outcome is unknown.
 func (m *Manager) Client(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
-	runner := m.runnerOf(ctx, call.Key)
+	runner := m.findRunner(ctx, call.Key)
 	if runner == nil {
-		return m.notLeader(call.Key), nil
+		return m.newNotLeaderAnswer(call.Key), nil
 	}
 	answer, err := mailbox.Ask(ctx, runner.stateMailbox, func(answer func(wire.ClientAnswer)) { runner.execute(call, answer) })
 	if err != nil {
 		return nil, err
 	}
 	if answer.NotLeader {
-		redirection := m.notLeader(call.Key)
+		redirection := m.newNotLeaderAnswer(call.Key)
 		redirection.OutcomeUnknown = answer.OutcomeUnknown
 		return redirection, nil
 	}
 	return &answer, nil
 }
 
-// Exchange serves a local-proxy, if the pool is led here.
+// Exchange serves a call of a local proxy to a pool. If this process does not lead the pool, the answer names the leader, if that is known.
 func (m *Manager) Exchange(ctx context.Context, call *wire.ExchangeCall) (*wire.ExchangeAnswer, error) {
-	runner := m.runnerOf(ctx, call.Key)
+	runner := m.findRunner(ctx, call.Key)
 	if runner == nil || runner.pool == nil {
-		return &wire.ExchangeAnswer{NotLeader: true, Leader: m.otherLeader(call.Key)}, nil
+		return &wire.ExchangeAnswer{NotLeader: true, Leader: m.findOtherLeader(call.Key)}, nil
 	}
 	answer, err := mailbox.Ask(ctx, runner.stateMailbox, func(answer func(wire.ExchangeAnswer)) {
 		if !runner.pool.IsOpen() {
@@ -89,17 +89,19 @@
 		return nil, err
 	}
 	if answer.NotLeader {
-		return &wire.ExchangeAnswer{NotLeader: true, Leader: m.otherLeader(call.Key)}, nil
+		return &wire.ExchangeAnswer{NotLeader: true, Leader: m.findOtherLeader(call.Key)}, nil
 	}
 	return &answer, nil
 }
 
-func (m *Manager) notLeader(key string) *wire.ClientAnswer {
-	return &wire.ClientAnswer{NotLeader: true, Leader: m.otherLeader(key)}
+// newNotLeaderAnswer returns an answer that redirects the caller to the leader of the key.
+func (m *Manager) newNotLeaderAnswer(key string) *wire.ClientAnswer {
+	return &wire.ClientAnswer{NotLeader: true, Leader: m.findOtherLeader(key)}
 }
 
-// otherLeader is the name of the leader as the members know it, or empty if that is this process, which does not lead.
-func (m *Manager) otherLeader(key string) string {
+// findOtherLeader returns the name of the key's leader according to the membership view. It is empty if the leader is unknown, or if the
+// view names this process, which does not lead the key.
+func (m *Manager) findOtherLeader(key string) string {
 	if leader := m.Node.View().Leaders[key].Name; leader != m.Name {
 		return leader
 	}
--- a/internal/control/controlkeys/tenants.go
+++ b/internal/control/controlkeys/tenants.go
@@ -17,35 +17,35 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// grantTimeout is how long a pool waits for a part of the tenants' count.
+// grantTimeout limits a call of a pool to a partition of the tenant count.
 const grantTimeout = time.Second
 
-// cachedPolicy is what a snapshot of the configuration says of tenants, worked out once.
+// cachedPolicy is the tenant policy that was computed from a snapshot of the configuration.
 type cachedPolicy struct {
 	snapshot *configcache.Snapshot
 	policy   scheduler.TenantPolicy
 }
 
-// tenantPolicy is what the configuration in force says of tenants. Any goroutine may call it.
-func (m *Manager) tenantPolicy() scheduler.TenantPolicy {
+// currentTenantPolicy returns the tenant policy of the configuration in force, an empty one before the first. Any goroutine may call it.
+func (m *Manager) currentTenantPolicy() scheduler.TenantPolicy {
 	snapshot := m.Configurations.Current()
 	if snapshot == nil {
 		return scheduler.TenantPolicy{}
 	}
 	cached := m.policies.Load()
 	if cached == nil || cached.snapshot != snapshot {
-		cached = &cachedPolicy{snapshot, policyOf(snapshot)}
+		cached = &cachedPolicy{snapshot, readTenantPolicy(snapshot)}
 		m.policies.Store(cached)
 	}
 	return cached.policy
 }
 
-// policyOf works out what a snapshot says of tenants.
-func policyOf(snapshot *configcache.Snapshot) scheduler.TenantPolicy {
+// readTenantPolicy computes the tenant policy from a snapshot of the configuration.
+func readTenantPolicy(snapshot *configcache.Snapshot) scheduler.TenantPolicy {
 	tenants := snapshot.Matcher.Configuration().Tenants
 	policy := scheduler.TenantPolicy{Version: snapshot.Committed.Version, Terms: make(map[string]scheduler.TenantTerms, len(tenants))}
 	for _, tenant := range tenants {
-		policy.Terms[tenant.Name] = scheduler.TenantTerms{Weight: tenant.Weight, Limit: limitOf(tenant.Limit)}
+		policy.Terms[tenant.Name] = scheduler.TenantTerms{Weight: tenant.Weight, Limit: convertLimit(tenant.Limit)}
 	}
 	pools := 0
 	for _, initial := range snapshot.Committed.InitialVoters {
@@ -57,8 +57,9 @@
 	return policy
 }
 
-// countPolicy is what the configuration in force says to the parts of the tenants' count. Any goroutine may call it.
-func (m *Manager) countPolicy() countleader.Policy {
+// currentCountPolicy returns the tenant limits of the configuration in force, for the partitions of the tenant count. Any goroutine may
+// call it.
+func (m *Manager) currentCountPolicy() countleader.Policy {
 	snapshot := m.Configurations.Current()
 	if snapshot == nil {
 		return countleader.Policy{Limits: func(string) (placement.Resources, bool) { return placement.Resources{}, false }}
@@ -68,12 +69,12 @@
 		if tenant == nil {
 			return placement.Resources{}, false
 		}
-		return limitOf(tenant.Limit), true
+		return convertLimit(tenant.Limit), true
 	}}
 }
 
-// limitOf says a limit as placement counts, where 0 is nothing and not everything.
-func limitOf(limit configuration.UpperLimit) placement.Resources {
+// convertLimit converts a limit of the configuration, where 0 means unlimited, to placement resources, where 0 means none.
+func convertLimit(limit configuration.UpperLimit) placement.Resources {
 	return placement.Resources{CPU: orUnlimited(limit.CPU), Memory: orUnlimited(limit.Memory), GPU: orUnlimited(limit.GPU)}
 }
 
@@ -84,40 +85,41 @@
 	return limit
 }
 
-// countCaller carries the calls of a pool to the leaders of the parts, and the answers to the pool's goroutine.
+// countCaller sends calls of a pool to the leaders of the tenant count's partitions and passes the answers to the pool's goroutine.
 type countCaller struct {
 	manager *Manager
 	mailbox *mailbox.Mailbox
 	ctx     context.Context
 }
 
-// Ask calls the leader of a part; answer runs later on the pool's goroutine, with nil if no leader has decided.
+// Ask calls the leader of a partition. The function answer runs later on the pool's goroutine, with nil if no leader has decided.
 func (c *countCaller) Ask(part int, call *wire.GrantCall, answer func(*wire.GrantAnswer)) {
 	go func() {
-		given := c.ask(part, call)
-		c.mailbox.Post(func() { answer(given) })
+		granted := c.callLeader(part, call)
+		c.mailbox.Post(func() { answer(granted) })
 	}()
 }
 
-func (c *countCaller) ask(part int, call *wire.GrantCall) *wire.GrantAnswer {
+// callLeader sends a call to the leader of a partition and waits for the answer. It returns nil if no leader has decided.
+func (c *countCaller) callLeader(part int, call *wire.GrantCall) *wire.GrantAnswer {
 	body, err := easyjson.Marshal(call)
 	if err != nil {
-		c.manager.Log.Error(err, "call not written", "key", tenantcount.KeyOf(part))
+		c.manager.Log.Error(err, "encoding the call to the tenant count failed", "key", tenantcount.KeyOf(part))
 		return nil
 	}
 	outcome := c.manager.AskLeader(c.ctx, &wire.ClientCall{Key: tenantcount.KeyOf(part), Verb: wire.VerbGrant, Body: body}, grantTimeout, 0)
 	if outcome.Answer == nil || outcome.Answer.Status != http.StatusOK {
 		return nil
 	}
-	given := &wire.GrantAnswer{}
-	if err := easyjson.Unmarshal(outcome.Answer.Body, given); err != nil {
-		c.manager.Log.Error(err, "answer not read", "key", tenantcount.KeyOf(part))
+	granted := &wire.GrantAnswer{}
+	if err := easyjson.Unmarshal(outcome.Answer.Body, granted); err != nil {
+		c.manager.Log.Error(err, "decoding the answer of the tenant count failed", "key", tenantcount.KeyOf(part))
 		return nil
 	}
-	return given
+	return granted
 }
 
-// Tenants gathers what the keys that are led here know of tenants. What can't be had before ctx is done is left out.
+// Tenants returns the tenant reports of the keys that this process leads. It omits those that do not answer before ctx is done.
 func (m *Manager) Tenants(ctx context.Context, _ *wire.TenantsCall) (*wire.TenantsAnswer, error) {
-	return &wire.TenantsAnswer{Reports: gatherReports[wire.TenantCountReport](ctx, m, wire.VerbTenants)}, nil
+	return &wire.TenantsAnswer{Reports: collectReports[wire.TenantCountReport](ctx, m, wire.VerbTenants)}, nil
 }
--- a/internal/control/controlkeys/transport.go
+++ b/internal/control/controlkeys/transport.go
@@ -12,29 +12,32 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// The limits of calls to other stewards.
+// Timeouts of calls to other stewards.
 const (
-	promiseLimit = 500 * time.Millisecond
-	appendLimit  = 1500 * time.Millisecond
-	// minBytesPerSecond is the rate that a large call may take the link at, beyond the limit of a small one.
+	promiseTimeout = 500 * time.Millisecond
+	// baseAppendTimeout is the timeout of an Append call without changes.
+	baseAppendTimeout = 1500 * time.Millisecond
+	// minBytesPerSecond is the lowest transfer rate for which the timeout of a large Append call allows.
 	minBytesPerSecond = 64 << 10
-	// fetchLimit is enough for a chunk at that rate.
-	fetchLimit   = 6 * time.Second
-	maxCallLimit = 30 * time.Second
+	// fetchTimeout is enough for a chunk at minBytesPerSecond.
+	fetchTimeout = 6 * time.Second
+	// maxAppendTimeout limits an Append call of any size.
+	maxAppendTimeout = 30 * time.Second
 )
 
-// ErrUnknownDisk ends a call to a disk that no member is known to have.
+// ErrUnknownDisk is the error of a call to a disk that no known member has.
 const ErrUnknownDisk = errors.ConstError("no member is known with this disk")
 
-// peerTransport carries an engine's calls over connect, or straight to the local replicas.
+// peerTransport is the replication transport of an engine. It sends calls to other stewards over connect, and passes calls to the local
+// disk directly to the local replicas.
 type peerTransport struct {
 	manager       *Manager
 	engineMailbox *mailbox.Mailbox
 	ctx           context.Context
 }
 
-// Promise asks the replica of a disk for a promise, the local one straight away, another within promiseLimit. As with all
-// methods of the transport, the engine's goroutine calls it and runs done later.
+// Promise asks the replica on a disk for a promise. The call to another steward ends after promiseTimeout. All methods of the transport are
+// called on the engine's goroutine, which runs the function done later.
 func (t *peerTransport) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if disk == t.manager.disk {
 		t.manager.Replicas.Mailbox().Post(func() {
@@ -42,55 +45,55 @@
 		})
 		return
 	}
-	callPeer(t, disk, peerapi.ProcedurePromise, promiseLimit, call, done)
+	callPeer(t, disk, peerapi.ProcedurePromise, promiseTimeout, call, done)
 }
 
-// Append sends changes, a snapshot, a chunk or a heartbeat to the replica of a disk; the time limit grows with the bytes of
-// the call (limitFor).
+// Append sends changes, a snapshot, a chunk or a heartbeat to the replica on a disk. Its timeout is appendTimeout, which grows with the size
+// of the call.
 func (t *peerTransport) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if disk == t.manager.disk {
 		t.InstallLocal(call, done)
 		return
 	}
-	callPeer(t, disk, peerapi.ProcedureAppend, limitFor(&call), call, done)
+	callPeer(t, disk, peerapi.ProcedureAppend, appendTimeout(&call), call, done)
 }
 
-// limitFor is how long a call may take, by the bytes that it carries.
-func limitFor(call *wire.AppendCall) time.Duration {
-	bytes := 0
+// appendTimeout returns the timeout of an Append call by the size of its contents.
+func appendTimeout(call *wire.AppendCall) time.Duration {
+	total := 0
 	for _, change := range call.Changes {
-		bytes += bytesOf(change.Ops)
+		total += countBytes(change.Ops)
 	}
 	if call.Snapshot != nil {
-		bytes += bytesOf(call.Snapshot.Pairs)
+		total += countBytes(call.Snapshot.Pairs)
 	}
 	if call.Chunk != nil {
-		bytes += bytesOf(call.Chunk.Pairs)
+		total += countBytes(call.Chunk.Pairs)
 	}
-	return min(appendLimit+time.Duration(bytes)*time.Second/minBytesPerSecond, maxCallLimit)
+	return min(baseAppendTimeout+time.Duration(total)*time.Second/minBytesPerSecond, maxAppendTimeout)
 }
 
-func bytesOf(ops []wire.Op) int {
-	bytes := 0
+func countBytes(ops []wire.Op) int {
+	total := 0
 	for _, op := range ops {
-		bytes += len(op.Name) + len(op.Value)
+		total += len(op.Name) + len(op.Value)
 	}
-	return bytes
+	return total
 }
 
-// InstallLocal has the local replica take a call as if the leader had sent it. It has no time limit and done gets no error.
+// InstallLocal passes a call to the local replica as if the leader had sent it. It has no timeout, and done gets no error.
 func (t *peerTransport) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	t.manager.Replicas.Mailbox().Post(func() {
 		t.manager.Replicas.Append(call, func(answer wire.AppendAnswer) { t.engineMailbox.Post(func() { done(answer, nil) }) })
 	})
 }
 
-// Fetch asks another steward for what the replica on its disk holds beyond a position, within fetchLimit.
+// Fetch asks another steward for what the replica on its disk holds beyond a position. The call ends after fetchTimeout.
 func (t *peerTransport) Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error)) {
-	callPeer(t, disk, peerapi.ProcedureFetch, fetchLimit, call, done)
+	callPeer(t, disk, peerapi.ProcedureFetch, fetchTimeout, call, done)
 }
 
-// Status reads the state of the local replica on the goroutine of the replicas.
+// Status passes the state of the local replica to done. It reads the state on the goroutine of the replicas.
 func (t *peerTransport) Status(key string, done func(replication.ReplicaStatus)) {
 	t.manager.Replicas.Mailbox().Post(func() {
 		status := t.manager.Replicas.Status(key)
@@ -98,7 +101,7 @@
 	})
 }
 
-// History reads the changes that the local replica still has one by one, on the goroutine of the replicas.
+// History passes the changes that the local replica still holds individually to done. It reads them on the goroutine of the replicas.
 func (t *peerTransport) History(key string, done func(replication.History)) {
 	t.manager.Replicas.Mailbox().Post(func() {
 		history := t.manager.Replicas.History(key)
@@ -106,8 +109,8 @@
 	})
 }
 
-// ReadLocal reads the snapshot of the local replica from the store, on a goroutine of its own, as that takes long for a
-// large key.
+// ReadLocal reads the snapshot of the local replica from the store. It does so on a goroutine of its own, because reading a large key takes
+// long.
 func (t *peerTransport) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	go func() {
 		snapshot, err := t.manager.Store.Read(key)
@@ -115,15 +118,15 @@
 	}()
 }
 
-// callPeer calls the steward of a disk on a goroutine of its own, and runs done on the engine's.
-func callPeer[Call, Answer any](t *peerTransport, disk, procedure string, limit time.Duration, call Call, done func(Answer, error)) {
-	address := t.manager.addressOf(disk)
+// callPeer calls the steward that has the disk, on a goroutine of its own, and runs done on the engine's goroutine.
+func callPeer[Call, Answer any](t *peerTransport, disk, procedure string, timeout time.Duration, call Call, done func(Answer, error)) {
+	address := t.manager.findAddress(disk)
 	go func() {
 		var answer Answer
 		err := errors.Annotatef(ErrUnknownDisk, "calling disk %s", disk)
 		if address != "" {
 			var response *Answer
-			if response, err = peerapi.Call[Call, Answer](t.ctx, t.manager.Caller, address, procedure, limit, &call); err == nil {
+			if response, err = peerapi.Call[Call, Answer](t.ctx, t.manager.Caller, address, procedure, timeout, &call); err == nil {
 				answer = *response
 			}
 		}
