--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -59,7 +59,7 @@
 	// only this process.
 	LeaderClient *leaderclient.Client
 	// Lots holds the dependencies of lots, nil in a process that keeps no lots. A process keeps either the lots or all other keys.
-	Lots *LotSurroundings
+	Lots *LotDependencies
 	// Coordination holds the time limits of the coordination partitions, nil in a process that keeps none.
 	Coordination *CoordinationTimes
 }
@@ -71,8 +71,8 @@
 	History, Release time.Duration
 }
 
-// LotSurroundings holds the dependencies of lots partitions, apart from their keys.
-type LotSurroundings struct {
+// LotDependencies holds the dependencies of lots partitions, apart from their keys.
+type LotDependencies struct {
 	// Executors returns the executors of a service.
 	Executors func(service string) []wire.ExecutorRecord
 	// Client calls executors.
--- a/internal/roles/storagemachine.go
+++ b/internal/roles/storagemachine.go
@@ -39,7 +39,7 @@
 	manager := controlkeys.New(controlkeys.Config{Clock: b.clock, Log: b.log, Store: kept.store,
 		MachineLosses: b.settings.FaultTolerance.MachineLosses, Name: b.settings.NodeName, Caller: b.caller, Node: b.node,
 		Configurations: configurations, Replicas: kept.replicas,
-		Lots: &controlkeys.LotSurroundings{Executors: openExecutors, Client: executorClient(), Retention: retention}})
+		Lots: &controlkeys.LotDependencies{Executors: openExecutors, Client: executorClient(), Retention: retention}})
 	manager.Handle(b.inner)
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current, Keys: manager.Beliefs})
 	evacuationview.Handle(b.inner, b.node.View, nil)
