--- a/internal/control/storage/configuration.go
+++ b/internal/control/storage/configuration.go
@@ -10,28 +10,28 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// SaveConfiguration keeps a committed configuration, so that this process knows it at its next start before any leader is elected. It is
-// no replica of the configuration's key. It returns after the sync.
+// SaveConfiguration stores a committed configuration, so that this process knows it after a restart even before a leader is elected. The
+// record is separate from the replica of the configuration's key. SaveConfiguration returns after the sync.
 func (s *Store) SaveConfiguration(committed *wire.Configuration) error {
-	text, err := easyjson.Marshal(committed)
+	encoded, err := easyjson.Marshal(committed)
 	if err != nil {
-		return errors.Annotatef(err, "writing version %d of the configuration", committed.Version)
+		return errors.Annotatef(err, "encoding version %d of the configuration", committed.Version)
 	}
-	return errors.Annotatef(s.putMeta(recordConfiguration, text), "keeping version %d of the configuration", committed.Version)
+	return errors.Annotatef(s.putMeta(recordConfiguration, encoded), "saving version %d of the configuration", committed.Version)
 }
 
-// Configuration gives the configuration that was saved last, nil on a disk that has none.
+// Configuration returns the configuration that was saved last, nil if none was saved.
 func (s *Store) Configuration() (*wire.Configuration, error) {
-	var text []byte
+	var encoded []byte
 	err := s.db.View(func(tx *bolt.Tx) error {
-		text = bytes.Clone(tx.Bucket(bucketMeta).Get(recordConfiguration))
+		encoded = bytes.Clone(tx.Bucket(bucketMeta).Get(recordConfiguration))
 		return nil
 	})
-	if err != nil || len(text) == 0 {
+	if err != nil || len(encoded) == 0 {
 		return nil, errors.Annotate(err, "reading the saved configuration")
 	}
 	saved := &wire.Configuration{}
-	if err := easyjson.Unmarshal(text, saved); err != nil {
+	if err := easyjson.Unmarshal(encoded, saved); err != nil {
 		return nil, errors.Annotate(err, "decoding the saved configuration")
 	}
 	return saved, nil
--- a/internal/control/storage/configuration_test.go
+++ b/internal/control/storage/configuration_test.go
@@ -8,8 +8,8 @@
 	"gannetline/internal/control/storage"
 )
 
-var _ = Describe("the configuration that was last in force", func() {
-	It("is none on a new disk, and outlives the process", func() {
+var _ = Describe("the saved configuration", func() {
+	It("is nil on a new disk, and is kept when the process ends", func() {
 		folder := GinkgoT().TempDir()
 		store, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
@@ -24,6 +24,6 @@
 		saved, err := store.Configuration()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(*saved).To(Equal(wire.Configuration{Version: 2, Body: []byte(`{"route-list":[]}`)}))
-		Expect(store.ReplicaStates()).To(BeEmpty(), "it is no replica")
+		Expect(store.ReplicaStates()).To(BeEmpty(), "the saved configuration is no replica")
 	})
 })
--- a/internal/control/storage/decide.go
+++ b/internal/control/storage/decide.go
@@ -2,16 +2,16 @@
 
 import "gannetline/internal/cluster/peerapi/wire"
 
-// PairUpdate is what a write does to the pairs of its key, in this order.
+// PairUpdate is the effect of a write on the pairs of its key. Clear is applied before Ops.
 type PairUpdate struct {
-	// Clear removes all pairs first.
+	// Clear removes all pairs of the key.
 	Clear bool
-	// Ops puts each pair, or removes it where the value is empty.
+	// Ops are applied in order. An op with an empty value deletes the pair, any other op sets it.
 	Ops []wire.Op
 }
 
-// Decide works out whether a replica in this state takes a write, its state afterwards, and the update of its pairs.
-// It is the only place where this is decided; the store and the simulated disks carry it out.
+// Decide decides whether a replica in the given state accepts a write, and returns the outcome with the new state and the update of the
+// pairs. It has no side effects. The store and the simulated disks share this decision and only apply its result.
 func Decide(state ReplicaState, write Write) (Outcome, PairUpdate) {
 	if isRefused(state, write) {
 		return Outcome{State: state}, PairUpdate{}
@@ -36,7 +36,8 @@
 	return Outcome{Taken: true, State: state}, update
 }
 
-// isRefused tells whether a write comes from an epoch that is over, or does not follow on what the replica holds.
+// isRefused reports whether a write has a stale epoch, asks for a promise that was given already, or does not continue the replica's log.
+// A snapshot is refused if it is older than what the replica holds.
 func isRefused(state ReplicaState, write Write) bool {
 	switch {
 	case write.Epoch < state.Promised:
--- a/internal/control/storage/export_test.go
+++ b/internal/control/storage/export_test.go
@@ -2,19 +2,19 @@
 
 import bolt "go.etcd.io/bbolt"
 
-// WithUpdate lets a test stand between the store and its transactions.
+// WithUpdate makes the store run its transactions through update, which gets bbolt's own Update function as run.
 func WithUpdate(update func(run func(func(tx *bolt.Tx) error) error, transaction func(tx *bolt.Tx) error) error) Option {
 	return func(s *Store) {
 		s.update = func(transaction func(tx *bolt.Tx) error) error { return update(s.db.Update, transaction) }
 	}
 }
 
-// WithSync lets a test stand between the store and the syncs that are no part of a transaction.
+// WithSync makes the store run the syncs outside transactions through sync, which gets bbolt's own Sync function as run.
 func WithSync(sync func(run func() error) error) Option {
 	return func(s *Store) { s.sync = func() error { return sync(s.db.Sync) } }
 }
 
-// WithoutRealSyncs has transactions not wait for the disk of the machine that runs a test which plays the syncs itself.
+// WithoutRealSyncs turns off the syncs of transactions, for tests that simulate the syncs.
 func WithoutRealSyncs() Option {
 	return func(s *Store) {
 		update := s.update
@@ -25,5 +25,5 @@
 	}
 }
 
-// WithInitialMap maps so much of the file at once, so that a small one already grows.
+// WithInitialMap sets the initial size of the memory map. With a small map even small files have to be remapped as they grow.
 func WithInitialMap(bytes int) Option { return func(s *Store) { s.initialMapBytes = bytes } }
--- a/internal/control/storage/files.go
+++ b/internal/control/storage/files.go
@@ -7,35 +7,37 @@
 	"github.com/juju/errors"
 )
 
-// Files is what Open needs of the file system. A file or folder that was made may be lost with the power until the
-// folder that it lies in has been synced.
+// Files is the part of the file system that Open uses. A loss of power may remove a new file or folder until the folder that contains it
+// has been synced.
 type Files interface {
-	// Exists tells whether there is a file or folder of that path.
+	// Exists reports whether a file or folder exists at the path.
 	Exists(path string) bool
-	// MakeFolder makes one folder; its parent must exist.
+	// MakeFolder creates one folder. The parent must exist.
 	MakeFolder(path string) error
-	// SyncFolder makes the names in a folder durable.
+	// SyncFolder makes the directory entries of a folder durable.
 	SyncFolder(path string) error
-	// OpenFile is os.OpenFile.
+	// OpenFile opens or creates a file, like os.OpenFile.
 	OpenFile(path string, flag int, mode os.FileMode) (*os.File, error)
-	// Size is that of a file in bytes, or below zero if there is no such file.
+	// Size returns the size of a file in bytes, a negative number if the file does not exist.
 	Size(path string) (int64, error)
-	// Remove is os.Remove.
+	// Remove deletes a file, like os.Remove.
 	Remove(path string) error
 }
 
+// osFiles is the file system of the operating system.
 type osFiles struct{}
 
-// Exists is false also if the path can't be looked up.
+// Exists also returns false if os.Stat fails for another reason than a missing path.
 func (osFiles) Exists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
 }
 
-// MakeFolder is os.Mkdir with mode 0755.
+// MakeFolder calls os.Mkdir with mode 0755.
 func (osFiles) MakeFolder(path string) error { return os.Mkdir(path, 0o755) }
 
-// SyncFolder opens the folder and syncs it. The errors are those of os, so that makeFolders can tell a lack of permission.
+// SyncFolder opens the folder and syncs it. It returns the errors of package os unchanged, so that makeFolders can detect a missing
+// permission.
 func (osFiles) SyncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -45,12 +47,12 @@
 	return folder.Sync()
 }
 
-// OpenFile is os.OpenFile.
+// OpenFile calls os.OpenFile.
 func (osFiles) OpenFile(path string, flag int, mode os.FileMode) (*os.File, error) {
 	return os.OpenFile(path, flag, mode)
 }
 
-// Size looks the path up.
+// Size returns the size that os.Stat reports, noFile if the file does not exist.
 func (osFiles) Size(path string) (int64, error) {
 	info, err := os.Stat(path)
 	switch {
@@ -62,32 +64,32 @@
 	return info.Size(), nil
 }
 
-// Remove is os.Remove.
+// Remove calls os.Remove.
 func (osFiles) Remove(path string) error { return os.Remove(path) }
 
 const (
-	// noFile is the size of a file that isn't there.
+	// noFile is the size that Files.Size returns for a missing file.
 	noFile = -1
-	// initialPages are the pages that bbolt writes into a new file, before the first transaction makes the file larger.
+	// initialPages is the number of pages that bbolt writes into a new file, before the first transaction grows the file.
 	initialPages = 4
 )
 
-// discardUnused removes a data file that no transaction was ever committed to: a first transaction makes the file larger, with a sync,
-// before it writes anything. Such a file may be the torn remains of a first opening that ended with a loss of power, which bbolt
-// can't read; nothing was ever answered from it.
-func discardUnused(files Files, path string) error {
+// removeUnusedFile removes a data file without any committed transaction. It recognizes such a file by its size, because the first
+// transaction grows the file and syncs it before it writes any page. If power is lost while the file is created, the file may be torn so
+// that bbolt can't read it. Removing it is safe, because the store has not answered any call from it.
+func removeUnusedFile(files Files, path string) error {
 	size, err := files.Size(path)
 	if err != nil {
-		return errors.Annotatef(err, "looking at %s", dataFile)
+		return errors.Annotatef(err, "reading the size of %s", dataFile)
 	}
 	if size == noFile || size > initialPages*int64(os.Getpagesize()) {
 		return nil
 	}
-	return errors.Annotatef(files.Remove(path), "removing an unused %s", dataFile)
+	return errors.Annotatef(files.Remove(path), "removing the unused file %s", dataFile)
 }
 
-// makeFolders makes a folder and its missing parents, the uppermost first, and syncs what holds each of them. What
-// holds the lowest one that was there is synced as well: an earlier process may have made it and ended before the sync.
+// makeFolders creates a folder and its missing parents, the uppermost first, and syncs the parent of each. It also syncs the parent of the
+// lowest folder that existed already, because an earlier process may have created that folder and ended before the sync.
 func makeFolders(files Files, folder string) error {
 	parent := filepath.Dir(folder)
 	exists := files.Exists(folder)
@@ -98,12 +100,12 @@
 	}
 	if !exists {
 		if err := files.MakeFolder(folder); err != nil && !os.IsExist(err) {
-			return errors.Annotate(err, "making the data directory")
+			return errors.Annotate(err, "creating the data directory")
 		}
 	}
 	err := files.SyncFolder(parent)
 	if exists && os.IsPermission(err) {
-		// Who may not even read the parent has not made this folder.
+		// A process without permission to read the parent can't have created this folder, so there is nothing to sync.
 		return nil
 	}
 	return errors.Annotatef(err, "syncing %s", parent)
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -14,17 +14,18 @@
 	"gannetline/internal/control/storage"
 )
 
-var errEnded = errors.New("the process ended here")
+var errEnded = errors.New("the simulated process has ended")
 
-// losingFiles is a file system that loses each entry whose folder was not synced after it was made.
+// losingFiles is a file system that loses on losePower each new file or folder whose parent was not synced after its creation.
 type losingFiles struct {
 	unsynced []string
-	// operationsLeft is how many more operations succeed before the process ends; below zero it never does.
+	// operationsLeft is the number of operations before the process ends. If it is negative, the process does not end.
 	operationsLeft int
-	// ignoresSyncs makes the syncs of folders do nothing.
+	// ignoresSyncs turns SyncFolder into a no-op.
 	ignoresSyncs bool
 }
 
+// countOperation returns errEnded once the process has no operations left.
 func (f *losingFiles) countOperation() error {
 	if f.operationsLeft == 0 {
 		return errEnded
@@ -50,13 +51,13 @@
 	if err := f.countOperation(); err != nil {
 		return err
 	}
-	var kept []string
+	var stillUnsynced []string
 	for _, entry := range f.unsynced {
 		if f.ignoresSyncs || filepath.Dir(entry) != path {
-			kept = append(kept, entry)
+			stillUnsynced = append(stillUnsynced, entry)
 		}
 	}
-	f.unsynced = kept
+	f.unsynced = stillUnsynced
 	return nil
 }
 
@@ -85,7 +86,7 @@
 	return os.Remove(path)
 }
 
-// losePower takes away what was not synced.
+// losePower removes all files and folders whose parent was not synced.
 func (f *losingFiles) losePower() {
 	for _, entry := range f.unsynced {
 		Expect(os.RemoveAll(entry)).To(Succeed())
@@ -109,7 +110,7 @@
 		return store.Disk(), after
 	}
 
-	It("keeps a promise, with all folders that were made for it", func() {
+	It("include the promise and all new folders", func() {
 		before, after := promiseAndLosePower(&losingFiles{operationsLeft: -1})
 		Expect(after.Disk()).To(Equal(before))
 		states, err := after.ReplicaStates()
@@ -117,12 +118,12 @@
 		Expect(states["k"].Promised).To(Equal(uint64(3)))
 	})
 
-	It("would lose the replica if the folders were not synced", func() {
+	It("are lost if the folders were not synced", func() {
 		before, after := promiseAndLosePower(&losingFiles{operationsLeft: -1, ignoresSyncs: true})
 		Expect(after.Disk()).NotTo(Equal(before))
 	})
 
-	It("keeps a promise after an earlier process ended anywhere within its first opening", func() {
+	It("include the promise if an earlier process ended at any operation of its first Open", func() {
 		for count := range 20 {
 			folder = filepath.Join(GinkgoT().TempDir(), "var", "lib", "keys")
 			files := &losingFiles{operationsLeft: count}
@@ -135,14 +136,16 @@
 		}
 	})
 
-	It("says which step failed", func() {
+	It("are opened with an error that names the failed step", func() {
 		_, err := storage.Open(folder, storage.WithFiles(&losingFiles{operationsLeft: 2}))
 		Expect(err).To(MatchError(ContainSubstring("syncing " + filepath.Dir(filepath.Dir(filepath.Dir(folder))))))
 	})
 })
 
-var _ = Describe("a transaction whose end is unclear", func() {
-	It("is looked at again before anything is answered on top of it", func() {
+// A transaction whose sync failed may be in the file or not. If the store answered a later write without another sync, a loss of power could
+// remove both.
+var _ = Describe("a failed transaction", func() {
+	It("is followed by another sync and a successful transaction before the next write is answered", func() {
 		var failures, attempts int
 		isWritten := true
 		update := func(run func(func(tx *bolt.Tx) error) error, transaction func(tx *bolt.Tx) error) error {
@@ -161,7 +164,7 @@
 		DeferCleanup(func() { store.Close() })
 		first := storage.Write{Key: "k", Epoch: 1, Changes: []wire.Change{change(1, 1, "a", "1")}}
 
-		By("a transaction that is in the file though its sync failed")
+		By("the failed transaction is in the file")
 		failures = 1
 		outcome := write(store, first)
 		Expect(outcome.Err).To(MatchError(ContainSubstring("the sync failed")))
@@ -170,7 +173,7 @@
 		Expect(write(store, first).State.Last).To(Equal(at(1, 1)))
 		Expect(attempts).To(Equal(2))
 
-		By("one that is not, with a second failure while the first is looked into")
+		By("the failed transaction is not in the file, and the store fails again while it resolves the first failure")
 		isWritten = false
 		failures = 2
 		second := storage.Write{Key: "k", Epoch: 1, Prev: at(1, 1), Changes: []wire.Change{change(1, 2, "b", "2")}}
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the form of a replica's state on disk is kept",
+var _ = DescribeTable("the stored format of a replica's state is unchanged",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
--- a/internal/control/storage/lossydisk_test.go
+++ b/internal/control/storage/lossydisk_test.go
@@ -18,10 +18,10 @@
 	dataFile    = "keys.db"
 )
 
-// pageBytes is the size of the data file's pages; the first two hold the metas.
+// pageBytes is the size of the data file's pages. The first two pages are bbolt's meta pages.
 var pageBytes = os.Getpagesize()
 
-// pageWrite is a write to a page that no sync has covered yet.
+// pageWrite is a write to a page that is not synced yet.
 type pageWrite struct {
 	offset int
 	after  []byte
@@ -29,23 +29,23 @@
 
 func (w pageWrite) isMeta() bool { return w.offset < 2*pageBytes }
 
-// lossyFile is the data file as a loss of power may leave it: what the last sync covered, and the writes since, in their order.
+// lossyFile simulates the data file on a disk that may lose unsynced writes: the contents at the last sync, and the later writes in order.
 type lossyFile struct {
 	durable []byte
 	pending []pageWrite
-	// size is that of the file as the process sees it.
+	// size is the file size that the process sees.
 	size int
-	// acceptsTornMetas makes the checksum of each torn meta fit, as if it were not looked at.
+	// acceptsTornMetas gives torn meta pages a valid checksum, as if bbolt did not check it.
 	acceptsTornMetas bool
 }
 
-// sync makes everything durable.
+// sync makes all pending writes durable.
 func (f *lossyFile) sync() {
 	f.durable = f.cached()
 	f.pending = nil
 }
 
-// cached is the file as a process sees it, with all writes.
+// cached returns the contents that a process sees, including pending writes.
 func (f *lossyFile) cached() []byte {
 	image := make([]byte, f.size)
 	copy(image, f.durable)
@@ -55,81 +55,81 @@
 	return image
 }
 
-// losePower keeps what was synced; of each later write all, nothing or a part, now and then nothing of any.
-func (f *lossyFile) losePower(draw *rand.Rand) {
-	image := make([]byte, max(len(f.durable), draw.IntN(2)*f.size))
+// losePower keeps what was synced. Of each pending write it keeps all, a part or nothing at random. In a quarter of the cases it drops all
+// pending writes.
+func (f *lossyFile) losePower(random *rand.Rand) {
+	image := make([]byte, max(len(f.durable), random.IntN(2)*f.size))
 	copy(image, f.durable)
-	takesAllAway := draw.IntN(4) == 0
+	dropsAll := random.IntN(4) == 0
 	for _, write := range f.pending {
-		if takesAllAway || write.offset+len(write.after) > len(image) {
+		if dropsAll || write.offset+len(write.after) > len(image) {
 			continue
 		}
 		before := slices.Clone(image[write.offset : write.offset+len(write.after)])
-		torn := tear(draw, before, write.after)
+		torn := tear(random, before, write.after)
 		if f.acceptsTornMetas && write.isMeta() && !bytes.Equal(torn, before) && !bytes.Equal(torn, write.after) {
-			fitChecksum(torn)
+			writeChecksum(torn)
 		}
 		copy(image[write.offset:], torn)
 	}
 	*f = lossyFile{durable: image, size: len(image), acceptsTornMetas: f.acceptsTornMetas}
 }
 
-// tear gives what a loss of power leaves of a page that was being written.
-func tear(draw *rand.Rand, before, after []byte) []byte {
+// tear returns what a loss of power leaves of a page write, from nothing to everything.
+func tear(random *rand.Rand, before, after []byte) []byte {
 	torn := slices.Clone(before)
-	switch draw.IntN(6) {
+	switch random.IntN(6) {
 	case 0:
 	case 1:
 		copy(torn, after)
 	case 2:
 		for at := 0; at < len(after); at += sectorBytes {
-			if draw.IntN(2) == 0 {
+			if random.IntN(2) == 0 {
 				copy(torn[at:at+sectorBytes], after[at:])
 			}
 		}
 	case 3:
-		copy(torn[:draw.IntN(len(after))], after)
-	// The head of a page holds a meta; the last two often tear it in its midst.
+		copy(torn[:random.IntN(len(after))], after)
+	// A meta lies at the start of its page. The last two cases often tear the page within the meta.
 	case 4:
-		copy(torn[:draw.IntN(128)], after)
+		copy(torn[:random.IntN(128)], after)
 	default:
-		start := draw.IntN(128)
+		start := random.IntN(128)
 		copy(torn[start:], after[start:])
 	}
 	return torn
 }
 
-// The place of the checksum in a page with a meta, behind the page's header and the fields that it covers.
+// The offsets in a meta page: the meta follows the page header, and the checksum follows the fields that it covers.
 const (
 	metaStart     = 16
 	checksumStart = metaStart + 56
 )
 
-// fitChecksum writes the checksum that fits a meta.
-func fitChecksum(page []byte) {
+// writeChecksum updates the checksum of a meta page.
+func writeChecksum(page []byte) {
 	sum := fnv.New64a()
 	sum.Write(page[metaStart:checksumStart])
 	binary.NativeEndian.PutUint64(page[checksumStart:], sum.Sum64())
 }
 
-// commitSteps are the writes of a transaction: bbolt makes the file larger and syncs that, writes data pages and syncs them, and
-// writes a meta and syncs it.
+// commitSteps are the steps of a bbolt transaction: grow the file and sync, write the data pages and sync, write a meta page and sync.
 type commitSteps struct {
 	size int
 	data []pageWrite
 	meta []pageWrite
 }
 
-// stepsBetween works out a transaction from the file before and after it.
-func stepsBetween(before, after []byte) commitSteps {
+// diffSteps derives the steps of a transaction from the file contents before and after it.
+func diffSteps(before, after []byte) commitSteps {
 	steps := commitSteps{size: len(after)}
 	for offset := 0; offset < len(after); offset += pageBytes {
 		page := after[offset:min(offset+pageBytes, len(after))]
-		var former []byte
+		var previous []byte
 		if offset < len(before) {
-			former = before[offset:min(offset+pageBytes, len(before))]
+			previous = before[offset:min(offset+pageBytes, len(before))]
 		}
-		if bytes.Equal(page, former) || former == nil && !slices.ContainsFunc(page, func(b byte) bool { return b != 0 }) {
+		if bytes.Equal(page, previous) || previous == nil && !slices.ContainsFunc(page, func(b byte) bool { return b != 0 }) {
 			continue
 		}
 		write := pageWrite{offset, slices.Clone(page)}
@@ -142,8 +142,8 @@
 	return steps
 }
 
-// apply carries out the steps up to a moment of the transaction.
-func (s commitSteps) apply(file *lossyFile, until commitMoment, draw *rand.Rand) {
+// apply applies the steps to a file up to a moment of the transaction.
+func (s commitSteps) apply(file *lossyFile, until commitMoment, random *rand.Rand) {
 	file.size = max(file.size, s.size)
 	if until == whileGrowing {
 		return
@@ -153,7 +153,7 @@
 	}
 	data := slices.Clone(s.data)
 	if until == whileWritingData {
-		data = data[:draw.IntN(len(data)+1)]
+		data = data[:random.IntN(len(data)+1)]
 	}
 	file.pending = append(file.pending, data...)
 	if until == whileWritingData {
@@ -167,7 +167,7 @@
 	file.sync()
 }
 
-// commitMoment is a moment of a transaction.
+// commitMoment is a moment of a transaction at which a process may end.
 type commitMoment int
 
 const (
@@ -175,11 +175,12 @@
 	whileWritingData
 	whileWritingMeta
 	afterCommit
+	// commitMoments is the number of moments.
 	commitMoments
 )
 
-// read reads the data file of a folder; it is empty if there is none.
-func read(folder string) []byte {
+// readDataFile returns the contents of the data file in a folder, nil if there is none.
+func readDataFile(folder string) []byte {
 	image, err := os.ReadFile(filepath.Join(folder, dataFile))
 	if err != nil && !os.IsNotExist(err) {
 		panic(err)
@@ -187,8 +188,8 @@
 	return image
 }
 
-// sortedPairs are pairs as the store reads them.
-func sortedPairs(pairs map[string][]byte) []wire.Op {
+// sortPairs returns pairs in the order in which Store.Read returns them.
+func sortPairs(pairs map[string][]byte) []wire.Op {
 	var sorted []wire.Op
 	for _, name := range slices.Sorted(maps.Keys(pairs)) {
 		sorted = append(sorted, wire.Op{Name: name, Value: pairs[name]})
@@ -196,6 +197,6 @@
 	return sorted
 }
 
-func sameState(a, b wire.Snapshot) bool {
+func isSameState(a, b wire.Snapshot) bool {
 	return a.Last == b.Last && slices.EqualFunc(a.Pairs, b.Pairs, func(a, b wire.Op) bool { return a.Name == b.Name && bytes.Equal(a.Value, b.Value) })
 }
--- a/internal/control/storage/metrics.go
+++ b/internal/control/storage/metrics.go
@@ -13,8 +13,8 @@
 	commitSeconds    = metrics.NewHistogram("gannetline_store_commit_seconds")
 )
 
-// takenBytes sums up the writes that were not refused.
-func takenBytes(batch []queuedWrite, outcomes []Outcome) int {
+// sumAcceptedBytes returns the record bytes of the writes that were not refused.
+func sumAcceptedBytes(batch []queuedWrite, outcomes []Outcome) int {
 	total := 0
 	for index, queued := range batch {
 		if outcomes[index].Taken {
@@ -24,19 +24,19 @@
 	return total
 }
 
-// recordBytes are those of names and values, before the store makes pages of them.
+// recordBytes returns the size of the names and values of a write. The pages that the store writes for them are larger.
 func (w Write) recordBytes() int {
 	total := 0
 	for _, change := range w.Changes {
-		total += sizeOf(change.Ops)
+		total += countBytes(change.Ops)
 	}
 	if w.Snapshot != nil {
-		total += sizeOf(w.Snapshot.Pairs)
+		total += countBytes(w.Snapshot.Pairs)
 	}
 	return total
 }
 
-func sizeOf(ops []wire.Op) int {
+func countBytes(ops []wire.Op) int {
 	total := 0
 	for _, op := range ops {
 		total += len(op.Name) + len(op.Value)
--- a/internal/control/storage/peers.go
+++ b/internal/control/storage/peers.go
@@ -7,12 +7,12 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// SavePeers keeps the control addresses of other stewards, the best known first; it returns after the sync.
+// SavePeers stores the control addresses of other stewards, the best known first. It returns after the sync.
 func (s *Store) SavePeers(addresses []string) error {
-	return errors.Annotate(s.putMeta(recordPeers, []byte(strings.Join(addresses, "\n"))), "keeping the addresses of peers")
+	return errors.Annotate(s.putMeta(recordPeers, []byte(strings.Join(addresses, "\n"))), "saving the addresses of peers")
 }
 
-// putMeta writes a record that belongs to no key; it returns after the sync.
+// putMeta writes a record of the meta bucket, which belongs to no key. It returns after the sync.
 func (s *Store) putMeta(record, value []byte) error {
 	outcomes := make(chan Outcome, 1)
 	put := func(tx *bolt.Tx) (Outcome, error) {
@@ -23,7 +23,7 @@
 	return outcome.Err
 }
 
-// Peers gives the addresses that were saved last; there are none on a new disk.
+// Peers returns the addresses that were saved last, none on a new disk.
 func (s *Store) Peers() ([]string, error) {
 	var addresses []string
 	err := s.db.View(func(tx *bolt.Tx) error {
--- a/internal/control/storage/peers_test.go
+++ b/internal/control/storage/peers_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("the addresses of peers", func() {
-	It("are none on a new disk, and outlive the process", func() {
+	It("are empty on a new disk, and are kept when the process ends", func() {
 		folder := GinkgoT().TempDir()
 		store, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/control/storage/powerloss_faults_test.go
+++ b/internal/control/storage/powerloss_faults_test.go
@@ -15,59 +15,61 @@
 )
 
 const (
-	// faultVariable has the test binary play losses with an injected fault, and nothing else.
+	// faultVariable names an environment variable. If it holds the number of a fault, the test binary only runs the simulation with that
+	// injected fault.
 	faultVariable = "STORAGE_TEST_FAULT"
-	// exitFound and exitNotFound are the statuses of such a process.
+	// exitFound and exitNotFound are the exit statuses of such a process: the simulation has found the fault or has not.
 	exitFound    = 10
 	exitNotFound = 11
-	// readerPanic is what a crash of the goroutine that checks a file's pages names.
+	// readerPanic appears in the stack trace if the goroutine of bbolt that checks the pages of a file crashes.
 	readerPanic = "go.etcd.io/bbolt.(*Tx).recursivelyCheckBucket"
 )
 
-// TestMain plays losses with a fault where it is asked to.
+// TestMain runs the tests, or only the simulation with an injected fault if faultVariable is set.
 func TestMain(m *testing.M) {
 	number, err := strconv.Atoi(os.Getenv(faultVariable))
 	if err != nil {
 		os.Exit(m.Run())
 	}
 	RegisterFailHandler(func(message string, _ ...int) { panic(message) })
-	if playLosses(lossesInCI, injectedFault(number)) != nil {
+	if simulateLosses(lossesInCI, injectedFault(number)) != nil {
 		os.Exit(exitFound)
 	}
 	os.Exit(exitNotFound)
 }
 
-// playedApart plays losses with a fault in a process of its own, and tells whether the fault was found. Files whose pages contradict each
-// other are checked by a goroutine of bbolt, which goes on reading after the opening has failed, and then may end the process: that is found,
-// too. The race detector reports such reading now and then, so CI runs these specs in a step of its own, without it.
-func playedApart(fault injectedFault) (isFound bool, problem string) {
+// findsFaultInSubprocess runs the simulation with an injected fault in a separate process and reports whether the simulation found the fault.
+// If pages contradict each other, a goroutine of bbolt that checks the pages may go on reading after bbolt.Open has failed, and crash the
+// process. Such a crash counts as found. The race detector sometimes reports these reads, so CI runs these specs in a separate step without
+// it.
+func findsFaultInSubprocess(fault injectedFault) (isFound bool, problem string) {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), fmt.Sprintf("%s=%d", faultVariable, fault))
-	text, err := command.CombinedOutput()
+	output, err := command.CombinedOutput()
 	switch command.ProcessState.ExitCode() {
 	case exitFound:
 		return true, ""
 	case exitNotFound:
 		return false, "nothing was found"
 	}
-	if bytes.Contains(text, []byte(readerPanic)) {
+	if bytes.Contains(output, []byte(readerPanic)) {
 		return true, ""
 	}
-	return false, fmt.Sprintf("%v: %s", err, text)
+	return false, fmt.Sprintf("%v: %s", err, output)
 }
 
-var _ = Describe("a store with an injected fault, on a disk that loses what was not synced,", func() {
-	DescribeTable("is found out if it", func(fault injectedFault) {
-		isFound, problem := playedApart(fault)
+var _ = Describe("the power loss simulation with an injected fault", func() {
+	DescribeTable("finds a store that", func(fault injectedFault) {
+		isFound, problem := findsFaultInSubprocess(fault)
 		Expect(isFound).To(BeTrue(), problem)
 	},
 		Entry("answers before the sync", answersBeforeSync),
-		Entry("takes a torn meta", takesTornMetas),
-		Entry("goes on after a failed sync without another", goesOnUnsynced),
+		Entry("accepts a torn meta page", ignoresMetaChecksum),
+		Entry("continues after a failed sync without another sync", skipsSyncAfterFailure),
 	)
 
-	It("finds nothing without one", func() {
-		isFound, problem := playedApart(noFault)
+	It("finds nothing if no fault is injected", func() {
+		isFound, problem := findsFaultInSubprocess(noFault)
 		Expect(isFound).To(BeFalse())
 		Expect(problem).To(Equal("nothing was found"))
 	})
--- a/internal/control/storage/powerloss_test.go
+++ b/internal/control/storage/powerloss_test.go
@@ -16,37 +16,38 @@
 	"gannetline/internal/control/storage"
 )
 
-// lossesInCI is how many losses CI plays; STORAGE_LOSSES names another number.
+// lossesInCI is the number of power losses that CI simulates. The environment variable STORAGE_LOSSES overrides it.
 const lossesInCI = 1000
 
-func lossesToPlay() int {
+func readLossCount() int {
 	if count, err := strconv.Atoi(os.Getenv("STORAGE_LOSSES")); err == nil {
 		return count
 	}
 	return lossesInCI
 }
 
-// injectedFault is something that the losses have to find.
+// injectedFault is a fault of the store that the simulation has to find.
 type injectedFault int
 
 const (
 	noFault injectedFault = iota
-	// answersBeforeSync takes a write for answered once its pages are written.
+	// answersBeforeSync treats a write as answered as soon as its pages are written.
 	answersBeforeSync
-	// takesTornMetas takes a meta whose checksum does not fit.
-	takesTornMetas
-	// goesOnUnsynced lets the store go on after a failed sync as if it had succeeded.
-	goesOnUnsynced
+	// ignoresMetaChecksum accepts a meta page with a wrong checksum.
+	ignoresMetaChecksum
+	// skipsSyncAfterFailure lets the store continue after a failed sync as if that had succeeded.
+	skipsSyncAfterFailure
 )
 
-// lossWorld is one disk that loses power, is killed or fails a sync, again and again.
-type lossWorld struct {
-	draw  *rand.Rand
-	fault injectedFault
-	file  *lossyFile
-	// disk is the name that the disk got; it is empty until an opening has returned.
+// lossSimulation runs one process after another on a disk. Each process ends by a loss of power or a kill, and syncs may fail.
+type lossSimulation struct {
+	random *rand.Rand
+	fault  injectedFault
+	file   *lossyFile
+	// disk is the name of the disk, empty until an Open has succeeded.
 	disk string
-	// answered is the state that was answered last, and inFlight the one that the write without an answer, if any, leads to.
+	// answered is the state after the last answered write. unanswered is the write in flight, nil if there is none, and inFlight is the
+	// state after it.
 	answered   wire.Snapshot
 	unanswered *storage.Write
 	inFlight   wire.Snapshot
@@ -54,18 +55,18 @@
 	losses     int
 }
 
-func newLossWorld(seed uint64, fault injectedFault) *lossWorld {
-	return &lossWorld{draw: rand.New(rand.NewPCG(seed, 1)), fault: fault, file: &lossyFile{acceptsTornMetas: fault == takesTornMetas}}
+func newLossSimulation(seed uint64, fault injectedFault) *lossSimulation {
+	return &lossSimulation{random: rand.New(rand.NewPCG(seed, 1)), fault: fault, file: &lossyFile{acceptsTornMetas: fault == ignoresMetaChecksum}}
 }
 
 const (
-	// errTorn ends a process at a moment of a transaction.
-	errTorn       = errors.ConstError("the process ended here")
-	errSyncFailed = errors.ConstError("the sync failed")
+	// errProcessEnded is the error of each transaction and sync after the simulated process has ended.
+	errProcessEnded = errors.ConstError("the simulated process has ended")
+	errSyncFailed   = errors.ConstError("the sync failed")
 )
 
-// playProcess starts a process on the disk, lets it write for a while and ends it; an error says what it found wrong.
-func (w *lossWorld) playProcess() (err error) {
+// runProcess starts a process on the disk, lets it write for a while and ends it. An error describes a violation of durability.
+func (s *lossSimulation) runProcess() (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = errors.Errorf("the file is corrupt: %v", cause)
@@ -76,12 +77,12 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	if w.file.size > 0 {
-		if err := os.WriteFile(filepath.Join(folder, dataFile), w.file.cached(), 0o600); err != nil {
+	if s.file.size > 0 {
+		if err := os.WriteFile(filepath.Join(folder, dataFile), s.file.cached(), 0o600); err != nil {
 			return err
 		}
 	}
-	process := &lossProcess{world: w, folder: folder, endsAt: w.draw.IntN(12), moment: commitMoment(w.draw.IntN(int(commitMoments)))}
+	process := &lossProcess{simulation: s, folder: folder, transactionsLeft: s.random.IntN(12), moment: commitMoment(s.random.IntN(int(commitMoments)))}
 	store, err := storage.Open(folder, storage.WithUpdate(process.update), storage.WithoutRealSyncs(),
 		storage.WithSync(process.sync), storage.WithInitialMap(pageBytes))
 	if process.hasEnded || errors.Is(err, errSyncFailed) {
@@ -91,55 +92,56 @@
 		return err
 	}
 	defer store.Close()
-	if err := w.check(store); err != nil {
+	if err := s.check(store); err != nil {
 		return err
 	}
 	for !process.hasEnded {
-		w.writeOnce(store)
+		s.writeOnce(store)
 	}
 	return nil
 }
 
-// writeOnce has the store write something, and notes what it answered. What was not answered is written again, as its leader does.
-func (w *lossWorld) writeOnce(store *storage.Store) {
-	if w.unanswered == nil {
-		next := w.nextWrite()
-		w.unanswered, w.inFlight = &next, after(w.answered, next)
+// writeOnce submits a write and records whether it was answered. It repeats an unanswered write, as a leader does.
+func (s *lossSimulation) writeOnce(store *storage.Store) {
+	if s.unanswered == nil {
+		next := s.drawWrite()
+		s.unanswered, s.inFlight = &next, applyWrite(s.answered, next)
 	}
-	outcome := write(store, *w.unanswered)
-	if outcome.Err == nil || w.fault == answersBeforeSync {
-		w.answered, w.unanswered = w.inFlight, nil
+	outcome := write(store, *s.unanswered)
+	if outcome.Err == nil || s.fault == answersBeforeSync {
+		s.answered, s.unanswered = s.inFlight, nil
 	}
 }
 
-// nextWrite is a change of some pairs, of sizes that make the file grow now and then, or a snapshot in place of all pairs.
-func (w *lossWorld) nextWrite() storage.Write {
-	if w.draw.IntN(10) == 0 {
-		w.epoch++
+// drawWrite returns a random change of some pairs, or a snapshot that replaces all pairs. The values are large enough to make the file grow
+// now and then.
+func (s *lossSimulation) drawWrite() storage.Write {
+	if s.random.IntN(10) == 0 {
+		s.epoch++
 	}
-	position := wire.LogPosition{Epoch: w.epoch, Index: w.answered.Last.Index + 1}
-	if w.draw.IntN(12) == 0 {
-		w.epoch++
-		position.Epoch = w.epoch
-		return storage.Write{Key: "k", Epoch: w.epoch, Snapshot: &wire.Snapshot{Last: position, Pairs: w.ops(w.draw.IntN(30))}}
+	position := wire.LogPosition{Epoch: s.epoch, Index: s.answered.Last.Index + 1}
+	if s.random.IntN(12) == 0 {
+		s.epoch++
+		position.Epoch = s.epoch
+		return storage.Write{Key: "k", Epoch: s.epoch, Snapshot: &wire.Snapshot{Last: position, Pairs: s.ops(s.random.IntN(30))}}
 	}
-	return storage.Write{Key: "k", Epoch: w.epoch, Prev: w.answered.Last, Changes: []wire.Change{{Position: position, Ops: w.ops(1 + w.draw.IntN(8))}}}
+	return storage.Write{Key: "k", Epoch: s.epoch, Prev: s.answered.Last, Changes: []wire.Change{{Position: position, Ops: s.ops(1 + s.random.IntN(8))}}}
 }
 
-func (w *lossWorld) ops(count int) []wire.Op {
+func (s *lossSimulation) ops(count int) []wire.Op {
 	var ops []wire.Op
 	for range count {
-		value := make([]byte, w.draw.IntN(400))
+		value := make([]byte, s.random.IntN(400))
 		for index := range value {
-			value[index] = byte(w.draw.IntN(256))
+			value[index] = byte(s.random.IntN(256))
 		}
-		ops = append(ops, wire.Op{Name: fmt.Sprintf("r/%03d", w.draw.IntN(120)), Value: value})
+		ops = append(ops, wire.Op{Name: fmt.Sprintf("r/%03d", s.random.IntN(120)), Value: value})
 	}
 	return ops
 }
 
-// after is the state that a write leads to.
-func after(state wire.Snapshot, write storage.Write) wire.Snapshot {
+// applyWrite returns the state after a write.
+func applyWrite(state wire.Snapshot, write storage.Write) wire.Snapshot {
 	pairs := map[string][]byte{}
 	put := func(ops []wire.Op) {
 		for _, op := range ops {
@@ -160,75 +162,76 @@
 		put(change.Ops)
 		last = change.Position
 	}
-	return wire.Snapshot{Last: last, Pairs: sortedPairs(pairs)}
+	return wire.Snapshot{Last: last, Pairs: sortPairs(pairs)}
 }
 
-// check compares what the store holds with what was answered: it must be that, or what was in flight beyond it.
-func (w *lossWorld) check(store *storage.Store) error {
-	if w.disk != "" && store.Disk() != w.disk {
-		return errors.Errorf("the disk is another: %s in place of %s", store.Disk(), w.disk)
+// check compares the contents of the store with the answered writes. The store must hold either the answered state or the state after the
+// write in flight.
+func (s *lossSimulation) check(store *storage.Store) error {
+	if s.disk != "" && store.Disk() != s.disk {
+		return errors.Errorf("the name of the disk has changed: %s instead of %s", store.Disk(), s.disk)
 	}
-	w.disk = store.Disk()
+	s.disk = store.Disk()
 	found, err := store.Read("k")
 	if err != nil {
 		return err
 	}
-	isInFlight := w.unanswered != nil && sameState(found, w.inFlight)
-	if !sameState(found, w.answered) && !isInFlight {
-		return errors.Errorf("after %d losses: found %v with %d records, answered %v with %d, in flight: %t", w.losses, found.Last, len(found.Pairs),
-			w.answered.Last, len(w.answered.Pairs), w.unanswered != nil)
+	isInFlight := s.unanswered != nil && isSameState(found, s.inFlight)
+	if !isSameState(found, s.answered) && !isInFlight {
+		return errors.Errorf("after %d losses: found %v with %d records, answered %v with %d, in flight: %t", s.losses, found.Last, len(found.Pairs),
+			s.answered.Last, len(s.answered.Pairs), s.unanswered != nil)
 	}
-	if isInFlight || w.draw.IntN(2) == 0 {
-		w.answered, w.unanswered = found, nil
+	if isInFlight || s.random.IntN(2) == 0 {
+		s.answered, s.unanswered = found, nil
 	}
 	return nil
 }
 
-// lossProcess is one life of the store's process. It ends at a moment of one of its transactions.
+// lossProcess is one process of the store. It ends during or after one of its transactions.
 type lossProcess struct {
-	world  *lossWorld
-	folder string
-	// endsAt counts the transactions that are left; moment is that of the last one.
-	endsAt   int
-	moment   commitMoment
-	hasEnded bool
+	simulation *lossSimulation
+	folder     string
+	// transactionsLeft is the number of transactions before the last one. The process ends at the given moment of the last one.
+	transactionsLeft int
+	moment           commitMoment
+	hasEnded         bool
 }
 
-// update plays a transaction: it is carried out in the file and then repeated on the lossy one, up to the moment at which the
-// process ends or its sync fails.
+// update simulates a transaction. It runs the transaction on the real file and then repeats its steps on the lossy file, up to the moment at
+// which the process ends or the sync fails.
 func (p *lossProcess) update(run func(func(tx *bolt.Tx) error) error, transaction func(tx *bolt.Tx) error) error {
 	if p.hasEnded {
-		return errTorn
+		return errProcessEnded
 	}
-	file, draw := p.world.file, p.world.draw
-	before := read(p.folder)
-	p.noteInit(before)
+	file, random := p.simulation.file, p.simulation.random
+	before := readDataFile(p.folder)
+	p.simulateFileCreation(before)
 	if p.hasEnded {
-		return errTorn
+		return errProcessEnded
 	}
 	if err := run(transaction); err != nil {
 		return err
 	}
-	steps := stepsBetween(before, read(p.folder))
-	if p.endsAt > 0 {
-		p.endsAt--
-		if draw.IntN(8) == 0 {
+	steps := diffSteps(before, readDataFile(p.folder))
+	if p.transactionsLeft > 0 {
+		p.transactionsLeft--
+		if random.IntN(8) == 0 {
 			return p.failSync(steps)
 		}
-		steps.apply(file, afterCommit, draw)
+		steps.apply(file, afterCommit, random)
 		return nil
 	}
-	steps.apply(file, p.moment, draw)
+	steps.apply(file, p.moment, random)
 	p.end()
 	if p.moment == afterCommit {
 		return nil
 	}
-	return errTorn
+	return errProcessEnded
 }
 
-// noteInit plays the first opening, which writes four pages into a file that is empty.
-func (p *lossProcess) noteInit(image []byte) {
-	file := p.world.file
+// simulateFileCreation repeats on the lossy file the four pages that bbolt writes into a new file. The process may end before their sync.
+func (p *lossProcess) simulateFileCreation(image []byte) {
+	file := p.simulation.file
 	if file.size > 0 {
 		return
 	}
@@ -236,56 +239,56 @@
 	for offset := 0; offset < len(image); offset += pageBytes {
 		file.pending = append(file.pending, pageWrite{offset, image[offset : offset+pageBytes]})
 	}
-	if p.endsAt == 0 && p.world.draw.IntN(3) == 0 {
+	if p.transactionsLeft == 0 && p.simulation.random.IntN(3) == 0 {
 		p.end()
 		return
 	}
 	file.sync()
 }
 
-// failSync plays a transaction whose last sync fails: its meta is in the file, and not durable.
+// failSync simulates a transaction whose last sync fails: its meta page is in the file but not durable.
 func (p *lossProcess) failSync(steps commitSteps) error {
-	steps.apply(p.world.file, whileWritingMeta, p.world.draw)
+	steps.apply(p.simulation.file, whileWritingMeta, p.simulation.random)
 	return errSyncFailed
 }
 
-// sync plays a sync that belongs to no transaction.
+// sync simulates a sync outside a transaction.
 func (p *lossProcess) sync(run func() error) error {
 	switch {
 	case p.hasEnded:
-		return errTorn
-	case p.world.fault == goesOnUnsynced:
+		return errProcessEnded
+	case p.simulation.fault == skipsSyncAfterFailure:
 		return nil
 	}
-	p.world.file.sync()
+	p.simulation.file.sync()
 	return run()
 }
 
-// end ends the process, by a loss of power or else by a kill, which leaves the file as the process saw it.
+// end ends the process by a loss of power or by a kill. A kill leaves the file as the process saw it.
 func (p *lossProcess) end() {
 	p.hasEnded = true
-	if p.world.draw.IntN(3) > 0 {
-		p.world.losses++
-		p.world.file.losePower(p.world.draw)
+	if p.simulation.random.IntN(3) > 0 {
+		p.simulation.losses++
+		p.simulation.file.losePower(p.simulation.random)
 	}
 }
 
-// playLosses plays losses on a few disks, and gives the first error.
-func playLosses(losses int, fault injectedFault) error {
+// simulateLosses runs simulations with different seeds until the given number of power losses is reached, and returns the first error.
+func simulateLosses(losses int, fault injectedFault) error {
 	for seed := uint64(1); losses > 0; seed++ {
-		world := newLossWorld(seed, fault)
+		simulation := newLossSimulation(seed, fault)
 		for range 40 {
-			if err := world.playProcess(); err != nil {
+			if err := simulation.runProcess(); err != nil {
 				return errors.Annotatef(err, "seed %d", seed)
 			}
 		}
-		losses -= world.losses
+		losses -= simulation.losses
 	}
 	return nil
 }
 
-var _ = Describe("the store on a disk that loses what was not synced", func() {
-	It("holds whatever it has answered, after any number of losses, kills and failed syncs", func() {
-		Expect(playLosses(lossesToPlay(), noFault)).To(Succeed())
+var _ = Describe("the store on a disk that loses unsynced writes", func() {
+	It("holds all answered writes after power losses, kills and failed syncs", func() {
+		Expect(simulateLosses(readLossCount(), noFault)).To(Succeed())
 	})
 })
--- a/internal/control/storage/read.go
+++ b/internal/control/storage/read.go
@@ -10,30 +10,30 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// readState gives the state of a key's replica, an empty one if there is none.
+// readState returns the state of a key's replica, an empty state if the disk has no replica of the key.
 func readState(states *bolt.Bucket, key string) (ReplicaState, error) {
-	text := states.Get([]byte(key))
-	if text == nil {
+	record := states.Get([]byte(key))
+	if record == nil {
 		return ReplicaState{}, nil
 	}
-	return decodeState(text)
+	return decodeState(record)
 }
 
-// decodeState decodes a record of a replica's state. The text belongs to the file's map, which does not outlast the
-// transaction, so the state is decoded from a copy.
-func decodeState(text []byte) (state ReplicaState, err error) {
-	err = easyjson.Unmarshal(bytes.Clone(text), &state)
+// decodeState decodes a record of a replica's state. It decodes a copy, because the record lies in the mapped file, which is valid only
+// during the transaction.
+func decodeState(record []byte) (state ReplicaState, err error) {
+	err = easyjson.Unmarshal(bytes.Clone(record), &state)
 	return state, err
 }
 
-// ReplicaStates are the states of all replicas on the disk, by key. Any goroutine may ask.
+// ReplicaStates returns the states of all replicas on the disk by key. Any goroutine may call it.
 func (s *Store) ReplicaStates() (map[string]ReplicaState, error) {
 	all := map[string]ReplicaState{}
 	err := s.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketReplicaStates).ForEach(func(key, text []byte) error {
-			state, err := decodeState(text)
+		return tx.Bucket(bucketReplicaStates).ForEach(func(key, record []byte) error {
+			state, err := decodeState(record)
 			if err != nil {
-				return errors.Annotatef(err, "key %s", key)
+				return errors.Annotatef(err, "decoding the replica state of key %s", key)
 			}
 			all[string(key)] = state
 			return nil
@@ -42,7 +42,7 @@
 	return all, errors.Annotate(err, "reading the states of replicas")
 }
 
-// Read gives the whole state of a key as it is on the disk. Any goroutine may ask.
+// Read returns the durable state of a key's replica with all pairs. Any goroutine may call it.
 func (s *Store) Read(key string) (wire.Snapshot, error) {
 	var snapshot wire.Snapshot
 	err := s.db.View(func(tx *bolt.Tx) error {
@@ -60,5 +60,5 @@
 			return nil
 		})
 	})
-	return snapshot, errors.Annotatef(err, "reading the pairs of %s", key)
+	return snapshot, errors.Annotatef(err, "reading the replica of key %s", key)
 }
--- a/internal/control/storage/retiring.go
+++ b/internal/control/storage/retiring.go
@@ -5,12 +5,12 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// SetRetiring notes for good that the disk is being emptied; it returns after the sync.
+// SetRetiring records permanently that the disk is being emptied. It returns after the sync.
 func (s *Store) SetRetiring() error {
-	return errors.Annotate(s.putMeta(recordRetiring, []byte("1")), "noting that the disk is being emptied")
+	return errors.Annotate(s.putMeta(recordRetiring, []byte("1")), "recording that the disk is being emptied")
 }
 
-// IsRetiring tells whether the disk is being emptied.
+// IsRetiring reports whether the disk is being emptied.
 func (s *Store) IsRetiring() (bool, error) {
 	var isRetiring bool
 	err := s.db.View(func(tx *bolt.Tx) error {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -1,11 +1,11 @@
 // Package storage keeps the replicas of keys on a disk, in one bbolt file. The file has these buckets:
 //
-//   - meta: the random name of the disk, the addresses of peers, and the configuration that was last in force here
+//   - meta: the random name of the disk, the addresses of peers, the configuration that was last in force, and whether the disk is retiring
 //   - heads: the ReplicaState of each replica, by key
-//   - pairs: a bucket for each key, with the values by their names
+//   - pairs: a nested bucket for each key, with the values by name
 //
-// One goroutine writes, many writes in one sync, and answers each write after the sync. Decide is the only place that tells
-// whether a replica takes a write; everything else carries its decision out.
+// One goroutine writes. It commits many writes in one transaction with one sync and answers each write after the sync. Decide is the only
+// function that decides whether a replica accepts a write. The rest of the package applies its decision.
 package storage
 
 import (
@@ -20,7 +20,7 @@
 	"gannetline/internal/platform/clock"
 )
 
-// The names of buckets and of records in them; they are on the disks of earlier versions too.
+// The names of the buckets and of the records in meta. They are part of the disk format and must not change.
 var (
 	bucketMeta          = []byte("meta")
 	bucketReplicaStates = []byte("heads")
@@ -34,9 +34,9 @@
 const (
 	// dataFile is the name of the file in the data directory.
 	dataFile = "keys.db"
-	// initialMapBytes is mapped at once, so that the file seldom has to be mapped anew while it grows.
+	// initialMapBytes is the initial size of the memory map. With a large map a growing file rarely has to be remapped.
 	initialMapBytes = 16 << 20
-	// fileLockTimeout is how long another process may still hold the file.
+	// fileLockTimeout is how long Open waits for another process to release the file.
 	fileLockTimeout = time.Second
 	// maxQueuedWrites is how many writes may wait for the store's goroutine before Submit blocks.
 	maxQueuedWrites = 4096
@@ -49,28 +49,29 @@
 	disk  string
 	isNew bool
 	queue chan queuedWrite
-	// closed is closed when the store's goroutine has ended.
+	// closed is closed when the writing goroutine has ended.
 	closed chan struct{}
 
 	clock clock.Clock
 	files Files
-	// update runs a transaction of the file, sync makes all that was written to it durable.
+	// update runs a read-write transaction. sync makes everything that was written to the file durable.
 	update func(func(tx *bolt.Tx) error) error
 	sync   func() error
-	// isUnclear is set while a transaction has failed that may nevertheless be in the file; only the store's goroutine uses it.
-	isUnclear bool
-	// initialMapBytes is how much of the file is mapped at once.
+	// hasUnclearTransaction is set after a failed transaction, whose pages may nevertheless be in the file. Only the writing goroutine
+	// uses it.
+	hasUnclearTransaction bool
+	// initialMapBytes is the initial size of the memory map.
 	initialMapBytes int
 }
 
-// Option changes how a store is opened.
+// Option configures a Store before Open reads the file.
 type Option func(*Store)
 
-// WithFiles opens the store on another file system; tests use it to lose what was not synced.
+// WithFiles replaces the file system. Tests use it to simulate a loss of everything that was not synced.
 func WithFiles(files Files) Option { return func(s *Store) { s.files = files } }
 
-// Open makes the folder's file if there is none, and names the disk at random then. When it returns, the file, its
-// folder and all folders that were made for it outlast a loss of power. Errors name the step and the folder.
+// Open opens the data file in a folder. If there is none, Open creates the folder and the file and gives the disk a random name. When Open
+// returns, the file, its folder and all new parent folders are durable. Errors name the step and the folder.
 func Open(folder string, options ...Option) (*Store, error) {
 	store := &Store{queue: make(chan queuedWrite, maxQueuedWrites), closed: make(chan struct{}), clock: clock.System(), files: osFiles{},
 		initialMapBytes: initialMapBytes}
@@ -84,18 +85,17 @@
 	return store, nil
 }
 
-// openFile opens the data file, makes it if there is none, and syncs the folder, as a new file may else be lost with a
-// power failure.
+// openFile opens or creates the data file. It syncs the folder, because a loss of power could otherwise remove a new file.
 func (s *Store) openFile(folder string) error {
 	folder, err := filepath.Abs(folder)
 	if err != nil {
-		return errors.Annotate(err, "finding the data directory")
+		return errors.Annotate(err, "resolving the path of the data directory")
 	}
 	if err := makeFolders(s.files, folder); err != nil {
 		return err
 	}
 	path := filepath.Join(folder, dataFile)
-	if err := discardUnused(s.files, path); err != nil {
+	if err := removeUnusedFile(s.files, path); err != nil {
 		return err
 	}
 	s.db, err = bolt.Open(path, 0o600, &bolt.Options{NoFreelistSync: true,
@@ -110,8 +110,8 @@
 	if s.sync == nil {
 		s.sync = s.db.Sync
 	}
-	if err = s.prepare(); err != nil {
-		err = errors.Annotatef(err, "preparing %s", dataFile)
+	if err = s.initialize(); err != nil {
+		err = errors.Annotatef(err, "initializing %s", dataFile)
 	} else {
 		err = errors.Annotatef(s.files.SyncFolder(folder), "syncing %s", folder)
 	}
@@ -121,9 +121,9 @@
 	return err
 }
 
-// prepare makes the buckets, and reads the disk's name or makes one. Where all of it is there, the transaction writes no pages, so that
-// its first sync makes durable whatever an earlier process left unsynced, before any page is used again.
-func (s *Store) prepare() error {
+// initialize creates the missing buckets, and reads the name of the disk or generates one. If everything exists already, the transaction
+// writes no pages. Its first sync then makes durable what an earlier process left unsynced, before any page is reused.
+func (s *Store) initialize() error {
 	return s.update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 		if err != nil {
@@ -147,13 +147,13 @@
 	})
 }
 
-// Disk is the random name that the disk got when its file was made, in hexadecimal.
+// Disk returns the hexadecimal random name that the disk got when its file was created.
 func (s *Store) Disk() string { return s.disk }
 
-// IsNew tells whether the disk was empty when it was opened.
+// IsNew reports whether the disk was empty when it was opened.
 func (s *Store) IsNew() bool { return s.isNew }
 
-// Close writes what was submitted and closes the file; nothing may be submitted afterwards.
+// Close commits the queued writes and closes the file. No write may be submitted afterwards.
 func (s *Store) Close() error {
 	close(s.queue)
 	<-s.closed
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -37,15 +37,15 @@
 	})
 	AfterEach(func() { Expect(store.Close()).To(Succeed()) })
 
-	It("keeps its disk's name, its promises and its pairs", func() {
+	It("keeps the disk name, promises and pairs when it is reopened", func() {
 		Expect(store.IsNew()).To(BeTrue())
 		disk := store.Disk()
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeTrue())
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Changes: []wire.Change{change(3, 1, "a", "1")}}).Taken).To(BeTrue())
 		Expect(store.Close()).To(Succeed())
-		again, err := storage.Open(folder)
+		reopened, err := storage.Open(folder)
 		Expect(err).NotTo(HaveOccurred())
-		store = again
+		store = reopened
 		Expect(store.Disk()).To(Equal(disk))
 		Expect(store.IsNew()).To(BeFalse())
 		state, err := store.Read("k")
@@ -54,14 +54,14 @@
 		Expect(string(state.Pairs[0].Value)).To(Equal("1"))
 	})
 
-	It("refuses an old epoch, a second promise of one, and a change that does not follow on", func() {
+	It("refuses a stale epoch, a second promise for an epoch, and a change that does not continue the log", func() {
 		write(store, storage.Write{Key: "k", Epoch: 3, Promise: true})
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Promise: true}).Taken).To(BeFalse())
 		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Changes: []wire.Change{change(2, 1, "a", "1")}}).Taken).To(BeFalse())
 		Expect(write(store, storage.Write{Key: "k", Epoch: 3, Prev: at(3, 7), Changes: []wire.Change{change(3, 8, "a", "1")}}).Taken).To(BeFalse())
 	})
 
-	It("takes a snapshot for all it had, and forgets what is deleted", func() {
+	It("replaces all pairs by a snapshot, and deletes pairs with an empty value", func() {
 		write(store, storage.Write{Key: "k", Epoch: 1, Changes: []wire.Change{change(1, 1, "old", "1")}})
 		snapshot := &wire.Snapshot{Last: at(2, 9), Pairs: []wire.Op{{Name: "new", Value: []byte("2")}}}
 		Expect(write(store, storage.Write{Key: "k", Epoch: 2, Snapshot: snapshot}).Taken).To(BeTrue())
@@ -86,7 +86,7 @@
 		Expect(since("page_bytes_total")).To(BeNumerically(">=", 3*4096))
 	})
 
-	It("says which folder it can't use", func() {
+	It("names the data directory in the error if it can't create the directory", func() {
 		path := filepath.Join(folder, "file")
 		Expect(os.WriteFile(path, nil, 0o600)).To(Succeed())
 		_, err := storage.Open(filepath.Join(path, "below"))
@@ -95,14 +95,14 @@
 })
 
 var _ = Describe("a snapshot", func() {
-	It("never lowers a replica, whatever its epoch", func() {
-		bytes := storage.ReplicaState{Promised: 3, Last: at(2, 9)}
+	It("is refused if it is older than the replica, whatever its epoch", func() {
+		held := storage.ReplicaState{Promised: 3, Last: at(2, 9)}
 		for _, last := range []wire.LogPosition{at(2, 8), at(1, 20), {}} {
-			outcome, _ := storage.Decide(bytes, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
-			Expect(outcome).To(Equal(storage.Outcome{State: bytes}))
+			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
+			Expect(outcome).To(Equal(storage.Outcome{State: held}))
 		}
 		for _, last := range []wire.LogPosition{at(2, 9), at(3, 1)} {
-			outcome, _ := storage.Decide(bytes, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
+			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
 			Expect(outcome.State).To(Equal(storage.ReplicaState{Promised: 4, Last: last}))
 		}
 	})
--- a/internal/control/storage/stored_data_test.go
+++ b/internal/control/storage/stored_data_test.go
@@ -17,7 +17,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-// unpackStore lays the data file of a steward of an earlier version into a new folder.
+// unpackStore unpacks the data file of an earlier version into a new folder and returns the folder.
 func unpackStore(packed string) (folder string) {
 	folder = GinkgoT().TempDir()
 	from, err := os.Open(packed)
@@ -33,8 +33,8 @@
 	return folder
 }
 
-var _ = Describe("a data file that an earlier version wrote", func() {
-	It("is read with all that it holds", func() {
+var _ = Describe("a data file of an earlier version", func() {
+	It("is read completely", func() {
 		store, err := storage.Open(unpackStore("testdata/store-cb820b6.db.gz"))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(store.Close)
--- a/internal/control/storage/write.go
+++ b/internal/control/storage/write.go
@@ -10,10 +10,10 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// maxWritesPerTransaction is how many writes share one sync at most.
+// maxWritesPerTransaction is the maximum number of writes that share one transaction and its sync.
 const maxWritesPerTransaction = 64
 
-// Write is one durable step of a replica: a promise, changes that follow on Prev, or a snapshot.
+// Write is one durable step of a replica: a promise, changes after the position Prev, or a snapshot.
 type Write struct {
 	Key      string
 	Epoch    uint64
@@ -23,40 +23,39 @@
 	Promise  bool
 }
 
-// Outcome is what came of a write. Where Err is set nothing is known: the write may be on the disk or not, and State is
-// empty; the next outcome without an error shows what the replica holds.
+// Outcome is the result of a write. If Err is set, the result is unknown: the write may be on the disk or not, and State is empty. The next
+// outcome without an error shows what the replica holds.
 type Outcome struct {
-	// Taken tells that the write is on the disk; else the replica has refused it.
+	// Taken is set if the replica accepted the write and the write is on the disk. It is false if the replica refused it or Err is set.
 	Taken bool
-	// State is that of the replica after the write.
+	// State is the state of the replica after the write.
 	State ReplicaState
 	Err   error
 }
 
-// queuedWrite is a write that waits for the store's goroutine: apply carries it out in a transaction, whose error undoes the whole
-// transaction.
+// queuedWrite is a write that waits for the writing goroutine. An error of apply rolls the whole transaction back.
 type queuedWrite struct {
 	apply       func(tx *bolt.Tx) (Outcome, error)
 	recordBytes int
 	done        func(Outcome)
 }
 
-// Submit queues a write; done is called from the store's goroutine after the sync.
+// Submit queues a write and blocks while the queue is full. The function done runs on the writing goroutine after the sync.
 func (s *Store) Submit(write Write, done func(Outcome)) {
 	apply := func(tx *bolt.Tx) (Outcome, error) { return apply(tx, write) }
 	s.queue <- queuedWrite{apply, write.recordBytes(), done}
 }
 
-// run commits what is queued until Close.
+// run commits queued writes until Close.
 func (s *Store) run() {
 	defer close(s.closed)
 	for first := range s.queue {
-		s.commit(s.gather(first))
+		s.commit(s.collectBatch(first))
 	}
 }
 
-// gather adds to a first write those that wait already, as many as share a transaction.
-func (s *Store) gather(first queuedWrite) []queuedWrite {
+// collectBatch returns the first write and the writes that are queued already, up to maxWritesPerTransaction.
+func (s *Store) collectBatch(first queuedWrite) []queuedWrite {
 	batch := []queuedWrite{first}
 	for len(batch) < maxWritesPerTransaction {
 		select {
@@ -72,37 +71,37 @@
 	return batch
 }
 
-// commit writes a batch in one transaction and answers each write.
+// commit writes a batch in one transaction and reports the outcome of each write.
 func (s *Store) commit(batch []queuedWrite) {
 	outcomes := make([]Outcome, len(batch))
-	began := s.clock.Monotonic()
-	var pages bolt.TxStats
-	err := s.resolveUnclear()
+	start := s.clock.Monotonic()
+	var stats bolt.TxStats
+	err := s.resolveUnclearTransaction()
 	if err == nil {
 		err = s.update(func(tx *bolt.Tx) error {
-			tx.OnCommit(func() { pages = tx.Stats() })
+			tx.OnCommit(func() { stats = tx.Stats() })
 			return applyAll(tx, batch, outcomes)
 		})
 	}
-	s.isUnclear = err != nil
-	commitSeconds.Observe(s.clock.Monotonic() - began)
+	s.hasUnclearTransaction = err != nil
+	commitSeconds.Observe(s.clock.Monotonic() - start)
 	transactions.Inc()
 	writes.Add(len(batch))
-	recordBytesTotal.Add(takenBytes(batch, outcomes))
-	filePageBytes.AddInt64(pages.GetPageAlloc())
+	recordBytesTotal.Add(sumAcceptedBytes(batch, outcomes))
+	filePageBytes.AddInt64(stats.GetPageAlloc())
 	for index, queued := range batch {
 		if err != nil {
-			outcomes[index] = Outcome{Err: errors.Annotate(err, "syncing keys")}
+			outcomes[index] = Outcome{Err: errors.Annotate(err, "committing writes to the store")}
 		}
 		queued.done(outcomes[index])
 	}
 }
 
-// resolveUnclear makes sure, after a failed transaction, that whatever of it is in the file is durable before anything is
-// answered on top of it: one more transaction has to succeed. The sync comes before that transaction writes its pages, as these may
-// be pages of the last durable state, which the failed transaction has set free.
-func (s *Store) resolveUnclear() error {
-	if !s.isUnclear {
+// resolveUnclearTransaction makes durable what a failed transaction left in the file, before the store answers a write that builds on it. To
+// do so one more transaction has to succeed. The sync comes first, because that transaction may write to pages of the last durable state,
+// which the failed transaction has freed.
+func (s *Store) resolveUnclearTransaction() error {
+	if !s.hasUnclearTransaction {
 		return nil
 	}
 	if err := s.sync(); err != nil {
@@ -114,7 +113,7 @@
 	})
 }
 
-// applyAll applies the writes of a batch in one transaction; an error undoes them all.
+// applyAll applies the writes of a batch in one transaction. An error rolls all of them back.
 func applyAll(tx *bolt.Tx, batch []queuedWrite, outcomes []Outcome) error {
 	for index, queued := range batch {
 		outcome, err := queued.apply(tx)
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// apply decides on a write and carries the decision out. An error fails the whole transaction.
+// apply decides on a write and applies the decision. An error rolls the whole transaction back.
 func apply(tx *bolt.Tx, write Write) (Outcome, error) {
 	states := tx.Bucket(bucketReplicaStates)
 	state, err := readState(states, write.Key)
@@ -140,14 +139,14 @@
 	if err := updatePairs(tx, write.Key, pairs); err != nil {
 		return Outcome{}, err
 	}
-	text, err := easyjson.Marshal(outcome.State)
+	encoded, err := easyjson.Marshal(outcome.State)
 	if err != nil {
 		return Outcome{}, err
 	}
-	return outcome, states.Put([]byte(write.Key), text)
+	return outcome, states.Put([]byte(write.Key), encoded)
 }
 
-// updatePairs changes the pairs of a key, which are cleared first if the update says so.
+// updatePairs applies an update to the pairs of a key.
 func updatePairs(tx *bolt.Tx, key string, update PairUpdate) error {
 	if !update.Clear && len(update.Ops) == 0 {
 		return nil
@@ -165,7 +164,7 @@
 	return putPairs(pairs, update.Ops)
 }
 
-// putPairs writes pairs; one with an empty value is deleted.
+// putPairs writes pairs. It deletes those with an empty value.
 func putPairs(pairs *bolt.Bucket, ops []wire.Op) error {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
