--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -1,9 +1,10 @@
-// Package configleader decides on the operator's configuration while this steward leads its key. It is a state machine without
-// goroutines and sockets: controlkeys calls it on the goroutine of the key's engine, and a Leadership commits for it.
+// Package configleader handles the operators' calls about the configuration while this steward leads the configuration's key. It is a state
+// machine without goroutines and sockets. Package controlkeys calls it on the goroutine of the key's engine, and a Leadership commits its
+// changes.
 //
-// A configuration is confirmed to the operator only once it is committed. Each confirmed version has a record with the digest of
-// its body, so that an operator who sends the same change again after a lost answer is confirmed again, and never shown a
-// conflict with the own change.
+// A configuration is confirmed to the operator only after it is committed. Each confirmed version has a record with the digest of its body.
+// If an operator repeats a change because the answer was lost, the leader finds the record and confirms the change again, instead of
+// reporting a conflict with the operator's own change.
 package configleader
 
 import (
@@ -22,86 +23,86 @@
 )
 
 const (
-	// Key is that of the configuration among the replicated keys.
+	// Key is the replicated key of the configuration.
 	Key = "plan"
 	// recordConfiguration is the name of the record with the configuration in force.
 	recordConfiguration = "fact"
-	// maxQueued calls wait for a commit that is under way.
+	// maxQueued is the maximum number of calls that wait for a commit in progress.
 	maxQueued = 32
 )
 
-// Leadership is what the configuration needs of the leadership of its key; replication.Leadership is the real one.
+// Leadership is the part of a replication.Leadership that a Leader uses.
 type Leadership interface {
-	// Commit makes a change durable on a quorum; done gets an error if the leadership is lost first.
+	// Commit makes a change durable on a quorum. The function done gets an error if the leadership is lost first.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease tells whether no other process can lead the key now.
+	// HasLease reports whether the lease excludes that another process leads the key now.
 	HasLease() bool
-	// Voters are the disks that vote on the key now.
+	// Voters returns the disks that currently vote on the key.
 	Voters() []string
-	// WallMs is the time of day that the voters agree on, in milliseconds since 1970.
+	// WallMs returns the time of day on which the voters agree, in milliseconds since 1970.
 	WallMs() int64
 }
 
-// Leader decides on the operator's calls, one after the other in the order in which they come.
+// Leader handles the operators' calls one after the other in the order of their arrival.
 type Leader struct {
-	// leadership is nil while the key is led elsewhere.
+	// leadership is nil while this process does not lead the key.
 	leadership Leadership
-	// committed is the configuration in force, nil before the first; decodedCommitted is its body, once it was read.
+	// committed is the configuration in force, nil before the first. decodedCommitted caches its decoded body, nil until it is needed.
 	committed        *wire.Configuration
 	decodedCommitted *configuration.Configuration
 	confirmed        *confirmedVersions
 	// evacuations are the zones that operators have ordered to be emptied, nil before the first order.
 	evacuations *wire.Evacuations
-	// queued are the calls that came while a commit was under way; there are none unless isCommitting.
+	// queued are the calls that arrived during a commit. It is empty unless isCommitting is set.
 	isCommitting bool
 	queued       []queuedCall
 	publish      func(*wire.Configuration)
 	log          logging.Logger
-	// storageDisks are the disks on which lots may be kept; the first lotVoters of them begin.
-	storageDisks       func() []string
-	lotVoters          int
+	// listStorageDisks returns the disks on which lots may be kept. The first lotVoterCount of them become the initial voters of the lots.
+	listStorageDisks   func() []string
+	lotVoterCount      int
 	publishEvacuations func(*wire.Evacuations)
-	// standingKeys are keys that there are with every configuration, whatever it says.
-	standingKeys []string
+	// fixedKeys exist regardless of what the configuration says.
+	fixedKeys []string
 }
 
-// Option changes how a leader is made.
+// Option configures a Leader when New creates it.
 type Option func(*Leader)
 
-// WithStorageDisks tells on which disks lots may be kept, and on how many of them they begin.
+// WithStorageDisks sets the disks on which lots may be kept, and the number of disks that initially keep them.
 func WithStorageDisks(disks func() []string, voters int) Option {
-	return func(l *Leader) { l.storageDisks, l.lotVoters = disks, voters }
+	return func(l *Leader) { l.listStorageDisks, l.lotVoterCount = disks, voters }
 }
 
-// WithFixedKeys names keys that get their first voters with the next configuration, whatever it says.
+// WithFixedKeys sets the keys that get initial voters with the next configuration regardless of what it says.
 func WithFixedKeys(keys []string) Option {
-	return func(l *Leader) { l.standingKeys = keys }
+	return func(l *Leader) { l.fixedKeys = keys }
 }
 
-// WithEvacuations names the function that gets each committed list of evacuations.
+// WithEvacuations sets the function that receives each committed list of evacuations.
 func WithEvacuations(publish func(*wire.Evacuations)) Option {
 	return func(l *Leader) { l.publishEvacuations = publish }
 }
 
-// queuedCall came while a commit was under way; decide answers it or commits.
+// queuedCall is a call that waits for a commit in progress. The function decide answers it or starts its commit.
 type queuedCall struct {
 	decide func()
-	answer answerClient
+	answer answerFunc
 }
 
-// answerClient takes the answer to a client's call, once.
-type answerClient = func(wire.ClientAnswer)
+// answerClient sends the answer to a client's call. It must be called exactly once.
+type answerFunc = func(wire.ClientAnswer)
 
-// New makes a leader without a leadership; publish gets each committed configuration.
+// New creates a leader without a leadership. The function publish receives each committed configuration.
 func New(log logging.Logger, publish func(*wire.Configuration), options ...Option) *Leader {
-	leader := &Leader{publish: publish, log: log, storageDisks: func() []string { return nil }, publishEvacuations: func(*wire.Evacuations) {}}
+	leader := &Leader{publish: publish, log: log, listStorageDisks: func() []string { return nil }, publishEvacuations: func(*wire.Evacuations) {}}
 	for _, option := range options {
 		option(leader)
 	}
 	return leader
 }
 
-// Open takes over the key with what is committed of it; an error names the record that can't be read.
+// Open starts a leadership of the key with its committed records. An error names the record that can't be decoded.
 func (l *Leader) Open(leadership Leadership, pairs []wire.Op) error {
 	l.Close()
 	committed, err := readCommitted(pairs)
@@ -122,12 +123,12 @@
 	}
 	if committed != nil {
 		committed.Confirmed = nil
-		l.publish(published(committed))
+		l.publish(toPublished(committed))
 	}
 	return nil
 }
 
-// readCommitted gives the configuration in force, or nil if there is none yet.
+// readCommitted returns the configuration in force, nil if there is none yet.
 func readCommitted(pairs []wire.Op) (*wire.Configuration, error) {
 	for _, pair := range pairs {
 		if pair.Name != recordConfiguration {
@@ -135,18 +136,19 @@
 		}
 		committed := &wire.Configuration{}
 		err := easyjson.Unmarshal(bytes.Clone(pair.Value), committed)
-		return committed, errors.Annotate(err, "reading the configuration from disk")
+		return committed, errors.Annotate(err, "decoding the stored configuration")
 	}
 	return nil, nil
 }
 
-// published leaves out what only the key's leader needs, and the space around the body, which no message carries.
-func published(committed *wire.Configuration) *wire.Configuration {
+// toPublished returns a configuration without the fields that only the key's leader needs, and without the white space around the body,
+// which messages do not carry.
+func toPublished(committed *wire.Configuration) *wire.Configuration {
 	return &wire.Configuration{Version: committed.Version, Body: bytes.TrimSpace(committed.Body), InitialVoters: committed.InitialVoters,
 		Moved: committed.Moved}
 }
 
-// Close gives up the key; calls that are queued were not taken.
+// Close ends the leadership. It answers the queued calls with NotLeader, because none of them was carried out.
 func (l *Leader) Close() {
 	queued := l.queued
 	l.leadership, l.committed, l.decodedCommitted, l.confirmed, l.evacuations = nil, nil, nil, nil, nil
@@ -156,17 +158,17 @@
 	}
 }
 
-// IsOpen tells whether the key is led here.
+// IsOpen reports whether this process leads the key.
 func (l *Leader) IsOpen() bool { return l.leadership != nil }
 
-// Replace decides on an operator's change: confirmed before, on the wrong base, invalid, or committed. While a commit is
-// under way it waits for its turn.
-func (l *Leader) Replace(call *wire.ClientCall, answer answerClient) {
-	l.inTurn(answer, func() { l.decide(call, answer) })
+// Replace handles an operator's new configuration. It confirms a version that was committed with the same body before, refuses an invalid
+// body or a wrong base, and otherwise commits. During a commit the call is queued.
+func (l *Leader) Replace(call *wire.ClientCall, answer answerFunc) {
+	l.runOrQueue(answer, func() { l.decide(call, answer) })
 }
 
-// inTurn decides on a call at once, or after the commit that is under way.
-func (l *Leader) inTurn(answer answerClient, decide func()) {
+// runOrQueue runs decide at once, or queues it during a commit. If the queue is full, it answers NotLeader.
+func (l *Leader) runOrQueue(answer answerFunc, decide func()) {
 	switch {
 	case !l.isCommitting:
 		decide()
@@ -177,35 +179,36 @@
 	}
 }
 
-// decide answers at once, or commits.
-func (l *Leader) decide(call *wire.ClientCall, answer answerClient) {
-	proposed, invalid := configuration.Read(call.Body)
+// decide answers a Replace call at once or starts its commit.
+func (l *Leader) decide(call *wire.ClientCall, answer answerFunc) {
+	proposed, readErr := configuration.Read(call.Body)
 	if proposed != nil && l.confirmed.has(proposed.Version, call.Body) {
-		l.answerUnderLease(answer, confirmationOf(proposed.Version))
+		l.answerUnderLease(answer, newConfirmation(proposed.Version))
 		return
 	}
-	err := l.check(proposed, invalid, call.Base)
+	err := l.check(proposed, readErr, call.Base)
 	switch {
 	case err == nil:
 		l.commit(proposed, call.Body, answer)
 	case needsLease(err):
-		l.answerUnderLease(answer, refusalOf(err))
+		l.answerUnderLease(answer, newRefusal(err))
 	default:
-		answer(refusalOf(err))
+		answer(newRefusal(err))
 	}
 }
 
-// check tells why a change can't be committed: an *InvalidError, *ForgottenVersionError, *VersionConflictError or
-// *VersionNotAboveError. A refusal for the base is final: versions only rise, so a call whose base was passed can't be taken
-// later, and the records tell whether it was taken before. Where they no longer can, the operator has to ask.
-func (l *Leader) check(proposed *configuration.Configuration, invalid error, base int64) error {
+// check returns why a change can't be committed: an *InvalidError, *ForgottenVersionError, *VersionConflictError or *VersionNotAboveError,
+// nil if it can. A refusal because of the base is final. Versions only rise, so a call with an outdated base can't be committed later, and
+// the records show whether it was committed before. If its record may have been dropped, the error is a *ForgottenVersionError and the
+// operator has to read the configuration to find out.
+func (l *Leader) check(proposed *configuration.Configuration, readErr error, base int64) error {
 	var current int64
 	if l.committed != nil {
 		current = l.committed.Version
 	}
 	switch {
-	case invalid != nil:
-		return &InvalidError{invalid}
+	case readErr != nil:
+		return &InvalidError{readErr}
 	case base != current && l.confirmed.isForgotten(proposed.Version):
 		return &ForgottenVersionError{proposed.Version}
 	case base != current:
@@ -216,7 +219,7 @@
 	return nil
 }
 
-// decideQueued goes on with the calls that came during a commit, until one of them is committed in turn.
+// decideQueued handles the calls that were queued during a commit, until one of them starts a commit itself.
 func (l *Leader) decideQueued() {
 	for len(l.queued) > 0 && !l.isCommitting && l.IsOpen() {
 		next := l.queued[0]
@@ -225,14 +228,14 @@
 	}
 }
 
-// confirmationOf is the answer that confirms a version.
-func confirmationOf(version int64) wire.ClientAnswer {
+// newConfirmation returns the answer that confirms a version.
+func newConfirmation(version int64) wire.ClientAnswer {
 	return wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)}
 }
 
-// answerUnderLease gives an answer that is only true while no other process leads the key. The lease is asked for after the
-// answer was worked out, since the process may have been frozen in between.
-func (l *Leader) answerUnderLease(answer answerClient, response wire.ClientAnswer) {
+// answerUnderLease sends an answer that is only valid while no other process leads the key. It checks the lease after the answer was
+// computed, because the process may have been suspended in between. Without a lease it answers NotLeader.
+func (l *Leader) answerUnderLease(answer answerFunc, response wire.ClientAnswer) {
 	if !l.leadership.HasLease() {
 		answer(wire.ClientAnswer{NotLeader: true})
 		return
@@ -240,18 +243,18 @@
 	answer(response)
 }
 
-// commit writes a configuration and the record of its confirmation, and answers once both are durable.
-func (l *Leader) commit(proposed *configuration.Configuration, body []byte, answer answerClient) {
-	next := l.next(proposed, body)
+// commit commits a configuration together with the record of its confirmation, and answers once both are durable.
+func (l *Leader) commit(proposed *configuration.Configuration, body []byte, answer answerFunc) {
+	next := l.newConfiguration(proposed, body)
 	confirmation, err := l.confirmed.prepare(proposed.Version, body)
 	if err != nil {
-		l.refuseUnwritten(err, proposed.Version, answer)
+		l.answerEncodingError(err, proposed.Version, answer)
 		return
 	}
 	next.Forgotten = confirmation.forgotten
 	value, err := easyjson.Marshal(next)
 	if err != nil {
-		l.refuseUnwritten(err, proposed.Version, answer)
+		l.answerEncodingError(err, proposed.Version, answer)
 		return
 	}
 	ops := append([]wire.Op{{Name: recordConfiguration, Value: value}}, confirmation.ops...)
@@ -259,14 +262,14 @@
 		l.committed, l.decodedCommitted = next, proposed
 		l.confirmed.apply(confirmation)
 		l.log.Info("configuration committed", "version", next.Version)
-		l.publish(published(next))
-		return confirmationOf(next.Version)
+		l.publish(toPublished(next))
+		return newConfirmation(next.Version)
 	})
 }
 
-// commitOps commits records while further calls wait for their turn. Once they are durable it takes them over by apply, which gives the
-// answer. It must not be called during a commit.
-func (l *Leader) commitOps(ops []wire.Op, answer answerClient, apply func() wire.ClientAnswer) {
+// commitOps commits records. Calls that arrive meanwhile are queued. Once the records are durable, commitOps calls apply, which updates the
+// leader's state and returns the answer. It must not be called during a commit.
+func (l *Leader) commitOps(ops []wire.Op, answer answerFunc, apply func() wire.ClientAnswer) {
 	l.isCommitting = true
 	leadership := l.leadership
 	leadership.Commit(ops, func(err error) {
@@ -280,19 +283,20 @@
 	})
 }
 
-func (l *Leader) refuseUnwritten(err error, version int64, answer answerClient) {
-	l.log.Error(err, "the configuration can't be written", "version", version)
+// answerEncodingError answers a call whose configuration can't be encoded. That is a fault of this process and not of the call.
+func (l *Leader) answerEncodingError(err error, version int64, answer answerFunc) {
+	l.log.Error(err, "encoding the configuration failed", "version", version)
 	answer(wire.ClientAnswer{Status: http.StatusInternalServerError, Reason: "the configuration could not be written"})
 }
 
-// next is the record of a configuration that is to be committed: with the initial voters of new services' pools, of the
-// parts of the tenants' count and of standing keys, and the routes that lead to another service than before.
-func (l *Leader) next(proposed *configuration.Configuration, body []byte) *wire.Configuration {
+// newConfiguration returns the record of the next configuration. It adds the initial voters of new keys: the pools of new services, the
+// lots, the partitions of the tenant count and the fixed keys. It also adds the routes that lead to another service than before.
+func (l *Leader) newConfiguration(proposed *configuration.Configuration, body []byte) *wire.Configuration {
 	next := &wire.Configuration{Version: proposed.Version, Body: body}
 	if l.committed != nil {
 		next.InitialVoters, next.Moved = slices.Clone(l.committed.InitialVoters), slices.Clone(l.committed.Moved)
-		if before := l.inForce(); before != nil {
-			next.Moved = movedRoutes(next.Moved, before, proposed)
+		if before := l.decodeCommitted(); before != nil {
+			next.Moved = addMovedRoutes(next.Moved, before, proposed)
 		}
 	}
 	for _, service := range proposed.Services {
@@ -308,48 +312,50 @@
 			l.addInitialVoters(next, wire.InitialVoters{Key: tenantcount.KeyOf(part)})
 		}
 	}
-	for _, key := range l.standingKeys {
+	for _, key := range l.fixedKeys {
 		l.addInitialVoters(next, wire.InitialVoters{Key: key})
 	}
 	return next
 }
 
-// runsJobs tells whether a service may be sent jobs: unless all routes that lead to it pass requests on.
+// runsJobs reports whether a service may receive jobs. It is false only if the service has routes and all of them forward requests.
 func runsJobs(proposed *configuration.Configuration, service string) bool {
-	passesOn := false
+	hasForwardingRoute := false
 	for _, route := range proposed.Routes {
 		leadsThere := route.Service == service || slices.ContainsFunc(route.Split, func(share configuration.WeightedService) bool { return share.Service == service })
 		switch {
 		case leadsThere && route.RunsJobs():
 			return true
 		case leadsThere:
-			passesOn = true
+			hasForwardingRoute = true
 		}
 	}
-	return !passesOn
+	return !hasForwardingRoute
 }
 
+// hasLots reports whether the configuration has a route that accepts lots.
 func hasLots(proposed *configuration.Configuration) bool {
 	return slices.ContainsFunc(proposed.Routes, func(route configuration.Route) bool { return route.Type == configuration.RouteBatch })
 }
 
-// addLotVoters gives the key of lots its first voters once there are disks to keep them on. Until then lots are refused.
+// addLotVoters adds the initial voters of the lots key, unless there are no storage disks yet. Until a configuration adds them, lots are
+// refused.
 func (l *Leader) addLotVoters(next *wire.Configuration) {
-	disks := l.storageDisks()
+	disks := l.listStorageDisks()
 	if len(disks) == 0 {
 		l.log.Info("no disks to keep lots on", "version", next.Version)
 		return
 	}
-	addVoters(next, wire.InitialVoters{Key: wire.LotsKey, Voters: disks[:min(l.lotVoters, len(disks))]})
+	addVoters(next, wire.InitialVoters{Key: wire.LotsKey, Voters: disks[:min(l.lotVoterCount, len(disks))]})
 }
 
-// addInitialVoters gives a key the voters of the configuration's key as its first ones, unless it has voters already.
+// addInitialVoters makes the voters of the configuration's key the initial voters of another key, unless that has initial voters already.
 func (l *Leader) addInitialVoters(next *wire.Configuration, wanted wire.InitialVoters) {
 	wanted.Voters = l.leadership.Voters()
 	addVoters(next, wanted)
 }
 
-// addVoters gives a key its first voters, unless it has them already.
+// addVoters adds the initial voters of a key, unless it has initial voters already.
 func addVoters(next *wire.Configuration, wanted wire.InitialVoters) {
 	hasVoters := slices.ContainsFunc(next.InitialVoters, func(voters wire.InitialVoters) bool {
 		return voters.Service == wanted.Service && voters.Key == wanted.Key
@@ -359,12 +365,12 @@
 	}
 }
 
-// inForce decodes the committed configuration once; it is nil if that can't be read.
-func (l *Leader) inForce() *configuration.Configuration {
+// decodeCommitted returns the decoded committed configuration, nil if it can't be decoded. It decodes the configuration only once.
+func (l *Leader) decodeCommitted() *configuration.Configuration {
 	if l.decodedCommitted == nil {
 		decoded, err := configuration.Read(l.committed.Body)
 		if err != nil {
-			l.log.Error(err, "the committed configuration can't be read", "version", l.committed.Version)
+			l.log.Error(err, "decoding the committed configuration failed", "version", l.committed.Version)
 			return nil
 		}
 		l.decodedCommitted = decoded
@@ -372,19 +378,19 @@
 	return l.decodedCommitted
 }
 
-// Version tells the number of the newest configuration, as the answer to a change that confirms it does.
-func (l *Leader) Version(answer answerClient) {
+// Version answers with the version of the configuration in force, in the form of the answer that confirms a change.
+func (l *Leader) Version(answer answerFunc) {
 	if l.committed == nil {
-		l.answerUnderLease(answer, refusalOf(ErrNoConfiguration))
+		l.answerUnderLease(answer, newRefusal(ErrNoConfiguration))
 		return
 	}
-	l.answerUnderLease(answer, confirmationOf(l.committed.Version))
+	l.answerUnderLease(answer, newConfirmation(l.committed.Version))
 }
 
-// Retrieve gives back the newest configuration, as the operator sent it.
-func (l *Leader) Retrieve(answer answerClient) {
+// Retrieve answers with the configuration in force, byte for byte as the operator sent it.
+func (l *Leader) Retrieve(answer answerFunc) {
 	if l.committed == nil {
-		l.answerUnderLease(answer, refusalOf(ErrNoConfiguration))
+		l.answerUnderLease(answer, newRefusal(ErrNoConfiguration))
 		return
 	}
 	l.answerUnderLease(answer, wire.ClientAnswer{Status: http.StatusOK, Body: l.committed.Body, WallMs: l.leadership.WallMs()})
--- a/internal/control/configleader/configleader_suite_test.go
+++ b/internal/control/configleader/configleader_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPlanowner(t *testing.T) {
+func TestConfigleader(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "configowner")
+	RunSpecs(t, "configleader")
 }
--- a/internal/control/configleader/confirmed.go
+++ b/internal/control/configleader/confirmed.go
@@ -16,84 +16,85 @@
 
 const (
 	confirmedPrefix = "confirmed/"
-	// maxConfirmed records are kept; with the name and the digest each takes some 100 bytes.
+	// maxConfirmed is the maximum number of records. A record takes about 100 bytes with its name and digest.
 	maxConfirmed = 2048
-	// maxConfirmedInRecord is how many the older form kept in the configuration's own record.
+	// maxConfirmedInRecord is the maximum number of confirmed versions in the older format, a list in the configuration's own record.
 	maxConfirmedInRecord = 64
 )
 
-// confirmedVersions remembers which body was confirmed under each version, so that a call that is sent again is confirmed again
-// after any number of other changes. A version is confirmed once: the next one is always above it.
+// confirmedVersions holds the digest of the body that was confirmed under each version, so that a repeated call is confirmed again even after
+// many other changes. No version is confirmed with two bodies, because each new version is higher than the last.
 type confirmedVersions struct {
+	// digests are the digests of the confirmed bodies by version.
 	digests map[int64]string
-	// versions are those of the digests, ascending.
+	// versions are the keys of digests in ascending order.
 	versions []int64
 	// forgotten is the newest version whose record was dropped, 0 if none was.
 	forgotten int64
-	// unwritten were read in the form of an earlier version, and get records of their own with the next commit.
+	// unwritten are versions that were read in the older format. The next commit writes a record for each.
 	unwritten []wire.ConfirmedVersion
 }
 
-// digestOf is the whole sha256: two bodies under one number are told apart without a thought about chances. The space
-// around a body doesn't count, as some transports drop it.
+// digestOf returns the SHA-256 digest of a body. It is not truncated, so that two bodies with the same version can't collide in practice. The
+// digest ignores white space around the body, because some transports drop it.
 func digestOf(body []byte) string {
 	sum := sha256.Sum256(bytes.TrimSpace(body))
 	return hex.EncodeToString(sum[:])
 }
 
-// earlierDigestOf is what the older form kept: eight bytes, of the body with the space around it.
-func earlierDigestOf(body []byte) string {
+// legacyDigestOf returns the digest of the older format: eight bytes of the digest of the body including the white space around it.
+func legacyDigestOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
 }
 
-// readConfirmed takes the records of a key, and what the older form kept in the configuration itself.
+// readConfirmed reads the confirmed versions from their records and, in the older format, from the configuration's own record.
 func readConfirmed(pairs []wire.Op, committed *wire.Configuration) (*confirmedVersions, error) {
-	read := &confirmedVersions{digests: map[int64]string{}}
+	confirmed := &confirmedVersions{digests: map[int64]string{}}
 	for _, pair := range pairs {
 		if !strings.HasPrefix(pair.Name, confirmedPrefix) {
 			continue
 		}
 		var record wire.ConfirmedVersion
 		if err := easyjson.Unmarshal(pair.Value, &record); err != nil {
-			return nil, errors.Annotatef(err, "reading %s from disk", pair.Name)
+			return nil, errors.Annotatef(err, "decoding record %s", pair.Name)
 		}
-		read.digests[record.Version] = record.Digest
+		confirmed.digests[record.Version] = record.Digest
 	}
 	if committed != nil {
-		read.forgotten = committed.Forgotten
-		read.addFromEarlierVersion(committed.Confirmed)
+		confirmed.forgotten = committed.Forgotten
+		confirmed.addLegacy(committed.Confirmed)
 	}
-	for version := range read.digests {
-		read.versions = append(read.versions, version)
+	for version := range confirmed.digests {
+		confirmed.versions = append(confirmed.versions, version)
 	}
-	slices.Sort(read.versions)
-	return read, nil
+	slices.Sort(confirmed.versions)
+	return confirmed, nil
 }
 
-// addFromEarlierVersion takes the records of an earlier version. A full list may have lost the versions before its first.
-func (c *confirmedVersions) addFromEarlierVersion(earlier []wire.ConfirmedVersion) {
-	for _, record := range earlier {
+// addLegacy adds the confirmed versions of the older format. If that list is full, versions below its first may have been dropped from it.
+func (c *confirmedVersions) addLegacy(legacy []wire.ConfirmedVersion) {
+	for _, record := range legacy {
 		if c.digests[record.Version] == "" {
 			c.digests[record.Version] = record.Digest
 			c.unwritten = append(c.unwritten, record)
 		}
 	}
-	if len(earlier) >= maxConfirmedInRecord {
-		c.forgotten = max(c.forgotten, earlier[0].Version-1)
+	if len(legacy) >= maxConfirmedInRecord {
+		c.forgotten = max(c.forgotten, legacy[0].Version-1)
 	}
 }
 
-// has tells whether that very body was confirmed under the version.
+// has reports whether this body was confirmed under the version.
 func (c *confirmedVersions) has(version int64, body []byte) bool {
 	digest := c.digests[version]
-	return digest != "" && (digest == digestOf(body) || digest == earlierDigestOf(body))
+	return digest != "" && (digest == digestOf(body) || digest == legacyDigestOf(body))
 }
 
-// isForgotten tells whether a version may have been confirmed too long ago to know.
+// isForgotten reports whether the record of a version may have been dropped, so that it is unknown whether the version was confirmed.
 func (c *confirmedVersions) isForgotten(version int64) bool { return version <= c.forgotten }
 
-// confirmation is what one more confirmed version writes and drops.
+// confirmation holds the changes that one more confirmed version makes to the records.
 type confirmation struct {
 	added     wire.ConfirmedVersion
 	dropped   []int64
@@ -101,7 +102,7 @@
 	ops       []wire.Op
 }
 
-// prepare works out the records of one more version, and changes nothing before it is committed.
+// prepare returns the changes for one more confirmed version. The receiver changes only when apply is called after the commit.
 func (c *confirmedVersions) prepare(version int64, body []byte) (*confirmation, error) {
 	next := &confirmation{added: wire.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
 	if excess := len(c.versions) + 1 - maxConfirmed; excess > 0 {
@@ -111,7 +112,7 @@
 	for _, record := range append(slices.Clone(c.unwritten), next.added) {
 		value, err := easyjson.Marshal(record)
 		if err != nil {
-			return nil, errors.Annotatef(err, "writing the record of version %d", record.Version)
+			return nil, errors.Annotatef(err, "encoding the record of confirmed version %d", record.Version)
 		}
 		next.ops = append(next.ops, wire.Op{Name: recordName(record.Version), Value: value})
 	}
@@ -123,7 +124,7 @@
 
 func recordName(version int64) string { return confirmedPrefix + strconv.FormatInt(version, 10) }
 
-// apply notes that the records are committed.
+// apply applies the changes after they were committed.
 func (c *confirmedVersions) apply(next *confirmation) {
 	for _, dropped := range next.dropped {
 		delete(c.digests, dropped)
--- a/internal/control/configleader/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -16,215 +16,218 @@
 	"gannetline/internal/platform/logging"
 )
 
-// operated is a leader, its disk, and calls to it.
-type operated struct {
+// leaderFixture is a leader with its stored records and helpers that call it.
+type leaderFixture struct {
 	leadership *scriptedLeadership
-	kept       map[string][]byte
+	stored     map[string][]byte
 	leader     *configleader.Leader
 }
 
-func newOperated() *operated {
-	o := &operated{leadership: &scriptedLeadership{hasLease: true}, kept: map[string][]byte{}}
-	o.takeOver()
-	return o
+func newLeaderFixture() *leaderFixture {
+	f := &leaderFixture{leadership: &scriptedLeadership{hasLease: true}, stored: map[string][]byte{}}
+	f.changeLeader()
+	return f
 }
 
-// takeOver is a new leader of what is on disk.
-func (o *operated) takeOver() {
-	o.leader = configleader.New(logging.Silent(), func(*wire.Configuration) {})
-	Expect(o.leader.Open(o.leadership, pairsOf(o.kept))).To(Succeed())
+// changeLeader replaces the leader by a new one that reads the stored records.
+func (f *leaderFixture) changeLeader() {
+	f.leader = configleader.New(logging.Silent(), func(*wire.Configuration) {})
+	Expect(f.leader.Open(f.leadership, listPairs(f.stored))).To(Succeed())
 }
 
-// send calls without waiting for commits.
-func (o *operated) send(base int64, body []byte) *wire.ClientAnswer {
+// send calls Replace without completing the commit. It returns the answer, which is filled in later.
+func (f *leaderFixture) send(base int64, body []byte) *wire.ClientAnswer {
 	response := &wire.ClientAnswer{}
-	o.leader.Replace(&wire.ClientCall{Base: base, Body: body}, func(answer wire.ClientAnswer) { *response = answer })
+	f.leader.Replace(&wire.ClientCall{Base: base, Body: body}, func(answer wire.ClientAnswer) { *response = answer })
 	return response
 }
 
-func (o *operated) replace(base int64, body []byte) int {
-	response := o.send(base, body)
-	o.leadership.commitInto(o.kept)
+// replace calls Replace, completes all commits and returns the status of the answer.
+func (f *leaderFixture) replace(base int64, body []byte) int {
+	response := f.send(base, body)
+	f.leadership.commitInto(f.stored)
 	return response.Status
 }
 
-// grow confirms versions 1 to count, each on the one before.
-func (o *operated) grow(count int) {
+// commitVersions commits versions 1 to count, each with the version before as its base.
+func (f *leaderFixture) commitVersions(count int) {
 	for version := 1; version <= count; version++ {
-		Expect(o.replace(int64(version-1), configurationBody(version, "s"))).To(Equal(200))
+		Expect(f.replace(int64(version-1), newBody(version, "s"))).To(Equal(200))
 	}
 }
 
 var _ = Describe("confirmed versions", func() {
-	It("are confirmed again after 400 other changes and at a new leader, and no other body is", func() {
-		o := newOperated()
-		o.grow(401)
-		o.takeOver()
+	It("are confirmed again by a new leader after 400 other changes, but only with the same body", func() {
+		f := newLeaderFixture()
+		f.commitVersions(401)
+		f.changeLeader()
 		for version := 1; version <= 401; version++ {
-			Expect(o.replace(int64(version-1), configurationBody(version, "s"))).To(Equal(200))
-			Expect(o.replace(int64(version-1), append(configurationBody(version, "s"), '\n'))).To(Equal(200))
+			Expect(f.replace(int64(version-1), newBody(version, "s"))).To(Equal(200))
+			Expect(f.replace(int64(version-1), append(newBody(version, "s"), '\n'))).To(Equal(200))
 		}
 		for _, version := range []int{1, 200, 401} {
-			Expect(o.replace(int64(version-1), configurationBody(version, "other"))).To(Equal(412))
-			Expect(o.replace(401, configurationBody(version, "other"))).To(Equal(400))
+			Expect(f.replace(int64(version-1), newBody(version, "other"))).To(Equal(412))
+			Expect(f.replace(401, newBody(version, "other"))).To(Equal(400))
 		}
 	})
 
-	It("take one small record for each change, and leave the others alone", func() {
-		o := newOperated()
-		o.grow(300)
-		o.send(300, configurationBody(301, "s"))
-		Expect(o.leadership.ops).To(HaveLen(2))
-		GinkgoWriter.Printf("the record of a confirmed version takes %d bytes with its name\n", len(o.leadership.ops[1].Name)+len(o.leadership.ops[1].Value))
-		Expect(len(o.leadership.ops[1].Value)).To(BeNumerically("<", 120))
-		Expect(len(o.leadership.ops[0].Value)).To(BeNumerically("<", 400))
+	It("add one small record per change and rewrite no other", func() {
+		f := newLeaderFixture()
+		f.commitVersions(300)
+		f.send(300, newBody(301, "s"))
+		Expect(f.leadership.ops).To(HaveLen(2))
+		GinkgoWriter.Printf("the record of a confirmed version takes %d bytes with its name\n", len(f.leadership.ops[1].Name)+len(f.leadership.ops[1].Value))
+		Expect(len(f.leadership.ops[1].Value)).To(BeNumerically("<", 120))
+		Expect(len(f.leadership.ops[0].Value)).To(BeNumerically("<", 400))
 	})
 
-	It("are bounded: the oldest go, and what is sent of them again gets no clear answer", func() {
-		o := newOperated()
-		o.grow(2100)
-		Expect(o.kept).To(HaveLen(2049))
-		o.takeOver()
-		Expect(o.replace(51, configurationBody(52, "s"))).To(Equal(503))
-		Expect(o.replace(52, configurationBody(53, "s"))).To(Equal(200))
-		Expect(o.replace(2100, configurationBody(52, "s"))).To(Equal(400))
+	It("are limited in number, and a repeated change whose record was dropped is answered 503", func() {
+		f := newLeaderFixture()
+		f.commitVersions(2100)
+		Expect(f.stored).To(HaveLen(2049))
+		f.changeLeader()
+		Expect(f.replace(51, newBody(52, "s"))).To(Equal(503))
+		Expect(f.replace(52, newBody(53, "s"))).To(Equal(200))
+		Expect(f.replace(2100, newBody(52, "s"))).To(Equal(400))
 	})
 
-	It("are read in the form of an earlier version, and written as records with the next change", func() {
-		earlier := &wire.Configuration{Version: 164, Body: configurationBody(164, "s")}
+	It("are read in the older format, and written as records with the next change", func() {
+		legacy := &wire.Configuration{Version: 164, Body: newBody(164, "s")}
 		for version := 101; version <= 164; version++ {
-			sum := sha256.Sum256(configurationBody(version, "s"))
-			earlier.Confirmed = append(earlier.Confirmed, wire.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
+			sum := sha256.Sum256(newBody(version, "s"))
+			legacy.Confirmed = append(legacy.Confirmed, wire.ConfirmedVersion{Version: int64(version), Digest: hex.EncodeToString(sum[:8])})
 		}
-		value, err := easyjson.Marshal(earlier)
+		value, err := easyjson.Marshal(legacy)
 		Expect(err).NotTo(HaveOccurred())
-		o := newOperated()
-		o.kept["fact"] = value
+		f := newLeaderFixture()
+		f.stored["fact"] = value
 		for range 2 {
-			o.takeOver()
-			Expect(o.replace(100, configurationBody(101, "s"))).To(Equal(200))
-			Expect(o.replace(100, configurationBody(101, "other"))).To(Equal(412))
-			Expect(o.replace(99, configurationBody(100, "s"))).To(Equal(503))
-			o.replace(164, configurationBody(165, "s"))
-		}
-		Expect(string(o.kept["fact"])).NotTo(ContainSubstring("taken"))
-		Expect(o.kept).To(HaveLen(66))
+			f.changeLeader()
+			Expect(f.replace(100, newBody(101, "s"))).To(Equal(200))
+			Expect(f.replace(100, newBody(101, "other"))).To(Equal(412))
+			Expect(f.replace(99, newBody(100, "s"))).To(Equal(503))
+			f.replace(164, newBody(165, "s"))
+		}
+		Expect(string(f.stored["fact"])).NotTo(ContainSubstring("taken"))
+		Expect(f.stored).To(HaveLen(66))
 	})
 
-	It("that can't be read are an error that names the record", func() {
-		o := newOperated()
-		Expect(o.leader.Open(o.leadership, []wire.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
+	It("cause an error that names the record if they can't be decoded", func() {
+		f := newLeaderFixture()
+		Expect(f.leader.Open(f.leadership, []wire.Op{{Name: "confirmed/7", Value: []byte("{")}})).To(MatchError(ContainSubstring("confirmed/7")))
 	})
 })
 
-var _ = Describe("orders under way at once", func() {
-	It("wait for their turn: of eight one is taken, and all get a clear answer with its commit", func() {
-		o := newOperated()
-		o.grow(3)
-		var response []*wire.ClientAnswer
+var _ = Describe("concurrent changes", func() {
+	It("with the same base are queued, and all are answered once one of them is committed", func() {
+		f := newLeaderFixture()
+		f.commitVersions(3)
+		var answers []*wire.ClientAnswer
 		for number := range 8 {
-			response = append(response, o.send(3, configurationBody(4+number%4, fmt.Sprintf("s%d", number%4))))
+			answers = append(answers, f.send(3, newBody(4+number%4, fmt.Sprintf("s%d", number%4))))
 		}
-		o.leadership.commitInto(o.kept)
+		f.leadership.commitInto(f.stored)
 		var statuses []int
-		for _, answer := range response {
+		for _, answer := range answers {
 			statuses = append(statuses, answer.Status)
 		}
 		Expect(statuses).To(Equal([]int{200, 412, 412, 412, 200, 412, 412, 412}))
 	})
 
-	It("are taken one after the other where each builds on the one before", func() {
-		o := newOperated()
-		var response []*wire.ClientAnswer
+	It("are committed one after the other if each is based on the one before", func() {
+		f := newLeaderFixture()
+		var answers []*wire.ClientAnswer
 		for number := range 8 {
-			response = append(response, o.send(int64(number), configurationBody(number+1, "s")))
+			answers = append(answers, f.send(int64(number), newBody(number+1, "s")))
 		}
-		o.leadership.commitInto(o.kept)
-		for _, answer := range response {
+		f.leadership.commitInto(f.stored)
+		for _, answer := range answers {
 			Expect(answer.Status).To(Equal(200))
 		}
 	})
 
-	It("are not taken where the leadership ends, and none is answered twice", func() {
-		o := newOperated()
-		answers, unclear := 0, 0
+	It("are each answered NotLeader exactly once if the leadership ends", func() {
+		f := newLeaderFixture()
+		answerCount, unknownOutcomes := 0, 0
 		for number := range 40 {
-			o.leader.Replace(&wire.ClientCall{Base: 0, Body: configurationBody(number+1, "s")}, func(answer wire.ClientAnswer) {
-				answers++
+			f.leader.Replace(&wire.ClientCall{Base: 0, Body: newBody(number+1, "s")}, func(answer wire.ClientAnswer) {
+				answerCount++
 				Expect(answer.NotLeader).To(BeTrue())
 				if answer.OutcomeUnknown {
-					unclear++
+					unknownOutcomes++
 				}
 			})
 		}
-		Expect(answers).To(Equal(40 - 33))
-		lost := o.leadership.pending
-		o.leader.Close()
+		Expect(answerCount).To(Equal(40 - 33))
+		lost := f.leadership.pending
+		f.leader.Close()
 		for _, done := range lost {
 			done(errors.New("lost"))
 		}
-		Expect(answers).To(Equal(40))
-		Expect(unclear).To(Equal(1))
+		Expect(answerCount).To(Equal(40))
+		Expect(unknownOutcomes).To(Equal(1))
 	})
 
-	DescribeTable("are clear once sent again, to a new leader and after 400 changes, if the leadership ended during the commit", func(isStored bool, others int) {
-		o := newOperated()
-		o.grow(400)
-		orders := make([][]byte, 8)
-		for number := range orders {
-			orders[number] = configurationBody(401, fmt.Sprintf("s%d", number))
+	// A leader loses its leadership during a commit, so the operators don't know whether their changes were committed. They repeat the changes
+	// at the new leader.
+	DescribeTable("get a definite answer from the new leader if the old leadership ended during the commit", func(isStored bool, others int) {
+		f := newLeaderFixture()
+		f.commitVersions(400)
+		bodies := make([][]byte, 8)
+		for number := range bodies {
+			bodies[number] = newBody(401, fmt.Sprintf("s%d", number))
 		}
-		first := o.send(400, orders[0])
-		for _, order := range orders[1:] {
-			o.send(400, order)
+		first := f.send(400, bodies[0])
+		for _, body := range bodies[1:] {
+			f.send(400, body)
 		}
 		if isStored {
-			for _, op := range o.leadership.ops {
-				o.kept[op.Name] = op.Value
+			for _, op := range f.leadership.ops {
+				f.stored[op.Name] = op.Value
 			}
 		}
-		lost := o.leadership.pending
-		o.leader.Close()
-		o.leadership.pending = nil
+		lost := f.leadership.pending
+		f.leader.Close()
+		f.leadership.pending = nil
 		lost[0](errors.New("lost"))
 		Expect(*first).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
-		o.takeOver()
-		taken := 0
+		f.changeLeader()
+		committedNumber := 0
 		if !isStored {
-			taken = 3
-			Expect(o.replace(400, orders[taken])).To(Equal(200))
+			committedNumber = 3
+			Expect(f.replace(400, bodies[committedNumber])).To(Equal(200))
 		}
 		for version := 402; version < 402+others; version++ {
-			Expect(o.replace(int64(version-1), configurationBody(version, "s"))).To(Equal(200))
+			Expect(f.replace(int64(version-1), newBody(version, "s"))).To(Equal(200))
 		}
-		for number, order := range orders {
-			Expect(o.replace(400, order)).To(Equal(map[bool]int{true: 200, false: 412}[number == taken]))
+		for number, body := range bodies {
+			Expect(f.replace(400, body)).To(Equal(map[bool]int{true: 200, false: 412}[number == committedNumber]))
 		}
 	},
 		Entry("and the change was stored", true, 0),
 		Entry("and the change was not stored", false, 0),
-		Entry("stored, with 400 others since", true, 400),
-		Entry("not stored, with 400 others since", false, 400),
+		Entry("and the change was stored and 400 others followed", true, 400),
+		Entry("and the change was not stored and 400 others followed", false, 400),
 	)
 
-	It("that settle after the key was taken over again change nothing there", func() {
-		o := newOperated()
-		response := o.send(0, configurationBody(1, "s"))
-		late := o.leadership.pending
-		o.leadership = &scriptedLeadership{hasLease: true}
-		Expect(o.leader.Open(o.leadership, nil)).To(Succeed())
+	It("have no effect if their commit completes after the next leadership began", func() {
+		f := newLeaderFixture()
+		response := f.send(0, newBody(1, "s"))
+		late := f.leadership.pending
+		f.leadership = &scriptedLeadership{hasLease: true}
+		Expect(f.leader.Open(f.leadership, nil)).To(Succeed())
 		late[0](nil)
 		Expect(*response).To(Equal(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}))
-		Expect(o.replace(0, configurationBody(2, "s"))).To(Equal(200))
+		Expect(f.replace(0, newBody(2, "s"))).To(Equal(200))
 	})
 })
 
-var _ = Describe("state that grows with changes", func() {
-	It("is bounded where routes move between services and are dropped", func() {
-		o := newOperated()
+var _ = Describe("the stored configuration", func() {
+	It("stays bounded while routes move between services and are dropped", func() {
+		f := newLeaderFixture()
 		committed := func() *wire.Configuration {
 			read := &wire.Configuration{}
-			Expect(easyjson.Unmarshal(o.kept["fact"], read)).To(Succeed())
+			Expect(easyjson.Unmarshal(f.stored["fact"], read)).To(Succeed())
 			return read
 		}
 		text := func(version, route int, service string) []byte {
@@ -235,13 +238,13 @@
 			return []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[%s],"service-list":[{"name":"%s"}]}`, version, strings.Join(routes, ","), service))
 		}
 		for version := 1; version <= 800; version++ {
-			Expect(o.replace(int64(version-1), text(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
+			Expect(f.replace(int64(version-1), text(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
 		}
 		Expect(len(committed().Moved)).To(BeNumerically("<=", 2048))
 		Expect(committed().Moved).To(ContainElement(wire.MovedRoute{Route: "r3990", Services: []string{"a"}}))
 		Expect(committed().InitialVoters).To(HaveLen(2))
 		for version := 801; version <= 840; version++ {
-			Expect(o.replace(int64(version-1), text(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
+			Expect(f.replace(int64(version-1), text(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
 		}
 		for _, moved := range committed().Moved {
 			Expect(len(moved.Services)).To(BeNumerically("<=", 16))
--- a/internal/control/configleader/evacuations_test.go
+++ b/internal/control/configleader/evacuations_test.go
@@ -12,17 +12,17 @@
 
 var _ = Describe("the order to empty a zone", func() {
 	var leadership *scriptedLeadership
-	var kept map[string][]byte
+	var stored map[string][]byte
 	var leader *configleader.Leader
 	var published []*wire.Evacuations
 	var answers []wire.ClientAnswer
-	answer := func(given wire.ClientAnswer) { answers = append(answers, given) }
+	answer := func(received wire.ClientAnswer) { answers = append(answers, received) }
 	open := func() {
 		published = nil
 		leader = configleader.New(logging.Silent(), func(*wire.Configuration) {}, configleader.WithEvacuations(func(list *wire.Evacuations) {
 			published = append(published, list)
 		}))
-		Expect(leader.Open(leadership, pairsOf(kept))).To(Succeed())
+		Expect(leader.Open(leadership, listPairs(stored))).To(Succeed())
 	}
 	evacuate := func(zone string) { leader.Evacuate(&wire.ClientCall{ID: zone}, answer) }
 	end := func(zone string) { leader.EndEvacuation(&wire.ClientCall{ID: zone}, answer) }
@@ -34,15 +34,15 @@
 		return names
 	}
 	BeforeEach(func() {
-		leadership, kept, answers = &scriptedLeadership{hasLease: true}, map[string][]byte{}, nil
+		leadership, stored, answers = &scriptedLeadership{hasLease: true}, map[string][]byte{}, nil
 		open()
 	})
 
-	It("is answered and published once it is durable, and is there after a take-over", func() {
+	It("is answered and published once it is durable, and is kept after a change of leader", func() {
 		evacuate("a")
 		Expect(answers).To(BeEmpty())
 		Expect(published).To(BeEmpty())
-		leadership.commitInto(kept)
+		leadership.commitInto(stored)
 		Expect(answers).To(Equal([]wire.ClientAnswer{{Status: 200}}))
 		Expect(published).To(Equal([]*wire.Evacuations{{Number: 1, Zones: []wire.EvacuatedZone{{Zone: "a", SinceMs: 1000}}}}))
 		open()
@@ -51,33 +51,33 @@
 		Expect(string(answers[1].Body)).To(Equal(`{"n":1,"z":[{"z":"a","t":1000}]}`))
 	})
 
-	It("changes nothing when it comes again, and rises in its number with each change", func() {
+	It("has no effect when repeated, and increases the number with each change", func() {
 		evacuate("a")
-		leadership.commitInto(kept)
+		leadership.commitInto(stored)
 		evacuate("a")
 		end("b")
 		Expect(answers).To(HaveLen(3))
 		Expect(leadership.pending).To(BeEmpty())
 		for _, step := range []func(){func() { evacuate("b") }, func() { end("a") }, func() { end("b") }} {
 			step()
-			leadership.commitInto(kept)
+			leadership.commitInto(stored)
 		}
 		Expect(published).To(HaveLen(4))
 		Expect(published[3]).To(Equal(&wire.Evacuations{Number: 4, Zones: []wire.EvacuatedZone{}}))
 	})
 
-	It("waits for its turn after an order, or a configuration, that is being committed", func() {
+	It("is queued while another order or a configuration is being committed", func() {
 		evacuate("a")
 		end("a")
 		leader.Replace(&wire.ClientCall{Body: []byte(`{"config-version":1}`)}, answer)
 		evacuate("b")
 		Expect(answers).To(BeEmpty())
-		leadership.commitInto(kept)
+		leadership.commitInto(stored)
 		Expect(answers).To(HaveLen(4))
 		Expect(zones()).To(Equal([]string{"b"}))
 	})
 
-	It("has an unknown outcome where the leadership is lost, and none for those that wait behind it", func() {
+	It("has an unknown outcome if the leadership is lost during its commit, and is not carried out if it was queued", func() {
 		evacuate("a")
 		evacuate("b")
 		pending := leadership.pending
@@ -89,15 +89,15 @@
 		Expect(published).To(BeEmpty())
 	})
 
-	It("is told nothing without a lease, and can't be read from a broken record", func() {
+	It("is answered NotLeader without a lease, and is not read from a damaged record", func() {
 		evacuate("a")
-		leadership.commitInto(kept)
+		leadership.commitInto(stored)
 		leadership.hasLease = false
 		evacuate("a")
 		end("b")
 		leader.Evacuations(answer)
-		for _, given := range answers[1:] {
-			Expect(given.NotLeader).To(BeTrue())
+		for _, received := range answers[1:] {
+			Expect(received.NotLeader).To(BeTrue())
 		}
 		Expect(leader.Open(leadership, []wire.Op{{Name: "evacuations", Value: []byte("[")}})).To(MatchError(ContainSubstring("evacuations")))
 	})
--- a/internal/control/configleader/moved.go
+++ b/internal/control/configleader/moved.go
@@ -8,16 +8,15 @@
 )
 
 const (
-	// maxMovedRoutes routes are remembered that went to another service; beyond that those go first which are no longer
-	// in the configuration, the oldest of them before others.
+	// maxMovedRoutes is the number of moved routes above which those are dropped that are no longer in the configuration, the oldest first.
 	maxMovedRoutes = 2048
-	// maxFormerServices that a route went to before are remembered, the last ones.
+	// maxFormerServices is the maximum number of former services that are kept for a route. The newest are kept.
 	maxFormerServices = 16
 )
 
-// movedRoutes adds the routes that the next configuration sends to another service than the one before, and those whose jobs a rollout
-// may divide between two: the jobs of either version stay where they were accepted.
-func movedRoutes(moved []wire.MovedRoute, before, next *configuration.Configuration) []wire.MovedRoute {
+// addMovedRoutes adds to the moved routes those that lead to another service in the next configuration, and those whose jobs a rollout may
+// split between two services. Jobs stay with the service that accepted them, so calls about them may have to go to a former service.
+func addMovedRoutes(moved []wire.MovedRoute, before, next *configuration.Configuration) []wire.MovedRoute {
 	former := configuration.NewMatcher(before)
 	positions := map[string]int{}
 	for position, route := range moved {
@@ -30,7 +29,7 @@
 			moved = append(moved, wire.MovedRoute{Route: route, Services: []string{service}})
 			return
 		}
-		moved[position].Services = withService(moved[position].Services, service)
+		moved[position].Services = addService(moved[position].Services, service)
 	}
 	for _, route := range next.Routes {
 		if formerRoute := former.ByName(route.Name); formerRoute != nil && formerRoute.Service != route.Service {
@@ -43,11 +42,11 @@
 			add(rollout.Route, rollout.To)
 		}
 	}
-	return boundMoved(moved, next)
+	return dropExcessRoutes(moved, next)
 }
 
-// withService adds a service to those that a route led to before.
-func withService(services []string, service string) []string {
+// addService adds a service to the former services of a route, unless it is among them.
+func addService(services []string, service string) []string {
 	if slices.Contains(services, service) {
 		return services
 	}
@@ -55,8 +54,8 @@
 	return services[max(0, len(services)-maxFormerServices):]
 }
 
-// boundMoved drops what is beyond maxMovedRoutes, if it is no longer in the configuration.
-func boundMoved(moved []wire.MovedRoute, next *configuration.Configuration) []wire.MovedRoute {
+// dropExcessRoutes drops the oldest moved routes above maxMovedRoutes, but none that is still in the configuration.
+func dropExcessRoutes(moved []wire.MovedRoute, next *configuration.Configuration) []wire.MovedRoute {
 	excess := len(moved) - maxMovedRoutes
 	if excess <= 0 {
 		return moved
--- a/internal/control/configleader/refusal.go
+++ b/internal/control/configleader/refusal.go
@@ -9,33 +9,33 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// retryAfterS is how many seconds an operator should wait before asking again.
+// retryAfterS is the number of seconds that an operator should wait before the next try.
 const retryAfterS = 1
 
-// ErrNoConfiguration is given to an operator who asks before the first configuration was committed.
+// ErrNoConfiguration refuses a call that reads the configuration before the first one was committed.
 const ErrNoConfiguration = errors.ConstError("there is no configuration yet")
 
-// InvalidError refuses a configuration that can't be read or breaks a rule; the text names the field.
+// InvalidError refuses a configuration that can't be decoded or breaks a rule. Err names the field.
 type InvalidError struct{ Err error }
 
-// Error names the field.
+// Error returns the text of Err.
 func (e *InvalidError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the error of the check.
+// Unwrap returns Err.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// VersionConflictError refuses a change that builds on another version than the one in force.
+// VersionConflictError refuses a change whose base is not the version in force. Current is the version in force.
 type VersionConflictError struct{ Current int64 }
 
-// Error names the version in force.
+// Error returns a text with the version in force.
 func (e *VersionConflictError) Error() string {
 	return fmt.Sprintf("the current version is %d", e.Current)
 }
 
-// VersionNotAboveError refuses a configuration whose version is not above the one in force.
+// VersionNotAboveError refuses a configuration whose version is not above the version in force. Current is the version in force.
 type VersionNotAboveError struct{ Current int64 }
 
-// Error names the field and the version in force.
+// Error returns a text with the field and the version in force.
 func (e *VersionNotAboveError) Error() string {
 	return fmt.Sprintf("field config-version is not above the current one, %d", e.Current)
 }
@@ -43,13 +43,13 @@
 // ForgottenVersionError refuses a version that may have been confirmed so long ago that its record was dropped.
 type ForgottenVersionError struct{ Version int64 }
 
-// Error names the version.
+// Error returns a text with the version.
 func (e *ForgottenVersionError) Error() string {
 	return fmt.Sprintf("version %d may have been taken too long ago to tell", e.Version)
 }
 
-// refusalOf is the answer to an operator for an error of this package.
-func refusalOf(err error) wire.ClientAnswer {
+// newRefusal returns the answer to an operator for an error of this package.
+func newRefusal(err error) wire.ClientAnswer {
 	answer := wire.ClientAnswer{Status: http.StatusInternalServerError, Reason: err.Error()}
 	var conflict *VersionConflictError
 	switch {
@@ -63,8 +63,8 @@
 	return answer
 }
 
-// needsLease tells whether a refusal is only true as long as no other process leads the key. What is wrong with the body, or
-// is not above a version that was once in force, stays so whoever leads.
+// needsLease reports whether a refusal is only valid while no other process leads the key. An invalid body stays invalid whoever leads, and
+// so does a version that is not above one that was in force.
 func needsLease(err error) bool {
 	return !errors.As(err, new(*InvalidError)) && !errors.As(err, new(*VersionNotAboveError))
 }
--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -158,7 +158,7 @@
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "d", set)).To(BeFalse())
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", set)).To(BeTrue())
 		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: []string{"d"}, Current: set.Current})).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change of voters still needs the setVoters of the leaving disk")
+		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change of voters still needs the vote of the leaving disk")
 	})
 
 	It("returns from Leave long before the timeout if nothing is left to wait for", func() {
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -227,7 +227,7 @@
 	return members
 }
 
-// listStorageDisks returns the disks on which lots may be kept, one of each failure domain in round.
+// listStorageDisks returns the disks on which lots may be kept, one of each failure domain in turn.
 func (m *Manager) listStorageDisks() []string {
 	byDomain := map[string][]string{}
 	for _, member := range filterWithDisks(filterByLots(m.Node.View().Stewards, true)) {
--- a/internal/control/controlkeys/rollouts.go
+++ b/internal/control/controlkeys/rollouts.go
@@ -32,7 +32,7 @@
 		}})
 }
 
-// hasRollouts reports whether the newest configuration lastSnapshot to this process has rollouts.
+// hasRollouts reports whether the newest configuration known to this process has rollouts.
 func (m *Manager) hasRollouts() bool {
 	snapshot := m.Configurations.Current()
 	return snapshot != nil && len(snapshot.Matcher.Configuration().Rollouts) > 0
