--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -1,6 +1,6 @@
-// Package poolhost runs the pool of a service on a goroutine of its own, beside the goroutine of the engine that elects the
-// pool's leader and replicates its changes. Loading a pool, placement and bursts of exchanges may then take as long as they
-// need: the engine renews its lease meanwhile.
+// Package poolhost runs a pool, or a lots partition, on a goroutine of its own. The replication engine, which elects the leader and
+// replicates the changes, runs on another goroutine. So the engine goes on renewing its lease while the pool loads, places tasks or handles
+// a burst of exchanges, however long that takes.
 package poolhost
 
 import (
@@ -13,15 +13,16 @@
 // mailboxSize is how many calls may wait for the pool's goroutine.
 const mailboxSize = 1024
 
-// Pool is what a host runs; scheduler.Pool is the real one. Its methods run on the goroutine of the host's Mailbox.
+// Pool is the state machine that a Host runs, such as scheduler.Pool. Its methods run on the goroutine of the host's Mailbox.
 type Pool interface {
-	// Open takes the key over with all its values.
+	// Open starts a leadership of the key with all its committed pairs.
 	Open(leadership scheduler.Leadership, pairs []wire.Op)
 	// Close ends the leadership.
 	Close()
 }
 
-// Host is the replication.StateMachine of a pool. Its methods run on the engine's goroutine, the pool's on that of Mailbox.
+// Host is the replication.StateMachine of a pool. The engine calls it on the engine's goroutine. It passes the calls on to the goroutine of
+// Mailbox.
 type Host struct {
 	pool          Pool
 	engineMailbox *mailbox.Mailbox
@@ -29,19 +30,20 @@
 	outbox        *mailbox.Outbox
 }
 
-// New makes the host of a pool whose engine runs on the goroutine of that mailbox.
+// New creates the host of a pool. The engine runs on the goroutine of engineMailbox.
 func New(pool Pool, engineMailbox *mailbox.Mailbox) *Host {
 	poolMailbox := mailbox.New(mailboxSize)
 	return &Host{pool: pool, engineMailbox: engineMailbox, poolMailbox: poolMailbox, outbox: mailbox.NewOutbox(poolMailbox)}
 }
 
-// Mailbox is the mailbox of the goroutine that owns the pool.
+// Mailbox returns the mailbox of the pool's goroutine. The caller has to run it.
 func (h *Host) Mailbox() *mailbox.Mailbox { return h.poolMailbox }
 
-// Flush passes on what the pool's mailbox had no room for; the engine's goroutine calls it after each burst.
+// Flush posts the calls for which the pool's mailbox was full before. The engine's goroutine calls it after each batch of its own calls.
 func (h *Host) Flush() { h.outbox.Flush() }
 
-// Open lets the pool load what is committed of the key. Calls that come to the pool's mailbox meanwhile wait there.
+// Open makes the pool load the committed pairs, unless the leadership has ended by then. Calls that arrive meanwhile wait in the pool's
+// mailbox.
 func (h *Host) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	h.outbox.Send(func() {
 		if leadership.IsOpen() {
@@ -51,16 +53,16 @@
 	return nil
 }
 
-// Close ends the leadership for the pool; commits that wait have ended for it by then.
+// Close ends the pool's leadership. The pool has received the outcome of its pending commits by then.
 func (h *Host) Close() { h.outbox.Send(h.pool.Close) }
 
-// hostedLeadership is a leadership as the pool's goroutine uses it.
+// hostedLeadership is a leadership that the pool's goroutine may use. It passes commits to the engine's goroutine.
 type hostedLeadership struct {
 	*replication.Leadership
 	host *Host
 }
 
-// Commit makes a change durable on a majority; done runs on the pool's goroutine.
+// Commit makes a change durable on a majority. The function done runs on the pool's goroutine.
 func (l *hostedLeadership) Commit(ops []wire.Op, done func(error)) {
 	l.host.engineMailbox.Post(func() {
 		l.Leadership.Commit(ops, func(err error) { l.host.outbox.Send(func() { done(err) }) })
--- a/internal/control/poolhost/poolhost_test.go
+++ b/internal/control/poolhost/poolhost_test.go
@@ -10,29 +10,29 @@
 )
 
 var _ = Describe("a pool on a slow processor", func() {
-	It("is taken over once, and knows all executors a few seconds later, at 1,000 of them", func() {
-		s := newSteward(costs{record: 500 * time.Microsecond, exchange: time.Millisecond}, jobs(4000))
-		took := s.settled(jobsOf(s, 1000), 30*time.Second)
-		AddReportEntry("all known after", took.String())
-		Expect(s.gaps).To(BeZero(), "times that the voters would have promised another")
-		Expect(s.openings).To(Equal(1))
-		Expect(took).To(BeNumerically("<", 8*time.Second))
+	It("is opened once by a new leader and registers 1,000 executors within 8 s", func() {
+		s := newSteward(costs{record: 500 * time.Microsecond, exchange: time.Millisecond}, newJobRecords(4000))
+		elapsed := s.runUntilFenced(startProxies(s, 1000), 30*time.Second)
+		AddReportEntry("all executors registered after", elapsed.String())
+		Expect(s.leaseGaps).To(BeZero(), "times that the voters would have elected another leader")
+		Expect(s.openCount).To(Equal(1))
+		Expect(elapsed).To(BeNumerically("<", 8*time.Second))
 	})
 
-	It("keeps its lease while it loads for longer than many leases", func() {
-		s := newSteward(costs{record: 2 * time.Millisecond}, jobs(4000))
+	It("keeps its lease while it loads for many times the lease time", func() {
+		s := newSteward(costs{record: 2 * time.Millisecond}, newJobRecords(4000))
 		s.run(12 * time.Second)
-		Expect(s.gaps).To(BeZero())
-		Expect(s.openings).To(Equal(1))
+		Expect(s.leaseGaps).To(BeZero())
+		Expect(s.openCount).To(Equal(1))
 		Expect(s.pool.IsOpen()).To(BeTrue())
 	})
 
-	It("keeps the key though a record of it can't be read, and names the record", func() {
+	It("keeps the leadership and reports the name of a record that it can't decode", func() {
 		const damaged = "j/0000000000000001"
 		s := newSteward(costs{}, []wire.Op{{Name: damaged, Value: []byte("{")}})
 		s.run(2 * time.Second)
-		Expect(s.gaps).To(BeZero())
-		Expect(s.openings).To(Equal(1))
+		Expect(s.leaseGaps).To(BeZero())
+		Expect(s.openCount).To(Equal(1))
 		Expect(s.pool.IsOpen()).To(BeTrue())
 		Expect(s.pool.Unreadable()).To(Equal([]string{damaged}))
 	})
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -16,18 +16,20 @@
 )
 
 const (
-	key       = "pool/s"
-	transit   = 2 * time.Millisecond
-	tickEvery = 50 * time.Millisecond
+	key = "pool/s"
+	// networkDelay is the delay of a message in one direction.
+	networkDelay = 2 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
 )
 
-// costs is the time that a slow processor needs for the pool's work.
+// costs are the simulated processing times of the pool, for each record that it loads and each exchange that it handles.
 type costs struct {
 	record   time.Duration
 	exchange time.Duration
 }
 
-// steward is a candidate with its pool on a slow processor, beside scripted voters that grant all they may.
+// steward simulates a candidate with its pool on a slow processor. The other voters are scripted and grant every promise and lease that they
+// may grant.
 type steward struct {
 	clock         *clock.Fake
 	events        []event
@@ -38,20 +40,21 @@
 	costs         costs
 	state         wire.Snapshot
 	voters        map[string]*voter
-	openings      int
-	// busyUntil is when the pool's goroutine is free again.
+	openCount     int
+	// busyUntil is the time at which the pool's goroutine has finished its current work.
 	busyUntil time.Duration
-	// gaps counts the times that a majority of the voters would have promised another candidate.
-	gaps  int
-	isGap bool
+	// leaseGaps counts the periods in which a majority of the voters could have promised another candidate.
+	leaseGaps int
+	isGap     bool
 }
 
+// event is a function that runs at a simulated time.
 type event struct {
 	due time.Duration
 	run func()
 }
 
-// voter is a disk with its steward: what it holds, and until when it promises nobody else.
+// voter is a scripted voter. It gives no promise to another candidate before leaseUntil.
 type voter struct {
 	last       wire.LogPosition
 	promised   uint64
@@ -71,23 +74,23 @@
 		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: time.Minute, ReservedCapacity: scheduler.DefaultReservedCapacity},
 		logging.Silent())
 	s.host = poolhost.New(&slowPool{s.pool, s}, s.engineMailbox)
-	s.engine = replication.NewEngine(key, "a", "one", s.clock, &links{s}, s.host, s.members, replication.WithMachineLosses(2))
+	s.engine = replication.NewEngine(key, "a", "one", s.clock, &scriptedTransport{s}, s.host, s.listMembers, replication.WithMachineLosses(2))
 	return s
 }
 
-// slowPool needs a time to load, as long as there are records.
+// slowPool takes costs.record for each record that it loads.
 type slowPool struct {
 	*scheduler.Pool
 	steward *steward
 }
 
 func (p *slowPool) Open(leadership scheduler.Leadership, pairs []wire.Op) {
-	p.steward.openings++
-	p.steward.spend(time.Duration(len(pairs)) * p.steward.costs.record)
+	p.steward.openCount++
+	p.steward.addBusyTime(time.Duration(len(pairs)) * p.steward.costs.record)
 	p.Pool.Open(leadership, pairs)
 }
 
-func (s *steward) members() []wire.Member {
+func (s *steward) listMembers() []wire.Member {
 	var all []wire.Member
 	for _, disk := range s.state.Voters.Current {
 		all = append(all, wire.Member{Name: disk, Role: "steward", Disk: disk, State: wire.StateAlive})
@@ -95,15 +98,17 @@
 	return all
 }
 
-func (s *steward) spend(length time.Duration) {
+// addBusyTime makes the pool's goroutine busy for a further time.
+func (s *steward) addBusyTime(length time.Duration) {
 	s.busyUntil = max(s.busyUntil, s.clock.Monotonic()) + length
 }
 
+// after schedules a function after a delay.
 func (s *steward) after(wait time.Duration, run func()) {
 	s.events = append(s.events, event{s.clock.Monotonic() + wait, run})
 }
 
-// run lets time pass in steps of a millisecond.
+// run advances the simulated time in steps of a millisecond and runs what is due.
 func (s *steward) run(length time.Duration) {
 	for range length / time.Millisecond {
 		s.clock.Advance(time.Millisecond)
@@ -119,20 +124,20 @@
 		}
 		s.runEngine(now)
 		s.runPool(now)
-		s.noteGap(now)
+		s.countLeaseGap(now)
 	}
 }
 
-// runEngine is a turn of the engine's goroutine.
+// runEngine runs one iteration of the engine's goroutine.
 func (s *steward) runEngine(now time.Duration) {
-	if now%tickEvery == 0 {
+	if now%tickInterval == 0 {
 		s.engine.Tick()
 	}
 	s.engineMailbox.Drain()
 	s.host.Flush()
 }
 
-// runPool is a turn of the pool's goroutine: as much as the processor does in a millisecond.
+// runPool runs one iteration of the pool's goroutine: as much work as the processor does in a millisecond.
 func (s *steward) runPool(now time.Duration) {
 	for s.busyUntil <= now {
 		if !s.host.Mailbox().Step() {
@@ -142,13 +147,14 @@
 	if s.busyUntil > now {
 		return
 	}
-	if now%tickEvery == 0 {
+	if now%tickInterval == 0 {
 		s.pool.Tick()
 	}
 	s.pool.Flush()
 }
 
-func (s *steward) noteGap(now time.Duration) {
+// countLeaseGap counts a gap when, after the first lease, the leases of a majority of the voters have expired.
+func (s *steward) countLeaseGap(now time.Duration) {
 	free := 0
 	for _, voter := range s.voters {
 		if voter.promised > 1 && now >= voter.leaseUntil {
@@ -156,14 +162,14 @@
 		}
 	}
 	isGap := 2*free > len(s.voters)
-	if isGap && !s.isGap && s.hasLed() {
-		s.gaps++
+	if isGap && !s.isGap && s.hasGrantedLease() {
+		s.leaseGaps++
 	}
 	s.isGap = isGap
 }
 
-// hasLed tells whether any voter has granted a lease so far.
-func (s *steward) hasLed() bool {
+// hasGrantedLease reports whether any voter has granted a lease so far.
+func (s *steward) hasGrantedLease() bool {
 	for _, voter := range s.voters {
 		if voter.leaseUntil > 0 {
 			return true
@@ -172,65 +178,68 @@
 	return false
 }
 
-// links are those of the steward's engine to the scripted voters.
-type links struct{ s *steward }
+// scriptedTransport is the transport of the steward's engine. It answers on behalf of the scripted voters.
+type scriptedTransport struct{ steward *steward }
 
-func (l *links) back(run func()) { l.s.after(transit, func() { l.s.engineMailbox.Post(run) }) }
+// answerLater runs a function on the engine's goroutine after the network delay.
+func (t *scriptedTransport) answerLater(run func()) {
+	t.steward.after(networkDelay, func() { t.steward.engineMailbox.Post(run) })
+}
 
-func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
-	l.s.after(transit, func() {
-		voter := l.s.voters[disk]
+func (t *scriptedTransport) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
+	t.steward.after(networkDelay, func() {
+		voter := t.steward.voters[disk]
 		isGranted := call.Epoch > voter.promised
 		if isGranted && !call.PreVote {
 			voter.promised = call.Epoch
 		}
-		answer := wire.PromiseAnswer{Granted: isGranted, Promised: voter.promised, Last: voter.last, Voters: l.s.state.Voters, Disk: disk}
-		l.back(func() { done(answer, nil) })
+		answer := wire.PromiseAnswer{Granted: isGranted, Promised: voter.promised, Last: voter.last, Voters: t.steward.state.Voters, Disk: disk}
+		t.answerLater(func() { done(answer, nil) })
 	})
 }
 
-func (l *links) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.s.after(transit, func() {
-		voter := l.s.voters[disk]
+func (t *scriptedTransport) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	t.steward.after(networkDelay, func() {
+		voter := t.steward.voters[disk]
 		isTaken := call.Epoch == voter.promised && call.Prev == voter.last && !call.Release
 		if call.Epoch == voter.promised && !call.Release {
-			voter.leaseUntil = l.s.clock.Monotonic() + replication.DefaultTiming.Lease
+			voter.leaseUntil = t.steward.clock.Monotonic() + replication.DefaultTiming.Lease
 		}
 		if isTaken && len(call.Changes) > 0 {
 			voter.last = call.Changes[len(call.Changes)-1].Position
 		}
-		answer := wire.AppendAnswer{Taken: isTaken, Promised: voter.promised, Last: voter.last, Disk: disk, DelayUs: 1000, WallMs: l.s.clock.WallMs()}
-		l.back(func() { done(answer, nil) })
+		answer := wire.AppendAnswer{Taken: isTaken, Promised: voter.promised, Last: voter.last, Disk: disk, DelayUs: 1000, WallMs: t.steward.clock.WallMs()}
+		t.answerLater(func() { done(answer, nil) })
 	})
 }
 
-func (l *links) Fetch(_ string, _ wire.FetchCall, done func(wire.FetchAnswer, error)) {
-	l.back(func() { done(wire.FetchAnswer{}, errors.New("not scripted")) })
+func (t *scriptedTransport) Fetch(_ string, _ wire.FetchCall, done func(wire.FetchAnswer, error)) {
+	t.answerLater(func() { done(wire.FetchAnswer{}, errors.New("not scripted")) })
 }
 
-func (l *links) Status(_ string, done func(replication.ReplicaStatus)) {
-	own := l.s.voters["a"]
-	done(replication.ReplicaStatus{State: storage.ReplicaState{Last: own.last, Voters: l.s.state.Voters, Promised: own.promised},
+func (t *scriptedTransport) Status(_ string, done func(replication.ReplicaStatus)) {
+	own := t.steward.voters["a"]
+	done(replication.ReplicaStatus{State: storage.ReplicaState{Last: own.last, Voters: t.steward.state.Voters, Promised: own.promised},
 		Promised: own.promised})
 }
 
-func (l *links) History(_ string, done func(replication.History)) {
-	done(replication.History{Base: l.s.voters["a"].last})
+func (t *scriptedTransport) History(_ string, done func(replication.History)) {
+	done(replication.History{Base: t.steward.voters["a"].last})
 }
 
-func (l *links) ReadLocal(_ string, done func(wire.Snapshot, error)) {
-	state := l.s.state
-	state.Last = l.s.voters["a"].last
-	l.back(func() { done(state, nil) })
+func (t *scriptedTransport) ReadLocal(_ string, done func(wire.Snapshot, error)) {
+	state := t.steward.state
+	state.Last = t.steward.voters["a"].last
+	t.answerLater(func() { done(state, nil) })
 }
 
-func (l *links) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.Append("a", call, done)
+func (t *scriptedTransport) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	t.Append("a", call, done)
 }
 
-// testProxy is a local proxy that calls until the new leader knows its executor, as often as the real one does.
+// testProxy simulates a local proxy. It calls the pool as often as a real one until the new leader has registered its executor.
 type testProxy struct {
-	s          *steward
+	steward    *steward
 	number     int
 	fence      uint64
 	listNumber uint64
@@ -239,54 +248,58 @@
 }
 
 const (
-	callLimit   = 1800 * time.Millisecond
-	failedPause = 300 * time.Millisecond
+	callTimeout   = 1800 * time.Millisecond
+	retryInterval = 300 * time.Millisecond
 )
 
+// call sends an exchange. It retries after retryInterval if the pool is not open or does not answer within callTimeout.
 func (p *testProxy) call() {
-	isOver := false
+	isFinished := false
 	finish := func(then func()) {
-		if !isOver {
-			isOver = true
+		if !isFinished {
+			isFinished = true
 			then()
 		}
 	}
 	p.calls++
-	p.s.after(callLimit, func() { finish(func() { p.s.after(failedPause, p.call) }) })
+	p.steward.after(callTimeout, func() { finish(func() { p.steward.after(retryInterval, p.call) }) })
 	name := fmt.Sprintf("i-%04d", p.number)
 	ask := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.listNumber}
-	isKnown := p.fence > 0
+	hasFence := p.fence > 0
 	p.post(func() {
-		if !p.s.pool.IsOpen() {
-			p.s.after(transit, func() { finish(func() { p.s.after(failedPause, p.call) }) })
+		if !p.steward.pool.IsOpen() {
+			p.steward.after(networkDelay, func() { finish(func() { p.steward.after(retryInterval, p.call) }) })
 			return
 		}
-		p.s.spend(p.s.costs.exchange)
-		p.s.pool.Exchange(ask, func(answer wire.ExchangeAnswer) {
-			p.s.after(transit, func() { finish(func() { p.take(answer, isKnown) }) })
+		p.steward.addBusyTime(p.steward.costs.exchange)
+		p.steward.pool.Exchange(ask, func(answer wire.ExchangeAnswer) {
+			p.steward.after(networkDelay, func() { finish(func() { p.handleAnswer(answer, hasFence) }) })
 		})
 	})
 }
 
+// post posts a function to the pool's mailbox and tries again later while the mailbox is full.
 func (p *testProxy) post(run func()) {
-	if !p.s.host.Mailbox().TryPost(run) {
-		p.s.after(5*time.Millisecond, func() { p.post(run) })
+	if !p.steward.host.Mailbox().TryPost(run) {
+		p.steward.after(5*time.Millisecond, func() { p.post(run) })
 	}
 }
 
-func (p *testProxy) take(answer wire.ExchangeAnswer, isKnown bool) {
-	if isKnown && !answer.NotLeader && answer.Fence == p.fence {
+// handleAnswer calls again with the fence of the answer, until the pool confirms the fence that the proxy has sent.
+func (p *testProxy) handleAnswer(answer wire.ExchangeAnswer, hasFence bool) {
+	if hasFence && !answer.NotLeader && answer.Fence == p.fence {
 		p.isFenced = true
 		return
 	}
 	p.fence, p.listNumber = answer.Fence, answer.WantedList
-	p.s.after(transit, p.call)
+	p.steward.after(networkDelay, p.call)
 }
 
-// settled runs until all proxies are known to the new leader, or the limit is reached.
-func (s *steward) settled(proxies []*testProxy, limit time.Duration) time.Duration {
-	began := s.clock.Monotonic()
-	for s.clock.Monotonic()-began < limit {
+// runUntilFenced runs until the new leader has registered all executors, and returns the elapsed time, or the limit if they are not all
+// registered by then.
+func (s *steward) runUntilFenced(proxies []*testProxy, limit time.Duration) time.Duration {
+	start := s.clock.Monotonic()
+	for s.clock.Monotonic()-start < limit {
 		s.run(10 * time.Millisecond)
 		fenced := 0
 		for _, proxy := range proxies {
@@ -295,24 +308,25 @@
 			}
 		}
 		if fenced == len(proxies) {
-			return s.clock.Monotonic() - began
+			return s.clock.Monotonic() - start
 		}
 	}
 	return limit
 }
 
-func jobsOf(s *steward, count int) []*testProxy {
+// startProxies starts proxies whose first calls are spread over 300 ms.
+func startProxies(s *steward, count int) []*testProxy {
 	var all []*testProxy
 	for number := range count {
-		proxy := &testProxy{s: s, number: number}
+		proxy := &testProxy{steward: s, number: number}
 		all = append(all, proxy)
 		s.after(time.Duration(number%300)*time.Millisecond, proxy.call)
 	}
 	return all
 }
 
-// jobs are the records of so many jobs of four tasks each.
-func jobs(count int) []wire.Op {
+// newJobRecords returns the records of count jobs with four tasks each.
+func newJobRecords(count int) []wire.Op {
 	var pairs []wire.Op
 	for number := range count {
 		id := fmt.Sprintf("%016x", number)
