--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -1,5 +1,5 @@
-// Package controlapi serves the operator at any steward: it reads a request, asks the leader of the configuration and
-// writes what came of it.
+// Package controlapi serves the operators' HTTP calls at any steward. Each handler decodes the request, calls the leader of the
+// configuration's key or the machine that the call names, and writes the result.
 package controlapi
 
 import (
@@ -20,10 +20,12 @@
 	pathReplace           = "/v1/configuration/replace"
 	pathRetrieve          = "/v1/configuration/retrieve"
 	maxConfigurationBytes = 8 << 20
-	answerTimeout         = 900 * time.Millisecond
+	// answerTimeout limits a call to the leader of the configuration's key.
+	answerTimeout = 900 * time.Millisecond
 )
 
-// Decode makes a command of an operator's call, or a refusal.
+// Decode converts an operator's request to a call of the configuration's leader. If the request is invalid, the call is nil and the reply
+// refuses it.
 func Decode(request *http.Request) (*wire.ClientCall, response.Reply) {
 	switch request.URL.Path {
 	case pathRetrieve:
@@ -37,7 +39,7 @@
 	return nil, response.Text(http.StatusNotFound, "there is no such call")
 }
 
-// decodeReplace reads a replacement of the configuration, or returns the reply that refuses it.
+// decodeReplace decodes a request that replaces the configuration, or returns the reply that refuses it.
 func decodeReplace(request *http.Request) (*wire.ClientCall, response.Reply) {
 	if request.Method != http.MethodPost {
 		return nil, response.Text(http.StatusMethodNotAllowed, "only POST is taken here")
@@ -58,21 +60,21 @@
 	return &wire.ClientCall{Key: configleader.Key, Verb: wire.VerbReplace, Base: base, Body: body}, response.Reply{}
 }
 
-// Handler asks the leader of the configuration's key, wherever it is.
-func Handler(asker *leaderclient.Client) http.Handler {
+// Handler serves the calls that replace and retrieve the configuration. It forwards them to the leader of the configuration's key.
+func Handler(client *leaderclient.Client) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		call, refusal := Decode(request)
 		if call == nil {
 			refusal.Write(to)
 			return
 		}
-		Reply(call, asker.Ask(request.Context(), call, answerTimeout)).Write(to)
+		Reply(call, client.Ask(request.Context(), call, answerTimeout)).Write(to)
 	})
 }
 
-// Reply is the answer to the operator. A refusal is passed on only if it says what became of the call:
-// if an earlier try may have been carried out, that is so only where the current version is known to be beyond the
-// call's base. Versions only rise, so no try can be taken from then on, and one taken before would have been confirmed.
+// Reply converts the outcome of a call to the reply to the operator. It passes a version conflict on only if it is final. If an earlier try
+// may have been carried out, the conflict is final only if the current version is above the call's base. Versions only rise, so no try can
+// be committed from then on, and a try that was committed before would have been confirmed. Otherwise the reply is 503.
 func Reply(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
--- a/internal/control/controlapi/evacuation.go
+++ b/internal/control/controlapi/evacuation.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// PrefixEvacuation begins the paths of calls about zones that are to be emptied.
+	// PrefixEvacuation is the path prefix of the calls about evacuations of zones.
 	PrefixEvacuation = "/v1/evacuation/"
 	suffixTerminate  = "/terminate"
 	pathEvacuations  = PrefixEvacuation + "retrieve"
 )
 
-// Evacuation serves the operator's orders to empty a zone and to take that back, and tells which zones are to be emptied.
+// Evacuation serves the operators' calls that start or end the evacuation of a zone, or list the zones to be emptied.
 type Evacuation struct {
-	asker *leaderclient.Client
-	// isZone tells whether there is a zone of a name.
+	client *leaderclient.Client
+	// isZone reports whether a zone with that name exists.
 	isZone func(string) bool
-	// mayHaveWaited tells whether a call may have waited while this process stood still.
+	// mayHaveWaited reports whether a call may have waited because this process was suspended.
 	mayHaveWaited func() bool
 }
 
-// NewEvacuation makes a handler.
-func NewEvacuation(asker *leaderclient.Client, isZone func(string) bool, mayHaveWaited func() bool) *Evacuation {
-	return &Evacuation{asker: asker, isZone: isZone, mayHaveWaited: mayHaveWaited}
+// NewEvacuation creates a handler. It refuses calls for names that are no zones, and calls that may have waited, whose caller may have tried
+// another steward meanwhile.
+func NewEvacuation(client *leaderclient.Client, isZone func(string) bool, mayHaveWaited func() bool) *Evacuation {
+	return &Evacuation{client: client, isZone: isZone, mayHaveWaited: mayHaveWaited}
 }
 
 // ServeHTTP answers POST /v1/evacuation/ZONE/initiate and /terminate, and GET /v1/evacuation/retrieve.
@@ -40,7 +41,7 @@
 		refusal.Write(to)
 		return
 	}
-	EvacuationReply(call, e.asker.Ask(request.Context(), call, answerTimeout)).Write(to)
+	EvacuationReply(call, e.client.Ask(request.Context(), call, answerTimeout)).Write(to)
 }
 
 // decode makes a command of a call, or a refusal. Orders bear no number, so that an old copy can't be told from a new order: what may have
@@ -74,7 +75,8 @@
 	return &wire.ClientCall{Key: configleader.Key, Verb: verb, ID: zone}, response.Reply{}
 }
 
-// EvacuationReply is the answer to the operator; 503 promises that the order was not taken.
+// EvacuationReply converts the outcome of a call to the reply to the operator. Status 503 means that the call had no effect, and status 504
+// that this is unknown.
 func EvacuationReply(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
@@ -85,24 +87,24 @@
 	case answer.Reason != "":
 		return response.Later(answer.Status, answer.RetryAfterS, answer.Reason)
 	case call.Verb == wire.VerbEvacuations:
-		return shownEvacuations(answer.Body)
+		return newListReply(answer.Body)
 	}
 	return response.Raw(answer.Status, answer.Body)
 }
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all evacuation_messages.go
 
-// shownEvacuations is the list as operators read it.
-func shownEvacuations(body []byte) response.Reply {
-	var kept wire.Evacuations
-	if err := easyjson.Unmarshal(body, &kept); err != nil {
+// newListReply converts the leader's list of evacuations to the reply to the operator.
+func newListReply(body []byte) response.Reply {
+	var stored wire.Evacuations
+	if err := easyjson.Unmarshal(body, &stored); err != nil {
 		return response.Text(http.StatusBadGateway, "the answer can't be read")
 	}
-	shown := &evacuationList{Number: kept.Number, Zones: []shownZone{}}
-	for _, zone := range kept.Zones {
-		shown.Zones = append(shown.Zones, shownZone(zone))
+	list := &evacuationList{Number: stored.Number, Zones: []listedZone{}}
+	for _, zone := range stored.Zones {
+		list.Zones = append(list.Zones, listedZone(zone))
 	}
-	text, err := easyjson.Marshal(shown)
+	text, err := easyjson.Marshal(list)
 	if err != nil {
 		return response.Text(http.StatusBadGateway, "the answer can't be written")
 	}
--- a/internal/control/controlapi/evacuation_messages.go
+++ b/internal/control/controlapi/evacuation_messages.go
@@ -1,13 +1,13 @@
 package controlapi
 
-// evacuationList tells an operator which zones are to be emptied. Number rises with each order.
+// evacuationList is the list of zones to be emptied, as operators receive it. Number rises with each change of the list.
 type evacuationList struct {
-	Number int64       `json:"evacuation-number"`
-	Zones  []shownZone `json:"zone-list"`
+	Number int64        `json:"evacuation-number"`
+	Zones  []listedZone `json:"zone-list"`
 }
 
-// shownZone is a zone that is to be emptied, and when that was ordered, in milliseconds since 1970.
-type shownZone struct {
+// listedZone is an entry of an evacuationList. SinceMs is the time of the operator's call in milliseconds since 1970.
+type listedZone struct {
 	Zone    string `json:"zone"`
 	SinceMs int64  `json:"since-ms"`
 }
--- a/internal/control/controlapi/evacuation_messages_easyjson.go
+++ b/internal/control/controlapi/evacuation_messages_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonA82a5e2aDecodeGannetlineInternalControlControlapi(in *jlexer.Lexer, out *shownZone) {
+func easyjsonA82a5e2aDecodeGannetlineInternalControlControlapi(in *jlexer.Lexer, out *listedZone) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -53,7 +53,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA82a5e2aEncodeGannetlineInternalControlControlapi(out *jwriter.Writer, in shownZone) {
+func easyjsonA82a5e2aEncodeGannetlineInternalControlControlapi(out *jwriter.Writer, in listedZone) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -71,26 +71,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v shownZone) MarshalJSON() ([]byte, error) {
+func (v listedZone) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonA82a5e2aEncodeGannetlineInternalControlControlapi(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v shownZone) MarshalEasyJSON(w *jwriter.Writer) {
+func (v listedZone) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonA82a5e2aEncodeGannetlineInternalControlControlapi(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *shownZone) UnmarshalJSON(data []byte) error {
+func (v *listedZone) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonA82a5e2aDecodeGannetlineInternalControlControlapi(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *shownZone) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *listedZone) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonA82a5e2aDecodeGannetlineInternalControlControlapi(l, v)
 }
 func easyjsonA82a5e2aDecodeGannetlineInternalControlControlapi1(in *jlexer.Lexer, out *evacuationList) {
@@ -121,15 +121,15 @@
 				in.Delim('[')
 				if out.Zones == nil {
 					if !in.IsDelim(']') {
-						out.Zones = make([]shownZone, 0, 2)
+						out.Zones = make([]listedZone, 0, 2)
 					} else {
-						out.Zones = []shownZone{}
+						out.Zones = []listedZone{}
 					}
 				} else {
 					out.Zones = (out.Zones)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 shownZone
+					var v1 listedZone
 					if in.IsNull() {
 						in.Skip()
 					} else {
--- a/internal/control/controlapi/retire.go
+++ b/internal/control/controlapi/retire.go
@@ -14,72 +14,73 @@
 )
 
 const (
-	// PrefixRetire begins the paths of calls about a storage machine that is to be emptied.
+	// PrefixRetire is the path prefix of the calls about retiring storage machines.
 	PrefixRetire   = "/v1/retire/"
 	suffixInitiate = "/initiate"
 	suffixRetrieve = "/retrieve"
-	retireTimeout  = 700 * time.Millisecond
+	// retireTimeout limits a call to the storage machine.
+	retireTimeout = 700 * time.Millisecond
 )
 
-// Retire serves the operator's calls about storage machines that are to be emptied.
+// Retire serves the operators' calls that empty a storage machine or ask for the progress.
 type Retire struct {
 	caller *peerapi.Caller
 	view   func() *membership.View
-	// least is how many storage machines must remain.
-	least int
+	// minRemaining is the number of other live storage machines below which no machine may retire.
+	minRemaining int
 }
 
-// NewRetire makes a handler; the loss of so many machines at once must still be borne afterwards.
+// NewRetire creates a handler. It refuses to empty a machine if the remaining machines could not survive machineLosses simultaneous losses.
 func NewRetire(caller *peerapi.Caller, view func() *membership.View, machineLosses int) *Retire {
-	return &Retire{caller: caller, view: view, least: quorum.VotersFor(machineLosses)}
+	return &Retire{caller: caller, view: view, minRemaining: quorum.VotersFor(machineLosses)}
 }
 
 // ServeHTTP answers POST /v1/retire/NODE/initiate and GET /v1/retire/NODE/retrieve.
 func (r *Retire) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	path := strings.TrimPrefix(request.URL.Path, PrefixRetire)
-	node, isBeginning := strings.CutSuffix(path, suffixInitiate)
-	if !isBeginning {
-		var isQuestion bool
-		if node, isQuestion = strings.CutSuffix(path, suffixRetrieve); !isQuestion {
+	node, isInitiate := strings.CutSuffix(path, suffixInitiate)
+	if !isInitiate {
+		var isRetrieve bool
+		if node, isRetrieve = strings.CutSuffix(path, suffixRetrieve); !isRetrieve {
 			response.Text(http.StatusNotFound, "there is no such call").Write(to)
 			return
 		}
 	}
-	if isBeginning != (request.Method == http.MethodPost) {
+	if isInitiate != (request.Method == http.MethodPost) {
 		response.Text(http.StatusMethodNotAllowed, "a machine is emptied by POST, and asked for by GET").Write(to)
 		return
 	}
-	r.answer(request.Context(), node, isBeginning).Write(to)
+	r.execute(request.Context(), node, isInitiate).Write(to)
 }
 
-// answer asks the machine itself, which keeps on its disk that it is being emptied.
-func (r *Retire) answer(ctx context.Context, node string, isBeginning bool) response.Reply {
+// execute carries out a call by asking the machine itself, which stores on its disk that it is being emptied.
+func (r *Retire) execute(ctx context.Context, node string, isInitiate bool) response.Reply {
 	machine, others := r.find(node)
 	if machine == nil {
 		return response.Text(http.StatusNotFound, "no storage machine has that name")
 	}
-	state, err := r.ask(ctx, machine, false)
+	state, err := r.callMachine(ctx, machine, false)
 	switch {
 	case err != nil:
 		return response.Later(http.StatusServiceUnavailable, 1, "the machine does not answer")
-	case !isBeginning && !state.IsRetiring:
+	case !isInitiate && !state.IsRetiring:
 		return response.Text(http.StatusNotFound, "the machine is not being emptied")
-	case !isBeginning && state.IsEmpty:
+	case !isInitiate && state.IsEmpty:
 		return response.Raw(http.StatusOK, []byte(`{"executor-state":"completed"}`))
-	case !isBeginning:
+	case !isInitiate:
 		return response.Raw(http.StatusOK, []byte(`{"executor-state":"active"}`))
-	case !state.IsRetiring && others < r.least:
+	case !state.IsRetiring && others < r.minRemaining:
 		return response.Text(http.StatusConflict, "too few storage machines would remain")
 	}
 	if !state.IsRetiring {
-		if _, err := r.ask(ctx, machine, true); err != nil {
+		if _, err := r.callMachine(ctx, machine, true); err != nil {
 			return response.Later(http.StatusServiceUnavailable, 1, "the machine does not answer")
 		}
 	}
 	return response.Empty(http.StatusOK)
 }
 
-// find gives the storage machine of a name, nil if there is none, and how many others are alive.
+// find returns the storage machine with that name, nil if there is none, and the number of other live storage machines.
 func (r *Retire) find(node string) (machine *wire.Member, others int) {
 	for _, steward := range r.view().Stewards {
 		switch {
@@ -93,7 +94,8 @@
 	return machine, others
 }
 
-func (r *Retire) ask(ctx context.Context, machine *wire.Member, begins bool) (*wire.RetireAnswer, error) {
+// callMachine returns the state of a machine. If isStart is set, the machine starts to empty itself.
+func (r *Retire) callMachine(ctx context.Context, machine *wire.Member, isStart bool) (*wire.RetireAnswer, error) {
 	return peerapi.Call[wire.RetireCall, wire.RetireAnswer](ctx, r.caller, machine.Address, peerapi.ProcedureRetire, retireTimeout,
-		&wire.RetireCall{Begin: begins})
+		&wire.RetireCall{Begin: isStart})
 }
--- a/internal/control/controlapi/retire_test.go
+++ b/internal/control/controlapi/retire_test.go
@@ -15,7 +15,7 @@
 	"gannetline/internal/control/controlapi"
 )
 
-var _ = Describe("the order to empty a storage machine", func() {
+var _ = Describe("the call to empty a storage machine", func() {
 	var state wire.RetireAnswer
 	var view *membership.View
 	var machine *httptest.Server
@@ -41,7 +41,7 @@
 		return answer
 	}
 
-	It("is carried out by the machine itself, and its state is what the machine says", func() {
+	It("is sent to the machine, whose state is returned to the operator", func() {
 		Expect(ask("GET", "/v1/retire/store-1/retrieve").Code).To(Equal(404))
 		Expect(ask("POST", "/v1/retire/store-1/initiate").Code).To(Equal(200))
 		Expect(ask("POST", "/v1/retire/store-1/initiate").Code).To(Equal(200))
@@ -50,7 +50,7 @@
 		Expect(ask("GET", "/v1/retire/store-1/retrieve").Body.String()).To(Equal(`{"executor-state":"completed"}`))
 	})
 
-	It("is refused for an unknown machine, one that keeps no lots, and where too few would remain", func() {
+	It("is refused for an unknown machine, a machine without lots, and if too few machines would remain", func() {
 		Expect(ask("POST", "/v1/retire/store-9/initiate").Code).To(Equal(404))
 		Expect(ask("POST", "/v1/retire/edge/initiate").Code).To(Equal(404))
 		Expect(ask("POST", "/v1/retire/store-1/other").Code).To(Equal(404))
@@ -60,7 +60,7 @@
 		Expect(state.IsRetiring).To(BeFalse())
 	})
 
-	It("is 503 while the machine does not answer", func() {
+	It("is answered 503 if the machine does not answer", func() {
 		machine.Close()
 		Expect(ask("POST", "/v1/retire/store-1/initiate").Code).To(Equal(503))
 	})
--- a/internal/control/controlapi/rollouts.go
+++ b/internal/control/controlapi/rollouts.go
@@ -9,18 +9,17 @@
 	"gannetline/internal/platform/response"
 )
 
-// PathRollouts is the path of the call that tells how the rollouts of the configuration stand. All else about them is changed with the
-// configuration itself.
+// PathRollouts is the path of the call that returns the state of the rollouts. Operators change rollouts by replacing the configuration.
 const PathRollouts = "/v1/rollout/retrieve"
 
-// NewRollouts serves GET /v1/rollout/retrieve by asking the leader of the configuration.
-func NewRollouts(asker *leaderclient.Client) http.Handler {
+// NewRollouts creates the handler of GET /v1/rollout/retrieve, which calls the leader of the configuration's key.
+func NewRollouts(client *leaderclient.Client) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		if request.Method != http.MethodGet {
 			response.Text(http.StatusMethodNotAllowed, "only GET is taken here").Write(to)
 			return
 		}
 		call := &wire.ClientCall{Key: configleader.Key, Verb: wire.VerbRollouts}
-		Reply(call, asker.Ask(request.Context(), call, answerTimeout)).Write(to)
+		Reply(call, client.Ask(request.Context(), call, answerTimeout)).Write(to)
 	})
 }
