--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -24,8 +24,8 @@
 const engineMailboxSize = 1024
 
 // minCommitInterval is the minimum time between two commits of a busy pool. Reports that arrive in between share one placement, one
-// change, one sync and one call to each follower. Each start of a task waits about two intervals, which is short compared with the
-// shortest tasks.
+// change, one sync and one call to each follower. Each start of a task waits for this interval about twice, which is short compared with
+// the shortest tasks.
 const minCommitInterval = 8 * time.Millisecond
 
 // keyRunner runs one key: the replication engine on its goroutine, and the state machine that the engine replicates. Pools and lots run
