--- a/internal/control/configleader/moved.go
+++ b/internal/control/configleader/moved.go
@@ -15,7 +15,7 @@
 )
 
 // addMovedRoutes adds to the moved routes those that lead to another service in the next configuration, and those whose jobs a rollout may
-// split between two services. Jobs stay with the service that accepted them, so calls about them may have to go to a former service.
+// split between two services. The jobs of either service stay where they were accepted.
 func addMovedRoutes(moved []wire.MovedRoute, before, next *configuration.Configuration) []wire.MovedRoute {
 	former := configuration.NewMatcher(before)
 	positions := map[string]int{}
