--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -378,8 +378,8 @@
 	return l.decodedCommitted
 }
 
-// Version answers with the version of the configuration in force, in the form of the answer that confirms a change.
-func (l *Leader) Version(answer answerFunc) {
+// RetrieveVersion answers with the version of the configuration in force, in the form of the answer that confirms a change.
+func (l *Leader) RetrieveVersion(answer answerFunc) {
 	if l.committed == nil {
 		l.answerUnderLease(answer, newRefusal(ErrNoConfiguration))
 		return
--- a/internal/control/controlkeys/machines.go
+++ b/internal/control/controlkeys/machines.go
@@ -37,7 +37,7 @@
 	case wire.VerbRollouts:
 		return func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { answer(c.rollouts.StatusAnswer()) }
 	case wire.VerbVersion:
-		return func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { c.Version(answer) }
+		return func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { c.RetrieveVersion(answer) }
 	}
 	return nil
 }
