--- a/internal/control/configleader/evacuations.go
+++ b/internal/control/configleader/evacuations.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// Evacuations answers with the list of zones to be emptied.
-func (l *Leader) Evacuations(answer answerFunc) {
+// RetrieveEvacuations answers with the list of zones to be emptied.
+func (l *Leader) RetrieveEvacuations(answer answerFunc) {
 	evacuations := l.evacuations
 	if evacuations == nil {
 		evacuations = &wire.Evacuations{}
--- a/internal/control/configleader/evacuations_test.go
+++ b/internal/control/configleader/evacuations_test.go
@@ -47,7 +47,7 @@
 		Expect(published).To(Equal([]*wire.Evacuations{{Number: 1, Zones: []wire.EvacuatedZone{{Zone: "a", SinceMs: 1000}}}}))
 		open()
 		Expect(zones()).To(Equal([]string{"a"}))
-		leader.Evacuations(answer)
+		leader.RetrieveEvacuations(answer)
 		Expect(string(answers[1].Body)).To(Equal(`{"n":1,"z":[{"z":"a","t":1000}]}`))
 	})
 
@@ -95,7 +95,7 @@
 		leadership.hasLease = false
 		evacuate("a")
 		end("b")
-		leader.Evacuations(answer)
+		leader.RetrieveEvacuations(answer)
 		for _, received := range answers[1:] {
 			Expect(received.NotLeader).To(BeTrue())
 		}
--- a/internal/control/controlkeys/machines.go
+++ b/internal/control/controlkeys/machines.go
@@ -33,7 +33,7 @@
 	case wire.VerbEndEvacuation:
 		return c.EndEvacuation
 	case wire.VerbEvacuations:
-		return func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { c.Evacuations(answer) }
+		return func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { c.RetrieveEvacuations(answer) }
 	case wire.VerbRollouts:
 		return func(_ *wire.ClientCall, answer func(wire.ClientAnswer)) { answer(c.rollouts.StatusAnswer()) }
 	case wire.VerbVersion:
