--- a/internal/control/controlkeys/transport.go
+++ b/internal/control/controlkeys/transport.go
@@ -17,7 +17,7 @@
 	promiseTimeout = 500 * time.Millisecond
 	// baseAppendTimeout is the timeout of an Append call without changes.
 	baseAppendTimeout = 1500 * time.Millisecond
-	// minBytesPerSecond is the lowest transfer rate for which the timeout of a large Append call allows.
+	// minBytesPerSecond is the lowest transfer rate for which an Append call gets time in addition to baseAppendTimeout.
 	minBytesPerSecond = 64 << 10
 	// fetchTimeout is enough for a chunk at minBytesPerSecond.
 	fetchTimeout = 6 * time.Second
