--- a/internal/scheduling/scheduler/changeset.go
+++ b/internal/scheduling/scheduler/changeset.go
@@ -12,22 +12,22 @@
 	"gannetline/internal/platform/commitqueue"
 )
 
-// changeSet gathers the records that a burst of calls writes, until Flush commits them as one change.
+// changeSet collects the records that a burst of calls writes, until Flush commits them as one change.
 type changeSet struct {
-	// ops are the records to write, at most one for each name; opIndex has their indices by name. opTasks is as long as ops: where
-	// it has a task, the record is worked out from that task when the change set is committed.
+	// ops holds the records to write, at most one for each name; opIndex maps a name to its index. opTasks is parallel to ops: where it
+	// has a task, the record is encoded from that task when the change set is committed.
 	ops     []wire.Op
 	opIndex map[string]int
 	opTasks []*taskState
-	// callbacks run once all that was recorded so far is committed.
+	// callbacks run once all records of the change set are committed.
 	callbacks []func(error)
-	// pendingCommits are the commits under way.
+	// pendingCommits holds the commits in flight.
 	pendingCommits commitqueue.Queue
 }
 
 func newChangeSet() changeSet { return changeSet{opIndex: map[string]int{}} }
 
-// record writes a record, in place of one of the same name; an empty value drops the record.
+// record adds a record to the change set and replaces one of the same name. An empty value deletes the record.
 func (c *changeSet) record(op wire.Op, task *taskState) {
 	if index, exists := c.opIndex[op.Name]; exists {
 		c.ops[index], c.opTasks[index] = op, task
@@ -37,37 +37,37 @@
 	c.ops, c.opTasks = append(c.ops, op), append(c.opTasks, task)
 }
 
-// dropRecord removes a record.
+// dropRecord adds the deletion of a record to the change set.
 func (c *changeSet) dropRecord(name string) { c.record(wire.Op{Name: name}, nil) }
 
-// putTask writes the record of a task as it will be when the change set is committed.
+// putTask adds the record of a task, which is encoded only when the change set is committed.
 func (c *changeSet) putTask(task *taskState) { c.record(wire.Op{Name: prefixTask + task.name}, task) }
 
-// afterCommit runs a function once all that was decided so far is committed; it gets an error if the leadership is lost first.
+// afterCommit has a function called once all records so far are committed. The function gets an error if the leadership is lost first.
 func (c *changeSet) afterCommit(callback func(error)) { c.callbacks = append(c.callbacks, callback) }
 
-// takeCallbacks gives all callbacks, those of commits under way first.
+// takeCallbacks returns all callbacks, those of commits in flight first. The change set can't be used after it.
 func (c *changeSet) takeCallbacks() []func(error) {
 	return append(c.pendingCommits.TakeCallbacks(), c.callbacks...)
 }
 
-// begin makes a commit of the change set, and leaves the set empty.
-func (c *changeSet) begin() (*commitqueue.Commit, []wire.Op) {
+// takeCommit turns the change set into a commit and its records, and leaves the change set empty.
+func (c *changeSet) takeCommit() (*commitqueue.Commit, []wire.Op) {
 	commit, ops := c.pendingCommits.Add(c.callbacks...), c.ops
 	c.ops, c.opTasks, c.callbacks = nil, c.opTasks[:0], nil
 	clear(c.opIndex)
 	return commit, ops
 }
 
-// flushReads lets callbacks follow the last commit under way, or run at once if there is none: they wait for nothing but what
-// was recorded before them.
+// flushReads handles the callbacks of a change set without records. They run after the last commit in flight, or at once if there is
+// none, as they depend only on earlier records.
 func (c *changeSet) flushReads() {
 	callbacks := c.callbacks
 	c.callbacks = nil
 	c.pendingCommits.AfterAll(callbacks...)
 }
 
-// putRecord writes a record.
+// putRecord encodes a record and adds it to the change set. An encoding error is logged, and nothing is added then.
 func (p *Pool) putRecord(name string, value easyjson.Marshaler) {
 	text, err := easyjson.Marshal(value)
 	if err != nil {
@@ -77,7 +77,7 @@
 	p.record(wire.Op{Name: name, Value: text}, nil)
 }
 
-// Flush places what can be placed and commits the change set; the callbacks follow the commit.
+// Flush places the requests that can be placed and commits the change set. The callbacks run after the commit.
 func (p *Pool) Flush() {
 	if p.leadership == nil {
 		return
@@ -90,7 +90,7 @@
 		return
 	}
 	p.writeTasks()
-	commit, ops := p.begin()
+	commit, ops := p.takeCommit()
 	p.metrics.commits.Inc()
 	p.metrics.changes.Add(len(ops))
 	p.leadership.Commit(ops, func(err error) {
@@ -100,7 +100,8 @@
 	})
 }
 
-// sendAllOrders lets orders leave together, once all callbacks of a commit are done.
+// sendAllOrders sends the committed orders of all executors, in the order of their IDs. It is called after all callbacks of a commit, so
+// that an executor gets its orders together.
 func (p *Pool) sendAllOrders() {
 	if len(p.ordersToSend) == 0 {
 		return
@@ -114,7 +115,8 @@
 	}
 }
 
-// writeTasks gives each task that changed its record as it is at the end of the burst.
+// writeTasks encodes the records of the changed tasks at the end of the burst. A task without runs whose job or occurrence is over keeps
+// its empty value, which deletes its record.
 func (p *Pool) writeTasks() {
 	for index, task := range p.opTasks {
 		if task == nil {
@@ -134,7 +136,7 @@
 	}
 }
 
-// toRecord is the record of a task; that of a gang's first task also has the last run that counted as a failure.
+// toRecord returns the record of a task. The record of a gang's first task also has the last run that counted as a failure.
 func (t *taskState) toRecord() taskRecord {
 	record := taskRecord{Done: t.isDone, Failed: t.failed, LastRun: t.lastRun, Checkpoint: t.checkpoint}
 	if t.index == 0 {
@@ -146,7 +148,7 @@
 	return record
 }
 
-// orderName is the name of the record of an order.
+// orderName returns the name of the record of an order.
 func orderName(task *taskState, number int64, kind wire.OrderKind) string {
 	return prefixOrder + task.name + "/" + strconv.FormatInt(number, 10) + "/" + string(kind)
 }
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -10,10 +10,10 @@
 	"gannetline/internal/scheduling/recording"
 )
 
-// restartPause is how long a long-running task that ended waits before it is started again.
+// restartPause is the delay before a long-running task that failed is started again.
 const restartPause = 100 * time.Millisecond
 
-// handleEnd is the second transaction of an order: what became of the run.
+// handleEnd processes the report that a run has ended. Its records are committed separately from those of the launch.
 func (p *Pool) handleEnd(executor *executorState, end wire.EndReport) {
 	run := executor.runs[runKey{end.Task, end.Run}]
 	if run == nil {
@@ -48,10 +48,10 @@
 	}
 }
 
-// handleAbandonedEnd believes a run that was abandoned and came to its end all the same: its task must not start again. Of a job that is on
-// its way to another pool it comes too late, as that pool may have started the task already.
+// handleAbandonedEnd accepts the completion of a run that was already closed: its task must not start again. The report is ignored for a
+// job that is being transferred to another pool, as that pool may have started the task already.
 func (p *Pool) handleAbandonedEnd(end wire.EndReport) {
-	task := p.find(end.Task)
+	task := p.findTask(end.Task)
 	if end.Outcome != wire.OutcomeDone || task == nil || task.isDone || end.Run > task.lastRun || task.owner().transfer != nil {
 		return
 	}
@@ -59,8 +59,8 @@
 	p.completeTask(task)
 }
 
-// find looks up a task by its name; it is nil when the pool doesn't hold its occurrence.
-func (p *Pool) find(name string) *taskState {
+// findTask returns the task with a name, or nil if the pool doesn't have its job or occurrence.
+func (p *Pool) findTask(name string) *taskState {
 	place, isTask := jobs.ParseTask(name)
 	job := p.jobs[place.ID]
 	if !isTask || job == nil || job.spec == nil {
@@ -73,7 +73,7 @@
 	return occurrence.steps[place.Step].tasks[place.Index]
 }
 
-// recordCheckpoint keeps the newest checkpoint of a task; a gang has one, kept with its first task.
+// recordCheckpoint stores the newest checkpoint of a task. A gang has a single one, which is stored with its first task.
 func (p *Pool) recordCheckpoint(task *taskState, checkpoint string) {
 	if task.checkpoint == checkpoint || task.owner().spec == nil {
 		return
@@ -85,8 +85,8 @@
 	}
 }
 
-// sharedState is the task that keeps what a whole gang shares, its checkpoint and failures: the first of a gang, and of
-// any other step the task itself.
+// sharedState returns the task that holds the checkpoint and the failure count for this one: the first task of a gang, whose members share
+// both, and otherwise the task itself.
 func (t *taskState) sharedState() *taskState {
 	if t.step.spec.Gang {
 		return t.step.tasks[0]
@@ -94,9 +94,8 @@
 	return t
 }
 
-// countFailure counts a failed run against the attempts of its task, and ends the job when they are used up. A gang
-// counts once for all members that failed in one run; a long-running task has no limit and is started again after a
-// pause.
+// countFailure counts a failed run as an attempt of its task, and fails the job when all attempts are used up. A gang counts one failure
+// for all members that failed in the same run. A long-running task has no limit and is started again after restartPause.
 func (p *Pool) countFailure(task *taskState, number int64) {
 	step, job := task.step, task.owner()
 	if step.spec.LongRunning || !job.isOpen() || task.isDone {
@@ -118,17 +117,17 @@
 	}
 }
 
-// completeTask marks a task as done, and with it all members of its gang; other runs of a task are stopped.
+// completeTask marks a task as done, and with it all members of its gang. Other runs of a task outside a gang are stopped.
 func (p *Pool) completeTask(task *taskState) {
 	step, job := task.step, task.owner()
 	if task.isDone || !job.isOpen() {
 		return
 	}
-	finished := []*taskState{task}
+	completed := []*taskState{task}
 	if step.spec.Gang {
-		finished = step.tasks
+		completed = step.tasks
 	}
-	for _, member := range finished {
+	for _, member := range completed {
 		if member.isDone {
 			continue
 		}
@@ -148,7 +147,8 @@
 	}
 }
 
-// completeStep opens the steps that waited for this one, or ends the occurrence, and with the last occurrence the job.
+// completeStep takes a completed step out of the queue and opens the steps that depend on it. The last step completes its occurrence, and
+// the last occurrence completes the job.
 func (p *Pool) completeStep(step *stepState) {
 	occurrence, job := step.occurrence, step.occurrence.job
 	p.open.remove(step)
@@ -175,6 +175,7 @@
 	p.dropOccurrenceIfOver(job, occurrence)
 }
 
+// dropOccurrenceIfOver removes a complete occurrence from its job once none of its runs is left.
 func (p *Pool) dropOccurrenceIfOver(job *jobState, occurrence *occurrence) {
 	for _, step := range occurrence.steps {
 		if step.hasRuns() {
--- a/internal/scheduling/scheduler/deadline.go
+++ b/internal/scheduling/scheduler/deadline.go
@@ -8,37 +8,39 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// computeRemainingPaths works out how long the chain from each step to the job's end is, as far as it is known beforehand.
-func (t *occurrence) computeRemainingPaths() {
-	for _, step := range slices.Backward(t.steps) {
+// computeRemainingPaths computes for each step the length of the longest chain of steps from it to the job's end, by the estimates.
+func (o *occurrence) computeRemainingPaths() {
+	for _, step := range slices.Backward(o.steps) {
 		step.remainingPathMs += step.spec.EstimatedMs
-		for _, earlier := range step.spec.DependsOn {
-			t.steps[earlier].remainingPathMs = max(t.steps[earlier].remainingPathMs, step.remainingPathMs)
+		for _, dependency := range step.spec.DependsOn {
+			o.steps[dependency].remainingPathMs = max(o.steps[dependency].remainingPathMs, step.remainingPathMs)
 		}
 	}
 }
 
-// lateFrom and expiredFrom are the times of day, in ms, from which on a step can't be on time any more, and can't be of use.
-func (s *stepState) lateFrom() int64    { return s.occurrence.targetMs - s.remainingPathMs }
+// lateFrom returns the time of day, in ms, from which the step can no longer be completed on time.
+func (s *stepState) lateFrom() int64 { return s.occurrence.targetMs - s.remainingPathMs }
+
+// expiredFrom returns the time of day, in ms, from which the step can no longer be completed while its result is of use.
 func (s *stepState) expiredFrom() int64 { return s.occurrence.expiryMs - s.remainingPathMs }
 
-// waitPart is the part of the time in which a step must be started to be on time that it can wait without help.
+// waitPart is the part of the time from a step's release to lateFrom that the step can wait without a capacity share.
 const waitPart = 0.25
 
-// waitsUntil is the time of day, in ms, up to which a step can wait.
+// waitsUntil returns the time of day, in ms, up to which a step can wait.
 func (s *stepState) waitsUntil() int64 {
 	from := s.occurrence.releaseMs
 	return from + int64(waitPart*float64(s.lateFrom()-from))
 }
 
-// canWait tells whether a step may be started a good while later and still be on time; a long-running one has no time to lose.
+// canWait reports whether a step may be started much later and still be on time. A long-running step can't wait.
 func (p *Pool) canWait(step *stepState) bool {
 	return !step.spec.LongRunning && p.leadership.WallMs() < step.waitsUntil()
 }
 
-// deadlineClass tells how near a step is to its deadline; a long-running step has none. The class only ever gets worse: what has
-// expired has a share of the capacity (shares), and must not come back in front of work that is still of use. What a tenant sends beyond
-// its rate is of no use from the beginning: it comes after all that is owed to anybody.
+// deadlineClass returns whether a step is on time, late or expired; a long-running step has no deadline and is on time. The class only
+// gets worse as time passes: expired work has a capacity share of its own (shares), and must not return ahead of work that is still
+// useful. Surplus work, which a tenant sends beyond its rate, is expired from the beginning, so that it comes after all other work.
 func (p *Pool) deadlineClass(step *stepState) placement.DeadlineClass {
 	now := p.leadership.WallMs()
 	switch {
@@ -52,15 +54,15 @@
 	return placement.Expired
 }
 
-// nextDeadlineChange is when the deadline class of a step changes next, or that it can wait.
+// nextDeadlineChange returns the monotonic time of the next change of a step's deadline class or of canWait.
 func (p *Pool) nextDeadlineChange(step *stepState, now time.Duration) time.Duration {
 	if step.spec.LongRunning {
 		return never
 	}
 	nowMs := p.leadership.WallMs()
-	for _, turn := range []int64{step.waitsUntil(), step.lateFrom(), step.expiredFrom()} {
-		if nowMs < turn {
-			return now + clock.Milliseconds(turn-nowMs)
+	for _, changeMs := range []int64{step.waitsUntil(), step.lateFrom(), step.expiredFrom()} {
+		if nowMs < changeMs {
+			return now + clock.Milliseconds(changeMs-nowMs)
 		}
 	}
 	return never
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -150,9 +150,9 @@
 // excuse gives back what the first executor was blamed for, once another one shows that the task itself fails.
 func (p *Pool) excuse(task *taskState) {
 	first := task.firstFailedOn
-	if !task.isFailureExcused && p.executors[first.id] == first {
+	if !task.isFirstFailureReduced && p.executors[first.id] == first {
 		first.failures = max(0, first.failures-(1-sharedFailureWeight))
 		p.table.markChanged(first)
 	}
-	task.isFailureExcused = true
+	task.isFirstFailureReduced = true
 }
--- a/internal/scheduling/scheduler/gangs.go
+++ b/internal/scheduling/scheduler/gangs.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// watchBrokenGang begins to watch a gang that has lost a member, whichever way: what is left of it can only wait.
+// watchBrokenGang starts to watch a gang that has lost a member, for whatever reason. The remaining members can only wait.
 func (p *Pool) watchBrokenGang(step *stepState) {
 	if step.spec.Gang && step.hasRuns() && step.brokenAt == 0 {
 		step.brokenAt = p.clock.Monotonic()
@@ -15,13 +15,13 @@
 	}
 }
 
-// endGangWatch ends the watch over a gang that starts again, as the members it has now are not those that were broken.
+// endGangWatch stops the watch when a gang starts again, as its members are then other runs than those of the broken gang.
 func (p *Pool) endGangWatch(step *stepState) {
 	step.brokenAt = 0
 	delete(p.brokenGangs, step)
 }
 
-// tickBrokenGangs goes through the gangs that lost a member, in the order of their names.
+// tickBrokenGangs checks the gangs that lost a member, in the order of their names.
 func (p *Pool) tickBrokenGangs(now time.Duration) {
 	steps := slices.SortedFunc(maps.Keys(p.brokenGangs), func(a, b *stepState) int { return cmp.Compare(a.tasks[0].name, b.tasks[0].name) })
 	for _, step := range steps {
@@ -34,7 +34,7 @@
 	}
 }
 
-// tickBrokenGang stops the rest of a gang that lost a member, unless they ended by themselves.
+// tickBrokenGang stops the remaining members of a gang a second after it lost a member, unless they have ended by themselves.
 func (p *Pool) tickBrokenGang(step *stepState, now time.Duration) {
 	if !step.hasRuns() {
 		step.brokenAt = 0
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -7,10 +7,10 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// jobPhase is how far a job is, as clients see it and as it is stored.
+// jobPhase is the state of a job, as it is reported to clients and stored.
 type jobPhase string
 
-// The phases of a job. A job is queued until one of its tasks has begun; the last three are final.
+// The phases of a job. A job is queued until one of its tasks has started; the last three are final.
 const (
 	jobQueued    jobPhase = "queued"
 	jobActive    jobPhase = "active"
@@ -19,41 +19,48 @@
 	jobCancelled jobPhase = "cancelled"
 )
 
-// jobState is a job as the pool knows it.
+// jobState is a job in the pool's memory.
 type jobState struct {
-	id                   string
-	record               jobRecord
-	tenant               *tenantState
-	spec                 *jobs.Spec
-	phase                jobPhase
-	endedMs              int64
+	id     string
+	record jobRecord
+	tenant *tenantState
+	// spec is nil once the job has ended and none of its runs is left.
+	spec    *jobs.Spec
+	phase   jobPhase
+	endedMs int64
+	// occurrences holds those that were released and are not complete, or still have runs.
 	occurrences          map[int]*occurrence
 	completedOccurrences map[int]bool
-	nextOccurrence       int
-	hasStarted           bool
-	// isUnreadable is set if a record of the job can't be read: it is known and not run.
+	// nextOccurrence is the number of the next occurrence to release.
+	nextOccurrence int
+	hasStarted     bool
+	// isUnreadable is set if a record of the job can't be decoded. The job stays in the table but isn't run.
 	isUnreadable bool
-	// transfer is set while the job is on its way to another pool, movedTo is the service of the pool that has it now.
+	// transfer is set while the job is being transferred to another pool. movedTo is the service whose pool has taken it over.
 	transfer *transfer
 	movedTo  string
-	// isWithheld keeps everything of the job from starting, holdsReleases keeps its later occurrences from opening; isKept tells that the
-	// other pool can't take it.
-	isWithheld     bool
-	holdsReleases  bool
-	isKept         bool
-	runCount       int
+	// isWithheld keeps all tasks of the job from starting, and holdsReleases keeps further occurrences from being released. isKept is
+	// set if the other pool refused the job, which then stays here.
+	isWithheld    bool
+	holdsReleases bool
+	isKept        bool
+	// runCount is the number of runs that are not closed.
+	runCount int
+	// criticalPathMs caches the result of computeCriticalPath; 0 means not computed yet.
 	criticalPathMs int64
 }
 
-// newJobState makes a queued job of which nothing has been released yet.
+// newJobState returns a queued job that has no released occurrence.
 func newJobState(id string) *jobState {
 	return &jobState{id: id, phase: jobQueued, occurrences: map[int]*occurrence{}, completedOccurrences: map[int]bool{}}
 }
 
 func (j *jobState) isOpen() bool { return j.phase == jobQueued || j.phase == jobActive }
 
+// occurrenceCount is 1 for a job that isn't repeated.
 func (j *jobState) occurrenceCount() int { return max(1, j.spec.RepeatCount) }
 
+// releaseMs returns the time of day, in ms, at which an occurrence is due; 0 stands for at once.
 func (j *jobState) releaseMs(number int) int64 {
 	if j.spec.RepeatCount == 0 {
 		return 0
@@ -69,49 +76,52 @@
 	return occurrences
 }
 
-// targetMs is when the job, or one of its times, should be done.
+// targetMs returns the time of day, in ms, by which an occurrence of the job should be complete.
 func (j *jobState) targetMs(number int) int64 {
 	if j.criticalPathMs == 0 {
 		j.criticalPathMs = j.computeCriticalPath()
 	}
-	begin := max(j.record.AcceptedMs, j.releaseMs(number))
+	beginMs := max(j.record.AcceptedMs, j.releaseMs(number))
 	stretch := j.record.Terms.Stretch
 	if stretch < 1 {
 		stretch = 1
 	}
-	return begin + int64(stretch*float64(j.criticalPathMs)) + j.record.Terms.TargetMs
+	return beginMs + int64(stretch*float64(j.criticalPathMs)) + j.record.Terms.TargetMs
 }
 
-// lateFactor times the target is the last that counts as late.
-const lateFactor = 3
+// expiryFactor is how many times as long as its target allows an occurrence may take before it is no longer late but expired.
+const expiryFactor = 3
 
 func (j *jobState) newOccurrence(number int) *occurrence {
-	begin, targetMs := max(j.record.AcceptedMs, j.releaseMs(number)), j.targetMs(number)
-	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: begin, targetMs: targetMs, expiryMs: begin + lateFactor*(targetMs-begin)}
+	beginMs, targetMs := max(j.record.AcceptedMs, j.releaseMs(number)), j.targetMs(number)
+	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: beginMs, targetMs: targetMs, expiryMs: beginMs + expiryFactor*(targetMs-beginMs)}
 }
 
 // computeCriticalPath returns the length in milliseconds of the longest chain of dependent steps, by their estimates.
 func (j *jobState) computeCriticalPath() int64 {
-	longest := make([]int64, len(j.spec.Steps))
-	var limit int64
+	pathMs := make([]int64, len(j.spec.Steps))
+	var longestMs int64
 	for number, step := range j.spec.Steps {
-		var before int64
-		for _, earlier := range step.DependsOn {
-			before = max(before, longest[earlier])
+		var dependenciesMs int64
+		for _, dependency := range step.DependsOn {
+			dependenciesMs = max(dependenciesMs, pathMs[dependency])
 		}
-		longest[number] = before + step.EstimatedMs
-		limit = max(limit, longest[number])
+		pathMs[number] = dependenciesMs + step.EstimatedMs
+		longestMs = max(longestMs, pathMs[number])
 	}
-	return limit
+	return longestMs
 }
 
+// occurrence is one execution of a job. A job that isn't repeated has a single one, with the number 0.
 type occurrence struct {
 	job    *jobState
 	number int
-	// releaseMs, targetMs and expiryMs: when it was asked for, when it should be done, until when it is worth something.
+	// releaseMs is when the occurrence was due or its job was accepted, whichever was later. targetMs is when it should be complete, and
+	// from expiryMs on its result is of no use. All three are times of day in ms.
 	releaseMs int64
 	targetMs  int64
 	expiryMs  int64
 	steps     []*stepState
+	// remaining is the number of steps that are not complete.
 	remaining int
 }
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -4,9 +4,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// answerFor makes the answer to an exchange: the lease, the list of runs that is wanted, and the orders of the outbox.
-// An executor gets orders only after it has taken the epoch as its fence, so that an older leader's orders can't reach
-// it after this leader's.
+// answerFor builds the answer to an exchange: the lease grant, the number of the requested list of runs, and the orders. The orders
+// of the outbox are sent only to an executor that has confirmed the epoch as its fence, so that orders of an older leader can't reach it
+// after those of this leader.
 func (p *Pool) answerFor(executor *executorState) wire.ExchangeAnswer {
 	now := p.clock.Monotonic()
 	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: executor.lastSeen, WantedList: executor.listWanted, HeldNumber: executor.exchange.number}
@@ -27,13 +27,14 @@
 		run.sendCount++
 		run.sentAt = now
 		p.markChanged(run.task)
-		answer.Orders = append(answer.Orders, p.order(run))
+		answer.Orders = append(answer.Orders, p.orderFor(run))
 	}
 	executor.outbox = nil
 	return answer
 }
 
-func (p *Pool) order(run *runState) wire.Order {
+// orderFor returns the launch order of a run that is launching, and the stop order of any other run.
+func (p *Pool) orderFor(run *runState) wire.Order {
 	order := wire.Order{Kind: wire.OrderStop, Task: run.task.name, Run: run.number}
 	if run.phase == runLaunching {
 		order.Kind, order.Descriptor, order.Checkpoint = wire.OrderLaunch, run.task.owner().spec.Descriptor, run.task.sharedState().checkpoint
@@ -41,6 +42,7 @@
 	return order
 }
 
+// sendOrders answers the executor's waiting poll if there are orders for it.
 func (p *Pool) sendOrders(executor *executorState) {
 	if executor.isFenced && len(executor.outbox) > 0 || len(executor.orphanStops) > 0 {
 		p.answerPoll(executor)
@@ -53,6 +55,7 @@
 	}
 }
 
+// endPoll answers the executor's waiting poll, if there is one.
 func (p *Pool) endPoll(executor *executorState, answer wire.ExchangeAnswer) {
 	if executor.poll != nil {
 		reply := executor.poll.answer
@@ -61,6 +64,7 @@
 	}
 }
 
+// queueOrder adds the run's order to the outbox of its executor, unless it is there already or the run is closed.
 func (p *Pool) queueOrder(run *runState) {
 	if run.isQueued || run.executor.runs[run.key()] != run {
 		return
--- a/internal/scheduling/scheduler/place.go
+++ b/internal/scheduling/scheduler/place.go
@@ -6,7 +6,8 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// place starts what fits, when something has changed since it last did.
+// place runs placement and launches the runs that it placed. It does nothing if nothing has changed since the last placement, or if no
+// executor is known.
 func (p *Pool) place() {
 	if !p.needsPlacing {
 		return
@@ -19,31 +20,32 @@
 	defer func() { p.metrics.placeSeconds.Observe(p.clock.Monotonic() - now) }()
 	p.refreshAll(now)
 	executors := p.placementView(now)
-	placed := placement.Place(executors, p.open.queue(), p.limits(now))
-	for _, start := range p.starts(placed) {
-		p.launch(start)
+	assignments := placement.Place(executors, p.open.queue(), p.limits(now))
+	for _, placed := range p.placedRuns(assignments) {
+		p.launch(placed)
 	}
 }
 
-// start is a run that was placed.
-type start struct {
-	task        *taskState
-	executor    *executorState
-	number      int64
+// placedRun is a run to launch, as placement decided.
+type placedRun struct {
+	task     *taskState
+	executor *executorState
+	number   int64
+	// isFromShare is set if a capacity share was used for the run.
 	isFromShare bool
 }
 
-// starts gives each placement its task and the number of its run; all of a gang have one number.
-func (p *Pool) starts(placed []placement.Placement) []start {
-	starts := make([]start, len(placed))
-	next, gangRun := map[int]int{}, map[int]int64{}
-	for index, assignment := range placed {
+// placedRuns returns for each placement its task and the number of the new run. All runs of a gang have the same number.
+func (p *Pool) placedRuns(assignments []placement.Placement) []placedRun {
+	runs := make([]placedRun, len(assignments))
+	nextTask, gangRun := map[int]int{}, map[int]int64{}
+	for index, assignment := range assignments {
 		request := p.open.request(assignment.Group)
 		if request.group.IsSpeculative {
 			p.metrics.speculativeRuns.Inc()
 		}
-		step, task := request.step, request.tasks[next[assignment.Group]]
-		next[assignment.Group]++
+		step, task := request.step, request.tasks[nextTask[assignment.Group]]
+		nextTask[assignment.Group]++
 		number := task.lastRun + 1
 		if step.spec.Gang {
 			if gangRun[assignment.Group] == 0 {
@@ -51,7 +53,7 @@
 			}
 			number = gangRun[assignment.Group]
 		}
-		starts[index] = start{task, p.table.sorted[assignment.Executor], number, assignment.IsFromShare}
+		runs[index] = placedRun{task, p.table.sorted[assignment.Executor], number, assignment.IsFromShare}
 	}
-	return starts
+	return runs
 }
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -1,14 +1,14 @@
-// Package scheduler schedules the jobs of one service while this steward leads the key of its pool. It has no goroutine and no
-// socket: one goroutine calls it with the commands of clients (Submit, State, Count, Cancel, Renounce), with the reports of local
-// proxies (Exchange) and with the time (Tick), and calls Flush after each burst of calls.
+// Package scheduler schedules the jobs of one service while this steward leads the key of its pool. It starts no goroutine and opens
+// no socket. A single goroutine calls it with client commands (Submit, State, Count, Cancel, Renounce), with the reports of local
+// proxies (Exchange) and periodically (Tick), and calls Flush after each burst of calls.
 //
-// All that must outlive this process is a record of the key. A call changes the tables in memory and writes records into the change
-// set; Flush asks package placement what to start, and commits the change set as one change. Answers, orders and acknowledgements
-// that depend on it leave only after the commit (afterCommit). A leader that takes over rebuilds the tables from the records (load),
-// raises the fence at each executor, and asks each for a list of its runs before it relies on any of them.
+// All state that must survive this process is stored in records of the key. A call changes the tables in memory and adds records to
+// the change set. Flush uses package placement to choose the tasks to start, and commits the change set as one change. Answers,
+// orders and acknowledgements that depend on a change are sent only after its commit (afterCommit). A new leader rebuilds the tables
+// from the records (load), raises the fence at each executor, and requests a list of runs from each executor before it relies on them.
 //
-// A run is started once at a time: it has an order that is resent until it is answered, and a task starts elsewhere only once its
-// run has certainly ended or can't start any more (closeRun says when).
+// Each run has an order that is resent until it is answered. A task is started again only after its run has certainly ended or can no
+// longer start (closeRun). The exception is a task of a redundant step, which may get a second, speculative run earlier.
 package scheduler
 
 import (
@@ -25,16 +25,16 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// Leadership is what a pool needs of the leadership of its key.
+// Leadership is the leadership of the pool's key by this process.
 type Leadership interface {
-	// Epoch is that of the leadership; orders carry it as their fence.
+	// Epoch returns the epoch of this leadership. Orders carry it as their fence.
 	Epoch() uint64
-	// Commit makes a change durable on a majority; done gets an error if the leadership is lost first. It runs on the
-	// pool's goroutine, in the order of the commits.
+	// Commit makes a change durable on a majority and calls done then. done gets an error if the leadership is lost first. It runs
+	// on the pool's goroutine, in the order of the commits.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease tells whether no other process can lead the key now.
+	// HasLease reports whether this process holds the leader lease, so that no other process can lead the key now.
 	HasLease() bool
-	// WallMs is the time of day that the voters agree on, in milliseconds since 1970.
+	// WallMs returns the time of day that the voters agree on, in milliseconds since 1970.
 	WallMs() int64
 }
 
@@ -45,54 +45,56 @@
 	timing Timing
 	log    logging.Logger
 
-	// leadership is nil while the key is led elsewhere; the tables are empty then.
+	// leadership is nil while another process leads the key; the tables are empty then.
 	leadership Leadership
-	openedAt   time.Duration
+	// openedAt is the monotonic time of the last Open.
+	openedAt time.Duration
 	jobTable
 	executorRegistry
 	changeSet
 	orderWatch
 	capacityUse
-	// open is the queue: the steps under way and what they ask of placement. needsPlacing is set when anything changed that may
-	// let a request be placed.
+	// open is the queue of open steps and their placement requests. needsPlacing is set when something has changed that may allow
+	// a request to be placed.
 	open         openSteps
 	needsPlacing bool
 	overload     overloadWatch
-	// spreads tell how uneven the durations of a route's tasks are, by route.
+	// spreads holds, by route, how widely the durations of the route's tasks vary.
 	spreads map[string]*durationSpread
 	tenants tenantTable
-	// policyInForce is what the newest configuration says of tenants.
+	// policyInForce returns the tenant policy of the newest configuration.
 	policyInForce func() TenantPolicy
-	// rollouts are those of the configuration that this pool runs a version of; rolloutPolicy is what the newest configuration says of them.
+	// rollouts holds the configured rollouts of which this pool runs a version. rolloutPolicy returns the rollout policy of the newest
+	// configuration.
 	rollouts      rolloutTable
 	rolloutPolicy func() RolloutPolicy
-	// transfers carries jobs to other pools; it is nil where none can go there.
+	// transfers sends jobs to other pools; it is nil if jobs can't be transferred.
 	transfers TransferSender
-	// isEvacuated tells whether nothing new may be sent to the executors of a zone.
+	// isEvacuated reports whether no new runs may be sent to the executors of a zone.
 	isEvacuated func(zone string) bool
-	// counter is nil where the pool is the only one; accounts then is, too.
+	// counter and accounts share tenants' limits with other pools; both are nil if this pool is the only one.
 	counter  Counter
 	accounts *tenantcount.Accounts
 
 	recorder Recorder
 	rules    *queuerules.Rules
 	metrics  poolMetrics
-	// nextLateWorkReport is when late work may be logged again.
+	// nextLateWorkReport is the earliest monotonic time at which late work is logged again.
 	nextLateWorkReport time.Duration
 }
 
-// jobTable holds all jobs that the pool knows, under way and ended.
+// jobTable holds all jobs that the pool knows, in progress and ended.
 type jobTable struct {
 	jobs map[string]*jobState
-	// queued counts, by route, the jobs of which no task has begun.
+	// queued counts, by route, the jobs of which no task has started.
 	queued map[string]int
-	// awaitingRelease are jobs with occurrences to come, the earliest of which is due at nextReleaseMs.
+	// awaitingRelease holds the jobs with occurrences that are not due yet. The earliest of these is due at nextReleaseMs, a time of day.
 	awaitingRelease map[string]*jobState
 	nextReleaseMs   int64
-	// endedJobs are in the order in which they may be forgotten.
+	// endedJobs is sorted by the time of the end, the order in which ended jobs are removed.
 	endedJobs []*jobState
 	renounced renounced
-	// unreadable names the records that could not be read when the key was taken over.
+	// unreadable holds the names of the records that could not be decoded when the key was taken over.
 	unreadable []string
 }
 
@@ -100,25 +102,25 @@
 	return jobTable{jobs: map[string]*jobState{}, queued: map[string]int{}, awaitingRelease: map[string]*jobState{}, renounced: newRenounced()}
 }
 
-// executorRegistry holds all executors that report to the pool or have runs of it. table has the same executors in order.
+// executorRegistry holds all executors that report to the pool or have runs of its jobs, by ID. table has the same executors, sorted.
 type executorRegistry struct {
 	executors map[string]*executorState
-	// newestOnMachine is the executor that last answered under this fence, by its local proxy.
+	// newestOnMachine maps each local proxy, and so its machine, to the executor there that was the last to confirm this leader's fence.
 	newestOnMachine map[string]*executorState
 	table           executorTable
-	// lastListNumber numbers the lists of runs that executors are asked for.
+	// lastListNumber is the number of the last list of runs that was requested from any executor.
 	lastListNumber uint64
-	// health outlives incarnations of executors and leaderships: it belongs to machines.
+	// health holds the penalties of machines by local proxy. It is kept across incarnations of executors and across leaderships.
 	health map[string]*machineHealth
 }
 
-// orderWatch knows the runs that need attention as time passes.
+// orderWatch holds the runs and gangs that Tick checks for timeouts, and the executors that have orders to send.
 type orderWatch struct {
-	// pendingRuns are those with an order under way: launching or stopping.
+	// pendingRuns holds the runs with an order in progress: launching or stopping.
 	pendingRuns map[*runState]bool
-	// brokenGangs have lost a member while others still run.
+	// brokenGangs holds the gangs that have lost a member while other members still run.
 	brokenGangs map[*stepState]bool
-	// ordersToSend are executors whose orders may leave, as the change that they belong to is committed.
+	// ordersToSend holds the executors with orders whose change is committed, so that they may be sent.
 	ordersToSend map[*executorState]bool
 }
 
@@ -126,26 +128,26 @@
 	return orderWatch{pendingRuns: map[*runState]bool{}, brokenGangs: map[*stepState]bool{}, ordersToSend: map[*executorState]bool{}}
 }
 
-// Recorder gets what a rehearsal needs to play the day again; it must not block.
+// Recorder receives the events that a rehearsal needs to replay the day. Record must not block.
 type Recorder interface{ Record(recording.Event) }
 
-type silentRecorder struct{}
+type discardRecorder struct{}
 
-// Record drops the event; it is what a pool records to if it was made without WithRecorder.
-func (silentRecorder) Record(recording.Event) {}
+// Record discards the event. A pool that was made without WithRecorder uses it.
+func (discardRecorder) Record(recording.Event) {}
 
-// Option changes how a pool is made.
+// Option configures a pool in New.
 type Option func(*Pool)
 
-// WithRecorder records the day.
+// WithRecorder passes the events of the pool to a recorder.
 func WithRecorder(record Recorder) Option { return func(p *Pool) { p.recorder = record } }
 
-// WithRules lets rules of the settings decide on jobs, queue by queue.
+// WithRules applies the queue rules of the settings: the order of a queue's steps and the executors that they may use.
 func WithRules(rules *queuerules.Rules) Option { return func(p *Pool) { p.rules = rules } }
 
-// New makes a pool that is closed until Open.
+// New returns a pool that is closed until Open is called.
 func New(key string, clock clock.Clock, timing Timing, log logging.Logger, options ...Option) *Pool {
-	pool := &Pool{key: key, clock: clock, timing: timing, log: log, recorder: silentRecorder{}, policyInForce: noTenantPolicy, rolloutPolicy: noRolloutPolicy, isEvacuated: noEvacuations,
+	pool := &Pool{key: key, clock: clock, timing: timing, log: log, recorder: discardRecorder{}, policyInForce: noTenantPolicy, rolloutPolicy: noRolloutPolicy, isEvacuated: noEvacuations,
 		metrics: newPoolMetrics(key)}
 	pool.health = map[string]*machineHealth{}
 	for _, option := range options {
@@ -154,7 +156,7 @@
 	return pool
 }
 
-// Open takes the key over with what is committed of it. No record keeps a pool from opening.
+// Open takes over the key with its committed records. A record that can't be decoded doesn't keep the pool from opening.
 func (p *Pool) Open(leadership Leadership, pairs []wire.Op) {
 	p.jobTable, p.changeSet, p.orderWatch, p.capacityUse = newJobTable(), newChangeSet(), newOrderWatch(), newCapacityUse()
 	p.executors, p.newestOnMachine, p.table = map[string]*executorState{}, map[string]*executorState{}, executorTable{}
@@ -167,7 +169,7 @@
 	p.Flush()
 }
 
-// Close gives the key up: exchanges that wait are sent to another leader, and calls whose changes are not committed fail.
+// Close ends the leadership. Waiting polls are answered with NotLeader, and the callbacks of uncommitted changes get an error.
 func (p *Pool) Close() {
 	p.leadership = nil
 	for _, executor := range p.table.sorted {
@@ -183,14 +185,14 @@
 	}
 }
 
-// errClosed ends what was not committed when the leadership ended.
+// errClosed is passed to the callbacks of changes that were not committed when the leadership ended.
 var errClosed = errors.ConstError("the pool is led elsewhere")
 
-// IsOpen tells whether the key is led here.
+// IsOpen reports whether this process leads the key.
 func (p *Pool) IsOpen() bool { return p.leadership != nil }
 
-// executorOf returns the state of an executor, and makes it at the first contact. An executor new to this leader may
-// hold a lease of the leader before, so its lease is taken to run for the longest time one is granted.
+// executorOf returns the state of an executor, and creates it at the first contact. An executor new to this leader may
+// hold a lease from the previous leader, so its lease is assumed to last for the longest time that is ever granted.
 func (p *Pool) executorOf(id string) *executorState {
 	executor := p.executors[id]
 	if executor == nil {
@@ -204,14 +206,15 @@
 	return executor
 }
 
-// An executor counts a lease by its own clock, which may be up to 2% slow, and is given a little more to stop in.
+// An executor measures its lease by its own clock, which may be up to 2% slow. One part in leaseDriftDivisor of the lease allows for
+// that, and leaseMargin gives the executor time to stop its runs.
 const (
 	leaseDriftDivisor = 40
 	leaseMargin       = 250 * time.Millisecond
 )
 
-// extendLease counts on a grant to the executor from now on; it is false if there is none, as for one that its proxy doesn't
-// reach.
+// extendLease extends the assumed lease of an executor by a grant that begins now. It returns false if the executor gets no grant: its
+// proxy doesn't reach it, or this process has no lease on the key.
 func (p *Pool) extendLease(executor *executorState, now time.Duration) bool {
 	if executor.isUnschedulable || !p.leadership.HasLease() {
 		return false
@@ -220,7 +223,7 @@
 	return true
 }
 
-// leaseWithMargin is how long after a grant the lease of an executor may still last, with its clock up to 2% slow.
+// leaseWithMargin returns how long after a grant the executor's lease may still last, with its clock up to 2% slow.
 func (p *Pool) leaseWithMargin(grant time.Duration) time.Duration {
 	return grant + grant/leaseDriftDivisor + leaseMargin
 }
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -7,12 +7,12 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// launch records the placement and its order in this turn's change; the order leaves after the commit.
-func (p *Pool) launch(start start) {
+// launch adds a run and its launch order to the change set. The order is sent after the commit.
+func (p *Pool) launch(placed placedRun) {
 	p.metrics.placements.Inc()
-	task := start.task
-	run := &runState{task: task, number: start.number, executor: start.executor, phase: runLaunching, orderedAt: p.clock.Monotonic(),
-		isExpired: p.deadlineClass(task.step) == placement.Expired, isFromShare: start.isFromShare}
+	task := placed.task
+	run := &runState{task: task, number: placed.number, executor: placed.executor, phase: runLaunching, orderedAt: p.clock.Monotonic(),
+		isExpired: p.deadlineClass(task.step) == placement.Expired, isFromShare: placed.isFromShare}
 	task.lastRun = run.number
 	p.endGangWatch(task.step)
 	p.recordExecutor(run.executor)
@@ -27,7 +27,7 @@
 	})
 }
 
-// addRun counts a run where it is; closeRun is its end.
+// addRun adds a run to its task and executor and to all counts of runs. closeRun removes it again.
 func (p *Pool) addRun(run *runState) {
 	task, executor, need := run.task, run.executor, run.task.step.need()
 	task.runs = append(task.runs, run)
@@ -42,13 +42,14 @@
 	p.markRunChanged(run)
 }
 
-// markRunChanged tells placement that a run is another than it was.
+// markRunChanged has the placement requests of the run's job and the view of its executor recomputed.
 func (p *Pool) markRunChanged(run *runState) {
 	p.markChanged(run.task)
 	p.table.markChanged(run.executor)
 }
 
-// stopRun has a run stopped, and with a member of a gang all others, which could only wait for it.
+// stopRun orders a run to stop. With a member of a gang all other members are stopped, as they could only wait for it. A committed
+// launch that was never sent is closed at once.
 func (p *Pool) stopRun(run *runState) {
 	if run.phase == runStopping {
 		return
@@ -74,6 +75,7 @@
 	}
 }
 
+// stopStep stops all runs of a step.
 func (p *Pool) stopStep(step *stepState) {
 	for _, task := range slices.Clone(step.busy) {
 		for _, run := range slices.Clone(task.runs) {
@@ -82,7 +84,7 @@
 	}
 }
 
-// closeRun forgets a run that certainly neither works nor will.
+// closeRun removes a run from all tables. It may only be called for a run that certainly isn't running and can no longer start.
 func (p *Pool) closeRun(run *runState) {
 	executor, task := run.executor, run.task
 	if executor.runs[run.key()] != run {
@@ -116,7 +118,7 @@
 	}
 }
 
-// runStarted notes that a launched run runs.
+// runStarted marks a launching run as running.
 func (p *Pool) runStarted(run *runState) {
 	if run.phase != runLaunching {
 		return
@@ -132,6 +134,7 @@
 	p.evacuateRun(run)
 }
 
+// recordStart notes that a task of the job has started; a queued job becomes active.
 func (p *Pool) recordStart(job *jobState) {
 	job.hasStarted = true
 	if job.phase == jobQueued {
--- a/internal/scheduling/scheduler/step.go
+++ b/internal/scheduling/scheduler/step.go
@@ -9,39 +9,51 @@
 	"gannetline/internal/scheduling/placement"
 )
 
+// stepState is a step of one occurrence of a job.
 type stepState struct {
 	occurrence *occurrence
 	number     int
 	spec       *jobs.Step
 	tasks      []*taskState
-	remaining  int
-	isOpen     bool
-	openedAt   time.Duration
-	// lastProgressAt is when a run of the step was last known to work, or when the step opened.
-	lastProgressAt  time.Duration
-	failedRun       int64
-	brokenAt        time.Duration
-	durations       []time.Duration
-	overdueFactor   float64
+	// remaining is the number of tasks that are not done.
+	remaining int
+	// isOpen is set once all dependencies of the step are complete.
+	isOpen   bool
+	openedAt time.Duration
+	// lastProgressAt is when the last run of the step that had started was closed, or when the step opened.
+	lastProgressAt time.Duration
+	// failedRun is the last run of a gang that counted as a failure.
+	failedRun int64
+	// brokenAt is when a gang lost a member while others still ran; 0 if it has not.
+	brokenAt time.Duration
+	// durations holds the sorted lengths of completed runs, maxDurations at most.
+	durations []time.Duration
+	// overdueFactor is the multiple of the median duration after which a run is overdue.
+	overdueFactor float64
+	// remainingPathMs is the estimated length of the longest chain of steps from this one to the end of the job.
 	remainingPathMs int64
-	notBefore       time.Duration
-	idle            []*taskState
-	busy            []*taskState
-	requests        stepRequests
+	// notBefore is the latest notBefore of the tasks.
+	notBefore time.Duration
+	// idle holds the tasks without runs that are not done, busy those with runs; both are sorted by index.
+	idle     []*taskState
+	busy     []*taskState
+	requests stepRequests
 }
 
-// queue is the queue that the step's job was submitted to.
+// queue returns the route by which the step's job was submitted.
 func (s *stepState) queue() string { return s.occurrence.job.record.Route }
 
 func (s *stepState) priority() int { return s.occurrence.job.record.Terms.Priority }
 
-// tenant is that of the step's job.
+// tenant returns the tenant of the step's job.
 func (s *stepState) tenant() *tenantState { return s.occurrence.job.tenant }
 
+// need returns the resources of one task.
 func (s *stepState) need() placement.Resources {
 	return placement.Resources{CPU: s.spec.CPU, Memory: s.spec.Memory, GPU: s.spec.GPU}
 }
 
+// lastRun returns the highest run number of all tasks of the step.
 func (s *stepState) lastRun() int64 {
 	var last int64
 	for _, member := range s.tasks {
@@ -52,7 +64,7 @@
 
 func (s *stepState) hasRuns() bool { return len(s.busy) > 0 }
 
-// classify keeps a task among those of its step that run, those that could, or neither.
+// classify puts a task into the step's busy or idle list, or into neither, after its runs or isDone have changed.
 func (s *stepState) classify(task *taskState) {
 	s.busy = withMembership(s.busy, task, len(task.runs) > 0)
 	s.idle = withMembership(s.idle, task, len(task.runs) == 0 && !task.isDone)
@@ -60,7 +72,7 @@
 
 // withMembership returns the list, sorted by index, with the task in it or without it.
 func withMembership(list []*taskState, task *taskState, belongs bool) []*taskState {
-	index, exists := slices.BinarySearchFunc(list, task, func(member, b *taskState) int { return cmp.Compare(member.index, b.index) })
+	index, exists := slices.BinarySearchFunc(list, task, func(a, b *taskState) int { return cmp.Compare(a.index, b.index) })
 	switch {
 	case belongs && !exists:
 		return slices.Insert(list, index, task)
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -5,50 +5,67 @@
 	"time"
 )
 
-// runPhase is how far a run is, as it is stored.
+// runPhase is the state of a run, as it is stored.
 type runPhase string
 
-// The phases of a run. An order is under way while it is launching or stopping.
+// The phases of a run. While it is launching or stopping, its order is in progress.
 const (
 	runLaunching runPhase = "launching"
 	runRunning   runPhase = "running"
 	runStopping  runPhase = "stopping"
 )
 
+// taskState is one task of a step.
 type taskState struct {
-	name             string
-	step             *stepState
-	index            int
-	isDone           bool
-	failed           int
-	lastRun          int64
-	checkpoint       string
-	runs             []*runState
-	avoid            string
-	firstFailedOn    *executorState
-	isFailureExcused bool
-	stallCount       int
-	notBefore        time.Duration
+	name   string
+	step   *stepState
+	index  int
+	isDone bool
+	// failed is the number of failed runs that count as attempts; for a gang the first task has it.
+	failed int
+	// lastRun is the number of the newest run, 0 if there was none.
+	lastRun    int64
+	checkpoint string
+	// runs holds the runs that are not closed.
+	runs []*runState
+	// avoid is the ID of an executor on which the task failed, stalled or was refused; placement chooses it last.
+	avoid string
+	// firstFailedOn is the executor that the first failure was counted against. isFirstFailureReduced is set once another executor has
+	// failed the task as well, so that the first failure weighs less.
+	firstFailedOn         *executorState
+	isFirstFailureReduced bool
+	// stallCount is how many runs of the task were stopped because they made no progress.
+	stallCount int
+	// notBefore is the earliest monotonic time at which the task may start again.
+	notBefore time.Duration
 }
 
 func (t *taskState) owner() *jobState { return t.step.occurrence.job }
 
+// runState is one run of a task on an executor, from its placement until closeRun.
 type runState struct {
-	task        *taskState
-	number      int64
-	executor    *executorState
-	phase       runPhase
+	task     *taskState
+	number   int64
+	executor *executorState
+	phase    runPhase
+	// isCommitted is set once the commit of the launch has ended.
 	isCommitted bool
-	isQueued    bool
-	sendCount   int
-	sentAt      time.Duration
-	orderedAt   time.Duration
-	startedAt   time.Duration
-	answeredAt  time.Duration
-	isAnswered  bool
+	// isQueued is set while the run's order is in the outbox of its executor.
+	isQueued bool
+	// sendCount is how often the current order was sent, and sentAt when it was sent last. orderedAt is when it was given.
+	sendCount int
+	sentAt    time.Duration
+	orderedAt time.Duration
+	// startedAt is when the run started, 0 until that is known.
+	startedAt time.Duration
+	// answeredAt and isAnswered tell when and whether the executor has acknowledged the stop order.
+	answeredAt time.Duration
+	isAnswered bool
+	// awaitedList is the number of the executor's list of runs that decides what has become of this one; 0 if it awaits none.
 	awaitedList uint64
-	isStuck     bool
-	// isExpired tells that the run was of no use any more when it was placed, isFromShare that a share was used for it.
+	// isStuck is set while the executor reports that the run makes no progress.
+	isStuck bool
+	// isExpired is set if the run was already expired when it was placed, isFromShare if a capacity share was used for it.
 	isExpired   bool
 	isFromShare bool
 }
@@ -60,6 +77,7 @@
 	return cmp.Or(cmp.Compare(a.task.name, b.task.name), cmp.Compare(a.number, b.number))
 }
 
+// runKey identifies a run by the name of its task and its number.
 type runKey struct {
 	task   string
 	number int64
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -10,11 +10,11 @@
 const (
 	// maxResendDoublings bounds the exponent of the backoff, so that the shift can't overflow.
 	maxResendDoublings = 4
-	// stopReportTime is how long the end of a stopped run may take to be reported, beyond the stop itself.
+	// stopReportTime is how long the report of a stopped run's end may take, in addition to the stop timeout.
 	stopReportTime = 300 * time.Millisecond
 )
 
-// Tick does all that falls due; Flush follows it.
+// Tick does all work that is due. The caller calls Flush after it.
 func (p *Pool) Tick() {
 	if p.leadership == nil {
 		return
@@ -39,7 +39,7 @@
 	p.metrics.show(p, now)
 }
 
-// tickPending attends to the runs that an order is under way for, in an order that is the same at every replay.
+// tickPending checks the runs with an order in progress. It visits them in the same order at every replay.
 func (p *Pool) tickPending(now time.Duration) {
 	runs := slices.SortedFunc(maps.Keys(p.pendingRuns), func(a, b *runState) int {
 		return cmp.Or(cmp.Compare(a.executor.id, b.executor.id), compareRuns(a, b))
@@ -51,8 +51,8 @@
 	}
 }
 
-// tickExecutor does what is due for an executor: it lets its failures decay, expires its lease, and answers a poll that
-// has waited long enough.
+// tickExecutor does the periodic work for an executor: it decays its failure counts, removes it if it was replaced, expires its lease,
+// and answers a poll that has waited long enough.
 func (p *Pool) tickExecutor(executor *executorState, now time.Duration) {
 	executor.failures, executor.successes = executor.failures*countDecay, executor.successes*countDecay
 	if p.isReplaced(executor, now) {
@@ -69,7 +69,8 @@
 	}
 }
 
-// expireLease closes what ran where the longest lease ever granted has expired.
+// expireLease closes the runs of an executor whose lease has certainly expired. It also removes the executor if that is silent or has
+// not reported to this leader.
 func (p *Pool) expireLease(executor *executorState, now time.Duration) {
 	if len(executor.runs) > 0 {
 		p.log.Info("executor lease expired", "executor", executor.id, "runs", len(executor.runs))
@@ -83,8 +84,9 @@
 	}
 }
 
-// tickRun sends an order again that is not answered, gives up a launch that is never answered, and asks for the
-// executor's list of runs when a stop is confirmed but the end isn't reported.
+// tickRun handles the timeouts of a run's order. It resends an order without an answer, and stops a run whose launch is never answered.
+// A launch that was never sent to an executor that has fallen silent is closed. If a stop is acknowledged but the end isn't reported,
+// it requests the executor's list of runs.
 func (p *Pool) tickRun(executor *executorState, run *runState, now time.Duration) {
 	isSilent := now-executor.contactAt > p.timing.SilentAfter
 	switch {
@@ -94,7 +96,7 @@
 	case run.phase == runLaunching && run.sendCount > 0 && !isSilent && now-run.orderedAt > p.timing.StuckAfter:
 		p.stopRun(run)
 	case run.phase != runRunning && !run.isAnswered && run.sendCount > 0:
-		if wait := min(p.timing.Resend<<min(run.sendCount-1, maxResendDoublings), p.timing.MaxResend); now-run.sentAt > wait {
+		if backoff := min(p.timing.Resend<<min(run.sendCount-1, maxResendDoublings), p.timing.MaxResend); now-run.sentAt > backoff {
 			p.queueOrder(run)
 		}
 	case run.phase == runStopping && run.isAnswered && now-run.answeredAt > p.timing.StopTimeout+stopReportTime:
