--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -39,7 +39,7 @@
 		p.closeRun(run)
 		p.completeTask(task)
 	case wire.OutcomeFailed:
-		p.blame(task, executor)
+		p.countExecutorFailure(task, executor)
 		task.avoid = executor.id
 		p.countFailure(task, end.Run)
 		p.closeRun(run)
--- a/internal/scheduling/scheduler/drain.go
+++ b/internal/scheduling/scheduler/drain.go
@@ -4,15 +4,15 @@
 	"gannetline/internal/platform/clock"
 )
 
-// evacuate moves what will not end before a leaving executor is gone.
-func (p *Pool) evacuate(executor *executorState) {
+// stopUnfinishableRuns stops the runs that can't finish before a draining executor departs, so that their tasks start elsewhere.
+func (p *Pool) stopUnfinishableRuns(executor *executorState) {
 	for _, run := range executor.sortedRuns() {
-		p.evacuateRun(run)
+		p.stopIfUnfinishable(run)
 	}
 }
 
-// evacuateRun stops a run on a draining executor when it can't finish before the executor departs.
-func (p *Pool) evacuateRun(run *runState) {
+// stopIfUnfinishable stops a run on a draining executor if it can't finish before the executor departs, by the estimate of its step.
+func (p *Pool) stopIfUnfinishable(run *runState) {
 	executor, step, now := run.executor, run.task.step.spec, p.clock.Monotonic()
 	if run.phase != runRunning || !executor.isDraining {
 		return
--- a/internal/scheduling/scheduler/endedjobs.go
+++ b/internal/scheduling/scheduler/endedjobs.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// end closes a job for good and stops whatever of it still runs.
+// end moves a job to a final phase and stops all runs of it.
 func (p *Pool) end(job *jobState, phase jobPhase, reason string) {
 	if job.phase == jobQueued {
 		p.queued[job.record.Route]--
@@ -45,7 +45,7 @@
 	p.forgetIfOver(job)
 }
 
-// forgetIfOver keeps only the end of a job once none of its runs is left.
+// forgetIfOver drops the spec and the occurrences of an ended job once none of its runs is left. The state in which it ended is kept.
 func (p *Pool) forgetIfOver(job *jobState) {
 	if job.isOpen() || job.runCount > 0 || job.spec == nil {
 		return
@@ -56,7 +56,7 @@
 	p.insertEnded(job)
 }
 
-// forgetEnded drops ended jobs after the retention period; endedJobs is sorted by the time of the end.
+// forgetEnded removes ended jobs once their retention period (KeepEnded) is over. endedJobs is sorted by the time of the end.
 func (p *Pool) forgetEnded() {
 	nowMs := p.leadership.WallMs()
 	for len(p.endedJobs) > 0 && nowMs-p.endedJobs[0].endedMs > p.timing.KeepEnded.Milliseconds() {
@@ -67,10 +67,10 @@
 	p.forgetRenounced(nowMs)
 }
 
-// insertEnded keeps ended jobs in the order in which they may be forgotten.
+// insertEnded adds a job to endedJobs, which is sorted by the time of the end.
 func (p *Pool) insertEnded(job *jobState) {
-	index, _ := slices.BinarySearchFunc(p.endedJobs, job, func(job, b *jobState) int {
-		return cmp.Or(cmp.Compare(job.endedMs, b.endedMs), cmp.Compare(job.id, b.id))
+	index, _ := slices.BinarySearchFunc(p.endedJobs, job, func(a, b *jobState) int {
+		return cmp.Or(cmp.Compare(a.endedMs, b.endedMs), cmp.Compare(a.id, b.id))
 	})
 	p.endedJobs = slices.Insert(p.endedJobs, index, job)
 }
--- a/internal/scheduling/scheduler/evacuation.go
+++ b/internal/scheduling/scheduler/evacuation.go
@@ -1,7 +1,8 @@
 package scheduler
 
-// WithEvacuations names the function that tells whether nothing new may be sent to a zone. What runs there runs on. The pool asks it at each
-// tick, and so within a moment of the order; a launch that is under way is refused by the local proxy (localproxy.Table).
+// WithEvacuations sets the function that reports whether a zone is being evacuated, so that no new runs are sent to it. Runs that are there
+// go on. The pool calls the function at each tick, and so follows the operator's order shortly after it. A launch that is in flight by
+// then is refused by the local proxy (localproxy.Table).
 func WithEvacuations(isEvacuated func(zone string) bool) Option {
 	return func(p *Pool) { p.isEvacuated = isEvacuated }
 }
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -9,7 +9,8 @@
 	"gannetline/internal/scheduling/recording"
 )
 
-// Exchange takes what a local-proxy says of its executor, and answers with orders, grant and acks.
+// Exchange processes a local proxy's report on its executor. The answer carries orders, the lease grant and acknowledgements. A call with
+// WaitMs is a long poll, which is answered when there are orders or the time is over.
 func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	now := p.clock.Monotonic()
 	executor := p.executorOf(call.Executor)
@@ -52,7 +53,7 @@
 	answer(p.answerFor(executor))
 }
 
-// answerAck acknowledges ends at once, with their commit.
+// answerAck answers an exchange with end reports as soon as their commit has ended, so that they are acknowledged without delay.
 func (p *Pool) answerAck(executor *executorState, err error, answer func(wire.ExchangeAnswer)) {
 	if err != nil || p.leadership == nil {
 		answer(wire.ExchangeAnswer{NotLeader: true})
@@ -61,7 +62,8 @@
 	answer(p.answerFor(executor))
 }
 
-// updateContact takes what every exchange reports, also one whose base is not known here.
+// updateContact processes the part of a report that is valid even if the pool doesn't have its base: the contact itself and the age of the
+// executor's last lease renewal.
 func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	p.table.markChanged(executor)
 	isUnschedulable := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
@@ -75,7 +77,7 @@
 	p.extendLease(executor, now)
 }
 
-// updateFacts takes over what an executor says of itself: capacity, labels, failure domain, draining and fence.
+// updateFacts stores the reported facts of an executor: capacity, labels, failure domain, draining and fence.
 func (p *Pool) updateFacts(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	if !executor.isKnown || executor.isDraining != call.Draining {
 		p.needsPlacing = true
@@ -88,12 +90,12 @@
 	if executor.runLimit > 0 {
 		p.needsPlacing = true
 	}
-	executor.learnPenalty(p.machinePenalty(call.Proxy, now))
+	executor.applyPenalty(p.machinePenalty(call.Proxy, now))
 	if p.rules != nil && (executor.capacity != resourcesOf(call.Capacity) || !slices.Equal(executor.labels, call.Labels)) {
 		p.table.version++
 	}
 	executor.isKnown, executor.proxy, executor.domain, executor.labels = true, call.Proxy, call.Domain, call.Labels
-	// A proxy that was restarted may not know yet that its executor leaves; no executor takes that back.
+	// A restarted proxy may not know yet that its executor is draining. An executor never stops draining.
 	executor.capacity, executor.isDraining = resourcesOf(call.Capacity), executor.isDraining || call.Draining
 	if call.DepartureMs > 0 {
 		executor.departureAt = now + clock.Milliseconds(call.DepartureMs)
@@ -104,11 +106,11 @@
 		p.needsPlacing = true
 	}
 	if isNewDrain {
-		p.evacuate(executor)
+		p.stopUnfinishableRuns(executor)
 	}
 }
 
-// executorGone closes all that ran on an executor that certainly runs nothing any more.
+// executorGone closes all runs of an executor that certainly runs nothing any more, and removes it.
 func (p *Pool) executorGone(executor *executorState) {
 	executor.isKnown = false
 	p.endPoll(executor, wire.ExchangeAnswer{})
--- a/internal/scheduling/scheduler/exchangestate.go
+++ b/internal/scheduling/scheduler/exchangestate.go
@@ -2,39 +2,42 @@
 
 import "gannetline/internal/cluster/peerapi/wire"
 
-// exchangeState is what a local-proxy has reported of an executor, up to a number of its session.
+// exchangeState holds the facts that a local proxy has reported of an executor, up to a number of the proxy's session.
 type exchangeState struct {
 	session uint64
 	number  uint64
-	facts   wire.ExchangeCall
+	// facts has only the fields that copyFacts copies.
+	facts wire.ExchangeCall
 }
 
-// merge gives the call with all that it left out put back; it is false where the base is not known here.
+// merge returns the call completed with the facts that it left out as unchanged. It returns false if the pool doesn't have the base of
+// the call. A call without a session is a full report.
 func (h *exchangeState) merge(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
 	full := *call
 	if call.Session == 0 {
 		full.Changed = call.Running
 		return &full, true
 	}
-	if !h.follows(call) {
+	if !h.acceptBase(call) {
 		return &full, false
 	}
 	if call.Number <= h.number {
 		full.Changed = nil
 	} else if call.Proxy != "" {
-		putFacts(&h.facts, call)
+		copyFacts(&h.facts, call)
 	}
 	h.number = max(h.number, call.Number)
-	putFacts(&full, &h.facts)
+	copyFacts(&full, &h.facts)
 	return &full, true
 }
 
-func putFacts(to, from *wire.ExchangeCall) {
+// copyFacts copies the facts of an executor from one call to another.
+func copyFacts(to, from *wire.ExchangeCall) {
 	to.Proxy, to.Domain, to.Labels, to.Capacity, to.Draining, to.Gone = from.Proxy, from.Domain, from.Labels, from.Capacity, from.Draining, from.Gone
 }
 
-// follows begins a later session with a full report.
-func (h *exchangeState) follows(call *wire.ExchangeCall) bool {
+// acceptBase reports whether the pool has the base of a call. A full report of a later session is accepted, and starts that session here.
+func (h *exchangeState) acceptBase(call *wire.ExchangeCall) bool {
 	if call.Session == h.session {
 		return call.Base <= h.number
 	}
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -9,83 +9,88 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// executorState is one incarnation of an executor, from its start to its end.
+// executorState is one incarnation of an executor: a restarted executor has another ID and another state.
 type executorState struct {
 	id string
 	executorFacts
 	executorContact
 	executorHealth
 	executorOrders
-	// allocated is what its runs take, also those that are being stopped.
+	// allocated is the sum of the resources of its runs, including those that are stopping.
 	allocated placement.Resources
-	// isRecorded tells that there is a record of its machine; idleSince is when its last run ended.
+	// isRecorded is set while there is a record of its machine; idleSince is when its last run was closed.
 	isRecorded bool
 	idleSince  time.Duration
-	// index is its place in the executor table; isChanged tells that the table's view of it has to be worked out anew.
+	// index is its position in the executor table; isChanged is set while the table's view of it is out of date.
 	index     int
 	isChanged bool
 }
 
-// executorFacts are what its local proxy says of it; they count only while isKnown.
+// executorFacts is what the local proxy reports of its executor. The facts are valid only while isKnown is set.
 type executorFacts struct {
-	isKnown    bool
+	// isKnown is set from the first report to this leader until the executor has ended.
+	isKnown bool
+	// proxy names the local proxy, and with it the machine. domain is the zone.
 	proxy      string
 	domain     string
 	labels     []string
 	capacity   placement.Resources
 	isDraining bool
-	// departureAt is when a draining executor may be gone, 0 if that is not known.
+	// departureAt is the earliest time at which a draining executor may be gone, 0 if it isn't known.
 	departureAt time.Duration
 }
 
-// executorContact is what the pool knows of its connection to the executor.
+// executorContact is the state of the pool's communication with the executor.
 type executorContact struct {
-	// exchange is how much the pool holds of what the proxy reported.
-	exchange  exchangeState
+	// exchange is the part of the proxy's reports that the pool holds.
+	exchange exchangeState
+	// contactAt is the time of the last report.
 	contactAt time.Duration
-	// leaseExpiry is when all its runs have stopped, if no further grant reaches it. It is never earlier than the executor
-	// itself can think, as it counts from the answer that carried the grant, with a margin for its clock.
+	// leaseExpiry is when all its runs have stopped, unless it gets a further grant. It is never earlier than the expiry by the executor's
+	// own clock, as it counts from the answer that carried the grant and includes a margin for that clock.
 	leaseExpiry time.Duration
-	// isFenced tells that it has seen this leader's fence and listed its runs since: only then are orders sent.
+	// isFenced is set once the executor has confirmed this leader's fence and has listed its runs since. No orders of the outbox are sent
+	// before that.
 	isFenced bool
-	// isUnschedulable tells that its proxy has not reached it for some time.
+	// isUnschedulable is set while its proxy has not reached it for longer than HoldStale.
 	isUnschedulable bool
-	// firstList is the first list of runs that counts under this leader, listWanted the newest that was asked for, at
+	// firstList is the number of the first list of runs that is valid under this leader. listWanted is the newest that was requested, at
 	// listWantedAt.
 	firstList    uint64
 	listWanted   uint64
 	listWantedAt time.Duration
-	// poll is an exchange that waits for orders.
+	// poll is an exchange that waits for orders, nil if there is none.
 	poll *pendingPoll
 }
 
-// executorHealth is how well it has done; it makes it a later choice, or none.
+// executorHealth holds the failures, slowness and refusals of an executor. Placement chooses an unhealthy executor later, or not at all.
 type executorHealth struct {
-	// ejectedUntil ends a pause after a refusal.
+	// ejectedUntil is the end of the pause after a refusal, during which the executor gets no runs.
 	ejectedUntil time.Duration
-	// failures and successes count runs, and fade with time.
+	// failures and successes are counts of runs that decay with time.
 	failures  float64
 	successes float64
-	// slowFactor is how long its runs take, as a multiple of their steps' medians, on average.
+	// slowFactor is the average duration of its runs as a multiple of their steps' medians.
 	slowFactor float64
-	// penalty is that of its machine.
+	// penalty is the penalty of its machine.
 	penalty float64
-	// runLimit is how many runs it may have at once until it has shown that it is healthy; 0 is no limit.
+	// runLimit is how many runs it may have at once until it has proved healthy; 0 means no limit.
 	runLimit int
 }
 
-// executorOrders are its runs, and what is to be sent to it.
+// executorOrders holds the runs of an executor and the orders to send to it.
 type executorOrders struct {
 	runs map[runKey]*runState
-	// outbox holds the runs whose orders leave with the next answer, orphanStops the orders for runs that no record knows.
+	// outbox holds the runs whose orders are sent with the next answer. orphanStops holds the stop orders of runs without a record.
 	outbox      []*runState
 	orphanStops []wire.Order
-	// takenEnd is the number of the last end that was taken, lastSeen of the last whose consequences are committed; only
+	// takenEnd is the number of the last end report that was processed, lastSeen that of the last one whose changes are committed. Only
 	// lastSeen is acknowledged.
 	takenEnd int64
 	lastSeen int64
 }
 
+// pendingPoll is an exchange that is answered when there are orders, or at the time until.
 type pendingPoll struct {
 	until  time.Duration
 	answer func(wire.ExchangeAnswer)
@@ -96,14 +101,14 @@
 		executorHealth: executorHealth{slowFactor: 1}, executorContact: executorContact{contactAt: now}}
 }
 
-// sortedRuns gives the runs in an order that is the same at every replay.
+// sortedRuns returns the runs in an order that is the same at every replay.
 func (e *executorState) sortedRuns() []*runState {
 	runs := slices.Collect(maps.Values(e.runs))
 	slices.SortFunc(runs, compareRuns)
 	return runs
 }
 
-// rack is the executor's rack, which its last label names; it is empty without labels.
+// rack returns the executor's rack, which is its last label, or an empty string without labels.
 func (e *executorState) rack() string {
 	if len(e.labels) == 0 {
 		return ""
@@ -111,8 +116,7 @@
 	return e.labels[len(e.labels)-1]
 }
 
-// penaltyScore is the executor's rate of failures, with priorSuccesses assumed before the first, and the penalty of its
-// machine.
+// penaltyScore is the executor's failure rate plus the weighted penalty of its machine. priorSuccesses are added to its counted runs.
 func (e *executorState) penaltyScore() float64 {
 	return e.failures/(e.failures+e.successes+priorSuccesses) + machinePenaltyWeight*e.penalty
 }
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -9,40 +9,47 @@
 )
 
 const (
-	penaltyHalfLife   = 8 * time.Second
-	maxPenalty        = 6.0
+	penaltyHalfLife = 8 * time.Second
+	maxPenalty      = 6.0
+	// negligiblePenalty is the penalty below which a machine is removed from the table.
 	negligiblePenalty = 0.05
-	ejectionPause     = 300 * time.Millisecond
-	singleRunPenalty  = 0.5
-	unlimitedRuns     = 64
-	maxStalls         = 4
-	// heartbeatOverdue is when an executor should have reported again, as its proxy asks for orders every 300 ms. One that was
-	// not is chosen last among equals, as an order may wait there in vain until it counts as silent.
+	// ejectionPause is how long an executor that refused a launch gets no runs.
+	ejectionPause = 300 * time.Millisecond
+	// singleRunPenalty is the penalty of its machine from which on an executor begins with one run at a time.
+	singleRunPenalty = 0.5
+	// unlimitedRuns is the run limit from which on the limit is lifted.
+	unlimitedRuns = 64
+	// maxStalls is how many runs of a task are stopped at most because they make no progress.
+	maxStalls = 4
+	// heartbeatOverdue is the time without a report after which an executor is overdue; its proxy polls for orders every 300 ms. An
+	// overdue executor is chosen last among equals, as an order for it may wait in vain until it counts as silent.
 	heartbeatOverdue = 450 * time.Millisecond
-	overdueWeight    = 0.4
-	// priorSuccesses are counted for an executor that nothing is known of yet, so that one failure is no rate of 100%.
+	// overdueWeight is the penalty of an overdue executor.
+	overdueWeight = 0.4
+	// priorSuccesses are added to the successes of every executor, so that a single failure isn't a failure rate of 100%.
 	priorSuccesses = 4
-	// machinePenaltyWeight weighs a machine's penalty beside its executor's rate of failures.
+	// machinePenaltyWeight is the weight of a machine's penalty relative to its executor's failure rate.
 	machinePenaltyWeight = 0.3
-	// timeoutWeight weighs an order that the executor didn't answer in time, beside a failure.
+	// timeoutWeight is the weight, relative to a failed run, of an order that the executor didn't answer in time.
 	timeoutWeight = 0.3
-	// countDecay is by how much failures and successes decay each tick.
+	// countDecay is the factor by which failures and successes decay each tick.
 	countDecay = 0.99
-	// sharedFailureWeight weighs a failure of a task that failed on another executor as well.
+	// sharedFailureWeight is the weight of a failed run whose task has failed on another executor as well.
 	sharedFailureWeight = 0.2
 )
 
-// machineHealth is the penalty of an executor's machine for falling silent, refusing or dying, whatever incarnation it is in now.
+// machineHealth is the penalty of a machine whose executor fell silent, refused or died. It outlives the incarnations of the executor.
 type machineHealth struct {
 	penalty float64
 	at      time.Duration
 }
 
-// penaltyAt halves with time, so that a machine recovers by degrees.
+// penaltyAt returns the penalty after its exponential decay, so that a machine recovers gradually.
 func (t *machineHealth) penaltyAt(now time.Duration) float64 {
 	return t.penalty * math.Exp2(-float64(now-t.at)/float64(penaltyHalfLife))
 }
 
+// worsen decays the penalty up to now and adds 1.
 func (t *machineHealth) worsen(now time.Duration) {
 	t.penalty, t.at = min(maxPenalty, t.penaltyAt(now)+1), now
 }
@@ -54,14 +61,14 @@
 	return 0
 }
 
-// suspectMachine notes that an executor died or hung; what comes next there begins with one run at once.
+// suspectMachine penalizes the machine of an executor that died or hung, and limits the executor to one run at a time.
 func (p *Pool) suspectMachine(executor *executorState) {
 	p.penalize(executor)
 	executor.runLimit = 1
 }
 
-// penalize raises the penalty of an executor's machine. Machines whose penalty has decayed are dropped first, so that
-// the table is bounded by the machines with recent failures.
+// penalize raises the penalty of an executor's machine. Before it adds a machine to the table it removes those whose penalty has
+// decayed, so that the table has only machines with recent failures.
 func (p *Pool) penalize(executor *executorState) {
 	now := p.clock.Monotonic()
 	health := p.health[executor.proxy]
@@ -74,8 +81,9 @@
 	executor.penalty = health.penaltyAt(now)
 }
 
-// learnPenalty lets a penalised machine begin with one run at a time, in a new incarnation as well.
-func (e *executorState) learnPenalty(penalty float64) {
+// applyPenalty sets the penalty of the executor's machine. A new incarnation on a penalized machine begins with one run at a time; the
+// limit ends when the penalty has decayed below singleRunPenalty.
+func (e *executorState) applyPenalty(penalty float64) {
 	if !e.isKnown && penalty >= singleRunPenalty {
 		e.runLimit = 1
 	}
@@ -85,7 +93,7 @@
 	e.penalty = penalty
 }
 
-// recordSuccess doubles what may run at once, as each success shows that it is healthy.
+// recordSuccess doubles the run limit, as each completed run shows that the executor is healthy.
 func (e *executorState) recordSuccess() {
 	e.runLimit *= 2
 	if e.runLimit >= unlimitedRuns {
@@ -93,7 +101,7 @@
 	}
 }
 
-// remainingRuns is how many runs may be added, as placement counts them.
+// remainingRuns returns how many runs may be added, in the terms of placement.Executor.RunLimit: 0 for no limit, NoRuns for none.
 func (e *executorState) remainingRuns() int {
 	switch {
 	case e.runLimit == 0:
@@ -104,7 +112,7 @@
 	return e.runLimit - len(e.runs)
 }
 
-// overduePenalty weighs that an executor should have reported again.
+// overduePenalty returns the penalty of an executor whose report is overdue.
 func (e *executorState) overduePenalty(now time.Duration) float64 {
 	if now-e.contactAt > heartbeatOverdue {
 		return overdueWeight
@@ -112,14 +120,15 @@
 	return 0
 }
 
-// penalizeUnlessEjected counts the refusals of one moment once.
+// penalizeUnlessEjected penalizes the machine for a refusal. Further refusals during the pause that follows are not counted.
 func (p *Pool) penalizeUnlessEjected(executor *executorState) {
 	if p.clock.Monotonic() >= executor.ejectedUntil {
 		p.penalize(executor)
 	}
 }
 
-// moveStalled stops a run that makes no progress, so that its task starts elsewhere. A task that hangs wherever it is, is left to it.
+// moveStalled stops a run that makes no progress, so that its task starts on another executor. A task that has stalled maxStalls times is
+// left running, as it stalls everywhere.
 func (p *Pool) moveStalled(run *runState) {
 	task, executor := run.task, run.executor
 	if !run.isStuck || run.phase != runRunning || task.step.spec.LongRunning || task.step.spec.Gang || task.stallCount >= maxStalls {
@@ -133,8 +142,8 @@
 	p.stopRun(run)
 }
 
-// blame weighs a failure against its executor, less where the same task failed on another one before.
-func (p *Pool) blame(task *taskState, executor *executorState) {
+// countExecutorFailure counts a failed run against its executor. It counts less if the task failed on another executor before.
+func (p *Pool) countExecutorFailure(task *taskState, executor *executorState) {
 	switch {
 	case task.firstFailedOn == nil:
 		task.firstFailedOn = executor
@@ -143,12 +152,12 @@
 		executor.failures++
 	default:
 		executor.failures += sharedFailureWeight
-		p.excuse(task)
+		p.reduceFirstFailure(task)
 	}
 }
 
-// excuse gives back what the first executor was blamed for, once another one shows that the task itself fails.
-func (p *Pool) excuse(task *taskState) {
+// reduceFirstFailure lowers the weight of a task's first failure, once a failure on another executor shows that the cause is the task.
+func (p *Pool) reduceFirstFailure(task *taskState) {
 	first := task.firstFailedOn
 	if !task.isFirstFailureReduced && p.executors[first.id] == first {
 		first.failures = max(0, first.failures-(1-sharedFailureWeight))
--- a/internal/scheduling/scheduler/executortable.go
+++ b/internal/scheduling/scheduler/executortable.go
@@ -9,21 +9,25 @@
 	"gannetline/internal/scheduling/placement"
 )
 
+// never is later than any moment of the clock.
 const never = time.Duration(math.MaxInt64)
 
-// executorTable keeps the executors in the order of their names, and what placement sees of each.
+// executorTable holds the executors sorted by ID, and placement's view of each.
 type executorTable struct {
 	sorted []*executorState
-	view   []placement.Executor
-	// openCapacity is that of those that may be given runs, usedCPU the CPU that runs take of those that are in order, and all
-	// the capacity of those that are known.
+	// view is parallel to sorted.
+	view []placement.Executor
+	// openCapacity is the capacity of the executors that may get runs, totalCapacity that of all known executors. usedCPU is the CPU that
+	// runs take of the schedulable ones.
 	openCapacity  placement.Resources
 	totalCapacity placement.Resources
 	usedCPU       int64
-	version       uint64
-	isStale       bool
-	validUntil    time.Duration
-	changed       []*executorState
+	// version changes with the executors, their indices, and the properties that queue rules look at.
+	version uint64
+	// isStale is set if the whole view must be recomputed; otherwise only changed executors are, until validUntil.
+	isStale    bool
+	validUntil time.Duration
+	changed    []*executorState
 }
 
 func (r *executorTable) indexOf(id string) (int, bool) {
@@ -44,6 +48,7 @@
 	}
 }
 
+// renumber updates the indices of the executors from a position on.
 func (r *executorTable) renumber(from int) {
 	for index := from; index < len(r.sorted); index++ {
 		r.sorted[index].index = index
@@ -59,7 +64,7 @@
 	}
 }
 
-// placementView is what placement sees now; only what changed since is worked out again.
+// placementView returns placement's view of the executors. It recomputes only the entries that have changed, if that is enough.
 func (p *Pool) placementView(now time.Duration) []placement.Executor {
 	r := &p.table
 	if r.isStale || now >= r.validUntil {
@@ -81,8 +86,8 @@
 	return r.view
 }
 
-// updateView computes what placement sees of an executor, keeps the sums over all executors in step, and notes the
-// earliest moment at which the view changes by the passing of time alone.
+// updateView recomputes placement's view of an executor and updates the sums over all executors. It lowers validUntil to the earliest
+// moment at which the view changes by the passing of time alone.
 func (p *Pool) updateView(executor *executorState, now time.Duration) {
 	r := &p.table
 	former, current := &r.view[executor.index], p.viewOf(executor, now)
@@ -101,7 +106,7 @@
 	}
 }
 
-// takenCPU is what runs take of an executor that is in order.
+// takenCPU returns the CPU that runs take of a schedulable executor.
 func takenCPU(view *placement.Executor) int64 {
 	if view.IsUnschedulable {
 		return 0
@@ -109,6 +114,7 @@
 	return view.Total.CPU - view.Free.CPU
 }
 
+// openCapacity returns the capacity of an executor that may get runs.
 func openCapacity(view *placement.Executor) placement.Resources {
 	if view.IsUnschedulable || view.RunLimit == placement.NoRuns {
 		return placement.Resources{}
@@ -118,15 +124,16 @@
 
 func (p *Pool) viewOf(executor *executorState, now time.Duration) placement.Executor {
 	return placement.Executor{Free: executor.capacity.Minus(executor.allocated), Total: executor.capacity, Labels: executor.labels, Rack: executor.rack(),
-		Penalty: executor.penaltyScore() + executor.slownessPenalty() + executor.overduePenalty(now), RunLimit: executor.remainingRuns(), IsUnschedulable: p.isOutOfUse(executor, now)}
+		Penalty: executor.penaltyScore() + executor.slownessPenalty() + executor.overduePenalty(now), RunLimit: executor.remainingRuns(), IsUnschedulable: p.isExcluded(executor, now)}
 }
 
-// isOutOfUse tells whether no new run goes to an executor now.
-func (p *Pool) isOutOfUse(executor *executorState, now time.Duration) bool {
-	isAway := executor.isUnschedulable || now < executor.ejectedUntil || now-executor.contactAt > p.timing.SilentAfter
-	return !executor.isFenced || executor.isDraining || isAway || p.isEvacuated(executor.domain)
+// isExcluded reports whether an executor gets no new runs now.
+func (p *Pool) isExcluded(executor *executorState, now time.Duration) bool {
+	isUnavailable := executor.isUnschedulable || now < executor.ejectedUntil || now-executor.contactAt > p.timing.SilentAfter
+	return !executor.isFenced || executor.isDraining || isUnavailable || p.isEvacuated(executor.domain)
 }
 
+// removeExecutor does nothing if the executor was removed already.
 func (p *Pool) removeExecutor(executor *executorState) {
 	if p.executors[executor.id] == executor {
 		delete(p.executors, executor.id)
--- a/internal/scheduling/scheduler/locality.go
+++ b/internal/scheduling/scheduler/locality.go
@@ -11,7 +11,8 @@
 // maxLocalityWait bounds the wait for capacity near a step's data.
 const maxLocalityWait = time.Second
 
-// localityWaitUntil is how long a step waits for capacity near its data: half of what its tasks lose elsewhere, and not for long.
+// localityWaitUntil returns until when a step waits for capacity near its data. The wait is half of the time that a task loses elsewhere,
+// and maxLocalityWait at most. It is 0 for a step that doesn't wait.
 func (p *Pool) localityWaitUntil(step *stepState) time.Duration {
 	if len(step.spec.Affinity) == 0 || step.spec.Gang || step.spec.LongRunning {
 		return 0
@@ -20,7 +21,7 @@
 	return step.openedAt + min(loss/2, maxLocalityWait)
 }
 
-// hasLocalExecutor tells whether any executor in the table is near the step's data.
+// hasLocalExecutor reports whether any executor in the table is near the step's data.
 func (p *Pool) hasLocalExecutor(step *stepState) bool {
 	return slices.ContainsFunc(p.table.sorted, func(executor *executorState) bool {
 		return placement.IsLocal(executor.labels, step.spec.Affinity)
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -8,13 +8,13 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// ruleHoldTime is how long a task waits for the executors of its queue's rule.
+// ruleHoldTime is how long a step waits for the executors that its queue's rule allows.
 const ruleHoldTime = time.Second
 
-// maxIdleWait is how long soft limits may keep a step that runs nothing from its first run.
+// maxIdleWait is how long soft limits may keep a step without runs from starting its first run.
 const maxIdleWait = time.Second
 
-// markChanged notes that something of a task has changed which placement may see, also in the other steps of its job.
+// markChanged notes that a task has changed, and has the placement requests of all steps of its occurrence recomputed.
 func (p *Pool) markChanged(task *taskState) {
 	task.step.classify(task)
 	for _, step := range task.step.occurrence.steps {
@@ -22,7 +22,7 @@
 	}
 }
 
-// refreshAll works out anew what may have changed since the last placement.
+// refreshAll recomputes the requests that may have changed since the last placement.
 func (p *Pool) refreshAll(now time.Duration) {
 	o := &p.open
 	if o.version != p.table.version {
@@ -39,7 +39,7 @@
 		o.markStale(step)
 	}
 	p.endOverloads(now)
-	// A step that turns late may make others stale, so that the list grows on the way.
+	// The list may grow in the loop, as a step that becomes late may make others stale.
 	for index := 0; index < len(o.stale); index++ {
 		step := o.stale[index]
 		step.requests.isStale = false
@@ -50,14 +50,14 @@
 	o.stale = o.stale[:0]
 }
 
-// dependsOnExecutors tells whether what a step asks for depends on which executors there are, and on their indices.
+// dependsOnExecutors reports whether the requests of a step depend on the set of executors or on their indices.
 func (p *Pool) dependsOnExecutors(step *stepState) bool {
 	ready := step.requests.first.tasks
 	return p.clock.Monotonic() < p.localityWaitUntil(step) || step.spec.AntiAffinity > 0 || len(step.requests.speculative) > 0 || len(ready) > 0 && ready[0].avoid != "" ||
 		p.rules.HasUse(step.queue())
 }
 
-// refresh works out anew what a step asks for, and until when that holds.
+// refresh recomputes the requests of a step, and the time until which they are valid.
 func (p *Pool) refresh(step *stepState, now time.Duration) {
 	ready, next := p.ready(step, now)
 	var group placement.Group
@@ -72,8 +72,8 @@
 	if len(ready)+len(candidates) > 0 {
 		next = min(next, p.nextDeadlineChange(step, now))
 	}
-	if frees := step.openedAt + ruleHoldTime + 1; now < frees && p.rules.HasUse(step.queue()) {
-		next = min(next, frees)
+	if ruleEnd := step.openedAt + ruleHoldTime + 1; now < ruleEnd && p.rules.HasUse(step.queue()) {
+		next = min(next, ruleEnd)
 	}
 	if until := p.localityWaitUntil(step); now < until {
 		next = min(next, until)
@@ -84,7 +84,8 @@
 	p.open.refreshTimes.set(step, next)
 }
 
-// refreshSpeculative goes along the speculative requests there are and those there should be, both in the order of their tasks.
+// refreshSpeculative updates the speculative requests of a step to those of the candidates. It merges the two lists, which are both in
+// the order of the tasks.
 func (p *Pool) refreshSpeculative(step *stepState, candidates []*taskState) {
 	former := step.requests.speculative
 	step.requests.speculative = nil
@@ -108,7 +109,7 @@
 	}
 }
 
-// ready gives the tasks that may start now, and when others may.
+// ready returns the tasks that may start now, and when the next of the others may.
 func (p *Pool) ready(step *stepState, now time.Duration) (ready []*taskState, next time.Duration) {
 	switch {
 	case step.spec.Gang && step.hasRuns():
@@ -127,7 +128,7 @@
 	return ready, next
 }
 
-// group describes the ready tasks of a step for placement: need, constraints, preferences and order.
+// group returns the ready tasks of a step as a group for placement, with their need, constraints, preferences and order.
 func (p *Pool) group(step *stepState, ready []*taskState) placement.Group {
 	job := step.occurrence.job
 	group := placement.Group{Excluded: p.excludedByRule(step), Need: step.need(), Count: len(ready), IsGang: step.spec.Gang, IsIdle: p.clock.Monotonic() >= p.idleFrom(step), IsLasting: step.spec.LongRunning,
@@ -144,13 +145,13 @@
 	return group
 }
 
-// isLong tells whether a step's tasks hold what they take for long.
+// isLong reports whether a step's tasks hold their resources for longer than ReservedCapacity.LongWork.
 func (p *Pool) isLong(step *stepState) bool {
 	return step.spec.LongRunning || clock.Milliseconds(step.spec.EstimatedMs) > p.timing.ReservedCapacity.LongWork
 }
 
-// idleFrom is when a step that runs nothing goes past soft limits. One whose tasks last does so at once, whatever of it runs: each of
-// them is to run at every moment.
+// idleFrom returns when a step without runs may exceed soft limits. A long-running step may at once, even if some of its tasks run, as each
+// of them should run at all times.
 func (p *Pool) idleFrom(step *stepState) time.Duration {
 	switch {
 	case step.spec.LongRunning:
@@ -161,6 +162,7 @@
 	return step.lastProgressAt + maxIdleWait
 }
 
+// orderKey returns the position of a step among the requests of its priority, lower first: by the queue's rule if there is one.
 func (p *Pool) orderKey(step *stepState, tasks int) int64 {
 	if !p.rules.HasOrder(step.queue()) {
 		return p.dueKey(step)
@@ -169,22 +171,23 @@
 		CPU: int(step.spec.CPU), Memory: int(step.spec.Memory), Estimate: int(step.spec.EstimatedMs)})
 }
 
-// wholeJob is the tenths that are left of a job of which nothing has been started.
+// wholeJob is the value of remainingTenths for a job of which no task has started.
 const wholeJob = 10
 
-// remainingTenths is how much of the work of a step's occurrence is yet to be started, by the estimates. A queue whose rule orders its
-// steps goes by that rule alone, and what has expired by its age alone, so that each has its turn.
+// remainingTenths returns how much of the work of a step's occurrence has not been started, in tenths and by the estimates. It is always
+// wholeJob for a queue whose rule orders its steps, so that only the rule decides, and for expired work, so that only the age decides
+// and every job gets its turn.
 func (p *Pool) remainingTenths(step *stepState) int {
 	if p.rules.HasOrder(step.queue()) || p.deadlineClass(step) == placement.Expired {
 		return wholeJob
 	}
-	var whole, remaining int64
-	for _, part := range step.occurrence.steps {
-		weight := max(1, part.spec.CPU) * max(1, part.spec.EstimatedMs)
-		whole += weight * int64(len(part.tasks))
-		remaining += weight * int64(len(part.idle))
+	var total, remaining int64
+	for _, other := range step.occurrence.steps {
+		taskWork := max(1, other.spec.CPU) * max(1, other.spec.EstimatedMs)
+		total += taskWork * int64(len(other.tasks))
+		remaining += taskWork * int64(len(other.idle))
 	}
-	return int(remaining * wholeJob / whole)
+	return int(remaining * wholeJob / total)
 }
 
 // runsByExecutor counts the runs of a step by the index of their executor.
@@ -198,8 +201,8 @@
 	return runs
 }
 
-// excludedByRule keeps a queue to the executors of its rule for a moment; a task that waits longer may go anywhere,
-// so that no rule of a queue leaves work undone while there is capacity.
+// excludedByRule marks, by index, the executors that the rule of a step's queue doesn't allow. The rule applies for ruleHoldTime. After
+// that the step may use any executor, so that no rule leaves work undone while there is capacity.
 func (p *Pool) excludedByRule(step *stepState) []bool {
 	queue := step.queue()
 	if !p.rules.HasUse(queue) || p.clock.Monotonic()-step.openedAt > ruleHoldTime {
--- a/internal/scheduling/scheduler/release.go
+++ b/internal/scheduling/scheduler/release.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// occurrenceOf returns an occurrence of a job, and makes it with its steps and tasks when it is first needed.
+// occurrenceOf returns an occurrence of a job, and creates it with its steps and tasks at the first call.
 func (p *Pool) occurrenceOf(job *jobState, number int) *occurrence {
 	if occurrence := job.occurrences[number]; occurrence != nil {
 		return occurrence
@@ -27,7 +27,7 @@
 	return occurrence
 }
 
-// releaseDue starts what has come due.
+// releaseDue opens the occurrences that are due. During Open, without a leadership, the time of day counts as 0.
 func (p *Pool) releaseDue() {
 	var nowMs int64
 	if p.leadership != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// releaseDueOf opens the occurrences of a job that are due, and notes when the next one is.
+// releaseDueOf opens the occurrences of a job that are due, and updates nextReleaseMs with the time of the next one.
 func (p *Pool) releaseDueOf(job *jobState, nowMs int64) {
 	for job.isOpen() && !job.holdsReleases && job.nextOccurrence < job.occurrenceCount() && job.releaseMs(job.nextOccurrence) <= nowMs {
 		if number := job.nextOccurrence; !job.completedOccurrences[number] {
@@ -66,8 +66,8 @@
 			continue
 		}
 		isReady := true
-		for _, earlier := range step.spec.DependsOn {
-			isReady = isReady && occurrence.steps[earlier].remaining == 0
+		for _, dependency := range step.spec.DependsOn {
+			isReady = isReady && occurrence.steps[dependency].remaining == 0
 		}
 		if isReady {
 			step.isOpen, step.openedAt, step.lastProgressAt = true, p.clock.Monotonic(), p.clock.Monotonic()
--- a/internal/scheduling/scheduler/replacedexecutors.go
+++ b/internal/scheduling/scheduler/replacedexecutors.go
@@ -6,14 +6,14 @@
 	"github.com/mailru/easyjson"
 )
 
-// replacedAfter is how long a known executor must have been silent before its replacement ends it: longer than an exchange
-// may be on its way, so that a late report takes no newer executor for the older one.
+// replacedAfter is how long a known executor must be silent before its replacement on the machine ends it. It is longer than an exchange
+// may be in flight, so that a late report of the old executor can't end the new one.
 const replacedAfter = 2500 * time.Millisecond
 
-// recordIdleTime is how long the record of an executor without runs is kept, so that it is not written at every start.
+// recordIdleTime is how long the record of an executor without runs is kept, so that the record isn't written at every start of a run.
 const recordIdleTime = 30 * time.Second
 
-// recordExecutor keeps the machine of an executor that has runs, so that a later leader knows its replacement there.
+// recordExecutor stores the machine of an executor that has runs, so that a later leader can recognize its replacement on that machine.
 func (p *Pool) recordExecutor(executor *executorState) {
 	if !executor.isRecorded {
 		executor.isRecorded = true
@@ -21,7 +21,7 @@
 	}
 }
 
-// loadExecutor reads the record of an executor; that of an executor without runs is dropped.
+// loadExecutor loads the record of an executor, and drops it if the executor has no runs.
 func (p *Pool) loadExecutor(id string, value []byte) error {
 	executor := p.executors[id]
 	if executor == nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// forgetExecutor removes an executor from all tables, and its record.
+// forgetExecutor removes an executor from all tables and drops its record.
 func (p *Pool) forgetExecutor(executor *executorState) {
 	p.removeExecutor(executor)
 	if p.newestOnMachine[executor.proxy] == executor {
@@ -47,18 +47,18 @@
 	}
 }
 
-// isReplaced tells whether another executor has answered under this epoch's fence from the same machine, which holds one
-// executor at a time, while this one was silent.
+// isReplaced reports whether another executor on the same machine has confirmed this epoch's fence while this one was silent. A machine
+// runs one executor at a time.
 func (p *Pool) isReplaced(executor *executorState, now time.Duration) bool {
-	next := p.newestOnMachine[executor.proxy]
-	if executor.proxy == "" || next == nil || next == executor {
+	newest := p.newestOnMachine[executor.proxy]
+	if executor.proxy == "" || newest == nil || newest == executor {
 		return false
 	}
-	return !executor.isKnown || next.contactAt > executor.contactAt && now-executor.contactAt > replacedAfter
+	return !executor.isKnown || newest.contactAt > executor.contactAt && now-executor.contactAt > replacedAfter
 }
 
-// tidyRecord drops the record of an executor that has run nothing for long.
-func (p *Pool) tidyRecord(executor *executorState, now time.Duration) {
+// dropIdleRecord drops the record of an executor that has had no runs for longer than recordIdleTime.
+func (p *Pool) dropIdleRecord(executor *executorState, now time.Duration) {
 	if executor.isRecorded && len(executor.runs) == 0 && now-executor.idleSince > recordIdleTime {
 		executor.isRecorded = false
 		p.dropRecord(prefixExecutor + executor.id)
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -9,33 +9,37 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// stepRequests is what a step asks of placement, kept until something of the step changes or it falls due.
+// stepRequests holds the placement requests of a step. They are valid until something in the step changes, or until refreshAt.
 type stepRequests struct {
-	isStale     bool
-	refreshAt   time.Duration
-	heapIndex   int
+	isStale   bool
+	refreshAt time.Duration
+	// heapIndex is the position in stepTimes plus one; 0 if the step isn't in it.
+	heapIndex int
+	// first is the request for the tasks without runs, described by group. speculative has one request for each second run.
 	first       placementRequest
 	group       placement.Group
 	speculative []*placementRequest
 }
 
-// placementRequest is tasks that may start now, and how they are to be placed.
+// placementRequest is a set of tasks of a step that may start now, and the group that describes them to placement.
 type placementRequest struct {
 	step  *stepState
 	tasks []*taskState
 	group *placement.Group
 }
 
-// requests are kept in the order in which they are placed, with what those that are on time ask for by priority, and resources that
-// none needs less than.
+// requests holds placement requests in the order in which they are placed; groups is parallel to them.
 type requests struct {
 	requests []*placementRequest
 	groups   []*placement.Group
-	demand   map[int]allocation
-	// tenantDemand is all, and urgentDemand what is on time and no long work, by the index of the tenant.
+	// demand is the total need of the requests that are on time, by priority.
+	demand map[int]allocation
+	// tenantDemand is the total need of all requests, and urgentDemand that of those that are on time and not long work, by the index of
+	// the tenant.
 	tenantDemand map[int]allocation
 	urgentDemand map[int]allocation
-	minNeed      placement.Resources
+	// minNeed is a lower bound of the need of a task in any request.
+	minNeed placement.Resources
 }
 
 func newRequests() requests {
@@ -44,14 +48,14 @@
 	return r
 }
 
-func compareRequests(request, b *placementRequest) int {
-	if order := placement.CompareGroups(request.group, b.group); order != 0 {
+func compareRequests(a, b *placementRequest) int {
+	if order := placement.CompareGroups(a.group, b.group); order != 0 {
 		return order
 	}
-	return cmp.Or(cmp.Compare(request.step.tasks[0].name, b.step.tasks[0].name), cmp.Compare(request.tasks[0].index, b.tasks[0].index))
+	return cmp.Or(cmp.Compare(a.step.tasks[0].name, b.step.tasks[0].name), cmp.Compare(a.tasks[0].index, b.tasks[0].index))
 }
 
-// change makes a request ask for something else; one that asks for nothing is not listed.
+// change replaces the tasks and the group of a request and keeps the order. A request without tasks isn't in the list.
 func (r *requests) change(request *placementRequest, tasks []*taskState, group placement.Group) {
 	former := *request.group
 	staysInPlace := former.Count > 0 && group.Count > 0 && placement.CompareGroups(&former, &group) == 0
@@ -68,8 +72,8 @@
 	r.count(&group, 1)
 }
 
-// count adds a group's demand to that of its priority, or takes it out with a negative count. A backlog of late work is no demand
-// that capacity is to be reserved for.
+// count adds a group to the sums of demand, or removes it if count is negative. Late work isn't part of the demand of its priority, as no
+// capacity is reserved for a backlog of it.
 func (r *requests) count(group *placement.Group, count int) {
 	if group.Count == 0 {
 		return
@@ -83,6 +87,7 @@
 	}
 }
 
+// countDemand adds a group that is on time to the demand of its priority, or removes it if count is negative.
 func (r *requests) countDemand(group *placement.Group, count int) {
 	addDemand(r.demand, group.Priority, asks(group), count)
 	if !group.LeavesRoom() {
@@ -90,18 +95,19 @@
 	}
 }
 
-// addDemand counts a group in, or out with a negative count; what nothing is left of has no entry.
-func addDemand(demands map[int]allocation, key int, asked placement.Resources, count int) {
-	demand := demands[key].with(asked, count)
+// addDemand adds a need to an entry, or subtracts it if count is negative. An entry that no group is left of is deleted.
+func addDemand(demands map[int]allocation, key int, need placement.Resources, count int) {
+	demand := demands[key].with(need, count)
 	demands[key] = demand
 	if demand.count == 0 {
 		delete(demands, key)
 	}
 }
 
+// asks returns the total need of a group's tasks.
 func asks(group *placement.Group) placement.Resources { return group.Need.Times(float64(group.Count)) }
 
-// findMinNeed works out the least need again, which only sinks in between.
+// findMinNeed recomputes minNeed, which otherwise only decreases.
 func (r *requests) findMinNeed() {
 	r.minNeed = placement.Resources{CPU: math.MaxInt64, Memory: math.MaxInt64, GPU: math.MaxInt64}
 	for _, group := range r.groups {
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -131,7 +131,7 @@
 	p.putTask(run.task)
 	p.recordStart(run.task.owner())
 	p.moveStalled(run)
-	p.evacuateRun(run)
+	p.stopIfUnfinishable(run)
 }
 
 // recordStart notes that a task of the job has started; a queued job becomes active.
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -9,24 +9,28 @@
 )
 
 const (
+	// silenceBeforeSpeculation and unansweredBeforeSpeculation are how long an executor may be silent, and a launch unanswered, before the
+	// run gets a speculative one.
 	silenceBeforeSpeculation    = 700 * time.Millisecond
 	unansweredBeforeSpeculation = 400 * time.Millisecond
-	minOverdue                  = 250 * time.Millisecond
-	minSamples                  = 3
-	maxDurations                = 64
-	// maxRatio bounds a ratio to the median, so that one very long run doesn't outweigh all others.
+	// minOverdue is the least duration after which a run is overdue.
+	minOverdue = 250 * time.Millisecond
+	// minSamples is how many completed runs give a median; a step with few tasks needs fewer.
+	minSamples   = 3
+	maxDurations = 64
+	// maxRatio is the upper bound of a ratio to the median, so that one very long run doesn't outweigh all others.
 	maxRatio = 10
-	// slowFactorSamples is over about how many runs an executor's slow factor is averaged.
+	// slowFactorSamples is the approximate number of runs over which an executor's slow factor is averaged.
 	slowFactorSamples = 6
-	// minOverdueFactor is how many times the median a run takes at least before it counts as overdue.
+	// minOverdueFactor is the least multiple of the median after which a run is overdue.
 	minOverdueFactor = 2
-	// toleratedSlowFactor is how many times as long as elsewhere runs may take on an executor without a penalty;
-	// what is above it counts by slownessWeight.
+	// toleratedSlowFactor is the slow factor up to which an executor has no penalty. Above it, the excess is weighted by slownessWeight.
 	toleratedSlowFactor = 1.6
 	slownessWeight      = 0.4
 )
 
-// medianDuration is how long runs of this step take, once some have ended; the estimate is only a guess.
+// medianDuration returns the median duration of the step's completed runs. It returns false while there are too few of them. The estimate
+// of the spec doesn't replace it, as that may be far off.
 func (s *stepState) medianDuration() (time.Duration, bool) {
 	if len(s.durations) < min(minSamples, max(1, len(s.tasks)/3)) {
 		return 0, false
@@ -34,13 +38,13 @@
 	return s.durations[len(s.durations)/2], true
 }
 
-// recordDuration learns from the length of a finished run: how slow its executor is, how far lengths spread in its
-// queue, and after what time a run of its step is overdue.
+// recordDuration updates the statistics with the duration of a completed run: the slow factor of its executor, the spread of durations in
+// its queue, and the time after which a run of its step is overdue.
 func (p *Pool) recordDuration(step *stepState, executor *executorState, length time.Duration) {
 	if ratio, isKnown := step.ratio(length); isKnown {
 		spread := p.spreadOf(step)
-		executor.slowFactor += (min(maxRatio, ratio*evenSpread/max(evenSpread, spread.ninthDecile)) - executor.slowFactor) / slowFactorSamples
-		spread.note(ratio)
+		executor.slowFactor += (min(maxRatio, ratio*defaultSpread/max(defaultSpread, spread.ninthDecile)) - executor.slowFactor) / slowFactorSamples
+		spread.add(ratio)
 	}
 	if len(step.durations) < maxDurations {
 		index, _ := slices.BinarySearch(step.durations, length)
@@ -49,7 +53,7 @@
 	step.overdueFactor = max(minOverdueFactor, overdueSpreads*p.spreadOf(step).ninthDecile)
 }
 
-// ratio returns the length of a run as a multiple of its step's median, once there is one.
+// ratio returns the duration of a run as a multiple of its step's median. It returns false while there is no median.
 func (s *stepState) ratio(length time.Duration) (float64, bool) {
 	typical, isKnown := s.medianDuration()
 	if !isKnown || typical <= 0 {
@@ -58,20 +62,22 @@
 	return min(maxRatio, float64(length)/float64(typical)), true
 }
 
-// durationSpread is how uneven the runs of a queue's steps are: the ratio to the step's median that nine of ten stay below.
+// durationSpread estimates how widely the durations in a queue vary: ninthDecile is the ratio to the step's median that nine of ten runs
+// stay below.
 type durationSpread struct{ ninthDecile float64 }
 
 const (
-	// evenSpread is the spread of a queue that nothing is known of yet.
-	evenSpread = 4.0 / 3
-	// spreadStep is by how much one run moves the estimate.
+	// defaultSpread is the spread of a queue without completed runs.
+	defaultSpread = 4.0 / 3
+	// spreadStep is the step by which one run moves the estimate.
 	spreadStep = 0.05
-	// overdueSpreads is how many times the spread of its queue a run takes before it is overdue.
+	// overdueSpreads is the multiple of its queue's spread after which a run is overdue.
 	overdueSpreads = 1.5
 )
 
-// note moves the estimate up by nine parts or down by one, so that it rests where nine of ten are below it.
-func (s *durationSpread) note(ratio float64) {
+// add updates the estimate with the ratio of one run. It moves up by 0.9 steps or down by 0.1, so that it settles where nine of ten ratios
+// are below it.
+func (s *durationSpread) add(ratio float64) {
 	if ratio > s.ninthDecile {
 		s.ninthDecile += 0.9 * spreadStep
 		return
@@ -84,28 +90,30 @@
 	queue := step.queue()
 	spread := p.spreads[queue]
 	if spread == nil {
-		spread = &durationSpread{ninthDecile: evenSpread}
+		spread = &durationSpread{ninthDecile: defaultSpread}
 		p.spreads[queue] = spread
 	}
 	return spread
 }
 
-// recordOvertaken counts a run that its speculative run overtook: it would have been longer still.
+// recordOvertaken adds the duration so far of a run whose task another run has completed to the spread of its queue. The run would have
+// taken even longer.
 func (p *Pool) recordOvertaken(run *runState) {
 	if run.phase != runRunning {
 		return
 	}
 	if ratio, isKnown := run.task.step.ratio(p.clock.Monotonic() - run.startedAt); isKnown {
-		p.spreadOf(run.task.step).note(ratio)
+		p.spreadOf(run.task.step).add(ratio)
 	}
 }
 
-// slownessPenalty is 0 for an executor that keeps up with the others.
+// slownessPenalty returns the penalty for an executor's slow factor, 0 up to toleratedSlowFactor.
 func (e *executorState) slownessPenalty() float64 {
 	return max(0, e.slowFactor-toleratedSlowFactor) * slownessWeight
 }
 
-// overdueAfter is when a run takes so long that something is wrong with its executor.
+// overdueAfter returns the duration after which a run takes so long that its executor is probably at fault. Without a median it is computed
+// from the estimate of the spec.
 func (s *stepState) overdueAfter() time.Duration {
 	if typical, isKnown := s.medianDuration(); isKnown {
 		return max(minOverdue, time.Duration(s.overdueFactor*float64(typical)))
@@ -113,7 +121,7 @@
 	return max(2*minOverdue, 4*clock.Milliseconds(s.spec.EstimatedMs))
 }
 
-// tasksToSpeculate gives the tasks of a redundant step whose only run may not come back in time, and when others may join them.
+// tasksToSpeculate returns the tasks of a redundant step whose only run needs a speculative one, and when the next task may need one.
 func (p *Pool) tasksToSpeculate(step *stepState, now time.Duration) (tasks []*taskState, next time.Duration) {
 	next = never
 	if !step.spec.Redundant || step.spec.Gang {
@@ -134,7 +142,7 @@
 	return tasks, next
 }
 
-// speculateFrom is when a run needs a speculative one if nothing is reported until then.
+// speculateFrom returns when a run needs a speculative one if there is no report until then.
 func speculateFrom(run *runState) time.Duration {
 	silent := run.executor.contactAt + silenceBeforeSpeculation + 1
 	switch {
@@ -148,14 +156,15 @@
 	return min(silent, run.startedAt+run.task.step.overdueAfter()+1)
 }
 
-// refreshSpeculation has the speculative runs of all that an executor runs worked out anew, as its health has changed.
+// refreshSpeculation has the need for speculative runs recomputed for all tasks on an executor, as its state has changed.
 func (p *Pool) refreshSpeculation(executor *executorState) {
 	for _, run := range executor.runs {
 		p.markChanged(run.task)
 	}
 }
 
-// limitByAntiAffinity lets a step with anti-affinity ask once in a turn, as what else is placed in the turn is not counted yet.
+// limitByAntiAffinity limits a step with anti-affinity to one request for a speculative run per placement, and to none while tasks of it
+// are ready. Runs that are placed in the same placement are not counted against the limit of an executor yet.
 func (p *Pool) limitByAntiAffinity(step *stepState, tasks []*taskState, now time.Duration) []*taskState {
 	if ready, _ := p.ready(step, now); len(ready) > 0 {
 		return nil
@@ -163,8 +172,8 @@
 	return tasks[:1]
 }
 
-// needsSpeculation tells whether a second run should be started beside this one: its executor is silent or
-// unschedulable, its launch is unanswered, or it takes far longer than others of its step.
+// needsSpeculation reports whether a second run should be started beside this one: its executor is silent or unschedulable, its launch is
+// unanswered, or it takes far longer than other runs of its step.
 func (p *Pool) needsSpeculation(run *runState, now time.Duration) bool {
 	switch executor := run.executor; {
 	case run.phase == runStopping:
@@ -177,7 +186,7 @@
 	return now-run.startedAt > run.task.step.overdueAfter()
 }
 
-// speculativeGroup asks for a second run of a task, anywhere but where the first one is.
+// speculativeGroup returns the group for a second run of a task, on any executor but that of the first run.
 func (p *Pool) speculativeGroup(task *taskState) placement.Group {
 	group := p.group(task.step, []*taskState{task})
 	group.IsSpeculative, group.ExcludedIndices = true, []int{task.runs[0].executor.index}
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -63,7 +63,7 @@
 	if now > executor.leaseExpiry {
 		p.expireLease(executor, now)
 	}
-	p.tidyRecord(executor, now)
+	p.dropIdleRecord(executor, now)
 	if executor.poll != nil && now >= executor.poll.until {
 		p.answerPoll(executor)
 	}
