--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -162,7 +162,7 @@
 	return step.lastProgressAt + maxIdleWait
 }
 
-// orderKey returns the position of a step among the requests of its priority, lower first: by the queue's rule if there is one.
+// orderKey returns the key that orders a step among the requests of its section, lower first: that of the queue's rule, if it has one.
 func (p *Pool) orderKey(step *stepState, tasks int) int64 {
 	if !p.rules.HasOrder(step.queue()) {
 		return p.dueKey(step)
