--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -174,7 +174,7 @@
 	}
 	if job != nil && job.isOpen() {
 		p.recorder.Record(recording.Event{Kind: recording.KindCancel, AtMs: p.leadership.WallMs(), ID: call.ID})
-		p.end(job, jobCancelled, "cancelled by its client")
+		p.endJob(job, jobCancelled, "cancelled by its client")
 	}
 	p.answerUnderLease(answer, func() wire.ClientAnswer {
 		switch {
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -113,7 +113,7 @@
 	counter.failed++
 	p.putTask(counter)
 	if counter.failed >= max(1, job.record.Terms.MaxAttempts) {
-		p.end(job, jobFailed, "task "+task.name+" failed "+strconv.Itoa(counter.failed)+" times")
+		p.endJob(job, jobFailed, "task "+task.name+" failed "+strconv.Itoa(counter.failed)+" times")
 	}
 }
 
@@ -161,7 +161,7 @@
 	p.countOccurrence(occurrence)
 	p.countOccurrenceEnd(occurrence)
 	if len(job.completedOccurrences) == job.occurrenceCount() {
-		p.end(job, jobCompleted, "")
+		p.endJob(job, jobCompleted, "")
 		return
 	}
 	p.putRecord(prefixOccurrence+job.id+"/"+strconv.Itoa(occurrence.number), timeRecord{Done: true})
--- a/internal/scheduling/scheduler/endedjobs.go
+++ b/internal/scheduling/scheduler/endedjobs.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// end moves a job to a final phase and stops all runs of it.
-func (p *Pool) end(job *jobState, phase jobPhase, reason string) {
+// endJob moves a job to a final phase and stops all runs of it.
+func (p *Pool) endJob(job *jobState, phase jobPhase, reason string) {
 	if job.phase == jobQueued {
 		p.queued[job.record.Route]--
 	}
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -216,7 +216,7 @@
 	switch {
 	case answer == nil || answer.NotLeader || answer.Status >= http.StatusInternalServerError:
 	case answer.Status == http.StatusOK:
-		p.end(job, jobMoved, "the new version was turned back")
+		p.endJob(job, jobMoved, "the new version was turned back")
 	default:
 		p.log.Info("job stays with the new version", "job", job.id, "status", answer.Status, "reason", answer.Reason)
 		p.endTransfer(job)
