--- a/internal/scheduling/scheduler/consistency_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -67,7 +67,7 @@
 			compare("group in its place", list.groups[index] == request.group, true)
 			compare("least need", request.group.Need.Fits(list.minNeed), true)
 			if request.group.Deadline == placement.OnTime {
-				asked[request.group.Priority] = asked[request.group.Priority].with(asks(request.group), 1)
+				asked[request.group.Priority] = asked[request.group.Priority].with(totalNeed(request.group), 1)
 			}
 		}
 		compare("asked", list.demand, asked)
--- a/internal/scheduling/scheduler/loadreport.go
+++ b/internal/scheduling/scheduler/loadreport.go
@@ -58,7 +58,7 @@
 		result.of(priority).allocated = allocation.resources.CPU
 	}
 	for _, group := range p.open.first.groups {
-		result.of(group.Priority).waiting[group.Deadline] += asks(group).CPU
+		result.of(group.Priority).waiting[group.Deadline] += totalNeed(group).CPU
 	}
 	for priority, current := range result.priorities {
 		if remaining, isBound := p.longWorkRemaining[priority]; isBound {
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -78,7 +78,7 @@
 	if group.Count == 0 {
 		return
 	}
-	addDemand(r.tenantDemand, group.Tenant, asks(group), count)
+	addDemand(r.tenantDemand, group.Tenant, totalNeed(group), count)
 	if group.Deadline == placement.OnTime {
 		r.countDemand(group, count)
 	}
@@ -89,9 +89,9 @@
 
 // countDemand adds a group that is on time to the demand of its priority, or removes it if count is negative.
 func (r *requests) countDemand(group *placement.Group, count int) {
-	addDemand(r.demand, group.Priority, asks(group), count)
+	addDemand(r.demand, group.Priority, totalNeed(group), count)
 	if !group.LeavesRoom() {
-		addDemand(r.urgentDemand, group.Tenant, asks(group), count)
+		addDemand(r.urgentDemand, group.Tenant, totalNeed(group), count)
 	}
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// asks returns the total need of a group's tasks.
-func asks(group *placement.Group) placement.Resources { return group.Need.Times(float64(group.Count)) }
+// totalNeed returns the total need of a group's tasks.
+func totalNeed(group *placement.Group) placement.Resources { return group.Need.Times(float64(group.Count)) }
 
 // findMinNeed recomputes minNeed, which otherwise only decreases.
 func (r *requests) findMinNeed() {
