--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -30,7 +30,7 @@
 	isCertain := run.sendCount <= 1 && run.awaitedList == 0
 	switch answer.Result {
 	case wire.ResultOK:
-		p.runStarted(run)
+		p.markRunning(run)
 		run.startedAt -= min(clock.Milliseconds(answer.AgeMs), now-run.orderedAt)
 	case wire.ResultNotRun, wire.ResultNoCapacity, wire.ResultUnhealthy:
 		if answer.Result == wire.ResultUnhealthy {
@@ -139,7 +139,7 @@
 func (p *Pool) resolve(run *runState, isRunning bool) {
 	switch {
 	case run.phase == runLaunching && isRunning:
-		p.runStarted(run)
+		p.markRunning(run)
 	case run.phase == runLaunching:
 		run.sendCount = 0
 		p.queueOrder(run)
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// runStarted marks a launching run as running.
-func (p *Pool) runStarted(run *runState) {
+// markRunning marks a launching run as running.
+func (p *Pool) markRunning(run *runState) {
 	if run.phase != runLaunching {
 		return
 	}
