--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -78,16 +78,16 @@
 	if task.checkpoint == checkpoint || task.owner().spec == nil {
 		return
 	}
-	holder := task.sharedState()
+	holder := task.sharedTask()
 	if holder.checkpoint != checkpoint && task.owner().isOpen() {
 		holder.checkpoint = checkpoint
 		p.putTask(holder)
 	}
 }
 
-// sharedState returns the task that holds the checkpoint and the failure count for this one: the first task of a gang, whose members share
+// sharedTask returns the task that holds the checkpoint and the failure count for this one: the first task of a gang, whose members share
 // both, and otherwise the task itself.
-func (t *taskState) sharedState() *taskState {
+func (t *taskState) sharedTask() *taskState {
 	if t.step.spec.Gang {
 		return t.step.tasks[0]
 	}
@@ -109,7 +109,7 @@
 		}
 		step.failedRun = number
 	}
-	counter := task.sharedState()
+	counter := task.sharedTask()
 	counter.failed++
 	p.putTask(counter)
 	if counter.failed >= max(1, job.record.Terms.MaxAttempts) {
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -158,7 +158,7 @@
 func (t *occurrence) hasLostRuns() bool {
 	for _, step := range t.steps {
 		for _, task := range step.tasks {
-			if task.lastRun > int64(task.sharedState().failed)+1 {
+			if task.lastRun > int64(task.sharedTask().failed)+1 {
 				return true
 			}
 		}
