--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-var _ = Describe("a pool and what its clients and executors repeat", func() {
+var _ = Describe("repeated calls of clients and executors", func() {
 	const (
 		body      = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":5000}]}`
 		otherBody = `{"task-descriptor":"other","step-list":[{"task-count":3,"cpu-units":1000}]}`
@@ -25,24 +25,24 @@
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
 		pool.Open(leadership, leadership.pairs())
 	}
-	// ask sends a client's call and settles its commit.
-	ask := func(verb wire.Verb, text string) wire.ClientAnswer {
+	// send makes a client's call and settles its commit.
+	send := func(verb wire.Verb, text string) wire.ClientAnswer {
 		var reported wire.ClientAnswer
 		call := &wire.ClientCall{Verb: verb, Route: "e", ID: id, Body: []byte(text), Terms: &wire.RouteTerms{MaxAttempts: 2}}
-		answer := func(one wire.ClientAnswer) { reported = one }
+		record := func(answer wire.ClientAnswer) { reported = answer }
 		switch verb {
 		case "hand-in":
-			pool.Submit(call, answer)
+			pool.Submit(call, record)
 		case "cancel":
-			pool.Cancel(call, answer)
+			pool.Cancel(call, record)
 		case "state":
-			pool.State(call, answer)
+			pool.State(call, record)
 		}
 		pool.Flush()
 		leadership.settle(nil)
 		return reported
 	}
-	state := func() string { return string(ask("state", "").Body) }
+	state := func() string { return string(send("state", "").Body) }
 	exchange := func(change func(*wire.ExchangeCall)) wire.ExchangeAnswer {
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Proxy: "side-1", Capacity: wire.Capacity{CPU: 4000, Memory: 4000},
 			Labels: []string{"a", "r1"}, Fence: leadership.epoch, ListNumber: 1 << 40}
@@ -53,12 +53,12 @@
 		leadership.settle(nil)
 		return reported
 	}
-	nothing := func(*wire.ExchangeCall) {}
+	unchanged := func(*wire.ExchangeCall) {}
 	start := func() {
-		exchange(nothing)
+		exchange(unchanged)
 		pool.Flush()
 		leadership.settle(nil)
-		Expect(exchange(nothing).Orders).To(HaveLen(1))
+		Expect(exchange(unchanged).Orders).To(HaveLen(1))
 		exchange(func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
 		})
@@ -72,64 +72,64 @@
 		fakeClock = clock.NewFake(1_000_000)
 		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
 		open(3)
-		Expect(ask("hand-in", body).Status).To(Equal(http.StatusOK))
+		Expect(send("hand-in", body).Status).To(Equal(http.StatusOK))
 	})
 
-	DescribeTable("takes the same ID again for the same job", func(before func(), shown string) {
+	DescribeTable("accepts a repeated submission with the ID of a known job", func(before func(), wanted string) {
 		before()
-		Expect(ask("hand-in", otherBody).Status).To(Equal(http.StatusOK))
-		Expect(ask("hand-in", body).Status).To(Equal(http.StatusOK))
-		Expect(state()).To(ContainSubstring(shown))
+		Expect(send("hand-in", otherBody).Status).To(Equal(http.StatusOK))
+		Expect(send("hand-in", body).Status).To(Equal(http.StatusOK))
+		Expect(state()).To(ContainSubstring(wanted))
 	},
-		Entry("right after it was accepted", func() {}, "queued"),
-		Entry("once it runs", func() { start() }, "active"),
-		Entry("once it has ended", func() { start(); finish() }, "completed"),
-		Entry("once it was cancelled", func() { ask("cancel", "") }, "cancelled"),
-		Entry("at the next leader", func() { open(4) }, "queued"),
-		Entry("at the next leader, once it has ended", func() { start(); finish(); open(4) }, "completed"),
+		Entry("right after the first submission", func() {}, "queued"),
+		Entry("while the job runs", func() { start() }, "active"),
+		Entry("after the job has ended", func() { start(); finish() }, "completed"),
+		Entry("after the job was cancelled", func() { send("cancel", "") }, "cancelled"),
+		Entry("to the next leader", func() { open(4) }, "queued"),
+		Entry("to the next leader, after the job has ended", func() { start(); finish(); open(4) }, "completed"),
 	)
 
-	DescribeTable("acknowledges a cancel, and again", func(before func(), status int, shown string) {
+	DescribeTable("acknowledges a cancellation and its repetition", func(before func(), status int, wanted string) {
 		before()
-		Expect(ask("cancel", "").Status).To(Equal(status))
-		Expect(ask("cancel", "").Status).To(Equal(status))
-		Expect(state()).To(ContainSubstring(shown))
+		Expect(send("cancel", "").Status).To(Equal(status))
+		Expect(send("cancel", "").Status).To(Equal(status))
+		Expect(state()).To(ContainSubstring(wanted))
 	},
-		Entry("of a job that waits", func() {}, 200, "cancelled"),
-		Entry("of a job that runs", func() { start() }, 200, "cancelled"),
-		Entry("of a job that runs where the executor leaves", func() {
+		Entry("of a queued job", func() {}, 200, "cancelled"),
+		Entry("of a running job", func() { start() }, 200, "cancelled"),
+		Entry("of a job that runs on a draining executor", func() {
 			start()
 			exchange(func(call *wire.ExchangeCall) { call.Draining = true })
 		}, 200, "cancelled"),
-		Entry("of a job that has ended", func() { start(); finish() }, 200, "completed"),
-		Entry("at the next leader", func() { start(); open(4) }, 200, "cancelled"),
+		Entry("of an ended job", func() { start(); finish() }, 200, "completed"),
+		Entry("of a running job, at the next leader", func() { start(); open(4) }, 200, "cancelled"),
 	)
 
-	It("acknowledges a cancel that comes while the submission is being committed", func() {
+	It("acknowledges a cancellation that arrives before the submission is committed", func() {
 		open(4)
-		var handedIn, cancelled int
+		var submitStatus, cancelStatus int
 		other := &wire.ClientCall{Route: "e", ID: "00000000000000aa", Body: []byte(body), Terms: &wire.RouteTerms{MaxAttempts: 2}}
-		pool.Submit(other, func(answer wire.ClientAnswer) { handedIn = answer.Status })
+		pool.Submit(other, func(answer wire.ClientAnswer) { submitStatus = answer.Status })
 		pool.Flush()
-		pool.Cancel(other, func(answer wire.ClientAnswer) { cancelled = answer.Status })
+		pool.Cancel(other, func(answer wire.ClientAnswer) { cancelStatus = answer.Status })
 		pool.Flush()
 		leadership.settle(nil)
 		leadership.settle(nil)
-		Expect(handedIn).To(Equal(http.StatusOK))
-		Expect(cancelled).To(Equal(http.StatusOK))
+		Expect(submitStatus).To(Equal(http.StatusOK))
+		Expect(cancelStatus).To(Equal(http.StatusOK))
 	})
 
-	It("moves at once what will not end before an executor is gone that left unannounced", func() {
+	It("stops a run at once if it can't finish before its executor departs, without an earlier notice", func() {
 		start()
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
-		Expect(exchange(nothing).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: taskState, Run: 1}))
+		Expect(exchange(unchanged).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: taskState, Run: 1}))
 	})
 
-	It("starts nothing on an executor that leaves because its proxy forgot that", func() {
+	It("starts no run on a draining executor even if its proxy no longer reports the drain", func() {
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
-		exchange(nothing)
+		exchange(unchanged)
 		pool.Flush()
 		leadership.settle(nil)
-		Expect(exchange(nothing).Orders).To(BeEmpty())
+		Expect(exchange(unchanged).Orders).To(BeEmpty())
 	})
 })
--- a/internal/scheduling/scheduler/drains_test.go
+++ b/internal/scheduling/scheduler/drains_test.go
@@ -9,43 +9,43 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-var _ = Describe("a run whose start is told once its executor is leaving", func() {
-	const lasting = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"long-running":true}]}`
+var _ = Describe("a run whose start is reported when its executor is already draining", func() {
+	const longRunning = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"long-running":true}]}`
 	const long = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":60000}]}`
 	const short = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":200}]}`
 	var f *fleet
-	var leaving *fleetExecutor
-	// leave has the executor say that it leaves along with its answer to the start, and maybe to another leader.
-	leave := func(body string, isTakenOver bool) {
+	var draining *fleetExecutor
+	// drain has the executor report its drain together with its answer to the launch order, to another leader if isTakenOver.
+	drain := func(body string, isTakenOver bool) {
 		f = newFleet(timing)
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, body)
 		for _, executor := range f.executors {
 			if f.exchangeOnce(executor); len(executor.running) > 0 {
-				leaving = executor
+				draining = executor
 				break
 			}
 		}
-		leaving.Draining, leaving.DepartureMs = true, 2000
+		draining.Draining, draining.DepartureMs = true, 2000
 		if isTakenOver {
-			leaving.Answers = nil
+			draining.Answers = nil
 			f.takeOver()
 		}
 		f.pass(time.Second)
 	}
 
-	DescribeTable("is moved if it would not end there in time", func(body string, isTakenOver bool) {
-		leave(body, isTakenOver)
-		Expect(leaving.running).To(BeEmpty())
+	DescribeTable("is moved if it can't finish before the departure", func(body string, isTakenOver bool) {
+		drain(body, isTakenOver)
+		Expect(draining.running).To(BeEmpty())
 		Expect(f.tasks()).To(HaveLen(1))
 	},
-		Entry("as it lasts", lasting, false),
-		Entry("as it is long", long, false),
-		Entry("as it lasts, where the leader changes", lasting, true),
+		Entry("of a long-running step", longRunning, false),
+		Entry("of a step with a long estimate", long, false),
+		Entry("of a long-running step, with a leader change", longRunning, true),
 	)
 
-	It("stays where it is if it will", func() {
-		leave(short, false)
-		Expect(leaving.running).To(HaveLen(1))
+	It("is left running if it can finish before the departure", func() {
+		drain(short, false)
+		Expect(draining.running).To(HaveLen(1))
 	})
 })
--- a/internal/scheduling/scheduler/ended_test.go
+++ b/internal/scheduling/scheduler/ended_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("a job that has ended", func() {
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
-	// statusTime is what a deployment asks for, 30 s less than KeepEnded.
+	// statusTime is the retention that a deployment requires, 30 s less than KeepEnded.
 	const statusTime = 120 * time.Second
 	var f *fleet
 	BeforeEach(func() {
@@ -19,13 +19,13 @@
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 	})
 
-	DescribeTable("is known for status_s, whatever the leaders' clocks show", func(atItsEnd, afterwards int64) {
+	DescribeTable("is kept for status_s, whatever the leaders' clocks show", func(firstOffsetMs, secondOffsetMs int64) {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
-		f.clock.StepWall(atItsEnd)
+		f.clock.StepWall(firstOffsetMs)
 		f.endAll("done")
 		f.pass(200 * time.Millisecond)
-		f.clock.StepWall(afterwards - atItsEnd)
+		f.clock.StepWall(secondOffsetMs - firstOffsetMs)
 		f.takeOver()
 		f.clock.Advance(statusTime)
 		f.pass(200 * time.Millisecond)
@@ -34,12 +34,12 @@
 		f.pass(200 * time.Millisecond)
 		Expect(f.starts()).To(Equal(1))
 	},
-		Entry("alike", int64(0), int64(0)),
-		Entry("the first slow, the second fast", int64(-14_000), int64(15_000)),
-		Entry("the first fast, the second slow", int64(15_000), int64(-15_000)),
+		Entry("equal clocks", int64(0), int64(0)),
+		Entry("the first clock slow, the second fast", int64(-14_000), int64(15_000)),
+		Entry("the first clock fast, the second slow", int64(15_000), int64(-15_000)),
 	)
 
-	It("runs each time of a timed job once, whatever jumps of the clock and changes of the leader come between", func() {
+	It("runs each occurrence of a repeated job once, despite clock jumps and leader changes", func() {
 		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}],`+
 			`"repeat-count":4,"first-run-ms":1001000,"period-ms":2000}`)
 		for _, jump := range []int64{0, 3000, -5000, 4000, -2000, 0, 0, 0} {
--- a/internal/scheduling/scheduler/evacuation_test.go
+++ b/internal/scheduling/scheduler/evacuation_test.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-var _ = Describe("a zone that is to be emptied", func() {
+var _ = Describe("an evacuated zone", func() {
 	var fakeClock *clock.Fake
 	var leadership *scriptedLeadership
 	var pool *scheduler.Pool
@@ -32,7 +32,7 @@
 		leadership.settle(nil)
 		return exchange("i-1", "a"), exchange("i-2", "b")
 	}
-	handIn := func(id string) {
+	submit := func(id string) {
 		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":2,"cpu-units":2000}]}`)}, func(wire.ClientAnswer) {})
 		pool.Flush()
@@ -45,24 +45,24 @@
 		tick()
 	})
 
-	It("is sent nothing new until that is taken back", func() {
-		handIn("5c0e7a21d94b36f8")
+	It("gets no new runs until its evacuation ends", func() {
+		submit("5c0e7a21d94b36f8")
 		inA, inB := tick()
 		Expect(inA).To(BeEmpty())
 		Expect(inB).To(HaveLen(2))
-		handIn("5c0e7a21d94b36f9")
+		submit("5c0e7a21d94b36f9")
 		inA, _ = tick()
-		Expect(inA).To(BeEmpty(), "it waits while the other zone is full")
+		Expect(inA).To(BeEmpty(), "the job waits while the other zone is full")
 		delete(evacuated, "a")
 		inA, _ = tick()
 		Expect(inA).To(HaveLen(2))
 		Expect(pool.ZoneLoads()).To(Equal([]wire.ZoneLoad{{Key: "pool/s", Zone: "a", Executors: 1, Runs: 2}, {Key: "pool/s", Zone: "b", Executors: 1, Runs: 2}}))
 	})
 
-	It("may be every zone: work waits then", func() {
+	It("keeps jobs waiting if all zones are evacuated", func() {
 		evacuated["b"] = true
 		tick()
-		handIn("5c0e7a21d94b36f8")
+		submit("5c0e7a21d94b36f8")
 		inA, inB := tick()
 		Expect(append(inA, inB...)).To(BeEmpty())
 		delete(evacuated, "b")
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -20,287 +20,307 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-const tasksHere = 6
+// taskCount is the number of tasks of the only job, which all run on the executor i-1.
+const taskCount = 6
 
-type letter struct {
+// sentCall is an exchange that a proxy's table has composed.
+type sentCall struct {
 	call  wire.ExchangeCall
 	table *localproxy.Table
 }
 
-type returned struct {
-	letter
+// sentAnswer is the pool's answer to an exchange.
+type sentAnswer struct {
+	sentCall
 	answer wire.ExchangeAnswer
 }
 
-// postOffice carries exchanges between a real proxy's table and a real pool, and may lose, double and reorder them.
-type postOffice struct {
-	draw       *rand.Rand
+// unreliableNetwork carries exchanges between a real proxy's table and a real pool. It may lose, duplicate and reorder them.
+type unreliableNetwork struct {
+	random     *rand.Rand
 	clock      *clock.Fake
 	leadership *scriptedLeadership
 	pool       *scheduler.Pool
 	table      *localproxy.Table
-	session    uint64
-	sequence   int64
-	beat       executorapi.Heartbeat
-	saved      map[string]string
-	calls      []letter
-	answers    []returned
-	truth      map[[2]uint64]picture
-	lastTruth  [3]uint64
+	// session is the session of the table, sequence the number of the executor's last heartbeat.
+	session   uint64
+	sequence  int64
+	heartbeat executorapi.Heartbeat
+	// checkpoints holds the current checkpoint of each task, empty before the first.
+	checkpoints map[string]string
+	// calls and answers hold all that were ever sent; any of them may still be delivered.
+	calls   []sentCall
+	answers []sentAnswer
+	// expected holds the executor's state at each session and number. lastSeen is the epoch, session and number that the pool had last.
+	expected map[[2]uint64]reportedState
+	lastSeen [3]uint64
 }
 
-func newPostOffice(seed uint64) *postOffice {
+func newUnreliableNetwork(seed uint64) *unreliableNetwork {
 	clock := clock.NewFake(1_000_000)
-	o := &postOffice{draw: rand.New(rand.NewPCG(seed, 7)), clock: clock, saved: map[string]string{}, truth: map[[2]uint64]picture{},
+	n := &unreliableNetwork{random: rand.New(rand.NewPCG(seed, 7)), clock: clock, checkpoints: map[string]string{}, expected: map[[2]uint64]reportedState{},
 		leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}},
-		beat:       executorapi.Heartbeat{Service: "s", State: "ready", Capacity: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
-	o.newProxy(1)
-	o.newOwner()
-	o.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
-		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, tasksHere)}, func(wire.ClientAnswer) {})
-	o.settle()
+		heartbeat:  executorapi.Heartbeat{Service: "s", State: "ready", Capacity: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
+	n.newProxy(1)
+	n.newLeader()
+	n.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2}, Body: fmt.Appendf(nil,
+		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000,"checkpointing":true}]}`, taskCount)}, func(wire.ClientAnswer) {})
+	n.settle()
 	for range 4 {
-		o.exchangeAll()
+		n.exchangeAll()
 	}
-	for index := range tasksHere {
-		o.saved[fmt.Sprintf("%s.0.0.%d", id, index)] = ""
+	for index := range taskCount {
+		n.checkpoints[fmt.Sprintf("%s.0.0.%d", id, index)] = ""
 	}
-	return o
+	return n
 }
 
-func (o *postOffice) settle() {
-	o.pool.Flush()
-	for len(o.leadership.waiting) > 0 {
-		o.leadership.settle(nil)
-		o.pool.Flush()
+func (n *unreliableNetwork) settle() {
+	n.pool.Flush()
+	for len(n.leadership.waiting) > 0 {
+		n.leadership.settle(nil)
+		n.pool.Flush()
 	}
 }
 
-func (o *postOffice) newOwner() {
-	o.leadership.epoch++
-	o.pool = scheduler.New("pool/s", o.clock, timing, logging.Silent())
-	o.pool.Open(o.leadership, o.leadership.pairs())
-	o.settle()
+// newLeader replaces the pool by one of the next leader.
+func (n *unreliableNetwork) newLeader() {
+	n.leadership.epoch++
+	n.pool = scheduler.New("pool/s", n.clock, timing, logging.Silent())
+	n.pool.Open(n.leadership, n.leadership.pairs())
+	n.settle()
 }
 
-func (o *postOffice) newProxy(session uint64) {
+// newProxy replaces the proxy's table by an empty one, as after a restart of the proxy.
+func (n *unreliableNetwork) newProxy(session uint64) {
 	nothing := func() {}
-	o.session = session
-	o.table = localproxy.NewTable(o.clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithSession(session))
-	o.say()
+	n.session = session
+	n.table = localproxy.NewTable(n.clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithSession(session))
+	n.sendHeartbeat()
 }
 
-func (o *postOffice) say() {
-	o.sequence++
-	o.beat.Sequence, o.beat.ClockMs = o.sequence, o.clock.Monotonic().Milliseconds()+1
-	beat := o.beat
-	o.table.Heartbeat("i-1", &beat)
+// sendHeartbeat sends a heartbeat of the executor to its proxy.
+func (n *unreliableNetwork) sendHeartbeat() {
+	n.sequence++
+	n.heartbeat.Sequence, n.heartbeat.ClockMs = n.sequence, n.clock.Monotonic().Milliseconds()+1
+	heartbeat := n.heartbeat
+	n.table.Heartbeat("i-1", &heartbeat)
 }
 
-func (o *postOffice) hold(isLook bool) {
-	work, isDue := o.table.NextHold(isLook)
+// hold has the executor answer the proxy's next hold call, if one is due: either the one for a list of runs, or the one that waits.
+func (n *unreliableNetwork) hold(isForList bool) {
+	work, isDue := n.table.NextHold(isForList)
 	if !isDue {
 		return
 	}
-	answer := executorapi.Answer{ClockMs: o.clock.Monotonic().Milliseconds() + 1}
-	for _, task := range slices.Sorted(maps.Keys(o.saved)) {
-		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Checkpoint: o.saved[task]})
+	answer := executorapi.Answer{ClockMs: n.clock.Monotonic().Milliseconds() + 1}
+	for _, task := range slices.Sorted(maps.Keys(n.checkpoints)) {
+		answer.Running = append(answer.Running, executorapi.RunningRow{Task: task, Run: 1, Checkpoint: n.checkpoints[task]})
 	}
-	o.table.HandleHold(work, answer)
+	n.table.HandleHold(work, answer)
 }
 
-type picture struct {
-	facts string
-	saved map[string]string
+// reportedState is the state of an executor as its proxy reports it: its facts as text, and the checkpoints of its tasks.
+type reportedState struct {
+	facts       string
+	checkpoints map[string]string
 }
 
-func pictureOf(call wire.ExchangeCall, checkpoint map[string]string) picture {
-	return picture{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Capacity, call.Draining), maps.Clone(checkpoint)}
+func newReportedState(call wire.ExchangeCall, checkpoints map[string]string) reportedState {
+	return reportedState{fmt.Sprint(call.Proxy, call.Domain, call.Labels, call.Capacity, call.Draining), maps.Clone(checkpoints)}
 }
 
-func (o *postOffice) compose() {
-	call, exists := o.table.Compose(0)
+// compose has the proxy compose an exchange, which is not delivered yet.
+func (n *unreliableNetwork) compose() {
+	call, exists := n.table.Compose(0)
 	Expect(exists).To(BeTrue())
-	o.calls = append(o.calls, letter{*call, o.table})
+	n.calls = append(n.calls, sentCall{*call, n.table})
 }
 
-func (o *postOffice) deliver(one letter) {
-	text, err := easyjson.Marshal(one.call)
+// deliver delivers an exchange to the pool, and keeps the answer.
+func (n *unreliableNetwork) deliver(sent sentCall) {
+	text, err := easyjson.Marshal(sent.call)
 	Expect(err).NotTo(HaveOccurred())
 	var call wire.ExchangeCall
 	Expect(easyjson.Unmarshal(text, &call)).To(Succeed())
-	o.pool.Exchange(&call, func(answer wire.ExchangeAnswer) { o.answers = append(o.answers, returned{one, answer}) })
-	o.settle()
+	n.pool.Exchange(&call, func(answer wire.ExchangeAnswer) { n.answers = append(n.answers, sentAnswer{sent, answer}) })
+	n.settle()
 }
 
-func (o *postOffice) takeBack(one returned) {
-	if one.table != o.table {
+// deliverAnswer delivers an answer to the proxy, unless the proxy was restarted since the call.
+func (n *unreliableNetwork) deliverAnswer(sent sentAnswer) {
+	if sent.table != n.table {
 		return
 	}
-	for _, order := range o.table.HandleAnswer(&one.call, o.clock.Monotonic(), &one.answer) {
-		if work, isDue := o.table.Ready("i-1", order); isDue {
-			o.table.HandleOrderResult(work, "ok")
+	for _, order := range n.table.HandleAnswer(&sent.call, n.clock.Monotonic(), &sent.answer) {
+		if work, isDue := n.table.Ready("i-1", order); isDue {
+			n.table.HandleOrderResult(work, "ok")
 		}
 	}
 }
 
-func (o *postOffice) exchangeAll() {
-	o.hold(true)
-	o.hold(false)
-	o.compose()
-	o.deliver(o.calls[len(o.calls)-1])
-	o.takeBack(o.answers[len(o.answers)-1])
+// exchangeAll brings the pool up to date, without any loss.
+func (n *unreliableNetwork) exchangeAll() {
+	n.hold(true)
+	n.hold(false)
+	n.compose()
+	n.deliver(n.calls[len(n.calls)-1])
+	n.deliverAnswer(n.answers[len(n.answers)-1])
 }
 
-func (o *postOffice) believed() (uint64, uint64, picture) {
-	reported, checkpoint := o.pool.Heard("i-1")
-	return reported.Session, reported.Number, pictureOf(reported, checkpoint)
+// poolState returns the session and the number that the pool has of the executor, and its state there.
+func (n *unreliableNetwork) poolState() (uint64, uint64, reportedState) {
+	reported, checkpoint := n.pool.Heard("i-1")
+	return reported.Session, reported.Number, newReportedState(reported, checkpoint)
 }
 
-func (o *postOffice) change() {
-	o.clock.Advance(time.Duration(o.draw.IntN(40)) * time.Millisecond)
-	switch o.draw.IntN(5) {
+// change changes a label, the capacity or a checkpoint of the executor at random.
+func (n *unreliableNetwork) change() {
+	n.clock.Advance(time.Duration(n.random.IntN(40)) * time.Millisecond)
+	switch n.random.IntN(5) {
 	case 0:
-		o.beat.Labels = []string{"a", "r" + strconv.Itoa(o.draw.IntN(3))}
+		n.heartbeat.Labels = []string{"a", "r" + strconv.Itoa(n.random.IntN(3))}
 	case 1:
-		o.beat.Capacity.Memory = int64(9000 + o.draw.IntN(3))
+		n.heartbeat.Capacity.Memory = int64(9000 + n.random.IntN(3))
 	default:
-		o.saved[fmt.Sprintf("%s.0.0.%d", id, o.draw.IntN(tasksHere))] = strconv.Itoa(o.draw.IntN(1 << 30))
+		n.checkpoints[fmt.Sprintf("%s.0.0.%d", id, n.random.IntN(taskCount))] = strconv.Itoa(n.random.IntN(1 << 30))
 	}
-	o.say()
-	o.hold(o.draw.IntN(3) == 0)
+	n.sendHeartbeat()
+	n.hold(n.random.IntN(3) == 0)
 }
 
-// noteTruth keeps what is so at each number; a number must never stand for two things.
-func (o *postOffice) noteTruth() {
-	call := o.calls[len(o.calls)-1].call
-	place := [2]uint64{call.Session, call.Number}
-	now := pictureOf(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: o.beat.Labels, Capacity: o.beat.Capacity}, o.saved)
-	if former, exists := o.truth[place]; exists {
-		Expect(now).To(Equal(former), "number %v stands for two things", place)
+// recordExpected stores the executor's state at the number of the last call. A number must never stand for two states.
+func (n *unreliableNetwork) recordExpected() {
+	call := n.calls[len(n.calls)-1].call
+	version := [2]uint64{call.Session, call.Number}
+	now := newReportedState(wire.ExchangeCall{Proxy: "side-1", Domain: "d", Labels: n.heartbeat.Labels, Capacity: n.heartbeat.Capacity}, n.checkpoints)
+	if former, exists := n.expected[version]; exists {
+		Expect(now).To(Equal(former), "number %v stands for two states", version)
 	}
-	o.truth[place] = now
+	n.expected[version] = now
 }
 
-func (o *postOffice) expectTruth() {
-	session, number, seen := o.believed()
+// expectConsistent expects the pool to have the executor's state at its session and number, and never to return to an earlier number.
+func (n *unreliableNetwork) expectConsistent() {
+	session, number, held := n.poolState()
 	if session == 0 {
 		return
 	}
-	truth := o.truth[[2]uint64{session, number}]
-	Expect(seen.facts).To(Equal(truth.facts), "session %d number %d", session, number)
-	for task, checkpoint := range truth.saved {
-		if isTold := checkpoint != ""; isTold {
-			Expect(seen.saved[task]).To(Equal(checkpoint), "%s at session %d number %d", task, session, number)
+	expected := n.expected[[2]uint64{session, number}]
+	Expect(held.facts).To(Equal(expected.facts), "session %d number %d", session, number)
+	for task, checkpoint := range expected.checkpoints {
+		if isReported := checkpoint != ""; isReported {
+			Expect(held.checkpoints[task]).To(Equal(checkpoint), "%s at session %d number %d", task, session, number)
 		}
 	}
-	now := [3]uint64{o.leadership.epoch, session, number}
-	Expect(slices.Compare(now[:], o.lastTruth[:])).To(BeNumerically(">=", 0), "from %v back to %v", o.lastTruth, now)
-	o.lastTruth = now
+	now := [3]uint64{n.leadership.epoch, session, number}
+	Expect(slices.Compare(now[:], n.lastSeen[:])).To(BeNumerically(">=", 0), "from %v back to %v", n.lastSeen, now)
+	n.lastSeen = now
 }
 
-var _ = Describe("what a proxy tells of its executor, as changes", func() {
+var _ = Describe("incremental reports of a local proxy", func() {
 	for seed := range uint64(40) {
-		It(fmt.Sprintf("is believed as it was at its number, whatever is lost, doubled or overtaken, seed %d", seed), func() {
-			o := newPostOffice(seed)
-			o.exchangeAll()
-			o.calls, o.answers, o.truth = nil, nil, map[[2]uint64]picture{}
-			o.change()
-			o.hold(false)
-			o.compose()
-			o.noteTruth()
-			o.deliver(o.calls[0])
+		It(fmt.Sprintf("give the pool the state at their number, whatever is lost, duplicated or reordered, seed %d", seed), func() {
+			n := newUnreliableNetwork(seed)
+			n.exchangeAll()
+			n.calls, n.answers, n.expected = nil, nil, map[[2]uint64]reportedState{}
+			n.change()
+			n.hold(false)
+			n.compose()
+			n.recordExpected()
+			n.deliver(n.calls[0])
 			for range 600 {
-				switch o.draw.IntN(12) {
+				switch n.random.IntN(12) {
 				case 0, 1, 2, 3:
-					o.change()
-					o.hold(false)
-					o.compose()
-					o.noteTruth()
+					n.change()
+					n.hold(false)
+					n.compose()
+					n.recordExpected()
 				case 4, 5, 6:
-					o.deliver(o.calls[len(o.calls)-1-o.draw.IntN(min(len(o.calls), 12))])
+					n.deliver(n.calls[len(n.calls)-1-n.random.IntN(min(len(n.calls), 12))])
 				case 7:
-					o.deliver(o.calls[len(o.calls)-1])
+					n.deliver(n.calls[len(n.calls)-1])
 				case 8, 9, 10:
-					if len(o.answers) > 0 {
-						o.takeBack(o.answers[len(o.answers)-1-o.draw.IntN(min(len(o.answers), 8))])
+					if len(n.answers) > 0 {
+						n.deliverAnswer(n.answers[len(n.answers)-1-n.random.IntN(min(len(n.answers), 8))])
 					}
 				case 11:
-					o.misfortune()
+					n.disrupt()
 				}
-				o.expectTruth()
+				n.expectConsistent()
 			}
-			o.hold(false)
+			n.hold(false)
 			for range 3 {
-				o.compose()
-				o.noteTruth()
-				o.deliver(o.calls[len(o.calls)-1])
-				o.takeBack(o.answers[len(o.answers)-1])
+				n.compose()
+				n.recordExpected()
+				n.deliver(n.calls[len(n.calls)-1])
+				n.deliverAnswer(n.answers[len(n.answers)-1])
 			}
-			_, number, _ := o.believed()
-			Expect(number).To(Equal(o.calls[len(o.calls)-1].call.Number))
-			o.expectTruth()
+			_, number, _ := n.poolState()
+			Expect(number).To(Equal(n.calls[len(n.calls)-1].call.Number))
+			n.expectConsistent()
 		})
 	}
 })
 
-func (o *postOffice) misfortune() {
-	switch o.draw.IntN(6) {
+// disrupt sometimes changes the leader or restarts the proxy.
+func (n *unreliableNetwork) disrupt() {
+	switch n.random.IntN(6) {
 	case 0:
-		o.newOwner()
+		n.newLeader()
 	case 1:
-		o.newProxy(o.session + 1)
-		o.hold(false)
+		n.newProxy(n.session + 1)
+		n.hold(false)
 	}
 }
 
-var _ = Describe("a leader that lacks the base of what a proxy tells", func() {
-	var o *postOffice
-	answered := func() wire.ExchangeAnswer {
-		o.compose()
-		o.deliver(o.calls[len(o.calls)-1])
-		last := o.answers[len(o.answers)-1]
-		o.takeBack(last)
+var _ = Describe("a leader without the base of an incremental report", func() {
+	var n *unreliableNetwork
+	exchange := func() wire.ExchangeAnswer {
+		n.compose()
+		n.deliver(n.calls[len(n.calls)-1])
+		last := n.answers[len(n.answers)-1]
+		n.deliverAnswer(last)
 		return last.answer
 	}
-	BeforeEach(func() { o = newPostOffice(1) })
+	BeforeEach(func() { n = newUnreliableNetwork(1) })
 
-	It("takes nothing, wants a look as ever, and has the whole with the next exchange", func() {
-		Expect(answered().NeedsFullState).To(BeFalse())
-		o.newOwner()
-		refused := answered()
+	It("rejects the report, requests a list of runs, and gets the full report with the next exchange", func() {
+		Expect(exchange().NeedsFullState).To(BeFalse())
+		n.newLeader()
+		refused := exchange()
 		Expect(refused.NeedsFullState).To(BeTrue())
-		Expect(refused.Fence).To(Equal(o.leadership.epoch))
+		Expect(refused.Fence).To(Equal(n.leadership.epoch))
 		Expect(refused.WantedList).NotTo(BeZero())
 		Expect(refused.GrantMs).NotTo(BeZero())
-		reported, _ := o.pool.Heard("i-1")
+		reported, _ := n.pool.Heard("i-1")
 		Expect(reported.Proxy).To(BeEmpty())
-		Expect(answered().NeedsFullState).To(BeFalse())
-		reported, _ = o.pool.Heard("i-1")
+		Expect(exchange().NeedsFullState).To(BeFalse())
+		reported, _ = n.pool.Heard("i-1")
 		Expect(reported.Labels).To(Equal([]string{"a", "r1"}))
 	})
 
-	It("takes a proxy whose clock was set back, with its second exchange", func() {
-		answered()
-		o.newProxy(0)
-		o.newProxy(1)
-		answered()
-		o.newProxy(9)
-		answered()
-		o.newProxy(4)
-		Expect(answered().NeedsFullState).To(BeTrue())
-		Expect(answered().NeedsFullState).To(BeFalse())
-		reported, _ := o.pool.Heard("i-1")
+	It("accepts at the second exchange a proxy whose clock was set back", func() {
+		exchange()
+		n.newProxy(0)
+		n.newProxy(1)
+		exchange()
+		n.newProxy(9)
+		exchange()
+		n.newProxy(4)
+		Expect(exchange().NeedsFullState).To(BeTrue())
+		Expect(exchange().NeedsFullState).To(BeFalse())
+		reported, _ := n.pool.Heard("i-1")
 		Expect(reported.Session).To(Equal(uint64(10)))
 	})
 
-	It("takes a proxy of an earlier version as whole each time", func() {
-		answered()
-		o.newProxy(0)
-		o.beat.Labels = []string{"b"}
-		o.say()
-		Expect(answered().NeedsFullState).To(BeFalse())
-		reported, _ := o.pool.Heard("i-1")
+	It("accepts every report of an earlier proxy version as a full report", func() {
+		exchange()
+		n.newProxy(0)
+		n.heartbeat.Labels = []string{"b"}
+		n.sendHeartbeat()
+		Expect(exchange().NeedsFullState).To(BeFalse())
+		reported, _ := n.pool.Heard("i-1")
 		Expect(reported.Labels).To(Equal([]string{"b"}))
 	})
 })
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -13,16 +13,19 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// fleetTick is how often a fleet's pool ticks and its executors are heard.
+// fleetTick is the interval at which a fleet's pool ticks and its executors exchange with it.
 const fleetTick = 50 * time.Millisecond
 
-// fleetExecutor is an executor and its local proxy, which carry out every order at once unless a test says otherwise.
+// fleetExecutor is an executor with its local proxy. It carries out every order at once, unless isSilent or refusal is set.
 type fleetExecutor struct {
+	// ExchangeCall holds the facts, answers and ends of the next report.
 	wire.ExchangeCall
-	running  []wire.Order
+	running []wire.Order
+	// isSilent keeps the executor from exchanging with the pool.
 	isSilent bool
-	// refusal answers every launch, if it is set.
+	// refusal is the result of every launch order, if it isn't empty.
 	refusal string
+	// starts counts the runs that were started, and lastEnd is the number of the last end report.
 	starts  int
 	lastEnd int64
 }
@@ -44,7 +47,7 @@
 	return f
 }
 
-// takeOver gives the pool to another leader, which knows only what is committed.
+// takeOver replaces the pool by one of the next leader, which has only the committed records.
 func (f *fleet) takeOver() {
 	f.leadership.epoch++
 	f.pool = scheduler.New("pool/s", f.clock, f.timing, logging.Silent(), f.options...)
@@ -52,7 +55,7 @@
 	f.settle()
 }
 
-// add brings executors of one kind that are known to the pool.
+// add adds executors of equal capacity and labels, and waits until the pool knows them.
 func (f *fleet) add(count int, resources wire.Capacity, labels ...string) []*fleetExecutor {
 	var added []*fleetExecutor
 	for range count {
@@ -65,13 +68,14 @@
 	return added
 }
 
+// settle flushes the pool until all commits have succeeded.
 func (f *fleet) settle() {
 	for f.pool.Flush(); len(f.leadership.waiting) > 0; f.pool.Flush() {
 		f.leadership.settle(nil)
 	}
 }
 
-// exchangeOnce exchanges once for an executor and has it carry out its orders.
+// exchangeOnce makes one exchange for an executor, which carries out the orders of the answer.
 func (f *fleet) exchangeOnce(executor *fleetExecutor) {
 	call := executor.ExchangeCall
 	call.Fence, call.ListNumber = f.leadership.epoch, 1<<40
@@ -102,7 +106,7 @@
 	executor.Answers = append(executor.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: wire.OrderResult(result)})
 }
 
-// end ends the run of a task here, if there is one.
+// end ends the executor's run of a task, if there is one, and reports the outcome with the next exchange.
 func (executor *fleetExecutor) end(task, how string) {
 	executor.running = slices.DeleteFunc(executor.running, func(order wire.Order) bool {
 		if order.Task != task {
@@ -114,7 +118,7 @@
 	})
 }
 
-// endAll ends all that runs anywhere.
+// endAll ends the runs on all executors.
 func (f *fleet) endAll(how string) {
 	for _, executor := range f.executors {
 		for _, order := range slices.Clone(executor.running) {
@@ -123,7 +127,7 @@
 	}
 }
 
-// pass lets time go on.
+// pass advances the clock tick by tick; the pool ticks and all executors that aren't silent exchange with it.
 func (f *fleet) pass(length time.Duration) {
 	for end := f.clock.Monotonic() + length; f.clock.Monotonic() < end; f.clock.Advance(fleetTick) {
 		f.pool.Tick()
@@ -136,6 +140,7 @@
 	}
 }
 
+// handIn submits a job and expects it to be accepted.
 func (f *fleet) handIn(id string, terms wire.RouteTerms, body string) {
 	f.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
 		Expect(answer.Status).To(Equal(200))
@@ -143,13 +148,14 @@
 	f.settle()
 }
 
+// state returns the status and the body of the answer to a query for a job's state.
 func (f *fleet) state(id string) (reported string) {
 	f.pool.State(&wire.ClientCall{Route: "e", ID: id}, func(answer wire.ClientAnswer) { reported = fmt.Sprint(answer.Status, string(answer.Body)) })
 	f.settle()
 	return reported
 }
 
-// tasks names what runs now, and on how many executors.
+// tasks returns the task names of all current runs; a task with two runs is in it twice.
 func (f *fleet) tasks() []string {
 	var names []string
 	for _, executor := range f.executors {
@@ -160,6 +166,7 @@
 	return names
 }
 
+// starts returns how many runs were started on all executors so far.
 func (f *fleet) starts() (count int) {
 	for _, executor := range f.executors {
 		count += executor.starts
--- a/internal/scheduling/scheduler/gangs_test.go
+++ b/internal/scheduling/scheduler/gangs_test.go
@@ -21,7 +21,7 @@
 		Expect(f.tasks()).To(HaveLen(3))
 	})
 
-	It("starts again once, and is then left to its work", func() {
+	It("is restarted once and then keeps running", func() {
 		for _, executor := range f.executors {
 			if len(executor.running) > 0 {
 				executor.isSilent = true
@@ -35,7 +35,7 @@
 		Expect(before).To(Equal(6))
 	})
 
-	It("counts two members that failed in one run once, also where the leader changes between them", func() {
+	It("counts two members that failed in the same run as one failure, even with a leader change between the reports", func() {
 		var failed int
 		for _, executor := range f.executors {
 			if len(executor.running) > 0 {
@@ -52,7 +52,7 @@
 		Expect(f.state(id)).To(ContainSubstring("active"))
 	})
 
-	It("is not left waiting by a member that was refused", func() {
+	It("starts completely although some of its members were refused at first", func() {
 		f.endAll("lapsed")
 		for _, executor := range f.executors {
 			if executor.refusal = "room"; executor.Executor == "i-005" {
@@ -67,7 +67,7 @@
 		Expect(f.tasks()).To(HaveLen(3))
 	})
 
-	It("is stopped before its members are through with waiting for one whose start is never answered", func() {
+	It("is stopped before its members time out, if the launch of one of them is never answered", func() {
 		f.endAll("done")
 		f.pass(time.Second)
 		f.executors[0].refusal = "timeout"
--- a/internal/scheduling/scheduler/lasting_test.go
+++ b/internal/scheduling/scheduler/lasting_test.go
@@ -11,10 +11,10 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// lastingQueue has one job, whose tasks run until it is cancelled.
+// lastingQueue has a single job, whose tasks run until the job is cancelled.
 var lastingQueue = pressedQueue{name: "lasting", cpu: 6000, length: time.Hour}
 
-// submitLasting brings a job of so many tasks that last.
+// submitLasting submits a job with a number of long-running tasks.
 func (c *pressedFleet) submitLasting(tasks int) {
 	const id = "ffffffffffffff01"
 	c.jobs[id] = &pressedJob{queue: &lastingQueue, remaining: tasks}
@@ -22,14 +22,14 @@
 		`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":%d,"memory-req-mb":500,"estimated-ms":100,"long-running":true}]}`, tasks, lastingQueue.cpu))
 }
 
-// lastingRuns counts the runs of the lasting job, and ends so many of them.
-func (c *pressedFleet) lastingRuns(ending int) (running int) {
+// lastingRuns returns the number of runs of the lasting job, and has the given number of them fail.
+func (c *pressedFleet) lastingRuns(failing int) (running int) {
 	for _, executor := range c.executors {
 		for _, order := range slices.Clone(executor.running) {
 			if c.jobs[order.Task[:16]].queue != &lastingQueue {
 				continue
 			}
-			if running++; running <= ending {
+			if running++; running <= failing {
 				executor.end(order.Task, "failed")
 			}
 		}
@@ -37,9 +37,10 @@
 	return running
 }
 
-var _ = Describe("tasks that last", func() {
-	// Rule LOST: each has a run within 6 s of its last one, however full the service is, while there is room for it.
-	It("start again soon, though what is free is kept for the urgent and others of their step run", func() {
+var _ = Describe("long-running tasks", func() {
+	// Rule LOST: while there is capacity for a task, it runs again within 6 s of the end of its last run, however busy the service is. A task
+	// would wait longer if free capacity stayed reserved for urgent jobs, or if other running tasks of its step counted as progress.
+	It("are restarted soon although free capacity is reserved for urgent jobs and other tasks of the step run", func() {
 		for _, tasks := range []int{10, 20, 30} {
 			c := newPressedFleet(1)
 			c.submitLasting(tasks)
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -34,8 +34,8 @@
 	groups   []*placement.Group
 	// demand is the total need of the requests that are on time, by priority.
 	demand map[int]allocation
-	// tenantDemand is the total need of all requests, and urgentDemand that of those that are on time and not long work, by the index of
-	// the tenant.
+	// tenantDemand is the total need of all requests, and urgentDemand that of the requests that are on time and don't have to leave room
+	// for more urgent work (Group.LeavesRoom), both by the index of the tenant.
 	tenantDemand map[int]allocation
 	urgentDemand map[int]allocation
 	// minNeed is a lower bound of the need of a task in any request.
@@ -105,7 +105,9 @@
 }
 
 // totalNeed returns the total need of a group's tasks.
-func totalNeed(group *placement.Group) placement.Resources { return group.Need.Times(float64(group.Count)) }
+func totalNeed(group *placement.Group) placement.Resources {
+	return group.Need.Times(float64(group.Count))
+}
 
 // findMinNeed recomputes minNeed, which otherwise only decreases.
 func (r *requests) findMinNeed() {
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -16,7 +16,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// scriptedLeadership is a leadership whose commits the test finishes.
+// scriptedLeadership is a leadership whose commits end when the test calls settle. kept holds the committed records.
 type scriptedLeadership struct {
 	clock    *clock.Fake
 	epoch    uint64
@@ -43,6 +43,7 @@
 	})
 }
 
+// settle ends all commits in flight with an error, or with success if it is nil.
 func (s *scriptedLeadership) settle(err error) {
 	waiting := s.waiting
 	s.waiting = nil
@@ -59,6 +60,7 @@
 	return all
 }
 
+// has reports whether there is a committed record whose name begins with the prefix.
 func (s *scriptedLeadership) has(prefix string) bool {
 	for name := range s.kept {
 		if strings.HasPrefix(name, prefix) {
@@ -68,7 +70,7 @@
 	return false
 }
 
-// durationRecorder keeps how long the runs were that ended.
+// durationRecorder collects the durations of ended runs, in ms.
 type durationRecorder struct{ lengths []int64 }
 
 func (d *durationRecorder) Record(event recording.Event) {
@@ -86,11 +88,11 @@
 	HoldStale: 2500 * time.Millisecond, SilentAfter: 1500 * time.Millisecond, StopTimeout: 400 * time.Millisecond,
 	StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second}
 
-var _ = Describe("orders as persistent messages", func() {
+var _ = Describe("orders and commits of a pool", func() {
 	var fakeClock *clock.Fake
 	var leadership *scriptedLeadership
 	var pool *scheduler.Pool
-	var accepted []int
+	var statuses []int
 	open := func(epoch uint64, pairs []wire.Op) {
 		leadership.epoch = epoch
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
@@ -107,54 +109,54 @@
 		pool.Flush()
 		return reported
 	}
-	handIn := func() {
+	submit := func() {
 		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id, Terms: &wire.RouteTerms{MaxAttempts: 2},
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)},
-			func(answer wire.ClientAnswer) { accepted = append(accepted, answer.Status) })
+			func(answer wire.ClientAnswer) { statuses = append(statuses, answer.Status) })
 		pool.Flush()
 	}
-	started := func(call *wire.ExchangeCall) {
+	reportStart := func(call *wire.ExchangeCall) {
 		call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
 	}
-	ended := func(how string) func(*wire.ExchangeCall) {
+	reportEnd := func(how string) func(*wire.ExchangeCall) {
 		return func(call *wire.ExchangeCall) {
 			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: wire.RunOutcome(how)}}
 		}
 	}
 	BeforeEach(func() {
-		fakeClock, accepted = clock.NewFake(1_000_000), nil
+		fakeClock, statuses = clock.NewFake(1_000_000), nil
 		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
 		open(3, nil)
 		exchange(nil)
 	})
 
-	It("answers a client, and lets an order leave, only after the commit", func() {
-		handIn()
-		Expect(accepted).To(BeEmpty())
+	It("answers the client and sends the order only after the commit", func() {
+		submit()
+		Expect(statuses).To(BeEmpty())
 		Expect(exchange(nil).Orders).To(BeEmpty())
 		leadership.settle(nil)
-		Expect(accepted).To(Equal([]int{200}))
+		Expect(statuses).To(Equal([]int{200}))
 		Expect(exchange(nil).Orders).To(HaveLen(1))
 		Expect(leadership.has("o/" + taskState + "/1/launch")).To(BeTrue())
 	})
 
-	It("counts hand-ins, placements, orders, starts, ends, stops and commits, and shows what is open", func() {
+	It("exports counters of submissions, placements, orders, starts, ends, stops and commits, and gauges of open work", func() {
 		before := metrics.Own()
-		handIn()
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
 		fakeClock.Advance(250 * time.Millisecond)
 		pool.Tick()
 		pool.Flush()
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		fakeClock.Advance(time.Second)
 		pool.Tick()
 		running := metrics.Own()
 		Expect(running).To(HaveKeyWithValue(`gannetline_pool_runs{key="pool/s"}`, 1.0))
 		Expect(running).To(HaveKeyWithValue(`gannetline_pool_open_steps{key="pool/s"}`, 1.0))
 		Expect(running).To(HaveKeyWithValue(`gannetline_pool_executors{key="pool/s",state="ready"}`, 1.0))
-		exchange(ended("failed"))
+		exchange(reportEnd("failed"))
 		leadership.settle(nil)
 		exchange(nil)
 		exchange(func(call *wire.ExchangeCall) {
@@ -181,31 +183,31 @@
 		Expect(metrics.Own()).NotTo(HaveKey(`gannetline_pool_runs{key="pool/s"}`))
 	})
 
-	It("counts a spare run apart", func() {
-		spares := `gannetline_pool_spares_total{key="pool/s"}`
-		before := metrics.Own()[spares]
+	It("counts speculative runs in a metric of their own", func() {
+		metric := `gannetline_pool_spares_total{key="pool/s"}`
+		before := metrics.Own()[metric]
 		pool.Submit(&wire.ClientCall{Verb: "hand-in", Route: "e", ID: id,
 			Body: []byte(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"redundant":true}]}`)}, func(wire.ClientAnswer) {})
 		pool.Flush()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
-		Expect(metrics.Own()[spares]).To(Equal(before))
+		exchange(reportStart)
+		Expect(metrics.Own()[metric]).To(Equal(before))
 		fakeClock.Advance(800 * time.Millisecond)
 		exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" })
 		pool.Tick()
 		pool.Flush()
-		Expect(metrics.Own()[spares] - before).To(Equal(1.0))
+		Expect(metrics.Own()[metric] - before).To(Equal(1.0))
 	})
 
-	It("sends nothing, and promises nothing, when the commit is lost", func() {
-		handIn()
+	It("sends no order and acknowledges no submission if the commit fails", func() {
+		submit()
 		leadership.settle(errors.New("lost"))
-		Expect(accepted).To(Equal([]int{0}))
+		Expect(statuses).To(Equal([]int{0}))
 		Expect(exchange(nil).Orders).To(BeEmpty())
 	})
 
-	It("says that a job may have been taken when its leadership ends before the commit", func() {
+	It("answers that the outcome is unknown if the leadership ends before a submission is committed", func() {
 		var reported []wire.ClientAnswer
 		pool.Submit(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"task-descriptor":"x","step-list":[{"task-count":1}]}`)},
 			func(answer wire.ClientAnswer) { reported = append(reported, answer) })
@@ -214,8 +216,8 @@
 		Expect(reported).To(Equal([]wire.ClientAnswer{{NotLeader: true, OutcomeUnknown: true}}))
 	})
 
-	It("sends an unanswered order again after 200 ms, then less often", func() {
-		handIn()
+	It("resends an unanswered order after 200 ms, then with backoff", func() {
+		submit()
 		leadership.settle(nil)
 		Expect(exchange(nil).Orders).To(HaveLen(1))
 		fakeClock.Advance(150 * time.Millisecond)
@@ -229,25 +231,25 @@
 		Expect(exchange(nil).Orders).To(BeEmpty())
 	})
 
-	It("takes the answer in a second transaction, which ends PENDING", func() {
-		handIn()
+	It("drops the record of an order in the commit of its answer", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		Expect(leadership.has("o/")).To(BeTrue())
 		leadership.settle(nil)
 		Expect(leadership.has("o/")).To(BeFalse())
 	})
 
-	It("acks an end with its commit, not before and not later", func() {
-		handIn()
+	It("acknowledges the end of a run at its commit, not earlier and not later", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
 		var reported *wire.ExchangeAnswer
 		call := &wire.ExchangeCall{Key: "pool/s", Executor: "i-1", Fence: 3}
-		ended("done")(call)
+		reportEnd("done")(call)
 		pool.Exchange(call, func(answer wire.ExchangeAnswer) { reported = &answer })
 		pool.Flush()
 		Expect(reported).To(BeNil())
@@ -255,8 +257,8 @@
 		Expect(reported.LastSeen).To(Equal(int64(1)))
 	})
 
-	It("sends a PENDING order again after a take-over, once the fence stands", func() {
-		handIn()
+	It("resends a pending order after a leader change, once the executor has confirmed the fence", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
 		open(4, leadership.pairs())
@@ -270,8 +272,8 @@
 		Expect(answer.Fence).To(Equal(uint64(4)))
 	})
 
-	It("adopts after a take-over what the executor shows", func() {
-		handIn()
+	It("adopts the runs that an executor reports after a leader change", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
 		open(4, leadership.pairs())
@@ -279,7 +281,7 @@
 		leadership.settle(nil)
 		Expect(exchange(nil).Orders).To(BeEmpty())
 		Expect(leadership.has("o/")).To(BeFalse())
-		exchange(ended("done"))
+		exchange(reportEnd("done"))
 		leadership.settle(nil)
 		var state string
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
@@ -287,11 +289,11 @@
 		Expect(state).To(ContainSubstring("completed"))
 	})
 
-	It("places nothing elsewhere before the longest hold that may stand has passed, and does so then", func() {
-		handIn()
+	It("starts the task on another executor after the longest possible lease has expired, and not before", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
 		other := func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }
 		for waited := time.Duration(0); waited < 6300*time.Millisecond; waited += 50 * time.Millisecond {
@@ -309,58 +311,58 @@
 		Expect(exchange(other).Orders).To(HaveLen(1))
 	})
 
-	It("ends at once, after a take-over, a life whose machine shows another one under the new fence", func() {
-		handIn()
+	It("removes an executor at once after a leader change if another one on its machine confirms the new fence", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
 		open(4, leadership.pairs())
-		next := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
+		replacement := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
 		unfenced := func(call *wire.ExchangeCall) { call.Executor, call.Fence, call.ListNumber = "i-2", 3, 0 }
 		exchange(unfenced)
 		pool.Tick()
 		pool.Flush()
 		leadership.settle(nil)
 		Expect(exchange(unfenced).Orders).To(BeEmpty())
-		exchange(next)
+		exchange(replacement)
 		pool.Tick()
 		pool.Flush()
 		leadership.settle(nil)
-		Expect(exchange(next).Orders).To(ConsistOf(HaveField("Run", int64(2))))
+		Expect(exchange(replacement).Orders).To(ConsistOf(HaveField("Run", int64(2))))
 		Expect(leadership.has("e/i-1")).To(BeFalse())
 	})
 
-	It("ends a known life only once it was silent for longer than an exchange takes", func() {
-		handIn()
+	It("removes a replaced executor only if it was silent for longer than an exchange may be in flight", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
-		next := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
+		replacement := func(call *wire.ExchangeCall) { call.Executor = "i-2" }
 		for waited := time.Duration(0); waited < 2500*time.Millisecond; waited += 50 * time.Millisecond {
 			fakeClock.Advance(50 * time.Millisecond)
-			exchange(next)
+			exchange(replacement)
 			pool.Tick()
 			pool.Flush()
 			leadership.settle(nil)
 			Expect(leadership.has("e/i-1")).To(BeTrue(), waited.String())
 		}
 		fakeClock.Advance(50 * time.Millisecond)
-		exchange(next)
+		exchange(replacement)
 		pool.Tick()
 		pool.Flush()
 		leadership.settle(nil)
 		Expect(leadership.has("e/i-1")).To(BeFalse())
-		Expect(exchange(next).Orders).To(HaveLen(1))
+		Expect(exchange(replacement).Orders).To(HaveLen(1))
 	})
 
-	It("does not end a life by word of another one that it has outlived", func() {
-		handIn()
+	It("doesn't remove an executor because of an earlier one on its machine", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
 		exchange(func(call *wire.ExchangeCall) { call.Executor = "i-0" })
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
 		fakeClock.Advance(100 * time.Millisecond)
 		exchange(nil)
@@ -371,30 +373,30 @@
 		Expect(leadership.has("e/i-1")).To(BeTrue())
 	})
 
-	It("counts a run's length from when it was started, however late that was told", func() {
-		day := &durationRecorder{}
-		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent(), scheduler.WithRecorder(day))
+	It("measures the duration of a run from its start, even if the start is reported late", func() {
+		recorder := &durationRecorder{}
+		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent(), scheduler.WithRecorder(recorder))
 		pool.Open(leadership, nil)
 		exchange(nil)
-		handIn()
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
 		fakeClock.Advance(90 * time.Millisecond)
 		exchange(func(call *wire.ExchangeCall) {
-			started(call)
+			reportStart(call)
 			call.Answers[0].AgeMs = 80
-			ended("done")(call)
+			reportEnd("done")(call)
 		})
-		Expect(day.lengths).To(Equal([]int64{80}))
+		Expect(recorder.lengths).To(Equal([]int64{80}))
 	})
 
-	It("gives an executor time to be heard after a take-over before its runs get spares", func() {
+	It("gives an executor time to report after a leader change before its runs get speculative ones", func() {
 		pool.Submit(&wire.ClientCall{Route: "e", ID: id, Body: []byte(`{"step-list":[{"task-count":1,"cpu-units":10,"redundant":true,"estimated-ms":60000}]}`)},
 			func(wire.ClientAnswer) {})
 		pool.Flush()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
 		fakeClock.Advance(time.Second)
 		open(4, leadership.pairs())
@@ -409,17 +411,17 @@
 		Expect(orders()).To(HaveLen(1))
 	})
 
-	It("starts no task again whose run was given up and came to its end all the same", func() {
-		handIn()
+	It("accepts the completion of an abandoned run and doesn't start its task again", func() {
+		submit()
 		leadership.settle(nil)
 		exchange(nil)
-		exchange(started)
+		exchange(reportStart)
 		leadership.settle(nil)
 		exchange(func(call *wire.ExchangeCall) {
 			call.Gone, call.Executor, call.Proxy = []string{"i-1"}, "i-2", "side-2"
 		})
 		leadership.settle(nil)
-		exchange(ended("done"))
+		exchange(reportEnd("done"))
 		leadership.settle(nil)
 		var state string
 		pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { state = string(answer.Body) })
@@ -428,33 +430,33 @@
 		Expect(exchange(func(call *wire.ExchangeCall) { call.Executor, call.Proxy = "i-2", "side-2" }).Orders).To(BeEmpty())
 	})
 
-	It("grants nothing without a lease", func() {
+	It("grants no lease to an executor while the leader has none", func() {
 		leadership.hasLease = false
 		Expect(exchange(nil).GrantMs).To(BeZero())
 		leadership.hasLease = true
 		Expect(exchange(nil).GrantMs).To(Equal(int64(4000)))
 	})
 
-	It("says 410 only under a lease", func() {
-		ask := func() (reported wire.ClientAnswer) {
+	It("answers 410 for an unknown job only under a lease", func() {
+		askState := func() (reported wire.ClientAnswer) {
 			pool.State(&wire.ClientCall{ID: id}, func(answer wire.ClientAnswer) { reported = answer })
 			pool.Flush()
 			return reported
 		}
-		Expect(ask().Status).To(Equal(410))
+		Expect(askState().Status).To(Equal(410))
 		leadership.hasLease = false
-		Expect(ask().NotLeader).To(BeTrue())
+		Expect(askState().NotLeader).To(BeTrue())
 	})
 
-	It("stops a run that no record knows", func() {
+	It("stops a run without a record", func() {
 		answer := exchange(func(call *wire.ExchangeCall) {
 			call.Running = []wire.RunReport{{Task: "x.0.0.0", Run: 9}}
 		})
 		Expect(answer.Orders).To(ConsistOf(wire.Order{Kind: "stop", Task: "x.0.0.0", Run: 9}))
 	})
 
-	It("refuses a job of a queue whose ID is another queue's", func() {
-		handIn()
+	It("refuses a submission whose ID belongs to a job of another queue", func() {
+		submit()
 		leadership.settle(nil)
 		var status int
 		pool.Submit(&wire.ClientCall{Route: "other", ID: id, Body: []byte(`{}`)}, func(answer wire.ClientAnswer) { status = answer.Status })
