--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -60,12 +60,12 @@
 		leadership.settle(nil)
 		Expect(exchange(unchanged).Orders).To(HaveLen(1))
 		exchange(func(call *wire.ExchangeCall) {
-			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
+			call.Answers = []wire.OrderAnswer{{Task: taskName, Run: 1, Kind: "launch", Result: "ok"}}
 		})
 	}
 	finish := func() {
 		exchange(func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: "done"}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: taskName, Run: 1, Outcome: "done"}}
 		})
 	}
 	BeforeEach(func() {
@@ -122,7 +122,7 @@
 	It("stops a run at once if it can't finish before its executor departs, without an earlier notice", func() {
 		start()
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
-		Expect(exchange(unchanged).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: taskState, Run: 1}))
+		Expect(exchange(unchanged).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: taskName, Run: 1}))
 	})
 
 	It("starts no run on a draining executor even if its proxy no longer reports the drain", func() {
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -41,7 +41,7 @@
 		Entry("the job's own", "j/"+id, `{"entry":`),
 		Entry("the job's steps", "j/"+id, `{"entry":"e","spec":{"step-list":[{"task-count":1,"depends-on":[7]}]}}`),
 		Entry("its end", "s/"+id, `{"state":`),
-		Entry("a task's", "t/"+taskState, `{"d":`),
+		Entry("a task's", "t/"+taskName, `{"d":`),
 	)
 
 	It("goes on without the records of executors that can't be read", func() {
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -80,8 +80,8 @@
 }
 
 const (
-	id        = "5c0e7a21d94b36f8"
-	taskState = id + ".0.0.0"
+	id       = "5c0e7a21d94b36f8"
+	taskName = id + ".0.0.0"
 )
 
 var timing = scheduler.Timing{Grant: 4 * time.Second, MaxHold: 6 * time.Second, Resend: 200 * time.Millisecond, MaxResend: time.Second,
@@ -116,11 +116,11 @@
 		pool.Flush()
 	}
 	reportStart := func(call *wire.ExchangeCall) {
-		call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 1, Kind: "launch", Result: "ok"}}
+		call.Answers = []wire.OrderAnswer{{Task: taskName, Run: 1, Kind: "launch", Result: "ok"}}
 	}
 	reportEnd := func(how string) func(*wire.ExchangeCall) {
 		return func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: taskState, Run: 1, Outcome: wire.RunOutcome(how)}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: taskName, Run: 1, Outcome: wire.RunOutcome(how)}}
 		}
 	}
 	BeforeEach(func() {
@@ -137,7 +137,7 @@
 		leadership.settle(nil)
 		Expect(statuses).To(Equal([]int{200}))
 		Expect(exchange(nil).Orders).To(HaveLen(1))
-		Expect(leadership.has("o/" + taskState + "/1/launch")).To(BeTrue())
+		Expect(leadership.has("o/" + taskName + "/1/launch")).To(BeTrue())
 	})
 
 	It("exports counters of submissions, placements, orders, starts, ends, stops and commits, and gauges of open work", func() {
@@ -160,7 +160,7 @@
 		leadership.settle(nil)
 		exchange(nil)
 		exchange(func(call *wire.ExchangeCall) {
-			call.Answers = []wire.OrderAnswer{{Task: taskState, Run: 2, Kind: "launch", Result: "ok"}}
+			call.Answers = []wire.OrderAnswer{{Task: taskName, Run: 2, Kind: "launch", Result: "ok"}}
 		})
 		pool.Cancel(&wire.ClientCall{ID: id}, func(wire.ClientAnswer) {})
 		pool.Flush()
@@ -277,7 +277,7 @@
 		leadership.settle(nil)
 		exchange(nil)
 		open(4, leadership.pairs())
-		exchange(func(call *wire.ExchangeCall) { call.Running = []wire.RunReport{{Task: taskState, Run: 1}} })
+		exchange(func(call *wire.ExchangeCall) { call.Running = []wire.RunReport{{Task: taskName, Run: 1}} })
 		leadership.settle(nil)
 		Expect(exchange(nil).Orders).To(BeEmpty())
 		Expect(leadership.has("o/")).To(BeFalse())
