--- a/internal/scheduling/scheduler/changeset.go
+++ b/internal/scheduling/scheduler/changeset.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// sendAllOrders sends the committed orders of all executors, in the order of their IDs. It is called after all callbacks of a commit, so
-// that an executor gets its orders together.
+// sendAllOrders sends the queued orders of all executors, in the order of their IDs. It is called in Flush and after all callbacks of a
+// commit, so that an executor gets its orders together.
 func (p *Pool) sendAllOrders() {
 	if len(p.ordersToSend) == 0 {
 		return
--- a/internal/scheduling/scheduler/deadline.go
+++ b/internal/scheduling/scheduler/deadline.go
@@ -21,7 +21,7 @@
 // lateFrom returns the time of day, in ms, from which the step can no longer be completed on time.
 func (s *stepState) lateFrom() int64 { return s.occurrence.targetMs - s.remainingPathMs }
 
-// expiredFrom returns the time of day, in ms, from which the step can no longer be completed while its result is of use.
+// expiredFrom returns the time of day, in ms, from which the step can no longer be completed before its occurrence expires.
 func (s *stepState) expiredFrom() int64 { return s.occurrence.expiryMs - s.remainingPathMs }
 
 // waitPart is the part of the time from a step's release to lateFrom that the step can wait without a capacity share.
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -89,7 +89,7 @@
 	return beginMs + int64(stretch*float64(j.criticalPathMs)) + j.record.Terms.TargetMs
 }
 
-// expiryFactor is how many times as long as its target allows an occurrence may take before it is no longer late but expired.
+// expiryFactor is the multiple of the time from its release to its target after which an occurrence is expired and no longer just late.
 const expiryFactor = 3
 
 func (j *jobState) newOccurrence(number int) *occurrence {
--- a/internal/scheduling/scheduler/lasting_test.go
+++ b/internal/scheduling/scheduler/lasting_test.go
@@ -38,8 +38,8 @@
 }
 
 var _ = Describe("long-running tasks", func() {
-	// Rule LOST: while there is capacity for a task, it runs again within 6 s of the end of its last run, however busy the service is. A task
-	// would wait longer if free capacity stayed reserved for urgent jobs, or if other running tasks of its step counted as progress.
+	// Rule LOST: while there is capacity for a task, it runs again within 6 s of the end of its last run, however busy the service is.
+	// A task would wait longer if the capacity reserved for urgent jobs, or other running tasks of its step, kept it from starting.
 	It("are restarted soon although free capacity is reserved for urgent jobs and other tasks of the step run", func() {
 		for _, tasks := range []int{10, 20, 30} {
 			c := newPressedFleet(1)
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -96,8 +96,8 @@
 	return spread
 }
 
-// recordOvertaken adds the duration so far of a run whose task another run has completed to the spread of its queue. The run would have
-// taken even longer.
+// recordOvertaken updates the spread of a queue with a run that was still running when another run completed its task. Its duration so
+// far is a lower bound, as it would have run even longer.
 func (p *Pool) recordOvertaken(run *runState) {
 	if run.phase != runRunning {
 		return
--- a/internal/scheduling/scheduler/stalls_test.go
+++ b/internal/scheduling/scheduler/stalls_test.go
@@ -29,7 +29,8 @@
 		}
 		return false
 	}
-	// runUrgentBurst completes a burst of urgent work that asks for all capacity, so that capacity is reserved for such work afterwards.
+	// runUrgentBurst completes a burst of urgent work that asks for all capacity, so that capacity is reserved for such work afterwards. A
+	// small urgent job runs on, so that the reservation decays slowly.
 	runUrgentBurst := func() {
 		f.handIn(jobID(0), wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":40,"cpu-units":4000,"estimated-ms":200}]}`)
 		for range 10 {
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -30,8 +30,8 @@
 	runs []*runState
 	// avoid is the ID of an executor on which the task failed, stalled or was refused; placement chooses it last.
 	avoid string
-	// firstFailedOn is the executor that the first failure was counted against. isFirstFailureReduced is set once another executor has
-	// failed the task as well, so that the first failure weighs less.
+	// firstFailedOn is the executor that the first failure was counted against. isFirstFailureReduced is set once the task has failed on
+	// another executor as well, so that the first failure weighs less.
 	firstFailedOn         *executorState
 	isFirstFailureReduced bool
 	// stallCount is how many runs of the task were stopped because they made no progress.
@@ -56,7 +56,7 @@
 	sendCount int
 	sentAt    time.Duration
 	orderedAt time.Duration
-	// startedAt is when the run started, 0 until that is known.
+	// startedAt is when the run started, 0 until that is known. A run that was adopted from an earlier leader counts from Open.
 	startedAt time.Duration
 	// answeredAt and isAnswered tell when and whether the executor has acknowledged the stop order.
 	answeredAt time.Duration
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// expireLease closes the runs of an executor whose lease has certainly expired. It also removes the executor if that is silent or has
+// expireLease closes the runs of an executor whose lease has certainly expired. It also removes the executor if it is silent or has
 // not reported to this leader.
 func (p *Pool) expireLease(executor *executorState, now time.Duration) {
 	if len(executor.runs) > 0 {
