--- a/internal/scheduling/scheduler/executorhealth_test.go
+++ b/internal/scheduling/scheduler/executorhealth_test.go
@@ -58,7 +58,7 @@
 			call.Ends = []wire.EndReport{{Number: endNumbers[executor], Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(how)}}
 		})
 	}
-	refuse := func(executor string, order wire.Order, result string) {
+	answerLaunch := func(executor string, order wire.Order, result string) {
 		exchange(executor, "side-"+executor, func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: wire.OrderResult(result)}}
 		})
@@ -127,7 +127,7 @@
 				orders = append(orders, order)
 			}
 			for _, order := range orders {
-				refuse("i-1", order, result)
+				answerLaunch("i-1", order, result)
 			}
 			exchange("i-9", "side-i-1", nil)
 			Expect(pool.Doubt("i-9")).To(BeNumerically("~", penalty, 0.02))
@@ -161,7 +161,7 @@
 			_, order := nextLaunch()
 			orders = append(orders, order)
 		}
-		refuse("i-1", orders[0], "sick")
+		answerLaunch("i-1", orders[0], "sick")
 		Expect(pool.AtOnce("i-1")).To(BeZero())
 		Expect(pool.Doubt("i-1")).To(BeNumerically(">", 0.3))
 	})
@@ -174,7 +174,7 @@
 			call.Changed = []wire.RunReport{{Task: order.Task, Run: order.Run, Stuck: true}}
 		}
 		Expect(exchange(first, "side-"+first, stuck).Orders).To(BeEmpty())
-		refuse(first, order, "ok")
+		answerLaunch(first, order, "ok")
 		Expect(exchange(first, "side-"+first, nil).Orders).To(ConsistOf(HaveField("Kind", wire.OrderStop)))
 		Expect(pool.AtOnce(first)).To(Equal(1))
 		reportEnd(first, order, "stopped")
