--- a/internal/scheduling/scheduler/consistency_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -67,7 +67,7 @@
 			compare("group at the index of its request", list.groups[index] == request.group, true)
 			compare("minimum need", request.group.Need.Fits(list.minNeed), true)
 			if request.group.Deadline == placement.OnTime {
-				demands[request.group.Priority] = demands[request.group.Priority].with(asks(request.group), 1)
+				demands[request.group.Priority] = demands[request.group.Priority].with(totalNeed(request.group), 1)
 			}
 		}
 		compare("demand by priority", list.demand, demands)
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -42,7 +42,7 @@
 		Entry("the job record", "j/"+id, `{"entry":`),
 		Entry("the steps in the job record", "j/"+id, `{"entry":"e","spec":{"step-list":[{"task-count":1,"depends-on":[7]}]}}`),
 		Entry("the state record", "s/"+id, `{"state":`),
-		Entry("a task record", "t/"+taskState, `{"d":`),
+		Entry("a task record", "t/"+taskName, `{"d":`),
 	)
 
 	It("works without unreadable executor records", func() {
--- a/internal/scheduling/scheduler/loadreport.go
+++ b/internal/scheduling/scheduler/loadreport.go
@@ -59,7 +59,7 @@
 		result.forPriority(priority).allocated = allocation.resources.CPU
 	}
 	for _, group := range p.open.first.groups {
-		result.forPriority(group.Priority).waiting[group.Deadline] += asks(group).CPU
+		result.forPriority(group.Priority).waiting[group.Deadline] += totalNeed(group).CPU
 	}
 	for priority, current := range result.priorities {
 		if remaining, isLimited := p.longWorkRemaining[priority]; isLimited {
