--- a/internal/scheduling/placement/allowance.go
+++ b/internal/scheduling/placement/allowance.go
@@ -1,32 +1,35 @@
 package placement
 
-// allowance is what one priority may still take, and, while shares are given out, what is left of the share.
+// allowance limits how much a group may still take: the remaining capacity of its priority and, while shares are placed, the balance of
+// the share.
 type allowance struct {
 	remaining map[int]Resources
 	priority  int
-	isBound   bool
-	// share is nil where the order of the queue decides.
-	share *openShare
+	hasLimit  bool
+	// share is nil when groups are placed in queue order rather than from a share.
+	share *shareBalance
 }
 
+// allowanceOf returns the allowance of a group. Only long work and expired work are limited; expired work counts as Background.
 func allowanceOf(remaining map[int]Resources, group *Group) allowance {
 	priority, isLimited := group.Priority, group.IsLong
 	if group.Deadline == Expired {
 		priority, isLimited = Background, true
 	}
-	_, isBound := remaining[priority]
-	return allowance{remaining: remaining, priority: priority, isBound: isBound && isLimited}
+	_, hasLimit := remaining[priority]
+	return allowance{remaining: remaining, priority: priority, hasLimit: hasLimit && isLimited}
 }
 
+// covers reports whether the remaining capacity of the priority is enough for a need. GPUs are not limited.
 func (a allowance) covers(need Resources) bool {
-	if !a.isBound {
+	if !a.hasLimit {
 		return true
 	}
 	capacity := a.remaining[a.priority]
 	return need.CPU <= capacity.CPU && need.Memory <= capacity.Memory
 }
 
-// spend counts against this priority and all below it, and against the share.
+// spend subtracts a need from the remaining capacity of this priority and of all less urgent ones, and from the share.
 func (a allowance) spend(need Resources) {
 	for priority, capacity := range a.remaining {
 		if priority >= a.priority {
@@ -36,25 +39,26 @@
 	a.spendShare(need)
 }
 
-// spendShare counts against the share alone.
+// spendShare subtracts a need from the share only.
 func (a allowance) spendShare(need Resources) {
 	if a.share != nil {
 		a.share.Resources = a.share.Resources.Minus(need)
 	}
 }
 
-// isShareSpent tells whether a share is used up; where the order of the queue decides, it never is.
+// isShareSpent reports whether the share is used up. Without a share it is always false.
 func (a allowance) isShareSpent() bool { return a.share != nil && a.share.isSpent() }
 
-// fail counts a group that found no executor: its need is spent all the same, so that the share does not go through the whole queue.
-func (a allowance) fail(need Resources) {
+// countFailure counts a group that found no executor. Its need is subtracted from the share all the same, so that a share without
+// placements does not scan the whole queue.
+func (a allowance) countFailure(need Resources) {
 	if a.share != nil {
 		a.share.failures++
 		a.spendShare(need)
 	}
 }
 
-// mayReserve tells whether an executor may be reserved for a large task that found none, and counts the reservation.
+// mayReserve reports whether an executor may be reserved for a large task that found none, and counts the reservation against the share.
 func (a allowance) mayReserve() bool {
 	if a.share == nil {
 		return true
--- a/internal/scheduling/placement/cost_test.go
+++ b/internal/scheduling/placement/cost_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// BenchmarkNarrow places a mixed backlog where nearly all executors have a little room left, too little for most.
+// BenchmarkNarrow places a mixed backlog where nearly all executors have some free capacity, which is too little for most groups.
 func BenchmarkNarrow(b *testing.B) {
 	for _, size := range []int{62, 1000} {
 		draw := rand.New(rand.NewPCG(3, 3))
@@ -25,11 +25,11 @@
 		small := group(1, 300)
 		small.Due, small.Labels = 1000, []string{"none"}
 		groups = append(groups, small)
-		line := placement.Queue{Groups: groups, MinNeed: small.Need}
+		queue := placement.Queue{Groups: groups, MinNeed: small.Need}
 		b.Run(fmt.Sprintf("executors=%d", size), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				placement.Place(all, line, placement.Limits{})
+				placement.Place(all, queue, placement.Limits{})
 			}
 		})
 	}
--- a/internal/scheduling/placement/filter.go
+++ b/internal/scheduling/placement/filter.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// Reason tells why an executor was passed over for a task.
+// Reason is why an executor is rejected for a task.
 type Reason int
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order in which they are checked.
 const (
-	// Suitable is no reason: the executor may be chosen.
+	// Suitable means that the executor may be chosen.
 	Suitable Reason = iota
-	// NoCapacity: less is free than the task needs.
+	// NoCapacity means that the executor has less free capacity than the task needs.
 	NoCapacity
-	// Reserved: the executor is kept for a large task that would starve otherwise.
+	// Reserved means that the executor is reserved for a large task that would starve otherwise.
 	Reserved
-	// AtRunLimit: the executor has as many runs as it may have at once.
+	// AtRunLimit means that the executor got as many runs in this round as its RunLimit allows.
 	AtRunLimit
-	// OtherRack: the gang goes to another rack.
+	// OtherRack means that the gang is being placed on another rack.
 	OtherRack
-	// ExcludedExecutor: the group may not run there.
+	// ExcludedExecutor means that the group must not run on this executor.
 	ExcludedExecutor
-	// AntiAffinityReached: as many tasks of the step run there as may.
+	// AntiAffinityReached means that the executor runs as many tasks of the step as anti-affinity allows.
 	AntiAffinityReached
-	// NotLocal: the task waits for an executor near its data.
+	// NotLocal means that the task requires an executor near its data.
 	NotLocal
-	// LabelMissing: the executor lacks a label that the step requires.
+	// LabelMissing means that the executor lacks a label that the step requires.
 	LabelMissing
 )
 
-// limitMode tells whether soft limits hold: reservations, which gangs may always use, and the run limits of executors.
+// limitMode says whether a search respects the soft limits: reservations (which never apply to gangs) and the run limits of executors.
 type limitMode bool
 
 const (
@@ -35,8 +35,8 @@
 	withoutSoftLimits limitMode = false
 )
 
-// search is what executors are filtered for: one task of a group, on one rack if that is named. runs counts the step's runs by
-// executor, those of this turn included.
+// search describes what executors are filtered for: one task of a group, on one rack unless rack is empty. runs counts the step's
+// runs by executor, including those placed in this round.
 type search struct {
 	group  *Group
 	runs   map[int]int
@@ -44,35 +44,35 @@
 	limits limitMode
 }
 
-// filter tells why an executor can't be chosen, or Suitable.
-func (t *turn) filter(search search, candidate *candidateState) Reason {
+// filter returns why an executor can't be chosen, or Suitable.
+func (r *placementRound) filter(search search, candidate *candidateState) Reason {
 	if !candidate.free.Fits(search.group.Need) {
 		return NoCapacity
 	}
-	if reason := t.filterSoftLimits(search, candidate); reason != Suitable {
+	if reason := r.filterSoftLimits(search, candidate); reason != Suitable {
 		return reason
 	}
-	executor := &t.executors[candidate.index]
+	executor := &r.executors[candidate.index]
 	if search.rack != "" && executor.Rack != search.rack {
 		return OtherRack
 	}
 	return filterConstraints(search, executor, candidate.index)
 }
 
-// filterSoftLimits holds an executor back that is reserved or has its runs, unless the search goes past soft limits.
-func (t *turn) filterSoftLimits(search search, candidate *candidateState) Reason {
+// filterSoftLimits rejects an executor that is reserved or at its run limit, unless the search ignores soft limits.
+func (r *placementRound) filterSoftLimits(search search, candidate *candidateState) Reason {
 	switch {
 	case search.limits == withoutSoftLimits:
 		return Suitable
 	case candidate.isReserved && !search.group.IsGang:
 		return Reserved
-	case t.isAtRunLimit(candidate):
+	case r.isAtRunLimit(candidate):
 		return AtRunLimit
 	}
 	return Suitable
 }
 
-// filterConstraints applies what the step itself asks for.
+// filterConstraints checks the step's own constraints: exclusions, anti-affinity, locality and labels.
 func filterConstraints(search search, executor *Executor, index int) Reason {
 	group := search.group
 	switch {
@@ -88,13 +88,13 @@
 	return Suitable
 }
 
-// isAtRunLimit tells whether an executor was given all that it may have in this turn.
-func (t *turn) isAtRunLimit(candidate *candidateState) bool {
-	limit := t.executors[candidate.index].RunLimit
-	return limit != 0 && candidate.added >= max(0, limit)
+// isAtRunLimit reports whether an executor got all runs that its RunLimit allows in this round.
+func (r *placementRound) isAtRunLimit(candidate *candidateState) bool {
+	limit := r.executors[candidate.index].RunLimit
+	return limit != 0 && candidate.addedRuns >= max(0, limit)
 }
 
-// IsLocal tells whether an executor with these labels is near data at a locality: it has any of the locality's labels.
+// IsLocal reports whether an executor with these labels is near data at a locality: it has at least one of the locality's labels.
 func IsLocal(labels, locality []string) bool {
 	return slices.ContainsFunc(locality, func(label string) bool { return slices.Contains(labels, label) })
 }
--- a/internal/scheduling/placement/gang.go
+++ b/internal/scheduling/placement/gang.go
@@ -7,46 +7,47 @@
 )
 
 // placeGang places all members of a gang or none of them.
-func (t *turn) placeGang(group *Group, number int, allowance allowance) {
-	gang, mayExceedLimits := group.Need.Times(float64(group.Count)), t.mayExceedLimits(group)
-	if !mayExceedLimits && !allowance.covers(gang) || t.isTenantAtLimit(group, group.Count) {
+func (r *placementRound) placeGang(group *Group, number int, allowance allowance) {
+	gang, mayExceedLimits := group.Need.Times(float64(group.Count)), r.mayExceedLimits(group)
+	if !mayExceedLimits && !allowance.covers(gang) || r.isTenantAtLimit(group, group.Count) {
 		return
 	}
-	taken := t.findGang(group, withSoftLimits)
+	taken := r.findGang(group, withSoftLimits)
 	if taken == nil && mayExceedLimits {
-		taken = t.findGang(group, withoutSoftLimits)
+		taken = r.findGang(group, withoutSoftLimits)
 	}
 	for _, candidate := range taken {
-		t.note(number, candidate, allowance)
+		r.recordPlacement(number, candidate, allowance)
 	}
 	allowance.spend(group.Need.Times(float64(len(taken))))
 }
 
-// findGang takes the capacity for a whole gang, or none.
-func (t *turn) findGang(group *Group, limits limitMode) []*candidateState {
-	if !t.hasSlots(group, "") {
+// findGang allocates the capacity for a whole gang and returns the executor of each member, or nil with nothing allocated. A gang
+// that prefers a single rack tries the racks first and falls back to all executors.
+func (r *placementRound) findGang(group *Group, limits limitMode) []*candidateState {
+	if !r.hasSlots(group, "") {
 		return nil
 	}
 	if group.SameRack {
-		for _, rack := range t.racksByFree() {
-			if taken := t.fillGang(group, rack, limits); taken != nil {
+		for _, rack := range r.racksByFree() {
+			if taken := r.fillGang(group, rack, limits); taken != nil {
 				return taken
 			}
 		}
 	}
-	return t.fillGang(group, "", limits)
+	return r.fillGang(group, "", limits)
 }
 
-// racksByFree lists the racks, those with the most free processor units first.
-func (t *turn) racksByFree() []string {
+// racksByFree lists the racks, ordered by their free CPU from most to least.
+func (r *placementRound) racksByFree() []string {
 	total := map[string]int64{}
-	for index := range t.executors {
-		if executor := &t.executors[index]; !executor.IsUnschedulable && executor.Rack != "" {
+	for index := range r.executors {
+		if executor := &r.executors[index]; !executor.IsUnschedulable && executor.Rack != "" {
 			total[executor.Rack] += executor.Free.CPU
 		}
 	}
-	for _, candidate := range t.candidates {
-		if executor := &t.executors[candidate.index]; executor.Rack != "" {
+	for _, candidate := range r.candidates {
+		if executor := &r.executors[candidate.index]; executor.Rack != "" {
 			total[executor.Rack] += candidate.free.CPU - executor.Free.CPU
 		}
 	}
@@ -57,37 +58,38 @@
 	return racks
 }
 
-// fillGang chooses an executor for each member, on one rack if one is given. When a member finds none, what was taken
-// for the others is given back and the result is nil.
-func (t *turn) fillGang(group *Group, rack string, limits limitMode) []*candidateState {
-	if !t.hasSlots(group, rack) {
+// fillGang chooses an executor for each member, on one rack unless rack is empty. If a member finds none, it releases what the other
+// members were allocated and returns nil.
+func (r *placementRound) fillGang(group *Group, rack string, limits limitMode) []*candidateState {
+	if !r.hasSlots(group, rack) {
 		return nil
 	}
-	runs := runsOn(group)
+	runs := copyRuns(group)
 	var taken []*candidateState
 	for range group.Count {
-		best := t.choose(search{group: group, runs: runs, rack: rack, limits: limits})
+		best := r.choose(search{group: group, runs: runs, rack: rack, limits: limits})
 		if best == nil {
 			for _, candidate := range taken {
 				candidate.free = candidate.free.Plus(group.Need)
-				candidate.added--
-				t.firstRunCPU += group.Need.CPU
-				t.countForTenant(group, -1)
+				candidate.addedRuns--
+				r.firstRunCPU += group.Need.CPU
+				r.countForTenant(group, -1)
 			}
 			return nil
 		}
-		t.take(group, runs, best)
+		r.allocate(group, runs, best)
 		taken = append(taken, best)
 	}
 	return taken
 }
 
-// hasSlots tells whether a gang could fit if size were all that counts.
-func (t *turn) hasSlots(group *Group, rack string) bool {
+// hasSlots reports whether the free capacity is enough for all members, ignoring every other constraint. It is a cheap check
+// before the search for executors.
+func (r *placementRound) hasSlots(group *Group, rack string) bool {
 	count := int64(0)
-	for _, candidate := range t.candidates {
-		if rack == "" || t.executors[candidate.index].Rack == rack {
-			count += candidate.free.slots(group.Need, int64(group.Count))
+	for _, candidate := range r.candidates {
+		if rack == "" || r.executors[candidate.index].Rack == rack {
+			count += candidate.free.countSlots(group.Need, int64(group.Count))
 		}
 		if count >= int64(group.Count) {
 			return true
--- a/internal/scheduling/placement/golden_test.go
+++ b/internal/scheduling/placement/golden_test.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = It("decides as recorded, on generated fleets", func() {
+var _ = It("places as in the golden file on generated fleets", func() {
 	draw := rand.New(rand.NewPCG(11, 11))
 	var outcomes strings.Builder
 	for range 1000 {
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Executor is what placement knows of an executor: its free and total capacity, its labels and rack. IsUnschedulable takes no
-// new runs; a higher Penalty makes it a later choice.
+// Executor describes an executor to placement: its free and total capacity, its labels and its rack. An executor with IsUnschedulable
+// gets no new runs; one with a higher Penalty is chosen later.
 type Executor struct {
 	Free            Resources
 	Total           Resources
@@ -14,18 +14,18 @@
 	Rack            string
 	IsUnschedulable bool
 	Penalty         float64
-	// RunLimit is how many runs may be added where it has to show first that it is healthy; 0 sets no bound, NoRuns adds none.
+	// RunLimit is how many runs may be added in one round while the executor has not yet proved healthy. 0 is no limit, NoRuns allows none.
 	RunLimit int
 }
 
-// NoRuns is the RunLimit of an executor that has as many runs as it may have.
+// NoRuns is the RunLimit of an executor that already has as many runs as it is allowed.
 const NoRuns = -1
 
-// isShut tells whether only first runs, if any, may be added.
-func (e *Executor) isShut() bool { return e.IsUnschedulable || e.RunLimit == NoRuns }
+// isClosed reports whether the executor takes no ordinary runs: it is unschedulable, or takes only first runs beyond the soft limits.
+func (e *Executor) isClosed() bool { return e.IsUnschedulable || e.RunLimit == NoRuns }
 
-// Group is the tasks of one step that may start now; they all ask for the same. Executors are named by their index;
-// RunsByExecutor counts those that run tasks of the step already, and matters only with AntiAffinity.
+// Group is the set of tasks of one step that may start now, all with the same Need. Executors are named by their index.
+// RunsByExecutor counts the step's running tasks by executor and is used only with AntiAffinity.
 type Group struct {
 	Need     Resources
 	Count    int
@@ -33,7 +33,7 @@
 	SameRack bool
 	Labels   []string
 	Locality []string
-	// IsLocalityRequired keeps the tasks waiting for capacity near their data.
+	// IsLocalityRequired makes the tasks wait for capacity near their data.
 	IsLocalityRequired bool
 	AntiAffinity       int
 	RunsByExecutor     map[int]int
@@ -42,68 +42,73 @@
 	Excluded           []bool
 	IsSpeculative      bool
 	IsLong             bool
-	// IsIdle tells that none of the step's tasks runs, so that its first run, or its gang, may go past soft limits.
+	// IsIdle means that none of the step's tasks runs, so that its first run, or its gang, may exceed the soft limits.
 	IsIdle bool
-	// IsLasting tells that the tasks are to run at every moment: their first run in a turn may go past soft limits however much is in use.
+	// IsLasting means that the tasks must be running at all times. If the step is idle, its first run in a round may exceed the soft
+	// limits even when FirstRunCPU is used up.
 	IsLasting bool
 	Priority  int
-	// Tenant is the index in Limits.Tenants of the tenant that the work belongs to; 0 is none.
+	// Tenant is the index in Limits.Tenants of the tenant that the work belongs to; 0 means no tenant.
 	Tenant   int
 	Deadline DeadlineClass
-	// CanWait tells that the group may still be started a good while later and be on time; shares pass it over.
+	// CanWait means that the group can start much later and still be on time. Shares skip it.
 	CanWait bool
-	// RemainingTenths is how much of the job is yet to be started, in tenths of its work: what has been begun is finished first.
+	// RemainingTenths is how much of the job has not started, in tenths of its work. Jobs with less remaining go first, so that
+	// started jobs are finished before new ones start.
 	RemainingTenths int
 	Due             int64
 }
 
-// DeadlineClass is what a group's job can still earn. Work that is on time goes before work that is late, and what comes too late for
-// anything goes after all others.
+// DeadlineClass says how a group's job stands against its deadline. Work that is on time goes before late work, and expired work goes
+// last.
 type DeadlineClass int
 
 const (
-	// OnTime may still be in time.
+	// OnTime means that the job can still meet its deadline.
 	OnTime DeadlineClass = iota
-	// Late is late already but still earns something.
+	// Late means that the job has missed its deadline but its result is still useful.
 	Late
-	// Expired earns nothing any more.
+	// Expired means that the job's result is no longer useful.
 	Expired
 )
 
-// deadlineClassNames are the classes as operators see them.
+// deadlineClassNames are the names of the classes in metrics and logs.
 var deadlineClassNames = [...]string{OnTime: "on_time", Late: "late", Expired: "expired"}
 
-// String is the class as metrics and logs name it.
+// String returns the name of the class in metrics and logs.
 func (c DeadlineClass) String() string { return deadlineClassNames[c] }
 
-// Placement is one start: the number of the group and the index of the executor. IsFromShare tells that a share was used for it.
+// Placement starts one task: Group is the number of the group in the queue, Executor the index of the executor. IsFromShare means that
+// the capacity was taken from a share.
 type Placement struct {
 	Group, Executor int
 	IsFromShare     bool
 }
 
-// Queue is groups in the order of CompareGroups, the speculative ones after them, and resources that none needs less than.
-// The speculative groups are numbered on from the others.
+// Queue holds the groups in the order of CompareGroups, then the speculative ones. MinNeed is a lower bound, in each resource, of what
+// any group needs. The numbers of the speculative groups continue after those of Groups.
 type Queue struct {
 	Groups      []*Group
 	Speculative []*Group
 	MinNeed     Resources
 }
 
-// Limits are the soft limits of a placement. Remaining is what long work of a priority, and expired work as Background, may still
-// take of all capacity together; a priority without an entry may take all there is. As long as less CPU than FirstRunCPU has been given out,
-// Remaining, reservations and the run limits of executors keep no step from its first run; tasks that last they never keep from it. Shares go first.
+// Limits are the limits of one placement round.
+//
+// Remaining is how much long work of each priority, and expired work as Background, may still take of the total capacity; a priority
+// without an entry is not limited. Remaining, reservations and the run limits of executors are soft: the first run of an idle step
+// may exceed them until FirstRunCPU of CPU has been placed in the round, and that of an IsLasting step always may. Shares are placed first.
 type Limits struct {
 	Remaining   map[int]Resources
 	FirstRunCPU int64
 	Shares      []Share
-	// Tenants are hard limits: nothing goes past them. The first one stands for work without a tenant.
+	// Tenants hold hard limits, which nothing exceeds, except for one run of a tenant with MayOverhang. Index 0 is work without a tenant.
 	Tenants []Tenant
 }
 
-// Share is capacity that a part of the queue may take before the order of the queue decides: the groups of one priority and
-// deadline class that can't wait, or all expired groups, whatever their priority. Its last run may go beyond Resources, so that a large task gets its
-// turn, and so many executors may be reserved for such tasks.
+// Share is capacity that part of the queue may take before the rest is placed in queue order. The part is the groups of one priority
+// and deadline class that can't wait, or all expired groups of any priority. The last run may exceed Resources, so that large
+// tasks are not starved. Reservations is how many executors may be reserved for such tasks.
 type Share struct {
 	Priority     int
 	Deadline     DeadlineClass
@@ -111,11 +116,11 @@
 	Reservations int
 }
 
-// Background is the priority that the expired work of all priorities counts as in Remaining: it leaves alone what any of them may
-// need, as its runs can't be pushed aside.
+// Background is the priority under which expired work of all priorities counts in Remaining. It is the least urgent one, because the
+// runs of expired work can't be preempted and must leave enough capacity for every other priority.
 const Background = math.MaxInt
 
-// CompareGroups orders the groups of a queue by their section, then what has been begun first, and then by what is due.
+// CompareGroups is the queue order: by section, then the least remaining work first, then the earliest due first.
 func CompareGroups(a, b *Group) int {
 	return cmp.Or(compareSections(sectionOf(a), sectionOf(b)), cmp.Compare(a.RemainingTenths, b.RemainingTenths), cmp.Compare(a.Due, b.Due))
 }
--- a/internal/scheduling/placement/misses.go
+++ b/internal/scheduling/placement/misses.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// misses are needs that no executor had capacity for. Capacity only shrinks during a turn, so what asks for as much, or more,
-// of executors with the same labels, or more labels, finds none either.
+// misses lists needs that no executor had capacity for. Capacity only shrinks during a round, so a group that needs at least as much
+// and requires at least the same labels can't be placed either.
 type misses []miss
 
 type miss struct {
@@ -11,12 +11,14 @@
 	labels []string
 }
 
-func (m misses) covers(group *Group) bool {
+// rulesOut reports whether an earlier miss implies that a group can't be placed.
+func (m misses) rulesOut(group *Group) bool {
 	return slices.ContainsFunc(m, func(old miss) bool { return group.Need.Fits(old.need) && hasAll(group.Labels, old.labels) })
 }
 
-// note remembers what a group asked for, if size and labels alone decided.
-func (m *misses) note(group *Group) {
+// add records the need of a group that found no executor, if only its size and labels were checked. It drops misses that the new one
+// implies.
+func (m *misses) add(group *Group) {
 	if group.AntiAffinity > 0 || group.Excluded != nil || group.ExcludedIndices != nil || group.IsLocalityRequired {
 		return
 	}
@@ -24,6 +26,7 @@
 		miss{group.Need, group.Labels})
 }
 
+// hasAll reports whether labels contain all wanted ones.
 func hasAll(labels, wanted []string) bool {
 	return !slices.ContainsFunc(wanted, func(label string) bool { return !slices.Contains(labels, label) })
 }
--- a/internal/scheduling/placement/most_test.go
+++ b/internal/scheduling/placement/most_test.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-var _ = Describe("an executor that is to earn trust", func() {
+var _ = Describe("an executor with a run limit", func() {
 	capacity := placement.Resources{CPU: 16000, Memory: 16000}
 	one := placement.Resources{CPU: 1000, Memory: 1000}
 	executors := func() []placement.Executor {
@@ -22,7 +22,7 @@
 		return count
 	}
 
-	It("gets no more runs in one turn than it may, over all steps and gangs", func() {
+	It("gets no more runs in one round than its limit, over all steps and gangs", func() {
 		groups := []*placement.Group{
 			{Need: one, Count: 1},
 			{Need: one, Count: 3, IsGang: true, Due: 1},
@@ -34,7 +34,7 @@
 		Expect(placedOn(placed, 0)).To(Equal(2))
 	})
 
-	It("counts nothing for a gang that was not placed", func() {
+	It("does not count the members of a gang that was not placed", func() {
 		groups := []*placement.Group{
 			{Need: one, Count: 3, IsGang: true, AntiAffinity: 1},
 			{Need: one, Count: 2, Due: 1},
@@ -43,7 +43,7 @@
 		Expect(placedOn(placed, 0)).To(Equal(2))
 	})
 
-	It("counts the members of a gang with what comes after it", func() {
+	It("counts the members of a placed gang against later groups", func() {
 		few := executors()
 		few[0].RunLimit = 3
 		groups := []*placement.Group{
--- a/internal/scheduling/placement/oracle_test.go
+++ b/internal/scheduling/placement/oracle_test.go
@@ -5,35 +5,35 @@
 	"slices"
 )
 
-// denseGroup is a group with tables as long as the executors.
+// denseGroup is a group whose runs, avoided executors and excluded executors are slices indexed by executor.
 type denseGroup struct {
 	*Group
-	held   []int
-	avoid  []bool
-	barred []bool
+	runs     []int
+	avoided  []bool
+	excluded []bool
 }
 
 func denseGroups(sparse []*Group, executors int) []denseGroup {
 	groups := make([]denseGroup, len(sparse))
 	for number, group := range sparse {
 		dense := denseGroup{group, make([]int, executors), make([]bool, executors), make([]bool, executors)}
-		copy(dense.barred, group.Excluded)
+		copy(dense.excluded, group.Excluded)
 		for index, count := range group.RunsByExecutor {
-			dense.held[index] = count
+			dense.runs[index] = count
 		}
 		for _, index := range group.Avoided {
-			dense.avoid[index] = true
+			dense.avoided[index] = true
 		}
 		for _, index := range group.ExcludedIndices {
-			dense.barred[index] = true
+			dense.excluded[index] = true
 		}
 		groups[number] = dense
 	}
 	return groups
 }
 
-// walk is one plain placement under way.
-type walk struct {
+// referenceRound is the state of one call of PlaceByReference.
+type referenceRound struct {
 	executors   []Executor
 	groups      []denseGroup
 	remaining   map[int]Resources
@@ -45,36 +45,37 @@
 	placed      []Placement
 }
 
-// PlaceByWalking is the plain way to place: all executors are looked at for each task, and all groups for each share.
-func PlaceByWalking(executors []Executor, sparse []*Group, limits Limits) []Placement {
-	w := &walk{executors: executors, groups: denseGroups(sparse, len(executors)), remaining: limits.Remaining, firstRunCPU: limits.FirstRunCPU,
+// PlaceByReference is a simple reference implementation of Place, without tenants. It checks all executors for each task and all groups
+// for each share.
+func PlaceByReference(executors []Executor, sparse []*Group, limits Limits) []Placement {
+	r := &referenceRound{executors: executors, groups: denseGroups(sparse, len(executors)), remaining: limits.Remaining, firstRunCPU: limits.FirstRunCPU,
 		free: make([]Resources, len(executors)), reserved: make([]bool, len(executors)), added: make([]int, len(executors)), counts: make([]int, len(sparse))}
 	for index, executor := range executors {
-		w.free[index] = executor.Free
+		r.free[index] = executor.Free
 	}
-	order := make([]int, len(w.groups))
+	order := make([]int, len(r.groups))
 	for index := range order {
 		order[index] = index
 	}
-	slices.SortStableFunc(order, func(one, two int) int { return compareByWalking(w.groups[one].Group, w.groups[two].Group) })
+	slices.SortStableFunc(order, func(one, two int) int { return compareForReference(r.groups[one].Group, r.groups[two].Group) })
 	for _, share := range limits.Shares {
-		left := openShare{Share: share}
+		left := shareBalance{Share: share}
 		for _, number := range order {
-			group := w.groups[number]
+			group := r.groups[number]
 			isWanted := group.Deadline == share.Deadline && (share.Deadline == Expired || group.Priority == share.Priority)
 			if isWanted && !group.IsSpeculative && !group.CanWait && left.Resources.CPU > 0 && left.Resources.Memory > 0 && left.failures < maxShareFailures {
-				w.place(number, &left)
+				r.place(number, &left)
 			}
 		}
 	}
 	for _, number := range order {
-		w.place(number, nil)
+		r.place(number, nil)
 	}
-	return w.placed
+	return r.placed
 }
 
-// compareByWalking says the order of the queue in words of its own.
-func compareByWalking(one, two *Group) int {
+// compareForReference is the queue order, implemented independently of CompareGroups.
+func compareForReference(one, two *Group) int {
 	isPrompt := func(group *Group) bool { return group.Deadline == OnTime && !(group.IsLong && group.Priority > 0) }
 	if order := cmp.Or(compareBools(one.IsSpeculative, two.IsSpeculative), compareBools(one.Deadline == Expired, two.Deadline == Expired)); order != 0 {
 		return order
@@ -86,71 +87,71 @@
 	return cmp.Or(compareBools(isPrompt(two), isPrompt(one)), cmp.Compare(one.Priority, two.Priority), cmp.Compare(one.Deadline, two.Deadline), byAge)
 }
 
-// place places what is left of one group, out of a share if there is one.
-func (w *walk) place(number int, share *openShare) {
-	group := &w.groups[number]
-	allowance := allowanceOf(w.remaining, group.Group)
-	allowance.isBound = allowance.isBound && share == nil
-	isFirst := w.counts[number] == 0 && group.IsIdle && !group.IsSpeculative && (group.IsLasting || w.firstRunCPU > 0)
+// place places the remaining tasks of one group, from a share unless share is nil.
+func (r *referenceRound) place(number int, share *shareBalance) {
+	group := &r.groups[number]
+	allowance := allowanceOf(r.remaining, group.Group)
+	allowance.hasLimit = allowance.hasLimit && share == nil
+	isFirst := r.counts[number] == 0 && group.IsIdle && !group.IsSpeculative && (group.IsLasting || r.firstRunCPU > 0)
 	if group.IsGang {
-		if w.counts[number] == 0 && (isFirst || allowance.covers(group.Need.Times(float64(group.Count)))) {
-			w.placeGang(number, isFirst, allowance, share)
+		if r.counts[number] == 0 && (isFirst || allowance.covers(group.Need.Times(float64(group.Count)))) {
+			r.placeGang(number, isFirst, allowance, share)
 		}
 		return
 	}
-	for w.counts[number] < group.Count && (share == nil || share.Resources.CPU > 0 && share.Resources.Memory > 0) {
-		isFirst = isFirst && w.counts[number] == 0
+	for r.counts[number] < group.Count && (share == nil || share.Resources.CPU > 0 && share.Resources.Memory > 0) {
+		isFirst = isFirst && r.counts[number] == 0
 		if !isFirst && !allowance.covers(group.Need) {
 			return
 		}
-		best := choose(w.executors, w.free, w.reserved, w.added, group, group.held)
+		best := choose(r.executors, r.free, r.reserved, r.added, group, group.runs)
 		if best < 0 && isFirst {
-			best = choose(unlimited(w.executors), w.free, make([]bool, len(w.executors)), w.added, group, group.held)
+			best = choose(unlimited(r.executors), r.free, make([]bool, len(r.executors)), r.added, group, group.runs)
 		}
 		if share != nil {
 			share.Resources = share.Resources.Minus(group.Need)
 		}
 		if best < 0 {
-			w.reserveOnce(group, share)
+			r.reserveOnce(group, share)
 			if share != nil {
 				share.failures++
 			}
 			return
 		}
-		w.free[best] = w.free[best].Minus(group.Need)
-		group.held[best]++
-		w.added[best]++
-		w.counts[number]++
+		r.free[best] = r.free[best].Minus(group.Need)
+		group.runs[best]++
+		r.added[best]++
+		r.counts[number]++
 		allowance.spend(group.Need)
-		w.firstRunCPU -= group.Need.CPU
-		w.placed = append(w.placed, Placement{number, best, share != nil})
+		r.firstRunCPU -= group.Need.CPU
+		r.placed = append(r.placed, Placement{number, best, share != nil})
 	}
 }
 
-// reserveOnce reserves an executor for a group that found none, as long as its share allows.
-func (w *walk) reserveOnce(group *denseGroup, share *openShare) {
+// reserveOnce reserves an executor for a group that found none, if its share allows another reservation.
+func (r *referenceRound) reserveOnce(group *denseGroup, share *shareBalance) {
 	if group.IsSpeculative || group.IsLocalityRequired {
 		return
 	}
 	if share == nil {
-		reserve(w.executors, w.free, w.reserved, group)
+		reserve(r.executors, r.free, r.reserved, group)
 		return
 	}
-	isLarge := slices.ContainsFunc(w.executors, func(executor Executor) bool {
-		return !executor.isShut() && (3*group.Need.CPU > executor.Total.CPU || 3*group.Need.Memory > executor.Total.Memory)
+	isLarge := slices.ContainsFunc(r.executors, func(executor Executor) bool {
+		return !executor.isClosed() && (3*group.Need.CPU > executor.Total.CPU || 3*group.Need.Memory > executor.Total.Memory)
 	})
 	if isLarge && share.Reservations > 0 {
 		share.Reservations--
-		reserve(w.executors, w.free, w.reserved, group)
+		reserve(r.executors, r.free, r.reserved, group)
 	}
 }
 
 // placeGang places all members of a gang or none.
-func (w *walk) placeGang(number int, isFirst bool, allowance allowance, share *openShare) {
-	group := &w.groups[number]
-	gang := placeGang(w.executors, w.free, w.added, group, number)
+func (r *referenceRound) placeGang(number int, isFirst bool, allowance allowance, share *shareBalance) {
+	group := &r.groups[number]
+	gang := placeGang(r.executors, r.free, r.added, group, number)
 	if gang == nil && isFirst {
-		gang = placeGang(unlimited(w.executors), w.free, w.added, group, number)
+		gang = placeGang(unlimited(r.executors), r.free, r.added, group, number)
 	}
 	taken := group.Need.Times(float64(len(gang)))
 	allowance.spend(taken)
@@ -160,12 +161,12 @@
 	for index := range gang {
 		gang[index].IsFromShare = share != nil
 	}
-	w.firstRunCPU -= group.Need.CPU * int64(len(gang))
-	w.counts[number] += len(gang)
-	w.placed = append(w.placed, gang...)
+	r.firstRunCPU -= group.Need.CPU * int64(len(gang))
+	r.counts[number] += len(gang)
+	r.placed = append(r.placed, gang...)
 }
 
-// unlimited gives the executors without any bound on their runs.
+// unlimited returns a copy of the executors without run limits.
 func unlimited(executors []Executor) []Executor {
 	all := slices.Clone(executors)
 	for index := range all {
@@ -174,8 +175,8 @@
 	return all
 }
 
-func allowed(executor *Executor, group *denseGroup, runs []int, index int) bool {
-	isExcluded := len(group.barred) > index && group.barred[index]
+func isAllowed(executor *Executor, group *denseGroup, runs []int, index int) bool {
+	isExcluded := len(group.excluded) > index && group.excluded[index]
 	if executor.IsUnschedulable || isExcluded || group.AntiAffinity > 0 && runs[index] >= group.AntiAffinity || group.IsLocalityRequired && !IsLocal(executor.Labels, group.Locality) {
 		return false
 	}
@@ -192,11 +193,11 @@
 	for index := range executors {
 		executor := &executors[index]
 		isLimited := executor.RunLimit == NoRuns || executor.RunLimit > 0 && added[index] >= executor.RunLimit
-		if isLimited || reserved[index] || !allowed(executor, group, runs, index) || !free[index].Fits(group.Need) {
+		if isLimited || reserved[index] || !isAllowed(executor, group, runs, index) || !free[index].Fits(group.Need) {
 			continue
 		}
 		score := fitScore(executor, free[index], group.Group)
-		if len(group.avoid) > index && group.avoid[index] {
+		if len(group.avoided) > index && group.avoided[index] {
 			score += 20
 		}
 		if best < 0 || score < bestScore {
@@ -206,7 +207,7 @@
 	return best
 }
 
-// reserve keeps the emptiest executor for a large task, so that it does not starve behind small later ones.
+// reserve reserves the emptiest executor for a large task, so that the task does not starve behind small later ones.
 func reserve(executors []Executor, free []Resources, reserved []bool, group *denseGroup) {
 	best := -1
 	for index := range executors {
@@ -254,7 +255,7 @@
 }
 
 func fillGang(executors []Executor, free []Resources, added []int, group *denseGroup, number int, rack string) []Placement {
-	trial, runs, counts := slices.Clone(free), slices.Clone(group.held), slices.Clone(added)
+	trial, runs, counts := slices.Clone(free), slices.Clone(group.runs), slices.Clone(added)
 	closed := make([]bool, len(executors))
 	for index, executor := range executors {
 		closed[index] = rack != "" && executor.Rack != rack
@@ -285,33 +286,33 @@
 	return 1
 }
 
-// PlaceInAnyOrder lines the groups up first; placements name them as they were given.
+// PlaceInAnyOrder sorts the groups into a queue and calls Place. The placements refer to groups by their index in the argument.
 func PlaceInAnyOrder(executors []Executor, groups []*Group, limits Limits) []Placement {
-	var firsts, spares []int
+	var regular, speculative []int
 	for number, group := range groups {
 		if group.IsSpeculative {
-			spares = append(spares, number)
+			speculative = append(speculative, number)
 			continue
 		}
-		firsts = append(firsts, number)
+		regular = append(regular, number)
 	}
 	compare := func(one, two int) int { return CompareGroups(groups[one], groups[two]) }
-	slices.SortStableFunc(firsts, compare)
-	slices.SortStableFunc(spares, compare)
-	line := Queue{}
-	order := slices.Concat(firsts, spares)
+	slices.SortStableFunc(regular, compare)
+	slices.SortStableFunc(speculative, compare)
+	queue := Queue{}
+	order := slices.Concat(regular, speculative)
 	for index, number := range order {
 		if index == 0 {
-			line.MinNeed = groups[number].Need
+			queue.MinNeed = groups[number].Need
 		}
-		line.MinNeed = line.MinNeed.Min(groups[number].Need)
+		queue.MinNeed = queue.MinNeed.Min(groups[number].Need)
 		if groups[number].IsSpeculative {
-			line.Speculative = append(line.Speculative, groups[number])
+			queue.Speculative = append(queue.Speculative, groups[number])
 			continue
 		}
-		line.Groups = append(line.Groups, groups[number])
+		queue.Groups = append(queue.Groups, groups[number])
 	}
-	placed := Place(executors, line, limits)
+	placed := Place(executors, queue, limits)
 	for index := range placed {
 		placed[index].Group = order[placed[index].Group]
 	}
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -1,125 +1,128 @@
-// Package placement decides which executor runs which task. It knows neither clock nor network.
+// Package placement decides which executor runs which task. It is a pure function of its input, without a clock or network access.
 package placement
 
 import (
 	"maps"
 )
 
-// Place gives the starts that fit: first what shares are kept for, then all others in the order of the queue.
+// Place returns the tasks to start and their executors. Shares are placed first, then all other groups in queue order. If a tenant is
+// above its share, a first pass over the queue keeps tenants to their shares. Place subtracts what it places from limits.Remaining.
 func Place(executors []Executor, queue Queue, limits Limits) []Placement {
 	if len(queue.Groups)+len(queue.Speculative) == 0 {
 		return nil
 	}
-	turn := newTurn(executors, queue, limits)
-	turn.placeShares(queue.Groups, limits)
-	if turn.hasTenantAboveShare() {
-		turn.placeWithinShares(queue.Groups, limits.Remaining)
+	round := newRound(executors, queue, limits)
+	round.placeShares(queue.Groups, limits)
+	if round.hasTenantAboveShare() {
+		round.placeWithinShares(queue.Groups, limits.Remaining)
 	}
-	turn.placeAll(queue.Groups, 0, limits.Remaining)
-	turn.placeAll(queue.Speculative, len(queue.Groups), limits.Remaining)
-	return turn.placed
+	round.placeAll(queue.Groups, 0, limits.Remaining)
+	round.placeAll(queue.Speculative, len(queue.Groups), limits.Remaining)
+	return round.placed
 }
 
-// placeWithinShares places what tenants may have without going beyond their shares; what is left over then goes by the order of the
-// queue alone.
-func (t *turn) placeWithinShares(groups []*Group, remaining map[int]Resources) {
-	t.isWithinShares, t.countsPlaced, t.hasFailed = true, true, map[int]bool{}
-	t.placeAll(groups, 0, remaining)
-	t.isWithinShares = false
+// placeWithinShares makes a pass over the queue in which no tenant exceeds its share. The capacity that is left is placed afterwards
+// in queue order alone.
+func (r *placementRound) placeWithinShares(groups []*Group, remaining map[int]Resources) {
+	r.keepsToShares, r.countsPlacements, r.failedGroups = true, true, map[int]bool{}
+	r.placeAll(groups, 0, remaining)
+	r.keepsToShares = false
 }
 
-// noteFailed remembers a group that found no executor, as it finds none later in the turn either.
-func (t *turn) noteFailed(number int) {
-	if t.isWithinShares {
-		t.hasFailed[number] = true
+// markFailed records a group that found no executor in the pass within shares. It would find none later in the round either.
+func (r *placementRound) markFailed(number int) {
+	if r.keepsToShares {
+		r.failedGroups[number] = true
 	}
 }
 
-// placeAll places groups in their order, within what their limits still allow.
-func (t *turn) placeAll(groups []*Group, number int, remaining map[int]Resources) {
+// placeAll places groups in queue order within their allowances. number is the number of the first group.
+func (r *placementRound) placeAll(groups []*Group, number int, remaining map[int]Resources) {
 	for index, group := range groups {
-		if t.isOver {
+		if r.isExhausted {
 			return
 		}
-		if !t.hasFailed[number+index] {
-			t.placeGroup(group, number+index, allowanceOf(remaining, group))
+		if !r.failedGroups[number+index] {
+			r.placeGroup(group, number+index, allowanceOf(remaining, group))
 		}
 	}
 }
 
-// placeGroup places what is left of a group.
-func (t *turn) placeGroup(group *Group, number int, allowance allowance) {
+// placeGroup places the tasks of a group that are not placed yet. A gang is skipped if it was placed before.
+func (r *placementRound) placeGroup(group *Group, number int, allowance allowance) {
 	switch {
 	case !group.IsGang:
-		t.placeSingles(group, number, allowance)
-	case t.placedOf[number] == 0:
-		t.placeGang(group, number, allowance)
+		r.placeSingles(group, number, allowance)
+	case r.placedOf[number] == 0:
+		r.placeGang(group, number, allowance)
 	}
 }
 
-// placeSingles places what is left of a group's tasks one by one, until one finds no executor or the share is spent.
-func (t *turn) placeSingles(group *Group, number int, allowance allowance) {
+// placeSingles places the tasks of a group one by one, until one finds no executor, a limit is reached or the share is spent.
+func (r *placementRound) placeSingles(group *Group, number int, allowance allowance) {
 	var runs map[int]int
-	for count := t.placedOf[number]; count < group.Count && !allowance.isShareSpent(); count++ {
-		if t.isTenantAtLimit(group, 1) {
+	for count := r.placedOf[number]; count < group.Count && !allowance.isShareSpent(); count++ {
+		if r.isTenantAtLimit(group, 1) {
 			return
 		}
-		mayExceedLimits := count == 0 && t.mayExceedLimits(group)
+		mayExceedLimits := count == 0 && r.mayExceedLimits(group)
 		if !mayExceedLimits && !allowance.covers(group.Need) {
 			return
 		}
 		var best *candidateState
-		if mayExceedLimits || !t.fitsNowhere(group) {
-			runs = t.runsWithin(group, number, runs)
-			best = t.chooseFor(group, runs, mayExceedLimits)
+		if mayExceedLimits || !r.fitsNowhere(group) {
+			runs = r.runsByExecutor(group, number, runs)
+			best = r.chooseFor(group, runs, mayExceedLimits)
 		}
 		if best == nil {
-			t.noteFailed(number)
-			t.handleFailure(group, allowance)
-			allowance.fail(group.Need)
+			r.markFailed(number)
+			r.handleFailure(group, allowance)
+			allowance.countFailure(group.Need)
 			return
 		}
-		t.take(group, runs, best)
+		r.allocate(group, runs, best)
 		allowance.spend(group.Need)
-		t.note(number, best, allowance)
+		r.recordPlacement(number, best, allowance)
 	}
 }
 
-// note records a placement.
-func (t *turn) note(number int, candidate *candidateState, allowance allowance) {
+// recordPlacement appends a placement, and counts it for its group if the round comes back to that group later.
+func (r *placementRound) recordPlacement(number int, candidate *candidateState, allowance allowance) {
 	isFromShare := allowance.share != nil
-	t.placed = append(t.placed, Placement{number, candidate.index, isFromShare})
-	if !isFromShare && !t.countsPlaced {
+	r.placed = append(r.placed, Placement{number, candidate.index, isFromShare})
+	if !isFromShare && !r.countsPlacements {
 		return
 	}
-	if t.placedOf == nil {
-		t.placedOf = map[int]int{}
+	if r.placedOf == nil {
+		r.placedOf = map[int]int{}
 	}
-	t.placedOf[number]++
+	r.placedOf[number]++
 }
 
-// chooseFor gives the best executor for the next task of a group, past soft limits if it may exceed them.
-func (t *turn) chooseFor(group *Group, runs map[int]int, mayExceedLimits bool) *candidateState {
+// chooseFor returns the best executor for the next task of a group, or nil. If the group may exceed the soft limits, it tries first
+// within them.
+func (r *placementRound) chooseFor(group *Group, runs map[int]int, mayExceedLimits bool) *candidateState {
 	var best *candidateState
-	if !t.fitsNowhere(group) {
-		best = t.choose(search{group: group, runs: runs, limits: withSoftLimits})
+	if !r.fitsNowhere(group) {
+		best = r.choose(search{group: group, runs: runs, limits: withSoftLimits})
 	}
 	if best == nil && mayExceedLimits {
-		best = t.chooseAny(group, runs)
+		best = r.chooseIgnoringLimits(group, runs)
 	}
 	return best
 }
 
-// runsWithin counts the runs of a group by executor, those that a share has brought in this turn included; runs is what it gave before.
-func (t *turn) runsWithin(group *Group, number int, runs map[int]int) map[int]int {
+// runsByExecutor counts the runs of a group's step by executor, including those placed earlier in this round. runs is the result of an
+// earlier call, or nil.
+func (r *placementRound) runsByExecutor(group *Group, number int, runs map[int]int) map[int]int {
 	if group.AntiAffinity == 0 || runs != nil {
 		return runs
 	}
-	runs = runsOn(group)
-	if t.placedOf[number] == 0 {
+	runs = copyRuns(group)
+	if r.placedOf[number] == 0 {
 		return runs
 	}
-	for _, placed := range t.placed {
+	for _, placed := range r.placed {
 		if placed.Group == number {
 			runs[placed.Executor]++
 		}
@@ -127,29 +130,30 @@
 	return runs
 }
 
-// chooseAny gives the best executor for a first run, past all soft limits.
-func (t *turn) chooseAny(group *Group, runs map[int]int) *candidateState {
-	if t.missesPastLimits.covers(group) {
+// chooseIgnoringLimits returns the best executor for a first run, ignoring all soft limits, or nil.
+func (r *placementRound) chooseIgnoringLimits(group *Group, runs map[int]int) *candidateState {
+	if r.missesWithoutLimits.rulesOut(group) {
 		return nil
 	}
-	best := t.choose(search{group: group, runs: runs, limits: withoutSoftLimits})
+	best := r.choose(search{group: group, runs: runs, limits: withoutSoftLimits})
 	if best == nil {
-		t.missesPastLimits.note(group)
+		r.missesWithoutLimits.add(group)
 	}
 	return best
 }
 
-// handleFailure remembers that a task found no executor, and reserves one for it if it is large.
-func (t *turn) handleFailure(group *Group, allowance allowance) {
-	if !t.fitsNowhere(group) {
-		t.noteFailure(group)
+// handleFailure records that a task found no executor, and reserves one for it if the task is large.
+func (r *placementRound) handleFailure(group *Group, allowance allowance) {
+	if !r.fitsNowhere(group) {
+		r.recordMiss(group)
 	}
-	if !group.IsSpeculative && !group.IsLocalityRequired && t.openCount > 0 && !t.isOver && t.isLarge(group) && allowance.mayReserve() {
-		t.reserve(group)
+	if !group.IsSpeculative && !group.IsLocalityRequired && r.unreservedCount > 0 && !r.isExhausted && r.isLarge(group) && allowance.mayReserve() {
+		r.reserve(group)
 	}
 }
 
-func runsOn(group *Group) map[int]int {
+// copyRuns returns a copy of the group's runs by executor that may be changed.
+func copyRuns(group *Group) map[int]int {
 	runs := maps.Clone(group.RunsByExecutor)
 	if runs == nil {
 		runs = map[int]int{}
@@ -157,28 +161,28 @@
 	return runs
 }
 
-// take counts a run of the group on an executor.
-func (t *turn) take(group *Group, runs map[int]int, candidate *candidateState) {
+// allocate takes the capacity for one run of the group from an executor and counts the run.
+func (r *placementRound) allocate(group *Group, runs map[int]int, candidate *candidateState) {
 	candidate.free = candidate.free.Minus(group.Need)
-	candidate.added++
-	t.firstRunCPU -= group.Need.CPU
-	t.countForTenant(group, 1)
-	t.isLargestFreeStale = true
+	candidate.addedRuns++
+	r.firstRunCPU -= group.Need.CPU
+	r.countForTenant(group, 1)
+	r.isLargestFreeStale = true
 	if group.AntiAffinity > 0 {
 		runs[candidate.index]++
 	}
 }
 
-// choose gives the best of the executors that pass the filter, or nil.
-func (t *turn) choose(search search) *candidateState {
+// choose returns the executor with the lowest score among those that pass the filter, or nil.
+func (r *placementRound) choose(search search) *candidateState {
 	var best *candidateState
 	bestScore := 0.0
-	for number := range t.candidates {
-		candidate := &t.candidates[number]
-		if t.filter(search, candidate) != Suitable {
+	for number := range r.candidates {
+		candidate := &r.candidates[number]
+		if r.filter(search, candidate) != Suitable {
 			continue
 		}
-		score := scoreOf(search.group, &t.executors[candidate.index], candidate)
+		score := scoreOf(search.group, &r.executors[candidate.index], candidate)
 		if best == nil || score < bestScore {
 			best, bestScore = candidate, score
 		}
--- a/internal/scheduling/placement/placement_test.go
+++ b/internal/scheduling/placement/placement_test.go
@@ -26,7 +26,7 @@
 }
 
 var _ = Describe("placement", func() {
-	It("keeps a task near its data while it is to wait there, and keeps no room for it elsewhere", func() {
+	It("keeps a task near its data if locality is required, and reserves no executor elsewhere", func() {
 		near, large := group(3, 10), group(1, 10)
 		near.Locality, near.IsLocalityRequired, large.Due = []string{"r0"}, true, 1
 		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near, large}, placement.Limits{})
@@ -35,16 +35,16 @@
 		Expect(placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near, large}, placement.Limits{})).To(HaveLen(4))
 	})
 
-	It("takes what can be in time before what is late, and what is too late after all others", func() {
+	It("places on-time work before late work, and expired work last", func() {
 		late, soon := group(1, 10), group(1, 10)
 		late.Deadline, late.Due, soon.Due = placement.Late, 1, 2
 		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{late, soon}, placement.Limits{})).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
-		tooLate, lower := group(1, 10), group(1, 10)
-		tooLate.Deadline, lower.Priority = placement.Expired, 2
-		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{tooLate, lower}, placement.Limits{})).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
+		expired, lower := group(1, 10), group(1, 10)
+		expired.Deadline, lower.Priority = placement.Expired, 2
+		Expect(placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{expired, lower}, placement.Limits{})).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 	})
 
-	It("puts the urgent first, then what is due first", func() {
+	It("orders by priority, then by due time", func() {
 		late, soon, urgent := group(1, 10), group(1, 10), group(1, 10)
 		late.Priority, late.Due = 1, 200
 		soon.Priority, soon.Due = 1, 100
@@ -53,7 +53,7 @@
 		Expect(placed).To(Equal([]placement.Placement{{Group: 2, Executor: 0}, {Group: 1, Executor: 0}}))
 	})
 
-	It("prefers the rack of the data, and takes another rather than wait", func() {
+	It("prefers the rack of the data, and uses another rack when that is full", func() {
 		near := group(3, 10)
 		near.Locality = []string{"r1"}
 		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{near}, placement.Limits{})
@@ -61,7 +61,7 @@
 		Expect([]int{placed[0].Executor, placed[1].Executor}).To(ConsistOf(2, 3))
 	})
 
-	It("starts a gang whole or not at all, on one rack if it fits there", func() {
+	It("places a gang completely or not at all, on one rack if it fits there", func() {
 		gang := group(3, 10)
 		gang.IsGang, gang.SameRack = true, true
 		placed := placement.PlaceInAnyOrder(executors(4, 20), []*placement.Group{gang}, placement.Limits{})
@@ -73,7 +73,7 @@
 		Expect(placement.PlaceInAnyOrder(executors(4, 20), []*placement.Group{gang}, placement.Limits{})).To(BeEmpty())
 	})
 
-	It("keeps an executor for a large task that small ones would push aside for ever", func() {
+	It("reserves an executor for a large task that would starve behind small ones", func() {
 		large, small := group(1, 18), group(5, 4)
 		small.Due = 5
 		all := executors(2, 20)
@@ -84,7 +84,7 @@
 		}
 	})
 
-	It("lets long work of lower priority leave what the urgent asked for lately", func() {
+	It("limits long work of a priority to its remaining capacity, and not short work", func() {
 		long, short := group(4, 10), group(1, 10)
 		long.Priority, long.IsLong, short.Priority = 2, true, 2
 		remaining := map[int]placement.Resources{2: {CPU: 20, Memory: 1000}}
@@ -94,16 +94,16 @@
 		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, placement.Limits{Remaining: remaining})).To(HaveLen(1))
 	})
 
-	It("gives a spare run another executor, and only what is left over", func() {
-		spare, first := group(1, 10), group(1, 10)
-		spare.IsSpeculative, spare.Excluded = true, []bool{true}
+	It("places a speculative run on another executor, and only on speculative capacity", func() {
+		speculative, first := group(1, 10), group(1, 10)
+		speculative.IsSpeculative, speculative.Excluded = true, []bool{true}
 		first.Priority = 3
-		Expect(placement.PlaceInAnyOrder(executors(1, 20), []*placement.Group{spare}, placement.Limits{})).To(BeEmpty())
-		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{spare, first}, placement.Limits{})
+		Expect(placement.PlaceInAnyOrder(executors(1, 20), []*placement.Group{speculative}, placement.Limits{})).To(BeEmpty())
+		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{speculative, first}, placement.Limits{})
 		Expect(placed).To(Equal([]placement.Placement{{Group: 1, Executor: 0}}))
 	})
 
-	It("never goes beyond room, labels or anti-affinity, whatever is asked", func() {
+	It("respects capacity, labels and anti-affinity for random groups", func() {
 		draw := rand.New(rand.NewPCG(5, 5))
 		for range 2000 {
 			all := executors(1+draw.IntN(6), 20)
@@ -130,8 +130,8 @@
 				if groups[one.Group].Labels != nil {
 					Expect(all[one.Executor].Rack).To(Equal("r0"))
 				}
-				if apart := groups[one.Group].AntiAffinity; apart > 0 {
-					Expect(runs[one]).To(BeNumerically("<=", apart))
+				if limit := groups[one.Group].AntiAffinity; limit > 0 {
+					Expect(runs[one]).To(BeNumerically("<=", limit))
 				}
 			}
 			for index, cpu := range used {
@@ -155,7 +155,7 @@
 		Expect(placed).To(HaveLen(3))
 	})
 
-	It("starts the same tasks on the same executors as the plain way does", func() {
+	It("places the same tasks on the same executors as the reference implementation", func() {
 		draw := rand.New(rand.NewPCG(7, 7))
 		starts := 0
 		for range 4000 {
@@ -165,7 +165,7 @@
 			}
 			other, firstRunCPU, shares := maps.Clone(remaining), max(0, int64(draw.IntN(400))-200), drawShares(draw)
 			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Remaining: remaining, FirstRunCPU: firstRunCPU, Shares: shares})
-			Expect(placed).To(Equal(placement.PlaceByWalking(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRunCPU, Shares: shares})))
+			Expect(placed).To(Equal(placement.PlaceByReference(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRunCPU, Shares: shares})))
 			Expect(remaining).To(Equal(other))
 			starts += len(placed)
 		}
@@ -173,6 +173,7 @@
 	})
 })
 
+// drawPlacement generates executors, groups and, in half of the cases, remaining capacities by priority.
 func drawPlacement(draw *rand.Rand) ([]placement.Executor, []*placement.Group, map[int]placement.Resources) {
 	all := executors(1+draw.IntN(12), 20)
 	for index := range all {
@@ -198,7 +199,7 @@
 		placement.Background: {CPU: int64(draw.IntN(30)), Memory: 900}}
 }
 
-// drawShares keeps a little for some parts of the queue.
+// drawShares generates up to three small shares.
 func drawShares(draw *rand.Rand) []placement.Share {
 	var shares []placement.Share
 	for range draw.IntN(4) {
--- a/internal/scheduling/placement/reserve.go
+++ b/internal/scheduling/placement/reserve.go
@@ -2,14 +2,15 @@
 
 import "container/heap"
 
-// sizeClass is the executors of one total capacity that are open and not reserved: a heap with the emptiest on top.
+// sizeClass holds the executors of one total capacity that are neither closed nor reserved, in a heap with the emptiest on top.
 type sizeClass struct {
 	total      Resources
 	entries    []heapEntry
 	candidates []candidateState
 }
 
-// heapEntry is the CPU that was free on an executor when it was last looked at; a candidate may have less by now.
+// heapEntry is an executor with its free CPU when it was last read. A candidate may have less by now. candidate is its index in
+// sizeClass.candidates, or noCandidate for an executor that had no capacity when the round began.
 type heapEntry struct {
 	index     int
 	cpu       int64
@@ -26,18 +27,19 @@
 func (s *sizeClass) Less(a, b int) bool { return s.entries[a].isEmptierThan(s.entries[b]) }
 func (s *sizeClass) Swap(a, b int)      { s.entries[a], s.entries[b] = s.entries[b], s.entries[a] }
 
-// Push does nothing; heap.Interface asks for it, but executors are only put in before heap.Init.
+// Push does nothing. heap.Interface requires it, but executors are only added before heap.Init.
 func (s *sizeClass) Push(any) {}
 
-// Pop leaves the last executor where heap.Remove has moved it; take cuts it off.
+// Pop does nothing. heap.Remove has moved the removed executor to the end, and reserve truncates the slice.
 func (s *sizeClass) Pop() any { return nil }
 
+// suits reports whether an executor of this class can hold the need, and the need is large for it: more than a third of its CPU or memory.
 func (s *sizeClass) suits(need Resources) bool {
 	isLarge := 3*need.CPU > s.total.CPU || 3*need.Memory > s.total.Memory
 	return isLarge && len(s.entries) > 0 && s.total.Fits(need)
 }
 
-// emptiest brings up to date what lies on top until it is what it says.
+// emptiest returns the emptiest executor. It refreshes the entry on top of the heap until that entry is up to date.
 func (s *sizeClass) emptiest() heapEntry {
 	for {
 		top := &s.entries[0]
@@ -49,8 +51,8 @@
 	}
 }
 
-// take reserves an executor and removes it from the heap.
-func (s *sizeClass) take(number int) {
+// reserve reserves an executor and removes it from the heap.
+func (s *sizeClass) reserve(number int) {
 	if one := s.entries[number].candidate; one != noCandidate {
 		s.candidates[one].isReserved = true
 	}
@@ -58,7 +60,8 @@
 	s.entries = s.entries[:len(s.entries)-1]
 }
 
-// emptiestFor finds the emptiest executor that a group with labels, or with executors excluded, may use at all.
+// emptiestFor returns the emptiest executor that has the group's labels and is not excluded, and its position in the heap, which is -1
+// if there is none.
 func (s *sizeClass) emptiestFor(group *Group, executors []Executor) (emptiest heapEntry, number int) {
 	number = -1
 	for index, entry := range s.entries {
@@ -73,7 +76,8 @@
 	return emptiest, number
 }
 
-// findEmptiest gives the emptiest executor of this size that a group may use, by its number in the heap.
+// findEmptiest returns the emptiest executor of this class that a group may use, and its position in the heap, which is -1 if there is
+// none.
 func (s *sizeClass) findEmptiest(group *Group, executors []Executor) (emptiest heapEntry, number int) {
 	if len(group.Labels) == 0 && group.Excluded == nil {
 		return s.emptiest(), 0
@@ -81,59 +85,60 @@
 	return s.emptiestFor(group, executors)
 }
 
-// isLarge tells whether a group's tasks may be too large to find room between small ones.
-func (t *turn) isLarge(group *Group) bool {
-	return 3*group.Need.CPU > t.smallestTotal.CPU || 3*group.Need.Memory > t.smallestTotal.Memory
+// isLarge reports whether the group's tasks may starve behind small ones: they need more than a third of the smallest executor's CPU
+// or memory.
+func (r *placementRound) isLarge(group *Group) bool {
+	return 3*group.Need.CPU > r.smallestTotal.CPU || 3*group.Need.Memory > r.smallestTotal.Memory
 }
 
-// reserve keeps the emptiest executor for a large task, so that it does not starve behind small later ones. One that
-// the task can't use is left to others.
-func (t *turn) reserve(group *Group) {
-	if t.sizeClasses == nil {
-		t.sizeClasses = t.bySizeClass()
+// reserve reserves the emptiest executor for a large task, so that the task does not starve behind small later ones. Executors that
+// the task can't use are never reserved for it.
+func (r *placementRound) reserve(group *Group) {
+	if r.sizeClasses == nil {
+		r.sizeClasses = r.groupBySizeClass()
 	}
 	var emptiest heapEntry
 	var chosen *sizeClass
 	var inHeap int
-	for _, class := range t.sizeClasses {
+	for _, class := range r.sizeClasses {
 		if !class.suits(group.Need) {
 			continue
 		}
-		if top, number := class.findEmptiest(group, t.executors); number >= 0 && (chosen == nil || top.isEmptierThan(emptiest)) {
+		if top, number := class.findEmptiest(group, r.executors); number >= 0 && (chosen == nil || top.isEmptierThan(emptiest)) {
 			emptiest, chosen, inHeap = top, class, number
 		}
 	}
 	if chosen == nil {
 		return
 	}
-	chosen.take(inHeap)
-	t.openCount--
-	t.isLargestFreeStale = true
+	chosen.reserve(inHeap)
+	r.unreservedCount--
+	r.isLargestFreeStale = true
 }
 
-// bySizeClass groups the executors by their total capacity, each class as a heap ordered by free capacity.
-func (t *turn) bySizeClass() []*sizeClass {
+// groupBySizeClass groups the executors by their total capacity and orders each class as a heap by free CPU.
+func (r *placementRound) groupBySizeClass() []*sizeClass {
 	sizes := []*sizeClass{}
 	known := map[Resources]*sizeClass{}
 	next := 0
-	for index := range t.executors {
-		executor := &t.executors[index]
-		isCandidate := next < len(t.candidates) && t.candidates[next].index == index
+	for index := range r.executors {
+		executor := &r.executors[index]
+		isCandidate := next < len(r.candidates) && r.candidates[next].index == index
 		if isCandidate {
 			next++
 		}
-		if executor.isShut() {
+		if executor.isClosed() {
 			continue
 		}
 		class := known[executor.Total]
 		if class == nil {
-			class = &sizeClass{total: executor.Total, candidates: t.candidates}
+			class = &sizeClass{total: executor.Total, candidates: r.candidates}
 			known[executor.Total] = class
 			sizes = append(sizes, class)
 		}
 		entry := heapEntry{index, executor.Free.CPU, noCandidate}
 		if isCandidate {
-			entry.candidate, entry.cpu = next-1, t.candidates[next-1].free.CPU
+			entry.candidate, entry.cpu = next-1, r.candidates[next-1].free.CPU
 		}
 		class.entries = append(class.entries, entry)
 	}
--- a/internal/scheduling/placement/resources.go
+++ b/internal/scheduling/placement/resources.go
@@ -1,39 +1,39 @@
 package placement
 
-// Resources is an amount of resources: CPU units, memory in MB, and GPUs.
+// Resources is an amount of resources: CPU in thousandths of a core, memory in MB, and the number of GPUs.
 type Resources struct{ CPU, Memory, GPU int64 }
 
-// Fits tells whether the need is no more than these in each resource.
+// Fits reports whether need is at most r in each resource.
 func (r Resources) Fits(need Resources) bool {
 	return need.CPU <= r.CPU && need.Memory <= r.Memory && need.GPU <= r.GPU
 }
 
-// Minus subtracts resource by resource; the result may be negative.
+// Minus subtracts each resource. The result may be negative.
 func (r Resources) Minus(need Resources) Resources {
 	return Resources{r.CPU - need.CPU, r.Memory - need.Memory, r.GPU - need.GPU}
 }
 
-// Plus adds resource by resource.
+// Plus adds each resource.
 func (r Resources) Plus(need Resources) Resources {
 	return Resources{r.CPU + need.CPU, r.Memory + need.Memory, r.GPU + need.GPU}
 }
 
-// Times multiplies each resource, rounded towards zero.
+// Times multiplies each resource by a factor, rounding towards zero.
 func (r Resources) Times(factor float64) Resources {
 	return Resources{int64(float64(r.CPU) * factor), int64(float64(r.Memory) * factor), int64(float64(r.GPU) * factor)}
 }
 
-// Max is the larger of the two in each resource.
+// Max returns the larger amount of each resource.
 func (r Resources) Max(other Resources) Resources {
 	return Resources{max(r.CPU, other.CPU), max(r.Memory, other.Memory), max(r.GPU, other.GPU)}
 }
 
-// Min is the smaller of the two in each resource.
+// Min returns the smaller amount of each resource.
 func (r Resources) Min(other Resources) Resources {
 	return Resources{min(r.CPU, other.CPU), min(r.Memory, other.Memory), min(r.GPU, other.GPU)}
 }
 
-// PartOf is the part that these are of a total, in the resource of which they are the larger part; 0 if there is none of it.
+// DominantShareOf returns the larger of the shares of CPU and of memory that r has in a total. A resource with a total of 0 is left out.
 func (r Resources) PartOf(total Resources) float64 {
 	part := 0.0
 	if total.CPU > 0 {
@@ -45,8 +45,8 @@
 	return part
 }
 
-// slots is how often a need fits, counted no further than most.
-func (r Resources) slots(need Resources, limit int64) int64 {
+// countSlots returns how many times a need fits, up to limit.
+func (r Resources) countSlots(need Resources, limit int64) int64 {
 	if !r.Fits(need) {
 		return 0
 	}
--- a/internal/scheduling/placement/score.go
+++ b/internal/scheduling/placement/score.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The weights of a score. Health goes before locality, and locality before tight filling; avoided executors come last.
+// The weights of a score. Health counts more than locality, and locality more than tight packing. Avoided executors come last.
 const (
 	penaltyWeight = 10
 	remoteScore   = 5
@@ -10,7 +10,7 @@
 	avoidedScore  = 20
 )
 
-// scoreOf is lower for better executors.
+// scoreOf returns the score of an executor for a group; the lowest score wins.
 func scoreOf(group *Group, executor *Executor, candidate *candidateState) float64 {
 	score := fitScore(executor, candidate.free, group)
 	if slices.Contains(group.Avoided, candidate.index) {
@@ -19,7 +19,8 @@
 	return score
 }
 
-// fitScore is lower for executors that suit a group better: sound ones first, then near the data, then tightly filled.
+// fitScore returns the score without avoided executors. It prefers healthy executors, then those near the data, then those that the
+// task fills most tightly.
 func fitScore(executor *Executor, free Resources, group *Group) float64 {
 	score := executor.Penalty * penaltyWeight
 	if len(group.Locality) > 0 && !IsLocal(executor.Labels, group.Locality) {
--- a/internal/scheduling/placement/section_test.go
+++ b/internal/scheduling/placement/section_test.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-var _ = Describe("the order of the queue", func() {
+var _ = Describe("the queue order", func() {
 	with := func(priority int, deadline placement.DeadlineClass, change func(*placement.Group)) *placement.Group {
 		one := group(1, 10)
 		one.Priority, one.Deadline, one.RemainingTenths = priority, deadline, 10
@@ -17,30 +17,30 @@
 		return one
 	}
 	isLong := func(one *placement.Group) { one.IsLong = true }
-	// winner is the one that gets the only place there is.
+	// winner returns the index of the group that gets the only free executor.
 	winner := func(groups ...*placement.Group) int {
 		placed := placement.PlaceInAnyOrder(executors(1, 10), groups, placement.Limits{})
 		Expect(placed).To(HaveLen(1))
 		return placed[0].Group
 	}
 
-	It("puts work that is on time before late work of a more urgent queue", func() {
+	It("places on-time work before late work of a more urgent priority", func() {
 		Expect(winner(with(0, placement.Late, nil), with(2, placement.OnTime, nil))).To(Equal(1))
 	})
 
-	It("does not let long work pass late work of a more urgent queue, unless it is of the most urgent itself", func() {
+	It("places long on-time work after late work of a more urgent priority, unless its own priority is the most urgent", func() {
 		Expect(winner(with(1, placement.OnTime, isLong), with(0, placement.Late, nil))).To(Equal(1))
 		Expect(winner(with(1, placement.Late, nil), with(1, placement.OnTime, isLong))).To(Equal(1))
 		Expect(winner(with(1, placement.OnTime, nil), with(0, placement.OnTime, isLong))).To(Equal(1))
 	})
 
-	It("puts expired work last, the oldest first, whatever its priority", func() {
+	It("places expired work last, oldest first, regardless of priority", func() {
 		older := func(one *placement.Group) { one.Due = -1 }
 		Expect(winner(with(0, placement.Expired, nil), with(2, placement.Late, isLong))).To(Equal(1))
 		Expect(winner(with(0, placement.Expired, nil), with(2, placement.Expired, older))).To(Equal(1))
 	})
 
-	It("finishes what has been begun before it begins anything that is due earlier", func() {
+	It("places started jobs before unstarted ones that are due earlier, within a priority", func() {
 		begun := func(one *placement.Group) { one.RemainingTenths, one.Due = 9, 5 }
 		Expect(winner(with(1, placement.OnTime, nil), with(1, placement.OnTime, begun))).To(Equal(1))
 		Expect(winner(with(0, placement.OnTime, nil), with(1, placement.OnTime, begun))).To(Equal(0))
@@ -60,7 +60,7 @@
 	}
 	share := placement.Share{Priority: 1, Deadline: placement.OnTime, Resources: placement.Resources{CPU: 15, Memory: 1000}, Reservations: 1}
 
-	It("goes to its part of the queue before all that is more urgent, and no further than one run beyond it", func() {
+	It("is placed before more urgent groups, and is exceeded by at most one run", func() {
 		placed := placement.PlaceInAnyOrder(executors(5, 10), []*placement.Group{urgent(), lower(5, 10)}, placement.Limits{Shares: []placement.Share{share}})
 		Expect(placed).To(HaveLen(5))
 		for index, one := range placed {
@@ -69,15 +69,15 @@
 		}
 	})
 
-	It("passes over what can wait", func() {
-		patient, pressed := lower(1, 10), lower(1, 10)
-		patient.CanWait, pressed.Due = true, 2
-		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{urgent(), patient, pressed}, placement.Limits{Shares: []placement.Share{share}})
+	It("skips groups that can wait", func() {
+		patient, impatient := lower(1, 10), lower(1, 10)
+		patient.CanWait, impatient.Due = true, 2
+		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{urgent(), patient, impatient}, placement.Limits{Shares: []placement.Share{share}})
 		Expect(placed).To(HaveLen(1))
 		Expect(placed[0].Group).To(Equal(2))
 	})
 
-	It("reserves an executor for a large task that finds none, and no more than it may", func() {
+	It("reserves an executor for a large task that finds none, up to its limit of reservations", func() {
 		all := executors(3, 10)
 		for index := range all {
 			all[index].Free.CPU = 6
@@ -88,10 +88,10 @@
 		Expect(placed).To(HaveLen(2))
 	})
 
-	It("is bound by labels and anti-affinity as all else is, over both its passes", func() {
-		apart := lower(9, 1)
-		apart.AntiAffinity, apart.Labels = 1, []string{"r0"}
-		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{apart}, placement.Limits{Shares: []placement.Share{
+	It("respects labels and anti-affinity, also together with the pass over the whole queue", func() {
+		spread := lower(9, 1)
+		spread.AntiAffinity, spread.Labels = 1, []string{"r0"}
+		placed := placement.PlaceInAnyOrder(executors(4, 10), []*placement.Group{spread}, placement.Limits{Shares: []placement.Share{
 			{Priority: 1, Deadline: placement.OnTime, Resources: placement.Resources{CPU: 1, Memory: 1000}}}})
 		Expect(placed).To(HaveLen(2))
 		Expect(placed[0].Executor).NotTo(Equal(placed[1].Executor))
--- a/internal/scheduling/placement/share.go
+++ b/internal/scheduling/placement/share.go
@@ -1,38 +1,39 @@
 package placement
 
-// placeShares gives parts of the queue what is kept for them, whatever stands before them in the queue.
-func (t *turn) placeShares(groups []*Group, limits Limits) {
+// placeShares places the groups of each share from its capacity, regardless of groups that come earlier in the queue.
+func (r *placementRound) placeShares(groups []*Group, limits Limits) {
 	for _, share := range limits.Shares {
-		open := &openShare{Share: share}
+		balance := &shareBalance{Share: share}
 		for _, section := range share.sections() {
-			from, to := indicesOf(groups, section)
-			t.placeShare(groups[:to], from, limits.Remaining, open)
+			from, to := sectionBounds(groups, section)
+			r.placeShare(groups[:to], from, limits.Remaining, balance)
 		}
 	}
 }
 
-// maxShareFailures bounds how many groups of a share are tried in vain in one turn.
+// maxShareFailures is how many groups of a share may find no executor in one round before the share gives up.
 const maxShareFailures = 8
 
-// openShare is what is left of a share, and how many of its groups found no executor.
-type openShare struct {
+// shareBalance is the remaining capacity of a share, and the number of its groups that found no executor.
+type shareBalance struct {
 	Share
 	failures int
 }
 
-// isSpent tells whether nothing is left of a share, or nothing of it finds an executor.
-func (s *openShare) isSpent() bool {
+// isSpent reports whether the share is used up, or too many of its groups found no executor.
+func (s *shareBalance) isSpent() bool {
 	return s.Resources.CPU <= 0 || s.Resources.Memory <= 0 || s.failures >= maxShareFailures
 }
 
-// placeShare places groups from an index on that can't wait, until the share is spent, which is the only limit here.
-func (t *turn) placeShare(groups []*Group, from int, remaining map[int]Resources, share *openShare) {
-	for index := from; index < len(groups) && !t.isOver && !share.isSpent(); index++ {
+// placeShare places the groups from an index on that can't wait, until the share is spent. The remaining capacity of the priority does
+// not limit it.
+func (r *placementRound) placeShare(groups []*Group, from int, remaining map[int]Resources, share *shareBalance) {
+	for index := from; index < len(groups) && !r.isExhausted && !share.isSpent(); index++ {
 		if groups[index].CanWait {
 			continue
 		}
 		allowance := allowanceOf(remaining, groups[index])
-		allowance.share, allowance.isBound = share, false
-		t.placeGroup(groups[index], index, allowance)
+		allowance.share, allowance.hasLimit = share, false
+		r.placeGroup(groups[index], index, allowance)
 	}
 }
--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -2,31 +2,31 @@
 
 import "math"
 
-// Unlimited is the limit of a resource of which a tenant may have any amount.
+// Unlimited is the limit of a resource that is not limited.
 const Unlimited = math.MaxInt64
 
-// Tenant is what one tenant has and may have. Groups name it by its index in Limits.Tenants; index 0 is that of work without a tenant.
+// Tenant is the usage and the limits of one tenant. Groups refer to it by its index in Limits.Tenants; index 0 is work without a tenant.
 type Tenant struct {
-	// Allocated is what its runs take, also those that are being stopped or whose start is in doubt.
+	// Allocated is what its runs use, including those that are stopping and those whose start is not confirmed.
 	Allocated Resources
-	// Limit is what it may have running at once.
+	// Limit is how much it may have running at once.
 	Limit Resources
-	// MayOverhang tells that nobody else starts anything under the same limit, so that one task that is too large may reach beyond it.
+	// MayOverhang means that no other pool starts runs under the same limit, so that one task that is too large may exceed it.
 	MayOverhang bool
-	// LongAllocated is what its long work takes, and LongLimit a soft limit of that, so that its urgent work finds room within Limit.
+	// LongAllocated is what its long work uses, and LongLimit is a soft limit for that, which leaves capacity for its urgent work within Limit.
 	LongAllocated, LongLimit Resources
-	// Share is its part of all capacity, in proportion to the weights of all tenants that have work.
+	// Share is its part of the total capacity, in proportion to the weights of all tenants that have work.
 	Share Resources
-	// IsAboveShare tells that it had more than its share when the turn began.
+	// IsAboveShare means that it has more than its share, or would have with one more run of the group that it placed last.
 	IsAboveShare bool
 }
 
 // NoLimit is the limit of a tenant that has none.
 var NoLimit = Resources{CPU: Unlimited, Memory: Unlimited, GPU: Unlimited}
 
-// Admits tells whether the tenant may have so many more runs of a need: all within its limit, or with MayOverhang one run that is too
-// large for what is left of it while no more than half of it is taken. More than this one run never reaches beyond the limit: runs may
-// start in another order than they were placed in, and a small one that starts last must not be the one that is too much.
+// Admits reports whether the tenant may have count more runs of a need. All must be within its limit. With MayOverhang, a single run
+// may exceed the limit while at most half of the limit is in use. No more than one run ever exceeds it: runs may start in another order
+// than they were placed in, and a small run that starts last must not be the one that exceeds it.
 func (t *Tenant) Admits(need Resources, count int) bool {
 	if fitsLimit(need, t.Allocated.Plus(need.Times(float64(count))), t.Limit) {
 		return true
@@ -34,16 +34,17 @@
 	return count == 1 && t.MayOverhang && fitsLimit(need, t.Allocated.Plus(t.Allocated), t.Limit)
 }
 
-// fitsLimit tells whether an amount is within a limit in each resource that is needed.
+// fitsLimit reports whether an amount is within a limit in each resource of which something is needed.
 func fitsLimit(need, amount, limit Resources) bool {
 	return (need.CPU <= 0 || amount.CPU <= limit.CPU) && (need.Memory <= 0 || amount.Memory <= limit.Memory) && (need.GPU <= 0 || amount.GPU <= limit.GPU)
 }
 
-// LeavesRoom tells whether the group is long work that has to leave room for what is more urgent. Work that lasts doesn't, as it is to
-// run at every moment.
+// LeavesRoom reports whether the group is long work that must leave capacity for more urgent work. Work of the most urgent priority is
+// exempt, and so is lasting work, which must be running at all times.
 func (g *Group) LeavesRoom() bool { return g.IsLong && !g.IsLasting && g.Priority != mostUrgent }
 
-// admitsLong tells whether the tenant's long work may have so many more runs; the last one may reach beyond the soft limit.
+// admitsLong reports whether the tenant's long work may have count more runs. The last one may exceed the soft limit, and the first
+// ones are always admitted while no long work runs.
 func (t *Tenant) admitsLong(need Resources, count int) bool {
 	if t.LongAllocated == (Resources{}) {
 		return true
@@ -52,38 +53,39 @@
 	return fitsLimit(need, before, t.LongLimit)
 }
 
-// isWithinShare tells whether one more run of a need leaves the tenant within its share of each resource, or begins from nothing.
+// isWithinShare reports whether the tenant stays within its share of each resource with one more run of a need. A tenant that has
+// nothing running always does.
 func (t *Tenant) isWithinShare(need Resources) bool {
 	after := t.Allocated.Plus(need)
 	return t.Allocated == Resources{} || t.Share.Fits(after)
 }
 
-// tenantOf gives the tenant of a group, nil if nothing limits it.
-func (t *turn) tenantOf(group *Group) *Tenant {
-	if group.Tenant <= 0 || group.Tenant >= len(t.tenants) {
+// tenantOf returns the tenant of a group, or nil if the group has no tenant.
+func (r *placementRound) tenantOf(group *Group) *Tenant {
+	if group.Tenant <= 0 || group.Tenant >= len(r.tenants) {
 		return nil
 	}
-	return &t.tenants[group.Tenant]
+	return &r.tenants[group.Tenant]
 }
 
-// isTenantAtLimit tells whether the tenant of a group may not have so many more of its runs: never past its limit, and in the first
-// pass over a queue in which tenants compete not past its share.
-func (t *turn) isTenantAtLimit(group *Group, count int) bool {
-	tenant := t.tenantOf(group)
+// isTenantAtLimit reports whether limits forbid count more runs of a group to its tenant. The hard limit always applies, the soft limit
+// applies to long work, and the share only in the pass within shares.
+func (r *placementRound) isTenantAtLimit(group *Group, count int) bool {
+	tenant := r.tenantOf(group)
 	switch {
 	case tenant == nil:
 		return false
 	case !tenant.Admits(group.Need, count):
 		return true
-	case group.LeavesRoom() && !t.mayExceedLimits(group) && !tenant.admitsLong(group.Need, count):
+	case group.LeavesRoom() && !r.mayExceedLimits(group) && !tenant.admitsLong(group.Need, count):
 		return true
 	}
-	return t.isWithinShares && tenant.IsAboveShare
+	return r.keepsToShares && tenant.IsAboveShare
 }
 
-// countForTenant counts runs of a group for its tenant.
-func (t *turn) countForTenant(group *Group, count int) {
-	tenant := t.tenantOf(group)
+// countForTenant adds runs of a group to its tenant's usage; a negative count removes them.
+func (r *placementRound) countForTenant(group *Group, count int) {
+	tenant := r.tenantOf(group)
 	if tenant == nil {
 		return
 	}
@@ -94,10 +96,10 @@
 	tenant.IsAboveShare = !tenant.isWithinShare(group.Need)
 }
 
-// hasTenantAboveShare tells whether any tenant has more than its share, so that others are to go first.
-func (t *turn) hasTenantAboveShare() bool {
-	for index := range t.tenants {
-		if t.tenants[index].IsAboveShare {
+// hasTenantAboveShare reports whether any tenant has more than its share, so that the others must be placed first.
+func (r *placementRound) hasTenantAboveShare() bool {
+	for index := range r.tenants {
+		if r.tenants[index].IsAboveShare {
 			return true
 		}
 	}
--- a/internal/scheduling/placement/tenant_test.go
+++ b/internal/scheduling/placement/tenant_test.go
@@ -24,7 +24,7 @@
 		limit.CPU = cpu
 		return placement.Tenant{Limit: limit, LongLimit: placement.NoLimit, Share: placement.NoLimit}
 	}
-	// startsOf counts the starts of each tenant.
+	// startsOf counts the placements of each tenant.
 	startsOf := func(groups []*placement.Group, placed []placement.Placement) map[int]int {
 		counts := map[int]int{}
 		for _, start := range placed {
@@ -37,12 +37,12 @@
 		return startsOf(groups, placement.PlaceInAnyOrder(executors(2), groups, limits))
 	}
 
-	It("have no more running than their limit, with room free, and leave the rest to others", func() {
+	It("stay within their limits while capacity is free, and leave the rest to others", func() {
 		groups := []*placement.Group{{Need: one, Count: 20, Tenant: 1, IsIdle: true}, {Need: one, Count: 20, Tenant: 2, Due: 1}, {Need: one, Count: 3, Due: 2}}
 		Expect(place(groups, limited(4000), limited(6500))).To(Equal(map[int]int{1: 4, 2: 6, 0: 3}))
 	})
 
-	It("reach beyond the limit with one run that is too large, while half of it is free and nobody else starts under it", func() {
+	It("exceed their limit with one oversized run if half of the limit is free and no other pool starts runs under it", func() {
 		sole := limited(4500)
 		sole.MayOverhang = true
 		Expect(place([]*placement.Group{{Need: one, Count: 20, Tenant: 1}}, sole)).To(Equal(map[int]int{1: 4}))
@@ -57,18 +57,18 @@
 		Expect(place(large, tiny)).To(Equal(map[int]int{1: 1}))
 	})
 
-	It("start a gang whole within the limit or not at all", func() {
+	It("start a gang completely within the limit or not at all", func() {
 		gang := []*placement.Group{{Need: one, Count: 5, IsGang: true, Tenant: 1, IsIdle: true}}
 		Expect(place(gang, limited(4000))).To(BeEmpty())
 		Expect(place(gang, limited(5000))).To(Equal(map[int]int{1: 5}))
 	})
 
-	It("give back what a gang took that found no room", func() {
+	It("release the usage of a gang that could not be placed", func() {
 		groups := []*placement.Group{{Need: one, Count: 3, IsGang: true, AntiAffinity: 1, Tenant: 1}, {Need: one, Count: 9, Tenant: 1, Due: 1}}
 		Expect(place(groups, limited(4000))).To(Equal(map[int]int{1: 4}))
 	})
 
-	It("leave room within their limit for urgent work, unless nothing of the long work runs", func() {
+	It("leave capacity within their limit for urgent work, unless none of their long work runs", func() {
 		tenant := limited(10000)
 		tenant.Allocated, tenant.LongAllocated = one.Times(4), one.Times(4)
 		tenant.LongLimit.CPU = 6000
@@ -79,7 +79,7 @@
 		Expect(place(gang, tenant)).To(Equal(map[int]int{1: 9}))
 	})
 
-	It("that have more than their share come after the others, and take what is left over", func() {
+	It("that have more than their share are placed after the others, on spare capacity", func() {
 		loud, quiet := limited(placement.Unlimited), limited(placement.Unlimited)
 		loud.Share, quiet.Share = one.Times(16), one.Times(16)
 		loud.Allocated, loud.IsAboveShare = one.Times(20), true
@@ -87,7 +87,7 @@
 		Expect(place(groups, loud, quiet)).To(Equal(map[int]int{2: 10, 1: 22}))
 	})
 
-	It("are never past a limit and never kept from room that they may use, whatever the fleet", func() {
+	It("never exceed a limit, and are never denied free capacity within it, on random fleets", func() {
 		random := rand.New(rand.NewPCG(19, 1))
 		for range 300 {
 			var groups []*placement.Group
--- a/internal/scheduling/placement/turn.go
+++ b/internal/scheduling/placement/turn.go
@@ -2,99 +2,106 @@
 
 import "slices"
 
-// turn is one placement under way. Capacity only shrinks while it lasts, so what found none once finds none later,
-// and only executors with capacity for the least need of all can be chosen. Gangs may use reserved executors, others not.
-type turn struct {
-	executors          []Executor
-	minNeed            Resources
-	candidates         []candidateState
-	sizeClasses        []*sizeClass
-	openCount          int
+// placementRound is the state of one call of Place. Capacity only shrinks during a round, so a group that found no executor finds none
+// later, and only executors with capacity for MinNeed can be chosen. Only gangs may use reserved executors.
+type placementRound struct {
+	executors  []Executor
+	minNeed    Resources
+	candidates []candidateState
+	// sizeClasses is nil until the first reservation.
+	sizeClasses []*sizeClass
+	// unreservedCount is the number of executors that are neither closed nor reserved.
+	unreservedCount int
+	// largestFree is an upper bound, in each resource, of the free capacity for single tasks. It is exact unless isLargestFreeStale.
 	largestFree        Resources
 	isLargestFreeStale bool
-	isOver             bool
-	misses             misses
-	missesPastLimits   misses
-	firstRunCPU        int64
-	tenants            []Tenant
-	// isWithinShares keeps tenants to their shares while others may want what is left.
-	isWithinShares bool
-	// countsPlaced has placedOf count all that is placed, as the queue is gone through once more.
-	countsPlaced bool
-	// hasFailed are the numbers of the groups that found no executor within shares.
-	hasFailed     map[int]bool
+	// isExhausted means that no executor has capacity for MinNeed, so that the round ends.
+	isExhausted bool
+	// misses are needs that found no executor within the soft limits, missesWithoutLimits those that found none without them.
+	misses              misses
+	missesWithoutLimits misses
+	// firstRunCPU is the CPU that may still be placed before first runs have to respect the soft limits.
+	firstRunCPU int64
+	tenants     []Tenant
+	// keepsToShares is set during the first pass, in which no tenant exceeds its share.
+	keepsToShares bool
+	// countsPlacements is set if there are two passes over the queue, so that placedOf has to count all placements.
+	countsPlacements bool
+	// failedGroups holds the numbers of the groups that found no executor in the first pass.
+	failedGroups  map[int]bool
 	hasLasting    bool
 	smallestTotal Resources
 	placed        []Placement
-	// placedOf counts, by their number, what was placed of the groups that the turn comes back to.
+	// placedOf counts placements by group number, for the groups that the round comes back to.
 	placedOf map[int]int
 }
 
-// candidateState is an executor that had capacity when the turn began, and what it has now.
+// candidateState is an executor that had capacity when the round began, with its free capacity and the runs added to it since.
 type candidateState struct {
 	index      int
 	free       Resources
 	isReserved bool
-	added      int
+	addedRuns  int
 }
 
-// newTurn gathers the executors that can still take a run.
-func newTurn(executors []Executor, queue Queue, limits Limits) *turn {
-	t := &turn{executors: executors, minNeed: queue.MinNeed, firstRunCPU: limits.FirstRunCPU, tenants: slices.Clone(limits.Tenants)}
-	t.hasLasting = slices.ContainsFunc(queue.Groups, func(group *Group) bool { return group.IsLasting })
+// newRound collects the executors that have capacity for at least MinNeed.
+func newRound(executors []Executor, queue Queue, limits Limits) *placementRound {
+	r := &placementRound{executors: executors, minNeed: queue.MinNeed, firstRunCPU: limits.FirstRunCPU, tenants: slices.Clone(limits.Tenants)}
+	r.hasLasting = slices.ContainsFunc(queue.Groups, func(group *Group) bool { return group.IsLasting })
 	for index := range executors {
 		executor := &executors[index]
 		if executor.IsUnschedulable {
 			continue
 		}
-		if !executor.isShut() {
-			if t.openCount == 0 {
-				t.smallestTotal = executor.Total
+		if !executor.isClosed() {
+			if r.unreservedCount == 0 {
+				r.smallestTotal = executor.Total
 			}
-			t.smallestTotal = t.smallestTotal.Min(executor.Total)
-			t.openCount++
+			r.smallestTotal = r.smallestTotal.Min(executor.Total)
+			r.unreservedCount++
 		}
-		if executor.Free.Fits(t.minNeed) {
-			t.candidates = append(t.candidates, candidateState{index: index, free: executor.Free})
+		if executor.Free.Fits(r.minNeed) {
+			r.candidates = append(r.candidates, candidateState{index: index, free: executor.Free})
 		}
 	}
-	t.measure()
-	return t
+	r.updateLargestFree()
+	return r
 }
 
-// measure works out the most capacity that any executor has for single tasks; it is too much once something was placed.
-// It also finds out when no executor, reserved or not, has capacity for anything.
-func (t *turn) measure() {
-	t.largestFree, t.isLargestFreeStale, t.isOver = Resources{CPU: -1, Memory: -1, GPU: -1}, false, true
-	for index := range t.candidates {
-		candidate := &t.candidates[index]
-		isAtLimit := t.isAtRunLimit(candidate)
-		if isAtLimit && t.firstRunCPU <= 0 && !t.hasLasting {
+// updateLargestFree computes largestFree, which becomes stale with the next placement. It also ends the round when no executor,
+// reserved or not, has capacity for anything.
+func (r *placementRound) updateLargestFree() {
+	r.largestFree, r.isLargestFreeStale, r.isExhausted = Resources{CPU: -1, Memory: -1, GPU: -1}, false, true
+	for index := range r.candidates {
+		candidate := &r.candidates[index]
+		isAtLimit := r.isAtRunLimit(candidate)
+		if isAtLimit && r.firstRunCPU <= 0 && !r.hasLasting {
 			continue
 		}
-		t.isOver = t.isOver && !candidate.free.Fits(t.minNeed)
+		r.isExhausted = r.isExhausted && !candidate.free.Fits(r.minNeed)
 		if !candidate.isReserved && !isAtLimit {
-			t.largestFree = t.largestFree.Max(candidate.free)
+			r.largestFree = r.largestFree.Max(candidate.free)
 		}
 	}
 }
 
-// mayExceedLimits tells whether soft limits give way to a group, as far as nothing of its step runs, or its tasks last.
-func (t *turn) mayExceedLimits(group *Group) bool {
-	return group.IsIdle && !group.IsSpeculative && (group.IsLasting || t.firstRunCPU > 0)
+// mayExceedLimits reports whether a group may exceed the soft limits with its first run: nothing of its step runs, and it is lasting
+// work or FirstRunCPU is not used up.
+func (r *placementRound) mayExceedLimits(group *Group) bool {
+	return group.IsIdle && !group.IsSpeculative && (group.IsLasting || r.firstRunCPU > 0)
 }
 
-// fitsNowhere rejects at once a single task that certainly fits nowhere.
-func (t *turn) fitsNowhere(group *Group) bool {
-	return t.openCount == 0 || !t.largestFree.Fits(group.Need) || t.misses.covers(group)
+// fitsNowhere reports whether a single task certainly fits nowhere within the soft limits, without a search.
+func (r *placementRound) fitsNowhere(group *Group) bool {
+	return r.unreservedCount == 0 || !r.largestFree.Fits(group.Need) || r.misses.rulesOut(group)
 }
 
-// noteFailure remembers a need that fits nowhere.
-func (t *turn) noteFailure(group *Group) {
-	if t.isLargestFreeStale {
-		t.measure()
+// recordMiss records a need that fits nowhere, unless a fresh largestFree rules it out already.
+func (r *placementRound) recordMiss(group *Group) {
+	if r.isLargestFreeStale {
+		r.updateLargestFree()
 	}
-	if !t.fitsNowhere(group) {
-		t.misses.note(group)
+	if !r.fitsNowhere(group) {
+		r.misses.add(group)
 	}
 }
