--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -11,8 +11,8 @@
 	Allocated Resources
 	// Limit is how much it may have running at once.
 	Limit Resources
-	// MayOverhang means that no other pool starts runs under the same limit, so that one task that is too large may exceed it.
-	MayOverhang bool
+	// MayOvershoot means that no other pool starts runs under the same limit, so that one task that is too large may exceed it.
+	MayOvershoot bool
 	// LongAllocated is what its long work uses, and LongLimit is a soft limit for that, which leaves capacity for its urgent work within Limit.
 	LongAllocated, LongLimit Resources
 	// Share is its part of the total capacity, in proportion to the weights of all tenants that have work.
@@ -24,14 +24,14 @@
 // NoLimit is the limit of a tenant that has none.
 var NoLimit = Resources{CPU: Unlimited, Memory: Unlimited, GPU: Unlimited}
 
-// Admits reports whether the tenant may have count more runs of a need. All must be within its limit. With MayOverhang, a single run
+// Admits reports whether the tenant may have count more runs of a need. All must be within its limit. With MayOvershoot, a single run
 // may exceed the limit while at most half of the limit is in use. No more than one run ever exceeds it: runs may start in another order
 // than they were placed in, and a small run that starts last must not be the one that exceeds it.
 func (t *Tenant) Admits(need Resources, count int) bool {
 	if fitsLimit(need, t.Allocated.Plus(need.Times(float64(count))), t.Limit) {
 		return true
 	}
-	return count == 1 && t.MayOverhang && fitsLimit(need, t.Allocated.Plus(t.Allocated), t.Limit)
+	return count == 1 && t.MayOvershoot && fitsLimit(need, t.Allocated.Plus(t.Allocated), t.Limit)
 }
 
 // fitsLimit reports whether an amount is within a limit in each resource of which something is needed.
--- a/internal/scheduling/placement/tenant_test.go
+++ b/internal/scheduling/placement/tenant_test.go
@@ -44,7 +44,7 @@
 
 	It("exceed their limit with one oversized run if half of the limit is free and no other pool starts runs under it", func() {
 		sole := limited(4500)
-		sole.MayOverhang = true
+		sole.MayOvershoot = true
 		Expect(place([]*placement.Group{{Need: one, Count: 20, Tenant: 1}}, sole)).To(Equal(map[int]int{1: 4}))
 		large := []*placement.Group{{Need: one.Times(3), Count: 9, Tenant: 1}}
 		sole.Allocated = one.Times(2)
@@ -53,7 +53,7 @@
 		Expect(place(large, sole)).To(BeEmpty())
 		tiny := limited(500)
 		Expect(place(large, tiny)).To(BeEmpty())
-		tiny.MayOverhang = true
+		tiny.MayOvershoot = true
 		Expect(place(large, tiny)).To(Equal(map[int]int{1: 1}))
 	})
 
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -141,7 +141,7 @@
 	weights := p.weightsOfWork()
 	for index, tenant := range p.tenants.sorted {
 		limit, mayOverhang := p.limitOf(tenant)
-		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOverhang: mayOverhang,
+		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOverhang,
 			LongAllocated: tenant.longAllocated.resources, LongLimit: p.longLimit(tenant, limit, now), Share: placement.NoLimit}
 		if index > 0 && tenant.hasWork() {
 			limits[index].Share = p.table.openCapacity.Times(tenant.terms.Weight / weights)
