--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -102,7 +102,7 @@
 	Remaining   map[int]Resources
 	FirstRunCPU int64
 	Shares      []Share
-	// Tenants hold hard limits, which nothing exceeds, except for one run of a tenant with MayOverhang. Index 0 is work without a tenant.
+	// Tenants hold hard limits, which nothing exceeds, except for one run of a tenant with MayOvershoot. Index 0 is work without a tenant.
 	Tenants []Tenant
 }
 
--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -39,9 +39,9 @@
 	return (need.CPU <= 0 || amount.CPU <= limit.CPU) && (need.Memory <= 0 || amount.Memory <= limit.Memory) && (need.GPU <= 0 || amount.GPU <= limit.GPU)
 }
 
-// LeavesRoom reports whether the group is long work that must leave capacity for more urgent work. Work of the most urgent priority is
+// CountsAsLong reports whether the group is long work that must leave capacity for more urgent work. Work of the most urgent priority is
 // exempt, and so is lasting work, which must be running at all times.
-func (g *Group) LeavesRoom() bool { return g.IsLong && !g.IsLasting && g.Priority != mostUrgent }
+func (g *Group) CountsAsLong() bool { return g.IsLong && !g.IsLasting && g.Priority != mostUrgent }
 
 // admitsLong reports whether the tenant's long work may have count more runs. The last one may exceed the soft limit, and the first
 // ones are always admitted while no long work runs.
@@ -77,7 +77,7 @@
 		return false
 	case !tenant.Admits(group.Need, count):
 		return true
-	case group.LeavesRoom() && !r.mayExceedLimits(group) && !tenant.admitsLong(group.Need, count):
+	case group.CountsAsLong() && !r.mayExceedLimits(group) && !tenant.admitsLong(group.Need, count):
 		return true
 	}
 	return r.keepsToShares && tenant.IsAboveShare
@@ -90,7 +90,7 @@
 		return
 	}
 	tenant.Allocated = tenant.Allocated.Plus(group.Need.Times(float64(count)))
-	if group.LeavesRoom() {
+	if group.CountsAsLong() {
 		tenant.LongAllocated = tenant.LongAllocated.Plus(group.Need.Times(float64(count)))
 	}
 	tenant.IsAboveShare = !tenant.isWithinShare(group.Need)
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -85,7 +85,7 @@
 
 func (r *requests) countDemand(group *placement.Group, count int) {
 	addDemand(r.demand, group.Priority, asks(group), count)
-	if !group.LeavesRoom() {
+	if !group.CountsAsLong() {
 		addDemand(r.urgentDemand, group.Tenant, asks(group), count)
 	}
 }
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -120,7 +120,7 @@
 // leavesRoom tells whether a step is long work that has to leave room for what is more urgent.
 func (p *Pool) leavesRoom(step *stepState) bool {
 	group := placement.Group{IsLong: p.isLong(step), IsLasting: step.spec.LongRunning, Priority: step.priority()}
-	return group.LeavesRoom()
+	return group.CountsAsLong()
 }
 
 // maxUrgentRoom is the part of a tenant's limit that its long work leaves to its other work at the most.
