--- a/internal/scheduling/placement/resources.go
+++ b/internal/scheduling/placement/resources.go
@@ -34,7 +34,7 @@
 }
 
 // DominantShareOf returns the larger of the shares of CPU and of memory that r has in a total. A resource with a total of 0 is left out.
-func (r Resources) PartOf(total Resources) float64 {
+func (r Resources) DominantShareOf(total Resources) float64 {
 	part := 0.0
 	if total.CPU > 0 {
 		part = float64(r.CPU) / float64(total.CPU)
--- a/internal/scheduling/scheduler/shares.go
+++ b/internal/scheduling/scheduler/shares.go
@@ -24,7 +24,7 @@
 // settle brings the balance up to now: the share of the time that went by, less what the runs took of it.
 func (a *shareAccount) settle(share float64, total placement.Resources, now time.Duration) {
 	passed := (now - a.at).Seconds()
-	a.balance = min(share*maxSavedTime.Seconds(), a.balance+passed*(share-a.allocated.PartOf(total)))
+	a.balance = min(share*maxSavedTime.Seconds(), a.balance+passed*(share-a.allocated.DominantShareOf(total)))
 	a.at = now
 }
 
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -104,7 +104,7 @@
 // isAtLimit tells whether a tenant has, as good as, all that it may have, so that it waits for itself and not for the fleet.
 func (t *tenantTable) isAtLimit(index int) bool {
 	tenant := t.sorted[index]
-	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.PartOf(tenant.terms.Limit) >= atLimitPart
+	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.DominantShareOf(tenant.terms.Limit) >= atLimitPart
 }
 
 // countTenantRun adds a run to what its tenant has, or takes it out with a negative count. A run counts from before its order leaves
