--- a/internal/scheduling/rollout/evidence.go
+++ b/internal/scheduling/rollout/evidence.go
@@ -8,17 +8,18 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Version is what is known of one of the two versions.
+// Version is the last report on one of the two versions of a rollout.
 type Version struct {
-	// IsKnown tells that its pool has answered lately.
+	// IsKnown means that the version's pool has answered recently. Without it the other fields are zero.
 	IsKnown bool
 	Counts  wire.RolloutCounts
-	// Executors is how many take work; Capacity and Allocated are in thousandths of a core.
+	// Executors is the number of executors that accept work. Capacity and Allocated are in thousandths of a core.
 	Executors           int
 	Capacity, Allocated int64
 }
 
-// VersionFrom finds the counts of a rollout in the report of a version's pool. Counts of an earlier rollout of the same name are left out.
+// VersionFrom extracts the counts of a rollout from the report of a version's pool. It ignores counts of an earlier rollout with the same
+// name, which began at another time.
 func VersionFrom(report *wire.RolloutReport, name string, begunMs int64) Version {
 	version := Version{IsKnown: true, Executors: report.Executors, Capacity: report.Capacity, Allocated: report.Allocated}
 	for _, counts := range report.Rollouts {
@@ -29,24 +30,25 @@
 	return version
 }
 
-// Evidence is what is known of both versions at one moment.
+// Evidence is the last report on both versions at one moment.
 type Evidence struct {
 	Old, New Version
 }
 
-// ended is how many jobs of the version have ended.
+// ended returns the number of jobs of the version that have completed or failed.
 func (v *Version) ended() int64 { return v.Counts.Jobs.Completed + v.Counts.Jobs.Failed }
 
-// judged is how many jobs of the version can be judged: those that have ended, and those that have missed their target already.
+// judged returns the number of jobs of the version with a known outcome: those that have ended, and open ones that are past their target
+// latency.
 func (v *Version) judged() int64 { return v.ended() + v.Counts.Overdue }
 
-// aspect is one thing that a version is judged by.
+// aspect is one criterion by which a version is judged: a kind of bad outcome, counted over a stratum of jobs or runs.
 type aspect struct {
 	kind    Kind
 	stratum string
 }
 
-// overall is the same thing judged over all jobs, or over all runs.
+// overall returns the aspect of the same kind over all jobs or, for a stratum of runs, over all runs.
 func (a aspect) overall() aspect {
 	if a.stratum == largestJobs || a.stratum == allJobs {
 		return aspect{a.kind, allJobs}
@@ -54,7 +56,7 @@
 	return aspect{a.kind, allRuns}
 }
 
-// trials are so many outcomes, of which some are bad.
+// trials counts outcomes, and the bad ones among them.
 type trials struct{ total, bad int64 }
 
 func (t trials) minus(earlier trials) trials {
@@ -68,7 +70,7 @@
 	return float64(t.bad) / float64(t.total)
 }
 
-// The strata of jobs; those of runs are the zones.
+// The strata of jobs and runs. Each zone is a further stratum of runs, named by zonePrefix and the zone.
 const (
 	allJobs     = "all jobs"
 	largestJobs = "largest tenth of jobs"
@@ -76,11 +78,12 @@
 	zonePrefix  = "runs in zone "
 )
 
-// sample is what was counted of a version at one moment, by aspect.
+// sample holds the outcomes of a version, counted up to one moment, by aspect.
 type sample map[aspect]trials
 
-// sampleOf counts a version by all aspects. A run is slow if it took longer than slowFrom thousandths of its estimate; 0 judges no times.
-func sampleOf(version *Version, slowFrom int64) sample {
+// sampleOf counts the outcomes of a version by all aspects. A run is slow if it took longer than slowLimit, in thousandths of its
+// estimate; with a slowLimit of 0, run times are left out.
+func sampleOf(version *Version, slowLimit int64) sample {
 	counts := &version.Counts
 	counted := sample{
 		{Failures, allJobs}:     {counts.Jobs.Completed + counts.Jobs.Failed, counts.Jobs.Failed},
@@ -94,18 +97,18 @@
 		runs = trials{runs.total + zone.Done + zone.Failed, runs.bad + zone.Failed}
 	}
 	counted[aspect{Failures, allRuns}] = runs
-	if slowFrom > 0 {
-		counted[aspect{RunTime, allRuns}] = slowerThan(counts.RunTimes, slowFrom)
+	if slowLimit > 0 {
+		counted[aspect{RunTime, allRuns}] = slowerThan(counts.RunTimes, slowLimit)
 	}
 	return counted
 }
 
-// aspects lists those of a sample, in an order that is the same each time.
+// aspects returns the aspects of a sample in sorted order.
 func (s sample) aspects() []aspect {
 	return slices.SortedFunc(maps.Keys(s), func(a, b aspect) int { return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.stratum, b.stratum)) })
 }
 
-// slowerThan counts the values of a histogram, and those above a limit.
+// slowerThan counts all values of a histogram, with those above a limit as the bad ones.
 func slowerThan(histogram []wire.Bucket, limit int64) trials {
 	var counted trials
 	for _, bucket := range histogram {
@@ -117,7 +120,8 @@
 	return counted
 }
 
-// quantile gives the value below or at which a share of a histogram lies; 0 for an empty one.
+// quantile returns the lowest bucket value such that at least the given share of a histogram is at or below it, or 0 for an empty
+// histogram.
 func quantile(histogram []wire.Bucket, share float64) int64 {
 	var total, below int64
 	for _, bucket := range histogram {
--- a/internal/scheduling/rollout/judge.go
+++ b/internal/scheduling/rollout/judge.go
@@ -1,5 +1,5 @@
-// Package rollout decides whether a new version of a service gets a larger share of a route's jobs, or is turned back. It is pure: the
-// counts of both versions and the time go in, a decision comes out with the figures that it was made of.
+// Package rollout decides whether a new version of a service gets a larger share of a route's jobs or is rolled back. Its input is the
+// counts of both versions and the time; its output is a decision with the figures behind it. It has no clock and no network access.
 package rollout
 
 import (
@@ -10,10 +10,11 @@
 	"gannetline/internal/cluster/configuration"
 )
 
-// Action is what should become of a rollout.
+// Action is the change that a decision makes to a rollout.
 type Action string
 
-// The actions. Hold leaves the rollout as it is.
+// The actions. Hold changes nothing, Begin gives the new version its first share, Widen its next one, Finish moves the route to the new
+// version, and TurnBack returns all jobs to the old one.
 const (
 	Hold     Action = "hold"
 	Begin    Action = "begin"
@@ -22,7 +23,7 @@
 	TurnBack Action = "turn back"
 )
 
-// Reason says why a decision was made.
+// Reason is why a decision was made. Operators see it in the status, the logs and the configuration.
 type Reason string
 
 // The reasons.
@@ -42,7 +43,7 @@
 	ReasonOver          Reason = "the rollout is over"
 )
 
-// Kind is what a verdict is about.
+// Kind is the kind of bad outcome that a verdict counts.
 type Kind string
 
 // The kinds of verdicts.
@@ -52,7 +53,7 @@
 	RunTime  Kind = "run time"
 )
 
-// reasonOf is why a version is turned back that a verdict of a kind is against.
+// reasonOf returns the reason for rolling a version back because of a proved verdict of a kind.
 func reasonOf(kind Kind) Reason {
 	switch kind {
 	case Late:
@@ -63,20 +64,21 @@
 	return ReasonFailures
 }
 
-// Verdict is the figures of one aspect of the new version.
+// Verdict is the result for one aspect of the new version.
 type Verdict struct {
 	Kind    Kind
 	Stratum string
-	// Total outcomes of the new version were counted, Bad of them; Bound is the share that may be bad, Baseline that of the old version.
+	// Total and Bad count the outcomes of the new version. Bound is the share of outcomes that may be bad, Baseline the share of the old
+	// version.
 	Total, Bad      int64
 	Bound, Baseline float64
-	// Evidence is that against the version, Level that from which on it counts as proved; both are logarithms.
+	// Evidence is the evidence that the version exceeds the bound; from Level on it counts as proved. Both are natural logarithms.
 	Evidence, Level float64
-	// Window is the number of the window in which the outcomes were counted, from 1; all since the beginning are 1.
+	// Window is the number of the window in which the outcomes were counted. Window 1 covers the whole rollout.
 	Window int
 }
 
-// String is the verdict as logs and operators read it.
+// String formats the verdict for logs and operators.
 func (v Verdict) String() string {
 	return fmt.Sprintf("%s of %s: %d of %d, agreed %.3f (old version %.3f), evidence %.1f of %.1f", v.Kind, v.Stratum, v.Bad, v.Total, v.Bound,
 		v.Baseline, v.Evidence, v.Level)
@@ -84,50 +86,51 @@
 
 func (v Verdict) isProved() bool { return v.Evidence >= v.Level }
 
-// isWorse tells whether the outcomes are worse than agreed, as far as they go.
+// isWorse reports whether the share of bad outcomes is above the bound, proved or not.
 func (v Verdict) isWorse() bool { return v.Total > 0 && float64(v.Bad)/float64(v.Total) > v.Bound }
 
-// Decision is what should become of a rollout, with the figures.
+// Decision is the next action of a rollout, with the figures behind it.
 type Decision struct {
 	Action Action
 	Reason Reason
-	// Verdicts are the figures of all aspects since the beginning; Decisive is the one that turned the version back, if one did.
+	// Verdicts are the verdicts on all aspects over the whole rollout. Decisive is the first proved verdict of any window, which rolls the
+	// version back, or nil.
 	Verdicts []Verdict
 	Decisive *Verdict
 }
 
 const (
-	// windowLength is how long after one another windows begin in which outcomes are counted anew, so that a version that begins to fail late
-	// is found although it behaved for long.
+	// windowLength is the interval at which new windows begin. Each counts outcomes from zero, so that a version that starts to fail late
+	// is detected despite a long time without failures.
 	windowLength = time.Minute
-	// maxWindows are watched at once: the first, since the beginning, and the last ones.
+	// maxWindows is how many windows are evaluated at once: the first, which covers the whole rollout, and the latest ones.
 	maxWindows = 6
-	// goneTimeout is how long the new version may be without executors.
-	goneTimeout = 3 * time.Second
-	// slowQuantile is the quantile of the old version's run times that the new version's are held against, and slowShare the share of runs
-	// that may be above it in either version.
+	// noExecutorsTimeout is how long the new version may have no executors before it is rolled back.
+	noExecutorsTimeout = 3 * time.Second
+	// slowQuantile is the quantile of the old version's run times that the new version's run times are compared with, and slowShare the
+	// expected share of runs above it.
 	slowQuantile = 0.9
 	slowShare    = 1 - slowQuantile
-	// slowMargin is how much larger that share may be, as a histogram's bars are not exact.
+	// slowMargin is how far the new version may exceed slowShare, because histogram buckets are inexact.
 	slowMargin = 0.05
 )
 
-// window is a stretch of time in which outcomes are counted anew.
+// window is a period of time over which outcomes are counted from zero.
 type window struct {
 	number int
-	// begun is what was known when it began; the outcomes until then don't count in it.
-	begun Evidence
+	// startEvidence is the evidence when the window began, whose outcomes are subtracted from later ones. It is zero for the first window.
+	startEvidence Evidence
 }
 
-// Judge watches one rollout. It holds only what can be found again from the counts: after a change of the leader a new one begins with the
-// window since the beginning, and opens further ones from then on.
+// Judge decides on one rollout. It needs no stored state: after a change of leader a new Judge starts with the window over the whole
+// rollout, and opens further windows from then on.
 type Judge struct {
 	windows []window
-	// goneSinceMs is when the new version was first seen without executors, 0 while it has some.
-	goneSinceMs int64
+	// noExecutorsSinceMs is the time of day at which the new version was first seen without executors, 0 while it has some.
+	noExecutorsSinceMs int64
 }
 
-// Decide says what should become of a rollout at a time of day, in milliseconds since 1970.
+// Decide returns the next action of a rollout. nowMs is the time of day in milliseconds since 1970.
 func (j *Judge) Decide(rollout *configuration.Rollout, evidence Evidence, nowMs int64) Decision {
 	switch {
 	case rollout.IsOver():
@@ -135,23 +138,23 @@
 	case !evidence.Old.IsKnown || !evidence.New.IsKnown:
 		return Decision{Action: Hold, Reason: ReasonSilent}
 	case rollout.State == configuration.RolloutRequested:
-		return begin(rollout, evidence)
+		return decideBegin(rollout, evidence)
 	}
 	verdicts, decisive := j.judge(rollout, evidence, nowMs)
 	decision := Decision{Action: Hold, Verdicts: verdicts, Decisive: decisive}
 	switch {
-	case j.isGone(evidence, nowMs):
+	case j.hasLostExecutors(evidence, nowMs):
 		decision.Action, decision.Reason = TurnBack, ReasonNoExecutors
 	case decisive != nil:
 		decision.Action, decision.Reason = TurnBack, reasonOf(decisive.Kind)
 	default:
-		decision.Action, decision.Reason = widen(rollout, evidence, verdicts, nowMs)
+		decision.Action, decision.Reason = decideNextStep(rollout, evidence, verdicts, nowMs)
 	}
 	return decision
 }
 
-// begin lets the new version have its first share once it has executors and the old one has capacity.
-func begin(rollout *configuration.Rollout, evidence Evidence) Decision {
+// decideBegin starts the first step of a requested rollout once the new version has executors and both versions have the capacity.
+func decideBegin(rollout *configuration.Rollout, evidence Evidence) Decision {
 	if evidence.New.Executors == 0 {
 		return Decision{Action: Hold, Reason: ReasonNoExecutors}
 	}
@@ -161,20 +164,20 @@
 	return Decision{Action: Begin, Reason: ReasonBehaves}
 }
 
-// isGone tells whether the new version has had no executors for some time.
-func (j *Judge) isGone(evidence Evidence, nowMs int64) bool {
+// hasLostExecutors reports whether the new version has had no executors for noExecutorsTimeout.
+func (j *Judge) hasLostExecutors(evidence Evidence, nowMs int64) bool {
 	if evidence.New.Executors > 0 {
-		j.goneSinceMs = 0
+		j.noExecutorsSinceMs = 0
 		return false
 	}
-	if j.goneSinceMs == 0 {
-		j.goneSinceMs = nowMs
+	if j.noExecutorsSinceMs == 0 {
+		j.noExecutorsSinceMs = nowMs
 	}
-	return nowMs-j.goneSinceMs >= goneTimeout.Milliseconds()
+	return nowMs-j.noExecutorsSinceMs >= noExecutorsTimeout.Milliseconds()
 }
 
-// widen says whether the next step may begin, and otherwise what keeps it.
-func widen(rollout *configuration.Rollout, evidence Evidence, verdicts []Verdict, nowMs int64) (Action, Reason) {
+// decideNextStep returns Widen or Finish if the current step is complete, and otherwise Hold with the reason.
+func decideNextStep(rollout *configuration.Rollout, evidence Evidence, verdicts []Verdict, nowMs int64) (Action, Reason) {
 	step := rollout.Steps[rollout.Step]
 	isLast := rollout.Step == len(rollout.Steps)-1
 	switch {
@@ -195,8 +198,8 @@
 	return Widen, ReasonBehaves
 }
 
-// hasCapacityFor tells whether the new version has capacity for a share of all that runs, and the old one for all of it once more, so that the new
-// one can be turned back at any time.
+// hasCapacityFor reports whether the new version has capacity for a share of the total load, and the old version for all of it, so that
+// the rollout can be rolled back at any time. The reason is empty if both have it.
 func hasCapacityFor(share float64, evidence Evidence) (Reason, bool) {
 	load := evidence.Old.Allocated + evidence.New.Allocated
 	switch {
@@ -208,18 +211,19 @@
 	return "", true
 }
 
-// judge gives the figures of all aspects since the beginning, and the first that proves the new version bad in any window.
+// judge returns the verdicts on all aspects over the whole rollout, and the first verdict of any window that proves the new version bad,
+// or nil. Nothing counts as proved before enough jobs have a known outcome.
 func (j *Judge) judge(rollout *configuration.Rollout, evidence Evidence, nowMs int64) (verdicts []Verdict, decisive *Verdict) {
 	j.openWindow(rollout, evidence, nowMs)
-	hasFloor := evidence.New.judged() >= minJobsOf(rollout)
-	now := samplesOf(evidence, slowLimit(rollout, evidence))
+	hasMinJobs := evidence.New.judged() >= minJobsOf(rollout)
+	now := samplesOf(evidence, slowRunLimit(rollout, evidence))
 	for index, window := range j.windows {
 		judged := judgeWindow(rollout, window, now)
 		if index == 0 {
 			verdicts = judged
 		}
 		for _, verdict := range judged {
-			if hasFloor && decisive == nil && verdict.isProved() {
+			if hasMinJobs && decisive == nil && verdict.isProved() {
 				decisive = &verdict
 			}
 		}
@@ -227,14 +231,16 @@
 	return verdicts, decisive
 }
 
-// slowLimit is from which run time on a run counts as slow, in thousandths of its estimate; 0 while that is not judged.
-func slowLimit(rollout *configuration.Rollout, evidence Evidence) int64 {
+// slowRunLimit returns the run time above which a run counts as slow, in thousandths of its estimate. It is 0 if run times are not
+// judged, or the old version has too few runs to compare with.
+func slowRunLimit(rollout *configuration.Rollout, evidence Evidence) int64 {
 	if rollout.Bounds.RunTimeFactor == 0 || slowerThan(evidence.Old.Counts.RunTimes, 0).total < minBaseline {
 		return 0
 	}
 	return int64(rollout.Bounds.RunTimeFactor * float64(quantile(evidence.Old.Counts.RunTimes, slowQuantile)))
 }
 
+// minJobsOf returns how many jobs of the new version need a known outcome before any verdict counts.
 func minJobsOf(rollout *configuration.Rollout) int64 {
 	if rollout.Bounds.MinJobs > 0 {
 		return rollout.Bounds.MinJobs
@@ -242,7 +248,8 @@
 	return configuration.DefaultMinJobs
 }
 
-// openWindow opens the window since the beginning, and a further one when it is due.
+// openWindow opens the window over the whole rollout on the first call, and a further one when it is due. It drops the second oldest
+// window if there are more than maxWindows.
 func (j *Judge) openWindow(rollout *configuration.Rollout, evidence Evidence, nowMs int64) {
 	if len(j.windows) == 0 {
 		j.windows = append(j.windows, window{number: 1})
@@ -251,33 +258,33 @@
 	if number <= j.windows[len(j.windows)-1].number {
 		return
 	}
-	j.windows = append(j.windows, window{number: number, begun: evidence})
+	j.windows = append(j.windows, window{number: number, startEvidence: evidence})
 	if len(j.windows) > maxWindows {
 		j.windows = slices.Delete(j.windows, 1, 2)
 	}
 }
 
-// samples are the counts of both versions by all aspects, with the run time from which on a run counts as slow.
+// samples holds the outcomes of both versions by all aspects, and the run time above which a run counts as slow.
 type samples struct {
-	old, new sample
-	slowFrom int64
+	old, new  sample
+	slowLimit int64
 }
 
-func samplesOf(evidence Evidence, slowFrom int64) samples {
-	return samples{old: sampleOf(&evidence.Old, slowFrom), new: sampleOf(&evidence.New, slowFrom), slowFrom: slowFrom}
+func samplesOf(evidence Evidence, slowLimit int64) samples {
+	return samples{old: sampleOf(&evidence.Old, slowLimit), new: sampleOf(&evidence.New, slowLimit), slowLimit: slowLimit}
 }
 
-// judgeWindow judges all aspects that something was agreed on by what was counted since a window began.
+// judgeWindow returns the verdicts on all aspects that the rollout's bounds cover, from the outcomes since a window began.
 func judgeWindow(rollout *configuration.Rollout, window window, now samples) []Verdict {
 	falseAlarm := rollout.Bounds.FalseAlarm
 	if falseAlarm == 0 {
 		falseAlarm = configuration.DefaultFalseAlarm
 	}
-	before := samplesOf(window.begun, now.slowFrom)
+	before := samplesOf(window.startEvidence, now.slowLimit)
 	level := alarmLevel(falseAlarm, len(now.new), window.number)
 	var verdicts []Verdict
 	for _, aspect := range now.new.aspects() {
-		agreed, isJudged := agreedOn(rollout.Bounds, aspect.kind)
+		excess, isJudged := allowedExcess(rollout.Bounds, aspect.kind)
 		if !isJudged {
 			continue
 		}
@@ -286,15 +293,16 @@
 		if aspect.kind == RunTime {
 			baseline = slowShare
 		}
-		bound := min(1, baseline+agreed)
+		bound := min(1, baseline+excess)
 		verdicts = append(verdicts, Verdict{Kind: aspect.kind, Stratum: aspect.stratum, Total: counted.total, Bad: counted.bad, Bound: bound,
 			Baseline: baseline, Evidence: logEvidence(counted, bound), Level: level, Window: window.number})
 	}
 	return verdicts
 }
 
-// agreedOn is the share of bad outcomes that was agreed on beyond that of the old version.
-func agreedOn(bounds configuration.RolloutBounds, kind Kind) (share float64, isJudged bool) {
+// allowedExcess returns how far the share of bad outcomes may exceed that of the old version. isJudged is false if the rollout's bounds
+// don't cover the kind.
+func allowedExcess(bounds configuration.RolloutBounds, kind Kind) (share float64, isJudged bool) {
 	switch kind {
 	case Failures:
 		return bounds.Failures, bounds.Failures > 0
--- a/internal/scheduling/rollout/progress.go
+++ b/internal/scheduling/rollout/progress.go
@@ -2,7 +2,8 @@
 
 import "gannetline/internal/cluster/configuration"
 
-// ProgressAfter is how far a rollout is once a decision that was made at a time of day, in milliseconds since 1970, is carried out.
+// ProgressAfter returns the progress of a rollout after a decision is applied. nowMs is the time of day of the decision in milliseconds
+// since 1970.
 func ProgressAfter(rollout *configuration.Rollout, evidence Evidence, decision Decision, nowMs int64) configuration.RolloutProgress {
 	progress := rollout.Progress()
 	progress.Reason = ""
@@ -19,7 +20,7 @@
 	return progress
 }
 
-// reasonText says why a version was turned back, with the figures.
+// reasonText returns the reason for which a version is rolled back, with the decisive figures if there are any.
 func reasonText(decision Decision) string {
 	if decision.Decisive == nil {
 		return string(decision.Reason)
--- a/internal/scheduling/rollout/sequential.go
+++ b/internal/scheduling/rollout/sequential.go
@@ -6,12 +6,13 @@
 	"gonum.org/v1/gonum/mathext"
 )
 
-// logEvidence is the logarithm of an e-value against the hypothesis that outcomes are bad with a chance of at most bound: how much likelier
-// the outcomes are if the chance is any above the bound, all of them alike, than if it is the bound. While the hypothesis holds it reaches
-// log(1/a) at any time with a chance of at most a (Ville's inequality), however often one looks: that is the bound of false alarms.
+// logEvidence returns the logarithm of an e-value against the hypothesis that an outcome is bad with a probability of at most bound. The
+// e-value is the likelihood of the outcomes under a mixture of all probabilities above the bound, divided by their likelihood at the bound.
+// While the hypothesis holds, the probability that the result ever reaches log(1/a) is at most a (Ville's inequality), however often
+// it is computed. This limits the rate of false alarms.
 //
-// The alternatives are weighed evenly from the bound to 1, so that a version that always fails is found after a few jobs, and one just over
-// the bound after many.
+// The mixture is uniform from the bound to 1, so that a version that always fails is detected after a few jobs, and one just above the
+// bound after many.
 func logEvidence(counted trials, bound float64) float64 {
 	if counted.total == 0 || bound >= 1 || counted.rate() <= bound {
 		return 0
@@ -25,19 +26,19 @@
 	return mathext.Lbeta(bad+1, good+1) + math.Log(above) - math.Log(1-bound) - bad*math.Log(bound) - good*math.Log(1-bound)
 }
 
-// smallestBound stands for a bound of 0, under which a single bad outcome would prove everything.
+// smallestBound replaces a bound of 0, with which a single bad outcome would be infinite evidence.
 const smallestBound = 1e-4
 
-// alarmLevel is the evidence from which on a version counts as proved bad in the window of a number, from 1: the chance of a false alarm is
-// divided among all aspects and all windows there may ever be, the k-th of which gets a share of 6/(pi k)^2.
+// alarmLevel returns the evidence from which on a version counts as proved bad in a window, numbered from 1. The permitted probability of
+// a false alarm is divided among all aspects and the unlimited sequence of windows; window k gets the fraction 6/(pi k)^2.
 func alarmLevel(falseAlarm float64, aspects, window int) float64 {
 	perWindow := falseAlarm * 6 / (math.Pi * math.Pi * float64(window) * float64(window))
 	return math.Log(float64(max(1, aspects)) / perWindow)
 }
 
-// baselineRate is the rate of bad outcomes of the old version, with what chance may hide of it: of few outcomes it is not known well. It is
-// that of the first trials of the list that are at least minBaseline; without any it is 0, so that the new version is judged by what was
-// agreed alone.
+// baselineRate returns an upper confidence limit for the rate of bad outcomes of the old version: the observed rate plus standardErrors
+// standard errors, because a rate over few outcomes is uncertain. It uses the first candidate with at least minBaseline outcomes. Without
+// one it returns 0, so that the new version is judged by the rollout's bounds alone.
 func baselineRate(candidates ...trials) float64 {
 	for _, counted := range candidates {
 		if counted.total >= minBaseline {
@@ -49,6 +50,8 @@
 }
 
 const (
-	minBaseline    = 20
+	// minBaseline is how many outcomes of the old version are needed to compare with them.
+	minBaseline = 20
+	// standardErrors gives a one-sided confidence of 95% under the normal distribution.
 	standardErrors = 1.64
 )
--- a/internal/scheduling/rollout/weigh_test.go
+++ b/internal/scheduling/rollout/weigh_test.go
@@ -10,32 +10,32 @@
 	"gonum.org/v1/gonum/mathext"
 )
 
-// The figures of this table stand in docs/design/rollouts.md: how often each way of judging turns a version back, and after how many jobs.
-var _ = Describe("ways of judging failures, weighed", func() {
+// This spec prints the table of docs/design/rollouts.md: how often each method rolls a version back, and after how many jobs on average.
+var _ = Describe("comparison of methods to judge failures", func() {
 	const (
-		agreed  = 0.05
-		alarm   = 0.01
-		plays   = 300
-		maxJobs = 4000
-		looks   = 10
+		agreed        = 0.05
+		falseAlarm    = 0.01
+		simulations   = 300
+		maxJobs       = 4000
+		checkInterval = 10
 	)
-	// Each way says from all outcomes so far, and from those of the last window, whether the version is bad.
+	// Each method decides from all outcomes so far, and from those of the last windowJobs jobs, whether the version is bad.
 	const windowJobs = 100
 	fixedWindow := func(_ trials, last trials) bool { return last.total >= windowJobs && last.rate() > agreed }
-	// The sequential ratio test holds the bound against twice the bound.
+	// The sequential probability ratio test compares the bound with twice the bound.
 	ratio := func(all trials, _ trials) bool {
 		bad, good := float64(all.bad), float64(all.total-all.bad)
-		return bad*math.Log(2)+good*math.Log((1-2*agreed)/(1-agreed)) >= math.Log(1/alarm)
+		return bad*math.Log(2)+good*math.Log((1-2*agreed)/(1-agreed)) >= math.Log(1/falseAlarm)
 	}
-	// The posterior under an even prior, looked at again and again.
+	// The posterior under a uniform prior, checked repeatedly.
 	bayes := func(all trials, _ trials) bool {
-		return mathext.RegIncBeta(float64(all.bad)+1, float64(all.total-all.bad)+1, agreed) < alarm
+		return mathext.RegIncBeta(float64(all.bad)+1, float64(all.total-all.bad)+1, agreed) < falseAlarm
 	}
-	mixture := func(all trials, _ trials) bool { return logEvidence(all, agreed) >= math.Log(1/alarm) }
+	mixture := func(all trials, _ trials) bool { return logEvidence(all, agreed) >= math.Log(1/falseAlarm) }
 
-	play := func(fails float64, judge func(all, last trials) bool) (turnedBack float64, jobs int) {
-		sum := 0
-		for seed := range uint64(plays) {
+	simulate := func(fails float64, judge func(all, last trials) bool) (rolledBack float64, jobs int) {
+		jobsUntilDetected := 0
+		for seed := range uint64(simulations) {
 			random := rand.New(rand.NewPCG(seed, 9))
 			var all trials
 			var outcomes []bool
@@ -46,7 +46,7 @@
 				if isBad {
 					all.bad++
 				}
-				if all.total%looks != 0 {
+				if all.total%checkInterval != 0 {
 					continue
 				}
 				var last trials
@@ -57,31 +57,31 @@
 					}
 				}
 				if judge(all, last) {
-					turnedBack++
-					sum += int(all.total)
+					rolledBack++
+					jobsUntilDetected += int(all.total)
 					break
 				}
 			}
 		}
-		return turnedBack / plays, sum / max(1, int(turnedBack))
+		return rolledBack / simulations, jobsUntilDetected / max(1, int(rolledBack))
 	}
 
-	It("has only the mixture keep its bound and find what is just above it", func() {
+	It("shows that the mixture keeps its false alarm rate and detects a failure rate just above the bound", func() {
 		fmt.Fprintf(GinkgoWriter, "%-16s %8s %8s %8s %8s %8s\n", "failing", "0.03", "0.05", "0.07", "0.15", "0.50")
-		for _, way := range []struct {
+		for _, method := range []struct {
 			name  string
 			judge func(all, last trials) bool
 		}{{"last 100 jobs", fixedWindow}, {"ratio test", ratio}, {"posterior", bayes}, {"mixture", mixture}} {
-			line := fmt.Sprintf("%-16s", way.name)
+			row := fmt.Sprintf("%-16s", method.name)
 			for _, fails := range []float64{0.03, agreed, 0.07, 0.15, 0.5} {
-				share, jobs := play(fails, way.judge)
-				line += fmt.Sprintf(" %3.0f%%/%-4d", 100*share, jobs)
+				share, jobs := simulate(fails, method.judge)
+				row += fmt.Sprintf(" %3.0f%%/%-4d", 100*share, jobs)
 			}
-			fmt.Fprintln(GinkgoWriter, line)
+			fmt.Fprintln(GinkgoWriter, row)
 		}
-		atBound, _ := play(agreed, mixture)
-		Expect(atBound).To(BeNumerically("<=", alarm))
-		above, _ := play(0.07, mixture)
+		atBound, _ := simulate(agreed, mixture)
+		Expect(atBound).To(BeNumerically("<=", falseAlarm))
+		above, _ := simulate(0.07, mixture)
 		Expect(above).To(BeNumerically(">", 0.9))
 	})
 })
