--- a/internal/scheduling/tenantcount/account.go
+++ b/internal/scheduling/tenantcount/account.go
@@ -7,39 +7,42 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// account is what a pool may use of one tenant's limit.
+// account is a pool's allowance of one tenant's limit.
 type account struct {
-	// spendable is what the pool may use now: no more than what is committed.
+	// spendable is what the pool may use now. It never exceeds the committed amount.
 	spendable placement.Resources
-	// claimed is the most that the records may hold: it is above spendable while a change is being committed. A call never says less.
+	// claimed is the highest amount that the pool's record may hold. It is above spendable while a change is being committed. Calls send it
+	// as Has and never less.
 	claimed placement.Resources
-	// pending is what claimed and spendable become with the commit under way.
-	pending       *accountRecord
+	// pending is the record that is being committed, or nil. claimed and spendable become its amount with the commit.
+	pending *accountRecord
+	// hasWholeLimit means that no other pool holds any of the limit.
 	hasWholeLimit bool
-	// target is how much the part wants the pool to keep; with isAboveTarget it holds more, and starts nothing beyond the target.
+	// target is how much the part wants the pool to keep. With isAboveTarget the account holds more, and the pool starts no runs beyond
+	// the target.
 	target        placement.Resources
 	isAboveTarget bool
-	// version is that of the configuration by which the part decided last, and isSettled that all grants were within its limit then;
-	// isAnswered tells that it has decided in this leadership.
+	// version is the configuration version of the part's last decision. isSettled means that all grants together were within the limit
+	// of that configuration. isAnswered means that the part has decided at least once during this leadership of the pool.
 	version    int64
 	isSettled  bool
 	isAnswered bool
-	askedAt    time.Duration
-	// known is what the part holds for this pool as far as the pool knows: what it was told last, or what it answered since.
-	known placement.Resources
-	// toldWants is what the last call said that the pool wants, of what the limit allows.
-	toldWants placement.Resources
+	lastCallAt time.Duration
+	// knownGrant is the part's grant to this pool as last reported: Has of the pool's last call, or the grant in a later answer.
+	knownGrant placement.Resources
+	// sentWants is what the last call said that the pool wants, capped by the limit.
+	sentWants placement.Resources
 }
 
-// Change is a record of the pool that must be committed; Accounts.Committed follows the commit.
+// Change is a record that the pool must commit. It calls Accounts.Committed after the commit.
 type Change struct {
 	Tenant string
 	Op     wire.Op
 }
 
-// change begins to make the account another; the record is nil if it is that already, or another change is under way. What gets
-// less can be used no more from now on, and what gets more only after the commit.
-func (a *account) change(tenant string, amount placement.Resources, hasWholeLimit bool) *Change {
+// beginChange starts to change the amount of the account. It returns nil if nothing changes or another change is being committed. A
+// decrease takes effect at once, an increase only after the commit.
+func (a *account) beginChange(tenant string, amount placement.Resources, hasWholeLimit bool) *Change {
 	if a.pending != nil || amount == a.claimed && hasWholeLimit == a.hasWholeLimit {
 		return nil
 	}
@@ -50,7 +53,7 @@
 	return &Change{Tenant: tenant, Op: wire.Op{Name: AccountPrefix + tenant, Value: a.pending.encode()}}
 }
 
-// allowance is what runs may take.
+// allowance returns how much the pool's runs may use.
 func (a *account) allowance() placement.Resources {
 	if a.isAboveTarget {
 		return a.spendable.Min(a.target)
@@ -58,7 +61,7 @@
 	return a.spendable
 }
 
-// encode is the record's text, or none for an account of nothing.
+// encode returns the encoded record, or nil for an empty account, which deletes the record.
 func (r *accountRecord) encode() []byte {
 	if r.Amount == (amountRecord{}) {
 		return nil
@@ -66,8 +69,8 @@
 	return encode(r)
 }
 
-// committed makes the change under way the state of the account.
-func (a *account) committed() {
+// finishChange applies the pending change after its commit.
+func (a *account) finishChange() {
 	if a.pending == nil {
 		return
 	}
--- a/internal/scheduling/tenantcount/accounts.go
+++ b/internal/scheduling/tenantcount/accounts.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// AccountPrefix begins the names of a pool's records of its accounts; the rest is the tenant.
+	// AccountPrefix is the prefix of the names of a pool's account records. The rest of the name is the tenant.
 	AccountPrefix = "a/"
-	// raiseInterval is how long a pool waits until it asks again for what it was not given.
+	// raiseInterval is how long a pool waits before it asks again for an amount that was not granted.
 	raiseInterval = 100 * time.Millisecond
-	// batchInterval is the least time between two calls to a part, so that one call brings what came meanwhile of many tenants.
+	// batchInterval is the least time between two calls to a part, so that one call carries the demand of many tenants.
 	batchInterval = 20 * time.Millisecond
-	// pollInterval is how often a pool that shares its tenants with others asks what it should give back.
+	// pollInterval is how often a pool that shares its tenants with others asks how much it should give back.
 	pollInterval = 500 * time.Millisecond
-	// unansweredInterval is the pause after a call that nobody answered.
-	unansweredInterval = 200 * time.Millisecond
+	// retryInterval is the pause after a call without an answer.
+	retryInterval = 200 * time.Millisecond
 )
 
-// Policy is what the pool knows of the configuration: its version, and whether other pools may start runs of the same tenants.
+// Policy is the version of the configuration that the pool uses, and whether other pools may start runs of the same tenants.
 type Policy struct {
 	Version  int64
 	IsShared bool
 }
 
-// Demand is what a pool needs of a tenant now. Limit is that of the configuration which the pool knows.
+// Demand is a pool's current demand for one tenant: Used is what its runs use, Wants includes its waiting tasks, and Limit is the
+// tenant's limit in the configuration that the pool uses.
 type Demand struct{ Used, Wants, Limit placement.Resources }
 
-// wanted is what of the demand the limit allows, in the resources that have one.
-func (d Demand) wanted() placement.Resources { return bounded(d.Wants.Min(d.Limit), d.Limit) }
+// wanted returns the demand capped by the limit, in the resources that have a limit.
+func (d Demand) wanted() placement.Resources { return onlyLimited(d.Wants.Min(d.Limit), d.Limit) }
 
-// Accounts is the half of the escrow that the leader of a pool keeps: its accounts, and its calls to the parts. It is made anew with each
-// leadership. One goroutine calls it; it knows neither clock nor network.
+// Accounts is the pool's side of the escrow: its accounts, and its calls to the parts. The leader of a pool creates it at the start of
+// its leadership. It must be used from one goroutine, and has no clock and no network access.
 type Accounts struct {
 	asker    string
 	epoch    uint64
@@ -48,18 +49,18 @@
 	parts    [Parts]partCalls
 }
 
-// partCalls are the calls to one part, of which at most one is under way.
+// partCalls is the state of the calls to one part, of which at most one is in flight.
 type partCalls struct {
-	// number is that of the call under way, 0 if there is none.
+	// number is the number of the call in flight, 0 if there is none.
 	number uint64
-	// isPoll tells that the call under way asks for no allowance.
+	// isPoll means that the call in flight names no tenants and asks only which grants to lower.
 	isPoll bool
-	// nextAt is when the next call may be made, and nextPollAt when it is due even without a demand.
+	// nextAt is the earliest time of the next call, and nextPollAt the time at which one is due even without demand.
 	nextAt, nextPollAt time.Duration
 }
 
-// NewAccounts makes the accounts of a pool under one epoch from the pool's committed records. A record that can't be read counts as an
-// account of nothing and is named by the error: what was granted for it comes back to the part with the first call.
+// NewAccounts creates the accounts of a pool for one epoch from the pool's committed records. A record that can't be read counts as an
+// empty account and is named by the error, which comes with valid accounts: the first call returns that account's grant to the part.
 func NewAccounts(asker string, epoch uint64, pairs []wire.Op) (*Accounts, error) {
 	accounts := &Accounts{asker: asker, epoch: epoch, byTenant: map[string]*account{}}
 	var unreadable error
@@ -75,9 +76,9 @@
 	return accounts, unreadable
 }
 
-// Allowance is what the pool may use of a tenant's limit, and whether that is all of it, so that one run may reach beyond. Where pools
-// share their tenants it is nothing until the part has answered under the configuration that the pool knows: others may have been
-// granted more under one in between, which the pool has never seen.
+// Allowance returns how much of a tenant's limit the pool may use, and whether that is the whole limit, so that one run may exceed it.
+// If pools share their tenants, the allowance is zero until the part has answered under the pool's configuration: under a version in
+// between, which this pool has never seen, other pools may have been granted more.
 func (a *Accounts) Allowance(tenant string, policy Policy) (allowance placement.Resources, hasWholeLimit bool) {
 	account := a.byTenant[tenant]
 	if account == nil || policy.IsShared && (account.version < policy.Version || !account.isSettled) {
@@ -86,7 +87,7 @@
 	return account.allowance(), account.hasWholeLimit && !account.isAboveTarget
 }
 
-// Balance is what the pool's account of a tenant holds, whether it may be used now or not.
+// Balance returns the amount in the pool's account of a tenant, whether it may be used now or not.
 func (a *Accounts) Balance(tenant string) placement.Resources {
 	if account := a.byTenant[tenant]; account != nil {
 		return account.spendable
@@ -94,10 +95,10 @@
 	return placement.Resources{}
 }
 
-// Tenants are those that have an account, in the order of their names.
+// Tenants returns the tenants that have an account, sorted by name.
 func (a *Accounts) Tenants() []string { return slices.Sorted(maps.Keys(a.byTenant)) }
 
-// accountOf gives the account of a tenant, and opens it with the first demand.
+// accountOf returns the account of a tenant, and creates it if there is none.
 func (a *Accounts) accountOf(tenant string) *account {
 	if a.byTenant[tenant] == nil {
 		a.byTenant[tenant] = &account{}
@@ -105,8 +106,8 @@
 	return a.byTenant[tenant]
 }
 
-// Lower begins to give back what a tenant's account should not keep and its runs don't use: more than the part's target, or than the
-// limit of the configuration. It returns nil if there is nothing to commit.
+// Lower starts to return the surplus of a tenant's account to the part: what is above the part's target or above the limit of the
+// configuration, except for what runs use. It returns nil if there is nothing to commit.
 func (a *Accounts) Lower(tenant string, demand Demand) *Change {
 	account := a.accountOf(tenant)
 	keep := account.claimed.Min(demand.Limit)
@@ -117,10 +118,10 @@
 	if lowered == account.claimed {
 		return nil
 	}
-	return account.change(tenant, lowered, false)
+	return account.beginChange(tenant, lowered, false)
 }
 
-// Next gives the call that is due to a part, nil if none is.
+// Next returns the next call to a part, or nil if none is due.
 func (a *Accounts) Next(part int, demands map[string]Demand, policy Policy, now time.Duration) *wire.GrantCall {
 	calls := &a.parts[part]
 	if calls.number != 0 || now < calls.nextAt {
@@ -132,10 +133,10 @@
 			continue
 		}
 		account := a.accountOf(tenant)
-		if !account.isDue(demand, policy, now) {
+		if !account.needsCall(demand, policy, now) {
 			continue
 		}
-		account.askedAt, account.known, account.toldWants = now, account.claimed, demand.wanted()
+		account.lastCallAt, account.knownGrant, account.sentWants = now, account.claimed, demand.wanted()
 		asked = append(asked, wire.TenantDemand{Tenant: tenant, Has: CapacityOf(account.claimed), Used: CapacityOf(demand.Used), Wants: CapacityOf(demand.Wants)})
 	}
 	if len(asked) == 0 && !(policy.IsShared && now >= calls.nextPollAt) {
@@ -147,23 +148,24 @@
 	return &wire.GrantCall{Asker: a.asker, Epoch: a.epoch, Number: a.number, Tenants: asked}
 }
 
-// isDue tells whether the part has to be asked: it has not answered under this configuration, more is wanted than may be used, less is
-// claimed than the part holds, or, where others share the limit, something else is wanted than the part was told. While a change of the
-// account is being committed, what a call says might be undone.
-func (a *account) isDue(demand Demand, policy Policy, now time.Duration) bool {
+// needsCall reports whether the part must be called for this account: it has not answered during this leadership or under this
+// configuration, the demand is above the allowance, the part's grant differs from the claimed amount, or, if pools share the limit,
+// the demand has changed since the last call or the grants are above the limit. No call is made while a change of the account is being
+// committed, because the commit may fail and make the call wrong.
+func (a *account) needsCall(demand Demand, policy Policy, now time.Duration) bool {
 	if a.pending != nil {
 		return false
 	}
-	canWait := now-a.askedAt < raiseInterval && a.isAnswered
+	canWait := now-a.lastCallAt < raiseInterval && a.isAnswered
 	isStarved := !a.allowance().Fits(demand.wanted())
-	if policy.IsShared && now-a.askedAt >= pollInterval && a.toldWants != demand.wanted() {
+	if policy.IsShared && now-a.lastCallAt >= pollInterval && a.sentWants != demand.wanted() {
 		return true
 	}
-	return !a.isAnswered || a.known != a.claimed || !canWait && (a.version < policy.Version || isStarved || policy.IsShared && !a.isSettled)
+	return !a.isAnswered || a.knownGrant != a.claimed || !canWait && (a.version < policy.Version || isStarved || policy.IsShared && !a.isSettled)
 }
 
-// Answered takes the answer to a call to a part, nil if none came. Only the answer to the call under way counts. That to a poll raises no
-// account: the grant that it tells of may not be durable yet.
+// Answered handles the answer to a call to a part; answer is nil if the call failed. Answers to earlier calls are ignored. The
+// answer to a poll never raises an account, because the grant that it reports may not be durable yet. The changes must be committed.
 func (a *Accounts) Answered(part int, number uint64, answer *wire.GrantAnswer, now time.Duration) []Change {
 	calls := &a.parts[part]
 	if calls.number != number {
@@ -171,7 +173,7 @@
 	}
 	calls.number, calls.nextAt = 0, now+batchInterval
 	if answer == nil {
-		calls.nextAt = now + unansweredInterval
+		calls.nextAt = now + retryInterval
 		return nil
 	}
 	var changes []Change
@@ -179,28 +181,28 @@
 		if calls.isPoll {
 			given.Granted = CapacityOf(resourcesOf(given.Granted).Min(a.accountOf(given.Tenant).claimed))
 		}
-		if change := a.take(given, answer.Version); change != nil {
+		if change := a.applyGrant(given, answer.Version); change != nil {
 			changes = append(changes, *change)
 		}
 	}
 	return changes
 }
 
-// take takes what a part decided for one tenant.
-func (a *Accounts) take(given wire.TenantGrant, version int64) *Change {
+// applyGrant applies a part's decision on one tenant. It returns nil if there is nothing to commit.
+func (a *Accounts) applyGrant(given wire.TenantGrant, version int64) *Change {
 	account, granted := a.accountOf(given.Tenant), resourcesOf(given.Granted)
-	account.target, account.known = resourcesOf(given.Target), granted
+	account.target, account.knownGrant = resourcesOf(given.Target), granted
 	account.isAboveTarget = !account.target.Fits(granted)
 	account.version, account.isAnswered, account.isSettled = max(account.version, version), true, given.IsSettled
 	if account.pending != nil {
 		return nil
 	}
-	return account.change(given.Tenant, granted, given.HasWholeLimit)
+	return account.beginChange(given.Tenant, granted, given.HasWholeLimit)
 }
 
-// Committed tells that the change of a tenant's account is durable.
+// Committed must be called when the change of a tenant's account is durable.
 func (a *Accounts) Committed(tenant string) {
 	if account := a.byTenant[tenant]; account != nil {
-		account.committed()
+		account.finishChange()
 	}
 }
--- a/internal/scheduling/tenantcount/cost_test.go
+++ b/internal/scheduling/tenantcount/cost_test.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// The size that is aimed at: so many teams, and pools that share their limits.
+// The target size of a system: tenants, and pools that share their limits.
 const (
 	costTenants = 110
 	costPools   = 5
@@ -21,7 +21,7 @@
 	return placement.Resources{CPU: 1_000_000, Memory: 2_000_000, GPU: placement.Unlimited}, true
 }
 
-// costCall has each tenant of a part want a little more or less than before.
+// costCall is a call of a pool for all tenants of a part, whose demand changes slightly from call to call.
 func costCall(part, pool int, number uint64) *wire.GrantCall {
 	call := &wire.GrantCall{Asker: fmt.Sprintf("pool/%d", pool), Epoch: 1, Number: number}
 	for tenant := range costTenants {
@@ -34,7 +34,7 @@
 	return call
 }
 
-// BenchmarkAsk is a part's decision on one call of a pool for all tenants of the part.
+// BenchmarkAsk measures a part's decision on one call of a pool for all tenants of the part.
 func BenchmarkAsk(b *testing.B) {
 	part, err := NewPart(nil, 0)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkIdleTick is what a pool that is alone with all tenants looks at in each tick when nothing is due.
+// BenchmarkIdleTick measures a tick of a pool that shares no tenants with others, when nothing is due.
 func BenchmarkIdleTick(b *testing.B) {
 	accounts, err := NewAccounts("pool/0", 1, nil)
 	if err != nil {
@@ -72,8 +72,8 @@
 		call := accounts.Next(part, demands, policy, now)
 		answer := &wire.GrantAnswer{Number: call.Number, Version: 1}
 		for _, demand := range call.Tenants {
-			answer.Tenants = append(answer.Tenants, wire.TenantGrant{Tenant: demand.Tenant, Granted: CapacityOf(bounded(limit, limit)),
-				Target: CapacityOf(bounded(limit, limit)), HasWholeLimit: true, IsSettled: true})
+			answer.Tenants = append(answer.Tenants, wire.TenantGrant{Tenant: demand.Tenant, Granted: CapacityOf(onlyLimited(limit, limit)),
+				Target: CapacityOf(onlyLimited(limit, limit)), HasWholeLimit: true, IsSettled: true})
 		}
 		for _, change := range accounts.Answered(part, call.Number, answer, now) {
 			accounts.Committed(change.Tenant)
--- a/internal/scheduling/tenantcount/part.go
+++ b/internal/scheduling/tenantcount/part.go
@@ -1,22 +1,23 @@
-// Package tenantcount keeps what the tenants of the whole system have running under their limits, over all pools together. It is an
-// escrow: the tenants are divided into parts, each part is a replicated key with a leader (Part), and the leader of a pool may start
-// runs of a tenant only within the allowance that it holds of the tenant's limit (Account). A part agrees on batches: one call brings
-// the demand of many tenants, one change commits all its grants, and no start waits for a part as long as the allowance lasts.
+// Package tenantcount enforces the limits on what each tenant has running, summed over all pools. It is an escrow: each limit is divided
+// into grants to pools. Tenants are hashed into a fixed number of parts; a part (Part) is a replicated key with a leader that decides on the
+// grants of its tenants. The leader of a pool starts runs of a tenant only within its grant, which it keeps in an account (Accounts).
+// Calls are batched: one call carries the demand of many tenants, one commit covers all its grants, and no start waits for a part
+// while the account suffices.
 //
-// Both sides keep their half on disk, and two inequalities hold at every moment, whatever is lost, late or doubled:
+// Both sides store their state durably. Two invariants hold at all times, also when messages are lost, delayed or duplicated:
 //
-//   - The grants of all pools for a tenant are together no more than the limit, or than the highest limit that was in force when they
-//     were given. After a limit was lowered, and with each configuration that may have lowered it, a pool that shares its tenants with
-//     others starts nothing until a part has told it that the grants are within the limit again.
-//   - What a pool uses is no more than its account, and its account no more than the part's grant. A part commits a raised grant
-//     before it answers, and a pool commits the raised account before it uses it; a pool commits a lowered account before it says
-//     so, and a part lowers its grant only by what the pool has said.
+//   - The grants of a tenant, summed over all pools, do not exceed its limit, or the highest limit that was in force when they were
+//     granted. After a limit is lowered, and under each new configuration, which may have lowered it, a pool that shares its tenants with
+//     others starts nothing until the part has told it that the grants are within the limit again.
+//   - A pool uses no more than its account, and the account is no more than the part's grant. A part commits a raised grant before it
+//     answers, and a pool commits a raised account before it uses it. A pool commits a lowered account before it reports that, and a
+//     part lowers a grant only as far as the pool has reported.
 //
-// A call says the most that the pool may use until an answer to it (Has). So a call that comes late must not lower a grant that a later
-// call has raised, and an answer that comes late must not raise an account that a later call has promised to be lower: calls carry the
-// epoch of the pool's leadership and a rising number, the part commits them with each grant that it raises and refuses older ones, and
-// a pool drops the answers to all calls but its last. Silence frees nothing: a grant comes back only by a call of the pool's leader, or
-// of the leader after it, which finds the account among the pool's records.
+// A call states the most that the pool may use until the call is answered (Has). A delayed call must therefore not lower a grant that a
+// later call has raised, and a delayed answer must not raise an account that a later call has reported as lower. Calls carry the epoch
+// of the pool's leadership and an increasing number. The part commits both with each grant that it raises and rejects older calls, and a
+// pool ignores the answers to all calls but its last. A grant never expires: it is returned only by a call of the pool's leader, or of
+// its successor, which finds the account among the pool's records.
 package tenantcount
 
 import (
@@ -38,64 +39,66 @@
 //go:generate go run github.com/mailru/easyjson/easyjson -all records.go
 
 const (
-	// Parts is how many keys the tenants are divided among. It must not change while any of them holds grants.
+	// Parts is the number of keys that the tenants are divided among. It must not change while any of them holds grants.
 	Parts = 4
-	// keyPrefix begins the names of the parts' keys.
+	// keyPrefix is the prefix of the parts' keys.
 	keyPrefix = "count/"
-	// grantPrefix begins the names of the records of a part.
+	// grantPrefix is the prefix of the names of a part's grant records.
 	grantPrefix = "g/"
-	// forgetAfter is how long an asker without a grant counts among those who share a limit.
-	forgetAfter = 10 * time.Second
+	// idleAskerTimeout is how long after its last call an asker without a grant still counts when a limit is divided.
+	idleAskerTimeout = 10 * time.Second
 )
 
-// KeyOf is the key of a part.
+// KeyOf returns the key of a part.
 func KeyOf(part int) string { return keyPrefix + strconv.Itoa(part) }
 
-// IsKey tells whether a key is that of a part.
+// IsKey reports whether a key belongs to a part.
 func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
-// PartOf is the part that a tenant belongs to.
+// PartOf returns the part that a tenant belongs to.
 func PartOf(tenant string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(tenant))
 	return int(hash.Sum32() % Parts)
 }
 
-// ErrStale refuses a call of a pool that has made a later one.
+// ErrStale rejects a call of a pool after a later call of that pool was answered.
 const ErrStale = errors.ConstError("a later call of this pool was answered")
 
-// Limits finds what a tenant may have running over all pools in the configuration in force; false if that doesn't have the tenant.
+// Limits looks up the limit of a tenant, summed over all pools, in the current configuration. It returns false for an unknown tenant.
 type Limits func(tenant string) (placement.Resources, bool)
 
-// Part is the decision of a part's leader. One goroutine calls it; it knows neither clock nor network.
+// Part decides on the grants of one part, on behalf of the part's leader. It must be used from one goroutine, and has no clock and no
+// network access.
 type Part struct {
-	// tenants have at least one asker each.
+	// tenants holds the grants by tenant and asker. The asker is the key of a pool.
 	tenants map[string]map[string]*grant
-	// lastCalls are the calls of each asker that were answered last in this leadership.
-	lastCalls map[string]callPlace
+	// lastCalls holds the latest call of each asker: the last that was answered in this leadership, or that a record names.
+	lastCalls map[string]callID
 }
 
-// grant is what one pool holds of a tenant's limit.
+// grant is the amount of a tenant's limit that is granted to one pool.
 type grant struct {
 	amount placement.Resources
-	// raisedBy is the call that last raised the amount; a call before it can't lower it.
-	raisedBy callPlace
-	// wants is what the asker said last that it wants, at a moment of the leader's clock. Until it has said something, wants is amount.
+	// raisedBy is the call that last raised the amount. Earlier calls can't lower it.
+	raisedBy callID
+	// wants is the demand in the asker's last call, and at the time of that call on the leader's clock. Before the first call of this
+	// leadership, wants is amount and at is the start of the leadership.
 	wants placement.Resources
 	at    time.Duration
 }
 
-// callPlace is the place of a call among all calls of a pool.
-type callPlace struct{ epoch, number uint64 }
+// callID identifies a call of a pool, and orders all calls of that pool.
+type callID struct{ epoch, number uint64 }
 
-func (c callPlace) compare(other callPlace) int {
+func (c callID) compare(other callID) int {
 	return cmp.Or(cmp.Compare(c.epoch, other.epoch), cmp.Compare(c.number, other.number))
 }
 
-// NewPart makes the part of a leader from what is committed of its key; the error names a record that can't be read. now is when the
-// leadership began.
+// NewPart creates a part from the committed records of its key. now is the time at which the leadership begins. The error names a
+// record that can't be read.
 func NewPart(pairs []wire.Op, now time.Duration) (*Part, error) {
-	part := &Part{tenants: map[string]map[string]*grant{}, lastCalls: map[string]callPlace{}}
+	part := &Part{tenants: map[string]map[string]*grant{}, lastCalls: map[string]callID{}}
 	for _, pair := range pairs {
 		if !strings.HasPrefix(pair.Name, grantPrefix) {
 			continue
@@ -105,15 +108,16 @@
 			return nil, errors.Annotatef(err, "reading %s from disk", pair.Name)
 		}
 		amount := record.Amount.resources()
-		place := callPlace{record.Epoch, record.Number}
-		part.askersOf(record.Tenant)[record.Asker] = &grant{amount: amount, raisedBy: place, wants: amount, at: now}
-		if place.compare(part.lastCalls[record.Asker]) > 0 {
-			part.lastCalls[record.Asker] = place
+		id := callID{record.Epoch, record.Number}
+		part.askersOf(record.Tenant)[record.Asker] = &grant{amount: amount, raisedBy: id, wants: amount, at: now}
+		if id.compare(part.lastCalls[record.Asker]) > 0 {
+			part.lastCalls[record.Asker] = id
 		}
 	}
 	return part, nil
 }
 
+// askersOf returns the grants of a tenant by asker. The map may be changed.
 func (p *Part) askersOf(tenant string) map[string]*grant {
 	if p.tenants[tenant] == nil {
 		p.tenants[tenant] = map[string]*grant{}
@@ -121,34 +125,34 @@
 	return p.tenants[tenant]
 }
 
-// Ask decides on a call, and gives the answer and the records that must be committed before it is given; the error is ErrStale. The
-// grants count as changed from now on: a later change can't be committed without this one.
+// Ask decides on a call of a pool. It returns the answer, and the records that must be committed before the answer is sent. The only error
+// is ErrStale. The grants change at once, because commits are ordered: a later change can't be committed without this one.
 func (p *Part) Ask(call *wire.GrantCall, limits Limits, now time.Duration) (wire.GrantAnswer, []wire.Op, error) {
 	answer := wire.GrantAnswer{Number: call.Number}
-	place := callPlace{call.Epoch, call.Number}
-	order := place.compare(p.lastCalls[call.Asker])
+	id := callID{call.Epoch, call.Number}
+	order := id.compare(p.lastCalls[call.Asker])
 	if order < 0 {
 		return answer, nil, errors.Annotatef(ErrStale, "call %d of epoch %d by %s", call.Number, call.Epoch, call.Asker)
 	}
-	p.lastCalls[call.Asker] = place
+	p.lastCalls[call.Asker] = id
 	var ops []wire.Op
 	for _, demand := range call.Tenants {
-		given, op := p.decide(call.Asker, place, demand, limits, now)
+		given, op := p.decide(call.Asker, id, demand, limits, now)
 		answer.Tenants = append(answer.Tenants, given)
 		if op != nil {
 			ops = append(ops, *op)
 		}
 	}
 	if len(call.Tenants) == 0 {
-		answer.Tenants = p.recalls(call.Asker, limits, now)
+		answer.Tenants = p.listRecalls(call.Asker, limits, now)
 	}
 	return answer, ops, nil
 }
 
-// decide settles what an asker holds of one tenant's limit. The record is nil if nothing must be committed. An answer by which the asker
-// may use more than it has is always committed with the record, also where a call comes again before the change that it brought is
-// durable: else the second answer would overtake that commit.
-func (p *Part) decide(asker string, place callPlace, demand wire.TenantDemand, limits Limits, now time.Duration) (wire.TenantGrant, *wire.Op) {
+// decide updates an asker's grant of one tenant's limit. The record is nil if nothing must be committed. If the answer allows the asker to
+// use more than it has, the record is always returned, even if the call is a duplicate and the change is already being committed.
+// Otherwise the answer to the duplicate would be sent before that commit.
+func (p *Part) decide(asker string, id callID, demand wire.TenantDemand, limits Limits, now time.Duration) (wire.TenantGrant, *wire.Op) {
 	askers := p.askersOf(demand.Tenant)
 	granted := askers[asker]
 	if granted == nil {
@@ -159,20 +163,20 @@
 	granted.wants, granted.at = resourcesOf(demand.Wants), now
 	limit, isKnown := limits(demand.Tenant)
 	has := resourcesOf(demand.Has)
-	// A call that was answered before, and comes again, says of the pool what it was before that answer.
-	if granted.raisedBy != place {
+	// A duplicate of an answered call describes the pool as it was before that answer.
+	if granted.raisedBy != id {
 		granted.amount = granted.amount.Min(has)
 		if isKnown {
-			granted.amount = granted.amount.Max(bounded(resourcesOf(demand.Used), limit))
+			granted.amount = granted.amount.Max(onlyLimited(resourcesOf(demand.Used), limit))
 		}
 	}
 	target := granted.amount
 	if isKnown {
-		target = p.target(demand.Tenant, asker, limit, now)
-		granted.amount = granted.amount.Plus(p.raise(demand.Tenant, granted, target, limit))
+		target = p.targetOf(demand.Tenant, asker, limit, now)
+		granted.amount = granted.amount.Plus(p.raiseFor(demand.Tenant, granted, target, limit))
 	}
 	if !has.Fits(granted.amount) {
-		granted.raisedBy = place
+		granted.raisedBy = id
 	}
 	given := wire.TenantGrant{Tenant: demand.Tenant, Granted: CapacityOf(granted.amount), Target: CapacityOf(target),
 		HasWholeLimit: isKnown && p.hasWholeLimit(demand.Tenant, asker, limit), IsSettled: isKnown && p.isSettled(demand.Tenant, limit)}
@@ -182,8 +186,8 @@
 	return given, p.recordOf(demand.Tenant, asker, granted)
 }
 
-// raise is by how much a grant may grow: up to its target, if the asker wants more than it holds, and never by more than is free.
-func (p *Part) raise(tenant string, granted *grant, target, limit placement.Resources) placement.Resources {
+// raiseFor returns the amount by which a grant grows: up to its target, but by no more than what is free of the limit.
+func (p *Part) raiseFor(tenant string, granted *grant, target, limit placement.Resources) placement.Resources {
 	free := limit
 	for _, other := range p.tenants[tenant] {
 		free = free.Minus(other.amount)
@@ -191,27 +195,27 @@
 	return target.Minus(granted.amount).Min(free).Max(placement.Resources{})
 }
 
-// hasWholeLimit tells whether one asker holds all of a limit, and the others nothing.
+// hasWholeLimit reports whether one asker holds all of a limit and the others nothing.
 func (p *Part) hasWholeLimit(tenant, asker string, limit placement.Resources) bool {
 	for name, other := range p.tenants[tenant] {
 		if name != asker && other.amount != (placement.Resources{}) {
 			return false
 		}
 	}
-	return bounded(p.tenants[tenant][asker].amount, limit).Fits(bounded(limit, limit))
+	return onlyLimited(p.tenants[tenant][asker].amount, limit).Fits(onlyLimited(limit, limit))
 }
 
-// isSettled tells whether all askers together hold no more than a limit. After it was lowered they may hold more for a while.
+// isSettled reports whether all grants of a tenant together are within a limit. After the limit is lowered they may exceed it for a while.
 func (p *Part) isSettled(tenant string, limit placement.Resources) bool {
 	var granted placement.Resources
 	for _, other := range p.tenants[tenant] {
-		granted = granted.Plus(bounded(other.amount, limit))
+		granted = granted.Plus(onlyLimited(other.amount, limit))
 	}
 	return limit.Fits(granted)
 }
 
-// recalls lists the tenants of which an asker holds more than it should keep.
-func (p *Part) recalls(asker string, limits Limits, now time.Duration) []wire.TenantGrant {
+// listRecalls returns the grants of an asker that are above their targets.
+func (p *Part) listRecalls(asker string, limits Limits, now time.Duration) []wire.TenantGrant {
 	var recalled []wire.TenantGrant
 	for _, tenant := range slices.Sorted(maps.Keys(p.tenants)) {
 		granted := p.tenants[tenant][asker]
@@ -219,7 +223,7 @@
 		if granted == nil || !isKnown {
 			continue
 		}
-		if target := p.target(tenant, asker, limit, now); !target.Fits(granted.amount) {
+		if target := p.targetOf(tenant, asker, limit, now); !target.Fits(granted.amount) {
 			recalled = append(recalled, wire.TenantGrant{Tenant: tenant, Granted: CapacityOf(granted.amount), Target: CapacityOf(target),
 				IsSettled: p.isSettled(tenant, limit)})
 		}
@@ -227,7 +231,7 @@
 	return recalled
 }
 
-// recordOf is the record of a grant; a grant of nothing has none.
+// recordOf returns the change that stores a grant, or that deletes the record of an empty grant.
 func (p *Part) recordOf(tenant, asker string, granted *grant) *wire.Op {
 	op := &wire.Op{Name: grantPrefix + tenant + "/" + asker}
 	if granted.amount == (placement.Resources{}) {
@@ -237,7 +241,7 @@
 	return op
 }
 
-// Report tells what each pool was granted of each tenant's limit.
+// Report returns the limit of each tenant, and the grant and demand of each pool.
 func (p *Part) Report(limits Limits) []wire.TenantUsage {
 	var rows []wire.TenantUsage
 	for _, tenant := range slices.Sorted(maps.Keys(p.tenants)) {
@@ -255,7 +259,7 @@
 	return rows
 }
 
-// ShownLimit says a limit as configurations do, where 0 is no limit.
+// ShownLimit converts a limit to its form in configurations, where 0 means no limit.
 func ShownLimit(limit placement.Resources) placement.Resources {
 	shown := limit
 	for _, field := range []*int64{&shown.CPU, &shown.Memory, &shown.GPU} {
--- a/internal/scheduling/tenantcount/records.go
+++ b/internal/scheduling/tenantcount/records.go
@@ -8,14 +8,14 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// amountRecord is an amount as it is stored.
+// amountRecord is the stored form of an amount of resources.
 type amountRecord struct {
 	CPU    int64 `json:"c,omitempty"`
 	Memory int64 `json:"m,omitempty"`
 	GPU    int64 `json:"g,omitempty"`
 }
 
-// grantRecord is what a part keeps of a grant: Epoch and Number are those of the call that last raised it.
+// grantRecord is the stored form of a grant. Epoch and Number identify the call that last raised it.
 type grantRecord struct {
 	Tenant string       `json:"tenant"`
 	Asker  string       `json:"asker"`
@@ -24,13 +24,13 @@
 	Number uint64       `json:"number"`
 }
 
-// accountRecord is what a pool keeps of its allowance.
+// accountRecord is the stored form of a pool's account.
 type accountRecord struct {
 	Amount        amountRecord `json:"amount"`
 	HasWholeLimit bool         `json:"whole,omitempty"`
 }
 
-// encode is the text of a record, which holds nothing that could fail to be written: numbers, texts and truth values.
+// encode returns a record as JSON. It can't fail, because records hold only numbers, strings and booleans.
 func encode(record easyjson.Marshaler) []byte {
 	var writer jwriter.Writer
 	record.MarshalEasyJSON(&writer)
@@ -49,7 +49,7 @@
 	return placement.Resources{CPU: capacity.CPU, Memory: capacity.Memory, GPU: capacity.GPU}
 }
 
-// CapacityOf says an amount as it is sent.
+// CapacityOf converts an amount to its form in messages.
 func CapacityOf(resources placement.Resources) wire.Capacity {
 	return wire.Capacity{CPU: resources.CPU, Memory: resources.Memory, GPU: resources.GPU}
 }
--- a/internal/scheduling/tenantcount/tenantcount_test.go
+++ b/internal/scheduling/tenantcount/tenantcount_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the form of records of the count is kept",
+var _ = DescribeTable("the encoding of stored records stays the same",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
@@ -19,28 +19,28 @@
 	Entry("account", "account-record", &accountRecord{}),
 )
 
-// cpu is an amount of one resource; the others have no limit in these tests.
+// cpu returns an amount of CPU. The other resources have no limit in these tests.
 func cpu(units int64) placement.Resources { return placement.Resources{CPU: units} }
 
-// escrow is a part and the accounts of pools, whose commits succeed when the test says so.
+// escrow connects a part and the accounts of several pools. poolRecords holds the committed records of each pool.
 type escrow struct {
-	part     *Part
-	records  map[string][]byte
-	limit    int64
-	version  int64
-	now      time.Duration
-	accounts map[string]*Accounts
-	kept     map[string]map[string][]byte
-	epoch    uint64
+	part        *Part
+	records     map[string][]byte
+	limit       int64
+	version     int64
+	now         time.Duration
+	accounts    map[string]*Accounts
+	poolRecords map[string]map[string][]byte
+	epoch       uint64
 }
 
 func newEscrow(limit int64, pools ...string) *escrow {
-	e := &escrow{records: map[string][]byte{}, limit: limit, version: 1, now: time.Second, accounts: map[string]*Accounts{}, kept: map[string]map[string][]byte{}}
+	e := &escrow{records: map[string][]byte{}, limit: limit, version: 1, now: time.Second, accounts: map[string]*Accounts{}, poolRecords: map[string]map[string][]byte{}}
 	for _, pool := range pools {
-		e.kept[pool] = map[string][]byte{}
-		e.takeOverPool(pool)
+		e.poolRecords[pool] = map[string][]byte{}
+		e.changePoolLeader(pool)
 	}
-	e.takeOverPart()
+	e.changePartLeader()
 	return e
 }
 
@@ -51,7 +51,7 @@
 	return pairs
 }
 
-func keep(records map[string][]byte, ops ...wire.Op) {
+func applyOps(records map[string][]byte, ops ...wire.Op) {
 	for _, op := range ops {
 		records[op.Name] = op.Value
 		if len(op.Value) == 0 {
@@ -60,16 +60,16 @@
 	}
 }
 
-// takeOverPart gives the part to another leader, which knows what is committed.
-func (e *escrow) takeOverPart() {
+// changePartLeader replaces the part by one that a new leader creates from the committed records.
+func (e *escrow) changePartLeader() {
 	part, err := NewPart(pairsOf(e.records), e.now)
 	Expect(err).NotTo(HaveOccurred())
 	e.part = part
 }
 
-func (e *escrow) takeOverPool(pool string) {
+func (e *escrow) changePoolLeader(pool string) {
 	e.epoch++
-	accounts, err := NewAccounts(pool, e.epoch, pairsOf(e.kept[pool]))
+	accounts, err := NewAccounts(pool, e.epoch, pairsOf(e.poolRecords[pool]))
 	Expect(err).NotTo(HaveOccurred())
 	e.accounts[pool] = accounts
 }
@@ -87,37 +87,37 @@
 	return map[string]Demand{"t": {Used: cpu(used), Wants: cpu(wants), Limit: limit}}
 }
 
-// call gives the call that a pool makes now, nil if none is due.
+// call advances the clock and returns the call that a pool makes then, or nil if none is due.
 func (e *escrow) call(pool string, used, wants int64) *wire.GrantCall {
 	e.now += raiseInterval
 	return e.accounts[pool].Next(PartOf("t"), e.demand(used, wants), e.policy(), e.now)
 }
 
-// answer has the part decide, and commits that.
+// answer returns the part's answer to a call and commits the part's changes.
 func (e *escrow) answer(call *wire.GrantCall) *wire.GrantAnswer {
 	given, ops, err := e.part.Ask(call, e.limits, e.now)
 	Expect(err).NotTo(HaveOccurred())
-	keep(e.records, ops...)
+	applyOps(e.records, ops...)
 	given.Version = e.version
 	return &given
 }
 
-// take gives a pool an answer, and commits what follows.
-func (e *escrow) take(pool string, call *wire.GrantCall, answer *wire.GrantAnswer) {
+// deliver delivers an answer to a pool and commits the pool's changes.
+func (e *escrow) deliver(pool string, call *wire.GrantCall, answer *wire.GrantAnswer) {
 	for _, change := range e.accounts[pool].Answered(PartOf("t"), call.Number, answer, e.now) {
-		keep(e.kept[pool], change.Op)
+		applyOps(e.poolRecords[pool], change.Op)
 		e.accounts[pool].Committed(change.Tenant)
 	}
 }
 
-// round lets a pool give back, ask and get its answer; it gives what it may use then.
+// round lets a pool return its surplus, call the part and handle the answer. It returns the pool's allowance afterwards.
 func (e *escrow) round(pool string, used, wants int64) int64 {
 	if lowered := e.accounts[pool].Lower("t", e.demand(used, wants)["t"]); lowered != nil {
-		keep(e.kept[pool], lowered.Op)
+		applyOps(e.poolRecords[pool], lowered.Op)
 		e.accounts[pool].Committed("t")
 	}
 	if call := e.call(pool, used, wants); call != nil {
-		e.take(pool, call, e.answer(call))
+		e.deliver(pool, call, e.answer(call))
 	}
 	return e.allowance(pool)
 }
@@ -127,9 +127,9 @@
 	return allowance.CPU
 }
 
-// held is what all pools' committed accounts hold together.
-func (e *escrow) held() (sum int64) {
-	for pool, records := range e.kept {
+// totalBalance returns the sum of all pools' committed accounts.
+func (e *escrow) totalBalance() (sum int64) {
+	for pool, records := range e.poolRecords {
 		accounts, err := NewAccounts(pool, 0, pairsOf(records))
 		Expect(err).NotTo(HaveOccurred())
 		sum += accounts.Balance("t").CPU
@@ -138,7 +138,7 @@
 }
 
 var _ = Describe("the count of a tenant", func() {
-	It("gives a single pool all of the limit at once, and asks no more", func() {
+	It("grants a single pool the whole limit at once, after which the pool makes no more calls", func() {
 		e := newEscrow(100, "x")
 		Expect(e.allowance("x")).To(BeZero())
 		Expect(e.round("x", 0, 0)).To(Equal(int64(100)))
@@ -150,11 +150,11 @@
 		Expect(e.round("x", 100, 500)).To(Equal(int64(150)))
 		e.limit, e.version = 60, 3
 		e.round("x", 100, 500)
-		Expect(e.held()).To(Equal(int64(100)))
+		Expect(e.totalBalance()).To(Equal(int64(100)))
 		Expect(e.round("x", 20, 500)).To(Equal(int64(60)))
 	})
 
-	It("divides a limit by what pools want, and never gives more than it", func() {
+	It("divides a limit by the demand of the pools, and never exceeds it", func() {
 		e := newEscrow(100, "x", "y")
 		e.round("x", 0, 0)
 		Expect(e.allowance("x")).To(Equal(int64(100)))
@@ -162,7 +162,7 @@
 		for range 12 {
 			e.round("x", 0, 30)
 			e.round("y", 0, 500)
-			Expect(e.held()).To(BeNumerically("<=", 100))
+			Expect(e.totalBalance()).To(BeNumerically("<=", 100))
 		}
 		Expect(e.allowance("x")).To(Equal(int64(30)))
 		Expect(e.allowance("y")).To(Equal(int64(70)))
@@ -179,24 +179,24 @@
 		Expect(e.allowance("y")).To(Equal(int64(50)))
 	})
 
-	It("counts a call that comes again once, and refuses one that comes after a later one", func() {
+	It("handles a duplicate call once, and rejects a call after a later one", func() {
 		e := newEscrow(100, "x", "y")
 		first := e.call("x", 0, 40)
 		answer := e.answer(first)
 		Expect(e.answer(first).Tenants).To(Equal(answer.Tenants))
 		Expect(e.accounts["x"].Answered(PartOf("t"), first.Number, nil, e.now)).To(BeEmpty())
-		e.now += unansweredInterval
+		e.now += retryInterval
 		second := e.call("x", 0, 40)
-		e.take("x", second, e.answer(second))
+		e.deliver("x", second, e.answer(second))
 		Expect(e.allowance("x")).To(Equal(int64(100)))
 		_, _, err := e.part.Ask(first, e.limits, e.now)
 		Expect(err).To(MatchError(ErrStale))
-		e.takeOverPart()
+		e.changePartLeader()
 		_, _, err = e.part.Ask(first, e.limits, e.now)
 		Expect(err).To(MatchError(ErrStale))
 	})
 
-	It("commits an answer that raises an account also where its call comes again before the first commit", func() {
+	It("commits a raised grant also for a duplicate call that arrives before the first commit", func() {
 		e := newEscrow(100, "x", "y")
 		call := e.call("x", 0, 40)
 		_, ops, err := e.part.Ask(call, e.limits, e.now)
@@ -208,7 +208,7 @@
 		Expect(again).To(Equal(ops))
 	})
 
-	It("raises no account by the answer to a poll, which may tell of a grant that is not durable", func() {
+	It("raises no account by the answer to a poll, whose grant may not be durable", func() {
 		e := newEscrow(100, "x", "y")
 		e.round("x", 0, 0)
 		e.now += time.Hour
@@ -217,42 +217,42 @@
 		changes := e.accounts["x"].Answered(PartOf("t"), poll.Number, &wire.GrantAnswer{Number: poll.Number, Version: 1, Tenants: []wire.TenantGrant{
 			{Tenant: "t", Granted: wire.Capacity{CPU: 900}, Target: wire.Capacity{CPU: 50}, IsSettled: true}}}, e.now)
 		for _, change := range changes {
-			keep(e.kept["x"], change.Op)
+			applyOps(e.poolRecords["x"], change.Op)
 			e.accounts["x"].Committed(change.Tenant)
 		}
 		Expect(e.accounts["x"].Balance("t").CPU).To(BeNumerically("<=", 100))
 		Expect(e.allowance("x")).To(BeNumerically("<=", 50))
 	})
 
-	It("drops the answer to a call that was given up", func() {
+	It("ignores the answer to a call that has timed out", func() {
 		e := newEscrow(100, "x", "y")
 		first := e.call("x", 0, 40)
 		late := e.answer(first)
 		e.accounts["x"].Answered(PartOf("t"), first.Number, nil, e.now)
-		e.now += unansweredInterval
+		e.now += retryInterval
 		second := e.call("x", 0, 40)
 		Expect(e.accounts["x"].Answered(PartOf("t"), first.Number, late, e.now)).To(BeEmpty())
 		Expect(second.Number).To(BeNumerically(">", first.Number))
 		Expect(e.allowance("x")).To(BeZero())
 	})
 
-	It("is kept over a change of the part's leader, and of the pool's", func() {
+	It("survives a change of the part's leader and of a pool's leader", func() {
 		e := newEscrow(100, "x", "y")
 		e.round("x", 0, 500)
-		e.takeOverPart()
+		e.changePartLeader()
 		Expect(e.round("y", 0, 500)).To(BeZero())
-		e.takeOverPool("x")
+		e.changePoolLeader("x")
 		Expect(e.accounts["x"].Balance("t")).To(Equal(cpu(100)))
-		Expect(e.allowance("x")).To(BeZero(), "until the part has answered under this leader's configuration")
+		Expect(e.allowance("x")).To(BeZero(), "no allowance before the part has answered under this leader's configuration")
 		for range 12 {
 			e.round("x", 0, 500)
 			e.round("y", 0, 500)
-			Expect(e.held()).To(BeNumerically("<=", 100))
+			Expect(e.totalBalance()).To(BeNumerically("<=", 100))
 		}
 		Expect(e.allowance("y")).To(Equal(int64(50)))
 	})
 
-	It("frees nothing by silence", func() {
+	It("does not free the grant of a pool that makes no calls", func() {
 		e := newEscrow(100, "x", "y")
 		e.round("x", 100, 500)
 		e.now += time.Hour
@@ -261,7 +261,7 @@
 		}
 	})
 
-	It("lets nobody start under a lowered limit until the returns are in", func() {
+	It("allows no starts under a lowered limit until the grants are within it", func() {
 		e := newEscrow(100, "x", "y")
 		for range 12 {
 			e.round("x", 50, 500)
@@ -270,7 +270,7 @@
 		Expect(e.allowance("y")).To(Equal(int64(50)))
 		e.limit, e.version = 40, 2
 		Expect(e.allowance("y")).To(BeZero())
-		Expect(e.round("y", 0, 500)).To(BeZero(), "the other one still holds more than the limit")
+		Expect(e.round("y", 0, 500)).To(BeZero(), "the other pool still holds more than the limit")
 		for range 12 {
 			e.round("x", 10, 500)
 			e.round("y", 0, 500)
@@ -278,14 +278,14 @@
 		Expect(e.allowance("x") + e.allowance("y")).To(Equal(int64(40)))
 	})
 
-	It("uses a raised account only after the commit, and a lowered one less before it", func() {
+	It("uses a raised account only after the commit, and reduces a lowered one before it", func() {
 		e := newEscrow(100, "x")
 		call := e.call("x", 0, 50)
 		accounts := e.accounts["x"]
 		changes := accounts.Answered(PartOf("t"), call.Number, e.answer(call), e.now)
 		Expect(changes).To(HaveLen(1))
 		Expect(e.allowance("x")).To(BeZero())
-		Expect(e.call("x", 0, 50)).To(BeNil(), "what it says might be undone")
+		Expect(e.call("x", 0, 50)).To(BeNil(), "no call while a change is being committed")
 		accounts.Committed("t")
 		Expect(e.allowance("x")).To(Equal(int64(100)))
 		e.limit, e.version = 30, 2
@@ -294,20 +294,20 @@
 		Expect(accounts.Lower("t", e.demand(0, 0)["t"])).To(BeNil(), "one change at a time")
 	})
 
-	It("counts what runs of a pool that holds less, as after a limit has appeared", func() {
+	It("counts runs of a pool beyond its account, as after a limit was added", func() {
 		e := newEscrow(100, "x", "y")
 		call := e.call("x", 60, 60)
-		e.take("x", call, e.answer(call))
+		e.deliver("x", call, e.answer(call))
 		Expect(e.round("y", 0, 500)).To(BeNumerically("<=", 40))
 	})
 
-	It("counts nothing of a resource without a limit", func() {
+	It("counts nothing in a resource without a limit", func() {
 		e := newEscrow(placement.Unlimited, "x")
 		e.round("x", 70, 90)
 		Expect(e.records).To(BeEmpty())
 	})
 
-	It("reads what it can, and names what it can't", func() {
+	It("loads the readable records of a pool, and names an unreadable record", func() {
 		_, err := NewPart([]wire.Op{{Name: "g/t/x", Value: []byte("{")}}, 0)
 		Expect(err).To(MatchError(ContainSubstring("g/t/x")))
 		accounts, err := NewAccounts("x", 1, []wire.Op{{Name: "a/t", Value: []byte("{")}, {Name: "a/u", Value: []byte(`{"amount":{"c":5}}`)}})
@@ -316,23 +316,23 @@
 		Expect(accounts.Tenants()).To(Equal([]string{"u"}))
 	})
 
-	DescribeTable("is divided by max-min fairness", func(limit, own int64, others []int64, part int64) {
+	DescribeTable("divides a resource by max-min fairness", func(limit, own int64, others []int64, part int64) {
 		wants := []placement.Resources{cpu(own)}
 		for _, other := range others {
 			wants = append(wants, cpu(other))
 		}
-		Expect(fairPart(limit, own, wants, func(r placement.Resources) int64 { return r.CPU })).To(Equal(part))
+		Expect(fairShare(limit, own, wants, func(r placement.Resources) int64 { return r.CPU })).To(Equal(part))
 	},
-		Entry("alone", int64(10), int64(0), nil, int64(10)),
-		Entry("alone and wanting more", int64(10), int64(50), nil, int64(10)),
-		Entry("all want more", int64(12), int64(50), []int64{50, 50}, int64(4)),
-		Entry("one wants little", int64(12), int64(50), []int64{2, 50}, int64(5)),
-		Entry("it is the one that wants little", int64(12), int64(2), []int64{50, 50}, int64(2)),
-		Entry("nobody wants all", int64(12), int64(2), []int64{4}, int64(5)),
-		Entry("no limit is counted", int64(0), int64(2), []int64{4}, int64(0)),
+		Entry("single asker without demand", int64(10), int64(0), nil, int64(10)),
+		Entry("single asker with demand above the limit", int64(10), int64(50), nil, int64(10)),
+		Entry("all want more than an equal share", int64(12), int64(50), []int64{50, 50}, int64(4)),
+		Entry("another asker wants less than an equal share", int64(12), int64(50), []int64{2, 50}, int64(5)),
+		Entry("the asker itself wants less than an equal share", int64(12), int64(2), []int64{50, 50}, int64(2)),
+		Entry("all want less than an equal share", int64(12), int64(2), []int64{4}, int64(5)),
+		Entry("the limit is 0", int64(0), int64(2), []int64{4}, int64(0)),
 	)
 
-	It("forgets an asker that holds nothing and is silent", func() {
+	It("ignores an asker without a grant that makes no calls", func() {
 		e := newEscrow(100, "x", "y")
 		e.round("y", 0, 0)
 		for range 6 {
