--- a/internal/scheduling/scheduler/tenantcount.go
+++ b/internal/scheduling/scheduler/tenantcount.go
@@ -91,7 +91,7 @@
 	accounts := p.accounts
 	p.counter.Ask(part, call, func(answer *wire.GrantAnswer) {
 		if p.accounts == accounts && p.IsOpen() {
-			p.commitAccounts(accounts.Answered(part, call.Number, answer, p.clock.Monotonic())...)
+			p.commitAccounts(accounts.HandleAnswer(part, call.Number, answer, p.clock.Monotonic())...)
 		}
 	})
 }
--- a/internal/scheduling/tenantcount/accounts.go
+++ b/internal/scheduling/tenantcount/accounts.go
@@ -164,9 +164,9 @@
 	return !a.isAnswered || a.knownGrant != a.claimed || !canWait && (a.version < policy.Version || isStarved || policy.IsShared && !a.isSettled)
 }
 
-// Answered handles the answer to a call to a part; answer is nil if the call failed. Answers to earlier calls are ignored. The
+// HandleAnswer handles the answer to a call to a part; answer is nil if the call failed. Answers to earlier calls are ignored. The
 // answer to a poll never raises an account, because the grant that it reports may not be durable yet. The changes must be committed.
-func (a *Accounts) Answered(part int, number uint64, answer *wire.GrantAnswer, now time.Duration) []Change {
+func (a *Accounts) HandleAnswer(part int, number uint64, answer *wire.GrantAnswer, now time.Duration) []Change {
 	calls := &a.parts[part]
 	if calls.number != number {
 		return nil
--- a/internal/scheduling/tenantcount/cost_test.go
+++ b/internal/scheduling/tenantcount/cost_test.go
@@ -75,7 +75,7 @@
 			answer.Tenants = append(answer.Tenants, wire.TenantGrant{Tenant: demand.Tenant, Granted: CapacityOf(onlyLimited(limit, limit)),
 				Target: CapacityOf(onlyLimited(limit, limit)), HasWholeLimit: true, IsSettled: true})
 		}
-		for _, change := range accounts.Answered(part, call.Number, answer, now) {
+		for _, change := range accounts.HandleAnswer(part, call.Number, answer, now) {
 			accounts.Committed(change.Tenant)
 		}
 	}
--- a/internal/scheduling/tenantcount/tenantcount_test.go
+++ b/internal/scheduling/tenantcount/tenantcount_test.go
@@ -104,7 +104,7 @@
 
 // deliver delivers an answer to a pool and commits the pool's changes.
 func (e *escrow) deliver(pool string, call *wire.GrantCall, answer *wire.GrantAnswer) {
-	for _, change := range e.accounts[pool].Answered(PartOf("t"), call.Number, answer, e.now) {
+	for _, change := range e.accounts[pool].HandleAnswer(PartOf("t"), call.Number, answer, e.now) {
 		applyOps(e.poolRecords[pool], change.Op)
 		e.accounts[pool].Committed(change.Tenant)
 	}
@@ -184,7 +184,7 @@
 		first := e.call("x", 0, 40)
 		answer := e.answer(first)
 		Expect(e.answer(first).Tenants).To(Equal(answer.Tenants))
-		Expect(e.accounts["x"].Answered(PartOf("t"), first.Number, nil, e.now)).To(BeEmpty())
+		Expect(e.accounts["x"].HandleAnswer(PartOf("t"), first.Number, nil, e.now)).To(BeEmpty())
 		e.now += retryInterval
 		second := e.call("x", 0, 40)
 		e.deliver("x", second, e.answer(second))
@@ -214,7 +214,7 @@
 		e.now += time.Hour
 		poll := e.accounts["x"].Next(PartOf("t"), nil, e.policy(), e.now)
 		Expect(poll.Tenants).To(BeEmpty())
-		changes := e.accounts["x"].Answered(PartOf("t"), poll.Number, &wire.GrantAnswer{Number: poll.Number, Version: 1, Tenants: []wire.TenantGrant{
+		changes := e.accounts["x"].HandleAnswer(PartOf("t"), poll.Number, &wire.GrantAnswer{Number: poll.Number, Version: 1, Tenants: []wire.TenantGrant{
 			{Tenant: "t", Granted: wire.Capacity{CPU: 900}, Target: wire.Capacity{CPU: 50}, IsSettled: true}}}, e.now)
 		for _, change := range changes {
 			applyOps(e.poolRecords["x"], change.Op)
@@ -228,10 +228,10 @@
 		e := newEscrow(100, "x", "y")
 		first := e.call("x", 0, 40)
 		late := e.answer(first)
-		e.accounts["x"].Answered(PartOf("t"), first.Number, nil, e.now)
+		e.accounts["x"].HandleAnswer(PartOf("t"), first.Number, nil, e.now)
 		e.now += retryInterval
 		second := e.call("x", 0, 40)
-		Expect(e.accounts["x"].Answered(PartOf("t"), first.Number, late, e.now)).To(BeEmpty())
+		Expect(e.accounts["x"].HandleAnswer(PartOf("t"), first.Number, late, e.now)).To(BeEmpty())
 		Expect(second.Number).To(BeNumerically(">", first.Number))
 		Expect(e.allowance("x")).To(BeZero())
 	})
@@ -282,7 +282,7 @@
 		e := newEscrow(100, "x")
 		call := e.call("x", 0, 50)
 		accounts := e.accounts["x"]
-		changes := accounts.Answered(PartOf("t"), call.Number, e.answer(call), e.now)
+		changes := accounts.HandleAnswer(PartOf("t"), call.Number, e.answer(call), e.now)
 		Expect(changes).To(HaveLen(1))
 		Expect(e.allowance("x")).To(BeZero())
 		Expect(e.call("x", 0, 50)).To(BeNil(), "no call while a change is being committed")
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -105,7 +105,7 @@
 	cluster.coverage["call"]++
 	take := func(answer *wire.GrantAnswer) {
 		if p.accounts == accounts {
-			p.commitAccounts(accounts.Answered(part, call.Number, answer, cluster.queue.Now())...)
+			p.commitAccounts(accounts.HandleAnswer(part, call.Number, answer, cluster.queue.Now())...)
 		}
 	}
 	cluster.send(p.number, part, func() {
@@ -120,7 +120,7 @@
 	if p.cluster.fault == faultLateAnswer && p.accounts != nil {
 		// The answer counts for whatever call is under way.
 		for number := call.Number; number < call.Number+20; number++ {
-			p.commitAccounts(p.accounts.Answered(part, number, &answer, p.cluster.queue.Now())...)
+			p.commitAccounts(p.accounts.HandleAnswer(part, number, &answer, p.cluster.queue.Now())...)
 		}
 		return
 	}
