--- a/internal/scheduling/scheduler/tenantcount.go
+++ b/internal/scheduling/scheduler/tenantcount.go
@@ -110,7 +110,7 @@
 			return
 		}
 		for _, change := range changes {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 		}
 		p.needsPlacing = true
 	})
--- a/internal/scheduling/tenantcount/account.go
+++ b/internal/scheduling/tenantcount/account.go
@@ -34,7 +34,7 @@
 	sentWants placement.Resources
 }
 
-// Change is a record that the pool must commit. It calls Accounts.Committed after the commit.
+// Change is a record that the pool must commit. It calls Accounts.HandleCommit after the commit.
 type Change struct {
 	Tenant string
 	Op     wire.Op
--- a/internal/scheduling/tenantcount/accounts.go
+++ b/internal/scheduling/tenantcount/accounts.go
@@ -200,8 +200,8 @@
 	return account.beginChange(given.Tenant, granted, given.HasWholeLimit)
 }
 
-// Committed must be called when the change of a tenant's account is durable.
-func (a *Accounts) Committed(tenant string) {
+// HandleCommit must be called when the change of a tenant's account is durable.
+func (a *Accounts) HandleCommit(tenant string) {
 	if account := a.byTenant[tenant]; account != nil {
 		account.finishChange()
 	}
--- a/internal/scheduling/tenantcount/cost_test.go
+++ b/internal/scheduling/tenantcount/cost_test.go
@@ -76,7 +76,7 @@
 				Target: CapacityOf(onlyLimited(limit, limit)), HasWholeLimit: true, IsSettled: true})
 		}
 		for _, change := range accounts.HandleAnswer(part, call.Number, answer, now) {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 		}
 	}
 	b.ResetTimer()
--- a/internal/scheduling/tenantcount/tenantcount_test.go
+++ b/internal/scheduling/tenantcount/tenantcount_test.go
@@ -106,7 +106,7 @@
 func (e *escrow) deliver(pool string, call *wire.GrantCall, answer *wire.GrantAnswer) {
 	for _, change := range e.accounts[pool].HandleAnswer(PartOf("t"), call.Number, answer, e.now) {
 		applyOps(e.poolRecords[pool], change.Op)
-		e.accounts[pool].Committed(change.Tenant)
+		e.accounts[pool].HandleCommit(change.Tenant)
 	}
 }
 
@@ -114,7 +114,7 @@
 func (e *escrow) round(pool string, used, wants int64) int64 {
 	if lowered := e.accounts[pool].Lower("t", e.demand(used, wants)["t"]); lowered != nil {
 		applyOps(e.poolRecords[pool], lowered.Op)
-		e.accounts[pool].Committed("t")
+		e.accounts[pool].HandleCommit("t")
 	}
 	if call := e.call(pool, used, wants); call != nil {
 		e.deliver(pool, call, e.answer(call))
@@ -218,7 +218,7 @@
 			{Tenant: "t", Granted: wire.Capacity{CPU: 900}, Target: wire.Capacity{CPU: 50}, IsSettled: true}}}, e.now)
 		for _, change := range changes {
 			applyOps(e.poolRecords["x"], change.Op)
-			e.accounts["x"].Committed(change.Tenant)
+			e.accounts["x"].HandleCommit(change.Tenant)
 		}
 		Expect(e.accounts["x"].Balance("t").CPU).To(BeNumerically("<=", 100))
 		Expect(e.allowance("x")).To(BeNumerically("<=", 50))
@@ -286,7 +286,7 @@
 		Expect(changes).To(HaveLen(1))
 		Expect(e.allowance("x")).To(BeZero())
 		Expect(e.call("x", 0, 50)).To(BeNil(), "no call while a change is being committed")
-		accounts.Committed("t")
+		accounts.HandleCommit("t")
 		Expect(e.allowance("x")).To(Equal(int64(100)))
 		e.limit, e.version = 30, 2
 		Expect(accounts.Lower("t", e.demand(0, 0)["t"])).NotTo(BeNil())
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -131,14 +131,14 @@
 	for _, change := range changes {
 		accounts := p.accounts
 		if p.cluster.fault == faultRaiseBeforeCommit {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 		}
 		if p.cluster.fault == faultLowerNotCommitted && isLower(p.key.Records[change.Op.Name], change.Op.Value) {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 			continue
 		}
 		p.key.Propose([]wire.Op{change.Op}, func(error) {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 			p.cluster.checkAccounts(p)
 		})
 	}
