--- a/internal/control/countleader/countleader.go
+++ b/internal/control/countleader/countleader.go
@@ -72,7 +72,7 @@
 		return
 	}
 	policy := l.policy()
-	given, ops, err := l.part.Ask(&asked, policy.Limits, l.clock.Monotonic())
+	given, ops, err := l.part.HandleCall(&asked, policy.Limits, l.clock.Monotonic())
 	if errors.Is(err, tenantcount.ErrStale) {
 		answer(wire.ClientAnswer{Status: http.StatusConflict, Reason: err.Error()})
 		return
--- a/internal/scheduling/scheduler/tenantcount_test.go
+++ b/internal/scheduling/scheduler/tenantcount_test.go
@@ -38,7 +38,7 @@
 		answer(nil)
 		return
 	}
-	given, _, err := s.parts[part].Ask(call, s.limits, 0)
+	given, _, err := s.parts[part].HandleCall(call, s.limits, 0)
 	Expect(err).NotTo(HaveOccurred())
 	given.Version = s.version
 	answer(&given)
@@ -57,7 +57,7 @@
 		f.settle()
 	}
 	other := func(has, wants int64) (granted int64) {
-		counter.parts[tenantcount.PartOf("a")].Ask(&wire.GrantCall{Asker: "pool/other", Epoch: 1, Number: uint64(f.clock.Monotonic()),
+		counter.parts[tenantcount.PartOf("a")].HandleCall(&wire.GrantCall{Asker: "pool/other", Epoch: 1, Number: uint64(f.clock.Monotonic()),
 			Tenants: []wire.TenantDemand{{Tenant: "a", Has: wire.Capacity{CPU: has}, Wants: wire.Capacity{CPU: wants}}}}, counter.limits, 0)
 		for _, row := range counter.parts[tenantcount.PartOf("a")].Report(counter.limits) {
 			for _, grant := range row.Grants {
--- a/internal/scheduling/tenantcount/cost_test.go
+++ b/internal/scheduling/tenantcount/cost_test.go
@@ -34,15 +34,15 @@
 	return call
 }
 
-// BenchmarkAsk measures a part's decision on one call of a pool for all tenants of the part.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkHandleCall measures a part's decision on one call of a pool for all tenants of the part.
+func BenchmarkHandleCall(b *testing.B) {
 	part, err := NewPart(nil, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
 	var records, bytes int
 	for index := range b.N {
-		_, ops, err := part.Ask(costCall(0, index%costPools, uint64(index/costPools)+1), costLimits, time.Duration(index)*time.Millisecond)
+		_, ops, err := part.HandleCall(costCall(0, index%costPools, uint64(index/costPools)+1), costLimits, time.Duration(index)*time.Millisecond)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/scheduling/tenantcount/part.go
+++ b/internal/scheduling/tenantcount/part.go
@@ -125,9 +125,9 @@
 	return p.tenants[tenant]
 }
 
-// Ask decides on a call of a pool. It returns the answer, and the records that must be committed before the answer is sent. The only error
+// HandleCall decides on a call of a pool. It returns the answer, and the records that must be committed before the answer is sent. The only error
 // is ErrStale. The grants change at once, because commits are ordered: a later change can't be committed without this one.
-func (p *Part) Ask(call *wire.GrantCall, limits Limits, now time.Duration) (wire.GrantAnswer, []wire.Op, error) {
+func (p *Part) HandleCall(call *wire.GrantCall, limits Limits, now time.Duration) (wire.GrantAnswer, []wire.Op, error) {
 	answer := wire.GrantAnswer{Number: call.Number}
 	id := callID{call.Epoch, call.Number}
 	order := id.compare(p.lastCalls[call.Asker])
--- a/internal/scheduling/tenantcount/tenantcount_test.go
+++ b/internal/scheduling/tenantcount/tenantcount_test.go
@@ -95,7 +95,7 @@
 
 // answer returns the part's answer to a call and commits the part's changes.
 func (e *escrow) answer(call *wire.GrantCall) *wire.GrantAnswer {
-	given, ops, err := e.part.Ask(call, e.limits, e.now)
+	given, ops, err := e.part.HandleCall(call, e.limits, e.now)
 	Expect(err).NotTo(HaveOccurred())
 	applyOps(e.records, ops...)
 	given.Version = e.version
@@ -189,20 +189,20 @@
 		second := e.call("x", 0, 40)
 		e.deliver("x", second, e.answer(second))
 		Expect(e.allowance("x")).To(Equal(int64(100)))
-		_, _, err := e.part.Ask(first, e.limits, e.now)
+		_, _, err := e.part.HandleCall(first, e.limits, e.now)
 		Expect(err).To(MatchError(ErrStale))
 		e.changePartLeader()
-		_, _, err = e.part.Ask(first, e.limits, e.now)
+		_, _, err = e.part.HandleCall(first, e.limits, e.now)
 		Expect(err).To(MatchError(ErrStale))
 	})
 
 	It("commits a raised grant also for a duplicate call that arrives before the first commit", func() {
 		e := newEscrow(100, "x", "y")
 		call := e.call("x", 0, 40)
-		_, ops, err := e.part.Ask(call, e.limits, e.now)
+		_, ops, err := e.part.HandleCall(call, e.limits, e.now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(ops).NotTo(BeEmpty())
-		given, again, err := e.part.Ask(call, e.limits, e.now)
+		given, again, err := e.part.HandleCall(call, e.limits, e.now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(given.Tenants[0].Granted.CPU).To(BeNumerically(">", 0))
 		Expect(again).To(Equal(ops))
--- a/internal/simulation/modelcheck/countmodel/part.go
+++ b/internal/simulation/modelcheck/countmodel/part.go
@@ -66,7 +66,7 @@
 		received.Number = p.newest[call.Asker] + 1
 	}
 	p.newest[call.Asker], p.lastCallAt[call.Asker] = max(p.newest[call.Asker], received.Number), p.cluster.queue.Now()
-	given, ops, err := p.part.Ask(&received, p.limits, p.cluster.queue.Now())
+	given, ops, err := p.part.HandleCall(&received, p.limits, p.cluster.queue.Now())
 	if errors.Is(err, tenantcount.ErrStale) {
 		p.cluster.coverage["call_stale"]++
 		return
