--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -151,9 +151,9 @@
 	return id + "." + strconv.Itoa(time) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
 }
 
-// Place names one task of a job: the job's id, the number of its time (0 unless it repeats), of its step, and the
+// TaskPosition names one task of a job: the job's id, the number of its time (0 unless it repeats), of its step, and the
 // task's index in the step.
-type Place struct {
+type TaskPosition struct {
 	ID                string
 	Time, Step, Index int
 }
@@ -165,18 +165,18 @@
 }
 
 // ParseTask takes a name apart that TaskName made; false means that it is not one.
-func ParseTask(name string) (Place, bool) {
+func ParseTask(name string) (TaskPosition, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
-		return Place{}, false
+		return TaskPosition{}, false
 	}
 	var numbers [3]int
 	for place, part := range parts[1:] {
 		number, err := strconv.Atoi(part)
 		if err != nil || number < 0 {
-			return Place{}, false
+			return TaskPosition{}, false
 		}
 		numbers[place] = number
 	}
-	return Place{parts[0], numbers[0], numbers[1], numbers[2]}, true
+	return TaskPosition{parts[0], numbers[0], numbers[1], numbers[2]}, true
 }
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -142,7 +142,7 @@
 type loadedTask struct {
 	name   string
 	job    *jobState
-	place  jobs.Place
+	place  jobs.TaskPosition
 	record taskRecord
 }
 
@@ -175,7 +175,7 @@
 	return slices.DeleteFunc(tasks, func(loaded loadedTask) bool { return loaded.job.isUnreadable })
 }
 
-func (j *jobState) hasTask(place jobs.Place) bool {
+func (j *jobState) hasTask(place jobs.TaskPosition) bool {
 	return j.spec != nil && place.Time < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
 }
 
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -14,7 +14,7 @@
 	task     string
 	run      int64
 	step     *jobs.Step
-	position jobs.Place
+	position jobs.TaskPosition
 	begunAt  time.Duration
 	length   time.Duration
 	how      string
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -63,7 +63,7 @@
 	return task
 }
 
-func (o *oracles) stepOf(position jobs.Place) *jobs.Step {
+func (o *oracles) stepOf(position jobs.TaskPosition) *jobs.Step {
 	if job := o.jobs[position.ID]; job != nil && position.Step < len(job.spec.Steps) {
 		return &job.spec.Steps[position.Step]
 	}
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (j *Judge) step(task string) (*jobs.Step, jobs.Place) {
+func (j *Judge) step(task string) (*jobs.Step, jobs.TaskPosition) {
 	position, isTask := jobs.ParseTask(task)
 	if facts := j.jobs[position.ID]; isTask && facts != nil && position.Step < len(facts.spec.Steps) {
 		return &facts.spec.Steps[position.Step], position
@@ -159,7 +159,7 @@
 }
 
 // failedGangs counts the runs of a gang in which any member failed.
-func (j *Judge) failedGangs(position jobs.Place, step *jobs.Step) int {
+func (j *Judge) failedGangs(position jobs.TaskPosition, step *jobs.Step) int {
 	runs := map[int64]bool{}
 	for index := range step.Tasks {
 		if facts := j.tasks[jobs.TaskName(position.ID, position.Time, position.Step, index)]; facts != nil {
