--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -154,8 +154,8 @@
 // TaskPosition names one task of a job: the job's id, the number of its time (0 unless it repeats), of its step, and the
 // task's index in the step.
 type TaskPosition struct {
-	ID                string
-	Time, Step, Index int
+	ID                      string
+	Occurrence, Step, Index int
 }
 
 // JobOf gives the ID of the job that a task belongs to, empty for what is no name of a task.
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -66,7 +66,7 @@
 	if !isTask || job == nil || job.spec == nil {
 		return nil
 	}
-	occurrence := job.occurrences[place.Time]
+	occurrence := job.occurrences[place.Occurrence]
 	if occurrence == nil || place.Step >= len(occurrence.steps) || place.Index >= len(occurrence.steps[place.Step].tasks) {
 		return nil
 	}
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -176,18 +176,18 @@
 }
 
 func (j *jobState) hasTask(place jobs.TaskPosition) bool {
-	return j.spec != nil && place.Time < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
+	return j.spec != nil && place.Occurrence < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
 }
 
 // loadTask restores a task from its record and adopts the runs it had; the record of a complete occurrence without runs
 // is dropped.
 func (p *Pool) loadTask(loaded loadedTask) {
-	isOver, record := loaded.job.completedOccurrences[loaded.place.Time], loaded.record
+	isOver, record := loaded.job.completedOccurrences[loaded.place.Occurrence], loaded.record
 	if isOver && len(record.Runs) == 0 {
 		p.dropRecord(loaded.name)
 		return
 	}
-	step := p.occurrenceOf(loaded.job, loaded.place.Time).steps[loaded.place.Step]
+	step := p.occurrenceOf(loaded.job, loaded.place.Occurrence).steps[loaded.place.Step]
 	task := step.tasks[loaded.place.Index]
 	task.isDone, task.failed, task.lastRun, task.checkpoint = record.Done || isOver, record.Failed, record.LastRun, record.Checkpoint
 	step.failedRun = max(step.failedRun, record.FailedRun)
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -273,7 +273,7 @@
 // before any step of the job opens.
 func (p *Pool) takeTasks(job *jobState, tasks []wire.TransferredTask) {
 	for _, moved := range tasks {
-		if !job.hasTask(jobs.TaskPosition{ID: job.id, Time: moved.Occurrence, Step: moved.Step, Index: moved.Index}) {
+		if !job.hasTask(jobs.TaskPosition{ID: job.id, Occurrence: moved.Occurrence, Step: moved.Step, Index: moved.Index}) {
 			continue
 		}
 		occurrence := p.occurrenceOf(job, moved.Occurrence)
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		for _, other := range executor.active {
-			if other.run == execution.run && other.position.ID == execution.position.ID && other.position.Time == execution.position.Time && other.position.Step == execution.position.Step {
+			if other.run == execution.run && other.position.ID == execution.position.ID && other.position.Occurrence == execution.position.Occurrence && other.position.Step == execution.position.Step {
 				members = append(members, other)
 			}
 		}
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -68,7 +68,7 @@
 		return o.task(execution.task).saved[saved]
 	}
 	for index := range execution.step.Tasks {
-		if o.task(jobs.TaskName(execution.position.ID, execution.position.Time, execution.position.Step, index)).saved[saved] {
+		if o.task(jobs.TaskName(execution.position.ID, execution.position.Occurrence, execution.position.Step, index)).saved[saved] {
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 func (o *oracles) checkDepends(execution *modelExecution, job *modelJob) {
 	for _, earlier := range execution.step.DependsOn {
 		for index := range job.spec.Steps[earlier].Tasks {
-			name := jobs.TaskName(execution.position.ID, execution.position.Time, earlier, index)
+			name := jobs.TaskName(execution.position.ID, execution.position.Occurrence, earlier, index)
 			if !o.task(name).isDone {
 				o.cluster.violate("ORDER", "%s started before %s was done", execution.task, name)
 			}
@@ -127,7 +127,7 @@
 	if o.isTimeOdd {
 		slack += jumpSlackMs
 	}
-	due := job.spec.FirstRunMs + int64(execution.position.Time)*job.spec.PeriodMs
+	due := job.spec.FirstRunMs + int64(execution.position.Occurrence)*job.spec.PeriodMs
 	if o.cluster.queue.clock.WallMs() < due-slack {
 		o.cluster.violate("ORDER", "%s started %d ms ahead of its time", execution.task, due-o.cluster.queue.clock.WallMs())
 	}
@@ -142,7 +142,7 @@
 	}
 	together := 0
 	for _, other := range executor.active {
-		if other.position.ID == execution.position.ID && other.position.Time == execution.position.Time && other.position.Step == execution.position.Step {
+		if other.position.ID == execution.position.ID && other.position.Occurrence == execution.position.Occurrence && other.position.Step == execution.position.Step {
 			together++
 		}
 	}
@@ -168,7 +168,7 @@
 		}
 		if execution.step.Gang {
 			for index := range execution.step.Tasks {
-				o.task(jobs.TaskName(execution.position.ID, execution.position.Time, execution.position.Step, index)).isDone = true
+				o.task(jobs.TaskName(execution.position.ID, execution.position.Occurrence, execution.position.Step, index)).isDone = true
 			}
 		}
 	case outcomeFailed:
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -281,7 +281,7 @@
 func (e *modelExecutor) tasksOf(id string, time, step int) int {
 	count := 0
 	for _, execution := range e.active {
-		if execution.position.ID == id && execution.position.Time == time && execution.position.Step == step {
+		if execution.position.ID == id && execution.position.Occurrence == time && execution.position.Step == step {
 			count++
 		}
 	}
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -248,7 +248,7 @@
 // runsOf counts the runs of one step.
 func (e *Executor) runsOf(step jobs.TaskPosition) (count int) {
 	for _, active := range e.active {
-		if _, position := e.cluster.Judge.step(active.task); position.ID == step.ID && position.Time == step.Time && position.Step == step.Step {
+		if _, position := e.cluster.Judge.step(active.task); position.ID == step.ID && position.Occurrence == step.Occurrence && position.Step == step.Step {
 			count++
 		}
 	}
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -109,7 +109,7 @@
 	}
 	for _, earlier := range step.DependsOn {
 		for index := range job.spec.Steps[earlier].Tasks {
-			name := jobs.TaskName(position.ID, position.Time, earlier, index)
+			name := jobs.TaskName(position.ID, position.Occurrence, earlier, index)
 			if !j.of(name).isDone {
 				j.problem("%s started before %s was done", task, name)
 			}
@@ -133,7 +133,7 @@
 		facts.isDone = true
 		if step, position := j.step(task); step.Gang {
 			for index := range step.Tasks {
-				j.of(jobs.TaskName(position.ID, position.Time, position.Step, index)).isDone = true
+				j.of(jobs.TaskName(position.ID, position.Occurrence, position.Step, index)).isDone = true
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 func (j *Judge) failedGangs(position jobs.TaskPosition, step *jobs.Step) int {
 	runs := map[int64]bool{}
 	for index := range step.Tasks {
-		if facts := j.tasks[jobs.TaskName(position.ID, position.Time, position.Step, index)]; facts != nil {
+		if facts := j.tasks[jobs.TaskName(position.ID, position.Occurrence, position.Step, index)]; facts != nil {
 			maps.Copy(runs, facts.failedRuns)
 		}
 	}
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -255,7 +255,7 @@
 		for _, executor := range s.Executors {
 			for _, active := range slices.Clone(executor.active) {
 				_, other := s.Judge.step(active.task)
-				if active.number == run && other.ID == position.ID && other.Time == position.Time && other.Step == position.Step {
+				if active.number == run && other.ID == position.ID && other.Occurrence == position.Occurrence && other.Step == position.Step {
 					executor.end(active, "broken")
 				}
 			}
