--- a/internal/scheduling/jobs/golden_test.go
+++ b/internal/scheduling/jobs/golden_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the form of a job as clients submit it is kept",
+var _ = DescribeTable("the encoding of a submitted job stays the same",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
--- a/internal/scheduling/jobs/jobs_test.go
+++ b/internal/scheduling/jobs/jobs_test.go
@@ -10,18 +10,18 @@
 )
 
 var _ = Describe("a job", func() {
-	It("is read, with labels as one word or a list", func() {
+	It("is decoded with labels as one string or a list", func() {
 		spec, err := jobs.Read([]byte(`{"task-descriptor":"x","step-list":[{"task-count":2,"affinity-labels":"r1"},{"task-count":1,"depends-on":[0],"required-labels":["a","b"]}]}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(spec.Steps[0].Affinity).To(Equal(jobs.Labels{"r1"}))
 		Expect(spec.Steps[1].Labels).To(Equal(jobs.Labels{"a", "b"}))
 	})
 
-	DescribeTable("is refused with a text that names the field", func(body, field string) {
+	DescribeTable("is rejected with an error that names the field", func(body, field string) {
 		_, err := jobs.Read([]byte(body))
 		Expect(err).To(MatchError(ContainSubstring(field)))
 	},
-		Entry("no JSON", `{`, "can't be read"),
+		Entry("invalid JSON", `{`, "can't be read"),
 		Entry("a wrong type", `{"step-list":"x"}`, "can't be read"),
 		Entry("no steps", `{"task-descriptor":"x"}`, "step-list"),
 		Entry("no tasks", `{"step-list":[{}]}`, "task-count"),
@@ -34,14 +34,14 @@
 	)
 
 	DescribeTable("has an ID of 16 hex digits", func(id string, isGood bool) { Expect(jobs.IsID(id)).To(Equal(isGood)) },
-		Entry("good", "5c0e7a21d94b36f8", true), Entry("short", "5c0e", false), Entry("no digit", "5c0e7a21d94b36fx", false))
+		Entry("good", "5c0e7a21d94b36f8", true), Entry("short", "5c0e", false), Entry("not hexadecimal", "5c0e7a21d94b36fx", false))
 
 	It("names its tasks ID.K.STEP.INDEX", func() {
 		name := jobs.TaskName("5c0e7a21d94b36f8", 0, 1, 17)
 		Expect(name).To(Equal("5c0e7a21d94b36f8.0.1.17"))
-		place, isTask := jobs.ParseTask(name)
+		position, isTask := jobs.ParseTask(name)
 		Expect(isTask).To(BeTrue())
-		Expect(place.Index).To(Equal(17))
+		Expect(position.Index).To(Equal(17))
 		_, isTask = jobs.ParseTask("a.b.c.d")
 		Expect(isTask).To(BeFalse())
 	})
--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -10,6 +10,7 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
+// The limits of a job that a client submits. Jobs that were accepted under other limits stay readable by Restore.
 const (
 	maxDescriptorBytes = 4000
 	maxSteps           = 256
@@ -17,41 +18,41 @@
 	maxRepeats         = 100000
 )
 
-// Labels is one label or a list of them.
+// Labels is a list of labels. In JSON it may also be a single string.
 type Labels []string
 
-// UnmarshalEasyJSON reads one string or a list of strings; null and the empty string are no labels.
-func (w *Labels) UnmarshalEasyJSON(in *jlexer.Lexer) {
-	*w = nil
+// UnmarshalEasyJSON reads a string or a list of strings. Null and empty strings yield no labels.
+func (l *Labels) UnmarshalEasyJSON(in *jlexer.Lexer) {
+	*l = nil
 	if in.IsNull() {
 		in.Skip()
 		return
 	}
 	if !in.IsDelim('[') {
 		if label := in.String(); label != "" {
-			*w = Labels{label}
+			*l = Labels{label}
 		}
 		return
 	}
 	in.Delim('[')
 	for !in.IsDelim(']') {
 		if label := in.String(); label != "" {
-			*w = append(*w, label)
+			*l = append(*l, label)
 		}
 		in.WantComma()
 	}
 	in.Delim(']')
 }
 
-// MarshalEasyJSON writes a single label as a string and any other number as a list.
-func (w Labels) MarshalEasyJSON(out *jwriter.Writer) {
-	if len(w) == 1 {
-		out.String(w[0])
+// MarshalEasyJSON writes a single label as a string, and any other number of labels as a list.
+func (l Labels) MarshalEasyJSON(out *jwriter.Writer) {
+	if len(l) == 1 {
+		out.String(l[0])
 		return
 	}
 	out.RawByte('[')
-	for place, label := range w {
-		if place > 0 {
+	for index, label := range l {
+		if index > 0 {
 			out.RawByte(',')
 		}
 		out.String(label)
@@ -59,7 +60,7 @@
 	out.RawByte(']')
 }
 
-// IsID says whether the text is a job id: 16 hexadecimal digits.
+// IsID reports whether a string has the form of a job ID: 16 hexadecimal digits.
 func IsID(id string) bool {
 	if len(id) != 16 {
 		return false
@@ -72,7 +73,7 @@
 	return true
 }
 
-// Read decodes and checks a job as a client hands it in.
+// Read decodes and validates a job that a client submits, including the limits on its size.
 func Read(body []byte) (*Spec, error) {
 	spec, err := Restore(body)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return spec, spec.checkSize()
 }
 
-// Restore decodes a job that was accepted before, maybe under other limits of size than those of Read.
+// Restore decodes and validates a job that was accepted before, possibly under other size limits than those of Read.
 func Restore(body []byte) (*Spec, error) {
 	spec := &Spec{}
 	if err := easyjson.Unmarshal(body, spec); err != nil {
@@ -90,7 +91,7 @@
 	return spec, spec.check()
 }
 
-// checkSize refuses what is larger than a client may hand in.
+// checkSize rejects a job above the size limits for clients.
 func (s *Spec) checkSize() error {
 	if len(s.Descriptor) > maxDescriptorBytes {
 		return errors.Errorf("field task-descriptor is longer than %d bytes", maxDescriptorBytes)
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// check refuses what could not be run at all.
+// check rejects a job that could not run at all.
 func (s *Spec) check() error {
 	if len(s.Steps) == 0 {
 		return errors.Errorf("field step-list must hold 1 to %d steps", maxSteps)
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// check checks the fields of the step with this number; steps may depend on earlier ones only.
+// check validates the fields of the step with this number. A step may depend on earlier steps only.
 func (s *Step) check(number int) error {
 	if s.Tasks < 1 {
 		return errors.New("field task-count must be at least 1")
@@ -146,37 +147,37 @@
 	return nil
 }
 
-// TaskName is ID.K.STEP.INDEX.
-func TaskName(id string, time, step, index int) string {
-	return id + "." + strconv.Itoa(time) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
+// TaskName returns the name of a task, ID.K.STEP.INDEX: the job's ID, and the numbers of the occurrence, the step and the task.
+func TaskName(id string, occurrence, step, index int) string {
+	return id + "." + strconv.Itoa(occurrence) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
 }
 
-// TaskPosition names one task of a job: the job's id, the number of its time (0 unless it repeats), of its step, and the
-// task's index in the step.
+// TaskPosition identifies one task: the job's ID, the number of the job's occurrence (0 unless it repeats), the number of the step, and
+// the index of the task in the step.
 type TaskPosition struct {
 	ID                      string
 	Occurrence, Step, Index int
 }
 
-// JobOf gives the ID of the job that a task belongs to, empty for what is no name of a task.
+// JobOf returns the ID of the job that a task belongs to, or an empty string if the name is not a task name.
 func JobOf(task string) string {
-	place, _ := ParseTask(task)
-	return place.ID
+	position, _ := ParseTask(task)
+	return position.ID
 }
 
-// ParseTask takes a name apart that TaskName made; false means that it is not one.
+// ParseTask parses a name that TaskName made. It returns false for any other string.
 func ParseTask(name string) (TaskPosition, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return TaskPosition{}, false
 	}
 	var numbers [3]int
-	for place, part := range parts[1:] {
+	for index, part := range parts[1:] {
 		number, err := strconv.Atoi(part)
 		if err != nil || number < 0 {
 			return TaskPosition{}, false
 		}
-		numbers[place] = number
+		numbers[index] = number
 	}
 	return TaskPosition{parts[0], numbers[0], numbers[1], numbers[2]}, true
 }
--- a/internal/scheduling/jobs/spec.go
+++ b/internal/scheduling/jobs/spec.go
@@ -1,10 +1,10 @@
-// Package jobs holds jobs: their steps, tasks, runs and what became of them.
+// Package jobs defines the specification of a job, its validation, and the names of its tasks.
 package jobs
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all spec.go
 
-// Step is a group of equal tasks of a job. CPU is in units of a thousandth of a core; DependsOn holds the numbers of
-// steps that must end first; Apart bounds how many of its tasks one executor may run, 0 being no bound.
+// Step is a group of identical tasks of a job. CPU is in thousandths of a core and Memory in MB, per task. DependsOn holds the numbers of the
+// steps that must complete first. AntiAffinity is how many of the step's tasks one executor may run at once; 0 is no limit.
 type Step struct {
 	Tasks         int    `json:"task-count"`
 	CPU           int64  `json:"cpu-units,omitempty"`
@@ -22,8 +22,8 @@
 	LongRunning   bool   `json:"long-running,omitempty"`
 }
 
-// Spec is a job as a client hands it in. FirstRunMs is a time of day in milliseconds since 1970, PeriodMs the time
-// between two runs of a repeated job.
+// Spec is a job as a client submits it. FirstRunMs is a time of day in milliseconds since 1970, PeriodMs the time between two occurrences
+// of a repeated job in milliseconds.
 type Spec struct {
 	Descriptor  string `json:"task-descriptor"`
 	Steps       []Step `json:"step-list"`
