--- a/internal/scheduling/recording/event.go
+++ b/internal/scheduling/recording/event.go
@@ -1,5 +1,5 @@
-// Package recording writes and reads the recording of a day, a JSON line an event: what was asked of the system, and how
-// long the work took.
+// Package recording writes and reads recordings of a day's load, for replay in simulations. A recording is a file of JSON lines, one per
+// event: submitted and cancelled jobs, executors, configurations, and how long each run took.
 package recording
 
 import (
@@ -10,7 +10,7 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all event.go
 
-// Version is that of the format; docs/recording.md describes it.
+// Version is the version of the format, which docs/recording.md describes.
 const Version = 1
 
 // The kinds of lines: the header of a file, a job submitted, a job cancelled, a configuration, an executor's state, the
@@ -25,8 +25,8 @@
 	KindLost     = "lost"
 )
 
-// Event is one line; a kind fills in only the fields that it needs. AtMs is a time of day in milliseconds since 1970,
-// Version that of the format (in the header), Plan that of a configuration, Count the number of lines that were lost.
+// Event is one line. Each kind sets only the fields that it needs. AtMs is a time of day in milliseconds since 1970. Version is the
+// version of the format, in a header; Plan is the version of a configuration. Count is the number of lost lines.
 type Event struct {
 	Kind       string              `json:"kind"`
 	AtMs       int64               `json:"at-ms"`
--- a/internal/scheduling/recording/golden_test.go
+++ b/internal/scheduling/recording/golden_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the form of the lines of a recording is kept",
+var _ = DescribeTable("the encoding of recorded events stays the same",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
--- a/internal/scheduling/recording/read.go
+++ b/internal/scheduling/recording/read.go
@@ -14,11 +14,11 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// maxLineBytes is in bytes.
+// maxLineBytes is the longest line that is read. A longer one fails the whole file.
 const maxLineBytes = 8 << 20
 
-// Day is what was read: events in order of time, and what is missing. Lost counts the lines that were never written,
-// Skipped those that could not be read.
+// Day is the content of one or several recordings. Events are in order of time, without headers and duplicates. Lines counts the lines
+// that were read, Lost those that the writers dropped, and Skipped those that could not be read.
 type Day struct {
 	Events  []Event
 	Lines   int
@@ -26,8 +26,8 @@
 	Skipped int
 }
 
-// ReadFiles merges the recordings of several nodes into one day; what several of them saw counts once. A line that can't
-// be read is skipped if the reader is lenient; else the error names the file and the line.
+// ReadFiles merges the recordings of several nodes into one day, without duplicates of events that several nodes recorded. A lenient
+// reader skips lines that can't be read; otherwise the error names the file and the line.
 func ReadFiles(paths []string, isLenient bool) (*Day, error) {
 	day := &Day{}
 	for _, path := range paths {
@@ -45,17 +45,17 @@
 	return day, nil
 }
 
-// read appends the events of one file. A lenient reader skips lines that can't be read, and counts them; a strict one
-// refuses the file and names the line.
+// read appends the events of one file. A lenient reader skips and counts lines that can't be read after the header; otherwise the error
+// names the line.
 func (d *Day) read(from io.Reader, path string, isLenient bool) error {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
-	var last int64
+	var lastMs int64
 	hasHeader := false
 	for number := 1; lines.Scan(); number++ {
 		event, err := decode(lines.Bytes())
 		if err == nil {
-			err = check(event, last, hasHeader)
+			err = check(event, lastMs, hasHeader)
 		}
 		if err != nil {
 			if isLenient && hasHeader {
@@ -65,7 +65,7 @@
 			return errors.Annotatef(err, "%s:%d", path, number)
 		}
 		d.Lines++
-		last = event.AtMs
+		lastMs = event.AtMs
 		switch event.Kind {
 		case KindHeader:
 			hasHeader = true
@@ -84,21 +84,22 @@
 	return nil
 }
 
+// decode decodes one line. It copies the line, because the event keeps a reference to its body.
 func decode(text []byte) (Event, error) {
 	var event Event
 	err := easyjson.Unmarshal(slices.Clone(text), &event)
-	return event, errors.Annotate(err, "a broken line")
+	return event, errors.Annotate(err, "decoding an event")
 }
 
-// check tells what is wrong with an event that follows one of the time last.
-func check(event Event, last int64, hasHeader bool) error {
+// check validates an event. lastMs is the time of the event before it in the file, and hasHeader is false for the first one.
+func check(event Event, lastMs int64, hasHeader bool) error {
 	switch {
 	case event.Kind == KindHeader && event.Version != Version:
 		return errors.Errorf("field version: %d is unknown, this program reads %d", event.Version, Version)
 	case !hasHeader && event.Kind != KindHeader:
 		return errors.New("field kind: a recording begins with a header")
-	case event.AtMs < last:
-		return errors.Errorf("field at-ms: the time goes backwards, from %d to %d", last, event.AtMs)
+	case event.AtMs < lastMs:
+		return errors.Errorf("field at-ms: the time goes backwards, from %d to %d", lastMs, event.AtMs)
 	}
 	switch event.Kind {
 	case KindSubmit:
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// merge sorts by time, and drops what was recorded before by another node or at another try.
+// merge sorts the events by time, and drops duplicates that another node recorded or that a retry caused.
 func (d *Day) merge() {
 	slices.SortStableFunc(d.Events, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	seen := map[string]bool{}
@@ -140,8 +141,8 @@
 		default:
 			return false
 		}
-		isAgain := seen[name]
+		isDuplicate := seen[name]
 		seen[name] = true
-		return isAgain
+		return isDuplicate
 	})
 }
--- a/internal/scheduling/recording/recording_test.go
+++ b/internal/scheduling/recording/recording_test.go
@@ -12,8 +12,8 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = Describe("a recording that an earlier version wrote", func() {
-	It("is read with all events that it holds", func() {
+var _ = Describe("a recording written by an earlier version", func() {
+	It("is read with all its events", func() {
 		day, err := recording.ReadFiles([]string{"testdata/recording-cb820b6.jsonl"}, true)
 		Expect(err).NotTo(HaveOccurred())
 		var contents strings.Builder
--- a/internal/scheduling/recording/write.go
+++ b/internal/scheduling/recording/write.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// maxQueuedEvents is how many events wait for the writer at most.
+	// maxQueuedEvents is the capacity of the writer's queue.
 	maxQueuedEvents = 65536
-	// longestFile is in bytes; what comes after that is counted as lost.
-	longestFile = 24 << 20
+	// maxFileBytes is the size from which on a file takes no more events. They are counted as lost.
+	maxFileBytes = 24 << 20
 )
 
-// Writer appends to a file from a goroutine of its own; what it can't keep up with is counted as lost.
+// Writer appends events to a file. Record may be called from any goroutine; Run writes from a goroutine of its own. Events that exceed
+// the queue or the file are counted as lost. lost is a channel of capacity 1 that holds the number of lost events not yet written.
 type Writer struct {
-	lines           chan Event
-	lost            chan int64
-	path            string
-	node            string
-	withDescriptors bool
-	size            int64
-	last            int64
-	hasHeader       bool
+	queue            chan Event
+	lost             chan int64
+	path             string
+	node             string
+	keepsDescriptors bool
+	size             int64
+	lastMs           int64
+	hasHeader        bool
 }
 
-// NewWriter makes a writer; without descriptors, those of tasks are left out.
-func NewWriter(path, node string, withDescriptors bool) *Writer {
+// NewWriter creates a writer for a node. Unless keepsDescriptors is set, the task descriptors of submitted jobs are left out.
+func NewWriter(path, node string, keepsDescriptors bool) *Writer {
 	lost := make(chan int64, 1)
 	lost <- 0
-	return &Writer{lines: make(chan Event, maxQueuedEvents), lost: lost, path: path, node: node, withDescriptors: withDescriptors}
+	return &Writer{queue: make(chan Event, maxQueuedEvents), lost: lost, path: path, node: node, keepsDescriptors: keepsDescriptors}
 }
 
-// Record hands an event to the writer. It never blocks: what doesn't fit is counted as lost.
+// Record queues an event. It never blocks on a full queue: the event is counted as lost.
 func (w *Writer) Record(event Event) {
 	select {
-	case w.lines <- event:
+	case w.queue <- event:
 	default:
 		w.lost <- <-w.lost + 1
 	}
 }
 
-// Run writes until ctx is done.
+// Run writes events until ctx is done, and then flushes the queue.
 func (w *Writer) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return w.Flush()
-		case event := <-w.lines:
+		case event := <-w.queue:
 			if err := w.write(event); err != nil {
 				return err
 			}
@@ -60,17 +61,17 @@
 	}
 }
 
-// Flush writes all that waits.
+// Flush writes all queued events.
 func (w *Writer) Flush() error {
 	select {
-	case event := <-w.lines:
+	case event := <-w.queue:
 		return w.write(event)
 	default:
 		return nil
 	}
 }
 
-// write appends one event, and whatever waits behind it.
+// write appends one event and all queued ones to the file.
 func (w *Writer) write(event Event) error {
 	file, err := os.OpenFile(w.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -85,7 +86,7 @@
 	w.put(out, event)
 	for {
 		select {
-		case event := <-w.lines:
+		case event := <-w.queue:
 			w.put(out, event)
 		default:
 			return errors.Annotate(out.Flush(), "writing the recording")
@@ -93,28 +94,28 @@
 	}
 }
 
-// put writes an event, and before it how many were lost, unless the file is full.
+// put writes an event, preceded by the number of lost events if there are any. If the file is full, the event is counted as lost.
 func (w *Writer) put(out *bufio.Writer, event Event) {
-	if lost := <-w.lost; lost > 0 && w.size < longestFile {
+	if lost := <-w.lost; lost > 0 && w.size < maxFileBytes {
 		w.lost <- 0
 		w.writeLine(out, Event{Kind: KindLost, AtMs: event.AtMs, Count: lost})
 	} else {
 		w.lost <- lost
 	}
-	if w.size >= longestFile {
+	if w.size >= maxFileBytes {
 		w.lost <- <-w.lost + 1
 		return
 	}
-	if event.Kind == KindSubmit && !w.withDescriptors {
+	if event.Kind == KindSubmit && !w.keepsDescriptors {
 		event.Body = withoutDescriptor(event.Body)
 	}
 	w.writeLine(out, event)
 }
 
-// writeLine writes one line, whose time is never before that of the line above.
+// writeLine writes one line. It raises the time of the event to that of the line before, because readers reject times that go backwards.
 func (w *Writer) writeLine(out *bufio.Writer, event Event) {
-	w.last = max(w.last, event.AtMs)
-	event.AtMs = w.last
+	w.lastMs = max(w.lastMs, event.AtMs)
+	event.AtMs = w.lastMs
 	text, err := easyjson.Marshal(event)
 	if err != nil {
 		return
@@ -123,7 +124,7 @@
 	w.size += int64(count)
 }
 
-// withoutDescriptor removes the descriptor from a job's body; a body that can't be read is recorded as it is.
+// withoutDescriptor removes the task descriptor from a job's body. A body that can't be decoded is recorded unchanged.
 func withoutDescriptor(body []byte) []byte {
 	spec, err := jobs.Read(body)
 	if err != nil {
