--- a/internal/control/rollouts/controller.go
+++ b/internal/control/rollouts/controller.go
@@ -1,7 +1,7 @@
-// Package rollouts carries out the rollouts that the configuration names. It runs on each steward, and does something only where the
-// configuration is led: it asks the pools of both versions what they have counted, has package scheduling/rollout decide, and makes each
-// step an ordinary change of the configuration on the version that it was decided on. So a change by an operator in between wins, a step is
-// never taken twice, and a new leader goes on from what is committed.
+// Package rollouts runs the rollouts in the configuration. A controller runs on each steward, but only acts on the leader of the
+// configuration. It fetches the counts of both versions from their pools, lets package scheduling/rollout decide, and commits each step as
+// an ordinary change of the configuration, conditional on the configuration version that the decision was based on. So a concurrent
+// change by an operator wins, no step is taken twice, and a new leader continues from the committed state.
 package rollouts
 
 import (
@@ -22,49 +22,50 @@
 )
 
 const (
-	// reconcileInterval is how often rollouts under way are judged.
+	// reconcileInterval is the pause between two reconciliations.
 	reconcileInterval = 500 * time.Millisecond
-	// changeTimeout is how long a change of the configuration may take before its outcome counts as unknown; the next judgement sees what came of it.
+	// changeTimeout is the timeout of a reconciliation. The outcome of a change that times out is unknown until the next reconciliation
+	// reads the configuration again.
 	changeTimeout = 2 * time.Second
 )
 
-// Surroundings are what a controller stands on.
+// Surroundings are the dependencies of a controller.
 type Surroundings struct {
 	Clock clock.Clock
 	Log   logging.Logger
-	// HasRollouts tells whether the newest configuration that this process knows names any.
+	// HasRollouts reports whether the latest configuration known to this process contains rollouts.
 	HasRollouts func() bool
-	// Execute runs a command on the key of the configuration; its answer says so if that is not led here.
+	// Execute runs a command on the key of the configuration. The answer has NotLeader set if this process does not lead the key.
 	Execute func(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error)
-	// Report asks the pool of a service for its counts; nil stands for no answer.
+	// Report fetches the counts of a service from its pool. It returns nil if the pool does not answer.
 	Report func(ctx context.Context, service string) *wire.RolloutReport
 }
 
-// Controller carries out rollouts while the configuration is led here.
+// Controller runs rollouts while this process leads the configuration.
 type Controller struct {
 	Surroundings
-	// judges watch the rollouts under way, by name; they belong to the goroutine of Run.
-	judges map[string]*watchedRollout
-	// known is the configuration that was read last, of the text knownBody; both belong to the goroutine of Run.
-	known     *configuration.Configuration
-	knownBody []byte
-	status    atomic.Pointer[wire.RolloutsStatus]
+	// tracked holds the rollouts in progress by name. Only the goroutine of Run uses it.
+	tracked map[string]*trackedRollout
+	// decoded is the last decoded configuration, and decodedBody its JSON. Only the goroutine of Run uses them.
+	decoded     *configuration.Configuration
+	decodedBody []byte
+	status      atomic.Pointer[wire.RolloutsStatus]
 }
 
-// watchedRollout is the judge of one rollout; one that begins anew under the same name gets another.
-type watchedRollout struct {
+// trackedRollout is the state of one rollout in progress. A rollout that begins again under the same name gets a new one.
+type trackedRollout struct {
 	judge   *rollout.Judge
 	begunMs int64
-	// reason is the last that was logged.
+	// reason is the last reason that was logged.
 	reason rollout.Reason
 }
 
-// New makes a controller.
+// New creates a controller, which does nothing until Run or Reconcile is called.
 func New(surroundings Surroundings) *Controller {
-	return &Controller{Surroundings: surroundings, judges: map[string]*watchedRollout{}}
+	return &Controller{Surroundings: surroundings, tracked: map[string]*trackedRollout{}}
 }
 
-// Run judges the rollouts again and again until ctx is done.
+// Run reconciles periodically until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
 		select {
@@ -76,49 +77,51 @@
 	}
 }
 
-// Status is how the rollouts stand, nil where the configuration is not led here or was not judged yet. Any goroutine may ask.
+// Status returns the status of all rollouts after the last reconciliation. It is nil if this process does not lead the configuration, or
+// has not reconciled yet. It may be called from any goroutine.
 func (c *Controller) Status() *wire.RolloutsStatus { return c.status.Load() }
 
-// Reconcile judges all rollouts once, and makes at most one change.
+// Reconcile decides once on each rollout, and makes at most one change of the configuration.
 func (c *Controller) Reconcile(ctx context.Context) {
 	if !c.HasRollouts() {
-		c.forget()
+		c.reset()
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	current, err := c.Execute(ctx, &wire.ClientCall{Verb: wire.VerbRetrieve})
 	if err != nil || current.NotLeader || current.Status != http.StatusOK {
-		c.forget()
+		c.reset()
 		return
 	}
-	if err := c.read(current.Body); err != nil {
-		c.Log.Error(err, "configuration not read")
+	if err := c.decode(current.Body); err != nil {
+		c.Log.Error(err, "configuration for rollouts not decoded")
 		return
 	}
-	c.judgeAll(ctx, c.known, current)
+	c.judgeAll(ctx, c.decoded, current)
 }
 
-// read reads the text of a configuration, unless it is the one that was read last.
-func (c *Controller) read(body []byte) error {
-	if c.known != nil && bytes.Equal(c.knownBody, body) {
+// decode decodes a configuration into c.decoded, unless it is the last decoded one.
+func (c *Controller) decode(body []byte) error {
+	if c.decoded != nil && bytes.Equal(c.decodedBody, body) {
 		return nil
 	}
 	decoded, err := configuration.Read(body)
 	if err != nil {
 		return err
 	}
-	c.known, c.knownBody = decoded, body
+	c.decoded, c.decodedBody = decoded, body
 	return nil
 }
 
-// forget drops all judges: the next leader of the configuration has its own, and this one begins anew if it leads again.
-func (c *Controller) forget() {
-	c.judges = map[string]*watchedRollout{}
+// reset drops the state of all rollouts when this process does not lead the configuration. It starts afresh when it leads again.
+func (c *Controller) reset() {
+	c.tracked = map[string]*trackedRollout{}
 	c.status.Store(nil)
 }
 
-// judgeAll judges the rollouts of the configuration in force.
+// judgeAll decides on each rollout of the current configuration, applies the first decision that changes one, and publishes the status.
+// Each pool is asked at most once.
 func (c *Controller) judgeAll(ctx context.Context, decoded *configuration.Configuration, current *wire.ClientAnswer) {
 	reports := map[string]*wire.RolloutReport{}
 	report := func(service string) *wire.RolloutReport {
@@ -128,7 +131,7 @@
 		return reports[service]
 	}
 	status := &wire.RolloutsStatus{Version: decoded.Version}
-	isChanged := false
+	hasChanged := false
 	for index := range decoded.Rollouts {
 		configured := &decoded.Rollouts[index]
 		if configured.IsOver() {
@@ -136,29 +139,30 @@
 			continue
 		}
 		evidence := rollout.Evidence{Old: versionOf(report(configured.From), configured), New: versionOf(report(configured.To), configured)}
-		watched := c.watched(configured)
-		decision := watched.judge.Decide(configured, evidence, current.WallMs)
-		c.logDecision(configured, watched, decision)
+		tracked := c.track(configured)
+		decision := tracked.judge.Decide(configured, evidence, current.WallMs)
+		c.logDecision(configured, tracked, decision)
 		status.Rollouts = append(status.Rollouts, statusOf(configured, evidence, decision))
-		if !isChanged && decision.Action != rollout.Hold {
-			isChanged = true
+		if !hasChanged && decision.Action != rollout.Hold {
+			hasChanged = true
 			c.change(ctx, configured, evidence, decision, current)
 		}
 	}
 	c.status.Store(status)
-	showMetrics(status)
+	updateMetrics(status)
 }
 
-// watched gives the judge of a rollout.
-func (c *Controller) watched(configured *configuration.Rollout) *watchedRollout {
-	watched := c.judges[configured.Name]
-	if watched == nil || watched.begunMs != configured.BegunMs {
-		watched = &watchedRollout{judge: &rollout.Judge{}, begunMs: configured.BegunMs}
-		c.judges[configured.Name] = watched
+// track returns the state of a rollout, and creates it if the rollout is new or has begun again.
+func (c *Controller) track(configured *configuration.Rollout) *trackedRollout {
+	tracked := c.tracked[configured.Name]
+	if tracked == nil || tracked.begunMs != configured.BegunMs {
+		tracked = &trackedRollout{judge: &rollout.Judge{}, begunMs: configured.BegunMs}
+		c.tracked[configured.Name] = tracked
 	}
-	return watched
+	return tracked
 }
 
+// versionOf returns a pool's counts for a rollout; they are unknown if the report is nil.
 func versionOf(report *wire.RolloutReport, configured *configuration.Rollout) rollout.Version {
 	if report == nil {
 		return rollout.Version{}
@@ -166,12 +170,12 @@
 	return rollout.VersionFrom(report, configured.Name, configured.BegunMs)
 }
 
-// logDecision logs a decision with its figures, once for each reason.
-func (c *Controller) logDecision(configured *configuration.Rollout, watched *watchedRollout, decision rollout.Decision) {
-	if decision.Reason == watched.reason && decision.Action == rollout.Hold {
+// logDecision logs a decision, unless it is a Hold with the reason that was logged last.
+func (c *Controller) logDecision(configured *configuration.Rollout, tracked *trackedRollout, decision rollout.Decision) {
+	if decision.Reason == tracked.reason && decision.Action == rollout.Hold {
 		return
 	}
-	watched.reason = decision.Reason
+	tracked.reason = decision.Reason
 	fields := []any{"rollout", configured.Name, "route", configured.Route, "action", decision.Action, "reason", decision.Reason, "step", configured.Step, "share", configured.Share()}
 	if decision.Decisive != nil {
 		fields = append(fields, "verdict", decision.Decisive.String())
@@ -179,9 +183,9 @@
 	c.Log.Info("rollout judged", fields...)
 }
 
-// change makes a decision a change of the configuration. What came of it, if that is not clear, the next judgement sees.
+// change applies a decision by a change of the configuration. If the outcome is unknown, the next reconciliation reads it.
 func (c *Controller) change(ctx context.Context, configured *configuration.Rollout, evidence rollout.Evidence, decision rollout.Decision, current *wire.ClientAnswer) {
-	amendment := configuration.AmendDecoded(c.known, current.Body).SetProgress(configured.Name, rollout.ProgressAfter(configured, evidence, decision, current.WallMs))
+	amendment := configuration.AmendDecoded(c.decoded, current.Body).SetProgress(configured.Name, rollout.ProgressAfter(configured, evidence, decision, current.WallMs))
 	body, err := amendment.Body()
 	if err != nil {
 		c.Log.Error(err, "rollout not changed", "rollout", configured.Name)
@@ -201,7 +205,7 @@
 	}
 }
 
-// StatusAnswer is the answer to a question how the rollouts stand.
+// StatusAnswer returns the status as the answer to a client's call.
 func (c *Controller) StatusAnswer() wire.ClientAnswer {
 	status := c.Status()
 	if status == nil {
@@ -209,7 +213,7 @@
 	}
 	body, err := easyjson.Marshal(status)
 	if err != nil {
-		c.Log.Error(err, "answer not written")
+		c.Log.Error(err, "rollout status not encoded")
 		return wire.ClientAnswer{Status: http.StatusInternalServerError, Reason: "the answer could not be written"}
 	}
 	return wire.ClientAnswer{Status: http.StatusOK, Body: body}
--- a/internal/control/rollouts/controller_test.go
+++ b/internal/control/rollouts/controller_test.go
@@ -16,13 +16,13 @@
 	"gannetline/internal/platform/logging"
 )
 
-const text = `{"config-version":3,"route-list":[{"name":"a","host":"h","path-prefix":"/a/","timeout-ms":1,"service":"v1"},
+const initialConfiguration = `{"config-version":3,"route-list":[{"name":"a","host":"h","path-prefix":"/a/","timeout-ms":1,"service":"v1"},
  {"name":"b","host":"h","path-prefix":"/b/","timeout-ms":1,"service":"w1"}],
  "service-list":[{"name":"v1"},{"name":"v2"},{"name":"w1"},{"name":"w2"}],"rollout-list":[
  {"name":"r","route":"a","from-service":"v1","to-service":"v2","steps":[{"share":0.1,"min-jobs":5},{"share":1,"min-jobs":5}],"agreed":{"failures":0.05}},
  {"name":"s","route":"b","from-service":"w1","to-service":"w2","steps":[{"share":0.1,"min-jobs":5},{"share":1,"min-jobs":5}],"agreed":{"failures":0.05}}]}`
 
-// memoryLeadership commits at once, until it is lost.
+// memoryLeadership is a fake leadership that commits at once and keeps the records in memory. isLost ends its lease.
 type memoryLeadership struct {
 	clock  *clock.Fake
 	pairs  map[string][]byte
@@ -39,16 +39,16 @@
 	done(nil)
 }
 
-// system is a leader of the configuration, its controller and the counts of the pools.
+// system is a leader of the configuration, its controller and the reports of the pools.
 type system struct {
 	clock      *clock.Fake
 	leadership *memoryLeadership
 	leader     *configleader.Leader
 	controller *rollouts.Controller
 	reports    map[string]*wire.RolloutReport
-	// refuses lets no change be taken, as if the leadership was lost on the way.
-	refuses bool
-	// onReport runs when a pool is asked.
+	// refusesChanges makes every change fail as if the leadership had been lost before.
+	refusesChanges bool
+	// onReport runs when a pool is asked for its report.
 	onReport func()
 }
 
@@ -58,13 +58,13 @@
 	for _, service := range []string{"v1", "v2", "w1", "w2"} {
 		s.reports[service] = &wire.RolloutReport{Executors: 3, Capacity: 1000}
 	}
-	s.takeOver()
-	Expect(s.replace(0, text).Status).To(Equal(200))
+	s.changeLeader()
+	Expect(s.replace(0, initialConfiguration).Status).To(Equal(200))
 	return s
 }
 
-// takeOver makes a new leader, with a controller of its own, from what is committed.
-func (s *system) takeOver() {
+// changeLeader creates a new leader and its controller from the committed records.
+func (s *system) changeLeader() {
 	s.leader = configleader.New(logging.Silent(), func(*wire.Configuration) {})
 	var pairs []wire.Op
 	for name, value := range s.leadership.pairs {
@@ -76,7 +76,7 @@
 			var reported wire.ClientAnswer
 			take := func(answer wire.ClientAnswer) { reported = answer }
 			switch {
-			case s.leadership.isLost || s.refuses && call.Verb == wire.VerbReplace:
+			case s.leadership.isLost || s.refusesChanges && call.Verb == wire.VerbReplace:
 				reported.NotLeader = true
 			case call.Verb == wire.VerbRetrieve:
 				s.leader.Retrieve(take)
@@ -107,7 +107,7 @@
 	return string(reported.Body)
 }
 
-// ended has a pool count so many jobs for a rollout.
+// ended sets how many jobs of a rollout the pool of a service reports as completed and failed.
 func (s *system) ended(service, rollout string, completed, failed int64) {
 	begunMs := int64(0)
 	for _, known := range s.current().Rollouts {
@@ -120,16 +120,16 @@
 
 func (s *system) reconcile() { s.controller.Reconcile(context.Background()) }
 
-var _ = Describe("the controller of rollouts", func() {
+var _ = Describe("the rollout controller", func() {
 	var s *system
 	BeforeEach(func() { s = newSystem() })
-	// begin lets both rollouts begin; each time makes one change.
+	// begin starts both rollouts. Each reconciliation makes one change.
 	begin := func() {
 		s.reconcile()
 		s.reconcile()
 	}
 
-	It("begins, widens and finishes by changes of the configuration, one at a time", func() {
+	It("begins, widens and finishes rollouts by one change of the configuration at a time", func() {
 		begin()
 		Expect(s.current().Version).To(Equal(int64(5)))
 		Expect(s.current().Rollouts[0].Share()).To(Equal(0.1))
@@ -138,7 +138,7 @@
 		Expect(s.current().Rollouts[0].Share()).To(Equal(1.0))
 		Expect(s.current().Rollouts[0].StepJobs).To(Equal(int64(5)))
 		s.reconcile()
-		Expect(s.current().Version).To(Equal(int64(6)), "a version without further traffic never goes on")
+		Expect(s.current().Version).To(Equal(int64(6)), "no further step without more traffic")
 		s.ended("v2", "r", 10, 0)
 		s.reconcile()
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutFinished))
@@ -146,7 +146,7 @@
 		Expect(s.current().Routes[1].Service).To(Equal("w1"))
 	})
 
-	It("turns one of two back, with the figures, and leaves the other alone", func() {
+	It("rolls one of two rollouts back with its figures, and leaves the other unchanged", func() {
 		begin()
 		s.ended("v2", "r", 10, 10)
 		s.ended("w2", "s", 4, 0)
@@ -158,29 +158,29 @@
 		Expect(s.current().Routes[0].Service).To(Equal("v1"))
 	})
 
-	It("goes on under a new leader where the last one was, and takes no step twice", func() {
+	It("continues under a new leader and takes no step twice", func() {
 		begin()
 		s.ended("v2", "r", 5, 0)
 		s.reconcile()
-		s.takeOver()
+		s.changeLeader()
 		s.reconcile()
 		Expect(s.current().Version).To(Equal(int64(6)))
 		Expect(s.current().Rollouts[0].Step).To(Equal(1))
 	})
 
-	It("takes a step that a lost leadership left open under the next one", func() {
+	It("takes a step under a new leader that the last one failed to commit", func() {
 		begin()
 		s.ended("v2", "r", 20, 20)
-		s.refuses = true
+		s.refusesChanges = true
 		s.reconcile()
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutWidening))
-		s.refuses = false
-		s.takeOver()
+		s.refusesChanges = false
+		s.changeLeader()
 		s.reconcile()
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutTurnedBack))
 	})
 
-	It("lets an operator win who changes the configuration in between", func() {
+	It("gives way to a concurrent change by an operator", func() {
 		begin()
 		s.ended("v2", "r", 20, 20)
 		s.onReport = func() {
@@ -192,10 +192,10 @@
 		Expect(s.current().Version).To(Equal(int64(90)))
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutPaused))
 		s.reconcile()
-		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutTurnedBack), "a paused version is judged all the same")
+		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutTurnedBack), "a paused rollout is still judged")
 	})
 
-	It("leaves alone what an operator paused, gave up, or took out", func() {
+	It("does not change rollouts that an operator paused, rolled back or removed", func() {
 		begin()
 		s.ended("v2", "r", 20, 0)
 		Expect(s.replace(5, strings.Replace(strings.Replace(s.body(), `"config-version":5`, `"config-version":6`, 1), `"state":"widening"`, `"state":"paused"`, 1)).Status).To(Equal(200))
@@ -204,14 +204,14 @@
 		Expect(s.replace(6, strings.Replace(strings.Replace(s.body(), `"config-version":6`, `"config-version":7`, 1), `"state":"paused"`, `"state":"turned-back"`, 1)).Status).To(Equal(200))
 		s.reconcile()
 		Expect(s.current().Version).To(Equal(int64(7)))
-		beforeRollouts, _, _ := strings.Cut(text, `,"rollout-list"`)
+		beforeRollouts, _, _ := strings.Cut(initialConfiguration, `,"rollout-list"`)
 		without := beforeRollouts + "}"
 		Expect(s.replace(7, strings.Replace(without, `"config-version":3`, `"config-version":8`, 1)).Status).To(Equal(200))
 		s.reconcile()
 		Expect(s.controller.Status().Rollouts).To(BeEmpty())
 	})
 
-	It("changes nothing while a pool does not answer, and nothing where the configuration is led elsewhere", func() {
+	It("changes nothing while a pool does not answer or another process leads the configuration", func() {
 		begin()
 		s.ended("v2", "r", 20, 20)
 		delete(s.reports, "v1")
@@ -223,7 +223,7 @@
 		Expect(s.controller.Status()).To(BeNil())
 	})
 
-	It("tells how all stand, with the figures", func() {
+	It("reports the status of all rollouts with their figures", func() {
 		begin()
 		s.ended("v2", "r", 3, 1)
 		s.reconcile()
--- a/internal/control/rollouts/policy.go
+++ b/internal/control/rollouts/policy.go
@@ -5,8 +5,9 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// PolicyFor works out what a configuration says of the rollouts in which a service is a version. A rollout that was turned back
-// returns no jobs where its route leads to the new version by now, or another rollout brings it there.
+// PolicyFor returns what a pool needs to know of the rollouts in which its service is one of the two versions: those in progress, and those
+// that were rolled back. The latter return the new version's jobs to the old one, unless the route leads to the new version by now or
+// another rollout is moving it there.
 func PolicyFor(version int64, matcher *configuration.Matcher, service string) scheduler.RolloutPolicy {
 	policy := scheduler.RolloutPolicy{Version: version}
 	for _, configured := range matcher.Configuration().Rollouts {
--- a/internal/control/rollouts/status.go
+++ b/internal/control/rollouts/status.go
@@ -13,14 +13,14 @@
 	jobsEnded = metrics.NewGauges("gannetline_rollout_jobs", "rollout", "version", "end")
 )
 
-// The names of the versions in metrics.
+// The values of the metrics label "version".
 const (
 	versionOld = "old"
 	versionNew = "new"
 )
 
-// showMetrics sets the gauges of all rollouts.
-func showMetrics(status *wire.RolloutsStatus) {
+// updateMetrics sets the gauges of all rollouts to their status.
+func updateMetrics(status *wire.RolloutsStatus) {
 	for _, configured := range status.Rollouts {
 		shares.With(configured.Name).Set(configured.Share)
 		for version, counted := range map[string]wire.VersionStatus{versionOld: configured.Old, versionNew: configured.New} {
@@ -32,7 +32,7 @@
 	}
 }
 
-// statusOf is how a rollout stands after it was judged.
+// statusOf returns the status of a rollout after a decision.
 func statusOf(configured *configuration.Rollout, evidence rollout.Evidence, decision rollout.Decision) wire.RolloutStatus {
 	status := wire.RolloutStatus{Name: configured.Name, Route: configured.Route, From: configured.From, To: configured.To, State: configured.State.Label(), Step: configured.Step,
 		Steps: len(configured.Steps), Share: configured.Share(), Reason: configured.Reason, Action: string(decision.Action), ActionWhy: string(decision.Reason),
