--- a/internal/control/controlkeys/rollouts.go
+++ b/internal/control/controlkeys/rollouts.go
@@ -25,7 +25,7 @@
 
 // newRollouts makes the controller of the rollouts, which works while the configuration is led here.
 func (m *Manager) newRollouts() *rollouts.Controller {
-	return rollouts.New(rollouts.Surroundings{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.rolloutReport,
+	return rollouts.New(rollouts.Dependencies{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.rolloutReport,
 		Execute: func(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 			call.Key = configleader.Key
 			return m.Client(ctx, call)
--- a/internal/control/rollouts/controller.go
+++ b/internal/control/rollouts/controller.go
@@ -29,8 +29,8 @@
 	changeTimeout = 2 * time.Second
 )
 
-// Surroundings are the dependencies of a controller.
-type Surroundings struct {
+// Dependencies are what a controller needs from the process that runs it.
+type Dependencies struct {
 	Clock clock.Clock
 	Log   logging.Logger
 	// HasRollouts reports whether the latest configuration known to this process contains rollouts.
@@ -43,7 +43,7 @@
 
 // Controller runs rollouts while this process leads the configuration.
 type Controller struct {
-	Surroundings
+	Dependencies
 	// tracked holds the rollouts in progress by name. Only the goroutine of Run uses it.
 	tracked map[string]*trackedRollout
 	// decoded is the last decoded configuration, and decodedBody its JSON. Only the goroutine of Run uses them.
@@ -61,8 +61,8 @@
 }
 
 // New creates a controller, which does nothing until Run or Reconcile is called.
-func New(surroundings Surroundings) *Controller {
-	return &Controller{Surroundings: surroundings, tracked: map[string]*trackedRollout{}}
+func New(dependencies Dependencies) *Controller {
+	return &Controller{Dependencies: dependencies, tracked: map[string]*trackedRollout{}}
 }
 
 // Run reconciles periodically until ctx is done.
--- a/internal/control/rollouts/controller_test.go
+++ b/internal/control/rollouts/controller_test.go
@@ -71,7 +71,7 @@
 		pairs = append(pairs, wire.Op{Name: name, Value: value})
 	}
 	Expect(s.leader.Open(s.leadership, pairs)).To(Succeed())
-	s.controller = rollouts.New(rollouts.Surroundings{Clock: s.clock, Log: logging.Silent(), HasRollouts: func() bool { return true },
+	s.controller = rollouts.New(rollouts.Dependencies{Clock: s.clock, Log: logging.Silent(), HasRollouts: func() bool { return true },
 		Execute: func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 			var reported wire.ClientAnswer
 			take := func(answer wire.ClientAnswer) { reported = answer }
--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -95,7 +95,7 @@
 	if err := m.leader.Open(&controlLeadership{m, m.key.Epoch}, m.key.Pairs("")); err != nil {
 		m.cluster.violate("CONFIG", "the configuration can't be taken over: %v", err)
 	}
-	m.controller = rollouts.New(rollouts.Surroundings{Clock: m.cluster.queue.Clock, Log: logging.Silent(), HasRollouts: func() bool { return true },
+	m.controller = rollouts.New(rollouts.Dependencies{Clock: m.cluster.queue.Clock, Log: logging.Silent(), HasRollouts: func() bool { return true },
 		Execute: m.execute, Report: m.report})
 }
 
