--- a/internal/control/countleader/countleader.go
+++ b/internal/control/countleader/countleader.go
@@ -1,5 +1,5 @@
-// Package countleader runs a part of the tenants' count while this steward leads the part's key. It is a state machine without
-// goroutines and sockets: controlkeys calls it on the goroutine of the key's engine. What a part decides is package tenantcount.
+// Package countleader serves a part of the tenant count while this steward leads the part's key. It is a state machine without goroutines
+// or sockets: controlkeys calls it on the goroutine of the key's replication engine. The decisions are made by package tenantcount.
 package countleader
 
 import (
@@ -14,39 +14,39 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// Leadership is what a part needs of the leadership of its key; replication.Leadership is the real one.
+// Leadership is the subset of replication.Leadership that a part needs for its key.
 type Leadership interface {
-	// Epoch is that of the leadership.
+	// Epoch returns the epoch of the leadership.
 	Epoch() uint64
-	// Commit makes a change durable on a quorum; done gets an error if the leadership is lost first.
+	// Commit replicates a change to a quorum and then calls done, with an error if the leadership is lost first.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease tells whether no other process can lead the key now.
+	// HasLease reports whether the leader's lease is valid, so that no other process can lead the key now.
 	HasLease() bool
 }
 
-// Policy is what the configuration in force says: its version, and what tenants may have running.
+// Policy is the version of the current configuration, and its limits of tenants.
 type Policy struct {
 	Version int64
 	Limits  tenantcount.Limits
 }
 
-// Leader decides on the calls of pools.
+// Leader handles the calls of pools to one part.
 type Leader struct {
 	key    string
 	clock  clock.Clock
 	log    logging.Logger
 	policy func() Policy
-	// leadership and part are nil while the key is led elsewhere.
+	// leadership and part are nil while another process leads the key.
 	leadership Leadership
 	part       *tenantcount.Part
 }
 
-// New makes a leader without a leadership; policy gives the configuration in force at each call.
+// New creates a leader without a leadership. policy returns the current configuration's policy and is called for each call of a pool.
 func New(key string, clock clock.Clock, log logging.Logger, policy func() Policy) *Leader {
 	return &Leader{key: key, clock: clock, log: log, policy: policy}
 }
 
-// Open takes over the key with what is committed of it; an error names the record that can't be read.
+// Open starts a leadership with the committed records of the key. An error names the record that can't be read.
 func (l *Leader) Open(leadership Leadership, pairs []wire.Op) error {
 	part, err := tenantcount.NewPart(pairs, l.clock.Monotonic())
 	if err != nil {
@@ -57,22 +57,22 @@
 	return nil
 }
 
-// Close gives up the key; calls whose changes are not committed fail by their commits.
+// Close ends the leadership. Calls that wait for a commit are answered when that commit fails.
 func (l *Leader) Close() { l.leadership, l.part = nil, nil }
 
-// IsOpen tells whether the key is led here.
+// IsOpen reports whether this process leads the key.
 func (l *Leader) IsOpen() bool { return l.part != nil }
 
-// Grant decides on a pool's call and answers once that is committed. Calls that come while a change is being synced share the next
-// one. An answer after the leadership has ended tells the pool nothing, and it asks again.
+// Grant decides on a pool's call and answers when the decision is committed. The changes of calls that arrive during a sync are committed
+// together by the next one. After the leadership has ended, the answer is NotLeader, and the pool retries.
 func (l *Leader) Grant(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
-	var asked wire.GrantCall
-	if err := easyjson.Unmarshal(call.Body, &asked); err != nil {
+	var grantCall wire.GrantCall
+	if err := easyjson.Unmarshal(call.Body, &grantCall); err != nil {
 		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Reason: "the call can't be read"})
 		return
 	}
 	policy := l.policy()
-	given, ops, err := l.part.HandleCall(&asked, policy.Limits, l.clock.Monotonic())
+	given, ops, err := l.part.HandleCall(&grantCall, policy.Limits, l.clock.Monotonic())
 	if errors.Is(err, tenantcount.ErrStale) {
 		answer(wire.ClientAnswer{Status: http.StatusConflict, Reason: err.Error()})
 		return
@@ -93,11 +93,11 @@
 	})
 }
 
-// answerUnderLease gives an answer that is only true while no other process leads the key.
-func (l *Leader) answerUnderLease(given easyjson.Marshaler, answer func(wire.ClientAnswer)) {
-	body, err := easyjson.Marshal(given)
+// answerUnderLease sends an answer if the lease is valid, and NotLeader otherwise, because another leader may have decided differently.
+func (l *Leader) answerUnderLease(content easyjson.Marshaler, answer func(wire.ClientAnswer)) {
+	body, err := easyjson.Marshal(content)
 	if err != nil {
-		l.log.Error(err, "answer not written", "key", l.key)
+		l.log.Error(err, "tenant count answer not encoded", "key", l.key)
 		answer(wire.ClientAnswer{Status: http.StatusInternalServerError, Reason: "the answer could not be written"})
 		return
 	}
@@ -108,7 +108,7 @@
 	answer(wire.ClientAnswer{Status: http.StatusOK, Body: body})
 }
 
-// Tenants answers an operator with the limits and grants of the part's tenants.
+// Tenants answers an operator's call with the limits and grants of the part's tenants.
 func (l *Leader) Tenants(_ *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	policy := l.policy()
 	l.answerUnderLease(&wire.TenantCountReport{Key: l.key, Version: policy.Version, Tenants: l.part.Report(policy.Limits)}, answer)
--- a/internal/control/countleader/countleader_test.go
+++ b/internal/control/countleader/countleader_test.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// scriptedLeadership is a leadership whose commits the test finishes.
+// scriptedLeadership is a fake leadership whose commits end when the test calls settle.
 type scriptedLeadership struct {
 	hasLease bool
 	ops      []wire.Op
@@ -35,7 +35,7 @@
 	}
 }
 
-var _ = Describe("the leader of a part of the tenants' count", func() {
+var _ = Describe("the leader of a part of the tenant count", func() {
 	var leadership *scriptedLeadership
 	var leader *countleader.Leader
 	var answers []wire.ClientAnswer
@@ -61,17 +61,17 @@
 		Expect(leader.Open(leadership, nil)).To(Succeed())
 	})
 
-	It("answers once its decision is committed, and decides on the next call meanwhile", func() {
+	It("answers when its decision is committed, and decides on further calls before that", func() {
 		ask("x", 1, 500)
 		ask("y", 1, 500)
-		Expect(answers).To(HaveLen(1), "nothing is left to grant, so that nothing has to be committed")
+		Expect(answers).To(HaveLen(1), "the second call changes nothing and needs no commit")
 		Expect(granted(answers[0])).To(BeZero())
 		leadership.settle(nil)
 		Expect(answers).To(HaveLen(2))
 		Expect(granted(answers[1])).To(Equal(int64(100)))
 	})
 
-	It("tells nothing once the leadership is lost, or its lease is over", func() {
+	It("answers NotLeader after the leadership is lost or the lease has expired", func() {
 		ask("x", 1, 500)
 		leadership.settle(errors.New("lost"))
 		Expect(answers[0].NotLeader).To(BeTrue())
@@ -86,7 +86,7 @@
 		Expect(leader.IsOpen()).To(BeFalse())
 	})
 
-	It("refuses a call after a later one, and a text that is no call", func() {
+	It("rejects a call after a later one, and an invalid body", func() {
 		ask("x", 2, 1)
 		leadership.settle(nil)
 		ask("x", 1, 1)
@@ -95,7 +95,7 @@
 		Expect(answers[2].Status).To(Equal(400))
 	})
 
-	It("goes on with what the leader before has committed, and tells operators of it", func() {
+	It("continues from the committed grants, reports them to operators, and names an unreadable record", func() {
 		ask("x", 1, 500)
 		leadership.settle(nil)
 		Expect(leader.Open(leadership, leadership.ops)).To(Succeed())
