--- a/internal/scheduling/jobs/spec.go
+++ b/internal/scheduling/jobs/spec.go
@@ -3,8 +3,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all spec.go
 
-// Step is a group of identical tasks of a job. CPU is in thousandths of a core and Memory in MB, per task. DependsOn holds the numbers of the
-// steps that must complete first. AntiAffinity is how many of the step's tasks one executor may run at once; 0 is no limit.
+// Step is a group of identical tasks of a job. CPU is in thousandths of a core and Memory in MB, per task. DependsOn holds the numbers of
+// the steps that must end first. AntiAffinity is how many of the step's tasks one executor may run at once; 0 is no limit.
 type Step struct {
 	Tasks         int    `json:"task-count"`
 	CPU           int64  `json:"cpu-units,omitempty"`
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -35,17 +35,22 @@
 	Locality []string
 	// IsLocalityRequired makes the tasks wait for capacity near their data.
 	IsLocalityRequired bool
-	AntiAffinity       int
-	RunsByExecutor     map[int]int
-	Avoided            []int
-	ExcludedIndices    []int
-	Excluded           []bool
-	IsSpeculative      bool
-	IsLong             bool
-	// IsIdle means that none of the step's tasks runs, so that its first run, or its gang, may exceed the soft limits.
+	// AntiAffinity is how many tasks of the step one executor may run at once; 0 is no limit.
+	AntiAffinity   int
+	RunsByExecutor map[int]int
+	// Avoided executors are chosen last.
+	Avoided []int
+	// ExcludedIndices and Excluded are the executors that must not be used: a list of indices, and a table by index that may be nil.
+	ExcludedIndices []int
+	Excluded        []bool
+	IsSpeculative   bool
+	// IsLong means that the tasks hold their capacity for long.
+	IsLong bool
+	// IsIdle means that none of the step's tasks runs, so that its first run, or its gang, may exceed the soft limits. The scheduler also
+	// sets it for every lasting step.
 	IsIdle bool
-	// IsLasting means that the tasks must be running at all times. If the step is idle, its first run in a round may exceed the soft
-	// limits even when FirstRunCPU is used up.
+	// IsLasting means that the tasks must be running at all times. Their first run in a round may exceed the soft limits even when
+	// FirstRunCPU is used up.
 	IsLasting bool
 	Priority  int
 	// Tenant is the index in Limits.Tenants of the tenant that the work belongs to; 0 means no tenant.
@@ -56,7 +61,8 @@
 	// RemainingTenths is how much of the job has not started, in tenths of its work. Jobs with less remaining go first, so that
 	// started jobs are finished before new ones start.
 	RemainingTenths int
-	Due             int64
+	// Due orders groups that are equal otherwise, smallest first. It is a due time or the result of a queue's own order rule.
+	Due int64
 }
 
 // DeadlineClass says how a group's job stands against its deadline. Work that is on time goes before late work, and expired work goes
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -6,7 +6,8 @@
 )
 
 // Place returns the tasks to start and their executors. Shares are placed first, then all other groups in queue order. If a tenant is
-// above its share, a first pass over the queue keeps tenants to their shares. Place subtracts what it places from limits.Remaining.
+// above its share, tenants above their shares are left out of a first pass over the queue. Place subtracts what it places from
+// limits.Remaining.
 func Place(executors []Executor, queue Queue, limits Limits) []Placement {
 	if len(queue.Groups)+len(queue.Speculative) == 0 {
 		return nil
@@ -21,8 +22,8 @@
 	return round.placed
 }
 
-// placeWithinShares makes a pass over the queue in which no tenant exceeds its share. The capacity that is left is placed afterwards
-// in queue order alone.
+// placeWithinShares makes a pass over the queue in which tenants above their shares start nothing. The capacity that is left is placed
+// afterwards in queue order alone.
 func (r *placementRound) placeWithinShares(groups []*Group, remaining map[int]Resources) {
 	r.keepsToShares, r.countsPlacements, r.failedGroups = true, true, map[int]bool{}
 	r.placeAll(groups, 0, remaining)
--- a/internal/scheduling/placement/placement_test.go
+++ b/internal/scheduling/placement/placement_test.go
@@ -94,7 +94,7 @@
 		Expect(placement.PlaceInAnyOrder(executors(2, 20), []*placement.Group{short}, placement.Limits{Remaining: remaining})).To(HaveLen(1))
 	})
 
-	It("places a speculative run on another executor, and only on speculative capacity", func() {
+	It("places a speculative run on another executor, and only on spare capacity", func() {
 		speculative, first := group(1, 10), group(1, 10)
 		speculative.IsSpeculative, speculative.Excluded = true, []bool{true}
 		first.Priority = 3
--- a/internal/scheduling/placement/share.go
+++ b/internal/scheduling/placement/share.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// maxShareFailures is how many groups of a share may find no executor in one round before the share gives up.
+// maxShareFailures is how many groups of a share may find no executor in one round before the rest of the share is skipped.
 const maxShareFailures = 8
 
 // shareBalance is the remaining capacity of a share, and the number of its groups that found no executor.
--- a/internal/scheduling/placement/turn.go
+++ b/internal/scheduling/placement/turn.go
@@ -23,7 +23,7 @@
 	// firstRunCPU is the CPU that may still be placed before first runs have to respect the soft limits.
 	firstRunCPU int64
 	tenants     []Tenant
-	// keepsToShares is set during the first pass, in which no tenant exceeds its share.
+	// keepsToShares is set during the first pass, in which tenants above their shares start nothing.
 	keepsToShares bool
 	// countsPlacements is set if there are two passes over the queue, so that placedOf has to count all placements.
 	countsPlacements bool
@@ -85,8 +85,8 @@
 	}
 }
 
-// mayExceedLimits reports whether a group may exceed the soft limits with its first run: nothing of its step runs, and it is lasting
-// work or FirstRunCPU is not used up.
+// mayExceedLimits reports whether a group may exceed the soft limits with its first run in the round: its step is idle, and either it is
+// lasting work or FirstRunCPU is not used up.
 func (r *placementRound) mayExceedLimits(group *Group) bool {
 	return group.IsIdle && !group.IsSpeculative && (group.IsLasting || r.firstRunCPU > 0)
 }
--- a/internal/scheduling/rollout/judge.go
+++ b/internal/scheduling/rollout/judge.go
@@ -100,10 +100,10 @@
 }
 
 const (
-	// windowLength is the interval at which new windows begin. Each counts outcomes from zero, so that a version that starts to fail late
-	// is detected despite a long time without failures.
+	// windowLength is the interval at which new windows begin. Each counts outcomes from its own start, so that a version that starts to
+	// fail late is detected despite a long time without failures.
 	windowLength = time.Minute
-	// maxWindows is how many windows are evaluated at once: the first, which covers the whole rollout, and the latest ones.
+	// maxWindows is how many windows are kept and evaluated: the first, which covers the whole rollout, and the latest ones.
 	maxWindows = 6
 	// noExecutorsTimeout is how long the new version may have no executors before it is rolled back.
 	noExecutorsTimeout = 3 * time.Second
@@ -115,7 +115,7 @@
 	slowMargin = 0.05
 )
 
-// window is a period of time over which outcomes are counted from zero.
+// window is the time from some moment of the rollout until now. Windows overlap.
 type window struct {
 	number int
 	// startEvidence is the evidence when the window began, whose outcomes are subtracted from later ones. It is zero for the first window.
--- a/internal/scheduling/rollout/judge_test.go
+++ b/internal/scheduling/rollout/judge_test.go
@@ -12,8 +12,8 @@
 	"gannetline/internal/scheduling/rollout"
 )
 
-// behaviour holds the probabilities, from 0 to 1, with which the jobs and runs of a version fail or are late, and its run time in thousandths
-// of the estimate.
+// behaviour holds the probabilities, from 0 to 1, with which the jobs and runs of a version fail or are late, and its run time in
+// thousandths of the estimate.
 type behaviour struct {
 	fails, late float64
 	// failsLarge applies to its largest jobs, failsInZone to its runs in the second zone, failsLater to all jobs from laterFailuresMs on.
--- a/internal/scheduling/tenantcount/part.go
+++ b/internal/scheduling/tenantcount/part.go
@@ -1,6 +1,6 @@
 // Package tenantcount enforces the limits on what each tenant has running, summed over all pools. It is an escrow: each limit is divided
-// into grants to pools. Tenants are hashed into a fixed number of parts; a part (Part) is a replicated key with a leader that decides on the
-// grants of its tenants. The leader of a pool starts runs of a tenant only within its grant, which it keeps in an account (Accounts).
+// into grants to pools. Tenants are hashed into a fixed number of parts. A part (Part) is a replicated key with a leader that decides on
+// the grants of its tenants. The leader of a pool starts runs of a tenant only within its grant, which it keeps in an account (Accounts).
 // Calls are batched: one call carries the demand of many tenants, one commit covers all its grants, and no start waits for a part
 // while the account suffices.
 //
@@ -125,8 +125,8 @@
 	return p.tenants[tenant]
 }
 
-// HandleCall decides on a call of a pool. It returns the answer, and the records that must be committed before the answer is sent. The only error
-// is ErrStale. The grants change at once, because commits are ordered: a later change can't be committed without this one.
+// HandleCall decides on a call of a pool. It returns the answer, and the records that must be committed before the answer is sent. The only
+// error is ErrStale. The grants change at once, because commits are ordered: a later change can't be committed without this one.
 func (p *Part) HandleCall(call *wire.GrantCall, limits Limits, now time.Duration) (wire.GrantAnswer, []wire.Op, error) {
 	answer := wire.GrantAnswer{Number: call.Number}
 	id := callID{call.Epoch, call.Number}
@@ -186,7 +186,8 @@
 	return given, p.recordOf(demand.Tenant, asker, granted)
 }
 
-// raiseFor returns the amount by which a grant grows: up to its target, but by no more than what is free of the limit.
+// raiseFor returns the amount by which a grant grows: up to its target, but by no more than what is free of the limit. It is 0 in each
+// resource of which the asker holds its target already.
 func (p *Part) raiseFor(tenant string, granted *grant, target, limit placement.Resources) placement.Resources {
 	free := limit
 	for _, other := range p.tenants[tenant] {
