--- a/internal/control/controlkeys/rollouts.go
+++ b/internal/control/controlkeys/rollouts.go
@@ -25,7 +25,7 @@
 
 // newRolloutController creates the controller of the rollouts, which is active while this process leads the configuration's key.
 func (m *Manager) newRolloutController() *rollouts.Controller {
-	return rollouts.New(rollouts.Surroundings{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.fetchRolloutReport,
+	return rollouts.New(rollouts.Dependencies{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.fetchRolloutReport,
 		Execute: func(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 			call.Key = configleader.Key
 			return m.Client(ctx, call)
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -90,7 +90,7 @@
 // countDemand adds a group that is on time to the demand of its priority, or removes it if count is negative.
 func (r *requests) countDemand(group *placement.Group, count int) {
 	addDemand(r.demand, group.Priority, totalNeed(group), count)
-	if !group.LeavesRoom() {
+	if !group.CountsAsLong() {
 		addDemand(r.urgentDemand, group.Tenant, totalNeed(group), count)
 	}
 }
--- a/internal/scheduling/scheduler/shares.go
+++ b/internal/scheduling/scheduler/shares.go
@@ -24,7 +24,7 @@
 // settle updates the balance to now. It adds the share of the elapsed time and subtracts what the runs used in that time.
 func (a *shareAccount) settle(share float64, total placement.Resources, now time.Duration) {
 	elapsed := (now - a.at).Seconds()
-	a.balance = min(share*maxSavedTime.Seconds(), a.balance+elapsed*(share-a.allocated.PartOf(total)))
+	a.balance = min(share*maxSavedTime.Seconds(), a.balance+elapsed*(share-a.allocated.DominantShareOf(total)))
 	a.at = now
 }
 
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -106,7 +106,7 @@
 // isAtLimit tells whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
 func (t *tenantTable) isAtLimit(index int) bool {
 	tenant := t.sorted[index]
-	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.PartOf(tenant.terms.Limit) >= atLimitFraction
+	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.DominantShareOf(tenant.terms.Limit) >= atLimitFraction
 }
 
 // countTenantRun adds a run to its tenant's allocation. A negative count removes it. A run counts from before its launch order is sent
@@ -122,7 +122,7 @@
 // leavesRoom tells whether a step is long work that must leave room for more urgent work.
 func (p *Pool) leavesRoom(step *stepState) bool {
 	group := placement.Group{IsLong: p.isLong(step), IsLasting: step.spec.LongRunning, Priority: step.priority()}
-	return group.LeavesRoom()
+	return group.CountsAsLong()
 }
 
 // maxUrgentFraction is the largest fraction of a tenant's limit that is reserved for its urgent work.
@@ -143,7 +143,7 @@
 	totalWeight := p.activeWeight()
 	for index, tenant := range p.tenants.sorted {
 		limit, mayOverhang := p.limitOf(tenant)
-		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOverhang: mayOverhang,
+		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOverhang,
 			LongAllocated: tenant.longAllocated.resources, LongLimit: p.longLimit(tenant, limit, now), Share: placement.NoLimit}
 		if index > 0 && tenant.hasWork() {
 			limits[index].Share = p.table.openCapacity.Times(tenant.terms.Weight / totalWeight)
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -278,7 +278,7 @@
 // step of the job opens.
 func (p *Pool) restoreTasks(job *jobState, tasks []wire.TransferredTask) {
 	for _, moved := range tasks {
-		if !job.hasTask(jobs.Place{ID: job.id, Time: moved.Occurrence, Step: moved.Step, Index: moved.Index}) {
+		if !job.hasTask(jobs.TaskPosition{ID: job.id, Occurrence: moved.Occurrence, Step: moved.Step, Index: moved.Index}) {
 			continue
 		}
 		occurrence := p.occurrenceOf(job, moved.Occurrence)
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -105,7 +105,7 @@
 	cluster.coverage["call"]++
 	take := func(answer *wire.GrantAnswer) {
 		if p.accounts == accounts {
-			p.commitAccounts(accounts.Answered(part, call.Number, answer, cluster.queue.Now())...)
+			p.commitAccounts(accounts.HandleAnswer(part, call.Number, answer, cluster.queue.Now())...)
 		}
 	}
 	cluster.send(p.number, part, func() {
@@ -120,7 +120,7 @@
 	if p.cluster.fault == faultLateAnswer && p.accounts != nil {
 		// The answer counts for whatever call is under way.
 		for number := call.Number; number < call.Number+20; number++ {
-			p.commitAccounts(p.accounts.Answered(part, number, &answer, p.cluster.queue.Now())...)
+			p.commitAccounts(p.accounts.HandleAnswer(part, number, &answer, p.cluster.queue.Now())...)
 		}
 		return
 	}
@@ -131,14 +131,14 @@
 	for _, change := range changes {
 		accounts := p.accounts
 		if p.cluster.fault == faultRaiseBeforeCommit {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 		}
 		if p.cluster.fault == faultLowerNotCommitted && isLower(p.key.Records[change.Op.Name], change.Op.Value) {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 			continue
 		}
 		p.key.Propose([]wire.Op{change.Op}, func(error) {
-			accounts.Committed(change.Tenant)
+			accounts.HandleCommit(change.Tenant)
 			p.cluster.checkAccounts(p)
 		})
 	}
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -14,7 +14,7 @@
 	task     string
 	run      int64
 	step     *jobs.Step
-	position jobs.Place
+	position jobs.TaskPosition
 	begunAt  time.Duration
 	length   time.Duration
 	how      string
@@ -92,7 +92,7 @@
 			continue
 		}
 		for _, other := range executor.active {
-			if other.run == execution.run && other.position.ID == execution.position.ID && other.position.Time == execution.position.Time && other.position.Step == execution.position.Step {
+			if other.run == execution.run && other.position.ID == execution.position.ID && other.position.Occurrence == execution.position.Occurrence && other.position.Step == execution.position.Step {
 				members = append(members, other)
 			}
 		}
