--- a/internal/control/coordination/answers.go
+++ b/internal/control/coordination/answers.go
@@ -8,34 +8,35 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// retryAfterS is how many seconds a caller should wait that was refused for want of room.
+// retryAfterS is the number of seconds after which a caller may retry a call that was refused because of overload.
 const retryAfterS = 1
 
-// answerClient takes the answer to a call, once.
+// answerClient receives the answer to a call. It is called exactly once.
 type answerClient = func(wire.ClientAnswer)
 
-// notLeader sends a call to the next leader; it had no effect here and never will.
+// notLeader tells the caller to ask the next leader. The call had no effect here and never will have one.
 var notLeader = wire.ClientAnswer{NotLeader: true}
 
-// outcomeUnknown sends a call to the next leader, as its change was proposed and may be kept or not.
+// outcomeUnknown tells the caller to ask the next leader. The change of the call was proposed, and may or may not be committed.
 var outcomeUnknown = wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}
 
-// refusal is an answer with a text for the caller.
+// refusal returns an answer that states why a call was refused.
 func refusal(status int, reason string) wire.ClientAnswer {
 	return wire.ClientAnswer{Status: status, Reason: reason}
 }
 
-// overload refuses a call that has taken nothing.
+// overload returns a refusal for lack of capacity. It must only be used for a call that had no effect.
 func overload(status int, reason string) wire.ClientAnswer {
 	return wire.ClientAnswer{Status: status, Reason: reason, RetryAfterS: retryAfterS}
 }
 
-// success is an answer with status 200 and a body.
+// success returns an answer with status 200 and the JSON of a body.
 func (p *Part) success(body easyjson.Marshaler) wire.ClientAnswer {
-	return p.withBody(http.StatusOK, body)
+	return p.answerWithBody(http.StatusOK, body)
 }
 
-func (p *Part) withBody(status int, body easyjson.Marshaler) wire.ClientAnswer {
+// answerWithBody returns an answer with a status and the JSON of a body.
+func (p *Part) answerWithBody(status int, body easyjson.Marshaler) wire.ClientAnswer {
 	text, err := easyjson.Marshal(body)
 	if err != nil {
 		p.Log.Error(err, "answer not written", "key", p.key)
@@ -44,8 +45,8 @@
 	return wire.ClientAnswer{Status: status, Body: text}
 }
 
-// commitAndAnswer proposes a change, and gives the response once that is durable. What the response says is true from then on, also
-// after this leadership.
+// commitAndAnswer proposes a change and sends the response once the change is durable. Such a response stays true after the end of
+// this leadership.
 func (p *Part) commitAndAnswer(ops []wire.Op, response wire.ClientAnswer, answer answerClient) {
 	p.commit(ops, func(err error) {
 		if err != nil {
@@ -56,8 +57,8 @@
 	})
 }
 
-// answerUnderLease gives a response that rests on all that was proposed so far, and is only true while no other process leads the key.
-// The lease is asked for at the end, since the process may have been frozen before.
+// answerUnderLease sends a response that depends on every change proposed so far and is only true while no other process leads the
+// key. It waits for the pending commits and checks the lease last, since the process may have been frozen in between.
 func (p *Part) answerUnderLease(response wire.ClientAnswer, answer answerClient) {
 	p.commits.AfterAll(func(err error) {
 		if err != nil {
@@ -68,7 +69,7 @@
 	})
 }
 
-// answerIfLeased gives a response at once that is only true while no other process leads the key.
+// answerIfLeased immediately sends a response that is only true while no other process leads the key, or notLeader without the lease.
 func (p *Part) answerIfLeased(response wire.ClientAnswer, answer answerClient) {
 	if p.leadership == nil || !p.leadership.HasLease() {
 		answer(notLeader)
--- a/internal/control/coordination/cells.go
+++ b/internal/control/coordination/cells.go
@@ -13,59 +13,60 @@
 )
 
 const (
-	// maxCells is how many cells a part has at most.
+	// maxCells limits the cells of a part.
 	maxCells = 20000
-	// maxBytes is how many bytes the names and values of a part's cells and events have at most.
+	// maxBytes limits the total size of the names and values of a part's cells and events, in bytes.
 	maxBytes = 8 << 20
-	// maxGroupEvents and maxGroupBytes are how much of a group is kept for watchers at most; further puts are refused, since what is
-	// kept may not be shortened. One answer to a watcher may hold all of it.
+	// maxGroupEvents and maxGroupBytes limit the events that a group keeps for watchers. Further puts are refused, since events must not
+	// be dropped before their time. A single answer to a watcher may contain all events of a group.
 	maxGroupEvents = 4096
 	maxGroupBytes  = 1 << 20
 )
 
-// putID tells one put from all others: the same value on top of the same revision is the same put, sent again.
+// putID identifies a put. A put of the same value into the same cell with the same expected revision is a retry of the same put.
 type putID struct {
 	name, value string
 	expected    uint64
 }
 
-// cell is what a name holds by its last put.
+// cell holds the last put under a name and its revision.
 type cell struct {
 	put      putID
 	revision uint64
 }
 
-// event is a put, as long as watchers may ask for it.
+// event is a put that is kept for watchers.
 type event struct {
 	put      putID
 	revision uint64
-	// committedAt is when it became durable, or when this leader took over; it counts only up to the group's committed revision.
+	// committedAt is when the put became durable, or when this leader took over. It is only set for revisions up to the group's
+	// committed one.
 	committedAt time.Duration
 }
 
 func (e *event) size() int { return len(e.put.name) + len(e.put.value) }
 
-// group holds the cells whose names begin alike; they share one count of revisions.
+// group holds the cells whose names share a prefix (see GroupOf). They share one revision counter.
 type group struct {
 	name string
-	// revision is that of the last put that was proposed; committed, which is never above, that of the last one that is durable.
+	// revision is that of the last proposed put; committed is that of the last durable put and never above revision.
 	revision, committed uint64
 	cells               map[string]*cell
-	// events are the puts above floor, without a gap and in rising order, up to revision.
-	events []event
-	floor  uint64
-	bytes  int
-	// repeats finds the revision of a put that comes again, among the events.
-	repeats  map[putID]uint64
-	watchers []*watcher
+	// events are the puts with revisions above compactRevision up to revision, without gaps and in ascending order.
+	events          []event
+	compactRevision uint64
+	bytes           int
+	// revisionByPut maps the puts of events to their revisions, to detect retries.
+	revisionByPut map[putID]uint64
+	watchers      []*watcher
 }
 
-// cellTable holds the cells of a part.
+// cellTable holds the cells of a part by group.
 type cellTable struct {
 	groups map[string]*group
-	// watched are the groups at which a watcher waits.
+	// watched holds the groups that have watchers, by name.
 	watched map[string]*group
-	// count, eventCount, watcherCount and bytes are sums over the groups.
+	// count (of cells), eventCount, watcherCount and bytes are totals over all groups.
 	count, eventCount, watcherCount, bytes int
 }
 
@@ -73,11 +74,11 @@
 	return cellTable{groups: map[string]*group{}, watched: map[string]*group{}}
 }
 
-// group gives the group of a name, a new one if there is none.
+// group returns the group with a name and creates it if it does not exist.
 func (t *cellTable) group(name string) *group {
 	found := t.groups[name]
 	if found == nil {
-		found = &group{name: name, cells: map[string]*cell{}, repeats: map[putID]uint64{}}
+		found = &group{name: name, cells: map[string]*cell{}, revisionByPut: map[putID]uint64{}}
 		t.groups[name] = found
 	}
 	return found
@@ -103,21 +104,22 @@
 	return nil
 }
 
-// finishLoading brings what was loaded in any order into the order of the revisions.
+// finishLoading sorts the loaded events by revision and completes the groups. It is called after all records are loaded, which may
+// come in any order. The retention time of all events starts now.
 func (t *cellTable) finishLoading(now time.Duration) {
 	for _, group := range t.groups {
 		slices.SortFunc(group.events, func(a, b event) int { return int(a.revision) - int(b.revision) })
 		for index := range group.events {
 			group.events[index].committedAt = now
 		}
-		group.committed, group.floor = group.revision, group.revision-uint64(len(group.events))
+		group.committed, group.compactRevision = group.revision, group.revision-uint64(len(group.events))
 	}
 }
 
-// setCell notes the last put into a cell.
+// setCell stores a put as the current value of its cell.
 func (t *cellTable) setCell(group *group, put putID, revision uint64) {
-	if before := group.cells[put.name]; before != nil {
-		t.bytes -= len(put.name) + len(before.put.value)
+	if previous := group.cells[put.name]; previous != nil {
+		t.bytes -= len(put.name) + len(previous.put.value)
 	} else {
 		t.count++
 	}
@@ -125,16 +127,16 @@
 	group.cells[put.name] = &cell{put, revision}
 }
 
-// addEvent notes a put for watchers and for its own repeats.
+// addEvent keeps a put for watchers and for the detection of retries.
 func (t *cellTable) addEvent(group *group, event event) {
 	group.events = append(group.events, event)
-	group.repeats[event.put] = event.revision
+	group.revisionByPut[event.put] = event.revision
 	group.bytes += event.size()
 	t.bytes += event.size()
 	t.eventCount++
 }
 
-// hasRoom tells whether a put may be kept, with its event.
+// hasRoom reports whether a put and its event fit within the limits. The size of the put counts twice, for the cell and the event.
 func (t *cellTable) hasRoom(group *group, put putID) bool {
 	size := len(put.name) + len(put.value)
 	isNew := group.cells[put.name] == nil
@@ -142,10 +144,10 @@
 		!(isNew && t.count >= maxCells)
 }
 
-// revisionOfRepeat gives the revision of a put that was taken before. It is found among the events, which are kept for longer than a
-// caller may send a put again, or as the last put into its cell.
-func (g *group) revisionOfRepeat(put putID) (uint64, bool) {
-	if revision, isKnown := g.repeats[put]; isKnown {
+// revisionOfRetry returns the revision of a put that was accepted before, or false if the put is new. Retries are found among the
+// events, which are kept for longer than a caller may retry a put, and as the last put into the cell.
+func (g *group) revisionOfRetry(put putID) (uint64, bool) {
+	if revision, isKnown := g.revisionByPut[put]; isKnown {
 		return revision, true
 	}
 	if last := g.cells[put.name]; last != nil && last.put == put {
@@ -154,7 +156,7 @@
 	return 0, false
 }
 
-// revisionOf is the revision of a cell, or 0 if there is none.
+// revisionOf returns the revision of a cell, or 0 if it does not exist.
 func (g *group) revisionOf(name string) uint64 {
 	if found := g.cells[name]; found != nil {
 		return found.revision
@@ -162,25 +164,26 @@
 	return 0
 }
 
-// dropUnusedGroups forgets groups that were only asked for.
+// dropUnusedGroups removes groups without cells and watchers, which refused puts and expired watches leave behind.
 func (t *cellTable) dropUnusedGroups() {
 	maps.DeleteFunc(t.groups, func(_ string, group *group) bool {
 		return len(group.cells) == 0 && len(group.watchers) == 0
 	})
 }
 
-// dropOldEvents forgets the puts that became durable at a moment or before; more than one change may drop remain for the next time.
-func (t *cellTable) dropOldEvents(before time.Duration) []wire.Op {
+// dropOldEvents removes the events that became durable at or before the cutoff, and returns the operations that delete their records.
+// It removes at most maxDropsPerCommit; the rest stays for the next clean-up.
+func (t *cellTable) dropOldEvents(cutoff time.Duration) []wire.Op {
 	var ops []wire.Op
 	for _, name := range slices.Sorted(maps.Keys(t.groups)) {
 		group, dropped := t.groups[name], 0
 		for dropped < len(group.events) && len(ops) < maxDropsPerCommit {
 			oldest := &group.events[dropped]
-			if oldest.revision > group.committed || oldest.committedAt > before {
+			if oldest.revision > group.committed || oldest.committedAt > cutoff {
 				break
 			}
-			ops = append(ops, dropping(eventName(group.name, oldest.revision)))
-			t.forgetEvent(group, oldest)
+			ops = append(ops, newDeleteOp(eventName(group.name, oldest.revision)))
+			t.removeEvent(group, oldest)
 			dropped++
 		}
 		group.events = slices.Clone(group.events[dropped:])
@@ -188,33 +191,36 @@
 	return ops
 }
 
-func (t *cellTable) forgetEvent(group *group, oldest *event) {
-	group.floor = oldest.revision
-	delete(group.repeats, oldest.put)
+// removeEvent updates the indexes and totals for the removal of a group's oldest event; the caller shortens group.events.
+func (t *cellTable) removeEvent(group *group, oldest *event) {
+	group.compactRevision = oldest.revision
+	delete(group.revisionByPut, oldest.put)
 	group.bytes -= oldest.size()
 	t.bytes -= oldest.size()
 	t.eventCount--
 }
 
+// eventName returns the record name of an event.
 func eventName(group string, revision uint64) string {
 	return recordName(recordEvent, group+"/"+strconv.FormatUint(revision, 10))
 }
 
-// Put puts a value into a cell that is at the expected revision. A put that was taken before gets its first revision again; that is
-// asked for first, as the cell may have moved on since. A refusal is final: revisions of a cell only rise.
+// Put writes a value to a cell if the cell is at the expected revision. A retry of an accepted put is answered with the revision of the
+// first attempt; this is checked first, since the cell may have changed since. A refusal because of the revision is final, since the
+// revisions of a cell only rise.
 func (p *Part) Put(call *wire.ClientCall, answer answerClient) {
-	var asked wire.PutCall
-	if err := easyjson.Unmarshal(call.Body, &asked); err != nil {
+	var params wire.PutCall
+	if err := easyjson.Unmarshal(call.Body, &params); err != nil {
 		answer(refusal(http.StatusBadRequest, "the call can't be read"))
 		return
 	}
-	group, put := p.cells.group(GroupOf(call.ID)), putID{call.ID, asked.Value, asked.Expected}
-	if revision, isRepeat := group.revisionOfRepeat(put); isRepeat {
+	group, put := p.cells.group(GroupOf(call.ID)), putID{call.ID, params.Value, params.Expected}
+	if revision, isRetry := group.revisionOfRetry(put); isRetry {
 		p.answerUnderLease(p.success(&wire.RevisionAnswer{Revision: revision}), answer)
 		return
 	}
-	if current := group.revisionOf(call.ID); current != asked.Expected {
-		p.answerUnderLease(p.withBody(http.StatusPreconditionFailed, &wire.RevisionAnswer{Revision: current}), answer)
+	if current := group.revisionOf(call.ID); current != params.Expected {
+		p.answerUnderLease(p.answerWithBody(http.StatusPreconditionFailed, &wire.RevisionAnswer{Revision: current}), answer)
 		return
 	}
 	switch {
@@ -227,15 +233,15 @@
 	}
 }
 
-// put proposes a put; its watchers get it once it is durable.
+// put proposes a put. The caller and the watchers of the group are answered once it is durable.
 func (p *Part) put(group *group, put putID, answer answerClient) {
 	group.revision++
 	revision := group.revision
 	p.cells.setCell(group, put, revision)
 	p.cells.addEvent(group, event{put: put, revision: revision})
 	ops := []wire.Op{
-		writing(recordName(recordCell, put.name), &cellRecord{put.value, revision, put.expected}),
-		writing(eventName(group.name, revision), &eventRecord{put.name, put.value, revision, put.expected}),
+		newPutOp(recordName(recordCell, put.name), &cellRecord{put.value, revision, put.expected}),
+		newPutOp(eventName(group.name, revision), &eventRecord{put.name, put.value, revision, put.expected}),
 	}
 	response := p.success(&wire.RevisionAnswer{Revision: revision})
 	p.commit(ops, func(err error) {
@@ -244,13 +250,13 @@
 			return
 		}
 		answer(response)
-		group.noteCommitted(revision, p.Clock.Monotonic())
-		p.answerWatchers(group)
+		group.markCommitted(revision, p.Clock.Monotonic())
+		p.notifyWatchers(group)
 	})
 }
 
-// noteCommitted notes that all puts up to a revision are durable.
-func (g *group) noteCommitted(revision uint64, now time.Duration) {
+// markCommitted records that all puts up to a revision are durable as of now.
+func (g *group) markCommitted(revision uint64, now time.Duration) {
 	for index := range g.events {
 		if event := &g.events[index]; event.revision > g.committed && event.revision <= revision {
 			event.committedAt = now
@@ -259,7 +265,7 @@
 	g.committed = revision
 }
 
-// Get reads a cell.
+// Get answers with the value and the revision of a cell.
 func (p *Part) Get(call *wire.ClientCall, answer answerClient) {
 	found := p.cells.cell(call.ID)
 	if found == nil {
@@ -269,7 +275,7 @@
 	p.answerUnderLease(p.success(&wire.CellAnswer{Value: found.put.value, Revision: found.revision}), answer)
 }
 
-// cell gives the cell of a name, or nil.
+// cell returns the cell with a name, or nil if it does not exist.
 func (t *cellTable) cell(name string) *cell {
 	if group := t.groups[GroupOf(name)]; group != nil {
 		return group.cells[name]
--- a/internal/control/coordination/cost_test.go
+++ b/internal/control/coordination/cost_test.go
@@ -10,72 +10,74 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// The figures of these benchmarks stand in docs/design/coordination.md: what a call costs the leader of a part, without the sync and the network.
+// These benchmarks give the cost of a call at the leader of a part, without disk sync and network. docs/design/coordination.md lists the
+// results.
 
-// benchmarkCalls makes one call after the other; each is committed at once. It reports the changes and the bytes that a call proposes.
-func benchmarkCalls(b *testing.B, prepare func(s *scene), call func(s *scene, number int)) {
+// benchmarkCalls makes one call at a time and commits its changes at once. It reports the changes and the bytes that a call proposes.
+func benchmarkCalls(b *testing.B, prepare func(s *harness), call func(s *harness, number int)) {
 	RegisterTestingT(b)
-	s := newScene()
+	s := newHarness()
 	prepare(s)
 	changes, bytes := 0, 0
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
 		call(s, number)
-		for _, commit := range s.leadership.waiting {
+		for _, commit := range s.leadership.pending {
 			changes++
 			for _, op := range commit.ops {
 				bytes += len(op.Name) + len(op.Value)
 			}
 		}
-		s.leadership.sync(len(s.leadership.waiting))
+		s.leadership.commitOldest(len(s.leadership.pending))
 		s.answers = s.answers[:0]
 	}
 	b.ReportMetric(float64(changes)/float64(b.N), "changes/op")
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
 }
 
-func nothing(*scene) {}
+func noPreparation(*harness) {}
 
+// lockCall returns a call for one of 64 locks and its body.
 func lockCall(verb wire.Verb, number int, body *wire.LockCall) (wire.ClientCall, easyjson.Marshaler) {
 	return wire.ClientCall{Verb: verb, ID: fmt.Sprintf("lock-%d", number%64)}, body
 }
 
 func BenchmarkAcquire(b *testing.B) {
-	benchmarkCalls(b, nothing, func(s *scene, number int) {
+	benchmarkCalls(b, noPreparation, func(s *harness, number int) {
 		call, body := lockCall(wire.VerbAcquire, number, &wire.LockCall{Holder: "a", HoldMs: 3000})
 		s.send(call, body)
 	})
 }
 
 func BenchmarkRenew(b *testing.B) {
-	acquire := func(s *scene) {
+	acquire := func(s *harness) {
 		s.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: "lock-0"}, &wire.LockCall{Holder: "a", HoldMs: 3000})
 	}
-	benchmarkCalls(b, acquire, func(s *scene, _ int) {
+	benchmarkCalls(b, acquire, func(s *harness, _ int) {
 		s.send(wire.ClientCall{Verb: wire.VerbRenew, ID: "lock-0"}, &wire.LockCall{Holder: "a", Fence: 1, HoldMs: 3000})
 	})
 }
 
 func BenchmarkNumber(b *testing.B) {
-	benchmarkCalls(b, nothing, func(s *scene, _ int) { s.send(wire.ClientCall{Verb: wire.VerbTakeNumber, ID: "n"}, nil) })
+	benchmarkCalls(b, noPreparation, func(s *harness, _ int) { s.send(wire.ClientCall{Verb: wire.VerbTakeNumber, ID: "n"}, nil) })
 }
 
 func BenchmarkGet(b *testing.B) {
-	put := func(s *scene) { s.send(wire.ClientCall{Verb: wire.VerbPut, ID: "g.a"}, &wire.PutCall{Value: "v"}) }
-	benchmarkCalls(b, put, func(s *scene, _ int) { s.send(wire.ClientCall{Verb: wire.VerbGet, ID: "g.a"}, nil) })
+	put := func(s *harness) { s.send(wire.ClientCall{Verb: wire.VerbPut, ID: "g.a"}, &wire.PutCall{Value: "v"}) }
+	benchmarkCalls(b, put, func(s *harness, _ int) { s.send(wire.ClientCall{Verb: wire.VerbGet, ID: "g.a"}, nil) })
 }
 
-// BenchmarkPut puts into a group twice; so many watches wait for the second put.
+// BenchmarkPut puts into a group twice, with different numbers of watches that wait for the second put.
 func BenchmarkPut(b *testing.B) {
 	for _, watches := range []int{0, 1, 20, 200} {
 		b.Run(fmt.Sprintf("watches-%d", watches), func(b *testing.B) {
-			benchmarkCalls(b, nothing, func(s *scene, number int) {
+			benchmarkCalls(b, noPreparation, func(s *harness, number int) {
 				name := fmt.Sprintf("g%d.a", number)
 				put := func(value string, expected uint64) {
 					s.send(wire.ClientCall{Verb: wire.VerbPut, ID: name}, &wire.PutCall{Value: value, Expected: expected})
 				}
 				put("5c0e7a21d94b36f8", 0)
-				s.leadership.sync(len(s.leadership.waiting))
+				s.leadership.commitOldest(len(s.leadership.pending))
 				for range watches {
 					s.send(wire.ClientCall{Verb: wire.VerbWatch, ID: GroupOf(name), Base: 1, RemainingMs: 1000}, nil)
 				}
--- a/internal/control/coordination/golden_test.go
+++ b/internal/control/coordination/golden_test.go
@@ -15,9 +15,9 @@
 	"event-record":  &eventRecord{},
 }
 
-var _ = Describe("the form of records on disk", func() {
+var _ = Describe("the encoding of records on disk", func() {
 	for name, record := range goldenRecords {
-		It("is kept for "+name, func() {
+		It("is unchanged for "+name, func() {
 			Expect(golden.CheckMessage(name, record)).To(Succeed())
 		})
 	}
--- a/internal/control/coordination/locks.go
+++ b/internal/control/coordination/locks.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// maxLocks is how many locks may be held at once in a part.
+	// maxLocks limits the locks that are held at once in a part.
 	maxLocks = 10000
-	// clockRateDivisor allows for a holder's clock that is slow by one part in so many.
+	// clockRateDivisor is the tolerated slowness of a holder's clock: it may run slow by 1/clockRateDivisor, which is 2 %.
 	clockRateDivisor = 50
 )
 
-// lock is a lock that is held, or whose time is over and which nobody else has asked for since.
+// lock is a lock that is held, or one that has expired and was not acquired again since.
 type lock struct {
 	holder string
-	// firstFence and fence are the first and the last fencing token that the holder got without letting go in between. All of them
-	// renew the lock; only the last one releases it, since a release that comes late must not end what was acquired after it.
+	// firstFence and fence are the first and the last fencing token that the holder got without a release in between. Any of them
+	// renews the lock. Only the last one releases it, since a late release must not end a hold that was acquired after it.
 	firstFence, fence uint64
-	// hold is the longest time that the holder has asked for under these tokens, as it is on disk: a new leader lets the lock go no
-	// sooner than that after its take-over, which comes after any call that this leader has answered.
-	hold time.Duration
-	// since is when the holder got the lock, or this leader took over; until is when it may go to another. Both are on the
-	// monotonic clock of this process.
-	since, until time.Duration
+	// longestHold is the longest hold time that the holder requested under these tokens, and the one in the lock's record. A new leader
+	// keeps the lock at least for this time from its takeover, which is later than any call that this leader has answered.
+	longestHold time.Duration
+	// acquiredAt is when the holder acquired the lock, or when this leader took over. From expiresAt on, another holder may acquire the
+	// lock. Both are on the monotonic clock of this process.
+	acquiredAt, expiresAt time.Duration
 }
 
-// lockTable holds the locks of a part.
+// lockTable holds the locks of a part by name.
 type lockTable struct {
 	byName map[string]*lock
-	// lastFence is the last fencing token that was given. It rises over all locks of the part, over expiry, release and take-over.
+	// lastFence is the last fencing token that was issued. It rises across all locks of the part, and over expiry, release and takeover.
 	lastFence uint64
 }
 
@@ -55,77 +55,79 @@
 		return err
 	}
 	hold := clock.Milliseconds(record.HoldMs)
-	t.byName[name] = &lock{holder: record.Holder, firstFence: record.First, fence: record.Fence, hold: hold, since: now,
-		until: now + withMargin(hold, releaseTime)}
+	t.byName[name] = &lock{holder: record.Holder, firstFence: record.First, fence: record.Fence, longestHold: hold, acquiredAt: now,
+		expiresAt: now + withClockMargin(hold, releaseTime)}
 	t.lastFence = max(t.lastFence, record.Fence)
 	return nil
 }
 
-// withMargin is how long a lock is kept for a holder that takes itself for the holder for so long: longer by what its clock may be
-// slow, within half of the time in which others must get it.
-func withMargin(hold, releaseTime time.Duration) time.Duration {
+// withClockMargin returns how long the leader keeps a lock for a holder that relies on it for the hold time by its own clock. The margin
+// covers a slow clock of the holder. It is at most half of releaseTime, within which others must be able to acquire the lock.
+func withClockMargin(hold, releaseTime time.Duration) time.Duration {
 	return hold + min(hold/clockRateDivisor, releaseTime/2)
 }
 
-// held gives a lock that is held at this moment, or nil.
+// held returns the lock if it is held at the time now, or nil if it has expired or does not exist.
 func (t *lockTable) held(name string, now time.Duration) *lock {
-	if lock := t.byName[name]; lock != nil && now < lock.until {
+	if lock := t.byName[name]; lock != nil && now < lock.expiresAt {
 		return lock
 	}
 	return nil
 }
 
-// isHeldBy tells whether the lock is that of a holder under one of its fencing tokens.
+// isHeldBy reports whether the lock belongs to the holder under this fencing token. It is false for a nil lock.
 func (l *lock) isHeldBy(holder string, fence uint64) bool {
 	return l != nil && l.holder == holder && l.firstFence <= fence && fence <= l.fence
 }
 
-// extend gives the holder more time; it never takes any away.
+// extend prolongs the hold of a lock to the given time from now. It never shortens it.
 func (l *lock) extend(now, hold, releaseTime time.Duration) {
-	l.until = max(l.until, now+withMargin(hold, releaseTime))
-	l.hold = max(l.hold, hold)
+	l.expiresAt = max(l.expiresAt, now+withClockMargin(hold, releaseTime))
+	l.longestHold = max(l.longestHold, hold)
 }
 
+// record returns the operation that writes the lock's record.
 func (l *lock) record(name string) wire.Op {
-	return writing(recordName(recordLock, name), &lockRecord{Holder: l.holder, First: l.firstFence, Fence: l.fence, HoldMs: l.hold.Milliseconds()})
+	return newPutOp(recordName(recordLock, name), &lockRecord{Holder: l.holder, First: l.firstFence, Fence: l.fence, HoldMs: l.longestHold.Milliseconds()})
 }
 
-// dropExpired forgets locks whose time is over; else a new leader would begin their time anew.
+// dropExpired removes expired locks and returns the operations that delete their records. Otherwise a new leader would hold these locks
+// again for their full time. It removes at most maxDropsPerCommit locks.
 func (t *lockTable) dropExpired(now time.Duration) []wire.Op {
 	var ops []wire.Op
 	for _, name := range slices.Sorted(maps.Keys(t.byName)) {
-		if now >= t.byName[name].until && len(ops) < maxDropsPerCommit {
+		if now >= t.byName[name].expiresAt && len(ops) < maxDropsPerCommit {
 			delete(t.byName, name)
-			ops = append(ops, dropping(recordName(recordLock, name)))
+			ops = append(ops, newDeleteOp(recordName(recordLock, name)))
 		}
 	}
 	return ops
 }
 
-// neverGiven refuses a fencing token that is above all that this part has given.
-var neverGiven = refusal(http.StatusBadRequest, "field fence-number was never given")
+// fenceNeverIssued refuses a fencing token above the last one that this part has issued.
+var fenceNeverIssued = refusal(http.StatusBadRequest, "field fence-number was never given")
 
-// readLockCall decodes the body of a call about a lock, or answers that it can't be read.
+// readLockCall decodes the body of a call about a lock. If the body is invalid, it refuses the call and returns nil.
 func readLockCall(call *wire.ClientCall, answer answerClient) *wire.LockCall {
-	asked := &wire.LockCall{}
-	if err := easyjson.Unmarshal(call.Body, asked); err != nil {
+	params := &wire.LockCall{}
+	if err := easyjson.Unmarshal(call.Body, params); err != nil {
 		answer(refusal(http.StatusBadRequest, "the call can't be read"))
 		return nil
 	}
-	return asked
+	return params
 }
 
-// Acquire gives a lock to a holder, unless another has it. The holder itself gets more time and a higher fencing token each time: its
-// calls may overtake each other, and a release of the earlier token must not end the later hold.
+// Acquire grants a lock to a holder unless another holder has it. If the caller holds the lock already, its hold is extended and it gets
+// a higher fencing token: its calls may arrive out of order, and a release with the earlier token must not end the later hold.
 func (p *Part) Acquire(call *wire.ClientCall, answer answerClient) {
-	asked := readLockCall(call, answer)
-	if asked == nil {
+	params := readLockCall(call, answer)
+	if params == nil {
 		return
 	}
-	now, hold := p.Clock.Monotonic(), clock.Milliseconds(asked.HoldMs)
+	now, hold := p.Clock.Monotonic(), clock.Milliseconds(params.HoldMs)
 	held := p.locks.held(call.ID, now)
 	switch {
-	case held != nil && held.holder != asked.Holder:
+	case held != nil && held.holder != params.Holder:
 		p.answerUnderLease(refusal(http.StatusConflict, "another holds the lock"), answer)
 		return
 	case p.isFull():
@@ -138,32 +140,33 @@
 	p.locks.lastFence++
 	fence := p.locks.lastFence
 	if held == nil {
-		held = &lock{holder: asked.Holder, firstFence: fence, since: now}
+		held = &lock{holder: params.Holder, firstFence: fence, acquiredAt: now}
 		p.locks.byName[call.ID] = held
 	}
 	held.fence = fence
 	held.extend(now, hold, p.ReleaseTime)
-	ops := []wire.Op{writing(recordFence, &fenceRecord{fence}), held.record(call.ID)}
+	ops := []wire.Op{newPutOp(recordFence, &fenceRecord{fence}), held.record(call.ID)}
 	p.commitAndAnswer(ops, p.success(&wire.LockAnswer{Fence: fence}), answer)
 }
 
-// Renew gives the holder of a lock more time. It is committed only if the time is longer than on disk: the holder counts from when it
-// sent the call, this leader was alone then, and a later leader keeps the lock for the time on disk from its own take-over.
+// Renew extends the hold of a lock. A commit is only needed if the requested time is longer than the recorded one: the holder counts its
+// time from when it sent the call, while no other process was leader, and a later leader keeps the lock for the recorded time from its
+// own takeover.
 func (p *Part) Renew(call *wire.ClientCall, answer answerClient) {
-	asked := readLockCall(call, answer)
-	if asked == nil {
+	params := readLockCall(call, answer)
+	if params == nil {
 		return
 	}
-	if asked.Fence > p.locks.lastFence {
-		p.answerUnderLease(neverGiven, answer)
+	if params.Fence > p.locks.lastFence {
+		p.answerUnderLease(fenceNeverIssued, answer)
 		return
 	}
-	now, hold := p.Clock.Monotonic(), clock.Milliseconds(asked.HoldMs)
+	now, hold := p.Clock.Monotonic(), clock.Milliseconds(params.HoldMs)
 	held := p.locks.held(call.ID, now)
 	switch {
-	case !held.isHeldBy(asked.Holder, asked.Fence):
+	case !held.isHeldBy(params.Holder, params.Fence):
 		p.answerUnderLease(refusal(http.StatusConflict, "the lock is lost"), answer)
-	case hold <= held.hold:
+	case hold <= held.longestHold:
 		held.extend(now, hold, p.ReleaseTime)
 		p.answerUnderLease(wire.ClientAnswer{Status: http.StatusOK}, answer)
 	case p.isFull():
@@ -174,18 +177,18 @@
 	}
 }
 
-// Release lets a lock go, if it is held under the fencing token; else nothing is to be done.
+// Release releases a lock if it is held under the fencing token. Otherwise it succeeds without effect.
 func (p *Part) Release(call *wire.ClientCall, answer answerClient) {
-	asked := readLockCall(call, answer)
-	if asked == nil {
+	params := readLockCall(call, answer)
+	if params == nil {
 		return
 	}
-	if asked.Fence > p.locks.lastFence {
-		p.answerUnderLease(neverGiven, answer)
+	if params.Fence > p.locks.lastFence {
+		p.answerUnderLease(fenceNeverIssued, answer)
 		return
 	}
 	held := p.locks.byName[call.ID]
-	if held == nil || held.holder != asked.Holder || held.fence != asked.Fence {
+	if held == nil || held.holder != params.Holder || held.fence != params.Fence {
 		p.answerUnderLease(wire.ClientAnswer{Status: http.StatusOK}, answer)
 		return
 	}
@@ -194,5 +197,5 @@
 		return
 	}
 	delete(p.locks.byName, call.ID)
-	p.commitAndAnswer([]wire.Op{dropping(recordName(recordLock, call.ID))}, wire.ClientAnswer{Status: http.StatusOK}, answer)
+	p.commitAndAnswer([]wire.Op{newDeleteOp(recordName(recordLock, call.ID))}, wire.ClientAnswer{Status: http.StatusOK}, answer)
 }
--- a/internal/control/coordination/names.go
+++ b/internal/control/coordination/names.go
@@ -8,36 +8,37 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Parts is how many keys the names are divided among. It must not change while any of them holds state. As many as there are stewards in
-// a small deployment: the loss of one stops the calls about few names, and a key costs little (docs/design/coordination.md).
-const Parts = 8
+// PartCount is the number of keys that names are distributed over. It must not change while any of the keys holds state. It equals the
+// number of stewards in a small deployment, so that the loss of one steward interrupts the calls for few names. A key costs little
+// (docs/design/coordination.md).
+const PartCount = 8
 
-// groupSeparator ends the name of a group within that of a cell; the group's name has it, too.
+// groupSeparator ends the group's name within a cell's name. It is part of the group's name.
 const groupSeparator = "."
 
-// KeyOf is the key of a part.
+// KeyOf returns the replication key of a part, from 0 to PartCount-1.
 func KeyOf(part int) string { return wire.CoordinationKeyPrefix + strconv.Itoa(part) }
 
-// Keys are the keys of all parts.
+// Keys returns the replication keys of all parts.
 func Keys() []string {
-	keys := make([]string, Parts)
+	keys := make([]string, PartCount)
 	for part := range keys {
 		keys[part] = KeyOf(part)
 	}
 	return keys
 }
 
-// IsKey tells whether a key is that of a part.
+// IsKey reports whether a replication key belongs to a part of this package.
 func IsKey(key string) bool { return strings.HasPrefix(key, wire.CoordinationKeyPrefix) }
 
-// KeyOfName is the key that holds a lock, a number or a group of cells.
+// KeyOfName returns the replication key that holds the lock, the number or the group of cells with a name.
 func KeyOfName(name string) string {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
-	return KeyOf(int(hash.Sum32() % Parts))
+	return KeyOf(int(hash.Sum32() % PartCount))
 }
 
-// GroupOf is the group of a cell: what its name begins with up to the first dot, or all of a name without a dot.
+// GroupOf returns the group of a cell: its name up to and including the first dot, or the whole name if it has no dot.
 func GroupOf(cell string) string {
 	if end := strings.Index(cell, groupSeparator); end >= 0 {
 		return cell[:end+len(groupSeparator)]
--- a/internal/control/coordination/numbers.go
+++ b/internal/control/coordination/numbers.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// maxNumberNames is how many names for numbers a part has at most.
+	// maxNumberNames limits the names that have a number sequence in a part.
 	maxNumberNames = 20000
-	// numberRange is how many numbers one commit reserves.
+	// numberRange is the number of numbers that one commit reserves.
 	numberRange = 128
 )
 
-// number counts under one name. All numbers up to reserved belong to this leader once the commit that reserved them is durable, which
-// an answer waits for; a new leader begins above.
-type number struct {
-	last, reserved uint64
+// numberSequence issues the numbers of one name. This leader may issue all numbers up to reserved once the commit that reserved them is
+// durable, and each answer waits for that commit. A new leader starts above reserved.
+type numberSequence struct {
+	lastIssued, reserved uint64
 }
 
-// numberTable holds the numbers of a part.
+// numberTable holds the number sequences of a part by name.
 type numberTable struct {
-	byName map[string]*number
+	byName map[string]*numberSequence
 }
 
-func newNumberTable() numberTable { return numberTable{byName: map[string]*number{}} }
+func newNumberTable() numberTable { return numberTable{byName: map[string]*numberSequence{}} }
 
 func (t *numberTable) load(name string, value []byte) error {
 	var record numberRecord
 	err := easyjson.Unmarshal(value, &record)
-	t.byName[name] = &number{last: record.Reserved, reserved: record.Reserved}
+	t.byName[name] = &numberSequence{lastIssued: record.Reserved, reserved: record.Reserved}
 	return err
 }
 
-// TakeNumber gives a number that is above all that were given under the name. A number whose answer is lost is a gap.
+// TakeNumber answers with a number above all that were issued under the name. If the answer is lost, its number is skipped.
 func (p *Part) TakeNumber(call *wire.ClientCall, answer answerClient) {
-	taken := p.numbers.byName[call.ID]
-	isExhausted := taken == nil || taken.last == taken.reserved
+	sequence := p.numbers.byName[call.ID]
+	isExhausted := sequence == nil || sequence.lastIssued == sequence.reserved
 	switch {
-	case taken == nil && len(p.numbers.byName) >= maxNumberNames:
+	case sequence == nil && len(p.numbers.byName) >= maxNumberNames:
 		answer(overload(http.StatusTooManyRequests, "too many names have numbers"))
 		return
 	case isExhausted && p.isFull():
 		answer(overload(http.StatusServiceUnavailable, "too many changes are waiting"))
 		return
-	case taken == nil:
-		taken = &number{}
-		p.numbers.byName[call.ID] = taken
+	case sequence == nil:
+		sequence = &numberSequence{}
+		p.numbers.byName[call.ID] = sequence
 	}
 	if isExhausted {
-		taken.reserved += numberRange
-		p.commit([]wire.Op{writing(recordName(recordNumber, call.ID), &numberRecord{taken.reserved})}, func(error) {})
+		sequence.reserved += numberRange
+		p.commit([]wire.Op{newPutOp(recordName(recordNumber, call.ID), &numberRecord{sequence.reserved})}, func(error) {})
 	}
-	taken.last++
-	p.answerUnderLease(p.success(&wire.NumberAnswer{Value: taken.last}), answer)
+	sequence.lastIssued++
+	p.answerUnderLease(p.success(&wire.NumberAnswer{Value: sequence.lastIssued}), answer)
 }
--- a/internal/control/coordination/part.go
+++ b/internal/control/coordination/part.go
@@ -1,16 +1,18 @@
-// Package coordination keeps locks, numbers and small cells of applications, and lets them watch cells, while this process leads the
-// key of a part. It is a state machine without goroutines and sockets: controlkeys calls it on the goroutine of the key's engine.
+// Package coordination provides applications with locks, unique numbers and small cells of data that can be watched. It serves the
+// names of one part while this process leads the part's replication key. It is a state machine without goroutines or sockets;
+// controlkeys calls it on the goroutine of the key's engine.
 //
-// Names are divided by hash into parts, each a replicated key with a leader of its own; the cells of a group, which share one count of
-// revisions, are in one part. The tables of a Part hold every change from its proposal on. Commits end in the order of their
-// proposals, and no answer overtakes the commits that were pending when it was worked out, so that nothing uncommitted is ever shown.
+// Names are distributed by hash over parts. Each part is a replicated key with its own leader. The cells of a group share a revision
+// counter and are in the same part. The tables of a Part contain every change as soon as it is proposed. Commits complete in the order
+// in which they were proposed. An answer waits for all commits that were pending when it was computed, so uncommitted state is never
+// visible to callers.
 //
-// An answer that rests on a commit is true whenever it arrives. Any other answer is given only while the lease holds, and the lease is
-// asked for after the answer was worked out. Together with the epoch of each commit this makes a leader that was frozen or cut off
-// harmless: it can neither commit nor answer once another may lead.
+// An answer to a committed change stays true whenever it arrives. Any other answer is sent only under the leader's lease, which is
+// checked after the answer was computed. Together with the epoch of each commit, this prevents a leader that was frozen or partitioned
+// from committing or answering once another process may lead.
 //
-// A call that was proposed and whose leadership ended has an unknown outcome. All calls may be repeated without harm, so that the
-// caller of this package asks the next leader again.
+// If the leadership ends after a call was proposed, the outcome of the call is unknown. All calls are safe to retry, so the caller of
+// this package repeats them at the next leader.
 package coordination
 
 import (
@@ -26,53 +28,54 @@
 )
 
 const (
-	// cleanUpInterval is how often what is no longer needed is dropped.
+	// cleanUpInterval is the interval at which expired locks, old events and unused groups are removed.
 	cleanUpInterval = 5 * time.Second
-	// maxDropsPerCommit is how many records one change drops at most.
+	// maxDropsPerCommit limits the lock records, and likewise the event records, that one change deletes.
 	maxDropsPerCommit = 500
 )
 
-// Leadership is what a part needs of the leadership of its key; replication.Leadership is the real one.
+// Leadership is the part's view of the leadership of its key, implemented by replication.Leadership.
 type Leadership interface {
-	// Epoch is that of the leadership.
+	// Epoch returns the epoch of this leadership.
 	Epoch() uint64
-	// Commit makes a change durable on a quorum; done gets an error if the leadership is lost first. Commits end in their order.
+	// Commit proposes a change. done is called once the change is durable on a quorum, or with an error if the leadership is lost
+	// first. Commits complete in the order in which they were proposed.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease tells whether no other process can lead the key now.
+	// HasLease reports whether this leader's lease is valid, so that no other process can lead the key now.
 	HasLease() bool
 }
 
-// Surroundings are what a part needs beyond its key.
+// Surroundings holds the dependencies and settings of a part.
 type Surroundings struct {
 	Clock clock.Clock
 	Log   logging.Logger
-	// HistoryTime is how long a put is kept for watchers at least, from when it is durable.
+	// HistoryTime is the minimum time for which a put is kept for watchers, from when it is durable.
 	HistoryTime time.Duration
-	// ReleaseTime is how long after its holder's time a lock may still be refused to others.
+	// ReleaseTime is the maximum time for which an expired lock may still be refused to other holders.
 	ReleaseTime time.Duration
 }
 
-// Part decides on the calls about the names of one key.
+// Part handles the calls for the names of one replication key.
 type Part struct {
 	Surroundings
 	key string
-	// leadership is nil while the key is led elsewhere; everything below is empty then.
+	// leadership is nil while another process leads the key. The tables and commits below are empty then.
 	leadership Leadership
 	commits    commitqueue.Queue
 	locks      lockTable
 	numbers    numberTable
 	cells      cellTable
-	// nextCleanUp is when what is no longer needed is dropped again.
-	nextCleanUp time.Duration
+	// nextCleanUpAt is when Tick cleans up next, see cleanUpInterval.
+	nextCleanUpAt time.Duration
 }
 
-// New makes a part that is closed until Open.
+// New returns a part of the given key. It is closed until Open is called.
 func New(key string, surroundings Surroundings) *Part {
 	return &Part{key: key, Surroundings: surroundings}
 }
 
-// Open takes over the key with what is committed of it; an error names the record that can't be read. The time of each lock begins
-// anew, in full.
+// Open takes over the leadership of the key, with its committed records as pairs. The hold time of each lock restarts in full. An error
+// names the record that is invalid.
 func (p *Part) Open(leadership Leadership, pairs []wire.Op) error {
 	now := p.Clock.Monotonic()
 	p.clear()
@@ -82,13 +85,13 @@
 		}
 	}
 	p.cells.finishLoading(now)
-	p.leadership, p.nextCleanUp = leadership, now+cleanUpInterval
+	p.leadership, p.nextCleanUpAt = leadership, now+cleanUpInterval
 	p.Log.Info("locks, numbers and cells taken over", "key", p.key, "epoch", leadership.Epoch(), "locks", len(p.locks.byName),
 		"numbers", len(p.numbers.byName), "cells", p.cells.count, "events", p.cells.eventCount)
 	return nil
 }
 
-// load takes one record.
+// load reads one record into its table. Records of unknown kinds are ignored.
 func (p *Part) load(pair wire.Op, now time.Duration) error {
 	prefix, name, _ := strings.Cut(pair.Name, "/")
 	switch prefix {
@@ -106,10 +109,10 @@
 	return nil
 }
 
-// Close gives up the key: calls whose changes are not committed end with an unknown outcome, and waiting watches are sent to the
-// next leader.
+// Close ends the leadership of the key. Calls whose changes are not committed are answered with an unknown outcome, and waiting watchers
+// are referred to the next leader.
 func (p *Part) Close() {
-	uncommitted, watchers := p.commits.TakeCallbacks(), p.cells.takeWatchers()
+	uncommitted, watchers := p.commits.TakeCallbacks(), p.cells.removeAllWatchers()
 	p.clear()
 	for _, callback := range uncommitted {
 		callback(errClosed)
@@ -119,38 +122,39 @@
 	}
 }
 
-// errClosed ends what was not committed when the leadership ended.
+// errClosed is passed to the callbacks of commits that are pending when the leadership ends.
 const errClosed = errors.ConstError("the part is led elsewhere")
 
+// clear resets the part to its closed state, with empty tables.
 func (p *Part) clear() {
 	p.leadership, p.commits = nil, commitqueue.Queue{}
 	p.locks, p.numbers, p.cells = newLockTable(), newNumberTable(), newCellTable()
 }
 
-// IsOpen tells whether the key is led here.
+// IsOpen reports whether this process leads the key.
 func (p *Part) IsOpen() bool { return p.leadership != nil }
 
-// Tick does what falls due; it is called often.
+// Tick answers expired watches and runs the clean-up when it is due. It is called often and does nothing while the part is closed.
 func (p *Part) Tick() {
 	if !p.IsOpen() {
 		return
 	}
 	now := p.Clock.Monotonic()
-	p.answerDueWatchers(now)
-	if now < p.nextCleanUp {
+	p.answerExpiredWatchers(now)
+	if now < p.nextCleanUpAt {
 		return
 	}
-	p.nextCleanUp = now + cleanUpInterval
+	p.nextCleanUpAt = now + cleanUpInterval
 	ops := p.locks.dropExpired(now)
 	ops = append(ops, p.cells.dropOldEvents(now-p.HistoryTime)...)
 	if len(ops) > 0 {
 		p.commit(ops, func(error) {})
 	}
 	p.cells.dropUnusedGroups()
-	p.reportSize()
+	p.updateGauges()
 }
 
-// CommandFor gives the command of a verb, or nil if there is none.
+// CommandFor returns the method that handles calls with a verb, or nil if the verb is not one of this package.
 func (p *Part) CommandFor(verb wire.Verb) func(*wire.ClientCall, func(wire.ClientAnswer)) {
 	switch verb {
 	case wire.VerbAcquire:
--- a/internal/control/coordination/part_test.go
+++ b/internal/control/coordination/part_test.go
@@ -12,10 +12,10 @@
 )
 
 var _ = Describe("locks", func() {
-	var s *scene
-	BeforeEach(func() { s = newScene() })
+	var s *harness
+	BeforeEach(func() { s = newHarness() })
 
-	It("are held by one, and given under rising fencing tokens", func() {
+	It("have one holder at a time and rising fencing tokens", func() {
 		Expect(s.acquire("a", "x")).To(Equal(`200 {"fence-number":1}`))
 		Expect(s.acquire("a", "y")).To(Equal("409"))
 		Expect(s.acquire("b", "y")).To(Equal(`200 {"fence-number":2}`))
@@ -24,127 +24,127 @@
 		Expect(s.acquire("a", "y")).To(Equal(`200 {"fence-number":3}`))
 	})
 
-	It("are told only once they are durable, and what is refused for them too", func() {
+	It("are confirmed only once they are durable, as are refusals that depend on them", func() {
 		s.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: "a"}, &wire.LockCall{Holder: "x", HoldMs: 3000})
 		s.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: "a"}, &wire.LockCall{Holder: "y", HoldMs: 3000})
 		Expect(s.answers).To(BeEmpty())
-		s.takeOver()
-		Expect(told(s.answers[0])).To(Equal("unknown"))
-		Expect(told(s.answers[1])).To(Equal("not leader"), "the refused call was never proposed")
+		s.changeLeader()
+		Expect(answerText(s.answers[0])).To(Equal("unknown"))
+		Expect(answerText(s.answers[1])).To(Equal("not leader"), "the refused call was never proposed")
 		Expect(s.acquire("a", "y")).To(HavePrefix("200"))
 	})
 
-	It("get their holder a higher token each time, and a release that comes late ends no later hold", func() {
+	It("issue a higher token for each acquisition and ignore a late release with an earlier token", func() {
 		s.acquire("a", "x")
 		Expect(s.acquire("a", "x")).To(Equal(`200 {"fence-number":2}`))
 		Expect(s.release("a", "x", 1)).To(Equal("200"))
 		Expect(s.acquire("a", "y")).To(Equal("409"))
 		s.renew("a", "x", 1, testHold)
-		Expect(s.last()).To(Equal("200"), "its earlier token still renews")
+		Expect(s.lastAnswer()).To(Equal("200"), "an earlier token of the same hold renews the lock")
 		Expect(s.release("a", "x", 2)).To(Equal("200"))
 		s.acquire("a", "x")
 		s.renew("a", "x", 2, testHold)
-		Expect(s.last()).To(Equal("409"), "a token of before the release is lost")
+		Expect(s.lastAnswer()).To(Equal("409"), "a token from before the release is invalid")
 	})
 
-	It("go to another once their time is over, soon but not before", func() {
+	It("can be acquired by another holder only after the hold time and the clock margin, which is below the release time", func() {
 		s.acquire("a", "x")
-		s.pass(testHold)
+		s.advance(testHold)
 		Expect(s.acquire("a", "y")).To(Equal("409"), "the holder's clock may be slow")
-		s.pass(testHold / clockRateDivisor)
+		s.advance(testHold / clockRateDivisor)
 		s.renew("a", "x", 1, testHold)
-		Expect(s.last()).To(Equal("409"))
+		Expect(s.lastAnswer()).To(Equal("409"))
 		Expect(s.acquire("a", "y")).To(Equal(`200 {"fence-number":2}`))
-		Expect(withMargin(maxHoldOfTest, testRelease) - maxHoldOfTest).To(BeNumerically("<", testRelease))
+		Expect(withClockMargin(longTestHold, testRelease) - longTestHold).To(BeNumerically("<", testRelease))
 	})
 
-	It("are renewed without a commit, unless for longer than on disk", func() {
+	It("are renewed without a commit unless the requested time is longer than the recorded one", func() {
 		s.acquire("a", "x")
-		s.pass(testHold - time.Second)
+		s.advance(testHold - time.Second)
 		s.renew("a", "x", 1, testHold)
-		Expect(s.leadership.waiting).To(BeEmpty())
-		s.pass(testHold - time.Second)
+		Expect(s.leadership.pending).To(BeEmpty())
+		s.advance(testHold - time.Second)
 		Expect(s.acquire("a", "y")).To(Equal("409"))
 		s.renew("a", "x", 1, 2*testHold)
-		Expect(s.leadership.waiting).To(HaveLen(1))
-		Expect(s.last()).To(Equal("200"))
-		s.takeOver()
-		s.pass(2 * testHold)
+		Expect(s.leadership.pending).To(HaveLen(1))
+		Expect(s.lastAnswer()).To(Equal("200"))
+		s.changeLeader()
+		s.advance(2 * testHold)
 		Expect(s.acquire("a", "y")).To(Equal("409"))
 	})
 
-	It("begin their time anew in full with a new leader", func() {
+	It("are held for their full time again after a change of leader", func() {
 		s.acquire("a", "x")
-		s.pass(testHold - 100*time.Millisecond)
-		s.takeOver()
-		s.pass(testHold - 100*time.Millisecond)
+		s.advance(testHold - 100*time.Millisecond)
+		s.changeLeader()
+		s.advance(testHold - 100*time.Millisecond)
 		Expect(s.acquire("a", "y")).To(Equal("409"))
 		s.renew("a", "x", 1, testHold)
-		Expect(s.last()).To(Equal("200"))
+		Expect(s.lastAnswer()).To(Equal("200"))
 	})
 
-	It("rise in their tokens over expiry, take-overs and an empty table", func() {
+	It("keep rising tokens over expiry, a change of leader and an empty table", func() {
 		s.acquire("a", "x")
-		s.pass(testHold + cleanUpInterval + time.Second)
-		s.last()
-		Expect(s.leadership.disk).NotTo(HaveKey("l/a"), "a new leader would hold it again")
-		s.takeOver()
+		s.advance(testHold + cleanUpInterval + time.Second)
+		s.lastAnswer()
+		Expect(s.leadership.durable).NotTo(HaveKey("l/a"), "a new leader would hold the expired lock again")
+		s.changeLeader()
 		Expect(s.acquire("a", "y")).To(Equal(`200 {"fence-number":2}`))
 	})
 
-	It("give nothing once the lease is over", func() {
+	It("are neither granted, renewed nor released without the lease", func() {
 		s.acquire("a", "x")
 		s.leadership.hasLease = false
 		Expect(s.acquire("a", "y")).To(Equal("not leader"))
 		s.renew("a", "x", 1, testHold)
-		Expect(s.last()).To(Equal("not leader"))
+		Expect(s.lastAnswer()).To(Equal("not leader"))
 		Expect(s.release("a", "y", 1)).To(Equal("not leader"))
 	})
 
-	It("know a token that was never given", func() {
+	It("refuse a token that was never issued and an invalid body", func() {
 		s.acquire("a", "x")
 		s.renew("a", "x", 2, testHold)
-		Expect(s.last()).To(Equal("400"))
+		Expect(s.lastAnswer()).To(Equal("400"))
 		Expect(s.release("a", "x", 2)).To(Equal("400"))
 		s.part.Renew(&wire.ClientCall{Body: []byte("[")}, func(answer wire.ClientAnswer) { s.answers = append(s.answers, answer) })
-		Expect(s.last()).To(Equal("400"))
+		Expect(s.lastAnswer()).To(Equal("400"))
 	})
 
-	It("are listed with their holders", func() {
+	It("are reported with their holders", func() {
 		s.acquire("a", "x")
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.send(wire.ClientCall{Verb: wire.VerbCoordination}, nil)
-		Expect(s.last()).To(Equal(`200 {"key":"coordination/0","epoch":1,"locks":[{"name":"a","holder":"x","fence-number":1,"held-ms":1000,` +
+		Expect(s.lastAnswer()).To(Equal(`200 {"key":"coordination/0","epoch":1,"locks":[{"name":"a","holder":"x","fence-number":1,"held-ms":1000,` +
 			`"remaining-ms":2060}],"numbers":0,"cells":0,"events":0,"watchers":0,"bytes":0}`))
 	})
 })
 
-const maxHoldOfTest = 10 * time.Minute
+const longTestHold = 10 * time.Minute
 
 var _ = Describe("numbers", func() {
-	It("rise within a range that is durable, and begin above it with a new leader", func() {
-		s := newScene()
+	It("rise within a durably reserved range and start above it after a change of leader", func() {
+		s := newHarness()
 		s.send(wire.ClientCall{Verb: wire.VerbTakeNumber, ID: "n"}, nil)
 		Expect(s.answers).To(BeEmpty(), "the range is not durable yet")
-		Expect(s.number("n")).To(Equal(`200 {"value":2}`))
-		Expect(s.number("m")).To(Equal(`200 {"value":1}`))
+		Expect(s.takeNumber("n")).To(Equal(`200 {"value":2}`))
+		Expect(s.takeNumber("m")).To(Equal(`200 {"value":1}`))
 		for range numberRange - 2 {
-			s.number("n")
-			Expect(s.leadership.waiting).To(BeEmpty())
+			s.takeNumber("n")
+			Expect(s.leadership.pending).To(BeEmpty())
 		}
-		Expect(s.number("n")).To(Equal(fmt.Sprintf(`200 {"value":%d}`, numberRange+1)))
-		s.takeOver()
-		Expect(s.number("n")).To(Equal(fmt.Sprintf(`200 {"value":%d}`, 2*numberRange+1)))
+		Expect(s.takeNumber("n")).To(Equal(fmt.Sprintf(`200 {"value":%d}`, numberRange+1)))
+		s.changeLeader()
+		Expect(s.takeNumber("n")).To(Equal(fmt.Sprintf(`200 {"value":%d}`, 2*numberRange+1)))
 		s.leadership.hasLease = false
-		Expect(s.number("n")).To(Equal("not leader"))
+		Expect(s.takeNumber("n")).To(Equal("not leader"))
 	})
 })
 
 var _ = Describe("cells", func() {
-	var s *scene
-	BeforeEach(func() { s = newScene() })
+	var s *harness
+	BeforeEach(func() { s = newHarness() })
 
-	It("take a put on top of the revision that it names, in one count of revisions for a group", func() {
+	It("accept a put only at the expected revision and count revisions per group", func() {
 		Expect(s.get("g.a")).To(Equal("404"))
 		Expect(s.put("g.a", "v1", 0)).To(Equal(`200 {"revision":1}`))
 		Expect(s.put("g.b", "v2", 0)).To(Equal(`200 {"revision":2}`))
@@ -155,56 +155,56 @@
 		Expect(s.get("g.a")).To(Equal(`200 {"value":"v4","revision":3}`))
 	})
 
-	It("give a put that comes again its first revision, whatever came after it", func() {
-		again := func() {
+	It("answer a retried put with its first revision, also after later puts and a change of leader", func() {
+		expectFirstRevision := func() {
 			GinkgoHelper()
 			Expect(s.put("g.a", "v1", 0)).To(Equal(`200 {"revision":1}`))
 			Expect(s.get("g.a")).To(Equal(`200 {"value":"v2","revision":2}`))
 		}
 		s.put("g.a", "v1", 0)
 		s.put("g.a", "v2", 1)
-		again()
-		s.takeOver()
-		again()
-		s.pass(testHistory - time.Second)
-		again()
-		s.pass(2 * cleanUpInterval)
-		Expect(s.put("g.a", "v2", 1)).To(Equal(`200 {"revision":2}`), "the last put of a cell is known for good")
-		Expect(s.put("g.a", "v1", 2)).To(Equal(`200 {"revision":3}`), "on top of another revision it is another put")
+		expectFirstRevision()
+		s.changeLeader()
+		expectFirstRevision()
+		s.advance(testHistory - time.Second)
+		expectFirstRevision()
+		s.advance(2 * cleanUpInterval)
+		Expect(s.put("g.a", "v2", 1)).To(Equal(`200 {"revision":2}`), "the last put of a cell is detected as a retry at any time")
+		Expect(s.put("g.a", "v1", 2)).To(Equal(`200 {"revision":3}`), "with another expected revision it is another put")
 	})
 
-	It("show nothing that is not durable, and refuse nothing for it", func() {
+	It("neither return uncommitted values nor refuse calls because of them", func() {
 		s.sendPut("g.a", "v1", 0)
 		s.sendPut("g.a", "v2", 0)
 		s.send(wire.ClientCall{Verb: wire.VerbGet, ID: "g.a"}, nil)
 		s.sendPut("g.a", "v1", 0)
 		Expect(s.answers).To(BeEmpty())
-		s.takeOver()
-		Expect([]string{told(s.answers[0]), told(s.answers[1]), told(s.answers[2]), told(s.answers[3])}).To(
+		s.changeLeader()
+		Expect([]string{answerText(s.answers[0]), answerText(s.answers[1]), answerText(s.answers[2]), answerText(s.answers[3])}).To(
 			Equal([]string{"unknown", "not leader", "not leader", "not leader"}))
 		Expect(s.get("g.a")).To(Equal("404"))
 		s.leadership.hasLease = false
 		Expect(s.get("g.a")).To(Equal("not leader"))
 	})
 
-	It("refuse what there is no room for, and have room again once puts are forgotten", func() {
+	It("refuse puts above the size limit of a group until old events are removed", func() {
 		value := strings.Repeat("v", 64<<10)
-		refused := ""
-		for revision := uint64(0); refused == "" && revision < 1000; revision++ {
+		refusal := ""
+		for revision := uint64(0); refusal == "" && revision < 1000; revision++ {
 			if answer := s.put("g.a", fmt.Sprint(revision, value), revision); !strings.HasPrefix(answer, "200") {
-				refused = answer
+				refusal = answer
 			}
 		}
-		Expect(refused).To(Equal("429"))
+		Expect(refusal).To(Equal("429"))
 		Expect(s.part.cells.groups["g."].bytes).To(BeNumerically("<=", maxGroupBytes))
-		s.pass(testHistory + cleanUpInterval)
-		s.last()
+		s.advance(testHistory + cleanUpInterval)
+		s.lastAnswer()
 		Expect(s.part.cells.eventCount).To(BeZero())
 		Expect(s.put("g.b", "v", 0)).To(HavePrefix("200"))
 		Expect(s.part.cells.bytes).To(Equal(s.part.cells.groups["g."].bytes + len("g.a") + len(s.part.cells.cell("g.a").put.value) + len("g.bv")))
 	})
 
-	It("refuse changes while too many wait for the quorum, before anything is proposed", func() {
+	It("refuse changes before proposing them while too many wait for the quorum", func() {
 		for index := range maxPendingCommits {
 			s.sendPut(fmt.Sprint("g.", index), "v", 0)
 		}
@@ -213,23 +213,23 @@
 				s.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: "a"}, &wire.LockCall{Holder: "x", HoldMs: 1})
 			}} {
 			call()
-			Expect(told(s.answers[len(s.answers)-1])).To(Equal("503"))
+			Expect(answerText(s.answers[len(s.answers)-1])).To(Equal("503"))
 		}
-		Expect(s.leadership.waiting).To(HaveLen(maxPendingCommits))
+		Expect(s.leadership.pending).To(HaveLen(maxPendingCommits))
 	})
 
-	It("have an unknown outcome, once, if the part is closed while they wait for the quorum", func() {
+	It("answer a put exactly once, with an unknown outcome, if the part is closed before the commit", func() {
 		s.sendPut("g.a", "v", 0)
-		late := s.leadership.waiting
-		s.leadership.waiting = nil
-		s.takeOver()
+		late := s.leadership.pending
+		s.leadership.pending = nil
+		s.changeLeader()
 		Expect(s.answers).To(HaveLen(1))
-		Expect(told(s.answers[0])).To(Equal("unknown"))
+		Expect(answerText(s.answers[0])).To(Equal("unknown"))
 		late[0].done(nil)
 		Expect(s.answers).To(HaveLen(1))
 	})
 
-	It("name a record that can't be read", func() {
+	It("cause an error that names the record if it is invalid", func() {
 		for _, name := range []string{"f", "l/a", "n/a", "c/g.a", "e/g./1"} {
 			Expect(s.part.Open(s.leadership, []wire.Op{{Name: name, Value: []byte("[")}})).To(MatchError(ContainSubstring(name)))
 		}
@@ -237,89 +237,89 @@
 })
 
 var _ = Describe("watches", func() {
-	var s *scene
+	var s *harness
 	BeforeEach(func() {
-		s = newScene()
+		s = newHarness()
 		s.put("g.a", "v1", 0)
 		s.put("g.b", "v2", 0)
 		s.answers = nil
 	})
 	const events = `{"events":[{"name":"g.b","value":"v2","revision":2}],"revision":2}`
 
-	It("get all puts above a revision at once", func() {
+	It("return the puts above a revision immediately", func() {
 		s.watch("g.", 1, time.Second)
-		Expect(s.last()).To(Equal("200 " + events))
+		Expect(s.lastAnswer()).To(Equal("200 " + events))
 		s.watch("g.", 0, time.Second)
-		Expect(s.last()).To(Equal(`200 {"events":[],"revision":2}`), "from 0 on only the present revision is asked for")
+		Expect(s.lastAnswer()).To(Equal(`200 {"events":[],"revision":2}`), "revision 0 asks for the current revision only")
 		s.watch("g.", 2, 0)
-		Expect(s.last()).To(Equal(`200 {"events":[],"revision":2}`))
+		Expect(s.lastAnswer()).To(Equal(`200 {"events":[],"revision":2}`))
 	})
 
-	It("wait for a put, and see it once it is durable", func() {
+	It("wait for a put and return it once it is durable", func() {
 		s.watch("g.", 2, time.Second)
 		s.watch("new.", 0, time.Second)
 		s.sendPut("g.a", "v3", 1)
 		s.sendPut("new.a", "v1", 0)
 		s.sendPut("g.b", "v4", 2)
-		s.leadership.sync(2)
-		Expect(s.answers).To(HaveLen(4), "two puts, and a watcher of each group")
-		Expect(told(s.answers[1])).To(Equal(`200 {"events":[{"name":"g.a","value":"v3","revision":3}],"revision":3}`))
-		Expect(told(s.answers[3])).To(Equal(`200 {"events":[{"name":"new.a","value":"v1","revision":1}],"revision":1}`))
+		s.leadership.commitOldest(2)
+		Expect(s.answers).To(HaveLen(4), "two puts and one watcher of each group")
+		Expect(answerText(s.answers[1])).To(Equal(`200 {"events":[{"name":"g.a","value":"v3","revision":3}],"revision":3}`))
+		Expect(answerText(s.answers[3])).To(Equal(`200 {"events":[{"name":"new.a","value":"v1","revision":1}],"revision":1}`))
 		s.watch("g.", 2, time.Second)
-		Expect(told(s.answers[4])).To(ContainSubstring(`"revision":3}],"revision":3`), "the put after it is not durable yet")
+		Expect(answerText(s.answers[4])).To(ContainSubstring(`"revision":3}],"revision":3`), "the next put is not durable yet")
 	})
 
-	It("end with nothing after their time, and go to the next leader with a take-over", func() {
+	It("end without puts at their deadline and are referred to the next leader without the leadership or the lease", func() {
 		s.watch("g.", 2, time.Second)
-		s.pass(950 * time.Millisecond)
+		s.advance(950 * time.Millisecond)
 		Expect(s.answers).To(BeEmpty())
-		s.pass(50 * time.Millisecond)
-		Expect(s.last()).To(Equal(`200 {"events":[],"revision":2}`))
+		s.advance(50 * time.Millisecond)
+		Expect(s.lastAnswer()).To(Equal(`200 {"events":[],"revision":2}`))
 		Expect(s.part.cells.watcherCount).To(BeZero())
 		s.watch("g.", 2, time.Second)
-		s.takeOver()
-		Expect(s.last()).To(Equal("not leader"))
+		s.changeLeader()
+		Expect(s.lastAnswer()).To(Equal("not leader"))
 		s.watch("g.", 2, time.Second)
 		s.leadership.hasLease = false
-		s.pass(time.Second)
-		Expect(s.last()).To(Equal("not leader"), "another leader may have taken puts since")
+		s.advance(time.Second)
+		Expect(s.lastAnswer()).To(Equal("not leader"), "another leader may have accepted puts since")
 	})
 
-	It("find all puts for the time that was promised, also after take-overs, and are told when it is over", func() {
-		s.pass(testHistory - time.Second)
-		s.takeOver()
-		s.pass(testHistory - time.Second)
+	It("return all puts of the history time, also after a change of leader, and are refused after it", func() {
+		s.advance(testHistory - time.Second)
+		s.changeLeader()
+		s.advance(testHistory - time.Second)
 		s.watch("g.", 1, time.Second)
-		Expect(s.last()).To(Equal("200 "+events), "a new leader can't know how old a put is")
-		s.pass(time.Second + cleanUpInterval)
+		Expect(s.lastAnswer()).To(Equal("200 "+events), "a new leader doesn't know the age of a put and keeps it for the full time again")
+		s.advance(time.Second + cleanUpInterval)
 		s.watch("g.", 1, time.Second)
-		Expect(s.last()).To(Equal("410"))
+		Expect(s.lastAnswer()).To(Equal("410"))
 		s.watch("g.", 2, 0)
-		Expect(s.last()).To(HavePrefix("200"))
-		s.takeOver()
+		Expect(s.lastAnswer()).To(HavePrefix("200"))
+		s.changeLeader()
 		s.watch("g.", 1, time.Second)
-		Expect(s.last()).To(Equal("410"))
+		Expect(s.lastAnswer()).To(Equal("410"))
 		s.put("g.c", "v3", 0)
 		s.watch("g.", 2, time.Second)
-		Expect(s.last()).To(ContainSubstring(`"revision":3}],"revision":3}`))
+		Expect(s.lastAnswer()).To(ContainSubstring(`"revision":3}],"revision":3}`))
 	})
 
-	It("count the time of a put from when it was durable", func() {
+	It("start the history time of a put when it is durable", func() {
 		s.sendPut("g.c", "v3", 0)
-		s.pass(cleanUpInterval + time.Second)
-		s.last()
-		s.pass(testHistory - time.Second)
+		s.advance(cleanUpInterval + time.Second)
+		s.lastAnswer()
+		s.advance(testHistory - time.Second)
 		s.watch("g.", 2, time.Second)
-		Expect(s.last()).To(ContainSubstring("v3"))
+		Expect(s.lastAnswer()).To(ContainSubstring("v3"))
 	})
 
-	It("are bounded in number, and groups that are only asked for are forgotten", func() {
+	It("are limited in number, and groups without cells are removed after their watches end", func() {
 		for index := range maxWatchers {
 			s.watch(fmt.Sprint(index, "."), 0, time.Second)
 		}
 		s.watch("g.", 2, time.Second)
-		Expect(s.last()).To(Equal("429"))
-		s.pass(cleanUpInterval + time.Second)
+		Expect(s.lastAnswer()).To(Equal("429"))
+		s.advance(cleanUpInterval + time.Second)
 		Expect(s.part.cells.groups).To(HaveLen(1))
 		Expect(s.part.cells.watched).To(BeEmpty())
 	})
--- a/internal/control/coordination/records.go
+++ b/internal/control/coordination/records.go
@@ -8,49 +8,49 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all records.go
 
-// The kinds of records, as their names begin; a slash and the name follow, but with recordFence.
+// The kinds of records, which are the prefixes of record names. Except for recordFence, a slash and a name follow.
 const (
-	// recordFence holds the last fencing token that was given.
+	// recordFence: f is the last fencing token that was issued.
 	recordFence = "f"
-	// recordLock: l/NAME is a lock that is held.
+	// recordLock: l/NAME is a held lock.
 	recordLock = "l"
-	// recordNumber: n/NAME is how far the numbers under a name are reserved.
+	// recordNumber: n/NAME is the highest reserved number of a name.
 	recordNumber = "n"
-	// recordCell: c/NAME is what a cell holds.
+	// recordCell: c/NAME is the last put into a cell.
 	recordCell = "c"
-	// recordEvent: e/GROUP/REVISION is a put, as long as watchers may ask for it.
+	// recordEvent: e/GROUP/REVISION is a put that is kept for watchers.
 	recordEvent = "e"
 )
 
-// fenceRecord tells the last fencing token of the part. It is written with each lock that gets one.
+// fenceRecord stores the last fencing token of the part. It is written together with each lock that gets a new token.
 type fenceRecord struct {
 	Last uint64 `json:"last"`
 }
 
-// lockRecord is a lock that is held. Its time is not on disk: it counts from when a leader takes the key over.
+// lockRecord stores a held lock. Its expiry is not stored: the hold time restarts when a leader takes over the key.
 type lockRecord struct {
 	Holder string `json:"holder"`
-	// First and Fence are the first and the last fencing token that the holder got without letting go.
+	// First and Fence are the first and the last fencing token that the holder got without a release in between.
 	First uint64 `json:"first"`
 	Fence uint64 `json:"fence"`
-	// HoldMs is the longest time that the holder has asked for.
+	// HoldMs is the longest hold time that the holder requested, in milliseconds.
 	HoldMs int64 `json:"hold-ms"`
 }
 
-// numberRecord tells up to which number a leader may have given numbers.
+// numberRecord stores the highest number that a leader may have issued under a name.
 type numberRecord struct {
 	Reserved uint64 `json:"reserved"`
 }
 
-// cellRecord is the last put into a cell.
+// cellRecord stores the last put into a cell.
 type cellRecord struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
-	// Expected is the revision that the put named.
+	// Expected is the revision of the cell that the put required; 0 stands for a cell that did not exist.
 	Expected uint64 `json:"expected,omitempty"`
 }
 
-// eventRecord is a put.
+// eventRecord stores a put for watchers and for the detection of retries.
 type eventRecord struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
@@ -58,11 +58,11 @@
 	Expected uint64 `json:"expected,omitempty"`
 }
 
-// recordName joins a kind and a name.
+// recordName returns the record name for a kind and a name.
 func recordName(kind, name string) string { return kind + "/" + name }
 
-// writing is the change that writes a record. Records are structs of texts and numbers, which can always be written as JSON.
-func writing(name string, record easyjson.Marshaler) wire.Op {
+// newPutOp returns the operation that writes a record. Records are structs of strings and numbers, which can always be encoded as JSON.
+func newPutOp(name string, record easyjson.Marshaler) wire.Op {
 	value, err := easyjson.Marshal(record)
 	if err != nil {
 		panic("a record of texts and numbers can't be written: " + err.Error())
@@ -70,5 +70,5 @@
 	return wire.Op{Name: name, Value: value}
 }
 
-// dropping is the change that removes a record.
-func dropping(name string) wire.Op { return wire.Op{Name: name} }
+// newDeleteOp returns the operation that deletes a record.
+func newDeleteOp(name string) wire.Op { return wire.Op{Name: name} }
--- a/internal/control/coordination/script_test.go
+++ b/internal/control/coordination/script_test.go
@@ -20,72 +20,73 @@
 	testHold    = 3 * time.Second
 )
 
-// scriptedLeadership is a leadership whose commits and whose lease the test ends.
-type scriptedLeadership struct {
+// fakeLeadership is a leadership whose commits complete and whose lease ends when the test says so.
+type fakeLeadership struct {
 	epoch    uint64
 	hasLease bool
-	// disk is what is durable, by the names of records.
-	disk    map[string]wire.Op
-	waiting []scriptedCommit
+	// durable holds the committed records by name.
+	durable map[string]wire.Op
+	pending []fakeCommit
 }
 
-type scriptedCommit struct {
+// fakeCommit is a proposed change that is not committed yet.
+type fakeCommit struct {
 	ops  []wire.Op
 	done func(error)
 }
 
-func (s *scriptedLeadership) Epoch() uint64  { return s.epoch }
-func (s *scriptedLeadership) HasLease() bool { return s.hasLease }
-func (s *scriptedLeadership) Commit(ops []wire.Op, done func(error)) {
-	s.waiting = append(s.waiting, scriptedCommit{ops, done})
+func (s *fakeLeadership) Epoch() uint64  { return s.epoch }
+func (s *fakeLeadership) HasLease() bool { return s.hasLease }
+func (s *fakeLeadership) Commit(ops []wire.Op, done func(error)) {
+	s.pending = append(s.pending, fakeCommit{ops, done})
 }
 
-// sync makes the oldest commits durable, so many of them.
-func (s *scriptedLeadership) sync(count int) {
-	ready := s.waiting[:count]
-	s.waiting = s.waiting[count:]
+// commitOldest commits the given number of the oldest pending changes.
+func (s *fakeLeadership) commitOldest(count int) {
+	ready := s.pending[:count]
+	s.pending = s.pending[count:]
 	for _, commit := range ready {
 		for _, op := range commit.ops {
-			s.disk[op.Name] = op
+			s.durable[op.Name] = op
 			if op.Value == nil {
-				delete(s.disk, op.Name)
+				delete(s.durable, op.Name)
 			}
 		}
 		commit.done(nil)
 	}
 }
 
-// scene is a part, its leadership, and the answers to its calls in their order.
-type scene struct {
+// harness holds a part, its leadership and the answers to its calls in the order in which they came.
+type harness struct {
 	clock      *clock.Fake
-	leadership *scriptedLeadership
+	leadership *fakeLeadership
 	part       *Part
 	answers    []wire.ClientAnswer
 }
 
-func newScene() *scene {
-	s := &scene{clock: clock.NewFake(0), leadership: &scriptedLeadership{epoch: 1, hasLease: true, disk: map[string]wire.Op{}}}
+func newHarness() *harness {
+	s := &harness{clock: clock.NewFake(0), leadership: &fakeLeadership{epoch: 1, hasLease: true, durable: map[string]wire.Op{}}}
 	s.part = New("coordination/0", Surroundings{Clock: s.clock, Log: logging.Silent(), HistoryTime: testHistory, ReleaseTime: testRelease})
 	Expect(s.part.Open(s.leadership, nil)).To(Succeed())
 	return s
 }
 
-// takeOver ends the leadership, with what waits lost, and has the next leader open what is durable.
-func (s *scene) takeOver() {
-	for _, commit := range s.leadership.waiting {
+// changeLeader ends the leadership, fails the pending changes and opens the part for the next leader with the durable records.
+func (s *harness) changeLeader() {
+	for _, commit := range s.leadership.pending {
 		commit.done(errors.New("lost"))
 	}
 	s.part.Close()
-	s.leadership = &scriptedLeadership{epoch: s.leadership.epoch + 1, hasLease: true, disk: s.leadership.disk}
+	s.leadership = &fakeLeadership{epoch: s.leadership.epoch + 1, hasLease: true, durable: s.leadership.durable}
 	var pairs []wire.Op
-	for _, pair := range s.leadership.disk {
+	for _, pair := range s.leadership.durable {
 		pairs = append(pairs, pair)
 	}
 	Expect(s.part.Open(s.leadership, pairs)).To(Succeed())
 }
 
-// send makes a call; its answer may come later.
-func (s *scene) send(call wire.ClientCall, body easyjson.Marshaler) {
+// send makes a call. The answer may be added to answers later.
+func (s *harness) send(call wire.ClientCall, body easyjson.Marshaler) {
 	if body != nil {
 		text, err := easyjson.Marshal(body)
 		Expect(err).NotTo(HaveOccurred())
@@ -94,16 +95,16 @@
 	s.part.CommandFor(call.Verb)(&call, func(answer wire.ClientAnswer) { s.answers = append(s.answers, answer) })
 }
 
-// last syncs all that waits and gives the newest answer as text: the status, and the body if there is one.
-func (s *scene) last() string {
+// lastAnswer commits all pending changes and returns the latest answer as text: the status, and the body if there is one.
+func (s *harness) lastAnswer() string {
 	GinkgoHelper()
-	s.leadership.sync(len(s.leadership.waiting))
+	s.leadership.commitOldest(len(s.leadership.pending))
 	Expect(s.answers).NotTo(BeEmpty())
-	return told(s.answers[len(s.answers)-1])
+	return answerText(s.answers[len(s.answers)-1])
 }
 
-// told is an answer as text.
-func told(answer wire.ClientAnswer) string {
+// answerText returns an answer as text.
+func answerText(answer wire.ClientAnswer) string {
 	switch {
 	case answer.OutcomeUnknown:
 		return "unknown"
@@ -113,45 +114,45 @@
 	return strings.TrimSpace(errors.Errorf("%d %s", answer.Status, answer.Body).Error())
 }
 
-func (s *scene) acquire(name, holder string) string {
+func (s *harness) acquire(name, holder string) string {
 	s.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: name}, &wire.LockCall{Holder: holder, HoldMs: testHold.Milliseconds()})
-	return s.last()
+	return s.lastAnswer()
 }
 
-func (s *scene) renew(name, holder string, fence uint64, hold time.Duration) {
+func (s *harness) renew(name, holder string, fence uint64, hold time.Duration) {
 	s.send(wire.ClientCall{Verb: wire.VerbRenew, ID: name}, &wire.LockCall{Holder: holder, Fence: fence, HoldMs: hold.Milliseconds()})
 }
 
-func (s *scene) release(name, holder string, fence uint64) string {
+func (s *harness) release(name, holder string, fence uint64) string {
 	s.send(wire.ClientCall{Verb: wire.VerbRelease, ID: name}, &wire.LockCall{Holder: holder, Fence: fence})
-	return s.last()
+	return s.lastAnswer()
 }
 
-func (s *scene) number(name string) string {
+func (s *harness) takeNumber(name string) string {
 	s.send(wire.ClientCall{Verb: wire.VerbTakeNumber, ID: name}, nil)
-	return s.last()
+	return s.lastAnswer()
 }
 
-func (s *scene) sendPut(name, value string, expected uint64) {
+func (s *harness) sendPut(name, value string, expected uint64) {
 	s.send(wire.ClientCall{Verb: wire.VerbPut, ID: name}, &wire.PutCall{Value: value, Expected: expected})
 }
 
-func (s *scene) put(name, value string, expected uint64) string {
+func (s *harness) put(name, value string, expected uint64) string {
 	s.sendPut(name, value, expected)
-	return s.last()
+	return s.lastAnswer()
 }
 
-func (s *scene) get(name string) string {
+func (s *harness) get(name string) string {
 	s.send(wire.ClientCall{Verb: wire.VerbGet, ID: name}, nil)
-	return s.last()
+	return s.lastAnswer()
 }
 
-func (s *scene) watch(group string, above int64, wait time.Duration) {
+func (s *harness) watch(group string, above int64, wait time.Duration) {
 	s.send(wire.ClientCall{Verb: wire.VerbWatch, ID: group, Base: above, RemainingMs: wait.Milliseconds()}, nil)
 }
 
-// pass lets time go on in steps of a tick.
-func (s *scene) pass(length time.Duration) {
+// advance moves the clock in steps of 50 ms with a tick after each.
+func (s *harness) advance(length time.Duration) {
 	const step = 50 * time.Millisecond
 	for ; length > 0; length -= step {
 		s.clock.Advance(min(step, length))
--- a/internal/control/coordination/watches.go
+++ b/internal/control/coordination/watches.go
@@ -10,44 +10,44 @@
 	"gannetline/internal/platform/clock"
 )
 
-// maxWatchers is how many watches may wait at a part at once.
+// maxWatchers limits the watches that wait at a part at once.
 const maxWatchers = 2000
 
-// watcher waits until a group has a put above a revision, or until a moment of the monotonic clock.
+// watcher is a watch call that waits for a durable put above afterRevision, until a deadline on the monotonic clock.
 type watcher struct {
-	above  uint64
-	until  time.Duration
-	answer answerClient
+	afterRevision uint64
+	deadline      time.Duration
+	answer        answerClient
 }
 
-// Watch gives the puts of a group above the revision Base, as soon as there is one. From revision 0 on only the present revision is
-// asked for, so that the answer waits only where the group has none yet. All of it rests on durable puts alone, so that no answer
-// waits for those that were proposed.
+// Watch answers with the puts of a group above the revision call.Base, as soon as there is one. Base 0 asks for the current revision
+// only, so such a call waits only if the group has no durable put yet. Answers contain only durable puts, so they don't wait for
+// pending commits.
 func (p *Part) Watch(call *wire.ClientCall, answer answerClient) {
-	above, now := uint64(call.Base), p.Clock.Monotonic()
+	afterRevision, now := uint64(call.Base), p.Clock.Monotonic()
 	group := p.cells.groups[call.ID]
 	switch {
-	case above == 0 && group != nil && group.committed > 0:
+	case afterRevision == 0 && group != nil && group.committed > 0:
 		p.answerIfLeased(p.success(noEvents(group.committed)), answer)
-	case group != nil && above < group.floor:
+	case group != nil && afterRevision < group.compactRevision:
 		p.answerIfLeased(refusal(http.StatusGone, "the puts after that revision are no longer kept"), answer)
-	case group != nil && above < group.committed:
-		p.answerIfLeased(p.success(group.eventsAbove(above)), answer)
+	case group != nil && afterRevision < group.committed:
+		p.answerIfLeased(p.success(group.eventsAfter(afterRevision)), answer)
 	case call.RemainingMs <= 0:
-		p.answerIfLeased(p.success(noEvents(above)), answer)
+		p.answerIfLeased(p.success(noEvents(afterRevision)), answer)
 	case p.cells.watcherCount >= maxWatchers:
 		answer(overload(http.StatusTooManyRequests, "too many watches are waiting"))
 	default:
-		p.cells.addWatcher(call.ID, &watcher{above, now + clock.Milliseconds(call.RemainingMs), answer})
+		p.cells.addWatcher(call.ID, &watcher{afterRevision, now + clock.Milliseconds(call.RemainingMs), answer})
 	}
 }
 
-// noEvents is an answer without a put.
+// noEvents returns an answer without puts.
 func noEvents(revision uint64) *wire.WatchAnswer {
 	return &wire.WatchAnswer{Events: []wire.CellEvent{}, Revision: revision}
 }
 
-// addWatcher has a watcher wait at a group.
+// addWatcher registers a watcher with a group, which is created if it does not exist.
 func (t *cellTable) addWatcher(name string, watcher *watcher) {
 	group := t.group(name)
 	group.watchers = append(group.watchers, watcher)
@@ -55,31 +55,31 @@
 	t.watcherCount++
 }
 
-// eventsAbove gives the durable puts above a revision, which must not be below the floor.
-func (g *group) eventsAbove(above uint64) *wire.WatchAnswer {
-	answer := noEvents(max(above, g.committed))
+// eventsAfter returns the durable puts above a revision, which must not be below compactRevision.
+func (g *group) eventsAfter(afterRevision uint64) *wire.WatchAnswer {
+	answer := noEvents(max(afterRevision, g.committed))
 	for _, event := range g.events {
-		if event.revision > above && event.revision <= g.committed {
+		if event.revision > afterRevision && event.revision <= g.committed {
 			answer.Events = append(answer.Events, wire.CellEvent{Name: event.put.name, Value: event.put.value, Revision: event.revision})
 		}
 	}
 	return answer
 }
 
-// answerWatchers gives the watchers of a group what has become durable above their revisions.
-func (p *Part) answerWatchers(group *group) {
-	p.takeWatchers(group, func(watcher *watcher) bool { return watcher.above < group.committed })
+// notifyWatchers answers the watchers of a group that have durable puts above their revisions.
+func (p *Part) notifyWatchers(group *group) {
+	p.answerMatchingWatchers(group, func(watcher *watcher) bool { return watcher.afterRevision < group.committed })
 }
 
-// answerDueWatchers gives nothing to the watchers that have waited long enough.
-func (p *Part) answerDueWatchers(now time.Duration) {
-	for _, group := range p.cells.watchedInOrder() {
-		p.takeWatchers(group, func(watcher *watcher) bool { return now >= watcher.until })
+// answerExpiredWatchers answers the watchers whose deadline has passed. They have no puts to get, so their answers are empty.
+func (p *Part) answerExpiredWatchers(now time.Duration) {
+	for _, group := range p.cells.sortedWatchedGroups() {
+		p.answerMatchingWatchers(group, func(watcher *watcher) bool { return now >= watcher.deadline })
 	}
 }
 
-// takeWatchers answers some of the watchers of a group.
-func (p *Part) takeWatchers(group *group, isReady func(*watcher) bool) {
+// answerMatchingWatchers removes the watchers of a group for which isReady is true and answers them.
+func (p *Part) answerMatchingWatchers(group *group, isReady func(*watcher) bool) {
 	var ready []*watcher
 	group.watchers = slices.DeleteFunc(group.watchers, func(watcher *watcher) bool {
 		if !isReady(watcher) {
@@ -93,12 +93,12 @@
 		delete(p.cells.watched, group.name)
 	}
 	for _, watcher := range ready {
-		p.answerIfLeased(p.success(group.eventsAbove(watcher.above)), watcher.answer)
+		p.answerIfLeased(p.success(group.eventsAfter(watcher.afterRevision)), watcher.answer)
 	}
 }
 
-// watchedInOrder gives the groups at which a watcher waits in the order of their names, so that a run can be repeated.
-func (t *cellTable) watchedInOrder() []*group {
+// sortedWatchedGroups returns the groups that have watchers, sorted by name so that simulations are deterministic.
+func (t *cellTable) sortedWatchedGroups() []*group {
 	groups := make([]*group, 0, len(t.watched))
 	for _, name := range slices.Sorted(maps.Keys(t.watched)) {
 		groups = append(groups, t.watched[name])
@@ -106,10 +106,10 @@
 	return groups
 }
 
-// takeWatchers takes all watchers away.
-func (t *cellTable) takeWatchers() []*watcher {
+// removeAllWatchers removes and returns all watchers of the table.
+func (t *cellTable) removeAllWatchers() []*watcher {
 	var all []*watcher
-	for _, group := range t.watchedInOrder() {
+	for _, group := range t.sortedWatchedGroups() {
 		all = append(all, group.watchers...)
 		group.watchers = nil
 	}
