--- a/internal/control/coordinationapi/coordinationapi_test.go
+++ b/internal/control/coordinationapi/coordinationapi_test.go
@@ -31,14 +31,14 @@
 	return command, ""
 }
 
-var _ = Describe("a call that is read", func() {
-	DescribeTable("becomes a command for the key of its name", func(method, target, body string, verb wire.Verb, id, passedOn string) {
+var _ = Describe("Decode", func() {
+	DescribeTable("returns a command for the key of the name", func(method, target, body string, verb wire.Verb, id, callBody string) {
 		command, refusal := decode(method, target, body)
 		Expect(refusal).To(BeEmpty())
 		Expect(command.Call.Verb).To(Equal(verb))
 		Expect(command.Call.ID).To(Equal(id))
 		Expect(command.Call.Key).To(HavePrefix(wire.CoordinationKeyPrefix))
-		Expect(string(command.Call.Body)).To(Equal(passedOn))
+		Expect(string(command.Call.Body)).To(Equal(callBody))
 		Expect(command.IsRead).To(Equal(method == "GET"))
 	},
 		Entry("lock", "POST", "/v1/locks/l1f/initiate", `{"holder":"a3.7","hold-time-ms":3000}`, wire.VerbAcquire, "l1f", `{"holder":"a3.7","hold-time-ms":3000}`),
@@ -52,66 +52,66 @@
 		Entry("watch", "GET", "/v1/watch/g1.?depends-on=930&wait-time-ms=2000", "", wire.VerbWatch, "g1.", ""),
 	)
 
-	It("keeps what a watch asks for", func() {
+	It("returns the revision and the wait of a watch", func() {
 		command, _ := decode("GET", "/v1/watch/g1.?depends-on=930&wait-time-ms=2000", "")
 		Expect(command.Call.Base).To(Equal(int64(930)))
 		Expect(command.Wait).To(Equal(2 * time.Second))
 	})
 
-	DescribeTable("is refused with what is wrong", func(method, target, body, refusal string) {
-		command, told := decode(method, target, body)
+	DescribeTable("refuses an invalid request with the reason", func(method, target, body, refusal string) {
+		command, text := decode(method, target, body)
 		Expect(command).To(BeNil())
-		Expect(told).To(ContainSubstring(refusal))
+		Expect(text).To(ContainSubstring(refusal))
 	},
-		Entry("other path", "POST", "/v1/locks/a/steal", "{}", "Not Found"),
+		Entry("unknown suffix", "POST", "/v1/locks/a/steal", "{}", "Not Found"),
 		Entry("no suffix", "POST", "/v1/locks/a", "{}", "Not Found"),
-		Entry("other call about a cell", "POST", "/v1/cells/a/b", "{}", "Not Found"),
-		Entry("outside", "POST", "/v1/lock/a", "{}", "Not Found"),
-		Entry("method", "GET", "/v1/numbers/a", "", "Method Not Allowed"),
-		Entry("method of a read", "POST", "/v1/watch/a", "", "Method Not Allowed"),
-		Entry("no name", "POST", "/v1/numbers/", "{}", "the name is missing"),
+		Entry("unknown call about a cell", "POST", "/v1/cells/a/b", "{}", "Not Found"),
+		Entry("unknown prefix", "POST", "/v1/lock/a", "{}", "Not Found"),
+		Entry("wrong method", "GET", "/v1/numbers/a", "", "Method Not Allowed"),
+		Entry("wrong method of a read", "POST", "/v1/watch/a", "", "Method Not Allowed"),
+		Entry("missing name", "POST", "/v1/numbers/", "{}", "the name is missing"),
 		Entry("long name", "POST", "/v1/numbers/"+strings.Repeat("n", 129), "{}", "more than 128 bytes"),
-		Entry("slash", "POST", "/v1/numbers/a/b", "{}", "a character that names must not have"),
-		Entry("control character", "POST", "/v1/numbers/a%0a", "{}", "a character that names must not have"),
-		Entry("no JSON", "POST", "/v1/numbers/a", "{", "not JSON"),
+		Entry("slash in a name", "POST", "/v1/numbers/a/b", "{}", "a character that names must not have"),
+		Entry("control character in a name", "POST", "/v1/numbers/a%0a", "{}", "a character that names must not have"),
+		Entry("invalid JSON", "POST", "/v1/numbers/a", "{", "not JSON"),
 		Entry("unknown field", "POST", "/v1/numbers/a", `{"count":2}`, "count"),
 		Entry("wrong type", "POST", "/v1/cells/a/replace", `{"value":5}`, "can't be read"),
 		Entry("negative revision", "POST", "/v1/cells/a/replace", `{"value":"v","enabled":-1}`, "field enabled is negative"),
 		Entry("long value", "POST", "/v1/cells/a/replace", `{"value":"`+strings.Repeat("v", 4097)+`"}`, "Too Large: {\"error-text\":\"field value"),
 		Entry("long body", "POST", "/v1/cells/a/replace", `{"value":"`+strings.Repeat("v", 40000)+`"}`, "Too Large"),
-		Entry("no text", "POST", "/v1/cells/a/replace", "{\"value\":\"\xff\"}", "field value is no text"),
-		Entry("no holder", "POST", "/v1/locks/a/initiate", `{"hold-time-ms":1}`, "field holder is missing"),
+		Entry("invalid UTF-8 in a value", "POST", "/v1/cells/a/replace", "{\"value\":\"\xff\"}", "field value is no text"),
+		Entry("missing holder", "POST", "/v1/locks/a/initiate", `{"hold-time-ms":1}`, "field holder is missing"),
 		Entry("long holder", "POST", "/v1/locks/a/initiate", `{"holder":"`+strings.Repeat("h", 129)+`","hold-time-ms":1}`, "field holder is longer"),
-		Entry("no time", "POST", "/v1/locks/a/initiate", `{"holder":"h"}`, "field hold-time-ms is missing"),
-		Entry("negative time", "POST", "/v1/locks/a/initiate", `{"holder":"h","hold-time-ms":-1}`, "field hold-time-ms"),
-		Entry("long time", "POST", "/v1/locks/a/initiate", `{"holder":"h","hold-time-ms":9223372036854775807}`, "field hold-time-ms is above 600000"),
-		Entry("token of nobody", "POST", "/v1/locks/a/heartbeat", `{"holder":"h","hold-time-ms":1}`, "field fence-number"),
-		Entry("token too soon", "POST", "/v1/locks/a/initiate", `{"holder":"h","hold-time-ms":1,"fence-number":1}`, "field fence-number"),
-		Entry("time of a release", "POST", "/v1/locks/a/terminate", `{"holder":"h","hold-time-ms":1,"fence-number":1}`, "field hold-time-ms doesn't"),
-		Entry("no revision", "GET", "/v1/watch/g.?depends-on=-1", "", "field depends-on"),
-		Entry("no wait", "GET", "/v1/watch/g.?wait-time-ms=x", "", "field wait-time-ms"),
+		Entry("missing hold time", "POST", "/v1/locks/a/initiate", `{"holder":"h"}`, "field hold-time-ms is missing"),
+		Entry("negative hold time", "POST", "/v1/locks/a/initiate", `{"holder":"h","hold-time-ms":-1}`, "field hold-time-ms"),
+		Entry("long hold time", "POST", "/v1/locks/a/initiate", `{"holder":"h","hold-time-ms":9223372036854775807}`, "field hold-time-ms is above 600000"),
+		Entry("renewal without a token", "POST", "/v1/locks/a/heartbeat", `{"holder":"h","hold-time-ms":1}`, "field fence-number"),
+		Entry("acquisition with a token", "POST", "/v1/locks/a/initiate", `{"holder":"h","hold-time-ms":1,"fence-number":1}`, "field fence-number"),
+		Entry("release with a hold time", "POST", "/v1/locks/a/terminate", `{"holder":"h","hold-time-ms":1,"fence-number":1}`, "field hold-time-ms doesn't"),
+		Entry("negative revision of a watch", "GET", "/v1/watch/g.?depends-on=-1", "", "field depends-on"),
+		Entry("wait that is no number", "GET", "/v1/watch/g.?wait-time-ms=x", "", "field wait-time-ms"),
 		Entry("long wait", "GET", "/v1/watch/g.?wait-time-ms=60001", "", "field wait-time-ms"),
-		Entry("no query", "GET", "/v1/watch/g.?a=%zz", "", "the query"),
+		Entry("invalid query", "GET", "/v1/watch/g.?a=%zz", "", "the query"),
 	)
 })
 
-var _ = Describe("the answer to a call", func() {
-	DescribeTable("promises no more than is known", func(isRead, mayHaveRun bool, answered, status int) {
+var _ = Describe("Reply", func() {
+	DescribeTable("returns 504 only if it is unknown whether the call was executed", func(isRead, mayHaveRun bool, leaderStatus, status int) {
 		outcome := leaderclient.Outcome{MayHaveRun: mayHaveRun}
-		if answered > 0 {
-			outcome.Answer = &wire.ClientAnswer{Status: answered, Reason: "for a reason"}
+		if leaderStatus > 0 {
+			outcome.Answer = &wire.ClientAnswer{Status: leaderStatus, Reason: "reason"}
 		}
 		Expect(Reply(&Command{IsRead: isRead}, outcome).Status).To(Equal(status))
 	},
-		Entry("nothing was sent", false, false, 0, 503),
-		Entry("something was sent", false, true, 0, 504),
-		Entry("a read, whatever was sent", true, true, 0, 503),
-		Entry("refused for want of room", false, false, 429, 429),
-		Entry("refused now, and sent before", false, true, 429, 504),
-		Entry("too many changes, and sent before", false, true, 503, 504),
-		Entry("another holds it", false, true, 409, 409),
-		Entry("another revision is final", false, true, 412, 412),
-		Entry("done", false, true, 200, 200),
+		Entry("no answer, not sent", false, false, 0, 503),
+		Entry("no answer, possibly executed", false, true, 0, 504),
+		Entry("no answer to a read", true, true, 0, 503),
+		Entry("refused for lack of capacity", false, false, 429, 429),
+		Entry("refused for lack of capacity, possibly executed before", false, true, 429, 504),
+		Entry("too many pending changes, possibly executed before", false, true, 503, 504),
+		Entry("lock of another holder", false, true, 409, 409),
+		Entry("wrong revision, which is final", false, true, 412, 412),
+		Entry("success", false, true, 200, 200),
 	)
 })
 
@@ -123,16 +123,16 @@
 		Expect(err).NotTo(HaveOccurred())
 		return leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 200, Body: text}}
 	}
-	nothing := &wire.WatchAnswer{Events: []wire.CellEvent{}, Revision: 7}
-	something := &wire.WatchAnswer{Events: []wire.CellEvent{{Name: "g.a", Value: "v", Revision: 8}}, Revision: 8}
-	serve := func(leaving context.Context, target string, ask func() leaderclient.Outcome) *httptest.ResponseRecorder {
+	noEvents := &wire.WatchAnswer{Events: []wire.CellEvent{}, Revision: 7}
+	oneEvent := &wire.WatchAnswer{Events: []wire.CellEvent{{Name: "g.a", Value: "v", Revision: 8}}, Revision: 8}
+	serve := func(shutdown context.Context, target string, askLeader func() leaderclient.Outcome) *httptest.ResponseRecorder {
 		now, waits = clock.NewFake(0), nil
-		handler := NewHandler(leaving, func(_ context.Context, call *wire.ClientCall, limit, wait time.Duration) leaderclient.Outcome {
+		handler := NewHandler(shutdown, func(_ context.Context, call *wire.ClientCall, limit, wait time.Duration) leaderclient.Outcome {
 			Expect(call.RemainingMs).To(Equal(wait.Milliseconds()))
 			Expect(limit).To(Equal(wait + answerTimeout))
 			waits = append(waits, wait)
 			now.Advance(wait)
-			return ask()
+			return askLeader()
 		}, now, logging.Silent())
 		mux, answer := http.NewServeMux(), httptest.NewRecorder()
 		handler.Register(mux)
@@ -140,28 +140,28 @@
 		return answer
 	}
 
-	It("asks until its time is over, in pieces that outlive no leader for long", func() {
-		answer := serve(context.Background(), "/v1/watch/g.?depends-on=7&wait-time-ms=2500", func() leaderclient.Outcome { return answerOf(nothing) })
+	It("is repeated at the leader, for at most a second each, until its wait is over", func() {
+		answer := serve(context.Background(), "/v1/watch/g.?depends-on=7&wait-time-ms=2500", func() leaderclient.Outcome { return answerOf(noEvents) })
 		Expect(waits).To(Equal([]time.Duration{time.Second, time.Second, 500 * time.Millisecond}))
 		Expect(answer.Body.String()).To(Equal(`{"events":[],"revision":7}`))
 	})
 
-	It("ends with the first put, goes on where no leader answers, and tells at once that puts are missing", func() {
-		outcomes := []leaderclient.Outcome{{}, {MayHaveRun: true}, answerOf(something)}
+	It("ends with the first put, a refusal or a newer revision, and is repeated if no leader answers", func() {
+		outcomes := []leaderclient.Outcome{{}, {MayHaveRun: true}, answerOf(oneEvent)}
 		answer := serve(context.Background(), "/v1/watch/g.?depends-on=7&wait-time-ms=9000", func() leaderclient.Outcome { return outcomes[len(waits)-1] })
 		Expect(waits).To(HaveLen(3))
 		Expect(answer.Body.String()).To(ContainSubstring(`"revision":8}],"revision":8`))
 		gone := leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 410, Reason: "no longer kept"}}
 		answer = serve(context.Background(), "/v1/watch/g.?depends-on=7&wait-time-ms=9000", func() leaderclient.Outcome { return gone })
 		Expect(answer.Code).To(Equal(410))
-		answer = serve(context.Background(), "/v1/watch/g.?wait-time-ms=9000", func() leaderclient.Outcome { return answerOf(nothing) })
+		answer = serve(context.Background(), "/v1/watch/g.?wait-time-ms=9000", func() leaderclient.Outcome { return answerOf(noEvents) })
 		Expect(answer.Body.String()).To(Equal(`{"events":[],"revision":7}`))
 	})
 
-	It("is sent elsewhere by a process that leaves", func() {
-		leaving, leave := context.WithCancel(context.Background())
-		answer := serve(leaving, "/v1/watch/g.?depends-on=7&wait-time-ms=9000", func() leaderclient.Outcome {
-			leave()
+	It("is refused with 503 when the process shuts down", func() {
+		shutdown, shutDown := context.WithCancel(context.Background())
+		answer := serve(shutdown, "/v1/watch/g.?depends-on=7&wait-time-ms=9000", func() leaderclient.Outcome {
+			shutDown()
 			return leaderclient.Outcome{}
 		})
 		Expect(answer.Code).To(Equal(503))
--- a/internal/control/coordinationapi/decode.go
+++ b/internal/control/coordinationapi/decode.go
@@ -19,7 +19,7 @@
 	"gannetline/internal/platform/response"
 )
 
-// The paths that Handler serves begin with these.
+// The prefixes of the paths that Handler serves. A name follows each.
 const (
 	PrefixLocks   = "/v1/locks/"
 	PrefixNumbers = "/v1/numbers/"
@@ -27,6 +27,7 @@
 	PrefixWatch   = "/v1/watch/"
 )
 
+// The suffixes of paths, which follow the name and select the call.
 const (
 	suffixInitiate  = "/initiate"
 	suffixHeartbeat = "/heartbeat"
@@ -36,27 +37,27 @@
 )
 
 const (
-	// maxNameBytes, maxHolderBytes and maxValueBytes are how long names, holders and values may be.
+	// maxNameBytes, maxHolderBytes and maxValueBytes are the maximum lengths of names, holders and values.
 	maxNameBytes   = 128
 	maxHolderBytes = 128
 	maxValueBytes  = 4 << 10
-	// maxBodyBytes is how long a body may be; a value may take six bytes of JSON for one of its own.
+	// maxBodyBytes is the maximum length of a request body. A byte of a value may take up to six bytes in JSON.
 	maxBodyBytes = 32 << 10
-	// maxHold and maxWait are the longest times for which a lock may be held without a renewal, and a watch may wait.
+	// maxHold is the maximum hold time of a lock without a renewal; maxWait is the maximum wait of a watch.
 	maxHold = 10 * time.Minute
 	maxWait = time.Minute
 )
 
-// Command is a call of an application that can be carried out.
+// Command is a valid call of an application, ready to be sent to the leader.
 type Command struct {
 	Call wire.ClientCall
-	// Wait is how long the answer to a watch may be kept back.
+	// Wait is the time for which a watch waits for a put; 0 for other calls.
 	Wait time.Duration
-	// IsRead tells that the call changes nothing, so that it never matters whether an attempt was carried out.
+	// IsRead reports whether the call changes nothing. It doesn't matter then whether an earlier attempt was executed.
 	IsRead bool
 }
 
-// Decode makes a command of a request, or a reply that refuses it.
+// Decode returns the command of a request. If the request is invalid, the command is nil and the reply refuses the request.
 func Decode(request *http.Request) (*Command, response.Reply) {
 	path := request.URL.Path
 	switch {
@@ -72,28 +73,30 @@
 	return refuse(http.StatusNotFound, "there is no such call")
 }
 
+// refuse returns no command and a reply with a status and a reason.
 func refuse(status int, reason string) (*Command, response.Reply) {
 	return nil, response.Text(status, reason)
 }
 
-// nameProblem says what is wrong with a name, or nothing.
+// nameProblem returns why a name is invalid, or "" if it is valid.
 func nameProblem(name string) string {
 	switch {
 	case name == "":
 		return "the name is missing"
 	case len(name) > maxNameBytes:
 		return "the name has more than " + strconv.Itoa(maxNameBytes) + " bytes"
-	case !utf8.ValidString(name) || strings.ContainsFunc(name, isNoPartOfNames):
+	case !utf8.ValidString(name) || strings.ContainsFunc(name, isForbiddenInName):
 		return "the name has a character that names must not have"
 	}
 	return ""
 }
 
-func isNoPartOfNames(character rune) bool {
+// isForbiddenInName reports whether names must not contain a character.
+func isForbiddenInName(character rune) bool {
 	return character == '/' || unicode.IsControl(character)
 }
 
-// lockVerbs are the calls about locks by the ends of their paths.
+// lockVerbs maps the suffix of a path to the verb of the call about a lock.
 var lockVerbs = map[string]wire.Verb{
 	suffixInitiate:  wire.VerbAcquire,
 	suffixHeartbeat: wire.VerbRenew,
@@ -106,18 +109,19 @@
 	if !isKnown {
 		return refuse(http.StatusNotFound, "there is no such call")
 	}
-	var asked lockRequest
-	if refusal := readCall(request, http.MethodPost, name, &asked); refusal.Status != 0 {
+	var params lockRequest
+	if refusal := readRequest(request, http.MethodPost, name, &params); refusal.Status != 0 {
 		return nil, refusal
 	}
-	if problem := asked.problem(verb); problem != "" {
+	if problem := params.problem(verb); problem != "" {
 		return refuse(http.StatusBadRequest, problem)
 	}
-	body := wire.LockCall{Holder: asked.Holder, Fence: uint64(asked.Fence), HoldMs: asked.HoldMs}
-	return command(coordination.KeyOfName(name), verb, name, &body)
+	body := wire.LockCall{Holder: params.Holder, Fence: uint64(params.Fence), HoldMs: params.HoldMs}
+	return newWriteCommand(coordination.KeyOfName(name), verb, name, &body)
 }
 
-// problem says which field of a call about a lock is wrong, or nothing.
+// problem returns why a field of a call about a lock is invalid, or "" if all fields are valid. Which fields are required depends on the
+// verb.
 func (r *lockRequest) problem(verb wire.Verb) string {
 	needsHold, needsFence := verb != wire.VerbRelease, verb != wire.VerbAcquire
 	switch {
@@ -140,10 +144,10 @@
 }
 
 func decodeNumberCall(request *http.Request, name string) (*Command, response.Reply) {
-	if refusal := readCall(request, http.MethodPost, name, &numberRequest{}); refusal.Status != 0 {
+	if refusal := readRequest(request, http.MethodPost, name, &numberRequest{}); refusal.Status != 0 {
 		return nil, refusal
 	}
-	return command(coordination.KeyOfName(name), wire.VerbTakeNumber, name, nil)
+	return newWriteCommand(coordination.KeyOfName(name), wire.VerbTakeNumber, name, nil)
 }
 
 func decodeCellCall(request *http.Request, path string) (*Command, response.Reply) {
@@ -151,49 +155,49 @@
 	key := coordination.KeyOfName(coordination.GroupOf(name))
 	switch suffix {
 	case suffixReplace:
-		var asked putRequest
-		if refusal := readCall(request, http.MethodPost, name, &asked); refusal.Status != 0 {
+		var params putRequest
+		if refusal := readRequest(request, http.MethodPost, name, &params); refusal.Status != 0 {
 			return nil, refusal
 		}
 		switch {
-		case asked.Expected < 0:
+		case params.Expected < 0:
 			return refuse(http.StatusBadRequest, "field enabled is negative")
-		case len(asked.Value) > maxValueBytes:
+		case len(params.Value) > maxValueBytes:
 			return refuse(http.StatusRequestEntityTooLarge, "field value has more than "+strconv.Itoa(maxValueBytes)+" bytes")
-		case !utf8.ValidString(asked.Value):
+		case !utf8.ValidString(params.Value):
 			return refuse(http.StatusBadRequest, "field value is no text")
 		}
-		return command(key, wire.VerbPut, name, &wire.PutCall{Value: asked.Value, Expected: uint64(asked.Expected)})
+		return newWriteCommand(key, wire.VerbPut, name, &wire.PutCall{Value: params.Value, Expected: uint64(params.Expected)})
 	case suffixRetrieve:
-		if refusal := checkCall(request, http.MethodGet, name); refusal.Status != 0 {
+		if refusal := checkRequest(request, http.MethodGet, name); refusal.Status != 0 {
 			return nil, refusal
 		}
-		return reading(wire.ClientCall{Key: key, Verb: wire.VerbGet, ID: name}, 0)
+		return newReadCommand(wire.ClientCall{Key: key, Verb: wire.VerbGet, ID: name}, 0)
 	}
 	return refuse(http.StatusNotFound, "there is no such call")
 }
 
 func decodeWatch(request *http.Request, group string) (*Command, response.Reply) {
-	if refusal := checkCall(request, http.MethodGet, group); refusal.Status != 0 {
+	if refusal := checkRequest(request, http.MethodGet, group); refusal.Status != 0 {
 		return nil, refusal
 	}
 	query, err := url.ParseQuery(request.URL.RawQuery)
 	if err != nil {
 		return refuse(http.StatusBadRequest, "the query can't be read")
 	}
-	above, isRevision := countOf(query, "depends-on")
+	afterRevision, isRevision := parseCount(query, "depends-on")
 	if !isRevision {
 		return refuse(http.StatusBadRequest, "field depends-on is no revision")
 	}
-	waitMs, isTime := countOf(query, "wait-time-ms")
-	if !isTime || waitMs > maxWait.Milliseconds() {
+	waitMs, isDuration := parseCount(query, "wait-time-ms")
+	if !isDuration || waitMs > maxWait.Milliseconds() {
 		return refuse(http.StatusBadRequest, "field wait-time-ms is no time from 0 to "+strconv.FormatInt(maxWait.Milliseconds(), 10))
 	}
-	return reading(wire.ClientCall{Key: coordination.KeyOfName(group), Verb: wire.VerbWatch, ID: group, Base: above}, clock.Milliseconds(waitMs))
+	return newReadCommand(wire.ClientCall{Key: coordination.KeyOfName(group), Verb: wire.VerbWatch, ID: group, Base: afterRevision}, clock.Milliseconds(waitMs))
 }
 
-// countOf reads a number from 0 on; one that is missing is 0.
-func countOf(query url.Values, field string) (int64, bool) {
+// parseCount returns the value of a query field, which must be an integer of at least 0. A missing field has the value 0.
+func parseCount(query url.Values, field string) (int64, bool) {
 	if !query.Has(field) {
 		return 0, true
 	}
@@ -201,7 +205,7 @@
 	return count, err == nil && count >= 0
 }
 
-// cutSuffix cuts a path before its last slash.
+// cutSuffix splits a path before its last slash. The suffix includes the slash; it is empty if there is none.
 func cutSuffix(path string) (name, suffix string) {
 	end := strings.LastIndexByte(path, '/')
 	if end < 0 {
@@ -210,8 +214,8 @@
 	return path[:end], path[end:]
 }
 
-// checkCall refuses a request with another method, or with a name that can't be one.
-func checkCall(request *http.Request, method, name string) response.Reply {
+// checkRequest returns a reply that refuses a request with another method or an invalid name. For a valid request, the reply is empty.
+func checkRequest(request *http.Request, method, name string) response.Reply {
 	if request.Method != method {
 		return response.Text(http.StatusMethodNotAllowed, "only "+method+" is taken here")
 	}
@@ -221,9 +225,9 @@
 	return response.Reply{}
 }
 
-// readCall checks a request and reads its body, or returns the reply that refuses it.
-func readCall(request *http.Request, method, name string, into easyjson.Unmarshaler) response.Reply {
-	if refusal := checkCall(request, method, name); refusal.Status != 0 {
+// readRequest checks a request and decodes its body. It returns the reply that refuses the request, which is empty for a valid one.
+func readRequest(request *http.Request, method, name string, into easyjson.Unmarshaler) response.Reply {
+	if refusal := checkRequest(request, method, name); refusal.Status != 0 {
 		return refusal
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes+1))
@@ -241,8 +245,8 @@
 	return response.Reply{}
 }
 
-// command makes the command of a call that may change something.
-func command(key string, verb wire.Verb, name string, body easyjson.Marshaler) (*Command, response.Reply) {
+// newWriteCommand returns the command of a call that may change state. The body is nil for calls without one.
+func newWriteCommand(key string, verb wire.Verb, name string, body easyjson.Marshaler) (*Command, response.Reply) {
 	call := wire.ClientCall{Key: key, Verb: verb, ID: name}
 	if body != nil {
 		text, err := easyjson.Marshal(body)
@@ -254,6 +258,7 @@
 	return &Command{Call: call}, response.Reply{}
 }
 
-func reading(call wire.ClientCall, wait time.Duration) (*Command, response.Reply) {
+// newReadCommand returns the command of a call that changes nothing.
+func newReadCommand(call wire.ClientCall, wait time.Duration) (*Command, response.Reply) {
 	return &Command{Call: call, Wait: wait, IsRead: true}, response.Reply{}
 }
--- a/internal/control/coordinationapi/handler.go
+++ b/internal/control/coordinationapi/handler.go
@@ -1,6 +1,6 @@
-// Package coordinationapi serves applications at any steward: it reads a call about locks, numbers and cells, asks the leader of the
-// key that holds the name, and writes what came of it. What it answers with 412, 429 or 503 had no effect and never will; a call whose
-// outcome is not known is answered 504, which promises nothing.
+// Package coordinationapi is the HTTP API for locks, numbers and cells, which every steward serves to applications. It decodes a call,
+// sends it to the leader of the key that holds the name, and writes the reply. A call that is answered with 412, 429 or 503 had no
+// effect and never will have one. A call with an unknown outcome is answered with 504.
 package coordinationapi
 
 import (
@@ -20,85 +20,86 @@
 )
 
 const (
-	// answerTimeout is how long a call may take, beyond the wait of a watch: callers turn to another steward after a second.
+	// answerTimeout limits the duration of a call, in addition to the wait of a watch. Callers try another steward after one second.
 	answerTimeout = 900 * time.Millisecond
-	// maxWaitAtLeader is how long a watch waits in one call to the leader, so that one whose leader has gone in silence is soon
-	// with the next.
+	// maxWaitAtLeader limits the wait of a watch in a single call to the leader. After a leader failed without closing its connections,
+	// the watch soon continues at the next one.
 	maxWaitAtLeader = time.Second
-	// callVerbosity is that of the line about each call.
-	callVerbosity = 1
+	// callLogVerbosity is the verbosity level of the log message about each call.
+	callLogVerbosity = 1
 )
 
-// AskLeader asks the leader of a call's key within a limit; the leader may keep the answer back for the wait.
+// AskLeader sends a call to the leader of its key and returns the outcome within the limit. The leader may delay its answer to a watch
+// by the wait.
 type AskLeader func(ctx context.Context, call *wire.ClientCall, limit, wait time.Duration) leaderclient.Outcome
 
-// Handler serves the calls of applications.
+// Handler serves the calls of applications over HTTP.
 type Handler struct {
-	ask   AskLeader
-	clock clock.Clock
-	log   logging.Logger
-	// leaving ends when the process is about to leave.
-	leaving context.Context
+	askLeader AskLeader
+	clock     clock.Clock
+	log       logging.Logger
+	// shutdown is done when the process is about to shut down.
+	shutdown context.Context
 }
 
-// NewHandler makes a handler; once leaving is done, waiting watches are sent to another steward.
-func NewHandler(leaving context.Context, ask AskLeader, clock clock.Clock, log logging.Logger) *Handler {
-	return &Handler{ask: ask, clock: clock, log: log.V(callVerbosity), leaving: leaving}
+// NewHandler returns a handler. Once the context shutdown is done, waiting watches are refused so that callers try another steward.
+func NewHandler(shutdown context.Context, askLeader AskLeader, clock clock.Clock, log logging.Logger) *Handler {
+	return &Handler{askLeader: askLeader, clock: clock, log: log.V(callLogVerbosity), shutdown: shutdown}
 }
 
-// Register serves the calls on a mux.
+// Register registers the handler for its paths on a mux.
 func (h *Handler) Register(mux *http.ServeMux) {
 	for _, prefix := range []string{PrefixLocks, PrefixNumbers, PrefixCells, PrefixWatch} {
 		mux.Handle(prefix, h)
 	}
 }
 
-// RegisterOff answers all calls of applications on a mux where stewards keep no locks, numbers and cells.
+// RegisterOff makes a mux refuse all calls with TextOff. It is used where the settings don't enable locks, numbers and cells.
 func RegisterOff(mux *http.ServeMux) {
-	off := http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
-		response.Text(http.StatusNotImplemented, TextOff).Write(to)
+	answerDisabled := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		response.Text(http.StatusNotImplemented, TextOff).Write(writer)
 	})
 	for _, prefix := range []string{PrefixLocks, PrefixNumbers, PrefixCells, PrefixWatch} {
-		mux.Handle(prefix, off)
+		mux.Handle(prefix, answerDisabled)
 	}
 }
 
-// TextOff says why there are no locks, numbers and cells, and how to have them.
+// TextOff is the text of the answer while locks, numbers and cells are disabled. It names the setting that enables them.
 const TextOff = "locks, numbers and keys are off: field active-contracts of the stewards' settings does not name " + settings.ContractCoordination
 
-// ServeHTTP answers one call.
-func (h *Handler) ServeHTTP(to http.ResponseWriter, request *http.Request) {
+// ServeHTTP decodes a call, sends it to the leader and writes the reply.
+func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrivedAt := h.clock.Monotonic()
 	command, refusal := Decode(request)
 	if command == nil {
-		refusal.Write(to)
+		refusal.Write(writer)
 		return
 	}
 	var reply response.Reply
 	if command.Call.Verb == wire.VerbWatch {
 		reply = h.watch(request.Context(), command)
 	} else {
-		reply = Reply(command, h.ask(request.Context(), &command.Call, answerTimeout, 0))
+		reply = Reply(command, h.askLeader(request.Context(), &command.Call, answerTimeout, 0))
 	}
 	callsServed.With(string(command.Call.Verb), strconv.Itoa(reply.Status)).Inc()
 	if h.log.Enabled() {
 		h.log.Info("coordination call answered", "verb", command.Call.Verb, "name", command.Call.ID, "call", string(command.Call.Body),
 			"above", command.Call.Base, "wait_ms", command.Wait.Milliseconds(), "status", reply.Status, "answer", string(reply.Body), "delay_ms", (h.clock.Monotonic() - arrivedAt).Milliseconds())
 	}
-	reply.Write(to)
+	reply.Write(writer)
 }
 
-// Reply is the answer to a call. A refusal that promises that nothing was done is passed on only if no attempt can have been carried
-// out. That a put is refused for its revision stays true for all its attempts: the leader that says so would know of an earlier one
-// that was taken, and none can be taken later, as revisions only rise.
+// Reply returns the HTTP reply for the outcome of a command. A refusal which promises that the call had no effect is only passed on if no
+// earlier attempt may have been executed. A put that is refused because of its revision is refused for all its attempts: the leader
+// would have detected an earlier attempt that was accepted, and no later one can be accepted, since revisions only rise.
 func Reply(command *Command, outcome leaderclient.Outcome) response.Reply {
-	answer, isUnknown := outcome.Answer, outcome.MayHaveRun && !command.IsRead
+	answer, isOutcomeUnknown := outcome.Answer, outcome.MayHaveRun && !command.IsRead
 	switch {
-	case answer == nil && isUnknown:
+	case answer == nil && isOutcomeUnknown:
 		return response.Text(http.StatusGatewayTimeout, "it is not known whether the call was carried out")
 	case answer == nil:
 		return response.Later(http.StatusServiceUnavailable, 1, "no leader answers for the name")
-	case isUnknown && (answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests):
+	case isOutcomeUnknown && (answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests):
 		return response.Text(http.StatusGatewayTimeout, "it is not known whether the call was carried out")
 	case answer.Reason != "":
 		return response.Later(answer.Status, answer.RetryAfterS, answer.Reason)
@@ -106,31 +107,32 @@
 	return response.Raw(answer.Status, answer.Body)
 }
 
-// watch asks again until a put comes or the caller's time is over.
+// watch repeats a watch call at the leader until it returns a put or a refusal, or until the wait of the command is over. Calls without
+// an answer are repeated, too.
 func (h *Handler) watch(ctx context.Context, command *Command) response.Reply {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(h.leaving, cancel)()
+	defer context.AfterFunc(h.shutdown, cancel)()
 	deadline := h.clock.Monotonic() + command.Wait
 	for {
 		remaining := max(0, deadline-h.clock.Monotonic())
 		wait := min(remaining, maxWaitAtLeader)
 		call := command.Call
 		call.RemainingMs = wait.Milliseconds()
-		outcome := h.ask(ctx, &call, wait+answerTimeout, wait)
-		if h.leaving.Err() != nil {
+		outcome := h.askLeader(ctx, &call, wait+answerTimeout, wait)
+		if h.shutdown.Err() != nil {
 			return response.Later(http.StatusServiceUnavailable, 1, "this process is leaving")
 		}
-		isOver := remaining <= maxWaitAtLeader || ctx.Err() != nil
-		if isOver || outcome.Answer != nil && !isWaiting(&command.Call, outcome.Answer) {
+		isLastAttempt := remaining <= maxWaitAtLeader || ctx.Err() != nil
+		if isLastAttempt || outcome.Answer != nil && !hasNoNewEvents(&command.Call, outcome.Answer) {
 			return Reply(command, outcome)
 		}
 	}
 }
 
-// isWaiting tells whether the answer to a watch brings nothing new, so that the watch may go on.
-func isWaiting(call *wire.ClientCall, answer *wire.ClientAnswer) bool {
-	var answered wire.WatchAnswer
-	return answer.Status == http.StatusOK && easyjson.Unmarshal(answer.Body, &answered) == nil &&
-		len(answered.Events) == 0 && answered.Revision <= uint64(call.Base)
+// hasNoNewEvents reports whether the answer to a watch has neither a put nor a newer revision, so that the watch continues.
+func hasNoNewEvents(call *wire.ClientCall, answer *wire.ClientAnswer) bool {
+	var watchAnswer wire.WatchAnswer
+	return answer.Status == http.StatusOK && easyjson.Unmarshal(answer.Body, &watchAnswer) == nil &&
+		len(watchAnswer.Events) == 0 && watchAnswer.Revision <= uint64(call.Base)
 }
--- a/internal/control/coordinationapi/off_test.go
+++ b/internal/control/coordinationapi/off_test.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/control/coordinationapi"
 )
 
-var _ = DescribeTable("a steward without locks, numbers and cells says so, and names the setting", func(method, path string) {
+var _ = DescribeTable("RegisterOff refuses all calls and names the setting", func(method, path string) {
 	mux := http.NewServeMux()
 	coordinationapi.RegisterOff(mux)
 	answer := httptest.NewRecorder()
