--- a/internal/control/itemrunner/idletimer.go
+++ b/internal/control/itemrunner/idletimer.go
@@ -8,45 +8,47 @@
 	"gannetline/internal/platform/clock"
 )
 
-// idleTimer ends a run whose executor brings nothing for too long. An executor whose machine has gone dark after it acknowledged the
-// request closes no connection.
+// idleTimer ends a run whose executor sends no event for too long. If the executor's machine fails after it acknowledged the request,
+// nothing closes the connection.
 type idleTimer struct {
 	clock clock.Clock
 	limit time.Duration
-	// lastEventAt is when the last event came, in nanoseconds of the monotonic clock.
-	lastEventAt atomic.Int64
-	isExpired   atomic.Bool
+	// lastEventNs is when the run started or the last event came, in nanoseconds on the monotonic clock.
+	lastEventNs atomic.Int64
+	// isExpired is set when the timer ends the run.
+	isExpired atomic.Bool
 }
 
-// newIdleTimer makes a timer of a run that begins now. A limit of 0 is none.
+// newIdleTimer returns a timer for a run that starts now. A limit of 0 disables the timer.
 func newIdleTimer(clock clock.Clock, limit time.Duration) *idleTimer {
 	timer := &idleTimer{clock: clock, limit: limit}
-	timer.noteEvent()
+	timer.reset()
 	return timer
 }
 
-// noteEvent begins the time anew.
-func (t *idleTimer) noteEvent() { t.lastEventAt.Store(int64(t.clock.Monotonic())) }
+// reset restarts the idle time. It is called for each event.
+func (t *idleTimer) reset() { t.lastEventNs.Store(int64(t.clock.Monotonic())) }
 
-// hasExpired tells whether the run was ended by this timer.
+// hasExpired reports whether this timer has ended the run.
 func (t *idleTimer) hasExpired() bool { return t.isExpired.Load() }
 
-// run watches until ctx is done, or calls end once the limit has passed without an event.
-func (t *idleTimer) run(ctx context.Context, end func()) {
+// run blocks until ctx is done, or until the limit has passed without an event. In the latter case it calls cancel. With a disabled timer
+// it returns at once.
+func (t *idleTimer) run(ctx context.Context, cancel func()) {
 	if t.limit <= 0 {
 		return
 	}
 	for {
-		left := t.limit - (t.clock.Monotonic() - time.Duration(t.lastEventAt.Load()))
-		if left <= 0 {
+		remaining := t.limit - (t.clock.Monotonic() - time.Duration(t.lastEventNs.Load()))
+		if remaining <= 0 {
 			t.isExpired.Store(true)
-			end()
+			cancel()
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.clock.After(left):
+		case <-t.clock.After(remaining):
 		}
 	}
 }
--- a/internal/control/itemrunner/idletimer_test.go
+++ b/internal/control/itemrunner/idletimer_test.go
@@ -17,7 +17,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// steppedClock stands still until the test moves it; each wait ends when the test rings.
+// steppedClock is a clock that only moves when the test moves it. A wait ends when the test calls advance, whatever its length.
 type steppedClock struct {
 	now   atomic.Int64
 	waits chan chan time.Time
@@ -26,37 +26,37 @@
 func (c *steppedClock) Monotonic() time.Duration { return time.Duration(c.now.Load()) }
 func (c *steppedClock) WallMs() int64            { return 0 }
 func (c *steppedClock) After(time.Duration) <-chan time.Time {
-	ring := make(chan time.Time, 1)
-	c.waits <- ring
-	return ring
+	fired := make(chan time.Time, 1)
+	c.waits <- fired
+	return fired
 }
 
-// pass moves the clock and ends the wait that is under way.
-func (c *steppedClock) pass(length time.Duration) {
-	ring := <-c.waits
+// advance moves the clock and ends the oldest wait, for which it blocks if there is none yet.
+func (c *steppedClock) advance(length time.Duration) {
+	fired := <-c.waits
 	c.now.Add(int64(length))
-	ring <- time.Time{}
+	fired <- time.Time{}
 }
 
-// silentExecutor answers with some events and then nothing more. Each time that all of it was read, it says so.
+// silentExecutor answers with the events that the test sends to events. It sends to idle whenever the reader has read all of them.
 type silentExecutor struct {
 	events chan string
 	idle   chan struct{}
 }
 
-// RoundTrip gives the head of the answer, with a body that belongs to the call.
+// RoundTrip returns an answer whose body ends only when the call does.
 func (e *silentExecutor) RoundTrip(call *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, ContentLength: -1, TransferEncoding: []string{"chunked"}, Request: call,
 		Header: http.Header{"X-Request-Id": {itemID}, "Content-Type": {"text/event-stream"}}, Body: io.NopCloser(&silentBody{e, call.Context()})}, nil
 }
 
-// silentBody gives one event a read, and waits for the next one until the call ends.
+// silentBody returns one event per read and blocks until the next event or the end of the call.
 type silentBody struct {
 	executor *silentExecutor
 	ctx      context.Context
 }
 
-// Read tells that all that came was read, and waits for more.
+// Read reports to the test that all events were read, and waits for the next one.
 func (b *silentBody) Read(into []byte) (int, error) {
 	b.executor.idle <- struct{}{}
 	select {
@@ -67,53 +67,55 @@
 	}
 }
 
-var _ = Describe("an item at an executor that brings nothing", func() {
+var _ = Describe("the idle timeout of a run", func() {
 	const limit = 2 * time.Second
-	var now *steppedClock
+	var testClock *steppedClock
 	var executor *silentExecutor
 	var inbox *mailbox.Mailbox
 	var outcome lots.Outcome
 	var progress lots.Progress
-	var isOver bool
+	var isDone bool
 
 	BeforeEach(func() {
-		now = &steppedClock{waits: make(chan chan time.Time, 4)}
+		testClock = &steppedClock{waits: make(chan chan time.Time, 4)}
 		executor = &silentExecutor{events: make(chan string), idle: make(chan struct{}, 4)}
-		inbox, isOver = mailbox.New(1), false
-		runner := itemrunner.New(context.Background(), now, &http.Client{Transport: executor}, inbox)
+		inbox, isDone = mailbox.New(1), false
+		runner := itemrunner.New(context.Background(), testClock, &http.Client{Transport: executor}, inbox)
 		run := lots.Run{ItemID: itemID, Path: "/p", Executor: wire.ExecutorRecord{ID: "i-1", Address: "executor"}, IdleTimeout: limit}
-		runner.Start(run, func(given lots.Outcome, reached lots.Progress) { outcome, progress, isOver = given, reached, true })
+		runner.Start(run, func(received lots.Outcome, partial lots.Progress) {
+			outcome, progress, isDone = received, partial, true
+		})
 	})
 
-	It("is given up after a while, with what it has brought", func() {
+	It("ends a run that stops sending events and keeps its progress", func() {
 		<-executor.idle
 		executor.events <- "id: 1\ndata: piece 1\n\n"
 		<-executor.idle
-		now.pass(limit)
+		testClock.advance(limit)
 		Eventually(inbox.Step, "30s").Should(BeTrue())
-		Expect(isOver).To(BeTrue())
+		Expect(isDone).To(BeTrue())
 		Expect(outcome).To(Equal(lots.OutcomeTimedOut))
 		Expect(progress).To(Equal(lots.Progress{LastEventID: "1", Texts: []string{"piece 1"}}))
 	})
 
-	It("is given up where nothing ever came", func() {
+	It("ends a run that never sends an event", func() {
 		<-executor.idle
-		now.pass(limit)
+		testClock.advance(limit)
 		Eventually(inbox.Step, "30s").Should(BeTrue())
 		Expect(outcome).To(Equal(lots.OutcomeTimedOut))
 		Expect(progress).To(Equal(lots.Progress{}))
 	})
 
-	It("goes on while events come", func() {
+	It("restarts with each event", func() {
 		<-executor.idle
-		now.now.Add(int64(limit - time.Millisecond))
+		testClock.now.Add(int64(limit - time.Millisecond))
 		executor.events <- "id: 1\ndata: piece 1\n\n"
 		<-executor.idle
-		now.pass(time.Millisecond)
-		now.pass(limit)
+		testClock.advance(time.Millisecond)
+		testClock.advance(limit)
 		Eventually(inbox.Step, "30s").Should(BeTrue())
 		Expect(outcome).To(Equal(lots.OutcomeTimedOut))
 		Expect(progress.Texts).To(HaveLen(1))
-		Expect(now.Monotonic()).To(Equal(2 * limit))
+		Expect(testClock.Monotonic()).To(Equal(2 * limit))
 	})
 })
--- a/internal/control/itemrunner/itemrunner.go
+++ b/internal/control/itemrunner/itemrunner.go
@@ -1,5 +1,5 @@
-// Package itemrunner carries the items of lots to executors, each run on a goroutine of its own, and gathers the events that they
-// answer.
+// Package itemrunner runs the items of lots at executors, each run on its own goroutine, and collects the events of the executors'
+// answers.
 package itemrunner
 
 import (
@@ -21,15 +21,16 @@
 )
 
 const (
-	// runTimeout bounds a run: an executor that says nothing more is left by then.
+	// runTimeout limits the duration of a run, also at an executor that sends nothing more.
 	runTimeout = 30 * time.Second
-	// itemPriority lets the requests that people wait for go first at an executor.
+	// itemPriority is the value of the Priority header of items. Lower numbers go first, so that interactive requests overtake items at
+	// an executor.
 	itemPriority = "9"
-	// maxRefusalBody is how much of the body of a refusal is read, so that the connection can be kept.
-	maxRefusalBody = 4096
+	// maxDrainedBytes limits the bytes that are read from the body of an answer without output, so that the connection can be reused.
+	maxDrainedBytes = 4096
 )
 
-// Runner runs items, and posts their outcomes to a mailbox.
+// Runner runs items at executors and posts the outcomes to a mailbox. It implements lots.Runner.
 type Runner struct {
 	ctx     context.Context
 	clock   clock.Clock
@@ -37,12 +38,12 @@
 	mailbox *mailbox.Mailbox
 }
 
-// New makes a runner whose runs end with ctx and whose outcomes go to a mailbox.
+// New returns a runner that posts outcomes to the mailbox. All runs are cancelled when ctx is done.
 func New(ctx context.Context, clock clock.Clock, client *http.Client, mailbox *mailbox.Mailbox) *Runner {
 	return &Runner{ctx: ctx, clock: clock, client: client, mailbox: mailbox}
 }
 
-// Start begins a run; done is called on the goroutine of the mailbox.
+// Start starts a run. done is called on the goroutine of the mailbox.
 func (r *Runner) Start(run lots.Run, done func(lots.Outcome, lots.Progress)) {
 	go func() {
 		outcome, progress := r.run(run)
@@ -50,22 +51,22 @@
 	}()
 }
 
-// run carries one item to its executor, and ends that once the executor is silent for too long.
+// run runs an item at its executor and cancels the call when the executor sends no event for run.IdleTimeout.
 func (r *Runner) run(run lots.Run) (lots.Outcome, lots.Progress) {
 	ctx, cancel := context.WithTimeout(r.ctx, runTimeout)
 	defer cancel()
 	timer := newIdleTimer(r.clock, run.IdleTimeout)
 	go timer.run(ctx, cancel)
-	outcome, progress := r.carry(ctx, run, timer)
+	outcome, progress := r.callExecutor(ctx, run, timer)
 	if outcome == lots.OutcomeBroken && timer.hasExpired() {
 		return lots.OutcomeTimedOut, progress
 	}
 	return outcome, progress
 }
 
-// carry calls the executor and reads its answer.
-func (r *Runner) carry(ctx context.Context, run lots.Run, timer *idleTimer) (lots.Outcome, lots.Progress) {
-	call, err := callOf(ctx, run)
+// callExecutor sends the item to the executor and reads the answer. The progress that it returns includes that of earlier runs.
+func (r *Runner) callExecutor(ctx context.Context, run lots.Run, timer *idleTimer) (lots.Outcome, lots.Progress) {
+	call, err := newCall(ctx, run)
 	if err != nil {
 		return lots.OutcomeImpossible, run.Progress
 	}
@@ -76,21 +77,21 @@
 	defer answer.Body.Close()
 	switch {
 	case answer.Header.Get(headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest:
-		io.CopyN(io.Discard, answer.Body, maxRefusalBody)
+		io.CopyN(io.Discard, answer.Body, maxDrainedBytes)
 		return lots.OutcomeRefused, run.Progress
 	case answer.Header.Get(headers.RequestID) != run.ItemID:
 		return lots.OutcomeBroken, run.Progress
 	case answer.StatusCode != http.StatusOK:
-		io.CopyN(io.Discard, answer.Body, maxRefusalBody)
+		io.CopyN(io.Discard, answer.Body, maxDrainedBytes)
 		return lots.StatusOutcome(answer.StatusCode), run.Progress
 	case !strings.HasPrefix(answer.Header.Get("Content-Type"), eventstream.MediaType):
 		return lots.OutcomeBroken, run.Progress
 	}
-	return gather(answer, run.Progress, timer)
+	return readEvents(answer, run.Progress, timer)
 }
 
-// callOf makes the call of a run.
-func callOf(ctx context.Context, run lots.Run) (*http.Request, error) {
+// newCall returns the HTTP request of a run.
+func newCall(ctx context.Context, run lots.Run) (*http.Request, error) {
 	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+run.Executor.Address+run.Path, bytes.NewReader(run.Body))
 	if err != nil {
 		return nil, err
@@ -111,8 +112,9 @@
 	return call, nil
 }
 
-// gather reads the events of an answer behind those of earlier runs. An answer whose length nothing tells can't be known to be whole.
-func gather(answer *http.Response, progress lots.Progress, timer *idleTimer) (lots.Outcome, lots.Progress) {
+// readEvents adds the events of an answer to the progress of earlier runs. If the answer has neither a content length nor chunked
+// encoding, its end can't be told from a broken connection, so the outcome is OutcomeBroken.
+func readEvents(answer *http.Response, progress lots.Progress, timer *idleTimer) (lots.Outcome, lots.Progress) {
 	progress.Texts = slices.Clone(progress.Texts)
 	isFramed := answer.ContentLength >= 0 || slices.Contains(answer.TransferEncoding, "chunked")
 	events := eventstream.NewReader(answer.Body)
@@ -124,7 +126,7 @@
 		if err != nil {
 			return lots.OutcomeBroken, progress
 		}
-		timer.noteEvent()
+		timer.reset()
 		if event.HasData {
 			progress.Texts = append(progress.Texts, string(event.Data))
 		}
--- a/internal/control/itemrunner/itemrunner_test.go
+++ b/internal/control/itemrunner/itemrunner_test.go
@@ -19,23 +19,25 @@
 
 const itemID = "e5b2907c14da6f38"
 
-// play runs an item at a scripted executor, and gives how that ended.
-func play(run lots.Run, script http.HandlerFunc) (outcome lots.Outcome, progress lots.Progress) {
+// runItem runs an item at an executor with the given handler and returns the outcome and the progress.
+func runItem(run lots.Run, script http.HandlerFunc) (outcome lots.Outcome, progress lots.Progress) {
 	executor := httptest.NewServer(script)
 	defer executor.Close()
 	run.Executor = wire.ExecutorRecord{ID: "i-1", Address: executor.Listener.Addr().String()}
 	run.ItemID, run.Host, run.Path = itemID, "nony24.example", "/p/3"
 	inbox := mailbox.New(1)
 	runner := itemrunner.New(context.Background(), clock.System(), &http.Client{}, inbox)
-	isOver := false
-	runner.Start(run, func(given lots.Outcome, reached lots.Progress) { outcome, progress, isOver = given, reached, true })
+	isDone := false
+	runner.Start(run, func(received lots.Outcome, partial lots.Progress) {
+		outcome, progress, isDone = received, partial, true
+	})
 	Eventually(inbox.Step, "5s").Should(BeTrue())
-	Expect(isOver).To(BeTrue())
+	Expect(isDone).To(BeTrue())
 	return outcome, progress
 }
 
-// events answers with the events of these numbers, and then breaks off, if it should.
-func events(first, last int, breaksOff bool) http.HandlerFunc {
+// events returns a handler that answers with the events of the given numbers and then breaks the connection if breaksConnection is set.
+func events(first, last int, breaksConnection bool) http.HandlerFunc {
 	return func(to http.ResponseWriter, _ *http.Request) {
 		to.Header().Set("X-Request-Id", itemID)
 		to.Header().Set("Content-Type", "text/event-stream")
@@ -43,12 +45,13 @@
 			fmt.Fprintf(to, "id: %d\ndata: piece %d\n\n", number, number)
 		}
 		to.(http.Flusher).Flush()
-		if breaksOff {
+		if breaksConnection {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
+// status returns a handler that answers with a status code and the given pairs of header names and values.
 func status(code int, headers ...string) http.HandlerFunc {
 	return func(to http.ResponseWriter, _ *http.Request) {
 		to.Header().Set("X-Request-Id", itemID)
@@ -60,35 +63,35 @@
 }
 
 var _ = Describe("the run of an item", func() {
-	It("is a request to the executor with the item's ID, headers and body, behind all requests that people wait for", func() {
-		var got *http.Request
+	It("sends a request with the item's ID, headers and body, at a priority behind interactive requests", func() {
+		var received *http.Request
 		var body []byte
 		run := lots.Run{Tenant: "team", Headers: map[string]string{"X-Model-Name": "m"}, Body: []byte{1, 0xff},
 			Progress: lots.Progress{LastEventID: "2", Texts: []string{"a", "b"}}}
-		outcome, progress := play(run, func(to http.ResponseWriter, call *http.Request) {
-			got = call.Clone(call.Context())
+		outcome, progress := runItem(run, func(to http.ResponseWriter, call *http.Request) {
+			received = call.Clone(call.Context())
 			body, _ = io.ReadAll(call.Body)
 			events(3, 4, false)(to, call)
 		})
 		Expect(outcome).To(Equal(lots.OutcomeCompleted))
 		Expect(progress.Texts).To(Equal([]string{"a", "b", "piece 3", "piece 4"}))
 		Expect(body).To(Equal([]byte{1, 0xff}))
-		Expect(got.Host).To(Equal("nony24.example"))
-		Expect(got.URL.Path).To(Equal("/p/3"))
+		Expect(received.Host).To(Equal("nony24.example"))
+		Expect(received.URL.Path).To(Equal("/p/3"))
 		for name, value := range map[string]string{"X-Request-Id": itemID, "X-Expected-Executor": "i-1", "X-Tenant": "team", "X-Model-Name": "m",
 			"Last-Event-Id": "2", "Priority": "9"} {
-			Expect(got.Header.Get(name)).To(Equal(value), name)
+			Expect(received.Header.Get(name)).To(Equal(value), name)
 		}
 	})
 
-	It("keeps what it has brought where the executor breaks off, and is not complete then", func() {
-		outcome, progress := play(lots.Run{}, events(1, 2, true))
+	It("keeps its progress and is broken if the executor breaks the connection", func() {
+		outcome, progress := runItem(lots.Run{}, events(1, 2, true))
 		Expect(outcome).To(Equal(lots.OutcomeBroken))
 		Expect(progress).To(Equal(lots.Progress{LastEventID: "2", Texts: []string{"piece 1", "piece 2"}}))
 	})
 
-	It("is not known to be complete where nothing tells the length of the answer", func() {
-		outcome, _ := play(lots.Run{}, func(to http.ResponseWriter, _ *http.Request) {
+	It("is broken if the answer has neither a content length nor chunked encoding", func() {
+		outcome, _ := runItem(lots.Run{}, func(to http.ResponseWriter, _ *http.Request) {
 			connection, _, err := to.(http.Hijacker).Hijack()
 			if err != nil {
 				return
@@ -99,16 +102,16 @@
 		Expect(outcome).To(Equal(lots.OutcomeBroken))
 	})
 
-	DescribeTable("ends without output", func(script http.HandlerFunc, expected lots.Outcome) {
-		outcome, _ := play(lots.Run{}, script)
+	DescribeTable("has the outcome of an answer without output", func(script http.HandlerFunc, expected lots.Outcome) {
+		outcome, _ := runItem(lots.Run{}, script)
 		Expect(outcome).To(Equal(expected))
 	},
-		Entry("refused", status(503, "X-Not-Executed", "1"), lots.OutcomeRefused),
-		Entry("at another executor", status(421), lots.OutcomeRefused),
+		Entry("not executed", status(503, "X-Not-Executed", "1"), lots.OutcomeRefused),
+		Entry("wrong executor", status(421), lots.OutcomeRefused),
 		Entry("failed", status(500), lots.OutcomeFailed),
 		Entry("impossible", status(422), lots.OutcomeImpossible),
 		Entry("broken", status(504), lots.OutcomeBroken),
-		Entry("no events", status(200, "Content-Type", "text/plain"), lots.OutcomeBroken),
-		Entry("the answer of another request", status(200, "X-Request-Id", "other"), lots.OutcomeBroken),
+		Entry("no event stream", status(200, "Content-Type", "text/plain"), lots.OutcomeBroken),
+		Entry("request ID of another request", status(200, "X-Request-Id", "other"), lots.OutcomeBroken),
 	)
 })
