--- a/internal/control/coordination/cost_test.go
+++ b/internal/control/coordination/cost_test.go
@@ -14,22 +14,22 @@
 // results.
 
 // benchmarkCalls makes one call at a time and commits its changes at once. It reports the changes and the bytes that a call proposes.
-func benchmarkCalls(b *testing.B, prepare func(s *harness), call func(s *harness, number int)) {
+func benchmarkCalls(b *testing.B, prepare func(h *harness), call func(h *harness, number int)) {
 	RegisterTestingT(b)
-	s := newHarness()
-	prepare(s)
+	h := newHarness()
+	prepare(h)
 	changes, bytes := 0, 0
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		call(s, number)
-		for _, commit := range s.leadership.pending {
+		call(h, number)
+		for _, commit := range h.leadership.pending {
 			changes++
 			for _, op := range commit.ops {
 				bytes += len(op.Name) + len(op.Value)
 			}
 		}
-		s.leadership.commitOldest(len(s.leadership.pending))
-		s.answers = s.answers[:0]
+		h.leadership.commitOldest(len(h.leadership.pending))
+		h.answers = h.answers[:0]
 	}
 	b.ReportMetric(float64(changes)/float64(b.N), "changes/op")
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
@@ -43,48 +43,48 @@
 }
 
 func BenchmarkAcquire(b *testing.B) {
-	benchmarkCalls(b, noPreparation, func(s *harness, number int) {
+	benchmarkCalls(b, noPreparation, func(h *harness, number int) {
 		call, body := lockCall(wire.VerbAcquire, number, &wire.LockCall{Holder: "a", HoldMs: 3000})
-		s.send(call, body)
+		h.send(call, body)
 	})
 }
 
 func BenchmarkRenew(b *testing.B) {
-	acquire := func(s *harness) {
-		s.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: "lock-0"}, &wire.LockCall{Holder: "a", HoldMs: 3000})
+	acquire := func(h *harness) {
+		h.send(wire.ClientCall{Verb: wire.VerbAcquire, ID: "lock-0"}, &wire.LockCall{Holder: "a", HoldMs: 3000})
 	}
-	benchmarkCalls(b, acquire, func(s *harness, _ int) {
-		s.send(wire.ClientCall{Verb: wire.VerbRenew, ID: "lock-0"}, &wire.LockCall{Holder: "a", Fence: 1, HoldMs: 3000})
+	benchmarkCalls(b, acquire, func(h *harness, _ int) {
+		h.send(wire.ClientCall{Verb: wire.VerbRenew, ID: "lock-0"}, &wire.LockCall{Holder: "a", Fence: 1, HoldMs: 3000})
 	})
 }
 
 func BenchmarkNumber(b *testing.B) {
-	benchmarkCalls(b, noPreparation, func(s *harness, _ int) { s.send(wire.ClientCall{Verb: wire.VerbTakeNumber, ID: "n"}, nil) })
+	benchmarkCalls(b, noPreparation, func(h *harness, _ int) { h.send(wire.ClientCall{Verb: wire.VerbTakeNumber, ID: "n"}, nil) })
 }
 
 func BenchmarkGet(b *testing.B) {
-	put := func(s *harness) { s.send(wire.ClientCall{Verb: wire.VerbPut, ID: "g.a"}, &wire.PutCall{Value: "v"}) }
-	benchmarkCalls(b, put, func(s *harness, _ int) { s.send(wire.ClientCall{Verb: wire.VerbGet, ID: "g.a"}, nil) })
+	put := func(h *harness) { h.send(wire.ClientCall{Verb: wire.VerbPut, ID: "g.a"}, &wire.PutCall{Value: "v"}) }
+	benchmarkCalls(b, put, func(h *harness, _ int) { h.send(wire.ClientCall{Verb: wire.VerbGet, ID: "g.a"}, nil) })
 }
 
 // BenchmarkPut puts into a group twice, with different numbers of watches that wait for the second put.
 func BenchmarkPut(b *testing.B) {
 	for _, watches := range []int{0, 1, 20, 200} {
 		b.Run(fmt.Sprintf("watches-%d", watches), func(b *testing.B) {
-			benchmarkCalls(b, noPreparation, func(s *harness, number int) {
+			benchmarkCalls(b, noPreparation, func(h *harness, number int) {
 				name := fmt.Sprintf("g%d.a", number)
 				put := func(value string, expected uint64) {
-					s.send(wire.ClientCall{Verb: wire.VerbPut, ID: name}, &wire.PutCall{Value: value, Expected: expected})
+					h.send(wire.ClientCall{Verb: wire.VerbPut, ID: name}, &wire.PutCall{Value: value, Expected: expected})
 				}
 				put("5c0e7a21d94b36f8", 0)
-				s.leadership.commitOldest(len(s.leadership.pending))
+				h.leadership.commitOldest(len(h.leadership.pending))
 				for range watches {
-					s.send(wire.ClientCall{Verb: wire.VerbWatch, ID: GroupOf(name), Base: 1, RemainingMs: 1000}, nil)
+					h.send(wire.ClientCall{Verb: wire.VerbWatch, ID: GroupOf(name), Base: 1, RemainingMs: 1000}, nil)
 				}
 				put("6c0e7a21d94b36f8", 1)
 				if number%1000 == 999 {
-					s.clock.Advance(2 * testHistory)
-					s.part.Tick()
+					h.clock.Advance(2 * testHistory)
+					h.part.Tick()
 				}
 			})
 		})
--- a/internal/control/lots/lots_test.go
+++ b/internal/control/lots/lots_test.go
@@ -94,59 +94,59 @@
 
 func newHarness() *harness {
 	now := clock.NewFake(1_000_000)
-	w := &harness{clock: now, leadership: &fakeLeadership{clock: now, hasLease: true, durable: map[string][]byte{}},
+	h := &harness{clock: now, leadership: &fakeLeadership{clock: now, hasLease: true, durable: map[string][]byte{}},
 		route:     &configuration.Route{Name: routeName, Host: "h", Service: "s", MaxAttempts: 2, MaxQueueS: 40},
 		executors: []wire.ExecutorRecord{{ID: "i-1", Service: "s", Address: "a:1", Slots: 4}, {ID: "i-2", Service: "s", Address: "a:2", Slots: 4}}}
-	w.open()
-	return w
+	h.open()
+	return h
 }
 
 // Start records a run. The test ends it with endRun.
-func (w *harness) Start(run lots.Run, done func(lots.Outcome, lots.Progress)) {
-	w.runs = append(w.runs, startedRun{run, done})
+func (h *harness) Start(run lots.Run, done func(lots.Outcome, lots.Progress)) {
+	h.runs = append(h.runs, startedRun{run, done})
 }
 
 // open creates a part and opens it with the committed records, as a process does that takes over the key.
-func (w *harness) open() {
-	w.part = lots.New(wire.LotsKey, lots.Surroundings{Clock: w.clock, Log: logging.Silent(), Runner: w, Retention: 2 * time.Minute,
+func (h *harness) open() {
+	h.part = lots.New(wire.LotsKey, lots.Surroundings{Clock: h.clock, Log: logging.Silent(), Runner: h, Retention: 2 * time.Minute,
 		Route: func(name string) *configuration.Route {
-			if w.route != nil && name == w.route.Name {
-				return w.route
+			if h.route != nil && name == h.route.Name {
+				return h.route
 			}
 			return nil
 		},
-		Executors: func(string) []wire.ExecutorRecord { return w.executors }})
-	w.runs = nil
-	w.part.Open(w.leadership, w.leadership.pairs())
-	w.flush()
+		Executors: func(string) []wire.ExecutorRecord { return h.executors }})
+	h.runs = nil
+	h.part.Open(h.leadership, h.leadership.pairs())
+	h.flush()
 }
 
 // flush calls Flush twice: after a burst of calls, and after the callbacks of its commits.
-func (w *harness) flush() {
-	w.part.Flush()
-	w.part.Flush()
+func (h *harness) flush() {
+	h.part.Flush()
+	h.part.Flush()
 }
 
 // call makes a call and returns its answer, or nil if there is none yet.
-func (w *harness) call(verb wire.Verb, call wire.ClientCall) *wire.ClientAnswer {
+func (h *harness) call(verb wire.Verb, call wire.ClientCall) *wire.ClientAnswer {
 	var answer *wire.ClientAnswer
 	call.Key, call.Verb = wire.LotsKey, verb
 	if call.ID == "" {
 		call.ID = lotID
 	}
-	w.part.CommandFor(verb)(&call, func(received wire.ClientAnswer) { answer = &received })
-	w.flush()
+	h.part.CommandFor(verb)(&call, func(received wire.ClientAnswer) { answer = &received })
+	h.flush()
 	return answer
 }
 
 // submit submits a lot with the given number of items, of 100 tokens each.
-func (w *harness) submit(id string, items int) *wire.ClientAnswer {
+func (h *harness) submit(id string, items int) *wire.ClientAnswer {
 	var texts []string
 	for number := range items {
 		texts = append(texts, fmt.Sprintf(`{"executor-id":"%s-%d","path":"/p/%d","header-list":{"X-Model-Name":"m"},"body":"%s","token-count":100}`,
 			id, number, number, base64.StdEncoding.EncodeToString([]byte{byte(number), 0xff})))
 	}
-	return w.call(wire.VerbSubmitLot, wire.ClientCall{ID: id, Route: routeName, Tenant: "team", Body: []byte(`{"item-list":[` + strings.Join(texts, ",") + `]}`)})
+	return h.call(wire.VerbSubmitLot, wire.ClientCall{ID: id, Route: routeName, Tenant: "team", Body: []byte(`{"item-list":[` + strings.Join(texts, ",") + `]}`)})
 }
 
 // page is the answer to a reader.
@@ -161,8 +161,8 @@
 }
 
 // readResults returns the results of the lot from a position on.
-func (w *harness) readResults(from int64) page {
-	answer := w.call(wire.VerbLotResults, wire.ClientCall{Base: from})
+func (h *harness) readResults(from int64) page {
+	answer := h.call(wire.VerbLotResults, wire.ClientCall{Base: from})
 	Expect(answer).NotTo(BeNil())
 	Expect(answer.Status).To(Equal(http.StatusOK))
 	var results page
@@ -171,123 +171,123 @@
 }
 
 // endRun ends the run of an item with an outcome.
-func (w *harness) endRun(item string, outcome lots.Outcome, progress lots.Progress) {
-	index := slices.IndexFunc(w.runs, func(run startedRun) bool { return run.ItemID == item })
+func (h *harness) endRun(item string, outcome lots.Outcome, progress lots.Progress) {
+	index := slices.IndexFunc(h.runs, func(run startedRun) bool { return run.ItemID == item })
 	Expect(index).To(BeNumerically(">=", 0), "item %s has no run", item)
-	run := w.runs[index]
-	w.runs = slices.Delete(w.runs, index, index+1)
+	run := h.runs[index]
+	h.runs = slices.Delete(h.runs, index, index+1)
 	run.done(outcome, progress)
-	w.flush()
+	h.flush()
 }
 
 // texts returns the progress of a run with the given event data.
 func texts(texts ...string) lots.Progress { return lots.Progress{LastEventID: "9", Texts: texts} }
 
 var _ = Describe("a lot", func() {
-	var w *harness
-	BeforeEach(func() { w = newHarness() })
+	var h *harness
+	BeforeEach(func() { h = newHarness() })
 
 	It("is acknowledged and started only once it is durable, and accepted only once if submitted twice", func() {
-		w.leadership.holdsCommits = true
-		Expect(w.submit(lotID, 2)).To(BeNil())
-		Expect(w.submit(lotID, 2)).To(BeNil())
-		Expect(w.runs).To(BeEmpty())
-		Expect(w.call(wire.VerbLotResults, wire.ClientCall{}).Status).To(Equal(http.StatusServiceUnavailable))
-		w.leadership.commitPending()
-		w.flush()
-		Expect(w.runs).To(HaveLen(2))
-		Expect(w.submit(lotID, 2).Status).To(Equal(http.StatusAccepted))
-		Expect(w.runs).To(HaveLen(2))
-		Expect(w.readResults(0).Total).To(Equal(2))
+		h.leadership.holdsCommits = true
+		Expect(h.submit(lotID, 2)).To(BeNil())
+		Expect(h.submit(lotID, 2)).To(BeNil())
+		Expect(h.runs).To(BeEmpty())
+		Expect(h.call(wire.VerbLotResults, wire.ClientCall{}).Status).To(Equal(http.StatusServiceUnavailable))
+		h.leadership.commitPending()
+		h.flush()
+		Expect(h.runs).To(HaveLen(2))
+		Expect(h.submit(lotID, 2).Status).To(Equal(http.StatusAccepted))
+		Expect(h.runs).To(HaveLen(2))
+		Expect(h.readResults(0).Total).To(Equal(2))
 	})
 
 	It("runs its items as submitted, at executors with capacity that are not draining, in a share of their slots", func() {
-		w.submit(lotID, 9)
-		Expect(w.runs).To(HaveLen(4))
-		run := w.runs[0]
+		h.submit(lotID, 9)
+		Expect(h.runs).To(HaveLen(4))
+		run := h.runs[0]
 		Expect(run.Path).To(Equal("/p/0"))
 		Expect(run.Host).To(Equal("h"))
 		Expect(run.Tenant).To(Equal("team"))
 		Expect(run.Headers).To(Equal(map[string]string{"X-Model-Name": "m"}))
 		Expect(run.Body).To(Equal([]byte{0, 0xff}))
-		w.executors[0].IsDraining, w.executors[1].IsDraining = true, true
-		w.endRun(run.ItemID, lots.OutcomeCompleted, texts("a"))
-		Expect(w.runs).To(HaveLen(3))
+		h.executors[0].IsDraining, h.executors[1].IsDraining = true, true
+		h.endRun(run.ItemID, lots.OutcomeCompleted, texts("a"))
+		Expect(h.runs).To(HaveLen(3))
 	})
 
 	It("orders results by the end of their runs and returns them once they are durable", func() {
-		w.submit(lotID, 3)
-		w.leadership.holdsCommits = true
-		w.endRun(lotID+"-1", lots.OutcomeCompleted, texts("one", "two"))
-		Expect(w.readResults(0).Results).To(BeEmpty())
-		w.leadership.commitPending()
-		w.leadership.holdsCommits = false
-		w.endRun(lotID+"-0", lots.OutcomeImpossible, lots.Progress{})
-		results := w.readResults(0)
+		h.submit(lotID, 3)
+		h.leadership.holdsCommits = true
+		h.endRun(lotID+"-1", lots.OutcomeCompleted, texts("one", "two"))
+		Expect(h.readResults(0).Results).To(BeEmpty())
+		h.leadership.commitPending()
+		h.leadership.holdsCommits = false
+		h.endRun(lotID+"-0", lots.OutcomeImpossible, lots.Progress{})
+		results := h.readResults(0)
 		Expect(results.Next).To(Equal(2))
 		Expect(results.Results[0].ID).To(Equal(lotID + "-1"))
 		Expect(results.Results[0].State).To(Equal("completed"))
 		Expect(results.Results[0].Text).To(Equal("one\ntwo"))
 		Expect(results.Results[1].State).To(Equal("dead_letter"))
-		Expect(w.readResults(1).Results).To(HaveLen(1))
+		Expect(h.readResults(1).Results).To(HaveLen(1))
 	})
 
 	It("keeps its results over a change of leader and runs items without a result again", func() {
-		w.submit(lotID, 3)
-		w.endRun(lotID+"-2", lots.OutcomeCompleted, texts("z"))
-		before := w.readResults(0)
-		previousRuns := w.runs
-		w.part.Close()
-		w.open()
-		Expect(w.readResults(0)).To(Equal(before))
-		Expect(w.runs).To(HaveLen(2))
-		Expect(w.runs[0].Body).To(Equal([]byte{0, 0xff}))
+		h.submit(lotID, 3)
+		h.endRun(lotID+"-2", lots.OutcomeCompleted, texts("z"))
+		before := h.readResults(0)
+		previousRuns := h.runs
+		h.part.Close()
+		h.open()
+		Expect(h.readResults(0)).To(Equal(before))
+		Expect(h.runs).To(HaveLen(2))
+		Expect(h.runs[0].Body).To(Equal([]byte{0, 0xff}))
 		previousRuns[0].done(lots.OutcomeCompleted, texts("late"))
-		Expect(w.readResults(0)).To(Equal(before))
-		w.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
-		Expect(w.readResults(0).Results[0]).To(Equal(before.Results[0]))
-		Expect(w.readResults(1).Results[0].ID).To(Equal(lotID + "-0"))
+		Expect(h.readResults(0)).To(Equal(before))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		Expect(h.readResults(0).Results[0]).To(Equal(before.Results[0]))
+		Expect(h.readResults(1).Results[0].ID).To(Equal(lotID + "-0"))
 	})
 
 	It("resumes after the last event of a broken run and gives up after the maximum attempts of its route", func() {
-		w.submit(lotID, 1)
-		w.endRun(lotID+"-0", lots.OutcomeBroken, lots.Progress{LastEventID: "2", Texts: []string{"a", "b"}})
-		Expect(w.runs).To(BeEmpty())
-		w.clock.Advance(time.Second)
-		w.flush()
-		Expect(w.runs[0].Progress).To(Equal(lots.Progress{LastEventID: "2", Texts: []string{"a", "b"}}))
-		w.endRun(lotID+"-0", lots.OutcomeFailed, lots.Progress{})
-		w.clock.Advance(time.Second)
-		w.flush()
-		Expect(w.runs[0].Progress).To(Equal(lots.Progress{}))
-		Expect(w.readResults(0).Results).To(BeEmpty())
-		w.endRun(lotID+"-0", lots.OutcomeFailed, lots.Progress{})
-		Expect(w.readResults(0).Results[0].State).To(Equal("dead_letter"))
+		h.submit(lotID, 1)
+		h.endRun(lotID+"-0", lots.OutcomeBroken, lots.Progress{LastEventID: "2", Texts: []string{"a", "b"}})
+		Expect(h.runs).To(BeEmpty())
+		h.clock.Advance(time.Second)
+		h.flush()
+		Expect(h.runs[0].Progress).To(Equal(lots.Progress{LastEventID: "2", Texts: []string{"a", "b"}}))
+		h.endRun(lotID+"-0", lots.OutcomeFailed, lots.Progress{})
+		h.clock.Advance(time.Second)
+		h.flush()
+		Expect(h.runs[0].Progress).To(Equal(lots.Progress{}))
+		Expect(h.readResults(0).Results).To(BeEmpty())
+		h.endRun(lotID+"-0", lots.OutcomeFailed, lots.Progress{})
+		Expect(h.readResults(0).Results[0].State).To(Equal("dead_letter"))
 	})
 
 	It("resumes at another executor after an idle timeout, which doubles up to a maximum", func() {
-		w.executors = append(w.executors, wire.ExecutorRecord{ID: "i-3", Service: "s", Address: "a:3", Slots: 4})
-		w.submit(lotID, 1)
+		h.executors = append(h.executors, wire.ExecutorRecord{ID: "i-3", Service: "s", Address: "a:3", Slots: 4})
+		h.submit(lotID, 1)
 		var idleTimeouts []time.Duration
 		executorIDs := map[string]bool{}
 		for range 5 {
-			run := w.runs[0]
+			run := h.runs[0]
 			idleTimeouts = append(idleTimeouts, run.IdleTimeout)
-			w.endRun(lotID+"-0", lots.OutcomeTimedOut, texts("a"))
-			Expect(w.runs).To(HaveLen(1))
-			Expect(w.runs[0].Executor.ID).NotTo(Equal(run.Executor.ID))
-			Expect(w.runs[0].Progress).To(Equal(texts("a")))
+			h.endRun(lotID+"-0", lots.OutcomeTimedOut, texts("a"))
+			Expect(h.runs).To(HaveLen(1))
+			Expect(h.runs[0].Executor.ID).NotTo(Equal(run.Executor.ID))
+			Expect(h.runs[0].Progress).To(Equal(texts("a")))
 			executorIDs[run.Executor.ID] = true
-			w.clock.Advance(time.Second)
+			h.clock.Advance(time.Second)
 		}
 		Expect(idleTimeouts).To(Equal([]time.Duration{2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 10 * time.Second, 10 * time.Second}))
 		Expect(len(executorIDs)).To(BeNumerically(">", 1))
 	})
 
 	It("retries at another executor after a failure, and an executor with repeated failures is ejected for a while", func() {
-		w.submit(lotID, 4)
+		h.submit(lotID, 4)
 		itemsAt := func(executor string) (items []string) {
-			for _, run := range w.runs {
+			for _, run := range h.runs {
 				if run.Executor.ID == executor {
 					items = append(items, run.ItemID)
 				}
@@ -296,116 +296,116 @@
 		}
 		failing := itemsAt("i-1")
 		Expect(failing).To(HaveLen(2))
-		w.endRun(failing[0], lots.OutcomeFailed, lots.Progress{})
-		w.endRun(failing[1], lots.OutcomeFailed, lots.Progress{})
+		h.endRun(failing[0], lots.OutcomeFailed, lots.Progress{})
+		h.endRun(failing[1], lots.OutcomeFailed, lots.Progress{})
 		Expect(itemsAt("i-1")).To(BeEmpty())
-		w.clock.Advance(time.Second)
-		w.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, texts("a"))
-		w.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, texts("b"))
+		h.clock.Advance(time.Second)
+		h.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, texts("a"))
+		h.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, texts("b"))
 		Expect(itemsAt("i-2")).To(ConsistOf(failing))
 		Expect(itemsAt("i-1")).To(BeEmpty())
-		w.clock.Advance(3 * time.Second)
-		w.submit("7c41e09b52d6a3f9", 2)
+		h.clock.Advance(3 * time.Second)
+		h.submit("7c41e09b52d6a3f9", 2)
 		Expect(itemsAt("i-1")).To(HaveLen(2))
 	})
 
 	It("has dead-letter results after the maximum queue time of its route, and not before", func() {
-		w.executors = nil
-		w.submit(lotID, 1)
-		w.clock.Advance(39 * time.Second)
-		w.part.Tick()
-		w.flush()
-		Expect(w.readResults(0).Results).To(BeEmpty())
-		w.clock.Advance(3 * time.Second)
-		w.part.Tick()
-		w.flush()
-		Expect(w.readResults(0).Results[0].State).To(Equal("dead_letter"))
+		h.executors = nil
+		h.submit(lotID, 1)
+		h.clock.Advance(39 * time.Second)
+		h.part.Tick()
+		h.flush()
+		Expect(h.readResults(0).Results).To(BeEmpty())
+		h.clock.Advance(3 * time.Second)
+		h.part.Tick()
+		h.flush()
+		Expect(h.readResults(0).Results[0].State).To(Equal("dead_letter"))
 	})
 
 	It("is refused and not run if its tenant would exceed the token limit", func() {
-		w.route.UpperLimit = []byte("250")
-		Expect(w.submit(lotID, 2).Status).To(Equal(http.StatusAccepted))
-		answer := w.submit("7c41e09b52d6a3f9", 1)
+		h.route.UpperLimit = []byte("250")
+		Expect(h.submit(lotID, 2).Status).To(Equal(http.StatusAccepted))
+		answer := h.submit("7c41e09b52d6a3f9", 1)
 		Expect(answer.Status).To(Equal(http.StatusTooManyRequests))
 		Expect(answer.RetryAfterS).To(BeNumerically(">", 0))
-		Expect(w.runs).To(HaveLen(2))
-		w.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
-		Expect(w.submit("7c41e09b52d6a3f9", 1).Status).To(Equal(http.StatusAccepted))
+		Expect(h.runs).To(HaveLen(2))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		Expect(h.submit("7c41e09b52d6a3f9", 1).Status).To(Equal(http.StatusAccepted))
 	})
 
 	It("ends durably: no further item runs, and existing results are kept", func() {
-		w.submit(lotID, 6)
-		w.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
-		Expect(w.call(wire.VerbEndLot, wire.ClientCall{}).Status).To(Equal(http.StatusOK))
-		Expect(w.call(wire.VerbEndLot, wire.ClientCall{}).Status).To(Equal(http.StatusOK))
-		running := len(w.runs)
-		w.endRun(lotID+"-1", lots.OutcomeCompleted, texts("b"))
-		Expect(w.runs).To(HaveLen(running - 1))
-		w.part.Close()
-		w.open()
-		Expect(w.runs).To(BeEmpty())
-		Expect(w.readResults(0).Results).To(HaveLen(1))
-		Expect(w.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-3"}).Status).To(Equal(http.StatusNotFound))
+		h.submit(lotID, 6)
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		Expect(h.call(wire.VerbEndLot, wire.ClientCall{}).Status).To(Equal(http.StatusOK))
+		Expect(h.call(wire.VerbEndLot, wire.ClientCall{}).Status).To(Equal(http.StatusOK))
+		running := len(h.runs)
+		h.endRun(lotID+"-1", lots.OutcomeCompleted, texts("b"))
+		Expect(h.runs).To(HaveLen(running - 1))
+		h.part.Close()
+		h.open()
+		Expect(h.runs).To(BeEmpty())
+		Expect(h.readResults(0).Results).To(HaveLen(1))
+		Expect(h.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-3"}).Status).To(Equal(http.StatusNotFound))
 	})
 
 	It("returns the body of an item without a result", func() {
-		w.submit(lotID, 2)
-		answer := w.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-1"})
+		h.submit(lotID, 2)
+		answer := h.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-1"})
 		var body []byte
 		Expect(json.Unmarshal(answer.Body, &body)).To(Succeed())
 		Expect(body).To(Equal([]byte{1, 0xff}))
-		w.endRun(lotID+"-1", lots.OutcomeCompleted, texts("a"))
-		Expect(w.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-1"}).Status).To(Equal(http.StatusNotFound))
+		h.endRun(lotID+"-1", lots.OutcomeCompleted, texts("a"))
+		Expect(h.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-1"}).Status).To(Equal(http.StatusNotFound))
 	})
 
 	It("is hidden from other tenants", func() {
-		w.submit(lotID, 1)
+		h.submit(lotID, 1)
 		for _, verb := range []wire.Verb{wire.VerbLotResults, wire.VerbLotItem, wire.VerbEndLot} {
 			call := wire.ClientCall{Item: lotID + "-0", Tenant: "others"}
-			Expect(w.call(verb, call).Status).To(Equal(http.StatusNotFound), string(verb))
+			Expect(h.call(verb, call).Status).To(Equal(http.StatusNotFound), string(verb))
 		}
-		Expect(w.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-0", Tenant: "team"}).Status).To(Equal(http.StatusOK))
-		Expect(w.call(wire.VerbLotResults, wire.ClientCall{}).Status).To(Equal(http.StatusOK), "a call of a route without API keys has no tenant")
+		Expect(h.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-0", Tenant: "team"}).Status).To(Equal(http.StatusOK))
+		Expect(h.call(wire.VerbLotResults, wire.ClientCall{}).Status).To(Equal(http.StatusOK), "a call of a route without API keys has no tenant")
 	})
 
 	It("lets readers wait for a result until their deadline", func() {
-		w.submit(lotID, 2)
+		h.submit(lotID, 2)
 		var answers []wire.ClientAnswer
 		waitForResult := func() {
-			w.part.Results(&wire.ClientCall{ID: lotID, RemainingMs: 300}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
+			h.part.Results(&wire.ClientCall{ID: lotID, RemainingMs: 300}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
 		}
 		waitForResult()
-		w.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
 		Expect(answers).To(HaveLen(1))
-		w.part.Results(&wire.ClientCall{ID: lotID, Base: 1, RemainingMs: 300}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
-		w.clock.Advance(200 * time.Millisecond)
-		w.part.Tick()
+		h.part.Results(&wire.ClientCall{ID: lotID, Base: 1, RemainingMs: 300}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
+		h.clock.Advance(200 * time.Millisecond)
+		h.part.Tick()
 		Expect(answers).To(HaveLen(1))
-		w.clock.Advance(200 * time.Millisecond)
-		w.part.Tick()
+		h.clock.Advance(200 * time.Millisecond)
+		h.part.Tick()
 		Expect(string(answers[1].Body)).To(ContainSubstring(`"result-list":[]`))
 	})
 
 	It("is neither read nor reported as missing without the lease", func() {
-		Expect(w.call(wire.VerbLotResults, wire.ClientCall{}).Status).To(Equal(http.StatusNotFound))
-		w.submit(lotID, 1)
-		w.leadership.hasLease = false
-		Expect(w.call(wire.VerbLotResults, wire.ClientCall{ID: "7c41e09b52d6a3ff"}).NotLeader).To(BeTrue())
-		Expect(w.call(wire.VerbLotResults, wire.ClientCall{}).NotLeader).To(BeTrue())
+		Expect(h.call(wire.VerbLotResults, wire.ClientCall{}).Status).To(Equal(http.StatusNotFound))
+		h.submit(lotID, 1)
+		h.leadership.hasLease = false
+		Expect(h.call(wire.VerbLotResults, wire.ClientCall{ID: "7c41e09b52d6a3ff"}).NotLeader).To(BeTrue())
+		Expect(h.call(wire.VerbLotResults, wire.ClientCall{}).NotLeader).To(BeTrue())
 	})
 
 	It("has an unknown outcome if the leadership ends before the commit", func() {
-		w.leadership.holdsCommits = true
+		h.leadership.holdsCommits = true
 		var answer wire.ClientAnswer
-		w.part.Submit(&wire.ClientCall{ID: lotID, Route: routeName, Body: []byte(`{"item-list":[{"executor-id":"x"}]}`)},
+		h.part.Submit(&wire.ClientCall{ID: lotID, Route: routeName, Body: []byte(`{"item-list":[{"executor-id":"x"}]}`)},
 			func(received wire.ClientAnswer) { answer = received })
-		w.flush()
-		w.part.Close()
+		h.flush()
+		h.part.Close()
 		Expect(answer.NotLeader && answer.OutcomeUnknown).To(BeTrue())
 	})
 
 	DescribeTable("is refused if it is invalid", func(body string) {
-		Expect(w.call(wire.VerbSubmitLot, wire.ClientCall{Route: routeName, Body: []byte(body)}).Status).To(Equal(http.StatusBadRequest))
+		Expect(h.call(wire.VerbSubmitLot, wire.ClientCall{Route: routeName, Body: []byte(body)}).Status).To(Equal(http.StatusBadRequest))
 	},
 		Entry("no items", `{"item-list":[]}`),
 		Entry("no ID", `{"item-list":[{"path":"/"}]}`),
@@ -414,16 +414,16 @@
 	)
 
 	It("is removed after the retention time once it is finished", func() {
-		w.submit(lotID, 1)
-		w.clock.Advance(3 * time.Minute)
-		w.route.MaxQueueS = 0
-		w.part.Tick()
-		w.flush()
-		Expect(w.readResults(0).Total).To(Equal(1))
-		w.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
-		w.clock.Advance(2 * time.Second)
-		w.part.Tick()
-		w.flush()
-		Expect(w.leadership.durable).To(BeEmpty())
+		h.submit(lotID, 1)
+		h.clock.Advance(3 * time.Minute)
+		h.route.MaxQueueS = 0
+		h.part.Tick()
+		h.flush()
+		Expect(h.readResults(0).Total).To(Equal(1))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.clock.Advance(2 * time.Second)
+		h.part.Tick()
+		h.flush()
+		Expect(h.leadership.durable).To(BeEmpty())
 	})
 })
--- a/internal/control/lots/running.go
+++ b/internal/control/lots/running.go
@@ -44,10 +44,10 @@
 
 // insert adds items of a lot to the queue, after the items of the same lot and of lots that were accepted earlier.
 func (p *Part) insert(lot *lot, items ...*item) {
-	place, _ := slices.BinarySearchFunc(p.queue, lot.record.AcceptedMs+1, func(queued *item, acceptedMs int64) int {
+	index, _ := slices.BinarySearchFunc(p.queue, lot.record.AcceptedMs+1, func(queued *item, acceptedMs int64) int {
 		return cmp.Compare(queued.lot.record.AcceptedMs, acceptedMs)
 	})
-	p.queue = slices.Insert(p.queue, place, items...)
+	p.queue = slices.Insert(p.queue, index, items...)
 }
 
 // startItems starts queued items as far as their executors have capacity, and removes items from the queue that need no run any more.
