--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -16,18 +16,18 @@
 	"gannetline/internal/platform/logging"
 )
 
-// scriptedPeer answers calls for a configuration without a network.
+// scriptedPeer is an HTTP transport that passes calls for a configuration to the spec and gives back the answers that it queues.
 type scriptedPeer struct {
-	mux   *http.ServeMux
-	calls chan wire.ConfigurationCall
-	tell  chan *wire.ConfigurationAnswer
+	mux     *http.ServeMux
+	calls   chan wire.ConfigurationCall
+	answers chan *wire.ConfigurationAnswer
 }
 
 func newScriptedPeer() *scriptedPeer {
-	s := &scriptedPeer{mux: http.NewServeMux(), calls: make(chan wire.ConfigurationCall, 9), tell: make(chan *wire.ConfigurationAnswer, 9)}
+	s := &scriptedPeer{mux: http.NewServeMux(), calls: make(chan wire.ConfigurationCall, 9), answers: make(chan *wire.ConfigurationAnswer, 9)}
 	peerapi.Serve(s.mux, peerapi.ProcedurePlan, func(_ context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 		s.calls <- *call
-		return <-s.tell, nil
+		return <-s.answers, nil
 	})
 	return s
 }
@@ -38,7 +38,7 @@
 	return recorder.Result(), nil
 }
 
-var _ = Describe("a cache", func() {
+var _ = Describe("a cache with a scripted peer", func() {
 	var peer *scriptedPeer
 	var cache *configcache.Cache
 	var fakeClock *clock.Fake
@@ -49,30 +49,30 @@
 		peer, fakeClock, inForce = newScriptedPeer(), clock.NewFake(1), make(chan int64, 9)
 		cache = configcache.New(peerapi.NewCaller(&http.Client{Transport: peer}), fakeClock, logging.Silent(),
 			func(snapshot *configcache.Snapshot) { inForce <- snapshot.Committed.Version })
-		ctx, end := context.WithCancel(context.Background())
-		DeferCleanup(end)
+		ctx, cancel := context.WithCancel(context.Background())
+		DeferCleanup(cancel)
 		go cache.Run(ctx)
 	})
 
-	It("asks for changes on what it holds, and for the full configuration where they don't fit", func() {
+	It("asks for changes to its version, and for the full configuration if they don't fit", func() {
 		cache.Hold(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
 		wrong := *versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Changes[0]
-		wrong.Digest = "of another plan"
-		peer.tell <- &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{&wrong}}
+		wrong.Digest = "of another configuration"
+		peer.answers <- &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{&wrong}}
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChunks: true}))
 		Expect(cache.Current().Committed.Version).To(Equal(int64(3)))
-		peer.tell <- &wire.ConfigurationAnswer{Full: next}
+		peer.answers <- &wire.ConfigurationAnswer{Full: next}
 		Expect(<-inForce).To(Equal(int64(5)))
 		Expect(cache.Current().Committed.Body).To(Equal(next.Body))
 	})
 
-	It("asks for the full configuration without a base, and serves what it holds in turn", func() {
+	It("asks for the full configuration if it has none, and serves its version to others", func() {
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{AcceptsChunks: true}))
-		peer.tell <- &wire.ConfigurationAnswer{Full: old}
+		peer.answers <- &wire.ConfigurationAnswer{Full: old}
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.Hold(next)
 		Expect(<-inForce).To(Equal(int64(5)))
@@ -86,7 +86,7 @@
 		Expect(answer.Changes).To(HaveLen(1))
 	})
 
-	It("turns to each who was heard of during a fetch that left it behind, once", func() {
+	It("asks each peer reported during a fetch once, if the fetched version is older than theirs", func() {
 		cache.Hold(old)
 		<-inForce
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
@@ -94,18 +94,18 @@
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 7)
 		cache.Hold(old)
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 7)
-		peer.tell <- versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
+		peer.answers <- versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
 		for range 2 {
 			Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 5, AcceptsChanges: true, AcceptsChunks: true}))
-			peer.tell <- &wire.ConfigurationAnswer{}
+			peer.answers <- &wire.ConfigurationAnswer{}
 		}
 		cache.Hold(committedVersion(9, body(9)))
 		Expect(<-inForce).To(Equal(int64(9)))
 		Expect(peer.calls).To(BeEmpty())
 	})
 
-	It("asks a second peer only once the first one is slow", func() {
+	It("asks a second peer only once the call of the first has stalled", func() {
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		<-peer.calls
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 3)
@@ -115,7 +115,7 @@
 		fakeClock.Advance(250 * time.Millisecond)
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 5)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
-		peer.tell <- &wire.ConfigurationAnswer{}
-		peer.tell <- &wire.ConfigurationAnswer{}
+		peer.answers <- &wire.ConfigurationAnswer{}
+		peer.answers <- &wire.ConfigurationAnswer{}
 	})
 })
--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -1,5 +1,5 @@
-// Package configcache holds the newest committed configuration that a process knows, fetches newer ones from peers and
-// serves it to them; it never goes back.
+// Package configcache holds the newest committed configuration that a process knows. It fetches newer versions from peers and
+// serves its own to them. The version in force never decreases.
 package configcache
 
 import (
@@ -18,15 +18,15 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// Snapshot is the version in force, as it was committed and as it is looked up.
+// Snapshot is a version in force: the configuration as it was committed, and an index for look-ups in it.
 type Snapshot struct {
 	Committed *wire.Configuration
 	Matcher   *configuration.Matcher
 	version   *Version
 }
 
-// OtherServices gives all services but the given one whose pools may have jobs of a route: those that the route led to before, and those
-// of the versions that a rollout under way divides its jobs between.
+// OtherServices lists the services other than the given one whose pools may hold jobs of a route: the services that the route led to
+// before, and both services of a rollout in progress.
 func (s *Snapshot) OtherServices(route, service string) []string {
 	var others []string
 	add := func(other string) {
@@ -48,6 +48,7 @@
 	return others
 }
 
+// mailboxSize is how many calls may wait for the goroutine that owns the cache.
 const mailboxSize = 64
 
 // Cache holds the newest committed configuration, fetches newer ones from peers and serves it to them.
@@ -59,11 +60,11 @@
 	log      logging.Logger
 	onChange func(*Snapshot)
 	fetcher  *Fetcher
-	// answerSlots has room for the answers that may be under way at once.
+	// answerSlots holds an element for each answer in progress; its capacity is maxConcurrentAnswers.
 	answerSlots chan struct{}
 }
 
-// New makes a cache; onChange gets each version that comes into force, on the goroutine that owns the cache.
+// New makes an empty cache. onChange is called with each version that comes into force, on the goroutine that owns the cache.
 func New(caller *peerapi.Caller, clock clock.Clock, log logging.Logger, onChange func(*Snapshot)) *Cache {
 	cache := &Cache{mailbox: mailbox.New(mailboxSize), caller: caller, clock: clock, log: log, onChange: onChange,
 		answerSlots: make(chan struct{}, maxConcurrentAnswers)}
@@ -71,24 +72,26 @@
 	return cache
 }
 
-// Current gives the version in force, nil before the first.
+// Current returns the version in force, nil before the first. Any goroutine may call it.
 func (c *Cache) Current() *Snapshot { return c.current.Load() }
 
-// Version is the number of the version in force, 0 before the first. Any goroutine may ask.
+// Version returns the number of the version in force, 0 before the first. Any goroutine may call it.
 func (c *Cache) Version() int64 { return c.version().version() }
 
-// Run owns the cache until ctx is done.
+// Run makes the calling goroutine the owner of the cache until ctx is done.
 func (c *Cache) Run(ctx context.Context) error {
 	c.mailbox.Run(ctx, c.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
-// Hold takes a committed configuration.
+// Hold brings a committed configuration into force if it is newer than the current one. It blocks while the mailbox is full, so the
+// goroutine that owns the cache must not call it.
 func (c *Cache) Hold(committed *wire.Configuration) {
 	c.mailbox.Post(func() { c.fetcher.Hold(committed) })
 }
 
-// FetchFrom fetches a version that a peer holds and this process does not.
+// FetchFrom reports that a peer holds a version, which is fetched if it is newer than the one in force. It never blocks: while the
+// mailbox is full the report is dropped.
 func (c *Cache) FetchFrom(member wire.Member, version int64) {
 	c.mailbox.TryPost(func() { c.fetcher.PeerHolds(member, version) })
 }
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// use brings a version into force; an error says that it can't be read, and changes nothing.
+// use brings a version into force. An error means that the version can't be read; the version in force then stays.
 func (c *Cache) use(next *Version) error {
 	committed := next.Committed
 	decoded, err := configuration.Read(committed.Body)
@@ -116,18 +119,18 @@
 	return nil
 }
 
-// ask calls a peer and tells the fetcher of the outcome.
-func (c *Cache) ask(address string, call *wire.ConfigurationCall, patience time.Duration) {
+// ask calls a peer on a goroutine of its own and posts the outcome to the fetcher. The call fails after stallTimeout without a byte.
+func (c *Cache) ask(address string, call *wire.ConfigurationCall, stallTimeout time.Duration) {
 	go func() {
 		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), c.caller, c.clock, address,
-			peerapi.ProcedurePlan, patience, call)
+			peerapi.ProcedurePlan, stallTimeout, call)
 		c.mailbox.Post(func() { c.fetcher.HandleAnswer(address, call, answer, err) })
 	}()
 }
 
-// resumeAfter calls the fetcher after a while.
-func (c *Cache) resumeAfter(after time.Duration) {
-	due := c.clock.After(after)
+// resumeAfter posts a call of the fetcher's Resume once the delay is over.
+func (c *Cache) resumeAfter(delay time.Duration) {
+	due := c.clock.After(delay)
 	go func() {
 		<-due
 		c.mailbox.Post(c.fetcher.Resume)
--- a/internal/cluster/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -37,30 +37,32 @@
 	return &wire.Configuration{Version: version, Body: text, InitialVoters: []wire.InitialVoters{{Service: "s", Voters: []string{"a", "b"}}}}
 }
 
-func size(answer *wire.ConfigurationAnswer) int {
+// encodedSize is the size of an answer on the wire, in bytes.
+func encodedSize(answer *wire.ConfigurationAnswer) int {
 	text, err := easyjson.Marshal(answer)
 	Expect(err).NotTo(HaveOccurred())
 	return len(text)
 }
 
-// sent is the answer as it arrives over the wire.
-func sent(answer *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+// decoded is an answer after it was encoded and decoded, as a peer receives it.
+func decoded(answer *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
 	text, err := easyjson.Marshal(answer)
 	Expect(err).NotTo(HaveOccurred())
-	arrived := &wire.ConfigurationAnswer{}
-	Expect(easyjson.Unmarshal(text, arrived)).To(Succeed())
-	return arrived
+	received := &wire.ConfigurationAnswer{}
+	Expect(easyjson.Unmarshal(text, received)).To(Succeed())
+	return received
 }
 
-func versionOf(versions ...*wire.Configuration) *configcache.Version {
+// versionOf is the version that a process holds after the given configurations were committed in turn.
+func versionOf(configurations ...*wire.Configuration) *configcache.Version {
 	var current *configcache.Version
-	for _, element := range versions {
-		current = current.Next(element)
+	for _, committed := range configurations {
+		current = current.Next(committed)
 	}
 	return current
 }
 
-var _ = Describe("changes of a configuration", func() {
+var _ = Describe("the changes in an answer", func() {
 	old := committedVersion(3, body(3, routes(40)...))
 	changed := func(version int64, index, timeout int) *wire.Configuration {
 		all := routes(40)
@@ -68,49 +70,49 @@
 		return committedVersion(version, body(version, all...))
 	}
 
-	It("carry one route, and rebuild the body byte for byte", func() {
+	It("carry only the changed route, and rebuild the body byte for byte", func() {
 		next := changed(5, 7, 4000)
 		next.InitialVoters = append(next.InitialVoters, wire.InitialVoters{Service: "t", Voters: []string{"c"}})
 		next.Moved = []wire.MovedRoute{{Route: "r-7", Services: []string{"s"}}}
 		answer := versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Full).To(BeNil())
-		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the whole %d\n", size(answer), size(&wire.ConfigurationAnswer{Full: next}))
-		Expect(size(answer)).To(BeNumerically("<", 700))
-		taken, err := versionOf(old).Apply(sent(answer))
+		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the whole %d\n", encodedSize(answer), encodedSize(&wire.ConfigurationAnswer{Full: next}))
+		Expect(encodedSize(answer)).To(BeNumerically("<", 700))
+		applied, err := versionOf(old).Apply(decoded(answer))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(taken.Committed).To(Equal(next))
+		Expect(applied.Committed).To(Equal(next))
 	})
 
-	It("rebuild whatever an operator may send", func() {
-		draw := rand.New(rand.NewPCG(1, 2))
+	It("rebuild the body after any mix of added, changed and reordered routes", func() {
+		random := rand.New(rand.NewPCG(1, 2))
 		current := versionOf(old)
 		for version := int64(4); version < 200; version++ {
-			all := routes(20 + draw.IntN(30))
-			for range draw.IntN(4) {
-				all[draw.IntN(len(all))] = route("x-"+fmt.Sprint(version), draw.IntN(9999))
+			all := routes(20 + random.IntN(30))
+			for range random.IntN(4) {
+				all[random.IntN(len(all))] = route("x-"+fmt.Sprint(version), random.IntN(9999))
 			}
-			draw.Shuffle(draw.IntN(len(all)), func(i, j int) { all[i], all[j] = all[j], all[i] })
+			random.Shuffle(random.IntN(len(all)), func(i, j int) { all[i], all[j] = all[j], all[i] })
 			next := committedVersion(version, body(version, all...))
 			answer := current.Next(next).AnswerTo(&wire.ConfigurationCall{HeldVersion: version - 1, AcceptsChanges: true})
-			taken, err := current.Apply(sent(answer))
+			applied, err := current.Apply(decoded(answer))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(string(taken.Committed.Body)).To(Equal(string(next.Body)))
-			current = taken
+			Expect(string(applied.Committed.Body)).To(Equal(string(next.Body)))
+			current = applied
 		}
 	})
 
-	It("lead over several versions, in one answer", func() {
+	It("may lead over several versions", func() {
 		ahead := versionOf(old, changed(4, 1, 1), changed(5, 2, 2), changed(9, 3, 3))
 		answer := ahead.AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Changes).To(HaveLen(3))
-		taken, err := versionOf(old).Apply(sent(answer))
+		applied, err := versionOf(old).Apply(decoded(answer))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(taken.Committed).To(Equal(ahead.Committed))
-		again := taken.AnswerTo(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true})
+		Expect(applied.Committed).To(Equal(ahead.Committed))
+		again := applied.AnswerTo(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true})
 		Expect(again.Changes).To(HaveLen(2))
 	})
 
-	It("are kept for 32 versions, and the full configuration is sent beyond", func() {
+	It("are kept for 32 versions, beyond which the full configuration is sent", func() {
 		all := routes(400)
 		current := versionOf(committedVersion(3, body(3, all...)))
 		for version := range int64(33) {
@@ -121,7 +123,7 @@
 		Expect(current.AnswerTo(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true}).Changes).To(HaveLen(32))
 	})
 
-	It("are the full configuration where all of them together are longer than it", func() {
+	It("are replaced by the full configuration if together they are longer", func() {
 		current := versionOf(old)
 		for version := int64(4); version < 9; version++ {
 			all := routes(40)
@@ -134,19 +136,19 @@
 		Expect(current.AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true}).Full).NotTo(BeNil())
 	})
 
-	It("are not sent over a gap, to one without a base, or to a peer of an earlier version", func() {
+	It("are not sent for an unknown base, without a base, or to a peer that doesn't accept them", func() {
 		ahead := versionOf(old, changed(5, 1, 1), changed(7, 2, 2))
 		for _, call := range []*wire.ConfigurationCall{{HeldVersion: 6, AcceptsChanges: true}, {HeldVersion: 0, AcceptsChanges: true}, {HeldVersion: 5}} {
 			answer := ahead.AnswerTo(call)
 			Expect(answer.Changes).To(BeEmpty())
 			Expect(answer.Full.Version).To(Equal(int64(7)))
 		}
-		taken, err := versionOf(old).Apply(&wire.ConfigurationAnswer{Full: ahead.Committed})
+		applied, err := versionOf(old).Apply(&wire.ConfigurationAnswer{Full: ahead.Committed})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(taken.Committed.Version).To(Equal(int64(7)))
+		Expect(applied.Committed.Version).To(Equal(int64(7)))
 	})
 
-	It("that come twice, late or in another order never lead back", func() {
+	It("never lead to an older version when they come twice, late or out of order", func() {
 		four, five := changed(4, 1, 1), changed(5, 2, 2)
 		first := versionOf(old, four).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		second := versionOf(old, four, five).AnswerTo(&wire.ConfigurationCall{HeldVersion: 4, AcceptsChanges: true})
@@ -160,7 +162,7 @@
 		Expect(current.Committed).To(Equal(five))
 	})
 
-	It("are refused where the digest differs, the base is another or gone, or a part is beyond it", func() {
+	It("are rejected if the digest differs, the base is missing or different, or a part refers beyond the base", func() {
 		next := changed(5, 7, 4000)
 		answer := versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		current := versionOf(changed(3, 9, 1))
@@ -178,31 +180,31 @@
 		}
 	})
 
-	It("are the full configuration where nearly all is new", func() {
-		var fresh []string
+	It("are replaced by the full configuration if nearly all routes are new", func() {
+		var newRoutes []string
 		for number := range 40 {
-			fresh = append(fresh, route(fmt.Sprintf("other-%d", number), 1))
+			newRoutes = append(newRoutes, route(fmt.Sprintf("other-%d", number), 1))
 		}
-		answer := versionOf(old, committedVersion(5, body(5, fresh...))).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
+		answer := versionOf(old, committedVersion(5, body(5, newRoutes...))).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Full).NotTo(BeNil())
 	})
 
-	It("of a configuration of 1 MB are as short as those of a small one", func() {
+	It("are as short for a configuration of 1 MB as for a small one", func() {
 		all := routes(8000)
 		big := committedVersion(3, body(3, all...))
 		Expect(len(big.Body)).To(BeNumerically(">", 1<<20))
 		all[4000] = route("r-4000", 1)
 		next := committedVersion(4, body(4, all...))
 		answer := versionOf(big, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
-		Expect(size(answer)).To(BeNumerically("<", 700))
-		taken, err := versionOf(big).Apply(sent(answer))
+		Expect(encodedSize(answer)).To(BeNumerically("<", 700))
+		applied, err := versionOf(big).Apply(decoded(answer))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(bytes.Equal(taken.Committed.Body, next.Body)).To(BeTrue())
+		Expect(bytes.Equal(applied.Committed.Body, next.Body)).To(BeTrue())
 	})
 })
 
-var _ = Describe("cutting a configuration", func() {
-	It("loses no byte, and cuts around each route", func() {
+var _ = Describe("the segments of a configuration", func() {
+	It("join to the same bytes, and hold each route on its own", func() {
 		text := body(3, route("a", 1), route("b", 2))
 		segments := configcache.Segments(text)
 		Expect(bytes.Join(segments, nil)).To(Equal(text))
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -19,7 +19,7 @@
 	"gannetline/internal/platform/logging"
 )
 
-// BenchmarkVersion measures what one version costs at the sizes that users have and want.
+// BenchmarkVersion measures the cost of each step of one version, at the numbers of routes that users have and want.
 func BenchmarkVersion(b *testing.B) {
 	for _, count := range []int{40, 550, 1400} {
 		h := newHistory(count)
@@ -53,25 +53,25 @@
 	}
 }
 
-// blockedWriter is a caller that doesn't read its answer until it is let.
+// blockedWriter is the connection of a caller that doesn't read its answer until released is closed.
 type blockedWriter struct {
 	*httptest.ResponseRecorder
-	isWriting chan struct{}
-	isLet     chan struct{}
+	writing  chan struct{}
+	released chan struct{}
 }
 
 func (w blockedWriter) Write(text []byte) (int, error) {
-	w.isWriting <- struct{}{}
-	<-w.isLet
+	w.writing <- struct{}{}
+	<-w.released
 	return w.ResponseRecorder.Write(text)
 }
 
-var _ = Describe("a flood of fetches", func() {
+var _ = Describe("a cache that many peers fetch from", func() {
 	const maxConcurrentAnswers = 12
 
-	It("has a bounded number of answers under way; the next is sent on, and served once one is through", func() {
-		ctx, end := context.WithCancel(context.Background())
-		DeferCleanup(end)
+	It("is busy at the maximum of concurrent answers, and answers again once one has ended", func() {
+		ctx, cancel := context.WithCancel(context.Background())
+		DeferCleanup(cancel)
 		inForce := make(chan struct{}, 1)
 		cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.NewFake(1), logging.Silent(),
 			func(*configcache.Snapshot) { inForce <- struct{}{} })
@@ -80,33 +80,34 @@
 		cache.Handle(mux)
 		cache.Hold(newHistory(550).next())
 		<-inForce
-		isWriting, isLet, through := make(chan struct{}), make(chan struct{}), make(chan struct{}, maxConcurrentAnswers)
-		current := &scriptedPeer{mux: mux}
-		call := func(through http.RoundTripper) (*wire.ConfigurationAnswer, error) {
-			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(&http.Client{Transport: through}), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
+		writing, released, finished := make(chan struct{}), make(chan struct{}), make(chan struct{}, maxConcurrentAnswers)
+		unblocked := &scriptedPeer{mux: mux}
+		call := func(transport http.RoundTripper) (*wire.ConfigurationAnswer, error) {
+			return peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(&http.Client{Transport: transport}), "10.0.0.9:1", peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{AcceptsChunks: true})
 		}
 		for range maxConcurrentAnswers {
 			go func() {
 				call(roundTrip(func(request *http.Request) (*http.Response, error) {
 					recorder := httptest.NewRecorder()
-					mux.ServeHTTP(blockedWriter{recorder, isWriting, isLet}, request)
+					mux.ServeHTTP(blockedWriter{recorder, writing, released}, request)
 					return recorder.Result(), nil
 				}))
-				through <- struct{}{}
+				finished <- struct{}{}
 			}()
-			<-isWriting
+			<-writing
 		}
-		answer, err := call(current)
+		answer, err := call(unblocked)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(Equal(&wire.ConfigurationAnswer{Busy: true}))
-		close(isLet)
-		<-through
-		answer, err = call(current)
+		close(released)
+		<-finished
+		answer, err = call(unblocked)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Chunk).NotTo(BeNil())
 	})
 })
 
+// roundTrip is a function used as an HTTP transport.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (r roundTrip) RoundTrip(request *http.Request) (*http.Response, error) { return r(request) }
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -13,19 +13,21 @@
 )
 
 const (
-	// cutDepth is that of the elements of route-list and service-list, and of the fields of limits.
+	// cutDepth is the deepest nesting level at which a body is cut: the one of the elements of route-list and service-list, and of
+	// the fields of limits.
 	cutDepth = 2
-	// minReferencedBytes is not worth a reference of its own.
+	// minReferencedBytes is the least length of a segment that is sent as a reference: a reference to a shorter one saves next to
+	// nothing over its text.
 	minReferencedBytes = 32
 )
 
-// segment is a part of a body between two cuts; net is by how much it lies deeper at its end than at its beginning.
+// segment is the text of a body between two cuts. depthChange is the nesting depth at its end minus that at its start.
 type segment struct {
-	text []byte
-	net  int
+	text        []byte
+	depthChange int
 }
 
-// Segments cuts a configuration around its routes, services and limits; joined they are the same bytes again.
+// Segments cuts a configuration's JSON text around its routes, services and limits. The segments joined give the same bytes.
 func Segments(body []byte) [][]byte {
 	var texts [][]byte
 	for _, segment := range cut(body, 0) {
@@ -34,14 +36,15 @@
 	return texts
 }
 
-// cut cuts a text that begins at a depth, outside of strings: where each cut lies.
+// cut splits a JSON text into segments, at the commas and brackets down to cutDepth. The text starts at the given nesting depth and
+// outside of any string.
 func cut(body []byte, depth int) []segment {
 	var segments []segment
-	begin, beginDepth := 0, depth
+	start, startDepth := 0, depth
 	endSegment := func(end int) {
-		if end > begin {
-			segments = append(segments, segment{body[begin:end], depth - beginDepth})
-			begin, beginDepth = end, depth
+		if end > start {
+			segments = append(segments, segment{body[start:end], depth - startDepth})
+			start, startDepth = end, depth
 		}
 	}
 	isInString, isEscaped := false, false
@@ -70,8 +73,9 @@
 	return segments
 }
 
-// partsOf says a body in segments of a base, and in text where the base has none.
-func partsOf(base, body [][]byte) []wire.DeltaPart {
+// encodeParts expresses the segments of a body as references to those of a base, and as text where the base has no equal segment or
+// a reference isn't worth it. A segment that follows the one referenced last extends that reference whatever its length.
+func encodeParts(base, body [][]byte) []wire.DeltaPart {
 	firstIndex := map[string]int{}
 	for index, segment := range slices.Backward(base) {
 		firstIndex[string(segment)] = index
@@ -101,8 +105,8 @@
 	return parts
 }
 
-// assemble gives the segments of the body that the parts say, without reading the whole of it: those of a span are segments
-// of the new body too, and only text is cut anew.
+// assemble builds the segments of a body from the parts of a change, and fails if a part refers beyond the base. It doesn't scan the
+// whole body: referenced segments are segments of the new body too, and only the text is cut.
 func assemble(base []segment, parts []wire.DeltaPart) ([]segment, error) {
 	segments := make([]segment, 0, len(base)+len(parts))
 	depth := 0
@@ -110,25 +114,25 @@
 		if part.From < 0 || part.Count < 0 || part.From > len(base) || part.Count > len(base)-part.From {
 			return nil, errors.Annotate(ErrBadDelta, "a part of the change is not in the configuration's base")
 		}
-		run := base[part.From : part.From+part.Count]
-		depth += netDepth(run)
-		text := cut([]byte(part.Text), depth)
-		depth += netDepth(text)
-		segments = append(append(segments, run...), text...)
+		referenced := base[part.From : part.From+part.Count]
+		depth += sumDepthChanges(referenced)
+		added := cut([]byte(part.Text), depth)
+		depth += sumDepthChanges(added)
+		segments = append(append(segments, referenced...), added...)
 	}
 	return segments, nil
 }
 
-// netDepth is by how much the depth is greater after the segments than before them.
-func netDepth(segments []segment) int {
-	net := 0
+// sumDepthChanges is the nesting depth after the segments minus that before them.
+func sumDepthChanges(segments []segment) int {
+	sum := 0
 	for _, segment := range segments {
-		net += segment.net
+		sum += segment.depthChange
 	}
-	return net
+	return sum
 }
 
-// join copies segments into one text.
+// join concatenates the texts of segments.
 func join(segments []segment) []byte {
 	length := 0
 	for _, segment := range segments {
@@ -141,11 +145,11 @@
 	return body
 }
 
-// digestOf covers all of a configuration that peers pass on.
+// digestOf is the hexadecimal sha256 of all that peers pass on of a configuration: body, version, initial voters and moved routes.
 func digestOf(committed *wire.Configuration) (string, error) {
 	rest, err := easyjson.Marshal(wire.Configuration{Version: committed.Version, InitialVoters: committed.InitialVoters, Moved: committed.Moved})
 	if err != nil {
-		return "", errors.Annotate(err, "the digest of a configuration")
+		return "", errors.Annotate(err, "computing the digest of a configuration")
 	}
 	sum := sha256.New()
 	sum.Write(committed.Body)
@@ -153,7 +157,8 @@
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// deltaBetween gives what makes the base into the committed configuration; nothing if the full configuration would hardly be longer.
+// deltaBetween gives the change from the base to a committed configuration. It gives nil where a change can't express the difference,
+// as it can't remove initial voters or moved routes, and where its text is longer than half of the full body.
 func deltaBetween(base, committed *wire.Configuration) *wire.ConfigurationDelta {
 	if len(committed.InitialVoters) < len(base.InitialVoters) || len(committed.Moved) < len(base.Moved) {
 		return nil
@@ -163,7 +168,7 @@
 		return nil
 	}
 	change := &wire.ConfigurationDelta{Base: base.Version, Version: committed.Version, Digest: digest,
-		Parts: partsOf(Segments(base.Body), Segments(committed.Body)), InitialVoters: committed.InitialVoters[len(base.InitialVoters):]}
+		Parts: encodeParts(Segments(base.Body), Segments(committed.Body)), InitialVoters: committed.InitialVoters[len(base.InitialVoters):]}
 	for index, moved := range committed.Moved {
 		if index >= len(base.Moved) || !isSameRoute(base.Moved[index], moved) {
 			change.Moved = append(change.Moved, moved)
@@ -179,7 +184,7 @@
 	return a.Route == b.Route && slices.Equal(a.Services, b.Services)
 }
 
-// textBytes is how many bytes of text a change brings.
+// textBytes is how many bytes of a body a change carries as text.
 func textBytes(change *wire.ConfigurationDelta) int {
 	count := 0
 	for _, part := range change.Parts {
@@ -188,8 +193,8 @@
 	return count
 }
 
-// applyChain makes the configuration that a chain of changes leads to. Its digest must be the one that the last change names, which
-// it has only if all before it were right.
+// applyChain applies a chain of changes to a base. Only the digest of the last change is checked: the result has that digest only if
+// all earlier changes were right too.
 func applyChain(base *wire.Configuration, changes []*wire.ConfigurationDelta) (*wire.Configuration, error) {
 	segments := cut(base.Body, 0)
 	committed := &wire.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
@@ -213,7 +218,7 @@
 	return committed, nil
 }
 
-// mergeMoved replaces the entries of routes that have moved again, and adds the others.
+// mergeMoved replaces the entries of routes that have moved again, and appends those of routes that moved for the first time.
 func mergeMoved(all, added []wire.MovedRoute) []wire.MovedRoute {
 	for _, moved := range added {
 		index := slices.IndexFunc(all, func(known wire.MovedRoute) bool { return known.Route == moved.Route })
--- a/internal/cluster/configcache/errors.go
+++ b/internal/cluster/configcache/errors.go
@@ -2,16 +2,16 @@
 
 import "github.com/juju/errors"
 
-// Why an answer of a peer brought no version. Each comes annotated with what was wrong.
+// Reasons why a peer's answer brought no version. All but ErrPeerBusy are annotated with the details.
 const (
-	// ErrPeerBusy is the answer of a peer that serves as many others as it may.
-	ErrPeerBusy = errors.ConstError("the peer answers too many others")
-	// ErrBaseMismatch refuses a change that does not build on the version in force.
-	ErrBaseMismatch = errors.ConstError("the change has another base")
-	// ErrBadDelta refuses a change whose result is not what its digest promises.
-	ErrBadDelta = errors.ConstError("the change doesn't fit its base")
-	// ErrBadImage refuses an image that is not what its name and version promise.
-	ErrBadImage = errors.ConstError("the image is damaged")
-	// ErrBadChunk refuses a chunk that is not the next one of an image.
-	ErrBadChunk = errors.ConstError("the chunk doesn't fit the image")
+	// ErrPeerBusy is the answer of a peer with maxConcurrentAnswers answers in progress.
+	ErrPeerBusy = errors.ConstError("the peer already answers as many calls as it may")
+	// ErrBaseMismatch rejects a change whose base is not the version in force.
+	ErrBaseMismatch = errors.ConstError("the configuration change has another base")
+	// ErrBadDelta rejects a change that refers beyond its base, or whose result doesn't have the change's digest.
+	ErrBadDelta = errors.ConstError("the configuration change doesn't fit its base")
+	// ErrBadImage rejects an image whose content doesn't match its name or version.
+	ErrBadImage = errors.ConstError("the configuration image is damaged")
+	// ErrBadChunk rejects a chunk that is not the next one of an image.
+	ErrBadChunk = errors.ConstError("the chunk doesn't fit the configuration image")
 )
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// A peer is given up after the patience without a byte. It starts short, grows while peers stall, and
-	// follows the time that answers take.
-	minPatience = 200 * time.Millisecond
-	maxPatience = 3200 * time.Millisecond
-	// patienceFactor is how many times as long as the last answer took the next one may be silent.
-	patienceFactor = 3
-	// failurePause lies before a peer that failed is asked again, times its failures.
-	failurePause = 100 * time.Millisecond
-	// pauseFactor times what applying a version took goes by before the next one is fetched, maxPause at most:
-	// in a storm of versions most are passed over, and a slow processor keeps its time for calls.
-	pauseFactor = 4
-	maxPause    = 400 * time.Millisecond
+	// A call fails once the stall timeout passes without a byte from the peer. The timeout starts at its minimum, doubles with each
+	// stalled call, and after an answer is stallTimeoutFactor times as long as that answer took.
+	minStallTimeout    = 200 * time.Millisecond
+	maxStallTimeout    = 3200 * time.Millisecond
+	stallTimeoutFactor = 3
+	// failureBackoff is the delay before a peer that failed is asked again, per failure in a row.
+	failureBackoff = 100 * time.Millisecond
+	// After a version came into force, the next fetch waits applyPauseFactor times as long as applying it took, at most
+	// maxApplyPause. In a storm of versions most are then skipped, and a slow processor keeps time for its other calls.
+	applyPauseFactor = 4
+	maxApplyPause    = 400 * time.Millisecond
 )
 
-// Actions are what a fetcher has its process do.
+// Actions are the side effects of a fetcher; its process carries them out.
 type Actions struct {
-	// Ask calls a peer that may be silent for the patience; HandleAnswer gets the outcome.
-	Ask func(address string, call *wire.ConfigurationCall, patience time.Duration)
-	// ResumeAfter calls the fetcher's Resume after a while.
-	ResumeAfter func(after time.Duration)
-	// Use brings a version into force; an error says that it can't be read.
+	// Ask calls a peer, and fails once stallTimeout passes without a byte. It must not block; the outcome goes to HandleAnswer.
+	Ask func(address string, call *wire.ConfigurationCall, stallTimeout time.Duration)
+	// ResumeAfter arranges a call of the fetcher's Resume once the delay is over.
+	ResumeAfter func(delay time.Duration)
+	// Use brings a version into force. An error means that the version can't be read; the version in force then stays.
 	Use func(*Version) error
 }
 
-// Fetcher decides whom to ask for what, one call at a time. It knows neither goroutines nor sockets.
+// Fetcher decides which peer to ask for which version, one call at a time. It starts no goroutine and opens no socket, and only one
+// goroutine may call it.
 type Fetcher struct {
 	clock   clock.Clock
 	log     logging.Logger
@@ -47,25 +47,26 @@
 	transfers imageTransfers
 	images    imageCache
 
-	patience   time.Duration
+	stallTimeout time.Duration
+	// askedAt is the monotonic time at which the last call began.
 	askedAt    time.Duration
 	isFetching bool
 	isPausing  bool
 }
 
-// NewFetcher makes a fetcher that holds nothing yet.
+// NewFetcher makes a fetcher without a version in force.
 func NewFetcher(clock clock.Clock, log logging.Logger, actions Actions) *Fetcher {
-	return &Fetcher{clock: clock, log: log, actions: actions, patience: minPatience}
+	return &Fetcher{clock: clock, log: log, actions: actions, stallTimeout: minStallTimeout}
 }
 
-// Hold takes a committed configuration.
+// Hold brings a committed configuration into force if it is newer than the current one.
 func (f *Fetcher) Hold(committed *wire.Configuration) {
 	if err := f.adopt(f.current.Next(committed)); err != nil {
 		f.log.Error(err, "the committed configuration can't be read", "version", committed.Version)
 	}
 }
 
-// adopt brings a version into force; an error says that it can't be read, and changes nothing.
+// adopt brings a version into force. An error means that the version can't be read; the version in force then stays.
 func (f *Fetcher) adopt(next *Version) error {
 	if next == f.current {
 		return nil
@@ -74,39 +75,40 @@
 		return err
 	}
 	f.current = next
-	f.transfers.reached(next.version())
+	f.transfers.dropUpTo(next.version())
 	return nil
 }
 
-// PeerHolds notes that a peer holds a version, and fetches it if it is newer.
+// PeerHolds reports that a peer holds a version, which is fetched if it is newer than the one in force.
 func (f *Fetcher) PeerHolds(member wire.Member, version int64) {
 	if version > f.current.version() {
-		f.peers.note(member, version)
+		f.peers.recordVersion(member, version)
 		f.fetchNext()
 	}
 }
 
-// Chunk gives a peer a chunk of an image of the configuration.
+// Chunk gives the chunk of an image of the configuration with which a peer's call is answered.
 func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
 
-// Resume goes on after a pause.
+// Resume ends a pause, and fetches from the next peer if one is ahead.
 func (f *Fetcher) Resume() {
 	f.isPausing = false
 	f.fetchNext()
 }
 
-func (f *Fetcher) pause(length time.Duration) {
-	if length <= 0 {
+// pause delays the next fetch. Without a delay it starts the fetch at once.
+func (f *Fetcher) pause(delay time.Duration) {
+	if delay <= 0 {
 		f.fetchNext()
 		return
 	}
 	f.isPausing = true
-	f.actions.ResumeAfter(length)
+	f.actions.ResumeAfter(delay)
 }
 
-// fetchNext asks the best peer that is ahead, if there is one and no call is under way.
+// fetchNext asks the best peer that holds a newer version, unless a call is in flight or the fetcher pauses.
 func (f *Fetcher) fetchNext() {
 	if f.isFetching || f.isPausing {
 		return
@@ -116,36 +118,38 @@
 	}
 }
 
-func (f *Fetcher) ask(address string, takesChanges bool) {
+// ask calls a peer for a newer version. Without acceptsChanges the peer sends the whole configuration in chunks.
+func (f *Fetcher) ask(address string, acceptsChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
-	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: takesChanges && f.current != nil, AcceptsChunks: true}
+	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
 	if transfer := f.transfers.resumable(address); transfer != nil {
 		call.Image, call.Offset = transfer.image.Name, len(transfer.image.data)
 	}
-	f.actions.Ask(address, call, f.patience)
+	f.actions.Ask(address, call, f.stallTimeout)
 }
 
-// HandleAnswer handles the outcome of a call, and goes on with what is next.
+// HandleAnswer handles the outcome of a call, and starts the next call or a pause.
 func (f *Fetcher) HandleAnswer(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer, err error) {
 	f.isFetching = false
 	switch {
 	case errors.Is(err, peerapi.ErrStalled):
-		f.patience = min(2*f.patience, maxPatience)
-		f.failed(address, err)
+		f.stallTimeout = min(2*f.stallTimeout, maxStallTimeout)
+		f.handleFailure(address, err)
 	case err != nil:
-		f.failed(address, err)
+		f.handleFailure(address, err)
 	case answer.Busy:
-		f.failed(address, ErrPeerBusy)
+		f.handleFailure(address, ErrPeerBusy)
 	default:
-		f.patience = max(minPatience, min(patienceFactor*(f.clock.Monotonic()-f.askedAt), maxPatience))
-		bodyBytesFetched.Add(bytesOf(answer))
+		f.stallTimeout = max(minStallTimeout, min(stallTimeoutFactor*(f.clock.Monotonic()-f.askedAt), maxStallTimeout))
+		bodyBytesFetched.Add(countBytes(answer))
 		f.apply(address, call, answer)
 	}
 }
 
-// apply uses an answer, and goes on with the rest of an image or with what is next.
+// apply brings the version of an answer into force. It then asks for the next chunk of an incomplete image, for the full configuration
+// if the changes don't fit, or goes on with the next peer.
 func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
-	begunAt, before := f.clock.Monotonic(), f.current
+	startedAt, previous := f.clock.Monotonic(), f.current
 	next, isComplete, err := f.read(address, answer)
 	switch {
 	case err != nil && call.AcceptsChanges && len(answer.Changes) > 0:
@@ -153,31 +157,31 @@
 		f.ask(address, false)
 		return
 	case err != nil:
-		f.failed(address, err)
+		f.handleFailure(address, err)
 		return
 	case !isComplete:
-		f.peers.answered(address)
+		f.peers.recordSuccess(address)
 		f.ask(address, call.AcceptsChanges)
 		return
 	}
 	if err := f.adopt(next); err != nil {
 		f.peers.forget(address)
-		f.failed(address, err)
+		f.handleFailure(address, err)
 		return
 	}
-	if f.current == before {
+	if f.current == previous {
 		if call.HeldVersion == f.current.version() {
-			// The peer has nothing newer, whatever was said of it.
+			// The peer has nothing newer, although it was reported to hold a newer version.
 			f.peers.forget(address)
 		}
 		f.fetchNext()
 		return
 	}
-	f.peers.answered(address)
-	f.pause(min(pauseFactor*(f.clock.Monotonic()-begunAt), maxPause))
+	f.peers.recordSuccess(address)
+	f.pause(min(applyPauseFactor*(f.clock.Monotonic()-startedAt), maxApplyPause))
 }
 
-// read makes a version of an answer; it is not complete while chunks of its image are missing.
+// read decodes the version in an answer. isComplete is false, and next nil, while chunks of its image are missing.
 func (f *Fetcher) read(address string, answer *wire.ConfigurationAnswer) (next *Version, isComplete bool, err error) {
 	if answer.Chunk == nil {
 		next, err = f.current.Apply(answer)
@@ -186,7 +190,7 @@
 	if answer.Chunk.Version <= f.current.version() {
 		return f.current, true, nil
 	}
-	image, err := f.transfers.take(address, answer.Chunk)
+	image, err := f.transfers.addChunk(address, answer.Chunk)
 	if err != nil || image == nil {
 		return nil, false, err
 	}
@@ -198,17 +202,17 @@
 	return f.current.Next(committed), true, nil
 }
 
-// failed turns to another peer, or after a pause to the same one.
-func (f *Fetcher) failed(address string, reason error) {
+// handleFailure counts a failure of a peer and goes on with the next peer, after a pause if that one has failed too.
+func (f *Fetcher) handleFailure(address string, reason error) {
 	f.log.Info("configuration not fetched", "peer", address, "reason", reason.Error())
-	f.peers.failed(address)
+	f.peers.recordFailure(address)
 	if next := f.peers.next(f.current.version()); next != nil {
-		f.pause(time.Duration(next.failures) * failurePause)
+		f.pause(time.Duration(next.failures) * failureBackoff)
 	}
 }
 
-// bytesOf counts what an answer holds of configurations: text, in full or in parts, and chunks.
-func bytesOf(answer *wire.ConfigurationAnswer) int {
+// countBytes is how many bytes of configurations an answer carries: a full body, the text of changes, and a chunk of an image.
+func countBytes(answer *wire.ConfigurationAnswer) int {
 	count := 0
 	if answer.Full != nil {
 		count = len(answer.Full.Body)
--- a/internal/cluster/configcache/fetch_test.go
+++ b/internal/cluster/configcache/fetch_test.go
@@ -18,24 +18,25 @@
 
 const smallBody = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s"}],"service-list":[{"name":"s"}]}`
 
-func runningCache(onChange func(*configcache.Snapshot)) *configcache.Cache {
-	ctx, end := context.WithCancel(context.Background())
+// startCache runs a cache until the spec ends.
+func startCache(onChange func(*configcache.Snapshot)) *configcache.Cache {
+	ctx, cancel := context.WithCancel(context.Background())
 	cache := configcache.New(peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent(), onChange)
-	over := make(chan error, 1)
-	go func() { over <- cache.Run(ctx) }()
+	ended := make(chan error, 1)
+	go func() { ended <- cache.Run(ctx) }()
 	DeferCleanup(func() {
-		end()
-		Expect(<-over).To(Succeed())
+		cancel()
+		Expect(<-ended).To(Succeed())
 	})
 	return cache
 }
 
-var _ = Describe("the configuration that a process holds", func() {
-	It("is fetched from a peer that is ahead, and counted", func() {
+var _ = Describe("a cache that is behind a peer", func() {
+	It("fetches the newer configuration, and counts versions and bytes", func() {
 		before := metrics.Own()
 		snapshots := make(chan *configcache.Snapshot, 2)
 		onChange := func(snapshot *configcache.Snapshot) { snapshots <- snapshot }
-		ahead, behind := runningCache(onChange), runningCache(onChange)
+		ahead, behind := startCache(onChange), startCache(onChange)
 		mux := http.NewServeMux()
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
@@ -46,11 +47,11 @@
 		Expect((<-snapshots).Committed.Version).To(Equal(int64(7)))
 		Expect(behind.Current().Matcher.Match("h.example", "/q/x").Name).To(Equal("a"))
 		own := metrics.Own()
-		grown := func(name string) float64 { return own[name] - before[name] }
-		Expect(grown("gannetline_configuration_versions_total")).To(Equal(2.0))
+		increaseOf := func(name string) float64 { return own[name] - before[name] }
+		Expect(increaseOf("gannetline_configuration_versions_total")).To(Equal(2.0))
 		Expect(own).To(HaveKeyWithValue("gannetline_configuration_version", 7.0))
 		image, err := configcache.Pack(ahead.Current().Committed)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(grown("gannetline_configuration_fetched_bytes_total")).To(Equal(float64(image.Size())))
+		Expect(increaseOf("gannetline_configuration_fetched_bytes_total")).To(Equal(float64(image.Size())))
 	})
 })
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// chunkBytes of an image go into one answer: 64 ms of a link of 2 Mbit/s.
+	// chunkBytes is the most of an image that goes into one answer. It takes 64 ms of a link of 2 Mbit/s.
 	chunkBytes = 16 << 10
-	// maxImageBytes bounds an image, packed and unpacked.
+	// maxImageBytes is the maximum size of an image, both compressed and decompressed.
 	maxImageBytes = 16 << 20
 )
 
-// Image is the compressed form of one version, which peers fetch in chunks.
+// Image is one version in compressed form, as peers fetch it in chunks.
 type Image struct {
 	Version int64
-	// Name is the sha256 of the data, in hexadecimal.
+	// Name is the hexadecimal sha256 of the compressed data.
 	Name string
 	data []byte
 }
 
-// Pack compresses a version.
+// Pack makes the image of a committed configuration.
 func Pack(committed *wire.Configuration) (*Image, error) {
 	text, err := easyjson.Marshal(committed)
 	if err != nil {
@@ -54,13 +54,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Size is the length of the image in bytes.
+// Size is the compressed length of the image in bytes.
 func (i *Image) Size() int { return len(i.data) }
 
-// Unpack gives back the version; an error says that the data are not what their name and version promise.
+// Unpack decompresses the image. It fails if the data don't match the image's name and version.
 func (i *Image) Unpack() (*wire.Configuration, error) {
 	if digestOfImage(i.data) != i.Name {
-		return nil, errors.Annotatef(ErrBadImage, "version %d has another digest than its name", i.Version)
+		return nil, errors.Annotatef(ErrBadImage, "the digest of the image of version %d is not its name", i.Version)
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.data)), maxImageBytes))
 	if err != nil {
@@ -71,12 +71,13 @@
 		return nil, errors.Annotatef(err, "reading the image of version %d", i.Version)
 	}
 	if committed.Version != i.Version {
-		return nil, errors.Annotatef(ErrBadImage, "that of version %d holds version %d", i.Version, committed.Version)
+		return nil, errors.Annotatef(ErrBadImage, "the image of version %d holds version %d", i.Version, committed.Version)
 	}
 	return committed, nil
 }
 
-// chunk gives the part that a call goes on with; one that names another image, or no place in this one, starts over.
+// chunk gives the chunk at the offset that a call asks for. A call that names another image, or an offset outside of this one, gets
+// the first chunk.
 func (i *Image) chunk(call *wire.ConfigurationCall) *wire.ConfigurationChunk {
 	offset := 0
 	if call.Image == i.Name && call.Offset > 0 && call.Offset < len(i.data) {
@@ -86,9 +87,10 @@
 	return &wire.ConfigurationChunk{Version: i.Version, Image: i.Name, Size: len(i.data), Offset: offset, Data: i.data[offset:end]}
 }
 
-// imageCache keeps the images whose transfers may be under way, the one that was asked for last at the end.
+// imageCache keeps the images that peers may be fetching, the most recently used last.
 type imageCache struct{ images []*Image }
 
+// maxImages is how many images a process keeps for its peers.
 const maxImages = 8
 
 func (c *imageCache) put(image *Image) {
@@ -96,7 +98,7 @@
 	c.images = c.images[max(0, len(c.images)-maxImages):]
 }
 
-// touch gives the image that a check finds, and keeps it longest.
+// touch gives the first matching image, nil if there is none, and makes it the most recently used.
 func (c *imageCache) touch(matches func(*Image) bool) *Image {
 	index := slices.IndexFunc(c.images, matches)
 	if index < 0 {
@@ -107,8 +109,9 @@
 	return image
 }
 
-// chunk answers a call from the image that it names, or else from one that changes lead on from, or from a new one. So
-// a transfer goes on to its end while new versions come, and an image is made only where the changes don't reach.
+// chunk answers a call from the image that the call names, so that a transfer ends even if newer versions come meanwhile. Without that
+// image it uses one from which the kept changes lead to the current version, and makes an image of the current version only if there
+// is none.
 func (c *imageCache) chunk(current *Version, call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	named := c.touch(func(image *Image) bool { return image.Name == call.Image && image.Version > call.HeldVersion })
 	if named != nil {
@@ -129,32 +132,34 @@
 	return image.chunk(call), nil
 }
 
-// imageTransfer is an image of which some chunks have come.
+// imageTransfer is an image in transfer, of which the first chunks were received. from is the address that sent the last one.
 type imageTransfer struct {
 	image Image
 	size  int
 	from  string
 }
 
-// remaining is how many bytes are still missing.
+// remaining is how many bytes of the image are still missing.
 func (t *imageTransfer) remaining() int { return t.size - len(t.image.data) }
 
-// fits tells whether a chunk is the next one of this image.
-func (t *imageTransfer) fits(chunk *wire.ConfigurationChunk) bool {
-	isSame := chunk.Size == t.size && chunk.Version == t.image.Version
-	isNext := chunk.Offset == len(t.image.data)
-	return isSame && isNext && len(chunk.Data) > 0 && len(chunk.Data) <= t.remaining()
+// isNextChunk reports whether a chunk is the next one of this image.
+func (t *imageTransfer) isNextChunk(chunk *wire.ConfigurationChunk) bool {
+	isSameImage := chunk.Size == t.size && chunk.Version == t.image.Version
+	isNextOffset := chunk.Offset == len(t.image.data)
+	return isSameImage && isNextOffset && len(chunk.Data) > 0 && len(chunk.Data) <= t.remaining()
 }
 
-// imageTransfers keep what came of an image when a peer goes silent; another peer may hold the same image.
-type imageTransfers struct{ underway []*imageTransfer }
+// imageTransfers keeps the received chunks of images, also after a peer has stopped answering, as another peer may hold the same image.
+type imageTransfers struct{ incomplete []*imageTransfer }
 
+// maxTransfers is how many incomplete images a process keeps.
 const maxTransfers = 3
 
-// resumable is the image to go on with at a peer: one that it sent before, or the one with the least left.
+// resumable gives the transfer to resume at a peer: one whose last chunk came from it, else the one with the fewest bytes missing. It
+// is nil without transfers.
 func (t *imageTransfers) resumable(address string) *imageTransfer {
 	var shortest *imageTransfer
-	for _, transfer := range t.underway {
+	for _, transfer := range t.incomplete {
 		if transfer.from == address {
 			return transfer
 		}
@@ -165,20 +170,20 @@
 	return shortest
 }
 
-// take adds a chunk; it gives the image once it is complete.
-func (t *imageTransfers) take(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
+// addChunk adds a received chunk to its image. It gives the image once it is complete, nil before.
+func (t *imageTransfers) addChunk(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
 	transfer := t.find(chunk)
 	if transfer == nil {
 		if chunk.Offset != 0 || chunk.Size <= 0 || chunk.Size > maxImageBytes {
-			return nil, errors.Annotatef(ErrBadChunk, "of an unknown image at %d of %d bytes", chunk.Offset, chunk.Size)
+			return nil, errors.Annotatef(ErrBadChunk, "chunk of an unknown image at offset %d of %d bytes", chunk.Offset, chunk.Size)
 		}
 		transfer = t.add(&imageTransfer{image: Image{Version: chunk.Version, Name: chunk.Image}, size: chunk.Size})
 	}
 	transfer.from = address
 	received := len(transfer.image.data)
-	if !transfer.fits(chunk) {
+	if !transfer.isNextChunk(chunk) {
 		t.drop(transfer)
-		return nil, errors.Annotatef(ErrBadChunk, "%d bytes at %d of %d, and %d of %d are here", len(chunk.Data), chunk.Offset, chunk.Size, received, transfer.size)
+		return nil, errors.Annotatef(ErrBadChunk, "chunk of %d bytes at offset %d of %d, but %d of %d bytes were received", len(chunk.Data), chunk.Offset, chunk.Size, received, transfer.size)
 	}
 	transfer.image.data = append(transfer.image.data, chunk.Data...)
 	if transfer.remaining() > 0 {
@@ -189,7 +194,7 @@
 }
 
 func (t *imageTransfers) find(chunk *wire.ConfigurationChunk) *imageTransfer {
-	for _, transfer := range t.underway {
+	for _, transfer := range t.incomplete {
 		if transfer.image.Name == chunk.Image {
 			return transfer
 		}
@@ -197,18 +202,18 @@
 	return nil
 }
 
-// add makes room by dropping the transfer that has most left.
+// add appends a transfer. If maxTransfers are kept already, the one with the most bytes missing is dropped first.
 func (t *imageTransfers) add(transfer *imageTransfer) *imageTransfer {
-	if len(t.underway) == maxTransfers {
-		longest := t.underway[0]
-		for _, other := range t.underway {
+	if len(t.incomplete) == maxTransfers {
+		longest := t.incomplete[0]
+		for _, other := range t.incomplete {
 			if other.remaining() > longest.remaining() {
 				longest = other
 			}
 		}
 		t.drop(longest)
 	}
-	t.underway = append(t.underway, transfer)
+	t.incomplete = append(t.incomplete, transfer)
 	return transfer
 }
 
@@ -216,18 +221,18 @@
 	t.keep(func(transfer *imageTransfer) bool { return transfer != dropped })
 }
 
-// reached drops images that the version in force makes useless.
-func (t *imageTransfers) reached(version int64) {
+// dropUpTo drops the transfers of the given version and older ones, which are no longer needed once that version is in force.
+func (t *imageTransfers) dropUpTo(version int64) {
 	t.keep(func(transfer *imageTransfer) bool { return transfer.image.Version > version })
 }
 
-// keep drops the transfers that isKept is false for.
+// keep drops the transfers for which isKept is false.
 func (t *imageTransfers) keep(isKept func(*imageTransfer) bool) {
 	var kept []*imageTransfer
-	for _, transfer := range t.underway {
+	for _, transfer := range t.incomplete {
 		if isKept(transfer) {
 			kept = append(kept, transfer)
 		}
 	}
-	t.underway = kept
+	t.incomplete = kept
 }
--- a/internal/cluster/configcache/peers.go
+++ b/internal/cluster/configcache/peers.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// maxPeers that are ahead are remembered; maxFailures in a row make one be forgotten until it is named again.
-	maxPeers    = 16
+	// maxPeers is how many peers with a newer version are remembered.
+	maxPeers = 16
+	// maxFailures is how many failures in a row remove a peer, until it is reported again.
 	maxFailures = 3
 	roleSteward = "steward"
 )
 
-// peer is a process that is said to hold a newer version.
+// peer is a process that was reported to hold a newer version. failures counts its failed calls in a row.
 type peer struct {
 	address   string
 	isSteward bool
@@ -22,11 +23,12 @@
 	failures  int
 }
 
-// peers are the peers that may be asked, in no order.
+// peers are the peers that may be asked, in the order in which they were first reported.
 type peers struct{ known []*peer }
 
-// note remembers who holds a version; what failed there before stays counted while others are left to ask.
-func (p *peers) note(member wire.Member, version int64) {
+// recordVersion remembers that a peer holds a version. It keeps the failure count of a peer that is known already, so that peers
+// without failures are still asked first. A new peer replaces the oldest one once maxPeers are known.
+func (p *peers) recordVersion(member wire.Member, version int64) {
 	if known := p.find(member.Address); known != nil {
 		known.version = max(known.version, version)
 		return
@@ -46,7 +48,8 @@
 	return nil
 }
 
-// next is the peer to ask: the fewest failures, then stewards, whose links are wider, then the newest version.
+// next gives the peer to ask, nil if none holds a newer version than the current one. Peers with fewer failures go first, then
+// stewards, whose links are faster, then those with the newest version. Peers without a newer version are forgotten.
 func (p *peers) next(current int64) *peer {
 	p.known = slices.DeleteFunc(p.known, func(known *peer) bool { return known.version <= current })
 	if len(p.known) == 0 {
@@ -65,8 +68,8 @@
 	})
 }
 
-// failed counts a failure in a row.
-func (p *peers) failed(address string) {
+// recordFailure counts a failed call, and forgets the peer after maxFailures in a row.
+func (p *peers) recordFailure(address string) {
 	if known := p.find(address); known != nil {
 		if known.failures++; known.failures >= maxFailures {
 			p.forget(address)
@@ -74,7 +77,8 @@
 	}
 }
 
-func (p *peers) answered(address string) {
+// recordSuccess resets the count of failures.
+func (p *peers) recordSuccess(address string) {
 	if known := p.find(address); known != nil {
 		known.failures = 0
 	}
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -9,30 +9,30 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// maxConcurrentAnswers may be under way at once, from the call to its last byte: what a flood of fetches takes of this
-// process's link at any moment is at most that many chunks. Others are sent on.
+// maxConcurrentAnswers is how many answers may be in progress at once, from the call to the last byte. A flood of fetches thus takes
+// at most that many chunks of this process's link at any moment. Further callers get the answer Busy and ask another peer.
 const maxConcurrentAnswers = 12
 
-// Handle lets peers fetch the configuration.
+// Handle registers the procedure by which peers fetch the configuration.
 func (c *Cache) Handle(mux *http.ServeMux) {
-	open, full := http.NewServeMux(), http.NewServeMux()
-	peerapi.Serve(open, peerapi.ProcedurePlan, c.answer)
-	peerapi.Serve(full, peerapi.ProcedurePlan, func(context.Context, *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
+	accepting, refusing := http.NewServeMux(), http.NewServeMux()
+	peerapi.Serve(accepting, peerapi.ProcedurePlan, c.answer)
+	peerapi.Serve(refusing, peerapi.ProcedurePlan, func(context.Context, *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 		fetchesRefused.Inc()
 		return &wire.ConfigurationAnswer{Busy: true}, nil
 	})
-	mux.HandleFunc(peerapi.ProcedurePlan, func(to http.ResponseWriter, request *http.Request) {
+	mux.HandleFunc(peerapi.ProcedurePlan, func(writer http.ResponseWriter, request *http.Request) {
 		select {
 		case c.answerSlots <- struct{}{}:
 			defer func() { <-c.answerSlots }()
-			open.ServeHTTP(to, request)
+			accepting.ServeHTTP(writer, request)
 		default:
-			full.ServeHTTP(to, request)
+			refusing.ServeHTTP(writer, request)
 		}
 	})
 }
 
-// answer gives changes, or a chunk of an image, which is packed on the goroutine that owns the cache.
+// answer answers a peer's call. The goroutine that owns the cache makes the chunks of images; all else is answered without it.
 func (c *Cache) answer(ctx context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 	if answer := c.version().AnswerTo(call); answer != nil {
 		return answer, nil
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// maxKeptChanges are kept, and sent in one answer if their text is at most maxAnswerTextBytes bytes: beyond that the
-	// compressed whole is shorter.
-	maxKeptChanges     = 32
+	// maxKeptChanges is how many of the last changes a version keeps.
+	maxKeptChanges = 32
+	// maxAnswerTextBytes is the most text that the changes in one answer may have; beyond that the compressed whole is shorter.
 	maxAnswerTextBytes = 16 << 10
 )
 
-// Version is a committed configuration, and the changes that led to it, each on the one before; it is never changed.
+// Version is a committed configuration with the last changes that led to it, each of which builds on the one before. It is immutable.
+// A nil *Version is the state before the first configuration.
 type Version struct {
 	Committed *wire.Configuration
 	changes   []*wire.ConfigurationDelta
@@ -28,7 +29,7 @@
 	return v.Committed.Version
 }
 
-// Next gives the version of a newer fact; an older one changes nothing.
+// Next gives the version of a newer committed configuration, with the change to it. For one that isn't newer it gives v itself.
 func (v *Version) Next(committed *wire.Configuration) *Version {
 	if committed.Version <= v.version() {
 		return v
@@ -40,16 +41,17 @@
 	if change == nil {
 		return &Version{Committed: committed}
 	}
-	return &Version{committed, v.with(change)}
+	return &Version{committed, v.appendChanges(change)}
 }
 
-// with gives the kept changes and more, without the oldest beyond maxKeptChanges.
-func (v *Version) with(added ...*wire.ConfigurationDelta) []*wire.ConfigurationDelta {
+// appendChanges gives the kept changes followed by the added ones, without the oldest beyond maxKeptChanges.
+func (v *Version) appendChanges(added ...*wire.ConfigurationDelta) []*wire.ConfigurationDelta {
 	changes := append(slices.Clone(v.changes), added...)
 	return changes[max(0, len(changes)-maxKeptChanges):]
 }
 
-// Apply applies a peer's answer; an error says that only the whole configuration helps.
+// Apply gives the version that a peer's answer leads to, or v itself if that isn't newer. An error means that the changes don't fit v
+// and the whole configuration has to be fetched.
 func (v *Version) Apply(answer *wire.ConfigurationAnswer) (*Version, error) {
 	if answer.Full != nil {
 		return v.Next(answer.Full), nil
@@ -61,7 +63,7 @@
 			continue
 		}
 		if change.Base != reached {
-			return v, errors.Annotatef(ErrBaseMismatch, "a change to version %d is on version %d, and %d is in force", change.Version, change.Base, reached)
+			return v, errors.Annotatef(ErrBaseMismatch, "a change to version %d is based on version %d, and %d is in force", change.Version, change.Base, reached)
 		}
 		chain, reached = append(chain, change), change.Version
 	}
@@ -69,17 +71,17 @@
 		return v, nil
 	}
 	if v == nil {
-		return v, errors.Annotatef(ErrBaseMismatch, "a change to version %d, and none is in force", reached)
+		return v, errors.Annotatef(ErrBaseMismatch, "a change to version %d, and no version is in force", reached)
 	}
 	committed, err := applyChain(v.Committed, chain)
 	if err != nil {
 		return v, err
 	}
-	return &Version{committed, v.with(chain...)}, nil
+	return &Version{committed, v.appendChanges(chain...)}, nil
 }
 
-// AnswerTo gives a peer the changes since the version that it holds, or the whole configuration; nothing for one
-// that takes the whole in chunks of an image.
+// AnswerTo answers a peer's call with the changes since the version that it holds, or else with the whole configuration. It gives nil
+// if the peer accepts the whole in chunks of an image, and an empty answer if v isn't newer.
 func (v *Version) AnswerTo(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
 	if v.version() <= call.HeldVersion {
 		return &wire.ConfigurationAnswer{}
@@ -93,16 +95,17 @@
 	return &wire.ConfigurationAnswer{Full: v.Committed}
 }
 
-// isReachableFrom tells whether changes lead from an older version to this one.
+// isReachableFrom reports whether the given version is v, or the kept changes lead from it to v.
 func (v *Version) isReachableFrom(version int64) bool {
 	return version == v.version() || len(v.changesSince(version)) > 0
 }
 
-// changesSince gives the changes that lead from an older version to this one; none if they are not all kept, or too long.
+// changesSince gives the changes that lead from an older version to v. It gives none if they are not all kept, or if their text is
+// longer than maxAnswerTextBytes or the whole body.
 func (v *Version) changesSince(base int64) []*wire.ConfigurationDelta {
-	text := 0
+	total := 0
 	for index := len(v.changes) - 1; index >= 0; index-- {
-		if text += textBytes(v.changes[index]); text > min(len(v.Committed.Body), maxAnswerTextBytes) {
+		if total += textBytes(v.changes[index]); total > min(len(v.Committed.Body), maxAnswerTextBytes) {
 			return nil
 		}
 		if v.changes[index].Base == base {
