--- a/internal/cluster/configuration/amend.go
+++ b/internal/cluster/configuration/amend.go
@@ -8,18 +8,18 @@
 	"github.com/tidwall/sjson"
 )
 
-// ErrNoRollout tells that a configuration has no rollout of a name.
+// ErrNoRollout is the error for the name of a rollout that a configuration doesn't have.
 const ErrNoRollout = errors.ConstError("there is no such rollout")
 
-// Amendment changes the text of a configuration and leaves all else in it as its operator wrote it, also fields that this program doesn't
-// know. The first error ends it.
+// Amendment edits single fields in the JSON text of a configuration. The rest of the text stays as its operator wrote it, including
+// fields that this program doesn't know. After an error further edits do nothing; Body returns the error.
 type Amendment struct {
 	decoded *Configuration
 	body    []byte
 	err     error
 }
 
-// Amend begins the change of a configuration; the result has the number after the current one.
+// Amend starts an edit of a configuration, whose version becomes the next one.
 func Amend(body []byte) *Amendment {
 	decoded, err := Read(body)
 	if err != nil {
@@ -28,14 +28,14 @@
 	return AmendDecoded(decoded, body)
 }
 
-// AmendDecoded is Amend for a text that was read already; what was read of it is not changed.
+// AmendDecoded is Amend for a body that was decoded already. It doesn't modify the decoded configuration.
 func AmendDecoded(decoded *Configuration, body []byte) *Amendment {
 	amendment := &Amendment{decoded: decoded, body: body}
 	amendment.set("config-version", strconv.FormatInt(decoded.Version+1, 10))
 	return amendment
 }
 
-// set sets a field to a JSON text.
+// set sets the field at a path in sjson syntax to a JSON value.
 func (a *Amendment) set(path, text string) {
 	if a.err != nil {
 		return
@@ -48,9 +48,10 @@
 	a.body = changed
 }
 
+// setText sets the field at a path to a string.
 func (a *Amendment) setText(path, value string) { a.set(path, strconv.Quote(value)) }
 
-// AddRollout adds a rollout at the end of the list.
+// AddRollout appends a rollout to the list of rollouts.
 func (a *Amendment) AddRollout(rollout *Rollout) *Amendment {
 	text, err := easyjson.Marshal(rollout)
 	if err != nil && a.err == nil {
@@ -60,7 +61,7 @@
 	return a
 }
 
-// Rollout gives the rollout of a name as it was before the change, nil if there is none.
+// Rollout returns the rollout of a name as it was before the edit, nil if there is none.
 func (a *Amendment) Rollout(name string) *Rollout {
 	if index := a.indexOf(name); index >= 0 {
 		return &a.decoded.Rollouts[index]
@@ -68,6 +69,7 @@
 	return nil
 }
 
+// indexOf is the index of a rollout in the list of rollouts, -1 if there is none of the name.
 func (a *Amendment) indexOf(name string) int {
 	if a.decoded == nil {
 		return -1
@@ -80,7 +82,7 @@
 	return -1
 }
 
-// RolloutProgress is what changes of a rollout as it goes on.
+// RolloutProgress holds the fields of a rollout that the leader of the configuration changes; Rollout documents each.
 type RolloutProgress struct {
 	State                RolloutState
 	Step                 int
@@ -89,18 +91,18 @@
 	Reason               string
 }
 
-// Progress is how far a rollout is.
+// Progress returns a copy of the rollout's progress.
 func (r *Rollout) Progress() RolloutProgress {
 	return RolloutProgress{State: r.State, Step: r.Step, BegunMs: r.BegunMs, StepBegunMs: r.StepBegunMs, StepJobs: r.StepJobs, Reason: r.Reason}
 }
 
-// SetProgress takes down how far the rollout is.
+// SetProgress overwrites the rollout's progress.
 func (r *Rollout) SetProgress(progress RolloutProgress) {
 	r.State, r.Step, r.BegunMs, r.StepBegunMs = progress.State, progress.Step, progress.BegunMs, progress.StepBegunMs
 	r.StepJobs, r.Reason = progress.StepJobs, progress.Reason
 }
 
-// SetProgress writes how far a rollout is. One that is finished leads its route to the new version.
+// SetProgress writes a rollout's progress. A finished rollout also switches its route to the new version.
 func (a *Amendment) SetProgress(name string, progress RolloutProgress) *Amendment {
 	index := a.indexOf(name)
 	if index < 0 {
@@ -117,13 +119,13 @@
 	a.set(prefix+"step-jobs", strconv.FormatInt(progress.StepJobs, 10))
 	a.setText(prefix+"reason", progress.Reason)
 	if progress.State == RolloutFinished {
-		a.leadRoute(a.decoded.Rollouts[index].Route, a.decoded.Rollouts[index].To)
+		a.switchRoute(a.decoded.Rollouts[index].Route, a.decoded.Rollouts[index].To)
 	}
 	return a
 }
 
-// leadRoute leads a route to a service.
-func (a *Amendment) leadRoute(name, service string) {
+// switchRoute makes a service the one of a route.
+func (a *Amendment) switchRoute(name, service string) {
 	for index, route := range a.decoded.Routes {
 		if route.Name == name {
 			a.setText("route-list."+strconv.Itoa(index)+".service", service)
@@ -131,7 +133,7 @@
 	}
 }
 
-// Body gives the changed text; the error tells what is wrong with it.
+// Body returns the edited text. It fails with the first error of an edit, or if the result isn't a valid configuration.
 func (a *Amendment) Body() ([]byte, error) {
 	if a.err != nil {
 		return nil, a.err
@@ -142,7 +144,7 @@
 	return a.body, nil
 }
 
-// Base is the version that the change builds on.
+// Base is the version before the edit, 0 if the body couldn't be read.
 func (a *Amendment) Base() int64 {
 	if a.decoded == nil {
 		return 0
--- a/internal/cluster/configuration/check.go
+++ b/internal/cluster/configuration/check.go
@@ -10,8 +10,8 @@
 	"go.uber.org/multierr"
 )
 
-// Read decodes a configuration and checks all that can be checked without knowing the current one. An error that comes
-// with a configuration holds a *FieldError for every field at fault; without one, the body can't be read.
+// Read decodes a configuration and checks all that can be checked without knowing the current one. If the body can't be decoded, the
+// configuration is nil. Otherwise it is returned also with an error, which combines a *FieldError for each invalid field.
 func Read(body []byte) (*Configuration, error) {
 	decoded := &Configuration{}
 	if err := easyjson.Unmarshal(body, decoded); err != nil {
@@ -20,15 +20,15 @@
 	return decoded, decoded.check()
 }
 
-// FieldError tells what is wrong with a field of a configuration.
+// FieldError describes an invalid field of a configuration.
 type FieldError struct {
 	// Route is the name of the route and Rollout that of the rollout; both are empty for a field of the configuration itself.
 	Route, Rollout string
-	// Problem names the field and says what is wrong with it.
+	// Problem names the field and says why it is invalid.
 	Problem string
 }
 
-// Error names the route and the field.
+// Error names the route or rollout and the field.
 func (e *FieldError) Error() string {
 	switch {
 	case e.Route != "":
@@ -39,9 +39,10 @@
 	return e.Problem
 }
 
-// problems gathers all that is wrong with a configuration.
+// problems collects a FieldError for each invalid field of a configuration.
 type problems struct{ err error }
 
+// add adds an invalid field of a route, or of the configuration itself if the route is empty.
 func (p *problems) add(route, format string, values ...any) {
 	p.err = multierr.Append(p.err, &FieldError{Route: route, Problem: fmt.Sprintf(format, values...)})
 }
@@ -62,7 +63,7 @@
 	return problems.err
 }
 
-// checkServices gives the names of the services.
+// checkServices checks the list of services and returns their names.
 func (c *Configuration) checkServices(problems *problems) map[string]bool {
 	services := map[string]bool{}
 	for _, service := range c.Services {
@@ -79,7 +80,7 @@
 
 // checkRoutes checks each route's fields, and that no two routes have the same host and path prefix.
 func (c *Configuration) checkRoutes(problems *problems, services map[string]bool) {
-	takenBy := map[string]string{}
+	routeAt := map[string]string{}
 	for _, route := range c.Routes {
 		if route.Name == "" {
 			problems.add("", "field route-list: a route has no name")
@@ -92,14 +93,14 @@
 			problems.add(route.Name, "a field is negative")
 		}
 		location := route.Host + " " + route.PathPrefix
-		if other, isTaken := takenBy[location]; isTaken {
+		if other, isTaken := routeAt[location]; isTaken {
 			problems.add(route.Name, "fields host and path-prefix are those of route %q", other)
 		}
-		takenBy[location] = route.Name
+		routeAt[location] = route.Name
 	}
 }
 
-// checkServices checks the service of a route, or those that share it.
+// checkServices checks that the route's service exists or, for a weighted split, that its services exist and its weights are valid.
 func (r *Route) checkServices(problems *problems, services map[string]bool) {
 	if len(r.Split) == 0 {
 		if !services[r.Service] {
@@ -122,19 +123,20 @@
 	}
 }
 
-// Matcher finds the route of a request: host, then the longest prefix.
+// Matcher looks up routes, tenants and rollouts in a configuration. The route of a request has the request's host and, of these, the
+// longest matching path prefix.
 type Matcher struct {
 	configuration *Configuration
-	// byHost and byName hold places in the list of routes, those of a host with the longest prefix first.
+	// byHost and byName hold indices in the list of routes; those of a host are sorted by the length of the prefix, the longest first.
 	byHost map[string][]int
 	byName map[string]int
 
 	tenants tenantIndex
-	// rollouts holds, by route, the place of the rollout that decides on its jobs.
+	// rollouts holds, by the route's name, the index of the rollout that isn't over.
 	rollouts map[string]int
 }
 
-// NewMatcher prepares the look-up of a configuration's routes and tenants.
+// NewMatcher builds the indices of a configuration, which must not change afterwards.
 func NewMatcher(configuration *Configuration) *Matcher {
 	matcher := &Matcher{configuration: configuration, byHost: map[string][]int{}, byName: map[string]int{},
 		tenants: newTenantIndex(configuration.Tenants), rollouts: map[string]int{}}
@@ -156,16 +158,16 @@
 	return matcher
 }
 
-// Configuration gives the configuration in which routes are looked up.
+// Configuration returns the configuration that the matcher was built from.
 func (m *Matcher) Configuration() *Configuration { return m.configuration }
 
-// hostName is a Host header as routes are looked up by it: without a port.
+// hostName is the name in a Host header, in lower case and without the port, as byHost has it.
 func hostName(host string) string {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	return name
 }
 
-// Match gives the route of a request, nil if there is none.
+// Match returns the route of a request, nil if there is none.
 func (m *Matcher) Match(host, path string) *Route {
 	for _, index := range m.byHost[hostName(host)] {
 		if route := &m.configuration.Routes[index]; strings.HasPrefix(path, route.PathPrefix) {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// Rollout gives the rollout that is under way for a route, nil if there is none.
+// Rollout returns the rollout of a route that isn't over, nil if there is none.
 func (m *Matcher) Rollout(route string) *Rollout {
 	if index, exists := m.rollouts[route]; exists {
 		return &m.configuration.Rollouts[index]
@@ -183,7 +185,8 @@
 	return nil
 }
 
-// ServiceFor gives the service that runs the job of an ID: that of its route, or the version that a rollout under way decides on.
+// ServiceFor returns the service that runs the job of an ID: the one that the route's rollout chooses, or the route's own without a
+// rollout.
 func (m *Matcher) ServiceFor(route *Route, id string) string {
 	if rollout := m.Rollout(route.Name); rollout != nil {
 		return rollout.ServiceFor(id)
@@ -191,7 +194,7 @@
 	return route.Service
 }
 
-// ByName gives a route by its name, nil if there is none.
+// ByName returns the route of a name, nil if there is none.
 func (m *Matcher) ByName(name string) *Route {
 	if index, exists := m.byName[name]; exists {
 		return &m.configuration.Routes[index]
--- a/internal/cluster/configuration/configuration.go
+++ b/internal/cluster/configuration/configuration.go
@@ -1,4 +1,4 @@
-// Package configuration reads and checks the operator's configurations.
+// Package configuration decodes, checks and edits the operator's configurations, and looks up routes, tenants and rollouts in them.
 package configuration
 
 import (
@@ -10,24 +10,24 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all configuration.go rollouts.go
 
-// The types of routes.
+// The types of routes with a meaning of their own; routes of all but the first two run jobs.
 const (
-	// RouteStreaming answers with a series of events, as they come.
+	// RouteStreaming passes requests on to an executor, whose answer is a stream of events.
 	RouteStreaming = "streaming"
-	// RouteBatch takes lots of requests, which are run later.
+	// RouteBatch accepts requests in lots, which run later.
 	RouteBatch = "batch"
-	// RouteIdempotent takes requests that may run more than once.
+	// RouteIdempotent accepts requests that may run more than once.
 	RouteIdempotent = "idempotent"
 )
 
-// WeightedService is one of the services that share the requests of a route by their weights.
+// WeightedService is one of several services of a route. Its share of the requests is its weight over the sum of weights.
 type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Route is a queue: jobs for a host and path prefix go to a service. Priority 0 is the most urgent; MaxAttempts is how
-// often a task may fail; the aim for a job is Stretch times its longest chain of work, plus TargetLatencyMs.
+// Route leads the requests for a host and path prefix to a service. Priority 0 is the most urgent. MaxAttempts is how often a task may
+// fail. The target time of a job is StretchFactor times its longest chain of dependent work, plus TargetLatencyMs.
 type Route struct {
 	Name            string  `json:"name"`
 	Host            string  `json:"host"`
@@ -39,22 +39,22 @@
 	Service         string  `json:"service"`
 	MaxAttempts     int     `json:"max-attempts"`
 	StretchFactor   float64 `json:"stretch-factor"`
-	// IsPublic lets calls through that bear no key, also where the configuration has tenants.
+	// IsPublic allows calls without an API key even if the configuration has tenants.
 	IsPublic bool `json:"public,omitempty"`
-	// Split names services in place of Service.
+	// Split, if not empty, replaces Service by several services.
 	Split []WeightedService `json:"weighted-split,omitempty"`
-	// IsResumable tells that a stream may go on at another executor after its last event.
+	// IsResumable allows a broken stream to resume at another executor after the last event.
 	IsResumable bool `json:"resumable,omitempty"`
-	// MaxQueueS is how many seconds an item of a lot may wait before it may be given up.
+	// MaxQueueS is how many seconds an item of a lot waits at least before it may be dropped.
 	MaxQueueS float64 `json:"max-queue-s,omitempty"`
-	// ResultDeadlineMs is how long after a lot was sent its results are due.
+	// ResultDeadlineMs is the time from the submission of a lot to the deadline of its results.
 	ResultDeadlineMs int64 `json:"result-deadline-ms,omitempty"`
-	// UpperLimit is how many tokens a tenant may have waiting in lots of the route, as a number; TokenLimit reads it.
+	// UpperLimit is the JSON number that TokenLimit returns. Any other JSON value is no limit.
 	UpperLimit easyjson.RawMessage `json:"upper-limit,omitempty"`
 }
 
-// Tenant is a team that hands jobs in under its keys. Weight is its share once everything is full, and the jobs a second that it may
-// expect to be done; Limit is what it may have running at once over all executors.
+// Tenant is a team that submits jobs under its API keys. Weight is its relative share of the executors under full load, and the jobs a
+// second that it may expect to be done. Limit bounds the resources of its running tasks over all executors.
 type Tenant struct {
 	Name   string     `json:"name"`
 	Keys   []string   `json:"api-keys"`
@@ -62,8 +62,8 @@
 	Limit  UpperLimit `json:"upper-limit"`
 }
 
-// Service is a pool of executors. ConnectionLimit is how many connections each takes; Guards says that they turn away what does
-// not fit.
+// Service is a pool of executors. ConnectionLimit is how many connections each accepts. GuardsCapacity says that they reject work that
+// exceeds their capacity.
 type Service struct {
 	Name            string `json:"name"`
 	ConnectionLimit int    `json:"connection-limit"`
@@ -71,7 +71,7 @@
 	Protocol        string `json:"protocol"`
 }
 
-// Limits are those of clients' requests; sizes in bytes, times in milliseconds.
+// Limits bound the requests of clients. Sizes are in bytes, times in milliseconds.
 type Limits struct {
 	HeaderBytes     int   `json:"max-header-bytes"`
 	BodyBytes       int64 `json:"max-body-bytes"`
@@ -79,19 +79,19 @@
 	IdleTimeoutMs   int64 `json:"idle-timeout-ms"`
 }
 
-// Configuration is what the operator sent, as far as this system uses it.
+// Configuration holds the fields of the operator's configuration that this system uses.
 type Configuration struct {
 	Version  int64     `json:"config-version"`
 	Routes   []Route   `json:"route-list"`
 	Services []Service `json:"service-list"`
 	Limits   Limits    `json:"limits"`
-	// Tenants is nil where the configuration has none; then no call needs a key.
+	// Tenants is nil if the configuration has no list of tenants; no call needs an API key then.
 	Tenants []Tenant `json:"tenant-list,omitempty"`
-	// Rollouts bring new versions of services to routes step by step.
+	// Rollouts move routes to new versions of their services, step by step.
 	Rollouts []Rollout `json:"rollout-list,omitempty"`
 }
 
-// TokenLimit is how many tokens a tenant may have waiting in lots of the route; 0 is no limit.
+// TokenLimit is how many tokens a tenant may have pending in lots of the route; 0 is no limit.
 func (r *Route) TokenLimit() int64 {
 	limit, err := strconv.ParseFloat(string(r.UpperLimit), 64)
 	if err != nil {
@@ -100,11 +100,11 @@
 	return int64(limit)
 }
 
-// RunsJobs tells whether the route is a queue of jobs: its type is none of those that pass requests on.
+// RunsJobs reports whether the requests of the route are jobs, which are queued and scheduled.
 func (r *Route) RunsJobs() bool { return r.Type != RouteStreaming && r.Type != RouteBatch }
 
-// ServiceFor gives the service of a request by its ID: the only one, or one of those that share the route by weight. It is the same for
-// an ID at every process.
+// ServiceFor returns the service of a request: the only one or, in a weighted split, the one that a hash of the request's ID chooses, so
+// that all processes choose the same one.
 func (r *Route) ServiceFor(id string) string {
 	if len(r.Split) == 0 {
 		return r.Service
@@ -113,17 +113,17 @@
 	for _, share := range r.Split {
 		total += share.Weight
 	}
-	left := drawOf(id) * total
+	remaining := hashFractionOf(id) * total
 	for _, share := range r.Split {
-		if left -= share.Weight; left < 0 {
+		if remaining -= share.Weight; remaining < 0 {
 			return share.Service
 		}
 	}
 	return r.Split[len(r.Split)-1].Service
 }
 
-// drawOf is a number from 0 on and below 1 that an ID decides.
-func drawOf(id string) float64 {
+// hashFractionOf hashes an ID to a number of at least 0 and below 1.
+func hashFractionOf(id string) float64 {
 	sum := fnv.New32a()
 	sum.Write([]byte(id))
 	return float64(sum.Sum32()) / (1 << 32)
--- a/internal/cluster/configuration/golden_test.go
+++ b/internal/cluster/configuration/golden_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the names of the configuration's fields are kept",
+var _ = DescribeTable("the names of the configuration's fields match the golden files",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
--- a/internal/cluster/configuration/rollouts.go
+++ b/internal/cluster/configuration/rollouts.go
@@ -4,10 +4,11 @@
 	"hash/fnv"
 )
 
-// RolloutState is how far a rollout is, as the configuration has it.
+// RolloutState is the state of a rollout, as it stands in the configuration.
 type RolloutState string
 
-// The states of a rollout. One without a state waits to be begun by the leader of the configuration; the last two are final.
+// The states of a rollout. The leader of the configuration starts a requested one. RolloutTurnedBack, of a rollout that was rolled back,
+// and RolloutFinished are final.
 const (
 	RolloutRequested  RolloutState = ""
 	RolloutWidening   RolloutState = "widening"
@@ -16,10 +17,10 @@
 	RolloutFinished   RolloutState = "finished"
 )
 
-// IsOver tells whether the state is final.
+// IsOver reports whether the state is final.
 func (s RolloutState) IsOver() bool { return s == RolloutTurnedBack || s == RolloutFinished }
 
-// Label is the state as operators read it; the one without a text has a name there.
+// Label is the state as operators read it; RolloutRequested, which is empty in the configuration, has a word there.
 func (s RolloutState) Label() string {
 	if s == RolloutRequested {
 		return "requested"
@@ -27,15 +28,15 @@
 	return string(s)
 }
 
-// What becomes of the runs of the new version once it was turned back.
+// What happens to the running tasks of the new version when it is rolled back.
 const (
-	// TurnBackFinish lets tasks that run end; it is the default.
+	// TurnBackFinish lets them finish. It is the default.
 	TurnBackFinish = "finish"
-	// TurnBackStop stops them, so that their jobs go back to the old version too.
+	// TurnBackStop stops them; their jobs then go back to the old version too.
 	TurnBackStop = "stop"
 )
 
-// RolloutStep is one share of a route's jobs that the new version gets. It is followed by the next once it has lasted MinTimeS seconds and
+// RolloutStep gives the new version a share of the route's jobs. The next step follows once this one has lasted MinTimeS seconds and
 // MinJobs jobs of the new version have ended in it.
 type RolloutStep struct {
 	Share    float64 `json:"share"`
@@ -43,29 +44,29 @@
 	MinJobs  int64   `json:"min-jobs,omitempty"`
 }
 
-// RolloutBounds are what was agreed: by how much the new version may be worse than the old one before it is turned back. A bound that
-// is left out (0) judges nothing.
+// RolloutBounds are the agreed bounds on how much worse than the old version the new one may be; beyond them it is rolled back. A bound
+// of Failures, Late or RunTimeFactor that is 0 or missing isn't checked.
 type RolloutBounds struct {
-	// Failures is the share of jobs, and of runs, that may fail beyond the share that fails in the old version, from 0 to 1.
+	// Failures is by how much the share of failed jobs, and that of failed runs, may exceed that of the old version, from 0 to 1.
 	Failures float64 `json:"failures,omitempty"`
-	// Late is the share of jobs that may miss their target beyond that of the old version, from 0 to 1.
+	// Late is by how much the share of jobs that miss their target may exceed that of the old version, from 0 to 1.
 	Late float64 `json:"late,omitempty"`
-	// RunTimeFactor is how many times as long runs may take, against their estimates, as those of the old version; 1 or more.
+	// RunTimeFactor is how many times as long as in the old version runs may take relative to their estimates; 1 or more.
 	RunTimeFactor float64 `json:"run-time-factor,omitempty"`
-	// FalseAlarm is the chance that a version within the bounds is turned back all the same; 0 stands for DefaultFalseAlarm.
+	// FalseAlarm is the probability that a version within the bounds is rolled back; 0 stands for DefaultFalseAlarm.
 	FalseAlarm float64 `json:"false-alarm,omitempty"`
 	// MinJobs is how many jobs of the new version must have ended before it is judged; 0 stands for DefaultMinJobs.
 	MinJobs int64 `json:"min-jobs,omitempty"`
 }
 
-// The bounds of a rollout that names none.
+// The values of FalseAlarm and MinJobs for a rollout without them.
 const (
 	DefaultFalseAlarm = 0.01
 	DefaultMinJobs    = 10
 )
 
-// Rollout brings a new version of the service of a route to more and more of its jobs. The operator writes all but the last block of
-// fields, which the leader of the configuration keeps as it widens, pauses, turns back or finishes.
+// Rollout moves a route to a new version of its service, step by step. The operator writes all fields up to RequestedBy. The leader of
+// the configuration writes the others as it widens, pauses, rolls back or finishes the rollout.
 type Rollout struct {
 	Name string `json:"name"`
 	// Route is the name of the route, From and To are the services that run the old and the new version.
@@ -78,21 +79,21 @@
 	RequestedBy string        `json:"requested-by,omitempty"`
 
 	State RolloutState `json:"state,omitempty"`
-	// Step is the number of the step in force, from 0.
+	// Step is the index of the current step.
 	Step int `json:"step,omitempty"`
-	// BegunMs and StepBegunMs are when the rollout and its step began, in milliseconds since 1970.
+	// BegunMs and StepBegunMs are the start of the rollout and of the current step, in milliseconds since 1970.
 	BegunMs     int64 `json:"begun-ms,omitempty"`
 	StepBegunMs int64 `json:"step-begun-ms,omitempty"`
-	// StepJobs is how many jobs of the new version had ended when the step began.
+	// StepJobs is how many jobs of the new version had ended at the start of the current step.
 	StepJobs int64 `json:"step-jobs,omitempty"`
-	// Reason says why it was turned back, or what keeps it from widening.
+	// Reason says why the rollout was rolled back, or why it doesn't widen.
 	Reason string `json:"reason,omitempty"`
 }
 
-// IsOver tells whether the state is final.
+// IsOver reports whether the state is final.
 func (r *Rollout) IsOver() bool { return r.State.IsOver() }
 
-// Share is the share of the route's jobs that the new version gets now.
+// Share is the share of the route's jobs that the new version gets in the current state, from 0 to 1.
 func (r *Rollout) Share() float64 {
 	switch r.State {
 	case RolloutWidening, RolloutPaused:
@@ -103,40 +104,40 @@
 	return 0
 }
 
-// StopsRuns tells whether the runs of the new version are stopped once it was turned back.
+// StopsRuns reports whether a rollback stops the running tasks of the new version.
 func (r *Rollout) StopsRuns() bool { return r.OnTurnBack == TurnBackStop }
 
-// ServiceFor gives the version that runs the job of an ID. It depends on nothing but the ID, the rollout's name and the share, so that all
-// processes with the same configuration agree, and a wider share takes no job back.
+// ServiceFor returns the service, old or new, that runs the job of an ID. It depends only on the ID, the rollout's name and the share.
+// All processes with the same configuration therefore agree, and a job of the new version stays there when the share grows.
 func (r *Rollout) ServiceFor(id string) string {
-	if fractionOf(r.Name+"/"+id) < r.Share() {
+	if mixedFractionOf(r.Name+"/"+id) < r.Share() {
 		return r.To
 	}
 	return r.From
 }
 
-// fractionOf spreads texts evenly from 0 on and below 1.
-func fractionOf(text string) float64 {
+// mixedFractionOf hashes texts to numbers of at least 0 and below 1, evenly distributed also for texts with a common prefix.
+func mixedFractionOf(text string) float64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(text))
-	return float64(mixed(sum.Sum64())>>11) / (1 << 53)
+	return float64(mixBits(sum.Sum64())>>11) / (1 << 53)
 }
 
-// mixed spreads each bit of a hash over all others, as the last step of SplitMix64 does; FNV alone leaves texts with a common beginning
-// close to each other.
-func mixed(hash uint64) uint64 {
+// mixBits makes each bit of a hash depend on all others, by the final step of SplitMix64. FNV alone gives texts with a common prefix
+// close values.
+func mixBits(hash uint64) uint64 {
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
 	return hash ^ hash>>31
 }
 
-// checkRollouts checks each rollout's fields, and that no route has two that are under way.
+// checkRollouts checks each rollout's fields, and that no route has two rollouts that aren't over.
 func (c *Configuration) checkRollouts(problems *problems, services map[string]bool) {
 	routes := map[string]*Route{}
 	for index := range c.Routes {
 		routes[c.Routes[index].Name] = &c.Routes[index]
 	}
-	names, underWay := map[string]bool{}, map[string]string{}
+	names, activeByRoute := map[string]bool{}, map[string]string{}
 	for index := range c.Rollouts {
 		rollout := &c.Rollouts[index]
 		if rollout.Name == "" {
@@ -151,14 +152,14 @@
 			continue
 		}
 		rollout.checkRoute(problems, routes[rollout.Route])
-		if other, isTaken := underWay[rollout.Route]; isTaken {
+		if other, hasOther := activeByRoute[rollout.Route]; hasOther {
 			problems.addRollout(rollout.Name, "field route names %q, which rollout %q is under way for", rollout.Route, other)
 		}
-		underWay[rollout.Route] = rollout.Name
+		activeByRoute[rollout.Route] = rollout.Name
 	}
 }
 
-// check checks what a rollout says of itself.
+// check checks the fields of the rollout without regard to its route.
 func (r *Rollout) check(problems *problems, services map[string]bool) {
 	add := func(format string, values ...any) { problems.addRollout(r.Name, format, values...) }
 	for _, version := range []struct{ field, service string }{{"from-service", r.From}, {"to-service", r.To}} {
@@ -187,31 +188,31 @@
 	}
 }
 
-// checkSteps checks that the shares rise and end with all jobs.
+// checkSteps checks that the shares rise from step to step up to 1.
 func (r *Rollout) checkSteps(add func(string, ...any)) {
 	if len(r.Steps) == 0 {
 		add("field steps is empty")
 		return
 	}
-	before := 0.0
+	previous := 0.0
 	for _, step := range r.Steps {
 		switch {
 		case !(step.Share > 0 && step.Share <= 1):
 			add("field share must be above 0 and at most 1")
-		case step.Share <= before:
+		case step.Share <= previous:
 			add("field share must rise from step to step")
 		}
-		before = step.Share
+		previous = step.Share
 		if !(step.MinTimeS >= 0) || step.MinJobs < 0 {
 			add("fields min-time-s and min-jobs must not be negative")
 		}
 	}
-	if before != 1 {
+	if previous != 1 {
 		add("field share of the last step must be 1")
 	}
 }
 
-// check checks that the bounds are shares and a factor.
+// check checks that the shares are from 0 to 1, the factor is at least 1, and at least one bound is set.
 func (b *RolloutBounds) check(add func(string, ...any)) {
 	for _, bound := range []struct {
 		field string
@@ -232,7 +233,8 @@
 	}
 }
 
-// checkRoute checks that the route of a rollout under way is a queue that the old version serves alone.
+// checkRoute checks the route of a rollout that isn't over: it runs jobs, and the old version is its only service. route is nil if no
+// route has the name.
 func (r *Rollout) checkRoute(problems *problems, route *Route) {
 	switch {
 	case route == nil:
--- a/internal/cluster/configuration/tenants.go
+++ b/internal/cluster/configuration/tenants.go
@@ -7,16 +7,16 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// UpperLimit is what a tenant may have running over all executors; 0 is no limit of that resource. CPU is in thousandths of a core,
-// Memory in MB.
+// UpperLimit bounds the resources of a tenant's running tasks over all executors. 0 is no limit of that resource. CPU is in thousandths
+// of a core, Memory in MB.
 type UpperLimit struct {
 	CPU, Memory, GPU int64
-	// unknown names the units that this program has no count of.
+	// unknown holds the names of resources that this program doesn't know.
 	unknown []string
 }
 
-// UnmarshalEasyJSON reads an object with a field for each unit. A bare number is a limit of another kind of work than jobs, and no
-// limit of theirs.
+// UnmarshalEasyJSON decodes an object with a field for each resource. A bare number is a limit on other work than jobs and leaves jobs
+// unlimited.
 func (u *UpperLimit) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	*u = UpperLimit{}
 	if !in.IsDelim('{') {
@@ -43,7 +43,7 @@
 	in.Delim('}')
 }
 
-// MarshalEasyJSON writes all units.
+// MarshalEasyJSON encodes an object with all resources, also those without a limit.
 func (u UpperLimit) MarshalEasyJSON(out *jwriter.Writer) {
 	out.RawString(`{"cpu-units":`)
 	out.Int64(u.CPU)
@@ -54,10 +54,10 @@
 	out.RawByte('}')
 }
 
-// checkTenants checks each tenant's fields, and that no two have the same name or a key in common. A text that names a key at fault
-// shows its owner and not the key.
+// checkTenants checks each tenant's fields, and that no two tenants share a name or an API key. API keys are secret: an error about one
+// names its tenant, never the key.
 func (c *Configuration) checkTenants(problems *problems) {
-	names, holders := map[string]bool{}, map[string]string{}
+	names, ownerOf := map[string]bool{}, map[string]string{}
 	for _, tenant := range c.Tenants {
 		switch {
 		case tenant.Name == "":
@@ -79,18 +79,18 @@
 			if key == "" {
 				problems.add("", "field api-keys of tenant %q has an empty key", tenant.Name)
 			}
-			if holder, isHeld := holders[key]; isHeld && holder != tenant.Name {
-				problems.add("", "field api-keys: tenants %q and %q share a key", holder, tenant.Name)
+			if owner, isOwned := ownerOf[key]; isOwned && owner != tenant.Name {
+				problems.add("", "field api-keys: tenants %q and %q share a key", owner, tenant.Name)
 			}
-			holders[key] = tenant.Name
+			ownerOf[key] = tenant.Name
 		}
 	}
 }
 
-// keyDigest is what a key is looked up by: the time that a look-up takes then tells nothing about the keys that there are.
+// keyDigest is the hash of an API key. Look-ups by the hash prevent callers from guessing keys by the time that a look-up takes.
 type keyDigest [sha256.Size]byte
 
-// tenantIndex finds tenants by their keys and names; it holds no key.
+// tenantIndex maps the digests of API keys, and names, to indices in the list of tenants. It holds no API key.
 type tenantIndex struct {
 	byKey  map[keyDigest]int
 	byName map[string]int
@@ -98,24 +98,24 @@
 
 func newTenantIndex(tenants []Tenant) tenantIndex {
 	index := tenantIndex{byKey: map[keyDigest]int{}, byName: map[string]int{}}
-	for place, tenant := range tenants {
-		index.byName[tenant.Name] = place
+	for position, tenant := range tenants {
+		index.byName[tenant.Name] = position
 		for _, key := range tenant.Keys {
-			index.byKey[sha256.Sum256([]byte(key))] = place
+			index.byKey[sha256.Sum256([]byte(key))] = position
 		}
 	}
 	return index
 }
 
-// NeedsKey tells whether a call on a route has to bear the key of a tenant.
+// NeedsKey reports whether a call on a route needs the API key of a tenant.
 func (m *Matcher) NeedsKey(route *Route) bool {
 	return m.configuration.Tenants != nil && !route.IsPublic
 }
 
-// NeedsKeyForLots tells whether a call about a lot of a host has to bear the key of a tenant: unless the host has a public route for lots,
-// or none at all.
+// NeedsKeyForLots reports whether a call about a lot of a host needs the API key of a tenant. It doesn't if the host has a public route
+// for lots, or no route for lots at all.
 func (m *Matcher) NeedsKeyForLots(host string) bool {
-	hasLots := false
+	hasLotRoute := false
 	for _, index := range m.byHost[hostName(host)] {
 		route := &m.configuration.Routes[index]
 		if route.Type != RouteBatch {
@@ -124,23 +124,23 @@
 		if !m.NeedsKey(route) {
 			return false
 		}
-		hasLots = true
+		hasLotRoute = true
 	}
-	return hasLots
+	return hasLotRoute
 }
 
-// TenantOfKey gives the tenant that holds a key, nil if none does.
+// TenantOfKey returns the tenant of an API key, nil if the key is unknown.
 func (m *Matcher) TenantOfKey(key string) *Tenant {
-	if place, exists := m.tenants.byKey[sha256.Sum256([]byte(key))]; exists {
-		return &m.configuration.Tenants[place]
+	if index, exists := m.tenants.byKey[sha256.Sum256([]byte(key))]; exists {
+		return &m.configuration.Tenants[index]
 	}
 	return nil
 }
 
-// Tenant gives a tenant by its name, nil if there is none.
+// Tenant returns the tenant of a name, nil if there is none.
 func (m *Matcher) Tenant(name string) *Tenant {
-	if place, exists := m.tenants.byName[name]; exists {
-		return &m.configuration.Tenants[place]
+	if index, exists := m.tenants.byName[name]; exists {
+		return &m.configuration.Tenants[index]
 	}
 	return nil
 }
