--- a/internal/cluster/comparenodes/ask.go
+++ b/internal/cluster/comparenodes/ask.go
@@ -8,9 +8,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Ask fetches a node's beliefs; a node that is silent is given up after the limit.
-func Ask(address string, limit time.Duration) (*wire.BeliefsAnswer, error) {
-	caller := peerapi.NewCaller(peerapi.Client(limit, 1))
+// Ask retrieves a node's state, and fails if the node doesn't answer within the timeout.
+func Ask(address string, timeout time.Duration) (*wire.BeliefsAnswer, error) {
+	caller := peerapi.NewCaller(peerapi.Client(timeout, 1))
 	return peerapi.Call[wire.BeliefsCall, wire.BeliefsAnswer](context.Background(), caller, address,
-		peerapi.ProcedureBeliefs, limit, &wire.BeliefsCall{})
+		peerapi.ProcedureBeliefs, timeout, &wire.BeliefsCall{})
 }
--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Difference is one thing that two nodes believe differently.
+// Difference is one item of state that two nodes know differently. First and Second are the nodes' values.
 type Difference struct {
 	Kind   string `json:"kind"`
 	Name   string `json:"name"`
@@ -21,25 +21,27 @@
 	Second string `json:"second"`
 }
 
+// unknown stands for the value of an item that one of the nodes doesn't know.
 const unknown = "(unknown)"
 
-// Compare gives the differences only, in a fixed order. What the role of a node need not know is not compared.
+// Compare returns the differences between two nodes, in a fixed order. It skips what a node of one of the roles doesn't need to know.
 func Compare(first, second *wire.BeliefsAnswer) []Difference {
 	var all []Difference
-	add := func(kind string, believedFirst, believedSecond map[string]string) {
-		for _, name := range namesOf(believedFirst, believedSecond) {
-			left, right := orUnknown(believedFirst, name), orUnknown(believedSecond, name)
+	add := func(kind string, firstDescriptions, secondDescriptions map[string]string) {
+		for _, name := range namesOf(firstDescriptions, secondDescriptions) {
+			left, right := orUnknown(firstDescriptions, name), orUnknown(secondDescriptions, name)
 			if left != right {
 				all = append(all, Difference{kind, name, left, right})
 			}
 		}
 	}
 	add("plan", map[string]string{"version": strconv.FormatInt(first.ConfigVersion, 10)}, map[string]string{"version": strconv.FormatInt(second.ConfigVersion, 10)})
-	isListed := func(member wire.Member) bool {
-		hasLeaf := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
-		return !hasLeaf || member.Role == membership.RoleSteward
+	// A local proxy needs to know the stewards only.
+	isCompared := func(member wire.Member) bool {
+		hasLocalProxy := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
+		return !hasLocalProxy || member.Role == membership.RoleSteward
 	}
-	add("member", members(first, isListed), members(second, isListed))
+	add("member", members(first, isCompared), members(second, isCompared))
 	add("owner", owners(first), owners(second))
 	if first.Role == second.Role {
 		add("replica", replicas(first), replicas(second))
@@ -58,7 +60,7 @@
 		names = append(names, name)
 	}
 	for name := range second {
-		if _, isThere := first[name]; !isThere {
+		if _, isKnown := first[name]; !isKnown {
 			names = append(names, name)
 		}
 	}
@@ -66,59 +68,64 @@
 	return names
 }
 
-func orUnknown(beliefs map[string]string, name string) string {
-	if value, isThere := beliefs[name]; isThere {
+// orUnknown is the description of an item, or unknown if the node has none.
+func orUnknown(descriptions map[string]string, name string) string {
+	if value, isKnown := descriptions[name]; isKnown {
 		return value
 	}
 	return unknown
 }
 
-// members describes the listed members by their state, address and disk.
-func members(answer *wire.BeliefsAnswer, isListed func(wire.Member) bool) map[string]string {
+// members describes each compared member by its state, address and disk.
+func members(answer *wire.BeliefsAnswer, isCompared func(wire.Member) bool) map[string]string {
 	states := map[int]string{wire.StateAlive: "alive", wire.StateSuspect: "suspect", wire.StateGone: "gone"}
-	beliefs := map[string]string{}
+	descriptions := map[string]string{}
 	for _, member := range answer.Members {
-		if !isListed(member) {
+		if !isCompared(member) {
 			continue
 		}
-		beliefs[membership.Name(member)] = strings.TrimSpace(states[member.State] + " at " + member.Address + " " + member.Disk)
+		descriptions[membership.Name(member)] = strings.TrimSpace(states[member.State] + " at " + member.Address + " " + member.Disk)
 	}
-	return beliefs
+	return descriptions
 }
 
+// owners describes the leader of each key.
 func owners(answer *wire.BeliefsAnswer) map[string]string {
-	beliefs := map[string]string{}
+	descriptions := map[string]string{}
 	for _, leader := range answer.Leaders {
-		beliefs[leader.Key] = fmt.Sprintf("%s, epoch %d", leader.Name, leader.Epoch)
+		descriptions[leader.Key] = fmt.Sprintf("%s, epoch %d", leader.Name, leader.Epoch)
 	}
-	return beliefs
+	return descriptions
 }
 
+// replicas describes the node's replica of each key: the epoch that it promised, its last entry and its voters.
 func replicas(answer *wire.BeliefsAnswer) map[string]string {
-	beliefs := map[string]string{}
+	descriptions := map[string]string{}
 	for _, key := range answer.Keys {
-		beliefs[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Index, strings.Join(key.Voters.Current, " "))
+		descriptions[key.Key] = fmt.Sprintf("promised %d, at %d.%d, voters %s", key.Epoch, key.Last.Epoch, key.Last.Index, strings.Join(key.Voters.Current, " "))
 	}
-	return beliefs
+	return descriptions
 }
 
+// jobs gives the state of each job.
 func jobs(answer *wire.BeliefsAnswer) map[string]string {
-	beliefs := map[string]string{}
+	descriptions := map[string]string{}
 	for _, job := range answer.Jobs {
-		beliefs[job.Key+"/"+job.ID] = job.State
+		descriptions[job.Key+"/"+job.ID] = job.State
 	}
-	return beliefs
+	return descriptions
 }
 
+// executors describes each executor by its state and number of runs.
 func executors(answer *wire.BeliefsAnswer) map[string]string {
-	beliefs := map[string]string{}
+	descriptions := map[string]string{}
 	for _, executor := range answer.Executors {
-		beliefs[executor.Key+"/"+executor.Executor] = fmt.Sprintf("%s, %d runs", executor.State, executor.Running)
+		descriptions[executor.Key+"/"+executor.Executor] = fmt.Sprintf("%s, %d runs", executor.State, executor.Running)
 	}
-	return beliefs
+	return descriptions
 }
 
-// Write shows differences to people, or as JSON; first and second are what the nodes are called there.
+// Write writes differences as text for people or as JSON. first and second are the nodes' names in it. It sorts all by kind.
 func Write(to io.Writer, first, second string, all []Difference, isJSON bool) error {
 	if isJSON {
 		if all == nil {
@@ -131,8 +138,8 @@
 		return err
 	}
 	slices.SortStableFunc(all, func(a, b Difference) int { return cmp.Compare(a.Kind, b.Kind) })
-	for _, differences := range all {
-		if _, err := fmt.Fprintf(to, "%s %s\n  %s: %s\n  %s: %s\n", differences.Kind, differences.Name, first, differences.First, second, differences.Second); err != nil {
+	for _, difference := range all {
+		if _, err := fmt.Fprintf(to, "%s %s\n  %s: %s\n  %s: %s\n", difference.Kind, difference.Name, first, difference.First, second, difference.Second); err != nil {
 			return err
 		}
 	}
--- a/internal/cluster/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -12,25 +12,25 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-func node(name string, plan int64) *wire.BeliefsAnswer {
-	return &wire.BeliefsAnswer{Name: name, Role: "steward", ConfigVersion: plan,
+func node(name string, version int64) *wire.BeliefsAnswer {
+	return &wire.BeliefsAnswer{Name: name, Role: "steward", ConfigVersion: version,
 		Members: []wire.Member{{Name: "edge-1", Role: "gate", Address: "10.0.0.1:7720"}},
 		Leaders: []wire.KeyLeader{{Key: "plan", Epoch: 2, Name: "edge-1"}},
 		Jobs:    []wire.JobBelief{{Key: "pool/s", ID: "5c0e7a21d94b36f8", State: "open"}}}
 }
 
 var _ = Describe("comparing two nodes", func() {
-	It("finds nothing where there is nothing", func() {
+	It("finds no differences between nodes with the same state", func() {
 		Expect(comparenodes.Compare(node("a", 7), node("b", 7))).To(BeEmpty())
 	})
 
-	It("does not miss at a local-proxy the members that it need not know", func() {
-		side := node("side-1", 7)
-		side.Role, side.Members = "local-proxy", []wire.Member{{Name: "side-1", Role: "local-proxy"}}
-		Expect(comparenodes.Compare(node("a", 7), side)).To(BeEmpty())
+	It("ignores members that a local proxy doesn't need to know", func() {
+		proxy := node("side-1", 7)
+		proxy.Role, proxy.Members = "local-proxy", []wire.Member{{Name: "side-1", Role: "local-proxy"}}
+		Expect(comparenodes.Compare(node("a", 7), proxy)).To(BeEmpty())
 	})
 
-	It("shows the differences only, to people and as JSON", func() {
+	It("writes only the differences, as text and as JSON", func() {
 		other := node("b", 9)
 		other.Leaders[0].Epoch = 3
 		other.Jobs[0].State = "completed"
@@ -44,7 +44,7 @@
 		Expect(lines.String()).To(ContainSubstring(`"differences":[]`))
 	})
 
-	It("gives up a node that takes the call and says nothing", func() {
+	It("fails for a node that accepts the connection and never answers", func() {
 		silent, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer silent.Close()
--- a/internal/cluster/comparenodes/serve.go
+++ b/internal/cluster/comparenodes/serve.go
@@ -1,4 +1,4 @@
-// Package comparenodes shows what a node believes, and how two nodes differ in that.
+// Package comparenodes retrieves what nodes know of the cluster, and shows how two nodes differ in it.
 package comparenodes
 
 import (
@@ -11,15 +11,15 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Sources are where a node's beliefs come from: its view of the members, the configuration that it applies, and what
-// it knows of keys, jobs and executors. Ring may be nil on a node that leads no keys.
+// Sources are the functions that give a node's state: its view of the members, the configuration in force, and what it knows of keys,
+// jobs and executors. Configuration and Keys may be nil on nodes without them.
 type Sources struct {
 	View          func() *membership.View
 	Configuration func() *configcache.Snapshot
 	Keys          func(ctx context.Context) ([]wire.KeyBelief, []wire.JobBelief, []wire.ExecutorBelief)
 }
 
-// Handle lets an operator's tool ask this node for its beliefs.
+// Handle registers the procedure by which an operator's tool retrieves this node's state.
 func Handle(mux *http.ServeMux, sources Sources) {
 	peerapi.Serve(mux, peerapi.ProcedureBeliefs, func(ctx context.Context, _ *wire.BeliefsCall) (*wire.BeliefsAnswer, error) {
 		view := sources.View()
--- a/internal/cluster/evacuationview/evacuationview_test.go
+++ b/internal/cluster/evacuationview/evacuationview_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("the view of evacuations", func() {
-	order := func(number int64, zones ...string) *wire.Evacuations {
+	listOf := func(number int64, zones ...string) *wire.Evacuations {
 		list := &wire.Evacuations{Number: number}
 		for _, zone := range zones {
 			list.Zones = append(list.Zones, wire.EvacuatedZone{Zone: zone, SinceMs: 1000})
@@ -19,29 +19,29 @@
 		return list
 	}
 
-	It("goes by the newest order that any process knows, and names those that don't", func() {
-		view := evacuationview.Join([]wire.EvacuationsAnswer{{Name: "b", Evacuations: order(1)}, {Name: "c", Evacuations: order(2, "north")}, {Name: "a"}})
+	It("shows the newest list that any process knows, and names the processes that are behind", func() {
+		view := evacuationview.Join([]wire.EvacuationsAnswer{{Name: "b", Evacuations: listOf(1)}, {Name: "c", Evacuations: listOf(2, "north")}, {Name: "a"}})
 		Expect(view.Number).To(Equal(int64(2)))
 		Expect(view.InformedCount).To(Equal(1))
 		Expect(view.Behind).To(Equal([]string{"a", "b"}))
 		Expect(view.Zones).To(Equal([]evacuationview.Zone{{Name: "north", IsEvacuated: true, SinceMs: 1000}}))
 	})
 
-	It("adds up what runs over pools, and takes one report of a pool that changes hands", func() {
+	It("adds up executors and runs over pools, and uses one report of a pool whose leader changes", func() {
 		view := evacuationview.Join([]wire.EvacuationsAnswer{
-			{Name: "a", Evacuations: order(1, "north"), Loads: []wire.ZoneLoad{{Key: "pool/x", Zone: "north", Executors: 1, Runs: 1}, {Key: "pool/y", Zone: "north", Executors: 2, Runs: 3}}},
-			{Name: "b", Evacuations: order(1, "north"), Loads: []wire.ZoneLoad{{Key: "pool/x", Zone: "north", Executors: 4, Runs: 5}, {Key: "pool/x", Zone: "south", Executors: 1}}},
+			{Name: "a", Evacuations: listOf(1, "north"), Loads: []wire.ZoneLoad{{Key: "pool/x", Zone: "north", Executors: 1, Runs: 1}, {Key: "pool/y", Zone: "north", Executors: 2, Runs: 3}}},
+			{Name: "b", Evacuations: listOf(1, "north"), Loads: []wire.ZoneLoad{{Key: "pool/x", Zone: "north", Executors: 4, Runs: 5}, {Key: "pool/x", Zone: "south", Executors: 1}}},
 		})
 		Expect(view.Zones).To(Equal([]evacuationview.Zone{{Name: "north", IsEvacuated: true, SinceMs: 1000, Executors: 6, Runs: 8}, {Name: "south", Executors: 1}}))
 		Expect(view.Behind).To(BeEmpty())
 	})
 
 	It("is written as a table", func() {
-		var shown strings.Builder
-		view := evacuationview.Join([]wire.EvacuationsAnswer{{Name: "a", Evacuations: order(3, "north", "west"),
+		var table strings.Builder
+		view := evacuationview.Join([]wire.EvacuationsAnswer{{Name: "a", Evacuations: listOf(3, "north", "west"),
 			Loads: []wire.ZoneLoad{{Key: "p", Zone: "north", Executors: 2, Runs: 1}, {Key: "p", Zone: "south", Executors: 2, Runs: 2}}}, {Name: "b"}})
-		Expect(view.WriteTable(&shown)).To(Succeed())
-		Expect(shown.String()).To(MatchRegexp(`north +emptying +1970-01-01T00:00:01Z +2 +1\nsouth +open +- +2 +2\nwest +empty +1970-01-01T00:00:01Z +0 +0\n`))
-		Expect(shown.String()).To(HaveSuffix("order 3 is known to 1 processes, not yet to b\n"))
+		Expect(view.WriteTable(&table)).To(Succeed())
+		Expect(table.String()).To(MatchRegexp(`north +emptying +1970-01-01T00:00:01Z +2 +1\nsouth +open +- +2 +2\nwest +empty +1970-01-01T00:00:01Z +0 +0\n`))
+		Expect(table.String()).To(HaveSuffix("order 3 is known to 1 processes, not yet to b\n"))
 	})
 })
--- a/internal/cluster/evacuationview/serve.go
+++ b/internal/cluster/evacuationview/serve.go
@@ -1,4 +1,4 @@
-// Package evacuationview shows an operator which zones are to be emptied, which processes know of it, and what still runs there.
+// Package evacuationview shows operators which zones are evacuated, which processes know that, and what still runs in each zone.
 package evacuationview
 
 import (
@@ -10,10 +10,11 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// LoadSource tells what runs in each zone, as far as this process leads pools.
+// LoadSource returns the executors and runs in each zone, for the pools that this process leads.
 type LoadSource func(ctx context.Context) []wire.ZoneLoad
 
-// Handle lets an operator's tool ask this process what it knows of evacuations. A process that leads no pools has a nil source.
+// Handle registers the procedure by which an operator's tool retrieves what this process knows of evacuations. loads is nil in a process
+// that leads no pools.
 func Handle(mux *http.ServeMux, view func() *membership.View, loads LoadSource) {
 	peerapi.Serve(mux, peerapi.ProcedureEvacuations, func(ctx context.Context, _ *wire.EvacuationsCall) (*wire.EvacuationsAnswer, error) {
 		known := view()
--- a/internal/cluster/evacuationview/view.go
+++ b/internal/cluster/evacuationview/view.go
@@ -15,29 +15,29 @@
 	"gannetline/internal/platform/indentedjson"
 )
 
-// Zone is one zone that has executors or is to be emptied.
+// Zone is a zone that has executors or is evacuated.
 type Zone struct {
 	Name string `json:"zone"`
-	// IsEvacuated tells that nothing new is to be sent there, since SinceMs in milliseconds since 1970.
+	// IsEvacuated says that nothing new is sent there since SinceMs, in milliseconds since 1970.
 	IsEvacuated bool  `json:"evacuated"`
 	SinceMs     int64 `json:"since-ms,omitempty"`
 	Executors   int   `json:"executors"`
-	// Runs are those that were sent to its executors and have not ended.
+	// Runs counts the runs that were sent to the zone's executors and have not ended.
 	Runs int `json:"runs"`
 }
 
-// View is what all processes know together.
+// View merges what all answering processes know.
 type View struct {
-	// Number is that of the newest list of evacuated zones that any process knows; 0 is before the first order.
+	// Number is the number of the newest list of evacuated zones that any process knows, 0 if no list was ever made.
 	Number int64  `json:"evacuation-number"`
 	Zones  []Zone `json:"zones"`
-	// InformedCount is how many processes know that list; Behind names those that answered and know an older one.
+	// InformedCount is how many processes know that list. Behind names the processes that answered with an older list or none, sorted.
 	InformedCount int      `json:"informed"`
 	Behind        []string `json:"behind"`
 }
 
-// Join makes the view of all answers. Two leaders may both tell of a pool while it changes hands; the one that knows more executors
-// in a zone then counts for that zone, as the other has only begun to meet them or no longer does.
+// Join merges answers into a view. While the leader of a pool changes, both the old and the new one may report on it. For each zone the
+// report with more executors then counts: the other leader has yet to hear from all of them, or no longer does.
 func Join(answers []wire.EvacuationsAnswer) View {
 	var newest *wire.Evacuations
 	for _, answer := range answers {
@@ -73,7 +73,7 @@
 	return view
 }
 
-// joinLoads adds up what runs in each zone over all pools.
+// joinLoads adds up the executors and runs in each zone over all pools.
 func joinLoads(answers []wire.EvacuationsAnswer) map[string]Zone {
 	type poolInZone struct{ key, zone string }
 	loads := map[poolInZone]wire.ZoneLoad{}
@@ -100,7 +100,7 @@
 	return errors.Annotate(indentedjson.Write(to, v), "writing the evacuations")
 }
 
-// WriteTable writes a line a zone, and one that tells who knows of the newest order.
+// WriteTable writes a line a zone, and a last line on which processes know the newest list.
 func (v View) WriteTable(to io.Writer) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "zone\tstate\tsince\texecutors\truns")
@@ -118,6 +118,7 @@
 	return errors.Annotate(err, "writing the evacuations")
 }
 
+// state is "open" for a zone that isn't evacuated, "emptying" while runs remain in an evacuated one, and "empty" then.
 func (z Zone) state() string {
 	switch {
 	case !z.IsEvacuated:
@@ -128,6 +129,7 @@
 	return "emptying"
 }
 
+// since is the start of the evacuation in UTC, "-" for a zone that isn't evacuated.
 func (z Zone) since() string {
 	if !z.IsEvacuated {
 		return "-"
--- a/internal/cluster/rolloutview/rolloutview.go
+++ b/internal/cluster/rolloutview/rolloutview.go
@@ -1,4 +1,4 @@
-// Package rolloutview shows an operator how rollouts stand.
+// Package rolloutview shows the status of rollouts to operators.
 package rolloutview
 
 import (
@@ -11,26 +11,27 @@
 	"gannetline/internal/platform/indentedjson"
 )
 
-// barWidth is how many marks stand for a share of 1.
+// barWidth is the number of characters in a bar.
 const barWidth = 20
 
-// Only gives the rollout of a name alone.
+// Only returns a status with just the rollouts of a name, which is none if the name is unknown.
 func Only(status *wire.RolloutsStatus, name string) *wire.RolloutsStatus {
-	only := &wire.RolloutsStatus{Version: status.Version, Rollouts: []wire.RolloutStatus{}}
+	filtered := &wire.RolloutsStatus{Version: status.Version, Rollouts: []wire.RolloutStatus{}}
 	for _, rollout := range status.Rollouts {
 		if rollout.Name == name {
-			only.Rollouts = append(only.Rollouts, rollout)
+			filtered.Rollouts = append(filtered.Rollouts, rollout)
 		}
 	}
-	return only
+	return filtered
 }
 
-// WriteJSON writes all that is known, indented.
+// WriteJSON writes the whole status as indented JSON.
 func WriteJSON(to io.Writer, status *wire.RolloutsStatus) error {
 	return indentedjson.Write(to, status)
 }
 
-// WriteTable writes a block for each rollout: its share as a bar, what keeps it, a line a version, and a line an aspect it is judged by.
+// WriteTable writes a block for each rollout: its share as a bar, the reason of its state, the action that its last evaluation chose, a
+// line for each version, and a line for each verdict. It writes "no rollouts" if there are none.
 func WriteTable(to io.Writer, status *wire.RolloutsStatus) error {
 	if len(status.Rollouts) == 0 {
 		_, err := fmt.Fprintln(to, "no rollouts")
@@ -56,12 +57,12 @@
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  VERSION\tEXECUTORS\tCOMPLETED\tFAILED\tLATE\tOPEN\tOVERDUE\tCORES USED")
 	for _, version := range []struct {
-		name    string
-		counted wire.VersionStatus
+		name   string
+		status wire.VersionStatus
 	}{{rollout.From, rollout.Old}, {rollout.To, rollout.New}} {
-		counted := version.counted
-		fmt.Fprintf(table, "  %s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f of %.1f\n", version.name, counted.Executors, counted.Jobs.Completed, counted.Jobs.Failed,
-			counted.Jobs.Late, counted.Open, counted.Overdue, cores(counted.Allocated), cores(counted.Capacity))
+		status := version.status
+		fmt.Fprintf(table, "  %s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f of %.1f\n", version.name, status.Executors, status.Jobs.Completed, status.Jobs.Failed,
+			status.Jobs.Late, status.Open, status.Overdue, cores(status.Allocated), cores(status.Capacity))
 	}
 	if len(rollout.Verdicts) > 0 {
 		fmt.Fprintln(table, "  JUDGED BY\tOF\tBAD\tTOTAL\tAGREED\tOLD VERSION\tEVIDENCE\tTURNS BACK AT")
@@ -73,13 +74,12 @@
 	return table.Flush()
 }
 
-// Bar is a share from 0 to 1 as so many marks.
+// Bar draws a share from 0 to 1 as that part of the bar in "#" and the rest in ".".
 func Bar(share float64) string {
 	marks := min(barWidth, int(share*barWidth+0.5))
 	return strings.Repeat("#", marks) + strings.Repeat(".", barWidth-marks)
 }
 
-// millicores are how many make a core.
-const millicores = 1000
+const millicoresPerCore = 1000
 
-func cores(count int64) float64 { return float64(count) / millicores }
+func cores(millicores int64) float64 { return float64(millicores) / millicoresPerCore }
--- a/internal/cluster/tenantview/tenantview.go
+++ b/internal/cluster/tenantview/tenantview.go
@@ -1,4 +1,4 @@
-// Package tenantview joins what pools and the parts of the tenants' count tell into one row a tenant, for an operator to read.
+// Package tenantview merges the reports of pools and of the partitions of the tenants' count into one row a tenant, for operators.
 package tenantview
 
 import (
@@ -16,11 +16,11 @@
 	"gannetline/internal/platform/indentedjson"
 )
 
-// Row is one tenant over all pools. Amounts are in thousandths of a core, MB and GPUs; a Limit of 0 is none.
+// Row is the usage of one tenant over all pools. Amounts are in thousandths of a core, MB and GPUs. A Limit of 0 is no limit.
 type Row struct {
 	Tenant string  `json:"tenant"`
 	Weight float64 `json:"weight"`
-	// Part is the key that counts the tenant, empty if its leader did not answer.
+	// Part is the key of the partition that counts the tenant, empty if its leader didn't answer.
 	Part        string             `json:"part,omitempty"`
 	Limit       wire.Capacity      `json:"limit"`
 	Granted     wire.Capacity      `json:"granted"`
@@ -33,14 +33,15 @@
 	Pools       []wire.TenantShare `json:"pools,omitempty"`
 }
 
-// View is all tenants, in the order of their names.
+// View holds all tenants, sorted by name.
 type View struct {
-	// Version is the newest configuration that any of those who answered goes by.
+	// Version is the newest version of the configuration in any report.
 	Version int64 `json:"config-version"`
 	Tenants []Row `json:"tenants"`
 }
 
-// Join makes the view of all reports. Two leaders may both tell of a key while it changes hands; the later report then counts.
+// Join merges reports into a view. While the leader of a key changes, both the old and the new one may report on it. The report with
+// the newer version of the configuration then counts, or the later in the list if the versions are equal.
 func Join(reports []wire.TenantCountReport) View {
 	newest := map[string]wire.TenantCountReport{}
 	view := View{Tenants: []Row{}}
@@ -65,7 +66,7 @@
 	return view
 }
 
-// add counts in what one key knows of the tenant.
+// add adds the tenant's usage as the leader of one key reported it.
 func (r *Row) add(key string, usage wire.TenantUsage) {
 	r.Weight, r.Share = max(r.Weight, usage.Weight), max(r.Share, usage.Share)
 	r.Runs += usage.Runs
@@ -82,6 +83,7 @@
 	}
 }
 
+// plus adds amounts; nil is no amount.
 func plus(sum wire.Capacity, added *wire.Capacity) wire.Capacity {
 	if added == nil {
 		return sum
@@ -94,7 +96,8 @@
 	return errors.Annotate(indentedjson.Write(to, v), "writing the tenants")
 }
 
-// WriteTable writes a line a tenant, those that have and wait for most first; with byPool also a line for each pool's grant.
+// WriteTable writes a line a tenant, sorted by the sum of running and waiting CPU, the highest first. With byPool each tenant's line is
+// followed by one for each pool's grant.
 func (v View) WriteTable(to io.Writer, byPool bool) error {
 	rows := slices.Clone(v.Tenants)
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(b.Running.CPU+b.Waiting.CPU, a.Running.CPU+a.Waiting.CPU) })
@@ -113,7 +116,7 @@
 	return errors.Annotate(cmp.Or(err, table.Flush()), "writing the tenants")
 }
 
-// amountText is cores/MB, and /GPUs if there are any.
+// amountText is an amount as cores/MB, or cores/MB/GPUs if it has GPUs.
 func amountText(amount wire.Capacity) string {
 	text := fmt.Sprintf("%g/%d", float64(amount.CPU)/1000, amount.Memory)
 	if amount.GPU > 0 {
@@ -122,7 +125,8 @@
 	return text
 }
 
-// limitText is amountText with "-" for a resource without a limit.
+// limitText is a limit as cores/MB, or cores/MB/GPUs if GPUs are limited, with "-" for cores or MB without a limit. No limit at all is
+// a single "-".
 func limitText(limit wire.Capacity) string {
 	if limit == (wire.Capacity{}) {
 		return "-"
--- a/internal/cluster/tenantview/tenantview_test.go
+++ b/internal/cluster/tenantview/tenantview_test.go
@@ -22,7 +22,7 @@
 		{Key: "pool/y", Version: 5, Tenants: []wire.TenantUsage{{Tenant: "t", Weight: 2, Running: amount(7500, 10), Runs: 9}}},
 	}
 
-	It("adds up what all pools have, and takes the newest report of a key", func() {
+	It("adds up the usage of all pools, and uses the newest report of a key", func() {
 		view := tenantview.Join(reports)
 		Expect(view.Version).To(Equal(int64(7)))
 		Expect(view.Tenants).To(HaveLen(2))
@@ -37,7 +37,7 @@
 		Expect(tenantview.Join(nil).Tenants).To(BeEmpty())
 	})
 
-	It("is written as a table, the busiest first, and as JSON", func() {
+	It("is written as a table, the tenant with the most CPU first, and as JSON", func() {
 		var table, text bytes.Buffer
 		Expect(tenantview.Join(reports).WriteTable(&table, true)).To(Succeed())
 		lines := strings.Split(strings.TrimSpace(table.String()), "\n")
