--- a/cmd/gannetline/rolloutstatus.go
+++ b/cmd/gannetline/rolloutstatus.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	if name := command.Args().First(); name != "" {
-		status = rolloutview.Only(status, name)
+		status = rolloutview.FilterByName(status, name)
 		if len(status.Rollouts) == 0 {
 			return errors.Annotatef(configuration.ErrNoRollout, "%q", name)
 		}
--- a/internal/cluster/rolloutview/rolloutview.go
+++ b/internal/cluster/rolloutview/rolloutview.go
@@ -14,8 +14,8 @@
 // barWidth is the number of characters in a bar.
 const barWidth = 20
 
-// Only returns a status with just the rollouts of a name, which is none if the name is unknown.
-func Only(status *wire.RolloutsStatus, name string) *wire.RolloutsStatus {
+// FilterByName returns a status with only the rollouts of a name. Its list is empty, not nil, if there are none.
+func FilterByName(status *wire.RolloutsStatus, name string) *wire.RolloutsStatus {
 	filtered := &wire.RolloutsStatus{Version: status.Version, Rollouts: []wire.RolloutStatus{}}
 	for _, rollout := range status.Rollouts {
 		if rollout.Name == name {
