--- a/cmd/gannetline/compare.go
+++ b/cmd/gannetline/compare.go
@@ -33,7 +33,7 @@
 // compare prints what two nodes believe differently, or exits with exitDiffers or exitSilent.
 func compare(first, second string, limit time.Duration, isJSON bool) error {
 	beliefs := askAll([]string{first, second}, func(address string) (*wire.BeliefsAnswer, error) {
-		return comparenodes.Ask(address, limit)
+		return comparenodes.RetrieveBeliefs(address, limit)
 	})
 	for _, node := range beliefs {
 		if node.err != nil {
--- a/cmd/gannetline/metrics.go
+++ b/cmd/gannetline/metrics.go
@@ -75,7 +75,7 @@
 
 // membersOf gives the processes that the one at an address believes to be there, with their roles.
 func membersOf(address string, limit time.Duration) ([]process, error) {
-	beliefs, err := comparenodes.Ask(address, limit)
+	beliefs, err := comparenodes.RetrieveBeliefs(address, limit)
 	if err != nil {
 		return nil, cli.Exit("no answer: "+err.Error(), exitSilent)
 	}
--- a/internal/cluster/comparenodes/ask.go
+++ b/internal/cluster/comparenodes/ask.go
@@ -8,8 +8,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Ask retrieves a node's state, and fails if the node doesn't answer within the timeout.
-func Ask(address string, timeout time.Duration) (*wire.BeliefsAnswer, error) {
+// RetrieveBeliefs retrieves what a node knows of the cluster. It fails if the node doesn't answer within the timeout.
+func RetrieveBeliefs(address string, timeout time.Duration) (*wire.BeliefsAnswer, error) {
 	caller := peerapi.NewCaller(peerapi.Client(timeout, 1))
 	return peerapi.Call[wire.BeliefsCall, wire.BeliefsAnswer](context.Background(), caller, address,
 		peerapi.ProcedureBeliefs, timeout, &wire.BeliefsCall{})
--- a/internal/cluster/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -48,7 +48,7 @@
 		silent, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer silent.Close()
-		_, err = comparenodes.Ask(silent.Addr().String(), 50*time.Millisecond)
+		_, err = comparenodes.RetrieveBeliefs(silent.Addr().String(), 50*time.Millisecond)
 		Expect(err).To(HaveOccurred())
 	})
 })
