--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -20,7 +20,7 @@
 	// failureBackoff is the delay before a peer that failed is asked again, per failure in a row.
 	failureBackoff = 100 * time.Millisecond
 	// After a version came into force, the next fetch waits applyPauseFactor times as long as applying it took, at most
-	// maxApplyPause. In a storm of versions most are then skipped, and a slow processor keeps time for its other calls.
+	// maxApplyPause. In a burst of versions most are then skipped, and a slow processor keeps time for its other calls.
 	applyPauseFactor = 4
 	maxApplyPause    = 400 * time.Millisecond
 )
@@ -118,7 +118,7 @@
 	}
 }
 
-// ask calls a peer for a newer version. Without acceptsChanges the peer sends the whole configuration in chunks.
+// ask calls a peer for a newer version. Without acceptsChanges it asks for the whole configuration.
 func (f *Fetcher) ask(address string, acceptsChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
 	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// chunkBytes is the most of an image that goes into one answer. It takes 64 ms of a link of 2 Mbit/s.
+	// chunkBytes is the most of an image that goes into one answer. It takes 64 ms on a link of 2 Mbit/s.
 	chunkBytes = 16 << 10
 	// maxImageBytes is the maximum size of an image, both compressed and decompressed.
 	maxImageBytes = 16 << 20
--- a/internal/cluster/configuration/configuration_test.go
+++ b/internal/cluster/configuration/configuration_test.go
@@ -43,9 +43,9 @@
 	)
 
 	It("gives services of a route requests in proportion to their weights", func() {
-		split := strings.Replace(strings.Replace(valid, `"service":"s"`, `"weighted-split":[{"service":"s","weight":90},{"service":"t","weight":10}]`, 1),
+		withSplit := strings.Replace(strings.Replace(valid, `"service":"s"`, `"weighted-split":[{"service":"s","weight":90},{"service":"t","weight":10}]`, 1),
 			`"service-list":[`, `"service-list":[{"name":"t"},`, 1)
-		decoded, err := configuration.Read([]byte(split))
+		decoded, err := configuration.Read([]byte(withSplit))
 		Expect(err).NotTo(HaveOccurred())
 		counts := map[string]int{}
 		for number := range 10000 {
