--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -13,8 +13,8 @@
 	youngFor = 10 * time.Second
 )
 
-// HoldsConfiguration takes note that this process holds a version of the configuration, and spreads it if it is new.
-func (t *Table) HoldsConfiguration(version int64) {
+// AnnounceConfiguration takes note that this process holds a version of the configuration, and spreads it if it is new.
+func (t *Table) AnnounceConfiguration(version int64) {
 	if version > t.configVersion {
 		t.configVersion = version
 		t.versionRounds = announceRounds
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -253,9 +253,9 @@
 	})
 }
 
-// HoldsConfiguration announces that this process holds a version of the configuration.
-func (n *Node) HoldsConfiguration(version int64) {
-	n.mailbox.Post(func() { n.table.HoldsConfiguration(version) })
+// AnnounceConfiguration announces that this process holds a version of the configuration.
+func (n *Node) AnnounceConfiguration(version int64) {
+	n.mailbox.Post(func() { n.table.AnnounceConfiguration(version) })
 }
 
 // HoldsEvacuations announces a committed list of evacuations.
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -110,7 +110,7 @@
 
 	It("spreads the version of a configuration and of a key's leader to all, and never goes back", func() {
 		t := newPairNetwork(20)
-		t.tables["n0"].HoldsConfiguration(7)
+		t.tables["n0"].AnnounceConfiguration(7)
 		t.tables["n0"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n0"].Broadcast()
 		t.run(4 * time.Second)
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.HoldsConfiguration(snapshot.Committed.Version) })
+	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.AnnounceConfiguration(snapshot.Committed.Version) })
 	configurations.Handle(b.inner)
 	b.join(wire.Member{Role: "gate"}, membership.OnConfigurationAhead(configurations.FetchFrom))
 	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current})
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer kept.close()
-	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.HoldsConfiguration(snapshot.Committed.Version) })
+	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.AnnounceConfiguration(snapshot.Committed.Version) })
 	configurations.Handle(b.inner)
 	knownPeers := kept.peers(b.log)
 	b.join(kept.member(b.settings.Listen.Control), membership.OnConfigurationAhead(configurations.FetchFrom), membership.WithKnownPeers(knownPeers))
