--- a/internal/cluster/membership/evacuations.go
+++ b/internal/cluster/membership/evacuations.go
@@ -26,8 +26,8 @@
 	n.evacuations, n.evacuatedAt = newer, evacuatedAt
 }
 
-// HoldsEvacuations takes note of a committed list of evacuations, and spreads it if it is new.
-func (t *Table) HoldsEvacuations(evacuations *wire.Evacuations) { t.mergeEvacuations(evacuations) }
+// AnnounceEvacuations takes note of a committed list of evacuations, and spreads it if it is new.
+func (t *Table) AnnounceEvacuations(evacuations *wire.Evacuations) { t.mergeEvacuations(evacuations) }
 
 // IsEvacuated tells whether nothing new may be sent to the executors of a zone, as far as this process knows. Any goroutine may ask.
 func (n *Node) IsEvacuated(zone string) bool { return n.View().Evacuations.Has(zone) }
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -258,7 +258,7 @@
 	n.mailbox.Post(func() { n.table.AnnounceConfiguration(version) })
 }
 
-// HoldsEvacuations announces a committed list of evacuations.
-func (n *Node) HoldsEvacuations(evacuations *wire.Evacuations) {
-	n.mailbox.Post(func() { n.table.HoldsEvacuations(evacuations) })
+// AnnounceEvacuations announces a committed list of evacuations.
+func (n *Node) AnnounceEvacuations(evacuations *wire.Evacuations) {
+	n.mailbox.Post(func() { n.table.AnnounceEvacuations(evacuations) })
 }
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -126,14 +126,14 @@
 	It("spreads evacuations to all, with whom starts later, and never goes back", func() {
 		t := newPairNetwork(20)
 		emptied := &wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{{Zone: "z", SinceMs: 5}}}
-		t.tables["n0"].HoldsEvacuations(emptied)
+		t.tables["n0"].AnnounceEvacuations(emptied)
 		t.run(3 * time.Second)
 		for name, view := range t.views {
 			Expect(view.Evacuations.Has("z")).To(BeTrue(), name)
 			Expect(view.EvacuatedAt["z"]).To(BeNumerically("<", 3*time.Second), name)
 		}
-		t.tables["n3"].HoldsEvacuations(&wire.Evacuations{Number: 1})
-		t.tables["n4"].HoldsEvacuations(&wire.Evacuations{Number: 3})
+		t.tables["n3"].AnnounceEvacuations(&wire.Evacuations{Number: 1})
+		t.tables["n4"].AnnounceEvacuations(&wire.Evacuations{Number: 3})
 		t.run(3 * time.Second)
 		for name, view := range t.views {
 			Expect(view.Evacuations.Number).To(Equal(int64(3)), name)
@@ -144,15 +144,15 @@
 	It("counts the time of an evacuation from its own order, whatever is ordered for other zones", func() {
 		t := newPairNetwork(3)
 		first := wire.EvacuatedZone{Zone: "z", SinceMs: 5}
-		t.tables["n0"].HoldsEvacuations(&wire.Evacuations{Number: 1, Zones: []wire.EvacuatedZone{first}})
+		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 1, Zones: []wire.EvacuatedZone{first}})
 		t.run(2 * time.Second)
 		learned := t.views["n1"].EvacuatedAt["z"]
 		t.run(2 * time.Second)
-		t.tables["n0"].HoldsEvacuations(&wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{first, {Zone: "y", SinceMs: 4000}}})
+		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{first, {Zone: "y", SinceMs: 4000}}})
 		t.run(2 * time.Second)
 		Expect(t.views["n1"].EvacuatedAt["z"]).To(Equal(learned))
 		Expect(t.views["n1"].EvacuatedAt["y"]).To(BeNumerically(">", learned))
-		t.tables["n0"].HoldsEvacuations(&wire.Evacuations{Number: 3, Zones: []wire.EvacuatedZone{{Zone: "z", SinceMs: 6000}}})
+		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 3, Zones: []wire.EvacuatedZone{{Zone: "z", SinceMs: 6000}}})
 		t.run(2 * time.Second)
 		Expect(t.views["n1"].EvacuatedAt["z"]).To(BeNumerically(">", learned), "ordered again")
 		Expect(t.views["n1"].EvacuatedAt).NotTo(HaveKey("y"))
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -66,7 +66,7 @@
 	case key == configleader.Key:
 		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.Hold(committed) },
 			configleader.WithStorageDisks(m.storageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithStandingKeys(m.standingKeys()),
-			configleader.WithEvacuations(m.Node.HoldsEvacuations))
+			configleader.WithEvacuations(m.Node.AnnounceEvacuations))
 		machine := configurationMachine{leader, m.rollouts}
 		runner.machine, runner.engine = machine, newEngine(machine)
 	case tenantcount.IsKey(key):
