--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -244,8 +244,8 @@
 	})
 }
 
-// Announce passes on the leader of a key.
-func (n *Node) Announce(leader wire.KeyLeader) {
+// AnnounceLeader passes on the leader of a key.
+func (n *Node) AnnounceLeader(leader wire.KeyLeader) {
 	n.mailbox.Post(func() {
 		if n.table.MergeLeader(leader) {
 			n.table.Broadcast()
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -57,7 +57,7 @@
 	newEngine := func(machine replication.StateMachine, options ...replication.Option) *replication.Engine {
 		transport := &peerTransport{manager: m, engineMailbox: engineMailbox, ctx: m.ctx}
 		options = append(options, replication.WithInitialVoters(initialVoters), replication.WithLog(m.Log),
-			replication.WithAnnounce(m.Node.Announce), replication.WithMachineLosses(m.MachineLosses))
+			replication.WithAnnounce(m.Node.AnnounceLeader), replication.WithMachineLosses(m.MachineLosses))
 		return replication.NewEngine(key, m.disk, m.Name, m.Clock, transport, machine, m.disksInCluster, options...)
 	}
 	owner := mailbox.Owner{Every: tickInterval}
