--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -119,7 +119,7 @@
 // ask calls a peer and tells the fetcher of the outcome.
 func (c *Cache) ask(address string, call *wire.ConfigurationCall, patience time.Duration) {
 	go func() {
-		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), c.caller, c.clock, address,
+		answer, err := peerapi.CallWithStallTimeout[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), c.caller, c.clock, address,
 			peerapi.ProcedurePlan, patience, call)
 		c.mailbox.Post(func() { c.fetcher.HandleAnswer(address, call, answer, err) })
 	}()
--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -1,5 +1,5 @@
 // Package peerapi carries calls between the processes of the system: each procedure has a path, a message that asks and one that
-// answers (package wire), over connect-go with a codec of generated JSON. Serve answers a procedure, Call and CallWhileMoving
+// answers (package wire), over connect-go with a codec of generated JSON. Serve answers a procedure, Call and CallWithStallTimeout
 // ask a peer, and an error tells by NeverSent whether the call certainly did not reach it.
 package peerapi
 
--- a/internal/cluster/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -66,7 +66,7 @@
 		DeferCleanup(func() { close(parts) })
 		over := make(chan error)
 		go func() {
-			_, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
+			_, err := peerapi.CallWithStallTimeout[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
 				impatient{}, address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 			over <- err
 		}()
@@ -82,7 +82,7 @@
 			}
 			close(parts)
 		}()
-		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
+		answer, err := peerapi.CallWithStallTimeout[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
 			fakeClock, address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.Full.Version).To(Equal(int64(7)))
--- a/internal/cluster/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -57,9 +57,9 @@
 	return count, err
 }
 
-// CallWhileMoving asks the peer at an address, and gives up only once nothing of the answer has come for as long
+// CallWithStallTimeout asks the peer at an address, and gives up only once nothing of the answer has come for as long
 // as the patience: a slow link is no reason to end a call, a silent one is. The cause is then ErrStalled.
-func CallWhileMoving[Request, Answer any](ctx context.Context, caller *Caller, clock clock.Clock, address, procedure string,
+func CallWithStallTimeout[Request, Answer any](ctx context.Context, caller *Caller, clock clock.Clock, address, procedure string,
 	patience time.Duration, request *Request) (*Answer, error) {
 	type outcome struct {
 		answer *Answer
