--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -4,14 +4,15 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// SumsCall is the first call of a comparison: this table's sums by bucket.
-func (t *Table) SumsCall() wire.MembersCall {
+// NewComparisonCall returns the first call of a comparison. It carries the sums of the buckets of this table.
+func (t *Table) NewComparisonCall() wire.MembersCall {
 	return wire.MembersCall{From: t.self, Digest: t.digestFor(t.self.Role), Buckets: t.sumsFor(t.self.Role)[:]}
 }
 
-// AnswerCall gives the records of the buckets that differ; a peer of an earlier version gets them all.
+// AnswerCall merges the records of a call and answers it. The answer to a first call holds the records of the buckets that differ, or all
+// records for a peer of an earlier version, which sends no buckets.
 func (t *Table) AnswerCall(call *wire.MembersCall) wire.MembersAnswer {
-	t.noteContact(call.From)
+	t.recordContact(call.From)
 	for _, member := range call.Members {
 		t.Merge(member)
 	}
@@ -32,7 +33,7 @@
 	return answer
 }
 
-// answerBuckets names the buckets whose sums differ, and gives the records in them.
+// answerBuckets adds to an answer the buckets whose sums differ, and their records. A local-proxy gets the records of stewards only.
 func (t *Table) answerBuckets(call *wire.MembersCall, answer *wire.MembersAnswer) {
 	var isDiffering [bucketCount]bool
 	for bucket, sum := range t.sumsFor(call.From.Role) {
@@ -49,7 +50,8 @@
 	})
 }
 
-// HandleAnswer merges an answer; it gives a second call where this table holds what the peer lacks.
+// HandleAnswer merges an answer. It returns a second call with the records and leaders that the peer lacks, or nil if there are none. A
+// local-proxy has no second call for records: it forgets the stewards that the answer lacks.
 func (t *Table) HandleAnswer(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
 	for _, member := range answer.Members {
 		t.Merge(member)
@@ -60,26 +62,27 @@
 		return nil
 	}
 	t.silentSince = t.clock.Monotonic()
-	given := &wire.MembersCall{From: t.self, IsFollowUp: true, Digest: t.digestFor(t.self.Role)}
-	lacking := t.lackingIn(answer)
+	followUp := &wire.MembersCall{From: t.self, IsFollowUp: true, Digest: t.digestFor(t.self.Role)}
+	missing := t.recordsMissingIn(answer)
 	if isLeaf(t.self) {
-		for _, member := range lacking {
+		for _, member := range missing {
 			t.forget(Name(member))
 		}
 	} else {
-		given.Members = lacking
+		followUp.Members = missing
 	}
-	if t.publishedLeaderSum() != answer.Digest.LeaderSum {
-		given.Digest.Leaders = t.allLeaders()
+	if t.digestLeaderSum() != answer.Digest.LeaderSum {
+		followUp.Digest.Leaders = t.allLeaders()
 	}
-	if len(given.Members) == 0 && len(given.Digest.Leaders) == 0 {
+	if len(followUp.Members) == 0 && len(followUp.Digest.Leaders) == 0 {
 		return nil
 	}
-	return given
+	return followUp
 }
 
-// lackingIn gives the records of the differing buckets that an answer lacks or has in an older form.
-func (t *Table) lackingIn(answer *wire.MembersAnswer) []Member {
+// recordsMissingIn returns the members of the differing buckets that an answer lacks or has with an older record. Members that are gone
+// need not be listed.
+func (t *Table) recordsMissingIn(answer *wire.MembersAnswer) []Member {
 	listed := map[string]Member{}
 	for _, member := range answer.Members {
 		listed[Name(member)] = member
@@ -90,13 +93,13 @@
 			isDiffering[bucket] = true
 		}
 	}
-	var lacking []Member
+	var missing []Member
 	t.each(func(known *record) {
 		other, exists := listed[Name(known.member)]
-		isLacking := exists && isNewer(known.member, other) || !exists && known.member.State != wire.StateGone
-		if isDiffering[known.bucket] && isLacking {
-			lacking = append(lacking, known.member)
+		isMissing := exists && isNewer(known.member, other) || !exists && known.member.State != wire.StateGone
+		if isDiffering[known.bucket] && isMissing {
+			missing = append(missing, known.member)
 		}
 	})
-	return lacking
+	return missing
 }
--- a/internal/cluster/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -6,29 +6,30 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// The kinds of datagrams, as they are on the wire.
+// The kinds of datagrams, by their names on the wire.
 const (
 	kindPing = "ping"
 	kindAck  = "ack"
-	// kindAsk asks for an indirect probe: the receiver pings the target and passes its answer on.
-	kindAsk    = "ask"
+	// kindPingRequest asks for an indirect probe: the receiver pings the target and relays its ack.
+	kindPingRequest = "ask"
+	// kindUpdate carries changes and needs no answer.
 	kindUpdate = "news"
 )
 
 const (
-	// maxUpdates is how many records a datagram carries at most.
+	// maxUpdates is the maximum number of records in a datagram.
 	maxUpdates = 5
-	// updateRepeats is how often a changed record is sent along.
+	// updateRepeats is the number of datagrams that carry a changed record.
 	updateRepeats = 4
 )
 
-// HandleDatagram takes one datagram.
+// HandleDatagram merges what a datagram carries, and answers it if its kind needs an answer or the sender lacks leaders.
 func (t *Table) HandleDatagram(datagram wire.Datagram) {
 	from := datagram.From
 	if Name(from) == Name(t.self) {
 		return
 	}
-	t.noteContact(from)
+	t.recordContact(from)
 	for _, member := range datagram.Updates {
 		t.Merge(member)
 	}
@@ -40,8 +41,8 @@
 	case kindAck:
 		t.handleAck(datagram)
 		t.setPingPause(datagram.PingPauseMs)
-	case kindAsk:
-		t.probeFor(datagram)
+	case kindPingRequest:
+		t.relayPing(datagram)
 	}
 	if reply.Kind == "" && len(reply.Digest.Leaders) > 0 {
 		reply.Kind = kindUpdate
@@ -49,14 +50,14 @@
 	if reply.Kind != "" {
 		t.send(from, reply)
 	}
-	t.compareSums(from, datagram.Digest)
+	t.startComparisonIfDue(from, datagram.Digest)
 	t.PublishIfChanged()
 }
 
-// noteContact notes that a peer has sent something.
-func (t *Table) noteContact(from Member) {
+// recordContact records that a peer has sent a message, which proves that it is alive.
+func (t *Table) recordContact(from Member) {
 	if isLeaf(from) {
-		t.noteLeaf(from)
+		t.trackLeaf(from)
 		return
 	}
 	t.Merge(from)
@@ -67,7 +68,7 @@
 	}
 }
 
-// suspicionOf gives the record of a member that is not thought alive, so that it can refute it.
+// suspicionOf returns the record of a member that is suspect or gone, so that the member can refute it. Otherwise it returns nil.
 func (t *Table) suspicionOf(name string) []Member {
 	if known := t.records[name]; known != nil && known.member.State != wire.StateAlive {
 		return []Member{known.member}
@@ -75,15 +76,16 @@
 	return nil
 }
 
-// send adds this process's record, digest and recent changes to a datagram.
+// send adds the record of this process, its digest and recent changes to a datagram, and sends it. A local-proxy gets the records of new
+// leaders and its ping pause in place of the changes.
 func (t *Table) send(to Member, datagram wire.Datagram) {
 	leaders := datagram.Digest.Leaders
 	if len(leaders) == 0 {
-		leaders = t.newLeaders()
+		leaders = t.leadersToSend()
 	}
 	if isLeaf(to) {
-		datagram.PingPauseMs = t.pauseMs()
-		datagram.Updates = append(datagram.Updates, t.recordsOf(leaders)...)
+		datagram.PingPauseMs = t.pingPauseMs()
+		datagram.Updates = append(datagram.Updates, t.recordsOfLeaders(leaders)...)
 	} else {
 		datagram.Updates = t.withRecentChanges(datagram.Updates)
 	}
@@ -92,9 +94,9 @@
 	t.events.Send(to.Address, datagram)
 }
 
-// withRecentChanges adds records that have changed of late, and counts that they were sent.
+// withRecentChanges adds recently changed records up to maxUpdates, and counts down how often each is still sent.
 func (t *Table) withRecentChanges(updates []Member) []Member {
-	for name, timesLeft := range t.changesToSend {
+	for name, timesLeft := range t.pendingUpdates {
 		if len(updates) >= maxUpdates {
 			break
 		}
@@ -102,15 +104,16 @@
 			updates = append(updates, known.member)
 		}
 		if timesLeft <= 1 {
-			delete(t.changesToSend, name)
+			delete(t.pendingUpdates, name)
 			continue
 		}
-		t.changesToSend[name] = timesLeft - 1
+		t.pendingUpdates[name] = timesLeft - 1
 	}
 	return updates
 }
 
-// Broadcast sends recent changes to a few others at once.
+// Broadcast sends recent changes to a few random members without waiting for the next probe. If leaders have changed, it sends to more
+// members, and to all attached local-proxies.
 func (t *Table) Broadcast() {
 	if len(t.recentLeaders) == 0 {
 		t.sendUpdates(t.timing.Fanout)
@@ -120,6 +123,7 @@
 	t.sendToLeaves()
 }
 
+// sendUpdates sends an update to a number of random members.
 func (t *Table) sendUpdates(count int) {
 	t.PublishIfChanged()
 	for _, member := range t.randomMembers(count, "") {
@@ -127,26 +131,27 @@
 	}
 }
 
-// randomMembers draws a few members that are alive, without walking the whole list unless most of it is not.
-func (t *Table) randomMembers(count int, without string) []Member {
+// randomMembers returns up to count random live members other than this process and the excluded one. It walks the whole list only if
+// random draws find too few, which happens if most members are not alive.
+func (t *Table) randomMembers(count int, excluded string) []Member {
 	all := t.members.members
 	var chosen []Member
-	take := func(member Member) {
+	addIfEligible := func(member Member) {
 		name := Name(member)
-		isFit := member.State == wire.StateAlive && name != without && name != Name(t.self)
-		if isFit && !slices.ContainsFunc(chosen, func(other Member) bool { return Name(other) == name }) {
+		isEligible := member.State == wire.StateAlive && name != excluded && name != Name(t.self)
+		if isEligible && !slices.ContainsFunc(chosen, func(other Member) bool { return Name(other) == name }) {
 			chosen = append(chosen, member)
 		}
 	}
-	for try := 0; try < 8*count && len(chosen) < count; try++ {
-		take(all[t.random.IntN(len(all))])
+	for draws := 0; draws < 8*count && len(chosen) < count; draws++ {
+		addIfEligible(all[t.random.IntN(len(all))])
 	}
 	if len(chosen) == count {
 		return chosen
 	}
 	for _, index := range t.random.Perm(len(all)) {
 		if len(chosen) < count {
-			take(all[index])
+			addIfEligible(all[index])
 		}
 	}
 	return chosen
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// announceRounds is in how many ticks a new version of the configuration is announced.
-	announceRounds = 4
-	// youngFor is for how long after its start a process compares lists at the first difference.
-	youngFor = 10 * time.Second
+	// announceTicks is the number of ticks in which a new configuration version or list of evacuations is announced.
+	announceTicks = 4
+	// startupPeriod is the time after the start in which a process compares lists as soon as they differ.
+	startupPeriod = 10 * time.Second
 )
 
 // AnnounceConfiguration takes note that this process holds a version of the configuration, and spreads it if it is new.
 func (t *Table) AnnounceConfiguration(version int64) {
 	if version > t.configVersion {
 		t.configVersion = version
-		t.versionRounds = announceRounds
+		t.announceTicksLeft = announceTicks
 		t.announceVersion()
 	}
 }
 
+// announceVersion sends an update to twice as many members as a changed record.
 func (t *Table) announceVersion() { t.sendUpdates(2 * t.timing.Fanout) }
 
+// sumsFor returns the sums to exchange with a process of a role. If either side is a local-proxy, they cover stewards only.
 func (t *Table) sumsFor(role string) *sums {
 	if isLeaf(t.self) || role == RoleLocalProxy {
 		return &t.stewardSums
@@ -32,11 +34,12 @@
 }
 
 func (t *Table) digestFor(role string) wire.Digest {
-	return wire.Digest{ConfigVersion: t.configVersion, MemberSum: t.sumsFor(role).total(), LeaderSum: t.publishedLeaderSum(),
+	return wire.Digest{ConfigVersion: t.configVersion, MemberSum: t.sumsFor(role).total(), LeaderSum: t.digestLeaderSum(),
 		Evacuations: t.evacuations}
 }
 
-// handleDigest takes what a digest says outright.
+// handleDigest takes the leaders, the evacuations and the configuration version of a digest. Its sums are handled by
+// startComparisonIfDue.
 func (t *Table) handleDigest(from Member, digest wire.Digest) {
 	isNew := false
 	for _, leader := range digest.Leaders {
@@ -51,15 +54,17 @@
 	}
 }
 
-// compareSums looks for what a digest shows to be missing; a peer of an earlier version has no sums.
-func (t *Table) compareSums(from Member, digest wire.Digest) {
+// startComparisonIfDue starts a comparison of lists with a peer if the sums of its digest differ from those of this table. A peer of an
+// earlier version has no sums, and a local-proxy compares on its own side. Leaders are compared only if they are too many for a
+// datagram (see leadersMissingAt).
+func (t *Table) startComparisonIfDue(from Member, digest wire.Digest) {
 	if isLeaf(from) {
 		return
 	}
-	doLeadersDiffer := digest.LeaderSum != 0 && digest.LeaderSum != t.publishedLeaderSum() && len(t.leaders) > maxLeaders
+	doLeadersDiffer := digest.LeaderSum != 0 && digest.LeaderSum != t.digestLeaderSum() && len(t.leaders) > maxLeaders
 	doMembersDiffer := digest.MemberSum != 0 && digest.MemberSum != t.sumsFor(from.Role).total()
 	if doMembersDiffer {
-		t.pingPause = t.timing.LeafPeriod
+		t.pingPause = t.timing.LeafPingInterval
 	}
 	now := t.clock.Monotonic()
 	isDue := doLeadersDiffer || doMembersDiffer && t.hasSettled(now)
@@ -70,7 +75,8 @@
 	t.events.ListsDiffer(from)
 }
 
-// hasSettled gives changes the time to arrive by itself, except in the first seconds and where changes never cease.
+// hasSettled reports whether a difference is unlikely to come from changes that are in flight: no record has changed for a period. It
+// doesn't wait for that in the startup period, nor if the last comparison was six periods ago, since changes may never cease.
 func (t *Table) hasSettled(now time.Duration) bool {
-	return now-t.createdAt < youngFor || now-t.changedAt >= t.timing.Period || now-t.comparedAt >= 6*t.timing.Period
+	return now-t.createdAt < startupPeriod || now-t.changedAt >= t.timing.Period || now-t.comparedAt >= 6*t.timing.Period
 }
--- a/internal/cluster/membership/evacuations.go
+++ b/internal/cluster/membership/evacuations.go
@@ -6,42 +6,44 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// evacuationNotice is what others are told of evacuations: the newest list that was heard of, which is never changed, or nil.
-type evacuationNotice struct {
+// evacuationState holds the newest known list of evacuations, which is immutable, or nil.
+type evacuationState struct {
 	evacuations *wire.Evacuations
-	// evacuatedAt is when this process learned of the order for each zone of the list, on its monotonic clock; it is never changed.
+	// evacuatedAt holds for each zone of the list the time at which this process received the order, on its monotonic clock. The map is
+	// immutable.
 	evacuatedAt map[string]time.Duration
 }
 
-// take makes a newer list the one that is told. A zone that the list before had by the same order keeps its time, so that orders for
-// other zones don't put off the one for this zone.
-func (n *evacuationNotice) take(newer *wire.Evacuations, now time.Duration) {
+// replace replaces the list by a newer one. A zone that is in the previous list by the same order keeps its time, so that orders for other
+// zones don't restart the time of this one.
+func (s *evacuationState) replace(newer *wire.Evacuations, now time.Duration) {
 	evacuatedAt := map[string]time.Duration{}
 	for _, evacuated := range newer.Zones {
 		evacuatedAt[evacuated.Zone] = now
-		if n.evacuations.HasOrder(evacuated) {
-			evacuatedAt[evacuated.Zone] = n.evacuatedAt[evacuated.Zone]
+		if s.evacuations.HasOrder(evacuated) {
+			evacuatedAt[evacuated.Zone] = s.evacuatedAt[evacuated.Zone]
 		}
 	}
-	n.evacuations, n.evacuatedAt = newer, evacuatedAt
+	s.evacuations, s.evacuatedAt = newer, evacuatedAt
 }
 
 // AnnounceEvacuations takes note of a committed list of evacuations, and spreads it if it is new.
 func (t *Table) AnnounceEvacuations(evacuations *wire.Evacuations) { t.mergeEvacuations(evacuations) }
 
-// IsEvacuated tells whether nothing new may be sent to the executors of a zone, as far as this process knows. Any goroutine may ask.
+// IsEvacuated reports whether the zone is being evacuated according to the list that this process holds, so that nothing new may be sent
+// to its executors. Any goroutine may call it.
 func (n *Node) IsEvacuated(zone string) bool { return n.View().Evacuations.Has(zone) }
 
-// mergeEvacuations takes a list that is newer than the one that is known. Each datagram carries the newest, so that a process which missed
-// the announcement learns of it with its next probe.
+// mergeEvacuations takes a list if it is newer than the known one, and announces it. Each datagram carries the newest list, so that a
+// process that missed the announcement gets it with the next probe.
 func (t *Table) mergeEvacuations(evacuations *wire.Evacuations) {
 	if !evacuations.IsNewerThan(t.evacuations) {
 		return
 	}
-	t.take(evacuations, t.clock.Monotonic())
+	t.replace(evacuations, t.clock.Monotonic())
 	t.isDirty = true
 	if !isLeaf(t.self) {
-		t.versionRounds = announceRounds
+		t.announceTicksLeft = announceTicks
 		t.announceVersion()
 		t.sendToLeaves()
 	}
--- a/internal/cluster/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// maxLeaders is how many leaders of keys a datagram names at most.
+	// maxLeaders is the maximum number of leaders in a datagram that carries new ones. A table that holds more sends none to a peer that
+	// lacks some, but compares lists.
 	maxLeaders = 12
-	// recentTicks is for how many ticks a new leader of a key is sent along with each datagram.
+	// recentTicks is the number of ticks for which each datagram carries a new leader.
 	recentTicks = 4
 )
 
-// MergeLeader takes a leader of a key; the higher epoch counts. It tells whether that is new.
+// MergeLeader records the leader of a key if its epoch is higher than the known one, and reports whether it was new.
 func (t *Table) MergeLeader(leader wire.KeyLeader) bool {
 	known, exists := t.leaders[leader.Key]
 	if exists && known.Epoch >= leader.Epoch {
@@ -33,12 +34,13 @@
 	return true
 }
 
-func (t *Table) publishedLeaderSum() uint32 { return nonZero(t.leaderSum) }
+// digestLeaderSum returns the sum of all leaders for a digest; it is never 0.
+func (t *Table) digestLeaderSum() uint32 { return nonZero(t.leaderSum) }
 
 func (t *Table) allLeaders() []wire.KeyLeader { return slices.Collect(maps.Values(t.leaders)) }
 
-// newLeaders lists the leaders that were learned lately, at most maxLeaders of them, to be sent on.
-func (t *Table) newLeaders() []wire.KeyLeader {
+// leadersToSend returns the leaders that have changed recently, at most maxLeaders of them.
+func (t *Table) leadersToSend() []wire.KeyLeader {
 	var leaders []wire.KeyLeader
 	for key := range t.recentLeaders {
 		if len(leaders) == maxLeaders {
@@ -49,28 +51,31 @@
 	return leaders
 }
 
-// leadersMissingAt gives all leaders to a peer whose sum of them differs; if it holds newer ones, it does the same in turn.
+// leadersMissingAt returns all leaders if the sum of the leaders in a peer's digest differs, unless they are too many for a datagram. If
+// the peer holds newer ones, it sends its own in return. A peer of an earlier version has no sum, and gets none.
 func (t *Table) leadersMissingAt(digest wire.Digest) []wire.KeyLeader {
-	if digest.LeaderSum == 0 || digest.LeaderSum == t.publishedLeaderSum() || len(t.leaders) > maxLeaders {
+	if digest.LeaderSum == 0 || digest.LeaderSum == t.digestLeaderSum() || len(t.leaders) > maxLeaders {
 		return nil
 	}
 	return t.allLeaders()
 }
 
-// ageLeaders lets leaders cease to be new; it tells whether some are to be spread once more.
-func (t *Table) ageLeaders() bool {
-	isSpreadDue := false
+// ageRecentLeaders counts down the ticks of recent leaders. It reports whether one became known since the last tick, and so has to be
+// broadcast once more.
+func (t *Table) ageRecentLeaders() bool {
+	isBroadcastDue := false
 	for key, ticksLeft := range t.recentLeaders {
-		isSpreadDue = isSpreadDue || ticksLeft == recentTicks
+		isBroadcastDue = isBroadcastDue || ticksLeft == recentTicks
 		if t.recentLeaders[key] = ticksLeft - 1; ticksLeft <= 1 {
 			delete(t.recentLeaders, key)
 		}
 	}
-	return isSpreadDue
+	return isBroadcastDue
 }
 
-// recordsOf gives the records of those leaders, so that a local-proxy can call them at once.
-func (t *Table) recordsOf(leaders []wire.KeyLeader) []Member {
+// recordsOfLeaders returns the records of leaders, at most maxUpdates and each once, so that a local-proxy can call a new leader without
+// looking up its address first.
+func (t *Table) recordsOfLeaders(leaders []wire.KeyLeader) []Member {
 	var members []Member
 	for _, leader := range leaders {
 		known := t.records[Name(Member{Name: leader.Name, Role: RoleSteward})]
--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -10,35 +10,37 @@
 )
 
 const (
-	// leafTicks lie between two searches for leaves that ping no more.
+	// leafTicks is the number of ticks between two searches for leaves that have stopped pinging.
 	leafTicks = 16
-	// attachedStewards is how many stewards a local-proxy pings.
+	// attachedStewards is the number of stewards that a local-proxy pings.
 	attachedStewards = 3
-	// maxLeaves is how many local-proxies a steward pushes changes to.
+	// maxLeaves is the maximum number of local-proxies that a steward pushes changes to.
 	maxLeaves = 4096
-	// leavesAtUsualPace ping at the usual pace; with more of them each waits longer, so that a steward gets as many pings.
-	leavesAtUsualPace = 160
-	maxPingPause      = 20 * time.Second
+	// leavesAtDefaultRate is the number of leaves up to which each pings once per Timing.LeafPingInterval. If there are more, the interval
+	// grows in proportion, so that the steward gets no more pings in all.
+	leavesAtDefaultRate = 160
+	maxPingPause        = 20 * time.Second
 )
 
-// leafServer knows, at a steward, which local-proxies ping it.
+// leafServer holds, at a steward, the local-proxies that ping it, by the result of Name.
 type leafServer struct{ leaves map[string]leaf }
 
-// leafClient is what a local-proxy knows of its pings to stewards.
+// leafClient is the state of the pings of a local-proxy to stewards.
 type leafClient struct {
-	// attached are the stewards that are pinged in turn.
-	attached []Member
-	pingTurn int
-	// pingPause lies between two pings while they are answered.
+	// attached holds the stewards that are pinged in turn. roundRobinIndex counts the pings.
+	attached        []Member
+	roundRobinIndex int
+	// pingPause is the time between two pings while they are answered. The stewards set it.
 	pingPause      time.Duration
 	pingedAt       time.Duration
 	isPingAnswered bool
-	// silentSince is when the first of the pings went out that nobody has answered yet; isIsolated follows from it.
+	// silentSince is the time of the first ping since the last answer. isIsolated is set once Timing.IsolatedAfter has passed since then
+	// without an answer.
 	silentSince time.Duration
 	isIsolated  bool
 }
 
-// leaf is a local-proxy that pings this steward.
+// leaf is a local-proxy that pings this steward, and the time of its last ping.
 type leaf struct {
 	member        Member
 	lastContactAt time.Duration
@@ -46,8 +48,8 @@
 
 func isLeaf(member Member) bool { return member.Role == RoleLocalProxy }
 
-// noteLeaf notes the ping of a local-proxy; only stewards keep them.
-func (t *Table) noteLeaf(member Member) {
+// trackLeaf records the ping of a local-proxy. Only stewards do so, for up to maxLeaves of them.
+func (t *Table) trackLeaf(member Member) {
 	if t.self.Role != RoleSteward {
 		return
 	}
@@ -58,36 +60,37 @@
 	t.leaves[name] = leaf{member, t.clock.Monotonic()}
 }
 
-// scaledByLeaves lengthens a time in proportion to the leaves above leavesAtUsualPace.
-func (t *Table) scaledByLeaves(length time.Duration) time.Duration {
-	return length * time.Duration(max(leavesAtUsualPace, len(t.leaves))) / leavesAtUsualPace
+// scaleByLeafCount lengthens a duration in proportion to the number of leaves if that is above leavesAtDefaultRate.
+func (t *Table) scaleByLeafCount(duration time.Duration) time.Duration {
+	return duration * time.Duration(max(leavesAtDefaultRate, len(t.leaves))) / leavesAtDefaultRate
 }
 
-// pauseMs is how long a leaf waits between pings, in milliseconds; it is 0 while a leaf may ping at the usual pace.
-func (t *Table) pauseMs() int64 {
-	if len(t.leaves) <= leavesAtUsualPace {
+// pingPauseMs returns the time that a leaf should wait between two pings, in milliseconds. It is 0 up to leavesAtDefaultRate leaves.
+func (t *Table) pingPauseMs() int64 {
+	if len(t.leaves) <= leavesAtDefaultRate {
 		return 0
 	}
-	return t.scaledByLeaves(t.timing.LeafPeriod).Milliseconds()
+	return t.scaleByLeafCount(t.timing.LeafPingInterval).Milliseconds()
 }
 
+// forgetLeaves drops the leaves that have not pinged for Timing.LeafTimeout, scaled by their number like their pings.
 func (t *Table) forgetLeaves(now time.Duration) {
-	keep := t.scaledByLeaves(t.timing.LeafKeep)
+	timeout := t.scaleByLeafCount(t.timing.LeafTimeout)
 	for name, known := range t.leaves {
-		if now-known.lastContactAt > keep {
+		if now-known.lastContactAt > timeout {
 			delete(t.leaves, name)
 		}
 	}
 }
 
-// sendToLeaves sends the attached local-proxies the leaders that have changed.
+// sendToLeaves pushes the recently changed leaders to all leaves.
 func (t *Table) sendToLeaves() {
 	for _, attached := range t.leaves {
 		t.send(attached.member, wire.Datagram{Kind: kindUpdate})
 	}
 }
 
-// attach chooses the stewards that a local-proxy pings: one of its own zone, and others by rendezvous hashing.
+// attach chooses the stewards that a local-proxy pings: one of its own zone if there is any, and others by rendezvous hashing.
 func (t *Table) attach() {
 	isGone := func(steward Member) bool { return steward.State == wire.StateGone }
 	candidates := slices.DeleteFunc(slices.Clone(t.stewards.members), isGone)
@@ -96,46 +99,47 @@
 	})
 	isInOwnDomain := func(steward Member) bool { return steward.Domain == t.self.Domain }
 	if index := slices.IndexFunc(candidates, isInOwnDomain); index > 0 {
-		nearest := candidates[index]
-		candidates = slices.Insert(slices.Delete(candidates, index, index+1), 0, nearest)
+		sameDomain := candidates[index]
+		candidates = slices.Insert(slices.Delete(candidates, index, index+1), 0, sameDomain)
 	}
 	t.attached = candidates[:min(attachedStewards, len(candidates))]
 }
 
-// setPingPause takes the pace that a steward asks for.
+// setPingPause sets the pause between pings to that of a steward, between Timing.LeafPingInterval and maxPingPause.
 func (t *Table) setPingPause(pauseMs int64) {
-	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPeriod), maxPingPause)
+	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPingInterval), maxPingPause)
 }
 
-// tickLeaf pings the attached stewards in turn, and any other as soon as one does not answer.
+// tickLeaf does the periodic work of a local-proxy. It pings the attached stewards in turn, and any steward as soon as one does not
+// answer within Timing.AckTimeout.
 func (t *Table) tickLeaf(now time.Duration) {
-	isUnanswered := !t.isPingAnswered && now-t.pingedAt >= t.timing.AnswerWait
+	isUnanswered := !t.isPingAnswered && now-t.pingedAt >= t.timing.AckTimeout
 	if isUnanswered || now-t.pingedAt >= t.pingPause {
 		t.pingSteward(now, isUnanswered)
 	}
-	if isLonely := !t.isPingAnswered && now-t.silentSince > t.timing.IsolatedAfter; isLonely != t.isIsolated {
-		t.isIsolated, t.isDirty = isLonely, true
+	if isIsolated := !t.isPingAnswered && now-t.silentSince > t.timing.IsolatedAfter; isIsolated != t.isIsolated {
+		t.isIsolated, t.isDirty = isIsolated, true
 	}
 }
 
-// pingSteward pings the next attached steward, or any at random.
-func (t *Table) pingSteward(now time.Duration, isAnySteward bool) {
-	among := t.attached
-	if isAnySteward {
-		among = t.stewards.members
+// pingSteward pings the next attached steward, or a random one of all stewards.
+func (t *Table) pingSteward(now time.Duration, isRandom bool) {
+	candidates := t.attached
+	if isRandom {
+		candidates = t.stewards.members
 	}
-	if len(among) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	t.pingTurn++
-	index := t.pingTurn % len(among)
-	if isAnySteward {
-		index = t.random.IntN(len(among))
+	t.roundRobinIndex++
+	index := t.roundRobinIndex % len(candidates)
+	if isRandom {
+		index = t.random.IntN(len(candidates))
 	}
-	t.lastNumber++
+	t.lastPingNumber++
 	if t.isPingAnswered {
 		t.silentSince = now
 	}
 	t.pingedAt, t.isPingAnswered = now, false
-	t.send(among[index], wire.Datagram{Kind: kindPing, Number: t.lastNumber})
+	t.send(candidates[index], wire.Datagram{Kind: kindPing, Number: t.lastPingNumber})
 }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -117,10 +117,10 @@
 		Expect(n.total(func(member *process) int { return member.bytes }) / 1000 / 13).To(BeNumerically("<", 3_000))
 		n.loss = 0
 		n.run(5 * time.Second)
-		first := n.processes[0].table.SumsCall().Digest.MemberSum
+		first := n.processes[0].table.NewComparisonCall().Digest.MemberSum
 		for _, member := range n.processes {
 			if !member.isStopped {
-				Expect(member.table.SumsCall().Digest.MemberSum).To(Equal(first))
+				Expect(member.table.NewComparisonCall().Digest.MemberSum).To(Equal(first))
 			}
 		}
 		Expect(n.processes[1].view.Members).To(HaveLen(1001))
@@ -226,7 +226,7 @@
 	})
 
 	It("moves nothing where nothing differs", func() {
-		ask := first.SumsCall()
+		ask := first.NewComparisonCall()
 		Expect(second.AnswerCall(&ask).Members).To(BeEmpty())
 	})
 
@@ -235,7 +235,7 @@
 		dead.State, risen.Incarnation = wire.StateSuspect, 2
 		first.Merge(dead)
 		second.Merge(risen)
-		ask := first.SumsCall()
+		ask := first.NewComparisonCall()
 		answer := second.AnswerCall(&ask)
 		Expect(len(answer.Differing)).To(BeNumerically("<=", 2))
 		Expect(len(answer.Members)).To(BeNumerically("<", 30))
@@ -244,18 +244,18 @@
 		Expect(first.All()).To(ContainElement(risen))
 		second.AnswerCall(given)
 		Expect(second.All()).To(ContainElement(dead))
-		Expect(first.SumsCall().Buckets).To(Equal(second.SumsCall().Buckets))
+		Expect(first.NewComparisonCall().Buckets).To(Equal(second.NewComparisonCall().Buckets))
 	})
 
 	It("gives leaders both ways, by the higher epoch", func() {
 		first.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 3, Name: "x"})
 		first.MergeLeader(wire.KeyLeader{Key: "b", Epoch: 3, Name: "x"})
 		second.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 4, Name: "y"})
-		ask := first.SumsCall()
+		ask := first.NewComparisonCall()
 		answer := second.AnswerCall(&ask)
 		second.AnswerCall(first.HandleAnswer(steward(1), &answer))
-		Expect(first.SumsCall().Digest.LeaderSum).To(Equal(second.SumsCall().Digest.LeaderSum))
-		again := second.SumsCall()
+		Expect(first.NewComparisonCall().Digest.LeaderSum).To(Equal(second.NewComparisonCall().Digest.LeaderSum))
+		again := second.NewComparisonCall()
 		Expect(first.AnswerCall(&again).Digest.Leaders).To(BeEmpty())
 	})
 
@@ -269,7 +269,7 @@
 		for _, member := range first.All() {
 			fresh.Merge(member)
 		}
-		Expect(fresh.SumsCall().Buckets).To(Equal(first.SumsCall().Buckets))
+		Expect(fresh.NewComparisonCall().Buckets).To(Equal(first.NewComparisonCall().Buckets))
 	})
 
 	It("gives a peer of an earlier version the whole list and all leaders, and takes such a list", func() {
@@ -315,7 +315,7 @@
 		var shown *membership.View
 		table := membership.NewTable(gate(0), clock, membership.DefaultTiming, 1, membership.Events{
 			Send: func(string, wire.Datagram) {}, Publish: func(view *membership.View) { shown = view }})
-		empty := table.SumsCall().Buckets
+		empty := table.NewComparisonCall().Buckets
 		table.Merge(steward(1))
 		for range 600 {
 			clock.Advance(350 * time.Millisecond)
@@ -323,7 +323,7 @@
 		}
 		Expect(shown.Members).To(HaveLen(1))
 		Expect(shown.Stewards).To(BeEmpty())
-		Expect(table.SumsCall().Buckets).To(Equal(empty))
+		Expect(table.NewComparisonCall().Buckets).To(Equal(empty))
 	})
 
 	It("tells a local-proxy where a key's new leader is, and compares with no local-proxy", func() {
@@ -473,7 +473,7 @@
 		for number := range 60 {
 			side.Merge(steward(number))
 		}
-		ask := side.SumsCall()
+		ask := side.NewComparisonCall()
 		answer := control.AnswerCall(&ask)
 		Expect(answer.Members).To(ConsistOf(steward(0)))
 		Expect(side.HandleAnswer(steward(0), &answer)).To(BeNil())
@@ -489,7 +489,7 @@
 			clock.Advance(350 * time.Millisecond)
 			table.Tick()
 		}
-		sum := table.SumsCall().Digest.LeaderSum
+		sum := table.NewComparisonCall().Digest.LeaderSum
 		table.HandleDatagram(wire.Datagram{Kind: "ping", From: gate(1), Digest: wire.Digest{LeaderSum: sum}})
 		Expect((*sent)[len(*sent)-1].Digest.Leaders).To(BeEmpty())
 		table.HandleDatagram(wire.Datagram{Kind: "ack", From: gate(1), Digest: wire.Digest{LeaderSum: 1}})
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -147,7 +147,7 @@
 }
 
 func (n *network) exchange(member *process, address string) {
-	call := member.table.SumsCall()
+	call := member.table.NewComparisonCall()
 	n.call(member, address, &call, func(answer *wire.MembersAnswer) {
 		if given := member.table.HandleAnswer(wire.Member{Address: address}, answer); given != nil {
 			n.call(member, address, given, func(*wire.MembersAnswer) {})
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -22,49 +22,51 @@
 
 const (
 	mailboxSize = 256
-	// maxDatagramBytes is in bytes.
+	// maxDatagramBytes is the size of the receive buffer. Longer datagrams are cut off, and dropped as unreadable.
 	maxDatagramBytes = 16 << 10
-	// joinPause lies between two checks of the view; it is short while no steward is seen.
+	// joinPause is the pause between two rounds of join. joinPauseIsolated is the shorter one while the view has no live steward.
 	joinPause          = time.Second
 	joinPauseIsolated  = 200 * time.Millisecond
 	membersCallTimeout = 800 * time.Millisecond
-	// seedRounds is after how many pauses a process compares lists with its seeds, even if it sees a steward.
-	seedRounds = 15
+	// roundsPerSeedComparison is the number of rounds of join after which a process compares its list with its seeds even if its view
+	// has a live steward.
+	roundsPerSeedComparison = 15
 )
 
-// ErrNoFreePort tells that other processes use all ports of the range.
+// ErrNoFreePort is returned by BindInternal if every port of the range is in use.
 const ErrNoFreePort = errors.ConstError("no port is free")
 
-// Node runs a table on the machine's internal ports.
+// Node runs a Table on a TCP and a UDP socket of the same port, and publishes its view.
 type Node struct {
-	table   *Table
-	mailbox *mailbox.Mailbox
-	view    atomic.Pointer[View]
-	packets net.PacketConn
-	calls   net.Listener
-	caller  *peerapi.Caller
-	clock   clock.Clock
-	log     logging.Logger
-	seeds   atomic.Pointer[[]string]
-	// knownPeers are control addresses from an earlier run.
+	table      *Table
+	mailbox    *mailbox.Mailbox
+	view       atomic.Pointer[View]
+	packetConn net.PacketConn
+	listener   net.Listener
+	caller     *peerapi.Caller
+	clock      clock.Clock
+	log        logging.Logger
+	seeds      atomic.Pointer[[]string]
+	// knownPeers are control addresses that an earlier run saved. They are used while the view has no live steward.
 	knownPeers           []string
 	onConfigurationAhead func(peer Member, version int64)
 }
 
-// Option changes how a node is made.
+// Option configures a Node.
 type Option func(*Node)
 
-// OnConfigurationAhead names the function that gets a peer that holds a version of the configuration.
+// OnConfigurationAhead sets the function that is called with each peer that announces a newer configuration than this process holds.
 func OnConfigurationAhead(handle func(peer Member, version int64)) Option {
 	return func(n *Node) { n.onConfigurationAhead = handle }
 }
 
-// WithKnownPeers names control addresses from an earlier run, to be asked while no steward is seen.
+// WithKnownPeers sets control addresses of an earlier run. The node contacts them while its view has no live steward.
 func WithKnownPeers(addresses []string) Option {
 	return func(n *Node) { n.knownPeers = addresses }
 }
 
-// BindInternal takes the first free port of the range, for TCP and UDP alike; the error is ErrNoFreePort.
+// BindInternal opens a TCP and a UDP socket on the first port of the range that is free for both. If there is none, the error is
+// ErrNoFreePort.
 func BindInternal(ip string, first, last int) (net.Listener, net.PacketConn, error) {
 	for port := first; port <= last; port++ {
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
@@ -82,10 +84,10 @@
 	return nil, nil, errors.Annotatef(ErrNoFreePort, "ports %d to %d on %s", first, last, ip)
 }
 
-// NewNode makes the membership of this process on the sockets that BindInternal gave. It sends nothing before Run.
+// NewNode creates the membership of this process on the sockets of BindInternal. It sends nothing before Run.
 func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
 	clock clock.Clock, log logging.Logger, options ...Option) *Node {
-	node := &Node{mailbox: mailbox.New(mailboxSize), packets: packets, calls: calls, caller: caller, clock: clock, log: log,
+	node := &Node{mailbox: mailbox.New(mailboxSize), packetConn: packets, listener: calls, caller: caller, clock: clock, log: log,
 		onConfigurationAhead: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
 	for _, option := range options {
@@ -97,19 +99,19 @@
 		Send:               node.send,
 		Publish:            func(view *View) { node.view.Store(view) },
 		ConfigurationAhead: func(peer Member, version int64) { node.onConfigurationAhead(peer, version) },
-		ListsDiffer:        func(peer Member) { go node.exchange(peer.Address) },
+		ListsDiffer:        func(peer Member) { go node.compareLists(peer.Address) },
 	})
 	node.table.PublishIfChanged()
 	return node
 }
 
-// SetSeeds takes the addresses of a changed settings file.
+// SetSeeds replaces the seed addresses after the settings file has changed.
 func (n *Node) SetSeeds(seeds []string) { n.seeds.Store(&seeds) }
 
-// View is the newest view of the members, which is never changed; it may be read from any goroutine.
+// View returns the newest view of the members. A published view is immutable, and any goroutine may call View.
 func (n *Node) View() *View { return n.view.Load() }
 
-// send writes a datagram. A lost one is not an error here: what it said is repeated by the protocol.
+// send writes a datagram. It ignores errors, because the protocol tolerates the loss of any datagram.
 func (n *Node) send(address string, datagram wire.Datagram) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -118,11 +120,12 @@
 	if text, err := easyjson.Marshal(datagram); err == nil {
 		datagramsSent.With(datagram.Kind).Inc()
 		datagramBytesSent.With(datagram.Kind).Add(len(text))
-		n.packets.WriteTo(text, net.UDPAddrFromAddrPort(to))
+		n.packetConn.WriteTo(text, net.UDPAddrFromAddrPort(to))
 	}
 }
 
-// UntilLeaderMoved gives a context that is cancelled once a key has another leader than the view says.
+// UntilLeaderMoved returns a context that is cancelled as soon as any key has another leader than in the view. The caller has to call the
+// returned function to release its resources.
 func UntilLeaderMoved(ctx context.Context, view *View) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -135,20 +138,20 @@
 	return ctx, cancel
 }
 
-// Run probes, joins and listens until ctx is done.
+// Run runs the failure detector, joins the cluster and receives datagrams until ctx is done. It closes the UDP socket at the end.
 func (n *Node) Run(ctx context.Context) error {
 	go n.listen()
 	go n.join(ctx)
 	n.mailbox.Run(ctx, n.clock, mailbox.Owner{Every: n.table.timing.Period / 2, Tick: n.table.Tick})
-	n.packets.Close()
+	n.packetConn.Close()
 	return nil
 }
 
-// listen hands each datagram to the table, and drops those that come faster than it takes them.
+// listen passes each datagram to the table until the socket is closed. It drops datagrams while the mailbox of the table is full.
 func (n *Node) listen() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		count, _, err := n.packets.ReadFrom(buffer)
+		count, _, err := n.packetConn.ReadFrom(buffer)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -169,15 +172,16 @@
 	}
 }
 
-// join compares lists with seeds while no steward is seen, and now and then afterwards.
+// join compares lists with the join addresses while the view has no live steward. A local-proxy also does so while it is isolated, and
+// every other process once in roundsPerSeedComparison rounds.
 func (n *Node) join(ctx context.Context) {
 	for round := 0; ; round++ {
 		view := n.View()
 		isLeaf := isLeaf(view.Self)
-		isSeedTurn := !isLeaf && round%seedRounds == seedRounds-1
-		if !view.SeesSteward() || isLeaf && view.IsIsolated || isSeedTurn {
-			for _, address := range n.contacts(view) {
-				n.exchange(address)
+		isSeedRound := !isLeaf && round%roundsPerSeedComparison == roundsPerSeedComparison-1
+		if !view.SeesSteward() || isLeaf && view.IsIsolated || isSeedRound {
+			for _, address := range n.joinAddresses(view) {
+				n.compareLists(address)
 			}
 		}
 		wait := joinPause
@@ -192,26 +196,28 @@
 	}
 }
 
-// contacts are the seeds, and peers of an earlier run as long as no steward is seen: seeds can all be down or cut off.
-func (n *Node) contacts(view *View) []string {
-	contacts := slices.Clone(*n.seeds.Load())
+// joinAddresses returns the seeds. While the view has no live steward, the peers of an earlier run are included, because all seeds may
+// be down or unreachable.
+func (n *Node) joinAddresses(view *View) []string {
+	addresses := slices.Clone(*n.seeds.Load())
 	if view.SeesSteward() {
-		return contacts
+		return addresses
 	}
 	for _, address := range n.knownPeers {
-		if !slices.Contains(contacts, address) {
-			contacts = append(contacts, address)
+		if !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
 		}
 	}
-	return contacts
+	return addresses
 }
 
-// exchange compares lists with a peer by buckets, and gives it in a second call what it lacked.
-func (n *Node) exchange(address string) {
+// compareLists compares the member lists of this process and a peer by the sums of their buckets, and sends the peer in a second call
+// the records that it lacks.
+func (n *Node) compareLists(address string) {
 	if address == n.View().Self.Control {
 		return
 	}
-	call, err := mailbox.Ask(context.Background(), n.mailbox, func(answer func(wire.MembersCall)) { answer(n.table.SumsCall()) })
+	call, err := mailbox.Ask(context.Background(), n.mailbox, func(answer func(wire.MembersCall)) { answer(n.table.NewComparisonCall()) })
 	if err != nil {
 		return
 	}
@@ -219,11 +225,11 @@
 	if err != nil {
 		return
 	}
-	given, err := mailbox.Ask(context.Background(), n.mailbox, func(answerWith func(*wire.MembersCall)) {
+	followUp, err := mailbox.Ask(context.Background(), n.mailbox, func(answerWith func(*wire.MembersCall)) {
 		answerWith(n.table.HandleAnswer(Member{Address: address}, answer))
 	})
-	if err == nil && given != nil {
-		n.callMembers(address, given)
+	if err == nil && followUp != nil {
+		n.callMembers(address, followUp)
 	}
 }
 
@@ -236,7 +242,7 @@
 	return answer, err
 }
 
-// Handle lets peers compare their lists with this one.
+// Handle serves the procedure with which peers compare their member lists with that of this process.
 func (n *Node) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureMembers, func(ctx context.Context, call *wire.MembersCall) (*wire.MembersAnswer, error) {
 		answer, err := mailbox.Ask(ctx, n.mailbox, func(answer func(wire.MembersAnswer)) { answer(n.table.AnswerCall(call)) })
@@ -244,7 +250,7 @@
 	})
 }
 
-// AnnounceLeader passes on the leader of a key.
+// AnnounceLeader records the leader of a key, and announces it to other processes if it is new.
 func (n *Node) AnnounceLeader(leader wire.KeyLeader) {
 	n.mailbox.Post(func() {
 		if n.table.MergeLeader(leader) {
@@ -253,12 +259,12 @@
 	})
 }
 
-// AnnounceConfiguration announces that this process holds a version of the configuration.
+// AnnounceConfiguration announces to other processes that this process holds a version of the configuration.
 func (n *Node) AnnounceConfiguration(version int64) {
 	n.mailbox.Post(func() { n.table.AnnounceConfiguration(version) })
 }
 
-// AnnounceEvacuations announces a committed list of evacuations.
+// AnnounceEvacuations announces a committed list of evacuations to other processes.
 func (n *Node) AnnounceEvacuations(evacuations *wire.Evacuations) {
 	n.mailbox.Post(func() { n.table.AnnounceEvacuations(evacuations) })
 }
--- a/internal/cluster/membership/probes.go
+++ b/internal/cluster/membership/probes.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// probeTicks lie between two probes.
+	// probeTicks is the number of ticks between two probes.
 	probeTicks = 2
-	// maxRelays is how many indirect probes are taken on at once; beyond staleRelays, unanswered ones are dropped.
+	// maxRelays bounds the relayed pings in flight. Once more than staleRelays of them are unanswered, checkProbes drops them all.
 	maxRelays   = 64
 	staleRelays = 32
 )
 
-// prober knows which pings are under way.
+// prober holds the pings in flight.
 type prober struct {
-	// probeOrder are the members that the present round has still to probe.
-	probeOrder []string
-	lastNumber uint64
-	// probes are this process's own pings by their numbers, relays those that it sends for others.
+	// probeOrder holds the names of the members that are still to be probed in the present round.
+	probeOrder     []string
+	lastPingNumber uint64
+	// probes holds the pings of this process by their numbers, relays those that it sends for other members.
 	probes map[uint64]probe
 	relays map[uint64]relay
 }
 
-// probe is a ping that has not been answered yet; isAsked is set once others were asked to probe as well.
+// probe is a ping in flight. hasAskedOthers is set once other members have been asked to probe the member as well.
 type probe struct {
-	name    string
-	began   time.Duration
-	isAsked bool
+	name           string
+	startedAt      time.Duration
+	hasAskedOthers bool
 }
 
-// relay is a ping sent for another member, which gets the answer under its own number.
+// relay is a ping in flight for another member, the requester. The requester gets the ack under its own number.
 type relay struct {
 	requester Member
 	number    uint64
 }
 
+// handleAck ends a probe, or relays the ack of an indirect probe to the requester.
 func (t *Table) handleAck(datagram wire.Datagram) {
 	if pending, exists := t.relays[datagram.Number]; exists {
 		delete(t.relays, datagram.Number)
@@ -46,31 +47,32 @@
 	delete(t.probes, datagram.Number)
 }
 
-// probeFor pings a member because another one asks for it.
-func (t *Table) probeFor(datagram wire.Datagram) {
+// relayPing pings a member on behalf of another one.
+func (t *Table) relayPing(datagram wire.Datagram) {
 	target := t.records[datagram.Target]
 	if target == nil || len(t.relays) > maxRelays {
 		return
 	}
-	t.lastNumber++
-	t.relays[t.lastNumber] = relay{datagram.From, datagram.Number}
-	t.send(target.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber})
+	t.lastPingNumber++
+	t.relays[t.lastPingNumber] = relay{datagram.From, datagram.Number}
+	t.send(target.member, wire.Datagram{Kind: kindPing, Number: t.lastPingNumber})
 }
 
-// followProbes asks others about members that do not answer, and suspects those that go on not answering.
-func (t *Table) followProbes(now time.Duration) {
+// checkProbes handles the timeouts of probes. Members that have not answered within Timing.AckTimeout are probed indirectly, and become
+// suspect if they have not sent anything after two such timeouts and half a period.
+func (t *Table) checkProbes(now time.Duration) {
 	for number, pending := range t.probes {
-		known, waited := t.records[pending.name], now-pending.began
+		known, waited := t.records[pending.name], now-pending.startedAt
 		switch {
 		case known == nil:
 			delete(t.probes, number)
-		case known.lastContactAt > pending.began:
+		case known.lastContactAt > pending.startedAt:
 			delete(t.probes, number)
-		case waited >= 2*t.timing.AnswerWait+t.timing.Period/2:
+		case waited >= 2*t.timing.AckTimeout+t.timing.Period/2:
 			delete(t.probes, number)
 			t.suspect(pending.name)
-		case waited >= t.timing.AnswerWait && !pending.isAsked:
-			t.askOthers(number, pending)
+		case waited >= t.timing.AckTimeout && !pending.hasAskedOthers:
+			t.requestIndirectProbes(number, pending)
 		}
 	}
 	if len(t.relays) > staleRelays {
@@ -78,15 +80,16 @@
 	}
 }
 
-func (t *Table) askOthers(number uint64, pending probe) {
-	pending.isAsked = true
+// requestIndirectProbes asks a few random members to probe the member of a probe.
+func (t *Table) requestIndirectProbes(number uint64, pending probe) {
+	pending.hasAskedOthers = true
 	t.probes[number] = pending
 	for _, helper := range t.randomMembers(t.timing.IndirectProbes, pending.name) {
-		t.send(helper, wire.Datagram{Kind: kindAsk, Number: number, Target: pending.name})
+		t.send(helper, wire.Datagram{Kind: kindPingRequest, Number: number, Target: pending.name})
 	}
 }
 
-// probeNext pings the next member of a round; each round takes all members in a new order.
+// probeNext pings the next listed member of the present round, and starts a new round if there is none.
 func (t *Table) probeNext(now time.Duration) {
 	if len(t.probeOrder) == 0 {
 		t.beginProbeRound()
@@ -95,15 +98,16 @@
 		name := t.probeOrder[0]
 		t.probeOrder = t.probeOrder[1:]
 		if known := t.records[name]; known != nil {
-			t.lastNumber++
-			t.probes[t.lastNumber] = probe{name: name, began: now}
-			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastNumber, Updates: t.suspicionOf(name)})
+			t.lastPingNumber++
+			t.probes[t.lastPingNumber] = probe{name: name, startedAt: now}
+			t.send(known.member, wire.Datagram{Kind: kindPing, Number: t.lastPingNumber, Updates: t.suspicionOf(name)})
 			return
 		}
 	}
 }
 
-// beginProbeRound shuffles the members, with a third of those that are gone, as one of them may be back.
+// beginProbeRound puts the members of the next round in a random order. Of the members that are gone it takes a random third, because
+// one of them may be back.
 func (t *Table) beginProbeRound() {
 	for _, member := range t.members.members {
 		isDue := member.State != wire.StateGone || t.random.IntN(3) == 0
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -7,42 +7,46 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// maxFormerDisks is how many former disks of a member its record names.
+// maxFormerDisks is the maximum number of former disks in the record of a member.
 const maxFormerDisks = 4
 
-// record is a member with what is derived from it.
+// record is a member with values that are derived from it.
 type record struct {
 	member Member
+	// bucket is the index of its sum in memberList.sums.
 	bucket int
-	// hash stands for the member among all; incarnationHash among the stewards, where the state counts only once it is gone.
+	// hash is its part of memberList.sums, incarnationHash that of memberList.stewardSums. The latter treats a suspect member as alive, as
+	// local-proxies do. Both are 0 once the member is gone.
 	hash            uint32
 	incarnationHash uint32
-	// since is when the member came into its present state.
-	since         time.Duration
+	// since is when the member entered its present incarnation or state, or when a freeze of this process ended after that.
+	since time.Duration
+	// lastContactAt is when the member last sent a message to this process.
 	lastContactAt time.Duration
 }
 
-// isNewer tells whether a replaces b: a higher incarnation, or a later state of the same one.
+// isNewer reports whether a replaces b: it has a higher incarnation, or the same one with a higher state.
 func isNewer(a, b Member) bool {
 	return a.Incarnation > b.Incarnation || a.Incarnation == b.Incarnation && a.State > b.State
 }
 
-// isKept tells whether this table lists a member: a local-proxy lists stewards, all others list no local-proxies.
-func (t *Table) isKept(member Member) bool {
+// shouldList reports whether this table lists a member. A local-proxy lists only stewards, and all other processes list no local-proxies.
+func (t *Table) shouldList(member Member) bool {
 	if isLeaf(t.self) {
 		return member.Role == RoleSteward
 	}
 	return !isLeaf(member)
 }
 
-// Merge takes one record; it tells whether that is new.
+// Merge adds or updates the record of one member, and reports whether it was new. A record of this process itself is refuted if it is
+// wrong. A local-proxy takes suspect stewards for alive.
 func (t *Table) Merge(member Member) bool {
 	name := Name(member)
 	if name == Name(t.self) {
 		t.refute(member)
 		return false
 	}
-	if !t.isKept(member) {
+	if !t.shouldList(member) {
 		return false
 	}
 	if isLeaf(t.self) && member.State == wire.StateSuspect {
@@ -54,7 +58,8 @@
 	return t.mergeUnknown(name, member)
 }
 
-// mergeUnknown adds a member; an old table does not take up one that is gone, as it may just have forgotten it.
+// mergeUnknown adds a member. A table that is older than Timing.ForgetAfter ignores a member that is gone, because it may have just
+// forgotten it.
 func (t *Table) mergeUnknown(name string, member Member) bool {
 	now := t.clock.Monotonic()
 	if member.State == wire.StateGone && now-t.createdAt > t.timing.ForgetAfter {
@@ -67,19 +72,19 @@
 	return true
 }
 
-// mergeKnown takes what was heard of a member if it is newer than what is known.
+// mergeKnown replaces the record of a member if the received one is newer.
 func (t *Table) mergeKnown(known *record, member Member) bool {
 	if !isNewer(member, known.member) {
 		return false
 	}
-	member.FormerDisks = joinFormerDisks(known.member, member)
+	member.FormerDisks = mergeFormerDisks(known.member, member)
 	known.since = t.clock.Monotonic()
 	t.write(known, member)
 	t.scheduleUpdate(Name(member))
 	return true
 }
 
-// write puts a member in its record, and keeps all that is derived from it.
+// write replaces the member of a record, and updates everything that is derived from it.
 func (t *Table) write(known *record, member Member) {
 	t.toggleSums(known)
 	known.member = member
@@ -98,10 +103,10 @@
 	} else {
 		t.unhealthy[name] = known
 	}
-	t.noteChange()
+	t.markChanged()
 }
 
-// toggleSums adds a record to the sums of its bucket, or takes it out of them if it is in them.
+// toggleSums adds a record to the sums of its bucket, or removes it if they include it. Both are the same XOR.
 func (t *Table) toggleSums(known *record) {
 	if isLeaf(known.member) {
 		return
@@ -121,18 +126,19 @@
 	t.toggleSums(known)
 	delete(t.records, name)
 	delete(t.unhealthy, name)
-	t.members.drop(known.member)
-	t.stewards.drop(known.member)
-	t.noteChange()
+	t.members.remove(known.member)
+	t.stewards.remove(known.member)
+	t.markChanged()
 }
 
-func (t *Table) noteChange() {
+func (t *Table) markChanged() {
 	t.isDirty = true
 	t.changedAt = t.clock.Monotonic()
 }
 
-// joinFormerDisks lists the former disks that either record of a member names, the newest last.
-func joinFormerDisks(former, latest Member) []string {
+// mergeFormerDisks returns the former disks of both records of a member, and the disk of the older one if it was replaced. The newest is
+// last.
+func mergeFormerDisks(former, latest Member) []string {
 	disks := slices.Clone(latest.FormerDisks)
 	for _, disk := range append(slices.Clone(former.FormerDisks), former.Disk) {
 		if disk != "" && disk != latest.Disk && !slices.Contains(disks, disk) {
@@ -142,27 +148,31 @@
 	return disks[max(0, len(disks)-maxFormerDisks):]
 }
 
-// refute answers a record of this process that says it is suspect, gone or of a later incarnation: by a later one yet.
+// refute handles a record of this process from a peer. If it has a higher incarnation, or says that this process is suspect or gone,
+// this process announces itself with an incarnation above it.
 func (t *Table) refute(claim Member) {
 	isOlder := claim.Incarnation < t.self.Incarnation
 	isSame := claim.Incarnation == t.self.Incarnation && claim.State == wire.StateAlive
 	if isOlder || isSame {
 		return
 	}
-	t.self.FormerDisks = joinFormerDisks(claim, t.self)
+	t.self.FormerDisks = mergeFormerDisks(claim, t.self)
 	t.self.Incarnation = claim.Incarnation + 1
 	t.write(t.ownRecord, t.self)
 	t.Broadcast()
 }
 
-func (t *Table) scheduleUpdate(name string) { t.changesToSend[name] = updateRepeats }
+// scheduleUpdate lets the next datagrams carry the record of a member.
+func (t *Table) scheduleUpdate(name string) { t.pendingUpdates[name] = updateRepeats }
 
+// suspect marks a member as suspect if it is alive.
 func (t *Table) suspect(name string) {
 	if known := t.records[name]; known.member.State == wire.StateAlive {
 		t.demote(known, wire.StateSuspect)
 	}
 }
 
+// demote moves a member to a higher state of its present incarnation.
 func (t *Table) demote(known *record, state int) {
 	member := known.member
 	member.State = state
@@ -171,7 +181,7 @@
 	t.scheduleUpdate(Name(member))
 }
 
-// ageRecords gives up members that have been suspect for long, and drops those that have been gone for long.
+// ageRecords marks members as gone after Timing.SuspectFor, and forgets them Timing.ForgetAfter later.
 func (t *Table) ageRecords(now time.Duration) {
 	for name, known := range t.unhealthy {
 		switch known.member.State {
@@ -187,7 +197,7 @@
 	}
 }
 
-// All gives every record, this process's own first.
+// All returns all members, this process first.
 func (t *Table) All() []Member {
 	all := []Member{t.self}
 	t.each(func(known *record) {
@@ -198,7 +208,7 @@
 	return all
 }
 
-// each visits all records in the order of their names, this process's own included unless it is a local-proxy.
+// each visits all records in the order of their names. The record of this process is included unless it is a local-proxy.
 func (t *Table) each(visit func(*record)) {
 	for _, member := range t.members.members {
 		switch name := Name(member); {
--- a/internal/cluster/membership/sortedlist.go
+++ b/internal/cluster/membership/sortedlist.go
@@ -5,42 +5,46 @@
 	"slices"
 )
 
-// sortedList is a sorted list of members; it is copied only when a change follows after it was shown.
+// sortedList is a list of members in the order of byName. Its slice is shared with published views, and is copied before the first change
+// after it was published.
 type sortedList struct {
 	members     []Member
 	isPublished bool
 }
 
+// byName compares members by name, then by role.
 func byName(a, b Member) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Role, b.Role))
 }
 
-func (r *sortedList) publish() []Member {
-	r.isPublished = true
-	return r.members
+// publish returns the slice for a view. The list does not change it from then on.
+func (l *sortedList) publish() []Member {
+	l.isPublished = true
+	return l.members
 }
 
-// makeWritable copies the list if it was shown, as what was shown is never changed.
-func (r *sortedList) makeWritable() {
-	if r.isPublished {
-		r.members, r.isPublished = slices.Clone(r.members), false
+// makeWritable copies the slice if it was published, because published views are immutable.
+func (l *sortedList) makeWritable() {
+	if l.isPublished {
+		l.members, l.isPublished = slices.Clone(l.members), false
 	}
 }
 
-// put inserts a member, or replaces the one of the same name.
-func (r *sortedList) put(member Member) {
-	r.makeWritable()
-	index, exists := slices.BinarySearchFunc(r.members, member, byName)
+// put inserts a member, or replaces the one of the same name and role.
+func (l *sortedList) put(member Member) {
+	l.makeWritable()
+	index, exists := slices.BinarySearchFunc(l.members, member, byName)
 	if exists {
-		r.members[index] = member
+		l.members[index] = member
 		return
 	}
-	r.members = slices.Insert(r.members, index, member)
+	l.members = slices.Insert(l.members, index, member)
 }
 
-func (r *sortedList) drop(member Member) {
-	if index, exists := slices.BinarySearchFunc(r.members, member, byName); exists {
-		r.makeWritable()
-		r.members = slices.Delete(r.members, index, index+1)
+// remove removes a member if it is listed.
+func (l *sortedList) remove(member Member) {
+	if index, exists := slices.BinarySearchFunc(l.members, member, byName); exists {
+		l.makeWritable()
+		l.members = slices.Delete(l.members, index, index+1)
 	}
 }
--- a/internal/cluster/membership/sums.go
+++ b/internal/cluster/membership/sums.go
@@ -7,14 +7,17 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// bucketCount is into how many buckets the names are hashed, so that only records of differing buckets are compared.
+// bucketCount is the number of buckets into which the names of members are hashed. Two processes compare only the records of buckets that
+// differ.
 const bucketCount = 32
 
-// sums are digests of records by bucket, kept up to date by change.
+// sums holds for each bucket the XOR of the hashes of its records, so that a change of one record updates its bucket alone.
 type sums [bucketCount]uint32
 
+// toggle adds a hash to a bucket, or removes it if the bucket includes it.
 func (s *sums) toggle(bucket int, hash uint32) { s[bucket] ^= hash }
 
+// total returns the sum of all buckets; it is never 0.
 func (s *sums) total() uint32 {
 	var total uint32
 	for _, sum := range s {
@@ -23,7 +26,7 @@
 	return nonZero(total)
 }
 
-// nonZero is never 0, as that stands for a peer without sums.
+// nonZero replaces a sum of 0 by 1, because 0 on the wire stands for a peer of an earlier version without sums.
 func nonZero(sum uint32) uint32 { return max(sum, 1) }
 
 func bucketOf(name string) int {
@@ -31,7 +34,7 @@
 	return int(sum[0]) % bucketCount
 }
 
-// hashOf is a digest of a name, an incarnation or epoch, and a state.
+// hashOf hashes a name with its version, which is an incarnation or an epoch, and a state.
 func hashOf(name string, version uint64, state int) uint32 {
 	text := append([]byte(name), 0)
 	text = binary.BigEndian.AppendUint64(text, version)
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -1,12 +1,12 @@
-// Package membership is the failure detector of the system's processes, in the manner of SWIM: members are probed in turn, directly
-// and then through others; one that does not answer is suspect, and gone after a while unless it refutes with a higher
-// incarnation. The same datagrams carry changed records, the leaders of keys and the version of the configuration, and digests
-// that show what a peer lacks, so that lists are compared in full only where they differ.
+// Package membership is the failure detector of the cluster, a variant of SWIM. Members are probed in turn, first directly and then
+// through other members. A member that does not answer becomes suspect, and after a timeout gone, unless it refutes the suspicion with a
+// higher incarnation. The same datagrams carry changed records, the leaders of keys, the version of the configuration and the list of
+// evacuations. They also carry digests that show whether a peer lacks something, so that only lists that differ are compared in full.
 //
-// Local-proxies are leaves: nobody lists or probes them, and each attaches to a few stewards.
+// Local-proxies are leaves of the network: no process lists or probes them. Each pings a few stewards, which push changes to it.
 //
-// Table is the state, without goroutines and sockets. Node runs it on the machine's internal ports. View is what the rest of the
-// process reads.
+// Table holds the state, and has no goroutines or sockets. Node runs a Table on the internal port of the machine. View is the snapshot of
+// the state that the rest of the process reads.
 package membership
 
 import (
@@ -17,13 +17,13 @@
 	"gannetline/internal/platform/clock"
 )
 
-// Member is what is known of one process: where it is, what it does and whether it lives.
+// Member is the record of one process: its addresses, its role and its state.
 type Member = wire.Member
 
-// randomStream tells the table's random numbers apart from others that begin with the same seed.
+// randomStream separates the random numbers of the table from those of other users of the same seed.
 const randomStream = 7
 
-// The roles of processes that this package treats in a way of their own.
+// The roles that this package handles specially.
 const (
 	// RoleSteward is the role of the processes that may lead keys.
 	RoleSteward = "steward"
@@ -31,19 +31,19 @@
 	RoleLocalProxy = "local-proxy"
 )
 
-// Events are what the table asks of its owner. They are called on the owner's goroutine.
+// Events are the callbacks of a Table to its owner. They run on the goroutine that calls the table.
 type Events struct {
-	// Send sends a datagram.
+	// Send sends a datagram to an address. The datagram may be lost.
 	Send func(address string, datagram wire.Datagram)
-	// Publish replaces the view.
+	// Publish replaces the view that the rest of the process reads.
 	Publish func(*View)
-	// ConfigurationAhead tells of a peer that holds a newer configuration.
+	// ConfigurationAhead reports a peer that holds a newer configuration.
 	ConfigurationAhead func(peer Member, version int64)
-	// ListsDiffer tells of a peer whose list should be compared with this one.
+	// ListsDiffer reports a peer whose list should be compared with that of this table.
 	ListsDiffer func(peer Member)
 }
 
-// Table is the state of the failure detector. It has no goroutine of its own; its owner calls it.
+// Table is the state of the failure detector. It has no goroutine and is not safe for concurrent use; its owner calls it from one goroutine.
 type Table struct {
 	clock  clock.Clock
 	timing Timing
@@ -52,89 +52,93 @@
 
 	memberList
 	leaderList
-	configurationNotice
-	evacuationNotice
+	configurationAnnouncement
+	evacuationState
 	prober
 	leafServer
 	leafClient
-	publication
-	// changesToSend counts how often the record of a member is still sent along.
-	changesToSend map[string]int
+	publishState
+	// pendingUpdates holds the members whose records have changed recently, with the number of datagrams that still have to carry each.
+	pendingUpdates map[string]int
 
 	createdAt time.Duration
 	lastTick  time.Duration
-	// comparedAt is when this process last compared its list with a peer's.
+	// comparedAt is when this process last started to compare its list with that of a peer.
 	comparedAt time.Duration
 	ticks      int
 }
 
-// memberList holds the records of all members. The sorted lists and the sums are derived from the records, and change only
-// together with them, in write and forget.
+// memberList holds the records of all members. The sorted lists and the sums are derived from the records. Only write and forget change
+// them, together with the records.
 type memberList struct {
 	self      Member
 	ownRecord *record
-	// records are those of all other members that this table lists, by name; unhealthy are those that are not alive.
+	// records holds the records of all listed members except this process, by the result of Name. unhealthy holds the subset that is
+	// suspect or gone.
 	records   map[string]*record
 	unhealthy map[string]*record
 	members   sortedList
 	stewards  sortedList
-	// sums are of all members but local-proxies, stewardSums of stewards alone, for comparisons with local-proxies.
+	// sums covers all members except local-proxies. stewardSums covers the stewards, for comparisons with local-proxies.
 	sums        sums
 	stewardSums sums
-	changedAt   time.Duration
+	// changedAt is when a record was last written or forgotten.
+	changedAt time.Duration
 }
 
-// leaderList holds the leaders of keys, each under the highest epoch that was heard of.
+// leaderList holds for each key the leader with the highest epoch that this process knows.
 type leaderList struct {
-	// leaders is part of a published view while areLeadersPublished, and copied before the next change then.
+	// leaders is shared with a published view while areLeadersPublished is set. It is then copied before the next change.
 	leaders             map[string]wire.KeyLeader
 	areLeadersPublished bool
 	leaderSum           uint32
-	// recentLeaders counts the ticks for which the leader of a key is still sent along with each datagram.
+	// recentLeaders holds, by key, the number of ticks for which datagrams still carry a new leader.
 	recentLeaders map[string]int
 }
 
-// configurationNotice is what others are told of the configuration.
-type configurationNotice struct {
+// configurationAnnouncement is the state of the announcements to other processes.
+type configurationAnnouncement struct {
+	// configVersion is the version of the configuration that this process holds, or 0.
 	configVersion int64
-	// versionRounds counts the ticks in which the configuration's version, or a new list of evacuations, is still announced to others.
-	versionRounds int
+	// announceTicksLeft is the number of ticks in which a new configuration version or list of evacuations is still announced.
+	announceTicksLeft int
 }
 
-// publication knows whether the published view is older than the table.
-type publication struct {
+// publishState tracks whether the table has changed since its last view was published.
+type publishState struct {
 	isDirty bool
-	// leaderMovedSignal is closed with the next view if a key has another leader in it.
+	// leaderMovedSignal is the LeaderMoved channel of the published view. It is closed when a view with another leader of any key is
+	// published.
 	leaderMovedSignal chan struct{}
 	hasLeaderMoved    bool
 }
 
-// NewTable makes a table that knows only its own process. The seed decides whom it probes when.
+// NewTable creates a table that lists only its own process. The seed determines the random choices, such as the order of probes.
 func NewTable(self Member, clock clock.Clock, timing Timing, seed uint64, events Events) *Table {
 	now := clock.Monotonic()
 	table := &Table{
 		clock: clock, timing: timing, events: events, random: rand.New(rand.NewPCG(seed, randomStream)),
 		memberList: memberList{self: self, ownRecord: &record{bucket: bucketOf(Name(self))}, records: map[string]*record{},
 			unhealthy: map[string]*record{}},
-		leaderList:    leaderList{leaders: map[string]wire.KeyLeader{}, recentLeaders: map[string]int{}},
-		prober:        prober{probes: map[uint64]probe{}, relays: map[uint64]relay{}},
-		leafServer:    leafServer{leaves: map[string]leaf{}},
-		leafClient:    leafClient{pingPause: timing.LeafPeriod, isPingAnswered: true},
-		publication:   publication{isDirty: true, leaderMovedSignal: make(chan struct{})},
-		changesToSend: map[string]int{},
-		createdAt:     now, lastTick: now, comparedAt: now - 2*timing.Period - 1,
+		leaderList:     leaderList{leaders: map[string]wire.KeyLeader{}, recentLeaders: map[string]int{}},
+		prober:         prober{probes: map[uint64]probe{}, relays: map[uint64]relay{}},
+		leafServer:     leafServer{leaves: map[string]leaf{}},
+		leafClient:     leafClient{pingPause: timing.LeafPingInterval, isPingAnswered: true},
+		publishState:   publishState{isDirty: true, leaderMovedSignal: make(chan struct{})},
+		pendingUpdates: map[string]int{},
+		createdAt:      now, lastTick: now, comparedAt: now - 2*timing.Period - 1,
 	}
 	table.write(table.ownRecord, self)
 	return table
 }
 
-// Name tells the processes of one machine apart: the machine's name and the role.
+// Name returns the unique name of a process: the name of its machine and its role.
 func Name(member Member) string { return member.Name + "/" + member.Role }
 
-// Self is the record of this process.
+// Self returns the record of this process.
 func (t *Table) Self() Member { return t.self }
 
-// Tick is called a few times a period.
+// Tick does the periodic work of the table. Its owner calls it twice per Timing.Period.
 func (t *Table) Tick() {
 	now := t.clock.Monotonic()
 	if now-t.lastTick > 2*t.timing.Period {
@@ -144,22 +148,22 @@
 	t.ticks++
 	if isLeaf(t.self) {
 		t.tickLeaf(now)
-		t.ageLeaders()
+		t.ageRecentLeaders()
 	} else {
 		t.tickMember(now)
 	}
 	t.PublishIfChanged()
 }
 
-// tickMember is the work of a tick for all processes but local-proxies.
+// tickMember does the periodic work of all processes except local-proxies.
 func (t *Table) tickMember(now time.Duration) {
-	t.followProbes(now)
+	t.checkProbes(now)
 	t.ageRecords(now)
-	if t.versionRounds > 0 {
-		t.versionRounds--
+	if t.announceTicksLeft > 0 {
+		t.announceTicksLeft--
 		t.announceVersion()
 	}
-	if t.ageLeaders() {
+	if t.ageRecentLeaders() {
 		t.Broadcast()
 	}
 	if t.ticks%probeTicks == 0 {
@@ -170,7 +174,7 @@
 	}
 }
 
-// resumeAfterFreeze follows a freeze of this process: nobody's silence counts.
+// resumeAfterFreeze restarts all timeouts after a freeze of this process, because the peers were silent only from its own point of view.
 func (t *Table) resumeAfterFreeze(now time.Duration) {
 	clear(t.probes)
 	for _, known := range t.records {
@@ -184,7 +188,7 @@
 	t.silentSince = now
 }
 
-// PublishIfChanged publishes a view if anything has changed since the last one.
+// PublishIfChanged publishes a new view if the table has changed since the last one.
 func (t *Table) PublishIfChanged() {
 	if !t.isDirty {
 		return
@@ -193,7 +197,7 @@
 	if isLeaf(t.self) && !t.stewards.isPublished {
 		t.attach()
 	}
-	formerMoved := t.leaderMovedSignal
+	previousSignal := t.leaderMovedSignal
 	if t.hasLeaderMoved {
 		t.leaderMovedSignal = make(chan struct{})
 	}
@@ -202,6 +206,6 @@
 		IsIsolated: t.isIsolated, LeaderMoved: t.leaderMovedSignal, Evacuations: t.evacuations, EvacuatedAt: t.evacuatedAt})
 	if t.hasLeaderMoved {
 		t.hasLeaderMoved = false
-		close(formerMoved)
+		close(previousSignal)
 	}
 }
--- a/internal/cluster/membership/timing.go
+++ b/internal/cluster/membership/timing.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Timing is how often members are probed and when they are given up.
+// Timing holds the intervals and timeouts of the failure detector.
 type Timing struct {
-	// Period lies between two probes; a probed member answers within AnswerWait, else IndirectProbes others probe it.
+	// Period is the time between two probes. If a probed member does not answer within AckTimeout, IndirectProbes other members are asked
+	// to probe it.
 	Period         time.Duration
-	AnswerWait     time.Duration
+	AckTimeout     time.Duration
 	IndirectProbes int
-	// SuspectFor is how long a member stays suspect before it is gone; ForgetAfter is when its record is dropped.
+	// SuspectFor is the time that a member stays suspect before it is gone. Its record is dropped ForgetAfter later.
 	SuspectFor  time.Duration
 	ForgetAfter time.Duration
-	// Fanout is how many members are sent changes at once, and LeaderFanout how many if a key has a new leader.
+	// Fanout is the number of members that a broadcast of changes is sent to, LeaderFanout their number if a key has a new leader.
 	Fanout       int
 	LeaderFanout int
-	// LeafPeriod lies between two pings of a local-proxy; a steward pushes to it for LeafKeep after one.
-	LeafPeriod time.Duration
-	LeafKeep   time.Duration
-	// IsolatedAfter is how long the pings of a local-proxy go unanswered before its view says so (View.IsIsolated).
+	// LeafPingInterval is the time between two pings of a local-proxy. A steward pushes changes to it for LeafTimeout after each ping.
+	LeafPingInterval time.Duration
+	LeafTimeout      time.Duration
+	// IsolatedAfter is the time without an answer after which a local-proxy is isolated (View.IsIsolated).
 	IsolatedAfter time.Duration
 }
 
-// DefaultTiming finds a silent member in about three and a half seconds.
-var DefaultTiming = Timing{Period: 700 * time.Millisecond, AnswerWait: 250 * time.Millisecond,
+// DefaultTiming marks a silent member as gone about 3.5 s after it is probed.
+var DefaultTiming = Timing{Period: 700 * time.Millisecond, AckTimeout: 250 * time.Millisecond,
 	SuspectFor: 2500 * time.Millisecond, ForgetAfter: 120 * time.Second, Fanout: 3, LeaderFanout: 6, IndirectProbes: 2,
-	LeafPeriod: 1400 * time.Millisecond, LeafKeep: 13 * time.Second, IsolatedAfter: 3 * time.Second}
+	LeafPingInterval: 1400 * time.Millisecond, LeafTimeout: 13 * time.Second, IsolatedAfter: 3 * time.Second}
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -7,24 +7,25 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// View is what the table publishes to the rest of the process; it is never changed after it is made.
-// Members and Stewards are sorted by name; a local-proxy knows stewards only, and nobody lists local-proxies.
+// View is an immutable snapshot of a Table for the rest of the process. Members and Stewards are sorted by name. The members of a
+// local-proxy are stewards only, and no process lists local-proxies.
 type View struct {
 	Self     Member
 	Members  []Member
 	Stewards []Member
-	Leaders  map[string]wire.KeyLeader
-	// IsIsolated is set at a local-proxy that no steward has answered for some time.
+	// Leaders holds the leader of each key, by key.
+	Leaders map[string]wire.KeyLeader
+	// IsIsolated is set at a local-proxy if no steward has answered it for Timing.IsolatedAfter.
 	IsIsolated bool
-	// Evacuations are the zones that nothing new is to be sent to, nil if there never were any.
+	// Evacuations lists the zones that nothing new may be sent to. It is nil if there never were any.
 	Evacuations *wire.Evacuations
-	// EvacuatedAt is when this process learned of the order for each of these zones, on its monotonic clock.
+	// EvacuatedAt holds for each of these zones the time at which this process received the order, on its monotonic clock.
 	EvacuatedAt map[string]time.Duration
-	// LeaderMoved is closed once any key has another leader than this view says.
+	// LeaderMoved is closed once any key has another leader than in this view.
 	LeaderMoved chan struct{}
 }
 
-// Steward finds a steward by its node's name.
+// Steward returns the steward with the node name, or false if none is listed.
 func (v *View) Steward(name string) (Member, bool) {
 	index, exists := slices.BinarySearchFunc(v.Stewards, Member{Name: name, Role: RoleSteward}, byName)
 	if !exists {
@@ -33,7 +34,7 @@
 	return v.Stewards[index], true
 }
 
-// StewardOf finds the steward that keeps a disk, a lasting or a temporary one.
+// StewardOf returns the steward that has a disk, persistent or temporary, or false if none is listed.
 func (v *View) StewardOf(disk string) (Member, bool) {
 	index := slices.IndexFunc(v.Stewards, func(steward Member) bool { return steward.Disk == disk || steward.TemporaryDisk == disk })
 	if index < 0 || disk == "" {
@@ -42,7 +43,7 @@
 	return v.Stewards[index], true
 }
 
-// SeesSteward tells whether any steward that may lead keys, except this process, is thought alive.
+// SeesSteward reports whether any steward other than this process is alive and may lead keys.
 func (v *View) SeesSteward() bool {
 	return slices.ContainsFunc(v.Stewards, func(steward Member) bool {
 		return steward.MayLead() && steward.State == wire.StateAlive && Name(steward) != Name(v.Self)
