--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -27,9 +27,9 @@
 
 // leafClient is the state of the pings of a local-proxy to stewards.
 type leafClient struct {
-	// attached holds the stewards that are pinged in turn. roundRobinIndex counts the pings.
-	attached        []Member
-	roundRobinIndex int
+	// attached holds the stewards that are pinged in turn. pingCount counts the pings.
+	attached  []Member
+	pingCount int
 	// pingPause is the time between two pings while they are answered. The stewards set it.
 	pingPause      time.Duration
 	pingedAt       time.Duration
@@ -117,8 +117,8 @@
 	if isUnanswered || now-t.pingedAt >= t.pingPause {
 		t.pingSteward(now, isUnanswered)
 	}
-	if isIsolated := !t.isPingAnswered && now-t.silentSince > t.timing.IsolatedAfter; isIsolated != t.isIsolated {
-		t.isIsolated, t.isDirty = isIsolated, true
+	if isIsolatedNow := !t.isPingAnswered && now-t.silentSince > t.timing.IsolatedAfter; isIsolatedNow != t.isIsolated {
+		t.isIsolated, t.isDirty = isIsolatedNow, true
 	}
 }
 
@@ -131,8 +131,8 @@
 	if len(candidates) == 0 {
 		return
 	}
-	t.roundRobinIndex++
-	index := t.roundRobinIndex % len(candidates)
+	t.pingCount++
+	index := t.pingCount % len(candidates)
 	if isRandom {
 		index = t.random.IntN(len(candidates))
 	}
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -12,6 +12,7 @@
 	"gannetline/internal/platform/clock"
 )
 
+// membersOf describes the listed members of a view other than local-proxies, for comparisons of views.
 func membersOf(view *membership.View) string {
 	text := ""
 	for _, member := range view.Members {
@@ -22,6 +23,7 @@
 	return text
 }
 
+// stewardsOf describes the listed stewards of a view, for comparisons of views.
 func stewardsOf(view *membership.View) string {
 	text := ""
 	for _, member := range view.Stewards {
@@ -30,14 +32,16 @@
 	return text
 }
 
+// newLoneTable creates a table without a network. It returns the datagrams that the table sends and the number of comparisons that it
+// asks for.
 func newLoneTable(self wire.Member, clock clock.Clock) (*membership.Table, *[]wire.Datagram, *int) {
-	sent, differed := &[]wire.Datagram{}, new(int)
+	sent, comparisons := &[]wire.Datagram{}, new(int)
 	return membership.NewTable(self, clock, membership.DefaultTiming, 1, membership.Events{
 		Send:               func(_ string, datagram wire.Datagram) { *sent = append(*sent, datagram) },
 		Publish:            func(*membership.View) {},
 		ConfigurationAhead: func(wire.Member, int64) {},
-		ListsDiffer:        func(wire.Member) { *differed++ },
-	}), sent, differed
+		ListsDiffer:        func(wire.Member) { *comparisons++ },
+	}), sent, comparisons
 }
 
 func gate(number int) wire.Member {
@@ -49,32 +53,32 @@
 }
 
 var _ = Describe("a network of tables", func() {
-	DescribeTable("a leader's change reaches every process at once, for a bounded number of datagrams",
+	DescribeTable("announces a new leader to every process within 100 ms, with a bounded number of datagrams",
 		func(stewards, gates, proxies int) {
 			n := newNetwork(7)
-			n.loss = 0.01
+			n.lossRate = 0.01
 			n.addProcesses(stewards, gates, proxies)
 			n.introduceAll()
 			n.run(15 * time.Second)
 			n.resetCounts()
 			n.run(3 * time.Second)
-			calm := n.total(func(member *process) int { return member.datagrams })
+			idleDatagrams := n.total(func(member *process) int { return member.datagrams })
 			var worst time.Duration
 			n.resetCounts()
 			for epoch := uint64(1); epoch <= 10; epoch++ {
-				lengths := n.moveLeader(n.processes[int(epoch)%stewards], epoch, 3*time.Second)
-				worst = max(worst, lengths[len(lengths)-1])
+				delays := n.announceLeader(n.processes[int(epoch)%stewards], epoch, 3*time.Second)
+				worst = max(worst, delays[len(delays)-1])
 			}
-			each := n.total(func(member *process) int { return member.datagrams })/10 - calm
-			GinkgoWriter.Printf("%d processes: worst %v, %d datagrams a change\n", len(n.processes), worst, each)
+			datagramsPerChange := n.total(func(member *process) int { return member.datagrams })/10 - idleDatagrams
+			GinkgoWriter.Printf("%d processes: worst delay %v, %d datagrams per change\n", len(n.processes), worst, datagramsPerChange)
 			Expect(worst).To(BeNumerically("<", 100*time.Millisecond))
-			Expect(each).To(BeNumerically("<", 14*(stewards+gates)+8*proxies))
+			Expect(datagramsPerChange).To(BeNumerically("<", 14*(stewards+gates)+8*proxies))
 		},
 		Entry("20", 4, 4, 12), Entry("80", 8, 10, 62), Entry("1,000", 6, 14, 980))
 
-	It("of 1,000 processes finds itself through the seeds, and then costs each the same little", func() {
+	It("of 1,000 processes joins through the seeds, then needs few datagrams and bytes per process", func() {
 		n := newNetwork(3)
-		n.loss = 0.01
+		n.lossRate = 0.01
 		n.addProcesses(6, 14, 980)
 		for _, member := range n.processes {
 			for seed := range 3 {
@@ -102,9 +106,9 @@
 		Expect(n.total(func(member *process) int { return member.calls })).To(BeNumerically("<", 10))
 	})
 
-	It("of 1,000 gates agrees on a death and a start, with messages that don't grow with their number", func() {
+	It("of 1,000 gates agrees on a failed and a new member, with few datagrams and bytes per process", func() {
 		n := newNetwork(5)
-		n.loss = 0.01
+		n.lossRate = 0.01
 		n.addProcesses(3, 997, 0)
 		n.introduceAll()
 		n.run(11 * time.Second)
@@ -115,7 +119,7 @@
 		n.run(13 * time.Second)
 		Expect(n.maxCount(func(member *process) int { return member.datagrams })).To(BeNumerically("<", 13*10))
 		Expect(n.total(func(member *process) int { return member.bytes }) / 1000 / 13).To(BeNumerically("<", 3_000))
-		n.loss = 0
+		n.lossRate = 0
 		n.run(5 * time.Second)
 		first := n.processes[0].table.NewComparisonCall().Digest.MemberSum
 		for _, member := range n.processes {
@@ -126,15 +130,15 @@
 		Expect(n.processes[1].view.Members).To(HaveLen(1001))
 	})
 
-	It("agrees under loss, doubling and reordering", func() {
+	It("agrees despite lost, duplicated and reordered datagrams", func() {
 		n := newNetwork(11)
-		n.loss, n.doubled, n.jitter = 0.05, 0.1, 60*time.Millisecond
+		n.lossRate, n.duplicateRate, n.maxJitter = 0.05, 0.1, 60*time.Millisecond
 		n.addProcesses(4, 6, 20)
 		n.introduceAll()
 		n.run(30 * time.Second)
-		lengths := n.moveLeader(n.processes[2], 9, 2*time.Second)
-		Expect(lengths[len(lengths)-1]).To(BeNumerically("<", 1500*time.Millisecond))
-		n.loss = 0
+		delays := n.announceLeader(n.processes[2], 9, 2*time.Second)
+		Expect(delays[len(delays)-1]).To(BeNumerically("<", 1500*time.Millisecond))
+		n.lossRate = 0
 		n.run(20 * time.Second)
 		Expect(n.isAgreed(stewardsOf)).To(BeTrue())
 		for _, member := range n.processes[:10] {
@@ -143,30 +147,30 @@
 		}
 	})
 
-	It("mends the gap of those that were cut off", func() {
+	It("brings processes that were cut off up to date", func() {
 		n := newNetwork(13)
 		n.addProcesses(4, 4, 8)
 		n.introduceAll()
 		n.run(15 * time.Second)
-		edge, side := n.processes[6], n.processes[12]
-		edge.isStopped, side.isStopped = true, true
+		edge, proxy := n.processes[6], n.processes[12]
+		edge.isStopped, proxy.isStopped = true, true
 		n.add("control-new", "steward", 1)
 		n.exchange(n.processes[16], n.processes[0].member.Address)
 		n.run(2 * time.Second)
-		n.moveLeader(n.processes[16], 5, 8*time.Second)
+		n.announceLeader(n.processes[16], 5, 8*time.Second)
 		Expect(edge.view.Leaders).To(BeEmpty())
-		edge.isStopped, side.isStopped = false, false
+		edge.isStopped, proxy.isStopped = false, false
 		n.run(1500 * time.Millisecond)
 		Expect(edge.view.Leaders["plan"].Name).To(Equal("control-new"))
-		Expect(side.view.Leaders["plan"].Name).To(Equal("control-new"))
-		_, isKnown := side.view.Steward("control-new")
+		Expect(proxy.view.Leaders["plan"].Name).To(Equal("control-new"))
+		_, isKnown := proxy.view.Steward("control-new")
 		Expect(isKnown).To(BeTrue())
 		n.run(6 * time.Second)
 		_, isKnown = edge.view.Steward("control-new")
 		Expect(isKnown).To(BeTrue())
 	})
 
-	It("takes a restarted steward by its new incarnation, also where its clock went back", func() {
+	It("replaces the record of a restarted steward, even if its clock went back", func() {
 		for _, incarnation := range []uint64{7, 1} {
 			n := newNetwork(17)
 			n.addProcesses(3, 2, 6)
@@ -176,19 +180,19 @@
 			delete(n.byAddress, old.member.Address)
 			n.processes = append(n.processes[:1], n.processes[2:]...)
 			n.run(2 * time.Second)
-			fresh := n.add("control-1", "steward", incarnation)
-			n.exchange(fresh, n.processes[0].member.Address)
+			restarted := n.add("control-1", "steward", incarnation)
+			n.exchange(restarted, n.processes[0].member.Address)
 			n.run(7 * time.Second)
 			for _, member := range n.processes {
-				kept, isKnown := member.view.Steward("control-1")
+				listed, isKnown := member.view.Steward("control-1")
 				Expect(isKnown).To(BeTrue())
-				Expect(kept.Address).To(Equal(fresh.member.Address), "%s, incarnation %d", member.member.Name, incarnation)
-				Expect(kept.State).To(Equal(wire.StateAlive))
+				Expect(listed.Address).To(Equal(restarted.member.Address), "%s, incarnation %d", member.member.Name, incarnation)
+				Expect(listed.State).To(Equal(wire.StateAlive))
 			}
 		}
 	})
 
-	It("lists no local-proxy anywhere, and a local-proxy moves on from a silent steward", func() {
+	It("lists no local-proxies, and a local-proxy switches to another steward if its own ones are silent", func() {
 		n := newNetwork(19)
 		n.addProcesses(4, 2, 5)
 		n.introduceAll()
@@ -200,8 +204,8 @@
 			member.isStopped = true
 		}
 		n.run(4 * time.Second)
-		lengths := n.moveLeader(n.processes[3], 3, 500*time.Millisecond)
-		Expect(lengths[len(lengths)-1]).To(BeNumerically("<", 100*time.Millisecond))
+		delays := n.announceLeader(n.processes[3], 3, 500*time.Millisecond)
+		Expect(delays[len(delays)-1]).To(BeNumerically("<", 100*time.Millisecond))
 		for _, member := range n.processes[6:] {
 			Expect(member.view.IsIsolated).To(BeFalse())
 		}
@@ -225,54 +229,54 @@
 		second.Merge(steward(0))
 	})
 
-	It("moves nothing where nothing differs", func() {
-		ask := first.NewComparisonCall()
-		Expect(second.AnswerCall(&ask).Members).To(BeEmpty())
+	It("transfers no records if nothing differs", func() {
+		call := first.NewComparisonCall()
+		Expect(second.AnswerCall(&call).Members).To(BeEmpty())
 	})
 
-	It("moves only the buckets that differ, and the newer record both ways", func() {
-		dead, risen := gate(7), gate(8)
-		dead.State, risen.Incarnation = wire.StateSuspect, 2
-		first.Merge(dead)
-		second.Merge(risen)
-		ask := first.NewComparisonCall()
-		answer := second.AnswerCall(&ask)
+	It("transfers only the buckets that differ, and the newer record in both directions", func() {
+		suspected, restarted := gate(7), gate(8)
+		suspected.State, restarted.Incarnation = wire.StateSuspect, 2
+		first.Merge(suspected)
+		second.Merge(restarted)
+		call := first.NewComparisonCall()
+		answer := second.AnswerCall(&call)
 		Expect(len(answer.Differing)).To(BeNumerically("<=", 2))
 		Expect(len(answer.Members)).To(BeNumerically("<", 30))
-		given := first.HandleAnswer(steward(1), &answer)
-		Expect(given.Members).To(ConsistOf(dead))
-		Expect(first.All()).To(ContainElement(risen))
-		second.AnswerCall(given)
-		Expect(second.All()).To(ContainElement(dead))
+		followUp := first.HandleAnswer(steward(1), &answer)
+		Expect(followUp.Members).To(ConsistOf(suspected))
+		Expect(first.All()).To(ContainElement(restarted))
+		second.AnswerCall(followUp)
+		Expect(second.All()).To(ContainElement(suspected))
 		Expect(first.NewComparisonCall().Buckets).To(Equal(second.NewComparisonCall().Buckets))
 	})
 
-	It("gives leaders both ways, by the higher epoch", func() {
+	It("transfers leaders in both directions, and the higher epoch wins", func() {
 		first.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 3, Name: "x"})
 		first.MergeLeader(wire.KeyLeader{Key: "b", Epoch: 3, Name: "x"})
 		second.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 4, Name: "y"})
-		ask := first.NewComparisonCall()
-		answer := second.AnswerCall(&ask)
+		call := first.NewComparisonCall()
+		answer := second.AnswerCall(&call)
 		second.AnswerCall(first.HandleAnswer(steward(1), &answer))
 		Expect(first.NewComparisonCall().Digest.LeaderSum).To(Equal(second.NewComparisonCall().Digest.LeaderSum))
 		again := second.NewComparisonCall()
 		Expect(first.AnswerCall(&again).Digest.Leaders).To(BeEmpty())
 	})
 
-	It("keeps sums by change as if they were worked out from nothing", func() {
+	It("updates the sums incrementally to the same values as a full computation", func() {
 		for number := range 60 {
 			member := gate(number * 3)
 			member.Incarnation, member.State = uint64(1+number%3), number%3
 			first.Merge(member)
 		}
-		fresh, _, _ := newLoneTable(steward(0), clock.NewFake(1))
+		rebuilt, _, _ := newLoneTable(steward(0), clock.NewFake(1))
 		for _, member := range first.All() {
-			fresh.Merge(member)
+			rebuilt.Merge(member)
 		}
-		Expect(fresh.NewComparisonCall().Buckets).To(Equal(first.NewComparisonCall().Buckets))
+		Expect(rebuilt.NewComparisonCall().Buckets).To(Equal(first.NewComparisonCall().Buckets))
 	})
 
-	It("gives a peer of an earlier version the whole list and all leaders, and takes such a list", func() {
+	It("sends a peer of an earlier version the whole list and all leaders, and accepts the same from it", func() {
 		first.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 3, Name: "x"})
 		answer := first.AnswerCall(&wire.MembersCall{From: gate(900), Members: []wire.Member{gate(901)}})
 		Expect(answer.Members).To(HaveLen(204))
@@ -286,53 +290,53 @@
 })
 
 var _ = Describe("one table", func() {
-	It("hears a peer of an earlier version without comparing, and lists no proxies that it tells of", func() {
+	It("merges the updates of a peer of an earlier version without a comparison, and ignores local-proxies in them", func() {
 		clock := clock.NewFake(1)
-		table, sent, differed := newLoneTable(gate(0), clock)
-		side := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
-		table.HandleDatagram(wire.Datagram{Kind: "ping", Number: 4, From: gate(1), Updates: []wire.Member{side},
+		table, sent, comparisons := newLoneTable(gate(0), clock)
+		proxy := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
+		table.HandleDatagram(wire.Datagram{Kind: "ping", Number: 4, From: gate(1), Updates: []wire.Member{proxy},
 			Digest: wire.Digest{Leaders: []wire.KeyLeader{{Key: "a", Epoch: 2, Name: "x"}}}})
-		table.HandleDatagram(wire.Datagram{Kind: "ping", Number: 5, From: side})
+		table.HandleDatagram(wire.Datagram{Kind: "ping", Number: 5, From: proxy})
 		Expect(table.All()).To(ConsistOf(gate(0), gate(1)))
 		Expect(table.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 2, Name: "x"})).To(BeFalse())
-		Expect(*differed).To(BeZero())
+		Expect(*comparisons).To(BeZero())
 		last := (*sent)[len(*sent)-1]
 		Expect(last.Kind).To(Equal("ack"))
 		Expect(last.Number).To(Equal(uint64(5)))
 	})
 
-	It("answers a peer of an earlier version without mending what it can't compare", func() {
-		table, sent, differed := newLoneTable(gate(0), clock.NewFake(1))
+	It("starts no comparison with a peer of an earlier version, and sends it no leaders, as its digest has no sums", func() {
+		table, sent, comparisons := newLoneTable(gate(0), clock.NewFake(1))
 		table.Merge(gate(1))
 		table.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 2, Name: "x"})
 		table.HandleDatagram(wire.Datagram{Kind: "ack", From: gate(1)})
 		Expect(*sent).To(BeEmpty())
-		Expect(*differed).To(BeZero())
+		Expect(*comparisons).To(BeZero())
 	})
 
-	It("forgets a member that is long gone", func() {
+	It("forgets a member that does not answer", func() {
 		clock := clock.NewFake(1)
-		var shown *membership.View
+		var published *membership.View
 		table := membership.NewTable(gate(0), clock, membership.DefaultTiming, 1, membership.Events{
-			Send: func(string, wire.Datagram) {}, Publish: func(view *membership.View) { shown = view }})
+			Send: func(string, wire.Datagram) {}, Publish: func(view *membership.View) { published = view }})
 		empty := table.NewComparisonCall().Buckets
 		table.Merge(steward(1))
 		for range 600 {
 			clock.Advance(350 * time.Millisecond)
 			table.Tick()
 		}
-		Expect(shown.Members).To(HaveLen(1))
-		Expect(shown.Stewards).To(BeEmpty())
+		Expect(published.Members).To(HaveLen(1))
+		Expect(published.Stewards).To(BeEmpty())
 		Expect(table.NewComparisonCall().Buckets).To(Equal(empty))
 	})
 
-	It("tells a local-proxy where a key's new leader is, and compares with no local-proxy", func() {
+	It("sends a local-proxy the address of a key's new leader, and starts no comparison with it", func() {
 		clock := clock.NewFake(1)
-		table, sent, differed := newLoneTable(steward(0), clock)
-		side := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 5}
+		table, sent, comparisons := newLoneTable(steward(0), clock)
+		proxy := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 5}
 		clock.Advance(20 * time.Second)
-		table.HandleDatagram(wire.Datagram{Kind: "ping", From: side, Digest: wire.Digest{MemberSum: 99}})
-		Expect(*differed).To(BeZero())
+		table.HandleDatagram(wire.Datagram{Kind: "ping", From: proxy, Digest: wire.Digest{MemberSum: 99}})
+		Expect(*comparisons).To(BeZero())
 		table.Merge(steward(1))
 		table.Merge(gate(1))
 		table.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 2, Name: "control-1"})
@@ -342,15 +346,16 @@
 		Expect(pushed.Digest.Leaders).To(HaveLen(1))
 	})
 
-	It("asks its leaves to wait longer the more they are, and keeps them as much longer", func() {
+	It("sets longer ping pauses for many leaves, and keeps silent leaves for proportionally longer", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := newLoneTable(steward(0), clock)
 		for number := range 1600 {
-			side := wire.Member{Name: fmt.Sprintf("side-%d", number), Role: "local-proxy", Address: "10.0.0.4:1"}
-			table.HandleDatagram(wire.Datagram{Kind: "ping", From: side})
+			proxy := wire.Member{Name: fmt.Sprintf("side-%d", number), Role: "local-proxy", Address: "10.0.0.4:1"}
+			table.HandleDatagram(wire.Datagram{Kind: "ping", From: proxy})
 		}
 		Expect((*sent)[0].PingPauseMs).To(BeZero())
 		Expect((*sent)[1599].PingPauseMs).To(Equal(int64(14_000)))
+		// pushes returns the number of leaves that a new leader is pushed to after a wait.
 		pushes := func(wait time.Duration, epoch uint64) int {
 			for range wait / (350 * time.Millisecond) {
 				clock.Advance(350 * time.Millisecond)
@@ -365,52 +370,52 @@
 		Expect(pushes(40*time.Second, 3)).To(BeZero())
 	})
 
-	It("waits between two pings as long as it was asked to, at a local-proxy", func() {
+	It("pings at the interval that the steward sets, at a local-proxy", func() {
 		clock := clock.NewFake(1)
-		pings, isLonely := 0, false
-		side := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
-			membership.Events{Send: func(string, wire.Datagram) { pings++ }, Publish: func(view *membership.View) { isLonely = isLonely || view.IsIsolated }})
-		side.Merge(steward(0))
-		side.PublishIfChanged()
+		pings, isIsolated := 0, false
+		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(string, wire.Datagram) { pings++ }, Publish: func(view *membership.View) { isIsolated = isIsolated || view.IsIsolated }})
+		proxy.Merge(steward(0))
+		proxy.PublishIfChanged()
 		for range 80 {
 			clock.Advance(350 * time.Millisecond)
 			before := pings
-			if side.Tick(); pings > before {
-				side.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(0), PingPauseMs: 7000})
+			if proxy.Tick(); pings > before {
+				proxy.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(0), PingPauseMs: 7000})
 			}
 		}
 		Expect(pings).To(Equal(4))
-		Expect(isLonely).To(BeFalse())
+		Expect(isIsolated).To(BeFalse())
 	})
 
-	It("compares at once when it is new, and keeps the usual pace while it differs, at a local-proxy", func() {
+	It("compares lists at once after its start, and pings at the default rate while lists differ, at a local-proxy", func() {
 		clock := clock.NewFake(1)
-		side, sent, differed := newLoneTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock)
-		side.Merge(steward(0))
-		side.PublishIfChanged()
+		proxy, sent, comparisons := newLoneTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock)
+		proxy.Merge(steward(0))
+		proxy.PublishIfChanged()
 		for range 9 {
 			clock.Advance(350 * time.Millisecond)
 			before := len(*sent)
-			if side.Tick(); len(*sent) > before {
-				side.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(0), PingPauseMs: 7000, Digest: wire.Digest{MemberSum: 5}})
+			if proxy.Tick(); len(*sent) > before {
+				proxy.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(0), PingPauseMs: 7000, Digest: wire.Digest{MemberSum: 5}})
 			}
 		}
 		Expect(*sent).To(HaveLen(2))
-		Expect(*differed).To(Equal(1))
-		side.Tick()
+		Expect(*comparisons).To(Equal(1))
+		proxy.Tick()
 		clock.Advance(1400 * time.Millisecond)
-		side.Tick()
-		side.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(0), Digest: wire.Digest{MemberSum: 5}})
-		Expect(*differed).To(Equal(2))
+		proxy.Tick()
+		proxy.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(0), Digest: wire.Digest{MemberSum: 5}})
+		Expect(*comparisons).To(Equal(2))
 	})
 
-	It("compares with a peer at once when it has just begun", func() {
-		table, _, differed := newLoneTable(gate(0), clock.NewFake(1))
+	It("compares lists with a peer at once after its start", func() {
+		table, _, comparisons := newLoneTable(gate(0), clock.NewFake(1))
 		table.HandleDatagram(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
-		Expect(*differed).To(Equal(1))
+		Expect(*comparisons).To(Equal(1))
 	})
 
-	It("keeps its leaves over a freeze of its own", func() {
+	It("keeps its leaves after a freeze of its own", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := newLoneTable(steward(0), clock)
 		table.HandleDatagram(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
@@ -425,62 +430,62 @@
 		Expect(*sent).To(HaveLen(before + 1))
 	})
 
-	It("does not think itself isolated after a freeze of its own, at a local-proxy, and pings at once", func() {
+	It("is not isolated after a freeze of its own and pings at once, at a local-proxy", func() {
 		clock := clock.NewFake(1)
-		pings, isLonely := 0, false
-		side := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
-			membership.Events{Send: func(string, wire.Datagram) { pings++ }, Publish: func(view *membership.View) { isLonely = view.IsIsolated }})
-		side.Merge(steward(0))
-		side.PublishIfChanged()
+		pings, isIsolated := 0, false
+		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(string, wire.Datagram) { pings++ }, Publish: func(view *membership.View) { isIsolated = view.IsIsolated }})
+		proxy.Merge(steward(0))
+		proxy.PublishIfChanged()
 		clock.Advance(1400 * time.Millisecond)
-		side.Tick()
+		proxy.Tick()
 		clock.Advance(30 * time.Second)
-		side.Tick()
+		proxy.Tick()
 		Expect(pings).To(Equal(2))
-		Expect(isLonely).To(BeFalse())
+		Expect(isIsolated).To(BeFalse())
 	})
 
-	It("pings the steward of its own domain among three, at a local-proxy", func() {
+	It("pings three stewards, one of them of its own domain, at a local-proxy", func() {
 		clock := clock.NewFake(1)
-		asked := map[string]bool{}
-		side := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
-			membership.Events{Send: func(to string, _ wire.Datagram) { asked[to] = true }, Publish: func(*membership.View) {}})
+		pinged := map[string]bool{}
+		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
+			membership.Events{Send: func(to string, _ wire.Datagram) { pinged[to] = true }, Publish: func(*membership.View) {}})
 		for number := range 40 {
 			listed := steward(number)
 			if number == 27 {
 				listed.Domain = "here"
 			}
-			side.Merge(listed)
+			proxy.Merge(listed)
 		}
-		side.PublishIfChanged()
+		proxy.PublishIfChanged()
 		for range 60 {
 			clock.Advance(350 * time.Millisecond)
-			side.Tick()
+			proxy.Tick()
 			for number := range 40 {
-				side.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(number)})
+				proxy.HandleDatagram(wire.Datagram{Kind: "ack", From: steward(number)})
 			}
 		}
-		Expect(asked).To(HaveLen(3))
-		Expect(asked).To(HaveKey(steward(27).Address))
+		Expect(pinged).To(HaveLen(3))
+		Expect(pinged).To(HaveKey(steward(27).Address))
 	})
 
-	It("drops at a local-proxy a steward that the answerer has forgotten, and gives it stewards alone", func() {
-		control, _, _ := newLoneTable(steward(0), clock.NewFake(1))
+	It("sends a local-proxy stewards only, and the local-proxy drops stewards that the answer lacks", func() {
+		answering, _, _ := newLoneTable(steward(0), clock.NewFake(1))
 		for number := range 60 {
-			control.Merge(gate(number))
+			answering.Merge(gate(number))
 		}
-		side, _, _ := newLoneTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock.NewFake(1))
+		proxy, _, _ := newLoneTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock.NewFake(1))
 		for number := range 60 {
-			side.Merge(steward(number))
+			proxy.Merge(steward(number))
 		}
-		ask := side.NewComparisonCall()
-		answer := control.AnswerCall(&ask)
+		call := proxy.NewComparisonCall()
+		answer := answering.AnswerCall(&call)
 		Expect(answer.Members).To(ConsistOf(steward(0)))
-		Expect(side.HandleAnswer(steward(0), &answer)).To(BeNil())
-		Expect(side.All()).To(HaveLen(2))
+		Expect(proxy.HandleAnswer(steward(0), &answer)).To(BeNil())
+		Expect(proxy.All()).To(HaveLen(2))
 	})
 
-	It("leaves leaders out of datagrams once they are no longer new, and gives them to a peer without", func() {
+	It("omits leaders from datagrams once they are no longer new, and sends them to a peer that lacks them", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := newLoneTable(gate(0), clock)
 		table.Merge(gate(1))
@@ -496,23 +501,23 @@
 		Expect((*sent)[len(*sent)-1].Digest.Leaders).To(HaveLen(1))
 	})
 
-	It("compares with a peer that stays different, not while changes are on their way", func() {
+	It("compares lists with a peer that still differs after a while, but not while changes are in flight", func() {
 		clock := clock.NewFake(1)
-		table, _, differed := newLoneTable(gate(0), clock)
+		table, _, comparisons := newLoneTable(gate(0), clock)
 		table.Merge(gate(1))
 		clock.Advance(20 * time.Second)
 		table.HandleDatagram(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
-		Expect(*differed).To(Equal(1))
+		Expect(*comparisons).To(Equal(1))
 		clock.Advance(2 * time.Second)
 		table.Merge(gate(2))
 		table.HandleDatagram(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
-		Expect(*differed).To(Equal(1))
+		Expect(*comparisons).To(Equal(1))
 		clock.Advance(time.Second)
 		table.HandleDatagram(wire.Datagram{Kind: "news", From: gate(1), Digest: wire.Digest{MemberSum: 5}})
-		Expect(*differed).To(Equal(2))
+		Expect(*comparisons).To(Equal(2))
 	})
 
-	It("does not take back a member that is long gone, and pushes to no leaf that fell silent", func() {
+	It("lists no member that is already gone after its startup, and pushes nothing to a leaf that has stopped pinging", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := newLoneTable(steward(0), clock)
 		table.HandleDatagram(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
@@ -533,7 +538,7 @@
 		Expect(table.Merge(gone)).To(BeFalse())
 	})
 
-	It("shows views that later changes leave alone", func() {
+	It("publishes views that later changes do not modify", func() {
 		var views []*membership.View
 		table := membership.NewTable(steward(5), clock.NewFake(1), membership.DefaultTiming, 1, membership.Events{
 			Send: func(string, wire.Datagram) {}, Publish: func(view *membership.View) { views = append(views, view) }})
@@ -541,18 +546,18 @@
 			table.Merge(steward(number))
 			table.PublishIfChanged()
 		}
-		risen := steward(3)
-		risen.Incarnation, risen.Disk = 4, "d"
-		table.Merge(risen)
+		restarted := steward(3)
+		restarted.Incarnation, restarted.Disk = 4, "d"
+		table.Merge(restarted)
 		table.MergeLeader(wire.KeyLeader{Key: "a", Epoch: 2, Name: "control-3"})
 		table.PublishIfChanged()
 		Expect(stewardsOf(views[0])).To(Equal("control-310.0.0.3:31 control-510.0.0.3:51 "))
 		Expect(views[2].Leaders).To(BeEmpty())
 		last := views[len(views)-1]
 		Expect(last.Members).To(HaveLen(4))
-		kept, isKnown := last.Steward("control-3")
+		listed, isKnown := last.Steward("control-3")
 		Expect(isKnown).To(BeTrue())
-		Expect(kept.Incarnation).To(Equal(uint64(4)))
+		Expect(listed.Incarnation).To(Equal(uint64(4)))
 		steward, _ := last.StewardOf("d")
 		Expect(steward.Name).To(Equal("control-3"))
 		for _, view := range views[:3] {
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -15,31 +15,36 @@
 )
 
 const (
-	linkDelay  = time.Millisecond
+	// linkDelay is the time that a message takes from one process to another.
+	linkDelay = time.Millisecond
+	// halfPeriod is the time between two ticks of a table, half of membership.DefaultTiming.Period.
 	halfPeriod = 350 * time.Millisecond
 )
 
+// event is an action at a time of the fake clock. Events of the same time run in the order of their numbers.
 type event struct {
 	at     time.Duration
 	number int
-	occur  func()
+	action func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].number < a[j].number
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
 }
-func (a eventQueue) Swap(i, j int)     { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(element any) { *a = append(*a, element.(event)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int)     { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(element any) { *q = append(*q, element.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// process is a table of the network, and what was counted and seen of it.
+// process is a table of the network, its newest view, and counts of its traffic. learnedAt holds, by epoch, when the leader of key "plan" was
+// first in its view.
 type process struct {
 	member    wire.Member
 	table     *membership.Table
@@ -51,18 +56,19 @@
 	isStopped bool
 }
 
-// network carries datagrams and calls between tables; it loses, doubles and delays datagrams as it is told.
+// network delivers datagrams and calls between tables on a fake clock. lossRate and duplicateRate are the shares of datagrams that it loses
+// or duplicates, and maxJitter bounds the random delay that it adds to each.
 type network struct {
-	clock        *clock.Fake
-	random       *rand.Rand
-	processes    []*process
-	byAddress    map[string]*process
-	agenda       eventQueue
-	number       int
-	addressCount int
-	loss         float64
-	doubled      float64
-	jitter       time.Duration
+	clock         *clock.Fake
+	random        *rand.Rand
+	processes     []*process
+	byAddress     map[string]*process
+	events        eventQueue
+	number        int
+	addressCount  int
+	lossRate      float64
+	duplicateRate float64
+	maxJitter     time.Duration
 }
 
 func newNetwork(seed uint64) *network {
@@ -77,7 +83,7 @@
 		member.member.Disk = "disk-" + name
 	}
 	member.table = membership.NewTable(member.member, n.clock, membership.DefaultTiming, n.random.Uint64(), membership.Events{
-		Send: func(to string, datagram wire.Datagram) { n.carry(member, to, datagram) },
+		Send: func(to string, datagram wire.Datagram) { n.deliver(member, to, datagram) },
 		Publish: func(view *membership.View) {
 			member.view = view
 			epoch := view.Leaders["plan"].Epoch
@@ -91,10 +97,11 @@
 	n.processes = append(n.processes, member)
 	n.byAddress[member.member.Address] = member
 	member.table.PublishIfChanged()
-	n.after(time.Duration(n.random.Int64N(int64(halfPeriod))), func() { n.tick(member) })
+	n.schedule(time.Duration(n.random.Int64N(int64(halfPeriod))), func() { n.tick(member) })
 	return member
 }
 
+// introduceAll merges the records of all processes into each table.
 func (n *network) introduceAll() {
 	for _, member := range n.processes {
 		for _, other := range n.processes {
@@ -104,11 +111,13 @@
 	}
 }
 
-func (n *network) after(wait time.Duration, occur func()) {
+// schedule runs an action after a delay.
+func (n *network) schedule(delay time.Duration, action func()) {
 	n.number++
-	heap.Push(&n.agenda, event{n.clock.Monotonic() + wait, n.number, occur})
+	heap.Push(&n.events, event{n.clock.Monotonic() + delay, n.number, action})
 }
 
+// tick ticks a process twice per period, until another process takes its address.
 func (n *network) tick(member *process) {
 	if n.byAddress[member.member.Address] != member {
 		return
@@ -116,67 +125,71 @@
 	if !member.isStopped {
 		member.table.Tick()
 	}
-	n.after(halfPeriod, func() { n.tick(member) })
+	n.schedule(halfPeriod, func() { n.tick(member) })
 }
 
-func (n *network) carry(from *process, to string, datagram wire.Datagram) {
+// deliver delivers a datagram to an address, subject to loss, duplication and jitter.
+func (n *network) deliver(from *process, to string, datagram wire.Datagram) {
 	text, err := easyjson.Marshal(datagram)
 	if err != nil {
 		panic(err)
 	}
 	from.datagrams++
 	from.bytes += len(text)
-	times := 1
-	if n.random.Float64() < n.doubled {
-		times = 2
+	copies := 1
+	if n.random.Float64() < n.duplicateRate {
+		copies = 2
 	}
-	for range times {
-		if n.random.Float64() < n.loss {
+	for range copies {
+		if n.random.Float64() < n.lossRate {
 			continue
 		}
-		wait := linkDelay
-		if n.jitter > 0 {
-			wait += time.Duration(n.random.Int64N(int64(n.jitter)))
+		delay := linkDelay
+		if n.maxJitter > 0 {
+			delay += time.Duration(n.random.Int64N(int64(n.maxJitter)))
 		}
-		n.after(wait, func() {
-			if there := n.byAddress[to]; there != nil && !there.isStopped && !from.isStopped {
-				there.table.HandleDatagram(datagram)
+		n.schedule(delay, func() {
+			if receiver := n.byAddress[to]; receiver != nil && !receiver.isStopped && !from.isStopped {
+				receiver.table.HandleDatagram(datagram)
 			}
 		})
 	}
 }
 
+// exchange compares the list of a process with that of a peer, as Node does.
 func (n *network) exchange(member *process, address string) {
 	call := member.table.NewComparisonCall()
 	n.call(member, address, &call, func(answer *wire.MembersAnswer) {
-		if given := member.table.HandleAnswer(wire.Member{Address: address}, answer); given != nil {
-			n.call(member, address, given, func(*wire.MembersAnswer) {})
+		if followUp := member.table.HandleAnswer(wire.Member{Address: address}, answer); followUp != nil {
+			n.call(member, address, followUp, func(*wire.MembersAnswer) {})
 		}
 	})
 }
 
-func (n *network) call(member *process, address string, call *wire.MembersCall, take func(*wire.MembersAnswer)) {
+// call makes a call to an address, and passes the answer to a function. A call of or to a stopped process gets none.
+func (n *network) call(member *process, address string, call *wire.MembersCall, handle func(*wire.MembersAnswer)) {
 	text, _ := easyjson.Marshal(call)
 	member.calls++
 	member.bytes += len(text)
-	n.after(linkDelay, func() {
-		there := n.byAddress[address]
-		if there == nil || there.isStopped || member.isStopped {
+	n.schedule(linkDelay, func() {
+		receiver := n.byAddress[address]
+		if receiver == nil || receiver.isStopped || member.isStopped {
 			return
 		}
-		answer := there.table.AnswerCall(call)
+		answer := receiver.table.AnswerCall(call)
 		text, _ := easyjson.Marshal(answer)
-		there.bytes += len(text)
-		n.after(linkDelay, func() { take(&answer) })
+		receiver.bytes += len(text)
+		n.schedule(linkDelay, func() { handle(&answer) })
 	})
 }
 
-func (n *network) run(length time.Duration) {
-	end := n.clock.Monotonic() + length
-	for len(n.agenda) > 0 && n.agenda[0].at <= end {
-		next := heap.Pop(&n.agenda).(event)
+// run runs the events of the next while.
+func (n *network) run(duration time.Duration) {
+	end := n.clock.Monotonic() + duration
+	for len(n.events) > 0 && n.events[0].at <= end {
+		next := heap.Pop(&n.events).(event)
 		n.clock.Advance(next.at - n.clock.Monotonic())
-		next.occur()
+		next.action()
 	}
 	n.clock.Advance(end - n.clock.Monotonic())
 }
@@ -203,26 +216,27 @@
 	return total
 }
 
-// moveLeader lets a steward announce a key, and gives how long each that runs took to learn it.
-func (n *network) moveLeader(to *process, epoch uint64, patience time.Duration) []time.Duration {
-	began := n.clock.Monotonic()
-	if to.table.MergeLeader(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: to.member.Name}) {
-		to.table.Broadcast()
+// announceLeader lets a steward announce that it leads key "plan". It runs the network for the timeout, and returns the delay after which
+// each running process knew the leader, in rising order; an hour stands for one that did not.
+func (n *network) announceLeader(leader *process, epoch uint64, timeout time.Duration) []time.Duration {
+	announcedAt := n.clock.Monotonic()
+	if leader.table.MergeLeader(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: leader.member.Name}) {
+		leader.table.Broadcast()
 	}
-	n.run(patience)
-	var lengths []time.Duration
+	n.run(timeout)
+	var delays []time.Duration
 	for _, member := range n.processes {
 		if member.isStopped {
 			continue
 		}
 		at, exists := member.learnedAt[epoch]
 		if !exists {
-			at = began + time.Hour
+			at = announcedAt + time.Hour
 		}
-		lengths = append(lengths, at-began)
+		delays = append(delays, at-announcedAt)
 	}
-	slices.Sort(lengths)
-	return lengths
+	slices.Sort(delays)
+	return delays
 }
 
 func (n *network) addProcesses(stewards, gates, proxies int) {
@@ -237,13 +251,14 @@
 	}
 }
 
-func (n *network) isAgreed(about func(*membership.View) string) bool {
+// isAgreed reports whether the views of all running processes have the same description.
+func (n *network) isAgreed(describe func(*membership.View) string) bool {
 	first := ""
 	for _, member := range n.processes {
 		if member.isStopped {
 			continue
 		}
-		if text := about(member.view); first == "" {
+		if text := describe(member.view); first == "" {
 			first = text
 		} else if text != first {
 			return false
--- a/internal/cluster/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -18,19 +18,19 @@
 	"gannetline/internal/platform/metrics"
 )
 
-var _ = Describe("a node's datagrams", func() {
-	It("are counted by kind, with their bytes, and those that can't be read", func() {
+var _ = Describe("the datagrams of a node", func() {
+	It("are counted by kind, with their bytes, and unreadable ones are counted as dropped", func() {
 		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
 		node := membership.NewNode(wire.Member{Name: "one", Role: "gate"}, calls, packets, nil,
 			peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent())
-		ctx, end := context.WithCancel(context.Background())
-		over := make(chan error)
-		go func() { over <- node.Run(ctx) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		runResult := make(chan error)
+		go func() { runResult <- node.Run(ctx) }()
 		defer func() {
-			end()
-			Expect(<-over).To(Succeed())
+			cancel()
+			Expect(<-runResult).To(Succeed())
 		}()
 		other, err := net.Dial("udp4", packets.LocalAddr().String())
 		Expect(err).NotTo(HaveOccurred())
@@ -44,40 +44,40 @@
 		answer := make([]byte, 16<<10)
 		count, err := other.Read(answer)
 		Expect(err).NotTo(HaveOccurred())
-		var said wire.Datagram
-		Expect(easyjson.Unmarshal(answer[:count], &said)).To(Succeed())
+		var reply wire.Datagram
+		Expect(easyjson.Unmarshal(answer[:count], &reply)).To(Succeed())
 		own := metrics.Own()
 		Expect(own).To(HaveKeyWithValue(`gannetline_datagrams_dropped_total{why="unreadable"}`, 1.0))
 		Expect(own).To(HaveKeyWithValue(`gannetline_datagrams_received_total{kind="ping"}`, 1.0))
 		Expect(own).To(HaveKeyWithValue(`gannetline_datagrams_received_bytes_total{kind="ping"}`, float64(len(text))))
-		Expect(own[`gannetline_datagrams_sent_total{kind="`+said.Kind+`"}`]).To(BeNumerically(">=", 1))
-		Expect(own[`gannetline_datagrams_sent_bytes_total{kind="`+said.Kind+`"}`]).To(BeNumerically(">=", count))
+		Expect(own[`gannetline_datagrams_sent_total{kind="`+reply.Kind+`"}`]).To(BeNumerically(">=", 1))
+		Expect(own[`gannetline_datagrams_sent_bytes_total{kind="`+reply.Kind+`"}`]).To(BeNumerically(">=", count))
 	})
 })
 
-// roundTrips records whom a node calls, and answers nothing.
-type roundTrips struct{ hosts chan string }
+// recordingTransport records the hosts that a node calls, and fails every call.
+type recordingTransport struct{ hosts chan string }
 
-func (r roundTrips) RoundTrip(request *http.Request) (*http.Response, error) {
+func (r recordingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	r.hosts <- request.URL.Host
 	return nil, net.ErrClosed
 }
 
-var _ = Describe("a node that sees no steward", func() {
-	It("asks peers of an earlier run beside its seeds", func() {
+var _ = Describe("a node without a live steward in its view", func() {
+	It("contacts the peers of an earlier run after its seeds", func() {
 		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
 		defer calls.Close()
 		hosts := make(chan string, 16)
 		node := membership.NewNode(wire.Member{Name: "one", Role: "steward"}, calls, packets, []string{"10.0.0.1:1"},
-			peerapi.NewCaller(&http.Client{Transport: roundTrips{hosts}}), clock.System(), logging.Silent(),
+			peerapi.NewCaller(&http.Client{Transport: recordingTransport{hosts}}), clock.System(), logging.Silent(),
 			membership.WithKnownPeers([]string{"10.0.0.1:1", "10.0.0.2:1"}))
-		ctx, end := context.WithCancel(context.Background())
-		over := make(chan error)
-		go func() { over <- node.Run(ctx) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		runResult := make(chan error)
+		go func() { runResult <- node.Run(ctx) }()
 		Expect(<-hosts).To(Equal("10.0.0.1:1"))
 		Expect(<-hosts).To(Equal("10.0.0.2:1"))
-		end()
-		Expect(<-over).To(Succeed())
+		cancel()
+		Expect(<-runResult).To(Succeed())
 	})
 })
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -17,26 +17,30 @@
 	datagram wire.Datagram
 }
 
-// pairNetwork is a set of tables that hear each other on the next beat, unless a road is shut.
-type pairNetwork struct {
+// tickNetwork is a set of tables that tick in step. Datagrams arrive in the same step without loss, except from and to tables that are cut
+// off.
+type tickNetwork struct {
 	clock  *clock.Fake
 	tables map[string]*membership.Table
 	views  map[string]*membership.View
-	ahead  map[string]int64
-	shut   map[string]bool
-	post   []message
+	// versionAhead holds, by table, the newest configuration version that was reported as ahead of its own.
+	versionAhead map[string]int64
+	isCutOff     map[string]bool
+	inFlight     []message
 }
 
-func newPairNetwork(count int) *pairNetwork {
-	t := &pairNetwork{clock: clock.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
-		ahead: map[string]int64{}, shut: map[string]bool{}}
+func newTickNetwork(count int) *tickNetwork {
+	t := &tickNetwork{clock: clock.NewFake(1000), tables: map[string]*membership.Table{}, views: map[string]*membership.View{},
+		versionAhead: map[string]int64{}, isCutOff: map[string]bool{}}
 	for number := range count {
 		address := fmt.Sprintf("n%d", number)
 		self := wire.Member{Name: address, Role: "gate", Address: address, Incarnation: 1}
 		t.tables[address] = membership.NewTable(self, t.clock, membership.DefaultTiming, uint64(number), membership.Events{
-			Send:               func(to string, datagram wire.Datagram) { t.post = append(t.post, message{address, to, datagram}) },
+			Send: func(to string, datagram wire.Datagram) {
+				t.inFlight = append(t.inFlight, message{address, to, datagram})
+			},
 			Publish:            func(view *membership.View) { t.views[address] = view },
-			ConfigurationAhead: func(_ wire.Member, version int64) { t.ahead[address] = version },
+			ConfigurationAhead: func(_ wire.Member, version int64) { t.versionAhead[address] = version },
 			ListsDiffer:        func(wire.Member) {},
 		})
 	}
@@ -49,19 +53,20 @@
 	return t
 }
 
-func (t *pairNetwork) run(length time.Duration) {
-	for range length / (350 * time.Millisecond) {
+// run ticks the tables for a while, and delivers their datagrams after each tick, up to four replies deep.
+func (t *tickNetwork) run(duration time.Duration) {
+	for range duration / (350 * time.Millisecond) {
 		t.clock.Advance(350 * time.Millisecond)
 		for number := range len(t.tables) {
-			if name := fmt.Sprintf("n%d", number); !t.shut[name] {
+			if name := fmt.Sprintf("n%d", number); !t.isCutOff[name] {
 				t.tables[name].Tick()
 			}
 		}
-		for round := 0; round < 4 && len(t.post) > 0; round++ {
-			post := t.post
-			t.post = nil
-			for _, message := range post {
-				if table := t.tables[message.to]; table != nil && !t.shut[message.from] && !t.shut[message.to] {
+		for round := 0; round < 4 && len(t.inFlight) > 0; round++ {
+			inFlight := t.inFlight
+			t.inFlight = nil
+			for _, message := range inFlight {
+				if table := t.tables[message.to]; table != nil && !t.isCutOff[message.from] && !t.isCutOff[message.to] {
 					table.HandleDatagram(message.datagram)
 				}
 			}
@@ -69,7 +74,8 @@
 	}
 }
 
-func (t *pairNetwork) state(of, name string) int {
+// state returns the state of a member in the view of a table, or -1 if it is not listed.
+func (t *tickNetwork) state(of, name string) int {
 	for _, member := range t.views[of].Members {
 		if member.Name == name {
 			return member.State
@@ -78,27 +84,27 @@
 	return -1
 }
 
-var _ = Describe("knowing one's peers", func() {
-	It("thinks nobody gone while all answer", func() {
-		t := newPairNetwork(8)
+var _ = Describe("the failure detector", func() {
+	It("keeps all members alive while they answer", func() {
+		t := newTickNetwork(8)
 		t.run(60 * time.Second)
 		for number := range 8 {
 			Expect(t.state("n0", fmt.Sprintf("n%d", number))).To(Equal(wire.StateAlive))
 		}
 	})
 
-	It("suspects a silent one, thinks it gone later, and takes it back when it refutes", func() {
-		t := newPairNetwork(8)
-		t.shut["n3"] = true
+	It("marks a silent member as gone, and as alive again after it refutes", func() {
+		t := newTickNetwork(8)
+		t.isCutOff["n3"] = true
 		t.run(20 * time.Second)
 		Expect(t.state("n0", "n3")).To(Equal(wire.StateGone))
-		t.shut["n3"] = false
+		t.isCutOff["n3"] = false
 		t.run(40 * time.Second)
 		Expect(t.state("n0", "n3")).To(Equal(wire.StateAlive))
 	})
 
-	It("suspects nobody after a freeze of its own", func() {
-		t := newPairNetwork(4)
+	It("suspects no member after a freeze of its own process", func() {
+		t := newTickNetwork(4)
 		t.run(2 * time.Second)
 		t.clock.Advance(30 * time.Second)
 		t.tables["n0"].Tick()
@@ -108,25 +114,25 @@
 		}
 	})
 
-	It("spreads the version of a configuration and of a key's leader to all, and never goes back", func() {
-		t := newPairNetwork(20)
+	It("spreads a configuration version and a leader to all processes, and ignores a leader of a lower epoch", func() {
+		t := newTickNetwork(20)
 		t.tables["n0"].AnnounceConfiguration(7)
 		t.tables["n0"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n0"].Broadcast()
 		t.run(4 * time.Second)
 		for name := range t.tables {
 			if name != "n0" {
-				Expect(t.ahead[name]).To(Equal(int64(7)), name)
+				Expect(t.versionAhead[name]).To(Equal(int64(7)), name)
 			}
 			Expect(t.views[name].Leaders["plan"].Epoch).To(Equal(uint64(4)), name)
 		}
 		Expect(t.tables["n5"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 3, Name: "n9"})).To(BeFalse())
 	})
 
-	It("spreads evacuations to all, with whom starts later, and never goes back", func() {
-		t := newPairNetwork(20)
-		emptied := &wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{{Zone: "z", SinceMs: 5}}}
-		t.tables["n0"].AnnounceEvacuations(emptied)
+	It("spreads the newest list of evacuations to all processes, and ignores an older one", func() {
+		t := newTickNetwork(20)
+		evacuations := &wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{{Zone: "z", SinceMs: 5}}}
+		t.tables["n0"].AnnounceEvacuations(evacuations)
 		t.run(3 * time.Second)
 		for name, view := range t.views {
 			Expect(view.Evacuations.Has("z")).To(BeTrue(), name)
@@ -141,8 +147,8 @@
 		}
 	})
 
-	It("counts the time of an evacuation from its own order, whatever is ordered for other zones", func() {
-		t := newPairNetwork(3)
+	It("counts the time of an evacuation from the order for its zone, despite later orders for other zones", func() {
+		t := newTickNetwork(3)
 		first := wire.EvacuatedZone{Zone: "z", SinceMs: 5}
 		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 1, Zones: []wire.EvacuatedZone{first}})
 		t.run(2 * time.Second)
@@ -158,8 +164,8 @@
 		Expect(t.views["n1"].EvacuatedAt).NotTo(HaveKey("y"))
 	})
 
-	It("tells who waits on a leader that the key has moved", func() {
-		t := newPairNetwork(3)
+	It("closes LeaderMoved of the previous view when a key has a new leader", func() {
+		t := newTickNetwork(3)
 		old := t.views["n1"]
 		t.tables["n1"].MergeLeader(wire.KeyLeader{Key: "plan", Epoch: 4, Name: "n0"})
 		t.tables["n1"].PublishIfChanged()
@@ -167,8 +173,8 @@
 		Expect(t.views["n1"].LeaderMoved).NotTo(BeClosed())
 	})
 
-	It("remembers the disks that a machine has lost", func() {
-		t := newPairNetwork(2)
+	It("keeps the former disks of a machine", func() {
+		t := newTickNetwork(2)
 		t.tables["n0"].Merge(wire.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 5, Disk: "old"})
 		t.tables["n0"].Merge(wire.Member{Name: "n1", Role: "gate", Address: "n1", Incarnation: 9, Disk: "new"})
 		t.tables["n0"].PublishIfChanged()
