--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -555,9 +555,9 @@
 		Expect(views[2].Leaders).To(BeEmpty())
 		last := views[len(views)-1]
 		Expect(last.Members).To(HaveLen(4))
-		listed, isKnown := last.Steward("control-3")
+		found, isKnown := last.Steward("control-3")
 		Expect(isKnown).To(BeTrue())
-		Expect(listed.Incarnation).To(Equal(uint64(4)))
+		Expect(found.Incarnation).To(Equal(uint64(4)))
 		steward, _ := last.StewardOf("d")
 		Expect(steward.Name).To(Equal("control-3"))
 		for _, view := range views[:3] {
--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -1,6 +1,6 @@
-// Package peerapi carries calls between the processes of the system: each procedure has a path, a message that asks and one that
-// answers (package wire), over connect-go with a codec of generated JSON. Serve answers a procedure, Call and CallWithStallTimeout
-// ask a peer, and an error tells by NeverSent whether the call certainly did not reach it.
+// Package peerapi makes and serves calls between the processes of the cluster. Each procedure has a path and a request and an answer message
+// of package wire. The transport is connect-go with a codec for generated JSON code. Serve registers the handler of a procedure. Call and
+// CallWithStallTimeout call a peer, and NeverSent reports whether a failed call certainly did not reach the peer.
 package peerapi
 
 import (
@@ -16,10 +16,10 @@
 	"gannetline/internal/platform/metrics"
 )
 
-// Prefix is the path below which peers call each other.
+// Prefix is the common prefix of the paths of all procedures.
 const Prefix = "/gannetline.v1.Sibling/"
 
-// The paths of the calls between processes; their messages bear the same names.
+// The paths of the procedures. Most messages of package wire are named after their procedure.
 const (
 	ProcedurePromise  = Prefix + "Promise"
 	ProcedureAppend   = Prefix + "Append"
@@ -31,30 +31,31 @@
 	ProcedureExchange = Prefix + "Exchange"
 	ProcedureBeliefs  = Prefix + "Beliefs"
 	ProcedureTenants  = Prefix + "Tenants"
-	// ProcedureCoordination asks for locks, numbers and cells of the keys that are led there.
+	// ProcedureCoordination asks a steward for reports of the keys with locks, numbers and cells that it leads.
 	ProcedureCoordination = Prefix + "Coordination"
-	// ProcedureEvacuations asks which zones are to be emptied as far as the process knows, and what still runs there.
+	// ProcedureEvacuations asks a process for the zones under evacuation that it knows, and for the runs that are still there.
 	ProcedureEvacuations = Prefix + "Evacuations"
-	// ProcedureExecutors asks for the list of executors.
+	// ProcedureExecutors asks a steward for the list of executors.
 	ProcedureExecutors = Prefix + "Executors"
-	// ProcedureRetire has a storage machine be emptied.
+	// ProcedureRetire asks a storage machine to empty its disk, or whether that is done.
 	ProcedureRetire = Prefix + "Retire"
 )
 
-// ErrNotMessage tells that a type has no generated JSON code.
+// ErrNotMessage is returned by the codec for a type without generated JSON code.
 const ErrNotMessage = errors.ConstError("not a message between peers")
 
-// easyCodec is connect's codec of messages with generated JSON code; it counts the bytes of bodies that it writes and reads.
+// easyCodec is the connect codec for messages with generated JSON code. It counts the bytes of the bodies that it writes and reads.
 type easyCodec struct{ sent, received *metrics.Counter }
 
+// codec returns the codec of one side of a procedure.
 func codec(procedure, side string) easyCodec {
 	return easyCodec{sentBytes.With(procedure, side), receivedBytes.With(procedure, side)}
 }
 
-// Name is that of the codec in content types.
+// Name returns the name of the codec in content types.
 func (easyCodec) Name() string { return "easyjson" }
 
-// Marshal writes a message as JSON; an error names a type without generated code.
+// Marshal encodes a message as JSON. For a type without generated code, the error is ErrNotMessage and names the type.
 func (c easyCodec) Marshal(message any) ([]byte, error) {
 	value, isMessage := message.(easyjson.Marshaler)
 	if !isMessage {
@@ -65,7 +66,8 @@
 	return text, err
 }
 
-// Unmarshal reads a copy, since raw parts of a message stay in use after the transport takes its buffer back.
+// Unmarshal decodes a message from a copy of the text, because raw fields of the message share memory with it after the transport reuses
+// its buffer.
 func (c easyCodec) Unmarshal(text []byte, message any) error {
 	value, isMessage := message.(easyjson.Unmarshaler)
 	if !isMessage {
@@ -75,10 +77,10 @@
 	return easyjson.Unmarshal(bytes.Clone(text), value)
 }
 
-// maxMessage is the longest body that is read, in bytes.
-const maxMessage = 16 << 20
+// maxMessageBytes is the maximum size of a body that is read.
+const maxMessageBytes = 16 << 20
 
-// Serve answers one procedure on the mux. An error of the handler reaches the caller as that of its call.
+// Serve registers the handler of a procedure on the mux. If the handler returns an error, the call of the peer fails with it.
 func Serve[Request, Answer any](mux *http.ServeMux, procedure string, handle func(context.Context, *Request) (*Answer, error)) {
 	name := procedure[len(Prefix):]
 	calls, failures := calls.With(name, sideServed), callErrors.With(name, sideServed)
@@ -91,31 +93,31 @@
 		return answer, err
 	}
 	mux.Handle(procedure, connect.NewUnaryHandlerSimple(procedure, counted,
-		connect.WithCodec(codec(name, sideServed)), connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil)))
+		connect.WithCodec(codec(name, sideServed)), connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompression("gzip", nil, nil)))
 }
 
-// Caller makes calls to peers over kept connections.
+// Caller makes calls to peers, and reuses idle connections.
 type Caller struct{ client *http.Client }
 
-// NewCaller makes a caller that uses the client, as Client makes it.
+// NewCaller creates a caller with an HTTP client, usually one of Client.
 func NewCaller(client *http.Client) *Caller { return &Caller{client} }
 
-// Call asks the peer at an address, for as long as the limit; its error names the procedure and the peer.
-func Call[Request, Answer any](ctx context.Context, caller *Caller, address, procedure string, limit time.Duration, request *Request) (*Answer, error) {
-	ctx, release := context.WithTimeout(ctx, limit)
+// Call calls a procedure of the peer at an address, with a timeout. Its error names the procedure and the peer.
+func Call[Request, Answer any](ctx context.Context, caller *Caller, address, procedure string, timeout time.Duration, request *Request) (*Answer, error) {
+	ctx, release := context.WithTimeout(ctx, timeout)
 	defer release()
-	return callThrough[Request, Answer](ctx, caller.client, address, procedure, request)
+	return callWith[Request, Answer](ctx, caller.client, address, procedure, request)
 }
 
-// callThrough calls a procedure of a peer and checks its answer; an error names the procedure and the peer.
-func callThrough[Request, Answer any](ctx context.Context, client connect.HTTPClient, address, procedure string, request *Request) (*Answer, error) {
+// callWith calls a procedure of a peer with an HTTP client and checks the answer. Its error names the procedure and the peer.
+func callWith[Request, Answer any](ctx context.Context, client connect.HTTPClient, address, procedure string, request *Request) (*Answer, error) {
 	name := procedure[len(Prefix):]
 	calls.With(name, sideMade).Inc()
-	connection := connect.NewClient[Request, Answer](client, "http://"+address+procedure,
-		connect.WithCodec(codec(name, sideMade)), connect.WithReadMaxBytes(maxMessage), connect.WithAcceptCompression("gzip", nil, nil))
-	answer, err := connection.CallUnary(ctx, connect.NewRequest(request))
+	procedureClient := connect.NewClient[Request, Answer](client, "http://"+address+procedure,
+		connect.WithCodec(codec(name, sideMade)), connect.WithReadMaxBytes(maxMessageBytes), connect.WithAcceptCompression("gzip", nil, nil))
+	answer, err := procedureClient.CallUnary(ctx, connect.NewRequest(request))
 	if err == nil {
-		err = check(answer.Msg)
+		err = checkAnswer(answer.Msg)
 	}
 	if err != nil {
 		callErrors.With(name, sideMade).Inc()
@@ -124,15 +126,15 @@
 	return answer.Msg, nil
 }
 
-// check lets an answer that has a Check refuse itself.
-func check(answer any) error {
-	if checked, isChecked := answer.(interface{ Check() error }); isChecked {
-		return checked.Check()
+// checkAnswer calls the Check method of an answer if it has one, and returns its error.
+func checkAnswer(answer any) error {
+	if checkable, hasCheck := answer.(interface{ Check() error }); hasCheck {
+		return checkable.Check()
 	}
 	return nil
 }
 
-// NeverSent tells whether a failed call certainly did not reach the peer.
+// NeverSent reports whether a failed call certainly did not reach the peer, because no connection was made.
 func NeverSent(err error) bool {
 	return isDialError(err)
 }
--- a/internal/cluster/peerapi/check_test.go
+++ b/internal/cluster/peerapi/check_test.go
@@ -15,8 +15,8 @@
 	"gannetline/internal/platform/clock"
 )
 
-// answering serves client calls with one answer.
-func answering(answer *wire.ClientAnswer) string {
+// serveAnswer serves client calls with the same answer on a new server, and returns its address.
+func serveAnswer(answer *wire.ClientAnswer) string {
 	mux := http.NewServeMux()
 	peerapi.Serve(mux, peerapi.ProcedureClient, func(context.Context, *wire.ClientCall) (*wire.ClientAnswer, error) { return answer, nil })
 	server := httptest.NewServer(mux)
@@ -25,25 +25,25 @@
 }
 
 var _ = Describe("an answer of a peer", func() {
-	ask := func(address string) (*wire.ClientAnswer, error) {
+	callClient := func(address string) (*wire.ClientAnswer, error) {
 		return peerapi.Call[wire.ClientCall, wire.ClientAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient), address,
 			peerapi.ProcedureClient, 5*time.Second, &wire.ClientCall{})
 	}
 
-	It("without a status is an error that names the step and the peer, and may have been carried out", func() {
-		address := answering(&wire.ClientAnswer{})
-		_, err := ask(address)
+	It("without a status is an error that names the procedure and the peer, and does not count as never sent", func() {
+		address := serveAnswer(&wire.ClientAnswer{})
+		_, err := callClient(address)
 		Expect(err).To(MatchError(And(ContainSubstring("Client"), ContainSubstring(address), ContainSubstring("without a status"))))
 		Expect(peerapi.NeverSent(err)).To(BeFalse())
 	})
 
-	It("needs no status if it points elsewhere", func() {
-		Expect(ask(answering(&wire.ClientAnswer{NotLeader: true}))).To(Equal(&wire.ClientAnswer{NotLeader: true}))
+	It("needs no status if it redirects to the leader", func() {
+		Expect(callClient(serveAnswer(&wire.ClientAnswer{NotLeader: true}))).To(Equal(&wire.ClientAnswer{NotLeader: true}))
 	})
 })
 
-var _ = Describe("a call that may take as long as something comes", func() {
-	// part is written each time that one is asked for.
+var _ = Describe("a call with a stall timeout", func() {
+	// parts holds the parts of the answer. The server writes each as soon as the spec sends it.
 	var parts chan string
 	var address string
 	var fakeClock *clock.Fake
@@ -62,20 +62,20 @@
 		address = server.Listener.Addr().String()
 	})
 
-	It("ends once nothing came for the patience, with the step, the peer and the cause", func() {
+	It("fails with ErrStalled, the procedure and the peer if no byte arrives within the timeout", func() {
 		DeferCleanup(func() { close(parts) })
-		over := make(chan error)
+		result := make(chan error)
 		go func() {
 			_, err := peerapi.CallWithStallTimeout[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), peerapi.NewCaller(http.DefaultClient),
-				impatient{}, address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
-			over <- err
+				instantClock{}, address, peerapi.ProcedureFetch, time.Second, &wire.ConfigurationCall{})
+			result <- err
 		}()
-		err := <-over
+		err := <-result
 		Expect(errors.Is(err, peerapi.ErrStalled)).To(BeTrue())
 		Expect(err).To(MatchError(And(ContainSubstring("Fetch"), ContainSubstring(address))))
 	})
 
-	It("gives the answer however many parts it comes in", func() {
+	It("returns an answer that arrives in several parts", func() {
 		go func() {
 			for _, part := range []string{`{"fact":`, `{"version":7,`, `"body":{}}`, `}`} {
 				parts <- part
@@ -89,13 +89,13 @@
 	})
 })
 
-// impatient is a fakeClock on which every wait is over at once.
-type impatient struct{}
+// instantClock is a clock on which every wait ends at once.
+type instantClock struct{}
 
-func (impatient) Monotonic() time.Duration { return 0 }
-func (impatient) WallMs() int64            { return 0 }
-func (impatient) After(time.Duration) <-chan time.Time {
-	over := make(chan time.Time, 1)
-	over <- time.Time{}
-	return over
+func (instantClock) Monotonic() time.Duration { return 0 }
+func (instantClock) WallMs() int64            { return 0 }
+func (instantClock) After(time.Duration) <-chan time.Time {
+	expired := make(chan time.Time, 1)
+	expired <- time.Time{}
+	return expired
 }
--- a/internal/cluster/peerapi/dial.go
+++ b/internal/cluster/peerapi/dial.go
@@ -14,17 +14,17 @@
 
 const (
 	idleTimeout = 30 * time.Second
-	// bufferBytes is small, as there is a connection to each peer.
+	// bufferBytes is the size of the read and the write buffer of a connection. It is small because there are connections to all peers.
 	bufferBytes = 2048
 )
 
-// isDialError tells whether a connection could not be made.
+// isDialError reports whether an error comes from a connection that could not be made.
 func isDialError(err error) bool {
 	var failed *net.OpError
 	return stderrors.As(errors.Cause(err), &failed) && failed.Op == "dial" || stderrors.As(err, &failed) && failed.Op == "dial"
 }
 
-// Dialer gives up a connection whose other side has acknowledged nothing for the time of silence.
+// Dialer returns a dialer with a timeout for connecting. Its connections fail if sent data stays unacknowledged for the same time.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -33,8 +33,8 @@
 	}}
 }
 
-// Client makes an HTTP client that gives up a connection whose other side has acknowledged nothing for the time of
-// silence. It keeps so many idle connections to each peer, for 30 s, and follows no redirects.
+// Client returns an HTTP client that connects with a Dialer of the timeout. It keeps up to idlePerHost idle connections to each peer for
+// 30 s, and does not follow redirects.
 func Client(timeout time.Duration, idlePerHost int) *http.Client {
 	dialer := Dialer(timeout)
 	return &http.Client{
--- a/internal/cluster/peerapi/golden_test.go
+++ b/internal/cluster/peerapi/golden_test.go
@@ -10,8 +10,8 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = Describe("the form of calls between peers", func() {
-	It("is kept for the paths of calls", func() {
+var _ = Describe("the paths of calls between peers", func() {
+	It("stay the same", func() {
 		Expect(golden.CheckText("testdata/procedures.txt", strings.Join([]string{peerapi.ProcedurePromise, peerapi.ProcedureAppend,
 			peerapi.ProcedureFetch, peerapi.ProcedureMembers, peerapi.ProcedurePlan, peerapi.ProcedureIdentify, peerapi.ProcedureClient,
 			peerapi.ProcedureExchange, peerapi.ProcedureBeliefs, peerapi.ProcedureTenants, ""}, "\n"))).To(Succeed())
--- a/internal/cluster/peerapi/metrics.go
+++ b/internal/cluster/peerapi/metrics.go
@@ -2,7 +2,7 @@
 
 import "gannetline/internal/platform/metrics"
 
-// The sides of a call, as a label of its metrics.
+// The values of the label "side" of the metrics of calls.
 const (
 	sideMade   = "made"
 	sideServed = "served"
--- a/internal/cluster/peerapi/metrics_test.go
+++ b/internal/cluster/peerapi/metrics_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("calls between peers", func() {
-	It("are counted on both sides, with their bytes and their errors", func() {
+	It("are counted on both sides, with their bytes and errors", func() {
 		mux := http.NewServeMux()
 		peerapi.Serve(mux, peerapi.ProcedurePlan, func(_ context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 			if call.HeldVersion == 9 {
@@ -27,13 +27,13 @@
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		caller := peerapi.NewCaller(http.DefaultClient)
-		ask := func(body int64) error {
+		callPeer := func(heldVersion int64) error {
 			_, err := peerapi.Call[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), caller,
-				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{HeldVersion: body})
+				server.Listener.Addr().String(), peerapi.ProcedurePlan, time.Minute, &wire.ConfigurationCall{HeldVersion: heldVersion})
 			return err
 		}
-		Expect(ask(1)).To(Succeed())
-		Expect(ask(9)).NotTo(Succeed())
+		Expect(callPeer(1)).To(Succeed())
+		Expect(callPeer(9)).NotTo(Succeed())
 		own := metrics.Own()
 		for _, side := range []string{"made", "served"} {
 			labels := `{procedure="Plan",side="` + side + `"}`
--- a/internal/cluster/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -11,45 +11,45 @@
 	"gannetline/internal/platform/clock"
 )
 
-// ErrStalled is the cause of a call that was given up because nothing came for too long.
+// ErrStalled is the cause of the error of CallWithStallTimeout if no byte of the answer arrived within the stall timeout.
 const ErrStalled = errors.ConstError("no byte of the answer came in time")
 
-// maxMovingCall bounds a call that keeps moving, so that a peer which sends a byte now and then can't hold it forever.
-const maxMovingCall = 30 * time.Second
+// maxProgressingCall is the timeout of a call that makes progress, so that a peer that sends single bytes can't keep it open forever.
+const maxProgressingCall = 30 * time.Second
 
-// movingClient reports each part of an answer that arrives.
-type movingClient struct {
-	client *http.Client
-	moved  chan struct{}
+// progressClient is an HTTP client that signals on a channel each time a part of an answer arrives.
+type progressClient struct {
+	client     *http.Client
+	progressed chan struct{}
 }
 
-// report notes that something came; it never blocks.
-func (m movingClient) report() {
+// report signals that a part has arrived. It never blocks.
+func (c progressClient) report() {
 	select {
-	case m.moved <- struct{}{}:
+	case c.progressed <- struct{}{}:
 	default:
 	}
 }
 
-// Do sends the request; the body of its answer reports what is read.
-func (m movingClient) Do(request *http.Request) (*http.Response, error) {
-	response, err := m.client.Do(request)
+// Do sends the request. It reports the arrival of the answer, and the returned body reports each part of it that is read.
+func (c progressClient) Do(request *http.Request) (*http.Response, error) {
+	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	m.report()
-	response.Body = movingBody{response.Body, m}
+	c.report()
+	response.Body = progressBody{response.Body, c}
 	return response, nil
 }
 
-// movingBody is the body of an answer whose reads are reported.
-type movingBody struct {
+// progressBody is the body of an answer that reports each read that returns bytes.
+type progressBody struct {
 	io.ReadCloser
-	client movingClient
+	client progressClient
 }
 
-// Read passes on bytes and reports that some came.
-func (b movingBody) Read(buffer []byte) (int, error) {
+// Read reads from the body, and reports progress if there were any bytes.
+func (b progressBody) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
 	if count > 0 {
 		b.client.report()
@@ -57,30 +57,30 @@
 	return count, err
 }
 
-// CallWithStallTimeout asks the peer at an address, and gives up only once nothing of the answer has come for as long
-// as the patience: a slow link is no reason to end a call, a silent one is. The cause is then ErrStalled.
+// CallWithStallTimeout calls a procedure of the peer at an address, and fails with ErrStalled once no byte of the answer has arrived for the
+// stall timeout. A slow link alone does not end the call before maxProgressingCall, but a silent peer does.
 func CallWithStallTimeout[Request, Answer any](ctx context.Context, caller *Caller, clock clock.Clock, address, procedure string,
-	patience time.Duration, request *Request) (*Answer, error) {
+	stallTimeout time.Duration, request *Request) (*Answer, error) {
 	type outcome struct {
 		answer *Answer
 		err    error
 	}
-	ctx, release := context.WithTimeout(ctx, maxMovingCall)
+	ctx, release := context.WithTimeout(ctx, maxProgressingCall)
 	defer release()
-	moving := movingClient{caller.client, make(chan struct{}, 1)}
+	trackedClient := progressClient{caller.client, make(chan struct{}, 1)}
 	outcomes := make(chan outcome, 1)
-	stall := clock.After(patience)
+	stalled := clock.After(stallTimeout)
 	go func() {
-		answer, err := callThrough[Request, Answer](ctx, moving, address, procedure, request)
+		answer, err := callWith[Request, Answer](ctx, trackedClient, address, procedure, request)
 		outcomes <- outcome{answer, err}
 	}()
 	for {
 		select {
-		case done := <-outcomes:
-			return done.answer, done.err
-		case <-moving.moved:
-			stall = clock.After(patience)
-		case <-stall:
+		case result := <-outcomes:
+			return result.answer, result.err
+		case <-trackedClient.progressed:
+			stalled = clock.After(stallTimeout)
+		case <-stalled:
 			callErrors.With(procedure[len(Prefix):], sideMade).Inc()
 			return nil, errors.Annotatef(ErrStalled, "%s at peer %s", procedure[len(Prefix):], address)
 		}
--- a/internal/cluster/peerapi/wire/beliefs.go
+++ b/internal/cluster/peerapi/wire/beliefs.go
@@ -2,10 +2,10 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all beliefs.go
 
-// BeliefsCall asks a node for all that it believes.
+// BeliefsCall asks a node for the state of the cluster as it knows it, which may differ between nodes.
 type BeliefsCall struct{}
 
-// KeyBelief is what a steward believes of a key that it takes part in.
+// KeyBelief is the state of a key as one of its voters knows it.
 type KeyBelief struct {
 	Key    string      `json:"key"`
 	Leader string      `json:"owner"`
@@ -21,7 +21,7 @@
 	State string `json:"state"`
 }
 
-// ExecutorBelief is what the leader of a pool believes of one incarnation of an executor.
+// ExecutorBelief is the state of one incarnation of an executor as the leader of its pool knows it. Running counts its runs.
 type ExecutorBelief struct {
 	Key      string `json:"key"`
 	Executor string `json:"life"`
@@ -29,7 +29,7 @@
 	Running  int    `json:"running"`
 }
 
-// BeliefsAnswer is all that a node believes; what its role does not know is empty.
+// BeliefsAnswer is the state of the cluster as a node knows it. Lists that do not apply to the role of the node are empty.
 type BeliefsAnswer struct {
 	Name          string           `json:"name"`
 	Role          string           `json:"role"`
--- a/internal/cluster/peerapi/wire/client.go
+++ b/internal/cluster/peerapi/wire/client.go
@@ -7,19 +7,19 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all client.go
 
-// Verb is what a client or an operator wants.
+// Verb is the operation of a ClientCall.
 type Verb string
 
-// The verbs: those of clients go to the key of a pool, those of operators to the key of the configuration, and those of pools to the key
-// of a count part.
+// The verbs. Those of clients go to the key of a pool, those of operators to the key of the configuration, and those of pools to the key of
+// a partition of the tenants' count.
 const (
 	// VerbSubmit submits a job under an ID that the client has chosen.
 	VerbSubmit Verb = "hand-in"
-	// VerbRenounce asks a pool never to take a job under an ID, so that another pool may.
+	// VerbRenounce asks a pool to promise never to accept a job under an ID, so that another pool may accept it.
 	VerbRenounce Verb = "renounce"
-	// VerbTransfer gives a pool a job that another one had accepted; the body is a TransferCall.
+	// VerbTransfer transfers a job to a pool from another one that had accepted it. The body is a TransferCall.
 	VerbTransfer Verb = "transfer"
-	// VerbRollouts asks a pool for its RolloutReport, and the leader of the configuration for how its rollouts stand.
+	// VerbRollouts asks a pool for its RolloutReport, and the leader of the configuration for its RolloutsStatus.
 	VerbRollouts Verb = "rollouts"
 	// VerbState asks for the state of a job.
 	VerbState Verb = "state"
@@ -27,57 +27,57 @@
 	VerbCancel Verb = "cancel"
 	// VerbCount asks how many jobs of a route are waiting.
 	VerbCount Verb = "count"
-	// VerbGrant asks a part of the tenants' count for allowances.
+	// VerbGrant asks a partition of the tenants' count for allowances. The body is a GrantCall.
 	VerbGrant Verb = "grant"
-	// VerbTenants asks a pool, or a part of the count, for what it knows of its tenants.
+	// VerbTenants asks a pool or a partition of the tenants' count for its TenantCountReport.
 	VerbTenants Verb = "tenants"
 	// VerbReplace replaces the configuration.
 	VerbReplace Verb = "replace"
 	// VerbRetrieve asks for the configuration.
 	VerbRetrieve Verb = "retrieve"
-	// VerbEvacuate orders the zone that ID names to be emptied, VerbEndEvacuation takes that back, VerbEvacuations asks for all such zones.
+	// VerbEvacuate orders the evacuation of the zone that ID names, VerbEndEvacuation ends it, and VerbEvacuations asks for all evacuations.
 	VerbEvacuate      Verb = "evacuate"
 	VerbEndEvacuation Verb = "evacuation-end"
 	VerbEvacuations   Verb = "evacuations"
-	// VerbSubmitLot hands in a lot of requests, under an ID that the client has chosen.
+	// VerbSubmitLot submits a lot, a batch of requests, under an ID that the client has chosen.
 	VerbSubmitLot Verb = "lot"
-	// VerbLotResults asks for the results of a lot from the position Base on; the answer may wait for RemainingMs until there is one.
+	// VerbLotResults asks for the results of a lot from the position Base on. The leader may wait up to RemainingMs for the first one.
 	VerbLotResults Verb = "lot-results"
-	// VerbLotItem asks for the body of the item of a lot that Item names; the answer's body is the JSON text of its bytes in base64.
+	// VerbLotItem asks for the body of the item of a lot that Item names. The body of the answer is a JSON string with its bytes in base64.
 	VerbLotItem Verb = "lot-item"
 	// VerbEndLot ends a lot.
 	VerbEndLot Verb = "lot-end"
-	// VerbVersion asks for the number of the configuration alone.
+	// VerbVersion asks for the version number of the configuration only.
 	VerbVersion Verb = "version"
-	// VerbAcquire, VerbRenew and VerbRelease are about the lock that ID names; the body is a LockCall.
+	// VerbAcquire, VerbRenew and VerbRelease apply to the lock that ID names. The body is a LockCall.
 	VerbAcquire Verb = "lock-acquire"
 	VerbRenew   Verb = "lock-renew"
 	VerbRelease Verb = "lock-release"
-	// VerbTakeNumber takes the next number under the name ID.
+	// VerbTakeNumber takes the next number of the sequence that ID names.
 	VerbTakeNumber Verb = "number"
-	// VerbPut puts a value into the cell that ID names; the body is a PutCall. VerbGet reads the cell.
+	// VerbPut writes the cell that ID names; the body is a PutCall. VerbGet reads the cell.
 	VerbPut Verb = "cell-put"
 	VerbGet Verb = "cell-get"
-	// VerbWatch asks for the puts above the revision Base in the group of cells that ID names; the answer may wait for RemainingMs
-	// until there is one.
+	// VerbWatch asks for the puts above the revision Base in the group of cells that ID names. The leader may wait up to RemainingMs for the
+	// first one.
 	VerbWatch Verb = "watch"
-	// VerbCoordination asks a part with locks, numbers and cells for its CoordinationReport.
+	// VerbCoordination asks a partition of locks, numbers and cells for its CoordinationReport.
 	VerbCoordination Verb = "coordination"
 )
 
-// LotsKeyPrefix begins the names of the keys that hold lots; LotsKey is that of the first part, which holds all lots so far.
+// LotsKeyPrefix is the prefix of the keys that hold lots. LotsKey is the first of them, and so far the only one in use.
 const (
 	LotsKeyPrefix = "lots/"
 	LotsKey       = LotsKeyPrefix + "0"
 )
 
-// PoolPrefix begins the keys of pools; the rest is the service.
+// PoolPrefix is the prefix of the keys of pools. The rest of such a key is the name of the service.
 const PoolPrefix = "pool/"
 
-// PoolKey is the key of the pool of a service.
+// PoolKey returns the key of the pool of a service.
 func PoolKey(service string) string { return PoolPrefix + service }
 
-// ClientCall is a command of a client or operator on the way to the leader of a key.
+// ClientCall is a command of a client, an operator or a pool to the leader of a key.
 type ClientCall struct {
 	Key         string              `json:"key"`
 	Verb        Verb                `json:"verb"`
@@ -87,16 +87,16 @@
 	Terms       *RouteTerms         `json:"terms,omitempty"`
 	Body        easyjson.RawMessage `json:"body,omitempty"`
 	RemainingMs int64               `json:"left,omitempty"`
-	// Tenant is the name of the tenant whose key the client bears; empty where it needs none.
+	// Tenant is the name of the tenant whose API key the client has sent. It is empty if none is required.
 	Tenant string `json:"tenant,omitempty"`
 	// Item is the ID of an item of a lot.
 	Item string `json:"item,omitempty"`
-	// Version is that of the configuration by which a gate chose the pool; older gates leave it out.
+	// Version is the version of the configuration by which a gate chose the pool. Gates of earlier versions omit it.
 	Version int64 `json:"version,omitempty"`
 }
 
-// RouteTerms are what a job's route says of it: its priority, how many attempts a task has, and the target for its
-// latency, as a multiple of its longest chain of work plus TargetMs.
+// RouteTerms are the settings of a job's route: the priority, the maximum number of attempts of a task, and the target latency, which is
+// Stretch times the longest chain of work plus TargetMs.
 type RouteTerms struct {
 	Priority    int     `json:"p,omitempty"`
 	MaxAttempts int     `json:"a,omitempty"`
@@ -104,8 +104,9 @@
 	TargetMs    int64   `json:"t,omitempty"`
 }
 
-// ClientAnswer with NotLeader set names the leader to ask, as far as it is known. The command was not taken, unless
-// OutcomeUnknown is set too: then its change was proposed, and a later leader may keep it or not. Status is that of HTTP.
+// ClientAnswer is the answer to a ClientCall; Status is an HTTP status. If NotLeader is set, Leader names the leader to ask if it is known,
+// and the command was not executed, unless OutcomeUnknown is set too. In that case its change was proposed, and the next leader may or may
+// not commit it.
 type ClientAnswer struct {
 	NotLeader      bool                `json:"elsewhere,omitempty"`
 	OutcomeUnknown bool                `json:"unclear,omitempty"`
@@ -114,18 +115,18 @@
 	RetryAfterS    int                 `json:"retry,omitempty"`
 	Reason         string              `json:"why,omitempty"`
 	Body           easyjson.RawMessage `json:"body,omitempty"`
-	// MovedTo is the service whose pool a job was transferred to, with a Status that says that it isn't here.
+	// MovedTo is the service whose pool a job was transferred to. The Status then says that this pool does not have the job.
 	MovedTo string `json:"moved,omitempty"`
-	// WallMs is the time of day that the voters agree on, with the configuration in force, in milliseconds since 1970.
+	// WallMs is the time of day that the voters agree on, in milliseconds since 1970. It accompanies the configuration in force.
 	WallMs int64 `json:"wall,omitempty"`
-	// Current is the version in force with a refused configuration.
+	// Current is the version in force. It is set if a configuration is refused.
 	Current int64 `json:"current,omitempty"`
 }
 
-// ErrNoStatus refuses an answer that says nothing.
+// ErrNoStatus rejects an answer that has neither a status nor NotLeader.
 const ErrNoStatus = errors.ConstError("an answer without a status")
 
-// Check refuses an answer that says nothing, with ErrNoStatus.
+// Check returns ErrNoStatus if the answer has neither a status nor NotLeader.
 func (a *ClientAnswer) Check() error {
 	if !a.NotLeader && a.Status < 100 {
 		return errors.Annotatef(ErrNoStatus, "status %d", a.Status)
--- a/internal/cluster/peerapi/wire/configuration.go
+++ b/internal/cluster/peerapi/wire/configuration.go
@@ -4,30 +4,31 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all configuration.go
 
-// ConfigurationCall asks for what is newer than HeldVersion; a peer of an earlier version is always given all of it.
+// ConfigurationCall asks for a configuration that is newer than HeldVersion. A peer of an earlier version sets neither AcceptsChanges nor
+// AcceptsChunks, and always gets the full configuration.
 type ConfigurationCall struct {
 	HeldVersion    int64 `json:"held"`
 	AcceptsChanges bool  `json:"changes,omitempty"`
-	// AcceptsChunks lets a configuration come as a compressed image in chunks; Image and Offset name where to go on.
+	// AcceptsChunks allows the answer to be a chunk of a compressed image. Image and Offset name the chunk to continue with.
 	AcceptsChunks bool   `json:"chunks,omitempty"`
 	Image         string `json:"image,omitempty"`
 	Offset        int    `json:"offset,omitempty"`
 }
 
-// ConfigurationAnswer holds the configuration in full, a chunk of its image, or the changes that lead to it from the
-// version that is held; none of them if the peer holds nothing newer.
+// ConfigurationAnswer holds the full configuration, a chunk of its image, or the changes from the held version to it. It holds none of them
+// if the peer has nothing newer.
 type ConfigurationAnswer struct {
 	Full    *Configuration        `json:"fact,omitempty"`
 	Changes []*ConfigurationDelta `json:"changes,omitempty"`
 	Chunk   *ConfigurationChunk   `json:"chunk,omitempty"`
-	// Busy says that too many peers are being answered; another one should be asked.
+	// Busy is set if the peer is already answering too many others. The caller should ask another peer.
 	Busy bool `json:"busy,omitempty"`
 }
 
-// ConfigurationChunk is a part of an image: the compressed form of one version in full.
+// ConfigurationChunk is a part of an image, which is the full configuration of one version in compressed form.
 type ConfigurationChunk struct {
 	Version int64 `json:"version"`
-	// Image is the sha256 of the whole image, in hexadecimal.
+	// Image is the SHA-256 of the whole image in hexadecimal.
 	Image string `json:"image"`
 	// Size of the image and Offset of the chunk are in bytes.
 	Size   int    `json:"size"`
@@ -35,7 +36,7 @@
 	Data   []byte `json:"data"`
 }
 
-// ConfigurationDelta makes the configuration of one version out of that of another; Digest is that of the result.
+// ConfigurationDelta turns the configuration of version Base into that of Version. Digest is the digest of the result.
 type ConfigurationDelta struct {
 	Base          int64           `json:"base"`
 	Version       int64           `json:"version"`
@@ -45,33 +46,33 @@
 	Moved         []MovedRoute    `json:"moved,omitempty"`
 }
 
-// DeltaPart is a run of the base's segments, or text.
+// DeltaPart is either Count segments of the base from segment From on, or new text.
 type DeltaPart struct {
 	From  int    `json:"f,omitempty"`
 	Count int    `json:"c,omitempty"`
 	Text  string `json:"t,omitempty"`
 }
 
-// Configuration is a committed configuration as it is stored and passed on: the operator's text, and the first voters of the
-// pools of its services.
+// Configuration is a committed configuration as it is stored and sent to peers. Body is the text of the operator, and InitialVoters are the
+// first voters of the pools of its services.
 type Configuration struct {
 	Version       int64               `json:"version"`
 	Body          easyjson.RawMessage `json:"body"`
 	InitialVoters []InitialVoters     `json:"births,omitempty"`
-	// Confirmed are the last confirmed versions as an earlier version keeps them on disk; each has a record of its own now.
+	// Confirmed lists the last confirmed versions in the format of an earlier version. By now each has a record of its own.
 	Confirmed []ConfirmedVersion `json:"taken,omitempty"`
-	// Forgotten is the newest confirmed version whose record was dropped.
+	// Forgotten is the newest confirmed version whose record was deleted.
 	Forgotten int64        `json:"forgotten,omitempty"`
 	Moved     []MovedRoute `json:"moved,omitempty"`
 }
 
-// MovedRoute names the services that a route led to before.
+// MovedRoute names the services that a route led to previously.
 type MovedRoute struct {
 	Route    string   `json:"entry"`
 	Services []string `json:"services"`
 }
 
-// InitialVoters are the disks that a service's pool starts with, or the key that is named.
+// InitialVoters are the disks that are the first voters of a service's pool, or of Key.
 type InitialVoters struct {
 	Service string   `json:"service"`
 	Voters  []string `json:"voters"`
@@ -79,8 +80,8 @@
 	Key string `json:"key,omitempty"`
 }
 
-// ConfirmedVersion says which body was confirmed under a version: Digest is its sha256 in hexadecimal, or from an
-// earlier version the first eight bytes of it.
+// ConfirmedVersion identifies the body that was confirmed under a version. Digest is the SHA-256 of the body in hexadecimal, or only its
+// first eight bytes in a record of an earlier version.
 type ConfirmedVersion struct {
 	Version int64  `json:"version"`
 	Digest  string `json:"digest"`
--- a/internal/cluster/peerapi/wire/coordination.go
+++ b/internal/cluster/peerapi/wire/coordination.go
@@ -2,68 +2,68 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all coordination.go
 
-// CoordinationKeyPrefix begins the names of the keys that hold locks, numbers and cells of applications.
+// CoordinationKeyPrefix is the prefix of the keys that hold locks, numbers and cells of applications.
 const CoordinationKeyPrefix = "coordination/"
 
-// LockCall is what an application asks of the lock that the call's ID names. Fence is 0 in a call that acquires it; HoldMs is how
-// long the caller takes itself for the holder, counted from when it sends the call.
+// LockCall acquires, renews or releases the lock that the call's ID names. Fence is the fencing token, or 0 in a call that acquires the lock.
+// HoldMs is the time for which the caller considers itself the holder, from the time of the call on.
 type LockCall struct {
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence-number,omitempty"`
 	HoldMs int64  `json:"hold-time-ms,omitempty"`
 }
 
-// LockAnswer gives the fencing token of a lock that was acquired.
+// LockAnswer holds the fencing token of an acquired lock.
 type LockAnswer struct {
 	Fence uint64 `json:"fence-number"`
 }
 
-// NumberAnswer gives a number that is above all that were given under its name.
+// NumberAnswer holds a number that is above all earlier ones of its sequence.
 type NumberAnswer struct {
 	Value uint64 `json:"value"`
 }
 
-// PutCall puts a value into the cell that the call's ID names, if the cell is at the expected revision; 0 expects no cell.
+// PutCall writes a value to the cell that the call's ID names if the cell is at the Expected revision. 0 expects that there is no cell.
 type PutCall struct {
 	Value    string `json:"value"`
 	Expected uint64 `json:"enabled,omitempty"`
 }
 
-// RevisionAnswer gives the revision of a cell: that of the put, or with a refused put the one that it has. 0 is no cell.
+// RevisionAnswer holds the revision of the cell after a put, or its current one if the put was refused. 0 means that there is no cell.
 type RevisionAnswer struct {
 	Revision uint64 `json:"revision"`
 }
 
-// CellAnswer gives what a cell holds.
+// CellAnswer holds the value of a cell and its revision.
 type CellAnswer struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// WatchAnswer gives all puts in a group above the revision that the call's Base names and up to Revision, in rising order.
+// WatchAnswer holds all puts in a group of cells above the revision Base of the call and up to Revision, in rising order.
 type WatchAnswer struct {
 	Events   []CellEvent `json:"events"`
 	Revision uint64      `json:"revision"`
 }
 
-// CellEvent is one put.
+// CellEvent is one put to a cell of a watched group.
 type CellEvent struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// CoordinationCall asks a steward what it knows of locks, numbers and cells as the leader of their keys.
+// CoordinationCall asks a steward for reports of the keys with locks, numbers and cells that it leads.
 type CoordinationCall struct{}
 
-// CoordinationReports has a report of each such key that the steward leads.
+// CoordinationReports holds a report of each such key that the steward leads.
 type CoordinationReports struct {
 	Reports []CoordinationReport `json:"reports,omitempty"`
-	// IsOff tells that this process keeps no locks, numbers and cells.
+	// IsOff is set if locks, numbers and cells are disabled in this process.
 	IsOff bool `json:"off,omitempty"`
 }
 
-// CoordinationReport is what the leader of a key with locks, numbers and cells tells an operator of it.
+// CoordinationReport is a summary of a key with locks, numbers and cells for operators.
 type CoordinationReport struct {
 	Key      string       `json:"key"`
 	Epoch    uint64       `json:"epoch"`
@@ -75,8 +75,8 @@
 	Bytes    int          `json:"bytes"`
 }
 
-// LockReport is a lock that is held: by whom, under which fencing token, for how long by now, and for how long at least if the
-// holder does not renew it.
+// LockReport describes a held lock: its holder and its fencing token. HeldMs is the time since it was acquired, and RemainingMs the time for which it is still held at least
+// if the holder does not renew it.
 type LockReport struct {
 	Name        string `json:"name"`
 	Holder      string `json:"holder"`
--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -2,17 +2,17 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all exchange.go
 
-// Capacity is an amount of resources: CPU in thousandths of a core, memory in MB, and GPUs.
+// Capacity is an amount of resources: CPU in thousandths of a core, memory in MB, and a number of GPUs.
 type Capacity struct {
 	CPU    int64 `json:"cpu-units"`
 	Memory int64 `json:"memory-req-mb"`
 	GPU    int64 `json:"gpu-count"`
 }
 
-// IsDefined lets a capacity of nothing be left out of a message.
+// IsDefined reports whether any amount is not 0. The generated code omits a capacity from a message if it is not defined.
 func (c Capacity) IsDefined() bool { return c != Capacity{} }
 
-// RunReport is one run as an executor lists it; a run is Stuck when it makes no progress.
+// RunReport is a run in the list of an executor. Stuck is set if it makes no progress.
 type RunReport struct {
 	Task       string `json:"t"`
 	Run        int64  `json:"r"`
@@ -21,7 +21,7 @@
 	Stuck      bool   `json:"x,omitempty"`
 }
 
-// RunOutcome is how a run ended, as its executor says. Of others than these the scheduler only knows that the run is over.
+// RunOutcome is the outcome of a run as its executor reports it. Any value other than those below only means that the run has ended.
 type RunOutcome string
 
 // The outcomes that the scheduler acts on.
@@ -32,7 +32,7 @@
 	OutcomeFailed RunOutcome = "failed"
 )
 
-// OrderKind is what is to be done with a run.
+// OrderKind is the action that an order requests for a run.
 type OrderKind string
 
 // The kinds of orders.
@@ -41,26 +41,26 @@
 	OrderStop   OrderKind = "stop"
 )
 
-// OrderResult is what came of an order.
+// OrderResult is the result of an order.
 type OrderResult string
 
 // The results of orders.
 const (
-	// ResultOK: the order was carried out.
+	// ResultOK means that the order was carried out.
 	ResultOK OrderResult = "ok"
-	// ResultNotRun: the order was certainly not carried out, and the executor is not to blame.
+	// ResultNotRun means that the order was certainly not carried out, for a reason other than a fault of the executor.
 	ResultNotRun OrderResult = "not-run"
-	// ResultNoCapacity: the executor has no capacity for the run.
+	// ResultNoCapacity means that the executor has no capacity for the run.
 	ResultNoCapacity OrderResult = "room"
-	// ResultUnhealthy: the order was certainly not carried out, as the executor refuses or is not there.
+	// ResultUnhealthy means that the order was certainly not carried out, because the executor refuses or is absent.
 	ResultUnhealthy OrderResult = "sick"
-	// ResultUncertain: a start may yet be carried out.
+	// ResultUncertain means that the run may still be started.
 	ResultUncertain OrderResult = "unsure"
-	// ResultTimeout: nothing was answered; the order is sent again.
+	// ResultTimeout means that the executor did not answer. The order is sent again.
 	ResultTimeout OrderResult = "timeout"
 )
 
-// EndReport is the end of a run; an executor numbers its ends in their order.
+// EndReport reports the end of a run. An executor numbers the ends of its runs in their order.
 type EndReport struct {
 	Number     int64      `json:"n"`
 	Task       string     `json:"t"`
@@ -69,7 +69,7 @@
 	Checkpoint string     `json:"c,omitempty"`
 }
 
-// OrderAnswer is what came of an order, AgeMs before it is reported.
+// OrderAnswer reports the result of an order. AgeMs is the age of the result when it is sent.
 type OrderAnswer struct {
 	Task   string      `json:"t"`
 	Run    int64       `json:"r"`
@@ -78,9 +78,12 @@
 	AgeMs  int64       `json:"g,omitempty"`
 }
 
-// ExchangeCall is what a local-proxy reports to the leader of its executor's pool. With a Session, the facts (Proxy to
-// Gone) and Changed are what changed after Base, up to Number; Base 0 is a full report. A session that begins later
-// has a higher number. Without a Session, each report is full.
+// ExchangeCall is the report of a local-proxy to the leader of its executor's pool, and asks for orders. With a Session, the facts (the
+// fields from Proxy to Gone) and Changed contain only changes after the number Base and up to Number; Base 0 is a full report. A later
+// session has a higher number. Without a Session, each report is full.
+//
+// Fence is the highest epoch that the executor has accepted, and HoldAgeMs the time since it last renewed its hold. If ListNumber is set,
+// Running is the complete list of runs that the leader asked for under that number.
 type ExchangeCall struct {
 	Key         string        `json:"key"`
 	Executor    string        `json:"life"`
@@ -104,7 +107,7 @@
 	WaitMs      int64         `json:"wait,omitempty"`
 }
 
-// Order is one thing that a local-proxy should have its executor do with a run.
+// Order asks a local-proxy to have its executor start or stop a run.
 type Order struct {
 	Kind       OrderKind `json:"k"`
 	Task       string    `json:"t"`
@@ -113,8 +116,10 @@
 	Checkpoint string    `json:"c,omitempty"`
 }
 
-// ExchangeAnswer names the Number that the leader holds. NeedsFullState asks for a full report, as nothing of the call was
-// taken, in a session above the one that is named. WantedList asks for a list of runs of at least that number.
+// ExchangeAnswer acknowledges a report and carries orders. HeldNumber is the Number up to which the leader has the report. NeedsFullState is
+// set if the call was ignored: the proxy has to send a full report in a session above Session. Fence is the epoch of the leader, GrantMs the
+// length of the lease that it grants, and LastSeen the number of the last EndReport that it has taken. WantedList asks for a list of
+// runs of at least that number.
 type ExchangeAnswer struct {
 	NotLeader      bool    `json:"elsewhere,omitempty"`
 	Leader         string  `json:"owner,omitempty"`
--- a/internal/cluster/peerapi/wire/executors.go
+++ b/internal/cluster/peerapi/wire/executors.go
@@ -12,24 +12,24 @@
 	IsDraining bool   `json:"d,omitempty"`
 }
 
-// ExecutorListVersion orders the lists of executors: the epoch of the steward that has read it, and the number of the list under it.
+// ExecutorListVersion is the version of a list of executors: the epoch of the steward that read it, and the number of the list in that epoch.
 type ExecutorListVersion struct {
 	Epoch  uint64 `json:"e"`
 	Number uint64 `json:"n"`
 }
 
-// Below tells whether another list is newer.
+// Below reports whether another version is newer.
 func (v ExecutorListVersion) Below(other ExecutorListVersion) bool {
 	return v.Epoch < other.Epoch || v.Epoch == other.Epoch && v.Number < other.Number
 }
 
-// ExecutorsCall asks for a list that is newer than the one that the caller has; the answer may wait so long for one.
+// ExecutorsCall asks for a list that is newer than Held, the version that the caller has. The answer may wait up to WaitMs for one.
 type ExecutorsCall struct {
 	Held   ExecutorListVersion `json:"held"`
 	WaitMs int64               `json:"wait,omitempty"`
 }
 
-// ExecutorsAnswer has a list if there is a newer one.
+// ExecutorsAnswer holds a list if HasList is set, otherwise there is no newer one.
 type ExecutorsAnswer struct {
 	HasList   bool                `json:"has,omitempty"`
 	Version   ExecutorListVersion `json:"version"`
--- a/internal/cluster/peerapi/wire/golden_test.go
+++ b/internal/cluster/peerapi/wire/golden_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-// goldenMessages are all messages between peers, and what they hold, by the names of their golden files.
+// goldenMessages holds all messages between peers and the records in them, by the names of their golden files.
 var goldenMessages = map[string]golden.Message{
 	"log-position":          &wire.LogPosition{},
 	"retire-call":           &wire.RetireCall{},
@@ -86,9 +86,9 @@
 	"coordination-reports":  &wire.CoordinationReports{},
 }
 
-var _ = Describe("the form of messages between peers", func() {
+var _ = Describe("the encoding of messages between peers", func() {
 	for name, message := range goldenMessages {
-		It("is kept for "+name, func() {
+		It("stays the same for "+name, func() {
 			Expect(golden.CheckMessage(name, message)).To(Succeed())
 		})
 	}
--- a/internal/cluster/peerapi/wire/grants.go
+++ b/internal/cluster/peerapi/wire/grants.go
@@ -2,10 +2,10 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all grants.go
 
-// GrantCall is what the leader of a pool asks of the leader of a count part: for some tenants, or for none to learn only which
-// allowances it should give back.
+// GrantCall is a call of the leader of a pool to the leader of a partition of the tenants' count. It asks for allowances of some tenants. A
+// call without tenants only asks which allowances the pool should give back.
 type GrantCall struct {
-	// Asker is the key of the pool, Epoch that of its leadership, and Number rises with each call of it.
+	// Asker is the key of the pool, Epoch the epoch of its leader, and Number rises with each call of that leader.
 	Asker  string `json:"asker"`
 	Epoch  uint64 `json:"epoch"`
 	Number uint64 `json:"number"`
@@ -13,8 +13,8 @@
 	Tenants []TenantDemand `json:"tenants,omitempty"`
 }
 
-// TenantDemand is what a pool has and wants of one tenant. Has is the most that the pool may use until it gets an answer to this call
-// or to a later one; Used is what its runs take, and Wants what they and the waiting tasks take together.
+// TenantDemand is the demand of a pool for one tenant. Has is the maximum that the pool may use until it gets an answer to this call or to a
+// later one. Used is the amount that its runs use, and Wants the amount that they and its waiting tasks need together.
 type TenantDemand struct {
 	Tenant string   `json:"tenant"`
 	Has    Capacity `json:"has"`
@@ -25,39 +25,40 @@
 // GrantAnswer answers the call with the same number.
 type GrantAnswer struct {
 	Number uint64 `json:"number"`
-	// Version is that of the configuration that the limits were taken from.
+	// Version is the version of the configuration with the limits.
 	Version int64         `json:"version"`
 	Tenants []TenantGrant `json:"tenants,omitempty"`
 }
 
-// TenantGrant is what a pool may use of one tenant's limit from now on, and how much it should keep of that, as others want their part.
+// TenantGrant is the part of a tenant's limit that a pool may use from now on. Target is the part of it that the pool should keep, because
+// other pools want their share.
 type TenantGrant struct {
 	Tenant  string   `json:"tenant"`
 	Granted Capacity `json:"granted"`
 	Target  Capacity `json:"target"`
-	// HasWholeLimit tells that the pool holds all of the limit, so that nobody else may start anything under it.
+	// HasWholeLimit is set if the pool holds the whole limit, so that no other pool may start runs under it.
 	HasWholeLimit bool `json:"whole,omitempty"`
-	// IsSettled tells that all pools together hold no more than the limit of the configuration by which the part decided.
+	// IsSettled is set if all pools together hold no more than the limit of the configuration by which the partition decided.
 	IsSettled bool `json:"settled,omitempty"`
 }
 
-// TenantsCall asks a steward what it knows of tenants as the leader of pools and of count parts.
+// TenantsCall asks a steward for reports of the tenants in the pools and partitions of the tenants' count that it leads.
 type TenantsCall struct{}
 
-// TenantsAnswer has a report of each such key that the steward leads.
+// TenantsAnswer holds a report of each such key that the steward leads.
 type TenantsAnswer struct {
 	Reports []TenantCountReport `json:"reports,omitempty"`
 }
 
-// TenantCountReport is what the leader of a count part, or of a pool, tells an operator of its tenants.
+// TenantCountReport describes the tenants of a pool, or of a partition of the tenants' count, for operators.
 type TenantCountReport struct {
 	Key     string        `json:"key"`
 	Version int64         `json:"version,omitempty"`
 	Tenants []TenantUsage `json:"tenants"`
 }
 
-// TenantUsage is the row of one tenant. A count part fills in Limit and Grants, a pool the rest; Share is the part of the fleet, from 0
-// to 1, that the tenant may count on once everything is full.
+// TenantUsage is the row of one tenant. A partition of the tenants' count fills in Limit and Grants, a pool the other fields. Share is the
+// fraction of the fleet, from 0 to 1, that the tenant is entitled to when all capacity is in use.
 type TenantUsage struct {
 	Tenant      string        `json:"tenant"`
 	Weight      float64       `json:"weight,omitempty"`
@@ -72,7 +73,7 @@
 	Allowance   *Capacity     `json:"allowance,omitempty"`
 }
 
-// TenantShare is what one pool was granted of a tenant's limit and last said that it wants.
+// TenantShare is the part of a tenant's limit that a pool was granted, and the amount that it last asked for.
 type TenantShare struct {
 	Asker   string   `json:"asker"`
 	Granted Capacity `json:"granted"`
--- a/internal/cluster/peerapi/wire/membership.go
+++ b/internal/cluster/peerapi/wire/membership.go
@@ -2,9 +2,9 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all membership.go
 
-// Member is one process as members tell each other of it. Address is for calls between processes, Control for
-// operators and executors, Disk the name of its disk. A higher Incarnation replaces a lower one; within one, a
-// higher State does.
+// Member is the record of one process in the exchange of member lists. Address is for calls between processes, and Control for operators and
+// executors. Domain is the zone, and Disk the name of its disk. Of two records of one process, the one with the higher Incarnation is
+// newer; within an incarnation, the one with the higher State.
 type Member struct {
 	Name        string `json:"n"`
 	Role        string `json:"r"`
@@ -14,35 +14,35 @@
 	Disk        string `json:"k,omitempty"`
 	Incarnation uint64 `json:"i"`
 	State       int    `json:"s,omitempty"`
-	// FormerDisks are disks that this machine has lost.
+	// FormerDisks lists the disks that this machine has lost, the newest last.
 	FormerDisks []string `json:"x,omitempty"`
-	// TemporaryDisk names a disk that does not outlive the machine's power; it counts where no member has another.
+	// TemporaryDisk names a disk that does not survive a loss of power. It is used only if no member has a persistent one.
 	TemporaryDisk string `json:"m,omitempty"`
 }
 
-// MayLead tells whether the member can lead keys; a steward without any disk can't.
+// MayLead reports whether the member can lead keys. Only stewards with a disk or a temporary disk can.
 func (m Member) MayLead() bool { return m.Role == "steward" && (m.Disk != "" || m.TemporaryDisk != "") }
 
-// The states of a member; of two records of one incarnation, the one with the higher state is the newer.
+// The states of a member. Of two records of one incarnation, the one with the higher state is newer.
 const (
 	// StateAlive is a member that answers.
 	StateAlive = iota
-	// StateSuspect is a member that has not answered lately.
+	// StateSuspect is a member that has not answered the latest probes.
 	StateSuspect
-	// StateGone is a member that is given up, until it comes back with a higher incarnation.
+	// StateGone is a member that is considered dead until it returns with a higher incarnation.
 	StateGone
 )
 
-// KeyLeader tells who leads a key, and under which epoch.
+// KeyLeader names the leader of a key and its epoch.
 type KeyLeader struct {
 	Key   string `json:"k"`
 	Epoch uint64 `json:"e"`
 	Name  string `json:"n"`
 }
 
-// Digest carries leaders that are new, or missing at the other side; the sums show the rest and are never 0. Evacuations are the newest
-// that the sender knows, nil if there never were any.
-// A peer of an earlier version sends no sums, and all leaders that it knows.
+// Digest summarizes the state of the sender. Leaders holds only leaders that are new or that the receiver lacks. MemberSum and LeaderSum are
+// checksums of all members and leaders, so that two processes can detect that their lists differ; they are never 0. Evacuations is the newest
+// list that the sender knows, or nil if there never was one. A peer of an earlier version sends all leaders that it knows, and no sums.
 type Digest struct {
 	ConfigVersion int64       `json:"p,omitempty"`
 	Leaders       []KeyLeader `json:"o,omitempty"`
@@ -52,8 +52,8 @@
 	Evacuations *Evacuations `json:"v,omitempty"`
 }
 
-// Datagram is one message of the failure detector, over UDP. Number joins an answer to its probe; Target is whom a
-// helper should probe.
+// Datagram is a message of the failure detector over UDP. Number matches an ack to its ping. Target is the member to ping in a request for
+// an indirect probe. Updates holds recently changed records.
 type Datagram struct {
 	Kind    string   `json:"k"`
 	Number  uint64   `json:"q,omitempty"`
@@ -61,12 +61,13 @@
 	Target  string   `json:"t,omitempty"`
 	Updates []Member `json:"w,omitempty"`
 	Digest  Digest   `json:"g"`
-	// PingPauseMs is how long a steward of many local-proxies asks one to wait between two pings.
+	// PingPauseMs is the time between two pings that a steward with many local-proxies asks of each.
 	PingPauseMs int64 `json:"z,omitempty"`
 }
 
-// MembersCall compares lists by the caller's sums of each bucket; a call without them is of an earlier version, and
-// is answered with the whole list. IsFollowUp marks the second call, which brings what the first answer lacked.
+// MembersCall starts a comparison of member lists. Buckets holds the caller's sum of each bucket. A call without them is from a peer of an
+// earlier version, and is answered with the whole list. IsFollowUp marks the second call of a comparison, whose Members are the records that
+// the first answer lacked.
 type MembersCall struct {
 	From       Member   `json:"from"`
 	Members    []Member `json:"members,omitempty"`
@@ -75,7 +76,7 @@
 	IsFollowUp bool     `json:"gives,omitempty"`
 }
 
-// MembersAnswer holds all records of the differing buckets.
+// MembersAnswer holds the numbers of the buckets that differ, and all records in them.
 type MembersAnswer struct {
 	Members   []Member `json:"members,omitempty"`
 	Digest    Digest   `json:"digest"`
--- a/internal/cluster/peerapi/wire/replication.go
+++ b/internal/cluster/peerapi/wire/replication.go
@@ -4,55 +4,56 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all replication.go
 
-// LogPosition is the place of a change in a key's history: the epoch of the leader that proposed it and its index.
+// LogPosition is the position of a change in the log of a key: the epoch of the leader that proposed it, and its index.
 type LogPosition struct {
 	Epoch uint64 `json:"e"`
 	Index uint64 `json:"s"`
 }
 
-// Below orders positions by epoch, then by index.
+// Below reports whether the position is before another one, by epoch and then by index.
 func (p LogPosition) Below(other LogPosition) bool {
 	return p.Epoch < other.Epoch || p.Epoch == other.Epoch && p.Index < other.Index
 }
 
-// VoterSet names the disks that vote on a key. While Old is there the set is joint: a majority of both lists is needed.
+// VoterSet names the disks of the voters of a key. While Old is not empty, the set is joint: a quorum is a majority of each of both lists.
 type VoterSet struct {
 	Old     []string `json:"old,omitempty"`
 	Current []string `json:"now,omitempty"`
 }
 
-// Op sets one named value of a key; an empty value removes it.
+// Op sets one named value of a key, or removes it if Value is empty.
 type Op struct {
 	Name  string              `json:"n"`
 	Value easyjson.RawMessage `json:"v,omitempty"`
 }
 
-// Change is one entry of a key's log: values that are set, and the voter set from here on, if it changes. On the wire and in
-// older documents its index is called a step.
+// Change is an entry in the log of a key: the values that it sets, and the new voter set if it changes that. On the wire and in older
+// documents its index is called a step.
 type Change struct {
 	Position LogPosition `json:"at"`
 	Ops      []Op        `json:"ops,omitempty"`
 	Voters   *VoterSet   `json:"set,omitempty"`
 }
 
-// Snapshot is the snapshot of a key at a position.
+// Snapshot is the state of a key at the position Last: its voters and all its values.
 type Snapshot struct {
 	Last   LogPosition `json:"last"`
 	Voters VoterSet    `json:"set"`
 	Pairs  []Op        `json:"pairs,omitempty"`
 }
 
-// PromiseCall asks a voter to follow no leader of a lower epoch any more (Raft: RequestVote); Disk is that of the candidate.
+// PromiseCall asks a voter to promise not to follow a leader of a lower epoch any more, like RequestVote of Raft. Disk is the disk of the
+// candidate.
 type PromiseCall struct {
 	Key   string `json:"key"`
 	Epoch uint64 `json:"epoch"`
 	Disk  string `json:"disk"`
-	// PreVote asks what would be answered, and binds nobody.
+	// PreVote asks for the answer without a binding promise.
 	PreVote bool `json:"trial,omitempty"`
 }
 
-// PromiseAnswer says whether the promise is given, and what the voter holds. Promised is the highest epoch that it
-// has promised to anyone.
+// PromiseAnswer says whether the voter grants the promise, and holds the state of its replica. Promised is the highest epoch that it has
+// promised to any candidate.
 type PromiseAnswer struct {
 	Granted  bool        `json:"granted,omitempty"`
 	Promised uint64      `json:"promised"`
@@ -61,7 +62,7 @@
 	Disk     string      `json:"disk"`
 }
 
-// SnapshotChunk is one of Count parts of the state at a log position; once the last has come, the state is installed.
+// SnapshotChunk is chunk Number of the Count chunks of a snapshot at a log position. The receiver installs the snapshot once it has all.
 type SnapshotChunk struct {
 	At     LogPosition `json:"at"`
 	Voters VoterSet    `json:"set"`
@@ -70,8 +71,8 @@
 	Pairs  []Op        `json:"pairs,omitempty"`
 }
 
-// AppendCall brings changes that follow Prev, or a snapshot or a chunk of one; without any it is a heartbeat. Leader
-// and Disk name the leader's process and disk. Release gives the leadership up.
+// AppendCall carries the changes that follow Prev, a snapshot, or a chunk of one. With none of them it is a heartbeat. Leader and Disk name
+// the process and the disk of the leader. Release is set if the leader gives up its leadership.
 type AppendCall struct {
 	Key      string         `json:"key"`
 	Epoch    uint64         `json:"epoch"`
@@ -82,54 +83,53 @@
 	Snapshot *Snapshot      `json:"snapshot,omitempty"`
 	Chunk    *SnapshotChunk `json:"piece,omitempty"`
 	Release  bool           `json:"release,omitempty"`
-	// Successor is the disk whose steward should ask first after a release.
+	// Successor is the disk whose steward should be the first candidate after a release.
 	Successor string `json:"heir,omitempty"`
-	// VotedOut tells a voter that was leaving that the voter set without it is committed.
+	// VotedOut tells a voter that is shutting down that a voter set without it is committed.
 	VotedOut bool `json:"voted_out,omitempty"`
 }
 
-// AppendAnswer says whether the call was taken, and what the replica holds now. WallMs is the time of day at the
-// follower, in milliseconds since 1970.
+// AppendAnswer says whether the follower accepted the call, and holds the state of its replica after it. WallMs is the time of day at the
+// follower in milliseconds since 1970.
 type AppendAnswer struct {
 	Taken    bool        `json:"taken,omitempty"`
 	Promised uint64      `json:"promised"`
 	Last     LogPosition `json:"last"`
 	Disk     string      `json:"disk"`
 	WallMs   int64       `json:"wall"`
-	// DelayUs is the time from the call's arrival to this answer, at least 1; 0 is from a peer of an earlier version.
+	// DelayUs is the time from the arrival of the call to this answer in microseconds, at least 1. It is 0 from a peer of an earlier version.
 	DelayUs int64 `json:"delay,omitempty"`
-	// Chunks is how many chunks of the snapshot under way are here; a peer of an earlier version tells none.
+	// Chunks is the number of received chunks of the snapshot in transfer. A peer of an earlier version omits it.
 	Chunks int `json:"pieces,omitempty"`
-	// Leaving tells that the process has been asked to end, so that its disk should be replaced as a voter.
+	// Leaving is set if the process has been asked to shut down, so that its disk should be replaced as a voter.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// FetchCall asks for the changes after From, or for the snapshot if they are no longer there or From is not named.
+// FetchCall asks for the changes after From, or for the snapshot if From is nil or the changes after it are no longer stored.
 type FetchCall struct {
 	Key  string       `json:"key"`
 	From *LogPosition `json:"from,omitempty"`
-	// Chunked asks for no more than one call should carry: some of the changes, or chunk Number of the snapshot.
-	// A peer of an earlier version ignores it and answers with all of them.
+	// Chunked limits the size of the answer: it holds some of the changes, or chunk Number of the snapshot. A peer of an earlier version
+	// ignores Chunked and answers in full.
 	Chunked bool `json:"chunked,omitempty"`
 	Number  int  `json:"number,omitempty"`
 }
 
-// FetchAnswer holds the changes after the position asked for, or else the snapshot. Found is false if the disk
-// has no replica of the key.
+// FetchAnswer holds the changes after the requested position, or the snapshot. HasReplica is false if the disk has no replica of the key.
 type FetchAnswer struct {
 	HasReplica bool     `json:"found,omitempty"`
 	Snapshot   Snapshot `json:"snapshot"`
 	Changes    []Change `json:"changes,omitempty"`
 	Disk       string   `json:"disk"`
-	// Chunk is the part of the snapshot that was asked for; Snapshot is empty then.
+	// Chunk is the requested chunk of the snapshot. Snapshot is then empty.
 	Chunk *SnapshotChunk `json:"chunk,omitempty"`
 }
 
 // IdentifyCall asks a steward for the name of its disk.
 type IdentifyCall struct{}
 
-// IdentifyAnswer names the steward's disk, or the one in memory that it uses in place of a disk (TemporaryDisk), or neither.
-// IsNew tells that the disk was empty when the process started.
+// IdentifyAnswer names the disk of the steward, or the disk in memory that it uses instead (TemporaryDisk), or neither. IsNew is set if the
+// disk was empty when the process started.
 type IdentifyAnswer struct {
 	Disk          string `json:"disk"`
 	TemporaryDisk string `json:"makeshift,omitempty"`
--- a/internal/cluster/peerapi/wire/retire.go
+++ b/internal/cluster/peerapi/wire/retire.go
@@ -2,12 +2,12 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all retire.go
 
-// RetireCall asks a storage machine whether it is being emptied; Begin has it begin.
+// RetireCall asks a storage machine whether its disk is being emptied. Begin starts that.
 type RetireCall struct {
 	Begin bool `json:"begin,omitempty"`
 }
 
-// RetireAnswer tells whether a storage machine is being emptied, and whether nothing on its disk counts any more.
+// RetireAnswer says whether the disk of a storage machine is being emptied, and whether nothing on it is needed any more.
 type RetireAnswer struct {
 	IsRetiring bool `json:"retiring,omitempty"`
 	IsEmpty    bool `json:"empty,omitempty"`
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -4,23 +4,23 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all rollouts.go
 
-// TransferCall is the body of a VerbTransfer: a job that another pool had accepted and will never start anything of again.
+// TransferCall is the body of a VerbTransfer call. It holds a job that another pool had accepted and will not start any task of again.
 type TransferCall struct {
-	// From is the key of that pool.
+	// From is the key of the other pool.
 	From string `json:"from"`
 	// AcceptedMs is when the job was accepted there, in milliseconds since 1970.
 	AcceptedMs int64 `json:"accepted"`
-	// IsSurplus marks a job beyond those that its tenant may expect to be done.
+	// IsSurplus marks a job beyond those that its tenant can expect to be completed.
 	IsSurplus bool `json:"surplus,omitempty"`
-	// CompletedOccurrences are the times of a repeated job that are over.
+	// CompletedOccurrences lists the completed repetitions of a repeated job.
 	CompletedOccurrences []int `json:"over,omitempty"`
-	// Tasks are those that are done, or have used up attempts.
+	// Tasks lists the tasks that are done or have failed attempts.
 	Tasks []TransferredTask `json:"tasks,omitempty"`
-	// Body is the job as its client submitted it.
+	// Body is the job as submitted by its client.
 	Body easyjson.RawMessage `json:"body"`
 }
 
-// TransferredTask is what has become of one task of a job.
+// TransferredTask is the progress of one task of a transferred job. Failed counts its failed attempts.
 type TransferredTask struct {
 	Occurrence int  `json:"k,omitempty"`
 	Step       int  `json:"s,omitempty"`
@@ -29,63 +29,63 @@
 	IsDone     bool `json:"d,omitempty"`
 }
 
-// RolloutReport is what a pool has counted for the rollouts of the configuration that it serves a version of.
+// RolloutReport holds the counts of a pool for each rollout that it serves a version of.
 type RolloutReport struct {
 	Key      string          `json:"key"`
 	Rollouts []RolloutCounts `json:"rollouts,omitempty"`
-	// Executors is how many there are that take work; Capacity and Allocated are in thousandths of a core, of all of them.
+	// Executors is the number of executors that accept work. Capacity and Allocated are their totals in thousandths of a core.
 	Executors int   `json:"executors,omitempty"`
 	Capacity  int64 `json:"capacity,omitempty"`
 	Allocated int64 `json:"allocated,omitempty"`
 }
 
-// RolloutCounts is what one version has done since a rollout began.
+// RolloutCounts holds the outcomes of the jobs of one version since the start of a rollout.
 type RolloutCounts struct {
 	Rollout string `json:"rollout"`
 	BegunMs int64  `json:"begun"`
-	// Jobs counts all jobs that ended, Large those among the largest tenth of them.
+	// Jobs counts all ended jobs, Large those in the largest tenth of them.
 	Jobs  JobCounts `json:"jobs"`
 	Large JobCounts `json:"large"`
-	// Zones counts the runs that ended, by the zone of the executor.
+	// Zones counts the ended runs by the zone of the executor.
 	Zones []ZoneRuns `json:"zones,omitempty"`
-	// RunTimes is a histogram of how long runs took, in thousandths of their estimates; Works one of the sizes of jobs, in core
+	// RunTimes is a histogram of the durations of runs in thousandths of their estimates. Works is a histogram of the sizes of jobs in core
 	// milliseconds.
 	RunTimes []Bucket `json:"run-times,omitempty"`
 	Works    []Bucket `json:"works,omitempty"`
-	// Open is how many jobs are under way, Overdue how many of them have missed their target already.
+	// Open is the number of unfinished jobs, Overdue the number of those that have already missed their target.
 	Open    int64 `json:"open,omitempty"`
 	Overdue int64 `json:"overdue,omitempty"`
 }
 
-// JobCounts counts jobs by their end. Cancelled ones count nowhere. Late are those that ended beyond their target, without those that
-// lost an executor; Failed are not among them.
+// JobCounts counts ended jobs by outcome. Cancelled jobs are not counted. Late counts the jobs that ended after their target, except failed
+// ones and those that lost an executor.
 type JobCounts struct {
 	Completed int64 `json:"completed,omitempty"`
 	Failed    int64 `json:"failed,omitempty"`
 	Late      int64 `json:"late,omitempty"`
 }
 
-// ZoneRuns counts the runs in one zone that ended by themselves.
+// ZoneRuns counts the runs in one zone that ended by themselves, without being stopped.
 type ZoneRuns struct {
 	Zone   string `json:"zone"`
 	Done   int64  `json:"done,omitempty"`
 	Failed int64  `json:"failed,omitempty"`
 }
 
-// Bucket is one bar of a histogram: so many values of about this size.
+// Bucket is a bucket of a histogram: Count values of about Value.
 type Bucket struct {
 	Value int64 `json:"v"`
 	Count int64 `json:"n"`
 }
 
-// RolloutsStatus is how the rollouts of the configuration stand, as its leader sees them.
+// RolloutsStatus is the status of all rollouts at the leader of the configuration.
 type RolloutsStatus struct {
-	// Version is that of the configuration that they were read from.
+	// Version is the version of the configuration that defines them.
 	Version  int64           `json:"config-version"`
 	Rollouts []RolloutStatus `json:"rollouts"`
 }
 
-// RolloutStatus is how one rollout stands.
+// RolloutStatus is the status of one rollout.
 type RolloutStatus struct {
 	Name   string  `json:"name"`
 	Route  string  `json:"route"`
@@ -96,7 +96,7 @@
 	Steps  int     `json:"steps"`
 	Share  float64 `json:"share"`
 	Reason string  `json:"reason,omitempty"`
-	// Action is what the last look came to, and why; empty for one that is over.
+	// Action is the result of the last evaluation, and ActionWhy its reason. Action is empty if the rollout has ended.
 	Action    string           `json:"action,omitempty"`
 	ActionWhy string           `json:"action-reason,omitempty"`
 	Old       VersionStatus    `json:"old"`
@@ -104,7 +104,7 @@
 	Verdicts  []RolloutVerdict `json:"verdicts,omitempty"`
 }
 
-// VersionStatus is what one of the versions has done since the rollout began.
+// VersionStatus holds the outcomes of one of the two versions since the start of the rollout.
 type VersionStatus struct {
 	Jobs      JobCounts `json:"jobs"`
 	Open      int64     `json:"open,omitempty"`
@@ -115,8 +115,8 @@
 	Allocated int64 `json:"allocated,omitempty"`
 }
 
-// RolloutVerdict is the figures of one aspect of the new version: Bad of Total outcomes, against the bound; evidence at or above the level
-// turns the version back.
+// RolloutVerdict holds the figures of one check of the new version: Bad of Total outcomes are compared with Bound. If Evidence is at or above
+// Level, the version is rolled back.
 type RolloutVerdict struct {
 	Kind     string  `json:"kind"`
 	Stratum  string  `json:"of"`
--- a/internal/cluster/peerapi/wire/wire.go
+++ b/internal/cluster/peerapi/wire/wire.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages that the processes of the system send each other, and the records of which they are made: log
-// positions, voter sets, members, jobs' terms. Their JSON names are what is sent and stored, and stay; golden tests hold them.
+// Package wire defines the messages between the processes of the cluster and the records in them, such as log positions, voter sets and
+// members. Their JSON names are on the wire and in stored data, so they must not change. Golden tests check them.
 package wire
