--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -7,46 +7,52 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Outcome says what is known after asking: MayHaveRun is set while some steward may have taken the call.
+// Outcome is the result of a call. Answer is nil if no leader has answered. MayHaveRun is set if a leader may have executed the call
+// although its answer did not arrive.
 type Outcome struct {
 	Answer     *wire.ClientAnswer
 	MayHaveRun bool
 }
 
-// Attempts decides where a call is sent next and what is known of it; it knows neither goroutines nor sockets.
+// Attempts chooses the steward for each attempt of one call and collects the outcome. It has no goroutines or sockets; its owner makes the
+// attempts.
 type Attempts struct {
-	key      string
+	key string
+	// deadline is the end of the whole call on the monotonic clock.
 	deadline time.Duration
-	hint     string
-	count    int
-	pick     func(count int) int
-	// wait is how long a leader may keep its answer back beyond what an attempt may take.
+	// hint is the name of the leader according to the latest answer, or empty.
+	hint string
+	// count is the number of attempts so far.
+	count int
+	pick  func(count int) int
+	// wait is the time for which the leader may delay its answer. It is added to the timeout of each attempt.
 	wait time.Duration
-	// lastAddress is the address of the latest try.
+	// lastAddress is the address of the latest attempt.
 	lastAddress string
-	// silent counts, for each address, the tries of this call that it left unanswered.
+	// silent counts the unanswered attempts of this call by address.
 	silent map[string]int
-	// confirmed counts the answers of others that name a leader which was silent.
+	// confirmed counts the answers that name a leader that has not answered an earlier attempt.
 	confirmed int
 	outcome   Outcome
 }
 
-// NewAttempts begins a call that may take until end; pick draws a number below the count that it is given.
-func NewAttempts(key string, end time.Duration, pick func(count int) int) *Attempts {
-	return &Attempts{key: key, deadline: end, pick: pick, silent: map[string]int{}}
+// NewAttempts creates the attempts of one call to the leader of a key, until a deadline on the monotonic clock. pick returns a random number
+// from 0 to below its argument.
+func NewAttempts(key string, deadline time.Duration, pick func(count int) int) *Attempts {
+	return &Attempts{key: key, deadline: deadline, pick: pick, silent: map[string]int{}}
 }
 
-// AllowWait has a leader keep its answer back for a wait, beyond what an attempt may take.
+// AllowWait lengthens the timeout of each attempt by the time for which the leader may delay its answer.
 func (a *Attempts) AllowWait(wait time.Duration) { a.wait = wait }
 
-// Attempt is one sending of the call. Address is empty while nobody is known who could take it.
+// Attempt is one attempt of a call, with its timeout in Limit. Address is empty if no steward is known that could take the call.
 type Attempt struct {
 	Address string
 	Limit   time.Duration
 }
 
-// Next gives the next try, or false once the time is over. A leader that was silent is given twice the time when it is
-// asked again, as it may be slow.
+// Next returns the next attempt, or false once the deadline has passed. A steward that did not answer before is given twice the timeout,
+// because it may be slow.
 func (a *Attempts) Next(view *membership.View, now time.Duration) (Attempt, bool) {
 	remaining := a.deadline - now
 	if remaining <= 0 {
@@ -62,8 +68,8 @@
 	return Attempt{Address: a.lastAddress, Limit: min(limit+a.wait, remaining)}, true
 }
 
-// HandleAnswer takes a steward's answer and tells whether it is the last word. A leader that lost the key before its change
-// was committed can't tell what became of it: the next one may have it.
+// HandleAnswer records the answer of a steward, and reports whether it is final. The answer of a leader that lost the key before its change
+// was committed is not final: the next leader may have the change or not.
 func (a *Attempts) HandleAnswer(answer *wire.ClientAnswer) bool {
 	if answer.NotLeader {
 		a.hint = answer.Leader
@@ -74,18 +80,18 @@
 	return true
 }
 
-// HandleFailure takes a try without an answer; neverSent says that it certainly reached nobody.
+// HandleFailure records an attempt without an answer. neverSent is set if it certainly did not reach the steward.
 func (a *Attempts) HandleFailure(neverSent bool) {
 	a.silent[a.lastAddress]++
 	a.HandleInterruption(neverSent)
 }
 
-// HandleInterruption takes a try that was given up because the leaders have changed; it says nothing against its steward.
+// HandleInterruption records an attempt that was cancelled because a leader had changed. Its steward does not count as silent.
 func (a *Attempts) HandleInterruption(neverSent bool) {
 	a.outcome.MayHaveRun = a.outcome.MayHaveRun || !neverSent
 }
 
-// Pause is how long to wait before the next try.
+// Pause returns the time to wait before the next attempt. It grows with the number of attempts.
 func (a *Attempts) Pause(now time.Duration) time.Duration {
 	wait := maxPause
 	switch {
@@ -97,10 +103,11 @@
 	return min(wait, a.deadline-now)
 }
 
-// Outcome is what is known by now.
+// Outcome returns the outcome so far.
 func (a *Attempts) Outcome() Outcome { return a.outcome }
 
-// address prefers the hint, then the known leader, then any steward that may lead keys and has not been silent.
+// address returns the address for the next attempt: that of the hinted leader, else of the leader in the view, else of a random steward
+// that may lead keys. A steward that has been silent is used only if mayAsk or others allows it.
 func (a *Attempts) address(view *membership.View) string {
 	hinted, isHinted := view.Steward(a.hint)
 	if isHinted && a.silent[hinted.Address] == 0 {
@@ -120,8 +127,8 @@
 	return others[a.pick(len(others))]
 }
 
-// mayAsk tells whether it is the turn of the leader that the view names. One that was silent is asked once more, when
-// others still take it for the leader.
+// mayAsk reports whether the next attempt may go to the leader in the view. Every third attempt goes elsewhere. A leader that was silent
+// once is asked once more after enough answers of other stewards still name it as the leader.
 func (a *Attempts) mayAsk(leader string) bool {
 	if a.silent[leader] > 0 {
 		return a.silent[leader] == 1 && a.confirmed >= confirmations
@@ -129,7 +136,7 @@
 	return a.count%3 != 2
 }
 
-// others are the stewards that may lead keys, but those that were silent, unless all were.
+// others returns the addresses of the live stewards that may lead keys. Those that have been silent are left out unless all have been.
 func (a *Attempts) others(view *membership.View) []string {
 	var all, answering []string
 	for _, member := range view.Stewards {
--- a/internal/cluster/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -13,36 +13,39 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// darkFleet is five stewards of which some say nothing, or little. Where the key's leader is dark, another takes it over
-// some time later, and the stewards that are there know it at once, while the view of the process that asks does not.
-type darkFleet struct {
-	dark []string
-	// slow leads, and takes slowHop to answer.
-	slow       string
-	slowHop    time.Duration
+// faultyStewards simulates five stewards, some of which do not answer or answer slowly. The view of the caller always names s0 as the
+// leader. The successor takes the key over at takenOverS, and the responsive stewards name it as the leader from then on.
+type faultyStewards struct {
+	unresponsive []string
+	// slow is the leader if it is not empty. It takes slowResponseTime to answer.
+	slow             string
+	slowResponseTime time.Duration
+	// takenOverS is in seconds after the start of the call.
 	takenOverS float64
-	hop        time.Duration
-	successor  string
+	// responseTime is that of the other stewards.
+	responseTime time.Duration
+	successor    string
 }
 
 const (
-	darkKey    = "pool/s"
-	clientTime = 3*time.Second - 25*time.Millisecond
+	poolKey = "pool/s"
+	// callDeadline is the time that a call may take.
+	callDeadline = 3*time.Second - 25*time.Millisecond
 )
 
-func (f *darkFleet) view() *membership.View {
-	view := &membership.View{Leaders: map[string]wire.KeyLeader{darkKey: {Name: "s0"}}}
-	for place := range 5 {
-		name := fmt.Sprint("s", place)
+func (f *faultyStewards) view() *membership.View {
+	view := &membership.View{Leaders: map[string]wire.KeyLeader{poolKey: {Name: "s0"}}}
+	for number := range 5 {
+		name := fmt.Sprint("s", number)
 		view.Stewards = append(view.Stewards, wire.Member{Name: name, Role: membership.RoleSteward, Address: name, Disk: "d" + name})
 	}
 	return view
 }
 
-// ask plays one call and gives how long it took, how many tries it made and whether it was answered.
-func (f *darkFleet) ask(draw *rand.Rand) (took time.Duration, count int, isAnswered bool) {
+// simulateCall simulates one call, and returns its duration, the number of attempts and whether it was answered.
+func (f *faultyStewards) simulateCall(random *rand.Rand) (took time.Duration, count int, isAnswered bool) {
 	view, now := f.view(), time.Duration(0)
-	attempts := NewAttempts(darkKey, clientTime, draw.IntN)
+	attempts := NewAttempts(poolKey, callDeadline, random.IntN)
 	for {
 		attempt, isTimeLeft := attempts.Next(view, now)
 		if !isTimeLeft {
@@ -50,14 +53,14 @@
 		}
 		count++
 		isSlow := attempt.Address == f.slow
-		if isSlow && f.slowHop <= attempt.Limit {
-			return now + f.slowHop, count, true
+		if isSlow && f.slowResponseTime <= attempt.Limit {
+			return now + f.slowResponseTime, count, true
 		}
-		if isSlow || slices.Contains(f.dark, attempt.Address) {
+		if isSlow || slices.Contains(f.unresponsive, attempt.Address) {
 			now += attempt.Limit
 			attempts.HandleFailure(false)
 		} else {
-			now += f.hop
+			now += f.responseTime
 			isTakenOver := now.Seconds() >= f.takenOverS
 			answer := &wire.ClientAnswer{NotLeader: true, Leader: "s0"}
 			if isTakenOver {
@@ -74,51 +77,51 @@
 	}
 }
 
-var _ = Describe("a question while stewards are dark", func() {
-	DescribeTable("is answered soon after the key has a leader again, though the view still names the one before",
-		func(dark []string, takenOverS float64) {
-			fleet := &darkFleet{dark: dark, takenOverS: takenOverS, hop: 10 * time.Millisecond, successor: "s4"}
+var _ = Describe("a call while stewards are unresponsive", func() {
+	DescribeTable("is answered soon after the key has a new leader, although the view still names the previous one",
+		func(unresponsive []string, takenOverS float64) {
+			stewards := &faultyStewards{unresponsive: unresponsive, takenOverS: takenOverS, responseTime: 10 * time.Millisecond, successor: "s4"}
 			slowest, maxAttempts := time.Duration(0), 0
 			for seed := range uint64(500) {
-				took, count, isAnswered := fleet.ask(rand.New(rand.NewPCG(seed, 1)))
+				took, count, isAnswered := stewards.simulateCall(rand.New(rand.NewPCG(seed, 1)))
 				Expect(isAnswered).To(BeTrue(), "seed %d", seed)
 				slowest, maxAttempts = max(slowest, took), max(maxAttempts, count)
 			}
-			GinkgoWriter.Println("slowest", slowest, "most tries", maxAttempts)
+			GinkgoWriter.Println("slowest", slowest, "most attempts", maxAttempts)
 			Expect(slowest.Seconds()).To(BeNumerically("<", takenOverS+1.3))
 			Expect(maxAttempts).To(BeNumerically("<=", 16))
 		},
-		Entry("one, taken over already", []string{"s0"}, 0.0),
-		Entry("one, taken over after a second", []string{"s0"}, 1.0),
-		Entry("one, taken over after 1.8 s", []string{"s0"}, 1.8),
-		Entry("two, taken over already", []string{"s0", "s1"}, 0.0),
-		Entry("two, taken over after a second", []string{"s0", "s1"}, 1.0),
-		Entry("two, taken over after 1.8 s", []string{"s0", "s1"}, 1.8),
+		Entry("one unresponsive, key already taken over", []string{"s0"}, 0.0),
+		Entry("one unresponsive, key taken over after 1 s", []string{"s0"}, 1.0),
+		Entry("one unresponsive, key taken over after 1.8 s", []string{"s0"}, 1.8),
+		Entry("two unresponsive, key already taken over", []string{"s0", "s1"}, 0.0),
+		Entry("two unresponsive, key taken over after 1 s", []string{"s0", "s1"}, 1.0),
+		Entry("two unresponsive, key taken over after 1.8 s", []string{"s0", "s1"}, 1.8),
 	)
 
-	It("is answered by a leader that takes longer than a try", func() {
-		fleet := &darkFleet{slow: "s0", slowHop: 700 * time.Millisecond, takenOverS: 100, hop: 10 * time.Millisecond}
+	It("is answered by a leader that takes longer than the timeout of an attempt", func() {
+		stewards := &faultyStewards{slow: "s0", slowResponseTime: 700 * time.Millisecond, takenOverS: 100, responseTime: 10 * time.Millisecond}
 		for seed := range uint64(100) {
-			took, _, isAnswered := fleet.ask(rand.New(rand.NewPCG(seed, 1)))
+			took, _, isAnswered := stewards.simulateCall(rand.New(rand.NewPCG(seed, 1)))
 			Expect(isAnswered).To(BeTrue(), "seed %d", seed)
 			Expect(took.Seconds()).To(BeNumerically("<", 1.5))
 		}
 	})
 
-	It("is asked of its leader again at once when another key has moved, as that says nothing against it", func() {
-		fleet := &darkFleet{}
-		attempts := NewAttempts(darkKey, clientTime, func(int) int { return 0 })
-		attempts.Next(fleet.view(), 0)
+	It("goes to the same leader again after an interruption, because that does not count as a failure of the leader", func() {
+		stewards := &faultyStewards{}
+		attempts := NewAttempts(poolKey, callDeadline, func(int) int { return 0 })
+		attempts.Next(stewards.view(), 0)
 		attempts.HandleInterruption(false)
-		attempt, _ := attempts.Next(fleet.view(), time.Millisecond)
+		attempt, _ := attempts.Next(stewards.view(), time.Millisecond)
 		Expect(attempt).To(Equal(Attempt{Address: "s0", Limit: attemptTimeout}))
 		Expect(attempts.Outcome().MayHaveRun).To(BeTrue())
 	})
 
-	It("goes to a steward that is there first where the view has given up the leader", func() {
-		view := (&darkFleet{}).view()
+	It("goes to a live steward first if the leader is gone in the view", func() {
+		view := (&faultyStewards{}).view()
 		view.Stewards[0].State = wire.StateGone
-		attempt, _ := NewAttempts(darkKey, clientTime, func(int) int { return 0 }).Next(view, 0)
+		attempt, _ := NewAttempts(poolKey, callDeadline, func(int) int { return 0 }).Next(view, 0)
 		Expect(attempt.Address).To(Equal("s1"))
 	})
 })
--- a/internal/cluster/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -1,4 +1,4 @@
-// Package leaderclient finds a key's leader and asks it, again and elsewhere until there is no time left.
+// Package leaderclient sends calls to the leader of a key. It finds the leader, follows redirections, and retries until a deadline.
 package leaderclient
 
 import (
@@ -13,12 +13,15 @@
 )
 
 const (
-	attemptTimeout       = 450 * time.Millisecond
+	// attemptTimeout is the timeout of an attempt at a steward that has not been silent.
+	attemptTimeout = 450 * time.Millisecond
+	// pauseAfterRedirect is the pause after each of the first quickAttempts attempts, pauseBetweenAttempts that after each of the next
+	// quickAttempts, and maxPause that after all later ones.
 	pauseAfterRedirect   = 30 * time.Millisecond
 	pauseBetweenAttempts = 120 * time.Millisecond
 	maxPause             = 240 * time.Millisecond
 	quickAttempts        = 3
-	// confirmations is how many answers must name a leader that was silent before it is asked again.
+	// confirmations is the number of answers that must name a silent leader before it is asked again.
 	confirmations = 2
 )
 
@@ -29,17 +32,17 @@
 	view   func() *membership.View
 }
 
-// New makes an asker that finds leaders by the view it is given at each try.
+// New creates a client. It calls view before each attempt to find the leader.
 func New(caller *peerapi.Caller, clock clock.Clock, view func() *membership.View) *Client {
 	return &Client{caller: caller, clock: clock, view: view}
 }
 
-// Ask gives an answer of the leader, or none once the limit is over or ctx is done.
+// Ask sends a call to the leader of its key. It returns an outcome without an answer if there is none within the limit or before ctx is done.
 func (c *Client) Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) Outcome {
 	return c.AskWaiting(ctx, call, limit, 0)
 }
 
-// AskWaiting is Ask for a call whose answer the leader may keep back for a wait, within the limit.
+// AskWaiting is Ask for a call whose answer the leader may delay by a wait. The wait counts towards the limit.
 func (c *Client) AskWaiting(ctx context.Context, call *wire.ClientCall, limit, wait time.Duration) Outcome {
 	attempts := NewAttempts(call.Key, c.clock.Monotonic()+limit, rand.IntN)
 	attempts.AllowWait(wait)
@@ -49,7 +52,7 @@
 		if !isTimeLeft || ctx.Err() != nil {
 			return attempts.Outcome()
 		}
-		if attempt.Address != "" && c.tryOnce(ctx, view, attempts, attempt, call) {
+		if attempt.Address != "" && c.attemptOnce(ctx, view, attempts, attempt, call) {
 			return attempts.Outcome()
 		}
 		select {
@@ -61,8 +64,8 @@
 	}
 }
 
-// tryOnce makes one try and tells whether its answer is the last word.
-func (c *Client) tryOnce(ctx context.Context, view *membership.View, attempts *Attempts, attempt Attempt, call *wire.ClientCall) bool {
+// attemptOnce makes one attempt and reports whether its answer is final.
+func (c *Client) attemptOnce(ctx context.Context, view *membership.View, attempts *Attempts, attempt Attempt, call *wire.ClientCall) bool {
 	answer, err := c.callOnce(ctx, view, attempt, call)
 	switch {
 	case err == nil:
@@ -75,7 +78,7 @@
 	return false
 }
 
-// hasLeaderMoved tells whether any key is heard to have another leader than the view says.
+// hasLeaderMoved reports whether any key has got another leader since the view was published.
 func hasLeaderMoved(view *membership.View) bool {
 	select {
 	case <-view.LeaderMoved:
@@ -85,7 +88,7 @@
 	}
 }
 
-// callOnce gives up early if the key is heard to have another leader.
+// callOnce calls the steward of an attempt. It cancels the call as soon as any key has another leader than in the view.
 func (c *Client) callOnce(ctx context.Context, view *membership.View, attempt Attempt, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 	attemptCtx, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
--- a/internal/cluster/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -17,30 +17,31 @@
 	"gannetline/internal/platform/clock"
 )
 
-func TestOwnercalls(t *testing.T) {
+func TestLeaderclient(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "leaderclient")
 }
 
-// straight carries calls into a mux, without a network.
-type straight struct{ mux *http.ServeMux }
+// muxTransport passes requests to a mux without a network.
+type muxTransport struct{ mux *http.ServeMux }
 
-func (s straight) RoundTrip(request *http.Request) (*http.Response, error) {
+func (t muxTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	answer := httptest.NewRecorder()
-	s.mux.ServeHTTP(answer, request)
+	t.mux.ServeHTTP(answer, request)
 	return answer.Result(), nil
 }
 
-// hurried is a clock whose waits are over at once.
-type hurried struct{ *clock.Fake }
+// advancingClock is a clock that advances by each wait, so that the wait ends at once.
+type advancingClock struct{ *clock.Fake }
 
-func (h hurried) After(wait time.Duration) <-chan time.Time {
-	manager := h.Fake.After(wait)
-	h.Advance(wait)
-	return manager
+func (c advancingClock) After(wait time.Duration) <-chan time.Time {
+	expired := c.Fake.After(wait)
+	c.Advance(wait)
+	return expired
 }
 
-var _ = Describe("a call that no leader answers in time", func() {
+var _ = Describe("a call without an answer of a leader", func() {
+	// outcomeOf returns the outcome of a call to a steward that gives the answers in turn.
 	outcomeOf := func(answers ...wire.ClientAnswer) Outcome {
 		mux, count := http.NewServeMux(), 0
 		peerapi.Serve(mux, peerapi.ProcedureClient, func(context.Context, *wire.ClientCall) (*wire.ClientAnswer, error) {
@@ -49,21 +50,21 @@
 			return &answer, nil
 		})
 		view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: "steward", Address: "10.0.0.1:1", Disk: "d"}}}
-		client := New(peerapi.NewCaller(&http.Client{Transport: straight{mux}}), hurried{clock.NewFake(0)}, func() *membership.View { return view })
+		client := New(peerapi.NewCaller(&http.Client{Transport: muxTransport{mux}}), advancingClock{clock.NewFake(0)}, func() *membership.View { return view })
 		return client.Ask(context.Background(), &wire.ClientCall{Key: "pool/s", Verb: "hand-in"}, time.Second)
 	}
 
-	It("was not taken if every steward said so", func() {
+	It("was not executed if every steward answers that it is not the leader", func() {
 		Expect(outcomeOf(wire.ClientAnswer{NotLeader: true})).To(Equal(Outcome{}))
 	})
 
-	It("may have been taken if a leader proposed it and lost its leadership", func() {
+	It("may have been executed if a leader proposed it and lost its leadership", func() {
 		Expect(outcomeOf(wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}, wire.ClientAnswer{NotLeader: true})).To(Equal(Outcome{MayHaveRun: true}))
 	})
 })
 
-var _ = Describe("a guess at a leader nobody knows", func() {
-	It("passes over stewards that can own nothing", func() {
+var _ = Describe("the choice of a steward while the leader is unknown", func() {
+	It("skips processes that may not lead keys", func() {
 		view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: "steward", Address: "a:1", Disk: "d"},
 			{Name: "b", Role: "steward", Address: "b:1"}, {Name: "c", Role: "gate", Address: "c:1", Disk: "e"}}}
 		attempts := NewAttempts("plan", time.Second, rand.IntN)
@@ -81,7 +82,7 @@
 	var attempts *Attempts
 	BeforeEach(func() { attempts = NewAttempts("pool/s", time.Second, func(int) int { return 0 }) })
 
-	It("go to the known leader, and then where that one points", func() {
+	It("go to the leader in the view, then to the leader that the answer names", func() {
 		attempt, isTimeLeft := attempts.Next(view, 0)
 		Expect(attempt).To(Equal(Attempt{Address: "a:1", Limit: attemptTimeout}))
 		Expect(isTimeLeft).To(BeTrue())
@@ -92,7 +93,7 @@
 		Expect(isTimeLeft).To(BeFalse())
 	})
 
-	It("give a leader the time for which it may keep its answer back", func() {
+	It("have a timeout that includes the time for which the leader may delay its answer", func() {
 		attempts.AllowWait(300 * time.Millisecond)
 		attempt, _ := attempts.Next(view, 0)
 		Expect(attempt.Limit).To(Equal(attemptTimeout + 300*time.Millisecond))
@@ -100,18 +101,18 @@
 		Expect(attempt.Limit).To(Equal(100 * time.Millisecond))
 	})
 
-	DescribeTable("know whether some leader may have taken the call", func(happen func(), maySee bool) {
-		happen()
-		Expect(attempts.Outcome().MayHaveRun).To(Equal(maySee))
+	DescribeTable("report whether a leader may have executed the call", func(handleResult func(), mayHaveRun bool) {
+		handleResult()
+		Expect(attempts.Outcome().MayHaveRun).To(Equal(mayHaveRun))
 		attempts.HandleFailure(true)
 		attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true})
 		attempts.HandleAnswer(&wire.ClientAnswer{Status: 503})
-		Expect(attempts.Outcome().MayHaveRun).To(Equal(maySee))
+		Expect(attempts.Outcome().MayHaveRun).To(Equal(mayHaveRun))
 		Expect(attempts.Outcome().Answer.Status).To(Equal(503))
 	},
-		Entry("not after a call that reached nobody", func() { attempts.HandleFailure(true) }, false),
-		Entry("not after one who leads no more", func() { attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true}) }, false),
-		Entry("after a call that was not answered", func() { attempts.HandleFailure(false) }, true),
-		Entry("after one that lost the key meanwhile", func() { attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}) }, true),
+		Entry("not after a call that was never sent", func() { attempts.HandleFailure(true) }, false),
+		Entry("not after an answer of a steward that is not the leader", func() { attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true}) }, false),
+		Entry("after a call without an answer", func() { attempts.HandleFailure(false) }, true),
+		Entry("after an answer of a leader that lost the key before the commit", func() { attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true, OutcomeUnknown: true}) }, true),
 	)
 })
