--- a/internal/cluster/executorlist/executorlist.go
+++ b/internal/cluster/executorlist/executorlist.go
@@ -1,6 +1,6 @@
-// Package executorlist keeps the list of executors where the platform has it. One steward at a time, the one that leads the
-// configuration's key, reads the list (Poller), so that the calls of all processes together stay few; all others wait at a steward
-// for a newer one (Follower). A process never goes back to an older list.
+// Package executorlist replicates the platform's list of executors to the processes of the cluster. Only the steward that leads the
+// configuration's key reads the list from the platform (Poller), which limits the number of calls to the platform. All other processes
+// get it from a steward by long polling (Follower). A process never replaces its list by an older one.
 package executorlist
 
 import (
@@ -16,26 +16,26 @@
 
 const mailboxSize = 64
 
-// List is one state of the list; it is never changed after it is made.
+// List is one version of the list of executors. It is immutable.
 type List struct {
 	Version   wire.ExecutorListVersion
 	Executors []wire.ExecutorRecord
-	// superseded is closed once there is a newer list.
+	// superseded is closed once the holder has a newer list.
 	superseded chan struct{}
 }
 
-// OfService gives the executors of one service.
+// OfService returns the executors of a service.
 func (l *List) OfService(service string) []wire.ExecutorRecord {
-	var all []wire.ExecutorRecord
+	var matching []wire.ExecutorRecord
 	for _, executor := range l.Executors {
 		if executor.Service == service {
-			all = append(all, executor)
+			matching = append(matching, executor)
 		}
 	}
-	return all
+	return matching
 }
 
-// Holder holds the newest list that the process knows. One goroutine, that of Run, replaces it; any goroutine may read it.
+// Holder holds the newest list that the process knows. Only the goroutine of Run replaces the list. Any goroutine may read it.
 type Holder struct {
 	mailbox  *mailbox.Mailbox
 	clock    clock.Clock
@@ -43,52 +43,53 @@
 	onChange func(*List)
 }
 
-// NewHolder makes a holder with an empty list; onChange gets each newer one, on the goroutine of Run.
+// NewHolder creates a holder with an empty list. onChange is called on the goroutine of Run with each newer list whose executors differ from
+// those of the previous one.
 func NewHolder(clock clock.Clock, onChange func(*List)) *Holder {
 	holder := &Holder{mailbox: mailbox.New(mailboxSize), clock: clock, onChange: onChange}
 	holder.current.Store(&List{superseded: make(chan struct{})})
 	return holder
 }
 
-// Run owns the holder until ctx is done.
+// Run processes updates until ctx is done.
 func (h *Holder) Run(ctx context.Context) error {
 	h.mailbox.Run(ctx, h.clock, mailbox.Owner{Every: time.Minute})
 	return nil
 }
 
-// Current gives the newest list; it is empty, with a version of zero, before the first.
+// Current returns the newest list. Before the first update, it is an empty list of version zero.
 func (h *Holder) Current() *List { return h.current.Load() }
 
-// OfService gives the executors of one service, as the newest list has them.
+// OfService returns the executors of a service in the newest list.
 func (h *Holder) OfService(service string) []wire.ExecutorRecord {
 	return h.Current().OfService(service)
 }
 
-// HasList tells whether any list has come yet.
+// HasList reports whether the holder has received any list yet.
 func (h *Holder) HasList() bool { return h.Current().Version != wire.ExecutorListVersion{} }
 
-// Update takes a list, unless a newer one is known.
+// Update replaces the list by a newer version. It ignores a version that is not newer.
 func (h *Holder) Update(version wire.ExecutorListVersion, executors []wire.ExecutorRecord) {
 	h.mailbox.Post(func() { h.replace(version, executors) })
 }
 
 func (h *Holder) replace(version wire.ExecutorListVersion, executors []wire.ExecutorRecord) {
-	before := h.Current()
-	if !before.Version.Below(version) {
+	previous := h.Current()
+	if !previous.Version.Below(version) {
 		return
 	}
 	next := &List{Version: version, Executors: executors, superseded: make(chan struct{})}
 	h.current.Store(next)
-	if !slices.Equal(before.Executors, executors) {
+	if !slices.Equal(previous.Executors, executors) {
 		h.onChange(next)
 	}
-	close(before.superseded)
+	close(previous.superseded)
 }
 
-// After waits until there is a list that is newer than a version, for as long as the limit or until ctx is done, and gives the list
-// that is known then.
-func (h *Holder) After(ctx context.Context, known wire.ExecutorListVersion, limit time.Duration) *List {
-	deadline := h.clock.After(limit)
+// WaitForNewer waits for a list that is newer than a known version, until the timeout has passed or ctx is done. It returns the newest list
+// in each case, which may still be of the known version.
+func (h *Holder) WaitForNewer(ctx context.Context, known wire.ExecutorListVersion, timeout time.Duration) *List {
+	expired := h.clock.After(timeout)
 	for {
 		list := h.Current()
 		if known.Below(list.Version) {
@@ -96,7 +97,7 @@
 		}
 		select {
 		case <-list.superseded:
-		case <-deadline:
+		case <-expired:
 			return list
 		case <-ctx.Done():
 			return list
--- a/internal/cluster/executorlist/executorlist_test.go
+++ b/internal/cluster/executorlist/executorlist_test.go
@@ -23,8 +23,8 @@
 	return wire.ExecutorListVersion{Epoch: epoch, Number: number}
 }
 
-// running runs a part until the spec ends.
-func running(run func(context.Context) error) {
+// runInBackground runs a function until the spec ends.
+func runInBackground(run func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -39,28 +39,28 @@
 
 func newHolder(onChange func(*executorlist.List)) *executorlist.Holder {
 	holder := executorlist.NewHolder(clock.System(), onChange)
-	running(holder.Run)
+	runInBackground(holder.Run)
 	return holder
 }
 
 var _ = Describe("the list of executors", func() {
-	It("never goes back, tells only what differs, and lets callers wait for a newer one", func() {
+	It("ignores older versions, reports only changes, and lets callers wait for a newer version", func() {
 		changes := make(chan int, 10)
 		holder := newHolder(func(list *executorlist.List) { changes <- len(list.Executors) })
 		Expect(holder.HasList()).To(BeFalse())
 		holder.Update(version(2, 1), []wire.ExecutorRecord{{ID: "a", Service: "s"}, {ID: "b", Service: "t"}})
-		Expect(holder.After(context.Background(), version(0, 0), time.Minute).Version).To(Equal(version(2, 1)))
+		Expect(holder.WaitForNewer(context.Background(), version(0, 0), time.Minute).Version).To(Equal(version(2, 1)))
 		Eventually(changes).Should(Receive(Equal(2)))
 		Expect(holder.OfService("t")).To(HaveExactElements(HaveField("ID", "b")))
 		holder.Update(version(1, 9), nil)
 		holder.Update(version(2, 1), nil)
 		holder.Update(version(3, 1), holder.Current().Executors)
-		Expect(holder.After(context.Background(), version(2, 1), time.Minute).Executors).To(HaveLen(2))
+		Expect(holder.WaitForNewer(context.Background(), version(2, 1), time.Minute).Executors).To(HaveLen(2))
 		Expect(changes).To(BeEmpty())
-		Expect(holder.After(context.Background(), version(3, 1), time.Millisecond).Version).To(Equal(version(3, 1)))
+		Expect(holder.WaitForNewer(context.Background(), version(3, 1), time.Millisecond).Version).To(Equal(version(3, 1)))
 	})
 
-	It("is read page by page by the one process that should, and gets a new version only when it differs", func() {
+	It("is read in pages while it is the turn of the process, and gets a new version only if it differs", func() {
 		var calls, executors atomic.Int64
 		executors.Store(3)
 		platform := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
@@ -85,11 +85,11 @@
 		holder := newHolder(func(*executorlist.List) {})
 		poller := executorlist.NewPoller(&http.Client{}, platform.Listener.Addr().String(), holder, clock.System(), logging.Silent(),
 			func() executorlist.Turn { return executorlist.Turn{IsDue: isDue.Load(), Epoch: 7, Changed: changed} })
-		over, cancel := context.WithCancel(context.Background())
+		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
-		Expect(poller.Run(over)).To(Succeed())
+		Expect(poller.Run(cancelled)).To(Succeed())
 		Expect(calls.Load()).To(BeZero())
-		running(poller.Run)
+		runInBackground(poller.Run)
 		isDue.Store(true)
 		changed <- struct{}{}
 		Eventually(func() wire.ExecutorListVersion { return holder.Current().Version }, "3s").Should(Equal(version(7, 1)))
@@ -102,7 +102,7 @@
 		Eventually(func() wire.ExecutorListVersion { return holder.Current().Version }, "3s").Should(Equal(version(7, 2)))
 	})
 
-	It("reaches other processes from a steward that has it", func() {
+	It("is passed on from a steward to other processes", func() {
 		steward := newHolder(func(*executorlist.List) {})
 		mux := http.NewServeMux()
 		steward.Handle(mux)
@@ -112,7 +112,7 @@
 			Stewards: []wire.Member{{Name: "s", Role: membership.RoleSteward, Address: server.Listener.Addr().String(), Control: "c", Domain: "z"}}}
 		gate := newHolder(func(*executorlist.List) {})
 		caller := peerapi.NewCaller(peerapi.Client(time.Second, 1))
-		running(executorlist.NewFollower(gate, caller, clock.System(), func() *membership.View { return view }, executorlist.NearSteward).Run)
+		runInBackground(executorlist.NewFollower(gate, caller, clock.System(), func() *membership.View { return view }, executorlist.NearSteward).Run)
 		steward.Update(version(1, 1), []wire.ExecutorRecord{{ID: "a"}})
 		Eventually(func() int { return len(gate.Current().Executors) }, "3s").Should(Equal(1))
 		steward.Update(version(1, 2), nil)
@@ -120,12 +120,12 @@
 	})
 })
 
-var _ = Describe("the steward that is asked for the list", func() {
+var _ = Describe("the steward that a process gets the list from", func() {
 	stewards := []wire.Member{{Name: "far", Role: "steward", Address: "1", Control: "c", Domain: "y"},
 		{Name: "near", Role: "steward", Address: "2", Control: "c", Domain: "z"}, {Name: "store", Role: "steward", Address: "3", Domain: "z"},
 		{Name: "gone", Role: "steward", Address: "4", Control: "c", Domain: "z", State: wire.StateGone}}
 
-	It("is a live one of the own zone that serves operators, else any", func() {
+	It("is a live one of the same zone that serves operators, else one of another zone", func() {
 		view := &membership.View{Self: wire.Member{Name: "g", Role: "gate", Domain: "z"}, Stewards: stewards}
 		Expect(executorlist.NearSteward(view)).To(Equal("2"))
 		view.Self.Domain = "x"
@@ -133,7 +133,7 @@
 		Expect(executorlist.NearSteward(&membership.View{})).To(BeEmpty())
 	})
 
-	It("is for a steward the leader of the configuration, and nobody for that one", func() {
+	It("is the leader of the configuration for a steward, and none for the leader itself", func() {
 		view := &membership.View{Self: wire.Member{Name: "far", Role: "steward"}, Stewards: stewards[:2],
 			Leaders: map[string]wire.KeyLeader{"plan": {Name: "near"}}}
 		Expect(executorlist.LeaderOf("plan")(view)).To(Equal("2"))
--- a/internal/cluster/executorlist/follower.go
+++ b/internal/cluster/executorlist/follower.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// followWait is how long a steward may hold a call until there is a newer list.
+	// followWait is the maximum time that a steward delays its answer until there is a newer list.
 	followWait = 3 * time.Second
-	// followSlack is how much longer the answer may take.
+	// followSlack is the time that a call may take in addition to followWait.
 	followSlack = time.Second
-	// followPause lies between two calls of which the first failed.
+	// followPause is the pause after a failed call, or while no steward is known.
 	followPause = 200 * time.Millisecond
 )
 
-// Handle serves the list to other processes.
+// Handle serves the procedure with which other processes wait for a newer list.
 func (h *Holder) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureExecutors, func(ctx context.Context, call *wire.ExecutorsCall) (*wire.ExecutorsAnswer, error) {
-		list := h.After(ctx, call.Held, min(clock.Milliseconds(call.WaitMs), followWait))
+		list := h.WaitForNewer(ctx, call.Held, min(clock.Milliseconds(call.WaitMs), followWait))
 		if !call.Held.Below(list.Version) {
 			return &wire.ExecutorsAnswer{Version: list.Version}, nil
 		}
@@ -32,27 +32,27 @@
 	})
 }
 
-// Follower waits at stewards for newer lists.
+// Follower updates a holder with the lists of stewards.
 type Follower struct {
 	holder *Holder
 	caller *peerapi.Caller
 	clock  clock.Clock
 	view   func() *membership.View
-	// source chooses the steward that is asked; it is empty if none is known.
+	// source returns the address of the steward to call, or an empty string if there is none.
 	source func(view *membership.View) string
 }
 
-// NewFollower makes a follower that asks the stewards which source chooses.
+// NewFollower creates a follower. It calls source before each call for the address of the steward; an empty address is none.
 func NewFollower(holder *Holder, caller *peerapi.Caller, clock clock.Clock, view func() *membership.View,
 	source func(view *membership.View) string) *Follower {
 	return &Follower{holder: holder, caller: caller, clock: clock, view: view, source: source}
 }
 
-// Run follows until ctx is done.
+// Run calls stewards until ctx is done.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		address := f.source(f.view())
-		if address != "" && f.askOnce(ctx, address) {
+		if address != "" && f.fetchOnce(ctx, address) {
 			continue
 		}
 		select {
@@ -63,8 +63,9 @@
 	return nil
 }
 
-// askOnce waits at one steward, and tells whether it answered.
-func (f *Follower) askOnce(ctx context.Context, address string) bool {
+// fetchOnce waits for a newer list of one steward, and reports whether the steward answered. It returns once the holder has the new list,
+// or after followPause at the latest.
+func (f *Follower) fetchOnce(ctx context.Context, address string) bool {
 	known := f.holder.Current().Version
 	answer, err := peerapi.Call[wire.ExecutorsCall, wire.ExecutorsAnswer](ctx, f.caller, address, peerapi.ProcedureExecutors,
 		followWait+followSlack, &wire.ExecutorsCall{Held: known, WaitMs: followWait.Milliseconds()})
@@ -73,12 +74,13 @@
 	}
 	if answer.HasList {
 		f.holder.Update(answer.Version, answer.Executors)
-		f.holder.After(ctx, known, followPause)
+		f.holder.WaitForNewer(ctx, known, followPause)
 	}
 	return true
 }
 
-// NearSteward chooses a live steward that serves operators, in the own zone if there is one.
+// NearSteward returns the address of a random live steward that serves operators, in the zone of this process if there is one. The result is
+// empty if there is none at all.
 func NearSteward(view *membership.View) string {
 	var near, all []string
 	for _, steward := range view.Stewards {
@@ -99,7 +101,8 @@
 	return all[rand.IntN(len(all))]
 }
 
-// LeaderOf chooses the leader of a key, unless that is this process.
+// LeaderOf returns a source that returns the address of the leader of a key. The address is empty if the leader is unknown or is this
+// process.
 func LeaderOf(key string) func(view *membership.View) string {
 	return func(view *membership.View) string {
 		leader, isKnown := view.Steward(view.Leaders[key].Name)
--- a/internal/cluster/executorlist/poller.go
+++ b/internal/cluster/executorlist/poller.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// pollInterval is the pause between two readings of the list.
+	// pollInterval is the pause between two polls of the platform.
 	pollInterval = 500 * time.Millisecond
-	// pageTimeout is how long the platform may take for a page.
+	// pageTimeout is the timeout of the request for one page.
 	pageTimeout = time.Second
-	// maxPages bounds a reading, should the platform go on without end.
+	// maxPages bounds the pages of one poll, in case the platform returns next tokens without end.
 	maxPages = 1000
 )
 
-// ErrPlatformRefused tells that the platform answered with another status than 200.
+// ErrPlatformRefused is the cause of an error if the platform answers with a status other than 200.
 const ErrPlatformRefused = errors.ConstError("the platform refused to list the executors")
 
-// Turn tells whether this process should read the list now.
+// Turn says whether it is the turn of this process to poll the platform.
 type Turn struct {
+	// IsDue is set if this process should poll.
 	IsDue bool
-	// Epoch is that of the leadership by which it should.
+	// Epoch is the epoch of the leadership of the configuration's key. It becomes part of the version of the list.
 	Epoch uint64
-	// Changed is closed once that may be otherwise.
+	// Changed is closed once the turn may have changed.
 	Changed <-chan struct{}
 }
 
-// Poller reads the list from the platform while this process is the one that should.
+// Poller reads the list from the platform while it is the turn of this process.
 type Poller struct {
 	client  *http.Client
 	address string
@@ -43,18 +44,18 @@
 	clock   clock.Clock
 	log     logging.Logger
 	turn    func() Turn
-	// last is the newest list that was read, under lastEpoch, with its number.
+	// last is the newest list that was read. Its version is lastEpoch and number.
 	last      []wire.ExecutorRecord
 	lastEpoch uint64
 	number    uint64
 }
 
-// NewPoller makes a poller of the platform at an address.
+// NewPoller creates a poller of the platform at an address. It calls turn before each poll.
 func NewPoller(client *http.Client, address string, holder *Holder, clock clock.Clock, log logging.Logger, turn func() Turn) *Poller {
 	return &Poller{client: client, address: address, holder: holder, clock: clock, log: log, turn: turn}
 }
 
-// Run reads the list again and again until ctx is done, and at once when it is this process's turn.
+// Run polls the platform at intervals of pollInterval until ctx is done. It polls at once when it becomes the turn of this process.
 func (p *Poller) Run(ctx context.Context) error {
 	for {
 		turn := p.turn()
@@ -70,7 +71,7 @@
 	}
 }
 
-// poll reads the list once; it gets a new version only if it is another than before.
+// poll reads the list once, and updates the holder with a new version if the list or the epoch has changed.
 func (p *Poller) poll(ctx context.Context, epoch uint64) {
 	executors, err := p.read(ctx)
 	if err != nil {
@@ -88,7 +89,7 @@
 	p.holder.Update(wire.ExecutorListVersion{Epoch: epoch, Number: p.number}, executors)
 }
 
-// read reads all pages.
+// read reads all pages, and returns the executors sorted by ID without duplicates.
 func (p *Poller) read(ctx context.Context) ([]wire.ExecutorRecord, error) {
 	var all []wire.ExecutorRecord
 	token := ""
@@ -108,11 +109,12 @@
 	return slices.CompactFunc(all, func(a, b wire.ExecutorRecord) bool { return a.ID == b.ID }), nil
 }
 
-// pageQuery is the query of a page.
+// pageQuery is the query string of the request for a page. The first page has no token.
 type pageQuery struct {
 	Token string `url:"page-token,omitempty"`
 }
 
+// readPage requests one page.
 func (p *Poller) readPage(ctx context.Context, token string) (*page, error) {
 	ctx, release := context.WithTimeout(ctx, pageTimeout)
 	defer release()
--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -91,7 +91,7 @@
 	a.outcome.MayHaveRun = a.outcome.MayHaveRun || !neverSent
 }
 
-// Pause returns the time to wait before the next attempt. It grows with the number of attempts.
+// Pause returns the time to wait before the next attempt. It grows with the number of attempts, and ends at the deadline at the latest.
 func (a *Attempts) Pause(now time.Duration) time.Duration {
 	wait := maxPause
 	switch {
@@ -107,7 +107,7 @@
 func (a *Attempts) Outcome() Outcome { return a.outcome }
 
 // address returns the address for the next attempt: that of the hinted leader, else of the leader in the view, else of a random steward
-// that may lead keys. A steward that has been silent is used only if mayAsk or others allows it.
+// that may lead keys, else of the leader in the view after all. A steward that has been silent is used only if mayAsk or others allows it.
 func (a *Attempts) address(view *membership.View) string {
 	hinted, isHinted := view.Steward(a.hint)
 	if isHinted && a.silent[hinted.Address] == 0 {
