--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -8,7 +8,7 @@
 )
 
 // Outcome is the result of a call. Answer is nil if no leader has answered. MayHaveRun is set if a leader may have executed the call
-// although its answer did not arrive.
+// in an attempt that brought no final answer.
 type Outcome struct {
 	Answer     *wire.ClientAnswer
 	MayHaveRun bool
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -13,7 +13,7 @@
 	startupPeriod = 10 * time.Second
 )
 
-// AnnounceConfiguration takes note that this process holds a version of the configuration, and spreads it if it is new.
+// AnnounceConfiguration records that this process holds a version of the configuration, and announces it to other processes if it is new.
 func (t *Table) AnnounceConfiguration(version int64) {
 	if version > t.configVersion {
 		t.configVersion = version
--- a/internal/cluster/membership/evacuations.go
+++ b/internal/cluster/membership/evacuations.go
@@ -27,7 +27,7 @@
 	s.evacuations, s.evacuatedAt = newer, evacuatedAt
 }
 
-// AnnounceEvacuations takes note of a committed list of evacuations, and spreads it if it is new.
+// AnnounceEvacuations records a committed list of evacuations, and announces it to other processes if it is new.
 func (t *Table) AnnounceEvacuations(evacuations *wire.Evacuations) { t.mergeEvacuations(evacuations) }
 
 // IsEvacuated reports whether the zone is being evacuated according to the list that this process holds, so that nothing new may be sent
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -82,7 +82,7 @@
 		n.addProcesses(6, 14, 980)
 		for _, member := range n.processes {
 			for seed := range 3 {
-				n.exchange(member, n.processes[seed].member.Address)
+				n.exchange(member, n.processes[seed].self.Address)
 			}
 		}
 		n.run(6 * time.Second)
@@ -95,13 +95,13 @@
 		n.run(10 * time.Second)
 		for _, member := range n.processes {
 			datagrams, bytes := member.datagrams/10, member.bytes/10
-			if member.member.Role == "steward" {
+			if member.self.Role == "steward" {
 				Expect(datagrams).To(BeNumerically("<", 60))
 				Expect(bytes).To(BeNumerically("<", 10_000))
 				continue
 			}
-			Expect(datagrams).To(BeNumerically("<=", 5), member.member.Name)
-			Expect(bytes).To(BeNumerically("<", 1_200), member.member.Name)
+			Expect(datagrams).To(BeNumerically("<=", 5), member.self.Name)
+			Expect(bytes).To(BeNumerically("<", 1_200), member.self.Name)
 		}
 		Expect(n.total(func(member *process) int { return member.calls })).To(BeNumerically("<", 10))
 	})
@@ -114,7 +114,7 @@
 		n.run(11 * time.Second)
 		n.processes[500].isStopped = true
 		n.add("edge-new", "gate", 1)
-		n.exchange(n.processes[1000], n.processes[0].member.Address)
+		n.exchange(n.processes[1000], n.processes[0].self.Address)
 		n.resetCounts()
 		n.run(13 * time.Second)
 		Expect(n.maxCount(func(member *process) int { return member.datagrams })).To(BeNumerically("<", 13*10))
@@ -155,7 +155,7 @@
 		edge, proxy := n.processes[6], n.processes[12]
 		edge.isStopped, proxy.isStopped = true, true
 		n.add("control-new", "steward", 1)
-		n.exchange(n.processes[16], n.processes[0].member.Address)
+		n.exchange(n.processes[16], n.processes[0].self.Address)
 		n.run(2 * time.Second)
 		n.announceLeader(n.processes[16], 5, 8*time.Second)
 		Expect(edge.view.Leaders).To(BeEmpty())
@@ -177,16 +177,16 @@
 			n.introduceAll()
 			n.run(12 * time.Second)
 			old := n.processes[1]
-			delete(n.byAddress, old.member.Address)
+			delete(n.byAddress, old.self.Address)
 			n.processes = append(n.processes[:1], n.processes[2:]...)
 			n.run(2 * time.Second)
 			restarted := n.add("control-1", "steward", incarnation)
-			n.exchange(restarted, n.processes[0].member.Address)
+			n.exchange(restarted, n.processes[0].self.Address)
 			n.run(7 * time.Second)
 			for _, member := range n.processes {
 				listed, isKnown := member.view.Steward("control-1")
 				Expect(isKnown).To(BeTrue())
-				Expect(listed.Address).To(Equal(restarted.member.Address), "%s, incarnation %d", member.member.Name, incarnation)
+				Expect(listed.Address).To(Equal(restarted.self.Address), "%s, incarnation %d", member.self.Name, incarnation)
 				Expect(listed.State).To(Equal(wire.StateAlive))
 			}
 		}
@@ -314,7 +314,7 @@
 		Expect(*comparisons).To(BeZero())
 	})
 
-	It("forgets a member that does not answer", func() {
+	It("forgets a member that has been gone for long", func() {
 		clock := clock.NewFake(1)
 		var published *membership.View
 		table := membership.NewTable(gate(0), clock, membership.DefaultTiming, 1, membership.Events{
@@ -517,7 +517,7 @@
 		Expect(*comparisons).To(Equal(2))
 	})
 
-	It("lists no member that is already gone after its startup, and pushes nothing to a leaf that has stopped pinging", func() {
+	It("does not list a gone member long after its own start, and pushes nothing to a leaf that has stopped pinging", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := newLoneTable(steward(0), clock)
 		table.HandleDatagram(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -43,17 +43,17 @@
 	return last
 }
 
-// process is a table of the network, its newest view, and counts of its traffic. learnedAt holds, by epoch, when the leader of key "plan" was
-// first in its view.
+// process is a table of the network, its newest view, and counts of its traffic. leaderKnownAt holds, by epoch, when the
+// leader of key "plan" was first in its view.
 type process struct {
-	member    wire.Member
-	table     *membership.Table
-	view      *membership.View
-	datagrams int
-	bytes     int
-	calls     int
-	learnedAt map[uint64]time.Duration
-	isStopped bool
+	self          wire.Member
+	table         *membership.Table
+	view          *membership.View
+	datagrams     int
+	bytes         int
+	calls         int
+	leaderKnownAt map[uint64]time.Duration
+	isStopped     bool
 }
 
 // network delivers datagrams and calls between tables on a fake clock. lossRate and duplicateRate are the shares of datagrams that it loses
@@ -77,25 +77,25 @@
 
 func (n *network) add(name, role string, incarnation uint64) *process {
 	n.addressCount++
-	member := &process{member: wire.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.processes)%4),
-		Address: fmt.Sprintf("10.0.0.1:%d", 7000+n.addressCount), Incarnation: incarnation}, learnedAt: map[uint64]time.Duration{}}
+	member := &process{self: wire.Member{Name: name, Role: role, Domain: fmt.Sprintf("zone-%d", len(n.processes)%4),
+		Address: fmt.Sprintf("10.0.0.1:%d", 7000+n.addressCount), Incarnation: incarnation}, leaderKnownAt: map[uint64]time.Duration{}}
 	if role == "steward" {
-		member.member.Disk = "disk-" + name
+		member.self.Disk = "disk-" + name
 	}
-	member.table = membership.NewTable(member.member, n.clock, membership.DefaultTiming, n.random.Uint64(), membership.Events{
+	member.table = membership.NewTable(member.self, n.clock, membership.DefaultTiming, n.random.Uint64(), membership.Events{
 		Send: func(to string, datagram wire.Datagram) { n.deliver(member, to, datagram) },
 		Publish: func(view *membership.View) {
 			member.view = view
 			epoch := view.Leaders["plan"].Epoch
-			if _, exists := member.learnedAt[epoch]; !exists {
-				member.learnedAt[epoch] = n.clock.Monotonic()
+			if _, exists := member.leaderKnownAt[epoch]; !exists {
+				member.leaderKnownAt[epoch] = n.clock.Monotonic()
 			}
 		},
 		ConfigurationAhead: func(wire.Member, int64) {},
 		ListsDiffer:        func(peer wire.Member) { n.exchange(member, peer.Address) },
 	})
 	n.processes = append(n.processes, member)
-	n.byAddress[member.member.Address] = member
+	n.byAddress[member.self.Address] = member
 	member.table.PublishIfChanged()
 	n.schedule(time.Duration(n.random.Int64N(int64(halfPeriod))), func() { n.tick(member) })
 	return member
@@ -105,7 +105,7 @@
 func (n *network) introduceAll() {
 	for _, member := range n.processes {
 		for _, other := range n.processes {
-			member.table.Merge(other.member)
+			member.table.Merge(other.self)
 		}
 		member.table.PublishIfChanged()
 	}
@@ -119,7 +119,7 @@
 
 // tick ticks a process twice per period, until another process takes its address.
 func (n *network) tick(member *process) {
-	if n.byAddress[member.member.Address] != member {
+	if n.byAddress[member.self.Address] != member {
 		return
 	}
 	if !member.isStopped {
@@ -220,7 +220,7 @@
 // each running process knew the leader, in rising order; an hour stands for one that did not.
 func (n *network) announceLeader(leader *process, epoch uint64, timeout time.Duration) []time.Duration {
 	announcedAt := n.clock.Monotonic()
-	if leader.table.MergeLeader(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: leader.member.Name}) {
+	if leader.table.MergeLeader(wire.KeyLeader{Key: "plan", Epoch: epoch, Name: leader.self.Name}) {
 		leader.table.Broadcast()
 	}
 	n.run(timeout)
@@ -229,7 +229,7 @@
 		if member.isStopped {
 			continue
 		}
-		at, exists := member.learnedAt[epoch]
+		at, exists := member.leaderKnownAt[epoch]
 		if !exists {
 			at = announcedAt + time.Hour
 		}
