--- a/internal/cluster/peerapi/wire/replication.go
+++ b/internal/cluster/peerapi/wire/replication.go
@@ -15,7 +15,7 @@
 	return p.Epoch < other.Epoch || p.Epoch == other.Epoch && p.Index < other.Index
 }
 
-// VoterSet names the disks of the voters of a key. While Old is not empty, the set is joint: a quorum is a majority of each of both lists.
+// VoterSet names the disks of the voters of a key. While Old is not empty, the set is joint: a quorum needs a majority of each list.
 type VoterSet struct {
 	Old     []string `json:"old,omitempty"`
 	Current []string `json:"now,omitempty"`
