--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -122,7 +122,7 @@
 // ask calls a peer on a goroutine of its own and posts the outcome to the fetcher. The call fails after stallTimeout without a byte.
 func (c *Cache) ask(address string, call *wire.ConfigurationCall, stallTimeout time.Duration) {
 	go func() {
-		answer, err := peerapi.CallWhileMoving[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), c.caller, c.clock, address,
+		answer, err := peerapi.CallWithStallTimeout[wire.ConfigurationCall, wire.ConfigurationAnswer](context.Background(), c.caller, c.clock, address,
 			peerapi.ProcedurePlan, stallTimeout, call)
 		c.mailbox.Post(func() { c.fetcher.HandleAnswer(address, call, answer, err) })
 	}()
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -58,7 +58,7 @@
 	newEngine := func(machine replication.StateMachine, options ...replication.Option) *replication.Engine {
 		transport := &peerTransport{manager: m, engineMailbox: engineMailbox, ctx: m.ctx}
 		options = append(options, replication.WithInitialVoters(initialVoters), replication.WithLog(m.Log),
-			replication.WithAnnounce(m.Node.Announce), replication.WithMachineLosses(m.MachineLosses))
+			replication.WithAnnounce(m.Node.AnnounceLeader), replication.WithMachineLosses(m.MachineLosses))
 		return replication.NewEngine(key, m.disk, m.Name, m.Clock, transport, machine, m.listVoterCandidates, options...)
 	}
 	owner := mailbox.Owner{Every: tickInterval}
@@ -67,7 +67,7 @@
 	case key == configleader.Key:
 		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.Hold(committed) },
 			configleader.WithStorageDisks(m.listStorageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithFixedKeys(m.listFixedKeys()),
-			configleader.WithEvacuations(m.Node.HoldsEvacuations))
+			configleader.WithEvacuations(m.Node.AnnounceEvacuations))
 		machine := configurationMachine{leader, m.rollouts}
 		runner.machine, runner.engine = machine, newEngine(machine)
 	case tenantcount.IsKey(key):
