--- a/internal/node/localproxy/delivery.go
+++ b/internal/node/localproxy/delivery.go
@@ -10,54 +10,56 @@
 	"gannetline/internal/node/executorapi"
 )
 
+// nextOrder is the result of Table.Ready.
 type nextOrder struct {
 	work  OrderWork
 	isDue bool
 }
 
-// deliverOrder brings one order to the executor, again if it is not answered.
+// deliverOrder sends one order to the executor and retries it if it is not answered.
 func (p *Proxy) deliverOrder(ctx context.Context, executor string, order wire.Order) {
 	p.orderSlots <- struct{}{}
 	defer func() { <-p.orderSlots }()
 	for attempt := range maxOrderAttempts {
-		turn, isOpen := ask(ctx, p, func() nextOrder {
+		next, isOpen := ask(ctx, p, func() nextOrder {
 			work, isDue := p.table.Ready(executor, order)
 			return nextOrder{work, isDue}
 		})
-		if !isOpen || !turn.isDue {
+		if !isOpen || !next.isDue {
 			return
 		}
-		status, answer, err := p.send(ctx, turn.work)
+		status, answer, err := p.send(ctx, next.work)
 		if err == nil {
 			result := ResultOf(status, answer.Reason)
 			p.mailbox.Post(func() {
 				p.table.ReadClock(executor, answer.ClockMs)
-				p.table.HandleOrderResult(turn.work, result)
+				p.table.HandleOrderResult(next.work, result)
 			})
 			return
 		}
 		if order.Kind == wire.OrderLaunch && isRefused(err) {
-			p.mailbox.Post(func() { p.table.HandleOrderRefusal(turn.work) })
+			p.mailbox.Post(func() { p.table.HandleOrderRefusal(next.work) })
 			return
 		}
 		isLast := attempt == maxOrderAttempts-1
 		p.mailbox.Post(func() {
 			if !isRefused(err) {
-				p.table.HandleOrderTimeout(turn.work)
+				p.table.HandleOrderTimeout(next.work)
 			}
 			if isLast {
-				p.table.HandleOrderResult(turn.work, wire.ResultTimeout)
+				p.table.HandleOrderResult(next.work, wire.ResultTimeout)
 			}
 		})
 	}
 }
 
+// isRefused reports whether the call certainly did not reach the executor, for another reason than a timeout.
 func isRefused(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
-// send calls the executor with an order to start or to stop a run.
+// send sends an order to start or stop a run to the executor.
 func (p *Proxy) send(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
 	order := work.Order
 	if order.Kind == wire.OrderLaunch {
@@ -68,7 +70,7 @@
 		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
 
-// ResultOf names what an executor's answer to an order means.
+// ResultOf returns the result that an executor's answer to an order stands for.
 func ResultOf(status int, reason string) wire.OrderResult {
 	switch {
 	case status == http.StatusOK:
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -10,10 +10,10 @@
 	"gannetline/internal/platform/clock"
 )
 
-// pollLoop keeps one exchange open at the leader, which answers it when there are orders.
+// pollLoop keeps one exchange open at the leader, which answers when there are orders or the wait is over.
 func (p *Proxy) pollLoop(ctx context.Context) {
 	for {
-		if !p.exchange(ctx, pollWaitMs) && !p.pause(ctx, leaderPause) {
+		if !p.exchange(ctx, pollWaitMs) && !p.pause(ctx, leaderRetryDelay) {
 			return
 		}
 		if ctx.Err() != nil {
@@ -22,8 +22,8 @@
 	}
 }
 
-// reportLoop reports at once what can't wait for the next poll; starts are gathered for a moment, so that a gang's go
-// in one exchange. A report that failed is sent again after a pause.
+// reportLoop sends reports that can't wait for the next poll. The report of a started run is delayed a little, so that the starts
+// of a gang share one exchange. A failed report is retried after leaderRetryDelay.
 func (p *Proxy) reportLoop(ctx context.Context) {
 	for {
 		select {
@@ -36,7 +36,7 @@
 			}
 		}
 		if !p.exchange(ctx, 0) {
-			if !p.pause(ctx, leaderPause) {
+			if !p.pause(ctx, leaderRetryDelay) {
 				return
 			}
 			signal(p.reportDue)
@@ -44,7 +44,8 @@
 	}
 }
 
-// waitForMore lets changes that can wait share the report of what follows; it tells whether a report is due.
+// waitForMore delays the report of a started run, so that it shares an exchange with later changes. It reports whether an exchange
+// is still due.
 func (p *Proxy) waitForMore(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -57,7 +58,7 @@
 	return hasUnsent
 }
 
-// exchange talks to the leader once; it tells whether the leader answered.
+// exchange makes one exchange with the leader and reports whether the leader answered. Without an executor it is a success.
 func (p *Proxy) exchange(ctx context.Context, waitMs int64) bool {
 	call, isOpen := ask(ctx, p, func() *wire.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
@@ -68,7 +69,7 @@
 	}
 	if call == nil {
 		if waitMs > 0 {
-			p.pause(ctx, failedPause)
+			p.pause(ctx, retryDelay)
 		}
 		return true
 	}
@@ -99,8 +100,8 @@
 	return true
 }
 
-// leaderAddress returns where the leader of a key is reached. While none is known, any steward that may lead is asked,
-// as it tells who leads or stands for election itself; it is empty when there is none.
+// leaderAddress returns the address of a key's leader. If the leader is unknown, it returns that of a steward that may lead, which
+// names the leader or stands for election itself. The address is empty if there is no such steward.
 func leaderAddress(view *membership.View, key string) string {
 	if leader, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
 		return leader.Address
--- a/internal/node/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// neverRenewed stands for the age of the last renewal while there is none.
+	// neverRenewed is the reported age of the last lease renewal if there was none.
 	neverRenewed = time.Hour
-	// idleAfter is how long after its last run an executor counts as idle.
+	// idleAfter is how long after its last activity an executor counts as idle.
 	idleAfter = 2 * time.Second
-	// runningListPause lies between two lists of running runs to a leader that has no numbered changes.
+	// runningListPause is the least time between two lists of running runs to a leader that does not support numbered changes.
 	runningListPause = time.Second
 )
 
-// givenAnswer is the executor's answer to an order, until the leader has it.
-type givenAnswer struct {
+// pendingAnswer is the executor's answer to an order that the leader does not have yet.
+type pendingAnswer struct {
 	wire.OrderAnswer
 	at     time.Duration
 	isSent bool
 }
 
-// Compose makes the next exchange, which may wait at the leader for waitMs; HandleAnswer takes the answer to it.
+// Compose returns the next exchange, which may wait at the leader for waitMs, or false if there is no executor. Its answer goes to
+// HandleAnswer.
 func (t *Table) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	current := t.current
 	if current == nil {
@@ -42,12 +43,13 @@
 	return call, true
 }
 
+// factsOf returns the facts that the leader should have now.
 func (t *Table) factsOf(executor *executorState) facts {
 	return facts{proxy: t.name, domain: t.domain, labels: executor.heartbeat.Labels, capacity: executor.heartbeat.Capacity,
 		isDraining: executor.isDraining, gone: slices.Clone(t.gone)}
 }
 
-// holdAge is the time since the executor answered a hold; an unresponsive one counts as never renewed.
+// holdAge returns the time since the executor last answered a hold. An unresponsive executor counts as never renewed.
 func (t *Table) holdAge(executor *executorState) time.Duration {
 	if !executor.hasRenewed || t.isUnresponsive(executor) {
 		return neverRenewed
@@ -55,6 +57,7 @@
 	return t.now() - executor.renewedAt
 }
 
+// writeAnswers adds all answers that the leader does not have, with their ages.
 func (e *executorState) writeAnswers(call *wire.ExchangeCall, now time.Duration) {
 	for index := range e.answers {
 		given := &e.answers[index]
@@ -63,8 +66,8 @@
 	}
 }
 
-// writeRuns adds the complete list of runs that the leader waits for, or now and then the running ones where it has
-// no numbered changes.
+// writeRuns adds the complete list of runs that the leader requested. A leader that does not support numbered changes gets the
+// running runs every runningListPause.
 func (e *executorState) writeRuns(call *wire.ExchangeCall, now time.Duration) {
 	if e.listTaken > e.listReported {
 		call.ListNumber, call.Running = e.listTaken, e.listedRuns
@@ -73,7 +76,8 @@
 	}
 }
 
-// pollWait is longer while the executor is idle; it stays well below the silence after which a leader places nothing there.
+// pollWait doubles the wait while the executor is idle. The leader places no jobs on an executor that is silent for too long; the
+// wait stays well below that time.
 func (t *Table) pollWait(executor *executorState, waitMs int64) int64 {
 	if t.now()-executor.lastBusyAt > idleAfter {
 		return 2 * waitMs
@@ -81,15 +85,15 @@
 	return waitMs
 }
 
-// HandleAnswer takes the leader's answer and gives the orders that are to be carried out. askedAt is when the exchange was
-// sent, on the monotonic clock: a grant counts from then.
+// HandleAnswer handles the leader's answer and returns the orders to deliver. askedAt is when the exchange was sent, on the
+// monotonic clock; a grant counts from then. Answers of a former leader are ignored.
 func (t *Table) HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
-	current := t.currentIs(call.Executor)
+	current := t.currentWithID(call.Executor)
 	if current == nil || answer.Fence < current.fence {
 		return nil
 	}
 	if answer.Fence > current.fence {
-		current.beginFence(answer.Fence)
+		current.resetForLeader(answer.Fence)
 	}
 	current.feed.acknowledge(answer)
 	if answer.NeedsFullState {
@@ -106,26 +110,26 @@
 	if current.listWanted > current.listTaken {
 		t.onListDue()
 	}
-	return t.accept(current, answer.Orders, current.leaseLimit(askedAt, answer.GrantMs))
+	return t.accept(current, answer.Orders, current.expiryForOrder(askedAt, answer.GrantMs))
 }
 
-// beginFence forgets what the former leader has acknowledged and asked for.
-func (e *executorState) beginFence(fence uint64) {
+// resetForLeader resets the acknowledgements and list requests of the former leader.
+func (e *executorState) resetForLeader(fence uint64) {
 	e.fence, e.lastSeen = fence, 0
 	e.listTaken, e.listReported, e.listWanted = 0, 0, 0
 }
 
-// dropDelivered drops the answers that the leader has taken, and notes the list of runs that it has.
+// dropDelivered drops the answers that were delivered with a call, and records the list of runs that the leader got.
 func (e *executorState) dropDelivered(call *wire.ExchangeCall, fence uint64) {
 	if len(call.Answers) > 0 {
-		e.answers = slices.DeleteFunc(e.answers, func(given givenAnswer) bool { return given.isIn(call.Answers) })
+		e.answers = slices.DeleteFunc(e.answers, func(given pendingAnswer) bool { return given.isIn(call.Answers) })
 	}
 	if call.Fence == fence {
 		e.listReported = max(e.listReported, call.ListNumber)
 	}
 }
 
-// acknowledgeEnds drops the ends that the leader has seen.
+// acknowledgeEnds drops the ends that the leader has acknowledged.
 func (t *Table) acknowledgeEnds(current *executorState, lastSeen int64) {
 	current.lastSeen = max(current.lastSeen, lastSeen)
 	if len(current.ends) == 0 {
@@ -137,17 +141,17 @@
 	}
 	t.onAckDue()
 	if current.listWanted > current.listTaken {
-		// The last answer may have been full of ends, and so no complete list.
+		// The last answer of the executor may have been full of ends, so it was no complete list.
 		t.onListDue()
 	}
 }
 
-// HasUnsent tells whether an answer of the executor was in no exchange yet.
+// HasUnsent reports whether an answer of the executor was in no exchange yet.
 func (t *Table) HasUnsent() bool {
-	return t.current != nil && slices.ContainsFunc(t.current.answers, func(given givenAnswer) bool { return !given.isSent })
+	return t.current != nil && slices.ContainsFunc(t.current.answers, func(given pendingAnswer) bool { return !given.isSent })
 }
 
-func (g givenAnswer) isIn(sent []wire.OrderAnswer) bool {
+func (g pendingAnswer) isIn(sent []wire.OrderAnswer) bool {
 	return slices.ContainsFunc(sent, func(answer wire.OrderAnswer) bool {
 		return answer.Task == g.Task && answer.Run == g.Run && answer.Kind == g.Kind && answer.Result == g.Result
 	})
--- a/internal/node/localproxy/executorstate.go
+++ b/internal/node/localproxy/executorstate.go
@@ -7,15 +7,15 @@
 	"gannetline/internal/node/executorapi"
 )
 
-// executorState is what the proxy knows of one incarnation of the executor, from its first heartbeat to its end.
+// executorState is the state of one incarnation of the executor, from its first heartbeat to its end.
 type executorState struct {
 	id string
-	// sequence is that of the last heartbeat; a lower one is late.
+	// sequence is the sequence number of the last heartbeat; heartbeats with a lower one are late.
 	sequence  int64
 	heartbeat executorapi.Heartbeat
-	// currentSince is when it became the current incarnation.
+	// currentSince is when this became the current incarnation.
 	currentSince time.Duration
-	// lastBusyAt is when it was last known to run anything.
+	// lastBusyAt is when the executor last ran something or got a new order.
 	lastBusyAt time.Duration
 	departure
 	runLease
@@ -25,74 +25,76 @@
 	responsiveness
 }
 
-// departure is how far it is on its way out.
+// departure is the progress of the executor's shutdown.
 type departure struct {
-	// isDraining tells that it takes no new runs.
+	// isDraining is set once the executor takes no new runs.
 	isDraining bool
-	// departureAt is when it may be gone, 0 if that is not known.
+	// departureAt is when the executor may be gone; 0 if unknown.
 	departureAt time.Duration
-	// isLeaving tells that it has deregistered, at leftAt.
-	isLeaving bool
-	leftAt    time.Duration
-	// isServingOn is set at a deregistration that nothing announced: the executor serves on for some time, and how long is not
-	// known.
-	isServingOn bool
+	// isDeregistered is set once the executor has deregistered, at deregisteredAt.
+	isDeregistered bool
+	deregisteredAt time.Duration
+	// hasSkippedDrain is set if the executor deregistered without draining first. It then keeps serving for an unknown time.
+	hasSkippedDrain bool
 }
 
-// runLease is how long its runs may go on, and for which leader.
+// runLease is the lease of the executor's runs, granted by the leader.
 type runLease struct {
 	clock clockSample
-	// leaseExpiryMs is how long its runs may go on, by its own clock. It only grows, and only by grants of the leader.
+	// leaseExpiryMs is when the lease expires, in milliseconds of the executor's clock. Only grants of the leader extend it.
 	leaseExpiryMs int64
-	renewedAt     time.Duration
-	hasRenewed    bool
-	// fence is that of the leader which answered last; fenceAtExecutor the highest that the executor has answered to.
+	// renewedAt is when the executor last answered a hold, if hasRenewed.
+	renewedAt  time.Duration
+	hasRenewed bool
+	// fence is the fence of the last leader that answered; fenceAtExecutor is the highest fence of a hold that the executor answered.
 	fence           uint64
 	fenceAtExecutor uint64
 }
 
-// runReports are what the leader has to learn of its runs.
+// runReports is the state of runs that is reported to the leader.
 type runReports struct {
-	// lastSeen is the number of the last end that the leader has acknowledged; ends are those after it.
+	// lastSeen is the number of the last end that the leader has acknowledged; ends are the later ones.
 	lastSeen int64
 	ends     []wire.EndReport
 	running  []wire.RunReport
-	// runningSentAt is when an exchange with the list of running runs was answered last.
+	// runningSentAt is when the last exchange with a list of running runs was answered.
 	runningSentAt time.Duration
 	feed          *feed
 }
 
-// wantedLists are the complete lists of runs that the leader asks for by rising numbers: the last one asked for, taken and
-// reported.
+// wantedLists tracks the complete lists of runs that the leader requests by rising numbers.
 type wantedLists struct {
+	// listWanted, listTaken and listReported are the numbers of the last list that was requested, read from the executor and
+	// delivered to the leader.
 	listWanted   uint64
 	listTaken    uint64
 	listReported uint64
-	listedRuns   []wire.RunReport
+	// listedRuns is the list with the number listTaken.
+	listedRuns []wire.RunReport
 }
 
-// orderDelivery is what becomes of orders.
+// orderDelivery tracks orders and their answers.
 type orderDelivery struct {
-	// ordersInFlight are being carried to the executor; answers are its answers, until the leader has them.
-	ordersInFlight map[orderKey]givenOrder
-	answers        []givenAnswer
-	// uncertainRuns are those whose start may yet be carried out; areAllUncertain is set once they are more than
-	// maxUncertainRuns.
+	// ordersInFlight are being delivered to the executor; answers are the executor's answers that the leader does not have yet.
+	ordersInFlight map[orderKey]inFlightOrder
+	answers        []pendingAnswer
+	// uncertainRuns are the runs whose start was not answered and may still be carried out. Once there are more than
+	// maxUncertainRuns, areAllUncertain is set and every run counts as one.
 	uncertainRuns   map[runKey]bool
 	areAllUncertain bool
 }
 
-// responsiveness is whether the executor answers.
+// responsiveness tracks calls that the executor left unanswered.
 type responsiveness struct {
-	// misses counts calls in a row that it did not answer, the last of them at missedAt.
+	// misses counts consecutive unanswered calls, the last of them at missedAt.
 	misses   int
 	missedAt time.Duration
-	// lostAt is when an answer was last lost.
+	// lostAt is when the last answer was lost, if hasLostAnswer.
 	lostAt        time.Duration
 	hasLostAnswer bool
 }
 
 func (t *Table) newIncarnation(id string) *executorState {
 	return &executorState{id: id, lastBusyAt: t.now(), runReports: runReports{feed: newFeed(t.session)},
-		orderDelivery: orderDelivery{ordersInFlight: map[orderKey]givenOrder{}, uncertainRuns: map[runKey]bool{}}}
+		orderDelivery: orderDelivery{ordersInFlight: map[orderKey]inFlightOrder{}, uncertainRuns: map[runKey]bool{}}}
 }
--- a/internal/node/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// stalledAfter is how long a run's progress stands still before the run is reported as stuck.
+	// stalledAfter is how long a run makes no progress before it is reported as stuck.
 	stalledAfter = 1500 * time.Millisecond
-	// maxUnobserved is how much of the time between two holds counts at most as standing still.
-	maxUnobserved = time.Second
-	// maxRestoreTime is how long a run may take to restore its checkpoint.
+	// maxUnobservedTime is how much of the time between two holds counts as time without progress, at most.
+	maxUnobservedTime = time.Second
+	// maxRestoreTime is how long a run may take to restore its checkpoint, in addition to stalledAfter.
 	maxRestoreTime = 3 * time.Second
 )
 
-// facts are what an executor is and where; they seldom change.
+// facts are the properties of an executor that seldom change.
 type facts struct {
 	proxy      string
 	domain     string
@@ -32,16 +32,17 @@
 		f.isDraining == other.isDraining && slices.Equal(f.gone, other.gone)
 }
 
-// runChange is what the leader gets to know of a run: its checkpoint, and whether it stands still.
+// runChange is the reported state of a run: its checkpoint, and whether it is stuck. changedAt is the number of its last change.
 type runChange struct {
 	report    wire.RunReport
 	changedAt uint64
 	percent   int
-	// stalledFor is how long the run's progress has been the same.
+	// stalledFor is how long the run has made no progress; it is negative while the run may be restoring its checkpoint.
 	stalledFor time.Duration
 }
 
-// feed numbers the changes of what the leader is to know, and remembers the number that the leader has acknowledged.
+// feed numbers the changes of the reported state and holds the number that the leader has acknowledged, so that an exchange carries
+// only later changes.
 type feed struct {
 	session      uint64
 	number       uint64
@@ -53,7 +54,7 @@
 
 func newFeed(session uint64) *feed { return &feed{session: session, runs: map[runKey]runChange{}} }
 
-// updateFacts takes the facts as they are now; a change gets the next number.
+// updateFacts stores the current facts. A change gets the next number.
 func (f *feed) updateFacts(now facts) {
 	if f.factsAt == 0 || !f.facts.equals(now) {
 		f.number++
@@ -61,7 +62,7 @@
 	}
 }
 
-// updateRuns takes the list of running runs that an executor gave after a while; a run that is not in it needs telling no more.
+// updateRuns stores the running runs of an answer that came the given time after the one before. Runs that are not in it are dropped.
 func (f *feed) updateRuns(running []wire.RunReport, after time.Duration) {
 	kept := make(map[runKey]runChange, len(running))
 	next := f.number + 1
@@ -69,7 +70,7 @@
 		key := runKey{report.Task, report.Run}
 		change, exists := f.runs[key]
 		if exists {
-			change.addProgress(report.Percent, after)
+			change.recordProgress(report.Percent, after)
 		} else {
 			change = newRunChange(report)
 		}
@@ -83,7 +84,7 @@
 	f.runs = kept
 }
 
-// newRunChange gives a run that begins from a checkpoint time to restore it.
+// newRunChange allows a run that starts from a checkpoint maxRestoreTime to restore it.
 func newRunChange(report wire.RunReport) runChange {
 	change := runChange{report: wire.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
 	if report.Checkpoint != "" {
@@ -92,16 +93,16 @@
 	return change
 }
 
-// addProgress counts how long a run has stood still, and little of a time in which the executor said nothing.
-func (n *runChange) addProgress(percent int, after time.Duration) {
-	if percent != n.percent {
-		n.percent, n.stalledFor = percent, 0
+// recordProgress adds up the time without progress, and at most maxUnobservedTime of a time in which the executor was silent.
+func (c *runChange) recordProgress(percent int, after time.Duration) {
+	if percent != c.percent {
+		c.percent, c.stalledFor = percent, 0
 		return
 	}
-	n.stalledFor += min(after, maxUnobserved)
+	c.stalledFor += min(after, maxUnobservedTime)
 }
 
-// write adds to an exchange what has changed since the number that the leader has acknowledged.
+// write adds the changes after the acknowledged number to an exchange.
 func (f *feed) write(call *wire.ExchangeCall) {
 	if f.session > 0 {
 		call.Session, call.Number, call.Base = f.session, f.number, f.acknowledged
@@ -123,7 +124,7 @@
 	})
 }
 
-// acknowledge takes note of what the leader holds. Where the leader knows a later session, a new one begins.
+// acknowledge stores the number that the leader holds. If the leader knows a later session, a new session after it starts.
 func (f *feed) acknowledge(answer *wire.ExchangeAnswer) {
 	f.acknowledged = answer.HeldNumber
 	if answer.NeedsFullState && answer.Session > f.session {
--- a/internal/node/localproxy/holdloop.go
+++ b/internal/node/localproxy/holdloop.go
@@ -11,7 +11,7 @@
 	isDue bool
 }
 
-// nextHold asks the table for the next hold; isOpen is false once the proxy ends.
+// nextHold gets the next hold from the table; isOpen is false once the proxy shuts down.
 func (p *Proxy) nextHold(ctx context.Context, isForList bool) (next nextHold, isOpen bool) {
 	return ask(ctx, p, func() nextHold {
 		work, isDue := p.table.NextHold(isForList)
@@ -19,38 +19,39 @@
 	})
 }
 
-// holdLoop renews the executor's lease, and with it acknowledges ends. After a miss it pauses the longer, the sooner
-// the executor answered.
+// holdLoop sends holds, which renew the lease of the executor's runs and acknowledge ends. After a failed hold with the short wait
+// it pauses longer the sooner the hold failed.
 func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
-		turn, isOpen := p.nextHold(ctx, false)
+		next, isOpen := p.nextHold(ctx, false)
 		if !isOpen {
 			return
 		}
-		begunAt := p.clock.Monotonic()
-		if turn.isDue && p.hold(ctx, turn.work) {
+		startedAt := p.clock.Monotonic()
+		if next.isDue && p.hold(ctx, next.work) {
 			p.pause(ctx, holdPause)
 			continue
 		}
-		if turn.isDue && turn.work.Hold.WaitMs == shortWaitMs {
-			p.pause(ctx, PauseAfterMiss(p.clock.Monotonic()-begunAt))
+		if next.isDue && next.work.Hold.WaitMs == shortWaitMs {
+			p.pause(ctx, PauseAfterMiss(p.clock.Monotonic()-startedAt))
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.ackDue:
-		case <-p.clock.After(failedPause):
+		case <-p.clock.After(retryDelay):
 		}
 	}
 }
 
-// PauseAfterMiss is longer where a hold was cut or refused at once: each attempt is then a new connection.
+// PauseAfterMiss returns the pause after a failed hold that took the given time. It is longer for a hold that was cut or refused at
+// once, as each attempt then opens a new connection.
 func PauseAfterMiss(took time.Duration) time.Duration {
 	return max(holdPause, unansweredHoldPause-took)
 }
 
-// listLoop renews the lease at once, and with it fetches the full list of runs, when the leader wants that list.
+// listLoop sends a hold at once when the leader wants a complete list of runs. That hold renews the lease as well.
 func (p *Proxy) listLoop(ctx context.Context) {
 	for {
 		select {
@@ -58,12 +59,12 @@
 			return
 		case <-p.listDue:
 		}
-		turn, isOpen := p.nextHold(ctx, true)
+		next, isOpen := p.nextHold(ctx, true)
 		if !isOpen {
 			return
 		}
-		if turn.isDue && !p.hold(ctx, turn.work) {
-			if !p.pause(ctx, failedPause) {
+		if next.isDue && !p.hold(ctx, next.work) {
+			if !p.pause(ctx, retryDelay) {
 				return
 			}
 			signal(p.listDue)
@@ -71,8 +72,7 @@
 	}
 }
 
-// hold calls the executor to renew its lease and gives the table what it answers; it tells whether the lease was
-// renewed.
+// hold sends a hold to the executor, gives the result to the table, and reports whether the lease was renewed.
 func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
 	limit := HoldLimit(work.Hold)
 	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, limit, work.Hold)
--- a/internal/node/localproxy/holds.go
+++ b/internal/node/localproxy/holds.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// holdWaitMs is how long an executor may wait for an end before it answers; shortWaitMs while it loses answers.
+	// holdWaitMs is how long an executor may wait for the end of a run before it answers a hold; shortWaitMs applies after lost answers.
 	holdWaitMs  = 1000
 	shortWaitMs = 150
-	// lossMemory is for how long after a lost answer the short wait is asked for.
-	lossMemory = 10 * time.Second
-	// holdSlack is how long after its wait a hold is given up.
-	holdSlack = 150 * time.Millisecond
-	// unackedWait lies between two holds while an end is known that the leader has not acknowledged.
-	unackedWait = 250 * time.Millisecond
-	// leavingAfter is how long after its notice an executor that doesn't answer is taken for gone.
-	leavingAfter = 3 * time.Second
-	// An executor is unresponsive for unresponsiveFor after unresponsiveAfter calls in a row went unanswered.
+	// shortWaitPeriod is how long after a lost answer holds use the short wait.
+	shortWaitPeriod = 10 * time.Second
+	// holdTimeoutMargin is how long after its wait a hold times out.
+	holdTimeoutMargin = 150 * time.Millisecond
+	// unackedHoldInterval is the least time between two holds while the leader has not acknowledged all known ends.
+	unackedHoldInterval = 250 * time.Millisecond
+	// goneAfter is how long after its deregistration an executor that does not answer counts as gone.
+	goneAfter = 3 * time.Second
+	// An executor counts as unresponsive for unresponsiveFor after unresponsiveAfter consecutive unanswered calls.
 	unresponsiveAfter = 2
 	unresponsiveFor   = time.Second
 )
 
-// HoldWork is what a hold should say now.
+// HoldWork is a hold that is ready for the executor. ListNumber is the list of runs that its answer may serve as.
 type HoldWork struct {
 	Executor   string
 	Hold       executorapi.Hold
@@ -35,14 +35,14 @@
 	BegunAt time.Duration
 }
 
-// NextHold is the hold to send next, for the list of runs or for the wait; false means that none is due.
+// NextHold returns the next hold, or false if none is due. A hold for a list of runs does not wait for an end.
 func (t *Table) NextHold(isForList bool) (HoldWork, bool) {
 	current := t.current
 	if current == nil || !t.isHoldDue(current, isForList) {
 		return HoldWork{}, false
 	}
 	hold := executorapi.Hold{Fence: current.fence, LastSeen: current.lastSeen}
-	if current.leaseExpiryMs > 0 && current.leaseExpiryMs > current.clock.clockAt(t.now()) {
+	if current.leaseExpiryMs > 0 && current.leaseExpiryMs > current.clock.minReadingAt(t.now()) {
 		hold.ExpiryMs = current.leaseExpiryMs
 	}
 	if !isForList {
@@ -51,29 +51,30 @@
 	return HoldWork{Executor: current.id, Hold: hold, ListNumber: current.listWanted, BegunAt: t.now()}, true
 }
 
+// isHoldDue reports whether to send a hold. Holds without a list slow down while known ends await their acknowledgement.
 func (t *Table) isHoldDue(current *executorState, isForList bool) bool {
 	if isForList {
 		return current.listTaken < current.listWanted && !t.isUnresponsive(current)
 	}
-	return len(current.ends) == 0 || t.now()-current.renewedAt >= unackedWait
+	return len(current.ends) == 0 || t.now()-current.renewedAt >= unackedHoldInterval
 }
 
-// holdWait is short while the executor leaves calls unanswered: a hold that is lost hides all ends until it is given up.
+// holdWait is short after lost answers, as a lost hold hides all ends until it times out.
 func (t *Table) holdWait(current *executorState) int64 {
-	if current.hasLostAnswer && t.now()-current.lostAt < lossMemory {
+	if current.hasLostAnswer && t.now()-current.lostAt < shortWaitPeriod {
 		return shortWaitMs
 	}
 	return holdWaitMs
 }
 
-// HoldLimit is when a hold is given up.
+// HoldLimit returns the timeout of a hold.
 func HoldLimit(hold executorapi.Hold) time.Duration {
-	return clock.Milliseconds(hold.WaitMs) + holdSlack
+	return clock.Milliseconds(hold.WaitMs) + holdTimeoutMargin
 }
 
-// HandleHold takes the answer to a hold.
+// HandleHold handles the executor's answer to a hold.
 func (t *Table) HandleHold(work HoldWork, answer executorapi.Answer) {
-	current := t.currentIs(work.Executor)
+	current := t.currentWithID(work.Executor)
 	if current == nil {
 		return
 	}
@@ -90,12 +91,12 @@
 	if len(current.running) > 0 {
 		current.lastBusyAt = t.now()
 	}
-	if current.keepList(work, answer) || hasEnds {
+	if current.storeList(work, answer) || hasEnds {
 		t.onReportDue()
 	}
 }
 
-// addEnds adds ends that are new; it tells whether there are any.
+// addEnds adds the new ends and reports whether there are any.
 func (e *executorState) addEnds(rows []executorapi.EndRow) bool {
 	hasNew := false
 	for _, row := range rows {
@@ -114,10 +115,10 @@
 	}
 }
 
-// keepList keeps the running runs as the complete list that the leader asked for, if the hold was sent after that; it
-// tells whether it did. An answer with as many ends as one can hold may lack others: a run that is neither running nor among
-// its ends may have ended all the same, so that it says nothing about runs that are missing.
-func (e *executorState) keepList(work HoldWork, answer executorapi.Answer) bool {
+// storeList stores the running runs as the complete list that the leader requested, if the hold was composed after the request. It
+// reports whether it did. An answer with the maximum number of ends may lack further ends: a run that is neither running nor among
+// its ends may have ended as well, so the answer is no complete list.
+func (e *executorState) storeList(work HoldWork, answer executorapi.Answer) bool {
 	if work.ListNumber <= e.listTaken || work.Hold.Fence != e.fence || len(answer.Ends) >= executorapi.MaxEndsPerAnswer {
 		return false
 	}
@@ -125,10 +126,10 @@
 	return true
 }
 
-// HandleHoldFailure takes note of a hold without an answer; isOtherExecutor says that the address answers for another incarnation,
-// so that this one is over for certain.
+// HandleHoldFailure handles a hold that failed. isOtherExecutor means that another incarnation answered at the address, so this one
+// has certainly ended.
 func (t *Table) HandleHoldFailure(work HoldWork, isOtherExecutor bool) {
-	current := t.currentIs(work.Executor)
+	current := t.currentWithID(work.Executor)
 	if current == nil {
 		if isOtherExecutor {
 			t.endOther(work.Executor)
@@ -137,11 +138,12 @@
 	}
 	t.recordMisses(current, 1)
 	t.recordLostAnswer(current)
-	if isOtherExecutor || t.hasEnded(current) {
+	if isOtherExecutor || t.hasShutDown(current) {
 		t.endCurrent()
 	}
 }
 
+// lastEnd returns the number of the last known end, 0 if there is none.
 func (e *executorState) lastEnd() int64 {
 	if len(e.ends) == 0 {
 		return 0
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxGone is how many former incarnations are remembered, so that late heartbeats of them are refused.
+	// maxGone is how many ended incarnations are remembered, so that their late heartbeats are refused.
 	maxGone = 4
-	// defaultDrainTime is how long an executor serves on after its deregistration where the settings name no other time.
+	// defaultDrainTime is how long an executor keeps serving after its deregistration if WithDrainTime is not given.
 	defaultDrainTime = 2 * time.Second
 )
 
-// stateDraining is what an executor says in its heartbeat once it takes no new runs.
+// stateDraining is the state in the heartbeat of an executor that takes no new runs.
 const stateDraining = "draining"
 
-// Heartbeat takes an executor's heartbeat and gives the HTTP status to answer with; problem is set when it is refused.
+// Heartbeat handles an executor's heartbeat and returns the HTTP status of the answer. A problem is returned if it is refused.
 func (t *Table) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (status int, problem string) {
 	if heartbeat.Service != t.service {
 		return http.StatusUnprocessableEntity, "service " + heartbeat.Service + " is unknown on this machine"
@@ -31,12 +31,12 @@
 		return http.StatusConflict, "field call-sequence is old"
 	}
 	t.makeCurrent(id)
-	t.takeHeartbeat(t.current, heartbeat)
+	t.storeHeartbeat(t.current, heartbeat)
 	return http.StatusOK, ""
 }
 
-// takeHeartbeat takes over what an executor says of itself, and reports at once that it drains.
-func (t *Table) takeHeartbeat(sender *executorState, heartbeat *executorapi.Heartbeat) {
+// storeHeartbeat stores the heartbeat as the latest of its sender. The start of a drain is reported at once.
+func (t *Table) storeHeartbeat(sender *executorState, heartbeat *executorapi.Heartbeat) {
 	sender.sequence, sender.heartbeat = heartbeat.Sequence, *heartbeat
 	if heartbeat.ClockMs > 0 {
 		t.sample(sender, heartbeat.ClockMs)
@@ -51,17 +51,17 @@
 	}
 }
 
-// currentIs gives the current incarnation if it has this ID, else nil.
-func (t *Table) currentIs(id string) *executorState {
+// currentWithID returns the current incarnation if it has this ID, else nil.
+func (t *Table) currentWithID(id string) *executorState {
 	if t.current != nil && t.current.id == id {
 		return t.current
 	}
 	return nil
 }
 
-// find finds an incarnation that is not known to be over.
+// find returns an incarnation that is not known to have ended, or nil.
 func (t *Table) find(id string) *executorState {
-	if current := t.currentIs(id); current != nil {
+	if current := t.currentWithID(id); current != nil {
 		return current
 	}
 	for _, other := range t.others {
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// makeCurrent takes the incarnation that sent a heartbeat for the current one. A heartbeat may be late, so that the one
-// before it is only known to be over once this one has answered a call.
+// makeCurrent makes the sender of a heartbeat the current incarnation. A heartbeat may arrive late, so the previous incarnation
+// counts as gone only once this one has answered a call.
 func (t *Table) makeCurrent(id string) {
-	if t.currentIs(id) != nil {
+	if t.currentWithID(id) != nil {
 		return
 	}
 	next := t.find(id)
@@ -96,7 +96,7 @@
 	t.onReportDue()
 }
 
-// confirmCurrent ends all other incarnations, as there is one on the machine at a time and the current one has answered.
+// confirmCurrent ends all other incarnations: the current one has answered, and only one runs on the machine at a time.
 func (t *Table) confirmCurrent() {
 	for _, other := range t.others {
 		t.markGone(other.id)
@@ -107,7 +107,7 @@
 	}
 }
 
-// endOther ends an incarnation that is not the current one: its executor's address answers for another.
+// endOther ends an incarnation that is not the current one, after another incarnation answered at its address.
 func (t *Table) endOther(id string) {
 	for index, other := range t.others {
 		if other.id == id {
@@ -119,7 +119,7 @@
 	}
 }
 
-// endCurrent ends the current incarnation; one of the others may be the one that is there.
+// endCurrent ends the current incarnation. The latest of the others, if any, becomes current, as it may be the running one.
 func (t *Table) endCurrent() {
 	t.markGone(t.current.id)
 	t.current = nil
@@ -131,42 +131,43 @@
 	t.onReportDue()
 }
 
-// remember adds the ID of a former incarnation to a list, and keeps the last maxGone.
-func remember(ids []string, id string) []string {
+// appendRecent appends the ID of an incarnation to a list and keeps the last maxGone entries.
+func appendRecent(ids []string, id string) []string {
 	ids = append(ids, id)
 	return ids[max(0, len(ids)-maxGone):]
 }
 
 func (t *Table) markGone(id string) {
-	t.gone = remember(t.gone, id)
+	t.gone = appendRecent(t.gone, id)
 }
 
-// Deregister takes an executor's deregistration. One that said before that it drains ends with it; any other serves on, so that what
-// it runs is moved as if it had said so.
+// Deregister handles an executor's deregistration. An executor that was draining ends with it. Any other keeps serving and is
+// reported as draining, so that its runs are moved.
 func (t *Table) Deregister(id string) {
 	sender := t.find(id)
 	if sender == nil {
-		t.deregistered = remember(t.deregistered, id)
+		t.deregistered = appendRecent(t.deregistered, id)
 		return
 	}
 	t.deregister(sender)
 }
 
-// deregister notes that an executor leaves. One that hadn't drained before serves on for the drain time.
+// deregister marks an executor as deregistered. One that was not draining is expected to serve for drainTime.
 func (t *Table) deregister(sender *executorState) {
-	if sender.isLeaving {
+	if sender.isDeregistered {
 		return
 	}
 	if !sender.isDraining {
-		sender.isServingOn, sender.departureAt = true, t.now()+t.drainTime
+		sender.hasSkippedDrain, sender.departureAt = true, t.now()+t.drainTime
 	}
-	sender.isDraining, sender.isLeaving, sender.leftAt = true, true, t.now()
+	sender.isDraining, sender.isDeregistered, sender.deregisteredAt = true, true, t.now()
 	t.log.Info("executor deregistered", "executor", sender.id)
 	t.onReportDue()
 }
 
-// hasEnded tells whether an executor that no longer answers has ended by its own word. One that serves on for a time that
-// nobody knows may only be unreachable for the moment: its runs are over when their lease is, or when another answers.
-func (t *Table) hasEnded(sender *executorState) bool {
-	return sender.isLeaving && !sender.isServingOn && t.now()-sender.leftAt > leavingAfter
+// hasShutDown reports whether an executor that no longer answers has shut down after its deregistration. One that deregistered
+// without draining may keep serving for an unknown time and be unreachable only for a moment. Its runs end when their lease
+// expires or when another incarnation answers.
+func (t *Table) hasShutDown(sender *executorState) bool {
+	return sender.isDeregistered && !sender.hasSkippedDrain && t.now()-sender.deregisteredAt > goneAfter
 }
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// maxUncertainRuns is how many uncertain runs are remembered by name.
+	// maxUncertainRuns is how many uncertain runs are remembered individually.
 	maxUncertainRuns = 10000
-	// startMargin is how much longer than now a start must be held, in milliseconds, to be carried out.
-	startMargin = 400
+	// startMarginMs is the least remaining lease of a run that is started, in milliseconds.
+	startMarginMs = 400
 )
 
 type orderKey struct {
@@ -26,14 +26,14 @@
 
 func runOf(order wire.Order) runKey { return runKey{order.Task, order.Run} }
 
-// givenOrder is an order on its way to the executor: the fence of the leader that gave it last, and the reading of the
-// executor's clock, in milliseconds, up to which a start may be carried out by the grant that came with it.
-type givenOrder struct {
+// inFlightOrder is an order in flight to the executor: the fence of the leader that gave it last, and the reading of the executor's
+// clock, in milliseconds, up to which a start is covered by the grant that came with it.
+type inFlightOrder struct {
 	fence   uint64
 	limitMs int64
 }
 
-// accept gives the orders that are not under way yet; the others go on under the fence of the leader that repeats them.
+// accept returns the orders that are not in flight yet. The others stay in flight, under the fence of the leader that repeated them.
 func (t *Table) accept(current *executorState, orders []wire.Order, limitMs int64) []wire.Order {
 	accepted := orders[:0]
 	for _, order := range orders {
@@ -50,7 +50,7 @@
 	return accepted
 }
 
-// OrderWork is one order made ready for the executor. ExpiryMs is up to when the run may go on, by the executor's clock.
+// OrderWork is an order that is ready for the executor. ExpiryMs is when the run's lease expires, on the executor's clock.
 type OrderWork struct {
 	Executor string
 	Order    wire.Order
@@ -58,10 +58,10 @@
 	ExpiryMs int64
 }
 
-// Ready is the last check before an executor: incarnation, leader, drain, evacuation and grant. An order that waited here while the
-// pool changed its leader is carried out only if the new one gave it, too.
+// Ready checks an order right before it is sent: incarnation, leader, drain, evacuation and lease. An order that waited here while
+// the pool changed its leader is carried out only if the new leader gave it as well.
 func (t *Table) Ready(executorID string, order wire.Order) (OrderWork, bool) {
-	current := t.currentIs(executorID)
+	current := t.currentWithID(executorID)
 	if current == nil {
 		if other := t.find(executorID); other != nil {
 			delete(other.ordersInFlight, keyOf(order))
@@ -83,7 +83,7 @@
 	return work, t.isStartReady(current, work)
 }
 
-// isStopReady drops a stop while the executor answers nothing; the leader gives it again.
+// isStopReady reports whether a stop may be sent. It is dropped while the executor is unresponsive; the leader repeats it.
 func (t *Table) isStopReady(current *executorState, order wire.Order) bool {
 	if t.isUnresponsive(current) {
 		delete(current.ordersInFlight, keyOf(order))
@@ -92,14 +92,15 @@
 	return true
 }
 
-// isStartReady tells whether a start may be sent; if not, the leader gets the reason, or gives it again.
+// isStartReady reports whether a start may be sent. If not, the leader gets the reason; a start without enough lease is dropped, and
+// the leader repeats it.
 func (t *Table) isStartReady(current *executorState, work OrderWork) bool {
 	switch {
 	case current.isDraining || t.isEvacuated():
 		t.HandleOrderResult(work, wire.ResultNotRun)
 	case t.isUnresponsive(current):
 		t.HandleOrderResult(work, current.resultWhileUnresponsive(work.Order))
-	case work.ExpiryMs < current.clock.clockAt(t.now())+startMargin:
+	case work.ExpiryMs < current.clock.minReadingAt(t.now())+startMarginMs:
 		delete(current.ordersInFlight, keyOf(work.Order))
 	default:
 		return true
@@ -107,16 +108,16 @@
 	return false
 }
 
-// HandleOrderRefusal notes that nobody listens at the executor's address: the order was certainly not carried out.
+// HandleOrderRefusal records that nothing listens at the executor's address, so the order was certainly not carried out.
 func (t *Table) HandleOrderRefusal(work OrderWork) {
-	if current := t.currentIs(work.Executor); current != nil {
+	if current := t.currentWithID(work.Executor); current != nil {
 		t.recordMisses(current, unresponsiveAfter)
 		t.HandleOrderResult(work, wire.ResultUnhealthy)
 	}
 }
 
-// resultWhileUnresponsive leaves a start that may have reached the executor to be sent again, as that is sooner over
-// than a stop.
+// resultWhileUnresponsive returns the result of a start while the executor is unresponsive. A start that may have reached the
+// executor is reported as timed out: the leader repeats it, which settles it sooner than a stop.
 func (e *executorState) resultWhileUnresponsive(order wire.Order) wire.OrderResult {
 	if e.isUncertain(runOf(order)) {
 		return wire.ResultTimeout
@@ -124,13 +125,13 @@
 	return wire.ResultUnhealthy
 }
 
-// isUncertain tells whether a start of the run may yet be carried out. A stop that was answered ends the uncertainty, as the
-// executor turns the run away from then on.
+// isUncertain reports whether a start of the run may still be carried out. An answered stop ends the uncertainty, as the executor
+// refuses the run from then on.
 func (e *executorState) isUncertain(run runKey) bool {
 	return e.uncertainRuns[run] || e.areAllUncertain
 }
 
-// HandleOrderTimeout notes that an order may yet be carried out.
+// HandleOrderTimeout records that an order was not answered and may still be carried out.
 func (t *Table) HandleOrderTimeout(work OrderWork) {
 	known := t.find(work.Executor)
 	if known == nil {
@@ -145,7 +146,7 @@
 	t.recordLostAnswer(known)
 }
 
-// HandleOrderResult notes an order's answer for the leader.
+// HandleOrderResult queues the result of an order for the leader. A refusal of an uncertain run is reported as uncertain.
 func (t *Table) HandleOrderResult(work OrderWork, result wire.OrderResult) {
 	known := t.find(work.Executor)
 	if known == nil {
@@ -159,7 +160,7 @@
 	if result == wire.ResultOK {
 		delete(known.uncertainRuns, run)
 	}
-	known.answers = append(known.answers, givenAnswer{at: t.now(),
+	known.answers = append(known.answers, pendingAnswer{at: t.now(),
 		OrderAnswer: wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result}})
 	if order.Kind == wire.OrderLaunch && result == wire.ResultOK {
 		t.onRunStarted()
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -15,20 +15,28 @@
 )
 
 const (
-	holdPause           = 15 * time.Millisecond
+	// holdPause is the pause between an answered hold and the next one.
+	holdPause = 15 * time.Millisecond
+	// unansweredHoldPause is the least time from the start of a failed hold to the next one.
 	unansweredHoldPause = 100 * time.Millisecond
-	pollWaitMs          = 300
-	startReportDelay    = 80 * time.Millisecond
+	// pollWaitMs is how long the leader may keep a poll open, in milliseconds.
+	pollWaitMs = 300
+	// startReportDelay is how long the report of a started run waits for further changes.
+	startReportDelay = 80 * time.Millisecond
+	// orderTimeout, maxOrderAttempts and maxConcurrentOrders apply to the calls that deliver orders to the executor.
 	orderTimeout        = 150 * time.Millisecond
 	maxOrderAttempts    = 2
 	maxConcurrentOrders = 6
-	leaderPause         = 60 * time.Millisecond
-	failedPause         = 300 * time.Millisecond
-	exchangeTimeout     = 1500 * time.Millisecond
+	// leaderRetryDelay is the pause after an exchange that the leader did not answer.
+	leaderRetryDelay = 60 * time.Millisecond
+	// retryDelay is the pause after a failed hold, and the poll interval while there is no executor.
+	retryDelay = 300 * time.Millisecond
+	// exchangeTimeout is how long an exchange may take beyond its wait at the leader.
+	exchangeTimeout = 1500 * time.Millisecond
 )
 
-// Proxy joins one executor to the leader of its pool: it takes the executor's heartbeats, carries orders to it and
-// reports what runs and what has ended.
+// Proxy connects one executor to the leader of its pool. It receives the executor's heartbeats, delivers orders to it and
+// reports running and ended runs to the leader.
 type Proxy struct {
 	mailbox    *mailbox.Mailbox
 	table      *Table
@@ -45,7 +53,7 @@
 	orderSlots chan struct{}
 }
 
-// New makes a proxy for the executors of a service on this machine. It calls nobody before Run.
+// New returns a proxy for the executor of a service on this machine. It makes no calls before Run.
 func New(service, domain, name string, clock clock.Clock, log logging.Logger, executor *executorapi.Client, caller *peerapi.Caller,
 	view func() *membership.View, options ...TableOption) *Proxy {
 	proxy := &Proxy{mailbox: mailbox.New(256), clock: clock, log: log, executor: executor, caller: caller, view: view, service: service,
@@ -56,6 +64,7 @@
 	return proxy
 }
 
+// signal does not block: a signal that was not yet received covers later ones.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -63,7 +72,7 @@
 	}
 }
 
-// Run keeps the loops going until ctx is done.
+// Run runs the hold, list, poll and report loops until ctx is done.
 func (p *Proxy) Run(ctx context.Context) error {
 	go p.holdLoop(ctx)
 	go p.listLoop(ctx)
@@ -73,11 +82,13 @@
 	return nil
 }
 
+// ask runs a question on the goroutine that owns the table. It returns false if ctx ends before the answer.
 func ask[T any](ctx context.Context, p *Proxy, question func() T) (T, bool) {
 	value, err := mailbox.Ask(ctx, p.mailbox, func(answer func(T)) { answer(question()) })
 	return value, err == nil
 }
 
+// pause returns false if ctx ends before the wait is over.
 func (p *Proxy) pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -87,7 +98,7 @@
 	}
 }
 
-// ServeHTTP takes the executor's own calls.
+// ServeHTTP serves the executor's heartbeats and deregistrations.
 func (p *Proxy) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	command, refusal := executorapi.Decode(request)
 	if refusal.Status != 0 {
@@ -101,7 +112,7 @@
 	answer.Write(to)
 }
 
-// execute carries out an executor's call on the table and makes the reply.
+// execute applies an executor's call to the table and returns the reply.
 func (p *Proxy) execute(command executorapi.Command) response.Reply {
 	if command.IsDeregistration {
 		p.table.Deregister(command.Executor)
--- a/internal/node/localproxy/responsiveness.go
+++ b/internal/node/localproxy/responsiveness.go
@@ -1,11 +1,12 @@
 package localproxy
 
-// isUnresponsive tells whether calls to the executor fail one after the other; the holds that go on show when they do
-// no more.
+// isUnresponsive reports whether the last calls to the executor failed. Holds are still sent meanwhile, and an answer to one of them
+// ends the state.
 func (t *Table) isUnresponsive(executor *executorState) bool {
 	return executor.misses >= unresponsiveAfter && t.now()-executor.missedAt < unresponsiveFor
 }
 
+// recordMisses counts unanswered calls and reports to the leader when the executor becomes unresponsive.
 func (t *Table) recordMisses(executor *executorState, count int) {
 	wasUnresponsive := t.isUnresponsive(executor)
 	executor.misses, executor.missedAt = executor.misses+count, t.now()
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -1,5 +1,5 @@
-// Package localproxy stands between the leader of a pool and the executor on its own machine: it carries orders,
-// renews the lease of its runs by what it was granted, and reports what the executor says.
+// Package localproxy connects the leader of a pool with the executor on the same machine. It delivers the leader's orders,
+// renews the lease of the executor's runs within the leader's grants, and reports the executor's state to the leader.
 package localproxy
 
 import (
@@ -9,49 +9,52 @@
 	"gannetline/internal/platform/logging"
 )
 
-// Table is what a local proxy knows of its executor and of the leader's orders. It is owned by one goroutine; the loops
-// ask it what to do next and tell it what came back.
+// Table holds a local proxy's state: the incarnations of its executor and the leader's orders. It does no I/O and belongs to one
+// goroutine; the proxy's loops get their next call from it and give it the results.
 type Table struct {
 	clock   clock.Clock
 	log     logging.Logger
 	service string
 	domain  string
 	name    string
-	// current is the incarnation of the executor that sent a heartbeat last; nil while there is none.
+	// current is the incarnation of the executor that sent the last heartbeat; nil before the first one.
 	current *executorState
-	// others have sent heartbeats as well and may be over; the next answer of the current incarnation shows it.
+	// others are incarnations that sent heartbeats before. They count as gone once the current incarnation answers a call.
 	others []*executorState
-	// gone are the IDs of the last incarnations that are over.
+	// gone are the IDs of the last maxGone incarnations that have ended.
 	gone []string
-	// deregistered are those of incarnations that this process does not know; a heartbeat of theirs may still come.
+	// deregistered are the IDs of incarnations that deregistered before their first heartbeat arrived; it may still arrive.
 	deregistered []string
-	drainTime    time.Duration
+	// drainTime is how long an executor serves after a deregistration that it did not announce by draining.
+	drainTime time.Duration
+	// The functions signal the proxy's loops; see NewTable.
 	onReportDue  func()
 	onListDue    func()
 	onAckDue     func()
 	onRunStarted func()
-	session      uint64
-	// evacuation tells whether, and since when, the zone is to be emptied.
+	// session numbers the processes beside the executor; 0 disables the numbered changes (see feed).
+	session uint64
+	// evacuation reports whether an evacuation of the zone is ordered, and since when this process knows, on the table's clock.
 	evacuation func() (since time.Duration, isOrdered bool)
-	// evacuationGrace is for how long after that launches are still carried out.
+	// evacuationGrace is how long after that time launches are still carried out.
 	evacuationGrace time.Duration
 }
 
-// TableOption changes how a table is made.
+// TableOption configures a table.
 type TableOption func(*Table)
 
-// WithSession lets only changes travel to the leader; the number should rise from one process beside the executor to the next.
+// WithSession has exchanges carry only what changed. The number should rise from one process beside the executor to the next.
 func WithSession(number uint64) TableOption { return func(t *Table) { t.session = number } }
 
-// WithDrainTime says how long an executor serves on at least once it has said that it leaves.
+// WithDrainTime sets how long an executor keeps serving, at least, after its deregistration.
 func WithDrainTime(length time.Duration) TableOption { return func(t *Table) { t.drainTime = length } }
 
-// WithStartSignal is called, instead of the signal for a report, for a change that can wait for a moment: that a run was started.
+// WithStartSignal sets the function that is called instead of onReportDue when a run was started, as that report can be delayed.
 func WithStartSignal(onStart func()) TableOption { return func(t *Table) { t.onRunStarted = onStart } }
 
-// NewTable makes a table without an executor. The functions signal that there is something to do: onReportDue when the
-// lease should be renewed or a report sent, onListDue when the runs should be listed anew, onAckDue when an end is to be
-// acknowledged. They must not block.
+// NewTable returns a table without an executor. The functions must not block. onReportDue is called when a report should be sent
+// to the leader or its grant renewed, onListDue when the leader wants a complete list of runs, and onAckDue when a hold is due at
+// once, for example to acknowledge ends to the executor.
 func NewTable(clock clock.Clock, log logging.Logger, service, domain, name string, onReportDue, onListDue, onAckDue func(), options ...TableOption) *Table {
 	table := &Table{clock: clock, log: log, service: service, domain: domain, name: name, onReportDue: onReportDue, onListDue: onListDue, onAckDue: onAckDue,
 		onRunStarted: onReportDue, drainTime: defaultDrainTime, evacuation: noEvacuation}
