--- a/internal/node/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -13,10 +13,11 @@
 	"gannetline/internal/platform/logging"
 )
 
-var _ = Describe("an executor that no call gets through to", func() {
+var _ = Describe("an unresponsive executor", func() {
 	var fakeClock *clock.Fake
 	var table *localproxy.Table
-	var works int
+	// reports counts the signals that a report is due.
+	var reports int
 	nothing := func() {}
 	order := func(kind string, run int64) wire.Order {
 		return wire.Order{Kind: wire.OrderKind(kind), Task: "t.0.0.0", Run: run}
@@ -29,23 +30,23 @@
 		}
 		return all
 	}
-	holdFails := func() {
+	failHold := func() {
 		work, _ := table.NextHold(false)
 		table.HandleHoldFailure(work, false)
 	}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(0)
-		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", func() { works++ }, nothing, nothing)
+		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", func() { reports++ }, nothing, nothing)
 		table.Heartbeat("i-1", &executorapi.Heartbeat{Service: "s", State: "ready", ClockMs: 1000, Sequence: 1})
 		call, _ := table.Compose(0)
 		table.HandleAnswer(call, 0, &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, WantedList: 5})
 		work, _ := table.NextHold(false)
 		work.ListNumber = 0
 		table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
-		works = 0
+		reports = 0
 	})
 
-	It("is sick at once where nobody listens, and no further call is spent on a start", func() {
+	It("is reported at once if nothing listens at its address, and gets no further start", func() {
 		work, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
 		table.HandleOrderRefusal(work)
@@ -54,22 +55,22 @@
 		Expect(results()).To(Equal([]string{"sick", "sick"}))
 	})
 
-	It("is sick after two calls without an answer, not after one", func() {
-		holdFails()
+	It("counts as unresponsive after two unanswered calls, not after one", func() {
+		failHold()
 		_, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
-		works = 0
-		holdFails()
-		Expect(works).To(Equal(1), "the owner hears of it at once")
+		reports = 0
+		failHold()
+		Expect(reports).To(Equal(1), "the leader gets a report at once")
 		_, isDue = ready("launch", 2)
 		Expect(isDue).To(BeFalse())
 		call, _ := table.Compose(0)
 		Expect(clock.Milliseconds(call.HoldAgeMs)).To(BeNumerically(">", time.Minute))
 	})
 
-	It("is spared stops and looks meanwhile; the holds go on, and show when it answers", func() {
-		holdFails()
-		holdFails()
+	It("gets no stops and no holds for lists, but normal holds until it answers one", func() {
+		failHold()
+		failHold()
 		_, isDue := ready("stop", 1)
 		Expect(isDue).To(BeFalse())
 		Expect(results()).To(BeEmpty())
@@ -85,7 +86,7 @@
 		Expect(isDue).To(BeTrue())
 	})
 
-	It("is not known to have left a start undone that may have reached it", func() {
+	It("gets the result timeout for a start that may have reached it", func() {
 		work, _ := ready("launch", 1)
 		table.HandleOrderTimeout(work)
 		table.HandleOrderTimeout(work)
@@ -94,23 +95,23 @@
 		Expect(results()).To(Equal([]string{"timeout"}))
 	})
 
-	It("is not asked over and over where it refuses at once", func() {
+	It("is not called in a tight loop if it refuses connections at once", func() {
 		Expect(localproxy.PauseAfterMiss(time.Millisecond)).To(BeNumerically(">", 90*time.Millisecond))
 		Expect(localproxy.PauseAfterMiss(300 * time.Millisecond)).To(BeNumerically("<", 20*time.Millisecond))
 	})
 
-	It("is tried again after a while", func() {
-		holdFails()
-		holdFails()
+	It("gets starts again after a while", func() {
+		failHold()
+		failHold()
 		fakeClock.Advance(1100 * time.Millisecond)
 		_, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
 	})
 
-	It("counts as heard when an order is answered between two failures", func() {
-		holdFails()
+	It("counts as responsive if it answers an order between two failed holds", func() {
+		failHold()
 		table.ReadClock("i-1", 1000)
-		holdFails()
+		failHold()
 		_, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
 	})
--- a/internal/node/localproxy/farewell_test.go
+++ b/internal/node/localproxy/farewell_test.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/platform/logging"
 )
 
-var _ = Describe("an executor that leaves", func() {
+var _ = Describe("an executor that deregisters", func() {
 	const drainTime = 2500 * time.Millisecond
 	var fakeClock *clock.Fake
 	var table *localproxy.Table
@@ -23,16 +23,16 @@
 		status, _ := table.Heartbeat(id, &executorapi.Heartbeat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
-	told := func() *wire.ExchangeCall {
+	compose := func() *wire.ExchangeCall {
 		call, _ := table.Compose(0)
 		return call
 	}
-	holdFails := func() {
+	failHold := func() {
 		work, _ := table.NextHold(false)
 		table.HandleHoldFailure(work, false)
 	}
-	startIsDue := func() bool {
-		call := told()
+	isStartDue := func() bool {
+		call := compose()
 		table.HandleAnswer(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		_, isDue := table.Ready(call.Executor, launch)
 		return isDue
@@ -42,75 +42,75 @@
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithDrainTime(drainTime))
 	})
 
-	Context("with a farewell that nothing announced", func() {
+	Context("without draining first", func() {
 		BeforeEach(func() {
 			heartbeat("i-1", "ready", 1)
 			table.Deregister("i-1")
 		})
 
-		It("is known to go once the time to drain is over, so that what would run longer is moved", func() {
-			Expect(told().Draining).To(BeTrue())
-			Expect(told().DepartureMs).To(Equal(drainTime.Milliseconds()))
+		It("is reported as draining until the drain time is over, so that longer runs are moved", func() {
+			Expect(compose().Draining).To(BeTrue())
+			Expect(compose().DepartureMs).To(Equal(drainTime.Milliseconds()))
 		})
 
-		It("is sent no start", func() { Expect(startIsDue()).To(BeFalse()) })
+		It("gets no start", func() { Expect(isStartDue()).To(BeFalse()) })
 
-		It("isn't taken for over because it leaves calls unanswered: it may serve on for many seconds", func() {
+		It("does not count as gone if it leaves calls unanswered, as it may keep serving for many seconds", func() {
 			fakeClock.Advance(10 * time.Second)
-			holdFails()
-			Expect(told().Executor).To(Equal("i-1"))
-			Expect(told().Gone).To(BeEmpty())
+			failHold()
+			Expect(compose().Executor).To(Equal("i-1"))
+			Expect(compose().Gone).To(BeEmpty())
 		})
 
-		It("is over once another answers in its place", func() {
+		It("counts as gone once another incarnation answers", func() {
 			heartbeat("i-2", "ready", 1)
 			work, _ := table.NextHold(false)
 			table.HandleHold(work, executorapi.Answer{ClockMs: 1000})
-			Expect(told().Gone).To(ContainElement("i-1"))
+			Expect(compose().Gone).To(ContainElement("i-1"))
 		})
 
-		It("isn't called back by a beat that comes late, nor by a second farewell", func() {
+		It("stays deregistered after a late heartbeat and after a second deregistration", func() {
 			fakeClock.Advance(time.Second)
 			Expect(heartbeat("i-1", "ready", 2)).To(Equal(200))
 			table.Deregister("i-1")
-			Expect(told().Draining).To(BeTrue())
-			Expect(told().DepartureMs).To(Equal((drainTime - time.Second).Milliseconds()))
-			Expect(startIsDue()).To(BeFalse())
+			Expect(compose().Draining).To(BeTrue())
+			Expect(compose().DepartureMs).To(Equal((drainTime - time.Second).Milliseconds()))
+			Expect(isStartDue()).To(BeFalse())
 		})
 	})
 
-	It("is over soon after its farewell if it had announced it and answers no more", func() {
+	It("counts as gone soon after its deregistration if it was draining and no longer answers", func() {
 		heartbeat("i-1", "draining", 1)
 		table.Deregister("i-1")
 		fakeClock.Advance(4 * time.Second)
-		holdFails()
-		_, hasLife := table.Compose(0)
-		Expect(hasLife).To(BeFalse())
+		failHold()
+		_, hasExecutor := table.Compose(0)
+		Expect(hasExecutor).To(BeFalse())
 		Expect(heartbeat("i-1", "ready", 9)).To(Equal(409))
 	})
 
-	It("isn't ready again by an older beat that comes late", func() {
+	It("keeps draining after a late heartbeat and after a later one that says ready", func() {
 		Expect(heartbeat("i-1", "draining", 6)).To(Equal(200))
 		Expect(heartbeat("i-1", "ready", 4)).To(Equal(409))
-		Expect(told().Draining).To(BeTrue())
+		Expect(compose().Draining).To(BeTrue())
 		Expect(heartbeat("i-1", "ready", 7)).To(Equal(200))
-		Expect(told().Draining).To(BeTrue())
+		Expect(compose().Draining).To(BeTrue())
 	})
 
-	It("has left also where a late beat of the one before it came between", func() {
+	It("stays deregistered if a late heartbeat of another incarnation arrived before", func() {
 		heartbeat("i-1", "ready", 1)
 		heartbeat("i-0", "ready", 8)
 		table.Deregister("i-1")
 		hold, _ := table.NextHold(false)
 		table.HandleHoldFailure(hold, true)
-		Expect(told().Executor).To(Equal("i-1"))
-		Expect(startIsDue()).To(BeFalse())
+		Expect(compose().Executor).To(Equal("i-1"))
+		Expect(isStartDue()).To(BeFalse())
 	})
 
-	It("has left also where its farewell came first and a beat of before comes late", func() {
+	It("counts as deregistered if the deregistration arrives before its first heartbeat", func() {
 		table.Deregister("i-1")
 		Expect(heartbeat("i-1", "ready", 3)).To(Equal(200))
-		Expect(told().Draining).To(BeTrue())
-		Expect(startIsDue()).To(BeFalse())
+		Expect(compose().Draining).To(BeTrue())
+		Expect(isStartDue()).To(BeFalse())
 	})
 })
