--- a/internal/node/localproxy/holds.go
+++ b/internal/node/localproxy/holds.go
@@ -67,8 +67,8 @@
 	return holdWaitMs
 }
 
-// HoldLimit returns the timeout of a hold.
-func HoldLimit(hold executorapi.Hold) time.Duration {
+// HoldTimeout returns the timeout of a hold.
+func HoldTimeout(hold executorapi.Hold) time.Duration {
 	return clock.Milliseconds(hold.WaitMs) + holdTimeoutMargin
 }
 
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -153,7 +153,7 @@
 }
 
 func (p *modelProxy) hold(work localproxy.HoldWork, done func(isWaiting bool)) {
-	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
+	p.ask(work.Executor, localproxy.HoldTimeout(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
 		isWaiting := reply.err == nil && reply.status == http.StatusOK
 		if isWaiting {
 			p.table.HandleHold(work, reply.answer)
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -120,7 +120,7 @@
 	if !isDue || p.incarnation != incarnation {
 		return
 	}
-	p.ask(work.Executor, localproxy.HoldLimit(work.Hold), func(answer func(int, executorapi.Answer)) { p.executor.Hold(work.Hold, answer) },
+	p.ask(work.Executor, localproxy.HoldTimeout(work.Hold), func(answer func(int, executorapi.Answer)) { p.executor.Hold(work.Hold, answer) },
 		func(status int, answer executorapi.Answer, isAnswered bool) {
 			if isAnswered && status == 200 {
 				p.table.HandleHold(work, answer)
