--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -28,7 +28,7 @@
 type Decision struct {
 	Refusal response.Reply
 	Call    *wire.ClientCall
-	Former  []string
+	OtherServices  []string
 	Limit   time.Duration
 }
 
@@ -57,14 +57,14 @@
 	id := strings.ToLower(request.URL.Path[len(route.PathPrefix):])
 	service := snapshot.Matcher.ServiceFor(route, id)
 	call := &wire.ClientCall{Key: wire.PoolKey(service), Route: route.Name, ID: id, Tenant: tenant, Version: snapshot.Committed.Version}
-	decision := Decision{Call: call, Former: snapshot.OtherServices(route.Name, service), Limit: limit}
+	decision := Decision{Call: call, OtherServices: snapshot.OtherServices(route.Name, service), Limit: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
 			return refuse(http.StatusMethodNotAllowed, "a queue is only asked for its count")
 		}
-		call.Verb, call.Key, decision.Former = wire.VerbCount, wire.PoolKey(route.Service), nil
+		call.Verb, call.Key, decision.OtherServices = wire.VerbCount, wire.PoolKey(route.Service), nil
 		if rollout := snapshot.Matcher.Rollout(route.Name); rollout != nil {
-			decision.Former = []string{rollout.To}
+			decision.OtherServices = []string{rollout.To}
 		}
 		return decision
 	}
@@ -186,12 +186,12 @@
 
 // count adds up how many jobs wait in the pools of all versions that run the queue's jobs.
 func (g *Gate) count(ctx context.Context, decision Decision, end time.Duration) response.Reply {
-	outcome := g.leaderClient.Ask(ctx, decision.Call, (end-g.clock.Monotonic())/time.Duration(1+len(decision.Former)))
-	if len(decision.Former) == 0 {
+	outcome := g.leaderClient.Ask(ctx, decision.Call, (end-g.clock.Monotonic())/time.Duration(1+len(decision.OtherServices)))
+	if len(decision.OtherServices) == 0 {
 		return ResponseOf(decision.Call, outcome)
 	}
 	outcomes := []leaderclient.Outcome{outcome}
-	for _, service := range decision.Former {
+	for _, service := range decision.OtherServices {
 		outcomes = append(outcomes, g.leaderClient.Ask(ctx, callToFormer(decision.Call, service, wire.VerbCount), end-g.clock.Monotonic()))
 	}
 	var total waitingCount
@@ -207,7 +207,7 @@
 
 // submit hands a job in, unless a pool that its queue was sent to before has it or does not answer.
 func (g *Gate) submit(ctx context.Context, decision Decision, end time.Duration) response.Reply {
-	for _, service := range decision.Former {
+	for _, service := range decision.OtherServices {
 		call, outcome := g.renounce(ctx, decision.Call, service, end)
 		switch {
 		case outcome.Answer == nil:
@@ -237,7 +237,7 @@
 // names where to; it may have done so after that pool was asked, so that one is asked once more.
 func (g *Gate) findJob(ctx context.Context, decision Decision, end time.Duration) response.Reply {
 	calls := []*wire.ClientCall{decision.Call}
-	for _, service := range decision.Former {
+	for _, service := range decision.OtherServices {
 		calls = append(calls, callToFormer(decision.Call, service, decision.Call.Verb))
 	}
 	var gone, unanswered response.Reply
--- a/internal/simulation/modelcheck/rolloutmodel/gate.go
+++ b/internal/simulation/modelcheck/rolloutmodel/gate.go
@@ -48,10 +48,10 @@
 	done := func(status int) { answer(status, snapshot.Committed.Version) }
 	deadline := g.cluster.queue.Now() + gateLimit
 	if asked.method == http.MethodPost {
-		g.submit(decision.Call, decision.Former, deadline, done)
+		g.submit(decision.Call, decision.OtherServices, deadline, done)
 		return
 	}
-	g.find(decision.Call, append([]string{decision.Call.Key[len(wire.PoolPrefix):]}, decision.Former...), deadline, findState{}, done)
+	g.find(decision.Call, append([]string{decision.Call.Key[len(wire.PoolPrefix):]}, decision.OtherServices...), deadline, findState{}, done)
 }
 
 // submit has all former pools renounce a job, and then gives it to the one that runs it now.
