--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -29,7 +29,7 @@
 	Refusal response.Reply
 	Call    *wire.ClientCall
 	OtherServices  []string
-	Limit   time.Duration
+	Timeout   time.Duration
 }
 
 func refuse(status int, why string) Decision { return Decision{Refusal: response.Text(status, why)} }
@@ -57,7 +57,7 @@
 	id := strings.ToLower(request.URL.Path[len(route.PathPrefix):])
 	service := snapshot.Matcher.ServiceFor(route, id)
 	call := &wire.ClientCall{Key: wire.PoolKey(service), Route: route.Name, ID: id, Tenant: tenant, Version: snapshot.Committed.Version}
-	decision := Decision{Call: call, OtherServices: snapshot.OtherServices(route.Name, service), Limit: limit}
+	decision := Decision{Call: call, OtherServices: snapshot.OtherServices(route.Name, service), Timeout: limit}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
 			return refuse(http.StatusMethodNotAllowed, "a queue is only asked for its count")
@@ -163,13 +163,13 @@
 	if decision.Call.Tenant != "" && !g.areKeysFresh() {
 		return verbRefused, response.Later(http.StatusServiceUnavailable, 1, "this node can't be sure of the keys")
 	}
-	decision.Limit -= g.clock.Monotonic() - began
+	decision.Timeout -= g.clock.Monotonic() - began
 	return decision.Call.Verb, g.ask(request.Context(), decision)
 }
 
 // ask spends the time of the decision on all pools that it has to ask.
 func (g *Gate) ask(ctx context.Context, decision Decision) response.Reply {
-	end := g.clock.Monotonic() + decision.Limit
+	end := g.clock.Monotonic() + decision.Timeout
 	switch decision.Call.Verb {
 	case wire.VerbSubmit:
 		return g.submit(ctx, decision, end)
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -51,7 +51,7 @@
 	It("goes by the time that the client has left", func() {
 		one := request("GET", "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "700")
-		Expect(clientapi.Decide(page(), one, nil).Limit).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
+		Expect(clientapi.Decide(page(), one, nil).Timeout).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
 	})
 
 	DescribeTable("refuses at once", func(method, path, text string, status int) {
--- a/internal/gate/servingapi/lots.go
+++ b/internal/gate/servingapi/lots.go
@@ -38,7 +38,7 @@
 	if !isKnown {
 		return refuse(response.Unauthorized("lots need the key of a tenant, and the key is none"))
 	}
-	return Decision{Kind: kind, Tenant: tenant, Limit: lotCallLimit}
+	return Decision{Kind: kind, Tenant: tenant, Timeout: lotCallLimit}
 }
 
 // lotKindOf tells what is asked about a lot by path and method; the refusal says why that can't be.
@@ -73,9 +73,9 @@
 	if refusal.Status != 0 {
 		return refusal
 	}
-	ctx, cancel := contextFor(request, decision.Limit)
+	ctx, cancel := contextFor(request, decision.Timeout)
 	defer cancel()
-	return replyOf(call, g.leaderClient.Ask(ctx, call, decision.Limit))
+	return replyOf(call, g.leaderClient.Ask(ctx, call, decision.Timeout))
 }
 
 // callOf makes the call to the leader.
--- a/internal/gate/servingapi/servingapi.go
+++ b/internal/gate/servingapi/servingapi.go
@@ -46,8 +46,8 @@
 	Refusal response.Reply
 	Route   *configuration.Route
 	Tenant  string
-	// Limit is how long the answer may take.
-	Limit time.Duration
+	// Timeout is how long the answer may take.
+	Timeout time.Duration
 }
 
 func refuse(reply response.Reply) Decision { return Decision{Kind: kindRefused, Refusal: reply} }
@@ -73,7 +73,7 @@
 		return refuse(response.Text(http.StatusBadRequest, "header X-Time-Remaining is no count of milliseconds"))
 	}
 	if route.Type != configuration.RouteBatch {
-		return Decision{Kind: kindForward, Route: route, Tenant: tenant, Limit: limit}
+		return Decision{Kind: kindForward, Route: route, Tenant: tenant, Timeout: limit}
 	}
 	if request.Method != http.MethodPost {
 		return refuse(response.Text(http.StatusMethodNotAllowed, "a lot is handed in by POST"))
@@ -81,7 +81,7 @@
 	if request.Header.Get(headers.RequestID) == "" {
 		return refuse(response.Text(http.StatusBadRequest, "header X-Request-Id is missing; it is the lot's ID"))
 	}
-	return Decision{Kind: kindSubmitLot, Route: route, Tenant: tenant, Limit: limit}
+	return Decision{Kind: kindSubmitLot, Route: route, Tenant: tenant, Timeout: limit}
 }
 
 // Gate obeys decisions.
@@ -129,7 +129,7 @@
 		// The configuration may have changed while the body came.
 		decision = g.decide(request)
 	}
-	decision.Limit -= g.clock.Monotonic() - began
+	decision.Timeout -= g.clock.Monotonic() - began
 	requests.With(string(decision.Kind)).Inc()
 	if decision.Kind == kindForward {
 		g.forward(request, to, decision, body)
@@ -150,7 +150,7 @@
 	g.forwarder.Serve(request.Context(), to, &forwarding.Request{Service: route.ServiceFor(id), Affinity: affinityOf(request.Header),
 		Method: request.Method, Path: request.URL.RequestURI(), Host: request.Host, Header: request.Header, Body: body, Tenant: decision.Tenant,
 		MaxAttempts: max(1, route.MaxAttempts), IsIdempotent: route.Type == configuration.RouteIdempotent, IsResumable: route.IsResumable,
-		TimeRemaining: decision.Limit})
+		TimeRemaining: decision.Timeout})
 }
 
 // affinityOf gives the IDs of the parts of a prompt that are shared, all but the last; a prompt of one part has that one.
--- a/internal/gate/servingapi/servingapi_test.go
+++ b/internal/gate/servingapi/servingapi_test.go
@@ -99,8 +99,8 @@
 
 	It("takes the shorter of the client's time and the route's", func() {
 		made := request("POST", "/o/1", "X-Time-Remaining", "700")
-		Expect(servingapi.Decide(snapshot(), made).Limit).To(Equal(700 * time.Millisecond))
+		Expect(servingapi.Decide(snapshot(), made).Timeout).To(Equal(700 * time.Millisecond))
 		made.Header.Set("X-Time-Remaining", "70000")
-		Expect(servingapi.Decide(snapshot(), made).Limit).To(Equal(2 * time.Second))
+		Expect(servingapi.Decide(snapshot(), made).Timeout).To(Equal(2 * time.Second))
 	})
 })
