--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -80,7 +80,7 @@
 	if !snapshot.Matcher.NeedsKey(route) {
 		return "", true
 	}
-	key := headerrules.Key(request.Header)
+	key := headerrules.BearerKey(request.Header)
 	if key == "" {
 		return "", false
 	}
--- a/internal/gate/forwarding/offer.go
+++ b/internal/gate/forwarding/offer.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	headerrules.Forward(request.Header, call.Header)
+	headerrules.CopyToExecutor(request.Header, call.Header)
 	call.Host = request.Host
 	call.Header.Set(headers.ExpectedExecutor, executor.ID)
 	call.Header.Set(headers.TimeRemaining, strconv.FormatInt(max(1, (deadline-f.clock.Monotonic()).Milliseconds()), 10))
--- a/internal/gate/forwarding/relay.go
+++ b/internal/gate/forwarding/relay.go
@@ -53,7 +53,7 @@
 
 // begin writes the head of the answer.
 func (r *relay) begin(answer *http.Response, isStream bool) {
-	headerrules.Return(answer.Header, r.to.Header())
+	headerrules.CopyToClient(answer.Header, r.to.Header())
 	r.to.WriteHeader(answer.StatusCode)
 	r.hasBegun, r.isStream = true, isStream
 }
--- a/internal/gate/headerrules/headerrules.go
+++ b/internal/gate/headerrules/headerrules.go
@@ -50,8 +50,8 @@
 // bearerScheme begins the header that bears a client's key; its case doesn't matter.
 const bearerScheme = "Bearer "
 
-// Key gives the key that a client bears, empty if it bears none.
-func Key(from http.Header) string {
+// BearerKey gives the key that a client bears, empty if it bears none.
+func BearerKey(from http.Header) string {
 	text := from.Get(headers.Authorization)
 	if len(text) <= len(bearerScheme) || !strings.EqualFold(text[:len(bearerScheme)], bearerScheme) {
 		return ""
@@ -79,13 +79,13 @@
 // unforwarded are headers of a client that an executor is not shown: the key, and what this system tells executors itself.
 var unforwarded = []string{headers.Authorization, headers.Tenant, headers.ExpectedExecutor, "Content-Length", "Host"}
 
-// Forward copies the headers of a client's request that an executor gets.
-func Forward(from, to http.Header) {
+// CopyToExecutor copies the headers of a client's request that an executor gets.
+func CopyToExecutor(from, to http.Header) {
 	copyBut(from, to, append(namedIn(from), unforwarded...))
 }
 
-// Return copies the headers of an executor's answer that a client gets.
-func Return(from, to http.Header) { copyBut(from, to, namedIn(from)) }
+// CopyToClient copies the headers of an executor's answer that a client gets.
+func CopyToClient(from, to http.Header) { copyBut(from, to, namedIn(from)) }
 
 // namedIn are the headers that concern one connection, with those that the header Connection names.
 func namedIn(headers http.Header) []string {
--- a/internal/gate/servingapi/lots.go
+++ b/internal/gate/servingapi/lots.go
@@ -61,7 +61,7 @@
 // tenantOfLotCall gives the tenant whose key a call about a lot bears, empty where it bears none and needs none; isKnown is false if it
 // needs one and has none.
 func tenantOfLotCall(snapshot *configcache.Snapshot, request *http.Request) (name string, isKnown bool) {
-	if tenant := snapshot.Matcher.TenantOfKey(headerrules.Key(request.Header)); tenant != nil {
+	if tenant := snapshot.Matcher.TenantOfKey(headerrules.BearerKey(request.Header)); tenant != nil {
 		return tenant.Name, true
 	}
 	return "", !snapshot.Matcher.NeedsKeyForLots(request.Host)
