--- a/internal/gate/balancer/balancer.go
+++ b/internal/gate/balancer/balancer.go
@@ -46,51 +46,51 @@
 	heardAt atomic.Int64
 }
 
-// Begin counts a request that goes to the executor; End ends it.
-func (e *Executor) Begin(now time.Duration) {
+// RecordStart counts a request that goes to the executor; End ends it.
+func (e *Executor) RecordStart(now time.Duration) {
 	if e.inFlight.Add(1) == 1 {
-		e.Heard(now)
+		e.RecordActivity(now)
 	}
 }
 
-// End counts a request that is over.
-func (e *Executor) End() { e.inFlight.Add(-1) }
+// RecordEnd counts a request that is over.
+func (e *Executor) RecordEnd() { e.inFlight.Add(-1) }
 
-// Heard notes that the executor has answered something.
-func (e *Executor) Heard(now time.Duration) { e.heardAt.Store(int64(now)) }
+// RecordActivity notes that the executor has answered something.
+func (e *Executor) RecordActivity(now time.Duration) { e.heardAt.Store(int64(now)) }
 
 // isSilent tells whether the executor has requests of this process and has answered nothing for some time.
 func (e *Executor) isSilent(now time.Duration) bool {
 	return e.inFlight.Load() > 0 && now-time.Duration(e.heardAt.Load()) > silentAfter
 }
 
-// TimedOut notes a request whose time was over before the executor had answered anything to it. If it answered nothing to others either,
+// RecordTimeout notes a request whose time was over before the executor had answered anything to it. If it answered nothing to others either,
 // it is left out as one that fails.
-func (e *Executor) TimedOut(now time.Duration) {
+func (e *Executor) RecordTimeout(now time.Duration) {
 	if now-time.Duration(e.heardAt.Load()) > silentAfter {
 		e.eject(now + ejectionTime)
 	}
 }
 
-// Report takes what the executor told of its load.
-func (e *Executor) Report(running, waiting int64, now time.Duration) {
+// RecordLoad takes what the executor told of its load.
+func (e *Executor) RecordLoad(running, waiting int64, now time.Duration) {
 	e.reported.Store(running + waiting)
 	e.reportedAt.Store(int64(now))
 }
 
-// Succeeded notes an answer.
-func (e *Executor) Succeeded() { e.failures.Store(0) }
+// RecordSuccess notes an answer.
+func (e *Executor) RecordSuccess() { e.failures.Store(0) }
 
-// Failed notes an answer that shows that the executor is unwell. After the pause that several of them bring, one more brings another.
-func (e *Executor) Failed(now time.Duration) {
+// RecordFailure notes an answer that shows that the executor is unwell. After the pause that several of them bring, one more brings another.
+func (e *Executor) RecordFailure(now time.Duration) {
 	if e.failures.Add(1) >= failuresToEject {
 		e.eject(now + ejectionTime)
 		e.failures.Store(failuresToEject - 1)
 	}
 }
 
-// Unreachable notes a call without a whole answer.
-func (e *Executor) Unreachable(now time.Duration) {
+// RecordUnreachable notes a call without a whole answer.
+func (e *Executor) RecordUnreachable(now time.Duration) {
 	e.failures.Add(1)
 	e.eject(now + unreachableTime)
 }
--- a/internal/gate/forwarding/offer.go
+++ b/internal/gate/forwarding/offer.go
@@ -33,29 +33,29 @@
 	if err != nil {
 		return offerNotRun
 	}
-	executor.Begin(f.clock.Monotonic())
-	defer executor.End()
+	executor.RecordStart(f.clock.Monotonic())
+	defer executor.RecordEnd()
 	answer, err := f.client.Do(call)
 	now := f.clock.Monotonic()
 	if err == nil {
-		executor.Heard(now)
+		executor.RecordActivity(now)
 	}
 	switch {
 	case err != nil && peerapi.NeverSent(err):
-		executor.Unreachable(now)
+		executor.RecordUnreachable(now)
 		return offerNotRun
 	case err != nil && ctx.Err() == nil:
-		executor.Unreachable(now)
+		executor.RecordUnreachable(now)
 		return offerUnknown
 	case err != nil:
 		if now >= deadline {
-			executor.TimedOut(now)
+			executor.RecordTimeout(now)
 		}
 		return offerUnknown
 	}
 	defer answer.Body.Close()
 	if running, waiting, isTold := loadOf(answer.Header); isTold {
-		executor.Report(running, waiting, now)
+		executor.RecordLoad(running, waiting, now)
 	}
 	switch {
 	case answer.Header.Get(headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest:
@@ -63,19 +63,19 @@
 		io.CopyN(io.Discard, answer.Body, maxRefusalBody)
 		return offerNotRun
 	case answer.Header.Get(headers.RequestID) != relay.request.Header.Get(headers.RequestID):
-		executor.Unreachable(now)
+		executor.RecordUnreachable(now)
 		return offerUnknown
 	}
-	if err := relay.pass(answer, func() { executor.Heard(f.clock.Monotonic()) }); err != nil {
+	if err := relay.pass(answer, func() { executor.RecordActivity(f.clock.Monotonic()) }); err != nil {
 		if ctx.Err() == nil {
-			executor.Unreachable(f.clock.Monotonic())
+			executor.RecordUnreachable(f.clock.Monotonic())
 		}
 		return offerUnknown
 	}
 	if answer.StatusCode == http.StatusInternalServerError {
-		executor.Failed(now)
+		executor.RecordFailure(now)
 	} else {
-		executor.Succeeded()
+		executor.RecordSuccess()
 	}
 	return offerAnswered
 }
