--- a/internal/gate/keyfreshness/keyfreshness.go
+++ b/internal/gate/keyfreshness/keyfreshness.go
@@ -31,8 +31,8 @@
 	Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) leaderclient.Outcome
 }
 
-// Watch confirms the configuration again and again. Any goroutine may ask IsFresh.
-type Watch struct {
+// Tracker confirms the configuration again and again. Any goroutine may ask IsFresh.
+type Tracker struct {
 	asker   Asker
 	clock   clock.Clock
 	timeout time.Duration
@@ -43,19 +43,19 @@
 }
 
 // New makes a watch of the version that held gives. A confirmation lasts for the timeout, from before it was asked for.
-func New(asker Asker, clock clock.Clock, timeout time.Duration, held func() int64) *Watch {
-	return &Watch{asker: asker, clock: clock, timeout: timeout, held: held}
+func New(asker Asker, clock clock.Clock, timeout time.Duration, held func() int64) *Tracker {
+	return &Tracker{asker: asker, clock: clock, timeout: timeout, held: held}
 }
 
 // IsFresh tells whether no key that the configuration holds was taken away longer ago than the timeout. All that was acknowledged to
 // the operator before a question was sent is in the leader's answer, so that what this gate can't know of is younger than the question.
-func (w *Watch) IsFresh() bool {
+func (w *Tracker) IsFresh() bool {
 	confirmedAt := w.confirmedAt.Load()
 	return confirmedAt > 0 && w.clock.Monotonic()-time.Duration(confirmedAt-1) < w.timeout-answerMargin
 }
 
 // Run confirms the version until ctx is done.
-func (w *Watch) Run(ctx context.Context) error {
+func (w *Tracker) Run(ctx context.Context) error {
 	for {
 		w.confirm(ctx)
 		select {
@@ -67,7 +67,7 @@
 }
 
 // confirm asks once. A leader that has a newer version confirms nothing: that has to be fetched first.
-func (w *Watch) confirm(ctx context.Context) {
+func (w *Tracker) confirm(ctx context.Context) {
 	askedAt := w.clock.Monotonic()
 	outcome := w.asker.Ask(ctx, &wire.ClientCall{Key: configurationKey, Verb: wire.VerbVersion}, w.timeout/asksPerTimeout)
 	if outcome.Answer == nil || outcome.Answer.Status != http.StatusOK {
