--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -1,4 +1,5 @@
-// Package clientapi serves clients: Decide finds the route of a request, and the gate asks the leader of its pool.
+// Package clientapi serves clients' requests about jobs. Decide finds the route of a request, and the gate calls the leader of the
+// route's pool.
 package clientapi
 
 import (
@@ -20,21 +21,29 @@
 )
 
 const (
+	// defaultMaxBody is the size limit of a body if the configuration sets none, in bytes.
 	defaultMaxBody = 1 << 20
-	answerGap      = 25 * time.Millisecond
+	// answerMargin is the part of the client's remaining time that is kept for writing the answer.
+	answerMargin = 25 * time.Millisecond
 )
 
-// Decision is what should become of a call: refused at once, or asked of a key's leader.
+// Decision is the result of Decide for a request: a refusal, or a call to the leader of a pool.
 type Decision struct {
+	// Refusal is the answer if Call is nil.
 	Refusal response.Reply
 	Call    *wire.ClientCall
-	OtherServices  []string
-	Timeout   time.Duration
+	// OtherServices are the further services whose pools may have the job: former ones of the queue, and those of a rollout.
+	OtherServices []string
+	// Timeout is how long the calls may take in total.
+	Timeout time.Duration
 }
 
-func refuse(status int, why string) Decision { return Decision{Refusal: response.Text(status, why)} }
+func refuse(status int, reason string) Decision {
+	return Decision{Refusal: response.Text(status, reason)}
+}
 
-// Decide is asked about every call; it does no work of its own.
+// Decide returns what to do with a request. It makes no calls and changes nothing. A nil snapshot means that there is no
+// configuration yet.
 func Decide(snapshot *configcache.Snapshot, request *http.Request, body []byte) Decision {
 	if snapshot == nil {
 		return Decision{Refusal: response.Later(http.StatusServiceUnavailable, 1, "there is no plan yet")}
@@ -47,17 +56,17 @@
 	if !isKnown {
 		return Decision{Refusal: response.Unauthorized("the queue needs the key of a tenant, and the key is none")}
 	}
-	limit, isSane := headerrules.TimeLeft(request.Header, time.Duration(route.TimeoutMs)*time.Millisecond)
-	if !isSane {
+	timeout, isValid := headerrules.TimeLeft(request.Header, time.Duration(route.TimeoutMs)*time.Millisecond)
+	if !isValid {
 		return refuse(http.StatusBadRequest, "header X-Time-Remaining is no count of milliseconds")
 	}
-	if limit > 4*answerGap {
-		limit -= answerGap
+	if timeout > 4*answerMargin {
+		timeout -= answerMargin
 	}
 	id := strings.ToLower(request.URL.Path[len(route.PathPrefix):])
 	service := snapshot.Matcher.ServiceFor(route, id)
 	call := &wire.ClientCall{Key: wire.PoolKey(service), Route: route.Name, ID: id, Tenant: tenant, Version: snapshot.Committed.Version}
-	decision := Decision{Call: call, OtherServices: snapshot.OtherServices(route.Name, service), Timeout: limit}
+	decision := Decision{Call: call, OtherServices: snapshot.OtherServices(route.Name, service), Timeout: timeout}
 	if call.ID == "" {
 		if request.Method != http.MethodGet {
 			return refuse(http.StatusMethodNotAllowed, "a queue is only asked for its count")
@@ -74,8 +83,8 @@
 	return decideJob(decision, route, request, body)
 }
 
-// TenantOf gives the name of the tenant whose key a request bears, empty where it needs none; isKnown is false if it bears no key of
-// the configuration and needs one.
+// TenantOf returns the name of the tenant whose key a request carries, or an empty name if the route needs no key. isKnown is false if
+// the route needs a key and the request carries none of the configuration's.
 func TenantOf(snapshot *configcache.Snapshot, route *configuration.Route, request *http.Request) (name string, isKnown bool) {
 	if !snapshot.Matcher.NeedsKey(route) {
 		return "", true
@@ -91,7 +100,7 @@
 	return tenant.Name, true
 }
 
-// decideJob decides a request for a job by its method: to submit, ask for or cancel it.
+// decideJob completes the decision for a request about a job: POST submits it, GET reads its state and DELETE cancels it.
 func decideJob(decision Decision, route *configuration.Route, request *http.Request, body []byte) Decision {
 	call := decision.Call
 	switch request.Method {
@@ -111,24 +120,25 @@
 	return decision
 }
 
-// Gate obeys decisions.
+// Gate is the HTTP handler of clients' requests. It carries out the decisions of Decide.
 type Gate struct {
 	snapshot     func() *configcache.Snapshot
 	leaderClient *leaderclient.Client
 	clock        clock.Clock
-	// areKeysFresh tells whether the keys of the configuration may be trusted now.
+	// areKeysFresh reports whether the API keys in the current configuration can be trusted now.
 	areKeysFresh func() bool
 }
 
-// Option changes how a gate is made.
+// Option configures a gate.
 type Option func(*Gate)
 
-// WithKeyFreshness has the gate refuse calls that need a key while the keys that it knows may have been taken away too long ago.
+// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false, as a key may have been revoked
+// without the gate knowing.
 func WithKeyFreshness(areKeysFresh func() bool) Option {
 	return func(g *Gate) { g.areKeysFresh = areKeysFresh }
 }
 
-// New makes a gate that decides by the newest configuration and asks the leaders of the pools.
+// New returns a gate that decides by the latest configuration and calls the leaders of the pools.
 func New(snapshot func() *configcache.Snapshot, leaderClient *leaderclient.Client, clock clock.Clock, options ...Option) *Gate {
 	gate := &Gate{snapshot: snapshot, leaderClient: leaderClient, clock: clock, areKeysFresh: func() bool { return true }}
 	for _, option := range options {
@@ -137,20 +147,21 @@
 	return gate
 }
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP answers a client's request and counts it by verb and status.
 func (g *Gate) ServeHTTP(to http.ResponseWriter, request *http.Request) {
-	began := g.clock.Monotonic()
-	verb, answer := g.answer(to, request, began)
+	startedAt := g.clock.Monotonic()
+	verb, answer := g.answer(to, request, startedAt)
 	answer.Write(to)
 	calls.With(string(verb), strconv.Itoa(answer.Status)).Inc()
-	callSeconds.With(string(verb)).Observe(g.clock.Monotonic() - began)
+	callSeconds.With(string(verb)).Observe(g.clock.Monotonic() - startedAt)
 }
 
-// verbRefused is the verb under which requests are counted that ask no pool.
+// verbRefused is the verb in the metrics for requests that are refused without a call to a pool.
 const verbRefused wire.Verb = "refused"
 
-// answer reads the request and asks for its answer; the time that the client has left counts from when it began.
-func (g *Gate) answer(to http.ResponseWriter, request *http.Request, began time.Duration) (wire.Verb, response.Reply) {
+// answer reads the request and returns its verb and answer. The client's remaining time counts from startedAt, before the body was
+// read.
+func (g *Gate) answer(to http.ResponseWriter, request *http.Request, startedAt time.Duration) (wire.Verb, response.Reply) {
 	body, refusal := ReadBody(g.snapshot(), request, defaultMaxBody)
 	headerrules.Echo(request.Header, to.Header())
 	if refusal.Status != 0 {
@@ -163,36 +174,36 @@
 	if decision.Call.Tenant != "" && !g.areKeysFresh() {
 		return verbRefused, response.Later(http.StatusServiceUnavailable, 1, "this node can't be sure of the keys")
 	}
-	decision.Timeout -= g.clock.Monotonic() - began
+	decision.Timeout -= g.clock.Monotonic() - startedAt
 	return decision.Call.Verb, g.ask(request.Context(), decision)
 }
 
-// ask spends the time of the decision on all pools that it has to ask.
+// ask calls the pools of a decision. All calls together take no longer than the timeout of the decision.
 func (g *Gate) ask(ctx context.Context, decision Decision) response.Reply {
-	end := g.clock.Monotonic() + decision.Timeout
+	deadline := g.clock.Monotonic() + decision.Timeout
 	switch decision.Call.Verb {
 	case wire.VerbSubmit:
-		return g.submit(ctx, decision, end)
+		return g.submit(ctx, decision, deadline)
 	case wire.VerbCount:
-		return g.count(ctx, decision, end)
+		return g.count(ctx, decision, deadline)
 	}
-	return g.findJob(ctx, decision, end)
+	return g.findJob(ctx, decision, deadline)
 }
 
-// waitingCount is the answer to a question how many jobs wait in a queue.
+// waitingCount is the body of the answer with the number of waiting jobs of a queue.
 type waitingCount struct {
 	Count int64 `json:"waiting-count"`
 }
 
-// count adds up how many jobs wait in the pools of all versions that run the queue's jobs.
-func (g *Gate) count(ctx context.Context, decision Decision, end time.Duration) response.Reply {
-	outcome := g.leaderClient.Ask(ctx, decision.Call, (end-g.clock.Monotonic())/time.Duration(1+len(decision.OtherServices)))
+// count adds up the waiting jobs in the pools of all versions that run the queue's jobs.
+func (g *Gate) count(ctx context.Context, decision Decision, deadline time.Duration) response.Reply {
+	outcome := g.leaderClient.Ask(ctx, decision.Call, (deadline-g.clock.Monotonic())/time.Duration(1+len(decision.OtherServices)))
 	if len(decision.OtherServices) == 0 {
 		return ResponseOf(decision.Call, outcome)
 	}
 	outcomes := []leaderclient.Outcome{outcome}
 	for _, service := range decision.OtherServices {
-		outcomes = append(outcomes, g.leaderClient.Ask(ctx, callToFormer(decision.Call, service, wire.VerbCount), end-g.clock.Monotonic()))
+		outcomes = append(outcomes, g.leaderClient.Ask(ctx, callToPool(decision.Call, service, wire.VerbCount), deadline-g.clock.Monotonic()))
 	}
 	var total waitingCount
 	for _, outcome := range outcomes {
@@ -205,10 +216,10 @@
 	return response.Raw(http.StatusOK, []byte(`{"waiting-count":`+strconv.FormatInt(total.Count, 10)+`}`))
 }
 
-// submit hands a job in, unless a pool that its queue was sent to before has it or does not answer.
-func (g *Gate) submit(ctx context.Context, decision Decision, end time.Duration) response.Reply {
+// submit submits a job, unless another pool of its queue already has it or does not answer.
+func (g *Gate) submit(ctx context.Context, decision Decision, deadline time.Duration) response.Reply {
 	for _, service := range decision.OtherServices {
-		call, outcome := g.renounce(ctx, decision.Call, service, end)
+		call, outcome := g.renounce(ctx, decision.Call, service, deadline)
 		switch {
 		case outcome.Answer == nil:
 			return response.Later(http.StatusServiceUnavailable, 1, "the queue's former owner does not answer")
@@ -216,38 +227,38 @@
 			return ResponseOf(call, outcome)
 		}
 	}
-	outcome := g.leaderClient.Ask(ctx, decision.Call, end-g.clock.Monotonic())
+	outcome := g.leaderClient.Ask(ctx, decision.Call, deadline-g.clock.Monotonic())
 	return ResponseOf(decision.Call, outcome)
 }
 
-// renounce has a former pool of a queue promise not to take the job itself, as an earlier attempt may still be on its way
-// there. A leader of an older version can only be asked whether it has the job.
-func (g *Gate) renounce(ctx context.Context, submission *wire.ClientCall, service string, end time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
-	call := callToFormer(submission, service, wire.VerbRenounce)
-	outcome := g.leaderClient.Ask(ctx, call, (end-g.clock.Monotonic())/2)
+// renounce has another pool of the queue promise not to accept the job, as an earlier attempt of the submission may still be on its
+// way there. A leader of an older software version does not support this and is only asked whether it has the job.
+func (g *Gate) renounce(ctx context.Context, submission *wire.ClientCall, service string, deadline time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
+	call := callToPool(submission, service, wire.VerbRenounce)
+	outcome := g.leaderClient.Ask(ctx, call, (deadline-g.clock.Monotonic())/2)
 	if outcome.Answer != nil && outcome.Answer.Status == http.StatusBadRequest {
-		call = callToFormer(submission, service, wire.VerbState)
-		outcome = g.leaderClient.Ask(ctx, call, (end-g.clock.Monotonic())/2)
+		call = callToPool(submission, service, wire.VerbState)
+		outcome = g.leaderClient.Ask(ctx, call, (deadline-g.clock.Monotonic())/2)
 	}
 	return call, outcome
 }
 
-// findJob asks the pool of the queue for a job, and then those that the queue was sent to before or that run another version. A pool
-// that does not answer leaves the jobs of the others alone; only a job that no pool knows is gone. A pool that has transferred the job
-// names where to; it may have done so after that pool was asked, so that one is asked once more.
-func (g *Gate) findJob(ctx context.Context, decision Decision, end time.Duration) response.Reply {
+// findJob asks the pool of the queue for a job, then the pools of the other services. A pool that does not answer does not hide a job
+// of the others. A job is gone only if every pool answers that it does not have it. A pool that has transferred the job names the
+// target; the transfer may have happened after the target was asked, so the target is asked once more.
+func (g *Gate) findJob(ctx context.Context, decision Decision, deadline time.Duration) response.Reply {
 	calls := []*wire.ClientCall{decision.Call}
 	for _, service := range decision.OtherServices {
-		calls = append(calls, callToFormer(decision.Call, service, decision.Call.Verb))
+		calls = append(calls, callToPool(decision.Call, service, decision.Call.Verb))
 	}
 	var gone, unanswered response.Reply
 	hasMoved := false
 	for index := 0; index < len(calls); index++ {
-		call, limit := calls[index], end-g.clock.Monotonic()
+		call, timeout := calls[index], deadline-g.clock.Monotonic()
 		if isLast := index == len(calls)-1; !isLast {
-			limit /= 2
+			timeout /= 2
 		}
-		outcome := g.leaderClient.Ask(ctx, call, limit)
+		outcome := g.leaderClient.Ask(ctx, call, timeout)
 		switch {
 		case outcome.Answer == nil:
 			unanswered = ResponseOf(call, outcome)
@@ -255,7 +266,7 @@
 			return ResponseOf(call, outcome)
 		case outcome.Answer.MovedTo != "" && !hasMoved:
 			hasMoved = true
-			calls = append(calls, callToFormer(decision.Call, outcome.Answer.MovedTo, decision.Call.Verb))
+			calls = append(calls, callToPool(decision.Call, outcome.Answer.MovedTo, decision.Call.Verb))
 		default:
 			gone = ResponseOf(call, outcome)
 		}
@@ -269,14 +280,15 @@
 	return gone
 }
 
-// callToFormer asks something about the job of a call of a pool that the queue was sent to before.
-func callToFormer(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
-	former := *call
-	former.Key, former.Verb, former.Body, former.Terms = wire.PoolKey(service), verb, nil, nil
-	return &former
+// callToPool returns a call about the same job to the pool of another service, without the job's body.
+func callToPool(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
+	other := *call
+	other.Key, other.Verb, other.Body, other.Terms = wire.PoolKey(service), verb, nil, nil
+	return &other
 }
 
-// ResponseOf is the answer to a client. A submission is only refused if no steward can have taken it.
+// ResponseOf returns the answer to a client. A submission is refused only if no steward can have accepted it; otherwise the answer
+// says that the outcome is unknown.
 func ResponseOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
