--- a/internal/gate/clientapi/clientapi_suite_test.go
+++ b/internal/gate/clientapi/clientapi_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestGatecalls(t *testing.T) {
+func TestClientAPI(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "clientapi")
 }
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -21,12 +21,13 @@
 	"gannetline/internal/platform/metrics"
 )
 
-const body = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s","priority":2,"max-attempts":4}],"service-list":[{"name":"s"}]}`
+// configurationText is a configuration with one queue.
+const configurationText = `{"config-version":7,"route-list":[{"name":"a","host":"h.example","path-prefix":"/q/","timeout-ms":3000,"service":"s","priority":2,"max-attempts":4}],"service-list":[{"name":"s"}]}`
 
-func page() *configcache.Snapshot {
-	plan, err := configuration.Read([]byte(body))
+func testSnapshot() *configcache.Snapshot {
+	decoded, err := configuration.Read([]byte(configurationText))
 	Expect(err).NotTo(HaveOccurred())
-	return &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
+	return &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(decoded)}
 }
 
 func request(method, path string) *http.Request {
@@ -37,44 +38,44 @@
 
 const id = "5c0e7a21d94b36f8"
 
-var _ = Describe("the decision about a client's call", func() {
-	It("asks the leader of the entry's pool", func() {
-		decision := clientapi.Decide(page(), request("POST", "/q/"+id), []byte(`{}`))
+var _ = Describe("a client's request", func() {
+	It("becomes a call to the leader of the route's pool", func() {
+		decision := clientapi.Decide(testSnapshot(), request("POST", "/q/"+id), []byte(`{}`))
 		Expect(decision.Call.Key).To(Equal("pool/s"))
 		Expect(decision.Call.Verb).To(Equal(wire.VerbSubmit))
 		Expect(decision.Call.Terms.MaxAttempts).To(Equal(4))
-		Expect(clientapi.Decide(page(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbState))
-		Expect(clientapi.Decide(page(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbCancel))
-		Expect(clientapi.Decide(page(), request("GET", "/q/"), nil).Call.Verb).To(Equal(wire.VerbCount))
+		Expect(clientapi.Decide(testSnapshot(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbState))
+		Expect(clientapi.Decide(testSnapshot(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbCancel))
+		Expect(clientapi.Decide(testSnapshot(), request("GET", "/q/"), nil).Call.Verb).To(Equal(wire.VerbCount))
 	})
 
-	It("goes by the time that the client has left", func() {
+	It("gets the client's remaining time as its timeout", func() {
 		one := request("GET", "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "700")
-		Expect(clientapi.Decide(page(), one, nil).Timeout).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
+		Expect(clientapi.Decide(testSnapshot(), one, nil).Timeout).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
 	})
 
-	DescribeTable("refuses at once", func(method, path, text string, status int) {
-		decision := clientapi.Decide(page(), request(method, path), []byte(text))
+	DescribeTable("is refused at once for", func(method, path, text string, status int) {
+		decision := clientapi.Decide(testSnapshot(), request(method, path), []byte(text))
 		Expect(decision.Call).To(BeNil())
 		Expect(decision.Refusal.Status).To(Equal(status))
 	},
 		Entry("an unknown queue", "GET", "/other/", "", 404),
-		Entry("an ID that is none", "GET", "/q/xyz", "", 400),
-		Entry("a body that is no JSON", "POST", "/q/"+id, "{", 400),
+		Entry("an invalid ID", "GET", "/q/xyz", "", 400),
+		Entry("a body that is not JSON", "POST", "/q/"+id, "{", 400),
 		Entry("a wrong method", "PUT", "/q/"+id, "", 405),
 		Entry("a wrong method on a queue", "POST", "/q/", "{}", 405),
 	)
 
-	It("asks for the key of a tenant, and passes the tenant's name on and never the key", func() {
-		text := strings.Replace(body, `"service-list"`, `"tenant-list":[{"name":"t","api-keys":["k1"]}],"service-list"`, 1)
-		plan, err := configuration.Read([]byte(text))
+	It("needs the key of a tenant, whose name but not the key is passed on", func() {
+		text := strings.Replace(configurationText, `"service-list"`, `"tenant-list":[{"name":"t","api-keys":["k1"]}],"service-list"`, 1)
+		decoded, err := configuration.Read([]byte(text))
 		Expect(err).NotTo(HaveOccurred())
-		snapshot := &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
+		withTenant := &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(decoded)}
 		decide := func(authorization string) clientapi.Decision {
 			one := request("POST", "/q/"+id)
 			one.Header.Set("Authorization", authorization)
-			return clientapi.Decide(snapshot, one, []byte(`{}`))
+			return clientapi.Decide(withTenant, one, []byte(`{}`))
 		}
 		for _, authorization := range []string{"", "Bearer", "Bearer ", "Bearer k2", "Basic k1", "k1"} {
 			refused := decide(authorization)
@@ -85,20 +86,20 @@
 		for _, authorization := range []string{"Bearer k1", "bearer k1"} {
 			Expect(decide(authorization).Call.Tenant).To(Equal("t"), authorization)
 		}
-		Expect(clientapi.Decide(page(), request("GET", "/q/"+id), nil).Call.Tenant).To(BeEmpty())
+		Expect(clientapi.Decide(testSnapshot(), request("GET", "/q/"+id), nil).Call.Tenant).To(BeEmpty())
 		unknown := request("GET", "/other/")
-		Expect(clientapi.Decide(snapshot, unknown, nil).Refusal.Status).To(Equal(404))
+		Expect(clientapi.Decide(withTenant, unknown, nil).Refusal.Status).To(Equal(404))
 	})
 
-	It("answers 503 to a call with a key while it can't be sure of the keys, and serves what needs none", func() {
-		text := strings.Replace(body, `"service-list"`, `"tenant-list":[{"name":"t","api-keys":["k1"]}],"service-list"`, 1)
+	It("gets 503 if it needs a key and the keys are not fresh, and is served if it needs none", func() {
+		text := strings.Replace(configurationText, `"service-list"`, `"tenant-list":[{"name":"t","api-keys":["k1"]}],"service-list"`, 1)
 		isFresh := false
 		ask := func(text, authorization string) int {
-			plan, err := configuration.Read([]byte(text))
+			decoded, err := configuration.Read([]byte(text))
 			Expect(err).NotTo(HaveOccurred())
-			snapshot := &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(plan)}
+			current := &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(decoded)}
 			clock := clock.NewFake(0)
-			gate := clientapi.New(func() *configcache.Snapshot { return snapshot }, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock,
+			gate := clientapi.New(func() *configcache.Snapshot { return current }, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock,
 				func() *membership.View { return &membership.View{} }), clock, clientapi.WithKeyFreshness(func() bool { return isFresh }))
 			ctx, end := context.WithCancel(context.Background())
 			end()
@@ -114,15 +115,15 @@
 		}
 		Expect(ask(text, "Bearer k1")).To(Equal(-503))
 		Expect(ask(text, "Bearer k2")).To(Equal(401))
-		Expect(ask(body, "")).To(Equal(503), "nobody leads here")
+		Expect(ask(configurationText, "")).To(Equal(503), "there is no leader")
 		isFresh = true
-		Expect(ask(text, "Bearer k1")).To(Equal(503), "nobody leads here")
+		Expect(ask(text, "Bearer k1")).To(Equal(503), "there is no leader")
 	})
 
-	It("counts calls by verb and status, and how long they took", func() {
+	It("is counted by verb and status, and its duration is observed", func() {
 		clock := clock.NewFake(0)
 		view := func() *membership.View { return &membership.View{} }
-		gate := clientapi.New(page, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
+		gate := clientapi.New(testSnapshot, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
 			one := request("GET", path)
@@ -137,20 +138,20 @@
 		}
 	})
 
-	DescribeTable("refuses a submission only if no steward can have taken it", func(outcome leaderclient.Outcome, status int) {
+	DescribeTable("is refused as a submission only if no steward can have accepted it", func(outcome leaderclient.Outcome, status int) {
 		Expect(clientapi.ResponseOf(&wire.ClientCall{Verb: "hand-in", ID: id}, outcome).Status).To(Equal(status))
 	},
-		Entry("nobody was reached", leaderclient.Outcome{}, 503),
-		Entry("the first try was not answered", leaderclient.Outcome{MayHaveRun: true}, 504),
-		Entry("the first try was not answered, a later one was turned away",
+		Entry("no steward was reached", leaderclient.Outcome{}, 503),
+		Entry("the first attempt was not answered", leaderclient.Outcome{MayHaveRun: true}, 504),
+		Entry("the first attempt was not answered, a later one was refused",
 			leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 504),
-		Entry("all were turned away", leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 429),
+		Entry("all attempts were refused", leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 429),
 	)
 
-	It("refuses a strange count of time, and answers 503 while there is no plan", func() {
+	It("is refused with an invalid remaining time, and gets 503 before the first configuration", func() {
 		one := request("GET", "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "soon")
-		Expect(clientapi.Decide(page(), one, nil).Refusal.Status).To(Equal(400))
+		Expect(clientapi.Decide(testSnapshot(), one, nil).Refusal.Status).To(Equal(400))
 		none := clientapi.Decide(nil, request("GET", "/q/"+id), nil)
 		Expect(none.Refusal.Status).To(Equal(503))
 		Expect(none.Refusal.RetryAfter).To(BeNumerically(">", 0))
--- a/internal/gate/clientapi/leaving_test.go
+++ b/internal/gate/clientapi/leaving_test.go
@@ -19,80 +19,80 @@
 	"gannetline/internal/platform/clock"
 )
 
-// silentPeer takes calls and answers none; it reports each.
-type silentPeer struct{ asked chan struct{} }
+// silentPeer answers no call; it reports each one on a channel.
+type silentPeer struct{ received chan struct{} }
 
 func (s silentPeer) RoundTrip(request *http.Request) (*http.Response, error) {
-	s.asked <- struct{}{}
+	s.received <- struct{}{}
 	<-request.Context().Done()
 	return nil, request.Context().Err()
 }
 
-// hurried is a clock whose waits are over at once.
-type hurried struct{ *clock.Fake }
+// hurriedClock advances by each wait at once.
+type hurriedClock struct{ *clock.Fake }
 
-func (h hurried) After(wait time.Duration) <-chan time.Time {
-	ring := h.Fake.After(wait)
+func (h hurriedClock) After(wait time.Duration) <-chan time.Time {
+	timer := h.Fake.After(wait)
 	h.Advance(wait)
-	return ring
+	return timer
 }
 
-// slowBody takes some time until it is whole.
+// slowBody is an empty body whose end arrives after some time.
 type slowBody struct {
 	io.Reader
 	clock *clock.Fake
-	takes time.Duration
+	delay time.Duration
 }
 
 func (b slowBody) Read([]byte) (int, error) {
-	b.clock.Advance(b.takes)
+	b.clock.Advance(b.delay)
 	return 0, io.EOF
 }
 
-var _ = Describe("a gate whose calls are ended", func() {
+var _ = Describe("a gate whose calls are cancelled", func() {
 	view := &membership.View{Stewards: []wire.Member{{Name: "a", Role: membership.RoleSteward, Address: "10.0.0.1:1", Disk: "d"}}}
 
-	DescribeTable("says what is known of a call that a steward may have taken", func(method string, status int) {
+	DescribeTable("answers a request that a steward may have received", func(method string, status int) {
 		clock, peer := clock.NewFake(0), silentPeer{make(chan struct{})}
 		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: peer}), clock, func() *membership.View { return view })
-		gate := clientapi.New(page, leaderClient, clock)
-		ctx, end := context.WithCancel(context.Background())
+		gate := clientapi.New(testSnapshot, leaderClient, clock)
+		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			<-peer.asked
-			end()
+			<-peer.received
+			cancel()
 		}()
 		answer := httptest.NewRecorder()
 		one := httptest.NewRequest(method, "http://h.example/q/"+id, strings.NewReader("{}"))
 		gate.ServeHTTP(answer, one.WithContext(ctx))
 		Expect(answer.Code).To(Equal(status))
 	},
-		Entry("a submission may run, and comes again", http.MethodPost, 504),
-		Entry("a question", http.MethodGet, 503),
-		Entry("a cancel", http.MethodDelete, 503),
+		Entry("a submission, whose outcome is unknown", http.MethodPost, 504),
+		Entry("a read of the state", http.MethodGet, 503),
+		Entry("a cancellation", http.MethodDelete, 503),
 	)
 
-	It("refuses a submission that nobody was asked about", func() {
+	It("refuses a submission that no steward received", func() {
 		clock := clock.NewFake(0)
 		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
-		ctx, end := context.WithCancel(context.Background())
-		end()
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
 		one := httptest.NewRequest(http.MethodPost, "http://h.example/q/"+id, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(page, leaderClient, clock).ServeHTTP(answer, one.WithContext(ctx))
+		clientapi.New(testSnapshot, leaderClient, clock).ServeHTTP(answer, one.WithContext(ctx))
 		Expect(answer.Code).To(Equal(503))
 		Expect(answer.Header().Get("Retry-After")).NotTo(BeEmpty())
 	})
 })
 
-var _ = Describe("the time that a client has left", func() {
-	It("counts from the beginning of its request, not from the end of its body", func() {
-		clock := hurried{clock.NewFake(0)}
+var _ = Describe("the remaining time of a client", func() {
+	It("counts from the start of its request, not from the end of its body", func() {
+		clock := hurriedClock{clock.NewFake(0)}
 		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return &membership.View{} })
 		one := request(http.MethodGet, "/q/"+id)
 		one.Header.Set("X-Time-Remaining", "700")
-		one.Body = io.NopCloser(slowBody{clock: clock.Fake, takes: 400 * time.Millisecond})
+		one.Body = io.NopCloser(slowBody{clock: clock.Fake, delay: 400 * time.Millisecond})
 		answer := httptest.NewRecorder()
-		clientapi.New(page, leaderClient, clock).ServeHTTP(answer, one)
+		clientapi.New(testSnapshot, leaderClient, clock).ServeHTTP(answer, one)
 		Expect(answer.Code).To(Equal(503))
 		Expect(clock.Monotonic()).To(BeNumerically("<=", 700*time.Millisecond))
 	})
--- a/internal/gate/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -20,24 +20,26 @@
 	"gannetline/internal/platform/clock"
 )
 
-// scriptedLeaders carry calls to the leaders of two pools; one that is silent takes all the time that a try has.
+// scriptedLeaders is a transport to the leaders of two pools. A call to the silent one fails after attemptTimeout.
 type scriptedLeaders struct {
-	clock   *clock.Fake
-	muxes   map[string]*http.ServeMux
-	silent  string
-	handIns int
+	clock  *clock.Fake
+	muxes  map[string]*http.ServeMux
+	silent string
+	// submissions counts the submissions that reached a leader.
+	submissions int
 }
 
 const (
-	perTry       = 450 * time.Millisecond
-	currentPool  = "current"
-	formerPool   = "former"
-	movedRequest = "/q/" + id
+	// attemptTimeout is the timeout of one call by leaderclient.
+	attemptTimeout = 450 * time.Millisecond
+	currentPool    = "current"
+	formerPool     = "former"
+	movedRequest   = "/q/" + id
 )
 
 func (s *scriptedLeaders) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.URL.Hostname() == s.silent {
-		s.clock.Advance(perTry)
+		s.clock.Advance(attemptTimeout)
 		return nil, errors.New("no answer")
 	}
 	answer := httptest.NewRecorder()
@@ -46,11 +48,12 @@
 }
 
 var _ = Describe("a queue that was moved to another service", func() {
-	const patience = 3 * time.Second
-	var fakeClock hurried
-	// ask sends one request while a pool knows the job, or none does, and another is silent, or none is.
+	// routeTimeout is the timeout of the route in configurationText.
+	const routeTimeout = 3 * time.Second
+	var fakeClock hurriedClock
+	// ask sends one request. The pool of the service knowing has the job; the steward silent does not answer. Either may be empty.
 	ask := func(method, knowing, silent string) (int, *scriptedLeaders) {
-		fakeClock = hurried{clock.NewFake(0)}
+		fakeClock = hurriedClock{clock.NewFake(0)}
 		leaders := &scriptedLeaders{clock: fakeClock.Fake, muxes: map[string]*http.ServeMux{}, silent: silent}
 		lead := func(steward, key string) {
 			leaders.muxes[steward] = http.NewServeMux()
@@ -59,7 +62,7 @@
 				case call.Key != key:
 					return &wire.ClientAnswer{NotLeader: true}, nil
 				case call.Verb == "hand-in":
-					leaders.handIns++
+					leaders.submissions++
 					return &wire.ClientAnswer{Status: http.StatusOK}, nil
 				case call.Key == "pool/"+knowing:
 					return &wire.ClientAnswer{Status: http.StatusOK}, nil
@@ -73,40 +76,40 @@
 			Leaders: map[string]wire.KeyLeader{"pool/s": {Name: currentPool}, "pool/" + formerPool: {Name: formerPool}},
 			Stewards: []wire.Member{{Name: currentPool, Role: membership.RoleSteward, Address: "current:1", Disk: "d"},
 				{Name: formerPool, Role: membership.RoleSteward, Address: "former:1", Disk: "e"}}}
-		moved := page()
+		moved := testSnapshot()
 		moved.Committed.Moved = []wire.MovedRoute{{Route: "a", Services: []string{formerPool}}}
 		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
 		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
 		clientapi.New(func() *configcache.Snapshot { return moved }, leaderClient, fakeClock).ServeHTTP(answer, one)
-		Expect(fakeClock.Monotonic()).To(BeNumerically("<=", patience), "the answer came after the time of the route")
+		Expect(fakeClock.Monotonic()).To(BeNumerically("<=", routeTimeout), "the answer came after the timeout of the route")
 		return answer.Code, leaders
 	}
 
-	DescribeTable("is asked for a job", func(method, knowing, silent string, status int) {
+	DescribeTable("answers a request about a job", func(method, knowing, silent string, status int) {
 		got, _ := ask(method, knowing, silent)
 		Expect(got).To(Equal(status))
 	},
-		Entry("that the pool has", http.MethodGet, "s", "", 200),
+		Entry("that the current pool has", http.MethodGet, "s", "", 200),
 		Entry("that the former pool has", http.MethodGet, formerPool, "", 200),
-		Entry("that nobody has", http.MethodGet, "", "", 410),
-		Entry("that the pool has, while the former one is silent", http.MethodGet, "s", formerPool, 200),
-		Entry("that the former pool has, while the present one is silent", http.MethodGet, formerPool, currentPool, 200),
+		Entry("that no pool has", http.MethodGet, "", "", 410),
+		Entry("that the current pool has, while the former one is silent", http.MethodGet, "s", formerPool, 200),
+		Entry("that the former pool has, while the current one is silent", http.MethodGet, formerPool, currentPool, 200),
 		Entry("that the former pool may have, which is silent", http.MethodGet, "", formerPool, 503),
-		Entry("that the present pool may have, which is silent", http.MethodGet, "", currentPool, 503),
+		Entry("that the current pool may have, which is silent", http.MethodGet, "", currentPool, 503),
 		Entry("to cancel it, while the former pool is silent", http.MethodDelete, "s", formerPool, 200),
-		Entry("to cancel it in the former pool, while the present one is silent", http.MethodDelete, formerPool, currentPool, 200),
-		Entry("to cancel it where the former pool may have it", http.MethodDelete, "", formerPool, 503),
+		Entry("to cancel it in the former pool, while the current one is silent", http.MethodDelete, formerPool, currentPool, 200),
+		Entry("to cancel it while the former pool, which may have it, is silent", http.MethodDelete, "", formerPool, 503),
 	)
 
-	DescribeTable("is given a job once", func(knowing, silent string, status, handIns int) {
+	DescribeTable("submits a job to at most one pool", func(knowing, silent string, status, submissions int) {
 		got, leaders := ask(http.MethodPost, knowing, silent)
 		Expect(got).To(Equal(status))
-		Expect(leaders.handIns).To(Equal(handIns))
+		Expect(leaders.submissions).To(Equal(submissions))
 	},
-		Entry("that nobody has", "", "", 200, 1),
+		Entry("that no pool has", "", "", 200, 1),
 		Entry("that the former pool has", formerPool, "", 200, 0),
 		Entry("that the former pool may have", "", formerPool, 503, 0),
-		Entry("to a pool that is silent", "", currentPool, 504, 0),
+		Entry("while the current pool is silent", "", currentPool, 504, 0),
 	)
 })
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -18,7 +18,7 @@
 	"gannetline/internal/platform/clock"
 )
 
-// directCalls serve calls to peers in the process itself.
+// directCalls is a transport that serves calls to peers within the process.
 type directCalls struct{ handler http.Handler }
 
 func (d directCalls) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("a submission to a queue that was moved", func() {
-	DescribeTable("is taken only where the former pool will not take it any more", func(known map[string]int, status int, asked ...string) {
+	DescribeTable("is accepted only once the former pool does not accept it any more", func(known map[string]int, status int, asked ...string) {
 		var verbs []string
 		mux := http.NewServeMux()
 		peerapi.Serve(mux, peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
@@ -40,7 +40,7 @@
 		})
 		view := &membership.View{Leaders: map[string]wire.KeyLeader{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
 			Stewards: []wire.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
-		moved := page()
+		moved := testSnapshot()
 		moved.Committed = &wire.Configuration{Moved: []wire.MovedRoute{{Route: "a", Services: []string{"former"}}}}
 		clock := clock.NewFake(0)
 		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: directCalls{mux}}), clock, func() *membership.View { return view })
@@ -50,9 +50,9 @@
 		Expect(answer.Code).To(Equal(status))
 		Expect(verbs).To(Equal(asked))
 	},
-		Entry("as it promises", map[string]int{"renounce": 410}, 200, "pool/former renounce", "pool/s hand-in"),
-		Entry("as it has the job", map[string]int{"renounce": 200}, 200, "pool/former renounce"),
-		Entry("as its leader, of an older version, has no such job", map[string]int{"renounce": 400, "state": 410}, 200,
+		Entry("the former pool promises that", map[string]int{"renounce": 410}, 200, "pool/former renounce", "pool/s hand-in"),
+		Entry("the former pool has the job already", map[string]int{"renounce": 200}, 200, "pool/former renounce"),
+		Entry("the leader of the former pool, of an older software version, has no such job", map[string]int{"renounce": 400, "state": 410}, 200,
 			"pool/former renounce", "pool/former state", "pool/s hand-in"),
 	)
 })
--- a/internal/gate/clientapi/rollout_test.go
+++ b/internal/gate/clientapi/rollout_test.go
@@ -20,9 +20,9 @@
 	"gannetline/internal/platform/clock"
 )
 
-// rolloutBody is a configuration whose queue is in a rollout, with the fields of its progress.
-func rolloutBody(service, progress string) string {
-	return strings.Replace(strings.Replace(body, `"service":"s"`, `"service":"`+service+`"`, 1), `"service-list":[{"name":"s"}]`,
+// rolloutText returns a configuration whose queue is in a rollout; progress are further JSON fields of the rollout.
+func rolloutText(service, progress string) string {
+	return strings.Replace(strings.Replace(configurationText, `"service":"s"`, `"service":"`+service+`"`, 1), `"service-list":[{"name":"s"}]`,
 		`"service-list":[{"name":"s"},{"name":"t"}],"rollout-list":[{"name":"r","route":"a","from-service":"s","to-service":"t",
 		"steps":[{"share":0.5},{"share":1}],"agreed":{"failures":0.1}`+progress+`}]`, 1)
 }
@@ -33,16 +33,16 @@
 	return &configcache.Snapshot{Committed: &wire.Configuration{Version: decoded.Version, Moved: moved}, Matcher: configuration.NewMatcher(decoded)}
 }
 
-// rolloutGate serves requests with a scripted answer of each pool; it notes what was asked.
+// rolloutGate serves requests with scripted answers of the pools and records the calls to them.
 type rolloutGate struct {
-	asked  []string
+	calls  []string
 	answer func(call *wire.ClientCall) *wire.ClientAnswer
 }
 
 func (r *rolloutGate) request(snapshot *configcache.Snapshot, method, path string) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
 	peerapi.Serve(mux, peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
-		r.asked = append(r.asked, fmt.Sprintf("%s %s %d", call.Key, call.Verb, call.Version))
+		r.calls = append(r.calls, fmt.Sprintf("%s %s %d", call.Key, call.Verb, call.Version))
 		return r.answer(call), nil
 	})
 	leaders := map[string]wire.KeyLeader{"pool/s": {Name: "one"}, "pool/t": {Name: "one"}, "pool/u": {Name: "one"}}
@@ -66,7 +66,7 @@
 			return &wire.ClientAnswer{Status: http.StatusGone, Reason: "no such job"}
 		}}
 	})
-	// idOf finds an ID that goes to a service.
+	// idOf returns a job ID that the rollout assigns to a service.
 	idOf := func(snapshot *configcache.Snapshot, service string) string {
 		for number := range 100 {
 			id := fmt.Sprintf("%016x", number)
@@ -74,75 +74,75 @@
 				return id
 			}
 		}
-		Fail("no ID goes to " + service)
+		Fail("found no ID for service " + service)
 		return ""
 	}
 
-	It("gives each job to the version of its ID, once the other one has promised not to take it", func() {
-		snapshot := snapshotOf(rolloutBody("s", widening))
+	It("submits each job to the version of its ID, once the other version has promised not to accept it", func() {
+		snapshot := snapshotOf(rolloutText("s", widening))
 		for service, other := range map[string]string{"s": "t", "t": "s"} {
-			gate.asked = nil
+			gate.calls = nil
 			Expect(gate.request(snapshot, http.MethodPost, idOf(snapshot, service)).Code).To(Equal(200))
-			Expect(gate.asked).To(Equal([]string{"pool/" + other + " renounce 7", "pool/" + service + " hand-in 7"}))
+			Expect(gate.calls).To(Equal([]string{"pool/" + other + " renounce 7", "pool/" + service + " hand-in 7"}))
 		}
 	})
 
-	It("gives all jobs to the old version before it has begun and once it was turned back, and to the new one once it is finished", func() {
+	It("gives all jobs to the old version before the start and after a rollback, and to the new one after the finish", func() {
 		for progress, service := range map[string]string{"": "s", `,"state":"turned-back","begun-ms":1`: "s", `,"state":"finished","begun-ms":1`: "t"} {
-			snapshot := snapshotOf(rolloutBody(service, progress))
+			snapshot := snapshotOf(rolloutText(service, progress))
 			for number := range 50 {
 				Expect(snapshot.Matcher.ServiceFor(snapshot.Matcher.ByName("a"), fmt.Sprintf("%016x", number))).To(Equal(service))
 			}
 		}
 	})
 
-	It("adds up what waits in both versions", func() {
+	It("adds up the waiting jobs of both versions", func() {
 		gate.answer = func(call *wire.ClientCall) *wire.ClientAnswer {
 			return &wire.ClientAnswer{Status: http.StatusOK, Body: []byte(map[string]string{"pool/s": `{"waiting-count":3}`, "pool/t": `{"waiting-count":4}`}[call.Key])}
 		}
-		Expect(gate.request(snapshotOf(rolloutBody("s", widening)), http.MethodGet, "").Body.String()).To(Equal(`{"waiting-count":7}`))
+		Expect(gate.request(snapshotOf(rolloutText("s", widening)), http.MethodGet, "").Body.String()).To(Equal(`{"waiting-count":7}`))
 		gate.answer = func(call *wire.ClientCall) *wire.ClientAnswer {
 			if call.Key == "pool/t" {
 				return &wire.ClientAnswer{Status: http.StatusServiceUnavailable, Reason: "full"}
 			}
 			return &wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"waiting-count":3}`)}
 		}
-		Expect(gate.request(snapshotOf(rolloutBody("s", widening)), http.MethodGet, "").Code).To(Equal(503))
+		Expect(gate.request(snapshotOf(rolloutText("s", widening)), http.MethodGet, "").Code).To(Equal(503))
 	})
 
-	DescribeTable("follows a job that went back to the pool of the old version", func(method string, isThere bool, status int) {
-		arrived := false
+	DescribeTable("finds a job that was transferred back to the pool of the old version", func(method string, hasArrived bool, status int) {
+		isInOldPool := false
 		gate.answer = func(call *wire.ClientCall) *wire.ClientAnswer {
 			if call.Key == "pool/t" {
-				arrived = isThere
+				isInOldPool = hasArrived
 				return &wire.ClientAnswer{Status: http.StatusGone, Reason: "moved", MovedTo: "s"}
 			}
-			if arrived {
+			if isInOldPool {
 				return &wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{}`)}
 			}
 			return &wire.ClientAnswer{Status: http.StatusGone, Reason: "no such job"}
 		}
 		moved := wire.MovedRoute{Route: "a", Services: []string{"s", "t"}}
-		snapshot := snapshotOf(rolloutBody("s", `,"state":"turned-back","begun-ms":1`), moved)
+		snapshot := snapshotOf(rolloutText("s", `,"state":"turned-back","begun-ms":1`), moved)
 		Expect(gate.request(snapshot, method, id).Code).To(Equal(status))
 	},
-		Entry("between the two questions", http.MethodGet, true, 200),
-		Entry("and is not there yet", http.MethodGet, false, 503),
+		Entry("between the calls to the two pools", http.MethodGet, true, 200),
+		Entry("and has not arrived yet", http.MethodGet, false, 503),
 		Entry("to cancel it", http.MethodDelete, true, 200),
-		Entry("to cancel it while it is not there yet", http.MethodDelete, false, 503),
+		Entry("to cancel it before it has arrived", http.MethodDelete, false, 503),
 	)
 })
 
-var _ = Describe("a queue that came back to a service", func() {
-	It("takes jobs there again: the service it leads to is not asked to renounce them", func() {
+var _ = Describe("a queue that returned to an earlier service", func() {
+	It("submits jobs there without asking that service to renounce them", func() {
 		gate := &rolloutGate{answer: func(call *wire.ClientCall) *wire.ClientAnswer {
 			if call.Verb == wire.VerbSubmit {
 				return &wire.ClientAnswer{Status: http.StatusOK}
 			}
 			return &wire.ClientAnswer{Status: http.StatusGone, Reason: "no such job"}
 		}}
-		snapshot := snapshotOf(body, wire.MovedRoute{Route: "a", Services: []string{"s", "u"}})
+		snapshot := snapshotOf(configurationText, wire.MovedRoute{Route: "a", Services: []string{"s", "u"}})
 		Expect(gate.request(snapshot, http.MethodPost, id).Code).To(Equal(200))
-		Expect(gate.asked).To(Equal([]string{"pool/u renounce 7", "pool/s hand-in 7"}))
+		Expect(gate.calls).To(Equal([]string{"pool/u renounce 7", "pool/s hand-in 7"}))
 	})
 })
