--- a/internal/gate/balancer/balancer.go
+++ b/internal/gate/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer chooses the executor of a request. Each gate sees only its own requests and what executors tell of their load in
-// answers, so that many gates must not act alike on the same old news: a request has two candidates by the shared part of its prompt,
-// the same at every gate of a zone, and goes to the one with less load.
+// Package balancer chooses the executor of a request. A gate knows only its own requests and the load that executors report in answers.
+// If all gates chose the lowest load from the same stale reports, they would overload one executor. Therefore each request has two
+// candidates, given by the shared part of its prompt and the same at every gate of a zone, and goes to the one with less load.
 package balancer
 
 import (
@@ -15,73 +15,74 @@
 )
 
 const (
-	// candidates is how many executors a request has by its affinity.
-	candidates = 2
-	// fullLoad is the load in slots from which on an executor counts as full, so that others are looked for.
+	// candidateCount is the number of candidates that an affinity has.
+	candidateCount = 2
+	// fullLoad is the load, as a share of the slots, from which an executor counts as full and others are preferred.
 	fullLoad = 0.9
-	// reportLifetime is how long what an executor told of its load counts.
+	// reportLifetime is how long a load report is used.
 	reportLifetime = 500 * time.Millisecond
-	// failuresToEject is how many answers in a row that show a failure take an executor out for ejectionTime. One call without a whole
-	// answer takes it out at once, for unreachableTime.
+	// failuresToEject is how many consecutive failures eject an executor for ejectionTime. A call without a complete answer ejects it at
+	// once, for unreachableTime.
 	failuresToEject = 2
 	ejectionTime    = 2 * time.Second
 	unreachableTime = 700 * time.Millisecond
-	// silentAfter is how long an executor that has requests may answer nothing at all until others are preferred. One that is only busy
-	// answers some of them; one whose machine has gone dark closes no connection.
+	// silentAfter is how long an executor with requests in flight may answer none of them before others are preferred. A busy executor
+	// answers some of its requests. One whose machine is down answers none and closes no connection.
 	silentAfter = 500 * time.Millisecond
 )
 
-// Executor is one executor and what this process knows of its load and health. Any goroutine may use it.
+// Executor is an executor with its load and health as seen by this process. Any goroutine may use it.
 type Executor struct {
 	wire.ExecutorRecord
-	// inFlight are the requests of this process that it has now.
+	// inFlight is the number of requests of this process that the executor has now.
 	inFlight atomic.Int64
-	// reported is how many requests, running or waiting, it told of last, at reportedAt on the monotonic clock.
+	// reported is the last reported number of running and waiting requests; reportedAt is the time of the report on the monotonic clock.
 	reported   atomic.Int64
 	reportedAt atomic.Int64
-	// failures counts failures in a row; ejectedUntil ends the pause that they brought.
+	// failures counts consecutive failures. ejectedUntil is the end of the last ejection on the monotonic clock.
 	failures     atomic.Int64
 	ejectedUntil atomic.Int64
-	// heardAt is when it last answered something, or got a request while it had none, on the monotonic clock.
-	heardAt atomic.Int64
+	// lastActivityAt is when the executor last answered, or got a request while it had none, on the monotonic clock.
+	lastActivityAt atomic.Int64
 }
 
-// RecordStart counts a request that goes to the executor; End ends it.
+// RecordStart counts a request that is sent to the executor, until RecordEnd.
 func (e *Executor) RecordStart(now time.Duration) {
 	if e.inFlight.Add(1) == 1 {
 		e.RecordActivity(now)
 	}
 }
 
-// RecordEnd counts a request that is over.
+// RecordEnd counts the end of a request, whatever its result.
 func (e *Executor) RecordEnd() { e.inFlight.Add(-1) }
 
-// RecordActivity notes that the executor has answered something.
-func (e *Executor) RecordActivity(now time.Duration) { e.heardAt.Store(int64(now)) }
+// RecordActivity records that the executor answered something: the head of an answer or an event.
+func (e *Executor) RecordActivity(now time.Duration) { e.lastActivityAt.Store(int64(now)) }
 
-// isSilent tells whether the executor has requests of this process and has answered nothing for some time.
+// isSilent reports whether the executor has requests of this process and answered none of them for silentAfter.
 func (e *Executor) isSilent(now time.Duration) bool {
-	return e.inFlight.Load() > 0 && now-time.Duration(e.heardAt.Load()) > silentAfter
+	return e.inFlight.Load() > 0 && now-time.Duration(e.lastActivityAt.Load()) > silentAfter
 }
 
-// RecordTimeout notes a request whose time was over before the executor had answered anything to it. If it answered nothing to others either,
-// it is left out as one that fails.
+// RecordTimeout records a request that timed out before the executor answered it. If the executor did not answer other requests
+// either, it is ejected.
 func (e *Executor) RecordTimeout(now time.Duration) {
-	if now-time.Duration(e.heardAt.Load()) > silentAfter {
+	if now-time.Duration(e.lastActivityAt.Load()) > silentAfter {
 		e.eject(now + ejectionTime)
 	}
 }
 
-// RecordLoad takes what the executor told of its load.
+// RecordLoad stores the load that the executor reported, in requests.
 func (e *Executor) RecordLoad(running, waiting int64, now time.Duration) {
 	e.reported.Store(running + waiting)
 	e.reportedAt.Store(int64(now))
 }
 
-// RecordSuccess notes an answer.
+// RecordSuccess records an answer without a failure and resets the count of failures.
 func (e *Executor) RecordSuccess() { e.failures.Store(0) }
 
-// RecordFailure notes an answer that shows that the executor is unwell. After the pause that several of them bring, one more brings another.
+// RecordFailure records an answer that shows a failure of the executor. failuresToEject of them in a row eject it; after that ejection
+// each further failure ejects it again, until a success.
 func (e *Executor) RecordFailure(now time.Duration) {
 	if e.failures.Add(1) >= failuresToEject {
 		e.eject(now + ejectionTime)
@@ -89,47 +90,48 @@
 	}
 }
 
-// RecordUnreachable notes a call without a whole answer.
+// RecordUnreachable records a call without a complete answer and ejects the executor.
 func (e *Executor) RecordUnreachable(now time.Duration) {
 	e.failures.Add(1)
 	e.eject(now + unreachableTime)
 }
 
-// eject leaves the executor out until that moment, or a later one that was set before.
+// eject ejects the executor until the given time. It does not shorten an ejection.
 func (e *Executor) eject(until time.Duration) {
 	e.ejectedUntil.Store(max(e.ejectedUntil.Load(), int64(until)))
 }
 
 func (e *Executor) isEjected(now time.Duration) bool { return int64(now) < e.ejectedUntil.Load() }
 
-// load is the part of its slots that is taken, as far as it is known.
+// load returns the share of the slots in use: by requests of this process or by the last report, whichever is higher.
 func (e *Executor) load(now time.Duration) float64 {
-	taken := e.inFlight.Load()
+	used := e.inFlight.Load()
 	if int64(now)-e.reportedAt.Load() < int64(reportLifetime) {
-		taken = max(taken, e.reported.Load())
+		used = max(used, e.reported.Load())
 	}
-	return float64(taken) / float64(max(1, e.Slots))
+	return float64(used) / float64(max(1, e.Slots))
 }
 
-// Balancer holds the executors by service. Update belongs to one goroutine; any may choose.
+// Balancer holds the executors by service. Update is called by one goroutine; any goroutine may call Choose and HasExecutors.
 type Balancer struct {
 	zone     string
 	clock    clock.Clock
 	services atomic.Pointer[map[string][]*Executor]
-	known    map[string]*Executor
-	// isEvacuated tells whether nothing new may be sent to a zone.
+	// known are the executors by ID.
+	known map[string]*Executor
+	// isEvacuated reports whether a zone is evacuated, so that no new requests may be sent there.
 	isEvacuated func(zone string) bool
 }
 
-// Option changes how a balancer is made.
+// Option configures a balancer.
 type Option func(*Balancer)
 
-// WithEvacuations names the function that tells whether nothing new may be sent to a zone.
+// WithEvacuations sets the function that reports whether a zone is evacuated, so that no new requests may be sent there.
 func WithEvacuations(isEvacuated func(zone string) bool) Option {
 	return func(b *Balancer) { b.isEvacuated = isEvacuated }
 }
 
-// New makes a balancer without executors; those of the zone are preferred.
+// New returns a balancer without executors that prefers those of the given zone.
 func New(zone string, clock clock.Clock, options ...Option) *Balancer {
 	balancer := &Balancer{zone: zone, clock: clock, known: map[string]*Executor{}, isEvacuated: func(string) bool { return false }}
 	balancer.services.Store(&map[string][]*Executor{})
@@ -139,7 +141,7 @@
 	return balancer
 }
 
-// Update takes a newer list. What is known of executors that stay is kept.
+// Update replaces the list of executors. The load and health of executors that stay in the list are kept.
 func (b *Balancer) Update(records []wire.ExecutorRecord) {
 	known, services := map[string]*Executor{}, map[string][]*Executor{}
 	for _, record := range records {
@@ -157,7 +159,7 @@
 	b.services.Store(&services)
 }
 
-// with is the executor with another record; requests under way are counted where they began.
+// with returns a copy of the executor with another record. Requests in flight stay counted at the old one, where they end.
 func (e *Executor) with(record wire.ExecutorRecord) *Executor {
 	next := &Executor{ExecutorRecord: record}
 	next.failures.Store(e.failures.Load())
@@ -165,7 +167,7 @@
 	return next
 }
 
-// HasExecutors tells whether there is any executor that takes requests.
+// HasExecutors reports whether any executor is not draining.
 func (b *Balancer) HasExecutors() bool {
 	for _, executors := range *b.services.Load() {
 		if slices.ContainsFunc(executors, func(executor *Executor) bool { return !executor.IsDraining }) {
@@ -175,37 +177,37 @@
 	return false
 }
 
-// Choose gives the executor of a service for a request with an affinity; excluded ones are left out. It is nil if there is none.
-// Draining executors and those of evacuated zones are never chosen, ejected ones only where there is no other. Executors of the own zone go first; where the
-// candidates are full, the least loaded of all is chosen.
+// Choose returns an executor of a service for a request with an affinity, or nil if there is none. Draining and excluded executors and
+// those of evacuated zones are never chosen, ejected and silent ones only if there is no other. The candidates in this gate's zone go
+// first, then those in other zones. If all of them are full, the least loaded executor is chosen.
 func (b *Balancer) Choose(service, affinity string, excluded []string) *Executor {
 	now := b.clock.Monotonic()
-	var near, far, ejected []*Executor
+	var sameZone, otherZones, ejected []*Executor
 	for _, executor := range (*b.services.Load())[service] {
 		switch {
 		case executor.IsDraining || slices.Contains(excluded, executor.ID) || b.isEvacuated(executor.Zone):
 		case executor.isEjected(now) || executor.isSilent(now):
 			ejected = append(ejected, executor)
 		case executor.Zone == b.zone:
-			near = append(near, executor)
+			sameZone = append(sameZone, executor)
 		default:
-			far = append(far, executor)
+			otherZones = append(otherZones, executor)
 		}
 	}
-	for _, group := range [][]*Executor{near, far} {
-		if best := leastLoaded(byAffinity(group, affinity), now); best != nil && best.load(now) < fullLoad {
+	for _, group := range [][]*Executor{sameZone, otherZones} {
+		if best := leastLoaded(candidatesFor(group, affinity), now); best != nil && best.load(now) < fullLoad {
 			return best
 		}
 	}
-	if best := leastLoaded(append(near, far...), now); best != nil {
+	if best := leastLoaded(append(sameZone, otherZones...), now); best != nil {
 		return best
 	}
 	return leastLoaded(ejected, now)
 }
 
-// byAffinity gives the candidates with the highest rendezvous weights for an affinity.
-func byAffinity(executors []*Executor, affinity string) []*Executor {
-	if len(executors) <= candidates {
+// candidatesFor returns the executors with the highest rendezvous-hashing weights for an affinity.
+func candidatesFor(executors []*Executor, affinity string) []*Executor {
+	if len(executors) <= candidateCount {
 		return executors
 	}
 	type weighted struct {
@@ -217,23 +219,24 @@
 		all[index] = weighted{executor, weightOf(affinity, executor.ID)}
 	}
 	slices.SortFunc(all, func(a, b weighted) int { return cmp.Compare(b.weight, a.weight) })
-	chosen := make([]*Executor, candidates)
+	chosen := make([]*Executor, candidateCount)
 	for index := range chosen {
 		chosen[index] = all[index].executor
 	}
 	return chosen
 }
 
+// weightOf returns the rendezvous-hashing weight of an executor for an affinity.
 func weightOf(affinity, executor string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(affinity))
 	sum.Write([]byte{'/'})
 	sum.Write([]byte(executor))
-	// The last bytes of the text move only the low bits of the sum; the product spreads them.
+	// The last bytes of the text change only the low bits of the hash; the multiplication spreads them over the high bits.
 	return sum.Sum64() * 0x9e3779b97f4a7c15
 }
 
-// leastLoaded gives the executor with the least load, the first of several; it is nil if there is none.
+// leastLoaded returns the first executor with the lowest load, or nil if there are no executors.
 func leastLoaded(executors []*Executor, now time.Duration) *Executor {
 	var best *Executor
 	for _, executor := range executors {
--- a/internal/gate/forwarding/forwarding.go
+++ b/internal/gate/forwarding/forwarding.go
@@ -1,6 +1,6 @@
-// Package forwarding passes a client's request on to an executor and its answer back, as it comes. A request that certainly did not run
-// is offered to another executor; one that may have run is not, unless its route allows that, or a stream of it can be resumed after the
-// last event that the client has.
+// Package forwarding forwards a client's request to an executor and streams the answer back. A request that certainly did not run is
+// retried at another executor. One that may have run is retried only if its route is idempotent, or if its stream can be resumed after
+// the last event that the client has.
 package forwarding
 
 import (
@@ -14,46 +14,47 @@
 )
 
 const (
-	// maxOffers is how many executors may be offered a request that none of them has run.
+	// maxOffers is the maximum number of executors that a request is sent to.
 	maxOffers = 3
-	// deadlineGap is kept to write the answer of a request whose time is over.
-	deadlineGap = 25 * time.Millisecond
+	// deadlineMargin is the part of the remaining time that is kept for writing the answer after a timeout.
+	deadlineMargin = 25 * time.Millisecond
 )
 
-// Request is what is passed on.
+// Request is a client's request to forward.
 type Request struct {
-	// Service is that of the executors, Affinity what requests share that should meet at the same ones.
+	// Service selects the executors. Requests with the same Affinity go to the same executors if possible.
 	Service, Affinity string
-	// Method, Path with its query, Host and Header are those of the client; the body is whole.
+	// Method, Path with the query, Host and Header are the client's; Body is the whole body.
 	Method, Path, Host string
 	Header             http.Header
 	Body               []byte
-	// Tenant is the name that the executor is told, empty for none.
+	// Tenant is the name that is passed to the executor, empty for none.
 	Tenant string
-	// MaxAttempts is how many executors may run the request, if it may run again at all.
-	MaxAttempts   int
-	IsIdempotent  bool
-	IsResumable   bool
+	// MaxAttempts is the maximum number of executors that may run the request, if IsIdempotent or IsResumable allows more than one.
+	MaxAttempts  int
+	IsIdempotent bool
+	IsResumable  bool
+	// TimeRemaining is how long the client still waits.
 	TimeRemaining time.Duration
 }
 
-// Forwarder passes requests on.
+// Forwarder forwards requests to executors. Any goroutine may use it.
 type Forwarder struct {
 	client   *http.Client
 	balancer *balancer.Balancer
 	clock    clock.Clock
 }
 
-// New makes a forwarder that calls executors by a client.
+// New returns a forwarder that calls the executors chosen by the balancer.
 func New(client *http.Client, balancer *balancer.Balancer, clock clock.Clock) *Forwarder {
 	return &Forwarder{client: client, balancer: balancer, clock: clock}
 }
 
-// Serve answers a request. It panics with http.ErrAbortHandler where an answer that has begun can't be ended.
+// Serve forwards a request and writes the answer. It panics with http.ErrAbortHandler if an answer was started and can't be completed.
 func (f *Forwarder) Serve(ctx context.Context, to http.ResponseWriter, request *Request) {
-	limit := request.TimeRemaining - deadlineGap
-	deadline := f.clock.Monotonic() + limit
-	ctx, cancel := f.until(ctx, limit)
+	timeout := request.TimeRemaining - deadlineMargin
+	deadline := f.clock.Monotonic() + timeout
+	ctx, cancel := f.withTimeout(ctx, timeout)
 	defer cancel()
 	relay := &relay{to: to, request: request}
 	var excluded []string
@@ -78,10 +79,10 @@
 	f.giveUp(ctx, relay, runs)
 }
 
-// until gives a context that ends after a limit on the forwarder's clock, or by the function, which must be called in the end.
-func (f *Forwarder) until(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after a timeout on the forwarder's clock. The caller must call the function to release it.
+func (f *Forwarder) withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	due := f.clock.After(limit)
+	due := f.clock.After(timeout)
 	go func() {
 		select {
 		case <-due:
@@ -92,10 +93,10 @@
 	return ctx, cancel
 }
 
-// giveUp ends a request that got no answer: by a promise that it has not run, if that is so.
+// giveUp ends a request without a complete answer. If it certainly did not run, the client gets a refusal with status 503.
 func (f *Forwarder) giveUp(ctx context.Context, relay *relay, runs int) {
 	switch {
-	case relay.hasBegun:
+	case relay.hasStarted:
 		panic(http.ErrAbortHandler)
 	case runs == 0:
 		refusals.Inc()
--- a/internal/gate/forwarding/metrics.go
+++ b/internal/gate/forwarding/metrics.go
@@ -2,5 +2,5 @@
 
 import "gannetline/internal/platform/metrics"
 
-// refusals counts requests that no executor had room for.
+// refusals counts requests that no executor accepted.
 var refusals = metrics.NewCounter("gannetline_forward_refusals_total")
--- a/internal/gate/forwarding/offer.go
+++ b/internal/gate/forwarding/offer.go
@@ -15,21 +15,21 @@
 	"gannetline/internal/platform/headers"
 )
 
-// offerResult is what became of a request at one executor.
+// offerResult is the result of sending a request to one executor.
 type offerResult int
 
 const (
-	// offerAnswered: the client has its answer.
+	// offerAnswered means that the client has its answer.
 	offerAnswered offerResult = iota
-	// offerNotRun: the executor certainly did not run it.
+	// offerNotRun means that the executor certainly did not run the request.
 	offerNotRun
-	// offerUnknown: it may have run, and the client has no whole answer.
+	// offerUnknown means that the request may have run, and the client has no complete answer.
 	offerUnknown
 )
 
-// offer sends the request to an executor and passes the answer on.
+// offer sends the request to an executor, streams the answer to the client, and records the result for the balancer.
 func (f *Forwarder) offer(ctx context.Context, relay *relay, executor *balancer.Executor, deadline time.Duration) offerResult {
-	call, err := f.callTo(ctx, relay, executor, deadline)
+	call, err := f.newCall(ctx, relay, executor, deadline)
 	if err != nil {
 		return offerNotRun
 	}
@@ -54,12 +54,12 @@
 		return offerUnknown
 	}
 	defer answer.Body.Close()
-	if running, waiting, isTold := loadOf(answer.Header); isTold {
+	if running, waiting, isReported := loadOf(answer.Header); isReported {
 		executor.RecordLoad(running, waiting, now)
 	}
 	switch {
 	case answer.Header.Get(headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest:
-		// The body of a refusal is short; reading it keeps the connection.
+		// Reading the short body of a refusal allows the connection to be reused.
 		io.CopyN(io.Discard, answer.Body, maxRefusalBody)
 		return offerNotRun
 	case answer.Header.Get(headers.RequestID) != relay.request.Header.Get(headers.RequestID):
@@ -80,11 +80,11 @@
 	return offerAnswered
 }
 
-// maxRefusalBody is how much of the body of a refusal is read.
+// maxRefusalBody is how much of the body of a refusal is read, in bytes.
 const maxRefusalBody = 4096
 
-// callTo makes the call to an executor.
-func (f *Forwarder) callTo(ctx context.Context, relay *relay, executor *balancer.Executor, deadline time.Duration) (*http.Request, error) {
+// newCall returns the HTTP request to an executor.
+func (f *Forwarder) newCall(ctx context.Context, relay *relay, executor *balancer.Executor, deadline time.Duration) (*http.Request, error) {
 	request := relay.request
 	call, err := http.NewRequestWithContext(ctx, request.Method, "http://"+executor.Address+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
@@ -100,13 +100,14 @@
 	if relay.lastEventID != "" {
 		call.Header.Set(headers.LastEventID, relay.lastEventID)
 	}
-	// A call that was sent on a kept connection is sent again by the client only if it certainly was not read.
+	// Without GetBody, the HTTP client retries a call that failed on a reused connection only if it certainly was not read.
 	call.GetBody = nil
 	return call, nil
 }
 
-// loadOf reads what an executor tells of its load: requests running, requests waiting, slots.
-func loadOf(header http.Header) (running, waiting int64, isTold bool) {
+// loadOf parses the load that an executor reports in a header: running requests, waiting requests, slots. isReported is false if the
+// header is missing or invalid.
+func loadOf(header http.Header) (running, waiting int64, isReported bool) {
 	parts := strings.Split(header.Get(headers.ExecutorLoad), ",")
 	if len(parts) != 3 {
 		return 0, 0, false
