--- a/internal/gate/balancer/balancer_test.go
+++ b/internal/gate/balancer/balancer_test.go
@@ -22,33 +22,33 @@
 	return all
 }
 
-var _ = It("chooses no executor of a zone that is to be emptied", func() {
+var _ = It("does not choose an executor of an evacuated zone", func() {
 	evacuated := "near"
-	choice := balancer.New("near", clock.NewFake(0), balancer.WithEvacuations(func(zone string) bool { return zone == evacuated }))
-	choice.Update([]wire.ExecutorRecord{{ID: "n", Service: "s", Zone: "near", Slots: 1}, {ID: "f", Service: "s", Zone: "far", Slots: 1}})
-	Expect(choice.Choose("s", "", nil).ID).To(Equal("f"))
-	Expect(choice.Choose("s", "", []string{"f"})).To(BeNil())
+	picker := balancer.New("near", clock.NewFake(0), balancer.WithEvacuations(func(zone string) bool { return zone == evacuated }))
+	picker.Update([]wire.ExecutorRecord{{ID: "n", Service: "s", Zone: "near", Slots: 1}, {ID: "f", Service: "s", Zone: "far", Slots: 1}})
+	Expect(picker.Choose("s", "", nil).ID).To(Equal("f"))
+	Expect(picker.Choose("s", "", []string{"f"})).To(BeNil())
 	evacuated = ""
-	Expect(choice.Choose("s", "", nil).ID).To(Equal("n"))
+	Expect(picker.Choose("s", "", nil).ID).To(Equal("n"))
 })
 
-var _ = Describe("the choice of an executor", func() {
+var _ = Describe("Choose", func() {
 	var now *clock.Fake
-	var choice *balancer.Balancer
+	var picker *balancer.Balancer
 	BeforeEach(func() {
 		now = clock.NewFake(1_000_000)
 		now.Advance(time.Minute)
-		choice = balancer.New("near", now)
+		picker = balancer.New("near", now)
 	})
 
-	It("is the same pair for one shared prompt, at every gate, and spreads over all for many", func() {
+	It("returns the same candidate at every gate for one affinity, and spreads many affinities over all executors", func() {
 		other := balancer.New("near", now)
-		choice.Update(executors(12, "near"))
+		picker.Update(executors(12, "near"))
 		other.Update(executors(12, "near"))
 		chosen := map[string]int{}
 		for number := range 600 {
 			affinity := fmt.Sprintf("%08x:300", number*2654435761)
-			first := choice.Choose(service, affinity, nil)
+			first := picker.Choose(service, affinity, nil)
 			Expect(other.Choose(service, affinity, nil).ID).To(Equal(first.ID))
 			chosen[first.ID]++
 		}
@@ -58,104 +58,104 @@
 		}
 	})
 
-	It("goes to the less loaded of the pair, by its own requests and by what executors tell for a while", func() {
-		choice.Update(executors(8, "near"))
-		first := choice.Choose(service, "p", nil)
+	It("returns the candidate with less load, by its own requests and by load reports until they expire", func() {
+		picker.Update(executors(8, "near"))
+		first := picker.Choose(service, "p", nil)
 		first.RecordStart(now.Monotonic())
-		second := choice.Choose(service, "p", nil)
+		second := picker.Choose(service, "p", nil)
 		Expect(second.ID).NotTo(Equal(first.ID))
 		first.RecordEnd()
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(first.ID))
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(first.ID))
 		first.RecordLoad(3, 0, now.Monotonic())
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(second.ID))
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(second.ID))
 		now.Advance(time.Second)
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(first.ID))
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(first.ID))
 	})
 
-	It("prefers the own zone until its candidates are full, and takes the least loaded of all where every candidate is", func() {
-		choice.Update(executors(8, "near", "far"))
+	It("prefers its own zone until the candidates there are full", func() {
+		picker.Update(executors(8, "near", "far"))
 		for range 2 {
-			executor := choice.Choose(service, "p", nil)
+			executor := picker.Choose(service, "p", nil)
 			Expect(executor.Zone).To(Equal("near"))
 			executor.RecordLoad(4, 0, now.Monotonic())
 		}
-		Expect(choice.Choose(service, "p", nil).Zone).To(Equal("far"))
+		Expect(picker.Choose(service, "p", nil).Zone).To(Equal("far"))
 	})
 
-	It("leaves out draining and excluded executors, and those that failed again and again unless there is no other", func() {
+	It("leaves out draining and excluded executors, and ejected ones unless there is no other", func() {
 		records := executors(3, "near")
 		records[0].IsDraining = true
-		choice.Update(records)
-		Expect(choice.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
-		failing := choice.Choose(service, "p", []string{"i-01"})
+		picker.Update(records)
+		Expect(picker.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
+		failing := picker.Choose(service, "p", []string{"i-01"})
 		failing.RecordFailure(now.Monotonic())
 		failing.RecordSuccess()
 		failing.RecordFailure(now.Monotonic())
-		Expect(choice.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
+		Expect(picker.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
 		failing.RecordFailure(now.Monotonic())
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal("i-01"))
-		Expect(choice.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal("i-01"))
+		Expect(picker.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
 		now.Advance(3 * time.Second)
 		failing.RecordSuccess()
-		other := choice.Choose(service, "p", []string{"i-02"})
+		other := picker.Choose(service, "p", []string{"i-02"})
 		other.RecordStart(now.Monotonic())
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal("i-02"))
-		Expect(choice.Choose("unknown", "p", nil)).To(BeNil())
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal("i-02"))
+		Expect(picker.Choose("unknown", "p", nil)).To(BeNil())
 	})
 
-	It("prefers others to an executor that has requests and answers nothing, until it answers one of them", func() {
-		choice.Update(executors(2, "near"))
-		dark := choice.Choose(service, "p", nil)
-		dark.RecordStart(now.Monotonic())
-		other := choice.Choose(service, "p", []string{dark.ID})
+	It("avoids an executor that has requests and answers none, until it answers one of them", func() {
+		picker.Update(executors(2, "near"))
+		silent := picker.Choose(service, "p", nil)
+		silent.RecordStart(now.Monotonic())
+		other := picker.Choose(service, "p", []string{silent.ID})
 		for range 2 {
 			other.RecordStart(now.Monotonic())
 		}
-		Expect(other.ID).NotTo(Equal(dark.ID))
+		Expect(other.ID).NotTo(Equal(silent.ID))
 		now.Advance(500 * time.Millisecond)
 		other.RecordActivity(now.Monotonic())
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(dark.ID), "the less loaded one")
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(silent.ID), "the one with less load")
 		now.Advance(time.Millisecond)
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(other.ID))
-		dark.RecordActivity(now.Monotonic())
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(dark.ID))
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(other.ID))
+		silent.RecordActivity(now.Monotonic())
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(silent.ID))
 	})
 
-	It("leaves out an executor for a while where a request ended in its silence, and not where it answers others", func() {
-		choice.Update(executors(2, "near"))
-		dark := choice.Choose(service, "p", nil)
-		dark.RecordStart(now.Monotonic())
+	It("leaves out an executor after a timeout if it answered no other request, and not if it did", func() {
+		picker.Update(executors(2, "near"))
+		silent := picker.Choose(service, "p", nil)
+		silent.RecordStart(now.Monotonic())
 		now.Advance(2 * time.Second)
-		dark.RecordTimeout(now.Monotonic())
-		dark.RecordEnd()
-		Expect(choice.Choose(service, "p", nil).ID).NotTo(Equal(dark.ID))
-		busy := choice.Choose(service, "p", nil)
+		silent.RecordTimeout(now.Monotonic())
+		silent.RecordEnd()
+		Expect(picker.Choose(service, "p", nil).ID).NotTo(Equal(silent.ID))
+		busy := picker.Choose(service, "p", nil)
 		busy.RecordStart(now.Monotonic())
 		now.Advance(2 * time.Second)
 		busy.RecordActivity(now.Monotonic())
 		busy.RecordTimeout(now.Monotonic())
 		busy.RecordEnd()
-		Expect(choice.Choose(service, "p", []string{dark.ID}).ID).To(Equal(busy.ID))
-		Expect(choice.Choose(service, "p", nil)).NotTo(BeNil())
+		Expect(picker.Choose(service, "p", []string{silent.ID}).ID).To(Equal(busy.ID))
+		Expect(picker.Choose(service, "p", nil)).NotTo(BeNil())
 	})
 
-	It("leaves out an executor that gave no whole answer at once, for a shorter time", func() {
-		choice.Update(executors(2, "near"))
-		first := choice.Choose(service, "p", nil)
+	It("leaves out an executor at once, for a shorter time, after a call without a complete answer", func() {
+		picker.Update(executors(2, "near"))
+		first := picker.Choose(service, "p", nil)
 		first.RecordUnreachable(now.Monotonic())
-		Expect(choice.Choose(service, "p", nil).ID).NotTo(Equal(first.ID))
+		Expect(picker.Choose(service, "p", nil).ID).NotTo(Equal(first.ID))
 		now.Advance(time.Second)
-		Expect(choice.Choose(service, "p", nil).ID).To(Equal(first.ID))
+		Expect(picker.Choose(service, "p", nil).ID).To(Equal(first.ID))
 	})
 
-	It("keeps what it knows of executors that stay in the list", func() {
-		choice.Update(executors(2, "near"))
-		busy := choice.Choose(service, "p", nil)
+	It("keeps the load of executors that stay in the list", func() {
+		picker.Update(executors(2, "near"))
+		busy := picker.Choose(service, "p", nil)
 		busy.RecordStart(now.Monotonic())
-		choice.Update(executors(4, "near"))
-		Expect(choice.Choose(service, "p", nil).ID).NotTo(Equal(busy.ID))
-		Expect(choice.HasExecutors()).To(BeTrue())
-		choice.Update(nil)
-		Expect(choice.HasExecutors()).To(BeFalse())
+		picker.Update(executors(4, "near"))
+		Expect(picker.Choose(service, "p", nil).ID).NotTo(Equal(busy.ID))
+		Expect(picker.HasExecutors()).To(BeTrue())
+		picker.Update(nil)
+		Expect(picker.HasExecutors()).To(BeFalse())
 	})
 })
--- a/internal/gate/forwarding/forwarding_test.go
+++ b/internal/gate/forwarding/forwarding_test.go
@@ -23,11 +23,11 @@
 const (
 	service   = "s"
 	requestID = "9c41d07be2a35f68"
-	// timeRemaining is how long each client waits, on the fake clock.
+	// timeRemaining is how long each client waits, on heldClock.
 	timeRemaining = 10 * time.Second
 )
 
-// fleet are scripted executors behind a gate that passes all requests on.
+// fleet is a set of scripted executors behind a gate that forwards all requests.
 type fleet struct {
 	balancer *balancer.Balancer
 	gate     *httptest.Server
@@ -36,16 +36,16 @@
 	clock    *heldClock
 }
 
-// heldClock stands still, for many goroutines, until its one ring ends all waits.
-type heldClock struct{ ring chan time.Time }
+// heldClock stands still and can be used by many goroutines. Closing expired ends all waits.
+type heldClock struct{ expired chan time.Time }
 
 func (c *heldClock) Monotonic() time.Duration             { return time.Minute }
 func (c *heldClock) WallMs() int64                        { return 0 }
-func (c *heldClock) After(time.Duration) <-chan time.Time { return c.ring }
+func (c *heldClock) After(time.Duration) <-chan time.Time { return c.expired }
 
-// newFleet starts an executor for each script; the first call goes to the first script, and so on, whatever executor is chosen.
+// newFleet starts one executor per script. The scripts answer the calls in their order, whichever executor is called.
 func newFleet(request forwarding.Request, scripts ...http.HandlerFunc) *fleet {
-	held := &heldClock{ring: make(chan time.Time)}
+	held := &heldClock{expired: make(chan time.Time)}
 	f := &fleet{balancer: balancer.New("z", held), request: request, clock: held}
 	var records []wire.ExecutorRecord
 	for number := range scripts {
@@ -59,18 +59,18 @@
 	f.balancer.Update(records)
 	forwarder := forwarding.New(&http.Client{}, f.balancer, held)
 	f.gate = httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, from *http.Request) {
-		passed := f.request
-		passed.Service, passed.Method, passed.Path, passed.Host, passed.Header = service, from.Method, from.URL.RequestURI(), from.Host, from.Header
-		passed.Body, _ = io.ReadAll(from.Body)
-		passed.TimeRemaining = timeRemaining
-		forwarder.Serve(from.Context(), to, &passed)
+		forwarded := f.request
+		forwarded.Service, forwarded.Method, forwarded.Path, forwarded.Host, forwarded.Header = service, from.Method, from.URL.RequestURI(), from.Host, from.Header
+		forwarded.Body, _ = io.ReadAll(from.Body)
+		forwarded.TimeRemaining = timeRemaining
+		forwarder.Serve(from.Context(), to, &forwarded)
 	}))
 	DeferCleanup(f.gate.Close)
 	return f
 }
 
-// ask sends a request through the gate.
-func (f *fleet) ask() (*http.Response, error) {
+// send sends a request through the gate.
+func (f *fleet) send() (*http.Response, error) {
 	request, err := http.NewRequest(http.MethodPost, f.gate.URL+"/p/2f?x=1", bytes.NewReader([]byte{0, 1, 0xff}))
 	Expect(err).NotTo(HaveOccurred())
 	request.Host = "nony24.example"
@@ -82,18 +82,18 @@
 	return http.DefaultClient.Do(request)
 }
 
-// begin writes the head of an answer.
-func begin(to http.ResponseWriter, contentType string) {
+// writeHead writes the head of an answer.
+func writeHead(to http.ResponseWriter, contentType string) {
 	to.Header().Set("X-Request-Id", requestID)
 	to.Header().Set("X-Server-Seal", "3e1b")
 	to.Header().Set("Content-Type", contentType)
 	to.WriteHeader(http.StatusOK)
 }
 
-// streaming answers with the events of these numbers and then breaks off, if it should.
+// streaming answers with the events numbered first to last and then breaks off, if breaksOff is set.
 func streaming(first, last int, breaksOff bool) http.HandlerFunc {
 	return func(to http.ResponseWriter, _ *http.Request) {
-		begin(to, "text/event-stream")
+		writeHead(to, "text/event-stream")
 		for number := first; number <= last; number++ {
 			fmt.Fprintf(to, "id: %d\ndata: piece %d\n\n", number, number)
 		}
@@ -111,18 +111,18 @@
 
 func breaking(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-var _ = Describe("a request that is passed on", func() {
-	It("reaches the executor unchanged but for what concerns one connection, the key and what this system says itself", func() {
+var _ = Describe("a forwarded request", func() {
+	It("reaches the executor unchanged except for hop-by-hop headers, the key and the headers of this system", func() {
 		var got *http.Request
 		var body []byte
 		f := newFleet(forwarding.Request{Tenant: "team", MaxAttempts: 1}, func(to http.ResponseWriter, call *http.Request) {
 			got = call.Clone(call.Context())
 			body, _ = io.ReadAll(call.Body)
 			to.Header().Set("X-Executor-Load", "3,1,4")
-			begin(to, "application/octet-stream")
+			writeHead(to, "application/octet-stream")
 			to.Write([]byte{7, 0, 9})
 		})
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(io.ReadAll(answer.Body)).To(Equal([]byte{7, 0, 9}))
 		Expect(answer.Header.Get("X-Server-Seal")).To(Equal("3e1b"))
@@ -139,16 +139,16 @@
 		Expect(left).To(And(BeNumerically(">", 9900), BeNumerically("<", 10000)))
 	})
 
-	It("passes events on as they come", func() {
+	It("gets events as they arrive", func() {
 		release := make(chan struct{})
 		f := newFleet(forwarding.Request{MaxAttempts: 1}, func(to http.ResponseWriter, _ *http.Request) {
-			begin(to, "text/event-stream")
+			writeHead(to, "text/event-stream")
 			io.WriteString(to, "id: 1\ndata: a\n\n")
 			to.(http.Flusher).Flush()
 			<-release
 			io.WriteString(to, "id: 2\ndata: b\n\n")
 		})
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		lines := bufio.NewReader(answer.Body)
 		Expect(lines.ReadString('\n')).To(Equal("id: 1\n"))
@@ -158,45 +158,45 @@
 		Expect(string(rest)).To(Equal("data: a\n\nid: 2\ndata: b\n\n"))
 	})
 
-	It("is offered to another executor where one has certainly not run it, and refused with a promise where none has", func() {
+	It("is sent to another executor after a refusal, and refused with Retry-After if all executors refuse it", func() {
 		f := newFleet(forwarding.Request{MaxAttempts: 1}, refusing, streaming(1, 2, false))
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
 		Expect(f.calls.Load()).To(Equal(int64(2)))
 
 		f = newFleet(forwarding.Request{MaxAttempts: 1}, refusing, refusing)
-		answer, err = f.ask()
+		answer, err = f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("runs once at most where it may have run, unless it may run again", func() {
+	It("is not retried after a broken call, unless it is idempotent and has attempts left", func() {
 		f := newFleet(forwarding.Request{MaxAttempts: 2}, breaking, streaming(1, 1, false))
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(f.calls.Load()).To(Equal(int64(1)))
 
 		f = newFleet(forwarding.Request{MaxAttempts: 2, IsIdempotent: true}, breaking, streaming(1, 1, false))
-		answer, err = f.ask()
+		answer, err = f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
 
 		f = newFleet(forwarding.Request{MaxAttempts: 1, IsIdempotent: true}, breaking, streaming(1, 1, false))
-		answer, err = f.ask()
+		answer, err = f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 	})
 
-	It("goes on at another executor after the last event, within one answer, if the stream can be resumed", func() {
+	It("resumes a resumable stream at another executor after the last event, within one answer", func() {
 		var lastEventID string
 		f := newFleet(forwarding.Request{MaxAttempts: 2, IsResumable: true}, streaming(1, 2, true), func(to http.ResponseWriter, call *http.Request) {
 			lastEventID = call.Header.Get("Last-Event-Id")
 			streaming(3, 4, false)(to, call)
 		})
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		text, err := io.ReadAll(answer.Body)
 		Expect(err).NotTo(HaveOccurred())
@@ -204,9 +204,9 @@
 		Expect(lastEventID).To(Equal("2"))
 	})
 
-	It("never ends as complete where it broke off, nor joins another answer", func() {
+	It("ends with an error if its stream breaks off and is not resumed", func() {
 		f := newFleet(forwarding.Request{MaxAttempts: 2}, streaming(1, 2, true), streaming(3, 4, false))
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(answer.Body)
 		Expect(err).To(HaveOccurred())
@@ -216,31 +216,31 @@
 			to.Header().Set("X-Request-Id", requestID)
 			http.Error(to, "no", http.StatusInternalServerError)
 		})
-		answer, err = f.ask()
+		answer, err = f.send()
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(answer.Body)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("takes an answer of another request for none", func() {
+	It("gets 502 if an executor answers with the ID of another request", func() {
 		f := newFleet(forwarding.Request{MaxAttempts: 1}, func(to http.ResponseWriter, _ *http.Request) {
 			to.Header().Set("X-Request-Id", "another")
 			io.WriteString(to, "not yours")
 		})
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 	})
 
-	It("ends with 504 at its deadline, and does not ask another executor then", func() {
+	It("gets 504 at its deadline, and is not retried then", func() {
 		var f *fleet
 		f = newFleet(forwarding.Request{MaxAttempts: 2, IsIdempotent: true}, func(_ http.ResponseWriter, call *http.Request) {
-			// The server learns of a closed connection only once the body was read.
+			// The server detects a closed connection only after the body was read.
 			io.Copy(io.Discard, call.Body)
-			close(f.clock.ring)
+			close(f.clock.expired)
 			<-call.Context().Done()
 		}, streaming(1, 1, false))
-		answer, err := f.ask()
+		answer, err := f.send()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusGatewayTimeout))
 		Expect(f.calls.Load()).To(Equal(int64(1)))
