--- a/internal/gate/headerrules/headerrules.go
+++ b/internal/gate/headerrules/headerrules.go
@@ -1,4 +1,4 @@
-// Package headerrules is the one list of what happens to each header of a client's call.
+// Package headerrules defines what happens to the headers of clients' requests and of executors' answers.
 package headerrules
 
 import (
@@ -11,11 +11,15 @@
 	"gannetline/internal/platform/headers"
 )
 
+// action is what the gate does with a header of a request that it does not forward to an executor.
 type action int
 
 const (
+	// actionDrop ignores the header.
 	actionDrop action = iota
+	// actionRead uses the header within the gate.
 	actionRead
+	// actionEcho returns the header to the client in the answer.
 	actionEcho
 )
 
@@ -35,7 +39,7 @@
 	{"X-Forwarded-For", actionDrop},
 }
 
-// Echo copies onto the answer what the rules say is given back.
+// Echo copies the headers that the rules return to the client from a request to its answer.
 func Echo(from, to http.Header) {
 	for _, rule := range rules {
 		if rule.action != actionEcho {
@@ -47,10 +51,10 @@
 	}
 }
 
-// bearerScheme begins the header that bears a client's key; its case doesn't matter.
+// bearerScheme is the authentication scheme of a client's key. It is case-insensitive.
 const bearerScheme = "Bearer "
 
-// BearerKey gives the key that a client bears, empty if it bears none.
+// BearerKey returns a client's API key, or an empty text if it sends none.
 func BearerKey(from http.Header) string {
 	text := from.Get(headers.Authorization)
 	if len(text) <= len(bearerScheme) || !strings.EqualFold(text[:len(bearerScheme)], bearerScheme) {
@@ -59,8 +63,8 @@
 	return strings.TrimSpace(text[len(bearerScheme):])
 }
 
-// TimeLeft is how long the client still waits; isSane is false for what is no count.
-func TimeLeft(from http.Header, limit time.Duration) (left time.Duration, isSane bool) {
+// TimeLeft returns how long the client still waits, at most limit. isValid is false if the header is not a count of milliseconds.
+func TimeLeft(from http.Header, limit time.Duration) (left time.Duration, isValid bool) {
 	text := from.Get(headers.TimeRemaining)
 	if text == "" {
 		return limit, true
@@ -72,24 +76,25 @@
 	return min(limit, time.Duration(min(count, 1<<31))*time.Millisecond), true
 }
 
-// connectionHeaders concern one connection only.
-var connectionHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
+// hopByHopHeaders apply to a single connection and are never copied.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade"}
 
-// unforwarded are headers of a client that an executor is not shown: the key, and what this system tells executors itself.
-var unforwarded = []string{headers.Authorization, headers.Tenant, headers.ExpectedExecutor, "Content-Length", "Host"}
+// unforwardedHeaders are further headers of a client that executors do not get: the client's key, and headers that this system sets
+// itself.
+var unforwardedHeaders = []string{headers.Authorization, headers.Tenant, headers.ExpectedExecutor, "Content-Length", "Host"}
 
-// CopyToExecutor copies the headers of a client's request that an executor gets.
+// CopyToExecutor copies the headers of a client's request that are forwarded to an executor.
 func CopyToExecutor(from, to http.Header) {
-	copyBut(from, to, append(namedIn(from), unforwarded...))
+	copyExcept(from, to, append(hopByHopIn(from), unforwardedHeaders...))
 }
 
-// CopyToClient copies the headers of an executor's answer that a client gets.
-func CopyToClient(from, to http.Header) { copyBut(from, to, namedIn(from)) }
+// CopyToClient copies the headers of an executor's answer that are returned to a client.
+func CopyToClient(from, to http.Header) { copyExcept(from, to, hopByHopIn(from)) }
 
-// namedIn are the headers that concern one connection, with those that the header Connection names.
-func namedIn(headers http.Header) []string {
-	names := slices.Clone(connectionHeaders)
+// hopByHopIn returns hopByHopHeaders with those that the header Connection names.
+func hopByHopIn(headers http.Header) []string {
+	names := slices.Clone(hopByHopHeaders)
 	for _, value := range headers.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
 			names = append(names, http.CanonicalHeaderKey(strings.TrimSpace(name)))
@@ -98,9 +103,10 @@
 	return names
 }
 
-func copyBut(from, to http.Header, left []string) {
+// copyExcept copies all headers but the excluded ones.
+func copyExcept(from, to http.Header, excluded []string) {
 	for name, values := range from {
-		if !slices.Contains(left, name) {
+		if !slices.Contains(excluded, name) {
 			to[name] = slices.Clone(values)
 		}
 	}
--- a/internal/gate/keyfreshness/keyfreshness.go
+++ b/internal/gate/keyfreshness/keyfreshness.go
@@ -1,6 +1,6 @@
-// Package keyfreshness tells whether a gate may still trust the keys of the configuration that it knows. Where a key that was taken
-// away must not be of use anywhere after a while, not even at a gate that is cut off, the gate has the leader of the configuration
-// confirm its version again and again, and trusts its keys for that while only.
+// Package keyfreshness reports whether a gate can still trust the API keys in its configuration. A revoked key must not be accepted
+// anywhere after a timeout, not even at a partitioned gate. Therefore the gate has the leader of the configuration confirm its version
+// periodically, and trusts its keys only for the timeout after a confirmation.
 package keyfreshness
 
 import (
@@ -18,68 +18,70 @@
 )
 
 const (
-	// configurationKey is the replicated key of the configuration.
+	// configurationKey is the replicated key whose leader holds the configuration.
 	configurationKey = "plan"
-	// asksPerTimeout is how often the version is confirmed within the time that a confirmation lasts.
-	asksPerTimeout = 5
-	// answerMargin is taken off that time, for the answer that a call may still take to leave.
+	// confirmationsPerTimeout is how often the version is confirmed within the timeout.
+	confirmationsPerTimeout = 5
+	// answerMargin is subtracted from the timeout, as the answer to a request that was accepted last still has to be sent.
 	answerMargin = 100 * time.Millisecond
 )
 
-// Asker asks the leader of a key; leaderclient.Client is the real one.
+// Asker calls the leader of a key. leaderclient.Client implements it.
 type Asker interface {
 	Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) leaderclient.Outcome
 }
 
-// Tracker confirms the configuration again and again. Any goroutine may ask IsFresh.
+// Tracker has the version of the configuration confirmed periodically. Any goroutine may call IsFresh.
 type Tracker struct {
 	asker   Asker
 	clock   clock.Clock
 	timeout time.Duration
-	held    func() int64
-	// confirmedAt is when the last question was sent whose answer confirmed the version that is held, in nanoseconds of the monotonic
-	// clock plus one; 0 is never.
+	// currentVersion returns the version of the gate's configuration.
+	currentVersion func() int64
+	// confirmedAt is when the last call was sent whose answer confirmed the current version, in nanoseconds of the monotonic clock plus
+	// one; 0 means never.
 	confirmedAt atomic.Int64
 }
 
-// New makes a watch of the version that held gives. A confirmation lasts for the timeout, from before it was asked for.
-func New(asker Asker, clock clock.Clock, timeout time.Duration, held func() int64) *Tracker {
-	return &Tracker{asker: asker, clock: clock, timeout: timeout, held: held}
+// New returns a tracker that confirms the version that currentVersion returns. A confirmation lasts for the timeout, from the time its
+// call was sent.
+func New(asker Asker, clock clock.Clock, timeout time.Duration, currentVersion func() int64) *Tracker {
+	return &Tracker{asker: asker, clock: clock, timeout: timeout, currentVersion: currentVersion}
 }
 
-// IsFresh tells whether no key that the configuration holds was taken away longer ago than the timeout. All that was acknowledged to
-// the operator before a question was sent is in the leader's answer, so that what this gate can't know of is younger than the question.
-func (w *Tracker) IsFresh() bool {
-	confirmedAt := w.confirmedAt.Load()
-	return confirmedAt > 0 && w.clock.Monotonic()-time.Duration(confirmedAt-1) < w.timeout-answerMargin
+// IsFresh reports whether no key in the configuration was revoked longer ago than the timeout. The leader's answer includes every
+// change that was acknowledged to the operator before the call was sent, so any change that this gate misses is newer than the call.
+func (t *Tracker) IsFresh() bool {
+	confirmedAt := t.confirmedAt.Load()
+	return confirmedAt > 0 && t.clock.Monotonic()-time.Duration(confirmedAt-1) < t.timeout-answerMargin
 }
 
-// Run confirms the version until ctx is done.
-func (w *Tracker) Run(ctx context.Context) error {
+// Run has the version confirmed periodically until ctx is done.
+func (t *Tracker) Run(ctx context.Context) error {
 	for {
-		w.confirm(ctx)
+		t.confirm(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.clock.After(w.timeout / asksPerTimeout):
+		case <-t.clock.After(t.timeout / confirmationsPerTimeout):
 		}
 	}
 }
 
-// confirm asks once. A leader that has a newer version confirms nothing: that has to be fetched first.
-func (w *Tracker) confirm(ctx context.Context) {
-	askedAt := w.clock.Monotonic()
-	outcome := w.asker.Ask(ctx, &wire.ClientCall{Key: configurationKey, Verb: wire.VerbVersion}, w.timeout/asksPerTimeout)
+// confirm makes one call to the leader. A leader with a newer version confirms nothing; the gate has to fetch that version first.
+func (t *Tracker) confirm(ctx context.Context) {
+	askedAt := t.clock.Monotonic()
+	outcome := t.asker.Ask(ctx, &wire.ClientCall{Key: configurationKey, Verb: wire.VerbVersion}, t.timeout/confirmationsPerTimeout)
 	if outcome.Answer == nil || outcome.Answer.Status != http.StatusOK {
 		return
 	}
 	version, err := versionOf(outcome.Answer.Body)
-	if err == nil && w.held() >= version {
-		w.confirmedAt.Store(int64(askedAt) + 1)
+	if err == nil && t.currentVersion() >= version {
+		t.confirmedAt.Store(int64(askedAt) + 1)
 	}
 }
 
-// versionOf reads the answer to VerbVersion.
+// versionOf decodes the answer to VerbVersion. Unknown fields are skipped.
 func versionOf(body []byte) (int64, error) {
 	lexer := jlexer.Lexer{Data: body}
 	var version int64
@@ -95,5 +97,5 @@
 		lexer.WantComma()
 	}
 	lexer.Delim('}')
-	return version, errors.Annotate(lexer.Error(), "the version of the configuration")
+	return version, errors.Annotate(lexer.Error(), "decoding the version of the configuration")
 }
--- a/internal/gate/keyfreshness/keyfreshness_test.go
+++ b/internal/gate/keyfreshness/keyfreshness_test.go
@@ -14,54 +14,54 @@
 	"gannetline/internal/platform/clock"
 )
 
-func TestKeyfreshness(t *testing.T) {
+func TestKeyFreshness(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "keyfreshness")
 }
 
-// scriptedLeader answers with a status and a body after a while, and ends the watch's run when it was asked often enough.
+// scriptedLeader returns an answer after a delay, and cancels the tracker's context after a number of calls.
 type scriptedLeader struct {
-	clock  *clock.Fake
-	takes  time.Duration
-	answer *wire.ClientAnswer
-	left   int
-	end    context.CancelFunc
+	clock     *clock.Fake
+	delay     time.Duration
+	answer    *wire.ClientAnswer
+	callsLeft int
+	cancel    context.CancelFunc
 }
 
 func (s *scriptedLeader) Ask(context.Context, *wire.ClientCall, time.Duration) leaderclient.Outcome {
-	s.clock.Advance(s.takes)
-	if s.left--; s.left <= 0 {
-		s.end()
+	s.clock.Advance(s.delay)
+	if s.callsLeft--; s.callsLeft <= 0 {
+		s.cancel()
 	}
 	return leaderclient.Outcome{Answer: s.answer}
 }
 
-var _ = Describe("the freshness of keys", func() {
+var _ = Describe("IsFresh", func() {
 	const timeout = 5 * time.Second
-	// fresh lets a gate that holds version 7 ask once, and tells whether it trusts its keys some time after the answer.
-	fresh := func(answer *wire.ClientAnswer, takes, after time.Duration) bool {
+	// isFreshAfter has version 7 confirmed once, and returns IsFresh some time after the answer.
+	isFreshAfter := func(answer *wire.ClientAnswer, delay, after time.Duration) bool {
 		fake := clock.NewFake(0)
-		ctx, end := context.WithCancel(context.Background())
-		leader := &scriptedLeader{clock: fake, takes: takes, answer: answer, left: 1, end: end}
-		watch := keyfreshness.New(leader, fake, timeout, func() int64 { return 7 })
-		Expect(watch.IsFresh()).To(BeFalse())
-		Expect(watch.Run(ctx)).To(Succeed())
+		ctx, cancel := context.WithCancel(context.Background())
+		leader := &scriptedLeader{clock: fake, delay: delay, answer: answer, callsLeft: 1, cancel: cancel}
+		tracker := keyfreshness.New(leader, fake, timeout, func() int64 { return 7 })
+		Expect(tracker.IsFresh()).To(BeFalse())
+		Expect(tracker.Run(ctx)).To(Succeed())
 		fake.Advance(after)
-		return watch.IsFresh()
+		return tracker.IsFresh()
 	}
 	version := func(text string) *wire.ClientAnswer { return &wire.ClientAnswer{Status: 200, Body: []byte(text)} }
 
-	DescribeTable("lasts for the timeout from before the question, if the leader has nothing newer",
-		func(answer *wire.ClientAnswer, takes, after time.Duration, isFresh bool) {
-			Expect(fresh(answer, takes, after)).To(Equal(isFresh))
+	DescribeTable("is true for the timeout after the call, if the leader has no newer version",
+		func(answer *wire.ClientAnswer, delay, after time.Duration, isFresh bool) {
+			Expect(isFreshAfter(answer, delay, after)).To(Equal(isFresh))
 		},
 		Entry("confirmed", version(`{"config-version":7}`), time.Millisecond, time.Second, true),
-		Entry("confirmed, with fields of later versions", version(`{"more":[1],"config-version":6}`), time.Millisecond, time.Second, true),
-		Entry("too long ago", version(`{"config-version":7}`), time.Millisecond, timeout, false),
-		Entry("an answer that took long", version(`{"config-version":7}`), 4*time.Second, time.Second, false),
+		Entry("confirmed, with unknown fields", version(`{"more":[1],"config-version":6}`), time.Millisecond, time.Second, true),
+		Entry("confirmed too long ago", version(`{"config-version":7}`), time.Millisecond, timeout, false),
+		Entry("confirmed by a late answer", version(`{"config-version":7}`), 4*time.Second, time.Second, false),
 		Entry("a newer version", version(`{"config-version":8}`), time.Millisecond, time.Second, false),
 		Entry("no answer", nil, time.Millisecond, time.Second, false),
 		Entry("no version yet", &wire.ClientAnswer{Status: 503}, time.Millisecond, time.Second, false),
-		Entry("no JSON", version(`{`), time.Millisecond, time.Second, false),
+		Entry("not JSON", version(`{`), time.Millisecond, time.Second, false),
 	)
 })
--- a/internal/gate/routekind/routekind.go
+++ b/internal/gate/routekind/routekind.go
@@ -1,5 +1,5 @@
-// Package routekind serves clients where gates both take jobs and pass requests on: the type of its route says which of the two a request
-// is.
+// Package routekind serves clients of gates that both accept jobs and forward requests. The type of a request's route decides which of
+// the two handlers serves it.
 package routekind
 
 import (
@@ -9,19 +9,19 @@
 	"gannetline/internal/gate/servingapi"
 )
 
-// Handler sends each request to one of two others. Any goroutine may call it.
+// Handler passes each request to one of two handlers. Any goroutine may call it.
 type Handler struct {
 	snapshot func() *configcache.Snapshot
 	jobs     http.Handler
 	requests http.Handler
 }
 
-// New makes a handler that chooses by the newest configuration.
+// New returns a handler that decides by the latest configuration.
 func New(snapshot func() *configcache.Snapshot, jobs, requests http.Handler) *Handler {
 	return &Handler{snapshot: snapshot, jobs: jobs, requests: requests}
 }
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP passes a client's request to the handler of its kind.
 func (h *Handler) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	if h.isForJobs(request) {
 		h.jobs.ServeHTTP(to, request)
@@ -30,7 +30,7 @@
 	h.requests.ServeHTTP(to, request)
 }
 
-// isForJobs tells whether a request is about jobs. What has no route is refused by either in the same way.
+// isForJobs reports whether a request is about jobs. Both handlers refuse a request without a route in the same way.
 func (h *Handler) isForJobs(request *http.Request) bool {
 	snapshot := h.snapshot()
 	if snapshot == nil || servingapi.IsAboutLots(request.URL.Path) {
--- a/internal/gate/routekind/routekind_test.go
+++ b/internal/gate/routekind/routekind_test.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/gate/routekind"
 )
 
-func TestRoutekind(t *testing.T) {
+func TestRouteKind(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "routekind")
 }
@@ -23,7 +23,7 @@
 	{"name":"ask","host":"h","path-prefix":"/a/","route-type":"streaming","timeout-ms":2000,"service":"s"},
 	{"name":"lots","host":"h","path-prefix":"/l/","route-type":"batch","timeout-ms":6000,"service":"s"}]}`
 
-var _ = Describe("where gates take jobs and pass requests on", func() {
+var _ = Describe("Handler", func() {
 	named := func(name string) http.Handler {
 		return http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) { to.Header().Set("By", name) })
 	}
@@ -36,7 +36,7 @@
 		return answer.Header().Get("By")
 	}
 
-	DescribeTable("the route decides", func(path, by string) {
+	DescribeTable("decides by the route", func(path, by string) {
 		Expect(err).NotTo(HaveOccurred())
 		Expect(servedBy(snapshot, path)).To(Equal(by))
 	},
@@ -48,7 +48,7 @@
 		Entry("no route", "/x/1", "requests"),
 	)
 
-	It("serves also before the first configuration", func() {
+	It("serves requests before the first configuration", func() {
 		Expect(servedBy(nil, "/j/1")).To(Equal("requests"))
 	})
 })
--- a/internal/gate/servingapi/lots.go
+++ b/internal/gate/servingapi/lots.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// maxWait is how long a reader waits at the leader at most, so that a call whose leader is gone is known for that in time.
+	// maxWait is how long a reader waits at the leader, at most, so that a call to a failed leader is detected in time.
 	maxWait = 300 * time.Millisecond
-	// lotCallLimit is how long a call about a lot may take; clients wait 1.5 s beyond what they ask for.
-	lotCallLimit = 1400 * time.Millisecond
+	// lotCallTimeout is how long a call about a lot may take. Clients wait 1.5 s longer than the wait time that they request.
+	lotCallTimeout = 1400 * time.Millisecond
 )
 
-// IsAboutLots tells by its path whether a request is about a lot that was handed in, or about an item of one.
+// IsAboutLots reports whether a path belongs to calls about a submitted lot or an item of one.
 func IsAboutLots(path string) bool {
 	return strings.HasPrefix(path, prefixLots) || strings.HasPrefix(path, prefixItems)
 }
 
-// decideLotCall decides on a call about a lot.
+// decideLotCall decides on a call about a submitted lot or an item of one.
 func decideLotCall(snapshot *configcache.Snapshot, request *http.Request) Decision {
 	kind, refusal := lotKindOf(request)
 	if refusal.Status != 0 {
@@ -38,10 +38,10 @@
 	if !isKnown {
 		return refuse(response.Unauthorized("lots need the key of a tenant, and the key is none"))
 	}
-	return Decision{Kind: kind, Tenant: tenant, Timeout: lotCallLimit}
+	return Decision{Kind: kind, Tenant: tenant, Timeout: lotCallTimeout}
 }
 
-// lotKindOf tells what is asked about a lot by path and method; the refusal says why that can't be.
+// lotKindOf returns the kind of a call about a lot, by its path and method. A refusal is returned if the call is invalid.
 func lotKindOf(request *http.Request) (kind, response.Reply) {
 	isLot := strings.HasPrefix(request.URL.Path, prefixLots)
 	switch {
@@ -50,7 +50,7 @@
 	case isLot && request.Method == http.MethodDelete:
 		return kindEndLot, response.Reply{}
 	case isLot && request.Method == http.MethodGet:
-		if _, isSane := positionOf(request.URL.Query().Get("depends-on")); !isSane {
+		if _, isValid := positionOf(request.URL.Query().Get("depends-on")); !isValid {
 			return kindRefused, response.Text(http.StatusBadRequest, "depends-on is no position")
 		}
 		return kindReadLot, response.Reply{}
@@ -58,8 +58,8 @@
 	return kindRefused, response.Text(http.StatusMethodNotAllowed, "a lot is read by GET and ended by DELETE, an item read by GET")
 }
 
-// tenantOfLotCall gives the tenant whose key a call about a lot bears, empty where it bears none and needs none; isKnown is false if it
-// needs one and has none.
+// tenantOfLotCall returns the tenant whose key a call about a lot carries, or an empty name if it carries no known key and needs none.
+// isKnown is false if it needs a key.
 func tenantOfLotCall(snapshot *configcache.Snapshot, request *http.Request) (name string, isKnown bool) {
 	if tenant := snapshot.Matcher.TenantOfKey(headerrules.BearerKey(request.Header)); tenant != nil {
 		return tenant.Name, true
@@ -67,7 +67,7 @@
 	return "", !snapshot.Matcher.NeedsKeyForLots(request.Host)
 }
 
-// askAboutLot asks the leader of a lot's part.
+// askAboutLot sends a call about a lot to the leader of the lots' partition.
 func (g *Gate) askAboutLot(request *http.Request, decision Decision, body []byte) response.Reply {
 	call, refusal := callOf(request, decision, body)
 	if refusal.Status != 0 {
@@ -78,7 +78,7 @@
 	return replyOf(call, g.leaderClient.Ask(ctx, call, decision.Timeout))
 }
 
-// callOf makes the call to the leader.
+// callOf returns the call to the leader for a decision.
 func callOf(request *http.Request, decision Decision, body []byte) (*wire.ClientCall, response.Reply) {
 	call := &wire.ClientCall{Key: wire.LotsKey, Tenant: decision.Tenant}
 	switch decision.Kind {
@@ -100,7 +100,7 @@
 	return call, response.Reply{}
 }
 
-// waitOf is how long a reader may be kept waiting.
+// waitOf returns how long a reader waits for results, as its header requests, but at most maxWait.
 func waitOf(request *http.Request) time.Duration {
 	count, err := strconv.ParseInt(request.Header.Get(headers.WaitTime), 10, 64)
 	if err != nil || count < 0 {
@@ -109,7 +109,8 @@
 	return min(time.Duration(count)*time.Millisecond, maxWait)
 }
 
-// replyOf is the answer to a client. A lot is only refused if no process can have taken it.
+// replyOf returns the answer to a client. A lot is refused only if no process can have accepted it; otherwise the answer says that the
+// outcome is unknown.
 func replyOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	isSubmission := call.Verb == wire.VerbSubmitLot
@@ -128,7 +129,7 @@
 	return response.Raw(answer.Status, answer.Body)
 }
 
-// itemReply gives the bytes of an item's body.
+// itemReply returns the decoded body of an item, which the leader sends as a base64 JSON string.
 func itemReply(answer *wire.ClientAnswer) response.Reply {
 	var text string
 	if err := json.Unmarshal(answer.Body, &text); err != nil {
--- a/internal/gate/servingapi/lots_test.go
+++ b/internal/gate/servingapi/lots_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("a call about a lot", func() {
-	It("becomes a command for the leader of its part", func() {
+	It("becomes a call to the leader of the lots' partition", func() {
 		made := httptest.NewRequest("POST", "/l/1", nil)
 		made.Header.Set("X-Request-Id", "7c41e09b52d6a3f8")
 		decision := Decision{Kind: kindSubmitLot, Route: &configuration.Route{Name: "lots"}, Tenant: "team"}
@@ -26,7 +26,7 @@
 		Expect(refusal.Status).To(Equal(http.StatusBadRequest))
 	})
 
-	It("waits at the leader for a while at most", func() {
+	It("waits at the leader for at most maxWait", func() {
 		made := httptest.NewRequest("GET", "/v1/lots/7c41?depends-on=12", nil)
 		made.Header.Set("X-Wait-Time", "1000")
 		call, _ := callOf(made, Decision{Kind: kindReadLot}, nil)
@@ -40,13 +40,13 @@
 		Expect(reply.Status).To(Equal(status))
 		Expect(strings.TrimSpace(string(reply.Body))).To(ContainSubstring(body))
 	},
-		Entry("a lot that was taken", wire.VerbSubmitLot, leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 202}}, 202, ""),
-		Entry("a lot that may have been taken", wire.VerbSubmitLot, leaderclient.Outcome{MayHaveRun: true}, 504, ""),
-		Entry("a lot that an earlier try may have brought", wire.VerbSubmitLot,
+		Entry("a lot that was accepted", wire.VerbSubmitLot, leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 202}}, 202, ""),
+		Entry("a lot that may have been accepted", wire.VerbSubmitLot, leaderclient.Outcome{MayHaveRun: true}, 504, ""),
+		Entry("a lot that an earlier attempt may have submitted", wire.VerbSubmitLot,
 			leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 429, Reason: "full"}}, 504, ""),
-		Entry("a lot that was surely not taken", wire.VerbSubmitLot, leaderclient.Outcome{}, 503, ""),
-		Entry("a lot that doesn't fit", wire.VerbSubmitLot, leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Reason: "full", RetryAfterS: 1}}, 429, "full"),
-		Entry("a reader without a leader", wire.VerbLotResults, leaderclient.Outcome{MayHaveRun: true}, 503, ""),
-		Entry("an item's bytes", wire.VerbLotItem, leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 200, Body: []byte(`"YWJj"`)}}, 200, "abc"),
+		Entry("a lot that was certainly not accepted", wire.VerbSubmitLot, leaderclient.Outcome{}, 503, ""),
+		Entry("a lot that is refused for lack of room", wire.VerbSubmitLot, leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 429, Reason: "full", RetryAfterS: 1}}, 429, "full"),
+		Entry("a read without an answer of the leader", wire.VerbLotResults, leaderclient.Outcome{MayHaveRun: true}, 503, ""),
+		Entry("the body of an item", wire.VerbLotItem, leaderclient.Outcome{Answer: &wire.ClientAnswer{Status: 200, Body: []byte(`"YWJj"`)}}, 200, "abc"),
 	)
 })
--- a/internal/gate/servingapi/servingapi.go
+++ b/internal/gate/servingapi/servingapi.go
@@ -1,5 +1,5 @@
-// Package servingapi serves clients whose requests executors answer: it passes requests on (package forwarding), and brings lots to the
-// leader of their part. Decide is asked about every request; the gate obeys.
+// Package servingapi serves clients' requests that executors answer. It forwards single requests to executors (package forwarding), and
+// sends calls about lots to the leader of the lots' partition. Decide decides on each request, and the gate carries the decision out.
 package servingapi
 
 import (
@@ -21,14 +21,14 @@
 )
 
 const (
-	// defaultMaxBody is how many bytes a body may have while no configuration says.
+	// defaultMaxBody is the size limit of a body if the configuration sets none, in bytes.
 	defaultMaxBody = 4 << 20
-	// prefixLots and prefixItems begin the paths of calls about lots.
+	// prefixLots and prefixItems are the path prefixes of calls about lots and their items.
 	prefixLots  = "/v1/lots/"
 	prefixItems = "/v1/items/"
 )
 
-// kind is what a request is.
+// kind is the kind of a request, also in the metrics.
 type kind string
 
 const (
@@ -40,19 +40,24 @@
 	kindEndLot    kind = "lot-end"
 )
 
-// Decision is what should become of a request: refused at once, passed on to an executor, or asked of the leader of a part.
+// Decision is the result of Decide for a request: a refusal, a request to forward to an executor, or a call to the leader of the lots'
+// partition.
 type Decision struct {
-	Kind    kind
+	Kind kind
+	// Refusal is the answer to a refused request.
 	Refusal response.Reply
-	Route   *configuration.Route
-	Tenant  string
-	// Timeout is how long the answer may take.
+	// Route is nil for calls about lots that were submitted before.
+	Route *configuration.Route
+	// Tenant is the tenant whose key the request carries, empty if there is none.
+	Tenant string
+	// Timeout is how long the answer may take, from the start of the request.
 	Timeout time.Duration
 }
 
 func refuse(reply response.Reply) Decision { return Decision{Kind: kindRefused, Refusal: reply} }
 
-// Decide tells what should become of a request; it does no work of its own.
+// Decide returns what to do with a request. It makes no calls and changes nothing. A nil snapshot means that there is no
+// configuration yet.
 func Decide(snapshot *configcache.Snapshot, request *http.Request) Decision {
 	if snapshot == nil {
 		return refuse(response.Later(http.StatusServiceUnavailable, 1, "there is no configuration yet"))
@@ -68,12 +73,12 @@
 	if !isKnown {
 		return refuse(response.Unauthorized("the route needs the key of a tenant, and the key is none"))
 	}
-	limit, isSane := headerrules.TimeLeft(request.Header, clock.Milliseconds(route.TimeoutMs))
-	if !isSane {
+	timeout, isValid := headerrules.TimeLeft(request.Header, clock.Milliseconds(route.TimeoutMs))
+	if !isValid {
 		return refuse(response.Text(http.StatusBadRequest, "header X-Time-Remaining is no count of milliseconds"))
 	}
 	if route.Type != configuration.RouteBatch {
-		return Decision{Kind: kindForward, Route: route, Tenant: tenant, Timeout: limit}
+		return Decision{Kind: kindForward, Route: route, Tenant: tenant, Timeout: timeout}
 	}
 	if request.Method != http.MethodPost {
 		return refuse(response.Text(http.StatusMethodNotAllowed, "a lot is handed in by POST"))
@@ -81,28 +86,29 @@
 	if request.Header.Get(headers.RequestID) == "" {
 		return refuse(response.Text(http.StatusBadRequest, "header X-Request-Id is missing; it is the lot's ID"))
 	}
-	return Decision{Kind: kindSubmitLot, Route: route, Tenant: tenant, Timeout: limit}
+	return Decision{Kind: kindSubmitLot, Route: route, Tenant: tenant, Timeout: timeout}
 }
 
-// Gate obeys decisions.
+// Gate is the HTTP handler of clients' requests. It carries out the decisions of Decide.
 type Gate struct {
 	snapshot     func() *configcache.Snapshot
 	leaderClient *leaderclient.Client
 	forwarder    *forwarding.Forwarder
 	clock        clock.Clock
-	// areKeysFresh tells whether the keys of the configuration may be trusted now.
+	// areKeysFresh reports whether the API keys in the current configuration can be trusted now.
 	areKeysFresh func() bool
 }
 
-// Option changes how a gate is made.
+// Option configures a gate.
 type Option func(*Gate)
 
-// WithKeyFreshness has the gate refuse requests that need a key while the keys that it knows may have been taken away too long ago.
+// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false, as a key may have been revoked
+// without the gate knowing.
 func WithKeyFreshness(areKeysFresh func() bool) Option {
 	return func(g *Gate) { g.areKeysFresh = areKeysFresh }
 }
 
-// New makes a gate that decides by the newest configuration.
+// New returns a gate that decides by the latest configuration.
 func New(snapshot func() *configcache.Snapshot, leaderClient *leaderclient.Client, forwarder *forwarding.Forwarder, clock clock.Clock, options ...Option) *Gate {
 	gate := &Gate{snapshot: snapshot, leaderClient: leaderClient, forwarder: forwarder, clock: clock, areKeysFresh: func() bool { return true }}
 	for _, option := range options {
@@ -111,7 +117,7 @@
 	return gate
 }
 
-// decide tells what should become of a request as this gate stands now.
+// decide returns the decision by the latest configuration. It refuses requests with a key while the keys are not fresh.
 func (g *Gate) decide(request *http.Request) Decision {
 	decision := Decide(g.snapshot(), request)
 	if decision.Tenant != "" && !g.areKeysFresh() {
@@ -120,16 +126,16 @@
 	return decision
 }
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP answers a client's request and counts it by kind.
 func (g *Gate) ServeHTTP(to http.ResponseWriter, request *http.Request) {
-	began := g.clock.Monotonic()
+	startedAt := g.clock.Monotonic()
 	body, refusal := clientapi.ReadBody(g.snapshot(), request, defaultMaxBody)
 	decision := refuse(refusal)
 	if refusal.Status == 0 {
-		// The configuration may have changed while the body came.
+		// The configuration may have changed while the body was read.
 		decision = g.decide(request)
 	}
-	decision.Timeout -= g.clock.Monotonic() - began
+	decision.Timeout -= g.clock.Monotonic() - startedAt
 	requests.With(string(decision.Kind)).Inc()
 	if decision.Kind == kindForward {
 		g.forward(request, to, decision, body)
@@ -143,7 +149,7 @@
 	g.askAboutLot(request, decision, body).Write(to)
 }
 
-// forward passes a request on.
+// forward forwards a request to an executor of the route's service.
 func (g *Gate) forward(request *http.Request, to http.ResponseWriter, decision Decision, body []byte) {
 	route := decision.Route
 	id := request.Header.Get(headers.RequestID)
@@ -153,7 +159,7 @@
 		TimeRemaining: decision.Timeout})
 }
 
-// affinityOf gives the IDs of the parts of a prompt that are shared, all but the last; a prompt of one part has that one.
+// affinityOf returns the IDs of the parts of a prompt that requests share: all but the last one, or the only one.
 func affinityOf(from http.Header) string {
 	prompt := from.Get(headers.PromptPrefix)
 	if end := strings.LastIndexByte(prompt, ','); end >= 0 {
@@ -162,12 +168,12 @@
 	return prompt
 }
 
-// contextFor ends with the request, at the latest at the limit of the decision.
-func contextFor(request *http.Request, limit time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(request.Context(), max(0, limit))
+// contextFor returns a context that ends with the request or after the timeout, whichever is first.
+func contextFor(request *http.Request, timeout time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(request.Context(), max(0, timeout))
 }
 
-// positionOf reads a position; one that is left out is the first.
+// positionOf parses a position in the results of a lot. An empty text is position 0; the second result is false for an invalid text.
 func positionOf(text string) (int64, bool) {
 	if text == "" {
 		return 0, true
--- a/internal/gate/servingapi/servingapi_suite_test.go
+++ b/internal/gate/servingapi/servingapi_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestServingapi(t *testing.T) {
+func TestServingAPI(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "servingapi")
 }
--- a/internal/gate/servingapi/servingapi_test.go
+++ b/internal/gate/servingapi/servingapi_test.go
@@ -36,16 +36,16 @@
 	return made
 }
 
-// at sends a request to another host.
+// at changes the host of a request.
 func at(host string, made *http.Request) *http.Request {
 	made.Host = host
 	return made
 }
 
-var _ = Describe("what becomes of a request", func() {
+var _ = Describe("Decide", func() {
 	const bearer = "Bearer key"
 
-	DescribeTable("that is taken", func(made *http.Request, kind, tenant string) {
+	DescribeTable("accepts", func(made *http.Request, kind, tenant string) {
 		decision := servingapi.Decide(snapshot(), made)
 		Expect(string(decision.Kind)).To(Equal(kind))
 		Expect(decision.Tenant).To(Equal(tenant))
@@ -53,32 +53,32 @@
 		Entry("a stream", request("POST", "/a/1", "Authorization", bearer), "forward", "team"),
 		Entry("a stream of a public route", request("POST", "/o/1"), "forward", ""),
 		Entry("a lot", request("POST", "/l/1", "Authorization", bearer, "X-Request-Id", "7c41e09b52d6a3f8"), "lot", "team"),
-		Entry("a reader of a lot", request("GET", "/v1/lots/7c41?depends-on=12", "Authorization", bearer), "lot-results", "team"),
+		Entry("a read of a lot", request("GET", "/v1/lots/7c41?depends-on=12", "Authorization", bearer), "lot-results", "team"),
 		Entry("the end of a lot", request("DELETE", "/v1/lots/7c41", "Authorization", bearer), "lot-end", "team"),
 		Entry("an item", request("GET", "/v1/items/7c41?executor-id=1", "Authorization", bearer), "lot-item", "team"),
-		Entry("a reader where lots are public", at("public", request("GET", "/v1/lots/7c41")), "lot-results", ""),
-		Entry("a reader where lots are public, with a key", at("public", request("GET", "/v1/lots/7c41", "Authorization", bearer)), "lot-results", "team"),
-		Entry("a reader of a lot whose route is gone", at("other", request("GET", "/v1/lots/7c41")), "lot-results", ""),
+		Entry("a read where lots are public", at("public", request("GET", "/v1/lots/7c41")), "lot-results", ""),
+		Entry("a read where lots are public, with a key", at("public", request("GET", "/v1/lots/7c41", "Authorization", bearer)), "lot-results", "team"),
+		Entry("a read of a lot whose route was removed", at("other", request("GET", "/v1/lots/7c41")), "lot-results", ""),
 	)
 
-	DescribeTable("that is refused", func(made *http.Request, status int) {
+	DescribeTable("refuses", func(made *http.Request, status int) {
 		decision := servingapi.Decide(snapshot(), made)
 		Expect(decision.Refusal.Status).To(Equal(status))
 	},
 		Entry("no route", request("POST", "/x/1", "Authorization", bearer), 404),
 		Entry("no key", request("POST", "/a/1"), 401),
 		Entry("an unknown key", request("POST", "/a/1", "Authorization", "Bearer other"), 401),
-		Entry("no time", request("POST", "/a/1", "Authorization", bearer, "X-Time-Remaining", "soon"), 400),
+		Entry("an invalid remaining time", request("POST", "/a/1", "Authorization", bearer, "X-Time-Remaining", "soon"), 400),
 		Entry("a lot without an ID", request("POST", "/l/1", "Authorization", bearer), 400),
-		Entry("a lot by another method", request("GET", "/l/1", "Authorization", bearer), 405),
-		Entry("no position", request("GET", "/v1/lots/7c41?depends-on=-1"), 400),
-		Entry("a reader without a key", request("GET", "/v1/lots/7c41"), 401),
-		Entry("a reader with an unknown key", request("GET", "/v1/lots/7c41", "Authorization", "Bearer other"), 401),
+		Entry("a lot by a wrong method", request("GET", "/l/1", "Authorization", bearer), 405),
+		Entry("an invalid position", request("GET", "/v1/lots/7c41?depends-on=-1"), 400),
+		Entry("a read without a key", request("GET", "/v1/lots/7c41"), 401),
+		Entry("a read with an unknown key", request("GET", "/v1/lots/7c41", "Authorization", "Bearer other"), 401),
 		Entry("an item without a key", request("GET", "/v1/items/7c41?executor-id=1"), 401),
-		Entry("an item by another method", request("DELETE", "/v1/items/7c41"), 405),
+		Entry("an item by a wrong method", request("DELETE", "/v1/items/7c41"), 405),
 	)
 
-	It("refuses a request with a key, and none without, while it can't be sure of the keys", func() {
+	It("refuses requests with a key, and no others, while the keys are not fresh", func() {
 		areKeysFresh := false
 		gate := servingapi.New(snapshot, nil, nil, clock.NewFake(0), servingapi.WithKeyFreshness(func() bool { return areKeysFresh }))
 		status := func(made *http.Request) int {
@@ -93,11 +93,11 @@
 		Expect(servingapi.Decide(snapshot(), stream).Refusal.Status).To(BeZero())
 	})
 
-	It("is 503 before the first configuration", func() {
+	It("refuses with 503 before the first configuration", func() {
 		Expect(servingapi.Decide(nil, request("POST", "/a/1")).Refusal.Status).To(Equal(503))
 	})
 
-	It("takes the shorter of the client's time and the route's", func() {
+	It("returns the shorter of the client's remaining time and the route's timeout", func() {
 		made := request("POST", "/o/1", "X-Time-Remaining", "700")
 		Expect(servingapi.Decide(snapshot(), made).Timeout).To(Equal(700 * time.Millisecond))
 		made.Header.Set("X-Time-Remaining", "70000")
