--- a/internal/node/executorapi/client.go
+++ b/internal/node/executorapi/client.go
@@ -15,24 +15,24 @@
 	"gannetline/internal/platform/headers"
 )
 
-// maxAnswerBytes is in bytes.
+// maxAnswerBytes is the maximum size of an executor's answer; the rest of a longer one is not read.
 const maxAnswerBytes = 4 << 20
 
-// Client calls the executor of its own machine.
+// Client calls the executor on the same machine.
 type Client struct {
 	http *http.Client
 	base string
 }
 
-// NewClient makes a client for the executor at an address, IP:PORT.
+// NewClient returns a client for the executor at an address, IP:PORT.
 func NewClient(client *http.Client, address string) *Client {
 	return &Client{http: client, base: "http://" + address}
 }
 
-// Call posts a message to the executor, to the incarnation with this ID only, and gives the status and what it says. An
-// error means that nobody knows what was done; it names the path and the executor.
-func (c *Client) Call(ctx context.Context, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
-	status, answer, err := c.call(ctx, path, executor, limit, message)
+// Call posts a message to the incarnation of the executor with this ID and returns the status and the answer. An error means that the
+// outcome is unknown, unless peerapi.NeverSent is true for it. It names the path and the executor if the call was sent.
+func (c *Client) Call(ctx context.Context, path, executor string, timeout time.Duration, message easyjson.Marshaler) (int, Answer, error) {
+	status, answer, err := c.call(ctx, path, executor, timeout, message)
 	result := "error"
 	if err == nil {
 		result = strconv.Itoa(status)
@@ -41,21 +41,21 @@
 	return status, answer, err
 }
 
-// call posts a message to the executor and returns the status with the answer. An answer that can't be read is an error
-// only with status 200, as others may come with a plain text.
-func (c *Client) call(ctx context.Context, path, executor string, limit time.Duration, message easyjson.Marshaler) (int, Answer, error) {
+// call posts a message to the executor and returns the status and the answer. An answer that can't be decoded is an error only with
+// status 200, as the body of other answers may be plain text.
+func (c *Client) call(ctx context.Context, path, executor string, timeout time.Duration, message easyjson.Marshaler) (int, Answer, error) {
 	var answer Answer
 	body, err := easyjson.Marshal(message)
 	if err != nil {
-		return 0, answer, errors.Annotate(err, "writing a call")
+		return 0, answer, errors.Annotate(err, "encoding a call to the executor")
 	}
 	request, err := sling.New().Base(c.base).Post(path).Body(bytes.NewReader(body)).
 		Set("Content-Type", "application/json").Set(headers.ExpectedExecutor, executor).Request()
 	if err != nil {
-		return 0, answer, errors.Annotate(err, "making a call")
+		return 0, answer, errors.Annotate(err, "building a call to the executor")
 	}
 	sentBytes.With(path).Add(len(body))
-	ctx, release := context.WithTimeout(ctx, limit)
+	ctx, release := context.WithTimeout(ctx, timeout)
 	defer release()
 	response, err := c.http.Do(request.WithContext(ctx))
 	if err != nil {
--- a/internal/node/executorapi/executorapi_suite_test.go
+++ b/internal/node/executorapi/executorapi_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestExecutorcalls(t *testing.T) {
+func TestExecutorAPI(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "executorapi")
 }
--- a/internal/node/executorapi/executorapi_test.go
+++ b/internal/node/executorapi/executorapi_test.go
@@ -16,8 +16,8 @@
 	"gannetline/internal/platform/metrics"
 )
 
-var _ = Describe("what executors say", func() {
-	It("reads the hold lists", func() {
+var _ = Describe("messages of executors", func() {
+	It("include the lists of running and ended runs", func() {
 		var answer executorapi.Answer
 		text := `{"clock-ms":482113,"running-count":[["a.0.1.17",2,"00000bb87a21d94b",41]],"end-state":[[58,"a.0.1.9",1,"done",""]]}`
 		Expect(easyjson.Unmarshal([]byte(text), &answer)).To(Succeed())
@@ -28,7 +28,7 @@
 		Expect(string(back)).To(ContainSubstring(`[58,"a.0.1.9",1,"done",""]`))
 	})
 
-	It("makes a command of a beat and of a farewell", func() {
+	It("are decoded as commands: heartbeats and deregistrations", func() {
 		heartbeat, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/heartbeat",
 			strings.NewReader(`{"service":"s","executor-state":"ready","call-sequence":4}`)))
 		Expect(heartbeat.Executor).To(Equal("i-1"))
@@ -37,7 +37,7 @@
 		Expect(leave.IsDeregistration).To(BeTrue())
 	})
 
-	It("counts calls by path and result, with their bytes", func() {
+	It("are counted by path and result of the call, with their bytes", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 			to.WriteHeader(http.StatusConflict)
 			io.WriteString(to, "{}")
@@ -56,15 +56,15 @@
 		Expect(own[`gannetline_executor_sent_bytes_total{path="/v1/counted"}`]).To(BeNumerically(">", 2))
 	})
 
-	DescribeTable("refuses", func(method, path, body string, status int) {
+	DescribeTable("are refused for", func(method, path, body string, status int) {
 		_, refusal := executorapi.Decode(httptest.NewRequest(method, path, strings.NewReader(body)))
 		Expect(refusal.Status).To(Equal(status))
 	},
 		Entry("an unknown call", "POST", "/v1/executors/i-1/dance", "{}", 404),
 		Entry("a wrong method", "GET", "/v1/executors/i-1/heartbeat", "", 405),
-		Entry("no JSON", "POST", "/v1/executors/i-1/heartbeat", "{", 400),
-		Entry("a strange state", "POST", "/v1/executors/i-1/heartbeat", `{"service":"s","executor-state":"tired"}`, 400),
-		Entry("negative room", "POST", "/v1/executors/i-1/heartbeat", `{"service":"s","executor-state":"ready","capacity":{"cpu-units":-1}}`, 400),
-		Entry("a huge beat", "POST", "/v1/executors/i-1/heartbeat", `{"service":"`+strings.Repeat("s", 70000)+`"}`, 413),
+		Entry("not JSON", "POST", "/v1/executors/i-1/heartbeat", "{", 400),
+		Entry("an unknown state", "POST", "/v1/executors/i-1/heartbeat", `{"service":"s","executor-state":"tired"}`, 400),
+		Entry("a negative capacity", "POST", "/v1/executors/i-1/heartbeat", `{"service":"s","executor-state":"ready","capacity":{"cpu-units":-1}}`, 400),
+		Entry("a heartbeat that is too large", "POST", "/v1/executors/i-1/heartbeat", `{"service":"`+strings.Repeat("s", 70000)+`"}`, 413),
 	)
 })
--- a/internal/node/executorapi/golden_test.go
+++ b/internal/node/executorapi/golden_test.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = DescribeTable("the form of calls to and from executors is kept",
+var _ = DescribeTable("the encoding of messages matches the golden files",
 	func(name string, empty golden.Message) {
 		Expect(golden.CheckMessage(name, empty)).To(Succeed())
 	},
--- a/internal/node/executorapi/kept_test.go
+++ b/internal/node/executorapi/kept_test.go
@@ -18,13 +18,14 @@
 	"gannetline/internal/node/executorapi"
 )
 
-// scriptedExecutor answers the calls that reach it, one script after the other, on connections that it keeps or breaks.
+// scriptedExecutor answers each call by the next script, which may break the connection.
 type scriptedExecutor struct {
 	listener net.Listener
-	guard    sync.Mutex
+	mutex    sync.Mutex
 	scripts  []func(net.Conn)
-	seen     []string
-	lives    []string
+	received []string
+	// incarnations are the IDs that the calls were for.
+	incarnations []string
 }
 
 func newScriptedExecutor(scripts ...func(net.Conn)) *scriptedExecutor {
@@ -64,10 +65,10 @@
 }
 
 func (e *scriptedExecutor) take(request *http.Request, body []byte) func(net.Conn) {
-	e.guard.Lock()
-	defer e.guard.Unlock()
-	e.seen = append(e.seen, request.URL.Path+" "+string(body))
-	e.lives = append(e.lives, request.Header.Get("X-Expected-Executor"))
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.received = append(e.received, request.URL.Path+" "+string(body))
+	e.incarnations = append(e.incarnations, request.Header.Get("X-Expected-Executor"))
 	if len(e.scripts) == 0 {
 		return nil
 	}
@@ -77,17 +78,19 @@
 }
 
 func (e *scriptedExecutor) calls() []string {
-	e.guard.Lock()
-	defer e.guard.Unlock()
-	return append([]string(nil), e.seen...)
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return append([]string(nil), e.received...)
 }
 
+// says answers with a status and a body.
 func says(status int, body string) func(net.Conn) {
 	return func(to net.Conn) {
 		fmt.Fprintf(to, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
 }
 
+// resets closes the connection with a TCP reset.
 func resets(to net.Conn) {
 	_ = to.(*net.TCPConn).SetLinger(0)
 	to.Close()
@@ -95,7 +98,7 @@
 
 func closes(to net.Conn) { to.Close() }
 
-// cutsShort promises more of a body than it sends.
+// cutsShort announces a longer body than it sends, and closes the connection.
 func cutsShort(to net.Conn) {
 	fmt.Fprint(to, "HTTP/1.1 200 X\r\nContent-Length: 500\r\n\r\n{\"clock-ms\":7")
 	to.Close()
@@ -103,44 +106,44 @@
 
 func keepsSilent(net.Conn) {}
 
-var _ = Describe("a call to an executor over a connection that was kept", func() {
-	const limit = 300 * time.Millisecond
+var _ = Describe("a call to an executor over a reused connection", func() {
+	const timeout = 300 * time.Millisecond
 	start := executorapi.RunStart{Task: "a.0.0.0", Run: 1, Descriptor: "d", ExpiryMs: 9, Fence: 3}
 	stop := executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 3}
 	var executor *scriptedExecutor
 	var client *executorapi.Client
-	begin := func(scripts ...func(net.Conn)) {
+	startExecutor := func(scripts ...func(net.Conn)) {
 		executor = newScriptedExecutor(scripts...)
 		client = executorapi.NewClient(peerapi.Client(2*time.Second, 8), executor.listener.Addr().String())
 	}
 	AfterEach(func() { executor.listener.Close() })
 	runStart := func() (int, executorapi.Answer, error) {
-		return client.Call(context.Background(), "/v1/run-start", "i-1", limit, start)
+		return client.Call(context.Background(), "/v1/run-start", "i-1", timeout, start)
 	}
 
-	DescribeTable("is sent once, whatever becomes of the connection", func(fate func(net.Conn)) {
-		begin(says(200, `{"clock-ms":5}`), fate, says(200, `{"clock-ms":6}`), says(200, `{"clock-ms":6}`))
+	DescribeTable("is sent once, even if the connection breaks", func(failure func(net.Conn)) {
+		startExecutor(says(200, `{"clock-ms":5}`), failure, says(200, `{"clock-ms":6}`), says(200, `{"clock-ms":6}`))
 		_, answer, err := runStart()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.ClockMs).To(Equal(int64(5)))
 		_, _, err = runStart()
 		Expect(err).To(HaveOccurred())
 		Expect(peerapi.NeverSent(err)).To(BeFalse())
-		Consistently(executor.calls, limit, limit/6).Should(HaveLen(2))
-		_, _, err = client.Call(context.Background(), "/v1/run-stop", "i-1", limit, stop)
+		Consistently(executor.calls, timeout, timeout/6).Should(HaveLen(2))
+		_, _, err = client.Call(context.Background(), "/v1/run-stop", "i-1", timeout, stop)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(executor.calls()).To(HaveLen(3))
 		Expect(executor.calls()[2]).To(HavePrefix("/v1/run-stop"))
 	},
 		Entry("reset instead of an answer", resets),
 		Entry("closed instead of an answer", closes),
-		Entry("broken off within the answer", cutsShort),
-		Entry("frozen", keepsSilent),
+		Entry("closed within the answer", cutsShort),
+		Entry("no answer", keepsSilent),
 	)
 
-	It("gets no answer that belongs to a call before it", func() {
+	It("does not get the answer to an earlier call", func() {
 		released := make(chan struct{})
-		begin(func(to net.Conn) {
+		startExecutor(func(to net.Conn) {
 			go func() {
 				<-released
 				says(200, `{"clock-ms":11}`)(to)
@@ -158,26 +161,26 @@
 		Expect(answer.ClockMs).To(Equal(int64(33)))
 	})
 
-	It("names the life that it is meant for, each time, and hears that another one is there", func() {
-		begin(says(200, "{}"), says(421, ""))
-		for _, life := range []string{"i-1", "i-2"} {
-			status, _, err := client.Call(context.Background(), "/v1/hold", life, limit, executorapi.Hold{Fence: 1})
+	It("names the incarnation that it is for, and gets 421 from another one", func() {
+		startExecutor(says(200, "{}"), says(421, ""))
+		for _, incarnation := range []string{"i-1", "i-2"} {
+			status, _, err := client.Call(context.Background(), "/v1/hold", incarnation, timeout, executorapi.Hold{Fence: 1})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(status).To(Equal(map[string]int{"i-1": 200, "i-2": 421}[life]))
+			Expect(status).To(Equal(map[string]int{"i-1": 200, "i-2": 421}[incarnation]))
 		}
-		Expect(executor.lives).To(Equal([]string{"i-1", "i-2"}))
+		Expect(executor.incarnations).To(Equal([]string{"i-1", "i-2"}))
 	})
 
-	It("is known as never sent only if nobody listens there", func() {
-		begin()
+	It("is NeverSent if nothing listens at the address", func() {
+		startExecutor()
 		executor.listener.Close()
 		_, _, err := runStart()
 		Expect(err).To(HaveOccurred())
 		Expect(peerapi.NeverSent(err)).To(BeTrue())
 	})
 
-	It("takes a whole answer that can't be read for no answer", func() {
-		begin(says(200, strings.Repeat("{", 5)))
+	It("fails if the answer can't be decoded", func() {
+		startExecutor(says(200, strings.Repeat("{", 5)))
 		_, _, err := runStart()
 		Expect(err).To(HaveOccurred())
 		Expect(peerapi.NeverSent(err)).To(BeFalse())
--- a/internal/node/executorapi/server.go
+++ b/internal/node/executorapi/server.go
@@ -14,25 +14,26 @@
 	pathPrefix     = "/v1/executors/"
 	verbHeartbeat  = "heartbeat"
 	verbDeregister = "deregister"
-	// maxHeartbeatBytes is in bytes.
+	// maxHeartbeatBytes is the maximum size of a heartbeat.
 	maxHeartbeatBytes = 64 << 10
 )
 
-// The states that an executor reports.
+// The states that an executor reports in its heartbeats.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// Command is a decoded call of an executor: a heartbeat, or with IsDeregistration its notice that it leaves. The table that owns the
-// executor's state carries it out.
+// Command is a decoded call of an executor: a deregistration, or a heartbeat. The table that owns the executor's state carries it out.
 type Command struct {
-	Executor         string
+	// Executor is the ID of the calling incarnation.
+	Executor string
+	// Heartbeat is nil if IsDeregistration is set.
 	Heartbeat        *Heartbeat
 	IsDeregistration bool
 }
 
-// Decode reads a call; a reply with a status means that it was refused.
+// Decode decodes an executor's call. A reply with a status means that the call was refused.
 func Decode(request *http.Request) (Command, response.Reply) {
 	rest, isExecutor := strings.CutPrefix(request.URL.Path, pathPrefix)
 	id, verb, hasVerb := strings.Cut(rest, "/")
@@ -59,7 +60,7 @@
 	return Command{Executor: id, Heartbeat: heartbeat}, response.Reply{}
 }
 
-// check gives what is wrong with a heartbeat, or an empty text.
+// check returns what is wrong with a heartbeat, or an empty text. The text becomes part of the answer.
 func (b *Heartbeat) check() string {
 	switch {
 	case b.Service == "":
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -1,5 +1,5 @@
-// Package executorapi holds the messages between executors and local proxies, the client that calls an executor, and the
-// reading of an executor's calls.
+// Package executorapi defines the messages between executors and local proxies, a client that calls an executor, and the decoding of an
+// executor's calls.
 package executorapi
 
 import (
@@ -11,8 +11,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
 
-// Heartbeat is an executor's heartbeat. Times are in milliseconds; ClockMs is the executor's monotonic clock, and Sequence
-// rises with each call of one incarnation.
+// Heartbeat is an executor's heartbeat. Times are in milliseconds. ClockMs is the reading of the executor's monotonic clock, and Sequence
+// increases with each call of one incarnation.
 //
 //easyjson:json
 type Heartbeat struct {
@@ -30,8 +30,8 @@
 	Sequence    int64         `json:"call-sequence"`
 }
 
-// RunStart orders a run of a task. The executor refuses it below its highest fence, or once its own clock has passed
-// ExpiryMs; Saved is the checkpoint to begin from.
+// RunStart orders the start of a run. The executor refuses it if Fence is lower than the highest fence it has seen, or once its own
+// clock has passed ExpiryMs. Checkpoint is the checkpoint to start from; empty means from the beginning.
 //
 //easyjson:json
 type RunStart struct {
@@ -43,7 +43,7 @@
 	Checkpoint string `json:"checkpoint-ref,omitempty"`
 }
 
-// RunStop orders the end of one run.
+// RunStop orders an executor to stop a run.
 //
 //easyjson:json
 type RunStop struct {
@@ -52,11 +52,11 @@
 	Fence uint64 `json:"fence-number"`
 }
 
-// MaxEndsPerAnswer is how many ends an answer to a hold lists at most; those beyond are listed once these are acknowledged.
+// MaxEndsPerAnswer is the maximum number of ends in an answer to a hold. Further ends are listed once these are acknowledged.
 const MaxEndsPerAnswer = 500
 
-// Hold extends all runs of the executor until ExpiryMs on its clock, acknowledges its ends up to LastSeen, and waits
-// up to WaitMs for an end.
+// Hold extends the lease of all runs of the executor until ExpiryMs on its clock, and acknowledges ends up to the number LastSeen. The
+// executor answers after the next end, or after WaitMs at the latest.
 //
 //easyjson:json
 type Hold struct {
@@ -66,7 +66,8 @@
 	WaitMs   int64  `json:"wait-time-ms,omitempty"`
 }
 
-// Answer is what an executor says to any call: its clock, why it refused, what runs, and what has ended.
+// Answer is an executor's answer to any call: the reading of its clock, the reason of a refusal, and, for a hold, its running and
+// ended runs.
 //
 //easyjson:json
 type Answer struct {
@@ -76,10 +77,10 @@
 	Ends    []EndRow     `json:"end-state"`
 }
 
-// RunningRow is [task, run, saved, percent].
+// RunningRow is a running run, encoded as the list [task, run, checkpoint, percent].
 type RunningRow wire.RunReport
 
-// UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
+// UnmarshalEasyJSON decodes the row from a JSON list. Further elements are skipped.
 func (r *RunningRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	readRow(in, func(index int) {
 		switch index {
@@ -97,7 +98,7 @@
 	})
 }
 
-// MarshalEasyJSON writes the row as a JSON list.
+// MarshalEasyJSON encodes the row as a JSON list.
 func (r RunningRow) MarshalEasyJSON(out *jwriter.Writer) {
 	out.RawByte('[')
 	out.String(r.Task)
@@ -110,10 +111,10 @@
 	out.RawByte(']')
 }
 
-// EndRow is [N, task, run, how, saved].
+// EndRow is an ended run, encoded as the list [number, task, run, outcome, checkpoint].
 type EndRow wire.EndReport
 
-// UnmarshalEasyJSON reads the row from a JSON list; further elements are skipped.
+// UnmarshalEasyJSON decodes the row from a JSON list. Further elements are skipped.
 func (e *EndRow) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	readRow(in, func(index int) {
 		switch index {
@@ -133,7 +134,7 @@
 	})
 }
 
-// MarshalEasyJSON writes the row as a JSON list.
+// MarshalEasyJSON encodes the row as a JSON list.
 func (e EndRow) MarshalEasyJSON(out *jwriter.Writer) {
 	out.RawByte('[')
 	out.Int64(e.Number)
@@ -148,7 +149,7 @@
 	out.RawByte(']')
 }
 
-// readRow reads a JSON list element by element; nulls are skipped.
+// readRow calls readElement for each element of a JSON list that is not null.
 func readRow(in *jlexer.Lexer, readElement func(index int)) {
 	in.Delim('[')
 	for index := 0; !in.IsDelim(']') && in.Ok(); index++ {
