--- a/internal/gate/balancer/balancer.go
+++ b/internal/gate/balancer/balancer.go
@@ -141,7 +141,8 @@
 	return balancer
 }
 
-// Update replaces the list of executors. The load and health of executors that stay in the list are kept.
+// Update replaces the list of executors. An executor whose record is unchanged keeps its load and health; one with a changed record
+// keeps only its failures and ejection.
 func (b *Balancer) Update(records []wire.ExecutorRecord) {
 	known, services := map[string]*Executor{}, map[string][]*Executor{}
 	for _, record := range records {
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -132,8 +132,8 @@
 // Option configures a gate.
 type Option func(*Gate)
 
-// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false, as a key may have been revoked
-// without the gate knowing.
+// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false: a key that the gate
+// still accepts may then have been revoked too long ago.
 func WithKeyFreshness(areKeysFresh func() bool) Option {
 	return func(g *Gate) { g.areKeysFresh = areKeysFresh }
 }
--- a/internal/gate/headerrules/headerrules.go
+++ b/internal/gate/headerrules/headerrules.go
@@ -1,4 +1,4 @@
-// Package headerrules defines what happens to the headers of clients' requests and of executors' answers.
+// Package headerrules is the single place that defines what happens to the headers of clients' requests and of executors' answers.
 package headerrules
 
 import (
--- a/internal/gate/servingapi/servingapi.go
+++ b/internal/gate/servingapi/servingapi.go
@@ -48,7 +48,7 @@
 	Refusal response.Reply
 	// Route is nil for calls about lots that were submitted before.
 	Route *configuration.Route
-	// Tenant is the tenant whose key the request carries, empty if there is none.
+	// Tenant is the name of the tenant that the request is served for, empty if it needs no key.
 	Tenant string
 	// Timeout is how long the answer may take, from the start of the request.
 	Timeout time.Duration
@@ -102,8 +102,8 @@
 // Option configures a gate.
 type Option func(*Gate)
 
-// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false, as a key may have been revoked
-// without the gate knowing.
+// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false: a key that the gate
+// still accepts may then have been revoked too long ago.
 func WithKeyFreshness(areKeysFresh func() bool) Option {
 	return func(g *Gate) { g.areKeysFresh = areKeysFresh }
 }
