--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -1,4 +1,4 @@
-// Package roles puts the parts of each role together.
+// Package roles assembles and runs the process of each role: gate, steward, storage and local proxy.
 package roles
 
 import (
@@ -27,40 +27,43 @@
 )
 
 const (
-	peerTimeout           = 2 * time.Second
+	// peerTimeout is the time after which a connection to a peer, or from a local proxy to its executor, is closed if the other side
+	// acknowledges nothing.
+	peerTimeout = 2 * time.Second
+	// settingsCheckInterval is the time between two checks for a changed settings file.
 	settingsCheckInterval = 5 * time.Second
 )
 
-// base is what every role has: settings, log, clock, peers and a tree of parts.
+// base holds what all roles have in common: settings, log, clock, peers and the tree of supervised parts.
 type base struct {
-	path     string
-	settings *settings.Settings
-	clock    clock.Clock
-	log      logging.Logger
-	caller   *peerapi.Caller
-	calls    net.Listener
-	packets  net.PacketConn
-	inner    *http.ServeMux
-	tree     *supervise.Tree
-	node     *membership.Node
-	meter    *transportmetrics.Meter
-	hangups  chan os.Signal
-	// asked ends once the process is told to end, forget stops listening for that; both are there from the start of the process, since a
-	// signal that nobody listens for would end it at once.
-	asked  context.Context
-	forget context.CancelFunc
+	settingsPath string
+	settings     *settings.Settings
+	clock        clock.Clock
+	log          logging.Logger
+	caller       *peerapi.Caller
+	peerListener net.Listener
+	datagrams    net.PacketConn
+	internalMux  *http.ServeMux
+	tree         *supervise.Tree
+	node         *membership.Node
+	meter        *transportmetrics.Meter
+	hangups      chan os.Signal
+	// shutdownRequested is done once the process receives SIGTERM or SIGINT; stopSignals stops the delivery of both signals. They are set
+	// up at the start of the process, since an unhandled signal would kill it at once.
+	shutdownRequested context.Context
+	stopSignals       context.CancelFunc
 }
 
-// Option adds to a role what only a measured process has.
+// Option configures a role, for processes whose traffic is measured.
 type Option func(*base)
 
-// WithMeter counts what the role sends and receives.
+// WithMeter counts the traffic that the role sends and receives.
 func WithMeter(meter *transportmetrics.Meter) Option { return func(b *base) { b.meter = meter } }
 
-// newBase loads the settings, checks that they suit the role, and assembles what all roles have.
+// newBase starts to handle signals, loads the settings, checks that they suit the role, and assembles the parts that all roles have.
 func newBase(path, role string, options ...Option) (*base, error) {
-	hangups := noticeHangups()
-	asked, forget := supervise.UntilSignal()
+	hangups := subscribeHangups()
+	shutdownRequested, stopSignals := supervise.UntilSignal()
 	nodeSettings, err := settings.Load(path)
 	if err != nil {
 		return nil, err
@@ -68,12 +71,12 @@
 	if err := nodeSettings.Require(role); err != nil {
 		return nil, err
 	}
-	tameMemory(nodeSettings)
+	limitMemory(nodeSettings)
 	b, err := assemble(nodeSettings, logging.New(os.Stderr, nodeSettings.LogLevel).WithValues("role", role), options...)
 	if err != nil {
 		return nil, err
 	}
-	b.path, b.hangups, b.asked, b.forget = path, hangups, asked, forget
+	b.settingsPath, b.hangups, b.shutdownRequested, b.stopSignals = path, hangups, shutdownRequested, stopSignals
 	for _, bound := range nodeSettings.Bounds.Unknown {
 		b.log.Info("unknown protocol bound ignored", "bound", bound)
 	}
@@ -81,55 +84,56 @@
 	return b, nil
 }
 
-// assemble binds the internal ports and makes the client for peers.
+// assemble binds the internal ports and creates the client for calls to peers. It starts nothing.
 func assemble(nodeSettings *settings.Settings, log logging.Logger, options ...Option) (*base, error) {
-	clock := clock.System()
-	b := &base{settings: nodeSettings, clock: clock, log: log, inner: http.NewServeMux(), tree: supervise.New(clock, log)}
+	systemClock := clock.System()
+	b := &base{settings: nodeSettings, clock: systemClock, log: log, internalMux: http.NewServeMux(), tree: supervise.New(systemClock, log)}
 	for _, option := range options {
 		option(b)
 	}
-	calls, packets, err := membership.BindInternal(nodeSettings.IPAddress, nodeSettings.InternalPorts[0], nodeSettings.InternalPorts[1])
+	peerListener, datagrams, err := membership.BindInternal(nodeSettings.IPAddress, nodeSettings.InternalPorts[0], nodeSettings.InternalPorts[1])
 	if err != nil {
 		return nil, errors.Annotate(err, "field internal-port-range")
 	}
-	b.calls, b.packets = b.meter.Listener(calls), b.meter.Packets(packets)
+	b.peerListener, b.datagrams = b.meter.Listener(peerListener), b.meter.Packets(datagrams)
 	b.caller = peerapi.NewCaller(b.meter.Client(peerapi.Client(peerTimeout, 4)))
 	return b, nil
 }
 
-func tameMemory(nodeSettings *settings.Settings) {
+// limitMemory sets the heap growth between collections to that of a quiet process, and the soft memory limit to 60 % of limits.memory-mb.
+func limitMemory(nodeSettings *settings.Settings) {
 	debug.SetGCPercent(gcpacing.QuietPercent)
 	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB << 20 * 6 / 10)
 }
 
-// join adds the parts that make the process a member of the cluster: membership, calls of peers, metrics.
+// join adds the parts that make the process a member of the cluster: membership, the server for calls of peers, and metrics.
 func (b *base) join(self wire.Member, options ...membership.Option) {
 	self.Name, self.Domain = b.settings.NodeName, b.settings.Domain
-	b.node = membership.NewNode(self, b.calls, b.packets, b.settings.Seeds, b.caller, b.clock, b.log, options...)
-	b.node.Handle(b.inner)
-	metrics.Handle(b.inner)
+	b.node = membership.NewNode(self, b.peerListener, b.datagrams, b.settings.Seeds, b.caller, b.clock, b.log, options...)
+	b.node.Handle(b.internalMux)
+	metrics.Handle(b.internalMux)
 	b.tree.Add("peers", b.node.Run)
-	b.tree.Add("peer-calls", b.serving(b.calls, b.inner, internalLeave))
-	if every := b.settings.MetricsLog(); every > 0 {
-		b.tree.Add("metrics", metrics.Logging(b.log, b.clock, every))
+	b.tree.Add("peer-calls", b.newServerPart(b.peerListener, b.internalMux, internalLeaveTimes))
+	if interval := b.settings.MetricsLog(); interval > 0 {
+		b.tree.Add("metrics", metrics.Logging(b.log, b.clock, interval))
 	}
 }
 
-// The servers of calls between processes, executors and operators leave once the role has handed over what it keeps.
+// Shutdown times of the servers for peers, executors and operators. They begin once the role has handed over its work.
 var (
-	internalLeave = httpserver.LeaveTimes{Close: 300 * time.Millisecond}
-	executorLeave = httpserver.LeaveTimes{CallsEnd: 100 * time.Millisecond, Close: 400 * time.Millisecond}
-	operatorLeave = httpserver.LeaveTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
+	internalLeaveTimes = httpserver.LeaveTimes{Close: 300 * time.Millisecond}
+	executorLeaveTimes = httpserver.LeaveTimes{CallsEnd: 100 * time.Millisecond, Close: 400 * time.Millisecond}
+	operatorLeaveTimes = httpserver.LeaveTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
 )
 
-// serving gives a part that answers calls until its context is done, and then leaves in order.
-func (b *base) serving(listener net.Listener, handler http.Handler, times httpserver.LeaveTimes) supervise.Part {
+// newServerPart returns a part that serves calls until its context is done, and then shuts the server down gracefully.
+func (b *base) newServerPart(listener net.Listener, handler http.Handler, times httpserver.LeaveTimes) supervise.Part {
 	server := httpserver.New(listener, b.meter.Handler(handler), b.clock, b.log)
 	return func(ctx context.Context) error {
-		ended := make(chan error, 1)
-		go func() { ended <- server.Serve() }()
+		served := make(chan error, 1)
+		go func() { served <- server.Serve() }()
 		select {
-		case err := <-ended:
+		case err := <-served:
 			return err
 		case <-ctx.Done():
 			server.Leave(times)
@@ -138,6 +142,7 @@
 	}
 }
 
+// listen opens a port of listen-addresses; field is its name in the settings.
 func (b *base) listen(field, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -146,38 +151,41 @@
 	return b.meter.Listener(listener), nil
 }
 
-// noticeHangups takes SIGHUP from the start of a process to its end: by default the signal would end it.
-func noticeHangups() chan os.Signal {
+// subscribeHangups returns a channel that receives SIGHUP. It is called at the start of the process and the subscription is never cancelled,
+// since by default the signal would kill the process.
+func subscribeHangups() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// watchSettings takes a changed file, and keeps the old settings if the new ones are bad.
+// watchSettings reloads the settings file on SIGHUP and when its modification time changes. Only the seeds take effect without a restart. If
+// the new settings are invalid, the old ones stay in force.
 func (b *base) watchSettings(ctx context.Context) error {
-	last := modified(b.path)
+	last := modificationTime(b.settingsPath)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-b.hangups:
 		case <-b.clock.After(settingsCheckInterval):
-			if modified(b.path) == last {
+			if modificationTime(b.settingsPath) == last {
 				continue
 			}
 		}
-		last = modified(b.path)
-		fresh, err := settings.Load(b.path)
+		last = modificationTime(b.settingsPath)
+		reloaded, err := settings.Load(b.settingsPath)
 		if err != nil {
-			b.log.Error(err, "settings refused, the old ones stay")
+			b.log.Error(err, "invalid settings, the old ones stay in force")
 			continue
 		}
-		b.node.SetSeeds(fresh.Seeds)
+		b.node.SetSeeds(reloaded.Seeds)
 		b.log.Info("settings reloaded")
 	}
 }
 
-func modified(path string) time.Time {
+// modificationTime returns the zero time if the file can't be examined.
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -185,24 +193,24 @@
 	return info.ModTime()
 }
 
-// run keeps the parts going until SIGTERM, then calls leave, and ends the parts once that is done. Further signals of
-// the kind change nothing.
-func (b *base) run(leave func()) error {
-	defer b.forget()
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	over := make(chan error, 1)
-	go func() { over <- b.tree.Run(ctx) }()
+// run runs the parts until SIGTERM or SIGINT, then calls handOver, and stops the parts once that has returned. Further signals of these
+// kinds have no effect.
+func (b *base) run(handOver func()) error {
+	defer b.stopSignals()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	treeEnded := make(chan error, 1)
+	go func() { treeEnded <- b.tree.Run(ctx) }()
 	select {
-	case err := <-over:
+	case err := <-treeEnded:
 		return err
-	case <-b.asked.Done():
+	case <-b.shutdownRequested.Done():
 		b.log.Info("shutting down")
 		if b.settings.MetricsLog() > 0 {
 			metrics.Log(b.log)
 		}
-		leave()
-		end()
-		return <-over
+		handOver()
+		cancel()
+		return <-treeEnded
 	}
 }
--- a/internal/roles/executors.go
+++ b/internal/roles/executors.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// executorTimeout is how long an executor's machine may acknowledge nothing before a connection to it is given up, and how long a
-	// connection may take to come up.
+	// executorTimeout is the time after which a connection to an executor is closed if its machine acknowledges nothing, and the time limit
+	// for establishing a connection.
 	executorTimeout = 2 * time.Second
-	// executorIdle is how long a connection to an executor is kept without a request; idleExecutorConnections is how many.
-	executorIdle            = 20 * time.Second
-	idleExecutorConnections = 8
-	// executorBuffer is the size of a connection's buffers in bytes.
-	executorBuffer = 4096
-	// platformTimeout is the same for the platform.
+	// executorIdleTimeout is how long an idle connection to an executor is kept.
+	executorIdleTimeout = 20 * time.Second
+	// maxIdleExecutorConnections limits the idle connections to one executor.
+	maxIdleExecutorConnections = 8
+	// executorBufferSize is the size of a connection's read buffer and of its write buffer, in bytes.
+	executorBufferSize = 4096
+	// platformTimeout is the executorTimeout of connections to the platform.
 	platformTimeout = time.Second
 )
 
-// executorClient calls executors. It follows no redirects and has no time limit of its own, as answers may go on for long.
-func executorClient() *http.Client {
+// newExecutorClient returns a client for requests to executors. It follows no redirects and has no overall timeout, since an answer may be
+// streamed for a long time.
+func newExecutorClient() *http.Client {
 	dialer := peerapi.Dialer(executorTimeout)
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				return dialer.DialContext(ctx, network, address)
 			},
-			MaxIdleConnsPerHost: idleExecutorConnections,
-			IdleConnTimeout:     executorIdle,
+			MaxIdleConnsPerHost: maxIdleExecutorConnections,
+			IdleConnTimeout:     executorIdleTimeout,
 			DisableCompression:  true,
-			ReadBufferSize:      executorBuffer,
-			WriteBufferSize:     executorBuffer,
+			ReadBufferSize:      executorBufferSize,
+			WriteBufferSize:     executorBufferSize,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// followExecutors keeps the list of executors, as a steward that source chooses knows it; onChange gets each list that differs.
+// followExecutors keeps a copy of the list of executors, fetched from the steward that source chooses; onChange receives each changed list.
 func (b *base) followExecutors(source func(*membership.View) string, onChange func(*executorlist.List)) *executorlist.Holder {
 	holder := executorlist.NewHolder(b.clock, onChange)
 	b.tree.Add("executor-list", holder.Run)
@@ -51,19 +53,20 @@
 	return holder
 }
 
-// serveExecutors has a steward read the list of executors from the platform while it leads the configuration's key or knows of no leader,
-// follow that leader's list else, and serve it to others.
+// serveExecutors adds the parts by which a steward keeps the list of executors and serves it to other processes. The steward reads the list
+// from the platform while it leads the configuration's key or knows of no leader of that key; otherwise it follows the leader's list.
 func (b *base) serveExecutors() {
 	if b.settings.Platform.Address == "" {
 		return
 	}
 	holder := b.followExecutors(executorlist.LeaderOf(configleader.Key), func(*executorlist.List) {})
-	holder.Handle(b.inner)
+	holder.Handle(b.internalMux)
 	client := peerapi.Client(platformTimeout, 1)
 	poller := executorlist.NewPoller(client, b.settings.Platform.Address, holder, b.clock, b.log, func() executorlist.Turn {
 		view := b.node.View()
 		leader, isKnown := view.Leaders[configleader.Key]
-		// Before any leader is known, as after a loss of all power, each steward reads the list for itself, below the epoch of any leader.
+		// Until a leader is known, for example after a power loss of the whole cluster, each steward reads the list itself, under epoch 0, which is
+		// below that of any leader.
 		return executorlist.Turn{IsDue: !isKnown || leader.Name == b.settings.NodeName, Epoch: leader.Epoch, Changed: view.LeaderMoved}
 	})
 	b.tree.Add("executor-poller", poller.Run)
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -26,83 +26,84 @@
 )
 
 const (
-	// noticeTime is how long the platform may need to learn that a gate is no longer ready.
+	// noticeTime is the time that the platform may need to notice that a gate is no longer ready.
 	noticeTime = 2200 * time.Millisecond
-	// quietTime is how long nothing may arrive at a leaving gate before it closes.
+	// quietTime is how long nothing must arrive at a gate that shuts down before it closes.
 	quietTime = 250 * time.Millisecond
-	// reservedDescriptors are left to files and to what the runtime opens.
+	// reservedDescriptors is the number of file descriptors kept free for files and for the runtime.
 	reservedDescriptors = 200
 )
 
-// Gate serves clients until SIGTERM.
+// Gate runs a gate, which serves clients, until SIGTERM or SIGINT.
 func Gate(path string, options ...Option) error {
 	b, err := newBase(path, "gate", options...)
 	if err != nil {
 		return err
 	}
-	front, err := b.listen("front-plain", b.settings.Listen.Front)
+	clientListener, err := b.listen("front-plain", b.settings.Listen.Front)
 	if err != nil {
 		return err
 	}
-	ready, err := b.listen("readiness", b.settings.Listen.Readiness)
+	readinessListener, err := b.listen("readiness", b.settings.Listen.Readiness)
 	if err != nil {
 		return err
 	}
 	configurations := configcache.New(b.caller, b.clock, b.log, func(snapshot *configcache.Snapshot) { b.node.HoldsConfiguration(snapshot.Committed.Version) })
-	configurations.Handle(b.inner)
+	configurations.Handle(b.internalMux)
 	b.join(wire.Member{Role: "gate"}, membership.OnConfigurationAhead(configurations.FetchFrom))
-	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current})
-	evacuationview.Handle(b.inner, b.node.View, nil)
+	comparenodes.Handle(b.internalMux, comparenodes.Sources{View: b.node.View, Configuration: configurations.Current})
+	evacuationview.Handle(b.internalMux, b.node.View, nil)
 	var isLeaving atomic.Bool
-	asker := leaderclient.New(b.caller, b.clock, b.node.View)
-	api, canServe := b.clientHandler(asker, configurations)
-	server := httpserver.New(front, b.meter.Handler(api), b.clock, b.log,
+	leaderClient := leaderclient.New(b.caller, b.clock, b.node.View)
+	api, canServe := b.clientHandler(leaderClient, configurations)
+	server := httpserver.New(clientListener, b.meter.Handler(api), b.clock, b.log,
 		httpserver.WithMaxConnections(maxClientConnections(b.settings.Limits.FileDescriptors)), httpserver.WithMarkedRefusals(headerrules.Echo))
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
-	b.tree.Add("readiness", b.serving(ready, readiness(func() bool {
+	b.tree.Add("readiness", b.newServerPart(readinessListener, readinessHandler(func() bool {
 		return !isLeaving.Load() && configurations.Current() != nil && b.node.View().SeesSteward() && canServe()
-	}), internalLeave))
+	}), internalLeaveTimes))
 	return b.run(func() {
 		isLeaving.Store(true)
-		server.Leave(clientLeave(b.settings.GracePeriod()))
+		server.Leave(clientLeaveTimes(b.settings.GracePeriod()))
 	})
 }
 
-// clientHandler serves clients as the contracts in force say: jobs, requests that executors answer, or both. canServe tells whether there
-// is anything to pass requests on to, where nothing else is served.
-func (b *base) clientHandler(asker *leaderclient.Client, configurations *configcache.Cache) (handler http.Handler, canServe func() bool) {
-	areKeysFresh := b.keyFreshness(asker, configurations)
+// clientHandler returns the handler for the client APIs that the active contracts name: jobs, requests that executors answer, or both.
+// canServe reports whether there are executors to forward requests to; it is always true if the gate serves jobs.
+func (b *base) clientHandler(leaderClient *leaderclient.Client, configurations *configcache.Cache) (handler http.Handler, canServe func() bool) {
+	areKeysFresh := b.keyFreshness(leaderClient, configurations)
 	always := func() bool { return true }
 	if !b.settings.ServesRequests() {
-		return clientapi.New(configurations.Current, asker, b.clock, clientapi.WithKeyFreshness(areKeysFresh)), always
+		return clientapi.New(configurations.Current, leaderClient, b.clock, clientapi.WithKeyFreshness(areKeysFresh)), always
 	}
 	executors := balancer.New(b.settings.Domain, b.clock, balancer.WithEvacuations(b.node.IsEvacuated))
 	b.followExecutors(executorlist.NearSteward, func(list *executorlist.List) { executors.Update(list.Executors) })
-	forwarder := forwarding.New(executorClient(), executors, b.clock)
-	requests := servingapi.New(configurations.Current, asker, forwarder, b.clock, servingapi.WithKeyFreshness(areKeysFresh))
+	forwarder := forwarding.New(newExecutorClient(), executors, b.clock)
+	requests := servingapi.New(configurations.Current, leaderClient, forwarder, b.clock, servingapi.WithKeyFreshness(areKeysFresh))
 	if !b.settings.ServesJobs() {
 		return requests, executors.HasExecutors
 	}
-	jobs := clientapi.New(configurations.Current, asker, b.clock, clientapi.WithKeyFreshness(areKeysFresh))
+	jobs := clientapi.New(configurations.Current, leaderClient, b.clock, clientapi.WithKeyFreshness(areKeysFresh))
 	return routekind.New(configurations.Current, jobs, requests), always
 }
 
-// keyFreshness tells whether the keys of the configuration may be trusted. A gate watches its configuration for that where keys that were
-// taken away must be of no use anywhere after a while.
-func (b *base) keyFreshness(asker *leaderclient.Client, configurations *configcache.Cache) func() bool {
+// keyFreshness returns a function that reports whether the API keys of the configuration are recent enough to be accepted. They
+// always are unless the settings demand that all gates refuse a revoked key within a time limit. In that case it adds a part that confirms the
+// version of the configuration with its leader.
+func (b *base) keyFreshness(leaderClient *leaderclient.Client, configurations *configcache.Cache) func() bool {
 	bounds := b.settings.Bounds
 	if !bounds.RevocationClosed {
 		return func() bool { return true }
 	}
-	watch := keyfreshness.New(asker, b.clock, clock.Milliseconds(bounds.RevokeTimeoutMs), configurations.Version)
-	b.tree.Add("key-freshness", watch.Run)
-	return watch.IsFresh
+	keyWatch := keyfreshness.New(leaderClient, b.clock, clock.Milliseconds(bounds.RevokeTimeoutMs), configurations.Version)
+	b.tree.Add("key-freshness", keyWatch.Run)
+	return keyWatch.IsFresh
 }
 
-// clientLeave says how a gate leaves within the grace period: calls to leaders that are away are ended while there is
-// time left to write all their answers on a slow machine and link.
-func clientLeave(gracePeriod time.Duration) httpserver.LeaveTimes {
+// clientLeaveTimes returns the shutdown times of a gate's client server, within the grace period. Calls that wait for an unreachable leader
+// are cancelled while there is time left to write all their answers on a slow machine and link.
+func clientLeaveTimes(gracePeriod time.Duration) httpserver.LeaveTimes {
 	return httpserver.LeaveTimes{
 		Notice:   min(noticeTime, gracePeriod/2),
 		Quiet:    quietTime,
@@ -111,13 +112,13 @@
 	}
 }
 
-// maxClientConnections leaves half of the descriptors to the calls that a gate makes for its clients.
+// maxClientConnections returns half of the unreserved descriptors; the other half is for the calls that the gate makes for its clients.
 func maxClientConnections(descriptors int) int {
 	return max(1, (descriptors-reservedDescriptors)/2)
 }
 
-// readiness answers 200 while the process is ready and 503 otherwise.
-func readiness(isReady func() bool) http.Handler {
+// readinessHandler answers 200 while the process is ready and 503 otherwise.
+func readinessHandler(isReady func() bool) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 		if isReady() {
 			response.Empty(http.StatusOK).Write(to)
--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	peersSaveEvery = 10 * time.Second
-	maxKnownPeers  = 16
+	peerSaveInterval = 10 * time.Second
+	maxKnownPeers    = 16
 )
 
-// peerStore keeps addresses of peers on disk.
+// peerStore stores addresses of peers on disk.
 type peerStore interface {
 	SavePeers(addresses []string) error
 }
 
-// savePeers keeps the control addresses of live stewards on disk, so that a steward that restarts finds the others
-// even where its settings name only seeds that are down, cut off or gone. It begins with the addresses
-// that are saved already. Failures are logged and tried again.
+// savePeers returns a part that saves the control addresses of live stewards to disk. With them a restarted steward finds the others even
+// if all seeds of its settings are down, partitioned or removed. saved holds the addresses that are on disk already. A failed write is logged
+// and retried at the next interval.
 func (b *base) savePeers(store peerStore, saved []string) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-b.clock.After(peersSaveEvery):
+			case <-b.clock.After(peerSaveInterval):
 			}
-			next, hasChanged := withPeers(saved, b.node.View())
+			next, hasChanged := mergePeers(saved, b.node.View())
 			if !hasChanged {
 				continue
 			}
@@ -43,9 +43,9 @@
 	}
 }
 
-// withPeers puts the live stewards of a view before the addresses that were saved; it tells whether any is new.
-// Addresses are dropped, the oldest first, only for new ones, so that a member that flaps costs no writes.
-func withPeers(saved []string, view *membership.View) (next []string, hasChanged bool) {
+// mergePeers returns the control addresses of a view's live stewards followed by the saved addresses, and reports whether any is new.
+// An address is dropped, the oldest first, only when a new one needs its place, so that a flapping member causes no writes.
+func mergePeers(saved []string, view *membership.View) (next []string, hasChanged bool) {
 	for _, member := range view.Stewards {
 		isOther := membership.Name(member) != membership.Name(view.Self)
 		if !isOther || !member.MayLead() || member.State != wire.StateAlive || member.Control == "" {
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -18,51 +18,52 @@
 	"gannetline/internal/platform/response"
 )
 
-var _ = Describe("a process that is told to leave", func() {
-	DescribeTable("ends a gate's calls while there is time to write their answers", func(gracePeriod time.Duration) {
-		times := clientLeave(gracePeriod)
+var _ = Describe("a process that shuts down", func() {
+	DescribeTable("cancels a gate's calls while there is time left to write their answers", func(gracePeriod time.Duration) {
+		times := clientLeaveTimes(gracePeriod)
 		Expect(times.Notice).To(BeNumerically("<=", noticeTime))
 		Expect(times.CallsEnd).To(BeNumerically(">", times.Notice))
 		Expect(times.Close - times.CallsEnd).To(BeNumerically(">=", gracePeriod/8))
 		Expect(times.Close).To(BeNumerically("<", gracePeriod))
 	},
 		Entry("a short grace period", time.Second),
-		Entry("the usual one", 6*time.Second),
-		Entry("a long one", time.Minute),
+		Entry("the usual grace period", 6*time.Second),
+		Entry("a long grace period", time.Minute),
 	)
 
-	It("is not ended by SIGHUP once it reads settings no more", func() {
-		b := &base{clock: clock.NewFake(0), log: logging.Silent(), hangups: noticeHangups()}
-		ctx, end := context.WithCancel(context.Background())
-		end()
+	It("is not killed by SIGHUP after it has stopped watching its settings", func() {
+		b := &base{clock: clock.NewFake(0), log: logging.Silent(), hangups: subscribeHangups()}
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
 		Expect(b.watchSettings(ctx)).To(Succeed())
 		Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 		Eventually(b.hangups).Should(Receive())
 	})
 })
 
-// heldClock stands still at a time that the test sets; each wait ends when the test rings.
+// heldClock shows the time that the test sets; every wait ends when the test sends to wake or closes it.
 type heldClock struct {
 	now  atomic.Int64
-	ring chan time.Time
+	wake chan time.Time
 }
 
 func (c *heldClock) Monotonic() time.Duration             { return time.Duration(c.now.Load()) }
 func (c *heldClock) WallMs() int64                        { return 0 }
-func (c *heldClock) After(time.Duration) <-chan time.Time { return c.ring }
+func (c *heldClock) After(time.Duration) <-chan time.Time { return c.wake }
 
-var _ = Describe("a listener whose part of the process ends", func() {
-	var clock *heldClock
+var _ = Describe("a server part whose context is cancelled", func() {
+	var fakeClock *heldClock
 	var listener net.Listener
-	var begun, release chan struct{}
-	var left chan error
-	var end func()
+	var started, release chan struct{}
+	var partResult chan error
+	var cancel func()
 	var answer chan *http.Response
-	// serveOne begins a call, and ends the part while it is under way.
+	// serveOne starts a call and cancels the part's context while the call is in flight. The handler answers 503 if the call is cancelled, and
+	// 200 once the test closes release.
 	serveOne := func(times httpserver.LeaveTimes) {
-		b := &base{clock: clock, log: logging.Silent()}
-		part := b.serving(listener, http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
-			close(begun)
+		b := &base{clock: fakeClock, log: logging.Silent()}
+		part := b.newServerPart(listener, http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
+			close(started)
 			select {
 			case <-request.Context().Done():
 				response.Empty(http.StatusServiceUnavailable).Write(to)
@@ -71,9 +72,9 @@
 			}
 		}), times)
 		var ctx context.Context
-		ctx, end = context.WithCancel(context.Background())
-		DeferCleanup(end)
-		go func() { left <- part(ctx) }()
+		ctx, cancel = context.WithCancel(context.Background())
+		DeferCleanup(cancel)
+		go func() { partResult <- part(ctx) }()
 		go func() {
 			defer close(answer)
 			got, err := http.Get("http://" + listener.Addr().String())
@@ -82,42 +83,42 @@
 				answer <- got
 			}
 		}()
-		<-begun
-		end()
+		<-started
+		cancel()
 	}
 	BeforeEach(func() {
 		var err error
 		listener, err = net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		clock = &heldClock{ring: make(chan time.Time)}
-		begun, release, left, answer = make(chan struct{}), make(chan struct{}), make(chan error, 1), make(chan *http.Response, 1)
+		fakeClock = &heldClock{wake: make(chan time.Time)}
+		started, release, partResult, answer = make(chan struct{}), make(chan struct{}), make(chan error, 1), make(chan *http.Response, 1)
 	})
 
-	It("lets an operator's call end by itself", func() {
-		serveOne(operatorLeave)
-		clock.ring <- time.Time{}
+	It("lets an operator's call complete", func() {
+		serveOne(operatorLeaveTimes)
+		fakeClock.wake <- time.Time{}
 		close(release)
 		got := <-answer
 		Expect(got).NotTo(BeNil(), "the call was cut")
 		Expect(got.StatusCode).To(Equal(http.StatusOK))
-		clock.now.Store(int64(operatorLeave.Quiet))
-		close(clock.ring)
-		Expect(<-left).To(Succeed())
+		fakeClock.now.Store(int64(operatorLeaveTimes.Quiet))
+		close(fakeClock.wake)
+		Expect(<-partResult).To(Succeed())
 	})
 
-	It("ends a call between processes with an answer", func() {
-		serveOne(internalLeave)
+	It("cancels a peer's call, which still gets an answer", func() {
+		serveOne(internalLeaveTimes)
 		got := <-answer
 		Expect(got).NotTo(BeNil(), "the call was cut")
 		Expect(got.StatusCode).To(Equal(http.StatusServiceUnavailable))
-		close(clock.ring)
-		Expect(<-left).To(Succeed())
+		close(fakeClock.wake)
+		Expect(<-partResult).To(Succeed())
 	})
 })
 
-var _ = DescribeTable("the connections of clients leave descriptors for calls", func(descriptors, most int) {
-	Expect(maxClientConnections(descriptors)).To(Equal(most))
+var _ = DescribeTable("the limit on client connections leaves descriptors for calls", func(descriptors, limit int) {
+	Expect(maxClientConnections(descriptors)).To(Equal(limit))
 },
 	Entry("many descriptors", 4100, 1950),
-	Entry("hardly any", 150, 1),
+	Entry("fewer descriptors than are reserved", 150, 1),
 )
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -14,19 +14,19 @@
 	"gannetline/internal/platform/settings"
 )
 
-// LocalProxy stands before the executor of its machine, until SIGTERM.
+// LocalProxy runs the local proxy of its machine's executor until SIGTERM or SIGINT.
 func LocalProxy(path string, options ...Option) error {
 	b, err := newBase(path, "local-proxy", options...)
 	if err != nil {
 		return err
 	}
-	if err := b.standBeforeExecutor(); err != nil {
+	if err := b.addProxyParts(); err != nil {
 		return err
 	}
 	return b.run(func() { <-b.clock.After(200 * time.Millisecond) })
 }
 
-// HollowProxy is a local-proxy among many in one process, until ctx is done.
+// HollowProxy runs one of many local proxies in one process until ctx is done. It handles no signals and doesn't reload its settings.
 func HollowProxy(ctx context.Context, nodeSettings *settings.Settings, log logging.Logger, options ...Option) error {
 	if err := nodeSettings.Require("local-proxy"); err != nil {
 		return err
@@ -35,20 +35,20 @@
 	if err != nil {
 		return err
 	}
-	if err := b.standBeforeExecutor(); err != nil {
+	if err := b.addProxyParts(); err != nil {
 		return err
 	}
 	return b.tree.Run(ctx)
 }
 
-// standBeforeExecutor adds the parts of a local proxy.
-func (b *base) standBeforeExecutor() error {
-	control, err := b.listen("control-plane", b.settings.Listen.Control)
+// addProxyParts adds the parts of a local proxy.
+func (b *base) addProxyParts() error {
+	controlListener, err := b.listen("control-plane", b.settings.Listen.Control)
 	if err != nil {
 		return err
 	}
 	b.join(wire.Member{Role: "local-proxy"})
-	comparenodes.Handle(b.inner, comparenodes.Sources{View: b.node.View})
+	comparenodes.Handle(b.internalMux, comparenodes.Sources{View: b.node.View})
 	executor := executorapi.NewClient(b.meter.Client(peerapi.Client(peerTimeout, 8)), b.settings.App)
 	isEvacuated := func() (time.Duration, bool) {
 		since, isOrdered := b.node.View().EvacuatedAt[b.settings.Domain]
@@ -57,6 +57,6 @@
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View,
 		localproxy.WithDrainTime(clock.Milliseconds(b.settings.Bounds.DrainTimeoutMs)), localproxy.WithEvacuation(clock.Milliseconds(b.settings.Bounds.EvacuationMs), isEvacuated))
 	b.tree.Add("proxy", proxy.Run)
-	b.tree.Add("executor-calls", b.serving(control, proxy, executorLeave))
+	b.tree.Add("executor-calls", b.newServerPart(controlListener, proxy, executorLeaveTimes))
 	return nil
 }
--- a/internal/roles/savedconfiguration.go
+++ b/internal/roles/savedconfiguration.go
@@ -8,18 +8,18 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// configurationSaveEvery is how often a newer configuration is saved; versions between are left out.
-const configurationSaveEvery = time.Second
+// configurationSaveInterval is the time between two saves of a newer configuration; versions in between are not saved.
+const configurationSaveInterval = time.Second
 
-// configurationStore keeps a configuration on disk.
+// configurationStore stores one configuration on disk. Configuration returns nil if none was saved.
 type configurationStore interface {
 	SaveConfiguration(committed *wire.Configuration) error
 	Configuration() (*wire.Configuration, error)
 }
 
-// restoreConfiguration gives the process the configuration that was last in force here, so that after a loss of all power gates serve by it
-// while the leader is still being elected. It may be older than the newest, which then comes as any newer version does; it was committed,
-// as only what was in force is saved. It gives the version, 0 if none was saved.
+// restoreConfiguration loads the configuration that was last in force in this process and returns its version, or 0 if none was saved. With it
+// gates can serve clients after a power loss of the whole cluster while the leader is still being elected. The saved version was committed,
+// since only configurations in force are saved. It may be outdated; newer versions then arrive in the usual way.
 func (b *base) restoreConfiguration(store configurationStore, configurations *configcache.Cache) int64 {
 	saved, err := store.Configuration()
 	switch {
@@ -32,14 +32,15 @@
 	return 0
 }
 
-// saveConfiguration keeps the configuration in force on disk, from the version on that is there already. Failures are logged and tried again.
+// saveConfiguration returns a part that saves the configuration in force to disk whenever its version is above saved, the version that is on
+// disk already. A failed write is logged and retried at the next interval.
 func (b *base) saveConfiguration(store configurationStore, configurations *configcache.Cache, saved int64) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-b.clock.After(configurationSaveEvery):
+			case <-b.clock.After(configurationSaveInterval):
 			}
 			current := configurations.Current()
 			if current == nil || current.Committed.Version <= saved {
--- a/internal/roles/signals_test.go
+++ b/internal/roles/signals_test.go
@@ -11,12 +11,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// childSettings names the settings file to the process that TestToldToEndWhileStarting is in; the process of the suite has none.
+// childSettings is the environment variable with the settings file for the child process that runs TestShutdownDuringStart. The process of
+// the suite doesn't have it.
 const childSettings = "GANNETLINE_TEST_CHILD_SETTINGS"
 
-// TestToldToEndWhileStarting is a process of its own that the suite starts: it is told to end before it runs, and ends in order. Within
-// the suite's process ginkgo would take the signal for itself.
-func TestToldToEndWhileStarting(t *testing.T) {
+// TestShutdownDuringStart runs in a child process that the suite starts. The child receives SIGTERM before it runs its parts, and must shut
+// down in order. It needs a process of its own because Ginkgo handles the signal in the process of the suite.
+func TestShutdownDuringStart(t *testing.T) {
 	path := os.Getenv(childSettings)
 	if path == "" {
 		return
@@ -28,13 +29,13 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	hasLeft := false
-	if err := b.run(func() { hasLeft = true }); err != nil || !hasLeft {
-		t.Fatalf("left: %t, error: %v", hasLeft, err)
+	hasHandedOver := false
+	if err := b.run(func() { hasHandedOver = true }); err != nil || !hasHandedOver {
+		t.Fatalf("handed over: %t, error: %v", hasHandedOver, err)
 	}
 }
 
-var _ = It("a process that is told to end while it starts notices it, and ends in order once it runs", func() {
+var _ = It("a process that receives SIGTERM during its start shuts down in order once it runs", func() {
 	path := filepath.Join(GinkgoT().TempDir(), "local.yaml")
 	Expect(os.WriteFile(path, []byte(`node-name: "n"
 ip-address: "127.0.0.1"
@@ -44,9 +45,9 @@
 listen-addresses:
   control-plane: "127.0.0.1:1"
 `), 0o600)).To(Succeed())
-	child := exec.Command(os.Args[0], "-test.run", "^TestToldToEndWhileStarting$", "-test.timeout", "20s")
+	child := exec.Command(os.Args[0], "-test.run", "^TestShutdownDuringStart$", "-test.timeout", "20s")
 	child.Env = append(os.Environ(), childSettings+"="+path)
-	said, err := child.CombinedOutput()
-	Expect(err).NotTo(HaveOccurred(), string(said))
-	Expect(string(said)).To(ContainSubstring("PASS"))
+	output, err := child.CombinedOutput()
+	Expect(err).NotTo(HaveOccurred(), string(output))
+	Expect(string(output)).To(ContainSubstring("PASS"))
 })
--- a/internal/roles/storage.go
+++ b/internal/roles/storage.go
@@ -13,7 +13,8 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// durableState is where a steward keeps its replicas; it has no store on a machine without a disk, unless that is a seed.
+// durableState holds the store and the replicas of a steward. Both are nil if it has no data directory, unless it is a seed, which then uses a
+// temporary folder.
 type durableState struct {
 	folder      string
 	isTemporary bool
@@ -21,28 +22,28 @@
 	replicas    *replication.Replicas
 }
 
-// openStorage opens the data directory of a steward. Without one a seed gets a temporary folder, and any other steward
-// has no replicas.
+// openStorage opens the data directory of a steward. If the settings name none, a seed uses a temporary folder, and any other steward keeps no
+// replicas.
 func openStorage(b *base) (*durableState, error) {
-	kept := &durableState{folder: b.settings.DataDirectory}
-	if kept.folder == "" {
-		kept.openTemporary(b)
+	state := &durableState{folder: b.settings.DataDirectory}
+	if state.folder == "" {
+		state.openTemporary(b)
 	} else {
 		var err error
-		if kept.store, err = storage.Open(kept.folder); err != nil {
+		if state.store, err = storage.Open(state.folder); err != nil {
 			return nil, errors.Annotate(err, "field data-directory")
 		}
 	}
-	if kept.store == nil {
-		return kept, nil
+	if state.store == nil {
+		return state, nil
 	}
 	var err error
-	kept.replicas, err = replication.NewReplicas(mailbox.New(4096), kept.store, b.clock, replication.DefaultTiming.Lease, replication.WithReplicasLog(b.log))
-	return kept, err
+	state.replicas, err = replication.NewReplicas(mailbox.New(4096), state.store, b.clock, replication.DefaultTiming.Lease, replication.WithReplicasLog(b.log))
+	return state, err
 }
 
-// openTemporary gives a seed without a disk a folder that does not outlive it; where none can be had, the steward
-// goes on without, as any other that has no disk.
+// openTemporary creates a temporary store for a seed without a data directory; the next start creates another. If that fails, the seed
+// continues without a store, like any other steward that has no data directory.
 func (s *durableState) openTemporary(b *base) {
 	if !slices.Contains(b.settings.Seeds, b.settings.Listen.Control) {
 		return
@@ -52,13 +53,13 @@
 		s.store, err = storage.Open(folder)
 	}
 	if err != nil {
-		b.log.Error(err, "seed without a disk: field data-directory is empty, and no other folder can be used")
+		b.log.Error(err, "seed without a disk: field data-directory is empty and no temporary folder can be used")
 		return
 	}
 	s.folder, s.isTemporary = folder, true
 }
 
-// member describes the steward for membership, with its disk if it has one.
+// member returns the steward's entry for membership, with the identifier of its disk if it has one.
 func (s *durableState) member(control string) wire.Member {
 	self := wire.Member{Role: "steward", Control: control}
 	switch {
@@ -70,8 +71,8 @@
 	return self
 }
 
-// peers are the addresses that an earlier run saved.
-func (s *durableState) peers(log logging.Logger) []string {
+// loadPeers returns the peer addresses that were saved before the last restart, or nil if they can't be read.
+func (s *durableState) loadPeers(log logging.Logger) []string {
 	if s.store == nil {
 		return nil
 	}
--- a/internal/roles/storage_test.go
+++ b/internal/roles/storage_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "roles")
 }
 
-var _ = Describe("where a steward keeps its keys", func() {
+var _ = Describe("the store of a steward", func() {
 	var nodeSettings *settings.Settings
 	open := func() (*durableState, error) {
 		return openStorage(&base{settings: nodeSettings, log: logging.Silent(), clock: clock.NewFake(0)})
@@ -28,41 +28,41 @@
 		nodeSettings.Listen.Control = "10.0.0.1:1"
 	})
 
-	It("is its data directory", func() {
+	It("is in its data directory", func() {
 		nodeSettings.DataDirectory = GinkgoT().TempDir()
-		kept, err := open()
+		state, err := open()
 		Expect(err).NotTo(HaveOccurred())
-		defer kept.close()
-		Expect(kept.member("c").Disk).NotTo(BeEmpty())
+		defer state.close()
+		Expect(state.member("c").Disk).NotTo(BeEmpty())
 	})
 
-	It("must be usable if it is named", func() {
+	It("fails to open if the data directory can't be used", func() {
 		nodeSettings.DataDirectory = filepath.Join(GinkgoT().TempDir(), "file")
 		Expect(os.WriteFile(nodeSettings.DataDirectory, nil, 0o600)).To(Succeed())
 		_, err := open()
 		Expect(err).To(MatchError(ContainSubstring("field data-directory")))
 	})
 
-	It("is a temporary folder for a seed without a disk", func() {
+	It("is in a temporary folder for a seed without a data directory", func() {
 		GinkgoT().Setenv("TMPDIR", GinkgoT().TempDir())
-		kept, err := open()
+		state, err := open()
 		Expect(err).NotTo(HaveOccurred())
-		defer kept.close()
-		Expect(kept.member("c").Disk).To(BeEmpty())
-		Expect(kept.member("c").TemporaryDisk).NotTo(BeEmpty())
+		defer state.close()
+		Expect(state.member("c").Disk).To(BeEmpty())
+		Expect(state.member("c").TemporaryDisk).NotTo(BeEmpty())
 	})
 
-	It("is nowhere for a seed that can have no temporary folder, and it goes on without", func() {
+	It("is missing on a seed that can't create a temporary folder, which starts without it", func() {
 		GinkgoT().Setenv("TMPDIR", filepath.Join(GinkgoT().TempDir(), "gone"))
-		kept, err := open()
+		state, err := open()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.member("c").MayLead()).To(BeFalse())
+		Expect(state.member("c").MayLead()).To(BeFalse())
 	})
 
-	It("is nowhere for a steward that is neither a seed nor has a disk", func() {
+	It("is missing on a steward that is no seed and has no data directory", func() {
 		nodeSettings.Listen.Control = "10.0.0.2:1"
-		kept, err := open()
+		state, err := open()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.member("c").MayLead()).To(BeFalse())
+		Expect(state.member("c").MayLead()).To(BeFalse())
 	})
 })
