--- a/cmd/gannetline/askall.go
+++ b/cmd/gannetline/askall.go
@@ -14,40 +14,41 @@
 	"gannetline/internal/platform/clock"
 )
 
-// minWatch is the shortest time between two looks, so that a watch costs the stewards little.
-const minWatch = 200 * time.Millisecond
+// minWatchInterval is the shortest interval of --watch; it limits the load on the stewards.
+const minWatchInterval = 200 * time.Millisecond
 
-// showFlags are those of commands that show what all stewards tell.
+// showFlags returns the flags of commands that show the state of all stewards or processes.
 func showFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "of", Aliases: []string{"at"}, Sources: cli.EnvVars(stewardVariable),
-			Usage: "ask all stewards that the process at `ADDRESS`, ip:port, knows. Left out: a seed of the settings file"},
+			Usage: "ask all members that the process at `ADDRESS`, ip:port, knows; by default a seed of the settings file"},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON"},
-		&cli.DurationFlag{Name: "watch", Usage: "show them again every `DURATION`, until Ctrl-C"},
-		&cli.DurationFlag{Name: "timeout", Usage: "how long a process may take", Value: 3 * time.Second},
+		&cli.DurationFlag{Name: "watch", Usage: "repeat the output every `DURATION`, until Ctrl-C"},
+		&cli.DurationFlag{Name: "timeout", Usage: "how long to wait for the answer of a process", Value: 3 * time.Second},
 	}
 }
 
-// showAgain shows what all stewards tell, once or every --watch; an error names the flag that is wrong.
-func showAgain(ctx context.Context, command *cli.Command, show func(command *cli.Command, known string, timeout time.Duration) error) error {
-	known, watch, timeout := command.String("of"), command.Duration("watch"), command.Duration("timeout")
-	if seeds := seedsOf(command); known == "" && len(seeds) > 0 {
-		known = seeds[0]
+// showRepeatedly runs show once, or at the interval of --watch. contact is the address of the process that is asked for the members. If a flag
+// is invalid, the error names it.
+func showRepeatedly(ctx context.Context, command *cli.Command, show func(command *cli.Command, contact string, timeout time.Duration) error) error {
+	contact, watch, timeout := command.String("of"), command.Duration("watch"), command.Duration("timeout")
+	if seeds := seedsOf(command); contact == "" && len(seeds) > 0 {
+		contact = seeds[0]
 	}
 	switch {
 	case command.Args().Len() > 0:
 		return cli.Exit(command.Name+" takes no arguments", exitUsage)
-	case !isAddress(known):
-		return cli.Exit(fmt.Sprintf("--of %q is not ip:port", known), exitUsage)
+	case !isAddress(contact):
+		return cli.Exit(fmt.Sprintf("--of %q is not ip:port", contact), exitUsage)
 	case timeout <= 0:
 		return cli.Exit("--timeout must be above 0", exitUsage)
-	case command.IsSet("watch") && watch < minWatch:
-		return cli.Exit(fmt.Sprintf("--watch must be at least %s", minWatch), exitUsage)
+	case command.IsSet("watch") && watch < minWatchInterval:
+		return cli.Exit(fmt.Sprintf("--watch must be at least %s", minWatchInterval), exitUsage)
 	}
-	return repeat(ctx, watch, func() error { return show(command, known, timeout) })
+	return repeat(ctx, watch, func() error { return show(command, contact, timeout) })
 }
 
-// repeat shows something once, or again and again with a pause in between until ctx is done or it fails.
+// repeat calls show once if pause is 0; otherwise it calls show with that pause in between until ctx is done or show fails.
 func repeat(ctx context.Context, pause time.Duration, show func() error) error {
 	for {
 		if err := show(); err != nil || pause == 0 {
@@ -61,10 +62,10 @@
 	}
 }
 
-// askStewards makes a call to all stewards that a process knows; take gets each answer, and silent is an exit that names those that
-// gave none.
-func askStewards[Asked, Answer any](known, procedure string, timeout time.Duration, asked *Asked, take func(*Answer)) (silent, err error) {
-	members, err := membersOf(known, timeout)
+// askStewards makes a call to all stewards that the process at contact knows, and passes each answer to handle. noAnswer is nil if all
+// answered; otherwise it is an exit error that names the stewards that didn't.
+func askStewards[Call, Answer any](contact, procedure string, timeout time.Duration, call *Call, handle func(*Answer)) (noAnswer, err error) {
+	members, err := membersOf(contact, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -76,46 +77,47 @@
 	}
 	caller := peerapi.NewCaller(peerapi.Client(timeout, 1))
 	outcomes := askAll(stewards, func(steward process) (*Answer, error) {
-		return peerapi.Call[Asked, Answer](context.Background(), caller, steward.address, procedure, timeout, asked)
+		return peerapi.Call[Call, Answer](context.Background(), caller, steward.address, procedure, timeout, call)
 	})
-	return eachAnswer(stewards, outcomes, func(_ process, answer *Answer) { take(answer) }), nil
+	return handleAnswers(stewards, outcomes, func(_ process, answer *Answer) { handle(answer) }), nil
 }
 
-// outcome is what one process answered, or why it did not.
+// outcome is the answer of one process, or the error if it gave none.
 type outcome[Answer any] struct {
 	answer Answer
 	err    error
 }
 
-// askAll asks about all of them at once, and gives the outcomes in their order.
-func askAll[Asked, Answer any](all []Asked, ask func(Asked) (Answer, error)) []outcome[Answer] {
-	pending := make([]chan outcome[Answer], len(all))
-	for place, asked := range all {
-		pending[place] = make(chan outcome[Answer], 1)
+// askAll asks all targets concurrently, and returns the outcomes in the order of the targets.
+func askAll[Target, Answer any](targets []Target, ask func(Target) (Answer, error)) []outcome[Answer] {
+	pending := make([]chan outcome[Answer], len(targets))
+	for index, target := range targets {
+		pending[index] = make(chan outcome[Answer], 1)
 		go func() {
-			answer, err := ask(asked)
-			pending[place] <- outcome[Answer]{answer, err}
+			answer, err := ask(target)
+			pending[index] <- outcome[Answer]{answer, err}
 		}()
 	}
-	outcomes := make([]outcome[Answer], len(all))
-	for place := range pending {
-		outcomes[place] = <-pending[place]
+	outcomes := make([]outcome[Answer], len(targets))
+	for index := range pending {
+		outcomes[index] = <-pending[index]
 	}
 	return outcomes
 }
 
-// eachAnswer runs a function on each process that answered, with its answer, and gives an exit that names those that did not, or nil.
-func eachAnswer[Answer any](asked []process, outcomes []outcome[Answer], take func(process, Answer)) error {
-	var silent []string
-	for place, from := range asked {
-		if err := outcomes[place].err; err != nil {
-			silent = append(silent, errors.Annotate(err, from.address).Error())
+// handleAnswers calls handle for each process that answered. It returns nil if all did; otherwise it returns an exit error that names the
+// processes that didn't. outcomes are in the order of the processes.
+func handleAnswers[Answer any](processes []process, outcomes []outcome[Answer], handle func(process, Answer)) error {
+	var failures []string
+	for index, from := range processes {
+		if err := outcomes[index].err; err != nil {
+			failures = append(failures, errors.Annotate(err, from.address).Error())
 			continue
 		}
-		take(from, outcomes[place].answer)
+		handle(from, outcomes[index].answer)
 	}
-	if len(silent) > 0 {
-		return cli.Exit("no answer: "+strings.Join(silent, "; "), exitSilent)
+	if len(failures) > 0 {
+		return cli.Exit("no answer: "+strings.Join(failures, "; "), exitNoAnswer)
 	}
 	return nil
 }
--- a/cmd/gannetline/cells.go
+++ b/cmd/gannetline/cells.go
@@ -13,30 +13,30 @@
 	"gannetline/internal/platform/settings"
 )
 
-// stewardVariable is the environment variable with the address of a steward, for commands that are given none.
+// stewardVariable is the environment variable with the address of a steward, for commands without --at or --of.
 const stewardVariable = "GANNETLINE_STEWARD"
 
-// callFlags are those of all commands that make calls as applications do.
+// callFlags returns the flags of all commands that make client calls to stewards.
 func callFlags() []cli.Flag {
 	return []cli.Flag{&cli.StringSliceFlag{Name: "at", Aliases: []string{"of"}, Sources: cli.EnvVars(stewardVariable),
-		Usage: "the control plane of a steward, `ADDRESS` ip:port; may be repeated. Left out: a seed of the settings file"}}
+		Usage: "the control plane of a steward, `ADDRESS` ip:port; may be repeated; by default the seeds of the settings file"}}
 }
 
-// seedsOf are the seeds of the settings file that a command names, none if there is no such file.
+// seedsOf returns the seeds of the settings file that --settings names, or nil if the file can't be loaded.
 func seedsOf(command *cli.Command) []string {
-	known, err := settings.Load(command.Root().String("settings"))
+	loaded, err := settings.Load(command.Root().String("settings"))
 	if err != nil {
 		return nil
 	}
-	return known.Seeds
+	return loaded.Seeds
 }
 
-// timeoutFlag bounds a command that makes one call.
+// timeoutFlag returns the flag that bounds a command with one client call, including its retries.
 func timeoutFlag() cli.Flag {
-	return &cli.DurationFlag{Name: "timeout", Usage: "how long to ask for a clear answer", Value: 5 * time.Second}
+	return &cli.DurationFlag{Name: "timeout", Usage: "how long to retry until the outcome is known", Value: 5 * time.Second}
 }
 
-// newClient makes the client of a command; an error names the flag that is wrong.
+// newClient creates the client of a command. If a flag is invalid, the error names it.
 func newClient(command *cli.Command) (*client.Client, error) {
 	addresses := command.StringSlice("at")
 	for _, address := range addresses {
@@ -53,8 +53,8 @@
 	return client.New(addresses)
 }
 
-// withCall runs one call with the arguments of a command, within --timeout.
-func withCall(count int, run func(ctx context.Context, caller *client.Client, command *cli.Command) error) cli.ActionFunc {
+// callAction returns an action that checks the number of arguments and then runs one client call within --timeout.
+func callAction(count int, run func(ctx context.Context, caller *client.Client, command *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		if command.Args().Len() != count {
 			return cli.Exit(fmt.Sprintf("%s takes %s", command.Name, command.ArgsUsage), exitUsage)
@@ -71,7 +71,7 @@
 		defer cancel()
 		err = run(ctx, caller, command)
 		if errors.Is(err, client.ErrNoAnswer) {
-			return cli.Exit(err.Error(), exitSilent)
+			return cli.Exit(err.Error(), exitNoAnswer)
 		}
 		return err
 	}
@@ -79,10 +79,10 @@
 
 func numberCommand() *cli.Command {
 	return &cli.Command{
-		Name: "number", Usage: "draw a number above all that were drawn under a name", ArgsUsage: "NAME",
-		Description: "Exit codes: 0 drawn and printed, 1 refused, 2 bad usage, 4 no clear answer (a number may be lost; that is a gap), 7 the stewards keep no numbers.",
+		Name: "number", Usage: "draw a number above all numbers drawn before under the same name", ArgsUsage: "NAME",
+		Description: "Exit codes: 0 drawn and printed, 1 refused, 2 bad usage, 4 outcome unknown (a number may be skipped), 7 the stewards keep no numbers.",
 		Flags:       append(callFlags(), timeoutFlag()),
-		Action: withCall(1, func(ctx context.Context, caller *client.Client, command *cli.Command) error {
+		Action: callAction(1, func(ctx context.Context, caller *client.Client, command *cli.Command) error {
 			number, err := caller.Number(ctx, command.Args().First())
 			if err != nil {
 				return err
@@ -99,22 +99,22 @@
 		Commands: []*cli.Command{
 			{
 				Name: "get", Usage: "print the value of a key", ArgsUsage: "NAME",
-				Description: "Exit codes: 0 printed, 1 there is no such key or it was refused, 2 bad usage, 4 no clear answer, 7 the stewards keep no keys.",
+				Description: "Exit codes: 0 printed, 1 there is no such key or it was refused, 2 bad usage, 4 no answer, 7 the stewards keep no keys.",
 				Flags:       append(callFlags(), timeoutFlag(), &cli.BoolFlag{Name: "json", Usage: "print value and revision as JSON"}),
-				Action:      withCall(1, getKey),
+				Action:      callAction(1, getKey),
 			},
 			{
-				Name: "put", Usage: "put a value into a key that is at a revision", ArgsUsage: "NAME VALUE",
-				Description: "Prints the new revision. Exit codes: 0 put, 1 refused, 2 bad usage, 3 the key is at another revision (named in the error), " +
-					"4 no clear answer: it may have been put or not, 7 the stewards keep no keys.",
-				Flags:  append(callFlags(), timeoutFlag(), &cli.Uint64Flag{Name: "revision", Usage: "the revision that the key must have; 0: there must be none"}),
-				Action: withCall(2, putKey),
+				Name: "put", Usage: "write a value if the key is at the expected revision", ArgsUsage: "NAME VALUE",
+				Description: "Prints the new revision. Exit codes: 0 written, 1 refused, 2 bad usage, 3 the key is at another revision (named in the error), " +
+					"4 outcome unknown: the value may or may not have been written, 7 the stewards keep no keys.",
+				Flags:  append(callFlags(), timeoutFlag(), &cli.Uint64Flag{Name: "revision", Usage: "the revision that the key must have; 0 if it must not exist yet"}),
+				Action: callAction(2, putKey),
 			},
 			{
-				Name: "watch", Usage: "print each put in a group of keys", ArgsUsage: "GROUP",
-				Description: "A group is what names of keys begin with, up to and with the first dot. Prints a line of JSON for each put, until Ctrl-C.\n" +
-					"Exit codes: 1 puts after --after are no longer kept, 2 bad usage.",
-				Flags: append(callFlags(), &cli.Uint64Flag{Name: "after", Usage: "begin after this `REVISION`; 0: with the next put"}),
+				Name: "watch", Usage: "print each write to a group of keys", ArgsUsage: "GROUP",
+				Description: "A group is the common prefix of key names, up to and including the first dot. Prints a line of JSON for each write, until Ctrl-C.\n" +
+					"Exit codes: 1 writes after --after are no longer kept, 2 bad usage.",
+				Flags: append(callFlags(), &cli.Uint64Flag{Name: "after", Usage: "start after this `REVISION`; 0 starts with the next write"}),
 				Action: func(ctx context.Context, command *cli.Command) error {
 					if command.Args().Len() != 1 {
 						return cli.Exit("watch takes GROUP", exitUsage)
@@ -131,15 +131,15 @@
 }
 
 func getKey(ctx context.Context, caller *client.Client, command *cli.Command) error {
-	held, err := caller.Get(ctx, command.Args().First())
+	cell, err := caller.Get(ctx, command.Args().First())
 	if err != nil {
 		return err
 	}
 	if !command.Bool("json") {
-		fmt.Fprintln(command.Root().Writer, held.Value)
+		fmt.Fprintln(command.Root().Writer, cell.Value)
 		return nil
 	}
-	return json.NewEncoder(command.Root().Writer).Encode(map[string]any{"value": held.Value, "revision": held.Revision})
+	return json.NewEncoder(command.Root().Writer).Encode(map[string]any{"value": cell.Value, "revision": cell.Revision})
 }
 
 func putKey(ctx context.Context, caller *client.Client, command *cli.Command) error {
--- a/cmd/gannetline/cells_test.go
+++ b/cmd/gannetline/cells_test.go
@@ -23,22 +23,22 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// soleLeadership is that of a part whose changes are durable at once.
-type soleLeadership struct{}
+// alwaysLeader is a leadership that holds its lease for ever and commits at once.
+type alwaysLeader struct{}
 
-func (soleLeadership) Epoch() uint64                        { return 1 }
-func (soleLeadership) HasLease() bool                       { return true }
-func (soleLeadership) Commit(_ []wire.Op, done func(error)) { done(nil) }
+func (alwaysLeader) Epoch() uint64                        { return 1 }
+func (alwaysLeader) HasLease() bool                       { return true }
+func (alwaysLeader) Commit(_ []wire.Op, done func(error)) { done(nil) }
 
-// startSteward serves the calls of applications by a part of its own, and gives its address.
+// startSteward starts a server with one partition of locks, numbers and keys, and returns its address.
 func startSteward() string {
-	now := clock.System()
-	part := coordination.New("coordination/0", coordination.Surroundings{Clock: now, Log: logging.Silent(), HistoryTime: 1 << 40, ReleaseTime: 1 << 30})
-	Expect(part.Open(soleLeadership{}, nil)).To(Succeed())
+	systemClock := clock.System()
+	part := coordination.New("coordination/0", coordination.Surroundings{Clock: systemClock, Log: logging.Silent(), HistoryTime: 1 << 40, ReleaseTime: 1 << 30})
+	Expect(part.Open(alwaysLeader{}, nil)).To(Succeed())
 	inbox := mailbox.New(64)
-	ctx, end := context.WithCancel(context.Background())
-	DeferCleanup(end)
-	go inbox.Run(ctx, now, mailbox.Owner{Every: 1 << 30, Tick: part.Tick})
+	ctx, cancel := context.WithCancel(context.Background())
+	DeferCleanup(cancel)
+	go inbox.Run(ctx, systemClock, mailbox.Owner{Every: 1 << 30, Tick: part.Tick})
 	ask := func(ctx context.Context, call *wire.ClientCall, _, _ time.Duration) leaderclient.Outcome {
 		answer, err := mailbox.Ask(ctx, inbox, func(answer func(wire.ClientAnswer)) { part.CommandFor(call.Verb)(call, answer) })
 		if err != nil {
@@ -47,7 +47,7 @@
 		return leaderclient.Outcome{Answer: &answer}
 	}
 	mux := http.NewServeMux()
-	coordinationapi.NewHandler(ctx, ask, now, logging.Silent()).Register(mux)
+	coordinationapi.NewHandler(ctx, ask, systemClock, logging.Silent()).Register(mux)
 	peerapi.Serve(mux, peerapi.ProcedureCoordination, func(ctx context.Context, _ *wire.CoordinationCall) (*wire.CoordinationReports, error) {
 		answer, err := mailbox.Ask(ctx, inbox, func(answer func(wire.ClientAnswer)) { part.Report(nil, answer) })
 		if err != nil {
@@ -64,16 +64,16 @@
 	return address
 }
 
-// runCommand runs the application and gives what it printed, with the text of the error, and the exit code.
+// runCommand runs the application and returns its output followed by the text of its error, and the exit code.
 func runCommand(arguments ...string) (string, int) {
-	var shown bytes.Buffer
+	var output bytes.Buffer
 	app := newApplication()
-	app.Writer, app.ErrWriter = &shown, &shown
+	app.Writer, app.ErrWriter = &output, &output
 	err := app.Run(context.Background(), append([]string{"gannetline"}, arguments...))
 	if err == nil {
-		return shown.String(), 0
+		return output.String(), 0
 	}
-	return shown.String() + err.Error(), exitCodeOf(err)
+	return output.String() + err.Error(), exitCodeOf(err)
 }
 
 var _ = Describe("the commands for locks, numbers and keys", func() {
@@ -81,8 +81,8 @@
 		at := "--at=" + startSteward()
 		run := func(want string, code int, arguments ...string) {
 			GinkgoHelper()
-			shown, got := runCommand(arguments...)
-			Expect(shown).To(ContainSubstring(want))
+			output, got := runCommand(arguments...)
+			Expect(output).To(ContainSubstring(want))
 			Expect(got).To(Equal(code))
 		}
 		run("1\n", 0, "number", at, "n")
@@ -96,7 +96,7 @@
 		run("a character that names must not have", exitFailed, "number", at, "a\nb")
 	})
 
-	It("run a command under a lock, and give the lock back", func() {
+	It("run a command under a lock, and release the lock", func() {
 		address := startSteward()
 		_, code := runCommand("lock", "--at="+address, "l", "--", "sh", "-c", `[ "$GANNETLINE_FENCE" = 1 ] && [ "$GANNETLINE_LOCK" = l ]`)
 		Expect(code).To(Equal(0))
@@ -104,55 +104,55 @@
 		Expect(code).To(Equal(9))
 		_, code = runCommand("elect", "--at="+address, "l", "--", "sh", "-c", `exit $((5 + GANNETLINE_FENCE))`)
 		Expect(code).To(Equal(8))
-		shown, code := runCommand("locks", "--of", address)
+		output, code := runCommand("locks", "--of", address)
 		Expect(code).To(Equal(0))
-		Expect(shown).To(MatchRegexp(`^lock +holder +fence +held +remaining +part\n$`))
-		shown, _ = runCommand("locks", "--of", address, "--parts")
-		Expect(shown).To(MatchRegexp(`coordination/0 +1 +0 +0 +0 +0 +0 +0\n`))
-		shown, _ = runCommand("locks", "--of", address, "--json")
-		Expect(shown).To(ContainSubstring(`"key": "coordination/0"`))
+		Expect(output).To(MatchRegexp(`^lock +holder +fence +held +remaining +part\n$`))
+		output, _ = runCommand("locks", "--of", address, "--parts")
+		Expect(output).To(MatchRegexp(`coordination/0 +1 +0 +0 +0 +0 +0 +0\n`))
+		output, _ = runCommand("locks", "--of", address, "--json")
+		Expect(output).To(ContainSubstring(`"key": "coordination/0"`))
 	})
 
-	It("wait for a lock no longer than they are told to, and end a command whose lock is lost", func() {
+	It("wait for a lock no longer than --wait, and stop a command whose lock is lost", func() {
 		address := startSteward()
-		take := `{"holder":"x","hold-time-ms":60000}`
-		_, err := http.Post("http://"+address+"/v1/locks/l/initiate", "application/json", strings.NewReader(take))
+		acquire := `{"holder":"x","hold-time-ms":60000}`
+		_, err := http.Post("http://"+address+"/v1/locks/l/initiate", "application/json", strings.NewReader(acquire))
 		Expect(err).NotTo(HaveOccurred())
-		shown, code := runCommand("lock", "--at="+address, "--wait=1ms", "l", "--", "true")
+		output, code := runCommand("lock", "--at="+address, "--wait=1ms", "l", "--", "true")
 		Expect(code).To(Equal(exitNotFree))
-		Expect(shown).To(ContainSubstring("another holds the lock"))
-		shown, _ = runCommand("locks", "--of", address)
-		Expect(shown).To(MatchRegexp(`l +x +1 +0\.\ds +\d+\.\ds +coordination/0`))
-		lost := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
+		Expect(output).To(ContainSubstring("another holds the lock"))
+		output, _ = runCommand("locks", "--of", address)
+		Expect(output).To(MatchRegexp(`l +x +1 +0\.\ds +\d+\.\ds +coordination/0`))
+		losingServer := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 			if strings.HasSuffix(request.URL.Path, "/heartbeat") {
 				to.WriteHeader(http.StatusConflict)
 			}
 			to.Write([]byte(`{"fence-number":1}`))
 		}))
-		DeferCleanup(lost.Close)
-		_, code = runCommand("lock", "--at="+strings.TrimPrefix(lost.URL, "http://"), "--hold=30ms", "l", "--", "sleep", "600")
-		Expect(code).To(Equal(exitLost))
+		DeferCleanup(losingServer.Close)
+		_, code = runCommand("lock", "--at="+strings.TrimPrefix(losingServer.URL, "http://"), "--hold=30ms", "l", "--", "sleep", "600")
+		Expect(code).To(Equal(exitLockLost))
 	})
 
-	DescribeTable("refuse bad use and name what is wrong", func(named string, arguments ...string) {
-		shown, code := runCommand(arguments...)
+	DescribeTable("refuse invalid arguments and name them", func(wanted string, arguments ...string) {
+		output, code := runCommand(arguments...)
 		Expect(code).To(Equal(exitUsage))
-		Expect(shown).To(ContainSubstring(named))
+		Expect(output).To(ContainSubstring(wanted))
 	},
-		Entry("nobody to ask", "--at must name", "number", "n"),
-		Entry("no address", `--at "nowhere"`, "number", "--at=nowhere", "n"),
+		Entry("no steward", "--at must name", "number", "n"),
+		Entry("an invalid address", `--at "nowhere"`, "number", "--at=nowhere", "n"),
 		Entry("no name", "number takes NAME", "number", "--at=127.0.0.1:1"),
-		Entry("no time", "--timeout", "number", "--at=127.0.0.1:1", "--timeout=0s", "n"),
+		Entry("a timeout of 0", "--timeout", "number", "--at=127.0.0.1:1", "--timeout=0s", "n"),
 		Entry("no command", "takes the name of a lock", "lock", "--at=127.0.0.1:1", "l"),
-		Entry("no hold", "--hold", "elect", "--at=127.0.0.1:1", "--hold=0s", "l", "--", "true"),
+		Entry("a hold time of 0", "--hold", "elect", "--at=127.0.0.1:1", "--hold=0s", "l", "--", "true"),
 		Entry("no group", "watch takes GROUP", "key", "watch", "--at=127.0.0.1:1"),
-		Entry("nobody to ask for locks", "--of", "locks"),
+		Entry("no steward to ask for locks", "--of", "locks"),
 	)
 
-	It("exit when nobody answers", func() {
+	It("exit with a code of their own if no steward answers", func() {
 		_, code := runCommand("number", "--at="+deadAddress(), "--timeout=1ms", "n")
-		Expect(code).To(Equal(exitSilent))
+		Expect(code).To(Equal(exitNoAnswer))
 		_, code = runCommand("locks", "--of", deadAddress())
-		Expect(code).To(Equal(exitSilent))
+		Expect(code).To(Equal(exitNoAnswer))
 	})
 })
--- a/cmd/gannetline/check.go
+++ b/cmd/gannetline/check.go
@@ -14,8 +14,8 @@
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "check a settings file or a plan", ArgsUsage: "FILE",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "plan", Usage: "FILE is a plan in JSON, not settings"}},
+		Name: "check", Usage: "check a settings file or a configuration", ArgsUsage: "FILE",
+		Flags: []cli.Flag{&cli.BoolFlag{Name: "plan", Usage: "FILE is a configuration in JSON, not settings"}},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() != 1 {
 				return cli.Exit("check takes one file", exitUsage)
@@ -29,7 +29,7 @@
 	}
 }
 
-// check tells what is wrong with a settings file or a configuration.
+// check returns an error that lists the problems of a settings file or a configuration.
 func check(path string, isPlan bool) error {
 	if !isPlan {
 		_, err := settings.Load(path)
@@ -37,7 +37,7 @@
 	}
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Annotate(err, "reading the plan")
+		return errors.Annotate(err, "reading the configuration")
 	}
 	_, err = configuration.Read(body)
 	return err
--- a/cmd/gannetline/compare.go
+++ b/cmd/gannetline/compare.go
@@ -14,12 +14,12 @@
 
 func compareCommand() *cli.Command {
 	return &cli.Command{
-		Name: "compare", Usage: "show what two nodes believe differently", ArgsUsage: "NODE NODE",
+		Name: "compare", Usage: "show where the views of two nodes differ", ArgsUsage: "NODE NODE",
 		Description: "NODE is ip:port: a steward's control-plane address, or any process's internal one.\n" +
 			"Exit codes: 0 no difference, 3 differences, 4 a node did not answer.",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
-			&cli.DurationFlag{Name: "timeout", Usage: "how long a node may take", Value: 3 * time.Second},
+			&cli.DurationFlag{Name: "timeout", Usage: "how long to wait for the answer of a node", Value: 3 * time.Second},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			if command.Args().Len() != 2 {
@@ -30,21 +30,22 @@
 	}
 }
 
-// compare prints what two nodes believe differently, or exits with exitDiffers or exitSilent.
-func compare(first, second string, limit time.Duration, isJSON bool) error {
+// compare prints the differences between the views of two nodes. The error has the exit code exitDiffers if there are any, and exitNoAnswer
+// if a node doesn't answer.
+func compare(first, second string, timeout time.Duration, isJSON bool) error {
 	beliefs := askAll([]string{first, second}, func(address string) (*wire.BeliefsAnswer, error) {
-		return comparenodes.Ask(address, limit)
+		return comparenodes.Ask(address, timeout)
 	})
 	for _, node := range beliefs {
 		if node.err != nil {
-			return cli.Exit("a node did not answer: "+node.err.Error(), exitSilent)
+			return cli.Exit("a node did not answer: "+node.err.Error(), exitNoAnswer)
 		}
 	}
-	all := comparenodes.Compare(beliefs[0].answer, beliefs[1].answer)
-	if err := comparenodes.Write(os.Stdout, first, second, all, isJSON); err != nil {
+	differences := comparenodes.Compare(beliefs[0].answer, beliefs[1].answer)
+	if err := comparenodes.Write(os.Stdout, first, second, differences, isJSON); err != nil {
 		return errors.Annotate(err, "writing the comparison")
 	}
-	if len(all) > 0 {
+	if len(differences) > 0 {
 		return cli.Exit("", exitDiffers)
 	}
 	return nil
--- a/cmd/gannetline/evacuations.go
+++ b/cmd/gannetline/evacuations.go
@@ -15,19 +15,20 @@
 
 func evacuationsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "evacuations", Usage: "show which zones are to be emptied, who knows of it, and what still runs there",
-		Description: "A zone is open, emptying while anything still runs there, or empty. Processes of executors' machines are not asked; they learn from the stewards.\n" +
-			"Exit codes: 0 all answered, 2 bad usage, 4 a process did not answer (the others are shown all the same).",
+		Name: "evacuations", Usage: "show which zones are evacuated, which processes know the order, and what still runs there",
+		Description: "A zone is open, emptying while anything still runs there, or empty. Local proxies are not asked; they get the order from the stewards.\n" +
+			"Exit codes: 0 all answered, 2 bad usage, 4 a process did not answer (the others are still shown).",
 		Flags: showFlags(),
 		Action: func(ctx context.Context, command *cli.Command) error {
-			return showAgain(ctx, command, showEvacuationsOnce)
+			return showRepeatedly(ctx, command, showEvacuationsOnce)
 		},
 	}
 }
 
-// showEvacuationsOnce asks all processes and prints what they tell; it exits with exitSilent if one of them doesn't answer.
-func showEvacuationsOnce(command *cli.Command, known string, timeout time.Duration) error {
-	members, err := membersOf(known, timeout)
+// showEvacuationsOnce asks all members and prints the evacuations. If a member doesn't answer, it prints the others and returns an error with
+// the exit code exitNoAnswer.
+func showEvacuationsOnce(command *cli.Command, contact string, timeout time.Duration) error {
+	members, err := membersOf(contact, timeout)
 	if err != nil {
 		return err
 	}
@@ -37,7 +38,7 @@
 			peerapi.ProcedureEvacuations, timeout, &wire.EvacuationsCall{})
 	})
 	var answers []wire.EvacuationsAnswer
-	silent := eachAnswer(members, outcomes, func(_ process, answer *wire.EvacuationsAnswer) { answers = append(answers, *answer) })
+	noAnswer := handleAnswers(members, outcomes, func(_ process, answer *wire.EvacuationsAnswer) { answers = append(answers, *answer) })
 	view := evacuationview.Join(answers)
 	write := view.WriteTable
 	if command.Bool("json") {
@@ -46,16 +47,16 @@
 	if err := write(command.Root().Writer); err != nil {
 		return err
 	}
-	return silent
+	return noAnswer
 }
 
 func evacuateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "evacuate", Usage: "send nothing new to a zone, or take that back", ArgsUsage: "ZONE",
-		Description: "What runs in the zone runs on; `evacuations` shows when it is empty. The same order may be given again.\n" +
-			"Exit codes: 0 the order is kept, 1 refused, 2 bad usage, 4 no clear answer: it may be kept or not.",
-		Flags:  append(callFlags(), timeoutFlag(), &cli.BoolFlag{Name: "end", Usage: "take the order back"}),
-		Action: withCall(1, evacuate),
+		Name: "evacuate", Usage: "send no new work to a zone, or end its evacuation", ArgsUsage: "ZONE",
+		Description: "Work that runs in the zone continues; `evacuations` shows when the zone is empty. The command may be repeated.\n" +
+			"Exit codes: 0 the order is committed, 1 refused, 2 bad usage, 4 outcome unknown: the order may or may not be committed.",
+		Flags:  append(callFlags(), timeoutFlag(), &cli.BoolFlag{Name: "end", Usage: "end the evacuation"}),
+		Action: callAction(1, evacuate),
 	}
 }
 
--- a/cmd/gannetline/evacuations_test.go
+++ b/cmd/gannetline/evacuations_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("the commands for evacuations", func() {
-	It("show zones with what runs there, and who knows of the newest order", func() {
+	It("show the load of evacuated zones, and which processes know the newest order", func() {
 		var members []wire.Member
 		process := func(name, role string, known *wire.Evacuations, loads ...wire.ZoneLoad) string {
 			address, mux := scriptedProcess("")
@@ -31,18 +31,18 @@
 		newest := &wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{{Zone: "north", SinceMs: 0}}}
 		steward := process("s", membership.RoleSteward, newest, wire.ZoneLoad{Key: "pool/x", Zone: "north", Executors: 3, Runs: 4})
 		process("g", "gate", &wire.Evacuations{Number: 1})
-		shown, code := runCommand("evacuations", "--of", steward)
+		output, code := runCommand("evacuations", "--of", steward)
 		Expect(code).To(Equal(0))
-		Expect(shown).To(MatchRegexp(`north +emptying +1970-01-01T00:00:00Z +3 +4\norder 2 is known to 1 processes, not yet to g\n`))
-		shown, _ = runCommand("evacuations", "--of", steward, "--json")
-		Expect(shown).To(ContainSubstring(`"evacuation-number": 2`))
+		Expect(output).To(MatchRegexp(`north +emptying +1970-01-01T00:00:00Z +3 +4\norder 2 is known to 1 processes, not yet to g\n`))
+		output, _ = runCommand("evacuations", "--of", steward, "--json")
+		Expect(output).To(ContainSubstring(`"evacuation-number": 2`))
 		members = append(members, wire.Member{Name: "h", Role: "gate", Address: deadAddress(), State: wire.StateAlive})
-		shown, code = runCommand("evacuations", "--of", steward)
-		Expect(code).To(Equal(exitSilent))
-		Expect(shown).To(ContainSubstring("emptying"))
+		output, code = runCommand("evacuations", "--of", steward)
+		Expect(code).To(Equal(exitNoAnswer))
+		Expect(output).To(ContainSubstring("emptying"))
 	})
 
-	It("give orders, and tell why one can't be taken", func() {
+	It("begin and end an evacuation, or print why it is refused", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 			if !strings.HasPrefix(request.URL.Path, "/v1/evacuation/north/") {
 				to.WriteHeader(http.StatusNotFound)
@@ -51,9 +51,9 @@
 		}))
 		DeferCleanup(server.Close)
 		at := "--at=" + strings.TrimPrefix(server.URL, "http://")
-		for _, asked := range []struct {
+		for _, step := range []struct {
 			arguments []string
-			shown     string
+			output    string
 			code      int
 		}{
 			{[]string{"north"}, "nothing new is sent to zone north\n", 0},
@@ -62,11 +62,11 @@
 			{[]string{"--end", "nowhere"}, "there is no zone of that name", exitFailed},
 			{nil, "evacuate takes ZONE", exitUsage},
 		} {
-			shown, code := runCommand(append([]string{"evacuate", at}, asked.arguments...)...)
-			Expect(shown).To(Equal(asked.shown))
-			Expect(code).To(Equal(asked.code))
+			output, code := runCommand(append([]string{"evacuate", at}, step.arguments...)...)
+			Expect(output).To(Equal(step.output))
+			Expect(code).To(Equal(step.code))
 		}
 		_, code := runCommand("evacuate", "--at="+deadAddress(), "--timeout=100ms", "north")
-		Expect(code).To(Equal(exitSilent))
+		Expect(code).To(Equal(exitNoAnswer))
 	})
 })
--- a/cmd/gannetline/golden_test.go
+++ b/cmd/gannetline/golden_test.go
@@ -11,25 +11,25 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-// writeCommand lists a command with its flags, and then the commands below it.
+// writeCommand writes a line for a command, one for each of its flags, and then those of its subcommands.
 func writeCommand(lines *strings.Builder, path string, command *cli.Command) {
 	lines.WriteString(path + "\n")
 	for _, flag := range command.Flags {
 		lines.WriteString(path + " --" + strings.Join(flag.Names(), " --") + "\n")
 	}
-	for _, inner := range command.Commands {
-		writeCommand(lines, path+" "+inner.Name, inner)
+	for _, subcommand := range command.Commands {
+		writeCommand(lines, path+" "+subcommand.Name, subcommand)
 	}
 }
 
-var _ = Describe("what operators and their scripts name", func() {
-	It("is kept for commands and flags", func() {
+var _ = Describe("names that operators and their scripts use", func() {
+	It("are unchanged for commands and flags", func() {
 		var lines strings.Builder
 		writeCommand(&lines, "gannetline", newApplication())
 		Expect(golden.CheckText("testdata/commands.txt", lines.String())).To(Succeed())
 	})
 
-	It("is kept in the deploy file", func() {
+	It("are unchanged in the deploy file", func() {
 		text, err := os.ReadFile("../../deploy/system.toml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(golden.CheckText("testdata/system.toml", string(text))).To(Succeed())
--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -12,27 +12,27 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// hollowCommand runs stand-in executors, with local proxies before them unless their spec says otherwise.
+// hollowCommand runs simulated executors, each behind a local proxy unless its spec says otherwise.
 func hollowCommand() *cli.Command {
 	return &cli.Command{
 		Name: "hollow", Usage: "run many hollow workers in one process, on loopback addresses",
-		Description: "Ends with its time, at SIGTERM, or when its standard input is closed. Exit codes: 0 over, 1 failed, 2 bad input.",
+		Description: "Ends when its run time is over, at SIGTERM, or when its standard input is closed. Exit codes: 0 ended, 1 failed, 2 bad input.",
 		Flags:       []cli.Flag{&cli.StringFlag{Name: "spec", Usage: "the workers, a JSON `FILE` as tools/first-run.sh writes it", Required: true}},
 		Action: func(_ context.Context, command *cli.Command) error {
 			spec, settings, err := hollow.LoadSpec(command.String("spec"))
 			if err != nil {
 				return cli.Exit(err.Error(), exitUsage)
 			}
-			ctx, forget := supervise.UntilSignal()
-			defer forget()
-			go endWithInput()
+			ctx, stopSignals := supervise.UntilSignal()
+			defer stopSignals()
+			go exitAtInputEnd()
 			return hollow.Run(ctx, spec, settings, logging.New(os.Stderr, settings[0].LogLevel))
 		},
 	}
 }
 
-// endWithInput ends the process once its standard input is closed, so that it does not outlive its starter.
-func endWithInput() {
+// exitAtInputEnd exits the process once its standard input is closed, so that it doesn't outlive the process that started it.
+func exitAtInputEnd() {
 	io.Copy(io.Discard, os.Stdin)
 	os.Exit(0)
 }
--- a/cmd/gannetline/locks.go
+++ b/cmd/gannetline/locks.go
@@ -19,21 +19,22 @@
 
 func locksCommand() *cli.Command {
 	return &cli.Command{
-		Name: "locks", Usage: "show who holds which lock, and what the parts with locks, numbers and keys hold",
-		Description: "A lock is held for as long as `held` says, or longer if another steward has taken its part over since; unless it is renewed, it is free " +
-			"after `remaining`.\nExit codes: 0 all stewards answered, 2 bad usage, 4 one did not answer (the others are shown all the same), 7 the stewards keep no locks.",
+		Name: "locks", Usage: "show who holds which lock, and the size of the parts with locks, numbers and keys",
+		Description: "`held` is the time that a lock has been held at least; it starts again when another steward takes its part over. Unless it is renewed, a lock is free " +
+			"after `remaining`.\nExit codes: 0 all stewards answered, 2 bad usage, 4 one did not answer (the others are still shown), 7 the stewards keep no locks.",
 		Flags: append(showFlags(), &cli.BoolFlag{Name: "parts", Usage: "show the parts in place of the locks"}),
 		Action: func(ctx context.Context, command *cli.Command) error {
-			return showAgain(ctx, command, showLocksOnce)
+			return showRepeatedly(ctx, command, showLocksOnce)
 		},
 	}
 }
 
-// showLocksOnce asks all stewards and prints what they tell; it exits with exitSilent if one of them doesn't answer.
-func showLocksOnce(command *cli.Command, known string, timeout time.Duration) error {
+// showLocksOnce asks all stewards and prints the locks or the partitions. If a steward doesn't answer, it prints the others and returns an
+// error with the exit code exitNoAnswer.
+func showLocksOnce(command *cli.Command, contact string, timeout time.Duration) error {
 	var reports []wire.CoordinationReport
 	isOff := false
-	silent, err := askStewards(known, peerapi.ProcedureCoordination, timeout, &wire.CoordinationCall{},
+	noAnswer, err := askStewards(contact, peerapi.ProcedureCoordination, timeout, &wire.CoordinationCall{},
 		func(answer *wire.CoordinationReports) {
 			reports = append(reports, answer.Reports...)
 			isOff = isOff || answer.IsOff
@@ -57,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	return silent
+	return noAnswer
 }
 
 // newestReports keeps the report of the latest leader of each key, in the order of the keys.
@@ -93,5 +94,5 @@
 	return table.Flush()
 }
 
-// seconds shows milliseconds as seconds with a tenth.
+// seconds formats a time in milliseconds as seconds with one decimal place.
 func seconds(ms int64) string { return fmt.Sprintf("%.1fs", float64(ms)/1000) }
--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -14,24 +14,29 @@
 	"gannetline/internal/roles"
 )
 
-// The exit codes, as docs/operators.md lists them.
+// The exit codes, as docs/operators.md lists them. Commands that run another command also pass on its exit code.
 const (
-	exitFailed  = 1
-	exitUsage   = 2
+	exitFailed = 1
+	// exitUsage stands for invalid arguments or input.
+	exitUsage = 2
+	// exitDiffers stands for differences between nodes, a revision conflict, or a change that makes a rehearsed day worse.
 	exitDiffers = 3
-	exitSilent  = 4
-	exitLost    = 5
+	// exitNoAnswer stands for a process that didn't answer, or a call with unknown outcome.
+	exitNoAnswer = 4
+	exitLockLost = 5
+	// exitNotFree stands for a lock that wasn't free within --wait.
 	exitNotFree = 6
-	exitOff     = 7
+	// exitOff stands for a service that the stewards don't offer (active-contracts).
+	exitOff = 7
 )
 
 func main() {
 	if err := newApplication().Run(context.Background(), os.Args); err != nil {
-		os.Exit(report(err))
+		os.Exit(reportError(err))
 	}
 }
 
-// newApplication has a command for each role and each tool.
+// newApplication creates the command line with a subcommand for each role and each tool.
 func newApplication() *cli.Command {
 	return &cli.Command{
 		Name:  "gannetline",
@@ -39,9 +44,9 @@
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`", Value: settings.Path()}},
 		Commands: []*cli.Command{
 			roleCommand("gate", "serve clients on an edge machine", roles.Gate),
-			roleCommand("steward", "keep control keys and schedule the pools they name", roles.Steward),
-			roleCommand("storage", "keep lots on a storage machine and have their items run", roles.Storage),
-			roleCommand("local-proxy", "stand before the executor of a side machine", roles.LocalProxy),
+			roleCommand("steward", "replicate control keys and schedule pools of executors", roles.Steward),
+			roleCommand("storage", "keep lots on a storage machine and have executors run their items", roles.Storage),
+			roleCommand("local-proxy", "run beside the executor of a side machine and carry out its orders", roles.LocalProxy),
 			compareCommand(),
 			checkCommand(),
 			rehearseCommand(),
@@ -67,15 +72,15 @@
 	}
 }
 
-// report prints an error, if it says anything, and gives the exit code.
-func report(err error) int {
+// reportError prints an error unless its text is empty, and returns the exit code.
+func reportError(err error) int {
 	if err.Error() != "" {
 		fmt.Fprintln(os.Stderr, "gannetline:", err)
 	}
 	return exitCodeOf(err)
 }
 
-// exitCodeOf is the exit code for an error.
+// exitCodeOf returns the exit code for an error.
 func exitCodeOf(err error) int {
 	var coded cli.ExitCoder
 	if errors.As(err, &coded) {
@@ -88,7 +93,7 @@
 	return exitFailed
 }
 
-// roleCommand runs a role until it is told to end.
+// roleCommand returns a command that runs a role until SIGTERM or SIGINT.
 func roleCommand(name, usage string, run func(path string, options ...roles.Option) error) *cli.Command {
 	return &cli.Command{Name: name, Usage: usage, Action: func(_ context.Context, command *cli.Command) error {
 		return run(command.String("settings"))
--- a/cmd/gannetline/metrics.go
+++ b/cmd/gannetline/metrics.go
@@ -17,55 +17,55 @@
 
 func metricsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "metrics", Usage: "show what processes have counted, side by side",
-		Description: "Exit codes: 0 all answered, 2 bad usage, 4 a process did not answer (the others are shown all the same).",
+		Name: "metrics", Usage: "show the metrics of processes side by side",
+		Description: "Exit codes: 0 all answered, 2 bad usage, 4 a process did not answer (the others are still shown).",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "at", Usage: "a process's internal `ADDRESS`, ip:port; may be given again"},
+			&cli.StringSliceFlag{Name: "at", Usage: "a process's internal `ADDRESS`, ip:port; may be repeated"},
 			&cli.StringFlag{Name: "of", Usage: "ask all members that the process at `ADDRESS` knows, and sum by role"},
-			&cli.StringFlag{Name: "match", Usage: "only metrics whose name or labels hold the `TEXT`"},
+			&cli.StringFlag{Name: "match", Usage: "only metrics whose name or labels contain the `TEXT`"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
-			&cli.DurationFlag{Name: "timeout", Usage: "how long a process may take", Value: 3 * time.Second},
+			&cli.DurationFlag{Name: "timeout", Usage: "how long to wait for the answer of a process", Value: 3 * time.Second},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
-			asked, err := processesToAsk(command)
+			processes, err := processesToAsk(command)
 			if err != nil {
 				return err
 			}
-			columns, silent := askMetrics(asked, command.Duration("timeout"))
+			columns, noAnswer := fetchMetrics(processes, command.Duration("timeout"))
 			if err := metrics.NewTable(columns, command.String("match")).Write(command.Root().Writer, command.Bool("json")); err != nil {
 				return err
 			}
-			return silent
+			return noAnswer
 		},
 	}
 }
 
-// process is one to be asked, and the column its counts go to.
+// process is a process to ask; its answer belongs to a column of the table, either its own or that of its role.
 type process struct{ address, column string }
 
-// processesToAsk reads who is to be asked from the options; a fault of them is an exit with exitUsage.
+// processesToAsk returns the processes that the flags name. If a flag is invalid, the error has the exit code exitUsage.
 func processesToAsk(command *cli.Command) ([]process, error) {
-	addresses, known := command.StringSlice("at"), command.String("of")
-	if (len(addresses) == 0) == (known == "") || command.Args().Len() > 0 {
+	addresses, contact := command.StringSlice("at"), command.String("of")
+	if (len(addresses) == 0) == (contact == "") || command.Args().Len() > 0 {
 		return nil, cli.Exit("metrics takes either --at, once or several times, or --of", exitUsage)
 	}
 	if command.Duration("timeout") <= 0 {
 		return nil, cli.Exit("--timeout must be above 0", exitUsage)
 	}
-	if known != "" {
-		if !isAddress(known) {
-			return nil, cli.Exit("--of "+known+" is not ip:port", exitUsage)
+	if contact != "" {
+		if !isAddress(contact) {
+			return nil, cli.Exit("--of "+contact+" is not ip:port", exitUsage)
 		}
-		return membersOf(known, command.Duration("timeout"))
+		return membersOf(contact, command.Duration("timeout"))
 	}
-	var asked []process
+	var processes []process
 	for _, address := range addresses {
 		if !isAddress(address) {
 			return nil, cli.Exit("--at "+address+" is not ip:port", exitUsage)
 		}
-		asked = append(asked, process{address, address})
+		processes = append(processes, process{address, address})
 	}
-	return asked, nil
+	return processes, nil
 }
 
 func isAddress(text string) bool {
@@ -73,35 +73,37 @@
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// membersOf gives the processes that the one at an address believes to be there, with their roles.
-func membersOf(address string, limit time.Duration) ([]process, error) {
-	beliefs, err := comparenodes.Ask(address, limit)
+// membersOf returns the members that the process at an address knows, sorted by role, without those that are gone. The column of each is its
+// role.
+func membersOf(contact string, timeout time.Duration) ([]process, error) {
+	beliefs, err := comparenodes.Ask(contact, timeout)
 	if err != nil {
-		return nil, cli.Exit("no answer: "+err.Error(), exitSilent)
+		return nil, cli.Exit("no answer: "+err.Error(), exitNoAnswer)
 	}
-	var asked []process
+	var processes []process
 	for _, member := range beliefs.Members {
 		if member.State != wire.StateGone {
-			asked = append(asked, process{member.Address, member.Role})
+			processes = append(processes, process{member.Address, member.Role})
 		}
 	}
-	slices.SortStableFunc(asked, func(a, b process) int { return cmp.Compare(a.column, b.column) })
-	return asked, nil
+	slices.SortStableFunc(processes, func(a, b process) int { return cmp.Compare(a.column, b.column) })
+	return processes, nil
 }
 
-// askMetrics asks all at once; processes of one column are summed. The error is an exit that names those that did not answer.
-func askMetrics(asked []process, limit time.Duration) (columns []metrics.Column, silent error) {
-	client := peerapi.Client(limit, 1)
-	outcomes := askAll(asked, func(from process) (metrics.Samples, error) {
-		return metrics.Fetch(client, from.address, limit)
+// fetchMetrics asks all processes concurrently and sums the metrics of each column. noAnswer is nil if all answered; otherwise it is an exit
+// error that names the processes that didn't.
+func fetchMetrics(processes []process, timeout time.Duration) (columns []metrics.Column, noAnswer error) {
+	client := peerapi.Client(timeout, 1)
+	outcomes := askAll(processes, func(from process) (metrics.Samples, error) {
+		return metrics.Fetch(client, from.address, timeout)
 	})
 	sums := map[string]metrics.Samples{}
-	silent = eachAnswer(asked, outcomes, func(from process, answer metrics.Samples) {
+	noAnswer = handleAnswers(processes, outcomes, func(from process, answer metrics.Samples) {
 		if sums[from.column] == nil {
 			sums[from.column] = metrics.Samples{}
 			columns = append(columns, metrics.Column{Name: from.column, Samples: sums[from.column]})
 		}
 		sums[from.column].Add(answer)
 	})
-	return columns, silent
+	return columns, noAnswer
 }
--- a/cmd/gannetline/rehearse.go
+++ b/cmd/gannetline/rehearse.go
@@ -15,14 +15,14 @@
 
 func rehearseCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rehearse", Usage: "play a recorded day as things are and under a proposed change", ArgsUsage: "RECORDING...",
-		Description: "Exit codes: 0 nothing is worse under the change, 2 bad input, 3 a job comes late, goes missing or lands twice.",
+		Name: "rehearse", Usage: "replay a recorded day with and without a proposed change, and compare", ArgsUsage: "RECORDING...",
+		Description: "Exit codes: 0 nothing is worse under the change, 2 bad input, 3 a job comes late, is lost or runs twice only under the change.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "change", Usage: "the proposed change, a YAML `FILE`"},
 			&cli.StringFlag{Name: "rollout", Usage: "a rollout of a new version, a YAML `FILE`"},
-			&cli.StringFlag{Name: "plot", Usage: "`FILE` for a picture (SVG) of how the rollout went"},
-			&cli.StringSliceFlag{Name: "fault", Usage: "a fault over the day, `KIND:TARGET:AT-MS[:FOR-MS]` (kill, cut, freeze, wipe, drain, slow)"},
-			&cli.Uint64Flag{Name: "seed", Usage: "what is drawn by lot", Value: 1},
+			&cli.StringFlag{Name: "plot", Usage: "`FILE` for an SVG picture of the rollout's progress"},
+			&cli.StringSliceFlag{Name: "fault", Usage: "a fault during the day, `KIND:TARGET:AT-MS[:FOR-MS]` (kill, cut, freeze, wipe, drain, slow)"},
+			&cli.Uint64Flag{Name: "seed", Usage: "the seed of all random choices", Value: 1},
 			&cli.DurationFlag{Name: "horizon", Usage: "how long after the last event a job may still end", Value: time.Minute},
 			&cli.BoolFlag{Name: "lenient", Usage: "skip and count broken lines"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
@@ -50,7 +50,7 @@
 	}
 }
 
-// writePlot draws how a rollout went into a file, if one is named.
+// writePlot writes an SVG picture of the rollout's progress to a file. It does nothing if path is empty.
 func writePlot(path string, samples []rehearsal.RolloutSample) (err error) {
 	if path == "" {
 		return nil
@@ -64,6 +64,7 @@
 	return nil
 }
 
+// rehearsalSetup reads the flags, the recordings and the other input files of a rehearsal.
 func rehearsalSetup(command *cli.Command) (rehearsal.Setup, error) {
 	setup := rehearsal.Setup{Change: &rehearsal.Change{}, Seed: command.Uint64("seed"), Horizon: command.Duration("horizon")}
 	if command.Args().Len() == 0 {
--- a/cmd/gannetline/rollout.go
+++ b/cmd/gannetline/rollout.go
@@ -2,15 +2,15 @@
 
 import "github.com/urfave/cli/v3"
 
-// rolloutExitCodes ends the descriptions of the commands that change something.
-const rolloutExitCodes = "Exit codes: 0 the configuration has it, 1 refused, 2 bad usage, 4 no clear answer: it may be kept or not."
+// rolloutExitCodes is the end of the help texts of the commands that change the configuration.
+const rolloutExitCodes = "Exit codes: 0 the change is committed, 1 refused, 2 bad usage, 4 outcome unknown: the change may or may not be committed."
 
 func rolloutCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rollout", Usage: "bring a new version of a service to more and more of a route's jobs, while it behaves",
+		Name: "rollout", Usage: "roll out a new version of a service to a growing share of a route's jobs, as long as it stays within bounds",
 		Commands: []*cli.Command{rolloutStartCommand(), rolloutStatusCommand(),
-			rolloutStateCommand("pause", "keep the share as it is; the new version is judged all the same", pauseRollout),
+			rolloutStateCommand("pause", "keep the current share; the new version is still judged", pauseRollout),
 			rolloutStateCommand("resume", "let a paused rollout widen again", resumeRollout),
-			rolloutStateCommand("abort", "turn the new version back", abortRollout)},
+			rolloutStateCommand("abort", "roll the new version back", abortRollout)},
 	}
 }
--- a/cmd/gannetline/rolloutstate.go
+++ b/cmd/gannetline/rolloutstate.go
@@ -11,19 +11,19 @@
 	"gannetline/internal/cluster/configuration"
 )
 
-// rolloutStateCommand is a command that changes the state of a rollout.
+// rolloutStateCommand returns a command that changes the state of a rollout.
 func rolloutStateCommand(name, usage string, change func(progress *configuration.RolloutProgress, by string) error) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "NAME", Description: rolloutExitCodes,
-		Flags: append(callFlags(), timeoutFlag(), &cli.StringFlag{Name: "by", Usage: "who asks for it", DefaultText: "the user's name"}),
-		Action: withCall(1, func(ctx context.Context, caller *client.Client, command *cli.Command) error {
+		Flags: append(callFlags(), timeoutFlag(), &cli.StringFlag{Name: "by", Usage: "who requests it", DefaultText: "the user's name"}),
+		Action: callAction(1, func(ctx context.Context, caller *client.Client, command *cli.Command) error {
 			rollout := command.Args().First()
 			err := changeConfiguration(ctx, caller, func(amendment *configuration.Amendment, _ *configuration.Configuration) error {
-				known := amendment.Rollout(rollout)
-				if known == nil {
+				current := amendment.Rollout(rollout)
+				if current == nil {
 					return errors.Annotatef(configuration.ErrNoRollout, "%q", rollout)
 				}
-				progress := known.Progress()
+				progress := current.Progress()
 				if err := change(&progress, requester(command)); err != nil {
 					return err
 				}
@@ -38,7 +38,7 @@
 	}
 }
 
-// errRolloutOver refuses a change of what is over.
+// errRolloutOver refuses to abort a rollout that has ended.
 const errRolloutOver = errors.ConstError("the rollout is over")
 
 func pauseRollout(progress *configuration.RolloutProgress, by string) error {
@@ -65,10 +65,11 @@
 	return nil
 }
 
-// maxChangeAttempts is how often a change is made anew because the configuration was changed by others meanwhile.
+// maxChangeAttempts limits the attempts at a change if the configuration changes in the meantime.
 const maxChangeAttempts = 5
 
-// changeConfiguration changes the configuration in force, again on the newer one if another operator, or the leader, was faster.
+// changeConfiguration applies a change to the configuration in force. If another operator or the leader has changed the configuration in the
+// meantime, it applies the change to the newer version.
 func changeConfiguration(ctx context.Context, caller *client.Client, change func(*configuration.Amendment, *configuration.Configuration) error) error {
 	for attempt := 1; ; attempt++ {
 		current, err := caller.Configuration(ctx)
--- a/cmd/gannetline/rolloutstatus.go
+++ b/cmd/gannetline/rolloutstatus.go
@@ -16,17 +16,17 @@
 
 func rolloutStatusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show how rollouts stand, and the figures they are judged by", ArgsUsage: "[NAME]",
+		Name: "status", Usage: "show the progress of rollouts, and the figures by which they are judged", ArgsUsage: "[NAME]",
 		Description: "Exit codes: 0 shown, 1 there is no such rollout, 2 bad usage, 4 no answer.",
 		Flags: append(callFlags(), timeoutFlag(), &cli.BoolFlag{Name: "json", Usage: "print JSON"},
-			&cli.DurationFlag{Name: "watch", Usage: "show it again every `DURATION`, with a bar, until Ctrl-C"}),
+			&cli.DurationFlag{Name: "watch", Usage: "repeat the output every `DURATION`, until Ctrl-C"}),
 		Action: func(ctx context.Context, command *cli.Command) error {
 			watch := command.Duration("watch")
 			switch {
 			case command.Args().Len() > 1:
 				return cli.Exit("status takes [NAME]", exitUsage)
-			case command.IsSet("watch") && watch < minWatch:
-				return cli.Exit(fmt.Sprintf("--watch must be at least %s", minWatch), exitUsage)
+			case command.IsSet("watch") && watch < minWatchInterval:
+				return cli.Exit(fmt.Sprintf("--watch must be at least %s", minWatchInterval), exitUsage)
 			}
 			caller, err := newClient(command)
 			if err != nil {
@@ -37,13 +37,13 @@
 	}
 }
 
-// showRollouts prints how rollouts stand once.
+// showRollouts prints the state of one or all rollouts once.
 func showRollouts(ctx context.Context, caller *client.Client, command *cli.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 	defer cancel()
 	body, err := caller.Rollouts(ctx)
 	if errors.Is(err, client.ErrNoAnswer) {
-		return cli.Exit(err.Error(), exitSilent)
+		return cli.Exit(err.Error(), exitNoAnswer)
 	}
 	if err != nil {
 		return err
--- a/cmd/gannetline/tenants.go
+++ b/cmd/gannetline/tenants.go
@@ -13,22 +13,23 @@
 
 func tenantsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "tenants", Usage: "show what each tenant has running, may have, and waits for",
-		Description: "Amounts are cores/MB, with /GPUs if there are any. No key of a tenant is shown.\n" +
-			"Exit codes: 0 all stewards answered, 2 bad usage, 4 one did not answer (the others are shown all the same).",
-		Flags:  append(showFlags(), &cli.BoolFlag{Name: "by-pool", Usage: "also show what each pool was granted"}),
+		Name: "tenants", Usage: "show the running work, the limit and the waiting work of each tenant",
+		Description: "Amounts are cores/MB, with /GPUs if there are any. API keys are not shown.\n" +
+			"Exit codes: 0 all stewards answered, 2 bad usage, 4 one did not answer (the others are still shown).",
+		Flags:  append(showFlags(), &cli.BoolFlag{Name: "by-pool", Usage: "also show the grants of each pool"}),
 		Action: showTenants,
 	}
 }
 
 func showTenants(ctx context.Context, command *cli.Command) error {
-	return showAgain(ctx, command, showTenantsOnce)
+	return showRepeatedly(ctx, command, showTenantsOnce)
 }
 
-// showTenantsOnce asks all stewards and prints what they tell; it exits with exitSilent if one of them doesn't answer.
-func showTenantsOnce(command *cli.Command, known string, timeout time.Duration) error {
+// showTenantsOnce asks all stewards and prints the tenants. If a steward doesn't answer, it prints the others and returns an error with the exit
+// code exitNoAnswer.
+func showTenantsOnce(command *cli.Command, contact string, timeout time.Duration) error {
 	var reports []wire.TenantCountReport
-	silent, err := askStewards(known, peerapi.ProcedureTenants, timeout, &wire.TenantsCall{},
+	noAnswer, err := askStewards(contact, peerapi.ProcedureTenants, timeout, &wire.TenantsCall{},
 		func(answer *wire.TenantsAnswer) { reports = append(reports, answer.Reports...) })
 	if err != nil {
 		return err
@@ -36,7 +37,7 @@
 	if err := writeTenants(command, tenantview.Join(reports)); err != nil {
 		return err
 	}
-	return silent
+	return noAnswer
 }
 
 func writeTenants(command *cli.Command, view tenantview.View) error {
