--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -1,4 +1,4 @@
-// Model-check runs the project's own code under simulated faults, each schedule decided by a seed, and checks what callers saw.
+// Model-check runs the control code in process under simulated faults and checks what its callers observed. A seed determines every schedule.
 package main
 
 import (
@@ -22,20 +22,20 @@
 )
 
 const (
-	exitViolation = 1
-	exitUsage     = 2
-	reportEvery   = 10 * time.Second
+	exitViolation    = 1
+	exitUsage        = 2
+	progressInterval = 10 * time.Second
 )
 
-// models are those that can be run.
+// models holds the models that can be run; the first is the default.
 var models = []modelcheck.Model{controlmodel.New(), ordermodel.New(), countmodel.New(), controlmodel.NewCoordination(), rolloutmodel.New()}
 
-// gcPercent lets the collector run seldom, as each schedule leaves all its memory behind at once.
+// gcPercent makes garbage collections rare, since all memory of a schedule becomes garbage at once when it ends.
 const gcPercent = 1000
 
 func main() {
 	debug.SetGCPercent(gcPercent)
-	// No signal is caught: a hunt keeps nothing that an end in the middle could harm.
+	// Signals are not handled: a hunt holds no state that termination could damage.
 	if err := command().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "model-check:", err)
 		code := exitUsage
@@ -49,20 +49,20 @@
 
 func command() *cli.Command {
 	return &cli.Command{
-		Name: "model-check", Usage: "run the control code under simulated faults and check what its callers saw",
-		Description: "Exit codes: 0 nothing was found, 1 an invariant was broken (its shortest schedule is written to a file), 2 bad use.",
+		Name: "model-check", Usage: "run the control code under simulated faults and check what its callers observed",
+		Description: "Exit codes: 0 nothing was found, 1 an invariant was violated (the shortest schedule found is written to a file), 2 bad usage.",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Usage: "decides all schedules", Value: 1},
-			&cli.IntFlag{Name: "schedules", Usage: "how many are run", Value: 10000},
-			&cli.IntFlag{Name: "losses", Usage: "disks that may be lost at once, 1 or 2", Value: 1},
-			&cli.StringFlag{Name: "size", Usage: "small or large: how many machines and jobs", Value: sizeSmall},
+			&cli.Uint64Flag{Name: "seed", Usage: "the seed of all schedules", Value: 1},
+			&cli.IntFlag{Name: "schedules", Usage: "the number of schedules", Value: 10000},
+			&cli.IntFlag{Name: "losses", Usage: "the number of disks that may be lost at once, 1 or 2", Value: 1},
+			&cli.StringFlag{Name: "size", Usage: "small or large: the number of machines and jobs", Value: sizeSmall},
 			&cli.StringFlag{Name: "model", Usage: "one of " + strings.Join(modelNames(), ", "), Value: models[0].Name()},
-			&cli.IntFlag{Name: "workers", Usage: "schedules at once; one a core if 0"},
+			&cli.IntFlag{Name: "workers", Usage: "the number of concurrent schedules; one per core if 0"},
 			&cli.StringFlag{Name: "plant", Usage: "inject a fault"},
 			&cli.BoolFlag{Name: "list-plants", Usage: "list the injected faults of the model"},
 			&cli.StringFlag{Name: "replay", Usage: "run the schedule in `FILE` once"},
-			&cli.BoolFlag{Name: "trace", Usage: "with --replay: print what happens, if the model can say it"},
-			&cli.StringFlag{Name: "out", Usage: "`FOLDER` for the schedule to replay", Value: "."},
+			&cli.BoolFlag{Name: "trace", Usage: "with --replay: print each event, if the model supports it"},
+			&cli.StringFlag{Name: "out", Usage: "`FOLDER` for the schedule file that --replay takes", Value: "."},
 		},
 		Action: check,
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
@@ -145,6 +145,7 @@
 	return nil
 }
 
+// replay runs the schedule of a file once and prints its outcome.
 func replay(file string, isTraced bool) error {
 	schedule, err := modelcheck.Load(file)
 	if err != nil {
@@ -168,6 +169,7 @@
 	return verdict(outcome)
 }
 
+// hunt runs schedules until one violates an invariant or the budget is spent, and writes the shortest violating schedule to a file.
 func hunt(model modelcheck.Model, budget modelcheck.Budget, folder string) error {
 	fmt.Printf("model %s, seed %d, %d schedules, %d losses", model.Name(), budget.Seed, budget.Schedules, budget.Losses)
 	if budget.Size != modelcheck.SizeSmall {
@@ -177,10 +179,10 @@
 		fmt.Printf(", planted: %s", budget.Fault)
 	}
 	fmt.Println()
-	var reported time.Duration
+	var lastReport time.Duration
 	finding, progress := modelcheck.Run(model, budget, func(progress modelcheck.Progress) {
-		if progress.Took-reported >= reportEvery {
-			reported = progress.Took
+		if progress.Took-lastReport >= progressInterval {
+			lastReport = progress.Took
 			printProgress(progress)
 		}
 	})
@@ -201,13 +203,14 @@
 	return verdict(outcome)
 }
 
+// verdict prints the violations of a schedule. If there are any, it returns an error with exit code exitViolation.
 func verdict(outcome modelcheck.Outcome) error {
 	if len(outcome.Violations) == 0 {
 		fmt.Println("nothing found")
 		return nil
 	}
-	for _, one := range outcome.Violations {
-		fmt.Printf("VIOLATION at %d ms: %s: %s\n", one.AtMs, one.Oracle, one.Detail)
+	for _, violation := range outcome.Violations {
+		fmt.Printf("VIOLATION at %d ms: %s: %s\n", violation.AtMs, violation.Oracle, violation.Detail)
 	}
 	return cli.Exit("an invariant was broken", exitViolation)
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,5 @@
-// Soak plays gannetline as real processes on loopback addresses under a schedule of faults, and judges what was seen.
+// Soak runs gannetline as real processes on loopback addresses under a schedule of faults, and checks what clients, the operator and executors
+// observed.
 package main
 
 import (
@@ -20,11 +21,13 @@
 )
 
 const (
-	exitFound  = 1
-	exitUsage  = 2
+	// exitFound stands for a violation that an oracle found.
+	exitFound = 1
+	exitUsage = 2
+	// exitFailed stands for a soak that could not be run.
 	exitFailed = 3
-	// shrinkPlays is how often a schedule is played again at most to find a shorter one.
-	shrinkPlays = 12
+	// maxShrinkRuns limits the runs that look for a shorter schedule.
+	maxShrinkRuns = 12
 )
 
 func main() {
@@ -47,29 +50,29 @@
 
 func command() *cli.Command {
 	return &cli.Command{
-		Name: "soak", Usage: "play gannetline as real processes under faults, and judge what clients, operator and executors saw",
-		Description: "Needs the gannetline program beside it. All of it is on loopback addresses and in one folder, and ends with the command.\n" +
-			"Exit codes: 0 nothing was found, 1 an oracle found something, 2 bad use, 3 it could not be played.",
+		Name: "soak", Usage: "run gannetline as real processes under faults, and check what clients, the operator and executors observed",
+		Description: "Needs the gannetline program beside it. All processes use loopback addresses and one folder, and end with the command.\n" +
+			"Exit codes: 0 nothing was found, 1 an oracle found something, 2 bad usage, 3 the soak could not be run.",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Usage: "decides the schedule and what clients do", Value: 1},
-			&cli.FloatFlag{Name: "seconds", Usage: "how long clients and faults go on", Value: 30},
+			&cli.FloatFlag{Name: "seconds", Usage: "the duration of client calls and faults", Value: 30},
 			&cli.IntFlag{Name: "processes", Usage: "8 to 200, of all roles together", Value: 10},
-			&cli.StringFlag{Name: "faults", Usage: "kinds to draw from, with commas; none for a calm soak", Value: joined(soak.AllFaults)},
-			&cli.BoolFlag{Name: "rollouts", Usage: "roll out a bad version of the service, and a good one after it"},
-			&cli.Uint64Flag{Name: "mix", Usage: "play a deployment whose contracts, zones and bounds are drawn by this `SEED`; 16 seeds in a row have all combinations"},
+			&cli.StringFlag{Name: "faults", Usage: "the kinds of faults, separated by commas; empty for a soak without faults", Value: joined(soak.AllFaults)},
+			&cli.BoolFlag{Name: "rollouts", Usage: "roll out a bad version of the service, and then a good one"},
+			&cli.Uint64Flag{Name: "mix", Usage: "run a deployment whose contracts, zones and bounds are drawn with this `SEED`; 16 consecutive seeds cover all combinations"},
 			&cli.StringFlag{Name: "wrong-settings", Usage: "give all processes settings with a mistake: " + joined(soak.AllSettingsFaults)},
-			&cli.StringFlag{Name: "keep", Usage: "`FOLDER` for settings, logs and data, which stays"},
+			&cli.StringFlag{Name: "keep", Usage: "`FOLDER` for settings, logs and data, which is kept"},
 			&cli.StringFlag{Name: "json", Usage: "`FILE` for the report"},
-			&cli.StringFlag{Name: "schedule", Usage: "play the schedule in `FILE`, as --print-schedule or a report gives it"},
-			&cli.BoolFlag{Name: "print-schedule", Usage: "print the schedule and play nothing"},
-			&cli.BoolFlag{Name: "shrink", Usage: "if something is found, look for a shorter schedule that finds it too, and print that"},
-			&cli.StringFlag{Name: "plant", Usage: "put a fault into what is observed: " + joined(soak.AllInjectedFaults)},
+			&cli.StringFlag{Name: "schedule", Usage: "run the schedule in `FILE`, in the format of --print-schedule or of a report"},
+			&cli.BoolFlag{Name: "print-schedule", Usage: "print the schedule and run nothing"},
+			&cli.BoolFlag{Name: "shrink", Usage: "if a violation is found, look for a shorter schedule that causes it too, and print that"},
+			&cli.StringFlag{Name: "plant", Usage: "inject a fault into the observations: " + joined(soak.AllInjectedFaults)},
 			&cli.StringFlag{Name: "network", Usage: "first two octets of the loopback addresses", Value: "127.92"},
-			&cli.StringFlag{Name: "program", Usage: "the gannetline `PROGRAM`; beside this one if left out"},
-			&cli.IntFlag{Name: "log-level", Usage: "0 shows progress, 1 each fault as well"},
+			&cli.StringFlag{Name: "program", Usage: "the gannetline `PROGRAM`; by default the one beside this program"},
+			&cli.IntFlag{Name: "log-level", Usage: "0 logs progress, 1 also logs each fault"},
 		},
 		Commands: []*cli.Command{pairsCommand()},
-		Action:   play,
+		Action:   runSoak,
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 			return cli.Exit(err.Error(), exitUsage)
 		},
@@ -77,6 +80,7 @@
 	}
 }
 
+// joined returns the names separated by commas.
 func joined[Name ~string](names []Name) string {
 	var all []string
 	for _, name := range names {
@@ -85,7 +89,7 @@
 	return strings.Join(all, ",")
 }
 
-// optionsOf reads and checks the flags.
+// optionsOf reads and checks the flags. A schedule file replaces the seed, the number of processes and the length.
 func optionsOf(command *cli.Command) (soak.Options, error) {
 	options := soak.Options{Seed: command.Uint64("seed"), Length: time.Duration(command.Float("seconds") * float64(time.Second)),
 		Processes: command.Int("processes"), Keep: command.String("keep"), Program: command.String("program"), Network: command.String("network"),
@@ -118,7 +122,8 @@
 	return options, options.Check()
 }
 
-func play(ctx context.Context, command *cli.Command) error {
+// runSoak is the action of the command.
+func runSoak(ctx context.Context, command *cli.Command) error {
 	options, err := optionsOf(command)
 	if err != nil {
 		return cli.Exit(err.Error(), exitUsage)
@@ -148,21 +153,21 @@
 	return cli.Exit("", exitFound)
 }
 
-// shrink prints the shortest schedule that was found to break what the first one broke.
-func shrink(ctx context.Context, options soak.Options, first *soak.Summary, log logging.Logger) error {
-	shorter := soak.Shrink(first.Schedule, shrinkPlays, func(schedule *soak.Schedule) bool {
-		again := options
-		again.Schedule = schedule
-		report, err := soak.Run(ctx, again, log)
-		return err == nil && report.FoundBy(first.Violations[0].Oracle)
+// shrink looks for shorter schedules that make the first violated oracle fail again, and prints the shortest that it found.
+func shrink(ctx context.Context, options soak.Options, summary *soak.Summary, log logging.Logger) error {
+	shortest := soak.Shrink(summary.Schedule, maxShrinkRuns, func(schedule *soak.Schedule) bool {
+		shrinkOptions := options
+		shrinkOptions.Schedule = schedule
+		report, err := soak.Run(ctx, shrinkOptions, log)
+		return err == nil && report.FoundBy(summary.Violations[0].Oracle)
 	})
-	return printJSON(shorter)
+	return printJSON(shortest)
 }
 
-// printJSON prints a value as JSON.
+// printJSON writes a value as indented JSON to standard output.
 func printJSON(value any) error { return indentedjson.Write(os.Stdout, value) }
 
-// writeFile writes a value as JSON into a file.
+// writeFile writes a value as indented JSON to the file that --json names.
 func writeFile(path string, value any) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/soak/pairs.go
+++ b/cmd/soak/pairs.go
@@ -15,18 +15,19 @@
 	"gannetline/internal/simulation/soak"
 )
 
-// pairPace is how many times as often as in a soak the clients of a measured part call.
+// pairPace is the call rate of the clients of a measured part, as a multiple of the rate in a soak.
 const pairPace = 4
 
+// pairsCommand returns the subcommand that measures the cost of parts alone and in pairs.
 func pairsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "pairs", Usage: "measure what parts of the system cost alone and beside each other, without faults",
-		Description: "Each part and each pair is played for --seconds on a system in which all is switched on. Figures are those of this machine: compare rows.\n" +
-			"Exit codes: 0 measured, 2 bad use, 3 it could not be played.",
+		Name: "pairs", Usage: "measure the cost of parts of the system alone and in pairs, without faults",
+		Description: "Each part and each pair runs for --seconds on a system with all parts switched on. Figures depend on the machine: compare the rows.\n" +
+			"Exit codes: 0 measured, 2 bad usage, 3 the measurement could not be run.",
 		Flags: []cli.Flag{
-			&cli.FloatFlag{Name: "seconds", Usage: "how long each is played", Value: soak.MinLength.Seconds()},
+			&cli.FloatFlag{Name: "seconds", Usage: "how long each part and pair runs", Value: soak.MinLength.Seconds()},
 			&cli.IntFlag{Name: "processes", Usage: "8 to 200, of all roles together", Value: 12},
-			&cli.StringFlag{Name: "parts", Usage: "which parts, with commas", Value: joined(soak.AllParts)},
+			&cli.StringFlag{Name: "parts", Usage: "the parts, separated by commas", Value: joined(soak.AllParts)},
 			&cli.StringFlag{Name: "network", Usage: "first two octets of the loopback addresses", Value: "127.93"},
 			&cli.StringFlag{Name: "json", Usage: "`FILE` for the rows"},
 		},
@@ -39,7 +40,7 @@
 		Network: command.String("network"), Pace: pairPace}
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Annotate(err, "the program beside this one")
+		return errors.Annotate(err, "locating the gannetline program")
 	}
 	options.Program = filepath.Join(filepath.Dir(self), "gannetline")
 	if err := options.Check(); err != nil {
