--- a/internal/checktests/checktests_test.go
+++ b/internal/checktests/checktests_test.go
@@ -26,28 +26,32 @@
 `
 )
 
+// spec returns the report of a spec in the container "a sum".
 func spec(text string, state types.SpecState) types.SpecReport {
 	return types.SpecReport{ContainerHierarchyTexts: []string{"a sum"}, LeafNodeType: types.NodeTypeIt, LeafNodeText: text, State: state}
 }
 
+// report returns the report of a suite with the specs.
 func report(specs ...types.SpecReport) *types.Report {
-	all := &types.Report{SuiteSucceeded: true, SpecReports: specs}
-	for _, one := range specs {
-		all.SuiteSucceeded = all.SuiteSucceeded && !one.Failed()
+	suite := &types.Report{SuiteSucceeded: true, SpecReports: specs}
+	for _, specReport := range specs {
+		suite.SuiteSucceeded = suite.SuiteSucceeded && !specReport.Failed()
 	}
-	return all
+	return suite
 }
 
-func read(events string, left *types.Report) []*packageOutcome {
-	var shown bytes.Buffer
-	outcomes, err := takeEvents(strings.NewReader(events), &shown)
+// outcomesOf reads the events and gives each package the report.
+func outcomesOf(events string, suite *types.Report) []*packageOutcome {
+	var output bytes.Buffer
+	outcomes, err := readEvents(strings.NewReader(events), &output)
 	Expect(err).NotTo(HaveOccurred())
-	for _, one := range outcomes {
-		one.report = left
+	for _, outcome := range outcomes {
+		outcome.report = suite
 	}
 	return outcomes
 }
 
+// listOf parses a valid list.
 func listOf(lines string) []knownFailure {
 	list, err := parseList(lines)
 	Expect(err).NotTo(HaveOccurred())
@@ -60,15 +64,15 @@
 )
 
 var _ = Describe("the list of known red tests", func() {
-	It("holds up to three lines of test, cause and issue", func() {
+	It("has up to three lines of test, cause and issue", func() {
 		Expect(listOf(redLine + "\n")).To(Equal([]knownFailure{{pkg: pkg, spec: "a sum is wrong", cause: "the sum is wrong", issue: "issue 8"}}))
 		Expect(listOf("")).To(BeEmpty())
 		Expect(readList(filepath.Join(GinkgoT().TempDir(), listName))).To(BeEmpty())
 	})
 
-	DescribeTable("is refused", func(text, why string) {
+	DescribeTable("is refused", func(text, problem string) {
 		_, err := parseList(text)
-		Expect(err).To(MatchError(ContainSubstring(why)))
+		Expect(err).To(MatchError(ContainSubstring(problem)))
 	},
 		Entry("with a line of two parts", pkg+" a sum | wrong", "line 1"),
 		Entry("with a line of four parts", redLine+" | more", "line 1"),
@@ -82,67 +86,67 @@
 })
 
 var _ = Describe("the verdict", func() {
-	It("passes over just the listed tests, and names them", func() {
+	It("ignores only the failures of listed tests, and names them", func() {
 		list := listOf(redLine)
-		all := judge(list, read(redEvent, report(right, wrong)))
-		Expect(all.failures).To(BeEmpty())
-		Expect(all.passedOver).To(Equal(list))
-		Expect(judge(nil, read(greenEvent, report(right))).failures).To(BeEmpty())
+		result := judge(list, outcomesOf(redEvent, report(right, wrong)))
+		Expect(result.failures).To(BeEmpty())
+		Expect(result.passedOver).To(Equal(list))
+		Expect(judge(nil, outcomesOf(greenEvent, report(right))).failures).To(BeEmpty())
 	})
 
-	DescribeTable("fails", func(lines, events string, left *types.Report, why string) {
-		Expect(judge(listOf(lines), read(events, left)).failures).To(ContainElement(ContainSubstring(why)))
+	DescribeTable("fails", func(lines, events string, suite *types.Report, problem string) {
+		Expect(judge(listOf(lines), outcomesOf(events, suite)).failures).To(ContainElement(ContainSubstring(problem)))
 	},
 		Entry("for a test that is not listed", "", redEvent, report(right, wrong), "a sum is wrong: failed"),
-		Entry("for a test not listed beside one that is", redLine, redEvent, report(wrong, spec("is odd", types.SpecStatePanicked)), "a sum is odd: panicked"),
-		Entry("for a test of that name in another package", strings.Replace(redLine, "sums", "others", 1), redEvent, report(wrong), "a sum is wrong: failed"),
+		Entry("for an unlisted test beside a listed one", redLine, redEvent, report(wrong, spec("is odd", types.SpecStatePanicked)), "a sum is odd: panicked"),
+		Entry("for a test with a listed name in another package", strings.Replace(redLine, "sums", "others", 1), redEvent, report(wrong), "a sum is wrong: failed"),
 		Entry("for a listed test that passes", redLine, greenEvent, report(spec("is wrong", types.SpecStatePassed)), "take it off"),
 		Entry("for a listed test that is skipped", redLine, greenEvent, report(spec("is wrong", types.SpecStateSkipped)), "take it off"),
-		Entry("for a test skipped beside one that failed", redLine, redEvent, report(wrong, spec("is late", types.SpecStateSkipped)), "a sum is late: skipped"),
-		Entry("for a listed test that isn't there", redLine, greenEvent, report(right), "no such test"),
-		Entry("for a listed name of two tests", redLine, redEvent, report(wrong, wrong), "2 tests"),
-		Entry("for a failed set-up, though listed", pkg+" [BeforeSuite] | c | issue 8", redEvent,
+		Entry("for a skipped test beside a listed one that failed", redLine, redEvent, report(wrong, spec("is late", types.SpecStateSkipped)), "a sum is late: skipped"),
+		Entry("for a listed test that doesn't exist", redLine, greenEvent, report(right), "no such test"),
+		Entry("for a listed name that two tests have", redLine, redEvent, report(wrong, wrong), "2 tests"),
+		Entry("for a failed BeforeSuite, although it is listed", pkg+" [BeforeSuite] | c | issue 8", redEvent,
 			&types.Report{SpecReports: types.SpecReports{{LeafNodeType: types.NodeTypeBeforeSuite, State: types.SpecStateFailed}}}, "[BeforeSuite]: failed"),
 		Entry("for a package without a report", redLine, redEvent, nil, "no report"),
 		Entry("for a second failed test function", redLine, `{"Action":"fail","Package":"`+pkg+`","Test":"TestOther"}`+"\n"+redEvent, report(wrong), "not by its specs alone"),
 		Entry("for a suite whose specs all passed", "", redEvent, report(right), "not by its specs alone"),
-		Entry("for a process that died", redLine, `{"Action":"output","Package":"`+pkg+`","Output":"exit status 2\n"}`+"\n"+redEvent, report(wrong), "not by its specs alone"),
+		Entry("for a process that exited abnormally", redLine, `{"Action":"output","Package":"`+pkg+`","Output":"exit status 2\n"}`+"\n"+redEvent, report(wrong), "not by its specs alone"),
 		Entry("for a data race", redLine, `{"Action":"output","Package":"`+pkg+`","Output":"WARNING: DATA RACE\n"}`+"\n"+redEvent, report(wrong), "data race"),
 		Entry("for a package that does not build", redLine, `{"Action":"fail","Package":"`+pkg+`","FailedBuild":"x"}`, nil, "does not build"),
 	)
 
-	It("fails when go test does, for no reason that its packages give", func() {
-		var shown bytes.Buffer
-		Expect(conclude(verdict{}, read(greenEvent, report(right)), errors.New("killed"), &shown)).To(MatchError(ContainSubstring("killed")))
-		Expect(conclude(verdict{}, read(redEvent, report(wrong)), nil, &shown)).NotTo(Succeed())
-		Expect(conclude(verdict{}, read(greenEvent, report(right)), nil, &shown)).To(Succeed())
-		Expect(conclude(verdict{}, read(`{"Action":"run","Package":"p","Test":"T"}`, nil), nil, &shown)).To(MatchError(ContainSubstring("did not end")))
+	It("fails if the exit of go test and the results of the packages disagree", func() {
+		var output bytes.Buffer
+		Expect(conclude(verdict{}, outcomesOf(greenEvent, report(right)), errors.New("killed"), &output)).To(MatchError(ContainSubstring("killed")))
+		Expect(conclude(verdict{}, outcomesOf(redEvent, report(wrong)), nil, &output)).NotTo(Succeed())
+		Expect(conclude(verdict{}, outcomesOf(greenEvent, report(right)), nil, &output)).To(Succeed())
+		Expect(conclude(verdict{}, outcomesOf(`{"Action":"run","Package":"p","Test":"T"}`, nil), nil, &output)).To(MatchError(ContainSubstring("did not end")))
 	})
 })
 
-var _ = Describe("go test itself", func() {
+var _ = Describe("a run of go test", func() {
 	check := func(list string, packages ...string) (string, error) {
 		path := filepath.Join(GinkgoT().TempDir(), listName)
 		Expect(os.WriteFile(path, []byte(list), 0o600)).To(Succeed())
-		var shown, complaints bytes.Buffer
-		err := run(path, append([]string{"-count=1"}, packages...), &shown, &complaints)
-		return shown.String(), err
+		var output, errorOutput bytes.Buffer
+		err := run(path, append([]string{"-count=1"}, packages...), &output, &errorOutput)
+		return output.String(), err
 	}
 	const red = "gannetline/internal/checktests/testdata/red a sum is wrong | a sum is wrong | issue 8\n"
 
-	It("is passed over for a listed test, and its closing lines are printed", func() {
-		shown, err := check(red, "./testdata/red")
+	It("passes if only listed tests fail, and prints the last lines of the packages", func() {
+		output, err := check(red, "./testdata/red")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(shown).To(MatchRegexp(`(?m)^FAIL\tgannetline/internal/checktests/testdata/red\t`))
-		Expect(shown).To(ContainSubstring("known red, passed over: " + strings.TrimSpace(red)))
+		Expect(output).To(MatchRegexp(`(?m)^FAIL\tgannetline/internal/checktests/testdata/red\t`))
+		Expect(output).To(ContainSubstring("known red, passed over: " + strings.TrimSpace(red)))
 		Expect(filepath.Join("testdata", "red", reportName)).NotTo(BeAnExistingFile())
 	})
 
-	It("fails the check for all else", func() {
-		shown, err := check(red, "./testdata/red", "./testdata/broken", "./testdata/dies")
+	It("fails for all other problems", func() {
+		output, err := check(red, "./testdata/red", "./testdata/broken", "./testdata/dies")
 		Expect(err).To(MatchError(And(ContainSubstring("testdata/broken does not build"), ContainSubstring("testdata/dies failed, and not by its specs alone"),
 			Not(ContainSubstring("testdata/red")))))
-		Expect(shown).To(ContainSubstring("undefined: missing"))
+		Expect(output).To(ContainSubstring("undefined: missing"))
 		_, err = check("", "./testdata/red")
 		Expect(err).To(MatchError(ContainSubstring("testdata/red a sum is wrong: failed")))
 	})
--- a/internal/checktests/judge.go
+++ b/internal/checktests/judge.go
@@ -7,7 +7,8 @@
 	"github.com/onsi/ginkgo/v2/types"
 )
 
-// verdict says what was passed over, and why the check fails, if it does.
+// verdict is the result of a check. The check passes if there are no failures; passedOver are the listed specs that failed as
+// expected.
 type verdict struct {
 	passedOver []knownFailure
 	failures   []string
@@ -17,21 +18,21 @@
 	v.failures = append(v.failures, fmt.Sprintf(format, values...))
 }
 
-// judge lets listed specs fail, and nothing else; a listed spec that does anything but fail fails the check.
+// judge allows only listed specs to fail. A listed spec that doesn't fail is a failure of the check.
 func judge(list []knownFailure, outcomes []*packageOutcome) verdict {
-	var all verdict
+	var result verdict
 	for _, outcome := range outcomes {
 		if outcome.hasFailed() {
-			all.judgeFailed(list, outcome)
+			result.judgeFailed(list, outcome)
 		}
 	}
 	for _, listed := range list {
-		all.judgeListed(listed, outcomes)
+		result.judgeListed(listed, outcomes)
 	}
-	return all
+	return result
 }
 
-// judgeFailed lets a package's failure pass only if nothing but listed specs failed in it.
+// judgeFailed allows a package to fail only if nothing but listed specs failed in it.
 func (v *verdict) judgeFailed(list []knownFailure, failed *packageOutcome) {
 	switch {
 	case failed.failedBuild != "":
@@ -47,7 +48,7 @@
 	}
 }
 
-// judgeSpecs fails for each spec that neither passed nor is listed.
+// judgeSpecs adds a failure for each spec or suite node that didn't pass, except for listed specs that failed.
 func (v *verdict) judgeSpecs(list []knownFailure, failed *packageOutcome) {
 	for _, spec := range failed.report.SpecReports {
 		switch {
@@ -62,6 +63,7 @@
 
 func isIt(spec types.SpecReport) bool { return spec.LeafNodeType.Is(types.NodeTypeIt) }
 
+// nameOf returns the full text of a spec, or the type of a suite node such as [BeforeSuite].
 func nameOf(spec types.SpecReport) string {
 	if isIt(spec) {
 		return spec.FullText()
@@ -78,14 +80,14 @@
 	return false
 }
 
-// judgeListed fails for a listed spec that wasn't run, isn't unique or passed.
+// judgeListed adds a failure if a listed spec doesn't exist, isn't unique or didn't fail.
 func (v *verdict) judgeListed(listed knownFailure, outcomes []*packageOutcome) {
 	var specs []types.SpecReport
-	for _, ran := range outcomes {
-		if ran.pkg != listed.pkg || ran.report == nil {
+	for _, outcome := range outcomes {
+		if outcome.pkg != listed.pkg || outcome.report == nil {
 			continue
 		}
-		for _, spec := range ran.report.SpecReports {
+		for _, spec := range outcome.report.SpecReports {
 			if isIt(spec) && spec.FullText() == listed.spec {
 				specs = append(specs, spec)
 			}
@@ -95,7 +97,7 @@
 	case len(specs) == 0:
 		v.fail("listed as known red, but there is no such test: %s", listed)
 	case len(specs) > 1:
-		v.fail("listed as known red, but %d tests are called so: %s", len(specs), listed)
+		v.fail("listed as known red, but %d tests have this name: %s", len(specs), listed)
 	case !specs[0].Failed():
 		v.fail("listed as known red, but it %s; take it off the list: %s", specs[0].State, listed)
 	default:
--- a/internal/checktests/list.go
+++ b/internal/checktests/list.go
@@ -9,9 +9,10 @@
 	"go.uber.org/multierr"
 )
 
+// maxKnownFailures limits the entries of the list.
 const maxKnownFailures = 3
 
-// knownFailure is a test that is red for a real fault: its package and the full text of its spec.
+// knownFailure is a test that fails because of a known fault: its package and the full text of its spec, with the cause and the issue.
 type knownFailure struct {
 	pkg, spec    string
 	cause, issue string
@@ -23,7 +24,7 @@
 
 var issueForm = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 
-// readList gives none if there is no file.
+// readList returns an empty list if the file doesn't exist.
 func readList(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -35,9 +36,9 @@
 	return parseList(string(text))
 }
 
-// parseList reads lines of "PACKAGE SPEC | CAUSE | issue NUMBER".
+// parseList parses lines of the form "PACKAGE SPEC | CAUSE | issue NUMBER".
 func parseList(text string) ([]knownFailure, error) {
-	var all []knownFailure
+	var entries []knownFailure
 	var problems error
 	if text = strings.TrimSuffix(text, "\n"); text == "" {
 		return nil, nil
@@ -48,20 +49,20 @@
 			problems = multierr.Append(problems, errors.Annotatef(err, "line %d of the known red tests", number+1))
 			continue
 		}
-		for _, other := range all {
+		for _, other := range entries {
 			if other.pkg == entry.pkg && other.spec == entry.spec {
 				problems = multierr.Append(problems, errors.Errorf("line %d of the known red tests: listed twice", number+1))
 			}
 		}
-		all = append(all, entry)
+		entries = append(entries, entry)
 	}
-	if len(all) > maxKnownFailures {
-		problems = multierr.Append(problems, errors.Errorf("%d known red tests, and %d are the most", len(all), maxKnownFailures))
+	if len(entries) > maxKnownFailures {
+		problems = multierr.Append(problems, errors.Errorf("%d known red tests, but at most %d are allowed", len(entries), maxKnownFailures))
 	}
-	return all, problems
+	return entries, problems
 }
 
-// parseLine reads one line of the list; each of its three fields must be there.
+// parseLine parses one line of the list. All three fields are required.
 func parseLine(line string) (knownFailure, error) {
 	fields := strings.Split(line, "|")
 	if len(fields) != 3 {
@@ -71,7 +72,7 @@
 	entry := knownFailure{pkg: pkg, spec: strings.TrimSpace(spec), cause: strings.TrimSpace(fields[1]), issue: strings.TrimSpace(fields[2])}
 	switch {
 	case entry.pkg == "" || entry.spec == "":
-		return knownFailure{}, errors.Errorf("no package, or no spec: %q", line)
+		return knownFailure{}, errors.Errorf("no package or no spec: %q", line)
 	case entry.cause == "":
 		return knownFailure{}, errors.Errorf("no cause: %q", line)
 	case !issueForm.MatchString(entry.issue):
--- a/internal/checktests/main.go
+++ b/internal/checktests/main.go
@@ -1,4 +1,5 @@
-// Checktests runs go test and passes over the tests of KNOWN-RED.txt, as long as just these fail.
+// Checktests runs go test and ignores the failures of the tests listed in KNOWN-RED.txt. It fails if any other test fails, or if a listed test
+// doesn't.
 package main
 
 import (
@@ -24,9 +25,9 @@
 	}
 }
 
-// run gives an error unless all tests pass, the listed ones apart; arguments are those of go test.
-func run(list string, arguments []string, to, errorsTo io.Writer) error {
-	listed, err := readList(list)
+// run runs go test with the arguments. It returns an error unless exactly the listed tests fail.
+func run(listPath string, arguments []string, to, errorsTo io.Writer) error {
+	listed, err := readList(listPath)
 	if err != nil {
 		return err
 	}
@@ -37,7 +38,7 @@
 	if err := clearReports(folders); err != nil {
 		return err
 	}
-	outcomes, ended, err := runTests(arguments, to, errorsTo)
+	outcomes, exitErr, err := runTests(arguments, to, errorsTo)
 	if err != nil {
 		return err
 	}
@@ -49,34 +50,35 @@
 	if err := clearReports(folders); err != nil {
 		return err
 	}
-	return conclude(judge(listed, outcomes), outcomes, ended, to)
+	return conclude(judge(listed, outcomes), outcomes, exitErr, to)
 }
 
-// conclude fails also when go test failed and no package did.
-func conclude(all verdict, outcomes []*packageOutcome, ended error, to io.Writer) error {
+// conclude prints the known failures and returns an error if the check fails. It also fails if a package has no end event, or if the exit of
+// go test (exitErr) and the results of the packages disagree.
+func conclude(result verdict, outcomes []*packageOutcome, exitErr error, to io.Writer) error {
 	hasFailed := false
 	for _, outcome := range outcomes {
 		hasFailed = hasFailed || outcome.hasFailed()
-		if outcome.ended == "" {
-			all.fail("%s did not end", outcome.pkg)
+		if outcome.endAction == "" {
+			result.fail("%s did not end", outcome.pkg)
 		}
 	}
-	if hasFailed != (ended != nil) {
-		all.fail("go test ended with %v, which its packages don't explain", ended)
+	if hasFailed != (exitErr != nil) {
+		result.fail("go test ended with %v, which its packages don't explain", exitErr)
 	}
-	if len(all.passedOver) == 0 {
+	if len(result.passedOver) == 0 {
 		fmt.Fprintln(to, "no failure was passed over")
 	}
-	for _, listed := range all.passedOver {
+	for _, listed := range result.passedOver {
 		fmt.Fprintln(to, "known red, passed over:", listed)
 	}
-	if len(all.failures) > 0 {
-		return errors.New(strings.Join(all.failures, "\nchecktests: "))
+	if len(result.failures) > 0 {
+		return errors.New(strings.Join(result.failures, "\nchecktests: "))
 	}
 	return nil
 }
 
-// foldersOf lists the packages among the arguments; without any, the one of this folder.
+// foldersOf returns the folders of the packages among the arguments by import path. Without any, it returns the package of the current folder.
 func foldersOf(arguments []string) (map[string]string, error) {
 	list := []string{"list", "-e", "-f", "{{.ImportPath}} {{.Dir}}"}
 	for _, argument := range arguments {
@@ -96,6 +98,7 @@
 	return folders, nil
 }
 
+// clearReports removes the reports of earlier runs from the folders of the packages.
 func clearReports(folders map[string]string) error {
 	for _, folder := range folders {
 		if err := os.Remove(filepath.Join(folder, reportName)); err != nil && !os.IsNotExist(err) {
@@ -105,8 +108,9 @@
 	return nil
 }
 
-// runTests gives how go test ended beside what became of the packages.
-func runTests(arguments []string, to, errorsTo io.Writer) (outcomes []*packageOutcome, ended, err error) {
+// runTests runs go test and returns the outcomes of the packages. exitErr is the error with which go test ended, nil if it succeeded; err is set
+// if it couldn't be run or its output couldn't be read.
+func runTests(arguments []string, to, errorsTo io.Writer) (outcomes []*packageOutcome, exitErr, err error) {
 	command := exec.Command("go", append(append([]string{"test", "-json"}, arguments...), "-ginkgo.json-report="+reportName)...)
 	command.Stderr = errorsTo
 	events, err := command.StdoutPipe()
@@ -116,6 +120,6 @@
 	if err := command.Start(); err != nil {
 		return nil, nil, errors.Annotate(err, "go test")
 	}
-	outcomes, err = takeEvents(events, to)
+	outcomes, err = readEvents(events, to)
 	return outcomes, command.Wait(), err
 }
--- a/internal/checktests/outcome.go
+++ b/internal/checktests/outcome.go
@@ -13,7 +13,7 @@
 	"github.com/onsi/ginkgo/v2/types"
 )
 
-// event is what go test -json prints.
+// event is one event in the output of go test -json.
 type event struct {
 	Action      string
 	Package     string
@@ -23,79 +23,85 @@
 	ImportPath  string
 }
 
-// packageOutcome is what became of the tests of one package.
+// packageOutcome is the outcome of the tests of one package.
 type packageOutcome struct {
-	pkg         string
-	ended       string
+	pkg string
+	// endAction is pass, fail or skip, or empty until the tests have ended.
+	endAction string
+	// failedBuild is the import path of the build that failed, if any.
 	failedBuild string
 	failedTests []string
 	output      strings.Builder
-	report      *types.Report
+	// report is nil if the test process wrote none.
+	report *types.Report
 }
 
-func (o *packageOutcome) hasFailed() bool { return o.ended == "fail" }
+func (o *packageOutcome) hasFailed() bool { return o.endAction == "fail" }
 
 const raceWarning = "WARNING: DATA RACE"
 
-// deathForm is what go test says of a process that did not end by itself with failed tests.
-var deathForm = regexp.MustCompile(`(?m)^(exit status |signal: |panic: |fatal error: )`)
+// abnormalExit matches the output of go test for a test process that ended in another way than with failed tests.
+var abnormalExit = regexp.MustCompile(`(?m)^(exit status |signal: |panic: |fatal error: )`)
 
-func (o *packageOutcome) hasDied() bool { return deathForm.MatchString(o.output.String()) }
+// hasDied reports whether the test process exited abnormally, for example by a panic or a signal.
+func (o *packageOutcome) hasDied() bool { return abnormalExit.MatchString(o.output.String()) }
 
-// takeEvents reads them to the end; a package's closing line is printed at once, and all it said if it failed.
-func takeEvents(from io.Reader, to io.Writer) ([]*packageOutcome, error) {
-	var order []*packageOutcome
+// readEvents reads the events to the end and returns the outcomes in the order in which the packages first appear. When a package ends, it
+// prints the last line of its output, or the whole output if it failed.
+func readEvents(from io.Reader, to io.Writer) ([]*packageOutcome, error) {
+	var outcomes []*packageOutcome
 	byPackage := map[string]*packageOutcome{}
-	builds := map[string]string{}
+	buildOutputs := map[string]string{}
 	events := json.NewDecoder(from)
 	for {
 		var testEvent event
 		if err := events.Decode(&testEvent); err == io.EOF {
-			return order, nil
+			return outcomes, nil
 		} else if err != nil {
-			return order, errors.Annotate(err, "reading what go test says")
+			return outcomes, errors.Annotate(err, "reading the output of go test")
 		}
 		if testEvent.Action == "build-output" {
-			builds[testEvent.ImportPath] += testEvent.Output
+			buildOutputs[testEvent.ImportPath] += testEvent.Output
 		}
 		if testEvent.Package == "" {
 			continue
 		}
-		all := byPackage[testEvent.Package]
-		if all == nil {
-			all = &packageOutcome{pkg: testEvent.Package}
-			byPackage[testEvent.Package] = all
-			order = append(order, all)
+		outcome := byPackage[testEvent.Package]
+		if outcome == nil {
+			outcome = &packageOutcome{pkg: testEvent.Package}
+			byPackage[testEvent.Package] = outcome
+			outcomes = append(outcomes, outcome)
 		}
-		all.take(testEvent)
-		if all.ended != "" {
-			all.print(to, builds[all.failedBuild])
+		outcome.record(testEvent)
+		if outcome.endAction != "" {
+			outcome.print(to, buildOutputs[outcome.failedBuild])
 		}
 	}
 }
 
-// take takes an event of the package into account.
-func (o *packageOutcome) take(testEvent event) {
+// record updates the outcome with an event of the package.
+func (o *packageOutcome) record(testEvent event) {
 	o.output.WriteString(testEvent.Output)
 	switch {
 	case testEvent.Test != "" && testEvent.Action == "fail":
 		o.failedTests = append(o.failedTests, testEvent.Test)
 	case testEvent.Test == "" && slices.Contains([]string{"pass", "fail", "skip"}, testEvent.Action):
-		o.ended, o.failedBuild = testEvent.Action, testEvent.FailedBuild
+		o.endAction, o.failedBuild = testEvent.Action, testEvent.FailedBuild
 	}
 }
 
-func (o *packageOutcome) print(to io.Writer, build string) {
-	said := strings.TrimSpace(o.output.String())
+// print writes the output of a failed package with that of its build, or only the last line if the package didn't fail.
+func (o *packageOutcome) print(to io.Writer, buildOutput string) {
+	text := strings.TrimSpace(o.output.String())
 	if !o.hasFailed() {
-		said = said[strings.LastIndexByte(said, '\n')+1:]
+		text = text[strings.LastIndexByte(text, '\n')+1:]
 	}
-	io.WriteString(to, build+said+"\n")
+	io.WriteString(to, buildOutput+text+"\n")
 }
 
-// readReport finds none if the package's tests did not come to their end.
+// readReport returns nil if there is no report, which happens if the test process ended early.
 func readReport(folder, name string) (*types.Report, error) {
-	text, err := os.ReadFile(filepath.Join(folder, name))
+	content, err := os.ReadFile(filepath.Join(folder, name))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
@@ -103,7 +109,7 @@
 		return nil, errors.Annotate(err, "reading a report")
 	}
 	var reports []types.Report
-	if err := json.Unmarshal(text, &reports); err != nil {
+	if err := json.Unmarshal(content, &reports); err != nil {
 		return nil, errors.Annotatef(err, "reading the report of %s", folder)
 	}
 	if len(reports) != 1 {
