--- a/cmd/gannetline/rolloutstart.go
+++ b/cmd/gannetline/rolloutstart.go
@@ -27,7 +27,7 @@
 				Value: []string{"0.05:1m:50", "0.25:1m:100", "1:1m:100"}},
 			&cli.FloatFlag{Name: "failures", Usage: "the share of jobs and runs that may fail beyond that of the old version"},
 			&cli.FloatFlag{Name: "late", Usage: "the share of jobs that may miss their target beyond that of the old version"},
-			&cli.FloatFlag{Name: "run-time-factor", Usage: "how many times as long as those of the old version runs may take"},
+			&cli.FloatFlag{Name: "run-time-factor", Usage: "the allowed run time, as a multiple of that of the old version"},
 			&cli.FloatFlag{Name: "false-alarm", Usage: "the accepted probability of rolling back a version that is within the bounds", Value: configuration.DefaultFalseAlarm},
 			&cli.Int64Flag{Name: "min-jobs", Usage: "how many jobs of the new version must have ended before it is judged", Value: configuration.DefaultMinJobs},
 			&cli.BoolFlag{Name: "stop", Usage: "if the new version is rolled back, stop its runs that may be repeated"},
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -122,7 +122,7 @@
 	return options, options.Check()
 }
 
-// runSoak is the action of the command.
+// runSoak runs the soak, or only prints its schedule. If an oracle finds a violation, the error has the exit code exitFound.
 func runSoak(ctx context.Context, command *cli.Command) error {
 	options, err := optionsOf(command)
 	if err != nil {
--- a/internal/checktests/judge.go
+++ b/internal/checktests/judge.go
@@ -7,8 +7,7 @@
 	"github.com/onsi/ginkgo/v2/types"
 )
 
-// verdict is the result of a check. The check passes if there are no failures; passedOver are the listed specs that failed as
-// expected.
+// verdict is the result of a check. The check passes if there are no failures; passedOver holds the listed specs that failed.
 type verdict struct {
 	passedOver []knownFailure
 	failures   []string
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -54,7 +54,7 @@
 	stopSignals       context.CancelFunc
 }
 
-// Option configures a role, for processes whose traffic is measured.
+// Option changes how a role is assembled. Only processes whose traffic is measured need one.
 type Option func(*base)
 
 // WithMeter counts the traffic that the role sends and receives.
