--- a/internal/platform/commitqueue/commitqueue.go
+++ b/internal/platform/commitqueue/commitqueue.go
@@ -1,30 +1,30 @@
-// Package commitqueue knows which changes of a key wait for their quorum, and what is to follow each. State machines propose
-// their changes in an order, and commits end in that order; a queue makes what depends on several of them follow the last.
+// Package commitqueue tracks the proposed changes of a key until their outcome is known, and runs the callbacks of each. Commits end in
+// the order in which a state machine proposes them. A callback that depends on several pending commits therefore runs after the last one.
 package commitqueue
 
-// Commit is a change that was proposed, with what follows its end.
+// Commit is a proposed change with the callbacks that run at its end.
 type Commit struct {
 	callbacks []func(error)
 }
 
-// Queue holds the commits of one leadership that have not ended, in the order of their proposals. The zero value is empty.
-// A queue belongs to one goroutine.
+// Queue holds the pending commits of one leadership in the order of their proposals. The zero value is an empty queue. Only one
+// goroutine may use it.
 type Queue struct {
 	pending []*Commit
 }
 
-// Len is how many commits have not ended.
+// Len returns the number of pending commits.
 func (q *Queue) Len() int { return len(q.pending) }
 
-// Add takes a change that is about to be proposed, and what follows its end.
+// Add appends a change that is about to be proposed, with the callbacks that run at its end. Their argument is the error passed to End.
 func (q *Queue) Add(callbacks ...func(error)) *Commit {
 	commit := &Commit{callbacks: callbacks}
 	q.pending = append(q.pending, commit)
 	return commit
 }
 
-// AfterAll lets callbacks follow the last commit that has not ended, or runs them at once if there is none: they wait for nothing
-// but what was proposed before them.
+// AfterAll runs callbacks at the end of the last pending commit, or at once with a nil error if there is none. They don't wait for commits
+// that are proposed later.
 func (q *Queue) AfterAll(callbacks ...func(error)) {
 	if count := len(q.pending); count > 0 {
 		last := q.pending[count-1]
@@ -34,8 +34,8 @@
 	run(callbacks, nil)
 }
 
-// End takes a commit out that has ended, and runs what follows it; err tells that its outcome is unknown. It is false, and nothing
-// is run, for a commit that isn't the oldest: it belongs to an earlier leadership, which has run its callbacks when it ended.
+// End removes the oldest commit and runs its callbacks. An error means that the outcome of the commit is unknown. For any other commit End
+// returns false and runs nothing. Such a commit belongs to an earlier leadership, whose end has already run the callbacks.
 func (q *Queue) End(commit *Commit, err error) bool {
 	if len(q.pending) == 0 || q.pending[0] != commit {
 		return false
@@ -45,7 +45,8 @@
 	return true
 }
 
-// TakeCallbacks empties the queue and gives all callbacks, in the order in which they would have run.
+// TakeCallbacks empties the queue and returns all callbacks in the order in which they would have run. It is called at the end of a
+// leadership.
 func (q *Queue) TakeCallbacks() []func(error) {
 	var all []func(error)
 	for _, commit := range q.pending {
--- a/internal/platform/commitqueue/commitqueue_test.go
+++ b/internal/platform/commitqueue/commitqueue_test.go
@@ -11,10 +11,10 @@
 
 var errLost = errors.ConstError("lost")
 
-var _ = Describe("a queue of commits", func() {
+var _ = Describe("Queue", func() {
 	var queue commitqueue.Queue
 	var order []string
-	note := func(name string) func(error) {
+	record := func(name string) func(error) {
 		return func(err error) {
 			if err != nil {
 				name += " " + err.Error()
@@ -24,32 +24,32 @@
 	}
 	BeforeEach(func() { queue, order = commitqueue.Queue{}, nil })
 
-	It("runs what follows each commit, in their order, and what follows all after the last", func() {
-		first, second := queue.Add(note("a"), note("b")), queue.Add(note("c"))
-		queue.AfterAll(note("d"))
+	It("runs the callbacks of each commit in order, and those of AfterAll after the last commit", func() {
+		first, second := queue.Add(record("a"), record("b")), queue.Add(record("c"))
+		queue.AfterAll(record("d"))
 		Expect(queue.Len()).To(Equal(2))
 		Expect(queue.End(first, nil)).To(BeTrue())
 		Expect(order).To(Equal([]string{"a", "b"}))
 		Expect(queue.End(second, errLost)).To(BeTrue())
 		Expect(order).To(Equal([]string{"a", "b", "c lost", "d lost"}))
-		queue.AfterAll(note("e"))
-		Expect(order).To(HaveLen(5), "nothing is under way")
+		queue.AfterAll(record("e"))
+		Expect(order).To(HaveLen(5), "no commit is pending")
 	})
 
-	It("runs nothing for a commit of an earlier leadership", func() {
-		earlier := queue.Add(note("a"))
+	It("ignores the end of a commit of an earlier leadership", func() {
+		earlier := queue.Add(record("a"))
 		for _, callback := range queue.TakeCallbacks() {
 			callback(errLost)
 		}
 		Expect(order).To(Equal([]string{"a lost"}))
-		later := queue.Add(note("b"))
+		later := queue.Add(record("b"))
 		Expect(queue.End(earlier, nil)).To(BeFalse())
 		Expect(order).To(HaveLen(1))
 		Expect(queue.End(later, nil)).To(BeTrue())
 	})
 
-	It("may be added to by what follows a commit", func() {
-		first := queue.Add(func(error) { queue.Add(note("added")) })
+	It("accepts a new commit from a callback", func() {
+		first := queue.Add(func(error) { queue.Add(record("added")) })
 		queue.End(first, nil)
 		Expect(queue.Len()).To(Equal(1))
 	})
--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -17,7 +17,7 @@
 	"gannetline/internal/platform/response"
 )
 
-// steppedClock is a clock for a server that leaves: its waits end when a test says so, one after another.
+// steppedClock is a manual clock for a server that shuts down. advance ends its waits one after another.
 type steppedClock struct {
 	now   atomic.Int64
 	waits chan steppedWait
@@ -26,7 +26,7 @@
 
 type steppedWait struct {
 	due  time.Duration
-	ring chan time.Time
+	done chan time.Time
 }
 
 func newSteppedClock() *steppedClock { return &steppedClock{waits: make(chan steppedWait)} }
@@ -34,75 +34,75 @@
 func (c *steppedClock) Monotonic() time.Duration { return time.Duration(c.now.Load()) }
 func (c *steppedClock) WallMs() int64            { return 0 }
 func (c *steppedClock) After(wait time.Duration) <-chan time.Time {
-	one := steppedWait{c.Monotonic() + wait, make(chan time.Time, 1)}
-	c.waits <- one
-	return one.ring
+	next := steppedWait{c.Monotonic() + wait, make(chan time.Time, 1)}
+	c.waits <- next
+	return next.done
 }
 
-// pass lets time go on to a moment, or until the leave is over, and tells whether it is.
-func (c *steppedClock) pass(until time.Duration, left <-chan struct{}) bool {
+// advance moves the clock to a target time or until the shutdown is done, and reports whether it is done.
+func (c *steppedClock) advance(target time.Duration, shutdownDone <-chan struct{}) bool {
 	for {
 		if c.next == nil {
 			select {
-			case one := <-c.waits:
-				c.next = &one
-			case <-left:
+			case next := <-c.waits:
+				c.next = &next
+			case <-shutdownDone:
 				return true
 			}
 		}
-		if c.next.due > until {
-			c.now.Store(int64(until))
+		if c.next.due > target {
+			c.now.Store(int64(target))
 			return false
 		}
 		c.now.Store(int64(c.next.due))
-		c.next.ring <- time.Time{}
+		c.next.done <- time.Time{}
 		c.next = nil
 	}
 }
 
 const (
-	plainRequest = "GET /a HTTP/1.1\r\nHost: h.example\r\n\r\n"
-	soon         = 20 * time.Second
+	plainRequest      = "GET /a HTTP/1.1\r\nHost: h.example\r\n\r\n"
+	connectionTimeout = 20 * time.Second
 )
 
-var times = LeaveTimes{Notice: 2200 * time.Millisecond, Quiet: 250 * time.Millisecond, CallsEnd: 4500 * time.Millisecond, Close: 5500 * time.Millisecond}
+var shutdownTimes = LeaveTimes{Notice: 2200 * time.Millisecond, Quiet: 250 * time.Millisecond, CallsEnd: 4500 * time.Millisecond, Close: 5500 * time.Millisecond}
 
-// served is a server on the loopback device whose leave is played step by step.
-type served struct {
-	server  *Server
-	clock   *steppedClock
-	address string
-	left    chan struct{}
+// testServer is a server on the loopback interface with a manual clock.
+type testServer struct {
+	server       *Server
+	clock        *steppedClock
+	address      string
+	shutdownDone chan struct{}
 }
 
-func serve(handler http.HandlerFunc, options ...Option) *served {
+func startServer(handler http.HandlerFunc, options ...Option) *testServer {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	clock := newSteppedClock()
-	one := &served{server: New(listener, handler, clock, logging.Silent(), options...), clock: clock, address: listener.Addr().String(), left: make(chan struct{})}
-	go one.server.Serve()
-	DeferCleanup(func() { one.server.inner.Close() })
-	return one
+	fixture := &testServer{server: New(listener, handler, clock, logging.Silent(), options...), clock: clock, address: listener.Addr().String(), shutdownDone: make(chan struct{})}
+	go fixture.server.Serve()
+	DeferCleanup(func() { fixture.server.inner.Close() })
+	return fixture
 }
 
-func (s *served) leave() {
+func (s *testServer) startShutdown() {
 	go func() {
-		s.server.Leave(times)
-		close(s.left)
+		s.server.Leave(shutdownTimes)
+		close(s.shutdownDone)
 	}()
 }
 
-// client is one connection of a client.
+// client is one client connection.
 type client struct {
 	net.Conn
 	answers *bufio.Reader
 }
 
-func (s *served) connect() *client {
+func (s *testServer) connect() *client {
 	conn, err := net.Dial("tcp4", s.address)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(conn.Close)
-	Expect(conn.SetDeadline(time.Now().Add(soon))).To(Succeed())
+	Expect(conn.SetDeadline(time.Now().Add(connectionTimeout))).To(Succeed())
 	return &client{conn, bufio.NewReader(conn)}
 }
 
@@ -111,122 +111,122 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// answer reads a whole answer and fails if the connection ends before.
+// answer reads a complete answer. It fails the spec if the connection closes before.
 func (c *client) answer() *http.Response {
 	GinkgoHelper()
 	answer, err := http.ReadResponse(c.answers, nil)
-	Expect(err).NotTo(HaveOccurred(), "the connection closed without an answer")
+	Expect(err).NotTo(HaveOccurred(), "the connection closed without a complete answer")
 	_, err = io.ReadAll(answer.Body)
 	Expect(err).NotTo(HaveOccurred())
 	return answer
 }
 
-func ok(to http.ResponseWriter, _ *http.Request) { response.Empty(http.StatusOK).Write(to) }
+func answerOK(to http.ResponseWriter, _ *http.Request) { response.Empty(http.StatusOK).Write(to) }
 
-// untilEnded answers only when its context ends, as a gate whose leader is away.
-func untilEnded(begun chan<- struct{}) http.HandlerFunc {
+// blockUntilCancelled answers only when the context of its request ends, like a gate that has no leader.
+func blockUntilCancelled(started chan<- struct{}) http.HandlerFunc {
 	return func(to http.ResponseWriter, request *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-request.Context().Done()
 		response.Empty(http.StatusGatewayTimeout).Write(to)
 	}
 }
 
-var _ = Describe("a server that leaves", func() {
-	It("answers a request that is under way when its calls are ended", func() {
-		begun := make(chan struct{})
-		one := serve(untilEnded(begun))
-		caller := one.connect()
+var _ = Describe("Shutdown", func() {
+	It("answers a request in flight when it cancels the contexts of requests", func() {
+		started := make(chan struct{})
+		fixture := startServer(blockUntilCancelled(started))
+		caller := fixture.connect()
 		caller.send(plainRequest)
-		<-begun
-		one.leave()
-		one.clock.pass(times.CallsEnd, one.left)
+		<-started
+		fixture.startShutdown()
+		fixture.clock.advance(shutdownTimes.CallsEnd, fixture.shutdownDone)
 		answer := caller.answer()
 		Expect(answer.StatusCode).To(Equal(http.StatusGatewayTimeout))
 		Expect(answer.Close).To(BeTrue())
-		Expect(one.clock.pass(times.Close, one.left)).To(BeTrue())
+		Expect(fixture.clock.advance(shutdownTimes.Close, fixture.shutdownDone)).To(BeTrue())
 	})
 
-	It("refuses what comes after its calls were ended, and gives back what the refusal should bear", func() {
-		one := serve(ok, WithMarkedRefusals(func(from, to http.Header) { to.Set("X-Request-Id", from.Get("X-Request-Id")) }))
-		caller := one.connect()
-		one.server.isEnding.Store(true)
+	It("refuses requests after it has cancelled the contexts, and copies headers to the refusal", func() {
+		fixture := startServer(answerOK, WithMarkedRefusals(func(from, to http.Header) { to.Set("X-Request-Id", from.Get("X-Request-Id")) }))
+		caller := fixture.connect()
+		fixture.server.isRefusing.Store(true)
 		caller.send("GET / HTTP/1.1\r\nHost: h\r\nX-Request-Id: 9c41\r\n\r\n")
 		answer := caller.answer()
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("X-Request-Id")).To(Equal("9c41"))
 	})
 
-	It("answers a request that arrives on a kept connection, and ends the connection with it", func() {
-		one := serve(ok)
-		caller := one.connect()
+	It("answers a request on a keep-alive connection and closes the connection", func() {
+		fixture := startServer(answerOK)
+		caller := fixture.connect()
 		caller.send(plainRequest)
 		Expect(caller.answer().Close).To(BeFalse())
-		one.leave()
-		one.clock.pass(100*time.Millisecond, one.left)
+		fixture.startShutdown()
+		fixture.clock.advance(100*time.Millisecond, fixture.shutdownDone)
 		caller.send(plainRequest)
 		Expect(caller.answer().Close).To(BeTrue())
 	})
 
-	DescribeTable("answers a request whose last byte comes late", func(when time.Duration, status int) {
-		one := serve(ok)
-		caller := one.connect()
+	DescribeTable("answers a request whose last byte arrives during the shutdown", func(arrival time.Duration, status int) {
+		fixture := startServer(answerOK)
+		caller := fixture.connect()
 		caller.send(plainRequest[:len(plainRequest)-2])
-		Eventually(one.server.tracker.unanswered.Load).Should(Equal(int64(1)))
-		one.leave()
-		one.clock.pass(when, one.left)
+		Eventually(fixture.server.tracker.unansweredCount.Load).Should(Equal(int64(1)))
+		fixture.startShutdown()
+		fixture.clock.advance(arrival, fixture.shutdownDone)
 		caller.send("\r\n")
 		answer := caller.answer()
 		Expect(answer.StatusCode).To(Equal(status))
 		Expect(answer.Close).To(BeTrue())
-		Expect(one.clock.pass(time.Minute, one.left)).To(BeTrue())
+		Expect(fixture.clock.advance(time.Minute, fixture.shutdownDone)).To(BeTrue())
 	},
-		Entry("during the notice", 2*time.Second, 200),
-		Entry("after it", 3*time.Second, 200),
-		Entry("after the calls were ended: it was certainly not taken", 5*time.Second, 503),
+		Entry("during Notice", 2*time.Second, 200),
+		Entry("between Notice and CallsEnd", 3*time.Second, 200),
+		Entry("after CallsEnd, with a status that says that it was not executed", 5*time.Second, 503),
 	)
 
-	It("serves new connections until the notice is over", func() {
-		one := serve(ok)
-		one.leave()
-		one.clock.pass(times.Notice-time.Millisecond, one.left)
-		caller := one.connect()
+	It("accepts new connections during Notice", func() {
+		fixture := startServer(answerOK)
+		fixture.startShutdown()
+		fixture.clock.advance(shutdownTimes.Notice-time.Millisecond, fixture.shutdownDone)
+		caller := fixture.connect()
 		caller.send(plainRequest)
 		Expect(caller.answer().StatusCode).To(Equal(200))
 	})
 
-	It("is gone soon after the notice if nothing arrives, with idle connections open", func() {
-		one := serve(ok)
-		caller := one.connect()
+	It("returns soon after Notice if nothing arrives, and closes idle connections", func() {
+		fixture := startServer(answerOK)
+		caller := fixture.connect()
 		caller.send(plainRequest)
 		caller.answer()
-		Eventually(one.server.tracker.unanswered.Load).Should(BeZero())
-		one.leave()
-		Expect(one.clock.pass(times.Notice+times.Quiet+checkInterval, one.left)).To(BeTrue())
+		Eventually(fixture.server.tracker.unansweredCount.Load).Should(BeZero())
+		fixture.startShutdown()
+		Expect(fixture.clock.advance(shutdownTimes.Notice+shutdownTimes.Quiet+checkInterval, fixture.shutdownDone)).To(BeTrue())
 		_, err := caller.answers.ReadByte()
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("does not wait without end for a request that never comes whole", func() {
-		one := serve(func(_ http.ResponseWriter, request *http.Request) { io.ReadAll(request.Body) })
-		caller := one.connect()
+	It("closes at Close although a request is incomplete", func() {
+		fixture := startServer(func(_ http.ResponseWriter, request *http.Request) { io.ReadAll(request.Body) })
+		caller := fixture.connect()
 		caller.send("POST /a HTTP/1.1\r\nHost: h.example\r\nContent-Length: 10\r\n\r\nhalf")
-		Eventually(one.server.tracker.unanswered.Load).Should(Equal(int64(1)))
-		one.leave()
-		Expect(one.clock.pass(times.Close-time.Millisecond, one.left)).To(BeFalse())
-		Expect(one.clock.pass(times.Close+checkInterval, one.left)).To(BeTrue())
+		Eventually(fixture.server.tracker.unansweredCount.Load).Should(Equal(int64(1)))
+		fixture.startShutdown()
+		Expect(fixture.clock.advance(shutdownTimes.Close-time.Millisecond, fixture.shutdownDone)).To(BeFalse())
+		Expect(fixture.clock.advance(shutdownTimes.Close+checkInterval, fixture.shutdownDone)).To(BeTrue())
 	})
 })
 
-var _ = Describe("a server", func() {
-	It("answers 502 if a handler panics", func() {
-		caller := serve(func(http.ResponseWriter, *http.Request) { panic("a fault") }).connect()
+var _ = Describe("Server", func() {
+	It("answers 502 if the handler panics", func() {
+		caller := startServer(func(http.ResponseWriter, *http.Request) { panic("a fault") }).connect()
 		caller.send(plainRequest)
 		Expect(caller.answer().StatusCode).To(Equal(http.StatusBadGateway))
 	})
 
-	It("cuts an answer that had begun when its handler panicked", func() {
-		caller := serve(func(to http.ResponseWriter, _ *http.Request) {
+	It("cuts the connection if the handler panics after the start of the answer", func() {
+		caller := startServer(func(to http.ResponseWriter, _ *http.Request) {
 			to.Header().Set("Content-Length", "10")
 			io.WriteString(to, "half")
 			panic("a fault")
@@ -239,30 +239,30 @@
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 	})
 
-	It("serves on after accepting failed", func() {
+	It("continues to accept after errors of the listener", func() {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		one := &served{address: listener.Addr().String()}
-		one.server = New(&failingListener{Listener: listener, failures: 2}, http.HandlerFunc(ok), newSteppedClock(), logging.Silent())
+		fixture := &testServer{address: listener.Addr().String()}
+		fixture.server = New(&failingListener{Listener: listener, failures: 2}, http.HandlerFunc(answerOK), newSteppedClock(), logging.Silent())
 		ended := make(chan error, 1)
-		go func() { ended <- one.server.Serve() }()
-		DeferCleanup(func() { one.server.inner.Close() })
-		caller := one.connect()
+		go func() { ended <- fixture.server.Serve() }()
+		DeferCleanup(func() { fixture.server.inner.Close() })
+		caller := fixture.connect()
 		caller.send(plainRequest)
 		Expect(caller.answer().StatusCode).To(Equal(200))
 		Expect(ended).NotTo(Receive())
 	})
 
-	It("keeps no idle connection while it has many, and lets the rest wait", func() {
-		one := serve(ok, WithMaxConnections(4))
+	It("closes connections after their answer near the limit, and lets those beyond the limit wait", func() {
+		fixture := startServer(answerOK, WithMaxConnections(4))
 		var kept []*client
 		for range 3 {
-			caller := one.connect()
+			caller := fixture.connect()
 			caller.send(plainRequest)
 			Expect(caller.answer().Close).To(BeFalse())
 			kept = append(kept, caller)
 		}
-		fourth, waiting := one.connect(), one.connect()
+		fourth, waiting := fixture.connect(), fixture.connect()
 		waiting.send(plainRequest)
 		fourth.send(plainRequest)
 		Expect(fourth.answer().Close).To(BeTrue())
@@ -272,7 +272,7 @@
 	})
 })
 
-// failingListener fails for want of memory before it accepts.
+// failingListener returns a number of out-of-memory errors before it accepts.
 type failingListener struct {
 	net.Listener
 	failures int
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -1,7 +1,6 @@
-// Package httpserver serves HTTP/1.1 and leaves in order: a request that has been read is answered before the server
-// closes. The standard server's Shutdown, Close and SetKeepAlivesEnabled(false) are not enough for that: the first two
-// drop requests that are read after them or take too long, and the last closes connections whose request has arrived
-// and is not parsed yet.
+// Package httpserver serves HTTP/1.1 and shuts down gracefully: it answers every request that it has read before it closes. The standard
+// server's own means are not enough for that. Its Shutdown and Close drop requests that are read after them or take too long, and
+// SetKeepAlivesEnabled(false) closes connections whose request has arrived and is not parsed yet.
 package httpserver
 
 import (
@@ -24,57 +23,63 @@
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
-	checkInterval  = 50 * time.Millisecond
-	retryAfterS    = 1
+	// checkInterval is the time between two checks whether a server that shuts down may close.
+	checkInterval = 50 * time.Millisecond
+	// retryAfterS is the Retry-After header, in seconds, of a request that is refused during the shutdown.
+	retryAfterS = 1
 )
 
 // Server answers the requests that come through one listener.
 type Server struct {
-	inner        *http.Server
-	handler      http.Handler
-	listener     *trackingListener
-	clock        clock.Clock
-	log          logging.Logger
-	isEnding     atomic.Bool
-	endCalls     func()
-	calls        context.Context
-	tracker      tracker
-	maxKeptBytes int64
-	// markRefusal copies from a request that is refused what its answer gives back.
-	markRefusal func(from, to http.Header)
+	inner    *http.Server
+	handler  http.Handler
+	listener *trackingListener
+	clock    clock.Clock
+	log      logging.Logger
+	// isRefusing is true once the shutdown refuses new requests.
+	isRefusing atomic.Bool
+	// cancelRequests cancels requestContext.
+	cancelRequests func()
+	// requestContext is the parent of the contexts of all requests.
+	requestContext context.Context
+	tracker        tracker
+	// maxReusedConnections is the number of open connections beyond which an answer closes its connection; 0 is no limit.
+	maxReusedConnections int64
+	// copyRefusalHeaders copies headers from a refused request to its answer.
+	copyRefusalHeaders func(from, to http.Header)
 }
 
-// Option changes how a server is made.
+// Option configures a server.
 type Option func(*Server)
 
-// WithMaxConnections bounds the connections that are open at once; more wait to be accepted. Beyond three quarters of
-// them an answer ends its connection, so that idle ones leave room for new ones.
+// WithMaxConnections limits the number of open connections. Further ones wait to be accepted. While more than three quarters of the limit
+// are open, each answer closes its connection, so that idle connections don't keep new ones out.
 func WithMaxConnections(limit int) Option {
 	return func(s *Server) {
 		s.listener.slots = make(chan struct{}, limit)
-		s.maxKeptBytes = int64(limit) * 3 / 4
+		s.maxReusedConnections = int64(limit) * 3 / 4
 	}
 }
 
-// WithMarkedRefusals has the refusals of a server that leaves give back what the function copies from their requests.
-func WithMarkedRefusals(mark func(from, to http.Header)) Option {
-	return func(s *Server) { s.markRefusal = mark }
+// WithMarkedRefusals sets a function that copies headers from a request that is refused during the shutdown to its answer.
+func WithMarkedRefusals(copyHeaders func(from, to http.Header)) Option {
+	return func(s *Server) { s.copyRefusalHeaders = copyHeaders }
 }
 
-// New makes a server for a listener. It takes no connection before Serve.
+// New creates a server for a listener. It accepts no connection before Serve.
 func New(listener net.Listener, handler http.Handler, clock clock.Clock, log logging.Logger, options ...Option) *Server {
-	server := &Server{handler: handler, clock: clock, log: log, markRefusal: func(http.Header, http.Header) {}}
+	server := &Server{handler: handler, clock: clock, log: log, copyRefusalHeaders: func(http.Header, http.Header) {}}
 	server.tracker.clock = clock
 	server.listener = newTrackingListener(listener, &server.tracker)
-	server.calls, server.endCalls = context.WithCancel(context.Background())
+	server.requestContext, server.cancelRequests = context.WithCancel(context.Background())
 	server.inner = &http.Server{
 		Handler:           http.HandlerFunc(server.serveRequest),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		BaseContext:       func(net.Listener) context.Context { return server.calls },
+		BaseContext:       func(net.Listener) context.Context { return server.requestContext },
 		ConnContext:       withConnection,
-		ConnState:         noteState,
+		ConnState:         handleConnState,
 	}
 	for _, option := range options {
 		option(server)
@@ -82,8 +87,8 @@
 	return server
 }
 
-// Serve takes connections until Leave stops accepting them; then it returns nil, while requests may be under way. An error is
-// one of the listener. It must be called once.
+// Serve accepts connections until Leave closes the listener, and then returns nil while requests may still be in flight. An error is one of
+// the listener. Serve must be called only once.
 func (s *Server) Serve() error {
 	err := s.inner.Serve(s.listener)
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
@@ -92,64 +97,66 @@
 	return jujuerrors.Annotate(err, "accepting connections")
 }
 
-// LeaveTimes says how a server leaves; all are counted from the call of Leave but Quiet.
+// LeaveTimes holds the timeouts of a shutdown. All but Quiet are counted from the call of Leave.
 type LeaveTimes struct {
-	// Notice is how long new connections are taken at least, so that callers may learn to go elsewhere.
+	// Notice is the minimum time for which new connections are accepted, so that callers can switch to other processes meanwhile.
 	Notice time.Duration
-	// Quiet is how long nothing may arrive before the listener closes, and again before the server does.
+	// Quiet is the time without a new connection after which the listener closes, and the time without received bytes after which the
+	// server may close.
 	Quiet time.Duration
-	// CallsEnd is when the contexts of the requests under way end, and later requests are refused at once.
+	// CallsEnd is when the contexts of requests in flight are cancelled. Later requests are refused.
 	CallsEnd time.Duration
-	// Close is when the server closes although requests are unanswered.
+	// Close is when the server closes even if requests are unanswered.
 	Close time.Duration
 }
 
-// Leave answers what was read and closes the server. From its call on every answer ends its connection. It returns once
-// all is answered and nothing new arrives, at the latest at the time to close. It must be called once, on another goroutine than
-// that of Serve.
+// Leave answers the requests that have been read and closes the server. From its call on each answer closes its connection. It returns once
+// all requests are answered and no new ones arrive, or after times.Close. It must be called only once, and not on the goroutine of Serve.
 func (s *Server) Leave(times LeaveTimes) {
 	defer s.inner.Close()
-	defer s.endCalls()
-	begun := s.clock.Monotonic()
-	s.tracker.isLeaving.Store(true)
+	defer s.cancelRequests()
+	startedAt := s.clock.Monotonic()
+	s.tracker.isShuttingDown.Store(true)
 	if times.Notice > 0 {
 		<-s.clock.After(times.Notice)
 	}
-	for !s.hasLeft(times, s.clock.Monotonic()-begun) {
+	for !s.advanceShutdown(times, s.clock.Monotonic()-startedAt) {
 		<-s.clock.After(checkInterval)
 	}
 }
 
-// hasLeft does what is due so long after the beginning of the leave, and tells whether the server may close.
-func (s *Server) hasLeft(times LeaveTimes, passed time.Duration) bool {
-	if passed >= times.CallsEnd {
-		s.isEnding.Store(true)
-		s.endCalls()
+// advanceShutdown cancels requests and closes the listener when their times have come, and reports whether the server may close.
+// elapsed is the time since the start of the shutdown.
+func (s *Server) advanceShutdown(times LeaveTimes, elapsed time.Duration) bool {
+	if elapsed >= times.CallsEnd {
+		s.isRefusing.Store(true)
+		s.cancelRequests()
 	}
-	if passed >= times.CallsEnd || s.tracker.sinceAccept() >= times.Quiet {
+	if elapsed >= times.CallsEnd || s.tracker.sinceAccept() >= times.Quiet {
 		s.listener.Close()
 	}
-	if passed >= times.Close {
-		s.log.Info("connections still open at exit", "unanswered", s.tracker.unanswered.Load())
+	if elapsed >= times.Close {
+		s.log.Info("connections still open at exit", "unanswered", s.tracker.unansweredCount.Load())
 		return true
 	}
-	return s.listener.isClosed.Load() && s.tracker.unanswered.Load() == 0 && s.tracker.sinceRead() >= times.Quiet
+	return s.listener.isClosed.Load() && s.tracker.unansweredCount.Load() == 0 && s.tracker.sinceRead() >= times.Quiet
 }
 
-// serveRequest answers one request, also if its handler panics or the calls have been ended.
+// serveRequest answers one request. It refuses requests while isRefusing is set, and answers 502 if the handler panics.
 func (s *Server) serveRequest(to http.ResponseWriter, request *http.Request) {
 	answer := &answerWriter{ResponseWriter: to, server: s}
-	defer s.finish(answer, request)
+	defer s.flushAnswer(answer, request)
 	defer s.recoverPanic(answer)
-	if s.isEnding.Load() {
-		s.markRefusal(request.Header, answer.Header())
+	if s.isRefusing.Load() {
+		s.copyRefusalHeaders(request.Header, answer.Header())
 		response.Later(http.StatusServiceUnavailable, retryAfterS, "this process is leaving").Write(answer)
 		return
 	}
 	s.handler.ServeHTTP(answer, request)
 }
 
-// recoverPanic answers 502, after which nobody takes the request for refused. An answer that has begun can only be cut.
+// recoverPanic answers a request with 502 if its handler panicked. No client takes that status for a refusal, so
+// none assumes that the request was not executed. If the answer has started, recoverPanic cuts the connection.
 func (s *Server) recoverPanic(answer *answerWriter) {
 	cause := recover()
 	if cause == nil {
@@ -159,54 +166,54 @@
 		panic(cause)
 	}
 	s.log.Error(jujuerrors.Errorf("panic: %v\n%s", cause, debug.Stack()), "handler failed")
-	if answer.hasBegun {
+	if answer.hasStarted {
 		panic(http.ErrAbortHandler)
 	}
 	response.Text(http.StatusBadGateway, "this process failed while it answered").Write(answer)
 }
 
-// finish hands the answer to the system at once while the server leaves, so that it may close right after.
-func (s *Server) finish(answer *answerWriter, request *http.Request) {
-	if !s.tracker.isLeaving.Load() {
+// flushAnswer flushes the answer during a shutdown and marks its connection as answered, so that the server can close right after.
+func (s *Server) flushAnswer(answer *answerWriter, request *http.Request) {
+	if !s.tracker.isShuttingDown.Load() {
 		return
 	}
 	if err := http.NewResponseController(answer.ResponseWriter).Flush(); err != nil {
 		return
 	}
-	if connection, isTracked := request.Context().Value(connectionKey{}).(*connection); isTracked {
-		connection.answered()
+	if tracked, isTracked := request.Context().Value(connectionKey{}).(*connection); isTracked {
+		tracked.markAnswered()
 	}
 }
 
-// endsConnection tells whether an answer that begins now must be the last of its connection.
-func (s *Server) endsConnection() bool {
-	return s.tracker.isLeaving.Load() || s.maxKeptBytes > 0 && s.tracker.open.Load() > s.maxKeptBytes
+// closesConnection reports whether an answer that starts now closes its connection.
+func (s *Server) closesConnection() bool {
+	return s.tracker.isShuttingDown.Load() || s.maxReusedConnections > 0 && s.tracker.openCount.Load() > s.maxReusedConnections
 }
 
-// answerWriter adds the header that ends the connection, at the moment when the answer begins.
+// answerWriter adds the header "Connection: close", if the connection is to be closed, at the start of the answer.
 type answerWriter struct {
 	http.ResponseWriter
-	server   *Server
-	hasBegun bool
+	server     *Server
+	hasStarted bool
 }
 
-// Unwrap gives the writer below, for http.ResponseController.
+// Unwrap returns the underlying writer. http.ResponseController calls it.
 func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader begins the answer, if the status is a final one.
+// WriteHeader starts the answer if the status is final, that is 200 or above.
 func (w *answerWriter) WriteHeader(status int) {
-	if status >= http.StatusOK && !w.hasBegun {
-		w.hasBegun = true
-		if w.server.endsConnection() {
+	if status >= http.StatusOK && !w.hasStarted {
+		w.hasStarted = true
+		if w.server.closesConnection() {
 			w.Header().Set("Connection", "close")
 		}
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write begins the answer with status 200 if nothing else began it.
+// Write starts the answer with status 200 if it has not started yet.
 func (w *answerWriter) Write(text []byte) (int, error) {
-	if !w.hasBegun {
+	if !w.hasStarted {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(text)
--- a/internal/platform/httpserver/tracking.go
+++ b/internal/platform/httpserver/tracking.go
@@ -11,12 +11,15 @@
 	"gannetline/internal/platform/clock"
 )
 
-// tracker counts what a server has read and not answered yet.
+// tracker counts the connections of a server and records when it last accepted one and last read from one.
 type tracker struct {
-	clock      clock.Clock
-	isLeaving  atomic.Bool
-	open       atomic.Int64
-	unanswered atomic.Int64
+	clock          clock.Clock
+	isShuttingDown atomic.Bool
+	// openCount is the number of open connections.
+	openCount atomic.Int64
+	// unansweredCount is the number of connections with a request, or a part of one, that has been read and has no answer yet.
+	unansweredCount atomic.Int64
+	// lastAccept and lastRead are times of the monotonic clock, in nanoseconds.
 	lastAccept atomic.Int64
 	lastRead   atomic.Int64
 }
@@ -29,134 +32,137 @@
 	return t.clock.Monotonic() - time.Duration(t.lastRead.Load())
 }
 
-// trackingListener gives tracked connections. It fails only once it is closed: any other fault, as a lack of
-// descriptors, is reported as one that passes, and http.Server accepts again after a pause.
+// trackingListener accepts tracked connections. It reports every error before its Close, such as a lack of file descriptors, as a temporary
+// one, so that http.Server accepts again after a pause.
 type trackingListener struct {
 	net.Listener
-	tracker  *tracker
+	tracker *tracker
+	// slots holds an element for each open connection and for the Accept in progress. It is nil if their number is not bounded.
 	slots    chan struct{}
 	isClosed atomic.Bool
-	closed   chan struct{}
+	// closeSignal is closed by Close.
+	closeSignal chan struct{}
 }
 
 func newTrackingListener(listener net.Listener, tracker *tracker) *trackingListener {
-	return &trackingListener{Listener: listener, tracker: tracker, closed: make(chan struct{})}
+	return &trackingListener{Listener: listener, tracker: tracker, closeSignal: make(chan struct{})}
 }
 
-// Accept waits for a connection, and before that for room if the connections are bounded.
+// Accept waits for a free slot, if the number of connections is bounded, and then for a connection.
 func (l *trackingListener) Accept() (net.Conn, error) {
-	if !l.takeSlot() {
+	if !l.acquireSlot() {
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		l.freeSlot()
+		l.releaseSlot()
 		if l.isClosed.Load() || errors.Is(err, net.ErrClosed) {
 			return nil, net.ErrClosed
 		}
 		return nil, transientError{err}
 	}
-	l.tracker.open.Add(1)
+	l.tracker.openCount.Add(1)
 	l.tracker.lastAccept.Store(int64(l.tracker.clock.Monotonic()))
 	return &connection{Conn: conn, listener: l}, nil
 }
 
-// takeSlot waits for a free slot among the connections allowed at once; it is false when the listener was closed.
-func (l *trackingListener) takeSlot() bool {
+// acquireSlot waits for a free slot. It returns false if the listener is closed before there is one.
+func (l *trackingListener) acquireSlot() bool {
 	if l.slots == nil {
 		return true
 	}
 	select {
 	case l.slots <- struct{}{}:
 		return true
-	case <-l.closed:
+	case <-l.closeSignal:
 		return false
 	}
 }
 
-func (l *trackingListener) freeSlot() {
+func (l *trackingListener) releaseSlot() {
 	if l.slots != nil {
 		<-l.slots
 	}
 }
 
-// Close ends Accept; the connections stay open.
+// Close makes Accept return net.ErrClosed. Open connections stay open.
 func (l *trackingListener) Close() error {
 	if !l.isClosed.CompareAndSwap(false, true) {
 		return nil
 	}
-	close(l.closed)
+	close(l.closeSignal)
 	return l.Listener.Close()
 }
 
-// transientError is a failure to accept after which accepting goes on.
+// transientError is an error of Accept after which http.Server accepts again.
 type transientError struct{ error }
 
-// Timeout is false: no deadline is set on accepting.
+// Timeout implements net.Error. It is false, as Accept has no deadline.
 func (transientError) Timeout() bool { return false }
 
-// Temporary is true, which makes http.Server go on.
+// Temporary implements net.Error. It is true, which makes http.Server accept again.
 func (transientError) Temporary() bool { return true }
 
-// Unwrap gives the error of accepting.
+// Unwrap returns the error of Accept.
 func (e transientError) Unwrap() error { return e.error }
 
-// connection knows whether anything was read since its last answer.
+// connection tracks whether it has a request that is not answered yet.
 type connection struct {
 	net.Conn
-	listener     *trackingListener
+	listener *trackingListener
+	// isUnanswered is true from the first byte read after an answer until the next answer.
 	isUnanswered atomic.Bool
 	isClosed     atomic.Bool
 }
 
-// Read notes that a request, or a part of one, has arrived.
-func (c *connection) Read(room []byte) (int, error) {
-	count, err := c.Conn.Read(room)
+// Read marks the connection as unanswered once a request, or a part of one, has arrived.
+func (c *connection) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer)
 	if count > 0 {
 		tracker := c.listener.tracker
 		tracker.lastRead.Store(int64(tracker.clock.Monotonic()))
 		if c.isUnanswered.CompareAndSwap(false, true) {
-			tracker.unanswered.Add(1)
+			tracker.unansweredCount.Add(1)
 		}
 	}
 	return count, err
 }
 
-func (c *connection) answered() {
+func (c *connection) markAnswered() {
 	if c.isUnanswered.CompareAndSwap(true, false) {
-		c.listener.tracker.unanswered.Add(-1)
+		c.listener.tracker.unansweredCount.Add(-1)
 	}
 }
 
-// Close closes the connection and gives its room free.
+// Close closes the connection and releases its slot.
 func (c *connection) Close() error {
 	if c.isClosed.CompareAndSwap(false, true) {
-		c.answered()
-		c.listener.tracker.open.Add(-1)
-		c.listener.freeSlot()
+		c.markAnswered()
+		c.listener.tracker.openCount.Add(-1)
+		c.listener.releaseSlot()
 	}
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending side, which http.Server does before it closes, so that the last answer is not lost.
+// CloseWrite closes the sending side. http.Server calls it before Close, so that the last answer is not lost.
 func (c *connection) CloseWrite() error {
-	if half, canHalf := c.Conn.(interface{ CloseWrite() error }); canHalf {
-		return half.CloseWrite()
+	if closer, canCloseWrite := c.Conn.(interface{ CloseWrite() error }); canCloseWrite {
+		return closer.CloseWrite()
 	}
 	return nil
 }
 
-// connectionKey finds the connection in the context of a request.
+// connectionKey is the key of the connection in the context of a request.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// noteState clears the mark of a connection that waits for its next request.
-func noteState(conn net.Conn, state http.ConnState) {
+// handleConnState marks a connection as answered when it becomes idle. It is the ConnState hook of http.Server.
+func handleConnState(conn net.Conn, state http.ConnState) {
 	tracked, isTracked := conn.(*connection)
 	if isTracked && state == http.StateIdle {
-		tracked.answered()
+		tracked.markAnswered()
 	}
 }
--- a/internal/platform/queuerules/queuerules.go
+++ b/internal/platform/queuerules/queuerules.go
@@ -1,5 +1,5 @@
-// Package queuerules holds expressions that say which executors a queue prefers, and in what order its tasks go.
-// They narrow and order what placement would do anyway, so they can't break a rule that placement keeps.
+// Package queuerules compiles and evaluates the expressions with which an operator restricts the executors of a queue and orders its steps.
+// The rules only narrow and order what placement would do anyway, so they can't break an invariant of placement.
 package queuerules
 
 import (
@@ -10,17 +10,20 @@
 )
 
 const (
+	// maxLength is the longest text of a rule, in bytes.
 	maxLength = 500
-	maxNodes  = 100
+	// maxNodes is the largest number of nodes in the syntax tree of a rule.
+	maxNodes = 100
 )
 
-// Text is the rules of one queue as they are written.
+// Text holds the source of the rules of one queue. Use decides which executors the queue may use, and Order ranks its steps. An empty
+// text is no rule.
 type Text struct {
 	Use   string `yaml:"use"`
 	Order string `yaml:"order"`
 }
 
-// Executor is what a use-rule sees.
+// Executor holds the variables of a use rule. CPU is in thousandths of a core, Memory in MB, and GPU is the number of GPUs.
 type Executor struct {
 	Labels []string `expr:"labels"`
 	CPU    int      `expr:"cpu"`
@@ -28,7 +31,8 @@
 	GPU    int      `expr:"gpu"`
 }
 
-// Step is what an order-rule sees; Due is the aim in milliseconds since 1970.
+// Step holds the variables of an order rule. Due is the target time of its job in milliseconds since 1970, Tasks the number of tasks.
+// CPU is in thousandths of a core, Memory in MB, and Estimate, the estimated run time of a task, in milliseconds.
 type Step struct {
 	Due      int `expr:"due"`
 	Tasks    int `expr:"tasks"`
@@ -37,12 +41,13 @@
 	Estimate int `expr:"estimate"`
 }
 
+// rule holds the compiled rules of a queue. Each may be nil, but not both.
 type rule struct{ use, order *vm.Program }
 
-// Rules are compiled; the nil pointer is no rules at all.
+// Rules holds the compiled rules by queue. A nil pointer is valid and has no rules.
 type Rules struct{ queues map[string]rule }
 
-// Compile checks all rules; an error names the queue and the field.
+// Compile compiles the rules by queue. It returns nil if there are none. An error names the queue and the field.
 func Compile(texts map[string]Text) (*Rules, error) {
 	rules := &Rules{queues: map[string]rule{}}
 	for queue, text := range texts {
@@ -64,7 +69,7 @@
 	return rules, nil
 }
 
-// compile leaves out all functions and loops, so that a rule costs no more than its length.
+// compile refuses calls of functions and loops, so that the cost of a rule is bounded by its length. It returns nil for an empty text.
 func compile(text string, env, result expr.Option) (*vm.Program, error) {
 	if text == "" {
 		return nil, nil
@@ -80,10 +85,11 @@
 	return program, errors.Trace(err)
 }
 
+// callFinder records whether a syntax tree contains a call or a loop.
 type callFinder struct{ isFound bool }
 
-// Visit implements ast.Visitor: it notes whether a node is a call, a builtin or a loop. The compiler calls it for each node of
-// a rule; it changes none.
+// Visit implements ast.Visitor. The compiler calls it for each node of a rule. It sets isFound at a call, a builtin or a loop, and changes
+// no node.
 func (f *callFinder) Visit(node *ast.Node) {
 	switch (*node).(type) {
 	case *ast.CallNode, *ast.BuiltinNode, *ast.PredicateNode:
@@ -91,29 +97,30 @@
 	}
 }
 
-// Allows tells whether a queue may use an executor; what can't be worked out allows.
+// Allows reports whether a queue may use an executor. It is true if the queue has no use rule or if evaluating the rule fails.
 func (r *Rules) Allows(queue string, executor Executor) bool {
 	if r == nil || r.queues[queue].use == nil {
 		return true
 	}
-	answer, err := expr.Run(r.queues[queue].use, executor)
-	isAllowed, isBool := answer.(bool)
+	result, err := expr.Run(r.queues[queue].use, executor)
+	isAllowed, isBool := result.(bool)
 	return err != nil || !isBool || isAllowed
 }
 
-// HasUse tells whether a queue has a rule of that kind.
+// HasUse reports whether a queue has a rule that restricts its executors.
 func (r *Rules) HasUse(queue string) bool { return r != nil && r.queues[queue].use != nil }
 
-// HasOrder tells whether a queue has a rule that orders its steps.
+// HasOrder reports whether a queue has a rule that orders its steps.
 func (r *Rules) HasOrder(queue string) bool { return r != nil && r.queues[queue].order != nil }
 
-// Order gives the place of a step among those of its priority; lower goes first.
+// Order returns the sort key of a step among those of its priority, lower first. It is the step's Due if the queue has no order rule or if
+// evaluating the rule fails.
 func (r *Rules) Order(queue string, step Step) int64 {
 	if r == nil || r.queues[queue].order == nil {
 		return int64(step.Due)
 	}
-	answer, err := expr.Run(r.queues[queue].order, step)
-	order, isInteger := answer.(int64)
+	result, err := expr.Run(r.queues[queue].order, step)
+	order, isInteger := result.(int64)
 	if err != nil || !isInteger {
 		return int64(step.Due)
 	}
--- a/internal/platform/queuerules/queuerules_test.go
+++ b/internal/platform/queuerules/queuerules_test.go
@@ -13,8 +13,8 @@
 	return queuerules.Compile(map[string]queuerules.Text{"q": {Use: use, Order: order}})
 }
 
-var _ = Describe("rules of a queue", func() {
-	It("say which executors it may use, and how its steps are ordered", func() {
+var _ = Describe("Rules", func() {
+	It("restrict the executors of their queue and order its steps", func() {
 		rules, err := compile(`"r1" in labels && cpu >= 8000`, `due - 1000 * tasks`)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rules.Allows("q", queuerules.Executor{Labels: []string{"a", "r1"}, CPU: 16000})).To(BeTrue())
@@ -23,7 +23,7 @@
 		Expect(rules.Order("q", queuerules.Step{Due: 5000, Tasks: 3})).To(Equal(int64(2000)))
 	})
 
-	It("are nothing when there are none", func() {
+	It("are nil if there are none, and then allow all executors and order by due time", func() {
 		rules, err := compile("", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rules).To(BeNil())
@@ -31,21 +31,21 @@
 		Expect(rules.Order("q", queuerules.Step{Due: 7})).To(Equal(int64(7)))
 	})
 
-	It("leave things as they are where they can't be worked out", func() {
+	It("order by due time if the evaluation fails", func() {
 		rules, err := compile(``, `due / (tasks - 3) > 0 ? due % (tasks - 3) : due`)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rules.Order("q", queuerules.Step{Due: 7, Tasks: 3})).To(Equal(int64(7)))
 	})
 
-	DescribeTable("are refused when loaded, with the queue and the field", func(use, order, why string) {
+	DescribeTable("are refused by Compile with the queue and the reason", func(use, order, reason string) {
 		_, err := compile(use, order)
-		Expect(err).To(MatchError(And(ContainSubstring("queue q"), ContainSubstring(why))))
+		Expect(err).To(MatchError(And(ContainSubstring("queue q"), ContainSubstring(reason))))
 	},
-		Entry("unknown name", `speed > 3`, ``, "field use"),
-		Entry("not a truth", `cpu + 1`, ``, "field use"),
-		Entry("no number", ``, `"x"`, "field order"),
+		Entry("an unknown name", `speed > 3`, ``, "field use"),
+		Entry("a use rule that is not boolean", `cpu + 1`, ``, "field use"),
+		Entry("an order rule that is not a number", ``, `"x"`, "field order"),
 		Entry("a loop", `all(labels, # == "a")`, ``, "field use"),
-		Entry("too long", `cpu > 0`+strings.Repeat(" && cpu > 0", 100), ``, "longer"),
-		Entry("too many parts", `cpu>0`+strings.Repeat("||cpu>0", 60), ``, "field use"),
+		Entry("a text that is too long", `cpu > 0`+strings.Repeat(" && cpu > 0", 100), ``, "longer"),
+		Entry("too many nodes", `cpu>0`+strings.Repeat("||cpu>0", 60), ``, "field use"),
 	)
 })
--- a/internal/platform/transportmetrics/transportmetrics.go
+++ b/internal/platform/transportmetrics/transportmetrics.go
@@ -1,4 +1,4 @@
-// Package transportmetrics counts what a process sends and receives, at its sockets.
+// Package transportmetrics counts the bytes, datagrams and HTTP calls that a process sends and receives.
 package transportmetrics
 
 import (
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Figures are counts since the start: bytes of TCP and UDP payload, datagrams, and calls made and answered.
+// Figures holds the counts since the start of the process: bytes of TCP and UDP payload, datagrams, and HTTP calls served and made.
 type Figures struct {
 	BytesIn      int64 `json:"bytes-in"`
 	BytesOut     int64 `json:"bytes-out"`
@@ -18,29 +18,32 @@
 	Made         int64 `json:"calls-made"`
 }
 
-// Meter may be nil; then it counts nothing and wraps nothing.
+// Meter counts the traffic of the listeners, sockets, clients and handlers that it wraps. A nil meter returns them as they are.
 type Meter struct {
 	bytesIn, bytesOut, datagramsIn, datagramsOut, served, made atomic.Int64
 }
 
-// Figures are the counts so far. It must not be called on a nil meter.
+// Figures returns the counts so far. It must not be called on a nil meter.
 func (m *Meter) Figures() Figures {
 	return Figures{BytesIn: m.bytesIn.Load(), BytesOut: m.bytesOut.Load(), DatagramsIn: m.datagramsIn.Load(),
 		DatagramsOut: m.datagramsOut.Load(), Served: m.served.Load(), Made: m.made.Load()}
 }
 
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	meter *Meter
 }
 
+// Read counts the bytes that were read.
 func (c countedConn) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	c.meter.bytesIn.Add(int64(count))
 	return count, err
 }
 
-// Write counts first, so that whoever reads the bytes finds them counted.
+// Write counts the bytes before it sends them, so that they are counted when the receiver reads them. Then it subtracts those that were
+// not sent.
 func (c countedConn) Write(text []byte) (int, error) {
 	c.meter.bytesOut.Add(int64(len(text)))
 	count, err := c.Conn.Write(text)
@@ -48,12 +51,13 @@
 	return count, err
 }
 
+// countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	meter *Meter
 }
 
-// Accept waits for the next connection and wraps it so that its bytes are counted.
+// Accept waits for the next connection and wraps it in a countedConn.
 func (l countedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -70,13 +74,14 @@
 	return countedListener{listener, m}
 }
 
-type countedPackets struct {
+// countedPacketConn counts the datagrams of a UDP socket and the bytes of their payload.
+type countedPacketConn struct {
 	net.PacketConn
 	meter *Meter
 }
 
-// ReadFrom counts a datagram and the bytes of its payload unless the reading failed.
-func (p countedPackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+// ReadFrom counts a datagram and the bytes of its payload if it was read without an error.
+func (p countedPacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	count, from, err := p.PacketConn.ReadFrom(buffer)
 	if err == nil {
 		p.meter.datagramsIn.Add(1)
@@ -85,8 +90,8 @@
 	return count, from, err
 }
 
-// WriteTo counts a datagram and the bytes of its payload once it was handed to the system.
-func (p countedPackets) WriteTo(text []byte, to net.Addr) (int, error) {
+// WriteTo counts a datagram and the bytes of its payload after the system has accepted it.
+func (p countedPacketConn) WriteTo(text []byte, to net.Addr) (int, error) {
 	count, err := p.PacketConn.WriteTo(text, to)
 	if err == nil {
 		p.meter.datagramsOut.Add(1)
@@ -100,24 +105,26 @@
 	if m == nil {
 		return packets
 	}
-	return countedPackets{packets, m}
+	return countedPacketConn{packets, m}
 }
 
-type countedTrips struct {
+// countedTransport counts the calls of an HTTP client.
+type countedTransport struct {
 	http.RoundTripper
 	meter *Meter
 }
 
-// RoundTrip counts a call before it is made, so that calls that fail count as well.
-func (t countedTrips) RoundTrip(request *http.Request) (*http.Response, error) {
+// RoundTrip counts a call before it makes it, so that failed calls are counted too.
+func (t countedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	t.meter.made.Add(1)
 	return t.RoundTripper.RoundTrip(request)
 }
 
-// Client counts the calls of a client and the bytes of the connections that it makes.
+// Client counts the calls of a client and the bytes of its connections. It changes the client in place if its transport is an
+// *http.Transport, whose DialContext must be set. Any other client is left as it is.
 func (m *Meter) Client(client *http.Client) *http.Client {
-	transport, isPlain := client.Transport.(*http.Transport)
-	if m == nil || !isPlain {
+	transport, isHTTPTransport := client.Transport.(*http.Transport)
+	if m == nil || !isHTTPTransport {
 		return client
 	}
 	dial := transport.DialContext
@@ -128,11 +135,11 @@
 		}
 		return countedConn{conn, m}, nil
 	}
-	client.Transport = countedTrips{transport, m}
+	client.Transport = countedTransport{transport, m}
 	return client
 }
 
-// Handler counts the calls that are answered.
+// Handler wraps a handler so that each call is counted when it arrives.
 func (m *Meter) Handler(handler http.Handler) http.Handler {
 	if m == nil {
 		return handler
--- a/internal/platform/transportmetrics/transportmetrics_test.go
+++ b/internal/platform/transportmetrics/transportmetrics_test.go
@@ -13,12 +13,12 @@
 	"gannetline/internal/platform/transportmetrics"
 )
 
-func TestWiremeter(t *testing.T) {
+func TestTransportMetrics(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "transportmetrics")
 }
 
-var _ = Describe("the meter", func() {
+var _ = Describe("Meter", func() {
 	It("counts calls and their bytes on both sides", func() {
 		served, made := &transportmetrics.Meter{}, &transportmetrics.Meter{}
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 		Expect(there.BytesOut).To(Equal(here.BytesIn))
 	})
 
-	It("counts datagrams", func() {
+	It("counts datagrams and their bytes", func() {
 		meter := &transportmetrics.Meter{}
 		plain, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -52,7 +52,7 @@
 		Expect(meter.Figures()).To(Equal(transportmetrics.Figures{BytesIn: 4, BytesOut: 4, DatagramsIn: 1, DatagramsOut: 1}))
 	})
 
-	It("wraps nothing when there is none", func() {
+	It("returns clients, listeners and sockets unchanged if it is nil", func() {
 		var none *transportmetrics.Meter
 		client := peerapi.Client(0, 1)
 		Expect(none.Client(client).Transport).To(BeIdenticalTo(client.Transport))
