--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -65,7 +65,7 @@
 	connectionTimeout = 20 * time.Second
 )
 
-var shutdownTimes = LeaveTimes{Notice: 2200 * time.Millisecond, Quiet: 250 * time.Millisecond, CallsEnd: 4500 * time.Millisecond, Close: 5500 * time.Millisecond}
+var shutdownTimes = ShutdownTimes{Notice: 2200 * time.Millisecond, Quiet: 250 * time.Millisecond, CallsEnd: 4500 * time.Millisecond, Close: 5500 * time.Millisecond}
 
 // testServer is a server on the loopback interface with a manual clock.
 type testServer struct {
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -97,8 +97,8 @@
 	return jujuerrors.Annotate(err, "accepting connections")
 }
 
-// LeaveTimes holds the timeouts of a shutdown. All but Quiet are counted from the call of Leave.
-type LeaveTimes struct {
+// ShutdownTimes holds the timeouts of a shutdown. All but Quiet are counted from the call of Leave.
+type ShutdownTimes struct {
 	// Notice is the minimum time for which new connections are accepted, so that callers can switch to other processes meanwhile.
 	Notice time.Duration
 	// Quiet is the time without a new connection after which the listener closes, and the time without received bytes after which the
@@ -112,7 +112,7 @@
 
 // Leave answers the requests that have been read and closes the server. From its call on each answer closes its connection. It returns once
 // all requests are answered and no new ones arrive, or after times.Close. It must be called only once, and not on the goroutine of Serve.
-func (s *Server) Leave(times LeaveTimes) {
+func (s *Server) Leave(times ShutdownTimes) {
 	defer s.inner.Close()
 	defer s.cancelRequests()
 	startedAt := s.clock.Monotonic()
@@ -127,7 +127,7 @@
 
 // advanceShutdown cancels requests and closes the listener when their times have come, and reports whether the server may close.
 // elapsed is the time since the start of the shutdown.
-func (s *Server) advanceShutdown(times LeaveTimes, elapsed time.Duration) bool {
+func (s *Server) advanceShutdown(times ShutdownTimes, elapsed time.Duration) bool {
 	if elapsed >= times.CallsEnd {
 		s.isRefusing.Store(true)
 		s.cancelRequests()
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -117,13 +117,13 @@
 
 // The servers of calls between processes, executors and operators leave once the role has handed over what it keeps.
 var (
-	internalLeave = httpserver.LeaveTimes{Close: 300 * time.Millisecond}
-	executorLeave = httpserver.LeaveTimes{CallsEnd: 100 * time.Millisecond, Close: 400 * time.Millisecond}
-	operatorLeave = httpserver.LeaveTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
+	internalLeave = httpserver.ShutdownTimes{Close: 300 * time.Millisecond}
+	executorLeave = httpserver.ShutdownTimes{CallsEnd: 100 * time.Millisecond, Close: 400 * time.Millisecond}
+	operatorLeave = httpserver.ShutdownTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
 )
 
 // serving gives a part that answers calls until its context is done, and then leaves in order.
-func (b *base) serving(listener net.Listener, handler http.Handler, times httpserver.LeaveTimes) supervise.Part {
+func (b *base) serving(listener net.Listener, handler http.Handler, times httpserver.ShutdownTimes) supervise.Part {
 	server := httpserver.New(listener, b.meter.Handler(handler), b.clock, b.log)
 	return func(ctx context.Context) error {
 		ended := make(chan error, 1)
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -102,8 +102,8 @@
 
 // clientLeave says how a gate leaves within the grace period: calls to leaders that are away are ended while there is
 // time left to write all their answers on a slow machine and link.
-func clientLeave(gracePeriod time.Duration) httpserver.LeaveTimes {
-	return httpserver.LeaveTimes{
+func clientLeave(gracePeriod time.Duration) httpserver.ShutdownTimes {
+	return httpserver.ShutdownTimes{
 		Notice:   min(noticeTime, gracePeriod/2),
 		Quiet:    quietTime,
 		CallsEnd: gracePeriod * 3 / 4,
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -59,7 +59,7 @@
 	var end func()
 	var answer chan *http.Response
 	// serveOne begins a call, and ends the part while it is under way.
-	serveOne := func(times httpserver.LeaveTimes) {
+	serveOne := func(times httpserver.ShutdownTimes) {
 		b := &base{clock: clock, log: logging.Silent()}
 		part := b.serving(listener, http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 			close(begun)
