--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -87,7 +87,7 @@
 
 func (s *testServer) startShutdown() {
 	go func() {
-		s.server.Leave(shutdownTimes)
+		s.server.Shutdown(shutdownTimes)
 		close(s.shutdownDone)
 	}()
 }
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -87,7 +87,7 @@
 	return server
 }
 
-// Serve accepts connections until Leave closes the listener, and then returns nil while requests may still be in flight. An error is one of
+// Serve accepts connections until Shutdown closes the listener, and then returns nil while requests may still be in flight. An error is one of
 // the listener. Serve must be called only once.
 func (s *Server) Serve() error {
 	err := s.inner.Serve(s.listener)
@@ -97,7 +97,7 @@
 	return jujuerrors.Annotate(err, "accepting connections")
 }
 
-// ShutdownTimes holds the timeouts of a shutdown. All but Quiet are counted from the call of Leave.
+// ShutdownTimes holds the timeouts of a shutdown. All but Quiet are counted from the call of Shutdown.
 type ShutdownTimes struct {
 	// Notice is the minimum time for which new connections are accepted, so that callers can switch to other processes meanwhile.
 	Notice time.Duration
@@ -110,9 +110,9 @@
 	Close time.Duration
 }
 
-// Leave answers the requests that have been read and closes the server. From its call on each answer closes its connection. It returns once
+// Shutdown answers the requests that have been read and closes the server. From its call on each answer closes its connection. It returns once
 // all requests are answered and no new ones arrive, or after times.Close. It must be called only once, and not on the goroutine of Serve.
-func (s *Server) Leave(times ShutdownTimes) {
+func (s *Server) Shutdown(times ShutdownTimes) {
 	defer s.inner.Close()
 	defer s.cancelRequests()
 	startedAt := s.clock.Monotonic()
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -132,7 +132,7 @@
 		case err := <-ended:
 			return err
 		case <-ctx.Done():
-			server.Leave(times)
+			server.Shutdown(times)
 			return nil
 		}
 	}
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -65,7 +65,7 @@
 	}), internalLeave))
 	return b.run(func() {
 		isLeaving.Store(true)
-		server.Leave(clientLeave(b.settings.GracePeriod()))
+		server.Shutdown(clientLeave(b.settings.GracePeriod()))
 	})
 }
 
