--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -148,7 +148,7 @@
 	})
 
 	It("refuses requests after it has cancelled the contexts, and copies headers to the refusal", func() {
-		fixture := startServer(answerOK, WithMarkedRefusals(func(from, to http.Header) { to.Set("X-Request-Id", from.Get("X-Request-Id")) }))
+		fixture := startServer(answerOK, WithRefusalHeaders(func(from, to http.Header) { to.Set("X-Request-Id", from.Get("X-Request-Id")) }))
 		caller := fixture.connect()
 		fixture.server.isRefusing.Store(true)
 		caller.send("GET / HTTP/1.1\r\nHost: h\r\nX-Request-Id: 9c41\r\n\r\n")
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// WithMarkedRefusals sets a function that copies headers from a request that is refused during the shutdown to its answer.
-func WithMarkedRefusals(copyHeaders func(from, to http.Header)) Option {
+// WithRefusalHeaders sets a function that copies headers from a request that is refused during the shutdown to its answer.
+func WithRefusalHeaders(copyHeaders func(from, to http.Header)) Option {
 	return func(s *Server) { s.copyRefusalHeaders = copyHeaders }
 }
 
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -57,7 +57,7 @@
 	asker := leaderclient.New(b.caller, b.clock, b.node.View)
 	api, canServe := b.clientHandler(asker, configurations)
 	server := httpserver.New(front, b.meter.Handler(api), b.clock, b.log,
-		httpserver.WithMaxConnections(maxClientConnections(b.settings.Limits.FileDescriptors)), httpserver.WithMarkedRefusals(headerrules.Echo))
+		httpserver.WithMaxConnections(maxClientConnections(b.settings.Limits.FileDescriptors)), httpserver.WithRefusalHeaders(headerrules.Echo))
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
 	b.tree.Add("readiness", b.serving(ready, readiness(func() bool {
