--- a/internal/platform/eventstream/eventstream.go
+++ b/internal/platform/eventstream/eventstream.go
@@ -1,4 +1,4 @@
-// Package eventstream reads series of events (text/event-stream), event by event, with the bytes as they came.
+// Package eventstream reads event streams (text/event-stream) event by event and keeps the original bytes of each event.
 package eventstream
 
 import (
@@ -10,42 +10,45 @@
 )
 
 const (
-	// MediaType is the content type of a series of events.
+	// MediaType is the content type of an event stream.
 	MediaType = "text/event-stream"
-	// bufferBytes holds a line; maxEventBytes bounds an event.
-	bufferBytes   = 4096
+	// bufferBytes is the size of the read buffer. Longer lines are read in several chunks.
+	bufferBytes = 4096
+	// maxEventBytes is the largest size of an event.
 	maxEventBytes = 1 << 20
 )
 
 const (
-	// ErrTooLarge ends a series with an event beyond the limit.
-	ErrTooLarge = errors.ConstError("an event is too large")
-	// ErrCutEvent ends a series whose end came within an event.
-	ErrCutEvent = errors.ConstError("the series ended within an event")
+	// ErrTooLarge is the error of Next for an event above the size limit.
+	ErrTooLarge = errors.ConstError("an event of the stream is too large")
+	// ErrCutEvent is the error of Next if the stream ends within an event.
+	ErrCutEvent = errors.ConstError("the event stream ended within an event")
 )
 
-// Event is one event. Its bytes are valid until the next one is read.
+// Event is one event. It is valid until the next call of Reader.Next.
 type Event struct {
-	// Raw are the bytes as they came, with the empty line that ends the event.
+	// Raw holds the original bytes, with the empty line that ends the event.
 	Raw []byte
-	// ID is that of the event, empty if it has none.
+	// ID is the id of the event, or empty if it has none.
 	ID string
-	// Data are the lines of data, separated by line feeds; HasData tells whether there is any.
+	// Data holds the values of the data fields, separated by line feeds. HasData is true if there is a data field.
 	Data    []byte
 	HasData bool
 }
 
-// Reader reads events one by one.
+// Reader reads the events of one stream.
 type Reader struct {
-	from  *bufio.Reader
-	event Event
+	source *bufio.Reader
+	event  Event
 }
 
-// NewReader makes a reader of a series.
-func NewReader(from io.Reader) *Reader { return &Reader{from: bufio.NewReaderSize(from, bufferBytes)} }
+// NewReader creates a reader of an event stream.
+func NewReader(source io.Reader) *Reader {
+	return &Reader{source: bufio.NewReaderSize(source, bufferBytes)}
+}
 
-// Next gives the next event. It ends with io.EOF after the last one, with ErrCutEvent if the series ends within an event, and else
-// with the error of the source.
+// Next returns the next event. The error is io.EOF after the last event, ErrCutEvent if the stream ends within an event, ErrTooLarge for an
+// event above the size limit, and otherwise the error of the source.
 func (r *Reader) Next() (*Event, error) {
 	r.event = Event{Raw: r.event.Raw[:0], Data: r.event.Data[:0]}
 	for {
@@ -58,16 +61,16 @@
 		case len(line) == 0:
 			return &r.event, nil
 		}
-		r.event.takeLine(line)
+		r.event.parseLine(line)
 	}
 }
 
-// readLine reads a line into Raw, and gives it without its end.
+// readLine appends a line to Raw, and returns it without its line break.
 func (r *Reader) readLine() ([]byte, error) {
 	start := len(r.event.Raw)
 	for {
-		part, err := r.from.ReadSlice('\n')
-		r.event.Raw = append(r.event.Raw, part...)
+		chunk, err := r.source.ReadSlice('\n')
+		r.event.Raw = append(r.event.Raw, chunk...)
 		switch {
 		case len(r.event.Raw) > maxEventBytes:
 			return nil, ErrTooLarge
@@ -79,8 +82,8 @@
 	}
 }
 
-// takeLine takes a field of the event; fields other than id and data are only passed on.
-func (e *Event) takeLine(line []byte) {
+// parseLine parses a field of the event. Fields other than id and data are kept only in Raw.
+func (e *Event) parseLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/internal/platform/gcpacing/gcpacing.go
+++ b/internal/platform/gcpacing/gcpacing.go
@@ -1,5 +1,6 @@
-// Package gcpacing bounds what a busy process spends on collecting garbage. A small heap growth keeps the memory of a quiet process
-// low; a process that allocates much would collect many times a second with it, so its heap may grow more between collections.
+// Package gcpacing limits the time that a process with a high allocation rate spends on garbage collection. A small heap growth (GOGC)
+// keeps the memory of a quiet process low. With the same growth a busy process would collect many times a second, so its heap may grow more
+// between collections.
 package gcpacing
 
 import (
@@ -12,74 +13,76 @@
 )
 
 const (
-	// QuietPercent is the heap growth, in percent of what is live, at which a quiet process collects (GOGC).
+	// QuietPercent is the heap growth (GOGC) of a quiet process, in percent of the live heap.
 	QuietPercent = 50
-	// busyPercent is that of a process that would collect too often.
+	// busyPercent is the heap growth of a busy process, which would collect too often with QuietPercent.
 	busyPercent = 200
-	// interval is how often the collections are counted.
+	// interval is the time between two counts of the collections.
 	interval = time.Second
-	// manyCycles in an interval make a process busy, and so few make it quiet again. Growing the heap four times as much takes
-	// the cycles to about a quarter, so quietCycles lies below manyCycles/4: a steady process stays what it is.
-	manyCycles  = 3
+	// busyCycles is the number of collections in an interval from which on a process is busy. quietCycles is the largest mean number of
+	// collections per interval at which it becomes quiet again. Four times the heap growth reduces the collections to about a quarter, so
+	// quietCycles is below busyCycles/4. Otherwise a process with a constant load would alternate between busy and quiet.
+	busyCycles  = 3
 	quietCycles = 0.5
-	// quietIntervals is over how many intervals in a row there have to be so few.
+	// quietIntervals is the number of consecutive intervals over which the mean for quietCycles is taken.
 	quietIntervals = 10
 )
 
-// cyclesMetric counts the collections that the process's allocations have brought about.
+// cyclesMetric is the runtime metric of collections triggered by allocations, without forced ones.
 const cyclesMetric = "/gc/cycles/automatic:gc-cycles"
 
-// pacer decides on the heap growth from the number of collections in each interval.
+// pacer decides on the heap growth by the number of collections in each interval.
 type pacer struct {
 	isBusy bool
-	// quietFor counts the intervals since the process was last busy, and cycles the collections in them.
-	quietFor int
-	cycles   uint64
+	// intervalsSinceBusy is the number of intervals since the process became busy or its mean was last checked, and cyclesSinceBusy the
+	// number of collections in them.
+	intervalsSinceBusy int
+	cyclesSinceBusy    uint64
 }
 
-// percent is the heap growth to use now.
-func (p *pacer) percent() int {
+// heapGrowthPercent returns the heap growth to use now.
+func (p *pacer) heapGrowthPercent() int {
 	if p.isBusy {
 		return busyPercent
 	}
 	return QuietPercent
 }
 
-// note takes the collections of one interval, and tells whether the heap growth changes.
-func (p *pacer) note(cycles uint64) (isChanged bool) {
+// recordInterval records the number of collections in one interval, and reports whether the heap growth changes.
+func (p *pacer) recordInterval(intervalCycles uint64) (isChanged bool) {
 	if !p.isBusy {
-		p.isBusy = cycles >= manyCycles
+		p.isBusy = intervalCycles >= busyCycles
 		return p.isBusy
 	}
-	p.quietFor, p.cycles = p.quietFor+1, p.cycles+cycles
-	if p.quietFor < quietIntervals {
+	p.intervalsSinceBusy, p.cyclesSinceBusy = p.intervalsSinceBusy+1, p.cyclesSinceBusy+intervalCycles
+	if p.intervalsSinceBusy < quietIntervals {
 		return false
 	}
-	p.isBusy = float64(p.cycles) > quietCycles*quietIntervals
-	p.quietFor, p.cycles = 0, 0
+	p.isBusy = float64(p.cyclesSinceBusy) > quietCycles*quietIntervals
+	p.intervalsSinceBusy, p.cyclesSinceBusy = 0, 0
 	return !p.isBusy
 }
 
-// Run paces the collector of this process until ctx is done. It is a part of a supervisor tree.
+// Run adapts the heap growth of this process until ctx is done. It is a part for a supervisor tree.
 func Run(ctx context.Context, clock clock.Clock) error {
 	var pacer pacer
-	counted := collections()
+	previous := countCycles()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-clock.After(interval):
 		}
-		now := collections()
-		if pacer.note(now - counted) {
-			debug.SetGCPercent(pacer.percent())
+		now := countCycles()
+		if pacer.recordInterval(now - previous) {
+			debug.SetGCPercent(pacer.heapGrowthPercent())
 		}
-		counted = now
+		previous = now
 	}
 }
 
-// collections counts all collections of this process so far.
-func collections() uint64 {
+// countCycles returns the number of collections of this process so far that were triggered by allocations.
+func countCycles() uint64 {
 	sample := []metrics.Sample{{Name: cyclesMetric}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindUint64 {
--- a/internal/platform/gcpacing/gcpacing_test.go
+++ b/internal/platform/gcpacing/gcpacing_test.go
@@ -12,39 +12,39 @@
 	RunSpecs(t, "gcpacing")
 }
 
-var _ = Describe("the pace of the garbage collector", func() {
-	// notes feeds the same count for so many intervals, and gives how often the heap growth changed.
-	notes := func(p *pacer, cycles uint64, intervals int) (changes int) {
+var _ = Describe("pacer", func() {
+	// recordIntervals records the same count for a number of intervals, and returns how often the heap growth changed.
+	recordIntervals := func(p *pacer, cycles uint64, intervals int) (changes int) {
 		for range intervals {
-			if p.note(cycles) {
+			if p.recordInterval(cycles) {
 				changes++
 			}
 		}
 		return changes
 	}
 
-	It("stays low for a process that collects seldom", func() {
+	It("keeps the small heap growth for a process that rarely collects", func() {
 		var p pacer
-		Expect(notes(&p, manyCycles-1, 100)).To(BeZero())
-		Expect(p.percent()).To(Equal(QuietPercent))
+		Expect(recordIntervals(&p, busyCycles-1, 100)).To(BeZero())
+		Expect(p.heapGrowthPercent()).To(Equal(QuietPercent))
 	})
 
-	It("goes up at once where it collects often, and stays as a quarter of the collections are left", func() {
+	It("raises the heap growth after one busy interval, and keeps it while a quarter of the collections remains", func() {
 		var p pacer
-		Expect(notes(&p, 4*manyCycles, 1)).To(Equal(1))
-		Expect(p.percent()).To(Equal(busyPercent))
-		Expect(notes(&p, manyCycles, 100)).To(BeZero())
+		Expect(recordIntervals(&p, 4*busyCycles, 1)).To(Equal(1))
+		Expect(p.heapGrowthPercent()).To(Equal(busyPercent))
+		Expect(recordIntervals(&p, busyCycles, 100)).To(BeZero())
 	})
 
-	It("goes down again once the process has been quiet for a while", func() {
+	It("lowers the heap growth after quietIntervals quiet intervals", func() {
 		var p pacer
-		notes(&p, manyCycles, 1)
-		Expect(notes(&p, 0, quietIntervals-1)).To(BeZero())
-		Expect(notes(&p, 0, 1)).To(Equal(1))
-		Expect(p.percent()).To(Equal(QuietPercent))
+		recordIntervals(&p, busyCycles, 1)
+		Expect(recordIntervals(&p, 0, quietIntervals-1)).To(BeZero())
+		Expect(recordIntervals(&p, 0, 1)).To(Equal(1))
+		Expect(p.heapGrowthPercent()).To(Equal(QuietPercent))
 	})
 
-	It("counts the collections of this process", func() {
-		Expect(collections()).To(BeNumerically("<", 1<<30))
+	It("reads the number of collections of this process", func() {
+		Expect(countCycles()).To(BeNumerically("<", 1<<30))
 	})
 })
--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -1,39 +1,39 @@
-// Package headers names the headers of HTTP that clients, executors and operators share with this system.
+// Package headers holds the names of the HTTP headers that gannetline exchanges with clients, executors and operators.
 package headers
 
-// Headers of a client's request. RequestID is given back with the answer, and passed on to executors.
+// Headers of a client's request. RequestID is copied to the response and to calls to executors.
 const (
-	// RequestID identifies a request: the same ID is the same request.
+	// RequestID identifies a request. A repeated ID is a retry of the same request.
 	RequestID = "X-Request-Id"
-	// TimeRemaining is how many milliseconds the sender still waits.
+	// TimeRemaining is the time for which the sender still waits, in milliseconds.
 	TimeRemaining = "X-Time-Remaining"
-	// Authorization bears the client's key.
+	// Authorization contains the client's key as a bearer token.
 	Authorization = "Authorization"
-	// PromptPrefix names the parts of a prompt, as ID:TOKENS separated by commas.
+	// PromptPrefix lists the parts of a prompt as ID:TOKENS, separated by commas.
 	PromptPrefix = "X-Prompt-Prefix"
-	// WaitTime is how many milliseconds a reader of a lot lets the answer wait for something new.
+	// WaitTime is the time, in milliseconds, for which the response to a read of a lot may be delayed until there is something new.
 	WaitTime = "X-Wait-Time"
 )
 
 // Headers of a call to an executor.
 const (
-	// ExpectedExecutor names the executor that is meant; any other refuses the call with 421.
+	// ExpectedExecutor is the ID of the executor that the call is meant for. Any other executor refuses it with 421.
 	ExpectedExecutor = "X-Expected-Executor"
-	// Tenant names the tenant that a request is counted for.
+	// Tenant is the tenant to which a request is charged.
 	Tenant = "X-Tenant"
-	// LastEventID is the number of the last event that the sender has; the answer goes on behind it.
+	// LastEventID is the number of the last event that the sender has received. The response continues after it.
 	LastEventID = "Last-Event-Id"
-	// Priority orders requests at an executor, lower numbers first.
+	// Priority orders the requests at an executor, lower numbers first.
 	Priority = "Priority"
 )
 
 // Headers of an executor's answer.
 const (
-	// NotExecuted marks an answer to a request that was not begun and never will be.
+	// NotExecuted marks the response to a request that was not executed and never will be.
 	NotExecuted = "X-Not-Executed"
-	// ExecutorLoad tells how many requests the executor has.
+	// ExecutorLoad is the number of requests that the executor holds.
 	ExecutorLoad = "X-Executor-Load"
 )
 
-// BaseVersion is the version of the configuration that an operator's change builds on.
+// BaseVersion is the configuration version on which an operator's change is based.
 const BaseVersion = "X-Base-Version"
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -87,8 +87,8 @@
 	return server
 }
 
-// Serve accepts connections until Shutdown closes the listener, and then returns nil while requests may still be in flight. An error is one of
-// the listener. Serve must be called only once.
+// Serve accepts connections until Shutdown closes the listener, and then returns nil while requests may still be in flight. An error is
+// one of the listener. Serve must be called only once.
 func (s *Server) Serve() error {
 	err := s.inner.Serve(s.listener)
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
@@ -110,8 +110,9 @@
 	Close time.Duration
 }
 
-// Shutdown answers the requests that have been read and closes the server. From its call on each answer closes its connection. It returns once
-// all requests are answered and no new ones arrive, or after times.Close. It must be called only once, and not on the goroutine of Serve.
+// Shutdown answers the requests that have been read and closes the server. From its call on each answer closes its connection. It
+// returns once all requests are answered and no new ones arrive, or after times.Close. It must be called only once, and not on the goroutine
+// of Serve.
 func (s *Server) Shutdown(times ShutdownTimes) {
 	defer s.inner.Close()
 	defer s.cancelRequests()
--- a/internal/platform/indentedjson/indentedjson.go
+++ b/internal/platform/indentedjson/indentedjson.go
@@ -1,4 +1,4 @@
-// Package indentedjson writes what commands show as JSON.
+// Package indentedjson writes the JSON output of commands.
 package indentedjson
 
 import (
@@ -6,9 +6,9 @@
 	"io"
 )
 
-// Write writes a value as indented JSON, with a line break after it.
-func Write(to io.Writer, value any) error {
-	encoder := json.NewEncoder(to)
+// Write writes a value as indented JSON followed by a line break.
+func Write(output io.Writer, value any) error {
+	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
--- a/internal/platform/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -1,4 +1,4 @@
-// Package mailbox runs the one goroutine that owns a table.
+// Package mailbox runs functions one after another on the goroutine that owns a table, so that the table needs no lock.
 package mailbox
 
 import (
@@ -9,24 +9,24 @@
 	"gannetline/internal/platform/clock"
 )
 
-// Mailbox is a bounded queue of functions that one goroutine, the owner of a table, runs one after another. Nothing
-// else touches the table, so it needs no lock. Any goroutine may call TryPost, and any but the owner Post and Ask; Run, Drain
-// and Step are for the owner alone.
+// Mailbox is a bounded queue of functions. One goroutine, the owner of a table, runs them one after another. No other goroutine accesses the
+// table, so it needs no lock. Any goroutine may call TryPost, any but the owner may call Post and Ask, and only the owner may call Run,
+// Drain and Step.
 type Mailbox struct {
 	messages chan func()
-	// first holds functions that go before all others; only an Outbox fills it.
-	first chan func()
+	// urgent holds the functions that run before those of messages. Only an Outbox fills it.
+	urgent chan func()
 }
 
-// New makes a mailbox in which so many functions may wait.
+// New creates a mailbox for at most size pending functions, and as many pending functions of an Outbox.
 func New(size int) *Mailbox {
-	return &Mailbox{messages: make(chan func(), size), first: make(chan func(), size)}
+	return &Mailbox{messages: make(chan func(), size), urgent: make(chan func(), size)}
 }
 
-// Post queues a function; it blocks while the mailbox is full, so the owner itself must not call it.
+// Post queues a function. It blocks while the mailbox is full, so the owner must not call it.
 func (m *Mailbox) Post(message func()) { m.messages <- message }
 
-// TryPost queues a function unless the mailbox is full, and says whether it did. It never blocks.
+// TryPost queues a function unless the mailbox is full, and reports whether it did. It never blocks.
 func (m *Mailbox) TryPost(message func()) bool {
 	select {
 	case m.messages <- message:
@@ -36,22 +36,24 @@
 	}
 }
 
-// Owner says how the goroutine runs beside the mailbox: Tick is called every so often, Settle after each burst of
-// functions and each tick; both may be nil. OwnCore binds the goroutine to an operating system thread.
-//
-// Pause is the least time between two bursts: what is posted sooner waits, and shares the next Settle. What an Outbox sends
-// never waits. A function that comes after a longer quiet is run at once, so that only a busy owner gathers.
+// Owner configures the goroutine that runs a mailbox.
 type Owner struct {
-	Every   time.Duration
-	Tick    func()
-	Settle  func()
-	OwnCore bool
-	Pause   time.Duration
+	// Every is the time between two calls of Tick.
+	Every time.Duration
+	// Tick may be nil.
+	Tick func()
+	// Settle is called after each burst of functions and after each Tick. It may be nil.
+	Settle func()
+	// LockThread locks the goroutine to an operating system thread.
+	LockThread bool
+	// Pause is the minimum time between two bursts. Functions that are posted sooner wait, and share the next call of Settle. Those of an
+	// Outbox never wait. A function that is posted after Pause runs at once, so that only a busy owner batches functions.
+	Pause time.Duration
 }
 
-// Run owns the table until ctx is done; Settle is called after each burst of messages.
+// Run runs the functions and the ticks on the calling goroutine until ctx is done.
 func (m *Mailbox) Run(ctx context.Context, clock clock.Clock, owner Owner) {
-	if owner.OwnCore {
+	if owner.LockThread {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 	}
@@ -61,25 +63,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case message := <-m.first:
+		case message := <-m.urgent:
 			message()
-			m.drainFirst()
+			m.drainUrgent()
 			if pacing.mustWait() {
 				continue
 			}
 			m.Drain()
-		case message := <-pacing.open(m.messages):
-			m.drainFirst()
+		case message := <-pacing.availableMessages(m.messages):
+			m.drainUrgent()
 			message()
 			if pacing.mustWait() {
 				continue
 			}
 			m.Drain()
-		case <-pacing.over:
-			pacing.over = nil
+		case <-pacing.pauseEnd:
+			pacing.pauseEnd = nil
 			m.Drain()
 		case <-ticks:
-			m.drainFirst()
+			m.drainUrgent()
 			if owner.Tick != nil {
 				owner.Tick()
 			}
@@ -88,15 +90,15 @@
 		if owner.Settle != nil {
 			owner.Settle()
 		}
-		pacing.noteSettled()
+		pacing.recordSettled()
 	}
 }
 
-// drainFirst runs what an outbox has sent and that waits.
-func (m *Mailbox) drainFirst() {
+// drainUrgent runs all pending functions of the outbox.
+func (m *Mailbox) drainUrgent() {
 	for {
 		select {
-		case message := <-m.first:
+		case message := <-m.urgent:
 			message()
 		default:
 			return
@@ -104,7 +106,7 @@
 	}
 }
 
-// Drain runs what waits, and no more than the box holds.
+// Drain runs the pending functions, but at most as many as fit into the mailbox.
 func (m *Mailbox) Drain() {
 	for range cap(m.messages) {
 		if !m.Step() {
@@ -113,10 +115,10 @@
 	}
 }
 
-// Step runs the next function that waits, and says whether there was one.
+// Step runs the next pending function, and reports whether there was one.
 func (m *Mailbox) Step() bool {
 	select {
-	case message := <-m.first:
+	case message := <-m.urgent:
 		message()
 		return true
 	default:
@@ -130,8 +132,9 @@
 	}
 }
 
-// Ask runs the question on the owner's goroutine and waits for its answer. A question whose asker has given up by the time
-// of its turn is not run, so that an owner that has fallen behind spends no time on answers that nobody waits for.
+// Ask runs a question on the owner's goroutine and waits for its answer, which the question may give later. It returns the error of ctx once
+// that is done. A question whose ctx is done before it runs is skipped, so that an owner with a backlog spends no time on abandoned
+// questions.
 func Ask[T any](ctx context.Context, m *Mailbox, question func(answer func(T))) (T, error) {
 	answers := make(chan T, 1)
 	answer := func(value T) {
@@ -140,7 +143,7 @@
 		default:
 		}
 	}
-	var none T
+	var zero T
 	message := func() {
 		if ctx.Err() == nil {
 			question(answer)
@@ -149,12 +152,12 @@
 	select {
 	case m.messages <- message:
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 	select {
 	case value := <-answers:
 		return value, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
--- a/internal/platform/mailbox/mailbox_test.go
+++ b/internal/platform/mailbox/mailbox_test.go
@@ -10,21 +10,21 @@
 	"gannetline/internal/platform/clock"
 )
 
-var _ = Describe("a mailbox", func() {
-	It("does not run a question whose asker has given up by its turn", func() {
-		box, wasRun := New(4), 0
-		question := func(answer func(int)) { wasRun++; answer(wasRun) }
-		ctx, end := context.WithCancel(context.Background())
-		givenUp := make(chan error)
+var _ = Describe("Mailbox", func() {
+	It("skips a question whose context is done before it runs", func() {
+		box, runs := New(4), 0
+		question := func(answer func(int)) { runs++; answer(runs) }
+		ctx, cancel := context.WithCancel(context.Background())
+		askError := make(chan error)
 		go func() {
 			_, err := Ask(ctx, box, question)
-			givenUp <- err
+			askError <- err
 		}()
 		Eventually(func() int { return len(box.messages) }).Should(Equal(1))
-		end()
-		Expect(<-givenUp).To(HaveOccurred())
+		cancel()
+		Expect(<-askError).To(HaveOccurred())
 		box.Drain()
-		Expect(wasRun).To(BeZero())
+		Expect(runs).To(BeZero())
 		answered := make(chan int)
 		go func() {
 			answer, _ := Ask(context.Background(), box, question)
@@ -35,14 +35,14 @@
 		Expect(<-answered).To(Equal(1))
 	})
 
-	It("runs what an outbox sends before all that waits, in order, and takes as much of it as there is", func() {
+	It("runs all functions of an outbox in order and before posted ones, even if they exceed its size", func() {
 		box := New(2)
 		outbox := NewOutbox(box)
 		var order []string
-		say := func(what string) func() { return func() { order = append(order, what) } }
-		box.Post(say("posted"))
-		for _, what := range []string{"one", "two", "three", "four", "five"} {
-			outbox.Send(say(what))
+		appendTo := func(name string) func() { return func() { order = append(order, name) } }
+		box.Post(appendTo("posted"))
+		for _, name := range []string{"one", "two", "three", "four", "five"} {
+			outbox.Send(appendTo(name))
 		}
 		for box.Step() {
 			outbox.Flush()
@@ -50,17 +50,17 @@
 		Expect(order).To(Equal([]string{"one", "two", "three", "four", "five", "posted"}))
 	})
 
-	It("does so too when its owner wakes to several at once", func() {
+	It("runs functions of an outbox before posted ones when Run finds both pending", func() {
 		for range 50 {
-			box, ended := New(4), make(chan struct{})
+			box, drained := New(4), make(chan struct{})
 			var order []string
 			box.Post(func() { order = append(order, "posted") })
-			box.Post(func() { close(ended) })
+			box.Post(func() { close(drained) })
 			NewOutbox(box).Send(func() { order = append(order, "sent") })
-			ctx, end := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			go box.Run(ctx, clock.NewFake(0), Owner{Every: time.Second})
-			<-ended
-			end()
+			<-drained
+			cancel()
 			Expect(order).To(Equal([]string{"sent", "posted"}))
 		}
 	})
--- a/internal/platform/mailbox/outbox.go
+++ b/internal/platform/mailbox/outbox.go
@@ -1,31 +1,32 @@
 package mailbox
 
-// Outbox holds what one goroutine has to say to the owner of a mailbox, in order and without a bound, so that the sender
-// never waits for the receiver. What it sends goes before all that others have posted. Only the sender's goroutine may use it.
+// Outbox is an unbounded queue of functions from one goroutine, the sender, to the owner of a mailbox. The sender never blocks. The
+// functions run in the order in which they are sent, and before those that others have posted. Only the sender's goroutine may use it.
 type Outbox struct {
-	to      *Mailbox
-	waiting []func()
+	mailbox *Mailbox
+	pending []func()
 }
 
-// NewOutbox makes the outbox of a mailbox; a mailbox has one at most.
-func NewOutbox(to *Mailbox) *Outbox { return &Outbox{to: to} }
+// NewOutbox creates the outbox of a mailbox. A mailbox has at most one outbox.
+func NewOutbox(mailbox *Mailbox) *Outbox { return &Outbox{mailbox: mailbox} }
 
-// Send queues a function for the receiver's goroutine.
+// Send queues a function for the owner of the mailbox.
 func (o *Outbox) Send(message func()) {
-	o.waiting = append(o.waiting, message)
+	o.pending = append(o.pending, message)
 	o.Flush()
 }
 
-// Flush passes on what the mailbox had no room for so far; the sender calls it whenever it has run.
+// Flush moves queued functions to the mailbox as long as it has room. The sender calls it whenever it has run, because only Flush and
+// the next Send move functions that didn't fit before.
 func (o *Outbox) Flush() {
-	for len(o.waiting) > 0 {
+	for len(o.pending) > 0 {
 		select {
-		case o.to.first <- o.waiting[0]:
-			o.waiting[0] = nil
-			o.waiting = o.waiting[1:]
+		case o.mailbox.urgent <- o.pending[0]:
+			o.pending[0] = nil
+			o.pending = o.pending[1:]
 		default:
 			return
 		}
 	}
-	o.waiting = nil
+	o.pending = nil
 }
--- a/internal/platform/mailbox/pacing.go
+++ b/internal/platform/mailbox/pacing.go
@@ -6,39 +6,39 @@
 	"gannetline/internal/platform/clock"
 )
 
-// pacing keeps the bursts of an owner apart by a pause.
+// pacing ensures a minimum pause between the bursts of an owner.
 type pacing struct {
 	clock     clock.Clock
 	pause     time.Duration
-	settledAt time.Duration
-	// over ends the wait for the next burst; it is nil outside a wait.
-	over <-chan time.Time
+	settledAt time.Duration // time of the last Settle
+	// pauseEnd receives a value at the end of the current pause. It is nil outside a pause.
+	pauseEnd <-chan time.Time
 }
 
-// mustWait tells whether the last Settle was less than a pause ago, so that what has just run waits for the next one. Only then is a
-// timer needed, so that a quiet owner has none.
+// mustWait reports whether the last Settle was less than a pause ago, so that the functions that have just run share the next one. It then
+// starts the timer of the pause. An owner that is not busy needs no timer.
 func (p *pacing) mustWait() bool {
-	if p.pause == 0 || p.over != nil {
-		return p.over != nil
+	if p.pause == 0 || p.pauseEnd != nil {
+		return p.pauseEnd != nil
 	}
 	remaining := p.settledAt + p.pause - p.clock.Monotonic()
 	if remaining <= 0 {
 		return false
 	}
-	p.over = p.clock.After(remaining)
+	p.pauseEnd = p.clock.After(remaining)
 	return true
 }
 
-// noteSettled takes note of a Settle; one in the midst of a wait, as after a tick, leaves the wait as it is.
-func (p *pacing) noteSettled() {
+// recordSettled records the time of a Settle. A Settle during a pause, as after a tick, doesn't change that pause.
+func (p *pacing) recordSettled() {
 	if p.pause > 0 {
 		p.settledAt = p.clock.Monotonic()
 	}
 }
 
-// open gives the messages that may run now: none in a wait.
-func (p *pacing) open(messages chan func()) chan func() {
-	if p.over != nil {
+// availableMessages returns the channel of the functions that may run now. It returns nil, from which nothing is received, during a pause.
+func (p *pacing) availableMessages(messages chan func()) chan func() {
+	if p.pauseEnd != nil {
 		return nil
 	}
 	return messages
--- a/internal/platform/metrics/log.go
+++ b/internal/platform/metrics/log.go
@@ -11,30 +11,30 @@
 	"gannetline/internal/platform/logging"
 )
 
-// maxPerLine keeps lines short enough for collectors that cut long ones.
-const maxPerLine = 50
+// maxMetricsPerLine keeps log lines short enough for log collectors that cut long ones.
+const maxMetricsPerLine = 50
 
-// Log writes all that was counted so far, zeros and buckets left out, as few lines.
+// Log logs the metrics of this process in as few lines as maxMetricsPerLine allows. It leaves out zeros and the buckets of histograms.
 func Log(log logging.Logger) {
-	own := Own()
-	maps.DeleteFunc(own, func(name string, _ float64) bool { return strings.Contains(name, "_bucket{") })
-	for names := range slices.Chunk(slices.Sorted(maps.Keys(own)), maxPerLine) {
-		line := map[string]float64{}
+	samples := Own()
+	maps.DeleteFunc(samples, func(name string, _ float64) bool { return strings.Contains(name, "_bucket{") })
+	for names := range slices.Chunk(slices.Sorted(maps.Keys(samples)), maxMetricsPerLine) {
+		values := map[string]float64{}
 		for _, name := range names {
-			line[name] = own[name]
+			values[name] = samples[name]
 		}
-		log.Info("metrics", "metrics", line)
+		log.Info("metrics", "metrics", values)
 	}
 }
 
-// Logging does so at each interval until ctx is done.
-func Logging(log logging.Logger, clock clock.Clock, every time.Duration) func(context.Context) error {
+// Logging returns a part for a supervisor tree that calls Log at each interval until ctx is done.
+func Logging(log logging.Logger, clock clock.Clock, interval time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-clock.After(every):
+			case <-clock.After(interval):
 				Log(log)
 			}
 		}
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a process does, and shows it in the exposition format of Prometheus.
+// Package metrics registers the metrics of a process and serves and logs them. Its page is in the Prometheus text format.
 package metrics
 
 import (
@@ -13,102 +13,106 @@
 )
 
 const (
+	// maxLabels is the largest number of labels of a metric.
 	maxLabels = 3
+	// maxSeries is the number of series of a metric after which further label values are counted as "other".
 	maxSeries = 256
-	// Path is where a process shows its metrics, at its internal address.
+	// Path is the HTTP path of the metrics page, at the internal address of a process.
 	Path = "/metrics"
 )
 
 var (
 	registry = library.NewSet()
-	bounds   = []float64{0.0001, 0.0003, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10}
+	// bucketBounds are the upper bounds of the buckets of all histograms, in seconds.
+	bucketBounds = []float64{0.0001, 0.0003, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10}
 )
 
 func init() { library.ExposeMetadata(true) }
 
 type (
-	// Counter only rises.
+	// Counter is a count that only rises.
 	Counter = library.Counter
-	// Gauge goes up and down.
+	// Gauge is a value that can rise and fall.
 	Gauge = library.Gauge
 )
 
-// Histogram counts durations, in seconds, by size.
-type Histogram struct{ kept *library.PrometheusHistogram }
+// Histogram counts durations, in seconds, in buckets.
+type Histogram struct{ inner *library.PrometheusHistogram }
 
 // Observe counts one duration.
-func (h Histogram) Observe(length time.Duration) { h.kept.Update(length.Seconds()) }
+func (h Histogram) Observe(duration time.Duration) { h.inner.Update(duration.Seconds()) }
 
-// NewCounter registers a counter without labels. It panics if the name is taken or malformed, so call it at start-up
-// only.
+// NewCounter registers a counter without labels. It panics if the name is taken or malformed, so call it only at start-up.
 func NewCounter(name string) *Counter { return registry.NewCounter(name) }
 
-// NewGauge registers a gauge without labels. It panics if the name is taken or malformed, so call it at start-up
-// only.
+// NewGauge registers a gauge without labels. It panics if the name is taken or malformed, so call it only at start-up.
 func NewGauge(name string) *Gauge { return registry.NewGauge(name, nil) }
 
-// NewHistogram gives the histogram of that name, with buckets from 0.1 ms to 10 s. It panics if the name is
+// NewHistogram returns the histogram of that name, with buckets from 0.1 ms to 10 s, and registers it if needed. It panics if the name is
 // malformed.
 func NewHistogram(name string) Histogram {
-	return Histogram{registry.GetOrCreatePrometheusHistogramExt(name, bounds)}
+	return Histogram{registry.GetOrCreatePrometheusHistogramExt(name, bucketBounds)}
 }
 
+// labelValues holds the values of the labels of a series. Unused ones are empty.
 type labelValues [maxLabels]string
 
-// Vector is the series of one name, told apart by the values of at most three labels.
+// Vector is a family of series of one metric, one for each combination of the values of at most three labels.
 type Vector[T any] struct {
 	name   string
 	labels []string
 	create func(name string) T
-	held   atomic.Pointer[map[labelValues]T]
+	// series is a copy-on-write map, so that With takes no lock.
+	series atomic.Pointer[map[labelValues]T]
 }
 
 func newVector[T any](create func(string) T, name string, labels []string) *Vector[T] {
 	vector := &Vector[T]{name: name, labels: labels, create: create}
-	vector.held.Store(&map[labelValues]T{})
+	vector.series.Store(&map[labelValues]T{})
 	return vector
 }
 
-// NewCounters makes a family of counters told apart by the values of at most three labels.
+// NewCounters creates a family of counters with at most three labels.
 func NewCounters(name string, labels ...string) *Vector[*Counter] {
 	return newVector(registry.GetOrCreateCounter, name, labels)
 }
 
-// NewGauges makes a family of gauges told apart by the values of at most three labels.
+// NewGauges creates a family of gauges with at most three labels.
 func NewGauges(name string, labels ...string) *Vector[*Gauge] {
 	return newVector(func(name string) *Gauge { return registry.GetOrCreateGauge(name, nil) }, name, labels)
 }
 
-// NewHistograms makes a family of histograms told apart by the values of at most three labels.
+// NewHistograms creates a family of histograms with at most three labels.
 func NewHistograms(name string, labels ...string) *Vector[Histogram] {
 	return newVector(NewHistogram, name, labels)
 }
 
-// With gives the series of these values; past a bound of series, all further ones are counted together as "other".
+// With returns the series of these label values. A family has at most maxSeries series. All further values share one with the value
+// "other" in each label.
 func (v *Vector[T]) With(values ...string) T {
 	var key labelValues
 	copy(key[:], values)
-	if metric, isThere := (*v.held.Load())[key]; isThere {
+	if metric, exists := (*v.series.Load())[key]; exists {
 		return metric
 	}
 	return v.add(key)
 }
 
-// add returns the metric of a key, which it creates at first use. Two goroutines may race for it: only one swap
-// succeeds, and the other finds the winner's metric at its next turn. Beyond maxSeries all keys share one.
+// add returns the metric of a key and creates it at first use. If two goroutines add metrics at the same time, only one swap succeeds, and
+// the other goroutine retries with the new map. Beyond maxSeries all keys share one metric.
 func (v *Vector[T]) add(key labelValues) T {
 	for {
-		current := v.held.Load()
-		if len(*current) >= maxSeries {
+		existing := v.series.Load()
+		if len(*existing) >= maxSeries {
 			key = labelValues{"other", "other", "other"}
 		}
-		if metric, isThere := (*current)[key]; isThere {
+		if metric, exists := (*existing)[key]; exists {
 			return metric
 		}
 		metric := v.create(v.seriesName(key))
-		grown := maps.Clone(*current)
+		grown := maps.Clone(*existing)
 		grown[key] = metric
-		if v.held.CompareAndSwap(current, &grown) {
+		if v.series.CompareAndSwap(existing, &grown) {
 			return metric
 		}
 	}
@@ -116,17 +120,18 @@
 
 func (v *Vector[T]) seriesName(key labelValues) string {
 	var pairs []string
-	for place, label := range v.labels {
-		pairs = append(pairs, label+`="`+strings.Map(plain, key[place])+`"`)
+	for index, label := range v.labels {
+		pairs = append(pairs, label+`="`+strings.Map(sanitizeLabelRune, key[index])+`"`)
 	}
 	return v.name + "{" + strings.Join(pairs, ",") + "}"
 }
 
-func plain(sign rune) rune {
-	if sign < ' ' || sign > '~' || sign == '"' || sign == '\\' {
+// sanitizeLabelRune replaces characters that would need escaping in a label value by an underscore.
+func sanitizeLabelRune(char rune) rune {
+	if char < ' ' || char > '~' || char == '"' || char == '\\' {
 		return '_'
 	}
-	return sign
+	return char
 }
 
 // Write writes all metrics of the process in the Prometheus text format.
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -20,9 +20,9 @@
 )
 
 var (
-	letters = metrics.NewCounters("test_letters_total", "kind", "side")
-	crowd   = metrics.NewCounters("test_crowd_total", "name")
-	waits   = metrics.NewHistograms("test_wait_seconds", "kind")
+	messages   = metrics.NewCounters("test_letters_total", "kind", "side")
+	manySeries = metrics.NewCounters("test_crowd_total", "name")
+	waits      = metrics.NewHistograms("test_wait_seconds", "kind")
 )
 
 func page() string {
@@ -38,63 +38,63 @@
 	return len(line), nil
 }
 
-// ringing is a clock that rings when the test says so.
-type ringing struct {
+// manualClock is a clock whose waits end when the test sends to ticks.
+type manualClock struct {
 	clock.Clock
-	rings chan time.Time
+	ticks chan time.Time
 }
 
-func (r ringing) After(time.Duration) <-chan time.Time { return r.rings }
+func (r manualClock) After(time.Duration) <-chan time.Time { return r.ticks }
 
 var _ = Describe("metrics", func() {
-	It("counts by labels, and shows counts and durations in the exposition format", func() {
-		letters.With("a", "sent").Inc()
-		letters.With("a", "sent").Add(4)
-		letters.With("b\"\n", "sent").Inc()
+	It("counts by labels, and writes counters and histograms in the Prometheus text format", func() {
+		messages.With("a", "sent").Inc()
+		messages.With("a", "sent").Add(4)
+		messages.With("b\"\n", "sent").Inc()
 		waits.With("a").Observe(20 * time.Millisecond)
-		own := metrics.Own()
-		Expect(own).To(HaveKeyWithValue(`test_letters_total{kind="a",side="sent"}`, 5.0))
-		Expect(own).To(HaveKeyWithValue(`test_letters_total{kind="b__",side="sent"}`, 1.0))
-		Expect(own).To(HaveKeyWithValue(`test_wait_seconds_count{kind="a"}`, 1.0))
-		Expect(own).To(HaveKeyWithValue(`test_wait_seconds_bucket{kind="a",le="0.03"}`, 1.0))
-		Expect(own).NotTo(HaveKey(`test_wait_seconds_bucket{kind="a",le="0.01"}`))
-		Expect(own["process_cpu_seconds_total"]).To(BeNumerically(">", 0))
-		Expect(own["go_goroutines"]).To(BeNumerically(">", 0))
+		samples := metrics.Own()
+		Expect(samples).To(HaveKeyWithValue(`test_letters_total{kind="a",side="sent"}`, 5.0))
+		Expect(samples).To(HaveKeyWithValue(`test_letters_total{kind="b__",side="sent"}`, 1.0))
+		Expect(samples).To(HaveKeyWithValue(`test_wait_seconds_count{kind="a"}`, 1.0))
+		Expect(samples).To(HaveKeyWithValue(`test_wait_seconds_bucket{kind="a",le="0.03"}`, 1.0))
+		Expect(samples).NotTo(HaveKey(`test_wait_seconds_bucket{kind="a",le="0.01"}`))
+		Expect(samples["process_cpu_seconds_total"]).To(BeNumerically(">", 0))
+		Expect(samples["go_goroutines"]).To(BeNumerically(">", 0))
 		Expect(page()).To(ContainSubstring("# TYPE test_letters_total counter\n"))
 		for _, line := range strings.Split(strings.TrimSpace(page()), "\n") {
 			Expect(line).To(MatchRegexp(`^(# (HELP|TYPE) .*|[a-z_]+(\{[a-z]+="[^"]*"(,[a-z]+="[^"]*")*\})? [0-9.e+-]+)$`))
 		}
 	})
 
-	It("holds no more series of a name than its bound, and counts the rest together", func() {
+	It("counts label values beyond the maximum of 256 series as other", func() {
 		for number := range 400 {
-			crowd.With(strconv.Itoa(number)).Inc()
+			manySeries.With(strconv.Itoa(number)).Inc()
 		}
-		own := metrics.Own()
+		samples := metrics.Own()
 		var series int
 		var sum float64
-		for name, value := range own {
+		for name, value := range samples {
 			if strings.HasPrefix(name, "test_crowd_total") {
 				series, sum = series+1, sum+value
 			}
 		}
 		Expect(series).To(Equal(257))
 		Expect(sum).To(Equal(400.0))
-		Expect(own).To(HaveKeyWithValue(`test_crowd_total{name="other"}`, 144.0))
+		Expect(samples).To(HaveKeyWithValue(`test_crowd_total{name="other"}`, 144.0))
 	})
 
-	It("logs what was counted, without the zeros, as short lines of JSON at each interval", func() {
-		letters.With("logged", "sent").Inc()
-		letters.With("never", "sent")
+	It("logs metrics at each interval in JSON lines of at most 50, without zeros and buckets", func() {
+		messages.With("logged", "sent").Inc()
+		messages.With("never", "sent")
 		for number := range 60 {
-			letters.With(strconv.Itoa(number), "logged").Inc()
+			messages.With(strconv.Itoa(number), "logged").Inc()
 		}
 		waits.With("logged").Observe(20 * time.Millisecond)
-		ctx, end := context.WithCancel(context.Background())
-		lines, over := make(lineWriter, 100), make(chan error)
-		ring := ringing{clock.System(), make(chan time.Time, 1)}
-		ring.rings <- time.Time{}
-		go func() { over <- metrics.Logging(logging.New(lines, 0), ring, time.Second)(ctx) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		lines, done := make(lineWriter, 100), make(chan error)
+		ticker := manualClock{clock.System(), make(chan time.Time, 1)}
+		ticker.ticks <- time.Time{}
+		go func() { done <- metrics.Logging(logging.New(lines, 0), ticker, time.Second)(ctx) }()
 		all := metrics.Samples{}
 		for len(all) == 0 || all["test_wait_seconds_count{kind=\"logged\"}"] == 0 {
 			var line struct {
@@ -108,25 +108,25 @@
 			Expect(len(line.Metrics)).To(BeNumerically("<=", 50))
 			all.Add(line.Metrics)
 		}
-		end()
-		Expect(<-over).To(Succeed())
+		cancel()
+		Expect(<-done).To(Succeed())
 		Expect(all).To(HaveKeyWithValue(`test_letters_total{kind="logged",side="sent"}`, 1.0))
 		Expect(all).NotTo(HaveKey(`test_letters_total{kind="never",side="sent"}`))
 		Expect(all).NotTo(HaveKey(`test_wait_seconds_bucket{kind="logged",le="0.03"}`))
 	})
 
-	DescribeTable("says which line of a page it can't read", func(text, where string) {
+	DescribeTable("names the malformed line of a page", func(text, line string) {
 		_, err := metrics.Parse(strings.NewReader(text))
-		Expect(err).To(MatchError(ContainSubstring(where)))
+		Expect(err).To(MatchError(ContainSubstring(line)))
 	},
-		Entry("no value", "# TYPE a counter\na 1\nb\n", "line 3"),
-		Entry("a value that is none", "a 1\nb{c=\"d\"} many\n", "line 2"),
+		Entry("a line without a value", "# TYPE a counter\na 1\nb\n", "line 3"),
+		Entry("a value that is not a number", "a 1\nb{c=\"d\"} many\n", "line 2"),
 	)
 
-	It("fetches the page of another process, and tells an address that has none", func() {
+	It("fetches the page of another process, and returns an error for an address without one", func() {
 		mux := http.NewServeMux()
 		metrics.Handle(mux)
-		letters.With("fetched", "sent").Inc()
+		messages.With("fetched", "sent").Inc()
 		server, other := httptest.NewServer(mux), httptest.NewServer(http.NotFoundHandler())
 		defer server.Close()
 		defer other.Close()
@@ -140,7 +140,7 @@
 
 func BenchmarkCounting(b *testing.B) {
 	for b.Loop() {
-		letters.With("a", "sent").Inc()
+		messages.With("a", "sent").Inc()
 	}
 }
 
--- a/internal/platform/metrics/samples.go
+++ b/internal/platform/metrics/samples.go
@@ -13,53 +13,54 @@
 	"github.com/juju/errors"
 )
 
+// maxPageBytes is how much of a metrics page is read.
 const maxPageBytes = 4 << 20
 
-// Samples are the values of one process, by series.
+// Samples holds the metric values of one process by series, that is by name and labels as written on the page.
 type Samples map[string]float64
 
-// Parse reads the exposition format; it says which line it can't read.
+// Parse parses a metrics page in the Prometheus text format. An error names the malformed line.
 func Parse(body io.Reader) (Samples, error) {
-	all := Samples{}
+	samples := Samples{}
 	lines := bufio.NewScanner(body)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || line[0] == '#' {
 			continue
 		}
-		place := strings.LastIndexByte(line, ' ')
-		if place < 1 {
-			return nil, errors.Errorf("line %d is no metric: %q", number, line)
+		separator := strings.LastIndexByte(line, ' ')
+		if separator < 1 {
+			return nil, errors.Errorf("line %d of the metrics page has no metric: %q", number, line)
 		}
-		value, err := strconv.ParseFloat(line[place+1:], 64)
+		value, err := strconv.ParseFloat(line[separator+1:], 64)
 		if err != nil {
-			return nil, errors.Errorf("line %d has no value: %q", number, line)
+			return nil, errors.Errorf("line %d of the metrics page has no numeric value: %q", number, line)
 		}
-		all[strings.TrimSpace(line[:place])] = value
+		samples[strings.TrimSpace(line[:separator])] = value
 	}
-	return all, errors.Annotate(lines.Err(), "reading metrics")
+	return samples, errors.Annotate(lines.Err(), "reading the metrics page")
 }
 
-// Own gives what this process counted so far, without the zeros.
+// Own returns the metrics of this process that are not zero.
 func Own() Samples {
 	var body bytes.Buffer
 	Write(&body)
-	all, err := Parse(&body)
+	samples, err := Parse(&body)
 	if err != nil {
 		return Samples{}
 	}
-	for name, value := range all {
+	for name, value := range samples {
 		if value == 0 {
-			delete(all, name)
+			delete(samples, name)
 		}
 	}
-	return all
+	return samples
 }
 
-// Fetch asks the process at an internal address.
-func Fetch(client *http.Client, address string, limit time.Duration) (Samples, error) {
-	ctx, release := context.WithTimeout(context.Background(), limit)
-	defer release()
+// Fetch requests the metrics page of the process at an internal address.
+func Fetch(client *http.Client, address string, timeout time.Duration) (Samples, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
 		return nil, errors.Annotatef(err, "metrics of %s", address)
@@ -72,6 +73,6 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("metrics of %s: status %d; is that a process's internal address?", address, response.StatusCode)
 	}
-	all, err := Parse(io.LimitReader(response.Body, maxPageBytes))
-	return all, errors.Annotatef(err, "metrics of %s", address)
+	samples, err := Parse(io.LimitReader(response.Body, maxPageBytes))
+	return samples, errors.Annotatef(err, "metrics of %s", address)
 }
--- a/internal/platform/metrics/table.go
+++ b/internal/platform/metrics/table.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 )
 
-// Column is the samples of one process, or the sums over several.
+// Column holds the samples of one process, or the sums of several, under a heading.
 type Column struct {
 	Name    string
 	Samples Samples
@@ -24,71 +24,71 @@
 	}
 }
 
-// Table shows columns side by side, with their sum.
+// Table shows the samples of several columns side by side, with their sum.
 type Table struct {
 	columns []Column
 	sum     Samples
 	names   []string
 }
 
-// NewTable keeps the series whose names hold the text.
-func NewTable(columns []Column, match string) Table {
+// NewTable creates a table of the series whose names contain a text.
+func NewTable(columns []Column, substring string) Table {
 	table := Table{columns: columns, sum: Samples{}}
 	for _, column := range columns {
 		table.sum.Add(column.Samples)
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.sum)) {
-		if strings.Contains(name, match) {
+		if strings.Contains(name, substring) {
 			table.names = append(table.names, name)
 		}
 	}
 	return table
 }
 
-// Write writes the table as text with a column for each process, or as JSON.
-func (t Table) Write(to io.Writer, isJSON bool) error {
+// Write writes the table as JSON or as text, with a row for each series and a column for each process.
+func (t Table) Write(output io.Writer, isJSON bool) error {
 	if isJSON {
-		return t.writeJSON(to)
+		return t.writeJSON(output)
 	}
-	lines := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprint(lines, "metric")
+	writer := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
+	fmt.Fprint(writer, "metric")
 	for _, column := range t.columns {
-		fmt.Fprint(lines, "\t", column.Name)
+		fmt.Fprint(writer, "\t", column.Name)
 	}
-	fmt.Fprintln(lines, "\tsum")
+	fmt.Fprintln(writer, "\tsum")
 	for _, name := range t.names {
-		fmt.Fprint(lines, name)
+		fmt.Fprint(writer, name)
 		for _, column := range t.columns {
-			fmt.Fprint(lines, "\t", cell(column.Samples, name))
+			fmt.Fprint(writer, "\t", formatCell(column.Samples, name))
 		}
-		fmt.Fprintln(lines, "\t"+cell(t.sum, name))
+		fmt.Fprintln(writer, "\t"+formatCell(t.sum, name))
 	}
-	return lines.Flush()
+	return writer.Flush()
 }
 
-func cell(samples Samples, name string) string {
-	value, isThere := samples[name]
-	if !isThere {
+func formatCell(samples Samples, name string) string {
+	value, exists := samples[name]
+	if !exists {
 		return "-"
 	}
 	return strconv.FormatFloat(value, 'f', -1, 64)
 }
 
-func (t Table) writeJSON(to io.Writer) error {
-	type shown struct {
+func (t Table) writeJSON(output io.Writer) error {
+	type jsonMetric struct {
 		Metric string             `json:"metric"`
 		Values map[string]float64 `json:"values"`
 		Sum    float64            `json:"sum"`
 	}
-	all := []shown{}
+	all := []jsonMetric{}
 	for _, name := range t.names {
-		metric := shown{Metric: name, Values: map[string]float64{}, Sum: t.sum[name]}
+		metric := jsonMetric{Metric: name, Values: map[string]float64{}, Sum: t.sum[name]}
 		for _, column := range t.columns {
-			if value, isThere := column.Samples[name]; isThere {
+			if value, exists := column.Samples[name]; exists {
 				metric.Values[column.Name] = value
 			}
 		}
 		all = append(all, metric)
 	}
-	return json.NewEncoder(to).Encode(map[string]any{"metrics": all})
+	return json.NewEncoder(output).Encode(map[string]any{"metrics": all})
 }
--- a/internal/platform/response/response.go
+++ b/internal/platform/response/response.go
@@ -1,4 +1,4 @@
-// Package response builds and writes the answers of the project's HTTP interfaces.
+// Package response builds and writes the responses of gannetline's HTTP interfaces.
 package response
 
 import (
@@ -12,64 +12,65 @@
 	"gannetline/internal/platform/logging"
 )
 
-// A final answer has a status of three digits; those below 200 are interim and can't end an answer.
+// A final response has a three-digit status of 200 or above. A status below 200 is interim and can't end a response.
 const (
 	minFinalStatus = 200
 	maxFinalStatus = 999
 )
 
-// processLog takes the errors of Write; the daemons log to standard error.
+// processLog is the logger of Write. Daemons log to standard error.
 var processLog = logging.New(os.Stderr, 0)
 
-// Reply is one answer to an HTTP request. The zero value is no answer: decoders return it where nothing is refused.
+// Reply is the response to an HTTP request. The zero value means that there is no response yet. Decoders return it for a request that they
+// don't refuse.
 type Reply struct {
-	// Status is the HTTP status code; 0 is no answer.
+	// Status is the HTTP status code. 0 means that there is no response yet.
 	Status int
-	// Body is the JSON text of the answer; empty is an answer without a body.
+	// Body is the JSON text of the response. It is empty for a response without a body.
 	Body []byte
-	// RetryAfter is the header of that name, in seconds; 0 leaves it out.
+	// RetryAfter is the header Retry-After, in seconds. The header is left out if it is 0.
 	RetryAfter int
-	// Challenge is the header WWW-Authenticate, which goes with 401; empty leaves it out.
+	// Challenge is the header WWW-Authenticate of a 401 response. The header is left out if it is empty.
 	Challenge string
 }
 
-// Empty is an answer without a body.
+// Empty returns a response without a body.
 func Empty(status int) Reply { return Reply{Status: status} }
 
-// Text is an answer whose body names the reason in the field `error-text`.
-func Text(status int, why string) Reply {
-	body, err := json.Marshal(map[string]string{"error-text": why})
+// Text returns a response whose body holds a reason in the field `error-text`.
+func Text(status int, reason string) Reply {
+	body, err := json.Marshal(map[string]string{"error-text": reason})
 	if err != nil {
 		return Reply{Status: status}
 	}
 	return Reply{Status: status, Body: body}
 }
 
-// Unauthorized is the answer to a caller without a known key.
-func Unauthorized(why string) Reply {
-	answer := Text(http.StatusUnauthorized, why)
-	answer.Challenge = "Bearer"
-	return answer
+// Unauthorized returns the 401 response to a caller without a known key.
+func Unauthorized(reason string) Reply {
+	reply := Text(http.StatusUnauthorized, reason)
+	reply.Challenge = "Bearer"
+	return reply
 }
 
-// Raw is an answer whose body is JSON text already.
+// Raw returns a response with a body that is JSON text already.
 func Raw(status int, body []byte) Reply { return Reply{Status: status, Body: body} }
 
-// Later is an answer with a reason that asks the caller to try again after so many seconds.
-func Later(status int, seconds int, why string) Reply {
-	answer := Text(status, why)
-	answer.RetryAfter = seconds
-	return answer
+// Later returns a response with a reason that asks the caller to retry after a number of seconds.
+func Later(status int, seconds int, reason string) Reply {
+	reply := Text(status, reason)
+	reply.RetryAfter = seconds
+	return reply
 }
 
-// Write sends the answer. One without a final status is a fault of this process: it is logged to standard error,
-// and the caller gets 502.
+// Write sends the response. A response without a final status is a bug in this process. Write logs it to standard error and sends a 502
+// instead.
 func (r Reply) Write(to http.ResponseWriter) { r.WriteLogged(to, processLog) }
 
-// WriteLogged is Write with a logger for the fault of an answer without a final status.
+// WriteLogged sends the response like Write, but logs a status that is not final to the given logger.
 func (r Reply) WriteLogged(to http.ResponseWriter, log logging.Logger) {
 	if r.Status < minFinalStatus || r.Status > maxFinalStatus {
-		err := errors.Errorf("an answer has the status %d, which is not a final one", r.Status)
+		err := errors.Errorf("an HTTP response has status %d, which is not a final one", r.Status)
 		log.Error(err, "response not written", "status", r.Status, "body_bytes", len(r.Body))
 		r = Text(http.StatusBadGateway, "no answer with a status came")
 	}
--- a/internal/platform/response/response_test.go
+++ b/internal/platform/response/response_test.go
@@ -12,8 +12,8 @@
 	"gannetline/internal/platform/response"
 )
 
-var _ = Describe("an answer", func() {
-	It("is written with its status, body and header", func() {
+var _ = Describe("Reply", func() {
+	It("is written with its status, body and headers", func() {
 		to := httptest.NewRecorder()
 		response.Later(http.StatusServiceUnavailable, 3, "busy").Write(to)
 		Expect(to.Code).To(Equal(http.StatusServiceUnavailable))
@@ -21,32 +21,32 @@
 		Expect(to.Body.String()).To(Equal(`{"error-text":"busy"}`))
 	})
 
-	It("without a status is written as a bad gateway, and ends no handler", func() {
+	It("is written as 502, without a panic, if it has no status", func() {
 		recorder := httptest.NewRecorder()
 		response.Raw(0, nil).Write(recorder)
 		Expect(recorder.Code).To(Equal(502))
 		Expect(recorder.Body.String()).To(ContainSubstring("no answer"))
 	})
 
-	DescribeTable("without a final status becomes 502 with a logged error", func(status int) {
+	DescribeTable("is written as 502 and logged as an error if its status is not final", func(status int) {
 		to, lines := httptest.NewRecorder(), &bytes.Buffer{}
 		response.Raw(status, []byte(`{"config-version":7}`)).WriteLogged(to, logging.New(lines, 0))
 		Expect(to.Code).To(Equal(http.StatusBadGateway))
 		Expect(to.Body.String()).NotTo(ContainSubstring("config-version"))
 		Expect(to.Body.String()).To(ContainSubstring("error-text"))
 		Expect(lines.String()).To(ContainSubstring("is not a final one"))
-	}, Entry("none", 0), Entry("negative", -1), Entry("interim", 100), Entry("interim, the last", 199), Entry("too large", 1000))
+	}, Entry("no status", 0), Entry("a negative status", -1), Entry("an interim status", 100), Entry("the last interim status", 199), Entry("a status of four digits", 1000))
 
-	It("without a status reaches the caller of a real server, and the connection lives on", func() {
+	It("reaches the client of a real server if it has no status, also at the next call", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 			response.Reply{}.WriteLogged(to, logging.Silent())
 		}))
 		defer server.Close()
 		for range 2 {
-			answer, err := http.Get(server.URL)
+			reply, err := http.Get(server.URL)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
-			Expect(answer.Body.Close()).To(Succeed())
+			Expect(reply.StatusCode).To(Equal(http.StatusBadGateway))
+			Expect(reply.Body.Close()).To(Succeed())
 		}
 	})
 })
--- a/internal/platform/stallwatch/stallwatch.go
+++ b/internal/platform/stallwatch/stallwatch.go
@@ -1,5 +1,5 @@
-// Package stallwatch notices that the process stood still: it was frozen, or was not given a processor for long. What it then finds in
-// its sockets may have waited there while its callers went elsewhere.
+// Package stallwatch detects that the process was suspended or got no CPU time for a while. Calls that it reads from its sockets after such
+// a stall may be stale, because their callers have sent them to another process meanwhile.
 package stallwatch
 
 import (
@@ -11,27 +11,27 @@
 )
 
 const (
-	// interval lies between two checks of the clock.
-	interval = 100 * time.Millisecond
-	// stallLength is the pause between two checks from which on the process counts as having stood still. It is shorter than the silence
-	// after which callers turn to another process.
-	stallLength = 500 * time.Millisecond
-	// suspicion is for how long after a stall a call may be one that has waited.
-	suspicion = 300 * time.Millisecond
+	// checkInterval is the time between two checks of the clock.
+	checkInterval = 100 * time.Millisecond
+	// stallThreshold is the time between two checks from which on the process counts as stalled. It is shorter than the timeout after which
+	// callers retry at another process.
+	stallThreshold = 500 * time.Millisecond
+	// suspicionPeriod is the time after a stall during which a call that is read may have waited in a socket.
+	suspicionPeriod = 300 * time.Millisecond
 )
 
-// Watch checks the clock again and again. The times are on the monotonic clock, in nanoseconds.
+// Watch checks the monotonic clock at regular intervals and records stalls. Its times are in nanoseconds.
 type Watch struct {
 	clock     clock.Clock
 	lastCheck atomic.Int64
-	stalledAt atomic.Int64
+	lastStall atomic.Int64
 }
 
-// New makes a watch that suspects nothing before its first stall.
+// New creates a watch that has seen no stall yet.
 func New(clock clock.Clock) *Watch {
 	watch := &Watch{clock: clock}
 	watch.lastCheck.Store(int64(clock.Monotonic()))
-	watch.stalledAt.Store(int64(clock.Monotonic() - suspicion))
+	watch.lastStall.Store(int64(clock.Monotonic() - suspicionPeriod))
 	return watch
 }
 
@@ -41,24 +41,24 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.clock.After(interval):
+		case <-w.clock.After(checkInterval):
 			w.check()
 		}
 	}
 }
 
-// check notes a stall if the check before is long ago.
+// check records a stall if the last check is at least stallThreshold ago.
 func (w *Watch) check() {
 	now := w.clock.Monotonic()
-	if now-time.Duration(w.lastCheck.Load()) >= stallLength {
-		w.stalledAt.Store(int64(now))
+	if now-time.Duration(w.lastCheck.Load()) >= stallThreshold {
+		w.lastStall.Store(int64(now))
 	}
 	w.lastCheck.Store(int64(now))
 }
 
-// MayHaveWaited tells whether a call that is read now may have waited while the process stood still. Any goroutine may ask; one that runs
-// before the watch does after a stall finds the last check long ago.
+// MayHaveWaited reports whether a call that is read now may have waited in a socket during a stall. Any goroutine may call it. It also
+// detects a stall whose end is not recorded yet, because a caller may run before the next check.
 func (w *Watch) MayHaveWaited() bool {
 	now := w.clock.Monotonic()
-	return now-time.Duration(w.lastCheck.Load()) >= stallLength || now-time.Duration(w.stalledAt.Load()) < suspicion
+	return now-time.Duration(w.lastCheck.Load()) >= stallThreshold || now-time.Duration(w.lastStall.Load()) < suspicionPeriod
 }
--- a/internal/platform/stallwatch/stallwatch_test.go
+++ b/internal/platform/stallwatch/stallwatch_test.go
@@ -15,13 +15,13 @@
 	RunSpecs(t, "stallwatch")
 }
 
-var _ = Describe("a stall watch", func() {
-	It("suspects calls right after a stall, whoever runs first, and no others", func() {
+var _ = Describe("Watch", func() {
+	It("suspects calls for a while after a stall, before and after the next check, and no others", func() {
 		now := clock.NewFake(0)
 		watch := New(now)
 		Expect(watch.MayHaveWaited()).To(BeFalse())
 		for range 20 {
-			now.Advance(interval)
+			now.Advance(checkInterval)
 			watch.check()
 			Expect(watch.MayHaveWaited()).To(BeFalse())
 		}
@@ -29,8 +29,8 @@
 		Expect(watch.MayHaveWaited()).To(BeTrue())
 		watch.check()
 		Expect(watch.MayHaveWaited()).To(BeTrue())
-		for range suspicion / interval {
-			now.Advance(interval)
+		for range suspicionPeriod / checkInterval {
+			now.Advance(checkInterval)
 			watch.check()
 		}
 		Expect(watch.MayHaveWaited()).To(BeFalse())
--- a/internal/platform/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -1,4 +1,4 @@
-// Package supervise runs a tree of long-lived parts and starts again those that fail.
+// Package supervise runs the long-lived parts of a process side by side and restarts those that fail.
 package supervise
 
 import (
@@ -14,51 +14,54 @@
 	"gannetline/internal/platform/logging"
 )
 
-// Part is one long-lived activity. It returns nil when it is done or ctx is done, and an error if it failed.
+// Part runs one long-lived part of a process. It returns nil when its work or ctx is done, and an error if it fails.
 type Part func(ctx context.Context) error
 
-// Tree runs parts side by side and starts each again that fails or panics, until one fails too often.
+// Tree runs parts side by side and restarts each one that fails or panics, until one fails too often.
 type Tree struct {
-	clock       clock.Clock
-	log         logging.Logger
+	clock clock.Clock
+	log   logging.Logger
+	// maxFailures is the number of failures of a part that are tolerated within a window.
 	maxFailures int
-	within      time.Duration
-	pause       time.Duration
-	parts       []named
+	window      time.Duration
+	// restartPause is the time from a failure until the restart.
+	restartPause time.Duration
+	parts        []namedPart
 }
 
-type named struct {
+// namedPart is a part with its name for the log.
+type namedPart struct {
 	name string
 	part Part
 }
 
-// Option changes how a tree is made.
+// Option configures a tree.
 type Option func(*Tree)
 
-// WithLimit ends the tree once a part failed more often than that within the time.
-func WithLimit(maxFailures int, within time.Duration) Option {
-	return func(t *Tree) { t.maxFailures, t.within = maxFailures, within }
+// WithLimit ends the tree once a part has failed more than maxFailures times within a time window.
+func WithLimit(maxFailures int, window time.Duration) Option {
+	return func(t *Tree) { t.maxFailures, t.window = maxFailures, window }
 }
 
-// New makes an empty tree. Without options a part may fail five times a minute and starts again after 100 ms.
+// New creates an empty tree. By default a part may fail five times a minute and is restarted after 100 ms.
 func New(clock clock.Clock, log logging.Logger, options ...Option) *Tree {
-	tree := &Tree{clock: clock, log: log, maxFailures: 5, within: time.Minute, pause: 100 * time.Millisecond}
+	tree := &Tree{clock: clock, log: log, maxFailures: 5, window: time.Minute, restartPause: 100 * time.Millisecond}
 	for _, option := range options {
 		option(tree)
 	}
 	return tree
 }
 
-// Add adds a part under a name for the log; call it before Run.
-func (t *Tree) Add(name string, part Part) { t.parts = append(t.parts, named{name, part}) }
+// Add adds a part under a name for the log. It must be called before Run.
+func (t *Tree) Add(name string, part Part) { t.parts = append(t.parts, namedPart{name, part}) }
 
-// Run returns once ctx is done, or with the error of a part that failed too often.
+// Run runs all parts until each has returned nil or ctx is done. If a part fails too often, Run cancels the others and returns its error.
 func (t *Tree) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan error, len(t.parts))
 	for _, part := range t.parts {
-		go func() { results <- t.keep(ctx, part) }()
+		go func() { results <- t.runWithRestarts(ctx, part) }()
 	}
 	for range t.parts {
 		if err := <-results; err != nil {
@@ -68,12 +71,12 @@
 	return nil
 }
 
-// keep runs a part and starts it again after a pause when it fails. It gives up, and with it the tree, when the part
-// failed more than maxFailures times within a while.
-func (t *Tree) keep(ctx context.Context, part named) error {
+// runWithRestarts runs a part and restarts it after a pause when it fails. It returns an error, which ends the tree, once the part has
+// failed more than maxFailures times within the window.
+func (t *Tree) runWithRestarts(ctx context.Context, part namedPart) error {
 	var failures []time.Duration
 	for {
-		err := guarded(ctx, part.part)
+		err := runRecovered(ctx, part.part)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -82,7 +85,7 @@
 		}
 		now := t.clock.Monotonic()
 		failures = append(failures, now)
-		for len(failures) > 0 && now-failures[0] > t.within {
+		for len(failures) > 0 && now-failures[0] > t.window {
 			failures = failures[1:]
 		}
 		t.log.Error(err, "part failed", "part", part.name, "times", len(failures))
@@ -92,21 +95,23 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.clock.After(t.pause):
+		case <-t.clock.After(t.restartPause):
 		}
 	}
 }
 
-func guarded(ctx context.Context, part Part) (err error) {
+// runRecovered runs a part and turns a panic into an error with the stack.
+func runRecovered(ctx context.Context, part Part) (err error) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			err = errors.Errorf("panic: %v\n%s", cause, debug.Stack())
+		if panicValue := recover(); panicValue != nil {
+			err = errors.Errorf("panic: %v\n%s", panicValue, debug.Stack())
 		}
 	}()
 	return part(ctx)
 }
 
-// UntilSignal gives a context that is cancelled by SIGTERM or SIGINT, or by the function, which must be called in the end.
+// UntilSignal returns a context that is cancelled by SIGTERM, SIGINT or the returned function. The function must be called to release the
+// signal handler.
 func UntilSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
--- a/internal/platform/supervise/supervise_test.go
+++ b/internal/platform/supervise/supervise_test.go
@@ -12,22 +12,23 @@
 	"gannetline/internal/platform/supervise"
 )
 
-type hasty struct{}
+// instantClock is a clock that stands still and ends every wait at once.
+type instantClock struct{}
 
-func (hasty) Monotonic() time.Duration { return 0 }
-func (hasty) WallMs() int64            { return 0 }
-func (hasty) After(time.Duration) <-chan time.Time {
-	ring := make(chan time.Time, 1)
-	ring <- time.Time{}
-	return ring
+func (instantClock) Monotonic() time.Duration { return 0 }
+func (instantClock) WallMs() int64            { return 0 }
+func (instantClock) After(time.Duration) <-chan time.Time {
+	done := make(chan time.Time, 1)
+	done <- time.Time{}
+	return done
 }
 
-var _ = Describe("the tree", func() {
-	It("starts a part again that failed or panicked", func() {
-		tree, times := supervise.New(hasty{}, logging.Silent()), 0
+var _ = Describe("Tree", func() {
+	It("restarts a part that fails or panics", func() {
+		tree, starts := supervise.New(instantClock{}, logging.Silent()), 0
 		tree.Add("part", func(context.Context) error {
-			times++
-			switch times {
+			starts++
+			switch starts {
 			case 1:
 				panic("first")
 			case 2:
@@ -36,11 +37,11 @@
 			return nil
 		})
 		Expect(tree.Run(context.Background())).To(Succeed())
-		Expect(times).To(Equal(3))
+		Expect(starts).To(Equal(3))
 	})
 
-	It("ends with the error of a part that fails too often", func() {
-		tree := supervise.New(hasty{}, logging.Silent(), supervise.WithLimit(2, time.Minute))
+	It("returns the error of a part that fails too often", func() {
+		tree := supervise.New(instantClock{}, logging.Silent(), supervise.WithLimit(2, time.Minute))
 		tree.Add("part", func(context.Context) error { return errors.New("always") })
 		tree.Add("other", func(ctx context.Context) error { <-ctx.Done(); return nil })
 		Expect(tree.Run(context.Background())).To(MatchError(ContainSubstring("always")))
