--- a/internal/platform/headers/headers.go
+++ b/internal/platform/headers/headers.go
@@ -31,7 +31,7 @@
 const (
 	// NotExecuted marks the response to a request that was not executed and never will be.
 	NotExecuted = "X-Not-Executed"
-	// ExecutorLoad is the number of requests that the executor holds.
+	// ExecutorLoad is the load of the executor: its running requests, waiting requests and slots, separated by commas.
 	ExecutorLoad = "X-Executor-Load"
 )
 
--- a/internal/platform/settings/golden_test.go
+++ b/internal/platform/settings/golden_test.go
@@ -8,6 +8,6 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-var _ = It("keeps the names of the fields of a settings file", func() {
+var _ = It("has the field names of a settings file that the golden file lists", func() {
 	Expect(golden.CheckText("testdata/fields.txt", golden.Fields(settings.Settings{}, "yaml"))).To(Succeed())
 })
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings reads and validates the settings file of a process.
 package settings
 
 import (
@@ -19,13 +19,14 @@
 const PathVariable = "GANNETLINE_BOOT"
 
 const (
+	// minMetricsLogS and maxMetricsLogS bound the interval of the metrics log, in seconds.
 	minMetricsLogS = 1
 	maxMetricsLogS = 86400
 	maxPort        = 65535
 )
 
-// Limits are what the process may use of its machine. CPUFraction is the share of a core, CoreCount the speed of
-// that core as a multiple; sizes are in MB.
+// Limits holds the resources of the machine that the process may use. CPUFraction is its share of a core. CoreCount is the speed of that
+// core as a multiple. Sizes are in MB.
 type Limits struct {
 	CPUFraction     float64 `yaml:"cpu-fraction"`
 	CoreCount       int     `yaml:"core-count"`
@@ -34,26 +35,26 @@
 	DiskMB          int64   `yaml:"disk-mb"`
 }
 
-// Listen holds the addresses, IP:PORT, that the process serves; those that its role does not need are empty.
+// Listen holds the addresses, as IP:PORT, at which the process serves. Addresses that its role doesn't need are empty.
 type Listen struct {
 	Front     string `yaml:"front-plain"`
 	Readiness string `yaml:"readiness"`
 	Control   string `yaml:"control-plane"`
 }
 
-// FaultTolerance says what may be lost at once with all promises kept.
+// FaultTolerance holds the number of machines that may fail at once while all guarantees still hold.
 type FaultTolerance struct {
 	MachineLosses int `yaml:"machine-losses"`
 }
 
-// PlatformAPI is where the platform lists the executors, IP:PORT, and how many calls a second it takes from all processes together.
-// The address is empty where the system keeps its own list.
+// PlatformAPI configures the API through which the platform lists the executors. Address is its IP:PORT. It is empty if the system keeps its
+// own list. RatePerS is the number of calls per second that the API accepts from all processes together.
 type PlatformAPI struct {
 	Address  string  `yaml:"address"`
 	RatePerS float64 `yaml:"rate-per-s"`
 }
 
-// UnmarshalYAML takes a field that is no mapping for one that is left out, as deployments without the platform may have it empty.
+// UnmarshalYAML ignores a value that is not a mapping, because deployments without the platform may leave the field empty.
 func (p *PlatformAPI) UnmarshalYAML(node *yaml.Node) error {
 	type fields PlatformAPI
 	if node.Kind != yaml.MappingNode {
@@ -62,63 +63,67 @@
 	return node.Decode((*fields)(p))
 }
 
-// The parts of the rules that decide what gates and stewards serve.
+// The contracts that decide what gates and stewards serve.
 const (
-	// ContractJobs has gates take jobs, also where they pass requests on.
+	// ContractJobs makes gates accept jobs, also if they forward requests.
 	ContractJobs = "sched"
-	// ContractStreams has gates pass requests on to executors.
+	// ContractStreams makes gates forward requests to executors.
 	ContractStreams = "stream"
-	// ContractLots has gates take lots of requests that are run later.
+	// ContractLots makes gates accept lots, which are batches of requests that run later.
 	ContractLots = "batch"
-	// ContractCoordination has stewards keep locks, numbers and cells of applications.
+	// ContractCoordination makes stewards serve locks, numbers and cells for applications.
 	ContractCoordination = "coord"
 )
 
-// Settings is the settings file of a process. Fields that it does not know are ignored, and missing bounds get
-// defaults.
+// Settings holds the settings file of a process. Unknown fields of the file are ignored, and missing bounds get defaults.
 type Settings struct {
-	// NodeName names the process among all others of the system.
+	// NodeName is unique among all processes of the system.
 	NodeName     string   `yaml:"node-name"`
 	NodeRole     string   `yaml:"node-role"`
 	MachineClass string   `yaml:"machine-class"`
 	ServedRoles  []string `yaml:"served-roles"`
 	IPAddress    string   `yaml:"ip-address"`
-	Domain       string   `yaml:"zone"`
-	Region       string   `yaml:"region"`
+	// Domain is the zone of this machine.
+	Domain string `yaml:"zone"`
+	Region string `yaml:"region"`
 	// Domains maps each zone to its region.
 	Domains map[string]string `yaml:"zones"`
 	Listen  Listen            `yaml:"listen-addresses"`
-	// InternalPorts is the first and the last port that processes may use among themselves.
+	// InternalPorts holds the first and the last port of the range for calls between processes.
 	InternalPorts []int `yaml:"internal-port-range"`
-	// Seeds are control-plane addresses of other machines; some of them may be down or gone.
+	// Seeds holds control-plane addresses of other machines. Some of them may be down or removed.
 	Seeds []string `yaml:"seed-nodes"`
 	// InitialStart is true only when the whole system starts for the first time, with empty disks.
 	InitialStart bool `yaml:"initial-start"`
-	// LossCounted says that this machine counts towards FaultTolerance while it is lost.
+	// LossCounted is true if this machine counts towards FaultTolerance while it is lost.
 	LossCounted bool   `yaml:"loss-counted"`
 	Limits      Limits `yaml:"limits"`
-	// DataDirectory is the only folder that outlives the process; empty on machines without a disk.
+	// DataDirectory is the only folder that is kept when the process ends. It is empty on machines without a disk.
 	DataDirectory  string         `yaml:"data-directory"`
 	HeartbeatMs    int64          `yaml:"heartbeat-interval-ms"`
 	FaultTolerance FaultTolerance `yaml:"fault-tolerance"`
 	Bounds         Bounds         `yaml:"protocol-bounds"`
-	// Contracts names the parts of the rules that are in force.
+	// Contracts lists the active contracts. Those with a meaning to gannetline are ContractJobs to ContractCoordination.
 	Contracts []string    `yaml:"active-contracts"`
 	Platform  PlatformAPI `yaml:"platform-api"`
-	OrderList string      `yaml:"order-list"`
-	// App is the address of the executor beside a local proxy, and Service the service that it belongs to.
-	App         string `yaml:"app"`
-	Service     string `yaml:"service"`
-	LogLevel    int    `yaml:"log-level"`
-	RecordDay   bool   `yaml:"record-day"`
-	RecordWords bool   `yaml:"record-descriptors"`
-	// MetricsLogS is how often, in seconds, the metrics are logged; 0 is never.
+	// OrderList is "invocation" or "heartbeat".
+	OrderList string `yaml:"order-list"`
+	// App is the address of the executor beside a local proxy.
+	App string `yaml:"app"`
+	// Service is the service to which that executor belongs.
+	Service   string `yaml:"service"`
+	LogLevel  int    `yaml:"log-level"`
+	RecordDay bool   `yaml:"record-day"`
+	// RecordWords includes the task descriptors of jobs in the recording of the day.
+	RecordWords bool `yaml:"record-descriptors"`
+	// MetricsLogS is the interval, in seconds, at which the metrics are logged. 0 disables the log.
 	MetricsLogS float64 `yaml:"metrics-log-s"`
 
+	// QueueRules holds the rules of queues by the name of the queue.
 	QueueRules map[string]queuerules.Text `yaml:"queue-rules"`
 }
 
-// Path is the settings file named by the environment, or else /etc/gannetline/local.yaml.
+// Path returns the path of the settings file from the environment, or the default /etc/gannetline/local.yaml.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path
@@ -126,7 +131,7 @@
 	return "/etc/gannetline/local.yaml"
 }
 
-// Load reads, completes and checks a settings file. The error names the file, or the field at fault.
+// Load reads a settings file, sets defaults and validates it. An error names the file or the invalid fields.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -135,7 +140,7 @@
 	return Parse(text)
 }
 
-// Parse reads settings from YAML, fills in defaults and checks them. The error names the field at fault.
+// Parse decodes settings from YAML, sets defaults and validates them. An error names the invalid fields.
 func Parse(text []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := yaml.Unmarshal(text, settings); err != nil {
@@ -148,9 +153,10 @@
 	return settings, nil
 }
 
+// setDefault sets a field that has the zero value.
 func setDefault[T comparable](field *T, value T) {
-	var none T
-	if *field == none {
+	var zero T
+	if *field == zero {
 		*field = value
 	}
 }
@@ -181,7 +187,7 @@
 	setDefault(&s.Limits.FileDescriptors, 1024)
 }
 
-// check returns all that is wrong with the settings, a line a field.
+// check returns all problems of the settings as one error, or nil.
 func (s *Settings) check() error {
 	problems := &fieldProblems{}
 	s.checkNode(problems)
@@ -196,14 +202,14 @@
 	return problems.err
 }
 
-// fieldProblems gathers what is wrong, each with the name of its field.
+// fieldProblems collects the problems of the settings, each with the name of its field.
 type fieldProblems struct{ err error }
 
-func (p *fieldProblems) add(field, why string) {
-	p.err = multierr.Append(p.err, errors.Errorf("field %q %s", field, why))
+func (p *fieldProblems) add(field, problem string) {
+	p.err = multierr.Append(p.err, errors.Errorf("field %q %s", field, problem))
 }
 
-// checkNode checks the fields that tell what and where this machine is.
+// checkNode checks the fields that identify and locate this machine.
 func (s *Settings) checkNode(problems *fieldProblems) {
 	if s.NodeName == "" {
 		problems.add("node-name", "is missing")
@@ -219,7 +225,7 @@
 	}
 }
 
-// checkAddresses checks the seeds and the addresses that may be left empty.
+// checkAddresses checks the seeds and the optional addresses.
 func (s *Settings) checkAddresses(problems *fieldProblems) {
 	if len(s.Seeds) == 0 {
 		problems.add("seed-nodes", "is empty")
@@ -238,7 +244,7 @@
 	}
 }
 
-// checkRanges checks the fields that are numbers.
+// checkRanges checks the ranges of numeric fields.
 func (s *Settings) checkRanges(problems *fieldProblems) {
 	for field, value := range map[string]int64{"max-hold-ms": s.Bounds.MaxHoldMs, "contact-window-ms": s.Bounds.ContactWindowMs,
 		"stop-timeout-ms": s.Bounds.StopTimeoutMs, "gang-wait-ms": s.Bounds.GangWaitMs, "early_ms": s.Bounds.EarlyMs,
@@ -262,15 +268,15 @@
 	}
 }
 
-// Require adds what one role needs beyond the rest.
+// Require checks that the fields that a role needs beyond the common ones are set.
 func (s *Settings) Require(role string) error {
-	needs := map[string]map[string]string{
+	requiredFields := map[string]map[string]string{
 		"gate":        {"listen-addresses.front-plain": s.Listen.Front, "listen-addresses.readiness": s.Listen.Readiness},
 		"steward":     {"listen-addresses.control-plane": s.Listen.Control},
 		"storage":     {"data-directory": s.DataDirectory},
 		"local-proxy": {"listen-addresses.control-plane": s.Listen.Control, "app": s.App, "service": s.Service},
 	}
-	for field, value := range needs[role] {
+	for field, value := range requiredFields[role] {
 		if value == "" {
 			return errors.Errorf("settings: field %q is missing, and the role %s needs it", field, role)
 		}
@@ -278,49 +284,51 @@
 	return nil
 }
 
-// ServesJobs tells whether gates take jobs: where they are told so, and where they are told of nothing else to serve.
+// ServesJobs reports whether gates accept jobs. They do if ContractJobs is active, and also if neither ContractStreams nor
+// ContractLots is.
 func (s *Settings) ServesJobs() bool {
 	return slices.Contains(s.Contracts, ContractJobs) || !s.ServesRequests()
 }
 
-// ServesRequests tells whether gates pass requests on to executors, or take lots of them.
+// ServesRequests reports whether gates forward requests to executors or accept lots.
 func (s *Settings) ServesRequests() bool {
 	return slices.Contains(s.Contracts, ContractStreams) || slices.Contains(s.Contracts, ContractLots)
 }
 
-// ServesCoordination tells whether stewards keep locks, numbers and cells of applications.
+// ServesCoordination reports whether stewards serve locks, numbers and cells for applications.
 func (s *Settings) ServesCoordination() bool {
 	return slices.Contains(s.Contracts, ContractCoordination)
 }
 
-// HasZone tells whether a zone is this machine's own, or one of those that the settings list.
+// HasZone reports whether a zone is this machine's own or listed in the settings.
 func (s *Settings) HasZone(zone string) bool {
 	_, isListed := s.Domains[zone]
 	return isListed || zone == s.Domain
 }
 
+// isAddress reports whether a text is IP:PORT.
 func isAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// GracePeriod is the time from SIGTERM until the process must have ended.
+// GracePeriod returns the time from SIGTERM until the process must have exited.
 func (s *Settings) GracePeriod() time.Duration {
 	return time.Duration(s.Bounds.GracePeriodS * float64(time.Second))
 }
 
-// MetricsLog is how often a process logs its metrics; 0 is never.
+// MetricsLog returns the interval at which a process logs its metrics. 0 disables the log.
 func (s *Settings) MetricsLog() time.Duration {
 	return time.Duration(s.MetricsLogS * float64(time.Second))
 }
 
-// History is how long a revision that a watcher of cells was given stays good.
+// History returns the time for which a revision stays valid for watchers of cells after they have received it.
 func (s *Settings) History() time.Duration {
 	return time.Duration(s.Bounds.HistoryS * float64(time.Second))
 }
 
-// Release is how long after its holder's time a lock may still be refused to others.
+// Release returns the time after the end of a holder's hold time for which a lock may still be refused to others.
 func (s *Settings) Release() time.Duration { return clock.Milliseconds(s.Bounds.ReleaseMs) }
 
-// MaxHold is the longest time for which an executor holds its runs without a renewal.
+// MaxHold returns the longest time for which an executor keeps its runs without a renewal.
 func (s *Settings) MaxHold() time.Duration { return clock.Milliseconds(s.Bounds.MaxHoldMs) }
