--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -114,8 +114,8 @@
 	Service   string `yaml:"service"`
 	LogLevel  int    `yaml:"log-level"`
 	RecordDay bool   `yaml:"record-day"`
-	// RecordWords includes the task descriptors of jobs in the recording of the day.
-	RecordWords bool `yaml:"record-descriptors"`
+	// RecordDescriptors includes the task descriptors of jobs in the recording of the day.
+	RecordDescriptors bool `yaml:"record-descriptors"`
 	// MetricsLogS is the interval, in seconds, at which the metrics are logged. 0 disables the log.
 	MetricsLogS float64 `yaml:"metrics-log-s"`
 
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -54,7 +54,7 @@
 	}
 	pool := []scheduler.Option{scheduler.WithRules(rules)}
 	if b.settings.RecordDay && kept.folder != "" {
-		writer := recording.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
+		writer := recording.NewWriter(filepath.Join(kept.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordDescriptors)
 		b.tree.Add("recording", writer.Run)
 		pool = append(pool, scheduler.WithRecorder(writer))
 	}
