--- a/client/cells.go
+++ b/client/cells.go
@@ -10,122 +10,126 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// watchWait is how long a steward keeps the answer to a watch back.
-const watchWait = 20 * time.Second
+// watchDelay is the time for which a steward delays the answer to a watch while there are no new puts.
+const watchDelay = 20 * time.Second
 
 const (
-	// ErrNoCell tells that there is no cell of the name.
+	// ErrNoCell is returned if there is no cell of the name.
 	ErrNoCell = errors.ConstError("there is no such cell")
-	// ErrHistoryGone tells that puts after a revision are no longer kept: read the cells again, and watch from their revision on.
+	// ErrHistoryGone is returned if the puts after the given revision are no longer stored. Get the group's Revision, read its cells
+	// again, and watch from that revision on.
 	ErrHistoryGone = errors.ConstError("the puts after that revision are no longer kept")
 )
 
-// ConflictError refuses a put, as the cell is at another revision; 0 is no cell.
+// ConflictError is returned by Put if the cell is at another revision than expected. Revision is the present one, or 0 if there is no cell.
 type ConflictError struct{ Revision uint64 }
 
-// Error tells that the cell has moved on.
+// Error returns a fixed text. The revision is in the field.
 func (e *ConflictError) Error() string { return "the cell is at another revision" }
 
-// Cell is what a name holds.
+// Cell holds the value of a cell and its revision, which each put raises.
 type Cell struct {
 	Value    string
 	Revision uint64
 }
 
-// Event is one put into a cell of a group.
+// Event describes one put into a cell of a group.
 type Event = wire.CellEvent
 
-// Number draws a number that is above all that were drawn under the name.
+// Number draws a number that is higher than all numbers that were drawn under the same name before.
 func (c *Client) Number(ctx context.Context, name string) (uint64, error) {
-	given, err := c.ask(ctx, call{method: http.MethodPost, path: pathOf(prefixNumbers, name, ""), body: emptyCall{}})
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodPost, path: pathOf(prefixNumbers, name, ""), body: emptyCall{}})
 	if err != nil {
 		return 0, err
 	}
-	var drawn wire.NumberAnswer
-	err = given.read(&drawn)
-	return drawn.Value, err
+	var decoded wire.NumberAnswer
+	err = reply.read(&decoded)
+	return decoded.Value, err
 }
 
-// Get reads a cell, or returns ErrNoCell.
+// Get reads a cell. It returns ErrNoCell if there is none.
 func (c *Client) Get(ctx context.Context, name string) (Cell, error) {
-	given, err := c.ask(ctx, call{method: http.MethodGet, path: pathOf(prefixCells, name, suffixRetrieve)})
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodGet, path: pathOf(prefixCells, name, suffixRetrieve)})
 	if err != nil {
 		return Cell{}, err
 	}
-	if given.status == http.StatusNotFound {
+	if reply.status == http.StatusNotFound {
 		return Cell{}, errors.Annotatef(ErrNoCell, "cell %s", name)
 	}
-	var held wire.CellAnswer
-	err = given.read(&held)
-	return Cell{Value: held.Value, Revision: held.Revision}, err
+	var decoded wire.CellAnswer
+	err = reply.read(&decoded)
+	return Cell{Value: decoded.Value, Revision: decoded.Revision}, err
 }
 
-// Put puts a value into a cell that is at the expected revision, 0 for one that does not exist yet, and gives the new revision. A
-// *ConflictError says that the cell is at another one. Give ctx no more than some seconds: a put that comes again after more than
-// history-s may be refused although it was taken.
+// Put writes a value to a cell that is at the expected revision, and returns the new revision. The expected revision of a cell that doesn't
+// exist yet is 0. If the cell is at another revision, the error is a *ConflictError. The timeout of ctx should be a few seconds at most. A
+// retry that arrives more than history-s (a setting of the system) after the first attempt may be refused although that was committed.
 func (c *Client) Put(ctx context.Context, name, value string, expected uint64) (uint64, error) {
-	given, err := c.ask(ctx, call{method: http.MethodPost, path: pathOf(prefixCells, name, suffixReplace),
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodPost, path: pathOf(prefixCells, name, suffixReplace),
 		body: &wire.PutCall{Value: value, Expected: expected}})
 	if err != nil {
 		return 0, err
 	}
-	var at wire.RevisionAnswer
-	if given.status == http.StatusPreconditionFailed {
-		given.status = http.StatusOK
-		if err := given.read(&at); err != nil {
+	var decoded wire.RevisionAnswer
+	if reply.status == http.StatusPreconditionFailed {
+		reply.status = http.StatusOK
+		if err := reply.read(&decoded); err != nil {
 			return 0, err
 		}
-		return 0, errors.Annotatef(&ConflictError{Revision: at.Revision}, "cell %s", name)
+		return 0, errors.Annotatef(&ConflictError{Revision: decoded.Revision}, "cell %s", name)
 	}
-	err = given.read(&at)
-	return at.Revision, err
+	err = reply.read(&decoded)
+	return decoded.Revision, err
 }
 
-// watchQuery is the query of a watch.
+// watchQuery holds the query parameters of a watch.
 type watchQuery struct {
 	Above  uint64 `url:"depends-on"`
 	WaitMs int64  `url:"wait-time-ms"`
 }
 
-// Revision gives the present revision of a group of cells: what their names begin with, up to and with the first dot.
+// Revision returns the present revision of a group of cells. A group is the part of a cell's name up to and including the first dot.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	_, revision, err := c.watch(ctx, group, 0, 0)
 	return revision, err
 }
 
-// Watch waits until a group has puts above a revision, and gives all of them with the revision up to which they are complete. From
-// revision 0 on it gives no puts, unless there were none before the call.
+// Watch waits until a group has puts above a revision. It returns all of them, and the revision up to which they are complete. With
+// revision 0 it returns no puts if there were puts before the call. It returns ErrHistoryGone if puts above the revision are no longer
+// stored.
 func (c *Client) Watch(ctx context.Context, group string, above uint64) ([]Event, uint64, error) {
 	for {
-		events, revision, err := c.watch(ctx, group, above, watchWait)
+		events, revision, err := c.watch(ctx, group, above, watchDelay)
 		if err != nil || revision > above {
 			return events, revision, err
 		}
 	}
 }
 
+// watch makes one call that waits for puts above a revision, for at most the given time.
 func (c *Client) watch(ctx context.Context, group string, above uint64, wait time.Duration) ([]Event, uint64, error) {
-	given, err := c.ask(ctx, call{method: http.MethodGet, path: pathOf(prefixWatch, group, ""),
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodGet, path: pathOf(prefixWatch, group, ""),
 		query: &watchQuery{Above: above, WaitMs: wait.Milliseconds()}, wait: wait})
 	if err != nil {
 		return nil, 0, err
 	}
-	if given.status == http.StatusGone {
+	if reply.status == http.StatusGone {
 		return nil, 0, errors.Annotatef(ErrHistoryGone, "group %s", group)
 	}
-	var seen wire.WatchAnswer
-	err = given.read(&seen)
-	return seen.Events, seen.Revision, err
+	var decoded wire.WatchAnswer
+	err = reply.read(&decoded)
+	return decoded.Events, decoded.Revision, err
 }
 
-// Follow calls a function with the puts of a group, each once and in their order, until it returns an error or ctx is done.
-func (c *Client) Follow(ctx context.Context, group string, above uint64, take func([]Event) error) error {
+// Follow calls a function with the puts of a group above a revision, each once and in order, until the function returns an error or ctx is
+// done. It returns the first error of the function or of Watch.
+func (c *Client) Follow(ctx context.Context, group string, above uint64, handle func([]Event) error) error {
 	for {
 		events, revision, err := c.Watch(ctx, group, above)
 		if err != nil {
 			return err
 		}
-		if err := take(events); err != nil {
+		if err := handle(events); err != nil {
 			return err
 		}
 		above = revision
--- a/client/client.go
+++ b/client/client.go
@@ -1,11 +1,12 @@
-// Package client is for applications: it takes locks, leads elections, draws numbers, and reads, changes and watches cells at the
-// stewards of a gannetline system.
+// Package client is the client library for applications. With it an application acquires locks, runs leader elections, draws increasing
+// numbers, and reads, writes and watches cells. A cell is a named value with a revision. The stewards of a gannetline system serve the
+// calls.
 //
-// Each call goes to one of the stewards, and to the next one after a failure, an answer that promises nothing, or a second of
-// silence, until there is a clear answer or the context is done. All calls may be repeated without harm.
+// Each call is sent to one steward. After a failure, an answer that leaves the outcome unknown, or a timeout of one second, it is sent to
+// the next steward, until there is a clear answer or the context is done. All calls are safe to retry.
 //
-// A Lock has a context that ends before anybody else can hold the lock. What a lock can't promise: a process that was frozen notices
-// late that its lock is lost. So let what the lock protects refuse each request whose fencing token is lower than one it has seen.
+// The context of a Lock ends before another client can hold the lock. However, a process that was suspended notices late that its lock is
+// lost. Therefore the resource that the lock protects should reject each request whose fencing token is lower than one it has seen.
 package client
 
 import (
@@ -27,17 +28,18 @@
 )
 
 const (
-	// attemptTimeout is the silence after which another steward is asked.
+	// attemptTimeout is the time to wait for the answer of a steward before the call is sent to the next one.
 	attemptTimeout = time.Second
-	// minPause and maxPause bound the pause between two rounds of the stewards.
-	minPause = 50 * time.Millisecond
-	maxPause = time.Second
-	// maxAnswerBytes is how much of an answer is read.
+	// minRoundPause and maxRoundPause bound the backoff after each round in which no steward gave a clear answer.
+	minRoundPause = 50 * time.Millisecond
+	maxRoundPause = time.Second
+	// maxAnswerBytes is the size at which an answer is cut.
 	maxAnswerBytes = 4 << 20
-	holderBytes    = 8
+	// holderBytes is the number of random bytes in the default name of a holder.
+	holderBytes = 8
 )
 
-// The paths of calls: a prefix, a name, and for some a suffix that tells what is to be done.
+// The path of a call consists of a prefix, a name and, for some calls, a suffix for the operation.
 const (
 	prefixLocks      = "/v1/locks/"
 	prefixNumbers    = "/v1/numbers/"
@@ -52,52 +54,54 @@
 	suffixRetrieve  = "/retrieve"
 )
 
-// ErrNoAnswer ends a call whose context was done before any steward gave a clear answer: it may have been carried out or not.
+// ErrNoAnswer is returned if a call ends before any steward gives a clear answer, because its context is done or the waiting time of
+// AcquireWithin is over. The outcome of the call is unknown.
 const ErrNoAnswer = errors.ConstError("no clear answer in time")
 
-// RefusedError tells that a steward refused a call as such: a name, a value or a time is not allowed.
+// RefusedError is returned if a steward refuses a call, for example because a name, a value or a time is not allowed.
 type RefusedError struct {
-	// Status is that of HTTP, Reason the steward's text.
+	// Status is the HTTP status code.
 	Status int
+	// Reason is the steward's description of the problem.
 	Reason string
 }
 
-// Error gives the steward's text.
+// Error returns the reason.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// IsOff tells that the stewards don't offer what was asked for: their settings leave it out.
+// IsOff reports whether the stewards don't offer the called service, because it is not enabled in their settings.
 func (e *RefusedError) IsOff() bool { return e.Status == http.StatusNotImplemented }
 
-// Client makes calls to the stewards. Any goroutine may use it.
+// Client sends calls to the stewards. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	holder    string
 	http      *http.Client
 	clock     clock.Clock
-	// turn is the steward that is asked first; it moves on from one that fails.
-	turn atomic.Uint64
+	// stewardIndex, modulo the number of addresses, is the steward that is asked next. It advances after a failure.
+	stewardIndex atomic.Uint64
 }
 
-// Option changes how a client is made.
+// Option configures a client.
 type Option func(*Client)
 
-// WithHolder names the holder of the client's locks, in place of a random name. Two clients must not have the same.
+// WithHolder sets the name under which the client holds locks. The default is random. No two clients may have the same name.
 func WithHolder(name string) Option { return func(c *Client) { c.holder = name } }
 
-// WithHTTPClient has calls made through a client of the caller's own; it should set no time limit below a minute.
-func WithHTTPClient(inner *http.Client) Option { return func(c *Client) { c.http = inner } }
+// WithHTTPClient sets the HTTP client that sends the calls. Its timeout, if it has one, should be at least a minute.
+func WithHTTPClient(httpClient *http.Client) Option { return func(c *Client) { c.http = httpClient } }
 
-// WithClock has time come from a clock of the caller's own.
+// WithClock sets the clock. The default is the clock of the machine.
 func WithClock(clock clock.Clock) Option { return func(c *Client) { c.clock = clock } }
 
-// New makes a client for stewards at the addresses, each ip:port of its control plane. An error names the address that is none.
+// New creates a client for stewards at the given control-plane addresses, as ip:port. An error names the malformed address.
 func New(addresses []string, options ...Option) (*Client, error) {
 	if len(addresses) == 0 {
-		return nil, errors.New("no address of a steward")
+		return nil, errors.New("no steward address is given")
 	}
 	for _, address := range addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return nil, errors.Annotatef(err, "address %q", address)
+			return nil, errors.Annotatef(err, "steward address %q", address)
 		}
 	}
 	client := &Client{addresses: addresses, holder: randomHolder(), http: &http.Client{}, clock: clock.System()}
@@ -107,104 +111,108 @@
 	return client, nil
 }
 
-// randomHolder draws a name that no other client has.
+// randomHolder returns a random name that no other client has.
 func randomHolder() string {
-	drawn := make([]byte, holderBytes)
-	rand.Read(drawn)
-	return hex.EncodeToString(drawn)
+	random := make([]byte, holderBytes)
+	rand.Read(random)
+	return hex.EncodeToString(random)
 }
 
-// Holder is the name under which the client holds locks.
+// Holder returns the name under which the client holds locks.
 func (c *Client) Holder() string { return c.holder }
 
-// call is one call of an application.
-type call struct {
+// apiCall describes one call of an application.
+type apiCall struct {
 	method string
 	path   string
 	query  any
 	body   any
-	// text is sent as it is, in place of body; header goes with it.
-	text   []byte
+	// rawBody is sent unchanged in place of body, if it is not nil.
+	rawBody []byte
+	// header holds additional HTTP headers.
 	header map[string]string
-	// wait is how long a steward may keep its answer back.
+	// wait is the time for which a steward may delay its answer.
 	wait time.Duration
-	// until is when the call is given up on the client's clock; 0 is never.
-	until time.Duration
+	// deadline is the time on the client's clock from which on there are no retries. 0 means no limit.
+	deadline time.Duration
 }
 
-// answer is a clear answer: any that is neither a failure of the steward nor a request to come back later.
+// answer is the status and the body of an HTTP answer.
 type answer struct {
 	status int
 	body   []byte
 }
 
-// ask makes a call until there is a clear answer. The error is ErrNoAnswer once ctx is done or the call's time is over.
-func (c *Client) ask(ctx context.Context, asked call) (*answer, error) {
-	pause := minPause
-	for tries := 1; ; tries++ {
-		address := c.addresses[c.turn.Load()%uint64(len(c.addresses))]
-		given, err := c.askOnce(ctx, address, asked)
-		if err == nil && given.isClear() {
-			return given, nil
+// askStewards sends a call to one steward after another until there is a clear answer. It returns ErrNoAnswer once ctx is done or the
+// deadline of the call has passed.
+func (c *Client) askStewards(ctx context.Context, call apiCall) (*answer, error) {
+	pause := minRoundPause
+	for attempts := 1; ; attempts++ {
+		address := c.addresses[c.stewardIndex.Load()%uint64(len(c.addresses))]
+		reply, err := c.askSteward(ctx, address, call)
+		if err == nil && reply.isClear() {
+			return reply, nil
 		}
-		c.turn.Add(1)
-		if ctx.Err() != nil || asked.until > 0 && c.clock.Monotonic() >= asked.until {
-			return nil, errors.Annotatef(ErrNoAnswer, "%s %s", asked.method, asked.path)
+		c.stewardIndex.Add(1)
+		if ctx.Err() != nil || call.deadline > 0 && c.clock.Monotonic() >= call.deadline {
+			return nil, errors.Annotatef(ErrNoAnswer, "%s %s", call.method, call.path)
 		}
-		if tries%len(c.addresses) != 0 {
+		if attempts%len(c.addresses) != 0 {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.clock.After(c.pauseWithin(pause, asked.until)):
+		case <-c.clock.After(c.limitPause(pause, call.deadline)):
 		}
-		pause = min(2*pause, maxPause)
+		pause = min(2*pause, maxRoundPause)
 	}
 }
 
-// pauseWithin cuts a pause at the end of a call's time.
-func (c *Client) pauseWithin(pause, until time.Duration) time.Duration {
-	if until == 0 {
+// limitPause shortens a pause so that it ends at the deadline. A deadline of 0 means no limit.
+func (c *Client) limitPause(pause, deadline time.Duration) time.Duration {
+	if deadline == 0 {
 		return pause
 	}
-	return min(pause, max(0, until-c.clock.Monotonic()))
+	return min(pause, max(0, deadline-c.clock.Monotonic()))
 }
 
+// isClear reports whether an answer decides a call. It is false for a failure of the steward and for a request to retry. Status 501 is
+// clear, because it means that the settings of the stewards leave the service out.
 func (a *answer) isClear() bool {
 	return a.status == http.StatusNotImplemented || a.status < http.StatusInternalServerError && a.status != http.StatusTooManyRequests && a.status != http.StatusRequestTimeout
 }
 
-// askOnce makes one attempt.
-func (c *Client) askOnce(ctx context.Context, address string, asked call) (*answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+asked.wait)
+// askSteward sends a call to one steward and reads its answer.
+func (c *Client) askSteward(ctx context.Context, address string, call apiCall) (*answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+call.wait)
 	defer cancel()
-	making := sling.New().Base("http://" + address)
+	builder := sling.New().Base("http://" + address)
 	switch {
-	case asked.text != nil:
-		making = making.Post(asked.path).Body(bytes.NewReader(asked.text))
-	case asked.method == http.MethodPost:
-		making = making.Post(asked.path).BodyJSON(asked.body)
+	case call.rawBody != nil:
+		builder = builder.Post(call.path).Body(bytes.NewReader(call.rawBody))
+	case call.method == http.MethodPost:
+		builder = builder.Post(call.path).BodyJSON(call.body)
 	default:
-		making = making.Get(asked.path).QueryStruct(asked.query)
+		builder = builder.Get(call.path).QueryStruct(call.query)
 	}
-	for name, value := range asked.header {
-		making = making.Set(name, value)
+	for name, value := range call.header {
+		builder = builder.Set(name, value)
 	}
-	request, err := making.Request()
+	httpRequest, err := builder.Request()
 	if err != nil {
 		return nil, errors.Annotate(err, address)
 	}
-	response, err := c.http.Do(request.WithContext(ctx))
+	httpResponse, err := c.http.Do(httpRequest.WithContext(ctx))
 	if err != nil {
 		return nil, errors.Annotate(err, address)
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, errors.Annotate(err, address)
 	}
-	return &answer{response.StatusCode, body}, nil
+	return &answer{httpResponse.StatusCode, body}, nil
 }
 
-// pathOf is the path of a call about a name.
+// pathOf returns the path of a call about a name.
 func pathOf(prefix, name, suffix string) string { return prefix + url.PathEscape(name) + suffix }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "client")
 }
 
-// steppedClock is a clock whose waits end when a test says so.
+// steppedClock is a manual clock. endNextWait ends its waits one after another.
 type steppedClock struct {
 	now   atomic.Int64
 	waits chan steppedWait
@@ -27,41 +27,41 @@
 
 type steppedWait struct {
 	length time.Duration
-	ring   chan time.Time
+	done   chan time.Time
 }
 
 func (c *steppedClock) Monotonic() time.Duration { return time.Duration(c.now.Load()) }
 func (c *steppedClock) WallMs() int64            { return 0 }
 func (c *steppedClock) After(length time.Duration) <-chan time.Time {
-	ring := make(chan time.Time, 1)
-	c.waits <- steppedWait{length, ring}
-	return ring
+	done := make(chan time.Time, 1)
+	c.waits <- steppedWait{length, done}
+	return done
 }
 
-// pass ends the next wait, and gives its length.
-func (c *steppedClock) pass() time.Duration {
+// endNextWait advances the clock by the length of the next wait, ends that wait and returns its length.
+func (c *steppedClock) endNextWait() time.Duration {
 	next := <-c.waits
 	c.now.Add(int64(next.length))
-	next.ring <- time.Time{}
+	next.done <- time.Time{}
 	return next.length
 }
 
-// scriptedAnswer is what a steward answers to one call.
+// scriptedAnswer is the answer of a steward to one call.
 type scriptedAnswer struct {
 	status int
 	body   string
 }
 
-// scene is a client, and stewards that answer from one script.
-type scene struct {
+// harness is a client with two stewards that answer from one script.
+type harness struct {
 	client *Client
 	clock  *steppedClock
 	calls  chan string
 	script chan scriptedAnswer
 }
 
-func newScene() *scene {
-	s := &scene{clock: &steppedClock{waits: make(chan steppedWait, 8)}, calls: make(chan string, 64), script: make(chan scriptedAnswer, 64)}
+func newHarness() *harness {
+	s := &harness{clock: &steppedClock{waits: make(chan steppedWait, 8)}, calls: make(chan string, 64), script: make(chan scriptedAnswer, 64)}
 	var addresses []string
 	for range 2 {
 		steward := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
@@ -81,63 +81,63 @@
 	return s
 }
 
-func (s *scene) answers(answers ...scriptedAnswer) {
+func (s *harness) answers(answers ...scriptedAnswer) {
 	for _, answer := range answers {
 		s.script <- answer
 	}
 }
 
 var (
-	fine   = scriptedAnswer{status: 200}
-	silent = scriptedAnswer{status: 503}
+	success     = scriptedAnswer{status: 200}
+	unavailable = scriptedAnswer{status: 503}
 )
 
-const hold = 3 * time.Second
+const testHoldTime = 3 * time.Second
 
-var _ = Describe("a lock", func() {
-	var s *scene
+var _ = Describe("Lock", func() {
+	var s *harness
 	ctx := context.Background()
 	acquire := func() *Lock {
 		s.answers(scriptedAnswer{200, `{"fence-number":41}`})
-		lock, err := s.client.TryAcquire(ctx, "a b", hold)
+		lock, err := s.client.TryAcquire(ctx, "a b", testHoldTime)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(<-s.calls).To(Equal(`POST /v1/locks/a%20b/initiate {"holder":"h","hold-time-ms":3000}`))
 		return lock
 	}
-	BeforeEach(func() { s = newScene() })
+	BeforeEach(func() { s = newHarness() })
 
 	It("is renewed until it is released", func() {
 		lock := acquire()
 		Expect(lock.Fence()).To(Equal(uint64(41)))
 		for range 3 {
-			s.answers(fine)
-			Expect(s.clock.pass()).To(Equal(hold / renewalsPerHold))
+			s.answers(success)
+			Expect(s.clock.endNextWait()).To(Equal(testHoldTime / renewalsPerHoldTime))
 			Expect(<-s.calls).To(Equal(`POST /v1/locks/a%20b/heartbeat {"holder":"h","fence-number":41,"hold-time-ms":3000}`))
 		}
 		Expect(lock.Context().Err()).NotTo(HaveOccurred())
-		s.answers(fine)
+		s.answers(success)
 		Expect(lock.Release(ctx)).To(Succeed())
 		Expect(<-s.calls).To(Equal(`POST /v1/locks/a%20b/terminate {"holder":"h","fence-number":41}`))
 		Expect(context.Cause(lock.Context())).To(Equal(error(ErrReleased)))
 	})
 
-	It("ends its context when a steward says that it is lost", func() {
+	It("ends its context when a steward refuses the renewal", func() {
 		lock := acquire()
 		s.answers(scriptedAnswer{status: 409})
-		s.clock.pass()
+		s.clock.endNextWait()
 		<-lock.Context().Done()
 		Expect(context.Cause(lock.Context())).To(Equal(error(ErrLost)))
 	})
 
-	It("ends its context before its time is over where no steward answers", func() {
+	It("ends its context before the hold time is over if no steward answers", func() {
 		lock := acquire()
-		script, isOver := s.script, make(chan struct{})
-		defer close(isOver)
+		script, stopAnswers := s.script, make(chan struct{})
+		defer close(stopAnswers)
 		go func() {
 			for {
 				select {
-				case script <- silent:
-				case <-isOver:
+				case script <- unavailable:
+				case <-stopAnswers:
 					return
 				}
 			}
@@ -146,83 +146,83 @@
 			select {
 			case next := <-s.clock.waits:
 				s.clock.now.Add(int64(next.length))
-				next.ring <- time.Time{}
+				next.done <- time.Time{}
 			case <-lock.Context().Done():
 			}
 		}
 		Expect(context.Cause(lock.Context())).To(Equal(error(ErrLost)))
-		Expect(s.clock.Monotonic()).To(BeNumerically("<", hold))
+		Expect(s.clock.Monotonic()).To(BeNumerically("<", testHoldTime))
 	})
 
-	It("is waited for while another holds it", func() {
+	It("is acquired by Acquire once another holder has released it", func() {
 		_, err := func() (*Lock, error) {
 			s.answers(scriptedAnswer{status: 409})
-			return s.client.TryAcquire(ctx, "a", hold)
+			return s.client.TryAcquire(ctx, "a", testHoldTime)
 		}()
 		Expect(err).To(MatchError(ErrHeld))
 		s.answers(scriptedAnswer{status: 409}, scriptedAnswer{200, `{"fence-number":42}`})
-		got := make(chan *Lock)
+		acquired := make(chan *Lock)
 		go func() {
-			lock, _ := s.client.Acquire(ctx, "a", hold)
-			got <- lock
+			lock, _ := s.client.Acquire(ctx, "a", testHoldTime)
+			acquired <- lock
 		}()
-		Expect(s.clock.pass()).To(Equal(hold / pollDivisor))
-		Expect((<-got).Fence()).To(Equal(uint64(42)))
+		Expect(s.clock.endNextWait()).To(Equal(testHoldTime / pollDivisor))
+		Expect((<-acquired).Fence()).To(Equal(uint64(42)))
 	})
 
-	It("is waited for no longer than the caller says, asked for once at least, and kept beyond that time", func() {
+	It("is awaited by AcquireWithin for a limited time, with at least one attempt, and outlasts that time", func() {
 		s.answers(scriptedAnswer{status: 409}, scriptedAnswer{status: 409}, scriptedAnswer{status: 409})
-		given := make(chan error)
+		acquireError := make(chan error)
 		go func() {
-			_, err := s.client.AcquireWithin(ctx, "a", hold, 3*hold/pollDivisor/2)
-			given <- err
+			_, err := s.client.AcquireWithin(ctx, "a", testHoldTime, 3*testHoldTime/pollDivisor/2)
+			acquireError <- err
 		}()
-		Expect(s.clock.pass()).To(Equal(hold / pollDivisor))
-		Expect(s.clock.pass()).To(Equal(hold / pollDivisor / 2))
-		Expect(<-given).To(MatchError(ErrHeld))
-		s.answers(silent)
-		_, err := s.client.AcquireWithin(ctx, "a", hold, 0)
+		Expect(s.clock.endNextWait()).To(Equal(testHoldTime / pollDivisor))
+		Expect(s.clock.endNextWait()).To(Equal(testHoldTime / pollDivisor / 2))
+		Expect(<-acquireError).To(MatchError(ErrHeld))
+		s.answers(unavailable)
+		_, err := s.client.AcquireWithin(ctx, "a", testHoldTime, 0)
 		Expect(err).To(MatchError(ErrNoAnswer))
-		s.answers(scriptedAnswer{200, `{"fence-number":42}`}, fine)
-		lock, err := s.client.AcquireWithin(ctx, "a", hold, time.Millisecond)
+		s.answers(scriptedAnswer{200, `{"fence-number":42}`}, success)
+		lock, err := s.client.AcquireWithin(ctx, "a", testHoldTime, time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
-		s.clock.pass()
+		s.clock.endNextWait()
 		Expect(lock.Context().Err()).NotTo(HaveOccurred())
 	})
 })
 
-var _ = Describe("a call", func() {
-	var s *scene
+var _ = Describe("Client", func() {
+	var s *harness
 	ctx := context.Background()
-	BeforeEach(func() { s = newScene() })
+	BeforeEach(func() { s = newHarness() })
 
-	It("goes to the next steward until there is a clear answer", func() {
-		s.answers(silent, scriptedAnswer{status: 429}, scriptedAnswer{status: 504}, scriptedAnswer{200, `{"value":7}`})
-		go s.clock.pass()
+	It("retries a call at the next steward until there is a clear answer", func() {
+		s.answers(unavailable, scriptedAnswer{status: 429}, scriptedAnswer{status: 504}, scriptedAnswer{200, `{"value":7}`})
+		go s.clock.endNextWait()
 		Expect(s.client.Number(ctx, "n")).To(Equal(uint64(7)))
 		Expect(s.calls).To(HaveLen(4))
 		Expect(<-s.calls).To(Equal("POST /v1/numbers/n {}"))
 	})
 
-	It("has no known outcome if it is given up", func() {
-		done, cancel := context.WithCancel(ctx)
-		s.answers(silent, silent)
+	It("returns ErrNoAnswer if the context ends before a clear answer", func() {
+		callContext, cancel := context.WithCancel(ctx)
+		s.answers(unavailable, unavailable)
 		go func() {
 			<-s.calls
 			<-s.calls
 			cancel()
 		}()
-		_, err := s.client.Put(done, "g.a", "v", 3)
+		_, err := s.client.Put(callContext, "g.a", "v", 3)
 		Expect(err).To(MatchError(ErrNoAnswer))
 	})
 
-	It("tells what was refused, and why", func() {
+	It("returns an error of its own type for each kind of refusal", func() {
 		s.answers(scriptedAnswer{400, `{"error-text":"field value is no text"}`}, scriptedAnswer{412, `{"revision":9}`}, scriptedAnswer{404, `{}`},
 			scriptedAnswer{410, `{}`}, scriptedAnswer{status: 405})
 		_, err := s.client.Put(ctx, "g.a", "v", 3)
-		var refused *RefusedError
-		Expect(errors.As(err, &refused)).To(BeTrue())
-		Expect(refused).To(Equal(&RefusedError{400, "field value is no text"}))
+		var refusal *RefusedError
+		Expect(errors.As(err, &refusal)).To(BeTrue())
+		Expect(refusal).To(Equal(&RefusedError{400, "field value is no text"}))
 		_, err = s.client.Put(ctx, "g.a", "v", 3)
 		var conflict *ConflictError
 		Expect(errors.As(err, &conflict)).To(BeTrue())
@@ -235,7 +235,7 @@
 		Expect(err).To(MatchError("Method Not Allowed"))
 	})
 
-	It("orders a zone to be emptied and takes that back, and names why an order can't be taken", func() {
+	It("starts and ends the evacuation of a zone, and returns the reason of a refusal", func() {
 		s.answers(scriptedAnswer{status: 503}, scriptedAnswer{status: 200}, scriptedAnswer{status: 200}, scriptedAnswer{404, `{"error-text":"there is no zone of that name"}`})
 		Expect(s.client.Evacuate(ctx, "north")).To(Succeed())
 		Expect(s.client.EndEvacuation(ctx, "north")).To(Succeed())
@@ -244,7 +244,7 @@
 			"POST /v1/evacuation/north/terminate"}))
 	})
 
-	It("reads, puts and follows cells", func() {
+	It("reads, writes and follows cells", func() {
 		s.answers(scriptedAnswer{200, `{"value":"v","revision":3}`}, scriptedAnswer{200, `{"revision":4}`}, scriptedAnswer{200, `{"events":[],"revision":4}`},
 			scriptedAnswer{200, `{"events":[],"revision":4}`}, scriptedAnswer{200, `{"events":[{"name":"g.a","value":"w","revision":5}],"revision":5}`})
 		Expect(s.client.Get(ctx, "g.a")).To(Equal(Cell{"v", 3}))
@@ -260,7 +260,7 @@
 			"GET /v1/watch/g.?depends-on=4&wait-time-ms=20000", "GET /v1/watch/g.?depends-on=4&wait-time-ms=20000"}))
 	})
 
-	It("needs addresses", func() {
+	It("is not created without addresses or with a malformed one, and has a random holder name", func() {
 		_, err := New(nil)
 		Expect(err).To(HaveOccurred())
 		_, err = New([]string{"nowhere"})
--- a/client/configuration.go
+++ b/client/configuration.go
@@ -17,38 +17,39 @@
 	pathRollouts             = "/v1/rollout" + suffixRetrieve
 )
 
-// ErrVersionConflict tells that another version of the configuration is in force than the one that a change builds on. Read the
-// configuration again, and make the change on that.
+// ErrVersionConflict is returned if the configuration in force has another version than the one on which a change is based. Read the
+// configuration again and apply the change to it.
 const ErrVersionConflict = errors.ConstError("another version of the configuration is in force")
 
-// Configuration gives the configuration in force as its operator wrote it, a JSON object.
+// Configuration returns the configuration in force, a JSON object, as its operator wrote it.
 func (c *Client) Configuration(ctx context.Context) ([]byte, error) {
-	return c.text(ctx, pathConfiguration)
+	return c.retrieve(ctx, pathConfiguration)
 }
 
-// Rollouts tells how the rollouts of the configuration stand, as a JSON object with the version they were read from and a list. The list is
-// empty for a moment after another steward has taken over.
-func (c *Client) Rollouts(ctx context.Context) ([]byte, error) { return c.text(ctx, pathRollouts) }
+// Rollouts returns the state of the rollouts, as a JSON object with the version of the configuration and a list. The list is empty for a
+// moment after a change of the leader.
+func (c *Client) Rollouts(ctx context.Context) ([]byte, error) { return c.retrieve(ctx, pathRollouts) }
 
-// text gives the body of a success.
-func (c *Client) text(ctx context.Context, path string) ([]byte, error) {
-	given, err := c.ask(ctx, call{method: http.MethodGet, path: path})
+// retrieve returns the body of a successful answer.
+func (c *Client) retrieve(ctx context.Context, path string) ([]byte, error) {
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodGet, path: path})
 	if err != nil {
 		return nil, err
 	}
-	return given.body, given.refusal()
+	return reply.body, reply.refusal()
 }
 
-// ReplaceConfiguration puts a whole configuration in force that builds on the version base. It returns nil once that is kept. The error is
-// ErrVersionConflict if another version is in force, and a *RefusedError that names the field if something is wrong with the configuration.
+// ReplaceConfiguration replaces the whole configuration by one that is based on the version base. It returns nil once the change is
+// committed. The error is ErrVersionConflict if another version is in force, and a *RefusedError that names the field if the
+// configuration is invalid.
 func (c *Client) ReplaceConfiguration(ctx context.Context, base int64, configuration []byte) error {
-	given, err := c.ask(ctx, call{method: http.MethodPost, path: pathReplaceConfiguration, text: configuration,
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodPost, path: pathReplaceConfiguration, rawBody: configuration,
 		header: map[string]string{headers.BaseVersion: strconv.FormatInt(base, 10), "Content-Type": "application/json"}})
 	switch {
 	case err != nil:
 		return err
-	case given.status == http.StatusPreconditionFailed:
+	case reply.status == http.StatusPreconditionFailed:
 		return ErrVersionConflict
 	}
-	return given.refusal()
+	return reply.refusal()
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,16 +12,16 @@
 	"gannetline/client"
 )
 
-// newSteward is a steward that answers each path in the one way that is given.
+// newSteward returns a steward that gives a fixed answer to each path.
 func newSteward(answers map[string]string) *httptest.Server {
-	return httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, call *http.Request) {
-		answer, isKnown := answers[call.URL.Path]
+	return httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
+		answer, isKnown := answers[request.URL.Path]
 		to.Header().Set("Content-Type", "application/json")
 		if !isKnown {
 			to.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if call.URL.Path == "/v1/cells/shop.full/replace" {
+		if request.URL.Path == "/v1/cells/shop.full/replace" {
 			to.WriteHeader(http.StatusPreconditionFailed)
 		}
 		fmt.Fprint(to, answer)
@@ -43,7 +43,8 @@
 		fmt.Println(err)
 		return
 	}
-	// What the lock protects refuses a lower fencing token than one that it has seen; lock.Context() ends before anybody else holds the lock.
+	// The protected resource should reject fencing tokens lower than one that it has seen. lock.Context() ends before another client holds
+	// the lock.
 	fmt.Println("rebuild under fencing token", lock.Fence(), "while the lock is held:", lock.Context().Err() == nil)
 	if err := lock.Release(ctx); err != nil {
 		fmt.Println(err)
@@ -74,7 +75,7 @@
 	}
 	revision, err := stewards.Put(context.Background(), "shop.open", "yes", 2)
 	fmt.Println(revision, err)
-	// Somebody else has changed the other key: read it again and decide anew.
+	// Another client has changed the second cell. Read it again before the next attempt.
 	_, err = stewards.Put(context.Background(), "shop.full", "yes", 2)
 	var conflict *client.ConflictError
 	fmt.Println(errors.As(err, &conflict), conflict.Revision)
--- a/client/locks.go
+++ b/client/locks.go
@@ -12,159 +12,164 @@
 )
 
 const (
-	// renewalsPerHold is how many renewals fit into the time of a lock.
-	renewalsPerHold = 3
-	// marginDivisor is the part of its time by which a holder lets go early.
+	// renewalsPerHoldTime is the number of renewals within a hold time.
+	renewalsPerHoldTime = 3
+	// marginDivisor is the divisor of the hold time that gives the safety margin. The client ends a lock by that margin before its hold
+	// time is over.
 	marginDivisor = 20
-	// retryPause is the time between two renewals of which the first had no answer.
+	// retryPause is the time from a renewal without a clear answer until the next one.
 	retryPause = 50 * time.Millisecond
-	// minPollPause and maxPollPause bound how often a lock that another holds is asked for.
+	// minPollPause and maxPollPause bound the pause between two attempts to acquire a lock that another client holds.
 	minPollPause = 20 * time.Millisecond
 	maxPollPause = 500 * time.Millisecond
-	pollDivisor  = 10
+	// pollDivisor is the divisor of the hold time that gives that pause.
+	pollDivisor = 10
 )
 
-// ErrHeld tells that another holds the lock.
+// ErrHeld is returned if another client holds the lock.
 const ErrHeld = errors.ConstError("another holds the lock")
 
-// ErrLost is the cause of the end of a lock's context where the lock may go to another, ErrReleased where it was given back.
+// ErrLost and ErrReleased are the causes for which the context of a Lock ends. After ErrLost another client may get the lock. ErrReleased
+// is the cause after a call of Release.
 const (
 	ErrLost     = errors.ConstError("the lock is lost")
 	ErrReleased = errors.ConstError("the lock was released")
 )
 
-// Lock is a lock that is held, and renewed until it is released or lost.
+// Lock is a lock that the client holds. The client renews it in the background until it is released or lost, or the context of the
+// acquiring call is done.
 type Lock struct {
-	client *Client
-	name   string
-	fence  uint64
-	hold   time.Duration
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	// kept is closed once no renewal is under way any more.
-	kept chan struct{}
+	client   *Client
+	name     string
+	fence    uint64
+	holdTime time.Duration
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	// renewalEnded is closed once the goroutine that renews the lock has returned.
+	renewalEnded chan struct{}
 }
 
-// Name is that of the lock.
+// Name returns the name of the lock.
 func (l *Lock) Name() string { return l.name }
 
-// Fence is the fencing token. It is higher than those of all who held the lock before.
+// Fence returns the fencing token. It is higher than the tokens of all earlier holders of the lock.
 func (l *Lock) Fence() uint64 { return l.fence }
 
-// Context ends when the lock is lost or released; context.Cause tells which. Work under the lock should end with it.
+// Context returns a context that ends when the lock is lost or released, with the cause ErrLost or ErrReleased (see context.Cause), or when
+// the context of the acquiring call is done. Work under the lock should end with it.
 func (l *Lock) Context() context.Context { return l.ctx }
 
-// TryAcquire takes a lock, or returns ErrHeld if another holds it. The lock goes to another at the earliest a hold time after the last
-// call that renewed it; it is renewed until ctx is done, Release is called, or it is lost.
-func (c *Client) TryAcquire(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
-	return c.tryAcquire(ctx, name, hold, 0)
+// TryAcquire acquires a lock, or returns ErrHeld if another client holds it. Unless it is released, no other client gets the lock before
+// the hold time has passed since the last renewal. The lock is renewed until ctx is done, Release is called or the lock is lost.
+func (c *Client) TryAcquire(ctx context.Context, name string, holdTime time.Duration) (*Lock, error) {
+	return c.tryAcquire(ctx, name, holdTime, 0)
 }
 
-// tryAcquire is TryAcquire that gives up once there was no clear answer until then, unless that is 0; it asks once at least.
-func (c *Client) tryAcquire(ctx context.Context, name string, hold, until time.Duration) (*Lock, error) {
+// tryAcquire is TryAcquire with a deadline for a clear answer. A deadline of 0 means no limit. It makes at least one attempt.
+func (c *Client) tryAcquire(ctx context.Context, name string, holdTime, deadline time.Duration) (*Lock, error) {
 	sentAt := c.clock.Monotonic()
-	given, err := c.ask(ctx, call{method: http.MethodPost, path: pathOf(prefixLocks, name, suffixInitiate),
-		body: &wire.LockCall{Holder: c.holder, HoldMs: hold.Milliseconds()}, until: until})
+	reply, err := c.askStewards(ctx, apiCall{method: http.MethodPost, path: pathOf(prefixLocks, name, suffixInitiate),
+		body: &wire.LockCall{Holder: c.holder, HoldMs: holdTime.Milliseconds()}, deadline: deadline})
 	if err != nil {
 		return nil, err
 	}
-	if given.status == http.StatusConflict {
+	if reply.status == http.StatusConflict {
 		return nil, errors.Annotatef(ErrHeld, "lock %s", name)
 	}
 	var granted wire.LockAnswer
-	if err := given.read(&granted); err != nil {
+	if err := reply.read(&granted); err != nil {
 		return nil, err
 	}
-	lock := &Lock{client: c, name: name, fence: granted.Fence, hold: hold, kept: make(chan struct{})}
-	lock.ctx, lock.end = context.WithCancelCause(ctx)
-	go lock.keep(sentAt)
+	lock := &Lock{client: c, name: name, fence: granted.Fence, holdTime: holdTime, renewalEnded: make(chan struct{})}
+	lock.ctx, lock.cancel = context.WithCancelCause(ctx)
+	go lock.renewUntilEnd(sentAt)
 	return lock, nil
 }
 
-// Acquire waits until the lock is free and takes it. As with TryAcquire, ctx ends the lock too.
-func (c *Client) Acquire(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
-	return c.acquire(ctx, name, hold, 0)
+// Acquire waits until the lock is free and acquires it. As with TryAcquire, the lock ends when ctx is done.
+func (c *Client) Acquire(ctx context.Context, name string, holdTime time.Duration) (*Lock, error) {
+	return c.acquire(ctx, name, holdTime, 0)
 }
 
-// AcquireWithin is Acquire that waits for so long at most, and returns ErrHeld or ErrNoAnswer then; it asks once at least. The lock is
-// kept beyond that time, until ctx is done.
-func (c *Client) AcquireWithin(ctx context.Context, name string, hold, wait time.Duration) (*Lock, error) {
-	return c.acquire(ctx, name, hold, max(c.clock.Monotonic()+wait, 1))
+// AcquireWithin is Acquire with a maximum waiting time, after which it returns ErrHeld or ErrNoAnswer. It makes at least one attempt. The
+// waiting time doesn't limit the lock, which is renewed until ctx is done.
+func (c *Client) AcquireWithin(ctx context.Context, name string, holdTime, wait time.Duration) (*Lock, error) {
+	return c.acquire(ctx, name, holdTime, max(c.clock.Monotonic()+wait, 1))
 }
 
-// acquire waits for the lock until a moment, or without end if that is 0.
-func (c *Client) acquire(ctx context.Context, name string, hold, until time.Duration) (*Lock, error) {
-	pause := min(max(hold/pollDivisor, minPollPause), maxPollPause)
+// acquire waits for the lock until a deadline. A deadline of 0 means no limit.
+func (c *Client) acquire(ctx context.Context, name string, holdTime, deadline time.Duration) (*Lock, error) {
+	pause := min(max(holdTime/pollDivisor, minPollPause), maxPollPause)
 	for {
-		lock, err := c.tryAcquire(ctx, name, hold, until)
-		if !errors.Is(err, ErrHeld) || until > 0 && c.clock.Monotonic() >= until {
+		lock, err := c.tryAcquire(ctx, name, holdTime, deadline)
+		if !errors.Is(err, ErrHeld) || deadline > 0 && c.clock.Monotonic() >= deadline {
 			return lock, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-c.clock.After(c.pauseWithin(pause, until)):
+		case <-c.clock.After(c.limitPause(pause, deadline)):
 		}
 	}
 }
 
-// keep renews the lock. The holder's time counts from when the last good call was sent.
-func (l *Lock) keep(sentAt time.Duration) {
-	defer close(l.kept)
+// renewUntilEnd renews the lock until it ends. The hold time counts from the time at which the last successful call was sent.
+func (l *Lock) renewUntilEnd(sentAt time.Duration) {
+	defer close(l.renewalEnded)
 	clock := l.client.clock
-	until, pause := sentAt+l.heldFor(), l.hold/renewalsPerHold
+	deadline, pause := sentAt+l.safeHoldTime(), l.holdTime/renewalsPerHoldTime
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-clock.After(min(pause, max(0, until-clock.Monotonic()))):
+		case <-clock.After(min(pause, max(0, deadline-clock.Monotonic()))):
 		}
 		now := clock.Monotonic()
-		if now >= until {
-			l.end(ErrLost)
+		if now >= deadline {
+			l.cancel(ErrLost)
 			return
 		}
-		status := l.renew(now, until)
+		status := l.renew(now, deadline)
 		switch {
-		case status == http.StatusOK && clock.Monotonic() < until:
-			until, pause = now+l.heldFor(), l.hold/renewalsPerHold
+		case status == http.StatusOK && clock.Monotonic() < deadline:
+			deadline, pause = now+l.safeHoldTime(), l.holdTime/renewalsPerHoldTime
 		case status == 0:
 			pause = retryPause
 		default:
-			l.end(ErrLost)
+			l.cancel(ErrLost)
 			return
 		}
 	}
 }
 
-// heldFor is how long the holder relies on the lock from the sending of a call on.
-func (l *Lock) heldFor() time.Duration { return l.hold - l.hold/marginDivisor }
+// safeHoldTime returns the time after the sending of a successful call for which the client relies on the lock.
+func (l *Lock) safeHoldTime() time.Duration { return l.holdTime - l.holdTime/marginDivisor }
 
-// renew asks for more time, within the time that is left; the status is 0 if there was no clear answer.
-func (l *Lock) renew(now, until time.Duration) int {
-	ctx, cancel := context.WithTimeout(l.ctx, until-now)
+// renew extends the lock by a hold time. It returns the HTTP status, or 0 if there is no clear answer before the deadline.
+func (l *Lock) renew(now, deadline time.Duration) int {
+	ctx, cancel := context.WithTimeout(l.ctx, deadline-now)
 	defer cancel()
-	given, err := l.client.ask(ctx, call{method: http.MethodPost, path: pathOf(prefixLocks, l.name, suffixHeartbeat),
-		body: &wire.LockCall{Holder: l.client.holder, Fence: l.fence, HoldMs: l.hold.Milliseconds()}, until: until})
+	reply, err := l.client.askStewards(ctx, apiCall{method: http.MethodPost, path: pathOf(prefixLocks, l.name, suffixHeartbeat),
+		body: &wire.LockCall{Holder: l.client.holder, Fence: l.fence, HoldMs: l.holdTime.Milliseconds()}, deadline: deadline})
 	if err != nil {
 		return 0
 	}
-	return given.status
+	return reply.status
 }
 
-// Release ends the lock's context and gives the lock back. An error says that others may have to wait until its time is over.
+// Release ends the lock's context and releases the lock. After an error other clients may have to wait until the hold time is over.
 func (l *Lock) Release(ctx context.Context) error {
-	l.end(ErrReleased)
-	<-l.kept
-	given, err := l.client.ask(ctx, call{method: http.MethodPost, path: pathOf(prefixLocks, l.name, suffixTerminate),
+	l.cancel(ErrReleased)
+	<-l.renewalEnded
+	reply, err := l.client.askStewards(ctx, apiCall{method: http.MethodPost, path: pathOf(prefixLocks, l.name, suffixTerminate),
 		body: &wire.LockCall{Holder: l.client.holder, Fence: l.fence}})
 	if err != nil {
 		return err
 	}
-	return given.refusal()
+	return reply.refusal()
 }
 
-// refusal is the error of a clear answer that is no success.
+// refusal returns nil if the status is 200, and otherwise a *RefusedError.
 func (a *answer) refusal() error {
 	if a.status == http.StatusOK {
 		return nil
@@ -177,10 +182,10 @@
 	return refused
 }
 
-// read decodes a success, or gives the error of a refusal.
+// read decodes the body of a successful answer. Otherwise it returns the error of the refusal.
 func (a *answer) read(into easyjson.Unmarshaler) error {
 	if err := a.refusal(); err != nil {
 		return err
 	}
-	return errors.Annotate(easyjson.Unmarshal(a.body, into), "the answer can't be read")
+	return errors.Annotate(easyjson.Unmarshal(a.body, into), "decoding the answer of a steward")
 }
--- a/client/messages.go
+++ b/client/messages.go
@@ -2,10 +2,10 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all messages.go
 
-// refusalText is the body of a refusal.
+// refusalText is the body of an answer that refuses a call.
 type refusalText struct {
 	Error string `json:"error-text"`
 }
 
-// emptyCall is the body of a call that says nothing.
+// emptyCall is the body of a call without parameters.
 type emptyCall struct{}
--- a/client/othermodule_test.go
+++ b/client/othermodule_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// application is a program of another module that uses the package.
+// application is a program in another module that imports the package.
 const application = `package main
 
 import (
@@ -29,22 +29,22 @@
 }
 `
 
-var _ = It("can be used from another module, as docs/locks.md says", func() {
+var _ = It("package client can be imported by another module as docs/locks.md describes", func() {
 	root, err := filepath.Abs("..")
 	Expect(err).NotTo(HaveOccurred())
 	folder := GinkgoT().TempDir()
-	for _, copied := range []string{"go.mod", "go.sum"} {
-		text, err := os.ReadFile(filepath.Join(root, copied))
+	for _, name := range []string{"go.mod", "go.sum"} {
+		content, err := os.ReadFile(filepath.Join(root, name))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(os.WriteFile(filepath.Join(folder, copied), text, 0o644)).To(Succeed())
+		Expect(os.WriteFile(filepath.Join(folder, name), content, 0o644)).To(Succeed())
 	}
 	Expect(os.WriteFile(filepath.Join(folder, "main.go"), []byte(application), 0o644)).To(Succeed())
-	// The requirements of this module stand in for what "go mod tidy" of the other one would add.
+	// The copied go.mod and go.sum hold the requirements that "go mod tidy" would add in the other module.
 	for _, arguments := range [][]string{{"mod", "edit", "-module=shop", "-require=gannetline@v0.0.0", "-replace=gannetline=" + root},
 		{"vet", "-mod=mod", "."}, {"build", "-mod=mod", "-o", filepath.Join(folder, "shop"), "."}} {
 		command := exec.Command("go", arguments...)
 		command.Dir, command.Env = folder, append(os.Environ(), "GOWORK=off", "GOFLAGS=")
-		text, err := command.CombinedOutput()
-		Expect(err).NotTo(HaveOccurred(), "go %v: %s", arguments, text)
+		output, err := command.CombinedOutput()
+		Expect(err).NotTo(HaveOccurred(), "go %v: %s", arguments, output)
 	}
 })
--- a/internal/testsupport/golden/fields.go
+++ b/internal/testsupport/golden/fields.go
@@ -5,28 +5,29 @@
 	"strings"
 )
 
-// Fields lists the names that a struct has under a tag such as "yaml", a line a field; those of inner structs follow
-// the name of their field and a dot.
+// Fields lists the names of a struct's fields in a tag such as "yaml", with the kind of each field, one line per field. The names of the
+// fields of nested structs are prefixed with the name of the outer field and a dot.
 func Fields(value any, tag string) string {
 	var lines strings.Builder
 	writeFields(&lines, reflect.TypeOf(value), tag, "")
 	return lines.String()
 }
 
-func writeFields(lines *strings.Builder, kind reflect.Type, tag, prefix string) {
-	for index := range kind.NumField() {
-		field := kind.Field(index)
+// writeFields writes the lines of a struct type with a prefix before each name. It leaves out fields with the tag "-".
+func writeFields(lines *strings.Builder, structType reflect.Type, tag, prefix string) {
+	for index := range structType.NumField() {
+		field := structType.Field(index)
 		if field.Tag.Get(tag) == "-" {
 			continue
 		}
 		name := prefix + field.Tag.Get(tag)
 		lines.WriteString(name + " " + field.Type.Kind().String() + "\n")
-		inner := field.Type
-		for inner.Kind() == reflect.Slice || inner.Kind() == reflect.Pointer || inner.Kind() == reflect.Map {
-			inner = inner.Elem()
+		elementType := field.Type
+		for elementType.Kind() == reflect.Slice || elementType.Kind() == reflect.Pointer || elementType.Kind() == reflect.Map {
+			elementType = elementType.Elem()
 		}
-		if inner.Kind() == reflect.Struct {
-			writeFields(lines, inner, tag, name+".")
+		if elementType.Kind() == reflect.Struct {
+			writeFields(lines, elementType, tag, name+".")
 		}
 	}
 }
--- a/internal/testsupport/golden/fill.go
+++ b/internal/testsupport/golden/fill.go
@@ -7,7 +7,7 @@
 	"github.com/mailru/easyjson"
 )
 
-// sequence gives every field a value of its own, so that two fields that change places are noticed.
+// sequence numbers the fields, so that each gets a different value and swapped fields are detected.
 type sequence struct{ last int }
 
 func (s *sequence) next() int {
@@ -17,10 +17,11 @@
 
 var rawMessageType = reflect.TypeFor[easyjson.RawMessage]()
 
-// elementCount is how many elements each list gets.
+// elementCount is the number of elements in each slice.
 const elementCount = 2
 
-// fill sets a value, and all that it holds, to values that differ from zero. Fields that are not exported stay empty.
+// fill sets a value and all values that it contains to non-zero values. Unexported fields keep their zero value. It panics for a kind that
+// it doesn't support, such as a map.
 func fill(value reflect.Value, numbers *sequence) {
 	switch kind := value.Kind(); {
 	case value.Type() == rawMessageType:
@@ -50,6 +51,6 @@
 			}
 		}
 	default:
-		panic(fmt.Sprintf("golden: a field of kind %s can't be filled", kind))
+		panic(fmt.Sprintf("golden: fields of kind %s are not supported", kind))
 	}
 }
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares the bytes that messages and records are encoded to with golden files, so that a renamed or moved
-// field can't change what is sent to other processes or kept on disk. It is used by tests only.
+// Package golden compares the encoding of messages and records with golden files. So tests detect when a renamed or moved field changes the
+// data that is sent to other processes or stored on disk. Only tests use it.
 //
-// A golden file is written when the environment variable GANNETLINE_UPDATE_GOLDEN is set; that is right for a new message,
-// and for a field that was added to one, and never for a name that was changed.
+// The golden files are written if the environment variable GANNETLINE_UPDATE_GOLDEN is set. Use it only for a new message or a new field,
+// never after the change of an encoded name.
 package golden
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/mailru/easyjson"
 )
 
-// UpdateVariable is the environment variable with which golden files are written in place of being compared.
+// UpdateVariable is the environment variable that, if set, makes golden files be written instead of compared.
 const UpdateVariable = "GANNETLINE_UPDATE_GOLDEN"
 
-// messageFolder holds the golden files of messages in the folder of each package.
+// messageFolder is the folder with the golden files of messages, relative to the folder of each package.
 const messageFolder = "testdata/messages"
 
 // Message is a pointer to a value with generated JSON code.
@@ -27,28 +27,28 @@
 	easyjson.Unmarshaler
 }
 
-// MismatchError tells how encoded bytes differ from the golden file at Path.
+// MismatchError reports that an encoded text differs from the golden file at Path. Want is the content of the file.
 type MismatchError struct {
 	Path      string
 	Want, Got string
 }
 
-// Error shows both texts.
+// Error returns a message with both texts.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("%s holds\n%s\nbut the sources make\n%s", e.Path, e.Want, e.Got)
+	return fmt.Sprintf("golden file %s holds\n%s\nbut the code encodes\n%s", e.Path, e.Want, e.Got)
 }
 
-// CheckMessage fills every field of an empty message, and compares its encoding with the golden file of that name in the
-// package's messageFolder; then it decodes
-// the golden file and compares the encoding of that. The error is a *MismatchError, or says what can't be read.
+// CheckMessage fills every field of a new message of the type of empty, and compares its encoding with the golden file of that name in the
+// package's messageFolder. Then it decodes the golden file, encodes the result and compares that with the file too. The error is a
+// *MismatchError, or names the file or message that can't be read, decoded or encoded.
 func CheckMessage(name string, empty Message) error {
 	path := filepath.Join(messageFolder, name+".json")
-	kind := reflect.TypeOf(empty).Elem()
-	filled := reflect.New(kind)
+	messageType := reflect.TypeOf(empty).Elem()
+	filled := reflect.New(messageType)
 	fill(filled.Elem(), &sequence{})
 	encoded, err := easyjson.Marshal(filled.Interface().(Message))
 	if err != nil {
-		return errors.Annotatef(err, "encoding %s", kind)
+		return errors.Annotatef(err, "encoding %s", messageType)
 	}
 	if err := CheckText(path, string(encoded)); err != nil {
 		return err
@@ -57,22 +57,22 @@
 	if err != nil {
 		return errors.Annotate(err, "reading a golden file")
 	}
-	decoded := reflect.New(kind).Interface().(Message)
+	decoded := reflect.New(messageType).Interface().(Message)
 	if err := easyjson.Unmarshal(stored, decoded); err != nil {
 		return errors.Annotatef(err, "decoding %s", path)
 	}
 	again, err := easyjson.Marshal(decoded)
 	if err != nil {
-		return errors.Annotatef(err, "encoding %s again", kind)
+		return errors.Annotatef(err, "encoding %s after decoding", messageType)
 	}
 	return CheckText(path, string(again))
 }
 
-// CheckText compares a text with the golden file; the error is a *MismatchError, or says that there is no such file.
+// CheckText compares a text with a golden file. The error is a *MismatchError, or says that the file can't be read.
 func CheckText(path, text string) error {
 	if os.Getenv(UpdateVariable) != "" {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			return errors.Annotate(err, "making the folder of golden files")
+			return errors.Annotate(err, "creating the folder of golden files")
 		}
 		return errors.Annotate(os.WriteFile(path, []byte(text), 0o644), "writing a golden file")
 	}
