--- a/client/client_test.go
+++ b/client/client_test.go
@@ -154,7 +154,7 @@
 		Expect(s.clock.Monotonic()).To(BeNumerically("<", testHoldTime))
 	})
 
-	It("is acquired by Acquire once another holder has released it", func() {
+	It("makes TryAcquire return ErrHeld and Acquire wait while another client holds it", func() {
 		_, err := func() (*Lock, error) {
 			s.answers(scriptedAnswer{status: 409})
 			return s.client.TryAcquire(ctx, "a", testHoldTime)
--- a/client/configuration.go
+++ b/client/configuration.go
@@ -27,7 +27,7 @@
 }
 
 // Rollouts returns the state of the rollouts, as a JSON object with the version of the configuration and a list. The list is empty for a
-// moment after a change of the leader.
+// moment after another steward has taken over as leader.
 func (c *Client) Rollouts(ctx context.Context) ([]byte, error) { return c.retrieve(ctx, pathRollouts) }
 
 // retrieve returns the body of a successful answer.
--- a/internal/platform/commitqueue/commitqueue.go
+++ b/internal/platform/commitqueue/commitqueue.go
@@ -1,5 +1,6 @@
-// Package commitqueue tracks the proposed changes of a key until their outcome is known, and runs the callbacks of each. Commits end in
-// the order in which a state machine proposes them. A callback that depends on several pending commits therefore runs after the last one.
+// Package commitqueue tracks the proposed changes of a key that wait for their quorum, and runs the callbacks of each at its end. Commits
+// end in the order in which a state machine proposes them. A callback that depends on several pending commits therefore runs after the last
+// one.
 package commitqueue
 
 // Commit is a proposed change with the callbacks that run at its end.
--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -244,31 +244,31 @@
 		Expect(err).NotTo(HaveOccurred())
 		fixture := &testServer{address: listener.Addr().String()}
 		fixture.server = New(&failingListener{Listener: listener, failures: 2}, http.HandlerFunc(answerOK), newSteppedClock(), logging.Silent())
-		ended := make(chan error, 1)
-		go func() { ended <- fixture.server.Serve() }()
+		serveResult := make(chan error, 1)
+		go func() { serveResult <- fixture.server.Serve() }()
 		DeferCleanup(func() { fixture.server.inner.Close() })
 		caller := fixture.connect()
 		caller.send(plainRequest)
 		Expect(caller.answer().StatusCode).To(Equal(200))
-		Expect(ended).NotTo(Receive())
+		Expect(serveResult).NotTo(Receive())
 	})
 
 	It("closes connections after their answer near the limit, and lets those beyond the limit wait", func() {
 		fixture := startServer(answerOK, WithMaxConnections(4))
-		var kept []*client
+		var reused []*client
 		for range 3 {
 			caller := fixture.connect()
 			caller.send(plainRequest)
 			Expect(caller.answer().Close).To(BeFalse())
-			kept = append(kept, caller)
+			reused = append(reused, caller)
 		}
 		fourth, waiting := fixture.connect(), fixture.connect()
 		waiting.send(plainRequest)
 		fourth.send(plainRequest)
 		Expect(fourth.answer().Close).To(BeTrue())
 		Expect(waiting.answer().Close).To(BeTrue())
-		kept[0].send(strings.Replace(plainRequest, "/a", "/b", 1))
-		Expect(kept[0].answer().StatusCode).To(Equal(200))
+		reused[0].send(strings.Replace(plainRequest, "/a", "/b", 1))
+		Expect(reused[0].answer().StatusCode).To(Equal(200))
 	})
 })
 
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -144,8 +144,8 @@
 }
 
 // serveRequest answers one request. It refuses requests while isRefusing is set, and answers 502 if the handler panics.
-func (s *Server) serveRequest(to http.ResponseWriter, request *http.Request) {
-	answer := &answerWriter{ResponseWriter: to, server: s}
+func (s *Server) serveRequest(writer http.ResponseWriter, request *http.Request) {
+	answer := &answerWriter{ResponseWriter: writer, server: s}
 	defer s.flushAnswer(answer, request)
 	defer s.recoverPanic(answer)
 	if s.isRefusing.Load() {
--- a/internal/platform/mailbox/pacing.go
+++ b/internal/platform/mailbox/pacing.go
@@ -8,9 +8,10 @@
 
 // pacing ensures a minimum pause between the bursts of an owner.
 type pacing struct {
-	clock     clock.Clock
-	pause     time.Duration
-	settledAt time.Duration // time of the last Settle
+	clock clock.Clock
+	pause time.Duration
+	// settledAt is the time of the last Settle on the monotonic clock.
+	settledAt time.Duration
 	// pauseEnd receives a value at the end of the current pause. It is nil outside a pause.
 	pauseEnd <-chan time.Time
 }
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -15,7 +15,7 @@
 const (
 	// maxLabels is the largest number of labels of a metric.
 	maxLabels = 3
-	// maxSeries is the number of series of a metric after which further label values are counted as "other".
+	// maxSeries is the number of series of a family beyond which further label values are counted as "other".
 	maxSeries = 256
 	// Path is the HTTP path of the metrics page, at the internal address of a process.
 	Path = "/metrics"
@@ -87,8 +87,8 @@
 	return newVector(NewHistogram, name, labels)
 }
 
-// With returns the series of these label values. A family has at most maxSeries series. All further values share one with the value
-// "other" in each label.
+// With returns the series of these label values. Beyond maxSeries all further values share one more series, with the value "other"
+// in each label.
 func (v *Vector[T]) With(values ...string) T {
 	var key labelValues
 	copy(key[:], values)
@@ -135,12 +135,12 @@
 }
 
 // Write writes all metrics of the process in the Prometheus text format.
-func Write(to io.Writer) { registry.WritePrometheus(to) }
+func Write(writer io.Writer) { registry.WritePrometheus(writer) }
 
 // Handle serves all metrics of the process under Path.
 func Handle(mux *http.ServeMux) {
-	mux.HandleFunc("GET "+Path, func(to http.ResponseWriter, _ *http.Request) {
-		to.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		Write(to)
+	mux.HandleFunc("GET "+Path, func(writer http.ResponseWriter, _ *http.Request) {
+		writer.Header().Set("Content-Type", "text/plain; version=0.0.4")
+		Write(writer)
 	})
 }
--- a/internal/platform/queuerules/queuerules.go
+++ b/internal/platform/queuerules/queuerules.go
@@ -1,5 +1,5 @@
-// Package queuerules compiles and evaluates the expressions with which an operator restricts the executors of a queue and orders its steps.
-// The rules only narrow and order what placement would do anyway, so they can't break an invariant of placement.
+// Package queuerules compiles and evaluates the expressions with which an operator selects the preferred executors of a queue and orders its
+// steps. The rules only narrow and order what placement would do anyway, so they can't break an invariant of placement.
 package queuerules
 
 import (
@@ -16,8 +16,7 @@
 	maxNodes = 100
 )
 
-// Text holds the source of the rules of one queue. Use decides which executors the queue may use, and Order ranks its steps. An empty
-// text is no rule.
+// Text holds the source of the rules of one queue. Use selects executors, and Order ranks steps. An empty text is no rule.
 type Text struct {
 	Use   string `yaml:"use"`
 	Order string `yaml:"order"`
@@ -31,7 +30,7 @@
 	GPU    int      `expr:"gpu"`
 }
 
-// Step holds the variables of an order rule. Due is the target time of its job in milliseconds since 1970, Tasks the number of tasks.
+// Step holds the variables of an order rule. Due is the target time of its job in milliseconds since 1970, Tasks the number of ready tasks.
 // CPU is in thousandths of a core, Memory in MB, and Estimate, the estimated run time of a task, in milliseconds.
 type Step struct {
 	Due      int `expr:"due"`
@@ -107,7 +106,7 @@
 	return err != nil || !isBool || isAllowed
 }
 
-// HasUse reports whether a queue has a rule that restricts its executors.
+// HasUse reports whether a queue has a rule that selects executors.
 func (r *Rules) HasUse(queue string) bool { return r != nil && r.queues[queue].use != nil }
 
 // HasOrder reports whether a queue has a rule that orders its steps.
--- a/internal/platform/queuerules/queuerules_test.go
+++ b/internal/platform/queuerules/queuerules_test.go
@@ -14,7 +14,7 @@
 }
 
 var _ = Describe("Rules", func() {
-	It("restrict the executors of their queue and order its steps", func() {
+	It("select the executors of their queue and order its steps", func() {
 		rules, err := compile(`"r1" in labels && cpu >= 8000`, `due - 1000 * tasks`)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rules.Allows("q", queuerules.Executor{Labels: []string{"a", "r1"}, CPU: 16000})).To(BeTrue())
--- a/internal/platform/response/response.go
+++ b/internal/platform/response/response.go
@@ -65,27 +65,27 @@
 
 // Write sends the response. A response without a final status is a bug in this process. Write logs it to standard error and sends a 502
 // instead.
-func (r Reply) Write(to http.ResponseWriter) { r.WriteLogged(to, processLog) }
+func (r Reply) Write(writer http.ResponseWriter) { r.WriteLogged(writer, processLog) }
 
 // WriteLogged sends the response like Write, but logs a status that is not final to the given logger.
-func (r Reply) WriteLogged(to http.ResponseWriter, log logging.Logger) {
+func (r Reply) WriteLogged(writer http.ResponseWriter, log logging.Logger) {
 	if r.Status < minFinalStatus || r.Status > maxFinalStatus {
 		err := errors.Errorf("an HTTP response has status %d, which is not a final one", r.Status)
 		log.Error(err, "response not written", "status", r.Status, "body_bytes", len(r.Body))
 		r = Text(http.StatusBadGateway, "no answer with a status came")
 	}
 	if len(r.Body) > 0 {
-		to.Header().Set("Content-Type", "application/json")
+		writer.Header().Set("Content-Type", "application/json")
 	}
 	if r.RetryAfter > 0 {
-		to.Header().Set("Retry-After", strconv.Itoa(r.RetryAfter))
+		writer.Header().Set("Retry-After", strconv.Itoa(r.RetryAfter))
 	}
 	if r.Challenge != "" {
-		to.Header().Set("WWW-Authenticate", r.Challenge)
+		writer.Header().Set("WWW-Authenticate", r.Challenge)
 	}
-	to.Header().Set("Content-Length", strconv.Itoa(len(r.Body)))
-	to.WriteHeader(r.Status)
+	writer.Header().Set("Content-Length", strconv.Itoa(len(r.Body)))
+	writer.WriteHeader(r.Status)
 	if len(r.Body) > 0 {
-		to.Write(r.Body)
+		writer.Write(r.Body)
 	}
 }
--- a/internal/platform/settings/bounds.go
+++ b/internal/platform/settings/bounds.go
@@ -7,7 +7,7 @@
 )
 
 // Bounds holds the time limits and factors of the protocol. Fields with the suffix Ms are in milliseconds, those with S in seconds. For a
-// translated bound the tag holds the earlier name. A settings file may use either name.
+// renamed bound the tag holds the earlier name. A settings file may use either name.
 type Bounds struct {
 	ContactWindowMs int64   `yaml:"contact-window-ms"`
 	AckTimeoutMs    int64   `yaml:"ack-timeout-ms"`
--- a/internal/platform/transportmetrics/transportmetrics.go
+++ b/internal/platform/transportmetrics/transportmetrics.go
@@ -1,4 +1,4 @@
-// Package transportmetrics counts the bytes, datagrams and HTTP calls that a process sends and receives.
+// Package transportmetrics counts the bytes and datagrams that a process sends and receives at its sockets, and its HTTP calls.
 package transportmetrics
 
 import (
@@ -144,8 +144,8 @@
 	if m == nil {
 		return handler
 	}
-	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
+	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		m.served.Add(1)
-		handler.ServeHTTP(to, request)
+		handler.ServeHTTP(writer, request)
 	})
 }
--- a/internal/platform/transportmetrics/transportmetrics_test.go
+++ b/internal/platform/transportmetrics/transportmetrics_test.go
@@ -31,12 +31,12 @@
 		_, err = io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Body.Close()).To(Succeed())
-		there, here := served.Figures(), made.Figures()
-		Expect(there.Served).To(Equal(int64(1)))
-		Expect(here.Made).To(Equal(int64(1)))
-		Expect(here.BytesIn).To(BeNumerically(">", 4))
-		Expect(there.BytesIn).To(Equal(here.BytesOut))
-		Expect(there.BytesOut).To(Equal(here.BytesIn))
+		serverFigures, clientFigures := served.Figures(), made.Figures()
+		Expect(serverFigures.Served).To(Equal(int64(1)))
+		Expect(clientFigures.Made).To(Equal(int64(1)))
+		Expect(clientFigures.BytesIn).To(BeNumerically(">", 4))
+		Expect(serverFigures.BytesIn).To(Equal(clientFigures.BytesOut))
+		Expect(serverFigures.BytesOut).To(Equal(clientFigures.BytesIn))
 	})
 
 	It("counts datagrams and their bytes", func() {
@@ -53,10 +53,10 @@
 	})
 
 	It("returns clients, listeners and sockets unchanged if it is nil", func() {
-		var none *transportmetrics.Meter
+		var meter *transportmetrics.Meter
 		client := peerapi.Client(0, 1)
-		Expect(none.Client(client).Transport).To(BeIdenticalTo(client.Transport))
-		Expect(none.Listener(nil)).To(BeNil())
-		Expect(none.Packets(nil)).To(BeNil())
+		Expect(meter.Client(client).Transport).To(BeIdenticalTo(client.Transport))
+		Expect(meter.Listener(nil)).To(BeNil())
+		Expect(meter.Packets(nil)).To(BeNil())
 	})
 })
