--- a/internal/platform/eventstream/eventstream.go
+++ b/internal/platform/eventstream/eventstream.go
@@ -21,8 +21,8 @@
 const (
 	// ErrTooLarge is the error of Next for an event above the size limit.
 	ErrTooLarge = errors.ConstError("an event of the stream is too large")
-	// ErrCutEvent is the error of Next if the stream ends within an event.
-	ErrCutEvent = errors.ConstError("the event stream ended within an event")
+	// ErrTruncatedEvent is the error of Next if the stream ends within an event.
+	ErrTruncatedEvent = errors.ConstError("the event stream ended within an event")
 )
 
 // Event is one event. It is valid until the next call of Reader.Next.
@@ -47,7 +47,7 @@
 	return &Reader{source: bufio.NewReaderSize(source, bufferBytes)}
 }
 
-// Next returns the next event. The error is io.EOF after the last event, ErrCutEvent if the stream ends within an event, ErrTooLarge for an
+// Next returns the next event. The error is io.EOF after the last event, ErrTruncatedEvent if the stream ends within an event, ErrTooLarge for an
 // event above the size limit, and otherwise the error of the source.
 func (r *Reader) Next() (*Event, error) {
 	r.event = Event{Raw: r.event.Raw[:0], Data: r.event.Data[:0]}
@@ -55,7 +55,7 @@
 		line, err := r.readLine()
 		switch {
 		case errors.Is(err, io.EOF) && len(r.event.Raw) > 0:
-			return nil, ErrCutEvent
+			return nil, ErrTruncatedEvent
 		case err != nil:
 			return nil, err
 		case len(line) == 0:
--- a/internal/platform/eventstream/eventstream_test.go
+++ b/internal/platform/eventstream/eventstream_test.go
@@ -48,7 +48,7 @@
 	It("returns an error for an end within an event, an error of the source, and an event that is too large", func() {
 		raw, _, _, finalError := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n"))
 		Expect(raw).To(HaveLen(1))
-		Expect(finalError).To(MatchError(eventstream.ErrCutEvent))
+		Expect(finalError).To(MatchError(eventstream.ErrTruncatedEvent))
 		broken := errors.New("broken")
 		_, _, _, finalError = readAll(io.MultiReader(strings.NewReader("id: 1\n"), iotest.ErrReader(broken)))
 		Expect(finalError).To(MatchError(broken))
