--- a/internal/platform/eventstream/eventstream.go
+++ b/internal/platform/eventstream/eventstream.go
@@ -47,8 +47,8 @@
 	return &Reader{source: bufio.NewReaderSize(source, bufferBytes)}
 }
 
-// Next returns the next event. The error is io.EOF after the last event, ErrTruncatedEvent if the stream ends within an event, ErrTooLarge for an
-// event above the size limit, and otherwise the error of the source.
+// Next returns the next event. The error is io.EOF after the last event, ErrTruncatedEvent if the stream ends within an event, ErrTooLarge
+// for an event above the size limit, and otherwise the error of the source.
 func (r *Reader) Next() (*Event, error) {
 	r.event = Event{Raw: r.event.Raw[:0], Data: r.event.Data[:0]}
 	for {
