--- a/internal/platform/transportmetrics/transportmetrics_test.go
+++ b/internal/platform/transportmetrics/transportmetrics_test.go
@@ -13,12 +13,12 @@
 	"gannetline/internal/platform/transportmetrics"
 )
 
-func TestWiremeter(t *testing.T) {
+func TestTransportMetrics(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "transportmetrics")
 }
 
-var _ = Describe("the meter", func() {
+var _ = Describe("Meter", func() {
 	It("counts calls and their bytes on both sides", func() {
 		served, made := &transportmetrics.Meter{}, &transportmetrics.Meter{}
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -31,15 +31,15 @@
 		_, err = io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Body.Close()).To(Succeed())
-		there, here := served.Figures(), made.Figures()
-		Expect(there.Served).To(Equal(int64(1)))
-		Expect(here.Made).To(Equal(int64(1)))
-		Expect(here.BytesIn).To(BeNumerically(">", 4))
-		Expect(there.BytesIn).To(Equal(here.BytesOut))
-		Expect(there.BytesOut).To(Equal(here.BytesIn))
+		serverFigures, clientFigures := served.Figures(), made.Figures()
+		Expect(serverFigures.Served).To(Equal(int64(1)))
+		Expect(clientFigures.Made).To(Equal(int64(1)))
+		Expect(clientFigures.BytesIn).To(BeNumerically(">", 4))
+		Expect(serverFigures.BytesIn).To(Equal(clientFigures.BytesOut))
+		Expect(serverFigures.BytesOut).To(Equal(clientFigures.BytesIn))
 	})
 
-	It("counts datagrams", func() {
+	It("counts datagrams and their bytes", func() {
 		meter := &transportmetrics.Meter{}
 		plain, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -52,11 +52,11 @@
 		Expect(meter.Figures()).To(Equal(transportmetrics.Figures{BytesIn: 4, BytesOut: 4, DatagramsIn: 1, DatagramsOut: 1}))
 	})
 
-	It("wraps nothing when there is none", func() {
-		var none *transportmetrics.Meter
+	It("returns clients, listeners and sockets unchanged if it is nil", func() {
+		var meter *transportmetrics.Meter
 		client := peerapi.Client(0, 1)
-		Expect(none.Client(client).Transport).To(BeIdenticalTo(client.Transport))
-		Expect(none.Listener(nil)).To(BeNil())
-		Expect(none.Packets(nil)).To(BeNil())
+		Expect(meter.Client(client).Transport).To(BeIdenticalTo(client.Transport))
+		Expect(meter.Listener(nil)).To(BeNil())
+		Expect(meter.Packets(nil)).To(BeNil())
 	})
 })
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -113,7 +113,7 @@
 	b.node.Handle(b.internalMux)
 	metrics.Handle(b.internalMux)
 	b.tree.Add("peers", b.node.Run)
-	b.tree.Add("peer-calls", b.newServerPart(b.peerListener, b.internalMux, internalLeaveTimes))
+	b.tree.Add("peer-calls", b.newServerPart(b.peerListener, b.internalMux, internalShutdownTimes))
 	if interval := b.settings.MetricsLog(); interval > 0 {
 		b.tree.Add("metrics", metrics.Logging(b.log, b.clock, interval))
 	}
@@ -121,13 +121,13 @@
 
 // Shutdown times of the servers for peers, executors and operators. They begin once the role has handed over its work.
 var (
-	internalLeaveTimes = httpserver.LeaveTimes{Close: 300 * time.Millisecond}
-	executorLeaveTimes = httpserver.LeaveTimes{CallsEnd: 100 * time.Millisecond, Close: 400 * time.Millisecond}
-	operatorLeaveTimes = httpserver.LeaveTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
+	internalShutdownTimes = httpserver.ShutdownTimes{Close: 300 * time.Millisecond}
+	executorShutdownTimes = httpserver.ShutdownTimes{CallsEnd: 100 * time.Millisecond, Close: 400 * time.Millisecond}
+	operatorShutdownTimes = httpserver.ShutdownTimes{Quiet: 100 * time.Millisecond, CallsEnd: 950 * time.Millisecond, Close: 1300 * time.Millisecond}
 )
 
 // newServerPart returns a part that serves calls until its context is done, and then shuts the server down gracefully.
-func (b *base) newServerPart(listener net.Listener, handler http.Handler, times httpserver.LeaveTimes) supervise.Part {
+func (b *base) newServerPart(listener net.Listener, handler http.Handler, times httpserver.ShutdownTimes) supervise.Part {
 	server := httpserver.New(listener, b.meter.Handler(handler), b.clock, b.log)
 	return func(ctx context.Context) error {
 		served := make(chan error, 1)
@@ -136,7 +136,7 @@
 		case err := <-served:
 			return err
 		case <-ctx.Done():
-			server.Leave(times)
+			server.Shutdown(times)
 			return nil
 		}
 	}
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -57,15 +57,15 @@
 	leaderClient := leaderclient.New(b.caller, b.clock, b.node.View)
 	api, canServe := b.clientHandler(leaderClient, configurations)
 	server := httpserver.New(clientListener, b.meter.Handler(api), b.clock, b.log,
-		httpserver.WithMaxConnections(maxClientConnections(b.settings.Limits.FileDescriptors)), httpserver.WithMarkedRefusals(headerrules.Echo))
+		httpserver.WithMaxConnections(maxClientConnections(b.settings.Limits.FileDescriptors)), httpserver.WithRefusalHeaders(headerrules.Echo))
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("clients", func(context.Context) error { return server.Serve() })
 	b.tree.Add("readiness", b.newServerPart(readinessListener, readinessHandler(func() bool {
 		return !isLeaving.Load() && configurations.Current() != nil && b.node.View().SeesSteward() && canServe()
-	}), internalLeaveTimes))
+	}), internalShutdownTimes))
 	return b.run(func() {
 		isLeaving.Store(true)
-		server.Leave(clientLeaveTimes(b.settings.GracePeriod()))
+		server.Shutdown(clientShutdownTimes(b.settings.GracePeriod()))
 	})
 }
 
@@ -101,10 +101,10 @@
 	return keyWatch.IsFresh
 }
 
-// clientLeaveTimes returns the shutdown times of a gate's client server, within the grace period. Calls that wait for an unreachable leader
+// clientShutdownTimes returns the shutdown times of a gate's client server, within the grace period. Calls that wait for an unreachable leader
 // are cancelled while there is time left to write all their answers on a slow machine and link.
-func clientLeaveTimes(gracePeriod time.Duration) httpserver.LeaveTimes {
-	return httpserver.LeaveTimes{
+func clientShutdownTimes(gracePeriod time.Duration) httpserver.ShutdownTimes {
+	return httpserver.ShutdownTimes{
 		Notice:   min(noticeTime, gracePeriod/2),
 		Quiet:    quietTime,
 		CallsEnd: gracePeriod * 3 / 4,
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -20,7 +20,7 @@
 
 var _ = Describe("a process that shuts down", func() {
 	DescribeTable("cancels a gate's calls while there is time left to write their answers", func(gracePeriod time.Duration) {
-		times := clientLeaveTimes(gracePeriod)
+		times := clientShutdownTimes(gracePeriod)
 		Expect(times.Notice).To(BeNumerically("<=", noticeTime))
 		Expect(times.CallsEnd).To(BeNumerically(">", times.Notice))
 		Expect(times.Close - times.CallsEnd).To(BeNumerically(">=", gracePeriod/8))
@@ -60,7 +60,7 @@
 	var answer chan *http.Response
 	// serveOne starts a call and cancels the part's context while the call is in flight. The handler answers 503 if the call is cancelled, and
 	// 200 once the test closes release.
-	serveOne := func(times httpserver.LeaveTimes) {
+	serveOne := func(times httpserver.ShutdownTimes) {
 		b := &base{clock: fakeClock, log: logging.Silent()}
 		part := b.newServerPart(listener, http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 			close(started)
@@ -95,19 +95,19 @@
 	})
 
 	It("lets an operator's call complete", func() {
-		serveOne(operatorLeaveTimes)
+		serveOne(operatorShutdownTimes)
 		fakeClock.wake <- time.Time{}
 		close(release)
 		got := <-answer
 		Expect(got).NotTo(BeNil(), "the call was cut")
 		Expect(got.StatusCode).To(Equal(http.StatusOK))
-		fakeClock.now.Store(int64(operatorLeaveTimes.Quiet))
+		fakeClock.now.Store(int64(operatorShutdownTimes.Quiet))
 		close(fakeClock.wake)
 		Expect(<-partResult).To(Succeed())
 	})
 
 	It("cancels a peer's call, which still gets an answer", func() {
-		serveOne(internalLeaveTimes)
+		serveOne(internalShutdownTimes)
 		got := <-answer
 		Expect(got).NotTo(BeNil(), "the call was cut")
 		Expect(got.StatusCode).To(Equal(http.StatusServiceUnavailable))
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -57,6 +57,6 @@
 	proxy := localproxy.New(b.settings.Service, b.settings.Domain, b.settings.NodeName, b.clock, b.log, executor, b.caller, b.node.View,
 		localproxy.WithDrainTime(clock.Milliseconds(b.settings.Bounds.DrainTimeoutMs)), localproxy.WithEvacuation(clock.Milliseconds(b.settings.Bounds.EvacuationMs), isEvacuated))
 	b.tree.Add("proxy", proxy.Run)
-	b.tree.Add("executor-calls", b.newServerPart(controlListener, proxy, executorLeaveTimes))
+	b.tree.Add("executor-calls", b.newServerPart(controlListener, proxy, executorShutdownTimes))
 	return nil
 }
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -54,7 +54,7 @@
 	}
 	poolOptions := []scheduler.Option{scheduler.WithRules(rules)}
 	if b.settings.RecordDay && state.folder != "" {
-		writer := recording.NewWriter(filepath.Join(state.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordWords)
+		writer := recording.NewWriter(filepath.Join(state.folder, "day.jsonl"), b.settings.NodeName, b.settings.RecordDescriptors)
 		b.tree.Add("recording", writer.Run)
 		poolOptions = append(poolOptions, scheduler.WithRecorder(writer))
 	}
@@ -93,7 +93,7 @@
 	b.tree.Add("plan", configurations.Run)
 	b.tree.Add("keys", manager.Run)
 	b.tree.Add("rollouts", manager.RunRollouts)
-	b.tree.Add("control-calls", b.newServerPart(controlListener, controlMux, operatorLeaveTimes))
+	b.tree.Add("control-calls", b.newServerPart(controlListener, controlMux, operatorShutdownTimes))
 	if b.settings.InitialStart && state.store != nil && state.store.IsNew() {
 		b.tree.Add("first-voters", func(ctx context.Context) error { manager.BootstrapFromSeeds(ctx, b.settings.Seeds); return nil })
 	}
