--- a/internal/simulation/soak/application.go
+++ b/internal/simulation/soak/application.go
@@ -17,28 +17,30 @@
 
 const (
 	applicationStream = 2000
-	// applicationCount make a call at a time each, and as many watch a group of cells each.
+	// applicationCount is the number of applications that make one call at a time, and of applications that each watch a group
+	// of cells.
 	applicationCount = 4
-	// Few names, so that applications meet at them.
+	// Few names, so that applications contend for them.
 	lockCount, numberCount, groupCount, cellCount = 4, 2, 2, 4
-	// meanCallPause lies between two calls of an application.
+	// meanCallPause is the mean time between two calls of an application.
 	meanCallPause = 120 * time.Millisecond
-	// coordinationLimit is how long a call may take until another steward is asked.
+	// coordinationTimeout is the timeout of a call to one steward.
 	coordinationLimit = time.Second
-	// putTime is how long a put without a clear answer is sent again, and putPause lies between two times.
+	// putRetryTime is the time in which a put without a clear answer is retried, and putPause is the time between two attempts.
 	putTime  = 5 * time.Second
 	putPause = 80 * time.Millisecond
-	// The times for which locks are held, and how often they are renewed at most.
+	// The range of the time for which a lock is requested, and the maximum number of its renewals.
 	minHold, maxHold = 400 * time.Millisecond, 4 * time.Second
 	maxRenewals      = 5
-	// Of a hundred holders, so many sleep beyond their time and so many die.
+	// The percentages of holders that sleep beyond the end of their hold, and that stop without a release.
 	sleepPercent, diePercent = 10, 10
 	watchWait                = 2 * time.Second
-	// historySeconds is how long a revision stays good, as the settings say.
+	// historySeconds is the time for which the stewards keep the history of revisions, as written into the settings.
 	historySeconds = 20
 )
 
-// application calls the stewards for locks, numbers and cells, as applications of users do.
+// application calls the stewards for locks, numbers and cells like an application of a user. knownRevisions holds the last
+// revision that it has seen of each cell.
 type application struct {
 	*soak
 	name   string
@@ -53,7 +55,7 @@
 		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(applicationStream+number))), known: map[string]uint64{}}
 }
 
-// startApplications starts those who call and those who watch, until ctx is done.
+// startApplications starts applications that make calls and applications that watch, until ctx is done.
 func (s *soak) startApplications(ctx context.Context, running *sync.WaitGroup) {
 	for number := range applicationCount {
 		running.Go(func() { newApplication(s, number).run(ctx) })
@@ -63,12 +65,12 @@
 
 func groupName(number int) string { return fmt.Sprintf("g%d.", number) }
 
-// note writes into the history of applications.
+// recordSeen changes the history of applications.
 func (a *application) note(change func(*check.History)) {
 	a.recorder.write(func(h *History) { change(&h.Applications) })
 }
 
-// run makes one call after the other.
+// run makes one random call after another until ctx is done.
 func (a *application) run(ctx context.Context) {
 	for pause(ctx, time.Duration(a.draw.ExpFloat64()*float64(meanCallPause)/a.options.pace())) {
 		cell := groupName(a.draw.IntN(groupCount)) + strconv.Itoa(a.draw.IntN(cellCount))
@@ -85,14 +87,14 @@
 	}
 }
 
-// call asks a steward drawn by lot; the status is 0 if there was no whole answer in time.
+// call sends one call to a random steward, as a POST if there is a body. The status is 0 if no whole answer came in time.
 func (a *application) call(ctx context.Context, path string, body, into any) int {
 	ctx, cancel := context.WithTimeout(ctx, coordinationLimit)
 	defer cancel()
 	return a.callWaiting(ctx, path, body, into)
 }
 
-// callWaiting is call for an answer that may be kept back.
+// callWaiting is call without coordinationTimeout, for an answer that the steward may hold back.
 func (a *application) callWaiting(ctx context.Context, path string, body, into any) int {
 	making := sling.New().Base(a.drawSteward())
 	if body == nil {
@@ -119,7 +121,8 @@
 	return "http://" + endpoint(stewards[a.draw.IntN(len(stewards))].node.IP, controlPort)
 }
 
-// hold takes a lock, renews it some times, and gives it back, sleeps beyond its time, or forgets it.
+// holdLock acquires a lock and renews it a few times. Then it releases the lock, sleeps beyond the end of the hold, or stops
+// without a release.
 func (a *application) hold(ctx context.Context, lock string) {
 	length := minHold + time.Duration(a.draw.Int64N(int64(maxHold-minHold)))
 	path, sentAt := "/v1/locks/"+lock, a.recorder.now()
@@ -137,7 +140,7 @@
 	if luck < sleepPercent {
 		pause(ctx, 2*length)
 	}
-	// The hold is over before its release is sent.
+	// The hold ends before its release is sent.
 	held.To = min(held.To, a.recorder.now())
 	a.note(func(h *check.History) { h.Holds = append(h.Holds, *held) })
 	if luck >= sleepPercent+diePercent {
@@ -145,7 +148,8 @@
 	}
 }
 
-// renew asks for more time; it is false once the lock is lost. An answer that comes after the holder's time has no effect.
+// renew renews the hold once and returns false if the lock is lost. An answer that comes after the end of the hold doesn't
+// extend it.
 func (a *application) renew(ctx context.Context, held *check.Hold, length time.Duration) bool {
 	sentAt := a.recorder.now()
 	body := &wire.LockCall{Holder: a.name, Fence: held.Fence, HoldMs: length.Milliseconds()}
@@ -170,7 +174,7 @@
 	}
 }
 
-// put puts a new value into a cell, again until there is a clear answer.
+// put writes a new value to a cell. It retries until it has a clear answer, gives up or putRetryTime is over.
 func (a *application) put(ctx context.Context, name string) {
 	a.values++
 	put := &check.Put{Name: name, Value: fmt.Sprintf("%s.%d", a.name, a.values), Expected: a.known[name], SentAt: a.recorder.now()}
@@ -207,7 +211,7 @@
 	a.note(func(h *check.History) { h.Reads = append(h.Reads, read) })
 }
 
-// watch follows a group of cells.
+// watch follows the changes of a group of cells until ctx is done.
 func (a *application) watch(ctx context.Context, group string) {
 	var above uint64
 	var givenAt time.Duration
@@ -228,7 +232,7 @@
 	}
 }
 
-// coordinationFaults are the oracles of locks, numbers and cells.
+// coordinationFaults is the oracle of locks, numbers and cells.
 func coordinationFaults(h *History) []Violation {
 	found, _ := check.Judge(&h.Applications, historySeconds*time.Second)
 	violations := make([]Violation, 0, len(found))
--- a/internal/simulation/soak/client.go
+++ b/internal/simulation/soak/client.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// clientStream sets the random numbers of clients apart from the schedule's.
+	// clientStream is the first random stream of clients; schedules and mixes use other streams.
 	clientStream = 1000
-	// clientsPerGate keep a connection each.
+	// clientsPerGate is the number of clients at each gate. Each client keeps one connection open.
 	clientsPerGate = 4
-	// idleClient of clientsPerGate pauses for long between its calls, so that its connection is idle when its gate leaves.
+	// idleClient is the one of clientsPerGate that pauses for long between its calls, so that its connection is idle when the
+	// gate shuts down.
 	idleClient = 3
-	// meanPause lies between two calls of a client, and meanIdlePause between those of an idle one.
+	// meanPause is the mean time between two calls of a client, and meanIdlePause that of the idle client.
 	meanPause     = 150 * time.Millisecond
 	meanIdlePause = 4 * time.Second
-	// callLimit is how long a client waits for an answer.
+	// callTimeout is the time for which a client waits for an answer.
 	callLimit = 3 * time.Second
-	// maxTries is how often a client submits a job after unclear answers.
+	// maxTries is the maximum number of submissions of a job if answers are unclear.
 	maxTries = 6
 
 	frontHost  = "soak.example"
 	jobsPrefix = "/jobs/"
 )
 
-// client uses one gate over one connection at a time.
+// client calls one gate through its relay, over one connection at a time.
 type client struct {
 	*soak
 	number  int
@@ -36,12 +37,13 @@
 	address string
 	draw    *rand.Rand
 	link    *connection
-	// jobs are those that were accepted.
+	// jobs are the IDs of the client's accepted jobs.
 	jobs  []string
 	calls int
 }
 
-// startClients starts the clients, the applications, the operator, and those who look at the processes, until ctx is done.
+// startClients starts the load of the busy parts of the system, the sampling of processes and the detection of stalls. All run
+// until ctx is done.
 func (s *soak) startClients(ctx context.Context) *sync.WaitGroup {
 	running := &sync.WaitGroup{}
 	for gateNumber, gate := range s.layout.Gates {
@@ -69,13 +71,13 @@
 	return running
 }
 
-// action is something that a client does; it does each as often as its weight says.
+// action is one kind of call of a client. It is drawn in proportion to its weight.
 type action struct {
 	weight int
 	do     func(*client, context.Context)
 }
 
-// actions are those of a client that has jobs; one without submits.
+// actions are the actions of a client with accepted jobs. A client without any only submits.
 var actions = []action{
 	{45, func(c *client, ctx context.Context) { c.submit(ctx, newJob(c.draw)) }},
 	{35, func(c *client, ctx context.Context) { c.call(ctx, verbState, c.anyJob(), "") }},
@@ -85,7 +87,7 @@
 	{3, (*client).abandon},
 }
 
-// run makes calls until ctx is done.
+// run draws and makes calls until ctx is done.
 func (c *client) run(ctx context.Context, isIdle bool) {
 	defer c.hangUp()
 	for c.pause(ctx, isIdle) {
@@ -93,7 +95,7 @@
 	}
 }
 
-// drawAction draws by the weights.
+// drawAction draws an action by weight.
 func (c *client) drawAction() action {
 	if len(c.jobs) == 0 {
 		return actions[0]
@@ -111,13 +113,13 @@
 	return actions[0]
 }
 
-// submitAgain submits a job that was accepted some time ago.
+// resubmit submits an accepted job a second time.
 func (c *client) submitAgain(ctx context.Context) {
 	id := c.anyJob()
 	c.call(ctx, verbSubmit, id, shapeOf(id).body())
 }
 
-// pause waits before the next call; it is false once ctx is done.
+// pause waits before the next call and returns false once ctx is done.
 func (c *client) pause(ctx context.Context, isIdle bool) bool {
 	mean := meanPause
 	if isIdle {
@@ -128,7 +130,7 @@
 
 func (c *client) anyJob() string { return c.jobs[c.draw.IntN(len(c.jobs))] }
 
-// submit hands a job in, again after each unclear answer.
+// submit submits a job and retries after each unclear answer.
 func (c *client) submit(ctx context.Context, id string) {
 	for range maxTries {
 		call := c.call(ctx, verbSubmit, id, shapeOf(id).body())
@@ -145,7 +147,7 @@
 	}
 }
 
-// connect gives the kept connection, or a new one; nil if there is none to be had.
+// connect returns the open connection or a new one, nil if connecting fails.
 func (c *client) connect(ctx context.Context) *connection {
 	if c.link == nil {
 		link, err := dial(ctx, c.address)
@@ -164,16 +166,16 @@
 	}
 }
 
-// methods are those of HTTP that ask for something.
+// methods maps each verb to its HTTP method.
 var methods = map[verb]string{verbSubmit: "POST", verbState: "GET", verbCount: "GET", verbCancel: "DELETE"}
 
-// request makes the request of a call; each has an ID of its own.
+// request returns the HTTP request of a call, with a unique ID.
 func (c *client) request(asked verb, id, body string) *request {
 	c.calls++
 	return &request{method: methods[asked], host: frontHost, path: jobsPrefix + id, id: fmt.Sprintf("c%d-%d", c.number, c.calls), body: body, key: c.layout.keyOf(c.number), limit: callLimit}
 }
 
-// call asks once and records what came of it.
+// call makes one call and records its outcome.
 func (c *client) call(ctx context.Context, asked verb, id, body string) *Call {
 	q := c.request(asked, id, body)
 	call := c.newCall(asked, id, q, notSent)
@@ -185,19 +187,19 @@
 	return call
 }
 
-// newCall begins the record of a call that sends a request now.
+// newCall returns the record of a call that is sent now.
 func (c *client) newCall(asked verb, id string, q *request, ended outcome) *Call {
 	return &Call{Client: c.number, Gate: c.gate.Name, Verb: asked, Job: id, RequestID: q.id, SentAt: c.recorder.now(), Outcome: ended}
 }
 
-// record writes a call that has ended into the history.
+// record adds a call that has ended to the history.
 func (c *client) record(call *Call) {
 	call.EndedAt = c.recorder.now()
 	done := *call
 	c.recorder.write(func(h *History) { h.Calls = append(h.Calls, done) })
 }
 
-// exchange sends a request and reads its answer on a connection, which is given up if anything is wrong with it.
+// exchange sends a request and receives its answer. It closes the connection after any error and after the last answer.
 func (c *client) exchange(link *connection, q *request, call *Call) {
 	isSent, sentAt := link.send(q)
 	call.SentAt = sentAt.Sub(c.recorder.began)
@@ -213,17 +215,17 @@
 	}
 }
 
-// stateIn reads a job's state from an answer; it is empty where there is none.
+// stateIn returns a job's state from the body of an answer, or "" if there is none.
 func stateIn(body string) string {
 	var answer struct {
 		State string `json:"executor-state"`
 	}
-	// An answer without a state is no error.
+	// An answer without a state isn't an error.
 	_ = json.Unmarshal([]byte(body), &answer)
 	return answer.State
 }
 
-// abandon sends a request, or a part of it, and closes the connection.
+// abandon sends a random part of a request, possibly all of it, and closes the connection.
 func (c *client) abandon(ctx context.Context) {
 	link := c.connect(ctx)
 	if link == nil {
@@ -233,7 +235,7 @@
 	q := c.request(verbSubmit, id, shapeOf(id).body())
 	call := c.newCall(verbSubmit, id, q, abandoned)
 	text := q.text()
-	// Whatever becomes of it, the connection is closed.
+	// The connection is closed anyway, so a failed write doesn't matter.
 	_, _ = link.raw.Write([]byte(text[:1+c.draw.IntN(len(text))]))
 	c.hangUp()
 	c.record(call)
--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	// restartPause lies between the end of a process and its next start.
+	// restartPause is the time between the end of a process and its next start.
 	restartPause = 500 * time.Millisecond
-	// waveGap lies between two gates of a wave.
+	// waveGap is the time between the terminations of two gates in a wave.
 	waveGap = 700 * time.Millisecond
-	// killAfter is how long after SIGTERM a process that does not end is killed.
+	// killTimeout is the time after SIGTERM at which a process that still runs gets SIGKILL.
 	killAfter = exitBound + 2*time.Second
-	// executorsName is the process of the stand-in executors.
+	// executorsName is the name of the process that runs all fake executors.
 	executorsName = "executors"
 
 	clusterMailboxSize = 256
 )
 
-// cluster owns the processes: one goroutine runs what is posted to its mailbox. It obeys the schedule, starts again what ends, and
-// records what it did and how each process ended.
+// cluster owns the processes; one goroutine runs the functions that are posted to its mailbox. It applies the faults of the
+// schedule, restarts processes that end, and records the faults and each process's exit.
 type cluster struct {
 	*soak
 	mailbox   *mailbox.Mailbox
 	ctx       context.Context
 	processes map[string]*process
 	order     []string
-	// initial is whether processes start for the first time; replacements counts the stewards beyond the first.
+	// initial is true until all processes have been started once. replacements counts the replacement stewards.
 	initial      bool
 	replacements int
 	isEnding     bool
@@ -49,7 +49,7 @@
 	return c
 }
 
-// do runs something on the goroutine of the cluster, and waits for it.
+// runAndWait runs work on the cluster's goroutine and waits for its result.
 func (c *cluster) do(work func() error) error {
 	result, err := mailbox.Ask(c.ctx, c.mailbox, func(answer func(error)) { answer(work()) })
 	if err != nil {
@@ -58,7 +58,7 @@
 	return result
 }
 
-// later runs something on the goroutine of the cluster after a while.
+// runAfter runs work on the cluster's goroutine after a delay.
 func (c *cluster) later(wait time.Duration, work func()) {
 	time.AfterFunc(wait, func() {
 		if c.ctx.Err() == nil {
@@ -67,7 +67,7 @@
 	})
 }
 
-// startAll starts every process of the layout.
+// startAll starts all processes of the layout and the fake executors.
 func (c *cluster) startAll() error {
 	return c.do(func() error {
 		for _, role := range []Role{RoleSteward, RoleStorage, RoleGate, RoleProxy} {
@@ -92,7 +92,7 @@
 	return c.launch(p)
 }
 
-// launch begins the next incarnation of a node.
+// launch starts the next incarnation of a node, with newly written settings.
 func (c *cluster) launch(p *process) error {
 	if c.isEnding {
 		return nil
@@ -110,7 +110,7 @@
 	})
 }
 
-// writeSettings writes the settings file of a node, and makes its data folder.
+// writeSettings writes the settings file of a node and creates its data folder.
 func (c *cluster) writeSettings(node Node) error {
 	var seeds []string
 	for _, steward := range c.layout.Stewards[:min(3, len(c.layout.Stewards))] {
@@ -125,7 +125,7 @@
 			return errors.Annotatef(err, "data folder of %s", node.Name)
 		}
 	}
-	// A process must never read half a file.
+	// The rename keeps a process from reading a half-written file.
 	path := settingsPath(c.folder, node)
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
 		return errors.Annotatef(err, "settings of %s", node.Name)
@@ -133,7 +133,7 @@
 	return errors.Annotatef(os.Rename(path+".new", path), "settings of %s", node.Name)
 }
 
-// startExecutors starts the process of all stand-in executors, which no fault strikes.
+// startExecutors starts the process of all fake executors. No fault strikes it.
 func (c *cluster) startExecutors() error {
 	spec := hollow.Spec{Report: c.layout.reportAddress(), ForMs: hollow.MaxRunTime.Milliseconds()}
 	for _, node := range c.layout.Proxies {
@@ -154,7 +154,7 @@
 	return c.launch(p)
 }
 
-// noteExit records how an incarnation ended, and has the next one begin.
+// handleExit records the exit of an incarnation and schedules the start of the next one.
 func (c *cluster) noteExit(p *process, incarnation int, state *os.ProcessState) {
 	if p.incarnation != incarnation {
 		return
@@ -174,7 +174,7 @@
 	c.later(restartPause, next)
 }
 
-// relaunch starts a node again; one that can't be started is seen by the oracles as gone.
+// relaunch restarts a node that is down. If that fails, the node stays down and the oracles see the effects.
 func (c *cluster) relaunch(p *process) {
 	if p.phase != phaseDown {
 		return
@@ -184,14 +184,14 @@
 	}
 }
 
-// obey has each event happen at its time, counted from now.
+// scheduleEvents applies each event at its time, counted from now.
 func (c *cluster) obey(schedule *Schedule) {
 	for _, event := range schedule.Events {
 		c.later(event.at(), func() { c.strike(event) })
 	}
 }
 
-// strike carries out an event. One whose process is away already is left out.
+// applyFault applies an event. It skips the event if its process doesn't run.
 func (c *cluster) strike(event Event) {
 	c.log.V(1).Info("fault", "event", event.String())
 	switch event.Kind {
@@ -229,13 +229,14 @@
 	}
 }
 
-// noteTrouble records what was done to a process, and for how long.
+// recordTrouble records a fault of a target and its duration.
 func (c *cluster) noteTrouble(target string, kind FaultKind, lasts time.Duration) {
 	now := c.recorder.now()
 	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + lasts}) })
 }
 
-// end ends an incarnation by the signal of a fault. What comes afterwards is the next one, unless next is given.
+// end stops an incarnation with the signal of a fault. After the exit next runs if it isn't nil, otherwise the node is
+// relaunched.
 func (c *cluster) end(name string, kind FaultKind, next func()) {
 	p := c.processes[name]
 	if p == nil || p.phase != phaseRunning || p.isSpared {
@@ -256,7 +257,7 @@
 	})
 }
 
-// freeze stops a process for a while.
+// freeze suspends a process for a while.
 func (c *cluster) freeze(p *process, lasts time.Duration) {
 	c.noteTrouble(p.node.Name, FaultFreeze, lasts)
 	p.phase = phaseFrozen
@@ -270,7 +271,7 @@
 	})
 }
 
-// wipe starts a steward again with an empty disk.
+// wipe empties the disk of a steward and restarts it.
 func (c *cluster) wipe(p *process) {
 	if err := os.RemoveAll(dataFolder(c.folder, p.node)); err != nil {
 		c.log.Error(err, "disk not emptied")
@@ -278,7 +279,7 @@
 	c.relaunch(p)
 }
 
-// addReplacement starts another steward at another address, with an empty disk.
+// addReplacement starts a new steward at a new address, with an empty disk.
 func (c *cluster) addReplacement() {
 	node := c.layout.steward(len(c.layout.Stewards) + c.replacements)
 	c.replacements++
@@ -287,13 +288,14 @@
 	}
 }
 
-// runningProcess is a process of gannetline that was chosen, in one of its incarnations.
+// runningProcess is one incarnation of a node.
 type runningProcess struct {
 	node        Node
 	incarnation int
 }
 
-// choose gives the processes of gannetline that satisfy a condition, in the order of their first starts.
+// selectProcesses returns the processes of gannetline that match, in the order of their first starts. It never returns the fake
+// executors.
 func (c *cluster) choose(isChosen func(*process) bool) []runningProcess {
 	chosen, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
 		var chosen []runningProcess
@@ -307,24 +309,25 @@
 	return chosen
 }
 
-// stewards are the stewards that have not ended.
+// stewards returns the stewards that have not ended.
 func (c *cluster) stewards() []runningProcess {
 	return c.choose(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseDown })
 }
 
-// runningProcesses are all processes of gannetline that run now.
+// runningProcesses returns the processes of gannetline that run and are neither frozen nor ending.
 func (c *cluster) runningProcesses() []runningProcess {
 	return c.choose(func(p *process) bool { return p.phase == phaseRunning })
 }
 
-// notDown are the processes of gannetline that have not ended.
+// notEnded returns the processes of gannetline that have not ended.
 func (c *cluster) notDown() []runningProcess {
 	return c.choose(func(p *process) bool { return p.phase != phaseDown })
 }
 
-// shutDown ends all processes in order, the executors last, and records how each ended.
+// shutDown terminates the processes of gannetline in the order of their first starts and waits until they have ended. Their
+// exits are recorded. The fake executors run on until killAll.
 func (c *cluster) shutDown() {
-	// An error says that the soak was stopped; all is killed then.
+	// An error means that the soak was stopped; killAll then ends the processes.
 	_ = c.do(func() error {
 		c.isEnding = true
 		for _, name := range c.order {
@@ -342,7 +345,7 @@
 	}
 }
 
-// killAll ends whatever is left, by process ID, and waits until that is done.
+// killAll sends SIGKILL to every process that is left, by process ID.
 func (c *cluster) killAll() {
 	_ = c.do(func() error {
 		c.isEnding = true
--- a/internal/simulation/soak/connection.go
+++ b/internal/simulation/soak/connection.go
@@ -13,18 +13,18 @@
 	"github.com/juju/errors"
 )
 
-// connection is a kept HTTP connection that sends one request at a time. It is written by hand, as a client of the library would
-// send a request again on its own where a kept connection ends, and hide what the soak looks for.
+// connection is a persistent HTTP connection that sends one request at a time. It doesn't use the client of net/http, which
+// silently resends a request if a kept connection has ended and so hides the faults that the soak looks for.
 type connection struct {
 	raw      net.Conn
 	reader   *bufio.Reader
 	answered int
 }
 
-// request is what is asked, in HTTP/1.1.
+// request is an HTTP/1.1 request.
 type request struct {
 	method, host, path, id, body string
-	// key is that of a tenant, empty for none.
+	// key is the key of a tenant, or "" for none.
 	key   string
 	limit time.Duration
 }
@@ -41,7 +41,7 @@
 	return strings.Join(head, "\r\n") + "\r\n\r\n" + q.body
 }
 
-// reply is a whole answer.
+// reply is a complete answer.
 type reply struct {
 	status int
 	id     string
@@ -57,15 +57,15 @@
 	return &connection{raw: raw, reader: bufio.NewReader(raw)}, nil
 }
 
-// send writes a request, and tells when its last byte was written.
+// send writes a request and returns the time at which the last byte was written.
 func (c *connection) send(q *request) (sent bool, at time.Time) {
-	// A deadline that can't be set shows in the write.
+	// If the deadline can't be set, the write fails as well.
 	_ = c.raw.SetDeadline(time.Now().Add(q.limit))
 	_, err := io.WriteString(c.raw, q.text())
 	return err == nil, time.Now()
 }
 
-// receive reads the answer; the outcome says why there is none. isLast tells that the gate closes the connection.
+// receive reads the answer. The outcome says why there is none. isLast is true if the gate closes the connection.
 func (c *connection) receive(q *request) (answer reply, ended outcome, isLast bool) {
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: q.method})
 	if err != nil {
--- a/internal/simulation/soak/engine.go
+++ b/internal/simulation/soak/engine.go
@@ -17,19 +17,19 @@
 const (
 	engineCount = 4
 	engineSlots = 8
-	// engineEvents is how many events an answer has, and eventGap lies between two of them.
+	// engineEvents is the number of events in an answer, and eventGap is the time between two of them.
 	engineEvents = 5
 	eventGap     = 10 * time.Millisecond
-	// assistantService is the service of the executors that the platform lists.
+	// assistantService is the service of the engines.
 	assistantService = "assistant"
 )
 
-// engine is a stand-in for an executor of requests: it answers each with a short series of events that name the request.
+// engine is a fake executor of requests. It answers each request with a short event stream that contains the request's ID.
 type engine struct {
 	id, address, zone string
 }
 
-// ServeHTTP answers a request that names this executor, from the event on that follows the last one the caller has.
+// ServeHTTP streams the events after Last-Event-Id. It refuses a request without an ID or for another executor.
 func (e *engine) ServeHTTP(to http.ResponseWriter, call *http.Request) {
 	id := call.Header.Get(headers.RequestID)
 	to.Header().Set(headers.RequestID, id)
@@ -39,7 +39,7 @@
 		return
 	}
 	to.Header().Set("Content-Type", "text/event-stream")
-	// Without the header the answer begins with the first event.
+	// A missing header parses as 0: the answer begins with the first event.
 	last, _ := strconv.Atoi(call.Header.Get(headers.LastEventID))
 	flusher := http.NewResponseController(to)
 	for number := last + 1; number <= engineEvents; number++ {
@@ -50,10 +50,10 @@
 	}
 }
 
-// eventData is what an event of a request's answer holds.
+// eventData returns the data of one event of a request's answer.
 func eventData(id string, number int) string { return fmt.Sprintf("%s.%d", id, number) }
 
-// listedInstance is an executor as the platform lists it.
+// listedInstance is one executor in the answer of the platform API.
 type listedInstance struct {
 	ID      string `json:"executor-id"`
 	Service string `json:"service"`
@@ -63,7 +63,7 @@
 	State   string `json:"executor-state"`
 }
 
-// engines are the stand-in executors of requests.
+// engines returns the fake executors of requests, spread over the zones of the mix.
 func (l *Layout) engines() []engine {
 	var all []engine
 	for number := range engineCount {
@@ -73,7 +73,7 @@
 	return all
 }
 
-// platformAddress is where the stand-in platform lists the executors; empty where there are none.
+// platformAddress returns the address of the fake platform API, or "" if the mix has no tier.
 func (l *Layout) platformAddress() string {
 	if !l.Mix.Has(FeatureTier) {
 		return ""
@@ -81,7 +81,7 @@
 	return endpoint(l.address(engineOctet, engineCount), reportPort)
 }
 
-// startTier starts the stand-in platform and executors until ctx is done, where the mix has them.
+// startTier starts the fake platform API and the engines if the mix has a tier. They run until ctx is done.
 func (s *soak) startTier(ctx context.Context) error {
 	if !s.layout.Mix.Has(FeatureTier) {
 		return nil
@@ -100,12 +100,12 @@
 	}
 	return serveUntil(ctx, s.layout.platformAddress(), http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 		to.Header().Set("Content-Type", "application/json")
-		// A reader that has gone needs no answer.
+		// A failed write means that the reader has disconnected.
 		_, _ = to.Write(page)
 	}))
 }
 
-// serveUntil serves an address until ctx is done.
+// serveUntil serves HTTP on an address in the background until ctx is done.
 func serveUntil(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
--- a/internal/simulation/soak/evacuation.go
+++ b/internal/simulation/soak/evacuation.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// evacuationLasts is how long a zone stays evacuated, and evacuationPause lies between two evacuations.
+	// evacuationLength is the time for which a zone stays evacuated, and evacuationPause is the time between two evacuations.
 	evacuationLasts = 7 * time.Second
 	evacuationPause = 2 * time.Second
 )
 
-// Evacuation is an order for a zone: when it was acknowledged, and when it was first asked to be taken back.
+// Evacuation is one evacuation of a zone: when a steward acknowledged it, and when the operator first asked to end it.
 type Evacuation struct {
 	Zone            string
 	AcknowledgedAt  time.Duration
 	TerminateSentAt time.Duration
 }
 
-// evacuate empties one zone after the other until ctx is done, and takes each order back.
+// evacuate evacuates one zone after another until ctx is done, and ends each evacuation.
 func (o *operator) evacuate(ctx context.Context) {
 	for number := 0; pause(ctx, evacuationPause); number++ {
 		zone := zoneName(number % o.layout.Mix.Zones)
@@ -33,7 +33,7 @@
 		order := Evacuation{Zone: zone, AcknowledgedAt: o.recorder.now()}
 		pause(ctx, evacuationLasts)
 		order.TerminateSentAt = o.recorder.now()
-		// A zone that is left evacuated would keep its jobs from running, so the order is taken back also where the soak ends.
+		// A zone that stays evacuated would keep jobs from running, so the evacuation is ended even if the soak ends meanwhile.
 		limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleLimit/2)
 		o.orderUntilAnswered(limited, zone, "terminate")
 		release()
@@ -41,7 +41,7 @@
 	}
 }
 
-// orderUntilAnswered sends an order to one steward after the other until one acknowledges it.
+// orderUntilAcknowledged sends an order to random stewards until one acknowledges it. It returns false if ctx is done first.
 func (o *operator) orderUntilAnswered(ctx context.Context, zone, order string) bool {
 	for ctx.Err() == nil {
 		if o.ask(ctx, sling.New().Post(o.stewardURL("/v1/evacuation/"+zone+"/"+order)), nil) == http.StatusOK {
@@ -52,8 +52,9 @@
 	return false
 }
 
-// startsInEvacuatedZones looks for runs that were started in a zone after its evacuation had to be in force. Local proxies and executors to
-// which something was done are left out, and times at which stewards were troubled, as bounds hold for machines in touch only.
+// startsInEvacuatedZones is the oracle of evacuations: no run starts in a zone between the deadline of its evacuation and the
+// order to end it. Starts shortly after a fault of their process or of a steward are left out, as the deadline only holds for
+// machines in contact.
 func startsInEvacuatedZones(h *History) []Violation {
 	var violations []Violation
 	for _, evacuation := range h.Evacuations {
@@ -70,7 +71,8 @@
 	return violations
 }
 
-// isCalm tells whether nothing was done to a process or to a steward, and the soak was not stalled, for a contact window before a moment.
+// isUndisturbed reports whether, for contactWindow before a time, no fault affected a process or any steward and the soak did
+// not stall.
 func (h *History) isCalm(process string, at time.Duration) bool {
 	from := at - contactWindow
 	isTroubled := slices.ContainsFunc(h.Troubles, func(trouble Trouble) bool {
--- a/internal/simulation/soak/fault.go
+++ b/internal/simulation/soak/fault.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// FaultKind is what an event of a schedule does to a process or to the connections of a gate's clients.
+// FaultKind is the effect of a schedule's event on a process or on the connections of a gate's clients.
 type FaultKind string
 
-// The faults. Processes that end are started again; those of stewards with their disk, unless the fault takes it.
+// The kinds of faults. A process that ends is restarted. Stewards keep their disk, except with FaultWipe and FaultReplace.
 const (
-	// FaultTerminate sends SIGTERM: the process leaves in order.
+	// FaultTerminate sends SIGTERM: the process shuts down in order.
 	FaultTerminate FaultKind = "terminate"
 	// FaultKill sends SIGKILL.
 	FaultKill FaultKind = "kill"
-	// FaultFreeze stops the process for a while, past its leases.
+	// FaultFreeze suspends the process, possibly for longer than its leases last.
 	FaultFreeze FaultKind = "freeze"
 	// FaultHangup sends SIGHUP.
 	FaultHangup FaultKind = "hangup"
-	// FaultSettings changes the settings file without a signal.
+	// FaultSettings rewrites the settings file without sending a signal.
 	FaultSettings FaultKind = "settings"
-	// FaultWipe kills a steward, which comes back with an empty disk.
+	// FaultWipe kills a steward and restarts it with an empty disk.
 	FaultWipe FaultKind = "wipe"
-	// FaultReplace terminates a steward for good; another one with an empty disk comes at another address.
+	// FaultReplace terminates a steward for good. Another steward starts with an empty disk at another address.
 	FaultReplace FaultKind = "replace"
 	// FaultWave terminates all gates, one after the other.
 	FaultWave FaultKind = "wave"
-	// FaultCut breaks the connections of a gate's clients, and takes no new ones for a while.
+	// FaultCut resets the connections of a gate's clients, and any new ones for a while.
 	FaultCut FaultKind = "cut"
-	// FaultStall holds back what passes between a gate and its clients.
+	// FaultStall holds back all data between a gate and its clients for a while.
 	FaultStall FaultKind = "stall"
 )
 
-// AllFaults are the kinds that can be drawn.
+// AllFaults are the kinds that can be drawn. Their order determines the schedule of a seed.
 var AllFaults = []FaultKind{FaultTerminate, FaultKill, FaultFreeze, FaultHangup, FaultSettings, FaultWipe, FaultReplace, FaultWave, FaultCut, FaultStall}
 
 func (k FaultKind) isKnown() bool { return slices.Contains(AllFaults, k) }
 
-// roles are those whose processes a fault can strike; empty for one that strikes all gates.
+// roles returns the roles that the fault can strike. FaultWave has no target and strikes all gates.
 func (k FaultKind) roles() []Role {
 	switch k {
 	case FaultWipe, FaultReplace:
@@ -48,7 +48,7 @@
 	return []Role{RoleSteward, RoleGate, RoleProxy, RoleStorage}
 }
 
-// takesAway tells whether the process is gone or silent for a while, so that a steward counts as lost.
+// makesUnavailable reports whether the process is down or suspended for a while, so that a steward counts as lost.
 func (k FaultKind) takesAway() bool {
 	switch k {
 	case FaultTerminate, FaultKill, FaultFreeze, FaultWipe, FaultReplace:
@@ -57,7 +57,7 @@
 	return false
 }
 
-// lasts is between what times a fault lasts; 0 where it has no length of its own.
+// durationRange returns the range of the fault's drawn duration, or 0, 0 if the fault has no duration.
 func (k FaultKind) lasts() (shortest, longest time.Duration) {
 	switch k {
 	case FaultFreeze:
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// warmUp is how long after its start a process may grow.
+	// warmUp is the time after its start in which a process may grow.
 	warmUp = 15 * time.Second
-	// minSamples is how many samples a slope needs.
+	// minSamples is the minimum number of samples for a slope.
 	minSamples = 20
-	// minFit is how much of the change the slope must explain (r squared).
+	// minFit is the minimum r squared: the fraction of the variance that the slope explains.
 	minFit = 0.8
-	// maxGrowth is by how much of its mean a figure may grow over the time it was looked at.
+	// maxGrowth is the tolerated growth over the observed time, as a fraction of the mean.
 	maxGrowth = 0.5
 )
 
-// resource is something that a process uses, and how much more of it is nothing to worry about.
+// resource is a measured resource of a process, and the growth of it that is always tolerated.
 type resource struct {
 	name      string
 	tolerated float64
@@ -33,7 +33,7 @@
 	{"disk, bytes", 64 << 20, func(s *Sample) float64 { return s.Disk }},
 }
 
-// Slope is how a figure of one incarnation of a process changes with time, with its standard error, both a second.
+// Slope is the change per second of one resource in one incarnation of a process, with its standard error.
 type Slope struct {
 	Process  string  `json:"process"`
 	Resource string  `json:"resource"`
@@ -45,7 +45,7 @@
 	isGrowth bool
 }
 
-// slopes works out how each figure of each incarnation changes that was long enough.
+// slopes returns the slope of each resource for each incarnation with enough samples after warmUp.
 func slopes(h *History) []Slope {
 	type incarnation struct {
 		process string
@@ -75,7 +75,7 @@
 	return all
 }
 
-// slopeOf fits a line through a figure.
+// slopeOf fits a line to the samples of one resource.
 func slopeOf(samples []Sample, resource resource) Slope {
 	var seconds, values []float64
 	for index := range samples {
--- a/internal/simulation/soak/history.go
+++ b/internal/simulation/soak/history.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// verb is what a client asks for.
+// verb is the operation that a client calls.
 type verb string
 
 const (
@@ -23,23 +23,23 @@
 	verbCount  verb = "count"
 )
 
-// outcome is how a call of a client ended.
+// outcome is the way in which a client's call ended.
 type outcome string
 
 const (
-	// answered: a whole answer came.
+	// answered: a complete answer came.
 	answered outcome = "answered"
-	// notSent: no connection, or it broke before the whole request was sent.
+	// notSent: there was no connection, or it broke before the whole request was sent.
 	notSent outcome = "not sent"
-	// closed: the request was sent whole, and the connection ended without a whole answer.
+	// closed: the whole request was sent, and the connection ended without a complete answer.
 	closed outcome = "closed"
-	// timedOut: no answer came in time.
+	// timedOut: the whole request was sent, and no complete answer came within the timeout.
 	timedOut outcome = "timed out"
 	// abandoned: the client closed the connection itself.
 	abandoned outcome = "abandoned"
 )
 
-// Call is one call of a client as it saw it. Times are from the start of the clients, by the steady clock.
+// Call is one call as its client saw it. Times count from the start of the soak, by the monotonic clock.
 type Call struct {
 	Client    int
 	Gate      string
@@ -50,29 +50,29 @@
 	EndedAt   time.Duration
 	Outcome   outcome
 	Status    int
-	// EchoedID is the request's ID as the answer gives it back; State is the job's, where the answer has one.
+	// EchoedID is the request ID in the answer. State is the job's state, if the answer has one.
 	EchoedID string
 	State    string
-	// IsKept tells that the connection had answered a call before.
+	// IsKept is true if the connection had answered a call before.
 	IsKept bool
-	// Connection is the client's address of the connection that the request was sent on; empty where there was none.
+	// Connection is the client's local address of the connection, or "" if there was none.
 	Connection string
 }
 
-// isAccepted tells whether the answer says that a job is kept.
+// isAccepted reports whether the answer says that the job was accepted.
 func (c *Call) isAccepted() bool {
 	return c.Verb == verbSubmit && c.Outcome == answered && c.Status/100 == 2
 }
 
-// Trouble is a time in which something was done to a process, or to the connections of a gate's clients.
+// Trouble is an interval in which a fault affected a process, or the connections of a gate's clients.
 type Trouble struct {
 	Target   string
 	Kind     FaultKind
 	From, To time.Duration
 }
 
-// Exit is how a process ended. Asked is the fault that ended it, empty if none did; Age is how long it had run by then, and Took how
-// long it took to end.
+// Exit is the end of a process. Cause is the fault that ended it, or "" if none did. Age is the time from its start to the
+// signal, and Took the time from the signal to its end; both are 0 without a cause.
 type Exit struct {
 	Process string
 	Asked   FaultKind
@@ -83,13 +83,13 @@
 	Signal  string
 }
 
-// Acknowledgement is a configuration that the operator knows to be kept.
+// Acknowledgement is a configuration version that a steward acknowledged to the operator.
 type Acknowledgement struct {
 	Version int64
 	At      time.Duration
 }
 
-// Probe asks a gate for the queue of a version, and says what the gate answered.
+// Probe is a call to a gate for the queue of a configuration version, and the status of the answer.
 type Probe struct {
 	Gate    string
 	Version int64
@@ -97,14 +97,14 @@
 	Status  int
 }
 
-// ReadBack is the configuration that a steward gave.
+// ReadBack is the configuration version that a steward returned.
 type ReadBack struct {
 	Steward string
 	SentAt  time.Duration
 	Version int64
 }
 
-// Sample is what one incarnation of a process uses at a moment. Disk is in bytes, for those that have one.
+// Sample is the resource use of one incarnation of a process. Memory and Disk are in bytes.
 type Sample struct {
 	Process     string
 	Incarnation int
@@ -115,7 +115,7 @@
 	Disk        float64
 }
 
-// History is all that was seen in a soak.
+// History is everything that was observed in a soak.
 type History struct {
 	Calls            []Call
 	Troubles         []Trouble
@@ -123,48 +123,50 @@
 	Acknowledgements []Acknowledgement
 	Probes           []Probe
 	ReadBacks        []ReadBack
-	// Rollouts are how rollouts stood, each time the operator looked.
+	// Rollouts are the states of rollouts each time the operator read them.
 	Rollouts []RolloutSeen
 	Samples  []Sample
-	// Applications is what those saw who use locks, numbers and cells.
+	// Applications is the history of the applications that use locks, numbers and cells.
 	Applications check.History
-	// Runs are those that the executors tell of, with the time of day in ms; Start is that of the clients' start.
+	// Runs are the runs that the executors report, with the time of day in milliseconds. StartMs is the time of day at which
+	// all other times begin.
 	Runs    []hollow.RunRecord
 	StartMs int64
-	// RepeatedFences counts orders that came under a fence well after that was refused.
+	// RepeatedFences counts orders that came under a fence well after an executor had refused it.
 	RepeatedFences int
-	// FinalStates are the states in which accepted jobs were at last, by ID.
+	// FinalStates are the last known states of accepted jobs, by ID.
 	FinalStates map[string]string
-	// Stalls are the times at which the soak itself was not given a processor for a while: bounds of time say nothing there.
+	// Stalls are the times in which the soak process itself did not run. Time bounds are not checked there.
 	Stalls []Stall
-	// Mix is nil where none was asked for. Zones holds the zone of each process by its name, Stewards the names of stewards.
+	// Mix is nil if the options name none. Zones maps the names of processes to their zones, and Stewards contains the names of
+	// stewards.
 	Mix      *Mix
 	Zones    map[string]string
 	Stewards map[string]bool
-	// Evacuations, KeyProbes, Streams, Lots and LotRefusals are there where the mix has their features.
+	// Evacuations, KeyProbes, Streams, Lots and LotRefusals are empty if the mix lacks their features.
 	Evacuations []Evacuation
 	KeyProbes   []KeyProbe
 	Streams     []StreamCall
 	Lots        []Lot
 	LotRefusals []Violation
-	// Loads is what processes used a second while the clients went on.
+	// Loads is the resource use per second of the processes while the clients were active.
 	Loads []ProcessLoad
-	// RefusedConnections are those that relays could not connect with their gate.
+	// RefusedConnections are the client connections that a relay could not forward to its gate.
 	RefusedConnections []RefusedConnection
 }
 
-// RefusedConnection is a connection of a client that a relay took, and that the gate behind the relay refused: nothing that was
-// sent on it reached the gate.
+// RefusedConnection is a client's connection that a relay accepted and whose gate refused the relay. Nothing that was sent on
+// it reached the gate.
 type RefusedConnection struct {
 	Gate       string
 	Connection string
 	At         time.Duration
 }
 
-// Stall is a time in which the soak stood still.
+// Stall is an interval in which the soak process did not run.
 type Stall struct{ From, To time.Duration }
 
-// recorder owns the history while it is written: one goroutine runs what is posted to it.
+// recorder owns the history during the soak; one goroutine runs the functions that are posted to its mailbox.
 type recorder struct {
 	mailbox *mailbox.Mailbox
 	ctx     context.Context
@@ -181,15 +183,15 @@
 	return r
 }
 
-// now is the time since the start.
+// now returns the time since the start of the recorder.
 func (r *recorder) now() time.Duration { return time.Since(r.began) }
 
-// write adds something to the history.
+// write runs a change of the history on the recorder's goroutine.
 func (r *recorder) write(change func(*History)) {
 	r.mailbox.Post(func() { change(&r.written) })
 }
 
-// history gives a copy of what was written so far.
+// history returns a copy of the history so far, or an empty history if the recorder has stopped.
 func (r *recorder) history() *History {
 	copied, err := mailbox.Ask(r.ctx, r.mailbox, func(answer func(History)) {
 		written := r.written
@@ -202,7 +204,7 @@
 	return &copied
 }
 
-// recorded is how much has been recorded.
+// progressCounts are the counts that the soak logs as its progress.
 type recorded struct{ calls, accepted, troubles int }
 
 func (r *recorder) counts() recorded {
@@ -218,7 +220,7 @@
 	return counts
 }
 
-// refusals gives what writes the connections into the history that a gate refused.
+// refusalRecorder returns a function that records the connections that a gate refused.
 func (r *recorder) refusals(gate string) func(client net.Addr) {
 	return func(client net.Addr) {
 		refused := RefusedConnection{gate, client.String(), r.now()}
@@ -226,7 +228,7 @@
 	}
 }
 
-// watchStalls notes when this process itself is not run for a while, until ctx is done.
+// watchStalls records the times in which this process was not scheduled, until ctx is done.
 func (r *recorder) watchStalls(ctx context.Context) {
 	const every, isStall = 20 * time.Millisecond, 250 * time.Millisecond
 	for last := r.now(); ctx.Err() == nil; {
--- a/internal/simulation/soak/injectedfaults.go
+++ b/internal/simulation/soak/injectedfaults.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// InjectedFault is a fault that is put into what is observed, to see that an oracle finds it. It is named for that oracle.
+// InjectedFault is a fault that is put into the observations, to check that the oracle of the same name finds it.
 type InjectedFault string
 
 // The injected faults; InjectNothing is none.
@@ -36,7 +36,7 @@
 	InjectServed        InjectedFault = "served"
 )
 
-// AllInjectedFaults are all that can be injected.
+// AllInjectedFaults are the injected faults that can be chosen.
 var AllInjectedFaults = []InjectedFault{InjectLost, InjectTwice, InjectWrong, InjectShown, InjectCut, InjectCancelled, InjectFence, InjectConfiguration, InjectExit, InjectCoordination, InjectRollout, InjectGrowth,
 	InjectEvacuation, InjectQuota, InjectKey, InjectStream, InjectLot, InjectServed}
 
@@ -44,10 +44,11 @@
 	return p == InjectNothing || slices.Contains(AllInjectedFaults, p)
 }
 
-// injectEvery is how many chunks a relay passes between two injected faults.
+// injectEvery is the number of answer chunks per injected fault in a relay.
 const injectEvery = 40
 
-// altered gives the chunk that a relay passes in place of another: nil closes the connection. It is called on the relay's goroutine.
+// alterChunk returns the chunk that the relay forwards in place of the given one; nil closes the connection. Only the relay's
+// own goroutine calls it.
 func (r *relay) altered(chunk []byte, isAnswer bool) []byte {
 	if !isAnswer {
 		return chunk
@@ -60,7 +61,8 @@
 	}
 	switch {
 	case r.injected == InjectCut:
-		// The gate has answered, and the client gets nothing, well after its request.
+		// The client gets no answer although its gate answered. The delay makes the request older than lossSlack, below which
+		// OracleCut ignores it.
 		time.Sleep(2 * lossSlack)
 		return nil
 	case r.injected == InjectWrong && former != nil:
@@ -69,7 +71,7 @@
 	return chunk
 }
 
-// disturb puts a fault into a history. Those of connections were injected while it was played (altered).
+// injectInto puts the fault into a history. Faults of connections were injected by the relays during the soak (alterChunk).
 func (p InjectedFault) disturb(h *History) {
 	last := func() time.Duration { return h.Calls[len(h.Calls)-1].EndedAt }
 	switch p {
@@ -108,7 +110,7 @@
 	}
 }
 
-// disturbMix puts a fault into what only mixes have.
+// injectMixFault puts a fault into the observations that only mixes have.
 func (p InjectedFault) disturbMix(h *History) {
 	switch p {
 	case InjectEvacuation:
@@ -129,7 +131,7 @@
 	}
 }
 
-// injectQuota has the tenant with a limit run more tasks at once than it may.
+// injectQuota adds a job of the limited tenant that runs more tasks at the same time than the tenant may.
 func (h *History) injectQuota() {
 	const id = "0000000000000991"
 	h.Mix = &Mix{Features: []Feature{FeatureTenants}, Zones: 1}
@@ -141,7 +143,7 @@
 	}
 }
 
-// injectCancelled cancels a job long before one of its tasks starts.
+// injectCancelled adds the cancellation of a job, and a start of its task long after it.
 func (h *History) injectCancelled(id string) {
 	h.Calls = append(h.Calls, Call{Verb: verbCancel, Job: id, Outcome: answered, Status: 200})
 	startMs := h.StartMs + (2 * cancelBound).Milliseconds()
--- a/internal/simulation/soak/job.go
+++ b/internal/simulation/soak/job.go
@@ -10,13 +10,15 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// shape is what a job asks for. It can be read back from the job's ID, so that all that look at a job know it.
+// shape is the size of a job: the tasks of its two steps and the length of each task. It is encoded in the job's ID, so any
+// observer of the job can decode it.
 type shape struct {
 	first, second int
 	length        time.Duration
 }
 
-// The last three digits of an ID are the tasks of the first step, those of the second, and the length of each in shapeUnit.
+// The last three hexadecimal digits of an ID are the number of tasks of the first and of the second step, and the length of
+// each task in shapeUnit.
 const (
 	idDigits   = 16
 	maxTasks   = 6
@@ -26,7 +28,7 @@
 	taskMemory = 100
 )
 
-// newJob draws an ID.
+// newJob draws a job ID.
 func newJob(draw *rand.Rand) string {
 	return fmt.Sprintf("%013x%x%x%x", draw.Uint64()>>12, 1+draw.IntN(maxTasks), draw.IntN(maxTasks), 1+draw.IntN(maxUnits))
 }
@@ -44,7 +46,7 @@
 
 func (s shape) tasks() int { return s.first + s.second }
 
-// body is what a client submits.
+// body returns the JSON body of the job's submission.
 func (s shape) body() string {
 	load := hollow.Load{Length: s.length, CPU: taskCPU, MemoryMB: taskMemory}
 	step := func(tasks int, after string) string {
--- a/internal/simulation/soak/layout.go
+++ b/internal/simulation/soak/layout.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// Role is a subcommand of the program.
+// Role is the subcommand of the program that a process runs.
 type Role string
 
 // The roles that a soak starts.
@@ -19,11 +19,11 @@
 	RoleSteward Role = "steward"
 	RoleGate    Role = "gate"
 	RoleProxy   Role = "local-proxy"
-	// RoleStorage is started only where the mix has a tier.
+	// RoleStorage is started only if the mix has a tier.
 	RoleStorage Role = "storage"
 )
 
-// The ports are alike on all addresses.
+// The ports are the same on all addresses.
 const (
 	controlPort   = 8166
 	frontPort     = 8161
@@ -34,7 +34,7 @@
 	internalPorts = 16
 )
 
-// The third octet of an address tells what stands there.
+// The third octet of an address identifies the kind of process at it.
 const (
 	gateOctet    = 1
 	stewardOctet = 2
@@ -44,7 +44,8 @@
 	storageOctet = 6
 )
 
-// The bounds that the settings name, in the units of the settings file. What has ended is known for longer than any soak.
+// Values of the settings, in the units of the settings file. The state of an ended job is kept for longer than any soak lasts.
+// processesForLosses is the number of processes from which a soak tolerates the loss of two stewards.
 const (
 	graceSeconds       = 6
 	configApplyMs      = 3000
@@ -57,30 +58,30 @@
 	serviceName        = "soak"
 )
 
-// Node is one process of gannetline.
+// Node is the name, role and address of one process.
 type Node struct {
 	Name string
 	Role Role
 	IP   string
 }
 
-// Layout is which processes there are and where. Losses is how many stewards may be lost at once.
+// Layout is the set of processes and their addresses. Losses is the number of stewards that may be lost at the same time.
 type Layout struct {
 	Network  string
 	Losses   int
 	Stewards []Node
 	Gates    []Node
 	Proxies  []Node
-	// Storages are there only where the mix has a tier; they come on top of the processes that are asked for.
+	// Storages is empty without a tier. They are additional to the requested number of processes.
 	Storages []Node
 	Mix      *Mix
-	// LeavesOutTenants has configurations name no tenants, though the contracts allow it.
+	// LeavesOutTenants makes configurations name no tenants although the contracts allow them.
 	LeavesOutTenants bool
-	// HasVersions divides the local proxies between the versions of a service.
+	// HasVersions spreads the local proxies over the versions of the service.
 	HasVersions bool
 }
 
-// NewLayout spreads processes over the roles; one of them holds the executors.
+// NewLayout spreads processes over the roles. One of them runs all fake executors.
 func NewLayout(processes int, network string) *Layout {
 	layout := &Layout{Network: network, Losses: 1, Mix: usualMix()}
 	if processes >= processesForLosses {
@@ -101,7 +102,7 @@
 	return layout
 }
 
-// NewMixedLayout spreads processes over the roles of a mix.
+// NewMixedLayout returns NewLayout with a mix, and storages if the mix has a tier.
 func NewMixedLayout(processes int, network string, mix *Mix) *Layout {
 	layout := NewLayout(processes, network)
 	layout.Mix = mix
@@ -113,14 +114,14 @@
 	return layout
 }
 
-// zoneName is the zone of a number.
+// zoneName returns the name of the zone with a zero-based number.
 func zoneName(number int) string { return fmt.Sprintf("zone-%d", number+1) }
 
-// zoneOf spreads the nodes of each role over the zones.
+// zoneOf returns the zone of a node; the nodes of each role are spread over all zones.
 func (l *Layout) zoneOf(node Node) string {
 	number := slices.Index(l.nodes(node.Role), node)
 	if number < 0 {
-		// A replacement of a steward comes after those of the layout.
+		// Replacement stewards are not in the layout; all get the same zone.
 		number = len(l.Stewards)
 	}
 	return zoneName(number % l.Mix.Zones)
@@ -137,10 +138,10 @@
 	return all
 }
 
-// region is the one region of all zones.
+// region is the region of all zones.
 const region = "region-1"
 
-// stewardNames are the names of the stewards, the first ones and some that may replace them.
+// stewardNames returns the names of the initial stewards and of possible replacements.
 func (l *Layout) stewardNames() map[string]bool {
 	names := map[string]bool{}
 	for number := range maxStewardNames {
@@ -158,7 +159,7 @@
 	return all
 }
 
-// steward is the steward of a number; those beyond the first are replacements.
+// steward returns the steward with a zero-based number. Numbers beyond the layout's stewards are replacements.
 func (l *Layout) steward(number int) Node {
 	return Node{fmt.Sprintf("steward-%d", number+1), RoleSteward, l.address(stewardOctet, number)}
 }
@@ -167,15 +168,15 @@
 	return fmt.Sprintf("%s.%d.%d", l.Network, octet, number+1)
 }
 
-// relayAddress is where the clients of a gate connect.
+// relayAddress returns the address at which the clients of a gate connect.
 func (l *Layout) relayAddress(number int) string {
 	return endpoint(l.address(relayOctet, number), frontPort)
 }
 
-// reportAddress is where the stand-in executors tell what they ran.
+// reportAddress returns the address at which the fake executors report their runs.
 func (l *Layout) reportAddress() string { return endpoint(l.address(workerOctet, 0), reportPort) }
 
-// nodes are all processes of a role.
+// nodes returns the initial processes of a role.
 func (l *Layout) nodes(role Role) []Node {
 	switch role {
 	case RoleSteward:
@@ -190,7 +191,7 @@
 
 func endpoint(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 
-// settingsFields are the fields of a settings file that a soak sets.
+// settingsFields are the settings that a soak writes.
 type settingsFields struct {
 	Name           string            `yaml:"node-name"`
 	Role           Role              `yaml:"node-role"`
@@ -213,7 +214,8 @@
 	Service        string            `yaml:"service,omitempty"`
 }
 
-// settingsOf makes the settings file of a node. seeds are addresses of stewards; isInitial is true at the first start of all.
+// settingsOf returns the settings file of a node. seeds are addresses of stewards. isInitial is true at the first start of the
+// cluster.
 func (l *Layout) settingsOf(node Node, folder string, seeds []string, isInitial bool, fault SettingsFault) ([]byte, error) {
 	fields := settingsFields{Name: node.Name, Role: node.Role, IP: node.IP, Zone: l.zoneOf(node), Region: region, Zones: l.zoneList(), Initial: isInitial, Seeds: seeds,
 		InternalPorts: []int{internalPort, internalPort + internalPorts - 1}, HeartbeatMs: l.Mix.HeartbeatMs, OrderList: l.Mix.OrderList,
@@ -240,7 +242,7 @@
 	return yaml.Marshal(fields)
 }
 
-// serviceOf is the service whose executor stands beside a local proxy.
+// serviceOf returns the service of the executor beside a local proxy.
 func (l *Layout) serviceOf(node Node) string {
 	if !l.HasVersions {
 		return serviceName
--- a/internal/simulation/soak/load.go
+++ b/internal/simulation/soak/load.go
@@ -8,17 +8,17 @@
 	"gannetline/internal/platform/metrics"
 )
 
-// counters are what a process has used since its start.
+// counters are the values of a process's metrics since its start, and the time at which they were read.
 type counters struct {
 	at         time.Duration
 	cpuSeconds float64
-	// sentBytes are those of calls to peers and of datagrams.
+	// sentBytes counts calls to peers and datagrams.
 	sentBytes float64
 	commits   float64
 }
 
-// ProcessLoad is what a process uses a second, over a time in which it did not restart. Commits are transactions of its disk, each with
-// its syncs.
+// ProcessLoad is the resource use per second of a process over a time without a restart. Commits are disk transactions; each
+// includes its syncs.
 type ProcessLoad struct {
 	Process   string  `json:"process"`
 	Role      Role    `json:"role"`
@@ -27,7 +27,7 @@
 	Commits   float64 `json:"commits"`
 }
 
-// readCounters asks all running processes; those that don't answer are left out.
+// readCounters reads the metrics of all running processes. A process that doesn't answer is left out.
 func (s *soak) readCounters() map[runningProcess]counters {
 	client := &http.Client{Timeout: sampleLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	read := map[runningProcess]counters{}
@@ -43,7 +43,7 @@
 	return read
 }
 
-// sumOf adds up a counter over its labels.
+// sumOf adds up a metric over all its labels.
 func sumOf(samples metrics.Samples, name string) float64 {
 	sum := 0.0
 	for full, value := range samples {
@@ -54,7 +54,7 @@
 	return sum
 }
 
-// loadsBetween gives what each process used between two readings.
+// loadsBetween returns the resource use of each process between two readings. A process that restarted meanwhile is left out.
 func loadsBetween(before, after map[runningProcess]counters) []ProcessLoad {
 	var loads []ProcessLoad
 	for running, last := range after {
@@ -69,7 +69,7 @@
 	return loads
 }
 
-// busiest gives the most of each figure over all processes of a role.
+// busiest returns the maximum of each figure over the processes of a role.
 func busiest(loads []ProcessLoad, role Role) ProcessLoad {
 	var most ProcessLoad
 	for _, load := range loads {
--- a/internal/simulation/soak/lots.go
+++ b/internal/simulation/soak/lots.go
@@ -16,26 +16,26 @@
 	lotDeadline  = 8 * time.Second
 	meanLotPause = 700 * time.Millisecond
 	maxLotItems  = 12
-	// lotClientNumber sets the random numbers of the client of lots apart from those of streams.
+	// lotClientNumber gives the client of lots another random stream than the clients of streams.
 	lotClientNumber = 900
 	lotsPath        = "/v1/lots/"
 )
 
-// LotResult is a result of a lot at its position.
+// LotResult is the result of one item of a lot, in the JSON of the gate's answer.
 type LotResult struct {
 	Item  string `json:"executor-id"`
 	State string `json:"executor-state"`
 	Text  string `json:"text"`
 }
 
-// LotRead is what a gate told of a lot's results from a position on.
+// LotRead is a gate's answer with a lot's results from position From on. From is -1 if the gate didn't know the lot.
 type LotRead struct {
 	From    int
 	At      time.Duration
 	Results []LotResult
 }
 
-// Lot is a lot that was accepted, and all that was read of it. Last is what it was at last, from its start.
+// Lot is an accepted lot and all answers about it. Last holds the results from the start, as far as they were last known.
 type Lot struct {
 	ID         string
 	Items      int
@@ -44,10 +44,10 @@
 	Last       []LotResult
 }
 
-// item is the ID of an item.
+// item returns the ID of the item with a zero-based number.
 func (l *Lot) item(number int) string { return fmt.Sprintf("%s%04d", l.ID[:12], number) }
 
-// expectedText is what the executors answer to an item.
+// expectedText returns the text that the engines answer to an item.
 func expectedText(item string) string {
 	var lines []string
 	for number := 1; number <= engineEvents; number++ {
@@ -56,7 +56,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// lotClient hands in lots at any gate, and reads what comes of them.
+// lotClient submits lots at random gates and reads their results.
 type lotClient struct {
 	*streamClient
 	open []*Lot
@@ -66,7 +66,7 @@
 	return &lotClient{streamClient: newTierClient(s, lotClientNumber, s.layout.Gates[0])}
 }
 
-// run hands in lots and reads them until ctx is done, and then reads each until it is whole.
+// run submits lots and reads random parts of their results until ctx is done. Then it reads each lot until it has all results.
 func (c *lotClient) run(ctx context.Context) {
 	for pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(meanLotPause)/c.options.pace())) {
 		c.submit(ctx, &Lot{ID: fmt.Sprintf("%016x", c.draw.Uint64()), Items: 1 + c.draw.IntN(maxLotItems)})
@@ -83,7 +83,7 @@
 	}
 }
 
-// readWhole reads a lot from its start until it has all results, or ctx is done.
+// readWhole reads a lot from its start until it has all results or ctx is done.
 func (c *lotClient) readWhole(ctx context.Context, lot *Lot) {
 	for len(lot.Last) < lot.Items {
 		if !c.read(ctx, lot, 0) {
@@ -94,7 +94,7 @@
 
 func (c *lotClient) anyGate() Node { return c.layout.Gates[c.draw.IntN(len(c.layout.Gates))] }
 
-// submit hands a lot in, again at another gate after each answer but a clear refusal.
+// submit submits a lot at random gates until it is accepted or clearly refused, at most maxTries times.
 func (c *lotClient) submit(ctx context.Context, lot *Lot) {
 	var items []string
 	for number := range lot.Items {
@@ -122,7 +122,7 @@
 	}
 }
 
-// call makes one call at any gate; the status is 0 if no whole answer came.
+// call makes one call to a random gate. The status is 0 if no complete answer came.
 func (c *lotClient) call(ctx context.Context, method, path, id, body string) (status int, text string) {
 	answer, err := c.client.Do(c.tierRequest(ctx, method, c.anyGate(), path, id, body))
 	if err != nil {
@@ -136,7 +136,7 @@
 	return answer.StatusCode, string(read)
 }
 
-// read reads the results of a lot from a position on, and is false once ctx is done.
+// read reads the results of a lot from a position on and waits retryPause. It returns false once ctx is done.
 func (c *lotClient) read(ctx context.Context, lot *Lot, from int) bool {
 	status, text := c.call(ctx, http.MethodGet, fmt.Sprintf("%s%s?depends-on=%d", lotsPath, lot.ID, from), lot.ID, "")
 	var page struct {
@@ -154,7 +154,8 @@
 	return pause(ctx, retryPause)
 }
 
-// badLots looks for accepted lots that are not known, not whole at last, or whose results changed their positions or contents.
+// badLots is the oracle of lots: a gate knows each accepted lot, all its results come, and neither their positions nor their
+// contents change.
 func badLots(h *History) []Violation {
 	violations := slices.Clone(h.LotRefusals)
 	for index := range h.Lots {
@@ -166,7 +167,7 @@
 	return violations
 }
 
-// problem tells what is wrong with a lot; it is empty if nothing is.
+// problem returns the first problem of a lot, or "" if there is none.
 func (l *Lot) problem() string {
 	if len(l.Last) != l.Items {
 		return fmt.Sprintf("has %d results at last, of %d items", len(l.Last), l.Items)
--- a/internal/simulation/soak/mix.go
+++ b/internal/simulation/soak/mix.go
@@ -9,25 +9,25 @@
 	"gannetline/internal/platform/settings"
 )
 
-// Feature is something that a deployment switches on beside jobs and configurations, by contracts.
+// Feature is an optional part of a deployment, enabled by contracts. Jobs and configurations are always enabled.
 type Feature string
 
 // The features.
 const (
-	// FeatureTenants has each call bear the key of a tenant, and limits what tenants have running.
+	// FeatureTenants makes each call carry a tenant's key, and limits the running tasks of a tenant.
 	FeatureTenants Feature = "tenants"
-	// FeatureEvacuations has the operator empty zones.
+	// FeatureEvacuations makes the operator evacuate zones.
 	FeatureEvacuations Feature = "evacuations"
-	// FeatureLocks has applications use locks, numbers and cells.
+	// FeatureLocks makes applications use locks, numbers and cells.
 	FeatureLocks Feature = "locks"
-	// FeatureTier has gates pass requests on to executors that the platform lists, and take lots of them.
+	// FeatureTier makes gates forward requests to the executors that the platform lists, and accept lots of requests.
 	FeatureTier Feature = "tier"
 )
 
-// AllFeatures are all that a mix may have.
+// AllFeatures are the features a mix may have. DrawMix uses the index of a feature as its bit in the seed.
 var AllFeatures = []Feature{FeatureTenants, FeatureEvacuations, FeatureLocks, FeatureTier}
 
-// featureContracts are the contracts by which a feature is switched on.
+// featureContracts are the contracts that enable each feature.
 var featureContracts = map[Feature][]string{
 	FeatureTenants:     {"tenants", "quota"},
 	FeatureEvacuations: {"pressure", "places"},
@@ -35,7 +35,8 @@
 	FeatureTier:        {"pool", settings.ContractLots, settings.ContractStreams, "engine"},
 }
 
-// Mix is what a deployment has switched on, where its machines are, and its bounds, in milliseconds.
+// Mix is a deployment's choice of features, number of zones and protocol bounds in milliseconds. A bound of 0 is left out of
+// the settings.
 type Mix struct {
 	Features     []Feature
 	Zones        int
@@ -47,16 +48,16 @@
 	GangWaitMs   int
 }
 
-// usualMix is that of a soak without one.
+// usualMix returns the mix of a soak whose options name none.
 func usualMix() *Mix {
 	return &Mix{Features: []Feature{FeatureLocks}, Zones: 1, OrderList: "invocation", HeartbeatMs: heartbeatMs}
 }
 
-// mixStream sets the random numbers of mixes apart from those of schedules and clients.
+// mixStream selects the random stream of mixes; schedules and clients use other streams.
 const mixStream = 3
 
-// The bounds of what is drawn. A seed's last digits in binary are its features, so that as many seeds in a row as there are combinations
-// have all of them.
+// The ranges of the drawn values, times in milliseconds: a minimum and the exclusive bound of the random number that is added
+// to it. The lowest bits of the seed select the features, so consecutive seeds cover all combinations.
 const (
 	maxZones                 = 4
 	minHeartbeat, heartbeats = 600, 1200
@@ -67,7 +68,7 @@
 	minGangWait, gangWaits   = 2000, 3000
 )
 
-// DrawMix makes the mix of a seed.
+// DrawMix returns the mix of a seed.
 func DrawMix(seed uint64) *Mix {
 	draw := rand.New(rand.NewPCG(seed, mixStream))
 	mix := &Mix{Zones: 1 + draw.IntN(maxZones), OrderList: "invocation", HeartbeatMs: minHeartbeat + draw.IntN(heartbeats),
@@ -87,10 +88,10 @@
 	return mix
 }
 
-// Has tells whether a feature is switched on.
+// Has reports whether a feature is enabled.
 func (m *Mix) Has(feature Feature) bool { return slices.Contains(m.Features, feature) }
 
-// contracts are those in force; jobs and configurations always are.
+// contracts returns the active contracts; those of jobs and configurations are always included.
 func (m *Mix) contracts() []string {
 	all := []string{"base", "drain", "config", "cost", "recover", "health"}
 	for _, feature := range m.Features {
@@ -99,7 +100,7 @@
 	return append(all, settings.ContractJobs)
 }
 
-// bounds are those of the settings file that the mix draws; a bound of 0 is left out.
+// bounds returns the drawn protocol bounds by their names in the settings file, without those that are 0.
 func (m *Mix) bounds() map[string]int {
 	all := map[string]int{"evacuation-ms": m.EvacuationMs, "drain-timeout-ms": m.DrainMs, "max-hold-ms": m.MaxHoldMs, "gang-wait-ms": m.GangWaitMs}
 	for name, value := range all {
@@ -110,32 +111,32 @@
 	return all
 }
 
-// evacuationInForce is how long after its acknowledgement an evacuation must be in force.
+// evacuationDeadline returns the time after its acknowledgement in which an evacuation must take effect.
 func (m *Mix) evacuationInForce() time.Duration { return clock.Milliseconds(int64(m.EvacuationMs)) }
 
-// SettingsFault is a mistake in the settings that the processes of a mix are given, to see that an oracle finds what comes of it.
+// SettingsFault is a mistake in the settings of all processes, to check that an oracle finds its effects.
 type SettingsFault string
 
 // The faults of settings; NoSettingsFault is none.
 const (
 	NoSettingsFault SettingsFault = ""
-	// ForgetContracts leaves out the contracts of the last feature of the mix.
+	// ForgetContracts leaves out the contracts of the mix's last feature.
 	ForgetContracts SettingsFault = "contracts"
-	// WrongBound has how long the state of a job is kept be a second, as another bound is.
+	// WrongBound sets the retention of job states to one second, the value of another bound.
 	WrongBound SettingsFault = "bound"
 )
 
-// AllSettingsFaults are all of them.
+// AllSettingsFaults are the settings faults that can be chosen.
 var AllSettingsFaults = []SettingsFault{ForgetContracts, WrongBound}
 
 func (f SettingsFault) isKnown() bool {
 	return f == NoSettingsFault || slices.Contains(AllSettingsFaults, f)
 }
 
-// wrongStatusSeconds is how long the state of a job is kept under WrongBound.
+// wrongStatusSeconds is the retention of job states with WrongBound.
 const wrongStatusSeconds = 1
 
-// disturb puts the fault into the fields of a settings file.
+// applyTo changes the fields of a settings file as the fault says.
 func (f SettingsFault) disturb(fields *settingsFields, mix *Mix) {
 	switch f {
 	case ForgetContracts:
--- a/internal/simulation/soak/operator.go
+++ b/internal/simulation/soak/operator.go
@@ -16,15 +16,15 @@
 
 const (
 	operatorStream = 2
-	// changeEvery lies between two configurations, and probeEvery between two looks at the gates.
+	// changeInterval is the time between two configurations, and probeInterval the time between two probes of the gates.
 	changeEvery = 2 * time.Second
 	probeEvery  = 500 * time.Millisecond
-	// operatorLimit is how long one call may take, and keptProbes how many of the newest versions have a queue to be probed by.
+	// operatorTimeout is the timeout of one call. probedVersions is the number of newest versions that have a queue for probes.
 	operatorLimit = 1500 * time.Millisecond
 	keptProbes    = 4
 )
 
-// operator changes the configuration, reads it back, and probes at the gates whether it is in force.
+// operator changes the configuration, reads it back and probes whether the gates have applied it.
 type operator struct {
 	*soak
 	client  *http.Client
@@ -36,15 +36,15 @@
 	return &operator{soak: s, client: &http.Client{Timeout: operatorLimit}, draw: rand.New(rand.NewPCG(s.options.Seed, operatorStream)), version: firstVersion}
 }
 
-// jobsRoute is the name of the clients' queue.
+// jobsRoute is the name of the route of the clients' queue.
 const jobsRoute = "jobs"
 
-// firstVersion is the configuration that a soak begins with.
+// firstVersion is the version of the configuration at the start of a soak.
 const firstVersion = 1
 
-// run changes and probes until ctx is done.
+// run changes, probes and reads back the configuration until ctx is done.
 func (o *operator) run(ctx context.Context) {
-	// A probe connects anew, so that it costs the gate no kept connection.
+	// Each probe uses a new connection and so takes none of the gate's persistent ones.
 	o.client.Transport = &http.Transport{DisableKeepAlives: true}
 	nextChange := o.recorder.now() + changeEvery
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// change posts the next version, the same again until it is acknowledged.
+// change proposes the next version, and the same version again until it is acknowledged.
 func (o *operator) change(ctx context.Context) {
 	if o.options.Rollouts {
 		o.changeAmongRollouts(ctx)
@@ -76,7 +76,8 @@
 	}
 }
 
-// changeAmongRollouts makes one change on the configuration in force, which the leader of the configuration may change as well.
+// changeWithRollouts changes the current configuration once. The leader of the configuration may change it at the same time, so
+// each attempt reads it anew.
 func (o *operator) changeAmongRollouts(ctx context.Context) {
 	for ctx.Err() == nil {
 		if current := o.current(ctx); current != nil {
@@ -92,19 +93,19 @@
 	}
 }
 
-// post offers a version to a steward; it is false as long as it is not acknowledged.
+// proposeVersion proposes a version to a steward and returns whether it is acknowledged.
 func (o *operator) post(ctx context.Context, version int64) bool {
 	return o.send(ctx, version-1, o.configurationOf(version))
 }
 
-// send offers a configuration that builds on a version.
+// propose proposes a configuration that is based on a version to a steward, and returns whether it is acknowledged.
 func (o *operator) send(ctx context.Context, base int64, next configuration.Configuration) bool {
 	status := o.ask(ctx, sling.New().Post(o.stewardURL("/v1/configuration/replace")).
 		Set(headers.BaseVersion, strconv.FormatInt(base, 10)).BodyJSON(next), nil)
 	return status/100 == 2
 }
 
-// ask makes one call and reads the answer into a value, if there is one; the status is 0 if none came.
+// call makes one call and decodes the answer into a value unless that is nil. The status is 0 if no answer came.
 func (o *operator) ask(ctx context.Context, call *sling.Sling, into any) int {
 	request, err := call.Request()
 	if err != nil {
@@ -117,7 +118,7 @@
 	return response.StatusCode
 }
 
-// stewardURL names a steward that runs now; all of them serve the operator.
+// stewardURL returns the URL of a path at a random steward that hasn't ended; every steward serves the operator.
 func (o *operator) stewardURL(path string) string {
 	var stewards []Node
 	for _, running := range o.cluster.stewards() {
@@ -129,7 +130,7 @@
 	return "http://" + endpoint(stewards[o.draw.IntN(len(stewards))].IP, controlPort) + path
 }
 
-// probe asks a gate for the queue of the newest version that must be in force.
+// probe asks a random gate for the queue of the newest acknowledged version, and probes an unknown key if there are tenants.
 func (o *operator) probe(ctx context.Context) {
 	gate := o.layout.Gates[o.draw.IntN(len(o.layout.Gates))]
 	version := o.version
@@ -153,7 +154,7 @@
 	o.recorder.write(func(h *History) { h.Probes = append(h.Probes, probe) })
 }
 
-// readBack asks a steward for the newest configuration.
+// readBack reads the newest configuration from a steward and records its version.
 func (o *operator) readBack(ctx context.Context) {
 	url := o.stewardURL("/v1/configuration/retrieve")
 	sentAt := o.recorder.now()
@@ -164,10 +165,11 @@
 	}
 }
 
-// probePrefix is that of the queue which a version brings.
+// probePrefix returns the path prefix of the queue that a version adds.
 func probePrefix(version int64) string { return fmt.Sprintf("/version-%d/", version) }
 
-// configurationOf is a version: the queue of the clients, and one each for this version and the newest before it.
+// newConfiguration returns the configuration of a version, with the queue of the clients and a queue for each of the newest
+// versions up to this one.
 func (o *operator) configurationOf(version int64) configuration.Configuration {
 	result := configuration.Configuration{Version: version,
 		Services: []configuration.Service{{Name: serviceName, ConnectionLimit: 64, Protocol: "h1", GuardsCapacity: true}},
--- a/internal/simulation/soak/options.go
+++ b/internal/simulation/soak/options.go
@@ -9,8 +9,8 @@
 	"go.uber.org/multierr"
 )
 
-// The bounds of a soak. The most processes are what the machine bears beside others; the fewest are three stewards, two gates, two
-// local proxies and their executors.
+// The bounds of a soak. MaxProcesses is what the machine can run beside other work. MinProcesses is three stewards, two gates,
+// two local proxies and their executors.
 const (
 	MinProcesses = 8
 	MaxProcesses = 200
@@ -18,38 +18,38 @@
 	MaxLength    = 30 * time.Minute
 )
 
-// Options say what to soak and how.
+// Options configure a soak.
 type Options struct {
-	// Seed decides the schedule and what clients do.
+	// Seed determines the schedule and the actions of clients.
 	Seed uint64
-	// Length is how long clients and faults go on; start, settling and end come on top.
+	// Length is the time in which clients and faults are active, without start, settling and shutdown.
 	Length    time.Duration
 	Processes int
-	// Kinds are the faults that are drawn.
+	// Kinds are the faults to draw from; without any, the soak has no faults.
 	Kinds []FaultKind
-	// Keep is the folder for settings, logs and data; a temporary one if it is empty.
+	// Keep is the folder for settings, logs and data. If it is empty, a temporary folder is used.
 	Keep string
-	// Program is the gannetline binary.
+	// Program is the path of the gannetline binary.
 	Program string
-	// Network is the first two octets of the loopback addresses, such as 127.92.
+	// Network is the first two octets of the loopback addresses, for example 127.92.
 	Network string
-	// InjectedFault is put into what is observed, to see that an oracle finds it.
+	// InjectedFault is put into the observations to check that the oracle of the same name finds it.
 	InjectedFault InjectedFault
-	// Rollouts has a bad version of the service rolled out, and a good one after it.
+	// Rollouts makes the operator roll out a bad version of the service, and a good one after it.
 	Rollouts bool
-	// Mix is what the deployment has switched on; nil is the usual one.
+	// Mix selects the features of the deployment; nil means usualMix.
 	Mix *Mix
-	// Parts are those that are kept busy; nil is all of them.
+	// Parts are the parts of the system that get load; nil means all.
 	Parts []Part
-	// Pace is how many times as often as usual clients call; 0 is 1.
+	// Pace multiplies the usual call rate of clients; 0 means 1.
 	Pace float64
-	// SettingsFault is a mistake in the settings, to see that an oracle finds what comes of it.
+	// SettingsFault is a mistake in the settings, to check that an oracle finds its effects.
 	SettingsFault SettingsFault
-	// Schedule is played in place of a drawn one.
+	// Schedule replaces the drawn schedule if it isn't nil.
 	Schedule *Schedule
 }
 
-// Layout is which processes the soak has.
+// Layout returns the processes of the soak and their addresses.
 func (o *Options) Layout() *Layout {
 	if o.Mix == nil {
 		return NewLayout(o.Processes, o.Network)
@@ -59,7 +59,7 @@
 	return layout
 }
 
-// pace is how many times as often as usual clients call.
+// pace returns the factor on the usual call rate of clients.
 func (o *Options) pace() float64 {
 	if o.Pace == 0 {
 		return 1
@@ -67,7 +67,7 @@
 	return o.Pace
 }
 
-// jobClients is how many clients each gate has.
+// jobClients returns the number of job clients at each gate.
 func (o *Options) jobClients() int {
 	if !o.isBusy(PartJobs) && !o.isBusy(PartTenants) {
 		return 0
@@ -75,7 +75,7 @@
 	return clientsPerGate
 }
 
-// Check tells what is wrong with the options, by the names of their flags.
+// Check returns all problems of the options, each with the name of its flag.
 func (o *Options) Check() error {
 	var problems error
 	refuse := func(format string, arguments ...any) {
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -14,62 +14,63 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// Oracle names what must not happen.
+// Oracle is a check of the observations, named for what must not happen.
 type Oracle string
 
 // The oracles.
 const (
-	// OracleLost: an accepted job is not known any more, or is not over long after the soak, or was cancelled or failed by nobody.
+	// OracleLost: an accepted job is unknown, has not ended long after the soak, failed, or is cancelled without a request.
 	OracleLost Oracle = "lost"
-	// OracleTwice: two runs of a task at once, or one after a run of it was done.
+	// OracleTwice: two runs of a task overlap, or a run starts after an earlier one has done the task.
 	OracleTwice Oracle = "twice"
-	// OracleWrong: an answer that is not that of its request.
+	// OracleWrong: a client got the answer to another request.
 	OracleWrong Oracle = "wrong-answer"
-	// OracleShown: a job shown as completed while a task of it was not done.
+	// OracleShown: a job is shown as completed before all its tasks are done.
 	OracleShown Oracle = "shown"
-	// OracleCut: a request that was sent whole is left without an answer by a gate that nobody killed.
+	// OracleCut: a request was sent whole and got no answer, although the gate was not killed.
 	OracleCut Oracle = "cut"
-	// OracleCancelled: a task of a cancelled job is started long after the acknowledgement.
+	// OracleCancelled: a task of a cancelled job starts long after the cancellation was acknowledged.
 	OracleCancelled Oracle = "cancelled"
-	// OracleFence: orders come again under a fence that was refused well before.
+	// OracleFence: orders still come under a fence that was refused well before.
 	OracleFence Oracle = "fence"
-	// OracleConfiguration: an acknowledged configuration is not in force in time, or is read back older.
+	// OracleConfiguration: an acknowledged configuration is not applied in time, or an older version is read back.
 	OracleConfiguration Oracle = "configuration"
-	// OracleExit: a process ends though nobody asked, with a code that tells of a failure, or not in time after SIGTERM.
+	// OracleExit: a process ends without a request, ends with a failure, or doesn't end in time after SIGTERM.
 	OracleExit Oracle = "exit"
-	// OracleCoordination: a lock with two holders, a number or a revision given twice, a stale read, a watch with a gap, and all else that
-	// package coordinationcheck names.
+	// OracleCoordination: a lock has two holders, a number or a revision is given twice, a read is stale, a watch has a gap, or
+	// another oracle of package coordinationcheck finds a violation.
 	OracleCoordination Oracle = "coordination"
-	// OracleRollout: a bad version of the service gets all jobs, or is not turned back in time.
+	// OracleRollout: a bad version of the service gets all jobs, or is not rolled back in time.
 	OracleRollout Oracle = "rollout"
-	// OracleEvacuation: a task is started in a zone after its evacuation had to be in force.
+	// OracleEvacuation: a task starts in a zone after the zone's evacuation had to take effect.
 	OracleEvacuation Oracle = "evacuation"
-	// OracleQuota: a tenant has more running than it may.
+	// OracleQuota: a tenant runs more tasks than it may.
 	OracleQuota Oracle = "quota"
-	// OracleKey: a call with a key that no tenant has is answered as if it had one.
+	// OracleKey: a call with an unknown key is answered like one with a known key.
 	OracleKey Oracle = "key"
-	// OracleStream: an answer that is no stream of its request, or a stream that a gate breaks off though nothing was done to it.
+	// OracleStream: an answer is not the stream of its request, a proper request is refused, or a gate without a fault breaks a
+	// stream off.
 	OracleStream Oracle = "stream"
-	// OracleLot: an accepted lot is not known, not whole at last, or its results change.
+	// OracleLot: a lot is refused, or an accepted lot is unknown, lacks results at the end, or has changing results.
 	OracleLot Oracle = "lot"
-	// OracleServed: nothing was served of a feature that the deployment has switched on.
+	// OracleServed: an enabled feature served nothing.
 	OracleServed Oracle = "served"
-	// OracleGrowth: memory, goroutines, descriptors or bytes on disk grow with time.
+	// OracleGrowth: the memory, goroutines, descriptors or disk space of a process grow with time.
 	OracleGrowth Oracle = "growth"
 )
 
-// Violation is something that an oracle found.
+// Violation is one finding of an oracle. At is the time since the start.
 type Violation struct {
 	Oracle Oracle        `json:"oracle"`
 	At     time.Duration `json:"at"`
 	Text   string        `json:"text"`
 }
 
-// oracles are all of them, each a function of the history.
+// oracles are the functions of all oracles.
 var oracles = []func(*History) []Violation{lostJobs, repeatedRuns, wrongAnswers, falseCompletions, cutRequests, lateStarts, repeatedFences,
 	staleConfigurations, badExits, coordinationFaults, badRollouts, startsInEvacuatedZones, exceededLimits, unknownKeys, badStreams, badLots, unservedFeatures, growth}
 
-// Judge has all oracles read a history, and gives what they find by time.
+// Judge runs all oracles on a history and returns their violations in the order of time.
 func Judge(history *History) []Violation {
 	var violations []Violation
 	for _, oracle := range oracles {
@@ -79,30 +80,31 @@
 	return violations
 }
 
-// The bounds of the oracles, beyond those of the settings.
+// The bounds of the oracles, in addition to those of the settings.
 const (
-	// contactWindow is how long a process must have been without trouble before bounds of time hold for it.
+	// contactWindow is the time for which a process must have been without a fault before time bounds apply to it.
 	contactWindow = 5 * time.Second
-	// lossSlack is how long before the end of its connection a request must have been sent to count: a later one crosses the close.
+	// lossSlack is the minimum time between a request and the end of its connection for OracleCut. A later request may cross
+	// the close.
 	lossSlack = 250 * time.Millisecond
-	// cancelBound is how long after the acknowledgement of a cancel a task may still be started.
+	// cancelTimeout is the time after the acknowledgement of a cancellation in which a task may still start.
 	cancelBound = 5 * time.Second
-	// configurationMargin is added to the time in which a configuration must be in force, as all share one machine.
+	// configurationMargin is added to the time in which a configuration must be applied, as all processes share one machine.
 	configurationMargin = 2 * time.Second
-	// startUp is how long a process may take until it reads signals; one that is told to end before ends by the signal, and has
-	// served nobody.
+	// signalReadyTimeout is the time in which a process installs its signal handlers. SIGTERM ends an earlier process by the
+	// signal itself; such a process has served no request.
 	startUp = 3 * time.Second
-	// exitBound is how long a process may take to end after SIGTERM.
+	// exitTimeout is the time in which a process must end after SIGTERM.
 	exitBound = graceSeconds*time.Second + 2*time.Second
 )
 
-// jobView is when a job was first accepted, and whether and when a cancel of it was sent and acknowledged.
+// jobTimes is when a job was first accepted, and whether and when its cancellation was sent and acknowledged.
 type jobView struct {
 	acceptedAt, cancelledAt   time.Duration
 	isCancelSent, isCancelled bool
 }
 
-// acceptedJobs gives the jobs that were accepted, by ID.
+// acceptedJobs returns the accepted jobs by ID.
 func acceptedJobs(h *History) map[string]*jobView {
 	accepted := map[string]*jobView{}
 	for index := range h.Calls {
@@ -143,7 +145,7 @@
 	return violations
 }
 
-// repeatedRuns looks at the runs of each task in the order of their starts.
+// repeatedRuns is OracleTwice: it compares each run of a task with all runs of the task that started before it.
 func repeatedRuns(h *History) []Violation {
 	var violations []Violation
 	byTask := map[string][]hollow.RunRecord{}
@@ -164,7 +166,7 @@
 	return violations
 }
 
-// conflict tells why a run may not have started after an earlier one of its task; it is empty if it may.
+// describeConflict returns why a run may not have started after an earlier one of its task, or "" if it may.
 func conflict(earlier, later hollow.RunRecord) string {
 	switch {
 	case earlier.Node == later.Node && earlier.Run == later.Run:
@@ -177,16 +179,16 @@
 	return ""
 }
 
-// outcomeDone is how executors tell of a run that did its task.
+// outcomeDone is the outcome that executors report of a run that has done its task.
 const outcomeDone = string(wire.OutcomeDone)
 
-// sinceStart turns the time of day into a time since the start.
+// sinceStart converts a time of day in milliseconds to the time since the start.
 func (h *History) sinceStart(ms int64) time.Duration {
 	return time.Duration(ms-h.StartMs) * time.Millisecond
 }
 
-// wrongAnswers compares the request's ID with the one in its answer. A gate that leaves refuses without reading the request, so that a
-// 5xx may have none.
+// wrongAnswers compares the ID of each request with the ID in its answer. A gate that shuts down refuses without reading the
+// request, so a 5xx answer may have no ID.
 func wrongAnswers(h *History) []Violation {
 	var violations []Violation
 	for index := range h.Calls {
@@ -200,11 +202,11 @@
 	return violations
 }
 
-// clockSlack is by how much the times of executors and clients, in whole milliseconds, may differ.
+// clockSlack is the tolerated difference between times of executors and clients, which are in whole milliseconds.
 const clockSlack = 50 * time.Millisecond
 
-// falseCompletions compares what jobs are shown as with what executors have done by then. The executors' records are whole, as their
-// process is spared.
+// falseCompletions compares the shown states of jobs with the tasks that executors had done by then. The executors' records are
+// complete, as no fault strikes their process.
 func falseCompletions(h *History) []Violation {
 	lastDone, done := map[string]time.Duration{}, map[string]map[string]bool{}
 	for _, run := range h.Runs {
@@ -230,20 +232,21 @@
 	return violations
 }
 
-// isTroubled tells whether anything was done to a process, or to the connections of its clients, within a time.
+// isTroubled reports whether a fault of the given kinds, or of any kind if none is given, affected a process or the connections
+// of its clients within an interval.
 func (h *History) isTroubled(target string, from, to time.Duration, kinds ...FaultKind) bool {
 	return slices.ContainsFunc(h.Troubles, func(trouble Trouble) bool {
 		return trouble.Target == target && trouble.From <= to && trouble.To >= from && (len(kinds) == 0 || slices.Contains(kinds, trouble.Kind))
 	})
 }
 
-// isStalled tells whether the soak itself stood still within a time.
+// isStalled reports whether the soak itself stalled within an interval.
 func (h *History) isStalled(from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Stalls, func(stall Stall) bool { return stall.From <= to && stall.To >= from })
 }
 
-// isRefused tells whether the connection of a call was refused by a gate to which something had been done. A relay takes connections
-// also while its gate has none listening, and a request on one is sent whole but reaches nobody.
+// isRefused reports whether a faulty gate refused the connection of a call. A relay also accepts connections while its gate
+// doesn't listen; a request on such a connection is sent whole but reaches no process.
 func (h *History) isRefused(call *Call) bool {
 	isRefused := slices.ContainsFunc(h.RefusedConnections, func(refused RefusedConnection) bool {
 		return refused.Gate == call.Gate && refused.Connection == call.Connection && refused.At <= call.EndedAt &&
@@ -252,8 +255,9 @@
 	return isRefused && !call.IsKept && h.isTroubled(call.Gate, call.SentAt-contactWindow, call.EndedAt)
 }
 
-// cutRequests looks for requests that a gate left without an answer though it was not killed, nor its connections cut: a gate that
-// leaves in order answers what it has read. A request that crosses the close was not read.
+// cutRequests is OracleCut: it finds requests without an answer at gates that were neither killed nor frozen and whose
+// connections were neither cut nor stalled. A gate that shuts down in order answers each request that it has read; it has not
+// read a request that crosses the close.
 func cutRequests(h *History) []Violation {
 	var violations []Violation
 	for index := range h.Calls {
@@ -284,7 +288,7 @@
 	return violations
 }
 
-// maxRepeatedFences is how many orders under a refused fence pass, of all processes together.
+// maxRepeatedFences is the tolerated number of orders under a refused fence, over all processes.
 const maxRepeatedFences = 3
 
 func repeatedFences(h *History) []Violation {
@@ -294,8 +298,8 @@
 	return []Violation{{OracleFence, 0, fmt.Sprintf("%d calls came under a fence well after it was refused", h.RepeatedFences)}}
 }
 
-// staleConfigurations asks of each gate without trouble that it serves the newest version that was acknowledged long enough before,
-// and of each steward that what it reads back is not older.
+// staleConfigurations checks that each gate without a fault serves the newest version that was acknowledged long enough before,
+// and that no steward returns a version older than an acknowledged one.
 func staleConfigurations(h *History) []Violation {
 	const inForce = configApplyMs*time.Millisecond + configurationMargin
 	var violations []Violation
@@ -320,7 +324,7 @@
 	return violations
 }
 
-// badExits looks at each end of a process: by the signal that was sent, or in order after SIGTERM, in time.
+// badExits checks the exit of each process: by the requested signal, or in order and in time after SIGTERM.
 func badExits(h *History) []Violation {
 	var violations []Violation
 	for _, exit := range h.Exits {
--- a/internal/simulation/soak/pairs.go
+++ b/internal/simulation/soak/pairs.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/platform/logging"
 )
 
-// Part is a part of the system that a measurement keeps busy, or leaves idle.
+// Part is a part of the system that a measurement puts load on or leaves idle.
 type Part string
 
 // The parts.
@@ -28,10 +28,10 @@
 	PartMembership     Part = "membership"
 )
 
-// AllParts are all that can be kept busy.
+// AllParts are the parts that can get load.
 var AllParts = []Part{PartJobs, PartTenants, PartConfigurations, PartEvacuations, PartLocks, PartTier, PartMembership}
 
-// ParseParts reads the names of parts; the error names one that is none.
+// ParseParts converts names to parts. The error contains the first unknown name.
 func ParseParts(names []string) ([]Part, error) {
 	var parts []Part
 	for _, name := range names {
@@ -43,23 +43,26 @@
 	return parts, nil
 }
 
-// isBusy tells whether a part is kept busy; without a choice all are, at the usual pace.
+// isBusy reports whether a part gets load. Without a choice of parts all do.
 func (o *Options) isBusy(part Part) bool { return o.Parts == nil || slices.Contains(o.Parts, part) }
 
-// PairRow is what was measured with one part busy, or with two beside each other.
+// PairRow is the measurement of the idle system, of one busy part or of two.
 type PairRow struct {
 	Parts   []Part      `json:"parts"`
 	Control ProcessLoad `json:"control"`
 	Storage ProcessLoad `json:"storage"`
 	Gate    ProcessLoad `json:"gate"`
-	// JobMs and LockMs are the 95 of 100 answer times of job submissions and of lock calls, 0 where there were none.
+	// JobMs and LockMs are the 95th percentiles of the latency of job submissions and of lock acquisitions, 0 if there were
+	// none.
 	JobMs  int64 `json:"job-ms"`
 	LockMs int64 `json:"lock-ms"`
-	// Excess is by how many cores the busiest steward uses more than with each of the two alone, less what an idle system uses.
+	// Excess is the cores of the busiest steward with both parts, less those with each part alone, plus those of the idle
+	// system.
 	Excess float64 `json:"excess-cores"`
 }
 
-// MeasurePairs plays each part alone and each pair of them, without faults, and gives a row for each; the first row is the idle system.
+// MeasurePairs measures the idle system, each part alone and each pair of parts, without faults. It returns the rows in this
+// order.
 func MeasurePairs(ctx context.Context, options Options, parts []Part, log logging.Logger) ([]PairRow, error) {
 	sets := [][]Part{{}}
 	for _, part := range parts {
@@ -88,7 +91,7 @@
 	return rows, nil
 }
 
-// measure plays one set of busy parts. All features are switched on in each play, so that rows differ by load alone.
+// measureSet measures one set of busy parts. All features are always enabled, so rows differ only by load.
 func measure(ctx context.Context, options Options, busy []Part, log logging.Logger) (PairRow, error) {
 	options.Parts, options.Kinds = busy, nil
 	options.Mix = &Mix{Features: AllFeatures, Zones: 2, OrderList: "invocation", HeartbeatMs: heartbeatMs, EvacuationMs: minEvacuation}
@@ -107,32 +110,32 @@
 		JobMs: submitTime(history), LockMs: lockTime(history)}, nil
 }
 
-// waveEvery lies between two waves in which all gates restart.
+// waveInterval is the time between two waves in which all gates restart.
 const waveEvery = 4 * time.Second
 
-// submitTime is the 95 of 100 answer time of submissions, in milliseconds.
+// submitLatency returns the 95th percentile of the latency of submissions in milliseconds.
 func submitTime(h *History) int64 {
 	times := hdrhistogram.New(1, maxLatencyMs, latencyDigits)
 	for index := range h.Calls {
 		if call := &h.Calls[index]; call.Verb == verbSubmit && call.Outcome == answered {
-			// Longer ones are left out; calls end long before.
+			// A latency beyond the histogram's range is left out; calls time out long before.
 			_ = times.RecordValue((call.EndedAt - call.SentAt).Milliseconds())
 		}
 	}
 	return times.ValueAtQuantile(95)
 }
 
-// lockTime is the 95 of 100 time in which a lock was taken, in milliseconds.
+// lockLatency returns the 95th percentile of the latency of lock acquisitions in milliseconds.
 func lockTime(h *History) int64 {
 	times := hdrhistogram.New(1, maxLatencyMs, latencyDigits)
 	for _, hold := range h.Applications.Holds {
-		// Longer ones are left out; calls end long before.
+		// A latency beyond the histogram's range is left out; calls time out long before.
 		_ = times.RecordValue((hold.From - hold.SentAt).Milliseconds())
 	}
 	return times.ValueAtQuantile(95)
 }
 
-// WritePairs prints the rows as a table.
+// WritePairs writes the rows as a table.
 func WritePairs(to io.Writer, rows []PairRow) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "busy\tsteward cores\tkB/s\tcommits/s\tstorage cores\tkB/s\tcommits/s\tgate cores\tsubmit ms\tlock ms\texcess cores")
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// setUpClient numbers the client that the soak itself uses before and after the others.
+	// setUpClient is the number of the first client that the soak itself uses before and after the others.
 	setUpClient = 1 << 20
 	retryPause  = 200 * time.Millisecond
 	sampleEvery = 2 * time.Second
@@ -26,7 +26,7 @@
 	reportLimit = 10 * time.Second
 )
 
-// start starts all processes and relays, posts the first configuration, and waits until a job is accepted at each gate.
+// start starts all processes and relays, proposes the first configuration and waits until each gate has accepted a job.
 func (s *soak) start(ctx context.Context) error {
 	s.relays = map[string]*relay{}
 	for number, gate := range s.layout.Gates {
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// ownClient is a client of a gate for the soak itself.
+// newSetUpClient returns a client of a gate for the soak itself.
 func (s *soak) ownClient(gateNumber int) *client {
 	number := setUpClient + gateNumber
 	return &client{soak: s, number: number, gate: s.layout.Gates[gateNumber], address: s.layout.relayAddress(gateNumber),
 		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(number)))}
 }
 
-// until tries something again until it succeeds; the error says what did not come about in time.
+// retryUntil retries until try succeeds. If ctx is done first, the error says what was not achieved.
 func until(ctx context.Context, problem string, try func() bool) error {
 	for !try() {
 		if !pause(ctx, retryPause) {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// pause waits; it is false if ctx was done first.
+// pause waits and returns false if ctx is done first.
 func pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -86,8 +86,8 @@
 	}
 }
 
-// settle asks for all accepted jobs until each is over, for so long at most, and records their last states. All gates are asked at
-// once, each for a part of the jobs, and each part at the next gate in the next round.
+// settle polls all accepted jobs until each has ended or settleTimeout is over, and records their last states. The jobs are
+// split into one batch per gate. The batches are polled concurrently, and each round polls a batch at its next gate.
 func (s *soak) settle(ctx context.Context) {
 	limited, release := context.WithTimeout(ctx, settleLimit)
 	defer release()
@@ -107,7 +107,7 @@
 	asking.Wait()
 }
 
-// settlePart asks for some jobs until each is over, first at one gate and then at the next.
+// settleBatch polls a batch of jobs until each has ended, starting at one gate and moving to the next in each round.
 func (s *soak) settlePart(ctx context.Context, firstGate int, open map[string]bool) {
 	for round := 0; len(open) > 0 && ctx.Err() == nil; round++ {
 		c := s.ownClient((firstGate + round) % len(s.layout.Gates))
@@ -121,7 +121,7 @@
 	}
 }
 
-// settleJob asks for a job once, and takes it off the open ones if it is over; it is false if the gate gave no answer.
+// settleJob polls a job once and removes it from the pending jobs if it has ended. It returns false if the gate gave no answer.
 func (s *soak) settleJob(ctx context.Context, c *client, id string, open map[string]bool) bool {
 	call := c.call(ctx, verbState, id, "")
 	if call.Outcome != answered {
@@ -138,7 +138,7 @@
 	return true
 }
 
-// readRecords reads what the executors have run.
+// readRecords fetches the run records and the fence count of the fake executors into the history.
 func (s *soak) readRecords(ctx context.Context) {
 	client := &http.Client{Timeout: reportLimit}
 	var runs []hollow.RunRecord
@@ -148,7 +148,7 @@
 	}
 }
 
-// fetch reads a page of the executors' process.
+// fetch decodes a page of the fake executors' process and returns whether that succeeded.
 func (s *soak) fetch(ctx context.Context, client *http.Client, path string, into any) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.layout.reportAddress()+path, nil)
 	if err != nil {
@@ -163,7 +163,7 @@
 	return json.NewDecoder(response.Body).Decode(into) == nil
 }
 
-// sample notes now and then what the processes use, until ctx is done.
+// sample records the resource use of the running processes at a fixed interval until ctx is done.
 func (s *soak) sample(ctx context.Context) {
 	client := &http.Client{Timeout: sampleLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// diskUse is how many bytes a node's data folder holds; files that vanish meanwhile don't count.
+// diskUse returns the size of a node's data folder in bytes. Files that vanish meanwhile don't count.
 func (s *soak) diskUse(node Node) float64 {
 	var bytes int64
 	_ = filepath.WalkDir(dataFolder(s.folder, node), func(path string, entry fs.DirEntry, err error) error {
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// processPhase is what a process is doing.
+// processPhase is the state of a process in its life cycle.
 type processPhase int
 
 const (
@@ -20,7 +20,7 @@
 	phaseEnding
 )
 
-// process is one incarnation after another of a node. The cluster's goroutine alone uses it.
+// process is a node with its current incarnation. Only the cluster's goroutine uses it.
 type process struct {
 	node        Node
 	arguments   []string
@@ -29,15 +29,17 @@
 	phase       processPhase
 	incarnation int
 	startedAt   time.Duration
-	// asked is the fault that ends the present incarnation, and askedAt when it came; afterwards starts the next one, if any.
+	// endCause is the fault that ends the current incarnation, and endRequestedAt its time. startNext starts the next
+	// incarnation or its replacement; nil means a relaunch.
 	asked      FaultKind
 	askedAt    time.Duration
 	afterwards func()
-	// isSpared is never struck and not started again.
+	// isExempt processes are never struck by a fault or terminated with the others.
 	isSpared bool
 }
 
-// start begins an incarnation. Its output goes into a log file of its node; onExit gets its end on a goroutine of its own.
+// start starts an incarnation, with its output in the node's log file. onExit is called with the exit state on another
+// goroutine.
 func (p *process) start(program, folder string, now time.Duration, onExit func(*os.ProcessState)) error {
 	log, err := os.OpenFile(filepath.Join(folder, p.node.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -50,7 +52,7 @@
 	}
 	defer input.Close()
 	command := exec.Command(program, p.arguments...)
-	// A process that ends with its input does not outlive the soak, whatever becomes of that.
+	// A process that ends with its standard input doesn't outlive the soak, however the soak ends.
 	command.Stdin, command.Stdout, command.Stderr = input, log, log
 	if err := command.Start(); err != nil {
 		inputEnd.Close()
@@ -59,22 +61,22 @@
 	p.command, p.input, p.phase, p.asked, p.afterwards = command, inputEnd, phaseRunning, "", nil
 	p.incarnation, p.startedAt = p.incarnation+1, now
 	go func() {
-		// The state tells all that the error does.
+		// The exit state contains everything that the error says.
 		_ = command.Wait()
 		onExit(command.ProcessState)
 	}()
 	return nil
 }
 
-// signal sends a signal to the present incarnation, by its process ID.
+// signal sends a signal to the current incarnation by its process ID.
 func (p *process) signal(signal syscall.Signal) {
 	if p.phase != phaseDown {
-		// A process that has just ended can't be signalled, and need not.
+		// A process that has just ended can't be signalled, which is no problem.
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// exitOf describes how an incarnation ended.
+// exitOf returns the record of an incarnation's exit.
 func exitOf(p *process, state *os.ProcessState, now time.Duration) Exit {
 	exit := Exit{Process: p.node.Name, Asked: p.asked, At: now, Code: state.ExitCode()}
 	if p.asked != "" {
--- a/internal/simulation/soak/relay.go
+++ b/internal/simulation/soak/relay.go
@@ -18,22 +18,22 @@
 	dialLimit        = 2 * time.Second
 )
 
-// relay stands between the clients of a gate and the gate. It can cut all connections, and hold back what passes. One goroutine owns
-// its state; each connection has two goroutines, which ask it for leave before they pass a chunk on.
+// relay forwards the connections of a gate's clients. It can cut all connections and hold back their data. One goroutine owns
+// its state. Each connection has two goroutines, one per direction, which request permission for each chunk.
 type relay struct {
 	mailbox  *mailbox.Mailbox
 	ctx      context.Context
 	listener net.Listener
 	gate     string
 	injected InjectedFault
-	// noteRefused is told of each client whose connection the gate refused.
+	// recordRefused is called with the address of each client whose connection the gate refused.
 	noteRefused func(client net.Addr)
 
 	connections map[net.Conn]net.Conn
 	isCut       bool
 	isStalled   bool
 	waiting     []func()
-	// answers counts the chunks that went to clients, and last is the newest of them, for the injected faults.
+	// answers counts the chunks of answers, and last is the newest of them; the injected faults use both.
 	answers int
 	last    []byte
 }
@@ -50,7 +50,7 @@
 	return r, nil
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until ctx is done.
 func (r *relay) accept() {
 	go func() {
 		<-r.ctx.Done()
@@ -65,12 +65,12 @@
 	}
 }
 
-// serve connects a client with the gate, unless the relay is cut.
+// serve connects a client to the gate, or resets the connection if the relay is cut or the gate can't be reached.
 func (r *relay) serve(client net.Conn) {
 	gate, err := net.DialTimeout("tcp4", r.gate, dialLimit)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			// Noted before the reset, so that the history has it when the client's call ends.
+			// Recorded before the reset, so that the history has it when the client's call ends.
 			r.noteRefused(client.RemoteAddr())
 		}
 		reset(client)
@@ -88,7 +88,8 @@
 	})
 }
 
-// pass copies one direction until it ends, and then ends the other side of that direction.
+// forward copies one direction until it ends. Then it closes the write side to the gate, or both connections if it was the
+// direction of answers.
 func (r *relay) pass(from, to net.Conn, isAnswer bool) {
 	chunk := make([]byte, chunkBytes)
 	for {
@@ -113,7 +114,7 @@
 	})
 }
 
-// passChunk waits for leave and writes a chunk; it is false if nothing more can pass.
+// forwardChunk waits for permission and writes a chunk. It returns false if no more chunks can be forwarded.
 func (r *relay) passChunk(to net.Conn, chunk []byte, isAnswer bool) bool {
 	leave := make(chan []byte, 1)
 	r.post(func() {
@@ -136,7 +137,7 @@
 	}
 }
 
-// disturb cuts or stalls the relay for a while.
+// startFault cuts or stalls the relay for a while.
 func (r *relay) disturb(kind FaultKind, lasts time.Duration) {
 	r.post(func() {
 		if kind == FaultStall {
@@ -153,7 +154,7 @@
 	time.AfterFunc(lasts, func() { r.post(r.recover) })
 }
 
-// recover ends what disturb did.
+// endFault ends a cut or a stall and forwards the chunks that were held back.
 func (r *relay) recover() {
 	r.isCut, r.isStalled = false, false
 	waiting := r.waiting
@@ -169,10 +170,10 @@
 	}
 }
 
-// reset closes a connection with a reset, so that the other side sees an error at once.
+// reset closes a connection with a TCP reset, so that the other side gets an error at once.
 func reset(connection net.Conn) {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
-		// Without it the close is an ordinary one, which is a cut as well.
+		// If this fails, the close is an ordinary one, which also breaks the connection.
 		_ = tcp.SetLinger(0)
 	}
 	connection.Close()
--- a/internal/simulation/soak/rollouts.go
+++ b/internal/simulation/soak/rollouts.go
@@ -11,34 +11,36 @@
 	"gannetline/internal/cluster/configuration"
 )
 
-// The services of a soak with rollouts: clients' jobs go to the old version, a bad one fails each task's first run, a good one behaves.
+// The services of a soak with rollouts. The jobs of clients go to the old version first. The bad version fails the first run of
+// each task; the good version works.
 const (
 	badServiceName  = serviceName + "-bad"
 	goodServiceName = serviceName + "-good"
 )
 
-// The rollouts of a soak, one after the other.
+// The names of the rollouts, in their order.
 const (
 	badRollout  = "bad"
 	goodRollout = "good"
 )
 
 const (
-	// rolloutsFrom is how long after the start of the clients the first rollout is asked for.
+	// firstRolloutAt is the time since the start at which the first rollout is requested.
 	rolloutsFrom = 2 * time.Second
-	// The shares of a rollout, and how long and for how many jobs each lasts at least.
+	// The shares of a rollout's steps, and the minimum time and number of jobs of each step.
 	firstShare, secondShare = 0.2, 0.5
 	stepSeconds             = 2
 	stepJobs                = 5
-	// agreedFailures is the share of runs that may fail, which the bad version exceeds by far.
+	// maxFailureShare is the tolerated share of failed runs, which the bad version exceeds by far.
 	agreedFailures = 0.1
-	// turnBackBound is how long the bad version may go on once it has begun, with all faults that strike meanwhile.
+	// rollBackTimeout is the time in which the bad version must be rolled back after its begin, including the delay by faults.
 	turnBackBound = 25 * time.Second
-	// proxiesForRollouts is how many local proxies there must be at least for three versions.
+	// proxiesForRollouts is the minimum number of local proxies for three versions.
 	proxiesForRollouts = 4
 )
 
-// versionOf is the service that the local proxy of a number serves in a soak with rollouts: half of them the old version.
+// versionOf returns the service of a local proxy by its number, in a soak with rollouts. Half of the proxies serve the old
+// version.
 func versionOf(number int) string {
 	switch number % proxiesForRollouts {
 	case 2:
@@ -49,18 +51,18 @@
 	return serviceName
 }
 
-// RolloutSeen is how a rollout stood when the operator read the configuration.
+// RolloutSeen is the state of a rollout when the operator read the configuration.
 type RolloutSeen struct {
 	Name  string
 	State configuration.RolloutState
 	Share float64
-	// BegunMs is when it began, by the time of day; At when it was seen, since the start.
+	// BegunMs is the time of day of its begin; At is the time of the read, since the start.
 	BegunMs int64
 	At      time.Duration
 	Reason  string
 }
 
-// rolloutTo asks for a new version of the service of the clients' queue.
+// rolloutTo returns a requested rollout of a new version of the service of the clients' queue.
 func rolloutTo(name, service string) configuration.Rollout {
 	step := func(share float64) configuration.RolloutStep {
 		return configuration.RolloutStep{Share: share, MinTimeS: stepSeconds, MinJobs: stepJobs}
@@ -69,7 +71,7 @@
 		Steps: []configuration.RolloutStep{step(firstShare), step(secondShare), step(1)}, Bounds: configuration.RolloutBounds{Failures: agreedFailures}}
 }
 
-// current reads the configuration in force; nil if no steward answers.
+// readCurrent reads the configuration in force and records its rollouts. It returns nil if the steward doesn't answer.
 func (o *operator) current(ctx context.Context) *configuration.Configuration {
 	var current configuration.Configuration
 	sentAt := o.recorder.now()
@@ -85,8 +87,8 @@
 	return &current
 }
 
-// nextConfiguration is the change of an operator on the configuration in force: what the leader keeps of rollouts stays, and the next one is
-// asked for when it is time.
+// nextConfiguration returns the operator's next change of the configuration in force. It keeps what the leader has set for
+// rollouts, and requests the next rollout when it is due.
 func (o *operator) nextConfiguration(current *configuration.Configuration) configuration.Configuration {
 	next := o.configurationOf(current.Version + 1)
 	next.Rollouts = current.Rollouts
@@ -105,7 +107,7 @@
 	return next
 }
 
-// badRollouts is the oracle of rollouts: the bad version never gets all jobs, and is turned back in time once it has begun.
+// badRollouts is the oracle of rollouts: the bad version never gets all jobs, and is rolled back in time after its begin.
 func badRollouts(h *History) []Violation {
 	var violations []Violation
 	begunAt, isTurnedBack := time.Duration(0), false
--- a/internal/simulation/soak/schedule.go
+++ b/internal/simulation/soak/schedule.go
@@ -14,7 +14,8 @@
 	"gannetline/internal/platform/clock"
 )
 
-// Event is one fault: what strikes which process, when, in milliseconds from the start of the clients, and for how long.
+// Event is one fault of a schedule: its time in milliseconds since the start of the clients, its kind, its target and its
+// duration.
 type Event struct {
 	AtMs   int64     `json:"at-ms"`
 	Kind   FaultKind `json:"kind"`
@@ -25,7 +26,7 @@
 func (e Event) at() time.Duration    { return clock.Milliseconds(e.AtMs) }
 func (e Event) lasts() time.Duration { return clock.Milliseconds(e.ForMs) }
 
-// String is the event as progress shows it.
+// String returns the event as it appears in the log.
 func (e Event) String() string {
 	text := fmt.Sprintf("%.1f s %s %s", e.at().Seconds(), e.Kind, e.Target)
 	if e.ForMs > 0 {
@@ -34,7 +35,7 @@
 	return text
 }
 
-// Schedule is all faults of a soak, in the order of their times.
+// Schedule is all faults of a soak in the order of their times.
 type Schedule struct {
 	Seed      uint64  `json:"seed"`
 	LengthMs  int64   `json:"length-ms"`
@@ -45,17 +46,17 @@
 func (s *Schedule) length() time.Duration { return clock.Milliseconds(s.LengthMs) }
 
 const (
-	// scheduleStream sets the schedule's random numbers apart from those of clients.
+	// scheduleStream selects the random stream of schedules; mixes and clients use other streams.
 	scheduleStream = 1
-	// meanGap lies between two faults on average, on the smallest soak; larger ones have more.
+	// meanGap is the mean time between two faults in the smallest soak. In larger soaks it is shorter, down to a quarter.
 	meanGap = 1600 * time.Millisecond
-	// firstFault is when the first may come.
+	// firstFault is the earliest time of a fault.
 	firstFault = time.Second
-	// awayMargin is how long a steward counts as lost beyond its fault: it starts again, and catches up.
+	// recoveryMargin is the time after a fault in which a steward still counts as lost, as it restarts and catches up.
 	awayMargin = 7 * time.Second
 )
 
-// Draw makes the schedule of a seed. It depends on nothing but the options and the layout.
+// Draw returns the schedule of a seed. It depends on the options and the layout only.
 func Draw(options Options, layout *Layout) *Schedule {
 	schedule := &Schedule{Seed: options.Seed, LengthMs: options.Length.Milliseconds(), Processes: options.Processes}
 	if len(options.Kinds) == 0 {
@@ -73,11 +74,11 @@
 	return schedule
 }
 
-// drawer draws events that keep to the losses that the layout bears.
+// drawer draws events so that no more stewards are lost at the same time than the layout tolerates.
 type drawer struct {
 	layout *Layout
 	draw   *rand.Rand
-	// away holds, for each loss of a steward, until when it counts; gone are stewards that were replaced.
+	// lostStewards holds the losses that still count. replacedStewards holds the names of stewards that were replaced for good.
 	away     []stewardLoss
 	gone     map[string]bool
 	replaced int
@@ -88,7 +89,7 @@
 	until time.Duration
 }
 
-// event draws a target and a length; it is not possible where one steward more would be lost than may be.
+// event draws a target and a duration. The second result is false if one more steward would be lost than the layout tolerates.
 func (d *drawer) event(kind FaultKind, at time.Duration) (Event, bool) {
 	event := Event{AtMs: at.Milliseconds(), Kind: kind}
 	shortest, longest := kind.lasts()
@@ -111,7 +112,7 @@
 	return event, true
 }
 
-// stewards are those that are there, replacements among them.
+// stewards returns the stewards that were not replaced, and the replacements.
 func (d *drawer) stewards() []Node {
 	all := slices.Clone(d.layout.Stewards)
 	for number := range d.replaced {
@@ -120,7 +121,8 @@
 	return slices.DeleteFunc(all, func(node Node) bool { return d.gone[node.Name] })
 }
 
-// lose counts a steward as lost, unless too many are; one that is lost already may be struck again.
+// recordLoss counts a steward as lost and returns false if too many would be lost. A fault may strike a steward that is already
+// lost.
 func (d *drawer) lose(event Event, at time.Duration) bool {
 	d.away = slices.DeleteFunc(d.away, func(loss stewardLoss) bool { return loss.until <= at })
 	lost := map[string]bool{event.Target: true}
@@ -142,7 +144,7 @@
 	return true
 }
 
-// LoadSchedule reads a schedule that a soak printed.
+// LoadSchedule reads a schedule in the format that a soak prints.
 func LoadSchedule(path string) (*Schedule, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -155,7 +157,7 @@
 	return schedule, nil
 }
 
-// check tells what is wrong with a schedule that was read from a file.
+// check returns all problems of a schedule that was read from a file.
 func (s *Schedule) check() error {
 	var problems error
 	for number, event := range s.Events {
@@ -169,14 +171,15 @@
 	return problems
 }
 
-// without leaves out the events from one index up to another.
+// without returns a copy that lacks the events from index from up to, not including, index to.
 func (s *Schedule) without(from, to int) *Schedule {
 	shorter := *s
 	shorter.Events = slices.Concat(s.Events[:from], s.Events[to:])
 	return &shorter
 }
 
-// Shrink leaves out parts of a schedule, halves first and then ever smaller ones, as long as it still fails, in so many plays at most.
+// Shrink removes events from a schedule as long as it still fails: first halves, then ever smaller ranges. It tries at most
+// plays shorter schedules.
 func Shrink(schedule *Schedule, plays int, stillFails func(*Schedule) bool) *Schedule {
 	for size := (len(schedule.Events) + 1) / 2; size > 0 && plays > 0; {
 		isShorter := false
--- a/internal/simulation/soak/served.go
+++ b/internal/simulation/soak/served.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// mix is that of the history, the usual one where none is named.
+// mix returns the mix of the history, or usualMix if it names none.
 func (h *History) mix() *Mix {
 	if h.Mix == nil {
 		return usualMix()
@@ -14,7 +14,7 @@
 	return h.Mix
 }
 
-// unservedFeatures looks for features of the mix of which nothing was served.
+// unservedFeatures finds features of the mix that served nothing.
 func unservedFeatures(h *History) []Violation {
 	if h.Mix == nil {
 		return nil
--- a/internal/simulation/soak/soak.go
+++ b/internal/simulation/soak/soak.go
@@ -1,10 +1,11 @@
-// Package soak plays gannetline as real processes on loopback addresses, under a schedule of faults that is a pure function of a
-// seed, while clients and an operator use it over kept connections. Afterwards oracles judge what clients, operator and executors
-// saw. The bench's time is simulated and the models never open a socket; a soak is what shows faults of sockets, signals and disks.
+// Package soak runs gannetline as real processes on loopback addresses and injects faults by a schedule, while clients and an
+// operator use it over persistent connections. The schedule depends only on a seed. When the processes have shut down, oracles
+// check what clients, operator and executors observed. The bench simulates time and the models never open a socket, so only a
+// soak finds faults of sockets, signals and disks.
 //
-// The parts: a Schedule says what happens when (schedule.go); a cluster obeys it and owns the processes (cluster.go); relays stand
-// between clients and gates and cut or stall connections (relay.go); all that is seen goes into a History (history.go), which
-// Judge reads (oracles.go).
+// A Schedule lists the faults and their times (schedule.go). The cluster owns the processes and applies the faults
+// (cluster.go). Relays between clients and gates cut or stall connections (relay.go). The recorder collects all observations in
+// a History (history.go), and Judge checks it (oracles.go).
 package soak
 
 import (
@@ -19,15 +20,15 @@
 )
 
 const (
-	// startLimit is how long all processes may take until the first job is accepted.
+	// startTimeout limits the time from the start of the processes until each gate has accepted a job.
 	startLimit = 60 * time.Second
-	// settleLimit is how long accepted jobs may take to be over once the faults and the clients have ended.
+	// settleTimeout limits the wait for accepted jobs to end after the faults and the clients have ended.
 	settleLimit = 60 * time.Second
-	// calmAtEnd is how long before its end a soak has no new fault.
+	// faultFreeEnd is the time before the end of a soak in which no fault begins.
 	calmAtEnd = 8 * time.Second
 )
 
-// Run plays one soak and judges it. An error says why it could not be played; what the oracles found is in the report.
+// Run runs one soak and checks it. An error means that the soak could not be run; violations are in the summary.
 func Run(ctx context.Context, options Options, log logging.Logger) (*Summary, error) {
 	layout := options.Layout()
 	layout.HasVersions = options.Rollouts
@@ -43,7 +44,7 @@
 	return newSummary(options, schedule, history, Judge(history)), nil
 }
 
-// playOnce plays a schedule on a layout in a folder of its own, and gives what was seen.
+// runSchedule runs a schedule on a layout in its own folder and returns the observations.
 func playOnce(ctx context.Context, options Options, layout *Layout, schedule *Schedule, log logging.Logger) (*History, error) {
 	folder, removeFolder, err := makeFolder(options.Keep)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return (&soak{options: options, layout: layout, schedule: schedule, folder: folder, log: log}).play(ctx)
 }
 
-// makeFolder makes the folder of a soak: the one to keep, or a temporary one that is removed.
+// makeFolder creates the folder for settings, logs and data. If keep is empty, the folder is temporary and remove deletes it.
 func makeFolder(keep string) (folder string, remove func(), err error) {
 	if keep == "" {
 		folder, err = os.MkdirTemp("", "soak-")
@@ -66,7 +67,7 @@
 	return folder, func() {}, errors.Annotate(err, "option --keep")
 }
 
-// soak is one play under way.
+// soak is the state of one running soak.
 type soak struct {
 	options  Options
 	layout   *Layout
@@ -78,9 +79,9 @@
 	relays   map[string]*relay
 }
 
-// play starts everything, lets the schedule run, and ends everything.
+// execute starts the processes, runs the schedule and the clients, waits for the accepted jobs and shuts everything down.
 func (s *soak) play(ctx context.Context) (*History, error) {
-	// The owners of processes and history go on until all processes have ended, also where the soak is stopped.
+	// The goroutines that own processes and history run until all processes have ended, even if ctx is cancelled earlier.
 	partsCtx, endParts := context.WithCancel(context.WithoutCancel(ctx))
 	defer endParts()
 	s.recorder = newRecorder(partsCtx)
@@ -115,7 +116,7 @@
 	return s.recorder.history(), nil
 }
 
-// reportProgress logs now and then how far the soak is, until its clients end.
+// reportProgress logs the progress of the soak at a fixed interval until ctx is done.
 func (s *soak) reportProgress(ctx context.Context) {
 	const every = 10 * time.Second
 	ticker := time.NewTicker(every)
--- a/internal/simulation/soak/streams.go
+++ b/internal/simulation/soak/streams.go
@@ -16,13 +16,13 @@
 const (
 	streamStream    = 3000
 	meanStreamPause = 100 * time.Millisecond
-	// The prefixes of the routes of the tier: streams that may not run again, streams that can be resumed, and lots.
+	// The path prefixes of the tier's routes: streams that must not run again, streams that can be resumed, and lots.
 	askPrefix     = "/ask/"
 	explainPrefix = "/explain/"
 	draftsPrefix  = "/drafts/"
 )
 
-// StreamCall is a request for a series of events as its client saw it. The status is 0 if no head of an answer came.
+// StreamCall is a request for an event stream as its client saw it. The status is 0 if no header of an answer came.
 type StreamCall struct {
 	Gate    string
 	Prefix  string
@@ -31,11 +31,11 @@
 	EndedAt time.Duration
 	Status  int
 	Body    string
-	// IsBroken tells that the answer ended before its end.
+	// IsBroken is true if reading the body failed before its end.
 	IsBroken bool
 }
 
-// isWhole tells whether all events came, each once and in order.
+// isWhole reports whether all events came, each once and in order.
 func (c *StreamCall) isWhole() bool {
 	var expected strings.Builder
 	for number := 1; number <= engineEvents; number++ {
@@ -44,7 +44,7 @@
 	return c.Status == http.StatusOK && !c.IsBroken && c.Body == expected.String()
 }
 
-// tierRoutes are the routes of the tier, none where the mix has no tier.
+// tierRoutes returns the routes of the tier, nil if the mix has no tier.
 func (l *Layout) tierRoutes() []configuration.Route {
 	if !l.Mix.Has(FeatureTier) {
 		return nil
@@ -59,7 +59,7 @@
 	return []configuration.Route{route("ask", askPrefix, configuration.RouteStreaming), explain, drafts}
 }
 
-// streamClient asks one gate for streams, each over a connection of its own.
+// streamClient requests streams at one gate, each over a new connection.
 type streamClient struct {
 	*soak
 	number int
@@ -69,13 +69,13 @@
 	calls  int
 }
 
-// newTierClient makes a client of the tier.
+// newTierClient returns a client of the tier.
 func newTierClient(s *soak, number int, gate Node) *streamClient {
 	return &streamClient{soak: s, number: number, gate: gate, draw: rand.New(rand.NewPCG(s.options.Seed, uint64(streamStream+number))),
 		client: &http.Client{Timeout: callLimit, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// startTierClients starts the clients of streams and of lots until ctx is done, where the mix has a tier.
+// startTierClients starts the clients of streams and of lots if the mix has a tier. They run until ctx is done.
 func (s *soak) startTierClients(ctx context.Context, start func(func())) {
 	if !s.layout.Mix.Has(FeatureTier) {
 		return
@@ -86,7 +86,7 @@
 	start(func() { newLotClient(s).run(ctx) })
 }
 
-// run asks for one stream after the other.
+// run requests one stream after another until ctx is done.
 func (c *streamClient) run(ctx context.Context) {
 	for pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(meanStreamPause)/c.options.pace())) {
 		prefix := askPrefix
@@ -97,7 +97,7 @@
 	}
 }
 
-// ask makes one request and records what came of it, unless the soak ended meanwhile.
+// requestStream makes one request and records its outcome, unless the soak has ended meanwhile.
 func (c *streamClient) ask(ctx context.Context, prefix string) {
 	c.calls++
 	call := StreamCall{Gate: c.gate.Name, Prefix: prefix, ID: fmt.Sprintf("s%d-%d", c.number, c.calls), SentAt: c.recorder.now()}
@@ -113,7 +113,7 @@
 	}
 }
 
-// tierRequest makes a request of a client of the tier; it bears the key of a tenant where there are any.
+// tierRequest returns a request of a client of the tier, with the key of a tenant if there are tenants.
 func (c *streamClient) tierRequest(ctx context.Context, method string, gate Node, path, id, body string) *http.Request {
 	made, err := http.NewRequestWithContext(ctx, method, "http://"+endpoint(gate.IP, frontPort)+path, strings.NewReader(body))
 	if err != nil {
@@ -131,8 +131,8 @@
 	return made
 }
 
-// badStreams looks for answers that are no stream of their request, for refusals of proper requests, and for streams that a gate to which
-// nothing was done broke off.
+// badStreams is the oracle of streams: it finds answers that are not the stream of their request, refusals of proper requests,
+// and streams that a gate without a fault broke off.
 func badStreams(h *History) []Violation {
 	var violations []Violation
 	note := func(call *StreamCall, text string) {
--- a/internal/simulation/soak/summary.go
+++ b/internal/simulation/soak/summary.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is how long answers took, in milliseconds, of those that came.
+// Latency is the distribution of the latency of answered calls, in milliseconds.
 type Latency struct {
 	P50   int64 `json:"half"`
 	P95   int64 `json:"of-100-95"`
@@ -17,7 +17,7 @@
 	Worst int64 `json:"worst"`
 }
 
-// Summary is what a soak did and found.
+// Summary is the report of a soak: its input, what was observed and the violations.
 type Summary struct {
 	Schedule      *Schedule         `json:"schedule"`
 	InjectedFault InjectedFault     `json:"plant,omitempty"`
@@ -34,9 +34,9 @@
 	Versions      int               `json:"versions"`
 	Exits         int               `json:"exits"`
 	Stalls        int               `json:"stalls"`
-	// Rollouts has the states in which rollouts were seen last, by name.
+	// Rollouts maps the names of rollouts to the states last seen.
 	Rollouts map[string]string `json:"rollouts,omitempty"`
-	// Applications counts what applications saw, by kind.
+	// Applications counts the observations of applications by kind.
 	Applications map[string]int `json:"applications"`
 	Slopes       []Slope        `json:"slopes,omitempty"`
 	Violations   []Violation    `json:"violations"`
@@ -44,7 +44,7 @@
 }
 
 const (
-	// maxLatencyMs is the longest that the histogram can tell, and latencyDigits how exactly.
+	// maxLatencyMs is the upper end of the histogram, and latencyDigits its significant decimal digits.
 	maxLatencyMs  = 60_000
 	latencyDigits = 2
 )
@@ -59,7 +59,7 @@
 		call := &h.Calls[index]
 		report.Calls[string(call.Outcome)]++
 		if call.Outcome == answered {
-			// What is longer than the histogram can tell is left out; calls end long before.
+			// A latency beyond the histogram's range is left out; calls time out long before.
 			_ = latency.RecordValue((call.EndedAt - call.SentAt).Milliseconds())
 		}
 	}
@@ -82,17 +82,17 @@
 	return report
 }
 
-// applicationCounts counts what applications saw.
+// applicationCounts counts the observations of applications by kind.
 func applicationCounts(h *History) map[string]int {
 	seen := &h.Applications
 	return map[string]int{"holds": len(seen.Holds), "numbers": len(seen.Numbers), "puts": len(seen.Puts), "reads": len(seen.Reads),
 		"watches": len(seen.Watches)}
 }
 
-// maxShown is how many violations the table shows.
+// maxShown is the maximum number of violations in the printed report.
 const maxShown = 12
 
-// Write prints the report as a short table.
+// Write prints the report as text; scripts read its lines.
 func (r *Summary) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d processes, %v: %d jobs, %d runs, %d versions, calls %v\n", r.Schedule.Seed, r.Schedule.Processes,
 		r.Schedule.length(), r.Jobs, r.Runs, r.Versions, r.Calls)
@@ -110,7 +110,7 @@
 	fmt.Fprintf(to, "  found %d: %v\n", len(r.Violations), r.ByOracle)
 }
 
-// FoundBy tells whether an oracle found something.
+// FoundBy reports whether an oracle found a violation.
 func (r *Summary) FoundBy(oracle Oracle) bool {
 	return slices.ContainsFunc(r.Violations, func(violation Violation) bool { return violation.Oracle == oracle })
 }
--- a/internal/simulation/soak/tenants.go
+++ b/internal/simulation/soak/tenants.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// tenantCount tenants share the clients; the first has a limit.
+	// tenantCount is the number of tenants that share the clients. The first tenant has a limit.
 	tenantCount = 2
-	// tenantLimitTasks is how many tasks the first tenant may have running; tenantOverrun is by which part more it may be for a while.
+	// tenantLimitTasks is the number of tasks that the first tenant may run at the same time. It may exceed the limit by the
+	// fraction tenantOverrun for a while.
 	tenantLimitTasks = 6
 	tenantOverrun    = 0.1
 	unknownKey       = "nobodys-key"
 )
 
-// KeyProbe is a call with a key that no tenant has, and what the gate answered; the status is 0 if no answer came.
+// KeyProbe is a call with an unknown key and its result. The status is 0 if no answer came.
 type KeyProbe struct {
 	Gate   string
 	SentAt time.Duration
 	Status int
 }
 
-// hasTenants tells whether the configurations name tenants.
+// hasTenants reports whether the configurations name tenants.
 func (l *Layout) hasTenants() bool { return l.Mix.Has(FeatureTenants) && !l.LeavesOutTenants }
 
-// keyOf is the key of a client, empty where there are no tenants.
+// keyOf returns the key of a client, or "" without tenants.
 func (l *Layout) keyOf(client int) string {
 	if !l.hasTenants() {
 		return ""
@@ -40,7 +41,7 @@
 
 func keyOfTenant(number int) string { return fmt.Sprintf("key-of-tenant-%d", number) }
 
-// tenants is the list of tenants of a configuration, nil where there are none.
+// tenants returns the tenants of each configuration, nil if there are none.
 func (l *Layout) tenants() []configuration.Tenant {
 	if !l.hasTenants() {
 		return nil
@@ -56,7 +57,7 @@
 	return all
 }
 
-// probeKey asks a gate for a queue with a key that nobody has.
+// probeKey calls a gate with an unknown key and records the result.
 func (o *operator) probeKey(ctx context.Context, gate Node) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+endpoint(gate.IP, frontPort)+jobsPrefix, nil)
 	if err != nil {
@@ -72,7 +73,8 @@
 	o.recorder.write(func(h *History) { h.KeyProbes = append(h.KeyProbes, probe) })
 }
 
-// unknownKeys looks for calls with a key that nobody has that were answered as if they had one.
+// unknownKeys is the oracle of keys: a call with an unknown key must be refused as unauthorized, fail with a 5xx status or get
+// no answer.
 func unknownKeys(h *History) []Violation {
 	var violations []Violation
 	for _, probe := range h.KeyProbes {
@@ -83,7 +85,8 @@
 	return violations
 }
 
-// exceededLimits looks for times in which the first tenant has more tasks running than it may, and one more.
+// exceededLimits is the oracle of quotas: the first tenant never runs more tasks than its limit with tenantOverrun, and one
+// more.
 func exceededLimits(h *History) []Violation {
 	if !h.mix().Has(FeatureTenants) {
 		return nil
@@ -108,7 +111,7 @@
 			changes = append(changes, change{run.EndMs, -1})
 		}
 	}
-	// Of what happens in the same millisecond, ends go first: which was first can't be known.
+	// Within a millisecond the order is unknown, so ends are counted before starts.
 	slices.SortFunc(changes, func(a, b change) int {
 		if a.atMs != b.atMs {
 			return int(a.atMs - b.atMs)
