--- a/internal/simulation/soak/application.go
+++ b/internal/simulation/soak/application.go
@@ -25,10 +25,10 @@
 	// meanCallPause is the mean time between two calls of an application.
 	meanCallPause = 120 * time.Millisecond
 	// coordinationTimeout is the timeout of a call to one steward.
-	coordinationLimit = time.Second
+	coordinationTimeout = time.Second
 	// putRetryTime is the time in which a put without a clear answer is retried, and putPause is the time between two attempts.
-	putTime  = 5 * time.Second
-	putPause = 80 * time.Millisecond
+	putRetryTime = 5 * time.Second
+	putPause     = 80 * time.Millisecond
 	// The range of the time for which a lock is requested, and the maximum number of its renewals.
 	minHold, maxHold = 400 * time.Millisecond, 4 * time.Second
 	maxRenewals      = 5
@@ -43,16 +43,16 @@
 // revision that it has seen of each cell.
 type application struct {
 	*soak
-	name   string
-	client *http.Client
-	draw   *rand.Rand
-	values int
-	known  map[string]uint64
+	name           string
+	client         *http.Client
+	draw           *rand.Rand
+	valueCount     int
+	knownRevisions map[string]uint64
 }
 
 func newApplication(s *soak, number int) *application {
-	return &application{soak: s, name: fmt.Sprintf("a%d", number), client: &http.Client{Timeout: coordinationLimit + watchWait},
-		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(applicationStream+number))), known: map[string]uint64{}}
+	return &application{soak: s, name: fmt.Sprintf("a%d", number), client: &http.Client{Timeout: coordinationTimeout + watchWait},
+		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(applicationStream+number))), knownRevisions: map[string]uint64{}}
 }
 
 // startApplications starts applications that make calls and applications that watch, until ctx is done.
@@ -66,7 +66,7 @@
 func groupName(number int) string { return fmt.Sprintf("g%d.", number) }
 
 // recordSeen changes the history of applications.
-func (a *application) note(change func(*check.History)) {
+func (a *application) recordSeen(change func(*check.History)) {
 	a.recorder.write(func(h *History) { change(&h.Applications) })
 }
 
@@ -74,12 +74,12 @@
 func (a *application) run(ctx context.Context) {
 	for pause(ctx, time.Duration(a.draw.ExpFloat64()*float64(meanCallPause)/a.options.pace())) {
 		cell := groupName(a.draw.IntN(groupCount)) + strconv.Itoa(a.draw.IntN(cellCount))
-		switch luck := a.draw.IntN(100); {
-		case luck < 40:
-			a.hold(ctx, fmt.Sprintf("l%d", a.draw.IntN(lockCount)))
-		case luck < 55:
+		switch roll := a.draw.IntN(100); {
+		case roll < 40:
+			a.holdLock(ctx, fmt.Sprintf("l%d", a.draw.IntN(lockCount)))
+		case roll < 55:
 			a.takeNumber(ctx, fmt.Sprintf("n%d", a.draw.IntN(numberCount)))
-		case luck < 85:
+		case roll < 85:
 			a.put(ctx, cell)
 		default:
 			a.get(ctx, cell)
@@ -88,26 +88,26 @@
 }
 
 // call sends one call to a random steward, as a POST if there is a body. The status is 0 if no whole answer came in time.
-func (a *application) call(ctx context.Context, path string, body, into any) int {
-	ctx, cancel := context.WithTimeout(ctx, coordinationLimit)
+func (a *application) call(ctx context.Context, path string, body, result any) int {
+	ctx, cancel := context.WithTimeout(ctx, coordinationTimeout)
 	defer cancel()
-	return a.callWaiting(ctx, path, body, into)
+	return a.callWaiting(ctx, path, body, result)
 }
 
 // callWaiting is call without coordinationTimeout, for an answer that the steward may hold back.
-func (a *application) callWaiting(ctx context.Context, path string, body, into any) int {
-	making := sling.New().Base(a.drawSteward())
+func (a *application) callWaiting(ctx context.Context, path string, body, result any) int {
+	builder := sling.New().Base(a.drawSteward())
 	if body == nil {
-		making = making.Get(path)
+		builder = builder.Get(path)
 	} else {
-		making = making.Post(path).BodyJSON(body)
+		builder = builder.Post(path).BodyJSON(body)
 	}
-	request, err := making.Request()
+	request, err := builder.Request()
 	if err != nil {
 		return 0
 	}
-	response, err := making.Client(a.client).Do(request.WithContext(ctx), into, into)
-	if response == nil || err != nil && into != nil {
+	response, err := builder.Client(a.client).Do(request.WithContext(ctx), result, result)
+	if response == nil || err != nil && result != nil {
 		return 0
 	}
 	return response.StatusCode
@@ -123,7 +123,7 @@
 
 // holdLock acquires a lock and renews it a few times. Then it releases the lock, sleeps beyond the end of the hold, or stops
 // without a release.
-func (a *application) hold(ctx context.Context, lock string) {
+func (a *application) holdLock(ctx context.Context, lock string) {
 	length := minHold + time.Duration(a.draw.Int64N(int64(maxHold-minHold)))
 	path, sentAt := "/v1/locks/"+lock, a.recorder.now()
 	var granted wire.LockAnswer
@@ -131,19 +131,19 @@
 		return
 	}
 	held := &check.Hold{Lock: lock, Holder: a.name, Fence: granted.Fence, SentAt: sentAt, From: a.recorder.now(), To: sentAt + length}
-	renewals, luck := a.draw.IntN(maxRenewals+1), a.draw.IntN(100)
+	renewals, roll := a.draw.IntN(maxRenewals+1), a.draw.IntN(100)
 	for range renewals {
 		if !pause(ctx, time.Duration(a.draw.Int64N(int64(length)))) || !a.renew(ctx, held, length) {
 			break
 		}
 	}
-	if luck < sleepPercent {
+	if roll < sleepPercent {
 		pause(ctx, 2*length)
 	}
 	// The hold ends before its release is sent.
 	held.To = min(held.To, a.recorder.now())
-	a.note(func(h *check.History) { h.Holds = append(h.Holds, *held) })
-	if luck >= sleepPercent+diePercent {
+	a.recordSeen(func(h *check.History) { h.Holds = append(h.Holds, *held) })
+	if roll >= sleepPercent+diePercent {
 		a.call(ctx, path+"/terminate", &wire.LockCall{Holder: a.name, Fence: held.Fence}, nil)
 	}
 }
@@ -167,24 +167,24 @@
 
 func (a *application) takeNumber(ctx context.Context, name string) {
 	sentAt := a.recorder.now()
-	var given wire.NumberAnswer
-	if a.call(ctx, "/v1/numbers/"+name, struct{}{}, &given) == http.StatusOK {
-		number := check.Number{Name: name, Value: given.Value, SentAt: sentAt, At: a.recorder.now()}
-		a.note(func(h *check.History) { h.Numbers = append(h.Numbers, number) })
+	var answer wire.NumberAnswer
+	if a.call(ctx, "/v1/numbers/"+name, struct{}{}, &answer) == http.StatusOK {
+		number := check.Number{Name: name, Value: answer.Value, SentAt: sentAt, At: a.recorder.now()}
+		a.recordSeen(func(h *check.History) { h.Numbers = append(h.Numbers, number) })
 	}
 }
 
 // put writes a new value to a cell. It retries until it has a clear answer, gives up or putRetryTime is over.
 func (a *application) put(ctx context.Context, name string) {
-	a.values++
-	put := &check.Put{Name: name, Value: fmt.Sprintf("%s.%d", a.name, a.values), Expected: a.known[name], SentAt: a.recorder.now()}
-	defer func() { a.note(func(h *check.History) { h.Puts = append(h.Puts, put) }) }()
-	for isFirst := true; isFirst || a.recorder.now()-put.SentAt < putTime && pause(ctx, putPause); isFirst = false {
+	a.valueCount++
+	put := &check.Put{Name: name, Value: fmt.Sprintf("%s.%d", a.name, a.valueCount), Expected: a.knownRevisions[name], SentAt: a.recorder.now()}
+	defer func() { a.recordSeen(func(h *check.History) { h.Puts = append(h.Puts, put) }) }()
+	for isFirst := true; isFirst || a.recorder.now()-put.SentAt < putRetryTime && pause(ctx, putPause); isFirst = false {
 		var at wire.RevisionAnswer
 		status := a.call(ctx, "/v1/cells/"+name+"/replace", &wire.PutCall{Value: put.Value, Expected: put.Expected}, &at)
 		switch status {
 		case http.StatusOK, http.StatusPreconditionFailed:
-			a.known[name] = at.Revision
+			a.knownRevisions[name] = at.Revision
 			put.Answers = append(put.Answers, check.PutAnswer{At: a.recorder.now(), IsTaken: status == http.StatusOK, Revision: at.Revision})
 			return
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -206,9 +206,9 @@
 	if status != http.StatusOK && status != http.StatusNotFound {
 		return
 	}
-	a.known[name] = held.Revision
+	a.knownRevisions[name] = held.Revision
 	read := check.Read{Name: name, Value: held.Value, Revision: held.Revision, SentAt: sentAt, At: a.recorder.now()}
-	a.note(func(h *check.History) { h.Reads = append(h.Reads, read) })
+	a.recordSeen(func(h *check.History) { h.Reads = append(h.Reads, read) })
 }
 
 // watch follows the changes of a group of cells until ctx is done.
@@ -222,11 +222,11 @@
 		switch a.callWaiting(ctx, path, nil, &seen) {
 		case http.StatusOK:
 			watch := check.Watch{Group: group, Above: above, Events: seen.Events, Revision: seen.Revision, SentAt: sentAt, At: a.recorder.now()}
-			a.note(func(h *check.History) { h.Watches = append(h.Watches, watch) })
+			a.recordSeen(func(h *check.History) { h.Watches = append(h.Watches, watch) })
 			above, givenAt = seen.Revision, a.recorder.now()
 		case http.StatusGone:
 			gone := check.Gone{Group: group, Above: above, GivenAt: givenAt, SentAt: sentAt}
-			a.note(func(h *check.History) { h.Gone = append(h.Gone, gone) })
+			a.recordSeen(func(h *check.History) { h.Gone = append(h.Gone, gone) })
 			above = 0
 		}
 	}
--- a/internal/simulation/soak/client.go
+++ b/internal/simulation/soak/client.go
@@ -14,14 +14,14 @@
 	clientStream = 1000
 	// clientsPerGate is the number of clients at each gate. Each client keeps one connection open.
 	clientsPerGate = 4
-	// idleClient is the one of clientsPerGate that pauses for long between its calls, so that its connection is idle when the
+	// idleClientIndex is the one of clientsPerGate that pauses for long between its calls, so that its connection is idle when the
 	// gate shuts down.
-	idleClient = 3
+	idleClientIndex = 3
 	// meanPause is the mean time between two calls of a client, and meanIdlePause that of the idle client.
 	meanPause     = 150 * time.Millisecond
 	meanIdlePause = 4 * time.Second
 	// callTimeout is the time for which a client waits for an answer.
-	callLimit = 3 * time.Second
+	callTimeout = 3 * time.Second
 	// maxTries is the maximum number of submissions of a job if answers are unclear.
 	maxTries = 6
 
@@ -47,11 +47,11 @@
 func (s *soak) startClients(ctx context.Context) *sync.WaitGroup {
 	running := &sync.WaitGroup{}
 	for gateNumber, gate := range s.layout.Gates {
-		for place := range s.options.jobClients() {
-			number := gateNumber*clientsPerGate + place
+		for index := range s.options.jobClients() {
+			number := gateNumber*clientsPerGate + index
 			c := &client{soak: s, number: number, gate: gate, address: s.layout.relayAddress(gateNumber),
 				draw: rand.New(rand.NewPCG(s.options.Seed, uint64(clientStream+number)))}
-			running.Go(func() { c.run(ctx, place == idleClient) })
+			running.Go(func() { c.run(ctx, index == idleClientIndex) })
 		}
 	}
 	if s.layout.Mix.Has(FeatureLocks) && s.options.isBusy(PartLocks) {
@@ -80,16 +80,16 @@
 // actions are the actions of a client with accepted jobs. A client without any only submits.
 var actions = []action{
 	{45, func(c *client, ctx context.Context) { c.submit(ctx, newJob(c.draw)) }},
-	{35, func(c *client, ctx context.Context) { c.call(ctx, verbState, c.anyJob(), "") }},
+	{35, func(c *client, ctx context.Context) { c.call(ctx, verbState, c.drawJob(), "") }},
 	{8, func(c *client, ctx context.Context) { c.call(ctx, verbCount, "", "") }},
-	{5, func(c *client, ctx context.Context) { c.call(ctx, verbCancel, c.anyJob(), "") }},
-	{4, (*client).submitAgain},
+	{5, func(c *client, ctx context.Context) { c.call(ctx, verbCancel, c.drawJob(), "") }},
+	{4, (*client).resubmit},
 	{3, (*client).abandon},
 }
 
 // run draws and makes calls until ctx is done.
 func (c *client) run(ctx context.Context, isIdle bool) {
-	defer c.hangUp()
+	defer c.disconnect()
 	for c.pause(ctx, isIdle) {
 		c.drawAction().do(c, ctx)
 	}
@@ -114,8 +114,8 @@
 }
 
 // resubmit submits an accepted job a second time.
-func (c *client) submitAgain(ctx context.Context) {
-	id := c.anyJob()
+func (c *client) resubmit(ctx context.Context) {
+	id := c.drawJob()
 	c.call(ctx, verbSubmit, id, shapeOf(id).body())
 }
 
@@ -128,7 +128,7 @@
 	return pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(mean)/c.options.pace()))
 }
 
-func (c *client) anyJob() string { return c.jobs[c.draw.IntN(len(c.jobs))] }
+func (c *client) drawJob() string { return c.jobs[c.draw.IntN(len(c.jobs))] }
 
 // submit submits a job and retries after each unclear answer.
 func (c *client) submit(ctx context.Context, id string) {
@@ -159,7 +159,7 @@
 	return c.link
 }
 
-func (c *client) hangUp() {
+func (c *client) disconnect() {
 	if c.link != nil {
 		c.link.close()
 		c.link = nil
@@ -170,26 +170,26 @@
 var methods = map[verb]string{verbSubmit: "POST", verbState: "GET", verbCount: "GET", verbCancel: "DELETE"}
 
 // request returns the HTTP request of a call, with a unique ID.
-func (c *client) request(asked verb, id, body string) *request {
+func (c *client) request(operation verb, id, body string) *request {
 	c.calls++
-	return &request{method: methods[asked], host: frontHost, path: jobsPrefix + id, id: fmt.Sprintf("c%d-%d", c.number, c.calls), body: body, key: c.layout.keyOf(c.number), limit: callLimit}
+	return &request{method: methods[operation], host: frontHost, path: jobsPrefix + id, id: fmt.Sprintf("c%d-%d", c.number, c.calls), body: body, key: c.layout.keyOf(c.number), timeout: callTimeout}
 }
 
 // call makes one call and records its outcome.
-func (c *client) call(ctx context.Context, asked verb, id, body string) *Call {
-	q := c.request(asked, id, body)
-	call := c.newCall(asked, id, q, notSent)
+func (c *client) call(ctx context.Context, operation verb, id, body string) *Call {
+	outgoing := c.request(operation, id, body)
+	call := c.newCall(operation, id, outgoing, notSent)
 	if link := c.connect(ctx); link != nil {
 		call.IsKept = link.answered > 0
-		c.exchange(link, q, call)
+		c.exchange(link, outgoing, call)
 	}
 	c.record(call)
 	return call
 }
 
 // newCall returns the record of a call that is sent now.
-func (c *client) newCall(asked verb, id string, q *request, ended outcome) *Call {
-	return &Call{Client: c.number, Gate: c.gate.Name, Verb: asked, Job: id, RequestID: q.id, SentAt: c.recorder.now(), Outcome: ended}
+func (c *client) newCall(operation verb, id string, outgoing *request, result outcome) *Call {
+	return &Call{Client: c.number, Gate: c.gate.Name, Verb: operation, Job: id, RequestID: outgoing.id, SentAt: c.recorder.now(), Outcome: result}
 }
 
 // record adds a call that has ended to the history.
@@ -200,18 +200,18 @@
 }
 
 // exchange sends a request and receives its answer. It closes the connection after any error and after the last answer.
-func (c *client) exchange(link *connection, q *request, call *Call) {
-	isSent, sentAt := link.send(q)
-	call.SentAt = sentAt.Sub(c.recorder.began)
+func (c *client) exchange(link *connection, outgoing *request, call *Call) {
+	isSent, sentAt := link.send(outgoing)
+	call.SentAt = sentAt.Sub(c.recorder.startedAt)
 	call.Connection = link.raw.LocalAddr().String()
 	if !isSent {
-		c.hangUp()
+		c.disconnect()
 		return
 	}
-	answer, ended, isLast := link.receive(q)
-	call.Outcome, call.Status, call.EchoedID, call.State = ended, answer.status, answer.id, stateIn(answer.body)
+	answer, result, isLast := link.receive(outgoing)
+	call.Outcome, call.Status, call.EchoedID, call.State = result, answer.status, answer.id, stateIn(answer.body)
 	if isLast {
-		c.hangUp()
+		c.disconnect()
 	}
 }
 
@@ -232,11 +232,11 @@
 		return
 	}
 	id := newJob(c.draw)
-	q := c.request(verbSubmit, id, shapeOf(id).body())
-	call := c.newCall(verbSubmit, id, q, abandoned)
-	text := q.text()
+	outgoing := c.request(verbSubmit, id, shapeOf(id).body())
+	call := c.newCall(verbSubmit, id, outgoing, abandoned)
+	text := outgoing.text()
 	// The connection is closed anyway, so a failed write doesn't matter.
 	_, _ = link.raw.Write([]byte(text[:1+c.draw.IntN(len(text))]))
-	c.hangUp()
+	c.disconnect()
 	c.record(call)
 }
--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -22,7 +22,7 @@
 	// waveGap is the time between the terminations of two gates in a wave.
 	waveGap = 700 * time.Millisecond
 	// killTimeout is the time after SIGTERM at which a process that still runs gets SIGKILL.
-	killAfter = exitBound + 2*time.Second
+	killTimeout = exitTimeout + 2*time.Second
 	// executorsName is the name of the process that runs all fake executors.
 	executorsName = "executors"
 
@@ -50,7 +50,7 @@
 }
 
 // runAndWait runs work on the cluster's goroutine and waits for its result.
-func (c *cluster) do(work func() error) error {
+func (c *cluster) runAndWait(work func() error) error {
 	result, err := mailbox.Ask(c.ctx, c.mailbox, func(answer func(error)) { answer(work()) })
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 }
 
 // runAfter runs work on the cluster's goroutine after a delay.
-func (c *cluster) later(wait time.Duration, work func()) {
+func (c *cluster) runAfter(wait time.Duration, work func()) {
 	time.AfterFunc(wait, func() {
 		if c.ctx.Err() == nil {
 			c.mailbox.Post(work)
@@ -69,7 +69,7 @@
 
 // startAll starts all processes of the layout and the fake executors.
 func (c *cluster) startAll() error {
-	return c.do(func() error {
+	return c.runAndWait(func() error {
 		for _, role := range []Role{RoleSteward, RoleStorage, RoleGate, RoleProxy} {
 			for _, node := range c.layout.nodes(role) {
 				if err := c.add(node); err != nil {
@@ -105,7 +105,7 @@
 	incarnation := p.incarnation + 1
 	return p.start(c.options.Program, c.folder, c.recorder.now(), func(state *os.ProcessState) {
 		if c.ctx.Err() == nil {
-			c.mailbox.Post(func() { c.noteExit(p, incarnation, state) })
+			c.mailbox.Post(func() { c.handleExit(p, incarnation, state) })
 		}
 	})
 }
@@ -149,34 +149,34 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return errors.Annotate(err, "spec of the executors")
 	}
-	p := &process{node: Node{Name: executorsName}, arguments: []string{"hollow", "--spec", path}, isSpared: true}
+	p := &process{node: Node{Name: executorsName}, arguments: []string{"hollow", "--spec", path}, isExempt: true}
 	c.processes[executorsName], c.order = p, append(c.order, executorsName)
 	return c.launch(p)
 }
 
 // handleExit records the exit of an incarnation and schedules the start of the next one.
-func (c *cluster) noteExit(p *process, incarnation int, state *os.ProcessState) {
+func (c *cluster) handleExit(p *process, incarnation int, state *os.ProcessState) {
 	if p.incarnation != incarnation {
 		return
 	}
 	exit := exitOf(p, state, c.recorder.now())
 	p.input.Close()
-	p.phase = phaseDown
+	p.phase = phaseEnded
 	c.recorder.write(func(h *History) { h.Exits = append(h.Exits, exit) })
-	c.log.V(1).Info("process ended", "process", p.node.Name, "asked", exit.Asked, "code", exit.Code, "signal", exit.Signal)
+	c.log.V(1).Info("process ended", "process", p.node.Name, "asked", exit.Cause, "code", exit.Code, "signal", exit.Signal)
 	if c.isEnding {
 		return
 	}
-	next := p.afterwards
+	next := p.startNext
 	if next == nil {
 		next = func() { c.relaunch(p) }
 	}
-	c.later(restartPause, next)
+	c.runAfter(restartPause, next)
 }
 
 // relaunch restarts a node that is down. If that fails, the node stays down and the oracles see the effects.
 func (c *cluster) relaunch(p *process) {
-	if p.phase != phaseDown {
+	if p.phase != phaseEnded {
 		return
 	}
 	if err := c.launch(p); err != nil {
@@ -185,24 +185,24 @@
 }
 
 // scheduleEvents applies each event at its time, counted from now.
-func (c *cluster) obey(schedule *Schedule) {
+func (c *cluster) scheduleEvents(schedule *Schedule) {
 	for _, event := range schedule.Events {
-		c.later(event.at(), func() { c.strike(event) })
+		c.runAfter(event.at(), func() { c.applyFault(event) })
 	}
 }
 
 // applyFault applies an event. It skips the event if its process doesn't run.
-func (c *cluster) strike(event Event) {
+func (c *cluster) applyFault(event Event) {
 	c.log.V(1).Info("fault", "event", event.String())
 	switch event.Kind {
 	case FaultWave:
 		for number, gate := range c.layout.Gates {
-			c.later(time.Duration(number)*waveGap, func() { c.end(gate.Name, FaultTerminate, nil) })
+			c.runAfter(time.Duration(number)*waveGap, func() { c.end(gate.Name, FaultTerminate, nil) })
 		}
 		return
 	case FaultCut, FaultStall:
-		c.noteTrouble(event.Target, event.Kind, event.lasts())
-		c.relays[event.Target].disturb(event.Kind, event.lasts())
+		c.recordTrouble(event.Target, event.Kind, event.duration())
+		c.relays[event.Target].startFault(event.Kind, event.duration())
 		return
 	}
 	p := c.processes[event.Target]
@@ -213,12 +213,12 @@
 	case FaultTerminate, FaultKill:
 		c.end(event.Target, event.Kind, nil)
 	case FaultFreeze:
-		c.freeze(p, event.lasts())
+		c.freeze(p, event.duration())
 	case FaultHangup:
-		c.noteTrouble(event.Target, event.Kind, 0)
+		c.recordTrouble(event.Target, event.Kind, 0)
 		p.signal(syscall.SIGHUP)
 	case FaultSettings:
-		c.noteTrouble(event.Target, event.Kind, 0)
+		c.recordTrouble(event.Target, event.Kind, 0)
 		if err := c.writeSettings(p.node); err != nil {
 			c.log.Error(err, "settings not changed")
 		}
@@ -230,27 +230,27 @@
 }
 
 // recordTrouble records a fault of a target and its duration.
-func (c *cluster) noteTrouble(target string, kind FaultKind, lasts time.Duration) {
+func (c *cluster) recordTrouble(target string, kind FaultKind, duration time.Duration) {
 	now := c.recorder.now()
-	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + lasts}) })
+	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + duration}) })
 }
 
 // end stops an incarnation with the signal of a fault. After the exit next runs if it isn't nil, otherwise the node is
 // relaunched.
 func (c *cluster) end(name string, kind FaultKind, next func()) {
 	p := c.processes[name]
-	if p == nil || p.phase != phaseRunning || p.isSpared {
+	if p == nil || p.phase != phaseRunning || p.isExempt {
 		return
 	}
-	p.phase, p.asked, p.askedAt, p.afterwards = phaseEnding, kind, c.recorder.now(), next
-	signal, lasts := syscall.SIGKILL, restartPause
+	p.phase, p.endCause, p.endRequestedAt, p.startNext = phaseEnding, kind, c.recorder.now(), next
+	signal, duration := syscall.SIGKILL, restartPause
 	if kind == FaultTerminate || kind == FaultReplace {
-		signal, lasts = syscall.SIGTERM, graceSeconds*time.Second+restartPause
+		signal, duration = syscall.SIGTERM, graceSeconds*time.Second+restartPause
 	}
-	c.noteTrouble(name, kind, lasts)
+	c.recordTrouble(name, kind, duration)
 	p.signal(signal)
 	incarnation := p.incarnation
-	c.later(killAfter, func() {
+	c.runAfter(killTimeout, func() {
 		if p.incarnation == incarnation && p.phase == phaseEnding {
 			p.signal(syscall.SIGKILL)
 		}
@@ -258,12 +258,12 @@
 }
 
 // freeze suspends a process for a while.
-func (c *cluster) freeze(p *process, lasts time.Duration) {
-	c.noteTrouble(p.node.Name, FaultFreeze, lasts)
+func (c *cluster) freeze(p *process, duration time.Duration) {
+	c.recordTrouble(p.node.Name, FaultFreeze, duration)
 	p.phase = phaseFrozen
 	p.signal(syscall.SIGSTOP)
 	incarnation := p.incarnation
-	c.later(lasts, func() {
+	c.runAfter(duration, func() {
 		if p.incarnation == incarnation && p.phase == phaseFrozen {
 			p.phase = phaseRunning
 			p.signal(syscall.SIGCONT)
@@ -296,39 +296,39 @@
 
 // selectProcesses returns the processes of gannetline that match, in the order of their first starts. It never returns the fake
 // executors.
-func (c *cluster) choose(isChosen func(*process) bool) []runningProcess {
-	chosen, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
-		var chosen []runningProcess
+func (c *cluster) selectProcesses(matches func(*process) bool) []runningProcess {
+	selected, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
+		var selected []runningProcess
 		for _, name := range c.order {
-			if p := c.processes[name]; !p.isSpared && isChosen(p) {
-				chosen = append(chosen, runningProcess{p.node, p.incarnation})
+			if p := c.processes[name]; !p.isExempt && matches(p) {
+				selected = append(selected, runningProcess{p.node, p.incarnation})
 			}
 		}
-		answer(chosen)
+		answer(selected)
 	})
-	return chosen
+	return selected
 }
 
 // stewards returns the stewards that have not ended.
 func (c *cluster) stewards() []runningProcess {
-	return c.choose(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseDown })
+	return c.selectProcesses(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseEnded })
 }
 
 // runningProcesses returns the processes of gannetline that run and are neither frozen nor ending.
 func (c *cluster) runningProcesses() []runningProcess {
-	return c.choose(func(p *process) bool { return p.phase == phaseRunning })
+	return c.selectProcesses(func(p *process) bool { return p.phase == phaseRunning })
 }
 
 // notEnded returns the processes of gannetline that have not ended.
-func (c *cluster) notDown() []runningProcess {
-	return c.choose(func(p *process) bool { return p.phase != phaseDown })
+func (c *cluster) notEnded() []runningProcess {
+	return c.selectProcesses(func(p *process) bool { return p.phase != phaseEnded })
 }
 
 // shutDown terminates the processes of gannetline in the order of their first starts and waits until they have ended. Their
 // exits are recorded. The fake executors run on until killAll.
 func (c *cluster) shutDown() {
 	// An error means that the soak was stopped; killAll then ends the processes.
-	_ = c.do(func() error {
+	_ = c.runAndWait(func() error {
 		c.isEnding = true
 		for _, name := range c.order {
 			p := c.processes[name]
@@ -340,14 +340,14 @@
 		}
 		return nil
 	})
-	for deadline := time.Now().Add(killAfter); time.Now().Before(deadline) && len(c.notDown()) > 0; {
+	for deadline := time.Now().Add(killTimeout); time.Now().Before(deadline) && len(c.notEnded()) > 0; {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
 // killAll sends SIGKILL to every process that is left, by process ID.
 func (c *cluster) killAll() {
-	_ = c.do(func() error {
+	_ = c.runAndWait(func() error {
 		c.isEnding = true
 		for _, p := range c.processes {
 			p.signal(syscall.SIGKILL)
--- a/internal/simulation/soak/connection.go
+++ b/internal/simulation/soak/connection.go
@@ -25,20 +25,20 @@
 type request struct {
 	method, host, path, id, body string
 	// key is the key of a tenant, or "" for none.
-	key   string
-	limit time.Duration
+	key     string
+	timeout time.Duration
 }
 
-func (q *request) text() string {
-	head := []string{q.method + " " + q.path + " HTTP/1.1", "Host: " + q.host, "X-Request-Id: " + q.id,
-		fmt.Sprintf("X-Time-Remaining: %d", q.limit.Milliseconds())}
-	if q.key != "" {
-		head = append(head, "Authorization: Bearer "+q.key)
+func (r *request) text() string {
+	head := []string{r.method + " " + r.path + " HTTP/1.1", "Host: " + r.host, "X-Request-Id: " + r.id,
+		fmt.Sprintf("X-Time-Remaining: %d", r.timeout.Milliseconds())}
+	if r.key != "" {
+		head = append(head, "Authorization: Bearer "+r.key)
 	}
-	if q.body != "" {
-		head = append(head, "Content-Type: application/json", fmt.Sprintf("Content-Length: %d", len(q.body)))
+	if r.body != "" {
+		head = append(head, "Content-Type: application/json", fmt.Sprintf("Content-Length: %d", len(r.body)))
 	}
-	return strings.Join(head, "\r\n") + "\r\n\r\n" + q.body
+	return strings.Join(head, "\r\n") + "\r\n\r\n" + r.body
 }
 
 // reply is a complete answer.
@@ -49,7 +49,7 @@
 }
 
 func dial(ctx context.Context, address string) (*connection, error) {
-	dialer := net.Dialer{Timeout: dialLimit}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
@@ -58,16 +58,16 @@
 }
 
 // send writes a request and returns the time at which the last byte was written.
-func (c *connection) send(q *request) (sent bool, at time.Time) {
+func (c *connection) send(outgoing *request) (sent bool, at time.Time) {
 	// If the deadline can't be set, the write fails as well.
-	_ = c.raw.SetDeadline(time.Now().Add(q.limit))
-	_, err := io.WriteString(c.raw, q.text())
+	_ = c.raw.SetDeadline(time.Now().Add(outgoing.timeout))
+	_, err := io.WriteString(c.raw, outgoing.text())
 	return err == nil, time.Now()
 }
 
 // receive reads the answer. The outcome says why there is none. isLast is true if the gate closes the connection.
-func (c *connection) receive(q *request) (answer reply, ended outcome, isLast bool) {
-	response, err := http.ReadResponse(c.reader, &http.Request{Method: q.method})
+func (c *connection) receive(outgoing *request) (answer reply, ended outcome, isLast bool) {
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: outgoing.method})
 	if err != nil {
 		return answer, outcomeOf(err), true
 	}
--- a/internal/simulation/soak/engine.go
+++ b/internal/simulation/soak/engine.go
@@ -17,9 +17,9 @@
 const (
 	engineCount = 4
 	engineSlots = 8
-	// engineEvents is the number of events in an answer, and eventGap is the time between two of them.
-	engineEvents = 5
-	eventGap     = 10 * time.Millisecond
+	// eventsPerAnswer is the number of events in an answer, and eventGap is the time between two of them.
+	eventsPerAnswer = 5
+	eventGap        = 10 * time.Millisecond
 	// assistantService is the service of the engines.
 	assistantService = "assistant"
 )
@@ -42,7 +42,7 @@
 	// A missing header parses as 0: the answer begins with the first event.
 	last, _ := strconv.Atoi(call.Header.Get(headers.LastEventID))
 	flusher := http.NewResponseController(to)
-	for number := last + 1; number <= engineEvents; number++ {
+	for number := last + 1; number <= eventsPerAnswer; number++ {
 		fmt.Fprintf(to, "id: %d\ndata: %s\n\n", number, eventData(id, number))
 		if flusher.Flush() != nil || !pause(call.Context(), eventGap) {
 			return
@@ -111,7 +111,7 @@
 	if err != nil {
 		return errors.Annotatef(err, "listening at %s", address)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: startLimit}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: startTimeout}
 	go func() {
 		<-ctx.Done()
 		server.Close()
--- a/internal/simulation/soak/evacuation.go
+++ b/internal/simulation/soak/evacuation.go
@@ -12,8 +12,8 @@
 
 const (
 	// evacuationLength is the time for which a zone stays evacuated, and evacuationPause is the time between two evacuations.
-	evacuationLasts = 7 * time.Second
-	evacuationPause = 2 * time.Second
+	evacuationLength = 7 * time.Second
+	evacuationPause  = 2 * time.Second
 )
 
 // Evacuation is one evacuation of a zone: when a steward acknowledged it, and when the operator first asked to end it.
@@ -27,24 +27,24 @@
 func (o *operator) evacuate(ctx context.Context) {
 	for number := 0; pause(ctx, evacuationPause); number++ {
 		zone := zoneName(number % o.layout.Mix.Zones)
-		if !o.orderUntilAnswered(ctx, zone, "initiate") {
+		if !o.orderUntilAcknowledged(ctx, zone, "initiate") {
 			return
 		}
 		order := Evacuation{Zone: zone, AcknowledgedAt: o.recorder.now()}
-		pause(ctx, evacuationLasts)
+		pause(ctx, evacuationLength)
 		order.TerminateSentAt = o.recorder.now()
 		// A zone that stays evacuated would keep jobs from running, so the evacuation is ended even if the soak ends meanwhile.
-		limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleLimit/2)
-		o.orderUntilAnswered(limited, zone, "terminate")
+		limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout/2)
+		o.orderUntilAcknowledged(limited, zone, "terminate")
 		release()
 		o.recorder.write(func(h *History) { h.Evacuations = append(h.Evacuations, order) })
 	}
 }
 
 // orderUntilAcknowledged sends an order to random stewards until one acknowledges it. It returns false if ctx is done first.
-func (o *operator) orderUntilAnswered(ctx context.Context, zone, order string) bool {
+func (o *operator) orderUntilAcknowledged(ctx context.Context, zone, order string) bool {
 	for ctx.Err() == nil {
-		if o.ask(ctx, sling.New().Post(o.stewardURL("/v1/evacuation/"+zone+"/"+order)), nil) == http.StatusOK {
+		if o.call(ctx, sling.New().Post(o.stewardURL("/v1/evacuation/"+zone+"/"+order)), nil) == http.StatusOK {
 			return true
 		}
 		pause(ctx, retryPause)
@@ -58,11 +58,11 @@
 func startsInEvacuatedZones(h *History) []Violation {
 	var violations []Violation
 	for _, evacuation := range h.Evacuations {
-		from, to := evacuation.AcknowledgedAt+h.mix().evacuationInForce(), evacuation.TerminateSentAt
+		from, to := evacuation.AcknowledgedAt+h.mix().evacuationDeadline(), evacuation.TerminateSentAt
 		for _, run := range h.Runs {
 			startedAt := h.sinceStart(run.StartMs)
 			isLate := h.Zones[run.Node] == evacuation.Zone && startedAt > from+clockSlack && startedAt < to-clockSlack
-			if isLate && h.isCalm(run.Node, startedAt) {
+			if isLate && h.isUndisturbed(run.Node, startedAt) {
 				violations = append(violations, Violation{OracleEvacuation, startedAt, fmt.Sprintf("%s starts at %s, %v after its zone %s was evacuated", run.Task, run.Node,
 					startedAt-evacuation.AcknowledgedAt, evacuation.Zone)})
 			}
@@ -73,7 +73,7 @@
 
 // isUndisturbed reports whether, for contactWindow before a time, no fault affected a process or any steward and the soak did
 // not stall.
-func (h *History) isCalm(process string, at time.Duration) bool {
+func (h *History) isUndisturbed(process string, at time.Duration) bool {
 	from := at - contactWindow
 	isTroubled := slices.ContainsFunc(h.Troubles, func(trouble Trouble) bool {
 		return (trouble.Target == process || h.Stewards[trouble.Target]) && trouble.From <= at && trouble.To >= from
--- a/internal/simulation/soak/fault.go
+++ b/internal/simulation/soak/fault.go
@@ -49,7 +49,7 @@
 }
 
 // makesUnavailable reports whether the process is down or suspended for a while, so that a steward counts as lost.
-func (k FaultKind) takesAway() bool {
+func (k FaultKind) makesUnavailable() bool {
 	switch k {
 	case FaultTerminate, FaultKill, FaultFreeze, FaultWipe, FaultReplace:
 		return true
@@ -58,7 +58,7 @@
 }
 
 // durationRange returns the range of the fault's drawn duration, or 0, 0 if the fault has no duration.
-func (k FaultKind) lasts() (shortest, longest time.Duration) {
+func (k FaultKind) durationRange() (shortest, longest time.Duration) {
 	switch k {
 	case FaultFreeze:
 		return 800 * time.Millisecond, 4 * time.Second
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -21,9 +21,9 @@
 
 // resource is a measured resource of a process, and the growth of it that is always tolerated.
 type resource struct {
-	name      string
-	tolerated float64
-	of        func(*Sample) float64
+	name            string
+	toleratedGrowth float64
+	valueIn         func(*Sample) float64
 }
 
 var resources = []resource{
@@ -79,7 +79,7 @@
 func slopeOf(samples []Sample, resource resource) Slope {
 	var seconds, values []float64
 	for index := range samples {
-		seconds, values = append(seconds, samples[index].At.Seconds()), append(values, resource.of(&samples[index]))
+		seconds, values = append(seconds, samples[index].At.Seconds()), append(values, resource.valueIn(&samples[index]))
 	}
 	base, slope := stat.LinearRegression(seconds, values, nil, false)
 	result := Slope{Process: samples[0].Process, Resource: resource.name, Mean: stat.Mean(values, nil), Slope: slope,
@@ -93,7 +93,7 @@
 	}
 	result.Error = math.Sqrt(residual / float64(len(values)-2) / (stat.Variance(seconds, nil) * float64(len(values)-1)))
 	growth := slope * result.Seconds
-	result.isGrowth = result.Fit >= minFit && growth > resource.tolerated && growth > maxGrowth*result.Mean
+	result.isGrowth = result.Fit >= minFit && growth > resource.toleratedGrowth && growth > maxGrowth*result.Mean
 	return result
 }
 
--- a/internal/simulation/soak/history.go
+++ b/internal/simulation/soak/history.go
@@ -75,7 +75,7 @@
 // signal, and Took the time from the signal to its end; both are 0 without a cause.
 type Exit struct {
 	Process string
-	Asked   FaultKind
+	Cause   FaultKind
 	At      time.Duration
 	Age     time.Duration
 	Took    time.Duration
@@ -168,35 +168,35 @@
 
 // recorder owns the history during the soak; one goroutine runs the functions that are posted to its mailbox.
 type recorder struct {
-	mailbox *mailbox.Mailbox
-	ctx     context.Context
-	began   time.Time
-	written History
+	mailbox   *mailbox.Mailbox
+	ctx       context.Context
+	startedAt time.Time
+	data      History
 }
 
 const recorderMailboxSize = 4096
 
 func newRecorder(ctx context.Context) *recorder {
-	r := &recorder{mailbox: mailbox.New(recorderMailboxSize), ctx: ctx, began: time.Now()}
-	r.written.StartMs, r.written.FinalStates = r.began.UnixMilli(), map[string]string{}
+	r := &recorder{mailbox: mailbox.New(recorderMailboxSize), ctx: ctx, startedAt: time.Now()}
+	r.data.StartMs, r.data.FinalStates = r.startedAt.UnixMilli(), map[string]string{}
 	go r.mailbox.Run(ctx, clock.System(), mailbox.Owner{Every: time.Minute})
 	return r
 }
 
 // now returns the time since the start of the recorder.
-func (r *recorder) now() time.Duration { return time.Since(r.began) }
+func (r *recorder) now() time.Duration { return time.Since(r.startedAt) }
 
 // write runs a change of the history on the recorder's goroutine.
 func (r *recorder) write(change func(*History)) {
-	r.mailbox.Post(func() { change(&r.written) })
+	r.mailbox.Post(func() { change(&r.data) })
 }
 
 // history returns a copy of the history so far, or an empty history if the recorder has stopped.
 func (r *recorder) history() *History {
 	copied, err := mailbox.Ask(r.ctx, r.mailbox, func(answer func(History)) {
-		written := r.written
-		written.Calls, written.FinalStates = slices.Clone(written.Calls), maps.Clone(written.FinalStates)
-		answer(written)
+		data := r.data
+		data.Calls, data.FinalStates = slices.Clone(data.Calls), maps.Clone(data.FinalStates)
+		answer(data)
 	})
 	if err != nil {
 		return &History{FinalStates: map[string]string{}}
@@ -205,13 +205,13 @@
 }
 
 // progressCounts are the counts that the soak logs as its progress.
-type recorded struct{ calls, accepted, troubles int }
+type progressCounts struct{ calls, accepted, troubles int }
 
-func (r *recorder) counts() recorded {
-	counts, _ := mailbox.Ask(r.ctx, r.mailbox, func(answer func(recorded)) {
-		counts := recorded{calls: len(r.written.Calls), troubles: len(r.written.Troubles)}
-		for index := range r.written.Calls {
-			if r.written.Calls[index].isAccepted() {
+func (r *recorder) counts() progressCounts {
+	counts, _ := mailbox.Ask(r.ctx, r.mailbox, func(answer func(progressCounts)) {
+		counts := progressCounts{calls: len(r.data.Calls), troubles: len(r.data.Troubles)}
+		for index := range r.data.Calls {
+			if r.data.Calls[index].isAccepted() {
 				counts.accepted++
 			}
 		}
@@ -221,7 +221,7 @@
 }
 
 // refusalRecorder returns a function that records the connections that a gate refused.
-func (r *recorder) refusals(gate string) func(client net.Addr) {
+func (r *recorder) refusalRecorder(gate string) func(client net.Addr) {
 	return func(client net.Addr) {
 		refused := RefusedConnection{gate, client.String(), r.now()}
 		r.write(func(h *History) { h.RefusedConnections = append(h.RefusedConnections, refused) })
@@ -230,11 +230,11 @@
 
 // watchStalls records the times in which this process was not scheduled, until ctx is done.
 func (r *recorder) watchStalls(ctx context.Context) {
-	const every, isStall = 20 * time.Millisecond, 250 * time.Millisecond
+	const interval, minStall = 20 * time.Millisecond, 250 * time.Millisecond
 	for last := r.now(); ctx.Err() == nil; {
-		time.Sleep(every)
+		time.Sleep(interval)
 		now := r.now()
-		if now-last > isStall {
+		if now-last > minStall {
 			from := last
 			r.write(func(h *History) { h.Stalls = append(h.Stalls, Stall{from, now}) })
 		}
--- a/internal/simulation/soak/injectedfaults.go
+++ b/internal/simulation/soak/injectedfaults.go
@@ -40,8 +40,8 @@
 var AllInjectedFaults = []InjectedFault{InjectLost, InjectTwice, InjectWrong, InjectShown, InjectCut, InjectCancelled, InjectFence, InjectConfiguration, InjectExit, InjectCoordination, InjectRollout, InjectGrowth,
 	InjectEvacuation, InjectQuota, InjectKey, InjectStream, InjectLot, InjectServed}
 
-func (p InjectedFault) isKnown() bool {
-	return p == InjectNothing || slices.Contains(AllInjectedFaults, p)
+func (f InjectedFault) isKnown() bool {
+	return f == InjectNothing || slices.Contains(AllInjectedFaults, f)
 }
 
 // injectEvery is the number of answer chunks per injected fault in a relay.
@@ -49,12 +49,12 @@
 
 // alterChunk returns the chunk that the relay forwards in place of the given one; nil closes the connection. Only the relay's
 // own goroutine calls it.
-func (r *relay) altered(chunk []byte, isAnswer bool) []byte {
+func (r *relay) alterChunk(chunk []byte, isAnswer bool) []byte {
 	if !isAnswer {
 		return chunk
 	}
 	r.answers++
-	former := r.last
+	previous := r.last
 	r.last = bytes.Clone(chunk)
 	if r.answers%injectEvery != 0 {
 		return chunk
@@ -65,16 +65,16 @@
 		// OracleCut ignores it.
 		time.Sleep(2 * lossSlack)
 		return nil
-	case r.injected == InjectWrong && former != nil:
-		return former
+	case r.injected == InjectWrong && previous != nil:
+		return previous
 	}
 	return chunk
 }
 
 // injectInto puts the fault into a history. Faults of connections were injected by the relays during the soak (alterChunk).
-func (p InjectedFault) disturb(h *History) {
+func (f InjectedFault) injectInto(h *History) {
 	last := func() time.Duration { return h.Calls[len(h.Calls)-1].EndedAt }
-	switch p {
+	switch f {
 	case InjectLost:
 		h.Calls = append(h.Calls, Call{Verb: verbSubmit, Job: "fffffffffffff111", Outcome: answered, Status: 200, EndedAt: last()})
 	case InjectTwice:
@@ -102,20 +102,20 @@
 	case InjectCoordination:
 		h.Applications.Numbers = append(h.Applications.Numbers, h.Applications.Numbers[0])
 	case InjectEvacuation, InjectQuota, InjectKey, InjectStream, InjectLot, InjectServed:
-		p.disturbMix(h)
+		f.injectMixFault(h)
 	case InjectGrowth:
 		for at := range 2 * minSamples {
-			h.Samples = append(h.Samples, Sample{Process: "planted", At: warmUp + time.Duration(at)*sampleEvery, Memory: float64((20 + 4*at) << 20)})
+			h.Samples = append(h.Samples, Sample{Process: "planted", At: warmUp + time.Duration(at)*sampleInterval, Memory: float64((20 + 4*at) << 20)})
 		}
 	}
 }
 
 // injectMixFault puts a fault into the observations that only mixes have.
-func (p InjectedFault) disturbMix(h *History) {
-	switch p {
+func (f InjectedFault) injectMixFault(h *History) {
+	switch f {
 	case InjectEvacuation:
 		run := h.Runs[0]
-		from := h.sinceStart(run.StartMs) - h.mix().evacuationInForce() - time.Second
+		from := h.sinceStart(run.StartMs) - h.mix().evacuationDeadline() - time.Second
 		h.Zones = map[string]string{run.Node: "planted"}
 		h.Evacuations = append(h.Evacuations, Evacuation{Zone: "planted", AcknowledgedAt: from, TerminateSentAt: from + time.Hour})
 	case InjectQuota:
@@ -146,6 +146,6 @@
 // injectCancelled adds the cancellation of a job, and a start of its task long after it.
 func (h *History) injectCancelled(id string) {
 	h.Calls = append(h.Calls, Call{Verb: verbCancel, Job: id, Outcome: answered, Status: 200})
-	startMs := h.StartMs + (2 * cancelBound).Milliseconds()
+	startMs := h.StartMs + (2 * cancelTimeout).Milliseconds()
 	h.Runs = append(h.Runs, hollow.RunRecord{Task: jobs.TaskName(id, 0, 0, shapeOf(id).tasks()), Run: 1, Node: "planted", StartMs: startMs, EndMs: startMs + 1})
 }
--- a/internal/simulation/soak/layout.go
+++ b/internal/simulation/soak/layout.go
@@ -238,7 +238,7 @@
 		fields.Listen = map[string]string{"control-plane": endpoint(node.IP, controlPort)}
 		fields.App, fields.Service = endpoint(node.IP, executorPort), l.serviceOf(node)
 	}
-	fault.disturb(&fields, l.Mix)
+	fault.applyTo(&fields, l.Mix)
 	return yaml.Marshal(fields)
 }
 
--- a/internal/simulation/soak/load.go
+++ b/internal/simulation/soak/load.go
@@ -29,10 +29,10 @@
 
 // readCounters reads the metrics of all running processes. A process that doesn't answer is left out.
 func (s *soak) readCounters() map[runningProcess]counters {
-	client := &http.Client{Timeout: sampleLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: sampleTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	read := map[runningProcess]counters{}
 	for _, running := range s.cluster.runningProcesses() {
-		samples, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleLimit)
+		samples, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleTimeout)
 		if err != nil {
 			continue
 		}
@@ -46,8 +46,8 @@
 // sumOf adds up a metric over all its labels.
 func sumOf(samples metrics.Samples, name string) float64 {
 	sum := 0.0
-	for full, value := range samples {
-		if strings.HasPrefix(full, name+"{") || full == name {
+	for nameWithLabels, value := range samples {
+		if strings.HasPrefix(nameWithLabels, name+"{") || nameWithLabels == name {
 			sum += value
 		}
 	}
--- a/internal/simulation/soak/lots.go
+++ b/internal/simulation/soak/lots.go
@@ -50,7 +50,7 @@
 // expectedText returns the text that the engines answer to an item.
 func expectedText(item string) string {
 	var lines []string
-	for number := 1; number <= engineEvents; number++ {
+	for number := 1; number <= eventsPerAnswer; number++ {
 		lines = append(lines, eventData(item, number))
 	}
 	return strings.Join(lines, "\n")
@@ -59,7 +59,7 @@
 // lotClient submits lots at random gates and reads their results.
 type lotClient struct {
 	*streamClient
-	open []*Lot
+	accepted []*Lot
 }
 
 func newLotClient(s *soak) *lotClient {
@@ -70,13 +70,13 @@
 func (c *lotClient) run(ctx context.Context) {
 	for pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(meanLotPause)/c.options.pace())) {
 		c.submit(ctx, &Lot{ID: fmt.Sprintf("%016x", c.draw.Uint64()), Items: 1 + c.draw.IntN(maxLotItems)})
-		for _, lot := range c.open {
+		for _, lot := range c.accepted {
 			c.read(ctx, lot, c.draw.IntN(len(lot.Last)+1))
 		}
 	}
-	limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleLimit)
+	limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer release()
-	for _, lot := range c.open {
+	for _, lot := range c.accepted {
 		c.readWhole(limited, lot)
 		settled := *lot
 		c.recorder.write(func(h *History) { h.Lots = append(h.Lots, settled) })
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *lotClient) anyGate() Node { return c.layout.Gates[c.draw.IntN(len(c.layout.Gates))] }
+func (c *lotClient) drawGate() Node { return c.layout.Gates[c.draw.IntN(len(c.layout.Gates))] }
 
 // submit submits a lot at random gates until it is accepted or clearly refused, at most maxTries times.
 func (c *lotClient) submit(ctx context.Context, lot *Lot) {
@@ -107,7 +107,7 @@
 		switch {
 		case status == http.StatusAccepted:
 			lot.AcceptedAt = c.recorder.now()
-			c.open = append(c.open, lot)
+			c.accepted = append(c.accepted, lot)
 			return
 		case status/100 == 4 && status != http.StatusTooManyRequests:
 			at := c.recorder.now()
@@ -124,7 +124,7 @@
 
 // call makes one call to a random gate. The status is 0 if no complete answer came.
 func (c *lotClient) call(ctx context.Context, method, path, id, body string) (status int, text string) {
-	answer, err := c.client.Do(c.tierRequest(ctx, method, c.anyGate(), path, id, body))
+	answer, err := c.client.Do(c.tierRequest(ctx, method, c.drawGate(), path, id, body))
 	if err != nil {
 		return 0, ""
 	}
--- a/internal/simulation/soak/mix.go
+++ b/internal/simulation/soak/mix.go
@@ -59,26 +59,26 @@
 // The ranges of the drawn values, times in milliseconds: a minimum and the exclusive bound of the random number that is added
 // to it. The lowest bits of the seed select the features, so consecutive seeds cover all combinations.
 const (
-	maxZones                 = 4
-	minHeartbeat, heartbeats = 600, 1200
-	minEvacuation            = 2500
-	evacuations              = 2500
-	minDrain, drains         = 1500, 2500
-	minMaxHold, maxHolds     = 4000, 6000
-	minGangWait, gangWaits   = 2000, 3000
+	maxZones                       = 4
+	minHeartbeatMs, heartbeatRange = 600, 1200
+	minEvacuationMs                = 2500
+	evacuationRange                = 2500
+	minDrainMs, drainRange         = 1500, 2500
+	minMaxHoldMs, maxHoldRange     = 4000, 6000
+	minGangWaitMs, gangWaitRange   = 2000, 3000
 )
 
 // DrawMix returns the mix of a seed.
 func DrawMix(seed uint64) *Mix {
 	draw := rand.New(rand.NewPCG(seed, mixStream))
-	mix := &Mix{Zones: 1 + draw.IntN(maxZones), OrderList: "invocation", HeartbeatMs: minHeartbeat + draw.IntN(heartbeats),
-		EvacuationMs: minEvacuation + draw.IntN(evacuations), DrainMs: minDrain + draw.IntN(drains), MaxHoldMs: minMaxHold + draw.IntN(maxHolds),
-		GangWaitMs: minGangWait + draw.IntN(gangWaits)}
+	mix := &Mix{Zones: 1 + draw.IntN(maxZones), OrderList: "invocation", HeartbeatMs: minHeartbeatMs + draw.IntN(heartbeatRange),
+		EvacuationMs: minEvacuationMs + draw.IntN(evacuationRange), DrainMs: minDrainMs + draw.IntN(drainRange), MaxHoldMs: minMaxHoldMs + draw.IntN(maxHoldRange),
+		GangWaitMs: minGangWaitMs + draw.IntN(gangWaitRange)}
 	if draw.IntN(2) == 0 {
 		mix.OrderList = "heartbeat"
 	}
-	for place, feature := range AllFeatures {
-		if seed>>place&1 == 1 {
+	for bit, feature := range AllFeatures {
+		if seed>>bit&1 == 1 {
 			mix.Features = append(mix.Features, feature)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // evacuationDeadline returns the time after its acknowledgement in which an evacuation must take effect.
-func (m *Mix) evacuationInForce() time.Duration { return clock.Milliseconds(int64(m.EvacuationMs)) }
+func (m *Mix) evacuationDeadline() time.Duration { return clock.Milliseconds(int64(m.EvacuationMs)) }
 
 // SettingsFault is a mistake in the settings of all processes, to check that an oracle finds its effects.
 type SettingsFault string
@@ -137,7 +137,7 @@
 const wrongStatusSeconds = 1
 
 // applyTo changes the fields of a settings file as the fault says.
-func (f SettingsFault) disturb(fields *settingsFields, mix *Mix) {
+func (f SettingsFault) applyTo(fields *settingsFields, mix *Mix) {
 	switch f {
 	case ForgetContracts:
 		forgotten := featureContracts[mix.Features[len(mix.Features)-1]]
--- a/internal/simulation/soak/mix_test.go
+++ b/internal/simulation/soak/mix_test.go
@@ -71,7 +71,7 @@
 
 var _ = Describe("the oracles of mixes", func() {
 	It("let an evacuated zone have what was started before the bound, and starts while something was done to the process", func() {
-		h := sound()
+		h := flawlessHistory()
 		h.Mix = &Mix{EvacuationMs: 3000, Zones: 2}
 		h.Zones, h.Stewards = map[string]string{"worker-1": "zone-1", "worker-2": "zone-1"}, map[string]bool{"steward-1": true}
 		h.Evacuations = []Evacuation{{Zone: "zone-1", AcknowledgedAt: 10 * time.Second, TerminateSentAt: 20 * time.Second}}
@@ -89,7 +89,7 @@
 	})
 
 	It("let a tenant have its limit and one task more, also where one ends as another begins", func() {
-		h := sound()
+		h := flawlessHistory()
 		h.Mix, h.Calls = &Mix{Features: []Feature{FeatureTenants}}, []Call{{Verb: verbSubmit, Job: "0000000000000991"}}
 		h.Runs = nil
 		for number := range tenantLimitTasks + 1 {
@@ -119,7 +119,7 @@
 	})
 
 	It("let a stream end early only where something was done to its gate", func() {
-		h := sound()
+		h := flawlessHistory()
 		h.Streams = []StreamCall{{Gate: "gate-1", ID: "s", SentAt: 21 * time.Second, EndedAt: 22 * time.Second, Status: http.StatusOK, IsBroken: true},
 			{Gate: "gate-2", ID: "s", Status: http.StatusServiceUnavailable}}
 		Expect(badStreams(h)).To(BeEmpty())
@@ -130,27 +130,27 @@
 })
 
 var _ = Describe("the stand-in for an executor of requests", func() {
-	ask := func(headers map[string]string) *httptest.ResponseRecorder {
-		made, answer := httptest.NewRequest(http.MethodPost, "/ask/1", strings.NewReader("prompt")), httptest.NewRecorder()
+	send := func(headers map[string]string) *httptest.ResponseRecorder {
+		request, answer := httptest.NewRequest(http.MethodPost, "/ask/1", strings.NewReader("prompt")), httptest.NewRecorder()
 		for name, value := range headers {
-			made.Header.Set(name, value)
+			request.Header.Set(name, value)
 		}
-		(&engine{id: "e-0"}).ServeHTTP(answer, made)
+		(&engine{id: "e-0"}).ServeHTTP(answer, request)
 		return answer
 	}
 
 	It("answers a whole stream, or what follows the last event that the caller has", func() {
 		call := StreamCall{ID: "s", Status: http.StatusOK}
-		answer := ask(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-0"})
+		answer := send(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-0"})
 		call.Body = answer.Body.String()
 		Expect(call.isWhole()).To(BeTrue())
-		rest := ask(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-0", "Last-Event-Id": "3"}).Body.String()
+		rest := send(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-0", "Last-Event-Id": "3"}).Body.String()
 		Expect(strings.HasPrefix(rest, "id: 4\n")).To(BeTrue())
 		Expect(strings.HasSuffix(call.Body, rest)).To(BeTrue())
 	})
 
 	It("turns away what is meant for another", func() {
-		Expect(ask(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-1"}).Code).To(Equal(http.StatusMisdirectedRequest))
+		Expect(send(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-1"}).Code).To(Equal(http.StatusMisdirectedRequest))
 	})
 
 	It("stands in the zones of the mix", func() {
--- a/internal/simulation/soak/operator.go
+++ b/internal/simulation/soak/operator.go
@@ -17,11 +17,11 @@
 const (
 	operatorStream = 2
 	// changeInterval is the time between two configurations, and probeInterval the time between two probes of the gates.
-	changeEvery = 2 * time.Second
-	probeEvery  = 500 * time.Millisecond
+	changeInterval = 2 * time.Second
+	probeInterval  = 500 * time.Millisecond
 	// operatorTimeout is the timeout of one call. probedVersions is the number of newest versions that have a queue for probes.
-	operatorLimit = 1500 * time.Millisecond
-	keptProbes    = 4
+	operatorTimeout = 1500 * time.Millisecond
+	probedVersions  = 4
 )
 
 // operator changes the configuration, reads it back and probes whether the gates have applied it.
@@ -33,7 +33,7 @@
 }
 
 func newOperator(s *soak) *operator {
-	return &operator{soak: s, client: &http.Client{Timeout: operatorLimit}, draw: rand.New(rand.NewPCG(s.options.Seed, operatorStream)), version: firstVersion}
+	return &operator{soak: s, client: &http.Client{Timeout: operatorTimeout}, draw: rand.New(rand.NewPCG(s.options.Seed, operatorStream)), version: firstVersion}
 }
 
 // jobsRoute is the name of the route of the clients' queue.
@@ -46,73 +46,73 @@
 func (o *operator) run(ctx context.Context) {
 	// Each probe uses a new connection and so takes none of the gate's persistent ones.
 	o.client.Transport = &http.Transport{DisableKeepAlives: true}
-	nextChange := o.recorder.now() + changeEvery
+	nextChange := o.recorder.now() + changeInterval
 	for ctx.Err() == nil {
 		if o.recorder.now() >= nextChange {
 			o.change(ctx)
-			nextChange = o.recorder.now() + changeEvery
+			nextChange = o.recorder.now() + changeInterval
 		}
 		o.probe(ctx)
 		o.readBack(ctx)
-		pause(ctx, probeEvery)
+		pause(ctx, probeInterval)
 	}
 }
 
 // change proposes the next version, and the same version again until it is acknowledged.
 func (o *operator) change(ctx context.Context) {
 	if o.options.Rollouts {
-		o.changeAmongRollouts(ctx)
+		o.changeWithRollouts(ctx)
 		return
 	}
 	next := o.version + 1
 	for ctx.Err() == nil {
-		if o.post(ctx, next) {
+		if o.proposeVersion(ctx, next) {
 			at := o.recorder.now()
 			o.version = next
 			o.recorder.write(func(h *History) { h.Acknowledgements = append(h.Acknowledgements, Acknowledgement{next, at}) })
 			return
 		}
-		pause(ctx, probeEvery)
+		pause(ctx, probeInterval)
 	}
 }
 
 // changeWithRollouts changes the current configuration once. The leader of the configuration may change it at the same time, so
 // each attempt reads it anew.
-func (o *operator) changeAmongRollouts(ctx context.Context) {
+func (o *operator) changeWithRollouts(ctx context.Context) {
 	for ctx.Err() == nil {
-		if current := o.current(ctx); current != nil {
+		if current := o.readCurrent(ctx); current != nil {
 			next := o.nextConfiguration(current)
-			if o.send(ctx, current.Version, next) {
+			if o.propose(ctx, current.Version, next) {
 				at := o.recorder.now()
 				o.version = next.Version
 				o.recorder.write(func(h *History) { h.Acknowledgements = append(h.Acknowledgements, Acknowledgement{next.Version, at}) })
 				return
 			}
 		}
-		pause(ctx, probeEvery)
+		pause(ctx, probeInterval)
 	}
 }
 
 // proposeVersion proposes a version to a steward and returns whether it is acknowledged.
-func (o *operator) post(ctx context.Context, version int64) bool {
-	return o.send(ctx, version-1, o.configurationOf(version))
+func (o *operator) proposeVersion(ctx context.Context, version int64) bool {
+	return o.propose(ctx, version-1, o.newConfiguration(version))
 }
 
 // propose proposes a configuration that is based on a version to a steward, and returns whether it is acknowledged.
-func (o *operator) send(ctx context.Context, base int64, next configuration.Configuration) bool {
-	status := o.ask(ctx, sling.New().Post(o.stewardURL("/v1/configuration/replace")).
+func (o *operator) propose(ctx context.Context, base int64, next configuration.Configuration) bool {
+	status := o.call(ctx, sling.New().Post(o.stewardURL("/v1/configuration/replace")).
 		Set(headers.BaseVersion, strconv.FormatInt(base, 10)).BodyJSON(next), nil)
 	return status/100 == 2
 }
 
 // call makes one call and decodes the answer into a value unless that is nil. The status is 0 if no answer came.
-func (o *operator) ask(ctx context.Context, call *sling.Sling, into any) int {
-	request, err := call.Request()
+func (o *operator) call(ctx context.Context, builder *sling.Sling, result any) int {
+	request, err := builder.Request()
 	if err != nil {
 		return 0
 	}
-	response, err := call.Client(o.client).Do(request.WithContext(ctx), into, nil)
-	if response == nil || err != nil && into != nil {
+	response, err := builder.Client(o.client).Do(request.WithContext(ctx), result, nil)
+	if response == nil || err != nil && result != nil {
 		return 0
 	}
 	return response.StatusCode
@@ -135,8 +135,8 @@
 	gate := o.layout.Gates[o.draw.IntN(len(o.layout.Gates))]
 	version := o.version
 	probe := Probe{Gate: gate.Name, Version: version, SentAt: o.recorder.now()}
-	call := sling.New().Get("http://" + endpoint(gate.IP, frontPort) + probePrefix(version))
-	request, err := call.Request()
+	builder := sling.New().Get("http://" + endpoint(gate.IP, frontPort) + probePrefix(version))
+	request, err := builder.Request()
 	if err != nil {
 		return
 	}
@@ -159,7 +159,7 @@
 	url := o.stewardURL("/v1/configuration/retrieve")
 	sentAt := o.recorder.now()
 	var newest configuration.Configuration
-	if o.ask(ctx, sling.New().Get(url), &newest) == http.StatusOK {
+	if o.call(ctx, sling.New().Get(url), &newest) == http.StatusOK {
 		read := ReadBack{Steward: url, SentAt: sentAt, Version: newest.Version}
 		o.recorder.write(func(h *History) { h.ReadBacks = append(h.ReadBacks, read) })
 	}
@@ -170,7 +170,7 @@
 
 // newConfiguration returns the configuration of a version, with the queue of the clients and a queue for each of the newest
 // versions up to this one.
-func (o *operator) configurationOf(version int64) configuration.Configuration {
+func (o *operator) newConfiguration(version int64) configuration.Configuration {
 	result := configuration.Configuration{Version: version,
 		Services: []configuration.Service{{Name: serviceName, ConnectionLimit: 64, Protocol: "h1", GuardsCapacity: true}},
 		Limits:   configuration.Limits{HeaderBytes: 16384, BodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: time.Minute.Milliseconds()},
@@ -183,13 +183,13 @@
 			result.Services = append(result.Services, configuration.Service{Name: name, ConnectionLimit: 64, Protocol: "h1", GuardsCapacity: true})
 		}
 	}
-	for older := max(firstVersion, version-keptProbes+1); older <= version; older++ {
+	for older := max(firstVersion, version-probedVersions+1); older <= version; older++ {
 		result.Routes = append(result.Routes, routeOf(fmt.Sprintf("version-%d", older), probePrefix(older)))
 	}
 	return result
 }
 
 func routeOf(name, prefix string) configuration.Route {
-	return configuration.Route{Name: name, Host: frontHost, PathPrefix: prefix, Type: "non_idempotent", TimeoutMs: callLimit.Milliseconds(),
+	return configuration.Route{Name: name, Host: frontHost, PathPrefix: prefix, Type: "non_idempotent", TimeoutMs: callTimeout.Milliseconds(),
 		TargetLatencyMs: 1000, Priority: 1, Service: serviceName, MaxAttempts: 4, StretchFactor: 3}
 }
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -88,29 +88,29 @@
 	// the close.
 	lossSlack = 250 * time.Millisecond
 	// cancelTimeout is the time after the acknowledgement of a cancellation in which a task may still start.
-	cancelBound = 5 * time.Second
+	cancelTimeout = 5 * time.Second
 	// configurationMargin is added to the time in which a configuration must be applied, as all processes share one machine.
 	configurationMargin = 2 * time.Second
 	// signalReadyTimeout is the time in which a process installs its signal handlers. SIGTERM ends an earlier process by the
 	// signal itself; such a process has served no request.
-	startUp = 3 * time.Second
+	signalReadyTimeout = 3 * time.Second
 	// exitTimeout is the time in which a process must end after SIGTERM.
-	exitBound = graceSeconds*time.Second + 2*time.Second
+	exitTimeout = graceSeconds*time.Second + 2*time.Second
 )
 
 // jobTimes is when a job was first accepted, and whether and when its cancellation was sent and acknowledged.
-type jobView struct {
+type jobTimes struct {
 	acceptedAt, cancelledAt   time.Duration
 	isCancelSent, isCancelled bool
 }
 
 // acceptedJobs returns the accepted jobs by ID.
-func acceptedJobs(h *History) map[string]*jobView {
-	accepted := map[string]*jobView{}
+func acceptedJobs(h *History) map[string]*jobTimes {
+	accepted := map[string]*jobTimes{}
 	for index := range h.Calls {
 		call := &h.Calls[index]
 		if call.isAccepted() && accepted[call.Job] == nil {
-			accepted[call.Job] = &jobView{acceptedAt: call.EndedAt}
+			accepted[call.Job] = &jobTimes{acceptedAt: call.EndedAt}
 		}
 	}
 	for index := range h.Calls {
@@ -157,7 +157,7 @@
 		slices.SortFunc(runs, func(a, b hollow.RunRecord) int { return cmp.Compare(a.StartMs, b.StartMs) })
 		for index := 1; index < len(runs); index++ {
 			for _, earlier := range runs[:index] {
-				if text := conflict(earlier, runs[index]); text != "" {
+				if text := describeConflict(earlier, runs[index]); text != "" {
 					violations = append(violations, Violation{OracleTwice, h.sinceStart(runs[index].StartMs), text})
 				}
 			}
@@ -167,7 +167,7 @@
 }
 
 // describeConflict returns why a run may not have started after an earlier one of its task, or "" if it may.
-func conflict(earlier, later hollow.RunRecord) string {
+func describeConflict(earlier, later hollow.RunRecord) string {
 	switch {
 	case earlier.Node == later.Node && earlier.Run == later.Run:
 		return fmt.Sprintf("task %s: run %d is recorded twice at %s", later.Task, later.Run, later.Node)
@@ -280,7 +280,7 @@
 	accepted := acceptedJobs(h)
 	for _, run := range h.Runs {
 		job, startedAt := accepted[jobs.JobOf(run.Task)], h.sinceStart(run.StartMs)
-		if job != nil && job.isCancelled && startedAt > job.cancelledAt+cancelBound {
+		if job != nil && job.isCancelled && startedAt > job.cancelledAt+cancelTimeout {
 			violations = append(violations, Violation{OracleCancelled, startedAt, fmt.Sprintf("task %s started %v after its job's cancel was acknowledged", run.Task,
 				startedAt-job.cancelledAt)})
 		}
@@ -301,14 +301,14 @@
 // staleConfigurations checks that each gate without a fault serves the newest version that was acknowledged long enough before,
 // and that no steward returns a version older than an acknowledged one.
 func staleConfigurations(h *History) []Violation {
-	const inForce = configApplyMs*time.Millisecond + configurationMargin
+	const applyTime = configApplyMs*time.Millisecond + configurationMargin
 	var violations []Violation
 	for _, probe := range h.Probes {
 		isDue := slices.ContainsFunc(h.Acknowledgements, func(a Acknowledgement) bool {
-			return a.Version == probe.Version && a.At+inForce <= probe.SentAt
+			return a.Version == probe.Version && a.At+applyTime <= probe.SentAt
 		})
-		isCalm := !h.isTroubled(probe.Gate, probe.SentAt-contactWindow, probe.SentAt) && !h.isStalled(probe.SentAt-contactWindow, probe.SentAt)
-		if isDue && isCalm && probe.Status == http.StatusNotFound {
+		isUndisturbed := !h.isTroubled(probe.Gate, probe.SentAt-contactWindow, probe.SentAt) && !h.isStalled(probe.SentAt-contactWindow, probe.SentAt)
+		if isDue && isUndisturbed && probe.Status == http.StatusNotFound {
 			violations = append(violations, Violation{OracleConfiguration, probe.SentAt, fmt.Sprintf("%s does not know version %d yet", probe.Gate, probe.Version)})
 		}
 	}
@@ -336,19 +336,19 @@
 }
 
 func (e *Exit) problem(h *History) string {
-	switch e.Asked {
+	switch e.Cause {
 	case "":
 		return fmt.Sprintf("ended though nobody asked, with code %d %s", e.Code, e.Signal)
 	case FaultKill, FaultWipe:
 		return ""
 	}
-	if e.Age < startUp && e.Signal == syscall.SIGTERM.String() {
+	if e.Age < signalReadyTimeout && e.Signal == syscall.SIGTERM.String() {
 		return ""
 	}
 	if e.Code != 0 {
 		return fmt.Sprintf("ended with code %d %s after SIGTERM", e.Code, e.Signal)
 	}
-	if e.Took > exitBound && !h.isStalled(e.At-e.Took, e.At) {
+	if e.Took > exitTimeout && !h.isStalled(e.At-e.Took, e.At) {
 		return fmt.Sprintf("took %v to end after SIGTERM", e.Took)
 	}
 	return ""
--- a/internal/simulation/soak/pairs.go
+++ b/internal/simulation/soak/pairs.go
@@ -76,7 +76,7 @@
 	var rows []PairRow
 	alone := map[Part]float64{}
 	for _, busy := range sets {
-		row, err := measure(ctx, options, busy, log)
+		row, err := measureSet(ctx, options, busy, log)
 		if err != nil {
 			return rows, errors.Annotatef(err, "with %v busy", busy)
 		}
@@ -92,29 +92,29 @@
 }
 
 // measureSet measures one set of busy parts. All features are always enabled, so rows differ only by load.
-func measure(ctx context.Context, options Options, busy []Part, log logging.Logger) (PairRow, error) {
+func measureSet(ctx context.Context, options Options, busy []Part, log logging.Logger) (PairRow, error) {
 	options.Parts, options.Kinds = busy, nil
-	options.Mix = &Mix{Features: AllFeatures, Zones: 2, OrderList: "invocation", HeartbeatMs: heartbeatMs, EvacuationMs: minEvacuation}
+	options.Mix = &Mix{Features: AllFeatures, Zones: 2, OrderList: "invocation", HeartbeatMs: heartbeatMs, EvacuationMs: minEvacuationMs}
 	layout := options.Layout()
 	schedule := Draw(options, layout)
 	if slices.Contains(busy, PartMembership) {
-		for at := time.Second; at < options.Length; at += waveEvery {
+		for at := time.Second; at < options.Length; at += waveInterval {
 			schedule.Events = append(schedule.Events, Event{AtMs: at.Milliseconds(), Kind: FaultWave})
 		}
 	}
-	history, err := playOnce(ctx, options, layout, schedule, log)
+	history, err := runSchedule(ctx, options, layout, schedule, log)
 	if err != nil {
 		return PairRow{}, err
 	}
 	return PairRow{Parts: busy, Control: busiest(history.Loads, RoleSteward), Storage: busiest(history.Loads, RoleStorage), Gate: busiest(history.Loads, RoleGate),
-		JobMs: submitTime(history), LockMs: lockTime(history)}, nil
+		JobMs: submitLatency(history), LockMs: lockLatency(history)}, nil
 }
 
 // waveInterval is the time between two waves in which all gates restart.
-const waveEvery = 4 * time.Second
+const waveInterval = 4 * time.Second
 
 // submitLatency returns the 95th percentile of the latency of submissions in milliseconds.
-func submitTime(h *History) int64 {
+func submitLatency(h *History) int64 {
 	times := hdrhistogram.New(1, maxLatencyMs, latencyDigits)
 	for index := range h.Calls {
 		if call := &h.Calls[index]; call.Verb == verbSubmit && call.Outcome == answered {
@@ -126,7 +126,7 @@
 }
 
 // lockLatency returns the 95th percentile of the latency of lock acquisitions in milliseconds.
-func lockTime(h *History) int64 {
+func lockLatency(h *History) int64 {
 	times := hdrhistogram.New(1, maxLatencyMs, latencyDigits)
 	for _, hold := range h.Applications.Holds {
 		// A latency beyond the histogram's range is left out; calls time out long before.
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -19,18 +19,18 @@
 
 const (
 	// setUpClient is the number of the first client that the soak itself uses before and after the others.
-	setUpClient = 1 << 20
-	retryPause  = 200 * time.Millisecond
-	sampleEvery = 2 * time.Second
-	sampleLimit = 500 * time.Millisecond
-	reportLimit = 10 * time.Second
+	setUpClient    = 1 << 20
+	retryPause     = 200 * time.Millisecond
+	sampleInterval = 2 * time.Second
+	sampleTimeout  = 500 * time.Millisecond
+	reportTimeout  = 10 * time.Second
 )
 
 // start starts all processes and relays, proposes the first configuration and waits until each gate has accepted a job.
 func (s *soak) start(ctx context.Context) error {
 	s.relays = map[string]*relay{}
 	for number, gate := range s.layout.Gates {
-		r, err := newRelay(s.recorder.ctx, s.layout.relayAddress(number), endpoint(gate.IP, frontPort), s.options.InjectedFault, s.recorder.refusals(gate.Name))
+		r, err := newRelay(s.recorder.ctx, s.layout.relayAddress(number), endpoint(gate.IP, frontPort), s.options.InjectedFault, s.recorder.refusalRecorder(gate.Name))
 		if err != nil {
 			return err
 		}
@@ -39,19 +39,19 @@
 	if err := s.cluster.startAll(); err != nil {
 		return err
 	}
-	limited, release := context.WithTimeout(ctx, startLimit)
+	limited, release := context.WithTimeout(ctx, startTimeout)
 	defer release()
 	operator := newOperator(s)
-	if err := until(limited, "no steward took the first configuration", func() bool { return operator.post(limited, firstVersion) }); err != nil {
+	if err := retryUntil(limited, "no steward took the first configuration", func() bool { return operator.proposeVersion(limited, firstVersion) }); err != nil {
 		return err
 	}
 	for number := range s.layout.Gates {
-		c := s.ownClient(number)
-		err := until(limited, "no job is accepted at "+c.gate.Name, func() bool {
+		c := s.newSetUpClient(number)
+		err := retryUntil(limited, "no job is accepted at "+c.gate.Name, func() bool {
 			id := newJob(c.draw)
 			return c.call(limited, verbSubmit, id, shapeOf(id).body()).isAccepted()
 		})
-		c.hangUp()
+		c.disconnect()
 		if err != nil {
 			return err
 		}
@@ -60,14 +60,14 @@
 }
 
 // newSetUpClient returns a client of a gate for the soak itself.
-func (s *soak) ownClient(gateNumber int) *client {
+func (s *soak) newSetUpClient(gateNumber int) *client {
 	number := setUpClient + gateNumber
 	return &client{soak: s, number: number, gate: s.layout.Gates[gateNumber], address: s.layout.relayAddress(gateNumber),
 		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(number)))}
 }
 
 // retryUntil retries until try succeeds. If ctx is done first, the error says what was not achieved.
-func until(ctx context.Context, problem string, try func() bool) error {
+func retryUntil(ctx context.Context, problem string, try func() bool) error {
 	for !try() {
 		if !pause(ctx, retryPause) {
 			return errors.Annotate(ctx.Err(), problem)
@@ -89,40 +89,40 @@
 // settle polls all accepted jobs until each has ended or settleTimeout is over, and records their last states. The jobs are
 // split into one batch per gate. The batches are polled concurrently, and each round polls a batch at its next gate.
 func (s *soak) settle(ctx context.Context) {
-	limited, release := context.WithTimeout(ctx, settleLimit)
+	limited, release := context.WithTimeout(ctx, settleTimeout)
 	defer release()
-	parts := make([]map[string]bool, len(s.layout.Gates))
-	for index := range parts {
-		parts[index] = map[string]bool{}
+	batches := make([]map[string]bool, len(s.layout.Gates))
+	for index := range batches {
+		batches[index] = map[string]bool{}
 	}
 	next := 0
 	for id := range acceptedJobs(s.recorder.history()) {
-		parts[next%len(parts)][id] = true
+		batches[next%len(batches)][id] = true
 		next++
 	}
-	var asking sync.WaitGroup
-	for index, part := range parts {
-		asking.Go(func() { s.settlePart(limited, index, part) })
+	var polling sync.WaitGroup
+	for index, batch := range batches {
+		polling.Go(func() { s.settleBatch(limited, index, batch) })
 	}
-	asking.Wait()
+	polling.Wait()
 }
 
 // settleBatch polls a batch of jobs until each has ended, starting at one gate and moving to the next in each round.
-func (s *soak) settlePart(ctx context.Context, firstGate int, open map[string]bool) {
-	for round := 0; len(open) > 0 && ctx.Err() == nil; round++ {
-		c := s.ownClient((firstGate + round) % len(s.layout.Gates))
-		for id := range open {
-			if ctx.Err() != nil || !s.settleJob(ctx, c, id, open) {
+func (s *soak) settleBatch(ctx context.Context, firstGate int, pending map[string]bool) {
+	for round := 0; len(pending) > 0 && ctx.Err() == nil; round++ {
+		c := s.newSetUpClient((firstGate + round) % len(s.layout.Gates))
+		for id := range pending {
+			if ctx.Err() != nil || !s.settleJob(ctx, c, id, pending) {
 				break
 			}
 		}
-		c.hangUp()
+		c.disconnect()
 		pause(ctx, retryPause)
 	}
 }
 
 // settleJob polls a job once and removes it from the pending jobs if it has ended. It returns false if the gate gave no answer.
-func (s *soak) settleJob(ctx context.Context, c *client, id string, open map[string]bool) bool {
+func (s *soak) settleJob(ctx context.Context, c *client, id string, pending map[string]bool) bool {
 	call := c.call(ctx, verbState, id, "")
 	if call.Outcome != answered {
 		return false
@@ -133,14 +133,14 @@
 	}
 	s.recorder.write(func(h *History) { h.FinalStates[id] = state })
 	if state == "completed" || state == "cancelled" || state == "failed" {
-		delete(open, id)
+		delete(pending, id)
 	}
 	return true
 }
 
 // readRecords fetches the run records and the fence count of the fake executors into the history.
 func (s *soak) readRecords(ctx context.Context) {
-	client := &http.Client{Timeout: reportLimit}
+	client := &http.Client{Timeout: reportTimeout}
 	var runs []hollow.RunRecord
 	var counts hollow.Counts
 	if s.fetch(ctx, client, hollow.PathRecords, &runs) && s.fetch(ctx, client, hollow.PathCounts, &counts) {
@@ -149,7 +149,7 @@
 }
 
 // fetch decodes a page of the fake executors' process and returns whether that succeeded.
-func (s *soak) fetch(ctx context.Context, client *http.Client, path string, into any) bool {
+func (s *soak) fetch(ctx context.Context, client *http.Client, path string, result any) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.layout.reportAddress()+path, nil)
 	if err != nil {
 		return false
@@ -160,16 +160,16 @@
 		return false
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into) == nil
+	return json.NewDecoder(response.Body).Decode(result) == nil
 }
 
 // sample records the resource use of the running processes at a fixed interval until ctx is done.
 func (s *soak) sample(ctx context.Context) {
-	client := &http.Client{Timeout: sampleLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: sampleTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		for _, running := range s.cluster.runningProcesses() {
 			at := s.recorder.now()
-			read, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleLimit)
+			read, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleTimeout)
 			if err != nil {
 				continue
 			}
@@ -177,7 +177,7 @@
 				Goroutines: read["go_goroutines"], Descriptors: read["process_open_fds"], Disk: s.diskUse(running.node)}
 			s.recorder.write(func(h *History) { h.Samples = append(h.Samples, sample) })
 		}
-		pause(ctx, sampleEvery)
+		pause(ctx, sampleInterval)
 	}
 }
 
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -14,7 +14,7 @@
 type processPhase int
 
 const (
-	phaseDown processPhase = iota
+	phaseEnded processPhase = iota
 	phaseRunning
 	phaseFrozen
 	phaseEnding
@@ -31,11 +31,11 @@
 	startedAt   time.Duration
 	// endCause is the fault that ends the current incarnation, and endRequestedAt its time. startNext starts the next
 	// incarnation or its replacement; nil means a relaunch.
-	asked      FaultKind
-	askedAt    time.Duration
-	afterwards func()
+	endCause       FaultKind
+	endRequestedAt time.Duration
+	startNext      func()
 	// isExempt processes are never struck by a fault or terminated with the others.
-	isSpared bool
+	isExempt bool
 }
 
 // start starts an incarnation, with its output in the node's log file. onExit is called with the exit state on another
@@ -58,7 +58,7 @@
 		inputEnd.Close()
 		return errors.Annotatef(err, "starting %s", p.node.Name)
 	}
-	p.command, p.input, p.phase, p.asked, p.afterwards = command, inputEnd, phaseRunning, "", nil
+	p.command, p.input, p.phase, p.endCause, p.startNext = command, inputEnd, phaseRunning, "", nil
 	p.incarnation, p.startedAt = p.incarnation+1, now
 	go func() {
 		// The exit state contains everything that the error says.
@@ -70,7 +70,7 @@
 
 // signal sends a signal to the current incarnation by its process ID.
 func (p *process) signal(signal syscall.Signal) {
-	if p.phase != phaseDown {
+	if p.phase != phaseEnded {
 		// A process that has just ended can't be signalled, which is no problem.
 		_ = p.command.Process.Signal(signal)
 	}
@@ -78,9 +78,9 @@
 
 // exitOf returns the record of an incarnation's exit.
 func exitOf(p *process, state *os.ProcessState, now time.Duration) Exit {
-	exit := Exit{Process: p.node.Name, Asked: p.asked, At: now, Code: state.ExitCode()}
-	if p.asked != "" {
-		exit.Took, exit.Age = now-p.askedAt, p.askedAt-p.startedAt
+	exit := Exit{Process: p.node.Name, Cause: p.endCause, At: now, Code: state.ExitCode()}
+	if p.endCause != "" {
+		exit.Took, exit.Age = now-p.endRequestedAt, p.endRequestedAt-p.startedAt
 	}
 	if status, isStatus := state.Sys().(syscall.WaitStatus); isStatus && status.Signaled() {
 		exit.Signal = status.Signal().String()
--- a/internal/simulation/soak/relay.go
+++ b/internal/simulation/soak/relay.go
@@ -15,7 +15,7 @@
 const (
 	relayMailboxSize = 256
 	chunkBytes       = 16 << 10
-	dialLimit        = 2 * time.Second
+	dialTimeout      = 2 * time.Second
 )
 
 // relay forwards the connections of a gate's clients. It can cut all connections and hold back their data. One goroutine owns
@@ -27,24 +27,24 @@
 	gate     string
 	injected InjectedFault
 	// recordRefused is called with the address of each client whose connection the gate refused.
-	noteRefused func(client net.Addr)
+	recordRefused func(client net.Addr)
 
 	connections map[net.Conn]net.Conn
 	isCut       bool
 	isStalled   bool
-	waiting     []func()
+	heldBack    []func()
 	// answers counts the chunks of answers, and last is the newest of them; the injected faults use both.
 	answers int
 	last    []byte
 }
 
-func newRelay(ctx context.Context, address, gate string, injected InjectedFault, noteRefused func(client net.Addr)) (*relay, error) {
+func newRelay(ctx context.Context, address, gate string, injected InjectedFault, recordRefused func(client net.Addr)) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Annotate(err, "relay")
 	}
 	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gate: gate, injected: injected,
-		noteRefused: noteRefused, connections: map[net.Conn]net.Conn{}}
+		recordRefused: recordRefused, connections: map[net.Conn]net.Conn{}}
 	go r.mailbox.Run(ctx, clock.System(), mailbox.Owner{Every: time.Minute})
 	go r.accept()
 	return r, nil
@@ -67,11 +67,11 @@
 
 // serve connects a client to the gate, or resets the connection if the relay is cut or the gate can't be reached.
 func (r *relay) serve(client net.Conn) {
-	gate, err := net.DialTimeout("tcp4", r.gate, dialLimit)
+	gate, err := net.DialTimeout("tcp4", r.gate, dialTimeout)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			// Recorded before the reset, so that the history has it when the client's call ends.
-			r.noteRefused(client.RemoteAddr())
+			r.recordRefused(client.RemoteAddr())
 		}
 		reset(client)
 		return
@@ -83,18 +83,18 @@
 			return
 		}
 		r.connections[client] = gate
-		go r.pass(client, gate, false)
-		go r.pass(gate, client, true)
+		go r.forward(client, gate, false)
+		go r.forward(gate, client, true)
 	})
 }
 
 // forward copies one direction until it ends. Then it closes the write side to the gate, or both connections if it was the
 // direction of answers.
-func (r *relay) pass(from, to net.Conn, isAnswer bool) {
+func (r *relay) forward(from, to net.Conn, isAnswer bool) {
 	chunk := make([]byte, chunkBytes)
 	for {
 		count, err := from.Read(chunk)
-		if count > 0 && !r.passChunk(to, chunk[:count], isAnswer) {
+		if count > 0 && !r.forwardChunk(to, chunk[:count], isAnswer) {
 			break
 		}
 		if err != nil {
@@ -115,20 +115,20 @@
 }
 
 // forwardChunk waits for permission and writes a chunk. It returns false if no more chunks can be forwarded.
-func (r *relay) passChunk(to net.Conn, chunk []byte, isAnswer bool) bool {
-	leave := make(chan []byte, 1)
+func (r *relay) forwardChunk(to net.Conn, chunk []byte, isAnswer bool) bool {
+	permitted := make(chan []byte, 1)
 	r.post(func() {
-		give := func() { leave <- r.altered(chunk, isAnswer) }
+		permit := func() { permitted <- r.alterChunk(chunk, isAnswer) }
 		if r.isStalled {
-			r.waiting = append(r.waiting, give)
+			r.heldBack = append(r.heldBack, permit)
 			return
 		}
-		give()
+		permit()
 	})
 	select {
 	case <-r.ctx.Done():
 		return false
-	case allowed := <-leave:
+	case allowed := <-permitted:
 		if allowed == nil {
 			return false
 		}
@@ -138,7 +138,7 @@
 }
 
 // startFault cuts or stalls the relay for a while.
-func (r *relay) disturb(kind FaultKind, lasts time.Duration) {
+func (r *relay) startFault(kind FaultKind, duration time.Duration) {
 	r.post(func() {
 		if kind == FaultStall {
 			r.isStalled = true
@@ -151,16 +151,16 @@
 		}
 		clear(r.connections)
 	})
-	time.AfterFunc(lasts, func() { r.post(r.recover) })
+	time.AfterFunc(duration, func() { r.post(r.endFault) })
 }
 
 // endFault ends a cut or a stall and forwards the chunks that were held back.
-func (r *relay) recover() {
+func (r *relay) endFault() {
 	r.isCut, r.isStalled = false, false
-	waiting := r.waiting
-	r.waiting = nil
-	for _, give := range waiting {
-		give()
+	heldBack := r.heldBack
+	r.heldBack = nil
+	for _, permit := range heldBack {
+		permit()
 	}
 }
 
--- a/internal/simulation/soak/relay_test.go
+++ b/internal/simulation/soak/relay_test.go
@@ -13,10 +13,10 @@
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		var steps []string
-		noteRefused := func(client net.Addr) { steps = append(steps, "refused "+client.String()) }
-		r, err := newRelay(ctx, "127.0.0.1:0", addressWithoutListener(), InjectedFault(""), noteRefused)
+		recordRefused := func(client net.Addr) { steps = append(steps, "refused "+client.String()) }
+		r, err := newRelay(ctx, "127.0.0.1:0", addressWithoutListener(), InjectedFault(""), recordRefused)
 		Expect(err).NotTo(HaveOccurred())
-		r.serve(&scriptedClient{note: func(step string) { steps = append(steps, step) }})
+		r.serve(&scriptedClient{record: func(step string) { steps = append(steps, step) }})
 		Expect(steps).To(Equal([]string{"refused 127.0.0.9:7", "closed"}))
 	})
 })
@@ -24,7 +24,7 @@
 // scriptedClient is a connection of a client of which a relay sees the address and the end alone.
 type scriptedClient struct {
 	net.Conn
-	note func(step string)
+	record func(step string)
 }
 
 func (c *scriptedClient) RemoteAddr() net.Addr {
@@ -32,7 +32,7 @@
 }
 
 func (c *scriptedClient) Close() error {
-	c.note("closed")
+	c.record("closed")
 	return nil
 }
 
--- a/internal/simulation/soak/rollouts.go
+++ b/internal/simulation/soak/rollouts.go
@@ -26,15 +26,15 @@
 
 const (
 	// firstRolloutAt is the time since the start at which the first rollout is requested.
-	rolloutsFrom = 2 * time.Second
+	firstRolloutAt = 2 * time.Second
 	// The shares of a rollout's steps, and the minimum time and number of jobs of each step.
 	firstShare, secondShare = 0.2, 0.5
 	stepSeconds             = 2
 	stepJobs                = 5
 	// maxFailureShare is the tolerated share of failed runs, which the bad version exceeds by far.
-	agreedFailures = 0.1
+	maxFailureShare = 0.1
 	// rollBackTimeout is the time in which the bad version must be rolled back after its begin, including the delay by faults.
-	turnBackBound = 25 * time.Second
+	rollBackTimeout = 25 * time.Second
 	// proxiesForRollouts is the minimum number of local proxies for three versions.
 	proxiesForRollouts = 4
 )
@@ -68,14 +68,14 @@
 		return configuration.RolloutStep{Share: share, MinTimeS: stepSeconds, MinJobs: stepJobs}
 	}
 	return configuration.Rollout{Name: name, Route: jobsRoute, From: serviceName, To: service, RequestedBy: "soak", OnTurnBack: configuration.TurnBackStop,
-		Steps: []configuration.RolloutStep{step(firstShare), step(secondShare), step(1)}, Bounds: configuration.RolloutBounds{Failures: agreedFailures}}
+		Steps: []configuration.RolloutStep{step(firstShare), step(secondShare), step(1)}, Bounds: configuration.RolloutBounds{Failures: maxFailureShare}}
 }
 
 // readCurrent reads the configuration in force and records its rollouts. It returns nil if the steward doesn't answer.
-func (o *operator) current(ctx context.Context) *configuration.Configuration {
+func (o *operator) readCurrent(ctx context.Context) *configuration.Configuration {
 	var current configuration.Configuration
 	sentAt := o.recorder.now()
-	if o.ask(ctx, sling.New().Get(o.stewardURL("/v1/configuration/retrieve")), &current) != http.StatusOK {
+	if o.call(ctx, sling.New().Get(o.stewardURL("/v1/configuration/retrieve")), &current) != http.StatusOK {
 		return nil
 	}
 	o.recorder.write(func(h *History) {
@@ -90,7 +90,7 @@
 // nextConfiguration returns the operator's next change of the configuration in force. It keeps what the leader has set for
 // rollouts, and requests the next rollout when it is due.
 func (o *operator) nextConfiguration(current *configuration.Configuration) configuration.Configuration {
-	next := o.configurationOf(current.Version + 1)
+	next := o.newConfiguration(current.Version + 1)
 	next.Rollouts = current.Rollouts
 	for _, route := range current.Routes {
 		if route.Name == jobsRoute {
@@ -98,7 +98,7 @@
 		}
 	}
 	switch {
-	case o.recorder.now() < rolloutsFrom:
+	case o.recorder.now() < firstRolloutAt:
 	case len(next.Rollouts) == 0:
 		next.Rollouts = append(next.Rollouts, rolloutTo(badRollout, badServiceName))
 	case len(next.Rollouts) == 1 && next.Rollouts[0].IsOver():
@@ -110,18 +110,18 @@
 // badRollouts is the oracle of rollouts: the bad version never gets all jobs, and is rolled back in time after its begin.
 func badRollouts(h *History) []Violation {
 	var violations []Violation
-	begunAt, isTurnedBack := time.Duration(0), false
+	startedAt, isRolledBack := time.Duration(0), false
 	for _, seen := range h.Rollouts {
 		if seen.Name != badRollout {
 			continue
 		}
-		if seen.BegunMs > 0 && begunAt == 0 {
-			begunAt = seen.At
+		if seen.BegunMs > 0 && startedAt == 0 {
+			startedAt = seen.At
 		}
-		isTurnedBack = isTurnedBack || seen.State == configuration.RolloutTurnedBack
-		isLate := begunAt > 0 && !isTurnedBack && seen.At-begunAt > turnBackBound
+		isRolledBack = isRolledBack || seen.State == configuration.RolloutTurnedBack
+		isLate := startedAt > 0 && !isRolledBack && seen.At-startedAt > rollBackTimeout
 		if seen.Share == 1 || isLate {
-			return append(violations, Violation{OracleRollout, seen.At, fmt.Sprintf("the bad version has a share of %g, %v after it began", seen.Share, seen.At-begunAt)})
+			return append(violations, Violation{OracleRollout, seen.At, fmt.Sprintf("the bad version has a share of %g, %v after it began", seen.Share, seen.At-startedAt)})
 		}
 	}
 	return violations
--- a/internal/simulation/soak/schedule.go
+++ b/internal/simulation/soak/schedule.go
@@ -23,8 +23,8 @@
 	ForMs  int64     `json:"for-ms,omitempty"`
 }
 
-func (e Event) at() time.Duration    { return clock.Milliseconds(e.AtMs) }
-func (e Event) lasts() time.Duration { return clock.Milliseconds(e.ForMs) }
+func (e Event) at() time.Duration       { return clock.Milliseconds(e.AtMs) }
+func (e Event) duration() time.Duration { return clock.Milliseconds(e.ForMs) }
 
 // String returns the event as it appears in the log.
 func (e Event) String() string {
@@ -53,7 +53,7 @@
 	// firstFault is the earliest time of a fault.
 	firstFault = time.Second
 	// recoveryMargin is the time after a fault in which a steward still counts as lost, as it restarts and catches up.
-	awayMargin = 7 * time.Second
+	recoveryMargin = 7 * time.Second
 )
 
 // Draw returns the schedule of a seed. It depends on the options and the layout only.
@@ -65,7 +65,7 @@
 	drawer := &drawer{layout: layout, draw: rand.New(rand.NewPCG(options.Seed, scheduleStream))}
 	gap := float64(meanGap) * float64(MinProcesses) / float64(options.Processes)
 	gap = max(gap, float64(meanGap)/4)
-	for at := firstFault; at < options.Length-calmAtEnd; at += time.Duration(drawer.draw.ExpFloat64() * gap) {
+	for at := firstFault; at < options.Length-faultFreeEnd; at += time.Duration(drawer.draw.ExpFloat64() * gap) {
 		kind := options.Kinds[drawer.draw.IntN(len(options.Kinds))]
 		if event, isPossible := drawer.event(kind, at); isPossible {
 			schedule.Events = append(schedule.Events, event)
@@ -79,9 +79,9 @@
 	layout *Layout
 	draw   *rand.Rand
 	// lostStewards holds the losses that still count. replacedStewards holds the names of stewards that were replaced for good.
-	away     []stewardLoss
-	gone     map[string]bool
-	replaced int
+	lostStewards     []stewardLoss
+	replacedStewards map[string]bool
+	replacementCount int
 }
 
 type stewardLoss struct {
@@ -92,7 +92,7 @@
 // event draws a target and a duration. The second result is false if one more steward would be lost than the layout tolerates.
 func (d *drawer) event(kind FaultKind, at time.Duration) (Event, bool) {
 	event := Event{AtMs: at.Milliseconds(), Kind: kind}
-	shortest, longest := kind.lasts()
+	shortest, longest := kind.durationRange()
 	if longest > 0 {
 		event.ForMs = (shortest + time.Duration(d.draw.Int64N(int64(longest-shortest)))).Milliseconds()
 	}
@@ -106,7 +106,7 @@
 		nodes = d.stewards()
 	}
 	event.Target = nodes[d.draw.IntN(len(nodes))].Name
-	if role == RoleSteward && kind.takesAway() && !d.lose(event, at) {
+	if role == RoleSteward && kind.makesUnavailable() && !d.recordLoss(event, at) {
 		return event, false
 	}
 	return event, true
@@ -115,31 +115,31 @@
 // stewards returns the stewards that were not replaced, and the replacements.
 func (d *drawer) stewards() []Node {
 	all := slices.Clone(d.layout.Stewards)
-	for number := range d.replaced {
+	for number := range d.replacementCount {
 		all = append(all, d.layout.steward(len(d.layout.Stewards)+number))
 	}
-	return slices.DeleteFunc(all, func(node Node) bool { return d.gone[node.Name] })
+	return slices.DeleteFunc(all, func(node Node) bool { return d.replacedStewards[node.Name] })
 }
 
 // recordLoss counts a steward as lost and returns false if too many would be lost. A fault may strike a steward that is already
 // lost.
-func (d *drawer) lose(event Event, at time.Duration) bool {
-	d.away = slices.DeleteFunc(d.away, func(loss stewardLoss) bool { return loss.until <= at })
+func (d *drawer) recordLoss(event Event, at time.Duration) bool {
+	d.lostStewards = slices.DeleteFunc(d.lostStewards, func(loss stewardLoss) bool { return loss.until <= at })
 	lost := map[string]bool{event.Target: true}
-	for _, loss := range d.away {
+	for _, loss := range d.lostStewards {
 		lost[loss.name] = true
 	}
 	if len(lost) > d.layout.Losses {
 		return false
 	}
-	d.away = append(d.away, stewardLoss{event.Target, at + event.lasts() + awayMargin})
+	d.lostStewards = append(d.lostStewards, stewardLoss{event.Target, at + event.duration() + recoveryMargin})
 	if event.Kind == FaultReplace {
-		if d.gone == nil {
-			d.gone = map[string]bool{}
+		if d.replacedStewards == nil {
+			d.replacedStewards = map[string]bool{}
 		}
-		d.gone[event.Target] = true
-		d.replaced++
-		d.away = append(d.away, stewardLoss{d.layout.steward(len(d.layout.Stewards) + d.replaced - 1).Name, at + awayMargin})
+		d.replacedStewards[event.Target] = true
+		d.replacementCount++
+		d.lostStewards = append(d.lostStewards, stewardLoss{d.layout.steward(len(d.layout.Stewards) + d.replacementCount - 1).Name, at + recoveryMargin})
 	}
 	return true
 }
@@ -164,7 +164,7 @@
 		if !event.Kind.isKnown() {
 			problems = multierr.Append(problems, errors.Errorf("--schedule: event %d: there is no fault %q", number, event.Kind))
 		}
-		if event.AtMs < 0 || event.at() > s.length() || event.ForMs < 0 || event.lasts() > s.length() {
+		if event.AtMs < 0 || event.at() > s.length() || event.ForMs < 0 || event.duration() > s.length() {
 			problems = multierr.Append(problems, errors.Errorf("--schedule: event %d is not within the length of the soak", number))
 		}
 	}
--- a/internal/simulation/soak/schedule_test.go
+++ b/internal/simulation/soak/schedule_test.go
@@ -48,7 +48,7 @@
 
 	It("leaves the end calm, and has no events without kinds", func() {
 		for _, event := range draw(3, 40).Events {
-			Expect(event.at()).To(BeNumerically("<", 2*time.Minute-calmAtEnd))
+			Expect(event.at()).To(BeNumerically("<", 2*time.Minute-faultFreeEnd))
 		}
 		calm := options(3, 40)
 		calm.Kinds = nil
@@ -87,7 +87,7 @@
 	lost := map[string]bool{}
 	for _, event := range schedule.Events {
 		isSteward := len(event.Target) > len("steward-") && event.Target[:len("steward-")] == "steward-"
-		if isSteward && event.Kind.takesAway() && event.at() <= at && at < event.at()+event.lasts()+awayMargin {
+		if isSteward && event.Kind.makesUnavailable() && event.at() <= at && at < event.at()+event.duration()+recoveryMargin {
 			lost[event.Target] = true
 		}
 	}
@@ -95,13 +95,13 @@
 }
 
 func containsAll(events, wanted []Event) bool {
-	violations := 0
+	found := 0
 	for _, event := range events {
-		if violations < len(wanted) && event == wanted[violations] {
-			violations++
+		if found < len(wanted) && event == wanted[found] {
+			found++
 		}
 	}
-	return violations == len(wanted)
+	return found == len(wanted)
 }
 
 var _ = Describe("options", func() {
--- a/internal/simulation/soak/served.go
+++ b/internal/simulation/soak/served.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	var violations []Violation
-	demand := func(isServed bool, what string) {
+	require := func(isServed bool, what string) {
 		if !isServed {
 			violations = append(violations, Violation{Oracle: OracleServed, Text: fmt.Sprintf("no %s, with the features %v", what, h.Mix.Features)})
 		}
@@ -31,19 +31,19 @@
 			completed++
 		}
 	}
-	demand(completed > 0, "job was completed")
-	demand(len(h.Acknowledgements) > 0, "configuration was acknowledged")
+	require(completed > 0, "job was completed")
+	require(len(h.Acknowledgements) > 0, "configuration was acknowledged")
 	for _, feature := range h.Mix.Features {
 		switch feature {
 		case FeatureTenants:
-			demand(slices.ContainsFunc(h.KeyProbes, func(probe KeyProbe) bool { return probe.Status == http.StatusUnauthorized }), "unknown key was refused")
+			require(slices.ContainsFunc(h.KeyProbes, func(probe KeyProbe) bool { return probe.Status == http.StatusUnauthorized }), "unknown key was refused")
 		case FeatureEvacuations:
-			demand(len(h.Evacuations) > 0, "evacuation was acknowledged")
+			require(len(h.Evacuations) > 0, "evacuation was acknowledged")
 		case FeatureLocks:
-			demand(len(h.Applications.Holds) > 0, "lock was taken")
+			require(len(h.Applications.Holds) > 0, "lock was taken")
 		case FeatureTier:
-			demand(slices.ContainsFunc(h.Streams, func(call StreamCall) bool { return call.isWhole() }), "stream was served")
-			demand(len(h.Lots) > 0, "lot was accepted")
+			require(slices.ContainsFunc(h.Streams, func(call StreamCall) bool { return call.isWhole() }), "stream was served")
+			require(len(h.Lots) > 0, "lot was accepted")
 		}
 	}
 	return violations
--- a/internal/simulation/soak/soak.go
+++ b/internal/simulation/soak/soak.go
@@ -21,11 +21,11 @@
 
 const (
 	// startTimeout limits the time from the start of the processes until each gate has accepted a job.
-	startLimit = 60 * time.Second
+	startTimeout = 60 * time.Second
 	// settleTimeout limits the wait for accepted jobs to end after the faults and the clients have ended.
-	settleLimit = 60 * time.Second
+	settleTimeout = 60 * time.Second
 	// faultFreeEnd is the time before the end of a soak in which no fault begins.
-	calmAtEnd = 8 * time.Second
+	faultFreeEnd = 8 * time.Second
 )
 
 // Run runs one soak and checks it. An error means that the soak could not be run; violations are in the summary.
@@ -36,22 +36,22 @@
 	if schedule == nil {
 		schedule = Draw(options, layout)
 	}
-	history, err := playOnce(ctx, options, layout, schedule, log)
+	history, err := runSchedule(ctx, options, layout, schedule, log)
 	if err != nil {
 		return nil, err
 	}
-	options.InjectedFault.disturb(history)
+	options.InjectedFault.injectInto(history)
 	return newSummary(options, schedule, history, Judge(history)), nil
 }
 
 // runSchedule runs a schedule on a layout in its own folder and returns the observations.
-func playOnce(ctx context.Context, options Options, layout *Layout, schedule *Schedule, log logging.Logger) (*History, error) {
+func runSchedule(ctx context.Context, options Options, layout *Layout, schedule *Schedule, log logging.Logger) (*History, error) {
 	folder, removeFolder, err := makeFolder(options.Keep)
 	if err != nil {
 		return nil, err
 	}
 	defer removeFolder()
-	return (&soak{options: options, layout: layout, schedule: schedule, folder: folder, log: log}).play(ctx)
+	return (&soak{options: options, layout: layout, schedule: schedule, folder: folder, log: log}).execute(ctx)
 }
 
 // makeFolder creates the folder for settings, logs and data. If keep is empty, the folder is temporary and remove deletes it.
@@ -80,7 +80,7 @@
 }
 
 // execute starts the processes, runs the schedule and the clients, waits for the accepted jobs and shuts everything down.
-func (s *soak) play(ctx context.Context) (*History, error) {
+func (s *soak) execute(ctx context.Context) (*History, error) {
 	// The goroutines that own processes and history run until all processes have ended, even if ctx is cancelled earlier.
 	partsCtx, endParts := context.WithCancel(context.WithoutCancel(ctx))
 	defer endParts()
@@ -100,7 +100,7 @@
 	clientsCtx, endClients := context.WithTimeout(ctx, s.schedule.length())
 	before := s.readCounters()
 	clients := s.startClients(clientsCtx)
-	s.cluster.obey(s.schedule)
+	s.cluster.scheduleEvents(s.schedule)
 	s.reportProgress(clientsCtx)
 	loads := loadsBetween(before, s.readCounters())
 	s.recorder.write(func(h *History) { h.Loads = loads })
--- a/internal/simulation/soak/streams.go
+++ b/internal/simulation/soak/streams.go
@@ -38,7 +38,7 @@
 // isWhole reports whether all events came, each once and in order.
 func (c *StreamCall) isWhole() bool {
 	var expected strings.Builder
-	for number := 1; number <= engineEvents; number++ {
+	for number := 1; number <= eventsPerAnswer; number++ {
 		fmt.Fprintf(&expected, "id: %d\ndata: %s\n\n", number, eventData(c.ID, number))
 	}
 	return c.Status == http.StatusOK && !c.IsBroken && c.Body == expected.String()
@@ -50,12 +50,12 @@
 		return nil
 	}
 	route := func(name, prefix, kind string) configuration.Route {
-		return configuration.Route{Name: name, Host: frontHost, PathPrefix: prefix, Type: kind, TimeoutMs: callLimit.Milliseconds(),
+		return configuration.Route{Name: name, Host: frontHost, PathPrefix: prefix, Type: kind, TimeoutMs: callTimeout.Milliseconds(),
 			TargetLatencyMs: 300, Service: assistantService, MaxAttempts: 2}
 	}
 	explain, drafts := route("explain", explainPrefix, configuration.RouteStreaming), route("drafts", draftsPrefix, configuration.RouteBatch)
 	explain.IsResumable = true
-	drafts.ResultDeadlineMs, drafts.MaxQueueS = lotDeadline.Milliseconds(), settleLimit.Seconds()
+	drafts.ResultDeadlineMs, drafts.MaxQueueS = lotDeadline.Milliseconds(), settleTimeout.Seconds()
 	return []configuration.Route{route("ask", askPrefix, configuration.RouteStreaming), explain, drafts}
 }
 
@@ -72,7 +72,7 @@
 // newTierClient returns a client of the tier.
 func newTierClient(s *soak, number int, gate Node) *streamClient {
 	return &streamClient{soak: s, number: number, gate: gate, draw: rand.New(rand.NewPCG(s.options.Seed, uint64(streamStream+number))),
-		client: &http.Client{Timeout: callLimit, Transport: &http.Transport{DisableKeepAlives: true}}}
+		client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // startTierClients starts the clients of streams and of lots if the mix has a tier. They run until ctx is done.
@@ -93,12 +93,12 @@
 		if c.draw.IntN(2) == 0 {
 			prefix = explainPrefix
 		}
-		c.ask(ctx, prefix)
+		c.requestStream(ctx, prefix)
 	}
 }
 
 // requestStream makes one request and records its outcome, unless the soak has ended meanwhile.
-func (c *streamClient) ask(ctx context.Context, prefix string) {
+func (c *streamClient) requestStream(ctx context.Context, prefix string) {
 	c.calls++
 	call := StreamCall{Gate: c.gate.Name, Prefix: prefix, ID: fmt.Sprintf("s%d-%d", c.number, c.calls), SentAt: c.recorder.now()}
 	answer, err := c.client.Do(c.tierRequest(ctx, http.MethodPost, c.gate, prefix+call.ID, call.ID, "prompt"))
@@ -115,39 +115,39 @@
 
 // tierRequest returns a request of a client of the tier, with the key of a tenant if there are tenants.
 func (c *streamClient) tierRequest(ctx context.Context, method string, gate Node, path, id, body string) *http.Request {
-	made, err := http.NewRequestWithContext(ctx, method, "http://"+endpoint(gate.IP, frontPort)+path, strings.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+endpoint(gate.IP, frontPort)+path, strings.NewReader(body))
 	if err != nil {
 		panic(err) // the address and the path are those of the layout
 	}
-	made.Host = frontHost
-	made.Header.Set(headers.RequestID, id)
-	made.Header.Set("X-Model-Name", "m")
-	made.Header.Set("X-Token-Usage", "100,10")
-	made.Header.Set(headers.PromptPrefix, "5c1e:80,"+id+":20")
-	made.Header.Set(headers.TimeRemaining, fmt.Sprint(callLimit.Milliseconds()))
+	httpRequest.Host = frontHost
+	httpRequest.Header.Set(headers.RequestID, id)
+	httpRequest.Header.Set("X-Model-Name", "m")
+	httpRequest.Header.Set("X-Token-Usage", "100,10")
+	httpRequest.Header.Set(headers.PromptPrefix, "5c1e:80,"+id+":20")
+	httpRequest.Header.Set(headers.TimeRemaining, fmt.Sprint(callTimeout.Milliseconds()))
 	if key := c.layout.keyOf(0); key != "" {
-		made.Header.Set("Authorization", "Bearer "+key)
+		httpRequest.Header.Set("Authorization", "Bearer "+key)
 	}
-	return made
+	return httpRequest
 }
 
 // badStreams is the oracle of streams: it finds answers that are not the stream of their request, refusals of proper requests,
 // and streams that a gate without a fault broke off.
 func badStreams(h *History) []Violation {
 	var violations []Violation
-	note := func(call *StreamCall, text string) {
+	report := func(call *StreamCall, text string) {
 		violations = append(violations, Violation{OracleStream, call.EndedAt, fmt.Sprintf("%s%s at %s: %s", call.Prefix, call.ID, call.Gate, text)})
 	}
 	for index := range h.Streams {
 		call := &h.Streams[index]
-		isCalm := !h.isTroubled(call.Gate, call.SentAt-contactWindow, call.EndedAt) && !h.isStalled(call.SentAt, call.EndedAt)
+		isUndisturbed := !h.isTroubled(call.Gate, call.SentAt-contactWindow, call.EndedAt) && !h.isStalled(call.SentAt, call.EndedAt)
 		switch {
 		case call.Status == http.StatusOK && !call.IsBroken && !call.isWhole():
-			note(call, fmt.Sprintf("answered by %q", call.Body))
+			report(call, fmt.Sprintf("answered by %q", call.Body))
 		case call.Status/100 == 4 && call.Status != http.StatusTooManyRequests && call.Status != http.StatusRequestTimeout:
-			note(call, fmt.Sprintf("refused by %d %s", call.Status, call.Body))
-		case call.Status == http.StatusOK && call.IsBroken && isCalm:
-			note(call, "broken off")
+			report(call, fmt.Sprintf("refused by %d %s", call.Status, call.Body))
+		case call.Status == http.StatusOK && call.IsBroken && isUndisturbed:
+			report(call, "broken off")
 		}
 	}
 	return violations
--- a/internal/simulation/soak/tenants.go
+++ b/internal/simulation/soak/tenants.go
@@ -118,11 +118,11 @@
 		}
 		return a.by - b.by
 	})
-	const most = tenantLimitTasks*(1+tenantOverrun) + 1
+	const maxRunning = tenantLimitTasks*(1+tenantOverrun) + 1
 	running := 0
 	for _, change := range changes {
 		running += change.by
-		if change.by > 0 && float64(running) > most {
+		if change.by > 0 && float64(running) > maxRunning {
 			return []Violation{{OracleQuota, h.sinceStart(change.atMs), fmt.Sprintf("a tenant has %d tasks running, and may have %d", running, tenantLimitTasks)}}
 		}
 	}
