--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -143,11 +143,11 @@
 	}
 	text, err := json.Marshal(spec)
 	if err != nil {
-		return errors.Annotate(err, "spec of the executors")
+		return errors.Annotate(err, "spec of the fake executors")
 	}
 	path := filepath.Join(c.folder, executorsName+".json")
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return errors.Annotate(err, "spec of the executors")
+		return errors.Annotate(err, "spec of the fake executors")
 	}
 	p := &process{node: Node{Name: executorsName}, arguments: []string{"hollow", "--spec", path}, isExempt: true}
 	c.processes[executorsName], c.order = p, append(c.order, executorsName)
@@ -180,7 +180,7 @@
 		return
 	}
 	if err := c.launch(p); err != nil {
-		c.log.Error(err, "process not started again")
+		c.log.Error(err, "process not restarted")
 	}
 }
 
@@ -220,7 +220,7 @@
 	case FaultSettings:
 		c.recordTrouble(event.Target, event.Kind, 0)
 		if err := c.writeSettings(p.node); err != nil {
-			c.log.Error(err, "settings not changed")
+			c.log.Error(err, "settings file not rewritten")
 		}
 	case FaultWipe:
 		c.end(event.Target, event.Kind, func() { c.wipe(p) })
@@ -274,7 +274,7 @@
 // wipe empties the disk of a steward and restarts it.
 func (c *cluster) wipe(p *process) {
 	if err := os.RemoveAll(dataFolder(c.folder, p.node)); err != nil {
-		c.log.Error(err, "disk not emptied")
+		c.log.Error(err, "disk of a steward not emptied")
 	}
 	c.relaunch(p)
 }
@@ -284,7 +284,7 @@
 	node := c.layout.steward(len(c.layout.Stewards) + c.replacements)
 	c.replacements++
 	if err := c.add(node); err != nil {
-		c.log.Error(err, "replacement not started")
+		c.log.Error(err, "replacement steward not started")
 	}
 }
 
--- a/internal/simulation/soak/engine.go
+++ b/internal/simulation/soak/engine.go
@@ -96,7 +96,7 @@
 	}
 	page, err := json.Marshal(map[string]any{"instance-list": listed, "next-token": nil})
 	if err != nil {
-		return errors.Annotate(err, "list of executors")
+		return errors.Annotate(err, "encoding the list of executors")
 	}
 	return serveUntil(ctx, s.layout.platformAddress(), http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
 		to.Header().Set("Content-Type", "application/json")
--- a/internal/simulation/soak/mix_test.go
+++ b/internal/simulation/soak/mix_test.go
@@ -15,8 +15,8 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-var _ = Describe("a mix", func() {
-	It("is the same for a seed, and as many seeds in a row as there are combinations have all of them", func() {
+var _ = Describe("Mixes", func() {
+	It("are the same for the same seed, and cover every combination of features over consecutive seeds", func() {
 		seen := map[string]bool{}
 		for seed := range uint64(1 << len(AllFeatures)) {
 			mix := DrawMix(seed)
@@ -26,7 +26,7 @@
 		Expect(seen).To(HaveLen(1 << len(AllFeatures)))
 	})
 
-	It("gives settings that each role can be started with, whatever is drawn", func() {
+	It("have valid settings for each role with any seed", func() {
 		for seed := range uint64(500) {
 			layout := NewMixedLayout(MinProcesses+int(seed%40), "127.92", DrawMix(seed))
 			for _, role := range []Role{RoleSteward, RoleStorage, RoleGate, RoleProxy} {
@@ -47,7 +47,7 @@
 		}
 	})
 
-	DescribeTable("can be given wrong settings", func(fault SettingsFault, isWrong func(*settings.Settings) bool) {
+	DescribeTable("have the mistake of a settings fault in their settings", func(fault SettingsFault, isWrong func(*settings.Settings) bool) {
 		layout := NewMixedLayout(MinProcesses, "127.92", DrawMix(15))
 		text, err := layout.settingsOf(layout.Gates[0], "/folder", []string{"127.92.2.1:8166"}, true, fault)
 		Expect(err).NotTo(HaveOccurred())
@@ -55,11 +55,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(isWrong(parsed)).To(BeTrue())
 	},
-		Entry("contracts that are left out", ForgetContracts, func(s *settings.Settings) bool { return !s.ServesRequests() && s.ServesCoordination() }),
-		Entry("the bound of another", WrongBound, func(s *settings.Settings) bool { return s.Bounds.StatusS == wrongStatusSeconds }),
+		Entry("left-out contracts", ForgetContracts, func(s *settings.Settings) bool { return !s.ServesRequests() && s.ServesCoordination() }),
+		Entry("a wrong bound", WrongBound, func(s *settings.Settings) bool { return s.Bounds.StatusS == wrongStatusSeconds }),
 	)
 
-	It("refuses options that can't be played", func() {
+	It("are refused with options that contradict each other", func() {
 		options := Options{Length: MinLength, Processes: MinProcesses, Network: "127.92", Program: "/", SettingsFault: "nothing"}
 		Expect(options.Check()).To(MatchError(ContainSubstring("--wrong-settings")))
 		options.SettingsFault = ForgetContracts
@@ -69,8 +69,8 @@
 	})
 })
 
-var _ = Describe("the oracles of mixes", func() {
-	It("let an evacuated zone have what was started before the bound, and starts while something was done to the process", func() {
+var _ = Describe("The oracles of mixes", func() {
+	It("report only starts in an evacuated zone that are after the deadline, before its end and not near a fault", func() {
 		h := flawlessHistory()
 		h.Mix = &Mix{EvacuationMs: 3000, Zones: 2}
 		h.Zones, h.Stewards = map[string]string{"worker-1": "zone-1", "worker-2": "zone-1"}, map[string]bool{"steward-1": true}
@@ -88,7 +88,7 @@
 		Expect(startsInEvacuatedZones(h)).To(BeEmpty())
 	})
 
-	It("let a tenant have its limit and one task more, also where one ends as another begins", func() {
+	It("report a tenant only above its limit plus one task, and count an end before a start in the same millisecond", func() {
 		h := flawlessHistory()
 		h.Mix, h.Calls = &Mix{Features: []Feature{FeatureTenants}}, []Call{{Verb: verbSubmit, Job: "0000000000000991"}}
 		h.Runs = nil
@@ -103,7 +103,7 @@
 		Expect(exceededLimits(h)).To(HaveLen(1))
 	})
 
-	It("compare what was read of a lot with what it is at last", func() {
+	It("report results of a lot that change, repeat an item or are unknown", func() {
 		lot := Lot{ID: "0000000000000000", Items: 2}
 		for _, number := range []int{1, 0} {
 			lot.Last = append(lot.Last, LotResult{Item: lot.item(number), State: "completed", Text: expectedText(lot.item(number))})
@@ -118,7 +118,7 @@
 		Expect(lot.problem()).To(ContainSubstring("two positions"))
 	})
 
-	It("let a stream end early only where something was done to its gate", func() {
+	It("report a broken stream only of a gate without a fault, and a stream that was refused as unknown", func() {
 		h := flawlessHistory()
 		h.Streams = []StreamCall{{Gate: "gate-1", ID: "s", SentAt: 21 * time.Second, EndedAt: 22 * time.Second, Status: http.StatusOK, IsBroken: true},
 			{Gate: "gate-2", ID: "s", Status: http.StatusServiceUnavailable}}
@@ -129,7 +129,7 @@
 	})
 })
 
-var _ = Describe("the stand-in for an executor of requests", func() {
+var _ = Describe("The fake executor of requests", func() {
 	send := func(headers map[string]string) *httptest.ResponseRecorder {
 		request, answer := httptest.NewRequest(http.MethodPost, "/ask/1", strings.NewReader("prompt")), httptest.NewRecorder()
 		for name, value := range headers {
@@ -139,7 +139,7 @@
 		return answer
 	}
 
-	It("answers a whole stream, or what follows the last event that the caller has", func() {
+	It("answers with the whole stream, or with the events after Last-Event-Id", func() {
 		call := StreamCall{ID: "s", Status: http.StatusOK}
 		answer := send(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-0"})
 		call.Body = answer.Body.String()
@@ -149,11 +149,11 @@
 		Expect(strings.HasSuffix(call.Body, rest)).To(BeTrue())
 	})
 
-	It("turns away what is meant for another", func() {
+	It("refuses a request for another executor", func() {
 		Expect(send(map[string]string{"X-Request-Id": "s", "X-Expected-Executor": "e-1"}).Code).To(Equal(http.StatusMisdirectedRequest))
 	})
 
-	It("stands in the zones of the mix", func() {
+	It("has instances in all zones of the mix", func() {
 		layout := NewMixedLayout(MinProcesses, "127.92", &Mix{Features: []Feature{FeatureTier}, Zones: 2})
 		zones := map[string]bool{}
 		for _, started := range layout.engines() {
--- a/internal/simulation/soak/oracles_test.go
+++ b/internal/simulation/soak/oracles_test.go
@@ -12,7 +12,8 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// sound is a history in which nothing is wrong: two jobs of two tasks each, one of them cancelled late, and some troubles.
+// flawlessHistory returns a history without violations: two jobs of two tasks each, one of them cancelled late, and
+// a few faults.
 func flawlessHistory() *History {
 	h := &History{StartMs: 1_000_000, FinalStates: map[string]string{"0000000000000111": "completed", "0000000000000201": "cancelled"}}
 	answer := func(verb verb, job, state string, at time.Duration) Call {
@@ -38,7 +39,7 @@
 	return h
 }
 
-// oraclesOf names the oracles that find something, each once.
+// oraclesOf returns the oracles that find a violation, each once.
 func oraclesOf(h *History) []Oracle {
 	var names []Oracle
 	for _, violation := range Judge(h) {
@@ -49,49 +50,49 @@
 	return names
 }
 
-var _ = Describe("the oracles", func() {
-	It("find nothing where nothing is wrong", func() {
+var _ = Describe("The oracles", func() {
+	It("find nothing in a flawless history", func() {
 		Expect(Judge(flawlessHistory())).To(BeEmpty())
 	})
 
-	DescribeTable("find what is planted into a history, and nothing else", func(fault InjectedFault) {
+	DescribeTable("find an injected fault and nothing else", func(fault InjectedFault) {
 		h := flawlessHistory()
 		fault.injectInto(h)
 		Expect(oraclesOf(h)).To(Equal([]Oracle{Oracle(fault)}))
 	}, Entry("a lost job", InjectLost), Entry("a task run twice", InjectTwice), Entry("a job shown as completed too early", InjectShown),
-		Entry("a start after a cancel", InjectCancelled), Entry("a refused fence that is used on", InjectFence),
-		Entry("an older configuration", InjectConfiguration), Entry("an end that nobody asked for", InjectExit), Entry("memory that grows", InjectGrowth),
-		Entry("a number given twice", InjectCoordination), Entry("a start in an evacuated zone", InjectEvacuation),
-		Entry("more running than a tenant may have", InjectQuota), Entry("a key that nobody has", InjectKey),
+		Entry("a start after a cancellation", InjectCancelled), Entry("orders under a refused fence", InjectFence),
+		Entry("an older configuration read back", InjectConfiguration), Entry("an unrequested exit", InjectExit), Entry("memory that grows", InjectGrowth),
+		Entry("a number issued twice", InjectCoordination), Entry("a start in an evacuated zone", InjectEvacuation),
+		Entry("a tenant above its limit", InjectQuota), Entry("an accepted unknown key", InjectKey),
 		Entry("the stream of another request", InjectStream), Entry("a lot without its results", InjectLot),
-		Entry("a feature of which nothing is served", InjectServed))
+		Entry("a feature that served nothing", InjectServed))
 
-	DescribeTable("find one thing each", func(oracle Oracle, change func(*History)) {
+	DescribeTable("find a single violation and nothing else", func(oracle Oracle, change func(*History)) {
 		h := flawlessHistory()
 		change(h)
 		Expect(oraclesOf(h)).To(Equal([]Oracle{oracle}))
 	},
 		Entry("a job that failed", OracleLost, func(h *History) { h.FinalStates["0000000000000111"] = "failed" }),
-		Entry("a job that was cancelled by nobody", OracleLost, func(h *History) { h.FinalStates["0000000000000111"] = "cancelled" }),
+		Entry("a job that is cancelled without a request", OracleLost, func(h *History) { h.FinalStates["0000000000000111"] = "cancelled" }),
 		Entry("a start after the task was done", OracleTwice, func(h *History) {
 			h.Runs = append(h.Runs, hollow.RunRecord{Task: "0000000000000111.0.0.0", Run: 3, Node: "worker-2", StartMs: h.StartMs + 1350, EndMs: h.StartMs + 1360, Outcome: "stopped"})
 		}),
 		Entry("the answer to another request", OracleWrong, func(h *History) { h.Calls[0].EchoedID = "another" }),
 		Entry("an answer without an ID", OracleWrong, func(h *History) { h.Calls[0].EchoedID = "" }),
-		Entry("a request left without an answer by a calm gate", OracleCut, func(h *History) {
+		Entry("a request without an answer from a gate without a fault", OracleCut, func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: closed, SentAt: 40 * time.Second, EndedAt: 41 * time.Second})
 		}),
 		Entry("a gate that does not know a configuration", OracleConfiguration, func(h *History) {
 			h.Probes = append(h.Probes, Probe{Gate: "gate-1", Version: 3, SentAt: 14 * time.Second, Status: 404})
 		}),
 		Entry("a process that ends late after SIGTERM", OracleExit, func(h *History) { h.Exits[1].Took = exitTimeout + time.Second }),
-		Entry("a process that ends by SIGTERM though it has long read signals", OracleExit, func(h *History) {
+		Entry("a process that SIGTERM kills although it should handle signals by then", OracleExit, func(h *History) {
 			h.Exits = append(h.Exits, Exit{Process: "gate-1", Cause: FaultTerminate, Age: 2 * signalReadyTimeout, Code: -1, Signal: "terminated"})
 		}),
-		Entry("a process that ends badly after SIGTERM", OracleExit, func(h *History) { h.Exits[1].Code = 2 }),
+		Entry("a process that ends with a failure after SIGTERM", OracleExit, func(h *History) { h.Exits[1].Code = 2 }),
 	)
 
-	It("find a request on a connection that a calm gate refused, or that another gate refused", func() {
+	It("find an unanswered request if the gate that refused the connection had no fault, or was another gate", func() {
 		for _, gates := range [][2]string{{"gate-2", "gate-2"}, {"gate-1", "gate-2"}} {
 			h := flawlessHistory()
 			refuse(h, gates[0], gates[1])
@@ -99,35 +100,36 @@
 		}
 	})
 
-	DescribeTable("pass over what a fault explains", func(change func(*History)) {
+	DescribeTable("report nothing that a fault explains", func(change func(*History)) {
 		h := flawlessHistory()
 		change(h)
 		Expect(Judge(h)).To(BeEmpty())
 	},
-		Entry("a request cut by a kill", func(h *History) {
+		Entry("a request without an answer from a killed gate", func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: closed, SentAt: 20 * time.Second, EndedAt: 21 * time.Second})
 		}),
-		Entry("a request that crosses the close", func(h *History) {
+		Entry("a request that crosses the close of its connection", func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: closed, SentAt: 40 * time.Second, EndedAt: 40*time.Second + lossSlack/2})
 		}),
 		Entry("a gate that has just started", func(h *History) {
 			h.Probes = append(h.Probes, Probe{Gate: "gate-1", Version: 3, SentAt: 23 * time.Second, Status: 404})
 		}),
-		Entry("a process that is told to end before it reads signals", func(h *History) {
+		Entry("a process that is terminated before it handles signals", func(h *History) {
 			h.Exits = append(h.Exits, Exit{Process: "gate-1", Cause: FaultTerminate, Age: signalReadyTimeout / 2, Code: -1, Signal: "terminated"})
 		}),
-		Entry("a refusal of a gate that leaves, which has no ID", func(h *History) {
+		Entry("a refusal without an ID by a gate that shuts down", func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: answered, Status: 503, RequestID: "asked"})
 		}),
-		Entry("a request whose connection a gate refused that was told to end", func(h *History) { refuse(h, "gate-1", "gate-1") }),
-		Entry("a time in which the soak stood still", func(h *History) {
+		Entry("a request whose connection was refused by a terminated gate", func(h *History) { refuse(h, "gate-1", "gate-1") }),
+		Entry("a request during a stall of the soak", func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: closed, SentAt: 40 * time.Second, EndedAt: 42 * time.Second})
 			h.Stalls = append(h.Stalls, Stall{41 * time.Second, 42 * time.Second})
 		}),
 	)
 })
 
-// refuse adds a request to a gate, and the refusal of its connection by a gate. Only gate-1 is told to end shortly before.
+// refuse adds an unanswered request to one gate, and the refusal of its connection by another or the same gate. Only gate-1 has
+// a fault: it is terminated shortly before.
 func refuse(h *History, requested, refusing string) {
 	const sentAt, endedAt = 40 * time.Second, 41 * time.Second
 	h.Troubles = append(h.Troubles, Trouble{"gate-1", FaultTerminate, sentAt - time.Second, endedAt + time.Second})
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -42,12 +42,12 @@
 	limited, release := context.WithTimeout(ctx, startTimeout)
 	defer release()
 	operator := newOperator(s)
-	if err := retryUntil(limited, "no steward took the first configuration", func() bool { return operator.proposeVersion(limited, firstVersion) }); err != nil {
+	if err := retryUntil(limited, "no steward accepted the first configuration", func() bool { return operator.proposeVersion(limited, firstVersion) }); err != nil {
 		return err
 	}
 	for number := range s.layout.Gates {
 		c := s.newSetUpClient(number)
-		err := retryUntil(limited, "no job is accepted at "+c.gate.Name, func() bool {
+		err := retryUntil(limited, "no job was accepted by "+c.gate.Name, func() bool {
 			id := newJob(c.draw)
 			return c.call(limited, verbSubmit, id, shapeOf(id).body()).isAccepted()
 		})
@@ -156,7 +156,7 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		s.log.Error(err, "executors not asked")
+		s.log.Error(err, "fake executors did not answer")
 		return false
 	}
 	defer response.Body.Close()
--- a/internal/simulation/soak/relay.go
+++ b/internal/simulation/soak/relay.go
@@ -41,7 +41,7 @@
 func newRelay(ctx context.Context, address, gate string, injected InjectedFault, recordRefused func(client net.Addr)) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, errors.Annotate(err, "relay")
+		return nil, errors.Annotate(err, "listening for a relay")
 	}
 	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gate: gate, injected: injected,
 		recordRefused: recordRefused, connections: map[net.Conn]net.Conn{}}
--- a/internal/simulation/soak/relay_test.go
+++ b/internal/simulation/soak/relay_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("A relay", func() {
-	It("notes the client of a connection that its gate refuses, before it ends that connection", func() {
+	It("records a connection that its gate refuses before it closes the connection", func() {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		var steps []string
@@ -21,7 +21,7 @@
 	})
 })
 
-// scriptedClient is a connection of a client of which a relay sees the address and the end alone.
+// scriptedClient is a client's connection with a fixed address that records its close. A relay uses no other method of it here.
 type scriptedClient struct {
 	net.Conn
 	record func(step string)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// addressWithoutListener gives an address at which nothing listens any more.
+// addressWithoutListener returns a loopback address at which nothing listens any more.
 func addressWithoutListener() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/simulation/soak/schedule_test.go
+++ b/internal/simulation/soak/schedule_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a schedule", func() {
+var _ = Describe("A schedule", func() {
 	options := func(seed uint64, processes int) Options {
 		return Options{Seed: seed, Length: 2 * time.Minute, Processes: processes, Kinds: AllFaults, Network: "127.92"}
 	}
@@ -17,12 +17,12 @@
 		return Draw(options(seed, processes), NewLayout(processes, "127.92"))
 	}
 
-	It("is the same for a seed, and another for another", func() {
+	It("depends on the seed", func() {
 		Expect(draw(7, 20)).To(Equal(draw(7, 20)))
 		Expect(draw(7, 20)).NotTo(Equal(draw(8, 20)))
 	})
 
-	It("never takes away more stewards than may be lost at once", func() {
+	It("never makes more stewards unavailable at the same time than the layout tolerates", func() {
 		for seed := range uint64(40) {
 			for _, processes := range []int{MinProcesses, 30} {
 				schedule, losses := draw(seed, processes), NewLayout(processes, "127.92").Losses
@@ -33,29 +33,29 @@
 		}
 	})
 
-	It("strikes no steward that was replaced, and its successor like all others", func() {
+	It("has no event for a steward after its replacement", func() {
 		kinds := []FaultKind{FaultReplace, FaultKill}
 		for seed := range uint64(20) {
 			chosen := options(seed, MinProcesses)
 			chosen.Kinds = kinds
-			gone := map[string]bool{}
+			replaced := map[string]bool{}
 			for _, event := range Draw(chosen, NewLayout(MinProcesses, "127.92")).Events {
-				Expect(gone[event.Target]).To(BeFalse())
-				gone[event.Target] = gone[event.Target] || event.Kind == FaultReplace
+				Expect(replaced[event.Target]).To(BeFalse())
+				replaced[event.Target] = replaced[event.Target] || event.Kind == FaultReplace
 			}
 		}
 	})
 
-	It("leaves the end calm, and has no events without kinds", func() {
+	It("has no event near the end, and none at all without kinds of faults", func() {
 		for _, event := range draw(3, 40).Events {
 			Expect(event.at()).To(BeNumerically("<", 2*time.Minute-faultFreeEnd))
 		}
-		calm := options(3, 40)
-		calm.Kinds = nil
-		Expect(Draw(calm, NewLayout(40, "127.92")).Events).To(BeEmpty())
+		withoutKinds := options(3, 40)
+		withoutKinds.Kinds = nil
+		Expect(Draw(withoutKinds, NewLayout(40, "127.92")).Events).To(BeEmpty())
 	})
 
-	It("is shrunk to what still fails", func() {
+	It("shrinks to the events that are needed for the failure", func() {
 		schedule := draw(5, 20)
 		needed := []Event{schedule.Events[3], schedule.Events[len(schedule.Events)-2]}
 		shorter := Shrink(schedule, 1000, func(tried *Schedule) bool {
@@ -64,13 +64,13 @@
 		Expect(shorter.Events).To(Equal(needed))
 	})
 
-	It("is shrunk no further than there are plays", func() {
+	It("shrinks with at most the given number of trials", func() {
 		plays := 0
 		Shrink(draw(5, 20), 4, func(*Schedule) bool { plays++; return false })
 		Expect(plays).To(Equal(4))
 	})
 
-	It("is refused if it names what there is not, by its flag", func() {
+	It("is refused with the name of its flag if a kind or a time is invalid, or the file is no schedule", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "schedule.json")
 		Expect(os.WriteFile(path, []byte(`{"length-ms":1000,"events":[{"at-ms":5,"kind":"quake"},{"at-ms":2000,"kind":"kill"}]}`), 0o600)).To(Succeed())
 		schedule, err := LoadSchedule(path)
@@ -82,7 +82,7 @@
 	})
 })
 
-// lostAt counts the stewards that are away at a moment.
+// lostAt returns the number of stewards that count as lost at a time.
 func lostAt(schedule *Schedule, at time.Duration) int {
 	lost := map[string]bool{}
 	for _, event := range schedule.Events {
@@ -104,8 +104,8 @@
 	return found == len(wanted)
 }
 
-var _ = Describe("options", func() {
-	It("are refused by the names of their flags", func() {
+var _ = Describe("Options", func() {
+	It("are refused with the names of their flags", func() {
 		bad := Options{Length: time.Second, Processes: 4000, Kinds: []FaultKind{"quake"}, InjectedFault: "weed", Network: "10.0", Program: "/nowhere/gannetline"}
 		err := bad.Check()
 		for _, flag := range []string{"--seconds", "--processes", "--faults", "--plant", "--network", "--program"} {
@@ -114,8 +114,8 @@
 	})
 })
 
-var _ = Describe("a job", func() {
-	It("has its shape in its ID", func() {
+var _ = Describe("A job ID", func() {
+	It("encodes the shape of the job", func() {
 		Expect(shapeOf("00000000000003a2")).To(Equal(shape{3, 10, 2 * shapeUnit}))
 		Expect(shapeOf("no ID").tasks()).To(BeZero())
 	})
--- a/internal/simulation/soak/soak.go
+++ b/internal/simulation/soak/soak.go
@@ -58,7 +58,7 @@
 func makeFolder(keep string) (folder string, remove func(), err error) {
 	if keep == "" {
 		folder, err = os.MkdirTemp("", "soak-")
-		return folder, func() { os.RemoveAll(folder) }, errors.Annotate(err, "making a folder")
+		return folder, func() { os.RemoveAll(folder) }, errors.Annotate(err, "creating a temporary folder")
 	}
 	folder, err = filepath.Abs(keep)
 	if err == nil {
@@ -107,9 +107,9 @@
 	endClients()
 	clients.Wait()
 	if ctx.Err() != nil {
-		return nil, errors.Annotate(ctx.Err(), "stopped before its end")
+		return nil, errors.Annotate(ctx.Err(), "soak stopped before its end")
 	}
-	s.log.Info("faults are over, waiting for the accepted jobs")
+	s.log.Info("faults have ended, waiting for accepted jobs")
 	s.settle(ctx)
 	s.readRecords(ctx)
 	s.cluster.shutDown()
