--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -160,7 +160,7 @@
 		return
 	}
 	exit := exitOf(p, state, c.recorder.now())
-	p.input.Close()
+	p.inputWriter.Close()
 	p.phase = phaseEnded
 	c.recorder.write(func(h *History) { h.Exits = append(h.Exits, exit) })
 	c.log.V(1).Info("process ended", "process", p.node.Name, "asked", exit.Cause, "code", exit.Code, "signal", exit.Signal)
--- a/internal/simulation/soak/engine.go
+++ b/internal/simulation/soak/engine.go
@@ -30,20 +30,20 @@
 }
 
 // ServeHTTP streams the events after Last-Event-Id. It refuses a request without an ID or for another executor.
-func (e *engine) ServeHTTP(to http.ResponseWriter, call *http.Request) {
+func (e *engine) ServeHTTP(writer http.ResponseWriter, call *http.Request) {
 	id := call.Header.Get(headers.RequestID)
-	to.Header().Set(headers.RequestID, id)
-	to.Header().Set("X-Server-Seal", e.id)
+	writer.Header().Set(headers.RequestID, id)
+	writer.Header().Set("X-Server-Seal", e.id)
 	if call.Header.Get(headers.ExpectedExecutor) != e.id || id == "" {
-		to.WriteHeader(http.StatusMisdirectedRequest)
+		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	to.Header().Set("Content-Type", "text/event-stream")
+	writer.Header().Set("Content-Type", "text/event-stream")
 	// A missing header parses as 0: the answer begins with the first event.
 	last, _ := strconv.Atoi(call.Header.Get(headers.LastEventID))
-	flusher := http.NewResponseController(to)
+	flusher := http.NewResponseController(writer)
 	for number := last + 1; number <= eventsPerAnswer; number++ {
-		fmt.Fprintf(to, "id: %d\ndata: %s\n\n", number, eventData(id, number))
+		fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, eventData(id, number))
 		if flusher.Flush() != nil || !pause(call.Context(), eventGap) {
 			return
 		}
@@ -98,10 +98,10 @@
 	if err != nil {
 		return errors.Annotate(err, "encoding the list of executors")
 	}
-	return serveUntil(ctx, s.layout.platformAddress(), http.HandlerFunc(func(to http.ResponseWriter, _ *http.Request) {
-		to.Header().Set("Content-Type", "application/json")
+	return serveUntil(ctx, s.layout.platformAddress(), http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		writer.Header().Set("Content-Type", "application/json")
 		// A failed write means that the reader has disconnected.
-		_, _ = to.Write(page)
+		_, _ = writer.Write(page)
 	}))
 }
 
--- a/internal/simulation/soak/evacuation.go
+++ b/internal/simulation/soak/evacuation.go
@@ -34,9 +34,9 @@
 		pause(ctx, evacuationLength)
 		order.TerminateSentAt = o.recorder.now()
 		// A zone that stays evacuated would keep jobs from running, so the evacuation is ended even if the soak ends meanwhile.
-		limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout/2)
-		o.orderUntilAcknowledged(limited, zone, "terminate")
-		release()
+		timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout/2)
+		o.orderUntilAcknowledged(timeoutCtx, zone, "terminate")
+		cancel()
 		o.recorder.write(func(h *History) { h.Evacuations = append(h.Evacuations, order) })
 	}
 }
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -97,7 +97,7 @@
 	return result
 }
 
-func growth(h *History) []Violation {
+func growingResources(h *History) []Violation {
 	var violations []Violation
 	for _, slope := range slopes(h) {
 		if slope.isGrowth {
--- a/internal/simulation/soak/load.go
+++ b/internal/simulation/soak/load.go
@@ -69,8 +69,8 @@
 	return loads
 }
 
-// busiest returns the maximum of each figure over the processes of a role.
-func busiest(loads []ProcessLoad, role Role) ProcessLoad {
+// maxLoadOf returns the maximum of each figure over the processes of a role.
+func maxLoadOf(loads []ProcessLoad, role Role) ProcessLoad {
 	var most ProcessLoad
 	for _, load := range loads {
 		if load.Role == role {
--- a/internal/simulation/soak/lots.go
+++ b/internal/simulation/soak/lots.go
@@ -74,10 +74,10 @@
 			c.read(ctx, lot, c.draw.IntN(len(lot.Last)+1))
 		}
 	}
-	limited, release := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
-	defer release()
+	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+	defer cancel()
 	for _, lot := range c.accepted {
-		c.readWhole(limited, lot)
+		c.readWhole(timeoutCtx, lot)
 		settled := *lot
 		c.recorder.write(func(h *History) { h.Lots = append(h.Lots, settled) })
 	}
--- a/internal/simulation/soak/operator.go
+++ b/internal/simulation/soak/operator.go
@@ -93,12 +93,12 @@
 	}
 }
 
-// proposeVersion proposes a version to a steward and returns whether it is acknowledged.
+// proposeVersion proposes a version to a steward and reports whether it is acknowledged.
 func (o *operator) proposeVersion(ctx context.Context, version int64) bool {
 	return o.propose(ctx, version-1, o.newConfiguration(version))
 }
 
-// propose proposes a configuration that is based on a version to a steward, and returns whether it is acknowledged.
+// propose proposes a configuration that is based on a version to a steward, and reports whether it is acknowledged.
 func (o *operator) propose(ctx context.Context, base int64, next configuration.Configuration) bool {
 	status := o.call(ctx, sling.New().Post(o.stewardURL("/v1/configuration/replace")).
 		Set(headers.BaseVersion, strconv.FormatInt(base, 10)).BodyJSON(next), nil)
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -68,7 +68,7 @@
 
 // oracles are the functions of all oracles.
 var oracles = []func(*History) []Violation{lostJobs, repeatedRuns, wrongAnswers, falseCompletions, cutRequests, lateStarts, repeatedFences,
-	staleConfigurations, badExits, coordinationFaults, badRollouts, startsInEvacuatedZones, exceededLimits, unknownKeys, badStreams, badLots, unservedFeatures, growth}
+	staleConfigurations, badExits, coordinationFaults, badRollouts, startsInEvacuatedZones, exceededLimits, unknownKeys, badStreams, badLots, unservedFeatures, growingResources}
 
 // Judge runs all oracles on a history and returns their violations in the order of time.
 func Judge(history *History) []Violation {
@@ -84,8 +84,8 @@
 const (
 	// contactWindow is the time for which a process must have been without a fault before time bounds apply to it.
 	contactWindow = 5 * time.Second
-	// lossSlack is the minimum time between a request and the end of its connection for OracleCut. A later request may cross
-	// the close.
+	// lossSlack is the minimum time between a request and the end of its connection for OracleCut to count it. A later
+	// request may cross the close.
 	lossSlack = 250 * time.Millisecond
 	// cancelTimeout is the time after the acknowledgement of a cancellation in which a task may still start.
 	cancelTimeout = 5 * time.Second
@@ -245,8 +245,8 @@
 	return slices.ContainsFunc(h.Stalls, func(stall Stall) bool { return stall.From <= to && stall.To >= from })
 }
 
-// isRefused reports whether a faulty gate refused the connection of a call. A relay also accepts connections while its gate
-// doesn't listen; a request on such a connection is sent whole but reaches no process.
+// isRefused reports whether a gate with a recent fault refused the connection of a call. A relay also accepts connections
+// while its gate doesn't listen; a request on such a connection is sent whole but reaches no process.
 func (h *History) isRefused(call *Call) bool {
 	isRefused := slices.ContainsFunc(h.RefusedConnections, func(refused RefusedConnection) bool {
 		return refused.Gate == call.Gate && refused.Connection == call.Connection && refused.At <= call.EndedAt &&
--- a/internal/simulation/soak/pairs.go
+++ b/internal/simulation/soak/pairs.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return PairRow{}, err
 	}
-	return PairRow{Parts: busy, Control: busiest(history.Loads, RoleSteward), Storage: busiest(history.Loads, RoleStorage), Gate: busiest(history.Loads, RoleGate),
+	return PairRow{Parts: busy, Control: maxLoadOf(history.Loads, RoleSteward), Storage: maxLoadOf(history.Loads, RoleStorage), Gate: maxLoadOf(history.Loads, RoleGate),
 		JobMs: submitLatency(history), LockMs: lockLatency(history)}, nil
 }
 
--- a/internal/simulation/soak/pairs_test.go
+++ b/internal/simulation/soak/pairs_test.go
@@ -27,7 +27,7 @@
 
 	It("takes the maximum of each figure over the processes of a role", func() {
 		loads := []ProcessLoad{{Role: RoleSteward, Cores: 1, Commits: 5}, {Role: RoleSteward, Cores: 2, Commits: 3}, {Role: RoleGate, Cores: 9}}
-		Expect(busiest(loads, RoleSteward)).To(Equal(ProcessLoad{Cores: 2, Commits: 5}))
+		Expect(maxLoadOf(loads, RoleSteward)).To(Equal(ProcessLoad{Cores: 2, Commits: 5}))
 	})
 
 	It("parses the names of parts, and names an unknown one in the error", func() {
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// setUpClient is the number of the first client that the soak itself uses before and after the others.
-	setUpClient    = 1 << 20
-	retryPause     = 200 * time.Millisecond
-	sampleInterval = 2 * time.Second
-	sampleTimeout  = 500 * time.Millisecond
-	reportTimeout  = 10 * time.Second
+	// firstSetUpClient is the number of the first client that the soak itself uses before and after the others.
+	firstSetUpClient = 1 << 20
+	retryPause       = 200 * time.Millisecond
+	sampleInterval   = 2 * time.Second
+	sampleTimeout    = 500 * time.Millisecond
+	reportTimeout    = 10 * time.Second
 )
 
 // start starts all processes and relays, proposes the first configuration and waits until each gate has accepted a job.
@@ -39,17 +39,17 @@
 	if err := s.cluster.startAll(); err != nil {
 		return err
 	}
-	limited, release := context.WithTimeout(ctx, startTimeout)
-	defer release()
+	timeoutCtx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
 	operator := newOperator(s)
-	if err := retryUntil(limited, "no steward accepted the first configuration", func() bool { return operator.proposeVersion(limited, firstVersion) }); err != nil {
+	if err := retryUntil(timeoutCtx, "no steward accepted the first configuration", func() bool { return operator.proposeVersion(timeoutCtx, firstVersion) }); err != nil {
 		return err
 	}
 	for number := range s.layout.Gates {
 		c := s.newSetUpClient(number)
-		err := retryUntil(limited, "no job was accepted by "+c.gate.Name, func() bool {
+		err := retryUntil(timeoutCtx, "no job was accepted by "+c.gate.Name, func() bool {
 			id := newJob(c.draw)
-			return c.call(limited, verbSubmit, id, shapeOf(id).body()).isAccepted()
+			return c.call(timeoutCtx, verbSubmit, id, shapeOf(id).body()).isAccepted()
 		})
 		c.disconnect()
 		if err != nil {
@@ -61,7 +61,7 @@
 
 // newSetUpClient returns a client of a gate for the soak itself.
 func (s *soak) newSetUpClient(gateNumber int) *client {
-	number := setUpClient + gateNumber
+	number := firstSetUpClient + gateNumber
 	return &client{soak: s, number: number, gate: s.layout.Gates[gateNumber], address: s.layout.relayAddress(gateNumber),
 		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(number)))}
 }
@@ -89,8 +89,8 @@
 // settle polls all accepted jobs until each has ended or settleTimeout is over, and records their last states. The jobs are
 // split into one batch per gate. The batches are polled concurrently, and each round polls a batch at its next gate.
 func (s *soak) settle(ctx context.Context) {
-	limited, release := context.WithTimeout(ctx, settleTimeout)
-	defer release()
+	timeoutCtx, cancel := context.WithTimeout(ctx, settleTimeout)
+	defer cancel()
 	batches := make([]map[string]bool, len(s.layout.Gates))
 	for index := range batches {
 		batches[index] = map[string]bool{}
@@ -102,7 +102,7 @@
 	}
 	var polling sync.WaitGroup
 	for index, batch := range batches {
-		polling.Go(func() { s.settleBatch(limited, index, batch) })
+		polling.Go(func() { s.settleBatch(timeoutCtx, index, batch) })
 	}
 	polling.Wait()
 }
@@ -148,7 +148,7 @@
 	}
 }
 
-// fetch decodes a page of the fake executors' process and returns whether that succeeded.
+// fetch reads and decodes a page of the fake executors' process, and reports whether that succeeded.
 func (s *soak) fetch(ctx context.Context, client *http.Client, path string, result any) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.layout.reportAddress()+path, nil)
 	if err != nil {
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -25,7 +25,7 @@
 	node        Node
 	arguments   []string
 	command     *exec.Cmd
-	input       *os.File
+	inputWriter *os.File
 	phase       processPhase
 	incarnation int
 	startedAt   time.Duration
@@ -46,19 +46,19 @@
 		return errors.Annotatef(err, "log of %s", p.node.Name)
 	}
 	defer log.Close()
-	input, inputEnd, err := os.Pipe()
+	inputReader, inputWriter, err := os.Pipe()
 	if err != nil {
 		return errors.Annotatef(err, "input of %s", p.node.Name)
 	}
-	defer input.Close()
+	defer inputReader.Close()
 	command := exec.Command(program, p.arguments...)
 	// A process that ends with its standard input doesn't outlive the soak, however the soak ends.
-	command.Stdin, command.Stdout, command.Stderr = input, log, log
+	command.Stdin, command.Stdout, command.Stderr = inputReader, log, log
 	if err := command.Start(); err != nil {
-		inputEnd.Close()
+		inputWriter.Close()
 		return errors.Annotatef(err, "starting %s", p.node.Name)
 	}
-	p.command, p.input, p.phase, p.endCause, p.startNext = command, inputEnd, phaseRunning, "", nil
+	p.command, p.inputWriter, p.phase, p.endCause, p.startNext = command, inputWriter, phaseRunning, "", nil
 	p.incarnation, p.startedAt = p.incarnation+1, now
 	go func() {
 		// The exit state contains everything that the error says.
--- a/internal/simulation/soak/schedule.go
+++ b/internal/simulation/soak/schedule.go
@@ -121,8 +121,8 @@
 	return slices.DeleteFunc(all, func(node Node) bool { return d.replacedStewards[node.Name] })
 }
 
-// recordLoss counts a steward as lost and returns false if too many would be lost. A fault may strike a steward that is already
-// lost.
+// recordLoss counts a steward as lost. It returns false instead if too many would be lost. A fault may strike a steward that
+// is already lost.
 func (d *drawer) recordLoss(event Event, at time.Duration) bool {
 	d.lostStewards = slices.DeleteFunc(d.lostStewards, func(loss stewardLoss) bool { return loss.until <= at })
 	lost := map[string]bool{event.Target: true}
@@ -179,13 +179,13 @@
 }
 
 // Shrink removes events from a schedule as long as it still fails: first halves, then ever smaller ranges. It tries at most
-// plays shorter schedules.
-func Shrink(schedule *Schedule, plays int, stillFails func(*Schedule) bool) *Schedule {
-	for size := (len(schedule.Events) + 1) / 2; size > 0 && plays > 0; {
+// maxTrials shorter schedules.
+func Shrink(schedule *Schedule, maxTrials int, stillFails func(*Schedule) bool) *Schedule {
+	for size := (len(schedule.Events) + 1) / 2; size > 0 && maxTrials > 0; {
 		isShorter := false
-		for from := 0; from < len(schedule.Events) && plays > 0; {
+		for from := 0; from < len(schedule.Events) && maxTrials > 0; {
 			shorter := schedule.without(from, min(from+size, len(schedule.Events)))
-			plays--
+			maxTrials--
 			if stillFails(shorter) {
 				schedule, isShorter = shorter, true
 				continue
--- a/internal/simulation/soak/schedule_test.go
+++ b/internal/simulation/soak/schedule_test.go
@@ -65,9 +65,9 @@
 	})
 
 	It("shrinks with at most the given number of trials", func() {
-		plays := 0
-		Shrink(draw(5, 20), 4, func(*Schedule) bool { plays++; return false })
-		Expect(plays).To(Equal(4))
+		trials := 0
+		Shrink(draw(5, 20), 4, func(*Schedule) bool { trials++; return false })
+		Expect(trials).To(Equal(4))
 	})
 
 	It("is refused with the name of its flag if a kind or a time is invalid, or the file is no schedule", func() {
--- a/internal/simulation/soak/soak.go
+++ b/internal/simulation/soak/soak.go
@@ -1,7 +1,7 @@
 // Package soak runs gannetline as real processes on loopback addresses and injects faults by a schedule, while clients and an
-// operator use it over persistent connections. The schedule depends only on a seed. When the processes have shut down, oracles
-// check what clients, operator and executors observed. The bench simulates time and the models never open a socket, so only a
-// soak finds faults of sockets, signals and disks.
+// operator use it over persistent connections. A seed and the options determine the schedule. When the processes have shut
+// down, oracles check what clients, operator and executors observed. The bench simulates time and the models never open a
+// socket, so only a soak finds faults of sockets, signals and disks.
 //
 // A Schedule lists the faults and their times (schedule.go). The cluster owns the processes and applies the faults
 // (cluster.go). Relays between clients and gates cut or stall connections (relay.go). The recorder collects all observations in
@@ -82,15 +82,15 @@
 // execute starts the processes, runs the schedule and the clients, waits for the accepted jobs and shuts everything down.
 func (s *soak) execute(ctx context.Context) (*History, error) {
 	// The goroutines that own processes and history run until all processes have ended, even if ctx is cancelled earlier.
-	partsCtx, endParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer endParts()
-	s.recorder = newRecorder(partsCtx)
-	s.cluster = newCluster(partsCtx, s)
+	ownersCtx, stopOwners := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopOwners()
+	s.recorder = newRecorder(ownersCtx)
+	s.cluster = newCluster(ownersCtx, s)
 	defer s.cluster.killAll()
 	s.recorder.write(func(h *History) {
 		h.Mix, h.Zones, h.Stewards = s.options.Mix, s.layout.zones(), s.layout.stewardNames()
 	})
-	if err := s.startTier(partsCtx); err != nil {
+	if err := s.startTier(ownersCtx); err != nil {
 		return nil, err
 	}
 	if err := s.start(ctx); err != nil {
