--- a/internal/simulation/soak/application.go
+++ b/internal/simulation/soak/application.go
@@ -17,43 +17,45 @@
 
 const (
 	applicationStream = 2000
-	// applicationCount make a call at a time each, and as many watch a group of cells each.
+	// applicationCount is the number of applications that make one call at a time, and of applications that each watch a group
+	// of cells.
 	applicationCount = 4
-	// Few names, so that applications meet at them.
+	// Few names, so that applications contend for them.
 	lockCount, numberCount, groupCount, cellCount = 4, 2, 2, 4
-	// meanCallPause lies between two calls of an application.
+	// meanCallPause is the mean time between two calls of an application.
 	meanCallPause = 120 * time.Millisecond
-	// coordinationLimit is how long a call may take until another steward is asked.
-	coordinationLimit = time.Second
-	// putTime is how long a put without a clear answer is sent again, and putPause lies between two times.
-	putTime  = 5 * time.Second
-	putPause = 80 * time.Millisecond
-	// The times for which locks are held, and how often they are renewed at most.
+	// coordinationTimeout is the timeout of a call to one steward.
+	coordinationTimeout = time.Second
+	// putRetryTime is the time in which a put without a clear answer is retried, and putPause is the time between two attempts.
+	putRetryTime = 5 * time.Second
+	putPause     = 80 * time.Millisecond
+	// The range of the time for which a lock is requested, and the maximum number of its renewals.
 	minHold, maxHold = 400 * time.Millisecond, 4 * time.Second
 	maxRenewals      = 5
-	// Of a hundred holders, so many sleep beyond their time and so many die.
+	// The percentages of holders that sleep beyond the end of their hold, and that stop without a release.
 	sleepPercent, diePercent = 10, 10
 	watchWait                = 2 * time.Second
-	// historySeconds is how long a revision stays good, as the settings say.
+	// historySeconds is the time for which the stewards keep the history of revisions, as written into the settings.
 	historySeconds = 20
 )
 
-// application calls the stewards for locks, numbers and cells, as applications of users do.
+// application calls the stewards for locks, numbers and cells like an application of a user. knownRevisions holds the last
+// revision that it has seen of each cell.
 type application struct {
 	*soak
-	name   string
-	client *http.Client
-	draw   *rand.Rand
-	values int
-	known  map[string]uint64
+	name           string
+	client         *http.Client
+	draw           *rand.Rand
+	valueCount     int
+	knownRevisions map[string]uint64
 }
 
 func newApplication(s *soak, number int) *application {
-	return &application{soak: s, name: fmt.Sprintf("a%d", number), client: &http.Client{Timeout: coordinationLimit + watchWait},
-		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(applicationStream+number))), known: map[string]uint64{}}
+	return &application{soak: s, name: fmt.Sprintf("a%d", number), client: &http.Client{Timeout: coordinationTimeout + watchWait},
+		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(applicationStream+number))), knownRevisions: map[string]uint64{}}
 }
 
-// startApplications starts those who call and those who watch, until ctx is done.
+// startApplications starts applications that make calls and applications that watch, until ctx is done.
 func (s *soak) startApplications(ctx context.Context, running *sync.WaitGroup) {
 	for number := range applicationCount {
 		running.Go(func() { newApplication(s, number).run(ctx) })
@@ -63,21 +65,21 @@
 
 func groupName(number int) string { return fmt.Sprintf("g%d.", number) }
 
-// note writes into the history of applications.
-func (a *application) note(change func(*check.History)) {
+// recordSeen changes the history of applications.
+func (a *application) recordSeen(change func(*check.History)) {
 	a.recorder.write(func(h *History) { change(&h.Applications) })
 }
 
-// run makes one call after the other.
+// run makes one random call after another until ctx is done.
 func (a *application) run(ctx context.Context) {
 	for pause(ctx, time.Duration(a.draw.ExpFloat64()*float64(meanCallPause)/a.options.pace())) {
 		cell := groupName(a.draw.IntN(groupCount)) + strconv.Itoa(a.draw.IntN(cellCount))
-		switch luck := a.draw.IntN(100); {
-		case luck < 40:
-			a.hold(ctx, fmt.Sprintf("l%d", a.draw.IntN(lockCount)))
-		case luck < 55:
+		switch roll := a.draw.IntN(100); {
+		case roll < 40:
+			a.holdLock(ctx, fmt.Sprintf("l%d", a.draw.IntN(lockCount)))
+		case roll < 55:
 			a.takeNumber(ctx, fmt.Sprintf("n%d", a.draw.IntN(numberCount)))
-		case luck < 85:
+		case roll < 85:
 			a.put(ctx, cell)
 		default:
 			a.get(ctx, cell)
@@ -85,27 +87,27 @@
 	}
 }
 
-// call asks a steward drawn by lot; the status is 0 if there was no whole answer in time.
-func (a *application) call(ctx context.Context, path string, body, into any) int {
-	ctx, cancel := context.WithTimeout(ctx, coordinationLimit)
+// call sends one call to a random steward, as a POST if there is a body. The status is 0 if no whole answer came in time.
+func (a *application) call(ctx context.Context, path string, body, result any) int {
+	ctx, cancel := context.WithTimeout(ctx, coordinationTimeout)
 	defer cancel()
-	return a.callWaiting(ctx, path, body, into)
+	return a.callWaiting(ctx, path, body, result)
 }
 
-// callWaiting is call for an answer that may be kept back.
-func (a *application) callWaiting(ctx context.Context, path string, body, into any) int {
-	making := sling.New().Base(a.drawSteward())
+// callWaiting is call without coordinationTimeout, for an answer that the steward may hold back.
+func (a *application) callWaiting(ctx context.Context, path string, body, result any) int {
+	builder := sling.New().Base(a.drawSteward())
 	if body == nil {
-		making = making.Get(path)
+		builder = builder.Get(path)
 	} else {
-		making = making.Post(path).BodyJSON(body)
+		builder = builder.Post(path).BodyJSON(body)
 	}
-	request, err := making.Request()
+	request, err := builder.Request()
 	if err != nil {
 		return 0
 	}
-	response, err := making.Client(a.client).Do(request.WithContext(ctx), into, into)
-	if response == nil || err != nil && into != nil {
+	response, err := builder.Client(a.client).Do(request.WithContext(ctx), result, result)
+	if response == nil || err != nil && result != nil {
 		return 0
 	}
 	return response.StatusCode
@@ -119,8 +121,9 @@
 	return "http://" + endpoint(stewards[a.draw.IntN(len(stewards))].node.IP, controlPort)
 }
 
-// hold takes a lock, renews it some times, and gives it back, sleeps beyond its time, or forgets it.
-func (a *application) hold(ctx context.Context, lock string) {
+// holdLock acquires a lock and renews it a few times. Then it releases the lock, sleeps beyond the end of the hold, or stops
+// without a release.
+func (a *application) holdLock(ctx context.Context, lock string) {
 	length := minHold + time.Duration(a.draw.Int64N(int64(maxHold-minHold)))
 	path, sentAt := "/v1/locks/"+lock, a.recorder.now()
 	var granted wire.LockAnswer
@@ -128,24 +131,25 @@
 		return
 	}
 	held := &check.Hold{Lock: lock, Holder: a.name, Fence: granted.Fence, SentAt: sentAt, From: a.recorder.now(), To: sentAt + length}
-	renewals, luck := a.draw.IntN(maxRenewals+1), a.draw.IntN(100)
+	renewals, roll := a.draw.IntN(maxRenewals+1), a.draw.IntN(100)
 	for range renewals {
 		if !pause(ctx, time.Duration(a.draw.Int64N(int64(length)))) || !a.renew(ctx, held, length) {
 			break
 		}
 	}
-	if luck < sleepPercent {
+	if roll < sleepPercent {
 		pause(ctx, 2*length)
 	}
-	// The hold is over before its release is sent.
+	// The hold ends before its release is sent.
 	held.To = min(held.To, a.recorder.now())
-	a.note(func(h *check.History) { h.Holds = append(h.Holds, *held) })
-	if luck >= sleepPercent+diePercent {
+	a.recordSeen(func(h *check.History) { h.Holds = append(h.Holds, *held) })
+	if roll >= sleepPercent+diePercent {
 		a.call(ctx, path+"/terminate", &wire.LockCall{Holder: a.name, Fence: held.Fence}, nil)
 	}
 }
 
-// renew asks for more time; it is false once the lock is lost. An answer that comes after the holder's time has no effect.
+// renew renews the hold once and returns false if the lock is lost. An answer that comes after the end of the hold doesn't
+// extend it.
 func (a *application) renew(ctx context.Context, held *check.Hold, length time.Duration) bool {
 	sentAt := a.recorder.now()
 	body := &wire.LockCall{Holder: a.name, Fence: held.Fence, HoldMs: length.Milliseconds()}
@@ -163,24 +167,24 @@
 
 func (a *application) takeNumber(ctx context.Context, name string) {
 	sentAt := a.recorder.now()
-	var given wire.NumberAnswer
-	if a.call(ctx, "/v1/numbers/"+name, struct{}{}, &given) == http.StatusOK {
-		number := check.Number{Name: name, Value: given.Value, SentAt: sentAt, At: a.recorder.now()}
-		a.note(func(h *check.History) { h.Numbers = append(h.Numbers, number) })
+	var answer wire.NumberAnswer
+	if a.call(ctx, "/v1/numbers/"+name, struct{}{}, &answer) == http.StatusOK {
+		number := check.Number{Name: name, Value: answer.Value, SentAt: sentAt, At: a.recorder.now()}
+		a.recordSeen(func(h *check.History) { h.Numbers = append(h.Numbers, number) })
 	}
 }
 
-// put puts a new value into a cell, again until there is a clear answer.
+// put writes a new value to a cell. It retries until it has a clear answer, gives up or putRetryTime is over.
 func (a *application) put(ctx context.Context, name string) {
-	a.values++
-	put := &check.Put{Name: name, Value: fmt.Sprintf("%s.%d", a.name, a.values), Expected: a.known[name], SentAt: a.recorder.now()}
-	defer func() { a.note(func(h *check.History) { h.Puts = append(h.Puts, put) }) }()
-	for isFirst := true; isFirst || a.recorder.now()-put.SentAt < putTime && pause(ctx, putPause); isFirst = false {
+	a.valueCount++
+	put := &check.Put{Name: name, Value: fmt.Sprintf("%s.%d", a.name, a.valueCount), Expected: a.knownRevisions[name], SentAt: a.recorder.now()}
+	defer func() { a.recordSeen(func(h *check.History) { h.Puts = append(h.Puts, put) }) }()
+	for isFirst := true; isFirst || a.recorder.now()-put.SentAt < putRetryTime && pause(ctx, putPause); isFirst = false {
 		var at wire.RevisionAnswer
 		status := a.call(ctx, "/v1/cells/"+name+"/replace", &wire.PutCall{Value: put.Value, Expected: put.Expected}, &at)
 		switch status {
 		case http.StatusOK, http.StatusPreconditionFailed:
-			a.known[name] = at.Revision
+			a.knownRevisions[name] = at.Revision
 			put.Answers = append(put.Answers, check.PutAnswer{At: a.recorder.now(), IsTaken: status == http.StatusOK, Revision: at.Revision})
 			return
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -202,12 +206,12 @@
 	if status != http.StatusOK && status != http.StatusNotFound {
 		return
 	}
-	a.known[name] = held.Revision
+	a.knownRevisions[name] = held.Revision
 	read := check.Read{Name: name, Value: held.Value, Revision: held.Revision, SentAt: sentAt, At: a.recorder.now()}
-	a.note(func(h *check.History) { h.Reads = append(h.Reads, read) })
+	a.recordSeen(func(h *check.History) { h.Reads = append(h.Reads, read) })
 }
 
-// watch follows a group of cells.
+// watch follows the changes of a group of cells until ctx is done.
 func (a *application) watch(ctx context.Context, group string) {
 	var above uint64
 	var givenAt time.Duration
@@ -218,17 +222,17 @@
 		switch a.callWaiting(ctx, path, nil, &seen) {
 		case http.StatusOK:
 			watch := check.Watch{Group: group, Above: above, Events: seen.Events, Revision: seen.Revision, SentAt: sentAt, At: a.recorder.now()}
-			a.note(func(h *check.History) { h.Watches = append(h.Watches, watch) })
+			a.recordSeen(func(h *check.History) { h.Watches = append(h.Watches, watch) })
 			above, givenAt = seen.Revision, a.recorder.now()
 		case http.StatusGone:
 			gone := check.Gone{Group: group, Above: above, GivenAt: givenAt, SentAt: sentAt}
-			a.note(func(h *check.History) { h.Gone = append(h.Gone, gone) })
+			a.recordSeen(func(h *check.History) { h.Gone = append(h.Gone, gone) })
 			above = 0
 		}
 	}
 }
 
-// coordinationFaults are the oracles of locks, numbers and cells.
+// coordinationFaults is the oracle of locks, numbers and cells.
 func coordinationFaults(h *History) []Violation {
 	found, _ := check.Judge(&h.Applications, historySeconds*time.Second)
 	violations := make([]Violation, 0, len(found))
--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	// restartPause lies between the end of a process and its next start.
+	// restartPause is the time between the end of a process and its next start.
 	restartPause = 500 * time.Millisecond
-	// waveGap lies between two gates of a wave.
+	// waveGap is the time between the terminations of two gates in a wave.
 	waveGap = 700 * time.Millisecond
-	// killAfter is how long after SIGTERM a process that does not end is killed.
-	killAfter = exitBound + 2*time.Second
-	// executorsName is the process of the stand-in executors.
+	// killTimeout is the time after SIGTERM at which a process that still runs gets SIGKILL.
+	killTimeout = exitTimeout + 2*time.Second
+	// executorsName is the name of the process that runs all fake executors.
 	executorsName = "executors"
 
 	clusterMailboxSize = 256
 )
 
-// cluster owns the processes: one goroutine runs what is posted to its mailbox. It obeys the schedule, starts again what ends, and
-// records what it did and how each process ended.
+// cluster owns the processes; one goroutine runs the functions that are posted to its mailbox. It applies the faults of the
+// schedule, restarts processes that end, and records the faults and each process's exit.
 type cluster struct {
 	*soak
 	mailbox   *mailbox.Mailbox
 	ctx       context.Context
 	processes map[string]*process
 	order     []string
-	// initial is whether processes start for the first time; replacements counts the stewards beyond the first.
+	// initial is true until all processes have been started once. replacements counts the replacement stewards.
 	initial      bool
 	replacements int
 	isEnding     bool
@@ -49,8 +49,8 @@
 	return c
 }
 
-// do runs something on the goroutine of the cluster, and waits for it.
-func (c *cluster) do(work func() error) error {
+// runAndWait runs work on the cluster's goroutine and waits for its result.
+func (c *cluster) runAndWait(work func() error) error {
 	result, err := mailbox.Ask(c.ctx, c.mailbox, func(answer func(error)) { answer(work()) })
 	if err != nil {
 		return err
@@ -58,8 +58,8 @@
 	return result
 }
 
-// later runs something on the goroutine of the cluster after a while.
-func (c *cluster) later(wait time.Duration, work func()) {
+// runAfter runs work on the cluster's goroutine after a delay.
+func (c *cluster) runAfter(wait time.Duration, work func()) {
 	time.AfterFunc(wait, func() {
 		if c.ctx.Err() == nil {
 			c.mailbox.Post(work)
@@ -67,9 +67,9 @@
 	})
 }
 
-// startAll starts every process of the layout.
+// startAll starts all processes of the layout and the fake executors.
 func (c *cluster) startAll() error {
-	return c.do(func() error {
+	return c.runAndWait(func() error {
 		for _, role := range []Role{RoleSteward, RoleStorage, RoleGate, RoleProxy} {
 			for _, node := range c.layout.nodes(role) {
 				if err := c.add(node); err != nil {
@@ -92,7 +92,7 @@
 	return c.launch(p)
 }
 
-// launch begins the next incarnation of a node.
+// launch starts the next incarnation of a node, with newly written settings.
 func (c *cluster) launch(p *process) error {
 	if c.isEnding {
 		return nil
@@ -105,12 +105,12 @@
 	incarnation := p.incarnation + 1
 	return p.start(c.options.Program, c.folder, c.recorder.now(), func(state *os.ProcessState) {
 		if c.ctx.Err() == nil {
-			c.mailbox.Post(func() { c.noteExit(p, incarnation, state) })
+			c.mailbox.Post(func() { c.handleExit(p, incarnation, state) })
 		}
 	})
 }
 
-// writeSettings writes the settings file of a node, and makes its data folder.
+// writeSettings writes the settings file of a node and creates its data folder.
 func (c *cluster) writeSettings(node Node) error {
 	var seeds []string
 	for _, steward := range c.layout.Stewards[:min(3, len(c.layout.Stewards))] {
@@ -125,7 +125,7 @@
 			return errors.Annotatef(err, "data folder of %s", node.Name)
 		}
 	}
-	// A process must never read half a file.
+	// The rename keeps a process from reading a half-written file.
 	path := settingsPath(c.folder, node)
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
 		return errors.Annotatef(err, "settings of %s", node.Name)
@@ -133,7 +133,7 @@
 	return errors.Annotatef(os.Rename(path+".new", path), "settings of %s", node.Name)
 }
 
-// startExecutors starts the process of all stand-in executors, which no fault strikes.
+// startExecutors starts the process of all fake executors. No fault strikes it.
 func (c *cluster) startExecutors() error {
 	spec := hollow.Spec{Report: c.layout.reportAddress(), ForMs: hollow.MaxRunTime.Milliseconds()}
 	for _, node := range c.layout.Proxies {
@@ -143,66 +143,66 @@
 	}
 	text, err := json.Marshal(spec)
 	if err != nil {
-		return errors.Annotate(err, "spec of the executors")
+		return errors.Annotate(err, "spec of the fake executors")
 	}
 	path := filepath.Join(c.folder, executorsName+".json")
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return errors.Annotate(err, "spec of the executors")
+		return errors.Annotate(err, "spec of the fake executors")
 	}
-	p := &process{node: Node{Name: executorsName}, arguments: []string{"hollow", "--spec", path}, isSpared: true}
+	p := &process{node: Node{Name: executorsName}, arguments: []string{"hollow", "--spec", path}, isExempt: true}
 	c.processes[executorsName], c.order = p, append(c.order, executorsName)
 	return c.launch(p)
 }
 
-// noteExit records how an incarnation ended, and has the next one begin.
-func (c *cluster) noteExit(p *process, incarnation int, state *os.ProcessState) {
+// handleExit records the exit of an incarnation and schedules the start of the next one.
+func (c *cluster) handleExit(p *process, incarnation int, state *os.ProcessState) {
 	if p.incarnation != incarnation {
 		return
 	}
 	exit := exitOf(p, state, c.recorder.now())
-	p.input.Close()
-	p.phase = phaseDown
+	p.inputWriter.Close()
+	p.phase = phaseEnded
 	c.recorder.write(func(h *History) { h.Exits = append(h.Exits, exit) })
-	c.log.V(1).Info("process ended", "process", p.node.Name, "asked", exit.Asked, "code", exit.Code, "signal", exit.Signal)
+	c.log.V(1).Info("process ended", "process", p.node.Name, "asked", exit.Cause, "code", exit.Code, "signal", exit.Signal)
 	if c.isEnding {
 		return
 	}
-	next := p.afterwards
+	next := p.startNext
 	if next == nil {
 		next = func() { c.relaunch(p) }
 	}
-	c.later(restartPause, next)
+	c.runAfter(restartPause, next)
 }
 
-// relaunch starts a node again; one that can't be started is seen by the oracles as gone.
+// relaunch restarts a node that is down. If that fails, the node stays down and the oracles see the effects.
 func (c *cluster) relaunch(p *process) {
-	if p.phase != phaseDown {
+	if p.phase != phaseEnded {
 		return
 	}
 	if err := c.launch(p); err != nil {
-		c.log.Error(err, "process not started again")
+		c.log.Error(err, "process not restarted")
 	}
 }
 
-// obey has each event happen at its time, counted from now.
-func (c *cluster) obey(schedule *Schedule) {
+// scheduleEvents applies each event at its time, counted from now.
+func (c *cluster) scheduleEvents(schedule *Schedule) {
 	for _, event := range schedule.Events {
-		c.later(event.at(), func() { c.strike(event) })
+		c.runAfter(event.at(), func() { c.applyFault(event) })
 	}
 }
 
-// strike carries out an event. One whose process is away already is left out.
-func (c *cluster) strike(event Event) {
+// applyFault applies an event. It skips the event if its process doesn't run.
+func (c *cluster) applyFault(event Event) {
 	c.log.V(1).Info("fault", "event", event.String())
 	switch event.Kind {
 	case FaultWave:
 		for number, gate := range c.layout.Gates {
-			c.later(time.Duration(number)*waveGap, func() { c.end(gate.Name, FaultTerminate, nil) })
+			c.runAfter(time.Duration(number)*waveGap, func() { c.end(gate.Name, FaultTerminate, nil) })
 		}
 		return
 	case FaultCut, FaultStall:
-		c.noteTrouble(event.Target, event.Kind, event.lasts())
-		c.relays[event.Target].disturb(event.Kind, event.lasts())
+		c.recordTrouble(event.Target, event.Kind, event.duration())
+		c.relays[event.Target].startFault(event.Kind, event.duration())
 		return
 	}
 	p := c.processes[event.Target]
@@ -213,14 +213,14 @@
 	case FaultTerminate, FaultKill:
 		c.end(event.Target, event.Kind, nil)
 	case FaultFreeze:
-		c.freeze(p, event.lasts())
+		c.freeze(p, event.duration())
 	case FaultHangup:
-		c.noteTrouble(event.Target, event.Kind, 0)
+		c.recordTrouble(event.Target, event.Kind, 0)
 		p.signal(syscall.SIGHUP)
 	case FaultSettings:
-		c.noteTrouble(event.Target, event.Kind, 0)
+		c.recordTrouble(event.Target, event.Kind, 0)
 		if err := c.writeSettings(p.node); err != nil {
-			c.log.Error(err, "settings not changed")
+			c.log.Error(err, "settings file not rewritten")
 		}
 	case FaultWipe:
 		c.end(event.Target, event.Kind, func() { c.wipe(p) })
@@ -229,40 +229,41 @@
 	}
 }
 
-// noteTrouble records what was done to a process, and for how long.
-func (c *cluster) noteTrouble(target string, kind FaultKind, lasts time.Duration) {
+// recordTrouble records a fault of a target and its duration.
+func (c *cluster) recordTrouble(target string, kind FaultKind, duration time.Duration) {
 	now := c.recorder.now()
-	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + lasts}) })
+	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + duration}) })
 }
 
-// end ends an incarnation by the signal of a fault. What comes afterwards is the next one, unless next is given.
+// end stops an incarnation with the signal of a fault. After the exit next runs if it isn't nil, otherwise the node is
+// relaunched.
 func (c *cluster) end(name string, kind FaultKind, next func()) {
 	p := c.processes[name]
-	if p == nil || p.phase != phaseRunning || p.isSpared {
+	if p == nil || p.phase != phaseRunning || p.isExempt {
 		return
 	}
-	p.phase, p.asked, p.askedAt, p.afterwards = phaseEnding, kind, c.recorder.now(), next
-	signal, lasts := syscall.SIGKILL, restartPause
+	p.phase, p.endCause, p.endRequestedAt, p.startNext = phaseEnding, kind, c.recorder.now(), next
+	signal, duration := syscall.SIGKILL, restartPause
 	if kind == FaultTerminate || kind == FaultReplace {
-		signal, lasts = syscall.SIGTERM, graceSeconds*time.Second+restartPause
+		signal, duration = syscall.SIGTERM, graceSeconds*time.Second+restartPause
 	}
-	c.noteTrouble(name, kind, lasts)
+	c.recordTrouble(name, kind, duration)
 	p.signal(signal)
 	incarnation := p.incarnation
-	c.later(killAfter, func() {
+	c.runAfter(killTimeout, func() {
 		if p.incarnation == incarnation && p.phase == phaseEnding {
 			p.signal(syscall.SIGKILL)
 		}
 	})
 }
 
-// freeze stops a process for a while.
-func (c *cluster) freeze(p *process, lasts time.Duration) {
-	c.noteTrouble(p.node.Name, FaultFreeze, lasts)
+// freeze suspends a process for a while.
+func (c *cluster) freeze(p *process, duration time.Duration) {
+	c.recordTrouble(p.node.Name, FaultFreeze, duration)
 	p.phase = phaseFrozen
 	p.signal(syscall.SIGSTOP)
 	incarnation := p.incarnation
-	c.later(lasts, func() {
+	c.runAfter(duration, func() {
 		if p.incarnation == incarnation && p.phase == phaseFrozen {
 			p.phase = phaseRunning
 			p.signal(syscall.SIGCONT)
@@ -270,62 +271,64 @@
 	})
 }
 
-// wipe starts a steward again with an empty disk.
+// wipe empties the disk of a steward and restarts it.
 func (c *cluster) wipe(p *process) {
 	if err := os.RemoveAll(dataFolder(c.folder, p.node)); err != nil {
-		c.log.Error(err, "disk not emptied")
+		c.log.Error(err, "disk of a steward not emptied")
 	}
 	c.relaunch(p)
 }
 
-// addReplacement starts another steward at another address, with an empty disk.
+// addReplacement starts a new steward at a new address, with an empty disk.
 func (c *cluster) addReplacement() {
 	node := c.layout.steward(len(c.layout.Stewards) + c.replacements)
 	c.replacements++
 	if err := c.add(node); err != nil {
-		c.log.Error(err, "replacement not started")
+		c.log.Error(err, "replacement steward not started")
 	}
 }
 
-// runningProcess is a process of gannetline that was chosen, in one of its incarnations.
+// runningProcess is one incarnation of a node.
 type runningProcess struct {
 	node        Node
 	incarnation int
 }
 
-// choose gives the processes of gannetline that satisfy a condition, in the order of their first starts.
-func (c *cluster) choose(isChosen func(*process) bool) []runningProcess {
-	chosen, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
-		var chosen []runningProcess
+// selectProcesses returns the processes of gannetline that match, in the order of their first starts. It never returns the fake
+// executors.
+func (c *cluster) selectProcesses(matches func(*process) bool) []runningProcess {
+	selected, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
+		var selected []runningProcess
 		for _, name := range c.order {
-			if p := c.processes[name]; !p.isSpared && isChosen(p) {
-				chosen = append(chosen, runningProcess{p.node, p.incarnation})
+			if p := c.processes[name]; !p.isExempt && matches(p) {
+				selected = append(selected, runningProcess{p.node, p.incarnation})
 			}
 		}
-		answer(chosen)
+		answer(selected)
 	})
-	return chosen
+	return selected
 }
 
-// stewards are the stewards that have not ended.
+// stewards returns the stewards that have not ended.
 func (c *cluster) stewards() []runningProcess {
-	return c.choose(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseDown })
+	return c.selectProcesses(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseEnded })
 }
 
-// runningProcesses are all processes of gannetline that run now.
+// runningProcesses returns the processes of gannetline that run and are neither frozen nor ending.
 func (c *cluster) runningProcesses() []runningProcess {
-	return c.choose(func(p *process) bool { return p.phase == phaseRunning })
+	return c.selectProcesses(func(p *process) bool { return p.phase == phaseRunning })
 }
 
-// notDown are the processes of gannetline that have not ended.
-func (c *cluster) notDown() []runningProcess {
-	return c.choose(func(p *process) bool { return p.phase != phaseDown })
+// notEnded returns the processes of gannetline that have not ended.
+func (c *cluster) notEnded() []runningProcess {
+	return c.selectProcesses(func(p *process) bool { return p.phase != phaseEnded })
 }
 
-// shutDown ends all processes in order, the executors last, and records how each ended.
+// shutDown terminates the processes of gannetline in the order of their first starts and waits until they have ended. Their
+// exits are recorded. The fake executors run on until killAll.
 func (c *cluster) shutDown() {
-	// An error says that the soak was stopped; all is killed then.
-	_ = c.do(func() error {
+	// An error means that the soak was stopped; killAll then ends the processes.
+	_ = c.runAndWait(func() error {
 		c.isEnding = true
 		for _, name := range c.order {
 			p := c.processes[name]
@@ -337,14 +340,14 @@
 		}
 		return nil
 	})
-	for deadline := time.Now().Add(killAfter); time.Now().Before(deadline) && len(c.notDown()) > 0; {
+	for deadline := time.Now().Add(killTimeout); time.Now().Before(deadline) && len(c.notEnded()) > 0; {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// killAll ends whatever is left, by process ID, and waits until that is done.
+// killAll sends SIGKILL to every process that is left, by process ID.
 func (c *cluster) killAll() {
-	_ = c.do(func() error {
+	_ = c.runAndWait(func() error {
 		c.isEnding = true
 		for _, p := range c.processes {
 			p.signal(syscall.SIGKILL)
--- a/internal/simulation/soak/connection.go
+++ b/internal/simulation/soak/connection.go
@@ -13,35 +13,35 @@
 	"github.com/juju/errors"
 )
 
-// connection is a kept HTTP connection that sends one request at a time. It is written by hand, as a client of the library would
-// send a request again on its own where a kept connection ends, and hide what the soak looks for.
+// connection is a persistent HTTP connection that sends one request at a time. It doesn't use the client of net/http, which
+// silently resends a request if a kept connection has ended and so hides the faults that the soak looks for.
 type connection struct {
 	raw      net.Conn
 	reader   *bufio.Reader
 	answered int
 }
 
-// request is what is asked, in HTTP/1.1.
+// request is an HTTP/1.1 request.
 type request struct {
 	method, host, path, id, body string
-	// key is that of a tenant, empty for none.
-	key   string
-	limit time.Duration
+	// key is the key of a tenant, or "" for none.
+	key     string
+	timeout time.Duration
 }
 
-func (q *request) text() string {
-	head := []string{q.method + " " + q.path + " HTTP/1.1", "Host: " + q.host, "X-Request-Id: " + q.id,
-		fmt.Sprintf("X-Time-Remaining: %d", q.limit.Milliseconds())}
-	if q.key != "" {
-		head = append(head, "Authorization: Bearer "+q.key)
+func (r *request) text() string {
+	head := []string{r.method + " " + r.path + " HTTP/1.1", "Host: " + r.host, "X-Request-Id: " + r.id,
+		fmt.Sprintf("X-Time-Remaining: %d", r.timeout.Milliseconds())}
+	if r.key != "" {
+		head = append(head, "Authorization: Bearer "+r.key)
 	}
-	if q.body != "" {
-		head = append(head, "Content-Type: application/json", fmt.Sprintf("Content-Length: %d", len(q.body)))
+	if r.body != "" {
+		head = append(head, "Content-Type: application/json", fmt.Sprintf("Content-Length: %d", len(r.body)))
 	}
-	return strings.Join(head, "\r\n") + "\r\n\r\n" + q.body
+	return strings.Join(head, "\r\n") + "\r\n\r\n" + r.body
 }
 
-// reply is a whole answer.
+// reply is a complete answer.
 type reply struct {
 	status int
 	id     string
@@ -49,7 +49,7 @@
 }
 
 func dial(ctx context.Context, address string) (*connection, error) {
-	dialer := net.Dialer{Timeout: dialLimit}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
@@ -57,17 +57,17 @@
 	return &connection{raw: raw, reader: bufio.NewReader(raw)}, nil
 }
 
-// send writes a request, and tells when its last byte was written.
-func (c *connection) send(q *request) (sent bool, at time.Time) {
-	// A deadline that can't be set shows in the write.
-	_ = c.raw.SetDeadline(time.Now().Add(q.limit))
-	_, err := io.WriteString(c.raw, q.text())
+// send writes a request and returns the time at which the last byte was written.
+func (c *connection) send(outgoing *request) (sent bool, at time.Time) {
+	// If the deadline can't be set, the write fails as well.
+	_ = c.raw.SetDeadline(time.Now().Add(outgoing.timeout))
+	_, err := io.WriteString(c.raw, outgoing.text())
 	return err == nil, time.Now()
 }
 
-// receive reads the answer; the outcome says why there is none. isLast tells that the gate closes the connection.
-func (c *connection) receive(q *request) (answer reply, ended outcome, isLast bool) {
-	response, err := http.ReadResponse(c.reader, &http.Request{Method: q.method})
+// receive reads the answer. The outcome says why there is none. isLast is true if the gate closes the connection.
+func (c *connection) receive(outgoing *request) (answer reply, ended outcome, isLast bool) {
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: outgoing.method})
 	if err != nil {
 		return answer, outcomeOf(err), true
 	}
--- a/internal/simulation/soak/injectedfaults.go
+++ b/internal/simulation/soak/injectedfaults.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// InjectedFault is a fault that is put into what is observed, to see that an oracle finds it. It is named for that oracle.
+// InjectedFault is a fault that is put into the observations, to check that the oracle of the same name finds it.
 type InjectedFault string
 
 // The injected faults; InjectNothing is none.
@@ -36,43 +36,45 @@
 	InjectServed        InjectedFault = "served"
 )
 
-// AllInjectedFaults are all that can be injected.
+// AllInjectedFaults are the injected faults that can be chosen.
 var AllInjectedFaults = []InjectedFault{InjectLost, InjectTwice, InjectWrong, InjectShown, InjectCut, InjectCancelled, InjectFence, InjectConfiguration, InjectExit, InjectCoordination, InjectRollout, InjectGrowth,
 	InjectEvacuation, InjectQuota, InjectKey, InjectStream, InjectLot, InjectServed}
 
-func (p InjectedFault) isKnown() bool {
-	return p == InjectNothing || slices.Contains(AllInjectedFaults, p)
+func (f InjectedFault) isKnown() bool {
+	return f == InjectNothing || slices.Contains(AllInjectedFaults, f)
 }
 
-// injectEvery is how many chunks a relay passes between two injected faults.
+// injectEvery is the number of answer chunks per injected fault in a relay.
 const injectEvery = 40
 
-// altered gives the chunk that a relay passes in place of another: nil closes the connection. It is called on the relay's goroutine.
-func (r *relay) altered(chunk []byte, isAnswer bool) []byte {
+// alterChunk returns the chunk that the relay forwards in place of the given one; nil closes the connection. Only the relay's
+// own goroutine calls it.
+func (r *relay) alterChunk(chunk []byte, isAnswer bool) []byte {
 	if !isAnswer {
 		return chunk
 	}
 	r.answers++
-	former := r.last
+	previous := r.last
 	r.last = bytes.Clone(chunk)
 	if r.answers%injectEvery != 0 {
 		return chunk
 	}
 	switch {
 	case r.injected == InjectCut:
-		// The gate has answered, and the client gets nothing, well after its request.
+		// The client gets no answer although its gate answered. The delay makes the request older than lossSlack, below which
+		// OracleCut ignores it.
 		time.Sleep(2 * lossSlack)
 		return nil
-	case r.injected == InjectWrong && former != nil:
-		return former
+	case r.injected == InjectWrong && previous != nil:
+		return previous
 	}
 	return chunk
 }
 
-// disturb puts a fault into a history. Those of connections were injected while it was played (altered).
-func (p InjectedFault) disturb(h *History) {
+// injectInto puts the fault into a history. Faults of connections were injected by the relays during the soak (alterChunk).
+func (f InjectedFault) injectInto(h *History) {
 	last := func() time.Duration { return h.Calls[len(h.Calls)-1].EndedAt }
-	switch p {
+	switch f {
 	case InjectLost:
 		h.Calls = append(h.Calls, Call{Verb: verbSubmit, Job: "fffffffffffff111", Outcome: answered, Status: 200, EndedAt: last()})
 	case InjectTwice:
@@ -100,20 +102,20 @@
 	case InjectCoordination:
 		h.Applications.Numbers = append(h.Applications.Numbers, h.Applications.Numbers[0])
 	case InjectEvacuation, InjectQuota, InjectKey, InjectStream, InjectLot, InjectServed:
-		p.disturbMix(h)
+		f.injectMixFault(h)
 	case InjectGrowth:
 		for at := range 2 * minSamples {
-			h.Samples = append(h.Samples, Sample{Process: "planted", At: warmUp + time.Duration(at)*sampleEvery, Memory: float64((20 + 4*at) << 20)})
+			h.Samples = append(h.Samples, Sample{Process: "planted", At: warmUp + time.Duration(at)*sampleInterval, Memory: float64((20 + 4*at) << 20)})
 		}
 	}
 }
 
-// disturbMix puts a fault into what only mixes have.
-func (p InjectedFault) disturbMix(h *History) {
-	switch p {
+// injectMixFault puts a fault into the observations that only mixes have.
+func (f InjectedFault) injectMixFault(h *History) {
+	switch f {
 	case InjectEvacuation:
 		run := h.Runs[0]
-		from := h.sinceStart(run.StartMs) - h.mix().evacuationInForce() - time.Second
+		from := h.sinceStart(run.StartMs) - h.mix().evacuationDeadline() - time.Second
 		h.Zones = map[string]string{run.Node: "planted"}
 		h.Evacuations = append(h.Evacuations, Evacuation{Zone: "planted", AcknowledgedAt: from, TerminateSentAt: from + time.Hour})
 	case InjectQuota:
@@ -129,7 +131,7 @@
 	}
 }
 
-// injectQuota has the tenant with a limit run more tasks at once than it may.
+// injectQuota adds a job of the limited tenant that runs more tasks at the same time than the tenant may.
 func (h *History) injectQuota() {
 	const id = "0000000000000991"
 	h.Mix = &Mix{Features: []Feature{FeatureTenants}, Zones: 1}
@@ -141,9 +143,9 @@
 	}
 }
 
-// injectCancelled cancels a job long before one of its tasks starts.
+// injectCancelled adds the cancellation of a job, and a start of its task long after it.
 func (h *History) injectCancelled(id string) {
 	h.Calls = append(h.Calls, Call{Verb: verbCancel, Job: id, Outcome: answered, Status: 200})
-	startMs := h.StartMs + (2 * cancelBound).Milliseconds()
+	startMs := h.StartMs + (2 * cancelTimeout).Milliseconds()
 	h.Runs = append(h.Runs, hollow.RunRecord{Task: jobs.TaskName(id, 0, 0, shapeOf(id).tasks()), Run: 1, Node: "planted", StartMs: startMs, EndMs: startMs + 1})
 }
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// setUpClient numbers the client that the soak itself uses before and after the others.
-	setUpClient = 1 << 20
-	retryPause  = 200 * time.Millisecond
-	sampleEvery = 2 * time.Second
-	sampleLimit = 500 * time.Millisecond
-	reportLimit = 10 * time.Second
+	// firstSetUpClient is the number of the first client that the soak itself uses before and after the others.
+	firstSetUpClient = 1 << 20
+	retryPause       = 200 * time.Millisecond
+	sampleInterval   = 2 * time.Second
+	sampleTimeout    = 500 * time.Millisecond
+	reportTimeout    = 10 * time.Second
 )
 
-// start starts all processes and relays, posts the first configuration, and waits until a job is accepted at each gate.
+// start starts all processes and relays, proposes the first configuration and waits until each gate has accepted a job.
 func (s *soak) start(ctx context.Context) error {
 	s.relays = map[string]*relay{}
 	for number, gate := range s.layout.Gates {
-		r, err := newRelay(s.recorder.ctx, s.layout.relayAddress(number), endpoint(gate.IP, frontPort), s.options.InjectedFault, s.recorder.refusals(gate.Name))
+		r, err := newRelay(s.recorder.ctx, s.layout.relayAddress(number), endpoint(gate.IP, frontPort), s.options.InjectedFault, s.recorder.refusalRecorder(gate.Name))
 		if err != nil {
 			return err
 		}
@@ -39,19 +39,19 @@
 	if err := s.cluster.startAll(); err != nil {
 		return err
 	}
-	limited, release := context.WithTimeout(ctx, startLimit)
-	defer release()
+	timeoutCtx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
 	operator := newOperator(s)
-	if err := until(limited, "no steward took the first configuration", func() bool { return operator.post(limited, firstVersion) }); err != nil {
+	if err := retryUntil(timeoutCtx, "no steward accepted the first configuration", func() bool { return operator.proposeVersion(timeoutCtx, firstVersion) }); err != nil {
 		return err
 	}
 	for number := range s.layout.Gates {
-		c := s.ownClient(number)
-		err := until(limited, "no job is accepted at "+c.gate.Name, func() bool {
+		c := s.newSetUpClient(number)
+		err := retryUntil(timeoutCtx, "no job was accepted by "+c.gate.Name, func() bool {
 			id := newJob(c.draw)
-			return c.call(limited, verbSubmit, id, shapeOf(id).body()).isAccepted()
+			return c.call(timeoutCtx, verbSubmit, id, shapeOf(id).body()).isAccepted()
 		})
-		c.hangUp()
+		c.disconnect()
 		if err != nil {
 			return err
 		}
@@ -59,15 +59,15 @@
 	return nil
 }
 
-// ownClient is a client of a gate for the soak itself.
-func (s *soak) ownClient(gateNumber int) *client {
-	number := setUpClient + gateNumber
+// newSetUpClient returns a client of a gate for the soak itself.
+func (s *soak) newSetUpClient(gateNumber int) *client {
+	number := firstSetUpClient + gateNumber
 	return &client{soak: s, number: number, gate: s.layout.Gates[gateNumber], address: s.layout.relayAddress(gateNumber),
 		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(number)))}
 }
 
-// until tries something again until it succeeds; the error says what did not come about in time.
-func until(ctx context.Context, problem string, try func() bool) error {
+// retryUntil retries until try succeeds. If ctx is done first, the error says what was not achieved.
+func retryUntil(ctx context.Context, problem string, try func() bool) error {
 	for !try() {
 		if !pause(ctx, retryPause) {
 			return errors.Annotate(ctx.Err(), problem)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// pause waits; it is false if ctx was done first.
+// pause waits and returns false if ctx is done first.
 func pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -86,43 +86,43 @@
 	}
 }
 
-// settle asks for all accepted jobs until each is over, for so long at most, and records their last states. All gates are asked at
-// once, each for a part of the jobs, and each part at the next gate in the next round.
+// settle polls all accepted jobs until each has ended or settleTimeout is over, and records their last states. The jobs are
+// split into one batch per gate. The batches are polled concurrently, and each round polls a batch at its next gate.
 func (s *soak) settle(ctx context.Context) {
-	limited, release := context.WithTimeout(ctx, settleLimit)
-	defer release()
-	parts := make([]map[string]bool, len(s.layout.Gates))
-	for index := range parts {
-		parts[index] = map[string]bool{}
+	timeoutCtx, cancel := context.WithTimeout(ctx, settleTimeout)
+	defer cancel()
+	batches := make([]map[string]bool, len(s.layout.Gates))
+	for index := range batches {
+		batches[index] = map[string]bool{}
 	}
 	next := 0
 	for id := range acceptedJobs(s.recorder.history()) {
-		parts[next%len(parts)][id] = true
+		batches[next%len(batches)][id] = true
 		next++
 	}
-	var asking sync.WaitGroup
-	for index, part := range parts {
-		asking.Go(func() { s.settlePart(limited, index, part) })
+	var polling sync.WaitGroup
+	for index, batch := range batches {
+		polling.Go(func() { s.settleBatch(timeoutCtx, index, batch) })
 	}
-	asking.Wait()
+	polling.Wait()
 }
 
-// settlePart asks for some jobs until each is over, first at one gate and then at the next.
-func (s *soak) settlePart(ctx context.Context, firstGate int, open map[string]bool) {
-	for round := 0; len(open) > 0 && ctx.Err() == nil; round++ {
-		c := s.ownClient((firstGate + round) % len(s.layout.Gates))
-		for id := range open {
-			if ctx.Err() != nil || !s.settleJob(ctx, c, id, open) {
+// settleBatch polls a batch of jobs until each has ended, starting at one gate and moving to the next in each round.
+func (s *soak) settleBatch(ctx context.Context, firstGate int, pending map[string]bool) {
+	for round := 0; len(pending) > 0 && ctx.Err() == nil; round++ {
+		c := s.newSetUpClient((firstGate + round) % len(s.layout.Gates))
+		for id := range pending {
+			if ctx.Err() != nil || !s.settleJob(ctx, c, id, pending) {
 				break
 			}
 		}
-		c.hangUp()
+		c.disconnect()
 		pause(ctx, retryPause)
 	}
 }
 
-// settleJob asks for a job once, and takes it off the open ones if it is over; it is false if the gate gave no answer.
-func (s *soak) settleJob(ctx context.Context, c *client, id string, open map[string]bool) bool {
+// settleJob polls a job once and removes it from the pending jobs if it has ended. It returns false if the gate gave no answer.
+func (s *soak) settleJob(ctx context.Context, c *client, id string, pending map[string]bool) bool {
 	call := c.call(ctx, verbState, id, "")
 	if call.Outcome != answered {
 		return false
@@ -133,14 +133,14 @@
 	}
 	s.recorder.write(func(h *History) { h.FinalStates[id] = state })
 	if state == "completed" || state == "cancelled" || state == "failed" {
-		delete(open, id)
+		delete(pending, id)
 	}
 	return true
 }
 
-// readRecords reads what the executors have run.
+// readRecords fetches the run records and the fence count of the fake executors into the history.
 func (s *soak) readRecords(ctx context.Context) {
-	client := &http.Client{Timeout: reportLimit}
+	client := &http.Client{Timeout: reportTimeout}
 	var runs []hollow.RunRecord
 	var counts hollow.Counts
 	if s.fetch(ctx, client, hollow.PathRecords, &runs) && s.fetch(ctx, client, hollow.PathCounts, &counts) {
@@ -148,28 +148,28 @@
 	}
 }
 
-// fetch reads a page of the executors' process.
-func (s *soak) fetch(ctx context.Context, client *http.Client, path string, into any) bool {
+// fetch reads and decodes a page of the fake executors' process, and reports whether that succeeded.
+func (s *soak) fetch(ctx context.Context, client *http.Client, path string, result any) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.layout.reportAddress()+path, nil)
 	if err != nil {
 		return false
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		s.log.Error(err, "executors not asked")
+		s.log.Error(err, "fake executors did not answer")
 		return false
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into) == nil
+	return json.NewDecoder(response.Body).Decode(result) == nil
 }
 
-// sample notes now and then what the processes use, until ctx is done.
+// sample records the resource use of the running processes at a fixed interval until ctx is done.
 func (s *soak) sample(ctx context.Context) {
-	client := &http.Client{Timeout: sampleLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: sampleTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		for _, running := range s.cluster.runningProcesses() {
 			at := s.recorder.now()
-			read, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleLimit)
+			read, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleTimeout)
 			if err != nil {
 				continue
 			}
@@ -177,11 +177,11 @@
 				Goroutines: read["go_goroutines"], Descriptors: read["process_open_fds"], Disk: s.diskUse(running.node)}
 			s.recorder.write(func(h *History) { h.Samples = append(h.Samples, sample) })
 		}
-		pause(ctx, sampleEvery)
+		pause(ctx, sampleInterval)
 	}
 }
 
-// diskUse is how many bytes a node's data folder holds; files that vanish meanwhile don't count.
+// diskUse returns the size of a node's data folder in bytes. Files that vanish meanwhile don't count.
 func (s *soak) diskUse(node Node) float64 {
 	var bytes int64
 	_ = filepath.WalkDir(dataFolder(s.folder, node), func(path string, entry fs.DirEntry, err error) error {
--- a/internal/simulation/soak/relay.go
+++ b/internal/simulation/soak/relay.go
@@ -15,42 +15,42 @@
 const (
 	relayMailboxSize = 256
 	chunkBytes       = 16 << 10
-	dialLimit        = 2 * time.Second
+	dialTimeout      = 2 * time.Second
 )
 
-// relay stands between the clients of a gate and the gate. It can cut all connections, and hold back what passes. One goroutine owns
-// its state; each connection has two goroutines, which ask it for leave before they pass a chunk on.
+// relay forwards the connections of a gate's clients. It can cut all connections and hold back their data. One goroutine owns
+// its state. Each connection has two goroutines, one per direction, which request permission for each chunk.
 type relay struct {
 	mailbox  *mailbox.Mailbox
 	ctx      context.Context
 	listener net.Listener
 	gate     string
 	injected InjectedFault
-	// noteRefused is told of each client whose connection the gate refused.
-	noteRefused func(client net.Addr)
+	// recordRefused is called with the address of each client whose connection the gate refused.
+	recordRefused func(client net.Addr)
 
 	connections map[net.Conn]net.Conn
 	isCut       bool
 	isStalled   bool
-	waiting     []func()
-	// answers counts the chunks that went to clients, and last is the newest of them, for the injected faults.
+	heldBack    []func()
+	// answers counts the chunks of answers, and last is the newest of them; the injected faults use both.
 	answers int
 	last    []byte
 }
 
-func newRelay(ctx context.Context, address, gate string, injected InjectedFault, noteRefused func(client net.Addr)) (*relay, error) {
+func newRelay(ctx context.Context, address, gate string, injected InjectedFault, recordRefused func(client net.Addr)) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, errors.Annotate(err, "relay")
+		return nil, errors.Annotate(err, "listening for a relay")
 	}
 	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gate: gate, injected: injected,
-		noteRefused: noteRefused, connections: map[net.Conn]net.Conn{}}
+		recordRefused: recordRefused, connections: map[net.Conn]net.Conn{}}
 	go r.mailbox.Run(ctx, clock.System(), mailbox.Owner{Every: time.Minute})
 	go r.accept()
 	return r, nil
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until ctx is done.
 func (r *relay) accept() {
 	go func() {
 		<-r.ctx.Done()
@@ -65,13 +65,13 @@
 	}
 }
 
-// serve connects a client with the gate, unless the relay is cut.
+// serve connects a client to the gate, or resets the connection if the relay is cut or the gate can't be reached.
 func (r *relay) serve(client net.Conn) {
-	gate, err := net.DialTimeout("tcp4", r.gate, dialLimit)
+	gate, err := net.DialTimeout("tcp4", r.gate, dialTimeout)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			// Noted before the reset, so that the history has it when the client's call ends.
-			r.noteRefused(client.RemoteAddr())
+			// Recorded before the reset, so that the history has it when the client's call ends.
+			r.recordRefused(client.RemoteAddr())
 		}
 		reset(client)
 		return
@@ -83,17 +83,18 @@
 			return
 		}
 		r.connections[client] = gate
-		go r.pass(client, gate, false)
-		go r.pass(gate, client, true)
+		go r.forward(client, gate, false)
+		go r.forward(gate, client, true)
 	})
 }
 
-// pass copies one direction until it ends, and then ends the other side of that direction.
-func (r *relay) pass(from, to net.Conn, isAnswer bool) {
+// forward copies one direction until it ends. Then it closes the write side to the gate, or both connections if it was the
+// direction of answers.
+func (r *relay) forward(from, to net.Conn, isAnswer bool) {
 	chunk := make([]byte, chunkBytes)
 	for {
 		count, err := from.Read(chunk)
-		if count > 0 && !r.passChunk(to, chunk[:count], isAnswer) {
+		if count > 0 && !r.forwardChunk(to, chunk[:count], isAnswer) {
 			break
 		}
 		if err != nil {
@@ -113,21 +114,21 @@
 	})
 }
 
-// passChunk waits for leave and writes a chunk; it is false if nothing more can pass.
-func (r *relay) passChunk(to net.Conn, chunk []byte, isAnswer bool) bool {
-	leave := make(chan []byte, 1)
+// forwardChunk waits for permission and writes a chunk. It returns false if no more chunks can be forwarded.
+func (r *relay) forwardChunk(to net.Conn, chunk []byte, isAnswer bool) bool {
+	permitted := make(chan []byte, 1)
 	r.post(func() {
-		give := func() { leave <- r.altered(chunk, isAnswer) }
+		permit := func() { permitted <- r.alterChunk(chunk, isAnswer) }
 		if r.isStalled {
-			r.waiting = append(r.waiting, give)
+			r.heldBack = append(r.heldBack, permit)
 			return
 		}
-		give()
+		permit()
 	})
 	select {
 	case <-r.ctx.Done():
 		return false
-	case allowed := <-leave:
+	case allowed := <-permitted:
 		if allowed == nil {
 			return false
 		}
@@ -136,8 +137,8 @@
 	}
 }
 
-// disturb cuts or stalls the relay for a while.
-func (r *relay) disturb(kind FaultKind, lasts time.Duration) {
+// startFault cuts or stalls the relay for a while.
+func (r *relay) startFault(kind FaultKind, duration time.Duration) {
 	r.post(func() {
 		if kind == FaultStall {
 			r.isStalled = true
@@ -150,16 +151,16 @@
 		}
 		clear(r.connections)
 	})
-	time.AfterFunc(lasts, func() { r.post(r.recover) })
+	time.AfterFunc(duration, func() { r.post(r.endFault) })
 }
 
-// recover ends what disturb did.
-func (r *relay) recover() {
+// endFault ends a cut or a stall and forwards the chunks that were held back.
+func (r *relay) endFault() {
 	r.isCut, r.isStalled = false, false
-	waiting := r.waiting
-	r.waiting = nil
-	for _, give := range waiting {
-		give()
+	heldBack := r.heldBack
+	r.heldBack = nil
+	for _, permit := range heldBack {
+		permit()
 	}
 }
 
@@ -169,10 +170,10 @@
 	}
 }
 
-// reset closes a connection with a reset, so that the other side sees an error at once.
+// reset closes a connection with a TCP reset, so that the other side gets an error at once.
 func reset(connection net.Conn) {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
-		// Without it the close is an ordinary one, which is a cut as well.
+		// If this fails, the close is an ordinary one, which also breaks the connection.
 		_ = tcp.SetLinger(0)
 	}
 	connection.Close()
--- a/internal/simulation/soak/relay_test.go
+++ b/internal/simulation/soak/relay_test.go
@@ -9,22 +9,22 @@
 )
 
 var _ = Describe("A relay", func() {
-	It("notes the client of a connection that its gate refuses, before it ends that connection", func() {
+	It("records a connection that its gate refuses before it closes the connection", func() {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		var steps []string
-		noteRefused := func(client net.Addr) { steps = append(steps, "refused "+client.String()) }
-		r, err := newRelay(ctx, "127.0.0.1:0", addressWithoutListener(), InjectedFault(""), noteRefused)
+		recordRefused := func(client net.Addr) { steps = append(steps, "refused "+client.String()) }
+		r, err := newRelay(ctx, "127.0.0.1:0", addressWithoutListener(), InjectedFault(""), recordRefused)
 		Expect(err).NotTo(HaveOccurred())
-		r.serve(&scriptedClient{note: func(step string) { steps = append(steps, step) }})
+		r.serve(&scriptedClient{record: func(step string) { steps = append(steps, step) }})
 		Expect(steps).To(Equal([]string{"refused 127.0.0.9:7", "closed"}))
 	})
 })
 
-// scriptedClient is a connection of a client of which a relay sees the address and the end alone.
+// scriptedClient is a client's connection with a fixed address that records its close. A relay uses no other method of it here.
 type scriptedClient struct {
 	net.Conn
-	note func(step string)
+	record func(step string)
 }
 
 func (c *scriptedClient) RemoteAddr() net.Addr {
@@ -32,11 +32,11 @@
 }
 
 func (c *scriptedClient) Close() error {
-	c.note("closed")
+	c.record("closed")
 	return nil
 }
 
-// addressWithoutListener gives an address at which nothing listens any more.
+// addressWithoutListener returns a loopback address at which nothing listens any more.
 func addressWithoutListener() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
