--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -1,5 +1,5 @@
-// Package rehearsal plays a recorded day again through the project's own code, as things are and under a
-// proposed change, and says what came late, went missing or landed twice.
+// Package rehearsal replays a recorded day of jobs on a simulated cluster that runs the production code: once with the current
+// settings, and once under a proposed change. Its report lists the jobs that are late, missing or ran twice.
 package rehearsal
 
 import (
@@ -16,7 +16,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// Queue is what a change may say of one queue; what it leaves out stays.
+// Queue holds the proposed settings of one queue. A nil field keeps the current value.
 type Queue struct {
 	Priority    *int     `yaml:"priority"`
 	MaxAttempts *int     `yaml:"max-attempts"`
@@ -26,8 +26,8 @@
 	queuerules.Text `yaml:",inline"`
 }
 
-// Change is a proposed scheduling change; what it leaves out stays. Times are in milliseconds, the rest are shares from 0
-// to 1.
+// Change is a proposed scheduling change. A nil field keeps the current value. Times are in milliseconds. MostReserved and
+// AlwaysAllowed are shares from 0 to 1.
 type Change struct {
 	GrantMs       *int64           `yaml:"grant-ms"`
 	ResendMs      *int64           `yaml:"resend-ms"`
@@ -37,7 +37,7 @@
 	Queues        map[string]Queue `yaml:"queues"`
 }
 
-// LoadChange reads a proposal; an unknown field or a value out of range is an error that names it.
+// LoadChange reads a change from a YAML file. An unknown field or a value out of range is an error that names it.
 func LoadChange(path string) (*Change, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -54,9 +54,9 @@
 
 func (c *Change) check() error {
 	for _, err := range []error{
-		inRange("grant-ms", number(c.GrantMs), 500, 60000), inRange("resend-ms", number(c.ResendMs), 20, 10000),
-		inRange("most-reserved", c.MostReserved, 0, 1), inRange("always-allowed", c.AlwaysAllowed, 0, 1),
-		inRange("long-work-ms", number(c.LongWorkMs), 0, 3600000)} {
+		checkRange("grant-ms", toFloat(c.GrantMs), 500, 60000), checkRange("resend-ms", toFloat(c.ResendMs), 20, 10000),
+		checkRange("most-reserved", c.MostReserved, 0, 1), checkRange("always-allowed", c.AlwaysAllowed, 0, 1),
+		checkRange("long-work-ms", toFloat(c.LongWorkMs), 0, 3600000)} {
 		if err != nil {
 			return err
 		}
@@ -72,8 +72,8 @@
 
 func (q Queue) check() error {
 	for _, err := range []error{
-		inRange("priority", number(q.Priority), 0, 1000), inRange("max-attempts", number(q.MaxAttempts), 1, 1000),
-		inRange("stretch-factor", q.Stretch, 0, 1000), inRange("target-latency-ms", number(q.TargetMs), 0, 86400000)} {
+		checkRange("priority", toFloat(q.Priority), 0, 1000), checkRange("max-attempts", toFloat(q.MaxAttempts), 1, 1000),
+		checkRange("stretch-factor", q.Stretch, 0, 1000), checkRange("target-latency-ms", toFloat(q.TargetMs), 0, 86400000)} {
 		if err != nil {
 			return err
 		}
@@ -89,16 +89,16 @@
 	return queuerules.Compile(texts)
 }
 
-// inRange fails if a value that the change names is out of its range.
-func inRange(field string, value *float64, minimum, maximum float64) error {
+// checkRange returns an error if a value is set and out of its range.
+func checkRange(field string, value *float64, minimum, maximum float64) error {
 	if value != nil && (*value < minimum || *value > maximum) {
 		return errors.Errorf("field %s: %g is not from %g to %g", field, *value, minimum, maximum)
 	}
 	return nil
 }
 
-// number makes a whole number one that inRange takes; nil stays nil.
-func number[T int | int64](value *T) *float64 {
+// toFloat converts an integer for checkRange. nil stays nil.
+func toFloat[T int | int64](value *T) *float64 {
 	if value == nil {
 		return nil
 	}
@@ -106,35 +106,35 @@
 	return &converted
 }
 
-// set takes a value that the change names.
-func set[T any](field *T, value *T) {
+// override sets a field to a value, unless the value is nil.
+func override[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// timing is that of a pool under the change.
+// timing returns the timing of a pool under the change. The grant is limited to the longest hold.
 func (c *Change) timing(timing scheduler.Timing) scheduler.Timing {
-	setMs := func(field *time.Duration, value *int64) {
+	overrideMs := func(field *time.Duration, value *int64) {
 		if value != nil {
 			*field = time.Duration(*value) * time.Millisecond
 		}
 	}
-	setMs(&timing.Grant, c.GrantMs)
-	setMs(&timing.Resend, c.ResendMs)
-	setMs(&timing.ReservedCapacity.LongWork, c.LongWorkMs)
-	set(&timing.ReservedCapacity.MaxReserved, c.MostReserved)
-	set(&timing.ReservedCapacity.AlwaysAllowed, c.AlwaysAllowed)
+	overrideMs(&timing.Grant, c.GrantMs)
+	overrideMs(&timing.Resend, c.ResendMs)
+	overrideMs(&timing.ReservedCapacity.LongWork, c.LongWorkMs)
+	override(&timing.ReservedCapacity.MaxReserved, c.MostReserved)
+	override(&timing.ReservedCapacity.AlwaysAllowed, c.AlwaysAllowed)
 	timing.Grant = min(timing.Grant, timing.MaxHold)
 	return timing
 }
 
-// terms gives what a job is submitted with; its aim is judged by what was recorded.
+// terms returns the terms that a job of a queue is submitted with. Outcome.TargetMs doesn't use them: it follows the recorded terms.
 func (c *Change) terms(queue string, terms wire.RouteTerms) wire.RouteTerms {
 	change := c.Queues[queue]
-	set(&terms.Priority, change.Priority)
-	set(&terms.MaxAttempts, change.MaxAttempts)
-	set(&terms.Stretch, change.Stretch)
-	set(&terms.TargetMs, change.TargetMs)
+	override(&terms.Priority, change.Priority)
+	override(&terms.MaxAttempts, change.MaxAttempts)
+	override(&terms.Stretch, change.Stretch)
+	override(&terms.TargetMs, change.TargetMs)
 	return terms
 }
--- a/internal/simulation/rehearsal/fault.go
+++ b/internal/simulation/rehearsal/fault.go
@@ -11,7 +11,8 @@
 	"gannetline/internal/simulation/simcluster"
 )
 
-// Fault is laid over the day, on a steward or an executor's machine: KIND:TARGET:AT-MS[:FOR-MS].
+// Fault is a fault injected into a replayed day, at a steward or an executor's machine. At is the time after the first event of the
+// recording, and Length how long the fault lasts. Its text form is KIND:TARGET:AT-MS[:FOR-MS].
 type Fault struct {
 	Kind, Target string
 	At, Length   time.Duration
@@ -30,19 +31,19 @@
 var faultKinds = []string{faultKill, faultCut, faultFreeze, faultWipe, faultDrain, faultSlow}
 
 const (
-	defaultLength = 5 * time.Second
-	// slowFactor is by how much a slow executor's work takes longer.
+	defaultDuration = 5 * time.Second
+	// slowFactor is the factor by which runs on a slow executor take longer.
 	slowFactor = 5
 )
 
-// ParseFault reads KIND:TARGET:AT-MS[:FOR-MS]; without FOR-MS the fault lasts 5 s. The error names the text and what
-// is wrong with it.
+// ParseFault parses KIND:TARGET:AT-MS[:FOR-MS]. Without FOR-MS the fault lasts 5 s. An error names the text and what is wrong
+// with it.
 func ParseFault(text string) (Fault, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 3 || len(parts) > 4 || !slices.Contains(faultKinds, parts[0]) {
 		return Fault{}, errors.Errorf("fault %q: not KIND:TARGET:AT-MS[:FOR-MS] with a kind of %s", text, strings.Join(faultKinds, ", "))
 	}
-	fault := Fault{Kind: parts[0], Target: parts[1], Length: defaultLength}
+	fault := Fault{Kind: parts[0], Target: parts[1], Length: defaultDuration}
 	for index, field := range []*time.Duration{&fault.At, &fault.Length} {
 		if len(parts) <= 2+index {
 			break
@@ -56,7 +57,7 @@
 	return fault, nil
 }
 
-// inject plans the fault; it is false when the cluster has no such target.
+// inject schedules the fault. It returns false if the cluster has no such target, or the kind does not apply to it.
 func (f Fault) inject(s *simcluster.Cluster) bool {
 	for _, node := range s.Nodes {
 		if node.Name == f.Target {
@@ -82,7 +83,7 @@
 	case faultWipe:
 		s.Events.After(f.At, func() { s.Wipe(node) })
 	case faultCut:
-		f.cut(s)
+		f.injectCut(s)
 	default:
 		return false
 	}
@@ -99,14 +100,14 @@
 		s.Events.After(f.At, func() { s.Slow(executor, slowFactor) })
 		s.Events.After(f.At+f.Length, func() { s.Slow(executor, 1) })
 	case faultCut:
-		f.cut(s)
+		f.injectCut(s)
 	default:
 		return false
 	}
 	return true
 }
 
-func (f Fault) cut(s *simcluster.Cluster) {
+func (f Fault) injectCut(s *simcluster.Cluster) {
 	s.Events.After(f.At, func() { s.Cut(f.Target, true) })
 	s.Events.After(f.At+f.Length, func() { s.Cut(f.Target, false) })
 }
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// warmUp lies before the first event, so that leaders are elected and executors known.
+	// warmUp is the simulated time before the first event, in which leaders are elected and executors register.
 	warmUp = 5 * time.Second
-	// watchEvery lies between two looks at the states of jobs.
-	watchEvery = 20 * time.Millisecond
-	// assumedLength is that of a task of which nothing was recorded or estimated.
-	assumedLength = 500 * time.Millisecond
-	stewards      = 3
+	// stateCheckInterval is the interval at which the states of jobs are checked.
+	stateCheckInterval = 20 * time.Millisecond
+	// defaultRunTime is the run time of a task that has neither a recorded nor an estimated one.
+	defaultRunTime = 500 * time.Millisecond
+	stewardCount   = 3
 )
 
-// How a run ended, as recordings say it.
+// The outcomes of runs in recordings.
 const (
 	outcomeDone   = "done"
 	outcomeFailed = "failed"
@@ -40,24 +40,25 @@
 	stateCancelled = "cancelled"
 )
 
-// Setup is everything a rehearsal depends on. Horizon is how long it goes on after the last event; Record, if there is one,
-// is given what the simulated pools record.
+// Setup holds all inputs of a rehearsal. Horizon is how long the simulation continues after the last event. Recorder, if not nil,
+// gets the recording of the simulated pools.
 type Setup struct {
 	Day            *recording.Day
 	Change         *Change
 	Faults         []Fault
 	Seed           uint64
 	Horizon        time.Duration
-	Record         scheduler.Recorder
+	Recorder       scheduler.Recorder
 	ClusterOptions []simcluster.Option
-	// Rollout, if there is one, is played together with the change.
+	// Rollout, if not nil, is rehearsed together with the change.
 	Rollout *Rollout
-	// Watch, if there is one, is told how the rollout stands every second.
-	Watch func(RolloutSample)
+	// OnRolloutSample, if not nil, is called with the progress of the rollout every simulated second.
+	OnRolloutSample func(RolloutSample)
 }
 
-// Outcome is what became of one job in one play. DurationMs counts from its submission to the moment it was seen to have ended, 0
-// if it has not; TargetMs is the time after which it is late; RanTwice says that a task ran twice at once.
+// Outcome is the result of one job in one replay. DurationMs is the time from its submission until its end was observed, or 0 if it
+// has not ended. A job that takes longer than TargetMs is late. RanTwice is set if a task ran twice at once, or again after its
+// success was acknowledged.
 type Outcome struct {
 	ID         string `json:"id"`
 	Queue      string `json:"queue"`
@@ -69,8 +70,8 @@
 	RanTwice   bool   `json:"twice,omitempty"`
 }
 
-// playedJob is a recorded job; times are those of the simulation.
-type playedJob struct {
+// replayedJob is a recorded job in a replay. Its times are simulated monotonic times.
+type replayedJob struct {
 	event       recording.Event
 	spec        *jobs.Spec
 	isAccepted  bool
@@ -80,113 +81,113 @@
 	isCancelled bool
 }
 
-// play is one play of a day.
-type play struct {
+// replay is one simulation of a recorded day.
+type replay struct {
 	setup   Setup
 	cluster *simcluster.Cluster
-	// lengths and ends are those that were recorded, by run and by task.
-	lengths map[string]time.Duration
-	ends    map[string]string
-	jobs    map[string]*playedJob
-	firstMs int64
-	// rollout divides the jobs of a queue; it is nil if none is played.
-	rollout *playedRollout
+	// recordedRunTimes are by run (task/number), and for successful runs by task as well. recordedOutcomes are by run.
+	recordedRunTimes map[string]time.Duration
+	recordedOutcomes map[string]string
+	jobs             map[string]*replayedJob
+	firstEventMs     int64
+	// rollout divides the jobs of a queue between two versions. It is nil without a rollout.
+	rollout *replayedRollout
 }
 
-// Play plays the day once, under the change of the setup. It fails if the recording names no executors, or the setup a fault
-// without a target.
-func Play(setup Setup) ([]Outcome, error) {
+// Replay simulates the day once, under the change of the setup. It returns an error if the recording is empty or names no
+// executors, if a job can't be read, or if a fault has no target.
+func Replay(setup Setup) ([]Outcome, error) {
 	if len(setup.Day.Events) == 0 {
 		return nil, errors.New("the recording holds no events")
 	}
-	p := &play{setup: setup, lengths: map[string]time.Duration{}, ends: map[string]string{}, jobs: map[string]*playedJob{},
-		firstMs: setup.Day.Events[0].AtMs}
-	p.learnLengths()
-	sites := p.sites()
+	r := &replay{setup: setup, recordedRunTimes: map[string]time.Duration{}, recordedOutcomes: map[string]string{}, jobs: map[string]*replayedJob{},
+		firstEventMs: setup.Day.Events[0].AtMs}
+	r.collectRecordedRuns()
+	sites := r.sites()
 	if len(sites) == 0 {
 		return nil, errors.New("the recording names no executors")
 	}
-	options, err := p.options(sites)
+	options, err := r.options(sites)
 	if err != nil {
 		return nil, err
 	}
 	if setup.Rollout != nil {
-		p.rollout = newPlayedRollout(p, *setup.Rollout)
-		options = append(options, simcluster.WithPoolOptions(p.rollout.poolOptions(versionOld)...))
+		r.rollout = newReplayedRollout(r, *setup.Rollout)
+		options = append(options, simcluster.WithPoolOptions(r.rollout.poolOptions(versionOld)...))
 	}
-	p.cluster = simcluster.New(setup.Seed, stewards, 0, wire.Capacity{}, p.firstMs-warmUp.Milliseconds(), options...)
-	if p.rollout != nil {
-		p.rollout.start(sites)
+	r.cluster = simcluster.New(setup.Seed, stewardCount, 0, wire.Capacity{}, r.firstEventMs-warmUp.Milliseconds(), options...)
+	if r.rollout != nil {
+		r.rollout.start(sites)
 	}
 	for _, fault := range setup.Faults {
-		late := fault
-		late.At += warmUp
-		if !late.inject(p.cluster) {
+		shifted := fault
+		shifted.At += warmUp
+		if !shifted.inject(r.cluster) {
 			return nil, errors.Errorf("fault %s: there is no such target for it as %q", fault.Kind, fault.Target)
 		}
 	}
-	if err := p.schedule(); err != nil {
+	if err := r.schedule(); err != nil {
 		return nil, err
 	}
-	last := time.Duration(setup.Day.Events[len(setup.Day.Events)-1].AtMs-p.firstMs) * time.Millisecond
-	p.watch(warmUp + last + setup.Horizon)
-	p.cluster.Run(warmUp + last + setup.Horizon)
-	return p.outcomes(), nil
+	last := time.Duration(setup.Day.Events[len(setup.Day.Events)-1].AtMs-r.firstEventMs) * time.Millisecond
+	r.trackEnds(warmUp + last + setup.Horizon)
+	r.cluster.Run(warmUp + last + setup.Horizon)
+	return r.outcomes(), nil
 }
 
-// options returns those of the simulated cluster: executors, work, timing and rules as the change has them.
-func (p *play) options(sites []simcluster.Site) ([]simcluster.Option, error) {
-	timing := p.setup.Change.timing(simcluster.DefaultTiming)
-	options := append([]simcluster.Option{simcluster.WithSites(sites), simcluster.WithWork(p.work), simcluster.WithTiming(timing)}, p.setup.ClusterOptions...)
-	rules, err := p.setup.Change.rules()
+// options returns the options of the simulated cluster: executors, work, and the timing and rules under the change.
+func (r *replay) options(sites []simcluster.Site) ([]simcluster.Option, error) {
+	timing := r.setup.Change.timing(simcluster.DefaultTiming)
+	options := append([]simcluster.Option{simcluster.WithSites(sites), simcluster.WithWork(r.work), simcluster.WithTiming(timing)}, r.setup.ClusterOptions...)
+	rules, err := r.setup.Change.rules()
 	if err != nil {
 		return nil, err
 	}
 	options = append(options, simcluster.WithPoolOptions(scheduler.WithRules(rules)))
-	if p.setup.Record != nil {
-		options = append(options, simcluster.WithPoolOptions(scheduler.WithRecorder(p.setup.Record)))
+	if r.setup.Recorder != nil {
+		options = append(options, simcluster.WithPoolOptions(scheduler.WithRecorder(r.setup.Recorder)))
 	}
 	return options, nil
 }
 
-// learnLengths takes how long runs took, and how they ended.
-func (p *play) learnLengths() {
-	for _, event := range p.setup.Day.Events {
+// collectRecordedRuns collects the run times and outcomes of the recorded runs that succeeded or failed.
+func (r *replay) collectRecordedRuns() {
+	for _, event := range r.setup.Day.Events {
 		if event.Kind != recording.KindEnd {
 			continue
 		}
 		if event.How == outcomeDone || event.How == outcomeFailed {
 			name := event.Task + "/" + strconv.FormatInt(event.Run, 10)
-			p.lengths[name], p.ends[name] = time.Duration(event.LengthMs)*time.Millisecond, event.How
+			r.recordedRunTimes[name], r.recordedOutcomes[name] = time.Duration(event.LengthMs)*time.Millisecond, event.How
 		}
 		if event.How == outcomeDone {
-			p.lengths[event.Task] = time.Duration(event.LengthMs) * time.Millisecond
+			r.recordedRunTimes[event.Task] = time.Duration(event.LengthMs) * time.Millisecond
 		}
 	}
 }
 
-// work is the model of executors: what was recorded of this run, else of its task, else the estimate.
-func (p *play) work(task string, run int64, _ *simcluster.Executor) (time.Duration, string) {
+// work returns the run time and outcome of a run: those recorded for the run, else for its task, else the estimate.
+func (r *replay) work(task string, run int64, _ *simcluster.Executor) (time.Duration, string) {
 	name := task + "/" + strconv.FormatInt(run, 10)
-	if length, isKnown := p.lengths[name]; isKnown {
-		return length, p.ends[name]
+	if length, isKnown := r.recordedRunTimes[name]; isKnown {
+		return length, r.recordedOutcomes[name]
 	}
-	if length, isKnown := p.lengths[task]; isKnown {
+	if length, isKnown := r.recordedRunTimes[task]; isKnown {
 		return length, outcomeDone
 	}
-	place, _ := jobs.ParseTask(task)
-	if job := p.jobs[place.ID]; job != nil && job.spec.Steps[place.Step].EstimatedMs > 0 {
-		return time.Duration(job.spec.Steps[place.Step].EstimatedMs) * time.Millisecond, outcomeDone
+	position, _ := jobs.ParseTask(task)
+	if job := r.jobs[position.ID]; job != nil && job.spec.Steps[position.Step].EstimatedMs > 0 {
+		return time.Duration(job.spec.Steps[position.Step].EstimatedMs) * time.Millisecond, outcomeDone
 	}
-	return assumedLength, outcomeDone
+	return defaultRunTime, outcomeDone
 }
 
-// sites lists the executors that were recorded, by machine.
-func (p *play) sites() []simcluster.Site {
+// sites lists the recorded executors, sorted by machine. Of several records of a machine, the first counts.
+func (r *replay) sites() []simcluster.Site {
 	known := map[string]simcluster.Site{}
-	for _, event := range p.setup.Day.Events {
+	for _, event := range r.setup.Day.Events {
 		if event.Kind == recording.KindExecutor {
-			if _, isThere := known[event.Machine]; !isThere {
+			if _, isListed := known[event.Machine]; !isListed {
 				known[event.Machine] = simcluster.Site{Machine: event.Machine, Capacity: event.Capacity, Labels: event.Labels}
 			}
 		}
@@ -198,138 +199,139 @@
 	return sites
 }
 
-// schedule lets what was recorded happen at its time.
-func (p *play) schedule() error {
-	for _, event := range p.setup.Day.Events {
-		wait := warmUp + time.Duration(event.AtMs-p.firstMs)*time.Millisecond
+// schedule schedules the recorded submissions, cancellations and drains at their times.
+func (r *replay) schedule() error {
+	for _, event := range r.setup.Day.Events {
+		wait := warmUp + time.Duration(event.AtMs-r.firstEventMs)*time.Millisecond
 		switch event.Kind {
 		case recording.KindSubmit:
 			spec, err := jobs.Read(event.Body)
 			if err != nil {
 				return errors.Annotatef(err, "job %s", event.ID)
 			}
-			job := &playedJob{event: event, spec: spec}
-			p.jobs[event.ID] = job
-			p.cluster.Events.After(wait, func() { p.submit(job) })
+			job := &replayedJob{event: event, spec: spec}
+			r.jobs[event.ID] = job
+			r.cluster.Events.After(wait, func() { r.submit(job) })
 		case recording.KindCancel:
-			p.cluster.Events.After(wait, func() { p.cancel(event.ID) })
+			r.cluster.Events.After(wait, func() { r.cancel(event.ID) })
 		case recording.KindExecutor:
 			if event.IsDraining {
-				p.cluster.Events.After(wait, func() { p.drain(event.Machine) })
+				r.cluster.Events.After(wait, func() { r.drain(event.Machine) })
 			}
 		}
 	}
 	return nil
 }
 
-func (p *play) submit(job *playedJob) {
-	job.submittedAt = p.cluster.Events.Now()
-	terms := p.setup.Change.terms(job.event.Queue, job.event.Terms)
-	p.clusterFor(job).Submit(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
+func (r *replay) submit(job *replayedJob) {
+	job.submittedAt = r.cluster.Events.Now()
+	terms := r.setup.Change.terms(job.event.Queue, job.event.Terms)
+	r.clusterFor(job).Submit(job.event.ID, job.event.Queue, job.event.Body, terms, func(answer wire.ClientAnswer) {
 		job.isAccepted = job.isAccepted || answer.Status == http.StatusOK
 	})
 }
 
-func (p *play) cancel(id string) {
-	if job := p.jobs[id]; job != nil {
+func (r *replay) cancel(id string) {
+	if job := r.jobs[id]; job != nil {
 		job.isCancelled = true
-		for _, cluster := range p.clusters() {
+		for _, cluster := range r.clusters() {
 			cluster.CallLeader(wire.ClientCall{Verb: "cancel", Route: job.event.Queue, ID: id}, func(wire.ClientAnswer) {})
 		}
 	}
 }
 
-// clusters are those that may have jobs: that of the new version beside the other one, if a rollout is played.
-func (p *play) clusters() []*simcluster.Cluster {
-	if p.rollout == nil {
-		return []*simcluster.Cluster{p.cluster}
+// clusters returns all clusters that may have jobs: that of the day, and with a rollout that of the new version.
+func (r *replay) clusters() []*simcluster.Cluster {
+	if r.rollout == nil {
+		return []*simcluster.Cluster{r.cluster}
 	}
-	return []*simcluster.Cluster{p.cluster, p.rollout.cluster}
+	return []*simcluster.Cluster{r.cluster, r.rollout.cluster}
 }
 
-// clusterFor is the one that a job goes to.
-func (p *play) clusterFor(job *playedJob) *simcluster.Cluster {
-	if p.rollout != nil && p.rollout.takes(job) {
-		return p.rollout.cluster
+// clusterFor returns the cluster that a job is submitted to.
+func (r *replay) clusterFor(job *replayedJob) *simcluster.Cluster {
+	if r.rollout != nil && r.rollout.isOnNewVersion(job) {
+		return r.rollout.cluster
 	}
-	return p.cluster
+	return r.cluster
 }
 
-func (p *play) drain(machine string) {
-	for _, executor := range p.cluster.Executors {
+func (r *replay) drain(machine string) {
+	for _, executor := range r.cluster.Executors {
 		if executor.Machine == machine {
-			p.cluster.Drain(executor)
+			r.cluster.Drain(executor)
 		}
 	}
 }
 
-// watch notes when each job is first seen to have ended.
-func (p *play) watch(until time.Duration) {
-	if p.cluster.Events.Now() > until {
+// trackEnds records when each job is first observed to have ended.
+func (r *replay) trackEnds(until time.Duration) {
+	if r.cluster.Events.Now() > until {
 		return
 	}
-	for _, cluster := range p.clusters() {
+	for _, cluster := range r.clusters() {
 		for id, state := range cluster.JobStates() {
-			job := p.jobs[id]
-			if job != nil && job.endedAt == 0 && isEnd(state) {
-				job.endedAt, job.state = p.cluster.Events.Now(), state
+			job := r.jobs[id]
+			if job != nil && job.endedAt == 0 && isEndState(state) {
+				job.endedAt, job.state = r.cluster.Events.Now(), state
 			}
 		}
 	}
-	p.cluster.Events.After(watchEvery, func() { p.watch(until) })
+	r.cluster.Events.After(stateCheckInterval, func() { r.trackEnds(until) })
 }
 
-func isEnd(state string) bool {
+func isEndState(state string) bool {
 	return state == stateCompleted || state == stateFailed || state == stateCancelled
 }
 
-func (p *play) outcomes() []Outcome {
+func (r *replay) outcomes() []Outcome {
 	var all []Outcome
-	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
-		all = append(all, p.outcomeOf(id, p.jobs[id]))
+	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
+		all = append(all, r.outcomeOf(id, r.jobs[id]))
 	}
 	return all
 }
 
-func (p *play) outcomeOf(id string, job *playedJob) Outcome {
-	outcome := Outcome{ID: id, Queue: job.event.Queue, State: job.state, TargetMs: p.targetMs(job), RanTwice: p.cluster.Checker.DuplicateRuns[id] > 0}
+func (r *replay) outcomeOf(id string, job *replayedJob) Outcome {
+	outcome := Outcome{ID: id, Queue: job.event.Queue, State: job.state, TargetMs: r.targetMs(job), RanTwice: r.cluster.Checker.DuplicateRuns[id] > 0}
 	if outcome.State == "" {
 		outcome.State = stateOpen
 	}
 	if job.endedAt > 0 {
 		outcome.DurationMs = (job.endedAt - job.submittedAt).Milliseconds()
 	}
-	isOwed := job.isAccepted && !job.isCancelled && !job.isLongRunning()
-	outcome.Missing = isOwed && job.state == ""
-	outcome.Late = isOwed && job.state == stateCompleted && outcome.DurationMs > outcome.TargetMs
+	mustComplete := job.isAccepted && !job.isCancelled && !job.isLongRunning()
+	outcome.Missing = mustComplete && job.state == ""
+	outcome.Late = mustComplete && job.state == stateCompleted && outcome.DurationMs > outcome.TargetMs
 	return outcome
 }
 
-// isLongRunning tells whether a job goes on until it is cancelled.
-func (j *playedJob) isLongRunning() bool {
+// isLongRunning reports whether the job has a step that runs until it is cancelled.
+func (j *replayedJob) isLongRunning() bool {
 	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.LongRunning })
 }
 
-// targetMs counts from the submission: the queue's recorded stretch times the longest chain of work, and its target.
-func (p *play) targetMs(job *playedJob) int64 {
-	chain := make([]time.Duration, len(job.spec.Steps))
+// targetMs returns the time from submission after which a job is late: the recorded stretch factor times the longest chain of steps, plus
+// the recorded target, plus for repeated jobs the wait until the last occurrence.
+func (r *replay) targetMs(job *replayedJob) int64 {
+	chainTimes := make([]time.Duration, len(job.spec.Steps))
 	var longest time.Duration
-	times := max(1, job.spec.RepeatCount)
+	occurrences := max(1, job.spec.RepeatCount)
 	for number, step := range job.spec.Steps {
 		var before, maximum time.Duration
 		for _, earlier := range step.DependsOn {
-			before = max(before, chain[earlier])
+			before = max(before, chainTimes[earlier])
 		}
 		for index := range step.Tasks {
-			length, _ := p.work(jobs.TaskName(job.event.ID, times-1, number, index), 1, nil)
+			length, _ := r.work(jobs.TaskName(job.event.ID, occurrences-1, number, index), 1, nil)
 			maximum = max(maximum, length)
 		}
-		chain[number] = before + maximum
-		longest = max(longest, chain[number])
+		chainTimes[number] = before + maximum
+		longest = max(longest, chainTimes[number])
 	}
 	target := int64(max(1, job.event.Terms.Stretch)*float64(longest.Milliseconds())) + job.event.Terms.TargetMs
 	if job.spec.RepeatCount > 0 {
-		target += max(0, job.spec.FirstRunMs+int64(times-1)*job.spec.PeriodMs-job.event.AtMs)
+		target += max(0, job.spec.FirstRunMs+int64(occurrences-1)*job.spec.PeriodMs-job.event.AtMs)
 	}
 	return target
 }
--- a/internal/simulation/rehearsal/rehearsal_suite_test.go
+++ b/internal/simulation/rehearsal/rehearsal_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRehearseday(t *testing.T) {
+func TestRehearsal(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "rehearsal")
 }
--- a/internal/simulation/rehearsal/report.go
+++ b/internal/simulation/rehearsal/report.go
@@ -12,8 +12,8 @@
 	"gannetline/internal/scheduling/recording"
 )
 
-// QueueSum is one queue in one play; HalfMs and MostMs are the times within which half and 95 of 100 of its completed jobs
-// ended.
+// QueueSum is the summary of one queue in one replay. HalfMs and MostMs are the median and the 95th percentile of the durations of
+// its completed jobs.
 type QueueSum struct {
 	Jobs    int   `json:"jobs"`
 	Late    int   `json:"late"`
@@ -24,19 +24,19 @@
 	MostMs  int64 `json:"95-of-100-within-ms"`
 }
 
-// Pair is the sums of one queue in the two plays.
+// Pair holds the summaries of one queue in both replays.
 type Pair struct {
 	AsIs    QueueSum `json:"as-is"`
 	Changed QueueSum `json:"changed"`
 }
 
-// JobPair is what became of one job in the two plays.
+// JobPair holds the outcomes of one job in both replays.
 type JobPair struct {
 	AsIs    Outcome `json:"as-is"`
 	Changed Outcome `json:"changed"`
 }
 
-// Report is the whole of a rehearsal; it holds nothing that another run of it would not.
+// Report is the result of a rehearsal. It is deterministic: rehearsals of the same setup give equal reports.
 type Report struct {
 	Lines       int             `json:"lines"`
 	Lost        int64           `json:"lost"`
@@ -46,21 +46,21 @@
 	Queues      map[string]Pair `json:"queues"`
 	Differences []JobPair       `json:"differences"`
 	Worse       []string        `json:"worse"`
-	// Rollout is how a rollout stood, second by second.
+	// Rollout is the progress of the rollout, one sample per simulated second.
 	Rollout []RolloutSample `json:"rollout,omitempty"`
 }
 
-// Rehearse plays the day as things are and under the change.
+// Rehearse replays the day with the current settings and under the change, and compares the two.
 func Rehearse(setup Setup) (*Report, error) {
-	asIs := setup
-	asIs.Change, asIs.Rollout, asIs.Watch = &Change{}, nil, nil
-	before, err := Play(asIs)
+	unchangedSetup := setup
+	unchangedSetup.Change, unchangedSetup.Rollout, unchangedSetup.OnRolloutSample = &Change{}, nil, nil
+	before, err := Replay(unchangedSetup)
 	if err != nil {
 		return nil, err
 	}
 	var samples []RolloutSample
-	setup.Watch = func(sample RolloutSample) { samples = append(samples, sample) }
-	after, err := Play(setup)
+	setup.OnRolloutSample = func(sample RolloutSample) { samples = append(samples, sample) }
+	after, err := Replay(setup)
 	if err != nil {
 		return nil, errors.Annotate(err, "under the change")
 	}
@@ -69,7 +69,7 @@
 	return report, nil
 }
 
-// compare sets two plays beside each other; outcomes of the same job are at the same place.
+// compare compares the outcomes of two replays. Outcomes of the same job must have the same index.
 func compare(setup Setup, before, after []Outcome) *Report {
 	report := &Report{Lines: setup.Day.Lines, Lost: setup.Day.Lost, Skipped: setup.Day.Skipped, Seed: setup.Seed,
 		Queues: map[string]Pair{}, Differences: []JobPair{}, Worse: []string{}}
@@ -82,33 +82,33 @@
 	for queue := range sumsBefore {
 		report.Queues[queue] = Pair{sumsBefore[queue], sumsAfter[queue]}
 	}
-	for place, was := range before {
-		is := after[place]
-		if was.Late != is.Late || was.Missing != is.Missing || was.RanTwice != is.RanTwice || was.State != is.State {
-			report.Differences = append(report.Differences, JobPair{was, is})
+	for index, unchanged := range before {
+		changed := after[index]
+		if unchanged.Late != changed.Late || unchanged.Missing != changed.Missing || unchanged.RanTwice != changed.RanTwice || unchanged.State != changed.State {
+			report.Differences = append(report.Differences, JobPair{unchanged, changed})
 		}
-		if is.Late && !was.Late || is.Missing && !was.Missing || is.RanTwice && !was.RanTwice {
-			report.Worse = append(report.Worse, is.ID)
+		if changed.Late && !unchanged.Late || changed.Missing && !unchanged.Missing || changed.RanTwice && !unchanged.RanTwice {
+			report.Worse = append(report.Worse, changed.ID)
 		}
 	}
 	return report
 }
 
-// sums adds up outcomes by queue.
+// sums summarizes outcomes by queue.
 func sums(outcomes []Outcome) map[string]QueueSum {
-	all, took := map[string]QueueSum{}, map[string][]int64{}
+	all, durations := map[string]QueueSum{}, map[string][]int64{}
 	for _, outcome := range outcomes {
 		sum := all[outcome.Queue]
 		sum.add(outcome)
 		all[outcome.Queue] = sum
 		if outcome.State == stateCompleted {
-			took[outcome.Queue] = append(took[outcome.Queue], outcome.DurationMs)
+			durations[outcome.Queue] = append(durations[outcome.Queue], outcome.DurationMs)
 		}
 	}
-	for queue, lengths := range took {
-		slices.Sort(lengths)
+	for queue, queueDurations := range durations {
+		slices.Sort(queueDurations)
 		sum := all[queue]
-		sum.HalfMs, sum.MostMs = lengths[len(lengths)/2], lengths[len(lengths)*95/100]
+		sum.HalfMs, sum.MostMs = queueDurations[len(queueDurations)/2], queueDurations[len(queueDurations)*95/100]
 		all[queue] = sum
 	}
 	return all
@@ -122,13 +122,13 @@
 	countIf(outcome.State == stateFailed, &s.Failed)
 }
 
-func countIf(isSo bool, count *int) {
-	if isSo {
+func countIf(condition bool, count *int) {
+	if condition {
 		*count++
 	}
 }
 
-// Write shows the report to people, or as JSON.
+// Write writes the report as text, or as JSON.
 func (r *Report) Write(to io.Writer, isJSON bool) error {
 	if isJSON {
 		return indentedjson.Write(to, r)
@@ -141,12 +141,12 @@
 	out.writeLine("executors are a model: %d tasks run as long as recorded, the others as long as estimated", r.Recorded)
 	out.writeLine("%-24s %-8s %6s %6s %8s %6s %7s %9s %9s", "queue", "", "jobs", "late", "missing", "twice", "failed", "half ms", "95% ms")
 	for _, queue := range slices.Sorted(maps.Keys(r.Queues)) {
-		out.sum(queue, "as is", r.Queues[queue].AsIs)
-		out.sum("", "changed", r.Queues[queue].Changed)
+		out.writeQueue(queue, "as is", r.Queues[queue].AsIs)
+		out.writeQueue("", "changed", r.Queues[queue].Changed)
 	}
-	out.samples(r.Rollout)
+	out.writeSamples(r.Rollout)
 	for _, pair := range r.Differences {
-		out.writeLine("job %s of %s: %s -> %s", pair.AsIs.ID, pair.AsIs.Queue, pair.AsIs.text(), pair.Changed.text())
+		out.writeLine("job %s of %s: %s -> %s", pair.AsIs.ID, pair.AsIs.Queue, pair.AsIs.describe(), pair.Changed.describe())
 	}
 	if len(r.Worse) == 0 {
 		out.writeLine("nothing is worse under the change")
@@ -156,20 +156,20 @@
 	return out.err
 }
 
-func (o Outcome) text() string {
-	words := fmt.Sprintf("%s after %d ms (aim %d ms)", o.State, o.DurationMs, o.TargetMs)
+func (o Outcome) describe() string {
+	text := fmt.Sprintf("%s after %d ms (aim %d ms)", o.State, o.DurationMs, o.TargetMs)
 	for _, mark := range []struct {
-		isSo bool
-		word string
+		condition bool
+		suffix    string
 	}{{o.Late, ", late"}, {o.Missing, ", missing"}, {o.RanTwice, ", twice"}} {
-		if mark.isSo {
-			words += mark.word
+		if mark.condition {
+			text += mark.suffix
 		}
 	}
-	return words
+	return text
 }
 
-// printer keeps the first error of its lines.
+// printer writes lines of text. It keeps the first error and then writes nothing more.
 type printer struct {
 	to  io.Writer
 	err error
@@ -181,6 +181,6 @@
 	}
 }
 
-func (p *printer) sum(queue, name string, sum QueueSum) {
+func (p *printer) writeQueue(queue, name string, sum QueueSum) {
 	p.writeLine("%-24s %-8s %6d %6d %8d %6d %7d %9d %9d", queue, name, sum.Jobs, sum.Late, sum.Missing, sum.Twice, sum.Failed, sum.HalfMs, sum.MostMs)
 }
--- a/internal/simulation/rehearsal/rollout.go
+++ b/internal/simulation/rehearsal/rollout.go
@@ -19,24 +19,24 @@
 	versionNew = "board-next"
 )
 
-// Behaviour is how the new version is supposed to fare.
+// Behaviour is the assumed behaviour of the new version.
 type Behaviour struct {
-	// Fails is the share of its runs that fail, from 0 to 1; RunTimeFactor is how many times as long they take.
-	Fails         float64 `yaml:"fails"`
+	// FailureShare is the share of its runs that fail, from 0 to 1. RunTimeFactor is the factor by which its runs take longer.
+	FailureShare  float64 `yaml:"fails"`
 	RunTimeFactor float64 `yaml:"run-time-factor"`
-	// FromS is how many seconds after the rollout has begun it fares so; before that it behaves.
+	// FromS is how many seconds after the start of the rollout this behaviour begins. Before, runs are as recorded.
 	FromS float64 `yaml:"from-s"`
 }
 
-// RolloutStep is a share of the queue's jobs, as the file names it.
+// RolloutStep is one step of a rollout: the share of the queue's jobs that the new version gets, from 0 to 1, and for how long at least.
 type RolloutStep struct {
 	Share    float64 `yaml:"share"`
 	MinTimeS float64 `yaml:"min-time-s"`
 	MinJobs  int64   `yaml:"min-jobs"`
 }
 
-// RolloutAgreement is what was agreed on, as the file names it.
-type RolloutAgreement struct {
+// RolloutBounds are the bounds within which the new version must stay, as the file gives them.
+type RolloutBounds struct {
 	Failures      float64 `yaml:"failures"`
 	Late          float64 `yaml:"late"`
 	RunTimeFactor float64 `yaml:"run-time-factor"`
@@ -44,22 +44,22 @@
 	MinJobs       int64   `yaml:"min-jobs"`
 }
 
-// Rollout is a rollout that is to be rehearsed.
+// Rollout is a rollout to rehearse.
 type Rollout struct {
-	// Queue is the name of the recorded queue; AtS is how many seconds after the first event it begins.
+	// Queue is the name of the recorded queue. AtS is how many seconds after the first event the rollout starts.
 	Queue string  `yaml:"queue"`
 	AtS   float64 `yaml:"at-s"`
-	// Executors is for how many of the recorded executors, from 0 to 1, there is another that runs the new version.
-	Executors  float64          `yaml:"executors"`
-	Steps      []RolloutStep    `yaml:"steps"`
-	Agreed     RolloutAgreement `yaml:"agreed"`
-	OnTurnBack string           `yaml:"on-turn-back"`
-	// IsRepeatable tells that the queue's jobs may run more than once, so that a turn back may stop their runs.
+	// Executors is the number of executors of the new version, as a share of the recorded executors from 0 to 1.
+	Executors  float64       `yaml:"executors"`
+	Steps      []RolloutStep `yaml:"steps"`
+	Bounds     RolloutBounds `yaml:"agreed"`
+	OnTurnBack string        `yaml:"on-turn-back"`
+	// IsRepeatable is set if the queue's jobs may run more than once, so that a rollback may stop their runs.
 	IsRepeatable bool      `yaml:"repeatable"`
-	New          Behaviour `yaml:"new-version"`
+	NewVersion   Behaviour `yaml:"new-version"`
 }
 
-// LoadRollout reads a rollout; an unknown field or a value out of range is an error that names it.
+// LoadRollout reads a rollout from a YAML file. An unknown field or a value out of range is an error that names it.
 func LoadRollout(path string) (*Rollout, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,16 +71,16 @@
 	if err := decoder.Decode(loaded); err != nil && !errors.Is(err, io.EOF) {
 		return nil, errors.Annotate(err, path)
 	}
-	if loaded.New.RunTimeFactor == 0 {
-		loaded.New.RunTimeFactor = 1
+	if loaded.NewVersion.RunTimeFactor == 0 {
+		loaded.NewVersion.RunTimeFactor = 1
 	}
 	return loaded, errors.Annotate(loaded.check(), path)
 }
 
 func (r *Rollout) check() error {
 	for _, err := range []error{
-		inRange("at-s", &r.AtS, 0, 86400), inRange("executors", &r.Executors, 0.01, 1), inRange("new-version.fails", &r.New.Fails, 0, 1),
-		inRange("new-version.run-time-factor", &r.New.RunTimeFactor, 0.01, 1000), inRange("new-version.from-s", &r.New.FromS, 0, 86400)} {
+		checkRange("at-s", &r.AtS, 0, 86400), checkRange("executors", &r.Executors, 0.01, 1), checkRange("new-version.fails", &r.NewVersion.FailureShare, 0, 1),
+		checkRange("new-version.run-time-factor", &r.NewVersion.RunTimeFactor, 0.01, 1000), checkRange("new-version.from-s", &r.NewVersion.FromS, 0, 86400)} {
 		if err != nil {
 			return err
 		}
@@ -88,8 +88,8 @@
 	if r.Queue == "" {
 		return errors.New("field queue is empty")
 	}
-	// All else is checked as the configuration's leader does.
-	text, err := json.Marshal(configuration.Configuration{Version: 1, Rollouts: []configuration.Rollout{r.asConfigured()},
+	// All other fields are checked by the rules of the configuration leader.
+	text, err := json.Marshal(configuration.Configuration{Version: 1, Rollouts: []configuration.Rollout{r.toConfiguration()},
 		Services: []configuration.Service{{Name: versionOld}, {Name: versionNew}},
 		Routes:   []configuration.Route{{Name: r.Queue, Host: rehearsalHost, TimeoutMs: 1, Service: versionOld}}})
 	if err != nil {
@@ -99,10 +99,10 @@
 	return err
 }
 
-// rehearsalHost is the host of the queue in a rehearsal.
+// rehearsalHost is the host of the queue's route in a rehearsal.
 const rehearsalHost = "rehearsal"
 
-// routeType is that of the queue.
+// routeType returns the type of the queue's route.
 func (r *Rollout) routeType() string {
 	if r.IsRepeatable {
 		return configuration.RouteIdempotent
@@ -110,30 +110,30 @@
 	return ""
 }
 
-// asConfigured is the rollout as it stands in a configuration.
-func (r *Rollout) asConfigured() configuration.Rollout {
+// toConfiguration returns the rollout as a configuration holds it.
+func (r *Rollout) toConfiguration() configuration.Rollout {
 	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnTurnBack: r.OnTurnBack,
-		Bounds: configuration.RolloutBounds(r.Agreed)}
+		Bounds: configuration.RolloutBounds(r.Bounds)}
 	for _, step := range r.Steps {
 		rollout.Steps = append(rollout.Steps, configuration.RolloutStep(step))
 	}
 	return rollout
 }
 
-// RolloutSample is how a rollout stands at one moment, in seconds since the first event.
+// RolloutSample is the progress of a rollout at one time. AtS is in seconds since the first event.
 type RolloutSample struct {
 	AtS   float64 `json:"at-s"`
 	State string  `json:"state"`
 	Share float64 `json:"share"`
-	// Ended, Failed and Waiting are the jobs of either version that have ended, have failed, and have missed their target while they wait.
+	// Ended, Failed and Overdue count the jobs of each version that have ended, have failed, and still wait after their target.
 	OldEnded   int64  `json:"old-ended"`
 	OldFailed  int64  `json:"old-failed"`
-	OldWaiting int64  `json:"old-overdue"`
+	OldOverdue int64  `json:"old-overdue"`
 	NewEnded   int64  `json:"new-ended"`
 	NewFailed  int64  `json:"new-failed"`
-	NewWaiting int64  `json:"new-overdue"`
+	NewOverdue int64  `json:"new-overdue"`
 	Reason     string `json:"reason,omitempty"`
 }
 
-// at is when a sample was taken, as a duration.
+// at returns the time of a sample as a duration since the first event.
 func (s *RolloutSample) at() time.Duration { return time.Duration(s.AtS * float64(time.Second)) }
--- a/internal/simulation/rehearsal/rollout_test.go
+++ b/internal/simulation/rehearsal/rollout_test.go
@@ -30,19 +30,19 @@
 		return report
 	}
 	last := func(report *rehearsal.Report) rehearsal.RolloutSample { return report.Rollout[len(report.Rollout)-1] }
-	sums := func(report *rehearsal.Report) (missing, twice int) {
+	totals := func(report *rehearsal.Report) (missing, twice int) {
 		for _, pair := range report.Queues {
 			missing, twice = missing+pair.Changed.Missing, twice+pair.Changed.Twice
 		}
 		return missing, twice
 	}
 
-	It("turns a bad version back, with nothing lost or doubled", func() {
+	It("rolls back a failing version, and no job is missing or runs twice", func() {
 		report := rehearse(nil)
 		Expect(last(report).State).To(Equal("turned-back"))
 		Expect(last(report).Reason).To(ContainSubstring("failures of"))
 		Expect(last(report).NewEnded).To(BeNumerically("<", last(report).OldEnded))
-		missing, twice := sums(report)
+		missing, twice := totals(report)
 		Expect(missing).To(BeZero())
 		Expect(twice).To(BeZero())
 		var shown, plot bytes.Buffer
@@ -52,22 +52,22 @@
 		Expect(plot.String()).To(ContainSubstring("turned-back after"))
 	})
 
-	It("gives all jobs to a version that behaves", func() {
-		report := rehearse(func(rollout *rehearsal.Rollout) { rollout.New.Fails = 0 })
+	It("finishes the rollout of a version without failures", func() {
+		report := rehearse(func(rollout *rehearsal.Rollout) { rollout.NewVersion.FailureShare = 0 })
 		Expect(last(report).State).To(Equal("finished"))
-		missing, twice := sums(report)
+		missing, twice := totals(report)
 		Expect(missing + twice).To(BeZero())
 	})
 
-	It("turns back a version that gets slow later", func() {
+	It("rolls back a version that becomes slow later", func() {
 		report := rehearse(func(rollout *rehearsal.Rollout) {
-			rollout.New = rehearsal.Behaviour{RunTimeFactor: 6, FromS: 6}
-			rollout.Steps[0].MinTimeS, rollout.Steps[0].Share, rollout.Agreed.RunTimeFactor = 30, 0.5, 2
+			rollout.NewVersion = rehearsal.Behaviour{RunTimeFactor: 6, FromS: 6}
+			rollout.Steps[0].MinTimeS, rollout.Steps[0].Share, rollout.Bounds.RunTimeFactor = 30, 0.5, 2
 		})
 		Expect(last(report).State).To(Equal("turned-back"))
 	})
 
-	DescribeTable("refuses a file with the name of the field", func(before, after, named string) {
+	DescribeTable("refuses a file with the name of the field", func(before, after, field string) {
 		text, err := os.ReadFile(rolloutFile)
 		Expect(err).NotTo(HaveOccurred())
 		changed := strings.Replace(string(text), before, after, 1)
@@ -75,12 +75,12 @@
 		path := filepath.Join(GinkgoT().TempDir(), "rollout.yaml")
 		Expect(os.WriteFile(path, []byte(changed), 0o600)).To(Succeed())
 		_, err = rehearsal.LoadRollout(path)
-		Expect(err).To(MatchError(ContainSubstring(named)))
+		Expect(err).To(MatchError(ContainSubstring(field)))
 	},
 		Entry("an unknown field", "queue:", "qeue:", "qeue"),
 		Entry("no queue", "queue: settlement", "queue: ''", "field queue"),
 		Entry("a chance above 1", "fails: 0.5", "fails: 1.5", "fails"),
-		Entry("shares that fall", "share: 0.2", "share: 1", "field share"),
+		Entry("decreasing shares", "share: 0.2", "share: 1", "field share"),
 		Entry("a bound outside 0 to 1", "failures: 0.05", "failures: 7", "field failures"),
 		Entry("too few executors", "executors: 1", "executors: 0", "executors"),
 	)
--- a/internal/simulation/rehearsal/rolloutplay.go
+++ b/internal/simulation/rehearsal/rolloutplay.go
@@ -15,115 +15,116 @@
 	"gannetline/internal/simulation/simcluster"
 )
 
-// reconcileInterval is how often the rollout is judged, sampleEvery how often it is told how it stands.
+// reconcileInterval is how often the rollout is judged, sampleInterval is how often its progress is sampled.
 const (
 	reconcileInterval = 500 * time.Millisecond
-	sampleEvery       = time.Second
+	sampleInterval    = time.Second
 )
 
-// playedRollout is a rollout in a play: the pool of the new version beside that of the day, real counts, transfers and judge.
-type playedRollout struct {
-	play    *play
+// replayedRollout is a rollout in a replay. The new version runs in a cluster of its own beside that of the day. The counts, the
+// transfers of jobs and the judge of the rollout are the production code.
+type replayedRollout struct {
+	replay  *replay
 	spec    Rollout
 	cluster *simcluster.Cluster
 	rollout configuration.Rollout
 	judge   *rollout.Judge
-	// version rises with each change of the rollout, as that of a configuration does.
-	version  int64
-	evidence rollout.Evidence
-	begunAt  time.Duration
+	// version is incremented with each change of the rollout, as the version of a configuration is.
+	version   int64
+	evidence  rollout.Evidence
+	startedAt time.Duration
 }
 
-func newPlayedRollout(p *play, spec Rollout) *playedRollout {
-	return &playedRollout{play: p, spec: spec, rollout: spec.asConfigured(), judge: &rollout.Judge{}, version: 1}
+func newReplayedRollout(owner *replay, spec Rollout) *replayedRollout {
+	return &replayedRollout{replay: owner, spec: spec, rollout: spec.toConfiguration(), judge: &rollout.Judge{}, version: 1}
 }
 
-// start starts the new version's executors, and the rollout at its time.
-func (r *playedRollout) start(sites []simcluster.Site) {
+// start starts the cluster of the new version, and schedules the rollout.
+func (r *replayedRollout) start(sites []simcluster.Site) {
 	count := max(1, int(math.Round(r.spec.Executors*float64(len(sites)))))
-	var places []simcluster.Site
+	var newSites []simcluster.Site
 	for _, site := range sites[:count] {
 		site.Machine += "-next"
-		places = append(places, site)
+		newSites = append(newSites, site)
 	}
-	r.cluster = simcluster.New(r.play.setup.Seed, stewards, 0, wire.Capacity{}, 0, simcluster.WithPeer(r.play.cluster, versionNew),
-		simcluster.WithSites(places), simcluster.WithWork(r.work), simcluster.WithPoolOptions(r.poolOptions(versionNew)...))
-	r.play.cluster.Events.After(warmUp+time.Duration(r.spec.AtS*float64(time.Second)), r.reconcile)
-	r.play.cluster.Events.After(warmUp, r.sample)
+	r.cluster = simcluster.New(r.replay.setup.Seed, stewardCount, 0, wire.Capacity{}, 0, simcluster.WithPeer(r.replay.cluster, versionNew),
+		simcluster.WithSites(newSites), simcluster.WithWork(r.work), simcluster.WithPoolOptions(r.poolOptions(versionNew)...))
+	r.replay.cluster.Events.After(warmUp+time.Duration(r.spec.AtS*float64(time.Second)), r.reconcile)
+	r.replay.cluster.Events.After(warmUp, r.sample)
 }
 
-// takes tells whether the new version runs a job.
-func (r *playedRollout) takes(job *playedJob) bool {
+// isOnNewVersion reports whether the new version runs a job.
+func (r *replayedRollout) isOnNewVersion(job *replayedJob) bool {
 	return job.event.Queue == r.spec.Queue && r.rollout.ServiceFor(job.event.ID) == versionNew
 }
 
-// work is that of the day, changed by how the new version is supposed to fare.
-func (r *playedRollout) work(task string, run int64, executor *simcluster.Executor) (time.Duration, string) {
-	length, outcome := r.play.work(task, run, executor)
-	if r.begunAt == 0 || r.play.cluster.Events.Now()-r.begunAt < time.Duration(r.spec.New.FromS*float64(time.Second)) {
+// work returns the run time and outcome of a run as in the day, changed by the assumed behaviour of the new version.
+func (r *replayedRollout) work(task string, run int64, executor *simcluster.Executor) (time.Duration, string) {
+	length, outcome := r.replay.work(task, run, executor)
+	if r.startedAt == 0 || r.replay.cluster.Events.Now()-r.startedAt < time.Duration(r.spec.NewVersion.FromS*float64(time.Second)) {
 		return length, outcome
 	}
-	if drawOf(task, run) < r.spec.New.Fails {
+	if hashFractionOf(task, run) < r.spec.NewVersion.FailureShare {
 		outcome = outcomeFailed
 	}
-	return time.Duration(r.spec.New.RunTimeFactor * float64(length)), outcome
+	return time.Duration(r.spec.NewVersion.RunTimeFactor * float64(length)), outcome
 }
 
-// drawOf is a number from 0 on and below 1 that a run decides.
-func drawOf(task string, run int64) float64 {
+// hashFractionOf returns a number from 0 up to but not including 1 that depends on the run alone.
+func hashFractionOf(task string, run int64) float64 {
 	sum := fnv.New32a()
 	sum.Write([]byte(task))
 	sum.Write([]byte{byte(run)})
 	return float64(sum.Sum32()) / (1 << 32)
 }
 
-// poolOptions are those of the pools of a version.
-func (r *playedRollout) poolOptions(service string) []scheduler.Option {
+// poolOptions returns the options of the pools of a version.
+func (r *replayedRollout) poolOptions(service string) []scheduler.Option {
 	return []scheduler.Option{scheduler.WithRollouts(func() scheduler.RolloutPolicy { return r.policy(service) }), scheduler.WithTransfers(r)}
 }
 
-// policy is what the pools know of the rollout: what a configuration with the queue and the rollout says.
-func (r *playedRollout) policy(service string) scheduler.RolloutPolicy {
+// policy returns the rollout policy of the pools of a version, as it follows from a configuration with the queue and the rollout.
+func (r *replayedRollout) policy(service string) scheduler.RolloutPolicy {
 	route := configuration.Route{Name: r.rollout.Route, Host: rehearsalHost, Service: versionOld, Type: r.spec.routeType()}
 	matcher := configuration.NewMatcher(&configuration.Configuration{Routes: []configuration.Route{route}, Rollouts: []configuration.Rollout{r.rollout}})
 	return rollouts.PolicyFor(r.version, matcher, service)
 }
 
-// Send carries a job back to the pool of the old version.
-func (r *playedRollout) Send(_ string, call *wire.ClientCall, answer func(*wire.ClientAnswer)) {
-	r.play.cluster.CallLeader(*call, func(given wire.ClientAnswer) { answer(&given) })
+// Send sends a transferred job to the pool of the old version.
+func (r *replayedRollout) Send(_ string, call *wire.ClientCall, answer func(*wire.ClientAnswer)) {
+	r.replay.cluster.CallLeader(*call, func(given wire.ClientAnswer) { answer(&given) })
 }
 
-// reconcile judges the rollout until it is over, and changes it at once as the decision says. The pools forget the counts of one that is
-// over, so what was counted last stays.
-func (r *playedRollout) reconcile() {
+// reconcile judges the rollout until it is over, and applies each decision at once. The pools drop the counts of a rollout that is
+// over, so the last counts are kept.
+func (r *replayedRollout) reconcile() {
 	if r.rollout.IsOver() {
 		return
 	}
-	r.gather(r.play.cluster, &r.evidence.Old)
-	r.gather(r.cluster, &r.evidence.New)
-	nowMs := r.play.cluster.Events.Clock.WallMs()
+	r.collectCounts(r.replay.cluster, &r.evidence.Old)
+	r.collectCounts(r.cluster, &r.evidence.New)
+	nowMs := r.replay.cluster.Events.Clock.WallMs()
 	decision := r.judge.Decide(&r.rollout, r.evidence, nowMs)
 	if decision.Action != rollout.Hold {
 		r.version++
-		r.change(decision, nowMs)
+		r.applyDecision(decision, nowMs)
 	}
-	r.play.cluster.Events.After(reconcileInterval, r.reconcile)
+	r.replay.cluster.Events.After(reconcileInterval, r.reconcile)
 }
 
-// change takes a step, as the leader of the configuration writes it; the reason is the decisive verdict alone.
-func (r *playedRollout) change(decision rollout.Decision, nowMs int64) {
+// applyDecision applies a decision as the configuration leader does, except that the reason is only the decisive verdict.
+func (r *replayedRollout) applyDecision(decision rollout.Decision, nowMs int64) {
 	r.rollout.SetProgress(rollout.ProgressAfter(&r.rollout, r.evidence, decision, nowMs))
 	if decision.Decisive != nil {
 		r.rollout.Reason = decision.Decisive.String()
 	}
 	if decision.Action == rollout.Begin {
-		r.begunAt = r.play.cluster.Events.Now()
+		r.startedAt = r.replay.cluster.Events.Now()
 	}
 }
 
-// gather asks the pool of a version what it has counted; the answer counts at the next judgement.
-func (r *playedRollout) gather(cluster *simcluster.Cluster, version *rollout.Version) {
+// collectCounts requests the counts of a version from its pool. The next call of reconcile uses the answer.
+func (r *replayedRollout) collectCounts(cluster *simcluster.Cluster, version *rollout.Version) {
 	cluster.CallLeader(wire.ClientCall{Verb: wire.VerbRollouts}, func(answer wire.ClientAnswer) {
 		report := &wire.RolloutReport{}
 		if easyjson.Unmarshal(answer.Body, report) == nil && !r.rollout.IsOver() {
@@ -132,13 +133,13 @@
 	})
 }
 
-// sample tells how the rollout stands, again and again.
-func (r *playedRollout) sample() {
-	if r.play.setup.Watch != nil {
+// sample reports the progress of the rollout at each sampleInterval.
+func (r *replayedRollout) sample() {
+	if r.replay.setup.OnRolloutSample != nil {
 		old, next := r.evidence.Old.Counts, r.evidence.New.Counts
-		r.play.setup.Watch(RolloutSample{AtS: (r.play.cluster.Events.Now() - warmUp).Seconds(), State: r.rollout.State.Label(), Share: r.rollout.Share(),
-			OldEnded: old.Jobs.Completed + old.Jobs.Failed, OldFailed: old.Jobs.Failed, OldWaiting: old.Overdue,
-			NewEnded: next.Jobs.Completed + next.Jobs.Failed, NewFailed: next.Jobs.Failed, NewWaiting: next.Overdue, Reason: r.rollout.Reason})
+		r.replay.setup.OnRolloutSample(RolloutSample{AtS: (r.replay.cluster.Events.Now() - warmUp).Seconds(), State: r.rollout.State.Label(), Share: r.rollout.Share(),
+			OldEnded: old.Jobs.Completed + old.Jobs.Failed, OldFailed: old.Jobs.Failed, OldOverdue: old.Overdue,
+			NewEnded: next.Jobs.Completed + next.Jobs.Failed, NewFailed: next.Jobs.Failed, NewOverdue: next.Overdue, Reason: r.rollout.Reason})
 	}
-	r.play.cluster.Events.After(sampleEvery, r.sample)
+	r.replay.cluster.Events.After(sampleInterval, r.sample)
 }
--- a/internal/simulation/rehearsal/rolloutplot.go
+++ b/internal/simulation/rehearsal/rolloutplot.go
@@ -18,7 +18,7 @@
 	plotMargin  = 60
 )
 
-// panel is one line chart of a plot: its values over time.
+// panel is one line chart of a plot, with one or more curves over time.
 type panel struct {
 	title  string
 	curves []curve
@@ -29,34 +29,34 @@
 	value        func(*RolloutSample) float64
 }
 
-// panels are the share, the jobs that failed, and the jobs that wait beyond their target, of both versions.
+// panels are the share of the new version, and of both versions the failed jobs and the jobs that wait after their target.
 var panels = []panel{
 	{"share of the new version, percent", []curve{{"share", "steelblue", func(s *RolloutSample) float64 { return 100 * s.Share }}}},
 	{"jobs failed", []curve{{"old version", "grey", func(s *RolloutSample) float64 { return float64(s.OldFailed) }},
 		{"new version", "firebrick", func(s *RolloutSample) float64 { return float64(s.NewFailed) }}}},
-	{"jobs waiting beyond their target", []curve{{"old version", "grey", func(s *RolloutSample) float64 { return float64(s.OldWaiting) }},
-		{"new version", "firebrick", func(s *RolloutSample) float64 { return float64(s.NewWaiting) }}}},
+	{"jobs waiting beyond their target", []curve{{"old version", "grey", func(s *RolloutSample) float64 { return float64(s.OldOverdue) }},
+		{"new version", "firebrick", func(s *RolloutSample) float64 { return float64(s.NewOverdue) }}}},
 }
 
-// WritePlot draws how a rollout went as SVG, with a line where it was turned back or finished.
-func WritePlot(to io.Writer, samples []RolloutSample) {
-	canvas := svg.New(to)
+// WritePlot draws the progress of a rollout as SVG, with a vertical line where it was rolled back or finished.
+func WritePlot(out io.Writer, samples []RolloutSample) {
+	canvas := svg.New(out)
 	height := 2*plotMargin + len(panels)*(panelHeight+panelGap)
 	canvas.Start(plotWidth, height)
 	canvas.Rect(0, 0, plotWidth, height, "fill:white")
 	for number, drawn := range panels {
 		drawPanel(canvas, drawn, samples, plotMargin+number*(panelHeight+panelGap))
 	}
-	if end := endOf(samples); end != nil {
-		position := across(samples, end)
+	if end := findEnd(samples); end != nil {
+		position := xOf(samples, end)
 		canvas.Line(position, plotMargin, position, height-plotMargin, "stroke:black;stroke-dasharray:4")
 		canvas.Text(plotMargin, height-plotMargin/2, fmt.Sprintf("%s after %.0f s: %s", end.State, end.AtS, end.Reason), "font-size:12px")
 	}
 	canvas.End()
 }
 
-// endOf is the first sample at which the rollout was over, nil if it never was.
-func endOf(samples []RolloutSample) *RolloutSample {
+// findEnd returns the first sample at which the rollout was over, or nil.
+func findEnd(samples []RolloutSample) *RolloutSample {
 	for index := range samples {
 		if configuration.RolloutState(samples[index].State).IsOver() {
 			return &samples[index]
@@ -65,13 +65,13 @@
 	return nil
 }
 
-// across is where a sample stands, from left to right.
-func across(samples []RolloutSample, sample *RolloutSample) int {
+// xOf returns the horizontal position of a sample, in pixels.
+func xOf(samples []RolloutSample, sample *RolloutSample) int {
 	last := samples[len(samples)-1].at()
 	return plotMargin + int(float64(plotWidth-2*plotMargin)*sample.at().Seconds()/max(1, last.Seconds()))
 }
 
-// drawPanel draws the curves of a panel whose top is so far down.
+// drawPanel draws the curves of a panel. top is its vertical position in pixels.
 func drawPanel(canvas *svg.SVG, drawn panel, samples []RolloutSample, top int) {
 	highest := 1.0
 	for _, curve := range drawn.curves {
@@ -86,7 +86,7 @@
 	for number, curve := range drawn.curves {
 		var xs, ys []int
 		for index := range samples {
-			xs = append(xs, across(samples, &samples[index]))
+			xs = append(xs, xOf(samples, &samples[index]))
 			ys = append(ys, top+panelHeight-int(panelHeight*curve.value(&samples[index])/highest))
 		}
 		canvas.Polyline(xs, ys, "fill:none;stroke-width:2;stroke:"+curve.colour)
@@ -94,18 +94,18 @@
 	}
 }
 
-// samples writes a line for each second in which anything about a rollout changed.
-func (p *printer) samples(samples []RolloutSample) {
+// writeSamples writes a line for each sample at which the state, the share, or the failed or overdue jobs of the new version changed.
+func (p *printer) writeSamples(samples []RolloutSample) {
 	if len(samples) == 0 {
 		return
 	}
 	p.writeLine("%8s  %-12s %-22s %9s %9s %9s %9s %9s %9s", "second", "rollout", "share of new version", "old ended", "failed", "overdue", "new ended", "failed", "overdue")
 	var before RolloutSample
 	for _, sample := range samples {
-		if sample.State == before.State && sample.Share == before.Share && sample.NewFailed == before.NewFailed && sample.NewWaiting == before.NewWaiting {
+		if sample.State == before.State && sample.Share == before.Share && sample.NewFailed == before.NewFailed && sample.NewOverdue == before.NewOverdue {
 			continue
 		}
-		p.writeLine("%8.0f  %-12s [%s] %9d %9d %9d %9d %9d %9d", sample.AtS, sample.State, rolloutview.Bar(sample.Share), sample.OldEnded, sample.OldFailed, sample.OldWaiting, sample.NewEnded, sample.NewFailed, sample.NewWaiting)
+		p.writeLine("%8.0f  %-12s [%s] %9d %9d %9d %9d %9d %9d", sample.AtS, sample.State, rolloutview.Bar(sample.Share), sample.OldEnded, sample.OldFailed, sample.OldOverdue, sample.NewEnded, sample.NewFailed, sample.NewOverdue)
 		before = sample
 	}
 	if before.Reason != "" {
--- a/internal/simulation/rehearsal/rolloutpolicy_test.go
+++ b/internal/simulation/rehearsal/rolloutpolicy_test.go
@@ -7,16 +7,16 @@
 	"gannetline/internal/cluster/configuration"
 )
 
-var _ = ginkgo.Describe("what the pools of a rehearsal know of a rollout", func() {
-	played := func(state configuration.RolloutState, isRepeatable bool) *playedRollout {
+var _ = ginkgo.Describe("the rollout policy of a rehearsal", func() {
+	newRollout := func(state configuration.RolloutState, isRepeatable bool) *replayedRollout {
 		spec := &Rollout{Queue: "q", OnTurnBack: configuration.TurnBackStop, IsRepeatable: isRepeatable}
-		made := &playedRollout{spec: *spec, rollout: spec.asConfigured(), version: 3}
-		made.rollout.State, made.rollout.BegunMs = state, 1000
-		return made
+		created := &replayedRollout{spec: *spec, rollout: spec.toConfiguration(), version: 3}
+		created.rollout.State, created.rollout.BegunMs = state, 1000
+		return created
 	}
 
-	ginkgo.DescribeTable("is that runs of a turned back version are stopped where its jobs may run again", func(isRepeatable bool) {
-		policy := played(configuration.RolloutTurnedBack, isRepeatable).policy(versionNew)
+	ginkgo.DescribeTable("stops the runs of a rolled back version, and tells whether its jobs are repeatable", func(isRepeatable bool) {
+		policy := newRollout(configuration.RolloutTurnedBack, isRepeatable).policy(versionNew)
 		Expect(policy.Version).To(Equal(int64(3)))
 		Expect(policy.Rollouts).To(HaveLen(1))
 		Expect(policy.Rollouts[0].StopsRuns).To(BeTrue())
@@ -27,11 +27,11 @@
 		ginkgo.Entry("not repeatable", false),
 	)
 
-	ginkgo.It("is nothing before it has begun and for the old version once it is over", func() {
-		begins := played(configuration.RolloutWidening, false)
-		begins.rollout.BegunMs = 0
-		Expect(begins.policy(versionNew).Rollouts).To(BeEmpty())
-		Expect(played(configuration.RolloutTurnedBack, false).policy(versionOld).Rollouts).To(BeEmpty())
-		Expect(played(configuration.RolloutWidening, false).policy(versionOld).Rollouts).To(HaveLen(1))
+	ginkgo.It("is empty before the rollout begins, and for the old version once it is over", func() {
+		notBegun := newRollout(configuration.RolloutWidening, false)
+		notBegun.rollout.BegunMs = 0
+		Expect(notBegun.policy(versionNew).Rollouts).To(BeEmpty())
+		Expect(newRollout(configuration.RolloutTurnedBack, false).policy(versionOld).Rollouts).To(BeEmpty())
+		Expect(newRollout(configuration.RolloutWidening, false).policy(versionOld).Rollouts).To(HaveLen(1))
 	})
 })
