--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -1,5 +1,5 @@
-// Package hollow is many worker nodes in one process: real local-proxies, each before a stand-in of an executor
-// that keeps to the protocol and lets time pass instead of working.
+// Package hollow runs many worker nodes in one process. Each consists of a production local-proxy and a stand-in executor, which follows
+// the executor protocol but only waits for the length of a run in place of working.
 package hollow
 
 import (
@@ -13,17 +13,17 @@
 )
 
 const (
-	// maxEnds is how many ends one answer lists.
+	// maxEnds is how many ends one answer lists at most.
 	maxEnds = 500
-	// maxWaitMs is how long a hold may wait for an end, in milliseconds.
+	// maxWaitMs is how long a hold may wait for the end of a run, in milliseconds.
 	maxWaitMs = 2000
-	// firstClockMs is what the clock of an executor shows at its start.
+	// firstClockMs is the value of an executor's clock at its start.
 	firstClockMs = 100_000
-	// maxPercent is the progress that a running task shows at most.
+	// maxPercent is the highest progress reported for a run that has not ended.
 	maxPercent = 99
 )
 
-// How a run ended, on the wire.
+// The outcomes of runs on the wire.
 const (
 	outcomeDone    = "done"
 	outcomeFailed  = "failed"
@@ -31,7 +31,7 @@
 	outcomeStopped = "stopped"
 )
 
-// Why an order was refused, on the wire.
+// The reasons for refusing an order on the wire.
 const (
 	reasonFence      = "fence"
 	reasonOld        = "old"
@@ -39,31 +39,32 @@
 	reasonNoCapacity = "room"
 )
 
-// Load is what a task asks a stand-in executor for; it travels as the task's descriptor. CPU is in
-// thousandths of a core.
+// Load is the length and the resources of a run on a stand-in executor. It is encoded in the task's descriptor. CPU is in thousandths
+// of a core.
 type Load struct {
 	Length   time.Duration
 	CPU      int64
 	MemoryMB int64
 }
 
-// loadForm is that of a descriptor.
-const loadForm = "hollow %d ms, %d cpu-units, %d MB"
+// loadFormat is the format of a descriptor, for writing and for parsing.
+const loadFormat = "hollow %d ms, %d cpu-units, %d MB"
 
-// Descriptor writes the load as a task descriptor, from which a hollow executor reads it back.
+// Descriptor returns the load as a task descriptor, which a stand-in executor can parse.
 func (l Load) Descriptor() string {
-	return fmt.Sprintf(loadForm, l.Length.Milliseconds(), l.CPU, l.MemoryMB)
+	return fmt.Sprintf(loadFormat, l.Length.Milliseconds(), l.CPU, l.MemoryMB)
 }
 
 func parseLoad(text string) (Load, error) {
 	var ms int64
 	var load Load
-	_, err := fmt.Sscanf(text, loadForm, &ms, &load.CPU, &load.MemoryMB)
+	_, err := fmt.Sscanf(text, loadFormat, &ms, &load.CPU, &load.MemoryMB)
 	load.Length = clock.Milliseconds(ms)
 	return load, err
 }
 
-// RunRecord is one run as an executor saw it, in milliseconds of its machine's clock; EndMs is 0 while it runs.
+// RunRecord is one run as observed by its executor. Times are in milliseconds of the machine's wall clock. EndMs is 0 while the run
+// continues.
 type RunRecord struct {
 	Task    string `json:"task"`
 	Run     int64  `json:"run"`
@@ -73,19 +74,20 @@
 	Outcome string `json:"how,omitempty"`
 }
 
-// activeRun is a run that goes on; begunAt is by the monotonic clock.
+// activeRun is a run that has not ended. startedAt is by the monotonic clock.
 type activeRun struct {
-	record  RunRecord
-	load    Load
-	begunAt time.Duration
+	record    RunRecord
+	load      Load
+	startedAt time.Duration
 }
 
-// waitingHold is a hold that is answered at the next end, or when its wait is over.
+// waitingHold is a hold that is answered at the next end of a run, or when its wait is over.
 type waitingHold struct {
 	answer func(int, executorapi.Answer)
 }
 
-// ExecutorConfig describes an executor: its name, capacity, labels and timing.
+// ExecutorConfig is the configuration of an executor. MaxHold is the longest time by which a call extends the hold. A stopped run ends
+// after half of StopTimeout.
 type ExecutorConfig struct {
 	Node        string
 	ID          string
@@ -93,62 +95,64 @@
 	Labels      []string
 	MaxHold     time.Duration
 	StopTimeout time.Duration
-	// ClockRate is how fast its clock goes, 0.98 to 1.
+	// ClockRate is the rate of its clock relative to the real one, from 0.98 to 1.
 	ClockRate float64
-	// FailsFirstRuns has the first run of each task fail.
+	// FailsFirstRuns makes the first run of each task fail.
 	FailsFirstRuns bool
 }
 
-// Executor is a stand-in that keeps to the protocol of executors. It has no goroutine of its own: all calls come on
-// one goroutine, and later runs functions on the same one.
+// Executor is a stand-in that follows the executor protocol. It has no goroutine of its own: all calls must come on one goroutine,
+// and runLater must run functions on the same one.
 type Executor struct {
-	config   ExecutorConfig
-	clock    clock.Clock
-	later    func(wait time.Duration, run func())
-	begunAt  time.Duration
-	fence    uint64
-	expiryMs int64
-	// isWatched is set while a function waits for the expiry.
-	isWatched bool
-	active    []*activeRun
-	ends      []executorapi.EndRow
-	lastEnd   int64
-	// highest is, by task, the highest run that was ended or stopped here.
+	config    ExecutorConfig
+	clock     clock.Clock
+	runLater  func(wait time.Duration, run func())
+	startedAt time.Duration
+	fence     uint64
+	expiryMs  int64
+	// isExpiryScheduled is set while a function is scheduled for the expiry of the hold.
+	isExpiryScheduled bool
+	active            []*activeRun
+	ends              []executorapi.EndRow
+	lastEnd           int64
+	// highest is the highest run number of each task that ended or was stopped here.
 	highest      map[string]int64
 	waitingHolds []*waitingHold
 	ended        []RunRecord
 	sequence     int64
-	// refusedFences has when a fence was first refused, and repeatedFences counts the calls that came under one well after.
+	// refusedFences holds when each fence was first refused. repeatedFences counts the calls that still used such a fence more than
+	// fenceNoticeTime later, and the orders without a leader's fence.
 	refusedFences  map[uint64]time.Duration
 	repeatedFences int
 }
 
-// NewExecutor makes an executor that only pretends to work: a run ends after the length that its descriptor names.
-// The clock gives its time, and later runs a function after a wait, on the goroutine that calls the executor.
-func NewExecutor(shape ExecutorConfig, clock clock.Clock, later func(time.Duration, func())) *Executor {
-	return &Executor{config: shape, clock: clock, later: later, begunAt: clock.Monotonic(), highest: map[string]int64{}, refusedFences: map[uint64]time.Duration{}}
+// NewExecutor creates an executor whose runs end after the length in their descriptor. runLater must run a function after a wait, on
+// the goroutine that calls the executor.
+func NewExecutor(config ExecutorConfig, clock clock.Clock, runLater func(time.Duration, func())) *Executor {
+	return &Executor{config: config, clock: clock, runLater: runLater, startedAt: clock.Monotonic(), highest: map[string]int64{}, refusedFences: map[uint64]time.Duration{}}
 }
 
-// ClockMs is the executor's own monotonic clock.
+// ClockMs returns the executor's own monotonic clock in milliseconds.
 func (e *Executor) ClockMs() int64 {
-	return firstClockMs + int64(float64((e.clock.Monotonic()-e.begunAt).Milliseconds())*e.config.ClockRate)
+	return firstClockMs + int64(float64((e.clock.Monotonic()-e.startedAt).Milliseconds())*e.config.ClockRate)
 }
 
 func (e *Executor) answer(reason string) executorapi.Answer {
 	return executorapi.Answer{ClockMs: e.ClockMs(), Reason: reason}
 }
 
-// fenceNotice is how long after a refusal whoever was refused has had time to learn of it.
-const fenceNotice = 2 * time.Second
+// fenceNoticeTime is how long after its refusal a fence may still be used, until its sender has noticed the refusal.
+const fenceNoticeTime = 2 * time.Second
 
-// noLeader is the fence of a local proxy that has heard of no leader since it started. It may only look, and nobody can have told it better.
-const noLeader = 0
+// noLeaderFence is the fence of a local proxy that has had no answer from a leader since it started. Such a proxy may send holds but no
+// orders. Refused holds of it are not counted, as it can't know the current fence.
+const noLeaderFence = 0
 
-// raise takes note of a fence; it tells whether an order with it may be carried out.
-func (e *Executor) raise(fence uint64) bool {
+// acceptFence records a fence. It reports whether a call with this fence may be carried out, that is, whether no higher one is known.
+func (e *Executor) acceptFence(fence uint64) bool {
 	if fence < e.fence {
-		if fence != noLeader {
-			e.noteRefusal(fence)
+		if fence != noLeaderFence {
+			e.trackRefusal(fence)
 		}
 		return false
 	}
@@ -156,49 +160,49 @@
 	return true
 }
 
-// noteOrder counts an order to start or to stop that comes from no leader at all.
-func (e *Executor) noteOrder(fence uint64) {
-	if fence == noLeader {
+// trackOrder counts an order to start or stop a run that carries no leader's fence.
+func (e *Executor) trackOrder(fence uint64) {
+	if fence == noLeaderFence {
 		e.repeatedFences++
 	}
 }
 
-// noteRefusal counts a call under a fence that was refused well before.
-func (e *Executor) noteRefusal(fence uint64) {
+// trackRefusal counts a refused call if its fence was first refused more than fenceNoticeTime before.
+func (e *Executor) trackRefusal(fence uint64) {
 	now := e.clock.Monotonic()
 	refusedAt, isRepeated := e.refusedFences[fence]
 	if !isRepeated {
 		e.refusedFences[fence] = now
 		return
 	}
-	if now-refusedAt > fenceNotice {
+	if now-refusedAt > fenceNoticeTime {
 		e.repeatedFences++
 	}
 }
 
-// extend lengthens the hold to a time of the executor's clock, and by the longest hold at most.
+// extend extends the hold until expiryMs of the executor's clock, but to at most MaxHold from now. It never shortens the hold.
 func (e *Executor) extend(expiryMs int64) {
 	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.config.MaxHold.Milliseconds()))
-	if !e.isWatched {
-		e.watchExpiry()
+	if !e.isExpiryScheduled {
+		e.scheduleExpiry()
 	}
 }
 
-// watchExpiry ends all runs once the hold is over.
-func (e *Executor) watchExpiry() {
-	left := clock.Milliseconds(int64(float64(e.expiryMs-e.ClockMs())/e.config.ClockRate) + 1)
-	e.isWatched = true
-	e.later(left, func() {
-		e.isWatched = false
+// scheduleExpiry schedules a function that ends all runs when the hold has expired. If the hold was extended meanwhile, it schedules again.
+func (e *Executor) scheduleExpiry() {
+	remaining := clock.Milliseconds(int64(float64(e.expiryMs-e.ClockMs())/e.config.ClockRate) + 1)
+	e.isExpiryScheduled = true
+	e.runLater(remaining, func() {
+		e.isExpiryScheduled = false
 		if len(e.active) == 0 {
 			return
 		}
 		if e.ClockMs() < e.expiryMs {
-			e.watchExpiry()
+			e.scheduleExpiry()
 			return
 		}
 		for _, lapsed := range slices.Clone(e.active) {
-			e.end(lapsed, outcomeLapsed)
+			e.endRun(lapsed, outcomeLapsed)
 		}
 	})
 }
@@ -220,12 +224,12 @@
 	return nil
 }
 
-// Start is POST /v1/run-start.
+// Start handles POST /v1/run-start.
 func (e *Executor) Start(order executorapi.RunStart) (int, executorapi.Answer) {
 	load, err := parseLoad(order.Descriptor)
-	e.noteOrder(order.Fence)
+	e.trackOrder(order.Fence)
 	switch {
-	case !e.raise(order.Fence):
+	case !e.acceptFence(order.Fence):
 		return 409, e.answer(reasonFence)
 	case err != nil || order.Task == "" || order.Run < 1:
 		return 400, e.answer("")
@@ -242,25 +246,25 @@
 	if !e.hasCapacityFor(load) {
 		return 409, e.answer(reasonNoCapacity)
 	}
-	e.begin(order, load)
+	e.beginRun(order, load)
 	return 200, e.answer("")
 }
 
-func (e *Executor) begin(order executorapi.RunStart, load Load) {
-	started := &activeRun{load: load, begunAt: e.clock.Monotonic(),
+func (e *Executor) beginRun(order executorapi.RunStart, load Load) {
+	started := &activeRun{load: load, startedAt: e.clock.Monotonic(),
 		record: RunRecord{Task: order.Task, Run: order.Run, Node: e.config.Node, StartMs: e.clock.WallMs()}}
 	e.active = append(e.active, started)
-	if !e.isWatched {
-		e.watchExpiry()
+	if !e.isExpiryScheduled {
+		e.scheduleExpiry()
 	}
-	e.later(load.Length, func() {
+	e.runLater(load.Length, func() {
 		if slices.Contains(e.active, started) {
-			e.end(started, e.outcomeOf(order))
+			e.endRun(started, e.outcomeOf(order))
 		}
 	})
 }
 
-// outcomeOf is how a run ends that is let end.
+// outcomeOf returns the outcome of a run that reaches its full length.
 func (e *Executor) outcomeOf(order executorapi.RunStart) string {
 	if e.config.FailsFirstRuns && order.Run == 1 {
 		return outcomeFailed
@@ -268,95 +272,95 @@
 	return outcomeDone
 }
 
-// end ends a run and answers the holds that wait for it.
-func (e *Executor) end(run *activeRun, how string) {
+// endRun ends a run and answers all waiting holds.
+func (e *Executor) endRun(run *activeRun, outcome string) {
 	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == run })
-	run.record.EndMs, run.record.Outcome = e.clock.WallMs(), how
+	run.record.EndMs, run.record.Outcome = e.clock.WallMs(), outcome
 	e.ended = append(e.ended, run.record)
 	e.highest[run.record.Task] = max(e.highest[run.record.Task], run.record.Run)
 	e.lastEnd++
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: run.record.Task, Run: run.record.Run, Outcome: wire.RunOutcome(how)})
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: run.record.Task, Run: run.record.Run, Outcome: wire.RunOutcome(outcome)})
 	waiting := e.waitingHolds
 	e.waitingHolds = nil
 	for _, hold := range waiting {
-		hold.answer(200, e.lists())
+		hold.answer(200, e.listRuns())
 	}
 }
 
-// Stop is POST /v1/run-stop.
+// Stop handles POST /v1/run-stop.
 func (e *Executor) Stop(order executorapi.RunStop) (int, executorapi.Answer) {
-	e.noteOrder(order.Fence)
-	if !e.raise(order.Fence) {
+	e.trackOrder(order.Fence)
+	if !e.acceptFence(order.Fence) {
 		return 409, e.answer(reasonFence)
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Run)
-	if stopping := e.find(order.Task, order.Run); stopping != nil {
-		e.later(e.config.StopTimeout/2, func() {
-			if slices.Contains(e.active, stopping) {
-				e.end(stopping, outcomeStopped)
+	if active := e.find(order.Task, order.Run); active != nil {
+		e.runLater(e.config.StopTimeout/2, func() {
+			if slices.Contains(e.active, active) {
+				e.endRun(active, outcomeStopped)
 			}
 		})
 	}
 	return 200, e.answer("")
 }
 
-// Hold is POST /v1/hold; the answer may wait for an end.
+// Hold handles POST /v1/hold. The answer may wait for the end of a run.
 func (e *Executor) Hold(hold executorapi.Hold, answer func(int, executorapi.Answer)) {
-	if !e.raise(hold.Fence) {
+	if !e.acceptFence(hold.Fence) {
 		answer(409, e.answer(reasonFence))
 		return
 	}
-	e.ends = slices.DeleteFunc(e.ends, func(end executorapi.EndRow) bool { return end.Number <= hold.LastSeen })
+	e.ends = slices.DeleteFunc(e.ends, func(row executorapi.EndRow) bool { return row.Number <= hold.LastSeen })
 	if hold.ExpiryMs > 0 {
 		e.extend(hold.ExpiryMs)
 	}
 	if len(e.ends) > 0 || hold.WaitMs <= 0 {
-		answer(200, e.lists())
+		answer(200, e.listRuns())
 		return
 	}
 	waiting := &waitingHold{answer: answer}
 	e.waitingHolds = append(e.waitingHolds, waiting)
-	e.later(clock.Milliseconds(min(hold.WaitMs, maxWaitMs)), func() {
+	e.runLater(clock.Milliseconds(min(hold.WaitMs, maxWaitMs)), func() {
 		if index := slices.Index(e.waitingHolds, waiting); index >= 0 {
 			e.waitingHolds = slices.Delete(e.waitingHolds, index, index+1)
-			waiting.answer(200, e.lists())
+			waiting.answer(200, e.listRuns())
 		}
 	})
 }
 
-// lists is an answer with the ends that are not acknowledged and the runs that go on.
-func (e *Executor) lists() executorapi.Answer {
+// listRuns returns an answer with the current runs and the first maxEnds ends that are not acknowledged.
+func (e *Executor) listRuns() executorapi.Answer {
 	answer := e.answer("")
 	answer.Ends = slices.Clone(e.ends[:min(len(e.ends), maxEnds)])
 	for _, active := range e.active {
-		percent := int(100 * (e.clock.Monotonic() - active.begunAt) / max(active.load.Length, 1))
+		percent := int(100 * (e.clock.Monotonic() - active.startedAt) / max(active.load.Length, 1))
 		answer.Running = append(answer.Running,
 			executorapi.RunningRow{Task: active.record.Task, Run: active.record.Run, Percent: min(percent, maxPercent)})
 	}
 	return answer
 }
 
-// NextHeartbeat is the executor's next heartbeat.
+// NextHeartbeat returns the executor's next heartbeat, and increments its sequence number.
 func (e *Executor) NextHeartbeat(service, address, domain string) executorapi.Heartbeat {
 	e.sequence++
 	return executorapi.Heartbeat{Service: service, Address: address, Domain: domain, Version: "v1", Slots: 8, State: "ready",
 		Capacity: e.config.Capacity, Labels: e.config.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
 }
 
-// Counts are how many tasks run now, how many were started in all, and how many calls came under a fence that had been refused well
-// before.
+// Counts holds the number of current runs, of all runs ever started, and of the calls that should not have come: calls with a fence
+// that had been refused well before, and orders without a leader's fence.
 type Counts struct {
 	Running        int `json:"running"`
 	Started        int `json:"started"`
 	RepeatedFences int `json:"repeated-fences"`
 }
 
-// Counts counts the runs of this executor since its start.
+// Counts returns the counts of this executor since its start.
 func (e *Executor) Counts() Counts {
 	return Counts{Running: len(e.active), Started: len(e.active) + len(e.ended), RepeatedFences: e.repeatedFences}
 }
 
-// Records are all runs so far, those still running among them.
+// Records returns all runs so far, including the current ones.
 func (e *Executor) Records() []RunRecord {
 	records := slices.Clone(e.ended)
 	for _, active := range e.active {
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -14,8 +14,8 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// world is one executor on a fake clock, with the functions that it has put off.
-type world struct {
+// harness is one executor on a fake clock, with the functions that it has scheduled.
+type harness struct {
 	clock    *clock.Fake
 	executor *hollow.Executor
 	delayed  []delayedCall
@@ -26,190 +26,190 @@
 	run func()
 }
 
-func newWorld() *world {
-	w := &world{clock: clock.NewFake(0)}
-	w.executor = hollow.NewExecutor(hollow.ExecutorConfig{Node: "w", ID: "i-w", Capacity: wire.Capacity{CPU: 1000, Memory: 1000},
-		MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, ClockRate: 1}, w.clock,
+func newHarness() *harness {
+	h := &harness{clock: clock.NewFake(0)}
+	h.executor = hollow.NewExecutor(hollow.ExecutorConfig{Node: "w", ID: "i-w", Capacity: wire.Capacity{CPU: 1000, Memory: 1000},
+		MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, ClockRate: 1}, h.clock,
 		func(wait time.Duration, run func()) {
-			w.delayed = append(w.delayed, delayedCall{w.clock.Monotonic() + wait, run})
+			h.delayed = append(h.delayed, delayedCall{h.clock.Monotonic() + wait, run})
 		})
-	return w
+	return h
 }
 
-func (w *world) pass(length time.Duration) {
-	for until := w.clock.Monotonic() + length; w.clock.Monotonic() < until; w.clock.Advance(time.Millisecond) {
-		due := w.delayed
-		w.delayed = nil
+func (h *harness) advance(length time.Duration) {
+	for until := h.clock.Monotonic() + length; h.clock.Monotonic() < until; h.clock.Advance(time.Millisecond) {
+		due := h.delayed
+		h.delayed = nil
 		for _, call := range due {
-			if call.due <= w.clock.Monotonic() {
+			if call.due <= h.clock.Monotonic() {
 				call.run()
 			} else {
-				w.delayed = append(w.delayed, call)
+				h.delayed = append(h.delayed, call)
 			}
 		}
 	}
 }
 
-func (w *world) order(task string, run int64, fence uint64) executorapi.RunStart {
-	return executorapi.RunStart{Task: task, Run: run, Fence: fence, ExpiryMs: w.executor.ClockMs() + 5000,
+func (h *harness) order(task string, run int64, fence uint64) executorapi.RunStart {
+	return executorapi.RunStart{Task: task, Run: run, Fence: fence, ExpiryMs: h.executor.ClockMs() + 5000,
 		Descriptor: hollow.Load{Length: time.Second, CPU: 600, MemoryMB: 10}.Descriptor()}
 }
 
-func (w *world) start(task string, run int64, fence uint64) (int, string) {
-	status, answer := w.executor.Start(w.order(task, run, fence))
+func (h *harness) start(task string, run int64, fence uint64) (int, string) {
+	status, answer := h.executor.Start(h.order(task, run, fence))
 	return status, answer.Reason
 }
 
-func (w *world) hold(hold executorapi.Hold) *executorapi.Answer {
-	var got *executorapi.Answer
-	w.executor.Hold(hold, func(_ int, answer executorapi.Answer) { got = &answer })
-	return got
+func (h *harness) hold(hold executorapi.Hold) *executorapi.Answer {
+	var received *executorapi.Answer
+	h.executor.Hold(hold, func(_ int, answer executorapi.Answer) { received = &answer })
+	return received
 }
 
-func (w *world) ends() []executorapi.EndRow { return w.hold(executorapi.Hold{Fence: 9}).Ends }
+func (h *harness) ends() []executorapi.EndRow { return h.hold(executorapi.Hold{Fence: 9}).Ends }
 
 var _ = Describe("the stand-in executor", func() {
-	var w *world
-	BeforeEach(func() { w = newWorld() })
+	var h *harness
+	BeforeEach(func() { h = newHarness() })
 
-	refused := func(task string, run int64, fence uint64, why string) {
-		status, reason := w.start(task, run, fence)
+	refused := func(task string, run int64, fence uint64, expectedReason string) {
+		status, reason := h.start(task, run, fence)
 		ExpectWithOffset(1, status).To(Equal(409))
-		ExpectWithOffset(1, reason).To(Equal(why))
+		ExpectWithOffset(1, reason).To(Equal(expectedReason))
 	}
 	started := func(task string, run int64, fence uint64) {
-		status, _ := w.start(task, run, fence)
+		status, _ := h.start(task, run, fence)
 		ExpectWithOffset(1, status).To(Equal(200))
 	}
 
-	It("runs a task for its time, and tells its end until it is seen", func() {
+	It("runs a task for its length, and lists its end until it is acknowledged", func() {
 		started("a.0.0.0", 1, 1)
-		w.pass(1100 * time.Millisecond)
-		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "done"}}))
-		Expect(w.hold(executorapi.Hold{Fence: 9, LastSeen: 1}).Ends).To(BeEmpty())
+		h.advance(1100 * time.Millisecond)
+		Expect(h.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "done"}}))
+		Expect(h.hold(executorapi.Hold{Fence: 9, LastSeen: 1}).Ends).To(BeEmpty())
 	})
 
-	It("counts calls that go on under a refused fence, but no look of a proxy that has heard of no leader", func() {
-		w.start("a.0.0.0", 1, 5)
+	It("counts calls that keep using a refused fence, but no holds without a leader's fence", func() {
+		h.start("a.0.0.0", 1, 5)
 		for range 20 {
-			Expect(w.hold(executorapi.Hold{Fence: 0}).Reason).To(Equal("fence"))
-			w.clock.Advance(time.Second)
+			Expect(h.hold(executorapi.Hold{Fence: 0}).Reason).To(Equal("fence"))
+			h.clock.Advance(time.Second)
 		}
-		Expect(w.executor.Counts().RepeatedFences).To(BeZero())
-		w.hold(executorapi.Hold{Fence: 4})
-		w.clock.Advance(time.Second)
-		w.hold(executorapi.Hold{Fence: 4})
-		Expect(w.executor.Counts().RepeatedFences).To(BeZero(), "so soon after the refusal")
-		w.clock.Advance(2 * time.Second)
-		w.hold(executorapi.Hold{Fence: 4})
-		Expect(w.executor.Counts().RepeatedFences).To(Equal(1))
-		w.start("a.0.0.0", 2, 0)
-		w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1})
-		Expect(w.executor.Counts().RepeatedFences).To(Equal(3), "orders of nobody")
+		Expect(h.executor.Counts().RepeatedFences).To(BeZero())
+		h.hold(executorapi.Hold{Fence: 4})
+		h.clock.Advance(time.Second)
+		h.hold(executorapi.Hold{Fence: 4})
+		Expect(h.executor.Counts().RepeatedFences).To(BeZero(), "soon after the refusal")
+		h.clock.Advance(2 * time.Second)
+		h.hold(executorapi.Hold{Fence: 4})
+		Expect(h.executor.Counts().RepeatedFences).To(Equal(1))
+		h.start("a.0.0.0", 2, 0)
+		h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1})
+		Expect(h.executor.Counts().RepeatedFences).To(Equal(3), "orders without a leader's fence")
 	})
 
-	It("is looked at under no leader's fence by a proxy that started again, until a leader has answered that", func() {
-		w.start("a.0.0.0", 1, 5)
-		table := localproxy.NewTable(w.clock, logging.Silent(), "s", "d", "side-1", func() {}, func() {}, func() {})
-		heartbeat := w.executor.NextHeartbeat("s", "127.0.0.1:1", "d")
+	It("gets holds without a leader's fence from a restarted proxy that no leader has answered", func() {
+		h.start("a.0.0.0", 1, 5)
+		table := localproxy.NewTable(h.clock, logging.Silent(), "s", "d", "side-1", func() {}, func() {}, func() {})
+		heartbeat := h.executor.NextHeartbeat("s", "127.0.0.1:1", "d")
 		status, _ := table.Heartbeat("i-w", &heartbeat)
 		Expect(status).To(Equal(200))
 		work, isDue := table.NextHold(false)
 		Expect(isDue).To(BeTrue())
 		Expect(work.Hold.Fence).To(BeZero())
-		Expect(w.hold(work.Hold).Reason).To(Equal("fence"))
+		Expect(h.hold(work.Hold).Reason).To(Equal("fence"))
 	})
 
-	It("does nothing for a lower fence", func() {
+	It("refuses calls with a lower fence", func() {
 		started("a.0.0.0", 1, 5)
 		refused("b.0.0.0", 1, 4, "fence")
-		status, _ := w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 4})
+		status, _ := h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 4})
 		Expect(status).To(Equal(409))
-		Expect(w.hold(executorapi.Hold{Fence: 4}).Reason).To(Equal("fence"))
+		Expect(h.hold(executorapi.Hold{Fence: 4}).Reason).To(Equal("fence"))
 	})
 
-	It("takes a start that is there already, and turns away the old, the late and what has no room", func() {
+	It("accepts a repeated start, and refuses old, late and too large ones", func() {
 		started("a.0.0.0", 2, 1)
 		started("a.0.0.0", 2, 1)
-		Expect(w.executor.Counts()).To(Equal(hollow.Counts{Running: 1, Started: 1}))
+		Expect(h.executor.Counts()).To(Equal(hollow.Counts{Running: 1, Started: 1}))
 		refused("b.0.0.0", 1, 1, "room")
-		w.pass(1100 * time.Millisecond)
+		h.advance(1100 * time.Millisecond)
 		refused("a.0.0.0", 2, 1, "old")
-		late := w.order("c.0.0.0", 1, 1)
-		late.ExpiryMs = w.executor.ClockMs()
-		_, answer := w.executor.Start(late)
+		late := h.order("c.0.0.0", 1, 1)
+		late.ExpiryMs = h.executor.ClockMs()
+		_, answer := h.executor.Start(late)
 		Expect(answer.Reason).To(Equal("late"))
 	})
 
-	It("turns away a run that was stopped before it came", func() {
-		w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
+	It("refuses a run that was stopped before its start arrived", func() {
+		h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
 		refused("a.0.0.0", 1, 1, "old")
 		started("a.0.0.0", 2, 1)
 	})
 
-	It("stops a run within the stop's time, and lists its end once", func() {
+	It("stops a run within the stop timeout, and lists its end once", func() {
 		started("a.0.0.0", 1, 1)
-		w.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
-		w.pass(410 * time.Millisecond)
-		w.pass(time.Second)
-		Expect(w.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "stopped"}}))
+		h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
+		h.advance(410 * time.Millisecond)
+		h.advance(time.Second)
+		Expect(h.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "stopped"}}))
 	})
 
-	long := func(expiry time.Duration) {
-		order := w.order("a.0.0.0", 1, 1)
+	startLong := func(expiry time.Duration) {
+		order := h.order("a.0.0.0", 1, 1)
 		order.Descriptor = hollow.Load{Length: time.Minute, CPU: 600}.Descriptor()
-		order.ExpiryMs = w.executor.ClockMs() + expiry.Milliseconds()
-		status, _ := w.executor.Start(order)
+		order.ExpiryMs = h.executor.ClockMs() + expiry.Milliseconds()
+		status, _ := h.executor.Start(order)
 		Expect(status).To(Equal(200))
 	}
 
-	It("lets all lapse once nobody holds it, and cuts a hold to the longest", func() {
-		long(time.Hour)
-		w.pass(5900 * time.Millisecond)
-		Expect(w.executor.Counts().Running).To(Equal(1))
-		w.pass(200 * time.Millisecond)
-		Expect(w.ends()).To(HaveExactElements(HaveField("Outcome", wire.RunOutcome("lapsed"))))
+	It("ends all runs when the hold expires, and limits a hold to the longest one", func() {
+		startLong(time.Hour)
+		h.advance(5900 * time.Millisecond)
+		Expect(h.executor.Counts().Running).To(Equal(1))
+		h.advance(200 * time.Millisecond)
+		Expect(h.ends()).To(HaveExactElements(HaveField("Outcome", wire.RunOutcome("lapsed"))))
 	})
 
-	It("goes on while it is held, and a hold is never shortened", func() {
-		long(5 * time.Second)
-		w.pass(4 * time.Second)
-		w.hold(executorapi.Hold{Fence: 1, ExpiryMs: w.executor.ClockMs() + 5000})
-		w.hold(executorapi.Hold{Fence: 1, ExpiryMs: w.executor.ClockMs() + 10})
-		w.pass(4 * time.Second)
-		Expect(w.executor.Counts().Running).To(Equal(1))
+	It("continues runs while the hold is extended, and never shortens the hold", func() {
+		startLong(5 * time.Second)
+		h.advance(4 * time.Second)
+		h.hold(executorapi.Hold{Fence: 1, ExpiryMs: h.executor.ClockMs() + 5000})
+		h.hold(executorapi.Hold{Fence: 1, ExpiryMs: h.executor.ClockMs() + 10})
+		h.advance(4 * time.Second)
+		Expect(h.executor.Counts().Running).To(Equal(1))
 	})
 
-	It("extends by a start that has no room", func() {
-		long(2 * time.Second)
-		w.pass(1500 * time.Millisecond)
+	It("extends the hold by a start refused for lack of capacity", func() {
+		startLong(2 * time.Second)
+		h.advance(1500 * time.Millisecond)
 		refused("b.0.0.0", 1, 1, "room")
-		w.pass(3 * time.Second)
-		Expect(w.executor.Counts().Running).To(Equal(1))
+		h.advance(3 * time.Second)
+		Expect(h.executor.Counts().Running).To(Equal(1))
 	})
 
-	It("answers a waiting hold at an end, or when its wait is over", func() {
+	It("answers a waiting hold at the end of a run, or when its wait is over", func() {
 		started("a.0.0.0", 1, 1)
 		var answers []int
 		wait := func() {
-			w.executor.Hold(executorapi.Hold{Fence: 1, WaitMs: 700}, func(_ int, answer executorapi.Answer) {
+			h.executor.Hold(executorapi.Hold{Fence: 1, WaitMs: 700}, func(_ int, answer executorapi.Answer) {
 				answers = append(answers, len(answer.Ends))
 			})
 		}
 		wait()
-		w.pass(710 * time.Millisecond)
+		h.advance(710 * time.Millisecond)
 		Expect(answers).To(Equal([]int{0}))
 		wait()
-		w.pass(310 * time.Millisecond)
+		h.advance(310 * time.Millisecond)
 		Expect(answers).To(Equal([]int{0, 1}))
-		w.pass(time.Second)
+		h.advance(time.Second)
 		Expect(answers).To(HaveLen(2))
 	})
 
 	It("refuses a descriptor that is not a load", func() {
-		order := w.order("a.0.0.0", 1, 1)
+		order := h.order("a.0.0.0", 1, 1)
 		order.Descriptor = "something else"
-		status, _ := w.executor.Start(order)
+		status, _ := h.executor.Start(order)
 		Expect(status).To(Equal(400))
 	})
 })
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -28,20 +28,20 @@
 	PathRecords = "/hollow/records"
 	// PathCounts answers with the Counts of all workers of the process.
 	PathCounts = "/hollow/counts"
-	// PathFigures answers with what the process has sent and received and what it costs.
+	// PathFigures answers with the traffic and the resource use of the process.
 	PathFigures = "/hollow/figures"
 
 	mailboxSize = 256
-	// longestCall is in bytes.
-	longestCall      = 64 << 10
+	// maxCallBytes is the longest body of a call that is read.
+	maxCallBytes     = 64 << 10
 	heartbeatTimeout = time.Second
-	// heartbeatSpread is into how many steps the first heartbeats are spread.
-	heartbeatSpread = 50
-	// retryShare is the part of the interval after which a failed heartbeat is sent again.
-	retryShare = 5
+	// heartbeatSpreadSteps is the number of steps of the heartbeat interval over which the first heartbeats are spread.
+	heartbeatSpreadSteps = 50
+	// retryDivisor divides the heartbeat interval for the retry of a failed heartbeat.
+	retryDivisor = 5
 )
 
-// node is one stand-in executor with the goroutine that leads it.
+// node is one stand-in executor with the mailbox of its goroutine, on which all its calls run.
 type node struct {
 	mailbox  *mailbox.Mailbox
 	executor *Executor
@@ -52,15 +52,15 @@
 
 func newNode(ctx context.Context, worker Worker, nodeSettings *settings.Settings, timeSource clock.Clock) *node {
 	started := &node{mailbox: mailbox.New(mailboxSize), settings: nodeSettings, clock: timeSource, ctx: ctx}
-	shape := ExecutorConfig{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Capacity: worker.Capacity, Labels: worker.Labels,
+	config := ExecutorConfig{Node: nodeSettings.NodeName, ID: "i-" + nodeSettings.NodeName, Capacity: worker.Capacity, Labels: worker.Labels,
 		MaxHold: nodeSettings.MaxHold(), StopTimeout: clock.Milliseconds(nodeSettings.Bounds.StopTimeoutMs), ClockRate: worker.ClockRate,
 		FailsFirstRuns: worker.FailsFirstRuns}
-	started.executor = NewExecutor(shape, timeSource, started.later)
+	started.executor = NewExecutor(config, timeSource, started.runLater)
 	return started
 }
 
-// later runs a function on the goroutine that leads the executor, once the wait is over.
-func (n *node) later(wait time.Duration, run func()) {
+// runLater runs a function on the goroutine of the executor after a wait.
+func (n *node) runLater(wait time.Duration, run func()) {
 	go func() {
 		select {
 		case <-n.ctx.Done():
@@ -76,23 +76,23 @@
 	answer executorapi.Answer
 }
 
-// command carries out a call on the goroutine that leads the executor, and gives its result at once or later.
+// command carries out a call on the goroutine of the executor. It calls answer at once or later.
 type command = func(answer func(result))
 
 // ServeHTTP answers the calls that a local proxy makes to its executor.
-func (n *node) ServeHTTP(to http.ResponseWriter, request *http.Request) {
+func (n *node) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get("X-Expected-Executor"); expected != "" && expected != n.executor.config.ID {
-		response.Empty(http.StatusMisdirectedRequest).Write(to)
+		response.Empty(http.StatusMisdirectedRequest).Write(writer)
 		return
 	}
-	text, err := io.ReadAll(io.LimitReader(request.Body, longestCall))
+	text, err := io.ReadAll(io.LimitReader(request.Body, maxCallBytes))
 	if err != nil || request.Method != http.MethodPost {
-		response.Empty(http.StatusBadRequest).Write(to)
+		response.Empty(http.StatusBadRequest).Write(writer)
 		return
 	}
 	decoded := n.decode(request.URL.Path, text)
 	if decoded == nil {
-		response.Empty(http.StatusBadRequest).Write(to)
+		response.Empty(http.StatusBadRequest).Write(writer)
 		return
 	}
 	done, err := mailbox.Ask(request.Context(), n.mailbox, decoded)
@@ -101,44 +101,44 @@
 	}
 	body, err := easyjson.Marshal(done.answer)
 	if err != nil {
-		response.Empty(http.StatusInternalServerError).Write(to)
+		response.Empty(http.StatusInternalServerError).Write(writer)
 		return
 	}
-	response.Raw(done.status, body).Write(to)
+	response.Raw(done.status, body).Write(writer)
 }
 
-// decode makes a command of a call, or nil if it can't be read.
+// decode returns the command of a call, or nil for an unknown path or an invalid body.
 func (n *node) decode(path string, text []byte) command {
 	switch path {
 	case "/v1/run-start":
 		var order executorapi.RunStart
-		return commandOf(text, &order, func(answer func(result)) { answer(resultOf(n.executor.Start(order))) })
+		return parseCommand(text, &order, func(answer func(result)) { answer(resultOf(n.executor.Start(order))) })
 	case "/v1/run-stop":
 		var order executorapi.RunStop
-		return commandOf(text, &order, func(answer func(result)) { answer(resultOf(n.executor.Stop(order))) })
+		return parseCommand(text, &order, func(answer func(result)) { answer(resultOf(n.executor.Stop(order))) })
 	case "/v1/hold":
 		var hold executorapi.Hold
-		return commandOf(text, &hold, func(answer func(result)) {
+		return parseCommand(text, &hold, func(answer func(result)) {
 			n.executor.Hold(hold, func(status int, lists executorapi.Answer) { answer(result{status, lists}) })
 		})
 	}
 	return nil
 }
 
-// commandOf reads the message that a command uses; it gives nil if it can't be read.
-func commandOf(text []byte, message easyjson.Unmarshaler, carryOut command) command {
+// parseCommand decodes text into the message that handle uses, and returns handle, or nil if the text is invalid.
+func parseCommand(text []byte, message easyjson.Unmarshaler, handle command) command {
 	if easyjson.Unmarshal(text, message) != nil {
 		return nil
 	}
-	return carryOut
+	return handle
 }
 
 func resultOf(status int, answer executorapi.Answer) result { return result{status, answer} }
 
-// sendHeartbeats reports to the local proxy at the interval of the settings, sooner after a failure. The place among all
-// workers of the process spreads the first heartbeats.
-func (n *node) sendHeartbeats(client *http.Client, place int) {
-	wait := clock.Milliseconds(int64(place%heartbeatSpread) * n.settings.HeartbeatMs / heartbeatSpread)
+// sendHeartbeats sends heartbeats to the local proxy at the interval of the settings, and sooner after a failure. The index of the
+// worker in the process spreads the first heartbeats.
+func (n *node) sendHeartbeats(client *http.Client, index int) {
+	wait := clock.Milliseconds(int64(index%heartbeatSpreadSteps) * n.settings.HeartbeatMs / heartbeatSpreadSteps)
 	for {
 		select {
 		case <-n.ctx.Done():
@@ -150,7 +150,7 @@
 			answer(n.executor.NextHeartbeat(n.settings.Service, n.settings.App, n.settings.Domain))
 		})
 		if err != nil || n.send(client, heartbeat) != nil {
-			wait /= retryShare
+			wait /= retryDivisor
 		}
 	}
 }
@@ -160,8 +160,8 @@
 	if err != nil {
 		return err
 	}
-	ctx, release := context.WithTimeout(n.ctx, heartbeatTimeout)
-	defer release()
+	ctx, cancel := context.WithTimeout(n.ctx, heartbeatTimeout)
+	defer cancel()
 	url := "http://" + n.settings.Listen.Control + "/v1/executors/" + n.executor.config.ID + "/heartbeat"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -177,39 +177,39 @@
 	return err
 }
 
-// Run keeps the hollow workers of a spec going until ctx is done or their time is over. It takes their settings in the order of
-// the spec. An error names the worker that could not be started, or whose local proxy ended.
+// Run runs the workers of a spec until ctx is done or the spec's run time is over. all holds their settings in the order of the spec.
+// An error names the worker that could not be started, or whose local proxy failed.
 func Run(ctx context.Context, spec *Spec, all []*settings.Settings, log logging.Logger) error {
-	ctx, release := context.WithTimeout(ctx, clock.Milliseconds(spec.ForMs))
-	defer release()
-	report, err := net.Listen("tcp4", spec.Report)
+	ctx, cancel := context.WithTimeout(ctx, clock.Milliseconds(spec.ForMs))
+	defer cancel()
+	reportListener, err := net.Listen("tcp4", spec.Report)
 	if err != nil {
 		return errors.Annotate(err, "field report")
 	}
 	timeSource, meter, client := clock.System(), &transportmetrics.Meter{}, peerapi.Client(heartbeatTimeout, 1)
 	failed := make(chan error, len(all)+1)
 	var nodes []*node
-	for place, nodeSettings := range all {
-		started := newNode(ctx, spec.Workers[place], nodeSettings, timeSource)
+	for index, nodeSettings := range all {
+		started := newNode(ctx, spec.Workers[index], nodeSettings, timeSource)
 		nodes = append(nodes, started)
 		app, err := net.Listen("tcp4", nodeSettings.App)
 		if err != nil {
-			return errors.Annotatef(err, "worker %d: field app", place)
+			return errors.Annotatef(err, "worker %d: field app", index)
 		}
 		go started.mailbox.Run(ctx, timeSource, mailbox.Owner{Every: time.Minute})
 		go serve(ctx, app, started)
-		go started.sendHeartbeats(client, place)
-		if spec.Workers[place].IsExecutorOnly {
+		go started.sendHeartbeats(client, index)
+		if spec.Workers[index].IsExecutorOnly {
 			continue
 		}
 		go func() {
 			err := roles.HollowProxy(ctx, nodeSettings, log.WithValues("node", nodeSettings.NodeName), roles.WithMeter(meter))
 			if err != nil {
-				failed <- errors.Annotatef(err, "worker %d", place)
+				failed <- errors.Annotatef(err, "worker %d", index)
 			}
 		}()
 	}
-	go serve(ctx, report, reports(nodes, meter))
+	go serve(ctx, reportListener, reportHandler(nodes, meter))
 	select {
 	case <-ctx.Done():
 		return nil
@@ -228,43 +228,43 @@
 	server.Serve(listener)
 }
 
-// reports serves the pages that tell what the workers did.
-func reports(nodes []*node, meter *transportmetrics.Meter) http.Handler {
+// reportHandler serves the records, counts and figures of the workers.
+func reportHandler(nodes []*node, meter *transportmetrics.Meter) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(PathRecords, func(to http.ResponseWriter, request *http.Request) {
+	mux.HandleFunc(PathRecords, func(writer http.ResponseWriter, request *http.Request) {
 		all := []RunRecord{}
-		gather(request.Context(), nodes, (*Executor).Records, func(records []RunRecord) { all = append(all, records...) })
-		WriteJSON(to, all)
+		collect(request.Context(), nodes, (*Executor).Records, func(records []RunRecord) { all = append(all, records...) })
+		WriteJSON(writer, all)
 	})
-	mux.HandleFunc(PathCounts, func(to http.ResponseWriter, request *http.Request) {
+	mux.HandleFunc(PathCounts, func(writer http.ResponseWriter, request *http.Request) {
 		var sum Counts
-		gather(request.Context(), nodes, (*Executor).Counts, func(counts Counts) {
+		collect(request.Context(), nodes, (*Executor).Counts, func(counts Counts) {
 			sum.Running, sum.Started = sum.Running+counts.Running, sum.Started+counts.Started
 			sum.RepeatedFences += counts.RepeatedFences
 		})
-		WriteJSON(to, sum)
+		WriteJSON(writer, sum)
 	})
-	mux.HandleFunc(PathFigures, func(to http.ResponseWriter, _ *http.Request) { WriteJSON(to, meter.Figures()) })
+	mux.HandleFunc(PathFigures, func(writer http.ResponseWriter, _ *http.Request) { WriteJSON(writer, meter.Figures()) })
 	return mux
 }
 
-// gather asks each executor on the goroutine that leads it, and gives up at the first that does not answer.
-func gather[T any](ctx context.Context, nodes []*node, question func(*Executor) T, take func(T)) {
-	for _, asked := range nodes {
-		value, err := mailbox.Ask(ctx, asked.mailbox, func(answer func(T)) { answer(question(asked.executor)) })
+// collect queries each executor on its own goroutine. It stops at the first one that does not answer.
+func collect[T any](ctx context.Context, nodes []*node, query func(*Executor) T, add func(T)) {
+	for _, target := range nodes {
+		value, err := mailbox.Ask(ctx, target.mailbox, func(answer func(T)) { answer(query(target.executor)) })
 		if err != nil {
 			return
 		}
-		take(value)
+		add(value)
 	}
 }
 
-// WriteJSON answers with a value as JSON.
-func WriteJSON(to http.ResponseWriter, value any) {
+// WriteJSON writes a value as JSON to an HTTP response.
+func WriteJSON(writer http.ResponseWriter, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		response.Text(http.StatusInternalServerError, err.Error()).Write(to)
+		response.Text(http.StatusInternalServerError, err.Error()).Write(writer)
 		return
 	}
-	response.Raw(http.StatusOK, body).Write(to)
+	response.Raw(http.StatusOK, body).Write(writer)
 }
--- a/internal/simulation/hollow/spec.go
+++ b/internal/simulation/hollow/spec.go
@@ -14,33 +14,32 @@
 )
 
 const (
-	// MaxWorkers is how many hollow workers one process runs at most.
+	// MaxWorkers is the highest number of hollow workers in one process.
 	MaxWorkers = 200
-	// MaxRunTime is how long hollow workers go on at most.
+	// MaxRunTime is the longest run time of hollow workers.
 	MaxRunTime = time.Hour
 )
 
-// Worker is one hollow node: the settings file of its local-proxy and the executor behind it.
+// Worker is one hollow node: the path of the settings file of its local-proxy, and the stand-in executor behind it.
 type Worker struct {
 	Settings  string        `json:"settings"`
 	Capacity  wire.Capacity `json:"capacity"`
 	Labels    []string      `json:"labels"`
 	ClockRate float64       `json:"pace"`
-	// IsExecutorOnly leaves the local-proxy to another process.
+	// IsExecutorOnly starts no local-proxy, as another process runs it.
 	IsExecutorOnly bool `json:"executor-only,omitempty"`
-	// FailsFirstRuns has the first run of each task fail, as under a version with a fault.
+	// FailsFirstRuns makes the first run of each task fail, as a faulty version does.
 	FailsFirstRuns bool `json:"fails-first-runs,omitempty"`
 }
 
-// Spec describes one process of hollow workers: the workers, the address of its report, and after how many milliseconds
-// it ends.
+// Spec describes one process of hollow workers: the workers, the listen address of its report, and its run time in milliseconds.
 type Spec struct {
 	Workers []Worker `json:"workers"`
 	Report  string   `json:"report"`
 	ForMs   int64    `json:"for-ms"`
 }
 
-// IsLoopback tells whether an address, ip or ip:port, is in 127.0.0.0/8.
+// IsLoopback reports whether an address, ip or ip:port, is in 127.0.0.0/8.
 func IsLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -50,7 +49,7 @@
 	return ip != nil && ip.IsLoopback()
 }
 
-// LoadSpec reads and checks a spec and the settings it names.
+// LoadSpec reads and checks a spec and the settings files of its workers. All addresses must be loopback addresses.
 func LoadSpec(path string) (*Spec, []*settings.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -64,13 +63,13 @@
 		return nil, nil, errors.Annotate(err, "spec")
 	}
 	var all []*settings.Settings
-	for place, worker := range spec.Workers {
+	for index, worker := range spec.Workers {
 		nodeSettings, err := settings.Load(worker.Settings)
 		if err != nil {
-			return nil, nil, errors.Annotatef(err, "worker %d", place)
+			return nil, nil, errors.Annotatef(err, "worker %d", index)
 		}
 		if err := checkAddresses(nodeSettings); err != nil {
-			return nil, nil, errors.Annotatef(err, "worker %d", place)
+			return nil, nil, errors.Annotatef(err, "worker %d", index)
 		}
 		all = append(all, nodeSettings)
 	}
@@ -88,12 +87,12 @@
 	if s.ForMs < 1 || s.ForMs > MaxRunTime.Milliseconds() {
 		problems = multierr.Append(problems, errors.Errorf("field for-ms must be 1 to %d", MaxRunTime.Milliseconds()))
 	}
-	for place, worker := range s.Workers {
+	for index, worker := range s.Workers {
 		if worker.ClockRate < 0.98 || worker.ClockRate > 1 {
-			problems = multierr.Append(problems, errors.Errorf("worker %d: field pace must be 0.98 to 1", place))
+			problems = multierr.Append(problems, errors.Errorf("worker %d: field pace must be 0.98 to 1", index))
 		}
 		if worker.Capacity.CPU < 1 || worker.Capacity.Memory < 1 {
-			problems = multierr.Append(problems, errors.Errorf("worker %d: field capacity is empty", place))
+			problems = multierr.Append(problems, errors.Errorf("worker %d: field capacity is empty", index))
 		}
 	}
 	return problems
--- a/internal/simulation/hollow/spec_test.go
+++ b/internal/simulation/hollow/spec_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-const soundSettings = `node-name: "w-1"
+const validSettings = `node-name: "w-1"
 ip-address: "127.10.10.1"
 zone: "z"
 listen-addresses: {control-plane: "127.10.10.1:8166"}
@@ -21,7 +21,7 @@
 service: "scale"
 `
 
-const soundSpec = `{"workers":[{"settings":"SETTINGS","capacity":{"cpu-units":1,"memory-req-mb":1},"pace":1}],"report":"127.10.2.1:7800","for-ms":1000}`
+const validSpec = `{"workers":[{"settings":"SETTINGS","capacity":{"cpu-units":1,"memory-req-mb":1},"pace":1}],"report":"127.10.2.1:7800","for-ms":1000}`
 
 var _ = Describe("the spec of hollow workers", func() {
 	load := func(spec, settings string) error {
@@ -33,22 +33,22 @@
 		return err
 	}
 
-	It("is taken when it is sound", func() { Expect(load(soundSpec, soundSettings)).To(Succeed()) })
+	It("is accepted if it is valid", func() { Expect(load(validSpec, validSettings)).To(Succeed()) })
 
-	DescribeTable("names what is wrong in the spec", func(old, fresh, why string) {
-		Expect(load(strings.Replace(soundSpec, old, fresh, 1), soundSettings)).To(MatchError(ContainSubstring(why)))
+	DescribeTable("is refused with the name of the wrong field", func(before, after, message string) {
+		Expect(load(strings.Replace(validSpec, before, after, 1), validSettings)).To(MatchError(ContainSubstring(message)))
 	},
 		Entry("no JSON", "{", "", "can't be read"),
 		Entry("no worker", `{"settings":"SETTINGS","capacity":{"cpu-units":1,"memory-req-mb":1},"pace":1}`, "", "workers"),
-		Entry("a report for everybody", "127.10.2.1:7800", "0.0.0.0:7800", "report"),
-		Entry("no end", `"for-ms":1000`, `"for-ms":0`, "for-ms"),
-		Entry("a day and more", `"for-ms":1000`, `"for-ms":99999999`, "for-ms"),
-		Entry("no room", `"cpu-units":1`, `"cpu-units":0`, "capacity"),
-		Entry("a clock that leaps", `"pace":1`, `"pace":2`, "pace"),
+		Entry("a report on a public address", "127.10.2.1:7800", "0.0.0.0:7800", "report"),
+		Entry("no run time", `"for-ms":1000`, `"for-ms":0`, "for-ms"),
+		Entry("a run time above the longest", `"for-ms":1000`, `"for-ms":99999999`, "for-ms"),
+		Entry("no capacity", `"cpu-units":1`, `"cpu-units":0`, "capacity"),
+		Entry("a clock that is too fast", `"pace":1`, `"pace":2`, "pace"),
 	)
 
-	DescribeTable("refuses settings off the loopback", func(old, fresh, why string) {
-		Expect(load(soundSpec, strings.Replace(soundSettings, old, fresh, 1))).To(MatchError(ContainSubstring(why)))
+	DescribeTable("is refused if settings name an address other than loopback", func(before, after, message string) {
+		Expect(load(validSpec, strings.Replace(validSettings, before, after, 1))).To(MatchError(ContainSubstring(message)))
 	},
 		Entry("its address", `ip-address: "127.10.10.1"`, `ip-address: "10.0.0.1"`, "ip-address"),
 		Entry("its executor", `app: "127.10.10.1:8080"`, `app: "10.0.0.1:8080"`, "app"),
