--- a/internal/simulation/coordinationcheck/history.go
+++ b/internal/simulation/coordinationcheck/history.go
@@ -1,8 +1,8 @@
-// Package coordinationcheck judges what applications saw of locks, numbers and cells: a History holds their calls, and Judge names what
-// must not happen. The model check and the soak record histories, each with its own callers.
+// Package coordinationcheck checks the calls that applications made to locks, numbers and cells. A History records these calls with their
+// answers, and Judge returns the violations of the guarantees. The model check and the soak record histories, each with its own callers.
 //
-// Times are those of one steady clock. A call is judged by when it was sent and when its answer came: what was acknowledged before a
-// call was sent must show in its answer, and what overlaps may come in either order.
+// All times are from one monotonic clock. A call is checked by the times when it was sent and when its answer arrived: changes that were
+// acknowledged before a call was sent must be visible in its answer, and overlapping calls may take effect in either order.
 package coordinationcheck
 
 import (
@@ -11,8 +11,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Hold is a time in which a holder counted itself the holder of a lock: from the answer to its call until it let go, died, was told
-// that the lock is lost, or its own time was over.
+// Hold is a time in which a client believed that it held a lock: from the answer to its call, until it released the lock, died, received
+// the answer that the lock is lost, or its own lease time was over.
 type Hold struct {
 	Lock, Holder string
 	Fence        uint64
@@ -20,39 +20,40 @@
 	From, To     time.Duration
 }
 
-// Number is a number that was given.
+// Number is a number that was issued to a client.
 type Number struct {
 	Name       string
 	Value      uint64
 	SentAt, At time.Duration
 }
 
-// Put is one put, over all times that it was sent. Values are unique.
+// Put is one put with all its attempts. Values are unique.
 type Put struct {
 	Name, Value string
 	Expected    uint64
 	SentAt      time.Duration
-	// Answers are the clear answers, in their order; IsOpen tells that an attempt got none, and IsGivenUp that all attempts were refused
-	// as not done.
+	// Answers are the definite answers in their order. IsOpen is set if an attempt got no definite answer, and IsGivenUp if all attempts
+	// were refused as not carried out.
 	Answers           []PutAnswer
 	IsOpen, IsGivenUp bool
 }
 
-// PutAnswer is a clear answer to a put: its revision, or with a refusal that of its cell.
+// PutAnswer is a definite answer to a put. Revision is that of the put, or after a refusal the current one of the cell.
 type PutAnswer struct {
 	At       time.Duration
 	IsTaken  bool
 	Revision uint64
 }
 
-// Read is what a cell held; revision 0 is no cell.
+// Read is the content of a cell in the answer to a read. Revision 0 means that there is no cell.
 type Read struct {
 	Name, Value string
 	Revision    uint64
 	SentAt, At  time.Duration
 }
 
-// Watch is the answer to a watch.
+// Watch is the answer to a watch of a group: the events after the revision Above, up to Revision. With Above 0
+// and no events, the answer only gives the current revision.
 type Watch struct {
 	Group      string
 	Above      uint64
@@ -61,14 +62,14 @@
 	SentAt, At time.Duration
 }
 
-// Gone is a watch that was told that the puts after a revision are no longer kept; the revision was given at GivenAt.
+// Gone is a watch that was refused because the puts after a revision are no longer kept. The client received that revision at GivenAt.
 type Gone struct {
 	Group           string
 	Above           uint64
 	GivenAt, SentAt time.Duration
 }
 
-// History is all that applications saw.
+// History holds all calls of applications with their answers.
 type History struct {
 	Holds   []Hold
 	Numbers []Number
@@ -78,7 +79,7 @@
 	Gone    []Gone
 }
 
-// Violation is something that must not happen.
+// Violation is a breach of a guarantee.
 type Violation struct {
 	// Oracle names the rule.
 	Oracle string
@@ -86,26 +87,26 @@
 	Text   string
 }
 
-// The oracles.
+// The names of the oracles, each with what it finds.
 const (
-	// OracleOneHolder: two holders at one moment.
+	// OracleOneHolder finds two holders of a lock at one time.
 	OracleOneHolder = "one holder"
-	// OracleFences: a fencing token that is not above one that another holder had before, or that two holders have.
+	// OracleFences finds a fencing token that is not above an earlier one of another holder, or that two holders have.
 	OracleFences = "fences rise"
-	// OracleNumbers: a number given twice, or not above one that was given before.
+	// OracleNumbers finds a number that was issued twice, or that is not above one issued before.
 	OracleNumbers = "numbers rise"
-	// OracleRevisions: a revision of two puts, a put with two revisions, or one not above what was acknowledged before.
+	// OracleRevisions finds a revision of two puts, a put with two revisions, or a revision not above those acknowledged before.
 	OracleRevisions = "revisions rise"
-	// OracleShown: a value that nobody put there, or a revision that the cell never had.
+	// OracleShown finds a value that nobody put into the cell, or a revision that the cell never had.
 	OracleShown = "shown values were put"
-	// OracleRefused: a put that was refused and took effect.
+	// OracleRefused finds a put that was refused and took effect.
 	OracleRefused = "refused is never shown"
-	// OracleStale: an answer older than what was acknowledged before.
+	// OracleStale finds an answer older than a put that was acknowledged before the call.
 	OracleStale = "no stale read"
-	// OracleWatches: puts that don't rise, or are left out.
+	// OracleWatches finds a watch that leaves out puts, or returns them out of order.
 	OracleWatches = "watches are complete"
-	// OracleHistory: puts that are gone too soon.
+	// OracleHistory finds puts that were dropped before the end of their retention.
 	OracleHistory = "history is kept"
-	// OracleLinearizable: calls about a cell that fit no order.
+	// OracleLinearizable finds calls to a cell that fit no sequential order.
 	OracleLinearizable = "linearizable"
 )
--- a/internal/simulation/coordinationcheck/order.go
+++ b/internal/simulation/coordinationcheck/order.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxOperations is how many calls about a cell are put in order; what that costs rises steeply.
+	// maxOperations is the highest number of calls to a cell that are checked for an order, as the cost rises steeply with it.
 	maxOperations = 64
-	// orderLimit is how long that may take for a cell.
-	orderLimit = 2 * time.Second
+	// orderTimeout is how long the check may take for one cell.
+	orderTimeout = 2 * time.Second
 )
 
 // cellState is the state of the sequential model of one cell.
@@ -22,41 +22,42 @@
 	revision uint64
 }
 
-// sequentialPut is a put as the sequential model sees it: taken under a revision, or refused as the cell had one.
+// sequentialPut is a put in the sequential model: accepted with a revision, or refused because the cell was at the revision refusedAt.
 type sequentialPut struct {
-	value                string
-	expected             uint64
-	isTaken              bool
-	revision, refusedFor uint64
+	value               string
+	expected            uint64
+	isTaken             bool
+	revision, refusedAt uint64
 }
 
-// sequentialCell is a register with compare-and-put. The outputs are a sequentialPut, or the cellState that was read.
+// sequentialCell is the sequential model of a cell, a register with compare-and-put. The output of an operation is a sequentialPut, or the
+// cellState that was read.
 var sequentialCell = porcupine.Model{
 	Init: func() any { return cellState{} },
 	Step: func(state, _, output any) (bool, any) {
-		held := state.(cellState)
-		switch seen := output.(type) {
+		current := state.(cellState)
+		switch observed := output.(type) {
 		case cellState:
-			return held == seen, held
+			return current == observed, current
 		case sequentialPut:
-			if seen.isTaken {
-				return held.revision == seen.expected, cellState{seen.value, seen.revision}
+			if observed.isTaken {
+				return current.revision == observed.expected, cellState{observed.value, observed.revision}
 			}
-			return held.revision == seen.refusedFor && held.revision != seen.expected, held
+			return current.revision == observed.refusedAt && current.revision != observed.expected, current
 		}
-		return false, held
+		return false, current
 	},
 }
 
-// judgeOrder looks whether the calls about each cell fit an order. A put without a clear answer may take effect at any later time, or
-// never: one that nobody ever saw is left out. It gives the number of cells that were not decided.
-func (j *judge) judgeOrder() (undecided int) {
-	histories, isUnsure := map[string][]porcupine.Operation{}, map[string]bool{}
+// checkOrder checks that the calls to each cell fit a sequential order. A put without a definite answer may take effect at any later
+// time, or never, so it is left out if no answer ever showed it. checkOrder returns the number of cells that could not be decided.
+func (c *checker) checkOrder() (undecided int) {
+	histories, isAmbiguous := map[string][]porcupine.Operation{}, map[string]bool{}
 	add := func(name string, output any, from, to time.Duration) {
 		histories[name] = append(histories[name], porcupine.Operation{ClientId: len(histories[name]), Output: output, Call: int64(from), Return: int64(to)})
 	}
-	for _, group := range j.groups {
-		maps.Copy(isUnsure, group.attributeRevisions())
+	for _, group := range c.groups {
+		maps.Copy(isAmbiguous, group.attributeRevisions())
 		for _, put := range group.puts {
 			revision := group.revisions[put]
 			switch {
@@ -68,18 +69,18 @@
 			}
 		}
 	}
-	for _, read := range j.history.Reads {
+	for _, read := range c.history.Reads {
 		add(read.Name, cellState{read.Value, read.Revision}, read.SentAt, read.At)
 	}
 	for _, name := range slices.Sorted(maps.Keys(histories)) {
 		operations := histories[name]
-		if isUnsure[name] || len(operations) > maxOperations {
+		if isAmbiguous[name] || len(operations) > maxOperations {
 			undecided++
 			continue
 		}
-		switch porcupine.CheckOperationsTimeout(sequentialCell, operations, orderLimit) {
+		switch porcupine.CheckOperationsTimeout(sequentialCell, operations, orderTimeout) {
 		case porcupine.Illegal:
-			j.violated(OracleLinearizable, time.Duration(operations[0].Call), "%d calls about %s fit no order", len(operations), name)
+			c.addViolation(OracleLinearizable, time.Duration(operations[0].Call), "%d calls about %s fit no order", len(operations), name)
 		case porcupine.Unknown:
 			undecided++
 		}
@@ -87,10 +88,10 @@
 	return undecided
 }
 
-// attributeRevisions finds the puts of revisions that are known from refusals alone: such a revision belongs to a put without a clear
-// answer. Where several may have it, the cell is unsure.
-func (g *group) attributeRevisions() (unsure map[string]bool) {
-	unsure = map[string]bool{}
+// attributeRevisions finds the puts of revisions that are known only from refusals. Such a revision belongs to a put without a definite
+// answer. Cells are returned as ambiguous if not exactly one put can have the revision.
+func (g *group) attributeRevisions() (ambiguous map[string]bool) {
+	ambiguous = map[string]bool{}
 	for _, refused := range g.puts {
 		if len(refused.Answers) == 0 || refused.Answers[0].IsTaken {
 			continue
@@ -106,10 +107,10 @@
 			}
 		}
 		if len(candidates) != 1 {
-			unsure[refused.Name] = true
+			ambiguous[refused.Name] = true
 			continue
 		}
 		g.revisions[candidates[0]], g.shown[revision] = revision, candidates[0]
 	}
-	return unsure
+	return ambiguous
 }
