--- a/internal/simulation/rehearsal/rolloutpolicy_test.go
+++ b/internal/simulation/rehearsal/rolloutpolicy_test.go
@@ -15,7 +15,7 @@
 		return created
 	}
 
-	ginkgo.DescribeTable("stops the runs of a rolled back version, and tells whether its jobs are repeatable", func(isRepeatable bool) {
+	ginkgo.DescribeTable("stops the runs of a rolled back version, and states whether its jobs are repeatable", func(isRepeatable bool) {
 		policy := newRollout(configuration.RolloutTurnedBack, isRepeatable).policy(versionNew)
 		Expect(policy.Version).To(Equal(int64(3)))
 		Expect(policy.Rollouts).To(HaveLen(1))
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -29,7 +29,8 @@
 	failedRuns map[int64]bool
 }
 
-// Checker observes what the executors actually do, and records violations of the scheduling rules.
+// Checker observes what the executors actually do, and records violations of the scheduling rules. DuplicateRuns counts, by job, the
+// runs that started beside another run of the same task or after its acknowledged success. Starts counts all starts.
 type Checker struct {
 	events        *EventQueue
 	jobs          map[string]*jobFacts
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -75,6 +75,7 @@
 	})
 }
 
+// holdPeriodically checks every 500 ms whether a hold is due, until the process ends.
 func (p *Proxy) holdPeriodically(incarnation int) {
 	p.runIfAlive(incarnation, func() { p.sendHold(incarnation, false) })
 	if p.isUp && p.incarnation == incarnation {
@@ -118,9 +119,9 @@
 	})
 }
 
-// sendHold calls the executor once to renew its lease. With listsRuns, the call is also made to get the list of its runs.
-func (p *Proxy) sendHold(incarnation int, listsRuns bool) {
-	work, isDue := p.table.NextHold(listsRuns)
+// sendHold sends the next hold that is due to the executor, which renews its lease. A hold for a list of runs does not wait for an end.
+func (p *Proxy) sendHold(incarnation int, isForList bool) {
+	work, isDue := p.table.NextHold(isForList)
 	if !isDue || p.incarnation != incarnation {
 		return
 	}
--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -160,7 +160,7 @@
 		Expect(c.queryState(1)).To(Equal(completed))
 	})
 
-	It("runs the tasks of a crashed executor again", func() {
+	It("runs the tasks of a crashed and restarted executor again", func() {
 		c := newHarness(8, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) { return 2 * time.Second, "done" }))
 		c.submitJob(1, plain(12, 4000))
 		c.Run(time.Second)
--- a/internal/simulation/simcluster/stalls_test.go
+++ b/internal/simulation/simcluster/stalls_test.go
@@ -28,7 +28,7 @@
 	{"lasting", 3, `{"task-count":4,"cpu-units":2000,"memory-req-mb":900,"long-running":true}`},
 }
 
-// largeScenario submits such jobs to a cluster of many executors, and injects random faults.
+// largeScenario submits such jobs to a cluster of many executors, and injects faults drawn from the seed.
 type largeScenario struct {
 	*harness
 	detector *simcluster.StallDetector
