--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -12,7 +12,7 @@
 // large one, so that whole states are sent in several chunks, and replicas keep only the last few changes.
 const (
 	bulkPairs    = 5
-	maxPairs     = 40
+	maxBulkPairs = 40
 	bulkSize     = 90 << 10
 	bulkVariants = 32
 )
@@ -29,7 +29,7 @@
 }
 
 // bulkState is the variant of each large pair; 0 where there is none.
-type bulkState [maxPairs]byte
+type bulkState [maxBulkPairs]byte
 
 func bulkName(index int) string { return fmt.Sprintf("bulk-%d", index) }
 
@@ -64,7 +64,7 @@
 	index, value := int(digest[0])%t.cluster.bulkPairs, bulkValues[int(digest[1])%bulkVariants]
 	next := t.state
 	next[index] = value[0]
-	t.cluster.record.bulk[digest] = next
+	t.cluster.oracleState.bulk[digest] = next
 	ops = append(slices.Clone(ops), wire.Op{Name: bulkName(index), Value: value})
 	t.keyLeadership.Commit(ops, func(err error) {
 		if err == nil {
@@ -79,7 +79,7 @@
 	if !w.isBulk || committed == nil {
 		return
 	}
-	if want, state := w.record.bulk[digestOf(committed.Body)], bulkOf(pairs); want != state {
-		w.violated("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, committed.Version, state, want)
+	if want, state := w.oracleState.bulk[digestOf(committed.Body)], bulkOf(pairs); want != state {
+		w.reportViolation("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, committed.Version, state, want)
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/coordination.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination.go
@@ -19,9 +19,9 @@
 const (
 	// modelHistory is how long a revision that a watcher was given must stay good; keptHistory is what the parts are told. It is longer
 	// than resendTime, the time of the last attempt and lateCopyTime together, so that no put comes again after it is forgotten.
-	modelHistory = 3 * time.Second
-	keptHistory  = 7 * time.Second
-	modelRelease = 1500 * time.Millisecond
+	checkedHistoryTime = 3 * time.Second
+	keptHistoryTime    = 7 * time.Second
+	releaseTime        = 1500 * time.Millisecond
 
 	minCallers, maxCallers = 3, 6
 	minPauseMs, maxPauseMs = 20, 400
@@ -29,9 +29,9 @@
 	lockCount, numberCount, groupCount, cellCount = 2, 2, 2, 3
 	watcherCount                                  = 2
 	// moveTime is when the key has surely gone to its preferred leader, with which the time of locks begins anew.
-	moveTime = 18 * time.Second
+	leaderMoveTime = 18 * time.Second
 	// holdersTime is when all locks must be free after the callers have ended, also those whose holders died.
-	holdersTime = moveTime + 3*maxHoldMs*time.Millisecond + modelRelease
+	lockFreeTime = leaderMoveTime + 3*maxHoldMs*time.Millisecond + releaseTime
 )
 
 // coordinationService is a part with locks, numbers and cells, and the applications that use it.
@@ -42,7 +42,7 @@
 	watchers []*modelWatcher
 	// callersEnd is when the applications stop calling.
 	callersEnd time.Duration
-	drawnValue int
+	valueCount int
 }
 
 func newCoordinationService(w *simCluster) *coordinationService {
@@ -55,8 +55,8 @@
 	return []replication.Option{replication.WithPreferredLeader()}
 }
 
-func (s *coordinationService) machineOf(n *simNode) keyMachine {
-	part := coordination.New(s.key(), coordination.Surroundings{Clock: &n.clock, Log: logging.Silent(), HistoryTime: keptHistory, ReleaseTime: modelRelease})
+func (s *coordinationService) newMachine(n *simNode) serviceMachine {
+	part := coordination.New(s.key(), coordination.Surroundings{Clock: &n.clock, Log: logging.Silent(), HistoryTime: keptHistoryTime, ReleaseTime: releaseTime})
 	return n.cluster.fault.wrapPart(&coordinationMachine{part})
 }
 
@@ -73,13 +73,13 @@
 }
 
 // act begins the calls of the applications: Node of them, with pauses around Value milliseconds.
-func (s *coordinationService) act(step modelcheck.Step) {
+func (s *coordinationService) playStep(step modelcheck.Step) {
 	s.callersEnd = s.cluster.now + clock.Milliseconds(int64(step.ForMs))
 	for index := range step.Node {
 		caller := &modelCaller{service: s, holder: fmt.Sprintf("a%d", index), via: index, pause: clock.Milliseconds(int64(max(1, step.Value))),
-			known: map[string]uint64{}}
+			knownRevisions: map[string]uint64{}}
 		s.callers = append(s.callers, caller)
-		caller.rest()
+		caller.scheduleNextCall()
 	}
 	for index := range watcherCount {
 		watcher := &modelWatcher{service: s, group: groupName(index % groupCount), via: index}
@@ -89,14 +89,14 @@
 }
 
 // operate makes a call through a machine; done gets nil for a call without an answer.
-func (s *coordinationService) operate(via int, command *coordinationapi.Command, done func(*response.Reply)) {
+func (s *coordinationService) callThrough(via int, command *coordinationapi.Command, done func(*response.Reply)) {
 	command.Call.Key = s.key()
 	command.Call.RemainingMs = command.Wait.Milliseconds()
 	reply := func(outcome leaderclient.Outcome) response.Reply { return coordinationapi.Reply(command, outcome) }
-	s.cluster.operate(via, request{call: &command.Call, wait: command.Wait, reply: reply, arrivesOnce: true}, func(answer *response.Reply) {
+	s.cluster.callThrough(via, request{call: &command.Call, wait: command.Wait, reply: reply, arrivesOnce: true}, func(answer *response.Reply) {
 		if answer != nil {
-			s.cluster.tell("%s %s %s at %d: %d %s", command.Call.Verb, command.Call.ID, command.Call.Body, command.Call.Base, answer.Status, answer.Body)
-			s.cluster.cover(fmt.Sprintf("%s %d", command.Call.Verb, answer.Status))
+			s.cluster.tracef("%s %s %s at %d: %d %s", command.Call.Verb, command.Call.ID, command.Call.Body, command.Call.Base, answer.Status, answer.Body)
+			s.cluster.countCoverage(fmt.Sprintf("%s %d", command.Call.Verb, answer.Status))
 		}
 		done(answer)
 	})
@@ -107,53 +107,53 @@
 func groupName(index int) string  { return fmt.Sprintf("g%d.", index) }
 
 // finish reads all cells, takes all numbers and locks, and has a watcher go on in each group.
-func (s *coordinationService) finish() time.Duration {
-	caller := &modelCaller{service: s, holder: "last", known: map[string]uint64{}}
+func (s *coordinationService) makeFinalCalls() time.Duration {
+	caller := &modelCaller{service: s, holder: "last", knownRevisions: map[string]uint64{}}
 	// A leader has one call under way to each follower; one whose answer was lost ends by its limit.
 	s.cluster.after(stalledConnectionTimeout, func() {
 		for group := range groupCount {
 			for cell := range cellCount {
-				caller.get(fmt.Sprint(groupName(group), cell), func(status int) { s.mustBe(status, "a read", 200, 404) })
+				caller.get(fmt.Sprint(groupName(group), cell), func(status int) { s.expectStatus(status, "a read", 200, 404) })
 			}
 			watcher := &modelWatcher{service: s, group: groupName(group)}
-			watcher.ask(0, func(status int) { s.mustBe(status, "a watch", 200) })
+			watcher.watchOnce(0, func(status int) { s.expectStatus(status, "a watch", 200) })
 		}
 		for index := range numberCount {
-			caller.takeNumber(numberName(index), func(status int) { s.mustBe(status, "a number", 200) })
+			caller.takeNumber(numberName(index), func(status int) { s.expectStatus(status, "a number", 200) })
 		}
 	})
-	s.cluster.after(holdersTime, func() {
+	s.cluster.after(lockFreeTime, func() {
 		for _, watcher := range s.watchers {
-			watcher.ask(0, func(status int) { s.mustBe(status, "a watch that goes on", 200, 410) })
+			watcher.watchOnce(0, func(status int) { s.expectStatus(status, "a watch that goes on", 200, 410) })
 		}
 		for index := range lockCount {
-			caller.acquire(lockName(index), modelRelease, func(status int) { s.mustBe(status, "a lock", 200) })
+			caller.acquire(lockName(index), releaseTime, func(status int) { s.expectStatus(status, "a lock", 200) })
 		}
 	})
-	return holdersTime + operatorLimit + time.Second
+	return lockFreeTime + operatorTimeout + time.Second
 }
 
 // mustBe is an oracle: once all is settled, and the time of all holders is over, calls are answered.
-func (s *coordinationService) mustBe(status int, call string, allowed ...int) {
+func (s *coordinationService) expectStatus(status int, call string, allowed ...int) {
 	for _, good := range allowed {
 		if status == good {
 			return
 		}
 	}
-	s.cluster.violated("settled", "%s is answered %d once all is settled", call, status)
+	s.cluster.reportViolation("settled", "%s is answered %d once all is settled", call, status)
 }
 
 // judge has the oracles look at all that the applications saw.
-func (s *coordinationService) judge() {
+func (s *coordinationService) checkHistory() {
 	for _, caller := range s.callers {
-		caller.letGo()
+		caller.endHold()
 	}
-	violations, undecided := coordinationcheck.Judge(&s.history, modelHistory)
+	violations, undecided := coordinationcheck.Judge(&s.history, checkedHistoryTime)
 	for _, violation := range violations {
-		s.cluster.problems = append(s.cluster.problems, modelcheck.Violation{Oracle: violation.Oracle, AtMs: int(violation.At.Milliseconds()), Detail: violation.Text})
+		s.cluster.violations = append(s.cluster.violations, modelcheck.Violation{Oracle: violation.Oracle, AtMs: int(violation.At.Milliseconds()), Detail: violation.Text})
 	}
 	s.cluster.coverage["history left undecided"] += undecided
 	if undecided == 0 {
-		s.cluster.cover("history linearizable")
+		s.cluster.countCoverage("history linearizable")
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
@@ -24,9 +24,9 @@
 	minHoldMs    = 200
 	maxHoldMs    = 2500
 	// sleepPercent of the holders sleep beyond their time, diePercent forget that they hold; both keep their names.
-	sleepPercent, diePercent = 15, 15
-	maxRenewals              = 4
-	maxWatchWait             = 800 * time.Millisecond
+	sleepPercent, abandonPercent = 15, 15
+	maxRenewals                  = 4
+	maxWatchWait                 = 800 * time.Millisecond
 )
 
 // modelCaller is an application that makes one call after the other.
@@ -36,7 +36,7 @@
 	via     int
 	pause   time.Duration
 	// known are the revisions of cells as it last saw them.
-	known map[string]uint64
+	knownRevisions map[string]uint64
 	// held is the lock that it counts itself the holder of, if any.
 	held *coordinationcheck.Hold
 }
@@ -55,26 +55,26 @@
 }
 
 // rest lets some time pass before the next call.
-func (c *modelCaller) rest() {
+func (c *modelCaller) scheduleNextCall() {
 	w := c.service.cluster
-	w.after(time.Duration(w.draw.Int64N(2*int64(c.pause)+1)), c.next)
+	w.after(time.Duration(w.random.Int64N(2*int64(c.pause)+1)), c.makeNextCall)
 }
 
 // next draws what to do.
-func (c *modelCaller) next() {
+func (c *modelCaller) makeNextCall() {
 	w := c.service.cluster
 	if w.now >= c.service.callersEnd {
 		return
 	}
-	c.via = w.draw.IntN(len(w.slots))
-	again := func(int) { c.rest() }
-	cell := fmt.Sprint(groupName(w.draw.IntN(groupCount)), w.draw.IntN(cellCount))
-	switch luck := w.draw.IntN(100); {
-	case luck < 35:
-		c.hold(lockName(w.draw.IntN(lockCount)))
-	case luck < 50:
-		c.takeNumber(numberName(w.draw.IntN(numberCount)), again)
-	case luck < 80:
+	c.via = w.random.IntN(len(w.slots))
+	again := func(int) { c.scheduleNextCall() }
+	cell := fmt.Sprint(groupName(w.random.IntN(groupCount)), w.random.IntN(cellCount))
+	switch roll := w.random.IntN(100); {
+	case roll < 35:
+		c.holdLock(lockName(w.random.IntN(lockCount)))
+	case roll < 50:
+		c.takeNumber(numberName(w.random.IntN(numberCount)), again)
+	case roll < 80:
 		c.put(cell)
 	default:
 		c.get(cell, again)
@@ -90,19 +90,19 @@
 		}
 		command.Call.Body = text
 	}
-	c.service.operate(c.via, command, done)
+	c.service.callThrough(c.via, command, done)
 }
 
 // hold takes a lock, renews it some times, and gives it back, sleeps beyond its time, or forgets it.
-func (c *modelCaller) hold(name string) {
+func (c *modelCaller) holdLock(name string) {
 	w := c.service.cluster
-	hold := clock.Milliseconds(int64(minHoldMs + w.draw.IntN(maxHoldMs-minHoldMs)))
+	hold := clock.Milliseconds(int64(minHoldMs + w.random.IntN(maxHoldMs-minHoldMs)))
 	c.acquire(name, hold, func(status int) {
 		if status != http.StatusOK {
-			c.rest()
+			c.scheduleNextCall()
 			return
 		}
-		c.keep(hold, w.draw.IntN(maxRenewals+1))
+		c.keepHold(hold, w.random.IntN(maxRenewals+1))
 	})
 }
 
@@ -113,22 +113,22 @@
 		status := statusOf(answer)
 		if status == http.StatusOK {
 			var given wire.LockAnswer
-			c.service.read(answer, &given)
-			c.begin(name, given.Fence, sentAt, hold)
+			c.service.decodeAnswer(answer, &given)
+			c.beginHold(name, given.Fence, sentAt, hold)
 		}
 		done(status)
 	})
 }
 
 // begin counts the caller as the holder of a lock from now on, unless its time is over already.
-func (c *modelCaller) begin(name string, fence uint64, sentAt, hold time.Duration) {
+func (c *modelCaller) beginHold(name string, fence uint64, sentAt, hold time.Duration) {
 	w := c.service.cluster
 	c.held = &coordinationcheck.Hold{Lock: name, Holder: c.holder, Fence: fence, SentAt: sentAt, From: w.now, To: sentAt + hold}
 	w.fireTriggers()
 }
 
 // letGo ends the hold: the caller no longer counts itself the holder.
-func (c *modelCaller) letGo() {
+func (c *modelCaller) endHold() {
 	if c.held == nil {
 		return
 	}
@@ -138,20 +138,20 @@
 }
 
 // keep holds a lock for a part of its time, and then renews it or ends the hold in one way or another.
-func (c *modelCaller) keep(hold time.Duration, renewals int) {
+func (c *modelCaller) keepHold(hold time.Duration, renewals int) {
 	w := c.service.cluster
-	luck := w.draw.IntN(100)
-	wait := time.Duration(w.draw.Int64N(int64(hold)))
+	roll := w.random.IntN(100)
+	wait := time.Duration(w.random.Int64N(int64(hold)))
 	switch {
 	case w.now >= c.service.callersEnd:
 		c.release()
-	case luck < sleepPercent:
-		w.cover("holder slept beyond its time")
+	case roll < sleepPercent:
+		w.countCoverage("holder slept beyond its time")
 		w.after(2*hold, func() { c.renew(hold, 0) })
-	case luck < sleepPercent+diePercent:
-		w.cover("holder died")
-		c.letGo()
-		w.after(wait, c.rest)
+	case roll < sleepPercent+abandonPercent:
+		w.countCoverage("holder died")
+		c.endHold()
+		w.after(wait, c.scheduleNextCall)
 	case renewals > 0:
 		w.after(wait, func() { c.renew(hold, renewals-1) })
 	default:
@@ -167,11 +167,11 @@
 	c.call(wire.VerbRenew, c.held.Lock, body, false, func(answer *response.Reply) {
 		if statusOf(answer) == http.StatusOK && w.now < c.held.To {
 			c.held.To = max(c.held.To, sentAt+hold)
-			c.keep(hold, renewals)
+			c.keepHold(hold, renewals)
 			return
 		}
-		c.letGo()
-		c.rest()
+		c.endHold()
+		c.scheduleNextCall()
 	})
 }
 
@@ -180,12 +180,12 @@
 func (c *modelCaller) release() {
 	w := c.service.cluster
 	name, fence := c.held.Lock, c.held.Fence
-	c.letGo()
-	goOn := c.rest
-	if w.draw.IntN(4) == 0 {
-		w.cover("caller goes on before its release is answered")
-		goOn = func() {}
-		w.after(0, func() { c.hold(name) })
+	c.endHold()
+	continueCalls := c.scheduleNextCall
+	if w.random.IntN(4) == 0 {
+		w.countCoverage("caller goes on before its release is answered")
+		continueCalls = func() {}
+		w.after(0, func() { c.holdLock(name) })
 	}
 	var send func(attempts int)
 	send = func(attempts int) {
@@ -195,10 +195,10 @@
 				send(attempts - 1)
 				return
 			}
-			goOn()
+			continueCalls()
 		})
 	}
-	send(w.draw.IntN(3))
+	send(w.random.IntN(3))
 }
 
 func (c *modelCaller) takeNumber(name string, done func(status int)) {
@@ -206,7 +206,7 @@
 	c.call(wire.VerbTakeNumber, name, nil, false, func(answer *response.Reply) {
 		if statusOf(answer) == http.StatusOK {
 			var given wire.NumberAnswer
-			c.service.read(answer, &given)
+			c.service.decodeAnswer(answer, &given)
 			c.service.history.Numbers = append(c.service.history.Numbers, coordinationcheck.Number{Name: name, Value: given.Value, SentAt: sentAt,
 				At: c.service.cluster.now})
 			c.service.cluster.fireTriggers()
@@ -218,8 +218,8 @@
 // put draws a new value for a cell and sends it until there is a clear answer, or for resendTime.
 func (c *modelCaller) put(name string) {
 	s := c.service
-	s.drawnValue++
-	put := &coordinationcheck.Put{Name: name, Value: fmt.Sprintf("v%d", s.drawnValue), Expected: c.known[name], SentAt: s.cluster.now}
+	s.valueCount++
+	put := &coordinationcheck.Put{Name: name, Value: fmt.Sprintf("v%d", s.valueCount), Expected: c.knownRevisions[name], SentAt: s.cluster.now}
 	s.history.Puts = append(s.history.Puts, put)
 	c.sendPut(put)
 }
@@ -230,17 +230,17 @@
 		status := statusOf(answer)
 		switch {
 		case status == http.StatusOK || status == http.StatusPreconditionFailed:
-			c.known[put.Name] = c.service.notePut(put, answer)
+			c.knownRevisions[put.Name] = c.service.recordPut(put, answer)
 		case !isClear(status):
 			put.IsOpen = true
-		case !put.IsOpen && w.draw.IntN(2) == 0:
-			w.cover("put given up after a refusal")
+		case !put.IsOpen && w.random.IntN(2) == 0:
+			w.countCoverage("put given up after a refusal")
 			put.IsGivenUp = true
-			c.rest()
+			c.scheduleNextCall()
 			return
 		}
 		if isClear(status) && status != http.StatusServiceUnavailable || w.now-put.SentAt > resendTime {
-			c.maybeSendAgain(put, status)
+			c.maybeSendLateCopy(put, status)
 			return
 		}
 		c.via++
@@ -249,29 +249,29 @@
 }
 
 // maybeSendAgain has a copy of a put come late, now and then, as if it had been held up on its way.
-func (c *modelCaller) maybeSendAgain(put *coordinationcheck.Put, status int) {
+func (c *modelCaller) maybeSendLateCopy(put *coordinationcheck.Put, status int) {
 	w := c.service.cluster
-	if status == http.StatusOK && w.draw.IntN(4) == 0 {
-		w.cover("put came again")
-		late := &modelCaller{service: c.service, via: w.draw.IntN(len(w.slots)), known: map[string]uint64{}}
-		w.after(time.Duration(w.draw.Int64N(int64(lateCopyTime))), func() {
+	if status == http.StatusOK && w.random.IntN(4) == 0 {
+		w.countCoverage("put came again")
+		late := &modelCaller{service: c.service, via: w.random.IntN(len(w.slots)), knownRevisions: map[string]uint64{}}
+		w.after(time.Duration(w.random.Int64N(int64(lateCopyTime))), func() {
 			late.call(wire.VerbPut, put.Name, &wire.PutCall{Value: put.Value, Expected: put.Expected}, false, func(answer *response.Reply) {
 				if status := statusOf(answer); status == http.StatusOK || status == http.StatusPreconditionFailed {
-					c.service.notePut(put, answer)
+					c.service.recordPut(put, answer)
 				}
 			})
 		})
 	}
-	c.rest()
+	c.scheduleNextCall()
 }
 
 // notePut records the clear answer to a put and gives the revision of its cell.
-func (s *coordinationService) notePut(put *coordinationcheck.Put, answer *response.Reply) uint64 {
+func (s *coordinationService) recordPut(put *coordinationcheck.Put, answer *response.Reply) uint64 {
 	var at wire.RevisionAnswer
-	s.read(answer, &at)
-	isTaken := answer.Status == http.StatusOK
-	put.Answers = append(put.Answers, coordinationcheck.PutAnswer{At: s.cluster.now, IsTaken: isTaken, Revision: at.Revision})
-	if isTaken {
+	s.decodeAnswer(answer, &at)
+	isApplied := answer.Status == http.StatusOK
+	put.Answers = append(put.Answers, coordinationcheck.PutAnswer{At: s.cluster.now, IsTaken: isApplied, Revision: at.Revision})
+	if isApplied {
 		s.cluster.fireTriggers()
 	}
 	return at.Revision
@@ -285,13 +285,13 @@
 		var held wire.CellAnswer
 		switch status {
 		case http.StatusOK:
-			s.read(answer, &held)
+			s.decodeAnswer(answer, &held)
 		case http.StatusNotFound:
 		default:
 			done(status)
 			return
 		}
-		c.known[name] = held.Revision
+		c.knownRevisions[name] = held.Revision
 		s.history.Reads = append(s.history.Reads, coordinationcheck.Read{Name: name, Value: held.Value, Revision: held.Revision, SentAt: sentAt,
 			At: s.cluster.now})
 		done(status)
@@ -299,9 +299,9 @@
 }
 
 // read decodes an answer that has been given with success.
-func (s *coordinationService) read(answer *response.Reply, into easyjson.Unmarshaler) {
+func (s *coordinationService) decodeAnswer(answer *response.Reply, into easyjson.Unmarshaler) {
 	if !json.Valid(answer.Body) || easyjson.Unmarshal(answer.Body, into) != nil {
-		s.cluster.violated("answers can be read", "%d %s", answer.Status, answer.Body)
+		s.cluster.reportViolation("answers can be read", "%d %s", answer.Status, answer.Body)
 	}
 }
 
@@ -321,27 +321,27 @@
 	if w.now >= m.service.callersEnd {
 		return
 	}
-	m.via = w.draw.IntN(len(w.slots))
-	m.ask(time.Duration(w.draw.Int64N(int64(maxWatchWait))), func(int) {
+	m.via = w.random.IntN(len(w.slots))
+	m.watchOnce(time.Duration(w.random.Int64N(int64(maxWatchWait))), func(int) {
 		sleep := resendPause
-		if w.draw.IntN(10) == 0 {
-			sleep = time.Duration(w.draw.Int64N(int64(2 * keptHistory)))
+		if w.random.IntN(10) == 0 {
+			sleep = time.Duration(w.random.Int64N(int64(2 * keptHistoryTime)))
 		}
 		w.after(sleep, m.watch)
 	})
 }
 
 // ask makes one call, and notes what it brought.
-func (m *modelWatcher) ask(wait time.Duration, done func(status int)) {
+func (m *modelWatcher) watchOnce(wait time.Duration, done func(status int)) {
 	s := m.service
 	command := &coordinationapi.Command{Call: wire.ClientCall{Verb: wire.VerbWatch, ID: m.group, Base: int64(m.above)}, Wait: wait, IsRead: true}
 	above, sentAt := m.above, s.cluster.now
-	s.operate(m.via, command, func(answer *response.Reply) {
+	s.callThrough(m.via, command, func(answer *response.Reply) {
 		status := statusOf(answer)
 		switch status {
 		case http.StatusOK:
 			var seen wire.WatchAnswer
-			s.read(answer, &seen)
+			s.decodeAnswer(answer, &seen)
 			s.history.Watches = append(s.history.Watches, coordinationcheck.Watch{Group: m.group, Above: above, Events: seen.Events,
 				Revision: seen.Revision, SentAt: sentAt, At: s.cluster.now})
 			m.above, m.givenAt = seen.Revision, s.cluster.now
--- a/internal/simulation/modelcheck/controlmodel/coordinationfaults.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationfaults.go
@@ -14,9 +14,9 @@
 // coordinationFaults are the faults that can be injected into the model of locks, numbers and cells, by name.
 var coordinationFaults = map[string]injectedFault{
 	"lease-not-looked-at": {about: "A leader that may have been replaced answers reads, numbers and renewals all the same.",
-		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return carelessLeadership{inner} }},
+		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return alwaysLeasedLeadership{inner} }},
 	"commit-before-majority": {about: "A leader answers before a majority holds the change.",
-		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return hastyLeadership{inner} }},
+		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return earlyCommitLeadership{inner} }},
 	"locks-forgotten": {about: "A new leader begins without the locks that are held, as if their time were over with the leadership.",
 		part: openingWithout(func(pair wire.Op) bool { return strings.HasPrefix(pair.Name, "l/") })},
 	"fence-of-a-snapshot": {about: "A new leader counts fencing tokens from an earlier state.",
@@ -24,7 +24,7 @@
 	"number-range-twice": {about: "A new leader gives the numbers of a range that the one before had reserved.",
 		part: openingWithout(func(pair wire.Op) bool { return strings.HasPrefix(pair.Name, "n/") })},
 	"repeat-forgotten": {about: "A put that comes again after a take-over is judged by its revision alone.",
-		part: func(inner keyMachine) keyMachine { return &forgetfulPart{inner} }},
+		part: func(inner serviceMachine) serviceMachine { return &repeatForgettingPart{inner} }},
 	"event-lost": {about: "A put that watchers may ask for is missing after a take-over.",
 		part: openingWithout(func(pair wire.Op) bool {
 			return strings.HasSuffix(pair.Name, "3") && strings.HasPrefix(pair.Name, "e/")
@@ -39,43 +39,43 @@
 			return answer
 		}},
 	"late-release": {about: "A release ends the hold of its holder, whichever fencing token it bears.",
-		part: func(inner keyMachine) keyMachine { return &looseReleases{inner, map[string]uint64{}} }},
+		part: func(inner serviceMachine) serviceMachine { return &unfencedReleases{inner, map[string]uint64{}} }},
 }
 
-func (p injectedFault) wrapPart(inner keyMachine) keyMachine {
-	if p.part == nil {
+func (f injectedFault) wrapPart(inner serviceMachine) serviceMachine {
+	if f.part == nil {
 		return inner
 	}
-	return p.part(inner)
+	return f.part(inner)
 }
 
 // openingWithout gives a part that opens without some of the records.
-func openingWithout(isLost func(wire.Op) bool) func(keyMachine) keyMachine {
-	return func(inner keyMachine) keyMachine { return &lossyPart{inner, isLost} }
+func openingWithout(isLost func(wire.Op) bool) func(serviceMachine) serviceMachine {
+	return func(inner serviceMachine) serviceMachine { return &lossyPart{inner, isLost} }
 }
 
 type lossyPart struct {
-	keyMachine
+	serviceMachine
 	isLost func(wire.Op) bool
 }
 
 // Open leaves some records out.
 func (p *lossyPart) Open(leadership keyLeadership, pairs []wire.Op) error {
-	return p.keyMachine.Open(leadership, slices.DeleteFunc(slices.Clone(pairs), p.isLost))
+	return p.serviceMachine.Open(leadership, slices.DeleteFunc(slices.Clone(pairs), p.isLost))
 }
 
 // forgetfulPart opens with puts that nobody can send again.
-type forgetfulPart struct{ keyMachine }
+type repeatForgettingPart struct{ serviceMachine }
 
 // Open changes the revision that each put named.
-func (p *forgetfulPart) Open(leadership keyLeadership, pairs []wire.Op) error {
+func (p *repeatForgettingPart) Open(leadership keyLeadership, pairs []wire.Op) error {
 	changed := slices.Clone(pairs)
 	for index, pair := range changed {
 		if strings.HasPrefix(pair.Name, "e/") || strings.HasPrefix(pair.Name, "c/") {
 			changed[index].Value = withExpected(pair.Value, unknownRevision)
 		}
 	}
-	return p.keyMachine.Open(leadership, changed)
+	return p.serviceMachine.Open(leadership, changed)
 }
 
 // unknownRevision is one that no cell ever has.
@@ -96,20 +96,20 @@
 }
 
 // looseReleases puts the newest token of the holder into each release.
-type looseReleases struct {
-	keyMachine
+type unfencedReleases struct {
+	serviceMachine
 	newest map[string]uint64
 }
 
-func (p *looseReleases) execute(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
+func (p *unfencedReleases) execute(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	asked := &wire.LockCall{}
 	if call.Verb != wire.VerbRelease && call.Verb != wire.VerbAcquire || easyjson.Unmarshal(call.Body, asked) != nil {
-		p.keyMachine.execute(call, answer)
+		p.serviceMachine.execute(call, answer)
 		return
 	}
 	name := call.ID + " " + asked.Holder
 	if call.Verb == wire.VerbAcquire {
-		p.keyMachine.execute(call, func(given wire.ClientAnswer) {
+		p.serviceMachine.execute(call, func(given wire.ClientAnswer) {
 			var lock wire.LockAnswer
 			if easyjson.Unmarshal(given.Body, &lock) == nil {
 				p.newest[name] = max(p.newest[name], lock.Fence)
@@ -123,5 +123,5 @@
 	if text, err := easyjson.Marshal(asked); err == nil {
 		changed.Body = text
 	}
-	p.keyMachine.execute(&changed, answer)
+	p.serviceMachine.execute(&changed, answer)
 }
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	shortestSync = 2 * time.Millisecond
-	longestSync  = 12 * time.Millisecond
-	slowedSync   = 150 * time.Millisecond
-	maxPerSync   = 64
+	minSyncTime   = 2 * time.Millisecond
+	maxSyncTime   = 12 * time.Millisecond
+	slowSyncDelay = 150 * time.Millisecond
+	maxPerSync    = 64
 )
 
 var errFull = errors.New("no space left on the disk")
@@ -34,7 +34,7 @@
 	number    int
 	name      string
 	model     *simcluster.DiskModel
-	isBare    bool
+	isNew     bool
 	isStalled bool
 	isSlow    bool
 	isFull    bool
@@ -44,19 +44,19 @@
 	syncing     []pendingWrite
 	incarnation int
 	// answered is called after each transaction, so that the process takes note.
-	answered func()
+	afterTransaction func()
 }
 
 func (w *simCluster) newDisk() *disk {
 	w.disks++
-	return &disk{cluster: w, number: w.disks, name: fmt.Sprintf("disk-%d", w.disks), model: simcluster.NewDiskModel(), isBare: true, isFileSafe: !w.fault.isFileUnsafe}
+	return &disk{cluster: w, number: w.disks, name: fmt.Sprintf("disk-%d", w.disks), model: simcluster.NewDiskModel(), isNew: true, isFileSafe: !w.fault.isFileUnsafe}
 }
 
 // Disk is the name that an empty disk gave itself.
 func (d *disk) Disk() string { return d.name }
 
 // IsNew tells whether nothing was ever kept here.
-func (d *disk) IsNew() bool { return d.isBare }
+func (d *disk) IsNew() bool { return d.isNew }
 
 // ReplicaStates are the states of the replicas that were synced.
 func (d *disk) ReplicaStates() (map[string]storage.ReplicaState, error) {
@@ -73,9 +73,9 @@
 }
 
 func (d *disk) syncTime() time.Duration {
-	wait := shortestSync + time.Duration(d.cluster.draw.Int64N(int64(longestSync-shortestSync)))
+	wait := minSyncTime + time.Duration(d.cluster.random.Int64N(int64(maxSyncTime-minSyncTime)))
 	if d.isSlow {
-		wait += slowedSync
+		wait += slowSyncDelay
 	}
 	return wait
 }
@@ -105,7 +105,7 @@
 	for _, write := range batch {
 		write.done(d.commit(write.write))
 	}
-	d.answered()
+	d.afterTransaction()
 	d.sync()
 }
 
@@ -117,10 +117,10 @@
 }
 
 // stop ends what the process had under way: a transaction counts as a whole or not at all.
-func (d *disk) stop(draw *rand.Rand) {
+func (d *disk) stop(random *rand.Rand) {
 	d.incarnation++
-	if len(d.syncing) > 0 && !d.isFull && draw.IntN(2) == 0 {
-		d.cluster.cover("transaction kept without an answer")
+	if len(d.syncing) > 0 && !d.isFull && random.IntN(2) == 0 {
+		d.cluster.countCoverage("transaction kept without an answer")
 		for _, write := range d.syncing {
 			d.model.Apply(write.write)
 		}
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -12,27 +12,27 @@
 	// fillMs is how long a storm of changes at the beginning fills the large pairs.
 	fillMs = 1500
 	// nextWithin is how soon after a disk counts no longer as lost the next one may be.
-	nextWithin = 400
+	maxGapMs = 400
 	// maxRow is how many times in a row disks are lost.
-	maxRow = 4
+	maxConsecutiveLosses = 4
 )
 
 // largeHarms are the faults of single machines in large schedules, beside the losses of disks in a row.
-var largeHarms = []string{stepKill, stepPower, stepWipe, stepWipe, stepFreeze, stepSlow, stepStall, stepCut, stepCutOut, stepCutIn,
+var largeMachineFaults = []string{stepKill, stepPower, stepWipe, stepWipe, stepFreeze, stepSlow, stepStall, stepCut, stepCutOut, stepCutIn,
 	stepReplaceLost, stepRestart, stepPowerOnAck}
 
 // large makes a schedule with just as many machines as the losses ask for, so that each disk is a voter and there is none
 // to spare; a state of several MB; and disks lost as soon as those lost before count as back.
-func (d *drawing) large(seed uint64) modelcheck.Schedule {
+func (d *drawing) drawLarge(seed uint64) modelcheck.Schedule {
 	d.nodes = 2*d.losses + 1
-	d.endMs = growUpMs + minLargeMs + d.draw.IntN(maxLargeMs-minLargeMs)
+	d.endMs = voterGrowthMs + minLargeMs + d.random.IntN(maxLargeMs-minLargeMs)
 	d.add(modelcheck.Step{Kind: stepBulk})
 	d.add(modelcheck.Step{AtMs: 1000, Kind: stepStorm, ForMs: fillMs})
-	d.addRow()
-	for at := growUpMs + d.draw.IntN(2000); at < d.endMs; at += 500 + d.draw.IntN(4000) {
+	d.addConsecutiveLosses()
+	for at := voterGrowthMs + d.random.IntN(2000); at < d.endMs; at += 500 + d.random.IntN(4000) {
 		d.addLargeFault(at)
 	}
-	d.addTraffic()
+	d.addOperatorCalls()
 	d.addSplits(seed)
 	d.addEndOfDay(seed)
 	slices.SortStableFunc(d.steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
@@ -40,35 +40,35 @@
 }
 
 // addRow lets disks be lost again and again, each time as soon as those before count as back, at times with all machines down.
-func (d *drawing) addRow() {
-	at := growUpMs + d.draw.IntN(2000)
-	for range 1 + d.draw.IntN(maxRow) {
+func (d *drawing) addConsecutiveLosses() {
+	at := voterGrowthMs + d.random.IntN(2000)
+	for range 1 + d.random.IntN(maxConsecutiveLosses) {
 		if at > d.endMs {
 			return
 		}
-		length := 50 + d.draw.IntN(3000)
-		if d.draw.IntN(3) == 0 {
-			d.addEndOfAll(at)
+		length := 50 + d.random.IntN(3000)
+		if d.random.IntN(3) == 0 {
+			d.addFailureOfAll(at)
 		} else {
-			for range 1 + d.draw.IntN(d.losses) {
-				d.addWipe(at+d.draw.IntN(100), length)
+			for range 1 + d.random.IntN(d.losses) {
+				d.addWipe(at+d.random.IntN(100), length)
 			}
 		}
-		at = d.lastLostUntil() + d.draw.IntN(nextWithin)
+		at = d.lastLostUntil() + d.random.IntN(maxGapMs)
 	}
 }
 
 func (d *drawing) addWipe(at, length int) {
 	loss := lossInterval{at, at + length + catchUpMs}
-	if d.isBearable(loss, 1) {
-		d.lost = append(d.lost, loss)
-		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.position(), ForMs: length})
+	if d.canTolerate(loss, 1) {
+		d.lossIntervals = append(d.lossIntervals, loss)
+		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.drawNode(), ForMs: length})
 	}
 }
 
 func (d *drawing) lastLostUntil() int {
-	last := growUpMs
-	for _, loss := range d.lost {
+	last := voterGrowthMs
+	for _, loss := range d.lossIntervals {
 		last = max(last, loss.to)
 	}
 	return last
@@ -76,12 +76,12 @@
 
 // addLargeFault draws a fault of a large system.
 func (d *drawing) addLargeFault(at int) {
-	switch d.draw.IntN(6) {
+	switch d.random.IntN(6) {
 	case 0:
-		d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, ForMs: 300 + d.draw.IntN(2000), Value: d.draw.IntN(1500)})
+		d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, ForMs: 300 + d.random.IntN(2000), Value: d.random.IntN(1500)})
 	case 1:
-		d.addEndOfAll(at)
+		d.addFailureOfAll(at)
 	default:
-		d.addHarm(at, largeHarms[d.draw.IntN(len(largeHarms))])
+		d.addMachineFault(at, largeMachineFaults[d.random.IntN(len(largeMachineFaults))])
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/endofday.go
+++ b/internal/simulation/modelcheck/controlmodel/endofday.go
@@ -21,16 +21,16 @@
 	lossTimed
 	// lossOldest takes the disks that have lasted longest, within a few milliseconds of an acknowledgement.
 	lossOldest
-	lossWays
+	lossWayCount
 )
 
 const (
 	endOfDayStream = 59
 	// endsOfDayOfTen schedules in ten close with an end of the day.
-	endsOfDayOfTen = 3
+	endsOfDayPerTen = 3
 	// closingTrafficMs is how long operators send changes up to the end of a day, one every closingPauseMs on average.
-	closingTrafficMs = 600
-	closingPauseMs   = 60
+	finalTrafficMs   = 600
+	meanFinalPauseMs = 60
 	// A timed loss comes minLossDelayMs to maxLossDelayMs after a change was sent.
 	minLossDelayMs = 5
 	maxLossDelayMs = 400
@@ -39,46 +39,46 @@
 // addEndOfDay draws the end of the day for some schedules, once all that was lost before counts as back. It draws from a stream of its own.
 func (d *drawing) addEndOfDay(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, endOfDayStream))
-	if random.IntN(10) >= endsOfDayOfTen {
+	if random.IntN(10) >= endsOfDayPerTen {
 		return
 	}
-	at := d.allOverMs() + random.IntN(500) + closingTrafficMs
-	for call := at - closingTrafficMs; call < at+closingPauseMs; call += 1 + random.IntN(2*closingPauseMs) {
+	at := d.faultsOverMs() + random.IntN(500) + finalTrafficMs
+	for call := at - finalTrafficMs; call < at+meanFinalPauseMs; call += 1 + random.IntN(2*meanFinalPauseMs) {
 		d.add(modelcheck.Step{AtMs: call, Kind: stepOrder, Node: random.IntN(d.nodes)})
 	}
-	d.add(modelcheck.Step{AtMs: at, Kind: stepEndOfDay, Node: random.IntN(d.nodes), Peer: random.IntN(lossWays), Value: d.losses,
+	d.add(modelcheck.Step{AtMs: at, Kind: stepEndOfDay, Node: random.IntN(d.nodes), Peer: random.IntN(lossWayCount), Value: d.losses,
 		ForMs: 250 + random.IntN(1500)})
 }
 
 // endDay lets the end of the day come in its way: within a few milliseconds of the next acknowledgement, or after some time.
-func (w *simCluster) endDay(step modelcheck.Step) {
+func (w *simCluster) scheduleEndOfDay(step modelcheck.Step) {
 	if step.Peer == lossTimed {
-		wait := minLossDelayMs + w.draw.IntN(maxLossDelayMs-minLossDelayMs)
-		w.after(clock.Milliseconds(int64(wait)), func() { w.loseAll(step) })
+		wait := minLossDelayMs + w.random.IntN(maxLossDelayMs-minLossDelayMs)
+		w.after(clock.Milliseconds(int64(wait)), func() { w.losePowerOfAll(step) })
 		return
 	}
 	w.triggers = append(w.triggers, powerTrigger{step, w.now + triggerDuration})
 }
 
 // loseAll takes power from all machines, and the disks that the step's way chooses.
-func (w *simCluster) loseAll(step modelcheck.Step) {
+func (w *simCluster) losePowerOfAll(step modelcheck.Step) {
 	lost := w.disksToLose(step)
-	w.cover("end of the day")
+	w.countCoverage("end of the day")
 	for index, node := range w.slots {
 		node.losePower()
 		if slices.Contains(lost, index) {
 			node.wipe()
 		}
-		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, node.start)
+		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.random.IntN(200))*time.Millisecond, node.start)
 	}
 }
 
 // disksToLose are the positions of the machines that lose their disks.
 func (w *simCluster) disksToLose(step modelcheck.Step) []int {
-	order := w.draw.Perm(len(w.slots))
+	order := w.random.Perm(len(w.slots))
 	switch step.Peer {
 	case lossAfterAck:
-		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.leadRank(a), w.leadRank(b)) })
+		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.leaderRank(a), w.leaderRank(b)) })
 	case lossOldest:
 		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(w.slots[a].disk.number, w.slots[b].disk.number) })
 	}
@@ -86,7 +86,7 @@
 }
 
 // leadRank is 0 for the position of the machine that leads, 1 for all others.
-func (w *simCluster) leadRank(position int) int {
+func (w *simCluster) leaderRank(position int) int {
 	if w.slots[position] == w.leader() {
 		return 0
 	}
--- a/internal/simulation/modelcheck/controlmodel/evacuations.go
+++ b/internal/simulation/modelcheck/controlmodel/evacuations.go
@@ -20,17 +20,17 @@
 const (
 	evacuationStream = 47
 	// evacuationPause is the mean time between two orders about a zone, in milliseconds; zoneCount zones are meant.
-	evacuationPause    = 900
-	zoneCount          = 2
-	evacuationAttempts = 4
+	meanEvacuationPauseMs = 900
+	zoneCount             = 2
+	evacuationAttempts    = 4
 	// evacuationsOfTen schedules in ten have orders about zones.
-	evacuationsOfTen = 3
+	evacuationsPerTen = 3
 	// recordEvacuations is the name of the leader's record.
 	recordEvacuations = "evacuations"
 )
 
 // evacuationRecord is what the oracles know of evacuations.
-type evacuationRecord struct {
+type evacuationHistory struct {
 	// byNumber is the committed list of each number, as text.
 	byNumber map[int64]string
 	// published is the highest number that a leader has published, acknowledged that of the last acknowledged order.
@@ -40,10 +40,10 @@
 // addEvacuations draws, for some schedules, orders to empty a zone and to take that back, from a stream of its own, so that all else of a schedule is as it was.
 func (d *drawing) addEvacuations(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, evacuationStream))
-	if random.IntN(10) >= evacuationsOfTen {
+	if random.IntN(10) >= evacuationsPerTen {
 		return
 	}
-	for at := 1000 + random.IntN(evacuationPause); at < d.endMs; at += 1 + random.IntN(2*evacuationPause) {
+	for at := 1000 + random.IntN(meanEvacuationPauseMs); at < d.endMs; at += 1 + random.IntN(2*meanEvacuationPauseMs) {
 		d.add(modelcheck.Step{AtMs: at, Kind: stepEvacuate, Node: random.IntN(d.nodes), Peer: random.IntN(zoneCount), Value: random.IntN(2)})
 	}
 }
@@ -55,11 +55,11 @@
 		call.Verb = wire.VerbEvacuate
 	}
 	reply := func(outcome leaderclient.Outcome) response.Reply { return controlapi.EvacuationReply(call, outcome) }
-	w.operate(via, request{call: call, reply: reply}, func(answer *response.Reply) {
+	w.callThrough(via, request{call: call, reply: reply}, func(answer *response.Reply) {
 		switch {
 		case answer != nil && answer.Status == http.StatusOK:
-			w.cover("evacuation acknowledged")
-			w.record.evacuations.acknowledged = max(w.record.evacuations.acknowledged, w.record.evacuations.published)
+			w.countCoverage("evacuation acknowledged")
+			w.oracleState.evacuations.acknowledged = max(w.oracleState.evacuations.acknowledged, w.oracleState.evacuations.published)
 			w.fireTriggers()
 		case attempts > 1:
 			w.after(100*time.Millisecond, func() { w.sendEvacuation(step, via+1, attempts-1) })
@@ -69,14 +69,14 @@
 
 // notePublished is an oracle: there is one list under each number, and numbers that leaders publish never go back behind what was
 // acknowledged.
-func (w *simCluster) notePublished(list *wire.Evacuations) {
+func (w *simCluster) recordPublished(list *wire.Evacuations) {
 	text, err := easyjson.Marshal(list)
 	if err != nil {
 		panic(err)
 	}
-	known := &w.record.evacuations
-	if other, isThere := known.byNumber[list.Number]; isThere && other != string(text) {
-		w.violated("one list under a number", "evacuations %d are %s and %s", list.Number, other, text)
+	known := &w.oracleState.evacuations
+	if other, exists := known.byNumber[list.Number]; exists && other != string(text) {
+		w.reportViolation("one list under a number", "evacuations %d are %s and %s", list.Number, other, text)
 	}
 	known.byNumber[list.Number] = string(text)
 	known.published = max(known.published, list.Number)
@@ -87,11 +87,11 @@
 	committed := &wire.Evacuations{}
 	if index := slices.IndexFunc(pairs, func(pair wire.Op) bool { return pair.Name == recordEvacuations }); index >= 0 {
 		if err := easyjson.Unmarshal(slices.Clone(pairs[index].Value), committed); err != nil {
-			w.violated("acknowledged is kept", "%s can't read the evacuations: %v", n.name, err)
+			w.reportViolation("acknowledged is kept", "%s can't read the evacuations: %v", n.name, err)
 		}
 	}
-	if n.leadership.HasLease() && committed.Number < w.record.evacuations.acknowledged {
-		w.violated("acknowledged is kept", "%s leads epoch %d with evacuations %d, %d were acknowledged", n.name, n.leadership.Epoch(), committed.Number,
-			w.record.evacuations.acknowledged)
+	if n.leadership.HasLease() && committed.Number < w.oracleState.evacuations.acknowledged {
+		w.reportViolation("acknowledged is kept", "%s leads epoch %d with evacuations %d, %d were acknowledged", n.name, n.leadership.Epoch(), committed.Number,
+			w.oracleState.evacuations.acknowledged)
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/faultlist.go
+++ b/internal/simulation/modelcheck/controlmodel/faultlist.go
@@ -15,31 +15,31 @@
 // injectedFaults are the faults that can be injected by name.
 var injectedFaults = map[string]injectedFault{
 	"promise-before-sync": {about: "A replica answers a promise or a change before its disk has synced it.",
-		disk: func(_ *simNode, inner *disk) replication.Disk { return &hastyDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &earlyAnswerDisk{inner} }},
 	"lease-forgotten": {about: "A voter that is restarted does not wait out the lease it may have granted.",
-		disk: func(_ *simNode, inner *disk) replication.Disk { return &bareDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &alwaysNewDisk{inner} }},
 	"lease-too-long": {about: "A leader counts its lease longer than its replicas do, as if from the answer and not from the call.",
 		lease: 500 * time.Millisecond},
 	"lease-of-another-call": {about: "A leader takes the answer to an earlier heartbeat for that to a later one.",
 		links: func(_ *simNode, inner *links) replication.Transport {
-			return &repeatingLinks{inner, map[string]wire.AppendAnswer{}}
+			return &staleHeartbeatLinks{inner, map[string]wire.AppendAnswer{}}
 		}},
 	"evacuations-forgotten": {about: "A new leader opens without the zones that were ordered to be emptied.",
 		machine: func(_ *simNode, inner replication.StateMachine) replication.StateMachine {
-			return unevacuatedMachine{inner}
+			return machineWithoutEvacuations{inner}
 		}},
 	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
 		leadership: func(_ *simNode, inner keyLeadership) keyLeadership {
-			return carelessLeadership{inner}
+			return alwaysLeasedLeadership{inner}
 		}},
 	"commit-before-majority": {about: "A leader acknowledges a change before a majority holds it.",
-		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return hastyLeadership{inner} }},
+		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return earlyCommitLeadership{inner} }},
 	"commit-in-new-voters-only": {about: "While voters change, a change is committed once a majority of the new ones holds it.",
 		links: func(_ *simNode, inner *links) replication.Transport {
 			return &newVotersLinks{links: inner}
 		}},
 	"voter-change-forgotten": {about: "A replica forgets that a change of voters is under way, so that the next leader begins another.",
-		disk: func(_ *simNode, inner *disk) replication.Disk { return &simpleSetDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &singleSetDisk{inner} }},
 	"learner-counted-early": {about: "A learner that holds nothing says that it has caught up.",
 		links: func(_ *simNode, inner *links) replication.Transport { return &earlyLearnerLinks{inner} }},
 	"learner-counted-between-chunks": {about: "A learner that has some chunks of a state is counted as if it held the state, and what follows it.",
@@ -57,23 +57,23 @@
 	"leaves-at-once":           {about: "A machine that is replaced goes before its successor holds all that it held.", leavesAtOnce: true},
 	"confirmed-list-lost": {about: "A new leader forgets which changes were confirmed.",
 		machine: func(_ *simNode, inner replication.StateMachine) replication.StateMachine {
-			return forgetfulMachine{inner}
+			return machineWithoutConfirmed{inner}
 		}},
-	"two-bodies-under-a-number": {about: "A leader confirms a change whose number is the current one, whatever its body.", answer: confirmNumber},
+	"two-bodies-under-a-number": {about: "A leader confirms a change whose number is the current one, whatever its body.", answer: confirmSameNumber},
 	"unreachable-voters-left-out": {about: "A leader counts only the voters that it reaches, so that each half of a split has a quorum of its own.",
 		links: func(_ *simNode, inner *links) replication.Transport { return &reachableOnlyLinks{inner} }},
 	"election-needs-all": {about: "A candidate is elected only while it reaches all other machines.",
 		links: func(_ *simNode, inner *links) replication.Transport { return &unanimousLinks{inner} }},
 	"follower-counted-early": {about: "A leader counts one follower before that has answered, so that a change is committed on one disk too few.",
-		links: func(_ *simNode, inner *links) replication.Transport { return &hastyFollowerLinks{inner} }},
+		links: func(_ *simNode, inner *links) replication.Transport { return &earlyFollowerLinks{inner} }},
 	"confirmed-called-refused": {about: "A leader refuses a change that it has just committed.", answer: refuseCommitted},
 }
 
 // hastyDisk answers at once, and writes later.
-type hastyDisk struct{ *disk }
+type earlyAnswerDisk struct{ *disk }
 
 // Submit answers at once with what the write will come to.
-func (d *hastyDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+func (d *earlyAnswerDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	head := d.model.Heads[write.Key]
 	for _, write := range append(slices.Clone(d.syncing), d.waiting...) {
 		outcome, _ := storage.Decide(head, write.write)
@@ -85,22 +85,22 @@
 	d.cluster.after(0, func() {
 		if d.incarnation == incarnation {
 			done(outcome)
-			d.answered()
+			d.afterTransaction()
 		}
 	})
 }
 
 // bareDisk says at each start that it has granted nothing before.
-type bareDisk struct{ *disk }
+type alwaysNewDisk struct{ *disk }
 
 // IsNew says that nothing was ever kept here.
-func (bareDisk) IsNew() bool { return true }
+func (alwaysNewDisk) IsNew() bool { return true }
 
 // simpleSetDisk writes a change of voters as if it were over.
-type simpleSetDisk struct{ *disk }
+type singleSetDisk struct{ *disk }
 
 // Submit writes each set of voters without the one that it replaces.
-func (d *simpleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+func (d *singleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	write.Changes = slices.Clone(write.Changes)
 	for index, change := range write.Changes {
 		if change.Voters != nil {
@@ -133,25 +133,25 @@
 }
 
 // repeatingLinks answers a heartbeat at once with what the one before was answered.
-type repeatingLinks struct {
+type staleHeartbeatLinks struct {
 	*links
 	before map[string]wire.AppendAnswer
 }
 
 // Append answers heartbeats with the answer before.
-func (l *repeatingLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	earlier, isThere := l.before[disk]
-	isHeartbeat := len(ask.Changes) == 0 && ask.Snapshot == nil && ask.Chunk == nil && !ask.Release
-	if !isThere || !isHeartbeat || earlier.Promised != ask.Epoch || earlier.Last != ask.Prev {
-		l.links.Append(disk, ask, l.noting(disk, done))
+func (l *staleHeartbeatLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	earlier, exists := l.before[disk]
+	isHeartbeat := len(call.Changes) == 0 && call.Snapshot == nil && call.Chunk == nil && !call.Release
+	if !exists || !isHeartbeat || earlier.Promised != call.Epoch || earlier.Last != call.Prev {
+		l.links.Append(disk, call, l.recordingAnswer(disk, done))
 		return
 	}
 	delete(l.before, disk)
 	l.node.post(func() { done(earlier, nil) })
-	l.links.Append(disk, ask, l.noting(disk, func(wire.AppendAnswer, error) {}))
+	l.links.Append(disk, call, l.recordingAnswer(disk, func(wire.AppendAnswer, error) {}))
 }
 
-func (l *repeatingLinks) noting(disk string, done func(wire.AppendAnswer, error)) func(wire.AppendAnswer, error) {
+func (l *staleHeartbeatLinks) recordingAnswer(disk string, done func(wire.AppendAnswer, error)) func(wire.AppendAnswer, error) {
 	return func(answer wire.AppendAnswer, err error) {
 		if err == nil && answer.Taken {
 			l.before[disk] = answer
@@ -167,16 +167,16 @@
 }
 
 // Append answers changes in the name of a voter that is to go.
-func (l *newVotersLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
+func (l *newVotersLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.set = l.node.engine.Belief().Voters
 	isLeaving := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
-	count := len(ask.Changes)
-	if !isLeaving || count == 0 || ask.Snapshot != nil || disk == l.node.disk.name {
-		l.links.Append(disk, ask, done)
+	count := len(call.Changes)
+	if !isLeaving || count == 0 || call.Snapshot != nil || disk == l.node.disk.name {
+		l.links.Append(disk, call, done)
 		return
 	}
 	l.node.post(func() {
-		done(wire.AppendAnswer{Taken: true, Promised: ask.Epoch, Last: ask.Changes[count-1].Position, Disk: disk}, nil)
+		done(wire.AppendAnswer{Taken: true, Promised: call.Epoch, Last: call.Changes[count-1].Position, Disk: disk}, nil)
 	})
 }
 
@@ -184,10 +184,10 @@
 type earlyLearnerLinks struct{ *links }
 
 // Append says of an empty disk that it has taken everything.
-func (l *earlyLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
+func (l *earlyLearnerLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	l.links.Append(disk, call, func(answer wire.AppendAnswer, err error) {
 		belief := l.node.engine.Belief()
-		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Voters.Old, disk) {
+		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= call.Epoch && !slices.Contains(belief.Voters.Old, disk) {
 			answer.Taken, answer.Last = true, belief.Last
 		}
 		done(answer, err)
@@ -201,9 +201,9 @@
 }
 
 // Append says of a disk between two chunks that it has taken everything.
-func (l *unfinishedLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
-		isPart := err == nil && !answer.Taken && answer.Promised <= ask.Epoch && (ask.Chunk != nil || l.unfinished[disk])
+func (l *unfinishedLearnerLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	l.links.Append(disk, call, func(answer wire.AppendAnswer, err error) {
+		isPart := err == nil && !answer.Taken && answer.Promised <= call.Epoch && (call.Chunk != nil || l.unfinished[disk])
 		if isPart {
 			l.unfinished[disk] = true
 			answer.Taken, answer.Last = true, l.node.engine.Belief().Last
@@ -219,62 +219,62 @@
 }
 
 // Append sends the first pairs ever sent under the number of a chunk.
-func (l *mixedChunkLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	if ask.Chunk != nil {
-		if pairs, isThere := l.first[ask.Chunk.Number]; isThere {
-			mixed := *ask.Chunk
+func (l *mixedChunkLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	if call.Chunk != nil {
+		if pairs, exists := l.first[call.Chunk.Number]; exists {
+			mixed := *call.Chunk
 			mixed.Pairs = pairs
-			ask.Chunk = &mixed
+			call.Chunk = &mixed
 		} else {
-			l.first[ask.Chunk.Number] = ask.Chunk.Pairs
+			l.first[call.Chunk.Number] = call.Chunk.Pairs
 		}
 	}
-	l.links.Append(disk, ask, done)
+	l.links.Append(disk, call, done)
 }
 
-type carelessLeadership struct{ keyLeadership }
+type alwaysLeasedLeadership struct{ keyLeadership }
 
 // HasLease is always true.
-func (carelessLeadership) HasLease() bool { return true }
+func (alwaysLeasedLeadership) HasLease() bool { return true }
 
 // hastyLeadership says that a change is committed as soon as it is proposed.
-type hastyLeadership struct{ keyLeadership }
+type earlyCommitLeadership struct{ keyLeadership }
 
 // Commit reports success before the change is committed.
-func (t hastyLeadership) Commit(ops []wire.Op, done func(error)) {
+func (t earlyCommitLeadership) Commit(ops []wire.Op, done func(error)) {
 	t.keyLeadership.Commit(ops, func(error) {})
 	done(nil)
 }
 
 // forgetfulMachine opens without the list of confirmed changes.
-type forgetfulMachine struct{ replication.StateMachine }
+type machineWithoutConfirmed struct{ replication.StateMachine }
 
 // Open leaves the records of confirmed changes out.
-func (m forgetfulMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+func (m machineWithoutConfirmed) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	isRecord := func(pair wire.Op) bool { return strings.HasPrefix(pair.Name, confirmedPrefix) }
 	pairs = slices.DeleteFunc(slices.Clone(pairs), isRecord)
 	return m.StateMachine.Open(leadership, pairs)
 }
 
 // unevacuatedMachine opens without the list of evacuations.
-type unevacuatedMachine struct{ replication.StateMachine }
+type machineWithoutEvacuations struct{ replication.StateMachine }
 
 // Open leaves the record of evacuations out.
-func (m unevacuatedMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+func (m machineWithoutEvacuations) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	isRecord := func(pair wire.Op) bool { return pair.Name == recordEvacuations }
 	return m.StateMachine.Open(leadership, slices.DeleteFunc(slices.Clone(pairs), isRecord))
 }
 
-func confirmNumber(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
-	plan, err := configuration.Read(ask.Body)
-	if ask.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.cluster.record.top {
+func confirmSameNumber(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
+	plan, err := configuration.Read(call.Body)
+	if call.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.cluster.oracleState.highestConfirmed {
 		return wire.ClientAnswer{Status: http.StatusOK}
 	}
 	return answer
 }
 
-func refuseCommitted(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
-	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.draw.IntN(50) == 0 {
+func refuseCommitted(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
+	if call.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.random.IntN(50) == 0 {
 		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "injected"}
 	}
 	return answer
--- a/internal/simulation/modelcheck/controlmodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/controlmodel/injectedfaults.go
@@ -26,42 +26,42 @@
 	machine    func(n *simNode, inner replication.StateMachine) replication.StateMachine
 	leadership func(n *simNode, inner keyLeadership) keyLeadership
 	// part wraps the state machine of locks, numbers and cells.
-	part func(inner keyMachine) keyMachine
+	part func(inner serviceMachine) serviceMachine
 	// answer changes what a leader tells an operator.
-	answer func(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer
+	answer func(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer
 }
 
-func (p injectedFault) wrapDisk(n *simNode) replication.Disk {
-	if p.disk == nil {
+func (f injectedFault) wrapDisk(n *simNode) replication.Disk {
+	if f.disk == nil {
 		return n.disk
 	}
-	return p.disk(n, n.disk)
+	return f.disk(n, n.disk)
 }
 
-func (p injectedFault) wrapLinks(n *simNode, inner *links) replication.Transport {
-	if p.links == nil {
+func (f injectedFault) wrapLinks(n *simNode, inner *links) replication.Transport {
+	if f.links == nil {
 		return inner
 	}
-	return p.links(n, inner)
+	return f.links(n, inner)
 }
 
-func (p injectedFault) wrapMachine(n *simNode, inner replication.StateMachine) replication.StateMachine {
-	if p.machine == nil {
+func (f injectedFault) wrapMachine(n *simNode, inner replication.StateMachine) replication.StateMachine {
+	if f.machine == nil {
 		return inner
 	}
-	return p.machine(n, inner)
+	return f.machine(n, inner)
 }
 
-func (p injectedFault) wrapLeadership(n *simNode, inner keyLeadership) keyLeadership {
-	if p.leadership == nil {
+func (f injectedFault) wrapLeadership(n *simNode, inner keyLeadership) keyLeadership {
+	if f.leadership == nil {
 		return inner
 	}
-	return p.leadership(n, inner)
+	return f.leadership(n, inner)
 }
 
-func (p injectedFault) leaseOfReplicas() time.Duration {
-	if p.lease > 0 {
-		return p.lease
+func (f injectedFault) replicaLease() time.Duration {
+	if f.lease > 0 {
+		return f.lease
 	}
 	return replication.DefaultTiming.Lease
 }
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -27,20 +27,20 @@
 
 func (s *configurationService) engineOptions() []replication.Option { return nil }
 
-func (s *configurationService) machineOf(n *simNode) keyMachine {
-	leader := configleader.New(logging.Silent(), func(committed *wire.Configuration) { s.cluster.noteInForce(digestOf(committed.Body)) },
-		configleader.WithEvacuations(s.cluster.notePublished))
+func (s *configurationService) newMachine(n *simNode) serviceMachine {
+	leader := configleader.New(logging.Silent(), func(committed *wire.Configuration) { s.cluster.recordInForce(digestOf(committed.Body)) },
+		configleader.WithEvacuations(s.cluster.recordPublished))
 	return &configurationMachine{leader, n}
 }
 
-func (s *configurationService) act(step modelcheck.Step) { s.cluster.operateStep(step) }
+func (s *configurationService) playStep(step modelcheck.Step) { s.cluster.playOperatorStep(step) }
 
-func (s *configurationService) finish() time.Duration {
-	s.cluster.traffic.finalReads(s.cluster)
-	return operatorLimit + time.Second
+func (s *configurationService) makeFinalCalls() time.Duration {
+	s.cluster.operators.makeFinalReads(s.cluster)
+	return operatorTimeout + time.Second
 }
 
-func (s *configurationService) judge() { s.cluster.checkHistory() }
+func (s *configurationService) checkHistory() { s.cluster.checkHistory() }
 
 // configurationMachine is the configuration leader of a machine, with the oracles looking on.
 type configurationMachine struct {
@@ -75,9 +75,9 @@
 }
 
 // announce lets the others hear of a leader, as their membership does.
-func (w *simCluster) announce(leader *simNode, epoch uint64) {
+func (w *simCluster) announceLeader(leader *simNode, epoch uint64) {
 	for _, other := range w.nodes {
-		w.after(time.Duration(w.draw.IntN(200))*time.Millisecond, func() {
+		w.after(time.Duration(w.random.IntN(200))*time.Millisecond, func() {
 			if other.isUp && w.isOpen(leader, other) && epoch > other.hint.epoch {
 				other.hint = leaderHint{epoch, leader, w.now}
 			}
@@ -86,7 +86,7 @@
 }
 
 // hearsay brings a machine the newest leader that any machine it reaches has known for a while.
-func (n *simNode) hearsay() {
+func (n *simNode) receiveGossip() {
 	for _, other := range n.cluster.nodes {
 		if other.isUp && !other.isFrozen && other.hint.epoch > n.hint.epoch && n.cluster.now-other.hint.at >= gossipDelay &&
 			n.cluster.isOpen(n, other) && n.cluster.isOpen(other, n) {
@@ -131,4 +131,4 @@
 }
 
 // headOf is what a disk holds of the key.
-func headOf(d *disk) wire.LogPosition { return d.model.Heads[d.cluster.service.key()].Last }
+func lastPositionOf(d *disk) wire.LogPosition { return d.model.Heads[d.cluster.service.key()].Last }
--- a/internal/simulation/modelcheck/controlmodel/leaderloss_test.go
+++ b/internal/simulation/modelcheck/controlmodel/leaderloss_test.go
@@ -27,11 +27,11 @@
 		for seed := range uint64(losses) {
 			w := newSimCluster(modelcheck.Schedule{Model: CoordinationName, Seed: seed, Losses: 1, Nodes: 5, Steps: []modelcheck.Step{
 				{AtMs: 700, Kind: stepCallers, Node: minCallers, ForMs: 8000, Value: minPauseMs}}})
-			w.after(700*time.Millisecond, func() { w.apply(w.schedule.Steps[0]) })
+			w.after(700*time.Millisecond, func() { w.applyStep(w.schedule.Steps[0]) })
 			w.runUntil(lostAtMs*time.Millisecond + time.Duration(seed)*time.Millisecond)
 			former := w.leader()
 			Expect(former).NotTo(BeNil())
-			w.apply(modelcheck.Step{Kind: kind, Node: leaderIndex, ForMs: lastingMs})
+			w.applyStep(modelcheck.Step{Kind: kind, Node: leaderIndex, ForMs: lastingMs})
 			lostAt := w.now
 			for w.now-lostAt < giveUp && (w.leader() == nil || w.leader() == former) {
 				Expect(w.runUntil(w.now + lookEvery)).To(BeTrue())
--- a/internal/simulation/modelcheck/controlmodel/model.go
+++ b/internal/simulation/modelcheck/controlmodel/model.go
@@ -19,11 +19,11 @@
 type model struct {
 	name string
 	// addTraffic draws what the callers of the service do.
-	addTraffic func(*drawing)
+	addOperatorCalls func(*drawing)
 }
 
 // New gives the model of the control side.
-func New() modelcheck.Model { return model{Name, (*drawing).addTraffic} }
+func New() modelcheck.Model { return model{Name, (*drawing).addOperatorCalls} }
 
 // NewCoordination gives the model of locks, numbers and cells.
 func NewCoordination() modelcheck.Model { return model{CoordinationName, (*drawing).addCallers} }
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	promiseLimit = 500 * time.Millisecond
-	appendLimit  = 1500 * time.Millisecond
+	promiseTimeout = 500 * time.Millisecond
+	appendTimeout  = 1500 * time.Millisecond
 	// stalledConnectionTimeout is after how long the daemon gives up a connection whose other side acknowledges nothing, which is sooner than
 	// the limits of its calls with chunks and snapshots.
 	stalledConnectionTimeout = 2 * time.Second
 
-	shortestTransit = 300 * time.Microsecond
-	longestTransit  = 4 * time.Millisecond
+	minTransitTime = 300 * time.Microsecond
+	maxTransitTime = 4 * time.Millisecond
 
-	shortestChunk = 10 * time.Millisecond
-	longestChunk  = 80 * time.Millisecond
+	minChunkTime = 10 * time.Millisecond
+	maxChunkTime = 80 * time.Millisecond
 )
 
 var (
@@ -47,7 +47,7 @@
 }
 
 // networkTrouble is what happens to messages anywhere; shares are in thousandths.
-type networkTrouble struct {
+type networkFault struct {
 	until   time.Duration
 	lost    int
 	doubled int
@@ -60,7 +60,7 @@
 }
 
 func (w *simCluster) transit() time.Duration {
-	return shortestTransit + time.Duration(w.draw.Int64N(int64(longestTransit-shortestTransit)))
+	return minTransitTime + time.Duration(w.random.Int64N(int64(maxTransitTime-minTransitTime)))
 }
 
 // deliver brings a message from one machine to another, unless a fault eats, doubles or delays it.
@@ -69,44 +69,44 @@
 		w.after(0, arrive)
 		return
 	}
-	if now := w.links[pair{from.index, to.index}]; now.until > w.now {
-		w.deliverThroughCut(now, arrive, refused)
+	if activeCut := w.links[pair{from.index, to.index}]; activeCut.until > w.now {
+		w.deliverThroughCut(activeCut, arrive, refused)
 		return
 	}
 	wait := w.transit()
-	if w.trouble.until > w.now {
-		luck := w.draw.IntN(1000)
+	if w.networkFault.until > w.now {
+		roll := w.random.IntN(1000)
 		switch {
-		case luck < w.trouble.lost:
-			w.cover("message lost")
+		case roll < w.networkFault.lost:
+			w.countCoverage("message lost")
 			return
-		case luck < w.trouble.lost+w.trouble.doubled:
-			w.cover("message doubled")
-			w.after(wait+time.Duration(w.draw.Int64N(int64(w.trouble.longest))), arrive)
-		case luck < w.trouble.lost+w.trouble.doubled+w.trouble.delayed:
-			w.cover("message delayed")
-			wait += time.Duration(w.draw.Int64N(int64(w.trouble.longest)))
+		case roll < w.networkFault.lost+w.networkFault.doubled:
+			w.countCoverage("message doubled")
+			w.after(wait+time.Duration(w.random.Int64N(int64(w.networkFault.longest))), arrive)
+		case roll < w.networkFault.lost+w.networkFault.doubled+w.networkFault.delayed:
+			w.countCoverage("message delayed")
+			wait += time.Duration(w.random.Int64N(int64(w.networkFault.longest)))
 		}
 	}
 	w.after(wait, arrive)
 }
 
 // deliverThroughCut loses a message, or holds it until the cut is over, as a connection does that sends again.
-func (w *simCluster) deliverThroughCut(now cut, arrive func(), refused func()) {
-	if now.kind == cutRefused {
+func (w *simCluster) deliverThroughCut(activeCut cut, arrive func(), refused func()) {
+	if activeCut.kind == cutRefused {
 		if refused != nil {
 			w.after(w.transit(), refused)
 		}
 		return
 	}
-	if w.draw.IntN(4) == 0 {
-		w.cover("message held by a cut")
-		w.after(now.until-w.now+w.transit(), arrive)
+	if w.random.IntN(4) == 0 {
+		w.countCoverage("message held by a cut")
+		w.after(activeCut.until-w.now+w.transit(), arrive)
 	}
 }
 
 // call asks another machine; its answer, or an error once the limit is over, comes back inside the calling process.
-func call[T any](from, to *simNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func callMachine[T any](from, to *simNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
 	w, fromIncarnation, isOver := from.cluster, from.incarnation, false
 	finish := func(value T, err error) {
 		if !isOver {
@@ -123,7 +123,7 @@
 	refuse := func() { finish(none, errRefused) }
 	w.deliver(from, to, func() {
 		if !to.isUp {
-			if w.draw.IntN(2) == 0 {
+			if w.random.IntN(2) == 0 {
 				w.after(w.transit(), refuse)
 			}
 			return
@@ -132,7 +132,7 @@
 		to.enter(toIncarnation, func() {
 			serve(func(value T) {
 				// The answer is written a little later, so that a freeze or a loss of power may come in between.
-				w.after(time.Duration(w.draw.IntN(300))*time.Microsecond, func() {
+				w.after(time.Duration(w.random.IntN(300))*time.Microsecond, func() {
 					to.enter(toIncarnation, func() { w.deliver(to, from, func() { finish(value, nil) }, nil) })
 				})
 			})
@@ -144,43 +144,43 @@
 type links struct{ node *simNode }
 
 // Promise asks a disk for a promise of an epoch.
-func (l *links) Promise(disk string, ask wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
+func (l *links) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	n := l.node
 	if disk == n.disk.name {
 		n.post(func() {
-			n.replicas.Promise(ask, func(answer wire.PromiseAnswer) { n.post(func() { done(answer, nil) }) })
+			n.replicas.Promise(call, func(answer wire.PromiseAnswer) { n.post(func() { done(answer, nil) }) })
 		})
 		return
 	}
-	to := n.byDisk(disk)
-	n.cluster.tell("%s asks %s: promise epoch %d, pre-vote %v", n.name, disk, ask.Epoch, ask.PreVote)
-	call(n, to, promiseLimit, func(answer func(wire.PromiseAnswer)) {
-		to.replicas.Promise(ask, func(response wire.PromiseAnswer) {
-			n.cluster.tell("%s tells %s: granted %v, promised %d, last %v", to.name, n.name, response.Granted, response.Promised, response.Last)
+	to := n.nodeByDisk(disk)
+	n.cluster.tracef("%s asks %s: promise epoch %d, pre-vote %v", n.name, disk, call.Epoch, call.PreVote)
+	callMachine(n, to, promiseTimeout, func(answer func(wire.PromiseAnswer)) {
+		to.replicas.Promise(call, func(response wire.PromiseAnswer) {
+			n.cluster.tracef("%s tells %s: granted %v, promised %d, last %v", to.name, n.name, response.Granted, response.Promised, response.Last)
 			answer(response)
 		})
 	}, done)
 }
 
 // Append sends changes, a snapshot or a chunk of one to a disk.
-func (l *links) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
+func (l *links) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	n := l.node
 	if disk == n.disk.name {
-		l.InstallLocal(ask, done)
+		l.InstallLocal(call, done)
 		return
 	}
-	limit := appendLimit
-	if ask.Snapshot != nil {
+	limit := appendTimeout
+	if call.Snapshot != nil {
 		limit = stalledConnectionTimeout
-		n.cluster.cover("snapshot sent")
+		n.cluster.countCoverage("snapshot sent")
 	}
-	to := n.byDisk(disk)
-	send := func() { l.append(to, ask, limit, done) }
-	if ask.Chunk != nil {
+	to := n.nodeByDisk(disk)
+	send := func() { l.append(to, call, limit, done) }
+	if call.Chunk != nil {
 		limit = stalledConnectionTimeout
-		n.cluster.cover("snapshot chunk sent")
+		n.cluster.countCoverage("snapshot chunk sent")
 	}
-	if ask.Chunk == nil || n.cluster.schedule.Size != modelcheck.SizeLarge {
+	if call.Chunk == nil || n.cluster.schedule.Size != modelcheck.SizeLarge {
 		send()
 		return
 	}
@@ -190,17 +190,17 @@
 
 // chunkTime is how long a chunk takes on the links and processors of a large system, beside all other traffic.
 func (w *simCluster) chunkTime() time.Duration {
-	return shortestChunk + time.Duration(w.draw.Int64N(int64(longestChunk-shortestChunk)))
+	return minChunkTime + time.Duration(w.random.Int64N(int64(maxChunkTime-minChunkTime)))
 }
 
 // append sends changes to a replica and tells how long the answer took there.
-func (l *links) append(to *simNode, ask wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
+func (l *links) append(to *simNode, call wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
 	n := l.node
-	call(n, to, limit, func(answer func(wire.AppendAnswer)) {
+	callMachine(n, to, limit, func(answer func(wire.AppendAnswer)) {
 		arrivedAt := n.cluster.now
-		to.replicas.Append(ask, func(response wire.AppendAnswer) {
-			n.cluster.tell("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, ask.Epoch,
-				response.Taken, response.Promised, response.Last, len(ask.Changes), ask.Release)
+		to.replicas.Append(call, func(response wire.AppendAnswer) {
+			n.cluster.tracef("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, call.Epoch,
+				response.Taken, response.Promised, response.Last, len(call.Changes), call.Release)
 			response.DelayUs = max(1, (n.cluster.now - arrivedAt).Microseconds())
 			answer(response)
 		})
@@ -208,23 +208,23 @@
 }
 
 // InstallLocal appends to the own disk.
-func (l *links) InstallLocal(ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	if ask.Snapshot != nil {
-		l.node.cluster.cover("snapshot installed by a candidate")
+func (l *links) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	if call.Snapshot != nil {
+		l.node.cluster.countCoverage("snapshot installed by a candidate")
 	}
 	n := l.node
 	n.post(func() {
-		n.replicas.Append(ask, func(answer wire.AppendAnswer) { n.post(func() { done(answer, nil) }) })
+		n.replicas.Append(call, func(answer wire.AppendAnswer) { n.post(func() { done(answer, nil) }) })
 	})
 }
 
 // Fetch asks a disk for the changes or the state that the own one lacks.
-func (l *links) Fetch(disk string, ask wire.FetchCall, done func(wire.FetchAnswer, error)) {
+func (l *links) Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	n := l.node
-	n.cluster.cover("candidate fetched")
-	to := n.byDisk(disk)
-	call(n, to, stalledConnectionTimeout, func(answer func(wire.FetchAnswer)) {
-		if snapshot, err := to.replicas.Fetch(to.replicas.History(ask.Key), ask); err == nil {
+	n.cluster.countCoverage("candidate fetched")
+	to := n.nodeByDisk(disk)
+	callMachine(n, to, stalledConnectionTimeout, func(answer func(wire.FetchAnswer)) {
+		if snapshot, err := to.replicas.Fetch(to.replicas.History(call.Key), call); err == nil {
 			answer(snapshot)
 		}
 	}, done)
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	gossipDelay = 300 * time.Millisecond
-	goneAfter   = 2 * time.Second
-	leaveTime   = 400 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
+	gossipDelay  = 300 * time.Millisecond
+	goneTimeout  = 2 * time.Second
+	leaveDelay   = 400 * time.Millisecond
 	// leaveLimit is how long a machine that leaves waits until another disk has taken its place.
-	leaveLimit = 3 * time.Second
-	maxFormer  = 4
+	leaveTimeout   = 3 * time.Second
+	maxFormerDisks = 4
 )
 
 // simNode is one control machine: its disk outlives its process.
 type simNode struct {
-	cluster *simCluster
-	index   int
-	name    string
-	disk    *disk
-	past    []string
-	clock   nodeClock
+	cluster     *simCluster
+	index       int
+	name        string
+	disk        *disk
+	formerDisks []string
+	clock       nodeClock
 
 	incarnation int
 	isUp        bool
 	isRemoved   bool
 	isFrozen    bool
-	slowed      time.Duration
+	callDelay   time.Duration
 	busyUntil   time.Duration
 	startedAt   time.Duration
 	postponed   []func()
 
-	replicas   *replication.Replicas
-	engine     *replication.Engine
-	machine    keyMachine
-	leadership *replication.Leadership
-	known      []knownMember
+	replicas     *replication.Replicas
+	engine       *replication.Engine
+	machine      serviceMachine
+	leadership   *replication.Leadership
+	knownMembers []knownMember
 	// hint is the newest leader that this machine knows.
 	hint leaderHint
 }
@@ -63,7 +63,7 @@
 
 // WallMs is the machine's time of day in milliseconds, which a fault may set.
 func (c *nodeClock) WallMs() int64 {
-	return wallAtStart + int64(c.cluster.now/time.Millisecond) + c.jump
+	return wallAtStartMs + int64(c.cluster.now/time.Millisecond) + c.jump
 }
 
 // After is not used by what the model runs, and never fires.
@@ -85,7 +85,7 @@
 
 func (w *simCluster) addNode() *simNode {
 	node := &simNode{cluster: w, index: len(w.nodes), name: fmt.Sprintf("machine-%02d", len(w.nodes)), disk: w.newDisk()}
-	node.clock = nodeClock{cluster: w, offset: time.Duration(w.draw.IntN(1000)) * time.Millisecond}
+	node.clock = nodeClock{cluster: w, offset: time.Duration(w.random.IntN(1000)) * time.Millisecond}
 	w.nodes = append(w.nodes, node)
 	return node
 }
@@ -99,22 +99,22 @@
 	n.isUp, n.isFrozen, n.postponed, n.busyUntil = true, false, nil, 0
 	n.startedAt = n.cluster.now
 	disk := n.cluster.fault.wrapDisk(n)
-	replicas, err := replication.NewReplicas(mailbox.New(1024), disk, &n.clock, n.cluster.fault.leaseOfReplicas())
+	replicas, err := replication.NewReplicas(mailbox.New(1024), disk, &n.clock, n.cluster.fault.replicaLease())
 	if err != nil {
 		panic(err)
 	}
-	n.disk.isBare = false
+	n.disk.isNew = false
 	n.replicas = replicas
-	n.known, n.hint = nil, leaderHint{}
-	n.cluster.tell("%s starts, disk %s", n.name, n.disk.name)
-	n.machine = n.cluster.service.machineOf(n)
+	n.knownMembers, n.hint = nil, leaderHint{}
+	n.cluster.tracef("%s starts, disk %s", n.name, n.disk.name)
+	n.machine = n.cluster.service.newMachine(n)
 	options := append(n.cluster.service.engineOptions(), replication.WithInitialVoters(n.cluster.voters),
-		replication.WithMachineLosses(n.cluster.schedule.Losses), replication.WithLog(n.cluster.logOf(n)))
+		replication.WithMachineLosses(n.cluster.schedule.Losses), replication.WithLog(n.cluster.newLog(n)))
 	n.engine = replication.NewEngine(n.cluster.service.key(), n.disk.name, n.name, &n.clock, n.cluster.fault.wrapLinks(n, &links{n}),
 		n.cluster.fault.wrapMachine(n, &stateMachine{n}), n.members, options...)
 	incarnation := n.incarnation
-	n.disk.answered = func() { n.enter(incarnation, n.drain) }
-	n.cluster.after(time.Duration(n.cluster.draw.Int64N(int64(tickEvery))), func() { n.tick(incarnation) })
+	n.disk.afterTransaction = func() { n.enter(incarnation, n.drain) }
+	n.cluster.after(time.Duration(n.cluster.random.Int64N(int64(tickInterval))), func() { n.tick(incarnation) })
 }
 
 // tick drives the engine until the process ends; a later incarnation has its own ticks.
@@ -125,7 +125,7 @@
 	n.enter(incarnation, func() {
 		n.engine.Tick()
 		n.machine.Tick()
-		n.cluster.after(tickEvery, func() { n.tick(incarnation) })
+		n.cluster.after(tickInterval, func() { n.tick(incarnation) })
 	})
 }
 
@@ -135,8 +135,8 @@
 	case n.incarnation != incarnation || !n.isUp:
 	case n.isFrozen:
 		n.postponed = append(n.postponed, func() { n.enter(incarnation, run) })
-	case n.slowed > 0 || n.busyUntil > n.cluster.now:
-		n.busyUntil = max(n.busyUntil, n.cluster.now) + n.slowed
+	case n.callDelay > 0 || n.busyUntil > n.cluster.now:
+		n.busyUntil = max(n.busyUntil, n.cluster.now) + n.callDelay
 		n.cluster.after(n.busyUntil-n.cluster.now, func() { n.enterNow(incarnation, run) })
 	default:
 		run()
@@ -156,11 +156,11 @@
 }
 
 // logOf is the log of a machine, part of the trace.
-func (w *simCluster) logOf(n *simNode) logging.Logger {
+func (w *simCluster) newLog(n *simNode) logging.Logger {
 	if w.trace == nil {
 		return logging.Silent()
 	}
-	return funcr.New(func(_, text string) { w.tell("%s: %s", n.name, text) }, funcr.Options{})
+	return funcr.New(func(_, text string) { w.tracef("%s: %s", n.name, text) }, funcr.Options{})
 }
 
 // post runs something inside the process a moment later.
@@ -177,18 +177,18 @@
 	if !n.isUp {
 		return
 	}
-	n.cluster.tell("%s ends", n.name)
+	n.cluster.tracef("%s ends", n.name)
 	n.isUp = false
 	n.incarnation++
-	n.closed()
-	n.disk.stop(n.cluster.draw)
+	n.endLeadership()
+	n.disk.stop(n.cluster.random)
 }
 
 // losePower ends the process; a file or folder that was not synced may go with it.
 func (n *simNode) losePower() {
 	n.kill()
-	if !n.disk.isFileSafe && n.cluster.draw.IntN(2) == 0 {
-		n.cluster.cover("unsynced file lost")
+	if !n.disk.isFileSafe && n.cluster.random.IntN(2) == 0 {
+		n.cluster.countCoverage("unsynced file lost")
 		n.wipe()
 	}
 }
@@ -196,8 +196,8 @@
 // wipe gives the machine an empty disk; it must be down.
 func (n *simNode) wipe() {
 	if !n.cluster.fault.keepsDiskName {
-		n.past = append(n.past, n.disk.name)
-		n.past = n.past[max(0, len(n.past)-maxFormer):]
+		n.formerDisks = append(n.formerDisks, n.disk.name)
+		n.formerDisks = n.formerDisks[max(0, len(n.formerDisks)-maxFormerDisks):]
 	}
 	old := n.disk.name
 	n.disk = n.cluster.newDisk()
@@ -213,7 +213,7 @@
 }
 
 // wake lets a frozen process go on with what was postponed.
-func (n *simNode) wake() {
+func (n *simNode) unfreeze() {
 	if !n.isFrozen {
 		return
 	}
@@ -221,17 +221,17 @@
 	waiting := n.postponed
 	n.postponed = nil
 	for _, action := range waiting {
-		n.cluster.after(time.Duration(n.cluster.draw.IntN(2000))*time.Microsecond, action)
+		n.cluster.after(time.Duration(n.cluster.random.IntN(2000))*time.Microsecond, action)
 	}
 }
 
 // leave is a planned end, as after SIGTERM: the disk's voters are replaced first if another disk can take their place.
-func (n *simNode) leave(gone func()) {
+func (n *simNode) shutDown(done func()) {
 	if !n.isUp {
-		gone()
+		done()
 		return
 	}
-	incarnation, end := n.incarnation, n.cluster.now+leaveLimit
+	incarnation, end := n.incarnation, n.cluster.now+leaveTimeout
 	if n.cluster.fault.leavesAtOnce {
 		end = n.cluster.now
 	} else {
@@ -240,20 +240,20 @@
 			n.engine.Leave()
 		})
 	}
-	n.cluster.after(leaveTime, func() { n.awaitLeave(incarnation, end, gone) })
+	n.cluster.after(leaveDelay, func() { n.awaitShutdown(incarnation, end, done) })
 }
 
 // awaitLeave ends the process once it can be replaced without a loss, or at the latest at end.
-func (n *simNode) awaitLeave(incarnation int, end time.Duration, gone func()) {
+func (n *simNode) awaitShutdown(incarnation int, end time.Duration, done func()) {
 	isOver := n.cluster.now >= end || !n.isReplaceable()
 	if n.incarnation == incarnation && !isOver {
-		n.cluster.after(tickEvery, func() { n.awaitLeave(incarnation, end, gone) })
+		n.cluster.after(tickInterval, func() { n.awaitShutdown(incarnation, end, done) })
 		return
 	}
 	if n.incarnation == incarnation {
 		n.kill()
 	}
-	gone()
+	done()
 }
 
 // isReplaceable tells whether this disk is still a voter and another live one could take its place.
@@ -264,13 +264,13 @@
 
 // members is what this machine knows of the others: news takes a while, and none comes through a cut.
 func (n *simNode) members() []wire.Member {
-	for len(n.known) < len(n.cluster.nodes) {
-		n.known = append(n.known, knownMember{})
+	for len(n.knownMembers) < len(n.cluster.nodes) {
+		n.knownMembers = append(n.knownMembers, knownMember{})
 	}
 	now := n.cluster.now
-	all := make([]wire.Member, 0, len(n.known))
+	all := make([]wire.Member, 0, len(n.knownMembers))
 	for index, other := range n.cluster.nodes {
-		known := &n.known[index]
+		known := &n.knownMembers[index]
 		isKnown := other == n || other.isUp && !other.isFrozen && n.cluster.isOpen(n, other) && n.cluster.isOpen(other, n)
 		if isKnown && (other == n || now-other.startedAt >= gossipDelay) {
 			*known = knownMember{other.member(), now, true}
@@ -278,7 +278,7 @@
 		if !known.isKnown {
 			continue
 		}
-		if now-known.updatedAt > goneAfter {
+		if now-known.updatedAt > goneTimeout {
 			known.member.State = wire.StateGone
 		}
 		all = append(all, known.member)
@@ -287,19 +287,19 @@
 }
 
 func (n *simNode) member() wire.Member {
-	return wire.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: wire.StateAlive, FormerDisks: slices.Clone(n.past)}
+	return wire.Member{Name: n.name, Role: "steward", Address: n.name, Disk: n.disk.name, State: wire.StateAlive, FormerDisks: slices.Clone(n.formerDisks)}
 }
 
 // byDisk is the machine that holds a disk, as far as this one knows.
-func (n *simNode) byDisk(disk string) *simNode {
-	for index := range n.known {
-		if n.known[index].isKnown && n.known[index].member.Disk == disk {
+func (n *simNode) nodeByDisk(disk string) *simNode {
+	for index := range n.knownMembers {
+		if n.knownMembers[index].isKnown && n.knownMembers[index].member.Disk == disk {
 			return n.cluster.nodes[index]
 		}
 	}
 	for _, member := range n.members() {
 		if member.Disk == disk {
-			return n.byDisk(disk)
+			return n.nodeByDisk(disk)
 		}
 	}
 	return nil
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -25,10 +25,10 @@
 	verbRetrieve = "retrieve"
 
 	// patience is how long a machine asks on for an operator.
-	patience      = 900 * time.Millisecond
-	operatorLimit = time.Second
-	maxAttempts   = 10
-	maxInFlight   = 8
+	searchTimeout   = 900 * time.Millisecond
+	operatorTimeout = time.Second
+	maxAttempts     = 10
+	maxInFlight     = 8
 )
 
 type answerKind int
@@ -40,7 +40,7 @@
 )
 
 // modelOrder is one change that an operator sends, the same each time it is sent again.
-type modelOrder struct {
+type configurationChange struct {
 	version   int64
 	base      int64
 	body      []byte
@@ -53,23 +53,23 @@
 }
 
 // traffic is what the operators know and have under way.
-type traffic struct {
-	drawn     int
-	newest    int64
-	orders    []*modelOrder
-	confirmed []*modelOrder
-	underWay  int
+type operatorState struct {
+	changeCount   int
+	newestVersion int64
+	changes       []*configurationChange
+	confirmed     []*configurationChange
+	inFlight      int
 }
 
 // newOrder makes a change of the configuration with a body unlike all others.
-func (w *simCluster) newOrder(base, version int64) *modelOrder {
-	t := &w.traffic
-	t.drawn++
-	body := fmt.Appendf(nil, `{"config-version":%d,"route-list":[{"name":"r","host":"h%d","path-prefix":"/","timeout-ms":1,"service":"s"}],"service-list":[{"name":"s"}]}`, version, t.drawn)
-	order := &modelOrder{version: version, base: base, body: body, digest: digestOf(body)}
-	t.orders = append(t.orders, order)
-	w.record.byDigest[order.digest] = order
-	return order
+func (w *simCluster) newChange(base, version int64) *configurationChange {
+	t := &w.operators
+	t.changeCount++
+	body := fmt.Appendf(nil, `{"config-version":%d,"route-list":[{"name":"r","host":"h%d","path-prefix":"/","timeout-ms":1,"service":"s"}],"service-list":[{"name":"s"}]}`, version, t.changeCount)
+	change := &configurationChange{version: version, base: base, body: body, digest: digestOf(body)}
+	t.changes = append(t.changes, change)
+	w.oracleState.byDigest[change.digest] = change
+	return change
 }
 
 func digestOf(body []byte) string {
@@ -78,22 +78,22 @@
 }
 
 // send brings an order to a machine, and sends it again elsewhere until there is a clear answer.
-func (w *simCluster) send(order *modelOrder, via int) {
-	if order.attempts >= maxAttempts || w.traffic.underWay >= maxInFlight {
+func (w *simCluster) sendChange(change *configurationChange, via int) {
+	if change.attempts >= maxAttempts || w.operators.inFlight >= maxInFlight {
 		return
 	}
-	order.attempts++
-	w.traffic.underWay++
-	call := &wire.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: order.base, Body: order.body}
-	begun := w.begin(order)
-	w.operate(via, operatorRequest(call), func(answer *response.Reply) {
-		w.traffic.underWay--
+	change.attempts++
+	w.operators.inFlight++
+	call := &wire.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: change.base, Body: change.body}
+	observed := w.recordCall(change)
+	w.callThrough(via, operatorRequest(call), func(answer *response.Reply) {
+		w.operators.inFlight--
 		kind := kindOf(answer)
-		w.end(begun, kind)
-		w.noteOrder(order, kind, answer)
-		if kind == unclear && !order.isDone {
-			w.cover("order sent again")
-			w.after(time.Duration(50+w.draw.IntN(250))*time.Millisecond, func() { w.send(order, via+1) })
+		w.recordEnd(observed, kind)
+		w.recordChangeAnswer(change, kind, answer)
+		if kind == unclear && !change.isDone {
+			w.countCoverage("order sent again")
+			w.after(time.Duration(50+w.random.IntN(250))*time.Millisecond, func() { w.sendChange(change, via+1) })
 		}
 	})
 }
@@ -110,43 +110,43 @@
 }
 
 // noteOrder records what an operator was told of a change, and checks it.
-func (w *simCluster) noteOrder(order *modelOrder, kind answerKind, answer *response.Reply) {
-	t := &w.traffic
+func (w *simCluster) recordChangeAnswer(change *configurationChange, kind answerKind, answer *response.Reply) {
+	t := &w.operators
 	switch kind {
 	case confirmed:
-		w.cover("order confirmed")
-		w.checkConfirmed(order)
-		if order.confirmedAfter == 0 {
-			t.confirmed = append(t.confirmed, order)
-			order.confirmedAfter = len(t.confirmed)
+		w.countCoverage("order confirmed")
+		w.checkConfirmed(change)
+		if change.confirmedAfter == 0 {
+			t.confirmed = append(t.confirmed, change)
+			change.confirmedAfter = len(t.confirmed)
 		}
-		order.isDone = true
-		t.newest = max(t.newest, order.version)
+		change.isDone = true
+		t.newestVersion = max(t.newestVersion, change.version)
 		w.fireTriggers()
 	case refused:
-		w.cover("order refused")
-		w.checkRefused(order, answer)
-		order.isDone, order.isRefused = true, true
+		w.countCoverage("order refused")
+		w.checkRefused(change, answer)
+		change.isDone, change.isRefused = true, true
 	default:
-		w.cover("order without a clear answer")
+		w.countCoverage("order without a clear answer")
 	}
 }
 
 // read retrieves the configuration through a machine.
-func (w *simCluster) read(via int, done func(isRead bool)) {
-	begun, floor := w.begin(nil), w.record.top
+func (w *simCluster) readConfiguration(via int, done func(isRead bool)) {
+	observed, minVersion := w.recordCall(nil), w.oracleState.highestConfirmed
 	call := &wire.ClientCall{Key: configleader.Key, Verb: verbRetrieve}
-	w.operate(via, operatorRequest(call), func(answer *response.Reply) {
+	w.callThrough(via, operatorRequest(call), func(answer *response.Reply) {
 		isRead := kindOf(answer) == confirmed
 		if isRead {
-			w.cover("configuration read")
-			w.checkRead(begun, floor, answer.Body)
+			w.countCoverage("configuration read")
+			w.checkRead(observed, minVersion, answer.Body)
 		}
 		done(isRead)
 	})
 }
 
-func ignore(bool) {}
+func ignoreResult(bool) {}
 
 // request is a call of an operator or an application.
 type request struct {
@@ -165,7 +165,7 @@
 }
 
 // operate brings a request to a machine's control address; no answer comes back as nil.
-func (w *simCluster) operate(via int, ask request, done func(*response.Reply)) {
+func (w *simCluster) callThrough(via int, req request, done func(*response.Reply)) {
 	to := w.slots[via%len(w.slots)]
 	isOver := false
 	finish := func(answer *response.Reply) {
@@ -174,58 +174,58 @@
 			done(answer)
 		}
 	}
-	w.after(operatorLimit+ask.wait, func() { finish(nil) })
+	w.after(operatorTimeout+req.wait, func() { finish(nil) })
 	w.after(w.transit(), func() {
 		incarnation := to.incarnation
 		if !to.isUp {
 			return
 		}
 		to.enter(incarnation, func() {
-			attempts := leaderclient.NewAttempts(ask.call.Key, w.now+patience+ask.wait, w.draw.IntN)
-			attempts.AllowWait(ask.wait)
-			search := &attempt{from: to, ask: ask, attempts: attempts, done: func(answer response.Reply) {
+			attempts := leaderclient.NewAttempts(req.call.Key, w.now+searchTimeout+req.wait, w.random.IntN)
+			attempts.AllowWait(req.wait)
+			search := &leaderSearch{from: to, req: req, attempts: attempts, done: func(answer response.Reply) {
 				to.enter(incarnation, func() {
-					if w.trouble.until > w.now && w.draw.IntN(4) == 0 {
-						w.cover("acknowledgement lost")
+					if w.networkFault.until > w.now && w.random.IntN(4) == 0 {
+						w.countCoverage("acknowledgement lost")
 						return
 					}
 					w.after(w.transit(), func() { finish(&answer) })
 				})
 			}}
-			search.next()
+			search.tryNext()
 		})
 	})
 }
 
 // attempt is a machine's search for the key's leader: the tries are the daemon's own, the waits are the model's.
-type attempt struct {
+type leaderSearch struct {
 	from     *simNode
-	ask      request
+	req      request
 	attempts *leaderclient.Attempts
 	done     func(response.Reply)
 }
 
 // next makes the next attempt at a call, as the real client's policy says.
-func (a *attempt) next() {
+func (a *leaderSearch) tryNext() {
 	w := a.from.cluster
-	attempt, isLeft := a.attempts.Next(a.from.view(), w.now)
+	leaderSearch, isLeft := a.attempts.Next(a.from.membershipView(), w.now)
 	if !isLeft {
 		a.end()
 		return
 	}
-	to := w.byName(attempt.Address)
+	to := w.nodeByName(leaderSearch.Address)
 	if to == nil {
 		a.pause()
 		return
 	}
 	hasArrived := false
 	serve := func(answer func(wire.ClientAnswer)) {
-		if !hasArrived || !a.ask.arrivesOnce {
-			to.obey(a.ask.call, answer)
+		if !hasArrived || !a.req.arrivesOnce {
+			to.executeCall(a.req.call, answer)
 		}
 		hasArrived = true
 	}
-	call(a.from, to, attempt.Limit, serve,
+	callMachine(a.from, to, leaderSearch.Limit, serve,
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
 				// A second copy of a message that finds the process gone is no connection that was refused.
@@ -238,25 +238,25 @@
 		})
 }
 
-func (a *attempt) end() { a.done(a.ask.reply(a.attempts.Outcome())) }
+func (a *leaderSearch) end() { a.done(a.req.reply(a.attempts.Outcome())) }
 
-func (a *attempt) pause() {
+func (a *leaderSearch) pause() {
 	incarnation := a.from.incarnation
-	a.from.cluster.after(a.attempts.Pause(a.from.cluster.now), func() { a.from.enter(incarnation, a.next) })
+	a.from.cluster.after(a.attempts.Pause(a.from.cluster.now), func() { a.from.enter(incarnation, a.tryNext) })
 }
 
 // view is what a machine's membership tells its operator's path.
-func (n *simNode) view() *membership.View {
-	n.hearsay()
-	view := &membership.View{Stewards: n.members(), Leaders: map[string]wire.KeyLeader{}}
+func (n *simNode) membershipView() *membership.View {
+	n.receiveGossip()
+	membershipView := &membership.View{Stewards: n.members(), Leaders: map[string]wire.KeyLeader{}}
 	if n.hint.node != nil {
 		key := n.cluster.service.key()
-		view.Leaders[key] = wire.KeyLeader{Key: key, Epoch: n.hint.epoch, Name: n.hint.node.name}
+		membershipView.Leaders[key] = wire.KeyLeader{Key: key, Epoch: n.hint.epoch, Name: n.hint.node.name}
 	}
-	return view
+	return membershipView
 }
 
-func (w *simCluster) byName(name string) *simNode {
+func (w *simCluster) nodeByName(name string) *simNode {
 	for _, node := range w.nodes {
 		if node.name == name {
 			return node
@@ -266,18 +266,18 @@
 }
 
 // finalReads reads through every machine, and sends the newest confirmed order once more.
-func (t *traffic) finalReads(w *simCluster) {
+func (t *operatorState) makeFinalReads(w *simCluster) {
 	for index := range w.slots {
-		w.read(index, func(isRead bool) {
+		w.readConfiguration(index, func(isRead bool) {
 			if !isRead && len(t.confirmed) > 0 {
-				w.violated("settled", "machine %d does not answer a read once all is settled", index)
+				w.reportViolation("settled", "machine %d does not answer a read once all is settled", index)
 			}
 		})
 	}
 	if len(t.confirmed) > 0 {
 		last := t.confirmed[len(t.confirmed)-1]
 		last.attempts = 0
-		w.send(last, 0)
+		w.sendChange(last, 0)
 	}
 }
 
--- a/internal/simulation/modelcheck/controlmodel/service.go
+++ b/internal/simulation/modelcheck/controlmodel/service.go
@@ -15,17 +15,17 @@
 	// engineOptions are those of the key's engines beyond the usual.
 	engineOptions() []replication.Option
 	// machineOf makes the state machine of a process that starts.
-	machineOf(n *simNode) keyMachine
+	newMachine(n *simNode) serviceMachine
 	// act plays a step of the callers.
-	act(step modelcheck.Step)
+	playStep(step modelcheck.Step)
 	// finish makes the last calls, to a system that has settled, and tells how long they may take.
-	finish() time.Duration
+	makeFinalCalls() time.Duration
 	// judge looks at the history of the whole run.
-	judge()
+	checkHistory()
 }
 
 // keyMachine is the state machine of one process.
-type keyMachine interface {
+type serviceMachine interface {
 	// Open takes the key over under a new leadership.
 	Open(leadership keyLeadership, pairs []wire.Op) error
 	// Close gives the key up.
@@ -48,7 +48,7 @@
 }
 
 // serviceOf makes the service that a model is about.
-func serviceOf(model string, w *simCluster) service {
+func newService(model string, w *simCluster) service {
 	if model == CoordinationName {
 		return newCoordinationService(w)
 	}
@@ -62,31 +62,31 @@
 func (m *stateMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	n := m.node
 	n.leadership = leadership
-	n.cluster.open++
-	n.cluster.cover("leader opened")
-	n.cluster.tell("%s leads epoch %d", n.name, leadership.Epoch())
-	n.cluster.announce(n, leadership.Epoch())
+	n.cluster.openLeaders++
+	n.cluster.countCoverage("leader opened")
+	n.cluster.tracef("%s leads epoch %d", n.name, leadership.Epoch())
+	n.cluster.announceLeader(n, leadership.Epoch())
 	return n.machine.Open(n.cluster.fault.wrapLeadership(n, leadership), pairs)
 }
 
 // Close gives the key up.
 func (m *stateMachine) Close() {
-	m.node.closed()
+	m.node.endLeadership()
 	m.node.machine.Close()
 }
 
-func (n *simNode) closed() {
+func (n *simNode) endLeadership() {
 	if n.leadership != nil {
 		n.leadership = nil
-		n.cluster.open--
+		n.cluster.openLeaders--
 	}
 }
 
 // obey serves a call, as the manager of control keys does.
-func (n *simNode) obey(ask *wire.ClientCall, answer func(wire.ClientAnswer)) {
+func (n *simNode) executeCall(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	response := func(value wire.ClientAnswer) {
 		if change := n.cluster.fault.answer; change != nil {
-			value = change(n, ask, value)
+			value = change(n, call, value)
 		}
 		if value.NotLeader && n.hint.node != nil && n.hint.node != n {
 			value.Leader = n.hint.node.name
@@ -97,5 +97,5 @@
 		response(wire.ClientAnswer{NotLeader: true})
 		return
 	}
-	n.machine.execute(ask, response)
+	n.machine.execute(call, response)
 }
--- a/internal/simulation/modelcheck/controlmodel/simcluster.go
+++ b/internal/simulation/modelcheck/controlmodel/simcluster.go
@@ -14,37 +14,37 @@
 const (
 	initialVoters = 3
 	// settleLimit is how long after the last fault the system may take until all oracles of a settled system hold.
-	settleLimit   = 12 * time.Second
-	maxConcurrent = 20000
-	settleCheck   = 200 * time.Millisecond
-	wallAtStart   = 1_000_000
+	settleTimeout       = 12 * time.Second
+	maxEventsAtOnce     = 20000
+	settleCheckInterval = 200 * time.Millisecond
+	wallAtStartMs       = 1_000_000
 )
 
 // simCluster is a whole simulated system: machines, network, operators, and what the oracles know.
 type simCluster struct {
 	timeline
 	schedule modelcheck.Schedule
-	draw     *rand.Rand
+	random   *rand.Rand
 	nodes    []*simNode
 	// slots are the places of machines: a replaced machine's successor takes its slot.
-	slots    []*simNode
-	triggers []powerTrigger
-	disks    int
-	voters   []string
-	links    map[pair]cut
-	trouble  networkTrouble
+	slots        []*simNode
+	triggers     []powerTrigger
+	disks        int
+	voters       []string
+	links        map[pair]cut
+	networkFault networkFault
 	// otherFaultAt is when the last fault other than a split began; faultyUntil is when all faults so far will have been over for some time.
 	otherFaultAt, faultyUntil time.Duration
 	fault                     injectedFault
 	// service is what lives on the key; record and traffic are those of the configuration.
-	service  service
-	record   record
-	traffic  traffic
-	coverage modelcheck.Coverage
-	problems []modelcheck.Violation
-	open     int
+	service     service
+	oracleState oracleState
+	operators   operatorState
+	coverage    modelcheck.Coverage
+	violations  []modelcheck.Violation
+	openLeaders int
 	// atOnce counts the events of one moment.
-	atOnce int
+	eventsAtOnce int
 	// isBulk is set where changes write large pairs.
 	isBulk bool
 	// bulkPairs is how many large pairs there are.
@@ -55,15 +55,15 @@
 
 // newSimCluster sets up the nodes of a schedule; they start one after another.
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
-	w := &simCluster{schedule: schedule, draw: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
+	w := &simCluster{schedule: schedule, random: rand.New(rand.NewPCG(schedule.Seed, 7)), links: map[pair]cut{},
 		coverage: modelcheck.Coverage{}}
 	w.fault = faultsOf(schedule.Model)[schedule.InjectedFault]
-	w.record = newRecord()
-	w.service = serviceOf(schedule.Model, w)
+	w.oracleState = newOracleState()
+	w.service = newService(schedule.Model, w)
 	w.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
 	w.bulkPairs = bulkPairs
 	if schedule.Size == modelcheck.SizeLarge {
-		w.bulkPairs = maxPairs
+		w.bulkPairs = maxBulkPairs
 	}
 	for range schedule.Nodes {
 		w.slots = append(w.slots, w.addNode())
@@ -72,49 +72,49 @@
 		w.voters = append(w.voters, node.disk.name)
 	}
 	for _, node := range w.nodes {
-		w.after(time.Duration(w.draw.IntN(60))*time.Millisecond, node.start)
+		w.after(time.Duration(w.random.IntN(60))*time.Millisecond, node.start)
 	}
 	return w
 }
 
 // tell writes a line of the trace.
-func (w *simCluster) tell(format string, values ...any) {
+func (w *simCluster) tracef(format string, values ...any) {
 	if w.trace != nil {
 		fmt.Fprintf(w.trace, "%9.3f ms  "+format+"\n", append([]any{float64(w.now) / float64(time.Millisecond)}, values...)...)
 	}
 }
 
-func (w *simCluster) cover(name string) { w.coverage[name]++ }
+func (w *simCluster) countCoverage(name string) { w.coverage[name]++ }
 
 // violated notes that an oracle does not hold; the first violation ends the run.
-func (w *simCluster) violated(oracle, format string, values ...any) {
-	w.problems = append(w.problems, modelcheck.Violation{Oracle: oracle, AtMs: int(w.now.Milliseconds()), Detail: fmt.Sprintf(format, values...)})
+func (w *simCluster) reportViolation(oracle, format string, values ...any) {
+	w.violations = append(w.violations, modelcheck.Violation{Oracle: oracle, AtMs: int(w.now.Milliseconds()), Detail: fmt.Sprintf(format, values...)})
 }
 
 // play runs a schedule to its end, and then on until the system has settled.
 func (w *simCluster) play() modelcheck.Outcome {
 	var last time.Duration
 	for _, step := range w.schedule.Steps {
-		w.after(clock.Milliseconds(int64(step.AtMs)), func() { w.apply(step) })
-		last = max(last, endOf(step))
+		w.after(clock.Milliseconds(int64(step.AtMs)), func() { w.applyStep(step) })
+		last = max(last, latestEndOf(step))
 	}
 	if !w.runUntil(last + time.Millisecond) {
 		return w.outcome()
 	}
 	w.healAll()
 	w.settle()
-	if len(w.problems) == 0 {
-		w.service.judge()
+	if len(w.violations) == 0 {
+		w.service.checkHistory()
 	}
 	return w.outcome()
 }
 
 // endOf is when a step has surely ended.
-func endOf(step modelcheck.Step) time.Duration {
+func latestEndOf(step modelcheck.Step) time.Duration {
 	end := clock.Milliseconds(int64(step.AtMs + step.ForMs))
 	switch step.Kind {
 	case stepReplace, stepRestart:
-		end += leaveLimit + leaveTime
+		end += leaveTimeout + leaveDelay
 	case stepEndOfDay:
 		end += triggerDuration
 	}
@@ -123,15 +123,15 @@
 
 // runUntil plays events up to a time; it is false when an invariant was violated.
 func (w *simCluster) runUntil(end time.Duration) bool {
-	for len(w.problems) == 0 {
+	for len(w.violations) == 0 {
 		before := w.now
-		run, isThere := w.next(end)
-		if !isThere {
+		run, isDue := w.next(end)
+		if !isDue {
 			return true
 		}
 		w.checkProgress(before)
 		run()
-		if w.open > 1 {
+		if w.openLeaders > 1 {
 			w.checkLeases()
 		}
 	}
@@ -141,33 +141,33 @@
 // checkProgress looks for work that goes round without end and without time.
 func (w *simCluster) checkProgress(before time.Duration) {
 	if w.now > before {
-		w.atOnce = 0
+		w.eventsAtOnce = 0
 		return
 	}
-	w.atOnce++
-	if w.atOnce > maxConcurrent {
-		w.violated("time goes on", "more than %d events at one moment", maxConcurrent)
+	w.eventsAtOnce++
+	if w.eventsAtOnce > maxEventsAtOnce {
+		w.reportViolation("time goes on", "more than %d events at one moment", maxEventsAtOnce)
 	}
 }
 
 // settle waits until all that must hold in a calm system holds; what does not within the limit is a violation.
 func (w *simCluster) settle() {
-	end := w.now + settleLimit
+	end := w.now + settleTimeout
 	var open string
 	for w.now < end {
-		if !w.runUntil(w.now + settleCheck) {
+		if !w.runUntil(w.now + settleCheckInterval) {
 			return
 		}
-		if open = w.unsettled(); open == "" {
+		if open = w.unsettledReason(); open == "" {
 			w.checkReplicas()
-			w.runUntil(w.now + w.service.finish())
+			w.runUntil(w.now + w.service.makeFinalCalls())
 			return
 		}
 	}
-	w.violated("settled", "%s, %v after the last fault", open, settleLimit)
+	w.reportViolation("settled", "%s, %v after the last fault", open, settleTimeout)
 }
 
 func (w *simCluster) outcome() modelcheck.Outcome {
 	w.coverage["simulated seconds"] = int(w.now / time.Second)
-	return modelcheck.Outcome{Violations: w.problems, Coverage: w.coverage}
+	return modelcheck.Outcome{Violations: w.violations, Coverage: w.coverage}
 }
--- a/internal/simulation/modelcheck/controlmodel/splits.go
+++ b/internal/simulation/modelcheck/controlmodel/splits.go
@@ -17,34 +17,34 @@
 const (
 	splitStream = 53
 	// splitsOfTen schedules in ten have splits, each up to maxSplits in a row; in half of them a last one comes once all other faults are over.
-	splitsOfTen = 3
-	maxSplits   = 3
+	splitsPerTen = 3
+	maxSplits    = 3
 	// A split lasts from minSplitMs to maxSplitMs; maxSplitPauseMs is the longest pause between two in a row.
 	minSplitMs      = 300
 	maxSplitMs      = 7000
 	maxSplitPauseMs = 3000
 	// calmSplitMs is how long the last split lasts, so that its larger half has the time to elect a leader.
-	calmSplitMs = 7000
+	isolatedSplitMs = 7000
 	// splitTrafficMs is the mean time between two calls of operators during the last split.
-	splitTrafficMs = 300
+	meanSplitPauseMs = 300
 	// electionLimit is within how long the half with a quorum must serve, if nothing else is wrong.
-	electionLimit = 5 * time.Second
+	electionTimeout = 5 * time.Second
 )
 
 // addSplits draws splits for some schedules from a stream of its own, so that all else of a schedule is as it was.
 func (d *drawing) addSplits(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, splitStream))
-	if random.IntN(10) >= splitsOfTen {
+	if random.IntN(10) >= splitsPerTen {
 		return
 	}
-	at := d.firstFault() + random.IntN(max(1, d.endMs-d.firstFault()))
+	at := d.firstFaultMs() + random.IntN(max(1, d.endMs-d.firstFaultMs()))
 	for range 1 + random.IntN(maxSplits) {
 		length := minSplitMs + random.IntN(maxSplitMs-minSplitMs)
 		d.addSplit(random, at, length)
 		at += length + random.IntN(maxSplitPauseMs)
 	}
 	if random.IntN(2) == 0 {
-		d.addCalmSplit(random, d.allOverMs()+catchUpMs)
+		d.addIsolatedSplit(random, d.faultsOverMs()+catchUpMs)
 	}
 }
 
@@ -52,21 +52,21 @@
 // it, count as lost until some time after it.
 func (d *drawing) addSplit(random *rand.Rand, at, length int) {
 	end := at + length + catchUpMs
-	extended := slices.Clone(d.lost)
+	extended := slices.Clone(d.lossIntervals)
 	for index, loss := range extended {
 		if loss.from < end && at < loss.to {
 			extended[index].to = max(loss.to, end)
 		}
 	}
-	if !isWithin(extended, d.losses) {
+	if !staysWithin(extended, d.losses) {
 		return
 	}
-	d.lost = extended
+	d.lossIntervals = extended
 	d.add(modelcheck.Step{AtMs: at, Kind: stepSplit, Node: random.IntN(d.nodes), Value: random.IntN(1 << 16), Peer: random.IntN(2), ForMs: length})
 }
 
 // allOverMs is when all that was drawn so far is over, and no machine counts as lost any more.
-func (d *drawing) allOverMs() int {
+func (d *drawing) faultsOverMs() int {
 	end := max(d.endMs, d.lastLostUntil())
 	for _, step := range d.steps {
 		end = max(end, step.AtMs+step.ForMs)
@@ -75,7 +75,7 @@
 }
 
 // isWithin tells whether never more are lost at once than the losses to be borne.
-func isWithin(lost []lossInterval, losses int) bool {
+func staysWithin(lost []lossInterval, losses int) bool {
 	for _, loss := range lost {
 		count := 0
 		for _, other := range lost {
@@ -91,9 +91,9 @@
 }
 
 // addCalmSplit adds a split with nothing else wrong, during which operators call machines of both halves.
-func (d *drawing) addCalmSplit(random *rand.Rand, at int) {
-	d.add(modelcheck.Step{AtMs: at, Kind: stepSplit, Node: random.IntN(d.nodes), Value: random.IntN(1 << 16), Peer: random.IntN(2), ForMs: calmSplitMs})
-	for call := at - splitTrafficMs; call < at+calmSplitMs; call += 1 + random.IntN(2*splitTrafficMs) {
+func (d *drawing) addIsolatedSplit(random *rand.Rand, at int) {
+	d.add(modelcheck.Step{AtMs: at, Kind: stepSplit, Node: random.IntN(d.nodes), Value: random.IntN(1 << 16), Peer: random.IntN(2), ForMs: isolatedSplitMs})
+	for call := at - meanSplitPauseMs; call < at+isolatedSplitMs; call += 1 + random.IntN(2*meanSplitPauseMs) {
 		step := modelcheck.Step{AtMs: call, Kind: stepRead, Node: random.IntN(d.nodes)}
 		if random.IntN(2) == 0 {
 			step.Kind, step.Peer = stepRace, random.IntN(d.nodes)
@@ -103,7 +103,7 @@
 }
 
 // halfOf draws half of the machines, by index.
-func (w *simCluster) halfOf(step modelcheck.Step) map[int]bool {
+func (w *simCluster) drawHalf(step modelcheck.Step) map[int]bool {
 	order := rand.New(rand.NewPCG(uint64(step.Value), uint64(step.Node))).Perm(len(w.slots))
 	half := map[int]bool{}
 	for _, position := range order[:len(order)/2] {
@@ -114,38 +114,38 @@
 
 // split cuts the two halves off from each other. Machines that are added later reach both.
 func (w *simCluster) split(step modelcheck.Step, length time.Duration) {
-	half, now := w.halfOf(step), cut{cutSilent, w.now + length}
+	half, newCut := w.drawHalf(step), cut{cutSilent, w.now + length}
 	if step.Peer == 1 {
-		now.kind = cutRefused
+		newCut.kind = cutRefused
 	}
 	for _, from := range w.slots {
 		for _, to := range w.slots {
 			link := pair{from.index, to.index}
-			if half[from.index] != half[to.index] && w.links[link].until < now.until {
-				w.links[link] = now
+			if half[from.index] != half[to.index] && w.links[link].until < newCut.until {
+				w.links[link] = newCut
 			}
 		}
 	}
-	if length < electionLimit || w.faultyUntil > w.now {
+	if length < electionTimeout || w.faultyUntil > w.now {
 		return
 	}
-	w.cover("split with nothing else wrong")
-	begun := w.now
-	w.after(electionLimit, func() { w.checkSplit(half, begun) })
+	w.countCoverage("split with nothing else wrong")
+	startedAt := w.now
+	w.after(electionTimeout, func() { w.checkSplit(half, startedAt) })
 }
 
 // checkSplit is an oracle: with nothing else wrong, the half that holds a quorum of the voters has a leader, and its machines serve reads.
-func (w *simCluster) checkSplit(half map[int]bool, begun time.Duration) {
-	if w.otherFaultAt > begun {
+func (w *simCluster) checkSplit(half map[int]bool, startedAt time.Duration) {
+	if w.otherFaultAt > startedAt {
 		return
 	}
-	for _, isFirst := range []bool{true, false} {
-		members := slices.DeleteFunc(slices.Clone(w.slots), func(node *simNode) bool { return half[node.index] != isFirst })
+	for _, isFirstHalf := range []bool{true, false} {
+		members := slices.DeleteFunc(slices.Clone(w.slots), func(node *simNode) bool { return half[node.index] != isFirstHalf })
 		if !w.haveQuorum(members) {
 			continue
 		}
-		if leader := w.leader(); leader == nil || half[leader.index] != isFirst {
-			w.violated("larger half leads", "no machine of the half with a quorum holds a lease %v after the split", electionLimit)
+		if leader := w.leader(); leader == nil || half[leader.index] != isFirstHalf {
+			w.reportViolation("larger half leads", "no machine of the half with a quorum holds a lease %v after the split", electionTimeout)
 			return
 		}
 		for _, node := range members {
@@ -156,9 +156,9 @@
 
 // readDuringSplit reads through a machine of the half that has a leader.
 func (w *simCluster) readDuringSplit(via int) {
-	w.read(via, func(isRead bool) {
-		if !isRead && w.record.top > 0 {
-			w.violated("larger half leads", "machine %d of the half with a leader does not answer a read", via)
+	w.readConfiguration(via, func(isRead bool) {
+		if !isRead && w.oracleState.highestConfirmed > 0 {
+			w.reportViolation("larger half leads", "machine %d of the half with a leader does not answer a read", via)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 func (w *simCluster) haveQuorum(members []*simNode) bool {
 	var newest *simNode
 	for _, node := range w.slots {
-		if newest == nil || headOf(newest.disk).Below(headOf(node.disk)) {
+		if newest == nil || lastPositionOf(newest.disk).Below(lastPositionOf(node.disk)) {
 			newest = node
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 // noteFault takes down that something other than a split is wrong from now on until some time after the step.
-func (w *simCluster) noteFault(step modelcheck.Step) {
+func (w *simCluster) recordFault(step modelcheck.Step) {
 	switch step.Kind {
 	case stepOrder, stepRace, stepResend, stepBurst, stepStorm, stepRead, stepCallers, stepEvacuate, stepBulk:
 		return
--- a/internal/simulation/modelcheck/controlmodel/steps.go
+++ b/internal/simulation/modelcheck/controlmodel/steps.go
@@ -9,44 +9,44 @@
 
 // The kinds of steps. Node is a place of a machine, or leaderIndex for whoever leads at that moment.
 const (
-	stepOrder          = "order"
-	stepRace           = "race"
-	stepResend         = "resend"
-	stepBurst          = "burst"
-	stepStorm          = "storm"
-	stepRead           = "read"
-	stepCallers        = "callers"
-	stepEvacuate       = "evacuate"
-	stepKill           = "kill"
-	stepPower          = "power"
-	stepWipe           = "wipe"
-	stepFreeze         = "freeze"
-	stepSlow           = "slow"
-	stepStall          = "disk-stall"
-	stepSlowDisk       = "disk-slow"
-	stepFullDisk       = "disk-full"
-	stepCut            = "cut"
-	stepCutOut         = "cut-outgoing"
-	stepCutIn          = "cut-incoming"
-	stepNetwork        = "weather"
-	stepClock          = "clock-jump"
-	stepPowerAll       = "power-all"
-	stepKillAll        = "kill-all"
-	stepPowerOnAck     = "power-after-ack"
-	stepReplace        = "replace"
-	stepReplaceLost    = "replace-lost"
-	stepRestart        = "restart"
-	stepGrow           = "grow"
-	stepBulk           = "bulk"
-	leaderIndex        = -1
-	stormPause         = 25 * time.Millisecond
-	triggerDuration    = time.Second
-	longestAfterAck    = 5
-	percentLost        = 80
-	percentHeavilyLost = 300
-	percentDuplicated  = 100
-	percentDelayed     = 150
-	minDelay           = 20 * time.Millisecond
+	stepOrder           = "order"
+	stepRace            = "race"
+	stepResend          = "resend"
+	stepBurst           = "burst"
+	stepStorm           = "storm"
+	stepRead            = "read"
+	stepCallers         = "callers"
+	stepEvacuate        = "evacuate"
+	stepKill            = "kill"
+	stepPower           = "power"
+	stepWipe            = "wipe"
+	stepFreeze          = "freeze"
+	stepSlow            = "slow"
+	stepStall           = "disk-stall"
+	stepSlowDisk        = "disk-slow"
+	stepFullDisk        = "disk-full"
+	stepCut             = "cut"
+	stepCutOut          = "cut-outgoing"
+	stepCutIn           = "cut-incoming"
+	stepNetwork         = "weather"
+	stepClock           = "clock-jump"
+	stepPowerAll        = "power-all"
+	stepKillAll         = "kill-all"
+	stepPowerOnAck      = "power-after-ack"
+	stepReplace         = "replace"
+	stepReplaceLost     = "replace-lost"
+	stepRestart         = "restart"
+	stepGrow            = "grow"
+	stepBulk            = "bulk"
+	leaderIndex         = -1
+	stormPause          = 25 * time.Millisecond
+	triggerDuration     = time.Second
+	maxAfterAckMs       = 5
+	perMilleLost        = 80
+	perMilleHeavilyLost = 300
+	perMilleDuplicated  = 100
+	perMilleDelayed     = 150
+	minDelay            = 20 * time.Millisecond
 )
 
 // powerTrigger is a fault that comes within 5 ms of the next acknowledgement.
@@ -56,7 +56,7 @@
 }
 
 // at is the machine that a step means.
-func (w *simCluster) at(index int) *simNode {
+func (w *simCluster) nodeAt(index int) *simNode {
 	if index == leaderIndex {
 		if leader := w.leader(); leader != nil {
 			return leader
@@ -67,35 +67,35 @@
 }
 
 // apply begins a step of the schedule, and plans its end.
-func (w *simCluster) apply(step modelcheck.Step) {
-	w.cover("step " + step.Kind)
+func (w *simCluster) applyStep(step modelcheck.Step) {
+	w.countCoverage("step " + step.Kind)
 	length := clock.Milliseconds(int64(step.ForMs))
-	n := w.at(step.Node)
-	w.tell("step %s of %s for %d ms, peer %d, value %d", step.Kind, n.name, step.ForMs, step.Peer, step.Value)
-	defer w.noteFault(step)
+	n := w.nodeAt(step.Node)
+	w.tracef("step %s of %s for %d ms, peer %d, value %d", step.Kind, n.name, step.ForMs, step.Peer, step.Value)
+	defer w.recordFault(step)
 	switch step.Kind {
 	case stepOrder, stepRace, stepResend, stepBurst, stepStorm, stepRead, stepCallers, stepEvacuate:
-		w.service.act(step)
+		w.service.playStep(step)
 	case stepKill, stepPower, stepWipe, stepFreeze, stepSlow:
-		w.troubleProcess(step, n, length)
+		w.applyProcessFault(step, n, length)
 	case stepStall, stepSlowDisk, stepFullDisk:
-		w.troubleDisk(step.Kind, n.disk, length)
+		w.applyDiskFault(step.Kind, n.disk, length)
 	case stepCut, stepCutOut, stepCutIn:
-		w.cutOff(step, n, length)
+		w.applyCut(step, n, length)
 	case stepNetwork:
-		w.trouble = networkTrouble{until: w.now + length, lost: percentLost, doubled: percentDuplicated, delayed: percentDelayed,
+		w.networkFault = networkFault{until: w.now + length, lost: perMilleLost, doubled: perMilleDuplicated, delayed: perMilleDelayed,
 			longest: minDelay + clock.Milliseconds(int64(step.Value))}
 		if step.Peer == 1 {
-			w.trouble.lost = percentHeavilyLost
+			w.networkFault.lost = perMilleHeavilyLost
 		}
 	case stepClock:
 		n.clock.jump += int64(step.Value)
 	case stepPowerAll, stepKillAll:
-		w.endAll(step)
+		w.takeAllDown(step)
 	case stepSplit:
 		w.split(step, length)
 	case stepEndOfDay:
-		w.endDay(step)
+		w.scheduleEndOfDay(step)
 	case stepPowerOnAck:
 		w.triggers = append(w.triggers, powerTrigger{step, w.now + triggerDuration})
 	default:
@@ -104,7 +104,7 @@
 }
 
 // troubleProcess is what befalls one process.
-func (w *simCluster) troubleProcess(step modelcheck.Step, n *simNode, length time.Duration) {
+func (w *simCluster) applyProcessFault(step modelcheck.Step, n *simNode, length time.Duration) {
 	switch step.Kind {
 	case stepKill:
 		n.kill()
@@ -121,12 +121,12 @@
 		n.freeze()
 		w.after(length, func() {
 			if n.incarnation == incarnation {
-				n.wake()
+				n.unfreeze()
 			}
 		})
 	case stepSlow:
-		n.slowed = time.Duration(step.Value) * 10 * time.Microsecond
-		w.after(length, func() { n.slowed = 0 })
+		n.callDelay = time.Duration(step.Value) * 10 * time.Microsecond
+		w.after(length, func() { n.callDelay = 0 })
 	}
 }
 
@@ -141,7 +141,7 @@
 			old := w.slots[index]
 			w.slots[index] = successor
 			old.isRemoved = true
-			old.leave(func() {})
+			old.shutDown(func() {})
 		})
 	case stepReplaceLost:
 		n.kill()
@@ -150,7 +150,7 @@
 		w.slots[step.Node%len(w.slots)] = successor
 		w.after(length, successor.start)
 	case stepRestart:
-		n.leave(func() { w.after(length, n.start) })
+		n.shutDown(func() { w.after(length, n.start) })
 	case stepGrow:
 		fresh := w.addNode()
 		w.slots = append(w.slots, fresh)
@@ -159,7 +159,7 @@
 }
 
 // troubleDisk lets a disk stall, be slow or be full for a while.
-func (w *simCluster) troubleDisk(kind string, d *disk, length time.Duration) {
+func (w *simCluster) applyDiskFault(kind string, d *disk, length time.Duration) {
 	switch kind {
 	case stepStall:
 		d.isStalled = true
@@ -182,26 +182,26 @@
 }
 
 // cutOff cuts one machine from all others; Peer is 1 where connections are refused and not silent.
-func (w *simCluster) cutOff(step modelcheck.Step, n *simNode, length time.Duration) {
-	now := cut{cutSilent, w.now + length}
+func (w *simCluster) applyCut(step modelcheck.Step, n *simNode, length time.Duration) {
+	newCut := cut{cutSilent, w.now + length}
 	if step.Peer == 1 {
-		now.kind = cutRefused
+		newCut.kind = cutRefused
 	}
 	for _, other := range w.nodes {
 		if other == n {
 			continue
 		}
 		if step.Kind != stepCutIn {
-			w.links[pair{n.index, other.index}] = now
+			w.links[pair{n.index, other.index}] = newCut
 		}
 		if step.Kind != stepCutOut {
-			w.links[pair{other.index, n.index}] = now
+			w.links[pair{other.index, n.index}] = newCut
 		}
 	}
 }
 
 // endAll takes power from all machines, or kills all; Value of them, from Node on, lose their disks as well.
-func (w *simCluster) endAll(step modelcheck.Step) {
+func (w *simCluster) takeAllDown(step modelcheck.Step) {
 	for index, node := range w.slots {
 		if step.Kind == stepKillAll {
 			node.kill()
@@ -209,10 +209,10 @@
 			node.losePower()
 		}
 		if offset := (index - max(0, step.Node) + len(w.slots)) % len(w.slots); offset < step.Value {
-			w.cover("disk wiped with all machines down")
+			w.countCoverage("disk wiped with all machines down")
 			node.wipe()
 		}
-		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.draw.IntN(200))*time.Millisecond, node.start)
+		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.random.IntN(200))*time.Millisecond, node.start)
 	}
 }
 
@@ -224,67 +224,67 @@
 		if trigger.until < w.now {
 			continue
 		}
-		w.cover("power lost right after an acknowledgement")
-		wait := time.Duration(w.draw.IntN(longestAfterAck*1000)) * time.Microsecond
+		w.countCoverage("power lost right after an acknowledgement")
+		wait := time.Duration(w.random.IntN(maxAfterAckMs*1000)) * time.Microsecond
 		step := trigger.step
 		if step.Kind == stepEndOfDay {
-			w.after(wait, func() { w.loseAll(step) })
+			w.after(wait, func() { w.losePowerOfAll(step) })
 			continue
 		}
 		step.Kind = stepPower
 		if step.Peer == 1 {
 			step.Kind = stepPowerAll
 		}
-		w.after(wait, func() { w.apply(step) })
+		w.after(wait, func() { w.applyStep(step) })
 	}
 }
 
 // healAll ends all faults.
 func (w *simCluster) healAll() {
-	w.triggers, w.trouble = nil, networkTrouble{}
+	w.triggers, w.networkFault = nil, networkFault{}
 	clear(w.links)
 	for _, node := range w.nodes {
-		node.slowed = 0
+		node.callDelay = 0
 		node.disk.isStalled, node.disk.isSlow, node.disk.isFull = false, false, false
-		node.wake()
+		node.unfreeze()
 		node.start()
 		node.disk.sync()
 	}
 }
 
 // operateStep plays a step of operators.
-func (w *simCluster) operateStep(step modelcheck.Step) {
-	t := &w.traffic
+func (w *simCluster) playOperatorStep(step modelcheck.Step) {
+	t := &w.operators
 	switch step.Kind {
 	case stepRead:
-		w.read(step.Node, ignore)
+		w.readConfiguration(step.Node, ignoreResult)
 	case stepEvacuate:
 		w.sendEvacuation(step, step.Node, evacuationAttempts)
 	case stepOrder:
-		w.send(w.newOrder(t.newest, t.newest+1+int64(step.Value)), step.Node)
+		w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1+int64(step.Value)), step.Node)
 	case stepRace:
-		w.send(w.newOrder(t.newest, t.newest+1), step.Node)
-		w.send(w.newOrder(t.newest, t.newest+1), step.Peer)
+		w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1), step.Node)
+		w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1), step.Peer)
 	case stepBurst:
 		for index := range maxInFlight {
-			w.send(w.newOrder(t.newest, t.newest+1+int64(index%3)), step.Node+index)
+			w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1+int64(index%3)), step.Node+index)
 		}
 	case stepResend:
 		if count := len(t.confirmed); count > 0 {
 			again := t.confirmed[max(0, count-1-step.Value)]
 			again.attempts = 0
-			w.send(again, step.Node)
+			w.sendChange(again, step.Node)
 		}
 	case stepStorm:
-		w.storm(step.Node, w.now+clock.Milliseconds(int64(step.ForMs)))
+		w.sendStorm(step.Node, w.now+clock.Milliseconds(int64(step.ForMs)))
 	}
 }
 
 // storm sends a change as soon as the one before it is confirmed.
-func (w *simCluster) storm(via int, end time.Duration) {
+func (w *simCluster) sendStorm(via int, end time.Duration) {
 	if w.now >= end {
 		return
 	}
-	w.send(w.newOrder(w.traffic.newest, w.traffic.newest+1), via)
-	w.after(stormPause, func() { w.storm(via, end) })
+	w.sendChange(w.newChange(w.operators.newestVersion, w.operators.newestVersion+1), via)
+	w.after(stormPause, func() { w.sendStorm(via, end) })
 }
--- a/internal/simulation/modelcheck/controlmodel/timeline.go
+++ b/internal/simulation/modelcheck/controlmodel/timeline.go
@@ -4,9 +4,9 @@
 
 // event is something that falls due; order decides between events of the same moment.
 type event struct {
-	due   time.Duration
-	order uint64
-	run   func()
+	due      time.Duration
+	sequence uint64
+	run      func()
 }
 
 // timeline holds what is to happen, the next event first. The time jumps from one event to the next.
@@ -19,7 +19,7 @@
 func (t *timeline) after(wait time.Duration, run func()) {
 	t.count++
 	t.heap = append(t.heap, event{t.now + max(0, wait), t.count, run})
-	t.up(len(t.heap) - 1)
+	t.siftUp(len(t.heap) - 1)
 }
 
 // next takes out the event that is due first, if it is due by the end.
@@ -33,20 +33,20 @@
 	t.heap[0] = t.heap[last]
 	t.heap[last] = event{}
 	t.heap = t.heap[:last]
-	t.down(0)
+	t.siftDown(0)
 	t.now = max(t.now, first.due)
 	return first.run, true
 }
 
-func (t *timeline) before(first, second int) bool {
-	return t.heap[first].due < t.heap[second].due || t.heap[first].due == t.heap[second].due && t.heap[first].order < t.heap[second].order
+func (t *timeline) isBefore(first, second int) bool {
+	return t.heap[first].due < t.heap[second].due || t.heap[first].due == t.heap[second].due && t.heap[first].sequence < t.heap[second].sequence
 }
 
 // up moves an event towards the root of the heap until its parent is not later.
-func (t *timeline) up(index int) {
+func (t *timeline) siftUp(index int) {
 	for index > 0 {
 		parent := (index - 1) / 2
-		if !t.before(index, parent) {
+		if !t.isBefore(index, parent) {
 			return
 		}
 		t.heap[index], t.heap[parent] = t.heap[parent], t.heap[index]
@@ -55,16 +55,16 @@
 }
 
 // down moves an event away from the root of the heap until none of its children is earlier.
-func (t *timeline) down(index int) {
+func (t *timeline) siftDown(index int) {
 	for {
 		child := 2*index + 1
 		if child >= len(t.heap) {
 			return
 		}
-		if child+1 < len(t.heap) && t.before(child+1, child) {
+		if child+1 < len(t.heap) && t.isBefore(child+1, child) {
 			child++
 		}
-		if !t.before(child, index) {
+		if !t.isBefore(child, index) {
 			return
 		}
 		t.heap[index], t.heap[child] = t.heap[child], t.heap[index]
