--- a/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
@@ -13,18 +13,19 @@
 
 const (
 	seed = 1
-	// soundSchedules are run for each number of losses without any injected fault.
+	// soundSchedules is the number of schedules run without an injected fault, for each number of losses.
 	soundSchedules = 600
-	// soundLarge are run with the large profile, for a sound system and for injected faults.
-	soundLarge = 400
-	// faultSchedules is within how many each injected fault must be found, with one loss or with two.
+	// largeSchedules is the number of large schedules run without an injected fault, and with each that must be found in them.
+	largeSchedules = 400
+	// faultSchedules is the number of schedules in which each injected fault must be found, with one loss or with two.
 	faultSchedules = 6000
-	// rareFault needs a leader that is cut off within the few milliseconds of a change of voters, which one schedule in some
-	// thousand shows: by five searches with one loss to be borne, the first is number 470 to 21,362. Its own seed spares the time.
+	// rareFault needs a leader that is cut off within the few milliseconds of a change of voters, which happens in one of some thousand
+	// schedules. With one loss, the first schedule that shows it had the number 470 to 21,362 in five searches. Its own seed saves the time
+	// of a long search.
 	rareFault     = "voter-change-forgotten"
 	rareFaultSeed = 7
 	workers       = 2
-	// splitHalves are the halves that are tried, so that the leader is in the smaller one at times.
+	// splitHalves is the number of different splits that are tried, so that the leader is in the smaller half in some of them.
 	splitHalves = 12
 )
 
@@ -41,15 +42,15 @@
 	return fmt.Sprintf("schedule %d (seed %d): %+v", finding.Number, finding.Schedule.Seed, finding.Outcome.Violations)
 }
 
-var _ = Describe("the model of the control side", func() {
+var _ = Describe("the model of the configuration leader", func() {
 	for _, losses := range []int{1, 2} {
-		It(fmt.Sprintf("breaks no invariant with %d losses to be borne", losses), func() {
+		It(fmt.Sprintf("breaks no invariant when it must tolerate %d losses", losses), func() {
 			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundSchedules, Losses: losses})
 			Expect(finding).To(BeNil(), "%s", describe(finding))
 		})
 	}
 
-	It("cuts the core into halves with nothing else wrong, and ends days in every way", func() {
+	It("covers splits without other faults and power losses at the end", func() {
 		_, progress := modelcheck.Run(controlmodel.New(), modelcheck.Budget{Seed: seed, Schedules: soundSchedules, Losses: 1, Workers: workers}, func(modelcheck.Progress) {})
 		for _, name := range []string{"split with nothing else wrong", "end of the day"} {
 			Expect(progress.Coverage[name]).To(BeNumerically(">", 50), name)
@@ -57,7 +58,7 @@
 	})
 
 	for _, fault := range []string{"unreachable-voters-left-out", "election-needs-all"} {
-		It("finds the injected fault "+fault+" by a split alone", func() {
+		It("finds the injected fault "+fault+" in schedules with a split and no other fault", func() {
 			found := 0
 			for half := range splitHalves {
 				schedule := modelcheck.Schedule{Model: controlmodel.Name, Seed: 1, Losses: 1, Nodes: 3, InjectedFault: fault, Steps: []modelcheck.Step{
@@ -70,14 +71,14 @@
 		})
 	}
 
-	It("breaks no invariant at the size of a large fleet, with no disk to spare", func() {
-		finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge})
+	It("breaks no invariant in large schedules without spare disks", func() {
+		finding := run(modelcheck.Budget{Seed: seed, Schedules: largeSchedules, Losses: 2, Size: modelcheck.SizeLarge})
 		Expect(finding).To(BeNil(), "%s", describe(finding))
 	})
 
 	for _, fault := range []string{"learner-counted-early", "learner-counted-between-chunks"} {
-		It("finds the injected fault "+fault+" at the size of a large fleet", func() {
-			finding := run(modelcheck.Budget{Seed: seed, Schedules: soundLarge, Losses: 2, Size: modelcheck.SizeLarge, Fault: fault})
+		It("finds the injected fault "+fault+" in large schedules", func() {
+			finding := run(modelcheck.Budget{Seed: seed, Schedules: largeSchedules, Losses: 2, Size: modelcheck.SizeLarge, Fault: fault})
 			Expect(finding).NotTo(BeNil())
 		})
 	}
@@ -96,7 +97,7 @@
 		})
 	}
 
-	It("finds the injected fault "+rareFault+" under a schedule that is known to show it, and nothing without the fault", func() {
+	It("finds the injected fault "+rareFault+" in a stored schedule, which breaks no invariant without the fault", func() {
 		schedule, err := modelcheck.Load(filepath.Join("testdata", "voter-change-forgotten.json"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(controlmodel.New().Run(schedule).Violations).NotTo(BeEmpty())
@@ -104,24 +105,24 @@
 		Expect(controlmodel.New().Run(schedule).Violations).To(BeEmpty())
 	})
 
-	DescribeTable("breaks no invariant under a schedule that once did", func(file string) {
+	DescribeTable("breaks no invariant in a schedule that once did", func(file string) {
 		schedule, err := modelcheck.Load(filepath.Join("testdata", file))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(controlmodel.New().Run(schedule).Violations).To(BeEmpty())
 	},
-		Entry("two leases at once, by a heartbeat of an old leader", "old-leader-takes-lease.json"),
+		Entry("two leases at the same time, after a heartbeat of an old leader", "old-leader-takes-lease.json"),
 		Entry("no leader after a planned replacement and a wipe", "planned-replacement-then-wipe.json"),
 		Entry("a leader behind its own log after its disk stalled", "leaders-own-disk-stalled.json"),
-		Entry("a leader that spins, as its own replica is behind", "leader-spins-when-its-own-replica-is-behind.json"),
-		Entry("a voter gone during the change that replaces it", "leaver-goes-during-joint-change.json"),
-		Entry("a leader without a vote of its own", "leader-voted-out.json"),
-		Entry("voters replaced more slowly than disks may be lost", "voters-not-replaced-in-time.json"),
-		Entry("two more disks lost while a voter leaves in order", "two-disks-lost-beside-a-leaver.json"),
-		Entry("no leader, as a lost call kept a leaving voter in", "leaver-gone-during-loss.json"),
-		Entry("no leader, as a lost call kept a replaced voter in", "replaced-voter-before-all-die.json"),
+		Entry("a busy loop of a leader whose own replica is behind", "leader-spins-when-its-own-replica-is-behind.json"),
+		Entry("a voter that shuts down during the change that replaces it", "leaver-goes-during-joint-change.json"),
+		Entry("a leader that is no voter", "leader-voted-out.json"),
+		Entry("voters replaced more slowly than disks are lost", "voters-not-replaced-in-time.json"),
+		Entry("two more disks lost while a voter shuts down", "two-disks-lost-beside-a-leaver.json"),
+		Entry("no leader, as a lost call kept a voter that shuts down in the voter set", "leaver-gone-during-loss.json"),
+		Entry("no leader, as a lost call kept a replaced voter in the voter set", "replaced-voter-before-all-die.json"),
 	)
 
-	It("gives the same outcome for a schedule each time, and the same finding for any number of workers", func() {
+	It("returns the same outcome for each run of a schedule, and the same finding for any number of workers", func() {
 		model := controlmodel.New()
 		for number := range uint64(20) {
 			schedule := model.Draw(number, 1, modelcheck.SizeSmall)
@@ -130,11 +131,11 @@
 		budget := modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Fault: "commit-before-majority", Workers: 1}
 		finding, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
 		budget.Workers = 4
-		four, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
-		Expect(finding.Number).To(Equal(four.Number))
+		findingOfFour, _ := modelcheck.Run(model, budget, func(modelcheck.Progress) {})
+		Expect(finding.Number).To(Equal(findingOfFour.Number))
 	})
 
-	It("cuts a failing schedule down to fewer steps that break the same invariant", func() {
+	It("shrinks a failing schedule to fewer steps that break the same invariant", func() {
 		finding := run(modelcheck.Budget{Seed: seed, Schedules: 300, Losses: 1, Fault: "confirmed-list-lost"})
 		shortest, outcome := modelcheck.Shrink(controlmodel.New(), finding.Schedule)
 		Expect(len(shortest.Steps)).To(BeNumerically("<", len(finding.Schedule.Steps)))
--- a/internal/simulation/modelcheck/controlmodel/coordination_test.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination_test.go
@@ -14,7 +14,8 @@
 
 var _ = Describe("the model of locks, numbers and cells", func() {
 	model := controlmodel.NewCoordination()
-	// seeds spare the time of looking for what shows in one of some thousand schedules; all other searches have the usual seed.
+	// seeds are the seeds of searches for faults that show only in one of some thousand schedules. They save the time of a long search.
+	// All other searches have the usual seed.
 	seeds := map[string]uint64{"refused-after-proposal": 2}
 	find := func(budget modelcheck.Budget) (*modelcheck.Finding, modelcheck.Coverage) {
 		budget.Seed, budget.Workers = max(seed, seeds[budget.Fault]), workers
@@ -22,7 +23,7 @@
 		return finding, progress.Coverage
 	}
 
-	It("breaks no invariant, and goes through all kinds of calls and answers", func() {
+	It("breaks no invariant and covers all kinds of calls and answers", func() {
 		covered := modelcheck.Coverage{}
 		for _, losses := range []int{1, 2} {
 			finding, coverage := find(modelcheck.Budget{Schedules: soundSchedules, Losses: losses})
@@ -36,23 +37,23 @@
 		}
 	})
 
-	It("plays a schedule alike each time", func() {
+	It("returns the same outcome for each run of a schedule", func() {
 		for schedule := range uint64(20) {
 			drawn := model.Draw(schedule, 2, modelcheck.SizeSmall)
 			Expect(model.Run(drawn)).To(Equal(model.Run(drawn)))
 		}
 	})
 
-	DescribeTable("breaks no invariant under a schedule that once did", func(file string) {
+	DescribeTable("breaks no invariant in a schedule that once did", func(file string) {
 		schedule, err := modelcheck.Load(filepath.Join("testdata", file))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(model.Run(schedule).Violations).To(BeEmpty())
 	},
-		Entry("no leader, as a lost call kept a newcomer from catching up", "lost-call-to-a-learner.json"),
-		Entry("no leader, as a lost call kept a replaced voter in", "lost-call-before-all-die.json"),
+		Entry("no leader, as a lost call kept a learner from catching up", "lost-call-to-a-learner.json"),
+		Entry("no leader, as a lost call kept a replaced voter in the voter set", "lost-call-before-all-die.json"),
 	)
 
-	// Each fault must be found by an oracle of what callers saw.
+	// oracles are, for each injected fault, the oracles of the callers' answers of which one must find it.
 	oracles := map[string][]string{
 		"commit-before-majority": {check.OracleStale, check.OracleRevisions, check.OracleLinearizable, check.OracleNumbers, check.OracleOneHolder},
 		"event-lost":             {check.OracleWatches, check.OracleRefused},
--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -47,7 +47,7 @@
 		d.endMs += d.random.IntN(maxExtraMs)
 	}
 	d.addFaults()
-	m.addOperatorCalls(d)
+	m.addCalls(d)
 	if m.name == Name {
 		d.addEvacuations(seed)
 		d.addSplits(seed)
--- a/internal/simulation/modelcheck/controlmodel/leaderloss_test.go
+++ b/internal/simulation/modelcheck/controlmodel/leaderloss_test.go
@@ -11,18 +11,18 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// The figures of this table stand in docs/design/coordination.md: how long a part has no leader with a lease after its leader is lost.
-var _ = Describe("the time from the loss of a part's leader to the next one", func() {
+// This measures how long a partition has no leader with a lease after its leader is lost. docs/design/coordination.md has the figures.
+var _ = Describe("the time from the loss of a partition's leader to the next leader", func() {
 	const (
-		losses     = 100
-		lostAtMs   = 4000
-		lastingMs  = 4000
-		giveUp     = 6 * time.Second
-		lookEvery  = 5 * time.Millisecond
-		withinKill = 1500 * time.Millisecond
+		losses        = 100
+		lostAtMs      = 4000
+		lossLengthMs  = 4000
+		maxWait       = 6 * time.Second
+		checkInterval = 5 * time.Millisecond
+		maxMedian     = 1500 * time.Millisecond
 	)
-	// withoutLeader loses the leader of each of many clusters in a way, and gives the times until another one leads, sorted.
-	withoutLeader := func(kind string) []time.Duration {
+	// timesWithoutLeader applies a kind of step to the leaders of many clusters and returns the sorted times until another machine leads.
+	timesWithoutLeader := func(kind string) []time.Duration {
 		var times []time.Duration
 		for seed := range uint64(losses) {
 			w := newSimCluster(modelcheck.Schedule{Model: CoordinationName, Seed: seed, Losses: 1, Nodes: 5, Steps: []modelcheck.Step{
@@ -31,10 +31,10 @@
 			w.runUntil(lostAtMs*time.Millisecond + time.Duration(seed)*time.Millisecond)
 			former := w.leader()
 			Expect(former).NotTo(BeNil())
-			w.applyStep(modelcheck.Step{Kind: kind, Node: leaderIndex, ForMs: lastingMs})
+			w.applyStep(modelcheck.Step{Kind: kind, Node: leaderIndex, ForMs: lossLengthMs})
 			lostAt := w.now
-			for w.now-lostAt < giveUp && (w.leader() == nil || w.leader() == former) {
-				Expect(w.runUntil(w.now + lookEvery)).To(BeTrue())
+			for w.now-lostAt < maxWait && (w.leader() == nil || w.leader() == former) {
+				Expect(w.runUntil(w.now + checkInterval)).To(BeTrue())
 			}
 			times = append(times, w.now-lostAt)
 		}
@@ -42,12 +42,12 @@
 		return times
 	}
 
-	It("is short, in each way of losing it", func() {
+	It("is short for each kind of loss", func() {
 		for _, kind := range []string{stepKill, stepPower, stepWipe, stepFreeze, stepCut, stepRestart} {
-			times := withoutLeader(kind)
+			times := timesWithoutLeader(kind)
 			fmt.Fprintf(GinkgoWriter, "%-12s half %5d ms, 90 of 100 %5d ms, worst %5d ms\n", kind, times[losses/2].Milliseconds(), times[losses*9/10].Milliseconds(),
 				times[losses-1].Milliseconds())
-			Expect(times[losses/2]).To(BeNumerically("<", withinKill), kind)
+			Expect(times[losses/2]).To(BeNumerically("<", maxMedian), kind)
 		}
 	})
 })
--- a/internal/simulation/modelcheck/controlmodel/model.go
+++ b/internal/simulation/modelcheck/controlmodel/model.go
@@ -1,6 +1,6 @@
 // Package controlmodel runs the real replication engines, replicas and state machines of three to nine machines on a simulated
-// clock, network and disks: the model "control" with the configuration leader and operators who change and read the configuration,
-// the model "coordination" with locks, numbers and cells and the applications that use them.
+// clock, network and disks. The model "control" has the configuration leader and operators who change and read the configuration.
+// The model "coordination" has locks, numbers and cells, and the applications that use them.
 package controlmodel
 
 import (
@@ -18,8 +18,8 @@
 // model is the model of one service.
 type model struct {
 	name string
-	// addTraffic adds the calls of the service's clients to a schedule.
-	addOperatorCalls func(*drawing)
+	// addCalls adds the calls of the service's clients to a schedule.
+	addCalls func(*drawing)
 }
 
 // New returns the model of the configuration leader.
--- a/internal/simulation/modelcheck/controlmodel/oracles.go
+++ b/internal/simulation/modelcheck/controlmodel/oracles.go
@@ -259,7 +259,7 @@
 	return observed.kind != confirmed, chain
 }
 
-// checkHistory is an oracle: the operators' calls are linearizable. A call without a clear answer may take effect at any later time or never.
+// checkHistory is an oracle: the operators' calls are linearizable. A call without a clear answer may take effect at any time or never.
 func (w *simCluster) checkHistory() {
 	var operations []porcupine.Operation
 	for _, observed := range w.oracleState.history {
