--- a/internal/simulation/modelcheck/file.go
+++ b/internal/simulation/modelcheck/file.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// Save writes a schedule to a file, to be replayed.
+// Save writes a schedule to a file as JSON, so that it can be replayed.
 func Save(path string, schedule Schedule) error {
 	text, err := json.MarshalIndent(schedule, "", " ")
 	if err != nil {
@@ -16,7 +16,7 @@
 	return errors.Annotatef(os.WriteFile(path, append(text, '\n'), 0o644), "writing %s", path)
 }
 
-// Load reads a schedule that Save wrote.
+// Load reads a schedule from a file that Save wrote.
 func Load(path string) (Schedule, error) {
 	var schedule Schedule
 	text, err := os.ReadFile(path)
--- a/internal/simulation/modelcheck/modelcheck.go
+++ b/internal/simulation/modelcheck/modelcheck.go
@@ -1,8 +1,8 @@
-// Package modelcheck runs the real replication, configuration and order code on a fake clock, a simulated network and
-// simulated disks, under schedules of faults that a seed decides, and checks what callers saw.
+// Package modelcheck runs the real replication, configuration and order code on a simulated clock, network and disks, under schedules
+// of faults that are drawn from a seed, and checks the answers that callers received.
 package modelcheck
 
-// Step is one event of a schedule. Its kind belongs to the model; the other fields mean what the kind says.
+// Step is one event of a schedule. The model defines the kinds and what the other fields mean for each kind.
 type Step struct {
 	// AtMs is when the step happens, in milliseconds of simulated time since the start of the schedule.
 	AtMs int `json:"at_ms"`
@@ -13,30 +13,30 @@
 	Peer int `json:"peer,omitempty"`
 	// ForMs is how long a fault lasts, in milliseconds.
 	ForMs int `json:"for_ms,omitempty"`
-	// Value is a further number that the kind needs.
+	// Value is a number whose meaning depends on the kind.
 	Value int `json:"value,omitempty"`
 }
 
-// Size is how large a system a schedule is drawn for.
+// Size is the size of the system that a schedule is drawn for.
 type Size string
 
 const (
 	// SizeSmall has a few machines and jobs, so that very many schedules can be run.
 	SizeSmall Size = ""
-	// SizeLarge has the machines and the load of a large deployment; a schedule takes about a second or more.
+	// SizeLarge has the machines and the load of a large deployment. Running a schedule takes a second or more.
 	SizeLarge Size = "large"
 )
 
-// Schedule decides a whole run: the same schedule gives the same outcome, whatever the machine.
+// Schedule determines a whole run: the same schedule has the same outcome on any machine.
 type Schedule struct {
 	Model string `json:"model"`
 	Seed  uint64 `json:"seed"`
-	// Losses is how many disks the system must be able to lose at once.
+	// Losses is how many disks the system must tolerate to lose at the same time.
 	Losses int `json:"losses"`
 	Nodes  int `json:"nodes"`
-	// Size is that of the system; the empty one is small.
+	// Size is the size of the system. The empty value is SizeSmall.
 	Size Size `json:"size,omitempty"`
-	// InjectedFault names an injected fault, or is empty.
+	// InjectedFault is the name of an injected fault, or empty.
 	InjectedFault string `json:"plant,omitempty"`
 	Steps         []Step `json:"steps"`
 }
@@ -45,28 +45,28 @@
 type Violation struct {
 	// Oracle names the invariant.
 	Oracle string `json:"oracle"`
-	// AtMs is the simulated time at which it was noticed.
+	// AtMs is the simulated time at which it was detected, in milliseconds.
 	AtMs   int    `json:"at_ms"`
 	Detail string `json:"detail"`
 }
 
-// Coverage counts what a run went through, for example elections, changes of voters or snapshots, by name.
+// Coverage counts the events of a run by name, for example elections, changes of voters or snapshots.
 type Coverage map[string]int
 
-// Add counts all of another coverage in.
+// Add adds the counts of another coverage.
 func (c Coverage) Add(other Coverage) {
 	for name, count := range other {
 		c[name] += count
 	}
 }
 
-// Outcome is what came of a run.
+// Outcome is the result of a run: the violated invariants, and the counts of events.
 type Outcome struct {
 	Violations []Violation
 	Coverage   Coverage
 }
 
-// InjectedFault is a fault that can be put into a model to prove that an oracle finds it.
+// InjectedFault is a fault that can be put into a model to prove that an oracle detects it.
 type InjectedFault struct {
 	Name string
 	// About says in one sentence what goes wrong.
@@ -75,12 +75,12 @@
 
 // Model is a part of the system that schedules can be run against.
 type Model interface {
-	// Name is unique among the models, without spaces.
+	// Name returns a name without spaces that is unique among the models.
 	Name() string
-	// InjectedFaults are the faults that can be put into this model.
+	// InjectedFaults returns the faults that can be put into this model.
 	InjectedFaults() []InjectedFault
-	// Draw makes the schedule of a seed, for a system of a size that must bear so many losses of disks at once.
+	// Draw returns the schedule of a seed, for a system of a size that must tolerate the loss of so many disks at the same time.
 	Draw(seed uint64, losses int, size Size) Schedule
-	// Run plays a schedule from the beginning; it keeps nothing from one call to the next.
+	// Run runs a schedule from the beginning. It keeps no state between calls.
 	Run(schedule Schedule) Outcome
 }
--- a/internal/simulation/modelcheck/run.go
+++ b/internal/simulation/modelcheck/run.go
@@ -9,75 +9,76 @@
 	"gannetline/internal/platform/clock"
 )
 
-// Budget says which schedules of a model are run.
+// Budget determines which schedules of a model are run.
 type Budget struct {
 	Seed      uint64
 	Schedules int
 	Losses    int
 	Size      Size
-	// Fault names the injected fault of all schedules, or is empty.
+	// Fault is the name of the injected fault of all schedules, or empty.
 	Fault string
-	// Workers is how many schedules run at once; the result doesn't depend on it.
+	// Workers is how many schedules run concurrently. Below 1 it is GOMAXPROCS. The result doesn't depend on it.
 	Workers int
 }
 
-// Progress is what has been run so far.
+// Progress is the number of schedules run so far, the time that took, and their coverage.
 type Progress struct {
 	Done     int
 	Took     time.Duration
 	Coverage Coverage
 }
 
-// Tracer is a model that can say what happens in a run.
+// Tracer is a model that can write a trace of a run.
 type Tracer interface {
-	// Trace plays a schedule as Run does and writes what happens, a line an event.
+	// Trace runs a schedule as Run does and writes a line for each event.
 	Trace(schedule Schedule, to io.Writer) Outcome
 }
 
-// Finding is the first schedule of a budget, by number, whose run broke an invariant.
+// Finding is the schedule with the lowest number in a budget whose run broke an invariant.
 type Finding struct {
 	Number   int
 	Schedule Schedule
 	Outcome  Outcome
 }
 
-// Schedules are run in rounds; what was found is looked at between two rounds.
+// Schedules are run in rounds. Violations are checked for between rounds.
 const (
-	perRound      = 2000
-	perRoundLarge = 16
+	schedulesPerRound      = 2000
+	schedulesPerRoundLarge = 16
 )
 
-func (b Budget) perRound() int {
+func (b Budget) schedulesPerRound() int {
 	if b.Size == SizeLarge {
-		return perRoundLarge
+		return schedulesPerRoundLarge
 	}
-	return perRound
+	return schedulesPerRound
 }
 
-// Run plays the schedules of a budget until one breaks an invariant, which it returns with what was run until then.
-// Schedules are handed out in rounds, so that the same one is found whatever the number of workers.
+// Run runs the schedules of a budget until one breaks an invariant. It returns that schedule, or nil, and the progress up to it. report
+// is called after each round without a violation. Rounds make the finding independent of the number of workers.
 func Run(model Model, budget Budget, report func(Progress)) (*Finding, Progress) {
 	clock := clock.System()
-	began := clock.Monotonic()
+	startedAt := clock.Monotonic()
 	progress := Progress{Coverage: Coverage{}}
 	for progress.Done < budget.Schedules {
-		count := min(budget.perRound(), budget.Schedules-progress.Done)
+		count := min(budget.schedulesPerRound(), budget.Schedules-progress.Done)
 		outcomes := runRound(model, budget, progress.Done, count)
-		for place, outcome := range outcomes {
+		for index, outcome := range outcomes {
 			progress.Done++
 			progress.Coverage.Add(outcome.Coverage)
 			if len(outcome.Violations) > 0 {
 				number := progress.Done - 1
-				progress.Took = clock.Monotonic() - began
-				return &Finding{number, budget.schedule(model, number), outcomes[place]}, progress
+				progress.Took = clock.Monotonic() - startedAt
+				return &Finding{number, budget.schedule(model, number), outcomes[index]}, progress
 			}
 		}
-		progress.Took = clock.Monotonic() - began
+		progress.Took = clock.Monotonic() - startedAt
 		report(progress)
 	}
 	return nil, progress
 }
 
+// runRound runs count schedules from number first on. Once a schedule has failed, later ones of the round may be left out.
 func runRound(model Model, budget Budget, first, count int) []Outcome {
 	outcomes := make([]Outcome, count)
 	workers := budget.Workers
@@ -85,30 +86,31 @@
 		workers = runtime.GOMAXPROCS(0)
 	}
 	var next atomic.Int64
-	var failed atomic.Int64
-	failed.Store(int64(count))
-	ended := make(chan struct{})
+	var firstFailed atomic.Int64
+	firstFailed.Store(int64(count))
+	workerDone := make(chan struct{})
 	for range workers {
 		go func() {
-			defer func() { ended <- struct{}{} }()
+			defer func() { workerDone <- struct{}{} }()
 			for {
-				place := int(next.Add(1)) - 1
-				if place >= count || int64(place) > failed.Load() {
+				index := int(next.Add(1)) - 1
+				if index >= count || int64(index) > firstFailed.Load() {
 					return
 				}
-				outcomes[place] = model.Run(budget.schedule(model, first+place))
-				if len(outcomes[place].Violations) > 0 {
-					lowerTo(&failed, int64(place))
+				outcomes[index] = model.Run(budget.schedule(model, first+index))
+				if len(outcomes[index].Violations) > 0 {
+					lowerTo(&firstFailed, int64(index))
 				}
 			}
 		}()
 	}
 	for range workers {
-		<-ended
+		<-workerDone
 	}
 	return outcomes
 }
 
+// lowerTo sets a counter to the minimum of its value and another one.
 func lowerTo(counter *atomic.Int64, value int64) {
 	for {
 		old := counter.Load()
@@ -119,13 +121,13 @@
 }
 
 func (b Budget) schedule(model Model, number int) Schedule {
-	schedule := model.Draw(mix(b.Seed, uint64(number)), b.Losses, b.Size)
+	schedule := model.Draw(mixSeed(b.Seed, uint64(number)), b.Losses, b.Size)
 	schedule.InjectedFault = b.Fault
 	return schedule
 }
 
-// mix makes a seed for each schedule (splitmix64).
-func mix(seed, number uint64) uint64 {
+// mixSeed derives the seed of a schedule from the seed of the budget and the schedule's number (splitmix64).
+func mixSeed(seed, number uint64) uint64 {
 	value := seed*0x9e3779b97f4a7c15 + number*0xbf58476d1ce4e5b9 + 1
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
 	value = (value ^ value>>27) * 0x94d049bb133111eb
--- a/internal/simulation/modelcheck/shrink.go
+++ b/internal/simulation/modelcheck/shrink.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// How often a schedule is run again at most while it is cut down.
+// The maximum number of runs while a schedule is shrunk.
 const (
 	maxShrinkRuns      = 3000
 	maxShrinkRunsLarge = 150
@@ -15,29 +15,29 @@
 	return maxShrinkRuns
 }
 
-// Shrink removes steps from a failing schedule as long as it goes on breaking the same invariant (delta debugging):
-// first large parts, then ever smaller ones, at last single steps.
+// Shrink removes steps from a failing schedule as long as it still breaks the same invariant (delta debugging). It tries to remove half of
+// the steps first, then smaller and smaller ranges, and at last single steps. It returns the smallest schedule found and its outcome.
 func Shrink(model Model, failing Schedule) (Schedule, Outcome) {
-	best, outcome, limit := failing, model.Run(failing), maxShrinkRunsOf(failing)
+	best, outcome, maxRuns := failing, model.Run(failing), maxShrinkRunsOf(failing)
 	if len(outcome.Violations) == 0 {
 		return best, outcome
 	}
 	oracle, runs := outcome.Violations[0].Oracle, 0
-	for size := max(1, len(best.Steps)/2); size >= 1 && runs < limit; {
+	for chunkSize := max(1, len(best.Steps)/2); chunkSize >= 1 && runs < maxRuns; {
 		isSmaller := false
-		for start := 0; start < len(best.Steps) && runs < limit; {
+		for start := 0; start < len(best.Steps) && runs < maxRuns; {
 			candidate := best
-			candidate.Steps = slices.Delete(slices.Clone(best.Steps), start, min(start+size, len(best.Steps)))
+			candidate.Steps = slices.Delete(slices.Clone(best.Steps), start, min(start+chunkSize, len(best.Steps)))
 			runs++
-			tried := model.Run(candidate)
-			if len(tried.Violations) > 0 && tried.Violations[0].Oracle == oracle {
-				best, outcome, isSmaller = candidate, tried, true
+			candidateOutcome := model.Run(candidate)
+			if len(candidateOutcome.Violations) > 0 && candidateOutcome.Violations[0].Oracle == oracle {
+				best, outcome, isSmaller = candidate, candidateOutcome, true
 				continue
 			}
-			start += size
+			start += chunkSize
 		}
-		if size > 1 {
-			size /= 2
+		if chunkSize > 1 {
+			chunkSize /= 2
 		} else if !isSmaller {
 			break
 		}
--- a/internal/simulation/modelcheck/simkey/simkey.go
+++ b/internal/simulation/modelcheck/simkey/simkey.go
@@ -1,5 +1,5 @@
-// Package simkey stands for the replication of a key in models that don't look into it: commits are durable in their order, and of those under
-// way when a leadership ends some last.
+// Package simkey replaces the replication of a key in models that don't test it. Commits are durable in their order. Of those in flight
+// when a leadership ends, some are durable.
 package simkey
 
 import (
@@ -12,13 +12,13 @@
 	"gannetline/internal/simulation/simcluster"
 )
 
-// The time that a commit takes, in milliseconds.
-const shortestCommitMs, longestCommitMs = 2, 12
+// The shortest and longest time that a commit takes, in milliseconds.
+const minCommitMs, maxCommitMs = 2, 12
 
-// Key is a key as package replication gives it: commits are durable in their order, a leader learns of each after a while, and of those under
-// way when its leadership ends the first ones, as many as chance has it, last.
+// Key is a replicated key with the guarantees of package replication. Commits are durable in their order, and the leader gets the result of
+// each after a delay. When a leadership ends, a random number of the commits in flight is durable, the first ones.
 type Key struct {
-	// Records are those that are committed, and Epoch is that of the present leadership.
+	// Records are the committed records by name. Epoch is the epoch of the current leadership.
 	Records map[string][]byte
 	Epoch   uint64
 
@@ -33,12 +33,12 @@
 	done func(error)
 }
 
-// New makes a key without records, in its first epoch.
+// New returns a key without records in epoch 1.
 func New(queue *simcluster.EventQueue, coverage modelcheck.Coverage) *Key {
 	return &Key{Records: map[string][]byte{}, Epoch: 1, queue: queue, coverage: coverage}
 }
 
-// Propose commits a change under the present epoch; done is not called once that is over.
+// Propose proposes a change in the current epoch. It is committed and done is called after a delay, unless the epoch ends before.
 func (k *Key) Propose(ops []wire.Op, done func(error)) {
 	proposed, epoch := &commit{ops, done}, k.Epoch
 	k.pending = append(k.pending, proposed)
@@ -54,10 +54,10 @@
 }
 
 func commitTime(queue *simcluster.EventQueue) time.Duration {
-	return time.Duration(shortestCommitMs+queue.Draw.IntN(longestCommitMs-shortestCommitMs+1)) * time.Millisecond
+	return time.Duration(minCommitMs+queue.Draw.IntN(maxCommitMs-minCommitMs+1)) * time.Millisecond
 }
 
-// Apply commits records at once.
+// Apply commits changes of records at once. An empty value deletes the record.
 func (k *Key) Apply(ops []wire.Op) {
 	for _, op := range ops {
 		if len(op.Value) == 0 {
@@ -68,20 +68,20 @@
 	}
 }
 
-// EndEpoch ends the leadership. Some of the commits under way last all the same, and their proposer never hears of it.
+// EndEpoch ends the leadership. A random number of the commits in flight is still durable, but their done is never called.
 func (k *Key) EndEpoch() {
-	lasting := k.queue.Draw.IntN(len(k.pending) + 1)
-	if lasting > 0 {
+	survivors := k.queue.Draw.IntN(len(k.pending) + 1)
+	if survivors > 0 {
 		k.coverage["commit_unknown_to_leader"]++
 	}
-	for _, proposed := range k.pending[:lasting] {
+	for _, proposed := range k.pending[:survivors] {
 		k.Apply(proposed.ops)
 	}
 	k.pending = nil
 	k.Epoch++
 }
 
-// Pairs are the committed records of one kind, in the order of their names.
+// Pairs returns the committed records whose names begin with a prefix, sorted by name.
 func (k *Key) Pairs(prefix string) []wire.Op {
 	var pairs []wire.Op
 	for _, name := range slices.Sorted(maps.Keys(k.Records)) {
--- a/internal/simulation/modelcheck/simulation.go
+++ b/internal/simulation/modelcheck/simulation.go
@@ -9,20 +9,20 @@
 
 // Simulation is one run of a model.
 type Simulation interface {
-	// TraceTo has the run write what happens.
+	// TraceTo makes the run write its events to a writer.
 	TraceTo(to io.Writer)
-	// Run plays the schedule that the simulation was made for. It must be called once.
+	// Run runs the schedule that the simulation was created for. It must be called only once.
 	Run(schedule Schedule) Outcome
 }
 
-// SimulatedModel is a Model, and a Tracer, that makes a simulation for each schedule.
+// SimulatedModel is a Model and a Tracer that creates a simulation for each schedule.
 type SimulatedModel struct {
 	ModelName string
-	// Faults are those that can be injected, in the order of their list.
+	// Faults are the faults that can be injected, in the order in which they are listed.
 	Faults []InjectedFault
-	// DrawSchedule makes the schedule of a seed.
+	// DrawSchedule returns the schedule of a seed.
 	DrawSchedule func(seed uint64, losses int, size Size) Schedule
-	// NewSimulation sets up what a schedule is played on.
+	// NewSimulation creates the simulation that runs a schedule.
 	NewSimulation func(schedule Schedule) Simulation
 }
 
@@ -31,36 +31,36 @@
 	Tracer
 } = SimulatedModel{}
 
-// Name is that of the model in schedules and on the command line.
+// Name returns the name of the model in schedules and on the command line.
 func (m SimulatedModel) Name() string { return m.ModelName }
 
-// InjectedFaults are the faults that can be injected, in the order of their list.
+// InjectedFaults returns a copy of Faults.
 func (m SimulatedModel) InjectedFaults() []InjectedFault { return slices.Clone(m.Faults) }
 
-// Draw makes the schedule of a seed.
+// Draw returns the schedule of a seed.
 func (m SimulatedModel) Draw(seed uint64, losses int, size Size) Schedule {
 	return m.DrawSchedule(seed, losses, size)
 }
 
-// Run plays a schedule from the beginning.
+// Run runs a schedule on a new simulation.
 func (m SimulatedModel) Run(schedule Schedule) Outcome {
 	return m.NewSimulation(schedule).Run(schedule)
 }
 
-// Trace plays a schedule as Run does and writes what happens once it is set up.
+// Trace runs a schedule as Run does and writes its events. It does not write what happens while the simulation is created.
 func (m SimulatedModel) Trace(schedule Schedule, to io.Writer) Outcome {
 	simulation := m.NewSimulation(schedule)
 	simulation.TraceTo(to)
 	return simulation.Run(schedule)
 }
 
-// Trace writes what happens in a run, a line an event. The zero value writes nothing.
+// Trace writes a line for each event of a run. The zero value writes nothing.
 type Trace struct{ to io.Writer }
 
-// TraceTo has the run write what happens.
+// TraceTo makes the run write its events to a writer.
 func (t *Trace) TraceTo(to io.Writer) { t.to = to }
 
-// Note writes a line about an event at a simulated time.
+// Note writes a line about an event, with its simulated time.
 func (t *Trace) Note(at time.Duration, format string, values ...any) {
 	if t.to != nil {
 		fmt.Fprintf(t.to, "%8d ms  "+format+"\n", append([]any{at.Milliseconds()}, values...)...)
