--- a/internal/simulation/modelcheck/countmodel/countmodel_test.go
+++ b/internal/simulation/modelcheck/countmodel/countmodel_test.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// sound is how many schedules are played without an injected fault, and most how many one may stay hidden.
-	sound = 300
-	most  = 1500
+	// soundSchedules is the number of schedules run without an injected fault. faultSchedules is the number of schedules in which each
+	// injected fault must be found.
+	soundSchedules = 300
+	faultSchedules = 1500
 )
 
-// firstSeeds spare the time of looking for what shows in one of some hundred schedules; all other searches begin at 0.
+// firstSeeds are the seeds at which the search for a fault begins that shows only in one of some hundred schedules, to save time.
+// All other searches begin at 0.
 var firstSeeds = map[string]uint64{"late-answer-counts": 400}
 
 var _ = Describe("the model of the tenants' count", func() {
 	model := countmodel.New()
 
-	It("finds nothing in the sound code", func() {
+	It("breaks no invariant without an injected fault", func() {
 		covered := modelcheck.Coverage{}
-		for seed := range uint64(sound) {
+		for seed := range uint64(soundSchedules) {
 			outcome := model.Run(model.Draw(seed, 1, modelcheck.SizeSmall))
 			Expect(outcome.Violations).To(BeEmpty(), fmt.Sprint("seed ", seed))
 			covered.Add(outcome.Coverage)
@@ -35,14 +37,14 @@
 		}
 	})
 
-	It("plays a schedule alike each time", func() {
+	It("returns the same outcome for each run of a schedule", func() {
 		schedule := model.Draw(7, 1, modelcheck.SizeSmall)
 		Expect(model.Run(schedule)).To(Equal(model.Run(schedule)))
 	})
 
 	for _, fault := range model.InjectedFaults() {
-		It("finds an injected fault: "+fault.Name, func() {
-			for seed := firstSeeds[fault.Name]; seed < firstSeeds[fault.Name]+most; seed++ {
+		It("finds the injected fault "+fault.Name, func() {
+			for seed := firstSeeds[fault.Name]; seed < firstSeeds[fault.Name]+faultSchedules; seed++ {
 				schedule := model.Draw(seed, 1, modelcheck.SizeSmall)
 				schedule.InjectedFault = fault.Name
 				if outcome := model.Run(schedule); len(outcome.Violations) > 0 {
@@ -50,7 +52,7 @@
 					return
 				}
 			}
-			Fail("nothing was found")
+			Fail("no schedule broke an invariant")
 		})
 	}
 })
--- a/internal/simulation/modelcheck/countmodel/model.go
+++ b/internal/simulation/modelcheck/countmodel/model.go
@@ -1,6 +1,6 @@
-// Package countmodel runs the real halves of the tenants' count, tenantcount.Part and tenantcount.Accounts, against each other on a fake
-// clock and a simulated network, under schedules of faults: leaders that are killed with commits under way, calls and answers that are
-// lost, doubled or late, pools that are cut off, limits that are lowered and raised, and demand that moves from pool to pool.
+// Package countmodel runs both sides of the tenants' count, the real tenantcount.Part and tenantcount.Accounts, on a simulated clock and
+// network under schedules of faults: leaders that are killed with commits in flight, calls and answers that are lost, doubled or late,
+// pools that are cut off, limits that are lowered and raised, and demand that moves between pools.
 package countmodel
 
 import (
@@ -12,24 +12,24 @@
 
 const (
 	modelName = "count"
-	// settleTime is how long after the last fault the system may take until all demand has its part.
+	// settleTime is the longest time from the last fault until the limits must be fully granted to the pools.
 	settleTime = 12 * time.Second
 )
 
-// New gives the model of the tenants' count.
+// New returns the model of the tenants' count.
 func New() modelcheck.Model {
 	return modelcheck.SimulatedModel{ModelName: modelName, Faults: injectedFaults, DrawSchedule: draw,
 		NewSimulation: func(schedule modelcheck.Schedule) modelcheck.Simulation { return newSimCluster(schedule) }}
 }
 
-func (c *simCluster) note(format string, values ...any) { c.Note(c.queue.Now(), format, values...) }
+func (c *simCluster) tracef(format string, values ...any) { c.Note(c.queue.Now(), format, values...) }
 
-// Run plays a schedule until all faults are over and what was held back is free again.
+// Run runs a schedule, then settleTime without faults, and checks that the grants have settled.
 func (c *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	c.start()
 	lastMs := 0
 	for _, step := range schedule.Steps {
-		c.queue.After(clock.Milliseconds(int64(step.AtMs)), func() { c.play(step) })
+		c.queue.After(clock.Milliseconds(int64(step.AtMs)), func() { c.applyStep(step) })
 		lastMs = max(lastMs, step.AtMs+step.ForMs)
 	}
 	last := clock.Milliseconds(int64(lastMs))
@@ -39,7 +39,7 @@
 	return modelcheck.Outcome{Violations: c.violations, Coverage: c.coverage}
 }
 
-// runUntil plays on until a moment, or until an invariant is broken.
+// runUntil runs until a time, or until an invariant is broken.
 func (c *simCluster) runUntil(end time.Duration) {
 	for c.queue.Now() < end && len(c.violations) == 0 {
 		c.queue.RunUntil(min(end, c.queue.Now()+tickInterval))
--- a/internal/simulation/modelcheck/countmodel/part.go
+++ b/internal/simulation/modelcheck/countmodel/part.go
@@ -11,21 +11,21 @@
 	"gannetline/internal/simulation/modelcheck/simkey"
 )
 
-// modelPart is a part of the count: its key and its present leader.
+// modelPart is a partition of the count: its key and its current leader.
 type modelPart struct {
 	cluster *simCluster
 	number  int
 	key     *simkey.Key
 	version int
-	// part is nil while nobody leads.
+	// part is nil while there is no leader.
 	part *tenantcount.Part
-	// lastCallAt is when each asker called last, and newest its highest number of a call.
-	lastCallAt map[string]time.Duration
-	newest     map[string]uint64
+	// lastCallAt is the time of each asker's last call, and highestCall its highest call number.
+	lastCallAt  map[string]time.Duration
+	highestCall map[string]uint64
 }
 
 func newModelPart(cluster *simCluster, number int) *modelPart {
-	return &modelPart{cluster: cluster, number: number, key: simkey.New(cluster.queue, cluster.coverage), lastCallAt: map[string]time.Duration{}, newest: map[string]uint64{}}
+	return &modelPart{cluster: cluster, number: number, key: simkey.New(cluster.queue, cluster.coverage), lastCallAt: map[string]time.Duration{}, highestCall: map[string]uint64{}}
 }
 
 func (p *modelPart) open() {
@@ -35,44 +35,44 @@
 	}
 	part, err := tenantcount.NewPart(pairs, p.cluster.queue.Now())
 	if err != nil {
-		p.cluster.violate("RECORD", "%v", err)
+		p.cluster.reportViolation("RECORD", "%v", err)
 		return
 	}
 	p.part = part
 }
 
-// kill ends the leadership; another leader follows after a while.
-func (p *modelPart) kill() {
+// endLeadership kills the leader. Another one opens after 100 to 1500 ms.
+func (p *modelPart) endLeadership() {
 	if p.part == nil {
 		return
 	}
 	p.part = nil
 	p.key.EndEpoch()
-	p.cluster.queue.After(p.cluster.between(100, 1500), p.open)
+	p.cluster.queue.After(p.cluster.drawDuration(100, 1500), p.open)
 }
 
 func (p *modelPart) limits(tenant string) (placement.Resources, bool) {
 	return p.cluster.limitOf(p.version, tenant), true
 }
 
-// take decides on a call and answers once that is committed.
-func (p *modelPart) take(call *wire.GrantCall, answer func(wire.GrantAnswer)) {
+// handleCall decides on a call and answers once the decision is committed.
+func (p *modelPart) handleCall(call *wire.GrantCall, answer func(wire.GrantAnswer)) {
 	if p.part == nil {
 		return
 	}
-	p.freeUnresponsive()
+	p.freeGrantsOfSilentAskers()
 	received := *call
-	if p.cluster.fault == faultLateCall && call.Number < p.newest[call.Asker] {
-		received.Number = p.newest[call.Asker] + 1
+	if p.cluster.fault == faultLateCall && call.Number < p.highestCall[call.Asker] {
+		received.Number = p.highestCall[call.Asker] + 1
 	}
-	p.newest[call.Asker], p.lastCallAt[call.Asker] = max(p.newest[call.Asker], received.Number), p.cluster.queue.Now()
+	p.highestCall[call.Asker], p.lastCallAt[call.Asker] = max(p.highestCall[call.Asker], received.Number), p.cluster.queue.Now()
 	given, ops, err := p.part.HandleCall(&received, p.limits, p.cluster.queue.Now())
 	if errors.Is(err, tenantcount.ErrStale) {
 		p.cluster.coverage["call_stale"]++
 		return
 	}
 	given.Version, given.Number = int64(p.version), call.Number
-	p.cluster.note("part %d answers %s call %d: %+v", p.number, call.Asker, call.Number, given.Tenants)
+	p.cluster.tracef("part %d answers %s call %d: %+v", p.number, call.Asker, call.Number, given.Tenants)
 	if len(ops) == 0 || p.cluster.fault == faultAnswerBeforeCommit {
 		if len(ops) > 0 {
 			p.key.Propose(ops, func(error) {})
@@ -84,16 +84,16 @@
 	p.key.Propose(ops, func(error) { answer(given) })
 }
 
-// freeAfter is how long an asker may be silent until the injected fault frees its grants.
-const freeAfter = 1500 * time.Millisecond
+// freeGrantsAfter is how long an asker may be silent before the injected fault frees its grants.
+const freeGrantsAfter = 1500 * time.Millisecond
 
-// freeUnresponsive is the injected fault that frees what silent askers hold.
-func (p *modelPart) freeUnresponsive() {
+// freeGrantsOfSilentAskers is the injected fault faultTimeoutFrees, which frees the grants of silent askers.
+func (p *modelPart) freeGrantsOfSilentAskers() {
 	if p.cluster.fault != faultTimeoutFrees {
 		return
 	}
 	for asker, at := range p.lastCallAt {
-		if p.cluster.queue.Now()-at < freeAfter {
+		if p.cluster.queue.Now()-at < freeGrantsAfter {
 			continue
 		}
 		for name := range p.key.Records {
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -9,26 +9,26 @@
 	"gannetline/internal/simulation/modelcheck/simkey"
 )
 
-// ticksPerCheck is how often the accounts are looked at beside the moments at which they change.
+// ticksPerCheck is the number of ticks between checks of the accounts, in addition to the checks at each change.
 const ticksPerCheck = 10
 
-// runPrefix begins the records of runs: r/TENANT/NUMBER.
+// runPrefix is the prefix of the records of runs: r/TENANT/NUMBER.
 const runPrefix = "r/"
 
-// modelPool is a pool: its key, its present leader, and what its executors run.
+// modelPool is a pool: its key, its current leader, and the runs of its executors.
 type modelPool struct {
 	cluster *simCluster
 	number  int
 	key     *simkey.Key
 	version int
-	// demand is how many tasks of each tenant it wants to run at once.
+	// demand is how many tasks of each tenant the pool wants to run at the same time.
 	demand map[string]int
-	// accounts is nil while nobody leads; used counts the leader's runs, the ones that are being committed too.
+	// accounts is nil while there is no leader. used counts the leader's runs per tenant, including those being committed.
 	accounts *tenantcount.Accounts
 	used     map[string]int
 	nextRun  int
 	ticks    int
-	// executing are the runs at executors, which outlive leaders; running names them.
+	// executing counts the runs at executors per tenant, which outlive leaders. running has the names of all runs sent to executors.
 	executing map[string]int
 	running   map[string]bool
 }
@@ -37,11 +37,11 @@
 	return &modelPool{cluster: cluster, number: number, key: simkey.New(cluster.queue, cluster.coverage), demand: map[string]int{}, executing: map[string]int{}, running: map[string]bool{}}
 }
 
-// open makes a leader from what is committed. Runs whose order never left start now.
+// open creates a leader from the committed records. Committed runs that were never sent to an executor start now.
 func (p *modelPool) open() {
 	accounts, err := tenantcount.NewAccounts(p.name(), p.key.Epoch, p.key.Pairs(tenantcount.AccountPrefix))
 	if err != nil {
-		p.cluster.violate("RECORD", "%v", err)
+		p.cluster.reportViolation("RECORD", "%v", err)
 		return
 	}
 	p.accounts, p.used = accounts, map[string]int{}
@@ -56,31 +56,31 @@
 
 func (p *modelPool) name() string { return fmt.Sprintf("pool/%d", p.number) }
 
-// kill ends the leadership; another leader follows after a while.
-func (p *modelPool) kill() {
+// endLeadership kills the leader. Another one opens after 100 to 1500 ms.
+func (p *modelPool) endLeadership() {
 	if p.accounts == nil {
 		return
 	}
 	p.accounts = nil
 	p.key.EndEpoch()
-	p.cluster.queue.After(p.cluster.between(100, 1500), p.open)
+	p.cluster.queue.After(p.cluster.drawDuration(100, 1500), p.open)
 }
 
-func (p *modelPool) tickForEver() {
+func (p *modelPool) tickRepeatedly() {
 	if p.accounts != nil {
 		p.tick()
 	}
 	if p.ticks++; p.ticks%ticksPerCheck == 0 {
 		p.cluster.checkAccounts(p)
 	}
-	p.cluster.queue.After(tickInterval, p.tickForEver)
+	p.cluster.queue.After(tickInterval, p.tickRepeatedly)
 }
 
 func (p *modelPool) policy() tenantcount.Policy {
 	return tenantcount.Policy{Version: int64(p.version), IsShared: len(p.cluster.pools) > 1}
 }
 
-// tick gives back, asks, and starts what may start, as the real pool does.
+// tick lowers accounts, calls the partitions and starts runs, as the real pool does.
 func (p *modelPool) tick() {
 	demands := map[string]tenantcount.Demand{}
 	for _, tenant := range tenants {
@@ -91,16 +91,16 @@
 	}
 	for part := range partCount {
 		if call := p.accounts.Next(part, demands, p.policy(), p.cluster.queue.Now()); call != nil {
-			p.ask(part, call)
+			p.sendCall(part, call)
 		}
 	}
 	for _, tenant := range tenants {
-		p.startAll(tenant)
+		p.startPending(tenant)
 	}
 }
 
-// ask sends a call; without an answer it is given up after a second, as in the real pool.
-func (p *modelPool) ask(part int, call *wire.GrantCall) {
+// sendCall sends a call to a partition. It times out after a second, as in the real pool.
+func (p *modelPool) sendCall(part int, call *wire.GrantCall) {
 	accounts, cluster := p.accounts, p.cluster
 	cluster.coverage["call"]++
 	take := func(answer *wire.GrantAnswer) {
@@ -109,16 +109,16 @@
 		}
 	}
 	cluster.send(p.number, part, func() {
-		cluster.parts[part].take(call, func(answer wire.GrantAnswer) {
-			cluster.send(p.number, part, func() { p.deliver(part, call, answer, take) })
+		cluster.parts[part].handleCall(call, func(answer wire.GrantAnswer) {
+			cluster.send(p.number, part, func() { p.deliverAnswer(part, call, answer, take) })
 		})
 	})
-	cluster.queue.After(cluster.between(1000, 1000), func() { take(nil) })
+	cluster.queue.After(cluster.drawDuration(1000, 1000), func() { take(nil) })
 }
 
-func (p *modelPool) deliver(part int, call *wire.GrantCall, answer wire.GrantAnswer, take func(*wire.GrantAnswer)) {
+func (p *modelPool) deliverAnswer(part int, call *wire.GrantCall, answer wire.GrantAnswer, take func(*wire.GrantAnswer)) {
 	if p.cluster.fault == faultLateAnswer && p.accounts != nil {
-		// The answer counts for whatever call is under way.
+		// The answer is accepted for whichever call is in flight.
 		for number := call.Number; number < call.Number+20; number++ {
 			p.commitAccounts(p.accounts.HandleAnswer(part, number, &answer, p.cluster.queue.Now())...)
 		}
@@ -147,19 +147,19 @@
 	}
 }
 
-// isLower tells whether a record of an account holds less than another one; the shorter text of two numbers is the lower one.
+// isLower reports whether an account's record holds less after a change than before. Of two decimal numbers the shorter text is the lower.
 func isLower(before, after []byte) bool {
 	return len(after) < len(before) || len(after) == len(before) && string(after) < string(before)
 }
 
-// startAll starts what is wanted of a tenant and allowed.
-func (p *modelPool) startAll(tenant string) {
-	for p.used[tenant] < p.demand[tenant] && p.admits(tenant) {
+// startPending starts runs of a tenant as long as there is demand and the limits allow it.
+func (p *modelPool) startPending(tenant string) {
+	for p.used[tenant] < p.demand[tenant] && p.canStart(tenant) {
 		p.start(tenant)
 	}
 }
 
-func (p *modelPool) admits(tenant string) bool {
+func (p *modelPool) canStart(tenant string) bool {
 	policy := p.policy()
 	if p.cluster.fault == faultStartUnsettled {
 		policy = tenantcount.Policy{}
@@ -167,12 +167,12 @@
 	allowance, _ := p.accounts.Allowance(tenant, policy)
 	limit := p.cluster.limitOf(p.version, tenant)
 	limit.CPU = min(limit.CPU, allowance.CPU)
-	// All tasks fit the limits, so that no run may reach beyond one here.
+	// Each task fits the limits, so no run may overshoot a limit here.
 	state := placement.Tenant{Allocated: tasks(p.used[tenant]), Limit: limit}
 	return state.Admits(tasks(1), 1)
 }
 
-// start commits a run, and has it begin at an executor after that.
+// start commits a run and launches it after the commit.
 func (p *modelPool) start(tenant string) {
 	p.nextRun++
 	name := fmt.Sprintf("%s%s/%d", runPrefix, tenant, p.nextRun)
@@ -185,22 +185,22 @@
 	})
 }
 
-// launch has the executor begin a run a moment later, and end it after a while.
+// launch starts a run at an executor after 1 to 40 ms. The run ends 50 to 900 ms later.
 func (p *modelPool) launch(name, tenant string) {
 	p.running[name] = true
-	p.cluster.queue.After(p.cluster.between(1, 40), func() {
+	p.cluster.queue.After(p.cluster.drawDuration(1, 40), func() {
 		p.cluster.coverage["start"]++
 		p.executing[tenant]++
-		p.cluster.note("pool %d starts %s", p.number, name)
+		p.cluster.tracef("pool %d starts %s", p.number, name)
 		p.cluster.checkStart(tenant)
-		p.cluster.queue.After(p.cluster.between(50, 900), func() {
+		p.cluster.queue.After(p.cluster.drawDuration(50, 900), func() {
 			p.executing[tenant]--
 			p.reportEnd(name, tenant)
 		})
 	})
 }
 
-// reportEnd tells the leader of an end, again until it is committed.
+// reportEnd reports the end of a run to the leader, and repeats that until it is committed.
 func (p *modelPool) reportEnd(name, tenant string) {
 	if p.key.Records[name] == nil {
 		return
@@ -211,7 +211,7 @@
 	}
 	p.used[tenant]--
 	p.key.Propose([]wire.Op{{Name: name}}, func(error) {})
-	// The leader may be killed before the commit: the next one counts the run again and is told again.
+	// If the leader is killed before the commit, the next one counts the run again and needs the report too.
 	epoch := p.key.Epoch
 	p.cluster.queue.After(tickInterval, func() {
 		if p.key.Epoch != epoch {
--- a/internal/simulation/modelcheck/countmodel/schedule.go
+++ b/internal/simulation/modelcheck/countmodel/schedule.go
@@ -16,17 +16,17 @@
 	demandPercent        = 40
 )
 
-// Kinds of steps. Node is a pool or a part, Peer a part or a tenant, and Value a figure, as the kind says.
+// The kinds of steps. Depending on the kind, Node is a pool or a partition, Peer a partition or a tenant, and Value a number.
 const (
-	// kindKillPool and kindKillPart end the leadership of a pool or a part, with commits under way.
+	// kindKillPool and kindKillPart end the leadership of a pool or a partition, with commits in flight.
 	kindKillPool = "kill-pool"
 	kindKillPart = "kill-part"
-	// kindCut cuts a pool from a part for a time.
+	// kindCut cuts a pool off from a partition for a time.
 	kindCut = "cut"
 	// kindLoseMessages loses Value of a hundred messages, kindLateMessages doubles as many and delays them by seconds.
 	kindLoseMessages = "lose-messages"
 	kindLateMessages = "late-messages"
-	// kindLimit sets the limit of the tenant Peer to Value tasks' worth; configurations reach each process at a moment of its own.
+	// kindLimit sets the limit of the tenant Peer to Value tasks. The new configuration reaches each process at a different time.
 	kindLimit = "limit"
 	// kindDemand has the pool Node want so many tasks of the tenant Peer.
 	kindDemand = "demand"
--- a/internal/simulation/modelcheck/countmodel/simcluster.go
+++ b/internal/simulation/modelcheck/countmodel/simcluster.go
@@ -14,21 +14,21 @@
 const (
 	maxPools  = 3
 	partCount = tenantcount.Parts
-	// maxLimit is the highest limit of a tenant, in tasks; taskCPU and taskMemory are what each takes.
+	// maxLimit is the highest limit of a tenant, in tasks. taskCPU and taskMemory are the resources of a task.
 	maxLimit     = 12
 	taskCPU      = 10
 	taskMemory   = 3
 	tickInterval = 50 * time.Millisecond
-	// spreadTime is how long a configuration may take to reach a process.
-	spreadTime = 500 * time.Millisecond
-	// inForceTime is how long after all have a configuration runs may begin that were placed under the one before.
-	inForceTime = 300 * time.Millisecond
+	// maxSpreadTime is the longest time that a configuration takes to reach a process.
+	maxSpreadTime = 500 * time.Millisecond
+	// oldLimitTime is how long, after all processes have a configuration, runs may still start that were placed under the previous one.
+	oldLimitTime = 300 * time.Millisecond
 )
 
-// tenants are all that there are; they belong to several parts.
+// tenants are all tenants. They belong to several partitions.
 var tenants = []string{"a", "b", "c"}
 
-// simCluster is all pools and parts, and what connects them.
+// simCluster is the simulated system: all pools, the partitions of the count, and the network between them.
 type simCluster struct {
 	queue    *simcluster.EventQueue
 	pools    []*modelPool
@@ -41,15 +41,16 @@
 	modelcheck.Trace
 }
 
-// version is a configuration: the limit of each tenant in tasks. It is in force from the moment that anybody may have it.
+// version is a version of the configuration, with the limit of each tenant in tasks. It counts as in force from the moment at which any
+// process may have it.
 type version struct {
 	limits map[string]int
-	// missing is how many processes don't have it yet, and inForceSince when the last of them got it.
-	missing      int
+	// missingCount is the number of processes that don't have it yet. inForceSince is when the last of them received it.
+	missingCount int
 	inForceSince time.Duration
 }
 
-// network is how messages fare.
+// network is the state of the simulated network: shares of messages, and the end of the cut of each pool and partition.
 type network struct {
 	lostPercent, latePercent int
 	cuts                     map[[2]int]time.Duration
@@ -72,40 +73,40 @@
 	return c
 }
 
-// start opens all keys and lets time pass for the pools.
+// start opens all keys and starts the ticks of the pools.
 func (c *simCluster) start() {
 	for _, part := range c.parts {
 		part.open()
 	}
 	for _, pool := range c.pools {
 		pool.open()
-		pool.tickForEver()
+		pool.tickRepeatedly()
 	}
 }
 
-// between draws a time between two counts of milliseconds.
-func (c *simCluster) between(fromMs, toMs int) time.Duration {
+// drawDuration draws a duration between two numbers of milliseconds, inclusive.
+func (c *simCluster) drawDuration(fromMs, toMs int) time.Duration {
 	return clock.Milliseconds(int64(fromMs + c.queue.Draw.IntN(toMs-fromMs+1)))
 }
 
-// play has a step happen.
-func (c *simCluster) play(step modelcheck.Step) {
+// applyStep applies a step of the schedule.
+func (c *simCluster) applyStep(step modelcheck.Step) {
 	c.coverage[step.Kind]++
-	c.note("%s node %d peer %d value %d", step.Kind, step.Node, step.Peer, step.Value)
-	during := clock.Milliseconds(int64(step.ForMs))
+	c.tracef("%s node %d peer %d value %d", step.Kind, step.Node, step.Peer, step.Value)
+	length := clock.Milliseconds(int64(step.ForMs))
 	switch step.Kind {
 	case kindKillPool:
-		c.pools[step.Node%len(c.pools)].kill()
+		c.pools[step.Node%len(c.pools)].endLeadership()
 	case kindKillPart:
-		c.parts[step.Node%len(c.parts)].kill()
+		c.parts[step.Node%len(c.parts)].endLeadership()
 	case kindCut:
-		c.cuts[[2]int{step.Node % len(c.pools), step.Peer}] = c.queue.Now() + during
+		c.cuts[[2]int{step.Node % len(c.pools), step.Peer}] = c.queue.Now() + length
 	case kindLoseMessages:
 		c.lostPercent = step.Value
-		c.queue.After(during, func() { c.lostPercent = 0 })
+		c.queue.After(length, func() { c.lostPercent = 0 })
 	case kindLateMessages:
 		c.latePercent = step.Value
-		c.queue.After(during, func() { c.latePercent = 0 })
+		c.queue.After(length, func() { c.latePercent = 0 })
 	case kindLimit:
 		c.configure(tenants[step.Peer%len(tenants)], step.Value)
 	case kindDemand:
@@ -113,38 +114,38 @@
 	}
 }
 
-// configure makes a version with another limit of a tenant, which reaches each process at a moment of its own.
+// configure creates a version with another limit of a tenant. It reaches each process at a random time within maxSpreadTime.
 func (c *simCluster) configure(tenant string, limit int) {
 	last := c.versions[len(c.versions)-1]
-	next := &version{limits: map[string]int{}, missing: len(c.pools) + len(c.parts)}
+	next := &version{limits: map[string]int{}, missingCount: len(c.pools) + len(c.parts)}
 	for name, former := range last.limits {
 		next.limits[name] = former
 	}
 	next.limits[tenant] = limit
 	c.versions = append(c.versions, next)
 	number := len(c.versions) - 1
-	reach := func(known *int) {
-		c.queue.After(c.between(0, int(spreadTime.Milliseconds())), func() {
+	deliverTo := func(known *int) {
+		c.queue.After(c.drawDuration(0, int(maxSpreadTime.Milliseconds())), func() {
 			*known = max(*known, number)
-			if next.missing--; next.missing == 0 {
+			if next.missingCount--; next.missingCount == 0 {
 				next.inForceSince = c.queue.Now()
 			}
 		})
 	}
 	for _, pool := range c.pools {
-		reach(&pool.version)
+		deliverTo(&pool.version)
 	}
 	for _, part := range c.parts {
-		reach(&part.version)
+		deliverTo(&part.version)
 	}
 }
 
-// highestLimit is the highest limit of a tenant that may be in force now, in tasks.
+// highestLimit returns the highest limit of a tenant that may be in force now, in tasks.
 func (c *simCluster) highestLimit(tenant string) int {
 	highest := 0
 	for number := len(c.versions) - 1; number >= 0; number-- {
 		highest = max(highest, c.versions[number].limits[tenant])
-		if c.versions[number].missing == 0 && c.queue.Now()-c.versions[number].inForceSince > inForceTime {
+		if c.versions[number].missingCount == 0 && c.queue.Now()-c.versions[number].inForceSince > oldLimitTime {
 			break
 		}
 	}
@@ -157,14 +158,14 @@
 		c.coverage["message_lost"]++
 		return
 	}
-	c.queue.After(c.between(1, 8), arrive)
+	c.queue.After(c.drawDuration(1, 8), arrive)
 	if c.queue.Draw.IntN(100) < c.latePercent {
 		c.coverage["message_late"]++
-		c.queue.After(c.between(100, 4000), arrive)
+		c.queue.After(c.drawDuration(100, 4000), arrive)
 	}
 }
 
-// endFaults lets each pool want much of every tenant, once nothing fails any more.
+// endFaults raises the demand of each pool for every tenant above all limits. It is called when all faults are over.
 func (c *simCluster) endFaults() {
 	for _, pool := range c.pools {
 		for _, tenant := range tenants {
@@ -173,9 +174,9 @@
 	}
 }
 
-func (c *simCluster) violate(oracle, format string, values ...any) {
+func (c *simCluster) reportViolation(oracle, format string, values ...any) {
 	detail := fmt.Sprintf(format, values...)
-	c.note("%s: %s", oracle, detail)
+	c.tracef("%s: %s", oracle, detail)
 	c.violations = append(c.violations, modelcheck.Violation{Oracle: oracle, AtMs: int(c.queue.Now().Milliseconds()), Detail: detail})
 }
 
@@ -183,7 +184,7 @@
 	return placement.Resources{CPU: taskCPU, Memory: taskMemory}.Times(float64(count))
 }
 
-// limitOf is the limit of a tenant in a version; memory and GPUs have none.
+// limitOf returns the limit of a tenant in a version. Memory and GPUs are unlimited.
 func (c *simCluster) limitOf(number int, tenant string) placement.Resources {
 	limit := placement.NoLimit
 	limit.CPU = int64(c.versions[number].limits[tenant] * taskCPU)
