--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -113,15 +113,15 @@
 		}
 	}
 	if d.random.IntN(10) == 0 {
-		d.addRestartInNetworkTrouble(at)
+		d.addRestartDuringMessageLoss(at)
 	}
 	for range 1 + d.random.IntN(d.losses+1) {
 		d.addMachineFault(at+d.random.IntN(400), machineFaults[d.random.IntN(len(machineFaults))])
 	}
 }
 
-// addRestartInNetworkTrouble adds a heavy message loss during which a machine is killed and restarts within the time of a lease.
-func (d *drawing) addRestartInNetworkTrouble(at int) {
+// addRestartDuringMessageLoss adds a heavy message loss during which a machine is killed and restarts within the time of a lease.
+func (d *drawing) addRestartDuringMessageLoss(at int) {
 	d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, Peer: 1, ForMs: 1000 + d.random.IntN(1500), Value: d.random.IntN(300)})
 	step := modelcheck.Step{AtMs: at + 300 + d.random.IntN(900), Kind: stepKill, Node: d.random.IntN(d.nodes), ForMs: 5 + d.random.IntN(60)}
 	if loss := (lossInterval{step.AtMs, step.AtMs + step.ForMs + catchUpMs}); d.canTolerate(loss, 1) {
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -107,7 +107,7 @@
 }
 
 // callMachine calls another machine. done runs inside the calling process, with the answer or with an error after the timeout.
-func callMachine[T any](from, to *simNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func callMachine[T any](from, to *simNode, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	w, fromIncarnation, isOver := from.cluster, from.incarnation, false
 	finish := func(value T, err error) {
 		if !isOver {
@@ -120,7 +120,7 @@
 		w.after(0, func() { finish(none, errUnknown) })
 		return
 	}
-	w.after(limit, func() { finish(none, errNoAnswer) })
+	w.after(timeout, func() { finish(none, errNoAnswer) })
 	refuse := func() { finish(none, errRefused) }
 	w.deliver(from, to, func() {
 		if !to.isUp {
@@ -170,15 +170,15 @@
 		l.InstallLocal(call, done)
 		return
 	}
-	limit := appendTimeout
+	timeout := appendTimeout
 	if call.Snapshot != nil {
-		limit = stalledConnectionTimeout
+		timeout = stalledConnectionTimeout
 		n.cluster.countCoverage("snapshot sent")
 	}
 	to := n.nodeByDisk(disk)
-	send := func() { l.append(to, call, limit, done) }
+	send := func() { l.append(to, call, timeout, done) }
 	if call.Chunk != nil {
-		limit = stalledConnectionTimeout
+		timeout = stalledConnectionTimeout
 		n.cluster.countCoverage("snapshot chunk sent")
 	}
 	if call.Chunk == nil || n.cluster.schedule.Size != modelcheck.SizeLarge {
@@ -195,9 +195,9 @@
 }
 
 // append sends changes to a replica. The answer says in DelayUs how long the replica took.
-func (l *links) append(to *simNode, call wire.AppendCall, limit time.Duration, done func(wire.AppendAnswer, error)) {
+func (l *links) append(to *simNode, call wire.AppendCall, timeout time.Duration, done func(wire.AppendAnswer, error)) {
 	n := l.node
-	callMachine(n, to, limit, func(answer func(wire.AppendAnswer)) {
+	callMachine(n, to, timeout, func(answer func(wire.AppendAnswer)) {
 		arrivedAt := n.cluster.now
 		to.replicas.Append(call, func(response wire.AppendAnswer) {
 			n.cluster.tracef("%s tells %s of epoch %d: taken %v, promised %d, last %v (%d changes, release %v)", to.name, n.name, call.Epoch,
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -209,12 +209,12 @@
 // tryNext makes the next attempt of a call, as the real client's policy says.
 func (a *leaderSearch) tryNext() {
 	w := a.from.cluster
-	leaderSearch, isLeft := a.attempts.Next(a.from.membershipView(), w.now)
+	attempt, isLeft := a.attempts.Next(a.from.membershipView(), w.now)
 	if !isLeft {
 		a.end()
 		return
 	}
-	to := w.nodeByName(leaderSearch.Address)
+	to := w.nodeByName(attempt.Address)
 	if to == nil {
 		a.pause()
 		return
@@ -226,7 +226,7 @@
 		}
 		hasArrived = true
 	}
-	callMachine(a.from, to, leaderSearch.Limit, serve,
+	callMachine(a.from, to, attempt.Limit, serve,
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
 				// If the first copy of a message arrived, a second copy that finds the process down does not count as a refused connection.
@@ -249,12 +249,12 @@
 // membershipView returns the machine's view of the membership, from which the client code chooses the leader.
 func (n *simNode) membershipView() *membership.View {
 	n.receiveGossip()
-	membershipView := &membership.View{Stewards: n.members(), Leaders: map[string]wire.KeyLeader{}}
+	view := &membership.View{Stewards: n.members(), Leaders: map[string]wire.KeyLeader{}}
 	if n.hint.node != nil {
 		key := n.cluster.service.key()
-		membershipView.Leaders[key] = wire.KeyLeader{Key: key, Epoch: n.hint.epoch, Name: n.hint.node.name}
+		view.Leaders[key] = wire.KeyLeader{Key: key, Epoch: n.hint.epoch, Name: n.hint.node.name}
 	}
-	return membershipView
+	return view
 }
 
 func (w *simCluster) nodeByName(name string) *simNode {
--- a/internal/simulation/modelcheck/controlmodel/splits.go
+++ b/internal/simulation/modelcheck/controlmodel/splits.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// readDuringSplit is an oracle: a machine in the leader's half answers a read.
+// readDuringSplit is an oracle: a machine in the leader's half answers a read, if any change was confirmed.
 func (w *simCluster) readDuringSplit(via int) {
 	w.readConfiguration(via, func(isRead bool) {
 		if !isRead && w.oracleState.highestConfirmed > 0 {
--- a/internal/simulation/modelcheck/controlmodel/steps.go
+++ b/internal/simulation/modelcheck/controlmodel/steps.go
@@ -9,6 +9,9 @@
 
 // The kinds of steps. Node is a slot, or leaderIndex for the machine that leads at that moment. Numbers called perMille are shares of
 // messages in thousandths.
+//
+// Operators send a change (order), two competing changes (race), a confirmed change again (resend), maxInFlight changes at the same time
+// (burst), or a change every stormPause (storm). callers starts the applications of the other model.
 const (
 	stepOrder           = "order"
 	stepRace            = "race"
