--- a/internal/simulation/modelcheck/controlmodel/coordination.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination.go
@@ -137,8 +137,8 @@
 
 // expectStatus is an oracle: once the system has settled and no lock is held, calls succeed.
 func (s *coordinationService) expectStatus(status int, call string, allowed ...int) {
-	for _, good := range allowed {
-		if status == good {
+	for _, expected := range allowed {
+		if status == expected {
 			return
 		}
 	}
--- a/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
@@ -67,17 +67,17 @@
 		return
 	}
 	c.via = w.random.IntN(len(w.slots))
-	again := func(int) { c.scheduleNextCall() }
+	scheduleNext := func(int) { c.scheduleNextCall() }
 	cell := fmt.Sprint(groupName(w.random.IntN(groupCount)), w.random.IntN(cellCount))
 	switch roll := w.random.IntN(100); {
 	case roll < 35:
 		c.holdLock(lockName(w.random.IntN(lockCount)))
 	case roll < 50:
-		c.takeNumber(numberName(w.random.IntN(numberCount)), again)
+		c.takeNumber(numberName(w.random.IntN(numberCount)), scheduleNext)
 	case roll < 80:
 		c.put(cell)
 	default:
-		c.get(cell, again)
+		c.get(cell, scheduleNext)
 	}
 }
 
--- a/internal/simulation/modelcheck/controlmodel/faultlist.go
+++ b/internal/simulation/modelcheck/controlmodel/faultlist.go
@@ -113,7 +113,7 @@
 // oldSnapshotDisk installs the pairs of the previous snapshot.
 type oldSnapshotDisk struct {
 	*disk
-	before *wire.Snapshot
+	previous *wire.Snapshot
 }
 
 // Submit replaces the pairs of a snapshot by those of the previous one, and keeps its log position.
@@ -121,13 +121,13 @@
 	if write.Snapshot != nil {
 		newest := write.Snapshot
 		old, _ := d.model.Read(write.Key)
-		if d.before == nil && len(old.Pairs) > 0 {
-			d.before = &old
+		if d.previous == nil && len(old.Pairs) > 0 {
+			d.previous = &old
 		}
-		if d.before != nil {
-			write.Snapshot = &wire.Snapshot{Last: newest.Last, Voters: newest.Voters, Pairs: d.before.Pairs}
+		if d.previous != nil {
+			write.Snapshot = &wire.Snapshot{Last: newest.Last, Voters: newest.Voters, Pairs: d.previous.Pairs}
 		}
-		d.before = newest
+		d.previous = newest
 	}
 	d.disk.Submit(write, done)
 }
@@ -135,18 +135,18 @@
 // staleHeartbeatLinks answers a heartbeat at once with the answer to the previous one.
 type staleHeartbeatLinks struct {
 	*links
-	before map[string]wire.AppendAnswer
+	previousAnswers map[string]wire.AppendAnswer
 }
 
 // Append answers a heartbeat with the previous answer, if that fits the heartbeat's epoch and position.
 func (l *staleHeartbeatLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	earlier, exists := l.before[disk]
+	earlier, exists := l.previousAnswers[disk]
 	isHeartbeat := len(call.Changes) == 0 && call.Snapshot == nil && call.Chunk == nil && !call.Release
 	if !exists || !isHeartbeat || earlier.Promised != call.Epoch || earlier.Last != call.Prev {
 		l.links.Append(disk, call, l.recordingAnswer(disk, done))
 		return
 	}
-	delete(l.before, disk)
+	delete(l.previousAnswers, disk)
 	l.node.post(func() { done(earlier, nil) })
 	l.links.Append(disk, call, l.recordingAnswer(disk, func(wire.AppendAnswer, error) {}))
 }
@@ -154,7 +154,7 @@
 func (l *staleHeartbeatLinks) recordingAnswer(disk string, done func(wire.AppendAnswer, error)) func(wire.AppendAnswer, error) {
 	return func(answer wire.AppendAnswer, err error) {
 		if err == nil && answer.Taken {
-			l.before[disk] = answer
+			l.previousAnswers[disk] = answer
 		}
 		done(answer, err)
 	}
@@ -215,18 +215,18 @@
 // mixedChunkLinks replaces the pairs of a snapshot's chunk by those of an earlier snapshot's chunk.
 type mixedChunkLinks struct {
 	*links
-	first map[int][]wire.Op
+	firstPairs map[int][]wire.Op
 }
 
 // Append sends, for each chunk number, the pairs that were first sent under that number.
 func (l *mixedChunkLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if call.Chunk != nil {
-		if pairs, exists := l.first[call.Chunk.Number]; exists {
+		if pairs, exists := l.firstPairs[call.Chunk.Number]; exists {
 			mixed := *call.Chunk
 			mixed.Pairs = pairs
 			call.Chunk = &mixed
 		} else {
-			l.first[call.Chunk.Number] = call.Chunk.Pairs
+			l.firstPairs[call.Chunk.Number] = call.Chunk.Pairs
 		}
 	}
 	l.links.Append(disk, call, done)
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -117,7 +117,7 @@
 	n.cluster.after(time.Duration(n.cluster.random.Int64N(int64(tickInterval))), func() { n.tick(incarnation) })
 }
 
-// tick calls the engine and the state machine every tickInterval until the process ends.
+// tick calls the engine and the state machine every tickInterval until the process ends. A restarted process has its own ticks.
 func (n *simNode) tick(incarnation int) {
 	if n.incarnation != incarnation {
 		return
--- a/internal/simulation/modelcheck/controlmodel/simcluster.go
+++ b/internal/simulation/modelcheck/controlmodel/simcluster.go
@@ -155,18 +155,18 @@
 // A system that has not settled after settleTimeout is a violation.
 func (w *simCluster) settle() {
 	end := w.now + settleTimeout
-	var open string
+	var reason string
 	for w.now < end {
 		if !w.runUntil(w.now + settleCheckInterval) {
 			return
 		}
-		if open = w.unsettledReason(); open == "" {
+		if reason = w.unsettledReason(); reason == "" {
 			w.checkReplicas()
 			w.runUntil(w.now + w.service.makeFinalCalls())
 			return
 		}
 	}
-	w.reportViolation("settled", "%s, %v after the last fault", open, settleTimeout)
+	w.reportViolation("settled", "%s, %v after the last fault", reason, settleTimeout)
 }
 
 func (w *simCluster) outcome() modelcheck.Outcome {
--- a/internal/simulation/modelcheck/controlmodel/splits.go
+++ b/internal/simulation/modelcheck/controlmodel/splits.go
@@ -11,7 +11,7 @@
 )
 
 // stepSplit cuts half of the machines off from the other half, while operators reach both. Node and Value seed the choice of the half.
-// With Peer 1 connections are refused, else messages get lost.
+// With Peer 1 connections are refused, else messages are lost or delayed until the end of the split.
 const stepSplit = "split"
 
 const (
--- a/internal/simulation/modelcheck/controlmodel/steps.go
+++ b/internal/simulation/modelcheck/controlmodel/steps.go
@@ -185,7 +185,8 @@
 	})
 }
 
-// applyCut cuts one machine off from all others, in one or both directions. With Peer 1 connections are refused, else messages get lost.
+// applyCut cuts one machine off from all others, in one or both directions. With Peer 1 connections are refused, else messages are
+// lost or delayed until the end of the cut.
 func (w *simCluster) applyCut(step modelcheck.Step, n *simNode, length time.Duration) {
 	newCut := cut{cutSilent, w.now + length}
 	if step.Peer == 1 {
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -103,20 +103,20 @@
 func (p *modelPool) sendCall(part int, call *wire.GrantCall) {
 	accounts, cluster := p.accounts, p.cluster
 	cluster.coverage["call"]++
-	take := func(answer *wire.GrantAnswer) {
+	handleAnswer := func(answer *wire.GrantAnswer) {
 		if p.accounts == accounts {
 			p.commitAccounts(accounts.HandleAnswer(part, call.Number, answer, cluster.queue.Now())...)
 		}
 	}
 	cluster.send(p.number, part, func() {
 		cluster.parts[part].handleCall(call, func(answer wire.GrantAnswer) {
-			cluster.send(p.number, part, func() { p.deliverAnswer(part, call, answer, take) })
+			cluster.send(p.number, part, func() { p.deliverAnswer(part, call, answer, handleAnswer) })
 		})
 	})
-	cluster.queue.After(cluster.drawDuration(1000, 1000), func() { take(nil) })
+	cluster.queue.After(cluster.drawDuration(1000, 1000), func() { handleAnswer(nil) })
 }
 
-func (p *modelPool) deliverAnswer(part int, call *wire.GrantCall, answer wire.GrantAnswer, take func(*wire.GrantAnswer)) {
+func (p *modelPool) deliverAnswer(part int, call *wire.GrantCall, answer wire.GrantAnswer, handleAnswer func(*wire.GrantAnswer)) {
 	if p.cluster.fault == faultLateAnswer && p.accounts != nil {
 		// The answer is accepted for whichever call is in flight.
 		for number := call.Number; number < call.Number+20; number++ {
@@ -124,7 +124,7 @@
 		}
 		return
 	}
-	take(&answer)
+	handleAnswer(&answer)
 }
 
 func (p *modelPool) commitAccounts(changes ...tenantcount.Change) {
--- a/internal/simulation/modelcheck/countmodel/weigh_test.go
+++ b/internal/simulation/modelcheck/countmodel/weigh_test.go
@@ -68,21 +68,21 @@
 	random := rand.New(rand.NewPCG(19, 19))
 	result := measurements{}
 	running, pending, known := make([]int, comparedPools), make([]int, comparedPools), make([]int, comparedPools)
-	var ends, begins [comparedPools][]time.Duration
-	var unused, asked float64
+	var endTimes, startTimes [comparedPools][]time.Duration
+	var unusedTotal, limitTotal float64
 	hasHandedOver := true
 	for now := time.Duration(0); now < comparedTime; now += comparedStep {
 		isLeaderThere := now < leaderLostAt || now >= leaderLostAt+leaderLostFor
 		for pool := range comparedPools {
-			for len(begins[pool]) > 0 && begins[pool][0] <= now {
-				begins[pool] = begins[pool][1:]
+			for len(startTimes[pool]) > 0 && startTimes[pool][0] <= now {
+				startTimes[pool] = startTimes[pool][1:]
 				pending[pool]--
 				running[pool]++
-				ends[pool] = append(ends[pool], now+taskTime-20*time.Millisecond+time.Duration(random.IntN(40))*time.Millisecond)
+				endTimes[pool] = append(endTimes[pool], now+taskTime-20*time.Millisecond+time.Duration(random.IntN(40))*time.Millisecond)
 			}
-			for index := 0; index < len(ends[pool]); index++ {
-				if ends[pool][index] <= now {
-					ends[pool] = append(ends[pool][:index], ends[pool][index+1:]...)
+			for index := 0; index < len(endTimes[pool]); index++ {
+				if endTimes[pool][index] <= now {
+					endTimes[pool] = append(endTimes[pool][:index], endTimes[pool][index+1:]...)
 					running[pool]--
 					index--
 				}
@@ -92,20 +92,20 @@
 			copy(known, running)
 			result.messages += comparedPools * (comparedPools - 1)
 		}
-		taken := []int{running[0] + pending[0], running[1] + pending[1]}
+		occupied := []int{running[0] + pending[0], running[1] + pending[1]}
 		for pool := range comparedPools {
-			for wants(pool, now) && s.canStart(pool, taken, known, isLeaderThere) {
-				taken[pool]++
+			for wants(pool, now) && s.canStart(pool, occupied, known, isLeaderThere) {
+				occupied[pool]++
 				pending[pool]++
 				result.starts++
 				result.messages += s.messagesPerStart
-				begins[pool] = append(begins[pool], now+s.startTime)
+				startTimes[pool] = append(startTimes[pool], now+s.startTime)
 			}
 		}
 		total := running[0] + running[1]
 		result.maxOverLimit = max(result.maxOverLimit, total-comparedLimit)
-		unused += float64(max(0, comparedLimit-total))
-		asked += comparedLimit
+		unusedTotal += float64(max(0, comparedLimit-total))
+		limitTotal += comparedLimit
 		if now%demandPhase == 0 {
 			hasHandedOver = false
 		}
@@ -117,20 +117,20 @@
 	if !hasHandedOver {
 		result.longestHandover = demandPhase
 	}
-	result.unusedShare = unused / asked
+	result.unusedShare = unusedTotal / limitTotal
 	return result
 }
 
 // measureEscrow runs the real partitions and accounts under the same demand. All partitions lose their leaders at the time leaderLostAt.
 func measureEscrow(pools int) measurements {
 	schedule := modelcheck.Schedule{Model: modelName, Seed: 19, Losses: 1, Nodes: pools}
-	for shift := time.Duration(0); shift < comparedTime; shift += demandPhase {
+	for phaseStart := time.Duration(0); phaseStart < comparedTime; phaseStart += demandPhase {
 		for pool := range pools {
 			count := 0
-			if wants(pool, shift) {
+			if wants(pool, phaseStart) {
 				count = 2 * maxLimit
 			}
-			schedule.Steps = append(schedule.Steps, modelcheck.Step{AtMs: int(shift.Milliseconds()), Kind: kindDemand, Node: pool, Value: count})
+			schedule.Steps = append(schedule.Steps, modelcheck.Step{AtMs: int(phaseStart.Milliseconds()), Kind: kindDemand, Node: pool, Value: count})
 		}
 	}
 	for part := range partCount {
@@ -142,7 +142,7 @@
 		cluster.queue.After(time.Duration(step.AtMs)*time.Millisecond, func() { cluster.applyStep(step) })
 	}
 	result, tenant, hasHandedOver := measurements{}, tenants[0], true
-	var unused, asked float64
+	var unusedTotal, limitTotal float64
 	for now := time.Duration(0); now < comparedTime; now += comparedStep {
 		cluster.queue.RunUntil(now)
 		total := 0
@@ -150,8 +150,8 @@
 			total += pool.executing[tenant]
 		}
 		result.maxOverLimit = max(result.maxOverLimit, total-comparedLimit)
-		unused += float64(max(0, comparedLimit-total))
-		asked += comparedLimit
+		unusedTotal += float64(max(0, comparedLimit-total))
+		limitTotal += comparedLimit
 		if now%demandPhase == 0 {
 			hasHandedOver = false
 		}
@@ -161,16 +161,18 @@
 		}
 	}
 	Expect(cluster.violations).To(BeEmpty())
-	result.starts, result.messages, result.unusedShare = cluster.coverage["start"], cluster.coverage["call"], unused/asked
+	result.starts, result.messages, result.unusedShare = cluster.coverage["start"], cluster.coverage["call"], unusedTotal/limitTotal
 	return result
 }
 
 var _ = Describe("strategies to enforce one limit over several pools", func() {
-	static := simpleStrategy{canStart: func(pool int, taken, _ []int, _ bool) bool { return taken[pool] < comparedLimit/comparedPools }}
-	oneLeader := simpleStrategy{messagesPerStart: 2, startTime: requestTime, canStart: func(_ int, taken, _ []int, isLeaderThere bool) bool {
-		return isLeaderThere && taken[0]+taken[1] < comparedLimit
+	static := simpleStrategy{canStart: func(pool int, occupied, _ []int, _ bool) bool { return occupied[pool] < comparedLimit/comparedPools }}
+	oneLeader := simpleStrategy{messagesPerStart: 2, startTime: requestTime, canStart: func(_ int, occupied, _ []int, isLeaderThere bool) bool {
+		return isLeaderThere && occupied[0]+occupied[1] < comparedLimit
+	}}
+	gossip := simpleStrategy{isGossip: true, canStart: func(pool int, occupied, known []int, _ bool) bool {
+		return occupied[pool]+known[1-pool] < comparedLimit
 	}}
-	gossip := simpleStrategy{isGossip: true, canStart: func(pool int, taken, known []int, _ bool) bool { return taken[pool]+known[1-pool] < comparedLimit }}
 
 	It("compares them: the escrow never exceeds the limit, leaves little unused and needs few messages", func() {
 		results := map[string]measurements{"static shares": static.measure(), "a leader asked at each start": oneLeader.measure(),
