--- a/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// resendTime is how long a put without a clear answer is sent again.
+	// resendTime is how long a put without a clear answer is retried.
 	resendTime  = 4 * time.Second
 	resendPause = 60 * time.Millisecond
-	// lateCopyTime is how long after its answer a copy of a put may still arrive.
+	// lateCopyTime is how long after the answer to a put a copy of it may still arrive.
 	lateCopyTime = time.Second
 	minHoldMs    = 200
 	maxHoldMs    = 2500
-	// sleepPercent of the holders sleep beyond their time, diePercent forget that they hold; both keep their names.
-	sleepPercent, diePercent = 15, 15
-	maxRenewals              = 4
-	maxWatchWait             = 800 * time.Millisecond
+	// sleepPercent of the holders sleep beyond the time of their lock, abandonPercent forget that they hold it. Both keep their holder names.
+	sleepPercent, abandonPercent = 15, 15
+	maxRenewals                  = 4
+	maxWatchWait                 = 800 * time.Millisecond
 )
 
-// modelCaller is an application that makes one call after the other.
+// modelCaller is an application that makes one call after the other. via is the slot of the machine that it calls.
 type modelCaller struct {
 	service *coordinationService
 	holder  string
 	via     int
 	pause   time.Duration
-	// known are the revisions of cells as it last saw them.
-	known map[string]uint64
-	// held is the lock that it counts itself the holder of, if any.
+	// knownRevisions are the revisions of cells as it last received them.
+	knownRevisions map[string]uint64
+	// held is the lock that it believes to hold, or nil.
 	held *coordinationcheck.Hold
 }
 
-// statusOf is the status of an answer, 0 if there is none.
+// statusOf returns the status of an answer, or 0 if there is none.
 func statusOf(answer *response.Reply) int {
 	if answer == nil {
 		return 0
@@ -49,35 +49,35 @@
 	return answer.Status
 }
 
-// isClear tells whether an answer says what became of a call.
+// isClear reports whether a status says if the call took effect.
 func isClear(status int) bool {
 	return status != 0 && (status < http.StatusInternalServerError || status == http.StatusServiceUnavailable)
 }
 
-// rest lets some time pass before the next call.
-func (c *modelCaller) rest() {
+// scheduleNextCall makes the next call after a random pause.
+func (c *modelCaller) scheduleNextCall() {
 	w := c.service.cluster
-	w.after(time.Duration(w.draw.Int64N(2*int64(c.pause)+1)), c.next)
+	w.after(time.Duration(w.random.Int64N(2*int64(c.pause)+1)), c.makeNextCall)
 }
 
-// next draws what to do.
-func (c *modelCaller) next() {
+// makeNextCall draws and makes a call, unless the applications have stopped.
+func (c *modelCaller) makeNextCall() {
 	w := c.service.cluster
 	if w.now >= c.service.callersEnd {
 		return
 	}
-	c.via = w.draw.IntN(len(w.slots))
-	again := func(int) { c.rest() }
-	cell := fmt.Sprint(groupName(w.draw.IntN(groupCount)), w.draw.IntN(cellCount))
-	switch luck := w.draw.IntN(100); {
-	case luck < 35:
-		c.hold(lockName(w.draw.IntN(lockCount)))
-	case luck < 50:
-		c.takeNumber(numberName(w.draw.IntN(numberCount)), again)
-	case luck < 80:
+	c.via = w.random.IntN(len(w.slots))
+	scheduleNext := func(int) { c.scheduleNextCall() }
+	cell := fmt.Sprint(groupName(w.random.IntN(groupCount)), w.random.IntN(cellCount))
+	switch roll := w.random.IntN(100); {
+	case roll < 35:
+		c.holdLock(lockName(w.random.IntN(lockCount)))
+	case roll < 50:
+		c.takeNumber(numberName(w.random.IntN(numberCount)), scheduleNext)
+	case roll < 80:
 		c.put(cell)
 	default:
-		c.get(cell, again)
+		c.get(cell, scheduleNext)
 	}
 }
 
@@ -90,45 +90,45 @@
 		}
 		command.Call.Body = text
 	}
-	c.service.operate(c.via, command, done)
+	c.service.callThrough(c.via, command, done)
 }
 
-// hold takes a lock, renews it some times, and gives it back, sleeps beyond its time, or forgets it.
-func (c *modelCaller) hold(name string) {
+// holdLock acquires a lock, renews it up to maxRenewals times, and then releases it, sleeps beyond its time, or forgets it.
+func (c *modelCaller) holdLock(name string) {
 	w := c.service.cluster
-	hold := clock.Milliseconds(int64(minHoldMs + w.draw.IntN(maxHoldMs-minHoldMs)))
+	hold := clock.Milliseconds(int64(minHoldMs + w.random.IntN(maxHoldMs-minHoldMs)))
 	c.acquire(name, hold, func(status int) {
 		if status != http.StatusOK {
-			c.rest()
+			c.scheduleNextCall()
 			return
 		}
-		c.keep(hold, w.draw.IntN(maxRenewals+1))
+		c.keepHold(hold, w.random.IntN(maxRenewals+1))
 	})
 }
 
-// acquire asks for a lock.
+// acquire makes a call that acquires a lock. If it succeeds the caller is the holder.
 func (c *modelCaller) acquire(name string, hold time.Duration, done func(status int)) {
 	sentAt := c.service.cluster.now
 	c.call(wire.VerbAcquire, name, &wire.LockCall{Holder: c.holder, HoldMs: hold.Milliseconds()}, false, func(answer *response.Reply) {
 		status := statusOf(answer)
 		if status == http.StatusOK {
 			var given wire.LockAnswer
-			c.service.read(answer, &given)
-			c.begin(name, given.Fence, sentAt, hold)
+			c.service.decodeAnswer(answer, &given)
+			c.beginHold(name, given.Fence, sentAt, hold)
 		}
 		done(status)
 	})
 }
 
-// begin counts the caller as the holder of a lock from now on, unless its time is over already.
-func (c *modelCaller) begin(name string, fence uint64, sentAt, hold time.Duration) {
+// beginHold makes the caller the holder of a lock from now until the hold time after the call was sent.
+func (c *modelCaller) beginHold(name string, fence uint64, sentAt, hold time.Duration) {
 	w := c.service.cluster
 	c.held = &coordinationcheck.Hold{Lock: name, Holder: c.holder, Fence: fence, SentAt: sentAt, From: w.now, To: sentAt + hold}
 	w.fireTriggers()
 }
 
-// letGo ends the hold: the caller no longer counts itself the holder.
-func (c *modelCaller) letGo() {
+// endHold records the hold for the oracles. The caller no longer believes to hold the lock.
+func (c *modelCaller) endHold() {
 	if c.held == nil {
 		return
 	}
@@ -137,21 +137,21 @@
 	c.held = nil
 }
 
-// keep holds a lock for a part of its time, and then renews it or ends the hold in one way or another.
-func (c *modelCaller) keep(hold time.Duration, renewals int) {
+// keepHold holds a lock for a part of its time, and then renews it, releases it, forgets it, or renews it too late.
+func (c *modelCaller) keepHold(hold time.Duration, renewals int) {
 	w := c.service.cluster
-	luck := w.draw.IntN(100)
-	wait := time.Duration(w.draw.Int64N(int64(hold)))
+	roll := w.random.IntN(100)
+	wait := time.Duration(w.random.Int64N(int64(hold)))
 	switch {
 	case w.now >= c.service.callersEnd:
 		c.release()
-	case luck < sleepPercent:
-		w.cover("holder slept beyond its time")
+	case roll < sleepPercent:
+		w.countCoverage("holder slept beyond its time")
 		w.after(2*hold, func() { c.renew(hold, 0) })
-	case luck < sleepPercent+diePercent:
-		w.cover("holder died")
-		c.letGo()
-		w.after(wait, c.rest)
+	case roll < sleepPercent+abandonPercent:
+		w.countCoverage("holder died")
+		c.endHold()
+		w.after(wait, c.scheduleNextCall)
 	case renewals > 0:
 		w.after(wait, func() { c.renew(hold, renewals-1) })
 	default:
@@ -159,7 +159,7 @@
 	}
 }
 
-// renew asks for more time. An answer that comes once the caller's time is over has no effect.
+// renew extends the hold. An answer that arrives after the end of the hold has no effect.
 func (c *modelCaller) renew(hold time.Duration, renewals int) {
 	w := c.service.cluster
 	sentAt := w.now
@@ -167,25 +167,25 @@
 	c.call(wire.VerbRenew, c.held.Lock, body, false, func(answer *response.Reply) {
 		if statusOf(answer) == http.StatusOK && w.now < c.held.To {
 			c.held.To = max(c.held.To, sentAt+hold)
-			c.keep(hold, renewals)
+			c.keepHold(hold, renewals)
 			return
 		}
-		c.letGo()
-		c.rest()
+		c.endHold()
+		c.scheduleNextCall()
 	})
 }
 
-// release gives a lock back; the caller is no longer its holder from the sending on. It is sent again until it is answered; at times the
-// caller goes on meanwhile, and may have the lock again when a copy arrives.
+// release releases a lock. The caller is no longer its holder once the call is sent. A call that fails is retried up to two times.
+// In a quarter of the cases the caller continues meanwhile, and may hold the lock again when a retry arrives.
 func (c *modelCaller) release() {
 	w := c.service.cluster
 	name, fence := c.held.Lock, c.held.Fence
-	c.letGo()
-	goOn := c.rest
-	if w.draw.IntN(4) == 0 {
-		w.cover("caller goes on before its release is answered")
-		goOn = func() {}
-		w.after(0, func() { c.hold(name) })
+	c.endHold()
+	continueCalls := c.scheduleNextCall
+	if w.random.IntN(4) == 0 {
+		w.countCoverage("caller goes on before its release is answered")
+		continueCalls = func() {}
+		w.after(0, func() { c.holdLock(name) })
 	}
 	var send func(attempts int)
 	send = func(attempts int) {
@@ -195,10 +195,10 @@
 				send(attempts - 1)
 				return
 			}
-			goOn()
+			continueCalls()
 		})
 	}
-	send(w.draw.IntN(3))
+	send(w.random.IntN(3))
 }
 
 func (c *modelCaller) takeNumber(name string, done func(status int)) {
@@ -206,7 +206,7 @@
 	c.call(wire.VerbTakeNumber, name, nil, false, func(answer *response.Reply) {
 		if statusOf(answer) == http.StatusOK {
 			var given wire.NumberAnswer
-			c.service.read(answer, &given)
+			c.service.decodeAnswer(answer, &given)
 			c.service.history.Numbers = append(c.service.history.Numbers, coordinationcheck.Number{Name: name, Value: given.Value, SentAt: sentAt,
 				At: c.service.cluster.now})
 			c.service.cluster.fireTriggers()
@@ -215,11 +215,11 @@
 	})
 }
 
-// put draws a new value for a cell and sends it until there is a clear answer, or for resendTime.
+// put writes a new value to a cell. It retries until there is a clear answer, at most for resendTime.
 func (c *modelCaller) put(name string) {
 	s := c.service
-	s.drawnValue++
-	put := &coordinationcheck.Put{Name: name, Value: fmt.Sprintf("v%d", s.drawnValue), Expected: c.known[name], SentAt: s.cluster.now}
+	s.valueCount++
+	put := &coordinationcheck.Put{Name: name, Value: fmt.Sprintf("v%d", s.valueCount), Expected: c.knownRevisions[name], SentAt: s.cluster.now}
 	s.history.Puts = append(s.history.Puts, put)
 	c.sendPut(put)
 }
@@ -230,17 +230,17 @@
 		status := statusOf(answer)
 		switch {
 		case status == http.StatusOK || status == http.StatusPreconditionFailed:
-			c.known[put.Name] = c.service.notePut(put, answer)
+			c.knownRevisions[put.Name] = c.service.recordPut(put, answer)
 		case !isClear(status):
 			put.IsOpen = true
-		case !put.IsOpen && w.draw.IntN(2) == 0:
-			w.cover("put given up after a refusal")
+		case !put.IsOpen && w.random.IntN(2) == 0:
+			w.countCoverage("put given up after a refusal")
 			put.IsGivenUp = true
-			c.rest()
+			c.scheduleNextCall()
 			return
 		}
 		if isClear(status) && status != http.StatusServiceUnavailable || w.now-put.SentAt > resendTime {
-			c.maybeSendAgain(put, status)
+			c.maybeSendLateCopy(put, status)
 			return
 		}
 		c.via++
@@ -248,30 +248,30 @@
 	})
 }
 
-// maybeSendAgain has a copy of a put come late, now and then, as if it had been held up on its way.
-func (c *modelCaller) maybeSendAgain(put *coordinationcheck.Put, status int) {
+// maybeSendLateCopy sends a copy of a quarter of the successful puts again, as if the network had delayed it.
+func (c *modelCaller) maybeSendLateCopy(put *coordinationcheck.Put, status int) {
 	w := c.service.cluster
-	if status == http.StatusOK && w.draw.IntN(4) == 0 {
-		w.cover("put came again")
-		late := &modelCaller{service: c.service, via: w.draw.IntN(len(w.slots)), known: map[string]uint64{}}
-		w.after(time.Duration(w.draw.Int64N(int64(lateCopyTime))), func() {
+	if status == http.StatusOK && w.random.IntN(4) == 0 {
+		w.countCoverage("put came again")
+		late := &modelCaller{service: c.service, via: w.random.IntN(len(w.slots)), knownRevisions: map[string]uint64{}}
+		w.after(time.Duration(w.random.Int64N(int64(lateCopyTime))), func() {
 			late.call(wire.VerbPut, put.Name, &wire.PutCall{Value: put.Value, Expected: put.Expected}, false, func(answer *response.Reply) {
 				if status := statusOf(answer); status == http.StatusOK || status == http.StatusPreconditionFailed {
-					c.service.notePut(put, answer)
+					c.service.recordPut(put, answer)
 				}
 			})
 		})
 	}
-	c.rest()
+	c.scheduleNextCall()
 }
 
-// notePut records the clear answer to a put and gives the revision of its cell.
-func (s *coordinationService) notePut(put *coordinationcheck.Put, answer *response.Reply) uint64 {
+// recordPut records the clear answer to a put and returns the revision of its cell.
+func (s *coordinationService) recordPut(put *coordinationcheck.Put, answer *response.Reply) uint64 {
 	var at wire.RevisionAnswer
-	s.read(answer, &at)
-	isTaken := answer.Status == http.StatusOK
-	put.Answers = append(put.Answers, coordinationcheck.PutAnswer{At: s.cluster.now, IsTaken: isTaken, Revision: at.Revision})
-	if isTaken {
+	s.decodeAnswer(answer, &at)
+	isApplied := answer.Status == http.StatusOK
+	put.Answers = append(put.Answers, coordinationcheck.PutAnswer{At: s.cluster.now, IsTaken: isApplied, Revision: at.Revision})
+	if isApplied {
 		s.cluster.fireTriggers()
 	}
 	return at.Revision
@@ -285,63 +285,63 @@
 		var held wire.CellAnswer
 		switch status {
 		case http.StatusOK:
-			s.read(answer, &held)
+			s.decodeAnswer(answer, &held)
 		case http.StatusNotFound:
 		default:
 			done(status)
 			return
 		}
-		c.known[name] = held.Revision
+		c.knownRevisions[name] = held.Revision
 		s.history.Reads = append(s.history.Reads, coordinationcheck.Read{Name: name, Value: held.Value, Revision: held.Revision, SentAt: sentAt,
 			At: s.cluster.now})
 		done(status)
 	})
 }
 
-// read decodes an answer that has been given with success.
-func (s *coordinationService) read(answer *response.Reply, into easyjson.Unmarshaler) {
+// decodeAnswer is an oracle: the body of a successful answer can be decoded.
+func (s *coordinationService) decodeAnswer(answer *response.Reply, into easyjson.Unmarshaler) {
 	if !json.Valid(answer.Body) || easyjson.Unmarshal(answer.Body, into) != nil {
-		s.cluster.violated("answers can be read", "%d %s", answer.Status, answer.Body)
+		s.cluster.reportViolation("answers can be read", "%d %s", answer.Status, answer.Body)
 	}
 }
 
-// modelWatcher follows a group.
+// modelWatcher watches a group of cells. via is the slot of the machine that it calls.
 type modelWatcher struct {
 	service *coordinationService
 	group   string
 	via     int
-	// above is the last revision that it was given, at a moment.
+	// above is the last revision that it received, at the time givenAt. The next watch continues above it.
 	above   uint64
 	givenAt time.Duration
 }
 
-// watch asks again and again, at times after a sleep.
+// watch calls watchOnce repeatedly until the applications stop, sometimes after a sleep of up to twice keptHistoryTime.
 func (m *modelWatcher) watch() {
 	w := m.service.cluster
 	if w.now >= m.service.callersEnd {
 		return
 	}
-	m.via = w.draw.IntN(len(w.slots))
-	m.ask(time.Duration(w.draw.Int64N(int64(maxWatchWait))), func(int) {
+	m.via = w.random.IntN(len(w.slots))
+	m.watchOnce(time.Duration(w.random.Int64N(int64(maxWatchWait))), func(int) {
 		sleep := resendPause
-		if w.draw.IntN(10) == 0 {
-			sleep = time.Duration(w.draw.Int64N(int64(2 * keptHistory)))
+		if w.random.IntN(10) == 0 {
+			sleep = time.Duration(w.random.Int64N(int64(2 * keptHistoryTime)))
 		}
 		w.after(sleep, m.watch)
 	})
 }
 
-// ask makes one call, and notes what it brought.
-func (m *modelWatcher) ask(wait time.Duration, done func(status int)) {
+// watchOnce makes one watch call and records its answer.
+func (m *modelWatcher) watchOnce(wait time.Duration, done func(status int)) {
 	s := m.service
 	command := &coordinationapi.Command{Call: wire.ClientCall{Verb: wire.VerbWatch, ID: m.group, Base: int64(m.above)}, Wait: wait, IsRead: true}
 	above, sentAt := m.above, s.cluster.now
-	s.operate(m.via, command, func(answer *response.Reply) {
+	s.callThrough(m.via, command, func(answer *response.Reply) {
 		status := statusOf(answer)
 		switch status {
 		case http.StatusOK:
 			var seen wire.WatchAnswer
-			s.read(answer, &seen)
+			s.decodeAnswer(answer, &seen)
 			s.history.Watches = append(s.history.Watches, coordinationcheck.Watch{Group: m.group, Above: above, Events: seen.Events,
 				Revision: seen.Revision, SentAt: sentAt, At: s.cluster.now})
 			m.above, m.givenAt = seen.Revision, s.cluster.now
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -7,81 +7,81 @@
 )
 
 const (
-	// Large schedules last so long after the first fault.
+	// Large schedules last between these times after the voters have grown.
 	minLargeMs, maxLargeMs = 3000, 20000
-	// fillMs is how long a storm of changes at the beginning fills the large pairs.
+	// fillMs is how long the storm of changes lasts that fills the large pairs at the beginning.
 	fillMs = 1500
-	// nextWithin is how soon after a disk counts no longer as lost the next one may be.
-	nextWithin = 400
-	// maxRow is how many times in a row disks are lost.
-	maxRow = 4
+	// maxGapMs is the longest time from when no disk counts as lost any more until the next loss of the series.
+	maxGapMs = 400
+	// maxConsecutiveLosses is how many times in a row disks are lost at most.
+	maxConsecutiveLosses = 4
 )
 
-// largeHarms are the faults of single machines in large schedules, beside the losses of disks in a row.
-var largeHarms = []string{stepKill, stepPower, stepWipe, stepWipe, stepFreeze, stepSlow, stepStall, stepCut, stepCutOut, stepCutIn,
+// largeMachineFaults are the kinds of faults of single machines in large schedules, in addition to the consecutive disk losses.
+var largeMachineFaults = []string{stepKill, stepPower, stepWipe, stepWipe, stepFreeze, stepSlow, stepStall, stepCut, stepCutOut, stepCutIn,
 	stepReplaceLost, stepRestart, stepPowerOnAck}
 
-// large makes a schedule with just as many machines as the losses ask for, so that each disk is a voter and there is none
-// to spare; a state of several MB; and disks lost as soon as those lost before count as back.
-func (d *drawing) large(seed uint64) modelcheck.Schedule {
+// drawLarge draws a schedule with 2*losses+1 machines, so that each disk is a voter and there is no spare. The state has several MB,
+// and disks are lost as soon as those lost before count as back.
+func (d *drawing) drawLarge(seed uint64) modelcheck.Schedule {
 	d.nodes = 2*d.losses + 1
-	d.endMs = growUpMs + minLargeMs + d.draw.IntN(maxLargeMs-minLargeMs)
+	d.endMs = voterGrowthMs + minLargeMs + d.random.IntN(maxLargeMs-minLargeMs)
 	d.add(modelcheck.Step{Kind: stepBulk})
 	d.add(modelcheck.Step{AtMs: 1000, Kind: stepStorm, ForMs: fillMs})
-	d.addRow()
-	for at := growUpMs + d.draw.IntN(2000); at < d.endMs; at += 500 + d.draw.IntN(4000) {
+	d.addConsecutiveLosses()
+	for at := voterGrowthMs + d.random.IntN(2000); at < d.endMs; at += 500 + d.random.IntN(4000) {
 		d.addLargeFault(at)
 	}
-	d.addTraffic()
+	d.addOperatorCalls()
 	d.addSplits(seed)
 	d.addEndOfDay(seed)
 	slices.SortStableFunc(d.steps, func(a, b modelcheck.Step) int { return a.AtMs - b.AtMs })
 	return modelcheck.Schedule{Model: Name, Seed: seed, Losses: d.losses, Nodes: d.nodes, Size: modelcheck.SizeLarge, Steps: d.steps}
 }
 
-// addRow lets disks be lost again and again, each time as soon as those before count as back, at times with all machines down.
-func (d *drawing) addRow() {
-	at := growUpMs + d.draw.IntN(2000)
-	for range 1 + d.draw.IntN(maxRow) {
+// addConsecutiveLosses adds several losses of disks, each as soon as the disks lost before count as back, some with all machines down.
+func (d *drawing) addConsecutiveLosses() {
+	at := voterGrowthMs + d.random.IntN(2000)
+	for range 1 + d.random.IntN(maxConsecutiveLosses) {
 		if at > d.endMs {
 			return
 		}
-		length := 50 + d.draw.IntN(3000)
-		if d.draw.IntN(3) == 0 {
-			d.addEndOfAll(at)
+		length := 50 + d.random.IntN(3000)
+		if d.random.IntN(3) == 0 {
+			d.addFailureOfAll(at)
 		} else {
-			for range 1 + d.draw.IntN(d.losses) {
-				d.addWipe(at+d.draw.IntN(100), length)
+			for range 1 + d.random.IntN(d.losses) {
+				d.addWipe(at+d.random.IntN(100), length)
 			}
 		}
-		at = d.lastLostUntil() + d.draw.IntN(nextWithin)
+		at = d.lastLostUntil() + d.random.IntN(maxGapMs)
 	}
 }
 
 func (d *drawing) addWipe(at, length int) {
 	loss := lossInterval{at, at + length + catchUpMs}
-	if d.isBearable(loss, 1) {
-		d.lost = append(d.lost, loss)
-		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.position(), ForMs: length})
+	if d.canTolerate(loss, 1) {
+		d.lossIntervals = append(d.lossIntervals, loss)
+		d.add(modelcheck.Step{AtMs: at, Kind: stepWipe, Node: d.drawNode(), ForMs: length})
 	}
 }
 
 func (d *drawing) lastLostUntil() int {
-	last := growUpMs
-	for _, loss := range d.lost {
+	last := voterGrowthMs
+	for _, loss := range d.lossIntervals {
 		last = max(last, loss.to)
 	}
 	return last
 }
 
-// addLargeFault draws a fault of a large system.
+// addLargeFault draws one fault: a network fault, a failure of all machines, or a fault of one machine.
 func (d *drawing) addLargeFault(at int) {
-	switch d.draw.IntN(6) {
+	switch d.random.IntN(6) {
 	case 0:
-		d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, ForMs: 300 + d.draw.IntN(2000), Value: d.draw.IntN(1500)})
+		d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, ForMs: 300 + d.random.IntN(2000), Value: d.random.IntN(1500)})
 	case 1:
-		d.addEndOfAll(at)
+		d.addFailureOfAll(at)
 	default:
-		d.addHarm(at, largeHarms[d.draw.IntN(len(largeHarms))])
+		d.addMachineFault(at, largeMachineFaults[d.random.IntN(len(largeMachineFaults))])
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/faultlist.go
+++ b/internal/simulation/modelcheck/controlmodel/faultlist.go
@@ -12,34 +12,34 @@
 	"gannetline/internal/control/storage"
 )
 
-// injectedFaults are the faults that can be injected by name.
+// injectedFaults are the faults that can be injected into the model of the configuration leader, by name.
 var injectedFaults = map[string]injectedFault{
 	"promise-before-sync": {about: "A replica answers a promise or a change before its disk has synced it.",
-		disk: func(_ *simNode, inner *disk) replication.Disk { return &hastyDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &earlyAnswerDisk{inner} }},
 	"lease-forgotten": {about: "A voter that is restarted does not wait out the lease it may have granted.",
-		disk: func(_ *simNode, inner *disk) replication.Disk { return &bareDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &alwaysNewDisk{inner} }},
 	"lease-too-long": {about: "A leader counts its lease longer than its replicas do, as if from the answer and not from the call.",
 		lease: 500 * time.Millisecond},
 	"lease-of-another-call": {about: "A leader takes the answer to an earlier heartbeat for that to a later one.",
 		links: func(_ *simNode, inner *links) replication.Transport {
-			return &repeatingLinks{inner, map[string]wire.AppendAnswer{}}
+			return &staleHeartbeatLinks{inner, map[string]wire.AppendAnswer{}}
 		}},
 	"evacuations-forgotten": {about: "A new leader opens without the zones that were ordered to be emptied.",
 		machine: func(_ *simNode, inner replication.StateMachine) replication.StateMachine {
-			return unevacuatedMachine{inner}
+			return machineWithoutEvacuations{inner}
 		}},
 	"lease-not-looked-at": {about: "A leader answers without looking whether it still has its lease.",
 		leadership: func(_ *simNode, inner keyLeadership) keyLeadership {
-			return carelessLeadership{inner}
+			return alwaysLeasedLeadership{inner}
 		}},
 	"commit-before-majority": {about: "A leader acknowledges a change before a majority holds it.",
-		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return hastyLeadership{inner} }},
+		leadership: func(_ *simNode, inner keyLeadership) keyLeadership { return earlyCommitLeadership{inner} }},
 	"commit-in-new-voters-only": {about: "While voters change, a change is committed once a majority of the new ones holds it.",
 		links: func(_ *simNode, inner *links) replication.Transport {
 			return &newVotersLinks{links: inner}
 		}},
 	"voter-change-forgotten": {about: "A replica forgets that a change of voters is under way, so that the next leader begins another.",
-		disk: func(_ *simNode, inner *disk) replication.Disk { return &simpleSetDisk{inner} }},
+		disk: func(_ *simNode, inner *disk) replication.Disk { return &singleSetDisk{inner} }},
 	"learner-counted-early": {about: "A learner that holds nothing says that it has caught up.",
 		links: func(_ *simNode, inner *links) replication.Transport { return &earlyLearnerLinks{inner} }},
 	"learner-counted-between-chunks": {about: "A learner that has some chunks of a state is counted as if it held the state, and what follows it.",
@@ -57,23 +57,23 @@
 	"leaves-at-once":           {about: "A machine that is replaced goes before its successor holds all that it held.", leavesAtOnce: true},
 	"confirmed-list-lost": {about: "A new leader forgets which changes were confirmed.",
 		machine: func(_ *simNode, inner replication.StateMachine) replication.StateMachine {
-			return forgetfulMachine{inner}
+			return machineWithoutConfirmed{inner}
 		}},
-	"two-bodies-under-a-number": {about: "A leader confirms a change whose number is the current one, whatever its body.", answer: confirmNumber},
+	"two-bodies-under-a-number": {about: "A leader confirms a change whose number is the current one, whatever its body.", answer: confirmSameNumber},
 	"unreachable-voters-left-out": {about: "A leader counts only the voters that it reaches, so that each half of a split has a quorum of its own.",
 		links: func(_ *simNode, inner *links) replication.Transport { return &reachableOnlyLinks{inner} }},
 	"election-needs-all": {about: "A candidate is elected only while it reaches all other machines.",
 		links: func(_ *simNode, inner *links) replication.Transport { return &unanimousLinks{inner} }},
 	"follower-counted-early": {about: "A leader counts one follower before that has answered, so that a change is committed on one disk too few.",
-		links: func(_ *simNode, inner *links) replication.Transport { return &hastyFollowerLinks{inner} }},
+		links: func(_ *simNode, inner *links) replication.Transport { return &earlyFollowerLinks{inner} }},
 	"confirmed-called-refused": {about: "A leader refuses a change that it has just committed.", answer: refuseCommitted},
 }
 
-// hastyDisk answers at once, and writes later.
-type hastyDisk struct{ *disk }
+// earlyAnswerDisk answers a write before it is synced.
+type earlyAnswerDisk struct{ *disk }
 
-// Submit answers at once with what the write will come to.
-func (d *hastyDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+// Submit answers at once with the outcome that the write will have if nothing fails.
+func (d *earlyAnswerDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	head := d.model.Heads[write.Key]
 	for _, write := range append(slices.Clone(d.syncing), d.waiting...) {
 		outcome, _ := storage.Decide(head, write.write)
@@ -85,22 +85,22 @@
 	d.cluster.after(0, func() {
 		if d.incarnation == incarnation {
 			done(outcome)
-			d.answered()
+			d.afterTransaction()
 		}
 	})
 }
 
-// bareDisk says at each start that it has granted nothing before.
-type bareDisk struct{ *disk }
+// alwaysNewDisk reports at each start that it is new, as if it had granted no lease before.
+type alwaysNewDisk struct{ *disk }
 
-// IsNew says that nothing was ever kept here.
-func (bareDisk) IsNew() bool { return true }
+// IsNew is always true.
+func (alwaysNewDisk) IsNew() bool { return true }
 
-// simpleSetDisk writes a change of voters as if it were over.
-type simpleSetDisk struct{ *disk }
+// singleSetDisk writes a change of voters as if it were complete.
+type singleSetDisk struct{ *disk }
 
-// Submit writes each set of voters without the one that it replaces.
-func (d *simpleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
+// Submit writes each set of voters without the old set that it replaces.
+func (d *singleSetDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	write.Changes = slices.Clone(write.Changes)
 	for index, change := range write.Changes {
 		if change.Voters != nil {
@@ -110,100 +110,100 @@
 	d.disk.Submit(write, done)
 }
 
-// oldSnapshotDisk installs the pairs of the snapshot before.
+// oldSnapshotDisk installs the pairs of the previous snapshot.
 type oldSnapshotDisk struct {
 	*disk
-	before *wire.Snapshot
+	previous *wire.Snapshot
 }
 
-// Submit installs the snapshot before in place of the newest.
+// Submit replaces the pairs of a snapshot by those of the previous one, and keeps its log position.
 func (d *oldSnapshotDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	if write.Snapshot != nil {
 		newest := write.Snapshot
 		old, _ := d.model.Read(write.Key)
-		if d.before == nil && len(old.Pairs) > 0 {
-			d.before = &old
+		if d.previous == nil && len(old.Pairs) > 0 {
+			d.previous = &old
 		}
-		if d.before != nil {
-			write.Snapshot = &wire.Snapshot{Last: newest.Last, Voters: newest.Voters, Pairs: d.before.Pairs}
+		if d.previous != nil {
+			write.Snapshot = &wire.Snapshot{Last: newest.Last, Voters: newest.Voters, Pairs: d.previous.Pairs}
 		}
-		d.before = newest
+		d.previous = newest
 	}
 	d.disk.Submit(write, done)
 }
 
-// repeatingLinks answers a heartbeat at once with what the one before was answered.
-type repeatingLinks struct {
+// staleHeartbeatLinks answers a heartbeat at once with the answer to the previous one.
+type staleHeartbeatLinks struct {
 	*links
-	before map[string]wire.AppendAnswer
+	previousAnswers map[string]wire.AppendAnswer
 }
 
-// Append answers heartbeats with the answer before.
-func (l *repeatingLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	earlier, isThere := l.before[disk]
-	isHeartbeat := len(ask.Changes) == 0 && ask.Snapshot == nil && ask.Chunk == nil && !ask.Release
-	if !isThere || !isHeartbeat || earlier.Promised != ask.Epoch || earlier.Last != ask.Prev {
-		l.links.Append(disk, ask, l.noting(disk, done))
+// Append answers a heartbeat with the previous answer, if that fits the heartbeat's epoch and position.
+func (l *staleHeartbeatLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	earlier, exists := l.previousAnswers[disk]
+	isHeartbeat := len(call.Changes) == 0 && call.Snapshot == nil && call.Chunk == nil && !call.Release
+	if !exists || !isHeartbeat || earlier.Promised != call.Epoch || earlier.Last != call.Prev {
+		l.links.Append(disk, call, l.recordingAnswer(disk, done))
 		return
 	}
-	delete(l.before, disk)
+	delete(l.previousAnswers, disk)
 	l.node.post(func() { done(earlier, nil) })
-	l.links.Append(disk, ask, l.noting(disk, func(wire.AppendAnswer, error) {}))
+	l.links.Append(disk, call, l.recordingAnswer(disk, func(wire.AppendAnswer, error) {}))
 }
 
-func (l *repeatingLinks) noting(disk string, done func(wire.AppendAnswer, error)) func(wire.AppendAnswer, error) {
+func (l *staleHeartbeatLinks) recordingAnswer(disk string, done func(wire.AppendAnswer, error)) func(wire.AppendAnswer, error) {
 	return func(answer wire.AppendAnswer, err error) {
 		if err == nil && answer.Taken {
-			l.before[disk] = answer
+			l.previousAnswers[disk] = answer
 		}
 		done(answer, err)
 	}
 }
 
-// newVotersLinks answers for the voters that go, while the set changes.
+// newVotersLinks acknowledges changes on behalf of the old voters while the voters change.
 type newVotersLinks struct {
 	*links
 	set wire.VoterSet
 }
 
-// Append answers changes in the name of a voter that is to go.
-func (l *newVotersLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
+// Append acknowledges changes on behalf of an old voter without sending them.
+func (l *newVotersLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.set = l.node.engine.Belief().Voters
 	isLeaving := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
-	count := len(ask.Changes)
-	if !isLeaving || count == 0 || ask.Snapshot != nil || disk == l.node.disk.name {
-		l.links.Append(disk, ask, done)
+	count := len(call.Changes)
+	if !isLeaving || count == 0 || call.Snapshot != nil || disk == l.node.disk.name {
+		l.links.Append(disk, call, done)
 		return
 	}
 	l.node.post(func() {
-		done(wire.AppendAnswer{Taken: true, Promised: ask.Epoch, Last: ask.Changes[count-1].Position, Disk: disk}, nil)
+		done(wire.AppendAnswer{Taken: true, Promised: call.Epoch, Last: call.Changes[count-1].Position, Disk: disk}, nil)
 	})
 }
 
-// earlyLearnerLinks reports an empty learner as one that has everything.
+// earlyLearnerLinks reports that an empty learner has caught up.
 type earlyLearnerLinks struct{ *links }
 
-// Append says of an empty disk that it has taken everything.
-func (l *earlyLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
+// Append answers on behalf of an empty disk that it has all changes.
+func (l *earlyLearnerLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	l.links.Append(disk, call, func(answer wire.AppendAnswer, err error) {
 		belief := l.node.engine.Belief()
-		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= ask.Epoch && !slices.Contains(belief.Voters.Old, disk) {
+		if err == nil && !answer.Taken && answer.Last == (wire.LogPosition{}) && answer.Promised <= call.Epoch && !slices.Contains(belief.Voters.Old, disk) {
 			answer.Taken, answer.Last = true, belief.Last
 		}
 		done(answer, err)
 	})
 }
 
-// unfinishedLearnerLinks reports a learner that is between two chunks as one that has taken all it is sent.
+// unfinishedLearnerLinks reports that a learner that has only some chunks of a snapshot has caught up.
 type unfinishedLearnerLinks struct {
 	*links
 	unfinished map[string]bool
 }
 
-// Append says of a disk between two chunks that it has taken everything.
-func (l *unfinishedLearnerLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	l.links.Append(disk, ask, func(answer wire.AppendAnswer, err error) {
-		isPart := err == nil && !answer.Taken && answer.Promised <= ask.Epoch && (ask.Chunk != nil || l.unfinished[disk])
+// Append answers on behalf of a disk between two chunks that it has all changes.
+func (l *unfinishedLearnerLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	l.links.Append(disk, call, func(answer wire.AppendAnswer, err error) {
+		isPart := err == nil && !answer.Taken && answer.Promised <= call.Epoch && (call.Chunk != nil || l.unfinished[disk])
 		if isPart {
 			l.unfinished[disk] = true
 			answer.Taken, answer.Last = true, l.node.engine.Belief().Last
@@ -212,69 +212,69 @@
 	})
 }
 
-// mixedChunkLinks sends the pairs of an earlier snapshot's chunk in place of a newer one's.
+// mixedChunkLinks replaces the pairs of a snapshot's chunk by those of an earlier snapshot's chunk.
 type mixedChunkLinks struct {
 	*links
-	first map[int][]wire.Op
+	firstPairs map[int][]wire.Op
 }
 
-// Append sends the first pairs ever sent under the number of a chunk.
-func (l *mixedChunkLinks) Append(disk string, ask wire.AppendCall, done func(wire.AppendAnswer, error)) {
-	if ask.Chunk != nil {
-		if pairs, isThere := l.first[ask.Chunk.Number]; isThere {
-			mixed := *ask.Chunk
+// Append sends, for each chunk number, the pairs that were first sent under that number.
+func (l *mixedChunkLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
+	if call.Chunk != nil {
+		if pairs, exists := l.firstPairs[call.Chunk.Number]; exists {
+			mixed := *call.Chunk
 			mixed.Pairs = pairs
-			ask.Chunk = &mixed
+			call.Chunk = &mixed
 		} else {
-			l.first[ask.Chunk.Number] = ask.Chunk.Pairs
+			l.firstPairs[call.Chunk.Number] = call.Chunk.Pairs
 		}
 	}
-	l.links.Append(disk, ask, done)
+	l.links.Append(disk, call, done)
 }
 
-type carelessLeadership struct{ keyLeadership }
+type alwaysLeasedLeadership struct{ keyLeadership }
 
 // HasLease is always true.
-func (carelessLeadership) HasLease() bool { return true }
+func (alwaysLeasedLeadership) HasLease() bool { return true }
 
-// hastyLeadership says that a change is committed as soon as it is proposed.
-type hastyLeadership struct{ keyLeadership }
+// earlyCommitLeadership reports a change as committed as soon as it is proposed.
+type earlyCommitLeadership struct{ keyLeadership }
 
 // Commit reports success before the change is committed.
-func (t hastyLeadership) Commit(ops []wire.Op, done func(error)) {
+func (t earlyCommitLeadership) Commit(ops []wire.Op, done func(error)) {
 	t.keyLeadership.Commit(ops, func(error) {})
 	done(nil)
 }
 
-// forgetfulMachine opens without the list of confirmed changes.
-type forgetfulMachine struct{ replication.StateMachine }
+// machineWithoutConfirmed opens without the records of confirmed changes.
+type machineWithoutConfirmed struct{ replication.StateMachine }
 
-// Open leaves the records of confirmed changes out.
-func (m forgetfulMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+// Open opens without the records of confirmed changes.
+func (m machineWithoutConfirmed) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	isRecord := func(pair wire.Op) bool { return strings.HasPrefix(pair.Name, confirmedPrefix) }
 	pairs = slices.DeleteFunc(slices.Clone(pairs), isRecord)
 	return m.StateMachine.Open(leadership, pairs)
 }
 
-// unevacuatedMachine opens without the list of evacuations.
-type unevacuatedMachine struct{ replication.StateMachine }
+// machineWithoutEvacuations opens without the record of evacuations.
+type machineWithoutEvacuations struct{ replication.StateMachine }
 
-// Open leaves the record of evacuations out.
-func (m unevacuatedMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+// Open opens without the record of evacuations.
+func (m machineWithoutEvacuations) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	isRecord := func(pair wire.Op) bool { return pair.Name == recordEvacuations }
 	return m.StateMachine.Open(leadership, slices.DeleteFunc(slices.Clone(pairs), isRecord))
 }
 
-func confirmNumber(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
-	plan, err := configuration.Read(ask.Body)
-	if ask.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.cluster.record.top {
+func confirmSameNumber(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
+	plan, err := configuration.Read(call.Body)
+	if call.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.cluster.oracleState.highestConfirmed {
 		return wire.ClientAnswer{Status: http.StatusOK}
 	}
 	return answer
 }
 
-func refuseCommitted(n *simNode, ask *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
-	if ask.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.draw.IntN(50) == 0 {
+func refuseCommitted(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
+	if call.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.random.IntN(50) == 0 {
 		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "injected"}
 	}
 	return answer
