--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -18,9 +18,9 @@
 	verbCancel = "cancel"
 	route      = "route"
 
-	clientPatience = 1500 * time.Millisecond
-	minPatience    = 100 * time.Millisecond
-	maxPatience    = 1400 * time.Millisecond
+	clientTimeout  = 1500 * time.Millisecond
+	minGateTimeout = 100 * time.Millisecond
+	maxGateTimeout = 1400 * time.Millisecond
 	clientPause    = 150 * time.Millisecond
 	clientAttempts = 40
 )
@@ -38,7 +38,7 @@
 
 // serve asks the key's leader until there is an answer or no time left.
 func (g *modelGate) serve(request wire.ClientCall, answer func(clientReply)) {
-	attempts := leaderclient.NewAttempts(poolKey, g.cluster.queue.now()+g.cluster.queue.between(minPatience, maxPatience), g.cluster.queue.random.IntN)
+	attempts := leaderclient.NewAttempts(poolKey, g.cluster.queue.now()+g.cluster.queue.between(minGateTimeout, maxGateTimeout), g.cluster.queue.random.IntN)
 	var next func()
 	pause := func() { g.later(attempts.Pause(g.cluster.queue.now()), next) }
 	next = func() {
@@ -67,7 +67,7 @@
 }
 
 func (g *modelGate) reply(request *wire.ClientCall, outcome leaderclient.Outcome) clientReply {
-	response := clientapi.ResponseOf(request, g.cluster.fault.outcome(outcome))
+	response := clientapi.ResponseOf(request, g.cluster.fault.adjustOutcome(outcome))
 	return clientReply{response.Status, string(response.Body)}
 }
 
@@ -95,7 +95,7 @@
 // request sends a client's call by way of a gate.
 func (w *simCluster) request(through int, request wire.ClientCall, done func(clientReply)) {
 	to := w.gates[through%len(w.gates)]
-	call(w, w.outside, &to.modelProcess, clientPatience, func(answer func(clientReply)) { to.serve(request, answer) },
+	call(w, w.outside, &to.modelProcess, clientTimeout, func(answer func(clientReply)) { to.serve(request, answer) },
 		func(reply clientReply, err error) {
 			if err != nil {
 				reply = clientReply{}
@@ -115,7 +115,7 @@
 	request := wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbSubmit, Body: body, Terms: &terms}
 	job.openAttempts++
 	w.request(through, request, func(reply clientReply) {
-		w.oracles.submitted(job, reply)
+		w.oracles.recordSubmitAnswer(job, reply)
 		if (reply.status == 0 || reply.status == http.StatusGatewayTimeout) && attempt < clientAttempts {
 			w.queue.after(clientPause, func() { w.submit(job, through+1, attempt+1) })
 		}
@@ -127,7 +127,7 @@
 	job.isCancelSent = true
 	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
 		if reply.status == http.StatusOK {
-			w.oracles.cancelled(job)
+			w.oracles.recordCancel(job)
 			return
 		}
 		if reply.status != http.StatusGone && attempt < clientAttempts {
@@ -140,7 +140,7 @@
 func (w *simCluster) inspect(job *modelJob, through int, done func()) {
 	wasAccepted, wasCancelled := job.isAccepted, job.isCancelled
 	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbState}, func(reply clientReply) {
-		w.oracles.shown(job, reply, wasAccepted, wasCancelled)
+		w.oracles.checkShownState(job, reply, wasAccepted, wasCancelled)
 		done()
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/clientoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/clientoracles.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-func (o *oracles) submitted(job *modelJob, reply clientReply) {
+func (o *oracles) recordSubmitAnswer(job *modelJob, reply clientReply) {
 	job.openAttempts--
 	switch reply.status {
 	case http.StatusOK:
@@ -16,18 +16,18 @@
 		}
 		job.isAccepted = true
 	case 0, http.StatusBadGateway, http.StatusGatewayTimeout:
-		job.isUnclear = true
+		job.hasUnclearAnswer = true
 		o.cluster.count("hand_in_unclear")
 	default:
 		job.isRefused = true
 		o.cluster.count("hand_in_refused")
-		if job.isRefusedForGood() && job.startedRuns > 0 {
+		if job.isFinallyRefused() && job.startedRuns > 0 {
 			o.cluster.violate("REFUSED", "%s was started and its hand-in is refused now with %d", job.id, reply.status)
 		}
 	}
 }
 
-func (o *oracles) cancelled(job *modelJob) {
+func (o *oracles) recordCancel(job *modelJob) {
 	if !job.isCancelled {
 		o.cluster.count("cancelled")
 		job.isCancelled, job.cancelledAt = true, o.cluster.queue.now()
@@ -35,7 +35,7 @@
 }
 
 // shown checks the state that a client is told.
-func (o *oracles) shown(job *modelJob, reply clientReply, wasAccepted, wasCancelled bool) {
+func (o *oracles) checkShownState(job *modelJob, reply clientReply, wasAccepted, wasCancelled bool) {
 	switch reply.status {
 	case http.StatusGone:
 		if wasAccepted {
--- a/internal/simulation/modelcheck/ordermodel/coresplits.go
+++ b/internal/simulation/modelcheck/ordermodel/coresplits.go
@@ -19,9 +19,9 @@
 	coreSplitStream = 53
 	endOfDayStream  = 59
 	// So many schedules in ten have splits of the core, or an end of the day.
-	coreSplitsOfTen = 3
-	endsOfDayOfTen  = 3
-	maxCoreSplits   = 3
+	coreSplitsPerTen = 3
+	endsOfDayPerTen  = 3
+	maxCoreSplits    = 3
 	// The shortest and the longest split, and the longest pause between two, in milliseconds.
 	minCoreSplitMs, maxCoreSplitMs = 300, 7000
 	maxCoreSplitPauseMs            = 2000
@@ -35,7 +35,7 @@
 // addCoreSplits cuts the core into halves in some schedules, once or more. It draws from a stream of its own, so that all else of a schedule is as it was.
 func (p *plan) addCoreSplits(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, coreSplitStream))
-	if random.IntN(10) >= coreSplitsOfTen {
+	if random.IntN(10) >= coreSplitsPerTen {
 		return
 	}
 	at := between(random, firstStepMs, lastStepMs)
@@ -49,7 +49,7 @@
 // addEndOfDay ends the day in some schedules, right after jobs were submitted. It draws from a stream of its own.
 func (p *plan) addEndOfDay(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, endOfDayStream))
-	if random.IntN(10) >= endsOfDayOfTen {
+	if random.IntN(10) >= endsOfDayPerTen {
 		return
 	}
 	at := between(random, firstStepMs, lastStepMs)
@@ -65,19 +65,19 @@
 	count := len(w.stewards)
 	for number, steward := range w.stewards {
 		if (number+step.Node)%count < count/2 {
-			steward.half = 1
+			steward.coreSide = 1
 		} else {
-			steward.half = 0
+			steward.coreSide = 0
 		}
 	}
-	w.splits++
-	split := w.splits
+	w.coreSplits++
+	split := w.coreSplits
 	w.queue.after(length, func() {
-		if w.splits != split {
+		if w.coreSplits != split {
 			return
 		}
 		for _, steward := range w.stewards {
-			steward.half = 0
+			steward.coreSide = 0
 		}
 	})
 }
@@ -88,8 +88,8 @@
 	w.onCommit = func() {
 		w.queue.after(clock.Milliseconds(int64(step.Value)), func() {
 			w.count("end_of_day")
-			w.trouble(int(length / time.Millisecond))
-			w.coreTrouble(length)
+			w.recordFault(int(length / time.Millisecond))
+			w.recordCoreFault(length)
 			w.key.losePower()
 			for _, steward := range w.stewards {
 				w.killSteward(steward, length)
@@ -98,7 +98,7 @@
 				w.restart(&gate.modelProcess, gate.start, length)
 			}
 			for _, proxy := range w.proxies {
-				proxy.executor.disturb(length)
+				proxy.executor.recordMachineFault(length)
 				w.restart(&proxy.modelProcess, proxy.start, length)
 			}
 		})
@@ -117,7 +117,7 @@
 
 // losePower forgets nothing that was committed; an injected fault has the newest commit stand only on disks that are lost.
 func (k *replicatedKey) losePower() {
-	if k.cluster.fault.name == faultCommitOnLostDisks && k.beforeLast != nil {
-		k.pairs = k.beforeLast
+	if k.cluster.fault.name == faultCommitOnLostDisks && k.pairsBeforeLastCommit != nil {
+		k.pairs = k.pairsBeforeLastCommit
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/events.go
+++ b/internal/simulation/modelcheck/ordermodel/events.go
@@ -27,7 +27,7 @@
 }
 
 func newEventQueue(seed uint64) *eventQueue {
-	return &eventQueue{clock: clock.NewFake(beginWallMs), random: rand.New(rand.NewPCG(seed, queueStream))}
+	return &eventQueue{clock: clock.NewFake(wallAtStartMs), random: rand.New(rand.NewPCG(seed, queueStream))}
 }
 
 func (q *eventQueue) now() time.Duration { return q.clock.Monotonic() }
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -11,20 +11,20 @@
 
 // modelExecution is a run that an executor has begun.
 type modelExecution struct {
-	task     string
-	run      int64
-	step     *jobs.Step
-	position jobs.TaskPosition
-	begunAt  time.Duration
-	length   time.Duration
-	how      string
-	saved    string
-	isStuck  bool
-	isGoing  bool
-	executor *modelExecutor
+	task       string
+	run        int64
+	step       *jobs.Step
+	position   jobs.TaskPosition
+	begunAt    time.Duration
+	length     time.Duration
+	outcome    string
+	checkpoint string
+	isStuck    bool
+	isWorking  bool
+	executor   *modelExecutor
 }
 
-func (e *modelExecutor) find(task string, run int64) *modelExecution {
+func (e *modelExecutor) findRun(task string, run int64) *modelExecution {
 	index := slices.IndexFunc(e.active, func(execution *modelExecution) bool { return execution.task == task && execution.run == run })
 	if index < 0 {
 		return nil
@@ -32,37 +32,37 @@
 	return e.active[index]
 }
 
-func (e *modelExecutor) begin(order executorapi.RunStart, isLate bool) {
-	execution := &modelExecution{task: order.Task, run: order.Run, executor: e, begunAt: e.cluster.queue.now(), saved: order.Checkpoint, isStuck: e.isStuck}
+func (e *modelExecutor) beginRun(order executorapi.RunStart, isLate bool) {
+	execution := &modelExecution{task: order.Task, run: order.Run, executor: e, begunAt: e.cluster.queue.now(), checkpoint: order.Checkpoint, isStuck: e.isStuck}
 	execution.position, _ = jobs.ParseTask(order.Task)
 	execution.step = e.cluster.oracles.stepOf(execution.position)
-	execution.length, execution.how = e.cluster.profile.work(execution)
+	execution.length, execution.outcome = e.cluster.profile.work(execution)
 	e.active = append(e.active, execution)
-	e.cluster.oracles.started(e, execution, order, isLate)
+	e.cluster.oracles.checkStart(e, execution, order, isLate)
 	switch {
 	case execution.step.Gang:
 		e.joinGang(execution)
 	default:
-		e.goOn(execution)
+		e.startWork(execution)
 	}
 }
 
 // goOn lets a run work until its end; one that makes no progress waits for ever.
-func (e *modelExecutor) goOn(execution *modelExecution) {
-	execution.isGoing, execution.begunAt = true, e.cluster.queue.now()
+func (e *modelExecutor) startWork(execution *modelExecution) {
+	execution.isWorking, execution.begunAt = true, e.cluster.queue.now()
 	if execution.step.Checkpointing {
 		e.checkpoint(execution)
 	}
-	if execution.isStuck || execution.step.LongRunning && execution.how == outcomeDone {
+	if execution.isStuck || execution.step.LongRunning && execution.outcome == outcomeDone {
 		return
 	}
-	e.later(execution.length, func() { e.end(execution, execution.how) })
+	e.later(execution.length, func() { e.endRun(execution, execution.outcome) })
 }
 
 func (e *modelExecutor) checkpoint(execution *modelExecution) {
 	e.later(checkpointTime, func() {
 		if slices.Contains(e.active, execution) {
-			execution.saved = e.cluster.oracles.save(execution.task, execution.run)
+			execution.checkpoint = e.cluster.oracles.saveCheckpoint(execution.task, execution.run)
 			e.checkpoint(execution)
 		}
 	})
@@ -70,22 +70,22 @@
 
 // joinGang starts the work of a gang once all of its members are there; one that waits too long ends alone.
 func (e *modelExecutor) joinGang(execution *modelExecution) {
-	members := e.cluster.gang(execution)
+	members := e.cluster.presentGangMembers(execution)
 	if len(members) == execution.step.Tasks {
 		for _, member := range members {
-			member.executor.goOn(member)
+			member.executor.startWork(member)
 		}
 		return
 	}
 	e.later(e.cluster.profile.gangWait, func() {
-		if !execution.isGoing {
-			e.end(execution, howAlone)
+		if !execution.isWorking {
+			e.endRun(execution, outcomeAlone)
 		}
 	})
 }
 
 // gang gives the members of a run that are there.
-func (w *simCluster) gang(execution *modelExecution) []*modelExecution {
+func (w *simCluster) presentGangMembers(execution *modelExecution) []*modelExecution {
 	var members []*modelExecution
 	for _, executor := range w.executors {
 		if !executor.isUp {
@@ -100,39 +100,39 @@
 	return members
 }
 
-func (e *modelExecutor) end(execution *modelExecution, how string) {
+func (e *modelExecutor) endRun(execution *modelExecution, outcome string) {
 	index := slices.Index(e.active, execution)
 	if index < 0 {
 		return
 	}
-	members := e.cluster.gang(execution)
+	members := e.cluster.presentGangMembers(execution)
 	e.active = slices.Delete(e.active, index, index+1)
 	delete(e.stopping, execution)
 	e.highest[execution.task] = max(e.highest[execution.task], execution.run)
 	e.lastEnd++
 	e.lapsesAtEnd[e.lastEnd] = e.lapses
-	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: execution.task, Run: execution.run, Outcome: wire.RunOutcome(how), Checkpoint: execution.saved})
-	e.cluster.oracles.ended(e, execution, how)
+	e.ends = append(e.ends, executorapi.EndRow{Number: e.lastEnd, Task: execution.task, Run: execution.run, Outcome: wire.RunOutcome(outcome), Checkpoint: execution.checkpoint})
+	e.cluster.oracles.recordEnd(e, execution, outcome)
 	pollers := e.pollers
 	e.pollers = nil
 	for _, wake := range pollers {
 		wake()
 	}
-	if execution.step.Gang && how != outcomeBroken {
-		e.cluster.endGang(members, execution, how)
+	if execution.step.Gang && outcome != outcomeBroken {
+		e.cluster.endGang(members, execution, outcome)
 	}
 }
 
 // endGang ends the other members of a gang: as done together with the first, or as broken soon after.
-func (w *simCluster) endGang(members []*modelExecution, first *modelExecution, how string) {
+func (w *simCluster) endGang(members []*modelExecution, first *modelExecution, outcome string) {
 	for _, member := range members {
-		if member == first || !member.isGoing {
+		if member == first || !member.isWorking {
 			continue
 		}
 		with := outcomeBroken
-		if how == outcomeDone {
+		if outcome == outcomeDone {
 			with = outcomeDone
 		}
-		member.executor.later(2*time.Millisecond, func() { member.executor.end(member, with) })
+		member.executor.later(2*time.Millisecond, func() { member.executor.endRun(member, with) })
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	localHop           = 500 * time.Microsecond
-	minLate            = 2 * time.Second
-	maxLate            = 12 * time.Second
-	drainMs            = 2000
+	localLatency       = 500 * time.Microsecond
+	minCallDelay       = 2 * time.Second
+	maxCallDelay       = 12 * time.Second
+	drainTimeMs        = 2000
 	heartbeatInterval  = 1500 * time.Millisecond
 	firstHeartbeatTime = 300 * time.Millisecond
 	maxHeartbeatTime   = 3 * time.Second
 
-	percentLateBeats = 60
-	checkpointTime   = 700 * time.Millisecond
-	maxEndsReported  = 500
-	percentLate      = 50
-	percentBusy      = 60
+	percentLateHeartbeats = 60
+	checkpointTime        = 700 * time.Millisecond
+	maxEndsReported       = 500
+	percentLate           = 50
+	percentBusy           = 60
 )
 
 // modelExecutor keeps to the protocol: fence, highest run, holds on its own clock, numbered ends; its calls may be late,
@@ -51,11 +51,11 @@
 	id         string
 	isDraining bool
 	// isLeaving is set once this incarnation has deregistered without a drain.
-	isLeaving bool
+	hasSkippedDrain bool
 	// isSilent is set once the executor has deregistered; it sends no heartbeats any more.
-	isSilent  bool
-	departsAt time.Duration
-	begunAt   time.Duration
+	isDeregistered bool
+	departsAt      time.Duration
+	begunAt        time.Duration
 	// slowPermyriad is how much slower than the cluster's clock its own is, in hundredths of a percent.
 	slowPermyriad int64
 	sequence      int64
@@ -63,9 +63,9 @@
 
 // executorFaults are the faults that the machine has now.
 type executorFaults struct {
-	isLate, isMute, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
+	isLate, losesAnswers, isBusy, isRefusing, isStuck, isHeartbeatLate, isSlow bool
 	// troubledFrom and troubledUntil are the last span in which anything was wrong with this machine.
-	troubledFrom, troubledUntil time.Duration
+	faultyFrom, faultyUntil time.Duration
 }
 
 // executorLease is until when runs may go on, by the executor's own clock, and for which leader's fence.
@@ -92,7 +92,7 @@
 	e.incarnation++
 	e.id = e.machine + "-" + strconv.Itoa(e.incarnation)
 	e.isUp, e.isFrozen, e.begunAt = true, false, e.cluster.queue.now()
-	e.isDraining, e.isLeaving, e.isSilent = false, false, false
+	e.isDraining, e.hasSkippedDrain, e.isDeregistered = false, false, false
 	e.slowPermyriad = e.cluster.queue.random.Int64N(201)
 	e.sequence, e.fence, e.expiryMs, e.lapses, e.lastEnd = 0, 0, 0, 0, 0
 	e.active, e.ends, e.lapsesAtEnd, e.pollers, e.waiting = nil, nil, map[int64]int{}, nil, nil
@@ -101,10 +101,10 @@
 }
 
 func (e *modelExecutor) crash() {
-	e.disturb(0)
+	e.recordMachineFault(0)
 	e.isUp = false
 	e.incarnation++
-	e.cluster.oracles.crashed(e)
+	e.cluster.oracles.recordCrash(e)
 }
 
 // later runs something in this incarnation of the executor; a frozen one does it once it wakes.
@@ -114,7 +114,7 @@
 }
 
 func (e *modelExecutor) wake() {
-	for _, run := range e.thaw() {
+	for _, run := range e.unfreeze() {
 		e.cluster.queue.after(0, run)
 	}
 }
@@ -125,7 +125,7 @@
 
 // sendHeartbeat tells the proxy of the machine that the executor is there.
 func (e *modelExecutor) sendHeartbeat() {
-	if e.isSilent {
+	if e.isDeregistered {
 		return
 	}
 	e.sequence++
@@ -134,10 +134,10 @@
 	if e.isDraining {
 		heartbeat.State, heartbeat.DepartureMs = "draining", max(1, (e.departsAt-e.cluster.queue.now()).Milliseconds())
 	}
-	id, proxy, wait := e.id, e.proxy, localHop
-	if e.isHeartbeatLate && e.cluster.queue.chance(percentLateBeats) {
+	id, proxy, wait := e.id, e.proxy, localLatency
+	if e.isHeartbeatLate && e.cluster.queue.chance(percentLateHeartbeats) {
 		e.cluster.count("beat_late")
-		wait = e.cluster.queue.between(localHop, maxHeartbeatTime)
+		wait = e.cluster.queue.between(localLatency, maxHeartbeatTime)
 	}
 	e.cluster.queue.after(wait, func() {
 		proxy.enter(proxy.incarnation, func() { proxy.table.Heartbeat(id, heartbeat) })
@@ -150,8 +150,8 @@
 	if !e.isUp || e.isDraining {
 		return
 	}
-	e.isDraining, e.departsAt = true, e.cluster.queue.now()+clock.Milliseconds(drainMs)
-	e.later(clock.Milliseconds(drainMs), func() {
+	e.isDraining, e.departsAt = true, e.cluster.queue.now()+clock.Milliseconds(drainTimeMs)
+	e.later(clock.Milliseconds(drainTimeMs), func() {
 		e.sendDeregistration()
 		e.later(100*time.Millisecond, e.replace)
 	})
@@ -164,15 +164,15 @@
 		return
 	}
 	e.cluster.count("farewell_unannounced")
-	e.isLeaving = true
+	e.hasSkippedDrain = true
 	e.sendDeregistration()
-	e.later(clock.Milliseconds(drainMs)+servesOn, e.replace)
+	e.later(clock.Milliseconds(drainTimeMs)+servesOn, e.replace)
 }
 
 // sendDeregistration tells the proxy that this executor leaves.
 func (e *modelExecutor) sendDeregistration() {
 	id, proxy := e.id, e.proxy
-	e.isSilent = true
+	e.isDeregistered = true
 	proxy.enter(proxy.incarnation, func() { proxy.table.Deregister(id) })
 }
 
@@ -187,12 +187,12 @@
 }
 
 // disturb notes that something is wrong with this machine from now on for a while.
-func (e *modelExecutor) disturb(length time.Duration) {
+func (e *modelExecutor) recordMachineFault(length time.Duration) {
 	now := e.cluster.queue.now()
-	if now > e.troubledUntil {
-		e.troubledFrom = now
+	if now > e.faultyUntil {
+		e.faultyFrom = now
 	}
-	e.troubledUntil = max(e.troubledUntil, now+length)
+	e.faultyUntil = max(e.faultyUntil, now+length)
 }
 
 var _ proxyTable = (*localproxy.Table)(nil)
--- a/internal/simulation/modelcheck/ordermodel/executorcalls.go
+++ b/internal/simulation/modelcheck/ordermodel/executorcalls.go
@@ -14,19 +14,19 @@
 // receive takes a call of the proxy; reply may never be called.
 func (e *modelExecutor) receive(executorID string, request executorRequest, fault injectedFault, reply func(wait time.Duration, reply executorReply)) {
 	if !e.isUp || e.isRefusing {
-		reply(localHop, executorReply{err: errNoAnswer, isRefused: true})
+		reply(localLatency, executorReply{err: errNoAnswer, isRefused: true})
 		return
 	}
-	wait, isMute := localHop, e.isMute && e.cluster.queue.chance(percentLate)
+	wait, losesAnswers := localLatency, e.losesAnswers && e.cluster.queue.chance(percentLate)
 	if e.isLate && e.cluster.queue.chance(percentLate) {
 		e.cluster.count("executor_late")
-		wait, isMute = e.cluster.queue.between(minLate, maxLate), true
+		wait, losesAnswers = e.cluster.queue.between(minCallDelay, maxCallDelay), true
 	}
-	isFresh := !isMute || wait == localHop
+	isFresh := !losesAnswers || wait == localLatency
 	isBusy := e.isBusy && isFresh && e.cluster.queue.chance(percentBusy)
 	answer := func(response executorReply) {
-		if !isMute {
-			reply(localHop, response)
+		if !losesAnswers {
+			reply(localLatency, response)
 			return
 		}
 		e.cluster.count("executor_answer_lost")
@@ -73,7 +73,7 @@
 		answer(e.reported(http.StatusConflict, "fence"))
 		return
 	}
-	if e.find(order.Task, order.Run) != nil {
+	if e.findRun(order.Task, order.Run) != nil {
 		e.extend(order.ExpiryMs)
 		answer(e.reported(http.StatusOK, ""))
 		return
@@ -95,7 +95,7 @@
 		answer(e.reported(http.StatusConflict, "room"))
 		return
 	}
-	e.begin(order, isLate)
+	e.beginRun(order, isLate)
 	answer(e.reported(http.StatusOK, ""))
 }
 
@@ -105,16 +105,16 @@
 		return
 	}
 	e.highest[order.Task] = max(e.highest[order.Task], order.Run)
-	if execution := e.find(order.Task, order.Run); execution != nil && !e.stopping[execution] {
+	if execution := e.findRun(order.Task, order.Run); execution != nil && !e.stopping[execution] {
 		e.stopping[execution] = true
 		e.later(e.cluster.queue.between(0, e.cluster.timing.StopTimeout), func() {
 			if execution.step.Checkpointing && slices.Contains(e.active, execution) {
-				execution.saved = e.cluster.oracles.save(execution.task, execution.run)
+				execution.checkpoint = e.cluster.oracles.saveCheckpoint(execution.task, execution.run)
 			}
-			e.end(execution, outcomeStopped)
+			e.endRun(execution, outcomeStopped)
 		})
 	}
-	e.cluster.oracles.stopTaken(e, order.Task, order.Run)
+	e.cluster.oracles.recordStop(e, order.Task, order.Run)
 	answer(e.reported(http.StatusOK, ""))
 }
 
@@ -149,7 +149,7 @@
 			return false
 		}
 		if e.lapsesAtEnd[end.Number] == e.lapses {
-			e.cluster.oracles.noted(e, end)
+			e.cluster.oracles.recordAcknowledgedEnd(e, end)
 		}
 		return true
 	})
@@ -161,13 +161,13 @@
 	reply.answer.Ends = slices.Clone(e.ends[:min(maxEndsReported, len(e.ends))])
 	for _, execution := range e.active {
 		percent := 0
-		if execution.isGoing && !execution.isStuck && execution.length > 0 {
+		if execution.isWorking && !execution.isStuck && execution.length > 0 {
 			percent = int(100 * (e.cluster.queue.now() - execution.begunAt) / execution.length)
 		}
 		if execution.step.LongRunning {
 			percent = int(e.cluster.queue.now()/(100*time.Millisecond)) % 100
 		}
-		reply.answer.Running = append(reply.answer.Running, executorapi.RunningRow{Task: execution.task, Run: execution.run, Checkpoint: execution.saved, Percent: percent})
+		reply.answer.Running = append(reply.answer.Running, executorapi.RunningRow{Task: execution.task, Run: execution.run, Checkpoint: execution.checkpoint, Percent: percent})
 	}
 	return reply
 }
@@ -193,7 +193,7 @@
 	e.lapses++
 	for _, execution := range slices.Clone(e.active) {
 		e.cluster.count("lapsed")
-		e.end(execution, outcomeLapsed)
+		e.endRun(execution, outcomeLapsed)
 	}
 }
 
--- a/internal/simulation/modelcheck/ordermodel/facts.go
+++ b/internal/simulation/modelcheck/ordermodel/facts.go
@@ -9,18 +9,18 @@
 
 // modelJob is what a client submitted, and what it was told of it.
 type modelJob struct {
-	id           string
-	spec         *jobs.Spec
-	terms        wire.RouteTerms
-	isHandedIn   bool
-	isRefused    bool
-	isUnclear    bool
-	isAccepted   bool
-	isCancelSent bool
-	isCancelled  bool
-	cancelledAt  time.Duration
-	state        string
-	startedRuns  int
+	id               string
+	spec             *jobs.Spec
+	terms            wire.RouteTerms
+	isSubmitted      bool
+	isRefused        bool
+	hasUnclearAnswer bool
+	isAccepted       bool
+	isCancelSent     bool
+	isCancelled      bool
+	cancelledAt      time.Duration
+	state            string
+	startedRuns      int
 	// running is how many runs of the job are at work or wait for their gang.
 	running int
 	// orderedAt is when orders for a task of this job were last given to a machine, by the machine's number.
@@ -30,14 +30,14 @@
 	// isAnswered is set once the last question for the job's state was answered.
 	isAnswered   bool
 	openAttempts int
-	handedInAt   time.Duration
+	submittedAt  time.Duration
 	// progressAt is when a run of the job last ended as done.
-	progressAt time.Duration
+	lastProgressAt time.Duration
 }
 
 // isRefusedForGood tells whether every try to hand the job in was turned away.
-func (j *modelJob) isRefusedForGood() bool {
-	return j.isRefused && !j.isUnclear && !j.isAccepted && j.openAttempts == 0
+func (j *modelJob) isFinallyRefused() bool {
+	return j.isRefused && !j.hasUnclearAnswer && !j.isAccepted && j.openAttempts == 0
 }
 
 func (j *modelJob) isOver() bool {
@@ -50,10 +50,10 @@
 
 // eachTask visits the tasks of all the times of a job.
 func (j *modelJob) eachTask(visit func(name string, step *jobs.Step)) {
-	for time := range max(1, j.spec.RepeatCount) {
+	for occurrence := range max(1, j.spec.RepeatCount) {
 		for number := range j.spec.Steps {
 			for index := range j.spec.Steps[number].Tasks {
-				visit(jobs.TaskName(j.id, time, number, index), &j.spec.Steps[number])
+				visit(jobs.TaskName(j.id, occurrence, number, index), &j.spec.Steps[number])
 			}
 		}
 	}
@@ -61,16 +61,16 @@
 
 // modelTask is what executors truly did with one.
 type modelTask struct {
-	active     []*modelExecution
-	isDone     bool
-	doneAt     time.Duration
-	notedDone  bool
-	starts     []start
-	failures   []failure
-	saved      map[string]bool
-	highestRun int64
-	highestAt  string
-	fence      uint64
+	active             []*modelExecution
+	isDone             bool
+	doneAt             time.Duration
+	isDoneAcknowledged bool
+	starts             []start
+	failures           []failure
+	checkpoints        map[string]bool
+	highestRun         int64
+	highestRunExecutor string
+	fence              uint64
 }
 
 type start struct {
@@ -79,9 +79,9 @@
 }
 
 type failure struct {
-	run     int64
-	at      time.Duration
-	isNoted bool
+	run            int64
+	at             time.Duration
+	isAcknowledged bool
 }
 
 type incarnationRun struct {
--- a/internal/simulation/modelcheck/ordermodel/faultyleaders.go
+++ b/internal/simulation/modelcheck/ordermodel/faultyleaders.go
@@ -7,10 +7,10 @@
 )
 
 // forgetfulLeadership leaves out the end of cancelled jobs from what it commits, so that the next leader goes on with them.
-type forgetfulLeadership struct{ *leadership }
+type cancelDroppingLeadership struct{ *leadership }
 
 // Commit leaves out the ends of cancelled jobs.
-func (t forgetfulLeadership) Commit(ops []wire.Op, done func(error)) {
+func (t cancelDroppingLeadership) Commit(ops []wire.Op, done func(error)) {
 	var kept []wire.Op
 	for _, op := range ops {
 		isEnd := op.Name[0] == 's' && bytes.Contains(op.Value, []byte(`"cancelled"`))
@@ -25,30 +25,30 @@
 	t.leadership.Commit(kept, done)
 }
 
-type hastyLeadership struct{ *leadership }
+type earlyAckLeadership struct{ *leadership }
 
 // Commit reports success before the change is durable.
-func (t hastyLeadership) Commit(ops []wire.Op, done func(error)) {
+func (t earlyAckLeadership) Commit(ops []wire.Op, done func(error)) {
 	t.leadership.Commit(ops, func(error) {})
 	t.steward.later(0, func() {
 		done(nil)
-		t.steward.settle()
+		t.steward.flushPool()
 	})
 }
 
-type boldLeadership struct{ *leadership }
+type leaselessLeadership struct{ *leadership }
 
 // HasLease is true for as long as the leader believes in itself.
-func (t boldLeadership) HasLease() bool { return t.isOpen }
+func (t leaselessLeadership) HasLease() bool { return t.isOpen }
 
 // splitLeadership goes on in a half of the core that has no quorum.
-type splitLeadership struct{ *leadership }
+type minorityLeadership struct{ *leadership }
 
 // HasLease is true for as long as the leader believes in itself.
-func (t splitLeadership) HasLease() bool { return t.isOpen }
+func (t minorityLeadership) HasLease() bool { return t.isOpen }
 
 // Commit says that a change is committed though no quorum can be reached.
-func (t splitLeadership) Commit(ops []wire.Op, done func(error)) {
+func (t minorityLeadership) Commit(ops []wire.Op, done func(error)) {
 	if t.isOpen && !t.key.hasMajority(t.steward) {
 		done(nil)
 		return
@@ -57,10 +57,10 @@
 }
 
 // hastyScheduler acknowledges whatever ends a call brings.
-type hastyScheduler struct{ poolLeader }
+type earlyAckPool struct{ poolLeader }
 
 // Exchange acknowledges all ends of the call at once.
-func (s hastyScheduler) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
+func (s earlyAckPool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	seen := int64(0)
 	if len(call.Ends) > 0 {
 		seen = call.Ends[len(call.Ends)-1].Number
--- a/internal/simulation/modelcheck/ordermodel/faultystalls.go
+++ b/internal/simulation/modelcheck/ordermodel/faultystalls.go
@@ -14,14 +14,14 @@
 	// oneInSkipped ends is left out.
 	oneInSkipped = 5
 	// ticksDozed is how many ticks a dozing leader sleeps.
-	ticksDozed = int(8 * time.Second / tickEvery)
+	ticksPerRun = int(8 * time.Second / tickInterval)
 )
 
 // skippingTable leaves out some ends, and tells the later ones.
-type skippingTable struct{ faultyTable }
+type endSkippingTable struct{ faultyTable }
 
 // Compose leaves out each fifth end.
-func (t *skippingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
+func (t *endSkippingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue {
 		call.Ends = slices.DeleteFunc(call.Ends, func(end wire.EndReport) bool { return end.Number%oneInSkipped == 0 })
@@ -30,46 +30,46 @@
 }
 
 // grudgingTable reports, from the first hold that fails on, that its executor has not been held for long.
-type grudgingTable struct {
+type staleHoldTable struct {
 	faultyTable
 	hasFailed bool
 }
 
-const neverRenewed = time.Hour
+const staleHoldAge = time.Hour
 
 // HandleHoldFailure remembers the failure for ever.
-func (t *grudgingTable) HandleHoldFailure(work localproxy.HoldWork, isOtherExecutor bool) {
+func (t *staleHoldTable) HandleHoldFailure(work localproxy.HoldWork, isOtherExecutor bool) {
 	t.hasFailed = true
 	t.Table.HandleHoldFailure(work, isOtherExecutor)
 }
 
 // Compose reports no hold once one has failed.
-func (t *grudgingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
+func (t *staleHoldTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue && t.hasFailed {
-		call.HoldAgeMs = neverRenewed.Milliseconds()
+		call.HoldAgeMs = staleHoldAge.Milliseconds()
 	}
 	return call, isDue
 }
 
 // dozingScheduler does what falls due only at few of its ticks.
-type dozingScheduler struct {
+type rareTickPool struct {
 	poolLeader
 	ticks int
 }
 
 // Tick does nothing most of the time.
-func (s *dozingScheduler) Tick() {
-	if s.ticks++; s.ticks%ticksDozed == 0 {
+func (s *rareTickPool) Tick() {
+	if s.ticks++; s.ticks%ticksPerRun == 0 {
 		s.poolLeader.Tick()
 	}
 }
 
 // silentScheduler leaves the questions for one job in eight without an answer.
-type silentScheduler struct{ poolLeader }
+type silentStatePool struct{ poolLeader }
 
 // State answers for all jobs but those whose ID ends with certain digits.
-func (s silentScheduler) State(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
+func (s silentStatePool) State(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if call.ID[len(call.ID)-1]%8 != 3 {
 		s.poolLeader.State(call, answer)
 	}
--- a/internal/simulation/modelcheck/ordermodel/faultytables.go
+++ b/internal/simulation/modelcheck/ordermodel/faultytables.go
@@ -35,10 +35,10 @@
 	t.Table.HandleOrderTimeout(work)
 }
 
-type ungrantedTable struct{ faultyTable }
+type ungrantedHoldTable struct{ faultyTable }
 
 // NextHold extends the hold further than was granted.
-func (t *ungrantedTable) NextHold(isForList bool) (localproxy.HoldWork, bool) {
+func (t *ungrantedHoldTable) NextHold(isForList bool) (localproxy.HoldWork, bool) {
 	work, isDue := t.Table.NextHold(isForList)
 	if work.Hold.ExpiryMs > 0 {
 		work.Hold.ExpiryMs += int64(t.proxy.cluster.timing.MaxHold / time.Millisecond)
@@ -78,23 +78,23 @@
 	return orders
 }
 
-type stoppingTable struct{ faultyTable }
+type unansweredStopTable struct{ faultyTable }
 
 // HandleOrderResult reports a stop without an answer as done.
-func (t *stoppingTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
+func (t *unansweredStopTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
 	if work.Order.Kind == "stop" && result == "timeout" {
 		result = "ok"
 	}
 	t.Table.HandleOrderResult(work, result)
 }
 
-type forgetfulTable struct{ faultyTable }
+type unclearStartTable struct{ faultyTable }
 
 // HandleOrderTimeout forgets that the start may yet be carried out.
-func (t *forgetfulTable) HandleOrderTimeout(localproxy.OrderWork) {}
+func (t *unclearStartTable) HandleOrderTimeout(localproxy.OrderWork) {}
 
 // HandleOrderResult reports a start without an answer as not carried out.
-func (t *forgetfulTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
+func (t *unclearStartTable) HandleOrderResult(work localproxy.OrderWork, result wire.OrderResult) {
 	if work.Order.Kind == "launch" && result == "timeout" {
 		result = "not-run"
 	}
@@ -102,10 +102,10 @@
 }
 
 // trustingTable takes each heartbeat for an answer of the life that it names.
-type trustingTable struct{ faultyTable }
+type heartbeatHoldTable struct{ faultyTable }
 
 // Heartbeat takes the heartbeat for the answer to a hold.
-func (t *trustingTable) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (int, string) {
+func (t *heartbeatHoldTable) Heartbeat(id string, heartbeat *executorapi.Heartbeat) (int, string) {
 	status, why := t.Table.Heartbeat(id, heartbeat)
 	if status == http.StatusOK {
 		t.Table.HandleHold(localproxy.HoldWork{Executor: id, BegunAt: t.proxy.cluster.queue.now()}, executorapi.Answer{ClockMs: heartbeat.ClockMs})
@@ -114,28 +114,28 @@
 }
 
 // mixingTable starts each task from the checkpoint that came last.
-type mixingTable struct {
+type wrongCheckpointTable struct {
 	faultyTable
-	saved string
+	lastCheckpoint string
 }
 
 // Ready puts the checkpoint of the order before into a start.
-func (t *mixingTable) Ready(executorID string, order wire.Order) (localproxy.OrderWork, bool) {
+func (t *wrongCheckpointTable) Ready(executorID string, order wire.Order) (localproxy.OrderWork, bool) {
 	work, isDue := t.Table.Ready(executorID, order)
-	saved := t.saved
+	previous := t.lastCheckpoint
 	if work.Order.Checkpoint != "" {
-		t.saved = work.Order.Checkpoint
+		t.lastCheckpoint = work.Order.Checkpoint
 	}
-	if saved != "" {
-		work.Order.Checkpoint = saved
+	if previous != "" {
+		work.Order.Checkpoint = previous
 	}
 	return work, isDue
 }
 
-type boastingTable struct{ faultyTable }
+type doubledCapacityTable struct{ faultyTable }
 
 // Compose doubles the room.
-func (t *boastingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
+func (t *doubledCapacityTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue {
 		call.Capacity.CPU *= 2
@@ -144,14 +144,14 @@
 }
 
 // lyingTable tells of runs that ended in some ways that they ended in another.
-type lyingTable struct {
+type changedOutcomeTable struct {
 	faultyTable
 	outcomes []wire.RunOutcome
 	reported wire.RunOutcome
 }
 
 // HandleHold changes how runs ended.
-func (t *lyingTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
+func (t *changedOutcomeTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
 	for index := range answer.Ends {
 		if slices.Contains(t.outcomes, answer.Ends[index].Outcome) {
 			answer.Ends[index].Outcome = t.reported
@@ -161,13 +161,13 @@
 }
 
 // oldListTable answers a hold with the list that the hold before it brought.
-type oldListTable struct {
+type previousListTable struct {
 	faultyTable
 	running []executorapi.RunningRow
 }
 
 // HandleHold replaces the list of runs by the one before.
-func (t *oldListTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
+func (t *previousListTable) HandleHold(work localproxy.HoldWork, answer executorapi.Answer) {
 	answer.Running, t.running = t.running, answer.Running
 	t.Table.HandleHold(work, answer)
 }
--- a/internal/simulation/modelcheck/ordermodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/ordermodel/injectedfaults.go
@@ -82,7 +82,7 @@
 }
 
 // timing is that of the pool, which some plants change.
-func (p injectedFault) timing(timing scheduler.Timing) scheduler.Timing {
+func (p injectedFault) adjustTiming(timing scheduler.Timing) scheduler.Timing {
 	switch p.name {
 	case faultForgottenEarly:
 		timing.KeepEnded = forgottenAfter
@@ -94,82 +94,82 @@
 	return timing
 }
 
-func (p injectedFault) heedsEvacuations() bool { return p.name != faultEvacuationIgnored }
+func (p injectedFault) obeysEvacuations() bool { return p.name != faultEvacuationIgnored }
 
 func (p injectedFault) ignoresIncarnation() bool { return p.name == faultWrongIncarnation }
 
-func (p injectedFault) outcome(outcome leaderclient.Outcome) leaderclient.Outcome {
+func (p injectedFault) adjustOutcome(outcome leaderclient.Outcome) leaderclient.Outcome {
 	if p.name == faultRefusedUnclear {
 		outcome.MayHaveRun = false
 	}
 	return outcome
 }
 
-func (p injectedFault) leadership(fresh *leadership) scheduler.Leadership {
+func (p injectedFault) wrapLeadership(fresh *leadership) scheduler.Leadership {
 	switch p.name {
 	case faultCancelForgotten:
-		return forgetfulLeadership{fresh}
+		return cancelDroppingLeadership{fresh}
 	case faultAckEarly:
-		return hastyLeadership{fresh}
+		return earlyAckLeadership{fresh}
 	case faultLeaseIgnored:
-		return boldLeadership{fresh}
+		return leaselessLeadership{fresh}
 	case faultDeposedServes:
-		return splitLeadership{fresh}
+		return minorityLeadership{fresh}
 	}
 	return fresh
 }
 
-func (p injectedFault) scheduler(pool poolLeader) poolLeader {
+func (p injectedFault) wrapPool(pool poolLeader) poolLeader {
 	switch p.name {
 	case faultLastSeenEarly:
-		return hastyScheduler{pool}
+		return earlyAckPool{pool}
 	case faultTicksForgotten:
-		return &dozingScheduler{poolLeader: pool}
+		return &rareTickPool{poolLeader: pool}
 	case faultStateUnanswered:
-		return silentScheduler{pool}
+		return silentStatePool{pool}
 	}
 	return pool
 }
 
-func (p injectedFault) table(proxy *modelProxy, table *localproxy.Table) proxyTable {
+func (p injectedFault) wrapTable(proxy *modelProxy, table *localproxy.Table) proxyTable {
 	faulty := faultyTable{Table: table, proxy: proxy}
 	switch p.name {
 	case faultNewRunID:
 		return &renumberingTable{faulty, map[string]int64{}}
 	case faultHoldUngranted:
-		return &ungrantedTable{faulty}
+		return &ungrantedHoldTable{faulty}
 	case faultGrantOnArrival:
 		return &lateGrantTable{faulty}
 	case faultFenceIgnored:
 		return &unfencedTable{faultyTable: faulty}
 	case faultStopUnanswered:
-		return &stoppingTable{faulty}
+		return &unansweredStopTable{faulty}
 	case faultUnsureForgotten:
-		return &forgetfulTable{faulty}
+		return &unclearStartTable{faulty}
 	case faultHeartbeatEndsIncarnation:
-		return &trustingTable{faulty}
+		return &heartbeatHoldTable{faulty}
 	case faultOtherCheckpoint:
-		return &mixingTable{faultyTable: faulty}
+		return &wrongCheckpointTable{faultyTable: faulty}
 	case faultCapacityOverstated:
-		return &boastingTable{faulty}
+		return &doubledCapacityTable{faulty}
 	case faultFailureDone:
-		return &lyingTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeDone}
+		return &changedOutcomeTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeDone}
 	case faultFailureStopped:
-		return &lyingTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeStopped}
+		return &changedOutcomeTable{faulty, []wire.RunOutcome{outcomeFailed}, outcomeStopped}
 	case faultStopCounted:
-		return &lyingTable{faulty, []wire.RunOutcome{outcomeStopped, outcomeLapsed, outcomeBroken}, outcomeFailed}
+		return &changedOutcomeTable{faulty, []wire.RunOutcome{outcomeStopped, outcomeLapsed, outcomeBroken}, outcomeFailed}
 	case faultEndSkipped:
-		return &skippingTable{faulty}
+		return &endSkippingTable{faulty}
 	case faultAvoided:
-		return &grudgingTable{faultyTable: faulty}
+		return &staleHoldTable{faultyTable: faulty}
 	case faultListForgotten:
-		return &oldListTable{faultyTable: faulty}
+		return &previousListTable{faultyTable: faulty}
 	}
 	return table
 }
 
 // answers lets a proxy take an executor's answers in the order of its calls, whichever call they belong to.
-func (p injectedFault) answers(proxy *modelProxy, request executorRequest, finish func(executorReply)) func(executorReply) {
+func (p injectedFault) wrapAnswer(proxy *modelProxy, request executorRequest, finish func(executorReply)) func(executorReply) {
 	if p.name != faultAnswerByPlace || request.hold != nil {
 		return finish
 	}
--- a/internal/simulation/modelcheck/ordermodel/leadership.go
+++ b/internal/simulation/modelcheck/ordermodel/leadership.go
@@ -13,13 +13,13 @@
 const (
 	leaseLength         = 700 * time.Millisecond
 	leaseMargin         = 30 * time.Millisecond
-	watchEvery          = 50 * time.Millisecond
-	stepsDownIn         = 2800 * time.Millisecond
-	retryCommit         = 20 * time.Millisecond
+	leaseCheckInterval  = 50 * time.Millisecond
+	stepDownTimeout     = 2800 * time.Millisecond
+	commitRetryInterval = 20 * time.Millisecond
 	maxAnnouncementTime = 200 * time.Millisecond
 )
 
-var errLost = errors.New("the key has another leader now")
+var errLeadershipLost = errors.New("the key has another leader now")
 
 // replicatedKey stands for the replication of the scheduler's key: what a majority has is durable, one leader at a time
 // has the lease, and a change that was under way when its leader went may or may not last.
@@ -27,11 +27,11 @@
 	cluster *simCluster
 	pairs   map[string][]byte
 	// beforeLast are the pairs before the newest commit; they are kept only for the fault that needs them.
-	beforeLast map[string][]byte
-	epoch      uint64
-	leader     *leadership
-	proposals  []*modelProposal
-	isOpening  bool
+	pairsBeforeLastCommit map[string][]byte
+	epoch                 uint64
+	leader                *leadership
+	proposals             []*modelProposal
+	isElecting            bool
 }
 
 type modelProposal struct {
@@ -42,14 +42,14 @@
 
 // leadership is a steward's right to change the key under one epoch; it is a scheduler.Leadership.
 type leadership struct {
-	key         *replicatedKey
-	steward     *modelSteward
-	incarnation int
-	epoch       uint64
-	isOpen      bool
-	contactAt   time.Duration
-	acksAt      time.Duration
-	dropped     []func(error)
+	key           *replicatedKey
+	steward       *modelSteward
+	incarnation   int
+	epoch         uint64
+	isOpen        bool
+	lastContactAt time.Duration
+	lastAckAt     time.Duration
+	unresolved    []func(error)
 }
 
 // Epoch is that of this leadership.
@@ -57,7 +57,7 @@
 
 // HasLease is true for a while after a majority was last reached.
 func (l *leadership) HasLease() bool {
-	return l.isOpen && l.key.cluster.queue.now() < l.contactAt+leaseLength-leaseMargin
+	return l.isOpen && l.key.cluster.queue.now() < l.lastContactAt+leaseLength-leaseMargin
 }
 
 // WallMs is the median of the stewards' clocks.
@@ -73,17 +73,17 @@
 // Commit is done once a majority has synced the change.
 func (l *leadership) Commit(ops []wire.Op, done func(error)) {
 	if !l.isOpen {
-		done(errLost)
+		done(errLeadershipLost)
 		return
 	}
 	key := l.key
 	if key.leader != l {
-		l.dropped = append(l.dropped, done)
+		l.unresolved = append(l.unresolved, done)
 		return
 	}
 	key.proposals = append(key.proposals, &modelProposal{l, ops, done})
 	if len(key.proposals) == 1 {
-		key.replicateLater()
+		key.scheduleReplication()
 	}
 }
 
@@ -94,15 +94,15 @@
 	}
 	count := 0
 	for _, other := range k.cluster.stewards {
-		if other.isReachable() && other.group == steward.group && other.half == steward.half {
+		if other.isReachable() && other.group == steward.group && other.coreSide == steward.coreSide {
 			count++
 		}
 	}
 	return 2*count > len(k.cluster.stewards)
 }
 
-func (k *replicatedKey) replicateLater() {
-	k.cluster.queue.after(k.cluster.queue.between(2*time.Millisecond, 6*time.Millisecond)+k.cluster.slowSync, k.replicate)
+func (k *replicatedKey) scheduleReplication() {
+	k.cluster.queue.after(k.cluster.queue.between(2*time.Millisecond, 6*time.Millisecond)+k.cluster.syncDelay, k.replicate)
 }
 
 // replicate makes all that was proposed durable together, as one sync does.
@@ -112,13 +112,13 @@
 	}
 	leader := k.leader
 	if leader == nil || !k.hasMajority(leader.steward) {
-		k.cluster.queue.after(retryCommit, k.replicate)
+		k.cluster.queue.after(commitRetryInterval, k.replicate)
 		return
 	}
 	batch := k.proposals
 	k.proposals = nil
 	if k.cluster.fault.name == faultCommitOnLostDisks {
-		k.beforeLast = maps.Clone(k.pairs)
+		k.pairsBeforeLastCommit = maps.Clone(k.pairs)
 	}
 	for _, proposal := range batch {
 		k.apply(proposal.ops)
@@ -143,88 +143,88 @@
 	if l.steward.incarnation != l.incarnation {
 		return
 	}
-	l.acksAt = max(l.acksAt, queue.now()+queue.between(300*time.Microsecond, 3*time.Millisecond))
-	l.steward.later(l.acksAt-queue.now(), func() {
+	l.lastAckAt = max(l.lastAckAt, queue.now()+queue.between(300*time.Microsecond, 3*time.Millisecond))
+	l.steward.later(l.lastAckAt-queue.now(), func() {
 		for _, proposal := range batch {
 			if !l.isOpen {
-				proposal.done(errLost)
+				proposal.done(errLeadershipLost)
 				continue
 			}
 			proposal.done(nil)
 		}
-		l.steward.settle()
-		l.key.cluster.committed()
+		l.steward.flushPool()
+		l.key.cluster.runCommitHook()
 	})
 }
 
 // watch looks after the lease and finds a new leader where there is none.
-func (k *replicatedKey) watch() {
-	k.cluster.queue.after(watchEvery, k.watch)
+func (k *replicatedKey) monitorLease() {
+	k.cluster.queue.after(leaseCheckInterval, k.monitorLease)
 	now := k.cluster.queue.now()
 	if leadership := k.leader; leadership != nil {
-		isThere := leadership.isOpen && leadership.steward.isUp && leadership.steward.incarnation == leadership.incarnation
+		isLeading := leadership.isOpen && leadership.steward.isUp && leadership.steward.incarnation == leadership.incarnation
 		switch {
-		case isThere && k.hasMajority(leadership.steward):
-			leadership.contactAt = now
+		case isLeading && k.hasMajority(leadership.steward):
+			leadership.lastContactAt = now
 			return
-		case isThere && now-leadership.contactAt > stepsDownIn && !leadership.steward.isFrozen:
+		case isLeading && now-leadership.lastContactAt > stepDownTimeout && !leadership.steward.isFrozen:
 			leadership.close()
 		}
-		if now <= leadership.contactAt+leaseLength {
+		if now <= leadership.lastContactAt+leaseLength {
 			return
 		}
 	}
-	if !k.isOpening {
+	if !k.isElecting {
 		k.elect()
 	}
 }
 
 // elect lets one of the stewards that reach a majority take the key over.
 func (k *replicatedKey) elect() {
-	var able []*modelSteward
+	var candidates []*modelSteward
 	for _, steward := range k.cluster.stewards {
 		if k.hasMajority(steward) && !steward.isLeaving {
-			able = append(able, steward)
+			candidates = append(candidates, steward)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	next := able[k.cluster.queue.random.IntN(len(able))]
-	k.isOpening = true
+	next := candidates[k.cluster.queue.random.IntN(len(candidates))]
+	k.isElecting = true
 	incarnation := next.incarnation
 	k.cluster.queue.after(k.cluster.queue.between(20*time.Millisecond, 250*time.Millisecond), func() {
-		k.isOpening = false
-		if next.incarnation == incarnation && k.hasMajority(next) && (k.leader == nil || k.cluster.queue.now() > k.leader.contactAt+leaseLength) {
-			k.open(next)
+		k.isElecting = false
+		if next.incarnation == incarnation && k.hasMajority(next) && (k.leader == nil || k.cluster.queue.now() > k.leader.lastContactAt+leaseLength) {
+			k.installLeader(next)
 		}
 	})
 }
 
 // open gives the key to a steward. A part of what the former leader had proposed may have reached enough disks.
-func (k *replicatedKey) open(next *modelSteward) {
-	former, left := k.leader, k.proposals
+func (k *replicatedKey) installLeader(next *modelSteward) {
+	former, unfinished := k.leader, k.proposals
 	k.proposals = nil
-	if len(left) > 0 {
-		lasting := k.cluster.queue.random.IntN(len(left) + 1)
-		for _, proposal := range left[:lasting] {
+	if len(unfinished) > 0 {
+		durableCount := k.cluster.queue.random.IntN(len(unfinished) + 1)
+		for _, proposal := range unfinished[:durableCount] {
 			k.cluster.count("commit_unknown_to_leader")
 			k.apply(proposal.ops)
 		}
-		for _, proposal := range left {
-			proposal.leadership.dropped = append(proposal.leadership.dropped, proposal.done)
+		for _, proposal := range unfinished {
+			proposal.leadership.unresolved = append(proposal.leadership.unresolved, proposal.done)
 		}
 	}
 	if former != nil {
-		k.cluster.tell(former)
+		k.cluster.announceToFormer(former)
 	}
 	k.epoch++
 	k.cluster.count("election")
-	k.cluster.oracles.elected()
-	k.cluster.note("%s leads under epoch %d", next.name, k.epoch)
-	fresh := &leadership{key: k, steward: next, incarnation: next.incarnation, epoch: k.epoch, isOpen: true, contactAt: k.cluster.queue.now()}
+	k.cluster.oracles.recordElection()
+	k.cluster.tracef("%s leads under epoch %d", next.name, k.epoch)
+	fresh := &leadership{key: k, steward: next, incarnation: next.incarnation, epoch: k.epoch, isOpen: true, lastContactAt: k.cluster.queue.now()}
 	k.leader = fresh
-	next.lead(fresh, k.snapshot())
+	next.becomeLeader(fresh, k.snapshot())
 	k.cluster.announce(fresh)
 }
 
@@ -237,14 +237,14 @@
 }
 
 // tell lets a deposed leader hear of its successor, as soon as it can.
-func (w *simCluster) tell(former *leadership) {
+func (w *simCluster) announceToFormer(former *leadership) {
 	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
 		steward := former.steward
 		if !former.isOpen || !steward.isUp || steward.incarnation != former.incarnation {
 			return
 		}
-		if !steward.isReachable() || steward.group != w.key.leader.steward.group || steward.half != w.key.leader.steward.half {
-			w.tell(former)
+		if !steward.isReachable() || steward.group != w.key.leader.steward.group || steward.coreSide != w.key.leader.steward.coreSide {
+			w.announceToFormer(former)
 			return
 		}
 		former.close()
@@ -257,28 +257,28 @@
 		return
 	}
 	l.isOpen = false
-	dropped := l.dropped
-	l.dropped = nil
-	for _, done := range dropped {
-		done(errLost)
+	unresolved := l.unresolved
+	l.unresolved = nil
+	for _, done := range unresolved {
+		done(errLeadershipLost)
 	}
-	if l.steward.leads == l {
-		l.steward.leads = nil
+	if l.steward.leading == l {
+		l.steward.leading = nil
 		l.steward.pool.Close()
 	}
 }
 
 // handOver gives the lease back at once.
-func (k *replicatedKey) handOver() {
+func (k *replicatedKey) transferLeadership() {
 	if leadership := k.leader; leadership != nil && leadership.isOpen && leadership.steward.isReachable() {
 		k.cluster.count("hand_over")
 		leadership.close()
-		leadership.contactAt = -leaseLength
+		leadership.lastContactAt = -leaseLength
 	}
 }
 
 // committed tells who waits for it that a leader has heard of a commit.
-func (w *simCluster) committed() {
+func (w *simCluster) runCommitHook() {
 	if run := w.onCommit; run != nil {
 		w.onCommit = nil
 		run()
--- a/internal/simulation/modelcheck/ordermodel/network.go
+++ b/internal/simulation/modelcheck/ordermodel/network.go
@@ -31,7 +31,7 @@
 }
 
 // thaw ends a freeze and returns what waited for that.
-func (l *lifecycle) thaw() []func() {
+func (l *lifecycle) unfreeze() []func() {
 	waiting := l.waiting
 	l.isFrozen, l.waiting = false, nil
 	return waiting
@@ -43,36 +43,36 @@
 	name    string
 	lifecycle
 	// isOnce is set where a call is never doubled: nothing sends a client's call a second time but the client.
-	isOnce bool
+	isNeverDoubled bool
 	// isDeaf and isMute are the two directions of a cut.
-	isDeaf bool
-	isMute bool
+	isCutIncoming bool
+	isCutOutgoing bool
 	// group is the side of a partition; only processes of one group reach each other.
 	group int
 	// leaderHint is the steward that this process last heard of as the key's leader; patience is what gives calls to
 	// another one up once it hears of a new leader.
-	leaderHint  int
-	patience    map[uint64]func()
-	evacuations knownEvacuations
+	leaderHint         int
+	pendingLeaderCalls map[uint64]func()
+	evacuations        knownEvacuations
 }
 
 // untilMoved gives a call up once this process hears of another leader; the result ends that.
-func (p *modelProcess) untilMoved(giveUp func()) (release func()) {
+func (p *modelProcess) abandonOnLeaderChange(giveUp func()) (release func()) {
 	p.cluster.calls++
 	number := p.cluster.calls
-	p.patience[number] = giveUp
-	return func() { delete(p.patience, number) }
+	p.pendingLeaderCalls[number] = giveUp
+	return func() { delete(p.pendingLeaderCalls, number) }
 }
 
 // hear takes note of a leader.
-func (p *modelProcess) hear(leader int) {
+func (p *modelProcess) updateLeader(leader int) {
 	if p.leaderHint == leader {
 		return
 	}
 	p.leaderHint = leader
-	for _, number := range slices.Sorted(maps.Keys(p.patience)) {
-		giveUp := p.patience[number]
-		delete(p.patience, number)
+	for _, number := range slices.Sorted(maps.Keys(p.pendingLeaderCalls)) {
+		giveUp := p.pendingLeaderCalls[number]
+		delete(p.pendingLeaderCalls, number)
 		giveUp()
 	}
 }
@@ -83,14 +83,14 @@
 }
 
 func (p *modelProcess) boot() {
-	p.isUp, p.isFrozen, p.waiting, p.patience = true, false, nil, map[uint64]func(){}
+	p.isUp, p.isFrozen, p.waiting, p.pendingLeaderCalls = true, false, nil, map[uint64]func(){}
 	p.incarnation++
 	p.evacuations = knownEvacuations{}
-	p.cluster.tellEvacuations(p)
+	p.cluster.sendEvacuations(p)
 }
 
 func (p *modelProcess) wake() {
-	waiting := p.thaw()
+	waiting := p.unfreeze()
 	p.cluster.queue.random.Shuffle(len(waiting), func(a, b int) { waiting[a], waiting[b] = waiting[b], waiting[a] })
 	for _, run := range waiting {
 		p.cluster.queue.after(0, run)
@@ -106,25 +106,27 @@
 // reaches tells whether a message gets from one process to another at present; clients stand on both sides.
 func (p *modelProcess) reaches(to *modelProcess) bool {
 	isOneSide := p.group == to.group || p == p.cluster.outside || to == p.cluster.outside
-	return p == to || !p.isMute && !to.isDeaf && isOneSide
+	return p == to || !p.isCutOutgoing && !to.isCutIncoming && isOneSide
 }
 
-func (p *modelProcess) isReachable() bool { return p.isUp && !p.isFrozen && !p.isDeaf && !p.isMute }
+func (p *modelProcess) isReachable() bool {
+	return p.isUp && !p.isFrozen && !p.isCutIncoming && !p.isCutOutgoing
+}
 
 // hop is how messages fare on their way at present, in percent and milliseconds.
-type hop struct {
-	lost    int
-	doubled int
-	late    int
-	lateMs  int
+type messageFaults struct {
+	lostPercent    int
+	doubledPercent int
+	latePercent    int
+	maxDelayMs     int
 }
 
 // transit is how long a message is on its way.
 func (w *simCluster) transit() time.Duration {
 	wait := w.queue.between(300*time.Microsecond, 2*time.Millisecond)
-	if w.queue.chance(w.hop.late) {
+	if w.queue.chance(w.messageFaults.latePercent) {
 		w.count("message_late")
-		wait += w.queue.between(0, time.Duration(w.hop.lateMs)*time.Millisecond)
+		wait += w.queue.between(0, time.Duration(w.messageFaults.maxDelayMs)*time.Millisecond)
 	}
 	return wait
 }
@@ -133,10 +135,10 @@
 func (w *simCluster) send(from, to *modelProcess, arrive func()) {
 	copies := 1
 	switch {
-	case w.queue.chance(w.hop.lost):
+	case w.queue.chance(w.messageFaults.lostPercent):
 		w.count("message_lost")
 		copies = 0
-	case !from.isOnce && !to.isOnce && w.queue.chance(w.hop.doubled):
+	case !from.isNeverDoubled && !to.isNeverDoubled && w.queue.chance(w.messageFaults.doubledPercent):
 		w.count("message_doubled")
 		copies = 2
 	}
@@ -150,7 +152,7 @@
 }
 
 // callLeader is a call that is given up early if the caller hears of another leader.
-func callLeader[T any](w *simCluster, from, to *modelProcess, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func callLeader[T any](w *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver := false
 	var release func()
 	finish := func(value T, err error) {
@@ -160,15 +162,15 @@
 			done(value, err)
 		}
 	}
-	release = from.untilMoved(func() {
+	release = from.abandonOnLeaderChange(func() {
 		var none T
 		finish(none, errNoAnswer)
 	})
-	call(w, from, to, limit, serve, finish)
+	call(w, from, to, timeout, serve, finish)
 }
 
 // call asks another process and gives back its first answer, or an error once the limit is over.
-func call[T any](w *simCluster, from, to *modelProcess, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func call[T any](w *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver, incarnation := false, from.incarnation
 	finish := func(value T, err error) {
 		if !isOver {
@@ -177,7 +179,7 @@
 		}
 	}
 	var none T
-	w.queue.after(limit, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
+	w.queue.after(timeout, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
 	w.send(from, to, func() {
 		serve(func(value T) {
 			w.send(to, from, func() { from.enter(incarnation, func() { finish(value, nil) }) })
--- a/internal/simulation/modelcheck/ordermodel/play.go
+++ b/internal/simulation/modelcheck/ordermodel/play.go
@@ -10,7 +10,7 @@
 // play carries out one step.
 func (w *simCluster) play(step modelcheck.Step) {
 	w.count("step_" + step.Kind)
-	w.note("step %s of %d for %d ms, value %d", step.Kind, step.Node, step.ForMs, step.Value)
+	w.tracef("step %s of %d for %d ms, value %d", step.Kind, step.Node, step.ForMs, step.Value)
 	if w.playJob(step) {
 		return
 	}
@@ -18,27 +18,27 @@
 		w.evacuate(step)
 		return
 	}
-	w.trouble(step.ForMs)
+	w.recordFault(step.ForMs)
 	length := clock.Milliseconds(int64(step.ForMs))
 	switch step.Kind {
 	case kindLoseMessages:
-		w.hop.lost = step.Value
-		w.queue.after(length, func() { w.hop.lost = 0 })
+		w.messageFaults.lostPercent = step.Value
+		w.queue.after(length, func() { w.messageFaults.lostPercent = 0 })
 	case kindDoubleMessages:
-		w.hop.doubled = step.Value
-		w.queue.after(length, func() { w.hop.doubled = 0 })
+		w.messageFaults.doubledPercent = step.Value
+		w.queue.after(length, func() { w.messageFaults.doubledPercent = 0 })
 	case kindDelayMessages:
-		w.hop.late, w.hop.lateMs = 25, max(1, step.Value)
-		w.queue.after(length, func() { w.hop.late = 0 })
+		w.messageFaults.latePercent, w.messageFaults.maxDelayMs = 25, max(1, step.Value)
+		w.queue.after(length, func() { w.messageFaults.latePercent = 0 })
 	case kindCutGate:
 		w.cut(&w.gates[step.Node%len(w.gates)].modelProcess, step.Value, length)
 	case kindPartition:
 		w.partition(step, length)
 	case kindTransferLeadership:
-		w.key.handOver()
+		w.key.transferLeadership()
 	case kindSlowSync:
-		w.slowSync = clock.Milliseconds(int64(step.Value))
-		w.queue.after(length, func() { w.slowSync = 0 })
+		w.syncDelay = clock.Milliseconds(int64(step.Value))
+		w.queue.after(length, func() { w.syncDelay = 0 })
 	case kindSplitCore:
 		w.splitCore(step, length)
 	case kindEndOfDay:
@@ -49,7 +49,7 @@
 		w.playNode(step, length)
 		return
 	}
-	w.coreTrouble(length)
+	w.recordCoreFault(length)
 }
 
 func (w *simCluster) playJob(step modelcheck.Step) bool {
@@ -57,14 +57,14 @@
 	switch step.Kind {
 	case kindSubmit:
 		if job == nil {
-			w.submitFirst(step.Node, step.Value, step.Peer)
+			w.submitNew(step.Node, step.Value, step.Peer)
 		}
 		return true
 	case kindStream:
 		w.stream(step)
 		return true
 	case kindGiveUp:
-		w.giveUp(step)
+		w.cancelSome(step)
 		return true
 	case kindSubmitAgain:
 		if job != nil {
@@ -84,7 +84,7 @@
 	steward, machine := w.stewards[step.Node%len(w.stewards)], w.executors[step.Node%len(w.executors)]
 	switch step.Kind {
 	case kindKillSteward, kindFreezeSteward, kindCutSteward, kindClockJump:
-		w.coreTrouble(length)
+		w.recordCoreFault(length)
 	}
 	switch step.Kind {
 	case kindKillSteward:
@@ -94,11 +94,11 @@
 	case kindCutSteward:
 		w.cut(&steward.modelProcess, step.Value, length)
 	case kindClockJump:
-		w.oracles.isTimeOdd = true
+		w.oracles.hasClockJumped = true
 		steward.wallJumpMs = int64(step.Value) - 2000
 		w.queue.after(length, func() { steward.wallJumpMs = 0 })
 	case kindKillProxy:
-		machine.disturb(length)
+		machine.recordMachineFault(length)
 		machine.proxy.kill()
 		w.queue.after(length, func() {
 			if !machine.proxy.isUp {
@@ -106,10 +106,10 @@
 			}
 		})
 	case kindFreezeProxy:
-		machine.disturb(length)
+		machine.recordMachineFault(length)
 		w.freeze(&machine.proxy.modelProcess, length)
 	case kindCutProxy:
-		machine.disturb(length)
+		machine.recordMachineFault(length)
 		w.cut(&machine.proxy.modelProcess, step.Value, length)
 	default:
 		w.playExecutor(step, machine, length)
@@ -118,8 +118,8 @@
 
 func (w *simCluster) playExecutor(step modelcheck.Step, executor *modelExecutor, length time.Duration) {
 	kind := step.Kind
-	executor.disturb(length)
-	flags := map[string]*bool{kindSlowExecutor: &executor.isSlow, kindLateExecutor: &executor.isLate, kindMuteExecutor: &executor.isMute, kindBusyExecutor: &executor.isBusy,
+	executor.recordMachineFault(length)
+	flags := map[string]*bool{kindSlowExecutor: &executor.isSlow, kindLateExecutor: &executor.isLate, kindMuteExecutor: &executor.losesAnswers, kindBusyExecutor: &executor.isBusy,
 		kindRefuseExecutor: &executor.isRefusing, kindStuckExecutor: &executor.isStuck, kindLateBeats: &executor.isHeartbeatLate}
 	switch flag := flags[kind]; {
 	case flag != nil:
@@ -153,14 +153,14 @@
 }
 
 // trouble notes that something is wrong from now on for a while.
-func (w *simCluster) trouble(forMs int) {
+func (w *simCluster) recordFault(forMs int) {
 	until := w.queue.now() + clock.Milliseconds(int64(forMs))
-	w.troubledAt = max(w.troubledAt, until)
+	w.faultsUntil = max(w.faultsUntil, until)
 }
 
 // coreTrouble notes that something is wrong with stewards, gates or the network from now on for a while.
-func (w *simCluster) coreTrouble(length time.Duration) {
-	w.coreTroubledAt = max(w.coreTroubledAt, w.queue.now()+length)
+func (w *simCluster) recordCoreFault(length time.Duration) {
+	w.coreFaultsUntil = max(w.coreFaultsUntil, w.queue.now()+length)
 }
 
 func (w *simCluster) killSteward(steward *modelSteward, length time.Duration) {
@@ -187,8 +187,8 @@
 
 // cut takes both directions away from a process, or one of them.
 func (w *simCluster) cut(process *modelProcess, direction int, length time.Duration) {
-	process.isDeaf, process.isMute = direction != 1, direction != 2
-	w.queue.after(length, func() { process.isDeaf, process.isMute = false, false })
+	process.isCutIncoming, process.isCutOutgoing = direction != 1, direction != 2
+	w.queue.after(length, func() { process.isCutIncoming, process.isCutOutgoing = false, false })
 }
 
 // partition sets one steward apart with the machines and gates that the value names bit by bit.
@@ -198,7 +198,7 @@
 	for number, proxy := range w.proxies {
 		if isApart(number % w.profile.partitionBits) {
 			apart = append(apart, &proxy.modelProcess)
-			proxy.executor.disturb(length)
+			proxy.executor.recordMachineFault(length)
 		}
 	}
 	for number, gate := range w.gates {
@@ -221,8 +221,8 @@
 	w.onCommit = func() {
 		w.queue.after(clock.Milliseconds(int64(withinMs)), func() {
 			w.count("power_lost")
-			w.trouble(int(length / time.Millisecond))
-			w.coreTrouble(length)
+			w.recordFault(int(length / time.Millisecond))
+			w.recordCoreFault(length)
 			for _, steward := range w.stewards {
 				w.killSteward(steward, length)
 			}
--- a/internal/simulation/modelcheck/ordermodel/profile.go
+++ b/internal/simulation/modelcheck/ordermodel/profile.go
@@ -30,11 +30,11 @@
 	// settleTime is how long after the last fault jobs may take until they are over.
 	settleTime time.Duration
 	// progressWithin is how lately a run of a job must have ended as done if it is not over by then; 0 where it must be over.
-	progressWithin time.Duration
+	progressTimeout time.Duration
 	// inspectInterval is the pause between two questions of clients for the state of a job.
 	inspectInterval time.Duration
 	// stallEvery is how often the oracle of stalled jobs looks.
-	stallEvery time.Duration
+	stallCheckInterval time.Duration
 }
 
 // smallProfile has few machines and jobs, so that hundreds of schedules a second can be played.
@@ -46,7 +46,7 @@
 		StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, RemoteFactor: 1.5,
 		ReservedCapacity: scheduler.DefaultReservedCapacity},
 	shapes: smallShapes, work: smallWork, gangWait: 3 * time.Second, cancelTime: 3 * time.Second, contactTime: 3 * time.Second,
-	settleTime: 40 * time.Second, inspectInterval: 300 * time.Millisecond, stallEvery: 100 * time.Millisecond}
+	settleTime: 40 * time.Second, inspectInterval: 300 * time.Millisecond, stallCheckInterval: 100 * time.Millisecond}
 
 // largeProfile has the sizes of a large deployment: 240 executors in racks of twenty, jobs of up to hundreds of tasks.
 var largeProfile = &profile{executors: 240, gates: 4, rackSize: 20, partitionBits: 12,
@@ -62,7 +62,7 @@
 		StopTimeout: 900 * time.Millisecond, StuckAfter: 2 * time.Second, KeepEnded: 150 * time.Second, RemoteFactor: 3,
 		ReservedCapacity: scheduler.DefaultReservedCapacity},
 	shapes: largeShapes, work: largeWork, gangWait: 5 * time.Second, cancelTime: 5 * time.Second, contactTime: 5 * time.Second,
-	settleTime: 60 * time.Second, progressWithin: 20 * time.Second, inspectInterval: 10 * time.Millisecond, stallEvery: 200 * time.Millisecond}
+	settleTime: 60 * time.Second, progressTimeout: 20 * time.Second, inspectInterval: 10 * time.Millisecond, stallCheckInterval: 200 * time.Millisecond}
 
 func profileOf(size modelcheck.Size) *profile {
 	if size == modelcheck.SizeLarge {
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -13,16 +13,16 @@
 
 // The loops of localproxy.Proxy wait on sockets; these are their pauses and limits.
 const (
-	holdGap       = 15 * time.Millisecond
-	pollWaitMs    = 300
-	startPause    = 80 * time.Millisecond
-	orderLimit    = 150 * time.Millisecond
-	orderAttempts = 2
-	ordersAtOnce  = 6
-	leaderPause   = 60 * time.Millisecond
-	failedPause   = 300 * time.Millisecond
-	exchangeSlow  = 1500 * time.Millisecond
-	shortWaitMs   = 150
+	holdPause         = 15 * time.Millisecond
+	pollWaitMs        = 300
+	startReportDelay  = 80 * time.Millisecond
+	orderTimeout      = 150 * time.Millisecond
+	orderAttempts     = 2
+	maxOrdersInFlight = 6
+	leaderRetryPause  = 60 * time.Millisecond
+	retryPause        = 300 * time.Millisecond
+	exchangeSlack     = 1500 * time.Millisecond
+	shortWaitMs       = 150
 )
 
 // proxyTable is what the model drives of a local-proxy; injected faults wrap it.
@@ -43,25 +43,25 @@
 }
 
 // timerSignal is a channel of one place: it rings once, however often it was struck.
-type timerSignal struct {
-	isStruck bool
-	waiter   func()
+type wakeSignal struct {
+	isSet  bool
+	waiter func()
 }
 
-func (b *timerSignal) strike() {
-	b.isStruck = true
-	b.answer()
+func (b *wakeSignal) set() {
+	b.isSet = true
+	b.deliverSignal()
 }
 
-func (b *timerSignal) wait(run func()) {
+func (b *wakeSignal) wait(run func()) {
 	b.waiter = run
-	b.answer()
+	b.deliverSignal()
 }
 
-func (b *timerSignal) answer() {
-	if b.isStruck && b.waiter != nil {
+func (b *wakeSignal) deliverSignal() {
+	if b.isSet && b.waiter != nil {
 		run := b.waiter
-		b.isStruck, b.waiter = false, nil
+		b.isSet, b.waiter = false, nil
 		run()
 	}
 }
@@ -69,30 +69,30 @@
 // modelProxy plays the loops of a local-proxy, as events, round its real table.
 type modelProxy struct {
 	modelProcess
-	executor *modelExecutor
-	table    proxyTable
-	carrying int
-	queued   []func()
-	pending  []*pendingCall
-	work     timerSignal
-	starts   timerSignal
-	looks    timerSignal
-	acks     timerSignal
+	executor       *modelExecutor
+	table          proxyTable
+	ordersInFlight int
+	queued         []func()
+	pending        []*pendingCall
+	reportSignal   wakeSignal
+	startSignal    wakeSignal
+	listSignal     wakeSignal
+	ackSignal      wakeSignal
 }
 
 func (p *modelProxy) start() {
 	p.boot()
-	p.carrying, p.queued, p.pending = 0, nil, nil
-	p.work, p.starts, p.looks, p.acks = timerSignal{}, timerSignal{}, timerSignal{}, timerSignal{}
-	notify := func(signal *timerSignal) func() { return func() { p.later(0, signal.strike) } }
+	p.ordersInFlight, p.queued, p.pending = 0, nil, nil
+	p.reportSignal, p.startSignal, p.listSignal, p.ackSignal = wakeSignal{}, wakeSignal{}, wakeSignal{}, wakeSignal{}
+	notify := func(signal *wakeSignal) func() { return func() { p.later(0, signal.set) } }
 	// A session is the time of day at which the process began.
 	session := uint64(p.cluster.queue.clock.WallMs())
 	zone := zoneOf(p.executor.number)
 	isEvacuated := func() (time.Duration, bool) {
-		return p.evacuations.at, p.cluster.fault.heedsEvacuations() && p.evacuations.list.Has(zone)
+		return p.evacuations.receivedAt, p.cluster.fault.obeysEvacuations() && p.evacuations.list.Has(zone)
 	}
-	p.table = p.cluster.fault.table(p, localproxy.NewTable(p.cluster.queue.clock, logging.Silent(), service, zone, p.name, notify(&p.work), notify(&p.looks),
-		notify(&p.acks), localproxy.WithSession(session), localproxy.WithStartSignal(notify(&p.starts)), localproxy.WithEvacuation(evacuationBound, isEvacuated)))
+	p.table = p.cluster.fault.wrapTable(p, localproxy.NewTable(p.cluster.queue.clock, logging.Silent(), service, zone, p.name, notify(&p.reportSignal), notify(&p.listSignal),
+		notify(&p.ackSignal), localproxy.WithSession(session), localproxy.WithStartSignal(notify(&p.startSignal)), localproxy.WithEvacuation(evacuationDeadline, isEvacuated)))
 	p.holdLoop()
 	p.listLoop()
 	p.pollLoop()
@@ -106,10 +106,10 @@
 		p.awaitAck()
 		return
 	}
-	p.hold(work, func(isWaiting bool) {
+	p.hold(work, func(isAnswered bool) {
 		switch {
-		case isWaiting:
-			p.later(holdGap, p.holdLoop)
+		case isAnswered:
+			p.later(holdPause, p.holdLoop)
 		case work.Hold.WaitMs == shortWaitMs:
 			p.later(localproxy.PauseAfterMiss(p.cluster.queue.now()-begunAt), p.holdLoop)
 		default:
@@ -124,43 +124,43 @@
 	resume := func() {
 		if !isOver {
 			isOver = true
-			p.acks.waiter = nil
+			p.ackSignal.waiter = nil
 			p.holdLoop()
 		}
 	}
-	p.acks.wait(resume)
-	p.later(failedPause, resume)
+	p.ackSignal.wait(resume)
+	p.later(retryPause, resume)
 }
 
 func (p *modelProxy) listLoop() {
-	p.looks.wait(func() {
+	p.listSignal.wait(func() {
 		work, isDue := p.table.NextHold(true)
 		if !isDue {
 			p.listLoop()
 			return
 		}
-		p.hold(work, func(isWaiting bool) {
-			if isWaiting {
+		p.hold(work, func(isAnswered bool) {
+			if isAnswered {
 				p.listLoop()
 				return
 			}
-			p.later(failedPause, func() {
-				p.looks.isStruck = true
+			p.later(retryPause, func() {
+				p.listSignal.isSet = true
 				p.listLoop()
 			})
 		})
 	})
 }
 
-func (p *modelProxy) hold(work localproxy.HoldWork, done func(isWaiting bool)) {
-	p.ask(work.Executor, localproxy.HoldTimeout(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
-		isWaiting := reply.err == nil && reply.status == http.StatusOK
-		if isWaiting {
+func (p *modelProxy) hold(work localproxy.HoldWork, done func(isAnswered bool)) {
+	p.callExecutor(work.Executor, localproxy.HoldTimeout(work.Hold), executorRequest{hold: &work.Hold}, func(reply executorReply) {
+		isAnswered := reply.err == nil && reply.status == http.StatusOK
+		if isAnswered {
 			p.table.HandleHold(work, reply.answer)
 		} else {
 			p.table.HandleHoldFailure(work, reply.err == nil && reply.status == http.StatusMisdirectedRequest)
 		}
-		done(isWaiting)
+		done(isAnswered)
 	})
 }
 
@@ -168,7 +168,7 @@
 	p.exchange(pollWaitMs, func(isAnswered bool) {
 		wait := time.Duration(0)
 		if !isAnswered {
-			wait = leaderPause
+			wait = leaderRetryPause
 		}
 		p.later(wait, p.pollLoop)
 	})
@@ -177,15 +177,15 @@
 // reportLoop waits for news; news of starts waits a moment for more.
 func (p *modelProxy) reportLoop() {
 	report := func() {
-		p.work.waiter, p.starts.waiter = nil, nil
+		p.reportSignal.waiter, p.startSignal.waiter = nil, nil
 		p.report()
 	}
-	p.work.wait(report)
-	if p.work.waiter == nil {
+	p.reportSignal.wait(report)
+	if p.reportSignal.waiter == nil {
 		return
 	}
-	p.starts.wait(func() {
-		p.work.waiter = nil
+	p.startSignal.wait(func() {
+		p.reportSignal.waiter = nil
 		p.awaitMore()
 	})
 }
@@ -193,18 +193,18 @@
 // awaitMore lets a start wait a moment for what can share its report.
 func (p *modelProxy) awaitMore() {
 	isOver := false
-	p.work.wait(func() {
+	p.reportSignal.wait(func() {
 		isOver = true
 		p.report()
 	})
-	p.later(startPause, func() {
+	p.later(startReportDelay, func() {
 		switch {
 		case isOver:
 		case p.table.HasUnsent():
-			p.work.waiter = nil
+			p.reportSignal.waiter = nil
 			p.report()
 		default:
-			p.work.waiter = nil
+			p.reportSignal.waiter = nil
 			p.reportLoop()
 		}
 	})
@@ -217,8 +217,8 @@
 			p.reportLoop()
 			return
 		}
-		p.later(leaderPause, func() {
-			p.work.isStruck = true
+		p.later(leaderRetryPause, func() {
+			p.reportSignal.isSet = true
 			p.reportLoop()
 		})
 	})
@@ -229,17 +229,17 @@
 	request, _ := p.table.Compose(waitMs)
 	if request == nil {
 		if waitMs > 0 {
-			p.later(failedPause, func() { done(true) })
+			p.later(retryPause, func() { done(true) })
 			return
 		}
 		done(true)
 		return
 	}
-	p.cluster.oracles.reported(p, request)
+	p.cluster.oracles.checkReportedAnswers(p, request)
 	askedAt := p.cluster.queue.now()
 	leader := p.cluster.stewards[p.leaderHint]
-	limit := clock.Milliseconds(request.WaitMs) + exchangeSlow
-	callLeader(p.cluster, &p.modelProcess, &leader.modelProcess, limit, func(answer func(wire.ExchangeAnswer)) {
+	timeout := clock.Milliseconds(request.WaitMs) + exchangeSlack
+	callLeader(p.cluster, &p.modelProcess, &leader.modelProcess, timeout, func(answer func(wire.ExchangeAnswer)) {
 		leader.exchange(request, answer)
 	}, func(answer wire.ExchangeAnswer, err error) {
 		if err != nil || answer.NotLeader {
@@ -248,7 +248,7 @@
 		}
 		if answer.Fence > 0 {
 			for _, order := range p.table.HandleAnswer(request, askedAt, &answer) {
-				p.carryInTurn(request.Executor, order)
+				p.deliverInTurn(request.Executor, order)
 			}
 		}
 		done(true)
@@ -256,35 +256,35 @@
 }
 
 // carryInTurn lets few orders be on their way to the executor at once.
-func (p *modelProxy) carryInTurn(executorID string, order wire.Order) {
-	if p.carrying >= ordersAtOnce {
-		p.queued = append(p.queued, func() { p.carry(executorID, order, 0) })
+func (p *modelProxy) deliverInTurn(executorID string, order wire.Order) {
+	if p.ordersInFlight >= maxOrdersInFlight {
+		p.queued = append(p.queued, func() { p.deliver(executorID, order, 0) })
 		return
 	}
-	p.carrying++
-	p.carry(executorID, order, 0)
+	p.ordersInFlight++
+	p.deliver(executorID, order, 0)
 }
 
 // carried frees the place of an order that was delivered, for the next one in the queue.
-func (p *modelProxy) carried() {
-	p.carrying--
+func (p *modelProxy) finishDelivery() {
+	p.ordersInFlight--
 	if len(p.queued) > 0 {
 		next := p.queued[0]
 		p.queued = p.queued[1:]
-		p.carrying++
+		p.ordersInFlight++
 		next()
 	}
 }
 
 // carry brings one order to the executor, again if it is not answered.
-func (p *modelProxy) carry(executorID string, order wire.Order, attempt int) {
+func (p *modelProxy) deliver(executorID string, order wire.Order, attempt int) {
 	work, isDue := p.table.Ready(executorID, order)
 	if !isDue {
-		p.carried()
+		p.finishDelivery()
 		return
 	}
 	p.cluster.oracles.checkLaunch(p.executor, order)
-	p.ask(work.Executor, orderLimit, requestOf(work), func(reply executorReply) {
+	p.callExecutor(work.Executor, orderTimeout, requestOf(work), func(reply executorReply) {
 		switch {
 		case reply.err == nil:
 			p.table.ReadClock(executorID, reply.answer.ClockMs)
@@ -296,12 +296,12 @@
 				p.table.HandleOrderTimeout(work)
 			}
 			if attempt+1 < orderAttempts {
-				p.carry(executorID, order, attempt+1)
+				p.deliver(executorID, order, attempt+1)
 				return
 			}
 			p.table.HandleOrderResult(work, "timeout")
 		}
-		p.carried()
+		p.finishDelivery()
 	})
 }
 
@@ -329,7 +329,7 @@
 }
 
 // ask calls the executor; an answer that comes after the limit is lost.
-func (p *modelProxy) ask(executorID string, limit time.Duration, request executorRequest, done func(executorReply)) {
+func (p *modelProxy) callExecutor(executorID string, timeout time.Duration, request executorRequest, done func(executorReply)) {
 	isOver := false
 	finish := func(reply executorReply) {
 		if !isOver {
@@ -337,8 +337,8 @@
 			done(reply)
 		}
 	}
-	finish = p.cluster.fault.answers(p, request, finish)
-	p.later(limit, func() { finish(executorReply{err: errNoAnswer}) })
+	finish = p.cluster.fault.wrapAnswer(p, request, finish)
+	p.later(timeout, func() { finish(executorReply{err: errNoAnswer}) })
 	incarnation := p.incarnation
 	p.executor.receive(executorID, request, p.cluster.fault, func(wait time.Duration, reply executorReply) {
 		p.cluster.queue.after(wait, func() { p.enter(incarnation, func() { finish(reply) }) })
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -9,11 +9,11 @@
 )
 
 // started is told of each run that an executor begins.
-func (o *oracles) started(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, isLate bool) {
+func (o *oracles) checkStart(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, isLate bool) {
 	o.cluster.count("start")
-	o.cluster.note("%s: %s run %d begins under fence %d, late %t", executor.id, execution.task, execution.run, order.Fence, isLate)
+	o.cluster.tracef("%s: %s run %d begins under fence %d, late %t", executor.id, execution.task, execution.run, order.Fence, isLate)
 	job, facts := o.jobs[execution.position.ID], o.task(execution.task)
-	if job == nil || !job.isHandedIn {
+	if job == nil || !job.isSubmitted {
 		o.cluster.violate("UNASKED", "%s was started and never handed in", execution.task)
 		return
 	}
@@ -21,13 +21,13 @@
 		o.cluster.count("start_late")
 	}
 	job.startedRuns++
-	if job.isRefusedForGood() {
+	if job.isFinallyRefused() {
 		o.cluster.violate("REFUSED", "%s started, though every try to hand its job in was turned away", execution.task)
 	}
 	o.checkOrder(executor, execution, order, job, facts)
 	o.checkTwice(executor, execution, facts, isLate)
 	o.checkBudget(execution, job, facts)
-	o.checkDepends(execution, job)
+	o.checkDependencies(execution, job)
 	o.checkRoute(executor, execution)
 	if used := executor.used(); used.CPU > executor.capacity.CPU || used.Memory > executor.capacity.Memory {
 		o.cluster.violate("LIMIT", "%s run %d takes %s to %d cpu-units", execution.task, execution.run, executor.id, used.CPU)
@@ -38,7 +38,7 @@
 	job.running++
 	facts.active = append(facts.active, execution)
 	facts.starts = append(facts.starts, start{o.cluster.queue.now(), execution.run})
-	o.begun[incarnationRun{executor.id, execution.task, execution.run}] = true
+	o.launched[incarnationRun{executor.id, execution.task, execution.run}] = true
 }
 
 // checkOrder checks that a start has the job's descriptor, a checkpoint that was saved, and no run number below that of
@@ -53,22 +53,22 @@
 	if execution.step.Redundant {
 		return
 	}
-	if execution.run < facts.highestRun && executor.id != facts.highestAt {
+	if execution.run < facts.highestRun && executor.id != facts.highestRunExecutor {
 		o.cluster.violate("STALE", "%s run %d started on %s under fence %d after run %d was given to %s under fence %d", execution.task, execution.run,
-			executor.id, order.Fence, facts.highestRun, facts.highestAt, facts.fence)
+			executor.id, order.Fence, facts.highestRun, facts.highestRunExecutor, facts.fence)
 	}
 	if execution.run >= facts.highestRun {
-		facts.highestRun, facts.highestAt, facts.fence = execution.run, executor.id, order.Fence
+		facts.highestRun, facts.highestRunExecutor, facts.fence = execution.run, executor.id, order.Fence
 	}
 }
 
 // isSavedBy tells whether the task, or a member of its gang, saved the checkpoint.
-func (o *oracles) isSavedBy(execution *modelExecution, saved string) bool {
+func (o *oracles) isSavedBy(execution *modelExecution, checkpoint string) bool {
 	if !execution.step.Gang {
-		return o.task(execution.task).saved[saved]
+		return o.task(execution.task).checkpoints[checkpoint]
 	}
 	for index := range execution.step.Tasks {
-		if o.task(jobs.TaskName(execution.position.ID, execution.position.Occurrence, execution.position.Step, index)).saved[saved] {
+		if o.task(jobs.TaskName(execution.position.ID, execution.position.Occurrence, execution.position.Step, index)).checkpoints[checkpoint] {
 			return true
 		}
 	}
@@ -82,11 +82,11 @@
 		for _, other := range facts.active {
 			o.cluster.violate("TWICE", "%s: run %d began on %s while run %d runs on %s", execution.task, execution.run, executor.id, other.run, other.executor.id)
 		}
-		if facts.notedDone {
+		if facts.isDoneAcknowledged {
 			o.cluster.violate("TWICE", "%s: run %d began on %s after a run had done it and its end was noted", execution.task, execution.run, executor.id)
 		}
 	}
-	if execution.step.Redundant && facts.notedDone && o.cluster.queue.now()-facts.doneAt > time.Second+o.cluster.profile.contactTime && o.isCalm() && !isLate {
+	if execution.step.Redundant && facts.isDoneAcknowledged && o.cluster.queue.now()-facts.doneAt > time.Second+o.cluster.profile.contactTime && o.isCalm() && !isLate {
 		o.cluster.violate("TWICE", "%s: run %d of a redundant task began long after its end was noted", execution.task, execution.run)
 	}
 	if job := o.jobs[execution.position.ID]; job.state == "completed" && !execution.step.Redundant {
@@ -99,19 +99,19 @@
 	if execution.step.LongRunning || execution.step.Redundant {
 		return
 	}
-	noted := 0
+	acknowledged := 0
 	for _, failed := range facts.failures {
-		if failed.isNoted {
-			noted++
+		if failed.isAcknowledged {
+			acknowledged++
 		}
 	}
-	if noted >= job.terms.MaxAttempts {
-		o.cluster.violate("BUDGET", "%s run %d began after %d failures were noted", execution.task, execution.run, noted)
+	if acknowledged >= job.terms.MaxAttempts {
+		o.cluster.violate("BUDGET", "%s run %d began after %d failures were noted", execution.task, execution.run, acknowledged)
 	}
 }
 
 // checkDepends checks that a run starts after what it depends on, and not before its occurrence is due.
-func (o *oracles) checkDepends(execution *modelExecution, job *modelJob) {
+func (o *oracles) checkDependencies(execution *modelExecution, job *modelJob) {
 	for _, earlier := range execution.step.DependsOn {
 		for index := range job.spec.Steps[earlier].Tasks {
 			name := jobs.TaskName(execution.position.ID, execution.position.Occurrence, earlier, index)
@@ -123,8 +123,8 @@
 	if job.spec.RepeatCount == 0 {
 		return
 	}
-	slack := int64(earlyMs)
-	if o.isTimeOdd {
+	slack := int64(earlySlackMs)
+	if o.hasClockJumped {
 		slack += jumpSlackMs
 	}
 	due := job.spec.FirstRunMs + int64(execution.position.Occurrence)*job.spec.PeriodMs
@@ -152,19 +152,19 @@
 }
 
 // ended records the end of a run; a member of a gang must not end alone in calm times.
-func (o *oracles) ended(executor *modelExecutor, execution *modelExecution, how string) {
-	o.cluster.count("end_" + how)
-	o.cluster.note("%s: %s run %d ends %s", executor.id, execution.task, execution.run, how)
+func (o *oracles) recordEnd(executor *modelExecutor, execution *modelExecution, outcome string) {
+	o.cluster.count("end_" + outcome)
+	o.cluster.tracef("%s: %s run %d ends %s", executor.id, execution.task, execution.run, outcome)
 	facts := o.task(execution.task)
 	if job := o.jobs[execution.position.ID]; job != nil {
 		job.running--
 	}
 	facts.active = slices.DeleteFunc(facts.active, func(other *modelExecution) bool { return other == execution })
-	switch how {
+	switch outcome {
 	case outcomeDone:
 		facts.isDone = true
 		if job := o.jobs[execution.position.ID]; job != nil {
-			job.progressAt = o.cluster.queue.now()
+			job.lastProgressAt = o.cluster.queue.now()
 		}
 		if execution.step.Gang {
 			for index := range execution.step.Tasks {
@@ -173,9 +173,9 @@
 		}
 	case outcomeFailed:
 		facts.failures = append(facts.failures, failure{run: execution.run, at: o.cluster.queue.now()})
-	case howAlone:
+	case outcomeAlone:
 		job := o.jobs[execution.position.ID]
-		wasCalm := execution.begunAt-o.cluster.troubledAt > o.cluster.profile.contactTime
+		wasCalm := execution.begunAt-o.cluster.faultsUntil > o.cluster.profile.contactTime
 		if wasCalm && !job.isCancelSent && !executor.isDraining {
 			o.cluster.violate("GANG", "%s run %d ended alone", execution.task, execution.run)
 		}
@@ -183,14 +183,14 @@
 }
 
 // noted is told once last-seen reaches an end, unless the hold lapsed in between; starts made since then count against it.
-func (o *oracles) noted(executor *modelExecutor, end executorapi.EndRow) {
+func (o *oracles) recordAcknowledgedEnd(executor *modelExecutor, end executorapi.EndRow) {
 	facts := o.task(end.Task)
 	position, _ := jobs.ParseTask(end.Task)
 	step := o.stepOf(position)
 	switch end.Outcome {
 	case outcomeDone:
-		if !facts.notedDone {
-			facts.notedDone, facts.doneAt = true, o.cluster.queue.now()
+		if !facts.isDoneAcknowledged {
+			facts.isDoneAcknowledged, facts.doneAt = true, o.cluster.queue.now()
 		}
 		if !step.Redundant {
 			for _, begun := range facts.starts {
@@ -200,28 +200,28 @@
 			}
 		}
 	case outcomeFailed:
-		o.notedFailure(facts, end, step, o.jobs[position.ID])
+		o.checkAcknowledgedFailure(facts, end, step, o.jobs[position.ID])
 	}
 }
 
 // notedFailure checks that no run began after the failures that used up a task's attempts.
-func (o *oracles) notedFailure(facts *modelTask, end executorapi.EndRow, step *jobs.Step, job *modelJob) {
-	noted, lastAt := 0, time.Duration(0)
+func (o *oracles) checkAcknowledgedFailure(facts *modelTask, end executorapi.EndRow, step *jobs.Step, job *modelJob) {
+	acknowledged, lastAt := 0, time.Duration(0)
 	for index := range facts.failures {
 		if facts.failures[index].run == end.Run {
-			facts.failures[index].isNoted = true
+			facts.failures[index].isAcknowledged = true
 		}
-		if facts.failures[index].isNoted {
-			noted++
+		if facts.failures[index].isAcknowledged {
+			acknowledged++
 			lastAt = max(lastAt, facts.failures[index].at)
 		}
 	}
-	if step.LongRunning || step.Redundant || job == nil || noted < job.terms.MaxAttempts {
+	if step.LongRunning || step.Redundant || job == nil || acknowledged < job.terms.MaxAttempts {
 		return
 	}
 	for _, begun := range facts.starts {
 		if begun.at > lastAt {
-			o.cluster.violate("BUDGET", "%s run %d had begun after %d failures, which are noted now", end.Task, begun.run, noted)
+			o.cluster.violate("BUDGET", "%s run %d had begun after %d failures, which are noted now", end.Task, begun.run, acknowledged)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/schedule.go
+++ b/internal/simulation/modelcheck/ordermodel/schedule.go
@@ -66,40 +66,40 @@
 type scheduledFault struct {
 	kind           string
 	weight         int
-	minimum, limit int
+	minMs, maxMs   int
 	maxValue       int
-	isOfExecutors  bool
+	isMachineFault bool
 }
 
 var faults = []scheduledFault{
-	{kind: kindKillSteward, weight: 3, minimum: 100, limit: 3000},
-	{kind: kindFreezeSteward, weight: 3, minimum: 200, limit: 9000},
-	{kind: kindCutSteward, weight: 4, minimum: 200, limit: 12000, maxValue: 2},
-	{kind: kindPartition, weight: 4, minimum: 500, limit: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
-	{kind: kindTransferLeadership, weight: 2, minimum: 1, limit: 1},
-	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3000, maxValue: 400},
-	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
-	{kind: kindClockJump, weight: 1, minimum: 500, limit: 8000, maxValue: 4000},
-	{kind: kindCutGate, weight: 1, minimum: 200, limit: 4000, maxValue: 2},
-	{kind: kindKillProxy, weight: 4, minimum: 50, limit: 3000, isOfExecutors: true},
-	{kind: kindFreezeProxy, weight: 3, minimum: 200, limit: 9000, isOfExecutors: true},
-	{kind: kindCutProxy, weight: 4, minimum: 200, limit: 12000, maxValue: 2, isOfExecutors: true},
-	{kind: kindCrashExecutor, weight: 3, minimum: 50, limit: 4000, isOfExecutors: true},
-	{kind: kindFreezeExecutor, weight: 2, minimum: 200, limit: 9000, isOfExecutors: true},
-	{kind: kindDrainExecutor, weight: 2, minimum: 1, limit: 10000, maxValue: drainUnannounced, isOfExecutors: true},
-	{kind: kindLateExecutor, weight: 5, minimum: 500, limit: 6000, isOfExecutors: true},
-	{kind: kindMuteExecutor, weight: 4, minimum: 300, limit: 5000, isOfExecutors: true},
-	{kind: kindBusyExecutor, weight: 3, minimum: 200, limit: 4000, isOfExecutors: true},
-	{kind: kindRefuseExecutor, weight: 2, minimum: 100, limit: 4000, isOfExecutors: true},
-	{kind: kindStuckExecutor, weight: 1, minimum: 300, limit: 2000, isOfExecutors: true},
-	{kind: kindLateBeats, weight: 2, minimum: 500, limit: 5000, isOfExecutors: true},
-	{kind: kindLoseMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 40},
-	{kind: kindDoubleMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 40},
-	{kind: kindDelayMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 3000},
+	{kind: kindKillSteward, weight: 3, minMs: 100, maxMs: 3000},
+	{kind: kindFreezeSteward, weight: 3, minMs: 200, maxMs: 9000},
+	{kind: kindCutSteward, weight: 4, minMs: 200, maxMs: 12000, maxValue: 2},
+	{kind: kindPartition, weight: 4, minMs: 500, maxMs: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
+	{kind: kindTransferLeadership, weight: 2, minMs: 1, maxMs: 1},
+	{kind: kindSlowSync, weight: 2, minMs: 200, maxMs: 3000, maxValue: 400},
+	{kind: kindLosePower, weight: 3, minMs: 100, maxMs: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, minMs: 500, maxMs: 8000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, minMs: 200, maxMs: 4000, maxValue: 2},
+	{kind: kindKillProxy, weight: 4, minMs: 50, maxMs: 3000, isMachineFault: true},
+	{kind: kindFreezeProxy, weight: 3, minMs: 200, maxMs: 9000, isMachineFault: true},
+	{kind: kindCutProxy, weight: 4, minMs: 200, maxMs: 12000, maxValue: 2, isMachineFault: true},
+	{kind: kindCrashExecutor, weight: 3, minMs: 50, maxMs: 4000, isMachineFault: true},
+	{kind: kindFreezeExecutor, weight: 2, minMs: 200, maxMs: 9000, isMachineFault: true},
+	{kind: kindDrainExecutor, weight: 2, minMs: 1, maxMs: 10000, maxValue: drainUnannounced, isMachineFault: true},
+	{kind: kindLateExecutor, weight: 5, minMs: 500, maxMs: 6000, isMachineFault: true},
+	{kind: kindMuteExecutor, weight: 4, minMs: 300, maxMs: 5000, isMachineFault: true},
+	{kind: kindBusyExecutor, weight: 3, minMs: 200, maxMs: 4000, isMachineFault: true},
+	{kind: kindRefuseExecutor, weight: 2, minMs: 100, maxMs: 4000, isMachineFault: true},
+	{kind: kindStuckExecutor, weight: 1, minMs: 300, maxMs: 2000, isMachineFault: true},
+	{kind: kindLateBeats, weight: 2, minMs: 500, maxMs: 5000, isMachineFault: true},
+	{kind: kindLoseMessages, weight: 3, minMs: 300, maxMs: 5000, maxValue: 40},
+	{kind: kindDoubleMessages, weight: 3, minMs: 300, maxMs: 5000, maxValue: 40},
+	{kind: kindDelayMessages, weight: 3, minMs: 300, maxMs: 5000, maxValue: 3000},
 }
 
 // themes are kinds that bring about more together than each alone.
-var themes = [][]string{
+var faultCombinations = [][]string{
 	{kindLateExecutor, kindBusyExecutor, kindTransferLeadership, kindKillSteward, kindPartition, kindLateExecutor, kindTransferLeadership},
 	{kindLateExecutor, kindTransferLeadership, kindBusyExecutor},
 	{kindPartition, kindCutProxy, kindDelayMessages, kindFreezeProxy},
@@ -112,12 +112,12 @@
 	{kindDrainExecutor, kindCrashExecutor, kindFreezeExecutor, kindCutProxy, kindKillProxy},
 }
 
-const percentOfTheme = 75
+const percentFromCombination = 75
 
 // drawFault draws from the theme, if there is one, and at times from all kinds.
-func drawFault(random *rand.Rand, theme []string) scheduledFault {
-	if len(theme) > 0 && random.IntN(100) < percentOfTheme {
-		kind := theme[random.IntN(len(theme))]
+func drawFault(random *rand.Rand, combination []string) scheduledFault {
+	if len(combination) > 0 && random.IntN(100) < percentFromCombination {
+		kind := combination[random.IntN(len(combination))]
 		return faults[slices.IndexFunc(faults, func(fault scheduledFault) bool { return fault.kind == kind })]
 	}
 	return drawWeighted(random, faults)
@@ -146,8 +146,8 @@
 	schedule := modelcheck.Schedule{Model: modelName, Seed: seed, Losses: losses, Nodes: quorum.VotersFor(losses)}
 	plan := plan{Schedule: &schedule, random: random, centre: between(random, firstStepMs, lastStepMs), machine: random.IntN(smallProfile.executors),
 		isFocused: random.IntN(2) == 0}
-	if which := random.IntN(len(themes) + 2); which < len(themes) {
-		plan.theme = themes[which]
+	if which := random.IntN(len(faultCombinations) + 2); which < len(faultCombinations) {
+		plan.combination = faultCombinations[which]
 	}
 	for number := range between(random, minJobs, maxJobs) {
 		plan.addJob(number)
@@ -165,11 +165,11 @@
 // plan is a schedule that is being drawn.
 type plan struct {
 	*modelcheck.Schedule
-	random    *rand.Rand
-	centre    int
-	machine   int
-	isFocused bool
-	theme     []string
+	random      *rand.Rand
+	centre      int
+	machine     int
+	isFocused   bool
+	combination []string
 }
 
 func (p *plan) add(step modelcheck.Step) { p.Steps = append(p.Steps, step) }
@@ -192,13 +192,13 @@
 
 // addFault draws a fault near the moment that the schedule is about.
 func (p *plan) addFault() {
-	random, fault, spread := p.random, drawFault(p.random, p.theme), 3000
+	random, fault, spread := p.random, drawFault(p.random, p.combination), 3000
 	if p.isFocused {
 		spread = 800
 	}
 	step := modelcheck.Step{AtMs: max(firstStepMs, p.centre+between(random, -spread, spread)), Kind: fault.kind, Node: random.IntN(p.Nodes),
-		ForMs: between(random, fault.minimum, fault.limit), Value: random.IntN(fault.maxValue + 1)}
-	if fault.isOfExecutors {
+		ForMs: between(random, fault.minMs, fault.maxMs), Value: random.IntN(fault.maxValue + 1)}
+	if fault.isMachineFault {
 		step.Node = p.machine
 		if random.IntN(4) == 0 {
 			step.Node = random.IntN(smallProfile.executors)
--- a/internal/simulation/modelcheck/ordermodel/schedulelarge.go
+++ b/internal/simulation/modelcheck/ordermodel/schedulelarge.go
@@ -17,7 +17,7 @@
 	maxPatient                 = 4
 	maxBurst                   = 60
 	maxNarrow                  = 1500
-	numbersOfStream            = 10000
+	jobNumbersPerStream        = 10000
 	minWaves, maxWaves         = 1, 4
 	maxCoreFaults              = 3
 	percentBurst               = 50
@@ -29,48 +29,48 @@
 
 // wave is one trouble of many machines, one after the other or all at once; machines are a share in percent.
 type wave struct {
-	kind           string
-	minimum, limit int
-	share          int
-	maxGapMs       int
-	maxValue       int
+	kind         string
+	minMs, maxMs int
+	share        int
+	maxGapMs     int
+	maxValue     int
 }
 
 // waves are the troubles that large deployments have with a part of their machines.
 var waves = []wave{
-	{kind: kindCutProxy, minimum: 1000, limit: 6000, share: 18, maxValue: 2},
-	{kind: kindCutProxy, minimum: 4000, limit: 5500, share: 18},
-	{kind: kindKillProxy, minimum: 100, limit: 1500, share: 30, maxGapMs: 150},
-	{kind: kindKillProxy, minimum: 100, limit: 1500, share: 100},
-	{kind: kindFreezeProxy, minimum: 500, limit: 4000, share: 12},
-	{kind: kindCrashExecutor, minimum: 500, limit: 5000, share: 14, maxValue: staysAway},
-	{kind: kindCrashExecutor, minimum: 500, limit: 3000, share: 100},
-	{kind: kindFreezeExecutor, minimum: 500, limit: 4000, share: 12},
-	{kind: kindMuteExecutor, minimum: 1000, limit: 5500, share: 45},
-	{kind: kindLateExecutor, minimum: 1000, limit: 5500, share: 20},
-	{kind: kindBusyExecutor, minimum: 500, limit: 4000, share: 30},
-	{kind: kindRefuseExecutor, minimum: 500, limit: 4000, share: 15},
-	{kind: kindSlowExecutor, minimum: 3000, limit: 7000, share: 18},
-	{kind: kindStuckExecutor, minimum: 300, limit: 2000, share: 8},
-	{kind: kindLateBeats, minimum: 1000, limit: 5000, share: 50},
-	{kind: kindDrainExecutor, minimum: 1, limit: 1, share: 8, maxGapMs: 100},
-	{kind: kindDeregister, minimum: 1, limit: 1, share: 8, maxGapMs: 100},
+	{kind: kindCutProxy, minMs: 1000, maxMs: 6000, share: 18, maxValue: 2},
+	{kind: kindCutProxy, minMs: 4000, maxMs: 5500, share: 18},
+	{kind: kindKillProxy, minMs: 100, maxMs: 1500, share: 30, maxGapMs: 150},
+	{kind: kindKillProxy, minMs: 100, maxMs: 1500, share: 100},
+	{kind: kindFreezeProxy, minMs: 500, maxMs: 4000, share: 12},
+	{kind: kindCrashExecutor, minMs: 500, maxMs: 5000, share: 14, maxValue: staysAway},
+	{kind: kindCrashExecutor, minMs: 500, maxMs: 3000, share: 100},
+	{kind: kindFreezeExecutor, minMs: 500, maxMs: 4000, share: 12},
+	{kind: kindMuteExecutor, minMs: 1000, maxMs: 5500, share: 45},
+	{kind: kindLateExecutor, minMs: 1000, maxMs: 5500, share: 20},
+	{kind: kindBusyExecutor, minMs: 500, maxMs: 4000, share: 30},
+	{kind: kindRefuseExecutor, minMs: 500, maxMs: 4000, share: 15},
+	{kind: kindSlowExecutor, minMs: 3000, maxMs: 7000, share: 18},
+	{kind: kindStuckExecutor, minMs: 300, maxMs: 2000, share: 8},
+	{kind: kindLateBeats, minMs: 1000, maxMs: 5000, share: 50},
+	{kind: kindDrainExecutor, minMs: 1, maxMs: 1, share: 8, maxGapMs: 100},
+	{kind: kindDeregister, minMs: 1, maxMs: 1, share: 8, maxGapMs: 100},
 }
 
 // coreFaults are the troubles of stewards, gates and the network in large schedules.
 var coreFaults = []scheduledFault{
-	{kind: kindKillSteward, weight: 3, minimum: 100, limit: 4000},
-	{kind: kindFreezeSteward, weight: 2, minimum: 200, limit: 5000},
-	{kind: kindCutSteward, weight: 3, minimum: 500, limit: 7000, maxValue: 2},
-	{kind: kindPartition, weight: 2, minimum: 500, limit: 6000, maxValue: 1<<16 - 1},
-	{kind: kindTransferLeadership, weight: 4, minimum: 1, limit: 1},
-	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3500, maxValue: 400},
-	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
-	{kind: kindClockJump, weight: 1, minimum: 500, limit: 6000, maxValue: 4000},
-	{kind: kindCutGate, weight: 1, minimum: 200, limit: 4000, maxValue: 2},
-	{kind: kindLoseMessages, weight: 1, minimum: 300, limit: 3000, maxValue: 20},
-	{kind: kindDoubleMessages, weight: 1, minimum: 300, limit: 3000, maxValue: 20},
-	{kind: kindDelayMessages, weight: 1, minimum: 300, limit: 3000, maxValue: 2000},
+	{kind: kindKillSteward, weight: 3, minMs: 100, maxMs: 4000},
+	{kind: kindFreezeSteward, weight: 2, minMs: 200, maxMs: 5000},
+	{kind: kindCutSteward, weight: 3, minMs: 500, maxMs: 7000, maxValue: 2},
+	{kind: kindPartition, weight: 2, minMs: 500, maxMs: 6000, maxValue: 1<<16 - 1},
+	{kind: kindTransferLeadership, weight: 4, minMs: 1, maxMs: 1},
+	{kind: kindSlowSync, weight: 2, minMs: 200, maxMs: 3500, maxValue: 400},
+	{kind: kindLosePower, weight: 3, minMs: 100, maxMs: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, minMs: 500, maxMs: 6000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, minMs: 200, maxMs: 4000, maxValue: 2},
+	{kind: kindLoseMessages, weight: 1, minMs: 300, maxMs: 3000, maxValue: 20},
+	{kind: kindDoubleMessages, weight: 1, minMs: 300, maxMs: 3000, maxValue: 20},
+	{kind: kindDelayMessages, weight: 1, minMs: 300, maxMs: 3000, maxValue: 2000},
 }
 
 // drawLarge makes the schedule of a seed for the large profile: streams of jobs, waves of trouble among the machines, and
@@ -101,12 +101,12 @@
 func (p *largePlan) chance(percent int) bool { return p.random.IntN(100) < percent }
 
 // somewhere is a time within the traffic.
-func (p *largePlan) somewhere() int { return firstStepMs + p.random.IntN(p.trafficMs) }
+func (p *largePlan) drawTime() int { return firstStepMs + p.random.IntN(p.trafficMs) }
 
 // addStream lets so many jobs of a shape come within a time.
 func (p *largePlan) addStream(atMs, forMs, shape, count int) {
 	if count > 0 {
-		p.Steps = append(p.Steps, modelcheck.Step{AtMs: atMs, Kind: kindStream, Node: p.streams * numbersOfStream, Peer: count, ForMs: forMs, Value: shape})
+		p.Steps = append(p.Steps, modelcheck.Step{AtMs: atMs, Kind: kindStream, Node: p.streams * jobNumbersPerStream, Peer: count, ForMs: forMs, Value: shape})
 		p.streams++
 	}
 }
@@ -121,17 +121,17 @@
 		p.addStream(firstStepMs, p.trafficMs, shape, plain*p.trafficMs/2000)
 	}
 	for range p.random.IntN(maxPatient + 1) {
-		p.addStream(p.somewhere(), between(p.random, 1, 2000), between(p.random, shapeLong, shapeGang), between(p.random, 1, 3))
+		p.addStream(p.drawTime(), between(p.random, 1, 2000), between(p.random, shapeLong, shapeGang), between(p.random, 1, 3))
 	}
-	p.addStream(p.somewhere(), between(p.random, 1, 2000), between(p.random, shapePlainApart, shapeRepeated), between(p.random, 1, 4))
+	p.addStream(p.drawTime(), between(p.random, 1, 2000), between(p.random, shapePlainApart, shapeRepeated), between(p.random, 1, 4))
 	if p.chance(percentBurst) {
-		p.addStream(p.somewhere(), between(p.random, 1, 1500), between(p.random, shapeWide, shapePlain), between(p.random, 1, maxBurst))
+		p.addStream(p.drawTime(), between(p.random, 1, 1500), between(p.random, shapeWide, shapePlain), between(p.random, 1, maxBurst))
 	}
 	if p.chance(percentNarrow) {
-		p.addStream(p.somewhere(), between(p.random, 1000, 5000), shapeNarrow, between(p.random, 100, maxNarrow))
+		p.addStream(p.drawTime(), between(p.random, 1000, 5000), shapeNarrow, between(p.random, 100, maxNarrow))
 	}
 	if p.chance(percentGiveUp) {
-		p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: kindGiveUp, ForMs: p.random.IntN(maxGiveUpMs), Value: 1 + p.random.IntN(maxGiveUpPercent)})
+		p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.drawTime(), Kind: kindGiveUp, ForMs: p.random.IntN(maxGiveUpMs), Value: 1 + p.random.IntN(maxGiveUpPercent)})
 	}
 }
 
@@ -139,7 +139,7 @@
 func (p *largePlan) addWave() {
 	wave := waves[p.random.IntN(len(waves))]
 	count := max(1, largeProfile.executors*between(p.random, 1, wave.share)/100)
-	at, length, gap := p.somewhere(), between(p.random, wave.minimum, wave.limit), p.random.IntN(wave.maxGapMs+1)
+	at, length, gap := p.drawTime(), between(p.random, wave.minMs, wave.maxMs), p.random.IntN(wave.maxGapMs+1)
 	value, areNeighbours, first := p.random.IntN(wave.maxValue+1), p.chance(50), p.random.IntN(largeProfile.executors)
 	for number := range count {
 		machine := (first + number) % largeProfile.executors
@@ -152,6 +152,6 @@
 
 func (p *largePlan) addCoreFault() {
 	fault := drawWeighted(p.random, coreFaults)
-	p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.somewhere(), Kind: fault.kind, Node: p.random.IntN(p.Nodes),
-		ForMs: between(p.random, fault.minimum, fault.limit), Value: p.random.IntN(fault.maxValue + 1)})
+	p.Steps = append(p.Steps, modelcheck.Step{AtMs: p.drawTime(), Kind: fault.kind, Node: p.random.IntN(p.Nodes),
+		ForMs: between(p.random, fault.minMs, fault.maxMs), Value: p.random.IntN(fault.maxValue + 1)})
 }
--- a/internal/simulation/modelcheck/ordermodel/shapes.go
+++ b/internal/simulation/modelcheck/ordermodel/shapes.go
@@ -18,26 +18,26 @@
 
 // smallShapes are the jobs of the small profile.
 var smallShapes = []shape{
-	steps(jobs.Step{Tasks: 3, CPU: 1000, Memory: 100, EstimatedMs: 500}),
-	steps(jobs.Step{Tasks: 1, CPU: 3000, Memory: 100, EstimatedMs: 500}),
-	steps(jobs.Step{Tasks: 8, CPU: 1500, Memory: 100, EstimatedMs: 400}),
-	steps(jobs.Step{Tasks: 2, CPU: 500, EstimatedMs: 300}, jobs.Step{Tasks: 2, CPU: 1000, EstimatedMs: 300, DependsOn: []int{0}}),
-	steps(jobs.Step{Tasks: 3, CPU: 1500, EstimatedMs: 400, Gang: true, Checkpointing: true}),
-	steps(jobs.Step{Tasks: 2, CPU: 1000, EstimatedMs: 300, Redundant: true}, jobs.Step{Tasks: 1, CPU: 500, EstimatedMs: 100, DependsOn: []int{0}}),
-	steps(jobs.Step{Tasks: 2, CPU: 1000, EstimatedMs: 1500, Checkpointing: true}),
-	steps(jobs.Step{Tasks: 2, CPU: 500, LongRunning: true}),
-	steps(jobs.Step{Tasks: 3, CPU: 1000, EstimatedMs: longMs}),
-	steps(jobs.Step{Tasks: 3, CPU: 500, EstimatedMs: 800, AntiAffinity: 1}),
-	steps(jobs.Step{Tasks: 1, CPU: 500, EstimatedMs: hopelessMs}),
-	steps(jobs.Step{Tasks: 2, CPU: 500, EstimatedMs: 800, Labels: jobs.Labels{rackOf(1)}}),
+	withSteps(jobs.Step{Tasks: 3, CPU: 1000, Memory: 100, EstimatedMs: 500}),
+	withSteps(jobs.Step{Tasks: 1, CPU: 3000, Memory: 100, EstimatedMs: 500}),
+	withSteps(jobs.Step{Tasks: 8, CPU: 1500, Memory: 100, EstimatedMs: 400}),
+	withSteps(jobs.Step{Tasks: 2, CPU: 500, EstimatedMs: 300}, jobs.Step{Tasks: 2, CPU: 1000, EstimatedMs: 300, DependsOn: []int{0}}),
+	withSteps(jobs.Step{Tasks: 3, CPU: 1500, EstimatedMs: 400, Gang: true, Checkpointing: true}),
+	withSteps(jobs.Step{Tasks: 2, CPU: 1000, EstimatedMs: 300, Redundant: true}, jobs.Step{Tasks: 1, CPU: 500, EstimatedMs: 100, DependsOn: []int{0}}),
+	withSteps(jobs.Step{Tasks: 2, CPU: 1000, EstimatedMs: 1500, Checkpointing: true}),
+	withSteps(jobs.Step{Tasks: 2, CPU: 500, LongRunning: true}),
+	withSteps(jobs.Step{Tasks: 3, CPU: 1000, EstimatedMs: longTaskMs}),
+	withSteps(jobs.Step{Tasks: 3, CPU: 500, EstimatedMs: 800, AntiAffinity: 1}),
+	withSteps(jobs.Step{Tasks: 1, CPU: 500, EstimatedMs: alwaysFailingMs}),
+	withSteps(jobs.Step{Tasks: 2, CPU: 500, EstimatedMs: 800, Labels: jobs.Labels{rackOf(1)}}),
 	repeated(3, 1200, jobs.Step{Tasks: 1, CPU: 500, EstimatedMs: 200}),
 }
 
 // The terms of the queues of the large profile.
 var (
-	urgentTerms = wire.RouteTerms{MaxAttempts: 3, Stretch: 1.5, TargetMs: 250, Priority: 0}
-	plainTerms  = wire.RouteTerms{MaxAttempts: 4, Stretch: 2.2, TargetMs: 1000, Priority: 1}
-	patientTerm = wire.RouteTerms{MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000, Priority: 2}
+	urgentTerms  = wire.RouteTerms{MaxAttempts: 3, Stretch: 1.5, TargetMs: 250, Priority: 0}
+	plainTerms   = wire.RouteTerms{MaxAttempts: 4, Stretch: 2.2, TargetMs: 1000, Priority: 1}
+	patientTerms = wire.RouteTerms{MaxAttempts: 3, Stretch: 3.2, TargetMs: 3000, Priority: 2}
 )
 
 // Places of shapes in largeShapes that the schedules of the large profile name.
@@ -57,49 +57,49 @@
 	shapeGang
 	shapeGangRack
 	shapeRedundant
-	shapeLasting
+	shapeLongRunning
 	shapeRepeated
 )
 
 // largeShapes are the jobs of the large profile: urgent wide jobs of short tasks, plain ones, and patient long ones.
 var largeShapes = []shape{
-	shapeWide: under(urgentTerms, jobs.Step{Tasks: 31, CPU: 12000, Memory: 22000, EstimatedMs: 240}),
-	shapeWideChain: under(urgentTerms, jobs.Step{Tasks: 31, CPU: 12000, Memory: 22000, EstimatedMs: 240},
+	shapeWide: withTerms(urgentTerms, jobs.Step{Tasks: 31, CPU: 12000, Memory: 22000, EstimatedMs: 240}),
+	shapeWideChain: withTerms(urgentTerms, jobs.Step{Tasks: 31, CPU: 12000, Memory: 22000, EstimatedMs: 240},
 		jobs.Step{Tasks: 12, CPU: 8000, Memory: 16000, EstimatedMs: 200, DependsOn: []int{0}}),
-	shapeNarrow:     under(urgentTerms, jobs.Step{Tasks: 2, CPU: 12000, Memory: 22000, EstimatedMs: 240}),
-	shapePlain:      under(plainTerms, jobs.Step{Tasks: 10, CPU: 19000, Memory: 36000, EstimatedMs: 720}),
-	shapePlainNear:  under(plainTerms, jobs.Step{Tasks: 10, CPU: 19000, Memory: 36000, EstimatedMs: 720, Affinity: jobs.Labels{rackOf(3)}}),
-	shapePlainApart: under(plainTerms, jobs.Step{Tasks: 60, CPU: 19000, Memory: 36000, EstimatedMs: 720, AntiAffinity: 1}),
-	shapePlainBig:   under(plainTerms, jobs.Step{Tasks: 20, CPU: 50000, Memory: 100000, EstimatedMs: 720}),
-	shapeLong:       under(patientTerm, jobs.Step{Tasks: 100, CPU: 29000, Memory: 29000, EstimatedMs: 4800, Checkpointing: true}),
-	shapeLongChain: under(patientTerm, jobs.Step{Tasks: 20, CPU: 29000, Memory: 29000, EstimatedMs: 2400},
+	shapeNarrow:     withTerms(urgentTerms, jobs.Step{Tasks: 2, CPU: 12000, Memory: 22000, EstimatedMs: 240}),
+	shapePlain:      withTerms(plainTerms, jobs.Step{Tasks: 10, CPU: 19000, Memory: 36000, EstimatedMs: 720}),
+	shapePlainNear:  withTerms(plainTerms, jobs.Step{Tasks: 10, CPU: 19000, Memory: 36000, EstimatedMs: 720, Affinity: jobs.Labels{rackOf(3)}}),
+	shapePlainApart: withTerms(plainTerms, jobs.Step{Tasks: 60, CPU: 19000, Memory: 36000, EstimatedMs: 720, AntiAffinity: 1}),
+	shapePlainBig:   withTerms(plainTerms, jobs.Step{Tasks: 20, CPU: 50000, Memory: 100000, EstimatedMs: 720}),
+	shapeLong:       withTerms(patientTerms, jobs.Step{Tasks: 100, CPU: 29000, Memory: 29000, EstimatedMs: 4800, Checkpointing: true}),
+	shapeLongChain: withTerms(patientTerms, jobs.Step{Tasks: 20, CPU: 29000, Memory: 29000, EstimatedMs: 2400},
 		jobs.Step{Tasks: 100, CPU: 20000, Memory: 29000, EstimatedMs: 2400, DependsOn: []int{0}}),
-	shapeLongApart: under(patientTerm, jobs.Step{Tasks: 300, CPU: 29000, Memory: 29000, EstimatedMs: 2400, AntiAffinity: 1}),
-	shapeLongLabel: under(patientTerm, jobs.Step{Tasks: 40, CPU: 29000, Memory: 29000, EstimatedMs: 2400, Labels: jobs.Labels{rackOf(5)}}),
-	shapeLongBig:   under(patientTerm, jobs.Step{Tasks: 60, CPU: 80000, Memory: 80000, EstimatedMs: 4800, Checkpointing: true}),
-	shapeGang:      under(patientTerm, jobs.Step{Tasks: 24, CPU: 29000, Memory: 29000, EstimatedMs: 2400, Gang: true, Checkpointing: true}),
-	shapeGangRack:  under(plainTerms, jobs.Step{Tasks: 12, CPU: 19000, Memory: 29000, EstimatedMs: 720, Gang: true, SameRack: true}),
-	shapeRedundant: under(urgentTerms, jobs.Step{Tasks: 20, CPU: 12000, Memory: 22000, EstimatedMs: 240, Redundant: true}),
-	shapeLasting:   under(plainTerms, jobs.Step{Tasks: 6, CPU: 8000, Memory: 16000, LongRunning: true}),
-	shapeRepeated:  timed(under(urgentTerms, jobs.Step{Tasks: 4, CPU: 12000, Memory: 22000, EstimatedMs: 240}), 4, 1500),
+	shapeLongApart:   withTerms(patientTerms, jobs.Step{Tasks: 300, CPU: 29000, Memory: 29000, EstimatedMs: 2400, AntiAffinity: 1}),
+	shapeLongLabel:   withTerms(patientTerms, jobs.Step{Tasks: 40, CPU: 29000, Memory: 29000, EstimatedMs: 2400, Labels: jobs.Labels{rackOf(5)}}),
+	shapeLongBig:     withTerms(patientTerms, jobs.Step{Tasks: 60, CPU: 80000, Memory: 80000, EstimatedMs: 4800, Checkpointing: true}),
+	shapeGang:        withTerms(patientTerms, jobs.Step{Tasks: 24, CPU: 29000, Memory: 29000, EstimatedMs: 2400, Gang: true, Checkpointing: true}),
+	shapeGangRack:    withTerms(plainTerms, jobs.Step{Tasks: 12, CPU: 19000, Memory: 29000, EstimatedMs: 720, Gang: true, SameRack: true}),
+	shapeRedundant:   withTerms(urgentTerms, jobs.Step{Tasks: 20, CPU: 12000, Memory: 22000, EstimatedMs: 240, Redundant: true}),
+	shapeLongRunning: withTerms(plainTerms, jobs.Step{Tasks: 6, CPU: 8000, Memory: 16000, LongRunning: true}),
+	shapeRepeated:    withPeriod(withTerms(urgentTerms, jobs.Step{Tasks: 4, CPU: 12000, Memory: 22000, EstimatedMs: 240}), 4, 1500),
 }
 
-func steps(all ...jobs.Step) shape {
+func withSteps(all ...jobs.Step) shape {
 	return func(job *modelJob) { job.spec.Steps = all }
 }
 
 func repeated(count int, periodMs int64, all ...jobs.Step) shape {
-	return timed(steps(all...), count, periodMs)
+	return withPeriod(withSteps(all...), count, periodMs)
 }
 
-func timed(inner shape, count int, periodMs int64) shape {
+func withPeriod(inner shape, count int, periodMs int64) shape {
 	return func(job *modelJob) {
 		inner(job)
 		job.spec.RepeatCount, job.spec.PeriodMs = count, periodMs
 	}
 }
 
-func under(terms wire.RouteTerms, all ...jobs.Step) shape {
+func withTerms(terms wire.RouteTerms, all ...jobs.Step) shape {
 	return func(job *modelJob) {
 		job.spec.Steps, job.terms = all, terms
 	}
@@ -116,7 +116,7 @@
 		terms: wire.RouteTerms{MaxAttempts: defaultAttempts, Stretch: 1.5, TargetMs: 250, Priority: number % 2}}
 	p.shapes[shape%len(p.shapes)](job)
 	if job.spec.RepeatCount > 0 {
-		job.spec.FirstRunMs = beginWallMs + atMs + firstRunDelayMs
+		job.spec.FirstRunMs = wallAtStartMs + atMs + firstRunDelayMs
 	}
 	return job
 }
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	beginWallMs = 1_800_000_000_000
-	queueStream = 42
+	wallAtStartMs = 1_800_000_000_000
+	queueStream   = 42
 
 	service = "board"
 	poolKey = "pool/" + service
@@ -33,7 +33,7 @@
 	conditions
 	evacuations evacuationOrders
 	// splits counts the splits of the core, so that the end of an earlier one doesn't end a later one.
-	splits int
+	coreSplits int
 	// calls counts the calls between processes, which number them.
 	calls uint64
 	// isDone ends the run: all jobs are over, and late calls can't come any more.
@@ -58,12 +58,12 @@
 
 // conditions are how network and disks behave now, and when anything was wrong last.
 type conditions struct {
-	hop      hop
-	slowSync time.Duration
+	messageFaults messageFaults
+	syncDelay     time.Duration
 	// troubledAt is the last time at which anything was wrong.
-	troubledAt time.Duration
+	faultsUntil time.Duration
 	// coreTroubledAt is the last time at which anything was wrong with stewards, gates or the network as a whole.
-	coreTroubledAt time.Duration
+	coreFaultsUntil time.Duration
 }
 
 // newSimCluster sets up and starts all processes of a schedule.
@@ -71,16 +71,16 @@
 	profile := profileOf(schedule.Size)
 	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
 		forgotten: map[string]bool{}}
-	w.timing = w.fault.timing(profile.timing)
+	w.timing = w.fault.adjustTiming(profile.timing)
 	w.oracles = newOracles(w)
-	w.outside = &modelProcess{cluster: w, name: "outside", lifecycle: lifecycle{isUp: true}, isOnce: true}
+	w.outside = &modelProcess{cluster: w, name: "outside", lifecycle: lifecycle{isUp: true}, isNeverDoubled: true}
 	w.key = &replicatedKey{cluster: w, pairs: map[string][]byte{}}
 	w.views = make([]*membership.View, schedule.Nodes)
 	for number := range schedule.Nodes {
 		w.stewards = append(w.stewards, &modelSteward{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("steward-%d", number)}})
 	}
 	for number := range profile.gates {
-		w.gates = append(w.gates, &modelGate{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("gate-%d", number), isOnce: true}})
+		w.gates = append(w.gates, &modelGate{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("gate-%d", number), isNeverDoubled: true}})
 	}
 	for number := range profile.executors {
 		machine := fmt.Sprintf("side-%d", number)
@@ -107,7 +107,7 @@
 	for _, executor := range w.executors {
 		executor.start()
 	}
-	w.key.watch()
+	w.key.monitorLease()
 	w.watchStalls()
 }
 
@@ -116,26 +116,26 @@
 // announce lets processes hear of a new leader, each in its time; one that is cut off hears later.
 func (w *simCluster) announce(fresh *leadership) {
 	for _, gate := range w.gates {
-		w.tellLeader(&gate.modelProcess, fresh)
+		w.announceTo(&gate.modelProcess, fresh)
 	}
 	for _, proxy := range w.proxies {
-		w.tellLeader(&proxy.modelProcess, fresh)
+		w.announceTo(&proxy.modelProcess, fresh)
 	}
 }
 
 // tellLeader lets a process learn of a new leader after a while, once it is reachable.
-func (w *simCluster) tellLeader(to *modelProcess, fresh *leadership) {
+func (w *simCluster) announceTo(to *modelProcess, fresh *leadership) {
 	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
 		if w.key.leader != fresh {
 			return
 		}
 		if !to.isReachable() || to.group != fresh.steward.group {
-			w.tellLeader(to, fresh)
+			w.announceTo(to, fresh)
 			return
 		}
 		for index, steward := range w.stewards {
 			if steward == fresh.steward {
-				to.hear(index)
+				to.updateLeader(index)
 			}
 		}
 	})
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -17,16 +17,16 @@
 // excused until all that the machine was told to run has lapsed, and the contact time after; so is each job after a change
 // of the leader while a machine was in trouble.
 const (
-	stallLimit = 3 * time.Second
+	stallTimeout = 3 * time.Second
 	// orderedLately bounds how long an order to a machine may excuse its job.
-	orderedLately = 15 * time.Second
+	maxOrderExcuse = 15 * time.Second
 	// capacityTwice is how often a task must have room.
-	capacityTwice = 2
+	requiredRoomFactor = 2
 )
 
 // watchStalls looks again and again.
 func (w *simCluster) watchStalls() {
-	w.queue.after(w.profile.stallEvery, func() {
+	w.queue.after(w.profile.stallCheckInterval, func() {
 		w.oracles.checkStalls()
 		w.watchStalls()
 	})
@@ -42,20 +42,20 @@
 }
 
 // share is room and how much of it is in use.
-type share struct{ used, total wire.Capacity }
+type usage struct{ used, total wire.Capacity }
 
-func (s *share) add(used, total wire.Capacity) {
+func (s *usage) add(used, total wire.Capacity) {
 	s.used.CPU, s.used.Memory = s.used.CPU+used.CPU, s.used.Memory+used.Memory
 	s.total.CPU, s.total.Memory = s.total.CPU+total.CPU, s.total.Memory+total.Memory
 }
 
-func (s *share) isHalfUsed() bool {
+func (s *usage) isHalfUsed() bool {
 	return 2*s.used.CPU >= s.total.CPU || 2*s.used.Memory >= s.total.Memory
 }
 
 // offeredCapacity sums what sound executors have free, and tells whether half of all is used.
 func (o *oracles) offeredCapacity() *offeredCapacity {
-	offered, sound, all := &offeredCapacity{}, share{}, share{}
+	offered, sound, all := &offeredCapacity{}, usage{}, usage{}
 	for _, executor := range o.cluster.executors {
 		if !executor.isUp {
 			continue
@@ -75,20 +75,20 @@
 // isSound tells whether an executor has been there, and nothing has been wrong with its machine, for the contact time.
 func (o *oracles) isSound(executor *modelExecutor) bool {
 	now, contact := o.cluster.queue.now(), o.cluster.profile.contactTime
-	return executor.isUp && !executor.isFrozen && !executor.isDraining && !executor.isLeaving && executor.proxy.isReachable() && executor.proxy.group == 0 &&
-		now-executor.begunAt > contact && now-executor.troubledUntil > contact
+	return executor.isUp && !executor.isFrozen && !executor.isDraining && !executor.hasSkippedDrain && executor.proxy.isReachable() && executor.proxy.group == 0 &&
+		now-executor.begunAt > contact && now-executor.faultyUntil > contact
 }
 
 // fits tells whether so many tasks of a step have room on sound executors now.
-func (r *offeredCapacity) fits(step *jobs.Step, visit func(*modelExecutor) int, count int64) bool {
+func (r *offeredCapacity) fits(step *jobs.Step, countTasksOn func(*modelExecutor) int, count int64) bool {
 	number := int64(0)
 	for index, executor := range r.executors {
 		if !hasLabels(executor, step) {
 			continue
 		}
-		slots := slotsIn(r.free[index], step)
+		slots := countSlots(r.free[index], step)
 		if step.AntiAffinity > 0 {
-			slots = min(slots, int64(max(0, step.AntiAffinity-visit(executor))))
+			slots = min(slots, int64(max(0, step.AntiAffinity-countTasksOn(executor))))
 		}
 		if number += slots; number >= count {
 			return true
@@ -98,7 +98,7 @@
 }
 
 // slotsIn is how many tasks of a step fit in a room.
-func slotsIn(free wire.Capacity, step *jobs.Step) int64 {
+func countSlots(free wire.Capacity, step *jobs.Step) int64 {
 	if free.CPU < step.CPU || free.Memory < step.Memory {
 		return 0
 	}
@@ -112,23 +112,23 @@
 // checkStalls checks in calm times that a job which could run doesn't wait longer than stallLimit.
 func (o *oracles) checkStalls() {
 	w, now := o.cluster, o.cluster.queue.now()
-	if now-w.coreTroubledAt <= w.profile.contactTime {
-		o.forgetStalls()
+	if now-w.coreFaultsUntil <= w.profile.contactTime {
+		o.resetStalls()
 		return
 	}
 	offered := o.offeredCapacity()
 	if offered.isHalfUsed {
-		o.forgetStalls()
+		o.resetStalls()
 		return
 	}
 	for _, job := range o.order {
-		name, isWaiting := o.waitsWithoutCause(job, offered)
+		name, isWaiting := o.findStalledTask(job, offered)
 		switch {
 		case !isWaiting:
 			job.stalledSince = 0
 		case job.stalledSince == 0:
 			job.stalledSince = now
-		case now-job.stalledSince >= stallLimit:
+		case now-job.stalledSince >= stallTimeout:
 			w.violate("STALLED", "nothing of %s has run since %d ms, though the turn of %s has come and there is room", job.id,
 				job.stalledSince.Milliseconds(), name)
 			return
@@ -136,34 +136,34 @@
 	}
 }
 
-func (o *oracles) forgetStalls() {
+func (o *oracles) resetStalls() {
 	for _, job := range o.order {
 		job.stalledSince = 0
 	}
 }
 
 // waitsWithoutCause names a task of a job that could run, if nothing of the job does.
-func (o *oracles) waitsWithoutCause(job *modelJob, offered *offeredCapacity) (name string, isWaiting bool) {
+func (o *oracles) findStalledTask(job *modelJob, offered *offeredCapacity) (name string, isWaiting bool) {
 	if !job.isAccepted || job.isCancelSent || job.isOver() || job.running > 0 || o.isExcused(job) || o.mayHaveFailed(job) {
 		return "", false
 	}
-	for time := range max(1, job.spec.RepeatCount) {
-		if !o.isDue(job, time) {
+	for occurrence := range max(1, job.spec.RepeatCount) {
+		if !o.isDue(job, occurrence) {
 			break
 		}
 		for number := range job.spec.Steps {
 			step := &job.spec.Steps[number]
-			index, isLeft := o.firstLeft(job, time, number)
-			if !isLeft || !o.isTurn(job, time, step) {
+			index, hasUndone := o.firstUndoneTask(job, occurrence, number)
+			if !hasUndone || !o.areDependenciesDone(job, occurrence, step) {
 				continue
 			}
-			count := int64(capacityTwice)
+			count := int64(requiredRoomFactor)
 			if step.Gang {
 				count *= int64(step.Tasks)
 			}
-			visit := func(where *modelExecutor) int { return where.tasksOf(job.id, time, number) }
-			if offered.fits(step, visit, count) {
-				return jobs.TaskName(job.id, time, number, index), true
+			countTasksOn := func(where *modelExecutor) int { return where.countTasks(job.id, occurrence, number) }
+			if offered.fits(step, countTasksOn, count) {
+				return jobs.TaskName(job.id, occurrence, number, index), true
 			}
 		}
 	}
@@ -171,21 +171,21 @@
 }
 
 // isDue tells whether an occurrence of a job may start by now, whatever the clocks did.
-func (o *oracles) isDue(job *modelJob, time int) bool {
+func (o *oracles) isDue(job *modelJob, occurrence int) bool {
 	if job.spec.RepeatCount == 0 {
 		return true
 	}
-	slack := int64(earlyMs)
-	if o.isTimeOdd {
+	slack := int64(earlySlackMs)
+	if o.hasClockJumped {
 		slack += jumpSlackMs
 	}
-	return o.cluster.queue.clock.WallMs() >= job.spec.FirstRunMs+int64(time)*job.spec.PeriodMs+slack
+	return o.cluster.queue.clock.WallMs() >= job.spec.FirstRunMs+int64(occurrence)*job.spec.PeriodMs+slack
 }
 
 // firstLeft is the first task of a step that no run has done.
-func (o *oracles) firstLeft(job *modelJob, time, number int) (index int, isLeft bool) {
+func (o *oracles) firstUndoneTask(job *modelJob, occurrence, number int) (index int, hasUndone bool) {
 	for index := range job.spec.Steps[number].Tasks {
-		if !o.isDone(jobs.TaskName(job.id, time, number, index)) {
+		if !o.isDone(jobs.TaskName(job.id, occurrence, number, index)) {
 			return index, true
 		}
 	}
@@ -198,9 +198,9 @@
 }
 
 // isTurn tells whether all tasks of the steps before this one are done.
-func (o *oracles) isTurn(job *modelJob, time int, step *jobs.Step) bool {
+func (o *oracles) areDependenciesDone(job *modelJob, occurrence int, step *jobs.Step) bool {
 	for _, earlier := range step.DependsOn {
-		if _, isLeft := o.firstLeft(job, time, earlier); isLeft {
+		if _, hasUndone := o.firstUndoneTask(job, occurrence, earlier); hasUndone {
 			return false
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 // orderedTo notes that the leader answers an exchange with orders for tasks.
-func (o *oracles) orderedTo(call *wire.ExchangeCall, orders []wire.Order) {
+func (o *oracles) recordOrders(call *wire.ExchangeCall, orders []wire.Order) {
 	machine := -1
 	for _, order := range orders {
 		if machine < 0 {
@@ -232,17 +232,17 @@
 
 // elected notes that a new leader took over. Where a machine was in trouble, nobody can tell it what the former leader had
 // given to that machine, and it waits until that has lapsed: a job that had been submitted before is excused for so long.
-func (o *oracles) elected() {
+func (o *oracles) recordElection() {
 	for _, executor := range o.cluster.executors {
 		if !o.isSound(executor) {
-			o.electedAt, o.inheritedUntil = o.cluster.queue.now(), o.cluster.queue.now()+o.lapse()+o.cluster.profile.contactTime
+			o.electedAt, o.electionExcuseUntil = o.cluster.queue.now(), o.cluster.queue.now()+o.holdLapseTime()+o.cluster.profile.contactTime
 			return
 		}
 	}
 }
 
 // lapse is how long a leader waits until it takes a hold for lapsed.
-func (o *oracles) lapse() time.Duration {
+func (o *oracles) holdLapseTime() time.Duration {
 	hold := o.cluster.timing.MaxHold
 	return hold + hold/40 + lapseSlack
 }
@@ -250,11 +250,11 @@
 // isExcused tells whether a job may wait for runs on machines in trouble.
 func (o *oracles) isExcused(job *modelJob) bool {
 	now := o.cluster.queue.now()
-	if job.handedInAt <= o.electedAt && now < o.inheritedUntil {
+	if job.submittedAt <= o.electedAt && now < o.electionExcuseUntil {
 		return true
 	}
 	for machine, at := range job.orderedAt {
-		if now-at < orderedLately && now < o.lapsedAt(o.cluster.executors[machine]) {
+		if now-at < maxOrderExcuse && now < o.lapsedAt(o.cluster.executors[machine]) {
 			return true
 		}
 	}
@@ -264,24 +264,24 @@
 // lapsedAt is when all is settled that a machine was told to run before its last trouble, or before the last trouble of
 // the core if a leader may have come too late to know.
 func (o *oracles) lapsedAt(executor *modelExecutor) time.Duration {
-	if executor.troubledUntil == 0 {
+	if executor.faultyUntil == 0 {
 		return 0
 	}
-	from := executor.troubledFrom + time.Second
-	if core := o.cluster.coreTroubledAt; core > executor.troubledFrom && core < executor.troubledUntil+orderedLately {
+	from := executor.faultyFrom + time.Second
+	if core := o.cluster.coreFaultsUntil; core > executor.faultyFrom && core < executor.faultyUntil+maxOrderExcuse {
 		from = max(from, core)
 	}
-	return max(from+o.lapse(), executor.troubledUntil) + o.cluster.profile.contactTime
+	return max(from+o.holdLapseTime(), executor.faultyUntil) + o.cluster.profile.contactTime
 }
 
 // lapseSlack is what a leader adds to the time after which it takes a hold for lapsed.
 const lapseSlack = 250 * time.Millisecond
 
 // tasksOf counts the runs of a step that are on an executor.
-func (e *modelExecutor) tasksOf(id string, time, step int) int {
+func (e *modelExecutor) countTasks(id string, occurrence, step int) int {
 	count := 0
 	for _, execution := range e.active {
-		if execution.position.ID == id && execution.position.Occurrence == time && execution.position.Step == step {
+		if execution.position.ID == id && execution.position.Occurrence == occurrence && execution.position.Step == step {
 			count++
 		}
 	}
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-const tickEvery = 50 * time.Millisecond
+const tickInterval = 50 * time.Millisecond
 
 // poolLeader is what the model drives of a pool; injected faults wrap it.
 type poolLeader interface {
@@ -38,18 +38,18 @@
 type modelSteward struct {
 	modelProcess
 	pool       poolLeader
-	leads      *leadership
+	leading    *leadership
 	wallJumpMs int64
 	isLeaving  bool
 	// half is the side of a split of the core; stewards of one half reach each other, and all else reaches both halves.
-	half int
+	coreSide int
 }
 
 func (s *modelSteward) start() {
 	s.boot()
-	s.leads = nil
-	isEvacuated := func(zone string) bool { return s.cluster.fault.heedsEvacuations() && s.evacuations.list.Has(zone) }
-	s.pool = s.cluster.fault.scheduler(scheduler.New(poolKey, jumpingClock{s.cluster.queue.clock, s}, s.cluster.timing, logging.Silent(),
+	s.leading = nil
+	isEvacuated := func(zone string) bool { return s.cluster.fault.obeysEvacuations() && s.evacuations.list.Has(zone) }
+	s.pool = s.cluster.fault.wrapPool(scheduler.New(poolKey, jumpingClock{s.cluster.queue.clock, s}, s.cluster.timing, logging.Silent(),
 		scheduler.WithEvacuations(isEvacuated)))
 	s.tick()
 }
@@ -57,24 +57,24 @@
 func (s *modelSteward) tick() {
 	if s.pool.IsOpen() {
 		s.pool.Tick()
-		s.settle()
+		s.flushPool()
 	}
-	s.later(tickEvery, s.tick)
+	s.later(tickInterval, s.tick)
 }
 
-func (s *modelSteward) settle() {
+func (s *modelSteward) flushPool() {
 	if s.isUp && !s.isFrozen {
 		s.pool.Flush()
 	}
 }
 
 // lead opens the pool under a new leadership.
-func (s *modelSteward) lead(fresh *leadership, pairs []wire.Op) {
-	if s.leads != nil {
-		s.leads.close()
+func (s *modelSteward) becomeLeader(fresh *leadership, pairs []wire.Op) {
+	if s.leading != nil {
+		s.leading.close()
 	}
-	s.leads = fresh
-	s.pool.Open(s.cluster.fault.leadership(fresh), pairs)
+	s.leading = fresh
+	s.pool.Open(s.cluster.fault.wrapLeadership(fresh), pairs)
 	if unreadable := s.pool.Unreadable(); len(unreadable) > 0 {
 		s.cluster.violate("READ", "the state of the key can't be taken over: %v", unreadable)
 	}
@@ -87,10 +87,10 @@
 		return
 	}
 	s.pool.Exchange(call, func(response wire.ExchangeAnswer) {
-		s.cluster.oracles.orderedTo(call, response.Orders)
+		s.cluster.oracles.recordOrders(call, response.Orders)
 		answer(response)
 	})
-	s.settle()
+	s.flushPool()
 }
 
 // serve runs a client's command, as the steward's own table of commands does.
@@ -107,5 +107,5 @@
 	case verbCancel:
 		s.pool.Cancel(call, answer)
 	}
-	s.settle()
+	s.flushPool()
 }
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -9,16 +9,16 @@
 
 // Of the jobs of a stream so many percent are submitted again or cancelled by their clients.
 const (
-	percentHandedInAgain = 5
-	percentCancelled     = 3
-	maxResendTime        = 1500 * time.Millisecond
-	maxCancelTime        = 6 * time.Second
+	percentSubmittedAgain = 5
+	percentCancelled      = 3
+	maxResendTime         = 1500 * time.Millisecond
+	maxCancelTime         = 6 * time.Second
 )
 
 // submitFirst makes a job and hands it in by way of a gate.
-func (w *simCluster) submitFirst(number, shape, through int) *modelJob {
+func (w *simCluster) submitNew(number, shape, through int) *modelJob {
 	job := w.profile.makeJob(number, shape, w.queue.now().Milliseconds())
-	job.isHandedIn, job.handedInAt = true, w.queue.now()
+	job.isSubmitted, job.submittedAt = true, w.queue.now()
 	w.oracles.jobs[job.id] = job
 	w.oracles.order = append(w.oracles.order, job)
 	w.submit(job, through, 0)
@@ -29,15 +29,15 @@
 func (w *simCluster) stream(step modelcheck.Step) {
 	for count := range step.Peer {
 		at := clock.Milliseconds(int64(step.ForMs)) * time.Duration(count) / time.Duration(step.Peer)
-		w.queue.after(at, func() { w.submitOfStream(step.Node+count, step.Value) })
+		w.queue.after(at, func() { w.submitFromStream(step.Node+count, step.Value) })
 	}
 }
 
 // submitOfStream hands in a job of a stream, and sometimes again, or cancels it.
-func (w *simCluster) submitOfStream(number, shape int) {
+func (w *simCluster) submitFromStream(number, shape int) {
 	random := w.queue.random
-	job := w.submitFirst(number, shape, random.IntN(len(w.gates)))
-	if w.queue.chance(percentHandedInAgain) {
+	job := w.submitNew(number, shape, random.IntN(len(w.gates)))
+	if w.queue.chance(percentSubmittedAgain) {
 		w.queue.after(w.queue.between(time.Millisecond, maxResendTime), func() { w.submit(job, random.IntN(len(w.gates)), clientAttempts) })
 	}
 	if w.queue.chance(percentCancelled) {
@@ -46,7 +46,7 @@
 }
 
 // giveUp cancels Value percent of the jobs that are not over.
-func (w *simCluster) giveUp(step modelcheck.Step) {
+func (w *simCluster) cancelSome(step modelcheck.Step) {
 	for _, job := range w.oracles.order {
 		if !job.isOver() && !job.isCancelSent && w.queue.chance(step.Value) {
 			wait := w.queue.between(0, clock.Milliseconds(int64(step.ForMs)))
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	longMs = 8000
+	longTaskMs = 8000
 	// hopelessMs is the estimate of the tasks that fail every time.
-	hopelessMs     = 250
-	percentFailing = 8
+	alwaysFailingMs = 250
+	percentFailing  = 8
 
 	percentFailingLarge = 2
 	// oneInLong runs of the large profile takes several times as long as the others of its step.
@@ -25,7 +25,7 @@
 )
 
 // hashOf spreads the names of runs evenly.
-func hashOf(execution *modelExecution) uint64 {
+func hashRun(execution *modelExecution) uint64 {
 	hash := uint64(14695981039346656037)
 	for _, digit := range []byte(fmt.Sprint(execution.task, "/", execution.run)) {
 		hash = (hash ^ uint64(digit)) * 1099511628211
@@ -35,25 +35,25 @@
 
 // smallWork is the work of the small profile, whatever a step's estimate says.
 func smallWork(execution *modelExecution) (time.Duration, string) {
-	hash, how := hashOf(execution), outcomeDone
-	if hash%100 < percentFailing || execution.step.EstimatedMs == hopelessMs {
-		how = outcomeFailed
+	hash, outcome := hashRun(execution), outcomeDone
+	if hash%100 < percentFailing || execution.step.EstimatedMs == alwaysFailingMs {
+		outcome = outcomeFailed
 	}
 	length := 50 + (hash/100)%700
 	switch {
-	case execution.step.EstimatedMs >= longMs:
-		length += longMs
+	case execution.step.EstimatedMs >= longTaskMs:
+		length += longTaskMs
 	case (hash/70000)%8 == 0:
 		length += 2500
 	}
-	return clock.Milliseconds(int64(length)), how
+	return clock.Milliseconds(int64(length)), outcome
 }
 
 // largeWork is from half to one and a half of the estimate, longer away from a step's data and on a slow executor.
 func largeWork(execution *modelExecution) (time.Duration, string) {
-	hash, how := hashOf(execution), outcomeDone
+	hash, outcome := hashRun(execution), outcomeDone
 	if hash%100 < percentFailingLarge {
-		how = outcomeFailed
+		outcome = outcomeFailed
 	}
 	length := execution.step.EstimatedMs * int64(50+(hash/100)%100) / 100
 	if (hash/70000)%oneInLong == 0 {
@@ -65,7 +65,7 @@
 	if isRemote(execution.step, execution.executor) {
 		length = int64(float64(length) * execution.executor.cluster.timing.RemoteFactor)
 	}
-	return min(clock.Milliseconds(length), maxLargeWork), how
+	return min(clock.Milliseconds(length), maxLargeWork), outcome
 }
 
 func isRemote(step *jobs.Step, where *modelExecutor) bool {
