--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -24,85 +24,89 @@
 	queuePrefix       = "/q/"
 	queueName         = "q"
 	reconcileInterval = 500 * time.Millisecond
-	// maxAttempts is how often a task may fail.
+	// maxAttempts is how often a task may fail until its job fails.
 	maxAttempts = 4
 )
 
-// modelControl is the leader of the configuration with its controller of rollouts, one after the other.
+// modelControl is the leader of the configuration with its rollout controller; each new leader has a new controller.
 type modelControl struct {
 	cluster    *simCluster
 	key        *simkey.Key
 	leader     *configleader.Leader
 	controller *rollouts.Controller
-	// losesNext ends the leadership within the next change, which lasts or not.
-	losesNext bool
-	// ended are the rollouts that were seen over; share is the largest share that each version ever had in a rollout, by its name.
-	ended  map[string]configuration.RolloutState
-	shares map[string]float64
-	// closedAt is when new jobs ceased to go to a service, open the services that they may go to now.
-	closedAt map[string]time.Duration
-	isOpen   map[string]bool
-	drawn    int
-	// duringReconcile are orders that come while the controller judges, between its reading of the configuration and its change.
-	duringReconcile []modelcheck.Step
+	// losesNextChange is set if the leadership ends during the next change, which may or may not be durable.
+	losesNextChange bool
+	// endStates are the states of rollouts that are over, and largestShares the largest share that the new version had in each
+	// rollout, by the rollout's name.
+	endStates     map[string]configuration.RolloutState
+	largestShares map[string]float64
+	// closedAt is when a service last stopped receiving new jobs, and takesJobs whether it may receive them now, by its name.
+	closedAt  map[string]time.Duration
+	takesJobs map[string]bool
+	// rolloutCount counts the rollouts that were started; the count is in the name of the latest one.
+	rolloutCount int
+	// ordersDuringReconcile are the orders that come during the controller's next decision, between its reading of the
+	// configuration and its change.
+	ordersDuringReconcile []modelcheck.Step
 }
 
 func newModelControl(c *simCluster) *modelControl {
-	return &modelControl{cluster: c, key: simkey.New(c.queue, c.coverage), ended: map[string]configuration.RolloutState{}, shares: map[string]float64{},
-		closedAt: map[string]time.Duration{}, isOpen: map[string]bool{}}
+	return &modelControl{cluster: c, key: simkey.New(c.queue, c.coverage), endStates: map[string]configuration.RolloutState{}, largestShares: map[string]float64{},
+		closedAt: map[string]time.Duration{}, takesJobs: map[string]bool{}}
 }
 
-// controlLeadership commits at once, unless the leadership is lost meanwhile.
+// controlLeadership is a leadership of the configuration in one epoch. It commits at once, unless the leadership is lost meanwhile.
 type controlLeadership struct {
 	control *modelControl
 	epoch   uint64
 }
 
-// HasLease is true until the leadership is over.
+// HasLease reports whether the leadership is not over.
 func (l *controlLeadership) HasLease() bool { return l.control.key.Epoch == l.epoch }
 
-// Voters are the disks that vote on the key.
+// Voters returns the disks that vote on the key.
 func (l *controlLeadership) Voters() []string { return []string{"d"} }
 
-// WallMs is the time of day.
+// WallMs returns the time of day in milliseconds.
 func (l *controlLeadership) WallMs() int64 { return l.control.cluster.queue.Clock.WallMs() }
 
-// Commit makes a change durable.
+// Commit makes a change durable. If losesNextChange is set, the leadership ends instead, and it is drawn whether the change is
+// durable.
 func (l *controlLeadership) Commit(ops []wire.Op, done func(error)) {
 	control := l.control
 	if !l.HasLease() {
-		done(errLost)
+		done(errLeadershipLost)
 		return
 	}
-	if control.losesNext {
-		control.losesNext = false
+	if control.losesNextChange {
+		control.losesNextChange = false
 		if control.cluster.queue.Draw.IntN(2) == 0 {
 			control.cluster.coverage["change_lasts_unknown"]++
 			control.key.Apply(ops)
 		}
 		control.key.Epoch++
 		control.cluster.queue.After(0, control.kill)
-		done(errLost)
+		done(errLeadershipLost)
 		return
 	}
 	control.key.Apply(ops)
 	done(nil)
 }
 
-// open lets the next leader take the configuration over.
+// open has a new leader take over the configuration.
 func (m *modelControl) open() {
-	m.leader = configleader.New(logging.Silent(), m.published)
+	m.leader = configleader.New(logging.Silent(), m.handleCommitted)
 	if err := m.leader.Open(&controlLeadership{m, m.key.Epoch}, m.key.Pairs("")); err != nil {
-		m.cluster.violate("CONFIG", "the configuration can't be taken over: %v", err)
+		m.cluster.violate("CONFIG", "a new leader can't read the configuration: %v", err)
 	}
 	m.controller = rollouts.New(rollouts.Dependencies{Clock: m.cluster.queue.Clock, Log: logging.Silent(), HasRollouts: func() bool { return true },
 		Execute: m.execute, Report: m.report})
 }
 
-// report is what a pool has told last. Orders that come meanwhile are carried out first.
+// report returns the last report of a pool to the controller. Orders that come during the decision are carried out first.
 func (m *modelControl) report(_ context.Context, service string) *wire.RolloutReport {
-	orders := m.duringReconcile
-	m.duringReconcile = nil
+	orders := m.ordersDuringReconcile
+	m.ordersDuringReconcile = nil
 	for _, step := range orders {
 		m.cluster.coverage["order_during_look"]++
 		m.carryOut(step)
@@ -110,23 +114,23 @@
 	return m.cluster.poolOf(service).report
 }
 
-// kill ends the leadership; the next leader has a controller of its own.
+// kill ends the leadership; the next leader takes over at once, with a new controller.
 func (m *modelControl) kill() {
 	m.key.Epoch++
 	m.open()
 }
 
-// execute runs a command of the controller.
+// execute handles a call of the controller to the leader.
 func (m *modelControl) execute(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 	if m.cluster.fault == faultOperatorOverwritten && call.Verb == wire.VerbReplace {
-		call.Base, call.Body = m.onTop(call.Body)
+		call.Base, call.Body = m.rebase(call.Body)
 	}
-	given := m.ask(call)
+	given := m.callLeader(call)
 	return &given, nil
 }
 
-// ask runs a command on the leader.
-func (m *modelControl) ask(call *wire.ClientCall) (given wire.ClientAnswer) {
+// callLeader calls the leader and returns its answer.
+func (m *modelControl) callLeader(call *wire.ClientCall) (given wire.ClientAnswer) {
 	take := func(answer wire.ClientAnswer) { given = answer }
 	if call.Verb == wire.VerbRetrieve {
 		m.leader.Retrieve(take)
@@ -136,13 +140,13 @@
 	return given
 }
 
-// reconcileForEver lets the controller judge the rollouts again and again.
-func (m *modelControl) reconcileForEver() {
+// reconcileRepeatedly has the controller check the rollouts at intervals.
+func (m *modelControl) reconcileRepeatedly() {
 	m.controller.Reconcile(context.Background())
-	m.cluster.queue.After(reconcileInterval, m.reconcileForEver)
+	m.cluster.queue.After(reconcileInterval, m.reconcileRepeatedly)
 }
 
-// bootstrap brings the first configuration.
+// bootstrap commits the first configuration: one queue, which goes to the first version.
 func (m *modelControl) bootstrap() {
 	var services []string
 	for number := range versionCount {
@@ -150,12 +154,12 @@
 	}
 	body := fmt.Sprintf(`{"config-version":1,"route-list":[{"name":%q,"host":%q,"path-prefix":%q,"timeout-ms":3000,"service":%q,"max-attempts":%d,"target-latency-ms":60000}],"service-list":[%s]}`,
 		queueName, queueHost, queuePrefix, serviceOf(0), maxAttempts, strings.Join(services, ","))
-	m.ask(&wire.ClientCall{Verb: wire.VerbReplace, Body: []byte(body)})
+	m.callLeader(&wire.ClientCall{Verb: wire.VerbReplace, Body: []byte(body)})
 }
 
-// current is the configuration in force; nil while nobody leads it.
+// current returns the configuration in force, decoded and as its text; both are nil if there is none that can be read.
 func (m *modelControl) current() (*configuration.Configuration, []byte) {
-	given := m.ask(&wire.ClientCall{Verb: wire.VerbRetrieve})
+	given := m.callLeader(&wire.ClientCall{Verb: wire.VerbRetrieve})
 	if given.Status != statusOK {
 		return nil, nil
 	}
@@ -166,51 +170,51 @@
 	return decoded, given.Body
 }
 
-// order has an operator's order come now, or while the controller judges a rollout.
-func (m *modelControl) order(step modelcheck.Step) {
+// scheduleOrder carries out an operator's order now, or, during a rollout, perhaps within the controller's next decision.
+func (m *modelControl) scheduleOrder(step modelcheck.Step) {
 	decoded, _ := m.current()
 	if decoded != nil && configuration.NewMatcher(decoded).Rollout(queueName) != nil && m.cluster.queue.Draw.IntN(2) == 0 {
-		m.duringReconcile = append(m.duringReconcile, step)
+		m.ordersDuringReconcile = append(m.ordersDuringReconcile, step)
 		return
 	}
 	m.carryOut(step)
 }
 
-// carryOut carries out an order, as far as it fits the configuration in force.
+// carryOut carries out an operator's order; it does nothing if the order doesn't fit the configuration in force.
 func (m *modelControl) carryOut(step modelcheck.Step) {
 	decoded, body := m.current()
 	if decoded == nil {
 		return
 	}
 	amendment := configuration.Amend(body)
-	underWay := configuration.NewMatcher(decoded).Rollout(queueName)
+	rollout := configuration.NewMatcher(decoded).Rollout(queueName)
 	switch {
-	case step.Kind == kindRollout && underWay == nil && serviceOf(step.Node) != decoded.Routes[0].Service:
-		m.drawn++
+	case step.Kind == kindRollout && rollout == nil && serviceOf(step.Node) != decoded.Routes[0].Service:
+		m.rolloutCount++
 		m.cluster.pools[step.Node].isBad = step.Value == 1
-		amendment.AddRollout(&configuration.Rollout{Name: fmt.Sprintf("r%d", m.drawn), Route: queueName, From: decoded.Routes[0].Service, To: serviceOf(step.Node),
+		amendment.AddRollout(&configuration.Rollout{Name: fmt.Sprintf("r%d", m.rolloutCount), Route: queueName, From: decoded.Routes[0].Service, To: serviceOf(step.Node),
 			Steps:  []configuration.RolloutStep{{Share: 0.3, MinTimeS: 1, MinJobs: 3}, {Share: 0.7, MinTimeS: 1, MinJobs: 3}, {Share: 1, MinTimeS: 1, MinJobs: 3}},
 			Bounds: configuration.RolloutBounds{Failures: 0.1, MinJobs: 3}, OnTurnBack: []string{"", configuration.TurnBackStop}[step.Node%2]})
-	case step.Kind == kindMove && underWay == nil:
+	case step.Kind == kindMove && rollout == nil:
 		body = []byte(strings.Replace(string(body), `"service":"`+decoded.Routes[0].Service+`"`, `"service":"`+serviceOf(step.Node)+`"`, 1))
 		amendment = configuration.Amend(body)
-	case step.Kind == kindPostOver && underWay != nil:
+	case step.Kind == kindPostOver && rollout != nil:
 		body = []byte(string(body[:strings.Index(string(body), `,"rollout-list"`)]) + "}")
 		amendment = configuration.Amend(body)
-	case underWay == nil || !setState(amendment, underWay, step.Kind):
+	case rollout == nil || !setProgress(amendment, rollout, step.Kind):
 		return
 	}
 	changed, err := amendment.Body()
 	if err != nil {
-		m.cluster.violate("CONFIG", "an order can't be written: %v", err)
+		m.cluster.violate("CONFIG", "the configuration of an operator's order can't be encoded: %v", err)
 		return
 	}
-	m.ask(&wire.ClientCall{Verb: wire.VerbReplace, Base: amendment.Base(), Body: changed})
+	m.callLeader(&wire.ClientCall{Verb: wire.VerbReplace, Base: amendment.Base(), Body: changed})
 }
 
-// setState writes an order about a rollout; it is false for one that doesn't fit.
-func setState(amendment *configuration.Amendment, underWay *configuration.Rollout, kind string) bool {
-	progress := underWay.Progress()
+// setProgress puts the new state of a rollout into an amendment; it returns false for an order that doesn't fit the state.
+func setProgress(amendment *configuration.Amendment, rollout *configuration.Rollout, kind string) bool {
+	progress := rollout.Progress()
 	switch {
 	case kind == kindPause && progress.State == configuration.RolloutWidening:
 		progress.State = configuration.RolloutPaused
@@ -221,39 +225,39 @@
 	default:
 		return false
 	}
-	amendment.SetProgress(underWay.Name, progress)
+	amendment.SetProgress(rollout.Name, progress)
 	return true
 }
 
-// published spreads a committed configuration, and has the oracles look at it.
-func (m *modelControl) published(committed *wire.Configuration) {
-	m.cluster.spread(committed)
+// handleCommitted spreads a committed configuration and checks its rollouts.
+func (m *modelControl) handleCommitted(committed *wire.Configuration) {
+	m.cluster.spreadConfiguration(committed)
 	decoded, err := configuration.Read(committed.Body)
 	if err != nil {
 		return
 	}
 	for number := range versionCount {
 		service := serviceOf(number)
-		if m.isOpen[service] && !leadsTo(decoded, service) {
+		if m.takesJobs[service] && !mayReceiveJobs(decoded, service) {
 			m.closedAt[service] = m.cluster.queue.Now()
 		}
-		m.isOpen[service] = leadsTo(decoded, service)
+		m.takesJobs[service] = mayReceiveJobs(decoded, service)
 	}
 	for _, rollout := range decoded.Rollouts {
-		m.noteRollout(&rollout)
+		m.checkRollout(&rollout)
 	}
 }
 
-// noteRollout is an oracle: what is over stays over, and a share grows by one step at a time.
-func (m *modelControl) noteRollout(rollout *configuration.Rollout) {
-	if state, isEnded := m.ended[rollout.Name]; isEnded && state != rollout.State {
-		m.cluster.violate("OPERATOR", "rollout %s was %s and is %q", rollout.Name, state, rollout.State)
+// checkRollout is an oracle: a rollout that is over keeps its state. It also records the largest share of the rollout.
+func (m *modelControl) checkRollout(rollout *configuration.Rollout) {
+	if state, isEnded := m.endStates[rollout.Name]; isEnded && state != rollout.State {
+		m.cluster.violate("OPERATOR", "rollout %s was over as %s and is %q now", rollout.Name, state, rollout.State)
 	}
-	if _, isKnown := m.ended[rollout.Name]; !isKnown && rollout.State == configuration.RolloutTurnedBack {
+	if _, isKnown := m.endStates[rollout.Name]; !isKnown && rollout.State == configuration.RolloutTurnedBack {
 		m.cluster.coverage["turned_back"]++
 	}
 	if rollout.IsOver() {
-		m.ended[rollout.Name] = rollout.State
+		m.endStates[rollout.Name] = rollout.State
 	}
 	if rollout.State == configuration.RolloutFinished {
 		m.cluster.coverage["finished"]++
@@ -261,9 +265,10 @@
 	if rollout.State == configuration.RolloutWidening && rollout.Step > 0 {
 		m.cluster.coverage["widened"]++
 	}
-	m.shares[rollout.Name] = max(m.shares[rollout.Name], rollout.Share())
+	m.largestShares[rollout.Name] = max(m.largestShares[rollout.Name], rollout.Share())
 }
 
+// readReport decodes a pool's report; it returns nil if that fails.
 func readReport(body []byte) *wire.RolloutReport {
 	report := &wire.RolloutReport{}
 	if easyjson.Unmarshal(body, report) != nil {
--- a/internal/simulation/modelcheck/rolloutmodel/executor.go
+++ b/internal/simulation/modelcheck/rolloutmodel/executor.go
@@ -10,32 +10,32 @@
 
 const (
 	minRunMs, maxRunMs = 50, 900
-	// outcomeStopped is how a run ends that was told to.
+	// outcomeStopped is the outcome of a run that was stopped by an order.
 	outcomeStopped wire.RunOutcome = "stopped"
-	// badPercent of the runs of a bad version fail.
+	// badPercent is the percentage of failing runs of a bad version.
 	badPercent = 60
 )
 
-// modelExecutor is an executor with its local proxy: it carries out each order at once and reports every tick.
+// modelExecutor is an executor with its local proxy. It carries out each order at once and reports in each tick.
 type modelExecutor struct {
 	wire.ExchangeCall
 	pool    *modelPool
 	running []wire.Order
-	// highest is, by task, the highest run that was ended or stopped here.
-	highest map[string]int64
-	lastEnd int64
+	// highestRun is the highest run that ended or was stopped here, by task.
+	highestRun map[string]int64
+	lastEnd    int64
 }
 
 func newModelExecutor(pool *modelPool, number int) *modelExecutor {
-	return &modelExecutor{pool: pool, highest: map[string]int64{}, ExchangeCall: wire.ExchangeCall{Key: pool.name(),
+	return &modelExecutor{pool: pool, highestRun: map[string]int64{}, ExchangeCall: wire.ExchangeCall{Key: pool.name(),
 		Executor: fmt.Sprintf("i-%d-%d", pool.number, number), Proxy: fmt.Sprintf("side-%d-%d", pool.number, number), Domain: fmt.Sprintf("zone-%d", number),
 		Capacity: wire.Capacity{CPU: executorCPU, Memory: executorMemory}, Labels: []string{"a", "r1"}}}
 }
 
-// allRuns numbers a list of runs that is newer than any the leader asked for.
+// allRuns is a list number above any that the leader asks for, so that each list counts as the one that it asked for.
 const allRuns = 1 << 40
 
-// exchange reports all, and carries out what the leader orders.
+// exchange reports all runs, ends and answers, and carries out the orders of the leader. Answers of an earlier epoch are ignored.
 func (e *modelExecutor) exchange() {
 	call := e.ExchangeCall
 	call.Fence, call.ListNumber, call.Running = e.pool.key.Epoch, allRuns, nil
@@ -56,15 +56,15 @@
 	e.pool.flush()
 }
 
-// carryOut starts or stops a run.
+// carryOut starts or stops a run and records the answer for the next report. It refuses to start a run not above highestRun.
 func (e *modelExecutor) carryOut(order wire.Order) {
 	result := wire.ResultOK
 	switch {
 	case order.Kind == wire.OrderStop:
-		e.highest[order.Task] = max(e.highest[order.Task], order.Run)
+		e.highestRun[order.Task] = max(e.highestRun[order.Task], order.Run)
 		e.end(order, outcomeStopped)
 	case slices.ContainsFunc(e.running, func(known wire.Order) bool { return known.Task == order.Task && known.Run == order.Run }):
-	case order.Run <= e.highest[order.Task]:
+	case order.Run <= e.highestRun[order.Task]:
 		result = wire.ResultNotRun
 	default:
 		e.begin(order)
@@ -72,10 +72,10 @@
 	e.Answers = append(e.Answers, wire.OrderAnswer{Task: order.Task, Run: order.Run, Kind: order.Kind, Result: result})
 }
 
-// begin starts a run, which ends after a while.
+// begin starts a run, which ends after a drawn time.
 func (e *modelExecutor) begin(order wire.Order) {
 	c := e.pool.cluster
-	c.noteStart(e, order)
+	c.checkStart(e, order)
 	e.running = append(e.running, order)
 	outcome := wire.OutcomeDone
 	if e.pool.isBad && c.queue.Draw.IntN(100) < badPercent {
@@ -84,15 +84,15 @@
 	c.queue.After(time.Duration(minRunMs+c.queue.Draw.IntN(maxRunMs-minRunMs))*time.Millisecond, func() { e.end(order, outcome) })
 }
 
-// end ends a run that goes on.
+// end ends a run and records its end for the next report; it does nothing if the run is not active.
 func (e *modelExecutor) end(order wire.Order, outcome wire.RunOutcome) {
 	index := slices.IndexFunc(e.running, func(known wire.Order) bool { return known.Task == order.Task && known.Run == order.Run })
 	if index < 0 {
 		return
 	}
 	e.running = slices.Delete(e.running, index, index+1)
-	e.highest[order.Task] = max(e.highest[order.Task], order.Run)
+	e.highestRun[order.Task] = max(e.highestRun[order.Task], order.Run)
 	e.lastEnd++
 	e.Ends = append(e.Ends, wire.EndReport{Number: e.lastEnd, Task: order.Task, Run: order.Run, Outcome: outcome})
-	e.pool.cluster.noteEnd(order.Task, outcome)
+	e.pool.cluster.recordEnd(order.Task, outcome)
 }
--- a/internal/simulation/modelcheck/rolloutmodel/gate.go
+++ b/internal/simulation/modelcheck/rolloutmodel/gate.go
@@ -12,26 +12,28 @@
 )
 
 const (
-	// attemptLimit is how long a gate waits for one answer, attemptPause the pause after one, and gateLimit how long it asks on.
-	attemptLimit = 400 * time.Millisecond
-	attemptPause = 60 * time.Millisecond
-	gateLimit    = 1500 * time.Millisecond
+	// attemptTimeout is how long a gate waits for the answer to an attempt, attemptPause the pause after it, and gateTimeout the
+	// time that it has for all attempts.
+	attemptTimeout = 400 * time.Millisecond
+	attemptPause   = 60 * time.Millisecond
+	gateTimeout    = 1500 * time.Millisecond
 )
 
-// modelGate plays the loops of clientapi.Gate as events, round its real decisions and answers.
+// modelGate is a gate. It replaces the loops of clientapi.Gate by events and makes the real decisions and answers in them.
 type modelGate struct {
-	cluster  *simCluster
-	number   int
+	cluster *simCluster
+	number  int
+	// snapshot is the newest configuration that has reached the gate; nil if none has.
 	snapshot *configcache.Snapshot
 }
 
-// request is what a client asks.
+// request is a client's HTTP request about a job.
 type request struct {
 	method string
 	job    *modelJob
 }
 
-// serve answers a client; status 0 stands for a gate without a configuration.
+// serve answers a client with a status and the version of the gate's configuration; version 0 stands for none.
 func (g *modelGate) serve(asked request, answer func(status int, version int64)) {
 	if g.snapshot == nil {
 		answer(http.StatusServiceUnavailable, 0)
@@ -44,9 +46,9 @@
 		answer(decision.Refusal.Status, snapshot.Committed.Version)
 		return
 	}
-	g.cluster.disturbDecision(g, decision.Call)
+	g.cluster.changeDecision(g, decision.Call)
 	done := func(status int) { answer(status, snapshot.Committed.Version) }
-	deadline := g.cluster.queue.Now() + gateLimit
+	deadline := g.cluster.queue.Now() + gateTimeout
 	if asked.method == http.MethodPost {
 		g.submit(decision.Call, decision.OtherServices, deadline, done)
 		return
@@ -54,33 +56,34 @@
 	g.find(decision.Call, append([]string{decision.Call.Key[len(wire.PoolPrefix):]}, decision.OtherServices...), deadline, findState{}, done)
 }
 
-// submit has all former pools renounce a job, and then gives it to the one that runs it now.
-func (g *modelGate) submit(call *wire.ClientCall, former []string, deadline time.Duration, done func(int)) {
-	if len(former) == 0 || g.cluster.fault == faultRenounceSkipped {
-		g.ask(call, deadline, func(outcome leaderclient.Outcome) { done(clientapi.ResponseOf(call, outcome).Status) })
+// submit has all other pools renounce a job, and then submits it to the pool of the call.
+func (g *modelGate) submit(call *wire.ClientCall, otherServices []string, deadline time.Duration, done func(int)) {
+	if len(otherServices) == 0 || g.cluster.fault == faultRenounceSkipped {
+		g.callPool(call, deadline, func(outcome leaderclient.Outcome) { done(clientapi.ResponseOf(call, outcome).Status) })
 		return
 	}
-	renounce := callTo(call, former[0], wire.VerbRenounce)
-	g.ask(renounce, deadline, func(outcome leaderclient.Outcome) {
+	renounce := callTo(call, otherServices[0], wire.VerbRenounce)
+	g.callPool(renounce, deadline, func(outcome leaderclient.Outcome) {
 		switch {
 		case outcome.Answer == nil:
 			done(http.StatusServiceUnavailable)
 		case outcome.Answer.Status != http.StatusGone:
 			done(clientapi.ResponseOf(renounce, outcome).Status)
 		default:
-			g.submit(call, former[1:], deadline, done)
+			g.submit(call, otherServices[1:], deadline, done)
 		}
 	})
 }
 
-// findState is what a search for a job has come to so far.
-type findState struct{ isUnanswered, hasMoved bool }
+// findState is the state of a search for a job: whether a pool gave no answer, and whether one has named the pool that the job
+// was transferred to.
+type findState struct{ hasNoAnswer, hasMoved bool }
 
-// find asks one pool after the other for a job.
+// find calls one pool after another until one knows the job. It also follows the first transfer that a pool names.
 func (g *modelGate) find(call *wire.ClientCall, services []string, deadline time.Duration, state findState, done func(int)) {
 	if len(services) == 0 {
 		switch {
-		case state.hasMoved, state.isUnanswered:
+		case state.hasMoved, state.hasNoAnswer:
 			done(http.StatusServiceUnavailable)
 		default:
 			done(http.StatusGone)
@@ -88,11 +91,11 @@
 		return
 	}
 	asked := callTo(call, services[0], call.Verb)
-	g.ask(asked, deadline, func(outcome leaderclient.Outcome) {
+	g.callPool(asked, deadline, func(outcome leaderclient.Outcome) {
 		rest := services[1:]
 		switch {
 		case outcome.Answer == nil:
-			state.isUnanswered = true
+			state.hasNoAnswer = true
 		case outcome.Answer.Status != http.StatusGone:
 			done(clientapi.ResponseOf(asked, outcome).Status)
 			return
@@ -104,6 +107,7 @@
 	})
 }
 
+// callTo returns a copy of a call for another pool and verb; only a submission keeps its body and terms.
 func callTo(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
 	copied := *call
 	copied.Key, copied.Verb = wire.PoolKey(service), verb
@@ -113,8 +117,8 @@
 	return &copied
 }
 
-// ask calls the leader of a pool again and again until it answers or the time is over.
-func (g *modelGate) ask(call *wire.ClientCall, deadline time.Duration, done func(leaderclient.Outcome)) {
+// callPool calls the leader of a pool again and again until it answers or the deadline is over.
+func (g *modelGate) callPool(call *wire.ClientCall, deadline time.Duration, done func(leaderclient.Outcome)) {
 	c, pool := g.cluster, g.cluster.poolOf(call.Key[len(wire.PoolPrefix):])
 	var outcome leaderclient.Outcome
 	var attempt func()
@@ -131,7 +135,7 @@
 				next()
 			}
 		}
-		c.queue.After(attemptLimit, func() {
+		c.queue.After(attemptTimeout, func() {
 			finish(func() {
 				outcome.MayHaveRun = true
 				again()
--- a/internal/simulation/modelcheck/rolloutmodel/jobs.go
+++ b/internal/simulation/modelcheck/rolloutmodel/jobs.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	clientPause    = 150 * time.Millisecond
-	clientAttempts = 12
-	inspectEvery   = 400 * time.Millisecond
+	clientRetryPause = 150 * time.Millisecond
+	clientAttempts   = 12
+	inspectInterval  = 400 * time.Millisecond
 )
 
-// shapes are the bodies of jobs.
+// shapes are the request bodies of jobs.
 var shapes = []string{
 	`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":500}]}`,
 	`{"task-descriptor":"d","step-list":[{"task-count":3,"cpu-units":500,"estimated-ms":500}]}`,
@@ -25,20 +25,20 @@
 // modelJob is a job, as its client knows it.
 type modelJob struct {
 	id, body string
-	// openAttempts are submissions without an answer; mayHaveRun tells that one had no clear answer.
+	// openAttempts counts the submissions without an answer so far; mayHaveRun is set once one had no clear answer.
 	openAttempts int
 	mayHaveRun   bool
 	isAccepted   bool
 	isCancelSent bool
 	isCancelled  bool
 	cancelledAt  time.Duration
-	// acceptedBy is the version of the configuration by which it was accepted.
+	// acceptedBy is the latest version of the configuration under which a gate's submission of it was accepted.
 	acceptedBy int64
-	// isOver tells that it was seen as completed, failed or cancelled.
+	// isOver is set once it was seen as completed, failed or cancelled.
 	isOver bool
 }
 
-// playJob has the client of a job do something.
+// playJob applies a step of the client of a job.
 func (c *simCluster) playJob(step modelcheck.Step) {
 	job := c.jobs[step.Node]
 	switch {
@@ -46,7 +46,7 @@
 		job = &modelJob{id: fmt.Sprintf("%08x%08x", uint32(step.Node+1)*2654435761, step.Node), body: shapes[step.Value%len(shapes)]}
 		c.jobs[step.Node], c.order = job, append(c.order, job)
 		c.submit(job, step.Peer, clientAttempts)
-		c.inspectForEver(job, step.Peer)
+		c.inspectRepeatedly(job, step.Peer)
 	case job == nil:
 	case step.Kind == kindAgain:
 		c.submit(job, step.Peer, clientAttempts)
@@ -57,7 +57,7 @@
 
 func (c *simCluster) gate(number int) *modelGate { return c.gates[number%len(c.gates)] }
 
-// submit submits a job at one gate after the other until it is accepted.
+// submit submits a job at one gate after another until it is accepted, cancelled, or no attempts are left.
 func (c *simCluster) submit(job *modelJob, through, attempts int) {
 	if attempts == 0 || job.isCancelSent {
 		return
@@ -65,7 +65,7 @@
 	job.openAttempts++
 	c.gate(through).serve(request{http.MethodPost, job}, func(status int, version int64) {
 		job.openAttempts--
-		c.note("job %s at gate %d: %d by version %d", job.id, through%len(c.gates), status, version)
+		c.tracef("job %s at gate %d: %d by version %d", job.id, through%len(c.gates), status, version)
 		switch status {
 		case http.StatusOK:
 			job.isAccepted = true
@@ -74,11 +74,11 @@
 		case http.StatusGatewayTimeout:
 			job.mayHaveRun = true
 		}
-		c.queue.After(clientPause, func() { c.submit(job, through+1, attempts-1) })
+		c.queue.After(clientRetryPause, func() { c.submit(job, through+1, attempts-1) })
 	})
 }
 
-// cancel cancels a job until there is a clear answer.
+// cancel cancels a job at one gate after another until there is a clear answer or no attempts are left.
 func (c *simCluster) cancel(job *modelJob, through, attempts int) {
 	job.isCancelSent = true
 	if attempts == 0 {
@@ -90,22 +90,23 @@
 			return
 		}
 		if status != http.StatusGone {
-			c.queue.After(clientPause, func() { c.cancel(job, through+1, attempts-1) })
+			c.queue.After(clientRetryPause, func() { c.cancel(job, through+1, attempts-1) })
 		}
 	})
 }
 
-// inspectForEver asks for the state of a job again and again until it is over.
-func (c *simCluster) inspectForEver(job *modelJob, through int) {
-	c.queue.After(inspectEvery, func() {
+// inspectRepeatedly requests the state of a job at intervals until it is over. An accepted job must not be unknown under the
+// configuration by which it was accepted, or a newer one.
+func (c *simCluster) inspectRepeatedly(job *modelJob, through int) {
+	c.queue.After(inspectInterval, func() {
 		wasAccepted, acceptedBy := job.isAccepted, job.acceptedBy
 		c.gate(through).serve(request{http.MethodGet, job}, func(status int, version int64) {
 			if status == http.StatusGone && wasAccepted && version >= acceptedBy {
-				c.violate("LOST", "job %s was accepted by version %d and is not known by version %d", job.id, acceptedBy, version)
+				c.violate("LOST", "job %s was accepted under configuration %d and is unknown under configuration %d", job.id, acceptedBy, version)
 			}
 			job.isOver = job.isOver || status == http.StatusOK && c.hasEnded(job)
 			if !job.isOver {
-				c.inspectForEver(job, through+1)
+				c.inspectRepeatedly(job, through+1)
 			}
 		})
 	})
--- a/internal/simulation/modelcheck/rolloutmodel/model.go
+++ b/internal/simulation/modelcheck/rolloutmodel/model.go
@@ -1,6 +1,7 @@
-// Package rolloutmodel runs the real pools of three versions of a service, the real leader of the configuration with its controller of
-// rollouts, and the decisions of gates, on a fake clock and a simulated network: rollouts of good and bad versions and moves of queues, under
-// leaders that are lost, messages that are lost, doubled or late, gates that learn late of a configuration, and operators who intervene.
+// Package rolloutmodel runs the real pools of three versions of a service, the real leader of the configuration with its
+// rollout controller, and the real decisions of gates, on a fake clock and a simulated network. Its schedules have rollouts of
+// good and bad versions and moves of queues to other services, while leaders are lost, messages are lost, duplicated or late,
+// gates receive configurations late, and operators intervene.
 package rolloutmodel
 
 import (
@@ -13,19 +14,20 @@
 const (
 	modelName = "rollouts"
 	// settleTime is how long after the last step all jobs may take until they are over.
-	settleTime = 30 * time.Second
-	checkEvery = 200 * time.Millisecond
+	settleTime    = 30 * time.Second
+	checkInterval = 200 * time.Millisecond
 )
 
-// New gives the model of rollouts and moves of queues.
+// New returns the model of rollouts and moves of queues.
 func New() modelcheck.Model {
 	return modelcheck.SimulatedModel{ModelName: modelName, Faults: injectedFaults, DrawSchedule: draw,
 		NewSimulation: func(schedule modelcheck.Schedule) modelcheck.Simulation { return newSimCluster(schedule) }}
 }
 
-func (c *simCluster) note(format string, values ...any) { c.Note(c.queue.Now(), format, values...) }
+// tracef writes a line about an event at the current simulated time.
+func (c *simCluster) tracef(format string, values ...any) { c.Note(c.queue.Now(), format, values...) }
 
-// Run plays a schedule until all jobs are over.
+// Run plays a schedule until all jobs are over, or until settleTime has passed after the last step. Then it checks how they ended.
 func (c *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	c.start()
 	lastMs := 0
@@ -36,7 +38,7 @@
 	last := clock.Milliseconds(int64(lastMs))
 	c.queue.After(last, c.endFaults)
 	for c.queue.Now() < last+settleTime && len(c.violations) == 0 {
-		c.queue.RunUntil(c.queue.Now() + checkEvery)
+		c.queue.RunUntil(c.queue.Now() + checkInterval)
 		if c.queue.Now() > last && c.areAllOver() {
 			break
 		}
--- a/internal/simulation/modelcheck/rolloutmodel/oracles.go
+++ b/internal/simulation/modelcheck/rolloutmodel/oracles.go
@@ -13,20 +13,21 @@
 const (
 	// cancelBound is how long after the acknowledgement of a cancel a task may still be started.
 	cancelBound = 3 * time.Second
-	// returnBound is how long after a version was turned back its pool may start runs: the configuration spreads, and orders that were committed
-	// before are under way, also over a change of the leader. Executors that say nothing learn of it later.
-	returnBound = (spreadTimeMs + 1500) * time.Millisecond
+	// returnBound is how long after a version was rolled back its pool may still start runs: the configuration has to spread, and
+	// orders that were committed before may be in flight, also across a change of the leader. Silent executors get longer.
+	returnBound = (maxSpreadTimeMs + 1500) * time.Millisecond
 )
 
-// taskFacts is what has truly become of a task.
+// taskFacts is what executors have actually done with a task, in all pools.
 type taskFacts struct {
-	running      int
-	isDone       bool
-	failedCount  int
-	lastStartsIn string
+	running       int
+	isDone        bool
+	failedCount   int
+	lastStartedIn string
 }
 
-func (c *simCluster) factsOf(task string) *taskFacts {
+// taskFactsOf returns the facts of a task; it creates them on first use.
+func (c *simCluster) taskFactsOf(task string) *taskFacts {
 	facts := c.tasks[task]
 	if facts == nil {
 		facts = &taskFacts{}
@@ -35,7 +36,7 @@
 	return facts
 }
 
-// jobByID finds a job; nil if no client has it.
+// jobByID returns a job, or nil if no client has submitted it.
 func (c *simCluster) jobByID(id string) *modelJob {
 	index := slices.IndexFunc(c.order, func(job *modelJob) bool { return job.id == id })
 	if index < 0 {
@@ -44,54 +45,54 @@
 	return c.order[index]
 }
 
-// noteStart is the oracle of starts: a task runs once at a time, in whichever pool, not after it is done nor beyond its attempts; nothing that was
-// refused or cancelled starts, and nothing starts in a version that was turned back.
-func (c *simCluster) noteStart(executor *modelExecutor, order wire.Order) {
+// checkStart is the oracle of starts. A task runs in one pool at a time, not after it is done, and not beyond its attempts. No
+// job starts that was refused or cancelled, and no run starts in a version that was rolled back.
+func (c *simCluster) checkStart(executor *modelExecutor, order wire.Order) {
 	c.coverage["start"]++
-	facts, job := c.factsOf(order.Task), c.jobByID(jobs.JobOf(order.Task))
-	c.note("%s run %d starts on %s", order.Task, order.Run, executor.Executor)
+	facts, job := c.taskFactsOf(order.Task), c.jobByID(jobs.JobOf(order.Task))
+	c.tracef("%s run %d starts on %s", order.Task, order.Run, executor.Executor)
 	switch {
 	case job == nil:
-		c.violate("UNASKED", "%s is started and no client asked for it", order.Task)
+		c.violate("UNASKED", "%s is started, and no client has submitted it", order.Task)
 	case facts.running > 0:
-		c.violate("TWICE", "%s is started on %s while it runs in %s", order.Task, executor.Executor, facts.lastStartsIn)
+		c.violate("TWICE", "%s is started on %s while it runs in %s", order.Task, executor.Executor, facts.lastStartedIn)
 	case facts.isDone:
-		c.violate("TWICE", "%s is started on %s after it was done in %s", order.Task, executor.Executor, facts.lastStartsIn)
+		c.violate("TWICE", "%s is started on %s after it was done in %s", order.Task, executor.Executor, facts.lastStartedIn)
 	case facts.failedCount >= maxAttempts:
 		c.violate("BUDGET", "%s is started after it failed %d times", order.Task, facts.failedCount)
 	case !job.isAccepted && !job.mayHaveRun && job.openAttempts == 0:
-		c.violate("REFUSED", "%s is started and all submissions were refused", order.Task)
+		c.violate("REFUSED", "%s is started, although all submissions were refused", order.Task)
 	case job.isCancelled && c.queue.Now()-job.cancelledAt > cancelBound:
-		c.violate("CANCELLED", "%s is started %v after its cancel", order.Task, c.queue.Now()-job.cancelledAt)
+		c.violate("CANCELLED", "%s is started %v after its job was cancelled", order.Task, c.queue.Now()-job.cancelledAt)
 	}
 	facts.running++
-	facts.lastStartsIn = executor.pool.name()
+	facts.lastStartedIn = executor.pool.name()
 	c.checkTurnedBack(executor.pool, order)
 }
 
-// checkTurnedBack is an oracle: a version that was turned back starts nothing any more, unless the queue was led to it again.
+// checkTurnedBack is an oracle: a version that was rolled back starts no more runs, unless it may receive new jobs again.
 func (c *simCluster) checkTurnedBack(pool *modelPool, order wire.Order) {
 	decoded, _ := c.control.current()
-	if decoded == nil || leadsTo(decoded, serviceOf(pool.number)) {
+	if decoded == nil || mayReceiveJobs(decoded, serviceOf(pool.number)) {
 		return
 	}
 	since := c.queue.Now() - max(pool.silentUntil, c.control.closedAt[serviceOf(pool.number)])
 	for _, rollout := range decoded.Rollouts {
 		if rollout.State == configuration.RolloutTurnedBack && rollout.To == serviceOf(pool.number) && since > returnBound {
-			c.violate("TURNED BACK", "%s is started in %s, %v after that was turned back", order.Task, pool.name(), since)
+			c.violate("TURNED BACK", "%s is started in %s, %v after that version was rolled back", order.Task, pool.name(), since)
 		}
 	}
 }
 
-// leadsTo tells whether new jobs may go to a service.
-func leadsTo(decoded *configuration.Configuration, service string) bool {
-	underWay := configuration.NewMatcher(decoded).Rollout(queueName)
-	return decoded.Routes[0].Service == service || underWay != nil && (underWay.To == service || underWay.From == service)
+// mayReceiveJobs reports whether new jobs may go to a service.
+func mayReceiveJobs(decoded *configuration.Configuration, service string) bool {
+	rollout := configuration.NewMatcher(decoded).Rollout(queueName)
+	return decoded.Routes[0].Service == service || rollout != nil && (rollout.To == service || rollout.From == service)
 }
 
-// noteEnd takes down how a run ended.
-func (c *simCluster) noteEnd(task string, outcome wire.RunOutcome) {
-	facts := c.factsOf(task)
+// recordEnd records the end of a run.
+func (c *simCluster) recordEnd(task string, outcome wire.RunOutcome) {
+	facts := c.taskFactsOf(task)
 	facts.running--
 	switch outcome {
 	case wire.OutcomeDone:
@@ -101,30 +102,32 @@
 	}
 }
 
-// noteAccepted is the oracle of shares: a job that the new version takes is one that the largest share there ever was gives it.
-func (c *simCluster) noteAccepted(pool *modelPool, call *wire.ClientCall, given wire.ClientAnswer) {
+// checkAccepted is the oracle of shares: the new version of a rollout accepts only jobs that the rollout's largest share so far
+// assigns to it.
+func (c *simCluster) checkAccepted(pool *modelPool, call *wire.ClientCall, given wire.ClientAnswer) {
 	decoded, _ := c.control.current()
 	if given.Status != statusOK || decoded == nil {
 		return
 	}
 	rollout := configuration.NewMatcher(decoded).Rollout(queueName)
-	if rollout == nil || rollout.To != serviceOf(pool.number) || c.hadOtherWay(decoded, rollout) {
+	if rollout == nil || rollout.To != serviceOf(pool.number) || c.mayReceiveOtherJobs(decoded, rollout) {
 		return
 	}
 	widest := *rollout
 	widest.State, widest.Step = configuration.RolloutWidening, 0
 	for step, candidate := range rollout.Steps {
-		if candidate.Share <= c.control.shares[rollout.Name] {
+		if candidate.Share <= c.control.largestShares[rollout.Name] {
 			widest.Step = step
 		}
 	}
-	if c.control.shares[rollout.Name] == 0 || widest.ServiceFor(call.ID) != rollout.To {
-		c.violate("SHARE", "%s takes job %s, whose share is above %g", pool.name(), call.ID, c.control.shares[rollout.Name])
+	if c.control.largestShares[rollout.Name] == 0 || widest.ServiceFor(call.ID) != rollout.To {
+		c.violate("SHARE", "%s accepts job %s, which a share of %g doesn't assign to it", pool.name(), call.ID, c.control.largestShares[rollout.Name])
 	}
 }
 
-// hadOtherWay tells whether jobs may come to the new version of a rollout by another way than its share: an earlier rollout, or a move.
-func (c *simCluster) hadOtherWay(decoded *configuration.Configuration, rollout *configuration.Rollout) bool {
+// mayReceiveOtherJobs reports whether the new version of a rollout may receive jobs beyond its share, through an earlier
+// rollout or a move.
+func (c *simCluster) mayReceiveOtherJobs(decoded *configuration.Configuration, rollout *configuration.Rollout) bool {
 	if c.coverage[kindMove] > 0 || c.coverage[kindPostOver] > 0 {
 		return true
 	}
@@ -133,7 +136,7 @@
 	})
 }
 
-// hasEnded tells whether a job is over in a pool.
+// hasEnded reports whether a pool has a record that the job is over.
 func (c *simCluster) hasEnded(job *modelJob) bool {
 	return slices.ContainsFunc(c.pools, func(pool *modelPool) bool {
 		text := string(pool.key.Records["s/"+job.id])
@@ -141,14 +144,15 @@
 	})
 }
 
-// areAllOver tells whether nothing is left to be done.
+// areAllOver reports whether no submission is open and all jobs that pools may have accepted are over.
 func (c *simCluster) areAllOver() bool {
 	return !slices.ContainsFunc(c.order, func(job *modelJob) bool {
 		return job.openAttempts > 0 || (job.isAccepted || job.mayHaveRun) && !c.hasEnded(job) && !job.isOver
 	})
 }
 
-// checkEnd is the oracle of the end: all accepted jobs are over, each in one pool, failed only after its attempts, cancelled only on request.
+// checkEnd is the oracle of the final states: all accepted jobs are over, each in one pool. Jobs have failed only after all
+// attempts, and were cancelled only on request.
 func (c *simCluster) checkEnd() {
 	for _, job := range c.order {
 		var states []string
@@ -165,14 +169,14 @@
 		case len(states) == 0 && job.isAccepted:
 			c.violate("LOST", "job %s was accepted and is not over", job.id)
 		case len(states) == 1 && states[0] == "cancelled" && !job.isCancelSent:
-			c.violate("LOST", "job %s is cancelled by nobody", job.id)
+			c.violate("LOST", "job %s is cancelled, and no client has cancelled it", job.id)
 		case len(states) == 1 && states[0] == "failed" && !c.hasUsedAttempts(job):
 			c.violate("LOST", "job %s has failed with attempts left", job.id)
 		}
 	}
 }
 
-// hasUsedAttempts tells whether a task of a job, or its gang, has failed as often as it may.
+// hasUsedAttempts reports whether a task of a job has failed as often as it may. For a gang one failure of a task is enough.
 func (c *simCluster) hasUsedAttempts(job *modelJob) bool {
 	for name, facts := range c.tasks {
 		if jobs.JobOf(name) == job.id && facts.failedCount >= 1 && (facts.failedCount >= maxAttempts || strings.Contains(job.body, "gang")) {
--- a/internal/simulation/modelcheck/rolloutmodel/pool.go
+++ b/internal/simulation/modelcheck/rolloutmodel/pool.go
@@ -15,11 +15,11 @@
 	"gannetline/internal/simulation/modelcheck/simkey"
 )
 
-// The capacity of an executor, and how many each pool has.
+// The capacity of an executor, and the number of executors in each pool.
 const (
 	executorCPU, executorMemory = 4000, 4000
 	executorsPerPool            = 2
-	// A new leader opens so many milliseconds after the one before was lost.
+	// A new leader takes over between minTakeOverMs and maxTakeOverMs milliseconds after the former one was lost.
 	minTakeOverMs, maxTakeOverMs = 20, 400
 )
 
@@ -27,20 +27,21 @@
 	HoldStale: 2500 * time.Millisecond, SilentAfter: 1500 * time.Millisecond, StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second,
 	KeepEnded: 150 * time.Second, ReservedCapacity: scheduler.DefaultReservedCapacity}
 
-// modelPool is the pool of a version, led by one leader after the other, and its executors.
+// modelPool is the pool of a version, led by one leader after another, and its executors.
 type modelPool struct {
 	cluster *simCluster
 	number  int
 	key     *simkey.Key
-	// pool is that of the present leader, nil while there is none.
-	pool      *scheduler.Pool
+	// pool is the pool of the present leader, nil while there is none.
+	pool *scheduler.Pool
+	// snapshot is the newest configuration that has reached the pool; nil if none has.
 	snapshot  *configcache.Snapshot
 	executors []*modelExecutor
-	// report is what the controller of rollouts was told last.
+	// report is the last report to the rollout controller; nil after a change of the leader.
 	report *wire.RolloutReport
-	// isSilent has the executors say nothing, isBad lets runs fail.
+	// isSilent is set while the executors make no exchanges, and isBad if the version is bad, so that runs fail.
 	isSilent, isBad bool
-	// silentUntil is until when the executors say nothing, as far as is planned.
+	// silentUntil is the end of the last silence of the executors, which may lie in the future.
 	silentUntil time.Duration
 }
 
@@ -54,7 +55,7 @@
 
 func (p *modelPool) name() string { return wire.PoolKey(serviceOf(p.number)) }
 
-// leadership is the right of one leader to change the key of the pool.
+// leadership is a leadership of the pool's key in one epoch; it implements scheduler.Leadership.
 type leadership struct {
 	pool  *modelPool
 	epoch uint64
@@ -62,16 +63,16 @@
 
 func (l *leadership) isOver() bool { return l.pool.key.Epoch != l.epoch }
 
-// Epoch is that of this leadership.
+// Epoch returns the epoch of this leadership.
 func (l *leadership) Epoch() uint64 { return l.epoch }
 
-// HasLease is true until the leadership is over.
+// HasLease reports whether the leadership is not over.
 func (l *leadership) HasLease() bool { return !l.isOver() }
 
-// WallMs is the time of day.
+// WallMs returns the time of day in milliseconds.
 func (l *leadership) WallMs() int64 { return l.pool.cluster.queue.Clock.WallMs() }
 
-// Commit makes a change durable; done is not called once the leadership is over, as its process is gone.
+// Commit proposes a change. It does nothing once the leadership is over, as its process has ended.
 func (l *leadership) Commit(ops []wire.Op, done func(error)) {
 	if l.isOver() {
 		return
@@ -82,7 +83,7 @@
 	})
 }
 
-// open lets the next leader take the key over.
+// open has a new leader take over the key.
 func (p *modelPool) open() {
 	sender := &modelSender{p}
 	p.pool = scheduler.New(p.name(), p.cluster.queue.Clock, poolTiming, logging.Silent(), scheduler.WithRollouts(p.policy), scheduler.WithTransfers(sender))
@@ -90,7 +91,7 @@
 	p.cluster.coverage["pool_opened"]++
 }
 
-// kill ends the leadership, with commits under way.
+// kill ends the leadership, with commits in flight; the next leader takes over after a drawn time.
 func (p *modelPool) kill() {
 	if p.pool == nil {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// policy is what the configuration that has reached the pool says of rollouts.
+// policy returns the rollout policy in the configuration that has reached the pool.
 func (p *modelPool) policy() scheduler.RolloutPolicy {
 	if p.snapshot == nil {
 		return scheduler.RolloutPolicy{}
@@ -120,8 +121,8 @@
 	return policy
 }
 
-// tickForEver lets time pass for the pool and its executors.
-func (p *modelPool) tickForEver() {
+// tickRepeatedly runs the periodic work of the pool and its executors at each tick.
+func (p *modelPool) tickRepeatedly() {
 	if p.pool != nil {
 		p.pool.Tick()
 		p.pool.Flush()
@@ -130,13 +131,13 @@
 				executor.exchange()
 			}
 		}
-		p.askReport()
+		p.updateReport()
 	}
-	p.cluster.queue.After(tickInterval, p.tickForEver)
+	p.cluster.queue.After(tickInterval, p.tickRepeatedly)
 }
 
-// askReport keeps what the pool tells the controller of rollouts.
-func (p *modelPool) askReport() {
+// updateReport gets the pool's report for the rollout controller.
+func (p *modelPool) updateReport() {
 	epoch := p.key.Epoch
 	p.pool.Rollouts(&wire.ClientCall{}, func(answer wire.ClientAnswer) {
 		if p.key.Epoch == epoch && answer.Status == statusOK {
@@ -146,7 +147,7 @@
 	p.pool.Flush()
 }
 
-// serve runs a call of a gate or of another pool; no answer comes back from a process that is gone.
+// serve handles a call of a gate or of another pool. There is no answer if the leadership ends meanwhile.
 func (p *modelPool) serve(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if p.pool == nil {
 		answer(wire.ClientAnswer{NotLeader: true})
@@ -158,17 +159,17 @@
 			answer(given)
 		}
 	}
-	p.cluster.disturb(p, &copied)
+	p.cluster.changeCall(p, &copied)
 	switch copied.Verb {
 	case wire.VerbSubmit:
 		p.pool.Submit(&copied, func(given wire.ClientAnswer) {
-			p.cluster.noteAccepted(p, &copied, given)
+			p.cluster.checkAccepted(p, &copied, given)
 			reply(given)
 		})
 	case wire.VerbRenounce:
 		p.pool.Renounce(&copied, func(given wire.ClientAnswer) {
 			reply(given)
-			p.killAfterPromise(given)
+			p.killAtNextPromise(given)
 		})
 	case wire.VerbState:
 		p.pool.State(&copied, reply)
@@ -184,8 +185,8 @@
 	p.flush()
 }
 
-// killAfterPromise ends the leadership if a schedule has it end after a promise.
-func (p *modelPool) killAfterPromise(given wire.ClientAnswer) {
+// killAtNextPromise ends the leadership if the schedule says so for the next promise. A renounce that is answered with Gone is one.
+func (p *modelPool) killAtNextPromise(given wire.ClientAnswer) {
 	if given.Status != http.StatusGone || p.cluster.killAtPromise == 0 {
 		return
 	}
@@ -194,15 +195,15 @@
 	p.cluster.after(1, maxKillDelayMs, p.kill)
 }
 
-// modelSender carries the jobs of a pool to another one.
+// modelSender sends the calls that transfer a pool's jobs to another pool.
 type modelSender struct{ from *modelPool }
 
-// Send gives a job to the leader of another pool once; the pool sends it again if nobody answers.
+// Send sends a job to the leader of another pool once; the pool sends it again if there is no answer.
 func (s *modelSender) Send(service string, call *wire.ClientCall, answer func(*wire.ClientAnswer)) {
 	c, epoch := s.from.cluster, s.from.key.Epoch
 	c.coverage["transfer"]++
 	to := c.poolOf(service)
-	c.killAround(s.from, to)
+	c.killAtNextTransfer(s.from, to)
 	c.send(func() {
 		to.serve(call, func(given wire.ClientAnswer) {
 			c.send(func() {
@@ -215,14 +216,14 @@
 	})
 }
 
-// Who loses its leader at a transfer, and how many milliseconds after that was sent at most.
+// The pools that lose their leaders at a transfer (1 is the receiving one), and the longest delay until then in milliseconds.
 const (
 	killSender, killBoth = 0, 2
 	maxKillDelayMs       = 25
 )
 
-// killAround ends the leaderships that a schedule has end at this transfer.
-func (c *simCluster) killAround(from, to *modelPool) {
+// killAtNextTransfer ends the leaderships that the schedule says for the next transfer.
+func (c *simCluster) killAtNextTransfer(from, to *modelPool) {
 	if len(c.killAtTransfer) == 0 {
 		return
 	}
@@ -241,5 +242,5 @@
 	return c.pools[slices.IndexFunc(c.pools, func(pool *modelPool) bool { return serviceOf(pool.number) == service })]
 }
 
-// errLost ends changes of a leadership that is over.
-const errLost = errors.ConstError("the key has another leader now")
+// errLeadershipLost is the error of changes of a leadership that is over.
+const errLeadershipLost = errors.ConstError("the key has another leader now")
--- a/internal/simulation/modelcheck/rolloutmodel/rolloutmodel_test.go
+++ b/internal/simulation/modelcheck/rolloutmodel/rolloutmodel_test.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// sound is how many schedules are played without an injected fault, and most how many one may stay hidden.
-	sound = 120
-	most  = 1500
+	// soundSchedules is how many schedules are played without an injected fault.
+	soundSchedules = 120
+	// maxSchedules is within how many schedules an injected fault must be found.
+	maxSchedules = 1500
 )
 
-// firstSeeds spare the time of looking for what shows in one of some hundred schedules; all other searches begin at 0.
+// firstSeeds shorten the search for faults that show in one of some hundred schedules. All other searches begin at seed 0.
 var firstSeeds = map[string]uint64{"transfer-answered-early": 11181347818771085240, "turned-back-not-heeded": 2516914555173468186,
 	"operator-overwritten": 5212393880652543101, "promise-forgotten": 13190233073907042514, "transfer-forgotten": 7598971972767443232}
 
 var _ = Describe("the model of rollouts and moves of queues", func() {
 	model := rolloutmodel.New()
 
-	It("finds nothing in the sound code", func() {
+	It("reports no violation without an injected fault, and reaches all kinds of states", func() {
 		covered := modelcheck.Coverage{}
-		for seed := range uint64(sound) {
+		for seed := range uint64(soundSchedules) {
 			outcome := model.Run(model.Draw(seed, 1, modelcheck.SizeSmall))
 			Expect(outcome.Violations).To(BeEmpty(), fmt.Sprint("seed ", seed))
 			covered.Add(outcome.Coverage)
@@ -36,23 +37,23 @@
 		}
 	})
 
-	It("plays a schedule alike each time", func() {
+	It("gives the same outcome each time that a schedule is played", func() {
 		schedule := model.Draw(7, 1, modelcheck.SizeSmall)
 		Expect(model.Run(schedule)).To(Equal(model.Run(schedule)))
 	})
 
 	for _, fault := range model.InjectedFaults() {
 		It("finds an injected fault: "+fault.Name, func() {
-			for seed := firstSeeds[fault.Name]; seed < firstSeeds[fault.Name]+most; seed++ {
+			for seed := firstSeeds[fault.Name]; seed < firstSeeds[fault.Name]+maxSchedules; seed++ {
 				schedule := model.Draw(seed, 1, modelcheck.SizeSmall)
-				sound := schedule
+				withoutFault := schedule
 				schedule.InjectedFault = fault.Name
-				if outcome := model.Run(schedule); len(outcome.Violations) > 0 && len(model.Run(sound).Violations) == 0 {
+				if outcome := model.Run(schedule); len(outcome.Violations) > 0 && len(model.Run(withoutFault).Violations) == 0 {
 					fmt.Fprintln(GinkgoWriter, "seed", seed, outcome.Violations[0])
 					return
 				}
 			}
-			Fail("nothing was found")
+			Fail("no schedule shows the injected fault")
 		})
 	}
 })
--- a/internal/simulation/modelcheck/rolloutmodel/schedule.go
+++ b/internal/simulation/modelcheck/rolloutmodel/schedule.go
@@ -7,49 +7,52 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
+// The random stream of schedules, the bounds of their times in milliseconds and of their counts, and the tenths of jobs that
+// are cancelled or submitted again up to maxJobDelayMs later.
 const (
-	drawStream   = 61
-	firstStepMs  = 500
-	lastStepMs   = 16000
-	minJobs      = 15
-	maxJobs      = 60
-	minFaults    = 1
-	maxFaults    = 7
-	minOrders    = 1
-	maxOrders    = 4
-	cancelTenth  = 1
-	againTenth   = 1
-	maxJobDelays = 1500
-	maxFaultMs   = 4000
+	drawStream        = 61
+	firstStepMs       = 500
+	lastStepMs        = 16000
+	minJobs           = 15
+	maxJobs           = 60
+	minFaults         = 1
+	maxFaults         = 7
+	minOrders         = 1
+	maxOrders         = 4
+	cancelTenths      = 1
+	submitAgainTenths = 1
+	maxJobDelayMs     = 1500
+	maxFaultMs        = 4000
 )
 
-// Kinds of steps. Node is a job, a pool or a gate, as the kind says.
+// Kinds of steps. Node is a job or a pool, depending on the kind.
 const (
 	// kindSubmit has the client of job Node submit it at the gate Peer; kindAgain submits it once more, kindCancel cancels it.
 	kindSubmit = "submit"
 	kindAgain  = "submit-again"
 	kindCancel = "cancel"
-	// kindRollout asks for a rollout to the version Node, which is bad if Value is 1; kindMove sends the queue to the version Node.
+	// kindRollout starts a rollout to the version Node, which is bad if Value is 1; kindMove moves the queue to the version Node.
 	kindRollout = "rollout"
 	kindMove    = "move"
-	// kindPause, kindResume and kindAbort are orders about the newest rollout; kindPostOver posts a configuration without rollouts.
+	// kindPause, kindResume and kindAbort are orders about the rollout in progress; kindPostOver posts a configuration without rollouts.
 	kindPause    = "pause"
 	kindResume   = "resume"
 	kindAbort    = "abort"
 	kindPostOver = "post-over"
-	// kindKillPool ends the leadership of a pool with commits under way, kindKillControl that of the configuration within its next change.
+	// kindKillPool ends the leadership of a pool with commits in flight, kindKillControl that of the configuration during its next change.
 	kindKillPool    = "kill-pool"
 	kindKillControl = "kill-control"
-	// kindKillAtTransfer ends the leadership of the pool that sends the next job to another one (Node 0), that takes it (1), or both (2).
+	// kindKillAtTransfer ends leaderships at the next transfer of a job: of the sending pool (Node 0), the receiving one (1), or both (2).
 	kindKillAtTransfer = "kill-at-transfer"
-	// kindKillAtPromise ends the leadership of the next pool that promises not to take a job, and Value of a hundred submissions are late meanwhile.
+	// kindKillAtPromise ends the leadership of the next pool that promises not to take a job. For the step's time,
+	// latePercentAtPromises of the messages have a late duplicate.
 	kindKillAtPromise = "kill-at-promise"
-	// kindCutGates keeps half of the gates from learning of configurations.
+	// kindCutGates keeps configurations from half of the gates.
 	kindCutGates = "cut-gates"
-	// kindLoseMessages loses Value of a hundred messages, kindLateMessages doubles as many and delays the copies.
+	// kindLoseMessages loses Value percent of the messages, kindLateMessages duplicates Value percent and delays the duplicates.
 	kindLoseMessages = "lose-messages"
 	kindLateMessages = "late-messages"
-	// kindSilentExecutors lets the executors of a pool say nothing.
+	// kindSilentExecutors has the executors of a pool make no exchanges.
 	kindSilentExecutors = "silence"
 )
 
@@ -58,11 +61,12 @@
 	faultKinds = []string{kindKillPool, kindKillAtPromise, kindKillAtPromise, kindKillAtTransfer, kindKillAtTransfer, kindKillControl, kindCutGates, kindLoseMessages, kindLateMessages, kindLateMessages, kindSilentExecutors}
 )
 
+// between draws a number between two bounds, both included.
 func between(random *rand.Rand, minimum, maximum int) int {
 	return minimum + random.IntN(maximum-minimum+1)
 }
 
-// draw makes the schedule of a seed: a rollout or a move near the beginning, more orders after it, jobs all the time, and faults.
+// draw draws the schedule of a seed: a rollout or a move near the beginning, more orders after it, jobs at any time, and faults.
 func draw(seed uint64, losses int, _ modelcheck.Size) modelcheck.Schedule {
 	random := rand.New(rand.NewPCG(seed, drawStream))
 	schedule := modelcheck.Schedule{Model: modelName, Seed: seed, Losses: losses, Nodes: gateCount}
@@ -79,11 +83,11 @@
 	for number := range between(random, minJobs, maxJobs) {
 		at := between(random, firstStepMs, lastStepMs)
 		add(modelcheck.Step{AtMs: at, Kind: kindSubmit, Node: number, Peer: random.IntN(gateCount), Value: random.IntN(len(shapes))})
-		if random.IntN(10) < againTenth {
-			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelays), Kind: kindAgain, Node: number, Peer: random.IntN(gateCount)})
+		if random.IntN(10) < submitAgainTenths {
+			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelayMs), Kind: kindAgain, Node: number, Peer: random.IntN(gateCount)})
 		}
-		if random.IntN(10) < cancelTenth {
-			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelays), Kind: kindCancel, Node: number, Peer: random.IntN(gateCount)})
+		if random.IntN(10) < cancelTenths {
+			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelayMs), Kind: kindCancel, Node: number, Peer: random.IntN(gateCount)})
 		}
 	}
 	for range between(random, minFaults, maxFaults) {
--- a/internal/simulation/modelcheck/rolloutmodel/simcluster.go
+++ b/internal/simulation/modelcheck/rolloutmodel/simcluster.go
@@ -17,19 +17,20 @@
 	gateCount     = 4
 	versionCount  = 3
 	tickInterval  = 50 * time.Millisecond
-	// spreadTime is how long a configuration takes to reach a process that is in touch.
-	spreadTimeMs = 1500
-	// The transit of a message in milliseconds, and that of a copy that comes late.
+	// maxSpreadTimeMs is how long a configuration takes at most to reach a process that is not cut off.
+	maxSpreadTimeMs = 1500
+	// The bounds of the transit time of a message, and of a duplicate that comes late, in milliseconds.
 	minTransitMs, maxTransitMs = 1, 8
 	minLateMs, maxLateMs       = 100, 4000
-	// lateAtPromise is how many of a hundred messages come a second time, late, while pools lose their leaders at promises.
-	lateAtPromise = 60
+	// latePercentAtPromises is the percentage of messages with a late duplicate while pools lose their leaders at promises.
+	latePercentAtPromises = 60
 )
 
-// serviceOf is the name of a version.
+// serviceOf returns the name of the service that is a version.
 func serviceOf(number int) string { return fmt.Sprintf("v%d", number) }
 
-// simCluster is all pools, gates and the leader of the configuration, and what connects them.
+// simCluster is the whole simulated system: the pools, the gates, the leader of the configuration and the network. It also
+// holds the jobs of clients and the facts and violations that the oracles record.
 type simCluster struct {
 	queue   *simcluster.EventQueue
 	pools   []*modelPool
@@ -45,13 +46,14 @@
 	modelcheck.Trace
 }
 
-// network is how messages fare, and what happens with them; cutUntil is until when half of the gates learn of no configuration.
+// network holds the present faults of messages, and the leaderships that end at certain messages.
 type network struct {
 	lostPercent, latePercent int
-	cutUntil                 time.Duration
-	// killAtTransfer says which pools lose their leaders at the next transfers.
+	// cutUntil is the time until which half of the gates receive no configuration.
+	cutUntil time.Duration
+	// killAtTransfer are the pools that lose their leaders at each of the next transfers; see kindKillAtTransfer.
 	killAtTransfer []int
-	// killAtPromise is how many of the next pools that promise not to take a job lose their leaders.
+	// killAtPromise is at how many of the next promises not to take a job the promising pool loses its leader.
 	killAtPromise int
 }
 
@@ -68,28 +70,28 @@
 	return c
 }
 
-// start opens all keys, and lets time pass for all processes.
+// start elects the first leaders and starts the periodic work of all processes.
 func (c *simCluster) start() {
 	for _, pool := range c.pools {
 		pool.open()
-		pool.tickForEver()
+		pool.tickRepeatedly()
 	}
 	c.control.open()
 	c.control.bootstrap()
-	c.control.reconcileForEver()
+	c.control.reconcileRepeatedly()
 }
 
-// after runs something after a count of milliseconds drawn between two.
+// after schedules a call after a delay that is drawn between two bounds in milliseconds.
 func (c *simCluster) after(fromMs, toMs int, run func()) { c.queue.After(c.between(fromMs, toMs), run) }
 
 func (c *simCluster) between(fromMs, toMs int) time.Duration {
 	return clock.Milliseconds(int64(fromMs + c.queue.Draw.IntN(toMs-fromMs+1)))
 }
 
-// play has a step happen.
+// play applies one step of the schedule.
 func (c *simCluster) play(step modelcheck.Step) {
 	c.coverage[step.Kind]++
-	c.note("%s node %d peer %d value %d for %d ms", step.Kind, step.Node, step.Peer, step.Value, step.ForMs)
+	c.tracef("%s node %d peer %d value %d for %d ms", step.Kind, step.Node, step.Peer, step.Value, step.ForMs)
 	during := clock.Milliseconds(int64(step.ForMs))
 	switch step.Kind {
 	case kindSubmit, kindAgain, kindCancel:
@@ -100,10 +102,10 @@
 		c.killAtTransfer = append(c.killAtTransfer, step.Node)
 	case kindKillAtPromise:
 		c.killAtPromise++
-		c.latePercent = lateAtPromise
+		c.latePercent = latePercentAtPromises
 		c.queue.After(during, func() { c.latePercent = 0 })
 	case kindKillControl:
-		c.control.losesNext = true
+		c.control.losesNextChange = true
 		c.queue.After(during, c.control.kill)
 	case kindCutGates:
 		c.cutUntil = c.queue.Now() + during
@@ -119,20 +121,20 @@
 		pool.silentUntil = max(pool.silentUntil, c.queue.Now()+during)
 		c.queue.After(during, func() { pool.isSilent = false })
 	default:
-		c.control.order(step)
+		c.control.scheduleOrder(step)
 	}
 }
 
 // endFaults ends all faults.
 func (c *simCluster) endFaults() {
 	c.network = network{}
-	c.control.losesNext = false
+	c.control.losesNextChange = false
 	for _, pool := range c.pools {
 		pool.isSilent = false
 	}
 }
 
-// send carries a message, or loses, delays or doubles it.
+// send carries a message; a fault may lose it, or deliver a duplicate of it late.
 func (c *simCluster) send(arrive func()) {
 	if c.queue.Draw.IntN(100) < c.lostPercent {
 		c.coverage["message_lost"]++
@@ -145,8 +147,9 @@
 	}
 }
 
-// spread brings a committed configuration to all processes, each at a moment of its own. Gates that are cut off learn of it afterwards.
-func (c *simCluster) spread(committed *wire.Configuration) {
+// spreadConfiguration brings a committed configuration to all pools and gates, to each after a delay of its own. Gates that are
+// cut off receive it once they are not.
+func (c *simCluster) spreadConfiguration(committed *wire.Configuration) {
 	decoded, err := configuration.Read(committed.Body)
 	if err != nil {
 		c.violate("CONFIG", "the committed configuration can't be read: %v", err)
@@ -154,23 +157,23 @@
 	}
 	snapshot := &configcache.Snapshot{Committed: committed, Matcher: configuration.NewMatcher(decoded)}
 	for _, pool := range c.pools {
-		c.after(0, spreadTimeMs, func() { pool.snapshot = newerOf(pool.snapshot, snapshot) })
+		c.after(0, maxSpreadTimeMs, func() { pool.snapshot = newerOf(pool.snapshot, snapshot) })
 	}
 	for _, gate := range c.gates {
-		c.after(0, spreadTimeMs, func() { c.reach(gate, snapshot) })
+		c.after(0, maxSpreadTimeMs, func() { c.deliverConfiguration(gate, snapshot) })
 	}
 }
 
-// reach brings a configuration to a gate, once that is in touch.
-func (c *simCluster) reach(gate *modelGate, snapshot *configcache.Snapshot) {
+// deliverConfiguration brings a configuration to a gate, once the gate is not cut off. Only gates with an even number ever are.
+func (c *simCluster) deliverConfiguration(gate *modelGate, snapshot *configcache.Snapshot) {
 	if gate.number%2 == 0 && c.queue.Now() < c.cutUntil {
-		c.queue.After(c.cutUntil-c.queue.Now(), func() { c.reach(gate, snapshot) })
+		c.queue.After(c.cutUntil-c.queue.Now(), func() { c.deliverConfiguration(gate, snapshot) })
 		return
 	}
 	gate.snapshot = newerOf(gate.snapshot, snapshot)
 }
 
-// newerOf is the newer of two configurations; a process never goes back.
+// newerOf returns the newer of two configurations, so that a process never returns to an earlier one.
 func newerOf(known, other *configcache.Snapshot) *configcache.Snapshot {
 	if known != nil && known.Committed.Version >= other.Committed.Version {
 		return known
@@ -178,8 +181,9 @@
 	return other
 }
 
+// violate records a violation of an oracle's invariant.
 func (c *simCluster) violate(oracle, format string, values ...any) {
 	detail := fmt.Sprintf(format, values...)
-	c.note("%s: %s", oracle, detail)
+	c.tracef("%s: %s", oracle, detail)
 	c.violations = append(c.violations, modelcheck.Violation{Oracle: oracle, AtMs: int(c.queue.Now().Milliseconds()), Detail: detail})
 }
