--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -18,9 +18,12 @@
 	verbCancel = "cancel"
 	route      = "route"
 
+	// clientTimeout is how long a client waits for an answer. A gate has a drawn time for each request, from minGateTimeout to
+	// maxGateTimeout.
 	clientTimeout  = 1500 * time.Millisecond
 	minGateTimeout = 100 * time.Millisecond
 	maxGateTimeout = 1400 * time.Millisecond
+	// clientPause is the pause of a client before its next attempt, and clientAttempts the number of attempts at most.
 	clientPause    = 150 * time.Millisecond
 	clientAttempts = 40
 )
@@ -73,31 +76,31 @@
 }
 
 // view returns the membership view of a process to which the given leader was announced last.
-func (w *simCluster) view(leader int) *membership.View {
-	if w.views[leader] == nil {
-		view := &membership.View{Leaders: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
-		for _, steward := range w.stewards {
+func (c *simCluster) view(leader int) *membership.View {
+	if c.views[leader] == nil {
+		view := &membership.View{Leaders: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: c.stewards[leader].name}}}
+		for _, steward := range c.stewards {
 			view.Stewards = append(view.Stewards, wire.Member{Name: steward.name, Role: membership.RoleSteward, Address: steward.name, Disk: steward.name})
 		}
-		w.views[leader] = view
+		c.views[leader] = view
 	}
-	return w.views[leader]
+	return c.views[leader]
 }
 
 // stewardAt returns the steward with an address, which is its name.
-func (w *simCluster) stewardAt(address string) *modelSteward {
-	for _, steward := range w.stewards {
+func (c *simCluster) stewardAt(address string) *modelSteward {
+	for _, steward := range c.stewards {
 		if steward.name == address {
 			return steward
 		}
 	}
-	return w.stewards[0]
+	return c.stewards[0]
 }
 
 // request sends a client's call through a gate.
-func (w *simCluster) request(through int, request wire.ClientCall, done func(clientReply)) {
-	to := w.gates[through%len(w.gates)]
-	call(w, w.outside, &to.modelProcess, clientTimeout, func(answer func(clientReply)) { to.serve(request, answer) },
+func (c *simCluster) request(gateNumber int, request wire.ClientCall, done func(clientReply)) {
+	to := c.gates[gateNumber%len(c.gates)]
+	call(c, c.outside, &to.modelProcess, clientTimeout, func(answer func(clientReply)) { to.serve(request, answer) },
 		func(reply clientReply, err error) {
 			if err != nil {
 				reply = clientReply{}
@@ -107,42 +110,42 @@
 }
 
 // submit sends a job to one gate after another until there is a clear answer.
-func (w *simCluster) submit(job *modelJob, through, attempt int) {
+func (c *simCluster) submit(job *modelJob, gateNumber, attempt int) {
 	body, err := easyjson.Marshal(job.spec)
 	if err != nil {
-		w.violate("MODEL", "a job can't be encoded: %v", err)
+		c.violate("MODEL", "a job can't be encoded: %v", err)
 		return
 	}
 	terms := job.terms
 	request := wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbSubmit, Body: body, Terms: &terms}
 	job.openAttempts++
-	w.request(through, request, func(reply clientReply) {
-		w.oracles.recordSubmitAnswer(job, reply)
+	c.request(gateNumber, request, func(reply clientReply) {
+		c.oracles.recordSubmitAnswer(job, reply)
 		if (reply.status == 0 || reply.status == http.StatusGatewayTimeout) && attempt < clientAttempts {
-			w.queue.after(clientPause, func() { w.submit(job, through+1, attempt+1) })
+			c.queue.after(clientPause, func() { c.submit(job, gateNumber+1, attempt+1) })
 		}
 	})
 }
 
 // cancel cancels a job through one gate after another until the answer is clear.
-func (w *simCluster) cancel(job *modelJob, through, attempt int) {
+func (c *simCluster) cancel(job *modelJob, gateNumber, attempt int) {
 	job.isCancelSent = true
-	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
+	c.request(gateNumber, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
 		if reply.status == http.StatusOK {
-			w.oracles.recordCancel(job)
+			c.oracles.recordCancel(job)
 			return
 		}
 		if reply.status != http.StatusGone && attempt < clientAttempts {
-			w.queue.after(clientPause, func() { w.cancel(job, through+1, attempt+1) })
+			c.queue.after(clientPause, func() { c.cancel(job, gateNumber+1, attempt+1) })
 		}
 	})
 }
 
 // inspect requests a job's state once and checks the answer, if there is one.
-func (w *simCluster) inspect(job *modelJob, through int, done func()) {
+func (c *simCluster) inspect(job *modelJob, gateNumber int, done func()) {
 	wasAccepted, wasCancelled := job.isAccepted, job.isCancelled
-	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbState}, func(reply clientReply) {
-		w.oracles.checkShownState(job, reply, wasAccepted, wasCancelled)
+	c.request(gateNumber, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbState}, func(reply clientReply) {
+		c.oracles.checkShownState(job, reply, wasAccepted, wasCancelled)
 		done()
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/coresplits.go
+++ b/internal/simulation/modelcheck/ordermodel/coresplits.go
@@ -63,22 +63,22 @@
 }
 
 // splitCore separates half of the stewards from the others for a while.
-func (w *simCluster) splitCore(step modelcheck.Step, length time.Duration) {
-	count := len(w.stewards)
-	for number, steward := range w.stewards {
+func (c *simCluster) splitCore(step modelcheck.Step, length time.Duration) {
+	count := len(c.stewards)
+	for number, steward := range c.stewards {
 		if (number+step.Node)%count < count/2 {
 			steward.coreSide = 1
 		} else {
 			steward.coreSide = 0
 		}
 	}
-	w.coreSplits++
-	split := w.coreSplits
-	w.queue.after(length, func() {
-		if w.coreSplits != split {
+	c.coreSplits++
+	split := c.coreSplits
+	c.queue.after(length, func() {
+		if c.coreSplits != split {
 			return
 		}
-		for _, steward := range w.stewards {
+		for _, steward := range c.stewards {
 			steward.coreSide = 0
 		}
 	})
@@ -86,31 +86,31 @@
 
 // endDay cuts the power of all stewards, gates and proxies, so many milliseconds after the next commit that is acknowledged to
 // a leader. Disks that are lost with it lose nothing that was committed, as there are never more than the schedule's losses.
-func (w *simCluster) endDay(step modelcheck.Step, length time.Duration) {
-	w.onCommit = func() {
-		w.queue.after(clock.Milliseconds(int64(step.Value)), func() {
-			w.count("end_of_day")
-			w.recordFault(int(length / time.Millisecond))
-			w.recordCoreFault(length)
-			w.key.losePower()
-			for _, steward := range w.stewards {
-				w.killSteward(steward, length)
+func (c *simCluster) endDay(step modelcheck.Step, length time.Duration) {
+	c.onCommit = func() {
+		c.queue.after(clock.Milliseconds(int64(step.Value)), func() {
+			c.count("end_of_day")
+			c.recordFault(int(length / time.Millisecond))
+			c.recordCoreFault(length)
+			c.key.losePower()
+			for _, steward := range c.stewards {
+				c.killSteward(steward, length)
 			}
-			for _, gate := range w.gates {
-				w.restart(&gate.modelProcess, gate.start, length)
+			for _, gate := range c.gates {
+				c.restart(&gate.modelProcess, gate.start, length)
 			}
-			for _, proxy := range w.proxies {
+			for _, proxy := range c.proxies {
 				proxy.executor.recordMachineFault(length)
-				w.restart(&proxy.modelProcess, proxy.start, length)
+				c.restart(&proxy.modelProcess, proxy.start, length)
 			}
 		})
 	}
 }
 
 // restart kills a process and starts it again after a while.
-func (w *simCluster) restart(process *modelProcess, start func(), length time.Duration) {
+func (c *simCluster) restart(process *modelProcess, start func(), length time.Duration) {
 	process.kill()
-	w.queue.after(length, func() {
+	c.queue.after(length, func() {
 		if !process.isUp {
 			start()
 		}
--- a/internal/simulation/modelcheck/ordermodel/evacuations.go
+++ b/internal/simulation/modelcheck/ordermodel/evacuations.go
@@ -49,43 +49,43 @@
 }
 
 // evacuate orders the evacuation of an executor's zone, and ends it after a while.
-func (w *simCluster) evacuate(step modelcheck.Step) {
-	executor := w.executors[step.Node%len(w.executors)]
+func (c *simCluster) evacuate(step modelcheck.Step) {
+	executor := c.executors[step.Node%len(c.executors)]
 	length := clock.Milliseconds(int64(step.ForMs))
 	// While its zone is evacuated an executor offers no room, and a gang may lose members that were placed before.
 	executor.recordMachineFault(length)
-	w.recordFault(0)
-	w.publishEvacuations([]wire.EvacuatedZone{{Zone: zoneOf(executor.number)}})
-	w.queue.after(length, func() { w.publishEvacuations(nil) })
+	c.recordFault(0)
+	c.publishEvacuations([]wire.EvacuatedZone{{Zone: zoneOf(executor.number)}})
+	c.queue.after(length, func() { c.publishEvacuations(nil) })
 }
 
 // publishEvacuations acknowledges a new list, and sends it to all stewards and proxies.
-func (w *simCluster) publishEvacuations(zones []wire.EvacuatedZone) {
+func (c *simCluster) publishEvacuations(zones []wire.EvacuatedZone) {
 	number := int64(1)
-	if w.evacuations.newest != nil {
-		number = w.evacuations.newest.Number + 1
+	if c.evacuations.newest != nil {
+		number = c.evacuations.newest.Number + 1
 	}
-	w.evacuations = evacuationOrders{&wire.Evacuations{Number: number, Zones: zones}, w.queue.now()}
-	for _, steward := range w.stewards {
-		w.sendEvacuations(&steward.modelProcess)
+	c.evacuations = evacuationOrders{&wire.Evacuations{Number: number, Zones: zones}, c.queue.now()}
+	for _, steward := range c.stewards {
+		c.sendEvacuations(&steward.modelProcess)
 	}
-	for _, proxy := range w.proxies {
-		w.sendEvacuations(&proxy.modelProcess)
+	for _, proxy := range c.proxies {
+		c.sendEvacuations(&proxy.modelProcess)
 	}
 }
 
 // sendEvacuations brings the newest list to a process after a delay, and tries again later if it can't be reached then.
-func (w *simCluster) sendEvacuations(to *modelProcess) {
-	if w.evacuations.newest == nil {
+func (c *simCluster) sendEvacuations(to *modelProcess) {
+	if c.evacuations.newest == nil {
 		return
 	}
-	w.queue.after(w.queue.between(time.Millisecond, maxEvacuationSpreadTime), func() {
+	c.queue.after(c.queue.between(time.Millisecond, maxEvacuationSpreadTime), func() {
 		if !to.isReachable() || to.group != 0 {
-			w.sendEvacuations(to)
+			c.sendEvacuations(to)
 			return
 		}
-		if w.evacuations.newest.IsNewerThan(to.evacuations.list) {
-			to.evacuations = knownEvacuations{w.evacuations.newest, w.queue.now()}
+		if c.evacuations.newest.IsNewerThan(to.evacuations.list) {
+			to.evacuations = knownEvacuations{c.evacuations.newest, c.queue.now()}
 		}
 	})
 }
@@ -93,9 +93,9 @@
 // checkLaunch is the oracle of evacuations: unless there was a fault lately, no launch is sent into a zone later than
 // evacuationDeadline after its evacuation was acknowledged.
 func (o *oracles) checkLaunch(executor *modelExecutor, order wire.Order) {
-	w, now := o.cluster, o.cluster.queue.now()
-	isCalm := now-w.faultsUntil > w.profile.contactTime
-	if order.Kind == wire.OrderLaunch && isCalm && w.evacuations.newest.Has(zoneOf(executor.number)) && now-w.evacuations.ackedAt > evacuationDeadline {
-		w.violate("EVAC", "%s run %d is sent to %s %v after its zone was evacuated", order.Task, order.Run, executor.id, now-w.evacuations.ackedAt)
+	c, now := o.cluster, o.cluster.queue.now()
+	isCalm := now-c.faultsUntil > c.profile.contactTime
+	if order.Kind == wire.OrderLaunch && isCalm && c.evacuations.newest.Has(zoneOf(executor.number)) && now-c.evacuations.ackedAt > evacuationDeadline {
+		c.violate("EVAC", "%s run %d is sent to %s %v after its zone was evacuated", order.Task, order.Run, executor.id, now-c.evacuations.ackedAt)
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/executions.go
+++ b/internal/simulation/modelcheck/ordermodel/executions.go
@@ -89,9 +89,9 @@
 }
 
 // presentGangMembers returns the members of a gang's run that are active on executors that are up.
-func (w *simCluster) presentGangMembers(execution *modelExecution) []*modelExecution {
+func (c *simCluster) presentGangMembers(execution *modelExecution) []*modelExecution {
 	var members []*modelExecution
-	for _, executor := range w.executors {
+	for _, executor := range c.executors {
 		if !executor.isUp {
 			continue
 		}
@@ -129,15 +129,15 @@
 }
 
 // endGang ends the other members of a gang soon after the first: as done if that is done, and as broken otherwise.
-func (w *simCluster) endGang(members []*modelExecution, first *modelExecution, outcome string) {
+func (c *simCluster) endGang(members []*modelExecution, first *modelExecution, outcome string) {
 	for _, member := range members {
 		if member == first || !member.isWorking {
 			continue
 		}
-		with := outcomeBroken
+		memberOutcome := outcomeBroken
 		if outcome == outcomeDone {
-			with = outcomeDone
+			memberOutcome = outcomeDone
 		}
-		member.executor.later(2*time.Millisecond, func() { member.executor.endRun(member, with) })
+		member.executor.later(2*time.Millisecond, func() { member.executor.endRun(member, memberOutcome) })
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/executor.go
+++ b/internal/simulation/modelcheck/ordermodel/executor.go
@@ -101,7 +101,7 @@
 	e.isDraining, e.hasSkippedDrain, e.isDeregistered = false, false, false
 	e.slowPermyriad = e.cluster.queue.random.Int64N(201)
 	e.sequence, e.fence, e.expiryMs, e.lapses, e.lastEnd = 0, 0, 0, 0, 0
-	e.active, e.ends, e.lapsesAtEnd, e.pollers, e.waiting = nil, nil, map[int64]int{}, nil, nil
+	e.active, e.ends, e.lapsesAtEnd, e.pollers, e.deferred = nil, nil, map[int64]int{}, nil, nil
 	e.highest, e.stopping = map[string]int64{}, map[*modelExecution]bool{}
 	e.later(e.cluster.queue.between(0, firstHeartbeatTime), e.sendHeartbeat)
 }
--- a/internal/simulation/modelcheck/ordermodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/ordermodel/injectedfaults.go
@@ -82,8 +82,8 @@
 }
 
 // adjustTiming returns the timing of pools, which some injected faults change.
-func (p injectedFault) adjustTiming(timing scheduler.Timing) scheduler.Timing {
-	switch p.name {
+func (f injectedFault) adjustTiming(timing scheduler.Timing) scheduler.Timing {
+	switch f.name {
 	case faultForgottenEarly:
 		timing.KeepEnded = forgottenAfter
 	case faultCapacityReserved:
@@ -95,37 +95,37 @@
 }
 
 // obeysEvacuations reports whether leaders and proxies act on evacuations.
-func (p injectedFault) obeysEvacuations() bool { return p.name != faultEvacuationIgnored }
+func (f injectedFault) obeysEvacuations() bool { return f.name != faultEvacuationIgnored }
 
 // ignoresIncarnation reports whether an executor accepts calls to another incarnation.
-func (p injectedFault) ignoresIncarnation() bool { return p.name == faultWrongIncarnation }
+func (f injectedFault) ignoresIncarnation() bool { return f.name == faultWrongIncarnation }
 
 // adjustOutcome returns the outcome of a client's call, which faultRefusedUnclear changes.
-func (p injectedFault) adjustOutcome(outcome leaderclient.Outcome) leaderclient.Outcome {
-	if p.name == faultRefusedUnclear {
+func (f injectedFault) adjustOutcome(outcome leaderclient.Outcome) leaderclient.Outcome {
+	if f.name == faultRefusedUnclear {
 		outcome.MayHaveRun = false
 	}
 	return outcome
 }
 
 // wrapLeadership returns the leadership under which a steward opens its pool.
-func (p injectedFault) wrapLeadership(fresh *leadership) scheduler.Leadership {
-	switch p.name {
+func (f injectedFault) wrapLeadership(successor *leadership) scheduler.Leadership {
+	switch f.name {
 	case faultCancelForgotten:
-		return cancelDroppingLeadership{fresh}
+		return cancelDroppingLeadership{successor}
 	case faultAckEarly:
-		return earlyAckLeadership{fresh}
+		return earlyAckLeadership{successor}
 	case faultLeaseIgnored:
-		return leaselessLeadership{fresh}
+		return leaselessLeadership{successor}
 	case faultDeposedServes:
-		return minorityLeadership{fresh}
+		return minorityLeadership{successor}
 	}
-	return fresh
+	return successor
 }
 
 // wrapPool returns the pool that a steward runs.
-func (p injectedFault) wrapPool(pool poolLeader) poolLeader {
-	switch p.name {
+func (f injectedFault) wrapPool(pool poolLeader) poolLeader {
+	switch f.name {
 	case faultLastSeenEarly:
 		return earlyAckPool{pool}
 	case faultTicksForgotten:
@@ -137,9 +137,9 @@
 }
 
 // wrapTable returns the table that a proxy runs.
-func (p injectedFault) wrapTable(proxy *modelProxy, table *localproxy.Table) proxyTable {
+func (f injectedFault) wrapTable(proxy *modelProxy, table *localproxy.Table) proxyTable {
 	faulty := faultyTable{Table: table, proxy: proxy}
-	switch p.name {
+	switch f.name {
 	case faultNewRunID:
 		return &renumberingTable{faulty, map[string]int64{}}
 	case faultHoldUngranted:
@@ -176,8 +176,8 @@
 
 // wrapAnswer returns the callback for the answer to a call of the executor. With faultAnswerByPlace an answer goes to the
 // oldest pending call, whichever call it belongs to.
-func (p injectedFault) wrapAnswer(proxy *modelProxy, request executorRequest, finish func(executorReply)) func(executorReply) {
-	if p.name != faultAnswerByPlace || request.hold != nil {
+func (f injectedFault) wrapAnswer(proxy *modelProxy, request executorRequest, finish func(executorReply)) func(executorReply) {
+	if f.name != faultAnswerByPlace || request.hold != nil {
 		return finish
 	}
 	waiting := &pendingCall{finish: finish}
--- a/internal/simulation/modelcheck/ordermodel/leadership.go
+++ b/internal/simulation/modelcheck/ordermodel/leadership.go
@@ -11,11 +11,13 @@
 )
 
 const (
-	leaseLength         = 700 * time.Millisecond
-	leaseMargin         = 30 * time.Millisecond
-	leaseCheckInterval  = 50 * time.Millisecond
+	leaseLength        = 700 * time.Millisecond
+	leaseMargin        = 30 * time.Millisecond
+	leaseCheckInterval = 50 * time.Millisecond
+	// stepDownTimeout is how long a leader without a majority stays open.
 	stepDownTimeout     = 2800 * time.Millisecond
 	commitRetryInterval = 20 * time.Millisecond
+	// maxAnnouncementTime is the longest time until a process is informed of a new leader, or tries again.
 	maxAnnouncementTime = 200 * time.Millisecond
 )
 
@@ -227,10 +229,10 @@
 	k.cluster.count("election")
 	k.cluster.oracles.recordElection()
 	k.cluster.tracef("%s leads under epoch %d", next.name, k.epoch)
-	fresh := &leadership{key: k, steward: next, incarnation: next.incarnation, epoch: k.epoch, isOpen: true, lastContactAt: k.cluster.queue.now()}
-	k.leader = fresh
-	next.becomeLeader(fresh, k.snapshot())
-	k.cluster.announce(fresh)
+	successor := &leadership{key: k, steward: next, incarnation: next.incarnation, epoch: k.epoch, isOpen: true, lastContactAt: k.cluster.queue.now()}
+	k.leader = successor
+	next.becomeLeader(successor, k.snapshot())
+	k.cluster.announce(successor)
 }
 
 // snapshot returns all pairs, sorted by name.
@@ -243,14 +245,14 @@
 }
 
 // announceToFormer informs a deposed leader of its successor, as soon as it can be reached.
-func (w *simCluster) announceToFormer(former *leadership) {
-	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
+func (c *simCluster) announceToFormer(former *leadership) {
+	c.queue.after(c.queue.between(time.Millisecond, maxAnnouncementTime), func() {
 		steward := former.steward
 		if !former.isOpen || !steward.isUp || steward.incarnation != former.incarnation {
 			return
 		}
-		if !steward.isReachable() || steward.group != w.key.leader.steward.group || steward.coreSide != w.key.leader.steward.coreSide {
-			w.announceToFormer(former)
+		if !steward.isReachable() || steward.group != c.key.leader.steward.group || steward.coreSide != c.key.leader.steward.coreSide {
+			c.announceToFormer(former)
 			return
 		}
 		former.close()
@@ -284,9 +286,9 @@
 }
 
 // runCommitHook calls onCommit once, after a leader was told that a commit succeeded.
-func (w *simCluster) runCommitHook() {
-	if run := w.onCommit; run != nil {
-		w.onCommit = nil
+func (c *simCluster) runCommitHook() {
+	if run := c.onCommit; run != nil {
+		c.onCommit = nil
 		run()
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/model.go
+++ b/internal/simulation/modelcheck/ordermodel/model.go
@@ -33,49 +33,49 @@
 }
 
 // tracef writes a line about an event at the current simulated time.
-func (w *simCluster) tracef(format string, values ...any) { w.Note(w.queue.now(), format, values...) }
+func (c *simCluster) tracef(format string, values ...any) { c.Note(c.queue.now(), format, values...) }
 
 // Run plays a schedule until all jobs are over and no late call can arrive any more, or until the profile's settle time
 // has passed. Then it checks that no accepted job was lost and that the state of each is answered.
-func (w *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
+func (c *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	lastMs, quiet := 0, quietAfterHolds
 	for _, step := range schedule.Steps {
-		w.queue.after(clock.Milliseconds(int64(step.AtMs)), func() { w.play(step) })
+		c.queue.after(clock.Milliseconds(int64(step.AtMs)), func() { c.play(step) })
 		lastMs = max(lastMs, step.AtMs+step.ForMs)
 		if step.Kind == kindLateExecutor {
 			quiet = quietAfterLateCalls
 		}
 	}
 	last := clock.Milliseconds(int64(lastMs))
-	w.queue.after(clock.Milliseconds(firstStepMs), func() { w.inspectRound(0) })
-	w.queue.after(last+quiet, w.pollForEnd)
-	w.queue.runUntil(last+w.profile.settleTime, func() bool { return len(w.oracles.violations) > 0 || w.isDone })
-	if len(w.oracles.violations) == 0 {
-		w.checkProgress()
+	c.queue.after(clock.Milliseconds(firstStepMs), func() { c.inspectRound(0) })
+	c.queue.after(last+quiet, c.pollForEnd)
+	c.queue.runUntil(last+c.profile.settleTime, func() bool { return len(c.oracles.violations) > 0 || c.isDone })
+	if len(c.oracles.violations) == 0 {
+		c.checkProgress()
 	}
-	if len(w.oracles.violations) == 0 {
-		w.checkFinalStates()
+	if len(c.oracles.violations) == 0 {
+		c.checkFinalStates()
 	}
-	return modelcheck.Outcome{Violations: w.oracles.violations, Coverage: w.coverage}
+	return modelcheck.Outcome{Violations: c.oracles.violations, Coverage: c.coverage}
 }
 
 // pollForEnd checks at intervals whether all jobs are over and ends the run when they are.
-func (w *simCluster) pollForEnd() {
-	if w.areAllJobsOver() {
-		w.isDone = true
+func (c *simCluster) pollForEnd() {
+	if c.areAllJobsOver() {
+		c.isDone = true
 		return
 	}
-	w.queue.after(endCheckInterval, w.pollForEnd)
+	c.queue.after(endCheckInterval, c.pollForEnd)
 }
 
 // inspectRound has a client ask for the state of one job after another, for as long as the run lasts.
-func (w *simCluster) inspectRound(number int) {
-	next := func() { w.queue.after(w.profile.inspectInterval, func() { w.inspectRound(number + 1) }) }
-	if len(w.oracles.order) == 0 {
+func (c *simCluster) inspectRound(number int) {
+	next := func() { c.queue.after(c.profile.inspectInterval, func() { c.inspectRound(number + 1) }) }
+	if len(c.oracles.order) == 0 {
 		next()
 		return
 	}
-	w.inspect(w.oracles.nextToInspect(number), number, next)
+	c.inspect(c.oracles.nextToInspect(number), number, next)
 }
 
 // nextToInspect returns the job to ask for: usually the next one that is not over, and at every anyJobEvery-th request any job.
@@ -97,34 +97,34 @@
 const anyJobEvery = 3
 
 // checkFinalStates checks, after all faults, that clients get the state of each accepted job within stateAnswerTimeout.
-func (w *simCluster) checkFinalStates() {
-	for index, job := range w.oracles.order {
+func (c *simCluster) checkFinalStates() {
+	for index, job := range c.oracles.order {
 		job.isAnswered = false
 		if job.isAccepted {
-			w.inspectUntilAnswered(job, index)
+			c.inspectUntilAnswered(job, index)
 		}
 	}
-	w.queue.runUntil(w.queue.now()+stateAnswerTimeout, func() bool { return len(w.oracles.violations) > 0 })
-	for _, job := range w.oracles.order {
+	c.queue.runUntil(c.queue.now()+stateAnswerTimeout, func() bool { return len(c.oracles.violations) > 0 })
+	for _, job := range c.oracles.order {
 		if job.isAccepted && !job.isAnswered {
-			w.violate("UNANSWERED", "%s was accepted, but its state is not answered in time after the last fault", job.id)
+			c.violate("UNANSWERED", "%s was accepted, but its state is not answered in time after the last fault", job.id)
 		}
 	}
 }
 
 // inspectUntilAnswered asks for the state of a job at one gate after another until it is answered.
-func (w *simCluster) inspectUntilAnswered(job *modelJob, through int) {
-	w.inspect(job, through, func() {
+func (c *simCluster) inspectUntilAnswered(job *modelJob, gateNumber int) {
+	c.inspect(job, gateNumber, func() {
 		if !job.isAnswered {
-			w.queue.after(clientPause, func() { w.inspectUntilAnswered(job, through+1) })
+			c.queue.after(clientPause, func() { c.inspectUntilAnswered(job, gateNumber+1) })
 		}
 	})
 }
 
 // areAllJobsOver reports whether each accepted job is over, or runs for good if it is long-running, and each cancelled one is over.
-func (w *simCluster) areAllJobsOver() bool {
-	for _, job := range w.oracles.jobs {
-		if job.isAccepted && !job.isOver() && !w.oracles.isAtWork(job) {
+func (c *simCluster) areAllJobsOver() bool {
+	for _, job := range c.oracles.jobs {
+		if job.isAccepted && !job.isOver() && !c.oracles.isAtWork(job) {
 			return false
 		}
 		if job.isCancelled && !job.isOver() {
@@ -136,15 +136,15 @@
 
 // hasRecentProgress reports whether a job that is not over may still have work left. This is allowed only in the large
 // profile, whose waves may leave too few machines for all work, and only if a run of the job was done lately.
-func (w *simCluster) hasRecentProgress(job *modelJob) bool {
-	return w.profile.progressTimeout > 0 && job.lastProgressAt > w.queue.now()-w.profile.progressTimeout
+func (c *simCluster) hasRecentProgress(job *modelJob) bool {
+	return c.profile.progressTimeout > 0 && job.lastProgressAt > c.queue.now()-c.profile.progressTimeout
 }
 
 // checkProgress checks that accepted jobs are over or at work long after the last fault.
-func (w *simCluster) checkProgress() {
-	for _, job := range w.oracles.order {
-		if job.isAccepted && !job.isOver() && !w.oracles.isAtWork(job) && !w.hasRecentProgress(job) {
-			w.violate("LOST", "%s was accepted and is %q long after the last fault", job.id, job.state)
+func (c *simCluster) checkProgress() {
+	for _, job := range c.oracles.order {
+		if job.isAccepted && !job.isOver() && !c.oracles.isAtWork(job) && !c.hasRecentProgress(job) {
+			c.violate("LOST", "%s was accepted and is %q long after the last fault", job.id, job.state)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/network.go
+++ b/internal/simulation/modelcheck/ordermodel/network.go
@@ -15,8 +15,8 @@
 	isUp        bool
 	isFrozen    bool
 	incarnation int
-	// waiting holds the work that a frozen process does once it is unfrozen.
-	waiting []func()
+	// deferred holds the work that a frozen process does once it is unfrozen.
+	deferred []func()
 }
 
 // enter calls run in the process if it is up in the given incarnation. A frozen process calls it once it is unfrozen.
@@ -24,7 +24,7 @@
 	switch {
 	case !l.isUp || l.incarnation != incarnation:
 	case l.isFrozen:
-		l.waiting = append(l.waiting, func() { l.enter(incarnation, run) })
+		l.deferred = append(l.deferred, func() { l.enter(incarnation, run) })
 	default:
 		run()
 	}
@@ -32,9 +32,9 @@
 
 // unfreeze ends a freeze and returns the work that was deferred until then.
 func (l *lifecycle) unfreeze() []func() {
-	waiting := l.waiting
-	l.isFrozen, l.waiting = false, nil
-	return waiting
+	deferred := l.deferred
+	l.isFrozen, l.deferred = false, nil
+	return deferred
 }
 
 // modelProcess is a process that may be killed, frozen and cut off. Messages that arrive during a freeze are handled after it.
@@ -78,13 +78,13 @@
 }
 
 func (p *modelProcess) kill() {
-	p.isUp, p.isFrozen, p.waiting = false, false, nil
+	p.isUp, p.isFrozen, p.deferred = false, false, nil
 	p.incarnation++
 }
 
 // boot starts a new incarnation of the process.
 func (p *modelProcess) boot() {
-	p.isUp, p.isFrozen, p.waiting, p.pendingLeaderCalls = true, false, nil, map[uint64]func(){}
+	p.isUp, p.isFrozen, p.deferred, p.pendingLeaderCalls = true, false, nil, map[uint64]func(){}
 	p.incarnation++
 	p.evacuations = knownEvacuations{}
 	p.cluster.sendEvacuations(p)
@@ -92,9 +92,9 @@
 
 // wake ends a freeze; the deferred work is done in a drawn order.
 func (p *modelProcess) wake() {
-	waiting := p.unfreeze()
-	p.cluster.queue.random.Shuffle(len(waiting), func(a, b int) { waiting[a], waiting[b] = waiting[b], waiting[a] })
-	for _, run := range waiting {
+	deferred := p.unfreeze()
+	p.cluster.queue.random.Shuffle(len(deferred), func(a, b int) { deferred[a], deferred[b] = deferred[b], deferred[a] })
+	for _, run := range deferred {
 		p.cluster.queue.after(0, run)
 	}
 }
@@ -124,28 +124,28 @@
 }
 
 // transit draws how long a message is in transit.
-func (w *simCluster) transit() time.Duration {
-	wait := w.queue.between(300*time.Microsecond, 2*time.Millisecond)
-	if w.queue.chance(w.messageFaults.latePercent) {
-		w.count("message_late")
-		wait += w.queue.between(0, time.Duration(w.messageFaults.maxDelayMs)*time.Millisecond)
+func (c *simCluster) transit() time.Duration {
+	wait := c.queue.between(300*time.Microsecond, 2*time.Millisecond)
+	if c.queue.chance(c.messageFaults.latePercent) {
+		c.count("message_late")
+		wait += c.queue.between(0, time.Duration(c.messageFaults.maxDelayMs)*time.Millisecond)
 	}
 	return wait
 }
 
 // send carries a message from one process to another; a fault may lose or duplicate it.
-func (w *simCluster) send(from, to *modelProcess, arrive func()) {
+func (c *simCluster) send(from, to *modelProcess, arrive func()) {
 	copies := 1
 	switch {
-	case w.queue.chance(w.messageFaults.lostPercent):
-		w.count("message_lost")
+	case c.queue.chance(c.messageFaults.lostPercent):
+		c.count("message_lost")
 		copies = 0
-	case !from.isNeverDoubled && !to.isNeverDoubled && w.queue.chance(w.messageFaults.doubledPercent):
-		w.count("message_doubled")
+	case !from.isNeverDoubled && !to.isNeverDoubled && c.queue.chance(c.messageFaults.doubledPercent):
+		c.count("message_doubled")
 		copies = 2
 	}
 	for range copies {
-		w.queue.after(w.transit(), func() {
+		c.queue.after(c.transit(), func() {
 			if from.reaches(to) && to.isUp {
 				to.enter(to.incarnation, arrive)
 			}
@@ -154,7 +154,7 @@
 }
 
 // callLeader makes a call that is abandoned early, with an error, if another leader is announced to the caller.
-func callLeader[T any](w *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
+func callLeader[T any](c *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver := false
 	var release func()
 	finish := func(value T, err error) {
@@ -168,11 +168,11 @@
 		var none T
 		finish(none, errNoAnswer)
 	})
-	call(w, from, to, timeout, serve, finish)
+	call(c, from, to, timeout, serve, finish)
 }
 
 // call makes a call to another process and passes its first answer to done, or an error after the timeout.
-func call[T any](w *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
+func call[T any](c *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver, incarnation := false, from.incarnation
 	finish := func(value T, err error) {
 		if !isOver {
@@ -181,10 +181,10 @@
 		}
 	}
 	var none T
-	w.queue.after(timeout, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
-	w.send(from, to, func() {
+	c.queue.after(timeout, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
+	c.send(from, to, func() {
 		serve(func(value T) {
-			w.send(to, from, func() { from.enter(incarnation, func() { finish(value, nil) }) })
+			c.send(to, from, func() { from.enter(incarnation, func() { finish(value, nil) }) })
 		})
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -45,15 +45,15 @@
 	electedAt, electionExcuseUntil time.Duration
 }
 
-func newOracles(w *simCluster) *oracles {
-	return &oracles{cluster: w, jobs: map[string]*modelJob{}, tasks: map[string]*modelTask{}, launched: map[incarnationRun]bool{}, stopped: map[incarnationRun]bool{}}
+func newOracles(c *simCluster) *oracles {
+	return &oracles{cluster: c, jobs: map[string]*modelJob{}, tasks: map[string]*modelTask{}, launched: map[incarnationRun]bool{}, stopped: map[incarnationRun]bool{}}
 }
 
 // violate records a violation of an oracle's invariant, up to maxViolations.
-func (w *simCluster) violate(oracle, format string, values ...any) {
-	if len(w.oracles.violations) < maxViolations {
-		w.oracles.violations = append(w.oracles.violations, modelcheck.Violation{Oracle: oracle,
-			AtMs: int(w.queue.now() / time.Millisecond), Detail: fmt.Sprintf(format, values...)})
+func (c *simCluster) violate(oracle, format string, values ...any) {
+	if len(c.oracles.violations) < maxViolations {
+		c.oracles.violations = append(c.oracles.violations, modelcheck.Violation{Oracle: oracle,
+			AtMs: int(c.queue.now() / time.Millisecond), Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
--- a/internal/simulation/modelcheck/ordermodel/proxy.go
+++ b/internal/simulation/modelcheck/ordermodel/proxy.go
@@ -48,20 +48,22 @@
 	waiter func()
 }
 
-func (b *wakeSignal) set() {
-	b.isSet = true
-	b.deliverSignal()
+// set wakes the waiter, or the next one if there is none.
+func (s *wakeSignal) set() {
+	s.isSet = true
+	s.deliverSignal()
 }
 
-func (b *wakeSignal) wait(run func()) {
-	b.waiter = run
-	b.deliverSignal()
+// wait calls run once the signal is set, at once if it is set already; it replaces the former waiter.
+func (s *wakeSignal) wait(run func()) {
+	s.waiter = run
+	s.deliverSignal()
 }
 
-func (b *wakeSignal) deliverSignal() {
-	if b.isSet && b.waiter != nil {
-		run := b.waiter
-		b.isSet, b.waiter = false, nil
+func (s *wakeSignal) deliverSignal() {
+	if s.isSet && s.waiter != nil {
+		run := s.waiter
+		s.isSet, s.waiter = false, nil
 		run()
 	}
 }
@@ -72,12 +74,16 @@
 	executor       *modelExecutor
 	table          proxyTable
 	ordersInFlight int
-	queued         []func()
-	pending        []*pendingCall
-	reportSignal   wakeSignal
-	startSignal    wakeSignal
-	listSignal     wakeSignal
-	ackSignal      wakeSignal
+	// queued are the deliveries of orders that wait until fewer than maxOrdersInFlight are in flight.
+	queued []func()
+	// pending are the calls to the executor in their order; it is used only with faultAnswerByPlace.
+	pending []*pendingCall
+	// The table sets reportSignal when a report should be sent or the grant renewed, startSignal when a run was started, listSignal
+	// when the leader wants the list of runs, and ackSignal when a hold is due at once, as the leader has acknowledged ends.
+	reportSignal wakeSignal
+	startSignal  wakeSignal
+	listSignal   wakeSignal
+	ackSignal    wakeSignal
 }
 
 func (p *modelProxy) start() {
@@ -178,7 +184,8 @@
 	})
 }
 
-// reportLoop waits until there is something to report. The result of a start waits a moment for more, all else is sent at once.
+// reportLoop waits until there is something to report. The report of a started run waits a moment for more; all others are sent
+// at once.
 func (p *modelProxy) reportLoop() {
 	report := func() {
 		p.reportSignal.waiter, p.startSignal.waiter = nil, nil
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -34,7 +34,7 @@
 	evacuations evacuationOrders
 	// coreSplits counts the splits of the core, so that the end of an earlier one doesn't end a later one.
 	coreSplits int
-	// calls counts the calls between processes; the count is the number of the latest one.
+	// calls counts the calls to leaders; the count is the number of the latest one.
 	calls uint64
 	// isDone ends the run: all jobs are over, and no late call can arrive any more.
 	isDone bool
@@ -69,72 +69,72 @@
 // newSimCluster creates and starts all processes that a schedule needs.
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	profile := profileOf(schedule.Size)
-	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
+	c := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
 		forgotten: map[string]bool{}}
-	w.timing = w.fault.adjustTiming(profile.timing)
-	w.oracles = newOracles(w)
-	w.outside = &modelProcess{cluster: w, name: "outside", lifecycle: lifecycle{isUp: true}, isNeverDoubled: true}
-	w.key = &replicatedKey{cluster: w, pairs: map[string][]byte{}}
-	w.views = make([]*membership.View, schedule.Nodes)
+	c.timing = c.fault.adjustTiming(profile.timing)
+	c.oracles = newOracles(c)
+	c.outside = &modelProcess{cluster: c, name: "outside", lifecycle: lifecycle{isUp: true}, isNeverDoubled: true}
+	c.key = &replicatedKey{cluster: c, pairs: map[string][]byte{}}
+	c.views = make([]*membership.View, schedule.Nodes)
 	for number := range schedule.Nodes {
-		w.stewards = append(w.stewards, &modelSteward{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("steward-%d", number)}})
+		c.stewards = append(c.stewards, &modelSteward{modelProcess: modelProcess{cluster: c, name: fmt.Sprintf("steward-%d", number)}})
 	}
 	for number := range profile.gates {
-		w.gates = append(w.gates, &modelGate{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("gate-%d", number), isNeverDoubled: true}})
+		c.gates = append(c.gates, &modelGate{modelProcess: modelProcess{cluster: c, name: fmt.Sprintf("gate-%d", number), isNeverDoubled: true}})
 	}
 	for number := range profile.executors {
 		machine := fmt.Sprintf("side-%d", number)
-		executor := &modelExecutor{cluster: w, machine: machine, number: number, capacity: profile.capacity(number),
+		executor := &modelExecutor{cluster: c, machine: machine, number: number, capacity: profile.capacity(number),
 			labels: []string{"zone", rackOf(number / profile.rackSize)}, isGuarding: profile.isGuarding(number)}
-		executor.proxy = &modelProxy{modelProcess: modelProcess{cluster: w, name: machine}, executor: executor}
-		w.executors, w.proxies = append(w.executors, executor), append(w.proxies, executor.proxy)
+		executor.proxy = &modelProxy{modelProcess: modelProcess{cluster: c, name: machine}, executor: executor}
+		c.executors, c.proxies = append(c.executors, executor), append(c.proxies, executor.proxy)
 	}
-	w.start()
-	return w
+	c.start()
+	return c
 }
 
 // start starts all processes, and the checks that run throughout a schedule.
-func (w *simCluster) start() {
-	for _, steward := range w.stewards {
+func (c *simCluster) start() {
+	for _, steward := range c.stewards {
 		steward.start()
 	}
-	for _, gate := range w.gates {
+	for _, gate := range c.gates {
 		gate.start()
 	}
-	for _, proxy := range w.proxies {
+	for _, proxy := range c.proxies {
 		proxy.start()
 	}
-	for _, executor := range w.executors {
+	for _, executor := range c.executors {
 		executor.start()
 	}
-	w.key.monitorLease()
-	w.watchStalls()
+	c.key.monitorLease()
+	c.watchStalls()
 }
 
-func (w *simCluster) count(description string) { w.coverage[description]++ }
+func (c *simCluster) count(description string) { c.coverage[description]++ }
 
 // announce informs gates and proxies of a new leader, each after a delay of its own. A process that is cut off is informed later.
-func (w *simCluster) announce(fresh *leadership) {
-	for _, gate := range w.gates {
-		w.announceTo(&gate.modelProcess, fresh)
+func (c *simCluster) announce(successor *leadership) {
+	for _, gate := range c.gates {
+		c.announceTo(&gate.modelProcess, successor)
 	}
-	for _, proxy := range w.proxies {
-		w.announceTo(&proxy.modelProcess, fresh)
+	for _, proxy := range c.proxies {
+		c.announceTo(&proxy.modelProcess, successor)
 	}
 }
 
 // announceTo informs a process of a new leader after a delay, and tries again later if it can't be reached then.
-func (w *simCluster) announceTo(to *modelProcess, fresh *leadership) {
-	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
-		if w.key.leader != fresh {
+func (c *simCluster) announceTo(to *modelProcess, successor *leadership) {
+	c.queue.after(c.queue.between(time.Millisecond, maxAnnouncementTime), func() {
+		if c.key.leader != successor {
 			return
 		}
-		if !to.isReachable() || to.group != fresh.steward.group {
-			w.announceTo(to, fresh)
+		if !to.isReachable() || to.group != successor.steward.group {
+			c.announceTo(to, successor)
 			return
 		}
-		for index, steward := range w.stewards {
-			if steward == fresh.steward {
+		for index, steward := range c.stewards {
+			if steward == successor.steward {
 				to.updateLeader(index)
 			}
 		}
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -26,10 +26,10 @@
 )
 
 // watchStalls checks for stalled jobs at intervals, for as long as the run lasts.
-func (w *simCluster) watchStalls() {
-	w.queue.after(w.profile.stallCheckInterval, func() {
-		w.oracles.checkStalls()
-		w.watchStalls()
+func (c *simCluster) watchStalls() {
+	c.queue.after(c.profile.stallCheckInterval, func() {
+		c.oracles.checkStalls()
+		c.watchStalls()
 	})
 }
 
@@ -81,13 +81,13 @@
 }
 
 // fits reports whether there is room for so many tasks of a step on sound executors.
-func (r *offeredCapacity) fits(step *jobs.Step, countTasksOn func(*modelExecutor) int, count int64) bool {
+func (c *offeredCapacity) fits(step *jobs.Step, countTasksOn func(*modelExecutor) int, count int64) bool {
 	number := int64(0)
-	for index, executor := range r.executors {
+	for index, executor := range c.executors {
 		if !hasLabels(executor, step) {
 			continue
 		}
-		slots := countSlots(r.free[index], step)
+		slots := countSlots(c.free[index], step)
 		if step.AntiAffinity > 0 {
 			slots = min(slots, int64(max(0, step.AntiAffinity-countTasksOn(executor))))
 		}
@@ -113,8 +113,8 @@
 // checkStalls checks that a job that could run doesn't wait for stallTimeout or longer. It starts afresh after faults of the core and
 // while half of the capacity is in use.
 func (o *oracles) checkStalls() {
-	w, now := o.cluster, o.cluster.queue.now()
-	if now-w.coreFaultsUntil <= w.profile.contactTime {
+	c, now := o.cluster, o.cluster.queue.now()
+	if now-c.coreFaultsUntil <= c.profile.contactTime {
 		o.resetStalls()
 		return
 	}
@@ -131,7 +131,7 @@
 		case job.stalledSince == 0:
 			job.stalledSince = now
 		case now-job.stalledSince >= stallTimeout:
-			w.violate("STALLED", "%s has had no active run since %d ms, although its task %s could run and there is room", job.id,
+			c.violate("STALLED", "%s has had no active run since %d ms, although its task %s could run and there is room", job.id,
 				job.stalledSince.Milliseconds(), name)
 			return
 		}
@@ -164,7 +164,7 @@
 			if step.Gang {
 				count *= int64(step.Tasks)
 			}
-			countTasksOn := func(where *modelExecutor) int { return where.countTasks(job.id, occurrence, number) }
+			countTasksOn := func(executor *modelExecutor) int { return executor.countTasks(job.id, occurrence, number) }
 			if offered.fits(step, countTasksOn, count) {
 				return jobs.TaskName(job.id, occurrence, number, index), true
 			}
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -71,12 +71,12 @@
 }
 
 // becomeLeader opens the pool under a new leadership; a former leadership of this steward is closed first.
-func (s *modelSteward) becomeLeader(fresh *leadership, pairs []wire.Op) {
+func (s *modelSteward) becomeLeader(successor *leadership, pairs []wire.Op) {
 	if s.leading != nil {
 		s.leading.close()
 	}
-	s.leading = fresh
-	s.pool.Open(s.cluster.fault.wrapLeadership(fresh), pairs)
+	s.leading = successor
+	s.pool.Open(s.cluster.fault.wrapLeadership(successor), pairs)
 	if unreadable := s.pool.Unreadable(); len(unreadable) > 0 {
 		s.cluster.violate("READ", "a new leader can't read records of the key: %v", unreadable)
 	}
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -16,41 +16,41 @@
 )
 
 // submitNew creates a job and submits it through a gate.
-func (w *simCluster) submitNew(number, shape, through int) *modelJob {
-	job := w.profile.makeJob(number, shape, w.queue.now().Milliseconds())
-	job.isSubmitted, job.submittedAt = true, w.queue.now()
-	w.oracles.jobs[job.id] = job
-	w.oracles.order = append(w.oracles.order, job)
-	w.submit(job, through, 0)
+func (c *simCluster) submitNew(number, shape, gateNumber int) *modelJob {
+	job := c.profile.makeJob(number, shape, c.queue.now().Milliseconds())
+	job.isSubmitted, job.submittedAt = true, c.queue.now()
+	c.oracles.jobs[job.id] = job
+	c.oracles.order = append(c.oracles.order, job)
+	c.submit(job, gateNumber, 0)
 	return job
 }
 
 // stream submits Peer jobs of the shape Value, evenly spread over the step's time; their numbers begin with Node.
-func (w *simCluster) stream(step modelcheck.Step) {
+func (c *simCluster) stream(step modelcheck.Step) {
 	for count := range step.Peer {
 		at := clock.Milliseconds(int64(step.ForMs)) * time.Duration(count) / time.Duration(step.Peer)
-		w.queue.after(at, func() { w.submitFromStream(step.Node+count, step.Value) })
+		c.queue.after(at, func() { c.submitFromStream(step.Node+count, step.Value) })
 	}
 }
 
 // submitFromStream submits a job of a stream, and sometimes submits it again or cancels it.
-func (w *simCluster) submitFromStream(number, shape int) {
-	random := w.queue.random
-	job := w.submitNew(number, shape, random.IntN(len(w.gates)))
-	if w.queue.chance(percentSubmittedAgain) {
-		w.queue.after(w.queue.between(time.Millisecond, maxResendTime), func() { w.submit(job, random.IntN(len(w.gates)), clientAttempts) })
+func (c *simCluster) submitFromStream(number, shape int) {
+	random := c.queue.random
+	job := c.submitNew(number, shape, random.IntN(len(c.gates)))
+	if c.queue.chance(percentSubmittedAgain) {
+		c.queue.after(c.queue.between(time.Millisecond, maxResendTime), func() { c.submit(job, random.IntN(len(c.gates)), clientAttempts) })
 	}
-	if w.queue.chance(percentCancelled) {
-		w.queue.after(w.queue.between(time.Millisecond, maxCancelTime), func() { w.cancel(job, random.IntN(len(w.gates)), 0) })
+	if c.queue.chance(percentCancelled) {
+		c.queue.after(c.queue.between(time.Millisecond, maxCancelTime), func() { c.cancel(job, random.IntN(len(c.gates)), 0) })
 	}
 }
 
 // cancelSome cancels Value percent of the jobs that are not over, within the step's time.
-func (w *simCluster) cancelSome(step modelcheck.Step) {
-	for _, job := range w.oracles.order {
-		if !job.isOver() && !job.isCancelSent && w.queue.chance(step.Value) {
-			wait := w.queue.between(0, clock.Milliseconds(int64(step.ForMs)))
-			w.queue.after(wait, func() { w.cancel(job, w.queue.random.IntN(len(w.gates)), 0) })
+func (c *simCluster) cancelSome(step modelcheck.Step) {
+	for _, job := range c.oracles.order {
+		if !job.isOver() && !job.isCancelSent && c.queue.chance(step.Value) {
+			wait := c.queue.between(0, clock.Milliseconds(int64(step.ForMs)))
+			c.queue.after(wait, func() { c.cancel(job, c.queue.random.IntN(len(c.gates)), 0) })
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -73,7 +73,7 @@
 }
 
 // isRemote reports whether an executor has none of the labels in a step's affinity.
-func isRemote(step *jobs.Step, where *modelExecutor) bool {
-	isThere := func(label string) bool { return slices.Contains(where.labels, label) }
+func isRemote(step *jobs.Step, executor *modelExecutor) bool {
+	isThere := func(label string) bool { return slices.Contains(executor.labels, label) }
 	return len(step.Affinity) > 0 && !slices.ContainsFunc(step.Affinity, isThere)
 }
--- a/internal/simulation/modelcheck/rolloutmodel/jobs.go
+++ b/internal/simulation/modelcheck/rolloutmodel/jobs.go
@@ -58,14 +58,14 @@
 func (c *simCluster) gate(number int) *modelGate { return c.gates[number%len(c.gates)] }
 
 // submit submits a job at one gate after another until it is accepted, cancelled, or no attempts are left.
-func (c *simCluster) submit(job *modelJob, through, attempts int) {
+func (c *simCluster) submit(job *modelJob, gateNumber, attempts int) {
 	if attempts == 0 || job.isCancelSent {
 		return
 	}
 	job.openAttempts++
-	c.gate(through).serve(request{http.MethodPost, job}, func(status int, version int64) {
+	c.gate(gateNumber).serve(request{http.MethodPost, job}, func(status int, version int64) {
 		job.openAttempts--
-		c.tracef("job %s at gate %d: %d by version %d", job.id, through%len(c.gates), status, version)
+		c.tracef("job %s at gate %d: %d by version %d", job.id, gateNumber%len(c.gates), status, version)
 		switch status {
 		case http.StatusOK:
 			job.isAccepted = true
@@ -74,39 +74,39 @@
 		case http.StatusGatewayTimeout:
 			job.mayHaveRun = true
 		}
-		c.queue.After(clientRetryPause, func() { c.submit(job, through+1, attempts-1) })
+		c.queue.After(clientRetryPause, func() { c.submit(job, gateNumber+1, attempts-1) })
 	})
 }
 
 // cancel cancels a job at one gate after another until there is a clear answer or no attempts are left.
-func (c *simCluster) cancel(job *modelJob, through, attempts int) {
+func (c *simCluster) cancel(job *modelJob, gateNumber, attempts int) {
 	job.isCancelSent = true
 	if attempts == 0 {
 		return
 	}
-	c.gate(through).serve(request{http.MethodDelete, job}, func(status int, _ int64) {
+	c.gate(gateNumber).serve(request{http.MethodDelete, job}, func(status int, _ int64) {
 		if status == http.StatusOK {
 			job.isCancelled, job.cancelledAt = true, c.queue.Now()
 			return
 		}
 		if status != http.StatusGone {
-			c.queue.After(clientRetryPause, func() { c.cancel(job, through+1, attempts-1) })
+			c.queue.After(clientRetryPause, func() { c.cancel(job, gateNumber+1, attempts-1) })
 		}
 	})
 }
 
 // inspectRepeatedly requests the state of a job at intervals until it is over. An accepted job must not be unknown under the
 // configuration by which it was accepted, or a newer one.
-func (c *simCluster) inspectRepeatedly(job *modelJob, through int) {
+func (c *simCluster) inspectRepeatedly(job *modelJob, gateNumber int) {
 	c.queue.After(inspectInterval, func() {
 		wasAccepted, acceptedBy := job.isAccepted, job.acceptedBy
-		c.gate(through).serve(request{http.MethodGet, job}, func(status int, version int64) {
+		c.gate(gateNumber).serve(request{http.MethodGet, job}, func(status int, version int64) {
 			if status == http.StatusGone && wasAccepted && version >= acceptedBy {
 				c.violate("LOST", "job %s was accepted under configuration %d and is unknown under configuration %d", job.id, acceptedBy, version)
 			}
 			job.isOver = job.isOver || status == http.StatusOK && c.hasEnded(job)
 			if !job.isOver {
-				c.inspectRepeatedly(job, through+1)
+				c.inspectRepeatedly(job, gateNumber+1)
 			}
 		})
 	})
