--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -18,27 +18,30 @@
 	verbCancel = "cancel"
 	route      = "route"
 
-	clientPatience = 1500 * time.Millisecond
-	minPatience    = 100 * time.Millisecond
-	maxPatience    = 1400 * time.Millisecond
+	// clientTimeout is how long a client waits for an answer. A gate has a drawn time for each request, from minGateTimeout to
+	// maxGateTimeout.
+	clientTimeout  = 1500 * time.Millisecond
+	minGateTimeout = 100 * time.Millisecond
+	maxGateTimeout = 1400 * time.Millisecond
+	// clientPause is the pause of a client before its next attempt, and clientAttempts the number of attempts at most.
 	clientPause    = 150 * time.Millisecond
 	clientAttempts = 40
 )
 
-// modelGate plays the loop of leaderclient.Asker, as events, round its real decisions.
+// modelGate is a gate. It replaces the loop of leaderclient.Asker by events and makes the real decisions in it.
 type modelGate struct{ modelProcess }
 
 func (g *modelGate) start() { g.boot() }
 
-// clientReply is what a client hears; status 0 stands for no answer.
+// clientReply is the HTTP answer to a client; status 0 stands for none.
 type clientReply struct {
 	status int
 	body   string
 }
 
-// serve asks the key's leader until there is an answer or no time left.
+// serve calls the key's leader until there is an answer or no time is left.
 func (g *modelGate) serve(request wire.ClientCall, answer func(clientReply)) {
-	attempts := leaderclient.NewAttempts(poolKey, g.cluster.queue.now()+g.cluster.queue.between(minPatience, maxPatience), g.cluster.queue.random.IntN)
+	attempts := leaderclient.NewAttempts(poolKey, g.cluster.queue.now()+g.cluster.queue.between(minGateTimeout, maxGateTimeout), g.cluster.queue.random.IntN)
 	var next func()
 	pause := func() { g.later(attempts.Pause(g.cluster.queue.now()), next) }
 	next = func() {
@@ -66,36 +69,38 @@
 	next()
 }
 
+// reply returns the answer to a client for the outcome of the calls to the leader.
 func (g *modelGate) reply(request *wire.ClientCall, outcome leaderclient.Outcome) clientReply {
-	response := clientapi.ResponseOf(request, g.cluster.fault.outcome(outcome))
+	response := clientapi.ResponseOf(request, g.cluster.fault.adjustOutcome(outcome))
 	return clientReply{response.Status, string(response.Body)}
 }
 
-// view is what a process knows of the stewards, with the leader it last heard of.
-func (w *simCluster) view(leader int) *membership.View {
-	if w.views[leader] == nil {
-		view := &membership.View{Leaders: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: w.stewards[leader].name}}}
-		for _, steward := range w.stewards {
+// view returns the membership view of a process to which the given leader was announced last.
+func (c *simCluster) view(leader int) *membership.View {
+	if c.views[leader] == nil {
+		view := &membership.View{Leaders: map[string]wire.KeyLeader{poolKey: {Key: poolKey, Name: c.stewards[leader].name}}}
+		for _, steward := range c.stewards {
 			view.Stewards = append(view.Stewards, wire.Member{Name: steward.name, Role: membership.RoleSteward, Address: steward.name, Disk: steward.name})
 		}
-		w.views[leader] = view
+		c.views[leader] = view
 	}
-	return w.views[leader]
+	return c.views[leader]
 }
 
-func (w *simCluster) stewardAt(address string) *modelSteward {
-	for _, steward := range w.stewards {
+// stewardAt returns the steward with an address, which is its name.
+func (c *simCluster) stewardAt(address string) *modelSteward {
+	for _, steward := range c.stewards {
 		if steward.name == address {
 			return steward
 		}
 	}
-	return w.stewards[0]
+	return c.stewards[0]
 }
 
-// request sends a client's call by way of a gate.
-func (w *simCluster) request(through int, request wire.ClientCall, done func(clientReply)) {
-	to := w.gates[through%len(w.gates)]
-	call(w, w.outside, &to.modelProcess, clientPatience, func(answer func(clientReply)) { to.serve(request, answer) },
+// request sends a client's call through a gate.
+func (c *simCluster) request(gateNumber int, request wire.ClientCall, done func(clientReply)) {
+	to := c.gates[gateNumber%len(c.gates)]
+	call(c, c.outside, &to.modelProcess, clientTimeout, func(answer func(clientReply)) { to.serve(request, answer) },
 		func(reply clientReply, err error) {
 			if err != nil {
 				reply = clientReply{}
@@ -104,43 +109,43 @@
 		})
 }
 
-// submit sends a job until there is a clear answer, each time to another gate.
-func (w *simCluster) submit(job *modelJob, through, attempt int) {
+// submit sends a job to one gate after another until there is a clear answer.
+func (c *simCluster) submit(job *modelJob, gateNumber, attempt int) {
 	body, err := easyjson.Marshal(job.spec)
 	if err != nil {
-		w.violate("MODEL", "a job could not be written: %v", err)
+		c.violate("MODEL", "a job can't be encoded: %v", err)
 		return
 	}
 	terms := job.terms
 	request := wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbSubmit, Body: body, Terms: &terms}
 	job.openAttempts++
-	w.request(through, request, func(reply clientReply) {
-		w.oracles.submitted(job, reply)
+	c.request(gateNumber, request, func(reply clientReply) {
+		c.oracles.recordSubmitAnswer(job, reply)
 		if (reply.status == 0 || reply.status == http.StatusGatewayTimeout) && attempt < clientAttempts {
-			w.queue.after(clientPause, func() { w.submit(job, through+1, attempt+1) })
+			c.queue.after(clientPause, func() { c.submit(job, gateNumber+1, attempt+1) })
 		}
 	})
 }
 
 // cancel cancels a job through one gate after another until the answer is clear.
-func (w *simCluster) cancel(job *modelJob, through, attempt int) {
+func (c *simCluster) cancel(job *modelJob, gateNumber, attempt int) {
 	job.isCancelSent = true
-	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
+	c.request(gateNumber, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
 		if reply.status == http.StatusOK {
-			w.oracles.cancelled(job)
+			c.oracles.recordCancel(job)
 			return
 		}
 		if reply.status != http.StatusGone && attempt < clientAttempts {
-			w.queue.after(clientPause, func() { w.cancel(job, through+1, attempt+1) })
+			c.queue.after(clientPause, func() { c.cancel(job, gateNumber+1, attempt+1) })
 		}
 	})
 }
 
-// inspect asks for a job's state, once.
-func (w *simCluster) inspect(job *modelJob, through int, done func()) {
+// inspect requests a job's state once and checks the answer, if there is one.
+func (c *simCluster) inspect(job *modelJob, gateNumber int, done func()) {
 	wasAccepted, wasCancelled := job.isAccepted, job.isCancelled
-	w.request(through, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbState}, func(reply clientReply) {
-		w.oracles.shown(job, reply, wasAccepted, wasCancelled)
+	c.request(gateNumber, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbState}, func(reply clientReply) {
+		c.oracles.checkShownState(job, reply, wasAccepted, wasCancelled)
 		done()
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/faultystalls.go
+++ b/internal/simulation/modelcheck/ordermodel/faultystalls.go
@@ -8,20 +8,20 @@
 	"gannetline/internal/node/localproxy"
 )
 
-// The injected faults of this file let jobs wait, or be forgotten, without cause.
+// The injected faults of this file cause jobs to wait or to be forgotten without a reason.
 const (
 	forgottenAfter = 2 * time.Second
-	// oneInSkipped ends is left out.
+	// One in oneInSkipped ends is left out.
 	oneInSkipped = 5
-	// ticksDozed is how many ticks a dozing leader sleeps.
-	ticksDozed = int(8 * time.Second / tickEvery)
+	// ticksPerRun is how many ticks a rareTickPool gets for each one that it runs: those of eight seconds.
+	ticksPerRun = int(8 * time.Second / tickInterval)
 )
 
-// skippingTable leaves out some ends, and tells the later ones.
-type skippingTable struct{ faultyTable }
+// endSkippingTable leaves out some ends, and reports the later ones.
+type endSkippingTable struct{ faultyTable }
 
 // Compose leaves out each fifth end.
-func (t *skippingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
+func (t *endSkippingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue {
 		call.Ends = slices.DeleteFunc(call.Ends, func(end wire.EndReport) bool { return end.Number%oneInSkipped == 0 })
@@ -29,47 +29,47 @@
 	return call, isDue
 }
 
-// grudgingTable reports, from the first hold that fails on, that its executor has not been held for long.
-type grudgingTable struct {
+// staleHoldTable reports an old hold of its executor, from the first hold that fails on.
+type staleHoldTable struct {
 	faultyTable
 	hasFailed bool
 }
 
-const neverRenewed = time.Hour
+const staleHoldAge = time.Hour
 
 // HandleHoldFailure remembers the failure for ever.
-func (t *grudgingTable) HandleHoldFailure(work localproxy.HoldWork, isOtherExecutor bool) {
+func (t *staleHoldTable) HandleHoldFailure(work localproxy.HoldWork, isOtherExecutor bool) {
 	t.hasFailed = true
 	t.Table.HandleHoldFailure(work, isOtherExecutor)
 }
 
-// Compose reports no hold once one has failed.
-func (t *grudgingTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
+// Compose reports staleHoldAge as the age of the hold once one has failed.
+func (t *staleHoldTable) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	call, isDue := t.Table.Compose(waitMs)
 	if isDue && t.hasFailed {
-		call.HoldAgeMs = neverRenewed.Milliseconds()
+		call.HoldAgeMs = staleHoldAge.Milliseconds()
 	}
 	return call, isDue
 }
 
-// dozingScheduler does what falls due only at few of its ticks.
-type dozingScheduler struct {
+// rareTickPool does the work that is due only at few of its ticks.
+type rareTickPool struct {
 	poolLeader
 	ticks int
 }
 
-// Tick does nothing most of the time.
-func (s *dozingScheduler) Tick() {
-	if s.ticks++; s.ticks%ticksDozed == 0 {
+// Tick runs only each ticksPerRun-th tick.
+func (s *rareTickPool) Tick() {
+	if s.ticks++; s.ticks%ticksPerRun == 0 {
 		s.poolLeader.Tick()
 	}
 }
 
-// silentScheduler leaves the questions for one job in eight without an answer.
-type silentScheduler struct{ poolLeader }
+// silentStatePool doesn't answer requests for the state of one in eight jobs.
+type silentStatePool struct{ poolLeader }
 
-// State answers for all jobs but those whose ID ends with certain digits.
-func (s silentScheduler) State(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
+// State answers for all jobs but those whose IDs end with certain digits.
+func (s silentStatePool) State(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if call.ID[len(call.ID)-1]%8 != 3 {
 		s.poolLeader.State(call, answer)
 	}
--- a/internal/simulation/modelcheck/ordermodel/model.go
+++ b/internal/simulation/modelcheck/ordermodel/model.go
@@ -9,21 +9,22 @@
 
 const (
 	modelName = "orders"
-	// After the last fault, a schedule goes on until the longest hold is over, or until late calls can't come any more.
-	holdsOver = 7 * time.Second
-	lateOver  = 13 * time.Second
-	overEvery = 50 * time.Millisecond
-	// answerTime is how long after all faults a client may have to ask for the state of a job until it is answered.
-	answerTime = 4 * time.Second
+	// After the last fault, a schedule continues until the longest hold has expired, or, if calls were delayed, until the last
+	// of them must have arrived.
+	quietAfterHolds     = 7 * time.Second
+	quietAfterLateCalls = 13 * time.Second
+	endCheckInterval    = 50 * time.Millisecond
+	// stateAnswerTimeout is how long after the last fault clients may retry until the state of a job is answered.
+	stateAnswerTimeout = 4 * time.Second
 )
 
-// New gives the model of the order path.
+// New returns the model of the order path.
 func New() modelcheck.Model {
 	return modelcheck.SimulatedModel{ModelName: modelName, Faults: injectedFaults, DrawSchedule: drawSized,
 		NewSimulation: func(schedule modelcheck.Schedule) modelcheck.Simulation { return newSimCluster(schedule) }}
 }
 
-// drawSized makes the schedule of a seed for a system of a size.
+// drawSized draws the schedule of a seed for a system of the given size.
 func drawSized(seed uint64, losses int, size modelcheck.Size) modelcheck.Schedule {
 	if size == modelcheck.SizeLarge {
 		return drawLarge(seed, losses)
@@ -31,95 +32,99 @@
 	return draw(seed, losses)
 }
 
-func (w *simCluster) note(format string, values ...any) { w.Note(w.queue.now(), format, values...) }
+// tracef writes a line about an event at the current simulated time.
+func (c *simCluster) tracef(format string, values ...any) { c.Note(c.queue.now(), format, values...) }
 
-// Run plays a schedule until all jobs are over and late calls can't come any more, or until the time for that is over.
-func (w *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
-	lastMs, quiet := 0, holdsOver
+// Run plays a schedule until all jobs are over and no late call can arrive any more, or until the profile's settle time
+// has passed. Then it checks that no accepted job was lost and that the state of each is answered.
+func (c *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
+	lastMs, quiet := 0, quietAfterHolds
 	for _, step := range schedule.Steps {
-		w.queue.after(clock.Milliseconds(int64(step.AtMs)), func() { w.play(step) })
+		c.queue.after(clock.Milliseconds(int64(step.AtMs)), func() { c.play(step) })
 		lastMs = max(lastMs, step.AtMs+step.ForMs)
 		if step.Kind == kindLateExecutor {
-			quiet = lateOver
+			quiet = quietAfterLateCalls
 		}
 	}
 	last := clock.Milliseconds(int64(lastMs))
-	w.queue.after(clock.Milliseconds(firstStepMs), func() { w.inspectRound(0) })
-	w.queue.after(last+quiet, w.watchEnd)
-	w.queue.runUntil(last+w.profile.settleTime, func() bool { return len(w.oracles.violations) > 0 || w.isDone })
-	if len(w.oracles.violations) == 0 {
-		w.checkProgress()
+	c.queue.after(clock.Milliseconds(firstStepMs), func() { c.inspectRound(0) })
+	c.queue.after(last+quiet, c.pollForEnd)
+	c.queue.runUntil(last+c.profile.settleTime, func() bool { return len(c.oracles.violations) > 0 || c.isDone })
+	if len(c.oracles.violations) == 0 {
+		c.checkProgress()
 	}
-	if len(w.oracles.violations) == 0 {
-		w.askForAll()
+	if len(c.oracles.violations) == 0 {
+		c.checkFinalStates()
 	}
-	return modelcheck.Outcome{Violations: w.oracles.violations, Coverage: w.coverage}
+	return modelcheck.Outcome{Violations: c.oracles.violations, Coverage: c.coverage}
 }
 
-// watchEnd looks again and again whether all jobs are over.
-func (w *simCluster) watchEnd() {
-	if w.isAllOver() {
-		w.isDone = true
+// pollForEnd checks at intervals whether all jobs are over and ends the run when they are.
+func (c *simCluster) pollForEnd() {
+	if c.areAllJobsOver() {
+		c.isDone = true
 		return
 	}
-	w.queue.after(overEvery, w.watchEnd)
+	c.queue.after(endCheckInterval, c.pollForEnd)
 }
 
-// inspectRound asks for the states of all jobs again and again, one job at a time.
-func (w *simCluster) inspectRound(number int) {
-	next := func() { w.queue.after(w.profile.inspectInterval, func() { w.inspectRound(number + 1) }) }
-	if len(w.oracles.order) == 0 {
+// inspectRound has a client ask for the state of one job after another, for as long as the run lasts.
+func (c *simCluster) inspectRound(number int) {
+	next := func() { c.queue.after(c.profile.inspectInterval, func() { c.inspectRound(number + 1) }) }
+	if len(c.oracles.order) == 0 {
 		next()
 		return
 	}
-	w.inspect(w.oracles.nextToAsk(number), number, next)
+	c.inspect(c.oracles.nextToInspect(number), number, next)
 }
 
-// nextToAsk is a job that is not over, mostly, and at times any one.
-func (o *oracles) nextToAsk(number int) *modelJob {
+// nextToInspect returns the job to ask for: usually the next one that is not over, and at every anyJobEvery-th request any job.
+func (o *oracles) nextToInspect(number int) *modelJob {
 	index := number % len(o.order)
-	if number%oneInAny == 0 {
+	if number%anyJobEvery == 0 {
 		return o.order[index]
 	}
 	for range o.order {
-		o.asked = (o.asked + 1) % len(o.order)
-		if !o.order[o.asked].isOver() {
-			return o.order[o.asked]
+		o.lastInspected = (o.lastInspected + 1) % len(o.order)
+		if !o.order[o.lastInspected].isOver() {
+			return o.order[o.lastInspected]
 		}
 	}
 	return o.order[index]
 }
 
-// oneInAny questions of clients is for any job, also one that is over.
-const oneInAny = 3
+// anyJobEvery is the interval of requests that may be for any job, also one that is over.
+const anyJobEvery = 3
 
-// askForAll asks for each accepted job once all faults are over, again and again until it is answered in time.
-func (w *simCluster) askForAll() {
-	for index, job := range w.oracles.order {
+// checkFinalStates checks, after all faults, that clients get the state of each accepted job within stateAnswerTimeout.
+func (c *simCluster) checkFinalStates() {
+	for index, job := range c.oracles.order {
 		job.isAnswered = false
 		if job.isAccepted {
-			w.askUntilAnswered(job, index)
+			c.inspectUntilAnswered(job, index)
 		}
 	}
-	w.queue.runUntil(w.queue.now()+answerTime, func() bool { return len(w.oracles.violations) > 0 })
-	for _, job := range w.oracles.order {
+	c.queue.runUntil(c.queue.now()+stateAnswerTimeout, func() bool { return len(c.oracles.violations) > 0 })
+	for _, job := range c.oracles.order {
 		if job.isAccepted && !job.isAnswered {
-			w.violate("UNANSWERED", "%s was accepted, and nobody tells its state in time after all faults", job.id)
+			c.violate("UNANSWERED", "%s was accepted, but its state is not answered in time after the last fault", job.id)
 		}
 	}
 }
 
-func (w *simCluster) askUntilAnswered(job *modelJob, through int) {
-	w.inspect(job, through, func() {
+// inspectUntilAnswered asks for the state of a job at one gate after another until it is answered.
+func (c *simCluster) inspectUntilAnswered(job *modelJob, gateNumber int) {
+	c.inspect(job, gateNumber, func() {
 		if !job.isAnswered {
-			w.queue.after(clientPause, func() { w.askUntilAnswered(job, through+1) })
+			c.queue.after(clientPause, func() { c.inspectUntilAnswered(job, gateNumber+1) })
 		}
 	})
 }
 
-func (w *simCluster) isAllOver() bool {
-	for _, job := range w.oracles.jobs {
-		if job.isAccepted && !job.isOver() && !w.oracles.isAtWork(job) {
+// areAllJobsOver reports whether each accepted job is over, or runs for good if it is long-running, and each cancelled one is over.
+func (c *simCluster) areAllJobsOver() bool {
+	for _, job := range c.oracles.jobs {
+		if job.isAccepted && !job.isOver() && !c.oracles.isAtWork(job) {
 			return false
 		}
 		if job.isCancelled && !job.isOver() {
@@ -129,17 +134,17 @@
 	return true
 }
 
-// isUnderWay tells whether a job may still have work left: only in the large profile, whose waves may leave too few machines
-// for all of it, and only if it goes forward.
-func (w *simCluster) isUnderWay(job *modelJob) bool {
-	return w.profile.progressWithin > 0 && job.progressAt > w.queue.now()-w.profile.progressWithin
+// hasRecentProgress reports whether a job that is not over may still have work left. This is allowed only in the large
+// profile, whose waves may leave too few machines for all work, and only if a run of the job was done lately.
+func (c *simCluster) hasRecentProgress(job *modelJob) bool {
+	return c.profile.progressTimeout > 0 && job.lastProgressAt > c.queue.now()-c.profile.progressTimeout
 }
 
-// checkProgress looks for accepted jobs that came to nothing though all faults are long over.
-func (w *simCluster) checkProgress() {
-	for _, job := range w.oracles.order {
-		if job.isAccepted && !job.isOver() && !w.oracles.isAtWork(job) && !w.isUnderWay(job) {
-			w.violate("LOST", "%s was accepted and is %q long after the last fault", job.id, job.state)
+// checkProgress checks that accepted jobs are over or at work long after the last fault.
+func (c *simCluster) checkProgress() {
+	for _, job := range c.oracles.order {
+		if job.isAccepted && !job.isOver() && !c.oracles.isAtWork(job) && !c.hasRecentProgress(job) {
+			c.violate("LOST", "%s was accepted and is %q long after the last fault", job.id, job.state)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/network.go
+++ b/internal/simulation/modelcheck/ordermodel/network.go
@@ -10,138 +10,142 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-// lifecycle is whether a process is up or frozen, and which incarnation of it that is.
+// lifecycle is the state of a process: whether it is up or frozen, and the number of its incarnation.
 type lifecycle struct {
 	isUp        bool
 	isFrozen    bool
 	incarnation int
-	// waiting is what a frozen process does once it wakes.
-	waiting []func()
+	// deferred holds the work that a frozen process does once it is unfrozen.
+	deferred []func()
 }
 
-// enter runs something inside the process, if the same incarnation of it is still there; a frozen one does it once it wakes.
+// enter calls run in the process if it is up in the given incarnation. A frozen process calls it once it is unfrozen.
 func (l *lifecycle) enter(incarnation int, run func()) {
 	switch {
 	case !l.isUp || l.incarnation != incarnation:
 	case l.isFrozen:
-		l.waiting = append(l.waiting, func() { l.enter(incarnation, run) })
+		l.deferred = append(l.deferred, func() { l.enter(incarnation, run) })
 	default:
 		run()
 	}
 }
 
-// thaw ends a freeze and returns what waited for that.
-func (l *lifecycle) thaw() []func() {
-	waiting := l.waiting
-	l.isFrozen, l.waiting = false, nil
-	return waiting
+// unfreeze ends a freeze and returns the work that was deferred until then.
+func (l *lifecycle) unfreeze() []func() {
+	deferred := l.deferred
+	l.isFrozen, l.deferred = false, nil
+	return deferred
 }
 
-// modelProcess is one that may be killed, frozen and cut off; what arrives while it is frozen runs once it wakes.
+// modelProcess is a process that may be killed, frozen and cut off. Messages that arrive during a freeze are handled after it.
 type modelProcess struct {
 	cluster *simCluster
 	name    string
 	lifecycle
-	// isOnce is set where a call is never doubled: nothing sends a client's call a second time but the client.
-	isOnce bool
-	// isDeaf and isMute are the two directions of a cut.
-	isDeaf bool
-	isMute bool
+	// isNeverDoubled is set where no message is duplicated: only the client sends a client's call a second time.
+	isNeverDoubled bool
+	// isCutIncoming and isCutOutgoing are the two directions of a cut.
+	isCutIncoming bool
+	isCutOutgoing bool
 	// group is the side of a partition; only processes of one group reach each other.
 	group int
-	// leaderHint is the steward that this process last heard of as the key's leader; patience is what gives calls to
-	// another one up once it hears of a new leader.
-	leaderHint  int
-	patience    map[uint64]func()
-	evacuations knownEvacuations
+	// leaderHint is the index of the steward that was last announced to this process as the key's leader.
+	leaderHint int
+	// pendingLeaderCalls abandon the calls to an earlier leader once a new one is announced, by the numbers of the calls.
+	pendingLeaderCalls map[uint64]func()
+	evacuations        knownEvacuations
 }
 
-// untilMoved gives a call up once this process hears of another leader; the result ends that.
-func (p *modelProcess) untilMoved(giveUp func()) (release func()) {
+// abandonOnLeaderChange calls giveUp once another leader is announced to this process, unless release is called before.
+func (p *modelProcess) abandonOnLeaderChange(giveUp func()) (release func()) {
 	p.cluster.calls++
 	number := p.cluster.calls
-	p.patience[number] = giveUp
-	return func() { delete(p.patience, number) }
+	p.pendingLeaderCalls[number] = giveUp
+	return func() { delete(p.pendingLeaderCalls, number) }
 }
 
-// hear takes note of a leader.
-func (p *modelProcess) hear(leader int) {
+// updateLeader handles the announcement of a leader: it abandons all calls to an earlier one.
+func (p *modelProcess) updateLeader(leader int) {
 	if p.leaderHint == leader {
 		return
 	}
 	p.leaderHint = leader
-	for _, number := range slices.Sorted(maps.Keys(p.patience)) {
-		giveUp := p.patience[number]
-		delete(p.patience, number)
+	for _, number := range slices.Sorted(maps.Keys(p.pendingLeaderCalls)) {
+		giveUp := p.pendingLeaderCalls[number]
+		delete(p.pendingLeaderCalls, number)
 		giveUp()
 	}
 }
 
 func (p *modelProcess) kill() {
-	p.isUp, p.isFrozen, p.waiting = false, false, nil
+	p.isUp, p.isFrozen, p.deferred = false, false, nil
 	p.incarnation++
 }
 
+// boot starts a new incarnation of the process.
 func (p *modelProcess) boot() {
-	p.isUp, p.isFrozen, p.waiting, p.patience = true, false, nil, map[uint64]func(){}
+	p.isUp, p.isFrozen, p.deferred, p.pendingLeaderCalls = true, false, nil, map[uint64]func(){}
 	p.incarnation++
 	p.evacuations = knownEvacuations{}
-	p.cluster.tellEvacuations(p)
+	p.cluster.sendEvacuations(p)
 }
 
+// wake ends a freeze; the deferred work is done in a drawn order.
 func (p *modelProcess) wake() {
-	waiting := p.thaw()
-	p.cluster.queue.random.Shuffle(len(waiting), func(a, b int) { waiting[a], waiting[b] = waiting[b], waiting[a] })
-	for _, run := range waiting {
+	deferred := p.unfreeze()
+	p.cluster.queue.random.Shuffle(len(deferred), func(a, b int) { deferred[a], deferred[b] = deferred[b], deferred[a] })
+	for _, run := range deferred {
 		p.cluster.queue.after(0, run)
 	}
 }
 
-// later runs something inside the process after a while.
+// later calls run in the process after a delay, unless its present incarnation has ended by then.
 func (p *modelProcess) later(wait time.Duration, run func()) {
 	incarnation := p.incarnation
 	p.cluster.queue.after(wait, func() { p.enter(incarnation, run) })
 }
 
-// reaches tells whether a message gets from one process to another at present; clients stand on both sides.
+// reaches reports whether messages get from one process to another at present; clients are on both sides of a partition.
 func (p *modelProcess) reaches(to *modelProcess) bool {
 	isOneSide := p.group == to.group || p == p.cluster.outside || to == p.cluster.outside
-	return p == to || !p.isMute && !to.isDeaf && isOneSide
+	return p == to || !p.isCutOutgoing && !to.isCutIncoming && isOneSide
 }
 
-func (p *modelProcess) isReachable() bool { return p.isUp && !p.isFrozen && !p.isDeaf && !p.isMute }
+func (p *modelProcess) isReachable() bool {
+	return p.isUp && !p.isFrozen && !p.isCutIncoming && !p.isCutOutgoing
+}
 
-// hop is how messages fare on their way at present, in percent and milliseconds.
-type hop struct {
-	lost    int
-	doubled int
-	late    int
-	lateMs  int
+// messageFaults are the shares of messages that are lost, duplicated and late at present, and the longest delay of late ones.
+type messageFaults struct {
+	lostPercent    int
+	doubledPercent int
+	latePercent    int
+	maxDelayMs     int
 }
 
-// transit is how long a message is on its way.
-func (w *simCluster) transit() time.Duration {
-	wait := w.queue.between(300*time.Microsecond, 2*time.Millisecond)
-	if w.queue.chance(w.hop.late) {
-		w.count("message_late")
-		wait += w.queue.between(0, time.Duration(w.hop.lateMs)*time.Millisecond)
+// transit draws how long a message is in transit.
+func (c *simCluster) transit() time.Duration {
+	wait := c.queue.between(300*time.Microsecond, 2*time.Millisecond)
+	if c.queue.chance(c.messageFaults.latePercent) {
+		c.count("message_late")
+		wait += c.queue.between(0, time.Duration(c.messageFaults.maxDelayMs)*time.Millisecond)
 	}
 	return wait
 }
 
-// send brings a message from one process to another, unless a fault eats it; a fault may double it.
-func (w *simCluster) send(from, to *modelProcess, arrive func()) {
+// send carries a message from one process to another; a fault may lose or duplicate it.
+func (c *simCluster) send(from, to *modelProcess, arrive func()) {
 	copies := 1
 	switch {
-	case w.queue.chance(w.hop.lost):
-		w.count("message_lost")
+	case c.queue.chance(c.messageFaults.lostPercent):
+		c.count("message_lost")
 		copies = 0
-	case !from.isOnce && !to.isOnce && w.queue.chance(w.hop.doubled):
-		w.count("message_doubled")
+	case !from.isNeverDoubled && !to.isNeverDoubled && c.queue.chance(c.messageFaults.doubledPercent):
+		c.count("message_doubled")
 		copies = 2
 	}
 	for range copies {
-		w.queue.after(w.transit(), func() {
+		c.queue.after(c.transit(), func() {
 			if from.reaches(to) && to.isUp {
 				to.enter(to.incarnation, arrive)
 			}
@@ -149,8 +153,8 @@
 	}
 }
 
-// callLeader is a call that is given up early if the caller hears of another leader.
-func callLeader[T any](w *simCluster, from, to *modelProcess, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+// callLeader makes a call that is abandoned early, with an error, if another leader is announced to the caller.
+func callLeader[T any](c *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver := false
 	var release func()
 	finish := func(value T, err error) {
@@ -160,15 +164,15 @@
 			done(value, err)
 		}
 	}
-	release = from.untilMoved(func() {
+	release = from.abandonOnLeaderChange(func() {
 		var none T
 		finish(none, errNoAnswer)
 	})
-	call(w, from, to, limit, serve, finish)
+	call(c, from, to, timeout, serve, finish)
 }
 
-// call asks another process and gives back its first answer, or an error once the limit is over.
-func call[T any](w *simCluster, from, to *modelProcess, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+// call makes a call to another process and passes its first answer to done, or an error after the timeout.
+func call[T any](c *simCluster, from, to *modelProcess, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	isOver, incarnation := false, from.incarnation
 	finish := func(value T, err error) {
 		if !isOver {
@@ -177,10 +181,10 @@
 		}
 	}
 	var none T
-	w.queue.after(limit, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
-	w.send(from, to, func() {
+	c.queue.after(timeout, func() { from.enter(incarnation, func() { finish(none, errNoAnswer) }) })
+	c.send(from, to, func() {
 		serve(func(value T) {
-			w.send(to, from, func() { from.enter(incarnation, func() { finish(value, nil) }) })
+			c.send(to, from, func() { from.enter(incarnation, func() { finish(value, nil) }) })
 		})
 	})
 }
--- a/internal/simulation/modelcheck/ordermodel/oracles.go
+++ b/internal/simulation/modelcheck/ordermodel/oracles.go
@@ -10,59 +10,64 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// How runs end.
+// The outcomes of runs. A run that ends alone waited too long for the other members of its gang.
 const (
 	outcomeDone    = "done"
 	outcomeFailed  = "failed"
 	outcomeStopped = "stopped"
 	outcomeLapsed  = "lapsed"
 	outcomeBroken  = "broken"
-	howAlone       = "alone"
+	outcomeAlone   = "alone"
 )
 
 const (
-	earlyMs     = 250
-	jumpSlackMs = 5000
-	maxProblems = 8
+	// earlySlackMs is how much an occurrence may start before its time, and jumpSlackMs how much more after a clock has jumped.
+	earlySlackMs  = 250
+	jumpSlackMs   = 5000
+	maxViolations = 8
 )
 
-// oracles see what executors and clients truly saw, and say where an invariant does not hold.
+// oracles record what executors did and what clients were answered, and report where an invariant does not hold.
 type oracles struct {
 	cluster *simCluster
 	jobs    map[string]*modelJob
-	// order is the jobs in the order in which they were submitted.
+	// order are the jobs in the order in which they were submitted.
 	order []*modelJob
-	// asked is the place in order of the job that was asked for last.
-	asked      int
-	tasks      map[string]*modelTask
-	begun      map[incarnationRun]bool
-	stops      map[incarnationRun]bool
-	violations []modelcheck.Violation
-	isTimeOdd  bool
-	// Jobs submitted until electedAt are excused until inheritedUntil; see elected.
-	electedAt, inheritedUntil time.Duration
+	// lastInspected is the index in order of the unfinished job that was asked for last.
+	lastInspected int
+	tasks         map[string]*modelTask
+	// launched are the runs that executors have begun, and stopped those that they were told to stop.
+	launched       map[incarnationRun]bool
+	stopped        map[incarnationRun]bool
+	violations     []modelcheck.Violation
+	hasClockJumped bool
+	// Jobs that were submitted until electedAt are excused until electionExcuseUntil; see recordElection.
+	electedAt, electionExcuseUntil time.Duration
 }
 
-func newOracles(w *simCluster) *oracles {
-	return &oracles{cluster: w, jobs: map[string]*modelJob{}, tasks: map[string]*modelTask{}, begun: map[incarnationRun]bool{}, stops: map[incarnationRun]bool{}}
+func newOracles(c *simCluster) *oracles {
+	return &oracles{cluster: c, jobs: map[string]*modelJob{}, tasks: map[string]*modelTask{}, launched: map[incarnationRun]bool{}, stopped: map[incarnationRun]bool{}}
 }
 
-func (w *simCluster) violate(oracle, format string, values ...any) {
-	if len(w.oracles.violations) < maxProblems {
-		w.oracles.violations = append(w.oracles.violations, modelcheck.Violation{Oracle: oracle,
-			AtMs: int(w.queue.now() / time.Millisecond), Detail: fmt.Sprintf(format, values...)})
+// violate records a violation of an oracle's invariant, up to maxViolations.
+func (c *simCluster) violate(oracle, format string, values ...any) {
+	if len(c.oracles.violations) < maxViolations {
+		c.oracles.violations = append(c.oracles.violations, modelcheck.Violation{Oracle: oracle,
+			AtMs: int(c.queue.now() / time.Millisecond), Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
+// task returns the facts of a task; it creates them on first use.
 func (o *oracles) task(name string) *modelTask {
 	task := o.tasks[name]
 	if task == nil {
-		task = &modelTask{saved: map[string]bool{}}
+		task = &modelTask{checkpoints: map[string]bool{}}
 		o.tasks[name] = task
 	}
 	return task
 }
 
+// stepOf returns the step of a task; an empty one if no client has submitted the job.
 func (o *oracles) stepOf(position jobs.TaskPosition) *jobs.Step {
 	if job := o.jobs[position.ID]; job != nil && position.Step < len(job.spec.Steps) {
 		return &job.spec.Steps[position.Step]
@@ -70,12 +75,13 @@
 	return &jobs.Step{}
 }
 
-// isCalm tells whether nothing has been wrong anywhere for a time, so that bounds of time hold.
+// isCalm reports whether there has been no fault for contactTime, so that bounds of time hold.
 func (o *oracles) isCalm() bool {
-	return o.cluster.queue.now()-o.cluster.troubledAt > o.cluster.profile.contactTime
+	return o.cluster.queue.now()-o.cluster.faultsUntil > o.cluster.profile.contactTime
 }
 
-func (o *oracles) crashed(executor *modelExecutor) {
+// recordCrash records that all runs of an executor are gone.
+func (o *oracles) recordCrash(executor *modelExecutor) {
 	for _, execution := range executor.active {
 		o.jobs[execution.position.ID].running--
 		facts := o.task(execution.task)
@@ -83,30 +89,31 @@
 	}
 }
 
-func (o *oracles) stopTaken(executor *modelExecutor, task string, run int64) {
-	o.stops[incarnationRun{executor.id, task, run}] = true
+// recordStop records that an executor was told to stop a run.
+func (o *oracles) recordStop(executor *modelExecutor, task string, run int64) {
+	o.stopped[incarnationRun{executor.id, task, run}] = true
 }
 
-// reported checks that what a proxy tells of orders is what the executor did with these, and not with others.
-func (o *oracles) reported(proxy *modelProxy, call *wire.ExchangeCall) {
+// checkReportedAnswers checks that the executor has carried out each order that its proxy reports as carried out.
+func (o *oracles) checkReportedAnswers(proxy *modelProxy, call *wire.ExchangeCall) {
 	for _, answer := range call.Answers {
 		run := incarnationRun{call.Executor, answer.Task, answer.Run}
 		if answer.Result != "ok" {
 			continue
 		}
-		if answer.Kind == "launch" && !o.begun[run] {
+		if answer.Kind == "launch" && !o.launched[run] {
 			o.cluster.violate("ANSWER", "%s reports %s run %d as started on %s, which never began it", proxy.name, answer.Task, answer.Run, call.Executor)
 		}
-		if answer.Kind == "stop" && !o.stops[run] {
+		if answer.Kind == "stop" && !o.stopped[run] {
 			o.cluster.violate("ANSWER", "%s reports %s run %d as stopped on %s, which was never told so", proxy.name, answer.Task, answer.Run, call.Executor)
 		}
 	}
 }
 
-// save makes a checkpoint of a run, of which only this task may be started.
-func (o *oracles) save(name string, run int64) string {
+// saveCheckpoint creates a checkpoint of a run; only this task, or a member of its gang, may start from it.
+func (o *oracles) saveCheckpoint(name string, run int64) string {
 	facts := o.task(name)
-	saved := fmt.Sprintf("%s/%d/%d", name, run, len(facts.saved))
-	facts.saved[saved] = true
-	return saved
+	checkpoint := fmt.Sprintf("%s/%d/%d", name, run, len(facts.checkpoints))
+	facts.checkpoints[checkpoint] = true
+	return checkpoint
 }
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -8,26 +8,26 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// started is told of each run that an executor begins.
-func (o *oracles) started(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, isLate bool) {
+// checkStart records and checks the start of a run on an executor.
+func (o *oracles) checkStart(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, isLate bool) {
 	o.cluster.count("start")
-	o.cluster.note("%s: %s run %d begins under fence %d, late %t", executor.id, execution.task, execution.run, order.Fence, isLate)
+	o.cluster.tracef("%s: %s run %d begins under fence %d, late %t", executor.id, execution.task, execution.run, order.Fence, isLate)
 	job, facts := o.jobs[execution.position.ID], o.task(execution.task)
-	if job == nil || !job.isHandedIn {
-		o.cluster.violate("UNASKED", "%s was started and never handed in", execution.task)
+	if job == nil || !job.isSubmitted {
+		o.cluster.violate("UNASKED", "%s was started, and its job was never submitted", execution.task)
 		return
 	}
 	if isLate {
 		o.cluster.count("start_late")
 	}
 	job.startedRuns++
-	if job.isRefusedForGood() {
-		o.cluster.violate("REFUSED", "%s started, though every try to hand its job in was turned away", execution.task)
+	if job.isFinallyRefused() {
+		o.cluster.violate("REFUSED", "%s was started, although every submission of its job was refused", execution.task)
 	}
 	o.checkOrder(executor, execution, order, job, facts)
 	o.checkTwice(executor, execution, facts, isLate)
 	o.checkBudget(execution, job, facts)
-	o.checkDepends(execution, job)
+	o.checkDependencies(execution, job)
 	o.checkRoute(executor, execution)
 	if used := executor.used(); used.CPU > executor.capacity.CPU || used.Memory > executor.capacity.Memory {
 		o.cluster.violate("LIMIT", "%s run %d takes %s to %d cpu-units", execution.task, execution.run, executor.id, used.CPU)
@@ -38,11 +38,11 @@
 	job.running++
 	facts.active = append(facts.active, execution)
 	facts.starts = append(facts.starts, start{o.cluster.queue.now(), execution.run})
-	o.begun[incarnationRun{executor.id, execution.task, execution.run}] = true
+	o.launched[incarnationRun{executor.id, execution.task, execution.run}] = true
 }
 
-// checkOrder checks that a start has the job's descriptor, a checkpoint that was saved, and no run number below that of
-// a start elsewhere.
+// checkOrder checks that a start has the job's descriptor, no checkpoint or one that was saved, and no run number below that of
+// an earlier start on another executor.
 func (o *oracles) checkOrder(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, job *modelJob, facts *modelTask) {
 	if order.Descriptor != job.spec.Descriptor {
 		o.cluster.violate("UNASKED", "%s started with another descriptor", execution.task)
@@ -53,65 +53,64 @@
 	if execution.step.Redundant {
 		return
 	}
-	if execution.run < facts.highestRun && executor.id != facts.highestAt {
+	if execution.run < facts.highestRun && executor.id != facts.highestRunExecutor {
 		o.cluster.violate("STALE", "%s run %d started on %s under fence %d after run %d was given to %s under fence %d", execution.task, execution.run,
-			executor.id, order.Fence, facts.highestRun, facts.highestAt, facts.fence)
+			executor.id, order.Fence, facts.highestRun, facts.highestRunExecutor, facts.fence)
 	}
 	if execution.run >= facts.highestRun {
-		facts.highestRun, facts.highestAt, facts.fence = execution.run, executor.id, order.Fence
+		facts.highestRun, facts.highestRunExecutor, facts.fence = execution.run, executor.id, order.Fence
 	}
 }
 
-// isSavedBy tells whether the task, or a member of its gang, saved the checkpoint.
-func (o *oracles) isSavedBy(execution *modelExecution, saved string) bool {
+// isSavedBy reports whether the task, or a member of its gang, saved the checkpoint.
+func (o *oracles) isSavedBy(execution *modelExecution, checkpoint string) bool {
 	if !execution.step.Gang {
-		return o.task(execution.task).saved[saved]
+		return o.task(execution.task).checkpoints[checkpoint]
 	}
 	for index := range execution.step.Tasks {
-		if o.task(jobs.TaskName(execution.position.ID, execution.position.Occurrence, execution.position.Step, index)).saved[saved] {
+		if o.task(jobs.TaskName(execution.position.ID, execution.position.Occurrence, execution.position.Step, index)).checkpoints[checkpoint] {
 			return true
 		}
 	}
 	return false
 }
 
-// checkTwice checks that a task doesn't run twice at once or after its end was noted; redundant tasks may run twice for
-// a while.
+// checkTwice checks that a task doesn't run twice at once, nor after its end was acknowledged. Redundant tasks may for a while.
 func (o *oracles) checkTwice(executor *modelExecutor, execution *modelExecution, facts *modelTask, isLate bool) {
 	if !execution.step.Redundant {
 		for _, other := range facts.active {
 			o.cluster.violate("TWICE", "%s: run %d began on %s while run %d runs on %s", execution.task, execution.run, executor.id, other.run, other.executor.id)
 		}
-		if facts.notedDone {
-			o.cluster.violate("TWICE", "%s: run %d began on %s after a run had done it and its end was noted", execution.task, execution.run, executor.id)
+		if facts.isDoneAcknowledged {
+			o.cluster.violate("TWICE", "%s: run %d began on %s after a run had done it and its end was acknowledged", execution.task, execution.run, executor.id)
 		}
 	}
-	if execution.step.Redundant && facts.notedDone && o.cluster.queue.now()-facts.doneAt > time.Second+o.cluster.profile.contactTime && o.isCalm() && !isLate {
-		o.cluster.violate("TWICE", "%s: run %d of a redundant task began long after its end was noted", execution.task, execution.run)
+	if execution.step.Redundant && facts.isDoneAcknowledged && o.cluster.queue.now()-facts.doneAt > time.Second+o.cluster.profile.contactTime && o.isCalm() && !isLate {
+		o.cluster.violate("TWICE", "%s: run %d of a redundant task began long after its end was acknowledged", execution.task, execution.run)
 	}
 	if job := o.jobs[execution.position.ID]; job.state == "completed" && !execution.step.Redundant {
 		o.cluster.violate("TWICE", "%s: run %d began after its job was shown as completed", execution.task, execution.run)
 	}
 }
 
-// checkBudget checks that no run starts after as many noted failures as the job allows.
+// checkBudget checks that no run starts once as many failures are acknowledged as the job has attempts.
 func (o *oracles) checkBudget(execution *modelExecution, job *modelJob, facts *modelTask) {
 	if execution.step.LongRunning || execution.step.Redundant {
 		return
 	}
-	noted := 0
+	acknowledged := 0
 	for _, failed := range facts.failures {
-		if failed.isNoted {
-			noted++
+		if failed.isAcknowledged {
+			acknowledged++
 		}
 	}
-	if noted >= job.terms.MaxAttempts {
-		o.cluster.violate("BUDGET", "%s run %d began after %d failures were noted", execution.task, execution.run, noted)
+	if acknowledged >= job.terms.MaxAttempts {
+		o.cluster.violate("BUDGET", "%s run %d began after %d failures were acknowledged", execution.task, execution.run, acknowledged)
 	}
 }
 
-// checkDepends checks that a run starts after what it depends on, and not before its occurrence is due.
-func (o *oracles) checkDepends(execution *modelExecution, job *modelJob) {
+// checkDependencies checks that a run starts after the steps that its step depends on, and not before its occurrence is due.
+func (o *oracles) checkDependencies(execution *modelExecution, job *modelJob) {
 	for _, earlier := range execution.step.DependsOn {
 		for index := range job.spec.Steps[earlier].Tasks {
 			name := jobs.TaskName(execution.position.ID, execution.position.Occurrence, earlier, index)
@@ -123,8 +122,8 @@
 	if job.spec.RepeatCount == 0 {
 		return
 	}
-	slack := int64(earlyMs)
-	if o.isTimeOdd {
+	slack := int64(earlySlackMs)
+	if o.hasClockJumped {
 		slack += jumpSlackMs
 	}
 	due := job.spec.FirstRunMs + int64(execution.position.Occurrence)*job.spec.PeriodMs
@@ -133,7 +132,7 @@
 	}
 }
 
-// checkRoute looks for starts where a label is missing, or beyond anti-affinity.
+// checkRoute checks that a run starts on an executor with all labels of its step, and within the step's anti-affinity.
 func (o *oracles) checkRoute(executor *modelExecutor, execution *modelExecution) {
 	for _, label := range execution.step.Labels {
 		if !slices.Contains(executor.labels, label) {
@@ -151,20 +150,20 @@
 	}
 }
 
-// ended records the end of a run; a member of a gang must not end alone in calm times.
-func (o *oracles) ended(executor *modelExecutor, execution *modelExecution, how string) {
-	o.cluster.count("end_" + how)
-	o.cluster.note("%s: %s run %d ends %s", executor.id, execution.task, execution.run, how)
+// recordEnd records the end of a run. A member of a gang must not end alone unless there was a fault lately.
+func (o *oracles) recordEnd(executor *modelExecutor, execution *modelExecution, outcome string) {
+	o.cluster.count("end_" + outcome)
+	o.cluster.tracef("%s: %s run %d ends %s", executor.id, execution.task, execution.run, outcome)
 	facts := o.task(execution.task)
 	if job := o.jobs[execution.position.ID]; job != nil {
 		job.running--
 	}
 	facts.active = slices.DeleteFunc(facts.active, func(other *modelExecution) bool { return other == execution })
-	switch how {
+	switch outcome {
 	case outcomeDone:
 		facts.isDone = true
 		if job := o.jobs[execution.position.ID]; job != nil {
-			job.progressAt = o.cluster.queue.now()
+			job.lastProgressAt = o.cluster.queue.now()
 		}
 		if execution.step.Gang {
 			for index := range execution.step.Tasks {
@@ -173,55 +172,56 @@
 		}
 	case outcomeFailed:
 		facts.failures = append(facts.failures, failure{run: execution.run, at: o.cluster.queue.now()})
-	case howAlone:
+	case outcomeAlone:
 		job := o.jobs[execution.position.ID]
-		wasCalm := execution.begunAt-o.cluster.troubledAt > o.cluster.profile.contactTime
+		wasCalm := execution.begunAt-o.cluster.faultsUntil > o.cluster.profile.contactTime
 		if wasCalm && !job.isCancelSent && !executor.isDraining {
 			o.cluster.violate("GANG", "%s run %d ended alone", execution.task, execution.run)
 		}
 	}
 }
 
-// noted is told once last-seen reaches an end, unless the hold lapsed in between; starts made since then count against it.
-func (o *oracles) noted(executor *modelExecutor, end executorapi.EndRow) {
+// recordAcknowledgedEnd records that last-seen has reached an end, and checks the starts since that end. It isn't called for an
+// end if the lease expired between the end and its acknowledgement.
+func (o *oracles) recordAcknowledgedEnd(executor *modelExecutor, end executorapi.EndRow) {
 	facts := o.task(end.Task)
 	position, _ := jobs.ParseTask(end.Task)
 	step := o.stepOf(position)
 	switch end.Outcome {
 	case outcomeDone:
-		if !facts.notedDone {
-			facts.notedDone, facts.doneAt = true, o.cluster.queue.now()
+		if !facts.isDoneAcknowledged {
+			facts.isDoneAcknowledged, facts.doneAt = true, o.cluster.queue.now()
 		}
 		if !step.Redundant {
 			for _, begun := range facts.starts {
 				if begun.run > end.Run {
-					o.cluster.violate("TWICE", "%s: run %d had begun after run %d did it on %s, whose end is noted now", end.Task, begun.run, end.Run, executor.id)
+					o.cluster.violate("TWICE", "%s: run %d had begun after run %d did it on %s, whose end is acknowledged now", end.Task, begun.run, end.Run, executor.id)
 				}
 			}
 		}
 	case outcomeFailed:
-		o.notedFailure(facts, end, step, o.jobs[position.ID])
+		o.checkAcknowledgedFailure(facts, end, step, o.jobs[position.ID])
 	}
 }
 
-// notedFailure checks that no run began after the failures that used up a task's attempts.
-func (o *oracles) notedFailure(facts *modelTask, end executorapi.EndRow, step *jobs.Step, job *modelJob) {
-	noted, lastAt := 0, time.Duration(0)
+// checkAcknowledgedFailure checks that no run began after the failures that used up a task's attempts.
+func (o *oracles) checkAcknowledgedFailure(facts *modelTask, end executorapi.EndRow, step *jobs.Step, job *modelJob) {
+	acknowledged, lastAt := 0, time.Duration(0)
 	for index := range facts.failures {
 		if facts.failures[index].run == end.Run {
-			facts.failures[index].isNoted = true
+			facts.failures[index].isAcknowledged = true
 		}
-		if facts.failures[index].isNoted {
-			noted++
+		if facts.failures[index].isAcknowledged {
+			acknowledged++
 			lastAt = max(lastAt, facts.failures[index].at)
 		}
 	}
-	if step.LongRunning || step.Redundant || job == nil || noted < job.terms.MaxAttempts {
+	if step.LongRunning || step.Redundant || job == nil || acknowledged < job.terms.MaxAttempts {
 		return
 	}
 	for _, begun := range facts.starts {
 		if begun.at > lastAt {
-			o.cluster.violate("BUDGET", "%s run %d had begun after %d failures, which are noted now", end.Task, begun.run, noted)
+			o.cluster.violate("BUDGET", "%s run %d had begun after %d failures, which are acknowledged now", end.Task, begun.run, acknowledged)
 		}
 	}
 }
--- a/internal/simulation/modelcheck/ordermodel/schedule.go
+++ b/internal/simulation/modelcheck/ordermodel/schedule.go
@@ -8,8 +8,11 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
+// drawStream is the random stream of schedules; evacuations, splits of the core and ends of days draw from their own streams.
 const drawStream = 7
 
+// The numbers of jobs and faults of a small schedule, the range of its times in milliseconds, and the share of jobs that are
+// cancelled; as many are submitted again.
 const (
 	minJobs, maxJobs     = 2, 6
 	minFaults, maxFaults = 1, 6
@@ -18,7 +21,7 @@
 	cancelPercent        = 35
 )
 
-// Kinds of steps. Node is a steward, a gate, a machine or a job, as the kind says; ForMs is how long the fault lasts.
+// Kinds of steps. Node is a steward, a gate, a machine or a job, depending on the kind; ForMs is how long the fault lasts.
 const (
 	kindSubmit             = "hand-in"
 	kindSubmitAgain        = "hand-in-again"
@@ -54,52 +57,52 @@
 	kindEvacuate           = "evacuate"
 )
 
-// staysAway is the value of a crash after which no executor comes back to the machine, if its number is odd: the others do, so
-// that each rack keeps some.
+// staysAway is the value of a crash after which machines with an odd number get no new executor. The machines with an even
+// number do, so that each rack keeps some executors.
 const staysAway = 1
 
-// drainUnannounced is the value of a drain that begins with the farewell: the executor serves on as long as the step says,
-// beyond the time of a drain.
+// drainUnannounced is the value of a drain that begins with the deregistration. The executor continues to serve for the time
+// of a drain and for as long as the step says.
 const drainUnannounced = 1
 
-// scheduledFault is a kind of trouble with the bounds of its length; those with more weight come more often.
+// scheduledFault is a kind of fault with the bounds of its length and value; it is drawn in proportion to its weight.
 type scheduledFault struct {
 	kind           string
 	weight         int
-	minimum, limit int
+	minMs, maxMs   int
 	maxValue       int
-	isOfExecutors  bool
+	isMachineFault bool
 }
 
 var faults = []scheduledFault{
-	{kind: kindKillSteward, weight: 3, minimum: 100, limit: 3000},
-	{kind: kindFreezeSteward, weight: 3, minimum: 200, limit: 9000},
-	{kind: kindCutSteward, weight: 4, minimum: 200, limit: 12000, maxValue: 2},
-	{kind: kindPartition, weight: 4, minimum: 500, limit: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
-	{kind: kindTransferLeadership, weight: 2, minimum: 1, limit: 1},
-	{kind: kindSlowSync, weight: 2, minimum: 200, limit: 3000, maxValue: 400},
-	{kind: kindLosePower, weight: 3, minimum: 100, limit: 1500, maxValue: 5},
-	{kind: kindClockJump, weight: 1, minimum: 500, limit: 8000, maxValue: 4000},
-	{kind: kindCutGate, weight: 1, minimum: 200, limit: 4000, maxValue: 2},
-	{kind: kindKillProxy, weight: 4, minimum: 50, limit: 3000, isOfExecutors: true},
-	{kind: kindFreezeProxy, weight: 3, minimum: 200, limit: 9000, isOfExecutors: true},
-	{kind: kindCutProxy, weight: 4, minimum: 200, limit: 12000, maxValue: 2, isOfExecutors: true},
-	{kind: kindCrashExecutor, weight: 3, minimum: 50, limit: 4000, isOfExecutors: true},
-	{kind: kindFreezeExecutor, weight: 2, minimum: 200, limit: 9000, isOfExecutors: true},
-	{kind: kindDrainExecutor, weight: 2, minimum: 1, limit: 10000, maxValue: drainUnannounced, isOfExecutors: true},
-	{kind: kindLateExecutor, weight: 5, minimum: 500, limit: 6000, isOfExecutors: true},
-	{kind: kindMuteExecutor, weight: 4, minimum: 300, limit: 5000, isOfExecutors: true},
-	{kind: kindBusyExecutor, weight: 3, minimum: 200, limit: 4000, isOfExecutors: true},
-	{kind: kindRefuseExecutor, weight: 2, minimum: 100, limit: 4000, isOfExecutors: true},
-	{kind: kindStuckExecutor, weight: 1, minimum: 300, limit: 2000, isOfExecutors: true},
-	{kind: kindLateBeats, weight: 2, minimum: 500, limit: 5000, isOfExecutors: true},
-	{kind: kindLoseMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 40},
-	{kind: kindDoubleMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 40},
-	{kind: kindDelayMessages, weight: 3, minimum: 300, limit: 5000, maxValue: 3000},
+	{kind: kindKillSteward, weight: 3, minMs: 100, maxMs: 3000},
+	{kind: kindFreezeSteward, weight: 3, minMs: 200, maxMs: 9000},
+	{kind: kindCutSteward, weight: 4, minMs: 200, maxMs: 12000, maxValue: 2},
+	{kind: kindPartition, weight: 4, minMs: 500, maxMs: 14000, maxValue: 1<<(smallProfile.partitionBits+smallProfile.gates) - 1},
+	{kind: kindTransferLeadership, weight: 2, minMs: 1, maxMs: 1},
+	{kind: kindSlowSync, weight: 2, minMs: 200, maxMs: 3000, maxValue: 400},
+	{kind: kindLosePower, weight: 3, minMs: 100, maxMs: 1500, maxValue: 5},
+	{kind: kindClockJump, weight: 1, minMs: 500, maxMs: 8000, maxValue: 4000},
+	{kind: kindCutGate, weight: 1, minMs: 200, maxMs: 4000, maxValue: 2},
+	{kind: kindKillProxy, weight: 4, minMs: 50, maxMs: 3000, isMachineFault: true},
+	{kind: kindFreezeProxy, weight: 3, minMs: 200, maxMs: 9000, isMachineFault: true},
+	{kind: kindCutProxy, weight: 4, minMs: 200, maxMs: 12000, maxValue: 2, isMachineFault: true},
+	{kind: kindCrashExecutor, weight: 3, minMs: 50, maxMs: 4000, isMachineFault: true},
+	{kind: kindFreezeExecutor, weight: 2, minMs: 200, maxMs: 9000, isMachineFault: true},
+	{kind: kindDrainExecutor, weight: 2, minMs: 1, maxMs: 10000, maxValue: drainUnannounced, isMachineFault: true},
+	{kind: kindLateExecutor, weight: 5, minMs: 500, maxMs: 6000, isMachineFault: true},
+	{kind: kindMuteExecutor, weight: 4, minMs: 300, maxMs: 5000, isMachineFault: true},
+	{kind: kindBusyExecutor, weight: 3, minMs: 200, maxMs: 4000, isMachineFault: true},
+	{kind: kindRefuseExecutor, weight: 2, minMs: 100, maxMs: 4000, isMachineFault: true},
+	{kind: kindStuckExecutor, weight: 1, minMs: 300, maxMs: 2000, isMachineFault: true},
+	{kind: kindLateBeats, weight: 2, minMs: 500, maxMs: 5000, isMachineFault: true},
+	{kind: kindLoseMessages, weight: 3, minMs: 300, maxMs: 5000, maxValue: 40},
+	{kind: kindDoubleMessages, weight: 3, minMs: 300, maxMs: 5000, maxValue: 40},
+	{kind: kindDelayMessages, weight: 3, minMs: 300, maxMs: 5000, maxValue: 3000},
 }
 
-// themes are kinds that bring about more together than each alone.
-var themes = [][]string{
+// faultCombinations are kinds of faults that reach more states together than each does alone.
+var faultCombinations = [][]string{
 	{kindLateExecutor, kindBusyExecutor, kindTransferLeadership, kindKillSteward, kindPartition, kindLateExecutor, kindTransferLeadership},
 	{kindLateExecutor, kindTransferLeadership, kindBusyExecutor},
 	{kindPartition, kindCutProxy, kindDelayMessages, kindFreezeProxy},
@@ -112,12 +115,12 @@
 	{kindDrainExecutor, kindCrashExecutor, kindFreezeExecutor, kindCutProxy, kindKillProxy},
 }
 
-const percentOfTheme = 75
+const percentFromCombination = 75
 
-// drawFault draws from the theme, if there is one, and at times from all kinds.
-func drawFault(random *rand.Rand, theme []string) scheduledFault {
-	if len(theme) > 0 && random.IntN(100) < percentOfTheme {
-		kind := theme[random.IntN(len(theme))]
+// drawFault draws a fault from the combination in most cases, and from all kinds otherwise or if there is no combination.
+func drawFault(random *rand.Rand, combination []string) scheduledFault {
+	if len(combination) > 0 && random.IntN(100) < percentFromCombination {
+		kind := combination[random.IntN(len(combination))]
 		return faults[slices.IndexFunc(faults, func(fault scheduledFault) bool { return fault.kind == kind })]
 	}
 	return drawWeighted(random, faults)
@@ -138,16 +141,17 @@
 	return all[0]
 }
 
+// between draws a number between two bounds, both included.
 func between(random *rand.Rand, least, most int) int { return least + random.IntN(most-least+1) }
 
-// draw makes the schedule of a seed: jobs, their cancels, and faults; in half of them all gather about one time.
+// draw draws the small schedule of a seed: jobs, their cancels, and faults. In half of the schedules they are close to one time.
 func draw(seed uint64, losses int) modelcheck.Schedule {
 	random := rand.New(rand.NewPCG(seed, drawStream))
 	schedule := modelcheck.Schedule{Model: modelName, Seed: seed, Losses: losses, Nodes: quorum.VotersFor(losses)}
 	plan := plan{Schedule: &schedule, random: random, centre: between(random, firstStepMs, lastStepMs), machine: random.IntN(smallProfile.executors),
 		isFocused: random.IntN(2) == 0}
-	if which := random.IntN(len(themes) + 2); which < len(themes) {
-		plan.theme = themes[which]
+	if which := random.IntN(len(faultCombinations) + 2); which < len(faultCombinations) {
+		plan.combination = faultCombinations[which]
 	}
 	for number := range between(random, minJobs, maxJobs) {
 		plan.addJob(number)
@@ -165,16 +169,19 @@
 // plan is a schedule that is being drawn.
 type plan struct {
 	*modelcheck.Schedule
-	random    *rand.Rand
-	centre    int
-	machine   int
+	random *rand.Rand
+	// centre is the time that faults are close to, in milliseconds, and machine the one that has most machine faults.
+	centre  int
+	machine int
+	// isFocused is set if faults and half of the jobs are closer to the centre.
 	isFocused bool
-	theme     []string
+	// combination are the kinds that most faults are drawn from; nil for all kinds.
+	combination []string
 }
 
 func (p *plan) add(step modelcheck.Step) { p.Steps = append(p.Steps, step) }
 
-// addJob draws a job, and sometimes that it is cancelled or handed in again.
+// addJob draws a job, and sometimes a cancel or a second submission of it.
 func (p *plan) addJob(number int) {
 	random := p.random
 	at := between(random, firstStepMs, lastStepMs)
@@ -190,15 +197,15 @@
 	}
 }
 
-// addFault draws a fault near the moment that the schedule is about.
+// addFault draws a fault near the centre of the schedule.
 func (p *plan) addFault() {
-	random, fault, spread := p.random, drawFault(p.random, p.theme), 3000
+	random, fault, spread := p.random, drawFault(p.random, p.combination), 3000
 	if p.isFocused {
 		spread = 800
 	}
 	step := modelcheck.Step{AtMs: max(firstStepMs, p.centre+between(random, -spread, spread)), Kind: fault.kind, Node: random.IntN(p.Nodes),
-		ForMs: between(random, fault.minimum, fault.limit), Value: random.IntN(fault.maxValue + 1)}
-	if fault.isOfExecutors {
+		ForMs: between(random, fault.minMs, fault.maxMs), Value: random.IntN(fault.maxValue + 1)}
+	if fault.isMachineFault {
 		step.Node = p.machine
 		if random.IntN(4) == 0 {
 			step.Node = random.IntN(smallProfile.executors)
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -1,5 +1,5 @@
-// Package ordermodel runs the real scheduler pool and the real local-proxy table against executors that keep to the
-// protocol, on a fake clock and a simulated network, under schedules of faults.
+// Package ordermodel runs the real scheduler pool and the real local-proxy table against simulated executors that follow
+// the protocol, on a fake clock and a simulated network, under schedules of faults.
 package ordermodel
 
 import (
@@ -12,14 +12,14 @@
 )
 
 const (
-	beginWallMs = 1_800_000_000_000
-	queueStream = 42
+	wallAtStartMs = 1_800_000_000_000
+	queueStream   = 42
 
 	service = "board"
 	poolKey = "pool/" + service
 )
 
-// simCluster is a whole system: stewards, gates, local-proxies and executors.
+// simCluster is a whole simulated system: stewards, gates, local-proxies and executors.
 type simCluster struct {
 	queue    *eventQueue
 	profile  *profile
@@ -32,15 +32,15 @@
 	processes
 	conditions
 	evacuations evacuationOrders
-	// splits counts the splits of the core, so that the end of an earlier one doesn't end a later one.
-	splits int
-	// calls counts the calls between processes, which number them.
+	// coreSplits counts the splits of the core, so that the end of an earlier one doesn't end a later one.
+	coreSplits int
+	// calls counts the calls to leaders; the count is the number of the latest one.
 	calls uint64
-	// isDone ends the run: all jobs are over, and late calls can't come any more.
+	// isDone ends the run: all jobs are over, and no late call can arrive any more.
 	isDone bool
-	// onCommit is called once, when a leader hears of a commit.
+	// onCommit is called once, when a leader is next told that a commit succeeded; nil if there is nothing to do.
 	onCommit func()
-	// forgotten are records that an injected fault keeps out of commits.
+	// forgotten names the records that an injected fault keeps out of commits.
 	forgotten map[string]bool
 }
 
@@ -50,92 +50,92 @@
 	gates     []*modelGate
 	proxies   []*modelProxy
 	executors []*modelExecutor
-	// views are what failure detection shows, by the index of the steward that leads; they are made when needed.
+	// views are the membership views that processes have, by the index of the steward that leads; each is made on first use.
 	views []*membership.View
-	// outside stands for what calls from outside of the system.
+	// outside stands for the clients, which call from outside of the system.
 	outside *modelProcess
 }
 
-// conditions are how network and disks behave now, and when anything was wrong last.
+// conditions are the present faults of the network and the disks, and until when there are faults.
 type conditions struct {
-	hop      hop
-	slowSync time.Duration
-	// troubledAt is the last time at which anything was wrong.
-	troubledAt time.Duration
-	// coreTroubledAt is the last time at which anything was wrong with stewards, gates or the network as a whole.
-	coreTroubledAt time.Duration
+	messageFaults messageFaults
+	syncDelay     time.Duration
+	// faultsUntil is the end of the last fault so far, of any kind; it may lie in the future.
+	faultsUntil time.Duration
+	// coreFaultsUntil is the same for faults of stewards, gates or the network as a whole.
+	coreFaultsUntil time.Duration
 }
 
-// newSimCluster sets up and starts all processes of a schedule.
+// newSimCluster creates and starts all processes that a schedule needs.
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
 	profile := profileOf(schedule.Size)
-	w := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
+	c := &simCluster{queue: newEventQueue(schedule.Seed), profile: profile, fault: injectedFault{schedule.InjectedFault}, coverage: modelcheck.Coverage{},
 		forgotten: map[string]bool{}}
-	w.timing = w.fault.timing(profile.timing)
-	w.oracles = newOracles(w)
-	w.outside = &modelProcess{cluster: w, name: "outside", lifecycle: lifecycle{isUp: true}, isOnce: true}
-	w.key = &replicatedKey{cluster: w, pairs: map[string][]byte{}}
-	w.views = make([]*membership.View, schedule.Nodes)
+	c.timing = c.fault.adjustTiming(profile.timing)
+	c.oracles = newOracles(c)
+	c.outside = &modelProcess{cluster: c, name: "outside", lifecycle: lifecycle{isUp: true}, isNeverDoubled: true}
+	c.key = &replicatedKey{cluster: c, pairs: map[string][]byte{}}
+	c.views = make([]*membership.View, schedule.Nodes)
 	for number := range schedule.Nodes {
-		w.stewards = append(w.stewards, &modelSteward{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("steward-%d", number)}})
+		c.stewards = append(c.stewards, &modelSteward{modelProcess: modelProcess{cluster: c, name: fmt.Sprintf("steward-%d", number)}})
 	}
 	for number := range profile.gates {
-		w.gates = append(w.gates, &modelGate{modelProcess: modelProcess{cluster: w, name: fmt.Sprintf("gate-%d", number), isOnce: true}})
+		c.gates = append(c.gates, &modelGate{modelProcess: modelProcess{cluster: c, name: fmt.Sprintf("gate-%d", number), isNeverDoubled: true}})
 	}
 	for number := range profile.executors {
 		machine := fmt.Sprintf("side-%d", number)
-		executor := &modelExecutor{cluster: w, machine: machine, number: number, capacity: profile.capacity(number),
+		executor := &modelExecutor{cluster: c, machine: machine, number: number, capacity: profile.capacity(number),
 			labels: []string{"zone", rackOf(number / profile.rackSize)}, isGuarding: profile.isGuarding(number)}
-		executor.proxy = &modelProxy{modelProcess: modelProcess{cluster: w, name: machine}, executor: executor}
-		w.executors, w.proxies = append(w.executors, executor), append(w.proxies, executor.proxy)
+		executor.proxy = &modelProxy{modelProcess: modelProcess{cluster: c, name: machine}, executor: executor}
+		c.executors, c.proxies = append(c.executors, executor), append(c.proxies, executor.proxy)
 	}
-	w.start()
-	return w
+	c.start()
+	return c
 }
 
-// start starts all processes, and the checks that run throughout.
-func (w *simCluster) start() {
-	for _, steward := range w.stewards {
+// start starts all processes, and the checks that run throughout a schedule.
+func (c *simCluster) start() {
+	for _, steward := range c.stewards {
 		steward.start()
 	}
-	for _, gate := range w.gates {
+	for _, gate := range c.gates {
 		gate.start()
 	}
-	for _, proxy := range w.proxies {
+	for _, proxy := range c.proxies {
 		proxy.start()
 	}
-	for _, executor := range w.executors {
+	for _, executor := range c.executors {
 		executor.start()
 	}
-	w.key.watch()
-	w.watchStalls()
+	c.key.monitorLease()
+	c.watchStalls()
 }
 
-func (w *simCluster) count(description string) { w.coverage[description]++ }
+func (c *simCluster) count(description string) { c.coverage[description]++ }
 
-// announce lets processes hear of a new leader, each in its time; one that is cut off hears later.
-func (w *simCluster) announce(fresh *leadership) {
-	for _, gate := range w.gates {
-		w.tellLeader(&gate.modelProcess, fresh)
+// announce informs gates and proxies of a new leader, each after a delay of its own. A process that is cut off is informed later.
+func (c *simCluster) announce(successor *leadership) {
+	for _, gate := range c.gates {
+		c.announceTo(&gate.modelProcess, successor)
 	}
-	for _, proxy := range w.proxies {
-		w.tellLeader(&proxy.modelProcess, fresh)
+	for _, proxy := range c.proxies {
+		c.announceTo(&proxy.modelProcess, successor)
 	}
 }
 
-// tellLeader lets a process learn of a new leader after a while, once it is reachable.
-func (w *simCluster) tellLeader(to *modelProcess, fresh *leadership) {
-	w.queue.after(w.queue.between(time.Millisecond, maxAnnouncementTime), func() {
-		if w.key.leader != fresh {
+// announceTo informs a process of a new leader after a delay, and tries again later if it can't be reached then.
+func (c *simCluster) announceTo(to *modelProcess, successor *leadership) {
+	c.queue.after(c.queue.between(time.Millisecond, maxAnnouncementTime), func() {
+		if c.key.leader != successor {
 			return
 		}
-		if !to.isReachable() || to.group != fresh.steward.group {
-			w.tellLeader(to, fresh)
+		if !to.isReachable() || to.group != successor.steward.group {
+			c.announceTo(to, successor)
 			return
 		}
-		for index, steward := range w.stewards {
-			if steward == fresh.steward {
-				to.hear(index)
+		for index, steward := range c.stewards {
+			if steward == successor.steward {
+				to.updateLeader(index)
 			}
 		}
 	})
