--- a/cmd/gannetline/cells_test.go
+++ b/cmd/gannetline/cells_test.go
@@ -33,7 +33,7 @@
 // startSteward starts a server with one partition of locks, numbers and keys, and returns its address.
 func startSteward() string {
 	systemClock := clock.System()
-	part := coordination.New("coordination/0", coordination.Surroundings{Clock: systemClock, Log: logging.Silent(), HistoryTime: 1 << 40, ReleaseTime: 1 << 30})
+	part := coordination.New("coordination/0", coordination.Dependencies{Clock: systemClock, Log: logging.Silent(), HistoryTime: 1 << 40, ReleaseTime: 1 << 30})
 	Expect(part.Open(alwaysLeader{}, nil)).To(Succeed())
 	inbox := mailbox.New(64)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/control/controlkeys/coordination.go
+++ b/internal/control/controlkeys/coordination.go
@@ -21,9 +21,9 @@
 	return coordination.Keys()
 }
 
-// newCoordinationSurroundings returns the dependencies of a partition with locks, numbers and cells, apart from its key.
-func (m *Manager) newCoordinationSurroundings() coordination.Surroundings {
-	return coordination.Surroundings{Clock: m.Clock, Log: m.Log, HistoryTime: m.Coordination.History + historyMargin,
+// newCoordinationDependencies returns the dependencies of a partition with locks, numbers and cells, apart from its key.
+func (m *Manager) newCoordinationDependencies() coordination.Dependencies {
+	return coordination.Dependencies{Clock: m.Clock, Log: m.Log, HistoryTime: m.Coordination.History + historyMargin,
 		ReleaseTime: m.Coordination.Release}
 }
 
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -74,7 +74,7 @@
 		machine := countMachine{countleader.New(key, m.Clock, m.Log, m.currentCountPolicy)}
 		runner.machine, runner.engine = machine, newEngine(machine, replication.WithPreferredLeader())
 	case coordination.IsKey(key):
-		machine := coordinationMachine{coordination.New(key, m.newCoordinationSurroundings())}
+		machine := coordinationMachine{coordination.New(key, m.newCoordinationDependencies())}
 		runner.machine, runner.engine, tickMachine = machine, newEngine(machine, replication.WithPreferredLeader()), machine.Tick
 	case lots.IsKey(key):
 		host := m.startLots(key, runner)
--- a/internal/control/coordination/part.go
+++ b/internal/control/coordination/part.go
@@ -45,8 +45,8 @@
 	HasLease() bool
 }
 
-// Surroundings holds the dependencies and settings of a part.
-type Surroundings struct {
+// Dependencies holds the dependencies and settings of a part.
+type Dependencies struct {
 	Clock clock.Clock
 	Log   logging.Logger
 	// HistoryTime is the minimum time for which a put is kept for watchers, from when it is durable.
@@ -57,7 +57,7 @@
 
 // Part handles the calls for the names of one replication key.
 type Part struct {
-	Surroundings
+	Dependencies
 	key string
 	// leadership is nil while another process leads the key. The tables and commits below are empty then.
 	leadership Leadership
@@ -70,8 +70,8 @@
 }
 
 // New returns a part of the given key. It is closed until Open is called.
-func New(key string, surroundings Surroundings) *Part {
-	return &Part{key: key, Surroundings: surroundings}
+func New(key string, dependencies Dependencies) *Part {
+	return &Part{key: key, Dependencies: dependencies}
 }
 
 // Open takes over the leadership of the key, with its committed records as pairs. The hold time of each lock restarts in full. An error
--- a/internal/control/coordination/script_test.go
+++ b/internal/control/coordination/script_test.go
@@ -66,7 +66,7 @@
 
 func newHarness() *harness {
 	h := &harness{clock: clock.NewFake(0), leadership: &fakeLeadership{epoch: 1, hasLease: true, durable: map[string]wire.Op{}}}
-	h.part = New("coordination/0", Surroundings{Clock: h.clock, Log: logging.Silent(), HistoryTime: testHistory, ReleaseTime: testRelease})
+	h.part = New("coordination/0", Dependencies{Clock: h.clock, Log: logging.Silent(), HistoryTime: testHistory, ReleaseTime: testRelease})
 	Expect(h.part.Open(h.leadership, nil)).To(Succeed())
 	return h
 }
--- a/internal/simulation/modelcheck/controlmodel/coordination.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination.go
@@ -56,7 +56,7 @@
 }
 
 func (s *coordinationService) machineOf(n *simNode) keyMachine {
-	part := coordination.New(s.key(), coordination.Surroundings{Clock: &n.clock, Log: logging.Silent(), HistoryTime: keptHistory, ReleaseTime: modelRelease})
+	part := coordination.New(s.key(), coordination.Dependencies{Clock: &n.clock, Log: logging.Silent(), HistoryTime: keptHistory, ReleaseTime: modelRelease})
 	return n.cluster.fault.wrapPart(&coordinationMachine{part})
 }
 
