--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -111,7 +111,7 @@
 // startLots creates the lots partition of a key and runs it on a goroutine of its own.
 func (m *Manager) startLots(key string, runner *keyRunner) *poolhost.Host {
 	itemRunner := &lateBoundRunner{}
-	part := lots.New(key, lots.Surroundings{Clock: m.Clock, Log: m.Log, Runner: itemRunner, Route: m.findRoute, Executors: m.Lots.Executors,
+	part := lots.New(key, lots.Dependencies{Clock: m.Clock, Log: m.Log, Runner: itemRunner, Route: m.findRoute, Executors: m.Lots.Executors,
 		Retention: m.Lots.Retention})
 	runner.machine = lotsMachine{part}
 	host := poolhost.New(part, runner.engineMailbox)
--- a/internal/control/lots/lots.go
+++ b/internal/control/lots/lots.go
@@ -62,8 +62,8 @@
 	Start(run Run, done func(Outcome, Progress))
 }
 
-// Surroundings holds the dependencies and settings of a part.
-type Surroundings struct {
+// Dependencies holds the dependencies and settings of a part.
+type Dependencies struct {
 	Clock  clock.Clock
 	Log    logging.Logger
 	Runner Runner
@@ -77,7 +77,7 @@
 
 // Part manages the lots of one replication key.
 type Part struct {
-	Surroundings
+	Dependencies
 	key string
 	// leadership is nil while another process leads the key. The tables below are empty then.
 	leadership scheduler.Leadership
@@ -94,8 +94,8 @@
 }
 
 // New returns a part of the given key. It is closed until Open is called.
-func New(key string, surroundings Surroundings) *Part {
-	return &Part{key: key, Surroundings: surroundings}
+func New(key string, dependencies Dependencies) *Part {
+	return &Part{key: key, Dependencies: dependencies}
 }
 
 // IsOpen reports whether this process leads the key.
--- a/internal/control/lots/lots_test.go
+++ b/internal/control/lots/lots_test.go
@@ -108,7 +108,7 @@
 
 // open creates a part and opens it with the committed records, as a process does that takes over the key.
 func (h *harness) open() {
-	h.part = lots.New(wire.LotsKey, lots.Surroundings{Clock: h.clock, Log: logging.Silent(), Runner: h, Retention: 2 * time.Minute,
+	h.part = lots.New(wire.LotsKey, lots.Dependencies{Clock: h.clock, Log: logging.Silent(), Runner: h, Retention: 2 * time.Minute,
 		Route: func(name string) *configuration.Route {
 			if h.route != nil && name == h.route.Name {
 				return h.route
