--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -35,7 +35,7 @@
 	// demand is the total need of the requests that are on time, by priority.
 	demand map[int]allocation
 	// tenantDemand is the total need of all requests, and urgentDemand that of the requests that are on time and don't have to leave room
-	// for more urgent work (Group.LeavesRoom), both by the index of the tenant.
+	// for more urgent work (Group.CountsAsLong), both by the index of the tenant.
 	tenantDemand map[int]allocation
 	urgentDemand map[int]allocation
 	// minNeed is a lower bound of the need of a task in any request.
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -103,7 +103,7 @@
 // atLimitFraction is the fraction of its limit from which on a tenant counts as at its limit. Most tasks need less than the remaining 10%.
 const atLimitFraction = 0.9
 
-// isAtLimit tells whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
+// isAtLimit reports whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
 func (t *tenantTable) isAtLimit(index int) bool {
 	tenant := t.sorted[index]
 	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.DominantShareOf(tenant.terms.Limit) >= atLimitFraction
@@ -114,13 +114,13 @@
 func (p *Pool) countTenantRun(run *runState, count int) {
 	tenant := run.task.step.tenant()
 	tenant.allocated = tenant.allocated.with(run.task.step.need(), count)
-	if p.leavesRoom(run.task.step) {
+	if p.countsAsLong(run.task.step) {
 		tenant.longAllocated = tenant.longAllocated.with(run.task.step.need(), count)
 	}
 }
 
-// leavesRoom tells whether a step is long work that must leave room for more urgent work.
-func (p *Pool) leavesRoom(step *stepState) bool {
+// countsAsLong reports whether a step is long work that must leave room for more urgent work.
+func (p *Pool) countsAsLong(step *stepState) bool {
 	group := placement.Group{IsLong: p.isLong(step), IsLasting: step.spec.LongRunning, Priority: step.priority()}
 	return group.CountsAsLong()
 }
@@ -153,7 +153,7 @@
 	return limits
 }
 
-// limitOf returns how much a tenant's runs may take in this pool. mayOverhang tells whether the last run may exceed this, which is allowed
+// limitOf returns how much a tenant's runs may take in this pool. mayOverhang reports whether the last run may exceed this, which is allowed
 // only if no other pool starts runs under the same limit.
 func (p *Pool) limitOf(tenant *tenantState) (limit placement.Resources, mayOverhang bool) {
 	if p.accounts == nil || tenant.index == 0 {
@@ -188,10 +188,10 @@
 	return sum
 }
 
-// hasWork tells whether the tenant has runs or steps in the queue.
+// hasWork reports whether the tenant has runs or steps in the queue.
 func (t *tenantState) hasWork() bool { return t.openSteps > 0 || t.allocated.count > 0 }
 
-// takeRateToken counts a submitted job against its tenant's rate and tells whether it is within the rate. Jobs without a tenant always are.
+// takeRateToken counts a submitted job against its tenant's rate and reports whether it is within the rate. Jobs without a tenant always are.
 func (p *Pool) takeRateToken(tenant *tenantState) bool {
 	return tenant.index == 0 || tenant.rate.take(tenant.terms.Weight, p.timing.RateWindow, p.clock.Monotonic())
 }
@@ -202,7 +202,7 @@
 	minSurplusJobs = 20
 )
 
-// exceedsSurplusLimit tells whether a tenant has so many open surplus jobs that the pool refuses more of them.
+// exceedsSurplusLimit reports whether a tenant has so many open surplus jobs that the pool refuses more of them.
 func (t *tenantState) exceedsSurplusLimit() bool {
 	return t.index > 0 && t.surplusJobs >= max(minSurplusJobs, int(surplusSeconds*t.terms.Weight))
 }
@@ -215,7 +215,7 @@
 	isSeen bool
 }
 
-// take counts a job submitted now and tells whether it is within the rate. The first call fills the bucket.
+// take counts a job submitted now and reports whether it is within the rate. The first call fills the bucket.
 func (r *submissionRate) take(perSecond float64, window, now time.Duration) bool {
 	burst := max(1, perSecond*window.Seconds())
 	if !r.isSeen {
