--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// isVisibleTo tells whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call that
+// isVisibleTo reports whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call that
 // needs no API key has no tenant and may see all jobs.
 func (j *jobState) isVisibleTo(tenant string) bool {
 	return j.record.Tenant == "" || tenant == "" || j.record.Tenant == tenant
--- a/internal/scheduling/scheduler/overload.go
+++ b/internal/scheduling/scheduler/overload.go
@@ -23,7 +23,7 @@
 
 func newOverloadWatch() overloadWatch { return overloadWatch{until: map[overloadKey]time.Duration{}} }
 
-// isOverloaded tells whether a priority is overloaded for a tenant, either in the whole pool or for this tenant alone.
+// isOverloaded reports whether a priority is overloaded for a tenant, either in the whole pool or for this tenant alone.
 func (o *overloadWatch) isOverloaded(priority, tenant int) bool {
 	_, isOverloaded := o.until[overloadKey{priority, 0}]
 	if !isOverloaded && tenant > 0 {
@@ -32,7 +32,7 @@
 	return isOverloaded
 }
 
-// isMoreUrgentOverloaded tells whether a priority more urgent than this one is overloaded in the whole pool.
+// isMoreUrgentOverloaded reports whether a priority more urgent than this one is overloaded in the whole pool.
 func (o *overloadWatch) isMoreUrgentOverloaded(priority int) bool {
 	for key := range o.until {
 		if key.tenant == 0 && key.priority < priority {
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -43,7 +43,7 @@
 	return true
 }
 
-// forbids tells whether a promise forbids a submission by a gate with this configuration version.
+// forbids reports whether a promise forbids a submission by a gate with this configuration version.
 func (r *renounced) forbids(id string, version int64) bool {
 	known, isKnown := r.versions[id]
 	return isKnown && version <= known
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// handleEnds handles the new reports of ended runs in the order of their numbers, and tells whether there were any. They are acknowledged
+// handleEnds handles the new reports of ended runs in the order of their numbers, and reports whether there were any. They are acknowledged
 // to the executor, through lastSeen, only after their effects are committed.
 func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNewEnds bool) {
 	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -65,7 +65,7 @@
 	d.cpu, d.memory, d.at = max(cpu, d.cpu*decay), max(memory, d.memory*decay), now
 }
 
-// isNegligible tells whether less than one unit of each resource is left.
+// isNegligible reports whether less than one unit of each resource is left.
 func (d *recentDemand) isNegligible() bool { return d.cpu < 1 && d.memory < 1 }
 
 // demand is what a priority's runs and pending requests want together, and the part of it that the runs are allocated.
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// isReturning tells whether the jobs of a queue are being returned to the pool of the old version.
+// isReturning reports whether the jobs of a queue are being returned to the pool of the old version.
 func (p *Pool) isReturning(route string) bool {
 	return slices.ContainsFunc(p.rollouts.returning, func(terms RolloutTerms) bool { return terms.Route == route })
 }
@@ -159,7 +159,7 @@
 	}
 }
 
-// hasLostRuns tells whether any task of the occurrence was started more often than its failures and its last run explain. A run was then
+// hasLostRuns reports whether any task of the occurrence was started more often than its failures and its last run explain. A run was then
 // stopped, lost with its executor, or run speculatively beside another one.
 func (t *occurrence) hasLostRuns() bool {
 	for _, step := range t.steps {
@@ -227,7 +227,7 @@
 	return open, overdue
 }
 
-// isLasting tells whether the occurrence has a long-running step, which ends only with the job.
+// isLasting reports whether the occurrence has a long-running step, which ends only with the job.
 func (t *occurrence) isLasting() bool {
 	return slices.ContainsFunc(t.steps, func(step *stepState) bool { return step.spec.LongRunning })
 }
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// isLasting tells whether all steps of the job are long-running, so that they end only with the job.
+// isLasting reports whether all steps of the job are long-running, so that they end only with the job.
 func (j *jobState) isLasting() bool {
 	return !slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return !step.LongRunning })
 }
