--- a/internal/cluster/executorlist/executorlist_test.go
+++ b/internal/cluster/executorlist/executorlist_test.go
@@ -60,7 +60,7 @@
 		Expect(holder.WaitForNewer(context.Background(), version(3, 1), time.Millisecond).Version).To(Equal(version(3, 1)))
 	})
 
-	It("is read in pages while it is the turn of the process, and gets a new version only if it differs", func() {
+	It("is read in pages while the process should poll, and gets a new version only if it differs", func() {
 		var calls, executors atomic.Int64
 		executors.Store(3)
 		platform := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
@@ -84,7 +84,9 @@
 		changed := make(chan struct{})
 		holder := newHolder(func(*executorlist.List) {})
 		poller := executorlist.NewPoller(&http.Client{}, platform.Listener.Addr().String(), holder, clock.System(), logging.Silent(),
-			func() executorlist.Turn { return executorlist.Turn{IsDue: isDue.Load(), Epoch: 7, Changed: changed} })
+			func() executorlist.PollDecision {
+				return executorlist.PollDecision{IsDue: isDue.Load(), Epoch: 7, Changed: changed}
+			})
 		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
 		Expect(poller.Run(cancelled)).To(Succeed())
--- a/internal/cluster/executorlist/poller.go
+++ b/internal/cluster/executorlist/poller.go
@@ -26,46 +26,46 @@
 // ErrPlatformRefused is the cause of an error if the platform answers with a status other than 200.
 const ErrPlatformRefused = errors.ConstError("the platform refused to list the executors")
 
-// Turn says whether it is the turn of this process to poll the platform.
-type Turn struct {
+// PollDecision says whether this process should poll the platform.
+type PollDecision struct {
 	// IsDue is set if this process should poll.
 	IsDue bool
 	// Epoch is the epoch of the leadership of the configuration's key. It becomes part of the version of the list.
 	Epoch uint64
-	// Changed is closed once the turn may have changed.
+	// Changed is closed once the decision may have changed.
 	Changed <-chan struct{}
 }
 
-// Poller reads the list from the platform while it is the turn of this process.
+// Poller reads the list of executors from the platform while its PollDecision is due.
 type Poller struct {
 	client  *http.Client
 	address string
 	holder  *Holder
 	clock   clock.Clock
 	log     logging.Logger
-	turn    func() Turn
+	decide  func() PollDecision
 	// last is the newest list that was read. Its version is lastEpoch and number.
 	last      []wire.ExecutorRecord
 	lastEpoch uint64
 	number    uint64
 }
 
-// NewPoller creates a poller of the platform at an address. It calls turn before each poll.
-func NewPoller(client *http.Client, address string, holder *Holder, clock clock.Clock, log logging.Logger, turn func() Turn) *Poller {
-	return &Poller{client: client, address: address, holder: holder, clock: clock, log: log, turn: turn}
+// NewPoller creates a poller of the platform at an address. It calls decide before each poll.
+func NewPoller(client *http.Client, address string, holder *Holder, clock clock.Clock, log logging.Logger, decide func() PollDecision) *Poller {
+	return &Poller{client: client, address: address, holder: holder, clock: clock, log: log, decide: decide}
 }
 
-// Run polls the platform at intervals of pollInterval until ctx is done. It polls at once when it becomes the turn of this process.
+// Run polls the platform at intervals of pollInterval until ctx is done. It polls at once when it becomes due.
 func (p *Poller) Run(ctx context.Context) error {
 	for {
-		turn := p.turn()
-		if turn.IsDue {
-			p.poll(ctx, turn.Epoch)
+		decision := p.decide()
+		if decision.IsDue {
+			p.poll(ctx, decision.Epoch)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-turn.Changed:
+		case <-decision.Changed:
 		case <-p.clock.After(pollInterval):
 		}
 	}
--- a/internal/roles/executors.go
+++ b/internal/roles/executors.go
@@ -62,12 +62,12 @@
 	holder := b.followExecutors(executorlist.LeaderOf(configleader.Key), func(*executorlist.List) {})
 	holder.Handle(b.internalMux)
 	client := peerapi.Client(platformTimeout, 1)
-	poller := executorlist.NewPoller(client, b.settings.Platform.Address, holder, b.clock, b.log, func() executorlist.Turn {
+	poller := executorlist.NewPoller(client, b.settings.Platform.Address, holder, b.clock, b.log, func() executorlist.PollDecision {
 		view := b.node.View()
 		leader, isKnown := view.Leaders[configleader.Key]
 		// Until a leader is known, for example after a power loss of the whole cluster, each steward reads the list itself, under epoch 0, which is
 		// below that of any leader.
-		return executorlist.Turn{IsDue: !isKnown || leader.Name == b.settings.NodeName, Epoch: leader.Epoch, Changed: view.LeaderMoved}
+		return executorlist.PollDecision{IsDue: !isKnown || leader.Name == b.settings.NodeName, Epoch: leader.Epoch, Changed: view.LeaderMoved}
 	})
 	b.tree.Add("executor-poller", poller.Run)
 }
