--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -45,10 +45,11 @@
 // AllowWait lengthens the timeout of each attempt by the time for which the leader may delay its answer.
 func (a *Attempts) AllowWait(wait time.Duration) { a.wait = wait }
 
-// Attempt is one attempt of a call, with its timeout in Limit. Address is empty if no steward is known that could take the call.
+// Attempt is one attempt of a call. Address is empty if no steward is known that could take the call. Timeout includes the time for which the
+// leader may delay its answer.
 type Attempt struct {
 	Address string
-	Limit   time.Duration
+	Timeout time.Duration
 }
 
 // Next returns the next attempt, or false once the deadline has passed. A steward that did not answer before is given twice the timeout,
@@ -59,13 +60,13 @@
 		return Attempt{}, false
 	}
 	a.lastAddress = a.address(view)
-	limit := attemptTimeout
+	timeout := attemptTimeout
 	if a.silent[a.lastAddress] > 0 {
-		limit = 2 * attemptTimeout
+		timeout = 2 * attemptTimeout
 	}
 	a.hint = ""
 	a.count++
-	return Attempt{Address: a.lastAddress, Limit: min(limit+a.wait, remaining)}, true
+	return Attempt{Address: a.lastAddress, Timeout: min(timeout+a.wait, remaining)}, true
 }
 
 // HandleAnswer records the answer of a steward, and reports whether it is final. The answer of a leader that lost the key before its change
--- a/internal/cluster/leaderclient/dark_test.go
+++ b/internal/cluster/leaderclient/dark_test.go
@@ -53,11 +53,11 @@
 		}
 		count++
 		isSlow := attempt.Address == f.slow
-		if isSlow && f.slowResponseTime <= attempt.Limit {
+		if isSlow && f.slowResponseTime <= attempt.Timeout {
 			return now + f.slowResponseTime, count, true
 		}
 		if isSlow || slices.Contains(f.unresponsive, attempt.Address) {
-			now += attempt.Limit
+			now += attempt.Timeout
 			attempts.HandleFailure(false)
 		} else {
 			now += f.responseTime
@@ -114,7 +114,7 @@
 		attempts.Next(stewards.view(), 0)
 		attempts.HandleInterruption(false)
 		attempt, _ := attempts.Next(stewards.view(), time.Millisecond)
-		Expect(attempt).To(Equal(Attempt{Address: "s0", Limit: attemptTimeout}))
+		Expect(attempt).To(Equal(Attempt{Address: "s0", Timeout: attemptTimeout}))
 		Expect(attempts.Outcome().MayHaveRun).To(BeTrue())
 	})
 
--- a/internal/cluster/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -37,14 +37,14 @@
 	return &Client{caller: caller, clock: clock, view: view}
 }
 
-// Ask sends a call to the leader of its key. It returns an outcome without an answer if there is none within the limit or before ctx is done.
-func (c *Client) Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) Outcome {
-	return c.AskWaiting(ctx, call, limit, 0)
+// Ask sends a call to the leader of its key. It returns an outcome without an answer if there is none within the timeout or before ctx is done.
+func (c *Client) Ask(ctx context.Context, call *wire.ClientCall, timeout time.Duration) Outcome {
+	return c.AskWaiting(ctx, call, timeout, 0)
 }
 
-// AskWaiting is Ask for a call whose answer the leader may delay by a wait. The wait counts towards the limit.
-func (c *Client) AskWaiting(ctx context.Context, call *wire.ClientCall, limit, wait time.Duration) Outcome {
-	attempts := NewAttempts(call.Key, c.clock.Monotonic()+limit, rand.IntN)
+// AskWaiting is Ask for a call whose answer the leader may delay by a wait. The wait counts towards the timeout.
+func (c *Client) AskWaiting(ctx context.Context, call *wire.ClientCall, timeout, wait time.Duration) Outcome {
+	attempts := NewAttempts(call.Key, c.clock.Monotonic()+timeout, rand.IntN)
 	attempts.AllowWait(wait)
 	for {
 		view := c.view()
@@ -92,5 +92,5 @@
 func (c *Client) callOnce(ctx context.Context, view *membership.View, attempt Attempt, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 	attemptCtx, release := membership.UntilLeaderMoved(ctx, view)
 	defer release()
-	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](attemptCtx, c.caller, attempt.Address, peerapi.ProcedureClient, attempt.Limit, call)
+	return peerapi.Call[wire.ClientCall, wire.ClientAnswer](attemptCtx, c.caller, attempt.Address, peerapi.ProcedureClient, attempt.Timeout, call)
 }
--- a/internal/cluster/leaderclient/leaderclient_test.go
+++ b/internal/cluster/leaderclient/leaderclient_test.go
@@ -84,11 +84,11 @@
 
 	It("go to the leader in the view, then to the leader that the answer names", func() {
 		attempt, isTimeLeft := attempts.Next(view, 0)
-		Expect(attempt).To(Equal(Attempt{Address: "a:1", Limit: attemptTimeout}))
+		Expect(attempt).To(Equal(Attempt{Address: "a:1", Timeout: attemptTimeout}))
 		Expect(isTimeLeft).To(BeTrue())
 		Expect(attempts.HandleAnswer(&wire.ClientAnswer{NotLeader: true, Leader: "b"})).To(BeFalse())
 		attempt, _ = attempts.Next(view, 800*time.Millisecond)
-		Expect(attempt).To(Equal(Attempt{Address: "b:1", Limit: 200 * time.Millisecond}))
+		Expect(attempt).To(Equal(Attempt{Address: "b:1", Timeout: 200 * time.Millisecond}))
 		_, isTimeLeft = attempts.Next(view, time.Second)
 		Expect(isTimeLeft).To(BeFalse())
 	})
@@ -96,9 +96,9 @@
 	It("have a timeout that includes the time for which the leader may delay its answer", func() {
 		attempts.AllowWait(300 * time.Millisecond)
 		attempt, _ := attempts.Next(view, 0)
-		Expect(attempt.Limit).To(Equal(attemptTimeout + 300*time.Millisecond))
+		Expect(attempt.Timeout).To(Equal(attemptTimeout + 300*time.Millisecond))
 		attempt, _ = attempts.Next(view, 900*time.Millisecond)
-		Expect(attempt.Limit).To(Equal(100 * time.Millisecond))
+		Expect(attempt.Timeout).To(Equal(100 * time.Millisecond))
 	})
 
 	DescribeTable("report whether a leader may have executed the call", func(handleResult func(), mayHaveRun bool) {
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -225,7 +225,7 @@
 		}
 		hasArrived = true
 	}
-	call(a.from, to, attempt.Limit, serve,
+	call(a.from, to, attempt.Timeout, serve,
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
 				// A second copy of a message that finds the process gone is no connection that was refused.
--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -48,7 +48,7 @@
 			return
 		}
 		to := g.cluster.stewardAt(attempt.Address)
-		callLeader(g.cluster, &g.modelProcess, &to.modelProcess, attempt.Limit, func(answer func(wire.ClientAnswer)) {
+		callLeader(g.cluster, &g.modelProcess, &to.modelProcess, attempt.Timeout, func(answer func(wire.ClientAnswer)) {
 			to.serve(&request, answer)
 		}, func(response wire.ClientAnswer, err error) {
 			if err != nil {
