--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -157,8 +157,8 @@
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// deltaBetween gives the change from the base to a committed configuration. It gives nil where a change can't express the difference,
-// as it can't remove initial voters or moved routes, and where its text is longer than half of the full body.
+// deltaBetween returns the change from the base to a committed configuration. It returns nil if the text of the change is longer than half of
+// the full body, or if initial voters or moved routes were removed, which a change can't express.
 func deltaBetween(base, committed *wire.Configuration) *wire.ConfigurationDelta {
 	if len(committed.InitialVoters) < len(base.InitialVoters) || len(committed.Moved) < len(base.Moved) {
 		return nil
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Chunk gives the chunk of an image of the configuration with which a peer's call is answered.
+// Chunk returns the chunk of an image of the configuration with which a peer's call is answered.
 func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -76,7 +76,7 @@
 	return committed, nil
 }
 
-// chunk gives the chunk at the offset that a call asks for. A call that names another image, or an offset outside of this one, gets
+// chunk returns the chunk at the offset that a call asks for. A call that names another image, or an offset outside of this one, gets
 // the first chunk.
 func (i *Image) chunk(call *wire.ConfigurationCall) *wire.ConfigurationChunk {
 	offset := 0
@@ -98,7 +98,7 @@
 	c.images = c.images[max(0, len(c.images)-maxImages):]
 }
 
-// touch gives the first matching image, nil if there is none, and makes it the most recently used.
+// touch returns the first matching image, nil if there is none, and makes it the most recently used.
 func (c *imageCache) touch(matches func(*Image) bool) *Image {
 	index := slices.IndexFunc(c.images, matches)
 	if index < 0 {
@@ -155,7 +155,7 @@
 // maxTransfers is how many incomplete images a process keeps.
 const maxTransfers = 3
 
-// resumable gives the transfer to resume at a peer: one whose last chunk came from it, else the one with the fewest bytes missing. It
+// resumable returns the transfer to resume at a peer: one whose last chunk came from it, else the one with the fewest bytes missing. It
 // is nil without transfers.
 func (t *imageTransfers) resumable(address string) *imageTransfer {
 	var shortest *imageTransfer
@@ -170,7 +170,7 @@
 	return shortest
 }
 
-// addChunk adds a received chunk to its image. It gives the image once it is complete, nil before.
+// addChunk adds a received chunk to its image. It returns the image once it is complete, nil before.
 func (t *imageTransfers) addChunk(address string, chunk *wire.ConfigurationChunk) (*Image, error) {
 	transfer := t.find(chunk)
 	if transfer == nil {
--- a/internal/cluster/configcache/peers.go
+++ b/internal/cluster/configcache/peers.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// next gives the peer to ask, nil if none holds a newer version than the current one. Peers with fewer failures go first, then
+// next returns the peer to ask, nil if none holds a newer version than the current one. Peers with fewer failures go first, then
 // stewards, whose links are faster, then those with the newest version. Peers without a newer version are forgotten.
 func (p *peers) next(current int64) *peer {
 	p.known = slices.DeleteFunc(p.known, func(known *peer) bool { return known.version <= current })
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -29,7 +29,7 @@
 	return v.Committed.Version
 }
 
-// Next gives the version of a newer committed configuration, with the change to it. For one that isn't newer it gives v itself.
+// Next returns the version of a newer committed configuration, with the change to it. For one that isn't newer it returns v itself.
 func (v *Version) Next(committed *wire.Configuration) *Version {
 	if committed.Version <= v.version() {
 		return v
@@ -44,13 +44,13 @@
 	return &Version{committed, v.appendChanges(change)}
 }
 
-// appendChanges gives the kept changes followed by the added ones, without the oldest beyond maxKeptChanges.
+// appendChanges returns the kept changes followed by the added ones, without the oldest beyond maxKeptChanges.
 func (v *Version) appendChanges(added ...*wire.ConfigurationDelta) []*wire.ConfigurationDelta {
 	changes := append(slices.Clone(v.changes), added...)
 	return changes[max(0, len(changes)-maxKeptChanges):]
 }
 
-// Apply gives the version that a peer's answer leads to, or v itself if that isn't newer. An error means that the changes don't fit v
+// Apply returns the version that a peer's answer leads to, or v itself if that isn't newer. An error means that the changes don't fit v
 // and the whole configuration has to be fetched.
 func (v *Version) Apply(answer *wire.ConfigurationAnswer) (*Version, error) {
 	if answer.Full != nil {
@@ -80,7 +80,7 @@
 	return &Version{committed, v.appendChanges(chain...)}, nil
 }
 
-// AnswerTo answers a peer's call with the changes since the version that it holds, or else with the whole configuration. It gives nil
+// AnswerTo answers a peer's call with the changes since the version that it holds, or else with the whole configuration. It returns nil
 // if the peer accepts the whole in chunks of an image, and an empty answer if v isn't newer.
 func (v *Version) AnswerTo(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
 	if v.version() <= call.HeldVersion {
@@ -100,7 +100,7 @@
 	return version == v.version() || len(v.changesSince(version)) > 0
 }
 
-// changesSince gives the changes that lead from an older version to v. It gives none if they are not all kept, or if their text is
+// changesSince returns the changes that lead from an older version to v. It returns none if they are not all kept, or if their text is
 // longer than maxAnswerTextBytes or the whole body.
 func (v *Version) changesSince(base int64) []*wire.ConfigurationDelta {
 	total := 0
--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -45,7 +45,7 @@
 
 // Leader handles the operators' calls one after the other in the order of their arrival.
 type Leader struct {
-	// leadership is nil while this process does not lead the key.
+	// leadership is nil while this process does not lead the key. The records below are empty then.
 	leadership Leadership
 	// committed is the configuration in force, nil before the first. decodedCommitted caches its decoded body, nil until it is needed.
 	committed        *wire.Configuration
@@ -90,7 +90,7 @@
 	answer answerFunc
 }
 
-// answerClient sends the answer to a client's call. It must be called exactly once.
+// answerFunc sends the answer to a call. It must be called exactly once.
 type answerFunc = func(wire.ClientAnswer)
 
 // New creates a leader without a leadership. The function publish receives each committed configuration.
--- a/internal/control/controlapi/evacuation.go
+++ b/internal/control/controlapi/evacuation.go
@@ -28,8 +28,8 @@
 	mayHaveWaited func() bool
 }
 
-// NewEvacuation creates a handler. It refuses calls for names that are no zones, and calls that may have waited, whose caller may have tried
-// another steward meanwhile.
+// NewEvacuation creates a handler. It refuses calls for names that are no zones, and calls that may have waited, whose caller may have retried
+// at another steward meanwhile.
 func NewEvacuation(client *leaderclient.Client, isZone func(string) bool, mayHaveWaited func() bool) *Evacuation {
 	return &Evacuation{client: client, isZone: isZone, mayHaveWaited: mayHaveWaited}
 }
@@ -44,8 +44,9 @@
 	EvacuationReply(call, e.client.Ask(request.Context(), call, answerTimeout)).Write(to)
 }
 
-// decode makes a command of a call, or a refusal. Orders bear no number, so that an old copy can't be told from a new order: what may have
-// waited here while the operator went on elsewhere is not taken.
+// decode converts an operator's request to a call of the configuration's leader. If the request is refused, the call is nil. An order has no
+// number, so a delayed order can't be distinguished from a new one. A request that may have waited here is therefore refused, because the
+// operator may have given a later order at another steward meanwhile.
 func (e *Evacuation) decode(request *http.Request) (*wire.ClientCall, response.Reply) {
 	path := request.URL.Path
 	if path == pathEvacuations {
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -66,8 +66,8 @@
 
 // CoordinationTimes are the time limits of the partitions with locks, numbers and cells.
 type CoordinationTimes struct {
-	// History is how long a watcher may use a revision that it was given. Release is how long after the end of its holder's time a lock may
-	// still be refused to others.
+	// History is how long a watcher may use a revision that an answer named. Release is how long after its hold time has ended a lock may
+	// still be refused to other holders.
 	History, Release time.Duration
 }
 
--- a/internal/control/controlkeys/serve.go
+++ b/internal/control/controlkeys/serve.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// identifyDisk returns the name of this steward's disk, and whether the disk is temporary and new. It is empty without a disk.
+// identifyDisk returns the name of this steward's disk and whether it is new. A temporary disk always counts as new. The answer is empty on a
+// machine without a disk.
 func (m *Manager) identifyDisk() *wire.IdentifyAnswer {
 	switch {
 	case !m.hasDisk():
--- a/internal/control/controlkeys/tenants.go
+++ b/internal/control/controlkeys/tenants.go
@@ -26,7 +26,8 @@
 	policy   scheduler.TenantPolicy
 }
 
-// currentTenantPolicy returns the tenant policy of the configuration in force, an empty one before the first. Any goroutine may call it.
+// currentTenantPolicy returns the tenant policy of the configuration in force, an empty policy before the first configuration. Any goroutine
+// may call it.
 func (m *Manager) currentTenantPolicy() scheduler.TenantPolicy {
 	snapshot := m.Configurations.Current()
 	if snapshot == nil {
--- a/internal/control/replication/follower.go
+++ b/internal/control/replication/follower.go
@@ -17,7 +17,7 @@
 	// needsSnapshot is set if the leader's log no longer contains the disk's position.
 	needsSnapshot bool
 
-	// isBusy is set while a call is in flight. concurrentHeartbeats is the number of heartbeats in flight beside it.
+	// hasCallInFlight is set while a call is in flight. concurrentHeartbeats is the number of heartbeats in flight beside it.
 	hasCallInFlight      bool
 	concurrentHeartbeats int
 	// call is the latest call. abandonedCalls counts earlier calls that are still in flight but no longer waited for.
--- a/internal/node/localproxy/evacuation.go
+++ b/internal/node/localproxy/evacuation.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxEvacuationGrace is how long, at most, launches are still carried out after this process got to know of an evacuation. Gangs and
+	// maxEvacuationGrace is how long, at most, launches are still carried out after this process was informed of an evacuation. Gangs and
 	// other jobs that were placed before it can then complete their start.
 	maxEvacuationGrace = 2 * time.Second
 	// evacuationGraceShare is the share of the time until an evacuation must be in force that launches may use. The rest is for the
@@ -17,7 +17,7 @@
 }
 
 // WithEvacuation sets the time after which an evacuation must be in force, and the function that reports whether one is ordered for
-// this machine's zone, and since when this process knows, on the table's clock.
+// this machine's zone, and when this process was informed of it, on the table's clock.
 func WithEvacuation(inForceAfter time.Duration, isOrdered func() (since time.Duration, isOrdered bool)) TableOption {
 	return func(t *Table) { t.evacuation, t.evacuationGrace = isOrdered, evacuationGraceOf(inForceAfter) }
 }
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -58,7 +58,8 @@
 	return hasUnsent
 }
 
-// exchange makes one exchange with the leader and reports whether the leader answered. Without an executor it is a success.
+// exchange makes one exchange with the leader and reports whether the leader answered. Without an executor it makes no exchange and returns
+// true.
 func (p *Proxy) exchange(ctx context.Context, waitMs int64) bool {
 	call, isOpen := ask(ctx, p, func() *wire.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
--- a/internal/node/localproxy/executorstate.go
+++ b/internal/node/localproxy/executorstate.go
@@ -29,7 +29,7 @@
 type departure struct {
 	// isDraining is set once the executor takes no new runs.
 	isDraining bool
-	// departureAt is when the executor may be gone; 0 if unknown.
+	// departureAt is the earliest time at which the executor may shut down; 0 if unknown.
 	departureAt time.Duration
 	// isDeregistered is set once the executor has deregistered, at deregisteredAt.
 	isDeregistered bool
--- a/internal/node/localproxy/holdloop.go
+++ b/internal/node/localproxy/holdloop.go
@@ -74,8 +74,8 @@
 
 // hold sends a hold to the executor, gives the result to the table, and reports whether the lease was renewed.
 func (p *Proxy) hold(ctx context.Context, work HoldWork) bool {
-	limit := HoldTimeout(work.Hold)
-	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, limit, work.Hold)
+	timeout := HoldTimeout(work.Hold)
+	status, answer, err := p.executor.Call(ctx, "/v1/hold", work.Executor, timeout, work.Hold)
 	hasRenewed := err == nil && status == http.StatusOK
 	p.mailbox.Post(func() {
 		if hasRenewed {
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -17,7 +17,8 @@
 	service string
 	domain  string
 	name    string
-	// current is the incarnation of the executor that sent the last heartbeat; nil before the first one.
+	// current is the incarnation of the executor that sent the last heartbeat. It is nil before the first one, and after the last known
+	// incarnation has ended.
 	current *executorState
 	// others are incarnations that sent heartbeats before. They count as gone once the current incarnation answers a call.
 	others []*executorState
@@ -32,9 +33,9 @@
 	onListDue    func()
 	onAckDue     func()
 	onRunStarted func()
-	// session numbers the processes beside the executor; 0 disables the numbered changes (see feed).
+	// session is the number of this proxy process (see WithSession). 0 disables the numbered changes (see feed).
 	session uint64
-	// evacuation reports whether an evacuation of the zone is ordered, and since when this process knows, on the table's clock.
+	// evacuation reports whether an evacuation of the zone is ordered, and when this process was informed of it, on the table's clock.
 	evacuation func() (since time.Duration, isOrdered bool)
 	// evacuationGrace is how long after that time launches are still carried out.
 	evacuationGrace time.Duration
@@ -43,7 +44,8 @@
 // TableOption configures a table.
 type TableOption func(*Table)
 
-// WithSession has exchanges carry only what changed. The number should rise from one process beside the executor to the next.
+// WithSession sets the number of this proxy process, so that exchanges carry only what has changed. The number should be higher than that of
+// any earlier proxy process on this machine.
 func WithSession(number uint64) TableOption { return func(t *Table) { t.session = number } }
 
 // WithDrainTime sets how long an executor keeps serving, at least, after its deregistration.
--- a/internal/scheduling/placement/turn.go
+++ b/internal/scheduling/placement/turn.go
@@ -3,7 +3,8 @@
 import "slices"
 
 // placementRound is the state of one call of Place. Capacity only shrinks during a round, so a group that found no executor finds none
-// later, and only executors with capacity for MinNeed can be chosen. Only gangs may use reserved executors.
+// later, and only executors with capacity for MinNeed can be chosen. Only gangs and first runs beyond the soft limits may use
+// reserved executors.
 type placementRound struct {
 	executors  []Executor
 	minNeed    Resources
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -13,7 +13,8 @@
 // restartPause is the delay before a long-running task that failed is started again.
 const restartPause = 100 * time.Millisecond
 
-// handleEnd processes the report that a run has ended. Its records are committed separately from those of the launch.
+// handleEnd processes the report that a run has ended. Its records are in a later commit than those of the launch, because the launch order
+// is sent only after its own commit.
 func (p *Pool) handleEnd(executor *executorState, end wire.EndReport) {
 	run := executor.runs[runKey{end.Task, end.Run}]
 	if run == nil {
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -62,8 +62,8 @@
 	answer(p.answerFor(executor))
 }
 
-// updateContact processes the part of a report that is valid even if the pool doesn't have its base: the contact itself and the age of the
-// executor's last lease renewal.
+// updateContact processes the part of a report that is valid even if the pool doesn't have the report that it is based on: the contact
+// itself and the age of the executor's last lease renewal.
 func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	p.table.markChanged(executor)
 	isUnschedulable := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
--- a/internal/scheduling/scheduler/exchangestate.go
+++ b/internal/scheduling/scheduler/exchangestate.go
@@ -2,7 +2,8 @@
 
 import "gannetline/internal/cluster/peerapi/wire"
 
-// exchangeState holds the facts that a local proxy has reported of an executor, up to a number of the proxy's session.
+// exchangeState holds the facts that a local proxy has reported of an executor. session is the proxy's session, and number the number of its
+// last report that the pool has applied.
 type exchangeState struct {
 	session uint64
 	number  uint64
@@ -10,8 +11,8 @@
 	facts wire.ExchangeCall
 }
 
-// merge returns the call completed with the facts that it left out as unchanged. It returns false if the pool doesn't have the base of
-// the call. A call without a session is a full report.
+// merge returns the call completed with the facts that it left out as unchanged. It returns false if the pool doesn't have the report that
+// the call is based on. A call without a session is a full report.
 func (h *exchangeState) merge(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
 	full := *call
 	if call.Session == 0 {
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -36,7 +36,7 @@
 	labels     []string
 	capacity   placement.Resources
 	isDraining bool
-	// departureAt is the earliest time at which a draining executor may be gone, 0 if it isn't known.
+	// departureAt is the earliest time at which a draining executor may shut down, 0 if it isn't known.
 	departureAt time.Duration
 }
 
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -21,8 +21,9 @@
 	unlimitedRuns = 64
 	// maxStalls is how many runs of a task are stopped at most because they make no progress.
 	maxStalls = 4
-	// heartbeatOverdue is the time without a report after which an executor is overdue; its proxy polls for orders every 300 ms. An
-	// overdue executor is chosen last among equals, as an order for it may wait in vain until it counts as silent.
+	// heartbeatOverdue is the time without a report after which an executor is overdue. Its proxy polls for orders every 300 ms, and every
+	// 600 ms while the executor is idle. An overdue executor is chosen last among equals, as an order for it may wait in vain until it
+	// counts as silent.
 	heartbeatOverdue = 450 * time.Millisecond
 	// overdueWeight is the penalty of an overdue executor.
 	overdueWeight = 0.4
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -7,10 +7,10 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// jobPhase is the state of a job, as it is reported to clients and stored.
+// jobPhase is the state of a job, as it is stored. Clients receive shownState.
 type jobPhase string
 
-// The phases of a job. A job is queued until one of its tasks has started; the last three are final.
+// The phases of a job. A job is queued until one of its tasks has started. The last three are final, and so is jobMoved.
 const (
 	jobQueued    jobPhase = "queued"
 	jobActive    jobPhase = "active"
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -61,16 +61,16 @@
 	p.dropOrphanedOrders(records[prefixOrder])
 }
 
-// loadEach calls take for each record of one kind, with the name without its prefix, and notes the records that can't be read.
+// loadEach calls take for each record of one kind, with the name without its prefix, and records which of them can't be read.
 func (p *Pool) loadEach(pairs []wire.Op, take func(name string, value []byte) error) {
 	for _, pair := range pairs {
 		if err := take(pair.Name[prefixLength:], pair.Value); err != nil {
-			p.noteUnreadable(pair.Name, err)
+			p.recordUnreadable(pair.Name, err)
 		}
 	}
 }
 
-func (p *Pool) noteUnreadable(record string, err error) {
+func (p *Pool) recordUnreadable(record string, err error) {
 	p.log.Error(err, "unreadable record", "key", p.key, "record", record)
 	p.unreadable = append(p.unreadable, record)
 }
@@ -104,7 +104,7 @@
 	delete(p.awaitingRelease, job.id)
 }
 
-// loadState reads the stored state of a job that has ended or was requeued. A job whose job record is already deleted is added with its
+// loadState reads the stored state of a job that has ended. A job whose job record is already deleted is added with its
 // state only, so that clients can still ask for the result.
 func (p *Pool) loadState(id string, value []byte) error {
 	job, isKnown := p.jobs[id]
@@ -154,7 +154,7 @@
 		loaded := loadedTask{name: pair.Name}
 		var isTask bool
 		if loaded.place, isTask = jobs.ParseTask(pair.Name[prefixLength:]); !isTask {
-			p.noteUnreadable(pair.Name, errors.Annotate(errBadName, "expected ID.K.STEP.INDEX"))
+			p.recordUnreadable(pair.Name, errors.Annotate(errBadName, "expected ID.K.STEP.INDEX"))
 			continue
 		}
 		loaded.job = p.jobs[loaded.place.ID]
@@ -166,7 +166,7 @@
 			continue
 		}
 		if err := easyjson.Unmarshal(pair.Value, &loaded.record); err != nil {
-			p.noteUnreadable(pair.Name, err)
+			p.recordUnreadable(pair.Name, err)
 			p.setAside(loaded.job)
 			continue
 		}
--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -59,7 +59,7 @@
 		tickSeconds: tickSeconds.With(key), placeSeconds: placeSeconds.With(key), shownPriorities: map[int]bool{}, shownTenants: map[string]bool{}}
 }
 
-// countSentOrder counts an order that is being countSentOrder, also as resent from the second time on.
+// countSentOrder counts an order that is being sent. From the second time on it also counts it as resent.
 func (m *poolMetrics) countSentOrder(run *runState) {
 	kind := wire.OrderStop
 	if run.phase == runLaunching {
--- a/internal/scheduling/scheduler/overload.go
+++ b/internal/scheduling/scheduler/overload.go
@@ -9,22 +9,24 @@
 // overloadHoldTime is how long a priority counts as overloaded after one of its jobs last became late before any part of it was started.
 const overloadHoldTime = 3 * time.Second
 
-// overloadWatch holds the overloaded priorities, those with more work than can be on time, and until when each counts as overloaded.
+// overloadTracker holds the overloaded priorities, those with more work than can be on time, and until when each counts as overloaded.
 //
 // Without overload, the work with the earliest target goes first. Under overload that order would start each job only when it can barely
 // be on time, and meanwhile delay the next one, so that nearly all jobs are late. So the newest work goes first under overload; the older
 // work that it passes would be late anyway.
 //
 // A tenant at its limit is overloaded separately. The order of the other tenants' work doesn't change.
-type overloadWatch struct{ until map[overloadKey]time.Duration }
+type overloadTracker struct{ until map[overloadKey]time.Duration }
 
 // overloadKey is a priority, either of one tenant at its limit or, with tenant index 0, of the whole pool.
 type overloadKey struct{ priority, tenant int }
 
-func newOverloadWatch() overloadWatch { return overloadWatch{until: map[overloadKey]time.Duration{}} }
+func newOverloadTracker() overloadTracker {
+	return overloadTracker{until: map[overloadKey]time.Duration{}}
+}
 
 // isOverloaded reports whether a priority is overloaded for a tenant, either in the whole pool or for this tenant alone.
-func (o *overloadWatch) isOverloaded(priority, tenant int) bool {
+func (o *overloadTracker) isOverloaded(priority, tenant int) bool {
 	_, isOverloaded := o.until[overloadKey{priority, 0}]
 	if !isOverloaded && tenant > 0 {
 		_, isOverloaded = o.until[overloadKey{priority, tenant}]
@@ -33,7 +35,7 @@
 }
 
 // isMoreUrgentOverloaded reports whether a priority more urgent than this one is overloaded in the whole pool.
-func (o *overloadWatch) isMoreUrgentOverloaded(priority int) bool {
+func (o *overloadTracker) isMoreUrgentOverloaded(priority int) bool {
 	for key := range o.until {
 		if key.tenant == 0 && key.priority < priority {
 			return true
@@ -42,9 +44,9 @@
 	return false
 }
 
-// noteTargetMiss compares a step's former and current requests. If the step became late before any part of its job was started, its
+// recordTargetMiss compares a step's former and current requests. If the step became late before any part of its job was started, its
 // priority counts as overloaded for overloadHoldTime.
-func (p *Pool) noteTargetMiss(former, current *placement.Group, now time.Duration) {
+func (p *Pool) recordTargetMiss(former, current *placement.Group, now time.Duration) {
 	isMissed := former.Count > 0 && former.Deadline == placement.OnTime && current.Count > 0 && current.Deadline == placement.Late
 	if !isMissed || current.RemainingTenths < wholeJob {
 		return
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -45,20 +45,20 @@
 	timing Timing
 	log    logging.Logger
 
-	// leadership is nil while another process leads the key; the tables are empty then.
+	// leadership is nil while this process does not lead the key. The tables are empty then.
 	leadership Leadership
 	// openedAt is the monotonic time of the last Open.
 	openedAt time.Duration
 	jobTable
 	executorRegistry
 	changeSet
-	orderWatch
+	orderTracker
 	capacityUse
 	// open is the queue of open steps and their placement requests. needsPlacing is set when something has changed that may allow
 	// a request to be placed.
 	open         openSteps
 	needsPlacing bool
-	overload     overloadWatch
+	overload     overloadTracker
 	// spreads holds, by route, how widely the durations of the route's tasks vary.
 	spreads map[string]*durationSpread
 	tenants tenantTable
@@ -114,8 +114,8 @@
 	health map[string]*machineHealth
 }
 
-// orderWatch holds the runs and gangs that Tick checks for timeouts, and the executors that have orders to send.
-type orderWatch struct {
+// orderTracker holds the runs and gangs that Tick checks for timeouts, and the executors that have orders to send.
+type orderTracker struct {
 	// pendingRuns holds the runs with an order in progress: launching or stopping.
 	pendingRuns map[*runState]bool
 	// brokenGangs holds the gangs that have lost a member while other members still run.
@@ -124,8 +124,8 @@
 	ordersToSend map[*executorState]bool
 }
 
-func newOrderWatch() orderWatch {
-	return orderWatch{pendingRuns: map[*runState]bool{}, brokenGangs: map[*stepState]bool{}, ordersToSend: map[*executorState]bool{}}
+func newOrderTracker() orderTracker {
+	return orderTracker{pendingRuns: map[*runState]bool{}, brokenGangs: map[*stepState]bool{}, ordersToSend: map[*executorState]bool{}}
 }
 
 // Recorder receives the events that a rehearsal needs to replay the day. Record must not block.
@@ -158,9 +158,9 @@
 
 // Open takes over the key with its committed records. A record that can't be decoded doesn't keep the pool from opening.
 func (p *Pool) Open(leadership Leadership, pairs []wire.Op) {
-	p.jobTable, p.changeSet, p.orderWatch, p.capacityUse = newJobTable(), newChangeSet(), newOrderWatch(), newCapacityUse()
+	p.jobTable, p.changeSet, p.orderTracker, p.capacityUse = newJobTable(), newChangeSet(), newOrderTracker(), newCapacityUse()
 	p.executors, p.newestOnMachine, p.table = map[string]*executorState{}, map[string]*executorState{}, executorTable{}
-	p.open, p.overload, p.spreads = newOpenSteps(), newOverloadWatch(), map[string]*durationSpread{}
+	p.open, p.overload, p.spreads = newOpenSteps(), newOverloadTracker(), map[string]*durationSpread{}
 	p.tenants, p.rollouts = newTenantTable(), newRolloutTable()
 	p.openedAt = p.clock.Monotonic()
 	p.load(leadership, pairs)
@@ -177,7 +177,7 @@
 	}
 	p.metrics.clearGauges()
 	uncommitted := p.takeCallbacks()
-	p.jobTable, p.changeSet, p.orderWatch, p.capacityUse = jobTable{}, changeSet{}, orderWatch{}, capacityUse{}
+	p.jobTable, p.changeSet, p.orderTracker, p.capacityUse = jobTable{}, changeSet{}, orderTracker{}, capacityUse{}
 	p.executors, p.table, p.open = nil, executorTable{}, openSteps{}
 	p.tenants, p.accounts, p.rollouts = tenantTable{}, nil, rolloutTable{}
 	for _, callback := range uncommitted {
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// request returns the request of a group by the group's index in queue(): first the groups of first, then the speculative ones.
+// request returns the request of a group by the group's number in queue(), which counts the groups of first and then the speculative ones.
 func (o *openSteps) request(number int) *placementRequest {
 	if number < len(o.first.requests) {
 		return o.first.requests[number]
@@ -92,7 +92,7 @@
 	return last
 }
 
-// set changes the time of a step's next refresh. The time never removes the step from the heap.
+// set changes the time of a step's next refresh. If at is the constant never, the step is removed from the heap.
 func (t *stepTimes) set(step *stepState, at time.Duration) {
 	index := step.requests.heapIndex
 	step.requests.refreshAt = at
--- a/internal/scheduling/scheduler/records.go
+++ b/internal/scheduling/scheduler/records.go
@@ -6,7 +6,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// The first two bytes of a record's name tell its kind.
+// The first two bytes of a record's name are its kind.
 const (
 	prefixJob        = "j/"
 	prefixState      = "s/"
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -14,7 +14,8 @@
 // maxIdleWait is how long soft limits may keep a step without runs from starting its first run.
 const maxIdleWait = time.Second
 
-// markChanged notes that a task has changed, and has the placement requests of all steps of its occurrence recomputed.
+// markChanged updates the lists of a step after one of its tasks has changed. It marks the placement requests of all steps of the occurrence
+// as stale.
 func (p *Pool) markChanged(task *taskState) {
 	task.step.classify(task)
 	for _, step := range task.step.occurrence.steps {
@@ -64,7 +65,7 @@
 	if len(ready) > 0 {
 		group = p.group(step, ready)
 	}
-	p.noteTargetMiss(&step.requests.group, &group, now)
+	p.recordTargetMiss(&step.requests.group, &group, now)
 	p.open.first.change(&step.requests.first, ready, group)
 	candidates, candidatesNext := p.tasksToSpeculate(step, now)
 	p.refreshSpeculative(step, candidates)
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -9,7 +9,7 @@
 )
 
 // handleOrderAnswer handles an executor's answer to an order. A run whose launch was refused is closed at once only if the launch was sent
-// at most once. If it was sent twice, the other copy may still start the run, so the run is stopped instead.
+// at most once. If it was sent more often, another copy may still start the run, so the run is stopped instead.
 func (p *Pool) handleOrderAnswer(executor *executorState, answer wire.OrderAnswer) {
 	run := executor.runs[runKey{answer.Task, answer.Run}]
 	if run == nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-// stopOrphan stops a run that the pool has no record of, for example one that started long after its order was given up.
+// stopOrphan stops a run that the pool has no record of, for example one that started after its order had timed out.
 func (p *Pool) stopOrphan(executor *executorState, report wire.RunReport) {
 	order := wire.Order{Kind: wire.OrderStop, Task: report.Task, Run: report.Run}
 	if !slices.Contains(executor.orphanStops, order) {
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// addDemand adds a need to an entry, or subtracts it if count is negative. An entry that no group is left of is deleted.
+// addDemand adds a need to an entry, or subtracts it if count is negative. It deletes an entry that counts no group any more.
 func addDemand(demands map[int]allocation, key int, need placement.Resources, count int) {
 	demand := demands[key].with(need, count)
 	demands[key] = demand
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -40,7 +40,7 @@
 	allocations   map[int]allocation
 	recentDemands map[int]*recentDemand
 	shareAccounts shareAccounts
-	// longWorkRemaining is how much more long work of each priority could start at the last placement.
+	// longWorkRemaining is how much more long work of each priority could start when the last placement began.
 	longWorkRemaining map[int]placement.Resources
 	// underusedSince is when the CPU in use fell below FirstRunShare, or the value never while it is not below.
 	underusedSince time.Duration
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -29,7 +29,7 @@
 	// ReturnTo is the service of the old version, to whose pool jobs are returned. It is set only if this pool runs the new version and the
 	// rollout was rolled back.
 	ReturnTo string
-	// StopsRuns allows runs to be stopped so that their jobs can be returned. IsRepeatable tells that tasks may run again, even those that are
+	// StopsRuns allows runs to be stopped so that their jobs can be returned. IsRepeatable is set if tasks may run again, even those that are
 	// done.
 	StopsRuns    bool
 	IsRepeatable bool
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -134,7 +134,7 @@
 	p.stopIfUnfinishable(run)
 }
 
-// recordStart notes that a task of the job has started; a queued job becomes active.
+// recordStart records that a task of the job has started. A queued job becomes active.
 func (p *Pool) recordStart(job *jobState) {
 	job.hasStarted = true
 	if job.phase == jobQueued {
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -58,14 +58,14 @@
 	orderedAt time.Duration
 	// startedAt is when the run started, 0 until that is known. A run that was adopted from an earlier leader counts from Open.
 	startedAt time.Duration
-	// answeredAt and isAnswered tell when and whether the executor has acknowledged the stop order.
+	// isAnswered is set once the executor has acknowledged the stop order, which was at answeredAt.
 	answeredAt time.Duration
 	isAnswered bool
-	// awaitedList is the number of the executor's list of runs that decides what has become of this one; 0 if it awaits none.
+	// awaitedList is the number of the executor's list of runs that resolves the state of this run; 0 if the state is certain.
 	awaitedList uint64
 	// isStuck is set while the executor reports that the run makes no progress.
 	isStuck bool
-	// isExpired is set if the run was already expired when it was placed, isFromShare if a capacity share was used for it.
+	// isExpired is set if the run's work was already expired when it was placed, isFromShare if a capacity share was used for it.
 	isExpired   bool
 	isFromShare bool
 }
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -13,7 +13,7 @@
 	Version int64
 	// Terms holds the terms of each tenant by its name.
 	Terms map[string]TenantTerms
-	// HasOtherPools tells that other pools may run work of the same tenants.
+	// HasOtherPools is set if other pools may run work of the same tenants.
 	HasOtherPools bool
 }
 
@@ -82,8 +82,8 @@
 	return tenant
 }
 
-// updateTerms applies the terms of the current configuration if its version has changed. If no configuration has had a tenant since this
-// leader took over, the tenant may use what the pool was granted for it and no more.
+// updateTerms applies the terms of the current configuration if its version has changed. A tenant that no configuration has
+// had since this leader took over keeps the limit that openAccounts has set: what the pool was granted for it.
 func (p *Pool) updateTerms() {
 	policy := p.policyInForce()
 	if policy.Version == p.tenants.version {
@@ -142,8 +142,8 @@
 	limits := make([]placement.Tenant, len(p.tenants.sorted))
 	totalWeight := p.activeWeight()
 	for index, tenant := range p.tenants.sorted {
-		limit, mayOverhang := p.limitOf(tenant)
-		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOverhang,
+		limit, mayOvershoot := p.limitOf(tenant)
+		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOvershoot,
 			LongAllocated: tenant.longAllocated.resources, LongLimit: p.longLimit(tenant, limit, now), Share: placement.NoLimit}
 		if index > 0 && tenant.hasWork() {
 			limits[index].Share = p.table.openCapacity.Times(tenant.terms.Weight / totalWeight)
@@ -153,9 +153,9 @@
 	return limits
 }
 
-// limitOf returns how much a tenant's runs may take in this pool. mayOverhang reports whether the last run may exceed this, which is allowed
-// only if no other pool starts runs under the same limit.
-func (p *Pool) limitOf(tenant *tenantState) (limit placement.Resources, mayOverhang bool) {
+// limitOf returns how much a tenant's runs may take in this pool. mayOvershoot is set if the last run may exceed this, which is allowed only
+// if no other pool starts runs under the same limit.
+func (p *Pool) limitOf(tenant *tenantState) (limit placement.Resources, mayOvershoot bool) {
 	if p.accounts == nil || tenant.index == 0 {
 		return tenant.terms.Limit, true
 	}
@@ -207,7 +207,7 @@
 	return t.index > 0 && t.surplusJobs >= max(minSurplusJobs, int(surplusSeconds*t.terms.Weight))
 }
 
-// submissionRate is a token bucket that tells which of a tenant's jobs are within its rate, which is its weight in jobs per second. The
+// submissionRate is a token bucket that decides which of a tenant's jobs are within its rate, which is its weight in jobs per second. The
 // bucket holds the jobs of one time window.
 type submissionRate struct {
 	tokens float64
