--- a/internal/scheduling/rollout/judge.go
+++ b/internal/scheduling/rollout/judge.go
@@ -14,13 +14,13 @@
 type Action string
 
 // The actions. Hold changes nothing, Begin gives the new version its first share, Widen its next one, Finish moves the route to the new
-// version, and TurnBack returns all jobs to the old one.
+// version, and RollBack returns all jobs to the old one.
 const (
 	Hold     Action = "hold"
 	Begin    Action = "begin"
 	Widen    Action = "widen"
 	Finish   Action = "finish"
-	TurnBack Action = "turn back"
+	RollBack Action = "turn back"
 )
 
 // Reason is why a decision was made. Operators see it in the status, the logs and the configuration.
@@ -144,9 +144,9 @@
 	decision := Decision{Action: Hold, Verdicts: verdicts, Decisive: decisive}
 	switch {
 	case j.hasLostExecutors(evidence, nowMs):
-		decision.Action, decision.Reason = TurnBack, ReasonNoExecutors
+		decision.Action, decision.Reason = RollBack, ReasonNoExecutors
 	case decisive != nil:
-		decision.Action, decision.Reason = TurnBack, reasonOf(decisive.Kind)
+		decision.Action, decision.Reason = RollBack, reasonOf(decisive.Kind)
 	default:
 		decision.Action, decision.Reason = decideNextStep(rollout, evidence, verdicts, nowMs)
 	}
--- a/internal/scheduling/rollout/judge_test.go
+++ b/internal/scheduling/rollout/judge_test.go
@@ -106,7 +106,7 @@
 		case rollout.Widen:
 			s.rollout.Step++
 			s.rollout.StepBegunMs, s.rollout.StepJobs = s.nowMs, s.evidence.New.Counts.Jobs.Completed+s.evidence.New.Counts.Jobs.Failed
-		case rollout.Finish, rollout.TurnBack:
+		case rollout.Finish, rollout.RollBack:
 			return decision
 		}
 	}
@@ -127,7 +127,7 @@
 		for seed := range uint64(10) {
 			s := newSimulation(seed, chances)
 			decision := s.run(endMs)
-			Expect(decision.Action).To(Equal(rollout.TurnBack), "seed %d", seed)
+			Expect(decision.Action).To(Equal(rollout.RollBack), "seed %d", seed)
 			Expect(decision.Reason).To(Equal(reason))
 			Expect(decision.Decisive.Stratum).To(Equal(stratum))
 			Expect(s.rollout.Step).To(BeNumerically("<=", maxStep), "the bad version got a larger share before it was detected")
@@ -146,7 +146,7 @@
 			for seed := range uint64(40) {
 				s := newSimulation(seed, behaviour{fails: fails})
 				s.perSecond = 200
-				if s.run(endMs).Action == rollout.TurnBack {
+				if s.run(endMs).Action == rollout.RollBack {
 					count++
 				}
 			}
@@ -163,7 +163,7 @@
 			s := newSimulation(seed, behaviour{fails: 0.05})
 			s.rollout.Bounds.FalseAlarm = 0.05
 			s.rollout.State = configuration.RolloutPaused
-			if s.run(begunMs+10*60*1000).Action == rollout.TurnBack {
+			if s.run(begunMs+10*60*1000).Action == rollout.RollBack {
 				alarms++
 			}
 		}
@@ -181,13 +181,13 @@
 	It("does not roll back a version that fails as often as the old one", func() {
 		s := newSimulation(4, behaviour{fails: 0.2})
 		s.old.fails = 0.2
-		Expect(s.run(endMs).Action).NotTo(Equal(rollout.TurnBack))
+		Expect(s.run(endMs).Action).NotTo(Equal(rollout.RollBack))
 	})
 
 	It("rolls back a bad version though each decision is made by a new judge, as after changes of leader", func() {
 		s := newSimulation(5, behaviour{fails: 0.5})
 		for {
-			if decision := s.advance(&rollout.Judge{}); decision.Action == rollout.TurnBack {
+			if decision := s.advance(&rollout.Judge{}); decision.Action == rollout.RollBack {
 				break
 			}
 			Expect(s.nowMs).To(BeNumerically("<", endMs))
@@ -233,14 +233,14 @@
 		}
 		s.advance(judge)
 		decision := s.advance(judge)
-		Expect(decision.Action).To(Equal(rollout.TurnBack))
+		Expect(decision.Action).To(Equal(rollout.RollBack))
 		Expect(decision.Reason).To(Equal(rollout.ReasonNoExecutors))
 	})
 
 	It("does not roll back before the minimum number of jobs", func() {
 		s := newSimulation(9, behaviour{fails: 1})
 		s.rollout.Bounds.MinJobs = 40
-		Expect(s.run(endMs).Action).To(Equal(rollout.TurnBack))
+		Expect(s.run(endMs).Action).To(Equal(rollout.RollBack))
 		Expect(s.evidence.New.Counts.Jobs.Failed).To(BeNumerically(">=", 40))
 	})
 
--- a/internal/scheduling/rollout/progress.go
+++ b/internal/scheduling/rollout/progress.go
@@ -14,7 +14,7 @@
 		progress.Step, progress.StepBegunMs, progress.StepJobs = rollout.Step+1, nowMs, evidence.New.ended()
 	case Finish:
 		progress.State = configuration.RolloutFinished
-	case TurnBack:
+	case RollBack:
 		progress.State, progress.Reason = configuration.RolloutTurnedBack, reasonText(decision)
 	}
 	return progress
