--- a/cmd/gannetline/rollout_test.go
+++ b/cmd/gannetline/rollout_test.go
@@ -104,7 +104,7 @@
 			command string
 			state   configuration.RolloutState
 			reason  string
-		}{{"pause", configuration.RolloutPaused, "paused by ann"}, {"resume", configuration.RolloutWidening, ""}, {"abort", configuration.RolloutTurnedBack, "aborted by ann"}} {
+		}{{"pause", configuration.RolloutPaused, "paused by ann"}, {"resume", configuration.RolloutWidening, ""}, {"abort", configuration.RolloutRolledBack, "aborted by ann"}} {
 			output, code := run(step.command, "--by=ann", "r")
 			Expect(code).To(Equal(0), output)
 			Expect(control.current().Rollouts[0].State).To(Equal(step.state))
--- a/cmd/gannetline/rolloutstate.go
+++ b/cmd/gannetline/rolloutstate.go
@@ -61,7 +61,7 @@
 	if progress.State.IsOver() {
 		return errRolloutOver
 	}
-	progress.State, progress.Reason = configuration.RolloutTurnedBack, "aborted by "+by
+	progress.State, progress.Reason = configuration.RolloutRolledBack, "aborted by "+by
 	return nil
 }
 
--- a/internal/cluster/configuration/rollouts.go
+++ b/internal/cluster/configuration/rollouts.go
@@ -4,21 +4,20 @@
 	"hash/fnv"
 )
 
-// RolloutState is the state of a rollout, as it stands in the configuration.
+// RolloutState is the state of a rollout in the configuration.
 type RolloutState string
 
-// The states of a rollout. The leader of the configuration starts a requested one. RolloutTurnedBack, of a rollout that was rolled back,
-// and RolloutFinished are final.
+// The states of a rollout. The leader of the configuration starts a requested one. RolloutRolledBack and RolloutFinished are final.
 const (
 	RolloutRequested  RolloutState = ""
 	RolloutWidening   RolloutState = "widening"
 	RolloutPaused     RolloutState = "paused"
-	RolloutTurnedBack RolloutState = "turned-back"
+	RolloutRolledBack RolloutState = "turned-back"
 	RolloutFinished   RolloutState = "finished"
 )
 
 // IsOver reports whether the state is final.
-func (s RolloutState) IsOver() bool { return s == RolloutTurnedBack || s == RolloutFinished }
+func (s RolloutState) IsOver() bool { return s == RolloutRolledBack || s == RolloutFinished }
 
 // Label is the state as operators read it; RolloutRequested, which is empty in the configuration, has a word there.
 func (s RolloutState) Label() string {
@@ -176,7 +175,7 @@
 		add("field on-turn-back must be %s or %s", TurnBackFinish, TurnBackStop)
 	}
 	switch r.State {
-	case RolloutRequested, RolloutWidening, RolloutPaused, RolloutTurnedBack, RolloutFinished:
+	case RolloutRequested, RolloutWidening, RolloutPaused, RolloutRolledBack, RolloutFinished:
 	default:
 		add("field state is %q, which is unknown", r.State)
 	}
--- a/internal/control/rollouts/controller_test.go
+++ b/internal/control/rollouts/controller_test.go
@@ -152,7 +152,7 @@
 		s.ended("w2", "s", 4, 0)
 		s.reconcile()
 		s.reconcile()
-		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutTurnedBack))
+		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutRolledBack))
 		Expect(s.current().Rollouts[0].Reason).To(ContainSubstring("more failures than agreed: failures of all jobs: 10 of 20, agreed 0.050"))
 		Expect(s.current().Rollouts[1].State).To(Equal(configuration.RolloutWidening))
 		Expect(s.current().Routes[0].Service).To(Equal("v1"))
@@ -177,7 +177,7 @@
 		s.refusesChanges = false
 		s.changeLeader()
 		s.reconcile()
-		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutTurnedBack))
+		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutRolledBack))
 	})
 
 	It("gives way to a concurrent change by an operator", func() {
@@ -192,7 +192,7 @@
 		Expect(s.current().Version).To(Equal(int64(90)))
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutPaused))
 		s.reconcile()
-		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutTurnedBack), "a paused rollout is still judged")
+		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutRolledBack), "a paused rollout is still judged")
 	})
 
 	It("does not change rollouts that an operator paused, rolled back or removed", func() {
--- a/internal/control/rollouts/policy.go
+++ b/internal/control/rollouts/policy.go
@@ -16,7 +16,7 @@
 		switch {
 		case configured.BegunMs == 0 || route == nil || service != configured.From && service != configured.To:
 			continue
-		case configured.State == configuration.RolloutTurnedBack:
+		case configured.State == configuration.RolloutRolledBack:
 			underWay := matcher.Rollout(configured.Route)
 			if service != configured.To || route.Service == service || underWay != nil && underWay.To == service {
 				continue
--- a/internal/scheduling/rollout/judge_test.go
+++ b/internal/scheduling/rollout/judge_test.go
@@ -211,7 +211,7 @@
 		Entry("while a pool does not answer", func(s *simulation) { s.evidence.Old.IsKnown = false }, rollout.ReasonSilent),
 		Entry("when the old version could not take back all jobs", func(s *simulation) { s.evidence.Old.Capacity = 1000 }, rollout.ReasonNoCapacityOld),
 		Entry("when the new version lacks capacity for the next step", func(s *simulation) { s.evidence.New.Capacity = 100 }, rollout.ReasonNoCapacityNew),
-		Entry("when the rollout is over", func(s *simulation) { s.rollout.State = configuration.RolloutTurnedBack }, rollout.ReasonOver),
+		Entry("when the rollout is over", func(s *simulation) { s.rollout.State = configuration.RolloutRolledBack }, rollout.ReasonOver),
 		Entry("when the rollout is requested and the new version has no executors", func(s *simulation) {
 			s.rollout.State, s.evidence.New.Executors = configuration.RolloutRequested, 0
 		}, rollout.ReasonNoExecutors),
--- a/internal/scheduling/rollout/progress.go
+++ b/internal/scheduling/rollout/progress.go
@@ -15,7 +15,7 @@
 	case Finish:
 		progress.State = configuration.RolloutFinished
 	case RollBack:
-		progress.State, progress.Reason = configuration.RolloutTurnedBack, reasonText(decision)
+		progress.State, progress.Reason = configuration.RolloutRolledBack, reasonText(decision)
 	}
 	return progress
 }
--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -217,7 +217,7 @@
 	case kind == kindResume && progress.State == configuration.RolloutPaused:
 		progress.State = configuration.RolloutWidening
 	case kind == kindAbort && progress.State != configuration.RolloutRequested:
-		progress.State = configuration.RolloutTurnedBack
+		progress.State = configuration.RolloutRolledBack
 	default:
 		return false
 	}
@@ -249,7 +249,7 @@
 	if state, isEnded := m.ended[rollout.Name]; isEnded && state != rollout.State {
 		m.cluster.violate("OPERATOR", "rollout %s was %s and is %q", rollout.Name, state, rollout.State)
 	}
-	if _, isKnown := m.ended[rollout.Name]; !isKnown && rollout.State == configuration.RolloutTurnedBack {
+	if _, isKnown := m.ended[rollout.Name]; !isKnown && rollout.State == configuration.RolloutRolledBack {
 		m.cluster.coverage["turned_back"]++
 	}
 	if rollout.IsOver() {
--- a/internal/simulation/modelcheck/rolloutmodel/oracles.go
+++ b/internal/simulation/modelcheck/rolloutmodel/oracles.go
@@ -77,7 +77,7 @@
 	}
 	since := c.queue.Now() - max(pool.silentUntil, c.control.closedAt[serviceOf(pool.number)])
 	for _, rollout := range decoded.Rollouts {
-		if rollout.State == configuration.RolloutTurnedBack && rollout.To == serviceOf(pool.number) && since > returnBound {
+		if rollout.State == configuration.RolloutRolledBack && rollout.To == serviceOf(pool.number) && since > returnBound {
 			c.violate("TURNED BACK", "%s is started in %s, %v after that was turned back", order.Task, pool.name(), since)
 		}
 	}
--- a/internal/simulation/rehearsal/rolloutpolicy_test.go
+++ b/internal/simulation/rehearsal/rolloutpolicy_test.go
@@ -16,7 +16,7 @@
 	}
 
 	ginkgo.DescribeTable("is that runs of a turned back version are stopped where its jobs may run again", func(isRepeatable bool) {
-		policy := played(configuration.RolloutTurnedBack, isRepeatable).policy(versionNew)
+		policy := played(configuration.RolloutRolledBack, isRepeatable).policy(versionNew)
 		Expect(policy.Version).To(Equal(int64(3)))
 		Expect(policy.Rollouts).To(HaveLen(1))
 		Expect(policy.Rollouts[0].StopsRuns).To(BeTrue())
@@ -31,7 +31,7 @@
 		begins := played(configuration.RolloutWidening, false)
 		begins.rollout.BegunMs = 0
 		Expect(begins.policy(versionNew).Rollouts).To(BeEmpty())
-		Expect(played(configuration.RolloutTurnedBack, false).policy(versionOld).Rollouts).To(BeEmpty())
+		Expect(played(configuration.RolloutRolledBack, false).policy(versionOld).Rollouts).To(BeEmpty())
 		Expect(played(configuration.RolloutWidening, false).policy(versionOld).Rollouts).To(HaveLen(1))
 	})
 })
--- a/internal/simulation/soak/rollouts.go
+++ b/internal/simulation/soak/rollouts.go
@@ -116,7 +116,7 @@
 		if seen.BegunMs > 0 && begunAt == 0 {
 			begunAt = seen.At
 		}
-		isTurnedBack = isTurnedBack || seen.State == configuration.RolloutTurnedBack
+		isTurnedBack = isTurnedBack || seen.State == configuration.RolloutRolledBack
 		isLate := begunAt > 0 && !isTurnedBack && seen.At-begunAt > turnBackBound
 		if seen.Share == 1 || isLate {
 			return append(violations, Violation{OracleRollout, seen.At, fmt.Sprintf("the bad version has a share of %g, %v after it began", seen.Share, seen.At-begunAt)})
