--- a/cmd/gannetline/rollout_test.go
+++ b/cmd/gannetline/rollout_test.go
@@ -81,7 +81,7 @@
 		Expect(control.body).To(ContainSubstring(`"of-the-operator":[1, 2]`))
 		Expect(control.current().Version).To(Equal(int64(5)))
 		Expect(control.current().Rollouts).To(Equal([]configuration.Rollout{{Name: "r", Route: "a", From: "v1", To: "v2", RequestedBy: "ann",
-			OnTurnBack: configuration.TurnBackStop, Steps: []configuration.RolloutStep{{Share: 0.1, MinTimeS: 30, MinJobs: 20}, {Share: 1}},
+			OnRollback: configuration.RollbackStop, Steps: []configuration.RolloutStep{{Share: 0.1, MinTimeS: 30, MinJobs: 20}, {Share: 1}},
 			Bounds: configuration.RolloutBounds{Failures: 0.02, FalseAlarm: configuration.DefaultFalseAlarm, MinJobs: configuration.DefaultMinJobs}}}))
 		output, code = start("r")
 		Expect(output).To(ContainSubstring(`there is a rollout "r" already`))
--- a/cmd/gannetline/rolloutstart.go
+++ b/cmd/gannetline/rolloutstart.go
@@ -66,7 +66,7 @@
 		Bounds: configuration.RolloutBounds{Failures: command.Float("failures"), Late: command.Float("late"), RunTimeFactor: command.Float("run-time-factor"),
 			FalseAlarm: command.Float("false-alarm"), MinJobs: command.Int64("min-jobs")}}
 	if command.Bool("stop") {
-		rollout.OnTurnBack = configuration.TurnBackStop
+		rollout.OnRollback = configuration.RollbackStop
 	}
 	for flag, value := range map[string]string{"route": rollout.Route, "to": rollout.To} {
 		if value == "" {
--- a/internal/cluster/configuration/rollouts.go
+++ b/internal/cluster/configuration/rollouts.go
@@ -29,10 +29,10 @@
 
 // What happens to the running tasks of the new version when it is rolled back.
 const (
-	// TurnBackFinish lets them finish. It is the default.
-	TurnBackFinish = "finish"
-	// TurnBackStop stops them; their jobs then go back to the old version too.
-	TurnBackStop = "stop"
+	// RollbackFinish lets them finish. It is the default.
+	RollbackFinish = "finish"
+	// RollbackStop stops them; their jobs then go back to the old version too.
+	RollbackStop = "stop"
 )
 
 // RolloutStep gives the new version a share of the route's jobs. The next step follows once this one has lasted MinTimeS seconds and
@@ -74,7 +74,7 @@
 	To          string        `json:"to-service"`
 	Steps       []RolloutStep `json:"steps"`
 	Bounds      RolloutBounds `json:"agreed"`
-	OnTurnBack  string        `json:"on-turn-back,omitempty"`
+	OnRollback  string        `json:"on-turn-back,omitempty"`
 	RequestedBy string        `json:"requested-by,omitempty"`
 
 	State RolloutState `json:"state,omitempty"`
@@ -104,7 +104,7 @@
 }
 
 // StopsRuns reports whether a rollback stops the running tasks of the new version.
-func (r *Rollout) StopsRuns() bool { return r.OnTurnBack == TurnBackStop }
+func (r *Rollout) StopsRuns() bool { return r.OnRollback == RollbackStop }
 
 // ServiceFor returns the service, old or new, that runs the job of an ID. It depends only on the ID, the rollout's name and the share.
 // All processes with the same configuration therefore agree, and a job of the new version stays there when the share grows.
@@ -171,8 +171,8 @@
 	}
 	r.checkSteps(add)
 	r.Bounds.check(add)
-	if r.OnTurnBack != "" && r.OnTurnBack != TurnBackFinish && r.OnTurnBack != TurnBackStop {
-		add("field on-turn-back must be %s or %s", TurnBackFinish, TurnBackStop)
+	if r.OnRollback != "" && r.OnRollback != RollbackFinish && r.OnRollback != RollbackStop {
+		add("field on-turn-back must be %s or %s", RollbackFinish, RollbackStop)
 	}
 	switch r.State {
 	case RolloutRequested, RolloutWidening, RolloutPaused, RolloutRolledBack, RolloutFinished:
--- a/internal/cluster/configuration/rollouts_easyjson.go
+++ b/internal/cluster/configuration/rollouts_easyjson.go
@@ -309,7 +309,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.OnTurnBack = string(in.String())
+				out.OnRollback = string(in.String())
 			}
 		case "requested-by":
 			if in.IsNull() {
@@ -408,10 +408,10 @@
 		out.RawString(prefix)
 		(in.Bounds).MarshalEasyJSON(out)
 	}
-	if in.OnTurnBack != "" {
+	if in.OnRollback != "" {
 		const prefix string = ",\"on-turn-back\":"
 		out.RawString(prefix)
-		out.String(string(in.OnTurnBack))
+		out.String(string(in.OnRollback))
 	}
 	if in.RequestedBy != "" {
 		const prefix string = ",\"requested-by\":"
--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -190,7 +190,7 @@
 		m.cluster.pools[step.Node].isBad = step.Value == 1
 		amendment.AddRollout(&configuration.Rollout{Name: fmt.Sprintf("r%d", m.drawn), Route: queueName, From: decoded.Routes[0].Service, To: serviceOf(step.Node),
 			Steps:  []configuration.RolloutStep{{Share: 0.3, MinTimeS: 1, MinJobs: 3}, {Share: 0.7, MinTimeS: 1, MinJobs: 3}, {Share: 1, MinTimeS: 1, MinJobs: 3}},
-			Bounds: configuration.RolloutBounds{Failures: 0.1, MinJobs: 3}, OnTurnBack: []string{"", configuration.TurnBackStop}[step.Node%2]})
+			Bounds: configuration.RolloutBounds{Failures: 0.1, MinJobs: 3}, OnRollback: []string{"", configuration.RollbackStop}[step.Node%2]})
 	case step.Kind == kindMove && underWay == nil:
 		body = []byte(strings.Replace(string(body), `"service":"`+decoded.Routes[0].Service+`"`, `"service":"`+serviceOf(step.Node)+`"`, 1))
 		amendment = configuration.Amend(body)
--- a/internal/simulation/rehearsal/rollout.go
+++ b/internal/simulation/rehearsal/rollout.go
@@ -112,7 +112,7 @@
 
 // asConfigured is the rollout as it stands in a configuration.
 func (r *Rollout) asConfigured() configuration.Rollout {
-	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnTurnBack: r.OnTurnBack,
+	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnRollback: r.OnTurnBack,
 		Bounds: configuration.RolloutBounds(r.Agreed)}
 	for _, step := range r.Steps {
 		rollout.Steps = append(rollout.Steps, configuration.RolloutStep(step))
--- a/internal/simulation/rehearsal/rolloutpolicy_test.go
+++ b/internal/simulation/rehearsal/rolloutpolicy_test.go
@@ -9,7 +9,7 @@
 
 var _ = ginkgo.Describe("what the pools of a rehearsal know of a rollout", func() {
 	played := func(state configuration.RolloutState, isRepeatable bool) *playedRollout {
-		spec := &Rollout{Queue: "q", OnTurnBack: configuration.TurnBackStop, IsRepeatable: isRepeatable}
+		spec := &Rollout{Queue: "q", OnTurnBack: configuration.RollbackStop, IsRepeatable: isRepeatable}
 		made := &playedRollout{spec: *spec, rollout: spec.asConfigured(), version: 3}
 		made.rollout.State, made.rollout.BegunMs = state, 1000
 		return made
--- a/internal/simulation/soak/rollouts.go
+++ b/internal/simulation/soak/rollouts.go
@@ -65,7 +65,7 @@
 	step := func(share float64) configuration.RolloutStep {
 		return configuration.RolloutStep{Share: share, MinTimeS: stepSeconds, MinJobs: stepJobs}
 	}
-	return configuration.Rollout{Name: name, Route: jobsRoute, From: serviceName, To: service, RequestedBy: "soak", OnTurnBack: configuration.TurnBackStop,
+	return configuration.Rollout{Name: name, Route: jobsRoute, From: serviceName, To: service, RequestedBy: "soak", OnRollback: configuration.RollbackStop,
 		Steps: []configuration.RolloutStep{step(firstShare), step(secondShare), step(1)}, Bounds: configuration.RolloutBounds{Failures: agreedFailures}}
 }
 
