--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -55,7 +55,7 @@
 	})
 
 	It("asks for changes to its version, and for the full configuration if they don't fit", func() {
-		cache.Hold(old)
+		cache.AdoptIfNewer(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true, AcceptsChunks: true}))
@@ -74,9 +74,9 @@
 		Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{AcceptsChunks: true}))
 		peer.answers <- &wire.ConfigurationAnswer{Full: old}
 		Expect(<-inForce).To(Equal(int64(3)))
-		cache.Hold(next)
+		cache.AdoptIfNewer(next)
 		Expect(<-inForce).To(Equal(int64(5)))
-		cache.Hold(old)
+		cache.AdoptIfNewer(old)
 		mux := http.NewServeMux()
 		cache.Handle(mux)
 		caller := peerapi.NewCaller(&http.Client{Transport: &scriptedPeer{mux: mux}})
@@ -87,12 +87,12 @@
 	})
 
 	It("asks each peer reported during a fetch once, if the fetched version is older than theirs", func() {
-		cache.Hold(old)
+		cache.AdoptIfNewer(old)
 		<-inForce
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
 		<-peer.calls
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 7)
-		cache.Hold(old)
+		cache.AdoptIfNewer(old)
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 7)
 		peer.answers <- versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(<-inForce).To(Equal(int64(5)))
@@ -100,7 +100,7 @@
 			Expect(<-peer.calls).To(Equal(wire.ConfigurationCall{HeldVersion: 5, AcceptsChanges: true, AcceptsChunks: true}))
 			peer.answers <- &wire.ConfigurationAnswer{}
 		}
-		cache.Hold(committedVersion(9, body(9)))
+		cache.AdoptIfNewer(committedVersion(9, body(9)))
 		Expect(<-inForce).To(Equal(int64(9)))
 		Expect(peer.calls).To(BeEmpty())
 	})
@@ -109,7 +109,7 @@
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		<-peer.calls
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 3)
-		cache.Hold(old)
+		cache.AdoptIfNewer(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		Expect(peer.calls).To(BeEmpty())
 		fakeClock.Advance(250 * time.Millisecond)
--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -84,10 +84,10 @@
 	return nil
 }
 
-// Hold brings a committed configuration into force if it is newer than the current one. It blocks while the mailbox is full, so the
+// AdoptIfNewer brings a committed configuration into force if it is newer than the current one. It blocks while the mailbox is full, so the
 // goroutine that owns the cache must not call it.
-func (c *Cache) Hold(committed *wire.Configuration) {
-	c.mailbox.Post(func() { c.fetcher.Hold(committed) })
+func (c *Cache) AdoptIfNewer(committed *wire.Configuration) {
+	c.mailbox.Post(func() { c.fetcher.AdoptIfNewer(committed) })
 }
 
 // FetchFrom reports that a peer holds a version, which is fetched if it is newer than the one in force. It never blocks: while the
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -78,7 +78,7 @@
 		go cache.Run(ctx)
 		mux := http.NewServeMux()
 		cache.Handle(mux)
-		cache.Hold(newHistory(550).next())
+		cache.AdoptIfNewer(newHistory(550).next())
 		<-inForce
 		writing, released, finished := make(chan struct{}), make(chan struct{}), make(chan struct{}, maxConcurrentAnswers)
 		unblocked := &scriptedPeer{mux: mux}
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -59,8 +59,8 @@
 	return &Fetcher{clock: clock, log: log, actions: actions, stallTimeout: minStallTimeout}
 }
 
-// Hold brings a committed configuration into force if it is newer than the current one.
-func (f *Fetcher) Hold(committed *wire.Configuration) {
+// AdoptIfNewer brings a committed configuration into force if it is newer than the current one.
+func (f *Fetcher) AdoptIfNewer(committed *wire.Configuration) {
 	if err := f.adopt(f.current.Next(committed)); err != nil {
 		f.log.Error(err, "the committed configuration can't be read", "version", committed.Version)
 	}
--- a/internal/cluster/configcache/fetch_test.go
+++ b/internal/cluster/configcache/fetch_test.go
@@ -41,7 +41,7 @@
 		ahead.Handle(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
-		ahead.Hold(&wire.Configuration{Version: 7, Body: []byte(smallBody)})
+		ahead.AdoptIfNewer(&wire.Configuration{Version: 7, Body: []byte(smallBody)})
 		<-snapshots
 		behind.FetchFrom(wire.Member{Address: server.Listener.Addr().String()}, 7)
 		Expect((<-snapshots).Committed.Version).To(Equal(int64(7)))
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -191,7 +191,7 @@
 		n.events = append(n.events, event{start + at, func() {
 			next := h.next()
 			for _, holder := range holders {
-				holder.fetcher.Hold(next)
+				holder.fetcher.AdoptIfNewer(next)
 			}
 			for _, holder := range holders {
 				gate.fetcher.PeerHolds(holder.member, next.Version)
@@ -251,7 +251,7 @@
 	DescribeTable("catches up on 400 versions within a second from a steward that has restarted", func(count int) {
 		setUp(250_000)
 		h = newHistory(count)
-		steward.fetcher.Hold(h.next())
+		steward.fetcher.AdoptIfNewer(h.next())
 		reportPeers()
 		network.runTo(time.Second)
 		for range 400 {
@@ -259,7 +259,7 @@
 		}
 		newest := h.next()
 		steward.start(network)
-		steward.fetcher.Hold(newest)
+		steward.fetcher.AdoptIfNewer(newest)
 		network.receivedBytes = 0
 		reportPeers()
 		network.runTo(2 * time.Second)
@@ -273,8 +273,8 @@
 		setUp(20_000)
 		h = newHistory(1400)
 		newest := h.next()
-		steward.fetcher.Hold(newest)
-		other.fetcher.Hold(newest)
+		steward.fetcher.AdoptIfNewer(newest)
+		other.fetcher.AdoptIfNewer(newest)
 		gate.fetcher.PeerHolds(steward.member, newest.Version)
 		network.runTo(900 * time.Millisecond)
 		Expect(gate.current).To(BeNil())
@@ -290,7 +290,7 @@
 
 	It("retries a silent peer until it has failed three times, and asks it again once it is reported again", func() {
 		setUp(250_000)
-		steward.fetcher.Hold(h.next())
+		steward.fetcher.AdoptIfNewer(h.next())
 		steward.isDead = true
 		reportPeers()
 		network.runTo(30 * time.Second)
@@ -305,11 +305,11 @@
 		func(corrupt func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer) {
 			setUp(250_000)
 			first := h.next()
-			gate.fetcher.Hold(first)
+			gate.fetcher.AdoptIfNewer(first)
 			newest := h.next()
 			steward.corrupt = corrupt
-			steward.fetcher.Hold(newest)
-			other.fetcher.Hold(newest)
+			steward.fetcher.AdoptIfNewer(newest)
+			other.fetcher.AdoptIfNewer(newest)
 			gate.fetcher.PeerHolds(steward.member, newest.Version)
 			gate.fetcher.PeerHolds(other.member, newest.Version)
 			network.runTo(5 * time.Second)
@@ -352,7 +352,7 @@
 		steward.corrupt = func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
 			return &wire.ConfigurationAnswer{Full: newest}
 		}
-		steward.fetcher.Hold(newest)
+		steward.fetcher.AdoptIfNewer(newest)
 		reportPeers()
 		network.runTo(5 * time.Second)
 		Expect(gate.current.Committed).To(Equal(newest))
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -65,7 +65,7 @@
 	var tickMachine func()
 	switch {
 	case key == configleader.Key:
-		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.Hold(committed) },
+		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.AdoptIfNewer(committed) },
 			configleader.WithStorageDisks(m.listStorageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithFixedKeys(m.listFixedKeys()),
 			configleader.WithEvacuations(m.Node.AnnounceEvacuations))
 		machine := configurationMachine{leader, m.rollouts}
--- a/internal/roles/savedconfiguration.go
+++ b/internal/roles/savedconfiguration.go
@@ -26,7 +26,7 @@
 	case err != nil:
 		b.log.Error(err, "saved configuration not used")
 	case saved != nil:
-		configurations.Hold(saved)
+		configurations.AdoptIfNewer(saved)
 		return saved.Version
 	}
 	return 0
--- a/internal/roles/savedconfiguration_test.go
+++ b/internal/roles/savedconfiguration_test.go
@@ -76,7 +76,7 @@
 		defer cancel()
 		go func() { _ = b.saveConfiguration(store, cache, 0)(ctx) }()
 		fakeClock.wake <- time.Time{}
-		cache.Hold(&wire.Configuration{Version: 7, Body: []byte(body)})
+		cache.AdoptIfNewer(&wire.Configuration{Version: 7, Body: []byte(body)})
 		Eventually(cache.Version, "30s").Should(Equal(int64(7)))
 		store.isBroken.Store(true)
 		fakeClock.wake <- time.Time{}
