--- a/internal/platform/stallwatch/stallwatch.go
+++ b/internal/platform/stallwatch/stallwatch.go
@@ -20,45 +20,45 @@
 	suspicionPeriod = 300 * time.Millisecond
 )
 
-// Watch checks the monotonic clock at regular intervals and records stalls. Its times are in nanoseconds.
-type Watch struct {
+// Detector checks the monotonic clock at regular intervals and records stalls. Its times are in nanoseconds.
+type Detector struct {
 	clock     clock.Clock
 	lastCheck atomic.Int64
 	lastStall atomic.Int64
 }
 
-// New creates a watch that has seen no stall yet.
-func New(clock clock.Clock) *Watch {
-	watch := &Watch{clock: clock}
-	watch.lastCheck.Store(int64(clock.Monotonic()))
-	watch.lastStall.Store(int64(clock.Monotonic() - suspicionPeriod))
-	return watch
+// New creates a detector that has seen no stall yet.
+func New(clock clock.Clock) *Detector {
+	detector := &Detector{clock: clock}
+	detector.lastCheck.Store(int64(clock.Monotonic()))
+	detector.lastStall.Store(int64(clock.Monotonic() - suspicionPeriod))
+	return detector
 }
 
 // Run checks the clock until ctx is done.
-func (w *Watch) Run(ctx context.Context) error {
+func (d *Detector) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.clock.After(checkInterval):
-			w.check()
+		case <-d.clock.After(checkInterval):
+			d.check()
 		}
 	}
 }
 
 // check records a stall if the last check is at least stallThreshold ago.
-func (w *Watch) check() {
-	now := w.clock.Monotonic()
-	if now-time.Duration(w.lastCheck.Load()) >= stallThreshold {
-		w.lastStall.Store(int64(now))
+func (d *Detector) check() {
+	now := d.clock.Monotonic()
+	if now-time.Duration(d.lastCheck.Load()) >= stallThreshold {
+		d.lastStall.Store(int64(now))
 	}
-	w.lastCheck.Store(int64(now))
+	d.lastCheck.Store(int64(now))
 }
 
 // MayHaveWaited reports whether a call that is read now may have waited in a socket during a stall. Any goroutine may call it. It also
 // detects a stall whose end is not recorded yet, because a caller may run before the next check.
-func (w *Watch) MayHaveWaited() bool {
-	now := w.clock.Monotonic()
-	return now-time.Duration(w.lastCheck.Load()) >= stallThreshold || now-time.Duration(w.lastStall.Load()) < suspicionPeriod
+func (d *Detector) MayHaveWaited() bool {
+	now := d.clock.Monotonic()
+	return now-time.Duration(d.lastCheck.Load()) >= stallThreshold || now-time.Duration(d.lastStall.Load()) < suspicionPeriod
 }
--- a/internal/platform/stallwatch/stallwatch_test.go
+++ b/internal/platform/stallwatch/stallwatch_test.go
@@ -18,21 +18,21 @@
 var _ = Describe("Watch", func() {
 	It("suspects calls for a while after a stall, before and after the next check, and no others", func() {
 		now := clock.NewFake(0)
-		watch := New(now)
-		Expect(watch.MayHaveWaited()).To(BeFalse())
+		detector := New(now)
+		Expect(detector.MayHaveWaited()).To(BeFalse())
 		for range 20 {
 			now.Advance(checkInterval)
-			watch.check()
-			Expect(watch.MayHaveWaited()).To(BeFalse())
+			detector.check()
+			Expect(detector.MayHaveWaited()).To(BeFalse())
 		}
 		now.Advance(3 * time.Second)
-		Expect(watch.MayHaveWaited()).To(BeTrue())
-		watch.check()
-		Expect(watch.MayHaveWaited()).To(BeTrue())
+		Expect(detector.MayHaveWaited()).To(BeTrue())
+		detector.check()
+		Expect(detector.MayHaveWaited()).To(BeTrue())
 		for range suspicionPeriod / checkInterval {
 			now.Advance(checkInterval)
-			watch.check()
+			detector.check()
 		}
-		Expect(watch.MayHaveWaited()).To(BeFalse())
+		Expect(detector.MayHaveWaited()).To(BeFalse())
 	})
 })
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -96,9 +96,9 @@
 	if !bounds.RevocationClosed {
 		return func() bool { return true }
 	}
-	keyWatch := keyfreshness.New(leaderClient, b.clock, clock.Milliseconds(bounds.RevokeTimeoutMs), configurations.Version)
-	b.tree.Add("key-freshness", keyWatch.Run)
-	return keyWatch.IsFresh
+	keyTracker := keyfreshness.New(leaderClient, b.clock, clock.Milliseconds(bounds.RevokeTimeoutMs), configurations.Version)
+	b.tree.Add("key-freshness", keyTracker.Run)
+	return keyTracker.IsFresh
 }
 
 // clientShutdownTimes returns the shutdown times of a gate's client server, within the grace period. Calls that wait for an unreachable leader
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -69,9 +69,9 @@
 	b.serveExecutors()
 	controlMux := http.NewServeMux()
 	controlMux.Handle("/v1/configuration/", controlapi.Handler(leaderClient))
-	stallWatch := stallwatch.New(b.clock)
-	b.tree.Add("stalls", stallWatch.Run)
-	controlMux.Handle(controlapi.PrefixEvacuation, controlapi.NewEvacuation(leaderClient, b.settings.HasZone, stallWatch.MayHaveWaited))
+	stallDetector := stallwatch.New(b.clock)
+	b.tree.Add("stalls", stallDetector.Run)
+	controlMux.Handle(controlapi.PrefixEvacuation, controlapi.NewEvacuation(leaderClient, b.settings.HasZone, stallDetector.MayHaveWaited))
 	controlMux.Handle(controlapi.PathRollouts, controlapi.NewRollouts(leaderClient))
 	controlMux.Handle(controlapi.PrefixRetire, controlapi.NewRetire(b.caller, b.node.View, b.settings.FaultTolerance.MachineLosses))
 	if b.settings.ServesCoordination() {
