--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -107,7 +107,7 @@
 	return descriptions
 }
 
-// jobs gives the state of each job.
+// jobs returns the state of each job.
 func jobs(answer *wire.BeliefsAnswer) map[string]string {
 	descriptions := map[string]string{}
 	for _, job := range answer.Jobs {
--- a/internal/cluster/evacuationview/view.go
+++ b/internal/cluster/evacuationview/view.go
@@ -37,7 +37,7 @@
 }
 
 // Join merges answers into a view. While the leader of a pool changes, both the old and the new one may report on it. For each zone the
-// report with more executors then counts: the other leader has yet to hear from all of them, or no longer does.
+// report with more executors then counts: not all executors report to the other leader yet, or any more.
 func Join(answers []wire.EvacuationsAnswer) View {
 	var newest *wire.Evacuations
 	for _, answer := range answers {
--- a/internal/cluster/peerapi/peerapi_suite_test.go
+++ b/internal/cluster/peerapi/peerapi_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestSiblingwire(t *testing.T) {
+func TestPeerAPI(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "peerapi")
 }
--- a/internal/control/controlapi/controlapi_suite_test.go
+++ b/internal/control/controlapi/controlapi_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestControlcalls(t *testing.T) {
+func TestControlAPI(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "controlapi")
 }
--- a/internal/control/controlkeys/retire.go
+++ b/internal/control/controlkeys/retire.go
@@ -7,7 +7,7 @@
 )
 
 // Retire starts to empty this machine if call.Begin is set, and returns the progress. The start is durable before the answer, so that the
-// machine goes on emptying itself after a restart. The machine is empty once its disk is a voter of no key. By then the replacement disk has
+// machine continues to empty itself after a restart. The machine is empty once its disk is a voter of no key. By then the replacement disk has
 // caught up and the change of voters is committed.
 func (m *Manager) Retire(_ context.Context, call *wire.RetireCall) (*wire.RetireAnswer, error) {
 	isRetiring, err := m.Store.IsRetiring()
--- a/internal/control/coordinationapi/handler.go
+++ b/internal/control/coordinationapi/handler.go
@@ -29,9 +29,9 @@
 	callLogVerbosity = 1
 )
 
-// AskLeader sends a call to the leader of its key and returns the outcome within the limit. The leader may delay its answer to a watch
-// by the wait.
-type AskLeader func(ctx context.Context, call *wire.ClientCall, limit, wait time.Duration) leaderclient.Outcome
+// AskLeader sends a call to the leader of its key and returns the outcome within the timeout. The leader may delay its answer to a
+// watch by the wait.
+type AskLeader func(ctx context.Context, call *wire.ClientCall, timeout, wait time.Duration) leaderclient.Outcome
 
 // Handler serves the calls of applications over HTTP.
 type Handler struct {
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -1,5 +1,5 @@
 // Package poolhost runs a pool, or a lots partition, on a goroutine of its own. The replication engine, which elects the leader and
-// replicates the changes, runs on another goroutine. So the engine goes on renewing its lease while the pool loads, places tasks or handles
+// replicates the changes, runs on another goroutine. So the engine keeps renewing its lease while the pool loads, places tasks or handles
 // a burst of exchanges, however long that takes.
 package poolhost
 
--- a/internal/control/replication/leadershiptransfer_test.go
+++ b/internal/control/replication/leadershiptransfer_test.go
@@ -113,12 +113,12 @@
 		c := newGrownCluster(306)
 		c.runWithWrites(5 * time.Second)
 		transfers, last := 0, c.leader()
-		for turn := range 60 * 20 {
+		for round := range 60 * 20 {
 			for _, node := range c.nodes {
 				node.delay = 0
 			}
 			if leader := c.leader(); leader != nil {
-				if turn%40 < 32 {
+				if round%40 < 32 {
 					leader.delay = 200 * time.Millisecond
 				}
 				if leader != last {
--- a/internal/control/rollouts/policy.go
+++ b/internal/control/rollouts/policy.go
@@ -17,8 +17,8 @@
 		case configured.BegunMs == 0 || route == nil || service != configured.From && service != configured.To:
 			continue
 		case configured.State == configuration.RolloutRolledBack:
-			underWay := matcher.Rollout(configured.Route)
-			if service != configured.To || route.Service == service || underWay != nil && underWay.To == service {
+			inProgress := matcher.Rollout(configured.Route)
+			if service != configured.To || route.Service == service || inProgress != nil && inProgress.To == service {
 				continue
 			}
 			terms.ReturnTo, terms.StopsRuns, terms.IsRepeatable = configured.From, configured.StopsRuns(), route.Type == configuration.RouteIdempotent
--- a/internal/gate/keyfreshness/keyfreshness.go
+++ b/internal/gate/keyfreshness/keyfreshness.go
@@ -28,7 +28,7 @@
 
 // Asker calls the leader of a key. leaderclient.Client implements it.
 type Asker interface {
-	Ask(ctx context.Context, call *wire.ClientCall, limit time.Duration) leaderclient.Outcome
+	Ask(ctx context.Context, call *wire.ClientCall, timeout time.Duration) leaderclient.Outcome
 }
 
 // Tracker has the version of the configuration confirmed periodically. Any goroutine may call IsFresh.
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -102,7 +102,7 @@
 }
 
 // leaderAddress returns the address of a key's leader. If the leader is unknown, it returns that of a steward that may lead, which
-// names the leader or stands for election itself. The address is empty if there is no such steward.
+// names the leader or campaigns itself. The address is empty if there is no such steward.
 func leaderAddress(view *membership.View, key string) string {
 	if leader, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
 		return leader.Address
--- a/internal/platform/settings/settings_suite_test.go
+++ b/internal/platform/settings/settings_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestBootsettings(t *testing.T) {
+func TestSettings(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "settings")
 }
--- a/internal/scheduling/jobs/jobs_suite_test.go
+++ b/internal/scheduling/jobs/jobs_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestJobtable(t *testing.T) {
+func TestJobs(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "jobs")
 }
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -65,7 +65,7 @@
 	Due int64
 }
 
-// DeadlineClass says how a group's job stands against its deadline. Work that is on time goes before late work, and expired work goes
+// DeadlineClass says whether a group's job can still meet its deadline. Work that is on time goes before late work, and expired work goes
 // last.
 type DeadlineClass int
 
--- a/internal/scheduling/placement/placement_suite_test.go
+++ b/internal/scheduling/placement/placement_suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPlacetasks(t *testing.T) {
+func TestPlacement(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "placement")
 }
--- a/internal/scheduling/scheduler/cost_test.go
+++ b/internal/scheduling/scheduler/cost_test.go
@@ -173,15 +173,15 @@
 	}
 }
 
-// BenchmarkTurn measures the end of one run, the launch that follows, its answer, and 1/22 of a submission, as a job has 22 tasks.
-func BenchmarkTurn(b *testing.B) {
+// BenchmarkRunCycle measures the end of one run, the launch that follows, its answer, and 1/22 of a submission, as a job has 22 tasks.
+func BenchmarkRunCycle(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
 		c.leadership.bytes, c.leadership.ops, c.starts = 0, 0, 0
-		for turn := range b.N {
-			if turn%22 == 0 {
+		for round := range b.N {
+			if round%22 == 0 {
 				c.submitJob(0)
 			}
-			c.replaceRun(c.executors[turn%len(c.executors)])
+			c.replaceRun(c.executors[round%len(c.executors)])
 		}
 		b.ReportMetric(float64(c.starts)/float64(b.N), "starts/op")
 		b.ReportMetric(float64(c.leadership.bytes)/float64(b.N), "written-B/op")
@@ -197,9 +197,9 @@
 
 func benchmarkTick(b *testing.B, between time.Duration) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
-		for turn := range b.N {
+		for round := range b.N {
 			c.clock.Advance(between)
-			if turn%10 == 9 {
+			if round%10 == 9 {
 				b.StopTimer()
 				c.exchangeAll()
 				b.StartTimer()
@@ -210,18 +210,18 @@
 	})
 }
 
-// BenchmarkBeat measures one exchange of an executor that has nothing new to report.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkExchange measures one exchange of an executor that has nothing new to report.
+func BenchmarkExchange(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
-		for turn := range b.N {
-			c.exchange(c.executors[turn%len(c.executors)], nil)
+		for round := range b.N {
+			c.exchange(c.executors[round%len(c.executors)], nil)
 			c.pool.Flush()
 		}
 	})
 }
 
-// BenchmarkHandIn measures the submission and the cancellation of a job of 22 tasks for which there is no capacity.
-func BenchmarkHandIn(b *testing.B) {
+// BenchmarkSubmit measures the submission and the cancellation of a job of 22 tasks for which there is no capacity.
+func BenchmarkSubmit(b *testing.B) {
 	eachSize(b, func(b *testing.B, c *fullPool) {
 		for range b.N {
 			c.submitJob(0)
@@ -231,8 +231,8 @@
 	})
 }
 
-// BenchmarkTakeOver measures how a new leader loads a pool's records and handles the first exchange of each executor.
-func BenchmarkTakeOver(b *testing.B) {
+// BenchmarkTakeover measures how a new leader loads a pool's records and handles the first exchange of each executor.
+func BenchmarkTakeover(b *testing.B) {
 	for _, executorCount := range []int{62, 1000} {
 		b.Run(fmt.Sprintf("executors=%d/backlog=300", executorCount), func(b *testing.B) {
 			records := map[string][]byte{}
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -229,13 +229,13 @@
 		starts := 0
 		for seed := range uint64(6) {
 			s := newHistory(seed)
-			for turn := range 500 {
+			for round := range 500 {
 				s.step()
-				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, turn %d, before placement", seed, turn)
+				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, round %d, before placement", seed, round)
 				s.settle()
-				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, turn %d", seed, turn)
+				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, round %d", seed, round)
 				if len(s.leadership.waiting) == 0 {
-					Expect(s.pool.Orders()).To(ContainElements(s.orders()), "seed %d, turn %d", seed, turn)
+					Expect(s.pool.Orders()).To(ContainElements(s.orders()), "seed %d, round %d", seed, round)
 				}
 			}
 			starts += s.starts
