--- a/internal/cluster/peerapi/wire/client.go
+++ b/internal/cluster/peerapi/wire/client.go
@@ -119,7 +119,7 @@
 	MovedTo string `json:"moved,omitempty"`
 	// WallMs is the time of day that the voters agree on, in milliseconds since 1970. It accompanies the configuration in force.
 	WallMs int64 `json:"wall,omitempty"`
-	// Current is the version in force. It is set if a configuration is refused.
+	// Current is the version in force. It is set if a configuration is refused because its base is another version.
 	Current int64 `json:"current,omitempty"`
 }
 
--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -82,7 +82,7 @@
 // fields from Proxy to Gone) and Changed contain only changes after the number Base and up to Number; Base 0 is a full report. A later
 // session has a higher number. Without a Session, each report is full.
 //
-// Fence is the highest epoch that the executor has accepted, and HoldAgeMs the time since it last renewed its hold. If ListNumber is set,
+// Fence is the highest epoch that the executor has accepted, and HoldAgeMs the time since it last answered a hold. If ListNumber is set,
 // Running is the complete list of runs that the leader asked for under that number.
 type ExchangeCall struct {
 	Key         string        `json:"key"`
@@ -118,8 +118,8 @@
 
 // ExchangeAnswer acknowledges a report and carries orders. HeldNumber is the Number up to which the leader has the report. NeedsFullState is
 // set if the call was ignored: the proxy has to send a full report in a session above Session. Fence is the epoch of the leader, GrantMs the
-// length of the lease that it grants, and LastSeen the number of the last EndReport that it has taken. WantedList asks for a list of
-// runs of at least that number.
+// length of the lease that it grants, and LastSeen the number of the last EndReport whose effects are committed. WantedList asks
+// for a list of runs of at least that number.
 type ExchangeAnswer struct {
 	NotLeader      bool    `json:"elsewhere,omitempty"`
 	Leader         string  `json:"owner,omitempty"`
--- a/internal/cluster/peerapi/wire/grants.go
+++ b/internal/cluster/peerapi/wire/grants.go
@@ -30,8 +30,8 @@
 	Tenants []TenantGrant `json:"tenants,omitempty"`
 }
 
-// TenantGrant is the part of a tenant's limit that a pool may use from now on. Target is the part of it that the pool should keep, because
-// other pools want their share.
+// TenantGrant is the part of a tenant's limit that a pool may use from now on. Target is the amount that the pool should have, given the
+// demand of all pools. If it is below Granted, the pool should return the difference.
 type TenantGrant struct {
 	Tenant  string   `json:"tenant"`
 	Granted Capacity `json:"granted"`
--- a/internal/control/coordination/cells.go
+++ b/internal/control/coordination/cells.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxCells limits the cells of a part.
+	// maxCells limits the cells of a partition.
 	maxCells = 20000
-	// maxBytes limits the total size of the names and values of a part's cells and events, in bytes.
+	// maxBytes limits the total size of the names and values of a partition's cells and events, in bytes.
 	maxBytes = 8 << 20
 	// maxGroupEvents and maxGroupBytes limit the events that a group keeps for watchers. Further puts are refused, since events must not
 	// be dropped before their time. A single answer to a watcher may contain all events of a group.
@@ -61,7 +61,7 @@
 	watchers      []*watcher
 }
 
-// cellTable holds the cells of a part by group.
+// cellTable holds the cells of a partition by group.
 type cellTable struct {
 	groups map[string]*group
 	// watched holds the groups that have watchers, by name.
--- a/internal/control/coordination/cost_test.go
+++ b/internal/control/coordination/cost_test.go
@@ -10,8 +10,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// These benchmarks give the cost of a call at the leader of a part, without disk sync and network. docs/design/coordination.md lists the
-// results.
+// These benchmarks give the cost of a call at the leader of a partition, without disk sync and network. docs/design/coordination.md lists
+// the results.
 
 // benchmarkCalls makes one call at a time and commits its changes at once. It reports the changes and the bytes that a call proposes.
 func benchmarkCalls(b *testing.B, prepare func(h *harness), call func(h *harness, number int)) {
--- a/internal/control/coordination/locks.go
+++ b/internal/control/coordination/locks.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxLocks limits the locks that are held at once in a part.
+	// maxLocks limits the locks that are held at once in a partition.
 	maxLocks = 10000
 	// clockRateDivisor is the tolerated slowness of a holder's clock: it may run slow by 1/clockRateDivisor, which is 2 %.
 	clockRateDivisor = 50
@@ -33,10 +33,11 @@
 	acquiredAt, expiresAt time.Duration
 }
 
-// lockTable holds the locks of a part by name.
+// lockTable holds the locks of a partition by name.
 type lockTable struct {
 	byName map[string]*lock
-	// lastFence is the last fencing token that was issued. It rises across all locks of the part, and over expiry, release and takeover.
+	// lastFence is the last fencing token that was issued. It rises across all locks of the partition, and over expiry, release and
+	// takeover.
 	lastFence uint64
 }
 
@@ -104,7 +105,7 @@
 	return ops
 }
 
-// fenceNeverIssued refuses a fencing token above the last one that this part has issued.
+// fenceNeverIssued refuses a fencing token above the last one that this partition has issued.
 var fenceNeverIssued = refusal(http.StatusBadRequest, "field fence-number was never given")
 
 // readLockCall decodes the body of a call about a lock. If the body is invalid, it refuses the call and returns nil.
--- a/internal/control/coordination/names.go
+++ b/internal/control/coordination/names.go
@@ -16,10 +16,10 @@
 // groupSeparator ends the group's name within a cell's name. It is part of the group's name.
 const groupSeparator = "."
 
-// KeyOf returns the replication key of a part, from 0 to PartCount-1.
+// KeyOf returns the replication key of a partition, from 0 to PartCount-1.
 func KeyOf(part int) string { return wire.CoordinationKeyPrefix + strconv.Itoa(part) }
 
-// Keys returns the replication keys of all parts.
+// Keys returns the replication keys of all partitions.
 func Keys() []string {
 	keys := make([]string, PartCount)
 	for part := range keys {
@@ -28,7 +28,7 @@
 	return keys
 }
 
-// IsKey reports whether a replication key belongs to a part of this package.
+// IsKey reports whether a replication key belongs to a partition of this package.
 func IsKey(key string) bool { return strings.HasPrefix(key, wire.CoordinationKeyPrefix) }
 
 // KeyOfName returns the replication key that holds the lock, the number or the group of cells with a name.
--- a/internal/control/coordination/numbers.go
+++ b/internal/control/coordination/numbers.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxNumberNames limits the names that have a number sequence in a part.
+	// maxNumberNames limits the names that have a number sequence in a partition.
 	maxNumberNames = 20000
 	// numberRange is the number of numbers that one commit reserves.
 	numberRange = 128
@@ -21,7 +21,7 @@
 	lastIssued, reserved uint64
 }
 
-// numberTable holds the number sequences of a part by name.
+// numberTable holds the number sequences of a partition by name.
 type numberTable struct {
 	byName map[string]*numberSequence
 }
--- a/internal/control/coordination/part.go
+++ b/internal/control/coordination/part.go
@@ -1,11 +1,11 @@
 // Package coordination provides applications with locks, unique numbers and small cells of data that can be watched. It serves the
-// names of one part while this process leads the part's replication key. It is a state machine without goroutines or sockets;
+// names of one partition while this process leads the partition's replication key. It is a state machine without goroutines or sockets;
 // controlkeys calls it on the goroutine of the key's engine.
 //
-// Names are distributed by hash over parts. Each part is a replicated key with its own leader. The cells of a group share a revision
-// counter and are in the same part. The tables of a Part contain every change as soon as it is proposed. Commits complete in the order
-// in which they were proposed. An answer waits for all commits that were pending when it was computed, so uncommitted state is never
-// visible to callers.
+// Names are distributed by hash over partitions. Each partition is a replicated key with its own leader. The cells of a group share a
+// revision counter and are in the same partition. The tables of a Part contain every change as soon as it is proposed. Commits complete in
+// the order in which they were proposed. An answer waits for all commits that were pending when it was computed, so uncommitted state is
+// never visible to callers.
 //
 // An answer to a committed change stays true whenever it arrives. Any other answer is sent only under the leader's lease, which is
 // checked after the answer was computed. Together with the epoch of each commit, this prevents a leader that was frozen or partitioned
@@ -34,7 +34,7 @@
 	maxDropsPerCommit = 500
 )
 
-// Leadership is the part's view of the leadership of its key, implemented by replication.Leadership.
+// Leadership is the partition's view of the leadership of its key, implemented by replication.Leadership.
 type Leadership interface {
 	// Epoch returns the epoch of this leadership.
 	Epoch() uint64
@@ -45,7 +45,7 @@
 	HasLease() bool
 }
 
-// Dependencies holds the dependencies and settings of a part.
+// Dependencies holds the dependencies and settings of a partition.
 type Dependencies struct {
 	Clock clock.Clock
 	Log   logging.Logger
@@ -69,7 +69,7 @@
 	nextCleanUpAt time.Duration
 }
 
-// New returns a part of the given key. It is closed until Open is called.
+// New returns a partition of the given key. It is closed until Open is called.
 func New(key string, dependencies Dependencies) *Part {
 	return &Part{key: key, Dependencies: dependencies}
 }
@@ -125,7 +125,7 @@
 // errClosed is passed to the callbacks of commits that are pending when the leadership ends.
 const errClosed = errors.ConstError("the part is led elsewhere")
 
-// clear resets the part to its closed state, with empty tables.
+// clear resets the partition to its closed state, with empty tables.
 func (p *Part) clear() {
 	p.leadership, p.commits = nil, commitqueue.Queue{}
 	p.locks, p.numbers, p.cells = newLockTable(), newNumberTable(), newCellTable()
@@ -134,7 +134,7 @@
 // IsOpen reports whether this process leads the key.
 func (p *Part) IsOpen() bool { return p.leadership != nil }
 
-// Tick answers expired watches and runs the clean-up when it is due. It is called often and does nothing while the part is closed.
+// Tick answers expired watches and runs the clean-up when it is due. It is called often and does nothing while the partition is closed.
 func (p *Part) Tick() {
 	if !p.IsOpen() {
 		return
--- a/internal/control/coordination/part_test.go
+++ b/internal/control/coordination/part_test.go
@@ -218,7 +218,7 @@
 		Expect(h.leadership.pending).To(HaveLen(maxPendingCommits))
 	})
 
-	It("answer a put exactly once, with an unknown outcome, if the part is closed before the commit", func() {
+	It("answer a put exactly once, with an unknown outcome, if the partition is closed before the commit", func() {
 		h.sendPut("g.a", "v", 0)
 		late := h.leadership.pending
 		h.leadership.pending = nil
--- a/internal/control/coordination/records.go
+++ b/internal/control/coordination/records.go
@@ -22,7 +22,7 @@
 	recordEvent = "e"
 )
 
-// fenceRecord stores the last fencing token of the part. It is written together with each lock that gets a new token.
+// fenceRecord stores the last fencing token of the partition. It is written together with each lock that gets a new token.
 type fenceRecord struct {
 	Last uint64 `json:"last"`
 }
--- a/internal/control/coordination/report.go
+++ b/internal/control/coordination/report.go
@@ -7,7 +7,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Report answers an operator with the sizes of the part's tables and the holders of its locks, sorted by name.
+// Report answers an operator with the sizes of the partition's tables and the holders of its locks, sorted by name.
 func (p *Part) Report(_ *wire.ClientCall, answer answerClient) {
 	now := p.Clock.Monotonic()
 	report := &wire.CoordinationReport{Key: p.key, Epoch: p.leadership.Epoch(), Locks: []wire.LockReport{}, Numbers: len(p.numbers.byName),
@@ -22,7 +22,7 @@
 	p.answerUnderLease(p.success(report), answer)
 }
 
-// updateGauges sets the gauges of the part to the sizes of its tables.
+// updateGauges sets the gauges of the partition to the sizes of its tables.
 func (p *Part) updateGauges() {
 	heldLocks.With(p.key).Set(float64(len(p.locks.byName)))
 	keptEvents.With(p.key).Set(float64(p.cells.eventCount))
--- a/internal/control/coordination/script_test.go
+++ b/internal/control/coordination/script_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// harness holds a part, its leadership and the answers to its calls in the order in which they came.
+// harness holds a partition, its leadership and the answers to its calls in the order in which they came.
 type harness struct {
 	clock      *clock.Fake
 	leadership *fakeLeadership
@@ -71,7 +71,7 @@
 	return h
 }
 
-// changeLeader ends the leadership, fails the pending changes and opens the part for the next leader with the durable records.
+// changeLeader ends the leadership, fails the pending changes and opens the partition for the next leader with the durable records.
 func (h *harness) changeLeader() {
 	for _, commit := range h.leadership.pending {
 		commit.done(errors.New("lost"))
--- a/internal/control/coordination/watches.go
+++ b/internal/control/coordination/watches.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/platform/clock"
 )
 
-// maxWatchers limits the watches that wait at a part at once.
+// maxWatchers limits the watches that wait at a partition at once.
 const maxWatchers = 2000
 
 // watcher is a watch call that waits for a durable put above afterRevision, until a deadline on the monotonic clock.
--- a/internal/control/countleader/countleader.go
+++ b/internal/control/countleader/countleader.go
@@ -1,5 +1,6 @@
-// Package countleader serves a part of the tenant count while this steward leads the part's key. It is a state machine without goroutines
-// or sockets: controlkeys calls it on the goroutine of the key's replication engine. The decisions are made by package tenantcount.
+// Package countleader serves a partition of the tenant count while this steward leads the partition's key. It is a state machine without
+// goroutines or sockets: controlkeys calls it on the goroutine of the key's replication engine. The decisions are made by package
+// tenantcount.
 package countleader
 
 import (
@@ -14,7 +15,7 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// Leadership is the subset of replication.Leadership that a part needs for its key.
+// Leadership is the subset of replication.Leadership that a partition needs for its key.
 type Leadership interface {
 	// Epoch returns the epoch of the leadership.
 	Epoch() uint64
@@ -30,7 +31,7 @@
 	Limits  tenantcount.Limits
 }
 
-// Leader handles the calls of pools to one part.
+// Leader handles the calls of pools to one partition.
 type Leader struct {
 	key    string
 	clock  clock.Clock
@@ -108,7 +109,7 @@
 	answer(wire.ClientAnswer{Status: http.StatusOK, Body: body})
 }
 
-// Tenants answers an operator's call with the limits and grants of the part's tenants.
+// Tenants answers an operator's call with the limits and grants of the partition's tenants.
 func (l *Leader) Tenants(_ *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	policy := l.policy()
 	l.answerUnderLease(&wire.TenantCountReport{Key: l.key, Version: policy.Version, Tenants: l.part.Report(policy.Limits)}, answer)
--- a/internal/control/countleader/countleader_test.go
+++ b/internal/control/countleader/countleader_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-var _ = Describe("the leader of a part of the tenant count", func() {
+var _ = Describe("the leader of a partition of the tenant count", func() {
 	var leadership *scriptedLeadership
 	var leader *countleader.Leader
 	var answers []wire.ClientAnswer
--- a/internal/control/lots/lots.go
+++ b/internal/control/lots/lots.go
@@ -1,5 +1,5 @@
 // Package lots manages lots, which are batches of requests (items) that a client submits together and whose results it reads later. It
-// stores lots and runs their items while this process leads the key of a part. It has no goroutines and no sockets: one goroutine calls
+// stores lots and runs their items while this process leads the key of a partition. It has no goroutines and no sockets: one goroutine calls
 // it with the commands of clients and the outcomes of runs, and calls Flush after each burst of such calls.
 //
 // A lot is acknowledged once all its records are committed. A result gets its position when the run of its item ends, and is visible to
@@ -22,7 +22,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// IsKey reports whether a replication key belongs to a part of this package.
+// IsKey reports whether a replication key belongs to a partition of this package.
 func IsKey(key string) bool { return strings.HasPrefix(key, wire.LotsKeyPrefix) }
 
 // Run is one attempt to run an item at an executor.
@@ -57,12 +57,12 @@
 	OutcomeImpossible
 )
 
-// Runner executes runs. It calls done exactly once for each run, on the goroutine of the part.
+// Runner executes runs. It calls done exactly once for each run, on the goroutine of the partition.
 type Runner interface {
 	Start(run Run, done func(Outcome, Progress))
 }
 
-// Dependencies holds the dependencies and settings of a part.
+// Dependencies holds the dependencies and settings of a partition.
 type Dependencies struct {
 	Clock  clock.Clock
 	Log    logging.Logger
@@ -93,7 +93,7 @@
 	nextCleanUpAt time.Duration
 }
 
-// New returns a part of the given key. It is closed until Open is called.
+// New returns a partition of the given key. It is closed until Open is called.
 func New(key string, dependencies Dependencies) *Part {
 	return &Part{key: key, Dependencies: dependencies}
 }
--- a/internal/control/lots/lots_test.go
+++ b/internal/control/lots/lots_test.go
@@ -76,13 +76,13 @@
 	return pairs
 }
 
-// startedRun is a run that the part has started and the callback for its outcome.
+// startedRun is a run that the partition has started and the callback for its outcome.
 type startedRun struct {
 	lots.Run
 	done func(lots.Outcome, lots.Progress)
 }
 
-// harness holds a part and its fake dependencies. It is the part's Runner.
+// harness holds a partition and its fake dependencies. It is the partition's Runner.
 type harness struct {
 	clock      *clock.Fake
 	leadership *fakeLeadership
@@ -106,7 +106,7 @@
 	h.runs = append(h.runs, startedRun{run, done})
 }
 
-// open creates a part and opens it with the committed records, as a process does that takes over the key.
+// open creates a partition and opens it with the committed records, as a process does that takes over the key.
 func (h *harness) open() {
 	h.part = lots.New(wire.LotsKey, lots.Dependencies{Clock: h.clock, Log: logging.Silent(), Runner: h, Retention: 2 * time.Minute,
 		Route: func(name string) *configuration.Route {
--- a/internal/scheduling/tenantcount/account.go
+++ b/internal/scheduling/tenantcount/account.go
@@ -18,19 +18,19 @@
 	pending *accountRecord
 	// hasWholeLimit means that no other pool holds any of the limit.
 	hasWholeLimit bool
-	// target is how much the part wants the pool to keep. With isAboveTarget the account holds more, and the pool starts no runs beyond
-	// the target.
+	// target is how much the pool should have, as the partition decided. With isAboveTarget the account holds more, and the pool starts no
+	// runs beyond the target.
 	target        placement.Resources
 	isAboveTarget bool
-	// version is the configuration version of the part's last decision. isSettled means that all grants together were within the limit
-	// of that configuration. isAnswered means that the part has decided at least once during this leadership of the pool.
+	// version is the configuration version of the partition's last decision. isSettled means that all grants together were within the limit
+	// of that configuration. isAnswered means that the partition has decided at least once during this leadership of the pool.
 	version    int64
 	isSettled  bool
 	isAnswered bool
 	lastCallAt time.Duration
-	// knownGrant is the part's grant to this pool as last reported: Has of the pool's last call, or the grant in a later answer.
+	// knownGrant is the partition's grant to this pool as last reported: Has of the pool's last call, or the grant in a later answer.
 	knownGrant placement.Resources
-	// sentWants is what the last call said that the pool wants, capped by the limit.
+	// sentWants is the demand in the last call, capped by the limit.
 	sentWants placement.Resources
 }
 
--- a/internal/scheduling/tenantcount/accounts.go
+++ b/internal/scheduling/tenantcount/accounts.go
@@ -18,7 +18,7 @@
 	AccountPrefix = "a/"
 	// raiseInterval is how long a pool waits before it asks again for an amount that was not granted.
 	raiseInterval = 100 * time.Millisecond
-	// batchInterval is the least time between two calls to a part, so that one call carries the demand of many tenants.
+	// batchInterval is the least time between two calls to a partition, so that one call carries the demand of many tenants.
 	batchInterval = 20 * time.Millisecond
 	// pollInterval is how often a pool that shares its tenants with others asks how much it should give back.
 	pollInterval = 500 * time.Millisecond
@@ -39,7 +39,7 @@
 // wanted returns the demand capped by the limit, in the resources that have a limit.
 func (d Demand) wanted() placement.Resources { return onlyLimited(d.Wants.Min(d.Limit), d.Limit) }
 
-// Accounts is the pool's side of the escrow: its accounts, and its calls to the parts. The leader of a pool creates it at the start of
+// Accounts is the pool's side of the escrow: its accounts, and its calls to the partitions. The leader of a pool creates it at the start of
 // its leadership. It must be used from one goroutine, and has no clock and no network access.
 type Accounts struct {
 	asker    string
@@ -49,7 +49,7 @@
 	parts    [Parts]partCalls
 }
 
-// partCalls is the state of the calls to one part, of which at most one is in flight.
+// partCalls is the state of the calls to one partition, of which at most one is in flight.
 type partCalls struct {
 	// number is the number of the call in flight, 0 if there is none.
 	number uint64
@@ -60,7 +60,7 @@
 }
 
 // NewAccounts creates the accounts of a pool for one epoch from the pool's committed records. A record that can't be read counts as an
-// empty account and is named by the error, which comes with valid accounts: the first call returns that account's grant to the part.
+// empty account and is named by the error, which comes with valid accounts: the first call returns that account's grant to the partition.
 func NewAccounts(asker string, epoch uint64, pairs []wire.Op) (*Accounts, error) {
 	accounts := &Accounts{asker: asker, epoch: epoch, byTenant: map[string]*account{}}
 	var unreadable error
@@ -77,7 +77,7 @@
 }
 
 // Allowance returns how much of a tenant's limit the pool may use, and whether that is the whole limit, so that one run may exceed it.
-// If pools share their tenants, the allowance is zero until the part has answered under the pool's configuration: under a version in
+// If pools share their tenants, the allowance is zero until the partition has answered under the pool's configuration: under a version in
 // between, which this pool has never seen, other pools may have been granted more.
 func (a *Accounts) Allowance(tenant string, policy Policy) (allowance placement.Resources, hasWholeLimit bool) {
 	account := a.byTenant[tenant]
@@ -106,7 +106,7 @@
 	return a.byTenant[tenant]
 }
 
-// Lower starts to return the surplus of a tenant's account to the part: what is above the part's target or above the limit of the
+// Lower starts to return the surplus of a tenant's account to the partition: what is above the partition's target or above the limit of the
 // configuration, except for what runs use. It returns nil if there is nothing to commit.
 func (a *Accounts) Lower(tenant string, demand Demand) *Change {
 	account := a.accountOf(tenant)
@@ -121,7 +121,7 @@
 	return account.beginChange(tenant, lowered, false)
 }
 
-// Next returns the next call to a part, or nil if none is due.
+// Next returns the next call to a partition, or nil if none is due.
 func (a *Accounts) Next(part int, demands map[string]Demand, policy Policy, now time.Duration) *wire.GrantCall {
 	calls := &a.parts[part]
 	if calls.number != 0 || now < calls.nextAt {
@@ -148,8 +148,8 @@
 	return &wire.GrantCall{Asker: a.asker, Epoch: a.epoch, Number: a.number, Tenants: asked}
 }
 
-// needsCall reports whether the part must be called for this account: it has not answered during this leadership or under this
-// configuration, the demand is above the allowance, the part's grant differs from the claimed amount, or, if pools share the limit,
+// needsCall reports whether the partition must be called for this account: it has not answered during this leadership or under this
+// configuration, the demand is above the allowance, the partition's grant differs from the claimed amount, or, if pools share the limit,
 // the demand has changed since the last call or the grants are above the limit. No call is made while a change of the account is being
 // committed, because the commit may fail and make the call wrong.
 func (a *account) needsCall(demand Demand, policy Policy, now time.Duration) bool {
@@ -164,7 +164,7 @@
 	return !a.isAnswered || a.knownGrant != a.claimed || !canWait && (a.version < policy.Version || isStarved || policy.IsShared && !a.isSettled)
 }
 
-// HandleAnswer handles the answer to a call to a part; answer is nil if the call failed. Answers to earlier calls are ignored. The
+// HandleAnswer handles the answer to a call to a partition; answer is nil if the call failed. Answers to earlier calls are ignored. The
 // answer to a poll never raises an account, because the grant that it reports may not be durable yet. The changes must be committed.
 func (a *Accounts) HandleAnswer(part int, number uint64, answer *wire.GrantAnswer, now time.Duration) []Change {
 	calls := &a.parts[part]
@@ -188,7 +188,7 @@
 	return changes
 }
 
-// applyGrant applies a part's decision on one tenant. It returns nil if there is nothing to commit.
+// applyGrant applies a partition's decision on one tenant. It returns nil if there is nothing to commit.
 func (a *Accounts) applyGrant(given wire.TenantGrant, version int64) *Change {
 	account, granted := a.accountOf(given.Tenant), resourcesOf(given.Granted)
 	account.target, account.knownGrant = resourcesOf(given.Target), granted
--- a/internal/scheduling/tenantcount/cost_test.go
+++ b/internal/scheduling/tenantcount/cost_test.go
@@ -21,7 +21,7 @@
 	return placement.Resources{CPU: 1_000_000, Memory: 2_000_000, GPU: placement.Unlimited}, true
 }
 
-// costCall is a call of a pool for all tenants of a part, whose demand changes slightly from call to call.
+// costCall is a call of a pool for all tenants of a partition, whose demand changes slightly from call to call.
 func costCall(part, pool int, number uint64) *wire.GrantCall {
 	call := &wire.GrantCall{Asker: fmt.Sprintf("pool/%d", pool), Epoch: 1, Number: number}
 	for tenant := range costTenants {
@@ -34,7 +34,7 @@
 	return call
 }
 
-// BenchmarkHandleCall measures a part's decision on one call of a pool for all tenants of the part.
+// BenchmarkHandleCall measures a partition's decision on one call of a pool for all tenants of the partition.
 func BenchmarkHandleCall(b *testing.B) {
 	part, err := NewPart(nil, 0)
 	if err != nil {
--- a/internal/scheduling/tenantcount/part.go
+++ b/internal/scheduling/tenantcount/part.go
@@ -1,23 +1,23 @@
 // Package tenantcount enforces the limits on what each tenant has running, summed over all pools. It is an escrow: each limit is divided
-// into grants to pools. Tenants are hashed into a fixed number of parts. A part (Part) is a replicated key with a leader that decides on
-// the grants of its tenants. The leader of a pool starts runs of a tenant only within its grant, which it keeps in an account (Accounts).
-// Calls are batched: one call carries the demand of many tenants, one commit covers all its grants, and no start waits for a part
-// while the account suffices.
+// into grants to pools. Tenants are hashed into a fixed number of partitions. A partition (Part) is a replicated key with a leader that
+// decides on the grants of its tenants. The leader of a pool starts runs of a tenant only within its grant, which it keeps in an account
+// (Accounts). Calls are batched: one call carries the demand of many tenants, one commit covers all its grants, and no start waits for a
+// partition while the account suffices.
 //
 // Both sides store their state durably. Two invariants hold at all times, also when messages are lost, delayed or duplicated:
 //
 //   - The grants of a tenant, summed over all pools, do not exceed its limit, or the highest limit that was in force when they were
 //     granted. After a limit is lowered, and under each new configuration, which may have lowered it, a pool that shares its tenants with
-//     others starts nothing until the part has told it that the grants are within the limit again.
-//   - A pool uses no more than its account, and the account is no more than the part's grant. A part commits a raised grant before it
-//     answers, and a pool commits a raised account before it uses it. A pool commits a lowered account before it reports that, and a
-//     part lowers a grant only as far as the pool has reported.
+//     others starts nothing until the partition has confirmed that the grants are within the limit again.
+//   - A pool uses no more than its account, and the account is no more than the partition's grant. A partition commits a raised grant
+//     before it answers, and a pool commits a raised account before it uses it. A pool commits a lowered account before it reports that,
+//     and a partition lowers a grant only as far as the pool has reported.
 //
 // A call states the most that the pool may use until the call is answered (Has). A delayed call must therefore not lower a grant that a
-// later call has raised, and a delayed answer must not raise an account that a later call has reported as lower. Calls carry the epoch
-// of the pool's leadership and an increasing number. The part commits both with each grant that it raises and rejects older calls, and a
-// pool ignores the answers to all calls but its last. A grant never expires: it is returned only by a call of the pool's leader, or of
-// its successor, which finds the account among the pool's records.
+// later call has raised, and a delayed answer must not raise an account that a later call has reported as lower. Calls carry the epoch of
+// the pool's leadership and an increasing number. The partition commits both with each grant that it raises and rejects older calls, and a
+// pool ignores the answers to all calls but its last. A grant never expires: it is returned only by a call of the pool's leader, or of its
+// successor, which finds the account among the pool's records.
 package tenantcount
 
 import (
@@ -41,21 +41,21 @@
 const (
 	// Parts is the number of keys that the tenants are divided among. It must not change while any of them holds grants.
 	Parts = 4
-	// keyPrefix is the prefix of the parts' keys.
+	// keyPrefix is the prefix of the partitions' keys.
 	keyPrefix = "count/"
-	// grantPrefix is the prefix of the names of a part's grant records.
+	// grantPrefix is the prefix of the names of a partition's grant records.
 	grantPrefix = "g/"
 	// idleAskerTimeout is how long after its last call an asker without a grant still counts when a limit is divided.
 	idleAskerTimeout = 10 * time.Second
 )
 
-// KeyOf returns the key of a part.
+// KeyOf returns the key of a partition.
 func KeyOf(part int) string { return keyPrefix + strconv.Itoa(part) }
 
-// IsKey reports whether a key belongs to a part.
+// IsKey reports whether a key belongs to a partition.
 func IsKey(key string) bool { return strings.HasPrefix(key, keyPrefix) }
 
-// PartOf returns the part that a tenant belongs to.
+// PartOf returns the partition that a tenant belongs to.
 func PartOf(tenant string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(tenant))
@@ -68,8 +68,8 @@
 // Limits looks up the limit of a tenant, summed over all pools, in the current configuration. It returns false for an unknown tenant.
 type Limits func(tenant string) (placement.Resources, bool)
 
-// Part decides on the grants of one part, on behalf of the part's leader. It must be used from one goroutine, and has no clock and no
-// network access.
+// Part decides on the grants of one partition, on behalf of the partition's leader. It must be used from one goroutine, and has no clock
+// and no network access.
 type Part struct {
 	// tenants holds the grants by tenant and asker. The asker is the key of a pool.
 	tenants map[string]map[string]*grant
@@ -95,7 +95,7 @@
 	return cmp.Or(cmp.Compare(c.epoch, other.epoch), cmp.Compare(c.number, other.number))
 }
 
-// NewPart creates a part from the committed records of its key. now is the time at which the leadership begins. The error names a
+// NewPart creates a partition from the committed records of its key. now is the time at which the leadership begins. The error names a
 // record that can't be read.
 func NewPart(pairs []wire.Op, now time.Duration) (*Part, error) {
 	part := &Part{tenants: map[string]map[string]*grant{}, lastCalls: map[string]callID{}}
--- a/internal/scheduling/tenantcount/tenantcount_test.go
+++ b/internal/scheduling/tenantcount/tenantcount_test.go
@@ -22,7 +22,7 @@
 // cpu returns an amount of CPU. The other resources have no limit in these tests.
 func cpu(units int64) placement.Resources { return placement.Resources{CPU: units} }
 
-// escrow connects a part and the accounts of several pools. poolRecords holds the committed records of each pool.
+// escrow connects a partition and the accounts of several pools. poolRecords holds the committed records of each pool.
 type escrow struct {
 	part        *Part
 	records     map[string][]byte
@@ -60,7 +60,7 @@
 	}
 }
 
-// changePartLeader replaces the part by one that a new leader creates from the committed records.
+// changePartLeader replaces the partition by one that a new leader creates from the committed records.
 func (e *escrow) changePartLeader() {
 	part, err := NewPart(pairsOf(e.records), e.now)
 	Expect(err).NotTo(HaveOccurred())
@@ -93,7 +93,7 @@
 	return e.accounts[pool].Next(PartOf("t"), e.demand(used, wants), e.policy(), e.now)
 }
 
-// answer returns the part's answer to a call and commits the part's changes.
+// answer returns the partition's answer to a call and commits the partition's changes.
 func (e *escrow) answer(call *wire.GrantCall) *wire.GrantAnswer {
 	given, ops, err := e.part.HandleCall(call, e.limits, e.now)
 	Expect(err).NotTo(HaveOccurred())
@@ -110,7 +110,7 @@
 	}
 }
 
-// round lets a pool return its surplus, call the part and handle the answer. It returns the pool's allowance afterwards.
+// round lets a pool return its surplus, call the partition and handle the answer. It returns the pool's allowance afterwards.
 func (e *escrow) round(pool string, used, wants int64) int64 {
 	if lowered := e.accounts[pool].Lower("t", e.demand(used, wants)["t"]); lowered != nil {
 		applyOps(e.poolRecords[pool], lowered.Op)
@@ -236,14 +236,14 @@
 		Expect(e.allowance("x")).To(BeZero())
 	})
 
-	It("survives a change of the part's leader and of a pool's leader", func() {
+	It("survives a change of the partition's leader and of a pool's leader", func() {
 		e := newEscrow(100, "x", "y")
 		e.round("x", 0, 500)
 		e.changePartLeader()
 		Expect(e.round("y", 0, 500)).To(BeZero())
 		e.changePoolLeader("x")
 		Expect(e.accounts["x"].Balance("t")).To(Equal(cpu(100)))
-		Expect(e.allowance("x")).To(BeZero(), "no allowance before the part has answered under this leader's configuration")
+		Expect(e.allowance("x")).To(BeZero(), "no allowance before the partition has answered under this leader's configuration")
 		for range 12 {
 			e.round("x", 0, 500)
 			e.round("y", 0, 500)
