--- a/internal/control/itemrunner/idletimer.go
+++ b/internal/control/itemrunner/idletimer.go
@@ -11,17 +11,17 @@
 // idleTimer ends a run whose executor sends no event for too long. If the executor's machine fails after it acknowledged the request,
 // nothing closes the connection.
 type idleTimer struct {
-	clock clock.Clock
-	limit time.Duration
+	clock   clock.Clock
+	timeout time.Duration
 	// lastEventNs is when the run started or the last event came, in nanoseconds on the monotonic clock.
 	lastEventNs atomic.Int64
 	// isExpired is set when the timer ends the run.
 	isExpired atomic.Bool
 }
 
-// newIdleTimer returns a timer for a run that starts now. A limit of 0 disables the timer.
-func newIdleTimer(clock clock.Clock, limit time.Duration) *idleTimer {
-	timer := &idleTimer{clock: clock, limit: limit}
+// newIdleTimer returns a timer for a run that starts now. A timeout of 0 disables the timer.
+func newIdleTimer(clock clock.Clock, timeout time.Duration) *idleTimer {
+	timer := &idleTimer{clock: clock, timeout: timeout}
 	timer.reset()
 	return timer
 }
@@ -32,14 +32,14 @@
 // hasExpired reports whether this timer has ended the run.
 func (t *idleTimer) hasExpired() bool { return t.isExpired.Load() }
 
-// run blocks until ctx is done, or until the limit has passed without an event. In the latter case it calls cancel. With a disabled timer
+// run blocks until ctx is done, or until the timeout has passed without an event. In the latter case it calls cancel. With a disabled timer
 // it returns at once.
 func (t *idleTimer) run(ctx context.Context, cancel func()) {
-	if t.limit <= 0 {
+	if t.timeout <= 0 {
 		return
 	}
 	for {
-		remaining := t.limit - (t.clock.Monotonic() - time.Duration(t.lastEventNs.Load()))
+		remaining := t.timeout - (t.clock.Monotonic() - time.Duration(t.lastEventNs.Load()))
 		if remaining <= 0 {
 			t.isExpired.Store(true)
 			cancel()
--- a/internal/control/lots/lot.go
+++ b/internal/control/lots/lot.go
@@ -54,11 +54,11 @@
 
 // idleTimeout returns the time without an event after which the next run is ended.
 func (i *item) idleTimeout() time.Duration {
-	limit := minIdleTimeout
+	timeout := minIdleTimeout
 	for range i.timeouts {
-		limit = min(2*limit, maxIdleTimeout)
+		timeout = min(2*timeout, maxIdleTimeout)
 	}
-	return limit
+	return timeout
 }
 
 // record returns the stored record of the item.
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -29,12 +29,12 @@
 // inFlightOrder is an order in flight to the executor: the fence of the leader that gave it last, and the reading of the executor's
 // clock, in milliseconds, up to which a start is covered by the grant that came with it.
 type inFlightOrder struct {
-	fence   uint64
-	limitMs int64
+	fence         uint64
+	grantExpiryMs int64
 }
 
 // accept returns the orders that are not in flight yet. The others stay in flight, under the fence of the leader that repeated them.
-func (t *Table) accept(current *executorState, orders []wire.Order, limitMs int64) []wire.Order {
+func (t *Table) accept(current *executorState, orders []wire.Order, grantExpiryMs int64) []wire.Order {
 	accepted := orders[:0]
 	for _, order := range orders {
 		key := keyOf(order)
@@ -42,7 +42,7 @@
 		given.fence = current.fence
 		if !isInFlight {
 			current.lastBusyAt = t.now()
-			given.limitMs = limitMs
+			given.grantExpiryMs = grantExpiryMs
 			accepted = append(accepted, order)
 		}
 		current.ordersInFlight[key] = given
@@ -78,7 +78,7 @@
 		return work, t.isStopReady(current, order)
 	}
 	if isInFlight {
-		work.ExpiryMs = min(work.ExpiryMs, given.limitMs)
+		work.ExpiryMs = min(work.ExpiryMs, given.grantExpiryMs)
 	}
 	return work, t.isStartReady(current, work)
 }
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -128,7 +128,7 @@
 	return orderTracker{pendingRuns: map[*runState]bool{}, brokenGangs: map[*stepState]bool{}, ordersToSend: map[*executorState]bool{}}
 }
 
-// Recorder receives the events that a rehearsal needs to replay the day. Record must not block.
+// Recorder receives the events from which a simulation can replay the load of the pool (see package recording). Record must not block.
 type Recorder interface{ Record(recording.Event) }
 
 type discardRecorder struct{}
