--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -139,8 +139,8 @@
 		c.run(2 * time.Second)
 		c.runWithWrites(500 * time.Millisecond)
 		leaderless := 0
-		for index, node := range c.nodes {
-			if index == 1 {
+		for position, node := range c.nodes {
+			if position == 1 {
 				c.snapshotsSent, c.chunksSent = 0, nil
 			}
 			node.leave()
