--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -42,7 +42,7 @@
 		return !hasLocalProxy || member.Role == membership.RoleSteward
 	}
 	add("member", members(first, isCompared), members(second, isCompared))
-	add("owner", owners(first), owners(second))
+	add("owner", leaders(first), leaders(second))
 	if first.Role == second.Role {
 		add("replica", replicas(first), replicas(second))
 		add("job", jobs(first), jobs(second))
@@ -89,8 +89,8 @@
 	return descriptions
 }
 
-// owners describes the leader of each key.
-func owners(answer *wire.BeliefsAnswer) map[string]string {
+// leaders describes the leader of each key.
+func leaders(answer *wire.BeliefsAnswer) map[string]string {
 	descriptions := map[string]string{}
 	for _, leader := range answer.Leaders {
 		descriptions[leader.Key] = fmt.Sprintf("%s, epoch %d", leader.Name, leader.Epoch)
--- a/internal/cluster/evacuationview/view.go
+++ b/internal/cluster/evacuationview/view.go
@@ -100,7 +100,7 @@
 	return errors.Annotate(indentedjson.Write(to, v), "writing the evacuations")
 }
 
-// WriteTable writes a line a zone, and a last line on which processes know the newest list.
+// WriteTable writes a line for each zone, and a last line on which processes know the newest list.
 func (v View) WriteTable(to io.Writer) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "zone\tstate\tsince\texecutors\truns")
@@ -118,7 +118,7 @@
 	return errors.Annotate(err, "writing the evacuations")
 }
 
-// state is "open" for a zone that isn't evacuated, "emptying" while runs remain in an evacuated one, and "empty" then.
+// state is "open" for a zone that isn't evacuated, "emptying" while runs remain in an evacuated one, and "empty" afterwards.
 func (z Zone) state() string {
 	switch {
 	case !z.IsEvacuated:
--- a/internal/cluster/tenantview/tenantview.go
+++ b/internal/cluster/tenantview/tenantview.go
@@ -1,4 +1,4 @@
-// Package tenantview merges the reports of pools and of the partitions of the tenants' count into one row a tenant, for operators.
+// Package tenantview merges the reports of pools and of the partitions of the tenants' count into one row for each tenant, for operators.
 package tenantview
 
 import (
@@ -96,7 +96,7 @@
 	return errors.Annotate(indentedjson.Write(to, v), "writing the tenants")
 }
 
-// WriteTable writes a line a tenant, sorted by the sum of running and waiting CPU, the highest first. With byPool each tenant's line is
+// WriteTable writes a line for each tenant, sorted by the sum of running and waiting CPU, the highest first. With byPool each tenant's line is
 // followed by one for each pool's grant.
 func (v View) WriteTable(to io.Writer, byPool bool) error {
 	rows := slices.Clone(v.Tenants)
--- a/internal/control/itemrunner/itemrunner.go
+++ b/internal/control/itemrunner/itemrunner.go
@@ -113,7 +113,7 @@
 }
 
 // readEvents adds the events of an answer to the progress of earlier runs. If the answer has neither a content length nor chunked
-// encoding, its end can't be told from a broken connection, so the outcome is OutcomeBroken.
+// encoding, its end can't be distinguished from a broken connection, so the outcome is OutcomeBroken.
 func readEvents(answer *http.Response, progress lots.Progress, timer *idleTimer) (lots.Outcome, lots.Progress) {
 	progress.Texts = slices.Clone(progress.Texts)
 	isFramed := answer.ContentLength >= 0 || slices.Contains(answer.TransferEncoding, "chunked")
--- a/internal/scheduling/scheduler/beliefs.go
+++ b/internal/scheduling/scheduler/beliefs.go
@@ -48,7 +48,7 @@
 	for _, executor := range p.executors {
 		if executor.proxy == machine {
 			for _, run := range executor.runs {
-				jobIDs[run.task.owner().id] = true
+				jobIDs[run.task.job().id] = true
 			}
 		}
 	}
--- a/internal/scheduling/scheduler/changeset.go
+++ b/internal/scheduling/scheduler/changeset.go
@@ -123,7 +123,7 @@
 			continue
 		}
 		record := task.toRecord()
-		isOver := !task.owner().isOpen() || task.owner().completedOccurrences[task.step.occurrence.number]
+		isOver := !task.job().isOpen() || task.job().completedOccurrences[task.step.occurrence.number]
 		if isOver && len(record.Runs) == 0 {
 			continue
 		}
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -169,7 +169,7 @@
 }
 
 // Cancel ends a job as cancelled and answers once that is committed. The state of a job that has ended doesn't change, and a job in
-// transfer to another pool can't be cancelled: the client is told to retry.
+// transfer to another pool can't be cancelled: the client has to retry.
 func (p *Pool) Cancel(call *wire.ClientCall, answer answerClient) {
 	job := p.jobFor(call)
 	if job != nil && job.transfer != nil {
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -26,7 +26,7 @@
 	if end.Checkpoint != "" {
 		p.recordCheckpoint(task, end.Checkpoint)
 	}
-	p.recordStart(task.owner())
+	p.recordStart(task.job())
 	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: string(end.Outcome),
 		LengthMs: (now - run.startedAt).Milliseconds()})
 	if end.Outcome == wire.OutcomeDone || end.Outcome == wire.OutcomeFailed {
@@ -53,7 +53,7 @@
 // job that is being transferred to another pool, as that pool may have started the task already.
 func (p *Pool) handleAbandonedEnd(end wire.EndReport) {
 	task := p.findTask(end.Task)
-	if end.Outcome != wire.OutcomeDone || task == nil || task.isDone || end.Run > task.lastRun || task.owner().transfer != nil {
+	if end.Outcome != wire.OutcomeDone || task == nil || task.isDone || end.Run > task.lastRun || task.job().transfer != nil {
 		return
 	}
 	p.log.Info("abandoned run completed its task", "task", end.Task, "run", end.Run)
@@ -76,11 +76,11 @@
 
 // recordCheckpoint stores the newest checkpoint of a task. A gang has a single one, which is stored with its first task.
 func (p *Pool) recordCheckpoint(task *taskState, checkpoint string) {
-	if task.checkpoint == checkpoint || task.owner().spec == nil {
+	if task.checkpoint == checkpoint || task.job().spec == nil {
 		return
 	}
 	holder := task.sharedTask()
-	if holder.checkpoint != checkpoint && task.owner().isOpen() {
+	if holder.checkpoint != checkpoint && task.job().isOpen() {
 		holder.checkpoint = checkpoint
 		p.putTask(holder)
 	}
@@ -98,7 +98,7 @@
 // countFailure counts a failed run as an attempt of its task, and fails the job when all attempts are used up. A gang counts one failure
 // for all members that failed in the same run. A long-running task has no limit and is started again after restartPause.
 func (p *Pool) countFailure(task *taskState, number int64) {
-	step, job := task.step, task.owner()
+	step, job := task.step, task.job()
 	if step.spec.LongRunning || !job.isOpen() || task.isDone {
 		task.notBefore = p.clock.Monotonic() + restartPause
 		step.notBefore = max(step.notBefore, task.notBefore)
@@ -120,7 +120,7 @@
 
 // completeTask marks a task as done, and with it all members of its gang. Other runs of a task outside a gang are stopped.
 func (p *Pool) completeTask(task *taskState) {
-	step, job := task.step, task.owner()
+	step, job := task.step, task.job()
 	if task.isDone || !job.isOpen() {
 		return
 	}
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -22,8 +22,8 @@
 	// maxStalls is how many runs of a task are stopped at most because they make no progress.
 	maxStalls = 4
 	// heartbeatOverdue is the time without a report after which an executor is overdue. Its proxy polls for orders every 300 ms, and every
-	// 600 ms while the executor is idle. An overdue executor is chosen last among equals, as an order for it may wait in vain until it
-	// counts as silent.
+	// 600 ms while the executor is idle. An overdue executor is chosen last among equals, as an order for it may have to be given to
+	// another executor once it counts as silent.
 	heartbeatOverdue = 450 * time.Millisecond
 	// overdueWeight is the penalty of an overdue executor.
 	overdueWeight = 0.4
@@ -39,7 +39,8 @@
 	sharedFailureWeight = 0.2
 )
 
-// machineHealth is the penalty of a machine whose executor fell silent, refused or died. It outlives the incarnations of the executor.
+// machineHealth is the penalty of a machine whose executor hung, refused a launch or ended unexpectedly. It outlives the incarnations of the
+// executor.
 type machineHealth struct {
 	penalty float64
 	at      time.Duration
@@ -62,7 +63,7 @@
 	return 0
 }
 
-// suspectMachine penalizes the machine of an executor that died or hung, and limits the executor to one run at a time.
+// suspectMachine penalizes the machine of an executor that ended unexpectedly or hung, and limits the executor to one run at a time.
 func (p *Pool) suspectMachine(executor *executorState) {
 	p.penalize(executor)
 	executor.runLimit = 1
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -37,7 +37,7 @@
 func (p *Pool) orderFor(run *runState) wire.Order {
 	order := wire.Order{Kind: wire.OrderStop, Task: run.task.name, Run: run.number}
 	if run.phase == runLaunching {
-		order.Kind, order.Descriptor, order.Checkpoint = wire.OrderLaunch, run.task.owner().spec.Descriptor, run.task.sharedTask().checkpoint
+		order.Kind, order.Descriptor, order.Checkpoint = wire.OrderLaunch, run.task.job().spec.Descriptor, run.task.sharedTask().checkpoint
 	}
 	return order
 }
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -149,7 +149,7 @@
 // countRunEnd counts a run that ended by itself, for the rollout of its queue. The run time is counted only if the run is done and started
 // under this leader, since the start time of other runs is unknown.
 func (p *Pool) countRunEnd(run *runState, outcome wire.RunOutcome, now time.Duration) {
-	counts := p.rollouts.byRoute[run.task.owner().record.Route]
+	counts := p.rollouts.byRoute[run.task.job().record.Route]
 	if counts == nil {
 		return
 	}
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -33,7 +33,7 @@
 	task.runs = append(task.runs, run)
 	executor.runs[run.key()] = run
 	executor.allocated = executor.allocated.Plus(need)
-	task.owner().runCount++
+	task.job().runCount++
 	p.allocate(run)
 	p.countTenantRun(run, 1)
 	if run.phase != runRunning {
@@ -110,7 +110,7 @@
 	}
 	p.putTask(task)
 	p.needsPlacing = true
-	job := task.owner()
+	job := task.job()
 	job.runCount--
 	p.forgetIfOver(job)
 	if !executor.isKnown && len(executor.runs) == 0 {
@@ -129,7 +129,7 @@
 	p.markRunChanged(run)
 	p.dropRecord(orderName(run.task, run.number, wire.OrderLaunch))
 	p.putTask(run.task)
-	p.recordStart(run.task.owner())
+	p.recordStart(run.task.job())
 	p.moveStalled(run)
 	p.stopIfUnfinishable(run)
 }
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -40,7 +40,7 @@
 	notBefore time.Duration
 }
 
-func (t *taskState) owner() *jobState { return t.step.occurrence.job }
+func (t *taskState) job() *jobState { return t.step.occurrence.job }
 
 // runState is one run of a task on an executor, from its placement until closeRun.
 type runState struct {
