--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -59,8 +59,8 @@
 	return &Fetcher{clock: clock, log: log, actions: actions, stallTimeout: minStallTimeout}
 }
 
-// Hold brings a committed configuration into force if it is newer than the current one.
-func (f *Fetcher) Hold(committed *wire.Configuration) {
+// AdoptIfNewer brings a committed configuration into force if it is newer than the current one.
+func (f *Fetcher) AdoptIfNewer(committed *wire.Configuration) {
 	if err := f.adopt(f.current.Next(committed)); err != nil {
 		f.log.Error(err, "the committed configuration can't be read", "version", committed.Version)
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Chunk gives the chunk of an image of the configuration with which a peer's call is answered.
+// Chunk returns the chunk of an image of the configuration with which a peer's call is answered.
 func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -65,7 +65,7 @@
 	var tickMachine func()
 	switch {
 	case key == configleader.Key:
-		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.Hold(committed) },
+		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.AdoptIfNewer(committed) },
 			configleader.WithStorageDisks(m.listStorageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithFixedKeys(m.listFixedKeys()),
 			configleader.WithEvacuations(m.Node.AnnounceEvacuations))
 		machine := configurationMachine{leader, m.rollouts}
@@ -74,7 +74,7 @@
 		machine := countMachine{countleader.New(key, m.Clock, m.Log, m.currentCountPolicy)}
 		runner.machine, runner.engine = machine, newEngine(machine, replication.WithPreferredLeader())
 	case coordination.IsKey(key):
-		machine := coordinationMachine{coordination.New(key, m.newCoordinationSurroundings())}
+		machine := coordinationMachine{coordination.New(key, m.newCoordinationDependencies())}
 		runner.machine, runner.engine, tickMachine = machine, newEngine(machine, replication.WithPreferredLeader()), machine.Tick
 	case lots.IsKey(key):
 		host := m.startLots(key, runner)
@@ -111,7 +111,7 @@
 // startLots creates the lots partition of a key and runs it on a goroutine of its own.
 func (m *Manager) startLots(key string, runner *keyRunner) *poolhost.Host {
 	itemRunner := &lateBoundRunner{}
-	part := lots.New(key, lots.Surroundings{Clock: m.Clock, Log: m.Log, Runner: itemRunner, Route: m.findRoute, Executors: m.Lots.Executors,
+	part := lots.New(key, lots.Dependencies{Clock: m.Clock, Log: m.Log, Runner: itemRunner, Route: m.findRoute, Executors: m.Lots.Executors,
 		Retention: m.Lots.Retention})
 	runner.machine = lotsMachine{part}
 	host := poolhost.New(part, runner.engineMailbox)
--- a/internal/control/coordination/script_test.go
+++ b/internal/control/coordination/script_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// harness holds a part, its leadership and the answers to its calls in the order in which they came.
+// harness holds a partition, its leadership and the answers to its calls in the order in which they came.
 type harness struct {
 	clock      *clock.Fake
 	leadership *fakeLeadership
@@ -66,12 +66,12 @@
 
 func newHarness() *harness {
 	h := &harness{clock: clock.NewFake(0), leadership: &fakeLeadership{epoch: 1, hasLease: true, durable: map[string]wire.Op{}}}
-	h.part = New("coordination/0", Surroundings{Clock: h.clock, Log: logging.Silent(), HistoryTime: testHistory, ReleaseTime: testRelease})
+	h.part = New("coordination/0", Dependencies{Clock: h.clock, Log: logging.Silent(), HistoryTime: testHistory, ReleaseTime: testRelease})
 	Expect(h.part.Open(h.leadership, nil)).To(Succeed())
 	return h
 }
 
-// changeLeader ends the leadership, fails the pending changes and opens the part for the next leader with the durable records.
+// changeLeader ends the leadership, fails the pending changes and opens the partition for the next leader with the durable records.
 func (h *harness) changeLeader() {
 	for _, commit := range h.leadership.pending {
 		commit.done(errors.New("lost"))
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// isVisibleTo tells whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call that
+// isVisibleTo reports whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call that
 // needs no API key has no tenant and may see all jobs.
 func (j *jobState) isVisibleTo(tenant string) bool {
 	return j.record.Tenant == "" || tenant == "" || j.record.Tenant == tenant
@@ -169,7 +169,7 @@
 }
 
 // Cancel ends a job as cancelled and answers once that is committed. The state of a job that has ended doesn't change, and a job in
-// transfer to another pool can't be cancelled: the client is told to retry.
+// transfer to another pool can't be cancelled: the client has to retry.
 func (p *Pool) Cancel(call *wire.ClientCall, answer answerClient) {
 	job := p.jobFor(call)
 	if job != nil && job.transfer != nil {
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -35,7 +35,7 @@
 	// demand is the total need of the requests that are on time, by priority.
 	demand map[int]allocation
 	// tenantDemand is the total need of all requests, and urgentDemand that of the requests that are on time and don't have to leave room
-	// for more urgent work (Group.LeavesRoom), both by the index of the tenant.
+	// for more urgent work (Group.CountsAsLong), both by the index of the tenant.
 	tenantDemand map[int]allocation
 	urgentDemand map[int]allocation
 	// minNeed is a lower bound of the need of a task in any request.
@@ -95,7 +95,7 @@
 	}
 }
 
-// addDemand adds a need to an entry, or subtracts it if count is negative. An entry that no group is left of is deleted.
+// addDemand adds a need to an entry, or subtracts it if count is negative. It deletes an entry that counts no group any more.
 func addDemand(demands map[int]allocation, key int, need placement.Resources, count int) {
 	demand := demands[key].with(need, count)
 	demands[key] = demand
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -29,7 +29,7 @@
 	// ReturnTo is the service of the old version, to whose pool jobs are returned. It is set only if this pool runs the new version and the
 	// rollout was rolled back.
 	ReturnTo string
-	// StopsRuns allows runs to be stopped so that their jobs can be returned. IsRepeatable tells that tasks may run again, even those that are
+	// StopsRuns allows runs to be stopped so that their jobs can be returned. IsRepeatable is set if tasks may run again, even those that are
 	// done.
 	StopsRuns    bool
 	IsRepeatable bool
@@ -103,7 +103,7 @@
 	}
 }
 
-// isReturning tells whether the jobs of a queue are being returned to the pool of the old version.
+// isReturning reports whether the jobs of a queue are being returned to the pool of the old version.
 func (p *Pool) isReturning(route string) bool {
 	return slices.ContainsFunc(p.rollouts.returning, func(terms RolloutTerms) bool { return terms.Route == route })
 }
@@ -149,7 +149,7 @@
 // countRunEnd counts a run that ended by itself, for the rollout of its queue. The run time is counted only if the run is done and started
 // under this leader, since the start time of other runs is unknown.
 func (p *Pool) countRunEnd(run *runState, outcome wire.RunOutcome, now time.Duration) {
-	counts := p.rollouts.byRoute[run.task.owner().record.Route]
+	counts := p.rollouts.byRoute[run.task.job().record.Route]
 	if counts == nil {
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-// hasLostRuns tells whether any task of the occurrence was started more often than its failures and its last run explain. A run was then
+// hasLostRuns reports whether any task of the occurrence was started more often than its failures and its last run explain. A run was then
 // stopped, lost with its executor, or run speculatively beside another one.
 func (t *occurrence) hasLostRuns() bool {
 	for _, step := range t.steps {
@@ -227,7 +227,7 @@
 	return open, overdue
 }
 
-// isLasting tells whether the occurrence has a long-running step, which ends only with the job.
+// isLasting reports whether the occurrence has a long-running step, which ends only with the job.
 func (t *occurrence) isLasting() bool {
 	return slices.ContainsFunc(t.steps, func(step *stepState) bool { return step.spec.LongRunning })
 }
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -13,7 +13,7 @@
 	Version int64
 	// Terms holds the terms of each tenant by its name.
 	Terms map[string]TenantTerms
-	// HasOtherPools tells that other pools may run work of the same tenants.
+	// HasOtherPools is set if other pools may run work of the same tenants.
 	HasOtherPools bool
 }
 
@@ -82,8 +82,8 @@
 	return tenant
 }
 
-// updateTerms applies the terms of the current configuration if its version has changed. If no configuration has had a tenant since this
-// leader took over, the tenant may use what the pool was granted for it and no more.
+// updateTerms applies the terms of the current configuration if its version has changed. A tenant that no configuration has
+// had since this leader took over keeps the limit that openAccounts has set: what the pool was granted for it.
 func (p *Pool) updateTerms() {
 	policy := p.policyInForce()
 	if policy.Version == p.tenants.version {
@@ -103,7 +103,7 @@
 // atLimitFraction is the fraction of its limit from which on a tenant counts as at its limit. Most tasks need less than the remaining 10%.
 const atLimitFraction = 0.9
 
-// isAtLimit tells whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
+// isAtLimit reports whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
 func (t *tenantTable) isAtLimit(index int) bool {
 	tenant := t.sorted[index]
 	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.DominantShareOf(tenant.terms.Limit) >= atLimitFraction
@@ -114,13 +114,13 @@
 func (p *Pool) countTenantRun(run *runState, count int) {
 	tenant := run.task.step.tenant()
 	tenant.allocated = tenant.allocated.with(run.task.step.need(), count)
-	if p.leavesRoom(run.task.step) {
+	if p.countsAsLong(run.task.step) {
 		tenant.longAllocated = tenant.longAllocated.with(run.task.step.need(), count)
 	}
 }
 
-// leavesRoom tells whether a step is long work that must leave room for more urgent work.
-func (p *Pool) leavesRoom(step *stepState) bool {
+// countsAsLong reports whether a step is long work that must leave room for more urgent work.
+func (p *Pool) countsAsLong(step *stepState) bool {
 	group := placement.Group{IsLong: p.isLong(step), IsLasting: step.spec.LongRunning, Priority: step.priority()}
 	return group.CountsAsLong()
 }
@@ -142,8 +142,8 @@
 	limits := make([]placement.Tenant, len(p.tenants.sorted))
 	totalWeight := p.activeWeight()
 	for index, tenant := range p.tenants.sorted {
-		limit, mayOverhang := p.limitOf(tenant)
-		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOverhang,
+		limit, mayOvershoot := p.limitOf(tenant)
+		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOvershoot,
 			LongAllocated: tenant.longAllocated.resources, LongLimit: p.longLimit(tenant, limit, now), Share: placement.NoLimit}
 		if index > 0 && tenant.hasWork() {
 			limits[index].Share = p.table.openCapacity.Times(tenant.terms.Weight / totalWeight)
@@ -153,9 +153,9 @@
 	return limits
 }
 
-// limitOf returns how much a tenant's runs may take in this pool. mayOverhang tells whether the last run may exceed this, which is allowed
-// only if no other pool starts runs under the same limit.
-func (p *Pool) limitOf(tenant *tenantState) (limit placement.Resources, mayOverhang bool) {
+// limitOf returns how much a tenant's runs may take in this pool. mayOvershoot is set if the last run may exceed this, which is allowed only
+// if no other pool starts runs under the same limit.
+func (p *Pool) limitOf(tenant *tenantState) (limit placement.Resources, mayOvershoot bool) {
 	if p.accounts == nil || tenant.index == 0 {
 		return tenant.terms.Limit, true
 	}
@@ -188,10 +188,10 @@
 	return sum
 }
 
-// hasWork tells whether the tenant has runs or steps in the queue.
+// hasWork reports whether the tenant has runs or steps in the queue.
 func (t *tenantState) hasWork() bool { return t.openSteps > 0 || t.allocated.count > 0 }
 
-// takeRateToken counts a submitted job against its tenant's rate and tells whether it is within the rate. Jobs without a tenant always are.
+// takeRateToken counts a submitted job against its tenant's rate and reports whether it is within the rate. Jobs without a tenant always are.
 func (p *Pool) takeRateToken(tenant *tenantState) bool {
 	return tenant.index == 0 || tenant.rate.take(tenant.terms.Weight, p.timing.RateWindow, p.clock.Monotonic())
 }
@@ -202,12 +202,12 @@
 	minSurplusJobs = 20
 )
 
-// exceedsSurplusLimit tells whether a tenant has so many open surplus jobs that the pool refuses more of them.
+// exceedsSurplusLimit reports whether a tenant has so many open surplus jobs that the pool refuses more of them.
 func (t *tenantState) exceedsSurplusLimit() bool {
 	return t.index > 0 && t.surplusJobs >= max(minSurplusJobs, int(surplusSeconds*t.terms.Weight))
 }
 
-// submissionRate is a token bucket that tells which of a tenant's jobs are within its rate, which is its weight in jobs per second. The
+// submissionRate is a token bucket that decides which of a tenant's jobs are within its rate, which is its weight in jobs per second. The
 // bucket holds the jobs of one time window.
 type submissionRate struct {
 	tokens float64
@@ -215,7 +215,7 @@
 	isSeen bool
 }
 
-// take counts a job submitted now and tells whether it is within the rate. The first call fills the bucket.
+// take counts a job submitted now and reports whether it is within the rate. The first call fills the bucket.
 func (r *submissionRate) take(perSecond float64, window, now time.Duration) bool {
 	burst := max(1, perSecond*window.Seconds())
 	if !r.isSeen {
--- a/internal/simulation/modelcheck/controlmodel/coordination.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination.go
@@ -57,7 +57,7 @@
 }
 
 func (s *coordinationService) newMachine(n *simNode) serviceMachine {
-	part := coordination.New(s.key(), coordination.Surroundings{Clock: &n.clock, Log: logging.Silent(), HistoryTime: keptHistoryTime, ReleaseTime: releaseTime})
+	part := coordination.New(s.key(), coordination.Dependencies{Clock: &n.clock, Log: logging.Silent(), HistoryTime: keptHistoryTime, ReleaseTime: releaseTime})
 	return n.cluster.fault.wrapPart(&coordinationMachine{part})
 }
 
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -226,7 +226,7 @@
 		}
 		hasArrived = true
 	}
-	callMachine(a.from, to, attempt.Limit, serve,
+	callMachine(a.from, to, attempt.Timeout, serve,
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
 				// If the first copy of a message arrived, a second copy that finds the process down does not count as a refused connection.
--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -194,7 +194,7 @@
 		m.cluster.pools[step.Node].isBad = step.Value == 1
 		amendment.AddRollout(&configuration.Rollout{Name: fmt.Sprintf("r%d", m.rolloutCount), Route: queueName, From: decoded.Routes[0].Service, To: serviceOf(step.Node),
 			Steps:  []configuration.RolloutStep{{Share: 0.3, MinTimeS: 1, MinJobs: 3}, {Share: 0.7, MinTimeS: 1, MinJobs: 3}, {Share: 1, MinTimeS: 1, MinJobs: 3}},
-			Bounds: configuration.RolloutBounds{Failures: 0.1, MinJobs: 3}, OnTurnBack: []string{"", configuration.TurnBackStop}[step.Node%2]})
+			Bounds: configuration.RolloutBounds{Failures: 0.1, MinJobs: 3}, OnRollback: []string{"", configuration.RollbackStop}[step.Node%2]})
 	case step.Kind == kindMove && rollout == nil:
 		body = []byte(strings.Replace(string(body), `"service":"`+decoded.Routes[0].Service+`"`, `"service":"`+serviceOf(step.Node)+`"`, 1))
 		amendment = configuration.Amend(body)
@@ -221,7 +221,7 @@
 	case kind == kindResume && progress.State == configuration.RolloutPaused:
 		progress.State = configuration.RolloutWidening
 	case kind == kindAbort && progress.State != configuration.RolloutRequested:
-		progress.State = configuration.RolloutTurnedBack
+		progress.State = configuration.RolloutRolledBack
 	default:
 		return false
 	}
@@ -253,7 +253,7 @@
 	if state, isEnded := m.endStates[rollout.Name]; isEnded && state != rollout.State {
 		m.cluster.violate("OPERATOR", "rollout %s was over as %s and is %q now", rollout.Name, state, rollout.State)
 	}
-	if _, isKnown := m.endStates[rollout.Name]; !isKnown && rollout.State == configuration.RolloutTurnedBack {
+	if _, isKnown := m.endStates[rollout.Name]; !isKnown && rollout.State == configuration.RolloutRolledBack {
 		m.cluster.coverage["turned_back"]++
 	}
 	if rollout.IsOver() {
--- a/internal/simulation/rehearsal/rollout.go
+++ b/internal/simulation/rehearsal/rollout.go
@@ -112,7 +112,7 @@
 
 // toConfiguration returns the rollout as a configuration holds it.
 func (r *Rollout) toConfiguration() configuration.Rollout {
-	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnTurnBack: r.OnTurnBack,
+	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnRollback: r.OnTurnBack,
 		Bounds: configuration.RolloutBounds(r.Bounds)}
 	for _, step := range r.Steps {
 		rollout.Steps = append(rollout.Steps, configuration.RolloutStep(step))
--- a/internal/simulation/soak/rollouts.go
+++ b/internal/simulation/soak/rollouts.go
@@ -67,7 +67,7 @@
 	step := func(share float64) configuration.RolloutStep {
 		return configuration.RolloutStep{Share: share, MinTimeS: stepSeconds, MinJobs: stepJobs}
 	}
-	return configuration.Rollout{Name: name, Route: jobsRoute, From: serviceName, To: service, RequestedBy: "soak", OnTurnBack: configuration.TurnBackStop,
+	return configuration.Rollout{Name: name, Route: jobsRoute, From: serviceName, To: service, RequestedBy: "soak", OnRollback: configuration.RollbackStop,
 		Steps: []configuration.RolloutStep{step(firstShare), step(secondShare), step(1)}, Bounds: configuration.RolloutBounds{Failures: maxFailureShare}}
 }
 
@@ -118,7 +118,7 @@
 		if seen.BegunMs > 0 && startedAt == 0 {
 			startedAt = seen.At
 		}
-		isRolledBack = isRolledBack || seen.State == configuration.RolloutTurnedBack
+		isRolledBack = isRolledBack || seen.State == configuration.RolloutRolledBack
 		isLate := startedAt > 0 && !isRolledBack && seen.At-startedAt > rollBackTimeout
 		if seen.Share == 1 || isLate {
 			return append(violations, Violation{OracleRollout, seen.At, fmt.Sprintf("the bad version has a share of %g, %v after it began", seen.Share, seen.At-startedAt)})
