--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -165,7 +165,7 @@
 	return position.ID
 }
 
-// ParseTask parses a name that TaskName made. It returns false for any other string.
+// ParseTask parses a name that TaskName made. It returns false for a string without this form, but doesn't check that ID is a job ID.
 func ParseTask(name string) (TaskPosition, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -72,9 +72,9 @@
 const (
 	// OnTime means that the job can still meet its deadline.
 	OnTime DeadlineClass = iota
-	// Late means that the job has missed its deadline but its result is still useful.
+	// Late means that the job can no longer meet its deadline, but can still end while its result is useful.
 	Late
-	// Expired means that the job's result is no longer useful.
+	// Expired means that the job can no longer end while its result is useful. Surplus work of a tenant counts as expired, too.
 	Expired
 )
 
@@ -108,13 +108,14 @@
 	Remaining   map[int]Resources
 	FirstRunCPU int64
 	Shares      []Share
-	// Tenants hold hard limits, which nothing exceeds, except for one run of a tenant with MayOvershoot. Index 0 is work without a tenant.
+	// Tenants holds the limits of each tenant. Nothing exceeds a tenant's Limit, except for one run of a tenant with MayOvershoot. Index 0 is
+	// work without a tenant.
 	Tenants []Tenant
 }
 
 // Share is capacity that part of the queue may take before the rest is placed in queue order. The part is the groups of one priority
-// and deadline class that can't wait, or all expired groups of any priority. The last run may exceed Resources, so that large
-// tasks are not starved. Reservations is how many executors may be reserved for such tasks.
+// and deadline class, or the expired groups of all priorities, in both cases without those that can wait. The last run may exceed
+// Resources, so that large tasks are not starved. Reservations is how many executors may be reserved for such tasks.
 type Share struct {
 	Priority     int
 	Deadline     DeadlineClass
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -1,4 +1,4 @@
-// Package placement decides which executor runs which task. It is a pure function of its input, without a clock or network access.
+// Package placement decides which executor runs which task. Its results depend only on its input: it uses no clock and no network.
 package placement
 
 import (
--- a/internal/scheduling/placement/reserve.go
+++ b/internal/scheduling/placement/reserve.go
@@ -85,8 +85,8 @@
 	return s.emptiestFor(group, executors)
 }
 
-// isLarge reports whether the group's tasks may starve behind small ones: they need more than a third of the smallest executor's CPU
-// or memory.
+// isLarge reports whether the group's tasks may starve behind small ones: they need more than a third of the least total CPU, or of the
+// least total memory, of the executors that are not closed.
 func (r *placementRound) isLarge(group *Group) bool {
 	return 3*group.Need.CPU > r.smallestTotal.CPU || 3*group.Need.Memory > r.smallestTotal.Memory
 }
--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -69,7 +69,7 @@
 }
 
 // isTenantAtLimit reports whether limits forbid count more runs of a group to its tenant. The hard limit always applies, the soft limit
-// applies to long work, and the share only in the pass within shares.
+// applies to long work that may not exceed soft limits, and the share only in the pass within shares.
 func (r *placementRound) isTenantAtLimit(group *Group, count int) bool {
 	tenant := r.tenantOf(group)
 	switch {
--- a/internal/scheduling/scheduler/deadline.go
+++ b/internal/scheduling/scheduler/deadline.go
@@ -24,7 +24,7 @@
 // expiredFrom returns the time of day, in ms, from which the step can no longer be completed before its occurrence expires.
 func (s *stepState) expiredFrom() int64 { return s.occurrence.expiryMs - s.remainingPathMs }
 
-// waitPart is the part of the time from a step's release to lateFrom that the step can wait without a capacity share.
+// waitPart is the part of the time from the release of a step's occurrence to lateFrom that the step can wait without a capacity share.
 const waitPart = 0.25
 
 // waitsUntil returns the time of day, in ms, up to which a step can wait.
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -26,7 +26,8 @@
 	isChanged bool
 }
 
-// executorFacts is what the local proxy reports of its executor. The facts are valid only while isKnown is set.
+// executorFacts is what the local proxy reports of its executor. The facts are valid only while isKnown is set, except for proxy, which
+// a new leader takes from the executor's record before the first report.
 type executorFacts struct {
 	// isKnown is set from the first report to this leader until the executor has ended.
 	isKnown bool
--- a/internal/scheduling/scheduler/loadreport.go
+++ b/internal/scheduling/scheduler/loadreport.go
@@ -41,7 +41,7 @@
 	return l.priorities[priority]
 }
 
-// hasLateWork reports whether any pending work has missed its target, including expired work.
+// hasLateWork reports whether any pending work is late or expired, which means that it can't be on time any more or is surplus work.
 func (l *load) hasLateWork() bool {
 	for _, priority := range l.priorities {
 		if priority.waiting[placement.Late]+priority.waiting[placement.Expired] > 0 {
--- a/internal/scheduling/scheduler/locality.go
+++ b/internal/scheduling/scheduler/locality.go
@@ -11,8 +11,8 @@
 // maxLocalityWait bounds the wait for capacity near a step's data.
 const maxLocalityWait = time.Second
 
-// localityWaitUntil returns until when a step waits for capacity near its data. The wait is half of the time that a task loses elsewhere,
-// and maxLocalityWait at most. It is 0 for a step that doesn't wait.
+// localityWaitUntil returns the time until which a step waits for capacity near its data, or 0 for a step that doesn't wait. The wait
+// begins when the step opens, and lasts half of the time that a task loses elsewhere, but at most maxLocalityWait.
 func (p *Pool) localityWaitUntil(step *stepState) time.Duration {
 	if len(step.spec.Affinity) == 0 || step.spec.Gang || step.spec.LongRunning {
 		return 0
--- a/internal/scheduling/scheduler/overload.go
+++ b/internal/scheduling/scheduler/overload.go
@@ -83,7 +83,7 @@
 }
 
 // dueKey is the sort key of a step within its section of the queue, lower first: normally its target time, and under overload its
-// negated release time, so that the newest comes first.
+// negated release time, so that the newest comes first. Expired work is always ordered by its target time.
 func (p *Pool) dueKey(step *stepState) int64 {
 	if p.overload.isOverloaded(step.priority(), step.tenant().index) && p.deadlineClass(step) != placement.Expired {
 		return -step.occurrence.releaseMs
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -146,7 +146,7 @@
 	return group
 }
 
-// isLong reports whether a step's tasks hold their resources for longer than ReservedCapacity.LongWork.
+// isLong reports whether a step is long-running, or the estimate of its tasks is longer than ReservedCapacity.LongWork.
 func (p *Pool) isLong(step *stepState) bool {
 	return step.spec.LongRunning || clock.Milliseconds(step.spec.EstimatedMs) > p.timing.ReservedCapacity.LongWork
 }
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -9,7 +9,8 @@
 )
 
 // handleOrderAnswer handles an executor's answer to an order. A run whose launch was refused is closed at once only if the launch was sent
-// at most once. If it was sent more often, another copy may still start the run, so the run is stopped instead.
+// at most once. If it was sent more often, or by an earlier leader and no list of runs has come since, another copy may still start the run,
+// so the run is stopped instead.
 func (p *Pool) handleOrderAnswer(executor *executorState, answer wire.OrderAnswer) {
 	run := executor.runs[runKey{answer.Task, answer.Run}]
 	if run == nil {
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -9,28 +9,31 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// ReservedCapacity says how much capacity long work of a lower priority leaves free for more urgent work. Shares are fractions of the
-// total capacity.
+// ReservedCapacity says how much capacity long work of a lower priority leaves free for more urgent work. Fractions are of
+// the capacity of the executors that may get runs, except for FirstRunShare.
 type ReservedCapacity struct {
-	// MaxReserved is the most that is reserved. AlwaysAllowed is the least that long work may use in any case.
+	// MaxReserved is the most that is reserved for each priority. AlwaysAllowed is what long work of a priority and of all less urgent ones
+	// may use regardless of reservations; method alwaysAllowed lowers it under overload and for expired work.
 	MaxReserved   float64
 	AlwaysAllowed float64
-	// LongWork is the estimated run time above which work counts as long.
+	// LongWork is the estimated run time above which work counts as long. Long-running work always does.
 	LongWork time.Duration
-	// FirstRunShare is a fraction of all CPU. While less is in use, the first run of a step ignores soft limits.
+	// FirstRunShare is a fraction of the CPU of all known executors. While less is in use, the first run of a step ignores soft limits.
 	FirstRunShare float64
 	// DemandHalfLife is the half-life of the remembered peak demand of urgent work. LullHalfLife applies instead while no such work runs or
 	// is pending. With 0 the peak is dropped at once.
 	DemandHalfLife time.Duration
 	LullHalfLife   time.Duration
-	// LowerShare is reserved for on-time work of the second priority. Each further priority gets half the share of the one before it.
+	// LowerShare is reserved for on-time work of the second of the priorities that have such work pending. Each further one gets half the
+	// share of the one before it.
 	LowerShare float64
 	// ExpiredShare is reserved for expired work, which can't be of use to its client any more.
 	ExpiredShare float64
 }
 
-// DefaultReservedCapacity reserves at most 60% of the capacity for urgent work and always leaves 30% to long work, which is work over 1.5 s.
-// First runs ignore soft limits up to 60%. This is above one half, since a run that has ended counts as running until its end is reported.
+// DefaultReservedCapacity reserves at most 60% of the capacity for each priority and leaves 30% to long work, which is work over 1.5 s, or
+// less while a more urgent priority is overloaded. First runs ignore soft limits up to 60%. This is above one half, since a run that has
+// ended counts as running until its end is reported.
 var DefaultReservedCapacity = ReservedCapacity{MaxReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond, FirstRunShare: 0.6,
 	DemandHalfLife: 15 * time.Second, LullHalfLife: 2 * time.Second, LowerShare: 0.15, ExpiredShare: 0.05}
 
@@ -68,7 +71,7 @@
 // isNegligible reports whether less than one unit of each resource is left.
 func (d *recentDemand) isNegligible() bool { return d.cpu < 1 && d.memory < 1 }
 
-// demand is what a priority's runs and pending requests want together, and the part of it that the runs are allocated.
+// demand is what a priority's runs and its pending requests on time want together, and the part of it that the runs are allocated.
 type demand struct{ wanted, allocated placement.Resources }
 
 // limits returns the limits for a placement now.
@@ -104,8 +107,8 @@
 	for _, demand := range demands {
 		used = used.Plus(demand.allocated)
 	}
-	// reservedNow counts only priorities that have demand now. It is the limit for expired work, which may use capacity that the other
-	// priorities don't ask for at the moment, as it ends soon.
+	// reservedNow counts only priorities that have demand now. Expired work leaves only this free: it ends soon, so it may use capacity
+	// that the other priorities don't ask for at the moment.
 	var reserved, reservedNow, moreUrgent placement.Resources
 	for index, priority := range slices.Sorted(maps.Keys(p.recentDemands)) {
 		demand, hasDemand := demands[priority]
@@ -128,8 +131,8 @@
 	return remaining
 }
 
-// updateRecentDemands raises the recent peaks to the present demands, at most to the total capacity. The peak of a priority without demand
-// decays, and is deleted once it is negligible.
+// updateRecentDemands lets the recent peaks decay and raises them to the present demands, at most to the total capacity. The peak of a
+// priority without demand decays by LullHalfLife, and is deleted once it is negligible.
 func (p *Pool) updateRecentDemands(demands map[int]demand, total placement.Resources, now time.Duration) {
 	for priority := range demands {
 		if p.recentDemands[priority] == nil {
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -58,7 +58,8 @@
 	orderedAt time.Duration
 	// startedAt is when the run started, 0 until that is known. A run that was adopted from an earlier leader counts from Open.
 	startedAt time.Duration
-	// isAnswered is set once the executor has acknowledged the stop order, which was at answeredAt.
+	// isAnswered is set once the executor has acknowledged the stop order. answeredAt is when it did, or when a list of its runs was
+	// requested since, because the end was not reported.
 	answeredAt time.Duration
 	isAnswered bool
 	// awaitedList is the number of the executor's list of runs that resolves the state of this run; 0 if the state is certain.
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -47,8 +47,8 @@
 type tenantState struct {
 	name  string
 	index int
-	// terms come from the last configuration that has the tenant. A tenant that was removed from the configuration keeps them until its jobs
-	// have ended.
+	// terms come from the last configuration that has the tenant. A tenant that was removed from the configuration keeps them as long as this
+	// process leads the key. The next leader knows only the limit that openAccounts sets.
 	terms TenantTerms
 	// allocated is the total of the tenant's runs. A run counts until it has certainly ended or can't start any more.
 	allocated allocation
