--- a/internal/scheduling/placement/reserve.go
+++ b/internal/scheduling/placement/reserve.go
@@ -92,7 +92,7 @@
 }
 
 // reserve reserves the emptiest executor for a large task, so that the task does not starve behind small later ones. Executors that
-// the task can't use are never reserved for it.
+// are too small in total, lack a required label or are excluded by group.Excluded are never reserved for it.
 func (r *placementRound) reserve(group *Group) {
 	if r.sizeClasses == nil {
 		r.sizeClasses = r.groupBySizeClass()
--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -15,7 +15,7 @@
 	MayOvershoot bool
 	// LongAllocated is what its long work uses, and LongLimit is a soft limit for that, which leaves capacity for its urgent work within Limit.
 	LongAllocated, LongLimit Resources
-	// Share is its part of the total capacity, in proportion to the weights of all tenants that have work.
+	// Share is its part of the capacity of the executors that may get runs, in proportion to the weights of all tenants that have work.
 	Share Resources
 	// IsAboveShare means that it has more than its share, or would have with one more run of the group that it placed last.
 	IsAboveShare bool
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -10,7 +10,7 @@
 )
 
 // Exchange processes a local proxy's report on its executor. The answer carries orders, the lease grant and acknowledgements. A call with
-// WaitMs is a long poll, which is answered when there are orders or the time is over.
+// WaitMs is a long poll, which is answered when there are orders, when a list of runs is requested, or when the time is over.
 func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	now := p.clock.Monotonic()
 	executor := p.executorOf(call.Executor)
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -23,7 +23,7 @@
 const errBadName = errors.ConstError("malformed record name")
 
 // load rebuilds the tables from the committed records. An unreadable record doesn't stop the takeover, since the next leader would
-// read the same record. Only the job that it belongs to is set aside, and all other jobs go on.
+// read the same record. If it is the record of a job, its state or one of its tasks, that job is set aside. All other jobs go on.
 func (p *Pool) load(leadership Leadership, pairs []wire.Op) {
 	records := map[string][]wire.Op{}
 	for _, pair := range pairs {
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// setAside marks a job as unreadable: it is known but not run. Its records are kept unchanged for a program version that can read them.
+// setAside marks a job as unreadable: it is known but not run. Its records are kept unchanged for a program version that can read them,
+// unless a client cancels the job.
 func (p *Pool) setAside(job *jobState) {
 	job.isUnreadable = true
 	job.spec, job.record.Spec = &jobs.Spec{}, nil
--- a/internal/scheduling/scheduler/overload_test.go
+++ b/internal/scheduling/scheduler/overload_test.go
@@ -99,7 +99,8 @@
 	return name
 }
 
-// lengthOf is the run time of a task: its queue's length within a third, and the same in each simulation with the same seed.
+// lengthOf is the run time of a task: its queue's length plus or minus a third, drawn from a hash of the task's name, so that every
+// simulation with the same jobs has the same run times.
 func (c *pressedFleet) lengthOf(task string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(task))
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -172,7 +172,7 @@
 	return false
 }
 
-// work is the estimated size of the job in core milliseconds, at least 1.
+// work is the estimated size of one occurrence of the job in core milliseconds, at least 1.
 func (j *jobState) work() int64 {
 	var work int64
 	for _, step := range j.spec.Steps {
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -39,7 +39,8 @@
 }
 
 // recordDuration updates the statistics with the duration of a completed run: the slow factor of its executor, the spread of durations in
-// its queue, and the time after which a run of its step is overdue.
+// its queue, and the time after which a run of its step is overdue. In a queue whose durations vary widely a long run raises the slow factor
+// less.
 func (p *Pool) recordDuration(step *stepState, executor *executorState, length time.Duration) {
 	if ratio, isKnown := step.ratio(length); isKnown {
 		spread := p.spreadOf(step)
--- a/internal/scheduling/scheduler/timing.go
+++ b/internal/scheduling/scheduler/timing.go
@@ -28,7 +28,7 @@
 	KeepEnded time.Duration
 	// RateWindow is the time window over which tenants' submission rates are measured.
 	RateWindow time.Duration
-	// RemoteFactor is how many times longer a task runs on an executor that doesn't have the task's data.
+	// RemoteFactor is a task's run time on an executor that doesn't have its data, as a multiple of the run time near the data.
 	RemoteFactor     float64
 	ReservedCapacity ReservedCapacity
 }
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -238,7 +238,7 @@
 }
 
 // Transfer takes over a job from another pool, and answers once that is committed. It never refuses a job because of load, since the job's
-// client has an acknowledgement. A promise to refuse the job is void, since the other pool doesn't have it any more.
+// client has an acknowledgement. A promise to refuse the job is void, since the other pool doesn't run it any more.
 func (p *Pool) Transfer(call *wire.ClientCall, answer answerClient) {
 	accepted := answerOnCommit(answer)
 	if known := p.jobs[call.ID]; known != nil {
--- a/internal/scheduling/scheduler/versioncounts.go
+++ b/internal/scheduling/scheduler/versioncounts.go
@@ -62,7 +62,7 @@
 // clamp limits a value to the range of the histograms.
 func clamp(value int64) int64 { return min(max(1, value), maxHistogramValue) }
 
-// addCompleted counts a completed job of a size in core milliseconds.
+// addCompleted counts a completed occurrence of a job of a size in core milliseconds.
 func (c *versionCounts) addCompleted(work int64, isLate bool) {
 	c.addJob(work, func(counts *wire.JobCounts) {
 		counts.Completed++
