--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -15,7 +15,7 @@
 	MayOvershoot bool
 	// LongAllocated is what its long work uses, and LongLimit is a soft limit for that, which leaves capacity for its urgent work within Limit.
 	LongAllocated, LongLimit Resources
-	// Share is its part of the total capacity, in proportion to the weights of all tenants that have work.
+	// Share is its part of the capacity of the executors that may get runs, in proportion to the weights of all tenants that have work.
 	Share Resources
 	// IsAboveShare means that it has more than its share, or would have with one more run of the group that it placed last.
 	IsAboveShare bool
@@ -69,7 +69,7 @@
 }
 
 // isTenantAtLimit reports whether limits forbid count more runs of a group to its tenant. The hard limit always applies, the soft limit
-// applies to long work, and the share only in the pass within shares.
+// applies to long work that may not exceed soft limits, and the share only in the pass within shares.
 func (r *placementRound) isTenantAtLimit(group *Group, count int) bool {
 	tenant := r.tenantOf(group)
 	switch {
