--- a/internal/control/controlapi/evacuation_messages.go
+++ b/internal/control/controlapi/evacuation_messages.go
@@ -6,7 +6,8 @@
 	Zones  []listedZone `json:"zone-list"`
 }
 
-// listedZone is an entry of an evacuationList. SinceMs is the time of the operator's call in milliseconds since 1970.
+// listedZone is an entry of an evacuationList. SinceMs is when the leader handled the operator's call, in milliseconds
+// since 1970.
 type listedZone struct {
 	Zone    string `json:"zone"`
 	SinceMs int64  `json:"since-ms"`
--- a/internal/control/controlapi/retire.go
+++ b/internal/control/controlapi/retire.go
@@ -80,7 +80,8 @@
 	return response.Empty(http.StatusOK)
 }
 
-// find returns the storage machine with that name, nil if there is none, and the number of other live storage machines.
+// find returns the storage machine with that name, nil if there is none, and the number of other live storage machines
+// that have a persistent disk.
 func (r *Retire) find(node string) (machine *wire.Member, others int) {
 	for _, steward := range r.view().Stewards {
 		switch {
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -46,7 +46,7 @@
 	Store *storage.Store
 	// IsDiskTemporary is set if the disk loses its contents with the machine's power.
 	IsDiskTemporary bool
-	// MachineLosses is the number of machines that may be lost at once without loss of data.
+	// MachineLosses is the number of machines that may be lost at once without loss of data or of a quorum.
 	MachineLosses  int
 	Name           string
 	Caller         *peerapi.Caller
--- a/internal/control/controlkeys/transport.go
+++ b/internal/control/controlkeys/transport.go
@@ -15,9 +15,10 @@
 // Timeouts of calls to other stewards.
 const (
 	promiseTimeout = 500 * time.Millisecond
-	// baseAppendTimeout is the timeout of an Append call without changes.
+	// baseAppendTimeout is the timeout of an Append call without contents, such as a heartbeat.
 	baseAppendTimeout = 1500 * time.Millisecond
-	// minBytesPerSecond is the lowest transfer rate for which an Append call gets time in addition to baseAppendTimeout.
+	// minBytesPerSecond is the assumed transfer rate. An Append call gets the time that its contents take at this rate in addition to
+	// baseAppendTimeout.
 	minBytesPerSecond = 64 << 10
 	// fetchTimeout is enough for a chunk at minBytesPerSecond.
 	fetchTimeout = 6 * time.Second
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// Close ends the pool's leadership. The pool has received the outcome of its pending commits by then.
+// Close ends the pool's leadership. The pool has received the outcome of the commits that were pending in the engine by then. Commits that
+// are still on their way to the engine fail after it.
 func (h *Host) Close() { h.outbox.Send(h.pool.Close) }
 
 // hostedLeadership is a leadership that the pool's goroutine may use. It passes commits to the engine's goroutine.
--- a/internal/control/replication/changelog.go
+++ b/internal/control/replication/changelog.go
@@ -135,7 +135,7 @@
 	e.changes.trim(min(e.neededIndex(), e.commits.index), e.retentionLimit())
 }
 
-// retentionLimit returns the limit of the log tail. Followers in contact that are sent a snapshot raise it.
+// retentionLimit returns the limit of the log tail. Followers in contact that are sent a snapshot raise it until they have caught up.
 func (e *Engine) retentionLimit() retention {
 	limit := retention{count: maxTailCount, size: maxTailBytes}
 	for _, follower := range e.followers {
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -75,8 +75,8 @@
 	e.campaign(voters)
 }
 
-// earliestCampaignTime returns when the candidate of a rank may campaign: at once if it holds the lease itself, a delay after
-// the leader released the key, and otherwise a delay after the end of the lease that the local replica granted.
+// earliestCampaignTime returns when the candidate of a rank may campaign: at once if the last lease of the local replica was granted to
+// this disk, whether or not it has ended; a delay after the leader released the key; and otherwise a delay after the end of the lease.
 func (e *Engine) earliestCampaignTime(status ReplicaStatus, rank, voters int) time.Duration {
 	switch {
 	case status.LeaseHolderDisk == e.disk:
@@ -171,7 +171,8 @@
 	}
 }
 
-// isSupersededBy reports whether a peer has a later state in which this disk is no voter, so that this candidate can't win.
+// isSupersededBy reports whether a peer has a later state in which this disk is no voter, so that this candidate gives
+// way to those voters.
 func (e *Engine) isSupersededBy(answer wire.PromiseAnswer) bool {
 	return e.campaignState.ownState.Last.Below(answer.Last) && !quorum.Contains(answer.Voters, e.disk)
 }
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -72,7 +72,7 @@
 	voters  voterState
 	// followers holds the voters and learners by disk, including the leader's own disk.
 	followers map[string]*followerProgress
-	// lastLeaseAt is when this leader last held a lease from a quorum.
+	// lastLeaseAt is when this leader last held a lease from a quorum. It starts with the won election, and again with openLeadership.
 	lastLeaseAt time.Duration
 	snapshots   snapshotReader
 	progress    progressHistory
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -20,7 +20,8 @@
 const (
 	// maxFetchFailures is the number of consecutive failures after which the candidate gives up.
 	maxFetchFailures = 3
-	// fetchTimeout is how long a candidate waits for changes before it ends the campaign. Chunks that it has received are kept.
+	// fetchTimeout limits the whole fetch, from the won election on, also while changes or chunks arrive. After it the candidate ends the
+	// campaign. Chunks that it has received are kept for the next one.
 	fetchTimeout = 2800 * time.Millisecond
 )
 
--- a/internal/control/replication/quorum/selection.go
+++ b/internal/control/replication/quorum/selection.go
@@ -20,9 +20,9 @@
 }
 
 // Next returns the sorted voters that the key should have, given candidates in order of preference. Candidates replace lost voters
-// and fill the set up to the goal, spread over failure domains. The number of voters stays odd, except if a set above the goal
-// shrinks by a single lost voter. A voter that is not lost is never removed, and a lost voter stays until a candidate replaces it or the
-// set shrinks to the goal.
+// and fill the set up to the goal, spread over failure domains. An odd number of voters stays odd, except that a set above
+// the goal may shrink to any number above it. A voter that is not lost is never removed. A lost voter stays until a candidate replaces it,
+// but a set above the goal drops the lost voters that exceed the goal without a replacement.
 func (s Selection) Next(candidates []string) []string {
 	next := s.Kept()
 	goal := max(len(s.Current), largestOdd(min(s.Goal, len(next)+len(candidates))))
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -156,7 +156,8 @@
 }
 
 // Append processes a leader's changes, snapshot, chunk, heartbeat or release, and grants the leader a lease. It refuses a leader whose
-// epoch is below the promised one. The answer follows the sync. Append must run on the table's goroutine.
+// epoch is below the promised one. The answer to changes or to a whole snapshot follows their sync.
+// Append must run on the table's goroutine.
 func (r *Replicas) Append(call wire.AppendCall, answer func(wire.AppendAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
 	if call.Epoch < replica.promised {
@@ -260,7 +261,8 @@
 	State storage.ReplicaState
 	// Promised is the highest epoch that the replica has promised, or whose promise is being synced.
 	Promised uint64
-	// LeaseUntil is the end of the granted lease, on this process's monotonic clock. LeaseHolderDisk and LeaseHolder are the disk and
+	// LeaseUntil is when the replica may grant another disk a promise, on this process's monotonic clock: at the end of the granted lease,
+	// and not before one lease after a restart. LeaseHolderDisk and LeaseHolder are the disk and
 	// the name of the leader that was last granted a lease.
 	LeaseUntil      time.Duration
 	LeaseHolderDisk string
--- a/internal/control/replication/transport.go
+++ b/internal/control/replication/transport.go
@@ -4,8 +4,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Transport makes an engine's calls. Each callback runs on the engine's goroutine. A call without an answer fails after the
-// transport's timeout.
+// Transport makes an engine's calls. Each callback runs on the engine's goroutine. A call to another steward without an
+// answer fails after the transport's timeout.
 type Transport interface {
 	// Promise asks the replica on a disk for a promise or a pre-vote.
 	Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error))
