--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -387,7 +387,7 @@
 	l.answerUnderLease(answer, newConfirmation(l.committed.Version))
 }
 
-// Retrieve answers with the configuration in force, as the operator sent it apart from white space around it.
+// Retrieve answers with the configuration in force, byte for byte as the operator sent it, except that white space around it may be lost.
 func (l *Leader) Retrieve(answer answerFunc) {
 	if l.committed == nil {
 		l.answerUnderLease(answer, newRefusal(ErrNoConfiguration))
--- a/internal/control/controlkeys/leave.go
+++ b/internal/control/controlkeys/leave.go
@@ -18,8 +18,8 @@
 )
 
 // Leave hands over the keys that this process leads and asks the leaders to replace this disk as a voter. It returns once this disk is no
-// longer a voter of any key with a possible replacement, or after the timeout, and logs the keys in which the disk still votes. It takes at
-// least releaseNoticeTime.
+// longer a voter of any key with a possible replacement, or after the timeout, and logs the keys in which the disk still votes. It
+// also returns, without such a log, if the replicas don't name those keys within votingKeysTimeout. It takes at least releaseNoticeTime.
 func (m *Manager) Leave(timeout time.Duration) {
 	if !m.hasDisk() {
 		<-m.Clock.After(releaseNoticeTime)
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -54,7 +54,8 @@
 	run func()
 }
 
-// voter is a scripted voter. It gives no promise to another candidate before leaseUntil.
+// voter is a scripted voter. A real one would give no promise to another candidate before leaseUntil. There is none here, so only
+// countLeaseGap checks that time.
 type voter struct {
 	last       wire.LogPosition
 	promised   uint64
--- a/internal/control/replication/schedule_test.go
+++ b/internal/control/replication/schedule_test.go
@@ -184,6 +184,7 @@
 }
 
 // runFaults injects faults during writes for a number of steps. It then ends all faults and lets the cluster settle.
+// At the first violation it returns at once, with the faults in place.
 func (s *faultSchedule) runFaults(steps int) {
 	s.lossRate = 0.02
 	for range steps {
