--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -50,8 +50,9 @@
 	})
 }
 
-// HandleAnswer merges an answer. It returns a second call with the records and leaders that the peer lacks, or nil if there are none. A
-// local-proxy has no second call for records: it forgets the stewards that the answer lacks.
+// HandleAnswer merges an answer. It returns a second call with the records and leaders that the peer lacks, or nil if there are none or
+// the peer is of an earlier version, without sums. A local-proxy has no second call for records: it forgets the stewards that the answer
+// lacks or has with an older record.
 func (t *Table) HandleAnswer(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
 	for _, member := range answer.Members {
 		t.Merge(member)
--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendToLeaves pushes the recently changed leaders to all leaves.
+// sendToLeaves pushes the recently changed leaders, and with its digest the list of evacuations, to all leaves.
 func (t *Table) sendToLeaves() {
 	for _, attached := range t.leaves {
 		t.send(attached.member, wire.Datagram{Kind: kindUpdate})
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -8,7 +8,7 @@
 )
 
 // View is an immutable snapshot of a Table for the rest of the process. Members and Stewards are sorted by name. The members of a
-// local-proxy are stewards only, and no process lists local-proxies.
+// local-proxy are itself and the stewards. No other process lists local-proxies.
 type View struct {
 	Self     Member
 	Members  []Member
--- a/internal/node/executorapi/client.go
+++ b/internal/node/executorapi/client.go
@@ -30,7 +30,7 @@
 }
 
 // Call posts a message to the incarnation of the executor with this ID and returns the status and the answer. An error means that the
-// outcome is unknown, unless peerapi.NeverSent is true for it. It names the path and the executor if the call was sent.
+// outcome is unknown, unless peerapi.NeverSent is true for it. It names the path and the executor, unless the call could not be built.
 func (c *Client) Call(ctx context.Context, path, executor string, timeout time.Duration, message easyjson.Marshaler) (int, Answer, error) {
 	status, answer, err := c.call(ctx, path, executor, timeout, message)
 	result := "error"
--- a/internal/node/localproxy/delivery.go
+++ b/internal/node/localproxy/delivery.go
@@ -16,7 +16,8 @@
 	isDue bool
 }
 
-// deliverOrder sends one order to the executor and retries it if it is not answered.
+// deliverOrder sends one order to the executor and retries it if it is not answered, with maxOrderAttempts attempts in total. A start
+// whose connection was refused is not retried.
 func (p *Proxy) deliverOrder(ctx context.Context, executor string, order wire.Order) {
 	p.orderSlots <- struct{}{}
 	defer func() { <-p.orderSlots }()
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -73,7 +73,7 @@
 }
 
 // makeCurrent makes the sender of a heartbeat the current incarnation. A heartbeat may arrive late, so the previous incarnation
-// counts as gone only once this one has answered a call.
+// counts as gone only once this one has answered a hold.
 func (t *Table) makeCurrent(id string) {
 	if t.currentWithID(id) != nil {
 		return
@@ -96,7 +96,7 @@
 	t.onReportDue()
 }
 
-// confirmCurrent ends all other incarnations: the current one has answered, and only one runs on the machine at a time.
+// confirmCurrent ends all other incarnations: the current one has answered a hold, and only one runs on the machine at a time.
 func (t *Table) confirmCurrent() {
 	for _, other := range t.others {
 		t.markGone(other.id)
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -17,7 +17,7 @@
 const (
 	// holdPause is the pause between an answered hold and the next one.
 	holdPause = 15 * time.Millisecond
-	// unansweredHoldPause is the least time from the start of a failed hold to the next one.
+	// unansweredHoldPause is the least time from the start of a failed hold with the short wait to the next one.
 	unansweredHoldPause = 100 * time.Millisecond
 	// pollWaitMs is how long the leader may keep a poll open, in milliseconds.
 	pollWaitMs = 300
--- a/internal/node/localproxy/responsiveness.go
+++ b/internal/node/localproxy/responsiveness.go
@@ -1,7 +1,7 @@
 package localproxy
 
-// isUnresponsive reports whether the last calls to the executor failed. Holds are still sent meanwhile, and an answer to one of them
-// ends the state.
+// isUnresponsive reports whether the last unresponsiveAfter calls or more went unanswered, the last of them less than unresponsiveFor
+// ago. Holds are still sent meanwhile, except those for a list of runs; an answer ends the state.
 func (t *Table) isUnresponsive(executor *executorState) bool {
 	return executor.misses >= unresponsiveAfter && t.now()-executor.missedAt < unresponsiveFor
 }
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -20,11 +20,13 @@
 	// current is the incarnation of the executor that sent the last heartbeat. It is nil before the first one, and after the last known
 	// incarnation has ended.
 	current *executorState
-	// others are incarnations that sent heartbeats before. They count as gone once the current incarnation answers a call.
+	// others are incarnations that sent heartbeats before. They count as gone once the current incarnation answers a hold that was
+	// composed after it became current.
 	others []*executorState
 	// gone are the IDs of the last maxGone incarnations that have ended.
 	gone []string
-	// deregistered are the IDs of incarnations that deregistered before their first heartbeat arrived; it may still arrive.
+	// deregistered are the IDs of the last maxGone incarnations that deregistered while this process did not know them. A heartbeat of
+	// theirs may still arrive.
 	deregistered []string
 	// drainTime is how long an executor serves after a deregistration that it did not announce by draining.
 	drainTime time.Duration
