--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -13,7 +13,7 @@
 
 const (
 	// A call fails once the stall timeout passes without a byte from the peer. The timeout starts at its minimum, doubles with each
-	// stalled call, and after an answer is stallTimeoutFactor times as long as that answer took.
+	// stalled call, and after an answer is stallTimeoutFactor times as long as that answer took, always within the two limits.
 	minStallTimeout    = 200 * time.Millisecond
 	maxStallTimeout    = 3200 * time.Millisecond
 	stallTimeoutFactor = 3
--- a/internal/cluster/configuration/amend.go
+++ b/internal/cluster/configuration/amend.go
@@ -144,7 +144,7 @@
 	return a.body, nil
 }
 
-// Base is the version before the edit, 0 if the body couldn't be read.
+// Base is the version before the edit, 0 if the body couldn't be read or wasn't valid.
 func (a *Amendment) Base() int64 {
 	if a.decoded == nil {
 		return 0
--- a/internal/cluster/executorlist/follower.go
+++ b/internal/cluster/executorlist/follower.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// fetchOnce waits for a newer list of one steward, and reports whether the steward answered. It returns once the holder has the new list,
-// or after followPause at the latest.
+// fetchOnce waits for a newer list of one steward, and reports whether the steward answered. After an answer with a list it returns once
+// the holder has that list, or after followPause at the latest.
 func (f *Follower) fetchOnce(ctx context.Context, address string) bool {
 	known := f.holder.Current().Version
 	answer, err := peerapi.Call[wire.ExecutorsCall, wire.ExecutorsAnswer](ctx, f.caller, address, peerapi.ProcedureExecutors,
--- a/internal/cluster/peerapi/wire/configuration.go
+++ b/internal/cluster/peerapi/wire/configuration.go
@@ -54,7 +54,7 @@
 }
 
 // Configuration is a committed configuration as it is stored and sent to peers. Body is the text of the operator, and InitialVoters are the
-// first voters of the keys that the configuration lists.
+// first voters of the pools of its services and of other keys.
 type Configuration struct {
 	Version       int64               `json:"version"`
 	Body          easyjson.RawMessage `json:"body"`
--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -117,9 +117,9 @@
 }
 
 // ExchangeAnswer acknowledges a report and carries orders. HeldNumber is the Number up to which the leader has the report. NeedsFullState is
-// set if the call was ignored: the proxy has to send a full report in a session above Session. Fence is the epoch of the leader, GrantMs the
-// length of the lease that it grants, and LastSeen the number of the last EndReport whose effects are committed. WantedList asks
-// for a list of runs of at least that number.
+// set if the content of the call was ignored: the proxy has to send a full report and, if its session is below Session, to start a new one
+// above it. Fence is the epoch of the leader, GrantMs the length of the lease that it grants, and LastSeen the number of the last EndReport
+// whose effects are committed. WantedList asks for a list of runs of at least that number.
 type ExchangeAnswer struct {
 	NotLeader      bool    `json:"elsewhere,omitempty"`
 	Leader         string  `json:"owner,omitempty"`
--- a/internal/gate/balancer/balancer.go
+++ b/internal/gate/balancer/balancer.go
@@ -64,8 +64,8 @@
 	return e.inFlight.Load() > 0 && now-time.Duration(e.lastActivityAt.Load()) > silentAfter
 }
 
-// RecordTimeout records a request that timed out before the executor answered it. If the executor did not answer other requests
-// either, it is ejected.
+// RecordTimeout records a request that timed out before the executor answered it. If the executor answered no other request within
+// silentAfter either, it is ejected.
 func (e *Executor) RecordTimeout(now time.Duration) {
 	if now-time.Duration(e.lastActivityAt.Load()) > silentAfter {
 		e.eject(now + ejectionTime)
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -23,7 +23,7 @@
 const (
 	// defaultMaxBody is the size limit of a body if the configuration sets none, in bytes.
 	defaultMaxBody = 1 << 20
-	// answerMargin is the part of the client's remaining time that is kept for writing the answer.
+	// answerMargin is the part of the client's remaining time that is kept for writing the answer, if more than four times as much remains.
 	answerMargin = 25 * time.Millisecond
 )
 
@@ -32,7 +32,8 @@
 	// Refusal is the answer if Call is nil.
 	Refusal response.Reply
 	Call    *wire.ClientCall
-	// OtherServices are the further services whose pools may have the job: former ones of the queue, and those of a rollout.
+	// OtherServices are the further services whose pools may have the job: former ones of the queue, and those of a rollout. For a count
+	// it is only the new version of a rollout.
 	OtherServices []string
 	// Timeout is how long the calls may take in total.
 	Timeout time.Duration
--- a/internal/gate/forwarding/forwarding.go
+++ b/internal/gate/forwarding/forwarding.go
@@ -93,7 +93,8 @@
 	return ctx, cancel
 }
 
-// giveUp ends a request without a complete answer. If it certainly did not run, the client gets a refusal with status 503.
+// giveUp ends a request without a complete answer. If it certainly did not run, the client gets a refusal with status 503,
+// which promises that.
 func (f *Forwarder) giveUp(ctx context.Context, relay *relay, runs int) {
 	switch {
 	case relay.hasStarted:
--- a/internal/gate/servingapi/lots.go
+++ b/internal/gate/servingapi/lots.go
@@ -59,7 +59,7 @@
 }
 
 // tenantOfLotCall returns the tenant whose key a call about a lot carries, or an empty name if it carries no known key and needs none.
-// isKnown is false if it needs a key.
+// isKnown is false if it needs a key and carries no known one.
 func tenantOfLotCall(snapshot *configcache.Snapshot, request *http.Request) (name string, isKnown bool) {
 	if tenant := snapshot.Matcher.TenantOfKey(headerrules.BearerKey(request.Header)); tenant != nil {
 		return tenant.Name, true
--- a/internal/gate/servingapi/servingapi.go
+++ b/internal/gate/servingapi/servingapi.go
@@ -48,7 +48,8 @@
 	Refusal response.Reply
 	// Route is nil for calls about lots that were submitted before.
 	Route *configuration.Route
-	// Tenant is the name of the tenant that the request is served for, empty if it needs no key.
+	// Tenant is the name of the tenant that the request is served for, empty if it needs no key. A call about a submitted lot has the
+	// tenant of a known key even if it needs none.
 	Tenant string
 	// Timeout is how long the answer may take, from the start of the request.
 	Timeout time.Duration
