--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -108,8 +108,8 @@
 func (a *Attempts) Outcome() Outcome { return a.outcome }
 
 // address returns the address for the next attempt: that of the hinted leader, else of the leader in the view unless it is gone, else of a
-// random steward that may lead keys, else of the leader in the view after all. It is empty if none is known. A
-// steward that has been silent is used only if mayAsk or others allows it.
+// random steward that may lead keys, else of the leader in the view after all. It is empty if none is known. A steward that
+// has been silent is used only if mayAsk or others allows it.
 func (a *Attempts) address(view *membership.View) string {
 	hinted, isHinted := view.Steward(a.hint)
 	if isHinted && a.silent[hinted.Address] == 0 {
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -56,7 +56,7 @@
 const MaxEndsPerAnswer = 500
 
 // Hold extends the lease of all runs of the executor until ExpiryMs on its clock, and acknowledges ends up to the number LastSeen. The
-// executor answers after the next end, or after WaitMs at the latest.
+// executor answers at once if it has ends above LastSeen, else after the next end, or after WaitMs at the latest.
 //
 //easyjson:json
 type Hold struct {
