--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -117,7 +117,7 @@
 	heap.Push(&n.events, event{n.clock.Monotonic() + delay, n.number, action})
 }
 
-// tick ticks a process twice per period, until another process takes its address.
+// tick ticks a process twice per period, until it is removed from byAddress. A stopped process skips its ticks.
 func (n *network) tick(member *process) {
 	if n.byAddress[member.self.Address] != member {
 		return
@@ -183,7 +183,7 @@
 	})
 }
 
-// run runs the events of the next while.
+// run runs the events of the given time, and advances the clock by it.
 func (n *network) run(duration time.Duration) {
 	end := n.clock.Monotonic() + duration
 	for len(n.events) > 0 && n.events[0].at <= end {
--- a/internal/cluster/peerapi/wire/membership.go
+++ b/internal/cluster/peerapi/wire/membership.go
@@ -42,8 +42,8 @@
 
 // Digest summarizes the state of the sender. Leaders holds only leaders that are new or that the receiver lacks. MemberSum and LeaderSum are
 // checksums of all members (only the stewards to or from a local-proxy) and leaders, so that two processes can detect that their lists
-// differ; they are never 0. Evacuations is the newest list that the sender knows, or nil if there never was one. A peer of an earlier version
-// sends all leaders that it knows, and no sums.
+// differ; they are never 0. Evacuations is the newest list that the sender knows, or nil if there never was one. A peer of an earlier
+// version sends all leaders that it knows, and no sums.
 type Digest struct {
 	ConfigVersion int64       `json:"p,omitempty"`
 	Leaders       []KeyLeader `json:"o,omitempty"`
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -33,7 +33,8 @@
 type RolloutReport struct {
 	Key      string          `json:"key"`
 	Rollouts []RolloutCounts `json:"rollouts,omitempty"`
-	// Executors is the number of executors that accept work. Capacity and Allocated are their totals in thousandths of a core.
+	// Executors is the number of executors that accept work, and Capacity their total. Allocated is the total of all executors, also of those
+	// that accept no work any more. Both are in thousandths of a core.
 	Executors int   `json:"executors,omitempty"`
 	Capacity  int64 `json:"capacity,omitempty"`
 	Allocated int64 `json:"allocated,omitempty"`
@@ -52,13 +53,14 @@
 	// milliseconds.
 	RunTimes []Bucket `json:"run-times,omitempty"`
 	Works    []Bucket `json:"works,omitempty"`
-	// Open is the number of unfinished jobs, Overdue the number of those that have already missed their target.
+	// Open is the number of unfinished jobs, without those with a long-running step. Overdue is the number of those that have already missed
+	// their target without having lost a run. Each repetition of a repeated job counts as one.
 	Open    int64 `json:"open,omitempty"`
 	Overdue int64 `json:"overdue,omitempty"`
 }
 
-// JobCounts counts ended jobs by outcome. Cancelled jobs are not counted. Late counts the jobs that ended after their target, except failed
-// ones and those that lost an executor.
+// JobCounts counts ended jobs by outcome. Cancelled jobs are not counted, and each completed repetition of a repeated job counts as one. Late
+// counts the jobs that ended after their target, except failed ones and those that lost a run, such as with an executor.
 type JobCounts struct {
 	Completed int64 `json:"completed,omitempty"`
 	Failed    int64 `json:"failed,omitempty"`
--- a/internal/gate/forwarding/forwarding_test.go
+++ b/internal/gate/forwarding/forwarding_test.go
@@ -43,7 +43,8 @@
 func (c *heldClock) WallMs() int64                        { return 0 }
 func (c *heldClock) After(time.Duration) <-chan time.Time { return c.expired }
 
-// newFleet starts one executor per script. The scripts answer the calls in their order, whichever executor is called.
+// newFleet starts one executor per script. The scripts answer the calls in their order, whichever executor is called; the last one also
+// answers all further calls.
 func newFleet(request forwarding.Request, scripts ...http.HandlerFunc) *fleet {
 	held := &heldClock{expired: make(chan time.Time)}
 	f := &fleet{balancer: balancer.New("z", held), request: request, clock: held}
