--- a/internal/cluster/configuration/configuration.go
+++ b/internal/cluster/configuration/configuration.go
@@ -45,7 +45,7 @@
 	Split []WeightedService `json:"weighted-split,omitempty"`
 	// IsResumable allows a broken stream to resume at another executor after the last event.
 	IsResumable bool `json:"resumable,omitempty"`
-	// MaxQueueS is how many seconds an item of a lot waits at least before it may be dropped.
+	// MaxQueueS is how many seconds an item of a lot waits at least before it may be dropped. 0 means that it is never dropped for that.
 	MaxQueueS float64 `json:"max-queue-s,omitempty"`
 	// ResultDeadlineMs is the time from the submission of a lot to the deadline of its results.
 	ResultDeadlineMs int64 `json:"result-deadline-ms,omitempty"`
--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -82,8 +82,8 @@
 // fields from Proxy to Gone) and Changed contain only changes after the number Base and up to Number; Base 0 is a full report. A later
 // session has a higher number. Without a Session, each report is full.
 //
-// Fence is the highest epoch that the executor has accepted, and HoldAgeMs the time since it last answered a hold. If ListNumber is set,
-// Running is the complete list of runs that the leader asked for under that number.
+// Fence is the highest epoch that the executor has accepted, and HoldAgeMs the time since it last answered a hold, or an hour if it answered
+// none or is unresponsive. If ListNumber is set, Running is the complete list of runs that the leader asked for under that number.
 type ExchangeCall struct {
 	Key         string        `json:"key"`
 	Executor    string        `json:"life"`
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -59,8 +59,8 @@
 	Overdue int64 `json:"overdue,omitempty"`
 }
 
-// JobCounts counts ended jobs by outcome. Cancelled jobs are not counted, and each completed repetition of a repeated job counts as one. Late
-// counts the jobs that ended after their target, except failed ones and those that lost a run, such as with an executor.
+// JobCounts counts ended jobs by outcome. Cancelled jobs are not counted, and each completed repetition of a repeated job counts as one.
+// Late counts the jobs that ended after their target, except failed ones and those that lost a run, such as with an executor.
 type JobCounts struct {
 	Completed int64 `json:"completed,omitempty"`
 	Failed    int64 `json:"failed,omitempty"`
