--- a/client/client.go
+++ b/client/client.go
@@ -111,7 +111,7 @@
 	return client, nil
 }
 
-// randomHolder returns a random name that no other client has.
+// randomHolder returns a random name of 64 bits, so that two clients practically never have the same one.
 func randomHolder() string {
 	random := make([]byte, holderBytes)
 	rand.Read(random)
--- a/client/locks.go
+++ b/client/locks.go
@@ -60,7 +60,8 @@
 func (l *Lock) Context() context.Context { return l.ctx }
 
 // TryAcquire acquires a lock, or returns ErrHeld if another client holds it. Unless it is released, no other client gets the lock before
-// the hold time has passed since the last renewal. The lock is renewed until ctx is done, Release is called or the lock is lost.
+// the hold time has passed since the last call that acquired or renewed it. The lock is renewed until ctx is done, Release is called or
+// the lock is lost.
 func (c *Client) TryAcquire(ctx context.Context, name string, holdTime time.Duration) (*Lock, error) {
 	return c.tryAcquire(ctx, name, holdTime, 0)
 }
--- a/internal/control/coordinationapi/handler.go
+++ b/internal/control/coordinationapi/handler.go
@@ -1,6 +1,6 @@
 // Package coordinationapi is the HTTP API for locks, numbers and cells, which every steward serves to applications. It decodes a call,
 // sends it to the leader of the key that holds the name, and writes the reply. A call that is answered with 412, 429 or 503 had no
-// effect and never will have one. A call with an unknown outcome is answered with 504.
+// effect and never will have one. A call with an unknown outcome is answered with 504, which promises nothing.
 package coordinationapi
 
 import (
@@ -107,8 +107,8 @@
 	return response.Raw(answer.Status, answer.Body)
 }
 
-// watch repeats a watch call at the leader until it returns a put or a refusal, or until the wait of the command is over. Calls without
-// an answer are repeated, too.
+// watch repeats a watch call at the leader until it returns a put, a newer revision or a refusal, or until the wait of the command is
+// over. Calls without an answer are repeated, too.
 func (h *Handler) watch(ctx context.Context, command *Command) response.Reply {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/control/lots/clients.go
+++ b/internal/control/lots/clients.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// Item answers with the body of an item that has no committed result, as a base64 string in JSON.
+// Item answers with the body of an item that has no committed result and whose lot was not ended, as a base64 string in JSON.
 func (p *Part) Item(call *wire.ClientCall, answer answerClient) {
 	lot := p.findLot(call, answer)
 	if lot == nil {
--- a/internal/control/lots/lot.go
+++ b/internal/control/lots/lot.go
@@ -11,7 +11,8 @@
 	stateDeadLetter = "dead_letter"
 )
 
-// lot is a list of items that a client submitted together, with their results. It is kept for some time after its end for its readers.
+// lot is a list of items that a client submitted together, with their results. A finished lot is kept for its readers until the
+// retention time since its acceptance has passed, and no longer if that has passed already.
 type lot struct {
 	id     string
 	record lotRecord
--- a/internal/control/lots/lots.go
+++ b/internal/control/lots/lots.go
@@ -82,7 +82,8 @@
 	// leadership is nil while another process leads the key. The tables below are empty then.
 	leadership scheduler.Leadership
 	lots       map[string]*lot
-	// queue holds the items without a result and without a run, in the order in which their lots were accepted.
+	// queue holds the items without a result and without a run, in the order in which their lots were accepted. Items that expire, and
+	// those of ended lots, stay in it until the next startItems.
 	queue []*item
 	// executors holds the health of executors that had a run, by ID. An entry is removed once the executor has no runs, no failures and
 	// no ejection.
--- a/internal/control/lots/running.go
+++ b/internal/control/lots/running.go
@@ -106,7 +106,7 @@
 }
 
 // takeSlot adds a run to the executor with the fewest runs and returns it, or nil if no executor has capacity. The executor at which the
-// item failed last is only used if it is the only one.
+// item failed last is only used if it is the only available one.
 func (r *serviceCapacity) takeSlot(failedExecutor string) *wire.ExecutorRecord {
 	best := -1
 	for index := range r.executors {
--- a/internal/control/rollouts/controller.go
+++ b/internal/control/rollouts/controller.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Status returns the status of all rollouts after the last reconciliation. It is nil if this process does not lead the configuration, or
-// has not reconciled yet. It may be called from any goroutine.
+// Status returns the status of all rollouts after the last reconciliation. It is nil if this process does not lead the configuration, if
+// the configuration has no rollouts, or before the first reconciliation. It may be called from any goroutine.
 func (c *Controller) Status() *wire.RolloutsStatus { return c.status.Load() }
 
 // Reconcile decides once on each rollout, and makes at most one change of the configuration.
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// reset drops the state of all rollouts when this process does not lead the configuration. It starts afresh when it leads again.
+// reset drops the state of all rollouts when this process does not lead the configuration, can't read it, or finds no rollouts in it. The
+// next leader has its own state, and this process starts afresh when it leads again.
 func (c *Controller) reset() {
 	c.tracked = map[string]*trackedRollout{}
 	c.status.Store(nil)
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -102,7 +102,7 @@
 	// Notice is the minimum time for which new connections are accepted, so that callers can switch to other processes meanwhile.
 	Notice time.Duration
 	// Quiet is the time without a new connection after which the listener closes, and the time without received bytes after which the
-	// server may close.
+	// server may close. The listener closes at CallsEnd at the latest.
 	Quiet time.Duration
 	// CallsEnd is when the contexts of requests in flight are cancelled. Later requests are refused.
 	CallsEnd time.Duration
--- a/internal/platform/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -42,12 +42,13 @@
 	Every time.Duration
 	// Tick may be nil.
 	Tick func()
-	// Settle is called after each burst of functions and after each Tick. It may be nil.
+	// Settle is called after each burst of functions and at each tick, also if Tick is nil. It may be nil.
 	Settle func()
 	// LockThread locks the goroutine to an operating system thread.
 	LockThread bool
-	// Pause is the minimum time between two bursts. Functions that are posted sooner wait, and share the next call of Settle. Those of an
-	// Outbox never wait. A function that is posted after Pause runs at once, so that only a busy owner batches functions.
+	// Pause is the minimum time between two bursts. The first function that is posted sooner runs at once, further ones wait until the end
+	// of the pause, and all share the next call of Settle. Functions of an Outbox never wait, but share that call, too. After a pause
+	// without functions there is no waiting, so that only a busy owner batches functions.
 	Pause time.Duration
 }
 
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// peerTimeout is the time after which a connection to a peer, or from a local proxy to its executor, is closed if the other side
-	// acknowledges nothing.
+	// peerTimeout is the time after which a connection to a peer, or from a local proxy to its executor, fails if the other side leaves
+	// sent data unacknowledged. It also limits the time for establishing such a connection.
 	peerTimeout = 2 * time.Second
 	// settingsCheckInterval is the time between two checks for a changed settings file.
 	settingsCheckInterval = 5 * time.Second
--- a/internal/scheduling/recording/write.go
+++ b/internal/scheduling/recording/write.go
@@ -14,7 +14,8 @@
 const (
 	// maxQueuedEvents is the capacity of the writer's queue.
 	maxQueuedEvents = 65536
-	// maxFileBytes is the size from which on a file takes no more events. They are counted as lost.
+	// maxFileBytes is the number of bytes from which on a writer writes no more events. They are counted as lost. What an earlier process
+	// wrote to the same file doesn't count.
 	maxFileBytes = 24 << 20
 )
 
@@ -94,7 +95,7 @@
 	}
 }
 
-// put writes an event, preceded by the number of lost events if there are any. If the file is full, the event is counted as lost.
+// put writes an event, preceded by the number of lost events if there are any. Beyond maxFileBytes the event is counted as lost.
 func (w *Writer) put(out *bufio.Writer, event Event) {
 	if lost := <-w.lost; lost > 0 && w.size < maxFileBytes {
 		w.lost <- 0
--- a/internal/scheduling/rollout/sequential.go
+++ b/internal/scheduling/rollout/sequential.go
@@ -9,7 +9,7 @@
 // logEvidence returns the logarithm of an e-value against the hypothesis that an outcome is bad with a probability of at most bound. The
 // e-value is the likelihood of the outcomes under a mixture of all probabilities above the bound, divided by their likelihood at the bound.
 // While the hypothesis holds, the probability that the result ever reaches log(1/a) is at most a (Ville's inequality), however often
-// it is computed. This limits the rate of false alarms.
+// it is computed. This limits the rate of false alarms. The result is 0 while the share of bad outcomes is at most the bound.
 //
 // The mixture is uniform from the bound to 1, so that a version that always fails is detected after a few jobs, and one just above the
 // bound after many.
--- a/internal/scheduling/tenantcount/accounts.go
+++ b/internal/scheduling/tenantcount/accounts.go
@@ -77,8 +77,8 @@
 }
 
 // Allowance returns how much of a tenant's limit the pool may use, and whether that is the whole limit, so that one run may exceed it.
-// If pools share their tenants, the allowance is zero until the partition has answered under the pool's configuration: under a version in
-// between, which this pool has never seen, other pools may have been granted more.
+// If pools share their tenants, the allowance is zero until the partition has answered under the pool's configuration, or a later one, that
+// all grants are within the limit: under a version in between, which this pool has never seen, other pools may have been granted more.
 func (a *Accounts) Allowance(tenant string, policy Policy) (allowance placement.Resources, hasWholeLimit bool) {
 	account := a.byTenant[tenant]
 	if account == nil || policy.IsShared && (account.version < policy.Version || !account.isSettled) {
