--- a/client/client_test.go
+++ b/client/client_test.go
@@ -58,23 +58,31 @@
 	clock  *steppedClock
 	calls  chan string
 	script chan scriptedAnswer
+	// specEnded is closed before the stewards are, since a steward closes only when no call waits for an answer from the script.
+	specEnded chan struct{}
 }
 
 func newHarness() *harness {
-	s := &harness{clock: &steppedClock{waits: make(chan steppedWait, 8)}, calls: make(chan string, 64), script: make(chan scriptedAnswer, 64)}
+	s := &harness{clock: &steppedClock{waits: make(chan steppedWait, 8)}, calls: make(chan string, 64), script: make(chan scriptedAnswer, 64),
+		specEnded: make(chan struct{})}
 	var addresses []string
 	for range 2 {
 		steward := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 			body := make([]byte, 1<<10)
 			count, _ := request.Body.Read(body)
 			s.calls <- strings.TrimSpace(request.Method + " " + request.URL.RequestURI() + " " + strings.TrimSpace(string(body[:count])))
-			next := <-s.script
-			to.WriteHeader(next.status)
-			to.Write([]byte(next.body))
+			select {
+			case next := <-s.script:
+				to.WriteHeader(next.status)
+				to.Write([]byte(next.body))
+			case <-s.specEnded:
+				to.WriteHeader(http.StatusServiceUnavailable)
+			}
 		}))
 		DeferCleanup(steward.Close)
 		addresses = append(addresses, strings.TrimPrefix(steward.URL, "http://"))
 	}
+	DeferCleanup(func() { close(s.specEnded) })
 	var err error
 	s.client, err = New(addresses, WithHolder("h"), WithClock(s.clock))
 	Expect(err).NotTo(HaveOccurred())
