--- a/internal/scheduling/scheduler/changeset.go
+++ b/internal/scheduling/scheduler/changeset.go
@@ -27,7 +27,7 @@
 
 func newChangeSet() changeSet { return changeSet{opIndex: map[string]int{}} }
 
-// record adds a record to the change set and replaces one of the same name. An empty value deletes the record.
+// record adds a record to the change set, in place of an earlier one of the same name. An empty value deletes the record.
 func (c *changeSet) record(op wire.Op, task *taskState) {
 	if index, exists := c.opIndex[op.Name]; exists {
 		c.ops[index], c.opTasks[index] = op, task
@@ -43,7 +43,7 @@
 // putTask adds the record of a task, which is encoded only when the change set is committed.
 func (c *changeSet) putTask(task *taskState) { c.record(wire.Op{Name: prefixTask + task.name}, task) }
 
-// afterCommit has a function called once all records so far are committed. The function gets an error if the leadership is lost first.
+// afterCommit adds a callback that runs once all records added so far are committed. It gets an error if the leadership is lost first.
 func (c *changeSet) afterCommit(callback func(error)) { c.callbacks = append(c.callbacks, callback) }
 
 // takeCallbacks returns all callbacks, those of commits in flight first. The change set can't be used after it.
@@ -51,7 +51,8 @@
 	return append(c.pendingCommits.TakeCallbacks(), c.callbacks...)
 }
 
-// takeCommit turns the change set into a commit and its records, and leaves the change set empty.
+// takeCommit adds a commit with the callbacks of the change set to the pending commits. It returns the commit and its records, and empties
+// the change set.
 func (c *changeSet) takeCommit() (*commitqueue.Commit, []wire.Op) {
 	commit, ops := c.pendingCommits.Add(c.callbacks...), c.ops
 	c.ops, c.opTasks, c.callbacks = nil, c.opTasks[:0], nil
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Submit stores a job and acknowledges it once it is committed. A repeated submission under the same ID is acknowledged without a
-// second job.
+// Submit stores a job and acknowledges it once it is committed. A repeated submission under the same ID is acknowledged and adds no second
+// job.
 func (p *Pool) Submit(call *wire.ClientCall, answer answerClient) {
 	accepted := answerOnCommit(answer)
 	if known := p.jobs[call.ID]; known != nil {
@@ -98,8 +98,8 @@
 	return job
 }
 
-// answerWith works like answerUnderLease. The body is the encoded report.
-func (p *Pool) answerWith(answer answerClient, report func() easyjson.Marshaler) {
+// answerWithReport answers with an encoded report, under the conditions of answerUnderLease.
+func (p *Pool) answerWithReport(answer answerClient, report func() easyjson.Marshaler) {
 	p.answerUnderLease(answer, func() wire.ClientAnswer {
 		body, err := easyjson.Marshal(report())
 		if err != nil {
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// isVisibleTo reports whether a tenant may see the job. The owner may. A job without a tenant is visible to all tenants, and a call that
-// needs no API key has no tenant and may see all jobs.
+// isVisibleTo reports whether a tenant may see the job. A tenant may see its own jobs. A job without a tenant is visible to all tenants. A
+// call that needs no API key has no tenant, and may see all jobs.
 func (j *jobState) isVisibleTo(tenant string) bool {
 	return j.record.Tenant == "" || tenant == "" || j.record.Tenant == tenant
 }
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -13,8 +13,8 @@
 // restartPause is the delay before a long-running task that failed is started again.
 const restartPause = 100 * time.Millisecond
 
-// handleEnd processes the report that a run has ended. Its records are in a later commit than those of the launch, because the launch order
-// is sent only after its own commit.
+// handleEnd processes the report that a run has ended. The records that it writes are in a later commit than those of the launch, because
+// the launch order is sent only after its own commit.
 func (p *Pool) handleEnd(executor *executorState, end wire.EndReport) {
 	run := executor.runs[runKey{end.Task, end.Run}]
 	if run == nil {
@@ -30,7 +30,7 @@
 	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: string(end.Outcome),
 		LengthMs: (now - run.startedAt).Milliseconds()})
 	if end.Outcome == wire.OutcomeDone || end.Outcome == wire.OutcomeFailed {
-		p.countRunEnd(run, end.Outcome, now)
+		p.countRunForRollout(run, end.Outcome, now)
 	}
 	switch end.Outcome {
 	case wire.OutcomeDone:
@@ -60,18 +60,18 @@
 	p.completeTask(task)
 }
 
-// findTask returns the task with a name, or nil if the pool doesn't have its job or occurrence.
+// findTask returns the task with a name, or nil if the pool doesn't have it.
 func (p *Pool) findTask(name string) *taskState {
-	place, isTask := jobs.ParseTask(name)
-	job := p.jobs[place.ID]
+	position, isTask := jobs.ParseTask(name)
+	job := p.jobs[position.ID]
 	if !isTask || job == nil || job.spec == nil {
 		return nil
 	}
-	occurrence := job.occurrences[place.Occurrence]
-	if occurrence == nil || place.Step >= len(occurrence.steps) || place.Index >= len(occurrence.steps[place.Step].tasks) {
+	occurrence := job.occurrences[position.Occurrence]
+	if occurrence == nil || position.Step >= len(occurrence.steps) || position.Index >= len(occurrence.steps[position.Step].tasks) {
 		return nil
 	}
-	return occurrence.steps[place.Step].tasks[place.Index]
+	return occurrence.steps[position.Step].tasks[position.Index]
 }
 
 // recordCheckpoint stores the newest checkpoint of a task. A gang has a single one, which is stored with its first task.
@@ -79,10 +79,10 @@
 	if task.checkpoint == checkpoint || task.job().spec == nil {
 		return
 	}
-	holder := task.sharedTask()
-	if holder.checkpoint != checkpoint && task.job().isOpen() {
-		holder.checkpoint = checkpoint
-		p.putTask(holder)
+	shared := task.sharedTask()
+	if shared.checkpoint != checkpoint && task.job().isOpen() {
+		shared.checkpoint = checkpoint
+		p.putTask(shared)
 	}
 }
 
@@ -96,7 +96,7 @@
 }
 
 // countFailure counts a failed run as an attempt of its task, and fails the job when all attempts are used up. A gang counts one failure
-// for all members that failed in the same run. A long-running task has no limit and is started again after restartPause.
+// for all members that failed in the same run. The failures of a long-running task aren't counted; it is started again after restartPause.
 func (p *Pool) countFailure(task *taskState, number int64) {
 	step, job := task.step, task.job()
 	if step.spec.LongRunning || !job.isOpen() || task.isDone {
@@ -110,11 +110,11 @@
 		}
 		step.failedRun = number
 	}
-	counter := task.sharedTask()
-	counter.failed++
-	p.putTask(counter)
-	if counter.failed >= max(1, job.record.Terms.MaxAttempts) {
-		p.endJob(job, jobFailed, "task "+task.name+" failed "+strconv.Itoa(counter.failed)+" times")
+	shared := task.sharedTask()
+	shared.failed++
+	p.putTask(shared)
+	if shared.failed >= max(1, job.record.Terms.MaxAttempts) {
+		p.endJob(job, jobFailed, "task "+task.name+" failed "+strconv.Itoa(shared.failed)+" times")
 	}
 }
 
@@ -159,8 +159,8 @@
 		return
 	}
 	job.completedOccurrences[occurrence.number] = true
-	p.countOccurrence(occurrence)
-	p.countOccurrenceEnd(occurrence)
+	p.countOccurrenceInMetrics(occurrence)
+	p.countOccurrenceForRollout(occurrence)
 	if len(job.completedOccurrences) == job.occurrenceCount() {
 		p.endJob(job, jobCompleted, "")
 		return
--- a/internal/scheduling/scheduler/deadline.go
+++ b/internal/scheduling/scheduler/deadline.go
@@ -24,22 +24,23 @@
 // expiredFrom returns the time of day, in ms, from which the step can no longer be completed before its occurrence expires.
 func (s *stepState) expiredFrom() int64 { return s.occurrence.expiryMs - s.remainingPathMs }
 
-// waitPart is the part of the time from the release of a step's occurrence to lateFrom that the step can wait without a capacity share.
-const waitPart = 0.25
+// waitFraction is the fraction of the time from the release of a step's occurrence to lateFrom during which the step gets no capacity
+// share.
+const waitFraction = 0.25
 
-// waitsUntil returns the time of day, in ms, up to which a step can wait.
+// waitsUntil returns the time of day, in ms, until which canWait is true for a step that isn't long-running.
 func (s *stepState) waitsUntil() int64 {
 	from := s.occurrence.releaseMs
-	return from + int64(waitPart*float64(s.lateFrom()-from))
+	return from + int64(waitFraction*float64(s.lateFrom()-from))
 }
 
-// canWait reports whether a step may be started much later and still be on time. A long-running step can't wait.
+// canWait reports whether a step may be started much later and still be on time, so that shares skip it. A long-running step can't wait.
 func (p *Pool) canWait(step *stepState) bool {
 	return !step.spec.LongRunning && p.leadership.WallMs() < step.waitsUntil()
 }
 
-// deadlineClass returns whether a step is on time, late or expired; a long-running step has no deadline and is on time. The class only
-// gets worse as time passes: expired work has a capacity share of its own (shares), and must not return ahead of work that is still
+// deadlineClass returns whether a step is on time, late or expired; a long-running step has no deadline and is on time. The class only gets
+// worse as time passes: expired work has a capacity share of its own (see shares), and must not be placed ahead of work that is still
 // useful. Surplus work, which a tenant sends beyond its rate, is expired from the beginning, so that it comes after all other work.
 func (p *Pool) deadlineClass(step *stepState) placement.DeadlineClass {
 	now := p.leadership.WallMs()
--- a/internal/scheduling/scheduler/drain.go
+++ b/internal/scheduling/scheduler/drain.go
@@ -11,7 +11,8 @@
 	}
 }
 
-// stopIfUnfinishable stops a run on a draining executor if it can't finish before the executor departs, by the estimate of its step.
+// stopIfUnfinishable stops a run on a draining executor if it can't finish before the executor departs, by the estimate of its step. A
+// long-running run is always stopped.
 func (p *Pool) stopIfUnfinishable(run *runState) {
 	executor, step, now := run.executor, run.task.step.spec, p.clock.Monotonic()
 	if run.phase != runRunning || !executor.isDraining {
--- a/internal/scheduling/scheduler/endedjobs.go
+++ b/internal/scheduling/scheduler/endedjobs.go
@@ -23,7 +23,7 @@
 	p.putRecord(prefixState+job.id, stateRecord{Route: job.record.Route, State: string(phase), Reason: reason, EndedMs: job.endedMs, Tenant: job.record.Tenant,
 		MovedTo: job.movedTo})
 	if phase == jobFailed {
-		p.countJobFailure(job)
+		p.countJobFailureForRollout(job)
 	}
 	if phase != jobCompleted {
 		p.log.V(1).Info("job ended", "job", job.id, "state", phase, "reason", reason)
@@ -45,7 +45,8 @@
 	p.forgetIfOver(job)
 }
 
-// forgetIfOver drops the spec and the occurrences of an ended job once none of its runs is left. The state in which it ended is kept.
+// forgetIfOver drops the spec, the occurrences and the job record of an ended job once none of its runs is left. The state in which it
+// ended is kept.
 func (p *Pool) forgetIfOver(job *jobState) {
 	if job.isOpen() || job.runCount > 0 || job.spec == nil {
 		return
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -14,9 +14,9 @@
 func (p *Pool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	now := p.clock.Monotonic()
 	executor := p.executorOf(call.Executor)
-	call, isTaken := executor.exchange.merge(call)
+	call, isAccepted := executor.exchange.merge(call)
 	p.updateContact(executor, call, now)
-	if !isTaken {
+	if !isAccepted {
 		refusal := p.answerFor(executor)
 		refusal.HeldNumber, refusal.NeedsFullState, refusal.Session = 0, true, executor.exchange.session
 		answer(refusal)
@@ -62,8 +62,8 @@
 	answer(p.answerFor(executor))
 }
 
-// updateContact processes the part of a report that is valid even if the pool doesn't have the report that it is based on: the contact
-// itself and the age of the executor's last lease renewal.
+// updateContact processes the part of a report that is valid even if the report is based on an earlier one that the pool doesn't have: the
+// contact itself and the age of the executor's last lease renewal.
 func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	p.table.markChanged(executor)
 	isUnschedulable := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -71,7 +71,7 @@
 	// failures and successes are counts of runs that decay with time.
 	failures  float64
 	successes float64
-	// slowFactor is the average duration of its runs as a multiple of their steps' medians.
+	// slowFactor is the moving average of the durations of its runs, as multiples of their steps' medians.
 	slowFactor float64
 	// penalty is the penalty of its machine.
 	penalty float64
@@ -85,10 +85,10 @@
 	// outbox holds the runs whose orders are sent with the next answer. orphanStops holds the stop orders of runs without a record.
 	outbox      []*runState
 	orphanStops []wire.Order
-	// takenEnd is the number of the last end report that was processed, lastSeen that of the last one whose changes are committed. Only
-	// lastSeen is acknowledged.
-	takenEnd int64
-	lastSeen int64
+	// lastProcessedEnd is the number of the last end report that was processed, lastSeen that of the last one whose changes are committed.
+	// Only lastSeen is acknowledged.
+	lastProcessedEnd int64
+	lastSeen         int64
 }
 
 // pendingPoll is an exchange that is answered when there are orders, or at the time until.
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -51,7 +51,7 @@
 	return t.penalty * math.Exp2(-float64(now-t.at)/float64(penaltyHalfLife))
 }
 
-// worsen decays the penalty up to now and adds 1.
+// worsen decays the penalty up to now and adds 1, up to maxPenalty.
 func (t *machineHealth) worsen(now time.Duration) {
 	t.penalty, t.at = min(maxPenalty, t.penaltyAt(now)+1), now
 }
@@ -95,7 +95,7 @@
 	e.penalty = penalty
 }
 
-// recordSuccess doubles the run limit, as each completed run shows that the executor is healthy.
+// recordSuccess doubles the run limit, as each completed run shows that the executor is healthy. From unlimitedRuns on there is no limit.
 func (e *executorState) recordSuccess() {
 	e.runLimit *= 2
 	if e.runLimit >= unlimitedRuns {
@@ -129,9 +129,9 @@
 	}
 }
 
-// moveStalled stops a run that makes no progress, so that its task starts on another executor. A task that has stalled maxStalls times is
-// left running, as it stalls everywhere.
-func (p *Pool) moveStalled(run *runState) {
+// stopIfStalled stops a run that makes no progress, so that its task starts on another executor. Long-running tasks and gangs are left
+// running. A task that has stalled maxStalls times is left running, as it stalls everywhere.
+func (p *Pool) stopIfStalled(run *runState) {
 	task, executor := run.task, run.executor
 	if !run.isStuck || run.phase != runRunning || task.step.spec.LongRunning || task.step.spec.Gang || task.stallCount >= maxStalls {
 		return
--- a/internal/scheduling/scheduler/executortable.go
+++ b/internal/scheduling/scheduler/executortable.go
@@ -24,7 +24,8 @@
 	usedCPU       int64
 	// version changes with the executors, their indices, and the properties that queue rules look at.
 	version uint64
-	// isStale is set if the whole view must be recomputed; otherwise only changed executors are, until validUntil.
+	// isStale is set if the whole view must be recomputed, which is also the case from validUntil on. Otherwise only the entries of the
+	// executors in changed are recomputed.
 	isStale    bool
 	validUntil time.Duration
 	changed    []*executorState
--- a/internal/scheduling/scheduler/gangs.go
+++ b/internal/scheduling/scheduler/gangs.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// endGangWatch stops the watch when a gang starts again, as its members are then other runs than those of the broken gang.
+// endGangWatch ends the watch when a gang starts again, since its runs are then new ones.
 func (p *Pool) endGangWatch(step *stepState) {
 	step.brokenAt = 0
 	delete(p.brokenGangs, step)
--- a/internal/scheduling/scheduler/job.go
+++ b/internal/scheduling/scheduler/job.go
@@ -89,12 +89,12 @@
 	return beginMs + int64(stretch*float64(j.criticalPathMs)) + j.record.Terms.TargetMs
 }
 
-// expiryFactor is the multiple of the time from its release to its target after which an occurrence is expired and no longer just late.
+// expiryFactor times the time from its release to its target is the time after which an occurrence is expired, and no longer just late.
 const expiryFactor = 3
 
 func (j *jobState) newOccurrence(number int) *occurrence {
-	beginMs, targetMs := max(j.record.AcceptedMs, j.releaseMs(number)), j.targetMs(number)
-	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: beginMs, targetMs: targetMs, expiryMs: beginMs + expiryFactor*(targetMs-beginMs)}
+	releaseMs, targetMs := max(j.record.AcceptedMs, j.releaseMs(number)), j.targetMs(number)
+	return &occurrence{job: j, number: number, remaining: len(j.spec.Steps), releaseMs: releaseMs, targetMs: targetMs, expiryMs: releaseMs + expiryFactor*(targetMs-releaseMs)}
 }
 
 // computeCriticalPath returns the length in milliseconds of the longest chain of dependent steps, by their estimates.
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -22,8 +22,8 @@
 // errBadName is the error for a record whose name doesn't have the form of its kind.
 const errBadName = errors.ConstError("malformed record name")
 
-// load rebuilds the tables from the committed records. An unreadable record doesn't stop the takeover, since the next leader would
-// read the same record. If it is the record of a job, its state or one of its tasks, that job is set aside. All other jobs go on.
+// load rebuilds the tables from the committed records. An unreadable record doesn't stop the takeover, since the next leader would read the
+// same record. If it is the record of a job, its state or one of its tasks, that job is set aside, and all other jobs go on.
 func (p *Pool) load(leadership Leadership, pairs []wire.Op) {
 	records := map[string][]wire.Op{}
 	for _, pair := range pairs {
@@ -61,10 +61,11 @@
 	p.dropOrphanedOrders(records[prefixOrder])
 }
 
-// loadEach calls take for each record of one kind, with the name without its prefix, and records which of them can't be read.
-func (p *Pool) loadEach(pairs []wire.Op, take func(name string, value []byte) error) {
+// loadEach calls loadRecord for each record of one kind, with the name without its prefix, and adds the records that can't be read to
+// unreadable.
+func (p *Pool) loadEach(pairs []wire.Op, loadRecord func(name string, value []byte) error) {
 	for _, pair := range pairs {
-		if err := take(pair.Name[prefixLength:], pair.Value); err != nil {
+		if err := loadRecord(pair.Name[prefixLength:], pair.Value); err != nil {
 			p.recordUnreadable(pair.Name, err)
 		}
 	}
@@ -97,16 +98,16 @@
 	return nil
 }
 
-// setAside marks a job as unreadable: it is known but not run. Its records are kept unchanged for a program version that can read them,
-// unless a client cancels the job.
+// setAside marks a job as unreadable: it is known but not run. While the job is open, its records are kept unchanged for a program version
+// that can read them, unless a client cancels the job.
 func (p *Pool) setAside(job *jobState) {
 	job.isUnreadable = true
 	job.spec, job.record.Spec = &jobs.Spec{}, nil
 	delete(p.awaitingRelease, job.id)
 }
 
-// loadState reads the stored state of a job that has ended. A job whose job record is already deleted is added with its
-// state only, so that clients can still ask for the result.
+// loadState reads the stored state of a job that has ended. If the record of the job itself is already deleted, the job has only its state,
+// so that clients can still ask for the result.
 func (p *Pool) loadState(id string, value []byte) error {
 	job, isKnown := p.jobs[id]
 	if !isKnown {
@@ -128,23 +129,23 @@
 
 // loadOccurrence reads a record named ID/K, which says that occurrence K of job ID is complete.
 func (p *Pool) loadOccurrence(name string, _ []byte) error {
-	id, number, isPair := strings.Cut(name, "/")
-	count, err := strconv.Atoi(number)
+	id, text, isPair := strings.Cut(name, "/")
+	number, err := strconv.Atoi(text)
 	if !isPair || err != nil {
 		return errors.Annotate(errBadName, "expected ID/K")
 	}
 	if job := p.jobs[id]; job != nil {
-		job.completedOccurrences[count] = true
+		job.completedOccurrences[number] = true
 	}
 	return nil
 }
 
 // loadedTask is a task's record together with the job and the position that its name refers to.
 type loadedTask struct {
-	name   string
-	job    *jobState
-	place  jobs.TaskPosition
-	record taskRecord
+	name     string
+	job      *jobState
+	position jobs.TaskPosition
+	record   taskRecord
 }
 
 // readTasks reads the task records. It must run before any step opens. It deletes leftover records: those of jobs that
@@ -154,15 +155,15 @@
 	for _, pair := range pairs {
 		loaded := loadedTask{name: pair.Name}
 		var isTask bool
-		if loaded.place, isTask = jobs.ParseTask(pair.Name[prefixLength:]); !isTask {
+		if loaded.position, isTask = jobs.ParseTask(pair.Name[prefixLength:]); !isTask {
 			p.recordUnreadable(pair.Name, errors.Annotate(errBadName, "expected ID.K.STEP.INDEX"))
 			continue
 		}
-		loaded.job = p.jobs[loaded.place.ID]
+		loaded.job = p.jobs[loaded.position.ID]
 		if loaded.job != nil && loaded.job.isUnreadable {
 			continue
 		}
-		if loaded.job == nil || !loaded.job.hasTask(loaded.place) {
+		if loaded.job == nil || !loaded.job.hasTask(loaded.position) {
 			p.dropRecord(pair.Name)
 			continue
 		}
@@ -176,19 +177,19 @@
 	return slices.DeleteFunc(tasks, func(loaded loadedTask) bool { return loaded.job.isUnreadable })
 }
 
-func (j *jobState) hasTask(place jobs.TaskPosition) bool {
-	return j.spec != nil && place.Occurrence < j.occurrenceCount() && place.Step < len(j.spec.Steps) && place.Index < j.spec.Steps[place.Step].Tasks
+func (j *jobState) hasTask(position jobs.TaskPosition) bool {
+	return j.spec != nil && position.Occurrence < j.occurrenceCount() && position.Step < len(j.spec.Steps) && position.Index < j.spec.Steps[position.Step].Tasks
 }
 
 // loadTask restores a task and its runs from its record. The record is deleted if the occurrence is complete and the task has no runs.
 func (p *Pool) loadTask(loaded loadedTask) {
-	isOver, record := loaded.job.completedOccurrences[loaded.place.Occurrence], loaded.record
+	isOver, record := loaded.job.completedOccurrences[loaded.position.Occurrence], loaded.record
 	if isOver && len(record.Runs) == 0 {
 		p.dropRecord(loaded.name)
 		return
 	}
-	step := p.occurrenceOf(loaded.job, loaded.place.Occurrence).steps[loaded.place.Step]
-	task := step.tasks[loaded.place.Index]
+	step := p.occurrenceOf(loaded.job, loaded.position.Occurrence).steps[loaded.position.Step]
+	task := step.tasks[loaded.position.Index]
 	task.isDone, task.failed, task.lastRun, task.checkpoint = record.Done || isOver, record.Failed, record.LastRun, record.Checkpoint
 	step.failedRun = max(step.failedRun, record.FailedRun)
 	if task.isDone {
@@ -214,7 +215,8 @@
 	run.awaitedList = executor.listWanted
 }
 
-// reopen opens the steps of a loaded job that are ready. It stops the runs of ended jobs and of complete occurrences.
+// reopen opens the steps of a loaded job that are ready, and stops the runs of its complete occurrences. If the job has ended, it stops all
+// runs.
 func (p *Pool) reopen(job *jobState) {
 	if !job.isOpen() {
 		for _, occurrence := range job.sortedOccurrences() {
--- a/internal/scheduling/scheduler/loadreport.go
+++ b/internal/scheduling/scheduler/loadreport.go
@@ -24,8 +24,8 @@
 	priorities  map[int]*priorityLoad
 }
 
-// priorityLoad holds what the runs of one priority take and what its pending tasks ask for, in CPU units. allowance is how much more its
-// long work may take; it is meaningful only if isLimited is set.
+// priorityLoad holds the CPU units that the runs of one priority take, and those that its pending tasks ask for. allowance is how much more
+// its long work may take; it is meaningful only if isLimited is set.
 type priorityLoad struct {
 	allocated int64
 	waiting   map[placement.DeadlineClass]int64
@@ -41,7 +41,7 @@
 	return l.priorities[priority]
 }
 
-// hasLateWork reports whether any pending work is late or expired, which means that it can't be on time any more or is surplus work.
+// hasLateWork reports whether any pending work is late or expired. Such work can't be on time any more, or is surplus work.
 func (l *load) hasLateWork() bool {
 	for _, priority := range l.priorities {
 		if priority.waiting[placement.Late]+priority.waiting[placement.Expired] > 0 {
@@ -119,8 +119,8 @@
 	p.log.Info("late work waits", values...)
 }
 
-// countOccurrence counts a completed occurrence under the deadline class that it ended in.
-func (p *Pool) countOccurrence(occurrence *occurrence) {
+// countOccurrenceInMetrics counts a completed occurrence under the deadline class that it ended in.
+func (p *Pool) countOccurrenceInMetrics(occurrence *occurrence) {
 	class, nowMs := placement.OnTime, p.leadership.WallMs()
 	switch {
 	case nowMs > occurrence.expiryMs:
--- a/internal/scheduling/scheduler/locality.go
+++ b/internal/scheduling/scheduler/locality.go
@@ -12,7 +12,7 @@
 const maxLocalityWait = time.Second
 
 // localityWaitUntil returns the time until which a step waits for capacity near its data, or 0 for a step that doesn't wait. The wait
-// begins when the step opens, and lasts half of the time that a task loses elsewhere, but at most maxLocalityWait.
+// begins when the step opens. It lasts half of the extra run time of a task away from its data, but at most maxLocalityWait.
 func (p *Pool) localityWaitUntil(step *stepState) time.Duration {
 	if len(step.spec.Affinity) == 0 || step.spec.Gang || step.spec.LongRunning {
 		return 0
--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -47,8 +47,9 @@
 	key                                                                                 string
 	submissions, refusals, placements, starts, stops, speculativeRuns, commits, changes *metrics.Counter
 	tickSeconds, placeSeconds                                                           metrics.Histogram
-	shownAt                                                                             time.Duration
-	// shownPriorities and shownTenants hold the labels that have series. A series without a load is set to 0.
+	// updatedAt is when the gauges were last updated.
+	updatedAt time.Duration
+	// shownPriorities and shownTenants hold the priorities and tenants that have series. A series without a load is set to 0.
 	shownPriorities map[int]bool
 	shownTenants    map[string]bool
 }
@@ -73,32 +74,32 @@
 
 // updateGauges updates the gauges at most once per metricsInterval, and logs late work.
 func (m *poolMetrics) updateGauges(p *Pool, now time.Duration) {
-	if now-m.shownAt < metricsInterval {
+	if now-m.updatedAt < metricsInterval {
 		return
 	}
-	m.shownAt = now
+	m.updatedAt = now
 	counts := map[string]int{}
 	var running int
 	for _, executor := range p.executors {
 		counts[executor.shownState()]++
 		running += len(executor.runs)
 	}
-	m.set(len(p.open.steps), running, counts)
+	m.setGauges(len(p.open.steps), running, counts)
 	current := p.loadByPriority()
 	m.showLoad(current)
 	m.showTenants(p.tenantLoads())
 	p.reportLateWork(current, now)
 }
 
-// clearGauges sets all gauges to 0 when another process leads the key.
+// clearGauges sets all gauges to 0 when this process stops leading the key.
 func (m *poolMetrics) clearGauges() {
-	m.set(0, 0, nil)
+	m.setGauges(0, 0, nil)
 	m.showLoad(load{})
 	m.showTenants(nil)
 }
 
-// set updates the gauges of open steps, runs, and executors by state.
-func (m *poolMetrics) set(open, running int, counts map[string]int) {
+// setGauges updates the gauges of open steps, runs, and executors by state.
+func (m *poolMetrics) setGauges(open, running int, counts map[string]int) {
 	stepsOpen.With(m.key).Set(float64(open))
 	runGauge.With(m.key).Set(float64(running))
 	for _, state := range []string{stateReady, stateUnfenced, stateDraining, stateBlocked} {
--- a/internal/scheduling/scheduler/orders.go
+++ b/internal/scheduling/scheduler/orders.go
@@ -4,9 +4,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// answerFor builds the answer to an exchange: the lease grant, the number of the requested list of runs, and the orders. The orders
-// of the outbox are sent only to an executor that has confirmed the epoch as its fence, so that orders of an older leader can't reach it
-// after those of this leader.
+// answerFor builds the answer to an exchange: the lease grant, the number of the requested list of runs, the acknowledgement of end
+// reports, and the orders. The orders of the outbox are sent only to an executor that has confirmed the epoch as its fence, so that orders
+// of an older leader can't reach it after those of this leader.
 func (p *Pool) answerFor(executor *executorState) wire.ExchangeAnswer {
 	now := p.clock.Monotonic()
 	answer := wire.ExchangeAnswer{Fence: p.leadership.Epoch(), LastSeen: executor.lastSeen, WantedList: executor.listWanted, HeldNumber: executor.exchange.number}
--- a/internal/scheduling/scheduler/overload.go
+++ b/internal/scheduling/scheduler/overload.go
@@ -6,8 +6,9 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// overloadHoldTime is how long a priority counts as overloaded after one of its jobs last became late before any part of it was started.
-const overloadHoldTime = 3 * time.Second
+// overloadDuration is how long a priority counts as overloaded after a step of it last became late before any part of the step's occurrence
+// was started.
+const overloadDuration = 3 * time.Second
 
 // overloadTracker holds the overloaded priorities, those with more work than can be on time, and until when each counts as overloaded.
 //
@@ -44,11 +45,11 @@
 	return false
 }
 
-// recordTargetMiss compares a step's former and current requests. If the step became late before any part of its job was started, its
-// priority counts as overloaded for overloadHoldTime.
+// recordTargetMiss compares a step's former request with its current one. If the step became late before any part of its occurrence was
+// started, its priority counts as overloaded for overloadDuration.
 func (p *Pool) recordTargetMiss(former, current *placement.Group, now time.Duration) {
 	isMissed := former.Count > 0 && former.Deadline == placement.OnTime && current.Count > 0 && current.Deadline == placement.Late
-	if !isMissed || current.RemainingTenths < wholeJob {
+	if !isMissed || current.RemainingTenths < allTenths {
 		return
 	}
 	missed := overloadKey{priority: current.Priority}
@@ -56,13 +57,14 @@
 		missed.tenant = current.Tenant
 	}
 	_, wasOverloaded := p.overload.until[missed]
-	p.overload.until[missed] = now + overloadHoldTime
+	p.overload.until[missed] = now + overloadDuration
 	if !wasOverloaded {
 		p.reorder(missed)
 	}
 }
 
-// endOverloads restores the usual order of priorities that have missed no target for overloadHoldTime.
+// endOverloads ends each overload in which no further target was missed for overloadDuration. The steps of its priority return to the usual
+// order.
 func (p *Pool) endOverloads(now time.Duration) {
 	for ended, until := range p.overload.until {
 		if now > until {
@@ -72,7 +74,8 @@
 	}
 }
 
-// reorder marks all steps of an overload as stale, so that their order keys are computed again.
+// reorder marks all steps of a priority that became overloaded or is no longer overloaded as stale, so that their sort keys are computed
+// again.
 func (p *Pool) reorder(changed overloadKey) {
 	for step := range p.open.steps {
 		isTenantAffected := changed.tenant == 0 || changed.tenant == step.tenant().index
--- a/internal/scheduling/scheduler/place.go
+++ b/internal/scheduling/scheduler/place.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// placedRun is a run to launch, as placement decided.
+// placedRun is a run that placement has assigned to an executor and that is to be launched.
 type placedRun struct {
 	task     *taskState
 	executor *executorState
@@ -35,7 +35,7 @@
 	isFromShare bool
 }
 
-// placedRuns returns for each placement its task and the number of the new run. All runs of a gang have the same number.
+// placedRuns returns the run to launch for each assignment. All runs of a gang have the same number.
 func (p *Pool) placedRuns(assignments []placement.Placement) []placedRun {
 	runs := make([]placedRun, len(assignments))
 	nextTask, gangRun := map[int]int{}, map[int]int64{}
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -1,6 +1,7 @@
-// Package scheduler schedules the jobs of one service while this steward leads the key of its pool. It starts no goroutine and opens
-// no socket. A single goroutine calls it with client commands (Submit, State, Count, Cancel, Renounce), with the reports of local
-// proxies (Exchange) and periodically (Tick), and calls Flush after each burst of calls.
+// Package scheduler schedules the jobs of one service while this steward leads the key of its pool. It starts no goroutine and opens no
+// socket. A single goroutine calls it with client commands (Submit, State, Count, Cancel) and calls of peers and operators (Renounce,
+// Transfer, Tenants, Rollouts), with the reports of local proxies (Exchange) and periodically (Tick). It calls Flush after each burst of
+// calls.
 //
 // All state that must survive this process is stored in records of the key. A call changes the tables in memory and adds records to
 // the change set. Flush uses package placement to choose the tasks to start, and commits the change set as one change. Answers,
@@ -29,8 +30,8 @@
 type Leadership interface {
 	// Epoch returns the epoch of this leadership. Orders carry it as their fence.
 	Epoch() uint64
-	// Commit makes a change durable on a majority and calls done then. done gets an error if the leadership is lost first. It runs
-	// on the pool's goroutine, in the order of the commits.
+	// Commit makes a change durable on a majority and then calls done, which gets an error if the leadership is lost first. done runs on the
+	// pool's goroutine, in the order of the commits.
 	Commit(ops []wire.Op, done func(error))
 	// HasLease reports whether this process holds the leader lease, so that no other process can lead the key now.
 	HasLease() bool
@@ -62,8 +63,8 @@
 	// spreads holds, by route, how widely the durations of the route's tasks vary.
 	spreads map[string]*durationSpread
 	tenants tenantTable
-	// policyInForce returns the tenant policy of the newest configuration.
-	policyInForce func() TenantPolicy
+	// tenantPolicy returns the tenant policy of the newest configuration.
+	tenantPolicy func() TenantPolicy
 	// rollouts holds the configured rollouts of which this pool runs a version. rolloutPolicy returns the rollout policy of the newest
 	// configuration.
 	rollouts      rolloutTable
@@ -88,7 +89,8 @@
 	jobs map[string]*jobState
 	// queued counts, by route, the jobs of which no task has started.
 	queued map[string]int
-	// awaitingRelease holds the jobs with occurrences that are not due yet. The earliest of these is due at nextReleaseMs, a time of day.
+	// awaitingRelease holds the jobs with occurrences that are not due yet. The next of these occurrences is due at nextReleaseMs, a time of
+	// day in ms; 0 makes the next tick check all of them.
 	awaitingRelease map[string]*jobState
 	nextReleaseMs   int64
 	// endedJobs is sorted by the time of the end, the order in which ended jobs are removed.
@@ -147,7 +149,7 @@
 
 // New returns a pool that is closed until Open is called.
 func New(key string, clock clock.Clock, timing Timing, log logging.Logger, options ...Option) *Pool {
-	pool := &Pool{key: key, clock: clock, timing: timing, log: log, recorder: discardRecorder{}, policyInForce: noTenantPolicy, rolloutPolicy: noRolloutPolicy, isEvacuated: noEvacuations,
+	pool := &Pool{key: key, clock: clock, timing: timing, log: log, recorder: discardRecorder{}, tenantPolicy: noTenantPolicy, rolloutPolicy: noRolloutPolicy, isEvacuated: noEvacuations,
 		metrics: newPoolMetrics(key)}
 	pool.health = map[string]*machineHealth{}
 	for _, option := range options {
@@ -213,8 +215,8 @@
 	leaseMargin       = 250 * time.Millisecond
 )
 
-// extendLease extends the assumed lease of an executor by a grant that begins now. It returns false if the executor gets no grant: its
-// proxy doesn't reach it, or this process has no lease on the key.
+// extendLease extends the assumed lease of an executor by a grant that begins now. It returns false if there is no grant because the proxy
+// can't reach the executor, or because this process has no lease on the key.
 func (p *Pool) extendLease(executor *executorState, now time.Duration) bool {
 	if executor.isUnschedulable || !p.leadership.HasLease() {
 		return false
--- a/internal/scheduling/scheduler/refresh.go
+++ b/internal/scheduling/scheduler/refresh.go
@@ -8,10 +8,10 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// ruleHoldTime is how long a step waits for the executors that its queue's rule allows.
-const ruleHoldTime = time.Second
+// maxRuleWait is how long a step waits for the executors that its queue's rule allows.
+const maxRuleWait = time.Second
 
-// maxIdleWait is how long soft limits may keep a step without runs from starting its first run.
+// maxIdleWait is how long soft limits (see placement.Limits) may keep a step without runs from starting its first run.
 const maxIdleWait = time.Second
 
 // markChanged updates the lists of a step after one of its tasks has changed. It marks the placement requests of all steps of the occurrence
@@ -58,7 +58,7 @@
 		p.rules.HasUse(step.queue())
 }
 
-// refresh recomputes the requests of a step, and the time until which they are valid.
+// refresh recomputes the requests of a step, and the time of its next refresh, which is the end of their validity.
 func (p *Pool) refresh(step *stepState, now time.Duration) {
 	ready, next := p.ready(step, now)
 	var group placement.Group
@@ -73,7 +73,7 @@
 	if len(ready)+len(candidates) > 0 {
 		next = min(next, p.nextDeadlineChange(step, now))
 	}
-	if ruleEnd := step.openedAt + ruleHoldTime + 1; now < ruleEnd && p.rules.HasUse(step.queue()) {
+	if ruleEnd := step.openedAt + maxRuleWait + 1; now < ruleEnd && p.rules.HasUse(step.queue()) {
 		next = min(next, ruleEnd)
 	}
 	if until := p.localityWaitUntil(step); now < until {
@@ -163,7 +163,8 @@
 	return step.lastProgressAt + maxIdleWait
 }
 
-// orderKey returns the key that orders a step among the requests of its section, lower first: that of the queue's rule, if it has one.
+// orderKey returns the sort key of a step within its section of the queue, lower first. It comes from the rule of the step's queue, or from
+// dueKey if the queue has no rule for the order.
 func (p *Pool) orderKey(step *stepState, tasks int) int64 {
 	if !p.rules.HasOrder(step.queue()) {
 		return p.dueKey(step)
@@ -172,15 +173,15 @@
 		CPU: int(step.spec.CPU), Memory: int(step.spec.Memory), Estimate: int(step.spec.EstimatedMs)})
 }
 
-// wholeJob is the value of remainingTenths for a job of which no task has started.
-const wholeJob = 10
+// allTenths is the value of remainingTenths for an occurrence of which no task has started.
+const allTenths = 10
 
 // remainingTenths returns how much of the work of a step's occurrence has not been started, in tenths and by the estimates. It is always
-// wholeJob for a queue whose rule orders its steps, so that only the rule decides, and for expired work, so that only the age decides
-// and every job gets its turn.
+// allTenths for a queue whose rule orders its steps, so that only the rule decides. It is also allTenths for expired work, so that only the
+// age decides and every job gets its turn.
 func (p *Pool) remainingTenths(step *stepState) int {
 	if p.rules.HasOrder(step.queue()) || p.deadlineClass(step) == placement.Expired {
-		return wholeJob
+		return allTenths
 	}
 	var total, remaining int64
 	for _, other := range step.occurrence.steps {
@@ -188,7 +189,7 @@
 		total += taskWork * int64(len(other.tasks))
 		remaining += taskWork * int64(len(other.idle))
 	}
-	return int(remaining * wholeJob / total)
+	return int(remaining * allTenths / total)
 }
 
 // runsByExecutor counts the runs of a step by the index of their executor.
@@ -202,11 +203,11 @@
 	return runs
 }
 
-// excludedByRule marks, by index, the executors that the rule of a step's queue doesn't allow. The rule applies for ruleHoldTime. After
-// that the step may use any executor, so that no rule leaves work undone while there is capacity.
+// excludedByRule marks, by index, the executors that the rule of a step's queue doesn't allow. The rule applies for maxRuleWait after the
+// step has opened. Then the step may use any executor, so that no rule leaves work undone while there is capacity.
 func (p *Pool) excludedByRule(step *stepState) []bool {
 	queue := step.queue()
-	if !p.rules.HasUse(queue) || p.clock.Monotonic()-step.openedAt > ruleHoldTime {
+	if !p.rules.HasUse(queue) || p.clock.Monotonic()-step.openedAt > maxRuleWait {
 		return nil
 	}
 	excluded := make([]bool, len(p.table.sorted))
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -78,7 +78,8 @@
 	})
 }
 
-// loadRenounced reads the record of a promise. An unreadable record counts as made now, so that it is kept for the full retention period.
+// loadRenounced reads the record of a promise. A promise whose record is unreadable counts as made now, so that it is kept for the full
+// retention period.
 func (p *Pool) loadRenounced(id string, value []byte) error {
 	var record renouncedRecord
 	err := easyjson.Unmarshal(value, &record)
--- a/internal/scheduling/scheduler/replacedexecutors.go
+++ b/internal/scheduling/scheduler/replacedexecutors.go
@@ -6,8 +6,8 @@
 	"github.com/mailru/easyjson"
 )
 
-// replacedAfter is how long a known executor must be silent before its replacement on the machine ends it. It is longer than an exchange
-// may be in flight, so that a late report of the old executor can't end the new one.
+// replacedAfter is how long a known executor must be silent before it is removed because another executor has replaced it on its machine.
+// It is longer than an exchange may be in flight, so that a late report of the old executor can't remove the new one.
 const replacedAfter = 2500 * time.Millisecond
 
 // recordIdleTime is how long the record of an executor without runs is kept, so that the record isn't written at every start of a run.
--- a/internal/scheduling/scheduler/reports.go
+++ b/internal/scheduling/scheduler/reports.go
@@ -57,33 +57,33 @@
 // handleEnds handles the new reports of ended runs in the order of their numbers, and reports whether there were any. They are acknowledged
 // to the executor, through lastSeen, only after their effects are committed.
 func (p *Pool) handleEnds(executor *executorState, ends []wire.EndReport) (hasNewEnds bool) {
-	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.takenEnd {
+	if !executor.isFenced || len(ends) == 0 || ends[len(ends)-1].Number <= executor.lastProcessedEnd {
 		return false
 	}
 	for _, end := range ends {
-		if end.Number > executor.takenEnd {
-			executor.takenEnd = end.Number
+		if end.Number > executor.lastProcessedEnd {
+			executor.lastProcessedEnd = end.Number
 			p.handleEnd(executor, end)
 		}
 	}
-	taken := executor.takenEnd
+	processed := executor.lastProcessedEnd
 	p.afterCommit(func(err error) {
-		if err == nil && taken > executor.lastSeen {
-			p.logAcknowledged(executor, ends, taken)
-			executor.lastSeen = taken
+		if err == nil && processed > executor.lastSeen {
+			p.logAcknowledged(executor, ends, processed)
+			executor.lastSeen = processed
 		}
 	})
 	return true
 }
 
-// logAcknowledged logs the end reports that are about to be acknowledged: those numbered above the executor's lastSeen, up to taken.
-func (p *Pool) logAcknowledged(executor *executorState, ends []wire.EndReport, taken int64) {
+// logAcknowledged logs the end reports that are about to be acknowledged: those numbered above the executor's lastSeen, up to processed.
+func (p *Pool) logAcknowledged(executor *executorState, ends []wire.EndReport, processed int64) {
 	log := p.log.V(logging.TraceVerbosity)
 	if !log.Enabled() {
 		return
 	}
 	for _, end := range ends {
-		if end.Number > executor.lastSeen && end.Number <= taken {
+		if end.Number > executor.lastSeen && end.Number <= processed {
 			log.Info("end acknowledged", "key", p.key, "epoch", p.leadership.Epoch(), "executor", executor.id, "number", end.Number,
 				"task", end.Task, "run", end.Run, "outcome", end.Outcome)
 		}
@@ -101,7 +101,7 @@
 			p.recordCheckpoint(run.task, report.Checkpoint)
 		}
 		run.isStuck = report.Stuck
-		p.moveStalled(run)
+		p.stopIfStalled(run)
 	}
 }
 
--- a/internal/scheduling/scheduler/requests.go
+++ b/internal/scheduling/scheduler/requests.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// countDemand adds a group that is on time to the demand of its priority, or removes it if count is negative.
+// countDemand adds a group that is on time to the demand of its priority and to the urgent demand of its tenant, or removes it if count is
+// negative.
 func (r *requests) countDemand(group *placement.Group, count int) {
 	addDemand(r.demand, group.Priority, totalNeed(group), count)
 	if !group.CountsAsLong() {
--- a/internal/scheduling/scheduler/reservedcapacity.go
+++ b/internal/scheduling/scheduler/reservedcapacity.go
@@ -31,9 +31,9 @@
 	ExpiredShare float64
 }
 
-// DefaultReservedCapacity reserves at most 60% of the capacity for each priority and leaves 30% to long work, which is work over 1.5 s, or
-// less while a more urgent priority is overloaded. First runs ignore soft limits up to 60%. This is above one half, since a run that has
-// ended counts as running until its end is reported.
+// DefaultReservedCapacity reserves at most 60% of the capacity for each priority. It always leaves 30% to long work, which is work of more
+// than 1.5 seconds, but less than 30% while a more urgent priority is overloaded. First runs ignore soft limits while less than 60% of the
+// CPU is in use. They must be able to do so up to one half, and a run that has ended counts as running until its end is reported.
 var DefaultReservedCapacity = ReservedCapacity{MaxReserved: 0.6, AlwaysAllowed: 0.3, LongWork: 1500 * time.Millisecond, FirstRunShare: 0.6,
 	DemandHalfLife: 15 * time.Second, LullHalfLife: 2 * time.Second, LowerShare: 0.15, ExpiredShare: 0.05}
 
@@ -71,7 +71,7 @@
 // isNegligible reports whether less than one unit of each resource is left.
 func (d *recentDemand) isNegligible() bool { return d.cpu < 1 && d.memory < 1 }
 
-// demand is what a priority's runs and its pending requests on time want together, and the part of it that the runs are allocated.
+// demand is the total need of a priority's runs and its pending on-time requests, and the part of it that the runs are allocated.
 type demand struct{ wanted, allocated placement.Resources }
 
 // limits returns the limits for a placement now.
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -47,7 +47,7 @@
 	// version is the configuration version that the rollouts come from.
 	version int64
 	// byName holds the counts of each rollout by its name, and byRoute the same counts by the rollout's queue. returning holds the rollouts
-	// that were rolled back.
+	// whose jobs this pool returns to the old version.
 	byName    map[string]*versionCounts
 	byRoute   map[string]*versionCounts
 	returning []RolloutTerms
@@ -130,25 +130,25 @@
 	}
 }
 
-// countOccurrenceEnd counts a complete occurrence for the rollout of its queue, if there is one. An occurrence that lost runs isn't
+// countOccurrenceForRollout counts a complete occurrence for the rollout of its queue, if there is one. An occurrence that lost runs isn't
 // counted as late.
-func (p *Pool) countOccurrenceEnd(occurrence *occurrence) {
+func (p *Pool) countOccurrenceForRollout(occurrence *occurrence) {
 	if counts := p.rollouts.byRoute[occurrence.job.record.Route]; counts != nil {
 		isLate := p.leadership.WallMs() > occurrence.targetMs && !occurrence.hasLostRuns()
 		counts.addCompleted(occurrence.job.work(), isLate)
 	}
 }
 
-// countJobFailure counts a failed job for the rollout of its queue, if there is one.
-func (p *Pool) countJobFailure(job *jobState) {
+// countJobFailureForRollout counts a failed job for the rollout of its queue, if there is one.
+func (p *Pool) countJobFailureForRollout(job *jobState) {
 	if counts := p.rollouts.byRoute[job.record.Route]; counts != nil {
 		counts.addFailed(job.work())
 	}
 }
 
-// countRunEnd counts a run that ended by itself, for the rollout of its queue. The run time is counted only if the run is done and started
-// under this leader, since the start time of other runs is unknown.
-func (p *Pool) countRunEnd(run *runState, outcome wire.RunOutcome, now time.Duration) {
+// countRunForRollout counts a run that ended by itself for the rollout of its queue, if there is one. The run time is counted only if the
+// run is done and started under this leader, since the start time of other runs is unknown.
+func (p *Pool) countRunForRollout(run *runState, outcome wire.RunOutcome, now time.Duration) {
 	counts := p.rollouts.byRoute[run.task.job().record.Route]
 	if counts == nil {
 		return
@@ -183,7 +183,7 @@
 
 // Rollouts answers the leader of the configuration with this pool's counts for each rollout.
 func (p *Pool) Rollouts(_ *wire.ClientCall, answer answerClient) {
-	p.answerWith(answer, func() easyjson.Marshaler { return p.rolloutReport() })
+	p.answerWithReport(answer, func() easyjson.Marshaler { return p.rolloutReport() })
 }
 
 func (p *Pool) rolloutReport() *wire.RolloutReport {
@@ -215,7 +215,7 @@
 			continue
 		}
 		for _, occurrence := range job.occurrences {
-			if job.completedOccurrences[occurrence.number] || occurrence.isLasting() {
+			if job.completedOccurrences[occurrence.number] || occurrence.hasLongRunningStep() {
 				continue
 			}
 			open[job.record.Route]++
@@ -227,7 +227,7 @@
 	return open, overdue
 }
 
-// isLasting reports whether the occurrence has a long-running step, which ends only with the job.
-func (t *occurrence) isLasting() bool {
+// hasLongRunningStep reports whether the occurrence has a long-running step, which ends only with the job.
+func (t *occurrence) hasLongRunningStep() bool {
 	return slices.ContainsFunc(t.steps, func(step *stepState) bool { return step.spec.LongRunning })
 }
--- a/internal/scheduling/scheduler/runs.go
+++ b/internal/scheduling/scheduler/runs.go
@@ -42,14 +42,14 @@
 	p.markRunChanged(run)
 }
 
-// markRunChanged has the placement requests of the run's job and the view of its executor recomputed.
+// markRunChanged marks the placement requests of the run's occurrence, and placement's view of its executor, to be recomputed.
 func (p *Pool) markRunChanged(run *runState) {
 	p.markChanged(run.task)
 	p.table.markChanged(run.executor)
 }
 
-// stopRun orders a run to stop. With a member of a gang all other members are stopped, as they could only wait for it. A committed
-// launch that was never sent is closed at once.
+// stopRun orders a run to stop. If the run is a member of a gang, all other members are stopped as well, since they could only wait for it.
+// A run whose launch is committed but was not sent is closed at once.
 func (p *Pool) stopRun(run *runState) {
 	if run.phase == runStopping {
 		return
@@ -130,7 +130,7 @@
 	p.dropRecord(orderName(run.task, run.number, wire.OrderLaunch))
 	p.putTask(run.task)
 	p.recordStart(run.task.job())
-	p.moveStalled(run)
+	p.stopIfStalled(run)
 	p.stopIfUnfinishable(run)
 }
 
--- a/internal/scheduling/scheduler/shares.go
+++ b/internal/scheduling/scheduler/shares.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// shares returns the unused part of each share that is not overdrawn. All runs of a share's priority use it, also those not started from
-// it. Shares are reserved for work that would never run in queue order while there is more urgent work than the fleet can handle: expired
-// work, and on-time work of every priority but the most urgent.
+// shares returns the unused part of each share that is not overdrawn. All runs of a share's priority count as its use, also those that were
+// not started from it. Shares are reserved for work that would never run in queue order while there is more urgent work than the fleet can
+// handle: expired work, and on-time work of every priority but the most urgent.
 func (p *Pool) shares(now time.Duration) []placement.Share {
 	shares := p.appendShare(nil, placement.Share{Priority: placement.Background, Deadline: placement.Expired}, p.timing.ReservedCapacity.ExpiredShare, now)
 	fraction := p.timing.ReservedCapacity.LowerShare
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// silenceBeforeSpeculation and unansweredBeforeSpeculation are how long an executor may be silent, and a launch unanswered, before the
-	// run gets a speculative one.
+	// silenceBeforeSpeculation is how long an executor may be silent, and unansweredBeforeSpeculation how long a launch may be unanswered,
+	// before the task gets a speculative run.
 	silenceBeforeSpeculation    = 700 * time.Millisecond
 	unansweredBeforeSpeculation = 400 * time.Millisecond
 	// minOverdue is the least duration after which a run is overdue.
 	minOverdue = 250 * time.Millisecond
-	// minSamples is how many completed runs give a median; a step with few tasks needs fewer.
+	// minSamples is how many completed runs are needed for a median; a step with few tasks needs fewer.
 	minSamples   = 3
 	maxDurations = 64
 	// maxRatio is the upper bound of a ratio to the median, so that one very long run doesn't outweigh all others.
@@ -39,8 +39,8 @@
 }
 
 // recordDuration updates the statistics with the duration of a completed run: the slow factor of its executor, the spread of durations in
-// its queue, and the time after which a run of its step is overdue. In a queue whose durations vary widely a long run raises the slow factor
-// less.
+// its queue, and the time after which a run of its step is overdue. In a queue whose durations vary widely, a long run raises the slow
+// factor less.
 func (p *Pool) recordDuration(step *stepState, executor *executorState, length time.Duration) {
 	if ratio, isKnown := step.ratio(length); isKnown {
 		spread := p.spreadOf(step)
@@ -56,11 +56,11 @@
 
 // ratio returns the duration of a run as a multiple of its step's median. It returns false while there is no median.
 func (s *stepState) ratio(length time.Duration) (float64, bool) {
-	typical, isKnown := s.medianDuration()
-	if !isKnown || typical <= 0 {
+	median, isKnown := s.medianDuration()
+	if !isKnown || median <= 0 {
 		return 0, false
 	}
-	return min(maxRatio, float64(length)/float64(typical)), true
+	return min(maxRatio, float64(length)/float64(median)), true
 }
 
 // durationSpread estimates how widely the durations in a queue vary: ninthDecile is the ratio to the step's median that nine of ten runs
@@ -70,14 +70,13 @@
 const (
 	// defaultSpread is the spread of a queue without completed runs.
 	defaultSpread = 4.0 / 3
-	// spreadStep is the step by which one run moves the estimate.
+	// spreadStep scales how far one run moves the estimate: up by 0.9 times spreadStep, or down by 0.1 times spreadStep.
 	spreadStep = 0.05
 	// overdueSpreads is the multiple of its queue's spread after which a run is overdue.
 	overdueSpreads = 1.5
 )
 
-// add updates the estimate with the ratio of one run. It moves up by 0.9 steps or down by 0.1, so that it settles where nine of ten ratios
-// are below it.
+// add updates the estimate with the ratio of one run. The unequal steps up and down let it settle where nine of ten ratios are below it.
 func (s *durationSpread) add(ratio float64) {
 	if ratio > s.ninthDecile {
 		s.ninthDecile += 0.9 * spreadStep
@@ -116,8 +115,8 @@
 // overdueAfter returns the duration after which a run takes so long that its executor is probably at fault. Without a median it is computed
 // from the estimate of the spec.
 func (s *stepState) overdueAfter() time.Duration {
-	if typical, isKnown := s.medianDuration(); isKnown {
-		return max(minOverdue, time.Duration(s.overdueFactor*float64(typical)))
+	if median, isKnown := s.medianDuration(); isKnown {
+		return max(minOverdue, time.Duration(s.overdueFactor*float64(median)))
 	}
 	return max(2*minOverdue, 4*clock.Milliseconds(s.spec.EstimatedMs))
 }
@@ -157,7 +156,8 @@
 	return min(silent, run.startedAt+run.task.step.overdueAfter()+1)
 }
 
-// refreshSpeculation has the need for speculative runs recomputed for all tasks on an executor, as its state has changed.
+// refreshSpeculation is called when the state of an executor has changed. It marks the requests of all tasks with runs there as stale, so
+// that the need for speculative runs is decided again.
 func (p *Pool) refreshSpeculation(executor *executorState) {
 	for _, run := range executor.runs {
 		p.markChanged(run.task)
@@ -165,7 +165,8 @@
 }
 
 // limitByAntiAffinity limits a step with anti-affinity to one request for a speculative run per placement, and to none while tasks of it
-// are ready. Runs that are placed in the same placement are not counted against the limit of an executor yet.
+// are ready. Otherwise one placement could exceed the limit of runs per executor, since it checks each request without the runs that it
+// places for the others.
 func (p *Pool) limitByAntiAffinity(step *stepState, tasks []*taskState, now time.Duration) []*taskState {
 	if ready, _ := p.ready(step, now); len(ready) > 0 {
 		return nil
@@ -173,8 +174,8 @@
 	return tasks[:1]
 }
 
-// needsSpeculation reports whether a second run should be started beside this one: its executor is silent or unschedulable, its launch is
-// unanswered, or it takes far longer than other runs of its step.
+// needsSpeculation reports whether a second run should be started beside this one. That is so if its executor is silent or unschedulable,
+// if its launch is unanswered, or if it takes far longer than other runs of its step.
 func (p *Pool) needsSpeculation(run *runState, now time.Duration) bool {
 	switch executor := run.executor; {
 	case run.phase == runStopping:
--- a/internal/scheduling/scheduler/step.go
+++ b/internal/scheduling/scheduler/step.go
@@ -20,13 +20,13 @@
 	// isOpen is set once all dependencies of the step are complete.
 	isOpen   bool
 	openedAt time.Duration
-	// lastProgressAt is when the last run of the step that had started was closed, or when the step opened.
+	// lastProgressAt is when a started run of the step was last closed, or when the step opened if there was none.
 	lastProgressAt time.Duration
 	// failedRun is the last run of a gang that counted as a failure.
 	failedRun int64
 	// brokenAt is when a gang lost a member while others still ran; 0 if it has not.
 	brokenAt time.Duration
-	// durations holds the sorted lengths of completed runs, maxDurations at most.
+	// durations holds the sorted durations of the first maxDurations completed runs.
 	durations []time.Duration
 	// overdueFactor is the multiple of the median duration after which a run is overdue.
 	overdueFactor float64
@@ -40,7 +40,7 @@
 	requests stepRequests
 }
 
-// queue returns the route by which the step's job was submitted.
+// queue returns the name of the step's queue, which is the route by which its job was submitted.
 func (s *stepState) queue() string { return s.occurrence.job.record.Route }
 
 func (s *stepState) priority() int { return s.occurrence.job.record.Terms.Priority }
--- a/internal/scheduling/scheduler/task.go
+++ b/internal/scheduling/scheduler/task.go
@@ -56,17 +56,18 @@
 	sendCount int
 	sentAt    time.Duration
 	orderedAt time.Duration
-	// startedAt is when the run started, 0 until that is known. A run that was adopted from an earlier leader counts from Open.
+	// startedAt is when the run started, 0 until that is known. A run that a new leader has restored counts from Open, or from its start if
+	// that is reported later.
 	startedAt time.Duration
-	// isAnswered is set once the executor has acknowledged the stop order. answeredAt is when it did, or when a list of its runs was
-	// requested since, because the end was not reported.
+	// isAnswered is set once the executor has acknowledged the stop order. answeredAt is when it did. If the end of the run isn't reported
+	// after that, the executor's list of runs is requested, and answeredAt is the time of the last such request.
 	answeredAt time.Duration
 	isAnswered bool
 	// awaitedList is the number of the executor's list of runs that resolves the state of this run; 0 if the state is certain.
 	awaitedList uint64
 	// isStuck is set while the executor reports that the run makes no progress.
 	isStuck bool
-	// isExpired is set if the run's work was already expired when it was placed, isFromShare if a capacity share was used for it.
+	// isExpired is set if the run's work was already expired when it was placed. isFromShare is set if a capacity share was used for it.
 	isExpired   bool
 	isFromShare bool
 }
--- a/internal/scheduling/scheduler/tenantcount.go
+++ b/internal/scheduling/scheduler/tenantcount.go
@@ -38,13 +38,13 @@
 
 // limitFromBalance is the limit of a tenant that is no longer in the configuration: what the pool was granted while it was. A resource
 // without a grant was not counted and is unlimited.
-func limitFromBalance(allowance placement.Resources) placement.Resources {
-	for _, field := range []*int64{&allowance.CPU, &allowance.Memory, &allowance.GPU} {
+func limitFromBalance(balance placement.Resources) placement.Resources {
+	for _, field := range []*int64{&balance.CPU, &balance.Memory, &balance.GPU} {
 		if *field == 0 {
 			*field = placement.Unlimited
 		}
 	}
-	return allowance
+	return balance
 }
 
 // tickTenantGrants returns grants that the pool should not keep, and asks for those that it needs.
@@ -74,8 +74,8 @@
 
 // tenantDemands returns the use and the demand of each tenant that has a limit or granted capacity.
 func (p *Pool) tenantDemands() map[string]tenantcount.Demand {
-	demands := make(map[string]tenantcount.Demand, len(p.tenants.sorted))
-	for _, tenant := range p.tenants.sorted[1:] {
+	demands := make(map[string]tenantcount.Demand, len(p.tenants.byIndex))
+	for _, tenant := range p.tenants.byIndex[1:] {
 		if tenant.terms.Limit == placement.NoLimit && p.accounts.Balance(tenant.name) == (placement.Resources{}) {
 			continue
 		}
@@ -118,7 +118,7 @@
 
 // Tenants answers an operator with the running, allowed and pending resources of each tenant in this pool.
 func (p *Pool) Tenants(_ *wire.ClientCall, answer answerClient) {
-	p.answerWith(answer, func() easyjson.Marshaler {
+	p.answerWithReport(answer, func() easyjson.Marshaler {
 		return &wire.TenantCountReport{Key: p.key, Version: p.tenants.version, Tenants: p.tenantUsage()}
 	})
 }
@@ -132,8 +132,8 @@
 		}
 	}
 	totalWeight := p.activeWeight()
-	rows := make([]wire.TenantUsage, 0, len(p.tenants.sorted))
-	for _, tenant := range p.tenants.sorted[1:] {
+	rows := make([]wire.TenantUsage, 0, len(p.tenants.byIndex))
+	for _, tenant := range p.tenants.byIndex[1:] {
 		running, waiting := tenantcount.CapacityOf(tenant.allocated.resources), tenantcount.CapacityOf(p.open.first.tenantDemand[tenant.index].resources)
 		allowance, _ := p.limitOf(tenant)
 		shown := tenantcount.CapacityOf(tenantcount.ShownLimit(allowance))
--- a/internal/scheduling/scheduler/tenantmetrics.go
+++ b/internal/scheduling/scheduler/tenantmetrics.go
@@ -28,8 +28,8 @@
 
 // tenantLoads returns the largest tenants by running and pending CPU, and the sum of all others as one entry.
 func (p *Pool) tenantLoads() []tenantLoad {
-	loads := make([]tenantLoad, 0, len(p.tenants.sorted))
-	for _, tenant := range p.tenants.sorted[1:] {
+	loads := make([]tenantLoad, 0, len(p.tenants.byIndex))
+	for _, tenant := range p.tenants.byIndex[1:] {
 		limit, _ := p.limitOf(tenant)
 		loads = append(loads, tenantLoad{tenant.name, tenant.allocated.resources.CPU, p.open.first.tenantDemand[tenant.index].resources.CPU, tenantcount.ShownLimit(limit).CPU})
 	}
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -28,7 +28,7 @@
 
 // WithTenants sets the source of the tenants of the current configuration. Without it no tenant is limited.
 func WithTenants(policy func() TenantPolicy) Option {
-	return func(p *Pool) { p.policyInForce = policy }
+	return func(p *Pool) { p.tenantPolicy = policy }
 }
 
 func noTenantPolicy() TenantPolicy { return TenantPolicy{} }
@@ -36,8 +36,8 @@
 // tenantTable holds the state of each tenant. Each new leader creates its own.
 type tenantTable struct {
 	byName map[string]*tenantState
-	// sorted holds the tenants by index. A tenant's index never changes, and index 0 stands for jobs without a tenant.
-	sorted []*tenantState
+	// byIndex holds the tenants by index. A tenant's index never changes, and index 0 stands for jobs without a tenant.
+	byIndex []*tenantState
 	// version is the configuration version that the terms come from.
 	version       int64
 	hasOtherPools bool
@@ -65,7 +65,7 @@
 
 func newTenantTable() tenantTable {
 	noTenant := &tenantState{terms: unlimitedTerms}
-	return tenantTable{byName: map[string]*tenantState{"": noTenant}, sorted: []*tenantState{noTenant}}
+	return tenantTable{byName: map[string]*tenantState{"": noTenant}, byIndex: []*tenantState{noTenant}}
 }
 
 // unlimitedTerms are the terms of a tenant that no configuration had so far.
@@ -75,17 +75,17 @@
 func (p *Pool) tenantOf(name string) *tenantState {
 	tenant := p.tenants.byName[name]
 	if tenant == nil {
-		tenant = &tenantState{name: name, index: len(p.tenants.sorted), terms: unlimitedTerms}
+		tenant = &tenantState{name: name, index: len(p.tenants.byIndex), terms: unlimitedTerms}
 		p.tenants.byName[name] = tenant
-		p.tenants.sorted = append(p.tenants.sorted, tenant)
+		p.tenants.byIndex = append(p.tenants.byIndex, tenant)
 	}
 	return tenant
 }
 
-// updateTerms applies the terms of the current configuration if its version has changed. A tenant that no configuration has
-// had since this leader took over keeps the limit that openAccounts has set: what the pool was granted for it.
+// updateTerms applies the terms of the current configuration if its version has changed. If no configuration since the takeover has had a
+// tenant, the tenant keeps the limit that openAccounts has set, which is what the pool was granted for it.
 func (p *Pool) updateTerms() {
-	policy := p.policyInForce()
+	policy := p.tenantPolicy()
 	if policy.Version == p.tenants.version {
 		return
 	}
@@ -105,7 +105,7 @@
 
 // isAtLimit reports whether a tenant has nearly reached its limit. Its work then waits for its own runs and not for capacity of the fleet.
 func (t *tenantTable) isAtLimit(index int) bool {
-	tenant := t.sorted[index]
+	tenant := t.byIndex[index]
 	return tenant.terms.Limit != placement.NoLimit && tenant.allocated.resources.DominantShareOf(tenant.terms.Limit) >= atLimitFraction
 }
 
@@ -139,9 +139,9 @@
 // tenantLimits returns the allocation and the limits of each tenant, by index.
 func (p *Pool) tenantLimits(now time.Duration) []placement.Tenant {
 	p.updateTerms()
-	limits := make([]placement.Tenant, len(p.tenants.sorted))
+	limits := make([]placement.Tenant, len(p.tenants.byIndex))
 	totalWeight := p.activeWeight()
-	for index, tenant := range p.tenants.sorted {
+	for index, tenant := range p.tenants.byIndex {
 		limit, mayOvershoot := p.limitOf(tenant)
 		limits[index] = placement.Tenant{Allocated: tenant.allocated.resources, Limit: limit, MayOvershoot: mayOvershoot,
 			LongAllocated: tenant.longAllocated.resources, LongLimit: p.longLimit(tenant, limit, now), Share: placement.NoLimit}
@@ -180,7 +180,7 @@
 // activeWeight is the sum of the weights of all tenants that have work.
 func (p *Pool) activeWeight() float64 {
 	sum := 0.0
-	for _, tenant := range p.tenants.sorted[1:] {
+	for _, tenant := range p.tenants.byIndex[1:] {
 		if tenant.hasWork() {
 			sum += tenant.terms.Weight
 		}
@@ -210,16 +210,16 @@
 // submissionRate is a token bucket that decides which of a tenant's jobs are within its rate, which is its weight in jobs per second. The
 // bucket holds the jobs of one time window.
 type submissionRate struct {
-	tokens float64
-	at     time.Duration
-	isSeen bool
+	tokens   float64
+	at       time.Duration
+	isFilled bool
 }
 
 // take counts a job submitted now and reports whether it is within the rate. The first call fills the bucket.
 func (r *submissionRate) take(perSecond float64, window, now time.Duration) bool {
 	burst := max(1, perSecond*window.Seconds())
-	if !r.isSeen {
-		r.tokens, r.isSeen = burst, true
+	if !r.isFilled {
+		r.tokens, r.isFilled = burst, true
 	}
 	r.tokens, r.at = min(burst, r.tokens+(now-r.at).Seconds()*perSecond), now
 	if r.tokens < 1 {
--- a/internal/scheduling/scheduler/tick.go
+++ b/internal/scheduling/scheduler/tick.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// tickExecutor does the periodic work for an executor: it decays its failure counts, removes it if it was replaced, expires its lease,
-// and answers a poll that has waited long enough.
+// tickExecutor does the periodic work for an executor: it decays its counts of failures and successes, removes it if it was replaced,
+// expires its lease, drops its record if it is idle, and answers a poll that has waited long enough.
 func (p *Pool) tickExecutor(executor *executorState, now time.Duration) {
 	executor.failures, executor.successes = executor.failures*countDecay, executor.successes*countDecay
 	if p.isReplaced(executor, now) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// expireLease closes the runs of an executor whose lease has certainly expired. It also removes the executor if it is silent or has
-// not reported to this leader.
+// expireLease closes the runs of an executor whose lease has certainly expired. It also removes the executor if it is silent or has not
+// reported to this leader.
 func (p *Pool) expireLease(executor *executorState, now time.Duration) {
 	if len(executor.runs) > 0 {
 		p.log.Info("executor lease expired", "executor", executor.id, "runs", len(executor.runs))
@@ -84,9 +84,10 @@
 	}
 }
 
-// tickRun handles the timeouts of a run's order. It resends an order without an answer, and stops a run whose launch is never answered.
-// A launch that was never sent to an executor that has fallen silent is closed. If a stop is acknowledged but the end isn't reported,
-// it requests the executor's list of runs.
+// tickRun handles the timeouts of a run's order. It resends an unanswered order, and stops a run whose launch is not answered in time. It
+// closes a run whose launch was not sent before its executor became silent. If a stop is acknowledged but the end of the run isn't
+// reported, it requests the executor's list of runs. It does nothing while the run waits for such a list, or while its order is queued for
+// an executor that isn't silent.
 func (p *Pool) tickRun(executor *executorState, run *runState, now time.Duration) {
 	isSilent := now-executor.contactAt > p.timing.SilentAfter
 	switch {
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -64,24 +64,24 @@
 // returnableJobs returns the open jobs of a queue that can be read, are not in transfer, and were not rejected by the other pool, sorted by
 // ID.
 func (p *Pool) returnableJobs(route string) []*jobState {
-	var open []*jobState
+	var returnable []*jobState
 	for _, job := range p.jobs {
 		if job.record.Route == route && job.isOpen() && job.spec != nil && !job.isUnreadable && job.transfer == nil && !job.isKept {
-			open = append(open, job)
+			returnable = append(returnable, job)
 		}
 	}
-	slices.SortFunc(open, func(a, b *jobState) int { return cmp.Compare(a.id, b.id) })
-	return open
+	slices.SortFunc(returnable, func(a, b *jobState) int { return cmp.Compare(a.id, b.id) })
+	return returnable
 }
 
-// returnJob lets no run of a job start any more, and begins the job's transfer once it has no runs. Started runs end by themselves, unless
-// the rollout allows stopping them and their tasks may run again. Runs of long-running jobs, which never end, and runs whose launch has
-// no answer yet are stopped in any case. Completed tasks stay complete.
+// returnJob keeps all further runs of a job from starting, and begins the job's transfer once it has no runs. Started runs end by
+// themselves, unless the rollout allows stopping them and their tasks may run again. Runs of long-running jobs, which never end, and runs
+// whose launch has no answer yet are stopped in any case. Completed tasks stay complete.
 func (p *Pool) returnJob(job *jobState, terms RolloutTerms) {
 	job.holdsReleases = true
 	p.withhold(job)
 	if job.runCount > 0 {
-		p.stopRunsOf(job, terms.StopsRuns && terms.IsRepeatable || job.isLasting())
+		p.stopRunsOf(job, terms.StopsRuns && terms.IsRepeatable || job.isLongRunning())
 	}
 	if job.runCount == 0 {
 		p.beginTransfer(job, terms.ReturnTo)
@@ -103,8 +103,8 @@
 	}
 }
 
-// isLasting reports whether all steps of the job are long-running, so that they end only with the job.
-func (j *jobState) isLasting() bool {
+// isLongRunning reports whether all steps of the job are long-running, so that they end only with the job.
+func (j *jobState) isLongRunning() bool {
 	return !slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return !step.LongRunning })
 }
 
@@ -148,7 +148,7 @@
 	})
 }
 
-// loadTransfer reads the record of a job in transfer. It must run before any step of the job opens.
+// loadTransfer reads the record of a job in transfer, and drops it if the job has ended. It must run before any step of the job opens.
 func (p *Pool) loadTransfer(id string, value []byte) error {
 	var record transferRecord
 	if err := easyjson.Unmarshal(value, &record); err != nil {
@@ -237,8 +237,8 @@
 	p.dropRecord(prefixTransfer + job.id)
 }
 
-// Transfer takes over a job from another pool, and answers once that is committed. It never refuses a job because of load, since the job's
-// client has an acknowledgement. A promise to refuse the job is void, since the other pool doesn't run it any more.
+// Transfer takes over a job from another pool, and answers once that is committed. It never refuses a job because of load, since the other
+// pool has already acknowledged the job to its client. A promise to refuse the job is void, since the other pool doesn't run it any more.
 func (p *Pool) Transfer(call *wire.ClientCall, answer answerClient) {
 	accepted := answerOnCommit(answer)
 	if known := p.jobs[call.ID]; known != nil {
--- a/internal/scheduling/scheduler/versioncounts.go
+++ b/internal/scheduling/scheduler/versioncounts.go
@@ -28,15 +28,15 @@
 	jobs    wire.JobCounts
 	large   wire.JobCounts
 	zones   map[string]*wire.ZoneRuns
-	// runTimes holds run times in thousandths of their estimates, works holds job sizes in core milliseconds.
+	// runTimes holds run times in thousandths of their estimates, jobSizes holds job sizes in core milliseconds.
 	runTimes *hdrhistogram.Histogram
-	works    *hdrhistogram.Histogram
+	jobSizes *hdrhistogram.Histogram
 	// isChanged is set while the stored record is out of date.
 	isChanged bool
 }
 
 func newVersionCounts(name string, begunMs int64) *versionCounts {
-	return &versionCounts{name: name, begunMs: begunMs, zones: map[string]*wire.ZoneRuns{}, runTimes: newHistogram(nil), works: newHistogram(nil)}
+	return &versionCounts{name: name, begunMs: begunMs, zones: map[string]*wire.ZoneRuns{}, runTimes: newHistogram(nil), jobSizes: newHistogram(nil)}
 }
 
 // countsFrom restores counts from a record.
@@ -46,7 +46,7 @@
 	for _, zone := range record.Zones {
 		counts.zones[zone.Zone] = &zone
 	}
-	counts.runTimes, counts.works = newHistogram(record.RunTimes), newHistogram(record.Works)
+	counts.runTimes, counts.jobSizes = newHistogram(record.RunTimes), newHistogram(record.Works)
 	return counts
 }
 
@@ -62,7 +62,7 @@
 // clamp limits a value to the range of the histograms.
 func clamp(value int64) int64 { return min(max(1, value), maxHistogramValue) }
 
-// addCompleted counts a completed occurrence of a job of a size in core milliseconds.
+// addCompleted counts a completed occurrence of a job. work is the job's size in core milliseconds.
 func (c *versionCounts) addCompleted(work int64, isLate bool) {
 	c.addJob(work, func(counts *wire.JobCounts) {
 		counts.Completed++
@@ -72,7 +72,7 @@
 	})
 }
 
-// addFailed counts a failed job of a size in core milliseconds.
+// addFailed counts a failed job. work is the job's size in core milliseconds.
 func (c *versionCounts) addFailed(work int64) {
 	c.addJob(work, func(counts *wire.JobCounts) { counts.Failed++ })
 }
@@ -80,10 +80,10 @@
 // addJob applies add to the counts of all jobs, and also to those of large jobs if the job is among the largest tenth.
 func (c *versionCounts) addJob(work int64, add func(*wire.JobCounts)) {
 	c.isChanged = true
-	if c.works.TotalCount() >= minSizeSamples && work >= c.works.ValueAtQuantile(largeQuantile) {
+	if c.jobSizes.TotalCount() >= minSizeSamples && work >= c.jobSizes.ValueAtQuantile(largeQuantile) {
 		add(&c.large)
 	}
-	_ = c.works.RecordValue(clamp(work))
+	_ = c.jobSizes.RecordValue(clamp(work))
 	add(&c.jobs)
 }
 
@@ -107,7 +107,7 @@
 
 // report returns the counts in the form that is stored and sent to peers.
 func (c *versionCounts) report() wire.RolloutCounts {
-	counts := wire.RolloutCounts{Rollout: c.name, BegunMs: c.begunMs, Jobs: c.jobs, Large: c.large, RunTimes: bucketsOf(c.runTimes), Works: bucketsOf(c.works)}
+	counts := wire.RolloutCounts{Rollout: c.name, BegunMs: c.begunMs, Jobs: c.jobs, Large: c.large, RunTimes: bucketsOf(c.runTimes), Works: bucketsOf(c.jobSizes)}
 	for _, zone := range slices.Sorted(maps.Keys(c.zones)) {
 		counts.Zones = append(counts.Zones, *c.zones[zone])
 	}
