--- a/internal/scheduling/scheduler/again_test.go
+++ b/internal/scheduling/scheduler/again_test.go
@@ -70,7 +70,7 @@
 	}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(1_000_000)
-		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, records: map[string][]byte{}}
 		open(3)
 		Expect(send("hand-in", body).Status).To(Equal(http.StatusOK))
 	})
@@ -119,7 +119,7 @@
 		Expect(cancelStatus).To(Equal(http.StatusOK))
 	})
 
-	It("stops a run at once if it can't finish before its executor departs, without an earlier notice", func() {
+	It("stops a run that can't finish before its executor departs as soon as the executor reports its drain", func() {
 		start()
 		exchange(func(call *wire.ExchangeCall) { call.Draining, call.DepartureMs = true, 2000 })
 		Expect(exchange(unchanged).Orders).To(ContainElement(wire.Order{Kind: "stop", Task: taskName, Run: 1}))
--- a/internal/scheduling/scheduler/consistency_test.go
+++ b/internal/scheduling/scheduler/consistency_test.go
@@ -79,10 +79,10 @@
 func nilIfEmpty[T any](list []T) []T { return append([]T(nil), list...) }
 
 // filterTasks returns the tasks of a step that meet a condition.
-func filterTasks(step *stepState, holds func(*taskState) bool) []*taskState {
+func filterTasks(step *stepState, matches func(*taskState) bool) []*taskState {
 	var tasks []*taskState
 	for _, task := range step.tasks {
-		if holds(task) {
+		if matches(task) {
 			tasks = append(tasks, task)
 		}
 	}
--- a/internal/scheduling/scheduler/count_test.go
+++ b/internal/scheduling/scheduler/count_test.go
@@ -29,11 +29,12 @@
 	terms := wire.RouteTerms{MaxAttempts: 3, Stretch: 2, TargetMs: 1000}
 	id := func(number int) string { return fmt.Sprintf("%016x", number) }
 
-	// Rule MIXED: the count of a machine that is connected to its peers is at least half of the accepted jobs that have not started.
+	// Rule MIXED requires that the count on a machine that is connected to its peers is at least half of the accepted jobs that have not
+	// started.
 	It("counts accepted jobs without a started task, also under the next leader", func() {
 		f := newFleet(timing)
 		for number := range 5 {
-			f.handIn(id(number), terms, body)
+			f.submitJob(id(number), terms, body)
 		}
 		Expect(f.waitingCount("e")).To(Equal(5))
 		Expect(f.waitingCount("another")).To(BeZero())
@@ -48,8 +49,8 @@
 
 	It("leaves out cancelled jobs", func() {
 		f := newFleet(timing)
-		f.handIn(id(1), terms, body)
-		f.handIn(id(2), terms, body)
+		f.submitJob(id(1), terms, body)
+		f.submitJob(id(2), terms, body)
 		f.pool.Cancel(&wire.ClientCall{Route: "e", ID: id(1)}, func(wire.ClientAnswer) {})
 		f.settle()
 		f.pass(time.Second)
--- a/internal/scheduling/scheduler/drains_test.go
+++ b/internal/scheduling/scheduler/drains_test.go
@@ -15,11 +15,12 @@
 	const short = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000,"estimated-ms":200}]}`
 	var f *fleet
 	var draining *fleetExecutor
-	// drain has the executor report its drain together with its answer to the launch order, to another leader if isTakenOver.
+	// drain starts a run, and has its executor report a drain together with its answer to the launch order. If isTakenOver is set, there is no
+	// such answer, and the next leader learns from the list of runs that the run has started.
 	drain := func(body string, isTakenOver bool) {
 		f = newFleet(timing)
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, body)
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, body)
 		for _, executor := range f.executors {
 			if f.exchangeOnce(executor); len(executor.running) > 0 {
 				draining = executor
--- a/internal/scheduling/scheduler/ended_test.go
+++ b/internal/scheduling/scheduler/ended_test.go
@@ -20,7 +20,7 @@
 	})
 
 	DescribeTable("is kept for status_s, whatever the leaders' clocks show", func(firstOffsetMs, secondOffsetMs int64) {
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		f.clock.StepWall(firstOffsetMs)
 		f.endAll("done")
@@ -30,7 +30,7 @@
 		f.clock.Advance(statusTime)
 		f.pass(200 * time.Millisecond)
 		Expect(f.state(id)).To(ContainSubstring("completed"))
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		Expect(f.starts()).To(Equal(1))
 	},
@@ -40,7 +40,7 @@
 	)
 
 	It("runs each occurrence of a repeated job once, despite clock jumps and leader changes", func() {
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}],`+
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}],`+
 			`"repeat-count":4,"first-run-ms":1001000,"period-ms":2000}`)
 		for _, jump := range []int64{0, 3000, -5000, 4000, -2000, 0, 0, 0} {
 			f.clock.StepWall(jump)
--- a/internal/scheduling/scheduler/evacuation_test.go
+++ b/internal/scheduling/scheduler/evacuation_test.go
@@ -39,7 +39,7 @@
 	}
 	BeforeEach(func() {
 		fakeClock, evacuated = clock.NewFake(1_000_000), map[string]bool{"a": true}
-		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}, epoch: 3}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, records: map[string][]byte{}, epoch: 3}
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent(), scheduler.WithEvacuations(func(zone string) bool { return evacuated[zone] }))
 		pool.Open(leadership, nil)
 		tick()
--- a/internal/scheduling/scheduler/executorhealth_test.go
+++ b/internal/scheduling/scheduler/executorhealth_test.go
@@ -37,9 +37,9 @@
 	nextLaunch := func() (executor string, order wire.Order) {
 		for range 20 {
 			for _, executor := range []string{"i-1", "i-2"} {
-				for _, one := range exchange(executor, "side-"+executor, nil).Orders {
-					if one.Kind == "launch" {
-						return executor, one
+				for _, sent := range exchange(executor, "side-"+executor, nil).Orders {
+					if sent.Kind == "launch" {
+						return executor, sent
 					}
 				}
 			}
@@ -50,12 +50,12 @@
 		Fail("no launch order was sent")
 		return "", wire.Order{}
 	}
-	reportEnd := func(executor string, order wire.Order, how string) {
+	reportEnd := func(executor string, order wire.Order, outcome string) {
 		endNumbers[executor]++
 		machine := map[string]string{"i-1": "side-i-1", "i-2": "side-i-2", "i-9": "side-i-2"}[executor]
 		exchange(executor, machine, func(call *wire.ExchangeCall) {
 			call.Answers = []wire.OrderAnswer{{Task: order.Task, Run: order.Run, Kind: "launch", Result: "ok"}}
-			call.Ends = []wire.EndReport{{Number: endNumbers[executor], Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(how)}}
+			call.Ends = []wire.EndReport{{Number: endNumbers[executor], Task: order.Task, Run: order.Run, Outcome: wire.RunOutcome(outcome)}}
 		})
 	}
 	answerLaunch := func(executor string, order wire.Order, result string) {
@@ -70,7 +70,7 @@
 	}
 	BeforeEach(func() {
 		fakeClock = clock.NewFake(1_000_000)
-		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}, epoch: 3}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, records: map[string][]byte{}, epoch: 3}
 		pool = scheduler.New("pool/s", fakeClock, timing, logging.Silent())
 		pool.Open(leadership, nil)
 		clear(endNumbers)
@@ -196,7 +196,7 @@
 		f.add(2, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
 		f.executors[0].isSilent = true
 		f.pass(500 * time.Millisecond)
-		f.handIn("5c0e7a21d94b36f8", wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)
+		f.submitJob("5c0e7a21d94b36f8", wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`)
 		f.pass(100 * time.Millisecond)
 		Expect(f.executors[1].running).To(HaveLen(1))
 	})
--- a/internal/scheduling/scheduler/feed_test.go
+++ b/internal/scheduling/scheduler/feed_test.go
@@ -59,7 +59,7 @@
 func newUnreliableNetwork(seed uint64) *unreliableNetwork {
 	clock := clock.NewFake(1_000_000)
 	n := &unreliableNetwork{random: rand.New(rand.NewPCG(seed, 7)), clock: clock, checkpoints: map[string]string{}, expected: map[[2]uint64]reportedState{},
-		leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}},
+		leadership: &scriptedLeadership{clock: clock, hasLease: true, records: map[string][]byte{}},
 		heartbeat:  executorapi.Heartbeat{Service: "s", State: "ready", Capacity: wire.Capacity{CPU: 9000, Memory: 9000}, Labels: []string{"a", "r1"}}}
 	n.newProxy(1)
 	n.newLeader()
@@ -77,7 +77,7 @@
 
 func (n *unreliableNetwork) settle() {
 	n.pool.Flush()
-	for len(n.leadership.waiting) > 0 {
+	for len(n.leadership.inFlight) > 0 {
 		n.leadership.settle(nil)
 		n.pool.Flush()
 	}
@@ -93,9 +93,9 @@
 
 // newProxy replaces the proxy's table by an empty one, as after a restart of the proxy.
 func (n *unreliableNetwork) newProxy(session uint64) {
-	nothing := func() {}
+	noop := func() {}
 	n.session = session
-	n.table = localproxy.NewTable(n.clock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing, localproxy.WithSession(session))
+	n.table = localproxy.NewTable(n.clock, logging.Silent(), "s", "d", "side-1", noop, noop, noop, localproxy.WithSession(session))
 	n.sendHeartbeat()
 }
 
@@ -202,15 +202,15 @@
 
 // expectConsistent expects the pool to have the executor's state at its session and number, and never to return to an earlier number.
 func (n *unreliableNetwork) expectConsistent() {
-	session, number, held := n.poolState()
+	session, number, actual := n.poolState()
 	if session == 0 {
 		return
 	}
 	expected := n.expected[[2]uint64{session, number}]
-	Expect(held.facts).To(Equal(expected.facts), "session %d number %d", session, number)
+	Expect(actual.facts).To(Equal(expected.facts), "session %d number %d", session, number)
 	for task, checkpoint := range expected.checkpoints {
 		if isReported := checkpoint != ""; isReported {
-			Expect(held.checkpoints[task]).To(Equal(checkpoint), "%s at session %d number %d", task, session, number)
+			Expect(actual.checkpoints[task]).To(Equal(checkpoint), "%s at session %d number %d", task, session, number)
 		}
 	}
 	now := [3]uint64{n.leadership.epoch, session, number}
@@ -220,7 +220,7 @@
 
 var _ = Describe("incremental reports of a local proxy", func() {
 	for seed := range uint64(40) {
-		It(fmt.Sprintf("give the pool the state at their number, whatever is lost, duplicated or reordered, seed %d", seed), func() {
+		It(fmt.Sprintf("give the pool the executor's state at the number of the report, whatever is lost, duplicated or reordered, seed %d", seed), func() {
 			n := newUnreliableNetwork(seed)
 			n.exchangeAll()
 			n.calls, n.answers, n.expected = nil, nil, map[[2]uint64]reportedState{}
--- a/internal/scheduling/scheduler/fleet_test.go
+++ b/internal/scheduling/scheduler/fleet_test.go
@@ -42,7 +42,7 @@
 
 func newFleet(timing scheduler.Timing, options ...scheduler.Option) *fleet {
 	clock := clock.NewFake(1_000_000)
-	f := &fleet{clock: clock, timing: timing, options: options, leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}}}
+	f := &fleet{clock: clock, timing: timing, options: options, leadership: &scriptedLeadership{clock: clock, hasLease: true, records: map[string][]byte{}}}
 	f.takeOver()
 	return f
 }
@@ -70,7 +70,7 @@
 
 // settle flushes the pool until all commits have succeeded.
 func (f *fleet) settle() {
-	for f.pool.Flush(); len(f.leadership.waiting) > 0; f.pool.Flush() {
+	for f.pool.Flush(); len(f.leadership.inFlight) > 0; f.pool.Flush() {
 		f.leadership.settle(nil)
 	}
 }
@@ -107,22 +107,22 @@
 }
 
 // end ends the executor's run of a task, if there is one, and reports the outcome with the next exchange.
-func (executor *fleetExecutor) end(task, how string) {
+func (executor *fleetExecutor) end(task, outcome string) {
 	executor.running = slices.DeleteFunc(executor.running, func(order wire.Order) bool {
 		if order.Task != task {
 			return false
 		}
 		executor.lastEnd++
-		executor.Ends = append(executor.Ends, wire.EndReport{Number: executor.lastEnd, Task: task, Run: order.Run, Outcome: wire.RunOutcome(how)})
+		executor.Ends = append(executor.Ends, wire.EndReport{Number: executor.lastEnd, Task: task, Run: order.Run, Outcome: wire.RunOutcome(outcome)})
 		return true
 	})
 }
 
 // endAll ends the runs on all executors.
-func (f *fleet) endAll(how string) {
+func (f *fleet) endAll(outcome string) {
 	for _, executor := range f.executors {
 		for _, order := range slices.Clone(executor.running) {
-			executor.end(order.Task, how)
+			executor.end(order.Task, outcome)
 		}
 	}
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// handIn submits a job and expects it to be accepted.
-func (f *fleet) handIn(id string, terms wire.RouteTerms, body string) {
+// submitJob submits a job and expects it to be accepted.
+func (f *fleet) submitJob(id string, terms wire.RouteTerms, body string) {
 	f.pool.Submit(&wire.ClientCall{Route: "e", ID: id, Terms: &terms, Body: []byte(body)}, func(answer wire.ClientAnswer) {
 		Expect(answer.Status).To(Equal(200))
 	})
--- a/internal/scheduling/scheduler/gangs_test.go
+++ b/internal/scheduling/scheduler/gangs_test.go
@@ -16,7 +16,7 @@
 	BeforeEach(func() {
 		f = newFleet(timing)
 		f.add(6, wire.Capacity{CPU: 4000, Memory: 4000}, "a", "r1")
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, gangOfThree)
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, gangOfThree)
 		f.pass(time.Second)
 		Expect(f.tasks()).To(HaveLen(3))
 	})
@@ -71,7 +71,7 @@
 		f.endAll("done")
 		f.pass(time.Second)
 		f.executors[0].refusal = "timeout"
-		f.handIn(secondID, wire.RouteTerms{MaxAttempts: 2}, gangOfThree)
+		f.submitJob(secondID, wire.RouteTerms{MaxAttempts: 2}, gangOfThree)
 		f.pass(time.Second)
 		Expect(f.tasks()).To(HaveLen(2))
 		f.pass(1400 * time.Millisecond)
--- a/internal/scheduling/scheduler/load_test.go
+++ b/internal/scheduling/scheduler/load_test.go
@@ -18,7 +18,7 @@
 	const single = `{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":1000}]}`
 	var f *fleet
 	recordNames := func(prefix string) []string {
-		return slices.DeleteFunc(slices.Sorted(maps.Keys(f.leadership.kept)), func(name string) bool { return !strings.HasPrefix(name, prefix) })
+		return slices.DeleteFunc(slices.Sorted(maps.Keys(f.leadership.records)), func(name string) bool { return !strings.HasPrefix(name, prefix) })
 	}
 	BeforeEach(func() {
 		f = newFleet(timing)
@@ -26,18 +26,18 @@
 	})
 
 	DescribeTable("runs all other jobs if a record of one job is unreadable", func(record, text string) {
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
-		f.leadership.kept[record] = []byte(text)
+		f.leadership.records[record] = []byte(text)
 		f.takeOver()
-		f.handIn(otherID, wire.RouteTerms{MaxAttempts: 2}, single)
+		f.submitJob(otherID, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		f.endAll("done")
 		f.pass(200 * time.Millisecond)
 		Expect(f.state(otherID)).To(ContainSubstring("completed"))
 		Expect(f.state(id)).To(HavePrefix("503"))
 		Expect(f.pool.Unreadable()).To(ConsistOf(record))
-		Expect(string(f.leadership.kept[record])).To(Equal(text))
+		Expect(string(f.leadership.records[record])).To(Equal(text))
 	},
 		Entry("the job record", "j/"+id, `{"entry":`),
 		Entry("the steps in the job record", "j/"+id, `{"entry":"e","spec":{"step-list":[{"task-count":1,"depends-on":[7]}]}}`),
@@ -45,11 +45,11 @@
 		Entry("a task record", "t/"+taskName, `{"d":`),
 	)
 
-	It("works without unreadable executor records", func() {
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
+	It("loads all jobs although an executor record is unreadable", func() {
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.pass(200 * time.Millisecond)
 		Expect(recordNames("e/")).To(HaveLen(1))
-		f.leadership.kept[recordNames("e/")[0]] = []byte("{")
+		f.leadership.records[recordNames("e/")[0]] = []byte("{")
 		f.takeOver()
 		f.pass(200 * time.Millisecond)
 		f.endAll("done")
@@ -59,16 +59,16 @@
 
 	It("runs a stored job that exceeds the present size limit for submissions", func() {
 		steps := strings.Repeat(`{"task-count":1,"cpu-units":1},`, 300)
-		f.leadership.kept["j/"+id] = []byte(`{"entry":"e","spec":{"task-descriptor":"d","step-list":[` + strings.TrimSuffix(steps, ",") + `]}}`)
+		f.leadership.records["j/"+id] = []byte(`{"entry":"e","spec":{"task-descriptor":"d","step-list":[` + strings.TrimSuffix(steps, ",") + `]}}`)
 		f.takeOver()
 		f.pass(200 * time.Millisecond)
 		Expect(f.tasks()).To(HaveLen(300))
 	})
 
 	It("deletes task records that match no task of the present jobs", func() {
-		f.leadership.kept["t/"+id+".0.0.5"] = []byte(`{"d":true,"r":1}`)
-		f.leadership.kept["t/"+otherID+".0.0.0"] = []byte(`{"d":true,"r":1}`)
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, single)
+		f.leadership.records["t/"+id+".0.0.5"] = []byte(`{"d":true,"r":1}`)
+		f.leadership.records["t/"+otherID+".0.0.0"] = []byte(`{"d":true,"r":1}`)
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, single)
 		f.takeOver()
 		Expect(f.pool.Unreadable()).To(BeEmpty())
 		Expect(recordNames("t/")).NotTo(ContainElement("t/" + id + ".0.0.5"))
@@ -76,7 +76,7 @@
 	})
 
 	It("stops the runs of a completed occurrence and deletes their records", func() {
-		f.handIn(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","repeat-count":2,"period-ms":60000,"first-run-ms":1000000,`+
+		f.submitJob(id, wire.RouteTerms{MaxAttempts: 2}, `{"task-descriptor":"d","repeat-count":2,"period-ms":60000,"first-run-ms":1000000,`+
 			`"step-list":[{"task-count":2,"cpu-units":3000,"gang-scheduled":true}]}`)
 		f.pass(200 * time.Millisecond)
 		Expect(f.tasks()).To(HaveLen(2))
--- a/internal/scheduling/scheduler/loadreport_test.go
+++ b/internal/scheduling/scheduler/loadreport_test.go
@@ -39,7 +39,7 @@
 	})
 
 	It("shows pending CPU by priority and deadline class, and allocated CPU by priority", func() {
-		f.handIn("5c0e7a21d94b0001", wire.RouteTerms{MaxAttempts: 2, Priority: 1, Stretch: 1, TargetMs: 600}, wide)
+		f.submitJob("5c0e7a21d94b0001", wire.RouteTerms{MaxAttempts: 2, Priority: 1, Stretch: 1, TargetMs: 600}, wide)
 		f.pass(1100 * time.Millisecond)
 		Expect(metricValue(`gannetline_pool_allocated_cpu{key="pool/report",priority="1"}`)).To(Equal("4000"))
 		Expect(metricValue(`gannetline_pool_waiting_cpu{key="pool/report",priority="1",deadline="late"}`)).To(Equal("2000"))
@@ -52,10 +52,10 @@
 	})
 
 	It("logs pending late work every five seconds, and nothing while all work is on time", func() {
-		f.handIn("5c0e7a21d94b0001", wire.RouteTerms{MaxAttempts: 2, Stretch: 100, TargetMs: 60000}, wide)
+		f.submitJob("5c0e7a21d94b0001", wire.RouteTerms{MaxAttempts: 2, Stretch: 100, TargetMs: 60000}, wide)
 		f.pass(2 * time.Second)
 		Expect(logOutput.String()).NotTo(ContainSubstring("late work waits"))
-		f.handIn("5c0e7a21d94b0002", wire.RouteTerms{MaxAttempts: 2, Priority: 2, Stretch: 1, TargetMs: 100}, wide)
+		f.submitJob("5c0e7a21d94b0002", wire.RouteTerms{MaxAttempts: 2, Priority: 2, Stretch: 1, TargetMs: 100}, wide)
 		f.pass(4 * time.Second)
 		Expect(strings.Count(logOutput.String(), `"priority":"2","allocated_cpu":0,"open_cpu":4000`)).To(Equal(1))
 		f.pass(4 * time.Second)
@@ -63,7 +63,7 @@
 	})
 
 	It("counts completed occurrences by deadline class", func() {
-		f.handIn("5c0e7a21d94b0001", wire.RouteTerms{MaxAttempts: 2, Stretch: 1, TargetMs: 700}, wide)
+		f.submitJob("5c0e7a21d94b0001", wire.RouteTerms{MaxAttempts: 2, Stretch: 1, TargetMs: 700}, wide)
 		f.pass(800 * time.Millisecond)
 		f.endAll("done")
 		f.pass(400 * time.Millisecond)
--- a/internal/scheduling/scheduler/overloadshapes_test.go
+++ b/internal/scheduling/scheduler/overloadshapes_test.go
@@ -26,7 +26,7 @@
 
 // overloadShape describes an overload: the queues with more than the usual load, its duration, and the loss in the middle of it.
 type overloadShape struct {
-	queues []*pressedQueue
+	queues []*simulatedQueue
 	length time.Duration
 	loss   overloadLoss
 }
@@ -42,7 +42,7 @@
 // overloadShapes returns all combinations of queues, lengths and losses.
 func overloadShapes() []overloadShape {
 	var shapes []overloadShape
-	for _, queues := range [][]*pressedQueue{{&urgentQueue}, {&usualQueue}, {&longQueue}, {&urgentQueue, &usualQueue}, {&urgentQueue, &usualQueue, &longQueue}} {
+	for _, queues := range [][]*simulatedQueue{{&urgentQueue}, {&usualQueue}, {&longQueue}, {&urgentQueue, &usualQueue}, {&urgentQueue, &usualQueue, &longQueue}} {
 		for _, length := range []time.Duration{4 * time.Second, 26 * time.Second} {
 			for _, loss := range []overloadLoss{lossNone, lossRack, lossLeader} {
 				shapes = append(shapes, overloadShape{queues, length, loss})
@@ -53,30 +53,30 @@
 }
 
 // usualDemand is the demand of a queue at its usual rate, in cores.
-func (q *pressedQueue) usualDemand() float64 {
+func (q *simulatedQueue) usualDemand() float64 {
 	return q.perSecond * float64(q.steps*q.tasks) * float64(q.cpu) / 1000 * q.length.Seconds()
 }
 
 // overloadFactor is the factor on the usual rate of some queues for which the demand of all queues is a multiple of the fleet's capacity.
-func overloadFactor(queues []*pressedQueue, multiple float64) float64 {
-	var pressed, others float64
+func overloadFactor(queues []*simulatedQueue, multiple float64) float64 {
+	var overloaded, others float64
 	for _, queue := range usualQueues() {
 		others += queue.usualDemand()
 	}
 	for _, queue := range queues {
-		pressed += queue.usualDemand()
+		overloaded += queue.usualDemand()
 	}
-	return (multiple*pressedExecutors*pressedCPU/1000 - (others - pressed)) / pressed
+	return (multiple*simulatedExecutors*executorCPU/1000 - (others - overloaded)) / overloaded
 }
 
-func usualQueues() []*pressedQueue { return []*pressedQueue{&urgentQueue, &usualQueue, &longQueue} }
+func usualQueues() []*simulatedQueue { return []*simulatedQueue{&urgentQueue, &usualQueue, &longQueue} }
 
-// playFactors simulates the usual load for a length of time, with the rate of the pressed queues multiplied by a factor.
-func (c *pressedFleet) playFactors(length time.Duration, factor float64, pressed []*pressedQueue) {
+// simulateWithFactor simulates the usual load for a length of time, with the rate of the overloaded queues multiplied by a factor.
+func (c *simulatedFleet) simulateWithFactor(length time.Duration, factor float64, overloaded []*simulatedQueue) {
 	for end := c.clock.Monotonic() + length; c.clock.Monotonic() < end; {
 		for _, queue := range usualQueues() {
 			queueFactor := 1.0
-			for _, other := range pressed {
+			for _, other := range overloaded {
 				if other == queue {
 					queueFactor = factor
 				}
@@ -89,31 +89,31 @@
 }
 
 // loseRack makes the first rack's executors silent or brings them back.
-func (c *pressedFleet) loseRack(isLost bool) {
+func (c *simulatedFleet) loseRack(isLost bool) {
 	for _, executor := range c.executors[:rackSize] {
 		executor.isSilent = isLost
 	}
 }
 
-// playOverload simulates an overload with the loss in the middle of it. A shape without queues is the usual load.
-func (c *pressedFleet) playOverload(shape overloadShape) {
+// simulateOverload simulates an overload with the loss in the middle of it. A shape without queues is the usual load.
+func (c *simulatedFleet) simulateOverload(shape overloadShape) {
 	const multiple = 2
 	factor := 1.0
 	if len(shape.queues) > 0 {
 		factor = overloadFactor(shape.queues, multiple)
 	}
-	c.playFactors(shape.length/2, factor, shape.queues)
+	c.simulateWithFactor(shape.length/2, factor, shape.queues)
 	switch shape.loss {
 	case lossRack:
 		c.loseRack(true)
 	case lossLeader:
 		c.takeOver()
 	}
-	c.playFactors(shape.length/2, factor, shape.queues)
+	c.simulateWithFactor(shape.length/2, factor, shape.queues)
 }
 
 // beginPhase resets the random numbers and job IDs, so that the next phase gets the same jobs regardless of what came before.
-func (c *pressedFleet) beginPhase(number uint64) {
+func (c *simulatedFleet) beginPhase(number uint64) {
 	const maxJobsPerPhase = 1 << 20
 	c.random, c.dueJobs, c.submitted = rand.New(rand.NewPCG(number, 5)), map[string]float64{}, int(number)*maxJobsPerPhase
 }
@@ -124,33 +124,33 @@
 	recoveryWindows = 8
 )
 
-// playAfter simulates an overload and then the usual load, with the same jobs after each overload. It returns for each queue the fraction
-// of on-time jobs in each window after the overload.
-func playAfter(shape overloadShape, seed uint64) map[string][]float64 {
-	c := newPressedFleet(seed)
+// simulateRecovery simulates an overload and then the usual load, with the same jobs after each overload. It returns, by queue name, the
+// fraction of on-time jobs in each window after the overload.
+func simulateRecovery(shape overloadShape, seed uint64) map[string][]float64 {
+	c := newSimulatedFleet(seed)
 	c.beginPhase(10*seed + 1)
-	c.playFactors(6*time.Second, 1, nil)
-	c.playOverload(shape)
+	c.simulateWithFactor(6*time.Second, 1, nil)
+	c.simulateOverload(shape)
 	end := c.clock.Monotonic()
 	c.beginPhase(10*seed + 2)
-	c.playFactors(rackReturn, 1, nil)
+	c.simulateWithFactor(rackReturn, 1, nil)
 	c.loseRack(false)
-	c.playFactors(recoveryWindows*recoveryWindow, 1, nil)
-	parts := map[string][]float64{}
-	for _, queue := range []*pressedQueue{&urgentQueue, &usualQueue} {
+	c.simulateWithFactor(recoveryWindows*recoveryWindow, 1, nil)
+	fractions := map[string][]float64{}
+	for _, queue := range []*simulatedQueue{&urgentQueue, &usualQueue} {
 		for window := range recoveryWindows {
 			from := end + time.Duration(window)*recoveryWindow
-			parts[queue.name] = append(parts[queue.name], c.onTimeFractionOrNaN(queue, from, from+recoveryWindow))
+			fractions[queue.name] = append(fractions[queue.name], c.onTimeFractionOrNaN(queue, from, from+recoveryWindow))
 		}
 	}
-	return parts
+	return fractions
 }
 
 // recoveryTime is how long after an overload the on-time fraction of a queue was lower than without an overload, beyond random variation.
-func recoveryTime(parts, undisturbed []float64) time.Duration {
+func recoveryTime(fractions, undisturbed []float64) time.Duration {
 	const randomVariation = 0.3
 	for window := recoveryWindows; window > 0; window-- {
-		if parts[window-1] < undisturbed[window-1]-randomVariation {
+		if fractions[window-1] < undisturbed[window-1]-randomVariation {
 			return time.Duration(window) * recoveryWindow
 		}
 	}
@@ -167,17 +167,17 @@
 	It("recovers soon for each queue, whatever the shape of the overload", func() {
 		undisturbed := map[uint64]map[string][]float64{}
 		for seed := range uint64(seeds) {
-			undisturbed[seed] = playAfter(overloadShape{length: 4 * time.Second, loss: lossNone}, seed)
+			undisturbed[seed] = simulateRecovery(overloadShape{length: 4 * time.Second, loss: lossNone}, seed)
 		}
-		var slow []string
+		var slowRecoveries []string
 		for number, shape := range overloadShapes() {
 			seed := uint64(number/3) % seeds
-			for queue, parts := range playAfter(shape, seed) {
-				if took := recoveryTime(parts, undisturbed[seed][queue]); took > maxRecoverySeconds*time.Second {
-					slow = append(slow, fmt.Sprintf("%s: %s %v %.2f, without overload %.2f", shape, queue, took, parts, undisturbed[seed][queue]))
+			for queue, fractions := range simulateRecovery(shape, seed) {
+				if took := recoveryTime(fractions, undisturbed[seed][queue]); took > maxRecoverySeconds*time.Second {
+					slowRecoveries = append(slowRecoveries, fmt.Sprintf("%s: %s %v %.2f, without overload %.2f", shape, queue, took, fractions, undisturbed[seed][queue]))
 				}
 			}
 		}
-		Expect(slow).To(BeEmpty())
+		Expect(slowRecoveries).To(BeEmpty())
 	})
 })
--- a/internal/scheduling/scheduler/reservedcapacity_test.go
+++ b/internal/scheduling/scheduler/reservedcapacity_test.go
@@ -11,7 +11,7 @@
 const maxLongFraction = 0.75
 
 // usedFraction is the fraction of the fleet's CPU that the runs of a queue take.
-func (c *pressedFleet) usedFraction(queue *pressedQueue) float64 {
+func (c *simulatedFleet) usedFraction(queue *simulatedQueue) float64 {
 	var used int
 	for _, executor := range c.executors {
 		for _, order := range executor.running {
@@ -20,26 +20,26 @@
 			}
 		}
 	}
-	return float64(used) / (pressedExecutors * pressedCPU)
+	return float64(used) / (simulatedExecutors * executorCPU)
 }
 
-// newLull returns a fleet with a backlog of long work on which urgentJobs urgent jobs have just completed and none is pending.
-func newLull(urgentJobs int) *pressedFleet {
+// newFleetInLull returns a fleet with a backlog of long work on which urgentJobs urgent jobs have just completed and none is pending.
+func newFleetInLull(urgentJobs int) *simulatedFleet {
 	const backlog = 60
-	c := newPressedFleet(1)
+	c := newSimulatedFleet(1)
 	for range urgentJobs {
 		c.submit(&urgentQueue)
 	}
 	for range backlog {
 		c.submit(&longQueue)
 	}
-	for c.hasOpen(&urgentQueue) {
-		c.play(fleetTick, 0)
+	for c.hasOpenJobs(&urgentQueue) {
+		c.simulate(fleetTick, 0)
 	}
 	return c
 }
 
-func (c *pressedFleet) hasOpen(queue *pressedQueue) bool {
+func (c *simulatedFleet) hasOpenJobs(queue *simulatedQueue) bool {
 	for _, job := range c.jobs {
 		if job.queue == queue && job.completedAt == 0 {
 			return true
@@ -51,22 +51,22 @@
 // In a short lull of urgent work a backlog of long work could take the whole fleet, and the next urgent jobs would find no capacity.
 var _ = Describe("a lull of urgent work with a backlog of long work", func() {
 	It("keeps the recent demand of urgent work reserved", func() {
-		c := newLull(4)
-		c.play(500*time.Millisecond, 0)
+		c := newFleetInLull(4)
+		c.simulate(500*time.Millisecond, 0)
 		Expect(c.usedFraction(&longQueue)).To(BeNumerically("<", 0.7))
 	})
 
 	It("lets first runs exceed soft limits only after a while", func() {
-		c := newLull(6)
-		c.play(200*time.Millisecond, 0)
+		c := newFleetInLull(6)
+		c.simulate(200*time.Millisecond, 0)
 		Expect(c.usedFraction(&longQueue)).To(BeNumerically("<", 0.47))
-		c.play(time.Second, 0)
+		c.simulate(time.Second, 0)
 		Expect(c.usedFraction(&longQueue)).To(BeNumerically(">", 0.55))
 	})
 
 	It("lets the reservation decay until the backlog can use the whole fleet", func() {
-		c := newLull(4)
-		c.play(20*time.Second, 0)
+		c := newFleetInLull(4)
+		c.simulate(20*time.Second, 0)
 		Expect(c.usedFraction(&longQueue)).To(BeNumerically(">", 0.9*maxLongFraction))
 	})
 })
--- a/internal/scheduling/scheduler/rollouts_test.go
+++ b/internal/scheduling/scheduler/rollouts_test.go
@@ -81,16 +81,16 @@
 	Describe("counts", func() {
 		It("jobs by outcome and runs by zone, and keeps the counts under the next leader", func() {
 			for number := range 6 {
-				f.handIn(jobID(number), terms, singleTask)
+				f.submitJob(jobID(number), terms, singleTask)
 			}
 			f.pass(200 * time.Millisecond)
 			f.endAll("done")
 			f.pass(200 * time.Millisecond)
-			f.handIn(jobID(6), wire.RouteTerms{MaxAttempts: 1, TargetMs: 500}, singleTask)
+			f.submitJob(jobID(6), wire.RouteTerms{MaxAttempts: 1, TargetMs: 500}, singleTask)
 			f.pass(200 * time.Millisecond)
 			f.endAll("failed")
 			f.pass(200 * time.Millisecond)
-			f.handIn(jobID(7), wire.RouteTerms{MaxAttempts: 1}, singleTask)
+			f.submitJob(jobID(7), wire.RouteTerms{MaxAttempts: 1}, singleTask)
 			f.pass(2 * time.Second)
 			f.endAll("done")
 			f.pass(200 * time.Millisecond)
@@ -109,7 +109,7 @@
 		})
 
 		It("no job as late or overdue that lost a run, and pending jobs past their target as overdue", func() {
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			for _, executor := range f.executors {
 				if len(executor.running) > 0 {
@@ -125,7 +125,7 @@
 				executor.isSilent = true
 			}
 			f.pass(9 * time.Second)
-			f.handIn(jobID(1), terms, singleTask)
+			f.submitJob(jobID(1), terms, singleTask)
 			f.pass(2 * time.Second)
 			Expect(report().Rollouts[0].Open).To(Equal(int64(1)))
 			Expect(report().Rollouts[0].Overdue).To(Equal(int64(1)))
@@ -133,7 +133,7 @@
 		})
 
 		It("only present rollouts, not removed ones or an earlier one of the same name", func() {
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			f.endAll("done")
 			f.pass(200 * time.Millisecond)
@@ -152,7 +152,7 @@
 		It("returns jobs that have not started, and doesn't start them, also under the next leader", func() {
 			f.executors[0].isSilent, f.executors[1].isSilent = true, true
 			f.pass(9 * time.Second)
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			Expect(sender.sent).To(HaveLen(1))
@@ -178,7 +178,7 @@
 		It("doesn't start a job from a gate with an older configuration", func() {
 			rollBack(nil)
 			f.pass(300 * time.Millisecond)
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			Expect(f.starts()).To(BeZero())
 			f.pass(300 * time.Millisecond)
 			Expect(f.starts()).To(BeZero())
@@ -187,7 +187,7 @@
 
 		It("stops a run whose launch has no answer yet", func() {
 			f.executors[0].isSilent, f.executors[1].isSilent = true, true
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			rollBack(nil)
 			f.pass(300 * time.Millisecond)
@@ -200,7 +200,7 @@
 		It("sends a transfer only after its commit", func() {
 			f.executors[0].isSilent, f.executors[1].isSilent = true, true
 			f.pass(9 * time.Second)
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			rollBack(nil)
 			f.clock.Advance(time.Second)
 			f.pool.Tick()
@@ -213,7 +213,7 @@
 		It("resends a transfer until it is answered, and runs a job that the other pool rejects", func() {
 			rollBack(nil)
 			f.pass(100 * time.Millisecond)
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			f.pass(3 * time.Second)
 			Expect(len(sender.sent)).To(BeNumerically(">", 1))
 			last := sender.sent[len(sender.sent)-1]
@@ -224,7 +224,7 @@
 		})
 
 		It("lets runs end, and returns the job with its completed tasks", func() {
-			f.handIn(jobID(0), terms, twoSteps)
+			f.submitJob(jobID(0), terms, twoSteps)
 			f.pass(200 * time.Millisecond)
 			rollBack(nil)
 			f.pass(500 * time.Millisecond)
@@ -236,8 +236,8 @@
 			Expect(movedTasks(sender)).To(Equal([]wire.TransferredTask{{IsDone: true}}))
 		})
 
-		It("completes a job here whose last task ends", func() {
-			f.handIn(jobID(0), terms, singleTask)
+		It("completes a job here if its last task ends", func() {
+			f.submitJob(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			rollBack(nil)
 			f.pass(300 * time.Millisecond)
@@ -248,7 +248,7 @@
 		})
 
 		It("returns a job between two attempts with its number of failed attempts", func() {
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			f.pass(200 * time.Millisecond)
 			rollBack(nil)
 			f.pass(300 * time.Millisecond)
@@ -258,7 +258,7 @@
 		})
 
 		DescribeTable("stops runs only if the rollout allows it and tasks are repeatable", func(stopsRuns, isRepeatable, isReturned bool) {
-			f.handIn(jobID(0), terms, twoTasks)
+			f.submitJob(jobID(0), terms, twoTasks)
 			f.pass(200 * time.Millisecond)
 			for _, executor := range f.executors {
 				executor.end(jobID(0)+".0.0.0", "done")
@@ -282,7 +282,7 @@
 		)
 
 		It("always stops long-running tasks, which never end", func() {
-			f.handIn(jobID(0), terms, longRunningTask)
+			f.submitJob(jobID(0), terms, longRunningTask)
 			f.pass(200 * time.Millisecond)
 			Expect(f.tasks()).To(HaveLen(1))
 			rollBack(nil)
@@ -296,7 +296,7 @@
 				executor.isSilent = true
 			}
 			f.pass(9 * time.Second)
-			f.handIn(jobID(0), terms, singleTask)
+			f.submitJob(jobID(0), terms, singleTask)
 			rollBack(nil)
 			f.pass(300 * time.Millisecond)
 			var cancelled wire.ClientAnswer
@@ -307,7 +307,7 @@
 			for _, executor := range f.executors {
 				executor.isSilent = false
 			}
-			f.handIn(jobID(1), terms, singleTask)
+			f.submitJob(jobID(1), terms, singleTask)
 			f.pass(time.Second)
 			Expect(f.tasks()).To(Equal([]string{jobID(1) + ".0.0.0"}))
 		})
--- a/internal/scheduling/scheduler/schedule_test.go
+++ b/internal/scheduling/scheduler/schedule_test.go
@@ -19,7 +19,8 @@
 
 // fakeExecutor is an executor with its local proxy. Random numbers decide what it does.
 type fakeExecutor struct {
-	id           string
+	id string
+	// number determines the labels and the capacity of the executor.
 	number       int
 	isSilent     bool
 	isLeaseStale bool
@@ -33,7 +34,7 @@
 	listNumber uint64
 }
 
-// history plays a random history of one pool and its executors.
+// history simulates a random history of one pool and its executors. jobs holds the IDs of the submitted jobs.
 type history struct {
 	random        *rand.Rand
 	clock         *clock.Fake
@@ -47,7 +48,7 @@
 
 func newHistory(seed uint64) *history {
 	clock := clock.NewFake(1_000_000)
-	s := &history{random: rand.New(rand.NewPCG(seed, 1)), clock: clock, leadership: &scriptedLeadership{clock: clock, hasLease: true, kept: map[string][]byte{}}}
+	s := &history{random: rand.New(rand.NewPCG(seed, 1)), clock: clock, leadership: &scriptedLeadership{clock: clock, hasLease: true, records: map[string][]byte{}}}
 	for range 4 + s.random.IntN(4) {
 		s.executors = append(s.executors, s.newExecutor())
 	}
@@ -61,7 +62,7 @@
 }
 
 func (s *history) open() {
-	s.leadership.waiting = nil
+	s.leadership.inFlight = nil
 	s.leadership.epoch++
 	timing := timing
 	timing.ReservedCapacity, timing.KeepEnded, timing.RemoteFactor = scheduler.DefaultReservedCapacity, 3*time.Second, 2
@@ -71,6 +72,7 @@
 	s.pool.Open(s.leadership, s.leadership.pairs())
 }
 
+// step takes a random step: a submission, a cancellation, a tick, an exchange, or a replacement of an executor or of the leader.
 func (s *history) step() {
 	switch chance := s.random.IntN(1000); {
 	case chance < 120:
@@ -92,6 +94,7 @@
 	}
 }
 
+// settle flushes the pool, and in three of four cases ends all commits in flight.
 func (s *history) settle() {
 	s.pool.Flush()
 	if s.random.IntN(4) > 0 {
@@ -213,9 +216,10 @@
 	}
 }
 
+// orders returns the names of the committed records of orders.
 func (s *history) orders() []string {
 	names := []string{}
-	for name := range s.leadership.kept {
+	for name := range s.leadership.records {
 		if strings.HasPrefix(name, "o/") {
 			names = append(names, name)
 		}
@@ -234,7 +238,7 @@
 				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, round %d, before placement", seed, round)
 				s.settle()
 				Expect(s.pool.Differences()).To(BeEmpty(), "seed %d, round %d", seed, round)
-				if len(s.leadership.waiting) == 0 {
+				if len(s.leadership.inFlight) == 0 {
 					Expect(s.pool.Orders()).To(ContainElements(s.orders()), "seed %d, round %d", seed, round)
 				}
 			}
--- a/internal/scheduling/scheduler/scheduler_test.go
+++ b/internal/scheduling/scheduler/scheduler_test.go
@@ -16,13 +16,14 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// scriptedLeadership is a leadership whose commits end when the test calls settle. kept holds the committed records.
+// scriptedLeadership is a leadership whose commits end when the test calls settle. records holds the committed records, inFlight the
+// commits that have not ended.
 type scriptedLeadership struct {
 	clock    *clock.Fake
 	epoch    uint64
 	hasLease bool
-	kept     map[string][]byte
-	waiting  []func(error)
+	records  map[string][]byte
+	inFlight []func(error)
 }
 
 func (s *scriptedLeadership) Epoch() uint64  { return s.epoch }
@@ -30,12 +31,12 @@
 func (s *scriptedLeadership) WallMs() int64  { return s.clock.WallMs() }
 
 func (s *scriptedLeadership) Commit(ops []wire.Op, done func(error)) {
-	s.waiting = append(s.waiting, func(err error) {
+	s.inFlight = append(s.inFlight, func(err error) {
 		if err == nil {
 			for _, op := range ops {
-				s.kept[op.Name] = op.Value
+				s.records[op.Name] = op.Value
 				if len(op.Value) == 0 {
-					delete(s.kept, op.Name)
+					delete(s.records, op.Name)
 				}
 			}
 		}
@@ -45,16 +46,16 @@
 
 // settle ends all commits in flight with an error, or with success if it is nil.
 func (s *scriptedLeadership) settle(err error) {
-	waiting := s.waiting
-	s.waiting = nil
-	for _, done := range waiting {
+	inFlight := s.inFlight
+	s.inFlight = nil
+	for _, done := range inFlight {
 		done(err)
 	}
 }
 
 func (s *scriptedLeadership) pairs() []wire.Op {
 	var all []wire.Op
-	for name, value := range s.kept {
+	for name, value := range s.records {
 		all = append(all, wire.Op{Name: name, Value: value})
 	}
 	return all
@@ -62,7 +63,7 @@
 
 // has reports whether there is a committed record whose name begins with the prefix.
 func (s *scriptedLeadership) has(prefix string) bool {
-	for name := range s.kept {
+	for name := range s.records {
 		if strings.HasPrefix(name, prefix) {
 			return true
 		}
@@ -118,14 +119,14 @@
 	reportStart := func(call *wire.ExchangeCall) {
 		call.Answers = []wire.OrderAnswer{{Task: taskName, Run: 1, Kind: "launch", Result: "ok"}}
 	}
-	reportEnd := func(how string) func(*wire.ExchangeCall) {
+	reportEnd := func(outcome string) func(*wire.ExchangeCall) {
 		return func(call *wire.ExchangeCall) {
-			call.Ends = []wire.EndReport{{Number: 1, Task: taskName, Run: 1, Outcome: wire.RunOutcome(how)}}
+			call.Ends = []wire.EndReport{{Number: 1, Task: taskName, Run: 1, Outcome: wire.RunOutcome(outcome)}}
 		}
 	}
 	BeforeEach(func() {
 		fakeClock, statuses = clock.NewFake(1_000_000), nil
-		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, kept: map[string][]byte{}}
+		leadership = &scriptedLeadership{clock: fakeClock, hasLease: true, records: map[string][]byte{}}
 		open(3, nil)
 		exchange(nil)
 	})
--- a/internal/scheduling/scheduler/shares_test.go
+++ b/internal/scheduling/scheduler/shares_test.go
@@ -22,10 +22,10 @@
 	}
 	submit := func(prefix string, terms wire.RouteTerms) {
 		submitted++
-		f.handIn(fmt.Sprintf("%s%015x", prefix, submitted), terms, fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":4000,"estimated-ms":%d}]}`, runTime.Milliseconds()))
+		f.submitJob(fmt.Sprintf("%s%015x", prefix, submitted), terms, fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":4000,"estimated-ms":%d}]}`, runTime.Milliseconds()))
 	}
-	// play keeps the most urgent queue full, ends each run after runTime, and counts starts by the first letter of the job ID.
-	play := func(length time.Duration) map[string]int {
+	// simulate keeps the most urgent queue full and ends each run after runTime. It counts the started runs by the first letter of the job ID.
+	simulate := func(length time.Duration) map[string]int {
 		counts, startedAt := map[string]int{}, map[string]time.Duration{}
 		for end := f.clock.Monotonic() + length; f.clock.Monotonic() < end; {
 			submit("a", terms(0, 60000))
@@ -51,16 +51,16 @@
 	})
 
 	It("give a lower priority about its share once its work can't wait, although a run exceeds the share", func() {
-		play(time.Second)
+		simulate(time.Second)
 		for range 40 {
 			submit("b", terms(1, 60000))
 		}
-		counts := play(14 * time.Second)
+		counts := simulate(14 * time.Second)
 		Expect(counts["b"]).To(BeZero())
-		play(2 * time.Second)
-		counts = play(30 * time.Second)
-		part := float64(counts["b"]) / float64(counts["a"]+counts["b"])
-		Expect(part).To(BeNumerically("~", 0.15, 0.05), "%v", counts)
+		simulate(2 * time.Second)
+		counts = simulate(30 * time.Second)
+		fraction := float64(counts["b"]) / float64(counts["a"]+counts["b"])
+		Expect(fraction).To(BeNumerically("~", 0.15, 0.05), "%v", counts)
 	})
 
 	It("give expired work a small share, oldest first", func() {
@@ -68,9 +68,9 @@
 			submit("c", terms(1, 1))
 		}
 		f.pass(time.Second)
-		counts := play(40 * time.Second)
-		part := float64(counts["c"]) / float64(counts["a"]+counts["c"])
-		Expect(part).To(BeNumerically("~", 0.05, 0.03), "%v", counts)
+		counts := simulate(40 * time.Second)
+		fraction := float64(counts["c"]) / float64(counts["a"]+counts["c"])
+		Expect(fraction).To(BeNumerically("~", 0.05, 0.03), "%v", counts)
 		Expect(f.state("c" + fmt.Sprintf("%015x", 2))).To(ContainSubstring("completed"))
 		Expect(f.state("c" + fmt.Sprintf("%015x", 40))).To(ContainSubstring("queued"))
 	})
@@ -80,7 +80,7 @@
 var _ = Describe("the order of jobs of one queue", func() {
 	var f *fleet
 	submit := func(number int) {
-		f.handIn(fmt.Sprintf("%016x", number), wire.RouteTerms{MaxAttempts: 2, Stretch: 1, TargetMs: 1000},
+		f.submitJob(fmt.Sprintf("%016x", number), wire.RouteTerms{MaxAttempts: 2, Stretch: 1, TargetMs: 1000},
 			`{"task-descriptor":"d","step-list":[{"task-count":1,"cpu-units":4000,"estimated-ms":400}]}`)
 	}
 	running := func() string { return strings.TrimLeft(strings.Join(f.tasks(), " "), "0") }
@@ -131,7 +131,7 @@
 	var f *fleet
 	name := func(number int) string { return fmt.Sprintf("%016x", number) }
 	submit := func(number, priority, tasks int, targetMs int64, fields string) {
-		f.handIn(name(number), wire.RouteTerms{MaxAttempts: 2, Priority: priority, Stretch: 1, TargetMs: targetMs},
+		f.submitJob(name(number), wire.RouteTerms{MaxAttempts: 2, Priority: priority, Stretch: 1, TargetMs: targetMs},
 			fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":1000%s}]}`, tasks, fields))
 	}
 	const short, long, longRunning = `,"estimated-ms":100`, `,"estimated-ms":60000`, `,"long-running":true`
--- a/internal/scheduling/scheduler/stored_data_test.go
+++ b/internal/scheduling/scheduler/stored_data_test.go
@@ -34,7 +34,7 @@
 var _ = Describe("a pool stored by an earlier version", func() {
 	It("is loaded with all jobs and runs", func() {
 		clock := clock.NewFake(1796206542000)
-		leadership := &scriptedLeadership{clock: clock, epoch: 1 << 40, hasLease: true, kept: map[string][]byte{}}
+		leadership := &scriptedLeadership{clock: clock, epoch: 1 << 40, hasLease: true, records: map[string][]byte{}}
 		pool := scheduler.New("pool/demo", clock, timing, logging.Silent())
 		pool.Open(leadership, storedRecords("testdata/pool-records.txt"))
 		pool.Flush()
--- a/internal/scheduling/scheduler/tenantcount_test.go
+++ b/internal/scheduling/scheduler/tenantcount_test.go
@@ -58,7 +58,7 @@
 		f.pool.Open(f.leadership, f.leadership.pairs())
 		f.settle()
 	}
-	// askAsOther asks for a grant as another pool and returns what that pool holds then.
+	// askAsOther asks for a grant as another pool, and returns how much that pool is granted in total then.
 	askAsOther := func(has, wants int64) (granted int64) {
 		counter.parts[tenantcount.PartOf("a")].HandleCall(&wire.GrantCall{Asker: "pool/other", Epoch: 1, Number: uint64(f.clock.Monotonic()),
 			Tenants: []wire.TenantDemand{{Tenant: "a", Has: wire.Capacity{CPU: has}, Wants: wire.Capacity{CPU: wants}}}}, counter.limits, 0)
--- a/internal/scheduling/scheduler/tenants_test.go
+++ b/internal/scheduling/scheduler/tenants_test.go
@@ -98,7 +98,7 @@
 		Expect(f.running(first)).To(Equal(1))
 	})
 
-	It("use their limit for a run until it has certainly ended", func() {
+	It("have each run counted against their limit until it has certainly ended", func() {
 		first, _ := f.submitFor("a", 0, 6, "")
 		f.pass(time.Second)
 		for _, executor := range f.executors {
