--- a/internal/scheduling/scheduler/exchangestate.go
+++ b/internal/scheduling/scheduler/exchangestate.go
@@ -13,22 +13,22 @@
 
 // merge returns the call completed with the facts that it left out as unchanged. It returns false if the pool doesn't have the report that
 // the call is based on. A call without a session is a full report.
-func (h *exchangeState) merge(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
+func (e *exchangeState) merge(call *wire.ExchangeCall) (*wire.ExchangeCall, bool) {
 	full := *call
 	if call.Session == 0 {
 		full.Changed = call.Running
 		return &full, true
 	}
-	if !h.acceptBase(call) {
+	if !e.acceptBase(call) {
 		return &full, false
 	}
-	if call.Number <= h.number {
+	if call.Number <= e.number {
 		full.Changed = nil
 	} else if call.Proxy != "" {
-		copyFacts(&h.facts, call)
+		copyFacts(&e.facts, call)
 	}
-	h.number = max(h.number, call.Number)
-	copyFacts(&full, &h.facts)
+	e.number = max(e.number, call.Number)
+	copyFacts(&full, &e.facts)
 	return &full, true
 }
 
@@ -38,13 +38,13 @@
 }
 
 // acceptBase reports whether the pool has the base of a call. A full report of a later session is accepted, and starts that session here.
-func (h *exchangeState) acceptBase(call *wire.ExchangeCall) bool {
-	if call.Session == h.session {
-		return call.Base <= h.number
+func (e *exchangeState) acceptBase(call *wire.ExchangeCall) bool {
+	if call.Session == e.session {
+		return call.Base <= e.number
 	}
-	if call.Base > 0 || call.Session < h.session {
+	if call.Base > 0 || call.Session < e.session {
 		return false
 	}
-	h.session, h.number = call.Session, 0
+	e.session, e.number = call.Session, 0
 	return true
 }
--- a/internal/scheduling/scheduler/executorhealth.go
+++ b/internal/scheduling/scheduler/executorhealth.go
@@ -11,7 +11,7 @@
 const (
 	penaltyHalfLife = 8 * time.Second
 	maxPenalty      = 6.0
-	// negligiblePenalty is the penalty below which a machine is removed from the table.
+	// negligiblePenalty is the penalty below which a machine may be removed from Pool.health.
 	negligiblePenalty = 0.05
 	// ejectionPause is how long an executor that refused a launch gets no runs.
 	ejectionPause = 300 * time.Millisecond
@@ -47,13 +47,13 @@
 }
 
 // penaltyAt returns the penalty after its exponential decay, so that a machine recovers gradually.
-func (t *machineHealth) penaltyAt(now time.Duration) float64 {
-	return t.penalty * math.Exp2(-float64(now-t.at)/float64(penaltyHalfLife))
+func (h *machineHealth) penaltyAt(now time.Duration) float64 {
+	return h.penalty * math.Exp2(-float64(now-h.at)/float64(penaltyHalfLife))
 }
 
 // worsen decays the penalty up to now and adds 1, up to maxPenalty.
-func (t *machineHealth) worsen(now time.Duration) {
-	t.penalty, t.at = min(maxPenalty, t.penaltyAt(now)+1), now
+func (h *machineHealth) worsen(now time.Duration) {
+	h.penalty, h.at = min(maxPenalty, h.penaltyAt(now)+1), now
 }
 
 func (p *Pool) machinePenalty(machine string, now time.Duration) float64 {
@@ -69,8 +69,8 @@
 	executor.runLimit = 1
 }
 
-// penalize raises the penalty of an executor's machine. Before it adds a machine to the table it removes those whose penalty has
-// decayed, so that the table has only machines with recent failures.
+// penalize raises the penalty of an executor's machine. Before it adds a machine to p.health it removes those whose penalty has decayed, so
+// that only machines with recent failures are kept.
 func (p *Pool) penalize(executor *executorState) {
 	now := p.clock.Monotonic()
 	health := p.health[executor.proxy]
--- a/internal/scheduling/scheduler/executortable.go
+++ b/internal/scheduling/scheduler/executortable.go
@@ -31,79 +31,79 @@
 	changed    []*executorState
 }
 
-func (r *executorTable) indexOf(id string) (int, bool) {
-	return slices.BinarySearchFunc(r.sorted, id, func(executor *executorState, id string) int { return cmp.Compare(executor.id, id) })
+func (t *executorTable) indexOf(id string) (int, bool) {
+	return slices.BinarySearchFunc(t.sorted, id, func(executor *executorState, id string) int { return cmp.Compare(executor.id, id) })
 }
 
-func (r *executorTable) add(executor *executorState) {
-	index, _ := r.indexOf(executor.id)
-	r.sorted = slices.Insert(r.sorted, index, executor)
-	r.renumber(index)
+func (t *executorTable) add(executor *executorState) {
+	index, _ := t.indexOf(executor.id)
+	t.sorted = slices.Insert(t.sorted, index, executor)
+	t.renumber(index)
 }
 
-func (r *executorTable) remove(executor *executorState) {
-	index, exists := r.indexOf(executor.id)
+func (t *executorTable) remove(executor *executorState) {
+	index, exists := t.indexOf(executor.id)
 	if exists {
-		r.sorted = slices.Delete(r.sorted, index, index+1)
-		r.renumber(index)
+		t.sorted = slices.Delete(t.sorted, index, index+1)
+		t.renumber(index)
 	}
 }
 
 // renumber updates the indices of the executors from a position on.
-func (r *executorTable) renumber(from int) {
-	for index := from; index < len(r.sorted); index++ {
-		r.sorted[index].index = index
+func (t *executorTable) renumber(from int) {
+	for index := from; index < len(t.sorted); index++ {
+		t.sorted[index].index = index
 	}
-	r.version++
-	r.isStale = true
+	t.version++
+	t.isStale = true
 }
 
-func (r *executorTable) markChanged(executor *executorState) {
+func (t *executorTable) markChanged(executor *executorState) {
 	if !executor.isChanged {
 		executor.isChanged = true
-		r.changed = append(r.changed, executor)
+		t.changed = append(t.changed, executor)
 	}
 }
 
 // placementView returns placement's view of the executors. It recomputes only the entries that have changed, if that is enough.
 func (p *Pool) placementView(now time.Duration) []placement.Executor {
-	r := &p.table
-	if r.isStale || now >= r.validUntil {
-		r.validUntil, r.isStale, r.usedCPU, r.openCapacity, r.totalCapacity = never, false, 0, placement.Resources{}, placement.Resources{}
-		r.view = slices.Grow(r.view[:0], len(r.sorted))[:len(r.sorted)]
-		clear(r.view)
-		for _, executor := range r.sorted {
+	t := &p.table
+	if t.isStale || now >= t.validUntil {
+		t.validUntil, t.isStale, t.usedCPU, t.openCapacity, t.totalCapacity = never, false, 0, placement.Resources{}, placement.Resources{}
+		t.view = slices.Grow(t.view[:0], len(t.sorted))[:len(t.sorted)]
+		clear(t.view)
+		for _, executor := range t.sorted {
 			p.updateView(executor, now)
 		}
 	} else {
-		for _, executor := range r.changed {
+		for _, executor := range t.changed {
 			p.updateView(executor, now)
 		}
 	}
-	for _, executor := range r.changed {
+	for _, executor := range t.changed {
 		executor.isChanged = false
 	}
-	r.changed = r.changed[:0]
-	return r.view
+	t.changed = t.changed[:0]
+	return t.view
 }
 
 // updateView recomputes placement's view of an executor and updates the sums over all executors. It lowers validUntil to the earliest
 // moment at which the view changes by the passing of time alone.
 func (p *Pool) updateView(executor *executorState, now time.Duration) {
-	r := &p.table
-	former, current := &r.view[executor.index], p.viewOf(executor, now)
-	r.openCapacity = r.openCapacity.Minus(openCapacity(former)).Plus(openCapacity(&current))
-	r.usedCPU += takenCPU(&current) - takenCPU(former)
-	r.totalCapacity = r.totalCapacity.Minus(former.Total).Plus(current.Total)
+	t := &p.table
+	former, current := &t.view[executor.index], p.viewOf(executor, now)
+	t.openCapacity = t.openCapacity.Minus(openCapacity(former)).Plus(openCapacity(&current))
+	t.usedCPU += takenCPU(&current) - takenCPU(former)
+	t.totalCapacity = t.totalCapacity.Minus(former.Total).Plus(current.Total)
 	*former = current
 	if now < executor.ejectedUntil {
-		r.validUntil = min(r.validUntil, executor.ejectedUntil)
+		t.validUntil = min(t.validUntil, executor.ejectedUntil)
 	}
 	if overdueAt := executor.contactAt + heartbeatOverdue + 1; now < overdueAt {
-		r.validUntil = min(r.validUntil, overdueAt)
+		t.validUntil = min(t.validUntil, overdueAt)
 	}
 	if silentAt := executor.contactAt + p.timing.SilentAfter + 1; now < silentAt {
-		r.validUntil = min(r.validUntil, silentAt)
+		t.validUntil = min(t.validUntil, silentAt)
 	}
 }
 
--- a/internal/scheduling/scheduler/queue.go
+++ b/internal/scheduling/scheduler/queue.go
@@ -11,7 +11,7 @@
 // A step is stale if its requests have to be computed again before the next placement.
 type openSteps struct {
 	steps map[*stepState]bool
-	// first holds requests for tasks without a run, speculative those for a second run beside a slow one.
+	// first holds requests for tasks without a run, speculative those for a second run beside the first.
 	first        requests
 	speculative  requests
 	stale        []*stepState
--- a/internal/scheduling/scheduler/renounce.go
+++ b/internal/scheduling/scheduler/renounce.go
@@ -14,8 +14,8 @@
 // be in flight there. Promises are kept as long as ended jobs; by then no submission is in flight any more.
 //
 // A promise binds submissions from gates with the same or an older configuration version than that of the gate that asked for it. A gate
-// with a newer configuration has asked all other pools itself, so none of them has the job or will accept it under an older
-// configuration. So a pool whose queue returns to its service accepts the queue's jobs again.
+// with a newer configuration has asked all other pools itself, so none of them has the job, and none will accept it from a gate with an
+// older configuration. So when a queue returns to the service of a pool, the pool accepts the queue's jobs again.
 type renounced struct {
 	// versions maps each renounced ID to the newest configuration version of the gates that asked.
 	versions map[string]int64
--- a/internal/scheduling/scheduler/rollouts.go
+++ b/internal/scheduling/scheduler/rollouts.go
@@ -161,8 +161,8 @@
 
 // hasLostRuns reports whether any task of the occurrence was started more often than its failures and its last run explain. A run was then
 // stopped, lost with its executor, or run speculatively beside another one.
-func (t *occurrence) hasLostRuns() bool {
-	for _, step := range t.steps {
+func (o *occurrence) hasLostRuns() bool {
+	for _, step := range o.steps {
 		for _, task := range step.tasks {
 			if task.lastRun > int64(task.sharedTask().failed)+1 {
 				return true
@@ -228,6 +228,6 @@
 }
 
 // hasLongRunningStep reports whether the occurrence has a long-running step, which ends only with the job.
-func (t *occurrence) hasLongRunningStep() bool {
-	return slices.ContainsFunc(t.steps, func(step *stepState) bool { return step.spec.LongRunning })
+func (o *occurrence) hasLongRunningStep() bool {
+	return slices.ContainsFunc(o.steps, func(step *stepState) bool { return step.spec.LongRunning })
 }
--- a/internal/scheduling/scheduler/tenantcount.go
+++ b/internal/scheduling/scheduler/tenantcount.go
@@ -11,7 +11,7 @@
 )
 
 // Counter sends a pool's calls to the leaders of the partitions of the tenant count. The answer callback runs on the pool's goroutine. Its
-// argument is nil if no leader decided.
+// argument is nil if no leader of the partition has decided.
 type Counter interface {
 	Ask(part int, call *wire.GrantCall, answer func(*wire.GrantAnswer))
 }
@@ -36,8 +36,8 @@
 	}
 }
 
-// limitFromBalance is the limit of a tenant that is no longer in the configuration: what the pool was granted while it was. A resource
-// without a grant was not counted and is unlimited.
+// limitFromBalance returns the limit of a tenant that is no longer in the configuration. It is what the pool was granted while the tenant
+// was in it. A resource without a grant was not counted and is unlimited.
 func limitFromBalance(balance placement.Resources) placement.Resources {
 	for _, field := range []*int64{&balance.CPU, &balance.Memory, &balance.GPU} {
 		if *field == 0 {
--- a/internal/scheduling/scheduler/tenants.go
+++ b/internal/scheduling/scheduler/tenants.go
@@ -128,7 +128,8 @@
 // maxUrgentFraction is the largest fraction of a tenant's limit that is reserved for its urgent work.
 const maxUrgentFraction = 0.4
 
-// longLimit is the limit of a tenant's long work: the tenant's limit minus the recent peak demand of its other work. It updates this peak.
+// longLimit returns the limit of a tenant's long work: the tenant's limit minus the recent peak demand of its other work. At most
+// maxUrgentFraction of the limit is subtracted. It updates this peak.
 func (p *Pool) longLimit(tenant *tenantState, limit placement.Resources, now time.Duration) placement.Resources {
 	present := p.open.first.urgentDemand[tenant.index].resources.Plus(tenant.allocated.resources).Minus(tenant.longAllocated.resources)
 	tenant.urgentDemand.raise(float64(present.CPU), float64(present.Memory), now, p.timing.ReservedCapacity.DemandHalfLife)
--- a/internal/scheduling/scheduler/transfer.go
+++ b/internal/scheduling/scheduler/transfer.go
@@ -24,8 +24,8 @@
 	transferResend = 500 * time.Millisecond
 )
 
-// TransferSender sends jobs to the pools of other services. The answer callback runs on the pool's goroutine. Its argument is nil if no pool
-// leader decided.
+// TransferSender sends jobs to the pools of other services. The answer callback runs on the pool's goroutine. Its argument is nil if no
+// leader of the other pool has answered.
 type TransferSender interface {
 	Send(service string, call *wire.ClientCall, answer func(*wire.ClientAnswer))
 }
