--- a/internal/control/storage/configuration.go
+++ b/internal/control/storage/configuration.go
@@ -20,7 +20,7 @@
 	return errors.Annotatef(s.putMeta(recordConfiguration, encoded), "saving version %d of the configuration", committed.Version)
 }
 
-// Configuration returns the configuration that was saved last, nil if none was saved.
+// Configuration returns the configuration that was saved last, or nil if none was saved.
 func (s *Store) Configuration() (*wire.Configuration, error) {
 	var encoded []byte
 	err := s.db.View(func(tx *bolt.Tx) error {
--- a/internal/control/storage/files.go
+++ b/internal/control/storage/files.go
@@ -18,7 +18,7 @@
 	SyncFolder(path string) error
 	// OpenFile opens or creates a file, like os.OpenFile.
 	OpenFile(path string, flag int, mode os.FileMode) (*os.File, error)
-	// Size returns the size of a file in bytes, a negative number if the file does not exist.
+	// Size returns the size of a file in bytes, or -1 if the file does not exist.
 	Size(path string) (int64, error)
 	// Remove deletes a file, like os.Remove.
 	Remove(path string) error
@@ -27,7 +27,7 @@
 // osFiles is the file system of the operating system.
 type osFiles struct{}
 
-// Exists also returns false if os.Stat fails for another reason than a missing path.
+// Exists also returns false if os.Stat fails for a reason other than a missing path.
 func (osFiles) Exists(path string) bool {
 	_, err := os.Stat(path)
 	return err == nil
@@ -52,7 +52,7 @@
 	return os.OpenFile(path, flag, mode)
 }
 
-// Size returns the size that os.Stat reports, noFile if the file does not exist.
+// Size returns the size that os.Stat reports, or noFile if the file does not exist.
 func (osFiles) Size(path string) (int64, error) {
 	info, err := os.Stat(path)
 	switch {
@@ -76,7 +76,7 @@
 
 // removeUnusedFile removes a data file without any committed transaction. It recognizes such a file by its size, because the first
 // transaction grows the file and syncs it before it writes any page. If power is lost while the file is created, the file may be torn so
-// that bbolt can't read it. Removing it is safe, because the store has not answered any call from it.
+// that bbolt can't read it. Removing it is safe, because the store has not answered any write to it.
 func removeUnusedFile(files Files, path string) error {
 	size, err := files.Size(path)
 	if err != nil {
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -16,7 +16,7 @@
 
 var errEnded = errors.New("the simulated process has ended")
 
-// losingFiles is a file system that loses on losePower each new file or folder whose parent was not synced after its creation.
+// losingFiles is a file system on which losePower removes each new file or folder whose parent was not synced after its creation.
 type losingFiles struct {
 	unsynced []string
 	// operationsLeft is the number of operations before the process ends. If it is negative, the process does not end.
@@ -143,7 +143,7 @@
 })
 
 // A transaction whose sync failed may be in the file or not. If the store answered a later write without another sync, a loss of power could
-// remove both.
+// remove that write and the failed transaction.
 var _ = Describe("a failed transaction", func() {
 	It("is followed by another sync and a successful transaction before the next write is answered", func() {
 		var failures, attempts int
--- a/internal/control/storage/lossydisk_test.go
+++ b/internal/control/storage/lossydisk_test.go
@@ -21,7 +21,7 @@
 // pageBytes is the size of the data file's pages. The first two pages are bbolt's meta pages.
 var pageBytes = os.Getpagesize()
 
-// pageWrite is a write to a page that is not synced yet.
+// pageWrite is a write of one page. after is the contents of the page after the write.
 type pageWrite struct {
 	offset int
 	after  []byte
@@ -179,7 +179,7 @@
 	commitMoments
 )
 
-// readDataFile returns the contents of the data file in a folder, nil if there is none.
+// readDataFile returns the contents of the data file in a folder, or nil if there is none.
 func readDataFile(folder string) []byte {
 	image, err := os.ReadFile(filepath.Join(folder, dataFile))
 	if err != nil && !os.IsNotExist(err) {
--- a/internal/control/storage/peers.go
+++ b/internal/control/storage/peers.go
@@ -23,7 +23,7 @@
 	return outcome.Err
 }
 
-// Peers returns the addresses that were saved last, none on a new disk.
+// Peers returns the addresses that were saved last. On a new disk there are none.
 func (s *Store) Peers() ([]string, error) {
 	var addresses []string
 	err := s.db.View(func(tx *bolt.Tx) error {
--- a/internal/control/storage/powerloss_test.go
+++ b/internal/control/storage/powerloss_test.go
@@ -31,11 +31,11 @@
 
 const (
 	noFault injectedFault = iota
-	// answersBeforeSync treats a write as answered as soon as its pages are written.
+	// answersBeforeSync treats each write as answered, even if its transaction was not synced.
 	answersBeforeSync
 	// ignoresMetaChecksum accepts a meta page with a wrong checksum.
 	ignoresMetaChecksum
-	// skipsSyncAfterFailure lets the store continue after a failed sync as if that had succeeded.
+	// skipsSyncAfterFailure skips the sync that the store makes after a failed transaction.
 	skipsSyncAfterFailure
 )
 
@@ -44,10 +44,10 @@
 	random *rand.Rand
 	fault  injectedFault
 	file   *lossyFile
-	// disk is the name of the disk, empty until an Open has succeeded.
+	// disk is the name of the disk. It is empty until an Open has succeeded.
 	disk string
-	// answered is the state after the last answered write. unanswered is the write in flight, nil if there is none, and inFlight is the
-	// state after it.
+	// answered is the state after the last answered write. unanswered is the write in flight, or nil if there is none. inFlight is the state
+	// after that write.
 	answered   wire.Snapshot
 	unanswered *storage.Write
 	inFlight   wire.Snapshot
@@ -166,7 +166,7 @@
 }
 
 // check compares the contents of the store with the answered writes. The store must hold either the answered state or the state after the
-// write in flight.
+// write in flight. In the first case the write in flight is either dropped or repeated, at random.
 func (s *lossSimulation) check(store *storage.Store) error {
 	if s.disk != "" && store.Disk() != s.disk {
 		return errors.Errorf("the name of the disk has changed: %s instead of %s", store.Disk(), s.disk)
--- a/internal/control/storage/read.go
+++ b/internal/control/storage/read.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// readState returns the state of a key's replica, an empty state if the disk has no replica of the key.
+// readState returns the state of a key's replica, or an empty state if the disk has no replica of the key.
 func readState(states *bolt.Bucket, key string) (ReplicaState, error) {
 	record := states.Get([]byte(key))
 	if record == nil {
@@ -26,7 +26,7 @@
 	return state, err
 }
 
-// ReplicaStates returns the states of all replicas on the disk by key. Any goroutine may call it.
+// ReplicaStates returns the states of all replicas on the disk, by key. Any goroutine may call it.
 func (s *Store) ReplicaStates() (map[string]ReplicaState, error) {
 	all := map[string]ReplicaState{}
 	err := s.db.View(func(tx *bolt.Tx) error {
@@ -42,7 +42,8 @@
 	return all, errors.Annotate(err, "reading the states of replicas")
 }
 
-// Read returns the durable state of a key's replica with all pairs. Any goroutine may call it.
+// Read returns the state of a key's replica with all pairs. After a failed transaction this may include writes that are not durable yet. Any
+// goroutine may call Read.
 func (s *Store) Read(key string) (wire.Snapshot, error) {
 	var snapshot wire.Snapshot
 	err := s.db.View(func(tx *bolt.Tx) error {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -1,6 +1,6 @@
 // Package storage keeps the replicas of keys on a disk, in one bbolt file. The file has these buckets:
 //
-//   - meta: the random name of the disk, the addresses of peers, the configuration that was last in force, and whether the disk is retiring
+//   - meta: the random name of the disk, the addresses of peers, the last committed configuration, and whether the disk is being emptied
 //   - heads: the ReplicaState of each replica, by key
 //   - pairs: a nested bucket for each key, with the values by name
 //
@@ -71,7 +71,7 @@
 func WithFiles(files Files) Option { return func(s *Store) { s.files = files } }
 
 // Open opens the data file in a folder. If there is none, Open creates the folder and the file and gives the disk a random name. When Open
-// returns, the file, its folder and all new parent folders are durable. Errors name the step and the folder.
+// returns, the file, its folder and all new parent folders are durable. Errors name the step that failed.
 func Open(folder string, options ...Option) (*Store, error) {
 	store := &Store{queue: make(chan queuedWrite, maxQueuedWrites), closed: make(chan struct{}), clock: clock.System(), files: osFiles{},
 		initialMapBytes: initialMapBytes}
@@ -122,7 +122,8 @@
 }
 
 // initialize creates the missing buckets, and reads the name of the disk or generates one. If everything exists already, the transaction
-// writes no pages. Its first sync then makes durable what an earlier process left unsynced, before any page is reused.
+// writes only a meta page. bbolt syncs the file before that, which makes durable what an earlier process left unsynced, before any page is
+// reused.
 func (s *Store) initialize() error {
 	return s.update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -96,13 +96,13 @@
 
 var _ = Describe("a snapshot", func() {
 	It("is refused if it is older than the replica, whatever its epoch", func() {
-		held := storage.ReplicaState{Promised: 3, Last: at(2, 9)}
+		current := storage.ReplicaState{Promised: 3, Last: at(2, 9)}
 		for _, last := range []wire.LogPosition{at(2, 8), at(1, 20), {}} {
-			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
-			Expect(outcome).To(Equal(storage.Outcome{State: held}))
+			outcome, _ := storage.Decide(current, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
+			Expect(outcome).To(Equal(storage.Outcome{State: current}))
 		}
 		for _, last := range []wire.LogPosition{at(2, 9), at(3, 1)} {
-			outcome, _ := storage.Decide(held, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
+			outcome, _ := storage.Decide(current, storage.Write{Key: "k", Epoch: 4, Snapshot: &wire.Snapshot{Last: last}})
 			Expect(outcome.State).To(Equal(storage.ReplicaState{Promised: 4, Last: last}))
 		}
 	})
--- a/internal/control/storage/write.go
+++ b/internal/control/storage/write.go
@@ -13,7 +13,7 @@
 // maxWritesPerTransaction is the maximum number of writes that share one transaction and its sync.
 const maxWritesPerTransaction = 64
 
-// Write is one durable step of a replica: a promise, changes after the position Prev, or a snapshot.
+// Write is one durable step of a replica: a promise, changes after the position Prev, or a snapshot with the changes that follow it.
 type Write struct {
 	Key      string
 	Epoch    uint64
@@ -40,7 +40,8 @@
 	done        func(Outcome)
 }
 
-// Submit queues a write and blocks while the queue is full. The function done runs on the writing goroutine after the sync.
+// Submit queues a write and blocks while the queue is full. The function done runs on the writing goroutine after the transaction of the
+// write has been synced or has failed.
 func (s *Store) Submit(write Write, done func(Outcome)) {
 	apply := func(tx *bolt.Tx) (Outcome, error) { return apply(tx, write) }
 	s.queue <- queuedWrite{apply, write.recordBytes(), done}
@@ -97,9 +98,9 @@
 	}
 }
 
-// resolveUnclearTransaction makes durable what a failed transaction left in the file, before the store answers a write that builds on it. To
-// do so one more transaction has to succeed. The sync comes first, because that transaction may write to pages of the last durable state,
-// which the failed transaction has freed.
+// resolveUnclearTransaction makes durable what a failed transaction may have left in the file, before the store answers a write that builds
+// on it. It syncs the file and then runs one more transaction. The sync comes first because the failed transaction has freed pages of the
+// last durable state, and the next transaction may overwrite them.
 func (s *Store) resolveUnclearTransaction() error {
 	if !s.hasUnclearTransaction {
 		return nil
@@ -151,13 +152,13 @@
 	if !update.Clear && len(update.Ops) == 0 {
 		return nil
 	}
-	all := tx.Bucket(bucketPairs)
-	if update.Clear && all.Bucket([]byte(key)) != nil {
-		if err := all.DeleteBucket([]byte(key)); err != nil {
+	pairsByKey := tx.Bucket(bucketPairs)
+	if update.Clear && pairsByKey.Bucket([]byte(key)) != nil {
+		if err := pairsByKey.DeleteBucket([]byte(key)); err != nil {
 			return err
 		}
 	}
-	pairs, err := all.CreateBucketIfNotExists([]byte(key))
+	pairs, err := pairsByKey.CreateBucketIfNotExists([]byte(key))
 	if err != nil {
 		return err
 	}
