--- a/internal/control/replication/append.go
+++ b/internal/control/replication/append.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxConcurrentHeartbeats limits the heartbeats in flight to a follower beside a call. One is not enough where an answer takes
-	// longer than the heartbeat interval: the lease would end before it is renewed.
+	// maxConcurrentHeartbeats limits the heartbeats in flight to a follower beside a call. One is not enough if an answer takes longer
+	// than the heartbeat interval: the lease would end before it is renewed.
 	maxConcurrentHeartbeats = 3
 	// failuresBeforePause is the number of consecutive calls without effect after which the leader pauses calls to a follower.
 	failuresBeforePause = 2
@@ -21,8 +21,8 @@
 	}
 }
 
-// sendAppend sends a follower the changes or the snapshot that it lacks, unless a call to it is in flight. A heartbeat is sent even
-// if the follower lacks nothing or is paused.
+// sendAppend sends a follower the changes or the snapshot that it lacks, unless a call to it is in flight or calls to it are paused.
+// A heartbeat is sent even if the follower lacks nothing or is paused.
 func (e *Engine) sendAppend(follower *followerProgress, isHeartbeat bool) {
 	if follower.hasCallInFlight || !isHeartbeat && e.clock.Monotonic() < follower.pausedUntil {
 		return
@@ -82,7 +82,8 @@
 	return wire.AppendCall{Key: e.key, Epoch: e.epoch, Leader: e.name, Disk: e.disk, Prev: prev}
 }
 
-// startAppendCall makes the one call to a follower that may be in flight at a time, apart from concurrent heartbeats.
+// startAppendCall sends a call to a follower and processes its answer. Apart from concurrent heartbeats and abandoned calls, only one
+// call to a follower is in flight at a time.
 func (e *Engine) startAppendCall(follower *followerProgress, call wire.AppendCall) {
 	follower.hasCallInFlight, follower.sentAt = true, e.clock.Monotonic()
 	follower.call = outstandingCall{number: follower.call.number + 1, isResendable: call.Snapshot == nil && call.Chunk == nil}
@@ -104,7 +105,7 @@
 	})
 }
 
-// handleLateAnswer processes the answer to a call that abandonStuckCall no longer waits for.
+// handleLateAnswer processes the answer to a call that was abandoned by abandonStuckCall.
 func (e *Engine) handleLateAnswer(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer, err error, sentAt time.Duration) {
 	follower.abandonedCalls--
 	if err == nil && answer.Taken && follower.isPositionKnown && answer.Last.Index > follower.acked.Index {
@@ -113,7 +114,8 @@
 }
 
 // renewLease sends a follower a heartbeat while a long call is in flight, such as a large call on a slow link or one that waits
-// for a slow disk. The answer renews the voter's lease. About the call it shows only that the network delivers new messages.
+// for a slow disk. The answer renews the lease that the voter grants. It shows that the network delivers new messages, but not whether
+// the long call has arrived. A candidate that fetches changes also uses renewLease.
 func (e *Engine) renewLease(follower *followerProgress) {
 	if follower.concurrentHeartbeats >= maxConcurrentHeartbeats {
 		return
@@ -196,8 +198,8 @@
 	}
 }
 
-// recordFailure counts a call without effect and pauses after failuresBeforePause of them. A disk that refuses writes or a machine
-// that resets each connection is thus not called in a tight loop.
+// recordFailure counts a call without effect. From failuresBeforePause consecutive ones on, it pauses calls to the follower for a
+// heartbeat interval. A disk that refuses writes or a machine that resets each connection is thus not called in a tight loop.
 func (e *Engine) recordFailure(follower *followerProgress) {
 	follower.failures++
 	if follower.failures >= failuresBeforePause {
--- a/internal/control/replication/changelog.go
+++ b/internal/control/replication/changelog.go
@@ -80,8 +80,8 @@
 	return l.entries[count-1].Position
 }
 
-// trim drops the oldest entries: those that exceed the limit, and those up to the needed index that exceed what a replica's
-// history keeps.
+// trim drops the oldest entries while the tail exceeds the limit. While it exceeds half of maxHistoryCount or maxHistoryBytes, trim
+// also drops entries up to the index needed.
 func (l *changeLog) trim(needed uint64, limit retention) {
 	dropped := 0
 	for dropped < len(l.entries) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// isSmall reports whether the log is within the size that a replica's history keeps, so that nothing has to be trimmed.
+// isSmall reports whether the log is within the limits of a replica's history, so that nothing has to be trimmed.
 func (l *changeLog) isSmall() bool {
 	return len(l.entries) <= maxHistoryCount && l.size <= maxHistoryBytes
 }
@@ -126,8 +126,8 @@
 	return count
 }
 
-// trimLog drops changes that all followers in contact hold, except as many as a replica's history keeps for followers that
-// return. It also drops changes beyond the leader's limit.
+// trimLog drops committed changes that all followers in contact hold. It keeps up to half as many of them as a replica's history may
+// contain, for followers that return. It also drops changes that exceed retentionLimit, even if a follower lacks them.
 func (e *Engine) trimLog() {
 	if e.changes.isSmall() {
 		return
@@ -147,8 +147,8 @@
 	return limit
 }
 
-// neededIndex returns the index up to which the changes may be dropped: all followers in contact and the leader's own disk hold
-// them or are being sent a snapshot that contains them, and a snapshot that is being read does not need them.
+// neededIndex returns the index after which the changes are still needed: the leader's own disk or a follower in contact lacks them,
+// or they follow a snapshot that is being read or sent.
 func (e *Engine) neededIndex() uint64 {
 	needed := e.snapshots.neededIndex(e.changes.last.Index)
 	for _, follower := range e.followers {
--- a/internal/control/replication/chunks.go
+++ b/internal/control/replication/chunks.go
@@ -9,7 +9,7 @@
 // sender can continue a transfer.
 type snapshotTransfer struct {
 	snapshot wire.Snapshot
-	// chunkBounds holds the index of the first pair of each chunk, and last the number of pairs.
+	// chunkBounds holds the index of the first pair of each chunk. Its last element is the number of pairs.
 	chunkBounds []int
 	// size is the total of all pairs in bytes.
 	size int
--- a/internal/control/replication/commit.go
+++ b/internal/control/replication/commit.go
@@ -38,7 +38,7 @@
 }
 
 // propose appends a change to the log and sends it to all followers. done is called with nil once the change is committed, or with
-// ErrLeadershipLost. A voter set takes effect when it is proposed, as in Raft.
+// ErrLeadershipLost if the leadership ends first. A voter set takes effect when it is proposed, as in Raft.
 func (e *Engine) propose(ops []wire.Op, voters *wire.VoterSet, done func(error)) {
 	change := e.changes.append(e.epoch, ops, voters)
 	if voters != nil {
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -24,9 +24,11 @@
 	highestEpochSeen uint64
 	// ownState is the state of the local replica at the start of the campaign.
 	ownState storage.ReplicaState
-	// fetchedChunks holds the chunks of the most up-to-date state that have been received. They are kept across campaigns.
+	// fetchedChunks holds the chunks of the most up-to-date state that have been received. They are kept across campaigns, until another
+	// disk holds the lease.
 	fetchedChunks chunkBuffer
-	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which needs no transfer.
+	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which needs no transfer. It is reset when another disk
+	// holds the lease.
 	hasYielded bool
 }
 
@@ -87,7 +89,7 @@
 	return status.LeaseUntil + e.staggerDelay(rank, voters)
 }
 
-// staggerDelay returns how long the candidate of a rank waits for those ranked before it. The delays shrink in larger sets, so
+// staggerDelay returns how long the candidate of a rank waits for those ranked before it. The delays shrink in larger voter sets, so
 // that the last candidate never waits longer than the last of three.
 func (e *Engine) staggerDelay(rank, voters int) time.Duration {
 	return time.Duration(rank) * e.timing.Stagger * 2 / time.Duration(max(2, voters-1))
@@ -138,8 +140,8 @@
 	})
 }
 
-// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. If all voters
-// have answered before that, the candidate backs off.
+// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. The
+// candidate backs off if all voters have answered before that, or if an answer shows that this disk is no longer a voter.
 func (e *Engine) collectPromises(voters []string, epoch uint64, isPreVote bool, isEnough func(map[string]wire.PromiseAnswer) bool) {
 	step, answered := e.step(), 0
 	granted := map[string]wire.PromiseAnswer{}
@@ -171,13 +173,13 @@
 	}
 }
 
-// isSupersededBy reports whether a peer has a later state in which this disk is no voter, so that this candidate gives
-// way to those voters.
+// isSupersededBy reports whether a peer has a later state in which this disk is not a voter. The voters of that state should then
+// elect the leader.
 func (e *Engine) isSupersededBy(answer wire.PromiseAnswer) bool {
 	return e.campaignState.ownState.Last.Below(answer.Last) && !quorum.Contains(answer.Voters, e.disk)
 }
 
-// backOff ends a campaign. The next one starts after Timing.Stagger plus a jitter that differs from disk to disk.
+// backOff ends a campaign. The next one starts no earlier than after Timing.Stagger plus a jitter that differs from disk to disk.
 func (e *Engine) backOff() {
 	e.phase = phaseIdle
 	jitter := fnv.New32a()
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -64,7 +64,7 @@
 	epoch         uint64
 	campaignState campaignState
 
-	// The fields below belong to one leadership. openLeadership resets them.
+	// The fields below belong to one leadership and are set anew for each. leadership is nil unless the engine leads.
 	leadership *Leadership
 	// changes ends with the last change that this leader proposed. Followers' positions are compared with it.
 	changes changeLog
@@ -72,7 +72,8 @@
 	voters  voterState
 	// followers holds the voters and learners by disk, including the leader's own disk.
 	followers map[string]*followerProgress
-	// lastLeaseAt is when this leader last held a lease from a quorum. It starts with the won election, and again with openLeadership.
+	// lastLeaseAt is when this leader last held a lease from a quorum. Its first value is the time at which the election was won, and
+	// then the time at which openLeadership was called.
 	lastLeaseAt time.Duration
 	snapshots   snapshotReader
 	progress    progressHistory
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -20,14 +20,14 @@
 const (
 	// maxFetchFailures is the number of consecutive failures after which the candidate gives up.
 	maxFetchFailures = 3
-	// fetchTimeout limits the whole fetch, from the won election on, also while changes or chunks arrive. After it the candidate ends the
-	// campaign. Chunks that it has received are kept for the next one.
+	// fetchTimeout limits the time since the won election, also while changes or chunks arrive. After it the candidate ends the campaign.
+	// Chunks that it has received are kept for the next campaign.
 	fetchTimeout = 2800 * time.Millisecond
 )
 
-// fetchFrom copies the most up-to-date state to the local disk and opens it. The missing changes are fetched in calls of limited
-// size. If the source no longer has them, a snapshot is fetched in chunks. Chunks are kept across campaigns, and any voter at the
-// same position can send the next one.
+// fetchFrom copies the most up-to-date state to the local disk and then opens the leadership from it. The missing changes are fetched
+// in calls of limited size. If the source no longer has them, a snapshot is fetched in chunks. Chunks are kept across campaigns, and
+// any voter at the same position can send the next one.
 func (e *Engine) fetchFrom(source wire.PromiseAnswer, from wire.LogPosition) {
 	e.renewCandidateLease()
 	e.fetchNext(&fetchTask{source: source, from: from})
@@ -73,7 +73,7 @@
 	})
 }
 
-// retryFetch repeats a fetch that returned nothing new, up to maxFetchFailures times.
+// retryFetch repeats a fetch that failed or returned nothing new. After maxFetchFailures consecutive failures it ends the campaign.
 func (e *Engine) retryFetch(fetch *fetchTask) {
 	if fetch.failures++; fetch.failures >= maxFetchFailures {
 		e.release("fetching the most up-to-date state failed repeatedly", "")
@@ -82,7 +82,7 @@
 	e.continueFetch(fetch)
 }
 
-// continueFetch fetches the next part unless the local replica has promised a higher epoch.
+// continueFetch fetches the next part. If the local replica has promised a higher epoch, it ends the campaign instead.
 func (e *Engine) continueFetch(fetch *fetchTask) {
 	step := e.step()
 	e.transport.Status(e.key, func(status ReplicaStatus) {
@@ -96,7 +96,8 @@
 	})
 }
 
-// handleChunk stores a chunk of the fetched snapshot, and installs the snapshot once it is complete.
+// handleChunk stores a chunk of the fetched snapshot, and installs the snapshot once it is complete. After the first chunk of a larger
+// snapshot the candidate yields to the source, unless it has yielded before.
 func (e *Engine) handleChunk(fetch *fetchTask, chunk *wire.SnapshotChunk) {
 	if chunk.At != fetch.source.Last {
 		e.release("the source is at another position now", "")
@@ -118,8 +119,8 @@
 	}
 }
 
-// yieldToSource lets the voter with the most up-to-date state lead, as it needs no transfer. The candidate campaigns again a lease
-// later, and then fetches the state if there is still no leader.
+// yieldToSource lets the voter with the most up-to-date state lead, as it needs no transfer. The candidate campaigns again one
+// lease later, and then fetches the state if there is still no leader.
 func (e *Engine) yieldToSource(fetch *fetchTask) {
 	e.campaignState.hasYielded = true
 	e.release("yielding to a more up-to-date voter", fetch.source.Disk)
--- a/internal/control/replication/follower.go
+++ b/internal/control/replication/follower.go
@@ -29,8 +29,8 @@
 	failures    int
 	pausedUntil time.Duration
 
-	// lastContact is the time of the last answer. Answers to concurrent heartbeats don't count, so that a disk that hangs counts as
-	// silent.
+	// lastContact is the time of the last answer, or the time at which the follower was added if there is none yet. Answers to concurrent
+	// heartbeats don't count, so that a disk that hangs counts as silent.
 	lastContact time.Duration
 	// leaseUntil is when the lease that the disk granted ends. It is counted from the moment at which the answered call was sent.
 	leaseUntil time.Duration
@@ -41,7 +41,8 @@
 	syncDelay    time.Duration
 	hasSyncDelay bool
 
-	// transfer is the snapshot that the follower is being sent, nextChunk the number of the next chunk that it lacks.
+	// transfer is the snapshot that the follower is being sent; nil if there is none. nextChunk is the number of the next chunk that the
+	// follower lacks.
 	transfer  *snapshotTransfer
 	nextChunk int
 	// retention is the additional log tail that is kept for the follower, from the start of a transfer until it has caught up.
@@ -72,12 +73,13 @@
 	return followers
 }
 
-// isInContact reports whether the follower has answered within Timing.LostAfter.
+// isInContact reports whether the follower has answered, or was added, within Timing.LostAfter.
 func (e *Engine) isInContact(follower *followerProgress) bool {
 	return e.clock.Monotonic()-follower.lastContact < e.timing.LostAfter
 }
 
-// isWithinLag reports whether a follower lacks at most maxLag changes, or only changes that are younger than age.
+// isWithinLag reports whether a follower lacks at most maxLag changes, or only changes that are younger than age. It is false if the
+// follower's position is unknown or belongs to an earlier epoch.
 func (e *Engine) isWithinLag(follower *followerProgress, age time.Duration) bool {
 	if !follower.isPositionKnown || follower.acked.Epoch != e.epoch {
 		return false
--- a/internal/control/replication/history.go
+++ b/internal/control/replication/history.go
@@ -12,9 +12,9 @@
 	maxHistoryBytes = 1 << 20
 )
 
-// History holds the most recent changes that a replica accepted. The first follows Base, each other one its predecessor. A state
-// at the position of one of them includes all earlier changes: an epoch has one leader, and a disk accepts a change only if it
-// holds the position before it (Raft's log matching property).
+// History holds the most recent changes that a replica accepted, without a gap. The first of them follows Base. A state at the
+// position of one of these changes includes all earlier ones: an epoch has one leader, and a disk accepts a change only if its log ends
+// at the position before that change (Raft's log matching property).
 type History struct {
 	Base    wire.LogPosition
 	Changes []wire.Change
--- a/internal/control/replication/history_test.go
+++ b/internal/control/replication/history_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// newFailoverCluster returns a cluster whose leader was killed while one follower lacked some changes that the other held.
+// newFailoverCluster returns a cluster whose leader was killed while one follower lacked some changes that the other held. A new leader
+// has been elected.
 func newFailoverCluster(seed uint64) (c *testCluster, oldLeader *testNode) {
 	c = newTestCluster(seed, "a", "b", "c")
 	c.run(2 * time.Second)
@@ -82,7 +83,7 @@
 			c.run(2 * time.Second)
 			c.runWithWrites(500 * time.Millisecond)
 			for _, node := range c.others() {
-				node.lacksChunkSupport = isEarlierVersion
+				node.isEarlierVersion = isEarlierVersion
 			}
 			oldLeader, lagging := c.leader(), c.others()[0]
 			c.isolated[lagging.name] = true
--- a/internal/control/replication/leadership.go
+++ b/internal/control/replication/leadership.go
@@ -23,8 +23,8 @@
 	isOver atomic.Bool
 	// leaseUntil is the end of the lease on the monotonic clock, in nanoseconds.
 	leaseUntil atomic.Int64
-	// wallOffsets holds each other follower's time of day minus the monotonic clock, in milliseconds. The slice is replaced, never
-	// modified.
+	// wallOffsets holds, for each follower except the leader's own disk, its time of day minus this process's monotonic clock, in
+	// milliseconds. The slice is replaced, never modified.
 	wallOffsets atomic.Pointer[[]int64]
 }
 
@@ -46,13 +46,13 @@
 	l.wallOffsets.Store(&offsets)
 }
 
-// Epoch returns the epoch of this leadership. No other leadership of the key has the same one. It may run on any goroutine.
+// Epoch returns the epoch of this leadership. No other leadership of the key has the same epoch. Epoch may run on any goroutine.
 func (l *Leadership) Epoch() uint64 { return l.epoch }
 
 // IsOpen reports whether the leadership has not ended yet. It may run on any goroutine.
 func (l *Leadership) IsOpen() bool { return !l.isOver.Load() }
 
-// Commit makes a change durable on a quorum. done gets nil after that, or ErrLeadershipLost if the leadership ends first.
+// Commit makes a change durable on a quorum. done is called with nil after that, or with ErrLeadershipLost if the leadership ends first.
 func (l *Leadership) Commit(ops []wire.Op, done func(error)) {
 	if !l.IsOpen() {
 		done(ErrLeadershipLost)
--- a/internal/control/replication/leadershiptransfer.go
+++ b/internal/control/replication/leadershiptransfer.go
@@ -16,7 +16,7 @@
 	healthyDuration = 5 * time.Second
 	// minLeadershipWhenSlow is how long a leader that was never healthy keeps the key.
 	minLeadershipWhenSlow = 30 * time.Second
-	// campaignPause is how long a steward that released a key does not campaign for it.
+	// campaignPause is how long a steward does not campaign for a key that it released because its own disk was slow or hung.
 	campaignPause = 6 * time.Second
 	// averageWeight is the inverse of the weight of a new sample in an exponential moving average.
 	averageWeight = 4
@@ -25,10 +25,12 @@
 // slownessDetector distinguishes a leader that became slow from one that is slowed down by the load of the key itself. The load
 // would move with the key, so a leader that was never healthy since it took over keeps the key for minLeadershipWhenSlow.
 type slownessDetector struct {
-	openedAt     time.Duration
+	openedAt time.Duration
+	// healthySince is when the leader was last observed to be slow, slowSince when it was last observed not to be. Both start at openedAt.
 	healthySince time.Duration
 	slowSince    time.Duration
-	wasHealthy   bool
+	// wasHealthy is set once the leader has not been slow for healthyDuration.
+	wasHealthy bool
 }
 
 func newSlownessDetector(now time.Duration) slownessDetector {
@@ -36,22 +38,22 @@
 }
 
 // observe records whether the leader is slow now, and reports whether it has been slow for long enough to transfer the leadership.
-func (w *slownessDetector) observe(now time.Duration, isSlow bool) (shouldTransfer bool) {
+func (d *slownessDetector) observe(now time.Duration, isSlow bool) (shouldTransfer bool) {
 	if !isSlow {
-		w.slowSince = now
-		w.wasHealthy = w.wasHealthy || now-w.healthySince >= healthyDuration
+		d.slowSince = now
+		d.wasHealthy = d.wasHealthy || now-d.healthySince >= healthyDuration
 		return false
 	}
-	w.healthySince = now
-	return now-w.slowSince >= slowDuration && (w.wasHealthy || now-w.openedAt >= minLeadershipWhenSlow)
+	d.healthySince = now
+	return now-d.slowSince >= slowDuration && (d.wasHealthy || now-d.openedAt >= minLeadershipWhenSlow)
 }
 
 func updateAverage(average *time.Duration, sample time.Duration) {
 	*average += (sample - *average) / averageWeight
 }
 
-// recordSyncDelay updates the average time from the arrival of a change to its sync. A peer reports this time in its answer. For
-// the leader's own disk it is the round trip, which includes the waits for its own goroutines.
+// recordSyncDelay updates a follower's average time from the arrival of a change to its sync. A peer reports this time in its answer.
+// For the leader's own disk it is the round trip, which includes the time that the call waits for the goroutines of this process.
 func (e *Engine) recordSyncDelay(follower *followerProgress, answer wire.AppendAnswer, roundTrip time.Duration) {
 	delay := time.Duration(answer.DelayUs) * time.Microsecond
 	if follower.disk == e.disk {
--- a/internal/control/replication/leadershiptransfer_test.go
+++ b/internal/control/replication/leadershiptransfer_test.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// newSlowLeaderCluster returns a cluster whose leader is slow, and the follower with the shortest delay.
+// newSlowLeaderCluster returns a cluster, its leader, which is slow, and the voter with the shortest delay.
 func newSlowLeaderCluster(seed uint64) (c *testCluster, leader, fastest *testNode) {
 	c = newGrownCluster(seed)
 	c.runWithWrites(5 * time.Second)
@@ -103,7 +103,7 @@
 	It("keeps the key among peers of an earlier version, which report no sync delay", func() {
 		c, leader, _ := newSlowLeaderCluster(305)
 		for _, node := range c.nodes {
-			node.lacksChunkSupport = true
+			node.isEarlierVersion = true
 		}
 		c.runWithWrites(5 * time.Second)
 		Expect(c.leader()).To(Equal(leader))
--- a/internal/control/replication/learner_test.go
+++ b/internal/control/replication/learner_test.go
@@ -17,10 +17,10 @@
 	}
 }
 
-// runUntilVoter runs the simulation with bursts of writes until a disk is a voter. It returns the elapsed time, at most the limit.
-func (c *testCluster) runUntilVoter(disk string, limit time.Duration) time.Duration {
+// runUntilVoter runs the simulation with bursts of writes until a disk is a voter. It returns the elapsed time, at most the timeout.
+func (c *testCluster) runUntilVoter(disk string, timeout time.Duration) time.Duration {
 	startedAt := c.clock.Monotonic()
-	for c.clock.Monotonic()-startedAt < limit {
+	for c.clock.Monotonic()-startedAt < timeout {
 		c.writeBurst(10 * time.Millisecond)
 		if slices.Contains(c.voters(), disk) {
 			break
--- a/internal/control/replication/lease.go
+++ b/internal/control/replication/lease.go
@@ -67,7 +67,7 @@
 	e.maybeMoveToPreferred()
 }
 
-// releaseIfUnfit releases the key and returns true if this process can't continue to lead because of its own disk.
+// releaseIfUnfit releases the key if this process can't continue to lead because of its own disk, and reports whether it did.
 func (e *Engine) releaseIfUnfit() bool {
 	switch {
 	case e.isOwnReplicaBehind():
@@ -103,8 +103,8 @@
 	return e.snapshots.isReading && e.clock.Monotonic()-e.snapshots.startedAt > snapshotReadTimeout
 }
 
-// isOwnReplicaBehind reports whether the leader's own disk was stalled or full for so long that the log no longer has the changes
-// it lacks. This leader can neither bring its disk up to date nor read a snapshot for others. The next leader can do both.
+// isOwnReplicaBehind reports whether the log no longer has the changes that the leader's own disk lacks, because the disk was stalled
+// or full for too long. This leader can neither bring its disk up to date nor read a snapshot for others. The next leader can do both.
 func (e *Engine) isOwnReplicaBehind() bool {
 	own := e.followers[e.disk]
 	return own != nil && own.needsSnapshot
--- a/internal/control/replication/lease_test.go
+++ b/internal/control/replication/lease_test.go
@@ -48,12 +48,12 @@
 		Expect(isGranted).To(BeFalse())
 	})
 
-	for _, rates := range [][]int64{{-10, 10, 10}, {10, -10, -10}} {
-		It(fmt.Sprintf("ends at the leader before it ends at the voter, with clock drifts of %v per mille", rates), func() {
+	for _, driftsPerMille := range [][]int64{{-10, 10, 10}, {10, -10, -10}} {
+		It(fmt.Sprintf("ends at the leader before it ends at the voter, with clock drifts of %v per mille", driftsPerMille), func() {
 			for seed := range uint64(12) {
 				c := newTestCluster(900+seed, "a", "b", "c")
 				for index, node := range c.nodes {
-					node.clock.driftPerMille = rates[index]
+					node.clock.driftPerMille = driftsPerMille[index]
 				}
 				for range 4 {
 					c.runUntil(func() bool { return c.leader() != nil })
--- a/internal/control/replication/leaving.go
+++ b/internal/control/replication/leaving.go
@@ -17,8 +17,8 @@
 	deadline    time.Duration
 }
 
-// Leave prepares the shutdown of this process: the leader transfers the key to the most up-to-date follower once no commit is
-// pending, or after maxLeaveWait. The engine starts no campaign afterwards.
+// Leave prepares the shutdown of this process: if the engine leads, it transfers the key to the most up-to-date follower once no commit
+// is pending, or after maxLeaveWait. It starts no further campaign.
 func (e *Engine) Leave() {
 	e.leaving = leaveRequest{isRequested: true, deadline: e.clock.Monotonic() + maxLeaveWait}
 	if e.phase == phaseCandidate {
@@ -29,8 +29,8 @@
 
 // maybeLeave releases the key if a leave was requested and no commit is pending or the deadline has passed.
 func (e *Engine) maybeLeave() {
-	isLeading := e.phase >= phaseFetching
-	if !e.leaving.isRequested || !isLeading || len(e.commits.pending) > 0 && e.clock.Monotonic() < e.leaving.deadline {
+	hasWonElection := e.phase >= phaseFetching
+	if !e.leaving.isRequested || !hasWonElection || len(e.commits.pending) > 0 && e.clock.Monotonic() < e.leaving.deadline {
 		return
 	}
 	e.releaseToMostUpToDate("this process is shutting down")
@@ -48,7 +48,7 @@
 }
 
 // isRemoved reports whether the committed voter set lacks this leader's own disk. This happens if the leader was elected during a
-// voter change that replaces its disk. It no longer replicates to its own disk, and so can't read a snapshot for others.
+// voter change that replaces its disk. Such a leader no longer replicates to its own disk, and so can't read a snapshot for others.
 func (e *Engine) isRemoved() bool {
 	isSettled := !quorum.IsJoint(e.voters.set) && e.voters.isCommitted(e.commits.index)
 	return e.phase == phaseLeading && isSettled && !slices.Contains(e.voters.set.Current, e.disk)
--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -14,9 +14,10 @@
 	n.engine.Leave()
 }
 
-// runUntilRemoved runs the simulation with writes until a leaving node votes on no key. It returns false if the limit passes first.
-func (c *testCluster) runUntilRemoved(leaving *testNode, limit time.Duration) bool {
-	for end := c.clock.Monotonic() + limit; c.clock.Monotonic() < end; c.runWithWrites(10 * time.Millisecond) {
+// runUntilRemoved runs the simulation with writes until a leaving node votes on no key, and reports whether that happens before the
+// timeout.
+func (c *testCluster) runUntilRemoved(leaving *testNode, timeout time.Duration) bool {
+	for end := c.clock.Monotonic() + timeout; c.clock.Monotonic() < end; c.runWithWrites(10 * time.Millisecond) {
 		if len(leaving.replicas.VotingKeys()) == 0 {
 			return true
 		}
@@ -134,7 +135,7 @@
 		}
 	})
 
-	It("needs no snapshot but the first in a rolling restart, with less than 1.5 s without a leader", func() {
+	It("needs a snapshot only for the first node of a rolling restart, with less than 1.5 s without a leader", func() {
 		c := newTestCluster(1080, "a", "b", "c", "d")
 		c.run(2 * time.Second)
 		c.runWithWrites(500 * time.Millisecond)
--- a/internal/control/replication/options.go
+++ b/internal/control/replication/options.go
@@ -49,8 +49,8 @@
 // WithInitialVoters sets the disks that may bootstrap the key while none of them holds a replica of it.
 func WithInitialVoters(voters []string) Option { return func(o *options) { o.initialVoters = voters } }
 
-// WithMachineLosses sets how many disks a key must be able to lose at once, at least one, while it keeps its data and a quorum. The key
-// gets twice that number of voters, plus one.
+// WithMachineLosses sets how many disks a key must be able to lose at once without losing its data or its quorum. The minimum is one.
+// The key gets 2*losses+1 voters.
 func WithMachineLosses(losses int) Option {
 	return func(o *options) { o.voterGoal = quorum.VotersFor(losses) }
 }
--- a/internal/control/replication/preferredleader.go
+++ b/internal/control/replication/preferredleader.go
@@ -6,10 +6,10 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// preferredDelay is how long a voter must have been eligible before the key is transferred to it. It is long enough that a voter that
-// returns has caught up with all of its keys, that a continuing fault doesn't move a key twice, and that state that restarts with each
-// leadership, such as the time of locks, rarely restarts. firstPreferredDelay applies to the first leadership of a key, when hardly
-// anything depends on it.
+// preferredDelay is how long a voter must have been eligible before the key is transferred to it. A returning voter can catch up with
+// all of its keys in that time. A shorter delay could move a key twice during one fault, and would more often restart the state that
+// restarts with each leadership, such as the hold times of locks. firstPreferredDelay applies to the first leadership of a key, when
+// hardly anything depends on it.
 const (
 	preferredDelay      = 15 * time.Second
 	firstPreferredDelay = 3 * time.Second
@@ -18,8 +18,8 @@
 // firstEpoch is the epoch of the first leadership of a key.
 const firstEpoch = 1
 
-// maxMoveWait is how long the leader waits for a moment without pending commits. After it the key is transferred regardless. The
-// outcome of the pending commits is unknown then, and their callers have to ask the next leader.
+// maxMoveWait is how long the leader waits for a moment without pending commits. After that time it transfers the key even if commits
+// are pending. Their outcome is then unknown, and the callers have to ask the next leader.
 const maxMoveWait = 2 * time.Second
 
 // preferredVoter is the voter to which the key should be transferred, and since when it has been eligible without interruption.
@@ -48,7 +48,7 @@
 	}
 }
 
-// shouldMoveTo reports whether the key should now be transferred to a successor that has been eligible for that long. The successor
+// shouldMoveTo reports whether the key should now be transferred to a successor that has been eligible for eligibleFor. The successor
 // must hold all committed changes, and either no commit is pending or the leader has waited maxMoveWait for that.
 func (e *Engine) shouldMoveTo(successor *followerProgress, eligibleFor time.Duration) bool {
 	delay := preferredDelay
--- a/internal/control/replication/preferredleader_test.go
+++ b/internal/control/replication/preferredleader_test.go
@@ -23,9 +23,9 @@
 		Expect(preferred).NotTo(BeNil())
 	})
 	// leaderlessTimeUntil runs the simulation until a wanted node leads the key, and returns how long there was no leader.
-	leaderlessTimeUntil := func(isWanted func(*testNode) bool, limit time.Duration) (leaderless time.Duration) {
+	leaderlessTimeUntil := func(isWanted func(*testNode) bool, timeout time.Duration) (leaderless time.Duration) {
 		GinkgoHelper()
-		for range limit / time.Millisecond {
+		for range timeout / time.Millisecond {
 			c.runWithWrites(time.Millisecond)
 			if c.leader() == nil {
 				leaderless += time.Millisecond
@@ -33,7 +33,7 @@
 				return leaderless
 			}
 		}
-		Fail("the key was not transferred within the limit")
+		Fail("the key was not transferred within the timeout")
 		return leaderless
 	}
 	isOther := func(node *testNode) bool { return node != preferred }
--- a/internal/control/replication/quorum/quorum.go
+++ b/internal/control/replication/quorum/quorum.go
@@ -10,7 +10,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// VotersFor returns the number of voters that a key needs to tolerate the loss of that many disks at once, at least of one.
+// VotersFor returns the number of voters that a key needs to tolerate that many disk losses at once. It assumes at least one loss.
 func VotersFor(losses int) int { return 2*max(1, losses) + 1 }
 
 // Reached reports whether the disks for which has is true are a quorum of the set. An empty set has no quorum.
--- a/internal/control/replication/quorum/selection.go
+++ b/internal/control/replication/quorum/selection.go
@@ -20,9 +20,9 @@
 }
 
 // Next returns the sorted voters that the key should have, given candidates in order of preference. Candidates replace lost voters
-// and fill the set up to the goal, spread over failure domains. An odd number of voters stays odd, except that a set above
-// the goal may shrink to any number above it. A voter that is not lost is never removed. A lost voter stays until a candidate replaces it,
-// but a set above the goal drops the lost voters that exceed the goal without a replacement.
+// and fill the set up to the goal, spread over failure domains. An odd number of voters stays odd, except that a set larger than
+// the goal may shrink to any number above the goal. A voter that is not lost is never removed. A lost voter stays until a candidate
+// replaces it, but a set larger than the goal drops lost voters without a replacement until its size is the goal.
 func (s Selection) Next(candidates []string) []string {
 	next := s.Kept()
 	goal := max(len(s.Current), largestOdd(min(s.Goal, len(next)+len(candidates))))
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -29,8 +29,8 @@
 
 // localReplica is the in-memory state of one replica on the local disk.
 type localReplica struct {
-	// state is the synced state. promised is the highest epoch that is promised, or whose promise is being synced; it is never below
-	// state.Promised.
+	// state is the synced state. promised is the highest epoch of a promise or of a leader's call, even if that epoch is not synced
+	// yet. It is never below state.Promised.
 	state    storage.ReplicaState
 	promised uint64
 	lease    grantedLease
@@ -70,7 +70,7 @@
 	// promisesBlockedUntil is one lease after a restart. Until then no promise is granted, since the leases that the previous process
 	// granted are unknown.
 	promisesBlockedUntil time.Duration
-	keys                 map[string]*localReplica
+	replicas             map[string]*localReplica
 	isLeaving            bool
 	log                  logging.Logger
 }
@@ -88,12 +88,12 @@
 	if err != nil {
 		return nil, err
 	}
-	table := &Replicas{mailbox: inbox, disk: disk, clock: clock, lease: lease, keys: map[string]*localReplica{}, log: logging.Silent()}
+	table := &Replicas{mailbox: inbox, disk: disk, clock: clock, lease: lease, replicas: map[string]*localReplica{}, log: logging.Silent()}
 	for _, option := range options {
 		option(table)
 	}
 	for key, state := range states {
-		table.keys[key] = &localReplica{state: state, promised: state.Promised}
+		table.replicas[key] = &localReplica{state: state, promised: state.Promised}
 		table.logOpened(key, state)
 	}
 	if !disk.IsNew() {
@@ -107,20 +107,21 @@
 
 // replicaOf returns the replica of a key. It adds an empty one if there is none yet.
 func (r *Replicas) replicaOf(key string) *localReplica {
-	replica := r.keys[key]
+	replica := r.replicas[key]
 	if replica == nil {
 		replica = &localReplica{}
-		r.keys[key] = replica
+		r.replicas[key] = replica
 	}
 	return replica
 }
 
-// Promise answers a candidate's request for a promise or a pre-vote. It refuses while another disk holds the lease, and refuses an
-// epoch that is not above all promised ones. A promise is synced before it is sent. Promise must run on the table's goroutine.
+// Promise answers a candidate's request for a promise or a pre-vote. It refuses while another disk holds the lease, during the first
+// lease after a restart, and if the epoch is not above all promised ones. A promise is synced before it is sent; a pre-vote changes
+// nothing. Promise must run on the table's goroutine.
 func (r *Replicas) Promise(call wire.PromiseCall, answer func(wire.PromiseAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
-	isLeased := now < replica.lease.until && replica.lease.holderDisk != call.Disk
-	if isLeased || now < r.promisesBlockedUntil || call.Epoch <= replica.promised {
+	isLeasedToOther := now < replica.lease.until && replica.lease.holderDisk != call.Disk
+	if isLeasedToOther || now < r.promisesBlockedUntil || call.Epoch <= replica.promised {
 		answer(r.newPromiseAnswer(replica.state, max(replica.promised, replica.state.Promised), false))
 		return
 	}
@@ -155,8 +156,8 @@
 	replica.promised = max(replica.promised, outcome.State.Promised)
 }
 
-// Append processes a leader's changes, snapshot, chunk, heartbeat or release, and grants the leader a lease. It refuses a leader whose
-// epoch is below the promised one. The answer to changes or to a whole snapshot follows their sync.
+// Append processes a leader's changes, snapshot, chunk, heartbeat or release. It grants the leader a lease; a release ends it. A leader
+// whose epoch is below the promised one is refused. Changes and a complete snapshot are synced before the answer.
 // Append must run on the table's goroutine.
 func (r *Replicas) Append(call wire.AppendCall, answer func(wire.AppendAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
@@ -164,7 +165,7 @@
 		answer(r.newAppendAnswer(replica, false))
 		return
 	}
-	// A call without changes also ends all older epochs. Otherwise an old leader could take the lease of this one.
+	// A call without changes also ends all older epochs. Otherwise an old leader could take over the lease of this one.
 	replica.promised = call.Epoch
 	if call.Release {
 		replica.recordRelease(now, call.Epoch, call.Successor)
@@ -202,8 +203,8 @@
 	})
 }
 
-// grantLease grants the leader of a call the lease until that moment, unless this epoch has been released. A call that the leader
-// sent before its release but that arrives after it renews no lease.
+// grantLease grants the lease to the leader of a call until the given time, unless the epoch of the call has been released. So a call
+// that the leader sent before its release but that arrives after it renews no lease.
 func (replica *localReplica) grantLease(call wire.AppendCall, until time.Duration) {
 	if call.Epoch > replica.release.epoch {
 		replica.lease = grantedLease{until: until, holderDisk: call.Disk, holder: call.Leader}
@@ -242,7 +243,7 @@
 // goroutine.
 func (r *Replicas) VotingKeys() map[string]wire.VoterSet {
 	sets := map[string]wire.VoterSet{}
-	for key, replica := range r.keys {
+	for key, replica := range r.replicas {
 		if !replica.isVotedOut && quorum.Contains(replica.state.Voters, r.disk.Disk()) {
 			sets[key] = replica.state.Voters
 		}
@@ -259,11 +260,11 @@
 // ReplicaStatus is the state of a replica that an engine needs before it campaigns.
 type ReplicaStatus struct {
 	State storage.ReplicaState
-	// Promised is the highest epoch that the replica has promised, or whose promise is being synced.
+	// Promised is the highest epoch of a promise or of a leader's call, even if that epoch is not synced yet.
 	Promised uint64
 	// LeaseUntil is when the replica may grant another disk a promise, on this process's monotonic clock: at the end of the granted lease,
-	// and not before one lease after a restart. LeaseHolderDisk and LeaseHolder are the disk and
-	// the name of the leader that was last granted a lease.
+	// and not before one lease after a restart. LeaseHolderDisk and LeaseHolder are the disk and the name of the leader that was last
+	// granted a lease.
 	LeaseUntil      time.Duration
 	LeaseHolderDisk string
 	LeaseHolder     string
@@ -282,13 +283,13 @@
 		Successor: release.successor}
 }
 
-// Keys returns the keys of all replicas, in no particular order.
+// Keys returns the keys of all replicas, in no particular order. It must run on the table's goroutine.
 func (r *Replicas) Keys() []string {
-	names := make([]string, 0, len(r.keys))
-	for name := range r.keys {
-		names = append(names, name)
+	keys := make([]string, 0, len(r.replicas))
+	for key := range r.replicas {
+		keys = append(keys, key)
 	}
-	return names
+	return keys
 }
 
 // AskPromise is Promise for other goroutines. It returns an error if ctx is done before the answer.
@@ -296,7 +297,8 @@
 	return mailbox.Ask(ctx, r.mailbox, func(answer func(wire.PromiseAnswer)) { r.Promise(call, answer) })
 }
 
-// AskAppend is Append for other goroutines. The answer contains the time since the arrival of the call.
+// AskAppend is Append for other goroutines. The answer contains the time since the arrival of the call. AskAppend returns an error if
+// ctx is done before the answer.
 func (r *Replicas) AskAppend(ctx context.Context, call wire.AppendCall) (wire.AppendAnswer, error) {
 	arrivedAt := r.clock.Monotonic()
 	return mailbox.Ask(ctx, r.mailbox, func(answer func(wire.AppendAnswer)) {
@@ -307,7 +309,7 @@
 	})
 }
 
-// AskStatus is Status for other goroutines.
+// AskStatus is Status for other goroutines. It returns an error if ctx is done before the answer.
 func (r *Replicas) AskStatus(ctx context.Context, key string) (ReplicaStatus, error) {
 	return mailbox.Ask(ctx, r.mailbox, func(answer func(ReplicaStatus)) { answer(r.Status(key)) })
 }
--- a/internal/control/replication/replication_test.go
+++ b/internal/control/replication/replication_test.go
@@ -161,8 +161,8 @@
 	}
 })
 
-// injectFault ends all faults and then injects at most one: into a single node, the most that the cluster must tolerate, or a loss of
-// power of all nodes.
+// injectFault ends all faults and then injects at most one: a fault of a single node, since the cluster must tolerate no more, or a loss
+// of power of all nodes.
 func (c *testCluster) injectFault(wipes *int) {
 	for _, node := range c.nodes {
 		if !node.isUp {
--- a/internal/control/replication/resend_test.go
+++ b/internal/control/replication/resend_test.go
@@ -24,17 +24,17 @@
 		}
 	})
 	// catchUpTime runs the simulation until the follower holds the changes that the leader holds now, and returns the elapsed time.
-	catchUpTime := func(limit time.Duration) time.Duration {
+	catchUpTime := func(timeout time.Duration) time.Duration {
 		GinkgoHelper()
 		goal := leader.disk.Heads[key].Last.Index
-		for waited := time.Duration(0); waited < limit; waited += 5 * time.Millisecond {
+		for waited := time.Duration(0); waited < timeout; waited += 5 * time.Millisecond {
 			if follower.disk.Heads[key].Last.Index >= goal {
 				return waited
 			}
 			c.run(5 * time.Millisecond)
 		}
-		Fail("the follower did not catch up within the limit")
-		return limit
+		Fail("the follower did not catch up within the timeout")
+		return timeout
 	}
 	write := func() {
 		c.runWithWrites(30 * time.Millisecond)
--- a/internal/control/replication/schedule_test.go
+++ b/internal/control/replication/schedule_test.go
@@ -18,8 +18,8 @@
 	seedsVariable = "REPLICATION_SEEDS"
 )
 
-// faultSchedule injects random faults into a simulated cluster: at most as many losses at once as it must tolerate. It counts losses
-// as the deployment does.
+// faultSchedule injects random faults into a simulated cluster: at most as many losses at once as it must tolerate. A node counts as lost
+// until recoveryTime after the end of its fault, as in a deployment.
 type faultSchedule struct {
 	*testCluster
 	// faultEndsAt is when a node's fault ends, lostUntil when the node no longer counts as lost.
@@ -167,7 +167,7 @@
 	s.lostUntil[node] = s.clock.Monotonic() + recoveryTime
 }
 
-// losePower ends all faults and restarts all nodes, or all but one, so that they lose what they have not synced.
+// losePower ends all faults and restarts all nodes except the given one, if any, so that they lose what they have not synced.
 func (s *faultSchedule) losePower(except *testNode) {
 	s.endFaults(true)
 	for _, node := range s.nodes {
--- a/internal/control/replication/servefetch.go
+++ b/internal/control/replication/servefetch.go
@@ -7,7 +7,8 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// AskFetch answers a fetch from any goroutine. It asks the table's goroutine for the history, and reads the disk on the caller's.
+// AskFetch is Fetch with the current history of the key. It may run on any goroutine. It asks the table's goroutine for the history,
+// and reads the disk on the caller's goroutine. It returns an error if ctx is done before, or if the disk can't be read.
 func (r *Replicas) AskFetch(ctx context.Context, call wire.FetchCall) (wire.FetchAnswer, error) {
 	recent, err := mailbox.Ask(ctx, r.mailbox, func(answer func(History)) { answer(r.History(call.Key)) })
 	if err != nil {
@@ -37,7 +38,7 @@
 	return answer, err
 }
 
-// fetchChunk answers with a chunk of a snapshot. The first call reads the snapshot from the disk; outgoing is nil then.
+// fetchChunk answers with a chunk of the outgoing snapshot. If outgoing is nil, it reads the snapshot from the disk and caches it.
 func (r *Replicas) fetchChunk(outgoing *snapshotTransfer, call wire.FetchCall, answer wire.FetchAnswer) (wire.FetchAnswer, error) {
 	if outgoing == nil {
 		snapshot, err := r.disk.Read(call.Key)
--- a/internal/control/replication/snapshots.go
+++ b/internal/control/replication/snapshots.go
@@ -22,7 +22,7 @@
 	unsent *snapshotTransfer
 }
 
-// neededIndex returns the lower of index and the index after which the reader needs the changes, if it needs any.
+// neededIndex returns the index after which the reader needs the changes, but at most index. If it needs none, it returns index.
 func (r *snapshotReader) neededIndex(index uint64) uint64 {
 	switch {
 	case r.unsent != nil:
@@ -41,8 +41,7 @@
 }
 
 // transferFor returns the transfer to the follower. If there is none, it shares one that is in progress to another follower, or
-// starts one of the unsent snapshot. If the log no longer has the changes that follow any of them, it starts reading the state and
-// returns nil.
+// starts one of the unsent snapshot. If canSend is false for all of these, it starts reading the state and returns nil.
 func (e *Engine) transferFor(follower *followerProgress) *snapshotTransfer {
 	if e.canSend(follower.transfer, follower) {
 		return follower.transfer
@@ -116,8 +115,8 @@
 	return isKept
 }
 
-// updateNextChunk sets the next chunk from the follower's answer. A follower that accepted no first chunk is marked as lacking
-// chunk support and is sent the snapshot in one call.
+// updateNextChunk sets the next chunk from the follower's answer. A follower that did not accept the first chunk is marked as
+// lacking chunk support and is sent the snapshot in one call.
 func (e *Engine) updateNextChunk(follower *followerProgress, call wire.AppendCall, answer wire.AppendAnswer) {
 	follower.isPositionKnown, follower.needsSnapshot = false, true
 	follower.lacksChunkSupport = follower.lacksChunkSupport || call.Chunk.Number == 0 && answer.Chunks == 0
--- a/internal/control/replication/snapshots_test.go
+++ b/internal/control/replication/snapshots_test.go
@@ -123,7 +123,7 @@
 
 	It("is sent in one call to a peer of an earlier version", func() {
 		c, node := newLoadedCluster(530)
-		node.lacksChunkSupport = true
+		node.isEarlierVersion = true
 		node.wipe("disk-fresh")
 		c.runWithWrites(4 * time.Second)
 		c.run(time.Second)
--- a/internal/control/replication/takeover_test.go
+++ b/internal/control/replication/takeover_test.go
@@ -17,11 +17,12 @@
 	}
 }
 
-// timeToSettle returns how long it takes until one node starts to hold the lease for two seconds without interruption, at most limit.
-func (c *testCluster) timeToSettle(limit time.Duration) time.Duration {
+// timeToSettle runs the simulation until one node has held the lease for two seconds without interruption. It returns how long it took
+// until these two seconds began, or the timeout if there was no such node.
+func (c *testCluster) timeToSettle(timeout time.Duration) time.Duration {
 	startedAt, since := c.clock.Monotonic(), c.clock.Monotonic()
 	var leader *testNode
-	for c.clock.Monotonic()-startedAt < limit {
+	for c.clock.Monotonic()-startedAt < timeout {
 		c.runWithWrites(time.Millisecond)
 		if current := c.leader(); current == nil || current != leader {
 			leader, since = current, c.clock.Monotonic()
@@ -30,7 +31,7 @@
 			return since - startedAt
 		}
 	}
-	return limit
+	return timeout
 }
 
 // highestPromise returns the highest epoch that any disk has promised.
@@ -41,7 +42,8 @@
 	return highest
 }
 
-// firstLeaseHolder prepares each node and returns the first that obtains a lease. It then resets the read time of the others.
+// firstLeaseHolder calls prepare for each node and returns the first node that obtains a lease. It then resets the read time of the
+// others.
 func (c *testCluster) firstLeaseHolder(prepare func(node *testNode)) *testNode {
 	for _, node := range c.nodes {
 		prepare(node)
--- a/internal/control/replication/testcluster_test.go
+++ b/internal/control/replication/testcluster_test.go
@@ -29,7 +29,7 @@
 	// failsWrites makes each write fail without effect. isOutcomeUnclear makes each write report a failure though it was applied.
 	failsWrites      bool
 	isOutcomeUnclear bool
-	// syncTime is how long a sync takes; 0 is a few random milliseconds.
+	// syncTime is how long a sync takes; 0 is a few random milliseconds. syncBegunAt is when the current sync began.
 	syncTime    time.Duration
 	syncBegunAt time.Duration
 	// pairNames holds the names of all pairs on the disk.
@@ -81,8 +81,8 @@
 	}
 }
 
-// canSync reports whether the sync of the pending writes ends now.
-func (d *fakeDisk) canSync(now time.Duration, random *rand.Rand) bool {
+// isSyncDone reports whether the sync of the pending writes ends now. While the disk is stalled or has nothing to sync, no sync begins.
+func (d *fakeDisk) isSyncDone(now time.Duration, random *rand.Rand) bool {
 	if d.isStalled || len(d.pendingWrites) == 0 {
 		d.syncBegunAt = now
 		return false
@@ -129,16 +129,18 @@
 
 // testNode is one steward. Its disk survives a crash of its process.
 type testNode struct {
-	cluster           *testCluster
-	name              string
-	domain            string
-	disk              *fakeDisk
-	formerDisks       []string
-	isUp              bool
-	isFrozen          bool
-	lacksChunkSupport bool
-	delay             time.Duration
-	incarnation       int
+	cluster     *testCluster
+	name        string
+	domain      string
+	disk        *fakeDisk
+	formerDisks []string
+	isUp        bool
+	isFrozen    bool
+	// isEarlierVersion makes the node ignore chunks, answer each fetch with a whole snapshot, and report no processing time.
+	isEarlierVersion bool
+	// delay is how long the node waits before it sends the answer to an append call.
+	delay       time.Duration
+	incarnation int
 	// snapshotReadTime is how long reading the snapshot takes. Until busyUntil the goroutine of the engine is busy.
 	snapshotReadTime time.Duration
 	busyUntil        time.Duration
@@ -179,14 +181,17 @@
 		linkBusyUntil: map[string]time.Duration{}}
 }
 
-// callCounts counts the calls made so far, and lists the numbers of the chunks that were sent and fetched.
+// callCounts counts the calls made so far.
 type callCounts struct {
-	appendCount        int
-	preVotes           int
+	appendCount int
+	preVotes    int
+	// snapshotsSent counts the snapshots that were sent to another node in a single call. snapshotsInstalled counts the fetched ones that
+	// a candidate has written to its own disk.
 	snapshotsSent      int
 	snapshotsInstalled int
-	chunksSent         []int
-	chunksFetched      []int
+	// chunksSent and chunksFetched hold the numbers of the chunks that were sent and fetched, in order.
+	chunksSent    []int
+	chunksFetched []int
 }
 
 // testCluster is a simulated cluster whose network and clock the test controls.
@@ -201,7 +206,8 @@
 	diskless []wire.Member
 	// machineLosses is the number of disks that the cluster must tolerate losing at once.
 	machineLosses int
-	lastWipeAt    time.Duration
+	// lastWipeAt is when a disk was last wiped or removed.
+	lastWipeAt time.Duration
 	// options holds additional options for all engines.
 	options []replication.Option
 	// valueBytes is the number of bytes that are added to each value. writeCount numbers the writes.
@@ -313,7 +319,8 @@
 	return a != b && (c.isolated[a.name] || c.isolated[b.name] || c.blockedLinks[a.name+">"+b.name])
 }
 
-// smallMessage is the size in bytes below which a message is not queued behind large ones on a link, since windows are small.
+// smallMessage is the size in bytes below which a message does not wait for large ones on a link, since small flow control windows keep
+// the queue of large ones short.
 const smallMessage = 4 << 10
 
 // sendTime returns how long a node takes to send a message. A large message waits for earlier large ones.
@@ -363,13 +370,14 @@
 	return size
 }
 
-// roundTrip delivers a call to another node and its answer back, unless a fault drops one of them.
-func roundTrip[T any](c *testCluster, from, to *testNode, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
-	roundTripSized(c, from, to, 0, func(T) int { return 0 }, limit, serve, done)
+// roundTrip delivers a call to another node and its answer back, unless a fault drops one of them. Without an answer the call fails after
+// the timeout.
+func roundTrip[T any](c *testCluster, from, to *testNode, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
+	roundTripSized(c, from, to, 0, func(T) int { return 0 }, timeout, serve, done)
 }
 
 // roundTripSized is roundTrip for a call and an answer whose sizes delay them on a link of limited bandwidth.
-func roundTripSized[T any](c *testCluster, from, to *testNode, bytes int, bytesBack func(T) int, limit time.Duration, serve func(answer func(T)), done func(T, error)) {
+func roundTripSized[T any](c *testCluster, from, to *testNode, bytes int, bytesBack func(T) int, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
 	incarnation, isDone := from.incarnation, false
 	finish := func(value T, err error) {
 		from.runOnEngine(func() {
@@ -380,7 +388,7 @@
 		})
 	}
 	var zero T
-	c.schedule(limit, func() { finish(zero, errors.New("the call timed out")) })
+	c.schedule(timeout, func() { finish(zero, errors.New("the call timed out")) })
 	if to == nil {
 		return
 	}
@@ -422,6 +430,7 @@
 	}
 }
 
+// testTransport makes the calls of a node's engine over the simulated network.
 type testTransport struct {
 	node        *testNode
 	incarnation int
@@ -446,14 +455,14 @@
 	if to != nil && r.node.cluster.dropsCall != nil && r.node.cluster.dropsCall(to, call) {
 		to = nil
 	}
-	if to != nil && to.lacksChunkSupport {
+	if to != nil && to.isEarlierVersion {
 		call.Chunk = nil
 	}
 	r.node.cluster.appendCount++
 	sizeBack := func(wire.AppendAnswer) int { return 128 }
 	roundTripSized(r.node.cluster, r.node, to, sizeOfAppend(call), sizeBack, time.Second, func(answer func(wire.AppendAnswer)) {
 		to.replicas.Append(call, func(response wire.AppendAnswer) {
-			if !to.lacksChunkSupport && to != r.node {
+			if !to.isEarlierVersion && to != r.node {
 				response.DelayUs = max(1, to.delay.Microseconds())
 			}
 			r.node.cluster.schedule(to.delay, func() { answer(response) })
@@ -475,7 +484,7 @@
 	}
 	roundTripSized(r.node.cluster, r.node, to, 128, sizeOfFetched, time.Second, func(answer func(wire.FetchAnswer)) {
 		if response, err := to.replicas.Fetch(to.replicas.History(call.Key), call); err == nil {
-			if to.lacksChunkSupport {
+			if to.isEarlierVersion {
 				response, _ = to.replicas.Fetch(replication.History{}, wire.FetchCall{Key: call.Key})
 			}
 			if response.Chunk != nil {
@@ -545,7 +554,7 @@
 }
 
 func (n *testNode) runOnce(now time.Duration) {
-	if n.disk.canSync(now, n.cluster.random) {
+	if n.disk.isSyncDone(now, n.cluster.random) {
 		writes := n.disk.pendingWrites
 		n.disk.pendingWrites, n.disk.syncBegunAt = nil, now
 		for _, sync := range writes {
@@ -618,7 +627,7 @@
 }
 
 // checkAcknowledged checks a change at the moment of its acknowledgement: a quorum of its leader's voters must hold it, and so must
-// each leader of a later epoch. The quorum is not checked within two seconds of a wipe.
+// each leader of a later epoch. The quorum is not checked within two seconds after a disk was wiped or removed.
 func (c *testCluster) checkAcknowledged(leader *testNode, name string) {
 	set := leader.engine.Belief().Voters
 	holds := func(disk string) bool { node := c.byDisk(disk); return node != nil && node.holds(name) }
--- a/internal/control/replication/transport.go
+++ b/internal/control/replication/transport.go
@@ -4,8 +4,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Transport makes an engine's calls. Each callback runs on the engine's goroutine. A call to another steward without an
-// answer fails after the transport's timeout.
+// Transport makes an engine's calls. Each callback runs on the engine's goroutine. A call to another steward that is not answered
+// fails after the transport's timeout.
 type Transport interface {
 	// Promise asks the replica on a disk for a promise or a pre-vote.
 	Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error))
@@ -26,9 +26,9 @@
 
 // StateMachine serves a key while this steward leads it. It is called on the engine's goroutine.
 type StateMachine interface {
-	// Open starts serving the key from all of its pairs. If it returns an error, the engine steps down.
+	// Open starts serving the key. pairs holds all pairs of the key. If Open returns an error, the engine steps down.
 	Open(leadership *Leadership, pairs []wire.Op) error
-	// Close ends the leadership. Pending commits have failed before it is called.
+	// Close is called when the leadership has ended, also if Open returned an error. All pending commits have failed before.
 	Close()
 }
 
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -56,7 +56,7 @@
 	e.propose(nil, &wire.VoterSet{Old: current, Current: next}, func(error) {})
 }
 
-// caughtUp returns the wanted candidates that have caught up, and replicates to the others as learners.
+// caughtUp returns the wanted candidates that have caught up, and replicates to the other wanted ones as learners.
 func (e *Engine) caughtUp(candidates, wanted []string) []string {
 	var ready []string
 	for _, disk := range candidates {
@@ -73,8 +73,8 @@
 }
 
 // hasCaughtUp reports whether a learner may become a voter: it lacks at most maxLag changes, or lags by at most Timing.LostAfter,
-// however many changes that is. Changes that it still lacks can only delay the voter change. That change is committed once a
-// majority of the old voters and a majority of the new ones hold it, and with it all changes before it.
+// however many changes that is. Changes that it still lacks can only delay the voter change, which is committed once a majority of
+// the old voters and a majority of the new ones hold it and all changes before it.
 func (e *Engine) hasCaughtUp(learner *followerProgress) bool {
 	return e.isWithinLag(learner, e.timing.LostAfter)
 }
@@ -88,8 +88,8 @@
 	e.propose(nil, &final, func(error) {})
 }
 
-// dropNonVoters stops replicating to disks that are not voters. It is called when the voter set is committed. A disk whose process is
-// shutting down is notified that it has been removed, so that the process can exit.
+// dropNonVoters stops replicating to disks that are not voters. It is called while the voter set is committed and no change of it is
+// wanted. A disk whose process is shutting down is notified that it has been removed, so that the process can exit.
 func (e *Engine) dropNonVoters() {
 	for _, follower := range e.sortedFollowers() {
 		if quorum.Contains(e.voters.set, follower.disk) {
@@ -106,7 +106,8 @@
 }
 
 // isLost reports whether a voter should be replaced: its machine has another disk now, its process is shutting down, or it has not
-// answered for Timing.LostAfter. A lost voter stays until a learner can replace it, so a voter that is merely slow is kept meanwhile.
+// answered for Timing.LostAfter. The leader's own disk never counts as lost. A lost voter stays until a learner can replace it, so a
+// voter that is merely slow is kept meanwhile.
 func (e *Engine) isLost(members []wire.Member, disk string) bool {
 	if disk == e.disk {
 		return false
@@ -153,7 +154,8 @@
 	return e.rankDisks(candidates)
 }
 
-// trackVoterShortage logs, once per leadership, that there have been fewer usable disks than voterGoal for shortageLogDelay.
+// trackVoterShortage is given the number of usable disks. It logs, once per leadership, that they have been fewer than voterGoal for
+// shortageLogDelay.
 func (e *Engine) trackVoterShortage(disks int) {
 	now := e.clock.Monotonic()
 	if disks >= e.voterGoal {
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -29,13 +29,13 @@
 
 // nodesHolding returns up to count nodes whose disks hold all acknowledged changes, the leader first.
 func (c *testCluster) nodesHolding(count int) []*testNode {
-	var all []*testNode
+	var holders []*testNode
 	for _, node := range append([]*testNode{c.leader()}, c.nodes...) {
-		if len(all) < count && !slices.Contains(all, node) && c.holdsAllAcknowledged(node) {
-			all = append(all, node)
+		if len(holders) < count && !slices.Contains(holders, node) && c.holdsAllAcknowledged(node) {
+			holders = append(holders, node)
 		}
 	}
-	return all
+	return holders
 }
 
 func (c *testCluster) holdsAllAcknowledged(node *testNode) bool {
@@ -388,7 +388,8 @@
 	}
 }
 
-// injectFaults injects a fault into two nodes at once. Sometimes it wipes both, and lets all other nodes lose power.
+// injectFaults ends all faults and then injects a fault into each of two nodes. Sometimes it wipes both nodes instead, and in half of
+// these cases all other nodes lose power.
 func (c *testCluster) injectFaults(wipes *int) {
 	c.heal()
 	index := c.random.IntN(len(c.nodes))
