--- a/internal/control/replication/changelog.go
+++ b/internal/control/replication/changelog.go
@@ -147,8 +147,8 @@
 	return limit
 }
 
-// neededIndex returns the index after which the changes are still needed: the leader's own disk or a follower in contact lacks them,
-// or they follow a snapshot that is being read or sent.
+// neededIndex returns the index after which the changes are still needed, because a follower in contact or the leader's own disk lacks
+// them, or because they follow a snapshot that is being read or sent.
 func (e *Engine) neededIndex() uint64 {
 	needed := e.snapshots.neededIndex(e.changes.last.Index)
 	for _, follower := range e.followers {
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// campaignIfDue starts a campaign, or sets the time of the next check, from the status of the local replica.
+// campaignIfDue starts a campaign if the status of the local replica allows one now. Otherwise it sets the time of the next check.
 func (e *Engine) campaignIfDue(status ReplicaStatus) {
 	now := e.clock.Monotonic()
 	e.campaignState.recordEpoch(status.Promised)
@@ -77,8 +77,9 @@
 	e.campaign(voters)
 }
 
-// earliestCampaignTime returns when the candidate of a rank may campaign: at once if the last lease of the local replica was granted to
-// this disk, whether or not it has ended; a delay after the leader released the key; and otherwise a delay after the end of the lease.
+// earliestCampaignTime returns when the candidate of a rank may campaign. If the local replica granted its last lease to this disk, the
+// candidate may campaign at once, even if that lease has not ended. Otherwise it waits for a delay after the release of the key or, if
+// the key was not released, after the end of the lease.
 func (e *Engine) earliestCampaignTime(status ReplicaStatus, rank, voters int) time.Duration {
 	switch {
 	case status.LeaseHolderDisk == e.disk:
@@ -140,8 +141,8 @@
 	})
 }
 
-// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. The
-// candidate backs off if all voters have answered before that, or if an answer shows that this disk is no longer a voter.
+// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. The candidate backs
+// off if all voters have answered before that, or if an answer shows that this disk is no longer a voter.
 func (e *Engine) collectPromises(voters []string, epoch uint64, isPreVote bool, isEnough func(map[string]wire.PromiseAnswer) bool) {
 	step, answered := e.step(), 0
 	granted := map[string]wire.PromiseAnswer{}
--- a/internal/control/replication/leadershiptransfer.go
+++ b/internal/control/replication/leadershiptransfer.go
@@ -29,7 +29,7 @@
 	// healthySince is when the leader was last observed to be slow, slowSince when it was last observed not to be. Both start at openedAt.
 	healthySince time.Duration
 	slowSince    time.Duration
-	// wasHealthy is set once the leader has not been slow for healthyDuration.
+	// wasHealthy is set once healthyDuration has passed without the leader being slow.
 	wasHealthy bool
 }
 
--- a/internal/control/replication/replicas.go
+++ b/internal/control/replication/replicas.go
@@ -67,8 +67,8 @@
 	clock   clock.Clock
 	// lease is the duration of the leases that the replicas grant.
 	lease time.Duration
-	// promisesBlockedUntil is one lease after a restart. Until then no promise is granted, since the leases that the previous process
-	// granted are unknown.
+	// promisesBlockedUntil is the end of the first lease duration after a restart. Until then no promise is granted, since the leases
+	// that the previous process granted are unknown. It is 0 if the disk was new.
 	promisesBlockedUntil time.Duration
 	replicas             map[string]*localReplica
 	isLeaving            bool
@@ -81,8 +81,8 @@
 // WithReplicasLog sets the table's logger. Without it the table logs nothing.
 func WithReplicasLog(log logging.Logger) ReplicasOption { return func(r *Replicas) { r.log = log } }
 
-// NewReplicas returns the table of a disk's replicas. If the disk is not new, it grants no promise for one lease. It returns an error
-// if the disk can't be read.
+// NewReplicas returns the table of a disk's replicas. If the disk is not new, the table grants no promise for one lease. NewReplicas
+// returns an error if the disk can't be read.
 func NewReplicas(inbox *mailbox.Mailbox, disk Disk, clock clock.Clock, lease time.Duration, options ...ReplicasOption) (*Replicas, error) {
 	states, err := disk.ReplicaStates()
 	if err != nil {
@@ -115,8 +115,8 @@
 	return replica
 }
 
-// Promise answers a candidate's request for a promise or a pre-vote. It refuses while another disk holds the lease, during the first
-// lease after a restart, and if the epoch is not above all promised ones. A promise is synced before it is sent; a pre-vote changes
+// Promise answers a candidate's request for a promise or a pre-vote. It refuses while another disk holds the lease, for the duration
+// of one lease after a restart, and if the epoch is not above all promised ones. A promise is synced before it is sent; a pre-vote changes
 // nothing. Promise must run on the table's goroutine.
 func (r *Replicas) Promise(call wire.PromiseCall, answer func(wire.PromiseAnswer)) {
 	replica, now := r.replicaOf(call.Key), r.clock.Monotonic()
@@ -235,8 +235,8 @@
 		WallMs: r.clock.WallMs(), Leaving: r.isLeaving}
 }
 
-// Leave marks all further answers with the process's shutdown, so that leaders replace this disk as a voter. It must run on the
-// table's goroutine.
+// Leave marks all further answers of Append as answers of a process that is shutting down, so that leaders replace this disk as a
+// voter. It must run on the table's goroutine.
 func (r *Replicas) Leave() { r.isLeaving = true }
 
 // VotingKeys returns the voter sets, by key, in which this disk votes according to its own replicas. It must run on the table's
--- a/internal/control/replication/testcluster_test.go
+++ b/internal/control/replication/testcluster_test.go
@@ -185,8 +185,8 @@
 type callCounts struct {
 	appendCount int
 	preVotes    int
-	// snapshotsSent counts the snapshots that were sent to another node in a single call. snapshotsInstalled counts the fetched ones that
-	// a candidate has written to its own disk.
+	// snapshotsSent counts the snapshots that were sent to another node in a single call. snapshotsInstalled counts those that a
+	// candidate has fetched and written to its own disk.
 	snapshotsSent      int
 	snapshotsInstalled int
 	// chunksSent and chunksFetched hold the numbers of the chunks that were sent and fetched, in order.
--- a/internal/control/replication/tracelog.go
+++ b/internal/control/replication/tracelog.go
@@ -8,7 +8,8 @@
 	"gannetline/internal/platform/logging"
 )
 
-// logCommit logs the records of the changes that are being committed, above one index up to another, and the disks that hold them all.
+// logCommit logs the records of the changes that are being committed, whose indices are greater than above and at most upTo. It also logs
+// the disks that hold all of these changes.
 func (e *Engine) logCommit(above, upTo uint64) {
 	log := e.log.V(logging.TraceVerbosity)
 	if !log.Enabled() {
@@ -24,7 +25,7 @@
 		"records", recordNames(e.changes.entries, above, upTo))
 }
 
-// recordNames returns the names of the records that the changes write, above one index up to another.
+// recordNames returns the names of the records that are written by the changes with an index greater than above and at most upTo.
 func recordNames(changes []wire.Change, above, upTo uint64) []string {
 	var names []string
 	for _, change := range changes {
