--- a/internal/control/replication/leaving_test.go
+++ b/internal/control/replication/leaving_test.go
@@ -37,7 +37,7 @@
 
 var _ = Describe("a steward that shuts down gracefully", func() {
 	for index, role := range []string{"the leader", "a follower"} {
-		It("is replaced as a voter before it exits, "+role+", so that another disk can be lost at once", func() {
+		It("as "+role+" is replaced as a voter before it exits, so that another disk can be lost at once", func() {
 			for seed := range uint64(8) {
 				c := newTestCluster(1000+seed, "a", "b", "c", "d")
 				c.run(2 * time.Second)
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -136,7 +136,7 @@
 		}
 	})
 
-	It("are opened with an error that names the failed step", func() {
+	It("are not opened if a step of Open fails, and the error names the step", func() {
 		_, err := storage.Open(folder, storage.WithFiles(&losingFiles{operationsLeft: 2}))
 		Expect(err).To(MatchError(ContainSubstring("syncing " + filepath.Dir(filepath.Dir(filepath.Dir(folder))))))
 	})
