--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -24,9 +24,11 @@
 	highestEpochSeen uint64
 	// ownState is the state of the local replica at the start of the campaign.
 	ownState storage.ReplicaState
-	// fetchedChunks holds the chunks of the most up-to-date state that have been received. They are kept across campaigns.
+	// fetchedChunks holds the chunks of the most up-to-date state that have been received. They are kept across campaigns, until another
+	// disk holds the lease.
 	fetchedChunks chunkBuffer
-	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which needs no transfer.
+	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which needs no transfer. It is reset when another disk
+	// holds the lease.
 	hasYielded bool
 }
 
@@ -48,7 +50,7 @@
 	})
 }
 
-// campaignIfDue starts a campaign, or sets the time of the next check, from the status of the local replica.
+// campaignIfDue starts a campaign if the status of the local replica allows one now. Otherwise it sets the time of the next check.
 func (e *Engine) campaignIfDue(status ReplicaStatus) {
 	now := e.clock.Monotonic()
 	e.campaignState.recordEpoch(status.Promised)
@@ -75,8 +77,9 @@
 	e.campaign(voters)
 }
 
-// earliestCampaignTime returns when the candidate of a rank may campaign: at once if the last lease of the local replica was granted to
-// this disk, whether or not it has ended; a delay after the leader released the key; and otherwise a delay after the end of the lease.
+// earliestCampaignTime returns when the candidate of a rank may campaign. If the local replica granted its last lease to this disk, the
+// candidate may campaign at once, even if that lease has not ended. Otherwise it waits for a delay after the release of the key or, if
+// the key was not released, after the end of the lease.
 func (e *Engine) earliestCampaignTime(status ReplicaStatus, rank, voters int) time.Duration {
 	switch {
 	case status.LeaseHolderDisk == e.disk:
@@ -87,7 +90,7 @@
 	return status.LeaseUntil + e.staggerDelay(rank, voters)
 }
 
-// staggerDelay returns how long the candidate of a rank waits for those ranked before it. The delays shrink in larger sets, so
+// staggerDelay returns how long the candidate of a rank waits for those ranked before it. The delays shrink in larger voter sets, so
 // that the last candidate never waits longer than the last of three.
 func (e *Engine) staggerDelay(rank, voters int) time.Duration {
 	return time.Duration(rank) * e.timing.Stagger * 2 / time.Duration(max(2, voters-1))
@@ -138,8 +141,8 @@
 	})
 }
 
-// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. If all voters
-// have answered before that, the candidate backs off.
+// collectPromises asks all voters at once and calls isEnough after each grant. It stops when isEnough returns true. The candidate backs
+// off if all voters have answered before that, or if an answer shows that this disk is no longer a voter.
 func (e *Engine) collectPromises(voters []string, epoch uint64, isPreVote bool, isEnough func(map[string]wire.PromiseAnswer) bool) {
 	step, answered := e.step(), 0
 	granted := map[string]wire.PromiseAnswer{}
@@ -171,13 +174,13 @@
 	}
 }
 
-// isSupersededBy reports whether a peer has a later state in which this disk is no voter, so that this candidate gives
-// way to those voters.
+// isSupersededBy reports whether a peer has a later state in which this disk is not a voter. The voters of that state should then
+// elect the leader.
 func (e *Engine) isSupersededBy(answer wire.PromiseAnswer) bool {
 	return e.campaignState.ownState.Last.Below(answer.Last) && !quorum.Contains(answer.Voters, e.disk)
 }
 
-// backOff ends a campaign. The next one starts after Timing.Stagger plus a jitter that differs from disk to disk.
+// backOff ends a campaign. The next one starts no earlier than after Timing.Stagger plus a jitter that differs from disk to disk.
 func (e *Engine) backOff() {
 	e.phase = phaseIdle
 	jitter := fnv.New32a()
