--- a/internal/scheduling/placement/allowance.go
+++ b/internal/scheduling/placement/allowance.go
@@ -5,7 +5,8 @@
 type allowance struct {
 	remaining map[int]Resources
 	priority  int
-	hasLimit  bool
+	// hasLimit means that remaining limits the group.
+	hasLimit bool
 	// share is nil when groups are placed in queue order rather than from a share.
 	share *shareBalance
 }
@@ -20,7 +21,7 @@
 	return allowance{remaining: remaining, priority: priority, hasLimit: hasLimit && isLimited}
 }
 
-// covers reports whether the remaining capacity of the priority is enough for a need. GPUs are not limited.
+// covers reports whether the remaining capacity of the priority is enough for a need, or does not limit the group. GPUs are not limited.
 func (a allowance) covers(need Resources) bool {
 	if !a.hasLimit {
 		return true
@@ -29,7 +30,8 @@
 	return need.CPU <= capacity.CPU && need.Memory <= capacity.Memory
 }
 
-// spend subtracts a need from the remaining capacity of this priority and of all less urgent ones, and from the share.
+// spend subtracts a need from the remaining capacity of this priority and of all less urgent ones, and from the share. It does so also for
+// groups that are not limited.
 func (a allowance) spend(need Resources) {
 	for priority, capacity := range a.remaining {
 		if priority >= a.priority {
@@ -49,8 +51,8 @@
 // isShareSpent reports whether the share is used up. Without a share it is always false.
 func (a allowance) isShareSpent() bool { return a.share != nil && a.share.isSpent() }
 
-// countFailure counts a group that found no executor. Its need is subtracted from the share all the same, so that a share without
-// placements does not scan the whole queue.
+// countFailure counts a group that found no executor. It subtracts the group's need from the share although nothing was placed, so that
+// the scan of the queue for the share ends even if no group fits.
 func (a allowance) countFailure(need Resources) {
 	if a.share != nil {
 		a.share.failures++
@@ -58,7 +60,7 @@
 	}
 }
 
-// mayReserve reports whether an executor may be reserved for a large task that found none, and counts the reservation against the share.
+// mayReserve reports whether an executor may be reserved for a large task that fits nowhere, and counts the reservation against the share.
 func (a allowance) mayReserve() bool {
 	if a.share == nil {
 		return true
--- a/internal/scheduling/placement/cost_test.go
+++ b/internal/scheduling/placement/cost_test.go
@@ -8,7 +8,8 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// BenchmarkNarrow places a mixed backlog where nearly all executors have some free capacity, which is too little for most groups.
+// BenchmarkNarrow places a queue of 1001 groups on executors with little free capacity. It is too little for all groups but the last, which
+// requires a label that no executor has.
 func BenchmarkNarrow(b *testing.B) {
 	for _, size := range []int{62, 1000} {
 		draw := rand.New(rand.NewPCG(3, 3))
@@ -18,9 +19,9 @@
 		}
 		var groups []*placement.Group
 		for number := range 1000 {
-			one := group(22, []int64{1100 + int64(draw.IntN(900)), 5500 + int64(draw.IntN(3000))}[number%4/3])
-			one.Due, one.AntiAffinity = int64(number), number%20/19
-			groups = append(groups, one)
+			waiting := group(22, []int64{1100 + int64(draw.IntN(900)), 5500 + int64(draw.IntN(3000))}[number%4/3])
+			waiting.Due, waiting.AntiAffinity = int64(number), number%20/19
+			groups = append(groups, waiting)
 		}
 		small := group(1, 300)
 		small.Due, small.Labels = 1000, []string{"none"}
--- a/internal/scheduling/placement/filter.go
+++ b/internal/scheduling/placement/filter.go
@@ -13,7 +13,7 @@
 	NoCapacity
 	// Reserved means that the executor is reserved for a large task that would starve otherwise.
 	Reserved
-	// AtRunLimit means that the executor got as many runs in this round as its RunLimit allows.
+	// AtRunLimit means that the executor already got as many runs in this round as its RunLimit allows.
 	AtRunLimit
 	// OtherRack means that the gang is being placed on another rack.
 	OtherRack
@@ -35,8 +35,8 @@
 	withoutSoftLimits limitMode = false
 )
 
-// search describes what executors are filtered for: one task of a group, on one rack unless rack is empty. runs counts the step's
-// runs by executor, including those placed in this round.
+// search describes a search for the executor of one task of a group. An empty rack means any rack. runs counts the step's runs by
+// executor, including those placed in this round; it is used only with AntiAffinity.
 type search struct {
 	group  *Group
 	runs   map[int]int
@@ -88,7 +88,7 @@
 	return Suitable
 }
 
-// isAtRunLimit reports whether an executor got all runs that its RunLimit allows in this round.
+// isAtRunLimit reports whether an executor already got as many runs in this round as its RunLimit allows.
 func (r *placementRound) isAtRunLimit(candidate *candidateState) bool {
 	limit := r.executors[candidate.index].RunLimit
 	return limit != 0 && candidate.addedRuns >= max(0, limit)
--- a/internal/scheduling/placement/gang.go
+++ b/internal/scheduling/placement/gang.go
@@ -8,18 +8,18 @@
 
 // placeGang places all members of a gang or none of them.
 func (r *placementRound) placeGang(group *Group, number int, allowance allowance) {
-	gang, mayExceedLimits := group.Need.Times(float64(group.Count)), r.mayExceedLimits(group)
-	if !mayExceedLimits && !allowance.covers(gang) || r.isTenantAtLimit(group, group.Count) {
+	gangNeed, mayExceedLimits := group.Need.Times(float64(group.Count)), r.mayExceedLimits(group)
+	if !mayExceedLimits && !allowance.covers(gangNeed) || r.isTenantAtLimit(group, group.Count) {
 		return
 	}
-	taken := r.findGang(group, withSoftLimits)
-	if taken == nil && mayExceedLimits {
-		taken = r.findGang(group, withoutSoftLimits)
+	chosen := r.findGang(group, withSoftLimits)
+	if chosen == nil && mayExceedLimits {
+		chosen = r.findGang(group, withoutSoftLimits)
 	}
-	for _, candidate := range taken {
+	for _, candidate := range chosen {
 		r.recordPlacement(number, candidate, allowance)
 	}
-	allowance.spend(group.Need.Times(float64(len(taken))))
+	allowance.spend(group.Need.Times(float64(len(chosen))))
 }
 
 // findGang allocates the capacity for a whole gang and returns the executor of each member, or nil with nothing allocated. A gang
@@ -30,15 +30,16 @@
 	}
 	if group.SameRack {
 		for _, rack := range r.racksByFree() {
-			if taken := r.fillGang(group, rack, limits); taken != nil {
-				return taken
+			if chosen := r.fillGang(group, rack, limits); chosen != nil {
+				return chosen
 			}
 		}
 	}
 	return r.fillGang(group, "", limits)
 }
 
-// racksByFree lists the racks, ordered by their free CPU from most to least.
+// racksByFree lists the racks, ordered by their free CPU from most to least. It sums the free CPU from the beginning of the round and then
+// subtracts what was placed since.
 func (r *placementRound) racksByFree() []string {
 	total := map[string]int64{}
 	for index := range r.executors {
@@ -58,18 +59,18 @@
 	return racks
 }
 
-// fillGang chooses an executor for each member, on one rack unless rack is empty. If a member finds none, it releases what the other
-// members were allocated and returns nil.
+// fillGang chooses an executor for each member; an empty rack means any rack. If there is no executor for a member, fillGang releases the
+// capacity of the other members and returns nil.
 func (r *placementRound) fillGang(group *Group, rack string, limits limitMode) []*candidateState {
 	if !r.hasSlots(group, rack) {
 		return nil
 	}
 	runs := copyRuns(group)
-	var taken []*candidateState
+	var chosen []*candidateState
 	for range group.Count {
 		best := r.choose(search{group: group, runs: runs, rack: rack, limits: limits})
 		if best == nil {
-			for _, candidate := range taken {
+			for _, candidate := range chosen {
 				candidate.free = candidate.free.Plus(group.Need)
 				candidate.addedRuns--
 				r.firstRunCPU += group.Need.CPU
@@ -78,13 +79,13 @@
 			return nil
 		}
 		r.allocate(group, runs, best)
-		taken = append(taken, best)
+		chosen = append(chosen, best)
 	}
-	return taken
+	return chosen
 }
 
-// hasSlots reports whether the free capacity is enough for all members, ignoring every other constraint. It is a cheap check
-// before the search for executors.
+// hasSlots reports whether the free capacity of a rack, or of all executors if rack is empty, is enough for all members. It ignores every
+// other constraint, and is a cheap check before the search for executors.
 func (r *placementRound) hasSlots(group *Group, rack string) bool {
 	count := int64(0)
 	for _, candidate := range r.candidates {
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -6,7 +6,7 @@
 )
 
 // Executor describes an executor to placement: its free and total capacity, its labels and its rack. An executor with IsUnschedulable
-// gets no new runs; one with a higher Penalty is chosen later.
+// gets no new runs. Executors with a lower Penalty are preferred.
 type Executor struct {
 	Free            Resources
 	Total           Resources
@@ -14,17 +14,17 @@
 	Rack            string
 	IsUnschedulable bool
 	Penalty         float64
-	// RunLimit is how many runs may be added in one round while the executor has not yet proved healthy. 0 is no limit, NoRuns allows none.
+	// RunLimit is how many runs may be added in one round to an executor that has not yet proved healthy. 0 is no limit, NoRuns allows none.
 	RunLimit int
 }
 
 // NoRuns is the RunLimit of an executor that already has as many runs as it is allowed.
 const NoRuns = -1
 
-// isClosed reports whether the executor takes no ordinary runs: it is unschedulable, or takes only first runs beyond the soft limits.
+// isClosed reports whether the executor gets no runs within the soft limits: it is unschedulable, or its RunLimit is NoRuns.
 func (e *Executor) isClosed() bool { return e.IsUnschedulable || e.RunLimit == NoRuns }
 
-// Group is the set of tasks of one step that may start now, all with the same Need. Executors are named by their index.
+// Group is the set of tasks of one step that may start now, all with the same Need. Executors are identified by their index.
 // RunsByExecutor counts the step's running tasks by executor and is used only with AntiAffinity.
 type Group struct {
 	Need     Resources
@@ -43,14 +43,15 @@
 	// ExcludedIndices and Excluded are the executors that must not be used: a list of indices, and a table by index that may be nil.
 	ExcludedIndices []int
 	Excluded        []bool
-	IsSpeculative   bool
-	// IsLong means that the tasks hold their capacity for long.
+	// IsSpeculative means that the tasks are speculative runs, which never exceed the soft limits and for which nothing is reserved.
+	IsSpeculative bool
+	// IsLong means that the tasks hold their capacity for a long time.
 	IsLong bool
-	// IsIdle means that none of the step's tasks runs, so that its first run, or its gang, may exceed the soft limits. The scheduler also
-	// sets it for every lasting step.
+	// IsIdle means that the step has had no runs for some time, so that its first run, or its gang, may exceed the soft limits. The scheduler
+	// also sets it for every lasting step.
 	IsIdle bool
-	// IsLasting means that the tasks must be running at all times. Their first run in a round may exceed the soft limits even when
-	// FirstRunCPU is used up.
+	// IsLasting means that the tasks must be running at all times. If IsIdle is set too, their first run in a round may exceed the soft limits
+	// even when FirstRunCPU is used up.
 	IsLasting bool
 	Priority  int
 	// Tenant is the index in Limits.Tenants of the tenant that the work belongs to; 0 means no tenant.
@@ -58,15 +59,14 @@
 	Deadline DeadlineClass
 	// CanWait means that the group can start much later and still be on time. Shares skip it.
 	CanWait bool
-	// RemainingTenths is how much of the job has not started, in tenths of its work. Jobs with less remaining go first, so that
-	// started jobs are finished before new ones start.
+	// RemainingTenths is how much of the job's work has not been started, in tenths. Groups of jobs with less remaining work go first, so
+	// that started jobs are finished before new ones start.
 	RemainingTenths int
-	// Due orders groups that are equal otherwise, smallest first. It is a due time or the result of a queue's own order rule.
+	// Due orders groups that are otherwise equal, smallest first. It is a due time or the result of the queue's own order rule.
 	Due int64
 }
 
-// DeadlineClass says whether a group's job can still meet its deadline. Work that is on time goes before late work, and expired work goes
-// last.
+// DeadlineClass says whether a group's job can still meet its deadline. Expired work goes last; rank defines the order of the other classes.
 type DeadlineClass int
 
 const (
@@ -91,8 +91,8 @@
 	IsFromShare     bool
 }
 
-// Queue holds the groups in the order of CompareGroups, then the speculative ones. MinNeed is a lower bound, in each resource, of what
-// any group needs. The numbers of the speculative groups continue after those of Groups.
+// Queue holds Groups, and the groups of speculative runs, which are placed after them. Each list is in the order of CompareGroups. The
+// numbers of the speculative groups continue after those of Groups. MinNeed is a lower bound, in each resource, of what any group needs.
 type Queue struct {
 	Groups      []*Group
 	Speculative []*Group
@@ -102,8 +102,9 @@
 // Limits are the limits of one placement round.
 //
 // Remaining is how much long work of each priority, and expired work as Background, may still take of the total capacity; a priority
-// without an entry is not limited. Remaining, reservations and the run limits of executors are soft: the first run of an idle step
-// may exceed them until FirstRunCPU of CPU has been placed in the round, and that of an IsLasting step always may. Shares are placed first.
+// without an entry is not limited. Remaining, reservations, the run limits of executors and the LongLimit of tenants are soft: the first
+// run of an idle step may exceed them until FirstRunCPU of CPU has been placed in the round, and that of a lasting step always may.
+// Shares are placed first.
 type Limits struct {
 	Remaining   map[int]Resources
 	FirstRunCPU int64
--- a/internal/scheduling/placement/misses.go
+++ b/internal/scheduling/placement/misses.go
@@ -6,6 +6,7 @@
 // and requires at least the same labels can't be placed either.
 type misses []miss
 
+// miss holds the need and the required labels of a group that found no executor.
 type miss struct {
 	need   Resources
 	labels []string
--- a/internal/scheduling/placement/place.go
+++ b/internal/scheduling/placement/place.go
@@ -15,36 +15,36 @@
 	round := newRound(executors, queue, limits)
 	round.placeShares(queue.Groups, limits)
 	if round.hasTenantAboveShare() {
-		round.placeWithinShares(queue.Groups, limits.Remaining)
+		round.placeWithinTenantShares(queue.Groups, limits.Remaining)
 	}
 	round.placeAll(queue.Groups, 0, limits.Remaining)
 	round.placeAll(queue.Speculative, len(queue.Groups), limits.Remaining)
 	return round.placed
 }
 
-// placeWithinShares makes a pass over the queue in which tenants above their shares start nothing. The capacity that is left is placed
-// afterwards in queue order alone.
-func (r *placementRound) placeWithinShares(groups []*Group, remaining map[int]Resources) {
-	r.keepsToShares, r.countsPlacements, r.failedGroups = true, true, map[int]bool{}
+// placeWithinTenantShares makes a pass over the queue in which tenants above their shares start nothing. A second pass must follow, which
+// places the rest of the capacity regardless of these shares.
+func (r *placementRound) placeWithinTenantShares(groups []*Group, remaining map[int]Resources) {
+	r.appliesTenantShares, r.countsPlacements, r.failedGroups = true, true, map[int]bool{}
 	r.placeAll(groups, 0, remaining)
-	r.keepsToShares = false
+	r.appliesTenantShares = false
 }
 
-// markFailed records a group that found no executor in the pass within shares. It would find none later in the round either.
+// markFailed records a group that found no executor in the pass within tenant shares. It would find none later in the round either.
 func (r *placementRound) markFailed(number int) {
-	if r.keepsToShares {
+	if r.appliesTenantShares {
 		r.failedGroups[number] = true
 	}
 }
 
-// placeAll places groups in queue order within their allowances. number is the number of the first group.
-func (r *placementRound) placeAll(groups []*Group, number int, remaining map[int]Resources) {
+// placeAll places groups in queue order within their allowances. firstNumber is the number of the first of them.
+func (r *placementRound) placeAll(groups []*Group, firstNumber int, remaining map[int]Resources) {
 	for index, group := range groups {
 		if r.isExhausted {
 			return
 		}
-		if !r.failedGroups[number+index] {
-			r.placeGroup(group, number+index, allowanceOf(remaining, group))
+		if !r.failedGroups[firstNumber+index] {
+			r.placeGroup(group, firstNumber+index, allowanceOf(remaining, group))
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// recordPlacement appends a placement, and counts it for its group if the round comes back to that group later.
+// recordPlacement appends a placement, and counts it for its group if the round may come back to that group later.
 func (r *placementRound) recordPlacement(number int, candidate *candidateState, allowance allowance) {
 	isFromShare := allowance.share != nil
 	r.placed = append(r.placed, Placement{number, candidate.index, isFromShare})
@@ -100,8 +100,8 @@
 	r.placedOf[number]++
 }
 
-// chooseFor returns the best executor for the next task of a group, or nil. If the group may exceed the soft limits, it tries first
-// within them.
+// chooseFor returns the best executor for the next task of a group, or nil. A group that may exceed the soft limits does so only if no
+// executor within them is found.
 func (r *placementRound) chooseFor(group *Group, runs map[int]int, mayExceedLimits bool) *candidateState {
 	var best *candidateState
 	if !r.fitsNowhere(group) {
@@ -113,8 +113,8 @@
 	return best
 }
 
-// runsByExecutor counts the runs of a group's step by executor, including those placed earlier in this round. runs is the result of an
-// earlier call, or nil.
+// runsByExecutor counts the runs of a group's step by executor, including those placed earlier in this round. Without anti-affinity there is
+// nothing to count. runs is the result of an earlier call, which is returned again, or nil.
 func (r *placementRound) runsByExecutor(group *Group, number int, runs map[int]int) map[int]int {
 	if group.AntiAffinity == 0 || runs != nil {
 		return runs
@@ -143,7 +143,7 @@
 	return best
 }
 
-// handleFailure records that a task found no executor, and reserves one for it if the task is large.
+// handleFailure records that there was no executor for a task of a group, and reserves an executor for the group if its tasks are large.
 func (r *placementRound) handleFailure(group *Group, allowance allowance) {
 	if !r.fitsNowhere(group) {
 		r.recordMiss(group)
@@ -178,8 +178,8 @@
 func (r *placementRound) choose(search search) *candidateState {
 	var best *candidateState
 	bestScore := 0.0
-	for number := range r.candidates {
-		candidate := &r.candidates[number]
+	for index := range r.candidates {
+		candidate := &r.candidates[index]
 		if r.filter(search, candidate) != Suitable {
 			continue
 		}
--- a/internal/scheduling/placement/placement_test.go
+++ b/internal/scheduling/placement/placement_test.go
@@ -11,6 +11,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
+// executors returns empty executors with the same capacity, two on each rack.
 func executors(count int, cpu int64) []placement.Executor {
 	var all []placement.Executor
 	for number := range count {
@@ -21,6 +22,7 @@
 	return all
 }
 
+// group returns a group of tasks that need only CPU.
 func group(count int, cpu int64) *placement.Group {
 	return &placement.Group{Need: placement.Resources{CPU: cpu}, Count: count}
 }
@@ -66,8 +68,8 @@
 		gang.IsGang, gang.SameRack = true, true
 		placed := placement.PlaceInAnyOrder(executors(4, 20), []*placement.Group{gang}, placement.Limits{})
 		Expect(placed).To(HaveLen(3))
-		for _, one := range placed {
-			Expect(one.Executor / 2).To(Equal(placed[0].Executor / 2))
+		for _, start := range placed {
+			Expect(start.Executor / 2).To(Equal(placed[0].Executor / 2))
 		}
 		gang.Count = 9
 		Expect(placement.PlaceInAnyOrder(executors(4, 20), []*placement.Group{gang}, placement.Limits{})).To(BeEmpty())
@@ -79,8 +81,8 @@
 		all := executors(2, 20)
 		all[0].Free.CPU, all[1].Free.CPU = 8, 12
 		placed := placement.PlaceInAnyOrder(all, []*placement.Group{large, small}, placement.Limits{})
-		for _, one := range placed {
-			Expect(one.Executor).To(Equal(0))
+		for _, start := range placed {
+			Expect(start.Executor).To(Equal(0))
 		}
 	})
 
@@ -113,25 +115,25 @@
 			}
 			var groups []*placement.Group
 			for range draw.IntN(6) {
-				one := group(1+draw.IntN(8), int64(draw.IntN(22)))
-				one.AntiAffinity, one.Priority, one.IsGang = draw.IntN(3), draw.IntN(3), draw.IntN(4) == 0
+				drawn := group(1+draw.IntN(8), int64(draw.IntN(22)))
+				drawn.AntiAffinity, drawn.Priority, drawn.IsGang = draw.IntN(3), draw.IntN(3), draw.IntN(4) == 0
 				if draw.IntN(3) == 0 {
-					one.Labels = []string{"r0"}
+					drawn.Labels = []string{"r0"}
 				}
-				groups = append(groups, one)
+				groups = append(groups, drawn)
 			}
 			used, runs := map[int]int64{}, map[placement.Placement]int{}
 			counts := map[int]int{}
-			for _, one := range placement.PlaceInAnyOrder(all, groups, placement.Limits{}) {
-				used[one.Executor] += groups[one.Group].Need.CPU
-				runs[one]++
-				counts[one.Group]++
-				Expect(all[one.Executor].IsUnschedulable).To(BeFalse())
-				if groups[one.Group].Labels != nil {
-					Expect(all[one.Executor].Rack).To(Equal("r0"))
+			for _, start := range placement.PlaceInAnyOrder(all, groups, placement.Limits{}) {
+				used[start.Executor] += groups[start.Group].Need.CPU
+				runs[start]++
+				counts[start.Group]++
+				Expect(all[start.Executor].IsUnschedulable).To(BeFalse())
+				if groups[start.Group].Labels != nil {
+					Expect(all[start.Executor].Rack).To(Equal("r0"))
 				}
-				if limit := groups[one.Group].AntiAffinity; limit > 0 {
-					Expect(runs[one]).To(BeNumerically("<=", limit))
+				if limit := groups[start.Group].AntiAffinity; limit > 0 {
+					Expect(runs[start]).To(BeNumerically("<=", limit))
 				}
 			}
 			for index, cpu := range used {
@@ -163,29 +165,29 @@
 			for _, group := range groups {
 				group.IsLasting = draw.IntN(6) == 0
 			}
-			other, firstRunCPU, shares := maps.Clone(remaining), max(0, int64(draw.IntN(400))-200), drawShares(draw)
+			remainingOfReference, firstRunCPU, shares := maps.Clone(remaining), max(0, int64(draw.IntN(400))-200), drawShares(draw)
 			placed := placement.PlaceInAnyOrder(all, groups, placement.Limits{Remaining: remaining, FirstRunCPU: firstRunCPU, Shares: shares})
-			Expect(placed).To(Equal(placement.PlaceByReference(all, groups, placement.Limits{Remaining: other, FirstRunCPU: firstRunCPU, Shares: shares})))
-			Expect(remaining).To(Equal(other))
+			Expect(placed).To(Equal(placement.PlaceByReference(all, groups, placement.Limits{Remaining: remainingOfReference, FirstRunCPU: firstRunCPU, Shares: shares})))
+			Expect(remaining).To(Equal(remainingOfReference))
 			starts += len(placed)
 		}
 		Expect(starts).To(BeNumerically(">", 10000))
 	})
 })
 
-// drawPlacement generates executors, groups and, in half of the cases, remaining capacities by priority.
+// drawPlacement generates executors, groups and, in half of the cases, the remaining capacity of some priorities.
 func drawPlacement(draw *rand.Rand) ([]placement.Executor, []*placement.Group, map[int]placement.Resources) {
 	all := executors(1+draw.IntN(12), 20)
 	for index := range all {
-		one := &all[index]
-		one.Total = placement.Resources{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
-		one.Free = placement.Resources{CPU: int64(draw.IntN(int(one.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: one.Total.GPU}
-		one.IsUnschedulable, one.Penalty = draw.IntN(5) == 0, float64(draw.IntN(3))/10
+		executor := &all[index]
+		executor.Total = placement.Resources{CPU: 10 + int64(draw.IntN(3))*10, Memory: 1000, GPU: int64(draw.IntN(2))}
+		executor.Free = placement.Resources{CPU: int64(draw.IntN(int(executor.Total.CPU)+4)) - 3, Memory: int64(draw.IntN(1000)), GPU: executor.Total.GPU}
+		executor.IsUnschedulable, executor.Penalty = draw.IntN(5) == 0, float64(draw.IntN(3))/10
 		if draw.IntN(5) == 0 {
-			one.RunLimit = []int{1, 2, placement.NoRuns}[draw.IntN(3)]
+			executor.RunLimit = []int{1, 2, placement.NoRuns}[draw.IntN(3)]
 		}
 		if draw.IntN(3) == 0 {
-			one.Labels = append([]string{"b"}, one.Labels...)
+			executor.Labels = append([]string{"b"}, executor.Labels...)
 		}
 	}
 	var groups []*placement.Group
@@ -209,32 +211,33 @@
 	return shares
 }
 
+// drawGroup generates a group for a number of executors.
 func drawGroup(draw *rand.Rand, executors int) *placement.Group {
-	one := group(1+draw.IntN(8), int64(draw.IntN(14)))
-	one.Need.Memory, one.Need.GPU = int64(draw.IntN(400)), int64(draw.IntN(8)/7)
-	one.Priority, one.Due, one.IsLong = draw.IntN(3), int64(draw.IntN(5)), draw.IntN(3) == 0
-	one.Deadline, one.RemainingTenths, one.CanWait = placement.DeadlineClass(draw.IntN(4)%3), 1+draw.IntN(3), draw.IntN(3) == 0
-	one.IsGang, one.SameRack, one.IsIdle = draw.IntN(5) == 0, draw.IntN(2) == 0, draw.IntN(2) == 0
+	drawn := group(1+draw.IntN(8), int64(draw.IntN(14)))
+	drawn.Need.Memory, drawn.Need.GPU = int64(draw.IntN(400)), int64(draw.IntN(8)/7)
+	drawn.Priority, drawn.Due, drawn.IsLong = draw.IntN(3), int64(draw.IntN(5)), draw.IntN(3) == 0
+	drawn.Deadline, drawn.RemainingTenths, drawn.CanWait = placement.DeadlineClass(draw.IntN(4)%3), 1+draw.IntN(3), draw.IntN(3) == 0
+	drawn.IsGang, drawn.SameRack, drawn.IsIdle = draw.IntN(5) == 0, draw.IntN(2) == 0, draw.IntN(2) == 0
 	if draw.IntN(3) == 0 {
-		one.AntiAffinity, one.RunsByExecutor = 1+draw.IntN(2), map[int]int{draw.IntN(executors): 1, draw.IntN(executors): 2}
+		drawn.AntiAffinity, drawn.RunsByExecutor = 1+draw.IntN(2), map[int]int{draw.IntN(executors): 1, draw.IntN(executors): 2}
 	}
 	if draw.IntN(4) == 0 {
-		one.Avoided = []int{draw.IntN(executors)}
+		drawn.Avoided = []int{draw.IntN(executors)}
 	}
 	if draw.IntN(5) == 0 {
-		one.Count, one.IsGang, one.IsSpeculative, one.ExcludedIndices = 1, false, true, []int{draw.IntN(executors)}
+		drawn.Count, drawn.IsGang, drawn.IsSpeculative, drawn.ExcludedIndices = 1, false, true, []int{draw.IntN(executors)}
 	}
 	if draw.IntN(6) == 0 {
-		one.Excluded = make([]bool, executors)
-		one.Excluded[draw.IntN(executors)] = true
+		drawn.Excluded = make([]bool, executors)
+		drawn.Excluded[draw.IntN(executors)] = true
 	}
 	switch draw.IntN(8) {
 	case 0:
-		one.Labels = []string{"b"}
+		drawn.Labels = []string{"b"}
 	case 1:
-		one.Labels = []string{"a", "r1"}
+		drawn.Labels = []string{"a", "r1"}
 	case 2:
-		one.Locality, one.IsLocalityRequired = []string{"r0"}, draw.IntN(2) == 0
+		drawn.Locality, drawn.IsLocalityRequired = []string{"r0"}, draw.IntN(2) == 0
 	}
-	return one
+	return drawn
 }
--- a/internal/scheduling/placement/oracle_test.go
+++ b/internal/scheduling/placement/reference_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// denseGroup is a group whose runs, avoided executors and excluded executors are slices indexed by executor.
+// denseGroup is a group with its runs, avoided executors and excluded executors as slices indexed by executor.
 type denseGroup struct {
 	*Group
 	runs     []int
@@ -13,6 +13,7 @@
 	excluded []bool
 }
 
+// denseGroups converts groups for a number of executors.
 func denseGroups(sparse []*Group, executors int) []denseGroup {
 	groups := make([]denseGroup, len(sparse))
 	for number, group := range sparse {
@@ -38,18 +39,20 @@
 	groups      []denseGroup
 	remaining   map[int]Resources
 	firstRunCPU int64
-	free        []Resources
-	reserved    []bool
-	added       []int
-	counts      []int
-	placed      []Placement
+	// free, reserved and addedRuns hold the free capacity, the reservation and the number of added runs of each executor.
+	free      []Resources
+	reserved  []bool
+	addedRuns []int
+	// counts is the number of placements of each group.
+	counts []int
+	placed []Placement
 }
 
 // PlaceByReference is a simple reference implementation of Place, without tenants. It checks all executors for each task and all groups
 // for each share.
 func PlaceByReference(executors []Executor, sparse []*Group, limits Limits) []Placement {
 	r := &referenceRound{executors: executors, groups: denseGroups(sparse, len(executors)), remaining: limits.Remaining, firstRunCPU: limits.FirstRunCPU,
-		free: make([]Resources, len(executors)), reserved: make([]bool, len(executors)), added: make([]int, len(executors)), counts: make([]int, len(sparse))}
+		free: make([]Resources, len(executors)), reserved: make([]bool, len(executors)), addedRuns: make([]int, len(executors)), counts: make([]int, len(sparse))}
 	for index, executor := range executors {
 		r.free[index] = executor.Free
 	}
@@ -57,14 +60,14 @@
 	for index := range order {
 		order[index] = index
 	}
-	slices.SortStableFunc(order, func(one, two int) int { return compareForReference(r.groups[one].Group, r.groups[two].Group) })
+	slices.SortStableFunc(order, func(a, b int) int { return compareForReference(r.groups[a].Group, r.groups[b].Group) })
 	for _, share := range limits.Shares {
-		left := shareBalance{Share: share}
+		balance := shareBalance{Share: share}
 		for _, number := range order {
 			group := r.groups[number]
 			isWanted := group.Deadline == share.Deadline && (share.Deadline == Expired || group.Priority == share.Priority)
-			if isWanted && !group.IsSpeculative && !group.CanWait && left.Resources.CPU > 0 && left.Resources.Memory > 0 && left.failures < maxShareFailures {
-				r.place(number, &left)
+			if isWanted && !group.IsSpeculative && !group.CanWait && balance.Resources.CPU > 0 && balance.Resources.Memory > 0 && balance.failures < maxShareFailures {
+				r.place(number, &balance)
 			}
 		}
 	}
@@ -75,16 +78,16 @@
 }
 
 // compareForReference is the queue order, implemented independently of CompareGroups.
-func compareForReference(one, two *Group) int {
+func compareForReference(a, b *Group) int {
 	isPrompt := func(group *Group) bool { return group.Deadline == OnTime && !(group.IsLong && group.Priority > 0) }
-	if order := cmp.Or(compareBools(one.IsSpeculative, two.IsSpeculative), compareBools(one.Deadline == Expired, two.Deadline == Expired)); order != 0 {
+	if order := cmp.Or(compareBools(a.IsSpeculative, b.IsSpeculative), compareBools(a.Deadline == Expired, b.Deadline == Expired)); order != 0 {
 		return order
 	}
-	byAge := cmp.Or(cmp.Compare(one.RemainingTenths, two.RemainingTenths), cmp.Compare(one.Due, two.Due))
-	if one.Deadline == Expired {
+	byAge := cmp.Or(cmp.Compare(a.RemainingTenths, b.RemainingTenths), cmp.Compare(a.Due, b.Due))
+	if a.Deadline == Expired {
 		return byAge
 	}
-	return cmp.Or(compareBools(isPrompt(two), isPrompt(one)), cmp.Compare(one.Priority, two.Priority), cmp.Compare(one.Deadline, two.Deadline), byAge)
+	return cmp.Or(compareBools(isPrompt(b), isPrompt(a)), cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Deadline, b.Deadline), byAge)
 }
 
 // place places the remaining tasks of one group, from a share unless share is nil.
@@ -92,21 +95,21 @@
 	group := &r.groups[number]
 	allowance := allowanceOf(r.remaining, group.Group)
 	allowance.hasLimit = allowance.hasLimit && share == nil
-	isFirst := r.counts[number] == 0 && group.IsIdle && !group.IsSpeculative && (group.IsLasting || r.firstRunCPU > 0)
+	mayExceedLimits := r.counts[number] == 0 && group.IsIdle && !group.IsSpeculative && (group.IsLasting || r.firstRunCPU > 0)
 	if group.IsGang {
-		if r.counts[number] == 0 && (isFirst || allowance.covers(group.Need.Times(float64(group.Count)))) {
-			r.placeGang(number, isFirst, allowance, share)
+		if r.counts[number] == 0 && (mayExceedLimits || allowance.covers(group.Need.Times(float64(group.Count)))) {
+			r.placeGang(number, mayExceedLimits, allowance, share)
 		}
 		return
 	}
 	for r.counts[number] < group.Count && (share == nil || share.Resources.CPU > 0 && share.Resources.Memory > 0) {
-		isFirst = isFirst && r.counts[number] == 0
-		if !isFirst && !allowance.covers(group.Need) {
+		mayExceedLimits = mayExceedLimits && r.counts[number] == 0
+		if !mayExceedLimits && !allowance.covers(group.Need) {
 			return
 		}
-		best := choose(r.executors, r.free, r.reserved, r.added, group, group.runs)
-		if best < 0 && isFirst {
-			best = choose(unlimited(r.executors), r.free, make([]bool, len(r.executors)), r.added, group, group.runs)
+		best := choose(r.executors, r.free, r.reserved, r.addedRuns, group, group.runs)
+		if best < 0 && mayExceedLimits {
+			best = choose(unlimited(r.executors), r.free, make([]bool, len(r.executors)), r.addedRuns, group, group.runs)
 		}
 		if share != nil {
 			share.Resources = share.Resources.Minus(group.Need)
@@ -120,7 +123,7 @@
 		}
 		r.free[best] = r.free[best].Minus(group.Need)
 		group.runs[best]++
-		r.added[best]++
+		r.addedRuns[best]++
 		r.counts[number]++
 		allowance.spend(group.Need)
 		r.firstRunCPU -= group.Need.CPU
@@ -147,11 +150,11 @@
 }
 
 // placeGang places all members of a gang or none.
-func (r *referenceRound) placeGang(number int, isFirst bool, allowance allowance, share *shareBalance) {
+func (r *referenceRound) placeGang(number int, mayExceedLimits bool, allowance allowance, share *shareBalance) {
 	group := &r.groups[number]
-	gang := placeGang(r.executors, r.free, r.added, group, number)
-	if gang == nil && isFirst {
-		gang = placeGang(unlimited(r.executors), r.free, r.added, group, number)
+	gang := placeGang(r.executors, r.free, r.addedRuns, group, number)
+	if gang == nil && mayExceedLimits {
+		gang = placeGang(unlimited(r.executors), r.free, r.addedRuns, group, number)
 	}
 	taken := group.Need.Times(float64(len(gang)))
 	allowance.spend(taken)
@@ -175,6 +178,7 @@
 	return all
 }
 
+// isAllowed reports whether the constraints of a group allow an executor, regardless of its capacity, run limit and reservation.
 func isAllowed(executor *Executor, group *denseGroup, runs []int, index int) bool {
 	isExcluded := len(group.excluded) > index && group.excluded[index]
 	if executor.IsUnschedulable || isExcluded || group.AntiAffinity > 0 && runs[index] >= group.AntiAffinity || group.IsLocalityRequired && !IsLocal(executor.Labels, group.Locality) {
@@ -188,11 +192,12 @@
 	return true
 }
 
-func choose(executors []Executor, free []Resources, reserved []bool, added []int, group *denseGroup, runs []int) int {
+// choose returns the index of the executor with the lowest score, or -1.
+func choose(executors []Executor, free []Resources, reserved []bool, addedRuns []int, group *denseGroup, runs []int) int {
 	best, bestScore := -1, 0.0
 	for index := range executors {
 		executor := &executors[index]
-		isLimited := executor.RunLimit == NoRuns || executor.RunLimit > 0 && added[index] >= executor.RunLimit
+		isLimited := executor.RunLimit == NoRuns || executor.RunLimit > 0 && addedRuns[index] >= executor.RunLimit
 		if isLimited || reserved[index] || !isAllowed(executor, group, runs, index) || !free[index].Fits(group.Need) {
 			continue
 		}
@@ -207,7 +212,7 @@
 	return best
 }
 
-// reserve reserves the emptiest executor for a large task, so that the task does not starve behind small later ones.
+// reserve reserves the emptiest executor for a large task, so that the task does not starve behind small tasks that come later.
 func reserve(executors []Executor, free []Resources, reserved []bool, group *denseGroup) {
 	best := -1
 	for index := range executors {
@@ -226,17 +231,19 @@
 	}
 }
 
-func placeGang(executors []Executor, free []Resources, added []int, group *denseGroup, number int) []Placement {
+// placeGang returns the placements of all members of a gang, or nil with nothing allocated.
+func placeGang(executors []Executor, free []Resources, addedRuns []int, group *denseGroup, number int) []Placement {
 	if group.SameRack {
 		for _, rack := range racksByFree(executors, free) {
-			if placed := fillGang(executors, free, added, group, number, rack); placed != nil {
+			if placed := fillGang(executors, free, addedRuns, group, number, rack); placed != nil {
 				return placed
 			}
 		}
 	}
-	return fillGang(executors, free, added, group, number, "")
+	return fillGang(executors, free, addedRuns, group, number, "")
 }
 
+// racksByFree lists the racks, ordered by their free CPU from most to least.
 func racksByFree(executors []Executor, free []Resources) []string {
 	total := map[string]int64{}
 	for index, executor := range executors {
@@ -248,21 +255,23 @@
 	for rack := range total {
 		racks = append(racks, rack)
 	}
-	slices.SortFunc(racks, func(a, two string) int {
-		return cmp.Or(cmp.Compare(total[two], total[a]), cmp.Compare(a, two))
+	slices.SortFunc(racks, func(a, b string) int {
+		return cmp.Or(cmp.Compare(total[b], total[a]), cmp.Compare(a, b))
 	})
 	return racks
 }
 
-func fillGang(executors []Executor, free []Resources, added []int, group *denseGroup, number int, rack string) []Placement {
-	trial, runs, counts := slices.Clone(free), slices.Clone(group.runs), slices.Clone(added)
-	closed := make([]bool, len(executors))
+// fillGang returns the placements of all members of a gang on one rack, or on any rack if rack is empty. If there is no executor for a
+// member, it returns nil and changes nothing.
+func fillGang(executors []Executor, free []Resources, addedRuns []int, group *denseGroup, number int, rack string) []Placement {
+	trial, runs, counts := slices.Clone(free), slices.Clone(group.runs), slices.Clone(addedRuns)
+	otherRack := make([]bool, len(executors))
 	for index, executor := range executors {
-		closed[index] = rack != "" && executor.Rack != rack
+		otherRack[index] = rack != "" && executor.Rack != rack
 	}
 	var placed []Placement
 	for range group.Count {
-		best := choose(executors, trial, closed, counts, group, runs)
+		best := choose(executors, trial, otherRack, counts, group, runs)
 		if best < 0 {
 			return nil
 		}
@@ -272,15 +281,16 @@
 		placed = append(placed, Placement{Group: number, Executor: best})
 	}
 	copy(free, trial)
-	copy(added, counts)
+	copy(addedRuns, counts)
 	return placed
 }
 
-func compareBools(one, two bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
-	case one == two:
+	case a == b:
 		return 0
-	case two:
+	case b:
 		return -1
 	}
 	return 1
@@ -296,7 +306,7 @@
 		}
 		regular = append(regular, number)
 	}
-	compare := func(one, two int) int { return CompareGroups(groups[one], groups[two]) }
+	compare := func(a, b int) int { return CompareGroups(groups[a], groups[b]) }
 	slices.SortStableFunc(regular, compare)
 	slices.SortStableFunc(speculative, compare)
 	queue := Queue{}
--- a/internal/scheduling/placement/resources.go
+++ b/internal/scheduling/placement/resources.go
@@ -33,19 +33,20 @@
 	return Resources{min(r.CPU, other.CPU), min(r.Memory, other.Memory), min(r.GPU, other.GPU)}
 }
 
-// DominantShareOf returns the larger of the shares of CPU and of memory that r has in a total. A resource with a total of 0 is left out.
+// DominantShareOf returns r's fraction of the total CPU or of the total memory, whichever is larger. A resource with a total of 0 is left
+// out.
 func (r Resources) DominantShareOf(total Resources) float64 {
-	part := 0.0
+	share := 0.0
 	if total.CPU > 0 {
-		part = float64(r.CPU) / float64(total.CPU)
+		share = float64(r.CPU) / float64(total.CPU)
 	}
 	if total.Memory > 0 {
-		part = max(part, float64(r.Memory)/float64(total.Memory))
+		share = max(share, float64(r.Memory)/float64(total.Memory))
 	}
-	return part
+	return share
 }
 
-// countSlots returns how many times a need fits, up to limit.
+// countSlots returns how many times a need fits into r, up to limit.
 func (r Resources) countSlots(need Resources, limit int64) int64 {
 	if !r.Fits(need) {
 		return 0
--- a/internal/scheduling/placement/score.go
+++ b/internal/scheduling/placement/score.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The weights of a score. Health counts more than locality, and locality more than tight packing. Avoided executors come last.
+// The weights and additions of a score. Health counts more than locality, and locality more than tight packing. Avoided executors come last.
 const (
 	penaltyWeight = 10
 	remoteScore   = 5
@@ -19,8 +19,8 @@
 	return score
 }
 
-// fitScore returns the score without avoided executors. It prefers healthy executors, then those near the data, then those that the
-// task fills most tightly.
+// fitScore returns the score without the addition for avoided executors. It prefers healthy executors, then those near the data, then those
+// with the least free capacity after the task is placed.
 func fitScore(executor *Executor, free Resources, group *Group) float64 {
 	score := executor.Penalty * penaltyWeight
 	if len(group.Locality) > 0 && !IsLocal(executor.Labels, group.Locality) {
--- a/internal/scheduling/placement/section.go
+++ b/internal/scheduling/placement/section.go
@@ -9,14 +9,14 @@
 type rank int
 
 const (
-	// rankOnTime is work that is on time, ordered by priority. It includes long work only of the most urgent priority. Other long work
-	// would hold capacity for long that late but still useful work of more urgent queues needs only briefly.
+	// rankOnTime is work that is on time, ordered by priority. It includes long work only of the most urgent priority. Long work of other
+	// priorities would hold capacity for a long time that late work of a more urgent priority needs only briefly.
 	rankOnTime rank = iota
 	// rankLate is all other work that is still useful, ordered by priority: late work, and long work that is on time.
 	rankLate
 	// rankExpired is work that is no longer useful, of any priority. It runs on spare capacity and from its Share, so that every job
-	// ends eventually. It must never go before other work, however old it is: after an overload it is most of the queue, and the
-	// overload would never end.
+	// ends eventually. It must never go before other work, however old it is: after an overload most of the queue is expired, and
+	// placing it first would make the other work late too, so that the overload would never end.
 	rankExpired
 )
 
--- a/internal/scheduling/placement/section_test.go
+++ b/internal/scheduling/placement/section_test.go
@@ -8,15 +8,16 @@
 )
 
 var _ = Describe("the queue order", func() {
+	// with returns a group of one task, which change adjusts unless it is nil.
 	with := func(priority int, deadline placement.DeadlineClass, change func(*placement.Group)) *placement.Group {
-		one := group(1, 10)
-		one.Priority, one.Deadline, one.RemainingTenths = priority, deadline, 10
+		created := group(1, 10)
+		created.Priority, created.Deadline, created.RemainingTenths = priority, deadline, 10
 		if change != nil {
-			change(one)
+			change(created)
 		}
-		return one
+		return created
 	}
-	isLong := func(one *placement.Group) { one.IsLong = true }
+	isLong := func(changed *placement.Group) { changed.IsLong = true }
 	// winner returns the index of the group that gets the only free executor.
 	winner := func(groups ...*placement.Group) int {
 		placed := placement.PlaceInAnyOrder(executors(1, 10), groups, placement.Limits{})
@@ -35,13 +36,13 @@
 	})
 
 	It("places expired work last, oldest first, regardless of priority", func() {
-		older := func(one *placement.Group) { one.Due = -1 }
+		older := func(changed *placement.Group) { changed.Due = -1 }
 		Expect(winner(with(0, placement.Expired, nil), with(2, placement.Late, isLong))).To(Equal(1))
 		Expect(winner(with(0, placement.Expired, nil), with(2, placement.Expired, older))).To(Equal(1))
 	})
 
 	It("places started jobs before unstarted ones that are due earlier, within a priority", func() {
-		begun := func(one *placement.Group) { one.RemainingTenths, one.Due = 9, 5 }
+		begun := func(changed *placement.Group) { changed.RemainingTenths, changed.Due = 9, 5 }
 		Expect(winner(with(1, placement.OnTime, nil), with(1, placement.OnTime, begun))).To(Equal(1))
 		Expect(winner(with(0, placement.OnTime, nil), with(1, placement.OnTime, begun))).To(Equal(0))
 	})
@@ -49,30 +50,31 @@
 
 var _ = Describe("a share of the capacity", func() {
 	urgent := func() *placement.Group {
-		one := group(10, 10)
-		one.RemainingTenths = 10
-		return one
+		created := group(10, 10)
+		created.RemainingTenths = 10
+		return created
 	}
+	// lower returns a group of a less urgent priority.
 	lower := func(count int, cpu int64) *placement.Group {
-		one := group(count, cpu)
-		one.Priority, one.RemainingTenths, one.Due = 1, 10, 1
-		return one
+		created := group(count, cpu)
+		created.Priority, created.RemainingTenths, created.Due = 1, 10, 1
+		return created
 	}
 	share := placement.Share{Priority: 1, Deadline: placement.OnTime, Resources: placement.Resources{CPU: 15, Memory: 1000}, Reservations: 1}
 
 	It("is placed before more urgent groups, and is exceeded by at most one run", func() {
 		placed := placement.PlaceInAnyOrder(executors(5, 10), []*placement.Group{urgent(), lower(5, 10)}, placement.Limits{Shares: []placement.Share{share}})
 		Expect(placed).To(HaveLen(5))
-		for index, one := range placed {
-			Expect(one.Group == 1).To(Equal(index < 2), "%v", placed)
-			Expect(one.IsFromShare).To(Equal(index < 2), "%v", placed)
+		for index, start := range placed {
+			Expect(start.Group == 1).To(Equal(index < 2), "%v", placed)
+			Expect(start.IsFromShare).To(Equal(index < 2), "%v", placed)
 		}
 	})
 
 	It("skips groups that can wait", func() {
-		patient, impatient := lower(1, 10), lower(1, 10)
-		patient.CanWait, impatient.Due = true, 2
-		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{urgent(), patient, impatient}, placement.Limits{Shares: []placement.Share{share}})
+		deferrable, prompt := lower(1, 10), lower(1, 10)
+		deferrable.CanWait, prompt.Due = true, 2
+		placed := placement.PlaceInAnyOrder(executors(1, 10), []*placement.Group{urgent(), deferrable, prompt}, placement.Limits{Shares: []placement.Share{share}})
 		Expect(placed).To(HaveLen(1))
 		Expect(placed[0].Group).To(Equal(2))
 	})
--- a/internal/scheduling/placement/share.go
+++ b/internal/scheduling/placement/share.go
@@ -25,8 +25,8 @@
 	return s.Resources.CPU <= 0 || s.Resources.Memory <= 0 || s.failures >= maxShareFailures
 }
 
-// placeShare places the groups from an index on that can't wait, until the share is spent. The remaining capacity of the priority does
-// not limit it.
+// placeShare places the groups from index from on, except those that can wait, until the share is spent. The remaining capacity of the
+// priority does not limit it.
 func (r *placementRound) placeShare(groups []*Group, from int, remaining map[int]Resources, share *shareBalance) {
 	for index := from; index < len(groups) && !r.isExhausted && !share.isSpent(); index++ {
 		if groups[index].CanWait {
--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -7,17 +7,18 @@
 
 // Tenant is the usage and the limits of one tenant. Groups refer to it by its index in Limits.Tenants; index 0 is work without a tenant.
 type Tenant struct {
-	// Allocated is what its runs use, including those that are stopping and those whose start is not confirmed.
+	// Allocated is what the tenant's runs use, including those that are stopping and those whose start is not confirmed.
 	Allocated Resources
-	// Limit is how much it may have running at once.
+	// Limit is how much the tenant may have running at once.
 	Limit Resources
 	// MayOvershoot means that no other pool starts runs under the same limit, so that one task that is too large may exceed it.
 	MayOvershoot bool
-	// LongAllocated is what its long work uses, and LongLimit is a soft limit for that, which leaves capacity for its urgent work within Limit.
+	// LongAllocated is what the tenant's long work uses (see CountsAsLong). LongLimit is a soft limit for it, which leaves capacity within
+	// Limit for urgent work.
 	LongAllocated, LongLimit Resources
-	// Share is its part of the capacity of the executors that may get runs, in proportion to the weights of all tenants that have work.
+	// Share is the tenant's part of the capacity of the executors that may get runs, in proportion to the weights of all tenants with work.
 	Share Resources
-	// IsAboveShare means that it has more than its share, or would have with one more run of the group that it placed last.
+	// IsAboveShare means that the tenant has more than its share, or would have with one more run of its group that was placed last.
 	IsAboveShare bool
 }
 
@@ -25,8 +26,9 @@
 var NoLimit = Resources{CPU: Unlimited, Memory: Unlimited, GPU: Unlimited}
 
 // Admits reports whether the tenant may have count more runs of a need. All must be within its limit. With MayOvershoot, a single run
-// may exceed the limit while at most half of the limit is in use. No more than one run ever exceeds it: runs may start in another order
-// than they were placed in, and a small run that starts last must not be the one that exceeds it.
+// may exceed the limit while at most half of the limit is in use. So at most one run exceeds the limit, and it is larger than all others
+// together. Runs may start in another order than they were placed in, and a small run that starts last must not be the one that exceeds
+// the limit.
 func (t *Tenant) Admits(need Resources, count int) bool {
 	if fitsLimit(need, t.Allocated.Plus(need.Times(float64(count))), t.Limit) {
 		return true
@@ -43,8 +45,8 @@
 // exempt, and so is lasting work, which must be running at all times.
 func (g *Group) CountsAsLong() bool { return g.IsLong && !g.IsLasting && g.Priority != mostUrgent }
 
-// admitsLong reports whether the tenant's long work may have count more runs. The last one may exceed the soft limit, and the first
-// ones are always admitted while no long work runs.
+// admitsLong reports whether the tenant's long work may have count more runs. Only the last one may exceed the soft limit. While no long
+// work runs, any count is admitted.
 func (t *Tenant) admitsLong(need Resources, count int) bool {
 	if t.LongAllocated == (Resources{}) {
 		return true
@@ -68,8 +70,8 @@
 	return &r.tenants[group.Tenant]
 }
 
-// isTenantAtLimit reports whether limits forbid count more runs of a group to its tenant. The hard limit always applies, the soft limit
-// applies to long work that may not exceed soft limits, and the share only in the pass within shares.
+// isTenantAtLimit reports whether the limits of a group's tenant forbid count more runs of the group. The hard limit always applies, the
+// soft limit applies to long work that may not exceed soft limits, and the tenant's share applies only in the pass within tenant shares.
 func (r *placementRound) isTenantAtLimit(group *Group, count int) bool {
 	tenant := r.tenantOf(group)
 	switch {
@@ -80,7 +82,7 @@
 	case group.CountsAsLong() && !r.mayExceedLimits(group) && !tenant.admitsLong(group.Need, count):
 		return true
 	}
-	return r.keepsToShares && tenant.IsAboveShare
+	return r.appliesTenantShares && tenant.IsAboveShare
 }
 
 // countForTenant adds runs of a group to its tenant's usage; a negative count removes them.
--- a/internal/scheduling/placement/tenant_test.go
+++ b/internal/scheduling/placement/tenant_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("tenants", func() {
 	capacity := placement.Resources{CPU: 16000, Memory: 16000}
-	one := placement.Resources{CPU: 1000, Memory: 1000}
+	unit := placement.Resources{CPU: 1000, Memory: 1000}
 	executors := func(count int) []placement.Executor {
 		list := make([]placement.Executor, count)
 		for index := range list {
@@ -38,18 +38,18 @@
 	}
 
 	It("stay within their limits while capacity is free, and leave the rest to others", func() {
-		groups := []*placement.Group{{Need: one, Count: 20, Tenant: 1, IsIdle: true}, {Need: one, Count: 20, Tenant: 2, Due: 1}, {Need: one, Count: 3, Due: 2}}
+		groups := []*placement.Group{{Need: unit, Count: 20, Tenant: 1, IsIdle: true}, {Need: unit, Count: 20, Tenant: 2, Due: 1}, {Need: unit, Count: 3, Due: 2}}
 		Expect(place(groups, limited(4000), limited(6500))).To(Equal(map[int]int{1: 4, 2: 6, 0: 3}))
 	})
 
 	It("exceed their limit with one oversized run if half of the limit is free and no other pool starts runs under it", func() {
 		sole := limited(4500)
 		sole.MayOvershoot = true
-		Expect(place([]*placement.Group{{Need: one, Count: 20, Tenant: 1}}, sole)).To(Equal(map[int]int{1: 4}))
-		large := []*placement.Group{{Need: one.Times(3), Count: 9, Tenant: 1}}
-		sole.Allocated = one.Times(2)
+		Expect(place([]*placement.Group{{Need: unit, Count: 20, Tenant: 1}}, sole)).To(Equal(map[int]int{1: 4}))
+		large := []*placement.Group{{Need: unit.Times(3), Count: 9, Tenant: 1}}
+		sole.Allocated = unit.Times(2)
 		Expect(place(large, sole)).To(Equal(map[int]int{1: 1}))
-		sole.Allocated = one.Times(3)
+		sole.Allocated = unit.Times(3)
 		Expect(place(large, sole)).To(BeEmpty())
 		tiny := limited(500)
 		Expect(place(large, tiny)).To(BeEmpty())
@@ -58,33 +58,33 @@
 	})
 
 	It("start a gang completely within the limit or not at all", func() {
-		gang := []*placement.Group{{Need: one, Count: 5, IsGang: true, Tenant: 1, IsIdle: true}}
+		gang := []*placement.Group{{Need: unit, Count: 5, IsGang: true, Tenant: 1, IsIdle: true}}
 		Expect(place(gang, limited(4000))).To(BeEmpty())
 		Expect(place(gang, limited(5000))).To(Equal(map[int]int{1: 5}))
 	})
 
 	It("release the usage of a gang that could not be placed", func() {
-		groups := []*placement.Group{{Need: one, Count: 3, IsGang: true, AntiAffinity: 1, Tenant: 1}, {Need: one, Count: 9, Tenant: 1, Due: 1}}
+		groups := []*placement.Group{{Need: unit, Count: 3, IsGang: true, AntiAffinity: 1, Tenant: 1}, {Need: unit, Count: 9, Tenant: 1, Due: 1}}
 		Expect(place(groups, limited(4000))).To(Equal(map[int]int{1: 4}))
 	})
 
 	It("leave capacity within their limit for urgent work, unless none of their long work runs", func() {
 		tenant := limited(10000)
-		tenant.Allocated, tenant.LongAllocated = one.Times(4), one.Times(4)
+		tenant.Allocated, tenant.LongAllocated = unit.Times(4), unit.Times(4)
 		tenant.LongLimit.CPU = 6000
-		long := []*placement.Group{{Need: one, Count: 20, Tenant: 1, IsLong: true, Priority: 2}}
+		long := []*placement.Group{{Need: unit, Count: 20, Tenant: 1, IsLong: true, Priority: 2}}
 		Expect(place(long, tenant)).To(Equal(map[int]int{1: 3}))
 		tenant.Allocated, tenant.LongAllocated = placement.Resources{}, placement.Resources{}
-		gang := []*placement.Group{{Need: one, Count: 9, IsGang: true, Tenant: 1, IsLong: true, Priority: 2}}
+		gang := []*placement.Group{{Need: unit, Count: 9, IsGang: true, Tenant: 1, IsLong: true, Priority: 2}}
 		Expect(place(gang, tenant)).To(Equal(map[int]int{1: 9}))
 	})
 
 	It("that have more than their share are placed after the others, on spare capacity", func() {
-		loud, quiet := limited(placement.Unlimited), limited(placement.Unlimited)
-		loud.Share, quiet.Share = one.Times(16), one.Times(16)
-		loud.Allocated, loud.IsAboveShare = one.Times(20), true
-		groups := []*placement.Group{{Need: one, Count: 40, Tenant: 1}, {Need: one, Count: 10, Tenant: 2, Due: 1}}
-		Expect(place(groups, loud, quiet)).To(Equal(map[int]int{2: 10, 1: 22}))
+		aboveShare, withinShare := limited(placement.Unlimited), limited(placement.Unlimited)
+		aboveShare.Share, withinShare.Share = unit.Times(16), unit.Times(16)
+		aboveShare.Allocated, aboveShare.IsAboveShare = unit.Times(20), true
+		groups := []*placement.Group{{Need: unit, Count: 40, Tenant: 1}, {Need: unit, Count: 10, Tenant: 2, Due: 1}}
+		Expect(place(groups, aboveShare, withinShare)).To(Equal(map[int]int{2: 10, 1: 22}))
 	})
 
 	It("never exceed a limit, and are never denied free capacity within it, on random fleets", func() {
@@ -92,7 +92,7 @@
 		for range 300 {
 			var groups []*placement.Group
 			for index := range 1 + random.IntN(8) {
-				groups = append(groups, &placement.Group{Need: one.Times(float64(1 + random.IntN(3))), Count: 1 + random.IntN(12), Tenant: random.IntN(4),
+				groups = append(groups, &placement.Group{Need: unit.Times(float64(1 + random.IntN(3))), Count: 1 + random.IntN(12), Tenant: random.IntN(4),
 					IsGang: random.IntN(4) == 0, Due: int64(index), IsIdle: random.IntN(2) == 0})
 			}
 			tenants := []placement.Tenant{limited(1000 * int64(random.IntN(20))), limited(1000 * int64(random.IntN(20))), limited(placement.Unlimited)}
@@ -115,8 +115,8 @@
 			for number, group := range groups {
 				Expect(started[number]).To(BeNumerically("<=", group.Count))
 				isLimited := group.Tenant > 0 && taken[group.Tenant]+group.Need.CPU > tenants[group.Tenant-1].Limit.CPU
-				hasRoom := used+int64(len(fleet))*group.Need.CPU <= int64(len(fleet))*capacity.CPU
-				if !group.IsGang && !isLimited && hasRoom {
+				hasCapacity := used+int64(len(fleet))*group.Need.CPU <= int64(len(fleet))*capacity.CPU
+				if !group.IsGang && !isLimited && hasCapacity {
 					Expect(started[number]).To(Equal(group.Count))
 				}
 			}
