--- a/internal/scheduling/rollout/evidence.go
+++ b/internal/scheduling/rollout/evidence.go
@@ -8,18 +8,19 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Version is the last report on one of the two versions of a rollout.
+// Version holds the last report on one of the two versions of a rollout.
 type Version struct {
-	// IsKnown means that the version's pool has answered recently. Without it the other fields are zero.
+	// IsKnown means that there is a report from the version's pool. Without it the other fields are zero.
 	IsKnown bool
 	Counts  wire.RolloutCounts
-	// Executors is the number of executors that accept work. Capacity and Allocated are in thousandths of a core.
+	// Executors is the number of executors that accept work, and Capacity their total capacity. Allocated is what runs use on all executors.
+	// Both amounts are in thousandths of a core.
 	Executors           int
 	Capacity, Allocated int64
 }
 
-// VersionFrom extracts the counts of a rollout from the report of a version's pool. It ignores counts of an earlier rollout with the same
-// name, which began at another time.
+// VersionFrom extracts a version of a rollout from the report of its pool. It ignores the counts of an earlier rollout with the same name,
+// which began at another time.
 func VersionFrom(report *wire.RolloutReport, name string, begunMs int64) Version {
 	version := Version{IsKnown: true, Executors: report.Executors, Capacity: report.Capacity, Allocated: report.Allocated}
 	for _, counts := range report.Rollouts {
@@ -30,7 +31,7 @@
 	return version
 }
 
-// Evidence is the last report on both versions at one moment.
+// Evidence holds the last reports on both versions.
 type Evidence struct {
 	Old, New Version
 }
@@ -56,7 +57,7 @@
 	return aspect{a.kind, allRuns}
 }
 
-// trials counts outcomes, and the bad ones among them.
+// trials counts outcomes (total), and the bad ones among them.
 type trials struct{ total, bad int64 }
 
 func (t trials) minus(earlier trials) trials {
@@ -78,7 +79,7 @@
 	zonePrefix  = "runs in zone "
 )
 
-// sample holds the outcomes of a version, counted up to one moment, by aspect.
+// sample counts the outcomes of a version up to one moment, by aspect.
 type sample map[aspect]trials
 
 // sampleOf counts the outcomes of a version by all aspects. A run is slow if it took longer than slowLimit, in thousandths of its
@@ -120,8 +121,8 @@
 	return counted
 }
 
-// quantile returns the lowest bucket value such that at least the given share of a histogram is at or below it, or 0 for an empty
-// histogram.
+// quantile returns the lowest bucket value of a sorted histogram such that at least the given share of the values is at or below it, or 0
+// for an empty histogram.
 func quantile(histogram []wire.Bucket, share float64) int64 {
 	var total, below int64
 	for _, bucket := range histogram {
--- a/internal/scheduling/rollout/judge.go
+++ b/internal/scheduling/rollout/judge.go
@@ -1,5 +1,6 @@
 // Package rollout decides whether a new version of a service gets a larger share of a route's jobs or is rolled back. Its input is the
-// counts of both versions and the time; its output is a decision with the figures behind it. It has no clock and no network access.
+// counts of both versions and the time; its output is a decision with the figures that it is based on. It has no clock and no network
+// access.
 package rollout
 
 import (
@@ -46,7 +47,7 @@
 // Kind is the kind of bad outcome that a verdict counts.
 type Kind string
 
-// The kinds of verdicts.
+// The kinds of bad outcomes: failed jobs and runs, jobs that end after their target, and runs that take too long.
 const (
 	Failures Kind = "failures"
 	Late     Kind = "late"
@@ -64,12 +65,12 @@
 	return ReasonFailures
 }
 
-// Verdict is the result for one aspect of the new version.
+// Verdict is the result for one aspect of the new version in one window.
 type Verdict struct {
 	Kind    Kind
 	Stratum string
-	// Total and Bad count the outcomes of the new version. Bound is the share of outcomes that may be bad, Baseline the share of the old
-	// version.
+	// Total and Bad count the outcomes of the new version. Bound is the share of outcomes that may be bad. Baseline is the share that is
+	// expected from the old version, which Bound exceeds by the agreed margin.
 	Total, Bad      int64
 	Bound, Baseline float64
 	// Evidence is the evidence that the version exceeds the bound; from Level on it counts as proved. Both are natural logarithms.
@@ -89,36 +90,36 @@
 // isWorse reports whether the share of bad outcomes is above the bound, proved or not.
 func (v Verdict) isWorse() bool { return v.Total > 0 && float64(v.Bad)/float64(v.Total) > v.Bound }
 
-// Decision is the next action of a rollout, with the figures behind it.
+// Decision is the next action of a rollout, with the figures that it is based on.
 type Decision struct {
 	Action Action
 	Reason Reason
-	// Verdicts are the verdicts on all aspects over the whole rollout. Decisive is the first proved verdict of any window, which rolls the
-	// version back, or nil.
+	// Verdicts are the verdicts on all aspects over the whole rollout; there are none if the versions are not judged. Decisive is the first
+	// proved verdict of any window, or nil. A proved verdict always rolls the version back.
 	Verdicts []Verdict
 	Decisive *Verdict
 }
 
 const (
-	// windowLength is the interval at which new windows begin. Each counts outcomes from its own start, so that a version that starts to
-	// fail late is detected despite a long time without failures.
-	windowLength = time.Minute
-	// maxWindows is how many windows are kept and evaluated: the first, which covers the whole rollout, and the latest ones.
+	// windowInterval is the interval at which new windows begin. A window counts outcomes from its own start, so that a version that begins to
+	// fail is detected quickly even after a long time without failures.
+	windowInterval = time.Minute
+	// maxWindows is how many windows are kept: the first, which covers the whole rollout, and the latest ones.
 	maxWindows = 6
 	// noExecutorsTimeout is how long the new version may have no executors before it is rolled back.
 	noExecutorsTimeout = 3 * time.Second
-	// slowQuantile is the quantile of the old version's run times that the new version's run times are compared with, and slowShare the
-	// expected share of runs above it.
+	// slowQuantile is the quantile of the old version's run times that, multiplied by Bounds.RunTimeFactor, separates slow runs from others.
+	// slowShare is the expected share of runs above the quantile.
 	slowQuantile = 0.9
 	slowShare    = 1 - slowQuantile
-	// slowMargin is how far the new version may exceed slowShare, because histogram buckets are inexact.
+	// slowMargin is by how much the new version's share of slow runs may exceed slowShare, because histogram buckets are inexact.
 	slowMargin = 0.05
 )
 
-// window is the time from some moment of the rollout until now. Windows overlap.
+// window is the time from one moment of the rollout until now. So all windows overlap.
 type window struct {
 	number int
-	// startEvidence is the evidence when the window began, whose outcomes are subtracted from later ones. It is zero for the first window.
+	// startEvidence is the evidence when the window began. Its counts are subtracted from later ones. It is zero for the first window.
 	startEvidence Evidence
 }
 
@@ -126,7 +127,7 @@
 // rollout, and opens further windows from then on.
 type Judge struct {
 	windows []window
-	// noExecutorsSinceMs is the time of day at which the new version was first seen without executors, 0 while it has some.
+	// noExecutorsSinceMs is the time of day from which on all reports of the new version showed no executors, 0 while it has some.
 	noExecutorsSinceMs int64
 }
 
@@ -153,7 +154,8 @@
 	return decision
 }
 
-// decideBegin starts the first step of a requested rollout once the new version has executors and both versions have the capacity.
+// decideBegin returns Begin for a requested rollout once the new version has executors and both versions have the capacity, and otherwise
+// Hold with the reason.
 func decideBegin(rollout *configuration.Rollout, evidence Evidence) Decision {
 	if evidence.New.Executors == 0 {
 		return Decision{Action: Hold, Reason: ReasonNoExecutors}
@@ -199,7 +201,7 @@
 }
 
 // hasCapacityFor reports whether the new version has capacity for a share of the total load, and the old version for all of it, so that
-// the rollout can be rolled back at any time. The reason is empty if both have it.
+// the rollout can be rolled back at any time. If not, the reason names the version that lacks capacity.
 func hasCapacityFor(share float64, evidence Evidence) (Reason, bool) {
 	load := evidence.Old.Allocated + evidence.New.Allocated
 	switch {
@@ -211,8 +213,8 @@
 	return "", true
 }
 
-// judge returns the verdicts on all aspects over the whole rollout, and the first verdict of any window that proves the new version bad,
-// or nil. Nothing counts as proved before enough jobs have a known outcome.
+// judge returns the verdicts on all aspects over the whole rollout, and the first proved verdict of any window, or nil. No verdict is
+// decisive before the minimum number of jobs of the new version have a known outcome.
 func (j *Judge) judge(rollout *configuration.Rollout, evidence Evidence, nowMs int64) (verdicts []Verdict, decisive *Verdict) {
 	j.openWindow(rollout, evidence, nowMs)
 	hasMinJobs := evidence.New.judged() >= minJobsOf(rollout)
@@ -231,8 +233,8 @@
 	return verdicts, decisive
 }
 
-// slowRunLimit returns the run time above which a run counts as slow, in thousandths of its estimate. It is 0 if run times are not
-// judged, or the old version has too few runs to compare with.
+// slowRunLimit returns the run time above which a run counts as slow, in thousandths of the run's estimate. It is 0 if run times are not
+// judged, or if the old version has too few runs to compare with.
 func slowRunLimit(rollout *configuration.Rollout, evidence Evidence) int64 {
 	if rollout.Bounds.RunTimeFactor == 0 || slowerThan(evidence.Old.Counts.RunTimes, 0).total < minBaseline {
 		return 0
@@ -254,7 +256,7 @@
 	if len(j.windows) == 0 {
 		j.windows = append(j.windows, window{number: 1})
 	}
-	number := 1 + int((nowMs-rollout.BegunMs)/windowLength.Milliseconds())
+	number := 1 + int((nowMs-rollout.BegunMs)/windowInterval.Milliseconds())
 	if number <= j.windows[len(j.windows)-1].number {
 		return
 	}
--- a/internal/scheduling/rollout/judge_test.go
+++ b/internal/scheduling/rollout/judge_test.go
@@ -12,11 +12,11 @@
 	"gannetline/internal/scheduling/rollout"
 )
 
-// behaviour holds the probabilities, from 0 to 1, with which the jobs and runs of a version fail or are late, and its run time in
-// thousandths of the estimate.
+// behaviour holds the probabilities, from 0 to 1, with which the jobs and runs of a version fail or are late, and the run time of its runs in
+// thousandths of their estimate.
 type behaviour struct {
 	fails, late float64
-	// failsLarge applies to its largest jobs, failsInZone to its runs in the second zone, failsLater to all jobs from laterFailuresMs on.
+	// failsLarge applies to the largest tenth of jobs, failsInZone to runs in the second zone, failsLater to all jobs from laterFailuresMs on.
 	failsLarge, failsInZone, failsLater float64
 	runTime                             int64
 }
@@ -51,7 +51,7 @@
 	return s
 }
 
-// draw returns true with the given probability.
+// draw returns true with a probability of chance.
 func (s *simulation) draw(chance float64) bool { return s.random.Float64() < chance }
 
 // endJob counts the end of one job and one run of a version.
@@ -63,15 +63,15 @@
 	if s.nowMs >= laterFailuresMs {
 		fails = max(fails, chances.failsLater)
 	}
-	ended := func(jobs *wire.JobCounts) { jobs.Completed++ }
+	countEnd := func(jobs *wire.JobCounts) { jobs.Completed++ }
 	if s.draw(fails) {
-		ended = func(jobs *wire.JobCounts) { jobs.Failed++ }
+		countEnd = func(jobs *wire.JobCounts) { jobs.Failed++ }
 	} else if s.draw(chances.late) {
-		ended = func(jobs *wire.JobCounts) { jobs.Completed, jobs.Late = jobs.Completed+1, jobs.Late+1 }
+		countEnd = func(jobs *wire.JobCounts) { jobs.Completed, jobs.Late = jobs.Completed+1, jobs.Late+1 }
 	}
-	ended(&counts.Jobs)
+	countEnd(&counts.Jobs)
 	if isLarge {
-		ended(&counts.Large)
+		countEnd(&counts.Large)
 	}
 	if len(counts.Zones) == 0 {
 		counts.Zones = []wire.ZoneRuns{{Zone: "a"}, {Zone: "b"}}
@@ -84,7 +84,7 @@
 	counts.RunTimes[0].Count++
 }
 
-// advance simulates one decision interval and returns the judge's decision.
+// advance simulates the time up to the next decision, and returns the judge's decision.
 func (s *simulation) advance(judge *rollout.Judge) rollout.Decision {
 	s.nowMs += decisionIntervalMs
 	for range int(s.perSecond * decisionIntervalMs / 1000) {
@@ -97,7 +97,7 @@
 	return judge.Decide(&s.rollout, s.evidence, s.nowMs)
 }
 
-// run simulates until the rollout is finished or rolled back, and returns that decision, or Hold once untilMs is reached.
+// run applies the decisions until the rollout is finished or rolled back, and returns that decision, or Hold once untilMs is reached.
 func (s *simulation) run(untilMs int64) rollout.Decision {
 	judge := &rollout.Judge{}
 	for s.nowMs < untilMs {
--- a/internal/scheduling/rollout/weigh_test.go
+++ b/internal/scheduling/rollout/methods_test.go
@@ -19,7 +19,8 @@
 		maxJobs       = 4000
 		checkInterval = 10
 	)
-	// Each method decides from all outcomes so far, and from those of the last windowJobs jobs, whether the version is bad.
+	// windowJobs is the number of jobs that the method of the last jobs looks at. Each method decides whether the version is bad; its
+	// arguments are all outcomes so far, and the outcomes of the last windowJobs jobs.
 	const windowJobs = 100
 	fixedWindow := func(_ trials, last trials) bool { return last.total >= windowJobs && last.rate() > agreed }
 	// The sequential probability ratio test compares the bound with twice the bound.
@@ -27,13 +28,15 @@
 		bad, good := float64(all.bad), float64(all.total-all.bad)
 		return bad*math.Log(2)+good*math.Log((1-2*agreed)/(1-agreed)) >= math.Log(1/falseAlarm)
 	}
-	// The posterior under a uniform prior, checked repeatedly.
+	// The posterior probability, under a uniform prior, that the version fails at most as often as agreed.
 	bayes := func(all trials, _ trials) bool {
 		return mathext.RegIncBeta(float64(all.bad)+1, float64(all.total-all.bad)+1, agreed) < falseAlarm
 	}
+	// The method of this package: the evidence for a mixture of all failure rates above the bound.
 	mixture := func(all trials, _ trials) bool { return logEvidence(all, agreed) >= math.Log(1/falseAlarm) }
 
-	simulate := func(fails float64, judge func(all, last trials) bool) (rolledBack float64, jobs int) {
+	// simulate returns the share of simulations in which a method rolls a version back, and after how many jobs on average.
+	simulate := func(fails float64, judge func(all, last trials) bool) (rollbacks float64, jobs int) {
 		jobsUntilDetected := 0
 		for seed := range uint64(simulations) {
 			random := rand.New(rand.NewPCG(seed, 9))
@@ -50,20 +53,20 @@
 					continue
 				}
 				var last trials
-				for _, one := range outcomes[max(0, len(outcomes)-windowJobs):] {
+				for _, isBad := range outcomes[max(0, len(outcomes)-windowJobs):] {
 					last.total++
-					if one {
+					if isBad {
 						last.bad++
 					}
 				}
 				if judge(all, last) {
-					rolledBack++
+					rollbacks++
 					jobsUntilDetected += int(all.total)
 					break
 				}
 			}
 		}
-		return rolledBack / simulations, jobsUntilDetected / max(1, int(rolledBack))
+		return rollbacks / simulations, jobsUntilDetected / max(1, int(rollbacks))
 	}
 
 	It("shows that the mixture keeps its false alarm rate and detects a failure rate just above the bound", func() {
--- a/internal/scheduling/rollout/progress.go
+++ b/internal/scheduling/rollout/progress.go
@@ -2,8 +2,8 @@
 
 import "gannetline/internal/cluster/configuration"
 
-// ProgressAfter returns the progress of a rollout after a decision is applied. nowMs is the time of day of the decision in milliseconds
-// since 1970.
+// ProgressAfter returns the progress of a rollout after a decision on it. nowMs is the time of day of the decision in milliseconds since
+// 1970.
 func ProgressAfter(rollout *configuration.Rollout, evidence Evidence, decision Decision, nowMs int64) configuration.RolloutProgress {
 	progress := rollout.Progress()
 	progress.Reason = ""
@@ -20,7 +20,7 @@
 	return progress
 }
 
-// reasonText returns the reason for which a version is rolled back, with the decisive figures if there are any.
+// reasonText returns the reason for which a version is rolled back, with the decisive verdict if there is one.
 func reasonText(decision Decision) string {
 	if decision.Decisive == nil {
 		return string(decision.Reason)
