--- a/internal/scheduling/tenantcount/account.go
+++ b/internal/scheduling/tenantcount/account.go
@@ -11,30 +11,31 @@
 type account struct {
 	// spendable is what the pool may use now. It never exceeds the committed amount.
 	spendable placement.Resources
-	// claimed is the highest amount that the pool's record may hold. It is above spendable while a change is being committed. Calls send it
-	// as Has and never less.
+	// claimed is the highest amount that the pool's durable record may hold. It is above spendable while a change is being committed. Calls
+	// report this amount as Has, never a lower one.
 	claimed placement.Resources
 	// pending is the record that is being committed, or nil. claimed and spendable become its amount with the commit.
 	pending *accountRecord
 	// hasWholeLimit means that no other pool holds any of the limit.
 	hasWholeLimit bool
-	// target is how much the pool should have, as the partition decided. With isAboveTarget the account holds more, and the pool starts no
-	// runs beyond the target.
+	// target is how much the pool should have, as the partition decided. isAboveTarget means that the grant in the same answer was above the
+	// target in some resource, so that the pool starts no runs beyond the target.
 	target        placement.Resources
 	isAboveTarget bool
-	// version is the configuration version of the partition's last decision. isSettled means that all grants together were within the limit
-	// of that configuration. isAnswered means that the partition has decided at least once during this leadership of the pool.
+	// version is the latest configuration version that the partition has decided under. isSettled means that at its last decision all grants
+	// together were within the limit. isAnswered means that the partition has decided at least once during this leadership of the pool.
 	version    int64
 	isSettled  bool
 	isAnswered bool
+	// lastCallAt is when the pool last called the partition for this tenant.
 	lastCallAt time.Duration
-	// knownGrant is the partition's grant to this pool as last reported: Has of the pool's last call, or the grant in a later answer.
+	// knownGrant is the partition's grant to this pool as far as the pool knows: Has of the pool's last call, or the grant in a later answer.
 	knownGrant placement.Resources
 	// sentWants is the demand in the last call, capped by the limit.
 	sentWants placement.Resources
 }
 
-// Change is a record that the pool must commit. It calls Accounts.HandleCommit after the commit.
+// Change is a record that the pool must commit. The pool must call Accounts.HandleCommit after the commit.
 type Change struct {
 	Tenant string
 	Op     wire.Op
--- a/internal/scheduling/tenantcount/accounts.go
+++ b/internal/scheduling/tenantcount/accounts.go
@@ -16,17 +16,18 @@
 const (
 	// AccountPrefix is the prefix of the names of a pool's account records. The rest of the name is the tenant.
 	AccountPrefix = "a/"
-	// raiseInterval is how long a pool waits before it asks again for an amount that was not granted.
+	// raiseInterval is how long a pool waits after a call for a tenant before the next one, if the answer granted too little or did not
+	// confirm the grants under the pool's configuration.
 	raiseInterval = 100 * time.Millisecond
-	// batchInterval is the least time between two calls to a partition, so that one call carries the demand of many tenants.
+	// batchInterval is the least time between an answer and the next call to a partition, so that one call carries the demand of many tenants.
 	batchInterval = 20 * time.Millisecond
-	// pollInterval is how often a pool that shares its tenants with others asks how much it should give back.
+	// pollInterval is how often a pool that shares its tenants with others asks how much it should give back, and reports a changed demand.
 	pollInterval = 500 * time.Millisecond
 	// retryInterval is the pause after a call without an answer.
 	retryInterval = 200 * time.Millisecond
 )
 
-// Policy is the version of the configuration that the pool uses, and whether other pools may start runs of the same tenants.
+// Policy holds the version of the configuration that the pool uses, and whether other pools may start runs of the same tenants.
 type Policy struct {
 	Version  int64
 	IsShared bool
@@ -42,8 +43,9 @@
 // Accounts is the pool's side of the escrow: its accounts, and its calls to the partitions. The leader of a pool creates it at the start of
 // its leadership. It must be used from one goroutine, and has no clock and no network access.
 type Accounts struct {
-	asker    string
-	epoch    uint64
+	asker string
+	epoch uint64
+	// number is the number of the last call.
 	number   uint64
 	byTenant map[string]*account
 	parts    [Parts]partCalls
@@ -53,14 +55,15 @@
 type partCalls struct {
 	// number is the number of the call in flight, 0 if there is none.
 	number uint64
-	// isPoll means that the call in flight names no tenants and asks only which grants to lower.
+	// isPoll means that the call in flight names no tenants and asks only which grants are above their targets.
 	isPoll bool
 	// nextAt is the earliest time of the next call, and nextPollAt the time at which one is due even without demand.
 	nextAt, nextPollAt time.Duration
 }
 
-// NewAccounts creates the accounts of a pool for one epoch from the pool's committed records. A record that can't be read counts as an
-// empty account and is named by the error, which comes with valid accounts: the first call returns that account's grant to the partition.
+// NewAccounts creates the accounts of a pool for one epoch from the pool's committed records. It always returns usable accounts. An error
+// names the last record that can't be read. Such a record counts as an empty account, so that the first call for its tenant returns the
+// grant to the partition.
 func NewAccounts(asker string, epoch uint64, pairs []wire.Op) (*Accounts, error) {
 	accounts := &Accounts{asker: asker, epoch: epoch, byTenant: map[string]*account{}}
 	var unreadable error
@@ -77,8 +80,8 @@
 }
 
 // Allowance returns how much of a tenant's limit the pool may use, and whether that is the whole limit, so that one run may exceed it.
-// If pools share their tenants, the allowance is zero until the partition has answered under the pool's configuration, or a later one, that
-// all grants are within the limit: under a version in between, which this pool has never seen, other pools may have been granted more.
+// If pools share their tenants, the allowance is zero until the partition has confirmed under the pool's configuration, or a later one, that
+// all grants are within the limit. Other pools may have been granted more under an earlier version that this pool has never seen.
 func (a *Accounts) Allowance(tenant string, policy Policy) (allowance placement.Resources, hasWholeLimit bool) {
 	account := a.byTenant[tenant]
 	if account == nil || policy.IsShared && (account.version < policy.Version || !account.isSettled) {
@@ -87,7 +90,7 @@
 	return account.allowance(), account.hasWholeLimit && !account.isAboveTarget
 }
 
-// Balance returns the amount in the pool's account of a tenant, whether it may be used now or not.
+// Balance returns the amount in the pool's account of a tenant, including what Allowance does not allow now.
 func (a *Accounts) Balance(tenant string) placement.Resources {
 	if account := a.byTenant[tenant]; account != nil {
 		return account.spendable
@@ -107,7 +110,7 @@
 }
 
 // Lower starts to return the surplus of a tenant's account to the partition: what is above the partition's target or above the limit of the
-// configuration, except for what runs use. It returns nil if there is nothing to commit.
+// configuration, but not what runs use. It returns nil if there is nothing to commit.
 func (a *Accounts) Lower(tenant string, demand Demand) *Change {
 	account := a.accountOf(tenant)
 	keep := account.claimed.Min(demand.Limit)
@@ -121,7 +124,7 @@
 	return account.beginChange(tenant, lowered, false)
 }
 
-// Next returns the next call to a partition, or nil if none is due.
+// Next returns the next call to a partition, with the demand of all tenants that need a call, or nil if no call is due.
 func (a *Accounts) Next(part int, demands map[string]Demand, policy Policy, now time.Duration) *wire.GrantCall {
 	calls := &a.parts[part]
 	if calls.number != 0 || now < calls.nextAt {
@@ -148,10 +151,14 @@
 	return &wire.GrantCall{Asker: a.asker, Epoch: a.epoch, Number: a.number, Tenants: asked}
 }
 
-// needsCall reports whether the partition must be called for this account: it has not answered during this leadership or under this
-// configuration, the demand is above the allowance, the partition's grant differs from the claimed amount, or, if pools share the limit,
-// the demand has changed since the last call or the grants are above the limit. No call is made while a change of the account is being
-// committed, because the commit may fail and make the call wrong.
+// needsCall reports whether the partition must be called for this account. A call is needed if one of these holds:
+//
+//   - The partition has not answered during this leadership, or not under this configuration.
+//   - The demand is above the allowance.
+//   - The partition's grant differs from the claimed amount.
+//   - Pools share the limit, and the demand has changed since the last call or the grants are above the limit.
+//
+// No call is made while a change of the account is being committed, because the call would be wrong if the commit failed.
 func (a *account) needsCall(demand Demand, policy Policy, now time.Duration) bool {
 	if a.pending != nil {
 		return false
@@ -164,8 +171,9 @@
 	return !a.isAnswered || a.knownGrant != a.claimed || !canWait && (a.version < policy.Version || isStarved || policy.IsShared && !a.isSettled)
 }
 
-// HandleAnswer handles the answer to a call to a partition; answer is nil if the call failed. Answers to earlier calls are ignored. The
-// answer to a poll never raises an account, because the grant that it reports may not be durable yet. The changes must be committed.
+// HandleAnswer handles the answer to a call to a partition; answer is nil if the call failed. It returns the changes that must be committed.
+// Answers to earlier calls are ignored. The answer to a poll never raises an account, because the grant that it reports may not be durable
+// yet.
 func (a *Accounts) HandleAnswer(part int, number uint64, answer *wire.GrantAnswer, now time.Duration) []Change {
 	calls := &a.parts[part]
 	if calls.number != number {
--- a/internal/scheduling/tenantcount/cost_test.go
+++ b/internal/scheduling/tenantcount/cost_test.go
@@ -9,27 +9,27 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// The target size of a system: tenants, and pools that share their limits.
+// The number of tenants in the benchmarks, and of pools that share the tenants' limits.
 const (
 	costTenants = 110
 	costPools   = 5
 )
 
-func costName(number int) string { return fmt.Sprintf("team-%03d", number) }
+func tenantName(number int) string { return fmt.Sprintf("team-%03d", number) }
 
 func costLimits(string) (placement.Resources, bool) {
 	return placement.Resources{CPU: 1_000_000, Memory: 2_000_000, GPU: placement.Unlimited}, true
 }
 
-// costCall is a call of a pool for all tenants of a partition, whose demand changes slightly from call to call.
+// costCall returns a call of a pool for all tenants of a partition. The demand changes slightly from call to call.
 func costCall(part, pool int, number uint64) *wire.GrantCall {
 	call := &wire.GrantCall{Asker: fmt.Sprintf("pool/%d", pool), Epoch: 1, Number: number}
 	for tenant := range costTenants {
-		if PartOf(costName(tenant)) != part {
+		if PartOf(tenantName(tenant)) != part {
 			continue
 		}
 		amount := wire.Capacity{CPU: 100_000 + int64(number%7)*1000, Memory: 200_000}
-		call.Tenants = append(call.Tenants, wire.TenantDemand{Tenant: costName(tenant), Has: amount, Used: amount, Wants: amount})
+		call.Tenants = append(call.Tenants, wire.TenantDemand{Tenant: tenantName(tenant), Has: amount, Used: amount, Wants: amount})
 	}
 	return call
 }
@@ -65,7 +65,7 @@
 	demands := map[string]Demand{}
 	limit, _ := costLimits("")
 	for tenant := range costTenants {
-		demands[costName(tenant)] = Demand{Used: cpu(1000), Wants: cpu(2000), Limit: limit}
+		demands[tenantName(tenant)] = Demand{Used: cpu(1000), Wants: cpu(2000), Limit: limit}
 	}
 	policy, now := Policy{Version: 1}, time.Second
 	for part := range Parts {
--- a/internal/scheduling/tenantcount/part.go
+++ b/internal/scheduling/tenantcount/part.go
@@ -1,21 +1,21 @@
 // Package tenantcount enforces the limits on what each tenant has running, summed over all pools. It is an escrow: each limit is divided
 // into grants to pools. Tenants are hashed into a fixed number of partitions. A partition (Part) is a replicated key with a leader that
 // decides on the grants of its tenants. The leader of a pool starts runs of a tenant only within its grant, which it keeps in an account
-// (Accounts). Calls are batched: one call carries the demand of many tenants, one commit covers all its grants, and no start waits for a
-// partition while the account suffices.
+// (Accounts). One call carries the demand of many tenants, and one commit covers all its grants. While the account suffices, no start of a
+// run waits for a partition.
 //
 // Both sides store their state durably. Two invariants hold at all times, also when messages are lost, delayed or duplicated:
 //
 //   - The grants of a tenant, summed over all pools, do not exceed its limit, or the highest limit that was in force when they were
-//     granted. After a limit is lowered, and under each new configuration, which may have lowered it, a pool that shares its tenants with
-//     others starts nothing until the partition has confirmed that the grants are within the limit again.
+//     granted. Each new configuration may lower a limit. So under a new configuration a pool that shares its tenants with others starts
+//     nothing until the partition has confirmed that the grants are within the limit.
 //   - A pool uses no more than its account, and the account is no more than the partition's grant. A partition commits a raised grant
-//     before it answers, and a pool commits a raised account before it uses it. A pool commits a lowered account before it reports that,
-//     and a partition lowers a grant only as far as the pool has reported.
+//     before it answers, and a pool commits a raised account before it uses it. A pool commits a lowered account before it reports the
+//     lower amount, and a partition lowers a grant only to an amount that the pool has reported.
 //
 // A call states the most that the pool may use until the call is answered (Has). A delayed call must therefore not lower a grant that a
-// later call has raised, and a delayed answer must not raise an account that a later call has reported as lower. Calls carry the epoch of
-// the pool's leadership and an increasing number. The partition commits both with each grant that it raises and rejects older calls, and a
+// later call has raised, and a delayed answer must not raise an account that a later call has reported as lower. So calls carry the epoch
+// of the pool's leadership and an increasing number. The partition commits both with each grant that it raises, and rejects older calls. A
 // pool ignores the answers to all calls but its last. A grant never expires: it is returned only by a call of the pool's leader, or of its
 // successor, which finds the account among the pool's records.
 package tenantcount
@@ -68,24 +68,26 @@
 // Limits looks up the limit of a tenant, summed over all pools, in the current configuration. It returns false for an unknown tenant.
 type Limits func(tenant string) (placement.Resources, bool)
 
-// Part decides on the grants of one partition, on behalf of the partition's leader. It must be used from one goroutine, and has no clock
+// Part decides on the grants of one partition, for the partition's leader. It must be used from one goroutine, and has no clock
 // and no network access.
 type Part struct {
 	// tenants holds the grants by tenant and asker. The asker is the key of a pool.
 	tenants map[string]map[string]*grant
-	// lastCalls holds the latest call of each asker: the last that was answered in this leadership, or that a record names.
+	// lastCalls holds the last known call of each asker: at the start of the leadership the last one that a grant record names, then the last
+	// one that was handled.
 	lastCalls map[string]callID
 }
 
 // grant is the amount of a tenant's limit that is granted to one pool.
 type grant struct {
 	amount placement.Resources
-	// raisedBy is the call that last raised the amount. Earlier calls can't lower it.
+	// raisedBy is the last call whose answer allowed the asker to use more than it had. The grant's record contains it, so that later leaders
+	// also reject earlier calls.
 	raisedBy callID
-	// wants is the demand in the asker's last call, and at the time of that call on the leader's clock. Before the first call of this
-	// leadership, wants is amount and at is the start of the leadership.
-	wants placement.Resources
-	at    time.Duration
+	// wants is the demand in the asker's last call, and lastCallAt the time of that call on the leader's clock. Before the first call of this
+	// leadership, wants is amount and lastCallAt is the start of the leadership.
+	wants      placement.Resources
+	lastCallAt time.Duration
 }
 
 // callID identifies a call of a pool, and orders all calls of that pool.
@@ -95,7 +97,7 @@
 	return cmp.Or(cmp.Compare(c.epoch, other.epoch), cmp.Compare(c.number, other.number))
 }
 
-// NewPart creates a partition from the committed records of its key. now is the time at which the leadership begins. The error names a
+// NewPart creates a partition from the committed records of its key. now is the time at which the leadership begins. An error names the
 // record that can't be read.
 func NewPart(pairs []wire.Op, now time.Duration) (*Part, error) {
 	part := &Part{tenants: map[string]map[string]*grant{}, lastCalls: map[string]callID{}}
@@ -109,7 +111,7 @@
 		}
 		amount := record.Amount.resources()
 		id := callID{record.Epoch, record.Number}
-		part.askersOf(record.Tenant)[record.Asker] = &grant{amount: amount, raisedBy: id, wants: amount, at: now}
+		part.askersOf(record.Tenant)[record.Asker] = &grant{amount: amount, raisedBy: id, wants: amount, lastCallAt: now}
 		if id.compare(part.lastCalls[record.Asker]) > 0 {
 			part.lastCalls[record.Asker] = id
 		}
@@ -126,7 +128,8 @@
 }
 
 // HandleCall decides on a call of a pool. It returns the answer, and the records that must be committed before the answer is sent. The only
-// error is ErrStale. The grants change at once, because commits are ordered: a later change can't be committed without this one.
+// error is ErrStale. The grants in memory change before the commit. Commits are ordered, so a later decision that is based on these grants
+// can't be committed without them.
 func (p *Part) HandleCall(call *wire.GrantCall, limits Limits, now time.Duration) (wire.GrantAnswer, []wire.Op, error) {
 	answer := wire.GrantAnswer{Number: call.Number}
 	id := callID{call.Epoch, call.Number}
@@ -149,9 +152,9 @@
 	return answer, ops, nil
 }
 
-// decide updates an asker's grant of one tenant's limit. The record is nil if nothing must be committed. If the answer allows the asker to
-// use more than it has, the record is always returned, even if the call is a duplicate and the change is already being committed.
-// Otherwise the answer to the duplicate would be sent before that commit.
+// decide updates an asker's grant of one tenant's limit. It returns the answer and the record of the grant, which is nil if nothing must be
+// committed. If the answer allows the asker to use more than it has, the record is always returned, even if the call is a duplicate and the
+// change is already being committed. Otherwise the answer to the duplicate would be sent before that commit.
 func (p *Part) decide(asker string, id callID, demand wire.TenantDemand, limits Limits, now time.Duration) (wire.TenantGrant, *wire.Op) {
 	askers := p.askersOf(demand.Tenant)
 	granted := askers[asker]
@@ -159,11 +162,11 @@
 		granted = &grant{}
 		askers[asker] = granted
 	}
-	before, wasRaisedBy := granted.amount, granted.raisedBy
-	granted.wants, granted.at = resourcesOf(demand.Wants), now
+	amountBefore, raisedByBefore := granted.amount, granted.raisedBy
+	granted.wants, granted.lastCallAt = resourcesOf(demand.Wants), now
 	limit, isKnown := limits(demand.Tenant)
 	has := resourcesOf(demand.Has)
-	// A duplicate of an answered call describes the pool as it was before that answer.
+	// A call that has raised the grant already is a duplicate, which describes the pool as it was before the answer.
 	if granted.raisedBy != id {
 		granted.amount = granted.amount.Min(has)
 		if isKnown {
@@ -180,14 +183,14 @@
 	}
 	given := wire.TenantGrant{Tenant: demand.Tenant, Granted: CapacityOf(granted.amount), Target: CapacityOf(target),
 		HasWholeLimit: isKnown && p.hasWholeLimit(demand.Tenant, asker, limit), IsSettled: isKnown && p.isSettled(demand.Tenant, limit)}
-	if granted.amount == before && granted.raisedBy == wasRaisedBy && has.Fits(granted.amount) {
+	if granted.amount == amountBefore && granted.raisedBy == raisedByBefore && has.Fits(granted.amount) {
 		return given, nil
 	}
 	return given, p.recordOf(demand.Tenant, asker, granted)
 }
 
-// raiseFor returns the amount by which a grant grows: up to its target, but by no more than what is free of the limit. It is 0 in each
-// resource of which the asker holds its target already.
+// raiseFor returns the amount by which a grant is raised: up to its target, but by no more than the part of the limit that is not granted.
+// It is 0 in each resource of which the asker holds its target already.
 func (p *Part) raiseFor(tenant string, granted *grant, target, limit placement.Resources) placement.Resources {
 	free := limit
 	for _, other := range p.tenants[tenant] {
@@ -206,7 +209,7 @@
 	return onlyLimited(p.tenants[tenant][asker].amount, limit).Fits(onlyLimited(limit, limit))
 }
 
-// isSettled reports whether all grants of a tenant together are within a limit. After the limit is lowered they may exceed it for a while.
+// isSettled reports whether all grants of a tenant together are within a limit. They may exceed it for a while after it is lowered.
 func (p *Part) isSettled(tenant string, limit placement.Resources) bool {
 	var granted placement.Resources
 	for _, other := range p.tenants[tenant] {
@@ -242,7 +245,7 @@
 	return op
 }
 
-// Report returns the limit of each tenant, and the grant and demand of each pool.
+// Report returns the limit of each tenant that pools have grants of or have called for, and the grant and demand of each of these pools.
 func (p *Part) Report(limits Limits) []wire.TenantUsage {
 	var rows []wire.TenantUsage
 	for _, tenant := range slices.Sorted(maps.Keys(p.tenants)) {
@@ -260,7 +263,7 @@
 	return rows
 }
 
-// ShownLimit converts a limit to its form in configurations, where 0 means no limit.
+// ShownLimit converts a limit to its form in configurations, in which 0 means no limit.
 func ShownLimit(limit placement.Resources) placement.Resources {
 	shown := limit
 	for _, field := range []*int64{&shown.CPU, &shown.Memory, &shown.GPU} {
--- a/internal/scheduling/tenantcount/records.go
+++ b/internal/scheduling/tenantcount/records.go
@@ -24,7 +24,7 @@
 	Number uint64       `json:"number"`
 }
 
-// accountRecord is the stored form of a pool's account.
+// accountRecord is the stored form of an account of a pool.
 type accountRecord struct {
 	Amount        amountRecord `json:"amount"`
 	HasWholeLimit bool         `json:"whole,omitempty"`
--- a/internal/scheduling/tenantcount/target.go
+++ b/internal/scheduling/tenantcount/target.go
@@ -8,13 +8,14 @@
 )
 
 // targetOf returns how much of a tenant's limit an asker should hold. The limit is divided by max-min fairness over the demands of the
-// askers: none gets less than an equal share unless it wants less, and what none wants is divided equally, so that capacity is at hand
-// when new work arrives. The target is 0 in a resource without a limit.
+// askers: no asker gets less than an equal share unless it wants less. What is left when all demands are met is divided equally, so that
+// the pools have capacity when new work arrives. Other askers without a grant count only for idleAskerTimeout after their last call. The
+// target is 0 in a resource without a limit.
 func (p *Part) targetOf(tenant, asker string, limit placement.Resources, now time.Duration) placement.Resources {
 	limit = onlyLimited(limit, limit)
 	var wants []placement.Resources
 	for name, other := range p.tenants[tenant] {
-		if name != asker && other.amount == (placement.Resources{}) && now-other.at > idleAskerTimeout {
+		if name != asker && other.amount == (placement.Resources{}) && now-other.lastCallAt > idleAskerTimeout {
 			continue
 		}
 		wants = append(wants, other.wants)
@@ -27,7 +28,7 @@
 	}
 }
 
-// onlyLimited returns the amount with the resources set to 0 that have no limit.
+// onlyLimited returns the amount with 0 in each resource that the limit does not limit.
 func onlyLimited(amount, limit placement.Resources) placement.Resources {
 	if limit.CPU == placement.Unlimited {
 		amount.CPU = 0
@@ -41,7 +42,8 @@
 	return amount
 }
 
-// fairShare returns how much of one resource an asker should hold. wants includes its own demand.
+// fairShare returns how much of one resource an asker should hold. own is the asker's demand, and wants holds the demands of all askers,
+// including its own.
 func fairShare(limit, own int64, wants []placement.Resources, amountIn func(placement.Resources) int64) int64 {
 	amounts := make([]int64, len(wants))
 	for index, want := range wants {
@@ -52,7 +54,7 @@
 	for index, amount := range amounts {
 		equal := remaining / int64(len(amounts)-index)
 		if amount > equal {
-			// All further askers want more than an equal share.
+			// All remaining askers want more than an equal share.
 			return min(own, equal)
 		}
 		remaining -= amount
--- a/internal/scheduling/tenantcount/tenantcount_test.go
+++ b/internal/scheduling/tenantcount/tenantcount_test.go
@@ -22,10 +22,11 @@
 // cpu returns an amount of CPU. The other resources have no limit in these tests.
 func cpu(units int64) placement.Resources { return placement.Resources{CPU: units} }
 
-// escrow connects a partition and the accounts of several pools. poolRecords holds the committed records of each pool.
+// escrow connects a partition and the accounts of several pools. partRecords and poolRecords hold the committed records of the partition and
+// of each pool. limit and version are those of the current configuration, and epoch is the epoch of the last leadership of any pool.
 type escrow struct {
 	part        *Part
-	records     map[string][]byte
+	partRecords map[string][]byte
 	limit       int64
 	version     int64
 	now         time.Duration
@@ -35,7 +36,7 @@
 }
 
 func newEscrow(limit int64, pools ...string) *escrow {
-	e := &escrow{records: map[string][]byte{}, limit: limit, version: 1, now: time.Second, accounts: map[string]*Accounts{}, poolRecords: map[string]map[string][]byte{}}
+	e := &escrow{partRecords: map[string][]byte{}, limit: limit, version: 1, now: time.Second, accounts: map[string]*Accounts{}, poolRecords: map[string]map[string][]byte{}}
 	for _, pool := range pools {
 		e.poolRecords[pool] = map[string][]byte{}
 		e.changePoolLeader(pool)
@@ -60,13 +61,14 @@
 	}
 }
 
-// changePartLeader replaces the partition by one that a new leader creates from the committed records.
+// changePartLeader replaces the partition by one that a new leader has created from the committed records.
 func (e *escrow) changePartLeader() {
-	part, err := NewPart(pairsOf(e.records), e.now)
+	part, err := NewPart(pairsOf(e.partRecords), e.now)
 	Expect(err).NotTo(HaveOccurred())
 	e.part = part
 }
 
+// changePoolLeader replaces a pool's accounts by those that a new leader has created from the committed records.
 func (e *escrow) changePoolLeader(pool string) {
 	e.epoch++
 	accounts, err := NewAccounts(pool, e.epoch, pairsOf(e.poolRecords[pool]))
@@ -97,7 +99,7 @@
 func (e *escrow) answer(call *wire.GrantCall) *wire.GrantAnswer {
 	given, ops, err := e.part.HandleCall(call, e.limits, e.now)
 	Expect(err).NotTo(HaveOccurred())
-	applyOps(e.records, ops...)
+	applyOps(e.partRecords, ops...)
 	given.Version = e.version
 	return &given
 }
@@ -110,7 +112,7 @@
 	}
 }
 
-// round lets a pool return its surplus, call the partition and handle the answer. It returns the pool's allowance afterwards.
+// round makes a pool return its surplus, call the partition and handle the answer. It returns the pool's allowance afterwards.
 func (e *escrow) round(pool string, used, wants int64) int64 {
 	if lowered := e.accounts[pool].Lower("t", e.demand(used, wants)["t"]); lowered != nil {
 		applyOps(e.poolRecords[pool], lowered.Op)
@@ -294,7 +296,7 @@
 		Expect(accounts.Lower("t", e.demand(0, 0)["t"])).To(BeNil(), "one change at a time")
 	})
 
-	It("counts runs of a pool beyond its account, as after a limit was added", func() {
+	It("counts runs that a pool has beyond its account, as after a limit was added", func() {
 		e := newEscrow(100, "x", "y")
 		call := e.call("x", 60, 60)
 		e.deliver("x", call, e.answer(call))
@@ -304,7 +306,7 @@
 	It("counts nothing in a resource without a limit", func() {
 		e := newEscrow(placement.Unlimited, "x")
 		e.round("x", 70, 90)
-		Expect(e.records).To(BeEmpty())
+		Expect(e.partRecords).To(BeEmpty())
 	})
 
 	It("loads the readable records of a pool, and names an unreadable record", func() {
@@ -323,8 +325,8 @@
 		}
 		Expect(fairShare(limit, own, wants, func(r placement.Resources) int64 { return r.CPU })).To(Equal(part))
 	},
-		Entry("single asker without demand", int64(10), int64(0), nil, int64(10)),
-		Entry("single asker with demand above the limit", int64(10), int64(50), nil, int64(10)),
+		Entry("a single asker without demand", int64(10), int64(0), nil, int64(10)),
+		Entry("a single asker with demand above the limit", int64(10), int64(50), nil, int64(10)),
 		Entry("all want more than an equal share", int64(12), int64(50), []int64{50, 50}, int64(4)),
 		Entry("another asker wants less than an equal share", int64(12), int64(50), []int64{2, 50}, int64(5)),
 		Entry("the asker itself wants less than an equal share", int64(12), int64(2), []int64{50, 50}, int64(2)),
