--- a/internal/scheduling/jobs/read.go
+++ b/internal/scheduling/jobs/read.go
@@ -10,7 +10,7 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// The limits of a job that a client submits. Jobs that were accepted under other limits stay readable by Restore.
+// The size limits of a job that a client submits. Restore still reads jobs that were accepted under other limits.
 const (
 	maxDescriptorBytes = 4000
 	maxSteps           = 256
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// check rejects a job that could not run at all.
+// check rejects a job that could not run at all, whatever the size limits are.
 func (s *Spec) check() error {
 	if len(s.Steps) == 0 {
 		return errors.Errorf("field step-list must hold 1 to %d steps", maxSteps)
@@ -147,7 +147,8 @@
 	return nil
 }
 
-// TaskName returns the name of a task, ID.K.STEP.INDEX: the job's ID, and the numbers of the occurrence, the step and the task.
+// TaskName returns the name of a task, ID.K.STEP.INDEX: the job's ID, the numbers of the occurrence (K) and of the step, and the index of the
+// task in the step.
 func TaskName(id string, occurrence, step, index int) string {
 	return id + "." + strconv.Itoa(occurrence) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
 }
@@ -165,7 +166,7 @@
 	return position.ID
 }
 
-// ParseTask parses a name that TaskName made. It returns false for a string without this form, but doesn't check that ID is a job ID.
+// ParseTask parses a name that TaskName returned. It returns false for a string without this form, but doesn't check that ID is a job ID.
 func ParseTask(name string) (TaskPosition, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/scheduling/jobs/spec.go
+++ b/internal/scheduling/jobs/spec.go
@@ -3,8 +3,11 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all spec.go
 
-// Step is a group of identical tasks of a job. CPU is in thousandths of a core and Memory in MB, per task. DependsOn holds the numbers of
-// the steps that must end first. AntiAffinity is how many of the step's tasks one executor may run at once; 0 is no limit.
+// Step is a group of identical tasks of a job. CPU is in thousandths of a core and Memory in MB, per task. EstimatedMs is the estimated run
+// time of a task. DependsOn holds the numbers of the steps that must end first. Gang means that all tasks are started together, SameRack that
+// a gang prefers a single rack. Labels are required of an executor; Affinity holds the labels of executors near the data. AntiAffinity is
+// how many of the step's tasks one executor may run at once; 0 is no limit. Redundant allows speculative runs. LongRunning means that the
+// tasks must be running at all times.
 type Step struct {
 	Tasks         int    `json:"task-count"`
 	CPU           int64  `json:"cpu-units,omitempty"`
@@ -22,8 +25,8 @@
 	LongRunning   bool   `json:"long-running,omitempty"`
 }
 
-// Spec is a job as a client submits it. FirstRunMs is a time of day in milliseconds since 1970, PeriodMs the time between two occurrences
-// of a repeated job in milliseconds.
+// Spec is a job as a client submits it. RepeatCount is the number of occurrences of a repeated job, or 0. FirstRunMs is the time of day of
+// the first occurrence in milliseconds since 1970, and PeriodMs the time between two occurrences in milliseconds.
 type Spec struct {
 	Descriptor  string `json:"task-descriptor"`
 	Steps       []Step `json:"step-list"`
--- a/internal/scheduling/recording/event.go
+++ b/internal/scheduling/recording/event.go
@@ -13,8 +13,8 @@
 // Version is the version of the format, which docs/recording.md describes.
 const Version = 1
 
-// The kinds of lines: the header of a file, a job submitted, a job cancelled, a configuration, an executor's state, the
-// end of a run, and how many lines were lost.
+// The kinds of events: the header of a file, a submitted job, a cancelled job, a configuration, an executor's state, the end of a run, and
+// the number of events that the writer lost.
 const (
 	KindHeader   = "header"
 	KindSubmit   = "hand-in"
@@ -25,8 +25,10 @@
 	KindLost     = "lost"
 )
 
-// Event is one line. Each kind sets only the fields that it needs. AtMs is a time of day in milliseconds since 1970. Version is the
-// version of the format, in a header; Plan is the version of a configuration. Count is the number of lost lines.
+// Event is one line. Each kind sets only the fields that it needs. AtMs is a time of day in milliseconds since 1970. A header has the Version
+// of the format and the name of the recording Node. A submitted job has its ID, Queue (the route), Terms and Body, a cancelled one its ID.
+// An executor has its ID (Machine), Capacity and Labels, and whether it is draining. The end of a run has the name of the Task, the number of
+// the Run, the outcome (How) and the run time (LengthMs). Plan is the version of a configuration, and Count the number of lost events.
 type Event struct {
 	Kind       string              `json:"kind"`
 	AtMs       int64               `json:"at-ms"`
--- a/internal/scheduling/recording/read.go
+++ b/internal/scheduling/recording/read.go
@@ -17,8 +17,8 @@
 // maxLineBytes is the longest line that is read. A longer one fails the whole file.
 const maxLineBytes = 8 << 20
 
-// Day is the content of one or several recordings. Events are in order of time, without headers and duplicates. Lines counts the lines
-// that were read, Lost those that the writers dropped, and Skipped those that could not be read.
+// Day is the content of one or several recordings. Events are in order of time, without headers, reports of lost events and duplicates.
+// Lines counts the lines that were read, Lost the events that the writers dropped, and Skipped the lines that could not be read.
 type Day struct {
 	Events  []Event
 	Lines   int
@@ -26,8 +26,8 @@
 	Skipped int
 }
 
-// ReadFiles merges the recordings of several nodes into one day, without duplicates of events that several nodes recorded. A lenient
-// reader skips lines that can't be read; otherwise the error names the file and the line.
+// ReadFiles merges the recordings of several nodes into one day, without duplicates of events that several nodes recorded. With isLenient,
+// lines that can't be read after the header are skipped. Otherwise they cause an error that names the file and the line.
 func ReadFiles(paths []string, isLenient bool) (*Day, error) {
 	day := &Day{}
 	for _, path := range paths {
@@ -45,8 +45,8 @@
 	return day, nil
 }
 
-// read appends the events of one file. A lenient reader skips and counts lines that can't be read after the header; otherwise the error
-// names the line.
+// read appends the events of one file. With isLenient, lines that can't be read after the header are skipped and counted. Otherwise they
+// cause an error that names the line.
 func (d *Day) read(from io.Reader, path string, isLenient bool) error {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// decode decodes one line. It copies the line, because the event keeps a reference to its body.
+// decode decodes one line. It copies the line, because the body of the event refers to the text, and the scanner reuses its buffer.
 func decode(text []byte) (Event, error) {
 	var event Event
 	err := easyjson.Unmarshal(slices.Clone(text), &event)
 	return event, errors.Annotate(err, "decoding an event")
 }
 
-// check validates an event. lastMs is the time of the event before it in the file, and hasHeader is false for the first one.
+// check validates an event. lastMs is the time of the previous event in the file, and hasHeader means that the file's header was read before.
 func check(event Event, lastMs int64, hasHeader bool) error {
 	switch {
 	case event.Kind == KindHeader && event.Version != Version:
@@ -127,22 +127,23 @@
 	return nil
 }
 
-// merge sorts the events by time, and drops duplicates that another node recorded or that a retry caused.
+// merge sorts the events by time. Of submitted jobs, cancelled jobs and ends of runs it drops duplicates, which another node recorded or a
+// retry caused.
 func (d *Day) merge() {
 	slices.SortStableFunc(d.Events, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	seen := map[string]bool{}
 	d.Events = slices.DeleteFunc(d.Events, func(event Event) bool {
-		var name string
+		var key string
 		switch event.Kind {
 		case KindSubmit, KindCancel:
-			name = event.Kind + event.ID
+			key = event.Kind + event.ID
 		case KindEnd:
-			name = event.Task + "/" + strconv.FormatInt(event.Run, 10)
+			key = event.Task + "/" + strconv.FormatInt(event.Run, 10)
 		default:
 			return false
 		}
-		isDuplicate := seen[name]
-		seen[name] = true
+		isDuplicate := seen[key]
+		seen[key] = true
 		return isDuplicate
 	})
 }
--- a/internal/scheduling/recording/write.go
+++ b/internal/scheduling/recording/write.go
@@ -14,22 +14,24 @@
 const (
 	// maxQueuedEvents is the capacity of the writer's queue.
 	maxQueuedEvents = 65536
-	// maxFileBytes is the number of bytes from which on a writer writes no more events. They are counted as lost. What an earlier process
-	// wrote to the same file doesn't count.
+	// maxFileBytes is the number of bytes after which a writer writes no more events, but counts them as lost. What an earlier process wrote
+	// to the same file is not included.
 	maxFileBytes = 24 << 20
 )
 
-// Writer appends events to a file. Record may be called from any goroutine; Run writes from a goroutine of its own. Events that exceed
-// the queue or the file are counted as lost. lost is a channel of capacity 1 that holds the number of lost events not yet written.
+// Writer appends events to a file. Record may be called from any goroutine; Run and Flush must not run at the same time. Events that find
+// the queue full, or the file at its limit, are counted as lost.
 type Writer struct {
-	queue            chan Event
+	queue chan Event
+	// lost is a channel of capacity 1 that holds the number of lost events that are not in the file yet.
 	lost             chan int64
 	path             string
 	node             string
 	keepsDescriptors bool
-	size             int64
-	lastMs           int64
-	hasHeader        bool
+	// size is the number of bytes written, lastMs the time of the last line. hasHeader means that the header was written.
+	size      int64
+	lastMs    int64
+	hasHeader bool
 }
 
 // NewWriter creates a writer for a node. Unless keepsDescriptors is set, the task descriptors of submitted jobs are left out.
@@ -39,7 +41,7 @@
 	return &Writer{queue: make(chan Event, maxQueuedEvents), lost: lost, path: path, node: node, keepsDescriptors: keepsDescriptors}
 }
 
-// Record queues an event. It never blocks on a full queue: the event is counted as lost.
+// Record queues an event. If the queue is full, Record doesn't wait, but counts the event as lost.
 func (w *Writer) Record(event Event) {
 	select {
 	case w.queue <- event:
@@ -62,7 +64,7 @@
 	}
 }
 
-// Flush writes all queued events.
+// Flush writes all events that are queued.
 func (w *Writer) Flush() error {
 	select {
 	case event := <-w.queue:
@@ -113,7 +115,8 @@
 	w.writeLine(out, event)
 }
 
-// writeLine writes one line. It raises the time of the event to that of the line before, because readers reject times that go backwards.
+// writeLine writes one line. An event that is older than the previous line gets the time of that line, because readers reject times that go
+// backwards.
 func (w *Writer) writeLine(out *bufio.Writer, event Event) {
 	w.lastMs = max(w.lastMs, event.AtMs)
 	event.AtMs = w.lastMs
