--- a/internal/control/countleader/countleader.go
+++ b/internal/control/countleader/countleader.go
@@ -1,6 +1,6 @@
 // Package countleader serves a partition of the tenant count while this steward leads the partition's key. It is a state machine without
-// goroutines or sockets: controlkeys calls it on the goroutine of the key's replication engine. The decisions are made by package
-// tenantcount.
+// goroutines or sockets: package controlkeys calls it on the goroutine of the key's replication engine. Package tenantcount makes the
+// decisions.
 package countleader
 
 import (
@@ -25,13 +25,13 @@
 	HasLease() bool
 }
 
-// Policy is the version of the current configuration, and its limits of tenants.
+// Policy holds the version of the current configuration and the limits of tenants in it.
 type Policy struct {
 	Version int64
 	Limits  tenantcount.Limits
 }
 
-// Leader handles the calls of pools to one partition.
+// Leader handles the calls of pools and operators to one partition.
 type Leader struct {
 	key    string
 	clock  clock.Clock
@@ -42,12 +42,12 @@
 	part       *tenantcount.Part
 }
 
-// New creates a leader without a leadership. policy returns the current configuration's policy and is called for each call of a pool.
+// New creates a leader without a leadership. policy returns the policy of the current configuration; Grant and Tenants call it each time.
 func New(key string, clock clock.Clock, log logging.Logger, policy func() Policy) *Leader {
 	return &Leader{key: key, clock: clock, log: log, policy: policy}
 }
 
-// Open starts a leadership with the committed records of the key. An error names the record that can't be read.
+// Open begins a leadership with the committed records of the key. An error names the record that can't be read.
 func (l *Leader) Open(leadership Leadership, pairs []wire.Op) error {
 	part, err := tenantcount.NewPart(pairs, l.clock.Monotonic())
 	if err != nil {
@@ -58,14 +58,15 @@
 	return nil
 }
 
-// Close ends the leadership. Calls that wait for a commit are answered when that commit fails.
+// Close ends the leadership. Calls that wait for a commit are answered with NotLeader when that commit ends.
 func (l *Leader) Close() { l.leadership, l.part = nil, nil }
 
 // IsOpen reports whether this process leads the key.
 func (l *Leader) IsOpen() bool { return l.part != nil }
 
-// Grant decides on a pool's call and answers when the decision is committed. The changes of calls that arrive during a sync are committed
-// together by the next one. After the leadership has ended, the answer is NotLeader, and the pool retries.
+// Grant decides on a pool's call and answers when the decision is committed. It may be called only while IsOpen returns true. The changes of
+// calls that arrive during a sync of the disk are committed together by the next sync. If the leadership ends before the commit, the answer
+// is NotLeader, and the pool tries again.
 func (l *Leader) Grant(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	var grantCall wire.GrantCall
 	if err := easyjson.Unmarshal(call.Body, &grantCall); err != nil {
@@ -94,7 +95,8 @@
 	})
 }
 
-// answerUnderLease sends an answer if the lease is valid, and NotLeader otherwise, because another leader may have decided differently.
+// answerUnderLease answers with the content if the lease is valid, and otherwise with NotLeader, because another leader may have decided
+// differently.
 func (l *Leader) answerUnderLease(content easyjson.Marshaler, answer func(wire.ClientAnswer)) {
 	body, err := easyjson.Marshal(content)
 	if err != nil {
@@ -109,7 +111,7 @@
 	answer(wire.ClientAnswer{Status: http.StatusOK, Body: body})
 }
 
-// Tenants answers an operator's call with the limits and grants of the partition's tenants.
+// Tenants answers an operator's call with the limits and grants of the partition's tenants. It may be called only while IsOpen returns true.
 func (l *Leader) Tenants(_ *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	policy := l.policy()
 	l.answerUnderLease(&wire.TenantCountReport{Key: l.key, Version: policy.Version, Tenants: l.part.Report(policy.Limits)}, answer)
--- a/internal/control/countleader/countleader_test.go
+++ b/internal/control/countleader/countleader_test.go
@@ -13,7 +13,7 @@
 	"gannetline/internal/scheduling/placement"
 )
 
-// scriptedLeadership is a fake leadership whose commits end when the test calls settle.
+// scriptedLeadership is a fake leadership whose commits end when the test calls finishCommits.
 type scriptedLeadership struct {
 	hasLease bool
 	ops      []wire.Op
@@ -27,7 +27,7 @@
 	s.ops, s.pending = append(s.ops, ops...), append(s.pending, done)
 }
 
-func (s *scriptedLeadership) settle(err error) {
+func (s *scriptedLeadership) finishCommits(err error) {
 	pending := s.pending
 	s.pending = nil
 	for _, done := range pending {
@@ -39,6 +39,7 @@
 	var leadership *scriptedLeadership
 	var leader *countleader.Leader
 	var answers []wire.ClientAnswer
+	// ask calls Grant for a pool that wants an amount of CPU, and granted returns the CPU that an answer grants.
 	ask := func(asker string, number uint64, wants int64) {
 		body, err := easyjson.Marshal(&wire.GrantCall{Asker: asker, Epoch: 1, Number: number,
 			Tenants: []wire.TenantDemand{{Tenant: "t", Wants: wire.Capacity{CPU: wants}}}})
@@ -66,29 +67,29 @@
 		ask("y", 1, 500)
 		Expect(answers).To(HaveLen(1), "the second call changes nothing and needs no commit")
 		Expect(granted(answers[0])).To(BeZero())
-		leadership.settle(nil)
+		leadership.finishCommits(nil)
 		Expect(answers).To(HaveLen(2))
 		Expect(granted(answers[1])).To(Equal(int64(100)))
 	})
 
 	It("answers NotLeader after the leadership is lost or the lease has expired", func() {
 		ask("x", 1, 500)
-		leadership.settle(errors.New("lost"))
+		leadership.finishCommits(errors.New("lost"))
 		Expect(answers[0].NotLeader).To(BeTrue())
 		ask("x", 2, 500)
 		leadership.hasLease = false
-		leadership.settle(nil)
+		leadership.finishCommits(nil)
 		Expect(answers[1].NotLeader).To(BeTrue())
 		ask("x", 3, 500)
 		leader.Close()
-		leadership.settle(nil)
+		leadership.finishCommits(nil)
 		Expect(answers[2].NotLeader).To(BeTrue())
 		Expect(leader.IsOpen()).To(BeFalse())
 	})
 
 	It("rejects a call after a later one, and an invalid body", func() {
 		ask("x", 2, 1)
-		leadership.settle(nil)
+		leadership.finishCommits(nil)
 		ask("x", 1, 1)
 		Expect(answers[1].Status).To(Equal(409))
 		leader.Grant(&wire.ClientCall{Body: []byte("[")}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
@@ -97,7 +98,7 @@
 
 	It("continues from the committed grants, reports them to operators, and names an unreadable record", func() {
 		ask("x", 1, 500)
-		leadership.settle(nil)
+		leadership.finishCommits(nil)
 		Expect(leader.Open(leadership, leadership.ops)).To(Succeed())
 		leader.Tenants(nil, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
 		Expect(string(answers[1].Body)).To(MatchJSON(`{"key":"count/0","version":9,"tenants":[{"tenant":"t",
--- a/internal/control/rollouts/controller.go
+++ b/internal/control/rollouts/controller.go
@@ -1,7 +1,8 @@
-// Package rollouts runs the rollouts in the configuration. A controller runs on each steward, but only acts on the leader of the
-// configuration. It fetches the counts of both versions from their pools, lets package scheduling/rollout decide, and commits each step as
-// an ordinary change of the configuration, conditional on the configuration version that the decision was based on. So a concurrent
-// change by an operator wins, no step is taken twice, and a new leader continues from the committed state.
+// Package rollouts runs the rollouts in the configuration. A controller runs on each steward, but does something only on the leader of the
+// configuration. It fetches the counts of both versions from their pools, package scheduling/rollout decides, and the controller commits each
+// step as an ordinary change of the configuration. The change is rejected if the configuration has another version than the one that the
+// decision was based on. So a concurrent change by an operator takes precedence, no step is taken twice, and a new leader continues from the
+// committed state.
 package rollouts
 
 import (
@@ -24,9 +25,9 @@
 const (
 	// reconcileInterval is the pause between two reconciliations.
 	reconcileInterval = 500 * time.Millisecond
-	// changeTimeout is the timeout of a reconciliation. The outcome of a change that times out is unknown until the next reconciliation
-	// reads the configuration again.
-	changeTimeout = 2 * time.Second
+	// reconcileTimeout is the timeout of one reconciliation. The outcome of a change that times out is unknown until the next reconciliation
+	// reads the configuration.
+	reconcileTimeout = 2 * time.Second
 )
 
 // Dependencies are what a controller needs from the process that runs it.
@@ -49,14 +50,15 @@
 	// decoded is the last decoded configuration, and decodedBody its JSON. Only the goroutine of Run uses them.
 	decoded     *configuration.Configuration
 	decodedBody []byte
-	status      atomic.Pointer[wire.RolloutsStatus]
+	// status is the result of Status.
+	status atomic.Pointer[wire.RolloutsStatus]
 }
 
 // trackedRollout is the state of one rollout in progress. A rollout that begins again under the same name gets a new one.
 type trackedRollout struct {
 	judge   *rollout.Judge
 	begunMs int64
-	// reason is the last reason that was logged.
+	// reason is the reason that was logged last.
 	reason rollout.Reason
 }
 
@@ -87,7 +89,7 @@
 		c.reset()
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
 	current, err := c.Execute(ctx, &wire.ClientCall{Verb: wire.VerbRetrieve})
 	if err != nil || current.NotLeader || current.Status != http.StatusOK {
@@ -101,7 +103,7 @@
 	c.judgeAll(ctx, c.decoded, current)
 }
 
-// decode decodes a configuration into c.decoded, unless it is the last decoded one.
+// decode decodes a configuration into c.decoded. It does nothing if c.decoded is this configuration already.
 func (c *Controller) decode(body []byte) error {
 	if c.decoded != nil && bytes.Equal(c.decodedBody, body) {
 		return nil
@@ -114,15 +116,15 @@
 	return nil
 }
 
-// reset drops the state of all rollouts when this process does not lead the configuration, can't read it, or finds no rollouts in it. The
-// next leader has its own state, and this process starts afresh when it leads again.
+// reset drops the state of all rollouts when this process does not lead the configuration, can't read it, or finds no rollouts in it. When
+// this process leads again, it starts with new state.
 func (c *Controller) reset() {
 	c.tracked = map[string]*trackedRollout{}
 	c.status.Store(nil)
 }
 
-// judgeAll decides on each rollout of the current configuration, applies the first decision that changes one, and publishes the status.
-// Each pool is asked at most once.
+// judgeAll decides on each rollout of the current configuration, applies the first decision that changes a rollout, and publishes the
+// status. It fetches the report of each pool at most once.
 func (c *Controller) judgeAll(ctx context.Context, decoded *configuration.Configuration, current *wire.ClientAnswer) {
 	reports := map[string]*wire.RolloutReport{}
 	report := func(service string) *wire.RolloutReport {
@@ -163,7 +165,7 @@
 	return tracked
 }
 
-// versionOf returns a pool's counts for a rollout; they are unknown if the report is nil.
+// versionOf returns a version of a rollout from the report of its pool. Without a report the version is not known.
 func versionOf(report *wire.RolloutReport, configured *configuration.Rollout) rollout.Version {
 	if report == nil {
 		return rollout.Version{}
@@ -171,7 +173,7 @@
 	return rollout.VersionFrom(report, configured.Name, configured.BegunMs)
 }
 
-// logDecision logs a decision, unless it is a Hold with the reason that was logged last.
+// logDecision logs a decision, unless it is a Hold with the same reason as the decision that was logged last.
 func (c *Controller) logDecision(configured *configuration.Rollout, tracked *trackedRollout, decision rollout.Decision) {
 	if decision.Reason == tracked.reason && decision.Action == rollout.Hold {
 		return
@@ -184,7 +186,7 @@
 	c.Log.Info("rollout judged", fields...)
 }
 
-// change applies a decision by a change of the configuration. If the outcome is unknown, the next reconciliation reads it.
+// change applies a decision by a change of the configuration. If the outcome is unknown, the next reconciliation finds it out.
 func (c *Controller) change(ctx context.Context, configured *configuration.Rollout, evidence rollout.Evidence, decision rollout.Decision, current *wire.ClientAnswer) {
 	amendment := configuration.AmendDecoded(c.decoded, current.Body).SetProgress(configured.Name, rollout.ProgressAfter(configured, evidence, decision, current.WallMs))
 	body, err := amendment.Body()
--- a/internal/control/rollouts/controller_test.go
+++ b/internal/control/rollouts/controller_test.go
@@ -22,7 +22,7 @@
  {"name":"r","route":"a","from-service":"v1","to-service":"v2","steps":[{"share":0.1,"min-jobs":5},{"share":1,"min-jobs":5}],"agreed":{"failures":0.05}},
  {"name":"s","route":"b","from-service":"w1","to-service":"w2","steps":[{"share":0.1,"min-jobs":5},{"share":1,"min-jobs":5}],"agreed":{"failures":0.05}}]}`
 
-// memoryLeadership is a fake leadership that commits at once and keeps the records in memory. isLost ends its lease.
+// memoryLeadership is a fake leadership that commits at once and keeps the records in memory. With isLost it has no lease.
 type memoryLeadership struct {
 	clock  *clock.Fake
 	pairs  map[string][]byte
@@ -39,16 +39,16 @@
 	done(nil)
 }
 
-// system is a leader of the configuration, its controller and the reports of the pools.
+// system is a leader of the configuration, its rollout controller and the reports of the pools by service.
 type system struct {
 	clock      *clock.Fake
 	leadership *memoryLeadership
 	leader     *configleader.Leader
 	controller *rollouts.Controller
 	reports    map[string]*wire.RolloutReport
-	// refusesChanges makes every change fail as if the leadership had been lost before.
+	// refusesChanges makes each change by the controller fail as if the leadership had been lost before.
 	refusesChanges bool
-	// onReport runs when a pool is asked for its report.
+	// onReport runs before each report of a pool is returned.
 	onReport func()
 }
 
@@ -73,42 +73,44 @@
 	Expect(s.leader.Open(s.leadership, pairs)).To(Succeed())
 	s.controller = rollouts.New(rollouts.Dependencies{Clock: s.clock, Log: logging.Silent(), HasRollouts: func() bool { return true },
 		Execute: func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
-			var reported wire.ClientAnswer
-			take := func(answer wire.ClientAnswer) { reported = answer }
+			var result wire.ClientAnswer
+			setResult := func(answer wire.ClientAnswer) { result = answer }
 			switch {
 			case s.leadership.isLost || s.refusesChanges && call.Verb == wire.VerbReplace:
-				reported.NotLeader = true
+				result.NotLeader = true
 			case call.Verb == wire.VerbRetrieve:
-				s.leader.Retrieve(take)
+				s.leader.Retrieve(setResult)
 			default:
-				s.leader.Replace(call, take)
+				s.leader.Replace(call, setResult)
 			}
-			return &reported, nil
+			return &result, nil
 		},
 		Report: func(_ context.Context, service string) *wire.RolloutReport { s.onReport(); return s.reports[service] }})
 }
 
-func (s *system) replace(base int64, body string) (reported wire.ClientAnswer) {
-	s.leader.Replace(&wire.ClientCall{Base: base, Body: []byte(body)}, func(answer wire.ClientAnswer) { reported = answer })
-	return reported
+// replace replaces the configuration, as an operator does, on condition that its version is base.
+func (s *system) replace(base int64, body string) (result wire.ClientAnswer) {
+	s.leader.Replace(&wire.ClientCall{Base: base, Body: []byte(body)}, func(answer wire.ClientAnswer) { result = answer })
+	return result
 }
 
 func (s *system) current() *configuration.Configuration {
-	var reported wire.ClientAnswer
-	s.leader.Retrieve(func(answer wire.ClientAnswer) { reported = answer })
-	decoded, err := configuration.Read(reported.Body)
+	var result wire.ClientAnswer
+	s.leader.Retrieve(func(answer wire.ClientAnswer) { result = answer })
+	decoded, err := configuration.Read(result.Body)
 	Expect(err).NotTo(HaveOccurred())
 	return decoded
 }
 
+// body returns the current configuration as JSON.
 func (s *system) body() string {
-	var reported wire.ClientAnswer
-	s.leader.Retrieve(func(answer wire.ClientAnswer) { reported = answer })
-	return string(reported.Body)
+	var result wire.ClientAnswer
+	s.leader.Retrieve(func(answer wire.ClientAnswer) { result = answer })
+	return string(result.Body)
 }
 
-// ended sets how many jobs of a rollout the pool of a service reports as completed and failed.
-func (s *system) ended(service, rollout string, completed, failed int64) {
+// setEnded sets how many jobs of a rollout the pool of a service reports as completed and failed.
+func (s *system) setEnded(service, rollout string, completed, failed int64) {
 	begunMs := int64(0)
 	for _, known := range s.current().Rollouts {
 		if known.Name == rollout {
@@ -133,13 +135,13 @@
 		begin()
 		Expect(s.current().Version).To(Equal(int64(5)))
 		Expect(s.current().Rollouts[0].Share()).To(Equal(0.1))
-		s.ended("v2", "r", 5, 0)
+		s.setEnded("v2", "r", 5, 0)
 		s.reconcile()
 		Expect(s.current().Rollouts[0].Share()).To(Equal(1.0))
 		Expect(s.current().Rollouts[0].StepJobs).To(Equal(int64(5)))
 		s.reconcile()
 		Expect(s.current().Version).To(Equal(int64(6)), "no further step without more traffic")
-		s.ended("v2", "r", 10, 0)
+		s.setEnded("v2", "r", 10, 0)
 		s.reconcile()
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutFinished))
 		Expect(s.current().Routes[0].Service).To(Equal("v2"))
@@ -148,8 +150,8 @@
 
 	It("rolls one of two rollouts back with its figures, and leaves the other unchanged", func() {
 		begin()
-		s.ended("v2", "r", 10, 10)
-		s.ended("w2", "s", 4, 0)
+		s.setEnded("v2", "r", 10, 10)
+		s.setEnded("w2", "s", 4, 0)
 		s.reconcile()
 		s.reconcile()
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutRolledBack))
@@ -160,7 +162,7 @@
 
 	It("continues under a new leader and takes no step twice", func() {
 		begin()
-		s.ended("v2", "r", 5, 0)
+		s.setEnded("v2", "r", 5, 0)
 		s.reconcile()
 		s.changeLeader()
 		s.reconcile()
@@ -170,7 +172,7 @@
 
 	It("takes a step under a new leader that the last one failed to commit", func() {
 		begin()
-		s.ended("v2", "r", 20, 20)
+		s.setEnded("v2", "r", 20, 20)
 		s.refusesChanges = true
 		s.reconcile()
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutWidening))
@@ -180,9 +182,9 @@
 		Expect(s.current().Rollouts[0].State).To(Equal(configuration.RolloutRolledBack))
 	})
 
-	It("gives way to a concurrent change by an operator", func() {
+	It("discards a decision if an operator changes the configuration concurrently", func() {
 		begin()
-		s.ended("v2", "r", 20, 20)
+		s.setEnded("v2", "r", 20, 20)
 		s.onReport = func() {
 			s.onReport = func() {}
 			changed := strings.Replace(s.body(), `"config-version":5`, `"config-version":90`, 1)
@@ -197,7 +199,7 @@
 
 	It("does not change rollouts that an operator paused, rolled back or removed", func() {
 		begin()
-		s.ended("v2", "r", 20, 0)
+		s.setEnded("v2", "r", 20, 0)
 		Expect(s.replace(5, strings.Replace(strings.Replace(s.body(), `"config-version":5`, `"config-version":6`, 1), `"state":"widening"`, `"state":"paused"`, 1)).Status).To(Equal(200))
 		s.reconcile()
 		Expect(s.current().Version).To(Equal(int64(6)))
@@ -213,7 +215,7 @@
 
 	It("changes nothing while a pool does not answer or another process leads the configuration", func() {
 		begin()
-		s.ended("v2", "r", 20, 20)
+		s.setEnded("v2", "r", 20, 20)
 		delete(s.reports, "v1")
 		s.reconcile()
 		Expect(s.current().Version).To(Equal(int64(5)))
@@ -225,7 +227,7 @@
 
 	It("reports the status of all rollouts with their figures", func() {
 		begin()
-		s.ended("v2", "r", 3, 1)
+		s.setEnded("v2", "r", 3, 1)
 		s.reconcile()
 		var status wire.RolloutsStatus
 		Expect(easyjson.Unmarshal(s.controller.StatusAnswer().Body, &status)).To(Succeed())
--- a/internal/control/rollouts/policy.go
+++ b/internal/control/rollouts/policy.go
@@ -5,9 +5,9 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// PolicyFor returns what a pool needs to know of the rollouts in which its service is one of the two versions: those in progress, and those
-// that were rolled back. The latter return the new version's jobs to the old one, unless the route leads to the new version by now or
-// another rollout is moving it there.
+// PolicyFor returns what the pool of a service must know of the rollouts in which the service is one of the two versions. These are the
+// rollouts in progress and, for the new version, also those that were rolled back: the pool returns the new version's jobs to the old one.
+// It does not return them if the route leads to the new version again, or another rollout is moving the route there.
 func PolicyFor(version int64, matcher *configuration.Matcher, service string) scheduler.RolloutPolicy {
 	policy := scheduler.RolloutPolicy{Version: version}
 	for _, configured := range matcher.Configuration().Rollouts {
--- a/internal/control/rollouts/status.go
+++ b/internal/control/rollouts/status.go
@@ -19,7 +19,7 @@
 	versionNew = "new"
 )
 
-// updateMetrics sets the gauges of all rollouts to their status.
+// updateMetrics sets the gauges of all rollouts to the values in a status.
 func updateMetrics(status *wire.RolloutsStatus) {
 	for _, configured := range status.Rollouts {
 		shares.With(configured.Name).Set(configured.Share)
@@ -32,7 +32,7 @@
 	}
 }
 
-// statusOf returns the status of a rollout after a decision.
+// statusOf returns the status of a rollout, with the last decision on it and the evidence for that decision.
 func statusOf(configured *configuration.Rollout, evidence rollout.Evidence, decision rollout.Decision) wire.RolloutStatus {
 	status := wire.RolloutStatus{Name: configured.Name, Route: configured.Route, From: configured.From, To: configured.To, State: configured.State.Label(), Step: configured.Step,
 		Steps: len(configured.Steps), Share: configured.Share(), Reason: configured.Reason, Action: string(decision.Action), ActionWhy: string(decision.Reason),
