--- a/internal/scheduling/recording/event.go
+++ b/internal/scheduling/recording/event.go
@@ -27,8 +27,9 @@
 
 // Event is one line. Each kind sets only the fields that it needs. AtMs is a time of day in milliseconds since 1970. A header has the Version
 // of the format and the name of the recording Node. A submitted job has its ID, Queue (the route), Terms and Body, a cancelled one its ID.
-// An executor has its ID (Machine), Capacity and Labels, and whether it is draining. The end of a run has the name of the Task, the number of
-// the Run, the outcome (How) and the run time (LengthMs). Plan is the version of a configuration, and Count the number of lost events.
+// An executor has the name of its Machine, its Capacity and Labels, and whether it is draining. The end of a run has the name of the Task,
+// the number of the Run, its outcome (How) and its run time (LengthMs). Plan is the version of a configuration, and Count the number of lost
+// events.
 type Event struct {
 	Kind       string              `json:"kind"`
 	AtMs       int64               `json:"at-ms"`
