--- a/internal/scheduling/recording/event.go
+++ b/internal/scheduling/recording/event.go
@@ -28,7 +28,7 @@
 // Event is one line. Each kind sets only the fields that it needs. AtMs is a time of day in milliseconds since 1970. A header has the Version
 // of the format and the name of the recording Node. A submitted job has its ID, Queue (the route), Terms and Body, a cancelled one its ID.
 // An executor has the name of its Machine, its Capacity and Labels, and whether it is draining. The end of a run has the name of the Task,
-// the number of the Run, its outcome (How) and its run time (LengthMs). Plan is the version of a configuration, and Count the number of lost
+// the number of the Run, its Outcome and its run time (LengthMs). Plan is the version of a configuration, and Count the number of lost
 // events.
 type Event struct {
 	Kind       string              `json:"kind"`
@@ -41,7 +41,7 @@
 	Body       easyjson.RawMessage `json:"body,omitempty"`
 	Task       string              `json:"task,omitempty"`
 	Run        int64               `json:"run,omitempty"`
-	How        string              `json:"how,omitempty"`
+	Outcome    string              `json:"how,omitempty"`
 	LengthMs   int64               `json:"length-ms,omitempty"`
 	Machine    string              `json:"machine,omitempty"`
 	Capacity   wire.Capacity       `json:"room"`
--- a/internal/scheduling/recording/event_easyjson.go
+++ b/internal/scheduling/recording/event_easyjson.go
@@ -95,7 +95,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.How = string(in.String())
+				out.Outcome = string(in.String())
 			}
 		case "length-ms":
 			if in.IsNull() {
@@ -224,10 +224,10 @@
 		out.RawString(prefix)
 		out.Int64(int64(in.Run))
 	}
-	if in.How != "" {
+	if in.Outcome != "" {
 		const prefix string = ",\"how\":"
 		out.RawString(prefix)
-		out.String(string(in.How))
+		out.String(string(in.Outcome))
 	}
 	if in.LengthMs != 0 {
 		const prefix string = ",\"length-ms\":"
--- a/internal/scheduling/scheduler/completion.go
+++ b/internal/scheduling/scheduler/completion.go
@@ -27,7 +27,7 @@
 		p.recordCheckpoint(task, end.Checkpoint)
 	}
 	p.recordStart(task.job())
-	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, How: string(end.Outcome),
+	p.recorder.Record(recording.Event{Kind: recording.KindEnd, AtMs: p.leadership.WallMs(), Task: end.Task, Run: end.Run, Outcome: string(end.Outcome),
 		LengthMs: (now - run.startedAt).Milliseconds()})
 	if end.Outcome == wire.OutcomeDone || end.Outcome == wire.OutcomeFailed {
 		p.countRunEnd(run, end.Outcome, now)
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -156,11 +156,11 @@
 		if event.Kind != recording.KindEnd {
 			continue
 		}
-		if event.How == outcomeDone || event.How == outcomeFailed {
+		if event.Outcome == outcomeDone || event.Outcome == outcomeFailed {
 			name := event.Task + "/" + strconv.FormatInt(event.Run, 10)
-			r.recordedRunTimes[name], r.recordedOutcomes[name] = time.Duration(event.LengthMs)*time.Millisecond, event.How
+			r.recordedRunTimes[name], r.recordedOutcomes[name] = time.Duration(event.LengthMs)*time.Millisecond, event.Outcome
 		}
-		if event.How == outcomeDone {
+		if event.Outcome == outcomeDone {
 			r.recordedRunTimes[event.Task] = time.Duration(event.LengthMs) * time.Millisecond
 		}
 	}
--- a/internal/simulation/rehearsal/report.go
+++ b/internal/simulation/rehearsal/report.go
@@ -74,7 +74,7 @@
 	report := &Report{Lines: setup.Day.Lines, Lost: setup.Day.Lost, Skipped: setup.Day.Skipped, Seed: setup.Seed,
 		Queues: map[string]Pair{}, Differences: []JobPair{}, Worse: []string{}}
 	for _, event := range setup.Day.Events {
-		if event.Kind == recording.KindEnd && event.How == outcomeDone {
+		if event.Kind == recording.KindEnd && event.Outcome == outcomeDone {
 			report.Recorded++
 		}
 	}
