--- a/internal/scheduling/placement/allowance.go
+++ b/internal/scheduling/placement/allowance.go
@@ -51,8 +51,8 @@
 // isShareSpent reports whether the share is used up. Without a share it is always false.
 func (a allowance) isShareSpent() bool { return a.share != nil && a.share.isSpent() }
 
-// countFailure counts a group that found no executor. It subtracts the group's need from the share although nothing was placed, so that
-// the scan of the queue for the share ends even if no group fits.
+// countFailure counts a group of single tasks that found no executor. It subtracts the need of one task from the share although nothing was
+// placed, so that the scan of the queue for the share ends even if no task fits. Gangs that found no executors are not counted.
 func (a allowance) countFailure(need Resources) {
 	if a.share != nil {
 		a.share.failures++
--- a/internal/scheduling/placement/group.go
+++ b/internal/scheduling/placement/group.go
@@ -27,10 +27,12 @@
 // Group is the set of tasks of one step that may start now, all with the same Need. Executors are identified by their index.
 // RunsByExecutor counts the step's running tasks by executor and is used only with AntiAffinity.
 type Group struct {
-	Need     Resources
-	Count    int
-	IsGang   bool
+	Need   Resources
+	Count  int
+	IsGang bool
+	// SameRack means that a gang prefers a single rack.
 	SameRack bool
+	// Labels are required of an executor. Locality holds the labels of executors near the tasks' data, which are preferred.
 	Labels   []string
 	Locality []string
 	// IsLocalityRequired makes the tasks wait for capacity near their data.
@@ -128,7 +130,7 @@
 // runs of expired work can't be preempted and must leave enough capacity for every other priority.
 const Background = math.MaxInt
 
-// CompareGroups is the queue order: by section, then the least remaining work first, then the earliest due first.
+// CompareGroups is the queue order: by section, then the group with the least remaining work first, then the one with the smallest Due.
 func CompareGroups(a, b *Group) int {
 	return cmp.Or(compareSections(sectionOf(a), sectionOf(b)), cmp.Compare(a.RemainingTenths, b.RemainingTenths), cmp.Compare(a.Due, b.Due))
 }
--- a/internal/scheduling/placement/share.go
+++ b/internal/scheduling/placement/share.go
@@ -11,10 +11,11 @@
 	}
 }
 
-// maxShareFailures is how many groups of a share may find no executor in one round before the rest of the share is skipped.
+// maxShareFailures is how many groups of a share may find no executor in one round before the rest of the share is skipped. Gangs are not
+// counted.
 const maxShareFailures = 8
 
-// shareBalance is the remaining capacity of a share, and the number of its groups that found no executor.
+// shareBalance is the rest of a share, and the number of its groups that found no executor.
 type shareBalance struct {
 	Share
 	failures int
--- a/internal/scheduling/placement/tenant.go
+++ b/internal/scheduling/placement/tenant.go
@@ -18,7 +18,8 @@
 	LongAllocated, LongLimit Resources
 	// Share is the tenant's part of the capacity of the executors that may get runs, in proportion to the weights of all tenants with work.
 	Share Resources
-	// IsAboveShare means that the tenant has more than its share, or would have with one more run of its group that was placed last.
+	// IsAboveShare means that the tenant has more than its share, or would have with one more run of that of its groups for which capacity was
+	// last allocated or released.
 	IsAboveShare bool
 }
 
--- a/internal/scheduling/rollout/judge.go
+++ b/internal/scheduling/rollout/judge.go
@@ -34,7 +34,7 @@
 	ReasonLate          Reason = "more late jobs than agreed"
 	ReasonRunTime       Reason = "runs take longer than agreed"
 	ReasonNoExecutors   Reason = "the new version has no executors"
-	ReasonSilent        Reason = "a pool of the two versions does not answer"
+	ReasonNoAnswer      Reason = "a pool of the two versions does not answer"
 	ReasonPaused        Reason = "paused by an operator"
 	ReasonMinTime       Reason = "the step has not lasted long enough"
 	ReasonMinJobs       Reason = "too few jobs of the new version have ended in the step"
@@ -137,7 +137,7 @@
 	case rollout.IsOver():
 		return Decision{Action: Hold, Reason: ReasonOver}
 	case !evidence.Old.IsKnown || !evidence.New.IsKnown:
-		return Decision{Action: Hold, Reason: ReasonSilent}
+		return Decision{Action: Hold, Reason: ReasonNoAnswer}
 	case rollout.State == configuration.RolloutRequested:
 		return decideBegin(rollout, evidence)
 	}
--- a/internal/scheduling/tenantcount/account.go
+++ b/internal/scheduling/tenantcount/account.go
@@ -9,7 +9,7 @@
 
 // account is a pool's allowance of one tenant's limit.
 type account struct {
-	// spendable is what the pool may use now. It never exceeds the committed amount.
+	// spendable is the most that the pool may use now. It never exceeds the committed amount.
 	spendable placement.Resources
 	// claimed is the highest amount that the pool's durable record may hold. It is above spendable while a change is being committed. Calls
 	// report this amount as Has, never a lower one.
--- a/internal/scheduling/tenantcount/part.go
+++ b/internal/scheduling/tenantcount/part.go
@@ -8,7 +8,7 @@
 //
 //   - The grants of a tenant, summed over all pools, do not exceed its limit, or the highest limit that was in force when they were
 //     granted. Each new configuration may lower a limit. So under a new configuration a pool that shares its tenants with others starts
-//     nothing until the partition has confirmed that the grants are within the limit.
+//     no runs of a tenant until the partition has confirmed that the tenant's grants are within the limit.
 //   - A pool uses no more than its account, and the account is no more than the partition's grant. A partition commits a raised grant
 //     before it answers, and a pool commits a raised account before it uses it. A pool commits a lowered account before it reports the
 //     lower amount, and a partition lowers a grant only to an amount that the pool has reported.
