--- a/internal/scheduling/placement/share.go
+++ b/internal/scheduling/placement/share.go
@@ -11,10 +11,11 @@
 	}
 }
 
-// maxShareFailures is how many groups of a share may find no executor in one round before the rest of the share is skipped.
+// maxShareFailures is how many groups of a share may find no executor in one round before the rest of the share is skipped. Gangs are not
+// counted.
 const maxShareFailures = 8
 
-// shareBalance is the remaining capacity of a share, and the number of its groups that found no executor.
+// shareBalance is the rest of a share, and the number of its groups that found no executor.
 type shareBalance struct {
 	Share
 	failures int
@@ -25,8 +26,8 @@
 	return s.Resources.CPU <= 0 || s.Resources.Memory <= 0 || s.failures >= maxShareFailures
 }
 
-// placeShare places the groups from an index on that can't wait, until the share is spent. The remaining capacity of the priority does
-// not limit it.
+// placeShare places the groups from index from on, except those that can wait, until the share is spent. The remaining capacity of the
+// priority does not limit it.
 func (r *placementRound) placeShare(groups []*Group, from int, remaining map[int]Resources, share *shareBalance) {
 	for index := from; index < len(groups) && !r.isExhausted && !share.isSpent(); index++ {
 		if groups[index].CanWait {
