--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -1,5 +1,5 @@
 // Package configleader handles the operators' calls about the configuration while this steward leads the configuration's key. It is a state
-// machine without goroutines and sockets. Package controlkeys calls it on the goroutine of the key's engine, and a Leadership commits its
+// machine without goroutines or sockets. Package controlkeys calls it on the goroutine of the key's engine, and a Leadership commits its
 // changes.
 //
 // A configuration is confirmed to the operator only after it is committed. Each confirmed version has a record with the digest of its body.
@@ -35,17 +35,17 @@
 type Leadership interface {
 	// Commit makes a change durable on a quorum. The function done gets an error if the leadership is lost first.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease reports whether the lease excludes that another process leads the key now.
+	// HasLease reports whether this process holds a lease from a quorum now, so that no other process leads the key.
 	HasLease() bool
 	// Voters returns the disks that currently vote on the key.
 	Voters() []string
-	// WallMs returns the time of day on which the voters agree, in milliseconds since 1970.
+	// WallMs returns the time of day in milliseconds since 1970: the median of the clocks of the followers and of this process.
 	WallMs() int64
 }
 
 // Leader handles the operators' calls one after the other in the order of their arrival.
 type Leader struct {
-	// leadership is nil while this process does not lead the key. The records below are empty then.
+	// leadership is nil while this process does not lead the key. Then committed, decodedCommitted, confirmed and evacuations are nil, too.
 	leadership Leadership
 	// committed is the configuration in force, nil before the first. decodedCommitted caches its decoded body, nil until it is needed.
 	committed        *wire.Configuration
@@ -53,7 +53,7 @@
 	confirmed        *confirmedVersions
 	// evacuations are the zones that operators have ordered to be emptied, nil before the first order.
 	evacuations *wire.Evacuations
-	// queued are the calls that arrived during a commit. It is empty unless isCommitting is set.
+	// isCommitting is set during a commit. queued holds the calls that arrive meanwhile.
 	isCommitting bool
 	queued       []queuedCall
 	publish      func(*wire.Configuration)
@@ -69,9 +69,9 @@
 // Option configures a Leader when New creates it.
 type Option func(*Leader)
 
-// WithStorageDisks sets the disks on which lots may be kept, and the number of disks that initially keep them.
-func WithStorageDisks(disks func() []string, voters int) Option {
-	return func(l *Leader) { l.listStorageDisks, l.lotVoterCount = disks, voters }
+// WithStorageDisks sets the function that returns the disks on which lots may be kept, and the number of initial voters of the lots.
+func WithStorageDisks(listDisks func() []string, voterCount int) Option {
+	return func(l *Leader) { l.listStorageDisks, l.lotVoterCount = listDisks, voterCount }
 }
 
 // WithFixedKeys sets the keys that get initial voters with the next configuration regardless of what it says.
@@ -141,8 +141,8 @@
 	return nil, nil
 }
 
-// toPublished returns a configuration without the fields that only the key's leader needs, and without the white space around the body,
-// which messages do not carry.
+// toPublished returns a configuration without the fields that only the key's leader needs. It trims the white space around the body, because
+// messages do not carry it.
 func toPublished(committed *wire.Configuration) *wire.Configuration {
 	return &wire.Configuration{Version: committed.Version, Body: bytes.TrimSpace(committed.Body), InitialVoters: committed.InitialVoters,
 		Moved: committed.Moved}
@@ -197,10 +197,10 @@
 	}
 }
 
-// check returns why a change can't be committed: an *InvalidError, *ForgottenVersionError, *VersionConflictError or *VersionNotAboveError,
-// nil if it can. A refusal because of the base is final. Versions only rise, so a call with an outdated base can't be committed later, and
-// the records show whether it was committed before. If its record may have been dropped, the error is a *ForgottenVersionError and the
-// operator has to read the configuration to find out.
+// check returns nil if a change can be committed, otherwise the reason: an *InvalidError, *ForgottenVersionError, *VersionConflictError or
+// *VersionNotAboveError. A refusal because the base is below the current version is final. Versions only rise, so the change can't be
+// committed later, and the records show that it was not committed before. If its record may have been dropped, the error is a
+// *ForgottenVersionError, and the operator has to read the configuration to find out whether the change was committed.
 func (l *Leader) check(proposed *configuration.Configuration, readErr error, base int64) error {
 	var current int64
 	if l.committed != nil {
@@ -268,7 +268,7 @@
 }
 
 // commitOps commits records. Calls that arrive meanwhile are queued. Once the records are durable, commitOps calls apply, which updates the
-// leader's state and returns the answer. It must not be called during a commit.
+// leader's state and returns the answer. commitOps must not be called during a commit.
 func (l *Leader) commitOps(ops []wire.Op, answer answerFunc, apply func() wire.ClientAnswer) {
 	l.isCommitting = true
 	leadership := l.leadership
@@ -290,7 +290,7 @@
 }
 
 // newConfiguration returns the record of the next configuration. It adds the initial voters of new keys: the pools of new services, the
-// lots, the partitions of the tenant count and the fixed keys. It also adds the routes that lead to another service than before.
+// lots, the partitions of the tenant count and the fixed keys. It also adds the moved routes, see addMovedRoutes.
 func (l *Leader) newConfiguration(proposed *configuration.Configuration, body []byte) *wire.Configuration {
 	next := &wire.Configuration{Version: proposed.Version, Body: body}
 	if l.committed != nil {
@@ -338,8 +338,8 @@
 	return slices.ContainsFunc(proposed.Routes, func(route configuration.Route) bool { return route.Type == configuration.RouteBatch })
 }
 
-// addLotVoters adds the initial voters of the lots key, unless there are no storage disks yet. Until a configuration adds them, lots are
-// refused.
+// addLotVoters adds the initial voters of the lots key, unless there are no storage disks yet. Lots are refused until a later configuration
+// adds these voters.
 func (l *Leader) addLotVoters(next *wire.Configuration) {
 	disks := l.listStorageDisks()
 	if len(disks) == 0 {
@@ -350,22 +350,22 @@
 }
 
 // addInitialVoters makes the voters of the configuration's key the initial voters of another key, unless that has initial voters already.
-func (l *Leader) addInitialVoters(next *wire.Configuration, wanted wire.InitialVoters) {
-	wanted.Voters = l.leadership.Voters()
-	addVoters(next, wanted)
+func (l *Leader) addInitialVoters(next *wire.Configuration, entry wire.InitialVoters) {
+	entry.Voters = l.leadership.Voters()
+	addVoters(next, entry)
 }
 
 // addVoters adds the initial voters of a key, unless it has initial voters already.
-func addVoters(next *wire.Configuration, wanted wire.InitialVoters) {
-	hasVoters := slices.ContainsFunc(next.InitialVoters, func(voters wire.InitialVoters) bool {
-		return voters.Service == wanted.Service && voters.Key == wanted.Key
+func addVoters(next *wire.Configuration, entry wire.InitialVoters) {
+	hasVoters := slices.ContainsFunc(next.InitialVoters, func(existing wire.InitialVoters) bool {
+		return existing.Service == entry.Service && existing.Key == entry.Key
 	})
 	if !hasVoters {
-		next.InitialVoters = append(next.InitialVoters, wanted)
+		next.InitialVoters = append(next.InitialVoters, entry)
 	}
 }
 
-// decodeCommitted returns the decoded committed configuration, nil if it can't be decoded. It decodes the configuration only once.
+// decodeCommitted returns the decoded configuration in force, nil if it can't be decoded. It keeps the result for the next call.
 func (l *Leader) decodeCommitted() *configuration.Configuration {
 	if l.decodedCommitted == nil {
 		decoded, err := configuration.Read(l.committed.Body)
--- a/internal/control/configleader/confirmed_test.go
+++ b/internal/control/configleader/confirmed_test.go
@@ -230,7 +230,7 @@
 			Expect(easyjson.Unmarshal(f.stored["fact"], read)).To(Succeed())
 			return read
 		}
-		text := func(version, route int, service string) []byte {
+		newRoutesBody := func(version, route int, service string) []byte {
 			var routes []string
 			for number := range 10 {
 				routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h","path-prefix":"/%d","timeout-ms":1,"service":"%s"}`, route+number, number, service))
@@ -238,13 +238,13 @@
 			return []byte(fmt.Sprintf(`{"config-version":%d,"route-list":[%s],"service-list":[{"name":"%s"}]}`, version, strings.Join(routes, ","), service))
 		}
 		for version := 1; version <= 800; version++ {
-			Expect(f.replace(int64(version-1), text(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
+			Expect(f.replace(int64(version-1), newRoutesBody(version, version/2*10, []string{"a", "b"}[version%2]))).To(Equal(200))
 		}
 		Expect(len(committed().Moved)).To(BeNumerically("<=", 2048))
 		Expect(committed().Moved).To(ContainElement(wire.MovedRoute{Route: "r3990", Services: []string{"a"}}))
 		Expect(committed().InitialVoters).To(HaveLen(2))
 		for version := 801; version <= 840; version++ {
-			Expect(f.replace(int64(version-1), text(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
+			Expect(f.replace(int64(version-1), newRoutesBody(version, 0, fmt.Sprintf("s%d", version)))).To(Equal(200))
 		}
 		for _, moved := range committed().Moved {
 			Expect(len(moved.Services)).To(BeNumerically("<=", 16))
--- a/internal/control/configleader/evacuations.go
+++ b/internal/control/configleader/evacuations.go
@@ -15,7 +15,7 @@
 // configuration, so that a change of evacuations does not change the version of the configuration.
 const recordEvacuations = "evacuations"
 
-// readEvacuations returns the committed list, nil if there is none yet.
+// readEvacuations returns the committed list of zones to be emptied, nil if there is none yet.
 func readEvacuations(pairs []wire.Op) (*wire.Evacuations, error) {
 	for _, pair := range pairs {
 		if pair.Name != recordEvacuations {
--- a/internal/control/configleader/evacuations_test.go
+++ b/internal/control/configleader/evacuations_test.go
@@ -89,7 +89,7 @@
 		Expect(published).To(BeEmpty())
 	})
 
-	It("is answered NotLeader without a lease, and is not read from a damaged record", func() {
+	It("is answered NotLeader without a lease, and causes an error if its record is damaged", func() {
 		evacuate("a")
 		leadership.commitInto(stored)
 		leadership.hasLease = false
--- a/internal/control/configleader/moved.go
+++ b/internal/control/configleader/moved.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxMovedRoutes is the number of moved routes above which those are dropped that are no longer in the configuration, the oldest first.
+	// maxMovedRoutes limits the moved routes. If there are more, those that are no longer in the configuration are dropped, the oldest first.
 	maxMovedRoutes = 2048
 	// maxFormerServices is the maximum number of former services that are kept for a route. The newest are kept.
 	maxFormerServices = 16
 )
 
-// addMovedRoutes adds to the moved routes those that lead to another service in the next configuration, and those whose jobs a rollout may
-// split between two services. The jobs of either service stay where they were accepted.
+// addMovedRoutes adds to the moved routes those that lead to another service in the next configuration, and those whose jobs a rollout that
+// has begun may split between two services. The pools of all these services may still hold jobs of the route.
 func addMovedRoutes(moved []wire.MovedRoute, before, next *configuration.Configuration) []wire.MovedRoute {
 	former := configuration.NewMatcher(before)
 	positions := map[string]int{}
@@ -45,7 +45,7 @@
 	return dropExcessRoutes(moved, next)
 }
 
-// addService adds a service to the former services of a route, unless it is among them.
+// addService adds a service to the former services of a route, unless it is among them. It drops the oldest ones above maxFormerServices.
 func addService(services []string, service string) []string {
 	if slices.Contains(services, service) {
 		return services
--- a/internal/control/configleader/refusal.go
+++ b/internal/control/configleader/refusal.go
@@ -12,10 +12,10 @@
 // retryAfterS is the number of seconds that an operator should wait before the next try.
 const retryAfterS = 1
 
-// ErrNoConfiguration refuses a call that reads the configuration before the first one was committed.
+// ErrNoConfiguration is the error of a call that reads the configuration before the first one was committed.
 const ErrNoConfiguration = errors.ConstError("there is no configuration yet")
 
-// InvalidError refuses a configuration that can't be decoded or breaks a rule. Err names the field.
+// InvalidError is the error of a configuration that can't be decoded or breaks a rule. Err names the field.
 type InvalidError struct{ Err error }
 
 // Error returns the text of Err.
@@ -24,7 +24,7 @@
 // Unwrap returns Err.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// VersionConflictError refuses a change whose base is not the version in force. Current is the version in force.
+// VersionConflictError is the error of a change whose base is not the version in force. Current is the version in force.
 type VersionConflictError struct{ Current int64 }
 
 // Error returns a text with the version in force.
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("the current version is %d", e.Current)
 }
 
-// VersionNotAboveError refuses a configuration whose version is not above the version in force. Current is the version in force.
+// VersionNotAboveError is the error of a configuration whose version is not above the version in force. Current is the version in force.
 type VersionNotAboveError struct{ Current int64 }
 
 // Error returns a text with the field and the version in force.
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("field config-version is not above the current one, %d", e.Current)
 }
 
-// ForgottenVersionError refuses a version that may have been confirmed so long ago that its record was dropped.
+// ForgottenVersionError is the error of a change to a version that may have been confirmed so long ago that its record was dropped.
 type ForgottenVersionError struct{ Version int64 }
 
 // Error returns a text with the version.
--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -74,7 +74,8 @@
 
 // Reply converts the outcome of a call to the reply to the operator. A version conflict is passed on only if it is final. If an earlier
 // attempt may have been executed, the conflict is final only if the current version is above the call's base. Versions only rise, so no
-// attempt can be committed from then on, and an attempt that was committed before would have been confirmed. Otherwise the reply is 503.
+// attempt can be committed from then on, and an attempt that was committed before would have been confirmed. If the conflict is not final,
+// the reply is 503.
 func Reply(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
--- a/internal/control/controlapi/evacuation.go
+++ b/internal/control/controlapi/evacuation.go
@@ -28,8 +28,8 @@
 	mayHaveWaited func() bool
 }
 
-// NewEvacuation creates a handler. It refuses calls for names that are no zones, and calls that may have waited, whose caller may have retried
-// at another steward meanwhile.
+// NewEvacuation creates a handler. The handler refuses to start or end an evacuation if the name is no zone, or if the call may have
+// waited, because its caller may have retried at another steward meanwhile.
 func NewEvacuation(client *leaderclient.Client, isZone func(string) bool, mayHaveWaited func() bool) *Evacuation {
 	return &Evacuation{client: client, isZone: isZone, mayHaveWaited: mayHaveWaited}
 }
@@ -44,9 +44,9 @@
 	EvacuationReply(call, e.client.Ask(request.Context(), call, answerTimeout)).Write(to)
 }
 
-// decode converts an operator's request to a call of the configuration's leader. If the request is refused, the call is nil. An order has no
-// number, so a delayed order can't be distinguished from a new one. A request that may have waited here is therefore refused, because the
-// operator may have given a later order at another steward meanwhile.
+// decode converts an operator's request to a call of the configuration's leader. If the request is refused, the call is nil. An order to
+// start or end an evacuation has no number, so a delayed order can't be distinguished from a new one. An order that may have waited here is
+// therefore refused, because the operator may have given a later order at another steward meanwhile.
 func (e *Evacuation) decode(request *http.Request) (*wire.ClientCall, response.Reply) {
 	path := request.URL.Path
 	if path == pathEvacuations {
--- a/internal/control/controlapi/reply_test.go
+++ b/internal/control/controlapi/reply_test.go
@@ -21,7 +21,7 @@
 		leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 412, Reason: "no", Current: 7}}, 412),
 	Entry("refused after a try with an unknown outcome, with a current version below the base: not final", int64(5),
 		leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 412, Reason: "no", Current: 3}}, 503),
-	Entry("refused after a try with an unknown outcome, without a current version, as by an older release that keeps 64 changes", int64(5),
+	Entry("refused after a try with an unknown outcome, without a current version, as an older release that keeps 64 versions answers", int64(5),
 		leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 412, Reason: "no"}}, 503),
 	Entry("invalid after a try with an unknown outcome: refused by every leader", int64(5),
 		leaderclient.Outcome{MayHaveRun: true, Answer: &wire.ClientAnswer{Status: 400, Reason: "no"}}, 400),
--- a/internal/control/controlapi/retire.go
+++ b/internal/control/controlapi/retire.go
@@ -22,7 +22,7 @@
 	retireTimeout = 700 * time.Millisecond
 )
 
-// Retire serves the operators' calls that empty a storage machine or ask for the progress.
+// Retire serves the operators' calls that start to empty a storage machine or ask for the progress.
 type Retire struct {
 	caller *peerapi.Caller
 	view   func() *membership.View
@@ -30,7 +30,8 @@
 	minRemaining int
 }
 
-// NewRetire creates a handler. It refuses to empty a machine if the remaining machines could not survive machineLosses simultaneous losses.
+// NewRetire creates a handler. The handler refuses to empty a machine if the remaining machines could not survive machineLosses
+// simultaneous losses.
 func NewRetire(caller *peerapi.Caller, view func() *membership.View, machineLosses int) *Retire {
 	return &Retire{caller: caller, view: view, minRemaining: quorum.VotersFor(machineLosses)}
 }
@@ -53,7 +54,7 @@
 	r.execute(request.Context(), node, isInitiate).Write(to)
 }
 
-// execute carries out a call by asking the machine itself, which stores on its disk that it is being emptied.
+// execute carries out an operator's call by calling the storage machine, which stores on its disk that it is being emptied.
 func (r *Retire) execute(ctx context.Context, node string, isInitiate bool) response.Reply {
 	machine, others := r.find(node)
 	if machine == nil {
@@ -80,8 +81,8 @@
 	return response.Empty(http.StatusOK)
 }
 
-// find returns the storage machine with that name, nil if there is none, and the number of other live storage machines
-// that have a persistent disk.
+// find returns the storage machine with that name, nil if there is none, and the number of other live storage machines that have a
+// persistent disk. A steward with a control address is not a storage machine.
 func (r *Retire) find(node string) (machine *wire.Member, others int) {
 	for _, steward := range r.view().Stewards {
 		switch {
--- a/internal/control/controlkeys/askleader.go
+++ b/internal/control/controlkeys/askleader.go
@@ -8,13 +8,13 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// AskLeader sends a call to the leader of its key and returns within the timeout. The leader may hold its answer back for up to wait.
+// AskLeader sends a call to the leader of the call's key and returns within the timeout. The leader may delay its answer by up to wait.
 // AskLeader tries this process first, because that needs no network message.
 func (m *Manager) AskLeader(ctx context.Context, call *wire.ClientCall, timeout, wait time.Duration) leaderclient.Outcome {
 	deadline := m.Clock.Monotonic() + timeout
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer, err := m.Client(ctx, call)
+	answer, err := m.ExecuteLocally(ctx, call)
 	switch {
 	case err != nil:
 		return leaderclient.Outcome{MayHaveRun: true}
--- a/internal/control/controlkeys/beliefs.go
+++ b/internal/control/controlkeys/beliefs.go
@@ -11,8 +11,9 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// Beliefs returns this steward's view of keys, jobs and executors, which operators use to compare nodes. It omits everything that it
-// can't collect before ctx is done.
+// Beliefs returns this steward's view of keys, jobs and executors, which operators use to compare nodes. The keys and jobs are those of the
+// replicas on its disk. The executors are those of the pools that this process leads. Beliefs omits everything that it can't collect before
+// ctx is done.
 func (m *Manager) Beliefs(ctx context.Context) ([]wire.KeyBelief, []wire.JobBelief, []wire.ExecutorBelief) {
 	if !m.hasDisk() {
 		return nil, nil, nil
@@ -82,7 +83,7 @@
 	return loads
 }
 
-// readReplicaBeliefs returns the state of each replica on this disk. It must run on the goroutine of the replicas.
+// readReplicaBeliefs returns the state of each replica on this disk. It must run on the goroutine that owns the replicas.
 func (m *Manager) readReplicaBeliefs() []wire.KeyBelief {
 	var keys []wire.KeyBelief
 	for _, key := range m.Replicas.Keys() {
--- a/internal/control/controlkeys/controlkeys_test.go
+++ b/internal/control/controlkeys/controlkeys_test.go
@@ -66,8 +66,8 @@
 	return store
 }
 
-var _ = Describe("a steward without a disk", func() {
-	It("names no disk, rejects replication calls and leads no key", func() {
+var _ = Describe("a steward without a persistent disk", func() {
+	It("names no disk, rejects replication calls and leads no key if it has no disk at all", func() {
 		manager, caller := newManager(nil, false)
 		manager.initialVoters = []string{"a", "b", "c"}
 		manager.reconcile()
@@ -91,14 +91,14 @@
 		Expect(executors).To(BeNil())
 	})
 
-	It("returns from Run when its context is done", func() {
+	It("returns from Run when the context is done", func() {
 		manager, _ := newManager(nil, false)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		Expect(manager.Run(ctx)).To(Succeed())
 	})
 
-	It("starts keys on a temporary disk only if the disk is an initial voter", func() {
+	It("starts runners on a temporary disk only if the disk is an initial voter", func() {
 		store := openStore()
 		manager, caller := newManager(store, true)
 		identity, err := callProcedure[wire.IdentifyCall, wire.IdentifyAnswer](caller, peerapi.ProcedureIdentify, wire.IdentifyCall{})
@@ -147,18 +147,18 @@
 })
 
 var _ = Describe("a leaving steward", func() {
-	set := wire.VoterSet{Current: []string{"a", "b", "c"}}
-	alive := func(disk string) wire.Member { return wire.Member{Name: disk, Role: "steward", Disk: disk} }
+	voters := wire.VoterSet{Current: []string{"a", "b", "c"}}
+	newSteward := func(disk string) wire.Member { return wire.Member{Name: disk, Role: "steward", Disk: disk} }
 
-	It("waits for a replacement only if a live disk is no voter", func() {
-		gone := alive("d")
+	It("waits for a replacement only if a live disk is no voter or a change of voters is removing it", func() {
+		gone := newSteward("d")
 		gone.State = wire.StateGone
-		Expect(IsReplaceable([]wire.Member{alive("a"), alive("b"), alive("c")}, "a", set)).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("a"), gone, {Name: "n"}}, "a", set)).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "d", set)).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", set)).To(BeTrue())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: []string{"d"}, Current: set.Current})).To(BeFalse())
-		Expect(IsReplaceable([]wire.Member{alive("d")}, "a", wire.VoterSet{Old: set.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change of voters still needs the vote of the leaving disk")
+		Expect(IsReplaceable([]wire.Member{newSteward("a"), newSteward("b"), newSteward("c")}, "a", voters)).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{newSteward("a"), gone, {Name: "n"}}, "a", voters)).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{newSteward("d")}, "d", voters)).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{newSteward("d")}, "a", voters)).To(BeTrue())
+		Expect(IsReplaceable([]wire.Member{newSteward("d")}, "a", wire.VoterSet{Old: []string{"d"}, Current: voters.Current})).To(BeFalse())
+		Expect(IsReplaceable([]wire.Member{newSteward("d")}, "a", wire.VoterSet{Old: voters.Current, Current: []string{"b", "c", "d"}})).To(BeTrue(), "the change of voters still needs the vote of the leaving disk")
 	})
 
 	It("returns from Leave long before the timeout if nothing is left to wait for", func() {
--- a/internal/control/controlkeys/coordination.go
+++ b/internal/control/controlkeys/coordination.go
@@ -8,12 +8,13 @@
 	"gannetline/internal/control/coordination"
 )
 
-// historyMargin is how much longer the leader keeps puts than watchers may use a revision. A watcher measures the validity of a revision
-// from the arrival of the answer. The leader measures the age of the next put from when that put became durable, which is no earlier than
-// when it computed the answer.
+// historyMargin is how much longer the leader keeps a put than a watcher may use a revision. It covers the time that an answer takes to
+// arrive. A watcher may use the revision for a fixed time after the answer has arrived, but the next put, which the watcher must not miss,
+// may become durable as soon as the leader has computed the answer.
 const historyMargin = 10 * time.Second
 
-// listFixedKeys returns the keys that exist regardless of what the configuration says.
+// listFixedKeys returns the keys that exist regardless of what the configuration says: the coordination partitions, if this process keeps
+// any.
 func (m *Manager) listFixedKeys() []string {
 	if m.Coordination == nil {
 		return nil
@@ -27,7 +28,8 @@
 		ReleaseTime: m.Coordination.Release}
 }
 
-// CoordinationReports returns the reports of the coordination partitions that this process leads. IsOff is set if this process keeps none.
+// CoordinationReports returns the reports of the coordination partitions that this process leads. IsOff is set if this process keeps no
+// coordination partitions.
 func (m *Manager) CoordinationReports(ctx context.Context, _ *wire.CoordinationCall) (*wire.CoordinationReports, error) {
 	if m.Coordination == nil {
 		return &wire.CoordinationReports{IsOff: true}, nil
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -23,19 +23,19 @@
 // engineMailboxSize is how many calls may wait for an engine's goroutine.
 const engineMailboxSize = 1024
 
-// minCommitInterval is the minimum time between two commits of a busy pool. Reports that arrive in between share one placement, one
-// change, one sync and one call to each follower. Each start of a task waits for this interval about twice, which is short compared with
-// the shortest tasks.
+// minCommitInterval is the minimum time between two commits of a busy pool or lots partition. Calls that arrive in between share one
+// placement, one change, one sync and one call to each follower. Each start of a task waits for this interval about twice, which is short
+// compared with the shortest tasks.
 const minCommitInterval = 8 * time.Millisecond
 
 // keyRunner runs one key: the replication engine on its goroutine, and the state machine that the engine replicates. Pools and lots run
 // on a goroutine of their own. The configuration, the tenant count and the coordination partitions run on the engine's goroutine.
 type keyRunner struct {
 	engineMailbox *mailbox.Mailbox
-	// stateMailbox belongs to the goroutine that runs the state machine.
+	// stateMailbox belongs to the goroutine that runs the state machine. It is engineMailbox if that is the engine's goroutine.
 	stateMailbox *mailbox.Mailbox
 	engine       *replication.Engine
-	machine      stateMachine
+	stateMachine stateMachine
 	// pool is the state machine of a pool's key, nil for all other keys.
 	pool *scheduler.Pool
 }
@@ -62,20 +62,20 @@
 		return replication.NewEngine(key, m.disk, m.Name, m.Clock, transport, machine, m.listVoterCandidates, options...)
 	}
 	owner := mailbox.Owner{Every: tickInterval}
-	var tickMachine func()
+	var tickStateMachine func()
 	switch {
 	case key == configleader.Key:
 		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.AdoptIfNewer(committed) },
 			configleader.WithStorageDisks(m.listStorageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithFixedKeys(m.listFixedKeys()),
 			configleader.WithEvacuations(m.Node.AnnounceEvacuations))
 		machine := configurationMachine{leader, m.rollouts}
-		runner.machine, runner.engine = machine, newEngine(machine)
+		runner.stateMachine, runner.engine = machine, newEngine(machine)
 	case tenantcount.IsKey(key):
 		machine := countMachine{countleader.New(key, m.Clock, m.Log, m.currentCountPolicy)}
-		runner.machine, runner.engine = machine, newEngine(machine, replication.WithPreferredLeader())
+		runner.stateMachine, runner.engine = machine, newEngine(machine, replication.WithPreferredLeader())
 	case coordination.IsKey(key):
 		machine := coordinationMachine{coordination.New(key, m.newCoordinationDependencies())}
-		runner.machine, runner.engine, tickMachine = machine, newEngine(machine, replication.WithPreferredLeader()), machine.Tick
+		runner.stateMachine, runner.engine, tickStateMachine = machine, newEngine(machine, replication.WithPreferredLeader()), machine.Tick
 	case lots.IsKey(key):
 		host := m.startLots(key, runner)
 		runner.engine = newEngine(host)
@@ -86,8 +86,8 @@
 		owner.Settle = host.Flush
 	}
 	owner.Tick = runner.engine.Tick
-	if tickMachine != nil {
-		owner.Tick = func() { runner.engine.Tick(); tickMachine() }
+	if tickStateMachine != nil {
+		owner.Tick = func() { runner.engine.Tick(); tickStateMachine() }
 	}
 	m.runners[key] = runner
 	go engineMailbox.Run(m.ctx, m.Clock, owner)
@@ -100,7 +100,7 @@
 	options := append(slices.Clone(m.PoolOptions), scheduler.WithTenants(m.currentTenantPolicy), scheduler.WithCounter(counter),
 		scheduler.WithEvacuations(m.Node.IsEvacuated), scheduler.WithRollouts(m.newRolloutPolicySource(key)), scheduler.WithTransfers(transfers))
 	runner.pool = scheduler.New(key, m.Clock, m.Timing, m.Log, options...)
-	runner.machine = poolMachine{runner.pool}
+	runner.stateMachine = poolMachine{runner.pool}
 	host := poolhost.New(runner.pool, runner.engineMailbox)
 	runner.stateMailbox = host.Mailbox()
 	counter.mailbox, transfers.mailbox = runner.stateMailbox, runner.stateMailbox
@@ -113,7 +113,7 @@
 	itemRunner := &lateBoundRunner{}
 	part := lots.New(key, lots.Dependencies{Clock: m.Clock, Log: m.Log, Runner: itemRunner, Route: m.findRoute, Executors: m.Lots.Executors,
 		Retention: m.Lots.Retention})
-	runner.machine = lotsMachine{part}
+	runner.stateMachine = lotsMachine{part}
 	host := poolhost.New(part, runner.engineMailbox)
 	runner.stateMailbox = host.Mailbox()
 	itemRunner.Runner = itemrunner.New(m.ctx, m.Clock, m.Lots.Client, runner.stateMailbox)
@@ -121,8 +121,8 @@
 	return host
 }
 
-// lateBoundRunner breaks a cycle: the partition needs a runner, and the runner needs the mailbox of the partition's host. startLots sets
-// Runner as soon as the mailbox exists, before the partition runs any item.
+// lateBoundRunner breaks a cycle: a lots partition needs a runner when it is created, and the runner needs the mailbox of the partition's
+// host. startLots sets Runner once the mailbox exists, before the partition runs any item.
 type lateBoundRunner struct{ *itemrunner.Runner }
 
 // findRoute returns the route with that name in the configuration in force, nil if there is none.
@@ -138,11 +138,11 @@
 
 // execute runs the call's command. It must run on the state machine's goroutine.
 func (r *keyRunner) execute(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
-	if !r.machine.IsOpen() {
+	if !r.stateMachine.IsOpen() {
 		answer(wire.ClientAnswer{NotLeader: true})
 		return
 	}
-	command := r.machine.commandFor(call.Verb)
+	command := r.stateMachine.commandFor(call.Verb)
 	if command == nil {
 		answer(wire.ClientAnswer{Status: http.StatusBadRequest, Reason: "unknown verb " + string(call.Verb)})
 		return
--- a/internal/control/controlkeys/leave.go
+++ b/internal/control/controlkeys/leave.go
@@ -13,13 +13,13 @@
 const (
 	// releaseNoticeTime is the minimum time between releasing the leases and the end of the process, so that the peers receive the release.
 	releaseNoticeTime = 400 * time.Millisecond
-	// votingKeysTimeout limits the query for the keys in which this disk votes.
+	// votingKeysTimeout limits the query for the keys of which this disk is a voter.
 	votingKeysTimeout = time.Second
 )
 
-// Leave hands over the keys that this process leads and asks the leaders to replace this disk as a voter. It returns once this disk is no
-// longer a voter of any key with a possible replacement, or after the timeout, and logs the keys in which the disk still votes. It
-// also returns, without such a log, if the replicas don't name those keys within votingKeysTimeout. It takes at least releaseNoticeTime.
+// Leave hands over the keys that this process leads and asks the leaders to replace this disk as a voter. It returns once IsReplaceable is
+// false for all keys of which this disk is still a voter, or after the timeout, and logs the keys of which it is still a voter. It also
+// returns, without logging them, if the replicas don't name these keys within votingKeysTimeout. It takes at least releaseNoticeTime.
 func (m *Manager) Leave(timeout time.Duration) {
 	if !m.hasDisk() {
 		<-m.Clock.After(releaseNoticeTime)
@@ -50,8 +50,8 @@
 	})
 }
 
-// listVotingKeys returns the keys in which this disk is still a voter: those for which another live disk could replace it, and the
-// others. Both lists are sorted. They are nil if the replicas do not answer in time.
+// listVotingKeys returns the keys of which this disk is still a voter: those for which IsReplaceable is true, and the others. Both lists
+// are sorted. They are nil if the replicas do not answer within votingKeysTimeout.
 func (m *Manager) listVotingKeys() (replaceable, others []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), votingKeysTimeout)
 	defer cancel()
@@ -72,7 +72,8 @@
 	return replaceable, others
 }
 
-// hasNoVotes reports whether this disk is a voter of no key, according to its own replicas.
+// hasNoVotes reports whether this disk is a voter of no key, according to its own replicas. It returns an error if the replicas do not
+// answer within votingKeysTimeout.
 func (m *Manager) hasNoVotes() (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), votingKeysTimeout)
 	defer cancel()
@@ -80,14 +81,14 @@
 	return err == nil && len(sets) == 0, err
 }
 
-// IsReplaceable reports whether a leaving voter should wait for its replacement: either a live disk that is no voter could replace it, or
-// a change of voters without it is in progress, which still needs its vote.
-func IsReplaceable(members []wire.Member, leaving string, set wire.VoterSet) bool {
-	if slices.Contains(set.Old, leaving) && !slices.Contains(set.Current, leaving) {
+// IsReplaceable reports whether a leaving voter of a key should wait for its replacement. It should wait if a live disk that is no voter
+// could replace it, or if a change to voters without it is in progress, because that change still needs its vote.
+func IsReplaceable(members []wire.Member, leavingDisk string, set wire.VoterSet) bool {
+	if slices.Contains(set.Old, leavingDisk) && !slices.Contains(set.Current, leavingDisk) {
 		return true
 	}
 	return slices.ContainsFunc(members, func(member wire.Member) bool {
-		isCandidate := member.Disk != "" && member.Disk != leaving && member.State == wire.StateAlive
+		isCandidate := member.Disk != "" && member.Disk != leavingDisk && member.State == wire.StateAlive
 		return isCandidate && !quorum.Contains(set, member.Disk)
 	})
 }
--- a/internal/control/controlkeys/machines.go
+++ b/internal/control/controlkeys/machines.go
@@ -17,7 +17,8 @@
 	rollouts *rollouts.Controller
 }
 
-// Open passes the leadership on as a configleader.Leadership. It runs on the goroutine of the key's engine.
+// Open implements replication.StateMachine: it passes the leadership on as a configleader.Leadership. It runs on the goroutine of the key's
+// engine.
 func (c configurationMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Leader.Open(leadership, pairs)
 }
@@ -45,7 +46,8 @@
 // countMachine is the replication.StateMachine of a partition of the tenant count.
 type countMachine struct{ *countleader.Leader }
 
-// Open passes the leadership on as a countleader.Leadership. It runs on the goroutine of the key's engine.
+// Open implements replication.StateMachine: it passes the leadership on as a countleader.Leadership. It runs on the goroutine of the key's
+// engine.
 func (c countMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Leader.Open(leadership, pairs)
 }
@@ -63,7 +65,8 @@
 // coordinationMachine is the replication.StateMachine of a partition with locks, numbers and cells.
 type coordinationMachine struct{ *coordination.Part }
 
-// Open passes the leadership on as a coordination.Leadership. It runs on the goroutine of the key's engine.
+// Open implements replication.StateMachine: it passes the leadership on as a coordination.Leadership. It runs on the goroutine of the key's
+// engine.
 func (c coordinationMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Part.Open(leadership, pairs)
 }
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -1,8 +1,8 @@
 // Package controlkeys runs a replication engine for each key that this steward may lead. The keys are the configuration, a pool for each
 // service, the partitions of the tenant count, the coordination partitions (locks, numbers and cells of applications) and the lots.
 //
-// A Manager runs one keyRunner for each key that the configuration lists. It serves the calls of other processes to these keys and hands
-// the keys over when the process leaves the cluster.
+// A Manager runs one keyRunner for the configuration's key and one for each key of the same process that the configuration lists with
+// initial voters. It serves the calls of other processes to these keys and hands the keys over when the process leaves the cluster.
 package controlkeys
 
 import (
@@ -33,8 +33,9 @@
 const (
 	// tickInterval is the interval between the ticks of engines, pools and partitions.
 	tickInterval = 50 * time.Millisecond
-	// reconcileInterval is how often the manager starts the runners that are missing.
-	reconcileInterval  = 200 * time.Millisecond
+	// reconcileInterval is the interval at which the manager starts the runners that are missing.
+	reconcileInterval = 200 * time.Millisecond
+	// managerMailboxSize is how many calls may wait for the manager's goroutine.
 	managerMailboxSize = 256
 )
 
@@ -55,7 +56,7 @@
 	Timing         scheduler.Timing
 	Replicas       *replication.Replicas
 	PoolOptions    []scheduler.Option
-	// LeaderClient carries calls to leaders in other processes, such as those of pools to the tenant count. If it is nil, AskLeader tries
+	// LeaderClient sends calls to leaders in other processes, such as the calls of pools to the tenant count. If it is nil, AskLeader tries
 	// only this process.
 	LeaderClient *leaderclient.Client
 	// Lots holds the dependencies of lots, nil in a process that keeps no lots. A process keeps either the lots or all other keys.
@@ -66,8 +67,8 @@
 
 // CoordinationTimes are the time limits of the partitions with locks, numbers and cells.
 type CoordinationTimes struct {
-	// History is how long a watcher may use a revision that an answer named. Release is how long after its hold time has ended a lock may
-	// still be refused to other holders.
+	// History is how long a watcher may use a revision after it has received the answer that named it. Release is how long a lock may still
+	// be refused to other holders after its hold time has ended.
 	History, Release time.Duration
 }
 
@@ -81,8 +82,8 @@
 	Retention time.Duration
 }
 
-// Manager runs the keys that the configuration lists. Its maps and flags belong to the goroutine of Run. Exported methods may be called
-// from any goroutine.
+// Manager runs the configuration's key and the keys that the configuration lists. Its maps and flags belong to the goroutine of Run. The
+// exported methods may be called from any goroutine.
 type Manager struct {
 	Config
 	mailbox *mailbox.Mailbox
@@ -101,8 +102,8 @@
 	// rollouts drives the rollouts of the configuration while this process leads the configuration's key.
 	rollouts *rollouts.Controller
 
-	// policies caches the tenant policy of the newest configuration.
-	policies atomic.Pointer[cachedPolicy]
+	// tenantPolicy caches the tenant policy of the newest configuration.
+	tenantPolicy atomic.Pointer[cachedTenantPolicy]
 }
 
 // New creates a manager without runners. Run starts them.
@@ -115,10 +116,10 @@
 	return manager
 }
 
-// hasDisk reports whether this steward may lead keys and vote.
+// hasDisk reports whether this steward has a disk, persistent or temporary. Without a disk it leads no key and is no voter.
 func (m *Manager) hasDisk() bool { return m.disk != "" }
 
-// Run starts a runner for each key that the configuration lists, until ctx is done.
+// Run starts the runners that reconcile finds missing, until ctx is done. The runners end with ctx, too.
 func (m *Manager) Run(ctx context.Context) error {
 	if !m.hasDisk() {
 		<-ctx.Done()
@@ -132,7 +133,8 @@
 	return nil
 }
 
-// RunRollouts drives the rollouts of the configuration until ctx is done. It only waits in a process that keeps lots or no keys.
+// RunRollouts drives the rollouts of the configuration until ctx is done. In a process that keeps lots or has no disk, it only waits for
+// ctx.
 func (m *Manager) RunRollouts(ctx context.Context) error {
 	if !m.hasDisk() || m.Lots != nil {
 		<-ctx.Done()
@@ -156,8 +158,8 @@
 		return
 	}
 	m.checkConfigurationReplica()
-	// A temporary disk that lost its contents has lost its votes and must not vote again. So a temporary disk takes part only if it holds a
-	// replica or is one of the initial voters.
+	// A temporary disk that lost its contents has lost the promises that it gave, and must not vote again. So a steward with a temporary
+	// disk starts runners only if the disk holds a replica of the configuration's key or is one of the initial voters.
 	if m.IsDiskTemporary && !m.hasConfigurationReplica && !slices.Contains(m.initialVoters, m.disk) {
 		return
 	}
@@ -179,7 +181,7 @@
 	}
 }
 
-// isKeptHere reports whether this process keeps keys of that kind.
+// isKeptHere reports whether this process keeps keys of the same kind as this key. A process keeps either the lots or all other keys.
 func (m *Manager) isKeptHere(key string) bool {
 	if coordination.IsKey(key) && m.Coordination == nil {
 		return false
@@ -227,7 +229,7 @@
 	return members
 }
 
-// listStorageDisks returns the disks on which lots may be kept, one of each failure domain in turn.
+// listStorageDisks returns the disks of the live stewards that keep lots: one disk of each zone, then a second one of each zone, and so on.
 func (m *Manager) listStorageDisks() []string {
 	byDomain := map[string][]string{}
 	for _, member := range filterWithDisks(filterByLots(m.Node.View().Stewards, true)) {
@@ -267,7 +269,7 @@
 	return persistent
 }
 
-// findAddress returns the address of the steward that has the disk, empty if no member is known with it.
+// findAddress returns the address of the steward that has the disk, empty if no known steward has it.
 func (m *Manager) findAddress(disk string) string {
 	steward, _ := m.Node.View().StewardOf(disk)
 	return steward.Address
--- a/internal/control/controlkeys/reports.go
+++ b/internal/control/controlkeys/reports.go
@@ -19,7 +19,7 @@
 }
 
 // collectReports runs a verb on the state machines of all keys that this process leads and returns the reports in the order of the keys. It
-// omits state machines that don't know the verb or don't answer before ctx is done.
+// omits the state machines that don't know the verb, don't answer before ctx is done, or send a report that can't be decoded.
 func collectReports[Message any, Pointer report[Message]](ctx context.Context, m *Manager, verb wire.Verb) []Message {
 	if !m.hasDisk() {
 		return nil
--- a/internal/control/controlkeys/retire.go
+++ b/internal/control/controlkeys/retire.go
@@ -6,9 +6,9 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Retire starts to empty this machine if call.Begin is set, and returns the progress. The start is durable before the answer, so that the
-// machine continues to empty itself after a restart. The machine is empty once its disk is a voter of no key. By then the replacement disk has
-// caught up and the change of voters is committed.
+// Retire starts to empty this storage machine if call.Begin is set, and returns the progress. The start is durable before the answer, so
+// that the machine is still being emptied after a restart. The machine is empty once its disk is a voter of no key. By then the replacement
+// disk of each key has caught up and the change of voters is committed.
 func (m *Manager) Retire(_ context.Context, call *wire.RetireCall) (*wire.RetireAnswer, error) {
 	isRetiring, err := m.Store.IsRetiring()
 	if err != nil {
@@ -28,7 +28,7 @@
 	return &wire.RetireAnswer{IsRetiring: true, IsEmpty: isEmpty}, err
 }
 
-// resumeRetiring continues to empty this machine if an earlier process started that.
+// resumeRetiring continues to empty this machine if Retire started that in an earlier process.
 func (m *Manager) resumeRetiring() {
 	isRetiring, err := m.Store.IsRetiring()
 	if err != nil {
@@ -36,7 +36,7 @@
 		return
 	}
 	if isRetiring {
-		m.Log.Info("still being emptied")
+		m.Log.Info("this storage machine is still being emptied")
 		m.startLeaving()
 	}
 }
--- a/internal/control/controlkeys/rollouts.go
+++ b/internal/control/controlkeys/rollouts.go
@@ -28,7 +28,7 @@
 	return rollouts.New(rollouts.Dependencies{Clock: m.Clock, Log: m.Log, HasRollouts: m.hasRollouts, Report: m.fetchRolloutReport,
 		Execute: func(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 			call.Key = configleader.Key
-			return m.Client(ctx, call)
+			return m.ExecuteLocally(ctx, call)
 		}})
 }
 
@@ -38,7 +38,7 @@
 	return snapshot != nil && len(snapshot.Matcher.Configuration().Rollouts) > 0
 }
 
-// fetchRolloutReport returns the rollout counts of a service's pool, nil if no leader answers within reportTimeout.
+// fetchRolloutReport returns the rollout counts of a service's pool, nil if the pool's leader does not return them within reportTimeout.
 func (m *Manager) fetchRolloutReport(ctx context.Context, service string) *wire.RolloutReport {
 	outcome := m.AskLeader(ctx, &wire.ClientCall{Key: wire.PoolKey(service), Verb: wire.VerbRollouts}, reportTimeout, 0)
 	if outcome.Answer == nil || outcome.Answer.Status != http.StatusOK {
@@ -52,8 +52,8 @@
 	return report
 }
 
-// newRolloutPolicySource returns a function that returns the rollout policy of a pool: what the configuration in force says of the rollouts
-// in which the pool's service is a version. That function must run on the pool's goroutine.
+// newRolloutPolicySource returns a function that returns the rollout policy of a pool according to the configuration in force. The policy
+// covers the rollouts in which the pool's service is the old or the new version. The function must run on the pool's goroutine.
 func (m *Manager) newRolloutPolicySource(key string) func() scheduler.RolloutPolicy {
 	service := strings.TrimPrefix(key, wire.PoolPrefix)
 	var lastSnapshot *configcache.Snapshot
--- a/internal/control/controlkeys/serve.go
+++ b/internal/control/controlkeys/serve.go
@@ -17,7 +17,7 @@
 	peerapi.Serve(mux, peerapi.ProcedureIdentify, func(context.Context, *wire.IdentifyCall) (*wire.IdentifyAnswer, error) {
 		return m.identifyDisk(), nil
 	})
-	peerapi.Serve(mux, peerapi.ProcedureClient, m.Client)
+	peerapi.Serve(mux, peerapi.ProcedureClient, m.ExecuteLocally)
 	peerapi.Serve(mux, peerapi.ProcedureExchange, m.Exchange)
 	peerapi.Serve(mux, peerapi.ProcedureTenants, m.Tenants)
 	peerapi.Serve(mux, peerapi.ProcedureCoordination, m.CoordinationReports)
@@ -54,9 +54,9 @@
 	})
 }
 
-// Client runs a command on the key that the call names if this process leads the key. Otherwise the answer names the leader, if that is
-// known. An error means that ctx was done first and that the outcome is unknown.
-func (m *Manager) Client(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
+// ExecuteLocally runs a command on the key that the call names if this process leads the key. Otherwise the answer has NotLeader set and
+// names the leader, if that is known. An error means that ctx was done first and that the outcome is unknown.
+func (m *Manager) ExecuteLocally(ctx context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 	runner := m.findRunner(ctx, call.Key)
 	if runner == nil {
 		return m.newNotLeaderAnswer(call.Key), nil
@@ -73,7 +73,8 @@
 	return &answer, nil
 }
 
-// Exchange serves a call of a local proxy to a pool. If this process does not lead the pool, the answer names the leader, if that is known.
+// Exchange serves a call of a local proxy to a pool. If this process does not lead the pool, the answer has NotLeader set and names the
+// leader, if that is known.
 func (m *Manager) Exchange(ctx context.Context, call *wire.ExchangeCall) (*wire.ExchangeAnswer, error) {
 	runner := m.findRunner(ctx, call.Key)
 	if runner == nil || runner.pool == nil {
--- a/internal/control/controlkeys/tenants.go
+++ b/internal/control/controlkeys/tenants.go
@@ -20,8 +20,8 @@
 // grantTimeout limits a call of a pool to a partition of the tenant count.
 const grantTimeout = time.Second
 
-// cachedPolicy is the tenant policy that was computed from a snapshot of the configuration.
-type cachedPolicy struct {
+// cachedTenantPolicy is the tenant policy that was computed from a snapshot of the configuration.
+type cachedTenantPolicy struct {
 	snapshot *configcache.Snapshot
 	policy   scheduler.TenantPolicy
 }
@@ -33,10 +33,10 @@
 	if snapshot == nil {
 		return scheduler.TenantPolicy{}
 	}
-	cached := m.policies.Load()
+	cached := m.tenantPolicy.Load()
 	if cached == nil || cached.snapshot != snapshot {
-		cached = &cachedPolicy{snapshot, readTenantPolicy(snapshot)}
-		m.policies.Store(cached)
+		cached = &cachedTenantPolicy{snapshot, readTenantPolicy(snapshot)}
+		m.tenantPolicy.Store(cached)
 	}
 	return cached.policy
 }
@@ -74,7 +74,8 @@
 	}}
 }
 
-// convertLimit converts a limit of the configuration, where 0 means unlimited, to placement resources, where 0 means none.
+// convertLimit converts a limit of the configuration, where 0 means unlimited, to placement resources, where 0 means no
+// resources.
 func convertLimit(limit configuration.UpperLimit) placement.Resources {
 	return placement.Resources{CPU: orUnlimited(limit.CPU), Memory: orUnlimited(limit.Memory), GPU: orUnlimited(limit.GPU)}
 }
@@ -86,7 +87,7 @@
 	return limit
 }
 
-// countCaller sends calls of a pool to the leaders of the tenant count's partitions and passes the answers to the pool's goroutine.
+// countCaller sends calls of a pool to the leaders of the partitions of the tenant count and passes the answers to the pool's goroutine.
 type countCaller struct {
 	manager *Manager
 	mailbox *mailbox.Mailbox
@@ -120,7 +121,8 @@
 	return granted
 }
 
-// Tenants returns the tenant reports of the keys that this process leads. It omits those that do not answer before ctx is done.
+// Tenants returns the tenant reports of the pools and of the partitions of the tenant count that this process leads. It omits those that do
+// not answer before ctx is done.
 func (m *Manager) Tenants(ctx context.Context, _ *wire.TenantsCall) (*wire.TenantsAnswer, error) {
 	return &wire.TenantsAnswer{Reports: collectReports[wire.TenantCountReport](ctx, m, wire.VerbTenants)}, nil
 }
--- a/internal/control/controlkeys/transport.go
+++ b/internal/control/controlkeys/transport.go
@@ -12,33 +12,32 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// Timeouts of calls to other stewards.
+// Timeouts of calls to other stewards, and the transfer rate on which they are based.
 const (
 	promiseTimeout = 500 * time.Millisecond
 	// baseAppendTimeout is the timeout of an Append call without contents, such as a heartbeat.
 	baseAppendTimeout = 1500 * time.Millisecond
-	// minBytesPerSecond is the assumed transfer rate. An Append call gets the time that its contents take at this rate in addition to
-	// baseAppendTimeout.
+	// minBytesPerSecond is the assumed transfer rate. The timeout of an Append call is baseAppendTimeout plus the time that its contents take
+	// at this rate.
 	minBytesPerSecond = 64 << 10
 	// fetchTimeout is enough for a chunk at minBytesPerSecond.
 	fetchTimeout = 6 * time.Second
-	// maxAppendTimeout limits an Append call of any size.
+	// maxAppendTimeout limits the timeout of an Append call of any size.
 	maxAppendTimeout = 30 * time.Second
 )
 
 // ErrUnknownDisk is the error of a call to a disk that no known member has.
 const ErrUnknownDisk = errors.ConstError("no member is known with this disk")
 
-// peerTransport is the replication transport of an engine. It sends calls to other stewards over connect, and passes calls to the local
-// disk directly to the local replicas.
+// peerTransport is the replication.Transport of an engine. It sends calls to other stewards through package peerapi, and passes calls to the
+// local disk directly to the local replicas. Its methods are called on the engine's goroutine, which runs the function done later.
 type peerTransport struct {
 	manager       *Manager
 	engineMailbox *mailbox.Mailbox
 	ctx           context.Context
 }
 
-// Promise asks the replica on a disk for a promise. The call to another steward ends after promiseTimeout. All methods of the transport are
-// called on the engine's goroutine, which runs the function done later.
+// Promise asks the replica on a disk for a promise or a pre-vote. A call to another steward ends after promiseTimeout.
 func (t *peerTransport) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if disk == t.manager.disk {
 		t.manager.Replicas.Mailbox().Post(func() {
@@ -49,8 +48,8 @@
 	callPeer(t, disk, peerapi.ProcedurePromise, promiseTimeout, call, done)
 }
 
-// Append sends changes, a snapshot, a chunk or a heartbeat to the replica on a disk. Its timeout is appendTimeout, which grows with the size
-// of the call.
+// Append sends changes, a snapshot, a chunk, a heartbeat or a release to the replica on a disk. A call to another steward ends after
+// appendTimeout, which grows with the size of the call.
 func (t *peerTransport) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if disk == t.manager.disk {
 		t.InstallLocal(call, done)
@@ -89,12 +88,12 @@
 	})
 }
 
-// Fetch asks another steward for what the replica on its disk holds beyond a position. The call ends after fetchTimeout.
+// Fetch asks the replica on another steward's disk for the changes after a position, or for its snapshot. The call ends after fetchTimeout.
 func (t *peerTransport) Fetch(disk string, call wire.FetchCall, done func(wire.FetchAnswer, error)) {
 	callPeer(t, disk, peerapi.ProcedureFetch, fetchTimeout, call, done)
 }
 
-// Status passes the state of the local replica to done. It reads the state on the goroutine of the replicas.
+// Status passes the state of the local replica to done. It reads the state on the goroutine that owns the replicas.
 func (t *peerTransport) Status(key string, done func(replication.ReplicaStatus)) {
 	t.manager.Replicas.Mailbox().Post(func() {
 		status := t.manager.Replicas.Status(key)
@@ -102,7 +101,7 @@
 	})
 }
 
-// History passes the changes that the local replica still holds individually to done. It reads them on the goroutine of the replicas.
+// History passes the most recent changes of the local replica to done. It reads them on the goroutine that owns the replicas.
 func (t *peerTransport) History(key string, done func(replication.History)) {
 	t.manager.Replicas.Mailbox().Post(func() {
 		history := t.manager.Replicas.History(key)
--- a/internal/control/poolhost/poolhost.go
+++ b/internal/control/poolhost/poolhost.go
@@ -1,6 +1,6 @@
 // Package poolhost runs a pool, or a lots partition, on a goroutine of its own. The replication engine, which elects the leader and
 // replicates the changes, runs on another goroutine. So the engine keeps renewing its lease while the pool loads, places tasks or handles
-// a burst of exchanges, however long that takes.
+// a burst of exchanges, however long that takes. Names and comments in this package say "pool" for a lots partition, too.
 package poolhost
 
 import (
@@ -13,7 +13,7 @@
 // mailboxSize is how many calls may wait for the pool's goroutine.
 const mailboxSize = 1024
 
-// Pool is the state machine that a Host runs, such as scheduler.Pool. Its methods run on the goroutine of the host's Mailbox.
+// Pool is the state machine that a Host runs: a scheduler.Pool or a lots.Part. Its methods run on the goroutine of the host's Mailbox.
 type Pool interface {
 	// Open starts a leadership of the key with all its committed pairs.
 	Open(leadership scheduler.Leadership, pairs []wire.Op)
@@ -21,8 +21,8 @@
 	Close()
 }
 
-// Host is the replication.StateMachine of a pool. The engine calls it on the engine's goroutine. It passes the calls on to the goroutine of
-// Mailbox.
+// Host is the replication.StateMachine of a pool. The engine calls it on the engine's goroutine. The host passes the calls on to the pool's
+// goroutine, which runs the functions of Mailbox.
 type Host struct {
 	pool          Pool
 	engineMailbox *mailbox.Mailbox
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Close ends the pool's leadership. The pool has received the outcome of the commits that were pending in the engine by then. Commits that
-// are still on their way to the engine fail after it.
+// Close ends the pool's leadership. The pool receives the outcomes of the commits that were pending in the engine before it is closed.
+// Commits that the pool has sent but the engine has not received yet fail after that.
 func (h *Host) Close() { h.outbox.Send(h.pool.Close) }
 
 // hostedLeadership is a leadership that the pool's goroutine may use. It passes commits to the engine's goroutine.
@@ -63,7 +63,7 @@
 	host *Host
 }
 
-// Commit makes a change durable on a majority. The function done runs on the pool's goroutine.
+// Commit makes a change durable on a quorum of the voters. The function done runs on the pool's goroutine.
 func (l *hostedLeadership) Commit(ops []wire.Op, done func(error)) {
 	l.host.engineMailbox.Post(func() {
 		l.Leadership.Commit(ops, func(err error) { l.host.outbox.Send(func() { done(err) }) })
--- a/internal/control/poolhost/poolhost_test.go
+++ b/internal/control/poolhost/poolhost_test.go
@@ -14,7 +14,7 @@
 		s := newSteward(costs{record: 500 * time.Microsecond, exchange: time.Millisecond}, newJobRecords(4000))
 		elapsed := s.runUntilFenced(startProxies(s, 1000), 30*time.Second)
 		AddReportEntry("all executors registered after", elapsed.String())
-		Expect(s.leaseGaps).To(BeZero(), "times that the voters would have elected another leader")
+		Expect(s.leaseGaps).To(BeZero(), "times that the voters could have elected another leader")
 		Expect(s.openCount).To(Equal(1))
 		Expect(elapsed).To(BeNumerically("<", 8*time.Second))
 	})
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -43,7 +43,8 @@
 	openCount     int
 	// busyUntil is the time at which the pool's goroutine has finished its current work.
 	busyUntil time.Duration
-	// leaseGaps counts the periods in which a majority of the voters could have promised another candidate.
+	// leaseGaps counts the periods in which a majority of the voters could have promised another candidate. isGap is set during such a
+	// period.
 	leaseGaps int
 	isGap     bool
 }
@@ -54,8 +55,8 @@
 	run func()
 }
 
-// voter is a scripted voter. A real one would give no promise to another candidate before leaseUntil. There is none here, so only
-// countLeaseGap checks that time.
+// voter is a scripted voter. A real voter would give no promise to another candidate before leaseUntil. These simulations have no other
+// candidate, so only countLeaseGap checks leaseUntil.
 type voter struct {
 	last       wire.LogPosition
 	promised   uint64
@@ -114,9 +115,9 @@
 	for range length / time.Millisecond {
 		s.clock.Advance(time.Millisecond)
 		now := s.clock.Monotonic()
-		due := s.events
+		scheduled := s.events
 		s.events = nil
-		for _, event := range due {
+		for _, event := range scheduled {
 			if event.due > now {
 				s.events = append(s.events, event)
 				continue
@@ -154,15 +155,15 @@
 	s.pool.Flush()
 }
 
-// countLeaseGap counts a gap when, after the first lease, the leases of a majority of the voters have expired.
+// countLeaseGap counts a gap each time the leases of a majority of the voters expire. Gaps before the first lease do not count.
 func (s *steward) countLeaseGap(now time.Duration) {
-	free := 0
+	expired := 0
 	for _, voter := range s.voters {
 		if voter.promised > 1 && now >= voter.leaseUntil {
-			free++
+			expired++
 		}
 	}
-	isGap := 2*free > len(s.voters)
+	isGap := 2*expired > len(s.voters)
 	if isGap && !s.isGap && s.hasGrantedLease() {
 		s.leaseGaps++
 	}
@@ -265,7 +266,7 @@
 	p.calls++
 	p.steward.after(callTimeout, func() { finish(func() { p.steward.after(retryInterval, p.call) }) })
 	name := fmt.Sprintf("i-%04d", p.number)
-	ask := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.listNumber}
+	call := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.listNumber}
 	hasFence := p.fence > 0
 	p.post(func() {
 		if !p.steward.pool.IsOpen() {
@@ -273,7 +274,7 @@
 			return
 		}
 		p.steward.addBusyTime(p.steward.costs.exchange)
-		p.steward.pool.Exchange(ask, func(answer wire.ExchangeAnswer) {
+		p.steward.pool.Exchange(call, func(answer wire.ExchangeAnswer) {
 			p.steward.after(networkDelay, func() { finish(func() { p.handleAnswer(answer, hasFence) }) })
 		})
 	})
@@ -286,7 +287,7 @@
 	}
 }
 
-// handleAnswer calls again with the fence of the answer, until the pool confirms the fence that the proxy has sent.
+// handleAnswer calls the pool again with the fence of the answer, until an answer confirms the fence that the proxy has sent.
 func (p *testProxy) handleAnswer(answer wire.ExchangeAnswer, hasFence bool) {
 	if hasFence && !answer.NotLeader && answer.Fence == p.fence {
 		p.isFenced = true
