--- a/internal/control/controlapi/controlapi.go
+++ b/internal/control/controlapi/controlapi.go
@@ -60,8 +60,9 @@
 	return &wire.ClientCall{Key: configleader.Key, Verb: wire.VerbReplace, Base: base, Body: body}, response.Reply{}
 }
 
-// Handler serves the calls that replace and retrieve the configuration. It forwards them to the leader of the configuration's key.
-func Handler(client *leaderclient.Client) http.Handler {
+// NewConfigurationHandler creates the handler of the calls that replace and retrieve the configuration. The handler forwards them to the
+// leader of the configuration's key.
+func NewConfigurationHandler(client *leaderclient.Client) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		call, refusal := Decode(request)
 		if call == nil {
--- a/internal/control/controlapi/evacuation.go
+++ b/internal/control/controlapi/evacuation.go
@@ -19,8 +19,8 @@
 	pathEvacuations  = PrefixEvacuation + "retrieve"
 )
 
-// Evacuation serves the operators' calls that start or end the evacuation of a zone, or list the zones to be emptied.
-type Evacuation struct {
+// EvacuationHandler serves the operators' calls that start or end the evacuation of a zone, or list the zones to be emptied.
+type EvacuationHandler struct {
 	client *leaderclient.Client
 	// isZone reports whether a zone with that name exists.
 	isZone func(string) bool
@@ -28,14 +28,14 @@
 	mayHaveWaited func() bool
 }
 
-// NewEvacuation creates a handler. The handler refuses to start or end an evacuation if the name is no zone, or if the call may have
+// NewEvacuationHandler creates a handler. The handler refuses to start or end an evacuation if the name is no zone, or if the call may have
 // waited, because its caller may have retried at another steward meanwhile.
-func NewEvacuation(client *leaderclient.Client, isZone func(string) bool, mayHaveWaited func() bool) *Evacuation {
-	return &Evacuation{client: client, isZone: isZone, mayHaveWaited: mayHaveWaited}
+func NewEvacuationHandler(client *leaderclient.Client, isZone func(string) bool, mayHaveWaited func() bool) *EvacuationHandler {
+	return &EvacuationHandler{client: client, isZone: isZone, mayHaveWaited: mayHaveWaited}
 }
 
 // ServeHTTP answers POST /v1/evacuation/ZONE/initiate and /terminate, and GET /v1/evacuation/retrieve.
-func (e *Evacuation) ServeHTTP(to http.ResponseWriter, request *http.Request) {
+func (e *EvacuationHandler) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	call, refusal := e.decode(request)
 	if call == nil {
 		refusal.Write(to)
@@ -47,7 +47,7 @@
 // decode converts an operator's request to a call of the configuration's leader. If the request is refused, the call is nil. An order to
 // start or end an evacuation has no number, so a delayed order can't be distinguished from a new one. An order that may have waited here is
 // therefore refused, because the operator may have given a later order at another steward meanwhile.
-func (e *Evacuation) decode(request *http.Request) (*wire.ClientCall, response.Reply) {
+func (e *EvacuationHandler) decode(request *http.Request) (*wire.ClientCall, response.Reply) {
 	path := request.URL.Path
 	if path == pathEvacuations {
 		if request.Method != http.MethodGet {
--- a/internal/control/controlapi/evacuation_test.go
+++ b/internal/control/controlapi/evacuation_test.go
@@ -13,9 +13,9 @@
 
 var _ = Describe("a call about evacuations", func() {
 	mayHaveWaited := false
-	evacuation := NewEvacuation(nil, func(zone string) bool { return zone == "anfa-a" }, func() bool { return mayHaveWaited })
+	handler := NewEvacuationHandler(nil, func(zone string) bool { return zone == "anfa-a" }, func() bool { return mayHaveWaited })
 	DescribeTable("is decoded, or refused with a status that shows what is wrong", func(method, path, body string, verb wire.Verb, status int) {
-		call, refusal := evacuation.decode(httptest.NewRequest(method, path, strings.NewReader(body)))
+		call, refusal := handler.decode(httptest.NewRequest(method, path, strings.NewReader(body)))
 		Expect(refusal.Status).To(Equal(status))
 		if status == 0 {
 			Expect(call.Verb).To(Equal(verb))
@@ -35,7 +35,7 @@
 	It("is refused if it may have waited while the process was suspended", func() {
 		mayHaveWaited = true
 		defer func() { mayHaveWaited = false }()
-		_, refusal := evacuation.decode(httptest.NewRequest("POST", "/v1/evacuation/anfa-a/initiate", nil))
+		_, refusal := handler.decode(httptest.NewRequest("POST", "/v1/evacuation/anfa-a/initiate", nil))
 		Expect(refusal.Status).To(Equal(503))
 		Expect(refusal.RetryAfter).To(Equal(1))
 	})
--- a/internal/control/controlapi/retire.go
+++ b/internal/control/controlapi/retire.go
@@ -22,22 +22,22 @@
 	retireTimeout = 700 * time.Millisecond
 )
 
-// Retire serves the operators' calls that start to empty a storage machine or ask for the progress.
-type Retire struct {
+// RetireHandler serves the operators' calls that start to empty a storage machine or ask for the progress.
+type RetireHandler struct {
 	caller *peerapi.Caller
 	view   func() *membership.View
 	// minRemaining is the number of other live storage machines below which no machine may retire.
 	minRemaining int
 }
 
-// NewRetire creates a handler. The handler refuses to empty a machine if the remaining machines could not survive machineLosses
+// NewRetireHandler creates a handler. The handler refuses to empty a machine if the remaining machines could not survive machineLosses
 // simultaneous losses.
-func NewRetire(caller *peerapi.Caller, view func() *membership.View, machineLosses int) *Retire {
-	return &Retire{caller: caller, view: view, minRemaining: quorum.VotersFor(machineLosses)}
+func NewRetireHandler(caller *peerapi.Caller, view func() *membership.View, machineLosses int) *RetireHandler {
+	return &RetireHandler{caller: caller, view: view, minRemaining: quorum.VotersFor(machineLosses)}
 }
 
 // ServeHTTP answers POST /v1/retire/NODE/initiate and GET /v1/retire/NODE/retrieve.
-func (r *Retire) ServeHTTP(to http.ResponseWriter, request *http.Request) {
+func (r *RetireHandler) ServeHTTP(to http.ResponseWriter, request *http.Request) {
 	path := strings.TrimPrefix(request.URL.Path, PrefixRetire)
 	node, isInitiate := strings.CutSuffix(path, suffixInitiate)
 	if !isInitiate {
@@ -55,7 +55,7 @@
 }
 
 // execute carries out an operator's call by calling the storage machine, which stores on its disk that it is being emptied.
-func (r *Retire) execute(ctx context.Context, node string, isInitiate bool) response.Reply {
+func (r *RetireHandler) execute(ctx context.Context, node string, isInitiate bool) response.Reply {
 	machine, others := r.find(node)
 	if machine == nil {
 		return response.Text(http.StatusNotFound, "no storage machine has that name")
@@ -83,7 +83,7 @@
 
 // find returns the storage machine with that name, nil if there is none, and the number of other live storage machines that have a
 // persistent disk. A steward with a control address is not a storage machine.
-func (r *Retire) find(node string) (machine *wire.Member, others int) {
+func (r *RetireHandler) find(node string) (machine *wire.Member, others int) {
 	for _, steward := range r.view().Stewards {
 		switch {
 		case steward.Control != "":
@@ -97,7 +97,7 @@
 }
 
 // callMachine returns the state of a machine. If isStart is set, the machine starts to empty itself.
-func (r *Retire) callMachine(ctx context.Context, machine *wire.Member, isStart bool) (*wire.RetireAnswer, error) {
+func (r *RetireHandler) callMachine(ctx context.Context, machine *wire.Member, isStart bool) (*wire.RetireAnswer, error) {
 	return peerapi.Call[wire.RetireCall, wire.RetireAnswer](ctx, r.caller, machine.Address, peerapi.ProcedureRetire, retireTimeout,
 		&wire.RetireCall{Begin: isStart})
 }
--- a/internal/control/controlapi/retire_test.go
+++ b/internal/control/controlapi/retire_test.go
@@ -35,9 +35,9 @@
 			{Name: "store-3", Role: "steward", Disk: "3"}, {Name: "store-4", Role: "steward", Disk: "4"}}}
 	})
 	ask := func(method, path string) *httptest.ResponseRecorder {
-		retire := controlapi.NewRetire(peerapi.NewCaller(peerapi.Client(time.Second, 1)), func() *membership.View { return view }, 1)
+		handler := controlapi.NewRetireHandler(peerapi.NewCaller(peerapi.Client(time.Second, 1)), func() *membership.View { return view }, 1)
 		answer := httptest.NewRecorder()
-		retire.ServeHTTP(answer, httptest.NewRequest(method, path, nil))
+		handler.ServeHTTP(answer, httptest.NewRequest(method, path, nil))
 		return answer
 	}
 
--- a/internal/control/controlapi/rollouts.go
+++ b/internal/control/controlapi/rollouts.go
@@ -12,8 +12,8 @@
 // PathRollouts is the path of the call that returns the state of the rollouts. Operators change rollouts by replacing the configuration.
 const PathRollouts = "/v1/rollout/retrieve"
 
-// NewRollouts creates the handler of GET /v1/rollout/retrieve, which calls the leader of the configuration's key.
-func NewRollouts(client *leaderclient.Client) http.Handler {
+// NewRolloutsHandler creates the handler of GET /v1/rollout/retrieve. The handler forwards the call to the leader of the configuration's key.
+func NewRolloutsHandler(client *leaderclient.Client) http.Handler {
 	return http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		if request.Method != http.MethodGet {
 			response.Text(http.StatusMethodNotAllowed, "only GET is taken here").Write(to)
--- a/internal/roles/steward.go
+++ b/internal/roles/steward.go
@@ -68,12 +68,12 @@
 	evacuationview.Handle(b.internalMux, b.node.View, manager.ZoneLoads)
 	b.serveExecutors()
 	controlMux := http.NewServeMux()
-	controlMux.Handle("/v1/configuration/", controlapi.Handler(leaderClient))
+	controlMux.Handle("/v1/configuration/", controlapi.NewConfigurationHandler(leaderClient))
 	stallDetector := stallwatch.New(b.clock)
 	b.tree.Add("stalls", stallDetector.Run)
-	controlMux.Handle(controlapi.PrefixEvacuation, controlapi.NewEvacuation(leaderClient, b.settings.HasZone, stallDetector.MayHaveWaited))
-	controlMux.Handle(controlapi.PathRollouts, controlapi.NewRollouts(leaderClient))
-	controlMux.Handle(controlapi.PrefixRetire, controlapi.NewRetire(b.caller, b.node.View, b.settings.FaultTolerance.MachineLosses))
+	controlMux.Handle(controlapi.PrefixEvacuation, controlapi.NewEvacuationHandler(leaderClient, b.settings.HasZone, stallDetector.MayHaveWaited))
+	controlMux.Handle(controlapi.PathRollouts, controlapi.NewRolloutsHandler(leaderClient))
+	controlMux.Handle(controlapi.PrefixRetire, controlapi.NewRetireHandler(b.caller, b.node.View, b.settings.FaultTolerance.MachineLosses))
 	if b.settings.ServesCoordination() {
 		coordinationapi.NewHandler(b.shutdownRequested, manager.AskLeader, b.clock, b.log).Register(controlMux)
 	} else {
