--- a/internal/control/configleader/configleader.go
+++ b/internal/control/configleader/configleader.go
@@ -183,7 +183,7 @@
 func (l *Leader) decide(call *wire.ClientCall, answer answerFunc) {
 	proposed, readErr := configuration.Read(call.Body)
 	if proposed != nil && l.confirmed.has(proposed.Version, call.Body) {
-		l.answerUnderLease(answer, newConfirmation(proposed.Version))
+		l.answerUnderLease(answer, newConfirmedAnswer(proposed.Version))
 		return
 	}
 	err := l.check(proposed, readErr, call.Base)
@@ -191,9 +191,9 @@
 	case err == nil:
 		l.commit(proposed, call.Body, answer)
 	case needsLease(err):
-		l.answerUnderLease(answer, newRefusal(err))
+		l.answerUnderLease(answer, newRefusedAnswer(err))
 	default:
-		answer(newRefusal(err))
+		answer(newRefusedAnswer(err))
 	}
 }
 
@@ -228,8 +228,8 @@
 	}
 }
 
-// newConfirmation returns the answer that confirms a version.
-func newConfirmation(version int64) wire.ClientAnswer {
+// newConfirmedAnswer returns the answer that confirms a version.
+func newConfirmedAnswer(version int64) wire.ClientAnswer {
 	return wire.ClientAnswer{Status: http.StatusOK, Body: []byte(`{"config-version":` + strconv.FormatInt(version, 10) + `}`)}
 }
 
@@ -246,24 +246,24 @@
 // commit commits a configuration together with the record of its confirmation, and answers once both are durable.
 func (l *Leader) commit(proposed *configuration.Configuration, body []byte, answer answerFunc) {
 	next := l.newConfiguration(proposed, body)
-	confirmation, err := l.confirmed.prepare(proposed.Version, body)
+	changes, err := l.confirmed.prepare(proposed.Version, body)
 	if err != nil {
 		l.answerEncodingError(err, proposed.Version, answer)
 		return
 	}
-	next.Forgotten = confirmation.forgotten
+	next.Forgotten = changes.forgotten
 	value, err := easyjson.Marshal(next)
 	if err != nil {
 		l.answerEncodingError(err, proposed.Version, answer)
 		return
 	}
-	ops := append([]wire.Op{{Name: recordConfiguration, Value: value}}, confirmation.ops...)
+	ops := append([]wire.Op{{Name: recordConfiguration, Value: value}}, changes.ops...)
 	l.commitOps(ops, answer, func() wire.ClientAnswer {
 		l.committed, l.decodedCommitted = next, proposed
-		l.confirmed.apply(confirmation)
+		l.confirmed.apply(changes)
 		l.log.Info("configuration committed", "version", next.Version)
 		l.publish(toPublished(next))
-		return newConfirmation(next.Version)
+		return newConfirmedAnswer(next.Version)
 	})
 }
 
@@ -381,16 +381,16 @@
 // RetrieveVersion answers with the version of the configuration in force, in the form of the answer that confirms a change.
 func (l *Leader) RetrieveVersion(answer answerFunc) {
 	if l.committed == nil {
-		l.answerUnderLease(answer, newRefusal(ErrNoConfiguration))
+		l.answerUnderLease(answer, newRefusedAnswer(ErrNoConfiguration))
 		return
 	}
-	l.answerUnderLease(answer, newConfirmation(l.committed.Version))
+	l.answerUnderLease(answer, newConfirmedAnswer(l.committed.Version))
 }
 
 // Retrieve answers with the configuration in force, byte for byte as the operator sent it, except that white space around it may be lost.
 func (l *Leader) Retrieve(answer answerFunc) {
 	if l.committed == nil {
-		l.answerUnderLease(answer, newRefusal(ErrNoConfiguration))
+		l.answerUnderLease(answer, newRefusedAnswer(ErrNoConfiguration))
 		return
 	}
 	l.answerUnderLease(answer, wire.ClientAnswer{Status: http.StatusOK, Body: l.committed.Body, WallMs: l.leadership.WallMs()})
--- a/internal/control/configleader/confirmed.go
+++ b/internal/control/configleader/confirmed.go
@@ -94,8 +94,8 @@
 // isForgotten reports whether the record of a version may have been dropped, so that it is unknown whether the version was confirmed.
 func (c *confirmedVersions) isForgotten(version int64) bool { return version <= c.forgotten }
 
-// confirmation holds the changes that one more confirmed version makes to the records.
-type confirmation struct {
+// recordChanges holds the changes that one more confirmed version makes to the records.
+type recordChanges struct {
 	added     wire.ConfirmedVersion
 	dropped   []int64
 	forgotten int64
@@ -103,33 +103,33 @@
 }
 
 // prepare returns the changes for one more confirmed version. The receiver changes only when apply is called after the commit.
-func (c *confirmedVersions) prepare(version int64, body []byte) (*confirmation, error) {
-	next := &confirmation{added: wire.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
+func (c *confirmedVersions) prepare(version int64, body []byte) (*recordChanges, error) {
+	changes := &recordChanges{added: wire.ConfirmedVersion{Version: version, Digest: digestOf(body)}, forgotten: c.forgotten}
 	if excess := len(c.versions) + 1 - maxConfirmed; excess > 0 {
-		next.dropped = slices.Clone(c.versions[:excess])
-		next.forgotten = next.dropped[excess-1]
+		changes.dropped = slices.Clone(c.versions[:excess])
+		changes.forgotten = changes.dropped[excess-1]
 	}
-	for _, record := range append(slices.Clone(c.unwritten), next.added) {
+	for _, record := range append(slices.Clone(c.unwritten), changes.added) {
 		value, err := easyjson.Marshal(record)
 		if err != nil {
 			return nil, errors.Annotatef(err, "encoding the record of confirmed version %d", record.Version)
 		}
-		next.ops = append(next.ops, wire.Op{Name: recordName(record.Version), Value: value})
+		changes.ops = append(changes.ops, wire.Op{Name: recordName(record.Version), Value: value})
 	}
-	for _, dropped := range next.dropped {
-		next.ops = append(next.ops, wire.Op{Name: recordName(dropped)})
+	for _, dropped := range changes.dropped {
+		changes.ops = append(changes.ops, wire.Op{Name: recordName(dropped)})
 	}
-	return next, nil
+	return changes, nil
 }
 
 func recordName(version int64) string { return confirmedPrefix + strconv.FormatInt(version, 10) }
 
 // apply applies the changes after they were committed.
-func (c *confirmedVersions) apply(next *confirmation) {
-	for _, dropped := range next.dropped {
+func (c *confirmedVersions) apply(changes *recordChanges) {
+	for _, dropped := range changes.dropped {
 		delete(c.digests, dropped)
 	}
-	c.versions = append(c.versions[len(next.dropped):], next.added.Version)
-	c.digests[next.added.Version] = next.added.Digest
-	c.forgotten, c.unwritten = next.forgotten, nil
+	c.versions = append(c.versions[len(changes.dropped):], changes.added.Version)
+	c.digests[changes.added.Version] = changes.added.Digest
+	c.forgotten, c.unwritten = changes.forgotten, nil
 }
--- a/internal/control/configleader/refusal.go
+++ b/internal/control/configleader/refusal.go
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("version %d may have been taken too long ago to tell", e.Version)
 }
 
-// newRefusal returns the answer to an operator for an error of this package.
-func newRefusal(err error) wire.ClientAnswer {
+// newRefusedAnswer returns the answer to an operator for an error of this package.
+func newRefusedAnswer(err error) wire.ClientAnswer {
 	answer := wire.ClientAnswer{Status: http.StatusInternalServerError, Reason: err.Error()}
 	var conflict *VersionConflictError
 	switch {
--- a/internal/control/controlkeys/keyrunner.go
+++ b/internal/control/controlkeys/keyrunner.go
@@ -68,13 +68,13 @@
 		leader := configleader.New(m.Log, func(committed *wire.Configuration) { m.Configurations.AdoptIfNewer(committed) },
 			configleader.WithStorageDisks(m.listStorageDisks, quorum.VotersFor(m.MachineLosses)), configleader.WithFixedKeys(m.listFixedKeys()),
 			configleader.WithEvacuations(m.Node.AnnounceEvacuations))
-		machine := configurationMachine{leader, m.rollouts}
+		machine := configurationStateMachine{leader, m.rollouts}
 		runner.stateMachine, runner.engine = machine, newEngine(machine)
 	case tenantcount.IsKey(key):
-		machine := countMachine{countleader.New(key, m.Clock, m.Log, m.currentCountPolicy)}
+		machine := countStateMachine{countleader.New(key, m.Clock, m.Log, m.currentCountPolicy)}
 		runner.stateMachine, runner.engine = machine, newEngine(machine, replication.WithPreferredLeader())
 	case coordination.IsKey(key):
-		machine := coordinationMachine{coordination.New(key, m.newCoordinationDependencies())}
+		machine := coordinationStateMachine{coordination.New(key, m.newCoordinationDependencies())}
 		runner.stateMachine, runner.engine, tickStateMachine = machine, newEngine(machine, replication.WithPreferredLeader()), machine.Tick
 	case lots.IsKey(key):
 		host := m.startLots(key, runner)
@@ -100,7 +100,7 @@
 	options := append(slices.Clone(m.PoolOptions), scheduler.WithTenants(m.currentTenantPolicy), scheduler.WithCounter(counter),
 		scheduler.WithEvacuations(m.Node.IsEvacuated), scheduler.WithRollouts(m.newRolloutPolicySource(key)), scheduler.WithTransfers(transfers))
 	runner.pool = scheduler.New(key, m.Clock, m.Timing, m.Log, options...)
-	runner.stateMachine = poolMachine{runner.pool}
+	runner.stateMachine = poolStateMachine{runner.pool}
 	host := poolhost.New(runner.pool, runner.engineMailbox)
 	runner.stateMailbox = host.Mailbox()
 	counter.mailbox, transfers.mailbox = runner.stateMailbox, runner.stateMailbox
@@ -113,7 +113,7 @@
 	itemRunner := &lateBoundRunner{}
 	part := lots.New(key, lots.Dependencies{Clock: m.Clock, Log: m.Log, Runner: itemRunner, Route: m.findRoute, Executors: m.Lots.Executors,
 		Retention: m.Lots.Retention})
-	runner.stateMachine = lotsMachine{part}
+	runner.stateMachine = lotsStateMachine{part}
 	host := poolhost.New(part, runner.engineMailbox)
 	runner.stateMailbox = host.Mailbox()
 	itemRunner.Runner = itemrunner.New(m.ctx, m.Clock, m.Lots.Client, runner.stateMailbox)
--- a/internal/control/controlkeys/machines.go
+++ b/internal/control/controlkeys/machines.go
@@ -11,19 +11,19 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// configurationMachine is the replication.StateMachine of the configuration's key.
-type configurationMachine struct {
+// configurationStateMachine is the replication.StateMachine of the configuration's key.
+type configurationStateMachine struct {
 	*configleader.Leader
 	rollouts *rollouts.Controller
 }
 
 // Open implements replication.StateMachine: it passes the leadership on as a configleader.Leadership. It runs on the goroutine of the key's
 // engine.
-func (c configurationMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+func (c configurationStateMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Leader.Open(leadership, pairs)
 }
 
-func (c configurationMachine) commandFor(verb wire.Verb) command {
+func (c configurationStateMachine) commandFor(verb wire.Verb) command {
 	switch verb {
 	case wire.VerbReplace:
 		return c.Replace
@@ -43,16 +43,16 @@
 	return nil
 }
 
-// countMachine is the replication.StateMachine of a partition of the tenant count.
-type countMachine struct{ *countleader.Leader }
+// countStateMachine is the replication.StateMachine of a partition of the tenant count.
+type countStateMachine struct{ *countleader.Leader }
 
 // Open implements replication.StateMachine: it passes the leadership on as a countleader.Leadership. It runs on the goroutine of the key's
 // engine.
-func (c countMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+func (c countStateMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Leader.Open(leadership, pairs)
 }
 
-func (c countMachine) commandFor(verb wire.Verb) command {
+func (c countStateMachine) commandFor(verb wire.Verb) command {
 	switch verb {
 	case wire.VerbGrant:
 		return c.Grant
@@ -62,21 +62,21 @@
 	return nil
 }
 
-// coordinationMachine is the replication.StateMachine of a partition with locks, numbers and cells.
-type coordinationMachine struct{ *coordination.Part }
+// coordinationStateMachine is the replication.StateMachine of a partition with locks, numbers and cells.
+type coordinationStateMachine struct{ *coordination.Part }
 
 // Open implements replication.StateMachine: it passes the leadership on as a coordination.Leadership. It runs on the goroutine of the key's
 // engine.
-func (c coordinationMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
+func (c coordinationStateMachine) Open(leadership *replication.Leadership, pairs []wire.Op) error {
 	return c.Part.Open(leadership, pairs)
 }
 
-func (c coordinationMachine) commandFor(verb wire.Verb) command { return c.CommandFor(verb) }
+func (c coordinationStateMachine) commandFor(verb wire.Verb) command { return c.CommandFor(verb) }
 
-// poolMachine maps verbs to the commands of a pool. The pool's replication.StateMachine is a poolhost.Host.
-type poolMachine struct{ *scheduler.Pool }
+// poolStateMachine maps verbs to the commands of a pool. The pool's replication.StateMachine is a poolhost.Host.
+type poolStateMachine struct{ *scheduler.Pool }
 
-func (p poolMachine) commandFor(verb wire.Verb) command {
+func (p poolStateMachine) commandFor(verb wire.Verb) command {
 	switch verb {
 	case wire.VerbSubmit:
 		return p.Submit
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// lotsMachine maps verbs to the commands of a lots partition. The partition's replication.StateMachine is a poolhost.Host.
-type lotsMachine struct{ *lots.Part }
+// lotsStateMachine maps verbs to the commands of a lots partition. The partition's replication.StateMachine is a poolhost.Host.
+type lotsStateMachine struct{ *lots.Part }
 
-func (l lotsMachine) commandFor(verb wire.Verb) command { return l.CommandFor(verb) }
+func (l lotsStateMachine) commandFor(verb wire.Verb) command { return l.CommandFor(verb) }
--- a/internal/control/poolhost/steward_test.go
+++ b/internal/control/poolhost/steward_test.go
@@ -266,7 +266,7 @@
 	p.calls++
 	p.steward.after(callTimeout, func() { finish(func() { p.steward.after(retryInterval, p.call) }) })
 	name := fmt.Sprintf("i-%04d", p.number)
-	call := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.listNumber}
+	exchangeCall := &wire.ExchangeCall{Key: key, Executor: name, Proxy: "side-" + name, Capacity: wire.Capacity{CPU: 4000, Memory: 4000}, Fence: p.fence, ListNumber: p.listNumber}
 	hasFence := p.fence > 0
 	p.post(func() {
 		if !p.steward.pool.IsOpen() {
@@ -274,7 +274,7 @@
 			return
 		}
 		p.steward.addBusyTime(p.steward.costs.exchange)
-		p.steward.pool.Exchange(call, func(answer wire.ExchangeAnswer) {
+		p.steward.pool.Exchange(exchangeCall, func(answer wire.ExchangeAnswer) {
 			p.steward.after(networkDelay, func() { finish(func() { p.handleAnswer(answer, hasFence) }) })
 		})
 	})
