--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -1,8 +1,9 @@
 // Package controlkeys runs a replication engine for each key that this steward may lead. The keys are the configuration, a pool for each
 // service, the partitions of the tenant count, the coordination partitions (locks, numbers and cells of applications) and the lots.
 //
-// A Manager runs one keyRunner for the configuration's key and one for each key of the same process that the configuration lists with
-// initial voters. It serves the calls of other processes to these keys and hands the keys over when the process leaves the cluster.
+// A Manager runs one keyRunner for each key that its process keeps. In the process of a storage machine these are the lots. In any other
+// steward they are the configuration's key and the other keys for which the configuration lists initial voters. The manager serves the calls
+// of other processes to these keys and hands the keys over when the process leaves the cluster.
 package controlkeys
 
 import (
@@ -82,8 +83,8 @@
 	Retention time.Duration
 }
 
-// Manager runs the configuration's key and the keys that the configuration lists. Its maps and flags belong to the goroutine of Run. The
-// exported methods may be called from any goroutine.
+// Manager runs the keys that this process keeps. Its maps and flags belong to the goroutine of Run. The exported methods may be called from
+// any goroutine.
 type Manager struct {
 	Config
 	mailbox *mailbox.Mailbox
@@ -181,7 +182,8 @@
 	}
 }
 
-// isKeptHere reports whether this process keeps keys of the same kind as this key. A process keeps either the lots or all other keys.
+// isKeptHere reports whether this process keeps keys of the same kind as this key. A process keeps either the lots or all other keys, but
+// coordination partitions only if Config.Coordination is set.
 func (m *Manager) isKeptHere(key string) bool {
 	if coordination.IsKey(key) && m.Coordination == nil {
 		return false
