--- a/internal/node/executorapi/client.go
+++ b/internal/node/executorapi/client.go
@@ -29,8 +29,9 @@
 	return &Client{http: client, base: "http://" + address}
 }
 
-// Call posts a message to the incarnation of the executor with this ID and returns the status and the answer. An error means that the
-// outcome is unknown, unless peerapi.NeverSent is true for it. It names the path and the executor, unless the call could not be built.
+// Call posts a message to the executor, for the incarnation with the ID executor, and returns the status and the answer. After an error,
+// the executor may have handled the call, unless peerapi.NeverSent(err) is true. The error names the path and the incarnation, unless the
+// call could not be built.
 func (c *Client) Call(ctx context.Context, path, executor string, timeout time.Duration, message easyjson.Marshaler) (int, Answer, error) {
 	status, answer, err := c.call(ctx, path, executor, timeout, message)
 	result := "error"
@@ -41,8 +42,8 @@
 	return status, answer, err
 }
 
-// call posts a message to the executor and returns the status and the answer. An answer that can't be decoded is an error only with
-// status 200, as the body of other answers may be plain text.
+// call is Call without the count in the metrics. An answer that can't be decoded is an error only with status 200, as the body of other
+// answers may be plain text.
 func (c *Client) call(ctx context.Context, path, executor string, timeout time.Duration, message easyjson.Marshaler) (int, Answer, error) {
 	var answer Answer
 	body, err := easyjson.Marshal(message)
--- a/internal/node/executorapi/executorapi_test.go
+++ b/internal/node/executorapi/executorapi_test.go
@@ -23,9 +23,9 @@
 		Expect(easyjson.Unmarshal([]byte(text), &answer)).To(Succeed())
 		Expect(answer.Running).To(Equal([]executorapi.RunningRow{{Task: "a.0.1.17", Run: 2, Checkpoint: "00000bb87a21d94b", Percent: 41}}))
 		Expect(answer.Ends).To(Equal([]executorapi.EndRow{{Number: 58, Task: "a.0.1.9", Run: 1, Outcome: "done"}}))
-		back, err := easyjson.Marshal(answer)
+		encoded, err := easyjson.Marshal(answer)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(back)).To(ContainSubstring(`[58,"a.0.1.9",1,"done",""]`))
+		Expect(string(encoded)).To(ContainSubstring(`[58,"a.0.1.9",1,"done",""]`))
 	})
 
 	It("are decoded as commands: heartbeats and deregistrations", func() {
@@ -33,8 +33,8 @@
 			strings.NewReader(`{"service":"s","executor-state":"ready","call-sequence":4}`)))
 		Expect(heartbeat.Executor).To(Equal("i-1"))
 		Expect(heartbeat.Heartbeat.Sequence).To(Equal(int64(4)))
-		leave, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/deregister", nil))
-		Expect(leave.IsDeregistration).To(BeTrue())
+		deregistration, _ := executorapi.Decode(httptest.NewRequest("POST", "/v1/executors/i-1/deregister", nil))
+		Expect(deregistration.IsDeregistration).To(BeTrue())
 	})
 
 	It("are counted by path and result of the call, with their bytes", func() {
@@ -49,11 +49,11 @@
 		server.Close()
 		_, _, err = client.Call(context.Background(), "/v1/counted", "i-1", time.Minute, executorapi.Answer{})
 		Expect(err).To(HaveOccurred())
-		own := metrics.Own()
-		Expect(own).To(HaveKeyWithValue(`gannetline_executor_calls_total{path="/v1/counted",result="409"}`, 1.0))
-		Expect(own).To(HaveKeyWithValue(`gannetline_executor_calls_total{path="/v1/counted",result="error"}`, 1.0))
-		Expect(own).To(HaveKeyWithValue(`gannetline_executor_received_bytes_total{path="/v1/counted"}`, 2.0))
-		Expect(own[`gannetline_executor_sent_bytes_total{path="/v1/counted"}`]).To(BeNumerically(">", 2))
+		counters := metrics.Own()
+		Expect(counters).To(HaveKeyWithValue(`gannetline_executor_calls_total{path="/v1/counted",result="409"}`, 1.0))
+		Expect(counters).To(HaveKeyWithValue(`gannetline_executor_calls_total{path="/v1/counted",result="error"}`, 1.0))
+		Expect(counters).To(HaveKeyWithValue(`gannetline_executor_received_bytes_total{path="/v1/counted"}`, 2.0))
+		Expect(counters[`gannetline_executor_sent_bytes_total{path="/v1/counted"}`]).To(BeNumerically(">", 2))
 	})
 
 	DescribeTable("are refused for", func(method, path, body string, status int) {
--- a/internal/node/executorapi/kept_test.go
+++ b/internal/node/executorapi/kept_test.go
@@ -18,22 +18,23 @@
 	"gannetline/internal/node/executorapi"
 )
 
-// scriptedExecutor answers each call by the next script, which may break the connection.
+// scriptedExecutor runs the next script for each call. A script may answer the call, break the connection or do nothing.
 type scriptedExecutor struct {
 	listener net.Listener
 	mutex    sync.Mutex
 	scripts  []func(net.Conn)
+	// received are the paths and bodies of the calls.
 	received []string
-	// incarnations are the IDs that the calls were for.
+	// incarnations are the IDs of the incarnations that the calls were for.
 	incarnations []string
 }
 
 func newScriptedExecutor(scripts ...func(net.Conn)) *scriptedExecutor {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	one := &scriptedExecutor{listener: listener, scripts: scripts}
-	go one.accept()
-	return one
+	executor := &scriptedExecutor{listener: listener, scripts: scripts}
+	go executor.accept()
+	return executor
 }
 
 func (e *scriptedExecutor) accept() {
@@ -58,13 +59,14 @@
 		if err != nil {
 			return
 		}
-		if script := e.take(request, body); script != nil {
+		if script := e.record(request, body); script != nil {
 			script(connection)
 		}
 	}
 }
 
-func (e *scriptedExecutor) take(request *http.Request, body []byte) func(net.Conn) {
+// record stores a call and returns the script for it, or nil if no script is left.
+func (e *scriptedExecutor) record(request *http.Request, body []byte) func(net.Conn) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.received = append(e.received, request.URL.Path+" "+string(body))
@@ -83,7 +85,7 @@
 	return append([]string(nil), e.received...)
 }
 
-// says answers with a status and a body.
+// says returns a script that answers with a status and a body.
 func says(status int, body string) func(net.Conn) {
 	return func(to net.Conn) {
 		fmt.Fprintf(to, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
--- a/internal/node/executorapi/server.go
+++ b/internal/node/executorapi/server.go
@@ -60,7 +60,7 @@
 	return Command{Executor: id, Heartbeat: heartbeat}, response.Reply{}
 }
 
-// check returns what is wrong with a heartbeat, or an empty text. The text becomes part of the answer.
+// check describes what is wrong with a heartbeat, for the answer to the executor. It returns an empty text if the heartbeat is valid.
 func (b *Heartbeat) check() string {
 	switch {
 	case b.Service == "":
--- a/internal/node/executorapi/wire.go
+++ b/internal/node/executorapi/wire.go
@@ -11,8 +11,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson wire.go
 
-// Heartbeat is an executor's heartbeat. Times are in milliseconds. ClockMs is the reading of the executor's monotonic clock, and Sequence
-// increases with each call of one incarnation.
+// Heartbeat is an executor's heartbeat. Times are in milliseconds. ClockMs is the reading of the executor's monotonic clock. DepartureMs is
+// the time until a draining executor may shut down, 0 if unknown. Sequence increases with each heartbeat of one incarnation.
 //
 //easyjson:json
 type Heartbeat struct {
@@ -55,8 +55,9 @@
 // MaxEndsPerAnswer is the maximum number of ends in an answer to a hold. Further ends are listed once these are acknowledged.
 const MaxEndsPerAnswer = 500
 
-// Hold extends the lease of all runs of the executor until ExpiryMs on its clock, and acknowledges ends up to the number LastSeen. The
-// executor answers at once if it has ends above LastSeen, else after the next end, or after WaitMs at the latest.
+// Hold extends the lease of all runs of the executor until ExpiryMs on the executor's clock, and acknowledges ends up to the number
+// LastSeen. Without ExpiryMs it extends no lease. The executor answers at once if it has ends with numbers above LastSeen; otherwise it
+// answers after the next end, or after WaitMs at the latest.
 //
 //easyjson:json
 type Hold struct {
@@ -66,8 +67,8 @@
 	WaitMs   int64  `json:"wait-time-ms,omitempty"`
 }
 
-// Answer is an executor's answer to any call: the reading of its clock, the reason of a refusal, and, for a hold, its running and
-// ended runs.
+// Answer is an executor's answer to any call: the reading of the executor's clock, the reason of a refusal, and, for a hold, the
+// executor's running and ended runs.
 //
 //easyjson:json
 type Answer struct {
@@ -77,7 +78,7 @@
 	Ends    []EndRow     `json:"end-state"`
 }
 
-// RunningRow is a running run, encoded as the list [task, run, checkpoint, percent].
+// RunningRow describes a running run, encoded as the list [task, run, checkpoint, percent].
 type RunningRow wire.RunReport
 
 // UnmarshalEasyJSON decodes the row from a JSON list. Further elements are skipped.
@@ -111,7 +112,7 @@
 	out.RawByte(']')
 }
 
-// EndRow is an ended run, encoded as the list [number, task, run, outcome, checkpoint].
+// EndRow describes an ended run, encoded as the list [number, task, run, outcome, checkpoint].
 type EndRow wire.EndReport
 
 // UnmarshalEasyJSON decodes the row from a JSON list. Further elements are skipped.
@@ -149,7 +150,7 @@
 	out.RawByte(']')
 }
 
-// readRow calls readElement for each element of a JSON list that is not null.
+// readRow reads a JSON list and calls readElement with the index of each element, except for elements that are null.
 func readRow(in *jlexer.Lexer, readElement func(index int)) {
 	in.Delim('[')
 	for index := 0; !in.IsDelim(']') && in.Ok(); index++ {
--- a/internal/node/localproxy/deaf_test.go
+++ b/internal/node/localproxy/deaf_test.go
@@ -23,10 +23,11 @@
 		return wire.Order{Kind: wire.OrderKind(kind), Task: "t.0.0.0", Run: run}
 	}
 	ready := func(kind string, run int64) (localproxy.OrderWork, bool) { return table.Ready("i-1", order(kind, run)) }
+	// results returns the results of orders in the next exchange.
 	results := func() (all []string) {
 		call, _ := table.Compose(0)
-		for _, one := range call.Answers {
-			all = append(all, string(one.Result))
+		for _, answer := range call.Answers {
+			all = append(all, string(answer.Result))
 		}
 		return all
 	}
@@ -86,7 +87,7 @@
 		Expect(isDue).To(BeTrue())
 	})
 
-	It("gets the result timeout for a start that may have reached it", func() {
+	It("is reported as timed out, not as unhealthy, for a start that may have reached it", func() {
 		work, _ := ready("launch", 1)
 		table.HandleOrderTimeout(work)
 		table.HandleOrderTimeout(work)
--- a/internal/node/localproxy/delivery.go
+++ b/internal/node/localproxy/delivery.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// isRefused reports whether the call certainly did not reach the executor, for another reason than a timeout.
+// isRefused reports whether no connection to the executor could be made, for a reason other than a timeout.
 func isRefused(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
@@ -71,7 +71,7 @@
 		executorapi.RunStop{Task: order.Task, Run: order.Run, Fence: work.Fence})
 }
 
-// ResultOf returns the result that an executor's answer to an order stands for.
+// ResultOf returns the result of an order for the status and the reason in the executor's answer.
 func ResultOf(status int, reason string) wire.OrderResult {
 	switch {
 	case status == http.StatusOK:
--- a/internal/node/localproxy/evacuation.go
+++ b/internal/node/localproxy/evacuation.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// maxEvacuationGrace is how long, at most, launches are still carried out after this process was informed of an evacuation. Gangs and
-	// other jobs that were placed before it can then complete their start.
+	// maxEvacuationGrace is the longest grace period, in which starts are still carried out after this process was informed of an
+	// evacuation. Gangs and other jobs that were placed before the evacuation can then complete their start.
 	maxEvacuationGrace = 2 * time.Second
-	// evacuationGraceShare is the share of the time until an evacuation must be in force that launches may use. The rest is for the
-	// order to reach all nodes.
+	// evacuationGraceShare is the grace period as a share of the time until an evacuation must be in force. The rest of that time is for
+	// the evacuation order to reach all nodes.
 	evacuationGraceShare = 0.4
 )
 
-// evacuationGraceOf returns how long launches are still carried out if an evacuation must be in force after the given time.
+// evacuationGraceOf returns the grace period if an evacuation must be in force after the given time.
 func evacuationGraceOf(inForceAfter time.Duration) time.Duration {
 	return min(maxEvacuationGrace, time.Duration(evacuationGraceShare*float64(inForceAfter)))
 }
 
-// WithEvacuation sets the time after which an evacuation must be in force, and the function that reports whether one is ordered for
-// this machine's zone, and when this process was informed of it, on the table's clock.
+// WithEvacuation sets the time after which an evacuation must be in force, and the function that reports whether an evacuation of this
+// machine's zone is ordered, and when this process was informed of it, on the table's clock.
 func WithEvacuation(inForceAfter time.Duration, isOrdered func() (since time.Duration, isOrdered bool)) TableOption {
 	return func(t *Table) { t.evacuation, t.evacuationGrace = isOrdered, evacuationGraceOf(inForceAfter) }
 }
 
+// noEvacuation reports that no evacuation is ordered.
 func noEvacuation() (time.Duration, bool) { return 0, false }
 
-// isEvacuated reports whether the grace for launches is over. A launch that was placed before the evacuation and retried for long is
-// then refused.
+// isEvacuated reports whether an evacuation is ordered and its grace period is over. Starts are then refused, also those that were placed
+// before the evacuation.
 func (t *Table) isEvacuated() bool {
 	since, isOrdered := t.evacuation()
 	return isOrdered && t.now()-since >= t.evacuationGrace
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -58,8 +58,8 @@
 	return hasUnsent
 }
 
-// exchange makes one exchange with the leader and reports whether the leader answered. Without an executor it makes no exchange and returns
-// true.
+// exchange makes one exchange with the leader and reports whether the leader answered. Without an executor it makes no exchange, pauses for
+// retryDelay if waitMs is set, and returns true.
 func (p *Proxy) exchange(ctx context.Context, waitMs int64) bool {
 	call, isOpen := ask(ctx, p, func() *wire.ExchangeCall {
 		call, _ := p.table.Compose(waitMs)
@@ -101,8 +101,8 @@
 	return true
 }
 
-// leaderAddress returns the address of a key's leader. If the leader is unknown, it returns that of a steward that may lead, which
-// names the leader or campaigns itself. The address is empty if there is no such steward.
+// leaderAddress returns the address of a key's leader. If the leader is unknown, it returns the address of a steward that may lead; that
+// steward names the leader in its answer or campaigns itself. The address is empty if there is no such steward.
 func leaderAddress(view *membership.View, key string) string {
 	if leader, isKnown := view.Steward(view.Leaders[key].Name); isKnown {
 		return leader.Address
--- a/internal/node/localproxy/exchanges.go
+++ b/internal/node/localproxy/exchanges.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// neverRenewed is the reported age of the last lease renewal if there was none.
+	// neverRenewed is the reported age of the last lease renewal if there was none or the executor is unresponsive.
 	neverRenewed = time.Hour
 	// idleAfter is how long after its last activity an executor counts as idle.
 	idleAfter = 2 * time.Second
-	// runningListPause is the least time between two lists of running runs to a leader that does not support numbered changes.
-	runningListPause = time.Second
+	// runningListInterval is the least time between two lists of running runs to a leader that has not acknowledged numbered changes.
+	runningListInterval = time.Second
 )
 
-// pendingAnswer is the executor's answer to an order that the leader does not have yet.
+// pendingAnswer is the result of an order that the leader does not have yet.
 type pendingAnswer struct {
 	wire.OrderAnswer
-	at     time.Duration
+	// at is when the result was queued.
+	at time.Duration
+	// isSent is set once the result was in an exchange.
 	isSent bool
 }
 
-// Compose returns the next exchange, which may wait at the leader for waitMs, or false if there is no executor. Its answer goes to
-// HandleAnswer.
+// Compose returns the next exchange, or false if there is no executor. The leader may delay its answer for waitMs, or longer if the
+// executor is idle. The answer is to be passed to HandleAnswer.
 func (t *Table) Compose(waitMs int64) (*wire.ExchangeCall, bool) {
 	current := t.current
 	if current == nil {
@@ -43,7 +45,7 @@
 	return call, true
 }
 
-// factsOf returns the facts that the leader should have now.
+// factsOf returns the current facts of an executor.
 func (t *Table) factsOf(executor *executorState) facts {
 	return facts{proxy: t.name, domain: t.domain, labels: executor.heartbeat.Labels, capacity: executor.heartbeat.Capacity,
 		isDraining: executor.isDraining, gone: slices.Clone(t.gone)}
@@ -57,27 +59,27 @@
 	return t.now() - executor.renewedAt
 }
 
-// writeAnswers adds all answers that the leader does not have, with their ages.
+// writeAnswers adds all results of orders that the leader does not have, with their ages, to an exchange.
 func (e *executorState) writeAnswers(call *wire.ExchangeCall, now time.Duration) {
 	for index := range e.answers {
-		given := &e.answers[index]
-		given.AgeMs, given.isSent = (now - given.at).Milliseconds(), true
-		call.Answers = append(call.Answers, given.OrderAnswer)
+		pending := &e.answers[index]
+		pending.AgeMs, pending.isSent = (now - pending.at).Milliseconds(), true
+		call.Answers = append(call.Answers, pending.OrderAnswer)
 	}
 }
 
-// writeRuns adds the complete list of runs that the leader requested. A leader that does not support numbered changes gets the
-// running runs every runningListPause.
+// writeRuns adds the complete list of runs that the leader requested to an exchange. A leader that has not acknowledged numbered changes
+// may not support them, and gets the running runs every runningListInterval instead.
 func (e *executorState) writeRuns(call *wire.ExchangeCall, now time.Duration) {
 	if e.listTaken > e.listReported {
 		call.ListNumber, call.Running = e.listTaken, e.listedRuns
-	} else if e.feed.acknowledged == 0 && now-e.runningSentAt > runningListPause {
+	} else if e.feed.acknowledged == 0 && now-e.runningSentAt > runningListInterval {
 		call.Running = slices.Clone(e.running)
 	}
 }
 
-// pollWait doubles the wait while the executor is idle. The leader places no jobs on an executor that is silent for too long; the
-// wait stays well below that time.
+// pollWait returns the wait of an exchange at the leader, which is doubled while the executor is idle. The leader places no jobs on an
+// executor that is silent for too long; the doubled wait stays well below that time.
 func (t *Table) pollWait(executor *executorState, waitMs int64) int64 {
 	if t.now()-executor.lastBusyAt > idleAfter {
 		return 2 * waitMs
@@ -85,8 +87,8 @@
 	return waitMs
 }
 
-// HandleAnswer handles the leader's answer and returns the orders to deliver. askedAt is when the exchange was sent, on the
-// monotonic clock; a grant counts from then. Answers of a former leader are ignored.
+// HandleAnswer handles the leader's answer to an exchange and returns the orders to deliver. askedAt is when the exchange was sent, on the
+// monotonic clock; a grant counts from then. Answers of a former leader, and those for an incarnation that is not current, are ignored.
 func (t *Table) HandleAnswer(call *wire.ExchangeCall, askedAt time.Duration, answer *wire.ExchangeAnswer) []wire.Order {
 	current := t.currentWithID(call.Executor)
 	if current == nil || answer.Fence < current.fence {
@@ -119,17 +121,18 @@
 	e.listTaken, e.listReported, e.listWanted = 0, 0, 0
 }
 
-// dropDelivered drops the answers that were delivered with a call, and records the list of runs that the leader got.
+// dropDelivered drops the results of orders that the leader got with an exchange, and records the list of runs that it got.
 func (e *executorState) dropDelivered(call *wire.ExchangeCall, fence uint64) {
 	if len(call.Answers) > 0 {
-		e.answers = slices.DeleteFunc(e.answers, func(given pendingAnswer) bool { return given.isIn(call.Answers) })
+		e.answers = slices.DeleteFunc(e.answers, func(pending pendingAnswer) bool { return pending.isIn(call.Answers) })
 	}
 	if call.Fence == fence {
 		e.listReported = max(e.listReported, call.ListNumber)
 	}
 }
 
-// acknowledgeEnds drops the ends that the leader has acknowledged.
+// acknowledgeEnds drops the ends that the leader has acknowledged. Once the last known end is dropped, a hold is due at once to acknowledge
+// the ends to the executor.
 func (t *Table) acknowledgeEnds(current *executorState, lastSeen int64) {
 	current.lastSeen = max(current.lastSeen, lastSeen)
 	if len(current.ends) == 0 {
@@ -146,13 +149,14 @@
 	}
 }
 
-// HasUnsent reports whether an answer of the executor was in no exchange yet.
+// HasUnsent reports whether any result of an order was not in an exchange yet.
 func (t *Table) HasUnsent() bool {
-	return t.current != nil && slices.ContainsFunc(t.current.answers, func(given pendingAnswer) bool { return !given.isSent })
+	return t.current != nil && slices.ContainsFunc(t.current.answers, func(pending pendingAnswer) bool { return !pending.isSent })
 }
 
-func (g pendingAnswer) isIn(sent []wire.OrderAnswer) bool {
+// isIn reports whether an exchange with the given answers contained this one.
+func (p pendingAnswer) isIn(sent []wire.OrderAnswer) bool {
 	return slices.ContainsFunc(sent, func(answer wire.OrderAnswer) bool {
-		return answer.Task == g.Task && answer.Run == g.Run && answer.Kind == g.Kind && answer.Result == g.Result
+		return answer.Task == p.Task && answer.Run == p.Run && answer.Kind == p.Kind && answer.Result == p.Result
 	})
 }
--- a/internal/node/localproxy/executorclock.go
+++ b/internal/node/localproxy/executorclock.go
@@ -31,7 +31,8 @@
 	from.clock = clockSample{executorMs, t.now(), true}
 }
 
-// ReadClock stores the clock reading of any answer of the executor, in milliseconds. An answer also resets the count of misses.
+// ReadClock handles the clock reading in the executor's answer to an order, in milliseconds: it stores the reading and resets the count of
+// misses. A reading of 0, from an answer without one, is ignored.
 func (t *Table) ReadClock(executorID string, executorMs int64) {
 	if current := t.currentWithID(executorID); current != nil && executorMs > 0 {
 		current.misses = 0
@@ -46,8 +47,9 @@
 	}
 }
 
-// expiryForOrder returns the lease expiry that the leader assumed when it gave an order. A later grant does not extend it, as the
-// leader may have given up the run in between.
+// expiryForOrder returns the lease expiry for the runs that an answer of the leader orders to start, in milliseconds of the executor's
+// clock: by the grant in the same answer, or by earlier grants if the answer has none. A later grant does not extend it, as the leader may
+// have given up the run in between.
 func (e *executorState) expiryForOrder(askedAt time.Duration, grantMs int64) int64 {
 	if grantMs == 0 {
 		return e.leaseExpiryMs
--- a/internal/node/localproxy/executorstate.go
+++ b/internal/node/localproxy/executorstate.go
@@ -10,7 +10,7 @@
 // executorState is the state of one incarnation of the executor, from its first heartbeat to its end.
 type executorState struct {
 	id string
-	// sequence is the sequence number of the last heartbeat; heartbeats with a lower one are late.
+	// sequence is the sequence number of the last heartbeat. A later heartbeat has a higher number, or 0, which is always accepted.
 	sequence  int64
 	heartbeat executorapi.Heartbeat
 	// currentSince is when this became the current incarnation.
@@ -46,26 +46,28 @@
 	// renewedAt is when the executor last answered a hold, if hasRenewed.
 	renewedAt  time.Duration
 	hasRenewed bool
-	// fence is the fence of the last leader that answered; fenceAtExecutor is the highest fence of a hold that the executor answered.
+	// fence is the highest fence of a leader that answered an exchange; fenceAtExecutor is the highest fence of a hold that the executor
+	// answered.
 	fence           uint64
 	fenceAtExecutor uint64
 }
 
 // runReports is the state of runs that is reported to the leader.
 type runReports struct {
-	// lastSeen is the number of the last end that the leader has acknowledged; ends are the later ones.
+	// lastSeen is the number of the last end that the current leader has acknowledged; ends are the later ones.
 	lastSeen int64
 	ends     []wire.EndReport
-	running  []wire.RunReport
+	// running are the running runs according to the last answer to a hold.
+	running []wire.RunReport
 	// runningSentAt is when the last exchange with a list of running runs was answered.
 	runningSentAt time.Duration
 	feed          *feed
 }
 
-// wantedLists tracks the complete lists of runs that the leader requests by rising numbers.
+// wantedLists tracks the complete lists of runs that the leader requests. Each request has a higher number than the one before.
 type wantedLists struct {
-	// listWanted, listTaken and listReported are the numbers of the last list that was requested, read from the executor and
-	// delivered to the leader.
+	// listWanted is the number of the last list that the leader requested, listTaken that of the last one that the executor sent, and
+	// listReported that of the last one that the leader got.
 	listWanted   uint64
 	listTaken    uint64
 	listReported uint64
@@ -75,21 +77,23 @@
 
 // orderDelivery tracks orders and their answers.
 type orderDelivery struct {
-	// ordersInFlight are being delivered to the executor; answers are the executor's answers that the leader does not have yet.
+	// ordersInFlight are the orders that are being delivered to the executor; answers are results of orders that the leader does not have
+	// yet.
 	ordersInFlight map[orderKey]inFlightOrder
 	answers        []pendingAnswer
-	// uncertainRuns are the runs whose start was not answered and may still be carried out. Once there are more than
-	// maxUncertainRuns, areAllUncertain is set and every run counts as one.
+	// uncertainRuns are the runs with an unanswered order, whose start may still be carried out. Once there are more than
+	// maxUncertainRuns, areAllUncertain is set for good, and every run counts as uncertain.
 	uncertainRuns   map[runKey]bool
 	areAllUncertain bool
 }
 
-// responsiveness tracks calls that the executor left unanswered.
+// responsiveness tracks the executor's unanswered calls. A failed hold counts as unanswered, even if the executor answered with an error
+// status.
 type responsiveness struct {
-	// misses counts consecutive unanswered calls, the last of them at missedAt.
+	// misses counts consecutive unanswered calls; missedAt is when the last of them failed.
 	misses   int
 	missedAt time.Duration
-	// lostAt is when the last answer was lost, if hasLostAnswer.
+	// lostAt is when the last call failed whose answer may have been lost, if hasLostAnswer.
 	lostAt        time.Duration
 	hasLostAnswer bool
 }
--- a/internal/node/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -17,7 +17,7 @@
 	maxRestoreTime = 3 * time.Second
 )
 
-// facts are the properties of an executor that seldom change.
+// facts are the reported properties of an executor that seldom change.
 type facts struct {
 	proxy      string
 	domain     string
@@ -32,91 +32,99 @@
 		f.isDraining == other.isDraining && slices.Equal(f.gone, other.gone)
 }
 
-// runChange is the reported state of a run: its checkpoint, and whether it is stuck. changedAt is the number of its last change.
-type runChange struct {
-	report    wire.RunReport
-	changedAt uint64
-	percent   int
+// reportedRun is a running run with its reported state.
+type reportedRun struct {
+	// report contains the checkpoint of the run and whether it is stuck; changeNumber is the number of the last change of either, 0 if there
+	// was none.
+	report       wire.RunReport
+	changeNumber uint64
+	// percent is the last known progress of the run.
+	percent int
 	// stalledFor is how long the run has made no progress; it is negative while the run may be restoring its checkpoint.
 	stalledFor time.Duration
 }
 
-// feed numbers the changes of the reported state and holds the number that the leader has acknowledged, so that an exchange carries
+// feed numbers the changes of the reported state and stores the number that the leader has acknowledged, so that an exchange contains
 // only later changes.
 type feed struct {
-	session      uint64
-	number       uint64
+	session uint64
+	// lastNumber is the number of the last change, acknowledged the number up to which the leader has the changes.
+	lastNumber   uint64
 	acknowledged uint64
-	facts        facts
-	factsAt      uint64
-	runs         map[runKey]runChange
+	// factsNumber is the number of the last change of the facts.
+	facts       facts
+	factsNumber uint64
+	runs        map[runKey]reportedRun
 }
 
-func newFeed(session uint64) *feed { return &feed{session: session, runs: map[runKey]runChange{}} }
+func newFeed(session uint64) *feed { return &feed{session: session, runs: map[runKey]reportedRun{}} }
 
 // updateFacts stores the current facts. A change gets the next number.
-func (f *feed) updateFacts(now facts) {
-	if f.factsAt == 0 || !f.facts.equals(now) {
-		f.number++
-		f.facts, f.factsAt = now, f.number
+func (f *feed) updateFacts(current facts) {
+	if f.factsNumber == 0 || !f.facts.equals(current) {
+		f.lastNumber++
+		f.facts, f.factsNumber = current, f.lastNumber
 	}
 }
 
-// updateRuns stores the running runs of an answer that came the given time after the one before. Runs that are not in it are dropped.
-func (f *feed) updateRuns(running []wire.RunReport, after time.Duration) {
-	kept := make(map[runKey]runChange, len(running))
-	next := f.number + 1
+// updateRuns stores the running runs of an answer to a hold. elapsed is the time since the answer before. Runs that are not in the answer
+// are dropped. All changes by one answer get the same number.
+func (f *feed) updateRuns(running []wire.RunReport, elapsed time.Duration) {
+	updated := make(map[runKey]reportedRun, len(running))
+	nextNumber := f.lastNumber + 1
 	for _, report := range running {
 		key := runKey{report.Task, report.Run}
-		change, exists := f.runs[key]
+		run, exists := f.runs[key]
 		if exists {
-			change.recordProgress(report.Percent, after)
+			run.recordProgress(report.Percent, elapsed)
 		} else {
-			change = newRunChange(report)
+			run = newReportedRun(report)
 		}
-		isStuck := change.stalledFor > stalledAfter
-		if change.report.Checkpoint != report.Checkpoint || change.report.Stuck != isStuck {
-			change.report.Checkpoint, change.report.Stuck = report.Checkpoint, isStuck
-			change.changedAt, f.number = next, next
+		isStuck := run.stalledFor > stalledAfter
+		if run.report.Checkpoint != report.Checkpoint || run.report.Stuck != isStuck {
+			run.report.Checkpoint, run.report.Stuck = report.Checkpoint, isStuck
+			run.changeNumber, f.lastNumber = nextNumber, nextNumber
 		}
-		kept[key] = change
+		updated[key] = run
 	}
-	f.runs = kept
+	f.runs = updated
 }
 
-// newRunChange allows a run that starts from a checkpoint maxRestoreTime to restore it.
-func newRunChange(report wire.RunReport) runChange {
-	change := runChange{report: wire.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
+// newReportedRun returns the state of a run that is in an answer for the first time. A run with a checkpoint gets maxRestoreTime to restore
+// it.
+func newReportedRun(report wire.RunReport) reportedRun {
+	run := reportedRun{report: wire.RunReport{Task: report.Task, Run: report.Run}, percent: report.Percent}
 	if report.Checkpoint != "" {
-		change.stalledFor = -maxRestoreTime
+		run.stalledFor = -maxRestoreTime
 	}
-	return change
+	return run
 }
 
-// recordProgress adds up the time without progress, and at most maxUnobservedTime of a time in which the executor was silent.
-func (c *runChange) recordProgress(percent int, after time.Duration) {
-	if percent != c.percent {
-		c.percent, c.stalledFor = percent, 0
+// recordProgress adds up the time without progress. Of the time between two answers, at most maxUnobservedTime counts, as the executor may
+// have been silent.
+func (r *reportedRun) recordProgress(percent int, elapsed time.Duration) {
+	if percent != r.percent {
+		r.percent, r.stalledFor = percent, 0
 		return
 	}
-	c.stalledFor += min(after, maxUnobservedTime)
+	r.stalledFor += min(elapsed, maxUnobservedTime)
 }
 
-// write adds the changes after the acknowledged number to an exchange.
+// write adds the changes after the acknowledged number to an exchange. Without a session it adds all facts and no runs.
 func (f *feed) write(call *wire.ExchangeCall) {
 	if f.session > 0 {
-		call.Session, call.Number, call.Base = f.session, f.number, f.acknowledged
+		call.Session, call.Number, call.Base = f.session, f.lastNumber, f.acknowledged
 	}
-	if f.factsAt > call.Base {
+	if f.factsNumber > call.Base {
 		call.Proxy, call.Domain, call.Labels, call.Capacity = f.facts.proxy, f.facts.domain, f.facts.labels, f.facts.capacity
 		call.Draining, call.Gone = f.facts.isDraining, f.facts.gone
 	}
 	if f.session == 0 {
 		return
 	}
-	for _, change := range f.runs {
-		if change.changedAt > call.Base {
-			call.Changed = append(call.Changed, change.report)
+	for _, run := range f.runs {
+		if run.changeNumber > call.Base {
+			call.Changed = append(call.Changed, run.report)
 		}
 	}
 	slices.SortFunc(call.Changed, func(a, b wire.RunReport) int {
@@ -124,7 +132,8 @@
 	})
 }
 
-// acknowledge stores the number that the leader holds. If the leader knows a later session, a new session after it starts.
+// acknowledge stores the number up to which the leader has the changes. If the leader knows a later session, the feed starts a session after
+// that one.
 func (f *feed) acknowledge(answer *wire.ExchangeAnswer) {
 	f.acknowledged = answer.HeldNumber
 	if answer.NeedsFullState && answer.Session > f.session {
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -27,6 +27,7 @@
 		table.HandleAnswer(call, fakeClock.Monotonic(), &answer)
 		return call
 	}
+	// hold makes the executor answer a hold with the given running runs.
 	hold := func(isForList bool, rows ...executorapi.RunningRow) {
 		work, isDue := table.NextHold(isForList)
 		Expect(isDue).To(BeTrue())
@@ -48,7 +49,7 @@
 	}
 	BeforeEach(func() { newTable(localproxy.WithSession(7)) })
 
-	It("carries facts again only if they changed", func() {
+	It("contains the facts again only if they changed", func() {
 		first := exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		Expect(first.Proxy).To(Equal("side-1"))
 		Expect(first.Base).To(BeZero())
@@ -62,7 +63,7 @@
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: third.Number}).Proxy).To(BeEmpty())
 	})
 
-	It("carries a checkpoint until the leader acknowledges it, and no run without one", func() {
+	It("contains a changed checkpoint until the leader acknowledges it, and no run without a checkpoint", func() {
 		exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
 		hold(false, row(1, ""), row(2, "c1"))
 		unanswered, _ := table.Compose(0)
@@ -73,21 +74,21 @@
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: again.Number}).Changed).To(BeEmpty())
 	})
 
-	It("carries that a run is stuck, and that it makes progress again", func() {
-		percent := func(number, percent int) executorapi.RunningRow {
+	It("contains that a run is stuck, and later that it makes progress again", func() {
+		rowAt := func(number, percent int) executorapi.RunningRow {
 			changed := row(number, "")
 			changed.Percent = percent
 			return changed
 		}
 		exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
-		hold(false, percent(1, 40), percent(2, 40))
+		hold(false, rowAt(1, 40), rowAt(2, 40))
 		for step := range 5 {
 			fakeClock.Advance(400 * time.Millisecond)
-			hold(false, percent(1, 40), percent(2, 41+step))
+			hold(false, rowAt(1, 40), rowAt(2, 41+step))
 		}
 		stuck, _ := table.Compose(0)
 		Expect(stuck.Changed).To(ConsistOf(And(HaveField("Stuck", true), HaveField("Task", row(1, "").Task))))
-		hold(false, percent(1, 41), percent(2, 46))
+		hold(false, rowAt(1, 41), rowAt(2, 46))
 		moving, _ := table.Compose(0)
 		Expect(moving.Changed).To(ConsistOf(HaveField("Stuck", false)))
 	})
@@ -112,7 +113,7 @@
 		Expect(call.Changed).To(ConsistOf(HaveField("Stuck", false)))
 	})
 
-	It("carries a requested list of runs in full, and only once", func() {
+	It("contains a requested list of runs in full, and only once", func() {
 		hold(false, row(1, ""), row(2, "c1"))
 		exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1})
 		hold(true, row(1, ""), row(2, "c1"))
@@ -121,7 +122,7 @@
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 2, WantedList: 1}).Running).To(BeEmpty())
 	})
 
-	It("repeats an exchange in full, at once, if the leader needs the full state", func() {
+	It("is the full state in the next exchange, which is due at once, if the leader needs it", func() {
 		exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1, GrantMs: 4000, WantedList: 1})
 		hold(true)
 		order := wire.Order{Kind: "launch", Task: "t.0.0.0", Run: 1}
@@ -131,19 +132,19 @@
 		reports = 0
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3, NeedsFullState: true}).Base).NotTo(BeZero())
 		Expect(reports).To(Equal(1))
-		whole := exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
-		Expect(whole.Base).To(BeZero())
-		Expect(whole.Answers).To(HaveLen(1))
-		Expect(whole.ListNumber).To(Equal(uint64(1)))
+		full := exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1})
+		Expect(full.Base).To(BeZero())
+		Expect(full.Answers).To(HaveLen(1))
+		Expect(full.ListNumber).To(Equal(uint64(1)))
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: 1}).Answers).To(BeEmpty())
 	})
 
-	It("starts a later session if the leader knows a later one", func() {
+	It("has the number of a later session if the leader knows a later session", func() {
 		exchange(wire.ExchangeAnswer{Fence: 3, NeedsFullState: true, Session: 90})
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3}).Session).To(Equal(uint64(91)))
 	})
 
-	It("carries the facts each time, and running runs once a second, to a leader without numbered changes", func() {
+	It("has the facts each time, and the running runs once a second, for a leader without numbered changes", func() {
 		fakeClock.Advance(2 * time.Second)
 		hold(false, row(1, ""), row(2, "c1"))
 		for range 3 {
@@ -155,17 +156,17 @@
 		}
 	})
 
-	It("delays only the report of a start, and carries its age", func() {
+	It("has the age of a started run's result; only the report of a start may be delayed", func() {
 		starts := 0
 		newTable(localproxy.WithStartSignal(func() { starts++ }))
 		exchange(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
-		launch := func(number int64, result string) {
+		startRun := func(number int64, result string) {
 			work, _ := table.Ready("i-7f3a91c2", wire.Order{Kind: "launch", Task: "t.0.0.0", Run: number})
 			table.HandleOrderResult(work, wire.OrderResult(result))
 		}
 		reports = 0
 		Expect(table.HasUnsent()).To(BeFalse())
-		launch(1, "ok")
+		startRun(1, "ok")
 		Expect([]int{starts, reports}).To(Equal([]int{1, 0}))
 		Expect(table.HasUnsent()).To(BeTrue())
 		fakeClock.Advance(70 * time.Millisecond)
@@ -174,11 +175,11 @@
 		Expect(table.HasUnsent()).To(BeFalse())
 		exchange(wire.ExchangeAnswer{Fence: 3})
 		Expect(exchange(wire.ExchangeAnswer{Fence: 3}).Answers).To(BeEmpty())
-		launch(2, "room")
+		startRun(2, "room")
 		Expect([]int{starts, reports}).To(Equal([]int{1, 1}))
 	})
 
-	It("waits longer for orders while the executor is idle", func() {
+	It("has a longer wait for orders while the executor is idle", func() {
 		wait := func() int64 {
 			call, _ := table.Compose(300)
 			return call.WaitMs
@@ -198,21 +199,23 @@
 		for number := range 12 {
 			rows = append(rows, row(number, ""))
 		}
-		measure := func(held uint64) (small, withRuns int) {
+		// measure returns the sizes of two consecutive exchanges, the second one first. The first one contains the running runs if the leader
+		// acknowledges no numbered changes.
+		measure := func(acknowledged uint64) (withoutRuns, withRuns int) {
 			fakeClock.Advance(2 * time.Second)
 			hold(false, rows...)
-			withRuns = size(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: held}))
-			return size(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: held})), withRuns
+			withRuns = size(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: acknowledged}))
+			return size(exchange(wire.ExchangeAnswer{Fence: 3, HeldNumber: acknowledged})), withRuns
 		}
 		measure(1)
-		small, withRuns := measure(1)
+		numbered, numberedWithRuns := measure(1)
 		newTable()
 		measure(0)
-		smallUnnumbered, withRunsUnnumbered := measure(0)
+		unnumbered, unnumberedWithRuns := measure(0)
 		fmt.Fprintf(GinkgoWriter, "bytes of an exchange without changes: %d; without numbered changes: %d, and %d once a second with 12 runs\n",
-			small, smallUnnumbered, withRunsUnnumbered)
-		Expect(withRuns).To(Equal(small))
-		Expect(3 * small).To(BeNumerically("<", 2*smallUnnumbered))
-		Expect(3 * small).To(BeNumerically("<", withRunsUnnumbered))
+			numbered, unnumbered, unnumberedWithRuns)
+		Expect(numberedWithRuns).To(Equal(numbered))
+		Expect(3 * numbered).To(BeNumerically("<", 2*unnumbered))
+		Expect(3 * numbered).To(BeNumerically("<", unnumberedWithRuns))
 	})
 })
--- a/internal/node/localproxy/holdloop.go
+++ b/internal/node/localproxy/holdloop.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// nextHold is the result of Table.NextHold.
 type nextHold struct {
 	work  HoldWork
 	isDue bool
@@ -19,8 +20,8 @@
 	})
 }
 
-// holdLoop sends holds, which renew the lease of the executor's runs and acknowledge ends. After a failed hold with the short wait
-// it pauses longer the sooner the hold failed.
+// holdLoop sends holds, which renew the lease of the executor's runs and acknowledge ends. After a failed hold with the short wait,
+// PauseAfterMiss gives the pause. After another failed hold, or if no hold is due, it waits for retryDelay or until a hold is due at once.
 func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
 		next, isOpen := p.nextHold(ctx, false)
@@ -45,10 +46,10 @@
 	}
 }
 
-// PauseAfterMiss returns the pause after a failed hold that took the given time. It is longer for a hold that was cut or refused at
+// PauseAfterMiss returns the pause after a failed hold that took the given time. It is longer if the connection was refused or closed at
 // once, as each attempt then opens a new connection.
 func PauseAfterMiss(took time.Duration) time.Duration {
-	return max(holdPause, unansweredHoldPause-took)
+	return max(holdPause, failedHoldInterval-took)
 }
 
 // listLoop sends a hold at once when the leader wants a complete list of runs. That hold renews the lease as well.
--- a/internal/node/localproxy/holds.go
+++ b/internal/node/localproxy/holds.go
@@ -17,16 +17,17 @@
 	shortWaitPeriod = 10 * time.Second
 	// holdTimeoutMargin is how long after its wait a hold times out.
 	holdTimeoutMargin = 150 * time.Millisecond
-	// unackedHoldInterval is the least time between two holds while the leader has not acknowledged all known ends.
+	// unackedHoldInterval is the least time from an answered hold to the next one while the leader has not acknowledged all known ends.
+	// Holds for a list of runs are exempt.
 	unackedHoldInterval = 250 * time.Millisecond
-	// goneAfter is how long after its deregistration an executor that does not answer counts as gone.
+	// goneAfter is how long after its deregistration an executor that was draining and does not answer counts as gone.
 	goneAfter = 3 * time.Second
 	// An executor counts as unresponsive for unresponsiveFor after unresponsiveAfter consecutive unanswered calls.
 	unresponsiveAfter = 2
 	unresponsiveFor   = time.Second
 )
 
-// HoldWork is a hold that is ready for the executor. ListNumber is the list of runs that its answer may serve as.
+// HoldWork is a hold that is ready for the executor. ListNumber is the number of the requested list of runs that its answer may provide.
 type HoldWork struct {
 	Executor   string
 	Hold       executorapi.Hold
@@ -51,7 +52,8 @@
 	return HoldWork{Executor: current.id, Hold: hold, ListNumber: current.listWanted, BegunAt: t.now()}, true
 }
 
-// isHoldDue reports whether to send a hold. Holds without a list slow down while known ends await their acknowledgement.
+// isHoldDue reports whether a hold is due. Holds that are not for a list are sent less often while the leader has not acknowledged all known
+// ends.
 func (t *Table) isHoldDue(current *executorState, isForList bool) bool {
 	if isForList {
 		return current.listTaken < current.listWanted && !t.isUnresponsive(current)
@@ -59,7 +61,8 @@
 	return len(current.ends) == 0 || t.now()-current.renewedAt >= unackedHoldInterval
 }
 
-// holdWait is short after lost answers, as a lost hold hides all ends until it times out.
+// holdWait returns how long the executor may delay its answer to a hold, in milliseconds. The wait is short after a lost answer: if the
+// hold or its answer is lost, no end is reported until the hold times out.
 func (t *Table) holdWait(current *executorState) int64 {
 	if current.hasLostAnswer && t.now()-current.lostAt < shortWaitPeriod {
 		return shortWaitMs
@@ -115,9 +118,9 @@
 	}
 }
 
-// storeList stores the running runs as the complete list that the leader requested, if the hold was composed after the request. It
-// reports whether it did. An answer with the maximum number of ends may lack further ends: a run that is neither running nor among
-// its ends may have ended as well, so the answer is no complete list.
+// storeList stores the running runs as the complete list that the leader requested, if the hold was composed after the request and for the
+// same leader. It reports whether it did. An answer with the maximum number of ends is not stored: further ends may not have fitted, so a
+// run that is neither running nor among the ends may have ended as well.
 func (e *executorState) storeList(work HoldWork, answer executorapi.Answer) bool {
 	if work.ListNumber <= e.listTaken || work.Hold.Fence != e.fence || len(answer.Ends) >= executorapi.MaxEndsPerAnswer {
 		return false
@@ -126,8 +129,8 @@
 	return true
 }
 
-// HandleHoldFailure handles a hold that failed. isOtherExecutor means that another incarnation answered at the address, so this one
-// has certainly ended.
+// HandleHoldFailure handles a hold that was not answered or was answered with an error status. isOtherExecutor means that another
+// incarnation answered at the address, so the incarnation that the hold was for has certainly ended.
 func (t *Table) HandleHoldFailure(work HoldWork, isOtherExecutor bool) {
 	current := t.currentWithID(work.Executor)
 	if current == nil {
--- a/internal/node/localproxy/incarnation.go
+++ b/internal/node/localproxy/incarnation.go
@@ -12,7 +12,7 @@
 const (
 	// maxGone is how many ended incarnations are remembered, so that their late heartbeats are refused.
 	maxGone = 4
-	// defaultDrainTime is how long an executor keeps serving after its deregistration if WithDrainTime is not given.
+	// defaultDrainTime is the drain time if WithDrainTime is not given.
 	defaultDrainTime = 2 * time.Second
 )
 
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// find returns an incarnation that is not known to have ended, or nil.
+// find returns the incarnation with this ID, or nil if there is none or it is known to have ended.
 func (t *Table) find(id string) *executorState {
 	if current := t.currentWithID(id); current != nil {
 		return current
@@ -137,12 +137,14 @@
 	return ids[max(0, len(ids)-maxGone):]
 }
 
+// markGone records that an incarnation has ended.
 func (t *Table) markGone(id string) {
 	t.gone = appendRecent(t.gone, id)
 }
 
-// Deregister handles an executor's deregistration. An executor that was draining ends with it. Any other keeps serving and is
-// reported as draining, so that its runs are moved.
+// Deregister handles an executor's deregistration. An executor that was draining is about to shut down. Any other is reported as draining
+// and keeps serving for a while, so that its runs can be moved. The deregistration of an unknown incarnation takes effect with its first
+// heartbeat.
 func (t *Table) Deregister(id string) {
 	sender := t.find(id)
 	if sender == nil {
@@ -165,9 +167,9 @@
 	t.onReportDue()
 }
 
-// hasShutDown reports whether an executor that no longer answers has shut down after its deregistration. One that deregistered
-// without draining may keep serving for an unknown time and be unreachable only for a moment. Its runs end when their lease
-// expires or when another incarnation answers.
+// hasShutDown reports whether an executor that no longer answers counts as shut down, because it was draining and deregistered more than
+// goneAfter ago. An executor that deregistered without draining may keep serving for an unknown time and be unreachable only for a
+// moment. Its runs end when their lease expires or when another incarnation answers.
 func (t *Table) hasShutDown(sender *executorState) bool {
 	return sender.isDeregistered && !sender.hasSkippedDrain && t.now()-sender.deregisteredAt > goneAfter
 }
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -21,7 +21,7 @@
 		status, _ := table.Heartbeat(id, &executorapi.Heartbeat{Service: "s", State: state, ClockMs: 1000, Sequence: sequence})
 		return status
 	}
-	// exchange composes an exchange and handles the given answer to it.
+	// exchange composes an exchange, handles the given answer to it, and returns the orders to deliver.
 	exchange := func(answer wire.ExchangeAnswer) []wire.Order {
 		call, isDue := table.Compose(0)
 		Expect(isDue).To(BeTrue())
@@ -212,24 +212,24 @@
 		Expect(work.Hold.LastSeen).To(Equal(int64(1)))
 	})
 
-	// A run that is missing in such an answer may have ended: its end did not fit.
+	// A run that is missing in such an answer may have ended as well, if its end did not fit.
 	It("does not use an answer with the maximum number of ends as a complete list of runs", func() {
 		exchange(wire.ExchangeAnswer{Fence: 1, WantedList: 1})
-		full := make([]executorapi.EndRow, executorapi.MaxEndsPerAnswer)
-		for index := range full {
-			full[index] = executorapi.EndRow{Number: int64(index + 1), Task: "t", Run: int64(index + 1), Outcome: "done"}
+		maxEnds := make([]executorapi.EndRow, executorapi.MaxEndsPerAnswer)
+		for index := range maxEnds {
+			maxEnds[index] = executorapi.EndRow{Number: int64(index + 1), Task: "t", Run: int64(index + 1), Outcome: "done"}
 		}
 		work, _ := table.NextHold(true)
-		table.HandleHold(work, executorapi.Answer{ClockMs: 1000, Ends: full})
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000, Ends: maxEnds})
 		call, _ := table.Compose(0)
 		Expect(call.ListNumber).To(BeZero())
-		Expect(call.Ends).To(HaveLen(len(full)))
+		Expect(call.Ends).To(HaveLen(len(maxEnds)))
 
-		exchange(wire.ExchangeAnswer{Fence: 1, LastSeen: int64(len(full)), WantedList: 1})
+		exchange(wire.ExchangeAnswer{Fence: 1, LastSeen: int64(len(maxEnds)), WantedList: 1})
 		work, isDue := table.NextHold(true)
 		Expect(isDue).To(BeTrue())
-		rest := []executorapi.EndRow{{Number: int64(len(full) + 1), Task: "t", Run: 501, Outcome: "done"}}
-		table.HandleHold(work, executorapi.Answer{ClockMs: 1000, Ends: rest})
+		furtherEnds := []executorapi.EndRow{{Number: int64(len(maxEnds) + 1), Task: "t", Run: 501, Outcome: "done"}}
+		table.HandleHold(work, executorapi.Answer{ClockMs: 1000, Ends: furtherEnds})
 		call, _ = table.Compose(0)
 		Expect(call.ListNumber).To(Equal(uint64(1)))
 		Expect(call.Ends).To(HaveLen(1))
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -7,7 +7,7 @@
 const (
 	// maxUncertainRuns is how many uncertain runs are remembered individually.
 	maxUncertainRuns = 10000
-	// startMarginMs is the least remaining lease of a run that is started, in milliseconds.
+	// startMarginMs is the least remaining lease with which a run is started, in milliseconds.
 	startMarginMs = 400
 )
 
@@ -26,26 +26,29 @@
 
 func runOf(order wire.Order) runKey { return runKey{order.Task, order.Run} }
 
-// inFlightOrder is an order in flight to the executor: the fence of the leader that gave it last, and the reading of the executor's
-// clock, in milliseconds, up to which a start is covered by the grant that came with it.
+// inFlightOrder is an order that is being delivered to the executor.
 type inFlightOrder struct {
-	fence         uint64
+	// fence is the fence of the last leader that gave the order.
+	fence uint64
+	// grantExpiryMs limits the lease with which a run is started. It is when the grant that came with the order expires, in milliseconds of
+	// the executor's clock.
 	grantExpiryMs int64
 }
 
-// accept returns the orders that are not in flight yet. The others stay in flight, under the fence of the leader that repeated them.
+// accept records the orders of an answer as in flight and returns those that were not in flight before. The others keep their grant and
+// get the fence of the leader that repeated them.
 func (t *Table) accept(current *executorState, orders []wire.Order, grantExpiryMs int64) []wire.Order {
 	accepted := orders[:0]
 	for _, order := range orders {
 		key := keyOf(order)
-		given, isInFlight := current.ordersInFlight[key]
-		given.fence = current.fence
+		inFlight, isInFlight := current.ordersInFlight[key]
+		inFlight.fence = current.fence
 		if !isInFlight {
 			current.lastBusyAt = t.now()
-			given.grantExpiryMs = grantExpiryMs
+			inFlight.grantExpiryMs = grantExpiryMs
 			accepted = append(accepted, order)
 		}
-		current.ordersInFlight[key] = given
+		current.ordersInFlight[key] = inFlight
 	}
 	return accepted
 }
@@ -58,8 +61,9 @@
 	ExpiryMs int64
 }
 
-// Ready checks an order right before it is sent: incarnation, leader, drain, evacuation and lease. An order that waited here while
-// the pool changed its leader is carried out only if the new leader gave it as well.
+// Ready returns the work for an order, or false if the order must not be sent now. It is called right before each attempt and checks the
+// incarnation, the leader, draining, evacuation, responsiveness and the lease. An order of a former leader is sent only if the current
+// leader has given it as well.
 func (t *Table) Ready(executorID string, order wire.Order) (OrderWork, bool) {
 	current := t.currentWithID(executorID)
 	if current == nil {
@@ -68,8 +72,8 @@
 		}
 		return OrderWork{}, false
 	}
-	given, isInFlight := current.ordersInFlight[keyOf(order)]
-	if isInFlight && given.fence != current.fence {
+	inFlight, isInFlight := current.ordersInFlight[keyOf(order)]
+	if isInFlight && inFlight.fence != current.fence {
 		delete(current.ordersInFlight, keyOf(order))
 		return OrderWork{}, false
 	}
@@ -78,12 +82,12 @@
 		return work, t.isStopReady(current, order)
 	}
 	if isInFlight {
-		work.ExpiryMs = min(work.ExpiryMs, given.grantExpiryMs)
+		work.ExpiryMs = min(work.ExpiryMs, inFlight.grantExpiryMs)
 	}
 	return work, t.isStartReady(current, work)
 }
 
-// isStopReady reports whether a stop may be sent. It is dropped while the executor is unresponsive; the leader repeats it.
+// isStopReady reports whether a stop may be sent. A stop is dropped while the executor is unresponsive; the leader repeats it.
 func (t *Table) isStopReady(current *executorState, order wire.Order) bool {
 	if t.isUnresponsive(current) {
 		delete(current.ordersInFlight, keyOf(order))
@@ -92,8 +96,8 @@
 	return true
 }
 
-// isStartReady reports whether a start may be sent. If not, the leader gets the reason; a start without enough lease is dropped, and
-// the leader repeats it.
+// isStartReady reports whether a start may be sent. A start with too little remaining lease is dropped, and the leader repeats it. If a
+// start may not be sent for another reason, the leader gets a result.
 func (t *Table) isStartReady(current *executorState, work OrderWork) bool {
 	switch {
 	case current.isDraining || t.isEvacuated():
@@ -108,7 +112,8 @@
 	return false
 }
 
-// HandleOrderRefusal records that nothing listens at the executor's address, so the order was certainly not carried out.
+// HandleOrderRefusal records that no connection to the executor could be made, so the order was certainly not carried out. The executor
+// counts as unresponsive at once.
 func (t *Table) HandleOrderRefusal(work OrderWork) {
 	if current := t.currentWithID(work.Executor); current != nil {
 		t.recordMisses(current, unresponsiveAfter)
@@ -117,7 +122,8 @@
 }
 
 // resultWhileUnresponsive returns the result of a start while the executor is unresponsive. A start that may have reached the
-// executor is reported as timed out: the leader repeats it, which settles it sooner than a stop.
+// executor is reported as timed out, so that the leader repeats it: an answer to the repeated start settles the outcome sooner than a
+// stop.
 func (e *executorState) resultWhileUnresponsive(order wire.Order) wire.OrderResult {
 	if e.isUncertain(runOf(order)) {
 		return wire.ResultTimeout
@@ -125,8 +131,8 @@
 	return wire.ResultUnhealthy
 }
 
-// isUncertain reports whether a start of the run may still be carried out. An answered stop ends the uncertainty, as the executor
-// refuses the run from then on.
+// isUncertain reports whether an unanswered start of the run may still be carried out. A start or stop that was carried out ends the
+// uncertainty, unless areAllUncertain is set: after a stop the executor refuses to start the run.
 func (e *executorState) isUncertain(run runKey) bool {
 	return e.uncertainRuns[run] || e.areAllUncertain
 }
@@ -146,7 +152,8 @@
 	t.recordLostAnswer(known)
 }
 
-// HandleOrderResult queues the result of an order for the leader. A refusal of an uncertain run is reported as uncertain.
+// HandleOrderResult queues the result of an order for the leader. A refused start of an uncertain run is reported as uncertain, as an
+// earlier attempt may still be carried out.
 func (t *Table) HandleOrderResult(work OrderWork, result wire.OrderResult) {
 	known := t.find(work.Executor)
 	if known == nil {
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -17,39 +17,43 @@
 const (
 	// holdPause is the pause between an answered hold and the next one.
 	holdPause = 15 * time.Millisecond
-	// unansweredHoldPause is the least time from the start of a failed hold with the short wait to the next one.
-	unansweredHoldPause = 100 * time.Millisecond
+	// failedHoldInterval is the least time from the start of a failed hold with the short wait to the start of the next hold.
+	failedHoldInterval = 100 * time.Millisecond
 	// pollWaitMs is how long the leader may keep a poll open, in milliseconds.
 	pollWaitMs = 300
 	// startReportDelay is how long the report of a started run waits for further changes.
 	startReportDelay = 80 * time.Millisecond
-	// orderTimeout, maxOrderAttempts and maxConcurrentOrders apply to the calls that deliver orders to the executor.
+	// orderTimeout is the timeout of one call that delivers an order to the executor, maxOrderAttempts the limit of calls per order, and
+	// maxConcurrentOrders the limit of orders that are delivered at the same time.
 	orderTimeout        = 150 * time.Millisecond
 	maxOrderAttempts    = 2
 	maxConcurrentOrders = 6
 	// leaderRetryDelay is the pause after an exchange that the leader did not answer.
 	leaderRetryDelay = 60 * time.Millisecond
-	// retryDelay is the pause after a failed hold, and the poll interval while there is no executor.
+	// retryDelay is the pause after a failed hold with the normal wait or for a list of runs, and the interval of checks whether a hold is
+	// due or an executor has registered.
 	retryDelay = 300 * time.Millisecond
-	// exchangeTimeout is how long an exchange may take beyond its wait at the leader.
+	// exchangeTimeout is how long an exchange may take in addition to its wait at the leader.
 	exchangeTimeout = 1500 * time.Millisecond
 )
 
 // Proxy connects one executor to the leader of its pool. It receives the executor's heartbeats, delivers orders to it and
 // reports running and ended runs to the leader.
 type Proxy struct {
-	mailbox    *mailbox.Mailbox
-	table      *Table
-	clock      clock.Clock
-	log        logging.Logger
-	executor   *executorapi.Client
-	caller     *peerapi.Caller
-	view       func() *membership.View
-	service    string
+	mailbox  *mailbox.Mailbox
+	table    *Table
+	clock    clock.Clock
+	log      logging.Logger
+	executor *executorapi.Client
+	caller   *peerapi.Caller
+	view     func() *membership.View
+	service  string
+	// reportDue, runStarted, listDue and ackDue carry the table's signals to the loops; see NewTable and WithStartSignal.
 	reportDue  chan struct{}
 	runStarted chan struct{}
 	listDue    chan struct{}
 	ackDue     chan struct{}
+	// orderSlots limits the orders that are delivered at the same time to maxConcurrentOrders.
 	orderSlots chan struct{}
 }
 
@@ -64,7 +68,7 @@
 	return proxy
 }
 
-// signal does not block: a signal that was not yet received covers later ones.
+// signal sends a signal without blocking. If an earlier signal was not received yet, that one stands for both.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -72,7 +76,7 @@
 	}
 }
 
-// Run runs the hold, list, poll and report loops until ctx is done.
+// Run runs the hold, list, poll and report loops and handles the messages in the mailbox until ctx is done.
 func (p *Proxy) Run(ctx context.Context) error {
 	go p.holdLoop(ctx)
 	go p.listLoop(ctx)
@@ -82,13 +86,13 @@
 	return nil
 }
 
-// ask runs a question on the goroutine that owns the table. It returns false if ctx ends before the answer.
-func ask[T any](ctx context.Context, p *Proxy, question func() T) (T, bool) {
-	value, err := mailbox.Ask(ctx, p.mailbox, func(answer func(T)) { answer(question()) })
+// ask runs a function on the goroutine that owns the table and returns its result. It returns false if ctx ends before that.
+func ask[T any](ctx context.Context, p *Proxy, function func() T) (T, bool) {
+	value, err := mailbox.Ask(ctx, p.mailbox, func(answer func(T)) { answer(function()) })
 	return value, err == nil
 }
 
-// pause returns false if ctx ends before the wait is over.
+// pause waits for the given time. It returns false if ctx ends before the wait is over.
 func (p *Proxy) pause(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -105,8 +109,8 @@
 		refusal.Write(to)
 		return
 	}
-	answer, isTaken := ask(request.Context(), p, func() response.Reply { return p.execute(command) })
-	if !isTaken {
+	answer, isOpen := ask(request.Context(), p, func() response.Reply { return p.execute(command) })
+	if !isOpen {
 		answer = response.Text(http.StatusServiceUnavailable, "the table is busy")
 	}
 	answer.Write(to)
--- a/internal/node/localproxy/responsiveness.go
+++ b/internal/node/localproxy/responsiveness.go
@@ -1,7 +1,7 @@
 package localproxy
 
 // isUnresponsive reports whether the last unresponsiveAfter calls or more went unanswered, the last of them less than unresponsiveFor
-// ago. Holds are still sent meanwhile, except those for a list of runs; an answer ends the state.
+// ago. An unresponsive executor still gets holds, except those for a list of runs. An answer makes it responsive again.
 func (t *Table) isUnresponsive(executor *executorState) bool {
 	return executor.misses >= unresponsiveAfter && t.now()-executor.missedAt < unresponsiveFor
 }
@@ -15,6 +15,7 @@
 	}
 }
 
+// recordLostAnswer records that an answer may have been lost, so that the next holds use the short wait.
 func (t *Table) recordLostAnswer(executor *executorState) {
 	executor.lostAt, executor.hasLostAnswer = t.now(), true
 }
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -17,20 +17,20 @@
 	service string
 	domain  string
 	name    string
-	// current is the incarnation of the executor that sent the last heartbeat. It is nil before the first one, and after the last known
-	// incarnation has ended.
+	// current is the incarnation of the executor that sent the last heartbeat, or the latest of others once that one has ended. It is nil
+	// before the first heartbeat and after the last known incarnation has ended.
 	current *executorState
-	// others are incarnations that sent heartbeats before. They count as gone once the current incarnation answers a hold that was
-	// composed after it became current.
+	// others are the earlier current incarnations that are not known to have ended. They count as gone once the current incarnation answers
+	// a hold that was composed after it became current.
 	others []*executorState
 	// gone are the IDs of the last maxGone incarnations that have ended.
 	gone []string
-	// deregistered are the IDs of the last maxGone incarnations that deregistered while this process did not know them. A heartbeat of
-	// theirs may still arrive.
+	// deregistered are the IDs of the last maxGone incarnations that deregistered while this process did not know them. Their heartbeats may
+	// still arrive.
 	deregistered []string
-	// drainTime is how long an executor serves after a deregistration that it did not announce by draining.
+	// drainTime is how long an executor is expected to serve after it deregistered without draining first.
 	drainTime time.Duration
-	// The functions signal the proxy's loops; see NewTable.
+	// These functions signal the proxy's loops; see NewTable and WithStartSignal.
 	onReportDue  func()
 	onListDue    func()
 	onAckDue     func()
@@ -39,7 +39,7 @@
 	session uint64
 	// evacuation reports whether an evacuation of the zone is ordered, and when this process was informed of it, on the table's clock.
 	evacuation func() (since time.Duration, isOrdered bool)
-	// evacuationGrace is how long after that time launches are still carried out.
+	// evacuationGrace is how long after that time starts are still carried out.
 	evacuationGrace time.Duration
 }
 
@@ -50,7 +50,7 @@
 // any earlier proxy process on this machine.
 func WithSession(number uint64) TableOption { return func(t *Table) { t.session = number } }
 
-// WithDrainTime sets how long an executor keeps serving, at least, after its deregistration.
+// WithDrainTime sets how long an executor that deregisters without draining first keeps serving, at least.
 func WithDrainTime(length time.Duration) TableOption { return func(t *Table) { t.drainTime = length } }
 
 // WithStartSignal sets the function that is called instead of onReportDue when a run was started, as that report can be delayed.
