--- a/internal/gate/balancer/balancer.go
+++ b/internal/gate/balancer/balancer.go
@@ -1,6 +1,7 @@
 // Package balancer chooses the executor of a request. A gate knows only its own requests and the load that executors report in answers.
 // If all gates chose the lowest load from the same stale reports, they would overload one executor. Therefore each request has two
-// candidates, given by the shared part of its prompt and the same at every gate of a zone, and goes to the one with less load.
+// candidates and goes to the one with less load. The candidates depend on the affinity of the request, which is the part of its prompt that
+// it shares with other requests, and are the same at every gate of a zone.
 package balancer
 
 import (
@@ -21,32 +22,32 @@
 	fullLoad = 0.9
 	// reportLifetime is how long a load report is used.
 	reportLifetime = 500 * time.Millisecond
-	// failuresToEject is how many consecutive failures eject an executor for ejectionTime. A call without a complete answer ejects it at
-	// once, for unreachableTime.
+	// failuresToEject is how many consecutive failures eject an executor for ejectionTime. A call without a complete answer ejects an
+	// executor at once, for unreachableTime.
 	failuresToEject = 2
 	ejectionTime    = 2 * time.Second
 	unreachableTime = 700 * time.Millisecond
 	// silentAfter is how long an executor with requests in flight may answer none of them before others are preferred. A busy executor
-	// answers some of its requests. One whose machine is down answers none and closes no connection.
+	// still answers some of its requests. An executor whose machine is down answers none, and its connections stay open.
 	silentAfter = 500 * time.Millisecond
 )
 
 // Executor is an executor with its load and health as seen by this process. Any goroutine may use it.
 type Executor struct {
 	wire.ExecutorRecord
-	// inFlight is the number of requests of this process that the executor has now.
+	// inFlight is the number of requests that this process has sent to the executor and that have not ended.
 	inFlight atomic.Int64
 	// reported is the last reported number of running and waiting requests; reportedAt is the time of the report on the monotonic clock.
 	reported   atomic.Int64
 	reportedAt atomic.Int64
-	// failures counts consecutive failures. ejectedUntil is the end of the last ejection on the monotonic clock.
+	// failures counts consecutive failures. ejectedUntil is when the last ejection ends, on the monotonic clock.
 	failures     atomic.Int64
 	ejectedUntil atomic.Int64
 	// lastActivityAt is when the executor last answered, or got a request while it had none, on the monotonic clock.
 	lastActivityAt atomic.Int64
 }
 
-// RecordStart counts a request that is sent to the executor, until RecordEnd.
+// RecordStart counts a request as in flight, from when it is sent to the executor until RecordEnd.
 func (e *Executor) RecordStart(now time.Duration) {
 	if e.inFlight.Add(1) == 1 {
 		e.RecordActivity(now)
@@ -56,7 +57,7 @@
 // RecordEnd counts the end of a request, whatever its result.
 func (e *Executor) RecordEnd() { e.inFlight.Add(-1) }
 
-// RecordActivity records that the executor answered something: the head of an answer or an event.
+// RecordActivity records that a part of an answer arrived from the executor: its head or an event.
 func (e *Executor) RecordActivity(now time.Duration) { e.lastActivityAt.Store(int64(now)) }
 
 // isSilent reports whether the executor has requests of this process and answered none of them for silentAfter.
@@ -64,15 +65,15 @@
 	return e.inFlight.Load() > 0 && now-time.Duration(e.lastActivityAt.Load()) > silentAfter
 }
 
-// RecordTimeout records a request that timed out before the executor answered it. If the executor answered no other request within
-// silentAfter either, it is ejected.
+// RecordTimeout records a request that timed out before the executor answered it. The executor is ejected if it answered no other request
+// within silentAfter either.
 func (e *Executor) RecordTimeout(now time.Duration) {
 	if now-time.Duration(e.lastActivityAt.Load()) > silentAfter {
 		e.eject(now + ejectionTime)
 	}
 }
 
-// RecordLoad stores the load that the executor reported, in requests.
+// RecordLoad stores the numbers of running and waiting requests that the executor reported.
 func (e *Executor) RecordLoad(running, waiting int64, now time.Duration) {
 	e.reported.Store(running + waiting)
 	e.reportedAt.Store(int64(now))
@@ -81,8 +82,8 @@
 // RecordSuccess records an answer without a failure and resets the count of failures.
 func (e *Executor) RecordSuccess() { e.failures.Store(0) }
 
-// RecordFailure records an answer that shows a failure of the executor. failuresToEject of them in a row eject it; after that ejection
-// each further failure ejects it again, until a success.
+// RecordFailure records an answer that shows a failure of the executor. failuresToEject consecutive failures eject the executor. After that
+// ejection each further failure ejects it again, until a success.
 func (e *Executor) RecordFailure(now time.Duration) {
 	if e.failures.Add(1) >= failuresToEject {
 		e.eject(now + ejectionTime)
@@ -117,7 +118,7 @@
 	zone     string
 	clock    clock.Clock
 	services atomic.Pointer[map[string][]*Executor]
-	// known are the executors by ID.
+	// known are the executors of the last list by ID. Only Update uses it.
 	known map[string]*Executor
 	// isEvacuated reports whether a zone is evacuated, so that no new requests may be sent there.
 	isEvacuated func(zone string) bool
@@ -141,7 +142,7 @@
 	return balancer
 }
 
-// Update replaces the list of executors. An executor whose record is unchanged keeps its load and health; one with a changed record
+// Update replaces the list of executors. An executor whose record is unchanged keeps its load and health. An executor with a changed record
 // keeps only its failures and ejection.
 func (b *Balancer) Update(records []wire.ExecutorRecord) {
 	known, services := map[string]*Executor{}, map[string][]*Executor{}
@@ -160,7 +161,8 @@
 	b.services.Store(&services)
 }
 
-// with returns a copy of the executor with another record. Requests in flight stay counted at the old one, where they end.
+// with returns a new executor with another record and the same failures and ejection. Requests in flight stay counted at the old executor,
+// as their RecordEnd is called there.
 func (e *Executor) with(record wire.ExecutorRecord) *Executor {
 	next := &Executor{ExecutorRecord: record}
 	next.failures.Store(e.failures.Load())
@@ -179,8 +181,8 @@
 }
 
 // Choose returns an executor of a service for a request with an affinity, or nil if there is none. Draining and excluded executors and
-// those of evacuated zones are never chosen, ejected and silent ones only if there is no other. The candidates in this gate's zone go
-// first, then those in other zones. If all of them are full, the least loaded executor is chosen.
+// those of evacuated zones are never chosen; ejected and silent ones are chosen only if there is no other. Choose prefers the less loaded
+// candidate in this gate's zone, then the one in the other zones. If both are full, it returns the least loaded executor of all zones.
 func (b *Balancer) Choose(service, affinity string, excluded []string) *Executor {
 	now := b.clock.Monotonic()
 	var sameZone, otherZones, ejected []*Executor
@@ -206,7 +208,8 @@
 	return leastLoaded(ejected, now)
 }
 
-// candidatesFor returns the executors with the highest rendezvous-hashing weights for an affinity.
+// candidatesFor returns the candidateCount executors with the highest rendezvous-hashing weights for an affinity, or all if there are no
+// more.
 func candidatesFor(executors []*Executor, affinity string) []*Executor {
 	if len(executors) <= candidateCount {
 		return executors
@@ -233,7 +236,7 @@
 	sum.Write([]byte(affinity))
 	sum.Write([]byte{'/'})
 	sum.Write([]byte(executor))
-	// The last bytes of the text change only the low bits of the hash; the multiplication spreads them over the high bits.
+	// The last bytes of the text hardly change the high bits of the hash. The multiplication spreads the low bits over the high bits.
 	return sum.Sum64() * 0x9e3779b97f4a7c15
 }
 
--- a/internal/gate/balancer/balancer_test.go
+++ b/internal/gate/balancer/balancer_test.go
@@ -14,6 +14,7 @@
 
 const service = "s"
 
+// executors returns the records of a number of executors, which are spread evenly over the zones.
 func executors(count int, zones ...string) []wire.ExecutorRecord {
 	var all []wire.ExecutorRecord
 	for number := range count {
@@ -33,16 +34,16 @@
 })
 
 var _ = Describe("Choose", func() {
-	var now *clock.Fake
+	var fakeClock *clock.Fake
 	var picker *balancer.Balancer
 	BeforeEach(func() {
-		now = clock.NewFake(1_000_000)
-		now.Advance(time.Minute)
-		picker = balancer.New("near", now)
+		fakeClock = clock.NewFake(1_000_000)
+		fakeClock.Advance(time.Minute)
+		picker = balancer.New("near", fakeClock)
 	})
 
 	It("returns the same candidate at every gate for one affinity, and spreads many affinities over all executors", func() {
-		other := balancer.New("near", now)
+		other := balancer.New("near", fakeClock)
 		picker.Update(executors(12, "near"))
 		other.Update(executors(12, "near"))
 		chosen := map[string]int{}
@@ -61,14 +62,14 @@
 	It("returns the candidate with less load, by its own requests and by load reports until they expire", func() {
 		picker.Update(executors(8, "near"))
 		first := picker.Choose(service, "p", nil)
-		first.RecordStart(now.Monotonic())
+		first.RecordStart(fakeClock.Monotonic())
 		second := picker.Choose(service, "p", nil)
 		Expect(second.ID).NotTo(Equal(first.ID))
 		first.RecordEnd()
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(first.ID))
-		first.RecordLoad(3, 0, now.Monotonic())
+		first.RecordLoad(3, 0, fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(second.ID))
-		now.Advance(time.Second)
+		fakeClock.Advance(time.Second)
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(first.ID))
 	})
 
@@ -77,7 +78,7 @@
 		for range 2 {
 			executor := picker.Choose(service, "p", nil)
 			Expect(executor.Zone).To(Equal("near"))
-			executor.RecordLoad(4, 0, now.Monotonic())
+			executor.RecordLoad(4, 0, fakeClock.Monotonic())
 		}
 		Expect(picker.Choose(service, "p", nil).Zone).To(Equal("far"))
 	})
@@ -88,17 +89,17 @@
 		picker.Update(records)
 		Expect(picker.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
 		failing := picker.Choose(service, "p", []string{"i-01"})
-		failing.RecordFailure(now.Monotonic())
+		failing.RecordFailure(fakeClock.Monotonic())
 		failing.RecordSuccess()
-		failing.RecordFailure(now.Monotonic())
+		failing.RecordFailure(fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
-		failing.RecordFailure(now.Monotonic())
+		failing.RecordFailure(fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal("i-01"))
 		Expect(picker.Choose(service, "p", []string{"i-01"}).ID).To(Equal("i-02"))
-		now.Advance(3 * time.Second)
+		fakeClock.Advance(3 * time.Second)
 		failing.RecordSuccess()
 		other := picker.Choose(service, "p", []string{"i-02"})
-		other.RecordStart(now.Monotonic())
+		other.RecordStart(fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal("i-02"))
 		Expect(picker.Choose("unknown", "p", nil)).To(BeNil())
 	})
@@ -106,34 +107,34 @@
 	It("avoids an executor that has requests and answers none, until it answers one of them", func() {
 		picker.Update(executors(2, "near"))
 		silent := picker.Choose(service, "p", nil)
-		silent.RecordStart(now.Monotonic())
+		silent.RecordStart(fakeClock.Monotonic())
 		other := picker.Choose(service, "p", []string{silent.ID})
 		for range 2 {
-			other.RecordStart(now.Monotonic())
+			other.RecordStart(fakeClock.Monotonic())
 		}
 		Expect(other.ID).NotTo(Equal(silent.ID))
-		now.Advance(500 * time.Millisecond)
-		other.RecordActivity(now.Monotonic())
+		fakeClock.Advance(500 * time.Millisecond)
+		other.RecordActivity(fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(silent.ID), "the one with less load")
-		now.Advance(time.Millisecond)
+		fakeClock.Advance(time.Millisecond)
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(other.ID))
-		silent.RecordActivity(now.Monotonic())
+		silent.RecordActivity(fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(silent.ID))
 	})
 
 	It("leaves out an executor after a timeout if it answered no other request, and not if it did", func() {
 		picker.Update(executors(2, "near"))
 		silent := picker.Choose(service, "p", nil)
-		silent.RecordStart(now.Monotonic())
-		now.Advance(2 * time.Second)
-		silent.RecordTimeout(now.Monotonic())
+		silent.RecordStart(fakeClock.Monotonic())
+		fakeClock.Advance(2 * time.Second)
+		silent.RecordTimeout(fakeClock.Monotonic())
 		silent.RecordEnd()
 		Expect(picker.Choose(service, "p", nil).ID).NotTo(Equal(silent.ID))
 		busy := picker.Choose(service, "p", nil)
-		busy.RecordStart(now.Monotonic())
-		now.Advance(2 * time.Second)
-		busy.RecordActivity(now.Monotonic())
-		busy.RecordTimeout(now.Monotonic())
+		busy.RecordStart(fakeClock.Monotonic())
+		fakeClock.Advance(2 * time.Second)
+		busy.RecordActivity(fakeClock.Monotonic())
+		busy.RecordTimeout(fakeClock.Monotonic())
 		busy.RecordEnd()
 		Expect(picker.Choose(service, "p", []string{silent.ID}).ID).To(Equal(busy.ID))
 		Expect(picker.Choose(service, "p", nil)).NotTo(BeNil())
@@ -142,16 +143,16 @@
 	It("leaves out an executor at once, for a shorter time, after a call without a complete answer", func() {
 		picker.Update(executors(2, "near"))
 		first := picker.Choose(service, "p", nil)
-		first.RecordUnreachable(now.Monotonic())
+		first.RecordUnreachable(fakeClock.Monotonic())
 		Expect(picker.Choose(service, "p", nil).ID).NotTo(Equal(first.ID))
-		now.Advance(time.Second)
+		fakeClock.Advance(time.Second)
 		Expect(picker.Choose(service, "p", nil).ID).To(Equal(first.ID))
 	})
 
 	It("keeps the load of executors that stay in the list", func() {
 		picker.Update(executors(2, "near"))
 		busy := picker.Choose(service, "p", nil)
-		busy.RecordStart(now.Monotonic())
+		busy.RecordStart(fakeClock.Monotonic())
 		picker.Update(executors(4, "near"))
 		Expect(picker.Choose(service, "p", nil).ID).NotTo(Equal(busy.ID))
 		Expect(picker.HasExecutors()).To(BeTrue())
--- a/internal/gate/clientapi/body.go
+++ b/internal/gate/clientapi/body.go
@@ -9,7 +9,7 @@
 )
 
 // ReadBody reads the whole body of a client's request. The size limit is that of the configuration, or defaultLimit bytes if the
-// configuration sets none. A reply with a status means that the body was refused.
+// configuration sets none or there is no configuration. A reply with a status means that the body was refused.
 func ReadBody(snapshot *configcache.Snapshot, request *http.Request, defaultLimit int64) ([]byte, response.Reply) {
 	limit := defaultLimit
 	if snapshot != nil && snapshot.Matcher.Configuration().Limits.BodyBytes > 0 {
--- a/internal/gate/clientapi/clientapi.go
+++ b/internal/gate/clientapi/clientapi.go
@@ -32,8 +32,8 @@
 	// Refusal is the answer if Call is nil.
 	Refusal response.Reply
 	Call    *wire.ClientCall
-	// OtherServices are the further services whose pools may have the job: former ones of the queue, and those of a rollout. For a count
-	// it is only the new version of a rollout.
+	// OtherServices are the further services whose pools may have the job: former services of the queue, and those of a rollout. For a
+	// count of waiting jobs it is only the service of a rollout's new version.
 	OtherServices []string
 	// Timeout is how long the calls may take in total.
 	Timeout time.Duration
@@ -85,7 +85,7 @@
 }
 
 // TenantOf returns the name of the tenant whose key a request carries, or an empty name if the route needs no key. isKnown is false if
-// the route needs a key and the request carries none of the configuration's.
+// the route needs a key and the request carries no key of the configuration.
 func TenantOf(snapshot *configcache.Snapshot, route *configuration.Route, request *http.Request) (name string, isKnown bool) {
 	if !snapshot.Matcher.NeedsKey(route) {
 		return "", true
@@ -160,8 +160,8 @@
 // verbRefused is the verb in the metrics for requests that are refused without a call to a pool.
 const verbRefused wire.Verb = "refused"
 
-// answer reads the request and returns its verb and answer. The client's remaining time counts from startedAt, before the body was
-// read.
+// answer reads the request and returns its verb and answer. The client's remaining time counts from startedAt, when the body was not read
+// yet.
 func (g *Gate) answer(to http.ResponseWriter, request *http.Request, startedAt time.Duration) (wire.Verb, response.Reply) {
 	body, refusal := ReadBody(g.snapshot(), request, defaultMaxBody)
 	headerrules.Echo(request.Header, to.Header())
@@ -196,7 +196,7 @@
 	Count int64 `json:"waiting-count"`
 }
 
-// count adds up the waiting jobs in the pools of all versions that run the queue's jobs.
+// count adds up the waiting jobs in the pools of all versions that run the queue's jobs. If a pool does not answer, there is no count.
 func (g *Gate) count(ctx context.Context, decision Decision, deadline time.Duration) response.Reply {
 	outcome := g.leaderClient.Ask(ctx, decision.Call, (deadline-g.clock.Monotonic())/time.Duration(1+len(decision.OtherServices)))
 	if len(decision.OtherServices) == 0 {
@@ -232,8 +232,9 @@
 	return ResponseOf(decision.Call, outcome)
 }
 
-// renounce has another pool of the queue promise not to accept the job, as an earlier attempt of the submission may still be on its
-// way there. A leader of an older software version does not support this and is only asked whether it has the job.
+// renounce asks another pool of the queue to promise not to accept the job, as an earlier attempt of the submission may still arrive there.
+// A leader of an older software version does not support this and is only asked whether it has the job. Status 410 means that the pool
+// has promised or, of an older leader, that it does not have the job.
 func (g *Gate) renounce(ctx context.Context, submission *wire.ClientCall, service string, deadline time.Duration) (*wire.ClientCall, leaderclient.Outcome) {
 	call := callToPool(submission, service, wire.VerbRenounce)
 	outcome := g.leaderClient.Ask(ctx, call, (deadline-g.clock.Monotonic())/2)
@@ -244,9 +245,10 @@
 	return call, outcome
 }
 
-// findJob asks the pool of the queue for a job, then the pools of the other services. A pool that does not answer does not hide a job
-// of the others. A job is gone only if every pool answers that it does not have it. A pool that has transferred the job names the
-// target; the transfer may have happened after the target was asked, so the target is asked once more.
+// findJob sends a read or a cancellation of a job to the pool of the queue, then to the pools of the other services, until a pool has the
+// job. If a pool does not answer, the others are still asked. The job is gone only if every pool answers that it does not have it. A pool
+// that has transferred the job names the target. As the transfer may have happened after the target was asked, the target is then asked
+// once more.
 func (g *Gate) findJob(ctx context.Context, decision Decision, deadline time.Duration) response.Reply {
 	calls := []*wire.ClientCall{decision.Call}
 	for _, service := range decision.OtherServices {
@@ -288,8 +290,8 @@
 	return &other
 }
 
-// ResponseOf returns the answer to a client. A submission is refused only if no steward can have accepted it; otherwise the answer
-// says that the outcome is unknown.
+// ResponseOf returns the answer to a client. A submission gets status 429 or 503 only if no steward can have accepted it; if one may have,
+// the answer says that the outcome is unknown.
 func ResponseOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	switch {
--- a/internal/gate/clientapi/clientapi_test.go
+++ b/internal/gate/clientapi/clientapi_test.go
@@ -30,33 +30,33 @@
 	return &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(decoded)}
 }
 
-func request(method, path string) *http.Request {
-	one := httptest.NewRequest(method, "http://h.example"+path, nil)
-	one.Host = "h.example"
-	return one
+func newRequest(method, path string) *http.Request {
+	request := httptest.NewRequest(method, "http://h.example"+path, nil)
+	request.Host = "h.example"
+	return request
 }
 
 const id = "5c0e7a21d94b36f8"
 
 var _ = Describe("a client's request", func() {
 	It("becomes a call to the leader of the route's pool", func() {
-		decision := clientapi.Decide(testSnapshot(), request("POST", "/q/"+id), []byte(`{}`))
+		decision := clientapi.Decide(testSnapshot(), newRequest("POST", "/q/"+id), []byte(`{}`))
 		Expect(decision.Call.Key).To(Equal("pool/s"))
 		Expect(decision.Call.Verb).To(Equal(wire.VerbSubmit))
 		Expect(decision.Call.Terms.MaxAttempts).To(Equal(4))
-		Expect(clientapi.Decide(testSnapshot(), request("GET", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbState))
-		Expect(clientapi.Decide(testSnapshot(), request("DELETE", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbCancel))
-		Expect(clientapi.Decide(testSnapshot(), request("GET", "/q/"), nil).Call.Verb).To(Equal(wire.VerbCount))
+		Expect(clientapi.Decide(testSnapshot(), newRequest("GET", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbState))
+		Expect(clientapi.Decide(testSnapshot(), newRequest("DELETE", "/q/"+id), nil).Call.Verb).To(Equal(wire.VerbCancel))
+		Expect(clientapi.Decide(testSnapshot(), newRequest("GET", "/q/"), nil).Call.Verb).To(Equal(wire.VerbCount))
 	})
 
 	It("gets the client's remaining time as its timeout", func() {
-		one := request("GET", "/q/"+id)
-		one.Header.Set("X-Time-Remaining", "700")
-		Expect(clientapi.Decide(testSnapshot(), one, nil).Timeout).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
+		request := newRequest("GET", "/q/"+id)
+		request.Header.Set("X-Time-Remaining", "700")
+		Expect(clientapi.Decide(testSnapshot(), request, nil).Timeout).To(BeNumerically("~", 700*time.Millisecond, 30*time.Millisecond))
 	})
 
 	DescribeTable("is refused at once for", func(method, path, text string, status int) {
-		decision := clientapi.Decide(testSnapshot(), request(method, path), []byte(text))
+		decision := clientapi.Decide(testSnapshot(), newRequest(method, path), []byte(text))
 		Expect(decision.Call).To(BeNil())
 		Expect(decision.Refusal.Status).To(Equal(status))
 	},
@@ -73,9 +73,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		withTenant := &configcache.Snapshot{Committed: &wire.Configuration{Version: 7}, Matcher: configuration.NewMatcher(decoded)}
 		decide := func(authorization string) clientapi.Decision {
-			one := request("POST", "/q/"+id)
-			one.Header.Set("Authorization", authorization)
-			return clientapi.Decide(withTenant, one, []byte(`{}`))
+			request := newRequest("POST", "/q/"+id)
+			request.Header.Set("Authorization", authorization)
+			return clientapi.Decide(withTenant, request, []byte(`{}`))
 		}
 		for _, authorization := range []string{"", "Bearer", "Bearer ", "Bearer k2", "Basic k1", "k1"} {
 			refused := decide(authorization)
@@ -86,8 +86,8 @@
 		for _, authorization := range []string{"Bearer k1", "bearer k1"} {
 			Expect(decide(authorization).Call.Tenant).To(Equal("t"), authorization)
 		}
-		Expect(clientapi.Decide(testSnapshot(), request("GET", "/q/"+id), nil).Call.Tenant).To(BeEmpty())
-		unknown := request("GET", "/other/")
+		Expect(clientapi.Decide(testSnapshot(), newRequest("GET", "/q/"+id), nil).Call.Tenant).To(BeEmpty())
+		unknown := newRequest("GET", "/other/")
 		Expect(clientapi.Decide(withTenant, unknown, nil).Refusal.Status).To(Equal(404))
 	})
 
@@ -103,11 +103,12 @@
 				func() *membership.View { return &membership.View{} }), clock, clientapi.WithKeyFreshness(func() bool { return isFresh }))
 			ctx, end := context.WithCancel(context.Background())
 			end()
-			one := request("GET", "/q/"+id).WithContext(ctx)
-			one.Header.Set("Authorization", authorization)
+			request := newRequest("GET", "/q/"+id).WithContext(ctx)
+			request.Header.Set("Authorization", authorization)
 			answer := httptest.NewRecorder()
-			gate.ServeHTTP(answer, one)
+			gate.ServeHTTP(answer, request)
 			Expect(answer.Body.String()).NotTo(ContainSubstring("k1"))
+			// A negative status marks a refusal because of the keys.
 			if strings.Contains(answer.Body.String(), "sure of the keys") {
 				return -answer.Code
 			}
@@ -126,15 +127,15 @@
 		gate := clientapi.New(testSnapshot, leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, view), clock)
 		before := metrics.Own()
 		for _, path := range []string{"/other/", "/q/" + id} {
-			one := request("GET", path)
+			request := newRequest("GET", path)
 			ctx, end := context.WithCancel(context.Background())
 			end()
-			gate.ServeHTTP(httptest.NewRecorder(), one.WithContext(ctx))
+			gate.ServeHTTP(httptest.NewRecorder(), request.WithContext(ctx))
 		}
-		own := metrics.Own()
+		counters := metrics.Own()
 		for _, name := range []string{`calls_total{verb="refused",status="404"}`, `calls_total{verb="state",status="503"}`,
 			`call_seconds_count{verb="refused"}`, `call_seconds_count{verb="state"}`} {
-			Expect(own["gannetline_client_"+name] - before["gannetline_client_"+name]).To(Equal(1.0))
+			Expect(counters["gannetline_client_"+name] - before["gannetline_client_"+name]).To(Equal(1.0))
 		}
 	})
 
@@ -149,11 +150,11 @@
 	)
 
 	It("is refused with an invalid remaining time, and gets 503 before the first configuration", func() {
-		one := request("GET", "/q/"+id)
-		one.Header.Set("X-Time-Remaining", "soon")
-		Expect(clientapi.Decide(testSnapshot(), one, nil).Refusal.Status).To(Equal(400))
-		none := clientapi.Decide(nil, request("GET", "/q/"+id), nil)
-		Expect(none.Refusal.Status).To(Equal(503))
-		Expect(none.Refusal.RetryAfter).To(BeNumerically(">", 0))
+		request := newRequest("GET", "/q/"+id)
+		request.Header.Set("X-Time-Remaining", "soon")
+		Expect(clientapi.Decide(testSnapshot(), request, nil).Refusal.Status).To(Equal(400))
+		withoutConfiguration := clientapi.Decide(nil, newRequest("GET", "/q/"+id), nil)
+		Expect(withoutConfiguration.Refusal.Status).To(Equal(503))
+		Expect(withoutConfiguration.Refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 })
--- a/internal/gate/clientapi/leaving_test.go
+++ b/internal/gate/clientapi/leaving_test.go
@@ -19,7 +19,7 @@
 	"gannetline/internal/platform/clock"
 )
 
-// silentPeer answers no call; it reports each one on a channel.
+// silentPeer answers no call. It reports each call on the channel received.
 type silentPeer struct{ received chan struct{} }
 
 func (s silentPeer) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -28,12 +28,12 @@
 	return nil, request.Context().Err()
 }
 
-// hurriedClock advances by each wait at once.
-type hurriedClock struct{ *clock.Fake }
+// advancingClock advances by the time of each wait at once, so that no wait takes real time.
+type advancingClock struct{ *clock.Fake }
 
-func (h hurriedClock) After(wait time.Duration) <-chan time.Time {
-	timer := h.Fake.After(wait)
-	h.Advance(wait)
+func (c advancingClock) After(wait time.Duration) <-chan time.Time {
+	timer := c.Fake.After(wait)
+	c.Advance(wait)
 	return timer
 }
 
@@ -62,8 +62,8 @@
 			cancel()
 		}()
 		answer := httptest.NewRecorder()
-		one := httptest.NewRequest(method, "http://h.example/q/"+id, strings.NewReader("{}"))
-		gate.ServeHTTP(answer, one.WithContext(ctx))
+		request := httptest.NewRequest(method, "http://h.example/q/"+id, strings.NewReader("{}"))
+		gate.ServeHTTP(answer, request.WithContext(ctx))
 		Expect(answer.Code).To(Equal(status))
 	},
 		Entry("a submission, whose outcome is unknown", http.MethodPost, 504),
@@ -76,9 +76,9 @@
 		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return view })
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		one := httptest.NewRequest(http.MethodPost, "http://h.example/q/"+id, strings.NewReader("{}"))
+		request := httptest.NewRequest(http.MethodPost, "http://h.example/q/"+id, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(testSnapshot, leaderClient, clock).ServeHTTP(answer, one.WithContext(ctx))
+		clientapi.New(testSnapshot, leaderClient, clock).ServeHTTP(answer, request.WithContext(ctx))
 		Expect(answer.Code).To(Equal(503))
 		Expect(answer.Header().Get("Retry-After")).NotTo(BeEmpty())
 	})
@@ -86,13 +86,13 @@
 
 var _ = Describe("the remaining time of a client", func() {
 	It("counts from the start of its request, not from the end of its body", func() {
-		clock := hurriedClock{clock.NewFake(0)}
+		clock := advancingClock{clock.NewFake(0)}
 		leaderClient := leaderclient.New(peerapi.NewCaller(http.DefaultClient), clock, func() *membership.View { return &membership.View{} })
-		one := request(http.MethodGet, "/q/"+id)
-		one.Header.Set("X-Time-Remaining", "700")
-		one.Body = io.NopCloser(slowBody{clock: clock.Fake, delay: 400 * time.Millisecond})
+		request := newRequest(http.MethodGet, "/q/"+id)
+		request.Header.Set("X-Time-Remaining", "700")
+		request.Body = io.NopCloser(slowBody{clock: clock.Fake, delay: 400 * time.Millisecond})
 		answer := httptest.NewRecorder()
-		clientapi.New(testSnapshot, leaderClient, clock).ServeHTTP(answer, one)
+		clientapi.New(testSnapshot, leaderClient, clock).ServeHTTP(answer, request)
 		Expect(answer.Code).To(Equal(503))
 		Expect(clock.Monotonic()).To(BeNumerically("<=", 700*time.Millisecond))
 	})
--- a/internal/gate/clientapi/moved_test.go
+++ b/internal/gate/clientapi/moved_test.go
@@ -20,9 +20,11 @@
 	"gannetline/internal/platform/clock"
 )
 
-// scriptedLeaders is a transport to the leaders of two pools. A call to the silent one fails after attemptTimeout.
+// scriptedLeaders is a transport to the leaders of two pools, which run on the stewards currentPool and formerPool. A call to the silent
+// steward fails after attemptTimeout.
 type scriptedLeaders struct {
-	clock  *clock.Fake
+	clock *clock.Fake
+	// muxes are the stewards' handlers by name.
 	muxes  map[string]*http.ServeMux
 	silent string
 	// submissions counts the submissions that reached a leader.
@@ -30,11 +32,12 @@
 }
 
 const (
-	// attemptTimeout is the timeout of one call by leaderclient.
+	// attemptTimeout is the timeout of one attempt in leaderclient.
 	attemptTimeout = 450 * time.Millisecond
 	currentPool    = "current"
 	formerPool     = "former"
-	movedRequest   = "/q/" + id
+	// movedRequest is the path of a job in the queue that was moved.
+	movedRequest = "/q/" + id
 )
 
 func (s *scriptedLeaders) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -50,10 +53,11 @@
 var _ = Describe("a queue that was moved to another service", func() {
 	// routeTimeout is the timeout of the route in configurationText.
 	const routeTimeout = 3 * time.Second
-	var fakeClock hurriedClock
-	// ask sends one request. The pool of the service knowing has the job; the steward silent does not answer. Either may be empty.
-	ask := func(method, knowing, silent string) (int, *scriptedLeaders) {
-		fakeClock = hurriedClock{clock.NewFake(0)}
+	var fakeClock advancingClock
+	// ask sends a request about a job and returns the status of the answer. The pool of serviceWithJob has the job, if it is not empty. The
+	// steward silent, if it is not empty, does not answer.
+	ask := func(method, serviceWithJob, silent string) (int, *scriptedLeaders) {
+		fakeClock = advancingClock{clock.NewFake(0)}
 		leaders := &scriptedLeaders{clock: fakeClock.Fake, muxes: map[string]*http.ServeMux{}, silent: silent}
 		lead := func(steward, key string) {
 			leaders.muxes[steward] = http.NewServeMux()
@@ -64,7 +68,7 @@
 				case call.Verb == "hand-in":
 					leaders.submissions++
 					return &wire.ClientAnswer{Status: http.StatusOK}, nil
-				case call.Key == "pool/"+knowing:
+				case call.Key == "pool/"+serviceWithJob:
 					return &wire.ClientAnswer{Status: http.StatusOK}, nil
 				}
 				return &wire.ClientAnswer{Status: http.StatusGone, Reason: "there is no such job"}, nil
@@ -79,15 +83,15 @@
 		moved := testSnapshot()
 		moved.Committed.Moved = []wire.MovedRoute{{Route: "a", Services: []string{formerPool}}}
 		leaderClient := leaderclient.New(peerapi.NewCaller(&http.Client{Transport: leaders}), fakeClock, func() *membership.View { return view })
-		one := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
+		request := httptest.NewRequest(method, "http://h.example"+movedRequest, strings.NewReader("{}"))
 		answer := httptest.NewRecorder()
-		clientapi.New(func() *configcache.Snapshot { return moved }, leaderClient, fakeClock).ServeHTTP(answer, one)
+		clientapi.New(func() *configcache.Snapshot { return moved }, leaderClient, fakeClock).ServeHTTP(answer, request)
 		Expect(fakeClock.Monotonic()).To(BeNumerically("<=", routeTimeout), "the answer came after the timeout of the route")
 		return answer.Code, leaders
 	}
 
-	DescribeTable("answers a request about a job", func(method, knowing, silent string, status int) {
-		got, _ := ask(method, knowing, silent)
+	DescribeTable("answers a request about a job", func(method, serviceWithJob, silent string, status int) {
+		got, _ := ask(method, serviceWithJob, silent)
 		Expect(got).To(Equal(status))
 	},
 		Entry("that the current pool has", http.MethodGet, "s", "", 200),
@@ -102,8 +106,8 @@
 		Entry("to cancel it while the former pool, which may have it, is silent", http.MethodDelete, "", formerPool, 503),
 	)
 
-	DescribeTable("submits a job to at most one pool", func(knowing, silent string, status, submissions int) {
-		got, leaders := ask(http.MethodPost, knowing, silent)
+	DescribeTable("submits a job to at most one pool", func(serviceWithJob, silent string, status, submissions int) {
+		got, leaders := ask(http.MethodPost, serviceWithJob, silent)
 		Expect(got).To(Equal(status))
 		Expect(leaders.submissions).To(Equal(submissions))
 	},
--- a/internal/gate/clientapi/renounce_test.go
+++ b/internal/gate/clientapi/renounce_test.go
@@ -28,15 +28,15 @@
 }
 
 var _ = Describe("a submission to a queue that was moved", func() {
-	DescribeTable("is accepted only once the former pool does not accept it any more", func(known map[string]int, status int, asked ...string) {
-		var verbs []string
+	DescribeTable("is accepted only once the former pool does not accept it any more", func(statusByVerb map[string]int, status int, calls ...string) {
+		var callsMade []string
 		mux := http.NewServeMux()
 		peerapi.Serve(mux, peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
-			verbs = append(verbs, call.Key+" "+string(call.Verb))
+			callsMade = append(callsMade, call.Key+" "+string(call.Verb))
 			if call.Key == "pool/s" {
 				return &wire.ClientAnswer{Status: http.StatusOK}, nil
 			}
-			return &wire.ClientAnswer{Status: known[string(call.Verb)], Reason: "told so"}, nil
+			return &wire.ClientAnswer{Status: statusByVerb[string(call.Verb)], Reason: "told so"}, nil
 		})
 		view := &membership.View{Leaders: map[string]wire.KeyLeader{"pool/s": {Name: "one"}, "pool/former": {Name: "one"}},
 			Stewards: []wire.Member{{Name: "one", Role: membership.RoleSteward, Address: "one:1", Disk: "d"}}}
@@ -48,7 +48,7 @@
 		clientapi.New(func() *configcache.Snapshot { return moved }, leaderClient, clock).ServeHTTP(answer,
 			httptest.NewRequest("POST", "http://h.example/q/"+id, strings.NewReader("{}")))
 		Expect(answer.Code).To(Equal(status))
-		Expect(verbs).To(Equal(asked))
+		Expect(callsMade).To(Equal(calls))
 	},
 		Entry("the former pool promises that", map[string]int{"renounce": 410}, 200, "pool/former renounce", "pool/s hand-in"),
 		Entry("the former pool has the job already", map[string]int{"renounce": 200}, 200, "pool/former renounce"),
--- a/internal/gate/clientapi/rollout_test.go
+++ b/internal/gate/clientapi/rollout_test.go
@@ -20,7 +20,7 @@
 	"gannetline/internal/platform/clock"
 )
 
-// rolloutText returns a configuration whose queue is in a rollout; progress are further JSON fields of the rollout.
+// rolloutText returns a configuration whose queue runs on a service and has a rollout. progress contains further JSON fields of the rollout.
 func rolloutText(service, progress string) string {
 	return strings.Replace(strings.Replace(configurationText, `"service":"s"`, `"service":"`+service+`"`, 1), `"service-list":[{"name":"s"}]`,
 		`"service-list":[{"name":"s"},{"name":"t"}],"rollout-list":[{"name":"r","route":"a","from-service":"s","to-service":"t",
@@ -39,6 +39,7 @@
 	answer func(call *wire.ClientCall) *wire.ClientAnswer
 }
 
+// request serves a request with the given configuration. path is the path within the queue.
 func (r *rolloutGate) request(snapshot *configcache.Snapshot, method, path string) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
 	peerapi.Serve(mux, peerapi.ProcedureClient, func(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
@@ -78,7 +79,7 @@
 		return ""
 	}
 
-	It("submits each job to the version of its ID, once the other version has promised not to accept it", func() {
+	It("submits each job to the version that its ID selects, once the other version has promised not to accept the job", func() {
 		snapshot := snapshotOf(rolloutText("s", widening))
 		for service, other := range map[string]string{"s": "t", "t": "s"} {
 			gate.calls = nil
--- a/internal/gate/forwarding/forwarding.go
+++ b/internal/gate/forwarding/forwarding.go
@@ -1,6 +1,6 @@
 // Package forwarding forwards a client's request to an executor and streams the answer back. A request that certainly did not run is
-// retried at another executor. One that may have run is retried only if its route is idempotent, or if its stream can be resumed after
-// the last event that the client has.
+// retried at another executor. A request that may have run is retried only if its route is idempotent or resumable. Once a part of the
+// answer was sent to the client, only a resumable stream is retried; it continues after the last event that the client has.
 package forwarding
 
 import (
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxOffers is the maximum number of executors that a request is sent to.
-	maxOffers = 3
+	// maxExecutors is the maximum number of executors that a request is sent to.
+	maxExecutors = 3
 	// deadlineMargin is the part of the remaining time that is kept for writing the answer after a timeout.
 	deadlineMargin = 25 * time.Millisecond
 )
 
 // Request is a client's request to forward.
 type Request struct {
-	// Service selects the executors. Requests with the same Affinity go to the same executors if possible.
+	// Service is the service whose executors may serve the request. Requests with the same Affinity go to the same executors if possible.
 	Service, Affinity string
-	// Method, Path with the query, Host and Header are the client's; Body is the whole body.
+	// Method, Path (with the query), Host, Header and Body are those of the client's request.
 	Method, Path, Host string
 	Header             http.Header
 	Body               []byte
-	// Tenant is the name that is passed to the executor, empty for none.
+	// Tenant is the name of the tenant that is passed to the executor, empty for none.
 	Tenant string
 	// MaxAttempts is the maximum number of executors that may run the request, if IsIdempotent or IsResumable allows more than one.
 	MaxAttempts  int
@@ -59,16 +59,16 @@
 	relay := &relay{to: to, request: request}
 	var excluded []string
 	runs := 0
-	for range maxOffers {
+	for range maxExecutors {
 		executor := f.balancer.Choose(request.Service, request.Affinity, excluded)
 		if executor == nil {
 			break
 		}
 		excluded = append(excluded, executor.ID)
-		switch f.offer(ctx, relay, executor, deadline) {
-		case offerAnswered:
+		switch f.callExecutor(ctx, relay, executor, deadline) {
+		case callAnswered:
 			return
-		case offerNotRun:
+		case callNotRun:
 			continue
 		}
 		runs++
@@ -79,7 +79,8 @@
 	f.giveUp(ctx, relay, runs)
 }
 
-// withTimeout returns a context that ends after a timeout on the forwarder's clock. The caller must call the function to release it.
+// withTimeout returns a context that ends after a timeout on the forwarder's clock. The caller must call the returned function to release
+// the context.
 func (f *Forwarder) withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	due := f.clock.After(timeout)
@@ -93,8 +94,8 @@
 	return ctx, cancel
 }
 
-// giveUp ends a request without a complete answer. If it certainly did not run, the client gets a refusal with status 503,
-// which promises that.
+// giveUp ends a request without a complete answer. Status 503 tells the client that the request certainly did not run. If an answer was
+// started, giveUp panics, so that the client's connection is closed.
 func (f *Forwarder) giveUp(ctx context.Context, relay *relay, runs int) {
 	switch {
 	case relay.hasStarted:
--- a/internal/gate/forwarding/forwarding_test.go
+++ b/internal/gate/forwarding/forwarding_test.go
@@ -23,7 +23,7 @@
 const (
 	service   = "s"
 	requestID = "9c41d07be2a35f68"
-	// timeRemaining is how long each client waits, on heldClock.
+	// timeRemaining is how long each client waits, on a stoppedClock.
 	timeRemaining = 10 * time.Second
 )
 
@@ -31,23 +31,25 @@
 type fleet struct {
 	balancer *balancer.Balancer
 	gate     *httptest.Server
-	calls    atomic.Int64
-	request  forwarding.Request
-	clock    *heldClock
+	// calls counts the calls to executors.
+	calls atomic.Int64
+	// request has the properties of each forwarded request that do not come from the client.
+	request forwarding.Request
+	clock   *stoppedClock
 }
 
-// heldClock stands still and can be used by many goroutines. Closing expired ends all waits.
-type heldClock struct{ expired chan time.Time }
+// stoppedClock stands still and can be used by many goroutines. Closing expired ends all waits.
+type stoppedClock struct{ expired chan time.Time }
 
-func (c *heldClock) Monotonic() time.Duration             { return time.Minute }
-func (c *heldClock) WallMs() int64                        { return 0 }
-func (c *heldClock) After(time.Duration) <-chan time.Time { return c.expired }
+func (c *stoppedClock) Monotonic() time.Duration             { return time.Minute }
+func (c *stoppedClock) WallMs() int64                        { return 0 }
+func (c *stoppedClock) After(time.Duration) <-chan time.Time { return c.expired }
 
-// newFleet starts one executor per script. The scripts answer the calls in their order, whichever executor is called; the last one also
-// answers all further calls.
+// newFleet starts as many executors as there are scripts. The first script answers the first call, whichever executor it goes to, the second
+// script the second call, and so on. The last script also answers all further calls.
 func newFleet(request forwarding.Request, scripts ...http.HandlerFunc) *fleet {
-	held := &heldClock{expired: make(chan time.Time)}
-	f := &fleet{balancer: balancer.New("z", held), request: request, clock: held}
+	stopped := &stoppedClock{expired: make(chan time.Time)}
+	f := &fleet{balancer: balancer.New("z", stopped), request: request, clock: stopped}
 	var records []wire.ExecutorRecord
 	for number := range scripts {
 		executor := httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, call *http.Request) {
@@ -58,7 +60,7 @@
 		records = append(records, wire.ExecutorRecord{ID: fmt.Sprint("i-", number), Service: service, Address: executor.Listener.Addr().String(), Zone: "z", Slots: 4})
 	}
 	f.balancer.Update(records)
-	forwarder := forwarding.New(&http.Client{}, f.balancer, held)
+	forwarder := forwarding.New(&http.Client{}, f.balancer, stopped)
 	f.gate = httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, from *http.Request) {
 		forwarded := f.request
 		forwarded.Service, forwarded.Method, forwarded.Path, forwarded.Host, forwarded.Header = service, from.Method, from.URL.RequestURI(), from.Host, from.Header
@@ -91,7 +93,7 @@
 	to.WriteHeader(http.StatusOK)
 }
 
-// streaming answers with the events numbered first to last and then breaks off, if breaksOff is set.
+// streaming returns a script that answers with the events numbered first to last, and then breaks off if breaksOff is set.
 func streaming(first, last int, breaksOff bool) http.HandlerFunc {
 	return func(to http.ResponseWriter, _ *http.Request) {
 		writeHead(to, "text/event-stream")
@@ -105,11 +107,13 @@
 	}
 }
 
+// refusing answers that the request was not run.
 func refusing(to http.ResponseWriter, _ *http.Request) {
 	to.Header().Set("X-Not-Executed", "1")
 	to.WriteHeader(http.StatusServiceUnavailable)
 }
 
+// breaking closes the connection without an answer.
 func breaking(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 var _ = Describe("a forwarded request", func() {
--- a/internal/gate/forwarding/offer.go
+++ b/internal/gate/forwarding/offer.go
@@ -15,23 +15,23 @@
 	"gannetline/internal/platform/headers"
 )
 
-// offerResult is the result of sending a request to one executor.
-type offerResult int
+// callResult is the result of a call that forwards a request to one executor.
+type callResult int
 
 const (
-	// offerAnswered means that the client has its answer.
-	offerAnswered offerResult = iota
-	// offerNotRun means that the executor certainly did not run the request.
-	offerNotRun
-	// offerUnknown means that the request may have run, and the client has no complete answer.
-	offerUnknown
+	// callAnswered means that the client has its answer.
+	callAnswered callResult = iota
+	// callNotRun means that the executor certainly did not run the request.
+	callNotRun
+	// callUnknown means that the request may have run, and the client has no complete answer.
+	callUnknown
 )
 
-// offer sends the request to an executor, streams the answer to the client, and records the result for the balancer.
-func (f *Forwarder) offer(ctx context.Context, relay *relay, executor *balancer.Executor, deadline time.Duration) offerResult {
+// callExecutor sends the request to an executor, streams the answer to the client, and records the result for the balancer.
+func (f *Forwarder) callExecutor(ctx context.Context, relay *relay, executor *balancer.Executor, deadline time.Duration) callResult {
 	call, err := f.newCall(ctx, relay, executor, deadline)
 	if err != nil {
-		return offerNotRun
+		return callNotRun
 	}
 	executor.RecordStart(f.clock.Monotonic())
 	defer executor.RecordEnd()
@@ -43,15 +43,15 @@
 	switch {
 	case err != nil && peerapi.NeverSent(err):
 		executor.RecordUnreachable(now)
-		return offerNotRun
+		return callNotRun
 	case err != nil && ctx.Err() == nil:
 		executor.RecordUnreachable(now)
-		return offerUnknown
+		return callUnknown
 	case err != nil:
 		if now >= deadline {
 			executor.RecordTimeout(now)
 		}
-		return offerUnknown
+		return callUnknown
 	}
 	defer answer.Body.Close()
 	if running, waiting, isReported := loadOf(answer.Header); isReported {
@@ -61,29 +61,29 @@
 	case answer.Header.Get(headers.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest:
 		// Reading the short body of a refusal allows the connection to be reused.
 		io.CopyN(io.Discard, answer.Body, maxRefusalBody)
-		return offerNotRun
+		return callNotRun
 	case answer.Header.Get(headers.RequestID) != relay.request.Header.Get(headers.RequestID):
 		executor.RecordUnreachable(now)
-		return offerUnknown
+		return callUnknown
 	}
 	if err := relay.pass(answer, func() { executor.RecordActivity(f.clock.Monotonic()) }); err != nil {
 		if ctx.Err() == nil {
 			executor.RecordUnreachable(f.clock.Monotonic())
 		}
-		return offerUnknown
+		return callUnknown
 	}
 	if answer.StatusCode == http.StatusInternalServerError {
 		executor.RecordFailure(now)
 	} else {
 		executor.RecordSuccess()
 	}
-	return offerAnswered
+	return callAnswered
 }
 
 // maxRefusalBody is how much of the body of a refusal is read, in bytes.
 const maxRefusalBody = 4096
 
-// newCall returns the HTTP request to an executor.
+// newCall returns the HTTP request that forwards a client's request to an executor.
 func (f *Forwarder) newCall(ctx context.Context, relay *relay, executor *balancer.Executor, deadline time.Duration) (*http.Request, error) {
 	request := relay.request
 	call, err := http.NewRequestWithContext(ctx, request.Method, "http://"+executor.Address+request.Path, bytes.NewReader(request.Body))
@@ -105,8 +105,8 @@
 	return call, nil
 }
 
-// loadOf parses the load that an executor reports in a header: running requests, waiting requests, slots. isReported is false if the
-// header is missing or invalid.
+// loadOf parses the load that an executor reports in the header X-Executor-Load, as the numbers of running requests, waiting requests and
+// slots. isReported is false if the header is missing or invalid.
 func loadOf(header http.Header) (running, waiting int64, isReported bool) {
 	parts := strings.Split(header.Get(headers.ExecutorLoad), ",")
 	if len(parts) != 3 {
--- a/internal/gate/forwarding/relay.go
+++ b/internal/gate/forwarding/relay.go
@@ -11,22 +11,22 @@
 	"gannetline/internal/platform/eventstream"
 )
 
-// ErrNotResumed is returned if an executor that should resume a stream answers with something else.
+// ErrNotResumed is returned if an executor that should resume a stream does not answer with a stream.
 const ErrNotResumed = errors.ConstError("the stream was not resumed")
 
-// relay writes the answer to the client. It is used for all attempts of a request: a stream that one executor breaks off continues at
-// another one, after the last event that was written.
+// relay writes the answer to a request to the client. One relay is used for all attempts of the request: if one executor breaks off a stream,
+// another one continues it after the last event that was written.
 type relay struct {
 	to      http.ResponseWriter
 	request *Request
-	// hasStarted is set once the head of the answer was written; isStream if a stream of events follows.
+	// hasStarted is set once the head of the answer was written. isStream is set if the answer is a stream of events.
 	hasStarted bool
 	isStream   bool
 	// lastEventID is the ID of the last event that was written, empty before the first.
 	lastEventID string
 }
 
-// mayRunAgain reports whether another executor may run the request after one may have run all or part of it.
+// mayRunAgain reports whether the request may be sent to another executor after one executor may have run all or part of it.
 func (r *relay) mayRunAgain() bool {
 	if r.hasStarted {
 		return r.isStream && r.request.IsResumable
@@ -34,8 +34,8 @@
 	return r.request.IsIdempotent || r.request.IsResumable
 }
 
-// pass writes an executor's answer, or the rest of a resumed stream, to the client. An error means that the answer is incomplete.
-// onEvent is called for each event that arrives.
+// pass writes an executor's answer, or the rest of a resumed stream, to the client. It calls onEvent for each event that arrives. An error
+// means that the client's answer is incomplete.
 func (r *relay) pass(answer *http.Response, onEvent func()) error {
 	isStream := strings.HasPrefix(answer.Header.Get("Content-Type"), eventstream.MediaType) && answer.StatusCode == http.StatusOK
 	if r.hasStarted && !isStream {
@@ -51,14 +51,14 @@
 	return errors.Annotate(err, "copying the answer of an executor to the client")
 }
 
-// writeHead writes status and headers of the answer.
+// writeHead writes the status and the headers of the answer.
 func (r *relay) writeHead(answer *http.Response, isStream bool) {
 	headerrules.CopyToClient(answer.Header, r.to.Header())
 	r.to.WriteHeader(answer.StatusCode)
 	r.hasStarted, r.isStream = true, isStream
 }
 
-// passEvents writes complete events as they arrive, so that another executor can resume after any of them.
+// passEvents writes each event once it is complete, so that another executor can resume the stream after any event.
 func (r *relay) passEvents(from io.Reader, onEvent func()) error {
 	events := eventstream.NewReader(from)
 	controller := http.NewResponseController(r.to)
--- a/internal/gate/headerrules/headerrules.go
+++ b/internal/gate/headerrules/headerrules.go
@@ -23,6 +23,7 @@
 	actionEcho
 )
 
+// rule defines the action for a header of a client's request.
 type rule struct {
 	header string
 	action action
@@ -39,7 +40,7 @@
 	{"X-Forwarded-For", actionDrop},
 }
 
-// Echo copies the headers that the rules return to the client from a request to its answer.
+// Echo copies the headers with actionEcho from a request to its answer.
 func Echo(from, to http.Header) {
 	for _, rule := range rules {
 		if rule.action != actionEcho {
@@ -54,7 +55,7 @@
 // bearerScheme is the authentication scheme of a client's key. It is case-insensitive.
 const bearerScheme = "Bearer "
 
-// BearerKey returns a client's API key, or an empty text if it sends none.
+// BearerKey returns the API key in the headers of a client's request, or an empty text if there is none.
 func BearerKey(from http.Header) string {
 	text := from.Get(headers.Authorization)
 	if len(text) <= len(bearerScheme) || !strings.EqualFold(text[:len(bearerScheme)], bearerScheme) {
@@ -63,7 +64,8 @@
 	return strings.TrimSpace(text[len(bearerScheme):])
 }
 
-// TimeLeft returns how long the client still waits, at most limit. isValid is false if the header is not a count of milliseconds.
+// TimeLeft returns how long the client still waits according to its header X-Time-Remaining, at most limit. Without the header it returns
+// limit. isValid is false if the header is not a count of milliseconds.
 func TimeLeft(from http.Header, limit time.Duration) (left time.Duration, isValid bool) {
 	text := from.Get(headers.TimeRemaining)
 	if text == "" {
@@ -92,7 +94,7 @@
 // CopyToClient copies the headers of an executor's answer that are returned to a client.
 func CopyToClient(from, to http.Header) { copyExcept(from, to, hopByHopIn(from)) }
 
-// hopByHopIn returns hopByHopHeaders with those that the header Connection names.
+// hopByHopIn returns the names of the hop-by-hop headers: hopByHopHeaders and those that the header Connection lists.
 func hopByHopIn(headers http.Header) []string {
 	names := slices.Clone(hopByHopHeaders)
 	for _, value := range headers.Values("Connection") {
@@ -103,7 +105,7 @@
 	return names
 }
 
-// copyExcept copies all headers but the excluded ones.
+// copyExcept copies all headers except the excluded ones, whose names must be in canonical form.
 func copyExcept(from, to http.Header, excluded []string) {
 	for name, values := range from {
 		if !slices.Contains(excluded, name) {
--- a/internal/gate/keyfreshness/keyfreshness.go
+++ b/internal/gate/keyfreshness/keyfreshness.go
@@ -1,5 +1,5 @@
-// Package keyfreshness reports whether a gate can still trust the API keys in its configuration. A revoked key must not be accepted
-// anywhere after a timeout, not even at a partitioned gate. Therefore the gate has the leader of the configuration confirm its version
+// Package keyfreshness reports whether a gate can still trust the API keys in its configuration. No gate may accept a key that was revoked
+// longer ago than a timeout, not even a gate that is cut off from the leader. Therefore the gate has the leader of the configuration confirm its version
 // periodically, and trusts its keys only for the timeout after a confirmation.
 package keyfreshness
 
@@ -38,25 +38,26 @@
 	timeout time.Duration
 	// currentVersion returns the version of the gate's configuration.
 	currentVersion func() int64
-	// confirmedAt is when the last call was sent whose answer confirmed the current version, in nanoseconds of the monotonic clock plus
-	// one; 0 means never.
+	// confirmedAt is 1 more than the time at which the last confirmed call was sent, in nanoseconds of the monotonic clock. A call is
+	// confirmed if its answer showed no newer version. 0 means that there was none.
 	confirmedAt atomic.Int64
 }
 
-// New returns a tracker that confirms the version that currentVersion returns. A confirmation lasts for the timeout, from the time its
-// call was sent.
+// New returns a tracker of the version that currentVersion returns. A confirmation is valid for the timeout, less answerMargin, from the time
+// its call was sent.
 func New(asker Asker, clock clock.Clock, timeout time.Duration, currentVersion func() int64) *Tracker {
 	return &Tracker{asker: asker, clock: clock, timeout: timeout, currentVersion: currentVersion}
 }
 
-// IsFresh reports whether no key in the configuration was revoked longer ago than the timeout. The leader's answer includes every
-// change that was acknowledged to the operator before the call was sent, so any change that this gate misses is newer than the call.
+// IsFresh reports whether the keys can be trusted: no key in the gate's configuration was revoked longer ago than the timeout. The leader's
+// answer covers every change that was acknowledged to the operator before the call was sent, so any change that this gate lacks is newer
+// than the call.
 func (t *Tracker) IsFresh() bool {
 	confirmedAt := t.confirmedAt.Load()
 	return confirmedAt > 0 && t.clock.Monotonic()-time.Duration(confirmedAt-1) < t.timeout-answerMargin
 }
 
-// Run has the version confirmed periodically until ctx is done.
+// Run asks the leader to confirm the version periodically, until ctx is done.
 func (t *Tracker) Run(ctx context.Context) error {
 	for {
 		t.confirm(ctx)
@@ -68,7 +69,7 @@
 	}
 }
 
-// confirm makes one call to the leader. A leader with a newer version confirms nothing; the gate has to fetch that version first.
+// confirm makes one call to the leader. The answer is no confirmation if it has a newer version, which the gate has to fetch first.
 func (t *Tracker) confirm(ctx context.Context) {
 	askedAt := t.clock.Monotonic()
 	outcome := t.asker.Ask(ctx, &wire.ClientCall{Key: configurationKey, Verb: wire.VerbVersion}, t.timeout/confirmationsPerTimeout)
--- a/internal/gate/keyfreshness/keyfreshness_test.go
+++ b/internal/gate/keyfreshness/keyfreshness_test.go
@@ -38,15 +38,15 @@
 
 var _ = Describe("IsFresh", func() {
 	const timeout = 5 * time.Second
-	// isFreshAfter has version 7 confirmed once, and returns IsFresh some time after the answer.
+	// isFreshAfter has a gate with version 7 call the leader once, and returns IsFresh some time after the answer.
 	isFreshAfter := func(answer *wire.ClientAnswer, delay, after time.Duration) bool {
-		fake := clock.NewFake(0)
+		fakeClock := clock.NewFake(0)
 		ctx, cancel := context.WithCancel(context.Background())
-		leader := &scriptedLeader{clock: fake, delay: delay, answer: answer, callsLeft: 1, cancel: cancel}
-		tracker := keyfreshness.New(leader, fake, timeout, func() int64 { return 7 })
+		leader := &scriptedLeader{clock: fakeClock, delay: delay, answer: answer, callsLeft: 1, cancel: cancel}
+		tracker := keyfreshness.New(leader, fakeClock, timeout, func() int64 { return 7 })
 		Expect(tracker.IsFresh()).To(BeFalse())
 		Expect(tracker.Run(ctx)).To(Succeed())
-		fake.Advance(after)
+		fakeClock.Advance(after)
 		return tracker.IsFresh()
 	}
 	version := func(text string) *wire.ClientAnswer { return &wire.ClientAnswer{Status: 200, Body: []byte(text)} }
--- a/internal/gate/routekind/routekind.go
+++ b/internal/gate/routekind/routekind.go
@@ -30,7 +30,7 @@
 	h.requests.ServeHTTP(to, request)
 }
 
-// isForJobs reports whether a request is about jobs. A request without a route counts as not about jobs. The other handler refuses it.
+// isForJobs reports whether a request is about jobs. A request without a route is not about jobs; the other handler refuses it.
 func (h *Handler) isForJobs(request *http.Request) bool {
 	snapshot := h.snapshot()
 	if snapshot == nil || servingapi.IsAboutLots(request.URL.Path) {
--- a/internal/gate/routekind/routekind_test.go
+++ b/internal/gate/routekind/routekind_test.go
@@ -30,9 +30,9 @@
 	read, err := configuration.Read([]byte(text))
 	snapshot := &configcache.Snapshot{Matcher: configuration.NewMatcher(read)}
 	servedBy := func(snapshot *configcache.Snapshot, path string) string {
-		made, answer := httptest.NewRequest(http.MethodPost, path, nil), httptest.NewRecorder()
-		made.Host = "h"
-		routekind.New(func() *configcache.Snapshot { return snapshot }, named("jobs"), named("requests")).ServeHTTP(answer, made)
+		request, answer := httptest.NewRequest(http.MethodPost, path, nil), httptest.NewRecorder()
+		request.Host = "h"
+		routekind.New(func() *configcache.Snapshot { return snapshot }, named("jobs"), named("requests")).ServeHTTP(answer, request)
 		return answer.Header().Get("By")
 	}
 
--- a/internal/gate/servingapi/lots.go
+++ b/internal/gate/servingapi/lots.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxWait is how long a reader waits at the leader, at most, so that a call to a failed leader is detected in time.
+	// maxWait is how long a read of results waits at the leader, at most. It is short so that a failed leader is detected in time.
 	maxWait = 300 * time.Millisecond
 	// lotCallTimeout is how long a call about a lot may take. Clients wait 1.5 s longer than the wait time that they request.
 	lotCallTimeout = 1400 * time.Millisecond
@@ -28,7 +28,7 @@
 	return strings.HasPrefix(path, prefixLots) || strings.HasPrefix(path, prefixItems)
 }
 
-// decideLotCall decides on a call about a submitted lot or an item of one.
+// decideLotCall returns what to do with a call about a submitted lot or an item of one.
 func decideLotCall(snapshot *configcache.Snapshot, request *http.Request) Decision {
 	kind, refusal := lotKindOf(request)
 	if refusal.Status != 0 {
@@ -78,7 +78,7 @@
 	return replyOf(call, g.leaderClient.Ask(ctx, call, decision.Timeout))
 }
 
-// callOf returns the call to the leader for a decision.
+// callOf returns the call to the leader for a decision. A refusal is returned if the body is invalid.
 func callOf(request *http.Request, decision Decision, body []byte) (*wire.ClientCall, response.Reply) {
 	call := &wire.ClientCall{Key: wire.LotsKey, Tenant: decision.Tenant}
 	switch decision.Kind {
@@ -100,7 +100,7 @@
 	return call, response.Reply{}
 }
 
-// waitOf returns how long a reader waits for results, as its header requests, but at most maxWait.
+// waitOf returns how long a read waits for results, as the header X-Wait-Time requests, but at most maxWait.
 func waitOf(request *http.Request) time.Duration {
 	count, err := strconv.ParseInt(request.Header.Get(headers.WaitTime), 10, 64)
 	if err != nil || count < 0 {
@@ -109,8 +109,8 @@
 	return min(time.Duration(count)*time.Millisecond, maxWait)
 }
 
-// replyOf returns the answer to a client. A lot is refused only if no process can have accepted it; otherwise the answer says that the
-// outcome is unknown.
+// replyOf returns the answer to a client. The answer to a submission is a refusal only if no process can have accepted the lot; if one may
+// have, the answer says that the outcome is unknown.
 func replyOf(call *wire.ClientCall, outcome leaderclient.Outcome) response.Reply {
 	answer := outcome.Answer
 	isSubmission := call.Verb == wire.VerbSubmitLot
@@ -129,7 +129,7 @@
 	return response.Raw(answer.Status, answer.Body)
 }
 
-// itemReply returns the decoded body of an item, which the leader sends as a base64 JSON string.
+// itemReply returns an answer with the decoded body of an item. The leader sends the body as a JSON string in base64.
 func itemReply(answer *wire.ClientAnswer) response.Reply {
 	var text string
 	if err := json.Unmarshal(answer.Body, &text); err != nil {
--- a/internal/gate/servingapi/lots_test.go
+++ b/internal/gate/servingapi/lots_test.go
@@ -16,20 +16,20 @@
 
 var _ = Describe("a call about a lot", func() {
 	It("becomes a call to the leader of the lots' partition", func() {
-		made := httptest.NewRequest("POST", "/l/1", nil)
-		made.Header.Set("X-Request-Id", "7c41e09b52d6a3f8")
+		request := httptest.NewRequest("POST", "/l/1", nil)
+		request.Header.Set("X-Request-Id", "7c41e09b52d6a3f8")
 		decision := Decision{Kind: kindSubmitLot, Route: &configuration.Route{Name: "lots"}, Tenant: "team"}
-		call, _ := callOf(made, decision, []byte(`{"item-list":[]}`))
+		call, _ := callOf(request, decision, []byte(`{"item-list":[]}`))
 		Expect(*call).To(Equal(wire.ClientCall{Key: wire.LotsKey, Verb: wire.VerbSubmitLot, ID: "7c41e09b52d6a3f8", Route: "lots", Tenant: "team",
 			Body: []byte(`{"item-list":[]}`)}))
-		_, refusal := callOf(made, decision, []byte(`{"item-list":`))
+		_, refusal := callOf(request, decision, []byte(`{"item-list":`))
 		Expect(refusal.Status).To(Equal(http.StatusBadRequest))
 	})
 
 	It("waits at the leader for at most maxWait", func() {
-		made := httptest.NewRequest("GET", "/v1/lots/7c41?depends-on=12", nil)
-		made.Header.Set("X-Wait-Time", "1000")
-		call, _ := callOf(made, Decision{Kind: kindReadLot}, nil)
+		request := httptest.NewRequest("GET", "/v1/lots/7c41?depends-on=12", nil)
+		request.Header.Set("X-Wait-Time", "1000")
+		call, _ := callOf(request, Decision{Kind: kindReadLot}, nil)
 		Expect(call.ID).To(Equal("7c41"))
 		Expect(call.Base).To(Equal(int64(12)))
 		Expect(time.Duration(call.RemainingMs) * time.Millisecond).To(Equal(maxWait))
--- a/internal/gate/servingapi/servingapi.go
+++ b/internal/gate/servingapi/servingapi.go
@@ -28,7 +28,7 @@
 	prefixItems = "/v1/items/"
 )
 
-// kind is the kind of a request, also in the metrics.
+// kind is the kind of a request. It is also a label in the metrics.
 type kind string
 
 const (
@@ -48,8 +48,8 @@
 	Refusal response.Reply
 	// Route is nil for calls about lots that were submitted before.
 	Route *configuration.Route
-	// Tenant is the name of the tenant that the request is served for, empty if it needs no key. A call about a submitted lot has the
-	// tenant of a known key even if it needs none.
+	// Tenant is the name of the tenant that the request is served for. It is empty if the request needs no key, except that a call about a
+	// submitted lot always has the tenant of its key if the key is known.
 	Tenant string
 	// Timeout is how long the answer may take, from the start of the request.
 	Timeout time.Duration
@@ -103,8 +103,8 @@
 // Option configures a gate.
 type Option func(*Gate)
 
-// WithKeyFreshness has the gate refuse requests that need a key while areKeysFresh returns false: a key that the gate
-// still accepts may then have been revoked too long ago.
+// WithKeyFreshness has the gate refuse requests that are served for a tenant while areKeysFresh returns false: a key that the gate still
+// accepts may then have been revoked too long ago.
 func WithKeyFreshness(areKeysFresh func() bool) Option {
 	return func(g *Gate) { g.areKeysFresh = areKeysFresh }
 }
@@ -118,7 +118,7 @@
 	return gate
 }
 
-// decide returns the decision by the latest configuration. It refuses requests with a key while the keys are not fresh.
+// decide returns the decision by the latest configuration. It refuses requests that are served for a tenant while the keys are not fresh.
 func (g *Gate) decide(request *http.Request) Decision {
 	decision := Decide(g.snapshot(), request)
 	if decision.Tenant != "" && !g.areKeysFresh() {
@@ -160,7 +160,8 @@
 		TimeRemaining: decision.Timeout})
 }
 
-// affinityOf returns the IDs of the parts of a prompt that requests share: all but the last one, or the only one.
+// affinityOf returns the IDs of the parts of a prompt that requests share: all IDs in the header X-Prompt-Prefix except the last one, or the
+// only one.
 func affinityOf(from http.Header) string {
 	prompt := from.Get(headers.PromptPrefix)
 	if end := strings.LastIndexByte(prompt, ','); end >= 0 {
@@ -174,7 +175,7 @@
 	return context.WithTimeout(request.Context(), max(0, timeout))
 }
 
-// positionOf parses a position in the results of a lot. An empty text is position 0; the second result is false for an invalid text.
+// positionOf parses a position in the results of a lot and reports whether it is valid. An empty text is position 0.
 func positionOf(text string) (int64, bool) {
 	if text == "" {
 		return 0, true
--- a/internal/gate/servingapi/servingapi_test.go
+++ b/internal/gate/servingapi/servingapi_test.go
@@ -27,80 +27,81 @@
 	return &configcache.Snapshot{Matcher: configuration.NewMatcher(read)}
 }
 
-func request(method, path string, headers ...string) *http.Request {
-	made := httptest.NewRequest(method, path, nil)
-	made.Host = "h"
+// newRequest returns a request with headers, which are given as pairs of a name and a value.
+func newRequest(method, path string, headers ...string) *http.Request {
+	request := httptest.NewRequest(method, path, nil)
+	request.Host = "h"
 	for index := 0; index < len(headers); index += 2 {
-		made.Header.Set(headers[index], headers[index+1])
+		request.Header.Set(headers[index], headers[index+1])
 	}
-	return made
+	return request
 }
 
-// at changes the host of a request.
-func at(host string, made *http.Request) *http.Request {
-	made.Host = host
-	return made
+// at changes the host of a request and returns the request.
+func at(host string, request *http.Request) *http.Request {
+	request.Host = host
+	return request
 }
 
 var _ = Describe("Decide", func() {
 	const bearer = "Bearer key"
 
-	DescribeTable("accepts", func(made *http.Request, kind, tenant string) {
-		decision := servingapi.Decide(snapshot(), made)
+	DescribeTable("accepts", func(request *http.Request, kind, tenant string) {
+		decision := servingapi.Decide(snapshot(), request)
 		Expect(string(decision.Kind)).To(Equal(kind))
 		Expect(decision.Tenant).To(Equal(tenant))
 	},
-		Entry("a stream", request("POST", "/a/1", "Authorization", bearer), "forward", "team"),
-		Entry("a stream of a public route", request("POST", "/o/1"), "forward", ""),
-		Entry("a lot", request("POST", "/l/1", "Authorization", bearer, "X-Request-Id", "7c41e09b52d6a3f8"), "lot", "team"),
-		Entry("a read of a lot", request("GET", "/v1/lots/7c41?depends-on=12", "Authorization", bearer), "lot-results", "team"),
-		Entry("the end of a lot", request("DELETE", "/v1/lots/7c41", "Authorization", bearer), "lot-end", "team"),
-		Entry("an item", request("GET", "/v1/items/7c41?executor-id=1", "Authorization", bearer), "lot-item", "team"),
-		Entry("a read where lots are public", at("public", request("GET", "/v1/lots/7c41")), "lot-results", ""),
-		Entry("a read where lots are public, with a key", at("public", request("GET", "/v1/lots/7c41", "Authorization", bearer)), "lot-results", "team"),
-		Entry("a read of a lot whose route was removed", at("other", request("GET", "/v1/lots/7c41")), "lot-results", ""),
+		Entry("a stream", newRequest("POST", "/a/1", "Authorization", bearer), "forward", "team"),
+		Entry("a stream of a public route", newRequest("POST", "/o/1"), "forward", ""),
+		Entry("a lot", newRequest("POST", "/l/1", "Authorization", bearer, "X-Request-Id", "7c41e09b52d6a3f8"), "lot", "team"),
+		Entry("a read of a lot", newRequest("GET", "/v1/lots/7c41?depends-on=12", "Authorization", bearer), "lot-results", "team"),
+		Entry("the end of a lot", newRequest("DELETE", "/v1/lots/7c41", "Authorization", bearer), "lot-end", "team"),
+		Entry("an item", newRequest("GET", "/v1/items/7c41?executor-id=1", "Authorization", bearer), "lot-item", "team"),
+		Entry("a read where lots are public", at("public", newRequest("GET", "/v1/lots/7c41")), "lot-results", ""),
+		Entry("a read where lots are public, with a key", at("public", newRequest("GET", "/v1/lots/7c41", "Authorization", bearer)), "lot-results", "team"),
+		Entry("a read of a lot whose route was removed", at("other", newRequest("GET", "/v1/lots/7c41")), "lot-results", ""),
 	)
 
-	DescribeTable("refuses", func(made *http.Request, status int) {
-		decision := servingapi.Decide(snapshot(), made)
+	DescribeTable("refuses", func(request *http.Request, status int) {
+		decision := servingapi.Decide(snapshot(), request)
 		Expect(decision.Refusal.Status).To(Equal(status))
 	},
-		Entry("no route", request("POST", "/x/1", "Authorization", bearer), 404),
-		Entry("no key", request("POST", "/a/1"), 401),
-		Entry("an unknown key", request("POST", "/a/1", "Authorization", "Bearer other"), 401),
-		Entry("an invalid remaining time", request("POST", "/a/1", "Authorization", bearer, "X-Time-Remaining", "soon"), 400),
-		Entry("a lot without an ID", request("POST", "/l/1", "Authorization", bearer), 400),
-		Entry("a lot by a wrong method", request("GET", "/l/1", "Authorization", bearer), 405),
-		Entry("an invalid position", request("GET", "/v1/lots/7c41?depends-on=-1"), 400),
-		Entry("a read without a key", request("GET", "/v1/lots/7c41"), 401),
-		Entry("a read with an unknown key", request("GET", "/v1/lots/7c41", "Authorization", "Bearer other"), 401),
-		Entry("an item without a key", request("GET", "/v1/items/7c41?executor-id=1"), 401),
-		Entry("an item by a wrong method", request("DELETE", "/v1/items/7c41"), 405),
+		Entry("no route", newRequest("POST", "/x/1", "Authorization", bearer), 404),
+		Entry("no key", newRequest("POST", "/a/1"), 401),
+		Entry("an unknown key", newRequest("POST", "/a/1", "Authorization", "Bearer other"), 401),
+		Entry("an invalid remaining time", newRequest("POST", "/a/1", "Authorization", bearer, "X-Time-Remaining", "soon"), 400),
+		Entry("a lot without an ID", newRequest("POST", "/l/1", "Authorization", bearer), 400),
+		Entry("a lot by a wrong method", newRequest("GET", "/l/1", "Authorization", bearer), 405),
+		Entry("an invalid position", newRequest("GET", "/v1/lots/7c41?depends-on=-1"), 400),
+		Entry("a read without a key", newRequest("GET", "/v1/lots/7c41"), 401),
+		Entry("a read with an unknown key", newRequest("GET", "/v1/lots/7c41", "Authorization", "Bearer other"), 401),
+		Entry("an item without a key", newRequest("GET", "/v1/items/7c41?executor-id=1"), 401),
+		Entry("an item by a wrong method", newRequest("DELETE", "/v1/items/7c41"), 405),
 	)
 
 	It("refuses requests with a key, and no others, while the keys are not fresh", func() {
 		areKeysFresh := false
 		gate := servingapi.New(snapshot, nil, nil, clock.NewFake(0), servingapi.WithKeyFreshness(func() bool { return areKeysFresh }))
-		status := func(made *http.Request) int {
+		status := func(request *http.Request) int {
 			answer := httptest.NewRecorder()
-			gate.ServeHTTP(answer, made)
+			gate.ServeHTTP(answer, request)
 			return answer.Code
 		}
-		stream := request("POST", "/a/1", "Authorization", bearer)
+		stream := newRequest("POST", "/a/1", "Authorization", bearer)
 		Expect(status(stream)).To(Equal(http.StatusServiceUnavailable))
-		Expect(status(request("GET", "/v1/lots/7c41", "Authorization", bearer))).To(Equal(http.StatusServiceUnavailable))
-		Expect(status(request("POST", "/a/1"))).To(Equal(http.StatusUnauthorized))
+		Expect(status(newRequest("GET", "/v1/lots/7c41", "Authorization", bearer))).To(Equal(http.StatusServiceUnavailable))
+		Expect(status(newRequest("POST", "/a/1"))).To(Equal(http.StatusUnauthorized))
 		Expect(servingapi.Decide(snapshot(), stream).Refusal.Status).To(BeZero())
 	})
 
 	It("refuses with 503 before the first configuration", func() {
-		Expect(servingapi.Decide(nil, request("POST", "/a/1")).Refusal.Status).To(Equal(503))
+		Expect(servingapi.Decide(nil, newRequest("POST", "/a/1")).Refusal.Status).To(Equal(503))
 	})
 
 	It("returns the shorter of the client's remaining time and the route's timeout", func() {
-		made := request("POST", "/o/1", "X-Time-Remaining", "700")
-		Expect(servingapi.Decide(snapshot(), made).Timeout).To(Equal(700 * time.Millisecond))
-		made.Header.Set("X-Time-Remaining", "70000")
-		Expect(servingapi.Decide(snapshot(), made).Timeout).To(Equal(2 * time.Second))
+		request := newRequest("POST", "/o/1", "X-Time-Remaining", "700")
+		Expect(servingapi.Decide(snapshot(), request).Timeout).To(Equal(700 * time.Millisecond))
+		request.Header.Set("X-Time-Remaining", "70000")
+		Expect(servingapi.Decide(snapshot(), request).Timeout).To(Equal(2 * time.Second))
 	})
 })
