--- a/internal/gate/keyfreshness/keyfreshness.go
+++ b/internal/gate/keyfreshness/keyfreshness.go
@@ -1,6 +1,6 @@
 // Package keyfreshness reports whether a gate can still trust the API keys in its configuration. No gate may accept a key that was revoked
-// longer ago than a timeout, not even a gate that is cut off from the leader. Therefore the gate has the leader of the configuration confirm its version
-// periodically, and trusts its keys only for the timeout after a confirmation.
+// longer ago than a timeout, not even a gate that is cut off from the leader. Therefore the gate periodically asks the leader of the
+// configuration to confirm the gate's version, and trusts its keys only for the timeout after a confirmed call.
 package keyfreshness
 
 import (
@@ -31,7 +31,7 @@
 	Ask(ctx context.Context, call *wire.ClientCall, timeout time.Duration) leaderclient.Outcome
 }
 
-// Tracker has the version of the configuration confirmed periodically. Any goroutine may call IsFresh.
+// Tracker periodically asks the leader to confirm the version of the gate's configuration. Any goroutine may call IsFresh.
 type Tracker struct {
 	asker   Asker
 	clock   clock.Clock
--- a/internal/node/localproxy/feed.go
+++ b/internal/node/localproxy/feed.go
@@ -47,6 +47,7 @@
 // feed numbers the changes of the reported state and stores the number that the leader has acknowledged, so that an exchange contains
 // only later changes.
 type feed struct {
+	// session is the number of this proxy process, or a higher one if the leader knows a later session; 0 disables numbered changes.
 	session uint64
 	// lastNumber is the number of the last change, acknowledged the number up to which the leader has the changes.
 	lastNumber   uint64
--- a/internal/node/localproxy/holdloop.go
+++ b/internal/node/localproxy/holdloop.go
@@ -21,7 +21,7 @@
 }
 
 // holdLoop sends holds, which renew the lease of the executor's runs and acknowledge ends. After a failed hold with the short wait,
-// PauseAfterMiss gives the pause. After another failed hold, or if no hold is due, it waits for retryDelay or until a hold is due at once.
+// PauseAfterMiss gives the pause. After any other failed hold, or if no hold is due, it waits for retryDelay or until a hold is due at once.
 func (p *Proxy) holdLoop(ctx context.Context) {
 	for {
 		next, isOpen := p.nextHold(ctx, false)
