--- a/internal/control/coordination/answers.go
+++ b/internal/control/coordination/answers.go
@@ -14,7 +14,8 @@
 // answerClient receives the answer to a call. It is called exactly once.
 type answerClient = func(wire.ClientAnswer)
 
-// notLeader tells the caller to ask the next leader. The call had no effect here and never will have one.
+// notLeader tells the caller to ask the next leader. The call granted, released and wrote nothing here and never will. It may have
+// skipped a number or extended the hold of a lock.
 var notLeader = wire.ClientAnswer{NotLeader: true}
 
 // outcomeUnknown tells the caller to ask the next leader. The change of the call was proposed, and may or may not be committed.
@@ -58,7 +59,8 @@
 }
 
 // answerUnderLease sends a response that depends on every change proposed so far and is only true while no other process leads the
-// key. It waits for the pending commits and checks the lease last, since the process may have been frozen in between.
+// key. It waits for the pending commits and checks the lease after them, since the process may have been frozen in between. If a commit
+// fails or the lease is lost, it sends notLeader.
 func (p *Part) answerUnderLease(response wire.ClientAnswer, answer answerClient) {
 	p.commits.AfterAll(func(err error) {
 		if err != nil {
@@ -69,7 +71,8 @@
 	})
 }
 
-// answerIfLeased immediately sends a response that is only true while no other process leads the key, or notLeader without the lease.
+// answerIfLeased sends a response that is only true while no other process leads the key, or notLeader without the lease. It does not
+// wait for pending commits.
 func (p *Part) answerIfLeased(response wire.ClientAnswer, answer answerClient) {
 	if p.leadership == nil || !p.leadership.HasLease() {
 		answer(notLeader)
--- a/internal/control/coordination/cells.go
+++ b/internal/control/coordination/cells.go
@@ -49,13 +49,15 @@
 // group holds the cells whose names share a prefix (see GroupOf). They share one revision counter.
 type group struct {
 	name string
-	// revision is that of the last proposed put; committed is that of the last durable put and never above revision.
-	revision, committed uint64
-	cells               map[string]*cell
-	// events are the puts with revisions above compactRevision up to revision, without gaps and in ascending order.
+	// revision is the revision of the last proposed put. committedRevision is the revision of the last durable put.
+	revision, committedRevision uint64
+	cells                       map[string]*cell
+	// events holds the puts with revisions from compactRevision+1 to revision, in ascending order and without gaps. Earlier puts are no
+	// longer kept.
 	events          []event
 	compactRevision uint64
-	bytes           int
+	// eventBytes is the total size of the names and values of events.
+	eventBytes int
 	// revisionByPut maps the puts of events to their revisions, to detect retries.
 	revisionByPut map[putID]uint64
 	watchers      []*watcher
@@ -66,8 +68,9 @@
 	groups map[string]*group
 	// watched holds the groups that have watchers, by name.
 	watched map[string]*group
-	// count (of cells), eventCount, watcherCount and bytes are totals over all groups.
-	count, eventCount, watcherCount, bytes int
+	// cellCount, eventCount and watcherCount are totals over all groups. bytes is the total size of the names and values of all cells and
+	// events.
+	cellCount, eventCount, watcherCount, bytes int
 }
 
 func newCellTable() cellTable {
@@ -104,15 +107,15 @@
 	return nil
 }
 
-// finishLoading sorts the loaded events by revision and completes the groups. It is called after all records are loaded, which may
-// come in any order. The retention time of all events starts now.
+// finishLoading is called once all records are loaded. It sorts the events, since the records come in any order, and sets the revisions of
+// the groups. The history time of all events restarts now.
 func (t *cellTable) finishLoading(now time.Duration) {
 	for _, group := range t.groups {
 		slices.SortFunc(group.events, func(a, b event) int { return int(a.revision) - int(b.revision) })
 		for index := range group.events {
 			group.events[index].committedAt = now
 		}
-		group.committed, group.compactRevision = group.revision, group.revision-uint64(len(group.events))
+		group.committedRevision, group.compactRevision = group.revision, group.revision-uint64(len(group.events))
 	}
 }
 
@@ -121,7 +124,7 @@
 	if previous := group.cells[put.name]; previous != nil {
 		t.bytes -= len(put.name) + len(previous.put.value)
 	} else {
-		t.count++
+		t.cellCount++
 	}
 	t.bytes += len(put.name) + len(put.value)
 	group.cells[put.name] = &cell{put, revision}
@@ -131,7 +134,7 @@
 func (t *cellTable) addEvent(group *group, event event) {
 	group.events = append(group.events, event)
 	group.revisionByPut[event.put] = event.revision
-	group.bytes += event.size()
+	group.eventBytes += event.size()
 	t.bytes += event.size()
 	t.eventCount++
 }
@@ -140,12 +143,12 @@
 func (t *cellTable) hasRoom(group *group, put putID) bool {
 	size := len(put.name) + len(put.value)
 	isNew := group.cells[put.name] == nil
-	return t.bytes+2*size <= maxBytes && group.bytes+size <= maxGroupBytes && len(group.events) < maxGroupEvents &&
-		!(isNew && t.count >= maxCells)
+	return t.bytes+2*size <= maxBytes && group.eventBytes+size <= maxGroupBytes && len(group.events) < maxGroupEvents &&
+		!(isNew && t.cellCount >= maxCells)
 }
 
-// revisionOfRetry returns the revision of a put that was accepted before, or false if the put is new. Retries are found among the
-// events, which are kept for longer than a caller may retry a put, and as the last put into the cell.
+// revisionOfRetry returns the revision of a put that was accepted before, or false if the put is new. It compares the put with the group's
+// events, which are kept for longer than a caller may retry a put, and with the last put into the cell.
 func (g *group) revisionOfRetry(put putID) (uint64, bool) {
 	if revision, isKnown := g.revisionByPut[put]; isKnown {
 		return revision, true
@@ -179,7 +182,7 @@
 		group, dropped := t.groups[name], 0
 		for dropped < len(group.events) && len(ops) < maxDropsPerCommit {
 			oldest := &group.events[dropped]
-			if oldest.revision > group.committed || oldest.committedAt > cutoff {
+			if oldest.revision > group.committedRevision || oldest.committedAt > cutoff {
 				break
 			}
 			ops = append(ops, newDeleteOp(eventName(group.name, oldest.revision)))
@@ -195,7 +198,7 @@
 func (t *cellTable) removeEvent(group *group, oldest *event) {
 	group.compactRevision = oldest.revision
 	delete(group.revisionByPut, oldest.put)
-	group.bytes -= oldest.size()
+	group.eventBytes -= oldest.size()
 	t.bytes -= oldest.size()
 	t.eventCount--
 }
@@ -205,9 +208,9 @@
 	return recordName(recordEvent, group+"/"+strconv.FormatUint(revision, 10))
 }
 
-// Put writes a value to a cell if the cell is at the expected revision. A retry of an accepted put is answered with the revision of the
-// first attempt; this is checked first, since the cell may have changed since. A refusal because of the revision is final, since the
-// revisions of a cell only rise.
+// Put writes a value to a cell if the cell is at the expected revision. A retry of an accepted put is answered with the revision of that
+// put. Put checks for a retry before it compares the revision, since the accepted put and later ones have raised it. A refusal because of
+// the revision is final, since the revisions of a cell only rise.
 func (p *Part) Put(call *wire.ClientCall, answer answerClient) {
 	var params wire.PutCall
 	if err := easyjson.Unmarshal(call.Body, &params); err != nil {
@@ -224,7 +227,7 @@
 		return
 	}
 	switch {
-	case p.isFull():
+	case p.isCommitQueueFull():
 		answer(overload(http.StatusServiceUnavailable, "too many changes are waiting"))
 	case !p.cells.hasRoom(group, put):
 		answer(overload(http.StatusTooManyRequests, "no room for the value"))
@@ -258,11 +261,11 @@
 // markCommitted records that all puts up to a revision are durable as of now.
 func (g *group) markCommitted(revision uint64, now time.Duration) {
 	for index := range g.events {
-		if event := &g.events[index]; event.revision > g.committed && event.revision <= revision {
+		if event := &g.events[index]; event.revision > g.committedRevision && event.revision <= revision {
 			event.committedAt = now
 		}
 	}
-	g.committed = revision
+	g.committedRevision = revision
 }
 
 // Get answers with the value and the revision of a cell.
--- a/internal/control/coordination/commits.go
+++ b/internal/control/coordination/commits.go
@@ -7,8 +7,8 @@
 // maxPendingCommits limits the changes that wait for the quorum. Further changes are refused.
 const maxPendingCommits = 1000
 
-// isFull reports whether at least maxPendingCommits changes are waiting for the quorum.
-func (p *Part) isFull() bool { return p.commits.Len() >= maxPendingCommits }
+// isCommitQueueFull reports whether at least maxPendingCommits changes are waiting for the quorum.
+func (p *Part) isCommitQueueFull() bool { return p.commits.Len() >= maxPendingCommits }
 
 // commit proposes a change. The callback runs once the change is durable, or with an error if the leadership ends first.
 func (p *Part) commit(ops []wire.Op, callback func(error)) {
--- a/internal/control/coordination/cost_test.go
+++ b/internal/control/coordination/cost_test.go
@@ -10,10 +10,10 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// These benchmarks give the cost of a call at the leader of a partition, without disk sync and network. docs/design/coordination.md lists
-// the results.
+// These benchmarks measure the cost of a call at the leader of a partition, without disk and network. docs/design/coordination.md lists the
+// results.
 
-// benchmarkCalls makes one call at a time and commits its changes at once. It reports the changes and the bytes that a call proposes.
+// benchmarkCalls makes one call at a time and commits its changes at once. It reports how many changes and bytes a call proposes on average.
 func benchmarkCalls(b *testing.B, prepare func(h *harness), call func(h *harness, number int)) {
 	RegisterTestingT(b)
 	h := newHarness()
@@ -67,7 +67,7 @@
 	benchmarkCalls(b, put, func(h *harness, _ int) { h.send(wire.ClientCall{Verb: wire.VerbGet, ID: "g.a"}, nil) })
 }
 
-// BenchmarkPut puts into a group twice, with different numbers of watches that wait for the second put.
+// BenchmarkPut puts into a new group twice per operation, with different numbers of watches that wait for the second put.
 func BenchmarkPut(b *testing.B) {
 	for _, watches := range []int{0, 1, 20, 200} {
 		b.Run(fmt.Sprintf("watches-%d", watches), func(b *testing.B) {
--- a/internal/control/coordination/locks.go
+++ b/internal/control/coordination/locks.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxLocks limits the locks that are held at once in a partition.
+	// maxLocks limits the locks in the table of a partition, which also contains expired locks until a clean-up.
 	maxLocks = 10000
-	// clockRateDivisor is the tolerated slowness of a holder's clock: it may run slow by 1/clockRateDivisor, which is 2 %.
+	// clockRateDivisor states how slow a holder's clock may run: by 1/clockRateDivisor of the hold time, which is 2 %.
 	clockRateDivisor = 50
 )
 
@@ -25,8 +25,8 @@
 	// firstFence and fence are the first and the last fencing token that the holder got without a release in between. Any of them
 	// renews the lock. Only the last one releases it, since a late release must not end a hold that was acquired after it.
 	firstFence, fence uint64
-	// longestHold is the longest hold time that the holder requested under these tokens, and the one in the lock's record. A new leader
-	// keeps the lock at least for this time from its takeover, which is later than any call that this leader has answered.
+	// longestHold is the longest hold time that the holder requested under these tokens. It is stored in the lock's record. A new leader
+	// keeps the lock for at least this time from its takeover, and it takes over after every call that this leader has answered.
 	longestHold time.Duration
 	// acquiredAt is when the holder acquired the lock, or when this leader took over. From expiresAt on, another holder may acquire the
 	// lock. Both are on the monotonic clock of this process.
@@ -36,8 +36,8 @@
 // lockTable holds the locks of a partition by name.
 type lockTable struct {
 	byName map[string]*lock
-	// lastFence is the last fencing token that was issued. It rises across all locks of the partition, and over expiry, release and
-	// takeover.
+	// lastFence is the last fencing token that was issued for any lock of the partition. It never decreases, even when locks expire or are
+	// released or another leader takes over.
 	lastFence uint64
 }
 
@@ -62,26 +62,27 @@
 	return nil
 }
 
-// withClockMargin returns how long the leader keeps a lock for a holder that relies on it for the hold time by its own clock. The margin
-// covers a slow clock of the holder. It is at most half of releaseTime, within which others must be able to acquire the lock.
+// withClockMargin returns how long the leader keeps a lock: the hold time plus a margin, since the holder's clock may run slow (see
+// clockRateDivisor). The margin is at most half of releaseTime, so that others can acquire the expired lock within releaseTime. For a long
+// hold time, it is therefore less than hold/clockRateDivisor.
 func withClockMargin(hold, releaseTime time.Duration) time.Duration {
 	return hold + min(hold/clockRateDivisor, releaseTime/2)
 }
 
-// held returns the lock if it is held at the time now, or nil if it has expired or does not exist.
-func (t *lockTable) held(name string, now time.Duration) *lock {
+// findHeld returns the lock if it is held at the time now, or nil if it has expired or does not exist.
+func (t *lockTable) findHeld(name string, now time.Duration) *lock {
 	if lock := t.byName[name]; lock != nil && now < lock.expiresAt {
 		return lock
 	}
 	return nil
 }
 
-// isHeldBy reports whether the lock belongs to the holder under this fencing token. It is false for a nil lock.
+// isHeldBy reports whether the lock belongs to the holder and the fencing token is one of its current hold. It is false for a nil lock.
 func (l *lock) isHeldBy(holder string, fence uint64) bool {
 	return l != nil && l.holder == holder && l.firstFence <= fence && fence <= l.fence
 }
 
-// extend prolongs the hold of a lock to the given time from now. It never shortens it.
+// extend keeps the lock for the given hold time from now. It never shortens the current hold.
 func (l *lock) extend(now, hold, releaseTime time.Duration) {
 	l.expiresAt = max(l.expiresAt, now+withClockMargin(hold, releaseTime))
 	l.longestHold = max(l.longestHold, hold)
@@ -92,8 +93,8 @@
 	return newPutOp(recordName(recordLock, name), &lockRecord{Holder: l.holder, First: l.firstFence, Fence: l.fence, HoldMs: l.longestHold.Milliseconds()})
 }
 
-// dropExpired removes expired locks and returns the operations that delete their records. Otherwise a new leader would hold these locks
-// again for their full time. It removes at most maxDropsPerCommit locks.
+// dropExpired removes expired locks and returns the operations that delete their records. If the records stayed, a new leader would keep
+// these locks for their full hold time again. It removes at most maxDropsPerCommit locks.
 func (t *lockTable) dropExpired(now time.Duration) []wire.Op {
 	var ops []wire.Op
 	for _, name := range slices.Sorted(maps.Keys(t.byName)) {
@@ -119,40 +120,40 @@
 }
 
 // Acquire grants a lock to a holder unless another holder has it. If the caller holds the lock already, its hold is extended and it gets
-// a higher fencing token: its calls may arrive out of order, and a release with the earlier token must not end the later hold.
+// a higher fencing token. Calls may arrive out of order, and a late release with the earlier token must not end the extended hold.
 func (p *Part) Acquire(call *wire.ClientCall, answer answerClient) {
 	params := readLockCall(call, answer)
 	if params == nil {
 		return
 	}
 	now, hold := p.Clock.Monotonic(), clock.Milliseconds(params.HoldMs)
-	held := p.locks.held(call.ID, now)
+	current := p.locks.findHeld(call.ID, now)
 	switch {
-	case held != nil && held.holder != params.Holder:
+	case current != nil && current.holder != params.Holder:
 		p.answerUnderLease(refusal(http.StatusConflict, "another holds the lock"), answer)
 		return
-	case p.isFull():
+	case p.isCommitQueueFull():
 		answer(overload(http.StatusServiceUnavailable, "too many changes are waiting"))
 		return
-	case held == nil && p.locks.byName[call.ID] == nil && len(p.locks.byName) >= maxLocks:
+	case current == nil && p.locks.byName[call.ID] == nil && len(p.locks.byName) >= maxLocks:
 		answer(overload(http.StatusTooManyRequests, "too many locks are held"))
 		return
 	}
 	p.locks.lastFence++
 	fence := p.locks.lastFence
-	if held == nil {
-		held = &lock{holder: params.Holder, firstFence: fence, acquiredAt: now}
-		p.locks.byName[call.ID] = held
+	if current == nil {
+		current = &lock{holder: params.Holder, firstFence: fence, acquiredAt: now}
+		p.locks.byName[call.ID] = current
 	}
-	held.fence = fence
-	held.extend(now, hold, p.ReleaseTime)
-	ops := []wire.Op{newPutOp(recordFence, &fenceRecord{fence}), held.record(call.ID)}
+	current.fence = fence
+	current.extend(now, hold, p.ReleaseTime)
+	ops := []wire.Op{newPutOp(recordFence, &fenceRecord{fence}), current.record(call.ID)}
 	p.commitAndAnswer(ops, p.success(&wire.LockAnswer{Fence: fence}), answer)
 }
 
-// Renew extends the hold of a lock. A commit is only needed if the requested time is longer than the recorded one: the holder counts its
-// time from when it sent the call, while no other process was leader, and a later leader keeps the lock for the recorded time from its
-// own takeover.
+// Renew extends the hold of a lock. It only needs a commit if the requested hold time is longer than the recorded one. Otherwise
+// the record is enough: a later leader keeps the lock for the recorded time from its takeover, and the holder counts its hold time from
+// when it sent the call, which was before that takeover.
 func (p *Part) Renew(call *wire.ClientCall, answer answerClient) {
 	params := readLockCall(call, answer)
 	if params == nil {
@@ -163,22 +164,23 @@
 		return
 	}
 	now, hold := p.Clock.Monotonic(), clock.Milliseconds(params.HoldMs)
-	held := p.locks.held(call.ID, now)
+	current := p.locks.findHeld(call.ID, now)
 	switch {
-	case !held.isHeldBy(params.Holder, params.Fence):
+	case !current.isHeldBy(params.Holder, params.Fence):
 		p.answerUnderLease(refusal(http.StatusConflict, "the lock is lost"), answer)
-	case hold <= held.longestHold:
-		held.extend(now, hold, p.ReleaseTime)
+	case hold <= current.longestHold:
+		current.extend(now, hold, p.ReleaseTime)
 		p.answerUnderLease(wire.ClientAnswer{Status: http.StatusOK}, answer)
-	case p.isFull():
+	case p.isCommitQueueFull():
 		answer(overload(http.StatusServiceUnavailable, "too many changes are waiting"))
 	default:
-		held.extend(now, hold, p.ReleaseTime)
-		p.commitAndAnswer([]wire.Op{held.record(call.ID)}, wire.ClientAnswer{Status: http.StatusOK}, answer)
+		current.extend(now, hold, p.ReleaseTime)
+		p.commitAndAnswer([]wire.Op{current.record(call.ID)}, wire.ClientAnswer{Status: http.StatusOK}, answer)
 	}
 }
 
-// Release releases a lock if it is held under the fencing token. Otherwise it succeeds without effect.
+// Release releases a lock if the fencing token is the last one that the holder got for it. It refuses a token that was never issued.
+// With any other token it succeeds without effect.
 func (p *Part) Release(call *wire.ClientCall, answer answerClient) {
 	params := readLockCall(call, answer)
 	if params == nil {
@@ -188,12 +190,12 @@
 		p.answerUnderLease(fenceNeverIssued, answer)
 		return
 	}
-	held := p.locks.byName[call.ID]
-	if held == nil || held.holder != params.Holder || held.fence != params.Fence {
+	current := p.locks.byName[call.ID]
+	if current == nil || current.holder != params.Holder || current.fence != params.Fence {
 		p.answerUnderLease(wire.ClientAnswer{Status: http.StatusOK}, answer)
 		return
 	}
-	if p.isFull() {
+	if p.isCommitQueueFull() {
 		answer(overload(http.StatusServiceUnavailable, "too many changes are waiting"))
 		return
 	}
--- a/internal/control/coordination/names.go
+++ b/internal/control/coordination/names.go
@@ -16,7 +16,7 @@
 // groupSeparator ends the group's name within a cell's name. It is part of the group's name.
 const groupSeparator = "."
 
-// KeyOf returns the replication key of a partition, from 0 to PartCount-1.
+// KeyOf returns the replication key of the partition with the given number, which is from 0 to PartCount-1.
 func KeyOf(part int) string { return wire.CoordinationKeyPrefix + strconv.Itoa(part) }
 
 // Keys returns the replication keys of all partitions.
--- a/internal/control/coordination/numbers.go
+++ b/internal/control/coordination/numbers.go
@@ -11,12 +11,12 @@
 const (
 	// maxNumberNames limits the names that have a number sequence in a partition.
 	maxNumberNames = 20000
-	// numberRange is the number of numbers that one commit reserves.
+	// numberRange is how many numbers one commit reserves for a name.
 	numberRange = 128
 )
 
-// numberSequence issues the numbers of one name. This leader may issue all numbers up to reserved once the commit that reserved them is
-// durable, and each answer waits for that commit. A new leader starts above reserved.
+// numberSequence issues the numbers of one name, up to reserved without another commit. Each answer waits until the commit that reserved
+// its number is durable. A new leader sets lastIssued to reserved, since it doesn't know which numbers were issued.
 type numberSequence struct {
 	lastIssued, reserved uint64
 }
@@ -43,7 +43,7 @@
 	case sequence == nil && len(p.numbers.byName) >= maxNumberNames:
 		answer(overload(http.StatusTooManyRequests, "too many names have numbers"))
 		return
-	case isExhausted && p.isFull():
+	case isExhausted && p.isCommitQueueFull():
 		answer(overload(http.StatusServiceUnavailable, "too many changes are waiting"))
 		return
 	case sequence == nil:
--- a/internal/control/coordination/part.go
+++ b/internal/control/coordination/part.go
@@ -4,12 +4,13 @@
 //
 // Names are distributed by hash over partitions. Each partition is a replicated key with its own leader. The cells of a group share a
 // revision counter and are in the same partition. The tables of a Part contain every change as soon as it is proposed. Commits complete in
-// the order in which they were proposed. An answer waits for all commits that were pending when it was computed, so uncommitted state is
-// never visible to callers.
+// the order in which they were proposed. An answer that depends on the tables waits for all commits that were pending when it was
+// computed, so uncommitted state is never visible to callers. The answer to a watch doesn't wait, since it contains only durable puts.
 //
-// An answer to a committed change stays true whenever it arrives. Any other answer is sent only under the leader's lease, which is
-// checked after the answer was computed. Together with the epoch of each commit, this prevents a leader that was frozen or partitioned
-// from committing or answering once another process may lead.
+// An answer to a committed change stays true whenever it arrives. Any other answer from the tables is sent only under the leader's lease,
+// which is checked after the answer was computed. Together with the epoch of each commit, this prevents a leader that was frozen or
+// partitioned from committing or answering once another process may lead. Refusals of invalid calls and for lack of capacity are sent at
+// once, without a check of the lease.
 //
 // If the leadership ends after a call was proposed, the outcome of the call is unknown. All calls are safe to retry, so the caller of
 // this package repeats them at the next leader.
@@ -65,7 +66,7 @@
 	locks      lockTable
 	numbers    numberTable
 	cells      cellTable
-	// nextCleanUpAt is when Tick cleans up next, see cleanUpInterval.
+	// nextCleanUpAt is when Tick cleans up next, on the monotonic clock. See cleanUpInterval.
 	nextCleanUpAt time.Duration
 }
 
@@ -74,8 +75,8 @@
 	return &Part{key: key, Dependencies: dependencies}
 }
 
-// Open takes over the leadership of the key, with its committed records as pairs. The hold time of each lock restarts in full. An error
-// names the record that is invalid.
+// Open takes over the leadership of the key, with its committed records as pairs. The hold time of each lock restarts in full. If a record
+// is invalid, Open returns an error that names it, and the partition stays closed.
 func (p *Part) Open(leadership Leadership, pairs []wire.Op) error {
 	now := p.Clock.Monotonic()
 	p.clear()
@@ -87,7 +88,7 @@
 	p.cells.finishLoading(now)
 	p.leadership, p.nextCleanUpAt = leadership, now+cleanUpInterval
 	p.Log.Info("locks, numbers and cells taken over", "key", p.key, "epoch", leadership.Epoch(), "locks", len(p.locks.byName),
-		"numbers", len(p.numbers.byName), "cells", p.cells.count, "events", p.cells.eventCount)
+		"numbers", len(p.numbers.byName), "cells", p.cells.cellCount, "events", p.cells.eventCount)
 	return nil
 }
 
@@ -123,7 +124,7 @@
 }
 
 // errClosed is passed to the callbacks of commits that are pending when the leadership ends.
-const errClosed = errors.ConstError("the part is led elsewhere")
+const errClosed = errors.ConstError("the leadership of the key has ended")
 
 // clear resets the partition to its closed state, with empty tables.
 func (p *Part) clear() {
--- a/internal/control/coordination/part_test.go
+++ b/internal/control/coordination/part_test.go
@@ -83,7 +83,7 @@
 		Expect(h.lastAnswer()).To(Equal("200"))
 	})
 
-	It("keep rising tokens over expiry, a change of leader and an empty table", func() {
+	It("get rising tokens across expiry, a change of leader and an empty table", func() {
 		h.acquire("a", "x")
 		h.advance(testHold + cleanUpInterval + time.Second)
 		h.lastAnswer()
@@ -196,12 +196,12 @@
 			}
 		}
 		Expect(refusal).To(Equal("429"))
-		Expect(h.part.cells.groups["g."].bytes).To(BeNumerically("<=", maxGroupBytes))
+		Expect(h.part.cells.groups["g."].eventBytes).To(BeNumerically("<=", maxGroupBytes))
 		h.advance(testHistory + cleanUpInterval)
 		h.lastAnswer()
 		Expect(h.part.cells.eventCount).To(BeZero())
 		Expect(h.put("g.b", "v", 0)).To(HavePrefix("200"))
-		Expect(h.part.cells.bytes).To(Equal(h.part.cells.groups["g."].bytes + len("g.a") + len(h.part.cells.cell("g.a").put.value) + len("g.bv")))
+		Expect(h.part.cells.bytes).To(Equal(h.part.cells.groups["g."].eventBytes + len("g.a") + len(h.part.cells.cell("g.a").put.value) + len("g.bv")))
 	})
 
 	It("refuse changes before proposing them while too many wait for the quorum", func() {
@@ -229,7 +229,7 @@
 		Expect(h.answers).To(HaveLen(1))
 	})
 
-	It("cause an error that names the record if it is invalid", func() {
+	It("can't be taken over if a record is invalid, and the error names the record", func() {
 		for _, name := range []string{"f", "l/a", "n/a", "c/g.a", "e/g./1"} {
 			Expect(h.part.Open(h.leadership, []wire.Op{{Name: name, Value: []byte("[")}})).To(MatchError(ContainSubstring(name)))
 		}
@@ -269,7 +269,7 @@
 		Expect(answerText(h.answers[4])).To(ContainSubstring(`"revision":3}],"revision":3`), "the next put is not durable yet")
 	})
 
-	It("end without puts at their deadline and are referred to the next leader without the leadership or the lease", func() {
+	It("end without puts at their deadline, and are referred to the next leader if the leadership or the lease is lost", func() {
 		h.watch("g.", 2, time.Second)
 		h.advance(950 * time.Millisecond)
 		Expect(h.answers).To(BeEmpty())
--- a/internal/control/coordination/records.go
+++ b/internal/control/coordination/records.go
@@ -10,15 +10,15 @@
 
 // The kinds of records, which are the prefixes of record names. Except for recordFence, a slash and a name follow.
 const (
-	// recordFence: f is the last fencing token that was issued.
+	// recordFence: f is a fenceRecord, the last fencing token that was issued.
 	recordFence = "f"
-	// recordLock: l/NAME is a held lock.
+	// recordLock: l/NAME is a lockRecord. It is deleted when the lock is released, or by a clean-up after it expires.
 	recordLock = "l"
-	// recordNumber: n/NAME is the highest reserved number of a name.
+	// recordNumber: n/NAME is a numberRecord, the highest reserved number of a name.
 	recordNumber = "n"
-	// recordCell: c/NAME is the last put into a cell.
+	// recordCell: c/NAME is a cellRecord, the last put into a cell.
 	recordCell = "c"
-	// recordEvent: e/GROUP/REVISION is a put that is kept for watchers.
+	// recordEvent: e/GROUP/REVISION is an eventRecord, a put that is kept for watchers.
 	recordEvent = "e"
 )
 
@@ -27,7 +27,7 @@
 	Last uint64 `json:"last"`
 }
 
-// lockRecord stores a held lock. Its expiry is not stored: the hold time restarts when a leader takes over the key.
+// lockRecord stores a lock and its holder. The expiry is not stored: the hold time restarts when a leader takes over the key.
 type lockRecord struct {
 	Holder string `json:"holder"`
 	// First and Fence are the first and the last fencing token that the holder got without a release in between.
@@ -46,7 +46,7 @@
 type cellRecord struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
-	// Expected is the revision of the cell that the put required; 0 stands for a cell that did not exist.
+	// Expected is the revision that the put required the cell to have; 0 means that the cell did not exist.
 	Expected uint64 `json:"expected,omitempty"`
 }
 
@@ -61,7 +61,8 @@
 // recordName returns the record name for a kind and a name.
 func recordName(kind, name string) string { return kind + "/" + name }
 
-// newPutOp returns the operation that writes a record. Records are structs of strings and numbers, which can always be encoded as JSON.
+// newPutOp returns the operation that writes a record. It panics if the encoding fails, which can't happen for records: they are structs of
+// strings and numbers.
 func newPutOp(name string, record easyjson.Marshaler) wire.Op {
 	value, err := easyjson.Marshal(record)
 	if err != nil {
--- a/internal/control/coordination/report.go
+++ b/internal/control/coordination/report.go
@@ -11,7 +11,7 @@
 func (p *Part) Report(_ *wire.ClientCall, answer answerClient) {
 	now := p.Clock.Monotonic()
 	report := &wire.CoordinationReport{Key: p.key, Epoch: p.leadership.Epoch(), Locks: []wire.LockReport{}, Numbers: len(p.numbers.byName),
-		Cells: p.cells.count, Events: p.cells.eventCount, Watchers: p.cells.watcherCount, Bytes: p.cells.bytes}
+		Cells: p.cells.cellCount, Events: p.cells.eventCount, Watchers: p.cells.watcherCount, Bytes: p.cells.bytes}
 	for name, lock := range p.locks.byName {
 		if now < lock.expiresAt {
 			report.Locks = append(report.Locks, wire.LockReport{Name: name, Holder: lock.holder, Fence: lock.fence,
--- a/internal/control/coordination/script_test.go
+++ b/internal/control/coordination/script_test.go
@@ -20,7 +20,7 @@
 	testHold    = 3 * time.Second
 )
 
-// fakeLeadership is a leadership whose commits complete and whose lease ends when the test says so.
+// fakeLeadership is a leadership that the test controls: commitOldest commits its changes, and hasLease is its lease.
 type fakeLeadership struct {
 	epoch    uint64
 	hasLease bool
@@ -29,7 +29,7 @@
 	pending []fakeCommit
 }
 
-// fakeCommit is a proposed change that is not committed yet.
+// fakeCommit is a proposed change that is not committed yet, and its callback.
 type fakeCommit struct {
 	ops  []wire.Op
 	done func(error)
@@ -85,7 +85,7 @@
 	Expect(h.part.Open(h.leadership, pairs)).To(Succeed())
 }
 
-// send makes a call. The answer may be added to answers later.
+// send makes a call. Its answer is added to answers when it comes, which may be after send returns.
 func (h *harness) send(call wire.ClientCall, body easyjson.Marshaler) {
 	if body != nil {
 		text, err := easyjson.Marshal(body)
@@ -103,7 +103,7 @@
 	return answerText(h.answers[len(h.answers)-1])
 }
 
-// answerText returns an answer as text.
+// answerText returns an answer as text: "unknown", "not leader", or the status and the body.
 func answerText(answer wire.ClientAnswer) string {
 	switch {
 	case answer.OutcomeUnknown:
--- a/internal/control/coordination/watches.go
+++ b/internal/control/coordination/watches.go
@@ -20,18 +20,18 @@
 	answer        answerClient
 }
 
-// Watch answers with the puts of a group above the revision call.Base, as soon as there is one. Base 0 asks for the current revision
-// only, so such a call waits only if the group has no durable put yet. Answers contain only durable puts, so they don't wait for
-// pending commits.
+// Watch answers with the puts of a group above the revision call.Base, as soon as there is one. After call.RemainingMs it answers without
+// puts. Base 0 asks for the current revision only, so such a call waits only if the group has no durable put yet. Answers contain only
+// durable puts, so they don't wait for pending commits.
 func (p *Part) Watch(call *wire.ClientCall, answer answerClient) {
 	afterRevision, now := uint64(call.Base), p.Clock.Monotonic()
 	group := p.cells.groups[call.ID]
 	switch {
-	case afterRevision == 0 && group != nil && group.committed > 0:
-		p.answerIfLeased(p.success(noEvents(group.committed)), answer)
+	case afterRevision == 0 && group != nil && group.committedRevision > 0:
+		p.answerIfLeased(p.success(noEvents(group.committedRevision)), answer)
 	case group != nil && afterRevision < group.compactRevision:
 		p.answerIfLeased(refusal(http.StatusGone, "the puts after that revision are no longer kept"), answer)
-	case group != nil && afterRevision < group.committed:
+	case group != nil && afterRevision < group.committedRevision:
 		p.answerIfLeased(p.success(group.eventsAfter(afterRevision)), answer)
 	case call.RemainingMs <= 0:
 		p.answerIfLeased(p.success(noEvents(afterRevision)), answer)
@@ -42,7 +42,7 @@
 	}
 }
 
-// noEvents returns an answer without puts.
+// noEvents returns an answer without puts that states a revision.
 func noEvents(revision uint64) *wire.WatchAnswer {
 	return &wire.WatchAnswer{Events: []wire.CellEvent{}, Revision: revision}
 }
@@ -57,9 +57,9 @@
 
 // eventsAfter returns the durable puts above a revision, which must not be below compactRevision.
 func (g *group) eventsAfter(afterRevision uint64) *wire.WatchAnswer {
-	answer := noEvents(max(afterRevision, g.committed))
+	answer := noEvents(max(afterRevision, g.committedRevision))
 	for _, event := range g.events {
-		if event.revision > afterRevision && event.revision <= g.committed {
+		if event.revision > afterRevision && event.revision <= g.committedRevision {
 			answer.Events = append(answer.Events, wire.CellEvent{Name: event.put.name, Value: event.put.value, Revision: event.revision})
 		}
 	}
@@ -68,10 +68,11 @@
 
 // notifyWatchers answers the watchers of a group that have durable puts above their revisions.
 func (p *Part) notifyWatchers(group *group) {
-	p.answerMatchingWatchers(group, func(watcher *watcher) bool { return watcher.afterRevision < group.committed })
+	p.answerMatchingWatchers(group, func(watcher *watcher) bool { return watcher.afterRevision < group.committedRevision })
 }
 
-// answerExpiredWatchers answers the watchers whose deadline has passed. They have no puts to get, so their answers are empty.
+// answerExpiredWatchers answers the watchers whose deadline has passed. Their answers contain no puts, since notifyWatchers answers a
+// watcher as soon as there is one.
 func (p *Part) answerExpiredWatchers(now time.Duration) {
 	for _, group := range p.cells.sortedWatchedGroups() {
 		p.answerMatchingWatchers(group, func(watcher *watcher) bool { return now >= watcher.deadline })
