--- a/internal/control/coordinationapi/decode.go
+++ b/internal/control/coordinationapi/decode.go
@@ -53,7 +53,7 @@
 	Call wire.ClientCall
 	// Wait is the time for which a watch waits for a put; 0 for other calls.
 	Wait time.Duration
-	// IsRead reports whether the call changes nothing. It doesn't matter then whether an earlier attempt was executed.
+	// IsRead reports whether the call changes nothing. For such a call, Reply ignores whether an earlier attempt was executed.
 	IsRead bool
 }
 
@@ -196,7 +196,7 @@
 	return newReadCommand(wire.ClientCall{Key: coordination.KeyOfName(group), Verb: wire.VerbWatch, ID: group, Base: afterRevision}, clock.Milliseconds(waitMs))
 }
 
-// parseCount returns the value of a query field, which must be an integer of at least 0. A missing field has the value 0.
+// parseCount returns the value of a query field, or false if it is not an integer of at least 0. A missing field has the value 0.
 func parseCount(query url.Values, field string) (int64, bool) {
 	if !query.Has(field) {
 		return 0, true
@@ -205,7 +205,7 @@
 	return count, err == nil && count >= 0
 }
 
-// cutSuffix splits a path before its last slash. The suffix includes the slash; it is empty if there is none.
+// cutSuffix splits a path before its last slash. The suffix includes the slash. It is empty if the path has no slash.
 func cutSuffix(path string) (name, suffix string) {
 	end := strings.LastIndexByte(path, '/')
 	if end < 0 {
@@ -214,7 +214,7 @@
 	return path[:end], path[end:]
 }
 
-// checkRequest returns a reply that refuses a request with another method or an invalid name. For a valid request, the reply is empty.
+// checkRequest checks the method and the name of a request. It returns the reply that refuses the request, which is empty for a valid one.
 func checkRequest(request *http.Request, method, name string) response.Reply {
 	if request.Method != method {
 		return response.Text(http.StatusMethodNotAllowed, "only "+method+" is taken here")
@@ -225,7 +225,8 @@
 	return response.Reply{}
 }
 
-// readRequest checks a request and decodes its body. It returns the reply that refuses the request, which is empty for a valid one.
+// readRequest checks a request like checkRequest and decodes its body. It returns the reply that refuses the request, which is empty for a
+// valid one.
 func readRequest(request *http.Request, method, name string, into easyjson.Unmarshaler) response.Reply {
 	if refusal := checkRequest(request, method, name); refusal.Status != 0 {
 		return refusal
--- a/internal/control/coordinationapi/handler.go
+++ b/internal/control/coordinationapi/handler.go
@@ -1,6 +1,6 @@
 // Package coordinationapi is the HTTP API for locks, numbers and cells, which every steward serves to applications. It decodes a call,
 // sends it to the leader of the key that holds the name, and writes the reply. A call that is answered with 412, 429 or 503 had no
-// effect and never will have one. A call with an unknown outcome is answered with 504, which promises nothing.
+// effect and never will have one. The status 504 means that the outcome is unknown.
 package coordinationapi
 
 import (
@@ -20,10 +20,11 @@
 )
 
 const (
-	// answerTimeout limits the duration of a call, in addition to the wait of a watch. Callers try another steward after one second.
+	// answerTimeout limits the duration of a call, in addition to the wait of a watch. It is shorter than one second, after which callers
+	// try another steward.
 	answerTimeout = 900 * time.Millisecond
-	// maxWaitAtLeader limits the wait of a watch in a single call to the leader. After a leader failed without closing its connections,
-	// the watch soon continues at the next one.
+	// maxWaitAtLeader limits the wait of a watch in a single call to the leader. If a leader fails without closing its connections, the
+	// watch thus soon continues at the next leader.
 	maxWaitAtLeader = time.Second
 	// callLogVerbosity is the verbosity level of the log message about each call.
 	callLogVerbosity = 1
@@ -89,9 +90,10 @@
 	reply.Write(writer)
 }
 
-// Reply returns the HTTP reply for the outcome of a command. A refusal which promises that the call had no effect is only passed on if no
-// earlier attempt may have been executed. A put that is refused because of its revision is refused for all its attempts: the leader
-// would have detected an earlier attempt that was accepted, and no later one can be accepted, since revisions only rise.
+// Reply returns the HTTP reply for the outcome of a command. The statuses 429 and 503 state that the call had no effect. If the call
+// changes state and an earlier attempt may have been executed, Reply returns 504 instead. The status 412 of a put with a wrong revision
+// is passed on in any case: the leader would have detected an earlier attempt that was accepted, and no later attempt can be accepted,
+// since revisions only rise.
 func Reply(command *Command, outcome leaderclient.Outcome) response.Reply {
 	answer, isOutcomeUnknown := outcome.Answer, outcome.MayHaveRun && !command.IsRead
 	switch {
@@ -107,8 +109,8 @@
 	return response.Raw(answer.Status, answer.Body)
 }
 
-// watch repeats a watch call at the leader until it returns a put, a newer revision or a refusal, or until the wait of the command is
-// over. Calls without an answer are repeated, too.
+// watch repeats a watch call at the leader until the answer is a put, a newer revision or a refusal, or until the wait of the command is
+// over. A call without an answer is repeated, too. When the process shuts down, the reply is 503.
 func (h *Handler) watch(ctx context.Context, command *Command) response.Reply {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/control/coordinationapi/requests.go
+++ b/internal/control/coordinationapi/requests.go
@@ -2,7 +2,7 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all -disallow_unknown_fields requests.go
 
-// lockRequest is the body of a call about a lock. Which fields are required depends on the call, see problem.
+// lockRequest is the body of a call about a lock. Which fields are required depends on the call, see lockRequest.problem.
 type lockRequest struct {
 	Holder string `json:"holder"`
 	Fence  int64  `json:"fence-number"`
