--- a/internal/control/itemrunner/idletimer.go
+++ b/internal/control/itemrunner/idletimer.go
@@ -8,8 +8,8 @@
 	"gannetline/internal/platform/clock"
 )
 
-// idleTimer ends a run whose executor sends no event for too long. If the executor's machine fails after it acknowledged the request,
-// nothing closes the connection.
+// idleTimer ends a run whose executor sends no event for too long. If the executor's machine fails, nothing closes the connection, and
+// without the timer the run would only end after runTimeout.
 type idleTimer struct {
 	clock   clock.Clock
 	timeout time.Duration
--- a/internal/control/itemrunner/idletimer_test.go
+++ b/internal/control/itemrunner/idletimer_test.go
@@ -17,7 +17,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// steppedClock is a clock that only moves when the test moves it. A wait ends when the test calls advance, whatever its length.
+// steppedClock is a clock that only moves when the test moves it. A wait ends when the test calls advance, regardless of its length.
 type steppedClock struct {
 	now   atomic.Int64
 	waits chan chan time.Time
@@ -31,14 +31,14 @@
 	return fired
 }
 
-// advance moves the clock and ends the oldest wait, for which it blocks if there is none yet.
+// advance moves the clock and ends the oldest wait. If there is no wait yet, it blocks until there is one.
 func (c *steppedClock) advance(length time.Duration) {
 	fired := <-c.waits
 	c.now.Add(int64(length))
 	fired <- time.Time{}
 }
 
-// silentExecutor answers with the events that the test sends to events. It sends to idle whenever the reader has read all of them.
+// silentExecutor answers with the events that the test sends to events. It sends to idle whenever the reader has read all of these events.
 type silentExecutor struct {
 	events chan string
 	idle   chan struct{}
@@ -56,7 +56,7 @@
 	ctx      context.Context
 }
 
-// Read reports to the test that all events were read, and waits for the next one.
+// Read tells the test on idle that all events were read, and waits for the next one.
 func (b *silentBody) Read(into []byte) (int, error) {
 	b.executor.idle <- struct{}{}
 	select {
--- a/internal/control/itemrunner/itemrunner.go
+++ b/internal/control/itemrunner/itemrunner.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// runTimeout limits the duration of a run, also at an executor that sends nothing more.
+	// runTimeout limits the duration of a run, also while its executor sends events.
 	runTimeout = 30 * time.Second
 	// itemPriority is the value of the Priority header of items. Lower numbers go first, so that interactive requests overtake items at
 	// an executor.
@@ -64,7 +64,7 @@
 	return outcome, progress
 }
 
-// callExecutor sends the item to the executor and reads the answer. The progress that it returns includes that of earlier runs.
+// callExecutor sends the item to the executor and reads the answer. The progress that it returns includes the progress of earlier runs.
 func (r *Runner) callExecutor(ctx context.Context, run lots.Run, timer *idleTimer) (lots.Outcome, lots.Progress) {
 	call, err := newCall(ctx, run)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return readEvents(answer, run.Progress, timer)
 }
 
-// newCall returns the HTTP request of a run.
+// newCall returns the HTTP request of a run. Without GetBody, the HTTP client can't send the body a second time by itself.
 func newCall(ctx context.Context, run lots.Run) (*http.Request, error) {
 	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+run.Executor.Address+run.Path, bytes.NewReader(run.Body))
 	if err != nil {
--- a/internal/control/itemrunner/itemrunner_test.go
+++ b/internal/control/itemrunner/itemrunner_test.go
@@ -20,8 +20,8 @@
 const itemID = "e5b2907c14da6f38"
 
 // runItem runs an item at an executor with the given handler and returns the outcome and the progress.
-func runItem(run lots.Run, script http.HandlerFunc) (outcome lots.Outcome, progress lots.Progress) {
-	executor := httptest.NewServer(script)
+func runItem(run lots.Run, handler http.HandlerFunc) (outcome lots.Outcome, progress lots.Progress) {
+	executor := httptest.NewServer(handler)
 	defer executor.Close()
 	run.Executor = wire.ExecutorRecord{ID: "i-1", Address: executor.Listener.Addr().String()}
 	run.ItemID, run.Host, run.Path = itemID, "nony24.example", "/p/3"
@@ -102,8 +102,8 @@
 		Expect(outcome).To(Equal(lots.OutcomeBroken))
 	})
 
-	DescribeTable("has the outcome of an answer without output", func(script http.HandlerFunc, expected lots.Outcome) {
-		outcome, _ := runItem(lots.Run{}, script)
+	DescribeTable("has the outcome of an answer without output", func(handler http.HandlerFunc, expected lots.Outcome) {
+		outcome, _ := runItem(lots.Run{}, handler)
 		Expect(outcome).To(Equal(expected))
 	},
 		Entry("not executed", status(503, "X-Not-Executed", "1"), lots.OutcomeRefused),
--- a/internal/control/lots/changeset.go
+++ b/internal/control/lots/changeset.go
@@ -25,8 +25,9 @@
 // lost first.
 func (c *changeSet) afterCommit(callback func(error)) { c.callbacks = append(c.callbacks, callback) }
 
-// startCommit empties the set and returns its operations, with the commit to end once they are durable. The commit is nil if there are
-// no operations; the callbacks of the set then follow the last pending commit, or run at once if none is pending.
+// startCommit empties the set and returns its operations and a new pending commit. The caller ends the commit once the operations are
+// durable. If there are no operations, the commit is nil, and the callbacks of the set run after the last pending commit, or at once if
+// none is pending.
 func (c *changeSet) startCommit() (*commitqueue.Commit, []wire.Op) {
 	ops, callbacks := c.ops, c.callbacks
 	c.ops, c.callbacks = nil, nil
--- a/internal/control/lots/clients.go
+++ b/internal/control/lots/clients.go
@@ -39,8 +39,8 @@
 	return wire.ClientAnswer{Status: status, Reason: reason}
 }
 
-// Submit accepts a lot unless its tenant exceeds the token limit of the route. A retry with the ID of a known lot is acknowledged without
-// a new lot.
+// Submit accepts a lot unless its tenant would exceed the token limit of the route. A call with the ID of a known lot is taken for a retry
+// and acknowledged without a new lot.
 func (p *Part) Submit(call *wire.ClientCall, answer answerClient) {
 	if existing := p.lots[call.ID]; existing != nil {
 		p.answerAccepted(answer)
@@ -102,7 +102,7 @@
 	return submitted, nil
 }
 
-// newLot returns a lot that is not committed yet. It is accepted at the agreed time of day.
+// newLot returns a lot that is not committed yet. Its acceptance time is the time of day that the voters agree on.
 func (p *Part) newLot(call *wire.ClientCall, submitted *submission) *lot {
 	created := &lot{id: call.ID, record: lotRecord{Route: call.Route, Tenant: call.Tenant, AcceptedMs: p.leadership.WallMs()}}
 	for index, input := range submitted.Items {
@@ -130,7 +130,7 @@
 // bodyText returns a body as a base64 string in JSON. Records must be JSON, since they are embedded in messages.
 func bodyText(body []byte) []byte { return []byte(`"` + base64.StdEncoding.EncodeToString(body) + `"`) }
 
-// waitingTokens returns the number of tokens of a tenant's items on a route that have no result yet.
+// waitingTokens returns the number of tokens of a tenant's items on a route that have no result yet, apart from items of ended lots.
 func (p *Part) waitingTokens(tenant, route string) int64 {
 	var tokens int64
 	for _, lot := range p.lots {
@@ -141,14 +141,14 @@
 	return tokens
 }
 
-// isVisibleTo reports whether a call may access the lot. A lot is hidden from other tenants. Calls of routes without API keys have no
-// tenant and may access any lot.
+// isVisibleTo reports whether a call may access the lot. The lot of a tenant is hidden from other tenants. A call without a tenant may
+// access any lot, and any call may access a lot without a tenant: routes without API keys have no tenants.
 func (l *lot) isVisibleTo(call *wire.ClientCall) bool {
 	return call.Tenant == "" || l.record.Tenant == "" || call.Tenant == l.record.Tenant
 }
 
-// findLot returns the lot of a call if the lot is durable. Otherwise it answers the call and returns nil. It answers that a lot does not
-// exist only under the lease.
+// findLot returns the lot of a call if the lot is durable and visible to the call. Otherwise it answers the call and returns nil. It
+// answers that a lot does not exist only under the lease, since another leader may have accepted the lot.
 func (p *Part) findLot(call *wire.ClientCall, answer answerClient) *lot {
 	lot := p.lots[call.ID]
 	isVisible := lot != nil && lot.isVisibleTo(call)
@@ -173,7 +173,8 @@
 	answer(response)
 }
 
-// Results answers with the committed results from position call.Base on. If there are none yet, it waits for one up to call.RemainingMs.
+// Results answers with the committed results from position call.Base on. If there are none yet, it waits for one up to call.RemainingMs,
+// unless all items have committed results.
 func (p *Part) Results(call *wire.ClientCall, answer answerClient) {
 	lot := p.findLot(call, answer)
 	if lot == nil {
@@ -251,7 +252,7 @@
 	return slices.ContainsFunc(l.results[:l.committedResults], func(result resultRecord) bool { return result.Index == item.index })
 }
 
-// End ends a lot: existing results are kept and no further item runs. Ending a lot again has no effect.
+// End ends a lot: existing results are kept and no further run starts. Ending a lot again has no effect.
 func (p *Part) End(call *wire.ClientCall, answer answerClient) {
 	lot := p.findLot(call, answer)
 	if lot == nil {
--- a/internal/control/lots/lot.go
+++ b/internal/control/lots/lot.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// The states of a result, as clients and records have them.
+// The states of a result, in records and in answers to clients.
 const (
 	stateCompleted  = "completed"
 	stateDeadLetter = "dead_letter"
 )
 
-// lot is a list of items that a client submitted together, with their results. A finished lot is kept for its readers until the
-// retention time since its acceptance has passed, and no longer if that has passed already.
+// lot is a list of items that a client submitted together, with their results. It is kept for readers until it is finished and
+// the retention time since its acceptance has passed.
 type lot struct {
 	id     string
 	record lotRecord
@@ -33,17 +33,18 @@
 	lot   *lot
 	index int
 	body  []byte
-	// hasResult reports whether the item has a position in the lot's results; isRunning whether a run is in progress.
+	// hasResult reports whether the lot's results contain the item's result, committed or not. isRunning reports whether a run is in
+	// progress.
 	hasResult bool
 	isRunning bool
-	// failures counts failed runs (status 500). The item does not run again before notBefore.
+	// failures counts failed runs (status 500). The item does not run again before notBefore, which is on the monotonic clock.
 	failures  int
 	notBefore time.Duration
 	// timeouts counts runs that were ended because their executor was idle for too long.
 	timeouts int
 	// failedExecutor is the ID of the executor if the last run failed or timed out, and empty otherwise.
 	failedExecutor string
-	// progress is the output so far of runs that broke off or timed out.
+	// progress is the output of the runs that broke off or timed out since the last failed run. The next run continues after it.
 	progress Progress
 }
 
--- a/internal/control/lots/lots.go
+++ b/internal/control/lots/lots.go
@@ -1,10 +1,11 @@
 // Package lots manages lots, which are batches of requests (items) that a client submits together and whose results it reads later. It
 // stores lots and runs their items while this process leads the key of a partition. It has no goroutines and no sockets: one goroutine calls
-// it with the commands of clients and the outcomes of runs, and calls Flush after each burst of such calls.
+// it with the commands of clients and the outcomes of runs. It calls Flush after each burst of such calls and after each Tick.
 //
-// A lot is acknowledged once all its records are committed. A result gets its position when the run of its item ends, and is visible to
-// readers once it is committed at that position. No position is assigned twice, since each leader appends its results to all results
-// that were committed before. An item may run more than once, since a new leader doesn't know the runs that are in progress.
+// A lot is acknowledged once all its records are committed. A result gets its position when it is recorded, which is at the end of a run or
+// when the item expires. It is visible to readers once it is committed at that position. No position gets two committed results, since each
+// leader appends its results to all results that were committed before. An item may run more than once, since a new leader doesn't know the
+// runs that are in progress.
 package lots
 
 import (
@@ -51,9 +52,9 @@
 	OutcomeTimedOut
 	// OutcomeRefused means that the executor did not run the item, usually for lack of capacity.
 	OutcomeRefused
-	// OutcomeFailed means that the executor failed (status 500).
+	// OutcomeFailed means that the executor failed (status 500). The item may start again from the beginning.
 	OutcomeFailed
-	// OutcomeImpossible means that no executor can process the item (status 422).
+	// OutcomeImpossible means that no executor can process the item (status 422, or an item that can't be sent as a request).
 	OutcomeImpossible
 )
 
@@ -82,15 +83,16 @@
 	// leadership is nil while another process leads the key. The tables below are empty then.
 	leadership scheduler.Leadership
 	lots       map[string]*lot
-	// queue holds the items without a result and without a run, in the order in which their lots were accepted. Items that expire, and
-	// those of ended lots, stay in it until the next startItems.
+	// queue holds the items of committed lots that have neither a result nor a run, in the order in which their lots were accepted. Items
+	// that expire and items of ended lots stay in it until the next startItems.
 	queue []*item
-	// executors holds the health of executors that had a run, by ID. An entry is removed once the executor has no runs, no failures and
-	// no ejection.
-	executors map[string]*executorHealth
-	changes   changeSet
-	// generation increases with each leadership. It identifies outcomes of runs from earlier leaderships, which are ignored.
-	generation    uint64
+	// healthByExecutor holds the health of the executors that had a run, by their IDs. An entry is removed once the executor has no runs,
+	// no failures and no ejection.
+	healthByExecutor map[string]*executorHealth
+	changes          changeSet
+	// generation increases with each leadership. Outcomes of runs that an earlier generation started are ignored.
+	generation uint64
+	// nextCleanUpAt is when Tick cleans up next, on the monotonic clock.
 	nextCleanUpAt time.Duration
 }
 
@@ -102,10 +104,11 @@
 // IsOpen reports whether this process leads the key.
 func (p *Part) IsOpen() bool { return p.leadership != nil }
 
-// Open takes over the leadership of the key, with its committed records as pairs. An invalid record is logged and stays unchanged.
+// Open takes over the leadership of the key, with its committed records as pairs. An invalid record is logged, and its stored copy stays
+// unchanged.
 func (p *Part) Open(leadership scheduler.Leadership, pairs []wire.Op) {
 	p.generation++
-	p.leadership, p.lots, p.queue, p.executors, p.changes = leadership, map[string]*lot{}, nil, map[string]*executorHealth{}, changeSet{}
+	p.leadership, p.lots, p.queue, p.healthByExecutor, p.changes = leadership, map[string]*lot{}, nil, map[string]*executorHealth{}, changeSet{}
 	for _, prefix := range []string{prefixLot, prefixBody, prefixResult, prefixEnd} {
 		for _, pair := range pairs {
 			if !strings.HasPrefix(pair.Name, prefix) {
@@ -162,7 +165,7 @@
 // are referred to the next leader.
 func (p *Part) Close() {
 	uncommitted, lots := p.changes.takeCallbacks(), p.lots
-	p.leadership, p.lots, p.queue, p.executors, p.changes = nil, nil, nil, nil, changeSet{}
+	p.leadership, p.lots, p.queue, p.healthByExecutor, p.changes = nil, nil, nil, nil, changeSet{}
 	for _, lot := range lots {
 		for _, reader := range lot.readers {
 			reader.answer(wire.ClientAnswer{NotLeader: true})
@@ -173,8 +176,8 @@
 	}
 }
 
-// errClosed is passed to callbacks of changes that are not committed when the leadership ends.
-const errClosed = errors.ConstError("the part is led elsewhere")
+// errClosed is passed to the callbacks that are waiting for a commit when the leadership ends.
+const errClosed = errors.ConstError("the leadership of the key has ended")
 
 // Tick answers expired readers. Once a second, it also expires items and removes old lots and entries of idle executors.
 func (p *Part) Tick() {
@@ -204,7 +207,7 @@
 	p.leadership.Commit(ops, func(err error) { p.changes.pending.End(commit, err) })
 }
 
-// removeOldLots removes finished lots whose retention time has passed.
+// removeOldLots removes committed and finished lots whose retention time has passed.
 func (p *Part) removeOldLots() {
 	oldest := p.leadership.WallMs() - p.Retention.Milliseconds()
 	for id, lot := range p.lots {
@@ -217,7 +220,7 @@
 
 // removeIdleExecutors removes the entries of executors without runs, failures and an ejection.
 func (p *Part) removeIdleExecutors(now time.Duration) {
-	maps.DeleteFunc(p.executors, func(_ string, health *executorHealth) bool {
+	maps.DeleteFunc(p.healthByExecutor, func(_ string, health *executorHealth) bool {
 		return health.running == 0 && health.failures == 0 && now >= health.ejectedUntil
 	})
 }
--- a/internal/control/lots/lots_test.go
+++ b/internal/control/lots/lots_test.go
@@ -24,7 +24,7 @@
 	routeName = "r"
 )
 
-// proposedChange is a change that the test commits.
+// proposedChange is a change that is proposed and not committed yet, and its callback.
 type proposedChange struct {
 	ops  []wire.Op
 	done func(error)
@@ -180,8 +180,8 @@
 	h.flush()
 }
 
-// texts returns the progress of a run with the given event data.
-func texts(texts ...string) lots.Progress { return lots.Progress{LastEventID: "9", Texts: texts} }
+// progressOf returns the progress of a run with the given event data.
+func progressOf(texts ...string) lots.Progress { return lots.Progress{LastEventID: "9", Texts: texts} }
 
 var _ = Describe("a lot", func() {
 	var h *harness
@@ -211,14 +211,14 @@
 		Expect(run.Headers).To(Equal(map[string]string{"X-Model-Name": "m"}))
 		Expect(run.Body).To(Equal([]byte{0, 0xff}))
 		h.executors[0].IsDraining, h.executors[1].IsDraining = true, true
-		h.endRun(run.ItemID, lots.OutcomeCompleted, texts("a"))
+		h.endRun(run.ItemID, lots.OutcomeCompleted, progressOf("a"))
 		Expect(h.runs).To(HaveLen(3))
 	})
 
 	It("orders results by the end of their runs and returns them once they are durable", func() {
 		h.submit(lotID, 3)
 		h.leadership.holdsCommits = true
-		h.endRun(lotID+"-1", lots.OutcomeCompleted, texts("one", "two"))
+		h.endRun(lotID+"-1", lots.OutcomeCompleted, progressOf("one", "two"))
 		Expect(h.readResults(0).Results).To(BeEmpty())
 		h.leadership.commitPending()
 		h.leadership.holdsCommits = false
@@ -234,7 +234,7 @@
 
 	It("keeps its results over a change of leader and runs items without a result again", func() {
 		h.submit(lotID, 3)
-		h.endRun(lotID+"-2", lots.OutcomeCompleted, texts("z"))
+		h.endRun(lotID+"-2", lots.OutcomeCompleted, progressOf("z"))
 		before := h.readResults(0)
 		previousRuns := h.runs
 		h.part.Close()
@@ -242,9 +242,9 @@
 		Expect(h.readResults(0)).To(Equal(before))
 		Expect(h.runs).To(HaveLen(2))
 		Expect(h.runs[0].Body).To(Equal([]byte{0, 0xff}))
-		previousRuns[0].done(lots.OutcomeCompleted, texts("late"))
+		previousRuns[0].done(lots.OutcomeCompleted, progressOf("late"))
 		Expect(h.readResults(0)).To(Equal(before))
-		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, progressOf("a"))
 		Expect(h.readResults(0).Results[0]).To(Equal(before.Results[0]))
 		Expect(h.readResults(1).Results[0].ID).To(Equal(lotID + "-0"))
 	})
@@ -273,10 +273,10 @@
 		for range 5 {
 			run := h.runs[0]
 			idleTimeouts = append(idleTimeouts, run.IdleTimeout)
-			h.endRun(lotID+"-0", lots.OutcomeTimedOut, texts("a"))
+			h.endRun(lotID+"-0", lots.OutcomeTimedOut, progressOf("a"))
 			Expect(h.runs).To(HaveLen(1))
 			Expect(h.runs[0].Executor.ID).NotTo(Equal(run.Executor.ID))
-			Expect(h.runs[0].Progress).To(Equal(texts("a")))
+			Expect(h.runs[0].Progress).To(Equal(progressOf("a")))
 			executorIDs[run.Executor.ID] = true
 			h.clock.Advance(time.Second)
 		}
@@ -300,8 +300,8 @@
 		h.endRun(failing[1], lots.OutcomeFailed, lots.Progress{})
 		Expect(itemsAt("i-1")).To(BeEmpty())
 		h.clock.Advance(time.Second)
-		h.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, texts("a"))
-		h.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, texts("b"))
+		h.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, progressOf("a"))
+		h.endRun(itemsAt("i-2")[0], lots.OutcomeCompleted, progressOf("b"))
 		Expect(itemsAt("i-2")).To(ConsistOf(failing))
 		Expect(itemsAt("i-1")).To(BeEmpty())
 		h.clock.Advance(3 * time.Second)
@@ -329,17 +329,17 @@
 		Expect(answer.Status).To(Equal(http.StatusTooManyRequests))
 		Expect(answer.RetryAfterS).To(BeNumerically(">", 0))
 		Expect(h.runs).To(HaveLen(2))
-		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, progressOf("a"))
 		Expect(h.submit("7c41e09b52d6a3f9", 1).Status).To(Equal(http.StatusAccepted))
 	})
 
 	It("ends durably: no further item runs, and existing results are kept", func() {
 		h.submit(lotID, 6)
-		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, progressOf("a"))
 		Expect(h.call(wire.VerbEndLot, wire.ClientCall{}).Status).To(Equal(http.StatusOK))
 		Expect(h.call(wire.VerbEndLot, wire.ClientCall{}).Status).To(Equal(http.StatusOK))
 		running := len(h.runs)
-		h.endRun(lotID+"-1", lots.OutcomeCompleted, texts("b"))
+		h.endRun(lotID+"-1", lots.OutcomeCompleted, progressOf("b"))
 		Expect(h.runs).To(HaveLen(running - 1))
 		h.part.Close()
 		h.open()
@@ -354,7 +354,7 @@
 		var body []byte
 		Expect(json.Unmarshal(answer.Body, &body)).To(Succeed())
 		Expect(body).To(Equal([]byte{1, 0xff}))
-		h.endRun(lotID+"-1", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-1", lots.OutcomeCompleted, progressOf("a"))
 		Expect(h.call(wire.VerbLotItem, wire.ClientCall{Item: lotID + "-1"}).Status).To(Equal(http.StatusNotFound))
 	})
 
@@ -375,7 +375,7 @@
 			h.part.Results(&wire.ClientCall{ID: lotID, RemainingMs: 300}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
 		}
 		waitForResult()
-		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, progressOf("a"))
 		Expect(answers).To(HaveLen(1))
 		h.part.Results(&wire.ClientCall{ID: lotID, Base: 1, RemainingMs: 300}, func(answer wire.ClientAnswer) { answers = append(answers, answer) })
 		h.clock.Advance(200 * time.Millisecond)
@@ -420,7 +420,7 @@
 		h.part.Tick()
 		h.flush()
 		Expect(h.readResults(0).Total).To(Equal(1))
-		h.endRun(lotID+"-0", lots.OutcomeCompleted, texts("a"))
+		h.endRun(lotID+"-0", lots.OutcomeCompleted, progressOf("a"))
 		h.clock.Advance(2 * time.Second)
 		h.part.Tick()
 		h.flush()
--- a/internal/control/lots/records.go
+++ b/internal/control/lots/records.go
@@ -53,7 +53,7 @@
 	Tokens  int64             `json:"token-count"`
 }
 
-// resultList is the answer to a reader. Next is the position from which the client reads on.
+// resultList is the answer to a reader. Total is the number of items of the lot. Next is the position from which the client reads on.
 type resultList struct {
 	Total   int           `json:"total"`
 	Next    int           `json:"next-token"`
--- a/internal/control/lots/running.go
+++ b/internal/control/lots/running.go
@@ -18,17 +18,18 @@
 	// maxSlotShare is the maximum share of an executor's slots that items may use. Interactive requests take precedence at the executor
 	// in any case.
 	maxSlotShare = 0.7
-	// brokenRetryDelay and refusedRetryDelay are the delays before the next run of an item after a run that failed or broke off, or that
-	// was refused.
+	// brokenRetryDelay is the delay before the next run of an item after a run that failed or broke off, refusedRetryDelay the one after a
+	// run that was refused.
 	brokenRetryDelay  = 100 * time.Millisecond
 	refusedRetryDelay = 300 * time.Millisecond
-	// minIdleTimeout is the time without an event after which the item continues at another executor. An executor that is busy with more
-	// urgent requests sends no events either, so each timeout of an item doubles the next one, up to maxIdleTimeout.
+	// minIdleTimeout is the first idle timeout of an item: the time without an event after which it continues at another executor. An
+	// executor that is busy with more urgent requests sends no events either, so each timeout of an item doubles the next one, up to
+	// maxIdleTimeout.
 	minIdleTimeout = 2500 * time.Millisecond
 	maxIdleTimeout = 10 * time.Second
 )
 
-// enqueue adds the items of a lot to the queue that have neither a result nor a run, unless the lot is finished.
+// enqueue adds those items of a lot to the queue that have neither a result nor a run, unless the lot is finished.
 func (p *Part) enqueue(lot *lot) {
 	if lot.isFinished() {
 		return
@@ -50,7 +51,8 @@
 	p.queue = slices.Insert(p.queue, index, items...)
 }
 
-// startItems starts queued items as far as their executors have capacity, and removes items from the queue that need no run any more.
+// startItems starts queued items as far as executors of their services have capacity. It removes these items from the queue, and also
+// those that need no run any more.
 func (p *Part) startItems() {
 	if len(p.queue) == 0 {
 		return
@@ -80,7 +82,7 @@
 	})
 }
 
-// serviceCapacity holds the available executors of a service and the number of runs at each.
+// serviceCapacity holds the available executors of a service and, at the same indexes, the number of runs at each.
 type serviceCapacity struct {
 	executors []wire.ExecutorRecord
 	runCounts []int
@@ -91,7 +93,7 @@
 	capacity := &serviceCapacity{}
 	now := p.Clock.Monotonic()
 	for _, executor := range p.Executors(service) {
-		health := p.executors[executor.ID]
+		health := p.healthByExecutor[executor.ID]
 		if executor.IsDraining || health != nil && now < health.ejectedUntil {
 			continue
 		}
@@ -105,33 +107,33 @@
 	return capacity
 }
 
-// takeSlot adds a run to the executor with the fewest runs and returns it, or nil if no executor has capacity. The executor at which the
-// item failed last is only used if it is the only available one.
-func (r *serviceCapacity) takeSlot(failedExecutor string) *wire.ExecutorRecord {
+// takeSlot chooses the executor with the fewest runs, counts a run for it and returns it, or nil if no executor has capacity. It uses
+// failedExecutor, at which the last run of the item failed or timed out, only if no other executor is available.
+func (c *serviceCapacity) takeSlot(failedExecutor string) *wire.ExecutorRecord {
 	best := -1
-	for index := range r.executors {
-		limit := max(1, int(float64(r.executors[index].Slots)*maxSlotShare))
-		if len(r.executors) > 1 && r.executors[index].ID == failedExecutor {
+	for index := range c.executors {
+		limit := max(1, int(float64(c.executors[index].Slots)*maxSlotShare))
+		if len(c.executors) > 1 && c.executors[index].ID == failedExecutor {
 			continue
 		}
-		if r.runCounts[index] < limit && (best < 0 || r.runCounts[index] < r.runCounts[best]) {
+		if c.runCounts[index] < limit && (best < 0 || c.runCounts[index] < c.runCounts[best]) {
 			best = index
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	r.runCounts[best]++
-	return &r.executors[best]
+	c.runCounts[best]++
+	return &c.executors[best]
 }
 
 // start starts a run of an item at an executor.
 func (p *Part) start(item *item, route *configuration.Route, executor wire.ExecutorRecord) {
 	item.isRunning = true
-	health := p.executors[executor.ID]
+	health := p.healthByExecutor[executor.ID]
 	if health == nil {
 		health = &executorHealth{}
-		p.executors[executor.ID] = health
+		p.healthByExecutor[executor.ID] = health
 	}
 	health.running++
 	record, generation := item.record(), p.generation
@@ -145,11 +147,11 @@
 }
 
 // handleOutcome processes the outcome of a run: the item gets a result, or is queued for another run.
-func (p *Part) handleOutcome(item *item, executor string, outcome Outcome, progress Progress) {
+func (p *Part) handleOutcome(item *item, executorID string, outcome Outcome, progress Progress) {
 	now := p.Clock.Monotonic()
 	item.isRunning = false
-	p.executors[executor].running--
-	p.executors[executor].recordOutcome(outcome, now)
+	p.healthByExecutor[executorID].running--
+	p.healthByExecutor[executorID].recordOutcome(outcome, now)
 	if item.lot.isEnded || item.hasResult {
 		return
 	}
@@ -163,7 +165,7 @@
 		return
 	case OutcomeFailed:
 		item.failures++
-		item.failedExecutor = executor
+		item.failedExecutor = executorID
 		item.progress, item.notBefore = Progress{}, now+brokenRetryDelay
 		if route := p.Route(item.lot.record.Route); route != nil && item.failures >= max(1, route.MaxAttempts) {
 			p.recordResult(item, stateDeadLetter, "")
@@ -173,7 +175,7 @@
 		item.notBefore = now + refusedRetryDelay
 	case OutcomeTimedOut:
 		item.timeouts++
-		item.failedExecutor = executor
+		item.failedExecutor = executorID
 		item.progress, item.notBefore = progress, now
 	default:
 		item.progress, item.notBefore = progress, now+brokenRetryDelay
@@ -181,7 +183,7 @@
 	p.insert(item.lot, item)
 }
 
-// recordResult assigns the next position of its lot to the result of an item. The result is visible to readers once it is committed.
+// recordResult adds the result of an item at the next position of its lot. The result is visible to readers once it is committed.
 func (p *Part) recordResult(item *item, state, text string) {
 	lot := item.lot
 	result := resultRecord{Index: item.index, State: state, Text: text}
@@ -205,7 +207,8 @@
 	})
 }
 
-// expireItems records a dead-letter result for queued items that have waited for longer than the limit of their route.
+// expireItems records a dead-letter result for each queued item whose lot was accepted longer ago than the maximum queue time of its route
+// plus queueTimeMargin.
 func (p *Part) expireItems() {
 	nowMs := p.leadership.WallMs()
 	for _, item := range slices.Clone(p.queue) {
@@ -220,7 +223,8 @@
 	}
 }
 
-// queueTimeMargin is added to the maximum queue time of a route, since a new leader determines the agreed time of day only gradually.
+// queueTimeMargin is added to the maximum queue time of a route, since the time of day of a new leader is inexact until it knows
+// the clocks of its followers.
 const queueTimeMargin = time.Second
 
 // CommandFor returns the method that handles calls with a verb, or nil if the verb is not one of this package.
@@ -238,7 +242,7 @@
 	return nil
 }
 
-// StatusOutcome returns the outcome of a run for a status of the executor's answer other than success.
+// StatusOutcome returns the outcome of a run whose executor answered with the given status, which is not 200.
 func StatusOutcome(status int) Outcome {
 	switch status {
 	case http.StatusUnprocessableEntity:
