--- a/internal/control/coordinationapi/handler.go
+++ b/internal/control/coordinationapi/handler.go
@@ -126,14 +126,15 @@
 			return response.Later(http.StatusServiceUnavailable, 1, "this process is leaving")
 		}
 		isLastAttempt := remaining <= maxWaitAtLeader || ctx.Err() != nil
-		if isLastAttempt || outcome.Answer != nil && !hasNoNewEvents(&command.Call, outcome.Answer) {
+		if isLastAttempt || outcome.Answer != nil && !isUnchanged(&command.Call, outcome.Answer) {
 			return Reply(command, outcome)
 		}
 	}
 }
 
-// hasNoNewEvents reports whether the answer to a watch has neither a put nor a newer revision, so that the watch continues.
-func hasNoNewEvents(call *wire.ClientCall, answer *wire.ClientAnswer) bool {
+// isUnchanged reports whether the answer to a watch has neither a put nor a newer revision, so that the watch continues. It is false for a
+// refusal.
+func isUnchanged(call *wire.ClientCall, answer *wire.ClientAnswer) bool {
 	var watchAnswer wire.WatchAnswer
 	return answer.Status == http.StatusOK && easyjson.Unmarshal(answer.Body, &watchAnswer) == nil &&
 		len(watchAnswer.Events) == 0 && watchAnswer.Revision <= uint64(call.Base)
