--- a/internal/control/lots/lots.go
+++ b/internal/control/lots/lots.go
@@ -1,6 +1,6 @@
 // Package lots manages lots, which are batches of requests (items) that a client submits together and whose results it reads later. It
 // stores lots and runs their items while this process leads the key of a partition. It has no goroutines and no sockets: one goroutine calls
-// it with the commands of clients and the outcomes of runs. It calls Flush after each burst of such calls and after each Tick.
+// it with the commands of clients and the outcomes of runs. The goroutine calls Flush after each burst of such calls and after each Tick.
 //
 // A lot is acknowledged once all its records are committed. A result gets its position when it is recorded, which is at the end of a run or
 // when the item expires. It is visible to readers once it is committed at that position. No position gets two committed results, since each
