--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -24,19 +24,20 @@
 // unknown stands for the value of an item that one of the nodes doesn't know.
 const unknown = "(unknown)"
 
-// Compare returns the differences between two nodes, in a fixed order. It skips what a node of one of the roles doesn't need to know.
+// Compare returns the differences between two nodes, in a fixed order. If one of them is a local-proxy, it compares only the stewards of
+// the members. It compares replicas and jobs only between nodes of the same role, and executors only if both nodes know some.
 func Compare(first, second *wire.BeliefsAnswer) []Difference {
-	var all []Difference
+	var differences []Difference
 	add := func(kind string, firstDescriptions, secondDescriptions map[string]string) {
 		for _, name := range namesOf(firstDescriptions, secondDescriptions) {
 			left, right := orUnknown(firstDescriptions, name), orUnknown(secondDescriptions, name)
 			if left != right {
-				all = append(all, Difference{kind, name, left, right})
+				differences = append(differences, Difference{kind, name, left, right})
 			}
 		}
 	}
 	add("plan", map[string]string{"version": strconv.FormatInt(first.ConfigVersion, 10)}, map[string]string{"version": strconv.FormatInt(second.ConfigVersion, 10)})
-	// A local proxy needs to know the stewards only.
+	// A local-proxy knows only the stewards.
 	isCompared := func(member wire.Member) bool {
 		hasLocalProxy := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
 		return !hasLocalProxy || member.Role == membership.RoleSteward
@@ -50,7 +51,7 @@
 	if len(first.Executors) > 0 && len(second.Executors) > 0 {
 		add("executor", executors(first), executors(second))
 	}
-	return all
+	return differences
 }
 
 // namesOf lists the names that are in either map, sorted.
@@ -125,20 +126,21 @@
 	return descriptions
 }
 
-// Write writes differences as text for people or as JSON. first and second are the nodes' names in it. It sorts all by kind.
-func Write(to io.Writer, first, second string, all []Difference, isJSON bool) error {
+// Write writes differences as text for people or as JSON. first and second are the names of the two nodes. For text it sorts the slice by
+// kind.
+func Write(to io.Writer, first, second string, differences []Difference, isJSON bool) error {
 	if isJSON {
-		if all == nil {
-			all = []Difference{}
+		if differences == nil {
+			differences = []Difference{}
 		}
-		return json.NewEncoder(to).Encode(map[string]any{"first": first, "second": second, "differences": all})
+		return json.NewEncoder(to).Encode(map[string]any{"first": first, "second": second, "differences": differences})
 	}
-	if len(all) == 0 {
+	if len(differences) == 0 {
 		_, err := fmt.Fprintf(to, "%s and %s believe the same\n", first, second)
 		return err
 	}
-	slices.SortStableFunc(all, func(a, b Difference) int { return cmp.Compare(a.Kind, b.Kind) })
-	for _, difference := range all {
+	slices.SortStableFunc(differences, func(a, b Difference) int { return cmp.Compare(a.Kind, b.Kind) })
+	for _, difference := range differences {
 		if _, err := fmt.Fprintf(to, "%s %s\n  %s: %s\n  %s: %s\n", difference.Kind, difference.Name, first, difference.First, second, difference.Second); err != nil {
 			return err
 		}
--- a/internal/cluster/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -24,7 +24,7 @@
 		Expect(comparenodes.Compare(node("a", 7), node("b", 7))).To(BeEmpty())
 	})
 
-	It("ignores members that a local proxy doesn't need to know", func() {
+	It("ignores members other than stewards if one node is a local-proxy", func() {
 		proxy := node("side-1", 7)
 		proxy.Role, proxy.Members = "local-proxy", []wire.Member{{Name: "side-1", Role: "local-proxy"}}
 		Expect(comparenodes.Compare(node("a", 7), proxy)).To(BeEmpty())
@@ -34,14 +34,14 @@
 		other := node("b", 9)
 		other.Leaders[0].Epoch = 3
 		other.Jobs[0].State = "completed"
-		all := comparenodes.Compare(node("a", 7), other)
-		Expect(all).To(HaveLen(3))
-		var text, lines bytes.Buffer
-		Expect(comparenodes.Write(&text, "a", "b", all, false)).To(Succeed())
+		differences := comparenodes.Compare(node("a", 7), other)
+		Expect(differences).To(HaveLen(3))
+		var text, jsonText bytes.Buffer
+		Expect(comparenodes.Write(&text, "a", "b", differences, false)).To(Succeed())
 		Expect(text.String()).To(ContainSubstring("epoch 3"))
 		Expect(text.String()).NotTo(ContainSubstring("10.0.0.1"))
-		Expect(comparenodes.Write(&lines, "a", "b", nil, true)).To(Succeed())
-		Expect(lines.String()).To(ContainSubstring(`"differences":[]`))
+		Expect(comparenodes.Write(&jsonText, "a", "b", nil, true)).To(Succeed())
+		Expect(jsonText.String()).To(ContainSubstring(`"differences":[]`))
 	})
 
 	It("fails for a node that accepts the connection and never answers", func() {
--- a/internal/cluster/comparenodes/serve.go
+++ b/internal/cluster/comparenodes/serve.go
@@ -1,4 +1,4 @@
-// Package comparenodes retrieves what nodes know of the cluster, and shows how two nodes differ in it.
+// Package comparenodes retrieves what nodes know of the cluster, and shows the differences between two nodes.
 package comparenodes
 
 import (
@@ -11,8 +11,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Sources are the functions that give a node's state: its view of the members, the configuration in force, and what it knows of keys,
-// jobs and executors. Configuration and Keys may be nil on nodes without them.
+// Sources are the functions that return a node's state: its view of the members, the configuration in force, and what it knows of keys,
+// jobs and executors. Configuration and Keys are nil in a node without a configuration or without replicas of keys.
 type Sources struct {
 	View          func() *membership.View
 	Configuration func() *configcache.Snapshot
--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -16,7 +16,8 @@
 	"gannetline/internal/platform/logging"
 )
 
-// scriptedPeer is an HTTP transport that passes calls for a configuration to the spec and gives back the answers that it queues.
+// scriptedPeer is an HTTP transport to a simulated peer. The peer passes each call for a configuration to calls, and answers it with the next
+// element of answers. With another mux, the transport passes requests to that mux.
 type scriptedPeer struct {
 	mux     *http.ServeMux
 	calls   chan wire.ConfigurationCall
@@ -54,7 +55,7 @@
 		go cache.Run(ctx)
 	})
 
-	It("asks for changes to its version, and for the full configuration if they don't fit", func() {
+	It("asks for the changes since its version, and for the full configuration if they don't fit", func() {
 		cache.AdoptIfNewer(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
@@ -105,7 +106,7 @@
 		Expect(peer.calls).To(BeEmpty())
 	})
 
-	It("asks a second peer only once the call of the first has stalled", func() {
+	It("asks a second peer only once the call to the first has stalled", func() {
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 3)
 		<-peer.calls
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:2"}, 3)
--- a/internal/cluster/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -76,7 +76,7 @@
 		next.Moved = []wire.MovedRoute{{Route: "r-7", Services: []string{"s"}}}
 		answer := versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Full).To(BeNil())
-		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the whole %d\n", encodedSize(answer), encodedSize(&wire.ConfigurationAnswer{Full: next}))
+		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the full configuration %d\n", encodedSize(answer), encodedSize(&wire.ConfigurationAnswer{Full: next}))
 		Expect(encodedSize(answer)).To(BeNumerically("<", 700))
 		applied, err := versionOf(old).Apply(decoded(answer))
 		Expect(err).NotTo(HaveOccurred())
@@ -101,7 +101,7 @@
 		}
 	})
 
-	It("may lead over several versions", func() {
+	It("may span several versions", func() {
 		ahead := versionOf(old, changed(4, 1, 1), changed(5, 2, 2), changed(9, 3, 3))
 		answer := ahead.AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Changes).To(HaveLen(3))
--- a/internal/cluster/configcache/cost_test.go
+++ b/internal/cluster/configcache/cost_test.go
@@ -19,7 +19,7 @@
 	"gannetline/internal/platform/logging"
 )
 
-// BenchmarkVersion measures the cost of each step of one version, at the numbers of routes that users have and want.
+// BenchmarkVersion measures each step of handling a new version, for the numbers of routes that users have and that they have asked for.
 func BenchmarkVersion(b *testing.B) {
 	for _, count := range []int{40, 550, 1400} {
 		h := newHistory(count)
@@ -53,7 +53,7 @@
 	}
 }
 
-// blockedWriter is the connection of a caller that doesn't read its answer until released is closed.
+// blockedWriter writes the answer for a caller that doesn't read it until released is closed. It reports each write on writing first.
 type blockedWriter struct {
 	*httptest.ResponseRecorder
 	writing  chan struct{}
@@ -69,7 +69,7 @@
 var _ = Describe("a cache that many peers fetch from", func() {
 	const maxConcurrentAnswers = 12
 
-	It("is busy at the maximum of concurrent answers, and answers again once one has ended", func() {
+	It("answers Busy at the maximum of concurrent answers, and answers fully again once one of them has ended", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		inForce := make(chan struct{}, 1)
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -74,7 +74,8 @@
 }
 
 // encodeParts expresses the segments of a body as references to those of a base, and as text where the base has no equal segment or
-// a reference isn't worth it. A segment that follows the one referenced last extends that reference whatever its length.
+// a reference isn't worth it. If the last part is a reference, and the base has the segment right after the referenced ones, the segment
+// extends that reference whatever its length.
 func encodeParts(base, body [][]byte) []wire.DeltaPart {
 	firstIndex := map[string]int{}
 	for index, segment := range slices.Backward(base) {
@@ -105,8 +106,8 @@
 	return parts
 }
 
-// assemble builds the segments of a body from the parts of a change, and fails if a part refers beyond the base. It doesn't scan the
-// whole body: referenced segments are segments of the new body too, and only the text is cut.
+// assemble builds the segments of a body from the parts of a change, and fails if a part refers beyond the base. It takes over the
+// referenced segments as they are, and scans only the text of the parts.
 func assemble(base []segment, parts []wire.DeltaPart) ([]segment, error) {
 	segments := make([]segment, 0, len(base)+len(parts))
 	depth := 0
@@ -145,7 +146,8 @@
 	return body
 }
 
-// digestOf is the hexadecimal sha256 of all that peers pass on of a configuration: body, version, initial voters and moved routes.
+// digestOf is the hexadecimal SHA-256 of the fields of a configuration that are sent to peers: its body, version, initial voters and moved
+// routes.
 func digestOf(committed *wire.Configuration) (string, error) {
 	rest, err := easyjson.Marshal(wire.Configuration{Version: committed.Version, InitialVoters: committed.InitialVoters, Moved: committed.Moved})
 	if err != nil {
@@ -157,8 +159,8 @@
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// deltaBetween returns the change from the base to a committed configuration. It returns nil if the text of the change is longer than half of
-// the full body, or if initial voters or moved routes were removed, which a change can't express.
+// deltaBetween returns the change from the base to a committed configuration. It returns nil if the text of the change is longer than half
+// of the full body, or if there are fewer initial voters or moved routes than in the base, since a change can't remove any.
 func deltaBetween(base, committed *wire.Configuration) *wire.ConfigurationDelta {
 	if len(committed.InitialVoters) < len(base.InitialVoters) || len(committed.Moved) < len(base.Moved) {
 		return nil
@@ -170,7 +172,7 @@
 	change := &wire.ConfigurationDelta{Base: base.Version, Version: committed.Version, Digest: digest,
 		Parts: encodeParts(Segments(base.Body), Segments(committed.Body)), InitialVoters: committed.InitialVoters[len(base.InitialVoters):]}
 	for index, moved := range committed.Moved {
-		if index >= len(base.Moved) || !isSameRoute(base.Moved[index], moved) {
+		if index >= len(base.Moved) || !equalMovedRoutes(base.Moved[index], moved) {
 			change.Moved = append(change.Moved, moved)
 		}
 	}
@@ -180,7 +182,8 @@
 	return change
 }
 
-func isSameRoute(a, b wire.MovedRoute) bool {
+// equalMovedRoutes reports whether two entries have the same route and the same services.
+func equalMovedRoutes(a, b wire.MovedRoute) bool {
 	return a.Route == b.Route && slices.Equal(a.Services, b.Services)
 }
 
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -27,7 +27,7 @@
 
 // Actions are the side effects of a fetcher; its process carries them out.
 type Actions struct {
-	// Ask calls a peer, and fails once stallTimeout passes without a byte. It must not block; the outcome goes to HandleAnswer.
+	// Ask calls a peer. It must not block; the outcome goes to HandleAnswer. The call fails once stallTimeout passes without a byte.
 	Ask func(address string, call *wire.ConfigurationCall, stallTimeout time.Duration)
 	// ResumeAfter arranges a call of the fetcher's Resume once the delay is over.
 	ResumeAfter func(delay time.Duration)
@@ -35,8 +35,8 @@
 	Use func(*Version) error
 }
 
-// Fetcher decides which peer to ask for which version, one call at a time. It starts no goroutine and opens no socket, and only one
-// goroutine may call it.
+// Fetcher fetches newer versions of the configuration. It decides which peer to ask, and makes one call at a time. It starts no goroutine
+// and opens no socket, and only one goroutine may call it.
 type Fetcher struct {
 	clock   clock.Clock
 	log     logging.Logger
@@ -87,7 +87,7 @@
 	}
 }
 
-// Chunk returns the chunk of an image of the configuration with which a peer's call is answered.
+// Chunk returns the chunk of an image that answers a peer's call.
 func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-// ask calls a peer for a newer version. Without acceptsChanges it asks for the whole configuration.
+// ask calls a peer for a newer version. Without acceptsChanges it asks for the full configuration.
 func (f *Fetcher) ask(address string, acceptsChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
 	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
@@ -146,8 +146,9 @@
 	}
 }
 
-// apply brings the version of an answer into force. It then asks for the next chunk of an incomplete image, for the full configuration
-// if the changes don't fit, or goes on with the next peer.
+// apply handles the content of an answer. If the image is incomplete, it asks the same peer for the next chunk. If the changes don't fit,
+// it asks the same peer for the full configuration. Otherwise it brings the version into force if it is newer, and goes on with the next
+// peer. Any other answer that can't be used counts as a failure of the peer.
 func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
 	startedAt, previous := f.clock.Monotonic(), f.current
 	next, isComplete, err := f.read(address, answer)
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// chunkBytes is the most of an image that goes into one answer. It takes 64 ms on a link of 2 Mbit/s.
+	// chunkBytes is the maximum number of bytes of an image in one answer. In base64 they take 87 ms on a link of 2 Mbit/s.
 	chunkBytes = 16 << 10
 	// maxImageBytes is the maximum size of an image, both compressed and decompressed.
 	maxImageBytes = 16 << 20
@@ -109,9 +109,9 @@
 	return image
 }
 
-// chunk answers a call from the image that the call names, so that a transfer ends even if newer versions come meanwhile. Without that
-// image it uses one from which the kept changes lead to the current version, and makes an image of the current version only if there
-// is none.
+// chunk returns the chunk that answers a call. It comes from the image that the call names, so that a transfer ends even if newer versions
+// come meanwhile. If that image isn't kept, it comes from one from whose version the kept changes lead to the current one. Only if there is
+// none either, chunk makes an image of the current version.
 func (c *imageCache) chunk(current *Version, call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	named := c.touch(func(image *Image) bool { return image.Name == call.Image && image.Version > call.HeldVersion })
 	if named != nil {
@@ -132,7 +132,7 @@
 	return image.chunk(call), nil
 }
 
-// imageTransfer is an image in transfer, of which the first chunks were received. from is the address that sent the last one.
+// imageTransfer is an image of which only the first chunks were received so far. from is the address that sent the last of them.
 type imageTransfer struct {
 	image Image
 	size  int
@@ -155,8 +155,8 @@
 // maxTransfers is how many incomplete images a process keeps.
 const maxTransfers = 3
 
-// resumable returns the transfer to resume at a peer: one whose last chunk came from it, else the one with the fewest bytes missing. It
-// is nil without transfers.
+// resumable returns the transfer to resume at a peer: one whose last chunk came from that peer, else the one with the fewest bytes missing.
+// It returns nil if there are no transfers.
 func (t *imageTransfers) resumable(address string) *imageTransfer {
 	var shortest *imageTransfer
 	for _, transfer := range t.incomplete {
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -9,8 +9,8 @@
 	"gannetline/internal/platform/mailbox"
 )
 
-// maxConcurrentAnswers is how many answers may be in progress at once, from the call to the last byte. A flood of fetches thus takes
-// at most that many chunks of this process's link at any moment. Further callers get the answer Busy and ask another peer.
+// maxConcurrentAnswers is how many answers may be in progress at once, from the call to the last byte, so that many fetches at once don't
+// fill the link of this process. Further callers get the answer Busy and ask another peer.
 const maxConcurrentAnswers = 12
 
 // Handle registers the procedure by which peers fetch the configuration.
@@ -32,7 +32,7 @@
 	})
 }
 
-// answer answers a peer's call. The goroutine that owns the cache makes the chunks of images; all else is answered without it.
+// answer answers a peer's call. Only for a chunk of an image it waits for the goroutine that owns the cache.
 func (c *Cache) answer(ctx context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
 	if answer := c.version().AnswerTo(call); answer != nil {
 		return answer, nil
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -11,7 +11,8 @@
 const (
 	// maxKeptChanges is how many of the last changes a version keeps.
 	maxKeptChanges = 32
-	// maxAnswerTextBytes is the most text that the changes in one answer may have; beyond that the compressed whole is shorter.
+	// maxAnswerTextBytes is the maximum length of the text of the changes in one answer. Beyond it an image of the full configuration is
+	// shorter.
 	maxAnswerTextBytes = 16 << 10
 )
 
@@ -50,8 +51,8 @@
 	return changes[max(0, len(changes)-maxKeptChanges):]
 }
 
-// Apply returns the version that a peer's answer leads to, or v itself if that isn't newer. An error means that the changes don't fit v
-// and the whole configuration has to be fetched.
+// Apply returns the version that a peer's answer leads to, or v itself if that isn't newer. An error means that the changes don't fit v,
+// and that the full configuration has to be fetched.
 func (v *Version) Apply(answer *wire.ConfigurationAnswer) (*Version, error) {
 	if answer.Full != nil {
 		return v.Next(answer.Full), nil
@@ -80,8 +81,8 @@
 	return &Version{committed, v.appendChanges(chain...)}, nil
 }
 
-// AnswerTo answers a peer's call with the changes since the version that it holds, or else with the whole configuration. It returns nil
-// if the peer accepts the whole in chunks of an image, and an empty answer if v isn't newer.
+// AnswerTo returns the answer to a peer's call: the changes since the version that the peer holds, or else the full configuration. The
+// answer is empty if v isn't newer. It is nil if a chunk of an image has to be sent in place of the full configuration.
 func (v *Version) AnswerTo(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
 	if v.version() <= call.HeldVersion {
 		return &wire.ConfigurationAnswer{}
@@ -101,7 +102,7 @@
 }
 
 // changesSince returns the changes that lead from an older version to v. It returns none if they are not all kept, or if their text is
-// longer than maxAnswerTextBytes or the whole body.
+// longer than maxAnswerTextBytes or than the full body.
 func (v *Version) changesSince(base int64) []*wire.ConfigurationDelta {
 	total := 0
 	for index := len(v.changes) - 1; index >= 0; index-- {
