--- a/internal/cluster/configuration/amend.go
+++ b/internal/cluster/configuration/amend.go
@@ -19,7 +19,7 @@
 	err     error
 }
 
-// Amend starts an edit of a configuration, whose version becomes the next one.
+// Amend starts an edit of a configuration, and raises its version by 1.
 func Amend(body []byte) *Amendment {
 	decoded, err := Read(body)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return AmendDecoded(decoded, body)
 }
 
-// AmendDecoded is Amend for a body that was decoded already. It doesn't modify the decoded configuration.
+// AmendDecoded is Amend for a body that is already decoded. It doesn't modify the decoded configuration.
 func AmendDecoded(decoded *Configuration, body []byte) *Amendment {
 	amendment := &Amendment{decoded: decoded, body: body}
 	amendment.set("config-version", strconv.FormatInt(decoded.Version+1, 10))
@@ -102,7 +102,7 @@
 	r.StepJobs, r.Reason = progress.StepJobs, progress.Reason
 }
 
-// SetProgress writes a rollout's progress. A finished rollout also switches its route to the new version.
+// SetProgress writes a rollout's progress. If that is finished, it also switches the route to the service of the new version.
 func (a *Amendment) SetProgress(name string, progress RolloutProgress) *Amendment {
 	index := a.indexOf(name)
 	if index < 0 {
@@ -124,7 +124,7 @@
 	return a
 }
 
-// switchRoute makes a service the one of a route.
+// switchRoute sets the service of a route.
 func (a *Amendment) switchRoute(name, service string) {
 	for index, route := range a.decoded.Routes {
 		if route.Name == name {
--- a/internal/cluster/configuration/check.go
+++ b/internal/cluster/configuration/check.go
@@ -10,8 +10,8 @@
 	"go.uber.org/multierr"
 )
 
-// Read decodes a configuration and checks all that can be checked without knowing the current one. If the body can't be decoded, the
-// configuration is nil. Otherwise it is returned also with an error, which combines a *FieldError for each invalid field.
+// Read decodes a configuration and checks all that can be checked without knowing the one in force. If the body can't be decoded, it returns
+// nil and an error. If the check fails, it returns both the configuration and an error that combines a *FieldError for each invalid field.
 func Read(body []byte) (*Configuration, error) {
 	decoded := &Configuration{}
 	if err := easyjson.Unmarshal(body, decoded); err != nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Matcher looks up routes, tenants and rollouts in a configuration. The route of a request has the request's host and, of these, the
-// longest matching path prefix.
+// Matcher looks up routes, tenants and rollouts in a configuration. The route of a request is, among the routes of the request's host, the
+// one with the longest matching path prefix.
 type Matcher struct {
 	configuration *Configuration
 	// byHost and byName hold indices in the list of routes; those of a host are sorted by the length of the prefix, the longest first.
@@ -132,7 +132,7 @@
 	byName map[string]int
 
 	tenants tenantIndex
-	// rollouts holds, by the route's name, the index of the rollout that isn't over.
+	// rollouts holds, by the name of the route, the index of its rollout that isn't over.
 	rollouts map[string]int
 }
 
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// Rollout returns the rollout of a route that isn't over, nil if there is none.
+// Rollout returns the unfinished rollout of a route, nil if there is none.
 func (m *Matcher) Rollout(route string) *Rollout {
 	if index, exists := m.rollouts[route]; exists {
 		return &m.configuration.Rollouts[index]
@@ -185,8 +185,7 @@
 	return nil
 }
 
-// ServiceFor returns the service that runs the job of an ID: the one that the route's rollout chooses, or the route's own without a
-// rollout.
+// ServiceFor returns the service that runs the job of an ID: the one that the route's rollout chooses, or Route.Service without a rollout.
 func (m *Matcher) ServiceFor(route *Route, id string) string {
 	if rollout := m.Rollout(route.Name); rollout != nil {
 		return rollout.ServiceFor(id)
--- a/internal/cluster/configuration/configuration.go
+++ b/internal/cluster/configuration/configuration.go
@@ -10,7 +10,7 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all configuration.go rollouts.go
 
-// The types of routes with a meaning of their own; routes of all but the first two run jobs.
+// The types of routes that are treated specially. Routes of any type but RouteStreaming and RouteBatch run jobs.
 const (
 	// RouteStreaming passes requests on to an executor, whose answer is a stream of events.
 	RouteStreaming = "streaming"
@@ -26,8 +26,9 @@
 	Weight  float64 `json:"weight"`
 }
 
-// Route leads the requests for a host and path prefix to a service. Priority 0 is the most urgent. MaxAttempts is how often a task may
-// fail. The target time of a job is StretchFactor times its longest chain of dependent work, plus TargetLatencyMs.
+// Route leads the requests for a host and path prefix to a service. Priority 0 is the most urgent. MaxAttempts is the number of failures
+// after which a task is not attempted again; 0 counts as 1. The target time of a job is StretchFactor times its longest chain of dependent
+// work, plus TargetLatencyMs.
 type Route struct {
 	Name            string  `json:"name"`
 	Host            string  `json:"host"`
@@ -45,7 +46,7 @@
 	Split []WeightedService `json:"weighted-split,omitempty"`
 	// IsResumable allows a broken stream to resume at another executor after the last event.
 	IsResumable bool `json:"resumable,omitempty"`
-	// MaxQueueS is how many seconds an item of a lot waits at least before it may be dropped. 0 means that it is never dropped for that.
+	// MaxQueueS is the maximum time in seconds that an item of a lot may wait. An item that waits for longer is dropped; 0 is no maximum.
 	MaxQueueS float64 `json:"max-queue-s,omitempty"`
 	// ResultDeadlineMs is the time from the submission of a lot to the deadline of its results.
 	ResultDeadlineMs int64 `json:"result-deadline-ms,omitempty"`
@@ -53,8 +54,8 @@
 	UpperLimit easyjson.RawMessage `json:"upper-limit,omitempty"`
 }
 
-// Tenant is a team that submits jobs under its API keys. Weight is its relative share of the executors under full load, and the jobs a
-// second that it may expect to be done. Limit bounds the resources of its running tasks over all executors.
+// Tenant is a team that submits jobs under its API keys. Weight is both its relative share of the executors under full load, and the number
+// of jobs a second that it can expect to be completed. Limit bounds the resources of its running tasks over all executors.
 type Tenant struct {
 	Name   string     `json:"name"`
 	Keys   []string   `json:"api-keys"`
@@ -62,8 +63,8 @@
 	Limit  UpperLimit `json:"upper-limit"`
 }
 
-// Service is a pool of executors. ConnectionLimit is how many connections each accepts. GuardsCapacity says that they reject work that
-// exceeds their capacity.
+// Service is a pool of executors. ConnectionLimit is how many connections each executor accepts. GuardsCapacity is set if the executors
+// reject work that exceeds their capacity.
 type Service struct {
 	Name            string `json:"name"`
 	ConnectionLimit int    `json:"connection-limit"`
@@ -103,8 +104,8 @@
 // RunsJobs reports whether the requests of the route are jobs, which are queued and scheduled.
 func (r *Route) RunsJobs() bool { return r.Type != RouteStreaming && r.Type != RouteBatch }
 
-// ServiceFor returns the service of a request: the only one or, in a weighted split, the one that a hash of the request's ID chooses, so
-// that all processes choose the same one.
+// ServiceFor returns the service of a request. In a weighted split, a hash of the request's ID chooses the service, so that all processes
+// choose the same one.
 func (r *Route) ServiceFor(id string) string {
 	if len(r.Split) == 0 {
 		return r.Service
--- a/internal/cluster/configuration/configuration_test.go
+++ b/internal/cluster/configuration/configuration_test.go
@@ -42,7 +42,7 @@
 		Entry("a negative weight", `{"service":"s","weight":2},{"service":"s","weight":-1}`, "negative"),
 	)
 
-	It("gives services of a route requests in proportion to their weights", func() {
+	It("divides the requests of a route among its services in proportion to their weights", func() {
 		withSplit := strings.Replace(strings.Replace(valid, `"service":"s"`, `"weighted-split":[{"service":"s","weight":90},{"service":"t","weight":10}]`, 1),
 			`"service-list":[`, `"service-list":[{"name":"t"},`, 1)
 		decoded, err := configuration.Read([]byte(withSplit))
--- a/internal/cluster/configuration/rollouts.go
+++ b/internal/cluster/configuration/rollouts.go
@@ -68,7 +68,7 @@
 // the configuration writes the others as it widens, pauses, rolls back or finishes the rollout.
 type Rollout struct {
 	Name string `json:"name"`
-	// Route is the name of the route, From and To are the services that run the old and the new version.
+	// Route is the name of the route. From is the service that runs the old version, and To the one that runs the new version.
 	Route       string        `json:"route"`
 	From        string        `json:"from-service"`
 	To          string        `json:"to-service"`
@@ -115,15 +115,15 @@
 	return r.From
 }
 
-// mixedFractionOf hashes texts to numbers of at least 0 and below 1, evenly distributed also for texts with a common prefix.
+// mixedFractionOf hashes a text to a number of at least 0 and below 1. The numbers of texts with a common prefix are evenly distributed too.
 func mixedFractionOf(text string) float64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(text))
 	return float64(mixBits(sum.Sum64())>>11) / (1 << 53)
 }
 
-// mixBits makes each bit of a hash depend on all others, by the final step of SplitMix64. FNV alone gives texts with a common prefix
-// close values.
+// mixBits makes each bit of a hash depend on all others, by the final step of SplitMix64. FNV alone gives close values to texts with a
+// common prefix.
 func mixBits(hash uint64) uint64 {
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
@@ -187,7 +187,7 @@
 	}
 }
 
-// checkSteps checks that the shares rise from step to step up to 1.
+// checkSteps checks that the shares rise from step to step up to 1, and that MinTimeS and MinJobs aren't negative.
 func (r *Rollout) checkSteps(add func(string, ...any)) {
 	if len(r.Steps) == 0 {
 		add("field steps is empty")
@@ -211,7 +211,8 @@
 	}
 }
 
-// check checks that the shares are from 0 to 1, the factor is at least 1, and at least one bound is set.
+// check checks that the shares and the probability are from 0 to 1, that the factor is at least 1, that MinJobs isn't negative, and that at
+// least one bound is set.
 func (b *RolloutBounds) check(add func(string, ...any)) {
 	for _, bound := range []struct {
 		field string
@@ -232,8 +233,8 @@
 	}
 }
 
-// checkRoute checks the route of a rollout that isn't over: it runs jobs, and the old version is its only service. route is nil if no
-// route has the name.
+// checkRoute checks the route of a rollout that isn't over: the route must run jobs, and the service of the old version must be its only
+// one. route is nil if there is no route of that name.
 func (r *Rollout) checkRoute(problems *problems, route *Route) {
 	switch {
 	case route == nil:
--- a/internal/cluster/configuration/rollouts_test.go
+++ b/internal/cluster/configuration/rollouts_test.go
@@ -48,7 +48,7 @@
 		Entry("no name", `{"name":"r"`, `{"name":""`, "has no name"),
 	)
 
-	It("choose the new version for the given share of IDs, and keep it for them when the share grows", func() {
+	It("choose the new version for the given share of IDs, and for the same IDs when the share grows", func() {
 		rollout := read(rolloutText).Rollouts[0]
 		rollout.State = configuration.RolloutWidening
 		const ids = 20000
--- a/internal/cluster/configuration/tenants.go
+++ b/internal/cluster/configuration/tenants.go
@@ -15,8 +15,8 @@
 	unknown []string
 }
 
-// UnmarshalEasyJSON decodes an object with a field for each resource. A bare number is a limit on other work than jobs and leaves jobs
-// unlimited.
+// UnmarshalEasyJSON decodes an object with a field for each resource. Any other JSON value is no limit; a bare number limits only work other
+// than jobs.
 func (u *UpperLimit) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	*u = UpperLimit{}
 	if !in.IsDelim('{') {
@@ -87,7 +87,7 @@
 	}
 }
 
-// keyDigest is the hash of an API key. Look-ups by the hash prevent callers from guessing keys by the time that a look-up takes.
+// keyDigest is the hash of an API key. Keys are looked up by their hashes, so that the time of a look-up reveals nothing about other keys.
 type keyDigest [sha256.Size]byte
 
 // tenantIndex maps the digests of API keys, and names, to indices in the list of tenants. It holds no API key.
@@ -112,8 +112,8 @@
 	return m.configuration.Tenants != nil && !route.IsPublic
 }
 
-// NeedsKeyForLots reports whether a call about a lot of a host needs the API key of a tenant. It doesn't if the host has a public route
-// for lots, or no route for lots at all.
+// NeedsKeyForLots reports whether a call about a lot of a host needs the API key of a tenant. It needs none if the configuration has no
+// tenants, or if the host has a public route for lots, or no route for lots at all.
 func (m *Matcher) NeedsKeyForLots(host string) bool {
 	hasLotRoute := false
 	for _, index := range m.byHost[hostName(host)] {
--- a/internal/cluster/evacuationview/evacuationview_test.go
+++ b/internal/cluster/evacuationview/evacuationview_test.go
@@ -27,7 +27,7 @@
 		Expect(view.Zones).To(Equal([]evacuationview.Zone{{Name: "north", IsEvacuated: true, SinceMs: 1000}}))
 	})
 
-	It("adds up executors and runs over pools, and uses one report of a pool whose leader changes", func() {
+	It("adds up executors and runs over pools, and uses only one report of a zone of a pool whose leader changes", func() {
 		view := evacuationview.Join([]wire.EvacuationsAnswer{
 			{Name: "a", Evacuations: listOf(1, "north"), Loads: []wire.ZoneLoad{{Key: "pool/x", Zone: "north", Executors: 1, Runs: 1}, {Key: "pool/y", Zone: "north", Executors: 2, Runs: 3}}},
 			{Name: "b", Evacuations: listOf(1, "north"), Loads: []wire.ZoneLoad{{Key: "pool/x", Zone: "north", Executors: 4, Runs: 5}, {Key: "pool/x", Zone: "south", Executors: 1}}},
--- a/internal/cluster/evacuationview/view.go
+++ b/internal/cluster/evacuationview/view.go
@@ -18,7 +18,8 @@
 // Zone is a zone that has executors or is evacuated.
 type Zone struct {
 	Name string `json:"zone"`
-	// IsEvacuated says that nothing new is sent there since SinceMs, in milliseconds since 1970.
+	// IsEvacuated is set while the zone is evacuated, so that nothing new is sent there. SinceMs is the time of the order, in milliseconds
+	// since 1970.
 	IsEvacuated bool  `json:"evacuated"`
 	SinceMs     int64 `json:"since-ms,omitempty"`
 	Executors   int   `json:"executors"`
@@ -26,18 +27,18 @@
 	Runs int `json:"runs"`
 }
 
-// View merges what all answering processes know.
+// View is the merged state of evacuations of all processes that answered.
 type View struct {
 	// Number is the number of the newest list of evacuated zones that any process knows, 0 if no list was ever made.
 	Number int64  `json:"evacuation-number"`
 	Zones  []Zone `json:"zones"`
-	// InformedCount is how many processes know that list. Behind names the processes that answered with an older list or none, sorted.
+	// InformedCount is how many processes know that list. Behind holds the names of the other processes that answered, sorted.
 	InformedCount int      `json:"informed"`
 	Behind        []string `json:"behind"`
 }
 
-// Join merges answers into a view. While the leader of a pool changes, both the old and the new one may report on it. For each zone the
-// report with more executors then counts: not all executors report to the other leader yet, or any more.
+// Join merges answers into a view. While the leader of a pool changes, both the old and the new leader may report on it, and each of them may
+// lack some executors. For each zone the report with more executors then counts.
 func Join(answers []wire.EvacuationsAnswer) View {
 	var newest *wire.Evacuations
 	for _, answer := range answers {
@@ -73,7 +74,7 @@
 	return view
 }
 
-// joinLoads adds up the executors and runs in each zone over all pools.
+// joinLoads adds up the executors and runs in each zone over all pools. It uses one report of each pool and zone.
 func joinLoads(answers []wire.EvacuationsAnswer) map[string]Zone {
 	type poolInZone struct{ key, zone string }
 	loads := map[poolInZone]wire.ZoneLoad{}
@@ -100,7 +101,8 @@
 	return errors.Annotate(indentedjson.Write(to, v), "writing the evacuations")
 }
 
-// WriteTable writes a line for each zone, and a last line on which processes know the newest list.
+// WriteTable writes a line for each zone, and a last line with the number of processes that know the newest list and the names of those that
+// don't.
 func (v View) WriteTable(to io.Writer) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "zone\tstate\tsince\texecutors\truns")
--- a/internal/cluster/executorlist/executorlist.go
+++ b/internal/cluster/executorlist/executorlist.go
@@ -1,6 +1,7 @@
-// Package executorlist replicates the platform's list of executors to the processes of the cluster. Only the steward that leads the
-// configuration's key reads the list from the platform (Poller), which limits the number of calls to the platform. All other processes
-// get it from a steward by long polling (Follower). A process never replaces its list by an older one.
+// Package executorlist replicates the platform's list of executors to the processes of the cluster. The steward that leads the
+// configuration's key reads the list from the platform (Poller), and so does every steward while no leader is known. All other processes get
+// the list from a steward by long polling (Follower), which limits the number of calls to the platform. A process never replaces its list
+// by an older one.
 package executorlist
 
 import (
@@ -14,6 +15,7 @@
 	"gannetline/internal/platform/mailbox"
 )
 
+// mailboxSize is the number of updates that may wait for the goroutine of Run.
 const mailboxSize = 64
 
 // List is one version of the list of executors. It is immutable.
@@ -43,8 +45,8 @@
 	onChange func(*List)
 }
 
-// NewHolder creates a holder with an empty list. onChange is called on the goroutine of Run with each newer list whose executors differ from
-// those of the previous one.
+// NewHolder creates a holder with an empty list. The goroutine of Run calls onChange with each newer list whose executors differ from those
+// of the previous list.
 func NewHolder(clock clock.Clock, onChange func(*List)) *Holder {
 	holder := &Holder{mailbox: mailbox.New(mailboxSize), clock: clock, onChange: onChange}
 	holder.current.Store(&List{superseded: make(chan struct{})})
@@ -68,7 +70,7 @@
 // HasList reports whether the holder has received any list yet.
 func (h *Holder) HasList() bool { return h.Current().Version != wire.ExecutorListVersion{} }
 
-// Update replaces the list by a newer version. It ignores a version that is not newer.
+// Update replaces the list if the version is newer than that of the list. It does not wait until the list is replaced.
 func (h *Holder) Update(version wire.ExecutorListVersion, executors []wire.ExecutorRecord) {
 	h.mailbox.Post(func() { h.replace(version, executors) })
 }
--- a/internal/cluster/executorlist/follower.go
+++ b/internal/cluster/executorlist/follower.go
@@ -21,7 +21,7 @@
 	followPause = 200 * time.Millisecond
 )
 
-// Handle serves the procedure with which other processes wait for a newer list.
+// Handle registers the procedure by which other processes wait for a newer list.
 func (h *Holder) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureExecutors, func(ctx context.Context, call *wire.ExecutorsCall) (*wire.ExecutorsAnswer, error) {
 		list := h.WaitForNewer(ctx, call.Held, min(clock.Milliseconds(call.WaitMs), followWait))
@@ -42,7 +42,7 @@
 	source func(view *membership.View) string
 }
 
-// NewFollower creates a follower. It calls source before each call for the address of the steward; an empty address is none.
+// NewFollower creates a follower. Before each call the follower gets the address of the steward from source.
 func NewFollower(holder *Holder, caller *peerapi.Caller, clock clock.Clock, view func() *membership.View,
 	source func(view *membership.View) string) *Follower {
 	return &Follower{holder: holder, caller: caller, clock: clock, view: view, source: source}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// fetchOnce waits for a newer list of one steward, and reports whether the steward answered. After an answer with a list it returns once
+// fetchOnce waits for a newer list from one steward, and reports whether the steward answered. After an answer with a list it returns once
 // the holder has that list, or after followPause at the latest.
 func (f *Follower) fetchOnce(ctx context.Context, address string) bool {
 	known := f.holder.Current().Version
@@ -79,8 +79,8 @@
 	return true
 }
 
-// NearSteward returns the address of a random live steward that serves operators, in the zone of this process if there is one. The result is
-// empty if there is none at all.
+// NearSteward returns the address of a random other steward that is alive and serves operators. Stewards in the zone of this process are
+// preferred. The address is empty if there is none at all.
 func NearSteward(view *membership.View) string {
 	var near, all []string
 	for _, steward := range view.Stewards {
--- a/internal/cluster/executorlist/page.go
+++ b/internal/cluster/executorlist/page.go
@@ -21,7 +21,7 @@
 	Next      string     `json:"next-token"`
 }
 
-// instance is an executor in the list of the platform.
+// instance is an executor in the platform's list.
 type instance struct {
 	ID      string `json:"executor-id"`
 	Service string `json:"service"`
--- a/internal/cluster/executorlist/poller.go
+++ b/internal/cluster/executorlist/poller.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// pollInterval is the pause between two polls of the platform.
+	// pollInterval is the pause after a poll of the platform, or after a decision not to poll.
 	pollInterval = 500 * time.Millisecond
 	// pageTimeout is the timeout of the request for one page.
 	pageTimeout = time.Second
@@ -23,14 +23,14 @@
 	maxPages = 1000
 )
 
-// ErrPlatformRefused is the cause of an error if the platform answers with a status other than 200.
+// ErrPlatformRefused is the cause of the error if the platform answers with a status other than 200.
 const ErrPlatformRefused = errors.ConstError("the platform refused to list the executors")
 
 // PollDecision says whether this process should poll the platform.
 type PollDecision struct {
 	// IsDue is set if this process should poll.
 	IsDue bool
-	// Epoch is the epoch of the leadership of the configuration's key. It becomes part of the version of the list.
+	// Epoch is the epoch of the leadership of the configuration's key, or 0 if no leader is known. It becomes part of the list's version.
 	Epoch uint64
 	// Changed is closed once the decision may have changed.
 	Changed <-chan struct{}
@@ -44,10 +44,10 @@
 	clock   clock.Clock
 	log     logging.Logger
 	decide  func() PollDecision
-	// last is the newest list that was read. Its version is lastEpoch and number.
-	last      []wire.ExecutorRecord
-	lastEpoch uint64
-	number    uint64
+	// lastList is the newest list that was read. Its version is lastEpoch and lastNumber.
+	lastList   []wire.ExecutorRecord
+	lastEpoch  uint64
+	lastNumber uint64
 }
 
 // NewPoller creates a poller of the platform at an address. It calls decide before each poll.
@@ -55,7 +55,7 @@
 	return &Poller{client: client, address: address, holder: holder, clock: clock, log: log, decide: decide}
 }
 
-// Run polls the platform at intervals of pollInterval until ctx is done. It polls at once when it becomes due.
+// Run polls the platform while that is due, with a pause of pollInterval, until ctx is done. A change of the decision ends the pause.
 func (p *Poller) Run(ctx context.Context) error {
 	for {
 		decision := p.decide()
@@ -78,18 +78,18 @@
 		p.log.Error(err, "executors not listed")
 		return
 	}
-	if epoch == p.lastEpoch && slices.Equal(executors, p.last) {
+	if epoch == p.lastEpoch && slices.Equal(executors, p.lastList) {
 		return
 	}
 	if epoch != p.lastEpoch {
-		p.lastEpoch, p.number = epoch, 0
+		p.lastEpoch, p.lastNumber = epoch, 0
 	}
-	p.number++
-	p.last = executors
-	p.holder.Update(wire.ExecutorListVersion{Epoch: epoch, Number: p.number}, executors)
+	p.lastNumber++
+	p.lastList = executors
+	p.holder.Update(wire.ExecutorListVersion{Epoch: epoch, Number: p.lastNumber}, executors)
 }
 
-// read reads all pages, and returns the executors sorted by ID without duplicates.
+// read reads the pages, at most maxPages, and returns the executors sorted by ID without duplicates.
 func (p *Poller) read(ctx context.Context) ([]wire.ExecutorRecord, error) {
 	var all []wire.ExecutorRecord
 	token := ""
--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -24,14 +24,15 @@
 	hint string
 	// count is the number of attempts so far.
 	count int
-	pick  func(count int) int
+	// pick chooses at random among a number of stewards.
+	pick func(count int) int
 	// wait is the time for which the leader may delay its answer. It is added to the timeout of each attempt.
 	wait time.Duration
 	// lastAddress is the address of the latest attempt.
 	lastAddress string
 	// silent counts the unanswered attempts of this call by address.
 	silent map[string]int
-	// confirmed counts the answers that name a leader that has not answered an earlier attempt.
+	// confirmed counts the answers that name as leader a steward that has not answered an earlier attempt.
 	confirmed int
 	outcome   Outcome
 }
@@ -97,9 +98,9 @@
 	wait := maxPause
 	switch {
 	case a.count <= quickAttempts:
-		wait = pauseAfterRedirect
+		wait = shortPause
 	case a.count <= 2*quickAttempts:
-		wait = pauseBetweenAttempts
+		wait = mediumPause
 	}
 	return min(wait, a.deadline-now)
 }
@@ -108,8 +109,8 @@
 func (a *Attempts) Outcome() Outcome { return a.outcome }
 
 // address returns the address for the next attempt: that of the hinted leader, else of the leader in the view unless it is gone, else of a
-// random steward that may lead keys, else of the leader in the view after all. It is empty if none is known. A steward that
-// has been silent is used only if mayAsk or others allows it.
+// random live steward that may lead keys, else of the leader in the view after all. It is empty if no leader is known either. A steward that
+// has been silent is used only if mayAsk or others allows it, or as the last resort.
 func (a *Attempts) address(view *membership.View) string {
 	hinted, isHinted := view.Steward(a.hint)
 	if isHinted && a.silent[hinted.Address] == 0 {
@@ -130,7 +131,7 @@
 }
 
 // mayAsk reports whether the next attempt may go to the leader in the view. Every third attempt goes elsewhere. A leader that was silent
-// once is asked once more after enough answers of other stewards still name it as the leader.
+// once is asked once more after other stewards have named it as the leader in enough answers.
 func (a *Attempts) mayAsk(leader string) bool {
 	if a.silent[leader] > 0 {
 		return a.silent[leader] == 1 && a.confirmed >= confirmations
--- a/internal/cluster/leaderclient/leaderclient.go
+++ b/internal/cluster/leaderclient/leaderclient.go
@@ -15,12 +15,12 @@
 const (
 	// attemptTimeout is the timeout of an attempt at a steward that has not been silent.
 	attemptTimeout = 450 * time.Millisecond
-	// pauseAfterRedirect is the pause after each of the first quickAttempts attempts, pauseBetweenAttempts that after each of the next
-	// quickAttempts, and maxPause that after all later ones.
-	pauseAfterRedirect   = 30 * time.Millisecond
-	pauseBetweenAttempts = 120 * time.Millisecond
-	maxPause             = 240 * time.Millisecond
-	quickAttempts        = 3
+	// shortPause is the pause after each of the first quickAttempts attempts, mediumPause that after each of the next quickAttempts, and
+	// maxPause that after all later ones.
+	shortPause    = 30 * time.Millisecond
+	mediumPause   = 120 * time.Millisecond
+	maxPause      = 240 * time.Millisecond
+	quickAttempts = 3
 	// confirmations is the number of answers that must name a silent leader before it is asked again.
 	confirmations = 2
 )
@@ -37,12 +37,12 @@
 	return &Client{caller: caller, clock: clock, view: view}
 }
 
-// Ask sends a call to the leader of its key. It returns an outcome without an answer if there is none within the timeout or before ctx is done.
+// Ask sends a call to the leader of its key. If there is no answer within the timeout or before ctx is done, the outcome has none.
 func (c *Client) Ask(ctx context.Context, call *wire.ClientCall, timeout time.Duration) Outcome {
 	return c.AskWaiting(ctx, call, timeout, 0)
 }
 
-// AskWaiting is Ask for a call whose answer the leader may delay by a wait. The wait counts towards the timeout.
+// AskWaiting is Ask for a call whose answer the leader may delay by up to the wait. The wait counts towards the timeout.
 func (c *Client) AskWaiting(ctx context.Context, call *wire.ClientCall, timeout, wait time.Duration) Outcome {
 	attempts := NewAttempts(call.Key, c.clock.Monotonic()+timeout, rand.IntN)
 	attempts.AllowWait(wait)
--- a/internal/cluster/rolloutview/rolloutview.go
+++ b/internal/cluster/rolloutview/rolloutview.go
@@ -74,7 +74,7 @@
 	return table.Flush()
 }
 
-// Bar draws a share from 0 to 1 as that part of the bar in "#" and the rest in ".".
+// Bar draws a share from 0 to 1 as a bar of barWidth characters: "#" for the share and "." for the rest.
 func Bar(share float64) string {
 	marks := min(barWidth, int(share*barWidth+0.5))
 	return strings.Repeat("#", marks) + strings.Repeat(".", barWidth-marks)
--- a/internal/cluster/tenantview/tenantview.go
+++ b/internal/cluster/tenantview/tenantview.go
@@ -16,7 +16,8 @@
 	"gannetline/internal/platform/indentedjson"
 )
 
-// Row is the usage of one tenant over all pools. Amounts are in thousandths of a core, MB and GPUs. A Limit of 0 is no limit.
+// Row is the usage of one tenant over all pools. Amounts are in thousandths of a core, MB and GPUs. A Limit of 0 is no limit. Weight and
+// Share are the highest that any pool reports.
 type Row struct {
 	Tenant string  `json:"tenant"`
 	Weight float64 `json:"weight"`
@@ -83,7 +84,7 @@
 	}
 }
 
-// plus adds amounts; nil is no amount.
+// plus returns the sum of two amounts. An added amount of nil counts as 0.
 func plus(sum wire.Capacity, added *wire.Capacity) wire.Capacity {
 	if added == nil {
 		return sum
@@ -96,8 +97,8 @@
 	return errors.Annotate(indentedjson.Write(to, v), "writing the tenants")
 }
 
-// WriteTable writes a line for each tenant, sorted by the sum of running and waiting CPU, the highest first. With byPool each tenant's line is
-// followed by one for each pool's grant.
+// WriteTable writes a line for each tenant, sorted by the sum of running and waiting CPU, the highest first. With byPool, a line for each
+// pool's grant follows that of the tenant.
 func (v View) WriteTable(to io.Writer, byPool bool) error {
 	rows := slices.Clone(v.Tenants)
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(b.Running.CPU+b.Waiting.CPU, a.Running.CPU+a.Waiting.CPU) })
