--- a/internal/cluster/peerapi/calls.go
+++ b/internal/cluster/peerapi/calls.go
@@ -47,7 +47,7 @@
 // easyCodec is the connect codec for messages with generated JSON code. It counts the bytes of the bodies that it writes and reads.
 type easyCodec struct{ sent, received *metrics.Counter }
 
-// codec returns the codec of one side of a procedure.
+// codec returns the codec of one side of a procedure, which counts its bytes under the labels of both.
 func codec(procedure, side string) easyCodec {
 	return easyCodec{sentBytes.With(procedure, side), receivedBytes.With(procedure, side)}
 }
@@ -66,8 +66,8 @@
 	return text, err
 }
 
-// Unmarshal decodes a message from a copy of the text, because raw fields of the message share memory with it after the transport reuses
-// its buffer.
+// Unmarshal decodes a message from a copy of the text. Raw fields of the message share memory with what they are decoded from, and the
+// transport reuses the buffer of the text.
 func (c easyCodec) Unmarshal(text []byte, message any) error {
 	value, isMessage := message.(easyjson.Unmarshaler)
 	if !isMessage {
--- a/internal/cluster/peerapi/moving.go
+++ b/internal/cluster/peerapi/moving.go
@@ -14,8 +14,8 @@
 // ErrStalled is the cause of the error of CallWithStallTimeout if no byte of the answer arrived within the stall timeout.
 const ErrStalled = errors.ConstError("no byte of the answer came in time")
 
-// maxProgressingCall is the timeout of a call that makes progress, so that a peer that sends single bytes can't keep it open forever.
-const maxProgressingCall = 30 * time.Second
+// maxCallDuration is the timeout of a whole CallWithStallTimeout, so that a peer that sends single bytes can't keep the call open forever.
+const maxCallDuration = 30 * time.Second
 
 // progressClient is an HTTP client that signals on a channel each time a part of an answer arrives.
 type progressClient struct {
@@ -58,14 +58,14 @@
 }
 
 // CallWithStallTimeout calls a procedure of the peer at an address, and fails with ErrStalled once no byte of the answer has arrived for the
-// stall timeout. A slow link alone does not end the call before maxProgressingCall, but a silent peer does.
+// stall timeout. Over a slow link the call goes on while bytes arrive, up to maxCallDuration.
 func CallWithStallTimeout[Request, Answer any](ctx context.Context, caller *Caller, clock clock.Clock, address, procedure string,
 	stallTimeout time.Duration, request *Request) (*Answer, error) {
 	type outcome struct {
 		answer *Answer
 		err    error
 	}
-	ctx, release := context.WithTimeout(ctx, maxProgressingCall)
+	ctx, release := context.WithTimeout(ctx, maxCallDuration)
 	defer release()
 	trackedClient := progressClient{caller.client, make(chan struct{}, 1)}
 	outcomes := make(chan outcome, 1)
--- a/internal/cluster/peerapi/wire/beliefs.go
+++ b/internal/cluster/peerapi/wire/beliefs.go
@@ -5,7 +5,7 @@
 // BeliefsCall asks a node for the state of the cluster as it knows it, which may differ between nodes.
 type BeliefsCall struct{}
 
-// KeyBelief is the state of a key as a replica of it knows it. The disk of the replica may no longer be a voter.
+// KeyBelief is the state of a key as a replica of the key knows it. The disk of the replica may no longer be a voter.
 type KeyBelief struct {
 	Key    string      `json:"key"`
 	Leader string      `json:"owner"`
--- a/internal/cluster/peerapi/wire/configuration.go
+++ b/internal/cluster/peerapi/wire/configuration.go
@@ -4,12 +4,13 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all configuration.go
 
-// ConfigurationCall asks for a configuration that is newer than HeldVersion. A peer of an earlier version sets neither AcceptsChanges nor
-// AcceptsChunks, and always gets the full configuration.
+// ConfigurationCall asks for a configuration that is newer than HeldVersion. A peer that runs an earlier version of this program sets neither
+// AcceptsChanges nor AcceptsChunks, and always gets the full configuration.
 type ConfigurationCall struct {
 	HeldVersion    int64 `json:"held"`
 	AcceptsChanges bool  `json:"changes,omitempty"`
-	// AcceptsChunks allows the answer to be a chunk of a compressed image. Image and Offset name the chunk to continue with.
+	// AcceptsChunks allows the answer to be a chunk of a compressed image. To continue a transfer, Image is the name of the image, and Offset
+	// the number of bytes already received.
 	AcceptsChunks bool   `json:"chunks,omitempty"`
 	Image         string `json:"image,omitempty"`
 	Offset        int    `json:"offset,omitempty"`
@@ -53,13 +54,13 @@
 	Text  string `json:"t,omitempty"`
 }
 
-// Configuration is a committed configuration as it is stored and sent to peers. Body is the text of the operator, and InitialVoters are the
-// first voters of the pools of its services and of other keys.
+// Configuration is a committed configuration as it is stored and, without Confirmed and Forgotten, sent to peers. Body is the text of the
+// operator, and InitialVoters are the first voters of the pools of its services and of other keys.
 type Configuration struct {
 	Version       int64               `json:"version"`
 	Body          easyjson.RawMessage `json:"body"`
 	InitialVoters []InitialVoters     `json:"births,omitempty"`
-	// Confirmed lists the last confirmed versions in the format of an earlier version. By now each has a record of its own.
+	// Confirmed lists the last confirmed versions as an earlier version of this program stored them. Now each has a record of its own.
 	Confirmed []ConfirmedVersion `json:"taken,omitempty"`
 	// Forgotten is the newest confirmed version whose record was deleted.
 	Forgotten int64        `json:"forgotten,omitempty"`
@@ -81,7 +82,7 @@
 }
 
 // ConfirmedVersion identifies the body that was confirmed under a version. Digest is the SHA-256 of the body in hexadecimal, or only its
-// first eight bytes in a record of an earlier version.
+// first eight bytes in a record of an earlier version of this program.
 type ConfirmedVersion struct {
 	Version int64  `json:"version"`
 	Digest  string `json:"digest"`
--- a/internal/cluster/peerapi/wire/coordination.go
+++ b/internal/cluster/peerapi/wire/coordination.go
@@ -5,8 +5,8 @@
 // CoordinationKeyPrefix is the prefix of the keys that hold locks, numbers and cells of applications.
 const CoordinationKeyPrefix = "coordination/"
 
-// LockCall acquires, renews or releases the lock that the call's ID names. Fence is the fencing token, or 0 in a call that acquires the lock.
-// HoldMs is the time for which the caller considers itself the holder, from the time of the call on.
+// LockCall acquires, renews or releases the lock that the ID of the ClientCall names. Fence is the fencing token, or 0 in a call that
+// acquires the lock. HoldMs is how long the caller considers itself the holder, counted from the time of the call.
 type LockCall struct {
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence-number,omitempty"`
@@ -23,7 +23,8 @@
 	Value uint64 `json:"value"`
 }
 
-// PutCall writes a value to the cell that the call's ID names if the cell is at the Expected revision. 0 expects that there is no cell.
+// PutCall writes a value to the cell that the ID of the ClientCall names if the cell is at the Expected revision. 0 expects that there is no
+// cell.
 type PutCall struct {
 	Value    string `json:"value"`
 	Expected uint64 `json:"enabled,omitempty"`
@@ -40,7 +41,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// WatchAnswer holds all puts in a group of cells above the revision Base of the call and up to Revision, in rising order.
+// WatchAnswer holds all puts in a group of cells above the revision Base of the ClientCall and up to Revision, in rising order.
 type WatchAnswer struct {
 	Events   []CellEvent `json:"events"`
 	Revision uint64      `json:"revision"`
--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -78,12 +78,18 @@
 	AgeMs  int64       `json:"g,omitempty"`
 }
 
-// ExchangeCall is the report of a local-proxy to the leader of its executor's pool, and asks for orders. With a Session, the facts (the
-// fields from Proxy to Gone) and Changed contain only changes after the number Base and up to Number; Base 0 is a full report. A later
-// session has a higher number. Without a Session, each report is full.
+// ExchangeCall is the report of a local-proxy to the leader of its executor's pool, and asks for orders. Executor is the ID of the current
+// incarnation of the executor.
+//
+// The facts are Proxy, Domain, Labels, Capacity, Draining and Gone, which lists earlier incarnations that have ended. With a Session, the
+// facts are sent only if one of them has changed after the number Base, and Changed holds the runs that have changed after it; Base 0 is a
+// full report. Number is the number of the last change. A later session has a higher number. Without a Session, each report is full.
 //
 // Fence is the highest epoch that the executor has accepted, and HoldAgeMs the time since it last answered a hold, or an hour if it answered
 // none or is unresponsive. If ListNumber is set, Running is the complete list of runs that the leader asked for under that number.
+//
+// DepartureMs is the time until the executor may shut down at the earliest, 0 if unknown. WaitMs is the time for which the leader may delay
+// its answer until there are orders.
 type ExchangeCall struct {
 	Key         string        `json:"key"`
 	Executor    string        `json:"life"`
@@ -116,10 +122,10 @@
 	Checkpoint string    `json:"c,omitempty"`
 }
 
-// ExchangeAnswer acknowledges a report and carries orders. HeldNumber is the Number up to which the leader has the report. NeedsFullState is
-// set if the content of the call was ignored: the proxy has to send a full report and, if its session is below Session, to start a new one
-// above it. Fence is the epoch of the leader, GrantMs the length of the lease that it grants, and LastSeen the number of the last EndReport
-// whose effects are committed. WantedList asks for a list of runs of at least that number.
+// ExchangeAnswer acknowledges a report and carries orders. HeldNumber is the number of the last change that the leader has. NeedsFullState is
+// set if the content of the call was ignored: the proxy has to send a full report. If the proxy's session is below Session, it also has to
+// start a new session above that. Fence is the epoch of the leader, GrantMs the length of the lease that it grants, and LastSeen the number of
+// the last EndReport whose effects are committed. WantedList asks for a list of runs of at least that number.
 type ExchangeAnswer struct {
 	NotLeader      bool    `json:"elsewhere,omitempty"`
 	Leader         string  `json:"owner,omitempty"`
--- a/internal/cluster/peerapi/wire/membership.go
+++ b/internal/cluster/peerapi/wire/membership.go
@@ -53,8 +53,8 @@
 	Evacuations *Evacuations `json:"v,omitempty"`
 }
 
-// Datagram is a message of the failure detector over UDP. Number matches an ack to its ping. Target is the member to ping in a request for
-// an indirect probe. Updates holds recently changed records.
+// Datagram is a message of the failure detector over UDP. Number matches an ack to its ping. In a request for an indirect probe, Target is
+// the member to ping. Updates holds recently changed records.
 type Datagram struct {
 	Kind    string   `json:"k"`
 	Number  uint64   `json:"q,omitempty"`
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -4,7 +4,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all rollouts.go
 
-// TransferCall is the body of a VerbTransfer call. It holds a job that another pool had accepted and will not start any task of again.
+// TransferCall is the body of a VerbTransfer call. It holds a job that another pool had accepted, and of which that pool starts no more
+// tasks.
 type TransferCall struct {
 	// From is the key of the other pool.
 	From string `json:"from"`
@@ -87,7 +88,7 @@
 	Rollouts []RolloutStatus `json:"rollouts"`
 }
 
-// RolloutStatus is the status of one rollout.
+// RolloutStatus is the status of one rollout. Step is the index of the current step, and Steps the number of steps.
 type RolloutStatus struct {
 	Name   string  `json:"name"`
 	Route  string  `json:"route"`
@@ -117,8 +118,9 @@
 	Allocated int64 `json:"allocated,omitempty"`
 }
 
-// RolloutVerdict holds the figures of one check of the new version: Bad of Total outcomes are compared with Bound. If Evidence is at or above
-// Level, the version is rolled back.
+// RolloutVerdict holds the figures of one check of the new version: Bad of Total outcomes are compared with Bound, the share that may be bad.
+// Stratum names the part of the outcomes that is checked, and Baseline is the share of the old version. If Evidence is at or above Level, the
+// new version is rolled back.
 type RolloutVerdict struct {
 	Kind     string  `json:"kind"`
 	Stratum  string  `json:"of"`
