--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// HandleAnswer merges an answer. It returns a second call with the records and leaders that the peer lacks, or nil if there are none or
-// the peer is of an earlier version, without sums. A local-proxy has no second call for records: it forgets the stewards that the answer
+// HandleAnswer merges an answer. It returns a second call with the records and leaders that the peer lacks. It returns nil if the peer lacks
+// none, or if the peer is of an earlier version, which has no sums. A local-proxy sends no records: it forgets the stewards that the answer
 // lacks or has with an older record.
 func (t *Table) HandleAnswer(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
 	for _, member := range answer.Members {
--- a/internal/cluster/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -12,7 +12,7 @@
 	kindAck  = "ack"
 	// kindPingRequest asks for an indirect probe: the receiver pings the target and relays its ack.
 	kindPingRequest = "ask"
-	// kindUpdate carries changes and needs no answer.
+	// kindUpdate carries changes and has no ack.
 	kindUpdate = "news"
 )
 
@@ -54,7 +54,7 @@
 	t.PublishIfChanged()
 }
 
-// recordContact records that a peer has sent a message, which proves that it is alive.
+// recordContact records that a peer has sent a message, which proves that the peer is alive and counts as an answer to a local-proxy's ping.
 func (t *Table) recordContact(from Member) {
 	if isLeaf(from) {
 		t.trackLeaf(from)
@@ -68,7 +68,8 @@
 	}
 }
 
-// suspicionOf returns the record of a member that is suspect or gone, so that the member can refute it. Otherwise it returns nil.
+// suspicionOf returns the record of a member if it is suspect or gone, so that it can be sent to the member, which then refutes it. For a
+// live member it returns nil.
 func (t *Table) suspicionOf(name string) []Member {
 	if known := t.records[name]; known != nil && known.member.State != wire.StateAlive {
 		return []Member{known.member}
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -18,12 +18,12 @@
 	if version > t.configVersion {
 		t.configVersion = version
 		t.announceTicksLeft = announceTicks
-		t.announceVersion()
+		t.announceDigest()
 	}
 }
 
-// announceVersion sends an update to twice as many members as a changed record.
-func (t *Table) announceVersion() { t.sendUpdates(2 * t.timing.Fanout) }
+// announceDigest sends an update, whose digest has the configuration version and the evacuations, to twice Timing.Fanout random members.
+func (t *Table) announceDigest() { t.sendUpdates(2 * t.timing.Fanout) }
 
 // sumsFor returns the sums to exchange with a process of a role. If either side is a local-proxy, they cover stewards only.
 func (t *Table) sumsFor(role string) *sums {
@@ -38,8 +38,8 @@
 		Evacuations: t.evacuations}
 }
 
-// handleDigest takes the leaders, the evacuations and the configuration version of a digest. Its sums are handled by
-// startComparisonIfDue.
+// handleDigest merges the leaders and the evacuations of a digest, and reports its configuration version if that is newer than the own one.
+// The sums of a digest are handled by startComparisonIfDue.
 func (t *Table) handleDigest(from Member, digest wire.Digest) {
 	isNew := false
 	for _, leader := range digest.Leaders {
@@ -56,7 +56,7 @@
 
 // startComparisonIfDue starts a comparison of lists with a peer if the sums of its digest differ from those of this table. A peer of an
 // earlier version has no sums, and a local-proxy compares on its own side. Leaders are compared only if they are too many for a
-// datagram (see leadersMissingAt).
+// datagram (see leadersMissingAt). While the members differ, a local-proxy pings at the default rate.
 func (t *Table) startComparisonIfDue(from Member, digest wire.Digest) {
 	if isLeaf(from) {
 		return
@@ -75,8 +75,9 @@
 	t.events.ListsDiffer(from)
 }
 
-// hasSettled reports whether a difference is unlikely to come from changes that are in flight: no record has changed for a period. It
-// doesn't wait for that in the startup period, nor if the last comparison was six periods ago, since changes may never cease.
+// hasSettled reports whether a difference of the sums is worth a comparison: no record has changed for a period, so that the difference
+// hardly comes from changes in flight. It is also true in the startup period, and if the last comparison was at least six periods ago, since
+// changes may never cease.
 func (t *Table) hasSettled(now time.Duration) bool {
 	return now-t.createdAt < startupPeriod || now-t.changedAt >= t.timing.Period || now-t.comparedAt >= 6*t.timing.Period
 }
--- a/internal/cluster/membership/evacuations.go
+++ b/internal/cluster/membership/evacuations.go
@@ -14,8 +14,8 @@
 	evacuatedAt map[string]time.Duration
 }
 
-// replace replaces the list by a newer one. A zone that is in the previous list by the same order keeps its time, so that orders for other
-// zones don't restart the time of this one.
+// replace replaces the list by a newer one. A zone that is in the previous list by the same order keeps its time in evacuatedAt, so that an
+// order for one zone doesn't restart the times of others.
 func (s *evacuationState) replace(newer *wire.Evacuations, now time.Duration) {
 	evacuatedAt := map[string]time.Duration{}
 	for _, evacuated := range newer.Zones {
@@ -34,8 +34,8 @@
 // to its executors. Any goroutine may call it.
 func (n *Node) IsEvacuated(zone string) bool { return n.View().Evacuations.Has(zone) }
 
-// mergeEvacuations takes a list if it is newer than the known one, and announces it. Each datagram carries the newest list, so that a
-// process that missed the announcement gets it with the next probe.
+// mergeEvacuations replaces the known list by a newer one, and announces it unless this process is a local-proxy. Each datagram carries the
+// newest list, so that a process that missed the announcement gets the list with the next probe.
 func (t *Table) mergeEvacuations(evacuations *wire.Evacuations) {
 	if !evacuations.IsNewerThan(t.evacuations) {
 		return
@@ -44,7 +44,7 @@
 	t.isDirty = true
 	if !isLeaf(t.self) {
 		t.announceTicksLeft = announceTicks
-		t.announceVersion()
+		t.announceDigest()
 		t.sendToLeaves()
 	}
 }
--- a/internal/cluster/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxLeaders is the maximum number of leaders in a datagram that carries new ones. A table that holds more sends none to a peer that
-	// lacks some, but compares lists.
+	// maxLeaders is the maximum number of leaders in a datagram. A table with more leaders can't send a peer that lacks some all of them in
+	// one, and compares lists with it instead.
 	maxLeaders = 12
 	// recentTicks is the number of ticks for which each datagram carries a new leader.
 	recentTicks = 4
@@ -51,8 +51,8 @@
 	return leaders
 }
 
-// leadersMissingAt returns all leaders if the sum of the leaders in a peer's digest differs, unless they are too many for a datagram. If
-// the peer holds newer ones, it sends its own in return. A peer of an earlier version has no sum, and gets none.
+// leadersMissingAt returns all leaders if the sum of the leaders in a peer's digest differs, unless they are too many for a datagram. If the
+// peer knows newer leaders, it sends them in return. A peer of an earlier version has no sum, and gets no leaders.
 func (t *Table) leadersMissingAt(digest wire.Digest) []wire.KeyLeader {
 	if digest.LeaderSum == 0 || digest.LeaderSum == t.digestLeaderSum() || len(t.leaders) > maxLeaders {
 		return nil
@@ -60,8 +60,8 @@
 	return t.allLeaders()
 }
 
-// ageRecentLeaders counts down the ticks of recent leaders. It reports whether one became known since the last tick, and so has to be
-// broadcast once more.
+// ageRecentLeaders counts down the ticks of recent leaders. It reports whether any leader became known since the last tick, and so has to
+// be broadcast once more.
 func (t *Table) ageRecentLeaders() bool {
 	isBroadcastDue := false
 	for key, ticksLeft := range t.recentLeaders {
--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -30,11 +30,11 @@
 	// attached holds the stewards that are pinged in turn. pingCount counts the pings.
 	attached  []Member
 	pingCount int
-	// pingPause is the time between two pings while they are answered. The stewards set it.
+	// pingPause is the time between two pings while they are answered. The acks of stewards set it (setPingPause).
 	pingPause      time.Duration
 	pingedAt       time.Duration
 	isPingAnswered bool
-	// silentSince is the time of the first ping since the last answer. isIsolated is set once Timing.IsolatedAfter has passed since then
+	// silentSince is the time of the first ping after the last answer. isIsolated is set once Timing.IsolatedAfter has passed since then
 	// without an answer.
 	silentSince time.Duration
 	isIsolated  bool
@@ -90,7 +90,7 @@
 	}
 }
 
-// attach chooses the stewards that a local-proxy pings: one of its own zone if there is any, and others by rendezvous hashing.
+// attach chooses the stewards that a local-proxy pings: first one of its own zone if there is any, and others by rendezvous hashing.
 func (t *Table) attach() {
 	isGone := func(steward Member) bool { return steward.State == wire.StateGone }
 	candidates := slices.DeleteFunc(slices.Clone(t.stewards.members), isGone)
@@ -110,8 +110,8 @@
 	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPingInterval), maxPingPause)
 }
 
-// tickLeaf does the periodic work of a local-proxy. It pings the attached stewards in turn, and any steward as soon as one does not
-// answer within Timing.AckTimeout.
+// tickLeaf does the periodic work of a local-proxy. It pings the attached stewards in turn. If a ping is not answered within
+// Timing.AckTimeout, it pings a random steward next.
 func (t *Table) tickLeaf(now time.Duration) {
 	isUnanswered := !t.isPingAnswered && now-t.pingedAt >= t.timing.AckTimeout
 	if isUnanswered || now-t.pingedAt >= t.pingPause {
@@ -122,7 +122,7 @@
 	}
 }
 
-// pingSteward pings the next attached steward, or a random one of all stewards.
+// pingSteward pings the next attached steward or, if isRandom is set, a random one of all stewards.
 func (t *Table) pingSteward(now time.Duration, isRandom bool) {
 	candidates := t.attached
 	if isRandom {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -32,8 +32,8 @@
 	return text
 }
 
-// newLoneTable creates a table without a network. It returns the datagrams that the table sends and the number of comparisons that it
-// asks for.
+// newLoneTable creates a table without a network. The second result collects the datagrams that the table sends. The third counts the
+// comparisons that it asks for.
 func newLoneTable(self wire.Member, clock clock.Clock) (*membership.Table, *[]wire.Datagram, *int) {
 	sent, comparisons := &[]wire.Datagram{}, new(int)
 	return membership.NewTable(self, clock, membership.DefaultTiming, 1, membership.Events{
@@ -82,7 +82,7 @@
 		n.addProcesses(6, 14, 980)
 		for _, member := range n.processes {
 			for seed := range 3 {
-				n.exchange(member, n.processes[seed].self.Address)
+				n.compareLists(member, n.processes[seed].self.Address)
 			}
 		}
 		n.run(6 * time.Second)
@@ -114,7 +114,7 @@
 		n.run(11 * time.Second)
 		n.processes[500].isStopped = true
 		n.add("edge-new", "gate", 1)
-		n.exchange(n.processes[1000], n.processes[0].self.Address)
+		n.compareLists(n.processes[1000], n.processes[0].self.Address)
 		n.resetCounts()
 		n.run(13 * time.Second)
 		Expect(n.maxCount(func(member *process) int { return member.datagrams })).To(BeNumerically("<", 13*10))
@@ -130,7 +130,7 @@
 		Expect(n.processes[1].view.Members).To(HaveLen(1001))
 	})
 
-	It("agrees despite lost, duplicated and reordered datagrams", func() {
+	It("agrees on leaders and members despite lost, duplicated and reordered datagrams", func() {
 		n := newNetwork(11)
 		n.lossRate, n.duplicateRate, n.maxJitter = 0.05, 0.1, 60*time.Millisecond
 		n.addProcesses(4, 6, 20)
@@ -155,7 +155,7 @@
 		edge, proxy := n.processes[6], n.processes[12]
 		edge.isStopped, proxy.isStopped = true, true
 		n.add("control-new", "steward", 1)
-		n.exchange(n.processes[16], n.processes[0].self.Address)
+		n.compareLists(n.processes[16], n.processes[0].self.Address)
 		n.run(2 * time.Second)
 		n.announceLeader(n.processes[16], 5, 8*time.Second)
 		Expect(edge.view.Leaders).To(BeEmpty())
@@ -181,7 +181,7 @@
 			n.processes = append(n.processes[:1], n.processes[2:]...)
 			n.run(2 * time.Second)
 			restarted := n.add("control-1", "steward", incarnation)
-			n.exchange(restarted, n.processes[0].self.Address)
+			n.compareLists(restarted, n.processes[0].self.Address)
 			n.run(7 * time.Second)
 			for _, member := range n.processes {
 				listed, isKnown := member.view.Steward("control-1")
@@ -370,7 +370,7 @@
 		Expect(pushes(40*time.Second, 3)).To(BeZero())
 	})
 
-	It("pings at the interval that the steward sets, at a local-proxy", func() {
+	It("of a local-proxy pings at the interval that the steward sets", func() {
 		clock := clock.NewFake(1)
 		pings, isIsolated := 0, false
 		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
@@ -388,7 +388,7 @@
 		Expect(isIsolated).To(BeFalse())
 	})
 
-	It("compares lists at once after its start, and pings at the default rate while lists differ, at a local-proxy", func() {
+	It("of a local-proxy compares lists at once after its start, and pings at the default rate while lists differ", func() {
 		clock := clock.NewFake(1)
 		proxy, sent, comparisons := newLoneTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock)
 		proxy.Merge(steward(0))
@@ -415,7 +415,7 @@
 		Expect(*comparisons).To(Equal(1))
 	})
 
-	It("keeps its leaves after a freeze of its own", func() {
+	It("keeps its leaves after a freeze of its own process", func() {
 		clock := clock.NewFake(1)
 		table, sent, _ := newLoneTable(steward(0), clock)
 		table.HandleDatagram(wire.Datagram{Kind: "ping", From: wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1"}})
@@ -430,7 +430,7 @@
 		Expect(*sent).To(HaveLen(before + 1))
 	})
 
-	It("is not isolated after a freeze of its own and pings at once, at a local-proxy", func() {
+	It("of a local-proxy is not isolated after a freeze of its own process, and pings at once", func() {
 		clock := clock.NewFake(1)
 		pings, isIsolated := 0, false
 		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
@@ -445,7 +445,7 @@
 		Expect(isIsolated).To(BeFalse())
 	})
 
-	It("pings three stewards, one of them of its own domain, at a local-proxy", func() {
+	It("of a local-proxy pings three stewards, one of them in its own zone", func() {
 		clock := clock.NewFake(1)
 		pinged := map[string]bool{}
 		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -57,14 +57,14 @@
 }
 
 // network delivers datagrams and calls between tables on a fake clock. lossRate and duplicateRate are the shares of datagrams that it loses
-// or duplicates, and maxJitter bounds the random delay that it adds to each.
+// or duplicates, and maxJitter bounds the random delay that it adds to each. lastNumber is the number of the event scheduled last.
 type network struct {
 	clock         *clock.Fake
 	random        *rand.Rand
 	processes     []*process
 	byAddress     map[string]*process
 	events        eventQueue
-	number        int
+	lastNumber    int
 	addressCount  int
 	lossRate      float64
 	duplicateRate float64
@@ -92,7 +92,7 @@
 			}
 		},
 		ConfigurationAhead: func(wire.Member, int64) {},
-		ListsDiffer:        func(peer wire.Member) { n.exchange(member, peer.Address) },
+		ListsDiffer:        func(peer wire.Member) { n.compareLists(member, peer.Address) },
 	})
 	n.processes = append(n.processes, member)
 	n.byAddress[member.self.Address] = member
@@ -113,8 +113,8 @@
 
 // schedule runs an action after a delay.
 func (n *network) schedule(delay time.Duration, action func()) {
-	n.number++
-	heap.Push(&n.events, event{n.clock.Monotonic() + delay, n.number, action})
+	n.lastNumber++
+	heap.Push(&n.events, event{n.clock.Monotonic() + delay, n.lastNumber, action})
 }
 
 // tick ticks a process twice per period, until it is removed from byAddress. A stopped process skips its ticks.
@@ -156,8 +156,8 @@
 	}
 }
 
-// exchange compares the list of a process with that of a peer, as Node does.
-func (n *network) exchange(member *process, address string) {
+// compareLists compares the list of a process with that of a peer, as Node does.
+func (n *network) compareLists(member *process, address string) {
 	call := member.table.NewComparisonCall()
 	n.call(member, address, &call, func(answer *wire.MembersAnswer) {
 		if followUp := member.table.HandleAnswer(wire.Member{Address: address}, answer); followUp != nil {
@@ -166,7 +166,7 @@
 	})
 }
 
-// call makes a call to an address, and passes the answer to a function. A call of or to a stopped process gets none.
+// call makes a call to an address, and passes the answer to a function. A call by or to a stopped process gets no answer.
 func (n *network) call(member *process, address string, call *wire.MembersCall, handle func(*wire.MembersAnswer)) {
 	text, _ := easyjson.Marshal(call)
 	member.calls++
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -24,12 +24,12 @@
 	mailboxSize = 256
 	// maxDatagramBytes is the size of the receive buffer. Longer datagrams are cut off, and dropped as unreadable.
 	maxDatagramBytes = 16 << 10
-	// joinPause is the pause between two rounds of join. joinPauseIsolated is the shorter one while the view has no live steward.
-	joinPause          = time.Second
-	joinPauseIsolated  = 200 * time.Millisecond
-	membersCallTimeout = 800 * time.Millisecond
-	// roundsPerSeedComparison is the number of rounds of join after which a process compares its list with its seeds even if its view
-	// has a live steward.
+	// joinPause is the pause between two rounds of join. joinPauseWithoutSteward is the shorter one while the view has no live steward.
+	joinPause               = time.Second
+	joinPauseWithoutSteward = 200 * time.Millisecond
+	membersCallTimeout      = 800 * time.Millisecond
+	// roundsPerSeedComparison is the number of rounds of join after which a process compares its list with those of its seeds even if its
+	// view has a live steward.
 	roundsPerSeedComparison = 15
 )
 
@@ -47,7 +47,7 @@
 	clock      clock.Clock
 	log        logging.Logger
 	seeds      atomic.Pointer[[]string]
-	// knownPeers are control addresses that an earlier run saved. They are used while the view has no live steward.
+	// knownPeers are control addresses that an earlier run of this process saved. They are used while the view has no live steward.
 	knownPeers           []string
 	onConfigurationAhead func(peer Member, version int64)
 }
@@ -55,12 +55,12 @@
 // Option configures a Node.
 type Option func(*Node)
 
-// OnConfigurationAhead sets the function that is called with each peer that announces a newer configuration than this process holds.
+// OnConfigurationAhead sets the function that is called for each message of a peer that holds a newer configuration than this process.
 func OnConfigurationAhead(handle func(peer Member, version int64)) Option {
 	return func(n *Node) { n.onConfigurationAhead = handle }
 }
 
-// WithKnownPeers sets control addresses of an earlier run. The node contacts them while its view has no live steward.
+// WithKnownPeers sets control addresses that an earlier run of this process saved. The node contacts them while its view has no live steward.
 func WithKnownPeers(addresses []string) Option {
 	return func(n *Node) { n.knownPeers = addresses }
 }
@@ -172,8 +172,8 @@
 	}
 }
 
-// join compares lists with the join addresses while the view has no live steward. A local-proxy also does so while it is isolated, and
-// every other process once in roundsPerSeedComparison rounds.
+// join compares lists with the peers at joinAddresses while the view has no live steward. A local-proxy also does so while it is isolated,
+// and every other process once in roundsPerSeedComparison rounds.
 func (n *Node) join(ctx context.Context) {
 	for round := 0; ; round++ {
 		view := n.View()
@@ -186,7 +186,7 @@
 		}
 		wait := joinPause
 		if !n.View().SeesSteward() {
-			wait = joinPauseIsolated
+			wait = joinPauseWithoutSteward
 		}
 		select {
 		case <-ctx.Done():
@@ -211,8 +211,8 @@
 	return addresses
 }
 
-// compareLists compares the member lists of this process and a peer by the sums of their buckets, and sends the peer in a second call
-// the records that it lacks.
+// compareLists compares the member lists of this process and a peer by the sums of their buckets, and sends the peer in a second call the
+// records that the peer lacks. It does nothing for the control address of this process.
 func (n *Node) compareLists(address string) {
 	if address == n.View().Self.Control {
 		return
@@ -242,7 +242,7 @@
 	return answer, err
 }
 
-// Handle serves the procedure with which peers compare their member lists with that of this process.
+// Handle registers the procedure by which peers compare their member lists with that of this process.
 func (n *Node) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureMembers, func(ctx context.Context, call *wire.MembersCall) (*wire.MembersAnswer, error) {
 		answer, err := mailbox.Ask(ctx, n.mailbox, func(answer func(wire.MembersAnswer)) { answer(n.table.AnswerCall(call)) })
--- a/internal/cluster/membership/probe_test.go
+++ b/internal/cluster/membership/probe_test.go
@@ -17,8 +17,8 @@
 	datagram wire.Datagram
 }
 
-// tickNetwork is a set of tables that tick in step. Datagrams arrive in the same step without loss, except from and to tables that are cut
-// off.
+// tickNetwork is a set of tables that tick at the same times. Datagrams arrive within the same tick and without loss, except those from and
+// to tables that are cut off.
 type tickNetwork struct {
 	clock  *clock.Fake
 	tables map[string]*membership.Table
@@ -53,7 +53,8 @@
 	return t
 }
 
-// run ticks the tables for a while, and delivers their datagrams after each tick, up to four replies deep.
+// run ticks the tables for a while. After each tick it delivers the datagrams in flight in up to four rounds, so that tables can reply to
+// replies.
 func (t *tickNetwork) run(duration time.Duration) {
 	for range duration / (350 * time.Millisecond) {
 		t.clock.Advance(350 * time.Millisecond)
@@ -93,7 +94,7 @@
 		}
 	})
 
-	It("marks a silent member as gone, and as alive again after it refutes", func() {
+	It("marks a silent member as gone, and as alive again after the member has refuted that", func() {
 		t := newTickNetwork(8)
 		t.isCutOff["n3"] = true
 		t.run(20 * time.Second)
@@ -152,15 +153,15 @@
 		first := wire.EvacuatedZone{Zone: "z", SinceMs: 5}
 		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 1, Zones: []wire.EvacuatedZone{first}})
 		t.run(2 * time.Second)
-		learned := t.views["n1"].EvacuatedAt["z"]
+		receivedAt := t.views["n1"].EvacuatedAt["z"]
 		t.run(2 * time.Second)
 		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 2, Zones: []wire.EvacuatedZone{first, {Zone: "y", SinceMs: 4000}}})
 		t.run(2 * time.Second)
-		Expect(t.views["n1"].EvacuatedAt["z"]).To(Equal(learned))
-		Expect(t.views["n1"].EvacuatedAt["y"]).To(BeNumerically(">", learned))
+		Expect(t.views["n1"].EvacuatedAt["z"]).To(Equal(receivedAt))
+		Expect(t.views["n1"].EvacuatedAt["y"]).To(BeNumerically(">", receivedAt))
 		t.tables["n0"].AnnounceEvacuations(&wire.Evacuations{Number: 3, Zones: []wire.EvacuatedZone{{Zone: "z", SinceMs: 6000}}})
 		t.run(2 * time.Second)
-		Expect(t.views["n1"].EvacuatedAt["z"]).To(BeNumerically(">", learned), "ordered again")
+		Expect(t.views["n1"].EvacuatedAt["z"]).To(BeNumerically(">", receivedAt), "ordered again")
 		Expect(t.views["n1"].EvacuatedAt).NotTo(HaveKey("y"))
 	})
 
--- a/internal/cluster/membership/probes.go
+++ b/internal/cluster/membership/probes.go
@@ -16,7 +16,7 @@
 
 // prober holds the pings in flight.
 type prober struct {
-	// probeOrder holds the names of the members that are still to be probed in the present round.
+	// probeOrder holds the names of the members that are still to be probed in the current round.
 	probeOrder     []string
 	lastPingNumber uint64
 	// probes holds the pings of this process by their numbers, relays those that it sends for other members.
@@ -58,8 +58,8 @@
 	t.send(target.member, wire.Datagram{Kind: kindPing, Number: t.lastPingNumber})
 }
 
-// checkProbes handles the timeouts of probes. Members that have not answered within Timing.AckTimeout are probed indirectly, and become
-// suspect if they have not sent anything after two such timeouts and half a period.
+// checkProbes handles the timeouts of probes. Members that have not answered within Timing.AckTimeout are probed indirectly. They become
+// suspect if neither a message from them nor a relayed ack has arrived within two such timeouts and half a period.
 func (t *Table) checkProbes(now time.Duration) {
 	for number, pending := range t.probes {
 		known, waited := t.records[pending.name], now-pending.startedAt
@@ -89,7 +89,7 @@
 	}
 }
 
-// probeNext pings the next listed member of the present round, and starts a new round if there is none.
+// probeNext pings the next listed member of the current round, and starts a new round if that has ended.
 func (t *Table) probeNext(now time.Duration) {
 	if len(t.probeOrder) == 0 {
 		t.beginProbeRound()
@@ -106,8 +106,8 @@
 	}
 }
 
-// beginProbeRound puts the members of the next round in a random order. Of the members that are gone it takes a random third, because
-// one of them may be back.
+// beginProbeRound puts the members of the next round in a random order. It includes each member that is gone with a probability of one third,
+// because that member may be back.
 func (t *Table) beginProbeRound() {
 	for _, member := range t.members.members {
 		isDue := member.State != wire.StateGone || t.random.IntN(3) == 0
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -19,7 +19,7 @@
 	// local-proxies do. Both are 0 once the member is gone.
 	hash            uint32
 	incarnationHash uint32
-	// since is when the member entered its present incarnation or state, or when a freeze of this process ended after that.
+	// since is when the member entered its current incarnation or state, or when a freeze of this process ended after that.
 	since time.Duration
 	// lastContactAt is when the member last sent a message to this process.
 	lastContactAt time.Duration
@@ -38,8 +38,8 @@
 	return !isLeaf(member)
 }
 
-// Merge adds or updates the record of one member, and reports whether it was new. A record of this process itself is refuted if it is
-// wrong. A local-proxy takes suspect stewards for alive.
+// Merge adds or updates the record of one member, and reports whether that changed the table. A record of this process itself is refuted if
+// it is wrong, and the result is then false. A local-proxy treats suspect stewards as alive.
 func (t *Table) Merge(member Member) bool {
 	name := Name(member)
 	if name == Name(t.self) {
@@ -106,7 +106,7 @@
 	t.markChanged()
 }
 
-// toggleSums adds a record to the sums of its bucket, or removes it if they include it. Both are the same XOR.
+// toggleSums adds a record to the sums of its bucket, or removes it if they include it. Adding and removing are the same XOR.
 func (t *Table) toggleSums(known *record) {
 	if isLeaf(known.member) {
 		return
@@ -172,7 +172,7 @@
 	}
 }
 
-// demote moves a member to a higher state of its present incarnation.
+// demote moves a member to a worse state (suspect or gone) of its current incarnation.
 func (t *Table) demote(known *record, state int) {
 	member := known.member
 	member.State = state
@@ -181,7 +181,7 @@
 	t.scheduleUpdate(Name(member))
 }
 
-// ageRecords marks members as gone after Timing.SuspectFor, and forgets them Timing.ForgetAfter later.
+// ageRecords marks suspect members as gone after Timing.SuspectFor, and forgets them Timing.ForgetAfter later.
 func (t *Table) ageRecords(now time.Duration) {
 	for name, known := range t.unhealthy {
 		switch known.member.State {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -52,13 +52,13 @@
 
 	memberList
 	leaderList
-	configurationAnnouncement
+	announcementState
 	evacuationState
 	prober
 	leafServer
 	leafClient
 	publishState
-	// pendingUpdates holds the members whose records have changed recently, with the number of datagrams that still have to carry each.
+	// pendingUpdates holds the names of the members whose records have changed recently, and how many datagrams still have to carry each.
 	pendingUpdates map[string]int
 
 	createdAt time.Duration
@@ -69,7 +69,7 @@
 }
 
 // memberList holds the records of all members. The sorted lists and the sums are derived from the records. Only write and forget change
-// them, together with the records.
+// the lists and sums, together with the records.
 type memberList struct {
 	self      Member
 	ownRecord *record
@@ -96,8 +96,8 @@
 	recentLeaders map[string]int
 }
 
-// configurationAnnouncement is the state of the announcements to other processes.
-type configurationAnnouncement struct {
+// announcementState is the state of the announcements of configuration versions and evacuations to other processes.
+type announcementState struct {
 	// configVersion is the version of the configuration that this process holds, or 0.
 	configVersion int64
 	// announceTicksLeft is the number of ticks in which a new configuration version or list of evacuations is still announced.
@@ -161,7 +161,7 @@
 	t.ageRecords(now)
 	if t.announceTicksLeft > 0 {
 		t.announceTicksLeft--
-		t.announceVersion()
+		t.announceDigest()
 	}
 	if t.ageRecentLeaders() {
 		t.Broadcast()
@@ -174,7 +174,7 @@
 	}
 }
 
-// resumeAfterFreeze restarts all timeouts after a freeze of this process, because the peers were silent only from its own point of view.
+// resumeAfterFreeze restarts all timeouts after a freeze of this process, which could not receive the messages of its peers meanwhile.
 func (t *Table) resumeAfterFreeze(now time.Duration) {
 	clear(t.probes)
 	for _, known := range t.records {
--- a/internal/cluster/membership/timing.go
+++ b/internal/cluster/membership/timing.go
@@ -12,7 +12,7 @@
 	// SuspectFor is the time that a member stays suspect before it is gone. Its record is dropped ForgetAfter later.
 	SuspectFor  time.Duration
 	ForgetAfter time.Duration
-	// Fanout is the number of members that a broadcast of changes is sent to, LeaderFanout their number if a key has a new leader.
+	// Fanout is the number of members that a broadcast of changes is sent to. LeaderFanout is that number if a key has a new leader.
 	Fanout       int
 	LeaderFanout int
 	// LeafPingInterval is the time between two pings of a local-proxy. A steward pushes changes to it for LeafTimeout after each ping.
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -7,8 +7,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// View is an immutable snapshot of a Table for the rest of the process. Members and Stewards are sorted by name. The members of a
-// local-proxy are itself and the stewards. No other process lists local-proxies.
+// View is an immutable snapshot of a Table for the rest of the process. Members and Stewards are sorted by name. In the view of a
+// local-proxy, Members holds itself and the stewards. No other process lists local-proxies.
 type View struct {
 	Self     Member
 	Members  []Member
@@ -17,15 +17,15 @@
 	Leaders map[string]wire.KeyLeader
 	// IsIsolated is set at a local-proxy if no steward has answered it for Timing.IsolatedAfter.
 	IsIsolated bool
-	// Evacuations lists the zones that nothing new may be sent to. It is nil if there never were any.
+	// Evacuations lists the zones that nothing new may be sent to. It is nil if this process never received a list.
 	Evacuations *wire.Evacuations
-	// EvacuatedAt holds for each of these zones the time at which this process received the order, on its monotonic clock.
+	// EvacuatedAt holds, for each zone of Evacuations, the time at which this process received the order, on its monotonic clock.
 	EvacuatedAt map[string]time.Duration
 	// LeaderMoved is closed once any key has another leader than in this view.
 	LeaderMoved chan struct{}
 }
 
-// Steward returns the steward with the node name, or false if none is listed.
+// Steward returns the steward with the given node name, or false if none is listed.
 func (v *View) Steward(name string) (Member, bool) {
 	index, exists := slices.BinarySearchFunc(v.Stewards, Member{Name: name, Role: RoleSteward}, byName)
 	if !exists {
