--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -76,7 +76,7 @@
 func (c *Cache) Current() *Snapshot { return c.current.Load() }
 
 // Version returns the number of the version in force, 0 before the first. Any goroutine may call it.
-func (c *Cache) Version() int64 { return c.version().version() }
+func (c *Cache) Version() int64 { return c.currentVersion().number() }
 
 // Run makes the calling goroutine the owner of the cache until ctx is done.
 func (c *Cache) Run(ctx context.Context) error {
@@ -96,7 +96,8 @@
 	c.mailbox.TryPost(func() { c.fetcher.PeerHolds(member, version) })
 }
 
-func (c *Cache) version() *Version {
+// currentVersion returns the version in force with its changes, nil before the first. Any goroutine may call it.
+func (c *Cache) currentVersion() *Version {
 	if current := c.current.Load(); current != nil {
 		return current.version
 	}
@@ -128,7 +129,7 @@
 	}()
 }
 
-// resumeAfter posts a call of the fetcher's Resume once the delay is over.
+// resumeAfter lets the goroutine that owns the cache call the fetcher's Resume once the delay is over.
 func (c *Cache) resumeAfter(delay time.Duration) {
 	due := c.clock.After(delay)
 	go func() {
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -16,8 +16,8 @@
 	// cutDepth is the deepest nesting level at which a body is cut: the one of the elements of route-list and service-list, and of
 	// the fields of limits.
 	cutDepth = 2
-	// minReferencedBytes is the least length of a segment that is sent as a reference: a reference to a shorter one saves next to
-	// nothing over its text.
+	// minReferencedBytes is the minimum length of a segment that starts a new reference. For a shorter segment a reference is hardly shorter
+	// than the text.
 	minReferencedBytes = 32
 )
 
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -75,13 +75,13 @@
 		return err
 	}
 	f.current = next
-	f.transfers.dropUpTo(next.version())
+	f.transfers.dropUpTo(next.number())
 	return nil
 }
 
 // PeerHolds reports that a peer holds a version, which is fetched if it is newer than the one in force.
 func (f *Fetcher) PeerHolds(member wire.Member, version int64) {
-	if version > f.current.version() {
+	if version > f.current.number() {
 		f.peers.recordVersion(member, version)
 		f.fetchNext()
 	}
@@ -113,7 +113,7 @@
 	if f.isFetching || f.isPausing {
 		return
 	}
-	if next := f.peers.next(f.current.version()); next != nil {
+	if next := f.peers.next(f.current.number()); next != nil {
 		f.ask(next.address, true)
 	}
 }
@@ -121,7 +121,7 @@
 // ask calls a peer for a newer version. Without acceptsChanges it asks for the full configuration.
 func (f *Fetcher) ask(address string, acceptsChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
-	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
+	call := &wire.ConfigurationCall{HeldVersion: f.current.number(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
 	if transfer := f.transfers.resumable(address); transfer != nil {
 		call.Image, call.Offset = transfer.image.Name, len(transfer.image.data)
 	}
@@ -171,7 +171,7 @@
 		return
 	}
 	if f.current == previous {
-		if call.HeldVersion == f.current.version() {
+		if call.HeldVersion == f.current.number() {
 			// The peer has nothing newer, although it was reported to hold a newer version.
 			f.peers.forget(address)
 		}
@@ -188,7 +188,7 @@
 		next, err = f.current.Apply(answer)
 		return next, true, err
 	}
-	if answer.Chunk.Version <= f.current.version() {
+	if answer.Chunk.Version <= f.current.number() {
 		return f.current, true, nil
 	}
 	image, err := f.transfers.addChunk(address, answer.Chunk)
@@ -207,7 +207,7 @@
 func (f *Fetcher) handleFailure(address string, reason error) {
 	f.log.Info("configuration not fetched", "peer", address, "reason", reason.Error())
 	f.peers.recordFailure(address)
-	if next := f.peers.next(f.current.version()); next != nil {
+	if next := f.peers.next(f.current.number()); next != nil {
 		f.pause(time.Duration(next.failures) * failureBackoff)
 	}
 }
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// process fetches and serves configurations. A dead one never answers.
+// process fetches and serves configurations. A dead process never answers.
 type process struct {
 	member  wire.Member
 	fetcher *configcache.Fetcher
@@ -185,7 +185,8 @@
 		h.lastVersion, strings.Join(h.routes, ","))))
 }
 
-// scheduleVersions gives the holders a new version at every interval, and reports it to the gate.
+// scheduleVersions gives the holders a new version at every interval from start on, for the given length of time, and reports each version to
+// the gate.
 func (n *network) scheduleVersions(h *history, gate *process, start, interval, length time.Duration, holders ...*process) {
 	for at := time.Duration(0); at < length; at += interval {
 		n.events = append(n.events, event{start + at, func() {
--- a/internal/cluster/configcache/serve.go
+++ b/internal/cluster/configcache/serve.go
@@ -34,22 +34,22 @@
 
 // answer answers a peer's call. Only for a chunk of an image it waits for the goroutine that owns the cache.
 func (c *Cache) answer(ctx context.Context, call *wire.ConfigurationCall) (*wire.ConfigurationAnswer, error) {
-	if answer := c.version().AnswerTo(call); answer != nil {
+	if answer := c.currentVersion().AnswerTo(call); answer != nil {
 		return answer, nil
 	}
 	type outcome struct {
 		chunk *wire.ConfigurationChunk
 		err   error
 	}
-	packed, err := mailbox.Ask(ctx, c.mailbox, func(answer func(outcome)) {
+	result, err := mailbox.Ask(ctx, c.mailbox, func(answer func(outcome)) {
 		chunk, err := c.fetcher.Chunk(call)
 		answer(outcome{chunk, err})
 	})
 	switch {
 	case err != nil:
 		return nil, err
-	case packed.err != nil:
-		return nil, packed.err
+	case result.err != nil:
+		return nil, result.err
 	}
-	return &wire.ConfigurationAnswer{Chunk: packed.chunk}, nil
+	return &wire.ConfigurationAnswer{Chunk: result.chunk}, nil
 }
--- a/internal/cluster/configcache/version.go
+++ b/internal/cluster/configcache/version.go
@@ -23,7 +23,8 @@
 	changes   []*wire.ConfigurationDelta
 }
 
-func (v *Version) version() int64 {
+// number returns the version number of the configuration, 0 before the first.
+func (v *Version) number() int64 {
 	if v == nil {
 		return 0
 	}
@@ -32,7 +33,7 @@
 
 // Next returns the version of a newer committed configuration, with the change to it. For one that isn't newer it returns v itself.
 func (v *Version) Next(committed *wire.Configuration) *Version {
-	if committed.Version <= v.version() {
+	if committed.Version <= v.number() {
 		return v
 	}
 	if v == nil {
@@ -58,7 +59,7 @@
 		return v.Next(answer.Full), nil
 	}
 	var chain []*wire.ConfigurationDelta
-	reached := v.version()
+	reached := v.number()
 	for _, change := range answer.Changes {
 		if change.Version <= reached {
 			continue
@@ -84,7 +85,7 @@
 // AnswerTo returns the answer to a peer's call: the changes since the version that the peer holds, or else the full configuration. The
 // answer is empty if v isn't newer. It is nil if a chunk of an image has to be sent in place of the full configuration.
 func (v *Version) AnswerTo(call *wire.ConfigurationCall) *wire.ConfigurationAnswer {
-	if v.version() <= call.HeldVersion {
+	if v.number() <= call.HeldVersion {
 		return &wire.ConfigurationAnswer{}
 	}
 	if changes := v.changesSince(call.HeldVersion); call.AcceptsChanges && len(changes) > 0 {
@@ -98,7 +99,7 @@
 
 // isReachableFrom reports whether the given version is v, or the kept changes lead from it to v.
 func (v *Version) isReachableFrom(version int64) bool {
-	return version == v.version() || len(v.changesSince(version)) > 0
+	return version == v.number() || len(v.changesSince(version)) > 0
 }
 
 // changesSince returns the changes that lead from an older version to v. It returns none if they are not all kept, or if their text is
--- a/internal/cluster/leaderclient/attempts.go
+++ b/internal/cluster/leaderclient/attempts.go
@@ -30,7 +30,7 @@
 	wait time.Duration
 	// lastAddress is the address of the latest attempt.
 	lastAddress string
-	// silent counts the unanswered attempts of this call by address.
+	// silent counts, by the address of the steward, the attempts of this call that were not answered.
 	silent map[string]int
 	// confirmed counts the answers that name as leader a steward that has not answered an earlier attempt.
 	confirmed int
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -33,7 +33,7 @@
 	roundsPerSeedComparison = 15
 )
 
-// ErrNoFreePort is returned by BindInternal if every port of the range is in use.
+// ErrNoFreePort is the cause of the error of BindInternal if no port of the range could be opened for both TCP and UDP.
 const ErrNoFreePort = errors.ConstError("no port is free")
 
 // Node runs a Table on a TCP and a UDP socket of the same port, and publishes its view.
@@ -65,35 +65,35 @@
 	return func(n *Node) { n.knownPeers = addresses }
 }
 
-// BindInternal opens a TCP and a UDP socket on the first port of the range that is free for both. If there is none, the error is
-// ErrNoFreePort.
+// BindInternal opens a TCP and a UDP socket on the first port of the range that is free for both. The range includes the last port. If no
+// port is free, the cause of the error is ErrNoFreePort.
 func BindInternal(ip string, first, last int) (net.Listener, net.PacketConn, error) {
 	for port := first; port <= last; port++ {
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
-		calls, err := net.Listen("tcp4", address)
+		listener, err := net.Listen("tcp4", address)
 		if err != nil {
 			continue
 		}
-		packets, err := net.ListenPacket("udp4", address)
+		packetConn, err := net.ListenPacket("udp4", address)
 		if err != nil {
-			calls.Close()
+			listener.Close()
 			continue
 		}
-		return calls, packets, nil
+		return listener, packetConn, nil
 	}
 	return nil, nil, errors.Annotatef(ErrNoFreePort, "ports %d to %d on %s", first, last, ip)
 }
 
 // NewNode creates the membership of this process on the sockets of BindInternal. It sends nothing before Run.
-func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
+func NewNode(self Member, listener net.Listener, packetConn net.PacketConn, seeds []string, caller *peerapi.Caller,
 	clock clock.Clock, log logging.Logger, options ...Option) *Node {
-	node := &Node{mailbox: mailbox.New(mailboxSize), packetConn: packets, listener: calls, caller: caller, clock: clock, log: log,
+	node := &Node{mailbox: mailbox.New(mailboxSize), packetConn: packetConn, listener: listener, caller: caller, clock: clock, log: log,
 		onConfigurationAhead: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
 	for _, option := range options {
 		option(node)
 	}
-	self.Address = calls.Addr().String()
+	self.Address = listener.Addr().String()
 	self.Incarnation = uint64(clock.WallMs())
 	node.table = NewTable(self, clock, DefaultTiming, self.Incarnation, Events{
 		Send:               node.send,
--- a/internal/cluster/membership/node_test.go
+++ b/internal/cluster/membership/node_test.go
@@ -20,10 +20,10 @@
 
 var _ = Describe("the datagrams of a node", func() {
 	It("are counted by kind, with their bytes, and unreadable ones are counted as dropped", func() {
-		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
+		listener, packetConn, err := membership.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
-		defer calls.Close()
-		node := membership.NewNode(wire.Member{Name: "one", Role: "gate"}, calls, packets, nil,
+		defer listener.Close()
+		node := membership.NewNode(wire.Member{Name: "one", Role: "gate"}, listener, packetConn, nil,
 			peerapi.NewCaller(http.DefaultClient), clock.System(), logging.Silent())
 		ctx, cancel := context.WithCancel(context.Background())
 		runResult := make(chan error)
@@ -32,7 +32,7 @@
 			cancel()
 			Expect(<-runResult).To(Succeed())
 		}()
-		other, err := net.Dial("udp4", packets.LocalAddr().String())
+		other, err := net.Dial("udp4", packetConn.LocalAddr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer other.Close()
 		Expect(other.SetDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
@@ -65,11 +65,11 @@
 
 var _ = Describe("a node without a live steward in its view", func() {
 	It("contacts the peers of an earlier run after its seeds", func() {
-		calls, packets, err := membership.BindInternal("127.0.0.1", 20000, 29999)
+		listener, packetConn, err := membership.BindInternal("127.0.0.1", 20000, 29999)
 		Expect(err).NotTo(HaveOccurred())
-		defer calls.Close()
+		defer listener.Close()
 		hosts := make(chan string, 16)
-		node := membership.NewNode(wire.Member{Name: "one", Role: "steward"}, calls, packets, []string{"10.0.0.1:1"},
+		node := membership.NewNode(wire.Member{Name: "one", Role: "steward"}, listener, packetConn, []string{"10.0.0.1:1"},
 			peerapi.NewCaller(&http.Client{Transport: recordingTransport{hosts}}), clock.System(), logging.Silent(),
 			membership.WithKnownPeers([]string{"10.0.0.1:1", "10.0.0.2:1"}))
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/cluster/peerapi/wire/client.go
+++ b/internal/cluster/peerapi/wire/client.go
@@ -31,7 +31,7 @@
 	VerbGrant Verb = "grant"
 	// VerbTenants asks a pool or a partition of the tenants' count for its TenantCountReport.
 	VerbTenants Verb = "tenants"
-	// VerbReplace replaces the configuration.
+	// VerbReplace replaces the configuration. Base is the version that has to be in force, 0 before the first, and the body is the new text.
 	VerbReplace Verb = "replace"
 	// VerbRetrieve asks for the configuration.
 	VerbRetrieve Verb = "retrieve"
@@ -58,8 +58,8 @@
 	// VerbPut writes the cell that ID names; the body is a PutCall. VerbGet reads the cell.
 	VerbPut Verb = "cell-put"
 	VerbGet Verb = "cell-get"
-	// VerbWatch asks for the puts above the revision Base in the group of cells that ID names. The leader may wait up to RemainingMs for the
-	// first one.
+	// VerbWatch asks for the puts above the revision Base in the group of cells that ID names. With Base 0 it asks only for the current
+	// revision, unless the group has no puts yet. The leader may wait up to RemainingMs for the first put.
 	VerbWatch Verb = "watch"
 	// VerbCoordination asks a partition of locks, numbers and cells for its CoordinationReport.
 	VerbCoordination Verb = "coordination"
@@ -77,7 +77,8 @@
 // PoolKey returns the key of the pool of a service.
 func PoolKey(service string) string { return PoolPrefix + service }
 
-// ClientCall is a command of a client, an operator or a pool to the leader of a key.
+// ClientCall is a command of a client, an operator or a pool to the leader of a key. The meaning of ID, Base, Body and RemainingMs depends on
+// the verb; see the verbs.
 type ClientCall struct {
 	Key         string              `json:"key"`
 	Verb        Verb                `json:"verb"`
@@ -95,8 +96,8 @@
 	Version int64 `json:"version,omitempty"`
 }
 
-// RouteTerms are the settings of a job's route: the priority, the maximum number of attempts of a task, and the target latency, which is
-// Stretch times the longest chain of work plus TargetMs.
+// RouteTerms are the settings of a job's route: the priority, the number of failures after which a task is not attempted again, and the
+// target latency, which is Stretch times the longest chain of work plus TargetMs.
 type RouteTerms struct {
 	Priority    int     `json:"p,omitempty"`
 	MaxAttempts int     `json:"a,omitempty"`
--- a/internal/cluster/peerapi/wire/coordination.go
+++ b/internal/cluster/peerapi/wire/coordination.go
@@ -41,7 +41,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// WatchAnswer holds all puts in a group of cells above the revision Base of the ClientCall and up to Revision, in rising order.
+// WatchAnswer holds all puts in a group of cells above the revision Base of the ClientCall and up to Revision, in rising order. If Base is 0
+// and the group had puts at the time of the call, Events is empty, and Revision is the current revision.
 type WatchAnswer struct {
 	Events   []CellEvent `json:"events"`
 	Revision uint64      `json:"revision"`
--- a/internal/cluster/peerapi/wire/membership.go
+++ b/internal/cluster/peerapi/wire/membership.go
@@ -25,11 +25,11 @@
 
 // The states of a member. Of two records of one incarnation, the one with the higher state is newer.
 const (
-	// StateAlive is a member that answers.
+	// StateAlive is the state of a member that answers.
 	StateAlive = iota
-	// StateSuspect is a member that has not answered the latest probes.
+	// StateSuspect is the state of a member that has not answered the latest probe, neither directly nor through other members.
 	StateSuspect
-	// StateGone is a member that is considered dead until it returns with a higher incarnation.
+	// StateGone is the state of a member that is considered dead until it returns with a higher incarnation.
 	StateGone
 )
 
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -45,7 +45,7 @@
 type RolloutCounts struct {
 	Rollout string `json:"rollout"`
 	BegunMs int64  `json:"begun"`
-	// Jobs counts all ended jobs, Large those in the largest tenth of them.
+	// Jobs counts all ended jobs, Large only the largest tenth of them.
 	Jobs  JobCounts `json:"jobs"`
 	Large JobCounts `json:"large"`
 	// Zones counts the ended runs by the zone of the executor.
@@ -61,7 +61,7 @@
 }
 
 // JobCounts counts ended jobs by outcome. Cancelled jobs are not counted, and each completed repetition of a repeated job counts as one.
-// Late counts the jobs that ended after their target, except failed ones and those that lost a run, such as with an executor.
+// Late counts the jobs that ended after their target, except failed ones and those that lost a run, for example because its executor died.
 type JobCounts struct {
 	Completed int64 `json:"completed,omitempty"`
 	Failed    int64 `json:"failed,omitempty"`
