--- a/internal/cluster/configuration/configuration.go
+++ b/internal/cluster/configuration/configuration.go
@@ -54,8 +54,9 @@
 	UpperLimit easyjson.RawMessage `json:"upper-limit,omitempty"`
 }
 
-// Tenant is a team that submits jobs under its API keys. Weight is both its relative share of the executors under full load, and the number
-// of jobs a second that it can expect to be completed. Limit bounds the resources of its running tasks over all executors.
+// Tenant is a team that submits jobs under its API keys. Weight is both its relative share of the executors under full load, and its rate in
+// jobs per second: jobs above the rate are surplus. A weight of 0 counts as 1. Limit bounds the resources of the tenant's running tasks over
+// all executors.
 type Tenant struct {
 	Name   string     `json:"name"`
 	Keys   []string   `json:"api-keys"`
--- a/internal/cluster/peerapi/wire/coordination.go
+++ b/internal/cluster/peerapi/wire/coordination.go
@@ -77,8 +77,8 @@
 	Bytes    int          `json:"bytes"`
 }
 
-// LockReport describes a held lock: its holder and its fencing token. HeldMs is the time since it was acquired, and RemainingMs the time for
-// which it is still held at least if the holder does not renew it.
+// LockReport describes a held lock: its holder and its fencing token. HeldMs is the time since it was acquired or, if that is shorter, since
+// its leader took over. RemainingMs is the time for which it is still held at least if the holder does not renew it.
 type LockReport struct {
 	Name        string `json:"name"`
 	Holder      string `json:"holder"`
--- a/internal/cluster/peerapi/wire/grants.go
+++ b/internal/cluster/peerapi/wire/grants.go
@@ -57,8 +57,10 @@
 	Tenants []TenantUsage `json:"tenants"`
 }
 
-// TenantUsage is the row of one tenant. A partition of the tenants' count fills in Limit and Grants, a pool the other fields. Share is the
-// fraction of the fleet, from 0 to 1, that the tenant is entitled to when all capacity is in use.
+// TenantUsage is the row of one tenant. A partition of the tenants' count fills in Limit and Grants, a pool the other fields. Surplus counts
+// the open jobs that were submitted above the tenant's rate, which is Weight in jobs per second. Share is the fraction of the pool's capacity,
+// from 0 to 1, that the tenant is entitled to when all of it is in use; it is 0 for a tenant without work. Allowance is the amount that the
+// tenant's runs may use in the pool.
 type TenantUsage struct {
 	Tenant      string        `json:"tenant"`
 	Weight      float64       `json:"weight,omitempty"`
--- a/internal/cluster/peerapi/wire/replication.go
+++ b/internal/cluster/peerapi/wire/replication.go
@@ -85,7 +85,7 @@
 	Release  bool           `json:"release,omitempty"`
 	// Successor is the disk whose steward should be the first candidate after a release.
 	Successor string `json:"heir,omitempty"`
-	// VotedOut tells a voter that is shutting down that a voter set without it is committed.
+	// VotedOut tells a voter that has answered with Leaving that a voter set without it is committed.
 	VotedOut bool `json:"voted_out,omitempty"`
 }
 
@@ -101,7 +101,7 @@
 	DelayUs int64 `json:"delay,omitempty"`
 	// Chunks is the number of received chunks of the snapshot in transfer. A peer of an earlier version omits it.
 	Chunks int `json:"pieces,omitempty"`
-	// Leaving is set if the process has been asked to shut down, so that its disk should be replaced as a voter.
+	// Leaving is set if the process is shutting down or its disk is being emptied, so that another disk should replace it as a voter.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -11,7 +11,7 @@
 	From string `json:"from"`
 	// AcceptedMs is when the job was accepted there, in milliseconds since 1970.
 	AcceptedMs int64 `json:"accepted"`
-	// IsSurplus marks a job beyond those that its tenant can expect to be completed.
+	// IsSurplus marks a job that was submitted above its tenant's rate (see TenantUsage).
 	IsSurplus bool `json:"surplus,omitempty"`
 	// CompletedOccurrences lists the completed repetitions of a repeated job.
 	CompletedOccurrences []int `json:"over,omitempty"`
@@ -34,8 +34,8 @@
 type RolloutReport struct {
 	Key      string          `json:"key"`
 	Rollouts []RolloutCounts `json:"rollouts,omitempty"`
-	// Executors is the number of executors that accept work, and Capacity their total. Allocated is the total of all executors, also of those
-	// that accept no work any more. Both are in thousandths of a core.
+	// Executors is the number of executors that accept work, and Capacity is their total capacity. Allocated is the capacity in use at all
+	// executors, also at those that accept no work any more. Both are in thousandths of a core.
 	Executors int   `json:"executors,omitempty"`
 	Capacity  int64 `json:"capacity,omitempty"`
 	Allocated int64 `json:"allocated,omitempty"`
@@ -45,7 +45,7 @@
 type RolloutCounts struct {
 	Rollout string `json:"rollout"`
 	BegunMs int64  `json:"begun"`
-	// Jobs counts all ended jobs, Large only the largest tenth of them.
+	// Jobs counts all ended jobs, Large only those that were among the largest tenth when they ended.
 	Jobs  JobCounts `json:"jobs"`
 	Large JobCounts `json:"large"`
 	// Zones counts the ended runs by the zone of the executor.
