--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -27,7 +27,7 @@
 
 // Actions are the side effects of a fetcher; its process carries them out.
 type Actions struct {
-	// Ask calls a peer, and fails once stallTimeout passes without a byte. It must not block; the outcome goes to HandleAnswer.
+	// Ask calls a peer. It must not block; the outcome goes to HandleAnswer. The call fails once stallTimeout passes without a byte.
 	Ask func(address string, call *wire.ConfigurationCall, stallTimeout time.Duration)
 	// ResumeAfter arranges a call of the fetcher's Resume once the delay is over.
 	ResumeAfter func(delay time.Duration)
@@ -35,8 +35,8 @@
 	Use func(*Version) error
 }
 
-// Fetcher decides which peer to ask for which version, one call at a time. It starts no goroutine and opens no socket, and only one
-// goroutine may call it.
+// Fetcher fetches newer versions of the configuration. It decides which peer to ask, and makes one call at a time. It starts no goroutine
+// and opens no socket, and only one goroutine may call it.
 type Fetcher struct {
 	clock   clock.Clock
 	log     logging.Logger
@@ -75,19 +75,19 @@
 		return err
 	}
 	f.current = next
-	f.transfers.dropUpTo(next.version())
+	f.transfers.dropUpTo(next.number())
 	return nil
 }
 
 // PeerHolds reports that a peer holds a version, which is fetched if it is newer than the one in force.
 func (f *Fetcher) PeerHolds(member wire.Member, version int64) {
-	if version > f.current.version() {
+	if version > f.current.number() {
 		f.peers.recordVersion(member, version)
 		f.fetchNext()
 	}
 }
 
-// Chunk returns the chunk of an image of the configuration with which a peer's call is answered.
+// Chunk returns the chunk of an image that answers a peer's call.
 func (f *Fetcher) Chunk(call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	return f.images.chunk(f.current, call)
 }
@@ -113,15 +113,15 @@
 	if f.isFetching || f.isPausing {
 		return
 	}
-	if next := f.peers.next(f.current.version()); next != nil {
+	if next := f.peers.next(f.current.number()); next != nil {
 		f.ask(next.address, true)
 	}
 }
 
-// ask calls a peer for a newer version. Without acceptsChanges it asks for the whole configuration.
+// ask calls a peer for a newer version. Without acceptsChanges it asks for the full configuration.
 func (f *Fetcher) ask(address string, acceptsChanges bool) {
 	f.isFetching, f.askedAt = true, f.clock.Monotonic()
-	call := &wire.ConfigurationCall{HeldVersion: f.current.version(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
+	call := &wire.ConfigurationCall{HeldVersion: f.current.number(), AcceptsChanges: acceptsChanges && f.current != nil, AcceptsChunks: true}
 	if transfer := f.transfers.resumable(address); transfer != nil {
 		call.Image, call.Offset = transfer.image.Name, len(transfer.image.data)
 	}
@@ -146,8 +146,9 @@
 	}
 }
 
-// apply brings the version of an answer into force. It then asks for the next chunk of an incomplete image, for the full configuration
-// if the changes don't fit, or goes on with the next peer.
+// apply handles the content of an answer. If the image is incomplete, it asks the same peer for the next chunk. If the changes don't fit,
+// it asks the same peer for the full configuration. Otherwise it brings the version into force if it is newer, and goes on with the next
+// peer. Any other answer that can't be used counts as a failure of the peer.
 func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
 	startedAt, previous := f.clock.Monotonic(), f.current
 	next, isComplete, err := f.read(address, answer)
@@ -170,7 +171,7 @@
 		return
 	}
 	if f.current == previous {
-		if call.HeldVersion == f.current.version() {
+		if call.HeldVersion == f.current.number() {
 			// The peer has nothing newer, although it was reported to hold a newer version.
 			f.peers.forget(address)
 		}
@@ -187,7 +188,7 @@
 		next, err = f.current.Apply(answer)
 		return next, true, err
 	}
-	if answer.Chunk.Version <= f.current.version() {
+	if answer.Chunk.Version <= f.current.number() {
 		return f.current, true, nil
 	}
 	image, err := f.transfers.addChunk(address, answer.Chunk)
@@ -206,7 +207,7 @@
 func (f *Fetcher) handleFailure(address string, reason error) {
 	f.log.Info("configuration not fetched", "peer", address, "reason", reason.Error())
 	f.peers.recordFailure(address)
-	if next := f.peers.next(f.current.version()); next != nil {
+	if next := f.peers.next(f.current.number()); next != nil {
 		f.pause(time.Duration(next.failures) * failureBackoff)
 	}
 }
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -24,16 +24,16 @@
 	mailboxSize = 256
 	// maxDatagramBytes is the size of the receive buffer. Longer datagrams are cut off, and dropped as unreadable.
 	maxDatagramBytes = 16 << 10
-	// joinPause is the pause between two rounds of join. joinPauseIsolated is the shorter one while the view has no live steward.
-	joinPause          = time.Second
-	joinPauseIsolated  = 200 * time.Millisecond
-	membersCallTimeout = 800 * time.Millisecond
-	// roundsPerSeedComparison is the number of rounds of join after which a process compares its list with its seeds even if its view
-	// has a live steward.
+	// joinPause is the pause between two rounds of join. joinPauseWithoutSteward is the shorter one while the view has no live steward.
+	joinPause               = time.Second
+	joinPauseWithoutSteward = 200 * time.Millisecond
+	membersCallTimeout      = 800 * time.Millisecond
+	// roundsPerSeedComparison is the number of rounds of join after which a process compares its list with those of its seeds even if its
+	// view has a live steward.
 	roundsPerSeedComparison = 15
 )
 
-// ErrNoFreePort is returned by BindInternal if every port of the range is in use.
+// ErrNoFreePort is the cause of the error of BindInternal if no port of the range could be opened for both TCP and UDP.
 const ErrNoFreePort = errors.ConstError("no port is free")
 
 // Node runs a Table on a TCP and a UDP socket of the same port, and publishes its view.
@@ -47,7 +47,7 @@
 	clock      clock.Clock
 	log        logging.Logger
 	seeds      atomic.Pointer[[]string]
-	// knownPeers are control addresses that an earlier run saved. They are used while the view has no live steward.
+	// knownPeers are control addresses that an earlier run of this process saved. They are used while the view has no live steward.
 	knownPeers           []string
 	onConfigurationAhead func(peer Member, version int64)
 }
@@ -55,45 +55,45 @@
 // Option configures a Node.
 type Option func(*Node)
 
-// OnConfigurationAhead sets the function that is called with each peer that announces a newer configuration than this process holds.
+// OnConfigurationAhead sets the function that is called for each message of a peer that holds a newer configuration than this process.
 func OnConfigurationAhead(handle func(peer Member, version int64)) Option {
 	return func(n *Node) { n.onConfigurationAhead = handle }
 }
 
-// WithKnownPeers sets control addresses of an earlier run. The node contacts them while its view has no live steward.
+// WithKnownPeers sets control addresses that an earlier run of this process saved. The node contacts them while its view has no live steward.
 func WithKnownPeers(addresses []string) Option {
 	return func(n *Node) { n.knownPeers = addresses }
 }
 
-// BindInternal opens a TCP and a UDP socket on the first port of the range that is free for both. If there is none, the error is
-// ErrNoFreePort.
+// BindInternal opens a TCP and a UDP socket on the first port of the range that is free for both. The range includes the last port. If no
+// port is free, the cause of the error is ErrNoFreePort.
 func BindInternal(ip string, first, last int) (net.Listener, net.PacketConn, error) {
 	for port := first; port <= last; port++ {
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
-		calls, err := net.Listen("tcp4", address)
+		listener, err := net.Listen("tcp4", address)
 		if err != nil {
 			continue
 		}
-		packets, err := net.ListenPacket("udp4", address)
+		packetConn, err := net.ListenPacket("udp4", address)
 		if err != nil {
-			calls.Close()
+			listener.Close()
 			continue
 		}
-		return calls, packets, nil
+		return listener, packetConn, nil
 	}
 	return nil, nil, errors.Annotatef(ErrNoFreePort, "ports %d to %d on %s", first, last, ip)
 }
 
 // NewNode creates the membership of this process on the sockets of BindInternal. It sends nothing before Run.
-func NewNode(self Member, calls net.Listener, packets net.PacketConn, seeds []string, caller *peerapi.Caller,
+func NewNode(self Member, listener net.Listener, packetConn net.PacketConn, seeds []string, caller *peerapi.Caller,
 	clock clock.Clock, log logging.Logger, options ...Option) *Node {
-	node := &Node{mailbox: mailbox.New(mailboxSize), packetConn: packets, listener: calls, caller: caller, clock: clock, log: log,
+	node := &Node{mailbox: mailbox.New(mailboxSize), packetConn: packetConn, listener: listener, caller: caller, clock: clock, log: log,
 		onConfigurationAhead: func(Member, int64) {}}
 	node.seeds.Store(&seeds)
 	for _, option := range options {
 		option(node)
 	}
-	self.Address = calls.Addr().String()
+	self.Address = listener.Addr().String()
 	self.Incarnation = uint64(clock.WallMs())
 	node.table = NewTable(self, clock, DefaultTiming, self.Incarnation, Events{
 		Send:               node.send,
@@ -172,8 +172,8 @@
 	}
 }
 
-// join compares lists with the join addresses while the view has no live steward. A local-proxy also does so while it is isolated, and
-// every other process once in roundsPerSeedComparison rounds.
+// join compares lists with the peers at joinAddresses while the view has no live steward. A local-proxy also does so while it is isolated,
+// and every other process once in roundsPerSeedComparison rounds.
 func (n *Node) join(ctx context.Context) {
 	for round := 0; ; round++ {
 		view := n.View()
@@ -186,7 +186,7 @@
 		}
 		wait := joinPause
 		if !n.View().SeesSteward() {
-			wait = joinPauseIsolated
+			wait = joinPauseWithoutSteward
 		}
 		select {
 		case <-ctx.Done():
@@ -211,8 +211,8 @@
 	return addresses
 }
 
-// compareLists compares the member lists of this process and a peer by the sums of their buckets, and sends the peer in a second call
-// the records that it lacks.
+// compareLists compares the member lists of this process and a peer by the sums of their buckets, and sends the peer in a second call the
+// records that the peer lacks. It does nothing for the control address of this process.
 func (n *Node) compareLists(address string) {
 	if address == n.View().Self.Control {
 		return
@@ -242,7 +242,7 @@
 	return answer, err
 }
 
-// Handle serves the procedure with which peers compare their member lists with that of this process.
+// Handle registers the procedure by which peers compare their member lists with that of this process.
 func (n *Node) Handle(mux *http.ServeMux) {
 	peerapi.Serve(mux, peerapi.ProcedureMembers, func(ctx context.Context, call *wire.MembersCall) (*wire.MembersAnswer, error) {
 		answer, err := mailbox.Ask(ctx, n.mailbox, func(answer func(wire.MembersAnswer)) { answer(n.table.AnswerCall(call)) })
--- a/internal/cluster/peerapi/wire/membership.go
+++ b/internal/cluster/peerapi/wire/membership.go
@@ -25,11 +25,11 @@
 
 // The states of a member. Of two records of one incarnation, the one with the higher state is newer.
 const (
-	// StateAlive is a member that answers.
+	// StateAlive is the state of a member that answers.
 	StateAlive = iota
-	// StateSuspect is a member that has not answered the latest probes.
+	// StateSuspect is the state of a member that has not answered the latest probe, neither directly nor through other members.
 	StateSuspect
-	// StateGone is a member that is considered dead until it returns with a higher incarnation.
+	// StateGone is the state of a member that is considered dead until it returns with a higher incarnation.
 	StateGone
 )
 
@@ -53,8 +53,8 @@
 	Evacuations *Evacuations `json:"v,omitempty"`
 }
 
-// Datagram is a message of the failure detector over UDP. Number matches an ack to its ping. Target is the member to ping in a request for
-// an indirect probe. Updates holds recently changed records.
+// Datagram is a message of the failure detector over UDP. Number matches an ack to its ping. In a request for an indirect probe, Target is
+// the member to ping. Updates holds recently changed records.
 type Datagram struct {
 	Kind    string   `json:"k"`
 	Number  uint64   `json:"q,omitempty"`
--- a/internal/cluster/peerapi/wire/rollouts.go
+++ b/internal/cluster/peerapi/wire/rollouts.go
@@ -4,13 +4,14 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all rollouts.go
 
-// TransferCall is the body of a VerbTransfer call. It holds a job that another pool had accepted and will not start any task of again.
+// TransferCall is the body of a VerbTransfer call. It holds a job that another pool had accepted, and of which that pool starts no more
+// tasks.
 type TransferCall struct {
 	// From is the key of the other pool.
 	From string `json:"from"`
 	// AcceptedMs is when the job was accepted there, in milliseconds since 1970.
 	AcceptedMs int64 `json:"accepted"`
-	// IsSurplus marks a job beyond those that its tenant can expect to be completed.
+	// IsSurplus marks a job that was submitted above its tenant's rate (see TenantUsage).
 	IsSurplus bool `json:"surplus,omitempty"`
 	// CompletedOccurrences lists the completed repetitions of a repeated job.
 	CompletedOccurrences []int `json:"over,omitempty"`
@@ -33,8 +34,8 @@
 type RolloutReport struct {
 	Key      string          `json:"key"`
 	Rollouts []RolloutCounts `json:"rollouts,omitempty"`
-	// Executors is the number of executors that accept work, and Capacity their total. Allocated is the total of all executors, also of those
-	// that accept no work any more. Both are in thousandths of a core.
+	// Executors is the number of executors that accept work, and Capacity is their total capacity. Allocated is the capacity in use at all
+	// executors, also at those that accept no work any more. Both are in thousandths of a core.
 	Executors int   `json:"executors,omitempty"`
 	Capacity  int64 `json:"capacity,omitempty"`
 	Allocated int64 `json:"allocated,omitempty"`
@@ -44,7 +45,7 @@
 type RolloutCounts struct {
 	Rollout string `json:"rollout"`
 	BegunMs int64  `json:"begun"`
-	// Jobs counts all ended jobs, Large those in the largest tenth of them.
+	// Jobs counts all ended jobs, Large only those that were among the largest tenth when they ended.
 	Jobs  JobCounts `json:"jobs"`
 	Large JobCounts `json:"large"`
 	// Zones counts the ended runs by the zone of the executor.
@@ -60,7 +61,7 @@
 }
 
 // JobCounts counts ended jobs by outcome. Cancelled jobs are not counted, and each completed repetition of a repeated job counts as one.
-// Late counts the jobs that ended after their target, except failed ones and those that lost a run, such as with an executor.
+// Late counts the jobs that ended after their target, except failed ones and those that lost a run, for example because its executor died.
 type JobCounts struct {
 	Completed int64 `json:"completed,omitempty"`
 	Failed    int64 `json:"failed,omitempty"`
@@ -87,7 +88,7 @@
 	Rollouts []RolloutStatus `json:"rollouts"`
 }
 
-// RolloutStatus is the status of one rollout.
+// RolloutStatus is the status of one rollout. Step is the index of the current step, and Steps the number of steps.
 type RolloutStatus struct {
 	Name   string  `json:"name"`
 	Route  string  `json:"route"`
@@ -117,8 +118,9 @@
 	Allocated int64 `json:"allocated,omitempty"`
 }
 
-// RolloutVerdict holds the figures of one check of the new version: Bad of Total outcomes are compared with Bound. If Evidence is at or above
-// Level, the version is rolled back.
+// RolloutVerdict holds the figures of one check of the new version: Bad of Total outcomes are compared with Bound, the share that may be bad.
+// Stratum names the part of the outcomes that is checked, and Baseline is the share of the old version. If Evidence is at or above Level, the
+// new version is rolled back.
 type RolloutVerdict struct {
 	Kind     string  `json:"kind"`
 	Stratum  string  `json:"of"`
