--- a/check.sh
+++ b/check.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs all checks of the project: build, vet, gofmt, generated code, the first run, short soaks, linters, and the tests with and without
-# the race detector. Only tests listed in KNOWN-RED.txt may fail (see internal/checktests).
+# Runs all checks of the project: build, vet, gofmt, generated code, the first run, short soaks, linters, and the tests with the race
+# detector. The tests of internal/control/storage also run without it. Only tests listed in KNOWN-RED.txt may fail (see internal/checktests).
 set -u
 cd "$(dirname "$0")" || exit 1
 failed=0
-# step NAME COMMAND...: runs one check. A failure is reported and remembered; the remaining checks still run.
+# step NAME COMMAND...: runs one check. A failure is printed and sets $failed; the remaining checks still run.
 step() {
   echo "== $1"
   shift
@@ -15,7 +15,8 @@
   unformatted=$(gofmt -l client cmd internal tools)
   [ -z "$unformatted" ] || { echo "not formatted by gofmt: $unformatted"; return 1; }
 }
-# The generators run in a copy of the tree, so that a concurrent build never reads partially generated sources.
+# generated_is_current: compares the generated code with the output of its generators. The generators run in a copy of the tree, so that a
+# concurrent build never reads partially generated sources.
 generated_is_current() {
   local copy status=0
   copy=$(mktemp -d)
@@ -33,10 +34,11 @@
   local tool
   tool=$(lint_tool "$1") && "$tool" "${@:2}" ./...
 }
-# Runs the README's first run. The network depends on the process ID, so that concurrent checks rarely use the same addresses.
+# first_run_completes: runs the first run that the README describes. The network depends on the process ID, so that concurrent checks
+# rarely use the same addresses.
 first_run_completes() { FIRST_RUN_NETWORK=127.91.$(($$ % 256)) tools/first-run.sh; }
-# Runs short soaks of real processes: one of a cluster that tolerates one failure, one of a cluster that tolerates two, and one of a
-# mix with every feature on. The network depends on the process ID, so that concurrent checks rarely use the same addresses.
+# soaks_pass: runs short soaks of real processes: one of a cluster that tolerates one failure, one of a cluster that tolerates two, and
+# one of a mix with every feature on. The network depends on the process ID, so that concurrent checks rarely use the same addresses.
 soaks_pass() {
   local network=127.$((100 + $$ % 100))
   target/soak --seed 1 --seconds 25 --processes 10 --network "$network" &&
--- a/cmd/gannetline/askall.go
+++ b/cmd/gannetline/askall.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// showRepeatedly runs show once, or at the interval of --watch. contact is the address of the process that is asked for the members. If a flag
-// is invalid, the error names it.
+// showRepeatedly checks the flags of showFlags and calls show once, or repeatedly with the pause of --watch. It passes to show the address of
+// the process to ask for the members (contact) and --timeout. If a flag is invalid, the error names it.
 func showRepeatedly(ctx context.Context, command *cli.Command, show func(command *cli.Command, contact string, timeout time.Duration) error) error {
 	contact, watch, timeout := command.String("of"), command.Duration("watch"), command.Duration("timeout")
 	if seeds := seedsOf(command); contact == "" && len(seeds) > 0 {
@@ -63,7 +63,7 @@
 }
 
 // askStewards makes a call to all stewards that the process at contact knows, and passes each answer to handle. noAnswer is nil if all
-// answered; otherwise it is an exit error that names the stewards that didn't.
+// stewards answered. Otherwise it is an exit error that names those that didn't. err is set if the process at contact doesn't answer.
 func askStewards[Call, Answer any](contact, procedure string, timeout time.Duration, call *Call, handle func(*Answer)) (noAnswer, err error) {
 	members, err := membersOf(contact, timeout)
 	if err != nil {
--- a/cmd/gannetline/cells.go
+++ b/cmd/gannetline/cells.go
@@ -31,12 +31,13 @@
 	return loaded.Seeds
 }
 
-// timeoutFlag returns the flag that bounds a command with one client call, including its retries.
+// timeoutFlag returns the flag that limits the time for the client calls of a command, including their retries.
 func timeoutFlag() cli.Flag {
 	return &cli.DurationFlag{Name: "timeout", Usage: "how long to retry until the outcome is known", Value: 5 * time.Second}
 }
 
-// newClient creates the client of a command. If a flag is invalid, the error names it.
+// newClient creates a client for the stewards that --at names, or by default for the seeds of the settings file. If a flag is invalid, the
+// error names it.
 func newClient(command *cli.Command) (*client.Client, error) {
 	addresses := command.StringSlice("at")
 	for _, address := range addresses {
@@ -53,7 +54,8 @@
 	return client.New(addresses)
 }
 
-// callAction returns an action that checks the number of arguments and then runs one client call within --timeout.
+// callAction returns an action that checks the number of arguments, and then calls run with a client and a context that ends after --timeout.
+// If the outcome of a client call is unknown, the error has the exit code exitNoAnswer.
 func callAction(count int, run func(ctx context.Context, caller *client.Client, command *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		if command.Args().Len() != count {
--- a/cmd/gannetline/cells_test.go
+++ b/cmd/gannetline/cells_test.go
@@ -149,7 +149,7 @@
 		Entry("no steward to ask for locks", "--of", "locks"),
 	)
 
-	It("exit with a code of their own if no steward answers", func() {
+	It("exit with exitNoAnswer if no steward answers", func() {
 		_, code := runCommand("number", "--at="+deadAddress(), "--timeout=1ms", "n")
 		Expect(code).To(Equal(exitNoAnswer))
 		_, code = runCommand("locks", "--of", deadAddress())
--- a/cmd/gannetline/evacuations.go
+++ b/cmd/gannetline/evacuations.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// showEvacuationsOnce asks all members and prints the evacuations. If a member doesn't answer, it prints the others and returns an error with
-// the exit code exitNoAnswer.
+// showEvacuationsOnce asks all members and prints the evacuations. If a member doesn't answer, it prints what the others answer and returns an
+// error with the exit code exitNoAnswer.
 func showEvacuationsOnce(command *cli.Command, contact string, timeout time.Duration) error {
 	members, err := membersOf(contact, timeout)
 	if err != nil {
--- a/cmd/gannetline/golden_test.go
+++ b/cmd/gannetline/golden_test.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/testsupport/golden"
 )
 
-// writeCommand writes a line for a command, one for each of its flags, and then those of its subcommands.
+// writeCommand writes a line for a command, a line for each of its flags, and then the lines of its subcommands.
 func writeCommand(lines *strings.Builder, path string, command *cli.Command) {
 	lines.WriteString(path + "\n")
 	for _, flag := range command.Flags {
--- a/cmd/gannetline/hollow.go
+++ b/cmd/gannetline/hollow.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// hollowCommand runs simulated executors, each behind a local proxy unless its spec says otherwise.
+// hollowCommand returns the command that runs simulated executors, each with a local proxy unless the spec says otherwise.
 func hollowCommand() *cli.Command {
 	return &cli.Command{
 		Name: "hollow", Usage: "run many hollow workers in one process, on loopback addresses",
--- a/cmd/gannetline/lock.go
+++ b/cmd/gannetline/lock.go
@@ -67,12 +67,12 @@
 	}
 }
 
-// lockEnvironment is the part of the help texts about the environment variables.
+// lockEnvironment is the part of the help texts of lock and elect about the environment variables.
 const lockEnvironment = "The command finds the lock's name in " + lockVariable + " and the fencing token in " + fenceVariable +
 	"; resources that it changes should refuse a lower token than they have seen. "
 
-// lockedCommand is a command to run while a lock is held. hold is the duration of the lock without renewal, grace the time from SIGTERM to
-// SIGKILL once the lock is lost.
+// lockedCommand is a command to run while a lock is held. name is the name of the lock, and arguments are those of the command, beginning with
+// the program. hold is the duration of the lock without renewal. grace is the time from SIGTERM to SIGKILL once the lock is lost.
 type lockedCommand struct {
 	client      *client.Client
 	name        string
@@ -95,7 +95,8 @@
 	return locked, err
 }
 
-// runOnce waits for the lock, runs the command and releases the lock. The error has the exit code of the process.
+// runOnce waits for the lock, runs the command and releases the lock. The error has the exit code of gannetline: exitLockLost if the lock was
+// lost, and otherwise that of exitError.
 func (c *lockedCommand) runOnce(ctx context.Context, wait time.Duration) error {
 	lock, err := c.acquire(ctx, wait)
 	if err != nil {
@@ -117,7 +118,7 @@
 // releaseTimeout bounds the release of a lock.
 const releaseTimeout = 5 * time.Second
 
-// acquire waits for the lock, without a limit if wait is 0.
+// acquire waits for the lock, without a limit if wait is 0. If the lock isn't acquired in time, the error has the exit code exitNotFree.
 func (c *lockedCommand) acquire(ctx context.Context, wait time.Duration) (*client.Lock, error) {
 	var lock *client.Lock
 	var err error
--- a/cmd/gannetline/locks.go
+++ b/cmd/gannetline/locks.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// showLocksOnce asks all stewards and prints the locks or the partitions. If a steward doesn't answer, it prints the others and returns an
-// error with the exit code exitNoAnswer.
+// showLocksOnce asks all stewards and prints the locks or the partitions. If a steward doesn't answer, it prints what the others answer and
+// returns an error with the exit code exitNoAnswer. If the stewards keep no locks, the error has the exit code exitOff.
 func showLocksOnce(command *cli.Command, contact string, timeout time.Duration) error {
 	var reports []wire.CoordinationReport
 	isOff := false
--- a/cmd/gannetline/main.go
+++ b/cmd/gannetline/main.go
@@ -1,4 +1,4 @@
-// Gannetline is a cluster scheduler for jobs; each role is a subcommand.
+// Gannetline is a cluster scheduler for jobs. Each role of a process and each tool for operators is a subcommand.
 package main
 
 import (
@@ -14,8 +14,9 @@
 	"gannetline/internal/roles"
 )
 
-// The exit codes, as docs/operators.md lists them. Commands that run another command also pass on its exit code.
+// The exit codes, as docs/operators.md lists them. The commands lock and elect also exit with the code of the command that they run.
 const (
+	// exitFailed stands for a failure without a code of its own, and for a refused call.
 	exitFailed = 1
 	// exitUsage stands for invalid arguments or input.
 	exitUsage = 2
@@ -23,8 +24,9 @@
 	exitDiffers = 3
 	// exitNoAnswer stands for a process that didn't answer, or a call with unknown outcome.
 	exitNoAnswer = 4
+	// exitLockLost stands for a lock that was lost while its command ran.
 	exitLockLost = 5
-	// exitNotFree stands for a lock that wasn't free within --wait.
+	// exitNotFree stands for a lock that could not be acquired within --wait.
 	exitNotFree = 6
 	// exitOff stands for a service that the stewards don't offer (active-contracts).
 	exitOff = 7
--- a/cmd/gannetline/metrics.go
+++ b/cmd/gannetline/metrics.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// process is a process to ask; its answer belongs to a column of the table, either its own or that of its role.
+// process is a process to ask. column names the table column that its metrics are added to: its address, or its role if the members of another
+// process are asked.
 type process struct{ address, column string }
 
 // processesToAsk returns the processes that the flags name. If a flag is invalid, the error has the exit code exitUsage.
@@ -73,8 +74,7 @@
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// membersOf returns the members that the process at an address knows, sorted by role, without those that are gone. The column of each is its
-// role.
+// membersOf returns the members that the process at contact knows, sorted by role, without those that are gone. The column of each is its role.
 func membersOf(contact string, timeout time.Duration) ([]process, error) {
 	beliefs, err := comparenodes.RetrieveBeliefs(contact, timeout)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return processes, nil
 }
 
-// fetchMetrics asks all processes concurrently and sums the metrics of each column. noAnswer is nil if all answered; otherwise it is an exit
-// error that names the processes that didn't.
+// fetchMetrics asks all processes concurrently and sums the metrics of each column. noAnswer is nil if all processes answered. Otherwise it is
+// an exit error that names those that didn't.
 func fetchMetrics(processes []process, timeout time.Duration) (columns []metrics.Column, noAnswer error) {
 	client := peerapi.Client(timeout, 1)
 	outcomes := askAll(processes, func(from process) (metrics.Samples, error) {
--- a/cmd/gannetline/metrics_test.go
+++ b/cmd/gannetline/metrics_test.go
@@ -20,7 +20,7 @@
 	"gannetline/internal/platform/metrics"
 )
 
-// scriptedProcess starts a server that returns a page of metrics. Tests add other handlers to its mux.
+// scriptedProcess starts a server that serves a text as its metrics page. Tests add other handlers to its mux.
 func scriptedProcess(page string) (address string, mux *http.ServeMux) {
 	mux = http.NewServeMux()
 	mux.HandleFunc(metrics.Path, func(to http.ResponseWriter, _ *http.Request) { fmt.Fprint(to, page) })
--- a/cmd/gannetline/off_test.go
+++ b/cmd/gannetline/off_test.go
@@ -19,7 +19,7 @@
 )
 
 var _ = Describe("commands for a service that the stewards don't offer", func() {
-	It("name the missing setting, and exit with a code of their own", func() {
+	It("name the missing setting, and exit with exitOff", func() {
 		mux := http.NewServeMux()
 		coordinationapi.RegisterOff(mux)
 		server := httptest.NewServer(mux)
--- a/cmd/gannetline/rollout.go
+++ b/cmd/gannetline/rollout.go
@@ -2,7 +2,7 @@
 
 import "github.com/urfave/cli/v3"
 
-// rolloutExitCodes is the end of the help texts of the commands that change the configuration.
+// rolloutExitCodes is the end of the help texts of the rollout commands that change the configuration.
 const rolloutExitCodes = "Exit codes: 0 the change is committed, 1 refused, 2 bad usage, 4 outcome unknown: the change may or may not be committed."
 
 func rolloutCommand() *cli.Command {
--- a/cmd/gannetline/rollout_test.go
+++ b/cmd/gannetline/rollout_test.go
@@ -15,27 +15,27 @@
 const rolloutConfiguration = `{"config-version":4,"route-list":[{"name":"a","host":"h","path-prefix":"/q/","timeout-ms":3000,"service":"v1"}],
  "service-list":[{"name":"v1"},{"name":"v2"}], "of-the-operator":[1, 2]}`
 
-// scriptedControl is a control plane that serves and replaces a configuration, as the leader does.
+// scriptedControl answers like the control plane of a steward. It serves a configuration and replaces it as the leader does.
 type scriptedControl struct {
 	body string
 	// beforeReplace runs once, before the next change is applied.
 	beforeReplace func()
-	// status is the answer to a request for the state of rollouts.
+	// status is the body of the answer to a request for the state of rollouts.
 	status string
 }
 
 func (c *scriptedControl) version() string { return c.current().versionText }
 
-// currentVersion is a decoded configuration with its version as text.
-type currentVersion struct {
+// decodedConfiguration is a decoded configuration with its version as text.
+type decodedConfiguration struct {
 	versionText string
 	*configuration.Configuration
 }
 
-func (c *scriptedControl) current() currentVersion {
+func (c *scriptedControl) current() decodedConfiguration {
 	decoded, err := configuration.Read([]byte(c.body))
 	Expect(err).NotTo(HaveOccurred())
-	return currentVersion{strings.TrimSpace(strings.Split(strings.SplitN(c.body, `"config-version":`, 2)[1], ",")[0]), decoded}
+	return decodedConfiguration{strings.TrimSpace(strings.Split(strings.SplitN(c.body, `"config-version":`, 2)[1], ",")[0]), decoded}
 }
 
 func (c *scriptedControl) ServeHTTP(to http.ResponseWriter, request *http.Request) {
--- a/cmd/gannetline/rolloutstate.go
+++ b/cmd/gannetline/rolloutstate.go
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// maxChangeAttempts limits the attempts at a change if the configuration changes in the meantime.
+// maxChangeAttempts limits the attempts at a change whose configuration others keep changing.
 const maxChangeAttempts = 5
 
 // changeConfiguration applies a change to the configuration in force. If another operator or the leader has changed the configuration in the
-// meantime, it applies the change to the newer version.
+// meantime, it applies the change to the newer version, with maxChangeAttempts attempts in all.
 func changeConfiguration(ctx context.Context, caller *client.Client, change func(*configuration.Amendment, *configuration.Configuration) error) error {
 	for attempt := 1; ; attempt++ {
 		current, err := caller.Configuration(ctx)
--- a/cmd/gannetline/tenants.go
+++ b/cmd/gannetline/tenants.go
@@ -25,8 +25,8 @@
 	return showRepeatedly(ctx, command, showTenantsOnce)
 }
 
-// showTenantsOnce asks all stewards and prints the tenants. If a steward doesn't answer, it prints the others and returns an error with the exit
-// code exitNoAnswer.
+// showTenantsOnce asks all stewards and prints the tenants. If a steward doesn't answer, it prints what the others answer and returns an error
+// with the exit code exitNoAnswer.
 func showTenantsOnce(command *cli.Command, contact string, timeout time.Duration) error {
 	var reports []wire.TenantCountReport
 	noAnswer, err := askStewards(contact, peerapi.ProcedureTenants, timeout, &wire.TenantsCall{},
--- a/cmd/gannetline/tenants_test.go
+++ b/cmd/gannetline/tenants_test.go
@@ -15,7 +15,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// scriptedSteward starts a steward that knows the members and returns the reports, and returns its address.
+// scriptedSteward starts a server that answers like a steward with these members and reports. It returns the server's address.
 func scriptedSteward(members func() []wire.Member, reports ...wire.TenantCountReport) string {
 	address, mux := scriptedProcess("")
 	comparenodes.Handle(mux, comparenodes.Sources{View: func() *membership.View { return &membership.View{Members: members()} }})
@@ -70,7 +70,7 @@
 		Entry("an extra argument", "arguments", "--of", "127.0.0.1:1", "more"),
 	)
 
-	It("exits with a code of its own if no steward answers", func() {
+	It("exits with exitNoAnswer if no steward answers", func() {
 		_, code := runTenants("--of", deadAddress())
 		Expect(code).To(Equal(exitNoAnswer))
 	})
--- a/cmd/model-check/main.go
+++ b/cmd/model-check/main.go
@@ -1,4 +1,5 @@
-// Model-check runs the control code in process under simulated faults and checks what its callers observed. A seed determines every schedule.
+// Model-check runs the control code under simulated faults, all within one process, and checks what its callers observed. The seed determines
+// all schedules.
 package main
 
 import (
@@ -35,7 +36,7 @@
 
 func main() {
 	debug.SetGCPercent(gcPercent)
-	// Signals are not handled: a hunt holds no state that termination could damage.
+	// Signals are not handled, as termination can damage no state.
 	if err := command().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "model-check:", err)
 		code := exitUsage
@@ -101,6 +102,7 @@
 	return "", cli.Exit("--size must be small or large", exitUsage)
 }
 
+// check runs the command: it replays a schedule file, lists the injected faults of a model, or runs schedules of a model.
 func check(_ context.Context, flags *cli.Command) error {
 	if flags.Args().Present() {
 		return cli.Exit(fmt.Sprintf("%q is no flag", flags.Args().First()), exitUsage)
@@ -130,6 +132,7 @@
 	return hunt(model, budget, flags.String("out"))
 }
 
+// checkBudget returns an error with the exit code exitUsage if a flag is invalid.
 func checkBudget(model modelcheck.Model, budget modelcheck.Budget) error {
 	isFault := func(fault modelcheck.InjectedFault) bool { return fault.Name == budget.Fault }
 	switch {
@@ -169,7 +172,7 @@
 	return verdict(outcome)
 }
 
-// hunt runs schedules until one violates an invariant or the budget is spent, and writes the shortest violating schedule to a file.
+// hunt runs schedules until one violates an invariant or the budget is spent. It shortens a violating schedule and writes it to a file.
 func hunt(model modelcheck.Model, budget modelcheck.Budget, folder string) error {
 	fmt.Printf("model %s, seed %d, %d schedules, %d losses", model.Name(), budget.Seed, budget.Schedules, budget.Losses)
 	if budget.Size != modelcheck.SizeSmall {
@@ -203,7 +206,7 @@
 	return verdict(outcome)
 }
 
-// verdict prints the violations of a schedule. If there are any, it returns an error with exit code exitViolation.
+// verdict prints the violations of a schedule, or that there are none. If there are any, it returns an error with the exit code exitViolation.
 func verdict(outcome modelcheck.Outcome) error {
 	if len(outcome.Violations) == 0 {
 		fmt.Println("nothing found")
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -24,9 +24,9 @@
 	// exitFound stands for a violation that an oracle found.
 	exitFound = 1
 	exitUsage = 2
-	// exitFailed stands for a soak that could not be run.
+	// exitFailed stands for a soak that could not be run, or whose report could not be written.
 	exitFailed = 3
-	// maxShrinkRuns limits the runs that look for a shorter schedule.
+	// maxShrinkRuns is the largest number of runs that look for a shorter schedule.
 	maxShrinkRuns = 12
 )
 
@@ -89,7 +89,7 @@
 	return strings.Join(all, ",")
 }
 
-// optionsOf reads and checks the flags. A schedule file replaces the seed, the number of processes and the length.
+// optionsOf reads and checks the flags that describe a soak. A schedule file replaces --seed, --processes and --seconds.
 func optionsOf(command *cli.Command) (soak.Options, error) {
 	options := soak.Options{Seed: command.Uint64("seed"), Length: time.Duration(command.Float("seconds") * float64(time.Second)),
 		Processes: command.Int("processes"), Keep: command.String("keep"), Program: command.String("program"), Network: command.String("network"),
@@ -122,7 +122,8 @@
 	return options, options.Check()
 }
 
-// runSoak runs the soak, or only prints its schedule. If an oracle finds a violation, the error has the exit code exitFound.
+// runSoak runs the soak and writes its report, or only prints the schedule. If an oracle finds a violation, the error has the exit code
+// exitFound.
 func runSoak(ctx context.Context, command *cli.Command) error {
 	options, err := optionsOf(command)
 	if err != nil {
@@ -153,13 +154,13 @@
 	return cli.Exit("", exitFound)
 }
 
-// shrink looks for shorter schedules that make the first violated oracle fail again, and prints the shortest that it found.
-func shrink(ctx context.Context, options soak.Options, summary *soak.Summary, log logging.Logger) error {
-	shortest := soak.Shrink(summary.Schedule, maxShrinkRuns, func(schedule *soak.Schedule) bool {
+// shrink looks for shorter schedules in which the oracle of the first violation finds a violation again, and prints the shortest of them.
+func shrink(ctx context.Context, options soak.Options, report *soak.Summary, log logging.Logger) error {
+	shortest := soak.Shrink(report.Schedule, maxShrinkRuns, func(schedule *soak.Schedule) bool {
 		shrinkOptions := options
 		shrinkOptions.Schedule = schedule
-		report, err := soak.Run(ctx, shrinkOptions, log)
-		return err == nil && report.FoundBy(summary.Violations[0].Oracle)
+		shorterReport, err := soak.Run(ctx, shrinkOptions, log)
+		return err == nil && shorterReport.FoundBy(report.Violations[0].Oracle)
 	})
 	return printJSON(shortest)
 }
--- a/cmd/soak/pairs.go
+++ b/cmd/soak/pairs.go
@@ -15,10 +15,10 @@
 	"gannetline/internal/simulation/soak"
 )
 
-// pairPace is the call rate of the clients of a measured part, as a multiple of the rate in a soak.
+// pairPace multiplies the usual call rate of clients in a soak.
 const pairPace = 4
 
-// pairsCommand returns the subcommand that measures the cost of parts alone and in pairs.
+// pairsCommand returns the subcommand that measures the cost of parts of the system alone and in pairs.
 func pairsCommand() *cli.Command {
 	return &cli.Command{
 		Name: "pairs", Usage: "measure the cost of parts of the system alone and in pairs, without faults",
@@ -35,6 +35,7 @@
 	}
 }
 
+// measurePairs measures the parts that --parts names, prints the rows and writes them to the file of --json.
 func measurePairs(ctx context.Context, command *cli.Command) error {
 	options := soak.Options{Seed: 1, Length: time.Duration(command.Float("seconds") * float64(time.Second)), Processes: command.Int("processes"),
 		Network: command.String("network"), Pace: pairPace}
--- a/internal/checktests/checktests_test.go
+++ b/internal/checktests/checktests_test.go
@@ -88,14 +88,14 @@
 var _ = Describe("the verdict", func() {
 	It("ignores only the failures of listed tests, and names them", func() {
 		list := listOf(redLine)
-		result := judge(list, outcomesOf(redEvent, report(right, wrong)))
+		result := checkOutcomes(list, outcomesOf(redEvent, report(right, wrong)))
 		Expect(result.failures).To(BeEmpty())
 		Expect(result.passedOver).To(Equal(list))
-		Expect(judge(nil, outcomesOf(greenEvent, report(right))).failures).To(BeEmpty())
+		Expect(checkOutcomes(nil, outcomesOf(greenEvent, report(right))).failures).To(BeEmpty())
 	})
 
 	DescribeTable("fails", func(lines, events string, suite *types.Report, problem string) {
-		Expect(judge(listOf(lines), outcomesOf(events, suite)).failures).To(ContainElement(ContainSubstring(problem)))
+		Expect(checkOutcomes(listOf(lines), outcomesOf(events, suite)).failures).To(ContainElement(ContainSubstring(problem)))
 	},
 		Entry("for a test that is not listed", "", redEvent, report(right, wrong), "a sum is wrong: failed"),
 		Entry("for an unlisted test beside a listed one", redLine, redEvent, report(wrong, spec("is odd", types.SpecStatePanicked)), "a sum is odd: panicked"),
--- a/internal/checktests/list.go
+++ b/internal/checktests/list.go
@@ -22,7 +22,7 @@
 	return k.pkg + " " + k.spec + " | " + k.cause + " | " + k.issue
 }
 
-var issueForm = regexp.MustCompile(`^issue [1-9][0-9]*$`)
+var issuePattern = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 
 // readList returns an empty list if the file doesn't exist.
 func readList(path string) ([]knownFailure, error) {
@@ -75,7 +75,7 @@
 		return knownFailure{}, errors.Errorf("no package or no spec: %q", line)
 	case entry.cause == "":
 		return knownFailure{}, errors.Errorf("no cause: %q", line)
-	case !issueForm.MatchString(entry.issue):
+	case !issuePattern.MatchString(entry.issue):
 		return knownFailure{}, errors.Errorf("no issue: %q", line)
 	}
 	return entry, nil
--- a/internal/checktests/main.go
+++ b/internal/checktests/main.go
@@ -13,6 +13,8 @@
 	"github.com/juju/errors"
 )
 
+// listName is the file with the tests that may fail, in the folder in which this program runs. reportName is the file to which Ginkgo writes the
+// report of a package, in the folder of the package.
 const (
 	listName   = "KNOWN-RED.txt"
 	reportName = "specs-report.json"
@@ -50,7 +52,7 @@
 	if err := clearReports(folders); err != nil {
 		return err
 	}
-	return conclude(judge(listed, outcomes), outcomes, exitErr, to)
+	return conclude(checkOutcomes(listed, outcomes), outcomes, exitErr, to)
 }
 
 // conclude prints the known failures and returns an error if the check fails. It also fails if a package has no end event, or if the exit of
@@ -78,7 +80,8 @@
 	return nil
 }
 
-// foldersOf returns the folders of the packages among the arguments by import path. Without any, it returns the package of the current folder.
+// foldersOf returns the folders of the packages that the arguments name, by import path. If they name none, it returns the package of the
+// current folder.
 func foldersOf(arguments []string) (map[string]string, error) {
 	list := []string{"list", "-e", "-f", "{{.ImportPath}} {{.Dir}}"}
 	for _, argument := range arguments {
@@ -108,8 +111,8 @@
 	return nil
 }
 
-// runTests runs go test and returns the outcomes of the packages. exitErr is the error with which go test ended, nil if it succeeded; err is set
-// if it couldn't be run or its output couldn't be read.
+// runTests runs go test and returns the outcomes of the packages. exitErr is the error with which go test ended, or nil if it succeeded. err is
+// set if go test couldn't be run or its output couldn't be read.
 func runTests(arguments []string, to, errorsTo io.Writer) (outcomes []*packageOutcome, exitErr, err error) {
 	command := exec.Command("go", append(append([]string{"test", "-json"}, arguments...), "-ginkgo.json-report="+reportName)...)
 	command.Stderr = errorsTo
--- a/internal/checktests/outcome.go
+++ b/internal/checktests/outcome.go
@@ -30,6 +30,7 @@
 	endAction string
 	// failedBuild is the import path of the build that failed, if any.
 	failedBuild string
+	// failedTests holds the test functions that failed. All specs of a package run in one of its test functions.
 	failedTests []string
 	output      strings.Builder
 	// report is nil if the test process wrote none.
@@ -38,13 +39,16 @@
 
 func (o *packageOutcome) hasFailed() bool { return o.endAction == "fail" }
 
+// raceWarning is part of each report of the race detector.
 const raceWarning = "WARNING: DATA RACE"
 
-// abnormalExit matches the output of go test for a test process that ended in another way than with failed tests.
+// abnormalExit matches the output of go test for a test process that ended otherwise than with failed tests.
 var abnormalExit = regexp.MustCompile(`(?m)^(exit status |signal: |panic: |fatal error: )`)
 
-// hasDied reports whether the test process exited abnormally, for example by a panic or a signal.
-func (o *packageOutcome) hasDied() bool { return abnormalExit.MatchString(o.output.String()) }
+// hasExitedAbnormally reports whether the test process exited abnormally, for example by a panic or a signal.
+func (o *packageOutcome) hasExitedAbnormally() bool {
+	return abnormalExit.MatchString(o.output.String())
+}
 
 // readEvents reads the events to the end and returns the outcomes in the order in which the packages first appear. When a package ends, it
 // prints the last line of its output, or the whole output if it failed.
@@ -99,7 +103,7 @@
 	io.WriteString(to, buildOutput+text+"\n")
 }
 
-// readReport returns nil if there is no report, which happens if the test process ended early.
+// readReport reads the report of a package's suite. It returns nil if there is none, which happens if the test process ended early.
 func readReport(folder, name string) (*types.Report, error) {
 	content, err := os.ReadFile(filepath.Join(folder, name))
 	if os.IsNotExist(err) {
--- a/internal/checktests/judge.go
+++ b/internal/checktests/verdict.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/ginkgo/v2/types"
 )
 
-// verdict is the result of a check. The check passes if there are no failures; passedOver holds the listed specs that failed.
+// verdict is the result of a check. The check passes if failures is empty. passedOver holds the listed specs that failed.
 type verdict struct {
 	passedOver []knownFailure
 	failures   []string
@@ -17,22 +17,22 @@
 	v.failures = append(v.failures, fmt.Sprintf(format, values...))
 }
 
-// judge allows only listed specs to fail. A listed spec that doesn't fail is a failure of the check.
-func judge(list []knownFailure, outcomes []*packageOutcome) verdict {
+// checkOutcomes allows only listed specs to fail. A listed spec that doesn't fail is a failure of the check.
+func checkOutcomes(list []knownFailure, outcomes []*packageOutcome) verdict {
 	var result verdict
 	for _, outcome := range outcomes {
 		if outcome.hasFailed() {
-			result.judgeFailed(list, outcome)
+			result.checkFailedPackage(list, outcome)
 		}
 	}
 	for _, listed := range list {
-		result.judgeListed(listed, outcomes)
+		result.checkListed(listed, outcomes)
 	}
 	return result
 }
 
-// judgeFailed allows a package to fail only if nothing but listed specs failed in it.
-func (v *verdict) judgeFailed(list []knownFailure, failed *packageOutcome) {
+// checkFailedPackage allows a package to fail only if nothing but listed specs failed in it.
+func (v *verdict) checkFailedPackage(list []knownFailure, failed *packageOutcome) {
 	switch {
 	case failed.failedBuild != "":
 		v.fail("%s does not build", failed.pkg)
@@ -40,15 +40,15 @@
 		v.fail("%s has a data race", failed.pkg)
 	case failed.report == nil:
 		v.fail("%s failed and left no report", failed.pkg)
-	case failed.report.SuiteSucceeded || len(failed.failedTests) != 1 || failed.hasDied() || len(failed.report.SpecialSuiteFailureReasons) > 0:
+	case failed.report.SuiteSucceeded || len(failed.failedTests) != 1 || failed.hasExitedAbnormally() || len(failed.report.SpecialSuiteFailureReasons) > 0:
 		v.fail("%s failed, and not by its specs alone", failed.pkg)
 	default:
-		v.judgeSpecs(list, failed)
+		v.checkSpecs(list, failed)
 	}
 }
 
-// judgeSpecs adds a failure for each spec or suite node that didn't pass, except for listed specs that failed.
-func (v *verdict) judgeSpecs(list []knownFailure, failed *packageOutcome) {
+// checkSpecs adds a failure for each spec or suite node that didn't pass, except for listed specs that failed.
+func (v *verdict) checkSpecs(list []knownFailure, failed *packageOutcome) {
 	for _, spec := range failed.report.SpecReports {
 		switch {
 		case spec.State.Is(types.SpecStatePassed):
@@ -79,8 +79,8 @@
 	return false
 }
 
-// judgeListed adds a failure if a listed spec doesn't exist, isn't unique or didn't fail.
-func (v *verdict) judgeListed(listed knownFailure, outcomes []*packageOutcome) {
+// checkListed adds a failure if a listed spec doesn't exist, isn't unique or didn't fail.
+func (v *verdict) checkListed(listed knownFailure, outcomes []*packageOutcome) {
 	var specs []types.SpecReport
 	for _, outcome := range outcomes {
 		if outcome.pkg != listed.pkg || outcome.report == nil {
--- a/internal/hunted/journal.go
+++ b/internal/hunted/journal.go
@@ -10,14 +10,14 @@
 	"github.com/juju/errors"
 )
 
-// Commands of the bench that the plan requires.
+// Commands of the bench that the plan requires. A hunt simulates a number of days on a site.
 const (
 	verbHunt  = "hunt"
 	verbScore = "score"
 	verbSweep = "sweep"
 )
 
-// digestMark precedes the digest in the reason of an entry.
+// digestMark precedes the digest of the daemons in the reason of an entry.
 const digestMark = "daemons "
 
 // entry is one run of the bench in the journal. Fields that this program doesn't need are left out.
@@ -47,7 +47,7 @@
 	Fault string         `json:"fault"`
 }
 
-// isBroken reports whether the day counts nothing, since a rule was violated or it could not be judged.
+// isBroken reports whether a rule was violated on the day or the day could not be judged.
 func (d dayResult) isBroken() bool { return len(d.Rules) > 0 || d.Fault != "" }
 
 // hasPassedGate reports whether the site passed its gate in a score run.
@@ -61,7 +61,7 @@
 	return !e.IsDirty && strings.Contains(e.Reason, digestMark+digest)
 }
 
-// readJournal returns the entries of runs of the daemons with a digest, oldest first.
+// readJournal returns the entries whose runs used the daemons with a digest, oldest first by their file names.
 func readJournal(folder, digest string) ([]entry, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
--- a/internal/hunted/main.go
+++ b/internal/hunted/main.go
@@ -12,10 +12,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes of the command.
+// Exit codes of the command. exitError stands for bad usage and for all errors but errMissing.
 const (
 	exitMissing = 1
-	exitBadUse  = 2
+	exitError   = 2
 )
 
 // errMissing is returned if a run of the plan is missing, a rule was violated or a gate was not passed.
@@ -29,7 +29,7 @@
 		os.Exit(exitMissing)
 	default:
 		fmt.Fprintln(os.Stderr, "hunted:", err)
-		os.Exit(exitBadUse)
+		os.Exit(exitError)
 	}
 }
 
--- a/internal/hunted/plan.go
+++ b/internal/hunted/plan.go
@@ -13,7 +13,7 @@
 	site string
 	// days is the number of days to hunt.
 	days int
-	// needsSweep is set if the site is the one on which its kind of deployment is swept.
+	// needsSweep is set if the site represents its kind of deployment. Only such sites need a sweep.
 	needsSweep bool
 }
 
--- a/internal/hunted/report.go
+++ b/internal/hunted/report.go
@@ -9,17 +9,18 @@
 	"github.com/juju/errors"
 )
 
-// firstDays is the number of days that are hunted on every site before any site gets more.
+// firstDays is the number of days that are hunted on every site before more are hunted on any site.
 const firstDays = 8
 
 // siteReport compares the runs on one site with its plan.
 type siteReport struct {
 	sitePlan
 	huntedDays int
-	// broken holds the days on which a rule was violated or that could not be judged, each after the ID of its entry.
-	broken []string
+	// brokenDays holds the days on which a rule was violated or that could not be judged, each after the ID of its entry.
+	brokenDays []string
 	// score is the result of the last full score run; nil if there is none.
-	score      *float64
+	score *float64
+	// hasPassed is true if the site passed its gate in that run.
 	hasPassed  bool
 	sweepCount int
 }
@@ -39,12 +40,12 @@
 	return reports
 }
 
-// add adds the results of an entry. The days of an interrupted hunt count too, since each is judged by itself. A score run counts only if it is
-// complete and not quick, a sweep only if it is complete.
+// add adds the results of an entry. Broken days are recorded for every kind of run. The days of an interrupted hunt count too, since each is
+// judged by itself. A score run counts only if it has a score and is not quick, a sweep only if it is complete.
 func (r *siteReport) add(benchRun entry) {
 	for _, day := range benchRun.Days {
 		if day.isBroken() {
-			r.broken = append(r.broken, benchRun.ID+" "+day.Name)
+			r.brokenDays = append(r.brokenDays, benchRun.ID+" "+day.Name)
 		}
 	}
 	switch benchRun.Verb {
@@ -65,7 +66,8 @@
 	}
 }
 
-// missingRun is a run of the bench that the plan requires and the journal doesn't have. days is 0 unless it is a hunt.
+// missingRun is a run of the bench that the plan requires and the journal doesn't have. days is the number of missing days of a hunt, and 0 for
+// other runs.
 type missingRun struct {
 	verb, site string
 	days       int
@@ -75,9 +77,9 @@
 func listMissing(reports []siteReport) []missingRun {
 	var firstHunts, scoresAndSweeps, otherHunts []missingRun
 	for _, report := range reports {
-		start := min(firstDays, report.days)
-		if report.huntedDays < start {
-			firstHunts = append(firstHunts, missingRun{verbHunt, report.site, start - report.huntedDays})
+		firstDayCount := min(firstDays, report.days)
+		if report.huntedDays < firstDayCount {
+			firstHunts = append(firstHunts, missingRun{verbHunt, report.site, firstDayCount - report.huntedDays})
 		}
 		if report.needsSweep && report.sweepCount == 0 {
 			scoresAndSweeps = append(scoresAndSweeps, missingRun{verb: verbSweep, site: report.site})
@@ -85,14 +87,14 @@
 		if report.score == nil {
 			scoresAndSweeps = append(scoresAndSweeps, missingRun{verb: verbScore, site: report.site})
 		}
-		if remaining := report.days - max(start, report.huntedDays); remaining > 0 {
+		if remaining := report.days - max(firstDayCount, report.huntedDays); remaining > 0 {
 			otherHunts = append(otherHunts, missingRun{verbHunt, report.site, remaining})
 		}
 	}
 	return append(append(firstHunts, scoresAndSweeps...), otherHunts...)
 }
 
-// writeTodo writes the missing runs, one per line.
+// writeTodo writes the missing runs, one per line, and returns the verdict.
 func writeTodo(to io.Writer, reports []siteReport) error {
 	for _, missing := range listMissing(reports) {
 		fmt.Fprintln(to, missing.verb, missing.site, missing.days)
@@ -100,20 +102,20 @@
 	return verdict(reports)
 }
 
-// writeTable writes a table with one line per site, then the broken days and the missing runs.
+// writeTable writes a table with one line per site, then the broken days and the missing runs, and returns the verdict.
 func writeTable(to io.Writer, digest string, reports []siteReport) error {
 	fmt.Fprintf(to, "daemons %s\n\n", digest)
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "site\thunted\twanted\tbroken\tscore\tgate\tsweep")
 	for _, report := range reports {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%s\t%s\n", report.site, report.huntedDays, report.days, len(report.broken),
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%s\t%s\n", report.site, report.huntedDays, report.days, len(report.brokenDays),
 			report.scoreText(), report.gateText(), report.sweepText())
 	}
 	if err := table.Flush(); err != nil {
 		return errors.Annotate(err, "writing the table")
 	}
 	for _, report := range reports {
-		for _, day := range report.broken {
+		for _, day := range report.brokenDays {
 			fmt.Fprintf(to, "broken: %s %s\n", report.site, day)
 		}
 	}
@@ -127,7 +129,7 @@
 func verdict(reports []siteReport) error {
 	isClean := len(listMissing(reports)) == 0
 	for _, report := range reports {
-		isClean = isClean && len(report.broken) == 0 && report.hasPassed
+		isClean = isClean && len(report.brokenDays) == 0 && report.hasPassed
 	}
 	if !isClean {
 		return errMissing
--- a/internal/hunted/report_test.go
+++ b/internal/hunted/report_test.go
@@ -19,7 +19,7 @@
 	It("adds up the days of one digest, without runs of other digests, uncommitted changes and other commands", func() {
 		reports := report("aaaaaaaaaaaa")
 		Expect(reports[0].huntedDays).To(Equal(3))
-		Expect(reports[0].broken).To(BeEmpty())
+		Expect(reports[0].brokenDays).To(BeEmpty())
 		Expect(*reports[0].score).To(Equal(0.7))
 		Expect(reports[0].hasPassed).To(BeTrue())
 		Expect(reports[0].sweepCount).To(Equal(1))
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -20,13 +20,13 @@
 func System() Clock { return realClock{startedAt: time.Now()} }
 
 // Monotonic returns the time since the call of System, by the monotonic clock of the machine.
-func (p realClock) Monotonic() time.Duration { return time.Since(p.startedAt) }
+func (c realClock) Monotonic() time.Duration { return time.Since(c.startedAt) }
 
 // WallMs returns the time of day of the machine, in milliseconds since 1970.
-func (p realClock) WallMs() int64 { return time.Now().UnixMilli() }
+func (c realClock) WallMs() int64 { return time.Now().UnixMilli() }
 
 // After calls time.After.
-func (p realClock) After(wait time.Duration) <-chan time.Time { return time.After(wait) }
+func (c realClock) After(wait time.Duration) <-chan time.Time { return time.After(wait) }
 
 // Milliseconds converts milliseconds to a duration.
 func Milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
@@ -38,7 +38,7 @@
 	timers []fakeTimer
 }
 
-// fakeTimer is one call of After that has not fired yet.
+// fakeTimer is a call of After whose wait has not ended yet.
 type fakeTimer struct {
 	due  time.Duration
 	done chan time.Time
@@ -56,14 +56,14 @@
 // StepWall moves the time of day, but not Monotonic, by a number of milliseconds.
 func (f *Fake) StepWall(ms int64) { f.wall += ms }
 
-// After returns a channel that receives one value in the Advance that reaches the end of the wait, also of a wait of 0.
+// After returns a channel that receives one value once Advance reaches the end of the wait. A wait of 0 ends at the next Advance.
 func (f *Fake) After(wait time.Duration) <-chan time.Time {
 	done := make(chan time.Time, 1)
 	f.timers = append(f.timers, fakeTimer{f.now + wait, done})
 	return done
 }
 
-// Advance moves both times forward and fires the timers that have become due.
+// Advance moves Monotonic and WallMs forward and ends the waits of After that have become due.
 func (f *Fake) Advance(duration time.Duration) {
 	f.now += duration
 	pending := f.timers[:0]
--- a/internal/platform/gcpacing/gcpacing.go
+++ b/internal/platform/gcpacing/gcpacing.go
@@ -1,6 +1,6 @@
-// Package gcpacing limits the time that a process with a high allocation rate spends on garbage collection. A small heap growth (GOGC)
-// keeps the memory of a quiet process low. With the same growth a busy process would collect many times a second, so its heap may grow more
-// between collections.
+// Package gcpacing adapts the heap growth between garbage collections (GOGC) to the allocation rate of the process. A small growth keeps the
+// memory of a quiet process low. A busy process would collect many times a second with it and therefore gets a larger one,
+// which limits the time that it spends on collections.
 package gcpacing
 
 import (
@@ -19,9 +19,9 @@
 	busyPercent = 200
 	// interval is the time between two counts of the collections.
 	interval = time.Second
-	// busyCycles is the number of collections in an interval from which on a process is busy. quietCycles is the largest mean number of
-	// collections per interval at which it becomes quiet again. Four times the heap growth reduces the collections to about a quarter, so
-	// quietCycles is below busyCycles/4. Otherwise a process with a constant load would alternate between busy and quiet.
+	// busyCycles is the smallest number of collections in an interval that makes a process busy. quietCycles is the largest mean number of
+	// collections per interval at which it becomes quiet again. As busyPercent is four times QuietPercent, a busy process collects about a
+	// quarter as often. So quietCycles is below busyCycles/4. Otherwise a process with a constant load would alternate between busy and quiet.
 	busyCycles  = 3
 	quietCycles = 0.5
 	// quietIntervals is the number of consecutive intervals over which the mean for quietCycles is taken.
@@ -34,10 +34,10 @@
 // pacer decides on the heap growth by the number of collections in each interval.
 type pacer struct {
 	isBusy bool
-	// intervalsSinceBusy is the number of intervals since the process became busy or its mean was last checked, and cyclesSinceBusy the
-	// number of collections in them.
-	intervalsSinceBusy int
-	cyclesSinceBusy    uint64
+	// intervalsSinceCheck is the number of intervals since the mean of a busy process was last checked, or since the process became busy.
+	// cyclesSinceCheck is the number of collections in these intervals.
+	intervalsSinceCheck int
+	cyclesSinceCheck    uint64
 }
 
 // heapGrowthPercent returns the heap growth to use now.
@@ -54,12 +54,12 @@
 		p.isBusy = intervalCycles >= busyCycles
 		return p.isBusy
 	}
-	p.intervalsSinceBusy, p.cyclesSinceBusy = p.intervalsSinceBusy+1, p.cyclesSinceBusy+intervalCycles
-	if p.intervalsSinceBusy < quietIntervals {
+	p.intervalsSinceCheck, p.cyclesSinceCheck = p.intervalsSinceCheck+1, p.cyclesSinceCheck+intervalCycles
+	if p.intervalsSinceCheck < quietIntervals {
 		return false
 	}
-	p.isBusy = float64(p.cyclesSinceBusy) > quietCycles*quietIntervals
-	p.intervalsSinceBusy, p.cyclesSinceBusy = 0, 0
+	p.isBusy = float64(p.cyclesSinceCheck) > quietCycles*quietIntervals
+	p.intervalsSinceCheck, p.cyclesSinceCheck = 0, 0
 	return !p.isBusy
 }
 
--- a/internal/platform/httpserver/leave_test.go
+++ b/internal/platform/httpserver/leave_test.go
@@ -17,13 +17,14 @@
 	"gannetline/internal/platform/response"
 )
 
-// steppedClock is a manual clock for a server that shuts down. advance ends its waits one after another.
+// steppedClock is a manual clock for a server that shuts down. It hands each wait to advance, which ends them one after another.
 type steppedClock struct {
 	now   atomic.Int64
 	waits chan steppedWait
 	next  *steppedWait
 }
 
+// steppedWait is one call of After. due is the end of the wait on the monotonic clock.
 type steppedWait struct {
 	due  time.Duration
 	done chan time.Time
@@ -272,7 +273,7 @@
 	})
 })
 
-// failingListener returns a number of out-of-memory errors before it accepts.
+// failingListener returns errors from the first calls of Accept, as a system without free socket buffers does.
 type failingListener struct {
 	net.Listener
 	failures int
--- a/internal/platform/httpserver/server.go
+++ b/internal/platform/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver serves HTTP/1.1 and shuts down gracefully: it answers every request that it has read before it closes. The standard
-// server's own means are not enough for that. Its Shutdown and Close drop requests that are read after them or take too long, and
-// SetKeepAlivesEnabled(false) closes connections whose request has arrived and is not parsed yet.
+// Package httpserver serves HTTP/1.1 and shuts down gracefully: it answers every request that it has read before it closes. The methods of
+// http.Server don't ensure that. Shutdown and Close drop requests that take too long or are read after the call, and
+// SetKeepAlivesEnabled(false) closes connections whose request has arrived but is not parsed yet.
 package httpserver
 
 import (
@@ -43,7 +43,7 @@
 	// requestContext is the parent of the contexts of all requests.
 	requestContext context.Context
 	tracker        tracker
-	// maxReusedConnections is the number of open connections beyond which an answer closes its connection; 0 is no limit.
+	// maxReusedConnections is the number of open connections beyond which each answer closes its connection. 0 means no limit.
 	maxReusedConnections int64
 	// copyRefusalHeaders copies headers from a refused request to its answer.
 	copyRefusalHeaders func(from, to http.Header)
@@ -87,8 +87,8 @@
 	return server
 }
 
-// Serve accepts connections until Shutdown closes the listener, and then returns nil while requests may still be in flight. An error is
-// one of the listener. Serve must be called only once.
+// Serve accepts connections until Shutdown closes the listener. It then returns nil, while requests may still be in flight. Other
+// errors of the listener don't end it (see trackingListener). Serve must be called only once.
 func (s *Server) Serve() error {
 	err := s.inner.Serve(s.listener)
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
@@ -110,7 +110,7 @@
 	Close time.Duration
 }
 
-// Shutdown answers the requests that have been read and closes the server. From its call on each answer closes its connection. It
+// Shutdown answers the requests that have been read and closes the server. During the shutdown each answer closes its connection. Shutdown
 // returns once all requests are answered and no new ones arrive, or after times.Close. It must be called only once, and not on the goroutine
 // of Serve.
 func (s *Server) Shutdown(times ShutdownTimes) {
@@ -156,8 +156,8 @@
 	s.handler.ServeHTTP(answer, request)
 }
 
-// recoverPanic answers a request with 502 if its handler panicked. No client takes that status for a refusal, so
-// none assumes that the request was not executed. If the answer has started, recoverPanic cuts the connection.
+// recoverPanic answers a request with 502 if its handler panicked. Clients don't take that status for a refusal, so they don't assume that
+// the request was not executed. If the answer has started, recoverPanic cuts the connection.
 func (s *Server) recoverPanic(answer *answerWriter) {
 	cause := recover()
 	if cause == nil {
@@ -213,9 +213,9 @@
 }
 
 // Write starts the answer with status 200 if it has not started yet.
-func (w *answerWriter) Write(text []byte) (int, error) {
+func (w *answerWriter) Write(data []byte) (int, error) {
 	if !w.hasStarted {
 		w.WriteHeader(http.StatusOK)
 	}
-	return w.ResponseWriter.Write(text)
+	return w.ResponseWriter.Write(data)
 }
--- a/internal/platform/httpserver/tracking.go
+++ b/internal/platform/httpserver/tracking.go
@@ -32,8 +32,8 @@
 	return t.clock.Monotonic() - time.Duration(t.lastRead.Load())
 }
 
-// trackingListener accepts tracked connections. It reports every error before its Close, such as a lack of file descriptors, as a temporary
-// one, so that http.Server accepts again after a pause.
+// trackingListener accepts tracked connections. Until it is closed, it reports every error, such as a lack of file descriptors, as a
+// temporary one, so that http.Server accepts again after a pause.
 type trackingListener struct {
 	net.Listener
 	tracker *tracker
@@ -106,11 +106,11 @@
 // Unwrap returns the error of Accept.
 func (e transientError) Unwrap() error { return e.error }
 
-// connection tracks whether it has a request that is not answered yet.
+// connection is a client connection that records whether it has a request that is not answered yet.
 type connection struct {
 	net.Conn
 	listener *trackingListener
-	// isUnanswered is true from the first byte read after an answer until the next answer.
+	// isUnanswered is true while a request, or a part of one, has been read and has no answer yet.
 	isUnanswered atomic.Bool
 	isClosed     atomic.Bool
 }
--- a/internal/platform/logging/logging.go
+++ b/internal/platform/logging/logging.go
@@ -19,8 +19,8 @@
 		funcr.Options{Verbosity: verbosity, LogTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
 }
 
-// TraceVerbosity is the verbosity of lines that trace single changes and ends of runs from their acknowledgement to the next takeover of the
-// leadership. Such lines are frequent. They are meant only for test runs that search for a lost change.
+// TraceVerbosity is the verbosity of lines about single changes: their commit, the acknowledged ends of runs, and what a replica or a new
+// leader loads afterwards. Such lines are frequent. Only test runs that search for a lost change enable them.
 const TraceVerbosity = 2
 
 // Silent returns a logger that writes nothing, for tests and tools.
--- a/internal/platform/mailbox/mailbox.go
+++ b/internal/platform/mailbox/mailbox.go
@@ -40,15 +40,15 @@
 type Owner struct {
 	// Every is the time between two calls of Tick.
 	Every time.Duration
-	// Tick may be nil.
+	// Tick is called at regular intervals. It may be nil.
 	Tick func()
 	// Settle is called after each burst of functions and at each tick, also if Tick is nil. It may be nil.
 	Settle func()
 	// LockThread locks the goroutine to an operating system thread.
 	LockThread bool
-	// Pause is the minimum time between two bursts. The first function that is posted sooner runs at once, further ones wait until the end
-	// of the pause, and all share the next call of Settle. Functions of an Outbox never wait, but share that call, too. After a pause
-	// without functions there is no waiting, so that only a busy owner batches functions.
+	// Pause is the minimum time between two bursts, so that a busy owner runs functions in batches. Of the functions that are posted before
+	// the end of a pause, the first runs at once and the others wait until its end. All of them share the next call of Settle. Functions of
+	// an Outbox never wait, but share that call too. If a pause passes without functions, the next function doesn't wait.
 	Pause time.Duration
 }
 
--- a/internal/platform/mailbox/outbox.go
+++ b/internal/platform/mailbox/outbox.go
@@ -16,8 +16,8 @@
 	o.Flush()
 }
 
-// Flush moves queued functions to the mailbox as long as it has room. The sender calls it whenever it has run, because only Flush and
-// the next Send move functions that didn't fit before.
+// Flush moves queued functions to the mailbox as long as it has room. Functions that don't fit stay in the outbox until the next call of
+// Flush or Send, so the sender calls Flush after each batch of its own work.
 func (o *Outbox) Flush() {
 	for len(o.pending) > 0 {
 		select {
--- a/internal/platform/mailbox/pacing.go
+++ b/internal/platform/mailbox/pacing.go
@@ -16,8 +16,8 @@
 	pauseEnd <-chan time.Time
 }
 
-// mustWait reports whether the last Settle was less than a pause ago, so that the functions that have just run share the next one. It then
-// starts the timer of the pause. An owner that is not busy needs no timer.
+// mustWait reports whether the owner must call Settle only at the end of a pause, because the last call was less than a pause ago. It starts
+// the timer of that pause if it isn't running yet. An owner that is not busy needs no timer.
 func (p *pacing) mustWait() bool {
 	if p.pause == 0 || p.pauseEnd != nil {
 		return p.pauseEnd != nil
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -25,12 +25,14 @@
 	waits      = metrics.NewHistograms("test_wait_seconds", "kind")
 )
 
+// page returns the metrics page of this process.
 func page() string {
 	var text bytes.Buffer
 	metrics.Write(&text)
 	return text.String()
 }
 
+// lineWriter sends each log line to a channel.
 type lineWriter chan []byte
 
 func (w lineWriter) Write(line []byte) (int, error) {
@@ -44,7 +46,7 @@
 	ticks chan time.Time
 }
 
-func (r manualClock) After(time.Duration) <-chan time.Time { return r.ticks }
+func (c manualClock) After(time.Duration) <-chan time.Time { return c.ticks }
 
 var _ = Describe("metrics", func() {
 	It("counts by labels, and writes counters and histograms in the Prometheus text format", func() {
--- a/internal/platform/metrics/samples.go
+++ b/internal/platform/metrics/samples.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// maxPageBytes is how much of a metrics page is read.
+// maxPageBytes is the number of bytes of a metrics page that are read at most. The rest is ignored.
 const maxPageBytes = 4 << 20
 
 // Samples holds the metric values of one process by series, that is by name and labels as written on the page.
--- a/internal/platform/metrics/table.go
+++ b/internal/platform/metrics/table.go
@@ -11,13 +11,13 @@
 	"text/tabwriter"
 )
 
-// Column holds the samples of one process, or the sums of several, under a heading.
+// Column holds the samples of one process, or the sums of several processes. Name is its heading.
 type Column struct {
 	Name    string
 	Samples Samples
 }
 
-// Add adds the other samples to these, name by name.
+// Add adds the value of each series of other to s.
 func (s Samples) Add(other Samples) {
 	for name, value := range other {
 		s[name] += value
@@ -31,7 +31,7 @@
 	names   []string
 }
 
-// NewTable creates a table of the series whose names contain a text.
+// NewTable creates a table of the series whose name or labels contain a substring.
 func NewTable(columns []Column, substring string) Table {
 	table := Table{columns: columns, sum: Samples{}}
 	for _, column := range columns {
@@ -45,7 +45,8 @@
 	return table
 }
 
-// Write writes the table as JSON or as text, with a row for each series and a column for each process.
+// Write writes the table as JSON or as text. The text has a row for each series, and a column for each process or role and for
+// the sum.
 func (t Table) Write(output io.Writer, isJSON bool) error {
 	if isJSON {
 		return t.writeJSON(output)
--- a/internal/platform/queuerules/queuerules.go
+++ b/internal/platform/queuerules/queuerules.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Allows reports whether a queue may use an executor. It is true if the queue has no use rule or if evaluating the rule fails.
+// Allows reports whether the use rule of a queue selects an executor. It is true if the queue has no use rule or if evaluating the rule fails.
 func (r *Rules) Allows(queue string, executor Executor) bool {
 	if r == nil || r.queues[queue].use == nil {
 		return true
--- a/internal/platform/settings/bounds.go
+++ b/internal/platform/settings/bounds.go
@@ -6,8 +6,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Bounds holds the time limits and factors of the protocol. Fields with the suffix Ms are in milliseconds, those with S in seconds. For a
-// renamed bound the tag holds the earlier name. A settings file may use either name.
+// Bounds holds the time limits and factors of the protocol. Fields with the suffix Ms are in milliseconds, those with S in seconds. Some bounds
+// are decoded, but gannetline does not use their values. For a renamed bound the tag holds the earlier name. A settings file may use either
+// name.
 type Bounds struct {
 	ContactWindowMs int64   `yaml:"contact-window-ms"`
 	AckTimeoutMs    int64   `yaml:"ack-timeout-ms"`
@@ -24,7 +25,7 @@
 	RemoteFactor        float64 `yaml:"remote-factor"`
 	CheckpointIntervalS float64 `yaml:"checkpoint-interval-s"`
 	RestoreTimeMs       int64   `yaml:"restore-time-ms"`
-	// RevokeTimeoutMs is the time after the revocation of a key for which requests with the key may still be run.
+	// RevokeTimeoutMs is the time after the revocation of an API key during which requests with the key may still be run.
 	RevokeTimeoutMs int64 `yaml:"revoke-timeout-ms"`
 	// RevocationClosed makes RevokeTimeoutMs apply also to processes that are cut off by a network partition.
 	RevocationClosed bool `yaml:"revocation-closed"`
@@ -32,13 +33,13 @@
 	QuotaWindowS float64 `yaml:"quota-window-s"`
 	// QuotaOverrun is the fraction of a quota by which a tenant may exceed it.
 	QuotaOverrun float64 `yaml:"quota-overrun"`
-	// HistoryS is the time for which a revision stays valid for watchers of cells after they have received it.
+	// HistoryS is the time after the receipt of a revision during which a watcher of cells can continue from it.
 	HistoryS float64 `yaml:"history-s"`
-	// ReleaseMs is the time after the end of a holder's hold time for which a lock may still be refused to others.
+	// ReleaseMs is the time after the end of a holder's hold time during which a lock may still be refused to others.
 	ReleaseMs int64 `yaml:"release-ms"`
-	// EvacuationMs is the time after the acknowledgement of an evacuation from which on nothing may be started in its zone.
+	// EvacuationMs is the time after the acknowledgement of an evacuation during which work may still be started in its zone.
 	EvacuationMs int64 `yaml:"evacuation-ms"`
-	// Unknown lists the bounds of the file that are neither read nor known to be irrelevant to gannetline.
+	// Unknown lists the bounds of the file that are neither fields of Bounds nor in ignoredBounds.
 	Unknown []string `yaml:"-"`
 }
 
@@ -48,7 +49,7 @@
 	"status-retention-s": "status_s",
 }
 
-// ignoredBounds lists bounds that gannetline doesn't read, because it meets them by other means or because they don't concern its roles.
+// ignoredBounds lists bounds that gannetline doesn't decode, because it meets them by other means or because they don't concern its roles.
 // For example, the readmission of an executor doesn't depend on seed-delay-s, because the system keeps its own list of executors.
 var ignoredBounds = []string{
 	"seed-delay-s", "address-reuse-s", "loss-slack-ms", "downgrade-slack-ms", "max-stretch-ms", "recovery-time-s", "quota-slack",
@@ -59,8 +60,8 @@
 // boundFields has the fields of Bounds without its method UnmarshalYAML, which would call itself when it decodes them.
 type boundFields Bounds
 
-// usedBounds lists the names in the tags of Bounds.
-var usedBounds = []string{
+// boundNames lists the names in the tags of Bounds.
+var boundNames = []string{
 	"contact-window-ms", "ack-timeout-ms", "catch-up-s", "drain-timeout-ms", "grace-period-s", "config-apply-ms", "max-hold-ms",
 	"stop-timeout-ms", "gang-wait-ms", "early_ms", "status_s", "remote-factor", "checkpoint-interval-s", "restore-time-ms",
 	"revoke-timeout-ms", "revocation-closed", "quota-window-s", "quota-overrun", "history-s", "release-ms", "evacuation-ms",
@@ -83,7 +84,7 @@
 		if earlier, isRenamed := earlierNames[name.Value]; isRenamed {
 			name.Value = earlier
 		}
-		if !slices.Contains(usedBounds, name.Value) && !slices.Contains(ignoredBounds, name.Value) {
+		if !slices.Contains(boundNames, name.Value) && !slices.Contains(ignoredBounds, name.Value) {
 			unknown = append(unknown, name.Value)
 		}
 		translated.Content = append(translated.Content, &name, node.Content[index+1])
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -25,8 +25,8 @@
 	maxPort        = 65535
 )
 
-// Limits holds the resources of the machine that the process may use. CPUFraction is its share of a core. CoreCount is the speed of that
-// core as a multiple. Sizes are in MB.
+// Limits holds the resources of the machine that the process may use. CPUFraction is its share of a core. CoreCount is a factor on the speed
+// of that core. Sizes are in MB. The process reads only MemoryMB and FileDescriptors.
 type Limits struct {
 	CPUFraction     float64 `yaml:"cpu-fraction"`
 	CoreCount       int     `yaml:"core-count"`
@@ -89,11 +89,11 @@
 	// Domains maps each zone to its region.
 	Domains map[string]string `yaml:"zones"`
 	Listen  Listen            `yaml:"listen-addresses"`
-	// InternalPorts holds the first and the last port of the range for calls between processes.
+	// InternalPorts holds the first and the last port of the range in which this process listens for calls of other processes.
 	InternalPorts []int `yaml:"internal-port-range"`
-	// Seeds holds control-plane addresses of other machines. Some of them may be down or removed.
+	// Seeds holds control-plane addresses of stewards, possibly including that of this process. Some of these processes may be down or removed.
 	Seeds []string `yaml:"seed-nodes"`
-	// InitialStart is true only when the whole system starts for the first time, with empty disks.
+	// InitialStart is true only at the first start of the whole system, with empty disks.
 	InitialStart bool `yaml:"initial-start"`
 	// LossCounted is true if this machine counts towards FaultTolerance while it is lost.
 	LossCounted bool   `yaml:"loss-counted"`
@@ -202,7 +202,7 @@
 	return problems.err
 }
 
-// fieldProblems collects the problems of the settings, each with the name of its field.
+// fieldProblems collects the problems of the settings as one error. Each names its field.
 type fieldProblems struct{ err error }
 
 func (p *fieldProblems) add(field, problem string) {
@@ -268,7 +268,7 @@
 	}
 }
 
-// Require checks that the fields that a role needs beyond the common ones are set.
+// Require returns an error if a field that only some roles need is missing although this role needs it.
 func (s *Settings) Require(role string) error {
 	requiredFields := map[string]map[string]string{
 		"gate":        {"listen-addresses.front-plain": s.Listen.Front, "listen-addresses.readiness": s.Listen.Readiness},
@@ -322,12 +322,12 @@
 	return time.Duration(s.MetricsLogS * float64(time.Second))
 }
 
-// History returns the time for which a revision stays valid for watchers of cells after they have received it.
+// History returns the time after the receipt of a revision during which a watcher of cells can continue from it.
 func (s *Settings) History() time.Duration {
 	return time.Duration(s.Bounds.HistoryS * float64(time.Second))
 }
 
-// Release returns the time after the end of a holder's hold time for which a lock may still be refused to others.
+// Release returns the time after the end of a holder's hold time during which a lock may still be refused to others.
 func (s *Settings) Release() time.Duration { return clock.Milliseconds(s.Bounds.ReleaseMs) }
 
 // MaxHold returns the longest time for which an executor keeps its runs without a renewal.
--- a/internal/platform/stallwatch/stallwatch.go
+++ b/internal/platform/stallwatch/stallwatch.go
@@ -13,10 +13,10 @@
 const (
 	// checkInterval is the time between two checks of the clock.
 	checkInterval = 100 * time.Millisecond
-	// stallThreshold is the time between two checks from which on the process counts as stalled. It is shorter than the timeout after which
-	// callers retry at another process.
+	// stallThreshold is the shortest time between two checks that counts as a stall. It is shorter than the timeout after which callers retry
+	// at another process.
 	stallThreshold = 500 * time.Millisecond
-	// suspicionPeriod is the time after a stall during which a call that is read may have waited in a socket.
+	// suspicionPeriod is the time after the end of a stall during which a call that is read may have waited in a socket.
 	suspicionPeriod = 300 * time.Millisecond
 )
 
--- a/internal/platform/stallwatch/stallwatch_test.go
+++ b/internal/platform/stallwatch/stallwatch_test.go
@@ -17,20 +17,20 @@
 
 var _ = Describe("Watch", func() {
 	It("suspects calls for a while after a stall, before and after the next check, and no others", func() {
-		now := clock.NewFake(0)
-		detector := New(now)
+		fakeClock := clock.NewFake(0)
+		detector := New(fakeClock)
 		Expect(detector.MayHaveWaited()).To(BeFalse())
 		for range 20 {
-			now.Advance(checkInterval)
+			fakeClock.Advance(checkInterval)
 			detector.check()
 			Expect(detector.MayHaveWaited()).To(BeFalse())
 		}
-		now.Advance(3 * time.Second)
+		fakeClock.Advance(3 * time.Second)
 		Expect(detector.MayHaveWaited()).To(BeTrue())
 		detector.check()
 		Expect(detector.MayHaveWaited()).To(BeTrue())
 		for range suspicionPeriod / checkInterval {
-			now.Advance(checkInterval)
+			fakeClock.Advance(checkInterval)
 			detector.check()
 		}
 		Expect(detector.MayHaveWaited()).To(BeFalse())
--- a/internal/platform/transportmetrics/transportmetrics.go
+++ b/internal/platform/transportmetrics/transportmetrics.go
@@ -44,10 +44,10 @@
 
 // Write counts the bytes before it sends them, so that they are counted when the receiver reads them. Then it subtracts those that were
 // not sent.
-func (c countedConn) Write(text []byte) (int, error) {
-	c.meter.bytesOut.Add(int64(len(text)))
-	count, err := c.Conn.Write(text)
-	c.meter.bytesOut.Add(int64(count - len(text)))
+func (c countedConn) Write(data []byte) (int, error) {
+	c.meter.bytesOut.Add(int64(len(data)))
+	count, err := c.Conn.Write(data)
+	c.meter.bytesOut.Add(int64(count - len(data)))
 	return count, err
 }
 
@@ -90,9 +90,9 @@
 	return count, from, err
 }
 
-// WriteTo counts a datagram and the bytes of its payload after the system has accepted it.
-func (p countedPacketConn) WriteTo(text []byte, to net.Addr) (int, error) {
-	count, err := p.PacketConn.WriteTo(text, to)
+// WriteTo counts a datagram and the bytes of its payload if it was sent without an error.
+func (p countedPacketConn) WriteTo(data []byte, to net.Addr) (int, error) {
+	count, err := p.PacketConn.WriteTo(data, to)
 	if err == nil {
 		p.meter.datagramsOut.Add(1)
 		p.meter.bytesOut.Add(int64(count))
--- a/internal/roles/common.go
+++ b/internal/roles/common.go
@@ -48,8 +48,8 @@
 	node         *membership.Node
 	meter        *transportmetrics.Meter
 	hangups      chan os.Signal
-	// shutdownRequested is done once the process receives SIGTERM or SIGINT; stopSignals stops the delivery of both signals. They are set
-	// up at the start of the process, since an unhandled signal would kill it at once.
+	// shutdownRequested is done once the process receives SIGTERM or SIGINT. stopSignals ends the handling of both signals. The handling
+	// begins at the start of the process, since an unhandled signal would kill it at once.
 	shutdownRequested context.Context
 	stopSignals       context.CancelFunc
 }
@@ -159,21 +159,21 @@
 	return hangups
 }
 
-// watchSettings reloads the settings file on SIGHUP and when its modification time changes. Only the seeds take effect without a restart. If
-// the new settings are invalid, the old ones stay in force.
+// watchSettings reloads the settings file on SIGHUP and when its modification time changes. Only changed seeds take effect without a restart.
+// If the new settings are invalid, the old ones stay in force.
 func (b *base) watchSettings(ctx context.Context) error {
-	last := modificationTime(b.settingsPath)
+	lastModified := modificationTime(b.settingsPath)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-b.hangups:
 		case <-b.clock.After(settingsCheckInterval):
-			if modificationTime(b.settingsPath) == last {
+			if modificationTime(b.settingsPath) == lastModified {
 				continue
 			}
 		}
-		last = modificationTime(b.settingsPath)
+		lastModified = modificationTime(b.settingsPath)
 		reloaded, err := settings.Load(b.settingsPath)
 		if err != nil {
 			b.log.Error(err, "invalid settings, the old ones stay in force")
@@ -184,7 +184,7 @@
 	}
 }
 
-// modificationTime returns the zero time if the file can't be examined.
+// modificationTime returns the modification time of a file, or the zero time if its status can't be read.
 func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -194,7 +194,7 @@
 }
 
 // run runs the parts until SIGTERM or SIGINT, then calls handOver, and stops the parts once that has returned. Further signals of these
-// kinds have no effect.
+// kinds have no effect. If the parts end before a signal, run returns their error and doesn't call handOver.
 func (b *base) run(handOver func()) error {
 	defer b.stopSignals()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/roles/executors.go
+++ b/internal/roles/executors.go
@@ -22,7 +22,7 @@
 	maxIdleExecutorConnections = 8
 	// executorBufferSize is the size of a connection's read buffer and of its write buffer, in bytes.
 	executorBufferSize = 4096
-	// platformTimeout is the executorTimeout of connections to the platform.
+	// platformTimeout is the same time limit for connections to the platform.
 	platformTimeout = time.Second
 )
 
@@ -45,7 +45,8 @@
 	}
 }
 
-// followExecutors keeps a copy of the list of executors, fetched from the steward that source chooses; onChange receives each changed list.
+// followExecutors adds the parts that keep a copy of the list of executors. source returns the address of the steward from which the list is
+// fetched, and onChange receives each changed list.
 func (b *base) followExecutors(source func(*membership.View) string, onChange func(*executorlist.List)) *executorlist.Holder {
 	holder := executorlist.NewHolder(b.clock, onChange)
 	b.tree.Add("executor-list", holder.Run)
@@ -53,8 +54,9 @@
 	return holder
 }
 
-// serveExecutors adds the parts by which a steward keeps the list of executors and serves it to other processes. The steward reads the list
-// from the platform while it leads the configuration's key or knows of no leader of that key; otherwise it follows the leader's list.
+// serveExecutors adds the parts by which a steward keeps the list of executors and serves it to other processes, unless the settings name no
+// platform. The steward reads the list from the platform while it leads the configuration's key or knows of no leader of that key. Otherwise
+// it copies the list of the leader.
 func (b *base) serveExecutors() {
 	if b.settings.Platform.Address == "" {
 		return
--- a/internal/roles/gate.go
+++ b/internal/roles/gate.go
@@ -28,7 +28,7 @@
 const (
 	// noticeTime is the time that the platform may need to notice that a gate is no longer ready.
 	noticeTime = 2200 * time.Millisecond
-	// quietTime is how long nothing must arrive at a gate that shuts down before it closes.
+	// quietTime is the time without new connections or received bytes after which a gate that shuts down closes.
 	quietTime = 250 * time.Millisecond
 	// reservedDescriptors is the number of file descriptors kept free for files and for the runtime.
 	reservedDescriptors = 200
@@ -70,7 +70,7 @@
 }
 
 // clientHandler returns the handler for the client APIs that the active contracts name: jobs, requests that executors answer, or both.
-// canServe reports whether there are executors to forward requests to; it is always true if the gate serves jobs.
+// canServe reports whether there are executors to forward requests to. It always returns true if the gate serves jobs.
 func (b *base) clientHandler(leaderClient *leaderclient.Client, configurations *configcache.Cache) (handler http.Handler, canServe func() bool) {
 	areKeysFresh := b.keyFreshness(leaderClient, configurations)
 	always := func() bool { return true }
@@ -88,9 +88,9 @@
 	return routekind.New(configurations.Current, jobs, requests), always
 }
 
-// keyFreshness returns a function that reports whether the API keys of the configuration are recent enough to be accepted. They
-// always are unless the settings demand that all gates refuse a revoked key within a time limit. In that case it adds a part that confirms the
-// version of the configuration with its leader.
+// keyFreshness returns a function that reports whether the API keys of the configuration are recent enough to be accepted. If
+// revocation-closed is set, all gates must refuse a revoked key within revoke-timeout-ms, so keyFreshness adds a part that confirms the version
+// of the configuration with its leader. Otherwise the function always returns true.
 func (b *base) keyFreshness(leaderClient *leaderclient.Client, configurations *configcache.Cache) func() bool {
 	bounds := b.settings.Bounds
 	if !bounds.RevocationClosed {
@@ -112,7 +112,8 @@
 	}
 }
 
-// maxClientConnections returns half of the unreserved descriptors; the other half is for the calls that the gate makes for its clients.
+// maxClientConnections returns half of the unreserved descriptors, and at least 1. The other half is for the calls that the gate makes for its
+// clients.
 func maxClientConnections(descriptors int) int {
 	return max(1, (descriptors-reservedDescriptors)/2)
 }
--- a/internal/roles/knownpeers.go
+++ b/internal/roles/knownpeers.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// mergePeers returns the control addresses of a view's live stewards followed by the saved addresses, and reports whether any is new.
-// An address is dropped, the oldest first, only when a new one needs its place, so that a flapping member causes no writes unless more
-// than maxKnownPeers other stewards are alive.
+// mergePeers returns the control addresses of a view's other live stewards with a disk, followed by the saved addresses. hasChanged reports
+// whether the address of one of them is not saved yet. Addresses of other stewards stay saved until there are more than maxKnownPeers
+// addresses. Then the oldest are dropped. So a flapping member causes no writes unless more than maxKnownPeers other stewards are alive.
 func mergePeers(saved []string, view *membership.View) (next []string, hasChanged bool) {
 	for _, member := range view.Stewards {
 		isOther := membership.Name(member) != membership.Name(view.Self)
--- a/internal/roles/leave_test.go
+++ b/internal/roles/leave_test.go
@@ -41,18 +41,18 @@
 	})
 })
 
-// heldClock shows the time that the test sets; every wait ends when the test sends to wake or closes it.
-type heldClock struct {
+// manualClock is a clock whose time the test sets. One wait ends for each value that the test sends to wake, and all end when it closes wake.
+type manualClock struct {
 	now  atomic.Int64
 	wake chan time.Time
 }
 
-func (c *heldClock) Monotonic() time.Duration             { return time.Duration(c.now.Load()) }
-func (c *heldClock) WallMs() int64                        { return 0 }
-func (c *heldClock) After(time.Duration) <-chan time.Time { return c.wake }
+func (c *manualClock) Monotonic() time.Duration             { return time.Duration(c.now.Load()) }
+func (c *manualClock) WallMs() int64                        { return 0 }
+func (c *manualClock) After(time.Duration) <-chan time.Time { return c.wake }
 
 var _ = Describe("a server part whose context is cancelled", func() {
-	var fakeClock *heldClock
+	var fakeClock *manualClock
 	var listener net.Listener
 	var started, release chan struct{}
 	var partResult chan error
@@ -90,7 +90,7 @@
 		var err error
 		listener, err = net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		fakeClock = &heldClock{wake: make(chan time.Time)}
+		fakeClock = &manualClock{wake: make(chan time.Time)}
 		started, release, partResult, answer = make(chan struct{}), make(chan struct{}), make(chan error, 1), make(chan *http.Response, 1)
 	})
 
--- a/internal/roles/localproxy.go
+++ b/internal/roles/localproxy.go
@@ -26,7 +26,8 @@
 	return b.run(func() { <-b.clock.After(200 * time.Millisecond) })
 }
 
-// HollowProxy runs one of many local proxies in one process until ctx is done. It handles no signals and doesn't reload its settings.
+// HollowProxy runs the local proxy of a simulated executor until ctx is done. One process may run many of them. HollowProxy handles no signals
+// and doesn't reload its settings.
 func HollowProxy(ctx context.Context, nodeSettings *settings.Settings, log logging.Logger, options ...Option) error {
 	if err := nodeSettings.Require("local-proxy"); err != nil {
 		return err
--- a/internal/roles/savedconfiguration.go
+++ b/internal/roles/savedconfiguration.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// configurationSaveInterval is the time between two saves of a newer configuration; versions in between are not saved.
+// configurationSaveInterval is the time between two checks for a newer configuration to save. Versions in between are not saved.
 const configurationSaveInterval = time.Second
 
 // configurationStore stores one configuration on disk. Configuration returns nil if none was saved.
--- a/internal/roles/savedconfiguration_test.go
+++ b/internal/roles/savedconfiguration_test.go
@@ -42,13 +42,13 @@
 
 var _ = Describe("the configuration on a steward's disk", func() {
 	const body = `{"config-version":7,"route-list":[],"service-list":[]}`
-	var fakeClock *heldClock
+	var fakeClock *manualClock
 	var b *base
 	var cache *configcache.Cache
 	var store *fakeConfigurationStore
 
 	BeforeEach(func() {
-		fakeClock = &heldClock{wake: make(chan time.Time)}
+		fakeClock = &manualClock{wake: make(chan time.Time)}
 		b = &base{clock: fakeClock, log: logging.Silent()}
 		cache = configcache.New(nil, clock.System(), logging.Silent(), func(*configcache.Snapshot) {})
 		store = &fakeConfigurationStore{versions: make(chan int64, 8)}
--- a/internal/roles/storagemachine.go
+++ b/internal/roles/storagemachine.go
@@ -17,7 +17,7 @@
 )
 
 // Storage runs a storage machine, which keeps lots and has executors run their items, until SIGTERM or SIGINT. It is a steward that serves no
-// operators and keeps no other keys.
+// operators and keeps only the keys of lots.
 func Storage(path string, options ...Option) error {
 	b, err := newBase(path, "storage", options...)
 	if err != nil {
--- a/internal/testsupport/golden/golden.go
+++ b/internal/testsupport/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares the encoding of messages and records with golden files. So tests detect when a renamed or moved field changes the
-// data that is sent to other processes or stored on disk. Only tests use it.
+// Package golden compares the encoding of messages and records with golden files. With it, tests detect a renamed or moved field that changes
+// the data sent to other processes or stored on disk. Only tests use it.
 //
 // The golden files are written if the environment variable GANNETLINE_UPDATE_GOLDEN is set. Use it only for a new message or a new field,
 // never after the change of an encoded name.
@@ -15,7 +15,7 @@
 	"github.com/mailru/easyjson"
 )
 
-// UpdateVariable is the environment variable that, if set, makes golden files be written instead of compared.
+// UpdateVariable is an environment variable. If it is set, golden files are written instead of compared.
 const UpdateVariable = "GANNETLINE_UPDATE_GOLDEN"
 
 // messageFolder is the folder with the golden files of messages, relative to the folder of each package.
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("golden file %s holds\n%s\nbut the code encodes\n%s", e.Path, e.Want, e.Got)
 }
 
-// CheckMessage fills every field of a new message of the type of empty, and compares its encoding with the golden file of that name in the
-// package's messageFolder. Then it decodes the golden file, encodes the result and compares that with the file too. The error is a
+// CheckMessage creates a message of the same type as empty, sets all its fields, and compares its encoding with the golden file of that name in
+// the package's messageFolder. Then it decodes the golden file, encodes the result and compares that with the file too. The error is a
 // *MismatchError, or names the file or message that can't be read, decoded or encoded.
 func CheckMessage(name string, empty Message) error {
 	path := filepath.Join(messageFolder, name+".json")
--- a/tools/first-run.sh
+++ b/tools/first-run.sh
@@ -78,7 +78,7 @@
   for pid in "${pids[@]}"; do kill -0 "$pid" 2>/dev/null || fail "process $pid has exited"; done
 }
 
-# call METHOD IP PORT PATH [BODY [HEADER]]: makes one HTTP request over bash's /dev/tcp, so that no HTTP client need be installed.
+# call METHOD IP PORT PATH [BODY [HEADER]]: makes one HTTP request over bash's /dev/tcp, so that no HTTP client is needed.
 # Writes the response to $folder/response and prints its status code.
 call() {
   local method=$1 ip=$2 port=$3 path=$4 body=${5:-} header=${6:-Accept: application/json}
--- a/tools/hunt-all.sh
+++ b/tools/hunt-all.sh
@@ -61,8 +61,8 @@
   git -C "$root" clone -q . "$scratch/$lane" && git -C "$scratch/$lane" checkout -q "$commit" || exit 2
 done
 
-# list_missing_runs: prints "VERB SITE DAYS" for each missing run whose site file is given. Sites of -f come first, and hunts are split
-# into runs of at most $days_per_run days.
+# list_missing_runs: prints "VERB SITE DAYS" for each missing run of the kind -o whose site file is given. Sites of -f come first, and hunts
+# are split into runs of at most $days_per_run days.
 list_missing_runs() {
   "$root/tools/hunted.sh" --commit "$commit" --todo | while read -r verb site days; do
     [ -n "${site_files[$site]:-}" ] || continue
@@ -77,7 +77,8 @@
   done | sort -s -k 1,1 | cut -d ' ' -f 2-
 }
 
-# run_bench LANE VERB SITE DAYS: runs the bench in the clone of a lane, copies its journal entries and prints the result.
+# run_bench LANE VERB SITE DAYS: runs the bench in the clone of a lane, copies its journal entries and prints the result. Creates the file
+# $stop_mark if the run has failed.
 run_bench() {
   local lane=$1 verb=$2 site=$3 days=$4 output=$scratch/$1.txt day_flags=()
   [ "$verb" = hunt ] && day_flags=(--days "$days")
--- a/tools/play-days.sh
+++ b/tools/play-days.sh
@@ -40,7 +40,7 @@
 out_folder=${out_folder:-$(mktemp -d)}
 mkdir -p "$out_folder" && out_folder=$(cd "$out_folder" && pwd) || exit 2
 
-# day_file DAY: prints the path of a day that is given by name or by path.
+# day_file DAY: prints the path of the file of a day. DAY is a name or a path.
 day_file() {
   if [ -f "$1" ]; then readlink -f "$1"; else echo "$root/days/$1.toml"; fi
 }
