--- a/internal/checktests/verdict.go
+++ b/internal/checktests/verdict.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// isIt reports whether a report is that of a spec, and not of a suite node such as BeforeSuite.
 func isIt(spec types.SpecReport) bool { return spec.LeafNodeType.Is(types.NodeTypeIt) }
 
 // nameOf returns the full text of a spec, or the type of a suite node such as [BeforeSuite].
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -56,7 +56,7 @@
 // StepWall moves the time of day, but not Monotonic, by a number of milliseconds.
 func (f *Fake) StepWall(ms int64) { f.wall += ms }
 
-// After returns a channel that receives one value once Advance reaches the end of the wait. A wait of 0 ends at the next Advance.
+// After returns a channel that receives one value when Advance reaches the end of the wait. A wait of 0 ends at the next Advance.
 func (f *Fake) After(wait time.Duration) <-chan time.Time {
 	done := make(chan time.Time, 1)
 	f.timers = append(f.timers, fakeTimer{f.now + wait, done})
--- a/internal/platform/supervise/supervise.go
+++ b/internal/platform/supervise/supervise.go
@@ -55,7 +55,7 @@
 // Add adds a part under a name for the log. It must be called before Run.
 func (t *Tree) Add(name string, part Part) { t.parts = append(t.parts, namedPart{name, part}) }
 
-// Run runs all parts and returns nil once each has returned nil. Once ctx is done, it waits until all parts have returned, and returns nil.
+// Run runs all parts and returns nil once each has returned nil. If ctx is done before, Run waits until all parts have returned, and returns nil.
 // If a part fails too often, Run cancels the others, doesn't wait for them, and returns the error.
 func (t *Tree) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
