--- a/internal/simulation/modelcheck/countmodel/countmodel_test.go
+++ b/internal/simulation/modelcheck/countmodel/countmodel_test.go
@@ -17,8 +17,8 @@
 	faultSchedules = 1500
 )
 
-// firstSeeds are the seeds at which the search for a fault begins that shows only in one of some hundred schedules, to save time.
-// All other searches begin at 0.
+// firstSeeds are the first seeds of the searches for injected faults that show in only one of some hundred schedules. They shorten these
+// searches. All other searches begin at seed 0.
 var firstSeeds = map[string]uint64{"late-answer-counts": 400}
 
 var _ = Describe("the model of the tenants' count", func() {
--- a/internal/simulation/modelcheck/countmodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/countmodel/injectedfaults.go
@@ -2,7 +2,7 @@
 
 import "gannetline/internal/simulation/modelcheck"
 
-// The injected faults.
+// The names of the injected faults.
 const (
 	faultLateCall           = "late-call-counts"
 	faultLateAnswer         = "late-answer-counts"
--- a/internal/simulation/modelcheck/countmodel/model.go
+++ b/internal/simulation/modelcheck/countmodel/model.go
@@ -1,6 +1,6 @@
 // Package countmodel runs both sides of the tenants' count, the real tenantcount.Part and tenantcount.Accounts, on a simulated clock and
-// network under schedules of faults: leaders that are killed with commits in flight, calls and answers that are lost, doubled or late,
-// pools that are cut off, limits that are lowered and raised, and demand that moves between pools.
+// network under schedules of faults. Leaders are killed with commits in flight, calls and answers are lost, doubled or late, and pools are
+// cut off. Limits are lowered and raised, and demand moves between pools.
 package countmodel
 
 import (
@@ -24,7 +24,8 @@
 
 func (c *simCluster) tracef(format string, values ...any) { c.Note(c.queue.Now(), format, values...) }
 
-// Run runs a schedule, then settleTime without faults, and checks that the grants have settled.
+// Run runs a schedule, then settleTime without faults and with more demand than the limits, and checks that the grants have settled. It
+// stops early when an invariant is broken.
 func (c *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	c.start()
 	lastMs := 0
@@ -33,7 +34,7 @@
 		lastMs = max(lastMs, step.AtMs+step.ForMs)
 	}
 	last := clock.Milliseconds(int64(lastMs))
-	c.queue.After(last, c.endFaults)
+	c.queue.After(last, c.raiseDemand)
 	c.runUntil(last + settleTime)
 	c.checkProgress()
 	return modelcheck.Outcome{Violations: c.violations, Coverage: c.coverage}
--- a/internal/simulation/modelcheck/countmodel/oracles.go
+++ b/internal/simulation/modelcheck/countmodel/oracles.go
@@ -4,8 +4,8 @@
 	"gannetline/internal/scheduling/tenantcount"
 )
 
-// checkAccounts is the oracle of the escrow's inequalities. It is called at each change and periodically. What a pool may use is at most its
-// committed account, and the account is at most what its partition has committed as granted.
+// checkAccounts is the oracle of a pool's accounts, called periodically and at each change of them. For each tenant, the leader may use at
+// most the committed account of the pool, and that account is at most the grant that the tenant's partition has committed.
 func (c *simCluster) checkAccounts(pool *modelPool) {
 	committed, err := tenantcount.NewAccounts(pool.name(), pool.key.Epoch, pool.key.Pairs(tenantcount.AccountPrefix))
 	if err != nil {
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// checkStart is the oracle of the limits, called at each start at an executor. The running tasks of a tenant in all pools are at most the
-// highest limit that may be in force.
+// checkStart is the oracle of the limits, called whenever a run starts at an executor. The number of running tasks of a tenant in all pools
+// is at most the highest limit that may be in force.
 func (c *simCluster) checkStart(tenant string) {
 	running := 0
 	for _, pool := range c.pools {
@@ -52,8 +52,9 @@
 	}
 }
 
-// checkProgress is the oracle of unused grants. settleTime after all faults, with more demand than the limit in each pool, a tenant's
-// limit is granted except for at most one CPU unit per pool, and no pool is without a share.
+// checkProgress is the oracle of limits that are not fully granted. It is called settleTime after the last fault, when each pool demands
+// more than the limit. The accounts of a tenant must then add up to its limit, less at most one unit of CPU per pool. If the limit is at
+// least one task per pool, each pool must have a share.
 func (c *simCluster) checkProgress() {
 	if len(c.violations) > 0 {
 		return
--- a/internal/simulation/modelcheck/countmodel/part.go
+++ b/internal/simulation/modelcheck/countmodel/part.go
@@ -16,10 +16,11 @@
 	cluster *simCluster
 	number  int
 	key     *simkey.Key
+	// version is the newest version of the configuration that the partition has received.
 	version int
 	// part is nil while there is no leader.
 	part *tenantcount.Part
-	// lastCallAt is the time of each asker's last call, and highestCall its highest call number.
+	// lastCallAt is the time of each asker's last call, and highestCall its highest call number. Only injected faults use them.
 	lastCallAt  map[string]time.Duration
 	highestCall map[string]uint64
 }
@@ -28,6 +29,7 @@
 	return &modelPart{cluster: cluster, number: number, key: simkey.New(cluster.queue, cluster.coverage), lastCallAt: map[string]time.Duration{}, highestCall: map[string]uint64{}}
 }
 
+// open creates a leader from the committed records.
 func (p *modelPart) open() {
 	pairs := p.key.Pairs("")
 	if p.cluster.fault == faultGrantsForgotten {
@@ -41,7 +43,7 @@
 	p.part = part
 }
 
-// endLeadership kills the leader. Another one opens after 100 to 1500 ms.
+// endLeadership kills the leader. The next one opens after 100 to 1500 ms.
 func (p *modelPart) endLeadership() {
 	if p.part == nil {
 		return
@@ -55,7 +57,8 @@
 	return p.cluster.limitOf(p.version, tenant), true
 }
 
-// handleCall decides on a call and answers once the decision is committed.
+// handleCall decides on a call and answers once the decision is committed. A stale call, or one that comes while there is no leader, gets
+// no answer.
 func (p *modelPart) handleCall(call *wire.GrantCall, answer func(wire.GrantAnswer)) {
 	if p.part == nil {
 		return
@@ -87,7 +90,7 @@
 // freeGrantsAfter is how long an asker may be silent before the injected fault frees its grants.
 const freeGrantsAfter = 1500 * time.Millisecond
 
-// freeGrantsOfSilentAskers is the injected fault faultTimeoutFrees, which frees the grants of silent askers.
+// freeGrantsOfSilentAskers implements the injected fault faultTimeoutFrees, which frees the grants of silent askers.
 func (p *modelPart) freeGrantsOfSilentAskers() {
 	if p.cluster.fault != faultTimeoutFrees {
 		return
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/simulation/modelcheck/simkey"
 )
 
-// ticksPerCheck is the number of ticks between checks of the accounts, in addition to the checks at each change.
+// ticksPerCheck is the number of ticks between two periodic checks of the accounts. The accounts are also checked at each change.
 const ticksPerCheck = 10
 
 // runPrefix is the prefix of the records of runs: r/TENANT/NUMBER.
@@ -20,6 +20,7 @@
 	cluster *simCluster
 	number  int
 	key     *simkey.Key
+	// version is the newest version of the configuration that the pool has received.
 	version int
 	// demand is how many tasks of each tenant the pool wants to run at the same time.
 	demand map[string]int
@@ -28,16 +29,17 @@
 	used     map[string]int
 	nextRun  int
 	ticks    int
-	// executing counts the runs at executors per tenant, which outlive leaders. running has the names of all runs sent to executors.
+	// executing counts the runs at executors per tenant. They continue when the leader is killed. launched has the names of all runs that
+	// were sent to an executor, also of those that have ended.
 	executing map[string]int
-	running   map[string]bool
+	launched  map[string]bool
 }
 
 func newModelPool(cluster *simCluster, number int) *modelPool {
-	return &modelPool{cluster: cluster, number: number, key: simkey.New(cluster.queue, cluster.coverage), demand: map[string]int{}, executing: map[string]int{}, running: map[string]bool{}}
+	return &modelPool{cluster: cluster, number: number, key: simkey.New(cluster.queue, cluster.coverage), demand: map[string]int{}, executing: map[string]int{}, launched: map[string]bool{}}
 }
 
-// open creates a leader from the committed records. Committed runs that were never sent to an executor start now.
+// open creates a leader from the committed records. It launches the committed runs that were never sent to an executor.
 func (p *modelPool) open() {
 	accounts, err := tenantcount.NewAccounts(p.name(), p.key.Epoch, p.key.Pairs(tenantcount.AccountPrefix))
 	if err != nil {
@@ -48,7 +50,7 @@
 	for _, pair := range p.key.Pairs(runPrefix) {
 		tenant := pair.Name[len(runPrefix) : len(runPrefix)+1]
 		p.used[tenant]++
-		if !p.running[pair.Name] {
+		if !p.launched[pair.Name] {
 			p.launch(pair.Name, tenant)
 		}
 	}
@@ -56,7 +58,7 @@
 
 func (p *modelPool) name() string { return fmt.Sprintf("pool/%d", p.number) }
 
-// endLeadership kills the leader. Another one opens after 100 to 1500 ms.
+// endLeadership kills the leader. The next one opens after 100 to 1500 ms.
 func (p *modelPool) endLeadership() {
 	if p.accounts == nil {
 		return
@@ -66,6 +68,7 @@
 	p.cluster.queue.After(p.cluster.drawDuration(100, 1500), p.open)
 }
 
+// tickRepeatedly runs a tick every tickInterval while there is a leader, and checks the accounts every ticksPerCheck ticks.
 func (p *modelPool) tickRepeatedly() {
 	if p.accounts != nil {
 		p.tick()
@@ -99,7 +102,7 @@
 	}
 }
 
-// sendCall sends a call to a partition. It times out after a second, as in the real pool.
+// sendCall sends a call to a partition. The call times out after a second, as in the real pool.
 func (p *modelPool) sendCall(part int, call *wire.GrantCall) {
 	accounts, cluster := p.accounts, p.cluster
 	cluster.coverage["call"]++
@@ -116,9 +119,10 @@
 	cluster.queue.After(cluster.drawDuration(1000, 1000), func() { handleAnswer(nil) })
 }
 
+// deliverAnswer passes an answer to the accounts. With faultLateAnswer they accept it for any call that is in flight.
 func (p *modelPool) deliverAnswer(part int, call *wire.GrantCall, answer wire.GrantAnswer, handleAnswer func(*wire.GrantAnswer)) {
 	if p.cluster.fault == faultLateAnswer && p.accounts != nil {
-		// The answer is accepted for whichever call is in flight.
+		// The number of the call in flight is not known here, so the next 20 numbers are tried.
 		for number := call.Number; number < call.Number+20; number++ {
 			p.commitAccounts(p.accounts.HandleAnswer(part, number, &answer, p.cluster.queue.Now())...)
 		}
@@ -127,6 +131,7 @@
 	handleAnswer(&answer)
 }
 
+// commitAccounts proposes changes of accounts and applies each after its commit.
 func (p *modelPool) commitAccounts(changes ...tenantcount.Change) {
 	for _, change := range changes {
 		accounts := p.accounts
@@ -147,7 +152,8 @@
 	}
 }
 
-// isLower reports whether an account's record holds less after a change than before. Of two decimal numbers the shorter text is the lower.
+// isLower reports whether a change lowers the amount in an account's record. It compares the records as text: the shorter one has the
+// lower number, and of two equally long ones the one that sorts first.
 func isLower(before, after []byte) bool {
 	return len(after) < len(before) || len(after) == len(before) && string(after) < string(before)
 }
@@ -167,12 +173,12 @@
 	allowance, _ := p.accounts.Allowance(tenant, policy)
 	limit := p.cluster.limitOf(p.version, tenant)
 	limit.CPU = min(limit.CPU, allowance.CPU)
-	// Each task fits the limits, so no run may overshoot a limit here.
+	// MayOvershoot is not set, since a single task never exceeds a limit here.
 	state := placement.Tenant{Allocated: tasks(p.used[tenant]), Limit: limit}
 	return state.Admits(tasks(1), 1)
 }
 
-// start commits a run and launches it after the commit.
+// start proposes a run and launches it after the commit, if the same leader is still there.
 func (p *modelPool) start(tenant string) {
 	p.nextRun++
 	name := fmt.Sprintf("%s%s/%d", runPrefix, tenant, p.nextRun)
@@ -185,9 +191,9 @@
 	})
 }
 
-// launch starts a run at an executor after 1 to 40 ms. The run ends 50 to 900 ms later.
+// launch sends a run to an executor, which starts it after 1 to 40 ms. The run ends 50 to 900 ms later.
 func (p *modelPool) launch(name, tenant string) {
-	p.running[name] = true
+	p.launched[name] = true
 	p.cluster.queue.After(p.cluster.drawDuration(1, 40), func() {
 		p.cluster.coverage["start"]++
 		p.executing[tenant]++
@@ -200,7 +206,7 @@
 	})
 }
 
-// reportEnd reports the end of a run to the leader, and repeats that until it is committed.
+// reportEnd reports the end of a run to the leader, as soon as there is one. It reports it again if the leadership ends before the commit.
 func (p *modelPool) reportEnd(name, tenant string) {
 	if p.key.Records[name] == nil {
 		return
--- a/internal/simulation/modelcheck/countmodel/schedule.go
+++ b/internal/simulation/modelcheck/countmodel/schedule.go
@@ -13,7 +13,8 @@
 	firstStepMs          = 1000
 	lastStepMs           = 12000
 	maxFaultMs           = 3000
-	demandPercent        = 40
+	// demandPercent of the steps change the demand, the others are faults or changes of limits.
+	demandPercent = 40
 )
 
 // The kinds of steps. Depending on the kind, Node is a pool or a partition, Peer a partition or a tenant, and Value a number.
@@ -23,15 +24,17 @@
 	kindKillPart = "kill-part"
 	// kindCut cuts a pool off from a partition for a time.
 	kindCut = "cut"
-	// kindLoseMessages loses Value of a hundred messages, kindLateMessages doubles as many and delays them by seconds.
+	// kindLoseMessages loses Value percent of the messages for a time. kindLateMessages delivers Value percent of them twice, the second
+	// time 100 to 4000 ms after they were sent.
 	kindLoseMessages = "lose-messages"
 	kindLateMessages = "late-messages"
 	// kindLimit sets the limit of the tenant Peer to Value tasks. The new configuration reaches each process at a different time.
 	kindLimit = "limit"
-	// kindDemand has the pool Node want so many tasks of the tenant Peer.
+	// kindDemand sets the demand of the pool Node for the tenant Peer to Value tasks.
 	kindDemand = "demand"
 )
 
+// faultKinds are all kinds except kindDemand. A kind listed twice is drawn twice as often.
 var faultKinds = []string{kindKillPool, kindKillPart, kindCut, kindLoseMessages, kindLateMessages, kindLimit, kindLimit}
 
 func draw(seed uint64, losses int, _ modelcheck.Size) modelcheck.Schedule {
--- a/internal/simulation/modelcheck/countmodel/simcluster.go
+++ b/internal/simulation/modelcheck/countmodel/simcluster.go
@@ -25,7 +25,7 @@
 	oldLimitTime = 300 * time.Millisecond
 )
 
-// tenants are all tenants. They belong to several partitions.
+// tenants are the names of all tenants. They belong to several partitions.
 var tenants = []string{"a", "b", "c"}
 
 // simCluster is the simulated system: all pools, the partitions of the count, and the network between them.
@@ -34,23 +34,25 @@
 	pools    []*modelPool
 	parts    []*modelPart
 	versions []*version
-	fault    string
+	// fault is the name of the injected fault, or empty.
+	fault string
 	network
 	coverage   modelcheck.Coverage
 	violations []modelcheck.Violation
 	modelcheck.Trace
 }
 
-// version is a version of the configuration, with the limit of each tenant in tasks. It counts as in force from the moment at which any
-// process may have it.
+// version is a version of the configuration, with the limit of each tenant in tasks. Its limits may be in force as soon as it is created,
+// since any process may receive it at once.
 type version struct {
 	limits map[string]int
-	// missingCount is the number of processes that don't have it yet. inForceSince is when the last of them received it.
-	missingCount int
-	inForceSince time.Duration
+	// missingCount is the number of processes that have not received the version yet. receivedByAllAt is when the last of them received it.
+	missingCount    int
+	receivedByAllAt time.Duration
 }
 
-// network is the state of the simulated network: shares of messages, and the end of the cut of each pool and partition.
+// network is the state of the simulated network. lostPercent of the messages are lost and latePercent delivered twice. cuts has, for each
+// pair of a pool and a partition, the time at which the last cut between them ends.
 type network struct {
 	lostPercent, latePercent int
 	cuts                     map[[2]int]time.Duration
@@ -73,7 +75,7 @@
 	return c
 }
 
-// start opens all keys and starts the ticks of the pools.
+// start creates the first leaders of all partitions and pools, and starts the ticks of the pools.
 func (c *simCluster) start() {
 	for _, part := range c.parts {
 		part.open()
@@ -114,7 +116,8 @@
 	}
 }
 
-// configure creates a version with another limit of a tenant. It reaches each process at a random time within maxSpreadTime.
+// configure creates a version of the configuration that changes the limit of a tenant. Each process receives it at a random time within
+// maxSpreadTime.
 func (c *simCluster) configure(tenant string, limit int) {
 	last := c.versions[len(c.versions)-1]
 	next := &version{limits: map[string]int{}, missingCount: len(c.pools) + len(c.parts)}
@@ -128,7 +131,7 @@
 		c.queue.After(c.drawDuration(0, int(maxSpreadTime.Milliseconds())), func() {
 			*known = max(*known, number)
 			if next.missingCount--; next.missingCount == 0 {
-				next.inForceSince = c.queue.Now()
+				next.receivedByAllAt = c.queue.Now()
 			}
 		})
 	}
@@ -145,14 +148,15 @@
 	highest := 0
 	for number := len(c.versions) - 1; number >= 0; number-- {
 		highest = max(highest, c.versions[number].limits[tenant])
-		if c.versions[number].missingCount == 0 && c.queue.Now()-c.versions[number].inForceSince > oldLimitTime {
+		if c.versions[number].missingCount == 0 && c.queue.Now()-c.versions[number].receivedByAllAt > oldLimitTime {
 			break
 		}
 	}
 	return highest
 }
 
-// send carries a message between a pool and a part, or loses, delays or doubles it.
+// send carries a message between a pool and a partition in 1 to 8 ms. A fault may lose it, or deliver it a
+// second time 100 to 4000 ms after it was sent.
 func (c *simCluster) send(pool, part int, arrive func()) {
 	if c.cuts[[2]int{pool, part}] > c.queue.Now() || c.queue.Draw.IntN(100) < c.lostPercent {
 		c.coverage["message_lost"]++
@@ -165,8 +169,8 @@
 	}
 }
 
-// endFaults raises the demand of each pool for every tenant above all limits. It is called when all faults are over.
-func (c *simCluster) endFaults() {
+// raiseDemand raises the demand of each pool for every tenant above all limits. It is called once all faults are over.
+func (c *simCluster) raiseDemand() {
 	for _, pool := range c.pools {
 		for _, tenant := range tenants {
 			pool.demand[tenant] = 2 * maxLimit
@@ -180,6 +184,7 @@
 	c.violations = append(c.violations, modelcheck.Violation{Oracle: oracle, AtMs: int(c.queue.Now().Milliseconds()), Detail: detail})
 }
 
+// tasks returns the resources of a number of tasks.
 func tasks(count int) placement.Resources {
 	return placement.Resources{CPU: taskCPU, Memory: taskMemory}.Times(float64(count))
 }
--- a/internal/simulation/modelcheck/countmodel/weigh_test.go
+++ b/internal/simulation/modelcheck/countmodel/weigh_test.go
@@ -11,8 +11,9 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// The strategies to enforce one limit over several pools are compared under the same demand: two pools run tasks of 300 ms of one tenant.
-// The first pool always wants the whole limit, the second one for 5 s out of 10. Messages take 1 to 8 ms, a commit takes 2 to 12 ms.
+// Strategies that enforce one limit over several pools are compared under the same demand for one tenant. The first pool always wants the
+// whole limit, the second one for 5 s out of 10. With the simple strategies a task takes about taskTime. The escrow runs in the model, with
+// the model's times of tasks, messages and commits.
 const (
 	comparedPools  = 2
 	comparedLimit  = maxLimit / 2
@@ -21,9 +22,10 @@
 	comparedStep   = time.Millisecond
 	taskTime       = 300 * time.Millisecond
 	gossipInterval = 200 * time.Millisecond
-	requestTime    = 17 * time.Millisecond
-	leaderLostAt   = 20 * time.Second
-	leaderLostFor  = 1500 * time.Millisecond
+	// requestTime is how long a start takes that is requested from a leader. Messages take 1 to 8 ms, a commit takes 2 to 12 ms.
+	requestTime   = 17 * time.Millisecond
+	leaderLostAt  = 20 * time.Second
+	leaderLostFor = 1500 * time.Millisecond
 )
 
 // measurements are the results of one strategy.
@@ -42,13 +44,13 @@
 		m.starts, float64(m.messages)/float64(m.starts), m.maxOverLimit, m.unusedShare, m.longestHandover)
 }
 
-// simpleStrategy is a strategy without replicated state. canStart reports whether a pool may start another task, given the tasks of each
-// pool, the last gossiped tasks of each pool, and whether there is a leader.
+// simpleStrategy is a strategy without replicated state. canStart reports whether a pool may start another task. It is given the number of
+// tasks that run or are starting in each pool, the number of running tasks that each pool last gossiped, and whether there is a leader.
 type simpleStrategy struct {
-	canStart         func(pool int, running, known []int, isLeaderThere bool) bool
+	canStart         func(pool int, occupied, known []int, hasLeader bool) bool
 	messagesPerStart int
-	isGossip         bool
-	// startTime is how long a start takes if the pool must request it from a leader.
+	usesGossip       bool
+	// startTime is how long it takes to start a task. It is 0 if a pool starts tasks without requests to a leader.
 	startTime time.Duration
 }
 
@@ -72,7 +74,7 @@
 	var unusedTotal, limitTotal float64
 	hasHandedOver := true
 	for now := time.Duration(0); now < comparedTime; now += comparedStep {
-		isLeaderThere := now < leaderLostAt || now >= leaderLostAt+leaderLostFor
+		hasLeader := now < leaderLostAt || now >= leaderLostAt+leaderLostFor
 		for pool := range comparedPools {
 			for len(startTimes[pool]) > 0 && startTimes[pool][0] <= now {
 				startTimes[pool] = startTimes[pool][1:]
@@ -88,13 +90,13 @@
 				}
 			}
 		}
-		if s.isGossip && now%gossipInterval == 0 {
+		if s.usesGossip && now%gossipInterval == 0 {
 			copy(known, running)
 			result.messages += comparedPools * (comparedPools - 1)
 		}
 		occupied := []int{running[0] + pending[0], running[1] + pending[1]}
 		for pool := range comparedPools {
-			for wants(pool, now) && s.canStart(pool, occupied, known, isLeaderThere) {
+			for wants(pool, now) && s.canStart(pool, occupied, known, hasLeader) {
 				occupied[pool]++
 				pending[pool]++
 				result.starts++
@@ -121,7 +123,8 @@
 	return result
 }
 
-// measureEscrow runs the real partitions and accounts under the same demand. All partitions lose their leaders at the time leaderLostAt.
+// measureEscrow runs the real partitions and accounts in the model, under the same demand. All partitions lose their leaders at
+// leaderLostAt.
 func measureEscrow(pools int) measurements {
 	schedule := modelcheck.Schedule{Model: modelName, Seed: 19, Losses: 1, Nodes: pools}
 	for phaseStart := time.Duration(0); phaseStart < comparedTime; phaseStart += demandPhase {
@@ -167,10 +170,10 @@
 
 var _ = Describe("strategies to enforce one limit over several pools", func() {
 	static := simpleStrategy{canStart: func(pool int, occupied, _ []int, _ bool) bool { return occupied[pool] < comparedLimit/comparedPools }}
-	oneLeader := simpleStrategy{messagesPerStart: 2, startTime: requestTime, canStart: func(_ int, occupied, _ []int, isLeaderThere bool) bool {
-		return isLeaderThere && occupied[0]+occupied[1] < comparedLimit
+	oneLeader := simpleStrategy{messagesPerStart: 2, startTime: requestTime, canStart: func(_ int, occupied, _ []int, hasLeader bool) bool {
+		return hasLeader && occupied[0]+occupied[1] < comparedLimit
 	}}
-	gossip := simpleStrategy{isGossip: true, canStart: func(pool int, occupied, known []int, _ bool) bool {
+	gossip := simpleStrategy{usesGossip: true, canStart: func(pool int, occupied, known []int, _ bool) bool {
 		return occupied[pool]+known[1-pool] < comparedLimit
 	}}
 
--- a/internal/simulation/modelcheck/modelcheck.go
+++ b/internal/simulation/modelcheck/modelcheck.go
@@ -1,5 +1,5 @@
-// Package modelcheck runs the real replication, configuration and order code on a simulated clock, network and disks, under schedules
-// of faults that are drawn from a seed, and checks the answers that callers received.
+// Package modelcheck runs models of the system under schedules of faults that are drawn from a seed. A model, in a package of its own,
+// runs the real code on a simulated clock, network and disks, and checks that no invariant is violated.
 package modelcheck
 
 // Step is one event of a schedule. The model defines the kinds and what the other fields mean for each kind.
@@ -8,10 +8,10 @@
 	AtMs int `json:"at_ms"`
 	// Kind names the event, for example "kill" or "cut".
 	Kind string `json:"kind"`
-	// Node and Peer are indices into the nodes of the schedule.
+	// Node and Peer are mostly indices of nodes. The model may use them differently for some kinds.
 	Node int `json:"node"`
 	Peer int `json:"peer,omitempty"`
-	// ForMs is how long a fault lasts, in milliseconds.
+	// ForMs is how long the event lasts, in milliseconds.
 	ForMs int `json:"for_ms,omitempty"`
 	// Value is a number whose meaning depends on the kind.
 	Value int `json:"value,omitempty"`
@@ -27,13 +27,15 @@
 	SizeLarge Size = "large"
 )
 
-// Schedule determines a whole run: the same schedule has the same outcome on any machine.
+// Schedule determines a whole run: the same schedule has the same outcome on any machine. The exception is a history whose check for
+// linearizability takes too long. It may be left undecided on a slow machine.
 type Schedule struct {
 	Model string `json:"model"`
 	Seed  uint64 `json:"seed"`
-	// Losses is how many disks the system must tolerate to lose at the same time.
+	// Losses is the number of disks that the system must tolerate losing at the same time.
 	Losses int `json:"losses"`
-	Nodes  int `json:"nodes"`
+	// Nodes is the number of machines or pools at the start.
+	Nodes int `json:"nodes"`
 	// Size is the size of the system. The empty value is SizeSmall.
 	Size Size `json:"size,omitempty"`
 	// InjectedFault is the name of an injected fault, or empty.
@@ -50,7 +52,7 @@
 	Detail string `json:"detail"`
 }
 
-// Coverage counts the events of a run by name, for example elections, changes of voters or snapshots.
+// Coverage counts the events of one or more runs by name, for example "leader opened" or "message lost".
 type Coverage map[string]int
 
 // Add adds the counts of another coverage.
@@ -79,7 +81,8 @@
 	Name() string
 	// InjectedFaults returns the faults that can be put into this model.
 	InjectedFaults() []InjectedFault
-	// Draw returns the schedule of a seed, for a system of a size that must tolerate the loss of so many disks at the same time.
+	// Draw returns the schedule of a seed, for a system of the given size. losses is the number of disks that the system must tolerate
+	// losing at the same time.
 	Draw(seed uint64, losses int, size Size) Schedule
 	// Run runs a schedule from the beginning. It keeps no state between calls.
 	Run(schedule Schedule) Outcome
--- a/internal/simulation/modelcheck/run.go
+++ b/internal/simulation/modelcheck/run.go
@@ -13,15 +13,17 @@
 type Budget struct {
 	Seed      uint64
 	Schedules int
-	Losses    int
-	Size      Size
+	// Losses is the number of disks that the system must tolerate losing at the same time.
+	Losses int
+	Size   Size
 	// Fault is the name of the injected fault of all schedules, or empty.
 	Fault string
 	// Workers is how many schedules run concurrently. Below 1 it is GOMAXPROCS. The result doesn't depend on it.
 	Workers int
 }
 
-// Progress is the number of schedules run so far, the time that took, and their coverage.
+// Progress is the number of schedules whose outcomes have been checked, the time since the start of Run, and the coverage of these
+// schedules.
 type Progress struct {
 	Done     int
 	Took     time.Duration
@@ -41,7 +43,7 @@
 	Outcome  Outcome
 }
 
-// Schedules are run in rounds. Violations are checked for between rounds.
+// Schedules are run in rounds. After each round the outcomes are checked for violations.
 const (
 	schedulesPerRound      = 2000
 	schedulesPerRoundLarge = 16
@@ -54,8 +56,9 @@
 	return schedulesPerRound
 }
 
-// Run runs the schedules of a budget until one breaks an invariant. It returns that schedule, or nil, and the progress up to it. report
-// is called after each round without a violation. Rounds make the finding independent of the number of workers.
+// Run runs the schedules of a budget until one breaks an invariant. It returns that schedule, or nil, and the progress up to it. It calls
+// report after each round without a violation. The finding doesn't depend on the number of workers, since it is always the failing
+// schedule with the lowest number.
 func Run(model Model, budget Budget, report func(Progress)) (*Finding, Progress) {
 	clock := clock.System()
 	startedAt := clock.Monotonic()
@@ -78,7 +81,8 @@
 	return nil, progress
 }
 
-// runRound runs count schedules from number first on. Once a schedule has failed, later ones of the round may be left out.
+// runRound runs count schedules from number first on. Once a schedule has failed, those with higher numbers may be left out. Their
+// outcomes are then empty.
 func runRound(model Model, budget Budget, first, count int) []Outcome {
 	outcomes := make([]Outcome, count)
 	workers := budget.Workers
@@ -126,7 +130,7 @@
 	return schedule
 }
 
-// mixSeed derives the seed of a schedule from the seed of the budget and the schedule's number (splitmix64).
+// mixSeed derives the seed of a schedule from the seed of the budget and the schedule's number, with the mixing function of splitmix64.
 func mixSeed(seed, number uint64) uint64 {
 	value := seed*0x9e3779b97f4a7c15 + number*0xbf58476d1ce4e5b9 + 1
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
--- a/internal/simulation/modelcheck/shrink.go
+++ b/internal/simulation/modelcheck/shrink.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The maximum number of runs while a schedule is shrunk.
+// The maximum number of candidates that are run while a schedule is shrunk.
 const (
 	maxShrinkRuns      = 3000
 	maxShrinkRunsLarge = 150
@@ -15,8 +15,9 @@
 	return maxShrinkRuns
 }
 
-// Shrink removes steps from a failing schedule as long as it still breaks the same invariant (delta debugging). It tries to remove half of
-// the steps first, then smaller and smaller ranges, and at last single steps. It returns the smallest schedule found and its outcome.
+// Shrink removes steps from a failing schedule as long as it still breaks the same invariant first (delta debugging). It tries to remove
+// half of the steps at a time, then smaller and smaller ranges, and at last single steps. It returns the smallest schedule found and its
+// outcome. A schedule that breaks no invariant is returned unchanged.
 func Shrink(model Model, failing Schedule) (Schedule, Outcome) {
 	best, outcome, maxRuns := failing, model.Run(failing), maxShrinkRunsOf(failing)
 	if len(outcome.Violations) == 0 {
--- a/internal/simulation/modelcheck/simkey/simkey.go
+++ b/internal/simulation/modelcheck/simkey/simkey.go
@@ -1,5 +1,4 @@
-// Package simkey replaces the replication of a key in models that don't test it. Commits are durable in their order. Of those in flight
-// when a leadership ends, some are durable.
+// Package simkey replaces the replication of a key in models that don't test replication itself.
 package simkey
 
 import (
@@ -15,8 +14,9 @@
 // The shortest and longest time that a commit takes, in milliseconds.
 const minCommitMs, maxCommitMs = 2, 12
 
-// Key is a replicated key with the guarantees of package replication. Commits are durable in their order, and the leader gets the result of
-// each after a delay. When a leadership ends, a random number of the commits in flight is durable, the first ones.
+// Key is a replicated key with the guarantees of package replication. Changes are committed in the order in which they are proposed, and
+// the leader is notified of each commit after a delay. When a leadership ends, a random number of the changes in flight is still
+// committed, in the same order, and the others are lost.
 type Key struct {
 	// Records are the committed records by name. Epoch is the epoch of the current leadership.
 	Records map[string][]byte
@@ -38,7 +38,8 @@
 	return &Key{Records: map[string][]byte{}, Epoch: 1, queue: queue, coverage: coverage}
 }
 
-// Propose proposes a change in the current epoch. It is committed and done is called after a delay, unless the epoch ends before.
+// Propose proposes a change in the current epoch. After a delay the change is committed and done is called with nil, unless the epoch has
+// ended by then.
 func (k *Key) Propose(ops []wire.Op, done func(error)) {
 	proposed, epoch := &commit{ops, done}, k.Epoch
 	k.pending = append(k.pending, proposed)
@@ -68,7 +69,8 @@
 	}
 }
 
-// EndEpoch ends the leadership. A random number of the commits in flight is still durable, but their done is never called.
+// EndEpoch ends the leadership and begins the next epoch. A random number of the changes in flight is still committed, the first proposed
+// first. done is not called for any of the changes in flight.
 func (k *Key) EndEpoch() {
 	survivors := k.queue.Draw.IntN(len(k.pending) + 1)
 	if survivors > 0 {
