--- a/internal/simulation/modelcheck/controlmodel/bulk.go
+++ b/internal/simulation/modelcheck/controlmodel/bulk.go
@@ -9,7 +9,8 @@
 )
 
 // In a schedule with the step "bulk" each change also writes one of bulkPairs large pairs, in large schedules one of maxBulkPairs. Snapshots
-// are then sent in several chunks, and replicas keep only the last few changes. bulkSize is in bytes.
+// are then sent in several chunks, and replicas keep only the last few changes. bulkSize is the size of a large pair's value in bytes,
+// bulkVariants the number of different values.
 const (
 	bulkPairs    = 5
 	maxBulkPairs = 40
@@ -28,12 +29,12 @@
 	return values
 }
 
-// bulkState is the first byte of each large pair's value, which tells its variant. It is 0 for a pair that does not exist.
+// bulkState is the first byte of each large pair's value, which identifies the value. It is 0 for a pair that does not exist.
 type bulkState [maxBulkPairs]byte
 
 func bulkName(index int) string { return fmt.Sprintf("bulk-%d", index) }
 
-// bulkOf returns the state of the large pairs.
+// bulkOf returns the state of the large pairs among the pairs of the key.
 func bulkOf(pairs []wire.Op) bulkState {
 	var state bulkState
 	for index := range state {
@@ -45,41 +46,42 @@
 	return state
 }
 
-// bulkLeadership adds a large pair to each change, and records the state of the large pairs after it.
+// bulkLeadership adds a large pair to each change of the configuration, and records the state of the large pairs after it.
 type bulkLeadership struct {
 	keyLeadership
 	cluster *simCluster
-	state   bulkState
+	// state is the state of the large pairs after the last committed change.
+	state bulkState
 }
 
-// Commit proposes a change together with its large pair.
-func (t *bulkLeadership) Commit(ops []wire.Op, done func(error)) {
+// Commit proposes a change of the configuration together with its large pair. Other changes get none.
+func (l *bulkLeadership) Commit(ops []wire.Op, done func(error)) {
 	committed := configurationOf(ops)
 	if committed == nil {
-		t.keyLeadership.Commit(ops, done)
+		l.keyLeadership.Commit(ops, done)
 		return
 	}
 	// The pair is derived from the body, so that a change that another leader proposes again leads to the same state.
 	digest := digestOf(committed.Body)
-	index, value := int(digest[0])%t.cluster.bulkPairs, bulkValues[int(digest[1])%bulkVariants]
-	next := t.state
+	index, value := int(digest[0])%l.cluster.bulkPairs, bulkValues[int(digest[1])%bulkVariants]
+	next := l.state
 	next[index] = value[0]
-	t.cluster.oracleState.bulk[digest] = next
+	l.cluster.oracleState.bulk[digest] = next
 	ops = append(slices.Clone(ops), wire.Op{Name: bulkName(index), Value: value})
-	t.keyLeadership.Commit(ops, func(err error) {
+	l.keyLeadership.Commit(ops, func(err error) {
 		if err == nil {
-			t.state = next
+			l.state = next
 		}
 		done(err)
 	})
 }
 
-// checkBulk is an oracle: the large pairs of a new leader are those after its newest change.
-func (w *simCluster) checkBulk(n *simNode, pairs []wire.Op, committed *wire.Configuration) {
-	if !w.isBulk || committed == nil {
+// checkBulk is an oracle: the large pairs of a new leader are in the state that its newest change of the configuration leads to.
+func (sim *simCluster) checkBulk(n *simNode, pairs []wire.Op, committed *wire.Configuration) {
+	if !sim.isBulk || committed == nil {
 		return
 	}
-	if want, state := w.oracleState.bulk[digestOf(committed.Body)], bulkOf(pairs); want != state {
-		w.reportViolation("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, committed.Version, state, want)
+	if want, state := sim.oracleState.bulk[digestOf(committed.Body)], bulkOf(pairs); want != state {
+		sim.reportViolation("a state is whole", "%s opens version %d with large pairs %v, not %v", n.name, committed.Version, state, want)
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
+++ b/internal/simulation/modelcheck/controlmodel/controlmodel_test.go
@@ -19,13 +19,13 @@
 	largeSchedules = 400
 	// faultSchedules is the number of schedules in which each injected fault must be found, with one loss or with two.
 	faultSchedules = 6000
-	// rareFault needs a leader that is cut off within the few milliseconds of a change of voters, which happens in one of some thousand
-	// schedules. With one loss, the first schedule that shows it had the number 470 to 21,362 in five searches. Its own seed saves the time
-	// of a long search.
+	// rareFault shows only if a leader is cut off within the few milliseconds of a change of voters, which happens in one of some thousand
+	// schedules. With one loss, the first schedule that showed it had a number from 470 to 21,362 in five searches. rareFaultSeed
+	// shortens the search.
 	rareFault     = "voter-change-forgotten"
 	rareFaultSeed = 7
 	workers       = 2
-	// splitHalves is the number of different splits that are tried, so that the leader is in the smaller half in some of them.
+	// splitHalves is the number of different splits that are tried, so that in some of them the leader is in the smaller half.
 	splitHalves = 12
 )
 
--- a/internal/simulation/modelcheck/controlmodel/coordination.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination.go
@@ -17,25 +17,27 @@
 )
 
 const (
-	// checkedHistoryTime is how long a watcher must be able to continue from a revision that it was given. keptHistoryTime is the setting of
-	// the partitions. It is longer than resendTime, the time of the last attempt and lateCopyTime together, so that no put is repeated after
-	// it is forgotten.
+	// checkedHistoryTime is how long a watcher must be able to continue from a revision that it was given. keptHistoryTime is how long the
+	// partitions keep puts. It is longer than resendTime, the time of the last attempt and lateCopyTime together, so that no put is
+	// repeated after it is forgotten.
 	checkedHistoryTime = 3 * time.Second
 	keptHistoryTime    = 7 * time.Second
-	releaseTime        = 1500 * time.Millisecond
+	// releaseTime is the maximum time for which the partitions may still refuse an expired lock to other holders.
+	releaseTime = 1500 * time.Millisecond
 
 	minCallers, maxCallers = 3, 6
+	// minPauseMs and maxPauseMs bound the mean pause of a schedule's applications between two calls.
 	minPauseMs, maxPauseMs = 20, 400
 	// There are few names, so that callers compete for them.
 	lockCount, numberCount, groupCount, cellCount = 2, 2, 2, 3
 	watcherCount                                  = 2
-	// leaderMoveTime is the time within which the key has moved to its preferred leader. The move restarts the time of held locks.
+	// leaderMoveTime is the time within which the key has moved to its preferred leader. The time of each lock begins again at the move.
 	leaderMoveTime = 18 * time.Second
-	// lockFreeTime is the time after which all locks must be free once the callers have ended, also those whose holders died.
+	// lockFreeTime is the time from when the system has settled until all locks must be free, also those whose holders forgot them.
 	lockFreeTime = leaderMoveTime + 3*maxHoldMs*time.Millisecond + releaseTime
 )
 
-// coordinationService is a partition of locks, numbers and cells, and the applications that use it.
+// coordinationService is the service of the model "coordination": a partition of locks, numbers and cells, and the applications that use it.
 type coordinationService struct {
 	cluster  *simCluster
 	history  coordinationcheck.History
@@ -43,11 +45,12 @@
 	watchers []*modelWatcher
 	// callersEnd is when the applications stop making calls.
 	callersEnd time.Duration
+	// valueCount is the number of puts so far. It makes the value of each put unique.
 	valueCount int
 }
 
-func newCoordinationService(w *simCluster) *coordinationService {
-	return &coordinationService{cluster: w}
+func newCoordinationService(sim *simCluster) *coordinationService {
+	return &coordinationService{cluster: sim}
 }
 
 func (s *coordinationService) key() string { return coordination.KeyOf(0) }
@@ -73,7 +76,7 @@
 	m.CommandFor(call.Verb)(call, answer)
 }
 
-// playStep starts Node applications, which pause for Value milliseconds on average between calls, and the watchers.
+// playStep starts the watchers and Node applications, which pause for Value milliseconds on average between calls.
 func (s *coordinationService) playStep(step modelcheck.Step) {
 	s.callersEnd = s.cluster.now + clock.Milliseconds(int64(step.ForMs))
 	for index := range step.Node {
@@ -107,11 +110,11 @@
 func numberName(index int) string { return fmt.Sprintf("n%d", index) }
 func groupName(index int) string  { return fmt.Sprintf("g%d.", index) }
 
-// makeFinalCalls reads all cells, starts a watch of each group and takes a number of each sequence. Once lockFreeTime is over, the
-// watchers continue and all locks are taken.
+// makeFinalCalls reads all cells, makes a new watch of each group and takes a number of each sequence. After lockFreeTime, the watchers make
+// one more call each, and all locks are acquired.
 func (s *coordinationService) makeFinalCalls() time.Duration {
 	caller := &modelCaller{service: s, holder: "last", knownRevisions: map[string]uint64{}}
-	// A leader has one call in flight to each follower. A call whose answer was lost ends after its timeout.
+	// A leader has one call in flight to each follower, which may still be one whose answer was lost. The calls begin after its timeout.
 	s.cluster.after(stalledConnectionTimeout, func() {
 		for group := range groupCount {
 			for cell := range cellCount {
@@ -135,7 +138,8 @@
 	return lockFreeTime + operatorTimeout + time.Second
 }
 
-// expectStatus is an oracle: once the system has settled and no lock is held, calls succeed.
+// expectStatus is an oracle: once the system has settled, a call is answered with one of the allowed statuses. call describes it in the
+// violation.
 func (s *coordinationService) expectStatus(status int, call string, allowed ...int) {
 	for _, expected := range allowed {
 		if status == expected {
@@ -145,7 +149,7 @@
 	s.cluster.reportViolation("settled", "%s is answered %d once all is settled", call, status)
 }
 
-// checkHistory has the oracles check all answers that the applications received.
+// checkHistory ends the holds of all applications and has the oracles check all answers that the applications received.
 func (s *coordinationService) checkHistory() {
 	for _, caller := range s.callers {
 		caller.endHold()
--- a/internal/simulation/modelcheck/controlmodel/coordination_test.go
+++ b/internal/simulation/modelcheck/controlmodel/coordination_test.go
@@ -14,8 +14,8 @@
 
 var _ = Describe("the model of locks, numbers and cells", func() {
 	model := controlmodel.NewCoordination()
-	// seeds are the seeds of searches for faults that show only in one of some thousand schedules. They save the time of a long search.
-	// All other searches have the usual seed.
+	// seeds are the seeds of the searches for injected faults that show in only one of some thousand schedules. They shorten these searches.
+	// All other searches use the constant seed.
 	seeds := map[string]uint64{"refused-after-proposal": 2}
 	find := func(budget modelcheck.Budget) (*modelcheck.Finding, modelcheck.Coverage) {
 		budget.Seed, budget.Workers = max(seed, seeds[budget.Fault]), workers
@@ -38,8 +38,8 @@
 	})
 
 	It("returns the same outcome for each run of a schedule", func() {
-		for schedule := range uint64(20) {
-			drawn := model.Draw(schedule, 2, modelcheck.SizeSmall)
+		for number := range uint64(20) {
+			drawn := model.Draw(number, 2, modelcheck.SizeSmall)
 			Expect(model.Run(drawn)).To(Equal(model.Run(drawn)))
 		}
 	})
@@ -53,7 +53,7 @@
 		Entry("no leader, as a lost call kept a replaced voter in the voter set", "lost-call-before-all-die.json"),
 	)
 
-	// oracles are, for each injected fault, the oracles of the callers' answers of which one must find it.
+	// oracles lists, for each injected fault, the oracles of the callers' answers. One of them must report the first violation.
 	oracles := map[string][]string{
 		"commit-before-majority": {check.OracleStale, check.OracleRevisions, check.OracleLinearizable, check.OracleNumbers, check.OracleOneHolder},
 		"event-lost":             {check.OracleWatches, check.OracleRefused},
--- a/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
@@ -16,29 +16,32 @@
 )
 
 const (
-	// resendTime is how long a put without a clear answer is retried.
-	resendTime  = 4 * time.Second
+	// resendTime is how long a put is retried whose answer is not clear or is a 503.
+	resendTime = 4 * time.Second
+	// resendPause is the pause before a put is retried, and mostly that between two watch calls.
 	resendPause = 60 * time.Millisecond
 	// lateCopyTime is how long after the answer to a put a copy of it may still arrive.
 	lateCopyTime = time.Second
 	minHoldMs    = 200
 	maxHoldMs    = 2500
-	// sleepPercent of the holders sleep beyond the time of their lock, abandonPercent forget that they hold it. Both keep their holder names.
+	// sleepPercent of the holders sleep beyond the time of their lock, abandonPercent forget that they hold it. Both make their next calls
+	// under the same holder name.
 	sleepPercent, abandonPercent = 15, 15
 	maxRenewals                  = 4
 	maxWatchWait                 = 800 * time.Millisecond
 )
 
-// modelCaller is an application that makes one call after the other. via is the slot of the machine that it calls.
+// modelCaller is an application that makes one call after the other. via is the slot of the machine through which it makes them.
 type modelCaller struct {
 	service *coordinationService
 	holder  string
 	via     int
-	pause   time.Duration
-	// knownRevisions are the revisions of cells as it last received them.
+	// pause is the mean time between two calls.
+	pause time.Duration
+	// knownRevisions are the revisions of cells as the caller last received them.
 	knownRevisions map[string]uint64
-	// held is the lock that it believes to hold, or nil.
-	held *coordinationcheck.Hold
+	// currentHold is the lock that the caller believes to hold, or nil.
+	currentHold *coordinationcheck.Hold
 }
 
 // statusOf returns the status of an answer, or 0 if there is none.
@@ -49,31 +52,31 @@
 	return answer.Status
 }
 
-// isClear reports whether a status says if the call took effect.
+// isClear reports whether a status says if the call took effect. 503 says that it did not.
 func isClear(status int) bool {
 	return status != 0 && (status < http.StatusInternalServerError || status == http.StatusServiceUnavailable)
 }
 
 // scheduleNextCall makes the next call after a random pause.
 func (c *modelCaller) scheduleNextCall() {
-	w := c.service.cluster
-	w.after(time.Duration(w.random.Int64N(2*int64(c.pause)+1)), c.makeNextCall)
+	sim := c.service.cluster
+	sim.after(time.Duration(sim.random.Int64N(2*int64(c.pause)+1)), c.makeNextCall)
 }
 
 // makeNextCall draws and makes a call, unless the applications have stopped.
 func (c *modelCaller) makeNextCall() {
-	w := c.service.cluster
-	if w.now >= c.service.callersEnd {
+	sim := c.service.cluster
+	if sim.now >= c.service.callersEnd {
 		return
 	}
-	c.via = w.random.IntN(len(w.slots))
+	c.via = sim.random.IntN(len(sim.slots))
 	scheduleNext := func(int) { c.scheduleNextCall() }
-	cell := fmt.Sprint(groupName(w.random.IntN(groupCount)), w.random.IntN(cellCount))
-	switch roll := w.random.IntN(100); {
+	cell := fmt.Sprint(groupName(sim.random.IntN(groupCount)), sim.random.IntN(cellCount))
+	switch roll := sim.random.IntN(100); {
 	case roll < 35:
-		c.holdLock(lockName(w.random.IntN(lockCount)))
+		c.holdLock(lockName(sim.random.IntN(lockCount)))
 	case roll < 50:
-		c.takeNumber(numberName(w.random.IntN(numberCount)), scheduleNext)
+		c.takeNumber(numberName(sim.random.IntN(numberCount)), scheduleNext)
 	case roll < 80:
 		c.put(cell)
 	default:
@@ -95,78 +98,79 @@
 
 // holdLock acquires a lock, renews it up to maxRenewals times, and then releases it, sleeps beyond its time, or forgets it.
 func (c *modelCaller) holdLock(name string) {
-	w := c.service.cluster
-	hold := clock.Milliseconds(int64(minHoldMs + w.random.IntN(maxHoldMs-minHoldMs)))
+	sim := c.service.cluster
+	hold := clock.Milliseconds(int64(minHoldMs + sim.random.IntN(maxHoldMs-minHoldMs)))
 	c.acquire(name, hold, func(status int) {
 		if status != http.StatusOK {
 			c.scheduleNextCall()
 			return
 		}
-		c.keepHold(hold, w.random.IntN(maxRenewals+1))
+		c.keepHold(hold, sim.random.IntN(maxRenewals+1))
 	})
 }
 
-// acquire makes a call that acquires a lock. If it succeeds the caller is the holder.
+// acquire makes a call that acquires a lock. If it succeeds, the caller becomes the holder.
 func (c *modelCaller) acquire(name string, hold time.Duration, done func(status int)) {
 	sentAt := c.service.cluster.now
 	c.call(wire.VerbAcquire, name, &wire.LockCall{Holder: c.holder, HoldMs: hold.Milliseconds()}, false, func(answer *response.Reply) {
 		status := statusOf(answer)
 		if status == http.StatusOK {
-			var given wire.LockAnswer
-			c.service.decodeAnswer(answer, &given)
-			c.beginHold(name, given.Fence, sentAt, hold)
+			var lock wire.LockAnswer
+			c.service.decodeAnswer(answer, &lock)
+			c.beginHold(name, lock.Fence, sentAt, hold)
 		}
 		done(status)
 	})
 }
 
-// beginHold makes the caller the holder of a lock from now until the hold time after the call was sent.
+// beginHold makes the caller the holder of a lock, from now until hold after the call was sent.
 func (c *modelCaller) beginHold(name string, fence uint64, sentAt, hold time.Duration) {
-	w := c.service.cluster
-	c.held = &coordinationcheck.Hold{Lock: name, Holder: c.holder, Fence: fence, SentAt: sentAt, From: w.now, To: sentAt + hold}
-	w.fireTriggers()
+	sim := c.service.cluster
+	c.currentHold = &coordinationcheck.Hold{Lock: name, Holder: c.holder, Fence: fence, SentAt: sentAt, From: sim.now, To: sentAt + hold}
+	sim.fireTriggers()
 }
 
-// endHold records the hold for the oracles. The caller no longer believes to hold the lock.
+// endHold records the hold for the oracles. The caller then no longer believes to hold the lock.
 func (c *modelCaller) endHold() {
-	if c.held == nil {
+	if c.currentHold == nil {
 		return
 	}
-	c.held.To = min(c.held.To, c.service.cluster.now)
-	c.service.history.Holds = append(c.service.history.Holds, *c.held)
-	c.held = nil
+	c.currentHold.To = min(c.currentHold.To, c.service.cluster.now)
+	c.service.history.Holds = append(c.service.history.Holds, *c.currentHold)
+	c.currentHold = nil
 }
 
-// keepHold holds a lock for a part of its time, and then renews it, releases it, forgets it, or renews it too late.
+// keepHold draws what the holder of a lock does next: renew the lock too late, forget it at once, or renew or release it after a part of its
+// time. Once the applications have stopped, it releases the lock.
 func (c *modelCaller) keepHold(hold time.Duration, renewals int) {
-	w := c.service.cluster
-	roll := w.random.IntN(100)
-	wait := time.Duration(w.random.Int64N(int64(hold)))
+	sim := c.service.cluster
+	roll := sim.random.IntN(100)
+	wait := time.Duration(sim.random.Int64N(int64(hold)))
 	switch {
-	case w.now >= c.service.callersEnd:
+	case sim.now >= c.service.callersEnd:
 		c.release()
 	case roll < sleepPercent:
-		w.countCoverage("holder slept beyond its time")
-		w.after(2*hold, func() { c.renew(hold, 0) })
+		sim.countCoverage("holder slept beyond its time")
+		sim.after(2*hold, func() { c.renew(hold, 0) })
 	case roll < sleepPercent+abandonPercent:
-		w.countCoverage("holder died")
+		sim.countCoverage("holder died")
 		c.endHold()
-		w.after(wait, c.scheduleNextCall)
+		sim.after(wait, c.scheduleNextCall)
 	case renewals > 0:
-		w.after(wait, func() { c.renew(hold, renewals-1) })
+		sim.after(wait, func() { c.renew(hold, renewals-1) })
 	default:
-		w.after(wait, c.release)
+		sim.after(wait, c.release)
 	}
 }
 
-// renew extends the hold. An answer that arrives after the end of the hold has no effect.
+// renew extends the hold. If the call fails, or its answer arrives after the end of the hold, the hold is over for the caller.
 func (c *modelCaller) renew(hold time.Duration, renewals int) {
-	w := c.service.cluster
-	sentAt := w.now
-	body := &wire.LockCall{Holder: c.holder, Fence: c.held.Fence, HoldMs: hold.Milliseconds()}
-	c.call(wire.VerbRenew, c.held.Lock, body, false, func(answer *response.Reply) {
-		if statusOf(answer) == http.StatusOK && w.now < c.held.To {
-			c.held.To = max(c.held.To, sentAt+hold)
+	sim := c.service.cluster
+	sentAt := sim.now
+	body := &wire.LockCall{Holder: c.holder, Fence: c.currentHold.Fence, HoldMs: hold.Milliseconds()}
+	c.call(wire.VerbRenew, c.currentHold.Lock, body, false, func(answer *response.Reply) {
+		if statusOf(answer) == http.StatusOK && sim.now < c.currentHold.To {
+			c.currentHold.To = max(c.currentHold.To, sentAt+hold)
 			c.keepHold(hold, renewals)
 			return
 		}
@@ -175,17 +179,17 @@
 	})
 }
 
-// release releases a lock. The caller is no longer its holder once the call is sent. A call that fails is retried up to two times.
-// In a quarter of the cases the caller continues meanwhile, and may hold the lock again when a retry arrives.
+// release releases a lock. The caller no longer believes to hold it once the call is sent. A call that fails is retried up to two times.
+// In a quarter of the cases the caller acquires the same lock again without waiting for the answer, and may hold it when a retry arrives.
 func (c *modelCaller) release() {
-	w := c.service.cluster
-	name, fence := c.held.Lock, c.held.Fence
+	sim := c.service.cluster
+	name, fence := c.currentHold.Lock, c.currentHold.Fence
 	c.endHold()
 	continueCalls := c.scheduleNextCall
-	if w.random.IntN(4) == 0 {
-		w.countCoverage("caller goes on before its release is answered")
+	if sim.random.IntN(4) == 0 {
+		sim.countCoverage("caller goes on before its release is answered")
 		continueCalls = func() {}
-		w.after(0, func() { c.holdLock(name) })
+		sim.after(0, func() { c.holdLock(name) })
 	}
 	var send func(attempts int)
 	send = func(attempts int) {
@@ -198,16 +202,17 @@
 			continueCalls()
 		})
 	}
-	send(w.random.IntN(3))
+	send(sim.random.IntN(3))
 }
 
+// takeNumber takes the next number of a sequence and records it for the oracles.
 func (c *modelCaller) takeNumber(name string, done func(status int)) {
 	sentAt := c.service.cluster.now
 	c.call(wire.VerbTakeNumber, name, nil, false, func(answer *response.Reply) {
 		if statusOf(answer) == http.StatusOK {
-			var given wire.NumberAnswer
-			c.service.decodeAnswer(answer, &given)
-			c.service.history.Numbers = append(c.service.history.Numbers, coordinationcheck.Number{Name: name, Value: given.Value, SentAt: sentAt,
+			var number wire.NumberAnswer
+			c.service.decodeAnswer(answer, &number)
+			c.service.history.Numbers = append(c.service.history.Numbers, coordinationcheck.Number{Name: name, Value: number.Value, SentAt: sentAt,
 				At: c.service.cluster.now})
 			c.service.cluster.fireTriggers()
 		}
@@ -215,7 +220,8 @@
 	})
 }
 
-// put writes a new value to a cell. It retries until there is a clear answer, at most for resendTime.
+// put writes a new value to a cell. It retries for at most resendTime until there is a clear answer other than 503. After a 503, half of the
+// puts are given up, unless an earlier attempt had no clear answer and may have taken effect.
 func (c *modelCaller) put(name string) {
 	s := c.service
 	s.valueCount++
@@ -225,7 +231,7 @@
 }
 
 func (c *modelCaller) sendPut(put *coordinationcheck.Put) {
-	w := c.service.cluster
+	sim := c.service.cluster
 	c.call(wire.VerbPut, put.Name, &wire.PutCall{Value: put.Value, Expected: put.Expected}, false, func(answer *response.Reply) {
 		status := statusOf(answer)
 		switch {
@@ -233,28 +239,28 @@
 			c.knownRevisions[put.Name] = c.service.recordPut(put, answer)
 		case !isClear(status):
 			put.IsOpen = true
-		case !put.IsOpen && w.random.IntN(2) == 0:
-			w.countCoverage("put given up after a refusal")
+		case !put.IsOpen && sim.random.IntN(2) == 0:
+			sim.countCoverage("put given up after a refusal")
 			put.IsGivenUp = true
 			c.scheduleNextCall()
 			return
 		}
-		if isClear(status) && status != http.StatusServiceUnavailable || w.now-put.SentAt > resendTime {
+		if isClear(status) && status != http.StatusServiceUnavailable || sim.now-put.SentAt > resendTime {
 			c.maybeSendLateCopy(put, status)
 			return
 		}
 		c.via++
-		w.after(resendPause, func() { c.sendPut(put) })
+		sim.after(resendPause, func() { c.sendPut(put) })
 	})
 }
 
-// maybeSendLateCopy sends a copy of a quarter of the successful puts again, as if the network had delayed it.
+// maybeSendLateCopy sends a copy of a quarter of the successful puts, as if the network had delayed it, and schedules the next call.
 func (c *modelCaller) maybeSendLateCopy(put *coordinationcheck.Put, status int) {
-	w := c.service.cluster
-	if status == http.StatusOK && w.random.IntN(4) == 0 {
-		w.countCoverage("put came again")
-		late := &modelCaller{service: c.service, via: w.random.IntN(len(w.slots)), knownRevisions: map[string]uint64{}}
-		w.after(time.Duration(w.random.Int64N(int64(lateCopyTime))), func() {
+	sim := c.service.cluster
+	if status == http.StatusOK && sim.random.IntN(4) == 0 {
+		sim.countCoverage("put came again")
+		late := &modelCaller{service: c.service, via: sim.random.IntN(len(sim.slots)), knownRevisions: map[string]uint64{}}
+		sim.after(time.Duration(sim.random.Int64N(int64(lateCopyTime))), func() {
 			late.call(wire.VerbPut, put.Name, &wire.PutCall{Value: put.Value, Expected: put.Expected}, false, func(answer *response.Reply) {
 				if status := statusOf(answer); status == http.StatusOK || status == http.StatusPreconditionFailed {
 					c.service.recordPut(put, answer)
@@ -265,7 +271,7 @@
 	c.scheduleNextCall()
 }
 
-// recordPut records the clear answer to a put and returns the revision of its cell.
+// recordPut records that a put was applied or rejected, and returns the revision of its cell.
 func (s *coordinationService) recordPut(put *coordinationcheck.Put, answer *response.Reply) uint64 {
 	var at wire.RevisionAnswer
 	s.decodeAnswer(answer, &at)
@@ -277,22 +283,23 @@
 	return at.Revision
 }
 
+// get reads a cell and records its value and revision for the oracles, also those of a cell that does not exist.
 func (c *modelCaller) get(name string, done func(status int)) {
 	s := c.service
 	sentAt := s.cluster.now
 	c.call(wire.VerbGet, name, nil, true, func(answer *response.Reply) {
 		status := statusOf(answer)
-		var held wire.CellAnswer
+		var cell wire.CellAnswer
 		switch status {
 		case http.StatusOK:
-			s.decodeAnswer(answer, &held)
+			s.decodeAnswer(answer, &cell)
 		case http.StatusNotFound:
 		default:
 			done(status)
 			return
 		}
-		c.knownRevisions[name] = held.Revision
-		s.history.Reads = append(s.history.Reads, coordinationcheck.Read{Name: name, Value: held.Value, Revision: held.Revision, SentAt: sentAt,
+		c.knownRevisions[name] = cell.Revision
+		s.history.Reads = append(s.history.Reads, coordinationcheck.Read{Name: name, Value: cell.Value, Revision: cell.Revision, SentAt: sentAt,
 			At: s.cluster.now})
 		done(status)
 	})
@@ -305,29 +312,30 @@
 	}
 }
 
-// modelWatcher watches a group of cells. via is the slot of the machine that it calls.
+// modelWatcher watches a group of cells. via is the slot of the machine through which it makes its calls.
 type modelWatcher struct {
 	service *coordinationService
 	group   string
 	via     int
-	// above is the last revision that it received, at the time givenAt. The next watch continues above it.
+	// above is the last revision that the watcher received, at the time givenAt. The next watch continues above it. After the answer that
+	// this revision is too old, the watch begins again at 0.
 	above   uint64
 	givenAt time.Duration
 }
 
 // watch calls watchOnce repeatedly until the applications stop, sometimes after a sleep of up to twice keptHistoryTime.
 func (m *modelWatcher) watch() {
-	w := m.service.cluster
-	if w.now >= m.service.callersEnd {
+	sim := m.service.cluster
+	if sim.now >= m.service.callersEnd {
 		return
 	}
-	m.via = w.random.IntN(len(w.slots))
-	m.watchOnce(time.Duration(w.random.Int64N(int64(maxWatchWait))), func(int) {
+	m.via = sim.random.IntN(len(sim.slots))
+	m.watchOnce(time.Duration(sim.random.Int64N(int64(maxWatchWait))), func(int) {
 		sleep := resendPause
-		if w.random.IntN(10) == 0 {
-			sleep = time.Duration(w.random.Int64N(int64(2 * keptHistoryTime)))
+		if sim.random.IntN(10) == 0 {
+			sleep = time.Duration(sim.random.Int64N(int64(2 * keptHistoryTime)))
 		}
-		w.after(sleep, m.watch)
+		sim.after(sleep, m.watch)
 	})
 }
 
--- a/internal/simulation/modelcheck/controlmodel/coordinationfaults.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationfaults.go
@@ -49,11 +49,12 @@
 	return f.part(inner)
 }
 
-// openingWithout returns a wrapper that opens a partition without some of its records.
+// openingWithout returns a function that wraps a partition so that it opens without the records for which isLost is true.
 func openingWithout(isLost func(wire.Op) bool) func(serviceMachine) serviceMachine {
 	return func(inner serviceMachine) serviceMachine { return &lossyPart{inner, isLost} }
 }
 
+// lossyPart is a partition that loses some of its records when it opens.
 type lossyPart struct {
 	serviceMachine
 	isLost func(wire.Op) bool
@@ -64,10 +65,10 @@
 	return p.serviceMachine.Open(leadership, slices.DeleteFunc(slices.Clone(pairs), p.isLost))
 }
 
-// repeatForgettingPart does not recognize repeated puts after a change of leader.
+// repeatForgettingPart is a partition that does not recognize repeated puts after a change of leader.
 type repeatForgettingPart struct{ serviceMachine }
 
-// Open replaces the expected revision in the record of each put.
+// Open opens with records of puts and cells whose expected revision is replaced by unknownRevision.
 func (p *repeatForgettingPart) Open(leadership keyLeadership, pairs []wire.Op) error {
 	changed := slices.Clone(pairs)
 	for index, pair := range changed {
@@ -95,32 +96,32 @@
 	return changed
 }
 
-// unfencedReleases puts the holder's newest fencing token into each release.
+// unfencedReleases puts the holder's newest fencing token into each release. newest has these tokens by lock and holder.
 type unfencedReleases struct {
 	serviceMachine
 	newest map[string]uint64
 }
 
 func (p *unfencedReleases) execute(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
-	asked := &wire.LockCall{}
-	if call.Verb != wire.VerbRelease && call.Verb != wire.VerbAcquire || easyjson.Unmarshal(call.Body, asked) != nil {
+	lockCall := &wire.LockCall{}
+	if call.Verb != wire.VerbRelease && call.Verb != wire.VerbAcquire || easyjson.Unmarshal(call.Body, lockCall) != nil {
 		p.serviceMachine.execute(call, answer)
 		return
 	}
-	name := call.ID + " " + asked.Holder
+	name := call.ID + " " + lockCall.Holder
 	if call.Verb == wire.VerbAcquire {
-		p.serviceMachine.execute(call, func(given wire.ClientAnswer) {
+		p.serviceMachine.execute(call, func(acquired wire.ClientAnswer) {
 			var lock wire.LockAnswer
-			if easyjson.Unmarshal(given.Body, &lock) == nil {
+			if easyjson.Unmarshal(acquired.Body, &lock) == nil {
 				p.newest[name] = max(p.newest[name], lock.Fence)
 			}
-			answer(given)
+			answer(acquired)
 		})
 		return
 	}
-	asked.Fence = max(asked.Fence, p.newest[name])
+	lockCall.Fence = max(lockCall.Fence, p.newest[name])
 	changed := *call
-	if text, err := easyjson.Marshal(asked); err == nil {
+	if text, err := easyjson.Marshal(lockCall); err == nil {
 		changed.Body = text
 	}
 	p.serviceMachine.execute(&changed, answer)
--- a/internal/simulation/modelcheck/controlmodel/disk.go
+++ b/internal/simulation/modelcheck/controlmodel/disk.go
@@ -14,10 +14,12 @@
 )
 
 const (
-	minSyncTime   = 2 * time.Millisecond
-	maxSyncTime   = 12 * time.Millisecond
+	minSyncTime = 2 * time.Millisecond
+	maxSyncTime = 12 * time.Millisecond
+	// slowSyncDelay is the additional time of each sync of a slow disk.
 	slowSyncDelay = 150 * time.Millisecond
-	maxPerSync    = 64
+	// maxPerSync is the maximum number of writes in a transaction.
+	maxPerSync = 64
 )
 
 var errFull = errors.New("no space left on the disk")
@@ -27,7 +29,8 @@
 	done  func(storage.Outcome)
 }
 
-// disk is the disk of a machine. Synced writes survive a crash; those being synced survive or get lost as the seed decides.
+// disk is the disk of a machine. Synced writes survive the end of the process. The writes of a transaction that is being synced at that time
+// survive or get lost, as the seed decides.
 type disk struct {
 	cluster *simCluster
 	// number counts the disks of a run from 1. name contains it.
@@ -38,18 +41,20 @@
 	isStalled bool
 	isSlow    bool
 	isFull    bool
-	// isFileSafe reports whether the file and its folders have been synced. The real store syncs them before it answers.
-	isFileSafe  bool
-	waiting     []pendingWrite
-	syncing     []pendingWrite
+	// isFileSafe is set if the replica file and its folders have been synced. The real store syncs them before it answers.
+	isFileSafe bool
+	// waiting are the writes of later transactions. syncing are those of the current one.
+	waiting []pendingWrite
+	syncing []pendingWrite
+	// incarnation counts the processes that have ended on this disk.
 	incarnation int
 	// afterTransaction is called after the outcomes of a transaction were delivered, so that the process handles them.
 	afterTransaction func()
 }
 
-func (w *simCluster) newDisk() *disk {
-	w.diskCount++
-	return &disk{cluster: w, number: w.diskCount, name: fmt.Sprintf("disk-%d", w.diskCount), model: simcluster.NewDiskModel(), isNew: true, isFileSafe: !w.fault.isFileUnsafe}
+func (sim *simCluster) newDisk() *disk {
+	sim.diskCount++
+	return &disk{cluster: sim, number: sim.diskCount, name: fmt.Sprintf("disk-%d", sim.diskCount), model: simcluster.NewDiskModel(), isNew: true, isFileSafe: !sim.fault.isFileUnsafe}
 }
 
 // Disk returns the name that the disk got when it was empty.
@@ -66,7 +71,7 @@
 // Read returns the synced state of a key.
 func (d *disk) Read(key string) (wire.Snapshot, error) { return d.model.Read(key) }
 
-// Submit queues a write. done receives its outcome once it was synced.
+// Submit queues a write. done receives the outcome once the write is synced, or has failed because the disk is full.
 func (d *disk) Submit(write storage.Write, done func(storage.Outcome)) {
 	d.waiting = append(d.waiting, pendingWrite{write, done})
 	d.sync()
@@ -91,7 +96,7 @@
 	d.cluster.after(d.syncTime(), func() { d.endSync(incarnation) })
 }
 
-// endSync commits the batch that was being synced and starts the next one. A stalled disk tries again after 20 ms.
+// endSync commits the current transaction and starts the next one. A stalled disk tries again after 20 ms.
 func (d *disk) endSync(incarnation int) {
 	if d.incarnation != incarnation {
 		return
@@ -116,7 +121,7 @@
 	return d.model.Apply(write)
 }
 
-// stop drops the pending writes of a process that ended. The transaction being synced is committed as a whole or not at all.
+// stop drops the pending writes of a process that ended. The transaction that is being synced is committed as a whole or not at all.
 func (d *disk) stop(random *rand.Rand) {
 	d.incarnation++
 	if len(d.syncing) > 0 && !d.isFull && random.IntN(2) == 0 {
--- a/internal/simulation/modelcheck/controlmodel/draw.go
+++ b/internal/simulation/modelcheck/controlmodel/draw.go
@@ -13,8 +13,8 @@
 	catchUpMs = 4000
 	// voterGrowthMs is the time that the voters need to grow from three to five.
 	voterGrowthMs = 4000
-	// A short schedule has one or two faults. A long one has up to maxExtraMs more, which is room for several faults with time to
-	// catch up between them.
+	// A short schedule ends at most 500 + maxShortMs milliseconds after faults may begin. Two of five schedules are longer by up to
+	// maxExtraMs, so that replicas can catch up between several faults.
 	maxShortMs = 2500
 	maxExtraMs = 10000
 )
@@ -29,10 +29,12 @@
 	lossIntervals []lossInterval
 	nodes         int
 	losses        int
-	endMs         int
+	// endMs is when callers stop making calls. Faults begin until about the same time.
+	endMs int
 }
 
-// Draw returns the schedule of a seed, for a system that must tolerate so many lost disks at the same time.
+// Draw returns the schedule of a seed, for a system that must tolerate losing this number of disks at the same time. Only the model
+// "control" has large schedules.
 func (m model) Draw(seed uint64, losses int, size modelcheck.Size) modelcheck.Schedule {
 	d := &drawing{random: rand.New(rand.NewPCG(seed, 3)), losses: losses}
 	if size == modelcheck.SizeLarge && m.name == Name {
@@ -59,7 +61,8 @@
 
 func (d *drawing) add(step modelcheck.Step) { d.steps = append(d.steps, step) }
 
-// canTolerate reports whether count more machines may be lost during an interval.
+// canTolerate reports whether count more machines may be lost during an interval. All losses that overlap the interval count as if they
+// were at the same time.
 func (d *drawing) canTolerate(loss lossInterval, count int) bool {
 	for _, other := range d.lossIntervals {
 		if other.from < loss.to && loss.from < other.to {
@@ -69,7 +72,7 @@
 	return count <= d.losses
 }
 
-// firstFaultMs returns when faults may begin. The first three voters tolerate one loss; for two, the voters must grow first.
+// firstFaultMs returns when faults may begin. The initial three voters tolerate one loss. To tolerate two, they must grow to five first.
 func (d *drawing) firstFaultMs() int {
 	if d.losses > 1 {
 		return voterGrowthMs
@@ -77,7 +80,7 @@
 	return 1500
 }
 
-// addFaults draws one to five times at which faults occur, some far enough apart for replicas to catch up between them.
+// addFaults draws up to five times at which faults occur, until endMs. Some are far enough apart for replicas to catch up between them.
 func (d *drawing) addFaults() {
 	count := 1 + d.random.IntN(5)
 	at := d.firstFaultMs() + d.random.IntN(1000)
@@ -97,8 +100,8 @@
 var machineFaults = []string{stepKill, stepPower, stepWipe, stepFreeze, stepSlow, stepStall, stepSlowDisk, stepFullDisk, stepCut, stepCut, stepCutOut,
 	stepCutIn, stepReplace, stepReplaceLost, stepRestart, stepPowerOnAck}
 
-// addFault draws the faults of one moment: a network fault, a clock jump, a power loss of all machines, an added machine, and losses of
-// single machines.
+// addFault draws faults around one moment: at most one network fault, clock jump, failure of all machines or added machine, and then one
+// or more faults of single machines.
 func (d *drawing) addFault(at int) {
 	switch d.random.IntN(10) {
 	case 0, 5:
@@ -120,7 +123,8 @@
 	}
 }
 
-// addRestartDuringMessageLoss adds a heavy message loss during which a machine is killed and restarts within the time of a lease.
+// addRestartDuringMessageLoss adds heavy message loss and, soon after its start, a kill of a machine that restarts within the time of a
+// lease. The kill is left out if too many machines would then be lost at the same time.
 func (d *drawing) addRestartDuringMessageLoss(at int) {
 	d.add(modelcheck.Step{AtMs: at, Kind: stepNetwork, Peer: 1, ForMs: 1000 + d.random.IntN(1500), Value: d.random.IntN(300)})
 	step := modelcheck.Step{AtMs: at + 300 + d.random.IntN(900), Kind: stepKill, Node: d.random.IntN(d.nodes), ForMs: 5 + d.random.IntN(60)}
@@ -130,6 +134,7 @@
 	}
 }
 
+// drawNode draws the machine of a fault: in a third of the draws the leader, else a slot.
 func (d *drawing) drawNode() int {
 	if d.random.IntN(3) == 0 {
 		return leaderIndex
@@ -137,7 +142,8 @@
 	return d.random.IntN(d.nodes)
 }
 
-// addMachineFault adds a fault of one machine, unless more machines would then be lost at the same time than the system must tolerate.
+// addMachineFault adds a fault of one machine, unless more machines would then be lost at the same time than the system must tolerate. In a
+// third of the draws, stepPowerOnAck becomes a failure of all machines.
 func (d *drawing) addMachineFault(at int, kind string) {
 	step := modelcheck.Step{AtMs: at, Kind: kind, Node: d.drawNode(), ForMs: d.faultLengthMs(), Value: 20 + d.random.IntN(800)}
 	if kind == stepKill && d.random.IntN(2) == 0 {
@@ -151,7 +157,8 @@
 		step.Node = d.random.IntN(d.nodes)
 		if kind == stepReplace {
 			step.ForMs = catchUpMs + d.random.IntN(1000)
-			// A removed machine no longer counts as lost once its successor has had time to catch up.
+			// The successor starts at once and has had time to catch up when the old machine is removed, so that no disk counts as lost
+			// any more.
 			loss.to = at + step.ForMs
 		}
 	case stepPowerOnAck:
@@ -181,7 +188,8 @@
 	return 50 + d.random.IntN(1450)
 }
 
-// addFailureOfAll takes all machines down at once. In half of the draws losses disks are lost with them, if no machine counts as lost then.
+// addFailureOfAll adds a failure of all machines at once, unless a machine counts as lost at that time. In half of the draws, as many disks
+// are lost with it as the system must tolerate.
 func (d *drawing) addFailureOfAll(at int) {
 	step := modelcheck.Step{AtMs: at, Kind: stepPowerAll, Node: d.random.IntN(d.nodes), Peer: 1, ForMs: 250 + d.random.IntN(1500)}
 	switch d.random.IntN(4) {
@@ -206,7 +214,8 @@
 	d.add(step)
 }
 
-// addOperatorCalls draws the calls of operators: changes, reads, races, repeated changes, bursts and storms.
+// addOperatorCalls draws the calls of operators: changes, reads, races, repeated changes, bursts and storms. In one of six schedules the
+// changes also write large pairs.
 func (d *drawing) addOperatorCalls() {
 	d.add(modelcheck.Step{AtMs: 700, Kind: stepOrder, Node: 0})
 	pause := 60 + d.random.IntN(500)
--- a/internal/simulation/modelcheck/controlmodel/drawlarge.go
+++ b/internal/simulation/modelcheck/controlmodel/drawlarge.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// Large schedules last between these times after the voters have grown.
+	// A large schedule lasts from minLargeMs to maxLargeMs after the voters have grown.
 	minLargeMs, maxLargeMs = 3000, 20000
-	// fillMs is how long the storm of changes lasts that fills the large pairs at the beginning.
+	// fillMs is the length of the storm of changes at the beginning, which writes the large pairs.
 	fillMs = 1500
-	// maxGapMs is the longest time from when no disk counts as lost any more until the next loss of the series.
+	// maxGapMs is the longest time between two consecutive losses, from when no disk counts as lost any more.
 	maxGapMs = 400
-	// maxConsecutiveLosses is how many times in a row disks are lost at most.
+	// maxConsecutiveLosses is the maximum number of times that disks are lost in a row.
 	maxConsecutiveLosses = 4
 )
 
@@ -22,7 +22,7 @@
 	stepReplaceLost, stepRestart, stepPowerOnAck}
 
 // drawLarge draws a schedule with 2*losses+1 machines, so that each disk is a voter and there is no spare. The state has several MB,
-// and disks are lost as soon as those lost before count as back.
+// and the next disks are lost soon after the previous ones no longer count as lost.
 func (d *drawing) drawLarge(seed uint64) modelcheck.Schedule {
 	d.nodes = 2*d.losses + 1
 	d.endMs = voterGrowthMs + minLargeMs + d.random.IntN(maxLargeMs-minLargeMs)
@@ -39,7 +39,8 @@
 	return modelcheck.Schedule{Model: Name, Seed: seed, Losses: d.losses, Nodes: d.nodes, Size: modelcheck.SizeLarge, Steps: d.steps}
 }
 
-// addConsecutiveLosses adds several losses of disks, each as soon as the disks lost before count as back, some with all machines down.
+// addConsecutiveLosses adds several losses of disks, each soon after the previous disks no longer count as lost. Some come with a failure of
+// all machines.
 func (d *drawing) addConsecutiveLosses() {
 	at := voterGrowthMs + d.random.IntN(2000)
 	for range 1 + d.random.IntN(maxConsecutiveLosses) {
@@ -58,6 +59,7 @@
 	}
 }
 
+// addWipe adds the loss of one disk, unless too many machines would then be lost at the same time.
 func (d *drawing) addWipe(at, length int) {
 	loss := lossInterval{at, at + length + catchUpMs}
 	if d.canTolerate(loss, 1) {
@@ -66,6 +68,7 @@
 	}
 }
 
+// lastLostUntil returns when no machine counts as lost any more, at the earliest voterGrowthMs.
 func (d *drawing) lastLostUntil() int {
 	last := voterGrowthMs
 	for _, loss := range d.lossIntervals {
--- a/internal/simulation/modelcheck/controlmodel/endofday.go
+++ b/internal/simulation/modelcheck/controlmodel/endofday.go
@@ -10,28 +10,30 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// stepEndOfDay cuts the power of all machines at once, and Value of them lose their disks. Peer says how disks and moment are chosen.
+// stepEndOfDay cuts the power of all machines at once, at the end of a schedule. Value of them lose their disks. Peer is one of
+// lossAfterAck, lossTimed and lossOldest.
 const stepEndOfDay = "end-of-day"
 
 // The values of Peer: how the lost disks and the moment of the power loss are chosen.
 const (
-	// lossAfterAck loses the leader's disk and randomly chosen others, within maxAfterAckMs of an acknowledgement.
+	// lossAfterAck loses the leader's disk and randomly chosen others, within maxAfterAckMs of the next acknowledgement.
 	lossAfterAck = iota
-	// lossTimed loses randomly chosen disks, some time after a change was sent, whether it was acknowledged or not.
+	// lossTimed loses randomly chosen disks after a random delay, whether the last change was acknowledged or not.
 	lossTimed
-	// lossOldest loses the oldest disks, within maxAfterAckMs of an acknowledgement.
+	// lossOldest loses the oldest disks, within maxAfterAckMs of the next acknowledgement.
 	lossOldest
+	// lossWayCount is the number of these values.
 	lossWayCount
 )
 
 const (
 	endOfDayStream = 59
-	// endsOfDayPerTen of ten schedules end with such a power loss.
+	// endsOfDayPerTen of ten schedules end with stepEndOfDay.
 	endsOfDayPerTen = 3
 	// finalTrafficMs is how long operators send changes up to the step, one every meanFinalPauseMs on average.
 	finalTrafficMs   = 600
 	meanFinalPauseMs = 60
-	// With lossTimed the power loss follows the step after minLossDelayMs to maxLossDelayMs.
+	// With lossTimed the power is lost between minLossDelayMs and maxLossDelayMs after the step.
 	minLossDelayMs = 5
 	maxLossDelayMs = 400
 )
@@ -51,44 +53,45 @@
 		ForMs: 250 + random.IntN(1500)})
 }
 
-// scheduleEndOfDay schedules the power loss: within maxAfterAckMs of the next acknowledgement, or with lossTimed after a delay.
-func (w *simCluster) scheduleEndOfDay(step modelcheck.Step) {
+// scheduleEndOfDay schedules the power loss: with lossTimed after a random delay, else within maxAfterAckMs of the next acknowledgement, if
+// that comes in time.
+func (sim *simCluster) scheduleEndOfDay(step modelcheck.Step) {
 	if step.Peer == lossTimed {
-		wait := minLossDelayMs + w.random.IntN(maxLossDelayMs-minLossDelayMs)
-		w.after(clock.Milliseconds(int64(wait)), func() { w.losePowerOfAll(step) })
+		wait := minLossDelayMs + sim.random.IntN(maxLossDelayMs-minLossDelayMs)
+		sim.after(clock.Milliseconds(int64(wait)), func() { sim.losePowerOfAll(step) })
 		return
 	}
-	w.triggers = append(w.triggers, powerTrigger{step, w.now + triggerDuration})
+	sim.triggers = append(sim.triggers, powerTrigger{step, sim.now + triggerDuration})
 }
 
 // losePowerOfAll cuts the power of all machines, wipes the chosen disks, and schedules the restarts.
-func (w *simCluster) losePowerOfAll(step modelcheck.Step) {
-	lost := w.disksToLose(step)
-	w.countCoverage("end of the day")
-	for index, node := range w.slots {
+func (sim *simCluster) losePowerOfAll(step modelcheck.Step) {
+	lost := sim.disksToLose(step)
+	sim.countCoverage("end of the day")
+	for index, node := range sim.slots {
 		node.losePower()
 		if slices.Contains(lost, index) {
 			node.wipe()
 		}
-		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.random.IntN(200))*time.Millisecond, node.start)
+		sim.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(sim.random.IntN(200))*time.Millisecond, node.start)
 	}
 }
 
-// disksToLose returns the slots of the machines that lose their disks.
-func (w *simCluster) disksToLose(step modelcheck.Step) []int {
-	order := w.random.Perm(len(w.slots))
+// disksToLose returns the slots of the Value machines that lose their disks.
+func (sim *simCluster) disksToLose(step modelcheck.Step) []int {
+	order := sim.random.Perm(len(sim.slots))
 	switch step.Peer {
 	case lossAfterAck:
-		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.leaderRank(a), w.leaderRank(b)) })
+		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(sim.leaderRank(a), sim.leaderRank(b)) })
 	case lossOldest:
-		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(w.slots[a].disk.number, w.slots[b].disk.number) })
+		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(sim.slots[a].disk.number, sim.slots[b].disk.number) })
 	}
 	return order[:min(step.Value, len(order))]
 }
 
-// leaderRank returns 0 for the slot of the leader, 1 for all others.
-func (w *simCluster) leaderRank(position int) int {
-	if w.slots[position] == w.leader() {
+// leaderRank returns 0 for the slot of the leader and 1 for all others, so that the leader is sorted first.
+func (sim *simCluster) leaderRank(position int) int {
+	if sim.slots[position] == sim.leader() {
 		return 0
 	}
 	return 1
--- a/internal/simulation/modelcheck/controlmodel/faultlist.go
+++ b/internal/simulation/modelcheck/controlmodel/faultlist.go
@@ -110,13 +110,14 @@
 	d.disk.Submit(write, done)
 }
 
-// oldSnapshotDisk installs the pairs of the previous snapshot.
+// oldSnapshotDisk installs the pairs of the previous snapshot in place of those of a new one.
 type oldSnapshotDisk struct {
 	*disk
 	previous *wire.Snapshot
 }
 
-// Submit replaces the pairs of a snapshot by those of the previous one, and keeps its log position.
+// Submit replaces the pairs of a snapshot by those of the previous one, and keeps its log position. The first snapshot gets the pairs that
+// are on the disk, if there are any.
 func (d *oldSnapshotDisk) Submit(write storage.Write, done func(storage.Outcome)) {
 	if write.Snapshot != nil {
 		newest := write.Snapshot
@@ -160,7 +161,7 @@
 	}
 }
 
-// newVotersLinks acknowledges changes on behalf of the old voters while the voters change.
+// newVotersLinks acknowledges changes on behalf of the old voters, except for the leader's own disk, while the voters change.
 type newVotersLinks struct {
 	*links
 	set wire.VoterSet
@@ -169,9 +170,9 @@
 // Append acknowledges changes on behalf of an old voter without sending them.
 func (l *newVotersLinks) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	l.set = l.node.engine.Belief().Voters
-	isLeaving := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
+	isOldVoter := len(l.set.Old) > 0 && slices.Contains(l.set.Old, disk)
 	count := len(call.Changes)
-	if !isLeaving || count == 0 || call.Snapshot != nil || disk == l.node.disk.name {
+	if !isOldVoter || count == 0 || call.Snapshot != nil || disk == l.node.disk.name {
 		l.links.Append(disk, call, done)
 		return
 	}
@@ -197,6 +198,7 @@
 // unfinishedLearnerLinks reports that a learner that has only some chunks of a snapshot has caught up.
 type unfinishedLearnerLinks struct {
 	*links
+	// unfinished has the disks that lacked a part of the snapshot when they answered a chunk.
 	unfinished map[string]bool
 }
 
@@ -215,6 +217,7 @@
 // mixedChunkLinks replaces the pairs of a snapshot's chunk by those of an earlier snapshot's chunk.
 type mixedChunkLinks struct {
 	*links
+	// firstPairs are the pairs that were first sent under each chunk number.
 	firstPairs map[int][]wire.Op
 }
 
@@ -241,8 +244,8 @@
 type earlyCommitLeadership struct{ keyLeadership }
 
 // Commit reports success before the change is committed.
-func (t earlyCommitLeadership) Commit(ops []wire.Op, done func(error)) {
-	t.keyLeadership.Commit(ops, func(error) {})
+func (l earlyCommitLeadership) Commit(ops []wire.Op, done func(error)) {
+	l.keyLeadership.Commit(ops, func(error) {})
 	done(nil)
 }
 
@@ -265,6 +268,7 @@
 	return m.StateMachine.Open(leadership, slices.DeleteFunc(slices.Clone(pairs), isRecord))
 }
 
+// confirmSameNumber confirms a refused change whose version is the highest confirmed one.
 func confirmSameNumber(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	plan, err := configuration.Read(call.Body)
 	if call.Verb == verbReplace && answer.Status == http.StatusPreconditionFailed && err == nil && plan.Version == n.cluster.oracleState.highestConfirmed {
@@ -273,6 +277,7 @@
 	return answer
 }
 
+// refuseCommitted refuses one of 50 confirmed changes.
 func refuseCommitted(n *simNode, call *wire.ClientCall, answer wire.ClientAnswer) wire.ClientAnswer {
 	if call.Verb == verbReplace && answer.Status == http.StatusOK && n.cluster.random.IntN(50) == 0 {
 		return wire.ClientAnswer{Status: http.StatusPreconditionFailed, Reason: "injected"}
--- a/internal/simulation/modelcheck/controlmodel/faultylinks.go
+++ b/internal/simulation/modelcheck/controlmodel/faultylinks.go
@@ -4,7 +4,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// isCutOff reports whether messages to the machine of a disk are stopped by a cut.
+// isCutOff reports whether a cut stops the messages from this machine to the machine of a disk.
 func (l *links) isCutOff(disk string) bool {
 	to := l.node.nodeByDisk(disk)
 	return to != nil && !l.node.cluster.isOpen(l.node, to)
@@ -35,10 +35,10 @@
 	l.node.post(func() { done(wire.AppendAnswer{Taken: true, Promised: call.Epoch, Last: last, Disk: disk}, nil) })
 }
 
-// unanimousLinks drops the promises of other disks while any machine is cut off.
+// unanimousLinks drops the promises of other disks while this machine is cut off from any other.
 type unanimousLinks struct{ *links }
 
-// Promise fails without an answer while any machine is cut off.
+// Promise drops the answer of another disk if, when it arrives, a cut stops the messages to any machine.
 func (l *unanimousLinks) Promise(disk string, call wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
 	if disk == l.node.disk.name {
 		l.links.Promise(disk, call, done)
@@ -54,7 +54,7 @@
 	})
 }
 
-// earlyFollowerLinks acknowledges changes to one other voter at once, and still sends them.
+// earlyFollowerLinks acknowledges changes on behalf of one other voter at once, and still sends them.
 type earlyFollowerLinks struct{ *links }
 
 // Append acknowledges changes on behalf of the first other voter before that has them.
--- a/internal/simulation/modelcheck/controlmodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/controlmodel/injectedfaults.go
@@ -10,16 +10,16 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// injectedFault is a fault that is put into the model by wrapping the dependencies of the real code. A nil function wraps nothing.
+// injectedFault is a fault that is put into the model, mostly by wrapping the dependencies of the real code. A nil function wraps nothing.
 type injectedFault struct {
 	about string
 	// keepsDiskName gives an empty disk the name of the disk that it replaces.
 	keepsDiskName bool
 	// isFileUnsafe lets a power loss wipe a disk.
 	isFileUnsafe bool
-	// leavesAtOnce shuts a machine down without removing it from the voters first.
+	// leavesAtOnce shuts a machine down without replacing its voter first.
 	leavesAtOnce bool
-	// lease is the lease that replicas grant. 0 means the engines' default.
+	// lease is the length of the lease that replicas grant. 0 means the default of the engines, which leaders always use.
 	lease      time.Duration
 	disk       func(n *simNode, inner *disk) replication.Disk
 	links      func(n *simNode, inner *links) replication.Transport
@@ -59,6 +59,7 @@
 	return f.leadership(n, inner)
 }
 
+// replicaLease returns the length of the lease that replicas grant.
 func (f injectedFault) replicaLease() time.Duration {
 	if f.lease > 0 {
 		return f.lease
@@ -74,6 +75,7 @@
 	return injectedFaults
 }
 
+// listFaults returns the names and descriptions of the faults that can be injected into a model, sorted by name.
 func listFaults(model string) []modelcheck.InjectedFault {
 	var all []modelcheck.InjectedFault
 	faults := faultsOf(model)
--- a/internal/simulation/modelcheck/controlmodel/leader.go
+++ b/internal/simulation/modelcheck/controlmodel/leader.go
@@ -14,13 +14,13 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// The names of the configuration leader's pairs.
+// The names of the configuration leader's pairs. confirmedPrefix is the prefix of the records of confirmed changes.
 const (
 	recordConfiguration = "fact"
 	confirmedPrefix     = "confirmed/"
 )
 
-// configurationService is the configuration, with the operators who change and read it.
+// configurationService is the service of the model "control": the configuration, and the operators who change and read it.
 type configurationService struct{ cluster *simCluster }
 
 func (s *configurationService) key() string { return configleader.Key }
@@ -42,7 +42,7 @@
 
 func (s *configurationService) checkHistory() { s.cluster.checkHistory() }
 
-// configurationMachine is the configuration leader of a machine. It calls the oracles when it opens.
+// configurationMachine is the configuration leader of a machine. When it opens, it has the oracles check the pairs.
 type configurationMachine struct {
 	*configleader.Leader
 	node *simNode
@@ -74,12 +74,13 @@
 	}
 }
 
-// announceLeader sends a new leader to the other machines, as the membership does. It arrives within 200 ms.
-func (w *simCluster) announceLeader(leader *simNode, epoch uint64) {
-	for _, other := range w.nodes {
-		w.after(time.Duration(w.random.IntN(200))*time.Millisecond, func() {
-			if other.isUp && w.isOpen(leader, other) && epoch > other.hint.epoch {
-				other.hint = leaderHint{epoch, leader, w.now}
+// announceLeader tells all machines within 200 ms of a new leader, as the membership does. Machines that are down or cut off from the
+// leader at that time miss it.
+func (sim *simCluster) announceLeader(leader *simNode, epoch uint64) {
+	for _, other := range sim.nodes {
+		sim.after(time.Duration(sim.random.IntN(200))*time.Millisecond, func() {
+			if other.isUp && sim.isOpen(leader, other) && epoch > other.hint.epoch {
+				other.hint = leaderHint{epoch, leader, sim.now}
 			}
 		})
 	}
@@ -95,9 +96,9 @@
 	}
 }
 
-// leader returns the first running machine that holds a lease, or nil.
-func (w *simCluster) leader() *simNode {
-	for _, node := range w.nodes {
+// leader returns the first machine that holds a lease and whose process is neither down nor frozen, or nil.
+func (sim *simCluster) leader() *simNode {
+	for _, node := range sim.nodes {
 		if node.isUp && !node.isFrozen && node.leadership != nil && node.leadership.HasLease() {
 			return node
 		}
--- a/internal/simulation/modelcheck/controlmodel/leaderloss_test.go
+++ b/internal/simulation/modelcheck/controlmodel/leaderloss_test.go
@@ -11,7 +11,8 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// This measures how long a partition has no leader with a lease after its leader is lost. docs/design/coordination.md has the figures.
+// These specs measure how long a partition has no other leader with a lease after its leader is lost. docs/design/coordination.md has the
+// figures.
 var _ = Describe("the time from the loss of a partition's leader to the next leader", func() {
 	const (
 		losses        = 100
@@ -21,22 +22,23 @@
 		checkInterval = 5 * time.Millisecond
 		maxMedian     = 1500 * time.Millisecond
 	)
-	// timesWithoutLeader applies a kind of step to the leaders of many clusters and returns the sorted times until another machine leads.
+	// timesWithoutLeader applies a step to the leader of each of many clusters. It returns the times until another machine leads, at most
+	// about maxWait, in ascending order.
 	timesWithoutLeader := func(kind string) []time.Duration {
 		var times []time.Duration
 		for seed := range uint64(losses) {
-			w := newSimCluster(modelcheck.Schedule{Model: CoordinationName, Seed: seed, Losses: 1, Nodes: 5, Steps: []modelcheck.Step{
+			sim := newSimCluster(modelcheck.Schedule{Model: CoordinationName, Seed: seed, Losses: 1, Nodes: 5, Steps: []modelcheck.Step{
 				{AtMs: 700, Kind: stepCallers, Node: minCallers, ForMs: 8000, Value: minPauseMs}}})
-			w.after(700*time.Millisecond, func() { w.applyStep(w.schedule.Steps[0]) })
-			w.runUntil(lostAtMs*time.Millisecond + time.Duration(seed)*time.Millisecond)
-			former := w.leader()
+			sim.after(700*time.Millisecond, func() { sim.applyStep(sim.schedule.Steps[0]) })
+			sim.runUntil(lostAtMs*time.Millisecond + time.Duration(seed)*time.Millisecond)
+			former := sim.leader()
 			Expect(former).NotTo(BeNil())
-			w.applyStep(modelcheck.Step{Kind: kind, Node: leaderIndex, ForMs: lossLengthMs})
-			lostAt := w.now
-			for w.now-lostAt < maxWait && (w.leader() == nil || w.leader() == former) {
-				Expect(w.runUntil(w.now + checkInterval)).To(BeTrue())
+			sim.applyStep(modelcheck.Step{Kind: kind, Node: leaderIndex, ForMs: lossLengthMs})
+			lostAt := sim.now
+			for sim.now-lostAt < maxWait && (sim.leader() == nil || sim.leader() == former) {
+				Expect(sim.runUntil(sim.now + checkInterval)).To(BeTrue())
 			}
-			times = append(times, w.now-lostAt)
+			times = append(times, sim.now-lostAt)
 		}
 		slices.Sort(times)
 		return times
--- a/internal/simulation/modelcheck/controlmodel/model.go
+++ b/internal/simulation/modelcheck/controlmodel/model.go
@@ -41,7 +41,7 @@
 
 // Trace runs a schedule as Run does and writes each event to a writer.
 func (model) Trace(schedule modelcheck.Schedule, to io.Writer) modelcheck.Outcome {
-	w := newSimCluster(schedule)
-	w.trace = to
-	return w.play()
+	sim := newSimCluster(schedule)
+	sim.trace = to
+	return sim.play()
 }
--- a/internal/simulation/modelcheck/controlmodel/network.go
+++ b/internal/simulation/modelcheck/controlmodel/network.go
@@ -13,13 +13,15 @@
 const (
 	promiseTimeout = 500 * time.Millisecond
 	appendTimeout  = 1500 * time.Millisecond
-	// stalledConnectionTimeout is how long the daemon keeps a connection whose other side acknowledges nothing. It is shorter than the
-	// daemon's timeouts of calls with chunks and snapshots.
+	// stalledConnectionTimeout is how long the daemon keeps a connection whose other side acknowledges nothing. Calls with chunks and
+	// snapshots fail after it, since the daemon's timeouts of these calls are longer.
 	stalledConnectionTimeout = 2 * time.Second
 
+	// A message that no fault delays arrives after minTransitTime to maxTransitTime.
 	minTransitTime = 300 * time.Microsecond
 	maxTransitTime = 4 * time.Millisecond
 
+	// In a large system, a chunk of a snapshot takes another minChunkTime to maxChunkTime.
 	minChunkTime = 10 * time.Millisecond
 	maxChunkTime = 80 * time.Millisecond
 )
@@ -30,13 +32,15 @@
 	errUnknown  = errors.New("no peer is known with that disk")
 )
 
-// pair is one direction between two machines, by node index.
-type pair struct{ from, to int }
+// direction is one direction of the link between two machines, by node index.
+type direction struct{ from, to int }
 
 type cutKind int
 
 const (
+	// cutSilent loses messages or delays them until the end of the cut.
 	cutSilent cutKind = iota + 1
+	// cutRefused refuses connections.
 	cutRefused
 )
 
@@ -46,86 +50,90 @@
 	until time.Duration
 }
 
-// networkFault loses, doubles and delays messages between all machines. lost, doubled and delayed are shares in thousandths, longest is the
-// longest delay.
+// networkFault loses, doubles and delays messages between all machines. lost, doubled and delayed are shares in thousandths. maxDelay is the
+// longest additional delay of delayed messages and of second copies.
 type networkFault struct {
-	until   time.Duration
-	lost    int
-	doubled int
-	delayed int
-	longest time.Duration
+	until    time.Duration
+	lost     int
+	doubled  int
+	delayed  int
+	maxDelay time.Duration
 }
 
-func (w *simCluster) isOpen(from, to *simNode) bool {
-	return from == to || w.cuts[pair{from.index, to.index}].until <= w.now
+// isOpen reports whether no cut stops the messages from one machine to another.
+func (sim *simCluster) isOpen(from, to *simNode) bool {
+	return from == to || sim.cuts[direction{from.index, to.index}].until <= sim.now
 }
 
-func (w *simCluster) transit() time.Duration {
-	return minTransitTime + time.Duration(w.random.Int64N(int64(maxTransitTime-minTransitTime)))
+// transit draws how long a message takes that no fault delays.
+func (sim *simCluster) transit() time.Duration {
+	return minTransitTime + time.Duration(sim.random.Int64N(int64(maxTransitTime-minTransitTime)))
 }
 
 // deliver sends a message from one machine to another. A fault may lose, double, delay or refuse it. refused may be nil.
-func (w *simCluster) deliver(from, to *simNode, arrive func(), refused func()) {
+func (sim *simCluster) deliver(from, to *simNode, arrive func(), refused func()) {
 	if from == to {
-		w.after(0, arrive)
+		sim.after(0, arrive)
 		return
 	}
-	if activeCut := w.cuts[pair{from.index, to.index}]; activeCut.until > w.now {
-		w.deliverThroughCut(activeCut, arrive, refused)
+	if activeCut := sim.cuts[direction{from.index, to.index}]; activeCut.until > sim.now {
+		sim.deliverThroughCut(activeCut, arrive, refused)
 		return
 	}
-	wait := w.transit()
-	if w.networkFault.until > w.now {
-		roll := w.random.IntN(1000)
+	wait := sim.transit()
+	if sim.networkFault.until > sim.now {
+		roll := sim.random.IntN(1000)
 		switch {
-		case roll < w.networkFault.lost:
-			w.countCoverage("message lost")
+		case roll < sim.networkFault.lost:
+			sim.countCoverage("message lost")
 			return
-		case roll < w.networkFault.lost+w.networkFault.doubled:
-			w.countCoverage("message doubled")
-			w.after(wait+time.Duration(w.random.Int64N(int64(w.networkFault.longest))), arrive)
-		case roll < w.networkFault.lost+w.networkFault.doubled+w.networkFault.delayed:
-			w.countCoverage("message delayed")
-			wait += time.Duration(w.random.Int64N(int64(w.networkFault.longest)))
+		case roll < sim.networkFault.lost+sim.networkFault.doubled:
+			sim.countCoverage("message doubled")
+			sim.after(wait+time.Duration(sim.random.Int64N(int64(sim.networkFault.maxDelay))), arrive)
+		case roll < sim.networkFault.lost+sim.networkFault.doubled+sim.networkFault.delayed:
+			sim.countCoverage("message delayed")
+			wait += time.Duration(sim.random.Int64N(int64(sim.networkFault.maxDelay)))
 		}
 	}
-	w.after(wait, arrive)
+	sim.after(wait, arrive)
 }
 
-// deliverThroughCut refuses or loses a message. A quarter of the messages that aren't refused arrive after the cut, as retransmissions.
-func (w *simCluster) deliverThroughCut(activeCut cut, arrive func(), refused func()) {
+// deliverThroughCut refuses a message, loses it, or delivers it after the cut. A quarter of the messages that aren't refused arrive then, as
+// retransmissions.
+func (sim *simCluster) deliverThroughCut(activeCut cut, arrive func(), refused func()) {
 	if activeCut.kind == cutRefused {
 		if refused != nil {
-			w.after(w.transit(), refused)
+			sim.after(sim.transit(), refused)
 		}
 		return
 	}
-	if w.random.IntN(4) == 0 {
-		w.countCoverage("message held by a cut")
-		w.after(activeCut.until-w.now+w.transit(), arrive)
+	if sim.random.IntN(4) == 0 {
+		sim.countCoverage("message held by a cut")
+		sim.after(activeCut.until-sim.now+sim.transit(), arrive)
 	}
 }
 
-// callMachine calls another machine. done runs inside the calling process, with the answer or with an error after the timeout.
+// callMachine calls another machine. done runs inside the calling process, with the answer or with an error: errUnknown if to is nil,
+// errRefused if the connection is refused, or errNoAnswer after the timeout.
 func callMachine[T any](from, to *simNode, timeout time.Duration, serve func(answer func(T)), done func(T, error)) {
-	w, fromIncarnation, isOver := from.cluster, from.incarnation, false
+	sim, fromIncarnation, isOver := from.cluster, from.incarnation, false
 	finish := func(value T, err error) {
 		if !isOver {
 			isOver = true
 			from.enter(fromIncarnation, func() { done(value, err) })
 		}
 	}
-	var none T
+	var zero T
 	if to == nil {
-		w.after(0, func() { finish(none, errUnknown) })
+		sim.after(0, func() { finish(zero, errUnknown) })
 		return
 	}
-	w.after(timeout, func() { finish(none, errNoAnswer) })
-	refuse := func() { finish(none, errRefused) }
-	w.deliver(from, to, func() {
+	sim.after(timeout, func() { finish(zero, errNoAnswer) })
+	refuse := func() { finish(zero, errRefused) }
+	sim.deliver(from, to, func() {
 		if !to.isUp {
-			if w.random.IntN(2) == 0 {
-				w.after(w.transit(), refuse)
+			if sim.random.IntN(2) == 0 {
+				sim.after(sim.transit(), refuse)
 			}
 			return
 		}
@@ -133,8 +141,8 @@
 		to.enter(toIncarnation, func() {
 			serve(func(value T) {
 				// The answer is sent up to 300 us later, so that a freeze or a power loss may occur in between.
-				w.after(time.Duration(w.random.IntN(300))*time.Microsecond, func() {
-					to.enter(toIncarnation, func() { w.deliver(to, from, func() { finish(value, nil) }, nil) })
+				sim.after(time.Duration(sim.random.IntN(300))*time.Microsecond, func() {
+					to.enter(toIncarnation, func() { sim.deliver(to, from, func() { finish(value, nil) }, nil) })
 				})
 			})
 		})
@@ -163,7 +171,7 @@
 	}, done)
 }
 
-// Append sends changes, a snapshot or a chunk of a snapshot to a disk.
+// Append sends changes, a snapshot or a chunk of a snapshot to a disk. A call without any of them is a heartbeat.
 func (l *links) Append(disk string, call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	n := l.node
 	if disk == n.disk.name {
@@ -190,11 +198,11 @@
 }
 
 // chunkTime draws how long a chunk takes on the links and processors of a large system, in competition with other traffic.
-func (w *simCluster) chunkTime() time.Duration {
-	return minChunkTime + time.Duration(w.random.Int64N(int64(maxChunkTime-minChunkTime)))
+func (sim *simCluster) chunkTime() time.Duration {
+	return minChunkTime + time.Duration(sim.random.Int64N(int64(maxChunkTime-minChunkTime)))
 }
 
-// append sends changes to a replica. The answer says in DelayUs how long the replica took.
+// append sends an append call to a machine. DelayUs of the answer is how long that machine's replica took.
 func (l *links) append(to *simNode, call wire.AppendCall, timeout time.Duration, done func(wire.AppendAnswer, error)) {
 	n := l.node
 	callMachine(n, to, timeout, func(answer func(wire.AppendAnswer)) {
@@ -208,7 +216,7 @@
 	}, done)
 }
 
-// InstallLocal appends to the machine's own disk.
+// InstallLocal appends changes to the replica on the machine's own disk, or installs a snapshot there.
 func (l *links) InstallLocal(call wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if call.Snapshot != nil {
 		l.node.cluster.countCoverage("snapshot installed by a candidate")
@@ -231,12 +239,12 @@
 	}, done)
 }
 
-// Status passes on the status of a key in the machine's own replica.
+// Status calls done with the status of a key in the machine's own replica.
 func (l *links) Status(key string, done func(replication.ReplicaStatus)) {
 	done(l.node.replicas.Status(key))
 }
 
-// History passes on the changes of a key that the machine's own replica still keeps individually.
+// History calls done with the changes of a key that the machine's own replica still keeps individually.
 func (l *links) History(key string, done func(replication.History)) {
 	done(l.node.replicas.History(key))
 }
--- a/internal/simulation/modelcheck/controlmodel/node.go
+++ b/internal/simulation/modelcheck/controlmodel/node.go
@@ -16,11 +16,15 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	gossipDelay  = 300 * time.Millisecond
-	goneTimeout  = 2 * time.Second
+	// gossipDelay is the time until other machines know of a started machine, and until a machine passes on a leader that it has learned of.
+	gossipDelay = 300 * time.Millisecond
+	// goneTimeout is the time without an update after which a machine counts another one as gone.
+	goneTimeout = 2 * time.Second
+	// leaveDelay is how long a machine that shuts down waits at least. leaveTimeout is how long it waits for another disk to replace its
+	// voter.
 	leaveDelay   = 400 * time.Millisecond
-	// leaveTimeout is how long a machine that shuts down waits for another disk to replace its voter.
-	leaveTimeout   = 3 * time.Second
+	leaveTimeout = 3 * time.Second
+	// maxFormerDisks is the maximum number of lost disks that a machine announces.
 	maxFormerDisks = 4
 )
 
@@ -33,19 +37,24 @@
 	formerDisks []string
 	clock       nodeClock
 
+	// incarnation changes at each start and end of the process.
 	incarnation int
 	isUp        bool
 	isRemoved   bool
 	isFrozen    bool
-	callDelay   time.Duration
-	busyUntil   time.Duration
-	startedAt   time.Duration
-	postponed   []func()
-
-	replicas     *replication.Replicas
-	engine       *replication.Engine
-	machine      serviceMachine
-	leadership   *replication.Leadership
+	// callDelay is how long each call takes in a slow process. busyUntil is when the process has finished the calls it has received.
+	callDelay time.Duration
+	busyUntil time.Duration
+	startedAt time.Duration
+	// postponed are the calls that arrived while the process was frozen.
+	postponed []func()
+
+	replicas *replication.Replicas
+	engine   *replication.Engine
+	machine  serviceMachine
+	// leadership is the machine's current leadership of the key, or nil.
+	leadership *replication.Leadership
+	// knownMembers has the membership entries of all machines, by node index.
 	knownMembers []knownMember
 	// hint is the leader of the highest epoch that this machine knows.
 	hint leaderHint
@@ -69,24 +78,25 @@
 // After never fires. The code that the model runs does not use it.
 func (c *nodeClock) After(time.Duration) <-chan time.Time { return nil }
 
-// knownMember is the last membership entry that a machine received of another.
+// knownMember is the last membership entry that a machine has of another machine or of itself.
 type knownMember struct {
 	member    wire.Member
 	updatedAt time.Duration
 	isKnown   bool
 }
 
-// leaderHint is the leader of the key that a machine knows, and when it received that.
+// leaderHint is the leader of the key as a machine knows it, and the time at which the machine learned of that leader.
 type leaderHint struct {
 	epoch uint64
 	node  *simNode
 	at    time.Duration
 }
 
-func (w *simCluster) addNode() *simNode {
-	node := &simNode{cluster: w, index: len(w.nodes), name: fmt.Sprintf("machine-%02d", len(w.nodes)), disk: w.newDisk()}
-	node.clock = nodeClock{cluster: w, offset: time.Duration(w.random.IntN(1000)) * time.Millisecond}
-	w.nodes = append(w.nodes, node)
+// addNode adds a machine with a new disk. Its process is not started yet.
+func (sim *simCluster) addNode() *simNode {
+	node := &simNode{cluster: sim, index: len(sim.nodes), name: fmt.Sprintf("machine-%02d", len(sim.nodes)), disk: sim.newDisk()}
+	node.clock = nodeClock{cluster: sim, offset: time.Duration(sim.random.IntN(1000)) * time.Millisecond}
+	sim.nodes = append(sim.nodes, node)
 	return node
 }
 
@@ -129,7 +139,8 @@
 	})
 }
 
-// enter runs a call inside a process if that is still up: a frozen process runs it once it is unfrozen, a slow one after a delay.
+// enter runs a call inside a process. A frozen process runs it once it is unfrozen, a slow one after a delay. The call is dropped if the
+// process has ended.
 func (n *simNode) enter(incarnation int, run func()) {
 	switch {
 	case n.incarnation != incarnation || !n.isUp:
@@ -143,8 +154,7 @@
 	}
 }
 
-// enterNow runs a call inside a process without a further delay: a frozen process runs it once it is unfrozen, and one that was
-// restarted never does.
+// enterNow runs a call inside a process like enter, but without the delay of a slow process.
 func (n *simNode) enterNow(incarnation int, run func()) {
 	switch {
 	case n.incarnation != incarnation || !n.isUp:
@@ -156,11 +166,11 @@
 }
 
 // newLog returns a logger that writes the log of a machine to the trace, if there is one.
-func (w *simCluster) newLog(n *simNode) logging.Logger {
-	if w.trace == nil {
+func (sim *simCluster) newLog(n *simNode) logging.Logger {
+	if sim.trace == nil {
 		return logging.Silent()
 	}
-	return funcr.New(func(_, text string) { w.tracef("%s: %s", n.name, text) }, funcr.Options{})
+	return funcr.New(func(_, text string) { sim.tracef("%s: %s", n.name, text) }, funcr.Options{})
 }
 
 // post runs a call inside the process as a new event of the same time.
@@ -206,6 +216,7 @@
 	}
 }
 
+// freeze stops a running process until unfreeze is called.
 func (n *simNode) freeze() {
 	if n.isUp {
 		n.isFrozen = true
@@ -225,7 +236,8 @@
 	}
 }
 
-// shutDown is a planned shutdown, as after SIGTERM. The disk's voter is replaced first if another disk can take its place.
+// shutDown is a planned shutdown, as after SIGTERM. The machine's disk is replaced as a voter first, if another disk can take its place.
+// done is called once the process has ended.
 func (n *simNode) shutDown(done func()) {
 	if !n.isUp {
 		done()
@@ -256,13 +268,15 @@
 	done()
 }
 
-// isReplaceable reports whether this disk is still a voter and another live disk could take its place.
+// isReplaceable reports whether this machine's disk is still a voter that should wait for its replacement: either another live disk could
+// take its place, or a change of voters that removes it is in progress.
 func (n *simNode) isReplaceable() bool {
 	set, isVoter := n.replicas.VotingKeys()[n.cluster.service.key()]
 	return isVoter && controlkeys.IsReplaceable(n.members(), n.disk.name, set)
 }
 
-// members returns the membership as this machine knows it. A started machine is known after gossipDelay, and no update passes a cut.
+// members returns the membership as this machine knows it. Other machines are known gossipDelay after their start. No update passes a cut
+// of either direction, and none comes from a machine that is down or frozen.
 func (n *simNode) members() []wire.Member {
 	for len(n.knownMembers) < len(n.cluster.nodes) {
 		n.knownMembers = append(n.knownMembers, knownMember{})
--- a/internal/simulation/modelcheck/controlmodel/operators.go
+++ b/internal/simulation/modelcheck/controlmodel/operators.go
@@ -24,13 +24,16 @@
 	verbReplace  = "replace"
 	verbRetrieve = "retrieve"
 
-	// searchTimeout is how long a machine retries an operator's call.
+	// searchTimeout is how long a machine searches for the leader and retries a call of an operator or an application. operatorTimeout is
+	// how long the caller waits for the answer. For a long poll, both are longer by its wait.
 	searchTimeout   = 900 * time.Millisecond
 	operatorTimeout = time.Second
-	maxAttempts     = 10
-	maxInFlight     = 8
+	// maxAttempts is how often an operator sends a change at most. maxInFlight is the maximum number of changes without an answer.
+	maxAttempts = 10
+	maxInFlight = 8
 )
 
+// answerKind is what an answer says about the effect of a call. The zero value leaves it open.
 type answerKind int
 
 const (
@@ -41,60 +44,65 @@
 
 // configurationChange is a change of the configuration that an operator sends, unchanged each time it is sent again.
 type configurationChange struct {
-	version   int64
-	base      int64
-	body      []byte
-	digest    string
-	attempts  int
+	version  int64
+	base     int64
+	body     []byte
+	digest   string
+	attempts int
+	// isDone is set once the change was confirmed or refused, and isRefused once it was refused.
 	isDone    bool
 	isRefused bool
-	// confirmedAfter is the number of confirmed changes up to and including this one. It is 0 while this one is not confirmed.
-	confirmedAfter int
+	// confirmedPosition is the position of the change among the confirmed changes, from 1. It is 0 while the change is not confirmed.
+	confirmedPosition int
 }
 
 // operatorState is what the operators have sent and received so far.
 type operatorState struct {
-	changeCount   int
+	changeCount int
+	// newestVersion is the highest confirmed version.
 	newestVersion int64
 	changes       []*configurationChange
-	confirmed     []*configurationChange
-	inFlight      int
+	// confirmed are the confirmed changes in the order of their first confirmation.
+	confirmed []*configurationChange
+	// inFlight is the number of changes that wait for an answer.
+	inFlight int
 }
 
-// newChange returns a change of the configuration whose body differs from all others.
-func (w *simCluster) newChange(base, version int64) *configurationChange {
-	t := &w.operators
-	t.changeCount++
-	body := fmt.Appendf(nil, `{"config-version":%d,"route-list":[{"name":"r","host":"h%d","path-prefix":"/","timeout-ms":1,"service":"s"}],"service-list":[{"name":"s"}]}`, version, t.changeCount)
+// newChange creates and records a change of the configuration whose body differs from all others.
+func (sim *simCluster) newChange(base, version int64) *configurationChange {
+	operators := &sim.operators
+	operators.changeCount++
+	body := fmt.Appendf(nil, `{"config-version":%d,"route-list":[{"name":"r","host":"h%d","path-prefix":"/","timeout-ms":1,"service":"s"}],"service-list":[{"name":"s"}]}`, version, operators.changeCount)
 	change := &configurationChange{version: version, base: base, body: body, digest: digestOf(body)}
-	t.changes = append(t.changes, change)
-	w.oracleState.byDigest[change.digest] = change
+	operators.changes = append(operators.changes, change)
+	sim.oracleState.byDigest[change.digest] = change
 	return change
 }
 
+// digestOf returns the digest of a configuration's body, without white space around it, as the configuration leader computes it.
 func digestOf(body []byte) string {
 	sum := sha256.Sum256(bytes.TrimSpace(body))
 	return hex.EncodeToString(sum[:])
 }
 
 // sendChange sends a change through a machine, and retries through the next one until there is a clear answer. It does nothing after
-// maxAttempts, or while maxInFlight calls are in flight.
-func (w *simCluster) sendChange(change *configurationChange, via int) {
-	if change.attempts >= maxAttempts || w.operators.inFlight >= maxInFlight {
+// maxAttempts, or while maxInFlight changes are in flight.
+func (sim *simCluster) sendChange(change *configurationChange, via int) {
+	if change.attempts >= maxAttempts || sim.operators.inFlight >= maxInFlight {
 		return
 	}
 	change.attempts++
-	w.operators.inFlight++
+	sim.operators.inFlight++
 	call := &wire.ClientCall{Key: configleader.Key, Verb: verbReplace, Base: change.base, Body: change.body}
-	observed := w.recordCall(change)
-	w.callThrough(via, operatorRequest(call), func(answer *response.Reply) {
-		w.operators.inFlight--
+	observed := sim.recordCall(change)
+	sim.callThrough(via, operatorRequest(call), func(answer *response.Reply) {
+		sim.operators.inFlight--
 		kind := kindOf(answer)
-		w.recordEnd(observed, kind)
-		w.recordChangeAnswer(change, kind, answer)
+		sim.recordEnd(observed, kind)
+		sim.recordChangeAnswer(change, kind, answer)
 		if kind == unclear && !change.isDone {
-			w.countCoverage("order sent again")
-			w.after(time.Duration(50+w.random.IntN(250))*time.Millisecond, func() { w.sendChange(change, via+1) })
+			sim.countCoverage("order sent again")
+			sim.after(time.Duration(50+sim.random.IntN(250))*time.Millisecond, func() { sim.sendChange(change, via+1) })
 		}
 	})
 }
@@ -111,37 +119,37 @@
 }
 
 // recordChangeAnswer records the answer to a change and has the oracles check it.
-func (w *simCluster) recordChangeAnswer(change *configurationChange, kind answerKind, answer *response.Reply) {
-	t := &w.operators
+func (sim *simCluster) recordChangeAnswer(change *configurationChange, kind answerKind, answer *response.Reply) {
+	operators := &sim.operators
 	switch kind {
 	case confirmed:
-		w.countCoverage("order confirmed")
-		w.checkConfirmed(change)
-		if change.confirmedAfter == 0 {
-			t.confirmed = append(t.confirmed, change)
-			change.confirmedAfter = len(t.confirmed)
+		sim.countCoverage("order confirmed")
+		sim.checkConfirmed(change)
+		if change.confirmedPosition == 0 {
+			operators.confirmed = append(operators.confirmed, change)
+			change.confirmedPosition = len(operators.confirmed)
 		}
 		change.isDone = true
-		t.newestVersion = max(t.newestVersion, change.version)
-		w.fireTriggers()
+		operators.newestVersion = max(operators.newestVersion, change.version)
+		sim.fireTriggers()
 	case refused:
-		w.countCoverage("order refused")
-		w.checkRefused(change, answer)
+		sim.countCoverage("order refused")
+		sim.checkRefused(change, answer)
 		change.isDone, change.isRefused = true, true
 	default:
-		w.countCoverage("order without a clear answer")
+		sim.countCoverage("order without a clear answer")
 	}
 }
 
-// readConfiguration retrieves the configuration through a machine.
-func (w *simCluster) readConfiguration(via int, done func(isRead bool)) {
-	observed, minVersion := w.recordCall(nil), w.oracleState.highestConfirmed
+// readConfiguration retrieves the configuration through a machine and has the oracles check the answer.
+func (sim *simCluster) readConfiguration(via int, done func(isRead bool)) {
+	observed, minVersion := sim.recordCall(nil), sim.oracleState.highestConfirmed
 	call := &wire.ClientCall{Key: configleader.Key, Verb: verbRetrieve}
-	w.callThrough(via, operatorRequest(call), func(answer *response.Reply) {
+	sim.callThrough(via, operatorRequest(call), func(answer *response.Reply) {
 		isRead := kindOf(answer) == confirmed
 		if isRead {
-			w.countCoverage("configuration read")
-			w.checkRead(observed, minVersion, answer.Body)
+			sim.countCoverage("configuration read")
+			sim.checkRead(observed, minVersion, answer.Body)
 		}
 		done(isRead)
 	})
@@ -152,12 +160,12 @@
 // request is a call of an operator or an application.
 type request struct {
 	call *wire.ClientCall
-	// wait is how long the leader may hold the answer of a long poll.
+	// wait is how long the leader may delay the answer to a long poll. It is 0 for other calls.
 	wait time.Duration
 	// reply converts an outcome to the answer for the caller.
 	reply func(leaderclient.Outcome) response.Reply
-	// arrivesOnce drops the second copy of a message that the network doubles, as a connection does. The answers to operators stay true even
-	// with such copies, but the answer that a call had no effect does not.
+	// arrivesOnce drops the second copy of a message that the network doubles, as a connection does. It is needed for calls whose answer
+	// may say that the call had no effect, since a second copy could still take effect. The answers to operators stay true without it.
 	arrivesOnce bool
 }
 
@@ -165,9 +173,10 @@
 	return request{call: call, reply: func(outcome leaderclient.Outcome) response.Reply { return controlapi.Reply(call, outcome) }}
 }
 
-// callThrough sends a request to a machine's control address, which searches for the leader. done gets nil if there is no answer in time.
-func (w *simCluster) callThrough(via int, req request, done func(*response.Reply)) {
-	to := w.slots[via%len(w.slots)]
+// callThrough sends a request to the control address of a machine, which searches for the leader. done gets nil if there is no answer in
+// time.
+func (sim *simCluster) callThrough(via int, req request, done func(*response.Reply)) {
+	to := sim.slots[via%len(sim.slots)]
 	isOver := false
 	finish := func(answer *response.Reply) {
 		if !isOver {
@@ -175,22 +184,22 @@
 			done(answer)
 		}
 	}
-	w.after(operatorTimeout+req.wait, func() { finish(nil) })
-	w.after(w.transit(), func() {
+	sim.after(operatorTimeout+req.wait, func() { finish(nil) })
+	sim.after(sim.transit(), func() {
 		incarnation := to.incarnation
 		if !to.isUp {
 			return
 		}
 		to.enter(incarnation, func() {
-			attempts := leaderclient.NewAttempts(req.call.Key, w.now+searchTimeout+req.wait, w.random.IntN)
+			attempts := leaderclient.NewAttempts(req.call.Key, sim.now+searchTimeout+req.wait, sim.random.IntN)
 			attempts.AllowWait(req.wait)
 			search := &leaderSearch{from: to, req: req, attempts: attempts, done: func(answer response.Reply) {
 				to.enter(incarnation, func() {
-					if w.networkFault.until > w.now && w.random.IntN(4) == 0 {
-						w.countCoverage("acknowledgement lost")
+					if sim.networkFault.until > sim.now && sim.random.IntN(4) == 0 {
+						sim.countCoverage("acknowledgement lost")
 						return
 					}
-					w.after(w.transit(), func() { finish(&answer) })
+					sim.after(sim.transit(), func() { finish(&answer) })
 				})
 			}}
 			search.tryNext()
@@ -198,7 +207,8 @@
 	})
 }
 
-// leaderSearch is a machine's search for the key's leader. The real client code chooses the attempts, the model simulates the waiting.
+// leaderSearch is a machine's search for the leader that serves a request. The real client code chooses the attempts, the model simulates
+// the calls and the pauses.
 type leaderSearch struct {
 	from     *simNode
 	req      request
@@ -206,44 +216,46 @@
 	done     func(response.Reply)
 }
 
-// tryNext makes the next attempt of a call, as the real client's policy says.
-func (a *leaderSearch) tryNext() {
-	w := a.from.cluster
-	attempt, isLeft := a.attempts.Next(a.from.membershipView(), w.now)
+// tryNext makes the next attempt that the real client code chooses. It ends the search if no attempt is left.
+func (s *leaderSearch) tryNext() {
+	sim := s.from.cluster
+	attempt, isLeft := s.attempts.Next(s.from.membershipView(), sim.now)
 	if !isLeft {
-		a.end()
+		s.end()
 		return
 	}
-	to := w.nodeByName(attempt.Address)
+	to := sim.nodeByName(attempt.Address)
 	if to == nil {
-		a.pause()
+		s.pause()
 		return
 	}
 	hasArrived := false
 	serve := func(answer func(wire.ClientAnswer)) {
-		if !hasArrived || !a.req.arrivesOnce {
-			to.executeCall(a.req.call, answer)
+		if !hasArrived || !s.req.arrivesOnce {
+			to.executeCall(s.req.call, answer)
 		}
 		hasArrived = true
 	}
-	callMachine(a.from, to, attempt.Timeout, serve,
+	callMachine(s.from, to, attempt.Timeout, serve,
 		func(answer wire.ClientAnswer, err error) {
 			if err != nil {
 				// If the first copy of a message arrived, a second copy that finds the process down does not count as a refused connection.
-				a.attempts.HandleFailure(errors.Is(err, errRefused) && !hasArrived)
-			} else if a.attempts.HandleAnswer(&answer) {
-				a.end()
+				s.attempts.HandleFailure(errors.Is(err, errRefused) && !hasArrived)
+			} else if s.attempts.HandleAnswer(&answer) {
+				s.end()
 				return
 			}
-			a.pause()
+			s.pause()
 		})
 }
 
-func (a *leaderSearch) end() { a.done(a.req.reply(a.attempts.Outcome())) }
+// end answers the request with the outcome of the attempts.
+func (s *leaderSearch) end() { s.done(s.req.reply(s.attempts.Outcome())) }
 
-func (a *leaderSearch) pause() {
-	incarnation := a.from.incarnation
-	a.from.cluster.after(a.attempts.Pause(a.from.cluster.now), func() { a.from.enter(incarnation, a.tryNext) })
+// pause makes the next attempt after the pause that the real client code chooses.
+func (s *leaderSearch) pause() {
+	incarnation := s.from.incarnation
+	s.from.cluster.after(s.attempts.Pause(s.from.cluster.now), func() { s.from.enter(incarnation, s.tryNext) })
 }
 
 // membershipView returns the machine's view of the membership, from which the client code chooses the leader.
@@ -257,8 +269,8 @@
 	return view
 }
 
-func (w *simCluster) nodeByName(name string) *simNode {
-	for _, node := range w.nodes {
+func (sim *simCluster) nodeByName(name string) *simNode {
+	for _, node := range sim.nodes {
 		if node.name == name {
 			return node
 		}
@@ -266,22 +278,24 @@
 	return nil
 }
 
-// makeFinalReads reads through every machine and sends the last confirmed change once more.
-func (t *operatorState) makeFinalReads(w *simCluster) {
-	for index := range w.slots {
-		w.readConfiguration(index, func(isRead bool) {
-			if !isRead && len(t.confirmed) > 0 {
-				w.reportViolation("settled", "machine %d does not answer a read once all is settled", index)
+// makeFinalReads reads through every machine and sends the last confirmed change once more. The reads must succeed if any change was
+// confirmed.
+func (o *operatorState) makeFinalReads(sim *simCluster) {
+	for index := range sim.slots {
+		sim.readConfiguration(index, func(isRead bool) {
+			if !isRead && len(o.confirmed) > 0 {
+				sim.reportViolation("settled", "machine %d does not answer a read once all is settled", index)
 			}
 		})
 	}
-	if len(t.confirmed) > 0 {
-		last := t.confirmed[len(t.confirmed)-1]
+	if len(o.confirmed) > 0 {
+		last := o.confirmed[len(o.confirmed)-1]
 		last.attempts = 0
-		w.sendChange(last, 0)
+		sim.sendChange(last, 0)
 	}
 }
 
+// versionOf returns the version of a configuration and the digest of its body, or 0 and "" if the body can't be read.
 func versionOf(body easyjson.RawMessage) (int64, string) {
 	plan, err := configuration.Read(body)
 	if err != nil {
--- a/internal/simulation/modelcheck/controlmodel/service.go
+++ b/internal/simulation/modelcheck/controlmodel/service.go
@@ -12,9 +12,9 @@
 type service interface {
 	// key returns the name of the replicated key.
 	key() string
-	// engineOptions returns the options of the key's engines beyond those of every model.
+	// engineOptions returns the options of the key's engines in addition to those that all models use.
 	engineOptions() []replication.Option
-	// newMachine returns the state machine for a process that starts.
+	// newMachine returns the state machine for a starting process.
 	newMachine(n *simNode) serviceMachine
 	// playStep makes or starts the calls of a step.
 	playStep(step modelcheck.Step)
@@ -48,11 +48,11 @@
 }
 
 // newService returns the service of a model.
-func newService(model string, w *simCluster) service {
+func newService(model string, sim *simCluster) service {
 	if model == CoordinationName {
-		return newCoordinationService(w)
+		return newCoordinationService(sim)
 	}
-	return &configurationService{w}
+	return &configurationService{sim}
 }
 
 // stateMachine wraps the state machine of a process. It tracks the leadership for the oracles and applies the injected fault.
@@ -75,6 +75,7 @@
 	m.node.machine.Close()
 }
 
+// endLeadership forgets the machine's leadership, if it has one.
 func (n *simNode) endLeadership() {
 	if n.leadership != nil {
 		n.leadership = nil
@@ -82,7 +83,8 @@
 	}
 }
 
-// executeCall serves a call if the process leads the key, and else names the leader that it knows, as the manager of control keys does.
+// executeCall serves a call if the process leads the key. Otherwise it answers with the leader that the machine knows, as the manager of
+// control keys does.
 func (n *simNode) executeCall(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	response := func(value wire.ClientAnswer) {
 		if change := n.cluster.fault.answer; change != nil {
--- a/internal/simulation/modelcheck/controlmodel/simcluster.go
+++ b/internal/simulation/modelcheck/controlmodel/simcluster.go
@@ -14,7 +14,8 @@
 const (
 	initialVoters = 3
 	// settleTimeout is the longest time from the end of the last fault until unsettledReason must be empty.
-	settleTimeout       = 12 * time.Second
+	settleTimeout = 12 * time.Second
+	// maxEventsAtOnce is the maximum number of events without an advance of simulated time.
 	maxEventsAtOnce     = 20000
 	settleCheckInterval = 200 * time.Millisecond
 	wallAtStartMs       = 1_000_000
@@ -31,7 +32,7 @@
 	triggers          []powerTrigger
 	diskCount         int
 	initialVoterDisks []string
-	cuts              map[pair]cut
+	cuts              map[direction]cut
 	networkFault      networkFault
 	// otherFaultAt is when the last fault other than a split began. faultyUntil is when all faults that have begun are over
 	// and replicas have had catchUpMs to catch up.
@@ -43,6 +44,7 @@
 	operators   operatorState
 	coverage    modelcheck.Coverage
 	violations  []modelcheck.Violation
+	// openLeaders is the number of processes that lead the key or have not noticed yet that they no longer do.
 	openLeaders int
 	// eventsAtOnce counts the events since simulated time last advanced.
 	eventsAtOnce int
@@ -56,61 +58,63 @@
 
 // newSimCluster creates the nodes of a schedule. They start within the first 60 ms of simulated time.
 func newSimCluster(schedule modelcheck.Schedule) *simCluster {
-	w := &simCluster{schedule: schedule, random: rand.New(rand.NewPCG(schedule.Seed, 7)), cuts: map[pair]cut{},
+	sim := &simCluster{schedule: schedule, random: rand.New(rand.NewPCG(schedule.Seed, 7)), cuts: map[direction]cut{},
 		coverage: modelcheck.Coverage{}}
-	w.fault = faultsOf(schedule.Model)[schedule.InjectedFault]
-	w.oracleState = newOracleState()
-	w.service = newService(schedule.Model, w)
-	w.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
-	w.bulkPairs = bulkPairs
+	sim.fault = faultsOf(schedule.Model)[schedule.InjectedFault]
+	sim.oracleState = newOracleState()
+	sim.service = newService(schedule.Model, sim)
+	sim.isBulk = slices.ContainsFunc(schedule.Steps, func(step modelcheck.Step) bool { return step.Kind == stepBulk })
+	sim.bulkPairs = bulkPairs
 	if schedule.Size == modelcheck.SizeLarge {
-		w.bulkPairs = maxBulkPairs
+		sim.bulkPairs = maxBulkPairs
 	}
 	for range schedule.Nodes {
-		w.slots = append(w.slots, w.addNode())
+		sim.slots = append(sim.slots, sim.addNode())
 	}
-	for _, node := range w.nodes[:initialVoters] {
-		w.initialVoterDisks = append(w.initialVoterDisks, node.disk.name)
+	for _, node := range sim.nodes[:initialVoters] {
+		sim.initialVoterDisks = append(sim.initialVoterDisks, node.disk.name)
 	}
-	for _, node := range w.nodes {
-		w.after(time.Duration(w.random.IntN(60))*time.Millisecond, node.start)
+	for _, node := range sim.nodes {
+		sim.after(time.Duration(sim.random.IntN(60))*time.Millisecond, node.start)
 	}
-	return w
+	return sim
 }
 
 // tracef writes a line with the simulated time to the trace.
-func (w *simCluster) tracef(format string, values ...any) {
-	if w.trace != nil {
-		fmt.Fprintf(w.trace, "%9.3f ms  "+format+"\n", append([]any{float64(w.now) / float64(time.Millisecond)}, values...)...)
+func (sim *simCluster) tracef(format string, values ...any) {
+	if sim.trace != nil {
+		fmt.Fprintf(sim.trace, "%9.3f ms  "+format+"\n", append([]any{float64(sim.now) / float64(time.Millisecond)}, values...)...)
 	}
 }
 
-func (w *simCluster) countCoverage(name string) { w.coverage[name]++ }
+func (sim *simCluster) countCoverage(name string) { sim.coverage[name]++ }
 
-// reportViolation records that an oracle does not hold. The first violation ends the run.
-func (w *simCluster) reportViolation(oracle, format string, values ...any) {
-	w.violations = append(w.violations, modelcheck.Violation{Oracle: oracle, AtMs: int(w.now.Milliseconds()), Detail: fmt.Sprintf(format, values...)})
+// reportViolation records that the invariant of an oracle did not hold. The run ends after the event that caused the first violation.
+func (sim *simCluster) reportViolation(oracle, format string, values ...any) {
+	sim.violations = append(sim.violations, modelcheck.Violation{Oracle: oracle, AtMs: int(sim.now.Milliseconds()), Detail: fmt.Sprintf(format, values...)})
 }
 
-// play runs a schedule to its end, ends all faults, and continues until the system has settled.
-func (w *simCluster) play() modelcheck.Outcome {
+// play runs a schedule to its end, ends all faults, and continues until the system has settled. If no invariant was violated, it then
+// checks the history of all calls.
+func (sim *simCluster) play() modelcheck.Outcome {
 	var last time.Duration
-	for _, step := range w.schedule.Steps {
-		w.after(clock.Milliseconds(int64(step.AtMs)), func() { w.applyStep(step) })
+	for _, step := range sim.schedule.Steps {
+		sim.after(clock.Milliseconds(int64(step.AtMs)), func() { sim.applyStep(step) })
 		last = max(last, latestEndOf(step))
 	}
-	if !w.runUntil(last + time.Millisecond) {
-		return w.outcome()
+	if !sim.runUntil(last + time.Millisecond) {
+		return sim.outcome()
 	}
-	w.healAll()
-	w.settle()
-	if len(w.violations) == 0 {
-		w.service.checkHistory()
+	sim.healAll()
+	sim.settle()
+	if len(sim.violations) == 0 {
+		sim.service.checkHistory()
 	}
-	return w.outcome()
+	return sim.outcome()
 }
 
-// latestEndOf returns the latest time at which a step may end.
+// latestEndOf returns the latest time at which a step may end. It does not include the time for which stepPowerOnAck waits for an
+// acknowledgement.
 func latestEndOf(step modelcheck.Step) time.Duration {
 	end := clock.Milliseconds(int64(step.AtMs + step.ForMs))
 	switch step.Kind {
@@ -122,54 +126,54 @@
 	return end
 }
 
-// runUntil runs all events up to a time. It returns false when an invariant was violated.
-func (w *simCluster) runUntil(end time.Duration) bool {
-	for len(w.violations) == 0 {
-		before := w.now
-		run, isDue := w.next(end)
+// runUntil runs all events up to a time, or until an invariant is violated. It reports whether no invariant was violated.
+func (sim *simCluster) runUntil(end time.Duration) bool {
+	for len(sim.violations) == 0 {
+		before := sim.now
+		run, isDue := sim.next(end)
 		if !isDue {
 			return true
 		}
-		w.checkProgress(before)
+		sim.checkProgress(before)
 		run()
-		if w.openLeaders > 1 {
-			w.checkLeases()
+		if sim.openLeaders > 1 {
+			sim.checkLeases()
 		}
 	}
 	return false
 }
 
-// checkProgress is an oracle: simulated time advances, so no endless loop of events happens at one moment.
-func (w *simCluster) checkProgress(before time.Duration) {
-	if w.now > before {
-		w.eventsAtOnce = 0
+// checkProgress is an oracle: simulated time advances after at most maxEventsAtOnce events, so that no endless loop runs at one moment.
+func (sim *simCluster) checkProgress(before time.Duration) {
+	if sim.now > before {
+		sim.eventsAtOnce = 0
 		return
 	}
-	w.eventsAtOnce++
-	if w.eventsAtOnce > maxEventsAtOnce {
-		w.reportViolation("time goes on", "more than %d events at one moment", maxEventsAtOnce)
+	sim.eventsAtOnce++
+	if sim.eventsAtOnce > maxEventsAtOnce {
+		sim.reportViolation("time goes on", "more than %d events at one moment", maxEventsAtOnce)
 	}
 }
 
-// settle runs until no reason is left why the system has not settled, then compares the replicas and makes the final calls.
-// A system that has not settled after settleTimeout is a violation.
-func (w *simCluster) settle() {
-	end := w.now + settleTimeout
+// settle runs until unsettledReason is empty, then compares the replicas and makes the final calls. It is a violation if the system has not
+// settled after settleTimeout.
+func (sim *simCluster) settle() {
+	end := sim.now + settleTimeout
 	var reason string
-	for w.now < end {
-		if !w.runUntil(w.now + settleCheckInterval) {
+	for sim.now < end {
+		if !sim.runUntil(sim.now + settleCheckInterval) {
 			return
 		}
-		if reason = w.unsettledReason(); reason == "" {
-			w.checkReplicas()
-			w.runUntil(w.now + w.service.makeFinalCalls())
+		if reason = sim.unsettledReason(); reason == "" {
+			sim.checkReplicas()
+			sim.runUntil(sim.now + sim.service.makeFinalCalls())
 			return
 		}
 	}
-	w.reportViolation("settled", "%s, %v after the last fault", reason, settleTimeout)
+	sim.reportViolation("settled", "%s, %v after the last fault", reason, settleTimeout)
 }
 
-func (w *simCluster) outcome() modelcheck.Outcome {
-	w.coverage["simulated seconds"] = int(w.now / time.Second)
-	return modelcheck.Outcome{Violations: w.violations, Coverage: w.coverage}
+func (sim *simCluster) outcome() modelcheck.Outcome {
+	sim.coverage["simulated seconds"] = int(sim.now / time.Second)
+	return modelcheck.Outcome{Violations: sim.violations, Coverage: sim.coverage}
 }
--- a/internal/simulation/modelcheck/controlmodel/splits.go
+++ b/internal/simulation/modelcheck/controlmodel/splits.go
@@ -10,24 +10,26 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// stepSplit cuts half of the machines off from the other half, while operators reach both. Node and Value seed the choice of the half.
+// stepSplit cuts half of the machines off from the other half, while operators reach both. Node and Value are the seed of the random choice
+// of the half.
 // With Peer 1 connections are refused, else messages are lost or delayed until the end of the split.
 const stepSplit = "split"
 
 const (
 	splitStream = 53
-	// splitsPerTen of ten schedules have splits, each up to maxSplits. In half of them another split follows once all other faults are over.
+	// splitsPerTen of ten schedules have splits, up to maxSplits each. In half of them an isolated split follows once all faults are over.
 	splitsPerTen = 3
 	maxSplits    = 3
 	// A split lasts from minSplitMs to maxSplitMs. maxSplitPauseMs is the longest pause between two splits.
 	minSplitMs      = 300
 	maxSplitMs      = 7000
 	maxSplitPauseMs = 3000
-	// isolatedSplitMs is the length of the split without other faults, long enough for the larger half to elect a leader.
+	// isolatedSplitMs is the length of an isolated split, one without other faults. It is long enough for the larger half to elect a leader
+	// and to be checked after electionTimeout.
 	isolatedSplitMs = 7000
-	// meanSplitPauseMs is the mean time between two calls of operators during that split.
+	// meanSplitPauseMs is the mean time between two calls of operators during an isolated split.
 	meanSplitPauseMs = 300
-	// electionTimeout is the longest time until the half with a quorum must serve, if there is no other fault.
+	// electionTimeout is the time from the start of a split until the half with a quorum must serve, if there is no other fault.
 	electionTimeout = 5 * time.Second
 )
 
@@ -103,88 +105,90 @@
 }
 
 // drawHalf draws half of the machines, as a set of node indices.
-func (w *simCluster) drawHalf(step modelcheck.Step) map[int]bool {
-	order := rand.New(rand.NewPCG(uint64(step.Value), uint64(step.Node))).Perm(len(w.slots))
+func (sim *simCluster) drawHalf(step modelcheck.Step) map[int]bool {
+	order := rand.New(rand.NewPCG(uint64(step.Value), uint64(step.Node))).Perm(len(sim.slots))
 	half := map[int]bool{}
 	for _, position := range order[:len(order)/2] {
-		half[w.slots[position].index] = true
+		half[sim.slots[position].index] = true
 	}
 	return half
 }
 
-// split cuts the two halves off from each other. Machines that are added later reach both halves.
-func (w *simCluster) split(step modelcheck.Step, length time.Duration) {
-	half, newCut := w.drawHalf(step), cut{cutSilent, w.now + length}
+// split cuts the two halves off from each other. Machines that are added later reach both halves. If the split is long enough and no other
+// fault is under way, it is checked after electionTimeout.
+func (sim *simCluster) split(step modelcheck.Step, length time.Duration) {
+	half, newCut := sim.drawHalf(step), cut{cutSilent, sim.now + length}
 	if step.Peer == 1 {
 		newCut.kind = cutRefused
 	}
-	for _, from := range w.slots {
-		for _, to := range w.slots {
-			link := pair{from.index, to.index}
-			if half[from.index] != half[to.index] && w.cuts[link].until < newCut.until {
-				w.cuts[link] = newCut
+	for _, from := range sim.slots {
+		for _, to := range sim.slots {
+			link := direction{from.index, to.index}
+			if half[from.index] != half[to.index] && sim.cuts[link].until < newCut.until {
+				sim.cuts[link] = newCut
 			}
 		}
 	}
-	if length < electionTimeout || w.faultyUntil > w.now {
+	if length < electionTimeout || sim.faultyUntil > sim.now {
 		return
 	}
-	w.countCoverage("split with nothing else wrong")
-	startedAt := w.now
-	w.after(electionTimeout, func() { w.checkSplit(half, startedAt) })
+	sim.countCoverage("split with nothing else wrong")
+	startedAt := sim.now
+	sim.after(electionTimeout, func() { sim.checkSplit(half, startedAt) })
 }
 
-// checkSplit is an oracle: without other faults, the half with a quorum of the voters has a leader, and its machines serve reads.
-func (w *simCluster) checkSplit(half map[int]bool, startedAt time.Duration) {
-	if w.otherFaultAt > startedAt {
+// checkSplit is an oracle: without other faults since the split began, the half with a quorum of the voters, if there is one, has a leader,
+// and its machines serve reads.
+func (sim *simCluster) checkSplit(half map[int]bool, startedAt time.Duration) {
+	if sim.otherFaultAt > startedAt {
 		return
 	}
 	for _, isFirstHalf := range []bool{true, false} {
-		members := slices.DeleteFunc(slices.Clone(w.slots), func(node *simNode) bool { return half[node.index] != isFirstHalf })
-		if !w.haveQuorum(members) {
+		members := slices.DeleteFunc(slices.Clone(sim.slots), func(node *simNode) bool { return half[node.index] != isFirstHalf })
+		if !sim.haveQuorum(members) {
 			continue
 		}
-		if leader := w.leader(); leader == nil || half[leader.index] != isFirstHalf {
-			w.reportViolation("larger half leads", "no machine of the half with a quorum holds a lease %v after the split", electionTimeout)
+		if leader := sim.leader(); leader == nil || half[leader.index] != isFirstHalf {
+			sim.reportViolation("larger half leads", "no machine of the half with a quorum holds a lease %v after the split", electionTimeout)
 			return
 		}
 		for _, node := range members {
-			w.readDuringSplit(slices.Index(w.slots, node))
+			sim.readDuringSplit(slices.Index(sim.slots, node))
 		}
 	}
 }
 
 // readDuringSplit is an oracle: a machine in the leader's half answers a read, if any change was confirmed.
-func (w *simCluster) readDuringSplit(via int) {
-	w.readConfiguration(via, func(isRead bool) {
-		if !isRead && w.oracleState.highestConfirmed > 0 {
-			w.reportViolation("larger half leads", "machine %d of the half with a leader does not answer a read", via)
+func (sim *simCluster) readDuringSplit(via int) {
+	sim.readConfiguration(via, func(isRead bool) {
+		if !isRead && sim.oracleState.highestConfirmed > 0 {
+			sim.reportViolation("larger half leads", "machine %d of the half with a leader does not answer a read", via)
 		}
 	})
 }
 
 // haveQuorum reports whether these machines have a quorum of the voters according to the newest replica of the whole system.
-func (w *simCluster) haveQuorum(members []*simNode) bool {
+func (sim *simCluster) haveQuorum(members []*simNode) bool {
 	var newest *simNode
-	for _, node := range w.slots {
+	for _, node := range sim.slots {
 		if newest == nil || lastPositionOf(newest.disk).Below(lastPositionOf(node.disk)) {
 			newest = node
 		}
 	}
-	set := newest.disk.model.Heads[w.service.key()].Voters
+	set := newest.disk.model.Heads[sim.service.key()].Voters
 	return quorum.Reached(set, func(disk string) bool {
 		return slices.ContainsFunc(members, func(node *simNode) bool { return node.isUp && node.disk.name == disk })
 	})
 }
 
-// recordFault records how long the system counts as faulty because of a step. Steps of callers are no faults.
-func (w *simCluster) recordFault(step modelcheck.Step) {
+// recordFault records how long the system counts as faulty because of a step. Calls and large pairs are no faults.
+func (sim *simCluster) recordFault(step modelcheck.Step) {
 	switch step.Kind {
 	case stepOrder, stepRace, stepResend, stepBurst, stepStorm, stepRead, stepCallers, stepEvacuate, stepBulk:
 		return
 	}
-	w.faultyUntil = max(w.faultyUntil, w.now+clock.Milliseconds(int64(step.ForMs+catchUpMs)))
+	sim.faultyUntil = max(sim.faultyUntil, sim.now+clock.Milliseconds(int64(step.ForMs+catchUpMs)))
 	if step.Kind != stepSplit {
-		w.otherFaultAt = w.now
+		sim.otherFaultAt = sim.now
 	}
 }
--- a/internal/simulation/modelcheck/controlmodel/steps.go
+++ b/internal/simulation/modelcheck/controlmodel/steps.go
@@ -7,163 +7,170 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// The kinds of steps. Node is a slot, or leaderIndex for the machine that leads at that moment. Numbers called perMille are shares of
-// messages in thousandths.
+// The kinds of steps, and the constants of steps. Node is a slot, or leaderIndex for the machine that leads at that moment. Numbers called
+// perMille are shares of messages in thousandths.
 //
 // Operators send a change (order), two competing changes (race), a confirmed change again (resend), maxInFlight changes at the same time
-// (burst), or a change every stormPause (storm). callers starts the applications of the other model.
+// (burst), or a change every stormPause (storm). callers starts Node applications of the model "coordination".
+//
+// restart and replace shut a machine down as planned, while kill, power, wipe and replace-lost end its process at once. weather loses,
+// doubles and delays messages between all machines. bulk has each change of the whole run also write a large pair.
 const (
-	stepOrder           = "order"
-	stepRace            = "race"
-	stepResend          = "resend"
-	stepBurst           = "burst"
-	stepStorm           = "storm"
-	stepRead            = "read"
-	stepCallers         = "callers"
-	stepEvacuate        = "evacuate"
-	stepKill            = "kill"
-	stepPower           = "power"
-	stepWipe            = "wipe"
-	stepFreeze          = "freeze"
-	stepSlow            = "slow"
-	stepStall           = "disk-stall"
-	stepSlowDisk        = "disk-slow"
-	stepFullDisk        = "disk-full"
-	stepCut             = "cut"
-	stepCutOut          = "cut-outgoing"
-	stepCutIn           = "cut-incoming"
-	stepNetwork         = "weather"
-	stepClock           = "clock-jump"
-	stepPowerAll        = "power-all"
-	stepKillAll         = "kill-all"
-	stepPowerOnAck      = "power-after-ack"
-	stepReplace         = "replace"
-	stepReplaceLost     = "replace-lost"
-	stepRestart         = "restart"
-	stepGrow            = "grow"
-	stepBulk            = "bulk"
-	leaderIndex         = -1
-	stormPause          = 25 * time.Millisecond
+	stepOrder       = "order"
+	stepRace        = "race"
+	stepResend      = "resend"
+	stepBurst       = "burst"
+	stepStorm       = "storm"
+	stepRead        = "read"
+	stepCallers     = "callers"
+	stepEvacuate    = "evacuate"
+	stepKill        = "kill"
+	stepPower       = "power"
+	stepWipe        = "wipe"
+	stepFreeze      = "freeze"
+	stepSlow        = "slow"
+	stepStall       = "disk-stall"
+	stepSlowDisk    = "disk-slow"
+	stepFullDisk    = "disk-full"
+	stepCut         = "cut"
+	stepCutOut      = "cut-outgoing"
+	stepCutIn       = "cut-incoming"
+	stepNetwork     = "weather"
+	stepClock       = "clock-jump"
+	stepPowerAll    = "power-all"
+	stepKillAll     = "kill-all"
+	stepPowerOnAck  = "power-after-ack"
+	stepReplace     = "replace"
+	stepReplaceLost = "replace-lost"
+	stepRestart     = "restart"
+	stepGrow        = "grow"
+	stepBulk        = "bulk"
+	leaderIndex     = -1
+	stormPause      = 25 * time.Millisecond
+	// triggerDuration is how long a step waits for an acknowledgement. The step is applied within maxAfterAckMs of it.
 	triggerDuration     = time.Second
 	maxAfterAckMs       = 5
 	perMilleLost        = 80
 	perMilleHeavilyLost = 300
 	perMilleDuplicated  = 100
 	perMilleDelayed     = 150
-	minDelay            = 20 * time.Millisecond
+	// baseMaxDelay plus Value milliseconds is the longest delay of messages by stepNetwork.
+	baseMaxDelay = 20 * time.Millisecond
 )
 
-// powerTrigger is a step that is applied within maxAfterAckMs of the next acknowledgement, unless none comes in time.
+// powerTrigger is a power loss that follows within maxAfterAckMs of the next acknowledgement, if that comes in time.
 type powerTrigger struct {
 	step  modelcheck.Step
 	until time.Duration
 }
 
 // nodeAt returns the machine of a slot, or the leader for leaderIndex. Without a leader that is slot 0.
-func (w *simCluster) nodeAt(index int) *simNode {
+func (sim *simCluster) nodeAt(index int) *simNode {
 	if index == leaderIndex {
-		if leader := w.leader(); leader != nil {
+		if leader := sim.leader(); leader != nil {
 			return leader
 		}
 		index = 0
 	}
-	return w.slots[index%len(w.slots)]
+	return sim.slots[index%len(sim.slots)]
 }
 
-// applyStep starts a step of the schedule and schedules its end.
-func (w *simCluster) applyStep(step modelcheck.Step) {
-	w.countCoverage("step " + step.Kind)
+// applyStep starts a step of the schedule and schedules its end. It records the step as a fault only afterwards, so that split sees only
+// earlier faults.
+func (sim *simCluster) applyStep(step modelcheck.Step) {
+	sim.countCoverage("step " + step.Kind)
 	length := clock.Milliseconds(int64(step.ForMs))
-	n := w.nodeAt(step.Node)
-	w.tracef("step %s of %s for %d ms, peer %d, value %d", step.Kind, n.name, step.ForMs, step.Peer, step.Value)
-	defer w.recordFault(step)
+	n := sim.nodeAt(step.Node)
+	sim.tracef("step %s of %s for %d ms, peer %d, value %d", step.Kind, n.name, step.ForMs, step.Peer, step.Value)
+	defer sim.recordFault(step)
 	switch step.Kind {
 	case stepOrder, stepRace, stepResend, stepBurst, stepStorm, stepRead, stepCallers, stepEvacuate:
-		w.service.playStep(step)
+		sim.service.playStep(step)
 	case stepKill, stepPower, stepWipe, stepFreeze, stepSlow:
-		w.applyProcessFault(step, n, length)
+		sim.applyProcessFault(step, n, length)
 	case stepStall, stepSlowDisk, stepFullDisk:
-		w.applyDiskFault(step.Kind, n.disk, length)
+		sim.applyDiskFault(step.Kind, n.disk, length)
 	case stepCut, stepCutOut, stepCutIn:
-		w.applyCut(step, n, length)
+		sim.applyCut(step, n, length)
 	case stepNetwork:
-		w.networkFault = networkFault{until: w.now + length, lost: perMilleLost, doubled: perMilleDuplicated, delayed: perMilleDelayed,
-			longest: minDelay + clock.Milliseconds(int64(step.Value))}
+		sim.networkFault = networkFault{until: sim.now + length, lost: perMilleLost, doubled: perMilleDuplicated, delayed: perMilleDelayed,
+			maxDelay: baseMaxDelay + clock.Milliseconds(int64(step.Value))}
 		if step.Peer == 1 {
-			w.networkFault.lost = perMilleHeavilyLost
+			sim.networkFault.lost = perMilleHeavilyLost
 		}
 	case stepClock:
 		n.clock.jump += int64(step.Value)
 	case stepPowerAll, stepKillAll:
-		w.takeAllDown(step)
+		sim.takeAllDown(step)
 	case stepSplit:
-		w.split(step, length)
+		sim.split(step, length)
 	case stepEndOfDay:
-		w.scheduleEndOfDay(step)
+		sim.scheduleEndOfDay(step)
 	case stepPowerOnAck:
-		w.triggers = append(w.triggers, powerTrigger{step, w.now + triggerDuration})
+		sim.triggers = append(sim.triggers, powerTrigger{step, sim.now + triggerDuration})
 	default:
-		w.applyChange(step, n, length)
+		sim.applyChange(step, n, length)
 	}
 }
 
 // applyProcessFault kills, freezes or slows down one process, and schedules its recovery.
-func (w *simCluster) applyProcessFault(step modelcheck.Step, n *simNode, length time.Duration) {
+func (sim *simCluster) applyProcessFault(step modelcheck.Step, n *simNode, length time.Duration) {
 	switch step.Kind {
 	case stepKill:
 		n.kill()
-		w.after(length, n.start)
+		sim.after(length, n.start)
 	case stepPower:
 		n.losePower()
-		w.after(length, n.start)
+		sim.after(length, n.start)
 	case stepWipe:
 		n.kill()
 		n.wipe()
-		w.after(length, n.start)
+		sim.after(length, n.start)
 	case stepFreeze:
 		incarnation := n.incarnation
 		n.freeze()
-		w.after(length, func() {
+		sim.after(length, func() {
 			if n.incarnation == incarnation {
 				n.unfreeze()
 			}
 		})
 	case stepSlow:
 		n.callDelay = time.Duration(step.Value) * 10 * time.Microsecond
-		w.after(length, func() { n.callDelay = 0 })
+		sim.after(length, func() { n.callDelay = 0 })
 	}
 }
 
-// applyChange replaces, restarts or adds a machine.
-func (w *simCluster) applyChange(step modelcheck.Step, n *simNode, length time.Duration) {
+// applyChange replaces, restarts or adds a machine. With stepReplace the successor starts at once and the old machine shuts down after
+// length, with stepReplaceLost the old machine ends at once and the successor starts after length.
+func (sim *simCluster) applyChange(step modelcheck.Step, n *simNode, length time.Duration) {
 	switch step.Kind {
 	case stepReplace:
-		index := step.Node % len(w.slots)
-		successor := w.addNode()
+		index := step.Node % len(sim.slots)
+		successor := sim.addNode()
 		successor.start()
-		w.after(length, func() {
-			old := w.slots[index]
-			w.slots[index] = successor
+		sim.after(length, func() {
+			old := sim.slots[index]
+			sim.slots[index] = successor
 			old.isRemoved = true
 			old.shutDown(func() {})
 		})
 	case stepReplaceLost:
 		n.kill()
 		n.isRemoved = true
-		successor := w.addNode()
-		w.slots[step.Node%len(w.slots)] = successor
-		w.after(length, successor.start)
+		successor := sim.addNode()
+		sim.slots[step.Node%len(sim.slots)] = successor
+		sim.after(length, successor.start)
 	case stepRestart:
-		n.shutDown(func() { w.after(length, n.start) })
+		n.shutDown(func() { sim.after(length, n.start) })
 	case stepGrow:
-		fresh := w.addNode()
-		w.slots = append(w.slots, fresh)
-		fresh.start()
+		added := sim.addNode()
+		sim.slots = append(sim.slots, added)
+		added.start()
 	}
 }
 
 // applyDiskFault makes a disk stalled, slow or full for a time.
-func (w *simCluster) applyDiskFault(kind string, d *disk, length time.Duration) {
+func (sim *simCluster) applyDiskFault(kind string, d *disk, length time.Duration) {
 	switch kind {
 	case stepStall:
 		d.isStalled = true
@@ -172,7 +179,7 @@
 	default:
 		d.isFull = true
 	}
-	w.after(length, func() {
+	sim.after(length, func() {
 		switch kind {
 		case stepStall:
 			d.isStalled = false
@@ -187,69 +194,70 @@
 
 // applyCut cuts one machine off from all others, in one or both directions. With Peer 1 connections are refused, else messages are
 // lost or delayed until the end of the cut.
-func (w *simCluster) applyCut(step modelcheck.Step, n *simNode, length time.Duration) {
-	newCut := cut{cutSilent, w.now + length}
+func (sim *simCluster) applyCut(step modelcheck.Step, n *simNode, length time.Duration) {
+	newCut := cut{cutSilent, sim.now + length}
 	if step.Peer == 1 {
 		newCut.kind = cutRefused
 	}
-	for _, other := range w.nodes {
+	for _, other := range sim.nodes {
 		if other == n {
 			continue
 		}
 		if step.Kind != stepCutIn {
-			w.cuts[pair{n.index, other.index}] = newCut
+			sim.cuts[direction{n.index, other.index}] = newCut
 		}
 		if step.Kind != stepCutOut {
-			w.cuts[pair{other.index, n.index}] = newCut
+			sim.cuts[direction{other.index, n.index}] = newCut
 		}
 	}
 }
 
-// takeAllDown cuts the power of all machines or kills all processes. Value of them, from slot Node on, lose their disks as well.
-func (w *simCluster) takeAllDown(step modelcheck.Step) {
-	for index, node := range w.slots {
+// takeAllDown cuts the power of all machines or kills all processes, and schedules the restarts. Value of the machines, from slot Node on,
+// lose their disks as well.
+func (sim *simCluster) takeAllDown(step modelcheck.Step) {
+	for index, node := range sim.slots {
 		if step.Kind == stepKillAll {
 			node.kill()
 		} else {
 			node.losePower()
 		}
-		if offset := (index - max(0, step.Node) + len(w.slots)) % len(w.slots); offset < step.Value {
-			w.countCoverage("disk wiped with all machines down")
+		if offset := (index - max(0, step.Node) + len(sim.slots)) % len(sim.slots); offset < step.Value {
+			sim.countCoverage("disk wiped with all machines down")
 			node.wipe()
 		}
-		w.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(w.random.IntN(200))*time.Millisecond, node.start)
+		sim.after(clock.Milliseconds(int64(step.ForMs))-time.Duration(sim.random.IntN(200))*time.Millisecond, node.start)
 	}
 }
 
-// fireTriggers schedules the power losses that wait for an acknowledgement. With Peer 1 all machines lose power, else the step's machine,
-// which is the leader.
-func (w *simCluster) fireTriggers() {
-	waiting := w.triggers
-	w.triggers = nil
+// fireTriggers schedules the power losses that wait for an acknowledgement. For stepPowerOnAck, all machines lose power with Peer 1, else
+// only the step's machine, which is the leader.
+func (sim *simCluster) fireTriggers() {
+	waiting := sim.triggers
+	sim.triggers = nil
 	for _, trigger := range waiting {
-		if trigger.until < w.now {
+		if trigger.until < sim.now {
 			continue
 		}
-		w.countCoverage("power lost right after an acknowledgement")
-		wait := time.Duration(w.random.IntN(maxAfterAckMs*1000)) * time.Microsecond
+		sim.countCoverage("power lost right after an acknowledgement")
+		wait := time.Duration(sim.random.IntN(maxAfterAckMs*1000)) * time.Microsecond
 		step := trigger.step
 		if step.Kind == stepEndOfDay {
-			w.after(wait, func() { w.losePowerOfAll(step) })
+			sim.after(wait, func() { sim.losePowerOfAll(step) })
 			continue
 		}
 		step.Kind = stepPower
 		if step.Peer == 1 {
 			step.Kind = stepPowerAll
 		}
-		w.after(wait, func() { w.applyStep(step) })
+		sim.after(wait, func() { sim.applyStep(step) })
 	}
 }
 
-// healAll ends all faults and starts all machines that are down.
-func (w *simCluster) healAll() {
-	w.triggers, w.networkFault = nil, networkFault{}
-	clear(w.cuts)
-	for _, node := range w.nodes {
+// healAll ends all faults and starts all machines that are down, except those that were removed. The wall clocks stay as they are.
+func (sim *simCluster) healAll() {
+	sim.triggers, sim.networkFault = nil, networkFault{}
+	clear(sim.cuts)
+	for _, node := range sim.nodes {
 		node.callDelay = 0
 		node.disk.isStalled, node.disk.isSlow, node.disk.isFull = false, false, false
 		node.unfreeze()
@@ -259,38 +267,38 @@
 }
 
 // playOperatorStep makes the calls of a step of the operators.
-func (w *simCluster) playOperatorStep(step modelcheck.Step) {
-	t := &w.operators
+func (sim *simCluster) playOperatorStep(step modelcheck.Step) {
+	operators := &sim.operators
 	switch step.Kind {
 	case stepRead:
-		w.readConfiguration(step.Node, ignoreResult)
+		sim.readConfiguration(step.Node, ignoreResult)
 	case stepEvacuate:
-		w.sendEvacuation(step, step.Node, evacuationAttempts)
+		sim.sendEvacuation(step, step.Node, evacuationAttempts)
 	case stepOrder:
-		w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1+int64(step.Value)), step.Node)
+		sim.sendChange(sim.newChange(operators.newestVersion, operators.newestVersion+1+int64(step.Value)), step.Node)
 	case stepRace:
-		w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1), step.Node)
-		w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1), step.Peer)
+		sim.sendChange(sim.newChange(operators.newestVersion, operators.newestVersion+1), step.Node)
+		sim.sendChange(sim.newChange(operators.newestVersion, operators.newestVersion+1), step.Peer)
 	case stepBurst:
 		for index := range maxInFlight {
-			w.sendChange(w.newChange(t.newestVersion, t.newestVersion+1+int64(index%3)), step.Node+index)
+			sim.sendChange(sim.newChange(operators.newestVersion, operators.newestVersion+1+int64(index%3)), step.Node+index)
 		}
 	case stepResend:
-		if count := len(t.confirmed); count > 0 {
-			again := t.confirmed[max(0, count-1-step.Value)]
+		if count := len(operators.confirmed); count > 0 {
+			again := operators.confirmed[max(0, count-1-step.Value)]
 			again.attempts = 0
-			w.sendChange(again, step.Node)
+			sim.sendChange(again, step.Node)
 		}
 	case stepStorm:
-		w.sendStorm(step.Node, w.now+clock.Milliseconds(int64(step.ForMs)))
+		sim.sendStorm(step.Node, sim.now+clock.Milliseconds(int64(step.ForMs)))
 	}
 }
 
 // sendStorm sends a change every stormPause until a time, each based on the newest confirmed version.
-func (w *simCluster) sendStorm(via int, end time.Duration) {
-	if w.now >= end {
+func (sim *simCluster) sendStorm(via int, end time.Duration) {
+	if sim.now >= end {
 		return
 	}
-	w.sendChange(w.newChange(w.operators.newestVersion, w.operators.newestVersion+1), via)
-	w.after(stormPause, func() { w.sendStorm(via, end) })
+	sim.sendChange(sim.newChange(sim.operators.newestVersion, sim.operators.newestVersion+1), via)
+	sim.after(stormPause, func() { sim.sendStorm(via, end) })
 }
