--- a/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
+++ b/internal/simulation/modelcheck/controlmodel/coordinationcallers.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// resendTime is how long a put is retried whose answer is not clear or is a 503.
+	// resendTime is how long a put is retried after unclear answers and answers with 503.
 	resendTime = 4 * time.Second
 	// resendPause is the pause before a put is retried, and mostly that between two watch calls.
 	resendPause = 60 * time.Millisecond
--- a/internal/simulation/modelcheck/controlmodel/splits.go
+++ b/internal/simulation/modelcheck/controlmodel/splits.go
@@ -11,8 +11,7 @@
 )
 
 // stepSplit cuts half of the machines off from the other half, while operators reach both. Node and Value are the seed of the random choice
-// of the half.
-// With Peer 1 connections are refused, else messages are lost or delayed until the end of the split.
+// of the half. With Peer 1 connections are refused, else messages are lost or delayed until the end of the split.
 const stepSplit = "split"
 
 const (
--- a/internal/simulation/modelcheck/countmodel/pool.go
+++ b/internal/simulation/modelcheck/countmodel/pool.go
@@ -206,7 +206,8 @@
 	})
 }
 
-// reportEnd reports the end of a run to the leader, as soon as there is one. It reports it again if the leadership ends before the commit.
+// reportEnd reports the end of a run to the leader, as soon as there is one. The report is repeated if the leadership ends before the
+// commit.
 func (p *modelPool) reportEnd(name, tenant string) {
 	if p.key.Records[name] == nil {
 		return
--- a/internal/simulation/modelcheck/countmodel/simcluster.go
+++ b/internal/simulation/modelcheck/countmodel/simcluster.go
@@ -155,8 +155,8 @@
 	return highest
 }
 
-// send carries a message between a pool and a partition in 1 to 8 ms. A fault may lose it, or deliver it a
-// second time 100 to 4000 ms after it was sent.
+// send carries a message between a pool and a partition in 1 to 8 ms. A fault may lose it, or deliver it a second time 100 to 4000 ms after
+// it was sent.
 func (c *simCluster) send(pool, part int, arrive func()) {
 	if c.cuts[[2]int{pool, part}] > c.queue.Now() || c.queue.Draw.IntN(100) < c.lostPercent {
 		c.coverage["message_lost"]++
