--- a/internal/simulation/modelcheck/ordermodel/faultytables.go
+++ b/internal/simulation/modelcheck/ordermodel/faultytables.go
@@ -16,8 +16,8 @@
 	proxy *modelProxy
 }
 
-// renumberingTable sends a start under the next run-id when it sends it again for lack of an answer. unanswered counts the orders that
-// were not answered, by task.
+// renumberingTable sends a start under the next run-id when it sends it again for lack of an answer. unanswered counts the orders
+// that were not answered, by task.
 type renumberingTable struct {
 	faultyTable
 	unanswered map[string]int64
--- a/internal/simulation/modelcheck/ordermodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/ordermodel/injectedfaults.go
@@ -174,8 +174,8 @@
 	return table
 }
 
-// wrapAnswer returns the callback for the answer to a call to the executor. With faultAnswerByPlace, a successful answer to a start or
-// a stop goes to the oldest pending one of these calls, whichever call it belongs to.
+// wrapAnswer returns the callback for the answer to a call to the executor. With faultAnswerByPlace, a successful answer to a
+// start or a stop goes to the oldest pending one of these calls, whichever call it belongs to.
 func (f injectedFault) wrapAnswer(proxy *modelProxy, request executorRequest, finish func(executorReply)) func(executorReply) {
 	if f.name != faultAnswerByPlace || request.hold != nil {
 		return finish
--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -28,25 +28,25 @@
 	maxAttempts = 4
 )
 
-// modelControl is the leader of the configuration with its rollout controller; each new leader has a new controller.
+// modelControl is the leader of the configuration with its rollout controller. Each new leader has a new controller.
 type modelControl struct {
 	cluster    *simCluster
 	key        *simkey.Key
 	leader     *configleader.Leader
 	controller *rollouts.Controller
-	// losesNextChange is set if the leadership ends during the next change, which may or may not be durable.
+	// losesNextChange is set if the leadership ends during the next change, which may or may not be durable then.
 	losesNextChange bool
-	// endStates are the states of rollouts that are over, and largestShares the largest share that the new version had in each
-	// rollout, by the rollout's name.
+	// endStates holds the states of the rollouts that are over, and largestShares the largest share that the new version has had in
+	// each rollout, both by the rollout's name.
 	endStates     map[string]configuration.RolloutState
 	largestShares map[string]float64
-	// closedAt is when a service last stopped receiving new jobs, and takesJobs whether it may receive them now, by its name.
+	// takesJobs holds for each service, by its name, whether it may receive new jobs now, and closedAt when it last stopped doing so.
 	closedAt  map[string]time.Duration
 	takesJobs map[string]bool
 	// rolloutCount counts the rollouts that were started; the count is in the name of the latest one.
 	rolloutCount int
-	// ordersDuringReconcile are the orders that come during the controller's next decision, between its reading of the
-	// configuration and its change.
+	// ordersDuringReconcile are the operators' orders that arrive during the controller's next decision, after the controller has
+	// read the configuration and before it changes it.
 	ordersDuringReconcile []modelcheck.Step
 }
 
@@ -55,7 +55,7 @@
 		closedAt: map[string]time.Duration{}, takesJobs: map[string]bool{}}
 }
 
-// controlLeadership is a leadership of the configuration in one epoch. It commits at once, unless the leadership is lost meanwhile.
+// controlLeadership is a leadership of the configuration in one epoch. It commits changes at once.
 type controlLeadership struct {
 	control *modelControl
 	epoch   uint64
@@ -103,7 +103,8 @@
 		Execute: m.execute, Report: m.report})
 }
 
-// report returns the last report of a pool to the controller. Orders that come during the decision are carried out first.
+// report returns the last report of a pool to the controller. As the controller calls it during a decision, it first carries out the
+// ordersDuringReconcile.
 func (m *modelControl) report(_ context.Context, service string) *wire.RolloutReport {
 	orders := m.ordersDuringReconcile
 	m.ordersDuringReconcile = nil
@@ -120,7 +121,7 @@
 	m.open()
 }
 
-// execute handles a call of the controller to the leader.
+// execute handles a call of the controller to the leader. With faultOperatorOverwritten, it rebases changes of the configuration.
 func (m *modelControl) execute(_ context.Context, call *wire.ClientCall) (*wire.ClientAnswer, error) {
 	if m.cluster.fault == faultOperatorOverwritten && call.Verb == wire.VerbReplace {
 		call.Base, call.Body = m.rebase(call.Body)
@@ -129,18 +130,18 @@
 	return &given, nil
 }
 
-// callLeader calls the leader and returns its answer.
+// callLeader calls the leader and returns its answer, which the leader gives at once.
 func (m *modelControl) callLeader(call *wire.ClientCall) (given wire.ClientAnswer) {
-	take := func(answer wire.ClientAnswer) { given = answer }
+	record := func(answer wire.ClientAnswer) { given = answer }
 	if call.Verb == wire.VerbRetrieve {
-		m.leader.Retrieve(take)
+		m.leader.Retrieve(record)
 	} else {
-		m.leader.Replace(call, take)
+		m.leader.Replace(call, record)
 	}
 	return given
 }
 
-// reconcileRepeatedly has the controller check the rollouts at intervals.
+// reconcileRepeatedly has the controller decide on the rollouts at intervals.
 func (m *modelControl) reconcileRepeatedly() {
 	m.controller.Reconcile(context.Background())
 	m.cluster.queue.After(reconcileInterval, m.reconcileRepeatedly)
@@ -157,7 +158,7 @@
 	m.callLeader(&wire.ClientCall{Verb: wire.VerbReplace, Body: []byte(body)})
 }
 
-// current returns the configuration in force, decoded and as its text; both are nil if there is none that can be read.
+// current returns the configuration in force, decoded and as its body. Both are nil if there is none that can be read.
 func (m *modelControl) current() (*configuration.Configuration, []byte) {
 	given := m.callLeader(&wire.ClientCall{Verb: wire.VerbRetrieve})
 	if given.Status != statusOK {
@@ -170,7 +171,8 @@
 	return decoded, given.Body
 }
 
-// scheduleOrder carries out an operator's order now, or, during a rollout, perhaps within the controller's next decision.
+// scheduleOrder carries out an operator's order. While a rollout is in progress, half of the orders are left for the controller's
+// next decision; all others are carried out now.
 func (m *modelControl) scheduleOrder(step modelcheck.Step) {
 	decoded, _ := m.current()
 	if decoded != nil && configuration.NewMatcher(decoded).Rollout(queueName) != nil && m.cluster.queue.Draw.IntN(2) == 0 {
@@ -198,7 +200,7 @@
 	case step.Kind == kindMove && rollout == nil:
 		body = []byte(strings.Replace(string(body), `"service":"`+decoded.Routes[0].Service+`"`, `"service":"`+serviceOf(step.Node)+`"`, 1))
 		amendment = configuration.Amend(body)
-	case step.Kind == kindPostOver && rollout != nil:
+	case step.Kind == kindRemoveRollouts && rollout != nil:
 		body = []byte(string(body[:strings.Index(string(body), `,"rollout-list"`)]) + "}")
 		amendment = configuration.Amend(body)
 	case rollout == nil || !setProgress(amendment, rollout, step.Kind):
@@ -212,7 +214,8 @@
 	m.callLeader(&wire.ClientCall{Verb: wire.VerbReplace, Base: amendment.Base(), Body: changed})
 }
 
-// setProgress puts the new state of a rollout into an amendment; it returns false for an order that doesn't fit the state.
+// setProgress puts the state that an order gives to a rollout into an amendment. It returns false if the order doesn't fit the
+// rollout's present state.
 func setProgress(amendment *configuration.Amendment, rollout *configuration.Rollout, kind string) bool {
 	progress := rollout.Progress()
 	switch {
@@ -229,7 +232,7 @@
 	return true
 }
 
-// handleCommitted spreads a committed configuration and checks its rollouts.
+// handleCommitted spreads a committed configuration, records which services take jobs now, and checks the rollouts.
 func (m *modelControl) handleCommitted(committed *wire.Configuration) {
 	m.cluster.spreadConfiguration(committed)
 	decoded, err := configuration.Read(committed.Body)
@@ -248,7 +251,8 @@
 	}
 }
 
-// checkRollout is an oracle: a rollout that is over keeps its state. It also records the largest share of the rollout.
+// checkRollout is an oracle: a rollout that is over keeps its state. It also counts events of the rollout and records its largest
+// share.
 func (m *modelControl) checkRollout(rollout *configuration.Rollout) {
 	if state, isEnded := m.endStates[rollout.Name]; isEnded && state != rollout.State {
 		m.cluster.violate("OPERATOR", "rollout %s was over as %s and is %q now", rollout.Name, state, rollout.State)
--- a/internal/simulation/modelcheck/rolloutmodel/executor.go
+++ b/internal/simulation/modelcheck/rolloutmodel/executor.go
@@ -12,18 +12,20 @@
 	minRunMs, maxRunMs = 50, 900
 	// outcomeStopped is the outcome of a run that was stopped by an order.
 	outcomeStopped wire.RunOutcome = "stopped"
-	// badPercent is the percentage of failing runs of a bad version.
+	// badPercent is the percentage of the runs of a bad version that fail.
 	badPercent = 60
 )
 
-// modelExecutor is an executor with its local proxy. It carries out each order at once and reports in each tick.
+// modelExecutor is an executor with its local proxy. It carries out each order at once and reports in each tick. The embedded call is
+// its next report without the runs, the fence and the list number.
 type modelExecutor struct {
 	wire.ExchangeCall
 	pool    *modelPool
 	running []wire.Order
-	// highestRun is the highest run that ended or was stopped here, by task.
+	// highestRun is the highest run that has ended here or was ordered to stop, by task.
 	highestRun map[string]int64
-	lastEnd    int64
+	// lastEnd is the number of the last end.
+	lastEnd int64
 }
 
 func newModelExecutor(pool *modelPool, number int) *modelExecutor {
@@ -32,13 +34,14 @@
 		Capacity: wire.Capacity{CPU: executorCPU, Memory: executorMemory}, Labels: []string{"a", "r1"}}}
 }
 
-// allRuns is a list number above any that the leader asks for, so that each list counts as the one that it asked for.
-const allRuns = 1 << 40
+// maxListNumber is a list number above any that the leader asks for, so that each list counts as the one that the leader wants.
+const maxListNumber = 1 << 40
 
-// exchange reports all runs, ends and answers, and carries out the orders of the leader. Answers of an earlier epoch are ignored.
+// exchange reports all runs, ends and answers to the leader, and carries out the orders in its answer. An answer that comes after the
+// leadership has ended is ignored.
 func (e *modelExecutor) exchange() {
 	call := e.ExchangeCall
-	call.Fence, call.ListNumber, call.Running = e.pool.key.Epoch, allRuns, nil
+	call.Fence, call.ListNumber, call.Running = e.pool.key.Epoch, maxListNumber, nil
 	for _, order := range e.running {
 		call.Running = append(call.Running, wire.RunReport{Task: order.Task, Run: order.Run})
 	}
@@ -56,7 +59,8 @@
 	e.pool.flush()
 }
 
-// carryOut starts or stops a run and records the answer for the next report. It refuses to start a run not above highestRun.
+// carryOut starts or stops a run and records the answer for the next report. It does not start a run that is active already, and
+// refuses to start a run that is not above highestRun.
 func (e *modelExecutor) carryOut(order wire.Order) {
 	result := wire.ResultOK
 	switch {
--- a/internal/simulation/modelcheck/rolloutmodel/gate.go
+++ b/internal/simulation/modelcheck/rolloutmodel/gate.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// attemptTimeout is how long a gate waits for the answer to an attempt, attemptPause the pause after it, and gateTimeout the
-	// time that it has for all attempts.
+	// attemptTimeout is how long a gate waits for the answer to an attempt, attemptDelay the pause before the next attempt, and
+	// gateTimeout the time for all attempts of a request.
 	attemptTimeout = 400 * time.Millisecond
-	attemptPause   = 60 * time.Millisecond
+	attemptDelay   = 60 * time.Millisecond
 	gateTimeout    = 1500 * time.Millisecond
 )
 
-// modelGate is a gate. It replaces the loops of clientapi.Gate by events and makes the real decisions and answers in them.
+// modelGate is a gate. It runs the loops of clientapi.Gate as events, with the real decisions and answers.
 type modelGate struct {
 	cluster *simCluster
 	number  int
@@ -33,7 +33,8 @@
 	job    *modelJob
 }
 
-// serve answers a client with a status and the version of the gate's configuration; version 0 stands for none.
+// serve answers a client with a status and the version of the configuration that the gate used; version 0 stands for no
+// configuration.
 func (g *modelGate) serve(asked request, answer func(status int, version int64)) {
 	if g.snapshot == nil {
 		answer(http.StatusServiceUnavailable, 0)
@@ -56,7 +57,8 @@
 	g.find(decision.Call, append([]string{decision.Call.Key[len(wire.PoolPrefix):]}, decision.OtherServices...), deadline, findState{}, done)
 }
 
-// submit has all other pools renounce a job, and then submits it to the pool of the call.
+// submit has all other pools renounce a job, and then submits the job to the pool of the call. It submits nothing if a pool does not
+// renounce the job.
 func (g *modelGate) submit(call *wire.ClientCall, otherServices []string, deadline time.Duration, done func(int)) {
 	if len(otherServices) == 0 || g.cluster.fault == faultRenounceSkipped {
 		g.callPool(call, deadline, func(outcome leaderclient.Outcome) { done(clientapi.ResponseOf(call, outcome).Status) })
@@ -75,11 +77,13 @@
 	})
 }
 
-// findState is the state of a search for a job: whether a pool gave no answer, and whether one has named the pool that the job
-// was transferred to.
+// findState is the state of a search for a job: whether a pool gave no answer, and whether a pool has named the pool to which the job
+// was transferred.
 type findState struct{ hasNoAnswer, hasMoved bool }
 
-// find calls one pool after another until one knows the job. It also follows the first transfer that a pool names.
+// find calls one pool after another until one knows the job. The first pool that names a pool to which it has transferred the job
+// adds that pool to the end of the list. If no pool knows the job, the answer is Gone only if all have answered and none has
+// named another.
 func (g *modelGate) find(call *wire.ClientCall, services []string, deadline time.Duration, state findState, done func(int)) {
 	if len(services) == 0 {
 		switch {
@@ -107,7 +111,7 @@
 	})
 }
 
-// callTo returns a copy of a call for another pool and verb; only a submission keeps its body and terms.
+// callTo returns a copy of a call with another verb for the pool of a service. Only a submission keeps its body and terms.
 func callTo(call *wire.ClientCall, service string, verb wire.Verb) *wire.ClientCall {
 	copied := *call
 	copied.Key, copied.Verb = wire.PoolKey(service), verb
@@ -117,12 +121,12 @@
 	return &copied
 }
 
-// callPool calls the leader of a pool again and again until it answers or the deadline is over.
+// callPool calls the leader of a pool again and again until it answers or the deadline has passed. The outcome has no answer then.
 func (g *modelGate) callPool(call *wire.ClientCall, deadline time.Duration, done func(leaderclient.Outcome)) {
 	c, pool := g.cluster, g.cluster.poolOf(call.Key[len(wire.PoolPrefix):])
 	var outcome leaderclient.Outcome
 	var attempt func()
-	again := func() { c.queue.After(attemptPause, attempt) }
+	again := func() { c.queue.After(attemptDelay, attempt) }
 	attempt = func() {
 		if c.queue.Now() >= deadline {
 			done(outcome)
--- a/internal/simulation/modelcheck/rolloutmodel/injectedfaults.go
+++ b/internal/simulation/modelcheck/rolloutmodel/injectedfaults.go
@@ -17,7 +17,7 @@
 	faultTransferAnsweredEarly = "transfer-answered-early"
 	faultPromiseOfNoVersion    = "promise-of-no-version"
 	faultShareIgnored          = "share-not-heeded"
-	faultTurnedBackIgnored     = "turned-back-not-heeded"
+	faultRollbackIgnored       = "turned-back-not-heeded"
 	faultOperatorOverwritten   = "operator-overwritten"
 	faultRenounceSkipped       = "renounce-skipped"
 )
@@ -28,13 +28,13 @@
 	{Name: faultTransferAnsweredEarly, About: "A pool acknowledges a transferred job before that is committed."},
 	{Name: faultPromiseOfNoVersion, About: "A pool accepts a job that it has promised not to take, whichever configuration the gate has."},
 	{Name: faultShareIgnored, About: "A gate submits all jobs to the new version once a rollout has begun."},
-	{Name: faultTurnedBackIgnored, About: "Pools do not return the jobs of a version that was rolled back."},
+	{Name: faultRollbackIgnored, About: "Pools do not return the jobs of a version that was rolled back."},
 	{Name: faultOperatorOverwritten, About: "The controller changes the configuration in force, whichever one its decision was based on."},
 	{Name: faultRenounceSkipped, About: "A gate submits a job to a pool without having the others renounce it."},
 }
 
-// withoutForgotten returns the operations of a commit without those that an injected fault keeps from the disk.
-func (c *simCluster) withoutForgotten(ops []wire.Op) []wire.Op {
+// changeCommit returns the operations of a pool's commit without those that an injected fault keeps from the disk.
+func (c *simCluster) changeCommit(ops []wire.Op) []wire.Op {
 	prefix := map[string]string{faultPromiseForgotten: "m/", faultTransferForgotten: "v/"}[c.fault]
 	if prefix == "" {
 		return ops
@@ -42,7 +42,7 @@
 	return slices.DeleteFunc(slices.Clone(ops), func(op wire.Op) bool { return strings.HasPrefix(op.Name, prefix) })
 }
 
-// changeCall applies an injected fault to a call that arrives at a pool.
+// changeCall applies an injected fault to a call that has arrived at a pool.
 func (c *simCluster) changeCall(_ *modelPool, call *wire.ClientCall) {
 	if c.fault == faultPromiseOfNoVersion && call.Verb == wire.VerbSubmit {
 		call.Version = math.MaxInt64
@@ -56,7 +56,8 @@
 	}
 }
 
-// rebase turns a change of the controller into one of the configuration in force, whichever one it was decided on.
+// rebase turns a change of the controller into a change of the configuration in force, whichever configuration the controller has
+// read. It returns the version of the configuration in force and the changed body, or 0 and the same body if that fails.
 func (m *modelControl) rebase(body []byte) (base int64, changed []byte) {
 	current, _ := m.current()
 	_, err := configuration.Read(body)
--- a/internal/simulation/modelcheck/rolloutmodel/model.go
+++ b/internal/simulation/modelcheck/rolloutmodel/model.go
@@ -1,7 +1,7 @@
 // Package rolloutmodel runs the real pools of three versions of a service, the real leader of the configuration with its
-// rollout controller, and the real decisions of gates, on a fake clock and a simulated network. Its schedules have rollouts of
-// good and bad versions and moves of queues to other services, while leaders are lost, messages are lost, duplicated or late,
-// gates receive configurations late, and operators intervene.
+// rollout controller, and the real decisions of gates, on a fake clock and a simulated network. In its schedules, good and bad
+// versions are rolled out and a queue is moved between the versions, while leaders are lost, messages are lost or duplicated late,
+// gates receive configurations late, executors are silent, and operators intervene.
 package rolloutmodel
 
 import (
@@ -14,7 +14,8 @@
 const (
 	modelName = "rollouts"
 	// settleTime is how long after the last step all jobs may take until they are over.
-	settleTime    = 30 * time.Second
+	settleTime = 30 * time.Second
+	// checkInterval is the interval of the checks whether all jobs are over.
 	checkInterval = 200 * time.Millisecond
 )
 
@@ -27,7 +28,8 @@
 // tracef writes a line about an event at the current simulated time.
 func (c *simCluster) tracef(format string, values ...any) { c.Note(c.queue.Now(), format, values...) }
 
-// Run plays a schedule until all jobs are over, or until settleTime has passed after the last step. Then it checks how they ended.
+// Run plays a schedule until an invariant is violated, until all jobs are over after the last step, or until settleTime has passed
+// after that. If nothing is violated, it checks how the jobs ended.
 func (c *simCluster) Run(schedule modelcheck.Schedule) modelcheck.Outcome {
 	c.start()
 	lastMs := 0
--- a/internal/simulation/modelcheck/rolloutmodel/oracles.go
+++ b/internal/simulation/modelcheck/rolloutmodel/oracles.go
@@ -11,18 +11,21 @@
 )
 
 const (
-	// cancelBound is how long after the acknowledgement of a cancel a task may still be started.
-	cancelBound = 3 * time.Second
-	// returnBound is how long after a version was rolled back its pool may still start runs: the configuration has to spread, and
-	// orders that were committed before may be in flight, also across a change of the leader. Silent executors get longer.
-	returnBound = (maxSpreadTimeMs + 1500) * time.Millisecond
+	// cancelTime is how long after the acknowledgement of a cancel a task of the job may still be started.
+	cancelTime = 3 * time.Second
+	// rollbackTime is how long after a version was rolled back its pool may still start runs: the configuration has to spread, and
+	// orders that were committed before may be in flight, also across a change of the leader. If the pool's executors were silent,
+	// the time counts from the end of their silence.
+	rollbackTime = (maxSpreadTimeMs + 1500) * time.Millisecond
 )
 
 // taskFacts is what executors have actually done with a task, in all pools.
 type taskFacts struct {
-	running       int
-	isDone        bool
-	failedCount   int
+	// running is the number of active runs of the task.
+	running     int
+	isDone      bool
+	failedCount int
+	// lastStartedIn is the name of the pool that started the task last.
 	lastStartedIn string
 }
 
@@ -38,15 +41,16 @@
 
 // jobByID returns a job, or nil if no client has submitted it.
 func (c *simCluster) jobByID(id string) *modelJob {
-	index := slices.IndexFunc(c.order, func(job *modelJob) bool { return job.id == id })
+	index := slices.IndexFunc(c.jobsInOrder, func(job *modelJob) bool { return job.id == id })
 	if index < 0 {
 		return nil
 	}
-	return c.order[index]
+	return c.jobsInOrder[index]
 }
 
-// checkStart is the oracle of starts. A task runs in one pool at a time, not after it is done, and not beyond its attempts. No
-// job starts that was refused or cancelled, and no run starts in a version that was rolled back.
+// checkStart is the oracle of starts, and records a start. A task has one run at a time in all pools, and starts neither after it is
+// done nor after it has used its attempts. No task starts of a job that was not submitted, was refused by all submissions, or was
+// cancelled longer than cancelTime ago. No run starts in a version that was rolled back; see checkRolledBack.
 func (c *simCluster) checkStart(executor *modelExecutor, order wire.Order) {
 	c.coverage["start"]++
 	facts, job := c.taskFactsOf(order.Task), c.jobByID(jobs.JobOf(order.Task))
@@ -62,29 +66,31 @@
 		c.violate("BUDGET", "%s is started after it failed %d times", order.Task, facts.failedCount)
 	case !job.isAccepted && !job.mayHaveRun && job.openAttempts == 0:
 		c.violate("REFUSED", "%s is started, although all submissions were refused", order.Task)
-	case job.isCancelled && c.queue.Now()-job.cancelledAt > cancelBound:
+	case job.isCancelled && c.queue.Now()-job.cancelledAt > cancelTime:
 		c.violate("CANCELLED", "%s is started %v after its job was cancelled", order.Task, c.queue.Now()-job.cancelledAt)
 	}
 	facts.running++
 	facts.lastStartedIn = executor.pool.name()
-	c.checkTurnedBack(executor.pool, order)
+	c.checkRolledBack(executor.pool, order)
 }
 
-// checkTurnedBack is an oracle: a version that was rolled back starts no more runs, unless it may receive new jobs again.
-func (c *simCluster) checkTurnedBack(pool *modelPool, order wire.Order) {
+// checkRolledBack is an oracle: a version that was rolled back starts no more runs after rollbackTime, unless it may receive new jobs
+// again.
+func (c *simCluster) checkRolledBack(pool *modelPool, order wire.Order) {
 	decoded, _ := c.control.current()
 	if decoded == nil || mayReceiveJobs(decoded, serviceOf(pool.number)) {
 		return
 	}
 	since := c.queue.Now() - max(pool.silentUntil, c.control.closedAt[serviceOf(pool.number)])
 	for _, rollout := range decoded.Rollouts {
-		if rollout.State == configuration.RolloutRolledBack && rollout.To == serviceOf(pool.number) && since > returnBound {
+		if rollout.State == configuration.RolloutRolledBack && rollout.To == serviceOf(pool.number) && since > rollbackTime {
 			c.violate("TURNED BACK", "%s is started in %s, %v after that version was rolled back", order.Task, pool.name(), since)
 		}
 	}
 }
 
-// mayReceiveJobs reports whether new jobs may go to a service.
+// mayReceiveJobs reports whether new jobs of the queue may go to a service: the queue is routed to the service, or a rollout in
+// progress is from or to it.
 func mayReceiveJobs(decoded *configuration.Configuration, service string) bool {
 	rollout := configuration.NewMatcher(decoded).Rollout(queueName)
 	return decoded.Routes[0].Service == service || rollout != nil && (rollout.To == service || rollout.From == service)
@@ -102,8 +108,8 @@
 	}
 }
 
-// checkAccepted is the oracle of shares: the new version of a rollout accepts only jobs that the rollout's largest share so far
-// assigns to it.
+// checkAccepted is the oracle of shares: the new version of the rollout in progress accepts only jobs that the rollout's largest
+// share so far assigns to it. Versions that may receive other jobs too are not checked.
 func (c *simCluster) checkAccepted(pool *modelPool, call *wire.ClientCall, given wire.ClientAnswer) {
 	decoded, _ := c.control.current()
 	if given.Status != statusOK || decoded == nil {
@@ -125,10 +131,10 @@
 	}
 }
 
-// mayReceiveOtherJobs reports whether the new version of a rollout may receive jobs beyond its share, through an earlier
-// rollout or a move.
+// mayReceiveOtherJobs reports whether the new version of a rollout may receive jobs beyond its share: through another rollout, or
+// because an operator has moved the queue or removed all rollouts in this run.
 func (c *simCluster) mayReceiveOtherJobs(decoded *configuration.Configuration, rollout *configuration.Rollout) bool {
-	if c.coverage[kindMove] > 0 || c.coverage[kindPostOver] > 0 {
+	if c.coverage[kindMove] > 0 || c.coverage[kindRemoveRollouts] > 0 {
 		return true
 	}
 	return slices.ContainsFunc(decoded.Rollouts, func(other configuration.Rollout) bool {
@@ -144,17 +150,17 @@
 	})
 }
 
-// areAllOver reports whether no submission is open and all jobs that pools may have accepted are over.
+// areAllOver reports whether no submission waits for an answer and all jobs that pools may have accepted are over.
 func (c *simCluster) areAllOver() bool {
-	return !slices.ContainsFunc(c.order, func(job *modelJob) bool {
+	return !slices.ContainsFunc(c.jobsInOrder, func(job *modelJob) bool {
 		return job.openAttempts > 0 || (job.isAccepted || job.mayHaveRun) && !c.hasEnded(job) && !job.isOver
 	})
 }
 
-// checkEnd is the oracle of the final states: all accepted jobs are over, each in one pool. Jobs have failed only after all
-// attempts, and were cancelled only on request.
+// checkEnd is the oracle of the final states: all accepted jobs are over, and no job has ended in more than one pool. Jobs have
+// failed only after all attempts, and were cancelled only on request.
 func (c *simCluster) checkEnd() {
-	for _, job := range c.order {
+	for _, job := range c.jobsInOrder {
 		var states []string
 		for _, pool := range c.pools {
 			for _, state := range []string{"completed", "failed", "cancelled"} {
@@ -176,7 +182,8 @@
 	}
 }
 
-// hasUsedAttempts reports whether a task of a job has failed as often as it may. For a gang one failure of a task is enough.
+// hasUsedAttempts reports whether a task of a job has failed as often as it may. For a job with a gang, one failure of any task is
+// enough.
 func (c *simCluster) hasUsedAttempts(job *modelJob) bool {
 	for name, facts := range c.tasks {
 		if jobs.JobOf(name) == job.id && facts.failedCount >= 1 && (facts.failedCount >= maxAttempts || strings.Contains(job.body, "gang")) {
--- a/internal/simulation/modelcheck/rolloutmodel/pool.go
+++ b/internal/simulation/modelcheck/rolloutmodel/pool.go
@@ -27,7 +27,7 @@
 	HoldStale: 2500 * time.Millisecond, SilentAfter: 1500 * time.Millisecond, StopTimeout: 400 * time.Millisecond, StuckAfter: 2 * time.Second,
 	KeepEnded: 150 * time.Second, ReservedCapacity: scheduler.DefaultReservedCapacity}
 
-// modelPool is the pool of a version, led by one leader after another, and its executors.
+// modelPool is the pool of a version with its executors. It is led by one leader after another.
 type modelPool struct {
 	cluster *simCluster
 	number  int
@@ -37,9 +37,9 @@
 	// snapshot is the newest configuration that has reached the pool; nil if none has.
 	snapshot  *configcache.Snapshot
 	executors []*modelExecutor
-	// report is the last report to the rollout controller; nil after a change of the leader.
+	// report is the last report for the rollout controller; nil if the leader has made none yet.
 	report *wire.RolloutReport
-	// isSilent is set while the executors make no exchanges, and isBad if the version is bad, so that runs fail.
+	// isSilent is set while the executors make no exchanges, and isBad if the version is bad, so that badPercent of its runs fail.
 	isSilent, isBad bool
 	// silentUntil is the end of the last silence of the executors, which may lie in the future.
 	silentUntil time.Duration
@@ -72,12 +72,12 @@
 // WallMs returns the time of day in milliseconds.
 func (l *leadership) WallMs() int64 { return l.pool.cluster.queue.Clock.WallMs() }
 
-// Commit proposes a change. It does nothing once the leadership is over, as its process has ended.
+// Commit proposes a change. Once the leadership is over it does nothing and does not call done, as the leader's process has ended.
 func (l *leadership) Commit(ops []wire.Op, done func(error)) {
 	if l.isOver() {
 		return
 	}
-	l.pool.key.Propose(l.pool.cluster.withoutForgotten(ops), func(err error) {
+	l.pool.key.Propose(l.pool.cluster.changeCommit(ops), func(err error) {
 		done(err)
 		l.pool.flush()
 	})
@@ -91,7 +91,8 @@
 	p.cluster.coverage["pool_opened"]++
 }
 
-// kill ends the leadership, with commits in flight; the next leader takes over after a drawn time.
+// kill ends the leadership while commits may be in flight; the next leader takes over after a drawn time. It does nothing if there is
+// no leader.
 func (p *modelPool) kill() {
 	if p.pool == nil {
 		return
@@ -107,13 +108,14 @@
 	}
 }
 
-// policy returns the rollout policy in the configuration that has reached the pool.
+// policy returns the rollout policy of the newest configuration that has reached the pool. With faultRollbackIgnored, the policy
+// returns no jobs to old versions.
 func (p *modelPool) policy() scheduler.RolloutPolicy {
 	if p.snapshot == nil {
 		return scheduler.RolloutPolicy{}
 	}
 	policy := rollouts.PolicyFor(p.snapshot.Committed.Version, p.snapshot.Matcher, serviceOf(p.number))
-	if p.cluster.fault == faultTurnedBackIgnored {
+	if p.cluster.fault == faultRollbackIgnored {
 		for index := range policy.Rollouts {
 			policy.Rollouts[index].ReturnTo = ""
 		}
@@ -121,7 +123,7 @@
 	return policy
 }
 
-// tickRepeatedly runs the periodic work of the pool and its executors at each tick.
+// tickRepeatedly runs the periodic work of the pool and its executors at each tick, if the pool has a leader then.
 func (p *modelPool) tickRepeatedly() {
 	if p.pool != nil {
 		p.pool.Tick()
@@ -136,7 +138,7 @@
 	p.cluster.queue.After(tickInterval, p.tickRepeatedly)
 }
 
-// updateReport gets the pool's report for the rollout controller.
+// updateReport requests the pool's report for the rollout controller and stores it.
 func (p *modelPool) updateReport() {
 	epoch := p.key.Epoch
 	p.pool.Rollouts(&wire.ClientCall{}, func(answer wire.ClientAnswer) {
@@ -147,7 +149,7 @@
 	p.pool.Flush()
 }
 
-// serve handles a call of a gate or of another pool. There is no answer if the leadership ends meanwhile.
+// serve handles a call of a gate or of another pool. There is no answer if the leadership ends before it is given.
 func (p *modelPool) serve(call *wire.ClientCall, answer func(wire.ClientAnswer)) {
 	if p.pool == nil {
 		answer(wire.ClientAnswer{NotLeader: true})
@@ -185,7 +187,8 @@
 	p.flush()
 }
 
-// killAtNextPromise ends the leadership if the schedule says so for the next promise. A renounce that is answered with Gone is one.
+// killAtNextPromise handles the answer to a renounce. The status Gone means that the pool has promised not to take the job. In
+// that case it ends the leadership after a short time if the schedule says so for the next promise.
 func (p *modelPool) killAtNextPromise(given wire.ClientAnswer) {
 	if given.Status != http.StatusGone || p.cluster.killAtPromise == 0 {
 		return
@@ -195,10 +198,10 @@
 	p.cluster.after(1, maxKillDelayMs, p.kill)
 }
 
-// modelSender sends the calls that transfer a pool's jobs to another pool.
+// modelSender sends the calls that transfer jobs of a pool to another pool.
 type modelSender struct{ from *modelPool }
 
-// Send sends a job to the leader of another pool once; the pool sends it again if there is no answer.
+// Send sends a transfer to the leader of another pool once. The sending pool repeats it if there is no answer.
 func (s *modelSender) Send(service string, call *wire.ClientCall, answer func(*wire.ClientAnswer)) {
 	c, epoch := s.from.cluster, s.from.key.Epoch
 	c.coverage["transfer"]++
@@ -216,24 +219,25 @@
 	})
 }
 
-// The pools that lose their leaders at a transfer (1 is the receiving one), and the longest delay until then in milliseconds.
 const (
+	// killSender and killBoth say which pools lose their leaders at a transfer: the sending pool, or both. 1 is the receiving pool.
 	killSender, killBoth = 0, 2
-	maxKillDelayMs       = 25
+	// maxKillDelayMs is the longest delay from a promise or a transfer until the leadership ends, in milliseconds.
+	maxKillDelayMs = 25
 )
 
-// killAtNextTransfer ends the leaderships that the schedule says for the next transfer.
+// killAtNextTransfer ends the leaderships that are to end at the next transfer according to the schedule.
 func (c *simCluster) killAtNextTransfer(from, to *modelPool) {
 	if len(c.killAtTransfer) == 0 {
 		return
 	}
-	who := c.killAtTransfer[0]
+	target := c.killAtTransfer[0]
 	c.killAtTransfer = c.killAtTransfer[1:]
 	c.coverage["killed_at_transfer"]++
-	if who == killSender || who == killBoth {
+	if target == killSender || target == killBoth {
 		c.after(0, maxKillDelayMs, from.kill)
 	}
-	if who != killSender {
+	if target != killSender {
 		c.after(0, maxKillDelayMs, to.kill)
 	}
 }
--- a/internal/simulation/modelcheck/rolloutmodel/rolloutmodel_test.go
+++ b/internal/simulation/modelcheck/rolloutmodel/rolloutmodel_test.go
@@ -13,11 +13,12 @@
 const (
 	// soundSchedules is how many schedules are played without an injected fault.
 	soundSchedules = 120
-	// maxSchedules is within how many schedules an injected fault must be found.
+	// An injected fault must show in one of maxSchedules schedules.
 	maxSchedules = 1500
 )
 
-// firstSeeds shorten the search for faults that show in one of some hundred schedules. All other searches begin at seed 0.
+// firstSeeds are the first seeds of the searches for faults that show only in about one of some hundred schedules. All other searches
+// begin at seed 0.
 var firstSeeds = map[string]uint64{"transfer-answered-early": 11181347818771085240, "turned-back-not-heeded": 2516914555173468186,
 	"operator-overwritten": 5212393880652543101, "promise-forgotten": 13190233073907042514, "transfer-forgotten": 7598971972767443232}
 
--- a/internal/simulation/modelcheck/rolloutmodel/schedule.go
+++ b/internal/simulation/modelcheck/rolloutmodel/schedule.go
@@ -7,57 +7,63 @@
 	"gannetline/internal/simulation/modelcheck"
 )
 
-// The random stream of schedules, the bounds of their times in milliseconds and of their counts, and the tenths of jobs that
-// are cancelled or submitted again up to maxJobDelayMs later.
+// The bounds of the times of a schedule in milliseconds, and of the numbers of its jobs, faults and orders of operators.
 const (
-	drawStream        = 61
-	firstStepMs       = 500
-	lastStepMs        = 16000
-	minJobs           = 15
-	maxJobs           = 60
-	minFaults         = 1
-	maxFaults         = 7
-	minOrders         = 1
-	maxOrders         = 4
+	// drawStream is the random stream that schedules are drawn from.
+	drawStream  = 61
+	firstStepMs = 500
+	lastStepMs  = 16000
+	minJobs     = 15
+	maxJobs     = 60
+	minFaults   = 1
+	maxFaults   = 7
+	minOrders   = 1
+	maxOrders   = 4
+	// cancelTenths of ten jobs are cancelled and submitAgainTenths of ten are submitted again, within maxJobDelayMs after the
+	// first submission.
 	cancelTenths      = 1
 	submitAgainTenths = 1
 	maxJobDelayMs     = 1500
 	maxFaultMs        = 4000
 )
 
-// Kinds of steps. Node is a job or a pool, depending on the kind.
+// Kinds of steps. Unless the kind says otherwise, Node is the number of a job, a pool or a version, depending on the kind.
 const (
-	// kindSubmit has the client of job Node submit it at the gate Peer; kindAgain submits it once more, kindCancel cancels it.
-	kindSubmit = "submit"
-	kindAgain  = "submit-again"
-	kindCancel = "cancel"
+	// kindSubmit has a client submit job Node at the gate Peer. kindSubmitAgain submits the job once more, and kindCancel cancels it.
+	kindSubmit      = "submit"
+	kindSubmitAgain = "submit-again"
+	kindCancel      = "cancel"
 	// kindRollout starts a rollout to the version Node, which is bad if Value is 1; kindMove moves the queue to the version Node.
 	kindRollout = "rollout"
 	kindMove    = "move"
-	// kindPause, kindResume and kindAbort are orders about the rollout in progress; kindPostOver posts a configuration without rollouts.
-	kindPause    = "pause"
-	kindResume   = "resume"
-	kindAbort    = "abort"
-	kindPostOver = "post-over"
-	// kindKillPool ends the leadership of a pool with commits in flight, kindKillControl that of the configuration during its next change.
+	// kindPause, kindResume and kindAbort are operators' orders about the rollout in progress. kindRemoveRollouts commits a
+	// configuration without rollouts.
+	kindPause          = "pause"
+	kindResume         = "resume"
+	kindAbort          = "abort"
+	kindRemoveRollouts = "post-over"
+	// kindKillPool ends the leadership of a pool, with the commits in flight. kindKillControl ends the leadership of the configuration
+	// during its next change, and once more after the step's time.
 	kindKillPool    = "kill-pool"
 	kindKillControl = "kill-control"
-	// kindKillAtTransfer ends leaderships at the next transfer of a job: of the sending pool (Node 0), the receiving one (1), or both (2).
+	// kindKillAtTransfer ends leaderships at the next transfer of a job: of the sending pool (Node 0), the receiving pool (Node 1), or
+	// both (Node 2).
 	kindKillAtTransfer = "kill-at-transfer"
 	// kindKillAtPromise ends the leadership of the next pool that promises not to take a job. For the step's time,
 	// latePercentAtPromises of the messages have a late duplicate.
 	kindKillAtPromise = "kill-at-promise"
 	// kindCutGates keeps configurations from half of the gates.
 	kindCutGates = "cut-gates"
-	// kindLoseMessages loses Value percent of the messages, kindLateMessages duplicates Value percent and delays the duplicates.
+	// kindLoseMessages loses Value percent of the messages. kindLateMessages delivers a late duplicate of Value percent of them.
 	kindLoseMessages = "lose-messages"
 	kindLateMessages = "late-messages"
 	// kindSilentExecutors has the executors of a pool make no exchanges.
 	kindSilentExecutors = "silence"
 )
 
+// The kinds of operators' orders and of faults that are drawn. A kind that is listed more than once is drawn more often.
 var (
-	orderKinds = []string{kindRollout, kindRollout, kindRollout, kindMove, kindPause, kindResume, kindAbort, kindPostOver}
+	orderKinds = []string{kindRollout, kindRollout, kindRollout, kindMove, kindPause, kindResume, kindAbort, kindRemoveRollouts}
 	faultKinds = []string{kindKillPool, kindKillAtPromise, kindKillAtPromise, kindKillAtTransfer, kindKillAtTransfer, kindKillControl, kindCutGates, kindLoseMessages, kindLateMessages, kindLateMessages, kindSilentExecutors}
 )
 
@@ -66,7 +72,7 @@
 	return minimum + random.IntN(maximum-minimum+1)
 }
 
-// draw draws the schedule of a seed: a rollout or a move near the beginning, more orders after it, jobs at any time, and faults.
+// draw draws the schedule of a seed: a rollout or a move at the beginning, and more orders, jobs and faults at any time after that.
 func draw(seed uint64, losses int, _ modelcheck.Size) modelcheck.Schedule {
 	random := rand.New(rand.NewPCG(seed, drawStream))
 	schedule := modelcheck.Schedule{Model: modelName, Seed: seed, Losses: losses, Nodes: gateCount}
@@ -84,7 +90,7 @@
 		at := between(random, firstStepMs, lastStepMs)
 		add(modelcheck.Step{AtMs: at, Kind: kindSubmit, Node: number, Peer: random.IntN(gateCount), Value: random.IntN(len(shapes))})
 		if random.IntN(10) < submitAgainTenths {
-			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelayMs), Kind: kindAgain, Node: number, Peer: random.IntN(gateCount)})
+			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelayMs), Kind: kindSubmitAgain, Node: number, Peer: random.IntN(gateCount)})
 		}
 		if random.IntN(10) < cancelTenths {
 			add(modelcheck.Step{AtMs: at + random.IntN(maxJobDelayMs), Kind: kindCancel, Node: number, Peer: random.IntN(gateCount)})
--- a/internal/simulation/modelcheck/rolloutmodel/simcluster.go
+++ b/internal/simulation/modelcheck/rolloutmodel/simcluster.go
@@ -17,29 +17,29 @@
 	gateCount     = 4
 	versionCount  = 3
 	tickInterval  = 50 * time.Millisecond
-	// maxSpreadTimeMs is how long a configuration takes at most to reach a process that is not cut off.
+	// maxSpreadTimeMs is the longest time until a configuration reaches a process that is not cut off, in milliseconds.
 	maxSpreadTimeMs = 1500
-	// The bounds of the transit time of a message, and of a duplicate that comes late, in milliseconds.
+	// The bounds of the transit time of a message, and of a late duplicate, in milliseconds.
 	minTransitMs, maxTransitMs = 1, 8
 	minLateMs, maxLateMs       = 100, 4000
 	// latePercentAtPromises is the percentage of messages with a late duplicate while pools lose their leaders at promises.
 	latePercentAtPromises = 60
 )
 
-// serviceOf returns the name of the service that is a version.
+// serviceOf returns the name of the service that runs a version.
 func serviceOf(number int) string { return fmt.Sprintf("v%d", number) }
 
 // simCluster is the whole simulated system: the pools, the gates, the leader of the configuration and the network. It also
 // holds the jobs of clients and the facts and violations that the oracles record.
 type simCluster struct {
-	queue   *simcluster.EventQueue
-	pools   []*modelPool
-	gates   []*modelGate
-	control *modelControl
-	jobs    map[int]*modelJob
-	order   []*modelJob
-	tasks   map[string]*taskFacts
-	fault   string
+	queue       *simcluster.EventQueue
+	pools       []*modelPool
+	gates       []*modelGate
+	control     *modelControl
+	jobs        map[int]*modelJob
+	jobsInOrder []*modelJob
+	tasks       map[string]*taskFacts
+	fault       string
 	network
 	coverage   modelcheck.Coverage
 	violations []modelcheck.Violation
@@ -51,9 +51,9 @@
 	lostPercent, latePercent int
 	// cutUntil is the time until which half of the gates receive no configuration.
 	cutUntil time.Duration
-	// killAtTransfer are the pools that lose their leaders at each of the next transfers; see kindKillAtTransfer.
+	// killAtTransfer says for each of the next transfers which pools lose their leaders; see kindKillAtTransfer.
 	killAtTransfer []int
-	// killAtPromise is at how many of the next promises not to take a job the promising pool loses its leader.
+	// killAtPromise is the number of the next promises not to take a job at which the promising pool loses its leader.
 	killAtPromise int
 }
 
@@ -70,7 +70,7 @@
 	return c
 }
 
-// start elects the first leaders and starts the periodic work of all processes.
+// start has the first leaders take over, commits the first configuration, and starts the periodic work of all processes.
 func (c *simCluster) start() {
 	for _, pool := range c.pools {
 		pool.open()
@@ -92,9 +92,9 @@
 func (c *simCluster) play(step modelcheck.Step) {
 	c.coverage[step.Kind]++
 	c.tracef("%s node %d peer %d value %d for %d ms", step.Kind, step.Node, step.Peer, step.Value, step.ForMs)
-	during := clock.Milliseconds(int64(step.ForMs))
+	length := clock.Milliseconds(int64(step.ForMs))
 	switch step.Kind {
-	case kindSubmit, kindAgain, kindCancel:
+	case kindSubmit, kindSubmitAgain, kindCancel:
 		c.playJob(step)
 	case kindKillPool:
 		c.pools[step.Node].kill()
@@ -103,29 +103,29 @@
 	case kindKillAtPromise:
 		c.killAtPromise++
 		c.latePercent = latePercentAtPromises
-		c.queue.After(during, func() { c.latePercent = 0 })
+		c.queue.After(length, func() { c.latePercent = 0 })
 	case kindKillControl:
 		c.control.losesNextChange = true
-		c.queue.After(during, c.control.kill)
+		c.queue.After(length, c.control.kill)
 	case kindCutGates:
-		c.cutUntil = c.queue.Now() + during
+		c.cutUntil = c.queue.Now() + length
 	case kindLoseMessages:
 		c.lostPercent = step.Value
-		c.queue.After(during, func() { c.lostPercent = 0 })
+		c.queue.After(length, func() { c.lostPercent = 0 })
 	case kindLateMessages:
 		c.latePercent = step.Value
-		c.queue.After(during, func() { c.latePercent = 0 })
+		c.queue.After(length, func() { c.latePercent = 0 })
 	case kindSilentExecutors:
 		pool := c.pools[step.Node]
 		pool.isSilent = true
-		pool.silentUntil = max(pool.silentUntil, c.queue.Now()+during)
-		c.queue.After(during, func() { pool.isSilent = false })
+		pool.silentUntil = max(pool.silentUntil, c.queue.Now()+length)
+		c.queue.After(length, func() { pool.isSilent = false })
 	default:
 		c.control.scheduleOrder(step)
 	}
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults of the network, the leader of the configuration and the executors.
 func (c *simCluster) endFaults() {
 	c.network = network{}
 	c.control.losesNextChange = false
@@ -134,7 +134,7 @@
 	}
 }
 
-// send carries a message; a fault may lose it, or deliver a duplicate of it late.
+// send carries a message. A fault may lose the message, or deliver a duplicate of it late.
 func (c *simCluster) send(arrive func()) {
 	if c.queue.Draw.IntN(100) < c.lostPercent {
 		c.coverage["message_lost"]++
@@ -147,8 +147,8 @@
 	}
 }
 
-// spreadConfiguration brings a committed configuration to all pools and gates, to each after a delay of its own. Gates that are
-// cut off receive it once they are not.
+// spreadConfiguration brings a committed configuration to all pools and gates, to each after a delay of its own. A gate that is cut
+// off then receives it once the cut is over.
 func (c *simCluster) spreadConfiguration(committed *wire.Configuration) {
 	decoded, err := configuration.Read(committed.Body)
 	if err != nil {
@@ -164,7 +164,8 @@
 	}
 }
 
-// deliverConfiguration brings a configuration to a gate, once the gate is not cut off. Only gates with an even number ever are.
+// deliverConfiguration brings a configuration to a gate, or postpones that while the gate is cut off. Only gates with an even number
+// are ever cut off.
 func (c *simCluster) deliverConfiguration(gate *modelGate, snapshot *configcache.Snapshot) {
 	if gate.number%2 == 0 && c.queue.Now() < c.cutUntil {
 		c.queue.After(c.cutUntil-c.queue.Now(), func() { c.deliverConfiguration(gate, snapshot) })
@@ -173,7 +174,7 @@
 	gate.snapshot = newerOf(gate.snapshot, snapshot)
 }
 
-// newerOf returns the newer of two configurations, so that a process never returns to an earlier one.
+// newerOf returns the newer of two configurations, so that a process never goes back to an earlier one. known may be nil.
 func newerOf(known, other *configcache.Snapshot) *configcache.Snapshot {
 	if known != nil && known.Committed.Version >= other.Committed.Version {
 		return known
