--- a/internal/simulation/modelcheck/ordermodel/client.go
+++ b/internal/simulation/modelcheck/ordermodel/client.go
@@ -23,9 +23,9 @@
 	clientTimeout  = 1500 * time.Millisecond
 	minGateTimeout = 100 * time.Millisecond
 	maxGateTimeout = 1400 * time.Millisecond
-	// clientRetryDelay is the pause of a client before its next attempt, and clientAttempts the number of retries at most.
+	// clientRetryDelay is the pause of a client before its next attempt, and maxClientRetries how often it tries again at most.
 	clientRetryDelay = 150 * time.Millisecond
-	clientAttempts   = 40
+	maxClientRetries = 40
 )
 
 // modelGate is a gate. It runs the loop of leaderclient.Asker as events, with the real decisions and answers.
@@ -109,8 +109,8 @@
 		})
 }
 
-// submit submits a job to one gate after another until there is a clear answer, or attempt, which counts from 0, has reached
-// clientAttempts.
+// submit submits a job to one gate after another until there is a clear answer. attempt is the number of earlier attempts; there
+// are no more retries once it is maxClientRetries.
 func (c *simCluster) submit(job *modelJob, gateNumber, attempt int) {
 	body, err := easyjson.Marshal(job.spec)
 	if err != nil {
@@ -122,13 +122,14 @@
 	job.openAttempts++
 	c.request(gateNumber, request, func(reply clientReply) {
 		c.oracles.recordSubmitAnswer(job, reply)
-		if (reply.status == 0 || reply.status == http.StatusGatewayTimeout) && attempt < clientAttempts {
+		if (reply.status == 0 || reply.status == http.StatusGatewayTimeout) && attempt < maxClientRetries {
 			c.queue.after(clientRetryDelay, func() { c.submit(job, gateNumber+1, attempt+1) })
 		}
 	})
 }
 
-// cancel cancels a job through one gate after another until the answer is clear, or attempt has reached clientAttempts.
+// cancel cancels a job through one gate after another until the cancel is acknowledged or the job is unknown. attempt is the number
+// of earlier attempts; there are no more retries once it is maxClientRetries.
 func (c *simCluster) cancel(job *modelJob, gateNumber, attempt int) {
 	job.isCancelSent = true
 	c.request(gateNumber, wire.ClientCall{Key: poolKey, Route: route, ID: job.id, Verb: verbCancel}, func(reply clientReply) {
@@ -136,7 +137,7 @@
 			c.oracles.recordCancel(job)
 			return
 		}
-		if reply.status != http.StatusGone && attempt < clientAttempts {
+		if reply.status != http.StatusGone && attempt < maxClientRetries {
 			c.queue.after(clientRetryDelay, func() { c.cancel(job, gateNumber+1, attempt+1) })
 		}
 	})
--- a/internal/simulation/modelcheck/ordermodel/clientoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/clientoracles.go
@@ -51,11 +51,11 @@
 		return
 	}
 	job.isAnswered = true
-	was := job.state
+	previousState := job.state
 	job.state = stateIn(reply.body)
 	switch {
-	case was != "" && job.isFinalState(was) && job.state != was:
-		o.cluster.violate("LOST", "%s was shown as %s and is shown as %s now", job.id, was, job.state)
+	case previousState != "" && job.isFinalState(previousState) && job.state != previousState:
+		o.cluster.violate("LOST", "%s was shown as %s and is shown as %s now", job.id, previousState, job.state)
 	case job.state == "completed":
 		o.checkCompleted(job)
 	case job.state == "failed" && !o.mayHaveFailed(job):
--- a/internal/simulation/modelcheck/ordermodel/coresplits.go
+++ b/internal/simulation/modelcheck/ordermodel/coresplits.go
@@ -86,9 +86,9 @@
 	})
 }
 
-// endDay cuts the power of all stewards, gates and proxies, Value milliseconds after the next commit is acknowledged to a leader,
-// and starts them again after length. Some disks count as lost with the power, but never more than the schedule's losses, so that
-// all that was committed is kept.
+// endDay cuts the power of all stewards, gates and proxies, as many milliseconds after the next acknowledged commit as the step's
+// Value says, and starts them again after length. Some disks count as lost with the power, but never more than the schedule's
+// losses, so that all that was committed is kept.
 func (c *simCluster) endDay(step modelcheck.Step, length time.Duration) {
 	c.onCommit = func() {
 		c.queue.after(clock.Milliseconds(int64(step.Value)), func() {
--- a/internal/simulation/modelcheck/ordermodel/facts.go
+++ b/internal/simulation/modelcheck/ordermodel/facts.go
@@ -67,6 +67,7 @@
 // modelTask is what executors have actually done with a task.
 type modelTask struct {
 	active []*modelExecution
+	// isDone is set once a run has done the task, or for a member of a gang once a run of any member is done.
 	isDone bool
 	// doneAckedAt is when an executor was first informed that the leader has acknowledged a run that did the task.
 	// isDoneAcknowledged is set from then on.
--- a/internal/simulation/modelcheck/ordermodel/faultyleaders.go
+++ b/internal/simulation/modelcheck/ordermodel/faultyleaders.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// leaselessLeadership is used without a lease as if it had one.
+// leaselessLeadership reports that it has a lease for as long as it is open.
 type leaselessLeadership struct{ *leadership }
 
 // HasLease reports true until the leadership is closed, also without a lease.
@@ -61,7 +61,7 @@
 // earlyAckPool acknowledges the ends of a call before they are committed.
 type earlyAckPool struct{ poolLeader }
 
-// Exchange acknowledges all ends of the call at once, by an answer without orders before the pool's own.
+// Exchange acknowledges all ends of the call, both in the pool's answer and, if there are ends, in an answer without orders at once.
 func (s earlyAckPool) Exchange(call *wire.ExchangeCall, answer func(wire.ExchangeAnswer)) {
 	seen := int64(0)
 	if len(call.Ends) > 0 {
--- a/internal/simulation/modelcheck/ordermodel/play.go
+++ b/internal/simulation/modelcheck/ordermodel/play.go
@@ -69,7 +69,7 @@
 		return true
 	case kindSubmitAgain:
 		if job != nil {
-			c.submit(job, step.Peer, clientAttempts)
+			c.submit(job, step.Peer, maxClientRetries)
 		}
 		return true
 	case kindCancel:
--- a/internal/simulation/modelcheck/ordermodel/runoracles.go
+++ b/internal/simulation/modelcheck/ordermodel/runoracles.go
@@ -8,7 +8,7 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// checkStart records and checks the start of a run on an executor.
+// checkStart records and checks the start of a run on an executor. isLate is set if a fault has delayed the order to the executor.
 func (o *oracles) checkStart(executor *modelExecutor, execution *modelExecution, order executorapi.RunStart, isLate bool) {
 	o.cluster.count("start")
 	o.cluster.tracef("%s: %s run %d begins under fence %d, late %t", executor.id, execution.task, execution.run, order.Fence, isLate)
@@ -76,8 +76,8 @@
 }
 
 // checkTwice checks that a task doesn't run twice at once, nor after the end of a run that did it was acknowledged, nor after its
-// job was shown as completed. A redundant task may run twice at once. Runs of it may begin after an acknowledged end only for a
-// second and the contact time, unless there are faults.
+// job was shown as completed. A redundant task may run twice at once. Its runs may begin after an acknowledged end only for a second
+// and the contact time, unless there was a fault lately or the order is late.
 func (o *oracles) checkTwice(executor *modelExecutor, execution *modelExecution, facts *modelTask, isLate bool) {
 	if !execution.step.Redundant {
 		for _, other := range facts.active {
--- a/internal/simulation/modelcheck/ordermodel/simcluster.go
+++ b/internal/simulation/modelcheck/ordermodel/simcluster.go
@@ -57,7 +57,7 @@
 	outside *modelProcess
 }
 
-// conditions are the present faults of the network and the disks, and the times at which all faults have ended.
+// conditions are the present faults of the network and the disks, and the ends of the last faults.
 type conditions struct {
 	messageFaults messageFaults
 	syncDelay     time.Duration
--- a/internal/simulation/modelcheck/ordermodel/stall.go
+++ b/internal/simulation/modelcheck/ordermodel/stall.go
@@ -275,9 +275,9 @@
 // excusedUntil returns until when orders to a machine excuse their jobs: until all runs that the machine was ordered to start have
 // lapsed and its last fault is over, and for the contact time after that. It returns 0 if the machine never had a fault.
 //
-// The runs lapse holdLapseTime after the last order, which may come up to a second after the machine's fault began. If a fault of the
-// core ended after that, but less than maxOrderExcuse after the machine's fault, a leader may have been elected that was not informed
-// of the runs. It waits for holdLapseTime from the end of the core's fault.
+// The runs lapse holdLapseTime after the last order, which may come up to a second after the machine's fault began. The last fault of
+// the core may end after the machine's fault began and less than maxOrderExcuse after it ended. In that case a leader may have been
+// elected that was not informed of the runs, and the runs lapse only holdLapseTime after the end of the core's fault.
 func (o *oracles) excusedUntil(executor *modelExecutor) time.Duration {
 	if executor.faultyUntil == 0 {
 		return 0
--- a/internal/simulation/modelcheck/ordermodel/steward.go
+++ b/internal/simulation/modelcheck/ordermodel/steward.go
@@ -40,7 +40,7 @@
 	pool poolLeader
 	// leading is the leadership under which the pool is open; nil if there is none.
 	leading *leadership
-	// wallJumpMs is how far the steward's time of day has jumped ahead, in milliseconds.
+	// wallJumpMs is how far the steward's time of day has jumped ahead, or back if negative, in milliseconds.
 	wallJumpMs int64
 	isLeaving  bool
 	// coreSide is this steward's side of a split of the core. Stewards of one side reach each other; all other processes
--- a/internal/simulation/modelcheck/ordermodel/streams.go
+++ b/internal/simulation/modelcheck/ordermodel/streams.go
@@ -38,7 +38,7 @@
 	random := c.queue.random
 	job := c.submitNew(number, shape, random.IntN(len(c.gates)))
 	if c.queue.chance(percentSubmittedAgain) {
-		c.queue.after(c.queue.between(time.Millisecond, maxSubmitAgainDelay), func() { c.submit(job, random.IntN(len(c.gates)), clientAttempts) })
+		c.queue.after(c.queue.between(time.Millisecond, maxSubmitAgainDelay), func() { c.submit(job, random.IntN(len(c.gates)), maxClientRetries) })
 	}
 	if c.queue.chance(percentCancelled) {
 		c.queue.after(c.queue.between(time.Millisecond, maxCancelDelay), func() { c.cancel(job, random.IntN(len(c.gates)), 0) })
--- a/internal/simulation/modelcheck/ordermodel/work.go
+++ b/internal/simulation/modelcheck/ordermodel/work.go
@@ -76,6 +76,6 @@
 
 // isRemote reports whether a step has an affinity and the executor has none of its labels.
 func isRemote(step *jobs.Step, executor *modelExecutor) bool {
-	isThere := func(label string) bool { return slices.Contains(executor.labels, label) }
-	return len(step.Affinity) > 0 && !slices.ContainsFunc(step.Affinity, isThere)
+	hasLabel := func(label string) bool { return slices.Contains(executor.labels, label) }
+	return len(step.Affinity) > 0 && !slices.ContainsFunc(step.Affinity, hasLabel)
 }
--- a/internal/simulation/modelcheck/rolloutmodel/control.go
+++ b/internal/simulation/modelcheck/rolloutmodel/control.go
@@ -126,19 +126,19 @@
 	if m.cluster.fault == faultOperatorOverwritten && call.Verb == wire.VerbReplace {
 		call.Base, call.Body = m.rebase(call.Body)
 	}
-	given := m.callLeader(call)
-	return &given, nil
+	response := m.callLeader(call)
+	return &response, nil
 }
 
 // callLeader calls the leader and returns its answer, which the leader gives at once.
-func (m *modelControl) callLeader(call *wire.ClientCall) (given wire.ClientAnswer) {
-	record := func(answer wire.ClientAnswer) { given = answer }
+func (m *modelControl) callLeader(call *wire.ClientCall) (response wire.ClientAnswer) {
+	record := func(answer wire.ClientAnswer) { response = answer }
 	if call.Verb == wire.VerbRetrieve {
 		m.leader.Retrieve(record)
 	} else {
 		m.leader.Replace(call, record)
 	}
-	return given
+	return response
 }
 
 // reconcileRepeatedly has the controller decide on the rollouts at intervals.
@@ -160,15 +160,15 @@
 
 // current returns the configuration in force, decoded and as its body. Both are nil if there is none that can be read.
 func (m *modelControl) current() (*configuration.Configuration, []byte) {
-	given := m.callLeader(&wire.ClientCall{Verb: wire.VerbRetrieve})
-	if given.Status != statusOK {
+	response := m.callLeader(&wire.ClientCall{Verb: wire.VerbRetrieve})
+	if response.Status != statusOK {
 		return nil, nil
 	}
-	decoded, err := configuration.Read(given.Body)
+	decoded, err := configuration.Read(response.Body)
 	if err != nil {
 		return nil, nil
 	}
-	return decoded, given.Body
+	return decoded, response.Body
 }
 
 // scheduleOrder carries out an operator's order. While a rollout is in progress, half of the orders are left for the controller's
--- a/internal/simulation/modelcheck/rolloutmodel/gate.go
+++ b/internal/simulation/modelcheck/rolloutmodel/gate.go
@@ -35,14 +35,14 @@
 
 // serve answers a client with a status and the version of the configuration that the gate used; version 0 stands for no
 // configuration.
-func (g *modelGate) serve(asked request, answer func(status int, version int64)) {
+func (g *modelGate) serve(clientRequest request, answer func(status int, version int64)) {
 	if g.snapshot == nil {
 		answer(http.StatusServiceUnavailable, 0)
 		return
 	}
 	snapshot := g.snapshot
-	decision := clientapi.Decide(snapshot, &http.Request{Method: asked.method, Host: queueHost, URL: &url.URL{Path: queuePrefix + asked.job.id},
-		Header: http.Header{}}, []byte(asked.job.body))
+	decision := clientapi.Decide(snapshot, &http.Request{Method: clientRequest.method, Host: queueHost, URL: &url.URL{Path: queuePrefix + clientRequest.job.id},
+		Header: http.Header{}}, []byte(clientRequest.job.body))
 	if decision.Call == nil {
 		answer(decision.Refusal.Status, snapshot.Committed.Version)
 		return
@@ -50,7 +50,7 @@
 	g.cluster.changeDecision(g, decision.Call)
 	done := func(status int) { answer(status, snapshot.Committed.Version) }
 	deadline := g.cluster.queue.Now() + gateTimeout
-	if asked.method == http.MethodPost {
+	if clientRequest.method == http.MethodPost {
 		g.submit(decision.Call, decision.OtherServices, deadline, done)
 		return
 	}
@@ -94,14 +94,14 @@
 		}
 		return
 	}
-	asked := callTo(call, services[0], call.Verb)
-	g.callPool(asked, deadline, func(outcome leaderclient.Outcome) {
+	poolCall := callTo(call, services[0], call.Verb)
+	g.callPool(poolCall, deadline, func(outcome leaderclient.Outcome) {
 		rest := services[1:]
 		switch {
 		case outcome.Answer == nil:
 			state.hasNoAnswer = true
 		case outcome.Answer.Status != http.StatusGone:
-			done(clientapi.ResponseOf(asked, outcome).Status)
+			done(clientapi.ResponseOf(poolCall, outcome).Status)
 			return
 		case outcome.Answer.MovedTo != "" && !state.hasMoved:
 			state.hasMoved = true
@@ -121,7 +121,8 @@
 	return &copied
 }
 
-// callPool calls the leader of a pool again and again until it answers or the deadline has passed. The outcome has no answer then.
+// callPool calls the leader of a pool again and again until it answers. Once the deadline has passed, done gets an outcome without an
+// answer instead.
 func (g *modelGate) callPool(call *wire.ClientCall, deadline time.Duration, done func(leaderclient.Outcome)) {
 	c, pool := g.cluster, g.cluster.poolOf(call.Key[len(wire.PoolPrefix):])
 	var outcome leaderclient.Outcome
@@ -146,15 +147,15 @@
 			})
 		})
 		c.send(func() {
-			pool.serve(call, func(given wire.ClientAnswer) {
+			pool.serve(call, func(response wire.ClientAnswer) {
 				c.send(func() {
 					finish(func() {
-						if given.NotLeader {
-							outcome.MayHaveRun = outcome.MayHaveRun || given.OutcomeUnknown
+						if response.NotLeader {
+							outcome.MayHaveRun = outcome.MayHaveRun || response.OutcomeUnknown
 							again()
 							return
 						}
-						outcome.Answer = &given
+						outcome.Answer = &response
 						done(outcome)
 					})
 				})
--- a/internal/simulation/modelcheck/rolloutmodel/oracles.go
+++ b/internal/simulation/modelcheck/rolloutmodel/oracles.go
@@ -110,9 +110,9 @@
 
 // checkAccepted is the oracle of shares: the new version of the rollout in progress accepts only jobs that the rollout's largest
 // share so far assigns to it. Versions that may receive other jobs too are not checked.
-func (c *simCluster) checkAccepted(pool *modelPool, call *wire.ClientCall, given wire.ClientAnswer) {
+func (c *simCluster) checkAccepted(pool *modelPool, call *wire.ClientCall, response wire.ClientAnswer) {
 	decoded, _ := c.control.current()
-	if given.Status != statusOK || decoded == nil {
+	if response.Status != statusOK || decoded == nil {
 		return
 	}
 	rollout := configuration.NewMatcher(decoded).Rollout(queueName)
--- a/internal/simulation/modelcheck/rolloutmodel/pool.go
+++ b/internal/simulation/modelcheck/rolloutmodel/pool.go
@@ -156,22 +156,22 @@
 		return
 	}
 	copied, epoch := *call, p.key.Epoch
-	reply := func(given wire.ClientAnswer) {
+	reply := func(response wire.ClientAnswer) {
 		if p.key.Epoch == epoch {
-			answer(given)
+			answer(response)
 		}
 	}
 	p.cluster.changeCall(p, &copied)
 	switch copied.Verb {
 	case wire.VerbSubmit:
-		p.pool.Submit(&copied, func(given wire.ClientAnswer) {
-			p.cluster.checkAccepted(p, &copied, given)
-			reply(given)
+		p.pool.Submit(&copied, func(response wire.ClientAnswer) {
+			p.cluster.checkAccepted(p, &copied, response)
+			reply(response)
 		})
 	case wire.VerbRenounce:
-		p.pool.Renounce(&copied, func(given wire.ClientAnswer) {
-			reply(given)
-			p.killAtNextPromise(given)
+		p.pool.Renounce(&copied, func(response wire.ClientAnswer) {
+			reply(response)
+			p.killAtNextPromise(response)
 		})
 	case wire.VerbState:
 		p.pool.State(&copied, reply)
@@ -189,8 +189,8 @@
 
 // killAtNextPromise handles the answer to a renounce. The status Gone means that the pool has promised not to take the job. In
 // that case it ends the leadership after a short time if the schedule says so for the next promise.
-func (p *modelPool) killAtNextPromise(given wire.ClientAnswer) {
-	if given.Status != http.StatusGone || p.cluster.killAtPromise == 0 {
+func (p *modelPool) killAtNextPromise(response wire.ClientAnswer) {
+	if response.Status != http.StatusGone || p.cluster.killAtPromise == 0 {
 		return
 	}
 	p.cluster.killAtPromise--
@@ -208,10 +208,10 @@
 	to := c.poolOf(service)
 	c.killAtNextTransfer(s.from, to)
 	c.send(func() {
-		to.serve(call, func(given wire.ClientAnswer) {
+		to.serve(call, func(response wire.ClientAnswer) {
 			c.send(func() {
 				if s.from.key.Epoch == epoch && s.from.pool != nil {
-					answer(&given)
+					answer(&response)
 					s.from.flush()
 				}
 			})
