--- a/client/cells.go
+++ b/client/cells.go
@@ -10,8 +10,8 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// watchDelay is the time for which a steward delays the answer to a watch while there are no new puts.
-const watchDelay = 20 * time.Second
+// watchWait is the time for which a steward delays the answer to a watch while there are no new puts.
+const watchWait = 20 * time.Second
 
 const (
 	// ErrNoCell is returned if there is no cell of the name.
@@ -21,10 +21,11 @@
 	ErrHistoryGone = errors.ConstError("the puts after that revision are no longer kept")
 )
 
-// ConflictError is returned by Put if the cell is at another revision than expected. Revision is the present one, or 0 if there is no cell.
+// ConflictError is returned by Put if the cell is at another revision than expected. Revision is the cell's current revision, or 0 if there
+// is no cell.
 type ConflictError struct{ Revision uint64 }
 
-// Error returns a fixed text. The revision is in the field.
+// Error returns a text without the revision.
 func (e *ConflictError) Error() string { return "the cell is at another revision" }
 
 // Cell holds the value of a cell and its revision, which each put raises.
@@ -62,8 +63,8 @@
 }
 
 // Put writes a value to a cell that is at the expected revision, and returns the new revision. The expected revision of a cell that doesn't
-// exist yet is 0. If the cell is at another revision, the error is a *ConflictError. The timeout of ctx should be a few seconds at most. A
-// retry that arrives more than history-s (a setting of the system) after the first attempt may be refused although that was committed.
+// exist yet is 0. If the cell is at another revision, the error is a *ConflictError. The timeout of ctx should be a few seconds at most: a
+// retry that arrives more than history-s (a setting of the system) after a committed first attempt may get a *ConflictError.
 func (c *Client) Put(ctx context.Context, name, value string, expected uint64) (uint64, error) {
 	reply, err := c.askStewards(ctx, apiCall{method: http.MethodPost, path: pathOf(prefixCells, name, suffixReplace),
 		body: &wire.PutCall{Value: value, Expected: expected}})
@@ -88,18 +89,19 @@
 	WaitMs int64  `url:"wait-time-ms"`
 }
 
-// Revision returns the present revision of a group of cells. A group is the part of a cell's name up to and including the first dot.
+// Revision returns the current revision of a group of cells. A group consists of the cells whose names agree up to and including the first
+// dot, and this part is its name. A cell without a dot in its name is a group of its own.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	_, revision, err := c.watch(ctx, group, 0, 0)
 	return revision, err
 }
 
 // Watch waits until a group has puts above a revision. It returns all of them, and the revision up to which they are complete. With
-// revision 0 it returns no puts if there were puts before the call. It returns ErrHistoryGone if puts above the revision are no longer
-// stored.
+// revision 0 it waits only if the group has had no put yet. Otherwise it returns no puts and the current revision at once. It returns
+// ErrHistoryGone if puts above the revision are no longer stored.
 func (c *Client) Watch(ctx context.Context, group string, above uint64) ([]Event, uint64, error) {
 	for {
-		events, revision, err := c.watch(ctx, group, above, watchDelay)
+		events, revision, err := c.watch(ctx, group, above, watchWait)
 		if err != nil || revision > above {
 			return events, revision, err
 		}
@@ -122,7 +124,8 @@
 }
 
 // Follow calls a function with the puts of a group above a revision, each once and in order, until the function returns an error or ctx is
-// done. It returns the first error of the function or of Watch.
+// done. With revision 0 it skips the puts before the call, and the first call of the function may get no puts. It returns the first error
+// of the function or of Watch.
 func (c *Client) Follow(ctx context.Context, group string, above uint64, handle func([]Event) error) error {
 	for {
 		events, revision, err := c.Watch(ctx, group, above)
--- a/client/client.go
+++ b/client/client.go
@@ -1,9 +1,10 @@
 // Package client is the client library for applications. With it an application acquires locks, runs leader elections, draws increasing
-// numbers, and reads, writes and watches cells. A cell is a named value with a revision. The stewards of a gannetline system serve the
-// calls.
+// numbers, and reads, writes and watches cells. A cell is a named value with a revision. Operators read and replace the configuration,
+// read the state of rollouts, and evacuate zones. The stewards of a gannetline system serve the calls.
 //
-// Each call is sent to one steward. After a failure, an answer that leaves the outcome unknown, or a timeout of one second, it is sent to
-// the next steward, until there is a clear answer or the context is done. All calls are safe to retry.
+// Each call is sent to one steward. It is sent to the next steward after a failure, an answer that decides nothing, or a timeout of one
+// second in addition to the wait of a watch. This repeats until there is a clear answer or the context is done. All calls are safe to
+// retry.
 //
 // The context of a Lock ends before another client can hold the lock. However, a process that was suspended notices late that its lock is
 // lost. Therefore the resource that the lock protects should reject each request whose fencing token is lower than one it has seen.
@@ -28,12 +29,12 @@
 )
 
 const (
-	// attemptTimeout is the time to wait for the answer of a steward before the call is sent to the next one.
+	// attemptTimeout is the time to wait for the answer of a steward before the call is sent to the next one. The wait of a watch is added.
 	attemptTimeout = time.Second
-	// minRoundPause and maxRoundPause bound the backoff after each round in which no steward gave a clear answer.
-	minRoundPause = 50 * time.Millisecond
-	maxRoundPause = time.Second
-	// maxAnswerBytes is the size at which an answer is cut.
+	// minRoundBackoff and maxRoundBackoff bound the backoff after each round of one attempt per steward without a clear answer.
+	minRoundBackoff = 50 * time.Millisecond
+	maxRoundBackoff = time.Second
+	// maxAnswerBytes is the length to which a longer answer is truncated.
 	maxAnswerBytes = 4 << 20
 	// holderBytes is the number of random bytes in the default name of a holder.
 	holderBytes = 8
@@ -62,7 +63,7 @@
 type RefusedError struct {
 	// Status is the HTTP status code.
 	Status int
-	// Reason is the steward's description of the problem.
+	// Reason is the steward's description of the problem, or the text of the status if the answer has none.
 	Reason string
 }
 
@@ -78,7 +79,8 @@
 	holder    string
 	http      *http.Client
 	clock     clock.Clock
-	// stewardIndex, modulo the number of addresses, is the steward that is asked next. It advances after a failure.
+	// stewardIndex, modulo the number of addresses, is the index of the address that the next attempt uses. Each attempt without a clear
+	// answer increments it.
 	stewardIndex atomic.Uint64
 }
 
@@ -88,13 +90,15 @@
 // WithHolder sets the name under which the client holds locks. The default is random. No two clients may have the same name.
 func WithHolder(name string) Option { return func(c *Client) { c.holder = name } }
 
-// WithHTTPClient sets the HTTP client that sends the calls. Its timeout, if it has one, should be at least a minute.
+// WithHTTPClient sets the HTTP client that sends the calls. Its timeout, if it has one, should be at least a minute, since the answer to a
+// watch may take more than 20 s.
 func WithHTTPClient(httpClient *http.Client) Option { return func(c *Client) { c.http = httpClient } }
 
 // WithClock sets the clock. The default is the clock of the machine.
 func WithClock(clock clock.Clock) Option { return func(c *Client) { c.clock = clock } }
 
-// New creates a client for stewards at the given control-plane addresses, as ip:port. An error names the malformed address.
+// New creates a client for stewards at the given control-plane addresses, as ip:port. It returns an error if there is no address. For a
+// malformed address, the error names it.
 func New(addresses []string, options ...Option) (*Client, error) {
 	if len(addresses) == 0 {
 		return nil, errors.New("no steward address is given")
@@ -146,10 +150,10 @@
 // askStewards sends a call to one steward after another until there is a clear answer. It returns ErrNoAnswer once ctx is done or the
 // deadline of the call has passed.
 func (c *Client) askStewards(ctx context.Context, call apiCall) (*answer, error) {
-	pause := minRoundPause
+	backoff := minRoundBackoff
 	for attempts := 1; ; attempts++ {
 		address := c.addresses[c.stewardIndex.Load()%uint64(len(c.addresses))]
-		reply, err := c.askSteward(ctx, address, call)
+		reply, err := c.attempt(ctx, address, call)
 		if err == nil && reply.isClear() {
 			return reply, nil
 		}
@@ -162,28 +166,28 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-c.clock.After(c.limitPause(pause, call.deadline)):
+		case <-c.clock.After(c.limitDelay(backoff, call.deadline)):
 		}
-		pause = min(2*pause, maxRoundPause)
+		backoff = min(2*backoff, maxRoundBackoff)
 	}
 }
 
-// limitPause shortens a pause so that it ends at the deadline. A deadline of 0 means no limit.
-func (c *Client) limitPause(pause, deadline time.Duration) time.Duration {
+// limitDelay shortens a delay so that it ends at the deadline. A deadline of 0 means no limit.
+func (c *Client) limitDelay(delay, deadline time.Duration) time.Duration {
 	if deadline == 0 {
-		return pause
+		return delay
 	}
-	return min(pause, max(0, deadline-c.clock.Monotonic()))
+	return min(delay, max(0, deadline-c.clock.Monotonic()))
 }
 
-// isClear reports whether an answer decides a call. It is false for a failure of the steward and for a request to retry. Status 501 is
-// clear, because it means that the settings of the stewards leave the service out.
+// isClear reports whether an answer decides a call. It is false for status 408, 429 and 5xx, after which the call is retried. Status 501 is
+// clear, because it means that the settings of the stewards don't enable the service.
 func (a *answer) isClear() bool {
 	return a.status == http.StatusNotImplemented || a.status < http.StatusInternalServerError && a.status != http.StatusTooManyRequests && a.status != http.StatusRequestTimeout
 }
 
-// askSteward sends a call to one steward and reads its answer.
-func (c *Client) askSteward(ctx context.Context, address string, call apiCall) (*answer, error) {
+// attempt sends a call to one steward and reads its answer.
+func (c *Client) attempt(ctx context.Context, address string, call apiCall) (*answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+call.wait)
 	defer cancel()
 	builder := sling.New().Base("http://" + address)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -170,7 +170,7 @@
 		Expect((<-acquired).Fence()).To(Equal(uint64(42)))
 	})
 
-	It("is awaited by AcquireWithin for a limited time, with at least one attempt, and outlasts that time", func() {
+	It("makes AcquireWithin wait for a limited time but at least for one attempt, and is held for longer than that time", func() {
 		s.answers(scriptedAnswer{status: 409}, scriptedAnswer{status: 409}, scriptedAnswer{status: 409})
 		acquireError := make(chan error)
 		go func() {
@@ -216,7 +216,7 @@
 		Expect(err).To(MatchError(ErrNoAnswer))
 	})
 
-	It("returns an error of its own type for each kind of refusal", func() {
+	It("returns a different error for each kind of refusal", func() {
 		s.answers(scriptedAnswer{400, `{"error-text":"field value is no text"}`}, scriptedAnswer{412, `{"revision":9}`}, scriptedAnswer{404, `{}`},
 			scriptedAnswer{410, `{}`}, scriptedAnswer{status: 405})
 		_, err := s.client.Put(ctx, "g.a", "v", 3)
--- a/client/evacuation.go
+++ b/client/evacuation.go
@@ -5,9 +5,10 @@
 	"net/http"
 )
 
-// Evacuate starts the evacuation of a zone, after which nothing new is sent to it. It returns nil once the order is committed. All processes
-// follow it within moments. A *RefusedError names the reason for which the order is refused, such as an unknown zone. A repeated order
-// changes nothing. However, orders have no sequence number, so two operators should not give opposite orders about a zone at the same time.
+// Evacuate starts the evacuation of a zone, after which nothing new is sent to the zone. It returns nil once the order is committed. All
+// processes apply the order within moments. A *RefusedError gives the reason if the order is refused, for example for an unknown zone. A
+// repeated order changes nothing. However, orders have no sequence number, so a delayed order can't be distinguished from a new one.
+// Therefore two operators should not give opposite orders about a zone at the same time.
 func (c *Client) Evacuate(ctx context.Context, zone string) error {
 	return c.postOrder(ctx, pathOf(prefixEvacuation, zone, suffixInitiate))
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,7 +12,8 @@
 	"gannetline/client"
 )
 
-// newSteward returns a steward that gives a fixed answer to each path.
+// newSteward returns a steward that gives a fixed answer to each path: status 412 to a put into the cell shop.full, 404 to an unknown path,
+// and 200 otherwise.
 func newSteward(answers map[string]string) *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(to http.ResponseWriter, request *http.Request) {
 		answer, isKnown := answers[request.URL.Path]
--- a/client/locks.go
+++ b/client/locks.go
@@ -14,15 +14,14 @@
 const (
 	// renewalsPerHoldTime is the number of renewals within a hold time.
 	renewalsPerHoldTime = 3
-	// marginDivisor is the divisor of the hold time that gives the safety margin. The client ends a lock by that margin before its hold
-	// time is over.
+	// marginDivisor divides the hold time to give the safety margin. The client ends a lock by this margin before its hold time is over.
 	marginDivisor = 20
-	// retryPause is the time from a renewal without a clear answer until the next one.
-	retryPause = 50 * time.Millisecond
-	// minPollPause and maxPollPause bound the pause between two attempts to acquire a lock that another client holds.
-	minPollPause = 20 * time.Millisecond
-	maxPollPause = 500 * time.Millisecond
-	// pollDivisor is the divisor of the hold time that gives that pause.
+	// retryDelay is the time from a renewal without a clear answer until the next one.
+	retryDelay = 50 * time.Millisecond
+	// minPollDelay and maxPollDelay bound the delay between two attempts to acquire a lock that another client holds.
+	minPollDelay = 20 * time.Millisecond
+	maxPollDelay = 500 * time.Millisecond
+	// pollDivisor divides the hold time to give this delay, before the bounds apply.
 	pollDivisor = 10
 )
 
@@ -87,7 +86,8 @@
 	return lock, nil
 }
 
-// Acquire waits until the lock is free and acquires it. As with TryAcquire, the lock ends when ctx is done.
+// Acquire waits until the lock is free and acquires it. If ctx is done first, it returns ErrHeld or ErrNoAnswer. As with TryAcquire, the
+// lock ends when ctx is done.
 func (c *Client) Acquire(ctx context.Context, name string, holdTime time.Duration) (*Lock, error) {
 	return c.acquire(ctx, name, holdTime, 0)
 }
@@ -100,7 +100,7 @@
 
 // acquire waits for the lock until a deadline. A deadline of 0 means no limit.
 func (c *Client) acquire(ctx context.Context, name string, holdTime, deadline time.Duration) (*Lock, error) {
-	pause := min(max(holdTime/pollDivisor, minPollPause), maxPollPause)
+	delay := min(max(holdTime/pollDivisor, minPollDelay), maxPollDelay)
 	for {
 		lock, err := c.tryAcquire(ctx, name, holdTime, deadline)
 		if !errors.Is(err, ErrHeld) || deadline > 0 && c.clock.Monotonic() >= deadline {
@@ -109,7 +109,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-c.clock.After(c.limitPause(pause, deadline)):
+		case <-c.clock.After(c.limitDelay(delay, deadline)):
 		}
 	}
 }
@@ -118,12 +118,12 @@
 func (l *Lock) renewUntilEnd(sentAt time.Duration) {
 	defer close(l.renewalEnded)
 	clock := l.client.clock
-	deadline, pause := sentAt+l.safeHoldTime(), l.holdTime/renewalsPerHoldTime
+	deadline, delay := sentAt+l.safeHoldTime(), l.holdTime/renewalsPerHoldTime
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-clock.After(min(pause, max(0, deadline-clock.Monotonic()))):
+		case <-clock.After(min(delay, max(0, deadline-clock.Monotonic()))):
 		}
 		now := clock.Monotonic()
 		if now >= deadline {
@@ -133,9 +133,9 @@
 		status := l.renew(now, deadline)
 		switch {
 		case status == http.StatusOK && clock.Monotonic() < deadline:
-			deadline, pause = now+l.safeHoldTime(), l.holdTime/renewalsPerHoldTime
+			deadline, delay = now+l.safeHoldTime(), l.holdTime/renewalsPerHoldTime
 		case status == 0:
-			pause = retryPause
+			delay = retryDelay
 		default:
 			l.cancel(ErrLost)
 			return
@@ -143,10 +143,11 @@
 	}
 }
 
-// safeHoldTime returns the time after the sending of a successful call for which the client relies on the lock.
+// safeHoldTime returns the hold time minus the safety margin. The client treats the lock as held for this time from when it sent the last
+// successful call.
 func (l *Lock) safeHoldTime() time.Duration { return l.holdTime - l.holdTime/marginDivisor }
 
-// renew extends the lock by a hold time. It returns the HTTP status, or 0 if there is no clear answer before the deadline.
+// renew extends the lock until a hold time from now. It returns the HTTP status, or 0 if there is no clear answer before the deadline.
 func (l *Lock) renew(now, deadline time.Duration) int {
 	ctx, cancel := context.WithTimeout(l.ctx, deadline-now)
 	defer cancel()
@@ -183,7 +184,7 @@
 	return refused
 }
 
-// read decodes the body of a successful answer. Otherwise it returns the error of the refusal.
+// read decodes the body of a successful answer. For any other answer it returns the error of the refusal.
 func (a *answer) read(into easyjson.Unmarshaler) error {
 	if err := a.refusal(); err != nil {
 		return err
