--- a/internal/simulation/coordinationcheck/history.go
+++ b/internal/simulation/coordinationcheck/history.go
@@ -11,7 +11,7 @@
 	"gannetline/internal/cluster/peerapi/wire"
 )
 
-// Hold is a time in which a client believed that it held a lock: from the answer to its call, until it released the lock, died, received
+// Hold is a time in which a client believed that it held a lock: from the answer to its call, until it released the lock, stopped, received
 // the answer that the lock is lost, or its own lease time was over.
 type Hold struct {
 	Lock, Holder string
@@ -27,18 +27,20 @@
 	SentAt, At time.Duration
 }
 
-// Put is one put with all its attempts. Values are unique.
+// Put is one put with all its attempts. Values are unique. Expected is the revision that the cell must have for the put to be
+// accepted.
 type Put struct {
 	Name, Value string
 	Expected    uint64
 	SentAt      time.Duration
-	// Answers are the definite answers in their order. IsOpen is set if an attempt got no definite answer, and IsGivenUp if all attempts
-	// were refused as not carried out.
+	// Answers are the definite answers in their order. IsOpen is set if an attempt got no definite answer; the soak also sets it
+	// if its retries end without one. IsGivenUp is set if the client gave up after all attempts were refused as not carried out.
 	Answers           []PutAnswer
 	IsOpen, IsGivenUp bool
 }
 
-// PutAnswer is a definite answer to a put. Revision is that of the put, or after a refusal the current one of the cell.
+// PutAnswer is a definite answer to a put. If the put is accepted, IsTaken is true and Revision is that of the put. If it is
+// refused, Revision is the current one of the cell.
 type PutAnswer struct {
 	At       time.Duration
 	IsTaken  bool
--- a/internal/simulation/coordinationcheck/judge.go
+++ b/internal/simulation/coordinationcheck/judge.go
@@ -19,18 +19,20 @@
 	violations []Violation
 }
 
-// group holds what is known of the puts to a group of cells. puts are by value.
+// group holds what is known of the puts to a group of cells. puts maps values to puts.
 type group struct {
 	puts map[string]*Put
-	// shown holds the put of each revision that was acknowledged or appeared in an answer. revisions is the inverse map.
+	// shown maps each known revision to its put: those in acknowledgements and other answers, and those that attributeRevisions finds.
+	// revisions is the inverse map.
 	shown     map[uint64]*Put
 	revisions map[*Put]uint64
 	// acknowledged lists the acknowledged revisions with the times of the acknowledgements.
 	acknowledged []acknowledgement
 }
 
+// acknowledgement is the revision of an accepted put to a cell, and the time of the answer.
 type acknowledgement struct {
-	name     string
+	cell     string
 	revision uint64
 	at       time.Duration
 }
@@ -53,7 +55,7 @@
 	c.violations = append(c.violations, Violation{Oracle: oracle, At: at, Text: fmt.Sprintf(format, values...)})
 }
 
-// checkHolds compares the holds of each lock pairwise.
+// checkHolds compares the holds that different holders have of each lock, pairwise.
 func (c *checker) checkHolds() {
 	byLock := map[string][]Hold{}
 	for _, hold := range c.history.Holds {
@@ -71,6 +73,8 @@
 	}
 }
 
+// checkHoldPair checks that two holds of a lock don't overlap, and that their fencing tokens differ and rise. If the second call was sent
+// before the first answer came, either token may be the higher one.
 func (c *checker) checkHoldPair(first, second Hold) {
 	if first.From > second.From {
 		first, second = second, first
@@ -148,8 +152,8 @@
 	}
 }
 
-// recordShown records that an answer showed a value with a revision, and checks this against the puts. It returns false if nobody put the
-// value into the cell.
+// recordShown records that an answer contained a value with a revision, and checks this against the puts. It returns false if nobody put
+// the value into the cell.
 func (c *checker) recordShown(name, value string, revision uint64, at time.Duration) bool {
 	group := c.group(name)
 	put := group.puts[value]
@@ -174,14 +178,15 @@
 			c.recordShown(read.Name, read.Value, read.Revision, read.At)
 		}
 		for _, earlier := range c.group(read.Name).acknowledged {
-			if earlier.name == read.Name && earlier.at < read.SentAt && earlier.revision > read.Revision {
+			if earlier.cell == read.Name && earlier.at < read.SentAt && earlier.revision > read.Revision {
 				c.addViolation(OracleStale, read.At, "%s was read at revision %d, %d was acknowledged before", read.Name, read.Revision, earlier.revision)
 			}
 		}
 	}
 }
 
-// checkWatches checks that watches return all puts in their range of revisions, and that no puts were dropped too soon.
+// checkWatches checks that watches return all puts in their range of revisions, and that no puts were dropped too soon. It ends with
+// checkRefusals, as all shown revisions are recorded by then.
 func (c *checker) checkWatches() {
 	for _, watch := range c.history.Watches {
 		c.checkWatch(watch)
@@ -194,6 +199,8 @@
 	c.checkRefusals()
 }
 
+// checkWatch checks that the events of a watch have consecutive revisions after Above up to Revision, and that a watch with Above 0 isn't
+// older than the puts acknowledged before it.
 func (c *checker) checkWatch(watch Watch) {
 	for _, earlier := range c.group(watch.Group).acknowledged {
 		if watch.Above == 0 && earlier.at < watch.SentAt && earlier.revision > watch.Revision {
@@ -217,7 +224,8 @@
 	}
 }
 
-// checkRefusals checks that no refused put took effect. It runs after all shown revisions are recorded.
+// checkRefusals checks that no refused put took effect, and that no refusal gives the revision of another cell. It runs after all shown
+// revisions are recorded.
 func (c *checker) checkRefusals() {
 	for _, put := range c.history.Puts {
 		group := c.group(put.Name)
--- a/internal/simulation/coordinationcheck/order.go
+++ b/internal/simulation/coordinationcheck/order.go
@@ -89,7 +89,7 @@
 }
 
 // attributeRevisions finds the puts of revisions that are known only from refusals. Such a revision belongs to a put without a definite
-// answer. Cells are returned as ambiguous if not exactly one put can have the revision.
+// answer. A cell is returned as ambiguous if such a revision can belong to no put or to several.
 func (g *group) attributeRevisions() (ambiguous map[string]bool) {
 	ambiguous = map[string]bool{}
 	for _, refused := range g.puts {
--- a/internal/simulation/soak/client.go
+++ b/internal/simulation/soak/client.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// clientStream is the first random stream of clients; schedules and mixes use other streams.
-	clientStream = 1000
+	// clientRandomStream is the random stream of the first client; the next ones use the streams after it.
+	clientRandomStream = 1000
 	// clientsPerGate is the number of clients at each gate. Each client keeps one connection open.
 	clientsPerGate = 4
-	// idleClientIndex is the one of clientsPerGate that pauses for long between its calls, so that its connection is idle when the
-	// gate shuts down.
+	// idleClientIndex is the index, at each gate, of the client that makes long pauses between its calls. Its connection is usually
+	// idle when the gate shuts down.
 	idleClientIndex = 3
 	// meanPause is the mean time between two calls of a client, and meanIdlePause that of the idle client.
 	meanPause     = 150 * time.Millisecond
 	meanIdlePause = 4 * time.Second
 	// callTimeout is the time for which a client waits for an answer.
 	callTimeout = 3 * time.Second
-	// maxTries is the maximum number of submissions of a job if answers are unclear.
+	// maxTries is the maximum number of submissions of a job or a lot without a definite answer.
 	maxTries = 6
 
+	// frontHost is the host name of all routes.
 	frontHost  = "soak.example"
 	jobsPrefix = "/jobs/"
 )
@@ -35,22 +36,22 @@
 	number  int
 	gate    Node
 	address string
-	draw    *rand.Rand
+	random  *rand.Rand
 	link    *connection
-	// jobs are the IDs of the client's accepted jobs.
+	// jobs are the IDs of the client's accepted jobs. calls is the number of its calls so far.
 	jobs  []string
 	calls int
 }
 
-// startClients starts the load of the busy parts of the system, the sampling of processes and the detection of stalls. All run
-// until ctx is done.
+// startClients starts the load of the busy parts of the system, the sampling of processes and the detection of stalls. All stop
+// once ctx is done, after they have ended a running evacuation and read the results of accepted lots.
 func (s *soak) startClients(ctx context.Context) *sync.WaitGroup {
 	running := &sync.WaitGroup{}
 	for gateNumber, gate := range s.layout.Gates {
 		for index := range s.options.jobClients() {
 			number := gateNumber*clientsPerGate + index
 			c := &client{soak: s, number: number, gate: gate, address: s.layout.relayAddress(gateNumber),
-				draw: rand.New(rand.NewPCG(s.options.Seed, uint64(clientStream+number)))}
+				random: rand.New(rand.NewPCG(s.options.Seed, uint64(clientRandomStream+number)))}
 			running.Go(func() { c.run(ctx, index == idleClientIndex) })
 		}
 	}
@@ -79,7 +80,7 @@
 
 // actions are the actions of a client with accepted jobs. A client without any only submits.
 var actions = []action{
-	{45, func(c *client, ctx context.Context) { c.submit(ctx, newJob(c.draw)) }},
+	{45, func(c *client, ctx context.Context) { c.submit(ctx, newJob(c.random)) }},
 	{35, func(c *client, ctx context.Context) { c.call(ctx, verbState, c.drawJob(), "") }},
 	{8, func(c *client, ctx context.Context) { c.call(ctx, verbCount, "", "") }},
 	{5, func(c *client, ctx context.Context) { c.call(ctx, verbCancel, c.drawJob(), "") }},
@@ -104,7 +105,7 @@
 	for _, action := range actions {
 		total += action.weight
 	}
-	drawn := c.draw.IntN(total)
+	drawn := c.random.IntN(total)
 	for _, action := range actions {
 		if drawn -= action.weight; drawn < 0 {
 			return action
@@ -125,12 +126,12 @@
 	if isIdle {
 		mean = meanIdlePause
 	}
-	return pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(mean)/c.options.pace()))
+	return pause(ctx, time.Duration(c.random.ExpFloat64()*float64(mean)/c.options.pace()))
 }
 
-func (c *client) drawJob() string { return c.jobs[c.draw.IntN(len(c.jobs))] }
+func (c *client) drawJob() string { return c.jobs[c.random.IntN(len(c.jobs))] }
 
-// submit submits a job and retries after each unclear answer.
+// submit submits a job. It retries if no answer comes or the status is 429 or 5xx, with at most maxTries submissions.
 func (c *client) submit(ctx context.Context, id string) {
 	for range maxTries {
 		call := c.call(ctx, verbSubmit, id, shapeOf(id).body())
@@ -169,7 +170,7 @@
 // methods maps each verb to its HTTP method.
 var methods = map[verb]string{verbSubmit: "POST", verbState: "GET", verbCount: "GET", verbCancel: "DELETE"}
 
-// request returns the HTTP request of a call, with a unique ID.
+// request returns the HTTP request of a call, with an ID that is unique among the requests of the client.
 func (c *client) request(operation verb, id, body string) *request {
 	c.calls++
 	return &request{method: methods[operation], host: frontHost, path: jobsPrefix + id, id: fmt.Sprintf("c%d-%d", c.number, c.calls), body: body, key: c.layout.keyOf(c.number), timeout: callTimeout}
@@ -180,14 +181,14 @@
 	outgoing := c.request(operation, id, body)
 	call := c.newCall(operation, id, outgoing, notSent)
 	if link := c.connect(ctx); link != nil {
-		call.IsKept = link.answered > 0
+		call.IsKept = link.answerCount > 0
 		c.exchange(link, outgoing, call)
 	}
 	c.record(call)
 	return call
 }
 
-// newCall returns the record of a call that is sent now.
+// newCall returns the record of a call that is about to be sent.
 func (c *client) newCall(operation verb, id string, outgoing *request, result outcome) *Call {
 	return &Call{Client: c.number, Gate: c.gate.Name, Verb: operation, Job: id, RequestID: outgoing.id, SentAt: c.recorder.now(), Outcome: result}
 }
@@ -199,7 +200,8 @@
 	c.recorder.write(func(h *History) { h.Calls = append(h.Calls, done) })
 }
 
-// exchange sends a request and receives its answer. It closes the connection after any error and after the last answer.
+// exchange sends a request and receives its answer. It closes the connection after an error, and if the gate
+// closes it with the answer.
 func (c *client) exchange(link *connection, outgoing *request, call *Call) {
 	isSent, sentAt := link.send(outgoing)
 	call.SentAt = sentAt.Sub(c.recorder.startedAt)
@@ -215,7 +217,7 @@
 	}
 }
 
-// stateIn returns a job's state from the body of an answer, or "" if there is none.
+// stateIn returns the job's state in the body of an answer, or "" if there is none.
 func stateIn(body string) string {
 	var answer struct {
 		State string `json:"executor-state"`
@@ -231,12 +233,12 @@
 	if link == nil {
 		return
 	}
-	id := newJob(c.draw)
+	id := newJob(c.random)
 	outgoing := c.request(verbSubmit, id, shapeOf(id).body())
 	call := c.newCall(verbSubmit, id, outgoing, abandoned)
 	text := outgoing.text()
 	// The connection is closed anyway, so a failed write doesn't matter.
-	_, _ = link.raw.Write([]byte(text[:1+c.draw.IntN(len(text))]))
+	_, _ = link.raw.Write([]byte(text[:1+c.random.IntN(len(text))]))
 	c.disconnect()
 	c.record(call)
 }
--- a/internal/simulation/soak/cluster.go
+++ b/internal/simulation/soak/cluster.go
@@ -36,15 +36,17 @@
 	mailbox   *mailbox.Mailbox
 	ctx       context.Context
 	processes map[string]*process
-	order     []string
-	// initial is true until all processes have been started once. replacements counts the replacement stewards.
-	initial      bool
+	// startOrder lists the names of processes in the order of their first starts.
+	startOrder []string
+	// isInitial is true until all processes of the layout have been started once. replacements counts the replacement stewards.
+	// isEnding is true once the soak shuts down.
+	isInitial    bool
 	replacements int
 	isEnding     bool
 }
 
 func newCluster(ctx context.Context, s *soak) *cluster {
-	c := &cluster{soak: s, mailbox: mailbox.New(clusterMailboxSize), ctx: ctx, processes: map[string]*process{}, initial: true}
+	c := &cluster{soak: s, mailbox: mailbox.New(clusterMailboxSize), ctx: ctx, processes: map[string]*process{}, isInitial: true}
 	go c.mailbox.Run(ctx, clock.System(), mailbox.Owner{Every: time.Minute})
 	return c
 }
@@ -80,7 +82,7 @@
 		if err := c.startExecutors(); err != nil {
 			return err
 		}
-		c.initial = false
+		c.isInitial = false
 		return nil
 	})
 }
@@ -88,11 +90,11 @@
 // add starts a node for the first time.
 func (c *cluster) add(node Node) error {
 	p := &process{node: node, arguments: []string{"--settings", settingsPath(c.folder, node), string(node.Role)}}
-	c.processes[node.Name], c.order = p, append(c.order, node.Name)
+	c.processes[node.Name], c.startOrder = p, append(c.startOrder, node.Name)
 	return c.launch(p)
 }
 
-// launch starts the next incarnation of a node, with newly written settings.
+// launch starts the next incarnation of a node, with newly written settings. It does nothing once the soak shuts down.
 func (c *cluster) launch(p *process) error {
 	if c.isEnding {
 		return nil
@@ -116,7 +118,7 @@
 	for _, steward := range c.layout.Stewards[:min(3, len(c.layout.Stewards))] {
 		seeds = append(seeds, endpoint(steward.IP, controlPort))
 	}
-	text, err := c.layout.settingsOf(node, c.folder, seeds, c.initial, c.options.SettingsFault)
+	text, err := c.layout.settingsOf(node, c.folder, seeds, c.isInitial, c.options.SettingsFault)
 	if err != nil {
 		return errors.Annotatef(err, "settings of %s", node.Name)
 	}
@@ -133,7 +135,7 @@
 	return errors.Annotatef(os.Rename(path+".new", path), "settings of %s", node.Name)
 }
 
-// startExecutors starts the process of all fake executors. No fault strikes it.
+// startExecutors starts the one process that runs all fake executors of jobs. It is exempt from faults.
 func (c *cluster) startExecutors() error {
 	spec := hollow.Spec{Report: c.layout.reportAddress(), ForMs: hollow.MaxRunTime.Milliseconds()}
 	for _, node := range c.layout.Proxies {
@@ -150,11 +152,11 @@
 		return errors.Annotate(err, "spec of the fake executors")
 	}
 	p := &process{node: Node{Name: executorsName}, arguments: []string{"hollow", "--spec", path}, isExempt: true}
-	c.processes[executorsName], c.order = p, append(c.order, executorsName)
+	c.processes[executorsName], c.startOrder = p, append(c.startOrder, executorsName)
 	return c.launch(p)
 }
 
-// handleExit records the exit of an incarnation and schedules the start of the next one.
+// handleExit records the exit of an incarnation and, unless the soak shuts down, schedules the start of the next one.
 func (c *cluster) handleExit(p *process, incarnation int, state *os.ProcessState) {
 	if p.incarnation != incarnation {
 		return
@@ -174,7 +176,7 @@
 	c.runAfter(restartPause, next)
 }
 
-// relaunch restarts a node that is down. If that fails, the node stays down and the oracles see the effects.
+// relaunch restarts a node that is down. If that fails, the node stays down, and the oracles check the consequences.
 func (c *cluster) relaunch(p *process) {
 	if p.phase != phaseEnded {
 		return
@@ -191,7 +193,7 @@
 	}
 }
 
-// applyFault applies an event. It skips the event if its process doesn't run.
+// applyFault applies an event. It skips an event of a process that has ended, is ending or is frozen.
 func (c *cluster) applyFault(event Event) {
 	c.log.V(1).Info("fault", "event", event.String())
 	switch event.Kind {
@@ -229,14 +231,16 @@
 	}
 }
 
-// recordTrouble records a fault of a target and its duration.
+// recordTrouble records a fault that begins now, its target and its duration.
 func (c *cluster) recordTrouble(target string, kind FaultKind, duration time.Duration) {
 	now := c.recorder.now()
-	c.recorder.write(func(h *History) { h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + duration}) })
+	c.recorder.write(func(h *History) {
+		h.Troubles = append(h.Troubles, Trouble{target, kind, now, now + duration})
+	})
 }
 
-// end stops an incarnation with the signal of a fault. After the exit next runs if it isn't nil, otherwise the node is
-// relaunched.
+// end stops the running incarnation of a node with the signal of a fault. After its exit, next is called; if next is nil, the
+// node is relaunched.
 func (c *cluster) end(name string, kind FaultKind, next func()) {
 	p := c.processes[name]
 	if p == nil || p.phase != phaseRunning || p.isExempt {
@@ -257,7 +261,7 @@
 	})
 }
 
-// freeze suspends a process for a while.
+// freeze suspends a process for a duration.
 func (c *cluster) freeze(p *process, duration time.Duration) {
 	c.recordTrouble(p.node.Name, FaultFreeze, duration)
 	p.phase = phaseFrozen
@@ -288,20 +292,19 @@
 	}
 }
 
-// runningProcess is one incarnation of a node.
-type runningProcess struct {
+// nodeIncarnation identifies the process of a node from one start to its exit.
+type nodeIncarnation struct {
 	node        Node
 	incarnation int
 }
 
-// selectProcesses returns the processes of gannetline that match, in the order of their first starts. It never returns the fake
-// executors.
-func (c *cluster) selectProcesses(matches func(*process) bool) []runningProcess {
-	selected, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]runningProcess)) {
-		var selected []runningProcess
-		for _, name := range c.order {
+// selectProcesses returns the matching processes in the order of their first starts, without the fake executors.
+func (c *cluster) selectProcesses(matches func(*process) bool) []nodeIncarnation {
+	selected, _ := mailbox.Ask(c.ctx, c.mailbox, func(answer func([]nodeIncarnation)) {
+		var selected []nodeIncarnation
+		for _, name := range c.startOrder {
 			if p := c.processes[name]; !p.isExempt && matches(p) {
-				selected = append(selected, runningProcess{p.node, p.incarnation})
+				selected = append(selected, nodeIncarnation{p.node, p.incarnation})
 			}
 		}
 		answer(selected)
@@ -310,27 +313,27 @@
 }
 
 // stewards returns the stewards that have not ended.
-func (c *cluster) stewards() []runningProcess {
+func (c *cluster) stewards() []nodeIncarnation {
 	return c.selectProcesses(func(p *process) bool { return p.node.Role == RoleSteward && p.phase != phaseEnded })
 }
 
-// runningProcesses returns the processes of gannetline that run and are neither frozen nor ending.
-func (c *cluster) runningProcesses() []runningProcess {
+// runningProcesses returns the processes that are neither frozen nor ending nor ended, without the fake executors.
+func (c *cluster) runningProcesses() []nodeIncarnation {
 	return c.selectProcesses(func(p *process) bool { return p.phase == phaseRunning })
 }
 
-// notEnded returns the processes of gannetline that have not ended.
-func (c *cluster) notEnded() []runningProcess {
+// notEnded returns the processes that have not ended, without the fake executors.
+func (c *cluster) notEnded() []nodeIncarnation {
 	return c.selectProcesses(func(p *process) bool { return p.phase != phaseEnded })
 }
 
-// shutDown terminates the processes of gannetline in the order of their first starts and waits until they have ended. Their
-// exits are recorded. The fake executors run on until killAll.
+// shutDown resumes frozen processes, terminates all in the order of their first starts, and waits until they have ended, at most
+// for killTimeout. Their exits are recorded. The fake executors run on until killAll.
 func (c *cluster) shutDown() {
 	// An error means that the soak was stopped; killAll then ends the processes.
 	_ = c.runAndWait(func() error {
 		c.isEnding = true
-		for _, name := range c.order {
+		for _, name := range c.startOrder {
 			p := c.processes[name]
 			if p.phase == phaseFrozen {
 				p.signal(syscall.SIGCONT)
@@ -345,7 +348,7 @@
 	}
 }
 
-// killAll sends SIGKILL to every process that is left, by process ID.
+// killAll sends SIGKILL to every process that has not ended, including the fake executors.
 func (c *cluster) killAll() {
 	_ = c.runAndWait(func() error {
 		c.isEnding = true
--- a/internal/simulation/soak/connection.go
+++ b/internal/simulation/soak/connection.go
@@ -14,14 +14,15 @@
 )
 
 // connection is a persistent HTTP connection that sends one request at a time. It doesn't use the client of net/http, which
-// silently resends a request if a kept connection has ended and so hides the faults that the soak looks for.
+// silently resends a request if a persistent connection has ended, and so would hide faults that the soak looks for.
 type connection struct {
-	raw      net.Conn
-	reader   *bufio.Reader
-	answered int
+	raw    net.Conn
+	reader *bufio.Reader
+	// answerCount is the number of answers received so far.
+	answerCount int
 }
 
-// request is an HTTP/1.1 request.
+// request is an HTTP/1.1 request. timeout is also sent to the gate as the remaining time.
 type request struct {
 	method, host, path, id, body string
 	// key is the key of a tenant, or "" for none.
@@ -41,7 +42,7 @@
 	return strings.Join(head, "\r\n") + "\r\n\r\n" + r.body
 }
 
-// reply is a complete answer.
+// reply is a complete answer. id is the request ID in it, or "".
 type reply struct {
 	status int
 	id     string
@@ -57,7 +58,7 @@
 	return &connection{raw: raw, reader: bufio.NewReader(raw)}, nil
 }
 
-// send writes a request and returns the time at which the last byte was written.
+// send writes a request, and returns whether it was written whole and when the write ended.
 func (c *connection) send(outgoing *request) (sent bool, at time.Time) {
 	// If the deadline can't be set, the write fails as well.
 	_ = c.raw.SetDeadline(time.Now().Add(outgoing.timeout))
@@ -65,7 +66,8 @@
 	return err == nil, time.Now()
 }
 
-// receive reads the answer. The outcome says why there is none. isLast is true if the gate closes the connection.
+// receive reads the answer. ended is answered, or the reason why there is no answer. isLast is true if the connection can't be
+// used again, after an error or because the gate closes it.
 func (c *connection) receive(outgoing *request) (answer reply, ended outcome, isLast bool) {
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: outgoing.method})
 	if err != nil {
@@ -76,7 +78,7 @@
 	if err != nil {
 		return answer, outcomeOf(err), true
 	}
-	c.answered++
+	c.answerCount++
 	return reply{response.StatusCode, response.Header.Get("X-Request-Id"), string(body)}, answered, response.Close
 }
 
--- a/internal/simulation/soak/engine.go
+++ b/internal/simulation/soak/engine.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// engineCount is the number of fake executors of requests, and engineSlots the number of requests that each may run at a time.
 	engineCount = 4
 	engineSlots = 8
 	// eventsPerAnswer is the number of events in an answer, and eventGap is the time between two of them.
@@ -29,7 +30,7 @@
 	id, address, zone string
 }
 
-// ServeHTTP streams the events after Last-Event-Id. It refuses a request without an ID or for another executor.
+// ServeHTTP streams the events after Last-Event-Id. It refuses a request that has no ID or is meant for another executor.
 func (e *engine) ServeHTTP(writer http.ResponseWriter, call *http.Request) {
 	id := call.Header.Get(headers.RequestID)
 	writer.Header().Set(headers.RequestID, id)
--- a/internal/simulation/soak/evacuation.go
+++ b/internal/simulation/soak/evacuation.go
@@ -23,28 +23,29 @@
 	TerminateSentAt time.Duration
 }
 
-// evacuate evacuates one zone after another until ctx is done, and ends each evacuation.
+// evacuate evacuates one zone after another until ctx is done, and ends each evacuation, also the last one.
 func (o *operator) evacuate(ctx context.Context) {
 	for number := 0; pause(ctx, evacuationPause); number++ {
 		zone := zoneName(number % o.layout.Mix.Zones)
-		if !o.orderUntilAcknowledged(ctx, zone, "initiate") {
+		if !o.requestUntilAcknowledged(ctx, zone, "initiate") {
 			return
 		}
-		order := Evacuation{Zone: zone, AcknowledgedAt: o.recorder.now()}
+		evacuation := Evacuation{Zone: zone, AcknowledgedAt: o.recorder.now()}
 		pause(ctx, evacuationLength)
-		order.TerminateSentAt = o.recorder.now()
+		evacuation.TerminateSentAt = o.recorder.now()
 		// A zone that stays evacuated would keep jobs from running, so the evacuation is ended even if the soak ends meanwhile.
 		timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout/2)
-		o.orderUntilAcknowledged(timeoutCtx, zone, "terminate")
+		o.requestUntilAcknowledged(timeoutCtx, zone, "terminate")
 		cancel()
-		o.recorder.write(func(h *History) { h.Evacuations = append(h.Evacuations, order) })
+		o.recorder.write(func(h *History) { h.Evacuations = append(h.Evacuations, evacuation) })
 	}
 }
 
-// orderUntilAcknowledged sends an order to random stewards until one acknowledges it. It returns false if ctx is done first.
-func (o *operator) orderUntilAcknowledged(ctx context.Context, zone, order string) bool {
+// requestUntilAcknowledged requests the start or the end of an evacuation from random stewards until one acknowledges it. It
+// returns false if ctx is done first.
+func (o *operator) requestUntilAcknowledged(ctx context.Context, zone, action string) bool {
 	for ctx.Err() == nil {
-		if o.call(ctx, sling.New().Post(o.stewardURL("/v1/evacuation/"+zone+"/"+order)), nil) == http.StatusOK {
+		if o.call(ctx, sling.New().Post(o.stewardURL("/v1/evacuation/"+zone+"/"+action)), nil) == http.StatusOK {
 			return true
 		}
 		pause(ctx, retryPause)
@@ -53,8 +54,8 @@
 }
 
 // startsInEvacuatedZones is the oracle of evacuations: no run starts in a zone between the deadline of its evacuation and the
-// order to end it. Starts shortly after a fault of their process or of a steward are left out, as the deadline only holds for
-// machines in contact.
+// request to end it. Starts shortly after a stall, or after a fault of their process or of a steward, are left out: the deadline
+// only applies to machines that are in contact with the stewards.
 func startsInEvacuatedZones(h *History) []Violation {
 	var violations []Violation
 	for _, evacuation := range h.Evacuations {
@@ -71,12 +72,12 @@
 	return violations
 }
 
-// isUndisturbed reports whether, for contactWindow before a time, no fault affected a process or any steward and the soak did
-// not stall.
+// isUndisturbed reports whether no fault affected a process or any steward, and the soak did not stall, within contactWindow
+// before a time.
 func (h *History) isUndisturbed(process string, at time.Duration) bool {
 	from := at - contactWindow
-	isTroubled := slices.ContainsFunc(h.Troubles, func(trouble Trouble) bool {
+	hadFault := slices.ContainsFunc(h.Troubles, func(trouble Trouble) bool {
 		return (trouble.Target == process || h.Stewards[trouble.Target]) && trouble.From <= at && trouble.To >= from
 	})
-	return !isTroubled && !h.isStalled(from, at)
+	return !hadFault && !h.isStalled(from, at)
 }
--- a/internal/simulation/soak/fault.go
+++ b/internal/simulation/soak/fault.go
@@ -8,13 +8,13 @@
 // FaultKind is the effect of a schedule's event on a process or on the connections of a gate's clients.
 type FaultKind string
 
-// The kinds of faults. A process that ends is restarted. Stewards keep their disk, except with FaultWipe and FaultReplace.
+// The kinds of faults. Except with FaultWipe and FaultReplace, a process that ends is restarted with the data on its disk.
 const (
-	// FaultTerminate sends SIGTERM: the process shuts down in order.
+	// FaultTerminate sends SIGTERM, which asks the process for an orderly shutdown.
 	FaultTerminate FaultKind = "terminate"
 	// FaultKill sends SIGKILL.
 	FaultKill FaultKind = "kill"
-	// FaultFreeze suspends the process, possibly for longer than its leases last.
+	// FaultFreeze suspends the process for its duration, possibly for longer than its leases last.
 	FaultFreeze FaultKind = "freeze"
 	// FaultHangup sends SIGHUP.
 	FaultHangup FaultKind = "hangup"
@@ -22,13 +22,13 @@
 	FaultSettings FaultKind = "settings"
 	// FaultWipe kills a steward and restarts it with an empty disk.
 	FaultWipe FaultKind = "wipe"
-	// FaultReplace terminates a steward for good. Another steward starts with an empty disk at another address.
+	// FaultReplace terminates a steward and doesn't restart it. Another steward starts with an empty disk at another address.
 	FaultReplace FaultKind = "replace"
 	// FaultWave terminates all gates, one after the other.
 	FaultWave FaultKind = "wave"
-	// FaultCut resets the connections of a gate's clients, and any new ones for a while.
+	// FaultCut resets the connections of a gate's clients, and for its duration any new ones.
 	FaultCut FaultKind = "cut"
-	// FaultStall holds back all data between a gate and its clients for a while.
+	// FaultStall holds back all data between a gate and its clients for its duration.
 	FaultStall FaultKind = "stall"
 )
 
@@ -37,7 +37,7 @@
 
 func (k FaultKind) isKnown() bool { return slices.Contains(AllFaults, k) }
 
-// roles returns the roles that the fault can strike. FaultWave has no target and strikes all gates.
+// roles returns the roles that the fault can affect. FaultWave has no target and affects all gates.
 func (k FaultKind) roles() []Role {
 	switch k {
 	case FaultWipe, FaultReplace:
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// warmUp is the time after its start in which a process may grow.
+	// warmUp is the time after the first sample of an incarnation for which its samples are left out, as it may grow until then.
 	warmUp = 15 * time.Second
 	// minSamples is the minimum number of samples for a slope.
 	minSamples = 20
-	// minFit is the minimum r squared: the fraction of the variance that the slope explains.
+	// minFit is the minimum r squared of a slope that counts as growth: the fraction of the variance that the slope explains.
 	minFit = 0.8
 	// maxGrowth is the tolerated growth over the observed time, as a fraction of the mean.
 	maxGrowth = 0.5
 )
 
-// resource is a measured resource of a process, and the growth of it that is always tolerated.
+// resource is a measured resource of a process. toleratedGrowth is the growth over the observed time that is never reported.
 type resource struct {
 	name            string
 	toleratedGrowth float64
@@ -33,7 +33,8 @@
 	{"disk, bytes", 64 << 20, func(s *Sample) float64 { return s.Disk }},
 }
 
-// Slope is the change per second of one resource in one incarnation of a process, with its standard error.
+// Slope is the change per second of one resource in one incarnation of a process, with its standard error and its r squared
+// (Fit). Mean is the mean value of the resource, and Seconds the observed time.
 type Slope struct {
 	Process  string  `json:"process"`
 	Resource string  `json:"resource"`
--- a/internal/simulation/soak/history.go
+++ b/internal/simulation/soak/history.go
@@ -53,7 +53,7 @@
 	// EchoedID is the request ID in the answer. State is the job's state, if the answer has one.
 	EchoedID string
 	State    string
-	// IsKept is true if the connection had answered a call before.
+	// IsKept is true if an earlier call was answered on the same connection.
 	IsKept bool
 	// Connection is the client's local address of the connection, or "" if there was none.
 	Connection string
@@ -71,8 +71,9 @@
 	From, To time.Duration
 }
 
-// Exit is the end of a process. Cause is the fault that ended it, or "" if none did. Age is the time from its start to the
-// signal, and Took the time from the signal to its end; both are 0 without a cause.
+// Exit is the end of a process. Cause is the fault that ended it, FaultTerminate at the end of the soak, or "" if the process
+// was not asked to end. Age is the time from its start to the signal, and Took the time from the signal to its end; both are 0
+// without a cause. Signal names the signal that killed the process, or is "" if it exited by itself.
 type Exit struct {
 	Process string
 	Cause   FaultKind
@@ -97,7 +98,7 @@
 	Status  int
 }
 
-// ReadBack is the configuration version that a steward returned.
+// ReadBack is the configuration version that a steward returned. Steward is the URL from which it was read.
 type ReadBack struct {
 	Steward string
 	SentAt  time.Duration
@@ -128,18 +129,19 @@
 	Samples  []Sample
 	// Applications is the history of the applications that use locks, numbers and cells.
 	Applications check.History
-	// Runs are the runs that the executors report, with the time of day in milliseconds. StartMs is the time of day at which
-	// all other times begin.
+	// Runs are the runs that the executors report, with times of day in milliseconds. StartMs is the time of day of the start of
+	// the soak, from which all other times count.
 	Runs    []hollow.RunRecord
 	StartMs int64
 	// RepeatedFences counts orders that came under a fence well after an executor had refused it.
 	RepeatedFences int
 	// FinalStates are the last known states of accepted jobs, by ID.
 	FinalStates map[string]string
-	// Stalls are the times in which the soak process itself did not run. Time bounds are not checked there.
+	// Stalls are the intervals in which the soak process itself did not run. OracleCut, OracleConfiguration, OracleExit,
+	// OracleStream and OracleEvacuation report nothing that a stall explains.
 	Stalls []Stall
 	// Mix is nil if the options name none. Zones maps the names of processes to their zones, and Stewards contains the names of
-	// stewards.
+	// stewards and of their possible replacements.
 	Mix      *Mix
 	Zones    map[string]string
 	Stewards map[string]bool
@@ -204,7 +206,7 @@
 	return &copied
 }
 
-// progressCounts are the counts that the soak logs as its progress.
+// progressCounts are the counts that the soak logs as its progress: calls, accepted submissions and faults.
 type progressCounts struct{ calls, accepted, troubles int }
 
 func (r *recorder) counts() progressCounts {
@@ -220,7 +222,7 @@
 	return counts
 }
 
-// refusalRecorder returns a function that records the connections that a gate refused.
+// refusalRecorder returns a function that records that a gate refused the connection of a client.
 func (r *recorder) refusalRecorder(gate string) func(client net.Addr) {
 	return func(client net.Addr) {
 		refused := RefusedConnection{gate, client.String(), r.now()}
@@ -228,7 +230,7 @@
 	}
 }
 
-// watchStalls records the times in which this process was not scheduled, until ctx is done.
+// watchStalls records the intervals in which this process did not run, until ctx is done.
 func (r *recorder) watchStalls(ctx context.Context) {
 	const interval, minStall = 20 * time.Millisecond, 250 * time.Millisecond
 	for last := r.now(); ctx.Err() == nil; {
--- a/internal/simulation/soak/injectedfaults.go
+++ b/internal/simulation/soak/injectedfaults.go
@@ -10,7 +10,8 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// InjectedFault is a fault that is put into the observations, to check that the oracle of the same name finds it.
+// InjectedFault is a fault that is put into the data of relays or into the observations, to check that the oracle of the same
+// name finds it.
 type InjectedFault string
 
 // The injected faults; InjectNothing is none.
@@ -61,8 +62,8 @@
 	}
 	switch {
 	case r.injected == InjectCut:
-		// The client gets no answer although its gate answered. The delay makes the request older than lossSlack, below which
-		// OracleCut ignores it.
+		// The client gets no answer although its gate answered. The delay is needed because OracleCut ignores requests that end
+		// within lossSlack.
 		time.Sleep(2 * lossSlack)
 		return nil
 	case r.injected == InjectWrong && previous != nil:
@@ -71,7 +72,8 @@
 	return chunk
 }
 
-// injectInto puts the fault into a history. Faults of connections were injected by the relays during the soak (alterChunk).
+// injectInto puts the fault into a history. InjectCut and InjectWrong change nothing here: the relays inject them during the soak
+// (alterChunk).
 func (f InjectedFault) injectInto(h *History) {
 	last := func() time.Duration { return h.Calls[len(h.Calls)-1].EndedAt }
 	switch f {
@@ -110,7 +112,7 @@
 	}
 }
 
-// injectMixFault puts a fault into the observations that only mixes have.
+// injectMixFault puts a fault into observations that depend on the features of the mix.
 func (f InjectedFault) injectMixFault(h *History) {
 	switch f {
 	case InjectEvacuation:
@@ -131,7 +133,7 @@
 	}
 }
 
-// injectQuota adds a job of the limited tenant that runs more tasks at the same time than the tenant may.
+// injectQuota adds a job of the limited tenant with more tasks that run at the same time than the tenant may have.
 func (h *History) injectQuota() {
 	const id = "0000000000000991"
 	h.Mix = &Mix{Features: []Feature{FeatureTenants}, Zones: 1}
@@ -143,7 +145,7 @@
 	}
 }
 
-// injectCancelled adds the cancellation of a job, and a start of its task long after it.
+// injectCancelled adds the cancellation of a job, and the start of one of its tasks long after the cancellation.
 func (h *History) injectCancelled(id string) {
 	h.Calls = append(h.Calls, Call{Verb: verbCancel, Job: id, Outcome: answered, Status: 200})
 	startMs := h.StartMs + (2 * cancelTimeout).Milliseconds()
--- a/internal/simulation/soak/job.go
+++ b/internal/simulation/soak/job.go
@@ -17,22 +17,23 @@
 	length        time.Duration
 }
 
-// The last three hexadecimal digits of an ID are the number of tasks of the first and of the second step, and the length of
-// each task in shapeUnit.
+// The last three hexadecimal digits of an ID are the number of tasks of the first step, that of the second step, and the length
+// of each task in multiples of shapeUnit.
 const (
-	idDigits   = 16
-	maxTasks   = 6
-	maxUnits   = 8
-	shapeUnit  = 50 * time.Millisecond
-	taskCPU    = 400
-	taskMemory = 100
+	idDigits     = 16
+	maxTasks     = 6
+	maxUnits     = 8
+	shapeUnit    = 50 * time.Millisecond
+	taskCPU      = 400
+	taskMemoryMB = 100
 )
 
-// newJob draws a job ID.
-func newJob(draw *rand.Rand) string {
-	return fmt.Sprintf("%013x%x%x%x", draw.Uint64()>>12, 1+draw.IntN(maxTasks), draw.IntN(maxTasks), 1+draw.IntN(maxUnits))
+// newJob draws the ID of a job with a random shape.
+func newJob(random *rand.Rand) string {
+	return fmt.Sprintf("%013x%x%x%x", random.Uint64()>>12, 1+random.IntN(maxTasks), random.IntN(maxTasks), 1+random.IntN(maxUnits))
 }
 
+// shapeOf returns the shape that an ID encodes, or no tasks if the ID has another length.
 func shapeOf(id string) shape {
 	if len(id) != idDigits {
 		return shape{}
@@ -48,9 +49,9 @@
 
 // body returns the JSON body of the job's submission.
 func (s shape) body() string {
-	load := hollow.Load{Length: s.length, CPU: taskCPU, MemoryMB: taskMemory}
+	load := hollow.Load{Length: s.length, CPU: taskCPU, MemoryMB: taskMemoryMB}
 	step := func(tasks int, after string) string {
-		return fmt.Sprintf(`{"task-count":%d,"cpu-units":%d,"memory-req-mb":%d,"estimated-ms":%d%s}`, tasks, taskCPU, taskMemory, s.length.Milliseconds(), after)
+		return fmt.Sprintf(`{"task-count":%d,"cpu-units":%d,"memory-req-mb":%d,"estimated-ms":%d%s}`, tasks, taskCPU, taskMemoryMB, s.length.Milliseconds(), after)
 	}
 	steps := []string{step(s.first, "")}
 	if s.second > 0 {
--- a/internal/simulation/soak/layout.go
+++ b/internal/simulation/soak/layout.go
@@ -44,18 +44,20 @@
 	storageOctet = 6
 )
 
-// Values of the settings, in the units of the settings file. The state of an ended job is kept for longer than any soak lasts.
-// processesForLosses is the number of processes from which a soak tolerates the loss of two stewards.
+// Values of the settings, in the units of the settings file.
 const (
-	graceSeconds       = 6
-	configApplyMs      = 3000
-	statusSeconds      = 3600
-	heartbeatMs        = 1000
-	executorCPU        = 4000
-	executorMemoryMB   = 4096
+	graceSeconds  = 6
+	configApplyMs = 3000
+	// statusSeconds is the retention of the states of ended jobs, which is longer than any soak.
+	statusSeconds    = 3600
+	heartbeatMs      = 1000
+	executorCPU      = 4000
+	executorMemoryMB = 4096
+	// processesForLosses is the number of processes from which a soak tolerates the loss of two stewards.
 	processesForLosses = 16
-	maxStewardNames    = 100
-	serviceName        = "soak"
+	// maxStewardNames is an upper limit of the number of stewards, including replacements.
+	maxStewardNames = 100
+	serviceName     = "soak"
 )
 
 // Node is the name, role and address of one process.
@@ -72,7 +74,7 @@
 	Stewards []Node
 	Gates    []Node
 	Proxies  []Node
-	// Storages is empty without a tier. They are additional to the requested number of processes.
+	// Storages is empty without a tier. The storages are additional to the requested number of processes.
 	Storages []Node
 	Mix      *Mix
 	// LeavesOutTenants makes configurations name no tenants although the contracts allow them.
@@ -81,9 +83,9 @@
 	HasVersions bool
 }
 
-// NewLayout spreads processes over the roles. One of them runs all fake executors.
+// NewLayout spreads a number of processes over the roles. One of the processes runs all fake executors of jobs.
 func NewLayout(processes int, network string) *Layout {
-	layout := &Layout{Network: network, Losses: 1, Mix: usualMix()}
+	layout := &Layout{Network: network, Losses: 1, Mix: defaultMix()}
 	if processes >= processesForLosses {
 		layout.Losses = 2
 	}
@@ -102,7 +104,7 @@
 	return layout
 }
 
-// NewMixedLayout returns NewLayout with a mix, and storages if the mix has a tier.
+// NewMixedLayout returns the layout of NewLayout with a mix, and with storages if the mix has a tier.
 func NewMixedLayout(processes int, network string, mix *Mix) *Layout {
 	layout := NewLayout(processes, network)
 	layout.Mix = mix
@@ -141,7 +143,7 @@
 // region is the region of all zones.
 const region = "region-1"
 
-// stewardNames returns the names of the initial stewards and of possible replacements.
+// stewardNames returns the set of the names of the initial stewards and of possible replacements.
 func (l *Layout) stewardNames() map[string]bool {
 	names := map[string]bool{}
 	for number := range maxStewardNames {
@@ -150,8 +152,8 @@
 	return names
 }
 
-// zoneList maps each zone to its region.
-func (l *Layout) zoneList() map[string]string {
+// zoneRegions maps each zone of the mix to its region.
+func (l *Layout) zoneRegions() map[string]string {
 	all := map[string]string{}
 	for number := range l.Mix.Zones {
 		all[zoneName(number)] = region
@@ -214,10 +216,10 @@
 	Service        string            `yaml:"service,omitempty"`
 }
 
-// settingsOf returns the settings file of a node. seeds are addresses of stewards. isInitial is true at the first start of the
-// cluster.
+// settingsOf returns the text of the settings file of a node, with the mistake of the settings fault. seeds are addresses of
+// stewards. isInitial is true at the first start of the cluster.
 func (l *Layout) settingsOf(node Node, folder string, seeds []string, isInitial bool, fault SettingsFault) ([]byte, error) {
-	fields := settingsFields{Name: node.Name, Role: node.Role, IP: node.IP, Zone: l.zoneOf(node), Region: region, Zones: l.zoneList(), Initial: isInitial, Seeds: seeds,
+	fields := settingsFields{Name: node.Name, Role: node.Role, IP: node.IP, Zone: l.zoneOf(node), Region: region, Zones: l.zoneRegions(), Initial: isInitial, Seeds: seeds,
 		InternalPorts: []int{internalPort, internalPort + internalPorts - 1}, HeartbeatMs: l.Mix.HeartbeatMs, OrderList: l.Mix.OrderList,
 		FaultTolerance: map[string]int{"machine-losses": l.Losses},
 		Bounds:         map[string]int{"grace-period-s": graceSeconds, "config-apply-ms": configApplyMs, "status_s": statusSeconds, "history-s": historySeconds},
--- a/internal/simulation/soak/load.go
+++ b/internal/simulation/soak/load.go
@@ -12,13 +12,13 @@
 type counters struct {
 	at         time.Duration
 	cpuSeconds float64
-	// sentBytes counts calls to peers and datagrams.
+	// sentBytes is the number of bytes sent in calls to peers and in datagrams.
 	sentBytes float64
 	commits   float64
 }
 
-// ProcessLoad is the resource use per second of a process over a time without a restart. Commits are disk transactions; each
-// includes its syncs.
+// ProcessLoad is the resource use per second of a process over a time without a restart. Commits counts disk transactions, not
+// the syncs in them.
 type ProcessLoad struct {
 	Process   string  `json:"process"`
 	Role      Role    `json:"role"`
@@ -28,9 +28,9 @@
 }
 
 // readCounters reads the metrics of all running processes. A process that doesn't answer is left out.
-func (s *soak) readCounters() map[runningProcess]counters {
+func (s *soak) readCounters() map[nodeIncarnation]counters {
 	client := &http.Client{Timeout: sampleTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	read := map[runningProcess]counters{}
+	read := map[nodeIncarnation]counters{}
 	for _, running := range s.cluster.runningProcesses() {
 		samples, err := metrics.Fetch(client, endpoint(running.node.IP, internalPort), sampleTimeout)
 		if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // loadsBetween returns the resource use of each process between two readings. A process that restarted meanwhile is left out.
-func loadsBetween(before, after map[runningProcess]counters) []ProcessLoad {
+func loadsBetween(before, after map[nodeIncarnation]counters) []ProcessLoad {
 	var loads []ProcessLoad
 	for running, last := range after {
 		first, isKnown := before[running]
@@ -71,11 +71,11 @@
 
 // maxLoadOf returns the maximum of each figure over the processes of a role.
 func maxLoadOf(loads []ProcessLoad, role Role) ProcessLoad {
-	var most ProcessLoad
+	var maximum ProcessLoad
 	for _, load := range loads {
 		if load.Role == role {
-			most.Cores, most.SentBytes, most.Commits = max(most.Cores, load.Cores), max(most.SentBytes, load.SentBytes), max(most.Commits, load.Commits)
+			maximum.Cores, maximum.SentBytes, maximum.Commits = max(maximum.Cores, load.Cores), max(maximum.SentBytes, load.SentBytes), max(maximum.Commits, load.Commits)
 		}
 	}
-	return most
+	return maximum
 }
--- a/internal/simulation/soak/lots.go
+++ b/internal/simulation/soak/lots.go
@@ -13,6 +13,7 @@
 )
 
 const (
+	// lotDeadline is the deadline of results on the route of lots.
 	lotDeadline  = 8 * time.Second
 	meanLotPause = 700 * time.Millisecond
 	maxLotItems  = 12
@@ -35,7 +36,8 @@
 	Results []LotResult
 }
 
-// Lot is an accepted lot and all answers about it. Last holds the results from the start, as far as they were last known.
+// Lot is an accepted lot and all answers about it. Last holds the results that were read from
+// position 0 on.
 type Lot struct {
 	ID         string
 	Items      int
@@ -66,25 +68,26 @@
 	return &lotClient{streamClient: newTierClient(s, lotClientNumber, s.layout.Gates[0])}
 }
 
-// run submits lots and reads random parts of their results until ctx is done. Then it reads each lot until it has all results.
+// run submits lots and reads their results from random positions on until ctx is done. Then it reads each lot until it has all
+// results, at most for settleTimeout.
 func (c *lotClient) run(ctx context.Context) {
-	for pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(meanLotPause)/c.options.pace())) {
-		c.submit(ctx, &Lot{ID: fmt.Sprintf("%016x", c.draw.Uint64()), Items: 1 + c.draw.IntN(maxLotItems)})
+	for pause(ctx, time.Duration(c.random.ExpFloat64()*float64(meanLotPause)/c.options.pace())) {
+		c.submit(ctx, &Lot{ID: fmt.Sprintf("%016x", c.random.Uint64()), Items: 1 + c.random.IntN(maxLotItems)})
 		for _, lot := range c.accepted {
-			c.read(ctx, lot, c.draw.IntN(len(lot.Last)+1))
+			c.read(ctx, lot, c.random.IntN(len(lot.Last)+1))
 		}
 	}
 	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	for _, lot := range c.accepted {
-		c.readWhole(timeoutCtx, lot)
+		c.readAllResults(timeoutCtx, lot)
 		settled := *lot
 		c.recorder.write(func(h *History) { h.Lots = append(h.Lots, settled) })
 	}
 }
 
-// readWhole reads a lot from its start until it has all results or ctx is done.
-func (c *lotClient) readWhole(ctx context.Context, lot *Lot) {
+// readAllResults reads a lot from its start until it has all results or ctx is done.
+func (c *lotClient) readAllResults(ctx context.Context, lot *Lot) {
 	for len(lot.Last) < lot.Items {
 		if !c.read(ctx, lot, 0) {
 			return
@@ -92,9 +95,9 @@
 	}
 }
 
-func (c *lotClient) drawGate() Node { return c.layout.Gates[c.draw.IntN(len(c.layout.Gates))] }
+func (c *lotClient) drawGate() Node { return c.layout.Gates[c.random.IntN(len(c.layout.Gates))] }
 
-// submit submits a lot at random gates until it is accepted or clearly refused, at most maxTries times.
+// submit submits a lot at random gates until it is accepted or refused with a 4xx status other than 429, at most maxTries times.
 func (c *lotClient) submit(ctx context.Context, lot *Lot) {
 	var items []string
 	for number := range lot.Items {
@@ -154,8 +157,8 @@
 	return pause(ctx, retryPause)
 }
 
-// badLots is the oracle of lots: a gate knows each accepted lot, all its results come, and neither their positions nor their
-// contents change.
+// badLots is the oracle of lots: no lot is refused, each gate knows each accepted lot, all results of a lot come, and neither
+// their positions nor their contents change.
 func badLots(h *History) []Violation {
 	violations := slices.Clone(h.LotRefusals)
 	for index := range h.Lots {
--- a/internal/simulation/soak/mix.go
+++ b/internal/simulation/soak/mix.go
@@ -14,7 +14,7 @@
 
 // The features.
 const (
-	// FeatureTenants makes each call carry a tenant's key, and limits the running tasks of a tenant.
+	// FeatureTenants makes clients send a tenant's key with each call, and limits the running tasks of the first tenant.
 	FeatureTenants Feature = "tenants"
 	// FeatureEvacuations makes the operator evacuate zones.
 	FeatureEvacuations Feature = "evacuations"
@@ -35,8 +35,8 @@
 	FeatureTier:        {"pool", settings.ContractLots, settings.ContractStreams, "engine"},
 }
 
-// Mix is a deployment's choice of features, number of zones and protocol bounds in milliseconds. A bound of 0 is left out of
-// the settings.
+// Mix is a deployment's choice of features, number of zones, kind of order list and protocol bounds in milliseconds. A bound of
+// 0 is left out of the settings.
 type Mix struct {
 	Features     []Feature
 	Zones        int
@@ -48,16 +48,16 @@
 	GangWaitMs   int
 }
 
-// usualMix returns the mix of a soak whose options name none.
-func usualMix() *Mix {
+// defaultMix returns the mix of a soak whose options name none.
+func defaultMix() *Mix {
 	return &Mix{Features: []Feature{FeatureLocks}, Zones: 1, OrderList: "invocation", HeartbeatMs: heartbeatMs}
 }
 
-// mixStream selects the random stream of mixes; schedules and clients use other streams.
-const mixStream = 3
+// mixRandomStream is the random stream of mixes.
+const mixRandomStream = 3
 
-// The ranges of the drawn values, times in milliseconds: a minimum and the exclusive bound of the random number that is added
-// to it. The lowest bits of the seed select the features, so consecutive seeds cover all combinations.
+// The ranges of the drawn values, with times in milliseconds. A random number of 0 up to, not including, the range is added to
+// the minimum.
 const (
 	maxZones                       = 4
 	minHeartbeatMs, heartbeatRange = 600, 1200
@@ -68,13 +68,14 @@
 	minGangWaitMs, gangWaitRange   = 2000, 3000
 )
 
-// DrawMix returns the mix of a seed.
+// DrawMix returns the mix of a seed. The lowest bits of the seed select the features, so consecutive seeds cover all
+// combinations.
 func DrawMix(seed uint64) *Mix {
-	draw := rand.New(rand.NewPCG(seed, mixStream))
-	mix := &Mix{Zones: 1 + draw.IntN(maxZones), OrderList: "invocation", HeartbeatMs: minHeartbeatMs + draw.IntN(heartbeatRange),
-		EvacuationMs: minEvacuationMs + draw.IntN(evacuationRange), DrainMs: minDrainMs + draw.IntN(drainRange), MaxHoldMs: minMaxHoldMs + draw.IntN(maxHoldRange),
-		GangWaitMs: minGangWaitMs + draw.IntN(gangWaitRange)}
-	if draw.IntN(2) == 0 {
+	random := rand.New(rand.NewPCG(seed, mixRandomStream))
+	mix := &Mix{Zones: 1 + random.IntN(maxZones), OrderList: "invocation", HeartbeatMs: minHeartbeatMs + random.IntN(heartbeatRange),
+		EvacuationMs: minEvacuationMs + random.IntN(evacuationRange), DrainMs: minDrainMs + random.IntN(drainRange), MaxHoldMs: minMaxHoldMs + random.IntN(maxHoldRange),
+		GangWaitMs: minGangWaitMs + random.IntN(gangWaitRange)}
+	if random.IntN(2) == 0 {
 		mix.OrderList = "heartbeat"
 	}
 	for bit, feature := range AllFeatures {
@@ -111,7 +112,7 @@
 	return all
 }
 
-// evacuationDeadline returns the time after its acknowledgement in which an evacuation must take effect.
+// evacuationDeadline returns the time in which an evacuation must take effect, counted from its acknowledgement.
 func (m *Mix) evacuationDeadline() time.Duration { return clock.Milliseconds(int64(m.EvacuationMs)) }
 
 // SettingsFault is a mistake in the settings of all processes, to check that an oracle finds its effects.
@@ -122,7 +123,7 @@
 	NoSettingsFault SettingsFault = ""
 	// ForgetContracts leaves out the contracts of the mix's last feature.
 	ForgetContracts SettingsFault = "contracts"
-	// WrongBound sets the retention of job states to one second, the value of another bound.
+	// WrongBound sets the retention of job states to wrongStatusSeconds, as if the value of another bound were written there.
 	WrongBound SettingsFault = "bound"
 )
 
@@ -133,7 +134,7 @@
 	return f == NoSettingsFault || slices.Contains(AllSettingsFaults, f)
 }
 
-// wrongStatusSeconds is the retention of job states with WrongBound.
+// wrongStatusSeconds is the retention of job states with WrongBound, which is shorter than a soak.
 const wrongStatusSeconds = 1
 
 // applyTo changes the fields of a settings file as the fault says.
--- a/internal/simulation/soak/mix_test.go
+++ b/internal/simulation/soak/mix_test.go
@@ -47,7 +47,7 @@
 		}
 	})
 
-	DescribeTable("have the mistake of a settings fault in their settings", func(fault SettingsFault, isWrong func(*settings.Settings) bool) {
+	DescribeTable("have wrong settings with a settings fault", func(fault SettingsFault, isWrong func(*settings.Settings) bool) {
 		layout := NewMixedLayout(MinProcesses, "127.92", DrawMix(15))
 		text, err := layout.settingsOf(layout.Gates[0], "/folder", []string{"127.92.2.1:8166"}, true, fault)
 		Expect(err).NotTo(HaveOccurred())
@@ -70,19 +70,19 @@
 })
 
 var _ = Describe("The oracles of mixes", func() {
-	It("report only starts in an evacuated zone that are after the deadline, before its end and not near a fault", func() {
+	It("report a start in an evacuated zone only after the deadline, before the end of the evacuation and not near a fault", func() {
 		h := flawlessHistory()
 		h.Mix = &Mix{EvacuationMs: 3000, Zones: 2}
 		h.Zones, h.Stewards = map[string]string{"worker-1": "zone-1", "worker-2": "zone-1"}, map[string]bool{"steward-1": true}
 		h.Evacuations = []Evacuation{{Zone: "zone-1", AcknowledgedAt: 10 * time.Second, TerminateSentAt: 20 * time.Second}}
-		at := func(node string, ms int64) {
+		startAt := func(node string, ms int64) {
 			h.Runs = []hollow.RunRecord{{Task: "t.0.0.0", Run: 1, Node: node, StartMs: h.StartMs + ms}}
 		}
-		at("worker-1", 12_900)
+		startAt("worker-1", 12_900)
 		Expect(startsInEvacuatedZones(h)).To(BeEmpty())
-		at("worker-1", 20_100)
+		startAt("worker-1", 20_100)
 		Expect(startsInEvacuatedZones(h)).To(BeEmpty())
-		at("worker-1", 15_000)
+		startAt("worker-1", 15_000)
 		Expect(startsInEvacuatedZones(h)).To(HaveLen(1))
 		h.Troubles = []Trouble{{Target: "steward-1", Kind: FaultKill, From: 12 * time.Second, To: 13 * time.Second}}
 		Expect(startsInEvacuatedZones(h)).To(BeEmpty())
@@ -103,7 +103,7 @@
 		Expect(exceededLimits(h)).To(HaveLen(1))
 	})
 
-	It("report results of a lot that change, repeat an item or are unknown", func() {
+	It("report a lot whose results change, a lot that is unknown, and a lot with an item at two positions", func() {
 		lot := Lot{ID: "0000000000000000", Items: 2}
 		for _, number := range []int{1, 0} {
 			lot.Last = append(lot.Last, LotResult{Item: lot.item(number), State: "completed", Text: expectedText(lot.item(number))})
--- a/internal/simulation/soak/operator.go
+++ b/internal/simulation/soak/operator.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	operatorStream = 2
+	// operatorRandomStream is the random stream of each operator.
+	operatorRandomStream = 2
 	// changeInterval is the time between two configurations, and probeInterval the time between two probes of the gates.
 	changeInterval = 2 * time.Second
 	probeInterval  = 500 * time.Millisecond
@@ -24,16 +25,17 @@
 	probedVersions  = 4
 )
 
-// operator changes the configuration, reads it back and probes whether the gates have applied it.
+// operator changes the configuration, reads it back and probes whether the gates have applied it. Another operator evacuates
+// zones (evacuate).
 type operator struct {
 	*soak
 	client  *http.Client
-	draw    *rand.Rand
+	random  *rand.Rand
 	version int64
 }
 
 func newOperator(s *soak) *operator {
-	return &operator{soak: s, client: &http.Client{Timeout: operatorTimeout}, draw: rand.New(rand.NewPCG(s.options.Seed, operatorStream)), version: firstVersion}
+	return &operator{soak: s, client: &http.Client{Timeout: operatorTimeout}, random: rand.New(rand.NewPCG(s.options.Seed, operatorRandomStream)), version: firstVersion}
 }
 
 // jobsRoute is the name of the route of the clients' queue.
@@ -44,7 +46,7 @@
 
 // run changes, probes and reads back the configuration until ctx is done.
 func (o *operator) run(ctx context.Context) {
-	// Each probe uses a new connection and so takes none of the gate's persistent ones.
+	// Each call uses a new connection, so that probes don't keep persistent connections of the gates open.
 	o.client.Transport = &http.Transport{DisableKeepAlives: true}
 	nextChange := o.recorder.now() + changeInterval
 	for ctx.Err() == nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-// change proposes the next version, and the same version again until it is acknowledged.
+// change proposes the next version repeatedly until it is acknowledged.
 func (o *operator) change(ctx context.Context) {
 	if o.options.Rollouts {
 		o.changeWithRollouts(ctx)
@@ -76,8 +78,8 @@
 	}
 }
 
-// changeWithRollouts changes the current configuration once. The leader of the configuration may change it at the same time, so
-// each attempt reads it anew.
+// changeWithRollouts changes the current configuration, with attempts until one is acknowledged. Each attempt reads the
+// configuration anew, as the leader of the configuration may change it at the same time.
 func (o *operator) changeWithRollouts(ctx context.Context) {
 	for ctx.Err() == nil {
 		if current := o.readCurrent(ctx); current != nil {
@@ -105,7 +107,8 @@
 	return status/100 == 2
 }
 
-// call makes one call and decodes the answer into a value unless that is nil. The status is 0 if no answer came.
+// call makes one call and decodes the answer into result unless that is nil. It returns the status, or 0 if no answer came or
+// the answer could not be decoded.
 func (o *operator) call(ctx context.Context, builder *sling.Sling, result any) int {
 	request, err := builder.Request()
 	if err != nil {
@@ -118,7 +121,7 @@
 	return response.StatusCode
 }
 
-// stewardURL returns the URL of a path at a random steward that hasn't ended; every steward serves the operator.
+// stewardURL returns the URL of a path at a random steward that hasn't ended. Every steward accepts the operator's calls.
 func (o *operator) stewardURL(path string) string {
 	var stewards []Node
 	for _, running := range o.cluster.stewards() {
@@ -127,12 +130,13 @@
 	if len(stewards) == 0 {
 		stewards = o.layout.Stewards
 	}
-	return "http://" + endpoint(stewards[o.draw.IntN(len(stewards))].IP, controlPort) + path
+	return "http://" + endpoint(stewards[o.random.IntN(len(stewards))].IP, controlPort) + path
 }
 
-// probe asks a random gate for the queue of the newest acknowledged version, and probes an unknown key if there are tenants.
+// probe calls a random gate for the queue of the newest acknowledged version, and records the status if an answer comes. If there
+// are tenants, it then also probes the gate with an unknown key.
 func (o *operator) probe(ctx context.Context) {
-	gate := o.layout.Gates[o.draw.IntN(len(o.layout.Gates))]
+	gate := o.layout.Gates[o.random.IntN(len(o.layout.Gates))]
 	version := o.version
 	probe := Probe{Gate: gate.Name, Version: version, SentAt: o.recorder.now()}
 	builder := sling.New().Get("http://" + endpoint(gate.IP, frontPort) + probePrefix(version))
--- a/internal/simulation/soak/options.go
+++ b/internal/simulation/soak/options.go
@@ -9,8 +9,8 @@
 	"go.uber.org/multierr"
 )
 
-// The bounds of a soak. MaxProcesses is what the machine can run beside other work. MinProcesses is three stewards, two gates,
-// two local proxies and their executors.
+// The bounds of a soak. MinProcesses allows for three stewards, two gates, two local proxies and the process of the fake
+// executors. With MaxProcesses the machine can still do other work.
 const (
 	MinProcesses = 8
 	MaxProcesses = 200
@@ -25,7 +25,7 @@
 	// Length is the time in which clients and faults are active, without start, settling and shutdown.
 	Length    time.Duration
 	Processes int
-	// Kinds are the faults to draw from; without any, the soak has no faults.
+	// Kinds are the kinds of faults to draw from; without any, the soak has no faults.
 	Kinds []FaultKind
 	// Keep is the folder for settings, logs and data. If it is empty, a temporary folder is used.
 	Keep string
@@ -33,11 +33,11 @@
 	Program string
 	// Network is the first two octets of the loopback addresses, for example 127.92.
 	Network string
-	// InjectedFault is put into the observations to check that the oracle of the same name finds it.
+	// InjectedFault is put into the data of relays or into the observations, to check that the oracle of the same name finds it.
 	InjectedFault InjectedFault
 	// Rollouts makes the operator roll out a bad version of the service, and a good one after it.
 	Rollouts bool
-	// Mix selects the features of the deployment; nil means usualMix.
+	// Mix selects the features of the deployment; nil means defaultMix.
 	Mix *Mix
 	// Parts are the parts of the system that get load; nil means all.
 	Parts []Part
@@ -59,7 +59,7 @@
 	return layout
 }
 
-// pace returns the factor on the usual call rate of clients.
+// pace returns the factor by which the usual call rate of clients is multiplied.
 func (o *Options) pace() float64 {
 	if o.Pace == 0 {
 		return 1
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -14,12 +14,12 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// Oracle is a check of the observations, named for what must not happen.
+// Oracle is the name of a check of the observations.
 type Oracle string
 
 // The oracles.
 const (
-	// OracleLost: an accepted job is unknown, has not ended long after the soak, failed, or is cancelled without a request.
+	// OracleLost: an accepted job is unknown, has not ended at the end of the soak, failed, or is cancelled without a request.
 	OracleLost Oracle = "lost"
 	// OracleTwice: two runs of a task overlap, or a run starts after an earlier one has done the task.
 	OracleTwice Oracle = "twice"
@@ -27,7 +27,7 @@
 	OracleWrong Oracle = "wrong-answer"
 	// OracleShown: a job is shown as completed before all its tasks are done.
 	OracleShown Oracle = "shown"
-	// OracleCut: a request was sent whole and got no answer, although the gate was not killed.
+	// OracleCut: a request was sent whole and got no answer, and no fault explains this.
 	OracleCut Oracle = "cut"
 	// OracleCancelled: a task of a cancelled job starts long after the cancellation was acknowledged.
 	OracleCancelled Oracle = "cancelled"
@@ -35,7 +35,7 @@
 	OracleFence Oracle = "fence"
 	// OracleConfiguration: an acknowledged configuration is not applied in time, or an older version is read back.
 	OracleConfiguration Oracle = "configuration"
-	// OracleExit: a process ends without a request, ends with a failure, or doesn't end in time after SIGTERM.
+	// OracleExit: a process ends without being asked to, ends with a failure, or doesn't end in time after SIGTERM.
 	OracleExit Oracle = "exit"
 	// OracleCoordination: a lock has two holders, a number or a revision is given twice, a read is stale, a watch has a gap, or
 	// another oracle of package coordinationcheck finds a violation.
@@ -68,7 +68,7 @@
 
 // oracles are the functions of all oracles.
 var oracles = []func(*History) []Violation{lostJobs, repeatedRuns, wrongAnswers, falseCompletions, cutRequests, lateStarts, repeatedFences,
-	staleConfigurations, badExits, coordinationFaults, badRollouts, startsInEvacuatedZones, exceededLimits, unknownKeys, badStreams, badLots, unservedFeatures, growingResources}
+	staleConfigurations, badExits, coordinationViolations, badRollouts, startsInEvacuatedZones, exceededLimits, unknownKeys, badStreams, badLots, unservedFeatures, growingResources}
 
 // Judge runs all oracles on a history and returns their violations in the order of time.
 func Judge(history *History) []Violation {
@@ -84,15 +84,15 @@
 const (
 	// contactWindow is the time for which a process must have been without a fault before time bounds apply to it.
 	contactWindow = 5 * time.Second
-	// lossSlack is the minimum time between a request and the end of its connection for OracleCut to count it. A later
-	// request may cross the close.
+	// lossSlack is the minimum time between a request and the end of its connection for OracleCut to report it. With less time,
+	// the gate may have closed the connection before it could read the request.
 	lossSlack = 250 * time.Millisecond
 	// cancelTimeout is the time after the acknowledgement of a cancellation in which a task may still start.
 	cancelTimeout = 5 * time.Second
 	// configurationMargin is added to the time in which a configuration must be applied, as all processes share one machine.
 	configurationMargin = 2 * time.Second
-	// signalReadyTimeout is the time in which a process installs its signal handlers. SIGTERM ends an earlier process by the
-	// signal itself; such a process has served no request.
+	// signalReadyTimeout is the time after its start in which a process installs its signal handlers. Until then SIGTERM kills
+	// the process at once, which is tolerated, as it has served no request yet.
 	signalReadyTimeout = 3 * time.Second
 	// exitTimeout is the time in which a process must end after SIGTERM.
 	exitTimeout = graceSeconds*time.Second + 2*time.Second
@@ -166,7 +166,7 @@
 	return violations
 }
 
-// describeConflict returns why a run may not have started after an earlier one of its task, or "" if it may.
+// describeConflict returns why a run conflicts with an earlier run of its task, or "" if it doesn't.
 func describeConflict(earlier, later hollow.RunRecord) string {
 	switch {
 	case earlier.Node == later.Node && earlier.Run == later.Run:
@@ -205,8 +205,8 @@
 // clockSlack is the tolerated difference between times of executors and clients, which are in whole milliseconds.
 const clockSlack = 50 * time.Millisecond
 
-// falseCompletions compares the shown states of jobs with the tasks that executors had done by then. The executors' records are
-// complete, as no fault strikes their process.
+// falseCompletions finds jobs that were shown as completed before executors had done all their tasks. The records of executors
+// are complete, as their process is exempt from faults.
 func falseCompletions(h *History) []Violation {
 	lastDone, done := map[string]time.Duration{}, map[string]map[string]bool{}
 	for _, run := range h.Runs {
@@ -232,15 +232,15 @@
 	return violations
 }
 
-// isTroubled reports whether a fault of the given kinds, or of any kind if none is given, affected a process or the connections
-// of its clients within an interval.
-func (h *History) isTroubled(target string, from, to time.Duration, kinds ...FaultKind) bool {
+// hadFault reports whether a fault of the given kinds, or of any kind if none is given, affected a process or the connections of
+// its clients at any time of an interval.
+func (h *History) hadFault(target string, from, to time.Duration, kinds ...FaultKind) bool {
 	return slices.ContainsFunc(h.Troubles, func(trouble Trouble) bool {
 		return trouble.Target == target && trouble.From <= to && trouble.To >= from && (len(kinds) == 0 || slices.Contains(kinds, trouble.Kind))
 	})
 }
 
-// isStalled reports whether the soak itself stalled within an interval.
+// isStalled reports whether the soak itself was stalled at any time of an interval.
 func (h *History) isStalled(from, to time.Duration) bool {
 	return slices.ContainsFunc(h.Stalls, func(stall Stall) bool { return stall.From <= to && stall.To >= from })
 }
@@ -252,12 +252,12 @@
 		return refused.Gate == call.Gate && refused.Connection == call.Connection && refused.At <= call.EndedAt &&
 			refused.At >= call.EndedAt-contactWindow
 	})
-	return isRefused && !call.IsKept && h.isTroubled(call.Gate, call.SentAt-contactWindow, call.EndedAt)
+	return isRefused && !call.IsKept && h.hadFault(call.Gate, call.SentAt-contactWindow, call.EndedAt)
 }
 
 // cutRequests is OracleCut: it finds requests without an answer at gates that were neither killed nor frozen and whose
-// connections were neither cut nor stalled. A gate that shuts down in order answers each request that it has read; it has not
-// read a request that crosses the close.
+// connections were neither cut nor stalled. After SIGTERM a gate answers each request that it has read, but may close a
+// connection before it has read the last request (lossSlack).
 func cutRequests(h *History) []Violation {
 	var violations []Violation
 	for index := range h.Calls {
@@ -265,7 +265,7 @@
 		if call.Outcome != closed || call.EndedAt-call.SentAt < lossSlack {
 			continue
 		}
-		if h.isTroubled(call.Gate, call.SentAt-contactWindow, call.EndedAt, FaultKill, FaultFreeze, FaultCut, FaultStall) ||
+		if h.hadFault(call.Gate, call.SentAt-contactWindow, call.EndedAt, FaultKill, FaultFreeze, FaultCut, FaultStall) ||
 			h.isStalled(call.SentAt, call.EndedAt) || h.isRefused(call) {
 			continue
 		}
@@ -298,8 +298,8 @@
 	return []Violation{{OracleFence, 0, fmt.Sprintf("%d calls came under a fence well after it was refused", h.RepeatedFences)}}
 }
 
-// staleConfigurations checks that each gate without a fault serves the newest version that was acknowledged long enough before,
-// and that no steward returns a version older than an acknowledged one.
+// staleConfigurations checks that each gate without a recent fault knows the version of each probe that was sent long enough
+// after the version's acknowledgement, and that no steward returns a version older than one acknowledged before the read.
 func staleConfigurations(h *History) []Violation {
 	const applyTime = configApplyMs*time.Millisecond + configurationMargin
 	var violations []Violation
@@ -307,7 +307,7 @@
 		isDue := slices.ContainsFunc(h.Acknowledgements, func(a Acknowledgement) bool {
 			return a.Version == probe.Version && a.At+applyTime <= probe.SentAt
 		})
-		isUndisturbed := !h.isTroubled(probe.Gate, probe.SentAt-contactWindow, probe.SentAt) && !h.isStalled(probe.SentAt-contactWindow, probe.SentAt)
+		isUndisturbed := !h.hadFault(probe.Gate, probe.SentAt-contactWindow, probe.SentAt) && !h.isStalled(probe.SentAt-contactWindow, probe.SentAt)
 		if isDue && isUndisturbed && probe.Status == http.StatusNotFound {
 			violations = append(violations, Violation{OracleConfiguration, probe.SentAt, fmt.Sprintf("%s does not know version %d yet", probe.Gate, probe.Version)})
 		}
@@ -324,7 +324,7 @@
 	return violations
 }
 
-// badExits checks the exit of each process: by the requested signal, or in order and in time after SIGTERM.
+// badExits finds processes that ended without being asked to, or that ended with a failure or too late after SIGTERM.
 func badExits(h *History) []Violation {
 	var violations []Violation
 	for _, exit := range h.Exits {
@@ -335,6 +335,7 @@
 	return violations
 }
 
+// problem returns what is wrong with an exit, or "" if nothing is.
 func (e *Exit) problem(h *History) string {
 	switch e.Cause {
 	case "":
--- a/internal/simulation/soak/oracles_test.go
+++ b/internal/simulation/soak/oracles_test.go
@@ -95,7 +95,7 @@
 	It("find an unanswered request if the gate that refused the connection had no fault, or was another gate", func() {
 		for _, gates := range [][2]string{{"gate-2", "gate-2"}, {"gate-1", "gate-2"}} {
 			h := flawlessHistory()
-			refuse(h, gates[0], gates[1])
+			addRefusedRequest(h, gates[0], gates[1])
 			Expect(Judge(h)).To(ContainElement(HaveField("Oracle", OracleCut)))
 		}
 	})
@@ -120,7 +120,7 @@
 		Entry("a refusal without an ID by a gate that shuts down", func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: answered, Status: 503, RequestID: "asked"})
 		}),
-		Entry("a request whose connection was refused by a terminated gate", func(h *History) { refuse(h, "gate-1", "gate-1") }),
+		Entry("a request whose connection was refused by a terminated gate", func(h *History) { addRefusedRequest(h, "gate-1", "gate-1") }),
 		Entry("a request during a stall of the soak", func(h *History) {
 			h.Calls = append(h.Calls, Call{Gate: "gate-1", Verb: verbState, Outcome: closed, SentAt: 40 * time.Second, EndedAt: 42 * time.Second})
 			h.Stalls = append(h.Stalls, Stall{41 * time.Second, 42 * time.Second})
@@ -128,9 +128,9 @@
 	)
 })
 
-// refuse adds an unanswered request to one gate, and the refusal of its connection by another or the same gate. Only gate-1 has
-// a fault: it is terminated shortly before.
-func refuse(h *History, requested, refusing string) {
+// addRefusedRequest adds an unanswered request to one gate, and the refusal of its connection by the same or another gate. Only
+// gate-1 has a fault: it is terminated shortly before.
+func addRefusedRequest(h *History, requested, refusing string) {
 	const sentAt, endedAt = 40 * time.Second, 41 * time.Second
 	h.Troubles = append(h.Troubles, Trouble{"gate-1", FaultTerminate, sentAt - time.Second, endedAt + time.Second})
 	h.Calls = append(h.Calls, Call{Gate: requested, Verb: verbState, Outcome: closed, SentAt: sentAt, EndedAt: endedAt, Connection: "127.0.0.1:1"})
--- a/internal/simulation/soak/pairs.go
+++ b/internal/simulation/soak/pairs.go
@@ -25,7 +25,8 @@
 	PartEvacuations    Part = "evacuations"
 	PartLocks          Part = "locks"
 	PartTier           Part = "tier"
-	PartMembership     Part = "membership"
+	// PartMembership gets its load from waves in which all gates restart.
+	PartMembership Part = "membership"
 )
 
 // AllParts are the parts that can get load.
@@ -43,10 +44,11 @@
 	return parts, nil
 }
 
-// isBusy reports whether a part gets load. Without a choice of parts all do.
+// isBusy reports whether a part gets load. If Parts is nil, all parts do.
 func (o *Options) isBusy(part Part) bool { return o.Parts == nil || slices.Contains(o.Parts, part) }
 
-// PairRow is the measurement of the idle system, of one busy part or of two.
+// PairRow is the measurement of the idle system, of one busy part or of two. Control, Storage and Gate are the maximum figures
+// over the stewards, the storages and the gates.
 type PairRow struct {
 	Parts   []Part      `json:"parts"`
 	Control ProcessLoad `json:"control"`
@@ -56,8 +58,8 @@
 	// none.
 	JobMs  int64 `json:"job-ms"`
 	LockMs int64 `json:"lock-ms"`
-	// Excess is the cores of the busiest steward with both parts, less those with each part alone, plus those of the idle
-	// system.
+	// Excess is the CPU use of the busiest steward in cores with both parts busy, less that with each part alone, plus that of the
+	// idle system. It is 0 in rows with fewer than two parts.
 	Excess float64 `json:"excess-cores"`
 }
 
--- a/internal/simulation/soak/pairs_test.go
+++ b/internal/simulation/soak/pairs_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("The measurement of pairs", func() {
-	steward := runningProcess{node: Node{Name: "steward-1", Role: RoleSteward}, incarnation: 1}
+	steward := nodeIncarnation{node: Node{Name: "steward-1", Role: RoleSteward}, incarnation: 1}
 
 	It("adds up a metric over its labels, without other metrics with the same prefix", func() {
 		samples := metrics.Samples{`a_total{kind="x"}`: 1, `a_total{kind="y"}`: 2, "a_total": 4, "a_total_more": 8}
@@ -19,9 +19,9 @@
 	})
 
 	It("returns the load per second, without processes that were read once or have restarted", func() {
-		restarted := runningProcess{node: Node{Name: "gate-1", Role: RoleGate}, incarnation: 2}
-		before := map[runningProcess]counters{steward: {at: 2 * time.Second, cpuSeconds: 1, sentBytes: 100, commits: 10}}
-		after := map[runningProcess]counters{steward: {at: 6 * time.Second, cpuSeconds: 3, sentBytes: 500, commits: 50}, restarted: {at: 6 * time.Second}}
+		restarted := nodeIncarnation{node: Node{Name: "gate-1", Role: RoleGate}, incarnation: 2}
+		before := map[nodeIncarnation]counters{steward: {at: 2 * time.Second, cpuSeconds: 1, sentBytes: 100, commits: 10}}
+		after := map[nodeIncarnation]counters{steward: {at: 6 * time.Second, cpuSeconds: 3, sentBytes: 500, commits: 50}, restarted: {at: 6 * time.Second}}
 		Expect(loadsBetween(before, after)).To(Equal([]ProcessLoad{{Process: "steward-1", Role: RoleSteward, Cores: 0.5, SentBytes: 100, Commits: 10}}))
 	})
 
--- a/internal/simulation/soak/phases.go
+++ b/internal/simulation/soak/phases.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// firstSetUpClient is the number of the first client that the soak itself uses before and after the others.
-	firstSetUpClient = 1 << 20
-	retryPause       = 200 * time.Millisecond
-	sampleInterval   = 2 * time.Second
-	sampleTimeout    = 500 * time.Millisecond
-	reportTimeout    = 10 * time.Second
+	// firstInternalClient is the number of the first internal client. The soak itself uses these clients, before the others start
+	// and after they have ended.
+	firstInternalClient = 1 << 20
+	retryPause          = 200 * time.Millisecond
+	sampleInterval      = 2 * time.Second
+	sampleTimeout       = 500 * time.Millisecond
+	reportTimeout       = 10 * time.Second
 )
 
 // start starts all processes and relays, proposes the first configuration and waits until each gate has accepted a job.
@@ -46,9 +47,9 @@
 		return err
 	}
 	for number := range s.layout.Gates {
-		c := s.newSetUpClient(number)
+		c := s.newInternalClient(number)
 		err := retryUntil(timeoutCtx, "no job was accepted by "+c.gate.Name, func() bool {
-			id := newJob(c.draw)
+			id := newJob(c.random)
 			return c.call(timeoutCtx, verbSubmit, id, shapeOf(id).body()).isAccepted()
 		})
 		c.disconnect()
@@ -59,14 +60,14 @@
 	return nil
 }
 
-// newSetUpClient returns a client of a gate for the soak itself.
-func (s *soak) newSetUpClient(gateNumber int) *client {
-	number := firstSetUpClient + gateNumber
+// newInternalClient returns a client of a gate that the soak itself uses.
+func (s *soak) newInternalClient(gateNumber int) *client {
+	number := firstInternalClient + gateNumber
 	return &client{soak: s, number: number, gate: s.layout.Gates[gateNumber], address: s.layout.relayAddress(gateNumber),
-		draw: rand.New(rand.NewPCG(s.options.Seed, uint64(number)))}
+		random: rand.New(rand.NewPCG(s.options.Seed, uint64(number)))}
 }
 
-// retryUntil retries until try succeeds. If ctx is done first, the error says what was not achieved.
+// retryUntil calls try until it succeeds. If ctx is done first, it returns an error with the given problem.
 func retryUntil(ctx context.Context, problem string, try func() bool) error {
 	for !try() {
 		if !pause(ctx, retryPause) {
@@ -110,7 +111,7 @@
 // settleBatch polls a batch of jobs until each has ended, starting at one gate and moving to the next in each round.
 func (s *soak) settleBatch(ctx context.Context, firstGate int, pending map[string]bool) {
 	for round := 0; len(pending) > 0 && ctx.Err() == nil; round++ {
-		c := s.newSetUpClient((firstGate + round) % len(s.layout.Gates))
+		c := s.newInternalClient((firstGate + round) % len(s.layout.Gates))
 		for id := range pending {
 			if ctx.Err() != nil || !s.settleJob(ctx, c, id, pending) {
 				break
@@ -148,7 +149,7 @@
 	}
 }
 
-// fetch reads and decodes a page of the fake executors' process, and reports whether that succeeded.
+// fetch decodes the answer of the fake executors' process to a path into result, and reports whether that succeeded.
 func (s *soak) fetch(ctx context.Context, client *http.Client, path string, result any) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.layout.reportAddress()+path, nil)
 	if err != nil {
@@ -181,7 +182,7 @@
 	}
 }
 
-// diskUse returns the size of a node's data folder in bytes. Files that vanish meanwhile don't count.
+// diskUse returns the size of a node's data folder in bytes. Files that are deleted meanwhile don't count.
 func (s *soak) diskUse(node Node) float64 {
 	var bytes int64
 	_ = filepath.WalkDir(dataFolder(s.folder, node), func(path string, entry fs.DirEntry, err error) error {
--- a/internal/simulation/soak/process.go
+++ b/internal/simulation/soak/process.go
@@ -29,12 +29,12 @@
 	phase       processPhase
 	incarnation int
 	startedAt   time.Duration
-	// endCause is the fault that ends the current incarnation, and endRequestedAt its time. startNext starts the next
-	// incarnation or its replacement; nil means a relaunch.
+	// endCause is the fault that ends the current incarnation, and endRequestedAt the time of its signal. startNext is called after
+	// the exit; if it is nil, the node is relaunched.
 	endCause       FaultKind
 	endRequestedAt time.Duration
 	startNext      func()
-	// isExempt processes are never struck by a fault or terminated with the others.
+	// isExempt is true for the fake executors, which get no faults and run until killAll.
 	isExempt bool
 }
 
@@ -52,7 +52,8 @@
 	}
 	defer inputReader.Close()
 	command := exec.Command(program, p.arguments...)
-	// A process that ends with its standard input doesn't outlive the soak, however the soak ends.
+	// The standard input is closed when the soak ends, however it ends. Then the process of the fake executors exits; the others
+	// don't read their standard input.
 	command.Stdin, command.Stdout, command.Stderr = inputReader, log, log
 	if err := command.Start(); err != nil {
 		inputWriter.Close()
--- a/internal/simulation/soak/relay.go
+++ b/internal/simulation/soak/relay.go
@@ -19,16 +19,18 @@
 )
 
 // relay forwards the connections of a gate's clients. It can cut all connections and hold back their data. One goroutine owns
-// its state. Each connection has two goroutines, one per direction, which request permission for each chunk.
+// its state. Two more goroutines for each connection, one per direction, ask it for permission to forward each chunk.
 type relay struct {
-	mailbox  *mailbox.Mailbox
-	ctx      context.Context
-	listener net.Listener
-	gate     string
-	injected InjectedFault
+	mailbox     *mailbox.Mailbox
+	ctx         context.Context
+	listener    net.Listener
+	gateAddress string
+	injected    InjectedFault
 	// recordRefused is called with the address of each client whose connection the gate refused.
 	recordRefused func(client net.Addr)
 
+	// connections maps each client's connection to the connection to the gate. heldBack are the functions that permit the chunks
+	// which wait for the end of a stall.
 	connections map[net.Conn]net.Conn
 	isCut       bool
 	isStalled   bool
@@ -38,12 +40,12 @@
 	last    []byte
 }
 
-func newRelay(ctx context.Context, address, gate string, injected InjectedFault, recordRefused func(client net.Addr)) (*relay, error) {
+func newRelay(ctx context.Context, address, gateAddress string, injected InjectedFault, recordRefused func(client net.Addr)) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Annotate(err, "listening for a relay")
 	}
-	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gate: gate, injected: injected,
+	r := &relay{mailbox: mailbox.New(relayMailboxSize), ctx: ctx, listener: listener, gateAddress: gateAddress, injected: injected,
 		recordRefused: recordRefused, connections: map[net.Conn]net.Conn{}}
 	go r.mailbox.Run(ctx, clock.System(), mailbox.Owner{Every: time.Minute})
 	go r.accept()
@@ -67,10 +69,10 @@
 
 // serve connects a client to the gate, or resets the connection if the relay is cut or the gate can't be reached.
 func (r *relay) serve(client net.Conn) {
-	gate, err := net.DialTimeout("tcp4", r.gate, dialTimeout)
+	gate, err := net.DialTimeout("tcp4", r.gateAddress, dialTimeout)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			// Recorded before the reset, so that the history has it when the client's call ends.
+			// The refusal is recorded before the reset, so that the history has it when the client's call ends.
 			r.recordRefused(client.RemoteAddr())
 		}
 		reset(client)
@@ -88,8 +90,8 @@
 	})
 }
 
-// forward copies one direction until it ends. Then it closes the write side to the gate, or both connections if it was the
-// direction of answers.
+// forward copies the data of one direction until it ends. After the direction of requests, it closes the write side of the
+// connection to the gate; after the direction of answers, it closes both connections.
 func (r *relay) forward(from, to net.Conn, isAnswer bool) {
 	chunk := make([]byte, chunkBytes)
 	for {
@@ -137,7 +139,7 @@
 	}
 }
 
-// startFault cuts or stalls the relay for a while.
+// startFault cuts or stalls the relay for a duration.
 func (r *relay) startFault(kind FaultKind, duration time.Duration) {
 	r.post(func() {
 		if kind == FaultStall {
@@ -154,7 +156,7 @@
 	time.AfterFunc(duration, func() { r.post(r.endFault) })
 }
 
-// endFault ends a cut or a stall and forwards the chunks that were held back.
+// endFault ends any cut and any stall, also one that began later, and permits the chunks that were held back.
 func (r *relay) endFault() {
 	r.isCut, r.isStalled = false, false
 	heldBack := r.heldBack
--- a/internal/simulation/soak/rollouts.go
+++ b/internal/simulation/soak/rollouts.go
@@ -27,15 +27,17 @@
 const (
 	// firstRolloutAt is the time since the start at which the first rollout is requested.
 	firstRolloutAt = 2 * time.Second
-	// The shares of a rollout's steps, and the minimum time and number of jobs of each step.
+	// The shares of a rollout's first two steps, and the minimum time and number of jobs of each step. The share of the last step
+	// is 1.
 	firstShare, secondShare = 0.2, 0.5
 	stepSeconds             = 2
 	stepJobs                = 5
 	// maxFailureShare is the tolerated share of failed runs, which the bad version exceeds by far.
 	maxFailureShare = 0.1
-	// rollBackTimeout is the time in which the bad version must be rolled back after its begin, including the delay by faults.
+	// rollBackTimeout is the time after its begin in which the rollout of the bad version must be rolled back. It includes delays
+	// by faults.
 	rollBackTimeout = 25 * time.Second
-	// proxiesForRollouts is the minimum number of local proxies for three versions.
+	// proxiesForRollouts is the minimum number of local proxies: two of the old version, and one of each new version.
 	proxiesForRollouts = 4
 )
 
@@ -51,7 +53,7 @@
 	return serviceName
 }
 
-// RolloutSeen is the state of a rollout when the operator read the configuration.
+// RolloutSeen is the state of a rollout in a configuration that the operator read.
 type RolloutSeen struct {
 	Name  string
 	State configuration.RolloutState
@@ -107,7 +109,7 @@
 	return next
 }
 
-// badRollouts is the oracle of rollouts: the bad version never gets all jobs, and is rolled back in time after its begin.
+// badRollouts is the oracle of rollouts: the bad version never gets all jobs, and its rollout is rolled back in time.
 func badRollouts(h *History) []Violation {
 	var violations []Violation
 	startedAt, isRolledBack := time.Duration(0), false
--- a/internal/simulation/soak/schedule.go
+++ b/internal/simulation/soak/schedule.go
@@ -46,9 +46,9 @@
 func (s *Schedule) length() time.Duration { return clock.Milliseconds(s.LengthMs) }
 
 const (
-	// scheduleStream selects the random stream of schedules; mixes and clients use other streams.
-	scheduleStream = 1
-	// meanGap is the mean time between two faults in the smallest soak. In larger soaks it is shorter, down to a quarter.
+	// scheduleRandomStream is the random stream of schedules.
+	scheduleRandomStream = 1
+	// meanGap is the mean time between two faults with MinProcesses. With more processes it is shorter, down to a quarter.
 	meanGap = 1600 * time.Millisecond
 	// firstFault is the earliest time of a fault.
 	firstFault = time.Second
@@ -62,11 +62,11 @@
 	if len(options.Kinds) == 0 {
 		return schedule
 	}
-	drawer := &drawer{layout: layout, draw: rand.New(rand.NewPCG(options.Seed, scheduleStream))}
+	drawer := &drawer{layout: layout, random: rand.New(rand.NewPCG(options.Seed, scheduleRandomStream))}
 	gap := float64(meanGap) * float64(MinProcesses) / float64(options.Processes)
 	gap = max(gap, float64(meanGap)/4)
-	for at := firstFault; at < options.Length-faultFreeEnd; at += time.Duration(drawer.draw.ExpFloat64() * gap) {
-		kind := options.Kinds[drawer.draw.IntN(len(options.Kinds))]
+	for at := firstFault; at < options.Length-faultFreeEnd; at += time.Duration(drawer.random.ExpFloat64() * gap) {
+		kind := options.Kinds[drawer.random.IntN(len(options.Kinds))]
 		if event, isPossible := drawer.event(kind, at); isPossible {
 			schedule.Events = append(schedule.Events, event)
 		}
@@ -77,8 +77,8 @@
 // drawer draws events so that no more stewards are lost at the same time than the layout tolerates.
 type drawer struct {
 	layout *Layout
-	draw   *rand.Rand
-	// lostStewards holds the losses that still count. replacedStewards holds the names of stewards that were replaced for good.
+	random *rand.Rand
+	// lostStewards holds the losses that still count. replacedStewards holds the names of stewards that don't run any more.
 	lostStewards     []stewardLoss
 	replacedStewards map[string]bool
 	replacementCount int
@@ -94,18 +94,18 @@
 	event := Event{AtMs: at.Milliseconds(), Kind: kind}
 	shortest, longest := kind.durationRange()
 	if longest > 0 {
-		event.ForMs = (shortest + time.Duration(d.draw.Int64N(int64(longest-shortest)))).Milliseconds()
+		event.ForMs = (shortest + time.Duration(d.random.Int64N(int64(longest-shortest)))).Milliseconds()
 	}
 	if kind == FaultWave {
 		return event, true
 	}
 	roles := slices.DeleteFunc(kind.roles(), func(role Role) bool { return len(d.layout.nodes(role)) == 0 })
-	role := roles[d.draw.IntN(len(roles))]
+	role := roles[d.random.IntN(len(roles))]
 	nodes := d.layout.nodes(role)
 	if role == RoleSteward {
 		nodes = d.stewards()
 	}
-	event.Target = nodes[d.draw.IntN(len(nodes))].Name
+	event.Target = nodes[d.random.IntN(len(nodes))].Name
 	if role == RoleSteward && kind.makesUnavailable() && !d.recordLoss(event, at) {
 		return event, false
 	}
@@ -121,8 +121,8 @@
 	return slices.DeleteFunc(all, func(node Node) bool { return d.replacedStewards[node.Name] })
 }
 
-// recordLoss counts a steward as lost. It returns false instead if too many would be lost. A fault may strike a steward that
-// is already lost.
+// recordLoss counts a steward as lost. If too many stewards would then be lost, it counts nothing and returns false. A steward
+// that is already lost may be lost again, as it counts only once.
 func (d *drawer) recordLoss(event Event, at time.Duration) bool {
 	d.lostStewards = slices.DeleteFunc(d.lostStewards, func(loss stewardLoss) bool { return loss.until <= at })
 	lost := map[string]bool{event.Target: true}
@@ -171,7 +171,7 @@
 	return problems
 }
 
-// without returns a copy that lacks the events from index from up to, not including, index to.
+// without returns a copy that lacks the events at the indexes [from, to).
 func (s *Schedule) without(from, to int) *Schedule {
 	shorter := *s
 	shorter.Events = slices.Concat(s.Events[:from], s.Events[to:])
--- a/internal/simulation/soak/schedule_test.go
+++ b/internal/simulation/soak/schedule_test.go
@@ -94,6 +94,7 @@
 	return len(lost)
 }
 
+// containsAll reports whether all wanted events are among the events, in the same order.
 func containsAll(events, wanted []Event) bool {
 	found := 0
 	for _, event := range events {
--- a/internal/simulation/soak/served.go
+++ b/internal/simulation/soak/served.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// mix returns the mix of the history, or usualMix if it names none.
+// mix returns the mix of the history, or defaultMix if Mix is nil.
 func (h *History) mix() *Mix {
 	if h.Mix == nil {
-		return usualMix()
+		return defaultMix()
 	}
 	return h.Mix
 }
 
-// unservedFeatures finds features of the mix that served nothing.
+// unservedFeatures is OracleServed: it finds features of the mix, jobs and configurations that served nothing. It finds
+// nothing if the options name no mix.
 func unservedFeatures(h *History) []Violation {
 	if h.Mix == nil {
 		return nil
 	}
 	var violations []Violation
-	require := func(isServed bool, what string) {
+	require := func(isServed bool, missing string) {
 		if !isServed {
-			violations = append(violations, Violation{Oracle: OracleServed, Text: fmt.Sprintf("no %s, with the features %v", what, h.Mix.Features)})
+			violations = append(violations, Violation{Oracle: OracleServed, Text: fmt.Sprintf("no %s, with the features %v", missing, h.Mix.Features)})
 		}
 	}
 	completed := 0
--- a/internal/simulation/soak/soak.go
+++ b/internal/simulation/soak/soak.go
@@ -22,9 +22,9 @@
 const (
 	// startTimeout limits the time from the start of the processes until each gate has accepted a job.
 	startTimeout = 60 * time.Second
-	// settleTimeout limits the wait for accepted jobs to end after the faults and the clients have ended.
+	// settleTimeout limits the wait for accepted jobs and lots to end after the clients have stopped.
 	settleTimeout = 60 * time.Second
-	// faultFreeEnd is the time before the end of a soak in which no fault begins.
+	// faultFreeEnd is the time at the end of Options.Length in which no drawn fault begins.
 	faultFreeEnd = 8 * time.Second
 )
 
--- a/internal/simulation/soak/streams.go
+++ b/internal/simulation/soak/streams.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	streamStream    = 3000
-	meanStreamPause = 100 * time.Millisecond
+	// tierRandomStream is the random stream of the first client of the tier; the next ones use the streams after it.
+	tierRandomStream = 3000
+	meanStreamPause  = 100 * time.Millisecond
 	// The path prefixes of the tier's routes: streams that must not run again, streams that can be resumed, and lots.
 	askPrefix     = "/ask/"
 	explainPrefix = "/explain/"
@@ -31,7 +32,7 @@
 	EndedAt time.Duration
 	Status  int
 	Body    string
-	// IsBroken is true if reading the body failed before its end.
+	// IsBroken is true if the body could not be read to its end.
 	IsBroken bool
 }
 
@@ -65,17 +66,18 @@
 	number int
 	gate   Node
 	client *http.Client
-	draw   *rand.Rand
+	random *rand.Rand
 	calls  int
 }
 
-// newTierClient returns a client of the tier.
+// newTierClient returns a client of the tier at a gate. number selects its random stream.
 func newTierClient(s *soak, number int, gate Node) *streamClient {
-	return &streamClient{soak: s, number: number, gate: gate, draw: rand.New(rand.NewPCG(s.options.Seed, uint64(streamStream+number))),
+	return &streamClient{soak: s, number: number, gate: gate, random: rand.New(rand.NewPCG(s.options.Seed, uint64(tierRandomStream+number))),
 		client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// startTierClients starts the clients of streams and of lots if the mix has a tier. They run until ctx is done.
+// startTierClients starts the clients of streams and of lots if the mix has a tier. They run until ctx is done; the client of lots
+// then still reads the results of its lots.
 func (s *soak) startTierClients(ctx context.Context, start func(func())) {
 	if !s.layout.Mix.Has(FeatureTier) {
 		return
@@ -88,16 +90,16 @@
 
 // run requests one stream after another until ctx is done.
 func (c *streamClient) run(ctx context.Context) {
-	for pause(ctx, time.Duration(c.draw.ExpFloat64()*float64(meanStreamPause)/c.options.pace())) {
+	for pause(ctx, time.Duration(c.random.ExpFloat64()*float64(meanStreamPause)/c.options.pace())) {
 		prefix := askPrefix
-		if c.draw.IntN(2) == 0 {
+		if c.random.IntN(2) == 0 {
 			prefix = explainPrefix
 		}
 		c.requestStream(ctx, prefix)
 	}
 }
 
-// requestStream makes one request and records its outcome, unless the soak has ended meanwhile.
+// requestStream makes one request and records its outcome, unless ctx is done by then.
 func (c *streamClient) requestStream(ctx context.Context, prefix string) {
 	c.calls++
 	call := StreamCall{Gate: c.gate.Name, Prefix: prefix, ID: fmt.Sprintf("s%d-%d", c.number, c.calls), SentAt: c.recorder.now()}
@@ -140,7 +142,7 @@
 	}
 	for index := range h.Streams {
 		call := &h.Streams[index]
-		isUndisturbed := !h.isTroubled(call.Gate, call.SentAt-contactWindow, call.EndedAt) && !h.isStalled(call.SentAt, call.EndedAt)
+		isUndisturbed := !h.hadFault(call.Gate, call.SentAt-contactWindow, call.EndedAt) && !h.isStalled(call.SentAt, call.EndedAt)
 		switch {
 		case call.Status == http.StatusOK && !call.IsBroken && !call.isWhole():
 			report(call, fmt.Sprintf("answered by %q", call.Body))
--- a/internal/simulation/soak/summary.go
+++ b/internal/simulation/soak/summary.go
@@ -25,7 +25,7 @@
 	Streams       int               `json:"streams,omitempty"`
 	Lots          int               `json:"lots,omitempty"`
 	Evacuations   int               `json:"evacuations,omitempty"`
-	Struck        map[FaultKind]int `json:"struck"`
+	FaultCounts   map[FaultKind]int `json:"struck"`
 	Calls         map[string]int    `json:"calls"`
 	Latency       Latency           `json:"latency-ms"`
 	Jobs          int               `json:"jobs"`
@@ -51,7 +51,7 @@
 
 func newSummary(options Options, schedule *Schedule, h *History, violations []Violation) *Summary {
 	report := &Summary{Schedule: schedule, InjectedFault: options.InjectedFault, Mix: options.Mix, Streams: len(h.Streams), Lots: len(h.Lots),
-		Evacuations: len(h.Evacuations), Struck: map[FaultKind]int{}, Calls: map[string]int{}, States: map[string]int{},
+		Evacuations: len(h.Evacuations), FaultCounts: map[FaultKind]int{}, Calls: map[string]int{}, States: map[string]int{},
 		ByOracle: map[Oracle]int{}, Runs: len(h.Runs), Versions: len(h.Acknowledgements), Exits: len(h.Exits), Stalls: len(h.Stalls),
 		Applications: applicationCounts(h), Slopes: slopes(h), Violations: violations, Jobs: len(acceptedJobs(h))}
 	latency := hdrhistogram.New(1, maxLatencyMs, latencyDigits)
@@ -71,7 +71,7 @@
 		report.Rollouts[seen.Name] = fmt.Sprintf("%s at %g %s", seen.State, seen.Share, seen.Reason)
 	}
 	for _, trouble := range h.Troubles {
-		report.Struck[trouble.Kind]++
+		report.FaultCounts[trouble.Kind]++
 	}
 	for _, state := range h.FinalStates {
 		report.States[state]++
@@ -96,7 +96,7 @@
 func (r *Summary) Write(to io.Writer) {
 	fmt.Fprintf(to, "seed %d, %d processes, %v: %d jobs, %d runs, %d versions, calls %v\n", r.Schedule.Seed, r.Schedule.Processes,
 		r.Schedule.length(), r.Jobs, r.Runs, r.Versions, r.Calls)
-	fmt.Fprintf(to, "  struck %v, exits %d, stalls of this machine %d\n", r.Struck, r.Exits, r.Stalls)
+	fmt.Fprintf(to, "  struck %v, exits %d, stalls of this machine %d\n", r.FaultCounts, r.Exits, r.Stalls)
 	fmt.Fprintf(to, "  answers, ms: half %d, 95 of 100 %d, 99 of 100 %d, worst %d; jobs at last %v\n", r.Latency.P50, r.Latency.P95, r.Latency.P99,
 		r.Latency.Worst, r.States)
 	fmt.Fprintf(to, "  applications: %v\n", r.Applications)
--- a/internal/simulation/soak/tenants.go
+++ b/internal/simulation/soak/tenants.go
@@ -14,8 +14,8 @@
 const (
 	// tenantCount is the number of tenants that share the clients. The first tenant has a limit.
 	tenantCount = 2
-	// tenantLimitTasks is the number of tasks that the first tenant may run at the same time. It may exceed the limit by the
-	// fraction tenantOverrun for a while.
+	// tenantLimitTasks is the number of tasks that the first tenant may run at the same time. It may exceed the limit
+	// by the fraction tenantOverrun for a short time.
 	tenantLimitTasks = 6
 	tenantOverrun    = 0.1
 	unknownKey       = "nobodys-key"
@@ -85,8 +85,8 @@
 	return violations
 }
 
-// exceededLimits is the oracle of quotas: the first tenant never runs more tasks than its limit with tenantOverrun, and one
-// more.
+// exceededLimits is the oracle of quotas: the first tenant never runs more tasks at the same time than its limit plus
+// tenantOverrun plus one task.
 func exceededLimits(h *History) []Violation {
 	if !h.mix().Has(FeatureTenants) {
 		return nil
