--- a/internal/simulation/soak/fault.go
+++ b/internal/simulation/soak/fault.go
@@ -48,7 +48,7 @@
 	return []Role{RoleSteward, RoleGate, RoleProxy, RoleStorage}
 }
 
-// makesUnavailable reports whether the process is down or suspended for a while, so that a steward counts as lost.
+// makesUnavailable reports whether the process is down or suspended, so that a steward counts as lost.
 func (k FaultKind) makesUnavailable() bool {
 	switch k {
 	case FaultTerminate, FaultKill, FaultFreeze, FaultWipe, FaultReplace:
--- a/internal/simulation/soak/growth.go
+++ b/internal/simulation/soak/growth.go
@@ -98,6 +98,7 @@
 	return result
 }
 
+// growingResources is OracleGrowth: it reports the slopes that count as growth.
 func growingResources(h *History) []Violation {
 	var violations []Violation
 	for _, slope := range slopes(h) {
--- a/internal/simulation/soak/history.go
+++ b/internal/simulation/soak/history.go
@@ -135,10 +135,11 @@
 	StartMs int64
 	// RepeatedFences counts orders that came under a fence well after an executor had refused it.
 	RepeatedFences int
-	// FinalStates are the last known states of accepted jobs, by ID.
+	// FinalStates maps the IDs of accepted jobs to their last known states, or to the text of the HTTP status if a gate didn't
+	// return a state.
 	FinalStates map[string]string
-	// Stalls are the intervals in which the soak process itself did not run. OracleCut, OracleConfiguration, OracleExit,
-	// OracleStream and OracleEvacuation report nothing that a stall explains.
+	// Stalls are the intervals in which the soak process itself did not run, recorded while the clients are active. OracleCut,
+	// OracleConfiguration, OracleExit, OracleStream and OracleEvacuation report nothing that a stall explains.
 	Stalls []Stall
 	// Mix is nil if the options name none. Zones maps the names of processes to their zones, and Stewards contains the names of
 	// stewards and of their possible replacements.
--- a/internal/simulation/soak/job.go
+++ b/internal/simulation/soak/job.go
@@ -18,7 +18,7 @@
 }
 
 // The last three hexadecimal digits of an ID are the number of tasks of the first step, that of the second step, and the length
-// of each task in multiples of shapeUnit.
+// of each task in multiples of shapeUnit. maxTasks is the maximum number of tasks of the first step.
 const (
 	idDigits     = 16
 	maxTasks     = 6
--- a/internal/simulation/soak/oracles.go
+++ b/internal/simulation/soak/oracles.go
@@ -127,6 +127,7 @@
 	return accepted
 }
 
+// lostJobs is OracleLost: it checks the last state of each accepted job.
 func lostJobs(h *History) []Violation {
 	var violations []Violation
 	accepted := acceptedJobs(h)
@@ -187,8 +188,8 @@
 	return time.Duration(ms-h.StartMs) * time.Millisecond
 }
 
-// wrongAnswers compares the ID of each request with the ID in its answer. A gate that shuts down refuses without reading the
-// request, so a 5xx answer may have no ID.
+// wrongAnswers is OracleWrong: it compares the ID of each request with the ID in its answer. A gate that shuts down refuses
+// without reading the request, so a 5xx answer may have no ID.
 func wrongAnswers(h *History) []Violation {
 	var violations []Violation
 	for index := range h.Calls {
@@ -205,8 +206,8 @@
 // clockSlack is the tolerated difference between times of executors and clients, which are in whole milliseconds.
 const clockSlack = 50 * time.Millisecond
 
-// falseCompletions finds jobs that were shown as completed before executors had done all their tasks. The records of executors
-// are complete, as their process is exempt from faults.
+// falseCompletions is OracleShown: it finds jobs that were shown as completed before executors had done all their tasks. The
+// records of executors are complete, as their process is exempt from faults.
 func falseCompletions(h *History) []Violation {
 	lastDone, done := map[string]time.Duration{}, map[string]map[string]bool{}
 	for _, run := range h.Runs {
@@ -275,6 +276,7 @@
 	return violations
 }
 
+// lateStarts is OracleCancelled: it compares the starts of tasks with the acknowledged cancellations of their jobs.
 func lateStarts(h *History) []Violation {
 	var violations []Violation
 	accepted := acceptedJobs(h)
@@ -291,6 +293,7 @@
 // maxRepeatedFences is the tolerated number of orders under a refused fence, over all processes.
 const maxRepeatedFences = 3
 
+// repeatedFences is OracleFence: it reports more than maxRepeatedFences orders under refused fences.
 func repeatedFences(h *History) []Violation {
 	if h.RepeatedFences <= maxRepeatedFences {
 		return nil
@@ -298,8 +301,9 @@
 	return []Violation{{OracleFence, 0, fmt.Sprintf("%d calls came under a fence well after it was refused", h.RepeatedFences)}}
 }
 
-// staleConfigurations checks that each gate without a recent fault knows the version of each probe that was sent long enough
-// after the version's acknowledgement, and that no steward returns a version older than one acknowledged before the read.
+// staleConfigurations is OracleConfiguration: it checks that each gate without a recent fault knows the version of each probe
+// that was sent long enough after the version's acknowledgement, and that no steward returns a version older than one
+// acknowledged before the read.
 func staleConfigurations(h *History) []Violation {
 	const applyTime = configApplyMs*time.Millisecond + configurationMargin
 	var violations []Violation
@@ -324,7 +328,8 @@
 	return violations
 }
 
-// badExits finds processes that ended without being asked to, or that ended with a failure or too late after SIGTERM.
+// badExits is OracleExit: it finds processes that ended without being asked to, or that ended with a failure or too late after
+// SIGTERM.
 func badExits(h *History) []Violation {
 	var violations []Violation
 	for _, exit := range h.Exits {
--- a/internal/simulation/soak/served.go
+++ b/internal/simulation/soak/served.go
@@ -14,8 +14,8 @@
 	return h.Mix
 }
 
-// unservedFeatures is OracleServed: it finds features of the mix, jobs and configurations that served nothing. It finds
-// nothing if the options name no mix.
+// unservedFeatures is OracleServed: it checks that jobs, configurations and each feature of the mix were used with success. It
+// checks nothing if the options name no mix.
 func unservedFeatures(h *History) []Violation {
 	if h.Mix == nil {
 		return nil
--- a/internal/simulation/soak/tenants.go
+++ b/internal/simulation/soak/tenants.go
@@ -14,8 +14,8 @@
 const (
 	// tenantCount is the number of tenants that share the clients. The first tenant has a limit.
 	tenantCount = 2
-	// tenantLimitTasks is the number of tasks that the first tenant may run at the same time. It may exceed the limit
-	// by the fraction tenantOverrun for a short time.
+	// tenantLimitTasks is the number of tasks that the first tenant may run at the same time. It may exceed the limit by the
+	// fraction tenantOverrun for a short time.
 	tenantLimitTasks = 6
 	tenantOverrun    = 0.1
 	unknownKey       = "nobodys-key"
