--- a/internal/simulation/simcluster/chances_test.go
+++ b/internal/simulation/simcluster/chances_test.go
@@ -32,7 +32,7 @@
 		Expect(c.JobState(id(119))).NotTo(Equal("completed"))
 	})
 
-	It("still completes while later jobs, which use all capacity, complete too", func() {
+	It("still completes while later jobs that use all capacity complete too", func() {
 		const maxRounds = 1000
 		c := newHarness(32, simcluster.WithWork(work))
 		for number := range 30 {
--- a/internal/simulation/simcluster/disk.go
+++ b/internal/simulation/simcluster/disk.go
@@ -9,7 +9,7 @@
 	"gannetline/internal/control/storage"
 )
 
-// DiskModel is the content of a disk: replica states and pairs, by key. It accepts and rejects writes as the real store does.
+// DiskModel is the content of a disk by key: the replica states (Heads) and the pairs. It accepts and rejects writes as the real store does.
 type DiskModel struct {
 	Heads map[string]storage.ReplicaState
 	pairs map[string]map[string][]byte
@@ -59,8 +59,8 @@
 	}
 }
 
-// Disk is the simulated disk of a steward. Writes take effect when they are synced; a power loss discards all other writes.
-// afterSync is called after each sync.
+// Disk is the simulated disk of a steward. Writes take effect when they are synced; a power loss discards writes that are not. afterSync is
+// called after each sync. isBusy is set while a sync is in progress.
 type Disk struct {
 	*DiskModel
 	events       *EventQueue
@@ -117,7 +117,7 @@
 	})
 }
 
-// Stall makes the disk hang, or resumes it. Writes that are queued meanwhile are synced after it resumes.
+// Stall makes the disk hang, or resumes it. A sync in progress still completes. Writes that are queued meanwhile are synced after it resumes.
 func (d *Disk) Stall(isStalled bool) {
 	d.Stalled = isStalled
 	d.sync()
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -13,6 +13,7 @@
 // Work decides how long a run takes on an executor, and with which outcome it ends.
 type Work func(task string, run int64, executor *Executor) (time.Duration, string)
 
+// activeRun is a run that has not ended. outcome is how it ends if it reaches its full length.
 type activeRun struct {
 	task    string
 	number  int64
@@ -22,8 +23,9 @@
 	isStuck bool
 }
 
-// Executor is a simulated executor. It follows the executor protocol, refuses runs beyond its capacity, and loses all state when
-// it crashes. Speed multiplies the length of new runs; 1 is normal. Starts counts the runs started on it.
+// Executor is a simulated executor. It follows the executor protocol, refuses runs beyond its capacity, and loses its runs, their ends and
+// its lease when it crashes. Speed is the factor by which the length of new runs is multiplied: 1 is normal, a higher value is slower. Starts
+// counts the runs started on it by all incarnations.
 type Executor struct {
 	cluster  *Cluster
 	Machine  string
@@ -50,13 +52,14 @@
 	isLossy    bool
 }
 
-// executorLease is the lease of the runs: its expiry by the executor's own clock, and the highest fence that was accepted.
+// executorLease is the lease of the runs: its expiry by the executor's own clock, the highest fence that was accepted, and the holds that
+// wait.
 type executorLease struct {
 	fence    uint64
 	expiryMs int64
-	// leaseExpiries counts how often the lease has expired.
+	// leaseExpiries is incremented whenever a scheduled check finds the lease expired, which can be several times for one expiry.
 	leaseExpiries int
-	// waitingHolds are called at the next end of a run; each answers one hold that waits.
+	// waitingHolds are called at the next end of a run. Each function answers one waiting hold.
 	waitingHolds []func()
 }
 
@@ -71,6 +74,7 @@
 	leaseExpiriesAtEnd map[int64]int
 }
 
+// restart starts a new incarnation without runs, ends or a lease.
 func (e *Executor) restart() {
 	e.cluster.Checker.handleCrash(e)
 	e.incarnation++
@@ -79,7 +83,7 @@
 	e.highest, e.waitingHolds, e.isDraining, e.leaseExpiriesAtEnd = map[string]int64{}, nil, false, map[int64]int{}
 }
 
-// ClockMs returns the executor's own clock in milliseconds. It runs 1% slow.
+// ClockMs returns the executor's own clock in milliseconds. It starts at 100,000 with each incarnation and runs 1% slow.
 func (e *Executor) ClockMs() int64 {
 	return 100_000 + ((e.cluster.Events.Now() - e.startedAt) * 99 / 100).Milliseconds()
 }
@@ -164,7 +168,7 @@
 	})
 }
 
-// endRun ends a run and answers the waiting holds. A run of a gang that ends without success also ends the other runs of the gang.
+// endRun ends a run and answers the waiting holds. If a run of a gang ends neither done nor broken, the other runs of the gang are broken.
 func (e *Executor) endRun(active *activeRun, outcome string) {
 	e.active = slices.DeleteFunc(e.active, func(other *activeRun) bool { return other == active })
 	e.highest[active.task] = max(e.highest[active.task], active.number)
@@ -182,7 +186,7 @@
 	}
 }
 
-// Stop handles POST /v1/run-stop.
+// Stop handles POST /v1/run-stop. The run ends after half of the stop timeout.
 func (e *Executor) Stop(order executorapi.RunStop) (int, executorapi.Answer) {
 	answer := executorapi.Answer{ClockMs: e.ClockMs()}
 	if !e.acceptFence(order.Fence) {
@@ -203,7 +207,8 @@
 	return 200, answer
 }
 
-// Hold handles POST /v1/hold. The answer waits for the end of a run, for at most WaitMs.
+// Hold handles POST /v1/hold. If all ends are acknowledged, the answer waits for the next end of a run, for at most WaitMs. The checker
+// gets an acknowledged end only if the lease has not expired since that end.
 func (e *Executor) Hold(hold executorapi.Hold, answer func(int, executorapi.Answer)) {
 	if !e.acceptFence(hold.Fence) {
 		answer(409, executorapi.Answer{ClockMs: e.ClockMs(), Reason: "fence"})
--- a/internal/simulation/simcluster/judge.go
+++ b/internal/simulation/simcluster/judge.go
@@ -10,27 +10,28 @@
 	"gannetline/internal/scheduling/jobs"
 )
 
-// jobFacts is what the checker knows of a submitted job.
+// jobFacts is what the checker knows of a submitted job. isAccepted is set once a client got the answer that the job is accepted.
 type jobFacts struct {
 	spec        *jobs.Spec
 	maxAttempts int
 	isAccepted  bool
 }
 
-// taskFacts is what the checker observed of a task. running holds its current runs by executor. acknowledgedFailures counts the
-// failed runs whose end the leader acknowledged, and starts counts all starts.
+// taskFacts is what the checker observed of a task. running holds the number of its current run on each executor. isDone is set once a
+// run, or for a gang a run of any of its tasks, ended with success, and isSuccessAcknowledged once the leader acknowledged such an end of
+// this task. acknowledgedFailures counts the failed runs whose end the leader acknowledged, and starts counts all starts.
 type taskFacts struct {
-	running              map[*Executor]int64
-	isDone               bool
-	isEndAcknowledged    bool
-	acknowledgedFailures int
-	starts               int
+	running               map[*Executor]int64
+	isDone                bool
+	isSuccessAcknowledged bool
+	acknowledgedFailures  int
+	starts                int
 	// failedRuns are the runs that failed, whether the leader acknowledged the end or not.
 	failedRuns map[int64]bool
 }
 
 // Checker observes what the executors actually do, and records violations of the scheduling rules. DuplicateRuns counts, by job, the
-// runs that started beside another run of the same task or after its acknowledged success. Starts counts all starts.
+// violations by runs that started while the same task ran on another executor, or after its acknowledged success. Starts counts all starts.
 type Checker struct {
 	events        *EventQueue
 	jobs          map[string]*jobFacts
@@ -38,7 +39,8 @@
 	Violations    []string
 	DuplicateRuns map[string]int
 	Starts        int
-	// OnEndAcknowledged, if set, is called for each end that the leader acknowledged by last-seen.
+	// OnEndAcknowledged, if set, is called for each end that the leader acknowledged by last-seen, unless the executor's lease has expired
+	// since that end.
 	OnEndAcknowledged func(task string)
 }
 
@@ -50,12 +52,14 @@
 	c.Violations = append(c.Violations, fmt.Sprintf("%v: ", c.events.Now())+fmt.Sprintf(format, values...))
 }
 
+// expectJob registers a job that is about to be submitted. For a known ID it does nothing.
 func (c *Checker) expectJob(id string, spec *jobs.Spec, maxAttempts int) {
 	if c.jobs[id] == nil {
 		c.jobs[id] = &jobFacts{spec: spec, maxAttempts: maxAttempts}
 	}
 }
 
+// step returns the step and the position of a task. The step is empty if the task belongs to no registered job.
 func (c *Checker) step(task string) (*jobs.Step, jobs.TaskPosition) {
 	position, isTask := jobs.ParseTask(task)
 	if facts := c.jobs[position.ID]; isTask && facts != nil && position.Step < len(facts.spec.Steps) {
@@ -86,9 +90,12 @@
 	return facts
 }
 
-// handleStart checks a start. A task that is not redundant must not run twice at once, nor after its success was acknowledged. Outside
-// of long-running and gang steps, it must not start again after its attempts have failed. It must not start before the tasks that it
-// depends on are done, and an executor must not have more runs of a step than its anti-affinity allows.
+// handleStart records and checks a start. These are violations:
+//   - a start of a task whose job was never submitted
+//   - outside of redundant steps, a start while the task runs on another executor, or after its success was acknowledged
+//   - outside of long-running and gang steps, a start after as many acknowledged failures as the job has attempts
+//   - a start before the tasks of the steps that it depends on are done
+//   - more runs of a step on an executor than its anti-affinity allows
 func (c *Checker) handleStart(executor *Executor, task string, run int64) {
 	c.Starts++
 	step, position := c.step(task)
@@ -104,7 +111,7 @@
 				c.recordViolation("%s runs twice: run %d on %s and run %d on %s", task, number, other.ID, run, executor.ID)
 			}
 		}
-		if facts.isEndAcknowledged {
+		if facts.isSuccessAcknowledged {
 			c.DuplicateRuns[position.ID]++
 			c.recordViolation("%s run %d started on %s after it was done", task, run, executor.ID)
 		}
@@ -127,7 +134,7 @@
 	}
 }
 
-// handleEnd records the end of a run. The success of one member completes its whole gang.
+// handleEnd records the end of a run. If a task of a gang succeeds, the whole gang is done.
 func (c *Checker) handleEnd(executor *Executor, task string, run int64, outcome string) {
 	facts := c.factsOf(task)
 	delete(facts.running, executor)
@@ -144,7 +151,8 @@
 	}
 }
 
-// HasFailed reports whether a task or gang of the job has used up its attempts by failures. Long-running steps are left out.
+// HasFailed reports whether a task or gang of the job has failed as often as the job has attempts, acknowledged or not. Long-running steps
+// are left out.
 func (c *Checker) HasFailed(id string) bool {
 	job := c.jobs[id]
 	for name, facts := range c.tasks {
@@ -154,7 +162,7 @@
 		}
 		failed := len(facts.failedRuns)
 		if step.Gang {
-			failed = c.failedGangs(position, step)
+			failed = c.countFailedGangRuns(position, step)
 		}
 		if failed >= max(1, job.maxAttempts) {
 			return true
@@ -163,8 +171,8 @@
 	return false
 }
 
-// failedGangs counts the runs of a gang in which any member failed.
-func (c *Checker) failedGangs(position jobs.TaskPosition, step *jobs.Step) int {
+// countFailedGangRuns counts the runs of a gang in which any of its tasks failed.
+func (c *Checker) countFailedGangRuns(position jobs.TaskPosition, step *jobs.Step) int {
 	runs := map[int64]bool{}
 	for index := range step.Tasks {
 		if facts := c.tasks[jobs.TaskName(position.ID, position.Occurrence, position.Step, index)]; facts != nil {
@@ -174,7 +182,7 @@
 	return len(runs)
 }
 
-// handleAcknowledgement records that the leader has acknowledged an end.
+// handleAcknowledgement records that the leader has acknowledged an end of a run.
 func (c *Checker) handleAcknowledgement(end executorapi.EndRow) {
 	facts := c.factsOf(end.Task)
 	if c.OnEndAcknowledged != nil {
@@ -182,12 +190,13 @@
 	}
 	switch end.Outcome {
 	case "done":
-		facts.isEndAcknowledged = true
+		facts.isSuccessAcknowledged = true
 	case "failed":
 		facts.acknowledgedFailures++
 	}
 }
 
+// handleCrash removes all current runs of an executor.
 func (c *Checker) handleCrash(executor *Executor) {
 	for _, facts := range c.tasks {
 		delete(facts.running, executor)
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -24,18 +24,18 @@
 
 // Node is one simulated steward. Its disk survives a crash of the process; Wipe replaces the disk, and formerDisks names the earlier ones.
 type Node struct {
-	cluster     *Cluster
-	Name        string
-	disk        *Disk
-	formerDisks []string
-	isUp        bool
-	isFrozen    bool
-	incarnation int
-	replicas    *replication.Replicas
-	engines     map[string]*replication.Engine
-	boxes       map[string]*mailbox.Mailbox
-	hosts       map[string]*poolhost.Host
-	pools       map[string]*scheduler.Pool
+	cluster         *Cluster
+	Name            string
+	disk            *Disk
+	formerDisks     []string
+	isUp            bool
+	isFrozen        bool
+	incarnation     int
+	replicas        *replication.Replicas
+	engines         map[string]*replication.Engine
+	engineMailboxes map[string]*mailbox.Mailbox
+	hosts           map[string]*poolhost.Host
+	pools           map[string]*scheduler.Pool
 }
 
 // start starts the process on its disk, with a replication engine and a pool for each key.
@@ -49,12 +49,12 @@
 	}
 	n.replicas = replicas
 	n.engines, n.pools = map[string]*replication.Engine{}, map[string]*scheduler.Pool{}
-	n.boxes, n.hosts = map[string]*mailbox.Mailbox{}, map[string]*poolhost.Host{}
+	n.engineMailboxes, n.hosts = map[string]*mailbox.Mailbox{}, map[string]*poolhost.Host{}
 	for _, key := range n.cluster.keys {
 		pool := scheduler.New(key, n.cluster.Events.Clock, n.cluster.timing, n.cluster.log, n.cluster.poolOptions...)
 		n.pools[key] = pool
-		n.boxes[key] = mailbox.New(4096)
-		n.hosts[key] = poolhost.New(pool, n.boxes[key])
+		n.engineMailboxes[key] = mailbox.New(4096)
+		n.hosts[key] = poolhost.New(pool, n.engineMailboxes[key])
 		n.engines[key] = replication.NewEngine(key, n.disk.name, n.Name, n.cluster.Events.Clock, &transport{n, n.incarnation}, n.hosts[key],
 			n.cluster.members, replication.WithInitialVoters(n.cluster.initialVoters()), replication.WithLog(n.cluster.log))
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-// drainMailboxes runs the messages in all mailboxes until they are empty.
+// drainMailboxes runs the waiting messages of the replicas, and then those of each key until none is left.
 func (n *Node) drainMailboxes() {
 	if !n.isUp || n.isFrozen {
 		return
@@ -103,7 +103,7 @@
 // drainKey runs the messages that wait for a key's engine and pool. It reports whether there were any.
 func (n *Node) drainKey(key string) (wasBusy bool) {
 	n.pools[key].Flush()
-	for _, inbox := range []*mailbox.Mailbox{n.boxes[key], n.hosts[key].Mailbox()} {
+	for _, inbox := range []*mailbox.Mailbox{n.engineMailboxes[key], n.hosts[key].Mailbox()} {
 		for inbox.Step() {
 			wasBusy = true
 		}
@@ -158,11 +158,13 @@
 	runIfAlive func(run func())
 }
 
+// endpoint returns the endpoint of the current process of the node.
 func (n *Node) endpoint() *simEndpoint {
 	incarnation := n.incarnation
 	return &simEndpoint{n.Name, func(run func()) { n.runIfAlive(incarnation, run) }}
 }
 
+// endpointOf returns the running node that has the named disk, and its endpoint, or nil and nil.
 func (s *Cluster) endpointOf(disk string) (*Node, *simEndpoint) {
 	for _, node := range s.Nodes {
 		if node.disk.name == disk && node.isUp {
@@ -172,7 +174,8 @@
 	return nil, nil
 }
 
-// transport sends the calls of a key's leader or candidate to the stewards of the disks, over the simulated network.
+// transport sends the calls of a replication engine to the stewards of the disks, over the simulated network. It belongs to one incarnation
+// of the node.
 type transport struct {
 	node        *Node
 	incarnation int
@@ -180,18 +183,19 @@
 
 // Promise asks the steward of a disk for a promise. done gets an error if no answer came within promiseTimeout.
 func (t *transport) Promise(disk string, request wire.PromiseCall, done func(wire.PromiseAnswer, error)) {
-	to, target := t.node.cluster.endpointOf(disk)
-	call(t.node.cluster, t.node.endpoint(), target, promiseTimeout, func(answer func(wire.PromiseAnswer)) { to.replicas.Promise(request, answer) }, done)
+	receiver, endpoint := t.node.cluster.endpointOf(disk)
+	call(t.node.cluster, t.node.endpoint(), endpoint, promiseTimeout, func(answer func(wire.PromiseAnswer)) { receiver.replicas.Promise(request, answer) }, done)
 }
 
-// Append sends changes to the steward of a disk. done gets an error if no answer came within appendTimeout.
+// Append sends changes to the steward of a disk, or appends them directly if it is the disk of this node. done gets an error if no answer
+// came within appendTimeout.
 func (t *transport) Append(disk string, request wire.AppendCall, done func(wire.AppendAnswer, error)) {
 	if disk == t.node.disk.name {
 		t.InstallLocal(request, done)
 		return
 	}
-	to, target := t.node.cluster.endpointOf(disk)
-	call(t.node.cluster, t.node.endpoint(), target, appendTimeout, func(answer func(wire.AppendAnswer)) { to.replicas.Append(request, answer) }, done)
+	receiver, endpoint := t.node.cluster.endpointOf(disk)
+	call(t.node.cluster, t.node.endpoint(), endpoint, appendTimeout, func(answer func(wire.AppendAnswer)) { receiver.replicas.Append(request, answer) }, done)
 }
 
 // InstallLocal appends to the replica of this node. It calls done later, never within the call, as the real transport does.
@@ -201,11 +205,12 @@
 	})
 }
 
-// Fetch asks the steward of a disk for a part of a key's state. done gets an error if no answer came within appendTimeout.
+// Fetch asks the steward of a disk for a part of a key's state. done gets an error if no answer came within appendTimeout, also if the
+// steward's own Fetch fails.
 func (t *transport) Fetch(disk string, request wire.FetchCall, done func(wire.FetchAnswer, error)) {
-	to, target := t.node.cluster.endpointOf(disk)
-	call(t.node.cluster, t.node.endpoint(), target, appendTimeout, func(answer func(wire.FetchAnswer)) {
-		if snapshot, err := to.replicas.Fetch(to.replicas.History(request.Key), request); err == nil {
+	receiver, endpoint := t.node.cluster.endpointOf(disk)
+	call(t.node.cluster, t.node.endpoint(), endpoint, appendTimeout, func(answer func(wire.FetchAnswer)) {
+		if snapshot, err := receiver.replicas.Fetch(receiver.replicas.History(request.Key), request); err == nil {
 			answer(snapshot)
 		}
 	}, done)
@@ -221,8 +226,8 @@
 	done(t.node.replicas.History(key))
 }
 
-// ReadLocal reads the snapshot of this node's own replica from its disk. done runs later, never within the call, and not
-// at all if the process has ended by then.
+// ReadLocal reads the snapshot of this node's own replica from its disk. done runs later, never within the call, and not at all if the
+// process has ended by then.
 func (t *transport) ReadLocal(key string, done func(wire.Snapshot, error)) {
 	snapshot, err := t.node.disk.Read(key)
 	t.node.cluster.Events.After(0, func() { t.node.runIfAlive(t.incarnation, func() { done(snapshot, err) }) })
--- a/internal/simulation/simcluster/power_test.go
+++ b/internal/simulation/simcluster/power_test.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/simulation/simcluster"
 )
 
-// replaceVoter cuts off a voter for long enough that another steward replaces it as a voter, and then reconnects it.
+// replaceVoter cuts off a steward and then reconnects it. If the steward is a voter, the time is long enough for another to replace it.
 func (c *harness) replaceVoter(number int) {
 	c.Cut(c.Nodes[number].Name, true)
 	c.Run(3 * time.Second)
@@ -20,8 +20,8 @@
 	c.Run(700 * time.Millisecond)
 }
 
-// losePowerAfterAcknowledgement kills all stewards after the next acknowledged end, each at a random time within the given duration.
-// Then it starts them again, with as many empty disks as wiped says.
+// losePowerAfterAcknowledgement waits for the next acknowledged end and kills all stewards, each at a random time within the given duration
+// after it. Up to 2 s later it starts them again, wiped of them with empty disks.
 func (c *harness) losePowerAfterAcknowledgement(within time.Duration, wiped int) {
 	isTriggered := false
 	c.Checker.OnEndAcknowledged = func(string) {
@@ -40,9 +40,9 @@
 	Expect(isTriggered).To(BeTrue())
 	c.Checker.OnEndAcknowledged = nil
 	c.Run(time.Duration(c.Events.Draw.IntN(2000)) * time.Millisecond)
-	lost := c.Events.Draw.IntN(len(c.Nodes))
+	offset := c.Events.Draw.IntN(len(c.Nodes))
 	for number, node := range c.Nodes {
-		if (number+lost)%len(c.Nodes) < wiped {
+		if (number+offset)%len(c.Nodes) < wiped {
 			c.Wipe(node)
 		} else {
 			c.Start(node)
@@ -50,8 +50,8 @@
 	}
 }
 
-// runPowerLosses cuts all power right after an acknowledged end, three times. In between, voters are replaced, and the network loses,
-// duplicates and delays messages.
+// runPowerLosses submits jobs and cuts the power of all stewards right after an acknowledged end, three times. In about half of the rounds
+// it first cuts off a steward for a while. The network loses and duplicates calls, but not in the last 25 s, in which the jobs complete.
 func runPowerLosses(seed uint64, wiped int, options ...simcluster.Option) *harness {
 	options = append(options, simcluster.WithWork(mixedWork))
 	c := &harness{Cluster: simcluster.New(seed, 5, 6, executorCapacity, startWallMs, options...), accepted: map[string]bool{}}
@@ -111,11 +111,11 @@
 	}
 
 	It("violate the rules if proxies acknowledge ends before the leader does", func() {
-		var problems []string
+		var violations []string
 		for seed := range uint64(powerLossSeeds()) {
-			problems = append(problems, runPowerLosses(9000+seed, 0, simcluster.WithEarlyAcks()).Checker.Violations...)
+			violations = append(violations, runPowerLosses(9000+seed, 0, simcluster.WithEarlyAcks()).Checker.Violations...)
 		}
-		Expect(problems).To(ContainElement(ContainSubstring("after it was done")))
+		Expect(violations).To(ContainElement(ContainSubstring("after it was done")))
 	})
 })
 
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -15,7 +15,7 @@
 // startReportDelay is how long starts are collected before they are reported together.
 const startReportDelay = 80 * time.Millisecond
 
-// Proxy is a simulated local-proxy: the production localproxy.Table, driven beside a simulated executor.
+// Proxy is a simulated local-proxy: it runs the production localproxy.Table for one simulated executor.
 type Proxy struct {
 	cluster     *Cluster
 	executor    *Executor
@@ -25,14 +25,14 @@
 	sequence    int64
 	isReporting bool
 	needsReport bool
-	// fallbackIndex, modulo the number of stewards, is the steward to call when no leader is known, or after the known one did not
-	// answer as leader. consecutiveMisses counts the failed calls since the last answer of a leader. It restarts at 0 after as many
-	// as there are stewards, so that the known leader is tried again.
+	// fallbackIndex, modulo the number of stewards, is the index of the steward to call while no leader is known, or after the known
+	// leader did not answer as leader. consecutiveMisses counts the failed calls since a leader last answered. When it reaches the number
+	// of stewards it restarts at 0, so that the known leader is called again.
 	fallbackIndex     int
 	consecutiveMisses int
 }
 
-// start starts the process with an empty table.
+// start starts the process with an empty table, and its periodic heartbeats, holds and polls.
 func (p *Proxy) start() {
 	p.incarnation++
 	p.isUp, p.isReporting, p.needsReport = true, false, false
@@ -59,7 +59,7 @@
 	return &simEndpoint{p.executor.Machine, func(run func()) { p.runIfAlive(incarnation, run) }}
 }
 
-// sendHeartbeat passes the executor's heartbeat to the proxy, and schedules the next one.
+// sendHeartbeat passes a heartbeat of the executor to the proxy if the executor is up, and schedules the next one.
 func (p *Proxy) sendHeartbeat(incarnation int) {
 	p.runIfAlive(incarnation, func() {
 		if p.executor.isUp {
@@ -83,9 +83,10 @@
 	}
 }
 
-// callExecutor sends a call to the executor, and calls done once with its answer or after the timeout. If the executor delays the
-// call, it carries it out seconds after the proxy abandoned it, and the answer is lost.
-func (p *Proxy) callExecutor(executor string, timeout time.Duration, serve func(answer func(int, executorapi.Answer)), done func(int, executorapi.Answer, bool)) {
+// callExecutor sends a call to the executor, and calls done once: with the answer, with statusRefused, or after the timeout with status 0.
+// The last argument of done reports whether the executor answered. An executor that has restarted or has another ID answers
+// 421. A late executor (DelayCalls) carries out about half of the calls 2 to 11 s late, and their answers are lost.
+func (p *Proxy) callExecutor(executorID string, timeout time.Duration, serve func(answer func(int, executorapi.Answer)), done func(int, executorapi.Answer, bool)) {
 	incarnation, isOver := p.incarnation, false
 	finish := func(status int, answer executorapi.Answer, isAnswered bool) {
 		p.runIfAlive(incarnation, func() {
@@ -107,7 +108,7 @@
 		case p.executor.isRefusing:
 			p.cluster.Refusals++
 			finish(statusRefused, executorapi.Answer{}, false)
-		case p.executor.incarnation != incarnationAtCall || p.executor.ID != executor:
+		case p.executor.incarnation != incarnationAtCall || p.executor.ID != executorID:
 			finish(421, executorapi.Answer{}, true)
 		default:
 			serve(func(status int, answer executorapi.Answer) {
@@ -119,7 +120,7 @@
 	})
 }
 
-// sendHold sends the next hold that is due to the executor, which renews its lease. A hold for a list of runs does not wait for an end.
+// sendHold sends a hold to the executor if one is due. A hold for a list of runs does not wait for an end.
 func (p *Proxy) sendHold(incarnation int, isForList bool) {
 	work, isDue := p.table.NextHold(isForList)
 	if !isDue || p.incarnation != incarnation {
@@ -135,13 +136,15 @@
 		})
 }
 
+// reportStarts reports starts that were collected, unless another report has included them already.
 func (p *Proxy) reportStarts() {
 	if p.table.HasUnsent() {
 		p.report()
 	}
 }
 
-// report reports changes to the leader. One report is in flight at a time; changes made meanwhile go into the next.
+// report reports changes to the leader. One report is in flight at a time; changes made meanwhile go into the next. A failed report is
+// repeated after 60 ms.
 func (p *Proxy) report() {
 	if p.isReporting {
 		p.needsReport = true
@@ -177,7 +180,8 @@
 	})
 }
 
-// exchange makes one exchange with the node that is believed to be the leader. After a failure, the next call goes to another node.
+// exchange makes one exchange with the known leader or, if there is none or it failed before, with the node of fallbackIndex. done gets
+// whether a leader answered. Without an executor in the table nothing is sent, and done gets true after 300 ms.
 func (p *Proxy) exchange(waitMs int64, done func(isAnswered bool)) {
 	request, isDue := p.table.Compose(waitMs)
 	if !isDue {
@@ -221,13 +225,14 @@
 	})
 }
 
-// deliverWithRetry sends an order to the executor. If no answer comes, it sends the order once more.
-func (p *Proxy) deliverWithRetry(executor string, order wire.Order, attempt int) {
-	work, isDue := p.table.Ready(executor, order)
+// deliverWithRetry sends an order to the executor. If no answer comes, it sends the order once more. A start whose connection was refused
+// is not sent again.
+func (p *Proxy) deliverWithRetry(executorID string, order wire.Order, attempt int) {
+	work, isDue := p.table.Ready(executorID, order)
 	if !isDue {
 		return
 	}
-	p.callExecutor(executor, 150*time.Millisecond, func(answer func(int, executorapi.Answer)) {
+	p.callExecutor(executorID, 150*time.Millisecond, func(answer func(int, executorapi.Answer)) {
 		status, reply := p.carryOut(work)
 		if isAnswerLost := p.executor.isLossy && order.Kind == "launch" && p.cluster.Events.Draw.IntN(5) == 0; !isAnswerLost {
 			answer(status, reply)
@@ -235,7 +240,7 @@
 	},
 		func(status int, answer executorapi.Answer, isAnswered bool) {
 			if isAnswered {
-				p.table.ReadClock(executor, answer.ClockMs)
+				p.table.ReadClock(executorID, answer.ClockMs)
 				p.table.HandleOrderResult(work, localproxy.ResultOf(status, answer.Reason))
 				return
 			}
@@ -245,7 +250,7 @@
 			}
 			p.table.HandleOrderTimeout(work)
 			if attempt == 0 {
-				p.deliverWithRetry(executor, order, 1)
+				p.deliverWithRetry(executorID, order, 1)
 				return
 			}
 			p.table.HandleOrderResult(work, "timeout")
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -13,8 +13,8 @@
 )
 
 // Cluster is a small simulated system of one service: stewards, local proxies, executors and clients. Loss is the chance that a
-// call arrives 0, 1 or 2 times at random instead of once. Polls counts the waiting exchanges of proxies, Reports their reports, and
-// Refusals the connections that executors refused.
+// call arrives 0, 1 or 2 times at random instead of once. Polls counts how often proxies polled the leader, Reports how often they
+// reported to it (both with attempts that failed), and Refusals the connections that executors refused.
 type Cluster struct {
 	Events            *EventQueue
 	Nodes             []*Node
@@ -43,7 +43,8 @@
 // Option changes the setup of a cluster.
 type Option func(*Cluster)
 
-// WithPeer sets up a cluster for another service beside an existing cluster. Both share the event queue and the checker.
+// WithPeer sets up a cluster for another service beside an existing cluster. Both share the event queue and the checker, so New ignores
+// its seed and its wallMs.
 func WithPeer(peer *Cluster, service string) Option {
 	return func(s *Cluster) {
 		s.Events, s.Checker = peer.Events, peer.Checker
@@ -82,7 +83,8 @@
 // Tests use it to prove that Checker finds this.
 func WithEarlyAcks() Option { return func(s *Cluster) { s.acknowledgesEarly = true } }
 
-// WithGossip announces the leader to proxies, as the failure detector does. Without it, proxies try one steward after another.
+// WithGossip announces the leader to proxies, as the failure detector does. Without it, proxies call the stewards in turn until the leader
+// answers.
 func WithGossip() Option { return func(s *Cluster) { s.hasGossip = true } }
 
 // WithLog sets the logger of the simulated processes. Without it, they log nothing.
@@ -97,7 +99,8 @@
 	return 200 * time.Millisecond, "done"
 }
 
-// New creates and starts a cluster of stewards and of executors of equal capacity. Its wall clock starts at wallMs.
+// New creates and starts a cluster of stewards and of executors of equal capacity. Its wall clock starts at wallMs. The arguments executors
+// and capacity are not used if WithSites is given.
 func New(seed uint64, stewards, executors int, capacity wire.Capacity, wallMs int64, options ...Option) *Cluster {
 	s := &Cluster{timing: DefaultTiming, log: logging.Silent(), cut: map[string]bool{}, Work: uniformWork, grantFactor: 1}
 	s.serve("board")
@@ -136,7 +139,7 @@
 // gossipDelay is how long the announcement of a new leader takes to reach all proxies.
 const gossipDelay = 200 * time.Millisecond
 
-// announceLeader simulates the failure detector: it announces the current leader to the proxies, again and again.
+// announceLeader simulates the failure detector: it announces the current leader to the proxies every gossipDelay/2.
 func (s *Cluster) announceLeader() {
 	if leader := s.Leader(); leader != nil {
 		s.Events.After(gossipDelay, func() { s.knownLeader = leader })
@@ -191,7 +194,7 @@
 // Run continues the simulation for a duration of simulated time.
 func (s *Cluster) Run(duration time.Duration) { s.Events.RunUntil(s.Events.Now() + duration) }
 
-// Leader returns the steward that leads the pool now, or nil.
+// Leader returns the first running steward that leads the pool by its own view, or nil. A frozen steward does not count.
 func (s *Cluster) Leader() *Node {
 	index := slices.IndexFunc(s.Nodes, func(node *Node) bool {
 		return node.isUp && !node.isFrozen && node.engines[s.keys[0]].IsLeader()
@@ -214,10 +217,11 @@
 // Stall makes the disk of a steward hang, or resumes it.
 func (s *Cluster) Stall(node *Node, isStalled bool) { node.disk.Stall(isStalled) }
 
-// Cut disconnects the named node or machine from the network, or connects it again. While it is cut off, all its messages are lost.
+// Cut disconnects the named node or machine from the network, or connects it again. Messages from or to it that would arrive
+// meanwhile are lost. A proxy and its executor are on one machine and stay connected.
 func (s *Cluster) Cut(name string, isCut bool) { s.cut[name] = isCut }
 
-// Wipe restarts a steward with an empty disk.
+// Wipe restarts a steward with a new, empty disk.
 func (s *Cluster) Wipe(node *Node) {
 	node.kill()
 	node.formerDisks = append(node.formerDisks, node.disk.name)
@@ -238,7 +242,7 @@
 	s.Events.After(down, executor.restart)
 }
 
-// Drain makes an executor report the state draining.
+// Drain makes an executor report the state draining until it restarts.
 func (s *Cluster) Drain(executor *Executor) { executor.isDraining = true }
 
 // Slow sets the factor by which new runs on an executor take longer; 1 is the normal length.
@@ -252,10 +256,10 @@
 // DelayCalls makes an executor carry out about half of its calls seconds late and without an answer.
 func (s *Cluster) DelayCalls(executor *Executor, isLate bool) { executor.isLate = isLate }
 
-// LoseStartAnswers loses a fifth of the answers to starts on an executor. The runs are started all the same.
+// LoseStartAnswers loses a fifth of the answers of an executor to starts. The starts are carried out all the same.
 func (s *Cluster) LoseStartAnswers(executor *Executor, isLossy bool) { executor.isLossy = isLossy }
 
-// breakGang ends the other runs of a gang, with the outcome broken, 10 ms after one of them has ended.
+// breakGang ends the other runs of a gang that have the same run number, with the outcome broken, 10 ms after the given one has ended.
 func (s *Cluster) breakGang(task string, run int64) {
 	_, position := s.Checker.step(task)
 	s.Events.After(10*time.Millisecond, func() {
@@ -270,45 +274,47 @@
 	})
 }
 
-// CallLeader makes a client's call: it tries one steward after another until the leader of the pool answers.
+// CallLeader makes a client's call: it calls the stewards in turn, from a random one, until the leader of the pool answers. If no leader
+// answers within 200 retries, answer is not called.
 func (s *Cluster) CallLeader(request wire.ClientCall, answer func(wire.ClientAnswer)) {
 	request.Key = s.keys[0]
 	s.callNode(&request, s.Events.Draw.IntN(len(s.Nodes)), 0, answer)
 }
 
-// callNode makes a client's call to one node, and to the next one after a failure, for at most 200 retries.
-func (s *Cluster) callNode(request *wire.ClientCall, number, attempt int, answer func(wire.ClientAnswer)) {
-	node := s.Nodes[number%len(s.Nodes)]
+// callNode makes a client's call to the node at an index (modulo their number), and 50 ms after a failure to the next one. attempt is the
+// number of earlier tries, at most 200.
+func (s *Cluster) callNode(request *wire.ClientCall, index, attempt int, answer func(wire.ClientAnswer)) {
+	node := s.Nodes[index%len(s.Nodes)]
 	client := &simEndpoint{"client", func(run func()) { run() }}
-	call(s, client, node.endpoint(), 900*time.Millisecond, func(answer func(wire.ClientAnswer)) {
+	call(s, client, node.endpoint(), 900*time.Millisecond, func(respond func(wire.ClientAnswer)) {
 		pool := node.pools[request.Key]
 		if pool == nil || !pool.IsOpen() {
-			answer(wire.ClientAnswer{NotLeader: true})
+			respond(wire.ClientAnswer{NotLeader: true})
 			return
 		}
 		handlers := map[wire.Verb]func(*wire.ClientCall, func(wire.ClientAnswer)){
 			wire.VerbSubmit: pool.Submit, wire.VerbState: pool.State, wire.VerbCancel: pool.Cancel, wire.VerbCount: pool.Count,
 			wire.VerbTransfer: pool.Transfer, wire.VerbRollouts: pool.Rollouts}
-		handlers[request.Verb](request, answer)
+		handlers[request.Verb](request, respond)
 	}, func(response wire.ClientAnswer, err error) {
 		if err == nil && !response.NotLeader {
 			answer(response)
 			return
 		}
 		if attempt < 200 {
-			s.Events.After(50*time.Millisecond, func() { s.callNode(request, number+1, attempt+1, answer) })
+			s.Events.After(50*time.Millisecond, func() { s.callNode(request, index+1, attempt+1, answer) })
 		}
 	})
 }
 
-// Submit submits a job as a client, and registers it with the checker.
-func (s *Cluster) Submit(id, entry string, body []byte, terms wire.RouteTerms, answer func(wire.ClientAnswer)) error {
+// Submit submits a job as a client, and registers it with the checker. It returns an error if the body can't be read as a job.
+func (s *Cluster) Submit(id, route string, body []byte, terms wire.RouteTerms, answer func(wire.ClientAnswer)) error {
 	spec, err := jobs.Read(body)
 	if err != nil {
 		return err
 	}
 	s.Checker.expectJob(id, spec, terms.MaxAttempts)
-	s.CallLeader(wire.ClientCall{Verb: wire.VerbSubmit, Route: entry, ID: id, Body: body, Terms: &terms}, func(response wire.ClientAnswer) {
+	s.CallLeader(wire.ClientCall{Verb: wire.VerbSubmit, Route: route, ID: id, Body: body, Terms: &terms}, func(response wire.ClientAnswer) {
 		if response.Status == http.StatusOK {
 			s.Checker.jobs[id].isAccepted = true
 		}
@@ -317,7 +323,8 @@
 	return nil
 }
 
-// Heal ends all lasting faults, and starts the stewards and proxies that are down.
+// Heal ends all lasting faults except draining and the loss of messages (Loss), and starts the stewards and proxies that are down. Crashed
+// executors restart by themselves.
 func (s *Cluster) Heal() {
 	clear(s.cut)
 	for _, node := range s.Nodes {
--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -18,8 +18,10 @@
 
 var executorCapacity = wire.Capacity{CPU: 16000, Memory: 32768}
 
+// id returns the ID of the job with a number.
 func id(number int) string { return fmt.Sprintf("%016x", number) }
 
+// plain returns the body of a job with one step of equal tasks, each for cpu thousandths of a core.
 func plain(tasks, cpu int) string {
 	return fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":%d,"memory-req-mb":100,"estimated-ms":200}]}`, tasks, cpu)
 }
@@ -37,6 +39,7 @@
 	accepted map[string]bool
 }
 
+// newHarness starts a cluster of three stewards and six executors, and checks that it has a leader after 3 s.
 func newHarness(seed uint64, options ...simcluster.Option) *harness {
 	c := &harness{Cluster: simcluster.New(seed, 3, 6, executorCapacity, startWallMs, options...), accepted: map[string]bool{}}
 	c.Run(3 * time.Second)
@@ -216,7 +219,7 @@
 		Expect(c.JobState(id(1))).To(Equal("completed"))
 	})
 
-	It("gives a redundant task a second run without waiting for the lease of an unreachable first one", func() {
+	It("gives a redundant task a second run while the first is unreachable, without waiting for its lease", func() {
 		c := newHarness(17, simcluster.WithWork(func(string, int64, *simcluster.Executor) (time.Duration, string) {
 			return 300 * time.Millisecond, "done"
 		}))
@@ -243,15 +246,15 @@
 	})
 
 	It("adapts to the spread of run times of a queue, and gives few tasks second runs because of it", func() {
-		uneven := rand.New(rand.NewPCG(21, 21))
+		random := rand.New(rand.NewPCG(21, 21))
 		lengths := map[string]time.Duration{}
 		c := newHarness(21, simcluster.WithWork(func(task string, _ int64, _ *simcluster.Executor) (time.Duration, string) {
 			if lengths[task] == 0 {
-				lengths[task] = time.Duration(50+300*uneven.ExpFloat64()) * time.Millisecond
+				lengths[task] = time.Duration(50+300*random.ExpFloat64()) * time.Millisecond
 			}
 			return lengths[task], "done"
 		}))
-		steps := func(first, last int) int {
+		countSecondRuns := func(first, last int) int {
 			before := c.Checker.Starts
 			for number := first; number < last; number++ {
 				c.submitJob(number, `{"task-descriptor":"d","step-list":[{"task-count":20,"cpu-units":1000,"estimated-ms":300,"redundant":true}]}`)
@@ -259,8 +262,8 @@
 			}
 			return c.Checker.Starts - before - 20*(last-first)
 		}
-		steps(0, 20)
-		Expect(steps(20, 50)).To(BeNumerically("<", 30*20/16))
+		countSecondRuns(0, 20)
+		Expect(countSecondRuns(20, 50)).To(BeNumerically("<", 30*20/16))
 	})
 
 	It("gives a redundant task a second run when the first takes far longer than the other tasks", func() {
@@ -381,7 +384,7 @@
 	}
 })
 
-// mixedWork takes 50 to 950 ms and fails one run in 20, both decided by the task and the run.
+// mixedWork gives runs of 50 to 949 ms, of which about one in 20 fails. Both depend on the task and the run number alone.
 func mixedWork(task string, run int64, _ *simcluster.Executor) (time.Duration, string) {
 	hash := 0
 	for _, digit := range task {
@@ -395,7 +398,7 @@
 	return time.Duration(50+hash%900) * time.Millisecond, outcome
 }
 
-// injectRandomFault heals the cluster and injects one random fault, in one of three calls.
+// injectRandomFault heals the cluster and then injects one random fault. On average two of three calls do nothing.
 func (c *harness) injectRandomFault() {
 	if c.Events.Draw.IntN(3) > 0 {
 		return
--- a/internal/simulation/simcluster/stalls.go
+++ b/internal/simulation/simcluster/stalls.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// stallCheckInterval is how often jobs are checked, maxStallTime is how long a job may be stalled, and takeoverTime is how long
-	// a new leader may need until it knows all executors.
+	// stallCheckInterval is the interval at which jobs are checked, maxStallTime is how long a job may wait before it counts as stalled, and
+	// takeoverTime is how long a new leader may need until it knows all executors.
 	stallCheckInterval = 100 * time.Millisecond
 	maxStallTime       = 3 * time.Second
 	takeoverTime       = 2 * time.Second
 )
 
-// StallDetector finds stalled jobs. A job is stalled if none of its tasks runs for 3 s, although one of them could start, there is
-// free capacity for two such tasks, and less than half of the service's CPU capacity is in use. A job is excused for as long as an
-// unreachable executor may still hold the lease for one of its runs. All jobs are excused while the pool has no leader.
+// StallDetector finds stalled jobs. An accepted job is stalled if none of its tasks runs for 3 s, although one of them could start, there is
+// free capacity for two such tasks (or gangs), and less than half of the service's CPU capacity is in use. A job is excused for as long as
+// an unreachable executor may still hold the lease for one of its runs, and if it has failed. All jobs are excused while the pool has no
+// leader, and until a new leader has led for takeoverTime.
 type StallDetector struct {
 	cluster      *Cluster
 	waitingSince map[string]time.Duration
@@ -29,7 +30,7 @@
 	leaderSince  time.Duration
 	// Checks counts the checks that found a job waiting under all these conditions, however long it had waited.
 	Checks int
-	// Stalls describes each stall: the time, the job, and since when it waited.
+	// Stalls describes each stall: the time, the job, and since when it waited. A job that stays stalled is listed again every 3 s.
 	Stalls []string
 }
 
@@ -40,10 +41,10 @@
 	return d
 }
 
-// Ignore excludes a job from the checks, as its client cancelled it or it may rightly have failed.
+// Ignore excludes a job from the checks, for example because its client cancelled it.
 func (d *StallDetector) Ignore(id string) { d.ignored[id] = true }
 
-// check checks all jobs, and schedules the next check. After a change of leader all waiting times start again.
+// check checks all jobs, and schedules the next check. After a change of leader the waiting times of all jobs start again.
 func (d *StallDetector) check() {
 	d.cluster.Events.After(stallCheckInterval, d.check)
 	leader := d.cluster.Leader()
@@ -61,7 +62,7 @@
 	}
 }
 
-// checkJob records a stall if a job has waited longer than maxStallTime although it could have run.
+// checkJob records a stall if a job that has not failed has waited longer than maxStallTime although it could have run.
 func (d *StallDetector) checkJob(id string, isRunning, isBusy bool) {
 	now := d.cluster.Events.Now()
 	if isRunning || isBusy || d.ignored[id] || now < d.excusedUntil[id] || !d.hasRunnableTask(id) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// runningJobs returns the jobs with runs on executors that are up, and whether at least half of all CPU capacity is in use.
+// runningJobs returns the jobs with runs on executors that are up, and whether at least half of the CPU capacity of these is in use.
 func (d *StallDetector) runningJobs() (jobsRunning map[string]bool, isBusy bool) {
 	jobsRunning = map[string]bool{}
 	var used, all wire.Capacity
@@ -99,7 +100,7 @@
 	return jobsRunning, 2*used.CPU >= all.CPU
 }
 
-// hasRunnableTask reports whether a task of the job could start, and there is free capacity for two of its kind.
+// hasRunnableTask reports whether the job is accepted, a task of it could start, and there is free capacity for two of its kind.
 func (d *StallDetector) hasRunnableTask(id string) bool {
 	checker := d.cluster.Checker
 	if !checker.jobs[id].isAccepted {
@@ -122,6 +123,7 @@
 	return false
 }
 
+// isStepDone reports whether all tasks of a step are done in an occurrence of a job.
 func (c *Checker) isStepDone(id string, occurrence, number int) bool {
 	for index := range c.jobs[id].spec.Steps[number].Tasks {
 		if facts := c.tasks[jobs.TaskName(id, occurrence, number, index)]; facts == nil || !facts.isDone {
@@ -131,7 +133,7 @@
 	return true
 }
 
-// hasDoubleCapacity reports whether the healthy executors have free capacity for two tasks, or two gangs, of a step.
+// hasDoubleCapacity reports whether the healthy executors with the labels of a step have free capacity for two of its tasks, or of its gangs.
 func (d *StallDetector) hasDoubleCapacity(step *jobs.Step) bool {
 	wanted, count := 2, 0
 	if step.Gang {
@@ -158,7 +160,7 @@
 	return s.Proxies[slices.IndexFunc(s.Proxies, func(proxy *Proxy) bool { return proxy.executor == executor })]
 }
 
-// slots returns how many tasks of a step fit on the executor now, at most limit.
+// slots returns how many tasks of a step fit into the free capacity of the executor, at most limit.
 func (e *Executor) slots(step *jobs.Step, limit int) int {
 	if step.AntiAffinity > 0 {
 		limit = min(limit, step.AntiAffinity)
@@ -174,8 +176,8 @@
 	return max(0, limit)
 }
 
-// excuseUnreachable excuses jobs that, in the leader's table, have runs on executors that are unreachable now. The leases of
-// these runs must have expired before the tasks may start elsewhere.
+// excuseUnreachable excuses the jobs that, in the leader's table, have runs on executors that are unreachable now. Their tasks may start
+// elsewhere only after the lease of these runs has expired, so the excuse lasts for the longest hold and one second more.
 func (d *StallDetector) excuseUnreachable() {
 	pool := d.cluster.Leader().pools[d.cluster.keys[0]]
 	until := d.cluster.Events.Now() + d.cluster.timing.MaxHold + time.Second
@@ -189,7 +191,7 @@
 	}
 }
 
-// isReachable reports whether the leader can reach an executor through its proxy.
+// isReachable reports whether the executor and its proxy are up and connected, and the executor neither refuses nor delays calls.
 func (e *Executor) isReachable() bool {
 	return e.isUp && !e.isRefusing && !e.isLate && !e.cluster.cut[e.Machine] && e.cluster.proxyOf(e).isUp
 }
--- a/internal/simulation/simcluster/stalls_test.go
+++ b/internal/simulation/simcluster/stalls_test.go
@@ -28,15 +28,15 @@
 	{"lasting", 3, `{"task-count":4,"cpu-units":2000,"memory-req-mb":900,"long-running":true}`},
 }
 
-// largeScenario submits such jobs to a cluster of many executors, and injects faults drawn from the seed.
+// largeScenario submits jobs of largeJobKinds to a cluster of many executors, and injects faults drawn from the seed.
 type largeScenario struct {
 	*harness
 	detector *simcluster.StallDetector
-	// faultWidth is how many executors a fault affects. minInterval is the shortest time between two jobs.
+	// faultWidth is how many executors a fault affects. minInterval is the shortest time between two jobs outside of bursts.
 	faultWidth     int
 	minInterval    time.Duration
 	submittedCount int
-	// isExempt marks cancelled and long-running jobs, whose end is not awaited.
+	// isExempt marks the IDs of cancelled and long-running jobs, whose end is not awaited.
 	isExempt map[string]bool
 }
 
@@ -55,7 +55,8 @@
 	return scenario
 }
 
-// drawWork draws 80 to 140 percent of the step's estimate as the length of a run. One run in 60 fails, after half the estimate.
+// drawWork draws 80 to 139 percent of the step's estimate as the length of a run. On average one run in 60 fails, after half the estimate.
+// Runs of long-running steps take an hour.
 func (d *largeScenario) drawWork(task string, _ int64, _ *simcluster.Executor) (time.Duration, string) {
 	estimate, isLongRunning := d.Checker.Estimate(task)
 	if isLongRunning {
@@ -67,6 +68,7 @@
 	return estimate * time.Duration(80+d.Events.Draw.IntN(60)) / 100, "done"
 }
 
+// submitRandomJob submits a job of a random kind. It cancels about a quarter of the jobs within 4 s.
 func (d *largeScenario) submitRandomJob() {
 	draw := d.Events.Draw
 	total := 0
@@ -102,7 +104,8 @@
 	}
 }
 
-// injectFault injects one random fault, and ends it some seconds later.
+// injectFault injects one random fault, into the leader or into faultWidth neighbouring executors, and ends it at most 7 s later. Drained
+// executors crash then, and restart one second later.
 func (d *largeScenario) injectFault() {
 	draw := d.Events.Draw
 	length := time.Duration(2000+draw.IntN(5000)) * time.Millisecond
@@ -137,6 +140,7 @@
 	}
 }
 
+// replaceLeader freezes or kills the leader, and resumes or starts it again after length.
 func (d *largeScenario) replaceLeader(length time.Duration) {
 	leader := d.Leader()
 	if leader == nil {
@@ -158,7 +162,7 @@
 	}
 }
 
-// runWithFaults submits jobs and injects faults for a duration, and then waits for all jobs to end.
+// runWithFaults submits jobs and injects faults for a duration. Then it heals the cluster, and waits up to 100 s for the jobs to end.
 func (d *largeScenario) runWithFaults(length time.Duration) {
 	draw := d.Events.Draw
 	nextFaultAt := d.Events.Now() + time.Second
@@ -192,7 +196,8 @@
 	return count
 }
 
-// expectFinalStates checks that every accepted job is completed, or failed if one of its tasks has used up its attempts.
+// expectFinalStates checks that every accepted job is completed. A job may also be failed if one of its tasks has used up its attempts.
+// Exempt jobs are left out.
 func (d *largeScenario) expectFinalStates() {
 	Expect(d.accepted).NotTo(BeEmpty())
 	states := d.JobStates()
