--- a/internal/simulation/hollow/executor.go
+++ b/internal/simulation/hollow/executor.go
@@ -1,5 +1,5 @@
-// Package hollow runs many worker nodes in one process. Each consists of a production local-proxy and a stand-in executor, which follows
-// the executor protocol but only waits for the length of a run in place of working.
+// Package hollow runs many worker nodes in one process. Each consists of a production local-proxy and a stand-in executor. The executor
+// follows the executor protocol, but does no work in its runs: each ends after the time that its descriptor gives.
 package hollow
 
 import (
@@ -39,8 +39,7 @@
 	reasonNoCapacity = "room"
 )
 
-// Load is the length and the resources of a run on a stand-in executor. It is encoded in the task's descriptor. CPU is in thousandths
-// of a core.
+// Load is the length and the resources of a run on a stand-in executor. The task's descriptor encodes it. CPU is in thousandths of a core.
 type Load struct {
 	Length   time.Duration
 	CPU      int64
@@ -55,6 +54,7 @@
 	return fmt.Sprintf(loadFormat, l.Length.Milliseconds(), l.CPU, l.MemoryMB)
 }
 
+// parseLoad parses a descriptor that Descriptor has returned.
 func parseLoad(text string) (Load, error) {
 	var ms int64
 	var load Load
@@ -86,8 +86,8 @@
 	answer func(int, executorapi.Answer)
 }
 
-// ExecutorConfig is the configuration of an executor. MaxHold is the longest time by which a call extends the hold. A stopped run ends
-// after half of StopTimeout.
+// ExecutorConfig is the configuration of an executor. MaxHold is the longest time from now to which a call can extend the lease. A stopped
+// run ends after half of StopTimeout.
 type ExecutorConfig struct {
 	Node        string
 	ID          string
@@ -110,7 +110,7 @@
 	startedAt time.Duration
 	fence     uint64
 	expiryMs  int64
-	// isExpiryScheduled is set while a function is scheduled for the expiry of the hold.
+	// isExpiryScheduled is set while a function is scheduled for the expiry of the lease.
 	isExpiryScheduled bool
 	active            []*activeRun
 	ends              []executorapi.EndRow
@@ -120,19 +120,19 @@
 	waitingHolds []*waitingHold
 	ended        []RunRecord
 	sequence     int64
-	// refusedFences holds when each fence was first refused. repeatedFences counts the calls that still used such a fence more than
-	// fenceNoticeTime later, and the orders without a leader's fence.
+	// refusedFences holds the time of the first refusal of each fence. repeatedFences counts the calls that still used a refused fence more
+	// than fenceNoticeTime after that, and the orders without a leader's fence.
 	refusedFences  map[uint64]time.Duration
 	repeatedFences int
 }
 
-// NewExecutor creates an executor whose runs end after the length in their descriptor. runLater must run a function after a wait, on
-// the goroutine that calls the executor.
+// NewExecutor creates an executor whose runs end after the length that their descriptor gives. runLater must run a function after a wait,
+// on the goroutine that calls the executor.
 func NewExecutor(config ExecutorConfig, clock clock.Clock, runLater func(time.Duration, func())) *Executor {
 	return &Executor{config: config, clock: clock, runLater: runLater, startedAt: clock.Monotonic(), highest: map[string]int64{}, refusedFences: map[uint64]time.Duration{}}
 }
 
-// ClockMs returns the executor's own monotonic clock in milliseconds.
+// ClockMs returns the executor's own monotonic clock in milliseconds. It starts at firstClockMs and runs at the configured ClockRate.
 func (e *Executor) ClockMs() int64 {
 	return firstClockMs + int64(float64((e.clock.Monotonic()-e.startedAt).Milliseconds())*e.config.ClockRate)
 }
@@ -141,11 +141,11 @@
 	return executorapi.Answer{ClockMs: e.ClockMs(), Reason: reason}
 }
 
-// fenceNoticeTime is how long after its refusal a fence may still be used, until its sender has noticed the refusal.
+// fenceNoticeTime is how long after its first refusal calls with a fence are still expected, as their sender may not know of the refusal yet.
 const fenceNoticeTime = 2 * time.Second
 
 // noLeaderFence is the fence of a local proxy that has had no answer from a leader since it started. Such a proxy may send holds but no
-// orders. Refused holds of it are not counted, as it can't know the current fence.
+// orders. Its refused holds are not counted, as it can't know the current fence.
 const noLeaderFence = 0
 
 // acceptFence records a fence. It reports whether a call with this fence may be carried out, that is, whether no higher one is known.
@@ -160,14 +160,14 @@
 	return true
 }
 
-// trackOrder counts an order to start or stop a run that carries no leader's fence.
+// trackOrder counts an order to start or stop a run if its fence is noLeaderFence.
 func (e *Executor) trackOrder(fence uint64) {
 	if fence == noLeaderFence {
 		e.repeatedFences++
 	}
 }
 
-// trackRefusal counts a refused call if its fence was first refused more than fenceNoticeTime before.
+// trackRefusal counts a refused call if its fence was first refused more than fenceNoticeTime ago.
 func (e *Executor) trackRefusal(fence uint64) {
 	now := e.clock.Monotonic()
 	refusedAt, isRepeated := e.refusedFences[fence]
@@ -180,7 +180,7 @@
 	}
 }
 
-// extend extends the hold until expiryMs of the executor's clock, but to at most MaxHold from now. It never shortens the hold.
+// extend extends the lease until expiryMs of the executor's clock, but to at most MaxHold from now. It never shortens the lease.
 func (e *Executor) extend(expiryMs int64) {
 	e.expiryMs = max(e.expiryMs, min(expiryMs, e.ClockMs()+e.config.MaxHold.Milliseconds()))
 	if !e.isExpiryScheduled {
@@ -188,7 +188,8 @@
 	}
 }
 
-// scheduleExpiry schedules a function that ends all runs when the hold has expired. If the hold was extended meanwhile, it schedules again.
+// scheduleExpiry schedules a function that ends all runs when the lease has expired. If the lease was extended meanwhile, the function
+// schedules itself again.
 func (e *Executor) scheduleExpiry() {
 	remaining := clock.Milliseconds(int64(float64(e.expiryMs-e.ClockMs())/e.config.ClockRate) + 1)
 	e.isExpiryScheduled = true
@@ -287,7 +288,7 @@
 	}
 }
 
-// Stop handles POST /v1/run-stop.
+// Stop handles POST /v1/run-stop. The run ends after half of the stop timeout.
 func (e *Executor) Stop(order executorapi.RunStop) (int, executorapi.Answer) {
 	e.trackOrder(order.Fence)
 	if !e.acceptFence(order.Fence) {
@@ -304,7 +305,8 @@
 	return 200, e.answer("")
 }
 
-// Hold handles POST /v1/hold. The answer may wait for the end of a run.
+// Hold handles POST /v1/hold. If all ends are acknowledged, the answer waits for the next end of a run, for at most WaitMs (limited to
+// maxWaitMs).
 func (e *Executor) Hold(hold executorapi.Hold, answer func(int, executorapi.Answer)) {
 	if !e.acceptFence(hold.Fence) {
 		answer(409, e.answer(reasonFence))
@@ -347,8 +349,8 @@
 		Capacity: e.config.Capacity, Labels: e.config.Labels, ClockMs: e.ClockMs(), Sequence: e.sequence}
 }
 
-// Counts holds the number of current runs, of all runs ever started, and of the calls that should not have come: calls with a fence
-// that had been refused well before, and orders without a leader's fence.
+// Counts holds the number of current runs, of all runs ever started, and of calls that a correct sender would not make: calls with a fence
+// that was refused more than fenceNoticeTime ago, and orders without a leader's fence.
 type Counts struct {
 	Running        int `json:"running"`
 	Started        int `json:"started"`
--- a/internal/simulation/hollow/executor_test.go
+++ b/internal/simulation/hollow/executor_test.go
@@ -14,7 +14,7 @@
 	"gannetline/internal/simulation/hollow"
 )
 
-// harness is one executor on a fake clock, with the functions that it has scheduled.
+// harness is one executor on a fake clock, with the functions that the executor has scheduled.
 type harness struct {
 	clock    *clock.Fake
 	executor *hollow.Executor
@@ -36,6 +36,7 @@
 	return h
 }
 
+// advance advances the clock in steps of 1 ms, and runs the scheduled functions when they are due.
 func (h *harness) advance(length time.Duration) {
 	for until := h.clock.Monotonic() + length; h.clock.Monotonic() < until; h.clock.Advance(time.Millisecond) {
 		due := h.delayed
@@ -60,6 +61,7 @@
 	return status, answer.Reason
 }
 
+// hold makes a hold and returns its answer, or nil if the answer waits.
 func (h *harness) hold(hold executorapi.Hold) *executorapi.Answer {
 	var received *executorapi.Answer
 	h.executor.Hold(hold, func(_ int, answer executorapi.Answer) { received = &answer })
@@ -72,18 +74,18 @@
 	var h *harness
 	BeforeEach(func() { h = newHarness() })
 
-	refused := func(task string, run int64, fence uint64, expectedReason string) {
+	expectRefused := func(task string, run int64, fence uint64, expectedReason string) {
 		status, reason := h.start(task, run, fence)
 		ExpectWithOffset(1, status).To(Equal(409))
 		ExpectWithOffset(1, reason).To(Equal(expectedReason))
 	}
-	started := func(task string, run int64, fence uint64) {
+	expectStarted := func(task string, run int64, fence uint64) {
 		status, _ := h.start(task, run, fence)
 		ExpectWithOffset(1, status).To(Equal(200))
 	}
 
 	It("runs a task for its length, and lists its end until it is acknowledged", func() {
-		started("a.0.0.0", 1, 1)
+		expectStarted("a.0.0.0", 1, 1)
 		h.advance(1100 * time.Millisecond)
 		Expect(h.ends()).To(Equal([]executorapi.EndRow{{Number: 1, Task: "a.0.0.0", Run: 1, Outcome: "done"}}))
 		Expect(h.hold(executorapi.Hold{Fence: 9, LastSeen: 1}).Ends).To(BeEmpty())
@@ -121,20 +123,20 @@
 	})
 
 	It("refuses calls with a lower fence", func() {
-		started("a.0.0.0", 1, 5)
-		refused("b.0.0.0", 1, 4, "fence")
+		expectStarted("a.0.0.0", 1, 5)
+		expectRefused("b.0.0.0", 1, 4, "fence")
 		status, _ := h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 4})
 		Expect(status).To(Equal(409))
 		Expect(h.hold(executorapi.Hold{Fence: 4}).Reason).To(Equal("fence"))
 	})
 
-	It("accepts a repeated start, and refuses old, late and too large ones", func() {
-		started("a.0.0.0", 2, 1)
-		started("a.0.0.0", 2, 1)
+	It("accepts a repeated start, and refuses starts that are old, late or too large", func() {
+		expectStarted("a.0.0.0", 2, 1)
+		expectStarted("a.0.0.0", 2, 1)
 		Expect(h.executor.Counts()).To(Equal(hollow.Counts{Running: 1, Started: 1}))
-		refused("b.0.0.0", 1, 1, "room")
+		expectRefused("b.0.0.0", 1, 1, "room")
 		h.advance(1100 * time.Millisecond)
-		refused("a.0.0.0", 2, 1, "old")
+		expectRefused("a.0.0.0", 2, 1, "old")
 		late := h.order("c.0.0.0", 1, 1)
 		late.ExpiryMs = h.executor.ClockMs()
 		_, answer := h.executor.Start(late)
@@ -143,12 +145,12 @@
 
 	It("refuses a run that was stopped before its start arrived", func() {
 		h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
-		refused("a.0.0.0", 1, 1, "old")
-		started("a.0.0.0", 2, 1)
+		expectRefused("a.0.0.0", 1, 1, "old")
+		expectStarted("a.0.0.0", 2, 1)
 	})
 
 	It("stops a run within the stop timeout, and lists its end once", func() {
-		started("a.0.0.0", 1, 1)
+		expectStarted("a.0.0.0", 1, 1)
 		h.executor.Stop(executorapi.RunStop{Task: "a.0.0.0", Run: 1, Fence: 1})
 		h.advance(410 * time.Millisecond)
 		h.advance(time.Second)
@@ -163,7 +165,7 @@
 		Expect(status).To(Equal(200))
 	}
 
-	It("ends all runs when the hold expires, and limits a hold to the longest one", func() {
+	It("ends all runs when the lease expires, and limits the lease to the longest hold", func() {
 		startLong(time.Hour)
 		h.advance(5900 * time.Millisecond)
 		Expect(h.executor.Counts().Running).To(Equal(1))
@@ -171,7 +173,7 @@
 		Expect(h.ends()).To(HaveExactElements(HaveField("Outcome", wire.RunOutcome("lapsed"))))
 	})
 
-	It("continues runs while the hold is extended, and never shortens the hold", func() {
+	It("continues runs while the lease is extended, and never shortens the lease", func() {
 		startLong(5 * time.Second)
 		h.advance(4 * time.Second)
 		h.hold(executorapi.Hold{Fence: 1, ExpiryMs: h.executor.ClockMs() + 5000})
@@ -180,16 +182,16 @@
 		Expect(h.executor.Counts().Running).To(Equal(1))
 	})
 
-	It("extends the hold by a start refused for lack of capacity", func() {
+	It("extends the lease by a start refused for lack of capacity", func() {
 		startLong(2 * time.Second)
 		h.advance(1500 * time.Millisecond)
-		refused("b.0.0.0", 1, 1, "room")
+		expectRefused("b.0.0.0", 1, 1, "room")
 		h.advance(3 * time.Second)
 		Expect(h.executor.Counts().Running).To(Equal(1))
 	})
 
 	It("answers a waiting hold at the end of a run, or when its wait is over", func() {
-		started("a.0.0.0", 1, 1)
+		expectStarted("a.0.0.0", 1, 1)
 		var answers []int
 		wait := func() {
 			h.executor.Hold(executorapi.Hold{Fence: 1, WaitMs: 700}, func(_ int, answer executorapi.Answer) {
--- a/internal/simulation/hollow/host.go
+++ b/internal/simulation/hollow/host.go
@@ -35,13 +35,13 @@
 	// maxCallBytes is the longest body of a call that is read.
 	maxCallBytes     = 64 << 10
 	heartbeatTimeout = time.Second
-	// heartbeatSpreadSteps is the number of steps of the heartbeat interval over which the first heartbeats are spread.
+	// heartbeatSpreadSteps is the number of equal steps of the heartbeat interval to which the first heartbeats of the workers are spread.
 	heartbeatSpreadSteps = 50
-	// retryDivisor divides the heartbeat interval for the retry of a failed heartbeat.
+	// retryDivisor is the number by which the heartbeat interval is divided to get the wait after a failed heartbeat.
 	retryDivisor = 5
 )
 
-// node is one stand-in executor with the mailbox of its goroutine, on which all its calls run.
+// node is one stand-in executor with its mailbox. All calls to the executor run on the goroutine that runs the mailbox.
 type node struct {
 	mailbox  *mailbox.Mailbox
 	executor *Executor
@@ -79,7 +79,7 @@
 // command carries out a call on the goroutine of the executor. It calls answer at once or later.
 type command = func(answer func(result))
 
-// ServeHTTP answers the calls that a local proxy makes to its executor.
+// ServeHTTP answers the calls that a local proxy makes to its executor. It answers 421 if the call expects an executor with another ID.
 func (n *node) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get("X-Expected-Executor"); expected != "" && expected != n.executor.config.ID {
 		response.Empty(http.StatusMisdirectedRequest).Write(writer)
@@ -135,8 +135,8 @@
 
 func resultOf(status int, answer executorapi.Answer) result { return result{status, answer} }
 
-// sendHeartbeats sends heartbeats to the local proxy at the interval of the settings, and sooner after a failure. The index of the
-// worker in the process spreads the first heartbeats.
+// sendHeartbeats sends heartbeats to the local proxy at the interval of the settings, and sooner after a failure. The index of the worker in
+// its process sets the wait before its first heartbeat.
 func (n *node) sendHeartbeats(client *http.Client, index int) {
 	wait := clock.Milliseconds(int64(index%heartbeatSpreadSteps) * n.settings.HeartbeatMs / heartbeatSpreadSteps)
 	for {
@@ -155,6 +155,7 @@
 	}
 }
 
+// send sends a heartbeat. It returns an error if no answer comes; the status of the answer is not checked.
 func (n *node) send(client *http.Client, heartbeat executorapi.Heartbeat) error {
 	body, err := easyjson.Marshal(heartbeat)
 	if err != nil {
@@ -177,9 +178,9 @@
 	return err
 }
 
-// Run runs the workers of a spec until ctx is done or the spec's run time is over. all holds their settings in the order of the spec.
-// An error names the worker that could not be started, or whose local proxy failed.
-func Run(ctx context.Context, spec *Spec, all []*settings.Settings, log logging.Logger) error {
+// Run runs the workers of a spec until ctx is done or the spec's run time is over. workerSettings are their settings, in the order of the
+// spec. If a worker can't be started or its local proxy fails, Run returns an error with the worker's index.
+func Run(ctx context.Context, spec *Spec, workerSettings []*settings.Settings, log logging.Logger) error {
 	ctx, cancel := context.WithTimeout(ctx, clock.Milliseconds(spec.ForMs))
 	defer cancel()
 	reportListener, err := net.Listen("tcp4", spec.Report)
@@ -187,9 +188,9 @@
 		return errors.Annotate(err, "field report")
 	}
 	timeSource, meter, client := clock.System(), &transportmetrics.Meter{}, peerapi.Client(heartbeatTimeout, 1)
-	failed := make(chan error, len(all)+1)
+	failed := make(chan error, len(workerSettings)+1)
 	var nodes []*node
-	for index, nodeSettings := range all {
+	for index, nodeSettings := range workerSettings {
 		started := newNode(ctx, spec.Workers[index], nodeSettings, timeSource)
 		nodes = append(nodes, started)
 		app, err := net.Listen("tcp4", nodeSettings.App)
@@ -248,7 +249,7 @@
 	return mux
 }
 
-// collect queries each executor on its own goroutine. It stops at the first one that does not answer.
+// collect queries each executor on that executor's goroutine, and passes the values to add. It stops without an error when ctx is done.
 func collect[T any](ctx context.Context, nodes []*node, query func(*Executor) T, add func(T)) {
 	for _, target := range nodes {
 		value, err := mailbox.Ask(ctx, target.mailbox, func(answer func(T)) { answer(query(target.executor)) })
--- a/internal/simulation/hollow/spec.go
+++ b/internal/simulation/hollow/spec.go
@@ -20,13 +20,14 @@
 	MaxRunTime = time.Hour
 )
 
-// Worker is one hollow node: the path of the settings file of its local-proxy, and the stand-in executor behind it.
+// Worker describes one hollow node: the path of the settings file of its local-proxy, and the stand-in executor of that local-proxy.
+// ClockRate is the rate of the executor's clock relative to the real one, from 0.98 to 1.
 type Worker struct {
 	Settings  string        `json:"settings"`
 	Capacity  wire.Capacity `json:"capacity"`
 	Labels    []string      `json:"labels"`
 	ClockRate float64       `json:"pace"`
-	// IsExecutorOnly starts no local-proxy, as another process runs it.
+	// IsExecutorOnly is set if another process runs the local-proxy, so that only the executor is started here.
 	IsExecutorOnly bool `json:"executor-only,omitempty"`
 	// FailsFirstRuns makes the first run of each task fail, as a faulty version does.
 	FailsFirstRuns bool `json:"fails-first-runs,omitempty"`
--- a/internal/simulation/rehearsal/change.go
+++ b/internal/simulation/rehearsal/change.go
@@ -1,5 +1,6 @@
 // Package rehearsal replays a recorded day of jobs on a simulated cluster that runs the production code: once with the current
-// settings, and once under a proposed change. Its report lists the jobs that are late, missing or ran twice.
+// settings, and once under a proposed change. Its report counts the late, missing and repeated jobs of each queue in both replays, and lists
+// the jobs that differ.
 package rehearsal
 
 import (
@@ -16,7 +17,7 @@
 	"gannetline/internal/scheduling/scheduler"
 )
 
-// Queue holds the proposed settings of one queue. A nil field keeps the current value.
+// Queue holds the proposed settings of one queue. A nil field keeps the value that was recorded with each job.
 type Queue struct {
 	Priority    *int     `yaml:"priority"`
 	MaxAttempts *int     `yaml:"max-attempts"`
@@ -26,8 +27,8 @@
 	queuerules.Text `yaml:",inline"`
 }
 
-// Change is a proposed scheduling change. A nil field keeps the current value. Times are in milliseconds. MostReserved and
-// AlwaysAllowed are shares from 0 to 1.
+// Change is a proposed scheduling change. A nil field keeps the value of simcluster.DefaultTiming. MostReserved and AlwaysAllowed are the
+// fractions MaxReserved and AlwaysAllowed of scheduler.ReservedCapacity, from 0 to 1.
 type Change struct {
 	GrantMs       *int64           `yaml:"grant-ms"`
 	ResendMs      *int64           `yaml:"resend-ms"`
@@ -37,7 +38,7 @@
 	Queues        map[string]Queue `yaml:"queues"`
 }
 
-// LoadChange reads a change from a YAML file. An unknown field or a value out of range is an error that names it.
+// LoadChange reads a change from a YAML file. The error for an unknown field, a value out of range or an invalid rule names the field.
 func LoadChange(path string) (*Change, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -81,6 +82,7 @@
 	return nil
 }
 
+// rules compiles the rules of all queues of the change.
 func (c *Change) rules() (*queuerules.Rules, error) {
 	texts := map[string]queuerules.Text{}
 	for name, queue := range c.Queues {
@@ -129,7 +131,7 @@
 	return timing
 }
 
-// terms returns the terms that a job of a queue is submitted with. Outcome.TargetMs doesn't use them: it follows the recorded terms.
+// terms returns the terms that a job of a queue is submitted with under the change. Outcome.TargetMs depends on the recorded terms only.
 func (c *Change) terms(queue string, terms wire.RouteTerms) wire.RouteTerms {
 	change := c.Queues[queue]
 	override(&terms.Priority, change.Priority)
--- a/internal/simulation/rehearsal/fault.go
+++ b/internal/simulation/rehearsal/fault.go
@@ -12,7 +12,7 @@
 )
 
 // Fault is a fault injected into a replayed day, at a steward or an executor's machine. At is the time after the first event of the
-// recording, and Length how long the fault lasts. Its text form is KIND:TARGET:AT-MS[:FOR-MS].
+// recording, and Length how long the fault lasts; the kinds wipe and drain don't use it. The text form is KIND:TARGET:AT-MS[:FOR-MS].
 type Fault struct {
 	Kind, Target string
 	At, Length   time.Duration
@@ -31,7 +31,7 @@
 var faultKinds = []string{faultKill, faultCut, faultFreeze, faultWipe, faultDrain, faultSlow}
 
 const (
-	defaultDuration = 5 * time.Second
+	defaultFaultLength = 5 * time.Second
 	// slowFactor is the factor by which runs on a slow executor take longer.
 	slowFactor = 5
 )
@@ -43,7 +43,7 @@
 	if len(parts) < 3 || len(parts) > 4 || !slices.Contains(faultKinds, parts[0]) {
 		return Fault{}, errors.Errorf("fault %q: not KIND:TARGET:AT-MS[:FOR-MS] with a kind of %s", text, strings.Join(faultKinds, ", "))
 	}
-	fault := Fault{Kind: parts[0], Target: parts[1], Length: defaultDuration}
+	fault := Fault{Kind: parts[0], Target: parts[1], Length: defaultFaultLength}
 	for index, field := range []*time.Duration{&fault.At, &fault.Length} {
 		if len(parts) <= 2+index {
 			break
@@ -57,7 +57,8 @@
 	return fault, nil
 }
 
-// inject schedules the fault. It returns false if the cluster has no such target, or the kind does not apply to it.
+// inject schedules the fault, with At counted from now. It returns false if the cluster has no such target, or the kind does not apply to
+// the target.
 func (f Fault) inject(s *simcluster.Cluster) bool {
 	for _, node := range s.Nodes {
 		if node.Name == f.Target {
--- a/internal/simulation/rehearsal/play.go
+++ b/internal/simulation/rehearsal/play.go
@@ -40,8 +40,8 @@
 	stateCancelled = "cancelled"
 )
 
-// Setup holds all inputs of a rehearsal. Horizon is how long the simulation continues after the last event. Recorder, if not nil,
-// gets the recording of the simulated pools.
+// Setup holds all inputs of a rehearsal. Horizon is how long the simulation continues after the last event. Recorder, if not nil, gets the
+// recording of the simulated pools. Recorder, ClusterOptions and Faults apply to the cluster of the day, not to that of a rollout's new version.
 type Setup struct {
 	Day            *recording.Day
 	Change         *Change
@@ -50,15 +50,17 @@
 	Horizon        time.Duration
 	Recorder       scheduler.Recorder
 	ClusterOptions []simcluster.Option
-	// Rollout, if not nil, is rehearsed together with the change.
+	// Rollout, if not nil, is rehearsed together with the change. The timing and the rules of the change don't apply to the cluster of the
+	// new version.
 	Rollout *Rollout
 	// OnRolloutSample, if not nil, is called with the progress of the rollout every simulated second.
 	OnRolloutSample func(RolloutSample)
 }
 
-// Outcome is the result of one job in one replay. DurationMs is the time from its submission until its end was observed, or 0 if it
-// has not ended. A job that takes longer than TargetMs is late. RanTwice is set if a task ran twice at once, or again after its
-// success was acknowledged.
+// Outcome is the result of one job in one replay. DurationMs is the time from its submission until its end was observed, or 0 if it has not
+// ended. RanTwice is set if a task outside of redundant steps ran on two executors at once, or again after its success was acknowledged. Late
+// and Missing apply to accepted jobs that were not cancelled and have no long-running step: Late is set if the job took longer than TargetMs to
+// complete, and Missing if it has not ended.
 type Outcome struct {
 	ID         string `json:"id"`
 	Queue      string `json:"queue"`
@@ -70,7 +72,7 @@
 	RanTwice   bool   `json:"twice,omitempty"`
 }
 
-// replayedJob is a recorded job in a replay. Its times are simulated monotonic times.
+// replayedJob is a recorded job in a replay. Its times are simulated monotonic times. state is empty until the job has ended.
 type replayedJob struct {
 	event       recording.Event
 	spec        *jobs.Spec
@@ -85,7 +87,8 @@
 type replay struct {
 	setup   Setup
 	cluster *simcluster.Cluster
-	// recordedRunTimes are by run (task/number), and for successful runs by task as well. recordedOutcomes are by run.
+	// recordedRunTimes has the run times by run, with keys of the form task/number, and those of successful runs by task as well.
+	// recordedOutcomes has the outcomes by run.
 	recordedRunTimes map[string]time.Duration
 	recordedOutcomes map[string]string
 	jobs             map[string]*replayedJob
@@ -94,8 +97,8 @@
 	rollout *replayedRollout
 }
 
-// Replay simulates the day once, under the change of the setup. It returns an error if the recording is empty or names no
-// executors, if a job can't be read, or if a fault has no target.
+// Replay simulates the day once, under the change of the setup. It returns an error if the recording is empty or names no executors, if a job
+// can't be read, if the rules of the change are invalid, or if a fault has no target or does not apply to its target.
 func Replay(setup Setup) ([]Outcome, error) {
 	if len(setup.Day.Events) == 0 {
 		return nil, errors.New("the recording holds no events")
@@ -166,7 +169,8 @@
 	}
 }
 
-// work returns the run time and outcome of a run: those recorded for the run, else for its task, else the estimate.
+// work returns the run time and outcome of a run: those recorded for the run. Otherwise the run succeeds, after the run time recorded for its
+// task, or after the step's estimate, or after defaultRunTime.
 func (r *replay) work(task string, run int64, _ *simcluster.Executor) (time.Duration, string) {
 	name := task + "/" + strconv.FormatInt(run, 10)
 	if length, isKnown := r.recordedRunTimes[name]; isKnown {
@@ -248,7 +252,7 @@
 	return []*simcluster.Cluster{r.cluster, r.rollout.cluster}
 }
 
-// clusterFor returns the cluster that a job is submitted to.
+// clusterFor returns the cluster that a job is submitted to now.
 func (r *replay) clusterFor(job *replayedJob) *simcluster.Cluster {
 	if r.rollout != nil && r.rollout.isOnNewVersion(job) {
 		return r.rollout.cluster
@@ -264,7 +268,8 @@
 	}
 }
 
-// trackEnds records when each job is first observed to have ended.
+// trackEnds records for each job when and in which state it was first observed to have ended. It checks all jobs at each stateCheckInterval
+// up to the given time.
 func (r *replay) trackEnds(until time.Duration) {
 	if r.cluster.Events.Now() > until {
 		return
@@ -311,8 +316,8 @@
 	return slices.ContainsFunc(j.spec.Steps, func(step jobs.Step) bool { return step.LongRunning })
 }
 
-// targetMs returns the time from submission after which a job is late: the recorded stretch factor times the longest chain of steps, plus
-// the recorded target, plus for repeated jobs the wait until the last occurrence.
+// targetMs returns the time from submission after which a job is late: the recorded stretch factor (at least 1) times the run time of the
+// longest chain of dependent steps, plus the recorded target, plus for repeated jobs the wait until the last occurrence is due.
 func (r *replay) targetMs(job *replayedJob) int64 {
 	chainTimes := make([]time.Duration, len(job.spec.Steps))
 	var longest time.Duration
--- a/internal/simulation/rehearsal/rehearsal_test.go
+++ b/internal/simulation/rehearsal/rehearsal_test.go
@@ -150,7 +150,7 @@
 			Expect(pair.Changed.Missing).To(BeZero(), queue)
 			Expect(pair.Changed.Twice).To(BeZero(), queue)
 		}
-		Expect(report.Queues["rota-check"].Changed.HalfMs).To(BeNumerically(">", 1000))
+		Expect(report.Queues["rota-check"].Changed.MedianMs).To(BeNumerically(">", 1000))
 	})
 
 	It("gives the same report, byte for byte, when repeated", func() {
--- a/internal/simulation/rehearsal/report.go
+++ b/internal/simulation/rehearsal/report.go
@@ -12,16 +12,16 @@
 	"gannetline/internal/scheduling/recording"
 )
 
-// QueueSum is the summary of one queue in one replay. HalfMs and MostMs are the median and the 95th percentile of the durations of
-// its completed jobs.
+// QueueSum is the summary of one queue in one replay: the number of its jobs, of those for which Outcome sets Late, Missing or RanTwice, and of
+// the failed ones. MedianMs and Percentile95Ms are the median and the 95th percentile of the durations of its completed jobs.
 type QueueSum struct {
-	Jobs    int   `json:"jobs"`
-	Late    int   `json:"late"`
-	Missing int   `json:"missing"`
-	Twice   int   `json:"twice"`
-	Failed  int   `json:"failed"`
-	HalfMs  int64 `json:"half-within-ms"`
-	MostMs  int64 `json:"95-of-100-within-ms"`
+	Jobs           int   `json:"jobs"`
+	Late           int   `json:"late"`
+	Missing        int   `json:"missing"`
+	Twice          int   `json:"twice"`
+	Failed         int   `json:"failed"`
+	MedianMs       int64 `json:"half-within-ms"`
+	Percentile95Ms int64 `json:"95-of-100-within-ms"`
 }
 
 // Pair holds the summaries of one queue in both replays.
@@ -36,16 +36,19 @@
 	Changed Outcome `json:"changed"`
 }
 
-// Report is the result of a rehearsal. It is deterministic: rehearsals of the same setup give equal reports.
+// Report is the result of a rehearsal. It is deterministic: rehearsals of the same setup give equal reports. Lines, Lost and Skipped are those
+// of the recording (recording.Day). Recorded counts the successful runs in the recording.
 type Report struct {
-	Lines       int             `json:"lines"`
-	Lost        int64           `json:"lost"`
-	Skipped     int             `json:"skipped"`
-	Seed        uint64          `json:"seed"`
-	Recorded    int             `json:"tasks-with-recorded-lengths"`
-	Queues      map[string]Pair `json:"queues"`
-	Differences []JobPair       `json:"differences"`
-	Worse       []string        `json:"worse"`
+	Lines    int             `json:"lines"`
+	Lost     int64           `json:"lost"`
+	Skipped  int             `json:"skipped"`
+	Seed     uint64          `json:"seed"`
+	Recorded int             `json:"tasks-with-recorded-lengths"`
+	Queues   map[string]Pair `json:"queues"`
+	// Differences has the jobs whose outcomes differ in more than their durations. Worse has the IDs of the jobs that are late, missing or run
+	// twice only under the change.
+	Differences []JobPair `json:"differences"`
+	Worse       []string  `json:"worse"`
 	// Rollout is the progress of the rollout, one sample per simulated second.
 	Rollout []RolloutSample `json:"rollout,omitempty"`
 }
@@ -94,7 +97,7 @@
 	return report
 }
 
-// sums summarizes outcomes by queue.
+// sums returns the summaries of outcomes by queue.
 func sums(outcomes []Outcome) map[string]QueueSum {
 	all, durations := map[string]QueueSum{}, map[string][]int64{}
 	for _, outcome := range outcomes {
@@ -108,7 +111,7 @@
 	for queue, queueDurations := range durations {
 		slices.Sort(queueDurations)
 		sum := all[queue]
-		sum.HalfMs, sum.MostMs = queueDurations[len(queueDurations)/2], queueDurations[len(queueDurations)*95/100]
+		sum.MedianMs, sum.Percentile95Ms = queueDurations[len(queueDurations)/2], queueDurations[len(queueDurations)*95/100]
 		all[queue] = sum
 	}
 	return all
@@ -182,5 +185,5 @@
 }
 
 func (p *printer) writeQueue(queue, name string, sum QueueSum) {
-	p.writeLine("%-24s %-8s %6d %6d %8d %6d %7d %9d %9d", queue, name, sum.Jobs, sum.Late, sum.Missing, sum.Twice, sum.Failed, sum.HalfMs, sum.MostMs)
+	p.writeLine("%-24s %-8s %6d %6d %8d %6d %7d %9d %9d", queue, name, sum.Jobs, sum.Late, sum.Missing, sum.Twice, sum.Failed, sum.MedianMs, sum.Percentile95Ms)
 }
--- a/internal/simulation/rehearsal/rollout.go
+++ b/internal/simulation/rehearsal/rollout.go
@@ -21,21 +21,23 @@
 
 // Behaviour is the assumed behaviour of the new version.
 type Behaviour struct {
-	// FailureShare is the share of its runs that fail, from 0 to 1. RunTimeFactor is the factor by which its runs take longer.
+	// FailureShare is the share of its runs that fail, from 0 to 1. RunTimeFactor is the factor by which its runs take longer; LoadRollout
+	// replaces 0 by 1.
 	FailureShare  float64 `yaml:"fails"`
 	RunTimeFactor float64 `yaml:"run-time-factor"`
 	// FromS is how many seconds after the start of the rollout this behaviour begins. Before, runs are as recorded.
 	FromS float64 `yaml:"from-s"`
 }
 
-// RolloutStep is one step of a rollout: the share of the queue's jobs that the new version gets, from 0 to 1, and for how long at least.
+// RolloutStep is one step of a rollout: the share of the queue's jobs that the new version gets, from 0 to 1. The next step follows once the
+// step has lasted MinTimeS seconds and MinJobs jobs of the new version have ended in it.
 type RolloutStep struct {
 	Share    float64 `yaml:"share"`
 	MinTimeS float64 `yaml:"min-time-s"`
 	MinJobs  int64   `yaml:"min-jobs"`
 }
 
-// RolloutBounds are the bounds within which the new version must stay, as the file gives them.
+// RolloutBounds are the bounds within which the new version must stay. The fields are those of configuration.RolloutBounds.
 type RolloutBounds struct {
 	Failures      float64 `yaml:"failures"`
 	Late          float64 `yaml:"late"`
@@ -44,7 +46,7 @@
 	MinJobs       int64   `yaml:"min-jobs"`
 }
 
-// Rollout is a rollout to rehearse.
+// Rollout describes a rollout to rehearse: a queue's jobs move step by step from its current version to a new one.
 type Rollout struct {
 	// Queue is the name of the recorded queue. AtS is how many seconds after the first event the rollout starts.
 	Queue string  `yaml:"queue"`
@@ -53,13 +55,13 @@
 	Executors  float64       `yaml:"executors"`
 	Steps      []RolloutStep `yaml:"steps"`
 	Bounds     RolloutBounds `yaml:"agreed"`
-	OnTurnBack string        `yaml:"on-turn-back"`
+	OnRollback string        `yaml:"on-turn-back"`
 	// IsRepeatable is set if the queue's jobs may run more than once, so that a rollback may stop their runs.
 	IsRepeatable bool      `yaml:"repeatable"`
 	NewVersion   Behaviour `yaml:"new-version"`
 }
 
-// LoadRollout reads a rollout from a YAML file. An unknown field or a value out of range is an error that names it.
+// LoadRollout reads a rollout from a YAML file. The error for an unknown field or a value out of range names the field.
 func LoadRollout(path string) (*Rollout, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,9 +112,9 @@
 	return ""
 }
 
-// toConfiguration returns the rollout as a configuration holds it.
+// toConfiguration returns the rollout as an entry of a configuration.
 func (r *Rollout) toConfiguration() configuration.Rollout {
-	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnRollback: r.OnTurnBack,
+	rollout := configuration.Rollout{Name: "rehearsed", Route: r.Queue, From: versionOld, To: versionNew, OnRollback: r.OnRollback,
 		Bounds: configuration.RolloutBounds(r.Bounds)}
 	for _, step := range r.Steps {
 		rollout.Steps = append(rollout.Steps, configuration.RolloutStep(step))
@@ -125,7 +127,8 @@
 	AtS   float64 `json:"at-s"`
 	State string  `json:"state"`
 	Share float64 `json:"share"`
-	// Ended, Failed and Overdue count the jobs of each version that have ended, have failed, and still wait after their target.
+	// For each version, Ended counts the jobs that completed or failed, Failed those that failed, and Overdue those that have passed their
+	// target and have not ended.
 	OldEnded   int64  `json:"old-ended"`
 	OldFailed  int64  `json:"old-failed"`
 	OldOverdue int64  `json:"old-overdue"`
--- a/internal/simulation/rehearsal/rolloutplay.go
+++ b/internal/simulation/rehearsal/rolloutplay.go
@@ -15,7 +15,7 @@
 	"gannetline/internal/simulation/simcluster"
 )
 
-// reconcileInterval is how often the rollout is judged, sampleInterval is how often its progress is sampled.
+// reconcileInterval is the interval at which the rollout is judged, sampleInterval that at which its progress is sampled.
 const (
 	reconcileInterval = 500 * time.Millisecond
 	sampleInterval    = time.Second
@@ -53,12 +53,12 @@
 	r.replay.cluster.Events.After(warmUp, r.sample)
 }
 
-// isOnNewVersion reports whether the new version runs a job.
+// isOnNewVersion reports whether a job goes to the new version at the current share.
 func (r *replayedRollout) isOnNewVersion(job *replayedJob) bool {
 	return job.event.Queue == r.spec.Queue && r.rollout.ServiceFor(job.event.ID) == versionNew
 }
 
-// work returns the run time and outcome of a run as in the day, changed by the assumed behaviour of the new version.
+// work returns the run time and outcome of a run of the new version: those of the day, changed by the assumed behaviour of that version.
 func (r *replayedRollout) work(task string, run int64, executor *simcluster.Executor) (time.Duration, string) {
 	length, outcome := r.replay.work(task, run, executor)
 	if r.startedAt == 0 || r.replay.cluster.Events.Now()-r.startedAt < time.Duration(r.spec.NewVersion.FromS*float64(time.Second)) {
@@ -83,7 +83,8 @@
 	return []scheduler.Option{scheduler.WithRollouts(func() scheduler.RolloutPolicy { return r.policy(service) }), scheduler.WithTransfers(r)}
 }
 
-// policy returns the rollout policy of the pools of a version, as it follows from a configuration with the queue and the rollout.
+// policy returns the rollout policy of the pools of a version. The production code derives it from a configuration with the queue's route and
+// the rollout.
 func (r *replayedRollout) policy(service string) scheduler.RolloutPolicy {
 	route := configuration.Route{Name: r.rollout.Route, Host: rehearsalHost, Service: versionOld, Type: r.spec.routeType()}
 	matcher := configuration.NewMatcher(&configuration.Configuration{Routes: []configuration.Route{route}, Rollouts: []configuration.Rollout{r.rollout}})
@@ -95,8 +96,7 @@
 	r.replay.cluster.CallLeader(*call, func(given wire.ClientAnswer) { answer(&given) })
 }
 
-// reconcile judges the rollout until it is over, and applies each decision at once. The pools drop the counts of a rollout that is
-// over, so the last counts are kept.
+// reconcile judges the rollout at each reconcileInterval until it is over, and applies each decision at once.
 func (r *replayedRollout) reconcile() {
 	if r.rollout.IsOver() {
 		return
@@ -123,7 +123,8 @@
 	}
 }
 
-// collectCounts requests the counts of a version from its pool. The next call of reconcile uses the answer.
+// collectCounts requests the counts of a version from its pool. The next call of reconcile uses the answer. Answers after the end of the
+// rollout are ignored, so that the last counts are kept: the pools drop the counts of a rollout that is over.
 func (r *replayedRollout) collectCounts(cluster *simcluster.Cluster, version *rollout.Version) {
 	cluster.CallLeader(wire.ClientCall{Verb: wire.VerbRollouts}, func(answer wire.ClientAnswer) {
 		report := &wire.RolloutReport{}
--- a/internal/simulation/rehearsal/rolloutplot.go
+++ b/internal/simulation/rehearsal/rolloutplot.go
@@ -24,12 +24,13 @@
 	curves []curve
 }
 
+// curve is one line of a panel. value returns its value at a sample.
 type curve struct {
 	name, colour string
 	value        func(*RolloutSample) float64
 }
 
-// panels are the share of the new version, and of both versions the failed jobs and the jobs that wait after their target.
+// panels show the share of the new version, and for both versions the failed jobs and the jobs that have passed their target.
 var panels = []panel{
 	{"share of the new version, percent", []curve{{"share", "steelblue", func(s *RolloutSample) float64 { return 100 * s.Share }}}},
 	{"jobs failed", []curve{{"old version", "grey", func(s *RolloutSample) float64 { return float64(s.OldFailed) }},
@@ -71,7 +72,7 @@
 	return plotMargin + int(float64(plotWidth-2*plotMargin)*sample.at().Seconds()/max(1, last.Seconds()))
 }
 
-// drawPanel draws the curves of a panel. top is its vertical position in pixels.
+// drawPanel draws the curves of a panel. top is the position of its upper edge in pixels.
 func drawPanel(canvas *svg.SVG, drawn panel, samples []RolloutSample, top int) {
 	highest := 1.0
 	for _, curve := range drawn.curves {
@@ -94,7 +95,8 @@
 	}
 }
 
-// writeSamples writes a line for each sample at which the state, the share, or the failed or overdue jobs of the new version changed.
+// writeSamples writes a line for each sample at which the state, the share, or the failed or overdue jobs of the new version changed. The
+// reason in the last of these samples follows at the end.
 func (p *printer) writeSamples(samples []RolloutSample) {
 	if len(samples) == 0 {
 		return
--- a/internal/simulation/rehearsal/rolloutpolicy_test.go
+++ b/internal/simulation/rehearsal/rolloutpolicy_test.go
@@ -9,7 +9,7 @@
 
 var _ = ginkgo.Describe("the rollout policy of a rehearsal", func() {
 	newRollout := func(state configuration.RolloutState, isRepeatable bool) *replayedRollout {
-		spec := &Rollout{Queue: "q", OnTurnBack: configuration.RollbackStop, IsRepeatable: isRepeatable}
+		spec := &Rollout{Queue: "q", OnRollback: configuration.RollbackStop, IsRepeatable: isRepeatable}
 		created := &replayedRollout{spec: *spec, rollout: spec.toConfiguration(), version: 3}
 		created.rollout.State, created.rollout.BegunMs = state, 1000
 		return created
