--- a/internal/simulation/rehearsal/rehearsal_test.go
+++ b/internal/simulation/rehearsal/rehearsal_test.go
@@ -197,7 +197,7 @@
 		Expect(countRanTwice()).To(BeNumerically(">", 0))
 	})
 
-	It("rehearses a recording made by a simulated cluster, with a retried submission once", func() {
+	It("rehearses a recording made by a simulated cluster, in which jobs recorded twice count once", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "own.jsonl")
 		writer := recording.NewWriter(path, "steward-1", false)
 		day, err := recording.ReadFiles([]string{example}, false)
--- a/internal/simulation/rehearsal/report.go
+++ b/internal/simulation/rehearsal/report.go
@@ -24,8 +24,8 @@
 	Percentile95Ms int64 `json:"95-of-100-within-ms"`
 }
 
-// Pair holds the summaries of one queue in both replays.
-type Pair struct {
+// QueuePair holds the summaries of one queue in both replays.
+type QueuePair struct {
 	AsIs    QueueSum `json:"as-is"`
 	Changed QueueSum `json:"changed"`
 }
@@ -39,12 +39,12 @@
 // Report is the result of a rehearsal. It is deterministic: rehearsals of the same setup give equal reports. Lines, Lost and Skipped are those
 // of the recording (recording.Day). Recorded counts the successful runs in the recording.
 type Report struct {
-	Lines    int             `json:"lines"`
-	Lost     int64           `json:"lost"`
-	Skipped  int             `json:"skipped"`
-	Seed     uint64          `json:"seed"`
-	Recorded int             `json:"tasks-with-recorded-lengths"`
-	Queues   map[string]Pair `json:"queues"`
+	Lines    int                  `json:"lines"`
+	Lost     int64                `json:"lost"`
+	Skipped  int                  `json:"skipped"`
+	Seed     uint64               `json:"seed"`
+	Recorded int                  `json:"tasks-with-recorded-lengths"`
+	Queues   map[string]QueuePair `json:"queues"`
 	// Differences has the jobs whose outcomes differ in more than their durations. Worse has the IDs of the jobs that are late, missing or run
 	// twice only under the change.
 	Differences []JobPair `json:"differences"`
@@ -75,7 +75,7 @@
 // compare compares the outcomes of two replays. Outcomes of the same job must have the same index.
 func compare(setup Setup, before, after []Outcome) *Report {
 	report := &Report{Lines: setup.Day.Lines, Lost: setup.Day.Lost, Skipped: setup.Day.Skipped, Seed: setup.Seed,
-		Queues: map[string]Pair{}, Differences: []JobPair{}, Worse: []string{}}
+		Queues: map[string]QueuePair{}, Differences: []JobPair{}, Worse: []string{}}
 	for _, event := range setup.Day.Events {
 		if event.Kind == recording.KindEnd && event.How == outcomeDone {
 			report.Recorded++
@@ -83,7 +83,7 @@
 	}
 	sumsBefore, sumsAfter := sums(before), sums(after)
 	for queue := range sumsBefore {
-		report.Queues[queue] = Pair{sumsBefore[queue], sumsAfter[queue]}
+		report.Queues[queue] = QueuePair{sumsBefore[queue], sumsAfter[queue]}
 	}
 	for index, unchanged := range before {
 		changed := after[index]
--- a/internal/simulation/simcluster/executor.go
+++ b/internal/simulation/simcluster/executor.go
@@ -43,13 +43,13 @@
 	executorRuns
 }
 
-// executorState holds whether the executor is up and which faults it has now.
+// executorState holds whether the executor is up, and which faults Cluster has set on it.
 type executorState struct {
-	isUp       bool
-	isLate     bool
-	isRefusing bool
-	isDraining bool
-	isLossy    bool
+	isUp              bool
+	delaysCalls       bool
+	isRefusing        bool
+	isDraining        bool
+	losesStartAnswers bool
 }
 
 // executorLease is the lease of the runs: its expiry by the executor's own clock, the highest fence that was accepted, and the holds that
--- a/internal/simulation/simcluster/node.go
+++ b/internal/simulation/simcluster/node.go
@@ -13,10 +13,12 @@
 )
 
 const (
+	// syncTime is how long a sync of a simulated disk takes.
 	syncTime       = 5 * time.Millisecond
 	tickInterval   = 50 * time.Millisecond
 	promiseTimeout = 500 * time.Millisecond
-	appendTimeout  = 1500 * time.Millisecond
+	// appendTimeout is the timeout of appends and of fetches.
+	appendTimeout = 1500 * time.Millisecond
 )
 
 // errNoAnswer is the result of a simulated call whose answer did not arrive within its timeout.
--- a/internal/simulation/simcluster/proxy.go
+++ b/internal/simulation/simcluster/proxy.go
@@ -85,7 +85,7 @@
 
 // callExecutor sends a call to the executor, and calls done once: with the answer, with statusRefused, or after the timeout with status 0.
 // The last argument of done reports whether the executor answered. An executor that has restarted or has another ID answers
-// 421. A late executor (DelayCalls) carries out about half of the calls 2 to 11 s late, and their answers are lost.
+// 421. An executor that delays calls carries out about half of the calls 2 to 11 s late, and their answers are lost.
 func (p *Proxy) callExecutor(executorID string, timeout time.Duration, serve func(answer func(int, executorapi.Answer)), done func(int, executorapi.Answer, bool)) {
 	incarnation, isOver := p.incarnation, false
 	finish := func(status int, answer executorapi.Answer, isAnswered bool) {
@@ -98,7 +98,7 @@
 	}
 	p.cluster.Events.After(timeout, func() { finish(0, executorapi.Answer{}, false) })
 	incarnationAtCall, wait := p.executor.incarnation, time.Millisecond
-	losesAnswer := p.executor.isLate && p.cluster.Events.Draw.IntN(2) == 0
+	losesAnswer := p.executor.delaysCalls && p.cluster.Events.Draw.IntN(2) == 0
 	if losesAnswer {
 		wait = time.Duration(2+p.cluster.Events.Draw.IntN(10)) * time.Second
 	}
@@ -234,7 +234,7 @@
 	}
 	p.callExecutor(executorID, 150*time.Millisecond, func(answer func(int, executorapi.Answer)) {
 		status, reply := p.carryOut(work)
-		if isAnswerLost := p.executor.isLossy && order.Kind == "launch" && p.cluster.Events.Draw.IntN(5) == 0; !isAnswerLost {
+		if isAnswerLost := p.executor.losesStartAnswers && order.Kind == "launch" && p.cluster.Events.Draw.IntN(5) == 0; !isAnswerLost {
 			answer(status, reply)
 		}
 	},
--- a/internal/simulation/simcluster/simcluster.go
+++ b/internal/simulation/simcluster/simcluster.go
@@ -254,10 +254,12 @@
 }
 
 // DelayCalls makes an executor carry out about half of its calls seconds late and without an answer.
-func (s *Cluster) DelayCalls(executor *Executor, isLate bool) { executor.isLate = isLate }
+func (s *Cluster) DelayCalls(executor *Executor, isDelaying bool) { executor.delaysCalls = isDelaying }
 
 // LoseStartAnswers loses a fifth of the answers of an executor to starts. The starts are carried out all the same.
-func (s *Cluster) LoseStartAnswers(executor *Executor, isLossy bool) { executor.isLossy = isLossy }
+func (s *Cluster) LoseStartAnswers(executor *Executor, isLosing bool) {
+	executor.losesStartAnswers = isLosing
+}
 
 // breakGang ends the other runs of a gang that have the same run number, with the outcome broken, 10 ms after the given one has ended.
 func (s *Cluster) breakGang(task string, run int64) {
@@ -335,7 +337,7 @@
 		}
 	}
 	for _, executor := range s.Executors {
-		executor.isLate, executor.isRefusing, executor.isLossy, executor.Speed = false, false, false, 1
+		executor.delaysCalls, executor.isRefusing, executor.losesStartAnswers, executor.Speed = false, false, false, 1
 	}
 	for _, proxy := range s.Proxies {
 		if !proxy.isUp {
--- a/internal/simulation/simcluster/simcluster_test.go
+++ b/internal/simulation/simcluster/simcluster_test.go
@@ -26,6 +26,7 @@
 	return fmt.Sprintf(`{"task-descriptor":"d","step-list":[{"task-count":%d,"cpu-units":%d,"memory-req-mb":100,"estimated-ms":200}]}`, tasks, cpu)
 }
 
+// chain is the body of a job whose second step depends on the first, and whose third depends on both.
 const chain = `{"task-descriptor":"d","step-list":[{"task-count":4,"cpu-units":500,"estimated-ms":200},` +
 	`{"task-count":3,"cpu-units":2000,"estimated-ms":200,"depends-on":[0]},{"task-count":1,"cpu-units":100,"estimated-ms":100,"depends-on":[0,1]}]}`
 
--- a/internal/simulation/simcluster/stalls.go
+++ b/internal/simulation/simcluster/stalls.go
@@ -153,7 +153,7 @@
 
 // isHealthy reports whether an executor is reachable and no fault keeps it from running tasks normally.
 func (e *Executor) isHealthy() bool {
-	return e.isReachable() && !e.isDraining && !e.isLossy && e.Speed == 1
+	return e.isReachable() && !e.isDraining && !e.losesStartAnswers && e.Speed == 1
 }
 
 func (s *Cluster) proxyOf(executor *Executor) *Proxy {
@@ -193,5 +193,5 @@
 
 // isReachable reports whether the executor and its proxy are up and connected, and the executor neither refuses nor delays calls.
 func (e *Executor) isReachable() bool {
-	return e.isUp && !e.isRefusing && !e.isLate && !e.cluster.cut[e.Machine] && e.cluster.proxyOf(e).isUp
+	return e.isUp && !e.isRefusing && !e.delaysCalls && !e.cluster.cut[e.Machine] && e.cluster.proxyOf(e).isUp
 }
--- a/internal/simulation/simcluster/trust_test.go
+++ b/internal/simulation/simcluster/trust_test.go
@@ -117,7 +117,7 @@
 		Expect(c.Checker.Violations).To(BeEmpty())
 	})
 
-	It("moves no run that progresses slowly, nor one of an executor that is unreachable as a whole", func() {
+	It("moves neither runs that progress slowly nor runs of an unreachable executor", func() {
 		c.Work = func(string, int64, *simcluster.Executor) (time.Duration, string) { return 20 * time.Second, "done" }
 		c.submitJob(1, plain(6, 1500))
 		c.Run(3 * time.Second)
