--- a/internal/simulation/rehearsal/rollout.go
+++ b/internal/simulation/rehearsal/rollout.go
@@ -127,8 +127,8 @@
 	AtS   float64 `json:"at-s"`
 	State string  `json:"state"`
 	Share float64 `json:"share"`
-	// For each version, Ended counts the jobs that completed or failed, Failed those that failed, and Overdue those that have passed their
-	// target and have not ended.
+	// For each version, Ended counts the jobs that completed or failed, Failed those that failed, and Overdue the unfinished ones that
+	// have missed their target without having lost a run.
 	OldEnded   int64  `json:"old-ended"`
 	OldFailed  int64  `json:"old-failed"`
 	OldOverdue int64  `json:"old-overdue"`
--- a/internal/simulation/rehearsal/rolloutplot.go
+++ b/internal/simulation/rehearsal/rolloutplot.go
@@ -30,7 +30,7 @@
 	value        func(*RolloutSample) float64
 }
 
-// panels show the share of the new version, and for both versions the failed jobs and the jobs that have passed their target.
+// panels show the share of the new version, and for both versions the failed and the overdue jobs.
 var panels = []panel{
 	{"share of the new version, percent", []curve{{"share", "steelblue", func(s *RolloutSample) float64 { return 100 * s.Share }}}},
 	{"jobs failed", []curve{{"old version", "grey", func(s *RolloutSample) float64 { return float64(s.OldFailed) }},
