--- a/internal/cluster/configcache/configcache.go
+++ b/internal/cluster/configcache/configcache.go
@@ -96,7 +96,7 @@
 	c.mailbox.TryPost(func() { c.fetcher.PeerHolds(member, version) })
 }
 
-// currentVersion returns the version in force with its changes, nil before the first. Any goroutine may call it.
+// currentVersion returns the version in force with its deltas, nil before the first. Any goroutine may call it.
 func (c *Cache) currentVersion() *Version {
 	if current := c.current.Load(); current != nil {
 		return current.version
--- a/internal/cluster/configcache/delta.go
+++ b/internal/cluster/configcache/delta.go
@@ -106,7 +106,7 @@
 	return parts
 }
 
-// assemble builds the segments of a body from the parts of a change, and fails if a part refers beyond the base. It takes over the
+// assemble builds the segments of a body from the parts of a delta, and fails if a part refers beyond the base. It takes over the
 // referenced segments as they are, and scans only the text of the parts.
 func assemble(base []segment, parts []wire.DeltaPart) ([]segment, error) {
 	segments := make([]segment, 0, len(base)+len(parts))
@@ -159,8 +159,8 @@
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// deltaBetween returns the change from the base to a committed configuration. It returns nil if the text of the change is longer than half
-// of the full body, or if there are fewer initial voters or moved routes than in the base, since a change can't remove any.
+// deltaBetween returns the delta from the base to a committed configuration. It returns nil if the text of the delta is longer than half
+// of the full body, or if there are fewer initial voters or moved routes than in the base, since a delta can't remove any.
 func deltaBetween(base, committed *wire.Configuration) *wire.ConfigurationDelta {
 	if len(committed.InitialVoters) < len(base.InitialVoters) || len(committed.Moved) < len(base.Moved) {
 		return nil
@@ -169,17 +169,17 @@
 	if err != nil {
 		return nil
 	}
-	change := &wire.ConfigurationDelta{Base: base.Version, Version: committed.Version, Digest: digest,
+	delta := &wire.ConfigurationDelta{Base: base.Version, Version: committed.Version, Digest: digest,
 		Parts: encodeParts(Segments(base.Body), Segments(committed.Body)), InitialVoters: committed.InitialVoters[len(base.InitialVoters):]}
 	for index, moved := range committed.Moved {
 		if index >= len(base.Moved) || !equalMovedRoutes(base.Moved[index], moved) {
-			change.Moved = append(change.Moved, moved)
+			delta.Moved = append(delta.Moved, moved)
 		}
 	}
-	if 2*textBytes(change) > len(committed.Body) {
+	if 2*textBytes(delta) > len(committed.Body) {
 		return nil
 	}
-	return change
+	return delta
 }
 
 // equalMovedRoutes reports whether two entries have the same route and the same services.
@@ -187,35 +187,35 @@
 	return a.Route == b.Route && slices.Equal(a.Services, b.Services)
 }
 
-// textBytes is how many bytes of a body a change carries as text.
-func textBytes(change *wire.ConfigurationDelta) int {
+// textBytes is how many bytes of a body a delta carries as text.
+func textBytes(delta *wire.ConfigurationDelta) int {
 	count := 0
-	for _, part := range change.Parts {
+	for _, part := range delta.Parts {
 		count += len(part.Text)
 	}
 	return count
 }
 
-// applyChain applies a chain of changes to a base. Only the digest of the last change is checked: the result has that digest only if
-// all earlier changes were right too.
-func applyChain(base *wire.Configuration, changes []*wire.ConfigurationDelta) (*wire.Configuration, error) {
+// applyChain applies a chain of deltas to a base. Only the digest of the last delta is checked: the result has that digest only if
+// all earlier deltas were right too.
+func applyChain(base *wire.Configuration, deltas []*wire.ConfigurationDelta) (*wire.Configuration, error) {
 	segments := cut(base.Body, 0)
 	committed := &wire.Configuration{InitialVoters: slices.Clone(base.InitialVoters), Moved: slices.Clone(base.Moved)}
-	for _, change := range changes {
+	for _, delta := range deltas {
 		var err error
-		if segments, err = assemble(segments, change.Parts); err != nil {
+		if segments, err = assemble(segments, delta.Parts); err != nil {
 			return nil, err
 		}
-		committed.Version = change.Version
-		committed.InitialVoters = append(committed.InitialVoters, change.InitialVoters...)
-		committed.Moved = mergeMoved(committed.Moved, change.Moved)
+		committed.Version = delta.Version
+		committed.InitialVoters = append(committed.InitialVoters, delta.InitialVoters...)
+		committed.Moved = mergeMoved(committed.Moved, delta.Moved)
 	}
 	committed.Body = join(segments)
 	digest, err := digestOf(committed)
 	if err != nil {
 		return nil, err
 	}
-	if digest != changes[len(changes)-1].Digest {
+	if digest != deltas[len(deltas)-1].Digest {
 		return nil, errors.Annotatef(ErrBadDelta, "the configuration made of version %d and its change is not version %d", base.Version, committed.Version)
 	}
 	return committed, nil
--- a/internal/cluster/configcache/errors.go
+++ b/internal/cluster/configcache/errors.go
@@ -6,9 +6,9 @@
 const (
 	// ErrPeerBusy is the answer of a peer with maxConcurrentAnswers answers in progress.
 	ErrPeerBusy = errors.ConstError("the peer already answers as many calls as it may")
-	// ErrBaseMismatch rejects a change whose base is not the version in force.
+	// ErrBaseMismatch rejects a delta whose base is not the version in force.
 	ErrBaseMismatch = errors.ConstError("the configuration change has another base")
-	// ErrBadDelta rejects a change that refers beyond its base, or whose result doesn't have the change's digest.
+	// ErrBadDelta rejects a delta that refers beyond its base, or whose result doesn't have the delta's digest.
 	ErrBadDelta = errors.ConstError("the configuration change doesn't fit its base")
 	// ErrBadImage rejects an image whose content doesn't match its name or version.
 	ErrBadImage = errors.ConstError("the configuration image is damaged")
--- a/internal/cluster/configcache/fetch.go
+++ b/internal/cluster/configcache/fetch.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// apply handles the content of an answer. If the image is incomplete, it asks the same peer for the next chunk. If the changes don't fit,
+// apply handles the content of an answer. If the image is incomplete, it asks the same peer for the next chunk. If the deltas don't fit,
 // it asks the same peer for the full configuration. Otherwise it brings the version into force if it is newer, and goes on with the next
 // peer. Any other answer that can't be used counts as a failure of the peer.
 func (f *Fetcher) apply(address string, call *wire.ConfigurationCall, answer *wire.ConfigurationAnswer) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// countBytes is how many bytes of configurations an answer carries: a full body, the text of changes, and a chunk of an image.
+// countBytes is how many bytes of configurations an answer carries: a full body, the text of deltas, and a chunk of an image.
 func countBytes(answer *wire.ConfigurationAnswer) int {
 	count := 0
 	if answer.Full != nil {
@@ -221,8 +221,8 @@
 	if answer.Chunk != nil {
 		count += len(answer.Chunk.Data)
 	}
-	for _, change := range answer.Changes {
-		count += textBytes(change)
+	for _, delta := range answer.Changes {
+		count += textBytes(delta)
 	}
 	return count
 }
--- a/internal/cluster/configcache/image.go
+++ b/internal/cluster/configcache/image.go
@@ -110,7 +110,7 @@
 }
 
 // chunk returns the chunk that answers a call. It comes from the image that the call names, so that a transfer ends even if newer versions
-// come meanwhile. If that image isn't kept, it comes from one from whose version the kept changes lead to the current one. Only if there is
+// come meanwhile. If that image isn't kept, it comes from one from whose version the kept deltas lead to the current one. Only if there is
 // none either, chunk makes an image of the current version.
 func (c *imageCache) chunk(current *Version, call *wire.ConfigurationCall) (*wire.ConfigurationChunk, error) {
 	named := c.touch(func(image *Image) bool { return image.Name == call.Image && image.Version > call.HeldVersion })
--- a/internal/cluster/membership/compare.go
+++ b/internal/cluster/membership/compare.go
@@ -33,7 +33,7 @@
 	return answer
 }
 
-// answerBuckets adds to an answer the buckets whose sums differ, and their records. A local-proxy gets the records of stewards only.
+// answerBuckets adds to an answer the buckets whose sums differ, and their records. A local proxy gets the records of stewards only.
 func (t *Table) answerBuckets(call *wire.MembersCall, answer *wire.MembersAnswer) {
 	var isDiffering [bucketCount]bool
 	for bucket, sum := range t.sumsFor(call.From.Role) {
@@ -51,7 +51,7 @@
 }
 
 // HandleAnswer merges an answer. It returns a second call with the records and leaders that the peer lacks. It returns nil if the peer lacks
-// none, or if the peer is of an earlier version, which has no sums. A local-proxy sends no records: it forgets the stewards that the answer
+// none, or if the peer is of an earlier version, which has no sums. A local proxy sends no records: it forgets the stewards that the answer
 // lacks or has with an older record.
 func (t *Table) HandleAnswer(from Member, answer *wire.MembersAnswer) *wire.MembersCall {
 	for _, member := range answer.Members {
--- a/internal/cluster/membership/datagrams.go
+++ b/internal/cluster/membership/datagrams.go
@@ -54,7 +54,7 @@
 	t.PublishIfChanged()
 }
 
-// recordContact records that a peer has sent a message, which proves that the peer is alive and counts as an answer to a local-proxy's ping.
+// recordContact records that a peer has sent a message, which proves that the peer is alive and counts as an answer to a local proxy's ping.
 func (t *Table) recordContact(from Member) {
 	if isLeaf(from) {
 		t.trackLeaf(from)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// send adds the record of this process, its digest and recent changes to a datagram, and sends it. A local-proxy gets the records of new
+// send adds the record of this process, its digest and recent changes to a datagram, and sends it. A local proxy gets the records of new
 // leaders and its ping pause in place of the changes.
 func (t *Table) send(to Member, datagram wire.Datagram) {
 	leaders := datagram.Digest.Leaders
@@ -114,7 +114,7 @@
 }
 
 // Broadcast sends recent changes to a few random members without waiting for the next probe. If leaders have changed, it sends to more
-// members, and to all attached local-proxies.
+// members, and to all attached local proxies.
 func (t *Table) Broadcast() {
 	if len(t.recentLeaders) == 0 {
 		t.sendUpdates(t.timing.Fanout)
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -25,7 +25,7 @@
 // announceDigest sends an update, whose digest has the configuration version and the evacuations, to twice Timing.Fanout random members.
 func (t *Table) announceDigest() { t.sendUpdates(2 * t.timing.Fanout) }
 
-// sumsFor returns the sums to exchange with a process of a role. If either side is a local-proxy, they cover stewards only.
+// sumsFor returns the sums to exchange with a process of a role. If either side is a local proxy, they cover stewards only.
 func (t *Table) sumsFor(role string) *sums {
 	if isLeaf(t.self) || role == RoleLocalProxy {
 		return &t.stewardSums
@@ -55,8 +55,8 @@
 }
 
 // startComparisonIfDue starts a comparison of lists with a peer if the sums of its digest differ from those of this table. A peer of an
-// earlier version has no sums, and a local-proxy compares on its own side. Leaders are compared only if they are too many for a
-// datagram (see leadersMissingAt). While the members differ, a local-proxy pings at the default rate.
+// earlier version has no sums, and a local proxy compares on its own side. Leaders are compared only if they are too many for a
+// datagram (see leadersMissingAt). While the members differ, a local proxy pings at the default rate.
 func (t *Table) startComparisonIfDue(from Member, digest wire.Digest) {
 	if isLeaf(from) {
 		return
--- a/internal/cluster/membership/evacuations.go
+++ b/internal/cluster/membership/evacuations.go
@@ -34,7 +34,7 @@
 // to its executors. Any goroutine may call it.
 func (n *Node) IsEvacuated(zone string) bool { return n.View().Evacuations.Has(zone) }
 
-// mergeEvacuations replaces the known list by a newer one, and announces it unless this process is a local-proxy. Each datagram carries the
+// mergeEvacuations replaces the known list by a newer one, and announces it unless this process is a local proxy. Each datagram carries the
 // newest list, so that a process that missed the announcement gets the list with the next probe.
 func (t *Table) mergeEvacuations(evacuations *wire.Evacuations) {
 	if !evacuations.IsNewerThan(t.evacuations) {
--- a/internal/cluster/membership/leaders.go
+++ b/internal/cluster/membership/leaders.go
@@ -73,7 +73,7 @@
 	return isBroadcastDue
 }
 
-// recordsOfLeaders returns the records of leaders, at most maxUpdates and each once, so that a local-proxy can call a new leader without
+// recordsOfLeaders returns the records of leaders, at most maxUpdates and each once, so that a local proxy can call a new leader without
 // looking up its address first.
 func (t *Table) recordsOfLeaders(leaders []wire.KeyLeader) []Member {
 	var members []Member
--- a/internal/cluster/membership/leaves.go
+++ b/internal/cluster/membership/leaves.go
@@ -12,9 +12,9 @@
 const (
 	// leafTicks is the number of ticks between two searches for leaves that have stopped pinging.
 	leafTicks = 16
-	// attachedStewards is the number of stewards that a local-proxy pings.
+	// attachedStewards is the number of stewards that a local proxy pings.
 	attachedStewards = 3
-	// maxLeaves is the maximum number of local-proxies that a steward pushes changes to.
+	// maxLeaves is the maximum number of local proxies that a steward pushes changes to.
 	maxLeaves = 4096
 	// leavesAtDefaultRate is the number of leaves up to which each pings once per Timing.LeafPingInterval. If there are more, the interval
 	// grows in proportion, so that the steward gets no more pings in all.
@@ -22,10 +22,10 @@
 	maxPingPause        = 20 * time.Second
 )
 
-// leafServer holds, at a steward, the local-proxies that ping it, by the result of Name.
+// leafServer holds, at a steward, the local proxies that ping it, by the result of Name.
 type leafServer struct{ leaves map[string]leaf }
 
-// leafClient is the state of the pings of a local-proxy to stewards.
+// leafClient is the state of the pings of a local proxy to stewards.
 type leafClient struct {
 	// attached holds the stewards that are pinged in turn. pingCount counts the pings.
 	attached  []Member
@@ -40,7 +40,7 @@
 	isIsolated  bool
 }
 
-// leaf is a local-proxy that pings this steward, and the time of its last ping.
+// leaf is a local proxy that pings this steward, and the time of its last ping.
 type leaf struct {
 	member        Member
 	lastContactAt time.Duration
@@ -48,7 +48,7 @@
 
 func isLeaf(member Member) bool { return member.Role == RoleLocalProxy }
 
-// trackLeaf records the ping of a local-proxy. Only stewards do so, for up to maxLeaves of them.
+// trackLeaf records the ping of a local proxy. Only stewards do so, for up to maxLeaves of them.
 func (t *Table) trackLeaf(member Member) {
 	if t.self.Role != RoleSteward {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// attach chooses the stewards that a local-proxy pings: first one of its own zone if there is any, and others by rendezvous hashing.
+// attach chooses the stewards that a local proxy pings: first one of its own zone if there is any, and others by rendezvous hashing.
 func (t *Table) attach() {
 	isGone := func(steward Member) bool { return steward.State == wire.StateGone }
 	candidates := slices.DeleteFunc(slices.Clone(t.stewards.members), isGone)
@@ -110,7 +110,7 @@
 	t.pingPause = min(max(clock.Milliseconds(pauseMs), t.timing.LeafPingInterval), maxPingPause)
 }
 
-// tickLeaf does the periodic work of a local-proxy. It pings the attached stewards in turn. If a ping is not answered within
+// tickLeaf does the periodic work of a local proxy. It pings the attached stewards in turn. If a ping is not answered within
 // Timing.AckTimeout, it pings a random steward next.
 func (t *Table) tickLeaf(now time.Duration) {
 	isUnanswered := !t.isPingAnswered && now-t.pingedAt >= t.timing.AckTimeout
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -12,7 +12,7 @@
 	"gannetline/internal/platform/clock"
 )
 
-// membersOf describes the listed members of a view other than local-proxies, for comparisons of views.
+// membersOf describes the listed members of a view other than local proxies, for comparisons of views.
 func membersOf(view *membership.View) string {
 	text := ""
 	for _, member := range view.Members {
@@ -192,7 +192,7 @@
 		}
 	})
 
-	It("lists no local-proxies, and a local-proxy switches to another steward if its own ones are silent", func() {
+	It("lists no local proxies, and a local proxy switches to another steward if its own ones are silent", func() {
 		n := newNetwork(19)
 		n.addProcesses(4, 2, 5)
 		n.introduceAll()
@@ -290,7 +290,7 @@
 })
 
 var _ = Describe("one table", func() {
-	It("merges the updates of a peer of an earlier version without a comparison, and ignores local-proxies in them", func() {
+	It("merges the updates of a peer of an earlier version without a comparison, and ignores local proxies in them", func() {
 		clock := clock.NewFake(1)
 		table, sent, comparisons := newLoneTable(gate(0), clock)
 		proxy := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 1}
@@ -330,7 +330,7 @@
 		Expect(table.NewComparisonCall().Buckets).To(Equal(empty))
 	})
 
-	It("sends a local-proxy the address of a key's new leader, and starts no comparison with it", func() {
+	It("sends a local proxy the address of a key's new leader, and starts no comparison with it", func() {
 		clock := clock.NewFake(1)
 		table, sent, comparisons := newLoneTable(steward(0), clock)
 		proxy := wire.Member{Name: "side-1", Role: "local-proxy", Address: "10.0.0.4:1", Incarnation: 5}
@@ -370,7 +370,7 @@
 		Expect(pushes(40*time.Second, 3)).To(BeZero())
 	})
 
-	It("of a local-proxy pings at the interval that the steward sets", func() {
+	It("of a local proxy pings at the interval that the steward sets", func() {
 		clock := clock.NewFake(1)
 		pings, isIsolated := 0, false
 		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
@@ -388,7 +388,7 @@
 		Expect(isIsolated).To(BeFalse())
 	})
 
-	It("of a local-proxy compares lists at once after its start, and pings at the default rate while lists differ", func() {
+	It("of a local proxy compares lists at once after its start, and pings at the default rate while lists differ", func() {
 		clock := clock.NewFake(1)
 		proxy, sent, comparisons := newLoneTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock)
 		proxy.Merge(steward(0))
@@ -430,7 +430,7 @@
 		Expect(*sent).To(HaveLen(before + 1))
 	})
 
-	It("of a local-proxy is not isolated after a freeze of its own process, and pings at once", func() {
+	It("of a local proxy is not isolated after a freeze of its own process, and pings at once", func() {
 		clock := clock.NewFake(1)
 		pings, isIsolated := 0, false
 		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy"}, clock, membership.DefaultTiming, 1,
@@ -445,7 +445,7 @@
 		Expect(isIsolated).To(BeFalse())
 	})
 
-	It("of a local-proxy pings three stewards, one of them in its own zone", func() {
+	It("of a local proxy pings three stewards, one of them in its own zone", func() {
 		clock := clock.NewFake(1)
 		pinged := map[string]bool{}
 		proxy := membership.NewTable(wire.Member{Name: "side-1", Role: "local-proxy", Domain: "here"}, clock, membership.DefaultTiming, 1,
@@ -469,7 +469,7 @@
 		Expect(pinged).To(HaveKey(steward(27).Address))
 	})
 
-	It("sends a local-proxy stewards only, and the local-proxy drops stewards that the answer lacks", func() {
+	It("sends a local proxy stewards only, and the local proxy drops stewards that the answer lacks", func() {
 		answering, _, _ := newLoneTable(steward(0), clock.NewFake(1))
 		for number := range 60 {
 			answering.Merge(gate(number))
--- a/internal/cluster/membership/node.go
+++ b/internal/cluster/membership/node.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// join compares lists with the peers at joinAddresses while the view has no live steward. A local-proxy also does so while it is isolated,
+// join compares lists with the peers at joinAddresses while the view has no live steward. A local proxy also does so while it is isolated,
 // and every other process once in roundsPerSeedComparison rounds.
 func (n *Node) join(ctx context.Context) {
 	for round := 0; ; round++ {
--- a/internal/cluster/membership/records.go
+++ b/internal/cluster/membership/records.go
@@ -16,7 +16,7 @@
 	// bucket is the index of its sum in memberList.sums.
 	bucket int
 	// hash is its part of memberList.sums, incarnationHash that of memberList.stewardSums. The latter treats a suspect member as alive, as
-	// local-proxies do. Both are 0 once the member is gone.
+	// local proxies do. Both are 0 once the member is gone.
 	hash            uint32
 	incarnationHash uint32
 	// since is when the member entered its current incarnation or state, or when a freeze of this process ended after that.
@@ -30,7 +30,7 @@
 	return a.Incarnation > b.Incarnation || a.Incarnation == b.Incarnation && a.State > b.State
 }
 
-// shouldList reports whether this table lists a member. A local-proxy lists only stewards, and all other processes list no local-proxies.
+// shouldList reports whether this table lists a member. A local proxy lists only stewards, and all other processes list no local proxies.
 func (t *Table) shouldList(member Member) bool {
 	if isLeaf(t.self) {
 		return member.Role == RoleSteward
@@ -39,7 +39,7 @@
 }
 
 // Merge adds or updates the record of one member, and reports whether that changed the table. A record of this process itself is refuted if
-// it is wrong, and the result is then false. A local-proxy treats suspect stewards as alive.
+// it is wrong, and the result is then false. A local proxy treats suspect stewards as alive.
 func (t *Table) Merge(member Member) bool {
 	name := Name(member)
 	if name == Name(t.self) {
@@ -208,7 +208,7 @@
 	return all
 }
 
-// each visits all records in the order of their names. The record of this process is included unless it is a local-proxy.
+// each visits all records in the order of their names. The record of this process is included unless it is a local proxy.
 func (t *Table) each(visit func(*record)) {
 	for _, member := range t.members.members {
 		switch name := Name(member); {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -79,7 +79,7 @@
 	unhealthy map[string]*record
 	members   sortedList
 	stewards  sortedList
-	// sums covers all members except local-proxies. stewardSums covers the stewards, for comparisons with local-proxies.
+	// sums covers all members except local proxies. stewardSums covers the stewards, for comparisons with local proxies.
 	sums        sums
 	stewardSums sums
 	// changedAt is when a record was last written or forgotten.
@@ -155,7 +155,7 @@
 	t.PublishIfChanged()
 }
 
-// tickMember does the periodic work of all processes except local-proxies.
+// tickMember does the periodic work of all processes except local proxies.
 func (t *Table) tickMember(now time.Duration) {
 	t.checkProbes(now)
 	t.ageRecords(now)
--- a/internal/cluster/membership/timing.go
+++ b/internal/cluster/membership/timing.go
@@ -15,10 +15,10 @@
 	// Fanout is the number of members that a broadcast of changes is sent to. LeaderFanout is that number if a key has a new leader.
 	Fanout       int
 	LeaderFanout int
-	// LeafPingInterval is the time between two pings of a local-proxy. A steward pushes changes to it for LeafTimeout after each ping.
+	// LeafPingInterval is the time between two pings of a local proxy. A steward pushes changes to it for LeafTimeout after each ping.
 	LeafPingInterval time.Duration
 	LeafTimeout      time.Duration
-	// IsolatedAfter is the time without an answer after which a local-proxy is isolated (View.IsIsolated).
+	// IsolatedAfter is the time without an answer after which a local proxy is isolated (View.IsIsolated).
 	IsolatedAfter time.Duration
 }
 
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -8,14 +8,14 @@
 )
 
 // View is an immutable snapshot of a Table for the rest of the process. Members and Stewards are sorted by name. In the view of a
-// local-proxy, Members holds itself and the stewards. No other process lists local-proxies.
+// local proxy, Members holds itself and the stewards. No other process lists local proxies.
 type View struct {
 	Self     Member
 	Members  []Member
 	Stewards []Member
 	// Leaders holds the leader of each key, by key.
 	Leaders map[string]wire.KeyLeader
-	// IsIsolated is set at a local-proxy if no steward has answered it for Timing.IsolatedAfter.
+	// IsIsolated is set at a local proxy if no steward has answered it for Timing.IsolatedAfter.
 	IsIsolated bool
 	// Evacuations lists the zones that nothing new may be sent to. It is nil if this process never received a list.
 	Evacuations *wire.Evacuations
--- a/internal/cluster/peerapi/wire/client.go
+++ b/internal/cluster/peerapi/wire/client.go
@@ -11,7 +11,7 @@
 type Verb string
 
 // The verbs. Those of clients go to the key of a pool, those of operators to the key of the configuration, and those of pools to the key of
-// a partition of the tenants' count.
+// a partition of the tenant count.
 const (
 	// VerbSubmit submits a job under an ID that the client has chosen.
 	VerbSubmit Verb = "hand-in"
@@ -27,9 +27,9 @@
 	VerbCancel Verb = "cancel"
 	// VerbCount asks how many jobs of a route are waiting.
 	VerbCount Verb = "count"
-	// VerbGrant asks a partition of the tenants' count for allowances. The body is a GrantCall.
+	// VerbGrant asks a partition of the tenant count for allowances. The body is a GrantCall.
 	VerbGrant Verb = "grant"
-	// VerbTenants asks a pool or a partition of the tenants' count for its TenantCountReport.
+	// VerbTenants asks a pool or a partition of the tenant count for its TenantCountReport.
 	VerbTenants Verb = "tenants"
 	// VerbReplace replaces the configuration. Base is the version that has to be in force, 0 before the first, and the body is the new text.
 	VerbReplace Verb = "replace"
@@ -118,7 +118,8 @@
 	Body           easyjson.RawMessage `json:"body,omitempty"`
 	// MovedTo is the service whose pool a job was transferred to. The Status then says that this pool does not have the job.
 	MovedTo string `json:"moved,omitempty"`
-	// WallMs is the time of day that the voters agree on, in milliseconds since 1970. It accompanies the configuration in force.
+	// WallMs is the median of the clocks of the leader and its followers, in milliseconds since 1970. It accompanies the configuration in
+	// force.
 	WallMs int64 `json:"wall,omitempty"`
 	// Current is the version in force. It is set if a configuration is refused because its base is another version.
 	Current int64 `json:"current,omitempty"`
--- a/internal/cluster/peerapi/wire/configuration.go
+++ b/internal/cluster/peerapi/wire/configuration.go
@@ -16,7 +16,7 @@
 	Offset        int    `json:"offset,omitempty"`
 }
 
-// ConfigurationAnswer holds the full configuration, a chunk of its image, or the changes from the held version to it. It holds none of them
+// ConfigurationAnswer holds the full configuration, a chunk of its image, or in Changes the deltas from the held version to it. It holds none of them
 // if the peer has nothing newer.
 type ConfigurationAnswer struct {
 	Full    *Configuration        `json:"fact,omitempty"`
--- a/internal/cluster/peerapi/wire/grants.go
+++ b/internal/cluster/peerapi/wire/grants.go
@@ -2,7 +2,7 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all grants.go
 
-// GrantCall is a call of the leader of a pool to the leader of a partition of the tenants' count. It asks for allowances of some tenants. A
+// GrantCall is a call of the leader of a pool to the leader of a partition of the tenant count. It asks for allowances of some tenants. A
 // call without tenants only asks which allowances the pool should give back.
 type GrantCall struct {
 	// Asker is the key of the pool, Epoch the epoch of its leader, and Number rises with each call of that leader.
@@ -42,7 +42,7 @@
 	IsSettled bool `json:"settled,omitempty"`
 }
 
-// TenantsCall asks a steward for reports of the tenants in the pools and partitions of the tenants' count that it leads.
+// TenantsCall asks a steward for reports of the tenants in the pools and partitions of the tenant count that it leads.
 type TenantsCall struct{}
 
 // TenantsAnswer holds a report of each such key that the steward leads.
@@ -50,14 +50,14 @@
 	Reports []TenantCountReport `json:"reports,omitempty"`
 }
 
-// TenantCountReport describes the tenants of a pool, or of a partition of the tenants' count, for operators.
+// TenantCountReport describes the tenants of a pool, or of a partition of the tenant count, for operators.
 type TenantCountReport struct {
 	Key     string        `json:"key"`
 	Version int64         `json:"version,omitempty"`
 	Tenants []TenantUsage `json:"tenants"`
 }
 
-// TenantUsage is the row of one tenant. A partition of the tenants' count fills in Limit and Grants, a pool the other fields. Surplus counts
+// TenantUsage is the row of one tenant. A partition of the tenant count fills in Limit and Grants, a pool the other fields. Surplus counts
 // the open jobs that were submitted above the tenant's rate, which is Weight in jobs per second. Share is the fraction of the pool's capacity,
 // from 0 to 1, that the tenant is entitled to when all of it is in use; it is 0 for a tenant without work. Allowance is the amount that the
 // tenant's runs may use in the pool.
--- a/internal/cluster/tenantview/tenantview.go
+++ b/internal/cluster/tenantview/tenantview.go
@@ -1,4 +1,4 @@
-// Package tenantview merges the reports of pools and of the partitions of the tenants' count into one row for each tenant, for operators.
+// Package tenantview merges the reports of pools and of the partitions of the tenant count into one row for each tenant, for operators.
 package tenantview
 
 import (
