--- a/internal/control/coordination/locks.go
+++ b/internal/control/coordination/locks.go
@@ -22,8 +22,9 @@
 // lock is a lock that is held, or one that has expired and was not acquired again since.
 type lock struct {
 	holder string
-	// firstFence and fence are the first and the last fencing token that the holder got without a release in between. Any of them
-	// renews the lock. Only the last one releases it, since a late release must not end a hold that was acquired after it.
+	// firstFence and fence are the first and the last fencing token that the holder got without a release or an expiry in between. The
+	// holder can renew the lock with any token from firstFence to fence. Only fence releases it, since a late release must not end a hold
+	// that was acquired after it.
 	firstFence, fence uint64
 	// longestHold is the longest hold time that the holder requested under these tokens. It is stored in the lock's record. A new leader
 	// keeps the lock for at least this time from its takeover, and it takes over after every call that this leader has answered.
--- a/internal/control/coordination/records.go
+++ b/internal/control/coordination/records.go
@@ -30,7 +30,7 @@
 // lockRecord stores a lock and its holder. The expiry is not stored: the hold time restarts when a leader takes over the key.
 type lockRecord struct {
 	Holder string `json:"holder"`
-	// First and Fence are the first and the last fencing token that the holder got without a release in between.
+	// First and Fence are the first and the last fencing token that the holder got without a release or an expiry in between.
 	First uint64 `json:"first"`
 	Fence uint64 `json:"fence"`
 	// HoldMs is the longest hold time that the holder requested, in milliseconds.
--- a/internal/control/lots/clients.go
+++ b/internal/control/lots/clients.go
@@ -102,7 +102,7 @@
 	return submitted, nil
 }
 
-// newLot returns a lot that is not committed yet. Its acceptance time is the time of day that the voters agree on.
+// newLot returns a lot that is not committed yet. Its acceptance time is the median of the clocks of the leader and its followers.
 func (p *Part) newLot(call *wire.ClientCall, submitted *submission) *lot {
 	created := &lot{id: call.ID, record: lotRecord{Route: call.Route, Tenant: call.Tenant, AcceptedMs: p.leadership.WallMs()}}
 	for index, input := range submitted.Items {
--- a/internal/control/replication/election.go
+++ b/internal/control/replication/election.go
@@ -27,8 +27,8 @@
 	// fetchedChunks holds the chunks of the most up-to-date state that have been received. They are kept across campaigns, until another
 	// disk holds the lease.
 	fetchedChunks chunkBuffer
-	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which needs no transfer. It is reset when another disk
-	// holds the lease.
+	// hasYielded is set if this candidate has yielded to a more up-to-date voter, which can lead without fetching a snapshot. It is reset
+	// when another disk holds the lease.
 	hasYielded bool
 }
 
@@ -183,11 +183,11 @@
 // backOff ends a campaign. The next one starts no earlier than after Timing.Stagger plus a jitter that differs from disk to disk.
 func (e *Engine) backOff() {
 	e.phase = phaseIdle
-	jitter := fnv.New32a()
-	jitter.Write([]byte{byte(e.generation), byte(e.campaignState.highestEpochSeen)})
-	jitter.Write([]byte(e.disk))
-	pause := time.Duration(jitter.Sum32()%uint32(maxBackOffJitter/time.Millisecond)) * time.Millisecond
-	e.campaignState.nextAt = e.clock.Monotonic() + e.timing.Stagger + pause
+	hash := fnv.New32a()
+	hash.Write([]byte{byte(e.generation), byte(e.campaignState.highestEpochSeen)})
+	hash.Write([]byte(e.disk))
+	jitter := time.Duration(hash.Sum32()%uint32(maxBackOffJitter/time.Millisecond)) * time.Millisecond
+	e.campaignState.nextAt = e.clock.Monotonic() + e.timing.Stagger + jitter
 }
 
 // latestGranted returns the most up-to-date state among the granted promises, and prefers the local disk if several are equal.
--- a/internal/control/replication/engine.go
+++ b/internal/control/replication/engine.go
@@ -1,14 +1,14 @@
-// Package replication elects one leader at a time for each key and replicates the key's changes to a majority of its voters.
+// Package replication elects one leader at a time for each key and replicates the key's changes to a quorum of its voters.
 // The protocol is close to Raft, with these differences:
 //
 //   - A voter is a disk with a random name, not an address. A wiped disk gets a new name, so it can't vote in place of the old one.
 //   - An epoch is what Raft calls a term. A vote is a promise, synced before it is sent, to follow no leader of a lower epoch.
-//   - A candidate may win without the most up-to-date state. It then fetches that state from the voter that holds it before it leads.
+//   - A candidate may win without the most up-to-date state. It then fetches that state from the voter that has it before it leads.
 //   - A leader serves reads under a lease: voters that have answered it grant no other disk a promise for Timing.Lease.
 //   - Followers that lag too far behind get a snapshot in chunks. New disks are learners until they have caught up.
 //
 // Engine runs the protocol for one key; it has no goroutine, socket or clock of its own. Replicas is the table of one disk's
-// replicas: their state, promises and granted leases. Package quorum evaluates majorities. Time comes from clock.Clock, calls
+// replicas: their state, promises and granted leases. Package quorum evaluates quorums. Time comes from clock.Clock, calls
 // go through Transport, and a StateMachine is open on the key while this engine leads it.
 package replication
 
--- a/internal/control/replication/fetch.go
+++ b/internal/control/replication/fetch.go
@@ -7,13 +7,13 @@
 	"gannetline/internal/control/replication/quorum"
 )
 
-// fetchTask is a candidate's transfer of the most up-to-date state from the voter that holds it.
+// fetchTask describes a candidate's fetch of the most up-to-date state from the voter that has it.
 type fetchTask struct {
-	// source is the promise of the voter that holds the most up-to-date state.
+	// source is the promise of the voter that has the most up-to-date state.
 	source wire.PromiseAnswer
 	// from is the position of the local disk.
 	from wire.LogPosition
-	// failures counts consecutive calls that returned nothing new.
+	// failures counts consecutive calls that failed or returned nothing new.
 	failures int
 }
 
@@ -34,8 +34,8 @@
 }
 
 // renewCandidateLease asks all voters for a lease while the candidate fetches the few changes that it lacks. It is called at the
-// start of the fetch and whenever changes arrive. A source that sends nothing, or the transfer of a snapshot, thus blocks other
-// candidates for at most one lease.
+// start of the fetch and whenever changes arrive, but not for the chunks of a snapshot. A source that sends nothing, or a snapshot that
+// takes long, thus blocks other candidates for at most one lease.
 func (e *Engine) renewCandidateLease() {
 	for _, disk := range quorum.Disks(e.voters.set) {
 		e.renewLease(e.followerOf(disk))
@@ -119,7 +119,7 @@
 	}
 }
 
-// yieldToSource lets the voter with the most up-to-date state lead, as it needs no transfer. The candidate campaigns again one
+// yieldToSource lets the voter with the most up-to-date state lead, as it has to fetch nothing. The candidate campaigns again one
 // lease later, and then fetches the state if there is still no leader.
 func (e *Engine) yieldToSource(fetch *fetchTask) {
 	e.campaignState.hasYielded = true
--- a/internal/node/localproxy/delivery.go
+++ b/internal/node/localproxy/delivery.go
@@ -16,8 +16,8 @@
 	isDue bool
 }
 
-// deliverOrder sends one order to the executor and retries it if it is not answered, with maxOrderAttempts attempts in total. A start
-// whose connection was refused is not retried.
+// deliverOrder sends one order to the executor and retries it if it is not answered, with maxOrderAttempts attempts in total. A
+// launch order whose connection was refused is not retried.
 func (p *Proxy) deliverOrder(ctx context.Context, executor string, order wire.Order) {
 	p.orderSlots <- struct{}{}
 	defer func() { <-p.orderSlots }()
@@ -60,7 +60,7 @@
 	return peerapi.NeverSent(err) && !(stderrors.As(err, &timeout) && timeout.Timeout())
 }
 
-// send sends an order to start or stop a run to the executor.
+// send sends a launch or stop order to the executor.
 func (p *Proxy) send(ctx context.Context, work OrderWork) (int, executorapi.Answer, error) {
 	order := work.Order
 	if order.Kind == wire.OrderLaunch {
--- a/internal/node/localproxy/evacuation.go
+++ b/internal/node/localproxy/evacuation.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// maxEvacuationGrace is the longest grace period, in which starts are still carried out after this process was informed of an
-	// evacuation. Gangs and other jobs that were placed before the evacuation can then complete their start.
+	// maxEvacuationGrace is the longest grace period, in which launch orders are still carried out after this process was informed of an
+	// evacuation. Gangs and other jobs that were placed before the evacuation can then complete their launch.
 	maxEvacuationGrace = 2 * time.Second
 	// evacuationGraceShare is the grace period as a share of the time until an evacuation must be in force. The rest of that time is for
 	// the evacuation order to reach all nodes.
@@ -25,8 +25,8 @@
 // noEvacuation reports that no evacuation is ordered.
 func noEvacuation() (time.Duration, bool) { return 0, false }
 
-// isEvacuated reports whether an evacuation is ordered and its grace period is over. Starts are then refused, also those that were placed
-// before the evacuation.
+// isEvacuated reports whether an evacuation is ordered and its grace period is over. Launch orders are then refused, also those of runs that
+// were placed before the evacuation.
 func (t *Table) isEvacuated() bool {
 	since, isOrdered := t.evacuation()
 	return isOrdered && t.now()-since >= t.evacuationGrace
--- a/internal/node/localproxy/executorclock.go
+++ b/internal/node/localproxy/executorclock.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// expiryForOrder returns the lease expiry for the runs that an answer of the leader orders to start, in milliseconds of the executor's
+// expiryForOrder returns the lease expiry for the runs that an answer of the leader orders to launch, in milliseconds of the executor's
 // clock: by the grant in the same answer, or by earlier grants if the answer has none. A later grant does not extend it, as the leader may
 // have given up the run in between.
 func (e *executorState) expiryForOrder(askedAt time.Duration, grantMs int64) int64 {
--- a/internal/node/localproxy/executorstate.go
+++ b/internal/node/localproxy/executorstate.go
@@ -81,8 +81,8 @@
 	// yet.
 	ordersInFlight map[orderKey]inFlightOrder
 	answers        []pendingAnswer
-	// uncertainRuns are the runs with an unanswered order, whose start may still be carried out. Once there are more than
-	// maxUncertainRuns, areAllUncertain is set for good, and every run counts as uncertain.
+	// uncertainRuns are the runs with an unanswered order. Such a run may still be launched. Once there are more than maxUncertainRuns,
+	// areAllUncertain is set for good, and every run counts as uncertain.
 	uncertainRuns   map[runKey]bool
 	areAllUncertain bool
 }
--- a/internal/node/localproxy/orders.go
+++ b/internal/node/localproxy/orders.go
@@ -7,8 +7,8 @@
 const (
 	// maxUncertainRuns is how many uncertain runs are remembered individually.
 	maxUncertainRuns = 10000
-	// startMarginMs is the least remaining lease with which a run is started, in milliseconds.
-	startMarginMs = 400
+	// launchMarginMs is the least remaining lease with which a launch order is sent, in milliseconds.
+	launchMarginMs = 400
 )
 
 type orderKey struct {
@@ -84,10 +84,10 @@
 	if isInFlight {
 		work.ExpiryMs = min(work.ExpiryMs, inFlight.grantExpiryMs)
 	}
-	return work, t.isStartReady(current, work)
+	return work, t.isLaunchReady(current, work)
 }
 
-// isStopReady reports whether a stop may be sent. A stop is dropped while the executor is unresponsive; the leader repeats it.
+// isStopReady reports whether a stop order may be sent. It is dropped while the executor is unresponsive, and the leader repeats it.
 func (t *Table) isStopReady(current *executorState, order wire.Order) bool {
 	if t.isUnresponsive(current) {
 		delete(current.ordersInFlight, keyOf(order))
@@ -96,15 +96,15 @@
 	return true
 }
 
-// isStartReady reports whether a start may be sent. A start with too little remaining lease is dropped, and the leader repeats it. If a
-// start may not be sent for another reason, the leader gets a result.
-func (t *Table) isStartReady(current *executorState, work OrderWork) bool {
+// isLaunchReady reports whether a launch order may be sent. With too little remaining lease it is dropped, and the leader repeats it. If it
+// may not be sent for another reason, a result is queued for the leader.
+func (t *Table) isLaunchReady(current *executorState, work OrderWork) bool {
 	switch {
 	case current.isDraining || t.isEvacuated():
 		t.HandleOrderResult(work, wire.ResultNotRun)
 	case t.isUnresponsive(current):
 		t.HandleOrderResult(work, current.resultWhileUnresponsive(work.Order))
-	case work.ExpiryMs < current.clock.minReadingAt(t.now())+startMarginMs:
+	case work.ExpiryMs < current.clock.minReadingAt(t.now())+launchMarginMs:
 		delete(current.ordersInFlight, keyOf(work.Order))
 	default:
 		return true
@@ -121,9 +121,9 @@
 	}
 }
 
-// resultWhileUnresponsive returns the result of a start while the executor is unresponsive. A start that may have reached the
-// executor is reported as timed out, so that the leader repeats it: an answer to the repeated start settles the outcome sooner than a
-// stop.
+// resultWhileUnresponsive returns the result of a launch order while the executor is unresponsive. An order that may have reached the
+// executor is reported as timed out, so that the leader repeats it: an answer to the repeated launch order settles the outcome sooner than
+// a stop order.
 func (e *executorState) resultWhileUnresponsive(order wire.Order) wire.OrderResult {
 	if e.isUncertain(runOf(order)) {
 		return wire.ResultTimeout
@@ -131,8 +131,8 @@
 	return wire.ResultUnhealthy
 }
 
-// isUncertain reports whether an unanswered start of the run may still be carried out. A start or stop that was carried out ends the
-// uncertainty, unless areAllUncertain is set: after a stop the executor refuses to start the run.
+// isUncertain reports whether an unanswered launch order of the run may still be carried out. An answer that a launch or stop order was
+// carried out ends the uncertainty, unless areAllUncertain is set: after a stop order the executor refuses to launch the run.
 func (e *executorState) isUncertain(run runKey) bool {
 	return e.uncertainRuns[run] || e.areAllUncertain
 }
@@ -152,8 +152,8 @@
 	t.recordLostAnswer(known)
 }
 
-// HandleOrderResult queues the result of an order for the leader. A refused start of an uncertain run is reported as uncertain, as an
-// earlier attempt may still be carried out.
+// HandleOrderResult queues the result of an order for the leader. A refused launch order of an uncertain run is reported as uncertain, as
+// an earlier attempt may still be carried out.
 func (t *Table) HandleOrderResult(work OrderWork, result wire.OrderResult) {
 	known := t.find(work.Executor)
 	if known == nil {
--- a/internal/node/localproxy/proxy.go
+++ b/internal/node/localproxy/proxy.go
@@ -68,7 +68,7 @@
 	return proxy
 }
 
-// signal sends a signal without blocking. If an earlier signal was not received yet, that one stands for both.
+// signal sends a signal without blocking. If an earlier signal was not received yet, the receiver gets only that one.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/node/localproxy/table.go
+++ b/internal/node/localproxy/table.go
@@ -39,7 +39,7 @@
 	session uint64
 	// evacuation reports whether an evacuation of the zone is ordered, and when this process was informed of it, on the table's clock.
 	evacuation func() (since time.Duration, isOrdered bool)
-	// evacuationGrace is how long after that time starts are still carried out.
+	// evacuationGrace is how long after that time launch orders are still carried out.
 	evacuationGrace time.Duration
 }
 
--- a/internal/scheduling/scheduler/clients.go
+++ b/internal/scheduling/scheduler/clients.go
@@ -110,7 +110,7 @@
 	})
 }
 
-// answerUnderLease computes and sends a response once all changes up to now are committed. It then checks the leader lease, and without
+// answerUnderLease computes and sends a response once all changes up to now are committed. It then checks the lease on the key, and without
 // a valid lease it answers that this process isn't the leader.
 func (p *Pool) answerUnderLease(answer answerClient, response func() wire.ClientAnswer) {
 	p.afterCommit(func(err error) {
--- a/internal/scheduling/scheduler/count_test.go
+++ b/internal/scheduling/scheduler/count_test.go
@@ -29,8 +29,7 @@
 	terms := wire.RouteTerms{MaxAttempts: 3, Stretch: 2, TargetMs: 1000}
 	id := func(number int) string { return fmt.Sprintf("%016x", number) }
 
-	// Rule MIXED requires that the count on a machine that is connected to its peers is at least half of the accepted jobs that have not
-	// started.
+	// A machine that is connected to its peers must count at least half of the accepted jobs that have not started.
 	It("counts accepted jobs without a started task, also under the next leader", func() {
 		f := newFleet(timing)
 		for number := range 5 {
--- a/internal/scheduling/scheduler/lasting_test.go
+++ b/internal/scheduling/scheduler/lasting_test.go
@@ -38,8 +38,8 @@
 }
 
 var _ = Describe("long-running tasks", func() {
-	// Rule LOST requires that a task for which there is capacity runs again within 6 s of the end of its last run, however busy the service
-	// is. A task would wait longer if the capacity reserved for urgent jobs, or other running tasks of its step, kept it from starting.
+	// A task for which there is capacity must run again within 6 s of the end of its last run, however busy the service is. It would wait
+	// longer if the capacity reserved for urgent jobs, or other running tasks of its step, kept it from starting.
 	It("are restarted soon although free capacity is reserved for urgent jobs and other tasks of the step run", func() {
 		for _, tasks := range []int{10, 20, 30} {
 			c := newSimulatedFleet(1)
--- a/internal/scheduling/scheduler/load.go
+++ b/internal/scheduling/scheduler/load.go
@@ -257,14 +257,14 @@
 	if len(pairs) == 0 {
 		return
 	}
-	waiting := map[string]bool{}
+	pendingOrders := map[string]bool{}
 	for run := range p.pendingRuns {
 		for _, kind := range []wire.OrderKind{wire.OrderLaunch, wire.OrderStop} {
-			waiting[orderName(run.task, run.number, kind)] = true
+			pendingOrders[orderName(run.task, run.number, kind)] = true
 		}
 	}
 	for _, pair := range pairs {
-		if !waiting[pair.Name] {
+		if !pendingOrders[pair.Name] {
 			p.dropRecord(pair.Name)
 		}
 	}
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -30,12 +30,12 @@
 type Leadership interface {
 	// Epoch returns the epoch of this leadership. Orders carry it as their fence.
 	Epoch() uint64
-	// Commit makes a change durable on a majority and then calls done, which gets an error if the leadership is lost first. done runs on the
+	// Commit makes a change durable on a quorum and then calls done, which gets an error if the leadership is lost first. done runs on the
 	// pool's goroutine, in the order of the commits.
 	Commit(ops []wire.Op, done func(error))
-	// HasLease reports whether this process holds the leader lease, so that no other process can lead the key now.
+	// HasLease reports whether this leader's lease is valid, so that no other process can lead the key now.
 	HasLease() bool
-	// WallMs returns the time of day that the voters agree on, in milliseconds since 1970.
+	// WallMs returns the time of day in milliseconds since 1970: the median of the clocks of the followers and of this process.
 	WallMs() int64
 }
 
@@ -215,8 +215,8 @@
 	leaseMargin       = 250 * time.Millisecond
 )
 
-// extendLease extends the assumed lease of an executor by a grant that begins now. It returns false if there is no grant because the proxy
-// can't reach the executor, or because this process has no lease on the key.
+// extendLease extends the assumed lease of an executor by a grant that begins now, and reports whether it did. It grants nothing while the
+// proxy can't reach the executor or this process has no lease on the key.
 func (p *Pool) extendLease(executor *executorState, now time.Duration) bool {
 	if executor.isUnschedulable || !p.leadership.HasLease() {
 		return false
