--- a/internal/cluster/comparenodes/compare.go
+++ b/internal/cluster/comparenodes/compare.go
@@ -24,7 +24,7 @@
 // unknown stands for the value of an item that one of the nodes doesn't know.
 const unknown = "(unknown)"
 
-// Compare returns the differences between two nodes, in a fixed order. If one of them is a local-proxy, it compares only the stewards of
+// Compare returns the differences between two nodes, in a fixed order. If one of them is a local proxy, it compares only the stewards of
 // the members. It compares replicas and jobs only between nodes of the same role, and executors only if both nodes know some.
 func Compare(first, second *wire.BeliefsAnswer) []Difference {
 	var differences []Difference
@@ -37,7 +37,7 @@
 		}
 	}
 	add("plan", map[string]string{"version": strconv.FormatInt(first.ConfigVersion, 10)}, map[string]string{"version": strconv.FormatInt(second.ConfigVersion, 10)})
-	// A local-proxy knows only the stewards.
+	// A local proxy knows only the stewards.
 	isCompared := func(member wire.Member) bool {
 		hasLocalProxy := first.Role == membership.RoleLocalProxy || second.Role == membership.RoleLocalProxy
 		return !hasLocalProxy || member.Role == membership.RoleSteward
--- a/internal/cluster/comparenodes/comparenodes_test.go
+++ b/internal/cluster/comparenodes/comparenodes_test.go
@@ -24,7 +24,7 @@
 		Expect(comparenodes.Compare(node("a", 7), node("b", 7))).To(BeEmpty())
 	})
 
-	It("ignores members other than stewards if one node is a local-proxy", func() {
+	It("ignores members other than stewards if one node is a local proxy", func() {
 		proxy := node("side-1", 7)
 		proxy.Role, proxy.Members = "local-proxy", []wire.Member{{Name: "side-1", Role: "local-proxy"}}
 		Expect(comparenodes.Compare(node("a", 7), proxy)).To(BeEmpty())
--- a/internal/cluster/configcache/cache_test.go
+++ b/internal/cluster/configcache/cache_test.go
@@ -55,7 +55,7 @@
 		go cache.Run(ctx)
 	})
 
-	It("asks for the changes since its version, and for the full configuration if they don't fit", func() {
+	It("asks for the deltas since its version, and for the full configuration if they don't fit", func() {
 		cache.AdoptIfNewer(old)
 		Expect(<-inForce).To(Equal(int64(3)))
 		cache.FetchFrom(wire.Member{Address: "10.0.0.9:1"}, 5)
--- a/internal/cluster/configcache/configcache_test.go
+++ b/internal/cluster/configcache/configcache_test.go
@@ -62,7 +62,7 @@
 	return current
 }
 
-var _ = Describe("the changes in an answer", func() {
+var _ = Describe("the deltas in an answer", func() {
 	old := committedVersion(3, body(3, routes(40)...))
 	changed := func(version int64, index, timeout int) *wire.Configuration {
 		all := routes(40)
@@ -76,7 +76,7 @@
 		next.Moved = []wire.MovedRoute{{Route: "r-7", Services: []string{"s"}}}
 		answer := versionOf(old, next).AnswerTo(&wire.ConfigurationCall{HeldVersion: 3, AcceptsChanges: true})
 		Expect(answer.Full).To(BeNil())
-		GinkgoWriter.Printf("a change of one route of 40 takes %d bytes, the full configuration %d\n", encodedSize(answer), encodedSize(&wire.ConfigurationAnswer{Full: next}))
+		GinkgoWriter.Printf("the delta for one changed route of 40 takes %d bytes, the full configuration %d\n", encodedSize(answer), encodedSize(&wire.ConfigurationAnswer{Full: next}))
 		Expect(encodedSize(answer)).To(BeNumerically("<", 700))
 		applied, err := versionOf(old).Apply(decoded(answer))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/cluster/configcache/network_test.go
+++ b/internal/cluster/configcache/network_test.go
@@ -318,7 +318,7 @@
 			Expect(gate.appliedAt).To(HaveLen(2))
 			Expect(len(network.calls)).To(BeNumerically("<", 12))
 		},
-		Entry("changes that don't fit", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
+		Entry("deltas that don't fit", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
 			return &wire.ConfigurationAnswer{Changes: []*wire.ConfigurationDelta{{Base: 77, Version: 9999}}}
 		}),
 		Entry("a full configuration that can't be read", func(_ *wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
@@ -347,7 +347,7 @@
 		}),
 	)
 
-	It("exchanges full configurations with a peer that knows neither changes nor chunks", func() {
+	It("exchanges full configurations with a peer that knows neither deltas nor chunks", func() {
 		setUp(250_000)
 		newest := h.next()
 		steward.corrupt = func(*wire.ConfigurationAnswer) *wire.ConfigurationAnswer {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -3,7 +3,7 @@
 // higher incarnation. The same datagrams carry changed records, the leaders of keys, the version of the configuration and the list of
 // evacuations. They also carry digests that show whether a peer lacks something, so that only lists that differ are compared in full.
 //
-// Local-proxies are leaves of the network: no process lists or probes them. Each pings a few stewards, which push changes to it.
+// Local proxies are leaves of the network: no process lists or probes them. Each pings a few stewards, which push changes to it.
 //
 // Table holds the state, and has no goroutines or sockets. Node runs a Table on the internal port of the machine. View is the snapshot of
 // the state that the rest of the process reads.
--- a/internal/cluster/peerapi/wire/client.go
+++ b/internal/cluster/peerapi/wire/client.go
@@ -25,7 +25,7 @@
 	VerbState Verb = "state"
 	// VerbCancel cancels a job.
 	VerbCancel Verb = "cancel"
-	// VerbCount asks how many jobs of a route are waiting.
+	// VerbCount asks how many jobs of a route have not started.
 	VerbCount Verb = "count"
 	// VerbGrant asks a partition of the tenant count for allowances. The body is a GrantCall.
 	VerbGrant Verb = "grant"
--- a/internal/cluster/peerapi/wire/coordination.go
+++ b/internal/cluster/peerapi/wire/coordination.go
@@ -58,7 +58,7 @@
 // CoordinationCall asks a steward for reports of the keys with locks, numbers and cells that it leads.
 type CoordinationCall struct{}
 
-// CoordinationReports holds a report of each such key that the steward leads.
+// CoordinationReports holds a report of each key with locks, numbers and cells that the steward leads.
 type CoordinationReports struct {
 	Reports []CoordinationReport `json:"reports,omitempty"`
 	// IsOff is set if locks, numbers and cells are disabled in this process.
@@ -78,7 +78,7 @@
 }
 
 // LockReport describes a held lock: its holder and its fencing token. HeldMs is the time since it was acquired or, if that is shorter, since
-// its leader took over. RemainingMs is the time for which it is still held at least if the holder does not renew it.
+// its leader took over. RemainingMs is the time after which another holder can acquire it if its holder neither renews nor releases it.
 type LockReport struct {
 	Name        string `json:"name"`
 	Holder      string `json:"holder"`
--- a/internal/cluster/peerapi/wire/exchange.go
+++ b/internal/cluster/peerapi/wire/exchange.go
@@ -52,9 +52,10 @@
 	ResultNotRun OrderResult = "not-run"
 	// ResultNoCapacity means that the executor has no capacity for the run.
 	ResultNoCapacity OrderResult = "room"
-	// ResultUnhealthy means that the order was certainly not carried out, because the executor refuses or is absent.
+	// ResultUnhealthy means that the order was certainly not carried out, because the executor refuses it, can't be reached or is
+	// unresponsive.
 	ResultUnhealthy OrderResult = "sick"
-	// ResultUncertain means that the run may still be started.
+	// ResultUncertain means that the run may still be launched.
 	ResultUncertain OrderResult = "unsure"
 	// ResultTimeout means that the executor did not answer. The order is sent again.
 	ResultTimeout OrderResult = "timeout"
@@ -78,7 +79,7 @@
 	AgeMs  int64       `json:"g,omitempty"`
 }
 
-// ExchangeCall is the report of a local-proxy to the leader of its executor's pool, and asks for orders. Executor is the ID of the current
+// ExchangeCall is the report of a local proxy to the leader of its executor's pool, and asks for orders. Executor is the ID of the current
 // incarnation of the executor.
 //
 // The facts are Proxy, Domain, Labels, Capacity, Draining and Gone, which lists earlier incarnations that have ended. With a Session, the
@@ -113,7 +114,7 @@
 	WaitMs      int64         `json:"wait,omitempty"`
 }
 
-// Order asks a local-proxy to have its executor start or stop a run.
+// Order asks a local proxy to have its executor launch or stop a run.
 type Order struct {
 	Kind       OrderKind `json:"k"`
 	Task       string    `json:"t"`
--- a/internal/cluster/peerapi/wire/membership.go
+++ b/internal/cluster/peerapi/wire/membership.go
@@ -41,7 +41,7 @@
 }
 
 // Digest summarizes the state of the sender. Leaders holds only leaders that are new or that the receiver lacks. MemberSum and LeaderSum are
-// checksums of all members (only the stewards to or from a local-proxy) and leaders, so that two processes can detect that their lists
+// checksums of all members (only the stewards to or from a local proxy) and leaders, so that two processes can detect that their lists
 // differ; they are never 0. Evacuations is the newest list that the sender knows, or nil if there never was one. A peer of an earlier
 // version sends all leaders that it knows, and no sums.
 type Digest struct {
@@ -62,7 +62,7 @@
 	Target  string   `json:"t,omitempty"`
 	Updates []Member `json:"w,omitempty"`
 	Digest  Digest   `json:"g"`
-	// PingPauseMs is the time between two pings that a steward with many local-proxies asks of each.
+	// PingPauseMs is the time between two pings that a steward with many local proxies asks of each.
 	PingPauseMs int64 `json:"z,omitempty"`
 }
 
--- a/internal/cluster/peerapi/wire/replication.go
+++ b/internal/cluster/peerapi/wire/replication.go
@@ -4,7 +4,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all replication.go
 
-// LogPosition is the position of a change in the log of a key: the epoch of the leader that proposed it, and its index.
+// LogPosition is the position of a change in the log of a key: the epoch of the leader that proposed it, and its index. The JSON name s
+// stands for step, an earlier name of the index.
 type LogPosition struct {
 	Epoch uint64 `json:"e"`
 	Index uint64 `json:"s"`
@@ -21,21 +22,20 @@
 	Current []string `json:"now,omitempty"`
 }
 
-// Op sets one named value of a key, or removes it if Value is empty.
+// Op sets one pair of a key, a value under a name, or removes it if Value is empty.
 type Op struct {
 	Name  string              `json:"n"`
 	Value easyjson.RawMessage `json:"v,omitempty"`
 }
 
-// Change is an entry in the log of a key: the values that it sets, and the new voter set if it changes that. On the wire and in older
-// documents its index is called a step.
+// Change is an entry in the log of a key: the operations on its pairs, and the new voter set if it changes that.
 type Change struct {
 	Position LogPosition `json:"at"`
 	Ops      []Op        `json:"ops,omitempty"`
 	Voters   *VoterSet   `json:"set,omitempty"`
 }
 
-// Snapshot is the state of a key at the position Last: its voters and all its values.
+// Snapshot is the state of a key at the position Last: its voters and all its pairs.
 type Snapshot struct {
 	Last   LogPosition `json:"last"`
 	Voters VoterSet    `json:"set"`
@@ -71,8 +71,9 @@
 	Pairs  []Op        `json:"pairs,omitempty"`
 }
 
-// AppendCall carries the changes that follow Prev, a snapshot, or a chunk of one. With none of them it is a heartbeat. Leader and Disk name
-// the process and the disk of the leader. Release is set if the leader gives up its leadership.
+// AppendCall carries the changes that follow Prev, a snapshot, or a chunk of one. With none of them it is a heartbeat or a release. Leader
+// and Disk name the process and the disk of the leader. Release is set if the leader, or a candidate that has won the election, gives up the
+// key.
 type AppendCall struct {
 	Key      string         `json:"key"`
 	Epoch    uint64         `json:"epoch"`
--- a/internal/control/controlkeys/leave.go
+++ b/internal/control/controlkeys/leave.go
@@ -17,7 +17,7 @@
 	votingKeysTimeout = time.Second
 )
 
-// Leave hands over the keys that this process leads and asks the leaders to replace this disk as a voter. It returns once IsReplaceable is
+// Leave transfers the keys that this process leads and asks the leaders to replace this disk as a voter. It returns once IsReplaceable is
 // false for all keys of which this disk is still a voter, or after the timeout, and logs the keys of which it is still a voter. It also
 // returns, without logging them, if the replicas don't name these keys within votingKeysTimeout. It takes at least releaseNoticeTime.
 func (m *Manager) Leave(timeout time.Duration) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// startLeaving hands over the keys that this process leads. From then on each answer of the replicas to a leader asks for the replacement
-// of this disk, and reconcile starts no more runners.
+// startLeaving transfers the keys that this process leads to other voters. From then on each answer of the replicas to a leader asks for the
+// replacement of this disk, and reconcile starts no more runners.
 func (m *Manager) startLeaving() {
 	m.Replicas.Mailbox().Post(m.Replicas.Leave)
 	m.mailbox.Post(func() {
--- a/internal/control/controlkeys/manager.go
+++ b/internal/control/controlkeys/manager.go
@@ -3,7 +3,7 @@
 //
 // A Manager runs one keyRunner for each key that its process keeps. In the process of a storage machine these are the lots. In any other
 // steward they are the configuration's key and the other keys for which the configuration lists initial voters. The manager serves the calls
-// of other processes to these keys and hands the keys over when the process leaves the cluster.
+// of other processes to these keys and transfers their leadership when the process leaves the cluster.
 package controlkeys
 
 import (
--- a/internal/control/replication/quorum/selection.go
+++ b/internal/control/replication/quorum/selection.go
@@ -10,7 +10,7 @@
 	Goal int
 	// IsLost reports whether a current voter should be replaced.
 	IsLost func(disk string) bool
-	// DomainOf returns the failure domain of a disk.
+	// DomainOf returns the zone of a disk.
 	DomainOf func(disk string) string
 }
 
@@ -20,8 +20,8 @@
 }
 
 // Next returns the sorted voters that the key should have, given candidates in order of preference. Candidates replace lost voters
-// and fill the set up to the goal, spread over failure domains. An odd number of voters stays odd, except that a set larger than
-// the goal may shrink to any number above the goal. A voter that is not lost is never removed. A lost voter stays until a candidate
+// and fill the set up to the goal, spread over zones. An odd number of voters stays odd, except that a set larger than the goal may
+// shrink to any number above the goal. A voter that is not lost is never removed. A lost voter stays until a candidate
 // replaces it, but a set larger than the goal drops lost voters without a replacement until its size is the goal.
 func (s Selection) Next(candidates []string) []string {
 	next := s.Kept()
@@ -44,7 +44,7 @@
 	return next
 }
 
-// inRarestDomain returns the index of the first candidate whose failure domain holds the fewest voters.
+// inRarestDomain returns the index of the first candidate whose zone has the fewest voters.
 func (s Selection) inRarestDomain(voters, candidates []string) int {
 	votersByDomain := map[string]int{}
 	for _, disk := range voters {
--- a/internal/control/replication/voters.go
+++ b/internal/control/replication/voters.go
@@ -30,8 +30,8 @@
 	isLogged bool
 }
 
-// maybeChangeVoters proposes a change towards the wanted voter set: lost voters are replaced, and 2f+1 voters are spread over failure
-// domains. A change goes through a joint configuration, so that any two majorities share a disk at all times.
+// maybeChangeVoters proposes a change towards the wanted voter set: lost voters are replaced, and 2f+1 voters are spread over
+// zones. A change goes through a joint voter set, so that any two quorums share a disk at all times.
 func (e *Engine) maybeChangeVoters() {
 	if quorum.IsJoint(e.voters.set) || !e.voters.isCommitted(e.commits.index) {
 		return
@@ -128,7 +128,7 @@
 	})
 }
 
-// domainOf returns the failure domain of a disk, or an empty string if no member has the disk.
+// domainOf returns the zone of a disk, or an empty string if no member has the disk.
 func domainOf(members []wire.Member, disk string) string {
 	for _, member := range members {
 		if member.Disk == disk {
--- a/internal/control/replication/voters_test.go
+++ b/internal/control/replication/voters_test.go
@@ -203,7 +203,7 @@
 		Expect(c.violations).To(BeEmpty())
 	})
 
-	It("are spread evenly over failure domains", func() {
+	It("are spread evenly over zones", func() {
 		c := newTestClusterTolerating(2, 4, "a", "b", "c")
 		for index, name := range []string{"d", "e", "f", "g", "h"} {
 			c.add(name).domain = []string{"one", "one", "two", "two", "four"}[index]
--- a/internal/node/localproxy/deregistration_test.go
+++ b/internal/node/localproxy/deregistration_test.go
@@ -31,7 +31,7 @@
 		work, _ := table.NextHold(false)
 		table.HandleHoldFailure(work, false)
 	}
-	isStartDue := func() bool {
+	isLaunchDue := func() bool {
 		call := compose()
 		table.HandleAnswer(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		_, isDue := table.Ready(call.Executor, launch)
@@ -53,7 +53,7 @@
 			Expect(compose().DepartureMs).To(Equal(drainTime.Milliseconds()))
 		})
 
-		It("gets no start", func() { Expect(isStartDue()).To(BeFalse()) })
+		It("gets no launch order", func() { Expect(isLaunchDue()).To(BeFalse()) })
 
 		It("does not count as gone if it leaves calls unanswered, as it may keep serving for many seconds", func() {
 			fakeClock.Advance(10 * time.Second)
@@ -75,7 +75,7 @@
 			table.Deregister("i-1")
 			Expect(compose().Draining).To(BeTrue())
 			Expect(compose().DepartureMs).To(Equal((drainTime - time.Second).Milliseconds()))
-			Expect(isStartDue()).To(BeFalse())
+			Expect(isLaunchDue()).To(BeFalse())
 		})
 	})
 
@@ -104,13 +104,13 @@
 		hold, _ := table.NextHold(false)
 		table.HandleHoldFailure(hold, true)
 		Expect(compose().Executor).To(Equal("i-1"))
-		Expect(isStartDue()).To(BeFalse())
+		Expect(isLaunchDue()).To(BeFalse())
 	})
 
 	It("counts as deregistered if the deregistration arrives before its first heartbeat", func() {
 		table.Deregister("i-1")
 		Expect(heartbeat("i-1", "ready", 3)).To(Equal(200))
 		Expect(compose().Draining).To(BeTrue())
-		Expect(isStartDue()).To(BeFalse())
+		Expect(isLaunchDue()).To(BeFalse())
 	})
 })
--- a/internal/node/localproxy/feed_test.go
+++ b/internal/node/localproxy/feed_test.go
@@ -156,7 +156,7 @@
 		}
 	})
 
-	It("has the age of a started run's result; only the report of a start may be delayed", func() {
+	It("has the age of a launched run's result; only the report of a launched run may be delayed", func() {
 		starts := 0
 		newTable(localproxy.WithStartSignal(func() { starts++ }))
 		exchange(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
--- a/internal/node/localproxy/localproxy_test.go
+++ b/internal/node/localproxy/localproxy_test.go
@@ -108,7 +108,7 @@
 		Expect(work.Hold.ExpiryMs).To(BeZero())
 	})
 
-	It("refuses starts without a lease, for another incarnation and on a draining executor", func() {
+	It("sends no launch order without a lease, for another incarnation or to a draining executor", func() {
 		_, isDue := table.Ready("i-1", launch)
 		Expect(isDue).To(BeFalse())
 		exchange(wire.ExchangeAnswer{Fence: 3, GrantMs: 4000})
@@ -123,7 +123,7 @@
 		Expect(call.Answers).To(ConsistOf(wire.OrderAnswer{Task: "t.0.0.0", Run: 1, Kind: "launch", Result: "not-run"}))
 	})
 
-	DescribeTable("refuses starts in an evacuated zone once the grace for launches is over", func(inForceAfter, grace time.Duration) {
+	DescribeTable("refuses launch orders in an evacuated zone once the grace period is over", func(inForceAfter, grace time.Duration) {
 		var since time.Duration
 		isOrdered := false
 		table = localproxy.NewTable(fakeClock, logging.Silent(), "s", "d", "side-1", nothing, nothing, nothing,
@@ -137,7 +137,7 @@
 		Expect(isReady()).To(BeTrue())
 		isOrdered, since = true, fakeClock.Monotonic()
 		fakeClock.Advance(grace - 100*time.Millisecond)
-		Expect(isReady()).To(BeTrue(), "within the grace, so that gangs can complete their start")
+		Expect(isReady()).To(BeTrue(), "within the grace period, so that gangs can complete their launch")
 		fakeClock.Advance(100 * time.Millisecond)
 		Expect(isReady()).To(BeFalse())
 		call, _ := table.Compose(0)
@@ -169,7 +169,7 @@
 		Expect(work.Fence).To(Equal(uint64(7)))
 	})
 
-	It("limits a start to the grant that came with it, whatever was granted later", func() {
+	It("limits the lease of a launched run to the grant that came with its order, whatever was granted later", func() {
 		call, _ := table.Compose(0)
 		table.HandleAnswer(call, fakeClock.Monotonic(), &wire.ExchangeAnswer{Fence: 3, GrantMs: 4000, Orders: []wire.Order{launch}})
 		first, _ := table.Ready("i-1", launch)
--- a/internal/node/localproxy/unresponsive_test.go
+++ b/internal/node/localproxy/unresponsive_test.go
@@ -47,7 +47,7 @@
 		reports = 0
 	})
 
-	It("is reported at once if nothing listens at its address, and gets no further start", func() {
+	It("is reported at once if nothing listens at its address, and gets no further launch order", func() {
 		work, isDue := ready("launch", 1)
 		Expect(isDue).To(BeTrue())
 		table.HandleOrderRefusal(work)
@@ -87,7 +87,7 @@
 		Expect(isDue).To(BeTrue())
 	})
 
-	It("is reported as timed out, not as unhealthy, for a start that may have reached it", func() {
+	It("is reported as timed out, not as unhealthy, for a launch order that may have reached it", func() {
 		work, _ := ready("launch", 1)
 		table.HandleOrderTimeout(work)
 		table.HandleOrderTimeout(work)
@@ -101,7 +101,7 @@
 		Expect(localproxy.PauseAfterMiss(300 * time.Millisecond)).To(BeNumerically("<", 20*time.Millisecond))
 	})
 
-	It("gets starts again after a while", func() {
+	It("gets launch orders again after a while", func() {
 		failHold()
 		failHold()
 		fakeClock.Advance(1100 * time.Millisecond)
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -77,7 +77,7 @@
 	p.extendLease(executor, now)
 }
 
-// updateFacts stores the reported facts of an executor: capacity, labels, failure domain, draining and fence.
+// updateFacts stores the reported facts of an executor: capacity, labels, zone, draining and fence.
 func (p *Pool) updateFacts(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	if !executor.isKnown || executor.isDraining != call.Draining {
 		p.needsPlacing = true
