--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -75,9 +75,9 @@
 	t.events.ListsDiffer(from)
 }
 
-// hasSettled reports whether a difference of the sums is worth a comparison: no record has changed for a period, so that the difference
-// hardly comes from changes in flight. It is also true in the startup period, and if the last comparison was at least six periods ago, since
-// changes may never cease.
+// hasSettled reports whether a difference of the sums is worth a comparison: no record has changed for a period, so that the cause is
+// probably not a change in flight. It is also true in the startup period, and if the last comparison was at least six periods ago, since
+// there may always be a change in flight.
 func (t *Table) hasSettled(now time.Duration) bool {
 	return now-t.createdAt < startupPeriod || now-t.changedAt >= t.timing.Period || now-t.comparedAt >= 6*t.timing.Period
 }
--- a/internal/node/localproxy/exchangeloop.go
+++ b/internal/node/localproxy/exchangeloop.go
@@ -92,6 +92,7 @@
 		return false
 	}
 	if answer.Fence == 0 {
+		// A pool that removes the executor while a call waits there sends an empty answer.
 		return true
 	}
 	orders, _ := ask(ctx, p, func() []wire.Order { return p.table.HandleAnswer(call, askedAt, answer) })
--- a/internal/scheduling/scheduler/exchange.go
+++ b/internal/scheduling/scheduler/exchange.go
@@ -66,14 +66,14 @@
 // contact itself and the age of the executor's last lease renewal.
 func (p *Pool) updateContact(executor *executorState, call *wire.ExchangeCall, now time.Duration) {
 	p.table.markChanged(executor)
-	isUnschedulable := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
-	if executor.isUnschedulable && !isUnschedulable {
+	isUnreachable := clock.Milliseconds(call.HoldAgeMs) > p.timing.HoldStale
+	if executor.isUnreachable && !isUnreachable {
 		p.needsPlacing = true
 	}
-	if isUnschedulable != executor.isUnschedulable || now-executor.contactAt > silenceBeforeSpeculation {
+	if isUnreachable != executor.isUnreachable || now-executor.contactAt > silenceBeforeSpeculation {
 		p.refreshSpeculation(executor)
 	}
-	executor.isUnschedulable, executor.contactAt = isUnschedulable, now
+	executor.isUnreachable, executor.contactAt = isUnreachable, now
 	p.extendLease(executor, now)
 }
 
--- a/internal/scheduling/scheduler/executor.go
+++ b/internal/scheduling/scheduler/executor.go
@@ -53,8 +53,9 @@
 	// isFenced is set once the executor has confirmed this leader's fence and has listed its runs since. No orders of the outbox are sent
 	// before that.
 	isFenced bool
-	// isUnschedulable is set while its proxy has not reached it for longer than HoldStale.
-	isUnschedulable bool
+	// isUnreachable is set while the proxy reports that the executor has answered no hold for longer than Timing.HoldStale or is
+	// unresponsive. The executor then gets no new runs and no further grant.
+	isUnreachable bool
 	// firstList is the number of the first list of runs that is valid under this leader. listWanted is the newest that was requested, at
 	// listWantedAt.
 	firstList    uint64
--- a/internal/scheduling/scheduler/executortable.go
+++ b/internal/scheduling/scheduler/executortable.go
@@ -130,7 +130,7 @@
 
 // isExcluded reports whether an executor gets no new runs now.
 func (p *Pool) isExcluded(executor *executorState, now time.Duration) bool {
-	isUnavailable := executor.isUnschedulable || now < executor.ejectedUntil || now-executor.contactAt > p.timing.SilentAfter
+	isUnavailable := executor.isUnreachable || now < executor.ejectedUntil || now-executor.contactAt > p.timing.SilentAfter
 	return !executor.isFenced || executor.isDraining || isUnavailable || p.isEvacuated(executor.domain)
 }
 
--- a/internal/scheduling/scheduler/metrics.go
+++ b/internal/scheduling/scheduler/metrics.go
@@ -114,7 +114,7 @@
 		return stateUnfenced
 	case e.isDraining:
 		return stateDraining
-	case e.isUnschedulable:
+	case e.isUnreachable:
 		return stateBlocked
 	}
 	return stateReady
--- a/internal/scheduling/scheduler/pool.go
+++ b/internal/scheduling/scheduler/pool.go
@@ -218,7 +218,7 @@
 // extendLease extends the assumed lease of an executor by a grant that begins now, and reports whether it did. It grants nothing while the
 // proxy can't reach the executor or this process has no lease on the key.
 func (p *Pool) extendLease(executor *executorState, now time.Duration) bool {
-	if executor.isUnschedulable || !p.leadership.HasLease() {
+	if executor.isUnreachable || !p.leadership.HasLease() {
 		return false
 	}
 	executor.leaseExpiry = max(executor.leaseExpiry, now+p.leaseWithMargin(p.timing.Grant))
--- a/internal/scheduling/scheduler/speculative.go
+++ b/internal/scheduling/scheduler/speculative.go
@@ -174,13 +174,13 @@
 	return tasks[:1]
 }
 
-// needsSpeculation reports whether a second run should be started beside this one. That is so if its executor is silent or unschedulable,
+// needsSpeculation reports whether a second run should be started beside this one. That is so if its executor is silent or unreachable,
 // if its launch is unanswered, or if it takes far longer than other runs of its step.
 func (p *Pool) needsSpeculation(run *runState, now time.Duration) bool {
 	switch executor := run.executor; {
 	case run.phase == runStopping:
 		return false
-	case now-executor.contactAt > silenceBeforeSpeculation || executor.isUnschedulable:
+	case now-executor.contactAt > silenceBeforeSpeculation || executor.isUnreachable:
 		return true
 	case run.phase == runLaunching:
 		return run.sendCount > 0 && now-run.orderedAt > unansweredBeforeSpeculation
