--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -3,7 +3,7 @@
 // higher incarnation. The same datagrams carry changed records, the leaders of keys, the version of the configuration and the list of
 // evacuations. They also carry digests that show whether a peer lacks something, so that only lists that differ are compared in full.
 //
-// Local-proxies are leaves of the network: no process lists or probes them. Each pings a few stewards, which push changes to it.
+// Local proxies are leaves of the network: no process lists or probes them. Each pings a few stewards, which push changes to it.
 //
 // Table holds the state, and has no goroutines or sockets. Node runs a Table on the internal port of the machine. View is the snapshot of
 // the state that the rest of the process reads.
@@ -79,7 +79,7 @@
 	unhealthy map[string]*record
 	members   sortedList
 	stewards  sortedList
-	// sums covers all members except local-proxies. stewardSums covers the stewards, for comparisons with local-proxies.
+	// sums covers all members except local proxies. stewardSums covers the stewards, for comparisons with local proxies.
 	sums        sums
 	stewardSums sums
 	// changedAt is when a record was last written or forgotten.
@@ -155,7 +155,7 @@
 	t.PublishIfChanged()
 }
 
-// tickMember does the periodic work of all processes except local-proxies.
+// tickMember does the periodic work of all processes except local proxies.
 func (t *Table) tickMember(now time.Duration) {
 	t.checkProbes(now)
 	t.ageRecords(now)
