--- a/internal/hunted/digest.go
+++ b/internal/hunted/digest.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// daemonCommand is the package of the program that all roles run.
+	// daemonCommand is the main package of the daemons; all roles run this program.
 	daemonCommand = "./cmd/gannetline"
-	// digestLength is how many hex digits of a digest are written.
+	// digestLength is the length of a shortened digest in hex digits.
 	digestLength = 12
 )
 
-// buildFiles belong to what is built and deployed beside the sources.
+// buildFiles are files other than sources that affect what is built or deployed.
 var buildFiles = []string{"go.mod", "go.sum", "deploy/system.toml"}
 
-// listedPackage is what go list tells of a package.
+// listedPackage holds the fields of a package in the output of go list.
 type listedPackage struct {
 	Dir        string
 	Standard   bool
@@ -35,25 +35,26 @@
 	EmbedFiles []string
 }
 
+// listedModule holds the fields of a package's module in the output of go list.
 type listedModule struct{ Main bool }
 
-// digestOf gives the digest of the daemons' sources in a work tree, or in a commit of its repository.
-func digestOf(root, commit string) (string, error) {
+// computeDigest returns the digest of the daemons' sources in a commit of the repository at root, or in its work tree if commit is empty.
+func computeDigest(root, commit string) (string, error) {
 	if commit == "" {
-		return digestOfTree(root)
+		return computeTreeDigest(root)
 	}
-	tree, err := os.MkdirTemp("", "hunted")
+	folder, err := os.MkdirTemp("", "hunted")
 	if err != nil {
-		return "", errors.Annotate(err, "making a folder for the commit's files")
+		return "", errors.Annotate(err, "creating a folder for the commit's files")
 	}
-	defer os.RemoveAll(tree)
-	if err := extract(root, commit, tree); err != nil {
+	defer os.RemoveAll(folder)
+	if err := extract(root, commit, folder); err != nil {
 		return "", err
 	}
-	return digestOfTree(tree)
+	return computeTreeDigest(folder)
 }
 
-// extract writes the files of a commit to a folder.
+// extract writes the files of a commit to a folder, without the journal.
 func extract(root, commit, folder string) error {
 	archive, err := exec.Command("git", "-C", root, "archive", "--format=tar", commit, ":!journal").Output()
 	if err != nil {
@@ -64,7 +65,8 @@
 	return errors.Annotatef(unpack.Run(), "unpacking commit %s", commit)
 }
 
-func digestOfTree(root string) (string, error) {
+// computeTreeDigest returns the digest of the daemons' sources in a folder. It covers the names and the contents of all files.
+func computeTreeDigest(root string) (string, error) {
 	root, err := filepath.Abs(root)
 	if err != nil {
 		return "", errors.Annotatef(err, "folder %s", root)
@@ -73,19 +75,19 @@
 	if err != nil {
 		return "", err
 	}
-	sum := sha256.New()
+	hash := sha256.New()
 	for _, name := range files {
 		content, err := os.ReadFile(filepath.Join(root, name))
 		if err != nil {
-			return "", errors.Annotate(err, "digest")
+			return "", errors.Annotate(err, "reading a file for the digest")
 		}
 		fileSum := sha256.Sum256(content)
-		io.WriteString(sum, name+"\x00"+hex.EncodeToString(fileSum[:])+"\n")
+		io.WriteString(hash, name+"\x00"+hex.EncodeToString(fileSum[:])+"\n")
 	}
-	return hex.EncodeToString(sum.Sum(nil))[:digestLength], nil
+	return hex.EncodeToString(hash.Sum(nil))[:digestLength], nil
 }
 
-// daemonFiles are the files that the program is built from, by their paths from root, in order.
+// daemonFiles returns the files from which the program is built and deployed, as sorted paths relative to root.
 func daemonFiles(root string) ([]string, error) {
 	list := exec.Command("go", "list", "-deps", "-json=Dir,Standard,Module,GoFiles,CgoFiles,EmbedFiles", daemonCommand)
 	list.Dir = root
--- a/internal/hunted/journal.go
+++ b/internal/hunted/journal.go
@@ -10,75 +10,79 @@
 	"github.com/juju/errors"
 )
 
-// The verbs of the bench that the plan asks for.
+// Commands of the bench that the plan requires.
 const (
 	verbHunt  = "hunt"
 	verbScore = "score"
 	verbSweep = "sweep"
 )
 
-// digestMark stands before the digest in the reason that an entry gives.
+// digestMark precedes the digest in the reason of an entry.
 const digestMark = "daemons "
 
-// entry is one run of the bench, as the journal has it; fields that are of no use here are left out.
+// entry is one run of the bench in the journal. Fields that this program doesn't need are left out.
 type entry struct {
-	ID   string `json:"id"`
-	Verb string `json:"cmd"`
-	Site string `json:"site"`
-	Why  string `json:"why"`
-	// Arguments are those of the command, beginning with the site.
-	Arguments []string     `json:"argv"`
-	IsDirty   bool         `json:"dirty"`
-	HasDone   bool         `json:"ok"`
-	Score     *float64     `json:"score"`
-	Digest    string       `json:"digest"`
-	Days      []dayOfEntry `json:"days"`
+	ID     string `json:"id"`
+	Verb   string `json:"cmd"`
+	Site   string `json:"site"`
+	Reason string `json:"why"`
+	// Arguments are the arguments of the command; the first is the site.
+	Arguments []string `json:"argv"`
+	// IsDirty is set if the work tree had uncommitted changes.
+	IsDirty bool `json:"dirty"`
+	// IsComplete is set if the run ended successfully.
+	IsComplete bool     `json:"ok"`
+	Score      *float64 `json:"score"`
+	// Summary is the text in which the bench reports the result of the gate.
+	Summary string      `json:"digest"`
+	Days    []dayResult `json:"days"`
 }
 
-// dayOfEntry is one day that was played. Rules holds how often each rule broke; Fault is empty unless the day could not be judged.
-type dayOfEntry struct {
+// dayResult is the result of one simulated day. Worth is nil if the day got no score, Rules counts the violations of each rule, and Fault is
+// empty unless the day could not be judged.
+type dayResult struct {
 	Name  string         `json:"name"`
 	Worth *float64       `json:"G"`
 	Rules map[string]int `json:"rules"`
 	Fault string         `json:"fault"`
 }
 
-// isBroken tells whether the day counts nothing.
-func (d dayOfEntry) isBroken() bool { return len(d.Rules) > 0 || d.Fault != "" }
+// isBroken reports whether the day counts nothing, since a rule was violated or it could not be judged.
+func (d dayResult) isBroken() bool { return len(d.Rules) > 0 || d.Fault != "" }
 
-// gatePassed tells whether a score says so of the site's gate.
-func (e entry) gatePassed() bool { return strings.Contains(e.Digest, "GATE passed") }
+// hasPassedGate reports whether the site passed its gate in a score run.
+func (e entry) hasPassedGate() bool { return strings.Contains(e.Summary, "GATE passed") }
 
-// isQuick tells whether a score played the light days only.
+// isQuick reports whether a score run included only the light days.
 func (e entry) isQuick() bool { return slices.Contains(e.Arguments, "--quick") }
 
-// isOf tells whether the entry bears the digest, and was made of committed files.
-func (e entry) isOf(digest string) bool {
-	return !e.IsDirty && strings.Contains(e.Why, digestMark+digest)
+// isRunOf reports whether the run used daemons with this digest, built from committed files only.
+func (e entry) isRunOf(digest string) bool {
+	return !e.IsDirty && strings.Contains(e.Reason, digestMark+digest)
 }
 
-// readJournal gives the entries of daemons of a digest, oldest first.
+// readJournal returns the entries of runs of the daemons with a digest, oldest first.
 func readJournal(folder, digest string) ([]entry, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
-		return nil, errors.Annotatef(err, "journal %s", folder)
+		return nil, errors.Annotatef(err, "listing journal %s", folder)
 	}
 	slices.Sort(names)
 	var entries []entry
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
-			return nil, errors.Annotate(err, "journal")
+			return nil, errors.Annotate(err, "reading a journal entry")
 		}
 		if !strings.Contains(string(text), digestMark+digest) {
 			continue
 		}
-		var read entry
-		if err := json.Unmarshal(text, &read); err != nil {
-			return nil, errors.Annotatef(err, "journal entry %s", name)
+		var decoded entry
+		if err := json.Unmarshal(text, &decoded); err != nil {
+			return nil, errors.Annotatef(err, "decoding journal entry %s", name)
 		}
-		if read.isOf(digest) {
-			entries = append(entries, read)
+		if decoded.isRunOf(digest) {
+			entries = append(entries, decoded)
 		}
 	}
 	return entries, nil
--- a/internal/hunted/main.go
+++ b/internal/hunted/main.go
@@ -1,5 +1,5 @@
-// Hunted tells which hunts, scores and sweeps of the bench the daemons of a commit have had, and which are missing. Entries of the journal
-// name the daemons that they played by a digest of their sources, so that a commit to tests, pages or models keeps what was played before.
+// Hunted shows which hunts, scores and sweeps the bench has run with the daemons of a commit, and which are missing. Journal entries identify
+// the daemons by a digest of their sources, so runs stay valid after a commit that changes only tests, pages or models.
 package main
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit statuses of the command.
+// Exit codes of the command.
 const (
 	exitMissing = 1
 	exitBadUse  = 2
 )
 
-// errMissing tells that something of the plan was not played, or that a rule broke.
-const errMissing = errors.ConstError("not everything of the plan was played clean")
+// errMissing is returned if a run of the plan is missing, a rule was violated or a gate was not passed.
+const errMissing = errors.ConstError("not all runs of the plan were made without a violation")
 
 func main() {
 	err := command(os.Stdout).Run(context.Background(), os.Args)
@@ -36,44 +36,44 @@
 func command(to io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:      "hunted",
-		Usage:     "which hunts, scores and sweeps the daemons of a commit have had, and which are missing",
+		Usage:     "show which hunts, scores and sweeps were run with the daemons of a commit, and which are missing",
 		ArgsUsage: " ",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "root", Value: ".", Usage: "`FOLDER` of the repository"},
-			&cli.StringFlag{Name: "commit", Usage: "a `COMMIT` in place of the work tree"},
-			&cli.StringFlag{Name: "journal", Value: "journal", Usage: "`FOLDER` of the entries"},
-			&cli.StringFlag{Name: "plan", Value: "tools/hunt-plan.txt", Usage: "`FILE` that says what is to be played"},
-			&cli.BoolFlag{Name: "digest", Usage: "print the digest only"},
-			&cli.BoolFlag{Name: "todo", Usage: "print what is missing only, a line each: VERB SITE DAYS"},
+			&cli.StringFlag{Name: "commit", Usage: "a `COMMIT` instead of the work tree"},
+			&cli.StringFlag{Name: "journal", Value: "journal", Usage: "`FOLDER` of the journal entries"},
+			&cli.StringFlag{Name: "plan", Value: "tools/hunt-plan.txt", Usage: "`FILE` with the required runs of each site"},
+			&cli.BoolFlag{Name: "digest", Usage: "print only the digest"},
+			&cli.BoolFlag{Name: "todo", Usage: "print only the missing runs, one per line: VERB SITE DAYS"},
 		},
-		Action:         func(_ context.Context, asked *cli.Command) error { return run(asked, to) },
+		Action:         func(_ context.Context, flags *cli.Command) error { return run(flags, to) },
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 }
 
-func run(asked *cli.Command, to io.Writer) error {
-	if asked.Args().Present() {
-		return errors.Errorf("unknown argument %q", asked.Args().First())
+func run(flags *cli.Command, to io.Writer) error {
+	if flags.Args().Present() {
+		return errors.Errorf("unknown argument %q", flags.Args().First())
 	}
-	digest, err := digestOf(asked.String("root"), asked.String("commit"))
+	digest, err := computeDigest(flags.String("root"), flags.String("commit"))
 	if err != nil {
 		return err
 	}
-	if asked.Bool("digest") {
+	if flags.Bool("digest") {
 		_, err := fmt.Fprintln(to, digest)
 		return err
 	}
-	plan, err := readPlan(asked.String("plan"))
+	plan, err := readPlan(flags.String("plan"))
 	if err != nil {
 		return err
 	}
-	entries, err := readJournal(asked.String("journal"), digest)
+	entries, err := readJournal(flags.String("journal"), digest)
 	if err != nil {
 		return err
 	}
-	played := summarize(plan, entries)
-	if asked.Bool("todo") {
-		return writeTodo(to, played)
+	reports := summarize(plan, entries)
+	if flags.Bool("todo") {
+		return writeTodo(to, reports)
 	}
-	return writeTable(to, digest, played)
+	return writeTable(to, digest, reports)
 }
--- a/internal/hunted/plan.go
+++ b/internal/hunted/plan.go
@@ -8,29 +8,29 @@
 	"github.com/juju/errors"
 )
 
-// planned is what a landing needs of one site.
-type planned struct {
+// sitePlan holds the runs that a landing requires on one site.
+type sitePlan struct {
 	site string
-	// days is how many days of it are to be hunted.
+	// days is the number of days to hunt.
 	days int
-	// isSwept tells that its kind of deployment is swept on this site.
-	isSwept bool
+	// needsSweep is set if the site is the one on which its kind of deployment is swept.
+	needsSweep bool
 }
 
-// readPlan reads lines of a site's name, a number of days, and "sweep" where the site stands for its kind; # begins a comment.
-func readPlan(path string) ([]planned, error) {
+// readPlan reads lines with a site's name, a number of days, and "sweep" if the site represents its kind of deployment. # starts a comment.
+func readPlan(path string) ([]sitePlan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Annotate(err, "plan")
+		return nil, errors.Annotate(err, "reading the plan")
 	}
-	var sites []planned
+	var sites []sitePlan
 	for number, line := range strings.Split(string(text), "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		words := strings.Fields(line)
 		if len(words) == 0 {
 			continue
 		}
-		site, err := parsePlanned(words)
+		site, err := parseSitePlan(words)
 		if err != nil {
 			return nil, errors.Annotatef(err, "plan %s, line %d", path, number+1)
 		}
@@ -42,13 +42,14 @@
 	return sites, nil
 }
 
-func parsePlanned(words []string) (planned, error) {
+// parseSitePlan parses the words of one line.
+func parseSitePlan(words []string) (sitePlan, error) {
 	if len(words) < 2 || len(words) > 3 || len(words) == 3 && words[2] != verbSweep {
-		return planned{}, errors.Errorf("wanted SITE DAYS [%s]", verbSweep)
+		return sitePlan{}, errors.Errorf("wanted SITE DAYS [%s]", verbSweep)
 	}
 	days, err := strconv.Atoi(words[1])
 	if err != nil || days < 1 {
-		return planned{}, errors.Errorf("%q is no number of days above 0", words[1])
+		return sitePlan{}, errors.Errorf("%q is not a number of days above 0", words[1])
 	}
-	return planned{site: words[0], days: days, isSwept: len(words) == 3}, nil
+	return sitePlan{site: words[0], days: days, needsSweep: len(words) == 3}, nil
 }
--- a/internal/hunted/report.go
+++ b/internal/hunted/report.go
@@ -9,29 +9,29 @@
 	"github.com/juju/errors"
 )
 
-// firstDays are hunted on every site before more are on any.
+// firstDays is the number of days that are hunted on every site before any site gets more.
 const firstDays = 8
 
-// siteReport is what was played on one site, beside what was planned.
+// siteReport compares the runs on one site with its plan.
 type siteReport struct {
-	planned
+	sitePlan
 	huntedDays int
-	// broken names the days in which a rule broke or that could not be judged, with the entry they stand in.
+	// broken holds the days on which a rule was violated or that could not be judged, each after the ID of its entry.
 	broken []string
-	// score is that of the last full score; nil if there is none.
+	// score is the result of the last full score run; nil if there is none.
 	score      *float64
 	hasPassed  bool
 	sweepCount int
 }
 
-// summarize gives a report for each site of the plan, in the plan's order.
-func summarize(plan []planned, entries []entry) []siteReport {
+// summarize returns a report for each site of the plan, in the order of the plan.
+func summarize(plan []sitePlan, entries []entry) []siteReport {
 	reports := make([]siteReport, 0, len(plan))
-	for _, site := range plan {
-		report := siteReport{planned: site}
-		for _, played := range entries {
-			if played.Site == site.site {
-				report.add(played)
+	for _, planned := range plan {
+		report := siteReport{sitePlan: planned}
+		for _, benchRun := range entries {
+			if benchRun.Site == planned.site {
+				report.add(benchRun)
 			}
 		}
 		reports = append(reports, report)
@@ -39,67 +39,68 @@
 	return reports
 }
 
-// add counts the days of an entry. Days of a hunt that was stopped count too, as each was judged by itself; a score counts only whole.
-func (r *siteReport) add(played entry) {
-	for _, day := range played.Days {
+// add adds the results of an entry. The days of an interrupted hunt count too, since each is judged by itself. A score run counts only if it is
+// complete and not quick, a sweep only if it is complete.
+func (r *siteReport) add(benchRun entry) {
+	for _, day := range benchRun.Days {
 		if day.isBroken() {
-			r.broken = append(r.broken, played.ID+" "+day.Name)
+			r.broken = append(r.broken, benchRun.ID+" "+day.Name)
 		}
 	}
-	switch played.Verb {
+	switch benchRun.Verb {
 	case verbHunt:
-		for _, day := range played.Days {
+		for _, day := range benchRun.Days {
 			if day.Worth != nil {
 				r.huntedDays++
 			}
 		}
 	case verbScore:
-		if played.Score != nil && !played.isQuick() {
-			r.score, r.hasPassed = played.Score, played.gatePassed()
+		if benchRun.Score != nil && !benchRun.isQuick() {
+			r.score, r.hasPassed = benchRun.Score, benchRun.hasPassedGate()
 		}
 	case verbSweep:
-		if played.HasDone {
+		if benchRun.IsComplete {
 			r.sweepCount++
 		}
 	}
 }
 
-// todo is one run of the bench that is still to be made; days is 0 but for a hunt.
-type todo struct {
+// missingRun is a run of the bench that the plan requires and the journal doesn't have. days is 0 unless it is a hunt.
+type missingRun struct {
 	verb, site string
 	days       int
 }
 
-// missing lists what is still to be played, the first days of each site before all else, then scores and sweeps, then the other days.
-func missing(reports []siteReport) []todo {
-	var first, whole, others []todo
+// listMissing returns the missing runs: the first days of each site, then scores and sweeps, then the other days.
+func listMissing(reports []siteReport) []missingRun {
+	var firstHunts, scoresAndSweeps, otherHunts []missingRun
 	for _, report := range reports {
 		start := min(firstDays, report.days)
 		if report.huntedDays < start {
-			first = append(first, todo{verbHunt, report.site, start - report.huntedDays})
+			firstHunts = append(firstHunts, missingRun{verbHunt, report.site, start - report.huntedDays})
 		}
-		if report.isSwept && report.sweepCount == 0 {
-			whole = append(whole, todo{verb: verbSweep, site: report.site})
+		if report.needsSweep && report.sweepCount == 0 {
+			scoresAndSweeps = append(scoresAndSweeps, missingRun{verb: verbSweep, site: report.site})
 		}
 		if report.score == nil {
-			whole = append(whole, todo{verb: verbScore, site: report.site})
+			scoresAndSweeps = append(scoresAndSweeps, missingRun{verb: verbScore, site: report.site})
 		}
-		if rest := report.days - max(start, report.huntedDays); rest > 0 {
-			others = append(others, todo{verbHunt, report.site, rest})
+		if remaining := report.days - max(start, report.huntedDays); remaining > 0 {
+			otherHunts = append(otherHunts, missingRun{verbHunt, report.site, remaining})
 		}
 	}
-	return append(append(first, whole...), others...)
+	return append(append(firstHunts, scoresAndSweeps...), otherHunts...)
 }
 
-// writeTodo writes what is missing, a line each.
+// writeTodo writes the missing runs, one per line.
 func writeTodo(to io.Writer, reports []siteReport) error {
-	for _, left := range missing(reports) {
-		fmt.Fprintln(to, left.verb, left.site, left.days)
+	for _, missing := range listMissing(reports) {
+		fmt.Fprintln(to, missing.verb, missing.site, missing.days)
 	}
 	return verdict(reports)
 }
 
-// writeTable writes a line a site and what is missing.
+// writeTable writes a table with one line per site, then the broken days and the missing runs.
 func writeTable(to io.Writer, digest string, reports []siteReport) error {
 	fmt.Fprintf(to, "daemons %s\n\n", digest)
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
@@ -116,15 +117,15 @@
 			fmt.Fprintf(to, "broken: %s %s\n", report.site, day)
 		}
 	}
-	for _, left := range missing(reports) {
-		fmt.Fprintln(to, left)
+	for _, missing := range listMissing(reports) {
+		fmt.Fprintln(to, missing)
 	}
 	return verdict(reports)
 }
 
-// verdict is an error unless everything of the plan was played and nothing broke.
+// verdict returns errMissing unless all runs of the plan were made, no day is broken and all sites have passed their gates.
 func verdict(reports []siteReport) error {
-	isClean := len(missing(reports)) == 0
+	isClean := len(listMissing(reports)) == 0
 	for _, report := range reports {
 		isClean = isClean && len(report.broken) == 0 && report.hasPassed
 	}
@@ -134,10 +135,10 @@
 	return nil
 }
 
-func (t todo) String() string {
-	text := []string{"missing:", t.verb, t.site}
-	if t.days > 0 {
-		text = append(text, fmt.Sprintf("%d days", t.days))
+func (r missingRun) String() string {
+	text := []string{"missing:", r.verb, r.site}
+	if r.days > 0 {
+		text = append(text, fmt.Sprintf("%d days", r.days))
 	}
 	return strings.Join(text, " ")
 }
@@ -164,7 +165,7 @@
 	switch {
 	case r.sweepCount > 0:
 		return "played"
-	case r.isSwept:
+	case r.needsSweep:
 		return "missing"
 	default:
 		return "-"
