--- a/check.sh
+++ b/check.sh
@@ -1,41 +1,43 @@
 #!/usr/bin/env bash
-# The project's test command: build, vet, gofmt, generated code, a first run, short soaks, linters, tests with the race detector; tests listed
-# in KNOWN-RED.txt may fail, and only these (internal/checktests).
+# Runs all checks of the project: build, vet, gofmt, generated code, the first run, short soaks, linters, and the tests with and without
+# the race detector. Only tests listed in KNOWN-RED.txt may fail (see internal/checktests).
 set -u
 cd "$(dirname "$0")" || exit 1
 failed=0
+# step NAME COMMAND...: runs one check. A failure is reported and remembered; the remaining checks still run.
 step() {
   echo "== $1"
   shift
   "$@" || { echo "FAILED: $*"; failed=1; }
 }
-formatted() {
-  local loose
-  loose=$(gofmt -l client cmd internal tools)
-  [ -z "$loose" ] || { echo "not gofmt-ed: $loose"; return 1; }
+sources_are_formatted() {
+  local unformatted
+  unformatted=$(gofmt -l client cmd internal tools)
+  [ -z "$unformatted" ] || { echo "not formatted by gofmt: $unformatted"; return 1; }
 }
-# The generators run in a copy of the tree, so that nothing that builds meanwhile takes half-made sources.
+# The generators run in a copy of the tree, so that a concurrent build never reads partially generated sources.
 generated_is_current() {
   local copy status=0
   copy=$(mktemp -d)
   tar --exclude=./.git --exclude=./target --exclude=./journal -cf - . | tar -C "$copy" -xf - || status=1
   go -C "$copy" generate ./... || status=1
   diff -rq internal "$copy/internal" && diff -rq cmd "$copy/cmd" && diff -rq client "$copy/client" ||
-    { echo "what differs is not what its generator makes"; status=1; }
+    { echo "these files differ from the output of their generators; run: go generate ./..."; status=1; }
   rm -rf "$copy"
   return $status
 }
-# The linters are Go tools of tools/lint, a module outside the workspace; lint_tool NAME prints where one is built.
+# The linters are Go tools of tools/lint, a module outside the workspace. lint_tool NAME prints the path of the linter's executable.
 lint_tool() { GOWORK=off go -C tools/lint tool -n "$1"; }
 # linter_is_clean NAME OPTIONS...: runs a linter on all packages.
 linter_is_clean() {
   local tool
   tool=$(lint_tool "$1") && "$tool" "${@:2}" ./...
 }
-# The first run of the README, on addresses that two checks at once seldom share.
+# Runs the README's first run. The network depends on the process ID, so that concurrent checks rarely use the same addresses.
 first_run_completes() { FIRST_RUN_NETWORK=127.91.$(($$ % 256)) tools/first-run.sh; }
-# Short soaks of real processes, one for one loss to be borne, one for two, and one of a mix with everything switched on, on addresses that two checks at once seldom share.
-soaks_find_nothing() {
+# Runs short soaks of real processes: one of a cluster that tolerates one failure, one of a cluster that tolerates two, and one of a
+# mix with every feature on. The network depends on the process ID, so that concurrent checks rarely use the same addresses.
+soaks_pass() {
   local network=127.$((100 + $$ % 100))
   target/soak --seed 1 --seconds 25 --processes 10 --network "$network" &&
     target/soak --seed 41 --seconds 30 --processes 20 --network "$network" &&
@@ -43,10 +45,10 @@
 }
 step "build" go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...
 step "vet" go vet ./...
-step "gofmt" formatted
+step "gofmt" sources_are_formatted
 step "generated code" generated_is_current
 step "first run" first_run_completes
-step "soak" soaks_find_nothing
+step "soak" soaks_pass
 step "staticcheck" linter_is_clean staticcheck
 step "revive" linter_is_clean revive -config revive.toml -set_exit_status
 step "errorlint" linter_is_clean go-errorlint
--- a/tools/hunt-all.sh
+++ b/tools/hunt-all.sh
@@ -1,56 +1,57 @@
 #!/usr/bin/env bash
-# Plays what tools/hunted.sh calls missing for the last commit: first days of each site, scores and sweeps, then the other days. It works
-# on clones, so that the work tree may change meanwhile, and copies each entry to journal/ of the repository. After a stop it goes on
-# from there. All figures are simulated.
+# Runs, on the bench, what tools/hunted.sh reports as missing for HEAD: first some days of each site, scores and sweeps, then the remaining
+# days. Works on clones, so that the work tree may change meanwhile, and copies each entry to journal/ of the repository. A new start after
+# an interruption resumes with what is still missing. All figures are simulated.
 #
 #   FLEETBENCH=PATH tools/hunt-all.sh [-l LANES] [-j N] [-f SITE]... [-o VERB] SITEFILE...
 #
-#   -l LANES  this many runs of the bench at once, each on a clone (default 2)
-#   -j N      this many days at once in each run (default 2)
-#   -f SITE   play this site first; may be repeated
-#   -o VERB   play only this: hunt, score or sweep
-#   SITEFILE  the path of a site file; sites of the plan without one are left out
+#   -l LANES  number of concurrent runs of the bench, each in a clone of its own (default 2)
+#   -j N      number of concurrent days in each run (default 2)
+#   -f SITE   run this site before the others; may be repeated
+#   -o VERB   run only this kind: hunt, score or sweep
+#   SITEFILE  path of a site file; sites of the plan without a site file are skipped
 #
-# Exit status: 0 if all was played and no rule broke, 1 if a rule broke, a gate failed or a run could not be made, 2 for bad use.
+# Exit status: 0 all runs were made and no rule was broken, 1 a rule was broken, a gate failed or a run could not be made, 2 bad usage.
 set -u
 
-# Few days a run, since a run that is stopped before its end may leave no entry.
-readonly days_a_run=8
+# A run that is stopped early may leave no journal entry, so runs are short.
+readonly days_per_run=8
 
 usage() { sed -n '2,/^set -u/{s/^# \{0,1\}//;/^set -u/d;p}' "$0" >&2; exit 2; }
 
-lanes=2 jobs=2 first=() only=
+lanes=2 jobs=2 preferred_sites=() only_verb=
 while getopts l:j:f:o:h option; do
   case $option in
     l) lanes=$OPTARG ;;
     j) jobs=$OPTARG ;;
-    f) first+=("$OPTARG") ;;
-    o) only=$OPTARG ;;
+    f) preferred_sites+=("$OPTARG") ;;
+    o) only_verb=$OPTARG ;;
     *) usage ;;
   esac
 done
 shift $((OPTIND - 1))
 [ $# -gt 0 ] || usage
 for number in "$lanes" "$jobs"; do
-  case $number in '' | *[!0-9]* | 0) echo "-l and -j want numbers above 0" >&2; exit 2 ;; esac
+  case $number in '' | *[!0-9]* | 0) echo "-l and -j require whole numbers above 0" >&2; exit 2 ;; esac
 done
-[ -x "${FLEETBENCH:-}" ] || { echo "FLEETBENCH must be the path of the bench's program" >&2; exit 2; }
+[ -x "${FLEETBENCH:-}" ] || { echo "FLEETBENCH must be the path of the bench's executable" >&2; exit 2; }
 bench=$(readlink -f "$FLEETBENCH")
 root=$(cd "$(dirname "$0")/.." && pwd)
-declare -A files
+declare -A site_files
 for file; do
-  [ -f "$file" ] || { echo "no site file $file" >&2; exit 2; }
-  files[$(basename "$file" .toml)]=$(readlink -f "$file")
+  [ -f "$file" ] || { echo "site file $file does not exist" >&2; exit 2; }
+  site_files[$(basename "$file" .toml)]=$(readlink -f "$file")
 done
 
 commit=$(git -C "$root" rev-parse HEAD)
 digest=$("$root/tools/hunted.sh" --commit "$commit" --digest) || exit 2
 scratch=$(mktemp -d "$root/../hunt-all.XXXXXX")
-readonly stop=$scratch/stop
-# Runs of the bench that are under way end before their clones go.
+# This file exists once a run has failed. It stops the start of further runs.
+readonly stop_mark=$scratch/stop
+# clean_up: terminates the bench runs in progress and waits for them before it deletes their clones.
 clean_up() {
-  local run
-  for run in $(jobs -p); do pkill -TERM -P "$run"; done
+  local pid
+  for pid in $(jobs -p); do pkill -TERM -P "$pid"; done
   wait
   rm -rf "$scratch"
 }
@@ -60,53 +61,54 @@
   git -C "$root" clone -q . "$scratch/$lane" && git -C "$scratch/$lane" checkout -q "$commit" || exit 2
 done
 
-# todo: the lines of hunted.sh that can be played here, those of the sites of -f first, hunts in runs of a few days.
-todo() {
+# list_missing_runs: prints "VERB SITE DAYS" for each missing run whose site file is given. Sites of -f come first, and hunts are split
+# into runs of at most $days_per_run days.
+list_missing_runs() {
   "$root/tools/hunted.sh" --commit "$commit" --todo | while read -r verb site days; do
-    [ -n "${files[$site]:-}" ] || continue
-    [ -z "$only" ] || [ "$verb" = "$only" ] || continue
+    [ -n "${site_files[$site]:-}" ] || continue
+    [ -z "$only_verb" ] || [ "$verb" = "$only_verb" ] || continue
     rank=1
-    for preferred in ${first[@]+"${first[@]}"}; do [ "$site" = "$preferred" ] && rank=0; done
-    while [ "$verb" = hunt ] && [ "$days" -gt $days_a_run ]; do
-      echo "$rank $verb $site $days_a_run"
-      days=$((days - days_a_run))
+    for preferred in ${preferred_sites[@]+"${preferred_sites[@]}"}; do [ "$site" = "$preferred" ] && rank=0; done
+    while [ "$verb" = hunt ] && [ "$days" -gt $days_per_run ]; do
+      echo "$rank $verb $site $days_per_run"
+      days=$((days - days_per_run))
     done
     echo "$rank $verb $site $days"
   done | sort -s -k 1,1 | cut -d ' ' -f 2-
 }
 
-# play LANE VERB SITE DAYS: one run of the bench on the clone of a lane.
-play() {
-  local lane=$1 verb=$2 site=$3 days=$4 text=$scratch/$1.txt count=()
-  [ "$verb" = hunt ] && count=(--days "$days")
+# run_bench LANE VERB SITE DAYS: runs the bench in the clone of a lane, copies its journal entries and prints the result.
+run_bench() {
+  local lane=$1 verb=$2 site=$3 days=$4 output=$scratch/$1.txt day_flags=()
+  [ "$verb" = hunt ] && day_flags=(--days "$days")
   cd "$scratch/$lane" || return
-  "$bench" "$verb" "${files[$site]}" ${count[@]+"${count[@]}"} --jobs "$jobs" --why "daemons $digest: $verb of $site" > "$text" 2>&1
+  "$bench" "$verb" "${site_files[$site]}" ${day_flags[@]+"${day_flags[@]}"} --jobs "$jobs" --why "daemons $digest: $verb of $site" > "$output" 2>&1
   cp -rn journal/. "$root/journal/"
-  if grep -q 'GATE failed' "$text" || ! grep -qE 'with a rule broken|GATE passed|power  at' "$text" ||
-    grep -q 'with a rule broken' "$text" && ! grep -q ', 0 with a rule broken' "$text"; then
-    echo "$verb of $site: $(grep -hE 'GATE failed|with a rule broken|first that is wrong' "$text" | tail -n 1)"
-    sed -n '/^day /,$p' "$text"
-    echo "again: $bench replay ${files[$site]} NAME --log all, NAME as the first column says"
-    touch "$stop"
+  if grep -q 'GATE failed' "$output" || ! grep -qE 'with a rule broken|GATE passed|power  at' "$output" ||
+    grep -q 'with a rule broken' "$output" && ! grep -q ', 0 with a rule broken' "$output"; then
+    echo "$verb of $site: $(grep -hE 'GATE failed|with a rule broken|first that is wrong' "$output" | tail -n 1)"
+    sed -n '/^day /,$p' "$output"
+    echo "to repeat a day: $bench replay ${site_files[$site]} NAME --log all, with NAME from the first column"
+    touch "$stop_mark"
     return
   fi
-  echo "$(date +%T) $verb of $site: $(grep -hE 'GATE passed|with a rule broken' "$text" | tail -n 1) $(grep -ho '^score on.*' "$text")"
+  echo "$(date +%T) $verb of $site: $(grep -hE 'GATE passed|with a rule broken' "$output" | tail -n 1) $(grep -ho '^score on.*' "$output")"
 }
 
-mapfile -t runs < <(todo)
+mapfile -t runs < <(list_missing_runs)
 declare -A lane_of
-free=($(seq 0 $((lanes - 1))))
+free_lanes=($(seq 0 $((lanes - 1))))
 for run in ${runs[@]+"${runs[@]}"}; do
-  if [ ${#free[@]} -eq 0 ]; then
-    wait -n -p ended
-    free+=("${lane_of[$ended]}")
+  if [ ${#free_lanes[@]} -eq 0 ]; then
+    wait -n -p ended_pid
+    free_lanes+=("${lane_of[$ended_pid]}")
   fi
-  [ -e "$stop" ] && break
-  lane=${free[0]}
-  free=("${free[@]:1}")
+  [ -e "$stop_mark" ] && break
+  lane=${free_lanes[0]}
+  free_lanes=("${free_lanes[@]:1}")
   read -r verb site days <<< "$run"
-  play "$lane" "$verb" "$site" "$days" &
+  run_bench "$lane" "$verb" "$site" "$days" &
   lane_of[$!]=$lane
 done
 wait
-[ ! -e "$stop" ]
+[ ! -e "$stop_mark" ]
--- a/tools/hunted.sh
+++ b/tools/hunted.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Which hunts, scores and sweeps the daemons of the work tree have had, and which of tools/hunt-plan.txt are missing; --commit COMMIT
-# asks it of another commit, --digest prints the digest of the daemons' sources only. Exit status: 0 if nothing is missing and no rule
-# broke, 1 if something is, 2 for bad use.
+# Reports which hunts, scores and sweeps the journal holds for the daemons' sources in the work tree, and which of those that
+# tools/hunt-plan.txt requires are missing. With --commit COMMIT it reports on the sources of that commit; with --digest it prints only the
+# digest of the daemons' sources.
+# Exit status: 0 no run is missing and no rule was broken, 1 a run is missing or broke a rule, 2 bad usage or the build failed.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 program=$(mktemp -d)
--- a/tools/power-plays.sh
+++ b/tools/power-plays.sh
@@ -1,79 +1,80 @@
 #!/usr/bin/env bash
-# Plays a day with losses of all power again and again, with the lines that follow each change and each end (verbosity 2), and
-# keeps the logs of the plays in which a rule broke. Every figure it prints is simulated; each play leaves an entry in the journal
-# of the scratch copy, which is copied to journal/ of the repository.
+# Runs a day with power losses of all machines many times, with the log lines that follow each configuration change and each end of a job
+# (verbosity 2), and keeps the logs of the runs in which a rule was broken. All figures are simulated. Each run leaves an entry in the
+# journal of a scratch copy, and the entries are copied to journal/ of the repository at the end.
 #
 #   FLEETBENCH=PATH tools/power-plays.sh [-d DAY] [-n COUNT] [-s SEED] [-j N] [-o DIR] [-w WHY] SITE...
 #
-#   -d DAY    a day of days/ by its name, or a TOML file (default: power-all-after-ends)
-#   -n COUNT  plays for each site, each with another seed (default 10)
-#   -s SEED   the first seed (default 1)
-#   -j N      this many plays at once (default 1)
-#   -o DIR    where logs of broken plays and the list of plays are kept (default: a new temporary folder)
-#   -w WHY    a sentence for the journal
-#   SITE      the path of a site file, absolute or from the root of the repository
+#   -d DAY    name of a day of days/, or a TOML file (default: power-all-after-ends)
+#   -n COUNT  number of runs for each site, each with its own seed (default 10)
+#   -s SEED   first seed; each further run uses the next one (default 1)
+#   -j N      number of concurrent runs (default 1)
+#   -o DIR    folder for the reports of all runs and the logs of failed runs (default: a new temporary folder)
+#   -w WHY    reason for the journal entries
+#   SITE      path of a site file, absolute or relative to the root of the repository
 #
-# Exit status: 0 if every play was done and no rule broke, 1 if a rule broke or a play could not be done, 2 for bad use.
+# Exit status: 0 all runs were made and no rule was broken, 1 a rule was broken or a run could not be made, 2 bad usage.
 set -u
 
 usage() { sed -n '2,/^set -u/{s/^# \{0,1\}//;/^set -u/d;p}' "$0" >&2; exit 2; }
 
-day=power-all-after-ends count=10 first_seed=1 at_once=1 out= why="losses of all power, with every commit and end logged"
+day=power-all-after-ends count=10 first_seed=1 max_concurrent=1 out_folder= why="losses of all power, with every commit and end logged"
 while getopts d:n:s:j:o:w:h option; do
   case $option in
     d) day=$OPTARG ;;
     n) count=$OPTARG ;;
     s) first_seed=$OPTARG ;;
-    j) at_once=$OPTARG ;;
-    o) out=$OPTARG ;;
+    j) max_concurrent=$OPTARG ;;
+    o) out_folder=$OPTARG ;;
     w) why=$OPTARG ;;
     *) usage ;;
   esac
 done
 shift $((OPTIND - 1))
 [ $# -gt 0 ] || usage
-for number in "$count" "$first_seed" "$at_once"; do
-  case $number in '' | *[!0-9]* | 0) echo "-n, -s and -j want numbers above 0" >&2; exit 2 ;; esac
+for number in "$count" "$first_seed" "$max_concurrent"; do
+  case $number in '' | *[!0-9]* | 0) echo "-n, -s and -j require whole numbers above 0" >&2; exit 2 ;; esac
 done
-[ -x "${FLEETBENCH:-}" ] || { echo "FLEETBENCH must be the path of the bench's program" >&2; exit 2; }
+[ -x "${FLEETBENCH:-}" ] || { echo "FLEETBENCH must be the path of the bench's executable" >&2; exit 2; }
 bench=$(readlink -f "$FLEETBENCH")
 root=$(cd "$(dirname "$0")/.." && pwd)
 [ -f "$day" ] || day=$root/days/$day.toml
-[ -f "$day" ] || { echo "no such day: $day" >&2; exit 2; }
-out=${out:-$(mktemp -d)}
-mkdir -p "$out" && out=$(cd "$out" && pwd) || exit 2
+[ -f "$day" ] || { echo "day file $day does not exist" >&2; exit 2; }
+out_folder=${out_folder:-$(mktemp -d)}
+mkdir -p "$out_folder" && out_folder=$(cd "$out_folder" && pwd) || exit 2
 
-# The scratch copy is the last commit but for the verbosity of the log, which the settings of a bench's day can't raise.
+# The scratch copy is a clone of HEAD with a raised log verbosity. The edit is needed because a day of the bench can't set the verbosity.
 scratch=$(mktemp -d "$root/../power-plays.XXXXXX")
 trap 'rm -rf "$scratch"' EXIT
 git -C "$root" clone -q . "$scratch/copy" && cd "$scratch/copy" || exit 2
 sed -i 's/logging.New(os.Stderr, nodeSettings.LogLevel)/logging.New(os.Stderr, 2)/' internal/roles/common.go
 git diff --quiet HEAD -- internal/roles/common.go && { echo "the verbosity of the log could not be raised" >&2; exit 2; }
 
-# play SITE SEED: one play; its log is kept only if a rule broke. A play that failed leaves a mark, as it runs in the background.
-readonly failed=$scratch/failed
-play() {
-  local site=$1 seed=$2 name report log broken
+# This file exists once a run has failed. Runs are background jobs and can't set a variable of the script.
+readonly failure_mark=$scratch/failed
+# run_day SITE SEED: runs the day once, and keeps the log if a rule was broken or the run could not be made.
+run_day() {
+  local site=$1 seed=$2 name report log broken_rules
   name=$(basename "$day" .toml).$(basename "$site" .toml).$seed
-  report=$out/$name.json log=$out/$name.log.gz
+  report=$out_folder/$name.json log=$out_folder/$name.log.gz
   "$bench" run "$site" "$day" --seed "$seed" --jobs 1 --log all --report "$report" --why "$why" 2>&1 | gzip -1 > "$log"
   if [ ! -s "$report" ]; then
-    echo "$name: not played: $(zcat "$log" | tail -n 1 | cut -c1-120)"
-    touch "$failed"
+    echo "$name: not run: $(zcat "$log" | tail -n 1 | cut -c1-120)"
+    touch "$failure_mark"
     return
   fi
-  broken=$(jq -r '[.breaks | to_entries[] | "\(.key) \(.value)"] + (if .fault then ["fault: \(.fault)"] else [] end) | join(", ")' "$report")
-  echo "$name: worth $(jq -r .G "$report"), rules broken: ${broken:-none}"
-  if [ -n "$broken" ]; then touch "$failed"; else rm -f "$log"; fi
+  broken_rules=$(jq -r '[.breaks | to_entries[] | "\(.key) \(.value)"] + (if .fault then ["fault: \(.fault)"] else [] end) | join(", ")' "$report")
+  echo "$name: worth $(jq -r .G "$report"), rules broken: ${broken_rules:-none}"
+  if [ -n "$broken_rules" ]; then touch "$failure_mark"; else rm -f "$log"; fi
 }
 
 for site in "$@"; do
   site=$(cd "$root" && readlink -f "$site")
   for ((seed = first_seed; seed < first_seed + count; seed++)); do
-    while [ "$(jobs -rp | wc -l)" -ge "$at_once" ]; do wait -n; done
-    play "$site" "$seed" &
+    while [ "$(jobs -rp | wc -l)" -ge "$max_concurrent" ]; do wait -n; done
+    run_day "$site" "$seed" &
   done
 done
 wait
 cp -n journal/*.json "$root/journal/"
-[ ! -e "$failed" ]
+[ ! -e "$failure_mark" ]
--- a/tools/system-packages.sh
+++ b/tools/system-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints the system (Debian) packages that a clean build needs, one a line: `packages` of deploy/system.toml.
+# Prints the system (Debian) packages that a clean build needs, as listed in `packages` of deploy/system.toml, one per line.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 list=$(sed -n '/^packages *= *\[/,/\]/p' deploy/system.toml | sed 's/#.*//' | grep -o '"[^"]*"' | tr -d '"')
--- a/tools/upgrade-check.sh
+++ b/tools/upgrade-check.sh
@@ -1,27 +1,29 @@
 #!/usr/bin/env bash
-# Checks that two builds of gannetline work on each other's data and beside each other: soaks of real processes whose program changes
-# from one build to the other at a restart, judged by the soak's oracles.
+# Checks that two builds of gannetline read each other's stored data and run in one cluster. Runs soaks of real processes that switch from
+# one build to the other at a restart. The soak's oracles decide whether a run passes.
 #
-#   tools/upgrade-check.sh OLD [NEW]    # two commits; NEW is HEAD if left out
+#   tools/upgrade-check.sh OLD [NEW]    # two commits; NEW defaults to HEAD
 #
-#   forward   every process starts as OLD, all are ended at once and start as NEW on the same folders
+#   forward   all processes start with OLD, are terminated at once and restart with NEW on the same data folders
 #   back      the same from NEW to OLD
-#   beside    half of the processes of each role start as OLD, half as NEW, and each is exchanged twice, one at a time, under load
+#   beside    half of the processes of each role start with OLD and half with NEW; each switches builds twice, one at a time, under load
 #
-# Each is played with everything on (jobs, tenants, evacuations, locks, lots, streams), and with a rollout under way. Two faults are planted
-# afterwards, and each must be found: NEW with one key of the message from a local proxy to the leader renamed (beside), and NEW with one
-# key of the stored job record renamed (forward). UPGRADE_NETWORK names two octets of other loopback addresses; UPGRADE_KEEP a folder for
-# the reports and logs of failed plays. Exit status: 0 all as it should be, 1 something was found or a planted fault was not, 2 bad use,
-# 3 it could not be played.
+# Each scenario runs once with every feature on (jobs, tenants, evacuations, locks, lots, streams) and once with a rollout in progress.
+# Two runs with an injected fault follow, and the soak must detect each fault: in "beside", NEW renames one key of the message from a local
+# proxy to the leader; in "forward", NEW renames one key of the stored job record.
+#
+# UPGRADE_NETWORK sets the first two octets of the loopback addresses (default 127.93). UPGRADE_KEEP names a folder that receives the
+# reports and logs of failed runs.
+# Exit status: 0 all checks passed, 1 a soak found a violation or missed an injected fault, 2 bad usage, 3 a build or a soak could not run.
 set -u
 cd "$(dirname "$0")/.." || exit 3
 
 readonly network=${UPGRADE_NETWORK:-127.93}
 readonly processes=12 mix=15 seconds=45
-# The processes of a layout of that size and mix, as the soak names them.
+# The names that the soak gives to the processes of a cluster of this size and mix.
 readonly stewards=(steward-1 steward-2 steward-3) storages=(storage-1 storage-2 storage-3) gates=(gate-1 gate-2)
 readonly proxies=(worker-1 worker-2 worker-3 worker-4 worker-5 worker-6)
-# The keys that are renamed for the planted faults: the executor of an exchange, and what a stored job is to run.
+# The JSON keys that the injected faults rename: the executor in an exchange message, and the job specification in a stored record.
 readonly message_file=internal/cluster/peerapi/wire/exchange.go message_key=life
 readonly record_file=internal/scheduling/scheduler/records.go record_key=spec
 readonly build_command=(go build -buildvcs=false -ldflags=-linkmode=external -o target/ ./cmd/...)
@@ -33,15 +35,15 @@
 
 scratch=$(mktemp -d) || exit 3
 clean_up() {
-  local run
-  for run in $(jobs -p); do kill "$run" 2>/dev/null; done
+  local pid
+  for pid in $(jobs -p); do kill "$pid" 2>/dev/null; done
   wait
   rm -rf "$scratch"
 }
 trap clean_up EXIT
 trap 'exit 3' INT TERM HUP
 
-# build COMMIT FOLDER [FILE KEY]: builds a commit; with FILE and KEY, after renaming the JSON key KEY in the sources of FILE's package.
+# build COMMIT FOLDER [FILE KEY]: builds a commit in $scratch/FOLDER. With FILE and KEY, first renames a JSON key (see rename_key).
 build() {
   mkdir -p "$scratch/$2" && git archive "$1" -- . ':!docs' ':!journal' | tar -x -C "$scratch/$2" || exit 3
   if [ $# -eq 4 ]; then
@@ -50,7 +52,7 @@
   (cd "$scratch/$2" && "${build_command[@]}") || exit 3
 }
 
-# rename_key FILE KEY: renames a JSON key in the tags of one file and in the generated code beside it.
+# rename_key FILE KEY: renames a JSON key in the struct tags of a file and in the code that easyjson generated for it.
 rename_key() {
   local generated=${1%.go}_easyjson.go
   grep -q "json:\"$2[,\"]" "$1" && grep -q "\"$2\"" "$generated" || { echo "no JSON key $2 in $1 and its generated code" >&2; return 1; }
@@ -58,9 +60,9 @@
   sed -i "s/\"$2\"/\"$2-renamed\"/; s/\\\\\"$2\\\\\"/\\\\\"$2-renamed\\\\\"/" "$generated"
 }
 
-# write_program FILE FIRST SECOND MODE: writes a program that runs one of two builds, by the number of the node's start.
-# In mode "change" the first start of a node is FIRST, all others are SECOND. In mode "turn" starts take turns, odd nodes beginning
-# with FIRST and even ones with SECOND.
+# write_program FILE FIRST SECOND MODE: writes a wrapper script that counts the starts of each node and selects the build by that count.
+# In mode "switch" a node's first start runs FIRST and each later one runs SECOND. In mode "alternate" the builds alternate from start to
+# start; nodes with an odd number begin with FIRST, those with an even number with SECOND.
 write_program() {
   mkdir -p "$1.starts"
   cat >"$1" <<PROGRAM
@@ -72,7 +74,7 @@
 echo \$((count + 1)) >"\$starts"
 number=\${name##*-}
 case \$number in *[!0-9]*) number=1 ;; esac
-if [ $4 = change ]; then
+if [ $4 = switch ]; then
   [ "\$count" -eq 0 ] && program=$2 || program=$3
 else
   [ \$(((number + count) % 2)) -eq 1 ] && program=$2 || program=$3
@@ -82,39 +84,40 @@
   chmod +x "$1"
 }
 
-# terminations STEP AT NAME...: JSON events that end the named processes, STEP milliseconds apart, the first at AT. They follow
-# $separator, which is set for the next ones.
-terminations() {
-  local step=$1 at=$2 name
+# write_terminations INTERVAL AT NAME...: prints JSON events that terminate the named processes, INTERVAL milliseconds apart, the first at
+# AT milliseconds. Prints the caller's variable $separator before each event and sets it to a comma after the first.
+write_terminations() {
+  local interval=$1 at=$2 name
   shift 2
   for name; do
     printf '%s{"at-ms":%d,"kind":"terminate","target":"%s"}' "$separator" "$at" "$name"
     separator=,
-    at=$((at + step))
+    at=$((at + interval))
   done
 }
 
-# write_schedule FILE MODE: all processes ended at once ("change"), or one at a time and twice each ("turn").
+# write_schedule FILE MODE: writes the soak's schedule. In mode "switch" all processes are terminated at once. In mode "alternate" each is
+# terminated twice, one process of a role at a time.
 write_schedule() {
   local separator='' round
   {
     printf '{"seed":7,"length-ms":%d,"processes":%d,"events":[' $((seconds * 1000)) $processes
-    if [ "$2" = change ]; then
-      terminations 0 15000 "${stewards[@]}" "${gates[@]}" "${proxies[@]}" "${storages[@]}"
+    if [ "$2" = switch ]; then
+      write_terminations 0 15000 "${stewards[@]}" "${gates[@]}" "${proxies[@]}" "${storages[@]}"
     else
       for round in 2000 19000; do
-        terminations 5500 $round "${stewards[@]}"
-        terminations 5500 $((round + 1500)) "${storages[@]}"
-        terminations 8000 $((round + 3000)) "${gates[@]}"
-        terminations 2000 $((round + 500)) "${proxies[@]}"
+        write_terminations 5500 $round "${stewards[@]}"
+        write_terminations 5500 $((round + 1500)) "${storages[@]}"
+        write_terminations 8000 $((round + 3000)) "${gates[@]}"
+        write_terminations 2000 $((round + 500)) "${proxies[@]}"
       done
     fi
     printf ']}'
   } >"$1"
 }
 
-# play NAME SOAK FIRST SECOND MODE DEPLOYMENT...: one soak with the flags of a deployment; its exit status is that of the soak.
-play() {
+# run_soak NAME SOAK FIRST SECOND MODE FLAGS...: runs the program SOAK with the flags of a deployment; its exit status is the soak's.
+run_soak() {
   local name=$1 soak=$2 status
   write_program "$scratch/$name.program" "$3" "$4" "$5"
   write_schedule "$scratch/$name.json" "$5"
@@ -129,27 +132,28 @@
 }
 
 failed=0
-# must_pass NAME ...: a play that must find nothing.
-must_pass() {
-  play "$@"
+# expect_pass NAME ...: runs a soak that must find no violation.
+expect_pass() {
+  run_soak "$@"
   case $? in
-    0) echo "$1: nothing found" ;;
-    1) echo "$1: FOUND"; cat "$scratch/$1.out"; failed=1 ;;
-    *) echo "$1: could not be played"; tail -n 5 "$scratch/$1.log"; exit 3 ;;
+    0) echo "$1: no violation found" ;;
+    1) echo "$1: VIOLATION FOUND"; cat "$scratch/$1.out"; failed=1 ;;
+    *) echo "$1: the soak could not run"; tail -n 5 "$scratch/$1.log"; exit 3 ;;
   esac
 }
 
-# must_find NAME ...: a play with a planted fault, which must be found, or keep the system from serving at all.
-must_find() {
-  play "$@"
+# expect_failure NAME ...: runs a soak with an injected fault. The soak must either find the fault or fail because the cluster does not
+# serve at all.
+expect_failure() {
+  run_soak "$@"
   case $? in
-    0) echo "$1: the planted fault was NOT found"; failed=1 ;;
-    1) echo "$1: found, as planted: $(grep -m 1 . "$scratch/$1.out")" ;;
-    *) echo "$1: found, as planted: $(tail -n 1 "$scratch/$1.log")" ;;
+    0) echo "$1: the injected fault was NOT found"; failed=1 ;;
+    1) echo "$1: injected fault found: $(grep -m 1 . "$scratch/$1.out")" ;;
+    *) echo "$1: injected fault found: $(tail -n 1 "$scratch/$1.log")" ;;
   esac
 }
 
-echo "building $old, $new and two builds with a planted fault"
+echo "building $old, $new and two builds with an injected fault"
 build "$old" old
 build "$new" new
 build "$new" message $message_file $message_key
@@ -160,11 +164,11 @@
 readonly everything=(--mix $mix) rollouts=(--rollouts)
 for deployment in everything rollouts; do
   declare -n flags=$deployment
-  must_pass "forward-$deployment" "$old_soak" "$old_program" "$new_program" change "${flags[@]}"
-  must_pass "back-$deployment" "$new_soak" "$new_program" "$old_program" change "${flags[@]}"
-  must_pass "beside-$deployment" "$new_soak" "$old_program" "$new_program" turn "${flags[@]}"
+  expect_pass "forward-$deployment" "$old_soak" "$old_program" "$new_program" switch "${flags[@]}"
+  expect_pass "back-$deployment" "$new_soak" "$new_program" "$old_program" switch "${flags[@]}"
+  expect_pass "beside-$deployment" "$new_soak" "$old_program" "$new_program" alternate "${flags[@]}"
 done
-must_find message-key "$new_soak" "$old_program" "$scratch/message/target/gannetline" turn "${everything[@]}"
-must_find record-key "$old_soak" "$old_program" "$scratch/record/target/gannetline" change "${everything[@]}"
+expect_failure message-key "$new_soak" "$old_program" "$scratch/message/target/gannetline" alternate "${everything[@]}"
+expect_failure record-key "$old_soak" "$old_program" "$scratch/record/target/gannetline" switch "${everything[@]}"
 [ $failed -eq 0 ] || exit 1
-echo "both builds work on each other's data and beside each other"
+echo "both builds read each other's stored data and run in one cluster"
